--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -33,8 +33,8 @@
 from pathlib import Path
 from typing import Any
 
+from brambleusher.loadbalancing import Balancer, api
 from brambleusher.net.http import MessageReader
-from quillpass import Balancer, api
 
 ROOT = Path(__file__).resolve().parent.parent
 WAIT = 30.0  # seconds, for what has to come
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -45,10 +45,10 @@
     entry,
     modules,
 )
-from quillpass import Balancer, api
-from quillpass.fleet import FleetBalancer, Told, standings
-from quillpass.settings import parse_settings
-from quillpass.shares import Damper, Rounder
+from brambleusher.loadbalancing import Balancer, api
+from brambleusher.loadbalancing.fleet_balancer import FleetBalancer, Told, standings
+from brambleusher.loadbalancing.locality_weights import Damper, Rounder
+from brambleusher.loadbalancing.settings import parse_settings
 
 ROOT = Path(__file__).resolve().parent.parent
 LIMIT_MS = 500.0
--- a/benchmarks/mysql.py
+++ b/benchmarks/mysql.py
@@ -23,7 +23,6 @@
 from statistics import median, quantiles
 from typing import Any
 
-from brambleusher.config import parse_config
 from brambleusher.fronts.mysql.auth import ClientLogin, Secret, Turn
 from brambleusher.fronts.mysql.constants import NATIVE, Capability, Errno
 from brambleusher.fronts.mysql.packets import frame
@@ -32,10 +31,11 @@
 from brambleusher.lab.mysql.replay import run_seed
 from brambleusher.lab.mysql.server import MysqlServer, MysqlSettings, accounts
 from brambleusher.lab.virtual.world import START_NS, VirtualSystem, World
-from brambleusher.operator_file import parse_operator_file
 from brambleusher.runtime.real import RealSystem
 from brambleusher.runtime.scheduler import Scheduler
-from brambleusher.sidecar import Sidecar
+from brambleusher.sidecar.app import Sidecar
+from brambleusher.sidecar.configuration import parse_config
+from brambleusher.sidecar.operator_configuration import parse_operator_file
 
 SECOND = 10**9
 WAIT = 30.0
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -32,7 +32,7 @@
 
 from brambleusher.lab.stand_ins.machine import Job, Machine
 from brambleusher.lab.stand_ins.settings import NodeSettings
-from quillpass import Balancer, api
+from brambleusher.loadbalancing import Balancer, api
 
 SECOND, MS = 10**9, 10**6
 LATENCY = 0.0004  # one way, seconds
--- a/benchmarks/ring.py
+++ b/benchmarks/ring.py
@@ -12,7 +12,7 @@
 from brambleusher.lab.experiments.plan import Cell, DemandSpec
 from brambleusher.lab.experiments.run import run
 from brambleusher.lab.fleets.worlds import WorldFile
-from quillpass import Balancer, api
+from brambleusher.loadbalancing import Balancer, api
 
 RECIPE = {"seconds": 60, "rate": 40, "burst": {"start_s": 20, "seconds": 12, "times": 8}}
 
--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -1,6 +1,6 @@
 """How evenly instances that share nothing use the hosts, and what moves when one host goes.
 
-For each way of `quillpass.subsets`: the least and the most that a host is used, of the mean, where each
+For each way of `subsetting`: the least and the most that a host is used, of the mean, where each
 instance spreads one unit over its subset; and how many hosts an instance has to take up, on average, when
 one host goes, and when one instance joins.  "drawn" is what the balancer does today.
 
@@ -16,10 +16,10 @@
 import sys
 from collections.abc import Callable
 
-from quillpass.api import HostEntry, HostState
-from quillpass.hosts import Host
-from quillpass.ranks import Ranks
-from quillpass.subsets import Ring, Subset, size_for
+from brambleusher.loadbalancing.api import HostEntry, HostState
+from brambleusher.loadbalancing.host_ranking import Ranks
+from brambleusher.loadbalancing.hosts import Host
+from brambleusher.loadbalancing.subsetting import Ring, Subset, size_for
 
 LEAST = 12
 INSTANCES, HOSTS = (3, 10, 100, 1000, 5000), (14, 200, 2000)
--- a/benchmarks/world.py
+++ b/benchmarks/world.py
@@ -25,7 +25,8 @@
 PARTS = {
     "lab/virtual/world.py": "world", "lab/virtual/network.py": "world",
     "brambleusher/lab/": "stand-ins and plan",
-    "brambleusher/": "program", "quillpass/": "decisions",
+    "brambleusher/loadbalancing/": "decisions",
+    "brambleusher/": "program",
 }  # fmt: skip
 
 
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -41,9 +41,9 @@
     ZoneUnreachable,
 )
 from brambleusher.lab.virtual.zone_days import FALL_MULTIPLE, ZONES, Books, Day, play
-from quillpass import Balancer, api
-from quillpass.hosts import Host, Request
-from quillpass.zoned import balancer_for
+from brambleusher.loadbalancing import Balancer, api
+from brambleusher.loadbalancing.hosts import Host, Request
+from brambleusher.loadbalancing.zone_aware_balancer import balancer_for
 
 ZONE = "macon"
 WHOLE = 0.95
--- a/brambleusher/__init__.py
+++ b/brambleusher/__init__.py
@@ -1,4 +1,4 @@
-"""brambleusher: a sidecar load balancer on real sockets, round the decisions of `quillpass`.
+"""brambleusher: a sidecar load balancer on real sockets, around the decisions of `loadbalancing`.
 
 Importing it does no work.  To embed one: `Sidecar(parse_config(text, env))`, `start()`, `run()`.
 """
--- a/brambleusher/admin/figures.py
+++ b/brambleusher/admin/figures.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from brambleusher.tally import Tally
+from brambleusher.observability.request_counts import Tally
 
 
 def render(tally: Tally, listed: int, avoided: int) -> bytes:
--- a/brambleusher/cli/__init__.py
+++ b/brambleusher/cli/__init__.py
@@ -49,7 +49,7 @@
         return run(words)
     except ModuleNotFoundError as error:
         missing = (error.name or "").split(".")[0]
-        if missing in ("", "brambleusher", "quillpass"):
+        if missing in ("", "brambleusher"):
             raise
         named = next((word for word in words if word in COMMANDS), "")
         extra = COMMANDS[named][1] if named else "lab"
--- a/brambleusher/cli/group.py
+++ b/brambleusher/cli/group.py
@@ -41,7 +41,7 @@
 def everything(ctx: click.Context, operator: str | None, log_format: str) -> int | None:
     """A sidecar load balancer; without a command it serves."""
     if ctx.invoked_subcommand is not None:
-        from brambleusher.logs import configure
+        from brambleusher.observability.log_format import configure
 
         configure(form=log_format)
         return None
--- a/brambleusher/cli/serve.py
+++ b/brambleusher/cli/serve.py
@@ -5,12 +5,12 @@
 import os
 import sys
 
-from brambleusher.config import ConfigError, load_config
-from brambleusher.logs import configure
-from brambleusher.operator_file import load_operator_file
+from brambleusher.observability.log_format import configure
 from brambleusher.runtime.system import System
-from brambleusher.sections import OperatorError
-from brambleusher.sidecar import serve
+from brambleusher.sidecar.app import serve
+from brambleusher.sidecar.configuration import ConfigError, load_config
+from brambleusher.sidecar.operator_configuration import load_operator_file
+from brambleusher.sidecar.operator_section import OperatorError
 
 
 def run(operator_path: str | None, log_format: str, system: System | None = None) -> int:
--- /dev/null
+++ b/brambleusher/controller/__init__.py
@@ -0,0 +1,1 @@
+"""The controller and the observer: the control plane of one machine."""
--- a/brambleusher/controller.py
+++ b/brambleusher/controller/app.py
@@ -6,18 +6,18 @@
 import random
 from typing import Any
 
-from brambleusher.controlplane import registry
-from brambleusher.controlplane.announcer import Announcer
-from brambleusher.controlplane.endpoints import Endpoints
-from brambleusher.controlplane.orders import Orders
-from brambleusher.controlplane.platform_list import PlatformList
-from brambleusher.controlplane.relay import NAMED, RELAY, RelayServer
+from brambleusher.controlplane.admin_listeners import Endpoints
+from brambleusher.controlplane.configuration.admin_api import Orders
+from brambleusher.controlplane.configuration.publisher import Announcer
+from brambleusher.controlplane.registry import resolver as registry
+from brambleusher.controlplane.registry.instance_list import PlatformList
+from brambleusher.controlplane.relay.relay import NAMED, RELAY, RelayServer
 from brambleusher.controlplane.replica import Replica
-from brambleusher.logs import SparseLog
 from brambleusher.membership.line_connection import LineSender, LineServer
 from brambleusher.membership.process import run_until_signalled
 from brambleusher.membership.settings_watch import SettingsWatch
 from brambleusher.membership.views import FORGET_S, PartialView, Peer, State
+from brambleusher.observability.log_format import SparseLog
 from brambleusher.runtime.disk import Disk
 from brambleusher.runtime.http_server import HttpRequest, HttpResponse
 from brambleusher.runtime.scheduler import Scheduler
--- a/brambleusher/observer.py
+++ b/brambleusher/controller/observer.py
@@ -10,15 +10,15 @@
 import random
 from typing import Any
 
-from brambleusher.controlplane import registry
-from brambleusher.controlplane.endpoints import Endpoints
-from brambleusher.controlplane.orders import Orders
-from brambleusher.controlplane.relay import NAMED, RELAY, RelayClient, RemoteState
-from brambleusher.logs import SparseLog
+from brambleusher.controlplane.admin_listeners import Endpoints
+from brambleusher.controlplane.configuration.admin_api import Orders
+from brambleusher.controlplane.registry import resolver as registry
+from brambleusher.controlplane.relay.relay import NAMED, RELAY, RelayClient, RemoteState
 from brambleusher.membership.controllers import Controllers, Place, places_of
 from brambleusher.membership.line_connection import LineSender, LineServer
 from brambleusher.membership.process import run_until_signalled
 from brambleusher.membership.settings_watch import SettingsWatch
+from brambleusher.observability.log_format import SparseLog
 from brambleusher.runtime.http_server import HttpRequest, HttpResponse
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.streams import parse_address
--- a/brambleusher/controlplane/endpoints.py
+++ b/brambleusher/controlplane/admin_listeners.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from brambleusher.controlplane.orders import CONFIGURATION_BYTES
+from brambleusher.controlplane.configuration.admin_api import CONFIGURATION_BYTES
 from brambleusher.runtime.http_server import HttpRequest, HttpResponse, HttpServer
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.streams import parse_address
--- a/brambleusher/controlplane/orders.py
+++ b/brambleusher/controlplane/configuration/admin_api.py
@@ -7,8 +7,8 @@
 import orjson
 from result import Err
 
-from brambleusher.controlplane.replicated_state import ReplicatedState
-from brambleusher.controlplane.state_machine import (
+from brambleusher.controlplane.configuration.replicated_state import ReplicatedState
+from brambleusher.controlplane.configuration.state_machine import (
     Command,
     PutConfiguration,
     SetEvacuation,
--- a/brambleusher/controlplane/announcer.py
+++ b/brambleusher/controlplane/configuration/publisher.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from brambleusher.controlplane.fleet_figures import FleetFigures, checked
-from brambleusher.controlplane.platform_list import PlatformList
+from brambleusher.controlplane.registry.instance_list import PlatformList
+from brambleusher.controlplane.registry.load_reports import FleetFigures, checked
 from brambleusher.controlplane.replica import Replica
 from brambleusher.membership.views import PartialView, Peer, peer_of
 from brambleusher.runtime.scheduler import Event, Scheduler, Timeout
--- a/brambleusher/controlplane/replicated_state.py
+++ b/brambleusher/controlplane/configuration/replicated_state.py
@@ -7,7 +7,7 @@
 
 from result import Result
 
-from brambleusher.controlplane.state_machine import Command, SharedState, Verdict
+from brambleusher.controlplane.configuration.state_machine import Command, SharedState, Verdict
 
 
 @dataclass(frozen=True, slots=True)
--- /dev/null
+++ b/brambleusher/controlplane/consensus/__init__.py
@@ -0,0 +1,1 @@
+"""Agreement of a replica group: Raft without I/O."""
--- a/brambleusher/controlplane/membership_changes.py
+++ b/brambleusher/controlplane/consensus/membership_change.py
@@ -10,7 +10,7 @@
 from collections.abc import Collection, Mapping, Sequence
 from dataclasses import dataclass, field, replace
 
-from brambleusher.controlplane.quorum import votes_needed
+from brambleusher.controlplane.consensus.quorum import votes_needed
 from brambleusher.wire.consensus_messages import Member
 
 LOST_VOTER_S = 1.0  # a voter this long without an answer gives its vote to a learner that is there
--- a/brambleusher/controlplane/consensus.py
+++ b/brambleusher/controlplane/consensus/replica_state.py
@@ -12,7 +12,10 @@
 from dataclasses import replace
 from typing import Any
 
-from brambleusher.controlplane.consensus_types import (
+from brambleusher.controlplane.consensus.durability import Durability
+from brambleusher.controlplane.consensus.membership_change import Group, next_members
+from brambleusher.controlplane.consensus.membership_requests import MembershipRequests
+from brambleusher.controlplane.consensus.outputs import (
     SNAPSHOT_EVERY_S,
     HardState,
     Outgoing,
@@ -22,13 +25,10 @@
     Role,
     Truncate,
 )
-from brambleusher.controlplane.durability import Durability
-from brambleusher.controlplane.log import Log
-from brambleusher.controlplane.membership_changes import Group, next_members
-from brambleusher.controlplane.membership_requests import MembershipRequests
-from brambleusher.controlplane.pending_reads import PendingReads
-from brambleusher.controlplane.quorum import agreed_value, has_quorum
-from brambleusher.controlplane.replication import Progress, Replication
+from brambleusher.controlplane.consensus.quorum import agreed_value, has_quorum
+from brambleusher.controlplane.consensus.reads import PendingReads
+from brambleusher.controlplane.consensus.replicated_log import Log
+from brambleusher.controlplane.consensus.replication import Progress, Replication
 from brambleusher.wire import consensus_messages as wire
 from brambleusher.wire.consensus_messages import Entry, Member
 
--- a/brambleusher/controlplane/replication.py
+++ b/brambleusher/controlplane/consensus/replication.py
@@ -8,8 +8,8 @@
 
 import orjson
 
-from brambleusher.controlplane.consensus_types import SNAPSHOT_EVERY_S
-from brambleusher.controlplane.log import Log
+from brambleusher.controlplane.consensus.outputs import SNAPSHOT_EVERY_S
+from brambleusher.controlplane.consensus.replicated_log import Log
 from brambleusher.wire.consensus_messages import AppendReply, Entry, Member
 
 ENTRIES_A_MESSAGE = 64
--- /dev/null
+++ b/brambleusher/controlplane/relay/__init__.py
@@ -0,0 +1,1 @@
+"""Calls of observers to controllers."""
--- a/brambleusher/controlplane/relay.py
+++ b/brambleusher/controlplane/relay/relay.py
@@ -10,14 +10,14 @@
 
 from result import Err, Ok
 
-from brambleusher.controlplane.replicated_state import (
+from brambleusher.controlplane.configuration.replicated_state import (
     IndexResult,
     NoLeader,
     OrderResult,
     ReadResult,
     ReplicatedState,
 )
-from brambleusher.controlplane.state_machine import Command, SharedState, Verdict, command_of
+from brambleusher.controlplane.configuration.state_machine import Command, SharedState, Verdict, command_of
 from brambleusher.membership.controllers import Controllers, places_of
 from brambleusher.membership.line_connection import LineClient
 from brambleusher.runtime.scheduler import Scheduler, Timeout
--- a/brambleusher/controlplane/replica.py
+++ b/brambleusher/controlplane/replica.py
@@ -11,12 +11,17 @@
 
 from result import Err, Ok
 
-from brambleusher.controlplane.consensus import Consensus
-from brambleusher.controlplane.consensus_types import HardState, Outgoing, Record
-from brambleusher.controlplane.log import Log
-from brambleusher.controlplane.replicated_state import IndexResult, NoLeader, OrderResult, ReadResult
-from brambleusher.controlplane.state_machine import Command, SharedState, Verdict, command_of
-from brambleusher.controlplane.storage import CorruptStorage, Recovered, Storage, snapshot_as_json
+from brambleusher.controlplane.configuration.replicated_state import (
+    IndexResult,
+    NoLeader,
+    OrderResult,
+    ReadResult,
+)
+from brambleusher.controlplane.configuration.state_machine import Command, SharedState, Verdict, command_of
+from brambleusher.controlplane.consensus.outputs import HardState, Outgoing, Record
+from brambleusher.controlplane.consensus.replica_state import Consensus
+from brambleusher.controlplane.consensus.replicated_log import Log
+from brambleusher.controlplane.storage.storage import CorruptStorage, Recovered, Storage, snapshot_as_json
 from brambleusher.runtime.disk import Disk
 from brambleusher.runtime.scheduler import Event, Scheduler, Timeout
 from brambleusher.wire import consensus_messages as wire
--- /dev/null
+++ b/brambleusher/controlplane/storage/__init__.py
@@ -0,0 +1,1 @@
+"""The durable log and snapshots of a replica."""
--- a/brambleusher/controlplane/storage.py
+++ b/brambleusher/controlplane/storage/storage.py
@@ -14,8 +14,8 @@
 
 import orjson
 
-from brambleusher.controlplane.consensus_types import HardState, Record, Restore, Truncate
-from brambleusher.controlplane.log import Log
+from brambleusher.controlplane.consensus.outputs import HardState, Record, Restore, Truncate
+from brambleusher.controlplane.consensus.replicated_log import Log
 from brambleusher.runtime.disk import Disk
 from brambleusher.wire.consensus_messages import Entry, Member, entry_of, member_of
 from brambleusher.wire.errors import InvalidMessage
--- a/brambleusher/dataplane/instances.py
+++ b/brambleusher/dataplane/instances.py
@@ -11,13 +11,13 @@
 
 from brambleusher.dataplane.budgets import ColdBudget
 from brambleusher.dataplane.zone_rests import ZoneRests
+from brambleusher.loadbalancing.instance_weights import InstanceWeights, Mechanisms
+from brambleusher.loadbalancing.subsetting import place
 from brambleusher.runtime.streams import parse_address
 from brambleusher.runtime.system import Address
 from brambleusher.wire.configuration import Route, Service
 from brambleusher.wire.instance_load import InstanceLoad
 from brambleusher.wire.policy import Policy
-from quillpass.instance_weights import InstanceWeights, Mechanisms
-from quillpass.subsets import place
 
 DOWN_FIRST_S, DOWN_MOST_S = 0.25, 2.0  # after a failed connection an instance rests, longer each time
 REPLACED_S = 3.0  # until the list has dropped an instance that another was found in place of
--- a/brambleusher/dataplane/upstream.py
+++ b/brambleusher/dataplane/upstream.py
@@ -12,13 +12,13 @@
 from brambleusher.dataplane.budgets import connections_of
 from brambleusher.dataplane.failures import AnswerBroken, AttemptFailure, Lost, NotReached, Rejected
 from brambleusher.dataplane.instances import HEARD_S, Instance, Instances
+from brambleusher.loadbalancing.api import Status
+from brambleusher.loadbalancing.idle_timeout import Trust
 from brambleusher.runtime.h11_messages import next_event, whole
 from brambleusher.runtime.scheduler import Scheduler, Timeout
 from brambleusher.runtime.streams import Stream
 from brambleusher.wire import instance_load
 from brambleusher.wire.policy import Policy
-from quillpass.api import Status
-from quillpass.idle import Trust
 
 CONNECT_S = 0.25  # two round trips between far regions; half the time left if that is less
 SILENT_S = 0.6  # sent bytes or probes unacknowledged for so long: the instance's machine is gone
--- a/brambleusher/features/figures.py
+++ b/brambleusher/features/figures.py
@@ -8,12 +8,12 @@
 import re
 from collections import Counter
 
-from brambleusher.counters import Counters
-from brambleusher.decisions import Call, Clock, Observer, Outcome
 from brambleusher.features.output import Lane
-from brambleusher.operator_file import FiguresSettings
+from brambleusher.loadbalancing import api
+from brambleusher.observability.counters import Counters
 from brambleusher.runtime.scheduler import Scheduler
-from quillpass import api
+from brambleusher.sidecar.balancer_driver import Call, Clock, Observer, Outcome
+from brambleusher.sidecar.operator_configuration import FiguresSettings
 
 PREFIX = "brambleusher."
 DROPPED = "figures_dropped"
--- a/brambleusher/features/records.py
+++ b/brambleusher/features/records.py
@@ -8,9 +8,9 @@
 
 import orjson
 
+from brambleusher.loadbalancing import api
+from brambleusher.loadbalancing.state_codec import plain, restore_rules, save_rules, unplain
 from brambleusher.net.endpoint_list import state_of, state_word
-from quillpass import api
-from quillpass.state import plain, restore_rules, save_rules, unplain
 
 VERSION = 1
 # An action's name and its fields in order; they are texts and whole numbers.
--- a/brambleusher/features/replay.py
+++ b/brambleusher/features/replay.py
@@ -16,9 +16,15 @@
     event_from,
     sound,
 )
-from quillpass import api
-from quillpass.state import StateError, hosts_held, hosts_reached, restore, restore_settings
-from quillpass.zoned import balancer_for
+from brambleusher.loadbalancing import api
+from brambleusher.loadbalancing.state_codec import (
+    StateError,
+    hosts_held,
+    hosts_reached,
+    restore,
+    restore_settings,
+)
+from brambleusher.loadbalancing.zone_aware_balancer import balancer_for
 
 SAME, DIFFERENT, REFUSED = 0, 1, 2
 
--- a/brambleusher/fronts/mysql/front.py
+++ b/brambleusher/fronts/mysql/front.py
@@ -14,8 +14,6 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from brambleusher.counters import Counters
-from brambleusher.decisions import Call, Clock, Decisions
 from brambleusher.fronts.mysql.auth import RsaKey, Secret, ServerLogin, Turn
 from brambleusher.fronts.mysql.channel import Channel, server_context
 from brambleusher.fronts.mysql.constants import (
@@ -38,12 +36,14 @@
 from brambleusher.fronts.mysql.session import PreparedText, Session
 from brambleusher.fronts.mysql.settings import MysqlSettings
 from brambleusher.fronts.mysql.statements import Kind, Statement, Statements, words
+from brambleusher.loadbalancing.api import Status
 from brambleusher.net.request_life import Answer, ClientHandle, RequestLife
 from brambleusher.net.request_life import Kind as AnswerKind
+from brambleusher.observability.counters import Counters
 from brambleusher.runtime.scheduler import Event, Scheduler, Task, Timeout
 from brambleusher.runtime.streams import Stream
 from brambleusher.runtime.system import SHORT_OF_ROOM, Address, Socket
-from quillpass.api import Status
+from brambleusher.sidecar.balancer_driver import Call, Clock, Decisions
 
 log = logging.getLogger(__name__)
 
--- a/brambleusher/fronts/mysql/load.py
+++ b/brambleusher/fronts/mysql/load.py
@@ -11,7 +11,7 @@
 
 import math
 
-from quillpass.api import LoadReport
+from brambleusher.loadbalancing.api import LoadReport
 
 WINDOW_OF_AIM = 4.0  # of the shortest aim: after it a moment counts for e^-1 (the module's HEALTH_WINDOW)
 
--- a/brambleusher/fronts/mysql/mapping.py
+++ b/brambleusher/fronts/mysql/mapping.py
@@ -7,7 +7,7 @@
 
 from brambleusher.fronts.mysql.settings import MysqlSettings, UserRule
 from brambleusher.fronts.mysql.statements import Hint, Kind, Statement
-from quillpass import api
+from brambleusher.loadbalancing import api
 
 REASONS = 4096  # digests whose reason was told; past it the oldest may be told again
 
--- a/brambleusher/fronts/mysql/nodes.py
+++ b/brambleusher/fronts/mysql/nodes.py
@@ -14,8 +14,6 @@
 from enum import Enum
 from typing import Protocol
 
-from brambleusher.counters import Counters
-from brambleusher.decisions import Outcome
 from brambleusher.fronts.mysql.auth import ClientLogin, LoginRefused, Turn
 from brambleusher.fronts.mysql.channel import Channel, client_context
 from brambleusher.fronts.mysql.constants import Capability, Command, Errno
@@ -26,10 +24,12 @@
 from brambleusher.fronts.mysql.replies import ReplyRelay
 from brambleusher.fronts.mysql.session import Flavour, PreparedText, Session, Setup, replay_text
 from brambleusher.fronts.mysql.settings import MysqlSettings, Passwords
+from brambleusher.loadbalancing.api import CONNECT_PART, HostState, LoadReport, Settings, Status
 from brambleusher.net.endpoint_list import Endpoint, EndpointListUpdate
+from brambleusher.observability.counters import Counters
 from brambleusher.runtime.scheduler import Event, Scheduler, Timeout
 from brambleusher.runtime.streams import Called, Stream
-from quillpass.api import CONNECT_PART, HostState, LoadReport, Settings, Status
+from brambleusher.sidecar.balancer_driver import Outcome
 
 log = logging.getLogger(__name__)
 
--- a/brambleusher/fronts/mysql/settings.py
+++ b/brambleusher/fronts/mysql/settings.py
@@ -10,9 +10,9 @@
 from brambleusher.fronts.mysql.auth import RsaKey, Secret
 from brambleusher.fronts.mysql.constants import CACHING_SHA2, NATIVE
 from brambleusher.fronts.mysql.statements import digest_of, words
+from brambleusher.loadbalancing import api
 from brambleusher.runtime.streams import parse_address
-from brambleusher.sections import OperatorError, Section
-from quillpass import api
+from brambleusher.sidecar.operator_section import OperatorError, Section
 
 MAX_FILE = 1024 * 1024
 MAX_ENTRIES = 10_000
--- /dev/null
+++ b/brambleusher/gateway/__init__.py
@@ -0,0 +1,1 @@
+"""The gateway: the data plane of one edge machine."""
--- a/brambleusher/lab/control/history.py
+++ b/brambleusher/lab/control/history.py
@@ -26,14 +26,14 @@
 from envoy.config.endpoint.v3 import endpoint_pb2
 
 from brambleusher.lab.control.xds import ASSIGNMENT, ProxyStandIn, endpoints_of
+from brambleusher.loadbalancing.api import HostEntry, HostState
+from brambleusher.loadbalancing.view_consistency import Place
 from brambleusher.net.endpoint_list import Endpoint, EndpointListUpdate
 from brambleusher.xds.config import ControlConfig, parse_control
 from brambleusher.xds.core import Core, Stream
 from brambleusher.xds.faults import ProtocolError
 from brambleusher.xds.roster import Roster
 from brambleusher.xds.wire import decode_request
-from quillpass.api import HostEntry, HostState
-from quillpass.handout import Place
 
 MS, SECOND = 1_000_000, 1_000_000_000
 STAMP = "stamp"
--- a/brambleusher/lab/faults/breakages.py
+++ b/brambleusher/lab/faults/breakages.py
@@ -13,9 +13,12 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from brambleusher.decisions import Call, Decisions, Ticket
 from brambleusher.features import capture as capture_module
 from brambleusher.lab.checker.rules import RULES
+from brambleusher.loadbalancing import Balancer, api
+from brambleusher.loadbalancing.api import HostState, Status
+from brambleusher.loadbalancing.hosts import Host, Request
+from brambleusher.loadbalancing.maintenance import Service
 from brambleusher.net import client_listener as listener_module
 from brambleusher.net import entries as list_module
 from brambleusher.net import upstream_pool as nodes_module
@@ -26,11 +29,8 @@
 from brambleusher.net.upstream_pool import Claim, Node, UpstreamPool
 from brambleusher.runtime.scheduler import Cancelled
 from brambleusher.runtime.streams import Called, Stream
-from brambleusher.sidecar import Sidecar
-from quillpass import Balancer, api
-from quillpass.api import HostState, Status
-from quillpass.hosts import Host, Request
-from quillpass.upkeep import Service
+from brambleusher.sidecar.app import Sidecar
+from brambleusher.sidecar.balancer_driver import Call, Decisions, Ticket
 
 LATE_SECONDS = 0.001  # past the drain limit
 
--- a/brambleusher/lab/fleets/fleet.py
+++ b/brambleusher/lab/fleets/fleet.py
@@ -16,7 +16,6 @@
 
 import msgspec
 
-from brambleusher.config import Config, parse_config
 from brambleusher.lab.faults.effects import apply
 from brambleusher.lab.faults.kinds import CALLED, Fault
 from brambleusher.lab.fleets.figures import (
@@ -38,13 +37,14 @@
 from brambleusher.lab.stand_ins.server import Server, Troubles
 from brambleusher.lab.virtual.world import STANDARD, Pace, VirtualSystem, World, WorldSettings
 from brambleusher.lab.virtual.world import Machine as VirtualMachine
-from brambleusher.operator_file import OperatorFile, parse_operator_file
+from brambleusher.loadbalancing import Balancer
+from brambleusher.loadbalancing.api import Settings
+from brambleusher.loadbalancing.zone_aware_balancer import balancer_for
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.system import Address
-from brambleusher.sidecar import Sidecar
-from quillpass import Balancer
-from quillpass.api import Settings
-from quillpass.zoned import balancer_for
+from brambleusher.sidecar.app import Sidecar
+from brambleusher.sidecar.configuration import Config, parse_config
+from brambleusher.sidecar.operator_configuration import OperatorFile, parse_operator_file
 
 SECOND = 10**9
 LEAD_IN_S = 1.2  # from the start of the processes to the first request that may come
--- a/brambleusher/lab/virtual/explore.py
+++ b/brambleusher/lab/virtual/explore.py
@@ -24,7 +24,7 @@
 from brambleusher.lab.fleets.scenario import Scenario
 from brambleusher.lab.virtual.network import Connection
 from brambleusher.lab.virtual.world import Machine, ProcessLog, Tap, World
-from brambleusher.logs import KeyValueFormatter
+from brambleusher.observability.log_format import KeyValueFormatter
 
 SECOND = 10**9
 FAULT = "fault"  # the rule that a task of the program which raises breaks; the checker can't see it
--- a/brambleusher/lab/virtual/zone_days.py
+++ b/brambleusher/lab/virtual/zone_days.py
@@ -26,9 +26,9 @@
 from brambleusher.lab.fleets.fleet import Fleet, world_of
 from brambleusher.lab.fleets.scenario import Scenario
 from brambleusher.lab.stand_ins.settings import Ask, ClientSettings, NodeSettings
-from quillpass import Balancer
-from quillpass.api import Settings
-from quillpass.zoned import balancer_for
+from brambleusher.loadbalancing import Balancer
+from brambleusher.loadbalancing.api import Settings
+from brambleusher.loadbalancing.zone_aware_balancer import balancer_for
 
 SECOND = 10**9
 ZONES = ("atl-north", "atl-south", "macon", "augusta")
--- a/quillpass/balance.py
+++ b/brambleusher/loadbalancing/balancer.py
@@ -1,4 +1,4 @@
-"""Every decision of the balancer; its types, events and actions are in `quillpass/api.py`.
+"""Every decision of the balancer; its types, events and actions are in `brambleusher/loadbalancing/api.py`.
 
 The ordinary path is the WebSphere variant of "z/OS Workload Manager Sysplex Routing Services":
 reported spare capacity makes weights out of 64, a performance index (PI) and the served share
@@ -18,12 +18,14 @@
 from statistics import median
 from typing import Any
 
-from quillpass import api, cold, sizes
-from quillpass.api import Effect, Group, HostState, ListKind, Status
-from quillpass.hosts import NOTHING, RESERVE, Host, Request
-from quillpass.idle import Trust
-from quillpass.ranks import Ranks
-from quillpass.retries import Retries
+from brambleusher.loadbalancing import api
+from brambleusher.loadbalancing import capacity_estimates as sizes
+from brambleusher.loadbalancing import slow_start as cold
+from brambleusher.loadbalancing.api import Effect, Group, HostState, ListKind, Status
+from brambleusher.loadbalancing.host_ranking import Ranks
+from brambleusher.loadbalancing.hosts import NOTHING, RESERVE, Host, Request
+from brambleusher.loadbalancing.idle_timeout import Trust
+from brambleusher.loadbalancing.retry_budget import Retries
 
 # The source's figures.
 WEIGHT_TOTAL = 64.0
--- a/quillpass/sizes.py
+++ b/brambleusher/loadbalancing/capacity_estimates.py
@@ -12,8 +12,8 @@
 import math
 from collections.abc import Sequence
 
-from quillpass import api
-from quillpass.hosts import Host
+from brambleusher.loadbalancing import api
+from brambleusher.loadbalancing.hosts import Host
 
 COMPARABLE = frozenset({"nominal", "rough"})  # sizes as registered; `live` ones are spare, and move
 USE = frozenset({"utilization", "util"})
--- a/quillpass/fleet.py
+++ b/brambleusher/loadbalancing/fleet_balancer.py
@@ -2,7 +2,7 @@
 
 A sidecar learns from its own attempts and uses a few of the nodes.  A zone of proxies uses all of
 them, and tells in sums what its attempts came to.  The estimators, the weights and who is left out
-are those of `quillpass.balance`; nothing here weighs anything.
+are those of `brambleusher.loadbalancing.balancer`; nothing here weighs anything.
 """
 
 from __future__ import annotations
@@ -10,9 +10,9 @@
 import math
 from dataclasses import dataclass
 
-from quillpass import api
-from quillpass.balance import Balancer
-from quillpass.hosts import Host
+from brambleusher.loadbalancing import api
+from brambleusher.loadbalancing.balancer import Balancer
+from brambleusher.loadbalancing.hosts import Host
 
 MOST_TOLD = 64  # attempts that one event counts for: evidence fades within a few aims, and more says no more
 
--- a/quillpass/hosts.py
+++ b/brambleusher/loadbalancing/hosts.py
@@ -9,7 +9,7 @@
 from types import MappingProxyType
 from typing import Any
 
-from quillpass import api
+from brambleusher.loadbalancing import api
 
 HEALTH_PRIOR = 2.0  # attempts assumed served, so that one failure does not condemn a quiet host
 RESERVE = 0.25  # below this free share of the fleet, weights lean towards capacity
--- a/quillpass/idle.py
+++ b/brambleusher/loadbalancing/idle_timeout.py
@@ -8,7 +8,7 @@
 
 import math
 
-from quillpass.api import Status
+from brambleusher.loadbalancing.api import Status
 
 CUT = 0.7  # of the idle time at which one was lost: the next loss would teach little
 WINDOW = 32.0  # aims; trust comes back slowly, each test costs a request
--- a/quillpass/instance_weights.py
+++ b/brambleusher/loadbalancing/instance_weights.py
@@ -3,7 +3,7 @@
 Some instances tell their load with their answers, others tell nothing.  For these a gateway derives
 utilisation from its own traffic and the capacity on the list: of so many slots, this gateway's part is used
 by its own attempts.  Spare capacity is throughput over utilisation times one minus utilisation.  From there
-on it is the path of `quillpass/balance.py`, with the same functions.  Times are seconds.
+on it is the path of `brambleusher/loadbalancing/balancer.py`, with the same functions.  Times are seconds.
 """
 
 from __future__ import annotations
@@ -14,7 +14,13 @@
 from dataclasses import dataclass, field
 from statistics import median
 
-from quillpass.balance import MIN_SPARE_SHARE, PI_GOAL, WEIGHT_TOTAL, aggregate_pi, final_weights
+from brambleusher.loadbalancing.balancer import (
+    MIN_SPARE_SHARE,
+    PI_GOAL,
+    WEIGHT_TOTAL,
+    aggregate_pi,
+    final_weights,
+)
 
 TICK_S = 0.5  # weights are recomputed so often: news is acted on within the shortest aim
 FIGURES_S = 20.0  # window of throughput and utilisation
--- a/quillpass/shares.py
+++ b/brambleusher/loadbalancing/locality_weights.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from quillpass.api import HostState
-from quillpass.fleet import Standing
+from brambleusher.loadbalancing.api import HostState
+from brambleusher.loadbalancing.fleet_balancer import Standing
 
 SCALE = 100  # the usual node's weight: fine enough to tell a tenth, small enough to be few bytes
 LEAST_STEP = 0.05  # of the way to a weight: a zone in full use still follows
--- a/quillpass/upkeep.py
+++ b/brambleusher/loadbalancing/maintenance.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from quillpass.api import HostEntry, HostState
+from brambleusher.loadbalancing.api import HostEntry, HostState
 
 REMEMBERED = 4096  # hosts that have left the list and can still be named
 WISHES = 256  # bans of hosts that were never listed; the oldest goes first
--- a/quillpass/settings.py
+++ b/brambleusher/loadbalancing/settings.py
@@ -6,7 +6,7 @@
 import math
 from typing import Any
 
-from quillpass import api
+from brambleusher.loadbalancing import api
 
 _EFFECTS = {
     "read_like": api.Effect.SAFE,
--- a/quillpass/wirehost.py
+++ b/brambleusher/loadbalancing/simulator_adapter.py
@@ -1,8 +1,8 @@
 """Adapter between the simulator's wire and the decision module.
 
 Turns wire lines into events and actions into lines; it decides nothing.  Run it with
-``python -m quillpass.wirehost``: it reads batches on standard input, writes replies on
-standard output and exits when the input ends.
+``python -m brambleusher.loadbalancing.simulator_adapter``: it reads batches on standard input,
+writes replies on standard output and exits when the input ends.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 from collections.abc import Callable, Iterator
 from typing import TextIO
 
-from quillpass import api
-from quillpass.balance import Balancer
-from quillpass.settings import WireError, parse_settings
+from brambleusher.loadbalancing import api
+from brambleusher.loadbalancing.balancer import Balancer
+from brambleusher.loadbalancing.settings import WireError, parse_settings
 
 __all__ = ["Adapter", "WireError", "format_action", "main", "parse_report", "parse_settings"]
 
--- a/quillpass/cold.py
+++ b/brambleusher/loadbalancing/slow_start.py
@@ -9,7 +9,7 @@
 import math
 from collections.abc import Mapping
 
-from quillpass.hosts import Host
+from brambleusher.loadbalancing.hosts import Host
 
 SECOND = 1e9
 SEEN = 0.5  # of use, summed over reports: before that a host has told too little of what it can do
--- a/quillpass/state.py
+++ b/brambleusher/loadbalancing/state_codec.py
@@ -16,13 +16,13 @@
 from dataclasses import fields
 from typing import Any
 
-from quillpass import api
-from quillpass.balance import Balancer, Turn
-from quillpass.hosts import NOTHING, Host, Request
-from quillpass.idle import Trust
-from quillpass.retries import Retries
-from quillpass.zoned import balancer_for
-from quillpass.zones import Node, State, Zone, Zones
+from brambleusher.loadbalancing import api
+from brambleusher.loadbalancing.balancer import Balancer, Turn
+from brambleusher.loadbalancing.hosts import NOTHING, Host, Request
+from brambleusher.loadbalancing.idle_timeout import Trust
+from brambleusher.loadbalancing.retry_budget import Retries
+from brambleusher.loadbalancing.zone_aware_balancer import balancer_for
+from brambleusher.loadbalancing.zone_routing import Node, State, Zone, Zones
 
 # Made anew from the settings, or of no meaning between two events.
 _DERIVED = frozenset(
--- a/quillpass/legacy.py
+++ b/brambleusher/loadbalancing/state_transfer.py
@@ -8,9 +8,9 @@
 
 from typing import Any
 
-from quillpass import api
-from quillpass.balance import Balancer
-from quillpass.state import StateError, restore, save
+from brambleusher.loadbalancing import api
+from brambleusher.loadbalancing.balancer import Balancer
+from brambleusher.loadbalancing.state_codec import StateError, restore, save
 
 MOST_HOSTS = 512  # beyond, a successor starts from nothing: writing and reading it would take too long
 
--- a/quillpass/subsets.py
+++ b/brambleusher/loadbalancing/subsetting.py
@@ -4,7 +4,7 @@
 pure functions of the names: the same list gives the same subset, in whatever order it comes.  What is
 returned are pairs of a name and the part, above 0 and up to 1, that the host has in the subset.
 
-`Balancer` draws ranks instead (`quillpass.ranks`), which spreads as `rendezvous` does.
+`Balancer` draws ranks instead (`host_ranking`), which spreads as `rendezvous` does.
 `docs/design/scale.md` weighs them; `benchmarks/subsets.py` has the figures.
 """
 
--- a/quillpass/zoned.py
+++ b/brambleusher/loadbalancing/zone_aware_balancer.py
@@ -1,4 +1,4 @@
-"""The balancer with `quillpass.zones` asked: which zones take part, what each may get, what fits nowhere.
+"""The balancer with `zone_routing` asked: which zones take part, what each may get, what fits nowhere.
 
 All that is decided of a host, a request or a repeat is decided by `Balancer`.  A zone that is out is to it
 as if discovery had left it out; what may go to a zone is one more thing that a host must fit.
@@ -9,9 +9,9 @@
 import math
 from collections.abc import Callable
 
-from quillpass import api
-from quillpass.api import Effect, Status
-from quillpass.balance import (
+from brambleusher.loadbalancing import api
+from brambleusher.loadbalancing.api import Effect, Status
+from brambleusher.loadbalancing.balancer import (
     CAPACITY_WINDOW,
     COLD_SLICE,
     GOAL_OF_AIM,
@@ -22,8 +22,8 @@
     SILENCE,
     Balancer,
 )
-from quillpass.hosts import RESERVE, Host, Request
-from quillpass.zones import Load, Zones
+from brambleusher.loadbalancing.hosts import RESERVE, Host, Request
+from brambleusher.loadbalancing.zone_routing import Load, Zones
 
 STILL_AIMS = 0.25  # a timer that fires so late: this proxy stood still
 DARK_AIMS = 0.5  # a host that answers nothing for so long, though asked, is dark
--- a/quillpass/zones.py
+++ b/brambleusher/loadbalancing/zone_routing.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from quillpass.api import Status, ZoneRules
+from brambleusher.loadbalancing.api import Status, ZoneRules
 
 SECOND = 1e9
 HALVING = 0.693  # a count that halves in a time is its rate by that time over this
--- a/brambleusher/net/client_listener.py
+++ b/brambleusher/net/client_listener.py
@@ -8,14 +8,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from brambleusher.counters import Counters
-from brambleusher.decisions import (
-    Call,
-    Clock,
-    Decisions,
-    DuplicateRequest,
-)
-from brambleusher.logs import SparseLog
+from brambleusher.loadbalancing.api import Effect
+from brambleusher.loadbalancing.connection_admission import FRESH_SECONDS, Places
+from brambleusher.loadbalancing.maintenance import Service
 from brambleusher.net.bodies import LEAST_RATE, Tail, Upload
 from brambleusher.net.http import (
     MAX_PASSED,
@@ -31,13 +26,18 @@
 from brambleusher.net.presence import ClientPresence
 from brambleusher.net.request_life import Answer, ClientHandle, Kind, RequestLife
 from brambleusher.net.upstream_pool import UpstreamPool
+from brambleusher.observability.counters import Counters
+from brambleusher.observability.log_format import SparseLog
+from brambleusher.observability.request_counts import FAILED, REFUSED, SERVED, Tally
 from brambleusher.runtime.scheduler import Scheduler, Task, Timeout
 from brambleusher.runtime.streams import Stream
 from brambleusher.runtime.system import SHORT_OF_ROOM, Socket
-from brambleusher.tally import FAILED, REFUSED, SERVED, Tally
-from quillpass.api import Effect
-from quillpass.places import FRESH_SECONDS, Places
-from quillpass.upkeep import Service
+from brambleusher.sidecar.balancer_driver import (
+    Call,
+    Clock,
+    Decisions,
+    DuplicateRequest,
+)
 
 log = logging.getLogger(__name__)
 
--- a/brambleusher/net/endpoint_list.py
+++ b/brambleusher/net/endpoint_list.py
@@ -12,7 +12,7 @@
 from contextlib import closing
 from typing import TypeVar
 
-from brambleusher.counters import Counters
+from brambleusher.loadbalancing.backoff import Backoff
 from brambleusher.net.entries import (
     Endpoint,
     EndpointListUpdate,
@@ -22,8 +22,8 @@
     state_word,
 )
 from brambleusher.net.slices import Slices, decode_steps
+from brambleusher.observability.counters import Counters
 from brambleusher.runtime.scheduler import Event, Scheduler, Task, Timeout, Timer
-from quillpass.backoff import Backoff
 
 __all__ = [
     "Endpoint",
--- a/brambleusher/net/entries.py
+++ b/brambleusher/net/entries.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from typing import Any
 
+from brambleusher.loadbalancing.api import HostEntry, HostState
 from brambleusher.runtime.streams import parse_address
-from quillpass.api import HostEntry, HostState
 
 _STATES = {
     "Ready": HostState.READY,
--- a/brambleusher/net/request_life.py
+++ b/brambleusher/net/request_life.py
@@ -8,7 +8,10 @@
 from enum import Enum
 from typing import Protocol
 
-from brambleusher.decisions import (
+from brambleusher.loadbalancing.api import Fail, Refuse, Status
+from brambleusher.runtime.scheduler import Scheduler, Timeout
+from brambleusher.runtime.system import Socket
+from brambleusher.sidecar.balancer_driver import (
     AnswerBegun,
     Call,
     ClaimEnded,
@@ -17,9 +20,6 @@
     Outcome,
     Ticket,
 )
-from brambleusher.runtime.scheduler import Scheduler, Timeout
-from brambleusher.runtime.system import Socket
-from quillpass.api import Fail, Refuse, Status
 
 log = logging.getLogger(__name__)
 
--- a/brambleusher/net/slices.py
+++ b/brambleusher/net/slices.py
@@ -13,6 +13,7 @@
 
 import orjson
 
+from brambleusher.loadbalancing.api import HostEntry, HostState
 from brambleusher.net.entries import (
     MAX_SERVERS,
     Endpoint,
@@ -22,7 +23,6 @@
     decode_update,
     decode_version,
 )
-from quillpass.api import HostEntry, HostState
 
 STEP_BYTES = 16 * 1024  # of text read in one step: about 100 endpoints, a third of a millisecond
 STEP_ENDPOINTS = 512  # compared with those held in one step: as long
--- a/brambleusher/net/upstream_pool.py
+++ b/brambleusher/net/upstream_pool.py
@@ -10,9 +10,8 @@
 
 import orjson
 
-from brambleusher.counters import Counters
-from brambleusher.decisions import Outcome, nothing
-from brambleusher.logs import SparseLog
+from brambleusher.loadbalancing.api import CONNECT_PART, HostState, LoadReport, Settings, Status
+from brambleusher.loadbalancing.connection_limits import Link, Pace
 from brambleusher.net.bodies import Answered, Tail, Upload
 from brambleusher.net.endpoint_list import Endpoint, EndpointListUpdate
 from brambleusher.net.http import (
@@ -24,10 +23,11 @@
     chunk,
     write_request,
 )
+from brambleusher.observability.counters import Counters
+from brambleusher.observability.log_format import SparseLog
 from brambleusher.runtime.scheduler import Event, Scheduler, Timeout
 from brambleusher.runtime.streams import Called, Stream
-from quillpass.api import CONNECT_PART, HostState, LoadReport, Settings, Status
-from quillpass.links import Link, Pace
+from brambleusher.sidecar.balancer_driver import Outcome, nothing
 
 log = logging.getLogger(__name__)
 
--- /dev/null
+++ b/brambleusher/observability/__init__.py
@@ -0,0 +1,1 @@
+"""Log lines, counters, and counts of requests for operators."""
--- a/brambleusher/sidecar.py
+++ b/brambleusher/sidecar/app.py
@@ -13,34 +13,34 @@
 from brambleusher.admin import figures as service_figures
 from brambleusher.admin.server import DESCRIPTORS as ADMIN_DESCRIPTORS
 from brambleusher.admin.server import AdminServer
-from brambleusher.config import Config, ConfigError, fixed_keys_changed
-from brambleusher.counters import Counters
-from brambleusher.decisions import Clock, Decisions, Observer, Observers
 from brambleusher.features.capture import Capture, DirSink
 from brambleusher.features.figures import DROPPED, Figures
 from brambleusher.features.output import LaneStream, Output
 from brambleusher.features.records import server_entry
 from brambleusher.features.rewrites import Rewrites
 from brambleusher.features.status import DESCRIPTORS, StatusPage
-from brambleusher.logs import configure
+from brambleusher.handover.process_registry import DESCRIPTORS as TAKEOVER_DESCRIPTORS
+from brambleusher.handover.process_registry import Stage, Takeover, folder_for
+from brambleusher.loadbalancing import Balancer
+from brambleusher.loadbalancing.api import HostEntry, ListKind, Settings
+from brambleusher.loadbalancing.connection_admission import Places
+from brambleusher.loadbalancing.maintenance import Bans, Service
+from brambleusher.loadbalancing.state_transfer import MOST_HOSTS
+from brambleusher.loadbalancing.zone_aware_balancer import balancer_for
 from brambleusher.net.client_listener import ClientListener
 from brambleusher.net.endpoint_list import EndpointList, EndpointListUpdate, ListError, decode_update
 from brambleusher.net.upstream_pool import UpstreamPool
 from brambleusher.net.watch import HttpWatch
-from brambleusher.operator_file import CaptureSettings, FiguresSettings, OperatorFile
+from brambleusher.observability.counters import Counters
+from brambleusher.observability.log_format import configure
+from brambleusher.observability.request_counts import Tally
 from brambleusher.runtime.real import RealSystem
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.system import Sink, System
-from brambleusher.sections import OperatorError
-from brambleusher.takeover import DESCRIPTORS as TAKEOVER_DESCRIPTORS
-from brambleusher.takeover import Stage, Takeover, folder_for
-from brambleusher.tally import Tally
-from quillpass import Balancer
-from quillpass.api import HostEntry, ListKind, Settings
-from quillpass.legacy import MOST_HOSTS
-from quillpass.places import Places
-from quillpass.upkeep import Bans, Service
-from quillpass.zoned import balancer_for
+from brambleusher.sidecar.balancer_driver import Clock, Decisions, Observer, Observers
+from brambleusher.sidecar.configuration import Config, ConfigError, fixed_keys_changed
+from brambleusher.sidecar.operator_configuration import CaptureSettings, FiguresSettings, OperatorFile
+from brambleusher.sidecar.operator_section import OperatorError
 
 if TYPE_CHECKING:
     from brambleusher.fronts.mysql.service import MysqlService
--- a/brambleusher/decisions.py
+++ b/brambleusher/sidecar/balancer_driver.py
@@ -11,13 +11,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-from brambleusher.counters import Counters
+from brambleusher.loadbalancing import Balancer, api
+from brambleusher.loadbalancing.state_codec import StateError, hosts_avoided, save
+from brambleusher.loadbalancing.state_transfer import bequeath, inherit
+from brambleusher.loadbalancing.zone_aware_balancer import ZonedBalancer, balancer_for
+from brambleusher.observability.counters import Counters
 from brambleusher.runtime.scheduler import Event, Scheduler
 from brambleusher.runtime.system import System
-from quillpass import Balancer, api
-from quillpass.legacy import bequeath, inherit
-from quillpass.state import StateError, hosts_avoided, save
-from quillpass.zoned import ZonedBalancer, balancer_for
 
 log = logging.getLogger(__name__)
 
--- a/brambleusher/config.py
+++ b/brambleusher/sidecar/configuration.py
@@ -9,10 +9,10 @@
 
 import orjson
 
+from brambleusher.loadbalancing import api
+from brambleusher.loadbalancing.settings import WireError, parse_settings
 from brambleusher.net.endpoint_list import EndpointListUpdate, ListError, decode_update
 from brambleusher.runtime.streams import parse_address
-from quillpass import api
-from quillpass.settings import WireError, parse_settings
 
 
 class ConfigError(ValueError):
--- a/brambleusher/operator_file.py
+++ b/brambleusher/sidecar/operator_configuration.py
@@ -9,11 +9,11 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
+from brambleusher.loadbalancing.api import Tier, ZoneRules
 from brambleusher.net.http import HOP_BY_HOP, is_token, is_value
 from brambleusher.net.passing import PROTECTED
 from brambleusher.runtime.streams import parse_address
-from brambleusher.sections import OperatorError, Section
-from quillpass.api import Tier, ZoneRules
+from brambleusher.sidecar.operator_section import OperatorError, Section
 
 if TYPE_CHECKING:
     from brambleusher.fronts.mysql.settings import MysqlSettings
--- a/brambleusher/system_main.py
+++ b/brambleusher/system_main.py
@@ -6,7 +6,7 @@
 import sys
 from collections.abc import Sequence
 
-from brambleusher import logs
+from brambleusher.observability import log_format as logs
 from brambleusher.runtime.disk import FolderDisk
 from brambleusher.runtime.real import RealSystem
 from brambleusher.wire import policy as policy_reader
@@ -30,13 +30,13 @@
         print(f"brambleusher: {error}", file=sys.stderr)
         return USAGE_STATUS
     if role == "gateway":
-        from brambleusher.gateway import Gateway
+        from brambleusher.gateway.app import Gateway
 
         Gateway(RealSystem(), settings, path, policy).run()
         return 0
     if not settings.data_dir:
         return _start_without_disk(role, settings, path)
-    from brambleusher.controller import Controller
+    from brambleusher.controller.app import Controller
 
     Controller(RealSystem(), settings, FolderDisk(settings.data_dir), path).run()
     return 0
@@ -47,7 +47,7 @@
     if role != MEMBER:
         print(f"brambleusher: {path}: data_dir: a controller needs a folder", file=sys.stderr)
         return USAGE_STATUS
-    from brambleusher.observer import Observer
+    from brambleusher.controller.observer import Observer
 
     Observer(RealSystem(), settings, path).run()
     return 0
--- a/brambleusher/system_tools.py
+++ b/brambleusher/system_tools.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from brambleusher.controlplane.storage import CorruptStorage, inspect
+from brambleusher.controlplane.storage.storage import CorruptStorage, inspect
 from brambleusher.runtime.disk import FolderDisk
 from brambleusher.runtime.http_client import CallFailed, HttpClient
 from brambleusher.runtime.real import RealSystem
--- a/brambleusher/xds/config.py
+++ b/brambleusher/xds/config.py
@@ -9,13 +9,13 @@
 from pathlib import Path
 from typing import Any
 
-from brambleusher.operator_file import MAX_FILE, decode_yaml
+from brambleusher.loadbalancing.api import Effect, Settings
+from brambleusher.loadbalancing.settings import WireError, parse_settings
 from brambleusher.runtime.streams import parse_address
-from brambleusher.sections import OperatorError, Section
+from brambleusher.sidecar.operator_configuration import MAX_FILE, decode_yaml
+from brambleusher.sidecar.operator_section import OperatorError, Section
 from brambleusher.xds.faults import ControlError
 from brambleusher.xds.versions import MIN_SECRET
-from quillpass.api import Effect, Settings
-from quillpass.settings import WireError, parse_settings
 
 MAX_ITEMS = 256
 HOUR_MS = 3_600_000
--- a/brambleusher/xds/core.py
+++ b/brambleusher/xds/core.py
@@ -12,6 +12,10 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, field, replace
 
+from brambleusher.loadbalancing.api import HostList, HostState, ListKind, Settings, TimerFired
+from brambleusher.loadbalancing.fleet_balancer import FleetBalancer, standings
+from brambleusher.loadbalancing.locality_weights import Damper, Rounder, Tier, tiers
+from brambleusher.loadbalancing.view_consistency import Handout, Place, Why, Word
 from brambleusher.net.endpoint_list import Endpoint, EndpointListUpdate
 from brambleusher.xds.config import ControlConfig, Group
 from brambleusher.xds.faults import ProtocolError
@@ -22,10 +26,6 @@
 from brambleusher.xds.subscriber import Request, Response, Subscriber
 from brambleusher.xds.versions import Seal
 from brambleusher.xds.wire import Sum, Who
-from quillpass.api import HostList, HostState, ListKind, Settings, TimerFired
-from quillpass.fleet import FleetBalancer, standings
-from quillpass.handout import Handout, Place, Why, Word
-from quillpass.shares import Damper, Rounder, Tier, tiers
 
 log = logging.getLogger(__name__)
 
--- a/brambleusher/xds/instances.py
+++ b/brambleusher/xds/instances.py
@@ -6,9 +6,9 @@
 import secrets
 from typing import Any
 
+from brambleusher.loadbalancing.view_consistency import Place, Word
 from brambleusher.xds.faults import ProtocolError
 from brambleusher.xds.versions import Seal
-from quillpass.handout import Place, Word
 
 SERVICE, METHOD = "brambleusher.xds.v1.Instances", "Tell"
 MAX_BYTES = 4096
--- a/brambleusher/xds/loads.py
+++ b/brambleusher/xds/loads.py
@@ -9,10 +9,10 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
+from brambleusher.loadbalancing.api import LoadReport
+from brambleusher.loadbalancing.fleet_balancer import Told
 from brambleusher.xds.resources import LATENCY_MS, THROUGHPUT, UTILISATION
 from brambleusher.xds.wire import Sum
-from quillpass.api import LoadReport
-from quillpass.fleet import Told
 
 MAX_MEAN = 1e9
 
--- a/brambleusher/xds/resources.py
+++ b/brambleusher/xds/resources.py
@@ -21,10 +21,10 @@
 from google.protobuf import any_pb2, duration_pb2, wrappers_pb2
 from google.protobuf.message import Message
 
+from brambleusher.loadbalancing.api import Effect
+from brambleusher.loadbalancing.locality_weights import Tier
 from brambleusher.xds.config import ClassPlan, ControlConfig, Group, ListenerPlan
 from brambleusher.xds.snapshot import CDS, LDS, RDS, Draft, sized, varint
-from quillpass.api import Effect
-from quillpass.shares import Tier
 
 ROUTES, ENDPOINTS = "routes", "execute-nodes"
 RETRY_ON = "connect-failure,refused-stream,unavailable,retriable-status-codes"
--- a/brambleusher/xds/roster.py
+++ b/brambleusher/xds/roster.py
@@ -8,8 +8,8 @@
 
 from collections.abc import Mapping
 
+from brambleusher.loadbalancing.api import HostState
 from brambleusher.net.endpoint_list import Endpoint, EndpointListUpdate
-from quillpass.api import HostState
 
 
 class Roster:
--- a/brambleusher/xds/service.py
+++ b/brambleusher/xds/service.py
@@ -12,6 +12,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from typing import Any
 
+from brambleusher.loadbalancing.view_consistency import Place
 from brambleusher.net.endpoint_list import EndpointListUpdate
 from brambleusher.xds.config import ControlConfig, load_control, reload_control
 from brambleusher.xds.core import Core
@@ -22,7 +23,6 @@
 from brambleusher.xds.store import Store, StoreError
 from brambleusher.xds.tls import Certificates
 from brambleusher.xds.versions import Seal
-from quillpass.handout import Place
 
 log = logging.getLogger(__name__)
 
--- a/brambleusher/xds/snapshot.py
+++ b/brambleusher/xds/snapshot.py
@@ -9,8 +9,8 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
+from brambleusher.loadbalancing.view_consistency import Place
 from brambleusher.xds.versions import Seal, digest
-from quillpass.handout import Place
 
 _TYPES = "type.googleapis.com/envoy.config."
 CDS = _TYPES + "cluster.v3.Cluster"
--- a/brambleusher/xds/store.py
+++ b/brambleusher/xds/store.py
@@ -12,9 +12,9 @@
 import os
 import sqlite3
 
+from brambleusher.loadbalancing.view_consistency import Place
 from brambleusher.xds.faults import ControlError
 from brambleusher.xds.versions import Seal
-from quillpass.handout import Place
 
 log = logging.getLogger(__name__)
 
--- a/brambleusher/xds/subscriber.py
+++ b/brambleusher/xds/subscriber.py
@@ -11,10 +11,10 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
+from brambleusher.loadbalancing.view_consistency import Place
 from brambleusher.xds.faults import ProtocolError
 from brambleusher.xds.snapshot import CDS, EDS, LDS, ORDER, RDS, WHOLE, Resource, Snapshot, sized
 from brambleusher.xds.versions import Claim, Seal, digest
-from quillpass.handout import Place
 
 STAR = "*"
 OUTSTANDING = 2  # responses of a kind that may wait for their acknowledgement: news overtakes a long list
--- a/brambleusher/xds/versions.py
+++ b/brambleusher/xds/versions.py
@@ -14,7 +14,7 @@
 import re
 from dataclasses import dataclass
 
-from quillpass.handout import Place
+from brambleusher.loadbalancing.view_consistency import Place
 
 _FORM = re.compile(r"(\d{1,18})\.(\d{1,18})\.([0-9a-f]{16})\.([0-9a-f]{16})", re.ASCII)
 DIGEST_BYTES = 8
--- a/tests/rules.py
+++ b/tests/rules.py
@@ -8,7 +8,7 @@
 import random
 from dataclasses import dataclass, field
 
-from quillpass import Balancer, api
+from brambleusher.loadbalancing import Balancer, api
 
 MS = 1_000_000
 SECOND = 1_000 * MS
--- a/tests/system/cluster.py
+++ b/tests/system/cluster.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from brambleusher.controlplane.consensus import Consensus
-from brambleusher.controlplane.consensus_types import HardState, Outgoing, Restore, Truncate
-from brambleusher.controlplane.log import Log
+from brambleusher.controlplane.consensus.outputs import HardState, Outgoing, Restore, Truncate
+from brambleusher.controlplane.consensus.replica_state import Consensus
+from brambleusher.controlplane.consensus.replicated_log import Log
 from brambleusher.wire import consensus_messages as wire
 from brambleusher.wire.consensus_messages import Entry, Member
 
--- a/tests/system/control_plane_faults.py
+++ b/tests/system/control_plane_faults.py
@@ -15,7 +15,7 @@
 from functools import partial
 from typing import Any
 
-from brambleusher.controlplane import storage
+from brambleusher.controlplane.storage import storage
 from tests.system.cluster import Broken
 from tests.system.memory_disk import MemoryDisk
 from tests.system.whole import SECOND, Reply, Whole, configuration, route
--- a/tests/system/exploration.py
+++ b/tests/system/exploration.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from brambleusher.controlplane.consensus import Consensus
+from brambleusher.controlplane.consensus.replica_state import Consensus
 from brambleusher.wire import consensus_messages as wire
 from tests.system.cluster import Broken, Cluster, Node
 
--- a/tests/system/test_configuration_patch.py
+++ b/tests/system/test_configuration_patch.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from brambleusher.controlplane.state_machine import PutConfiguration, SharedState, Verdict
+from brambleusher.controlplane.configuration.state_machine import PutConfiguration, SharedState, Verdict
 from brambleusher.wire import configuration_patch
 from brambleusher.wire.errors import InvalidConfiguration
 from tests.system.whole import CONTROL, Reply, Whole, configuration, route
--- a/tests/system/test_consensus.py
+++ b/tests/system/test_consensus.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from brambleusher.controlplane.consensus import UNSYNCED_MAX, Consensus
-from brambleusher.controlplane.consensus_types import HardState, Outgoing, Role
-from brambleusher.controlplane.membership_changes import MEMBERS_MAX, Group, next_members
+from brambleusher.controlplane.consensus.membership_change import MEMBERS_MAX, Group, next_members
+from brambleusher.controlplane.consensus.outputs import HardState, Outgoing, Role
+from brambleusher.controlplane.consensus.replica_state import UNSYNCED_MAX, Consensus
 from brambleusher.wire import consensus_messages as wire
 from brambleusher.wire.errors import InvalidMessage
 from tests.system.cluster import Broken, Cluster, member
--- a/tests/system/test_consensus_losses.py
+++ b/tests/system/test_consensus_losses.py
@@ -11,12 +11,12 @@
 
 import pytest
 
-from brambleusher.controlplane.consensus import Consensus
-from brambleusher.controlplane.consensus_types import HardState, Record
-from brambleusher.controlplane.log import Log
-from brambleusher.controlplane.membership_requests import JOIN_PROOF_S, MembershipRequests
-from brambleusher.controlplane.quorum import agreed_value, has_quorum, votes_needed
-from brambleusher.controlplane.replication import (
+from brambleusher.controlplane.consensus.membership_requests import JOIN_PROOF_S, MembershipRequests
+from brambleusher.controlplane.consensus.outputs import HardState, Record
+from brambleusher.controlplane.consensus.quorum import agreed_value, has_quorum, votes_needed
+from brambleusher.controlplane.consensus.replica_state import Consensus
+from brambleusher.controlplane.consensus.replicated_log import Log
+from brambleusher.controlplane.consensus.replication import (
     MESSAGE_BYTES,
     UNCONFIRMED_BYTES,
     Progress,
--- a/tests/system/test_control_plane.py
+++ b/tests/system/test_control_plane.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from brambleusher.gateway import Gateway
+from brambleusher.gateway.app import Gateway
 from brambleusher.membership.line_connection import LineClient
 from tests.system.whole import DIRECTORY, Whole, configuration, route
 
--- a/tests/system/test_control_plane_faults.py
+++ b/tests/system/test_control_plane_faults.py
@@ -10,14 +10,14 @@
 
 import pytest
 
-from brambleusher.controlplane.replica import Replica, Waiter
-from brambleusher.controlplane.state_machine import (
+from brambleusher.controlplane.configuration.state_machine import (
     PutConfiguration,
     SetEvacuation,
     SharedState,
     Verdict,
     command_of,
 )
+from brambleusher.controlplane.replica import Replica, Waiter
 from tests.system.control_plane_faults import SHORT_SEGMENT, play, short_segments
 from tests.system.memory_disk import MemoryDisk
 from tests.system.whole import Whole, configuration, route
--- a/tests/system/test_fault_days_find_faults.py
+++ b/tests/system/test_fault_days_find_faults.py
@@ -8,16 +8,16 @@
 import pytest
 from result import Ok
 
-from brambleusher.controller import Controller
-from brambleusher.controlplane.orders import Orders
-from brambleusher.controlplane.replica import Replica
-from brambleusher.controlplane.replicated_state import ReadResult
-from brambleusher.controlplane.state_machine import (
+from brambleusher.controller.app import Controller
+from brambleusher.controlplane.configuration.admin_api import Orders
+from brambleusher.controlplane.configuration.replicated_state import ReadResult
+from brambleusher.controlplane.configuration.state_machine import (
     PutConfiguration,
     SetEvacuation,
     SharedState,
     Verdict,
 )
+from brambleusher.controlplane.replica import Replica
 from brambleusher.runtime.http_server import HttpRequest, HttpResponse
 from tests.system.cluster import Broken
 from tests.system.control_plane_faults import play
--- a/tests/system/test_fleet_figures.py
+++ b/tests/system/test_fleet_figures.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from brambleusher.controlplane.fleet_figures import (
+from brambleusher.controlplane.registry.load_reports import (
     COUNT_MOST,
     FAILED_MOST,
     FRESH_S,
--- a/tests/system/test_instance_weights.py
+++ b/tests/system/test_instance_weights.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from quillpass.instance_weights import HEALTH_POWER, OTHERS_FRESH_S, TICK_S, InstanceWeights
+from brambleusher.loadbalancing.instance_weights import HEALTH_POWER, OTHERS_FRESH_S, TICK_S, InstanceWeights
 
 AIM_S = 0.5
 
--- a/tests/system/test_observer.py
+++ b/tests/system/test_observer.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from brambleusher.controlplane.relay import RelayServer
+from brambleusher.controlplane.relay.relay import RelayServer
 from brambleusher.membership.controllers import Controllers, Place, places_of
 from brambleusher.wire.errors import InvalidMessage
 from tests.system.test_configuration_patch import patch, patch_body
--- a/tests/system/test_policy.py
+++ b/tests/system/test_policy.py
@@ -11,12 +11,7 @@
 from brambleusher import system_main
 from brambleusher.dataplane.instances import Instances
 from brambleusher.dataplane.placement import Placement
-from brambleusher.wire import instance_load, policy
-from brambleusher.wire.configuration import Service
-from brambleusher.wire.errors import InvalidPolicy
-from brambleusher.wire.instance_load import InstanceLoad
-from brambleusher.wire.policy import Policy
-from quillpass.instance_weights import (
+from brambleusher.loadbalancing.instance_weights import (
     LOAD_FRESH_S,
     LOAD_MOST,
     SILENCE_PASSED_OVER,
@@ -24,6 +19,11 @@
     InstanceWeights,
     Mechanisms,
 )
+from brambleusher.wire import instance_load, policy
+from brambleusher.wire.configuration import Service
+from brambleusher.wire.errors import InvalidPolicy
+from brambleusher.wire.instance_load import InstanceLoad
+from brambleusher.wire.policy import Policy
 from tests.system.test_dataplane_parts import ZONES, entry, wanted
 from tests.system.test_instance_weights import AIM_S, send, ticks
 
--- a/tests/system/test_storage.py
+++ b/tests/system/test_storage.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from brambleusher.controlplane.consensus_types import HardState, Record, Restore, Truncate
-from brambleusher.controlplane.storage import CorruptStorage, Storage, inspect
+from brambleusher.controlplane.consensus.outputs import HardState, Record, Restore, Truncate
+from brambleusher.controlplane.storage.storage import CorruptStorage, Storage, inspect
 from brambleusher.wire.consensus_messages import Entry, Member
 from tests.system.memory_disk import MemoryDisk, PowerLost
 
--- a/tests/system/test_system_tools.py
+++ b/tests/system/test_system_tools.py
@@ -7,8 +7,8 @@
 import pytest
 
 from brambleusher import system_main
-from brambleusher.controlplane.consensus_types import HardState
-from brambleusher.controlplane.storage import Storage
+from brambleusher.controlplane.consensus.outputs import HardState
+from brambleusher.controlplane.storage.storage import Storage
 from brambleusher.runtime.disk import FolderDisk
 from tests.system.whole import SETTINGS, configuration, route
 
--- a/tests/system/whole.py
+++ b/tests/system/whole.py
@@ -10,10 +10,10 @@
 
 import h11
 
-from brambleusher.controller import Controller
-from brambleusher.gateway import Gateway
+from brambleusher.controller.app import Controller
+from brambleusher.controller.observer import Observer
+from brambleusher.gateway.app import Gateway
 from brambleusher.lab.virtual.world import Machine, Process, VirtualSystem, World, WorldSettings
-from brambleusher.observer import Observer
 from brambleusher.runtime.acceptor import Acceptor
 from brambleusher.runtime.http_server import HttpRequest, HttpResponse, HttpServer, json_response
 from brambleusher.runtime.scheduler import Scheduler, Timeout
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -19,18 +19,18 @@
 from typing import Any
 from unittest import mock
 
-from brambleusher.decisions import Call, Decision
 from brambleusher.features import capture as capture_module
 from brambleusher.features.capture import Capture, DirSink
 from brambleusher.features.output import Lane
 from brambleusher.features.replay import DIFFERENT, REFUSED, SAME, replay
+from brambleusher.loadbalancing import Balancer, api
+from brambleusher.loadbalancing.state_codec import StateError, restore, restore_settings, save, save_settings
 from brambleusher.net.endpoint_list import EndpointListUpdate
-from brambleusher.operator_file import CaptureSettings, parse_operator_file
 from brambleusher.runtime.real import RealSystem
-from brambleusher.sections import OperatorError
-from brambleusher.sidecar import memory_of_features
-from quillpass import Balancer, api
-from quillpass.state import StateError, restore, restore_settings, save, save_settings
+from brambleusher.sidecar.app import memory_of_features
+from brambleusher.sidecar.balancer_driver import Call, Decision
+from brambleusher.sidecar.operator_configuration import CaptureSettings, parse_operator_file
+from brambleusher.sidecar.operator_section import OperatorError
 from tests.rig import WAIT, Node, Rig, answer, reset
 from tests.rules import SECOND, World
 from tests.test_figures import ready, until
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -6,9 +6,10 @@
 
 import pytest
 
-from quillpass import Balancer, api, cold
-from quillpass.hosts import Host
-from quillpass.ranks import Ranks
+from brambleusher.loadbalancing import Balancer, api
+from brambleusher.loadbalancing import slow_start as cold
+from brambleusher.loadbalancing.host_ranking import Ranks
+from brambleusher.loadbalancing.hosts import Host
 
 SECOND = 10**9
 ZONES = ("a", "b", "c", "d")
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -10,12 +10,12 @@
 import weakref
 from typing import Any
 
-from brambleusher.config import ConfigError, load_config, parse_config
-from brambleusher.logs import KeyValueFormatter
+from brambleusher.loadbalancing.api import HostState
 from brambleusher.net.endpoint_list import ListError, decode_update
+from brambleusher.observability.log_format import KeyValueFormatter
 from brambleusher.runtime.real import RealSystem
 from brambleusher.runtime.scheduler import Event, Scheduler, Task, Timeout
-from quillpass.api import HostState
+from brambleusher.sidecar.configuration import ConfigError, load_config, parse_config
 from tests.rig import SETTINGS
 
 ENTRY = {"id": "h0", "addr": "127.0.0.1:80", "zone": "z", "kind": "k", "state": "Ready", "started_ms": 3}
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -24,6 +24,11 @@
 from brambleusher.lab.control import history as control_history
 from brambleusher.lab.control.xds import ProxyStandIn
 from brambleusher.lab.control.xds_rules import faults
+from brambleusher.loadbalancing import Balancer, api
+from brambleusher.loadbalancing.fleet_balancer import FleetBalancer, Standing, Told, scaled, standings
+from brambleusher.loadbalancing.locality_weights import SCALE, Damper, Rounder, Share, tiers
+from brambleusher.loadbalancing.settings import parse_settings
+from brambleusher.loadbalancing.view_consistency import Handout, Place, Why, Word
 from brambleusher.net.endpoint_list import Endpoint, EndpointListUpdate
 from brambleusher.xds.config import ControlConfig, Group, load_control, parse_control
 from brambleusher.xds.core import Core, Stream, restrained
@@ -36,11 +41,6 @@
 from brambleusher.xds.subscriber import Request, Response, Subscriber
 from brambleusher.xds.versions import Seal
 from brambleusher.xds.wire import Who, decode_loads, decode_request
-from quillpass import Balancer, api
-from quillpass.fleet import FleetBalancer, Standing, Told, scaled, standings
-from quillpass.handout import Handout, Place, Why, Word
-from quillpass.settings import parse_settings
-from quillpass.shares import SCALE, Damper, Rounder, Share, tiers
 from tests.rig import SETTINGS
 
 MS, SECOND = 1_000_000, 1_000_000_000
@@ -835,7 +835,7 @@
         import resource, signal, sys
         from brambleusher.xds.store import Store, StoreError
         from brambleusher.xds.versions import Seal
-        from quillpass.handout import Place
+        from brambleusher.loadbalancing.view_consistency import Place
         signal.signal(signal.SIGXFSZ, signal.SIG_IGN)
         path, seal = sys.argv[1], Seal(b"a secret for the tests")
         store = Store(path, seal)
--- a/tests/test_crossings_client.py
+++ b/tests/test_crossings_client.py
@@ -10,9 +10,9 @@
 import unittest
 from unittest import mock
 
-from brambleusher import sidecar
 from brambleusher.net import client_listener
 from brambleusher.net.http import Message, MessageReader
+from brambleusher.sidecar import app as sidecar
 from tests.crossing import HookedSystem, Patient, held_still
 from tests.rig import WAIT, Node, Rig, Script, answer, read
 
--- a/tests/test_crossings_fleet.py
+++ b/tests/test_crossings_fleet.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from quillpass import Balancer, api
+from brambleusher.loadbalancing import Balancer, api
 
 SECOND = 10**9
 CAPACITY = 20.0  # requests a second of a warm host
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -17,9 +17,9 @@
 
 import pytest
 
+from brambleusher.loadbalancing.backoff import MOST_OF_FEW_SECONDS, MOST_SECONDS, Backoff
 from brambleusher.net import watch
 from brambleusher.net.texts import TextAssembler
-from quillpass.backoff import MOST_OF_FEW_SECONDS, MOST_SECONDS, Backoff
 from tests.crossing import Patient, held_still
 from tests.rig import WAIT, Discovery, Node, Rig, answer, read
 
--- a/tests/test_crossings_shutdown.py
+++ b/tests/test_crossings_shutdown.py
@@ -13,8 +13,8 @@
 from typing import Any
 from unittest import mock
 
-from brambleusher import sidecar
-from brambleusher.config import ConfigError
+from brambleusher.sidecar import app as sidecar
+from brambleusher.sidecar.configuration import ConfigError
 from tests.crossing import held_still
 from tests.rig import WAIT, Discovery, Node, Rig, answer, read
 from tests.test_crossings_client import NOT_STARTED, Case, Holding, answers, drain, request
--- a/tests/test_crossings_upstream.py
+++ b/tests/test_crossings_upstream.py
@@ -10,9 +10,9 @@
 import unittest
 from unittest import mock
 
+from brambleusher.loadbalancing import Balancer, api
 from brambleusher.net import upstream_pool
 from brambleusher.net.http import Message
-from quillpass import Balancer, api
 from tests.rig import WAIT, Rig, answer, read
 from tests.test_crossings_client import Case, Holding
 
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from quillpass import Balancer, api
-from quillpass.balance import Turn, aggregate_pi, final_weights
-from quillpass.hosts import Host
+from brambleusher.loadbalancing import Balancer, api
+from brambleusher.loadbalancing.balancer import Turn, aggregate_pi, final_weights
+from brambleusher.loadbalancing.hosts import Host
 from tests.rules import MS, SECOND
 
 CLS = api.RequestClass("c", 500 * MS, 2 * SECOND, 1.0)
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -20,7 +20,7 @@
 from brambleusher.net.texts import TextAssembler
 from brambleusher.net.upstream_pool import UpstreamPool
 from brambleusher.runtime.streams import Stream
-from brambleusher.sidecar import Sidecar
+from brambleusher.sidecar.app import Sidecar
 from tests import (
     crossing,
     rig,
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -4,6 +4,7 @@
 
 import unittest
 
+from brambleusher.loadbalancing.api import LoadReport, Status
 from brambleusher.net.http import (
     MAX_BODY,
     MAX_HEAD,
@@ -15,7 +16,6 @@
     write_response,
 )
 from brambleusher.net.upstream_pool import parse_report, status_of
-from quillpass.api import LoadReport, Status
 
 
 def fed(reader: MessageReader, data: bytes, step: int) -> list[Message]:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -5,8 +5,8 @@
 import random
 import unittest
 
-from quillpass import Balancer, api
-from quillpass.retries import BURST, SHARE, Retries
+from brambleusher.loadbalancing import Balancer, api
+from brambleusher.loadbalancing.retry_budget import BURST, SHARE, Retries
 from tests.rules import MS, SECOND
 from tests.test_design import entry
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -6,7 +6,7 @@
 import random
 import unittest
 
-from quillpass.links import ALIVE_SECONDS, OPEN_PART, OPEN_WORK, Link, Pace
+from brambleusher.loadbalancing.connection_limits import ALIVE_SECONDS, OPEN_PART, OPEN_WORK, Link, Pace
 
 
 class Pacing(unittest.TestCase):
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -11,18 +11,18 @@
 import orjson
 import pytest
 
-from brambleusher.counters import Counters
 from brambleusher.features.blocks import BLOCK, Blocks
+from brambleusher.loadbalancing import Balancer, api
+from brambleusher.loadbalancing.connection_limits import Link, Pace
+from brambleusher.loadbalancing.host_ranking import Ranks
+from brambleusher.loadbalancing.hosts import Host
+from brambleusher.loadbalancing.state_codec import restore, save
 from brambleusher.net.endpoint_list import EndpointList
 from brambleusher.net.entries import Endpoint, EndpointListUpdate, ListError, decode_update
 from brambleusher.net.slices import Slices, decode_steps
+from brambleusher.observability.counters import Counters
 from brambleusher.runtime.real import RealSystem
 from brambleusher.runtime.scheduler import BREATH_SECONDS, Scheduler
-from quillpass import Balancer, api
-from quillpass.hosts import Host
-from quillpass.links import Link, Pace
-from quillpass.ranks import Ranks
-from quillpass.state import restore, save
 from tests.rig import Discovery, Node, Rig
 from tests.test_figures import until
 
--- a/tests/test_log_of_tests.py
+++ b/tests/test_log_of_tests.py
@@ -4,7 +4,7 @@
 
 import logging
 
-from brambleusher import logs
+from brambleusher.observability import log_format as logs
 from tests import conftest
 
 
--- a/tests/test_making_room.py
+++ b/tests/test_making_room.py
@@ -5,12 +5,12 @@
 import json
 import unittest
 
-from brambleusher.config import parse_config
 from brambleusher.net.client_listener import Connection
 from brambleusher.runtime.real import RealSystem
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.streams import Stream
-from brambleusher.sidecar import Sidecar
+from brambleusher.sidecar.app import Sidecar
+from brambleusher.sidecar.configuration import parse_config
 from tests.rig import SETTINGS
 
 
--- a/tests/test_mysql_replay.py
+++ b/tests/test_mysql_replay.py
@@ -6,7 +6,7 @@
 
 from brambleusher.fronts.mysql.load import Meter
 from brambleusher.lab.mysql.replay import BREAKAGES, main, run_seed
-from quillpass.api import LoadReport
+from brambleusher.loadbalancing.api import LoadReport
 
 MOST_SEEDS = 40  # within which each breakage is found where every eighth command is struck
 
--- a/tests/test_operators_in_virtual_time.py
+++ b/tests/test_operators_in_virtual_time.py
@@ -11,8 +11,8 @@
 from brambleusher.lab.fleets.fleet import SECOND, Fleet
 from brambleusher.lab.fleets.scenario import draw_scenario
 from brambleusher.lab.virtual.explore import ENDLESS, play
-from brambleusher.sidecar import READY_SECONDS
-from quillpass import Balancer
+from brambleusher.loadbalancing import Balancer
+from brambleusher.sidecar.app import READY_SECONDS
 from tests.test_fault_plans import FROM_S, fault_of, scenario_with
 
 
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -7,7 +7,7 @@
 import unittest
 from dataclasses import dataclass, field
 
-from quillpass.places import FRESH_SECONDS, Places
+from brambleusher.loadbalancing.connection_admission import FRESH_SECONDS, Places
 
 SERVICE = 0.05  # seconds that a request is in work
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -7,7 +7,7 @@
 import pytest
 
 from benchmarks.overload import RATE, SECOND, Demand, World
-from quillpass import Balancer
+from brambleusher.loadbalancing import Balancer
 
 AT, WITHIN, AFTER = 3.0, 2.0, 3.0  # seconds: the states are drawn, service is whole, the run ends
 LOAD = 0.5
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,7 +7,7 @@
 import pytest
 from hypothesis import given, settings, strategies
 
-from quillpass import Balancer, api
+from brambleusher.loadbalancing import Balancer, api
 from tests.rules import MS, SECOND, Breach, Checker, Owed, World
 
 CLASSES = tuple(
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -7,8 +7,10 @@
 
 import pytest
 
-from quillpass import Balancer, api, cold, sizes
-from quillpass.settings import parse_settings
+from brambleusher.loadbalancing import Balancer, api
+from brambleusher.loadbalancing import capacity_estimates as sizes
+from brambleusher.loadbalancing import slow_start as cold
+from brambleusher.loadbalancing.settings import parse_settings
 from tests.test_wirehost import SETUP
 
 SECOND, STEP = 10**9, 5_000_000
--- a/tests/test_subsets.py
+++ b/tests/test_subsets.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from quillpass.subsets import Ring, size_for
+from brambleusher.loadbalancing.subsetting import Ring, size_for
 
 
 def names(count: int) -> list[str]:
--- a/tests/test_sums.py
+++ b/tests/test_sums.py
@@ -13,9 +13,10 @@
 from brambleusher.lab.virtual.explore import play
 from brambleusher.lab.virtual.mass import DAYS, draw_mass
 from brambleusher.lab.virtual.network import Connection, End
+from brambleusher.loadbalancing import Balancer
+from brambleusher.loadbalancing import slow_start as cold
 from brambleusher.net.endpoint_list import EndpointList
 from brambleusher.net.upstream_pool import UpstreamPool
-from quillpass import Balancer, cold
 
 SECOND = 10**9
 NODE = NodeLimits("node 0", 3, 0.001)
--- a/tests/test_thin_traffic.py
+++ b/tests/test_thin_traffic.py
@@ -5,7 +5,7 @@
 import random
 from collections import deque
 
-from quillpass import Balancer, api
+from brambleusher.loadbalancing import Balancer, api
 
 SECOND, STEP = 10**9, 10_000_000
 HOSTS, SIDECARS, FLEET_RATE = 20, 20, 100.0
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -5,8 +5,16 @@
 import unittest
 from dataclasses import replace
 
-from quillpass.api import HostEntry, HostState
-from quillpass.upkeep import LEAVE_SECONDS, REMEMBERED, SILENT_SECONDS, WISHES, Ban, Bans, Service
+from brambleusher.loadbalancing.api import HostEntry, HostState
+from brambleusher.loadbalancing.maintenance import (
+    LEAVE_SECONDS,
+    REMEMBERED,
+    SILENT_SECONDS,
+    WISHES,
+    Ban,
+    Bans,
+    Service,
+)
 
 READY, DRAINING, GONE = HostState.READY, HostState.DRAINING, HostState.GONE
 
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -8,8 +8,14 @@
 
 import pytest
 
-from quillpass import api
-from quillpass.wirehost import Adapter, WireError, format_action, parse_report, parse_settings
+from brambleusher.loadbalancing import api
+from brambleusher.loadbalancing.simulator_adapter import (
+    Adapter,
+    WireError,
+    format_action,
+    parse_report,
+    parse_settings,
+)
 
 SETUP: dict[str, Any] = {
     "zone": "z",
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -22,13 +22,13 @@
 from brambleusher.lab.fleets.fleet import Fleet
 from brambleusher.lab.fleets.scenario import draw_scenario
 from brambleusher.lab.virtual.explore import OUTPUT_BYTES
-from brambleusher.operator_file import parse_operator_file
-from brambleusher.sections import OperatorError
-from quillpass import Balancer, api
-from quillpass.api import Status, ZoneRules
-from quillpass.state import StateError, restore, restore_settings, save, save_settings
-from quillpass.zoned import ZonedBalancer, balancer_for
-from quillpass.zones import Load, State, Zones, fill
+from brambleusher.loadbalancing import Balancer, api
+from brambleusher.loadbalancing.api import Status, ZoneRules
+from brambleusher.loadbalancing.state_codec import StateError, restore, restore_settings, save, save_settings
+from brambleusher.loadbalancing.zone_aware_balancer import ZonedBalancer, balancer_for
+from brambleusher.loadbalancing.zone_routing import Load, State, Zones, fill
+from brambleusher.sidecar.operator_configuration import parse_operator_file
+from brambleusher.sidecar.operator_section import OperatorError
 from tests.rules import MS, SECOND, World
 from tests.test_rules import BASE
 
