--- a/brambleusher/handover/process_registry.py
+++ b/brambleusher/handover/process_registry.py
@@ -32,7 +32,9 @@
 LEARNT_SECONDS = 0.5  # that a newcomer waits for what the old process has learnt
 MOST_BYTES = 4 * 1024 * 1024  # of a file that is read
 DESCRIPTORS = 3  # the own lock, the lock on the shared file, and a file that is read or written
-_PROCESS = re.compile(r"(starting|serving|leaving)-(\d+)\Z")
+SHARED_FILE = "shared.json"
+LOCK_FILE = "lock"
+VERSION_KEY = "v"
 
 
 class Stage(Enum):
@@ -43,6 +45,12 @@
     LEAVING = "leaving"
 
 
+# The words in file names, apart from the enum's: processes of two versions of the program read them.
+STAGE_PREFIXES = {Stage.STARTING: "starting", Stage.SERVING: "serving", Stage.LEAVING: "leaving"}
+_STAGES_BY_PREFIX = {prefix: stage for stage, prefix in STAGE_PREFIXES.items()}
+_PROCESS = re.compile(rf"({'|'.join(_STAGES_BY_PREFIX)})-(\d+)\Z")
+
+
 # How the processes of a sidecar share what it may hold, and what it may send to cold nodes.
 ROOM = {Stage.STARTING: 1, Stage.SERVING: 2, Stage.LEAVING: 1}
 SENDS = {Stage.STARTING: 0, Stage.SERVING: 4, Stage.LEAVING: 1}
@@ -54,6 +62,21 @@
     return parts[own] / (parts[own] + rest) if rest else 1.0
 
 
+def stage_file(stage: Stage, pid: int) -> str:
+    """Name the file of a process at some stage."""
+    return f"{STAGE_PREFIXES[stage]}-{pid}"
+
+
+def joining_file(pid: int) -> str:
+    """Name the file of a process that does not hold its lock yet."""
+    return f"joining-{pid}"
+
+
+def learnt_file(pid: int) -> str:
+    """Name the file of what a newcomer is told."""
+    return f"learnt-{pid}.json"
+
+
 def folder_for(tmpdir: str, name: str) -> Path:
     """The folder that all processes of one sidecar share."""
     return Path(tmpdir) / ("brambleusher-" + re.sub(r"[^A-Za-z0-9_.]", "_", name))
@@ -85,8 +108,8 @@
     def join(self) -> bool:
         """Be seen; true where another process serves already.  Raises `OSError`."""
         self._folder.mkdir(mode=0o700, parents=True, exist_ok=True)
-        path = self._folder / f"{Stage.STARTING.value}-{self._pid}"
-        unseen = self._folder / f"joining-{self._pid}"
+        path = self._folder / stage_file(Stage.STARTING, self._pid)
+        unseen = self._folder / joining_file(self._pid)
         self._lock = os.open(unseen, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         # Guards against another that looks round between the two, and takes us for one that was killed.
@@ -101,7 +124,7 @@
         self._stage = stage
         self.on_parts()
         try:
-            self._path = self._path.rename(self._folder / f"{stage.value}-{self._pid}")
+            self._path = self._path.rename(self._folder / stage_file(stage, self._pid))
         except OSError as error:
             log.warning("can't say how far this process is", extra={"fields": {"error": error}})
 
@@ -148,7 +171,7 @@
                 continue
             path = self._folder / name
             if self._lives(path):
-                found[int(match[2])] = Stage(match[1])
+                found[int(match[2])] = _STAGES_BY_PREFIX[match[1]]
             else:
                 path.unlink(missing_ok=True)
         return found
@@ -201,20 +224,20 @@
 
     def shared(self) -> dict[str, Any] | None:
         """What operators have said; None where nothing can be read."""
-        return self._read(self._folder / "shared.json")
+        return self._read(self._folder / SHARED_FILE)
 
     def share(self, merge: Callable[[dict[str, Any]], dict[str, Any]]) -> None:
         """Replace what is shared by what `merge` makes of it; logged where that can't be done."""
         try:
             with self._alone():
-                self._write(self._folder / "shared.json", merge(self.shared() or {}))
+                self._write(self._folder / SHARED_FILE, merge(self.shared() or {}))
         except OSError as error:
             log.error("what operators said can't be shared", extra={"fields": {"error": error}})
 
     @contextmanager
     def _alone(self) -> Iterator[None]:
         """Guards against two processes that both read, and each overwrite what the other has written."""
-        fd = os.open(self._folder / "lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        fd = os.open(self._folder / LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(fd, fcntl.LOCK_EX)
             yield
@@ -224,14 +247,14 @@
     def _tell(self, pid: int) -> None:
         try:
             if (learnt := self.learnt()) is not None:
-                self._write(self._folder / f"learnt-{pid}.json", learnt)
+                self._write(self._folder / learnt_file(pid), learnt)
         except Exception as error:
             # Guards against a fault in what is only a help to the newcomer.
             log.warning("what was learnt can't be handed on", extra={"fields": {"error": error}})
 
     def taught(self, sleep: Callable[[float], None], now: Callable[[], float]) -> dict[str, Any] | None:
         """What the process that serves has learnt; None where it does not come in time."""
-        path, until = self._folder / f"learnt-{self._pid}.json", now() + LEARNT_SECONDS
+        path, until = self._folder / learnt_file(self._pid), now() + LEARNT_SECONDS
         while not path.exists():
             if now() >= until:
                 log.warning("the process that serves has handed on nothing")
@@ -244,7 +267,7 @@
 
     def _write(self, path: Path, values: dict[str, Any]) -> None:
         beside = path.with_name(f"{path.name}.{self._pid}")
-        beside.write_bytes(orjson.dumps({"v": VERSION, **values}))
+        beside.write_bytes(orjson.dumps({VERSION_KEY: VERSION, **values}))
         beside.replace(path)
 
     @staticmethod
@@ -257,7 +280,7 @@
         except (OSError, ValueError) as error:
             log.warning("a shared file can't be read", extra={"fields": {"file": path.name, "error": error}})
             return None
-        if not isinstance(raw, dict) or raw.get("v") != VERSION:
+        if not isinstance(raw, dict) or raw.get(VERSION_KEY) != VERSION:
             log.warning("a shared file is not this version's", extra={"fields": {"file": path.name}})
             return None
         return raw
