--- a/brambleusher/controlplane/configuration/state_machine.py
+++ b/brambleusher/controlplane/configuration/state_machine.py
@@ -7,9 +7,12 @@
 from enum import Enum
 from typing import Any
 
+from brambleusher.wire.errors import InvalidMessage
 from brambleusher.wire.packing import pack
 
 PATCH = b"PATCH\n"  # ahead of a patch in its digest: a whole configuration never begins so
+# Of the stored form of the state: fixed by what is on disks and by controllers of other versions.
+STATE_KEYS = frozenset({"index", "revision", "packed", "digests", "evacuated", "zones_changed"})
 HISTORY_MAX = 4096  # digests of configurations taken; a day holds hundreds
 
 
@@ -147,5 +150,19 @@
 
     @classmethod
     def from_json(cls, data: dict[str, Any] | None) -> SharedState:
-        """The state of a snapshot; an empty one without."""
-        return cls() if data is None else cls(**data)
+        """The state of a snapshot; an empty one without.  Versions before wrote fewer keys.
+
+        Raises `InvalidMessage` for keys that this version does not know: it would lose what they hold.
+        """
+        if data is None:
+            return cls()
+        if unknown := data.keys() - STATE_KEYS:
+            raise InvalidMessage(f"a state has unknown keys: {', '.join(sorted(unknown))}")
+        return cls(
+            index=data.get("index", 0),
+            revision=data.get("revision", 0),
+            packed=data.get("packed", ""),
+            digests=data.get("digests", []),
+            evacuated=data.get("evacuated", []),
+            zones_changed=data.get("zones_changed", {}),
+        )
--- a/brambleusher/membership/views.py
+++ b/brambleusher/membership/views.py
@@ -52,7 +52,7 @@
         }
 
 
-# In the order of `as_json`.
+# The wire's keys, in the order in which a sample has their values.
 KEYS = ("name", "role", "address", "zone", "region", "state", "incarnation")
 
 
@@ -98,7 +98,8 @@
         """A shuffled part of the view for another process: peers as lists, with ages in ms."""
         known = list(self._heard.values())
         chosen = self._rng.sample(known, min(SAMPLE, len(known)))
-        return [[*peer.as_json().values(), int((now - at) * 1000)] for peer, at in chosen]
+        forms = [(peer.as_json(), int((now - at) * 1000)) for peer, at in chosen]
+        return [[*(form[key] for key in KEYS), age_ms] for form, age_ms in forms]
 
     def merge(self, sample: Any, now: float) -> None:
         """Take in another process's sample; raises `InvalidMessage`."""
