--- a/brambleusher/controller/app.py
+++ b/brambleusher/controller/app.py
@@ -6,11 +6,11 @@
 import random
 from typing import Any
 
-from brambleusher.controlplane.admin_listeners import Endpoints
-from brambleusher.controlplane.configuration.admin_api import Orders
-from brambleusher.controlplane.configuration.publisher import Announcer
+from brambleusher.controlplane.admin_listeners import AdminListeners
+from brambleusher.controlplane.configuration.admin_api import AdminApi
+from brambleusher.controlplane.configuration.publisher import ConfigurationPublisher
 from brambleusher.controlplane.registry import resolver as registry
-from brambleusher.controlplane.registry.instance_list import PlatformList
+from brambleusher.controlplane.registry.instance_list import InstanceListReader
 from brambleusher.controlplane.relay.relay import NAMED, RELAY, RelayServer
 from brambleusher.controlplane.replica import Replica
 from brambleusher.membership.line_connection import LineSender, LineServer
@@ -23,7 +23,7 @@
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.streams import parse_address
 from brambleusher.runtime.system import System
-from brambleusher.wire.errors import InvalidMessage
+from brambleusher.wire.errors import InvalidMessageError
 from brambleusher.wire.settings import Settings
 
 log = logging.getLogger(__name__)
@@ -47,19 +47,19 @@
         self._state = State.READY
         self._senders: dict[str, LineSender] = {}
         self._sparse = SparseLog(log, self.scheduler.now)
-        self._announcer: Announcer | None = None
+        self._announcer: ConfigurationPublisher | None = None
         self.view = PartialView(self._rng)
         self.replica = Replica(self.scheduler, settings, disk, self._send, self._rng, self._changed)
         self.replica.known_controllers = self._known_controllers
         self.replica.known_zones = self._known_zones
-        self.instances = PlatformList(
+        self.instances = InstanceListReader(
             self.scheduler,
             settings,
             self._rng,
             lambda: len(self._known_controllers()) + 1,
             self._list_changed,
         )
-        self._announcer = Announcer(
+        self._announcer = ConfigurationPublisher(
             self.scheduler, settings.node_name, self.replica, self.instances, self.view, self._controllers
         )
         self._lines = LineServer(
@@ -70,8 +70,8 @@
             CONNECTIONS_MAX,
         )
         self._relay = RelayServer(self.scheduler, self.replica, self._find, self._controllers)
-        orders = Orders(self.scheduler, self.replica, frozenset(settings.zones))
-        self._endpoints = Endpoints(self.scheduler, settings.bind, orders.handle, self._resolve)
+        orders = AdminApi(self.scheduler, self.replica, frozenset(settings.zones))
+        self._endpoints = AdminListeners(self.scheduler, settings.bind, orders.handle, self._resolve)
         self._watch = SettingsWatch(self.scheduler, path, self._settings_changed)
         self.scheduler.spawn(self._shuffle, name="shuffle")
 
@@ -178,7 +178,7 @@
             return None  # it was meant for an observer
         sender = message.get("from")
         if not isinstance(sender, str):
-            raise InvalidMessage("a message has no sender")
+            raise InvalidMessageError("a message has no sender")
         if kind == "instances":
             self.instances.hear(message)
             return None
--- a/brambleusher/controller/observer.py
+++ b/brambleusher/controller/observer.py
@@ -10,11 +10,11 @@
 import random
 from typing import Any
 
-from brambleusher.controlplane.admin_listeners import Endpoints
-from brambleusher.controlplane.configuration.admin_api import Orders
+from brambleusher.controlplane.admin_listeners import AdminListeners
+from brambleusher.controlplane.configuration.admin_api import AdminApi
 from brambleusher.controlplane.registry import resolver as registry
 from brambleusher.controlplane.relay.relay import NAMED, RELAY, RelayClient, RemoteState
-from brambleusher.membership.controllers import Controllers, Place, places_of
+from brambleusher.membership.controllers import Controllers, Locality, places_of
 from brambleusher.membership.line_connection import LineSender, LineServer
 from brambleusher.membership.process import run_until_signalled
 from brambleusher.membership.settings_watch import SettingsWatch
@@ -44,7 +44,7 @@
         self.scheduler = Scheduler(system)
         self.settings = settings
         self._rng = random.Random(f"{settings.node_name} {system.wall_ns()}")
-        here = Place(settings.zone, settings.region)
+        here = Locality(settings.zone, settings.region)
         self.controllers = Controllers(self._seeds(settings), self._rng, here)
         self._relay = RelayClient(self.scheduler, self.controllers)
         self._found: dict[tuple[str, str], tuple[float, list[str]]] = {}
@@ -58,8 +58,8 @@
             self._invalid,
             CONNECTIONS_MAX,
         )
-        orders = Orders(self.scheduler, RemoteState(self._relay), frozenset(settings.zones))
-        self._endpoints = Endpoints(self.scheduler, settings.bind, orders.handle, self._resolve)
+        orders = AdminApi(self.scheduler, RemoteState(self._relay), frozenset(settings.zones))
+        self._endpoints = AdminListeners(self.scheduler, settings.bind, orders.handle, self._resolve)
         self._watch = SettingsWatch(self.scheduler, path, self._settings_changed)
         self.scheduler.spawn(self._learn, name="learn")
 
--- a/brambleusher/controlplane/admin_listeners.py
+++ b/brambleusher/controlplane/admin_listeners.py
@@ -15,7 +15,7 @@
 Handler = Callable[[HttpRequest], HttpResponse]
 
 
-class Endpoints:
+class AdminListeners:
     """The listeners of a controller or an observer."""
 
     def __init__(self, scheduler: Scheduler, bind: Bind, orders: Handler, resolve: Handler) -> None:
--- a/brambleusher/controlplane/configuration/admin_api.py
+++ b/brambleusher/controlplane/configuration/admin_api.py
@@ -19,7 +19,7 @@
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.wire import configuration, configuration_patch
 from brambleusher.wire.configuration_patch import Patch
-from brambleusher.wire.errors import InvalidConfiguration
+from brambleusher.wire.errors import InvalidConfigurationError
 from brambleusher.wire.packing import unpack
 
 log = logging.getLogger(__name__)
@@ -37,20 +37,20 @@
 
 
 def _base(request: HttpRequest) -> int:
-    """The revision that a change builds on; raises `InvalidConfiguration`."""
+    """The revision that a change builds on; raises `InvalidConfigurationError`."""
     base = request.headers.get(b"if-match", b"").strip().strip(b'"')
     if not base.isdigit() or int(base) > REVISION_MAX:
-        raise InvalidConfiguration("If-Match", "it is no revision")
+        raise InvalidConfigurationError("If-Match", "it is no revision")
     return int(base)
 
 
 def _bounded(revision: int) -> int:
     if revision > REVISION_MAX:
-        raise InvalidConfiguration("revision", "it is too large")
+        raise InvalidConfigurationError("revision", "it is too large")
     return revision
 
 
-class Orders:
+class AdminApi:
     """Answers calls on a controller's `control` address."""
 
     def __init__(self, scheduler: Scheduler, replica: ReplicatedState, zones: frozenset[str]) -> None:
@@ -87,7 +87,7 @@
         try:
             base = _base(request)
             revision = _bounded(configuration.read(request.body).revision)
-        except InvalidConfiguration as error:
+        except InvalidConfigurationError as error:
             return _error(400, str(error))
         return self._submit(PutConfiguration.of(base, revision, request.body), self._deadline())
 
@@ -102,7 +102,7 @@
             if isinstance(held, Err):
                 return _error(503, "no majority answered in time")
             merged = self._merged(held.ok_value, base, patch)
-        except InvalidConfiguration as error:
+        except InvalidConfigurationError as error:
             return _error(400, str(error))
         command = PutConfiguration.of_patch(base, patch.revision, request.body, merged)
         return self._submit(command, deadline)
--- a/brambleusher/controlplane/configuration/publisher.py
+++ b/brambleusher/controlplane/configuration/publisher.py
@@ -5,18 +5,18 @@
 from collections.abc import Callable
 from typing import Any
 
-from brambleusher.controlplane.registry.instance_list import PlatformList
-from brambleusher.controlplane.registry.load_reports import FleetFigures, checked
+from brambleusher.controlplane.registry.instance_list import InstanceListReader
+from brambleusher.controlplane.registry.load_reports import FleetLoadReports, checked
 from brambleusher.controlplane.replica import Replica
 from brambleusher.membership.views import PartialView, Peer, peer_of
 from brambleusher.runtime.scheduler import Event, Scheduler, Timeout
-from brambleusher.wire.errors import InvalidMessage
+from brambleusher.wire.errors import InvalidMessageError
 
 HOLD_S = 0.5  # a gateway that hears nothing for longer leaves this controller for another
 COUNTED_S = 10.0  # gateways heard of so lately share budgets
 
 
-class Announcer:
+class ConfigurationPublisher:
     """Answers `watch` messages; `announce` wakes all that wait."""
 
     def __init__(
@@ -24,7 +24,7 @@
         scheduler: Scheduler,
         name: str,
         replica: Replica,
-        instances: PlatformList,
+        instances: InstanceListReader,
         view: PartialView,
         controllers: Callable[[], list[tuple[str, str, str]]],
     ) -> None:
@@ -32,7 +32,7 @@
         self._replica, self._instances, self._view = replica, instances, view
         self._controllers = controllers
         self._waiting: set[Event] = set()
-        self._figures = FleetFigures()
+        self._figures = FleetLoadReports()
 
     def announce(self) -> None:
         """Something has a new version."""
@@ -40,7 +40,7 @@
             event.set()
 
     def watch(self, message: dict[str, Any]) -> dict[str, Any]:
-        """Wait for news and answer; raises `InvalidMessage`.
+        """Wait for news and answer; raises `InvalidMessageError`.
 
         To a question that is `brief` the answer only says that there is news: the gateway follows two
         controllers, and large news should come once.
@@ -48,7 +48,7 @@
         peer = peer_of(message.get("me"))
         held, source, version = message.get("index"), message.get("source"), message.get("version")
         if not isinstance(held, int) or not isinstance(version, int):
-            raise InvalidMessage("a watch has no versions")
+            raise InvalidMessageError("a watch has no versions")
         self._view.heard(peer, self._scheduler.now())
         if "figures" in message:
             self._figures.take(peer.name, checked(message["figures"]), self._scheduler.now())
--- a/brambleusher/controlplane/configuration/replicated_state.py
+++ b/brambleusher/controlplane/configuration/replicated_state.py
@@ -11,19 +11,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NoLeader:
+class NoLeaderError:
     """Failure: no leader could be reached in time; whether the command was taken is unknown."""
 
 
-OrderResult = Result[Verdict, NoLeader]
-ReadResult = Result[SharedState, NoLeader]
-IndexResult = Result[int, NoLeader]
+SubmitResult = Result[Verdict, NoLeaderError]
+ReadResult = Result[SharedState, NoLeaderError]
+IndexResult = Result[int, NoLeaderError]
 
 
 class ReplicatedState(Protocol):
     """The state that a majority agrees on.  Deadlines are seconds of the scheduler's clock."""
 
-    def submit(self, command: Command, deadline: float) -> OrderResult:
+    def submit(self, command: Command, deadline: float) -> SubmitResult:
         """Have a command applied."""
 
     def read(self, deadline: float) -> ReadResult:
--- a/brambleusher/controlplane/configuration/state_machine.py
+++ b/brambleusher/controlplane/configuration/state_machine.py
@@ -7,7 +7,7 @@
 from enum import Enum
 from typing import Any
 
-from brambleusher.wire.errors import InvalidMessage
+from brambleusher.wire.errors import InvalidMessageError
 from brambleusher.wire.packing import pack
 
 PATCH = b"PATCH\n"  # ahead of a patch in its digest: a whole configuration never begins so
@@ -152,12 +152,12 @@
     def from_json(cls, data: dict[str, Any] | None) -> SharedState:
         """The state of a snapshot; an empty one without.  Versions before wrote fewer keys.
 
-        Raises `InvalidMessage` for keys that this version does not know: it would lose what they hold.
+        Raises `InvalidMessageError` for keys that this version does not know: it would lose what they hold.
         """
         if data is None:
             return cls()
         if unknown := data.keys() - STATE_KEYS:
-            raise InvalidMessage(f"a state has unknown keys: {', '.join(sorted(unknown))}")
+            raise InvalidMessageError(f"a state has unknown keys: {', '.join(sorted(unknown))}")
         return cls(
             index=data.get("index", 0),
             revision=data.get("revision", 0),
--- a/brambleusher/controlplane/registry/instance_list.py
+++ b/brambleusher/controlplane/registry/instance_list.py
@@ -12,7 +12,7 @@
 from brambleusher.runtime.http_client import CallFailed, HttpClient
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.streams import parse_address
-from brambleusher.wire.errors import InvalidMessage
+from brambleusher.wire.errors import InvalidMessageError
 from brambleusher.wire.settings import Settings
 
 log = logging.getLogger(__name__)
@@ -26,7 +26,7 @@
 PAGES_MAX = 200
 
 
-class PlatformList:
+class InstanceListReader:
     """The latest whole reading, with a version that counts changes, and when it was begun."""
 
     def __init__(
@@ -92,10 +92,10 @@
         return {"instances": self.instances, "age_ms": int(age_s * 1000)}
 
     def hear(self, message: dict[str, Any]) -> None:
-        """Another controller's reading; raises `InvalidMessage`."""
+        """Another controller's reading; raises `InvalidMessageError`."""
         instances, age_ms = message.get("instances"), message.get("age_ms")
         if not isinstance(instances, list) or not isinstance(age_ms, int) or age_ms < 0:
-            raise InvalidMessage("a reading has no list or no age")
+            raise InvalidMessageError("a reading has no list or no age")
         self._take(instances, self._scheduler.now() - age_ms / 1000, read_here=False)
 
     def _take(self, instances: list[dict[str, Any]], read_at: float, read_here: bool = True) -> None:
--- a/brambleusher/controlplane/registry/load_reports.py
+++ b/brambleusher/controlplane/registry/load_reports.py
@@ -9,7 +9,7 @@
 
 from typing import Any
 
-from brambleusher.wire.errors import InvalidMessage
+from brambleusher.wire.errors import InvalidMessageError
 
 FRESH_S = 2.5  # a report counts for so long
 SUM_EVERY_S = 0.25
@@ -28,15 +28,15 @@
 
 
 def checked(report: Any) -> dict[str, Figures]:
-    """A report within its bounds; raises `InvalidMessage`."""
+    """A report within its bounds; raises `InvalidMessageError`."""
     if not isinstance(report, dict) or len(report) > INSTANCES_MOST:
-        raise InvalidMessage("a report is no object of bounded size")
+        raise InvalidMessageError("a report is no object of bounded size")
     bounded: dict[str, Figures] = {}
     for name, figures in report.items():
         if not isinstance(figures, list) or len(figures) not in (WIDTH_BEFORE, WIDTH):
-            raise InvalidMessage(f"figures are no list of {WIDTH}")
+            raise InvalidMessageError(f"figures are no list of {WIDTH}")
         if not all(isinstance(figure, int | float) and figure >= 0 for figure in figures):
-            raise InvalidMessage("a figure is no number")
+            raise InvalidMessageError("a figure is no number")
         padded = [float(figure) for figure in figures] + [0.0] * (WIDTH - len(figures))
         bounded[str(name)] = _bounded(padded)
     return bounded
@@ -56,7 +56,7 @@
     return [served * scale, failed * scale, used, answers * kept, latency * kept, rate, load, weight]
 
 
-class FleetFigures:
+class FleetLoadReports:
     """The latest report of each gateway that asked here, and their sum."""
 
     def __init__(self) -> None:
--- a/brambleusher/controlplane/relay/relay.py
+++ b/brambleusher/controlplane/relay/relay.py
@@ -12,17 +12,17 @@
 
 from brambleusher.controlplane.configuration.replicated_state import (
     IndexResult,
-    NoLeader,
-    OrderResult,
+    NoLeaderError,
     ReadResult,
     ReplicatedState,
+    SubmitResult,
 )
 from brambleusher.controlplane.configuration.state_machine import Command, SharedState, Verdict, command_of
 from brambleusher.membership.controllers import Controllers, places_of
 from brambleusher.membership.line_connection import LineClient
 from brambleusher.runtime.scheduler import Scheduler, Timeout
 from brambleusher.runtime.streams import parse_address
-from brambleusher.wire.errors import InvalidMessage
+from brambleusher.wire.errors import InvalidMessageError
 
 RELAYED_S = 0.45  # for a controller to answer, one further hop to the leader included
 TRY_S = 0.55  # for the answer to reach the observer, before it asks another controller
@@ -49,7 +49,7 @@
         self._find, self._controllers = find, controllers
 
     def handle(self, message: dict[str, Any]) -> dict[str, Any]:
-        """The answer to one call; raises `InvalidMessage`."""
+        """The answer to one call; raises `InvalidMessageError`."""
         what = message.get("what")
         deadline = self._scheduler.now() + RELAYED_S
         if what == "submit":
@@ -64,13 +64,13 @@
             return {"answer": self._find(str(message.get("zone", "")), str(message.get("region", "")))}
         if what == "controllers":
             return {"answer": self._controllers()}
-        raise InvalidMessage(f"a relayed call asks for {what!r}")
+        raise InvalidMessageError(f"a relayed call asks for {what!r}")
 
     def _submit(self, data: Any, deadline: float) -> str | None:
         try:
             command = command_of(data)
         except (KeyError, TypeError) as error:
-            raise InvalidMessage(f"a relayed command can't be read: {error!r}") from error
+            raise InvalidMessageError(f"a relayed command can't be read: {error!r}") from error
         verdict = self._state.submit(command, deadline)
         return None if isinstance(verdict, Err) else verdict.ok_value.value
 
@@ -101,7 +101,7 @@
             reply = client.call(message, timeout_s)
             if reply.get("observer"):
                 self._controllers.is_observer(address, places_of(reply.get("controllers")))
-        except (OSError, Timeout, InvalidMessage):
+        except (OSError, Timeout, InvalidMessageError):
             client.close()
             return None
         if len(kept) < IDLE_CLIENTS_MAX:
@@ -114,7 +114,7 @@
         """Ask for the controllers that there are; whether anybody answered."""
         try:
             named = places_of(self.call("controllers", deadline))
-        except InvalidMessage:
+        except InvalidMessageError:
             return False
         self._controllers.learn(named)
         known = {address for address, _ in named}
@@ -130,20 +130,20 @@
     def __init__(self, relay: RelayClient) -> None:
         self._relay = relay
 
-    def submit(self, command: Command, deadline: float) -> OrderResult:
+    def submit(self, command: Command, deadline: float) -> SubmitResult:
         """Have a command applied."""
         answer = self._relay.call("submit", deadline, command=command.as_json())
-        return Ok(Verdict(answer)) if isinstance(answer, str) else Err(NoLeader())
+        return Ok(Verdict(answer)) if isinstance(answer, str) else Err(NoLeaderError())
 
     def read(self, deadline: float) -> ReadResult:
         """The state as a majority has it at this moment."""
         answer = self._relay.call("read", deadline)
-        return Ok(SharedState.from_json(answer)) if isinstance(answer, dict) else Err(NoLeader())
+        return Ok(SharedState.from_json(answer)) if isinstance(answer, dict) else Err(NoLeaderError())
 
     def seen_index(self, deadline: float) -> IndexResult:
         """The index that a controller had applied after this call was made."""
         answer = self._relay.call("index", deadline)
-        return Ok(answer) if isinstance(answer, int) else Err(NoLeader())
+        return Ok(answer) if isinstance(answer, int) else Err(NoLeaderError())
 
     def status(self) -> dict[str, Any]:
         """An observer holds nothing itself."""
--- a/brambleusher/controlplane/replica.py
+++ b/brambleusher/controlplane/replica.py
@@ -13,15 +13,20 @@
 
 from brambleusher.controlplane.configuration.replicated_state import (
     IndexResult,
-    NoLeader,
-    OrderResult,
+    NoLeaderError,
     ReadResult,
+    SubmitResult,
 )
 from brambleusher.controlplane.configuration.state_machine import Command, SharedState, Verdict, command_of
 from brambleusher.controlplane.consensus.outputs import HardState, Outgoing, Record
 from brambleusher.controlplane.consensus.replica_state import Consensus
 from brambleusher.controlplane.consensus.replicated_log import Log
-from brambleusher.controlplane.storage.storage import CorruptStorage, Recovered, Storage, snapshot_as_json
+from brambleusher.controlplane.storage.storage import (
+    CorruptStorageError,
+    Recovered,
+    Storage,
+    snapshot_as_json,
+)
 from brambleusher.runtime.disk import Disk
 from brambleusher.runtime.scheduler import Event, Scheduler, Timeout
 from brambleusher.wire import consensus_messages as wire
@@ -40,7 +45,7 @@
 FOUNDER = "founder-"  # begins the identities of the first group, followed by the address
 
 
-class Waiter:
+class PendingProposal:
     """A task that waits for an answer to what it proposed, forwarded or read."""
 
     __slots__ = ("answer", "event")
@@ -97,8 +102,8 @@
         self._jobs: deque[tuple[int, list[Record] | SnapshotJob]] = deque()
         self._handed = self._synced = 0
         self._held: deque[Outgoing] = deque()
-        self._waiting: dict[int, tuple[int, Waiter]] = {}
-        self._forwarded: dict[int, tuple[str, Waiter]] = {}  # by number: who was asked, who waits
+        self._waiting: dict[int, tuple[int, PendingProposal]] = {}
+        self._forwarded: dict[int, tuple[str, PendingProposal]] = {}  # by number: who was asked, who waits
         self._forward_count = rng.randrange(1 << 40)
         self._snapshot_under_way = False
         self._joined_at = self._sleeps_until = 0.0
@@ -118,7 +123,7 @@
     def _recover(self, disk: Disk) -> Recovered:
         try:
             return self._storage.recover()
-        except CorruptStorage as error:
+        except CorruptStorageError as error:
             # What can't be trusted is a lost disk: the replica comes back as a new member.
             log.error("the disk can't be read and is emptied", extra={"fields": {"why": str(error)}})
             for name in disk.names():
@@ -156,7 +161,7 @@
 
     # --- what callers ask ------------------------------------------------------------------------
 
-    def submit(self, command: Command, deadline: float) -> OrderResult:
+    def submit(self, command: Command, deadline: float) -> SubmitResult:
         """Have a command applied, here or by the leader; waits until the deadline at the latest."""
         while self._scheduler.now() < deadline:
             answer = (
@@ -168,7 +173,7 @@
                 return Ok(answer)
             if isinstance(answer, str):
                 return Ok(Verdict(answer))
-        return Err(NoLeader())
+        return Err(NoLeaderError())
 
     @property
     def applied(self) -> int:
@@ -190,11 +195,11 @@
             answer = self._forward({"read": True}, deadline)
             if isinstance(answer, dict):
                 return Ok(SharedState.from_json(answer))
-        return Err(NoLeader())
+        return Err(NoLeaderError())
 
     def _confirmed(self, deadline: float) -> bool:
         """Whether a majority still follows this leader, so that its state is the newest."""
-        waiter = Waiter()
+        waiter = PendingProposal()
         self.consensus.read(waiter.done)
         self._pump()
         return self._wait(waiter, deadline) is True
@@ -238,7 +243,7 @@
     # --- messages of others ----------------------------------------------------------------------
 
     def handle(self, data: dict[str, Any], sender: str) -> None:
-        """A message between replicas; raises `InvalidMessage`."""
+        """A message between replicas; raises `InvalidMessageError`."""
         kind = data.get("kind")
         if kind == "forward":
             self._scheduler.spawn(self._serve_forward, data, sender, name="forwarded")
@@ -295,7 +300,7 @@
         if place is None:
             return None
         index, term = place
-        waiter = Waiter()
+        waiter = PendingProposal()
         _, earlier = self._waiting.get(index, (0, None))
         if earlier is not None:  # of a term in which this replica led before: its entry is gone
             earlier.done(None)
@@ -305,7 +310,7 @@
         self._forget_place(index, waiter)
         return answer if isinstance(answer, Verdict) else None
 
-    def _forget_place(self, index: int, waiter: Waiter) -> None:
+    def _forget_place(self, index: int, waiter: PendingProposal) -> None:
         """Give up a place in the log, unless another caller's entry has come to have its index."""
         if self._waiting.get(index, (0, None))[1] is waiter:
             del self._waiting[index]
@@ -316,7 +321,7 @@
             self._scheduler.sleep(LOOK_AGAIN_S)
             return None
         self._forward_count += 1
-        number, waiter = self._forward_count, Waiter()
+        number, waiter = self._forward_count, PendingProposal()
         self._forwarded[number] = (leader.address, waiter)
         self._send(leader.address, {"kind": "forward", "number": number, **request})
         answer = self._wait(waiter, min(deadline, self._scheduler.now() + FORWARD_S))
@@ -325,7 +330,7 @@
             self._scheduler.sleep(LOOK_AGAIN_S)
         return answer
 
-    def _wait(self, waiter: Waiter, deadline: float) -> Any:
+    def _wait(self, waiter: PendingProposal, deadline: float) -> Any:
         try:
             self._scheduler.park(deadline, event=waiter.event)
         except Timeout:
--- a/brambleusher/controlplane/storage/storage.py
+++ b/brambleusher/controlplane/storage/storage.py
@@ -18,7 +18,7 @@
 from brambleusher.controlplane.consensus.replicated_log import Log
 from brambleusher.runtime.disk import Disk
 from brambleusher.wire.consensus_messages import Entry, Member, entry_of, member_of
-from brambleusher.wire.errors import InvalidMessage
+from brambleusher.wire.errors import InvalidMessageError
 
 log = logging.getLogger(__name__)
 
@@ -27,7 +27,7 @@
 
 
 @dataclass(eq=False)
-class CorruptStorage(Exception):
+class CorruptStorageError(Exception):
     """Records that had been synced can't be read any more."""
 
     name: str
@@ -57,16 +57,16 @@
 
 
 def decode_record(line: bytes) -> dict[str, Any]:
-    """The record of a line; raises `InvalidMessage` where it is torn."""
+    """The record of a line; raises `InvalidMessageError` where it is torn."""
     checksum, _, text = line.partition(b" ")
     try:
         if len(checksum) != 8 or int(checksum, 16) != zlib.crc32(text):
-            raise InvalidMessage("the checksum does not fit")
+            raise InvalidMessageError("the checksum does not fit")
         data = orjson.loads(text)
     except ValueError as error:
-        raise InvalidMessage("a record can't be read") from error
+        raise InvalidMessageError("a record can't be read") from error
     if not isinstance(data, dict):
-        raise InvalidMessage("a record is no object")
+        raise InvalidMessageError("a record is no object")
     return data
 
 
@@ -100,11 +100,11 @@
     # --- recovery --------------------------------------------------------------------------------
 
     def read_only(self) -> Recovered:
-        """What recovery would find, changing nothing; raises `CorruptStorage`."""
+        """What recovery would find, changing nothing; raises `CorruptStorageError`."""
         return self._read_all(repair=False)
 
     def recover(self) -> Recovered:
-        """Read everything, repair a torn end and make what was read durable; raises `CorruptStorage`.
+        """Read everything, repair a torn end and make what was read durable; raises `CorruptStorageError`.
 
         A process that was killed may find bytes that never were synced: what it goes on to rely on is
         synced first.
@@ -140,7 +140,7 @@
             try:
                 data = decode_record(self._disk.read(name).rstrip(b"\n"))
                 self._take_snapshot(found, data)
-            except (InvalidMessage, KeyError):
+            except (InvalidMessageError, KeyError):
                 log.warning("a snapshot can't be read", extra={"fields": {"name": name}})
                 continue
             found.identity = data.get("identity", "")
@@ -160,13 +160,13 @@
         while (end := data.find(b"\n", good)) >= 0:
             try:
                 self._apply(found, decode_record(data[good:end]))
-            except (InvalidMessage, KeyError) as error:
+            except (InvalidMessageError, KeyError) as error:
                 if not last:
-                    raise CorruptStorage(name, str(error)) from error
+                    raise CorruptStorageError(name, str(error)) from error
                 break
             good = end + 1
         if good < len(data) and not last:
-            raise CorruptStorage(name, "it ends within a record")
+            raise CorruptStorageError(name, "it ends within a record")
         return good, len(data)
 
     def _apply(self, found: Recovered, data: dict[str, Any]) -> None:
@@ -197,7 +197,7 @@
                 return
             found.log.truncate(entry.index)
         if entry.index != found.log.last_index + 1:
-            raise InvalidMessage(f"entry {entry.index} follows {found.log.last_index}")
+            raise InvalidMessageError(f"entry {entry.index} follows {found.log.last_index}")
         found.log.append(entry)
 
     # --- writing ---------------------------------------------------------------------------------
@@ -269,7 +269,7 @@
 
 
 def inspect(disk: Disk) -> dict[str, Any]:
-    """What a disk holds, for operators; changes nothing and raises `CorruptStorage`."""
+    """What a disk holds, for operators; changes nothing and raises `CorruptStorageError`."""
     found = Storage(disk).read_only()
     state = found.state or {}
     return {
--- a/brambleusher/dataplane/watcher.py
+++ b/brambleusher/dataplane/watcher.py
@@ -14,7 +14,7 @@
 from brambleusher.runtime.scheduler import Scheduler, Timeout
 from brambleusher.runtime.streams import parse_address
 from brambleusher.wire import configuration
-from brambleusher.wire.errors import InvalidConfiguration, InvalidMessage
+from brambleusher.wire.errors import InvalidConfigurationError, InvalidMessageError
 from brambleusher.wire.packing import unpack
 
 log = logging.getLogger(__name__)
@@ -57,7 +57,7 @@
             try:
                 if self._follow(address, number):
                     continue
-            except (OSError, Timeout, InvalidMessage) as error:
+            except (OSError, Timeout, InvalidMessageError) as error:
                 log.debug("a controller is left", extra={"fields": {"address": address, "why": repr(error)}})
             self._controllers.failed(address, self._scheduler.now())
             self._scheduler.sleep(PAUSE_S)
@@ -136,8 +136,8 @@
             known = answer.get("controllers")
             if isinstance(known, list) and known and answer.get("contact"):
                 self._controllers.learn(places_of(known))
-        except (KeyError, TypeError, ValueError, InvalidConfiguration) as error:
-            raise InvalidMessage(f"an answer can't be read: {error!r}") from error
+        except (KeyError, TypeError, ValueError, InvalidConfigurationError) as error:
+            raise InvalidMessageError(f"an answer can't be read: {error!r}") from error
 
     def _take_state(self, answer: dict[str, Any], now: float) -> None:
         index = int(answer["index"])
--- a/brambleusher/gateway/app.py
+++ b/brambleusher/gateway/app.py
@@ -13,7 +13,7 @@
 from brambleusher.dataplane.serving import Serving
 from brambleusher.dataplane.upstream import Upstream
 from brambleusher.dataplane.watcher import Watcher
-from brambleusher.membership.controllers import Controllers, Place
+from brambleusher.membership.controllers import Controllers, Locality
 from brambleusher.membership.process import run_until_signalled
 from brambleusher.membership.settings_watch import SettingsWatch
 from brambleusher.membership.views import Peer, State
@@ -61,7 +61,7 @@
         self.counters = Counters()
         self.instances = Instances(settings.zones, rng, policy, settings.node_name)
         self._upstream = Upstream(self.scheduler, self.instances, POOL_CONTRACT in settings.in_force, policy)
-        self._controllers = Controllers(settings.seed_peers(), rng, Place(settings.zone, settings.region))
+        self._controllers = Controllers(settings.seed_peers(), rng, Locality(settings.zone, settings.region))
         self._watcher = Watcher(
             self.scheduler, self._controllers, self.instances, self._self, self._close_idle
         )
--- a/brambleusher/membership/controllers.py
+++ b/brambleusher/membership/controllers.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from brambleusher.wire.errors import InvalidMessage
+from brambleusher.wire.errors import InvalidMessageError
 
 KNOWN_MAX = 32
 REST_S = 1.0  # for a controller that failed, before it is tried again, doubled each time
@@ -15,40 +15,40 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class Locality:
     """Where a process is; empty where that is not known."""
 
     zone: str = ""
     region: str = ""
 
-    def distance(self, other: Place) -> int:
+    def distance(self, other: Locality) -> int:
         """0 within a zone, 1 within a region, 2 beyond: what bytes between the two cost goes by it."""
         if self.zone == other.zone:
             return 0
         return 1 if self.region == other.region else 2
 
 
-def places_of(data: Any) -> list[tuple[str, Place]]:
-    """Addresses and places from their form on the wire; raises `InvalidMessage`."""
+def places_of(data: Any) -> list[tuple[str, Locality]]:
+    """Addresses and places from their form on the wire; raises `InvalidMessageError`."""
     try:
-        return [(str(address), Place(str(zone), str(region))) for address, zone, region in data]
+        return [(str(address), Locality(str(zone), str(region))) for address, zone, region in data]
     except (TypeError, ValueError) as error:
-        raise InvalidMessage(f"no list of controllers: {error}") from error
+        raise InvalidMessageError(f"no list of controllers: {error}") from error
 
 
 class Controllers:
     """Known controllers; each watcher holds one, all different while there are enough, near ones first."""
 
-    def __init__(self, seeds: tuple[str, ...], rng: random.Random, here: Place) -> None:
+    def __init__(self, seeds: tuple[str, ...], rng: random.Random, here: Locality) -> None:
         self._rng, self._here = rng, here
         self._seeds = seeds
-        self._known: dict[str, Place] = dict.fromkeys(seeds, Place())
-        self._learned: dict[str, Place] = {}
+        self._known: dict[str, Locality] = dict.fromkeys(seeds, Locality())
+        self._learned: dict[str, Locality] = {}
         self._observers: set[str] = set()
         self._rests: dict[str, tuple[float, float]] = {}  # address: until, for how long
         self._held: dict[int, str] = {}
 
-    def learn(self, named: Iterable[tuple[str, Place]]) -> None:
+    def learn(self, named: Iterable[tuple[str, Locality]]) -> None:
         """A controller named others: they replace what was known, but for the seeds."""
         self._learned = dict(list(named)[:KNOWN_MAX])
         self._follow()
@@ -58,7 +58,7 @@
         self._seeds = seeds
         self._follow()
 
-    def is_observer(self, address: str, named: Iterable[tuple[str, Place]]) -> None:
+    def is_observer(self, address: str, named: Iterable[tuple[str, Locality]]) -> None:
         """A process said that it is no controller, and which controllers it knows."""
         self._observers.add(address)
         self._learned = {**dict(list(named)[:KNOWN_MAX]), **self._learned}
@@ -66,7 +66,7 @@
 
     def _follow(self) -> None:
         """Seeds that are observers are asked only while nobody else is known."""
-        known = {**dict.fromkeys(self._seeds, Place()), **self._learned}
+        known = {**dict.fromkeys(self._seeds, Locality()), **self._learned}
         controllers = {address: place for address, place in known.items() if address not in self._observers}
         self._known = controllers or known
         self._observers &= known.keys()
@@ -98,7 +98,7 @@
 
     def foremost(self, watcher: int) -> bool:
         """Whether a watcher holds the nearest of the controllers held; of two as near the first one does."""
-        unknown = Place()
+        unknown = Locality()
         order = {
             holder: (self._here.distance(self._known.get(held, unknown)), holder)
             for holder, held in self._held.items()
--- a/brambleusher/membership/line_connection.py
+++ b/brambleusher/membership/line_connection.py
@@ -11,7 +11,7 @@
 from brambleusher.runtime.streams import Stream
 from brambleusher.runtime.system import Address
 from brambleusher.wire import lines
-from brambleusher.wire.errors import InvalidMessage
+from brambleusher.wire.errors import InvalidMessageError
 
 CONNECT_S = 0.5
 SILENT_S = 1.0  # unacknowledged bytes older than this end a connection
@@ -43,7 +43,7 @@
                     reply = self._handler(lines.decode(line), peer)
                     if reply is not None:
                         stream.send(lines.encode(reply), self._scheduler.now() + SEND_S)
-            except InvalidMessage as error:
+            except InvalidMessageError as error:
                 self._invalid(peer, str(error))
                 return
 
@@ -118,7 +118,7 @@
         self._buffer = lines.LineBuffer()
 
     def call(self, message: dict[str, Any], timeout_s: float) -> dict[str, Any]:
-        """The answer to a message; raises `OSError`, `Timeout` or `InvalidMessage`, and then is closed."""
+        """The answer; raises `OSError`, `Timeout` or `InvalidMessageError`, and then is closed."""
         deadline = self._scheduler.now() + timeout_s
         try:
             if self._stream is None:
--- a/brambleusher/membership/settings_watch.py
+++ b/brambleusher/membership/settings_watch.py
@@ -8,7 +8,7 @@
 
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.wire import settings as reader
-from brambleusher.wire.errors import InvalidSettings
+from brambleusher.wire.errors import InvalidSettingsError
 from brambleusher.wire.settings import Settings
 
 log = logging.getLogger(__name__)
@@ -33,7 +33,7 @@
         self._seen = stamp
         try:
             settings = reader.read(self._path)
-        except InvalidSettings as error:
+        except InvalidSettingsError as error:
             log.error("the settings stay as they were", extra={"fields": {"why": str(error)}})
             return
         self._changed(settings)
--- a/brambleusher/membership/views.py
+++ b/brambleusher/membership/views.py
@@ -11,7 +11,7 @@
 from enum import Enum
 from typing import Any
 
-from brambleusher.wire.errors import InvalidMessage
+from brambleusher.wire.errors import InvalidMessageError
 
 VIEW_MAX = 512
 SAMPLE = 64  # entries in one shuffle
@@ -57,7 +57,7 @@
 
 
 def peer_of(data: Any) -> Peer:
-    """A peer from its form on the wire; raises `InvalidMessage`."""
+    """A peer from its form on the wire; raises `InvalidMessageError`."""
     try:
         return Peer(
             str(data["name"]),
@@ -69,7 +69,7 @@
             int(data["incarnation"]),
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise InvalidMessage(f"no peer: {error}") from error
+        raise InvalidMessageError(f"no peer: {error}") from error
 
 
 class PartialView:
@@ -102,16 +102,16 @@
         return [[*(form[key] for key in KEYS), age_ms] for form, age_ms in forms]
 
     def merge(self, sample: Any, now: float) -> None:
-        """Take in another process's sample; raises `InvalidMessage`."""
+        """Take in another process's sample; raises `InvalidMessageError`."""
         if not isinstance(sample, list):
-            raise InvalidMessage("a sample is no list")
+            raise InvalidMessageError("a sample is no list")
         for part in sample[:SAMPLE]:
             if not isinstance(part, list) or len(part) != len(KEYS) + 1:
-                raise InvalidMessage("a part of a sample is no list of its length")
+                raise InvalidMessageError("a part of a sample is no list of its length")
             peer = peer_of(dict(zip(KEYS, part, strict=False)))
             age_ms = part[-1]
             if not isinstance(age_ms, int) or age_ms < 0:
-                raise InvalidMessage("an age is no count of ms")
+                raise InvalidMessageError("an age is no count of ms")
             if age_ms < FORGET_S * 1000:
                 self.heard(peer, now - age_ms / 1000)
 
--- a/brambleusher/system_main.py
+++ b/brambleusher/system_main.py
@@ -11,7 +11,7 @@
 from brambleusher.runtime.real import RealSystem
 from brambleusher.wire import policy as policy_reader
 from brambleusher.wire import settings as reader
-from brambleusher.wire.errors import InvalidFile
+from brambleusher.wire.errors import InvalidFileError
 from brambleusher.wire.policy import Policy
 
 SETTINGS_VARIABLE = "BRAMBLEUSHER_SETTINGS"
@@ -26,7 +26,7 @@
     try:
         settings = reader.read(path)
         policy = policy_reader.read(policy_path) if policy_path else Policy()
-    except InvalidFile as error:
+    except InvalidFileError as error:
         print(f"brambleusher: {error}", file=sys.stderr)
         return USAGE_STATUS
     if role == "gateway":
--- a/brambleusher/system_tools.py
+++ b/brambleusher/system_tools.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from brambleusher.controlplane.storage.storage import CorruptStorage, inspect
+from brambleusher.controlplane.storage.storage import CorruptStorageError, inspect
 from brambleusher.runtime.disk import FolderDisk
 from brambleusher.runtime.http_client import CallFailed, HttpClient
 from brambleusher.runtime.real import RealSystem
@@ -18,7 +18,7 @@
 from brambleusher.wire import configuration
 from brambleusher.wire import policy as policy_reader
 from brambleusher.wire import settings as settings_reader
-from brambleusher.wire.errors import InvalidConfiguration, InvalidPolicy, InvalidSettings
+from brambleusher.wire.errors import InvalidConfigurationError, InvalidPolicyError, InvalidSettingsError
 
 CALL_S = 3.0
 SERVES = frozenset({"edge", "controller", "registry"})
@@ -33,7 +33,7 @@
     """Read a settings file as a process would at its start."""
     try:
         settings = settings_reader.read(path)
-    except InvalidSettings as error:
+    except InvalidSettingsError as error:
         raise Fault(str(error)) from error
     return f"{path}: {settings.node_name} serves {', '.join(settings.serves) or 'nothing'}"
 
@@ -42,7 +42,7 @@
     """Read a configuration as a controller would."""
     try:
         checked = configuration.read(Path(path).read_bytes())
-    except (OSError, InvalidConfiguration) as error:
+    except (OSError, InvalidConfigurationError) as error:
         raise Fault(f"{path}: {error}") from error
     return f"{path}: revision {checked.revision}, {len(checked.routes)} routes"
 
@@ -73,7 +73,7 @@
     """Read a policy file as a gateway would at its start."""
     try:
         held = policy_reader.read(path)
-    except InvalidPolicy as error:
+    except InvalidPolicyError as error:
         raise Fault(str(error)) from error
     off = [name for name, _, _ in policy_reader.described() if not getattr(held, name)]
     return f"{path}: switched off: {', '.join(off) or 'nothing'}"
@@ -92,7 +92,7 @@
         raise Fault(f"{folder}: it is no folder")
     try:
         found = inspect(FolderDisk(folder))
-    except CorruptStorage as error:
+    except CorruptStorageError as error:
         raise Fault(f"{folder}: {error}") from error
     return json.dumps(found, indent=2)
 
--- a/brambleusher/wire/configuration.py
+++ b/brambleusher/wire/configuration.py
@@ -7,7 +7,7 @@
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
-from brambleusher.wire.errors import InvalidConfiguration
+from brambleusher.wire.errors import InvalidConfigurationError
 
 
 class _Part(BaseModel):
@@ -92,27 +92,27 @@
 def _unique(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     keys = dict(pairs)
     if len(keys) != len(pairs):
-        raise InvalidConfiguration("body", "a key stands twice in one object")
+        raise InvalidConfigurationError("body", "a key stands twice in one object")
     return keys
 
 
 def load(body: bytes) -> Any:
-    """The JSON of a call of the operator; raises `InvalidConfiguration`."""
+    """The JSON of a call of the operator; raises `InvalidConfigurationError`."""
     try:
         return json.loads(body, object_pairs_hook=_unique)
     except (ValueError, RecursionError) as error:
-        raise InvalidConfiguration("body", f"it can't be read whole: {error}") from error
+        raise InvalidConfigurationError("body", f"it can't be read whole: {error}") from error
 
 
-def invalid(error: ValidationError) -> InvalidConfiguration:
+def invalid(error: ValidationError) -> InvalidConfigurationError:
     """The first fault that pydantic found, with its key."""
     first = error.errors()[0]
     key = ".".join(str(part) for part in first["loc"]) or "body"
-    return InvalidConfiguration(key, first["msg"])
+    return InvalidConfigurationError(key, first["msg"])
 
 
 def read(body: bytes) -> Configuration:
-    """A configuration from the bytes sent, checked; raises `InvalidConfiguration`."""
+    """A configuration from the bytes sent, checked; raises `InvalidConfigurationError`."""
     try:
         configuration = Configuration.model_validate(load(body))
     except ValidationError as error:
@@ -122,11 +122,11 @@
 
 
 def read_checked(body: bytes) -> Configuration:
-    """A configuration that a controller has checked; raises `InvalidConfiguration` where it is none."""
+    """A configuration that a controller has checked; raises `InvalidConfigurationError` where it is none."""
     try:
         return Configuration.model_validate_json(body)
     except ValidationError as error:
-        raise InvalidConfiguration("body", str(error.errors()[0]["msg"])) from error
+        raise InvalidConfigurationError("body", str(error.errors()[0]["msg"])) from error
 
 
 def _check(configuration: Configuration) -> None:
@@ -136,12 +136,14 @@
         key = f"routes.{at}"
         place = (route.host.lower(), route.path_prefix)
         if place in places:
-            raise InvalidConfiguration(key, f"host {place[0]} and prefix {place[1]} have a route already")
+            raise InvalidConfigurationError(
+                key, f"host {place[0]} and prefix {place[1]} have a route already"
+            )
         places.add(place)
         if not route.shares:
-            raise InvalidConfiguration(key, "it names no service")
+            raise InvalidConfigurationError(key, "it names no service")
         for share in route.shares:
             if share.service not in known:
-                raise InvalidConfiguration(key, f"service {share.service} is unknown")
+                raise InvalidConfigurationError(key, f"service {share.service} is unknown")
         if sum(share.gain for share in route.shares) <= 0:
-            raise InvalidConfiguration(key, "the weights of its services sum to 0")
+            raise InvalidConfigurationError(key, "the weights of its services sum to 0")
--- a/brambleusher/wire/configuration_patch.py
+++ b/brambleusher/wire/configuration_patch.py
@@ -11,7 +11,7 @@
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
 from brambleusher.wire import configuration
-from brambleusher.wire.errors import InvalidConfiguration
+from brambleusher.wire.errors import InvalidConfigurationError
 
 SECTIONS = ("routes", "services")
 
@@ -43,7 +43,7 @@
 
 
 def read(body: bytes) -> Patch:
-    """A patch from the bytes sent; raises `InvalidConfiguration` that names what is wrong."""
+    """A patch from the bytes sent; raises `InvalidConfigurationError` that names what is wrong."""
     try:
         patch = Patch.model_validate(configuration.load(body))
     except ValidationError as error:
@@ -58,18 +58,18 @@
     for at, item in enumerate(getattr(patch.upsert, section)):
         name = item.get("name")
         if not isinstance(name, str) or not name:
-            raise InvalidConfiguration(f"upsert.{section}.{at}.name", "it is missing or no text")
+            raise InvalidConfigurationError(f"upsert.{section}.{at}.name", "it is missing or no text")
         if name in named:
-            raise InvalidConfiguration(f"upsert.{section}.{at}.name", f"{name} stands twice")
+            raise InvalidConfigurationError(f"upsert.{section}.{at}.name", f"{name} stands twice")
         named.add(name)
     for at, name in enumerate(getattr(patch.remove, section)):
         if name in named:
-            raise InvalidConfiguration(f"remove.{section}.{at}", f"{name} stands twice in the patch")
+            raise InvalidConfigurationError(f"remove.{section}.{at}", f"{name} stands twice in the patch")
         named.add(name)
 
 
 def merge(body: bytes, patch: Patch) -> bytes:
-    """The whole configuration that a patch makes of another; raises `InvalidConfiguration`."""
+    """The whole configuration that a patch makes of another; raises `InvalidConfigurationError`."""
     merged = json.loads(body)
     for section in SECTIONS:
         upserts = getattr(patch.upsert, section)
@@ -89,7 +89,7 @@
     held = {item.get("name", "") for item in items}
     for at, name in enumerate(removals):
         if name not in held:
-            raise InvalidConfiguration(f"remove.{section}.{at}", f"there is no {name}")
+            raise InvalidConfigurationError(f"remove.{section}.{at}", f"there is no {name}")
     replacing = {item["name"]: item for item in upserts}
     kept = [
         replacing.get(item.get("name", ""), item) for item in items if item.get("name", "") not in removals
--- a/brambleusher/wire/consensus_messages.py
+++ b/brambleusher/wire/consensus_messages.py
@@ -5,7 +5,7 @@
 from dataclasses import asdict, dataclass, fields
 from typing import Any
 
-from brambleusher.wire.errors import InvalidMessage
+from brambleusher.wire.errors import InvalidMessageError
 
 
 @dataclass(frozen=True, slots=True)
@@ -144,21 +144,21 @@
 
 
 def member_of(data: Any) -> Member:
-    """A member from its JSON form; raises `InvalidMessage`."""
+    """A member from its JSON form; raises `InvalidMessageError`."""
     try:
         return Member(data["id"], data["address"], data["control"], data["zone"], bool(data["voter"]))
     except (KeyError, TypeError) as error:
-        raise InvalidMessage("a member lacks a key") from error
+        raise InvalidMessageError("a member lacks a key") from error
 
 
 def entry_of(data: Any) -> Entry:
-    """An entry from its JSON form; raises `InvalidMessage`."""
+    """An entry from its JSON form; raises `InvalidMessageError`."""
     try:
         index, term, kind, content = data
     except (TypeError, ValueError) as error:
-        raise InvalidMessage("an entry is no list of four") from error
+        raise InvalidMessageError("an entry is no list of four") from error
     if not isinstance(index, int) or not isinstance(term, int) or kind not in ("none", "command", "members"):
-        raise InvalidMessage("an entry has parts of the wrong kind")
+        raise InvalidMessageError("an entry has parts of the wrong kind")
     return Entry(index, term, kind, content)
 
 
@@ -176,23 +176,23 @@
 
 
 def from_json(data: dict[str, Any]) -> Message:
-    """The message that an object holds; raises `InvalidMessage`."""
+    """The message that an object holds; raises `InvalidMessageError`."""
     kind = KINDS.get(str(data.get("kind")))
     if kind is None:
-        raise InvalidMessage(f"kind {data.get('kind')!r} is unknown")
+        raise InvalidMessageError(f"kind {data.get('kind')!r} is unknown")
     values: dict[str, Any] = {}
     for field in fields(kind):
         if field.name not in data:
-            raise InvalidMessage(f"{data['kind']} lacks {field.name}")
+            raise InvalidMessageError(f"{data['kind']} lacks {field.name}")
         value = data[field.name]
         if field.name == "member":
             value = member_of(value)
         elif field.name in ("entries", "members"):
             if not isinstance(value, list):
-                raise InvalidMessage(f"{field.name} of {data['kind']} is no list")
+                raise InvalidMessageError(f"{field.name} of {data['kind']} is no list")
             value = [entry_of(part) if field.name == "entries" else member_of(part) for part in value]
         elif field.type in ("int", "str", "bool") and type(value).__name__ != field.type:
-            raise InvalidMessage(f"{field.name} of {data['kind']} is no {field.type}")
+            raise InvalidMessageError(f"{field.name} of {data['kind']} is no {field.type}")
         values[field.name] = value
     message: Message = kind(**values)
     return message
--- a/brambleusher/wire/errors.py
+++ b/brambleusher/wire/errors.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(eq=False)
-class InvalidMessage(Exception):
+class InvalidMessageError(Exception):
     """A message between processes that can't be read."""
 
     reason: str
@@ -17,7 +17,7 @@
 
 
 @dataclass(eq=False)
-class InvalidConfiguration(Exception):
+class InvalidConfigurationError(Exception):
     """A configuration of the operator that must not come into force; `key` names what is wrong in it."""
 
     key: str
@@ -29,7 +29,7 @@
 
 
 @dataclass(eq=False)
-class InvalidFile(Exception):
+class InvalidFileError(Exception):
     """A file that can't be used; names the file and the key."""
 
     path: str
@@ -41,9 +41,9 @@
         return f"{self.path}: {self.key}: {self.reason}"
 
 
-class InvalidSettings(InvalidFile):
+class InvalidSettingsError(InvalidFileError):
     """A settings file that can't be used."""
 
 
-class InvalidPolicy(InvalidFile):
+class InvalidPolicyError(InvalidFileError):
     """A policy file that can't be used."""
--- a/brambleusher/wire/lines.py
+++ b/brambleusher/wire/lines.py
@@ -6,7 +6,7 @@
 
 import orjson
 
-from brambleusher.wire.errors import InvalidMessage
+from brambleusher.wire.errors import InvalidMessageError
 
 LINE_BYTES_MAX = 16 * 1024 * 1024  # a snapshot with the largest configuration fits twice
 
@@ -17,18 +17,18 @@
 
 
 def decode(line: bytes) -> dict[str, Any]:
-    """The message of a line; raises `InvalidMessage`."""
+    """The message of a line; raises `InvalidMessageError`."""
     try:
         message = orjson.loads(line)
     except orjson.JSONDecodeError as error:
-        raise InvalidMessage(f"a line is no JSON: {error}") from error
+        raise InvalidMessageError(f"a line is no JSON: {error}") from error
     if not isinstance(message, dict):
-        raise InvalidMessage("a line is no JSON object")
+        raise InvalidMessageError("a line is no JSON object")
     return message
 
 
 class LineBuffer:
-    """Bytes in, whole lines out; raises `InvalidMessage` where a line is over the bound."""
+    """Bytes in, whole lines out; raises `InvalidMessageError` where a line is over the bound."""
 
     def __init__(self, most: int = LINE_BYTES_MAX) -> None:
         self._parts: list[bytes] = []
@@ -51,4 +51,4 @@
             self._parts.append(data)
             self._held += len(data)
         if self._held > self._most:
-            raise InvalidMessage(f"a line of over {self._most} bytes")
+            raise InvalidMessageError(f"a line of over {self._most} bytes")
--- a/brambleusher/wire/packing.py
+++ b/brambleusher/wire/packing.py
@@ -9,7 +9,7 @@
 import base64
 import zlib
 
-from brambleusher.wire.errors import InvalidMessage
+from brambleusher.wire.errors import InvalidMessageError
 
 UNPACKED_BYTES_MAX = 16 * 1024 * 1024
 LEVEL = 6
@@ -21,12 +21,12 @@
 
 
 def unpack(text: str) -> bytes:
-    """The bytes that were packed; raises `InvalidMessage` for what is none, or too large."""
+    """The bytes that were packed; raises `InvalidMessageError` for what is none, or too large."""
     try:
         inflater = zlib.decompressobj()
         data = inflater.decompress(base64.b85decode(text), UNPACKED_BYTES_MAX)
     except (ValueError, zlib.error) as error:
-        raise InvalidMessage(f"a packed text can't be read: {error}") from error
+        raise InvalidMessageError(f"a packed text can't be read: {error}") from error
     if inflater.unconsumed_tail or not inflater.eof:
-        raise InvalidMessage("a packed text is too large, or cut short")
+        raise InvalidMessageError("a packed text is too large, or cut short")
     return data
--- a/brambleusher/wire/policy.py
+++ b/brambleusher/wire/policy.py
@@ -10,7 +10,7 @@
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
-from brambleusher.wire.errors import InvalidPolicy
+from brambleusher.wire.errors import InvalidPolicyError
 
 
 def _switch(meaning: str) -> bool:
@@ -43,17 +43,17 @@
 
 
 def read(path: str) -> Policy:
-    """The policy in a file; raises `InvalidPolicy` that names file and key."""
+    """The policy in a file; raises `InvalidPolicyError` that names file and key."""
     try:
         return Policy.model_validate(tomllib.loads(Path(path).read_text(encoding="utf-8")))
     except (OSError, UnicodeDecodeError) as error:
-        raise InvalidPolicy(path, "file", str(error)) from error
+        raise InvalidPolicyError(path, "file", str(error)) from error
     except tomllib.TOMLDecodeError as error:
-        raise InvalidPolicy(path, "file", f"no TOML: {error}") from error
+        raise InvalidPolicyError(path, "file", f"no TOML: {error}") from error
     except ValidationError as error:
         first = error.errors()[0]
         key = ".".join(str(part) for part in first["loc"]) or "file"
-        raise InvalidPolicy(path, key, first["msg"]) from error
+        raise InvalidPolicyError(path, key, first["msg"]) from error
 
 
 def described() -> list[tuple[str, str, str]]:
--- a/brambleusher/wire/settings.py
+++ b/brambleusher/wire/settings.py
@@ -7,7 +7,7 @@
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
-from brambleusher.wire.errors import InvalidSettings
+from brambleusher.wire.errors import InvalidSettingsError
 
 
 class _Section(BaseModel):
@@ -92,11 +92,11 @@
 
 
 def read(path: str) -> Settings:
-    """The settings in a file; raises `InvalidSettings` that names file and key."""
+    """The settings in a file; raises `InvalidSettingsError` that names file and key."""
     try:
         return parse(Path(path).read_text(encoding="utf-8"), path)
     except (OSError, UnicodeDecodeError) as error:
-        raise InvalidSettings(path, "file", str(error)) from error
+        raise InvalidSettingsError(path, "file", str(error)) from error
 
 
 def parse(text: str, path: str) -> Settings:
@@ -104,8 +104,8 @@
     try:
         return Settings.model_validate(tomllib.loads(text))
     except tomllib.TOMLDecodeError as error:
-        raise InvalidSettings(path, "file", f"no TOML: {error}") from error
+        raise InvalidSettingsError(path, "file", f"no TOML: {error}") from error
     except ValidationError as error:
         first = error.errors()[0]
         key = ".".join(str(part) for part in first["loc"]) or "file"
-        raise InvalidSettings(path, key, f"{first['msg']}, not {first.get('input')!r}") from error
+        raise InvalidSettingsError(path, key, f"{first['msg']}, not {first.get('input')!r}") from error
--- a/tests/system/test_configuration_patch.py
+++ b/tests/system/test_configuration_patch.py
@@ -10,7 +10,7 @@
 
 from brambleusher.controlplane.configuration.state_machine import PutConfiguration, SharedState, Verdict
 from brambleusher.wire import configuration_patch
-from brambleusher.wire.errors import InvalidConfiguration
+from brambleusher.wire.errors import InvalidConfigurationError
 from tests.system.whole import CONTROL, Reply, Whole, configuration, route
 
 BASE = configuration(1, route("/a/"), route("/b/"), route("/c/"))
@@ -186,5 +186,5 @@
 
 
 def test_two_items_of_one_name_are_told() -> None:
-    with pytest.raises(InvalidConfiguration, match="stands twice"):
+    with pytest.raises(InvalidConfigurationError, match="stands twice"):
         configuration_patch.read(patch_body(2, {"services": [{"name": "a"}, {"name": "a"}]}))
--- a/tests/system/test_consensus.py
+++ b/tests/system/test_consensus.py
@@ -12,7 +12,7 @@
 from brambleusher.controlplane.consensus.outputs import HardState, Outgoing, Role
 from brambleusher.controlplane.consensus.replica_state import UNSYNCED_MAX, Consensus
 from brambleusher.wire import consensus_messages as wire
-from brambleusher.wire.errors import InvalidMessage
+from brambleusher.wire.errors import InvalidMessageError
 from tests.system.cluster import Broken, Cluster, member
 from tests.system.exploration import MUTATIONS, explore
 
@@ -457,10 +457,10 @@
     assert wire.from_json(data) == message
     for key in list(data):
         broken = {name: value for name, value in data.items() if name != key}
-        with pytest.raises(InvalidMessage):
+        with pytest.raises(InvalidMessageError):
             wire.from_json(broken)
     for key, value in (("term", "3"), ("entries", 7), ("entries", [[1, 2]]), ("kind", "else")):
-        with pytest.raises(InvalidMessage):
+        with pytest.raises(InvalidMessageError):
             wire.from_json({**data, key: value})
 
 
--- a/tests/system/test_control_plane_faults.py
+++ b/tests/system/test_control_plane_faults.py
@@ -17,7 +17,7 @@
     Verdict,
     command_of,
 )
-from brambleusher.controlplane.replica import Replica, Waiter
+from brambleusher.controlplane.replica import PendingProposal, Replica
 from tests.system.control_plane_faults import SHORT_SEGMENT, play, short_segments
 from tests.system.memory_disk import MemoryDisk
 from tests.system.whole import Whole, configuration, route
@@ -406,7 +406,7 @@
     asking = follower_of(whole)
     replica = replica_of(whole, asking)
     asked = whole.controllers[leader_of(whole)].settings.peer_address
-    waiter = Waiter()
+    waiter = PendingProposal()
     replica._forwarded[77] = (asked, waiter)
     answer: dict[str, Any] = {"kind": "forwarded", "number": 77, "answer": "accepted"}
     replica.handle(answer, "10.1.0.99:7720")
@@ -422,7 +422,7 @@
     whole.served()
     replica = replica_of(whole, leader_of(whole))
     index = replica.consensus.log.last_index + 1
-    earlier, later = Waiter(), Waiter()
+    earlier, later = PendingProposal(), PendingProposal()
     replica._waiting[index] = (0, earlier)
     command = PutConfiguration.of(1, 2, configuration(2))
     answers: list[Verdict | None] = []
--- a/tests/system/test_dataplane_parts.py
+++ b/tests/system/test_dataplane_parts.py
@@ -14,7 +14,7 @@
 from brambleusher.dataplane.placement import FEW_LEAST, Placement, Wanted
 from brambleusher.dataplane.prefixes import keepers, shared_prefix
 from brambleusher.dataplane.routes import RouteTable, pick_service
-from brambleusher.membership.controllers import Controllers, Place
+from brambleusher.membership.controllers import Controllers, Locality
 from brambleusher.wire.configuration import Configuration, Route, Service
 
 ZONES = {"n1": "north", "n2": "north", "s1": "south"}
@@ -355,13 +355,17 @@
 
 # --- controllers ----------------------------------------------------------------------------------
 
-HERE = Place("n1", "north")
+HERE = Locality("n1", "north")
 
 
 def test_near_controllers_come_first_and_far_ones_when_those_fail() -> None:
     known = Controllers(("far",), random.Random(3), HERE)
     known.learn(
-        [("far", Place("s1", "south")), ("zone", Place("n1", "north")), ("region", Place("n2", "north"))]
+        [
+            ("far", Locality("s1", "south")),
+            ("zone", Locality("n1", "north")),
+            ("region", Locality("n2", "north")),
+        ]
     )
     assert [known.take(0, 0.0), known.take(1, 0.0)] == ["zone", "region"]
     known.failed("zone", 0.0)
@@ -374,7 +378,7 @@
     known = Controllers(("far",), random.Random(3), HERE)
     assert known.take(0, 0.0) == "far"
     assert not known.nearer(0, "far", 0.0)
-    known.learn([("far", Place("s1", "south")), ("zone", Place("n1", "north"))])
+    known.learn([("far", Locality("s1", "south")), ("zone", Locality("n1", "north"))])
     assert known.nearer(0, "far", 0.0)
     known.failed("zone", 0.0)
     assert not known.nearer(0, "far", 0.1)
@@ -390,7 +394,7 @@
     known._held = {0: "far", 1: "zone"}
     assert known.foremost(0)  # nobody's place is known yet
     assert not known.foremost(1)
-    known.learn([("far", Place("s1", "south")), ("zone", Place("n1", "north"))])
+    known.learn([("far", Locality("s1", "south")), ("zone", Locality("n1", "north"))])
     assert known.foremost(1)
     assert not known.foremost(0)
 
@@ -412,7 +416,7 @@
 
 def test_seeds_are_never_forgotten() -> None:
     known = Controllers(("a",), random.Random(3), HERE)
-    known.learn([("x", Place()), ("y", Place())])
+    known.learn([("x", Locality()), ("y", Locality())])
     known.reseed(("b",))
     taken = set()
     for number in range(40):
--- a/tests/system/test_fault_days_find_faults.py
+++ b/tests/system/test_fault_days_find_faults.py
@@ -9,7 +9,7 @@
 from result import Ok
 
 from brambleusher.controller.app import Controller
-from brambleusher.controlplane.configuration.admin_api import Orders
+from brambleusher.controlplane.configuration.admin_api import AdminApi
 from brambleusher.controlplane.configuration.replicated_state import ReadResult
 from brambleusher.controlplane.configuration.state_machine import (
     PutConfiguration,
@@ -72,16 +72,16 @@
 
 def old_evacuations_act(patch: Patch) -> None:
     """As it was: an order carries nothing that tells its age, whoever hung up."""
-    evacuate = Orders._evacuate
+    evacuate = AdminApi._evacuate
 
-    def act(self: Orders, request: HttpRequest, zone: str) -> HttpResponse:
+    def act(self: AdminApi, request: HttpRequest, zone: str) -> HttpResponse:
         fresh = HttpRequest(request.method, request.path, request.query, request.headers, request.body)
         return evacuate(self, fresh, zone)
 
     def submit(command: SetEvacuation) -> dict[str, Any]:
         return {"op": "evacuate", "zone": command.zone, "evacuated": command.evacuated}
 
-    patch.setattr(Orders, "_evacuate", act)
+    patch.setattr(AdminApi, "_evacuate", act)
     patch.setattr(SetEvacuation, "as_json", submit)
 
 
--- a/tests/system/test_fleet_figures.py
+++ b/tests/system/test_fleet_figures.py
@@ -11,16 +11,16 @@
     FAILED_MOST,
     FRESH_S,
     SUM_EVERY_S,
-    FleetFigures,
+    FleetLoadReports,
     checked,
 )
-from brambleusher.wire.errors import InvalidMessage
+from brambleusher.wire.errors import InvalidMessageError
 
 ONE = [2.0, 1.0, 0.5, 2.0, 0.8, 3.0, 0.5, 1.0]
 
 
 def test_the_sum_leaves_out_who_asks() -> None:
-    figures = FleetFigures()
+    figures = FleetLoadReports()
     for name in ("g1", "g2", "g3"):
         figures.take(name, checked({"a": ONE}), 0.0)
     reporters, sums = figures.others("g1", 0.1)
@@ -30,7 +30,7 @@
 
 
 def test_old_reports_fall_out() -> None:
-    figures = FleetFigures()
+    figures = FleetLoadReports()
     figures.take("g1", checked({"a": ONE}), 0.0)
     figures.take("g2", checked({"a": ONE}), FRESH_S)
     assert figures.others("x", FRESH_S + SUM_EVERY_S)[0] == 1
@@ -38,7 +38,7 @@
 
 def test_no_single_gateway_moves_the_fleet() -> None:
     """Nineteen saw an instance well, one claims that everything failed."""
-    figures = FleetFigures()
+    figures = FleetLoadReports()
     for number in range(19):
         figures.take(f"g{number}", checked({"a": [5.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.2, 1.0]}), 0.0)
     figures.take("liar", checked({"a": [0.0, 1e9, 0.0, 1e9, 1e18, 0.0, 1e9, 1e9]}), 0.0)
@@ -55,5 +55,5 @@
     [[], {"a": 1}, {"a": [1, 2]}, {"a": [1, 2, 3, 4, 5, "6"]}, {"a": [1, 2, 3, 4, 5, -6]}, {"a": [None] * 8}],
 )
 def test_a_report_that_is_none_is_refused(report: Any) -> None:
-    with pytest.raises(InvalidMessage):
+    with pytest.raises(InvalidMessageError):
         checked(report)
--- a/tests/system/test_observer.py
+++ b/tests/system/test_observer.py
@@ -9,8 +9,8 @@
 import pytest
 
 from brambleusher.controlplane.relay.relay import RelayServer
-from brambleusher.membership.controllers import Controllers, Place, places_of
-from brambleusher.wire.errors import InvalidMessage
+from brambleusher.membership.controllers import Controllers, Locality, places_of
+from brambleusher.wire.errors import InvalidMessageError
 from tests.system.test_configuration_patch import patch, patch_body
 from tests.system.whole import DIRECTORY, Whole, configuration, route
 
@@ -141,7 +141,7 @@
     assert sent
 
 
-HERE = Place("n1", "north")
+HERE = Locality("n1", "north")
 
 
 def test_seeds_that_are_observers_are_asked_only_while_nobody_else_is_known() -> None:
@@ -156,7 +156,7 @@
 
 def test_a_list_of_controllers_that_is_none_is_told() -> None:
     for data in (None, 3, [["a", "b"]], {"a": 1}):
-        with pytest.raises(InvalidMessage):
+        with pytest.raises(InvalidMessageError):
             places_of(data)
 
 
@@ -164,5 +164,5 @@
     controller = whole.controllers["c1"]
     server = RelayServer(controller.scheduler, controller.replica, lambda zone, region: [], list)
     for message in ({}, {"what": "else"}, {"what": "submit"}, {"what": "submit", "command": {"op": "put"}}):
-        with pytest.raises(InvalidMessage):
+        with pytest.raises(InvalidMessageError):
             server.handle(message)
--- a/tests/system/test_packing.py
+++ b/tests/system/test_packing.py
@@ -5,7 +5,7 @@
 import pytest
 
 from brambleusher.wire import packing
-from brambleusher.wire.errors import InvalidMessage
+from brambleusher.wire.errors import InvalidMessageError
 from brambleusher.wire.packing import pack, unpack
 from tests.system.whole import configuration, route
 
@@ -23,12 +23,12 @@
 
 @pytest.mark.parametrize("text", ["", "!", "~~~~~~", pack(b"x" * 100)[:-10], " "])
 def test_what_is_none_is_refused(text: str) -> None:
-    with pytest.raises(InvalidMessage):
+    with pytest.raises(InvalidMessageError):
         unpack(text)
 
 
 def test_what_would_unpack_beyond_the_bound_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
     packed = pack(b"x" * 5000)
     monkeypatch.setattr(packing, "UNPACKED_BYTES_MAX", 4000)
-    with pytest.raises(InvalidMessage):
+    with pytest.raises(InvalidMessageError):
         unpack(packed)
--- a/tests/system/test_policy.py
+++ b/tests/system/test_policy.py
@@ -21,7 +21,7 @@
 )
 from brambleusher.wire import instance_load, policy
 from brambleusher.wire.configuration import Service
-from brambleusher.wire.errors import InvalidPolicy
+from brambleusher.wire.errors import InvalidPolicyError
 from brambleusher.wire.instance_load import InstanceLoad
 from brambleusher.wire.policy import Policy
 from tests.system.test_dataplane_parts import ZONES, entry, wanted
@@ -42,7 +42,7 @@
 ) -> None:
     path = tmp_path / "policy.toml"
     path.write_text(text)
-    with pytest.raises(InvalidPolicy) as told:
+    with pytest.raises(InvalidPolicyError) as told:
         policy.read(str(path))
     assert told.value.key == key
     assert system_main.main(["check-policy", str(path)]) == 1
@@ -61,7 +61,7 @@
 
 
 def test_a_missing_file_is_told(tmp_path: Path) -> None:
-    with pytest.raises(InvalidPolicy):
+    with pytest.raises(InvalidPolicyError):
         policy.read(str(tmp_path / "none.toml"))
 
 
--- a/tests/system/test_storage.py
+++ b/tests/system/test_storage.py
@@ -7,7 +7,7 @@
 import pytest
 
 from brambleusher.controlplane.consensus.outputs import HardState, Record, Restore, Truncate
-from brambleusher.controlplane.storage.storage import CorruptStorage, Storage, inspect
+from brambleusher.controlplane.storage.storage import CorruptStorageError, Storage, inspect
 from brambleusher.wire.consensus_messages import Entry, Member
 from tests.system.memory_disk import MemoryDisk, PowerLost
 
@@ -82,7 +82,7 @@
     old = bytes(disk.files[first].data)
     storage.write_snapshot(header(1), "a", HardState(1, ""), [entry(2)])
     disk.append(first, old[:-4])
-    with pytest.raises(CorruptStorage, match=first):
+    with pytest.raises(CorruptStorageError, match=first):
         Storage(disk).recover()
 
 
@@ -178,7 +178,7 @@
             disk.lose_power(random.Random(seed))
             try:
                 lost += Storage(disk).recover().log.last_index < (acknowledged or [0])[-1]
-            except CorruptStorage:
+            except CorruptStorageError:
                 lost += 1
     assert lost
 
--- a/tests/system/test_views.py
+++ b/tests/system/test_views.py
@@ -9,7 +9,7 @@
 import pytest
 
 from brambleusher.membership.views import ALIVE_S, FORGET_S, SAMPLE, VIEW_MAX, PartialView, Peer, State
-from brambleusher.wire.errors import InvalidMessage
+from brambleusher.wire.errors import InvalidMessageError
 
 
 def peer(name: str, state: State = State.READY, incarnation: int = 1) -> Peer:
@@ -87,7 +87,7 @@
     ],
 )
 def test_a_sample_that_is_none_is_refused(sample: Any) -> None:
-    with pytest.raises(InvalidMessage):
+    with pytest.raises(InvalidMessageError):
         view().merge(sample, 0.0)
 
 
