--- a/brambleusher/dataplane/failures.py
+++ b/brambleusher/dataplane/failures.py
@@ -3,12 +3,15 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import ClassVar
 
 
 @dataclass(frozen=True, slots=True)
 class NotReached:
     """No connection came about: the request never left this gateway."""
 
+    counter: ClassVar[str] = "notreached"
+
     timed_out: bool = False  # nobody answered; else it was refused
 
 
@@ -16,6 +19,8 @@
 class Rejected:
     """The instance said that it did not run the request and never will."""
 
+    counter: ClassVar[str] = "rejected"
+
     status: int
 
 
@@ -23,6 +28,8 @@
 class Lost:
     """The request, or a part of it, was sent and no whole answer came: it may have run."""
 
+    counter: ClassVar[str] = "lost"
+
 
 AttemptFailure = NotReached | Rejected | Lost
 
--- a/brambleusher/dataplane/serving.py
+++ b/brambleusher/dataplane/serving.py
@@ -146,7 +146,7 @@
                 return result.ok_value
             failure = result.err_value
             reached += 1
-            work.refusal = type(failure).__name__.lower()
+            work.refusal = failure.counter
             self._note(work, instance, failure)
         return None
 
@@ -155,7 +155,7 @@
         return work.route.repeatable and work.runs < max(work.route.tries, 1)
 
     def _note(self, work: Work, instance: Instance, failure: AttemptFailure) -> None:
-        self._counters.add(type(failure).__name__.lower())
+        self._counters.add(failure.counter)
         weights = self._instances.weights.get(instance.service)
         if isinstance(failure, NotReached):
             if weights is not None:
