--- a/brambleusher/controller/app.py
+++ b/brambleusher/controller/app.py
@@ -11,12 +11,12 @@
 from brambleusher.controlplane.configuration.publisher import ConfigurationPublisher
 from brambleusher.controlplane.registry import resolver as registry
 from brambleusher.controlplane.registry.instance_list import InstanceListReader
-from brambleusher.controlplane.relay.relay import NAMED, RELAY, RelayServer
+from brambleusher.controlplane.relay.relay import CONTROLLERS_ANNOUNCEMENT, RELAY, RelayServer
 from brambleusher.controlplane.replica import Replica
 from brambleusher.membership.line_connection import LineSender, LineServer
 from brambleusher.membership.process import run_until_signalled
-from brambleusher.membership.settings_watch import SettingsWatch
-from brambleusher.membership.views import FORGET_S, PartialView, Peer, State
+from brambleusher.membership.settings_watch import SettingsWatcher
+from brambleusher.membership.views import FORGET_S, PartialView, Peer, PeerState
 from brambleusher.observability.log_format import SparseLog
 from brambleusher.runtime.disk import Disk
 from brambleusher.runtime.http_server import HttpRequest, HttpResponse
@@ -44,10 +44,10 @@
         self.settings = settings
         self._rng = random.Random(f"{settings.node_name} {system.wall_ns()}")
         self._incarnation = system.wall_ns() // 1_000_000
-        self._state = State.READY
+        self._state = PeerState.READY
         self._senders: dict[str, LineSender] = {}
         self._sparse = SparseLog(log, self.scheduler.now)
-        self._announcer: ConfigurationPublisher | None = None
+        self._publisher: ConfigurationPublisher | None = None
         self.view = PartialView(self._rng)
         self.replica = Replica(self.scheduler, settings, disk, self._send, self._rng, self._changed)
         self.replica.known_controllers = self._known_controllers
@@ -59,7 +59,7 @@
             lambda: len(self._known_controllers()) + 1,
             self._list_changed,
         )
-        self._announcer = ConfigurationPublisher(
+        self._publisher = ConfigurationPublisher(
             self.scheduler, settings.node_name, self.replica, self.instances, self.view, self._controllers
         )
         self._lines = LineServer(
@@ -71,8 +71,8 @@
         )
         self._relay = RelayServer(self.scheduler, self.replica, self._find, self._controllers)
         orders = AdminApi(self.scheduler, self.replica, frozenset(settings.zones))
-        self._endpoints = AdminListeners(self.scheduler, settings.bind, orders.handle, self._resolve)
-        self._watch = SettingsWatch(self.scheduler, path, self._settings_changed)
+        self._listeners = AdminListeners(self.scheduler, settings.bind, orders.handle, self._resolve)
+        self._watch = SettingsWatcher(self.scheduler, path, self._settings_changed)
         self.scheduler.spawn(self._shuffle, name="shuffle")
 
     def run(self) -> None:
@@ -82,12 +82,12 @@
 
     def leave(self) -> None:
         """Hand the lead over and end soon."""
-        if self._state is State.LEAVING:
+        if self._state is PeerState.DRAINING:
             return
-        self._state = State.LEAVING
+        self._state = PeerState.DRAINING
         log.info("controller leaves")
-        self._endpoints.leave()
-        self.replica.leave()
+        self._listeners.close_after_responses()
+        self.replica.begin_graceful_shutdown()
         self.scheduler.spawn(self._end, name="end")
 
     def _end(self) -> None:
@@ -108,20 +108,20 @@
         """Controllers that are there and have no vote yet."""
         voters = self.replica.voters()
         peers = self.view.alive("controller", self.scheduler.now())
-        ready = [peer.address for peer in peers if peer.state is not State.LEAVING]
+        ready = [peer.address for peer in peers if peer.state is not PeerState.DRAINING]
         return [address for address in ready if address not in voters]
 
     # --- others ----------------------------------------------------------------------------------
 
     def _changed(self) -> None:
-        if self._announcer is not None:
-            self._announcer.announce()
+        if self._publisher is not None:
+            self._publisher.notify()
 
     def _list_changed(self, read_here: bool) -> None:
         self._changed()
         if read_here:
             for address in self._known_controllers():
-                self._send(address, {"kind": "instances", **self.instances.announcement()})
+                self._send(address, {"kind": "instances", **self.instances.to_message()})
 
     def _self(self) -> Peer:
         settings = self.settings
@@ -170,17 +170,17 @@
 
     def _message(self, message: dict[str, Any], host: str) -> dict[str, Any] | None:
         kind = message.get("kind")
-        if kind == "watch" and self._announcer is not None:
-            return self._announcer.watch(message)
+        if kind == "watch" and self._publisher is not None:
+            return self._publisher.handle_long_poll(message)
         if kind == RELAY:
             return self._relay.handle(message)
-        if kind == NAMED:
+        if kind == CONTROLLERS_ANNOUNCEMENT:
             return None  # it was meant for an observer
         sender = message.get("from")
         if not isinstance(sender, str):
             raise InvalidMessageError("a message has no sender")
         if kind == "instances":
-            self.instances.hear(message)
+            self.instances.handle_reading(message)
             return None
         if kind == "shuffle":
             self.view.merge(message.get("sample"), self.scheduler.now())
@@ -194,7 +194,7 @@
     def _shuffle(self) -> None:
         while True:
             now = self.scheduler.now()
-            self.view.heard(self._self(), now)
+            self.view.record_contact(self._self(), now)
             self.view.expire(now)
             others = self._known_controllers() or [
                 peer for peer in self.replica.seeds if peer != self.settings.peer_address
@@ -209,15 +209,15 @@
         known = {*self._known_controllers(), self.settings.peer_address}
         for address in self.replica.seeds:
             if address not in known:
-                self._send(address, {"kind": NAMED, "controllers": self._controllers()})
+                self._send(address, {"kind": CONTROLLERS_ANNOUNCEMENT, "controllers": self._controllers()})
 
     def _resolve(self, request: HttpRequest) -> HttpResponse:
-        return registry.answer(request, self._find, self.settings.bounds.ttl_max_s)
+        return registry.respond(request, self._find, self.settings.bounds.ttl_max_s)
 
     def _find(self, zone: str, region: str) -> list[str]:
         """Addresses of gateways for a client of a zone."""
         gateways = self.view.alive("gateway", self.scheduler.now())
-        return registry.chosen(gateways, zone, region, self._rng)
+        return registry.choose_gateways(gateways, zone, region, self._rng)
 
     def _settings_changed(self, settings: Settings) -> None:
         self.settings = settings
--- a/brambleusher/controller/observer.py
+++ b/brambleusher/controller/observer.py
@@ -13,11 +13,11 @@
 from brambleusher.controlplane.admin_listeners import AdminListeners
 from brambleusher.controlplane.configuration.admin_api import AdminApi
 from brambleusher.controlplane.registry import resolver as registry
-from brambleusher.controlplane.relay.relay import NAMED, RELAY, RelayClient, RemoteState
-from brambleusher.membership.controllers import Controllers, Locality, places_of
+from brambleusher.controlplane.relay.relay import CONTROLLERS_ANNOUNCEMENT, RELAY, RelayClient, RemoteState
+from brambleusher.membership.controllers import Controllers, Locality, controllers_from_json
 from brambleusher.membership.line_connection import LineSender, LineServer
 from brambleusher.membership.process import run_until_signalled
-from brambleusher.membership.settings_watch import SettingsWatch
+from brambleusher.membership.settings_watch import SettingsWatcher
 from brambleusher.observability.log_format import SparseLog
 from brambleusher.runtime.http_server import HttpRequest, HttpResponse
 from brambleusher.runtime.scheduler import Scheduler
@@ -59,8 +59,8 @@
             CONNECTIONS_MAX,
         )
         orders = AdminApi(self.scheduler, RemoteState(self._relay), frozenset(settings.zones))
-        self._endpoints = AdminListeners(self.scheduler, settings.bind, orders.handle, self._resolve)
-        self._watch = SettingsWatch(self.scheduler, path, self._settings_changed)
+        self._listeners = AdminListeners(self.scheduler, settings.bind, orders.handle, self._resolve)
+        self._watch = SettingsWatcher(self.scheduler, path, self._settings_changed)
         self.scheduler.spawn(self._learn, name="learn")
 
     def run(self) -> None:
@@ -73,7 +73,7 @@
         if self._leaving:
             return
         self._leaving = True
-        self._endpoints.leave()
+        self._listeners.close_after_responses()
         self.scheduler.spawn(self._end, name="end")
 
     def _end(self) -> None:
@@ -85,13 +85,13 @@
 
     def _learn(self) -> None:
         while True:
-            self._relay.learn(self.scheduler.now() + LEARN_S)
+            self._relay.refresh_controllers(self.scheduler.now() + LEARN_S)
             self.scheduler.sleep(LEARN_EVERY_S * self._rng.uniform(0.8, 1.2))
 
     # --- the registry ----------------------------------------------------------------------------
 
     def _resolve(self, request: HttpRequest) -> HttpResponse:
-        return registry.answer(request, self._find, self.settings.bounds.ttl_max_s)
+        return registry.respond(request, self._find, self.settings.bounds.ttl_max_s)
 
     def _find(self, zone: str, region: str) -> list[str]:
         begun = self.scheduler.now()
@@ -116,17 +116,17 @@
     def _message(self, message: dict[str, Any], host: str) -> dict[str, Any] | None:
         """A gateway, an observer or a controller that knows nobody else has this one among its seeds."""
         if message.get("kind") in ("watch", RELAY):
-            return {"observer": True, "answer": None, "controllers": self.controllers.places()}
-        if message.get("kind") == NAMED:
-            self.controllers.learn(places_of(message.get("controllers")))
+            return {"observer": True, "answer": None, "controllers": self.controllers.announced_as_json()}
+        if message.get("kind") == CONTROLLERS_ANNOUNCEMENT:
+            self.controllers.set_announced(controllers_from_json(message.get("controllers")))
             return None
         if not message.get("passed"):
-            for address in self.controllers.learned():
+            for address in self.controllers.announced_addresses():
                 self._send(address, {**message, "passed": True})
         return None
 
     def _send(self, address: str, message: dict[str, Any]) -> None:
-        for gone in [known for known in self._senders if known not in self.controllers.learned()]:
+        for gone in [known for known in self._senders if known not in self.controllers.announced_addresses()]:
             self._senders.pop(gone).close()
         if address not in self._senders:
             self._senders[address] = LineSender(self.scheduler, parse_address(address))
@@ -137,5 +137,5 @@
 
     def _settings_changed(self, settings: Settings) -> None:
         self.settings = settings
-        self.controllers.reseed(self._seeds(settings))
+        self.controllers.set_seeds(self._seeds(settings))
         log.info("settings read again", extra={"fields": {"seeds": ",".join(settings.seeds)}})
--- a/brambleusher/controlplane/admin_listeners.py
+++ b/brambleusher/controlplane/admin_listeners.py
@@ -24,7 +24,7 @@
             directory = parse_address(bind.directory)
             self._servers.append(HttpServer(scheduler, directory, resolve, QUESTION_BYTES))
 
-    def leave(self) -> None:
+    def close_after_responses(self) -> None:
         """From now on each answer ends its connection."""
         for server in self._servers:
             server.closing = True
--- a/brambleusher/controlplane/configuration/admin_api.py
+++ b/brambleusher/controlplane/configuration/admin_api.py
@@ -119,7 +119,7 @@
         if zone not in self._zones:
             return _error(404, f"zone {zone} is unknown")
         deadline = self._deadline()
-        seen = self._replica.seen_index(deadline)
+        seen = self._replica.read_applied_index(deadline)
         if isinstance(seen, Err):
             return _error(503, "no controller answered in time")
         if request.hung_up():
--- a/brambleusher/controlplane/configuration/publisher.py
+++ b/brambleusher/controlplane/configuration/publisher.py
@@ -6,9 +6,9 @@
 from typing import Any
 
 from brambleusher.controlplane.registry.instance_list import InstanceListReader
-from brambleusher.controlplane.registry.load_reports import FleetLoadReports, checked
+from brambleusher.controlplane.registry.load_reports import FleetLoadReports, parse_report
 from brambleusher.controlplane.replica import Replica
-from brambleusher.membership.views import PartialView, Peer, peer_of
+from brambleusher.membership.views import PartialView, Peer, peer_from_json
 from brambleusher.runtime.scheduler import Event, Scheduler, Timeout
 from brambleusher.wire.errors import InvalidMessageError
 
@@ -34,24 +34,24 @@
         self._waiting: set[Event] = set()
         self._figures = FleetLoadReports()
 
-    def announce(self) -> None:
+    def notify(self) -> None:
         """Something has a new version."""
         for event in self._waiting:
             event.set()
 
-    def watch(self, message: dict[str, Any]) -> dict[str, Any]:
+    def handle_long_poll(self, message: dict[str, Any]) -> dict[str, Any]:
         """Wait for news and answer; raises `InvalidMessageError`.
 
         To a question that is `brief` the answer only says that there is news: the gateway follows two
         controllers, and large news should come once.
         """
-        peer = peer_of(message.get("me"))
+        peer = peer_from_json(message.get("me"))
         held, source, version = message.get("index"), message.get("source"), message.get("version")
         if not isinstance(held, int) or not isinstance(version, int):
             raise InvalidMessageError("a watch has no versions")
-        self._view.heard(peer, self._scheduler.now())
+        self._view.record_contact(peer, self._scheduler.now())
         if "figures" in message:
-            self._figures.take(peer.name, checked(message["figures"]), self._scheduler.now())
+            self._figures.record(peer.name, parse_report(message["figures"]), self._scheduler.now())
         deadline = self._scheduler.now() + HOLD_S
         event = Event()
         self._waiting.add(event)
@@ -64,7 +64,7 @@
             self._waiting.discard(event)
         answer = self._answer(peer, held, source, version, bool(message.get("brief")))
         if "figures" in message:
-            reporters, figures = self._figures.others(peer.name, self._scheduler.now())
+            reporters, figures = self._figures.sum_of_others(peer.name, self._scheduler.now())
             answer["reporters"], answer["figures"] = reporters, figures
         return answer
 
--- a/brambleusher/controlplane/configuration/replicated_state.py
+++ b/brambleusher/controlplane/configuration/replicated_state.py
@@ -29,7 +29,7 @@
     def read(self, deadline: float) -> ReadResult:
         """The state as a majority has it at this moment."""
 
-    def seen_index(self, deadline: float) -> IndexResult:
+    def read_applied_index(self, deadline: float) -> IndexResult:
         """The index up to which a replica has applied the log at this moment."""
 
     def status(self) -> dict[str, Any]:
--- a/brambleusher/controlplane/registry/instance_list.py
+++ b/brambleusher/controlplane/registry/instance_list.py
@@ -86,12 +86,12 @@
                 return instances
         raise CallFailed(f"the list has over {PAGES_MAX} pages")
 
-    def announcement(self) -> dict[str, Any]:
+    def to_message(self) -> dict[str, Any]:
         """The reading for another controller, with its age."""
         age_s = self._scheduler.now() - (self.read_at or 0.0)
         return {"instances": self.instances, "age_ms": int(age_s * 1000)}
 
-    def hear(self, message: dict[str, Any]) -> None:
+    def handle_reading(self, message: dict[str, Any]) -> None:
         """Another controller's reading; raises `InvalidMessageError`."""
         instances, age_ms = message.get("instances"), message.get("age_ms")
         if not isinstance(instances, list) or not isinstance(age_ms, int) or age_ms < 0:
--- a/brambleusher/controlplane/registry/load_reports.py
+++ b/brambleusher/controlplane/registry/load_reports.py
@@ -27,7 +27,7 @@
 LOAD_MOST = 2.0  # of one reported load
 
 
-def checked(report: Any) -> dict[str, Figures]:
+def parse_report(report: Any) -> dict[str, Figures]:
     """A report within its bounds; raises `InvalidMessageError`."""
     if not isinstance(report, dict) or len(report) > INSTANCES_MOST:
         raise InvalidMessageError("a report is no object of bounded size")
@@ -64,11 +64,11 @@
         self._sum: dict[str, Figures] = {}
         self._summed_at = -SUM_EVERY_S
 
-    def take(self, gateway: str, report: dict[str, Figures], now: float) -> None:
+    def record(self, gateway: str, report: dict[str, Figures], now: float) -> None:
         """A gateway's own figures."""
         self._reports[gateway] = (now, report)
 
-    def others(self, gateway: str, now: float) -> tuple[int, dict[str, Figures]]:
+    def sum_of_others(self, gateway: str, now: float) -> tuple[int, dict[str, Figures]]:
         """How many other gateways reported lately, and the sum of what they saw."""
         if now - self._summed_at >= SUM_EVERY_S:
             self._add_up(now)
--- a/brambleusher/controlplane/registry/resolver.py
+++ b/brambleusher/controlplane/registry/resolver.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Callable, Sequence
 
-from brambleusher.membership.views import Peer, State
+from brambleusher.membership.views import Peer, PeerState
 from brambleusher.runtime.http_server import HttpRequest, HttpResponse, json_response
 
 PATH = "/api/resolution"
@@ -16,7 +16,7 @@
 
 def nearest(gateways: Sequence[Peer], zone: str, region: str) -> list[Peer]:
     """The nearest group that is large enough: the zone's, the region's, else all."""
-    ready = [peer for peer in gateways if peer.state is State.READY]
+    ready = [peer for peer in gateways if peer.state is PeerState.READY]
     in_zone = [peer for peer in ready if peer.zone == zone]
     if len(in_zone) >= NEAR_ENOUGH:
         return in_zone
@@ -24,13 +24,13 @@
     return in_region if len(in_region) >= NEAR_ENOUGH else ready
 
 
-def chosen(gateways: Sequence[Peer], zone: str, region: str, rng: random.Random) -> list[str]:
+def choose_gateways(gateways: Sequence[Peer], zone: str, region: str, rng: random.Random) -> list[str]:
     """Addresses for a client of a zone, in no order; empty where no gateway is known to be ready."""
     near = nearest(gateways, zone, region)
     return [peer.address for peer in rng.sample(near, min(ADDRESSES_MAX, len(near)))]
 
 
-def answer(request: HttpRequest, find: Callable[[str, str], list[str]], ttl_max_s: float) -> HttpResponse:
+def respond(request: HttpRequest, find: Callable[[str, str], list[str]], ttl_max_s: float) -> HttpResponse:
     """The answer to one question, with what `find` gives for a zone and region.
 
     Without a gateway it is a failure, so that the client asks elsewhere.
--- a/brambleusher/controlplane/relay/relay.py
+++ b/brambleusher/controlplane/relay/relay.py
@@ -18,7 +18,7 @@
     SubmitResult,
 )
 from brambleusher.controlplane.configuration.state_machine import Command, SharedState, Verdict, command_of
-from brambleusher.membership.controllers import Controllers, places_of
+from brambleusher.membership.controllers import Controllers, controllers_from_json
 from brambleusher.membership.line_connection import LineClient
 from brambleusher.runtime.scheduler import Scheduler, Timeout
 from brambleusher.runtime.streams import parse_address
@@ -29,7 +29,7 @@
 LOOK_AGAIN_S = 0.03
 IDLE_CLIENTS_MAX = 16
 RELAY = "relay"  # an observer asks a controller
-NAMED = "controllers"  # a controller tells an observer which controllers there are
+CONTROLLERS_ANNOUNCEMENT = "controllers"  # a controller tells an observer which controllers there are
 
 Find = Callable[[str, str], list[str]]
 Named = list[tuple[str, str, str]]  # address, zone and region of controllers
@@ -58,7 +58,7 @@
             state = self._state.read(deadline)
             return {"answer": None if isinstance(state, Err) else state.ok_value.answer_as_json()}
         if what == "index":
-            index = self._state.seen_index(deadline)
+            index = self._state.read_applied_index(deadline)
             return {"answer": None if isinstance(index, Err) else index.ok_value}
         if what == "resolve":
             return {"answer": self._find(str(message.get("zone", "")), str(message.get("region", "")))}
@@ -85,12 +85,12 @@
     def call(self, what: str, deadline: float, **given: Any) -> Any:
         """What a controller answered; None where none did in time."""
         while (now := self._scheduler.now()) < deadline:
-            address = self._controllers.take(0, now)
+            address = self._controllers.acquire(0, now)
             answer = self._ask(address, {"kind": RELAY, "what": what, **given}, min(TRY_S, deadline - now))
             if answer is not None:
-                self._controllers.worked(address)
+                self._controllers.record_success(address)
                 return answer
-            self._controllers.failed(address, self._scheduler.now())
+            self._controllers.record_failure(address, self._scheduler.now())
             self._scheduler.sleep(LOOK_AGAIN_S)
         return None
 
@@ -100,7 +100,7 @@
         try:
             reply = client.call(message, timeout_s)
             if reply.get("observer"):
-                self._controllers.is_observer(address, places_of(reply.get("controllers")))
+                self._controllers.mark_observer(address, controllers_from_json(reply.get("controllers")))
         except (OSError, Timeout, InvalidMessageError):
             client.close()
             return None
@@ -110,13 +110,13 @@
             client.close()
         return reply.get("answer")
 
-    def learn(self, deadline: float) -> bool:
+    def refresh_controllers(self, deadline: float) -> bool:
         """Ask for the controllers that there are; whether anybody answered."""
         try:
-            named = places_of(self.call("controllers", deadline))
+            named = controllers_from_json(self.call("controllers", deadline))
         except InvalidMessageError:
             return False
-        self._controllers.learn(named)
+        self._controllers.set_announced(named)
         known = {address for address, _ in named}
         for address in [address for address in self._idle if address not in known]:
             for client in self._idle.pop(address):
@@ -140,7 +140,7 @@
         answer = self._relay.call("read", deadline)
         return Ok(SharedState.from_json(answer)) if isinstance(answer, dict) else Err(NoLeaderError())
 
-    def seen_index(self, deadline: float) -> IndexResult:
+    def read_applied_index(self, deadline: float) -> IndexResult:
         """The index that a controller had applied after this call was made."""
         answer = self._relay.call("index", deadline)
         return Ok(answer) if isinstance(answer, int) else Err(NoLeaderError())
--- a/brambleusher/controlplane/replica.py
+++ b/brambleusher/controlplane/replica.py
@@ -176,13 +176,13 @@
         return Err(NoLeaderError())
 
     @property
-    def applied(self) -> int:
+    def applied_index(self) -> int:
         """The index up to which `state` holds everything."""
         return self._applied
 
-    def seen_index(self, deadline: float) -> IndexResult:
+    def read_applied_index(self, deadline: float) -> IndexResult:
         """The same, known at once here."""
-        return Ok(self.applied)
+        return Ok(self.applied_index)
 
     def read(self, deadline: float) -> ReadResult:
         """The state as a majority has it at this moment."""
@@ -204,13 +204,13 @@
         self._pump()
         return self._wait(waiter, deadline) is True
 
-    def leave(self) -> None:
+    def begin_graceful_shutdown(self) -> None:
         """This process is about to end: hand over the lead and the vote, where others can have them."""
         if not self.consensus.leaves:
             self.consensus.leaves = True
-            self._scheduler.spawn(self._give_away, name="leave")
+            self._scheduler.spawn(self._hand_over_vote, name="leave")
 
-    def _give_away(self) -> None:
+    def _hand_over_vote(self) -> None:
         """Tell all members, since whoever leads next has to know too."""
         request = wire.as_json(wire.LeaveRequest(self.identity.id))
         while True:
--- a/brambleusher/dataplane/watcher.py
+++ b/brambleusher/dataplane/watcher.py
@@ -8,7 +8,7 @@
 
 from brambleusher.dataplane.instances import Instance, Instances
 from brambleusher.dataplane.routes import RouteTable
-from brambleusher.membership.controllers import Controllers, places_of
+from brambleusher.membership.controllers import Controllers, controllers_from_json
 from brambleusher.membership.line_connection import LineClient
 from brambleusher.membership.views import Peer
 from brambleusher.runtime.scheduler import Scheduler, Timeout
@@ -53,13 +53,13 @@
 
     def _run(self, number: int) -> None:
         while True:
-            address = self._controllers.take(number, self._scheduler.now())
+            address = self._controllers.acquire(number, self._scheduler.now())
             try:
                 if self._follow(address, number):
                     continue
             except (OSError, Timeout, InvalidMessageError) as error:
                 log.debug("a controller is left", extra={"fields": {"address": address, "why": repr(error)}})
-            self._controllers.failed(address, self._scheduler.now())
+            self._controllers.record_failure(address, self._scheduler.now())
             self._scheduler.sleep(PAUSE_S)
 
     def _follow(self, address: str, number: int) -> bool:
@@ -71,7 +71,7 @@
         source, version, brief, was_first = "", -1, True, False
         try:
             while True:
-                first = self._controllers.foremost(number)
+                first = self._controllers.holds_nearest(number)
                 if first and not was_first:
                     source, version = "", -1  # what brief answers named was not taken from here
                 was_first = first
@@ -91,7 +91,7 @@
                     question["figures"] = self._instances.report()
                 answer = client.call(question, ANSWER_S)
                 if answer.get("observer"):
-                    self._controllers.is_observer(address, places_of(answer.get("controllers")))
+                    self._controllers.mark_observer(address, controllers_from_json(answer.get("controllers")))
                     return False
                 same = first and (answer.get("source"), answer.get("version")) == (source, version)
                 self._take(answer, confirms=same)
@@ -104,8 +104,8 @@
                 source, version = str(answer.get("source")), int(answer.get("version", -1))
                 if not self._useful(answer):
                     return False
-                self._controllers.worked(address)
-                if self._controllers.nearer(number, address, self._scheduler.now()):
+                self._controllers.record_success(address)
+                if self._controllers.is_nearer_available(number, address, self._scheduler.now()):
                     return True
         finally:
             client.close()
@@ -135,7 +135,7 @@
                 self._instances.hear(int(answer["reporters"]), answer["figures"], now)
             known = answer.get("controllers")
             if isinstance(known, list) and known and answer.get("contact"):
-                self._controllers.learn(places_of(known))
+                self._controllers.set_announced(controllers_from_json(known))
         except (KeyError, TypeError, ValueError, InvalidConfigurationError) as error:
             raise InvalidMessageError(f"an answer can't be read: {error!r}") from error
 
--- a/brambleusher/gateway/app.py
+++ b/brambleusher/gateway/app.py
@@ -15,8 +15,8 @@
 from brambleusher.dataplane.watcher import Watcher
 from brambleusher.membership.controllers import Controllers, Locality
 from brambleusher.membership.process import run_until_signalled
-from brambleusher.membership.settings_watch import SettingsWatch
-from brambleusher.membership.views import Peer, State
+from brambleusher.membership.settings_watch import SettingsWatcher
+from brambleusher.membership.views import Peer, PeerState
 from brambleusher.runtime.acceptor import Acceptor
 from brambleusher.runtime.http_server import HttpRequest, HttpResponse, HttpServer, json_response
 from brambleusher.runtime.scheduler import Scheduler, Timeout
@@ -77,7 +77,7 @@
         )
         self._ready = HttpServer(self.scheduler, parse_address(settings.bind.ready), self._answer_ready)
         self._front = Acceptor(self.scheduler, parse_address(settings.bind.front), self._serve, CLIENTS_MAX)
-        self._watch = SettingsWatch(self.scheduler, path, self._settings_changed)
+        self._watch = SettingsWatcher(self.scheduler, path, self._settings_changed)
         self.scheduler.spawn(self._upkeep, name="upkeep")
 
     def run(self) -> None:
@@ -184,9 +184,9 @@
 
     def _self(self) -> Peer:
         settings = self.settings
-        state = State.READY if self.ready else State.STARTING
+        state = PeerState.READY if self.ready else PeerState.STARTING
         if self._leaving_at is not None:
-            state = State.LEAVING
+            state = PeerState.DRAINING
         return Peer(
             settings.node_name,
             "gateway",
@@ -232,5 +232,5 @@
                     self._upstream.expire(self.instances.of(service))
 
     def _settings_changed(self, settings: Settings) -> None:
-        self._controllers.reseed(settings.seed_peers())
+        self._controllers.set_seeds(settings.seed_peers())
         log.info("settings read again", extra={"fields": {"seeds": ",".join(settings.seeds)}})
--- a/brambleusher/membership/controllers.py
+++ b/brambleusher/membership/controllers.py
@@ -28,7 +28,7 @@
         return 1 if self.region == other.region else 2
 
 
-def places_of(data: Any) -> list[tuple[str, Locality]]:
+def controllers_from_json(data: Any) -> list[tuple[str, Locality]]:
     """Addresses and places from their form on the wire; raises `InvalidMessageError`."""
     try:
         return [(str(address), Locality(str(zone), str(region))) for address, zone, region in data]
@@ -48,17 +48,17 @@
         self._rests: dict[str, tuple[float, float]] = {}  # address: until, for how long
         self._held: dict[int, str] = {}
 
-    def learn(self, named: Iterable[tuple[str, Locality]]) -> None:
+    def set_announced(self, named: Iterable[tuple[str, Locality]]) -> None:
         """A controller named others: they replace what was known, but for the seeds."""
         self._learned = dict(list(named)[:KNOWN_MAX])
         self._follow()
 
-    def reseed(self, seeds: tuple[str, ...]) -> None:
+    def set_seeds(self, seeds: tuple[str, ...]) -> None:
         """The settings name other seeds."""
         self._seeds = seeds
         self._follow()
 
-    def is_observer(self, address: str, named: Iterable[tuple[str, Locality]]) -> None:
+    def mark_observer(self, address: str, named: Iterable[tuple[str, Locality]]) -> None:
         """A process said that it is no controller, and which controllers it knows."""
         self._observers.add(address)
         self._learned = {**dict(list(named)[:KNOWN_MAX]), **self._learned}
@@ -71,15 +71,15 @@
         self._known = controllers or known
         self._observers &= known.keys()
 
-    def learned(self) -> list[str]:
+    def announced_addresses(self) -> list[str]:
         """Addresses that a controller named."""
         return list(self._learned)
 
-    def places(self) -> list[tuple[str, str, str]]:
+    def announced_as_json(self) -> list[tuple[str, str, str]]:
         """Address, zone and region of the controllers that were named."""
         return [(address, place.zone, place.region) for address, place in self._learned.items()]
 
-    def take(self, watcher: int, now: float) -> str:
+    def acquire(self, watcher: int, now: float) -> str:
         """A controller for a watcher: one that rested enough, and that no other watcher holds."""
         others = {address for holder, address in self._held.items() if holder != watcher}
         free = [address for address in self._known if address not in others]
@@ -96,7 +96,7 @@
         self._held[watcher] = chosen
         return chosen
 
-    def foremost(self, watcher: int) -> bool:
+    def holds_nearest(self, watcher: int) -> bool:
         """Whether a watcher holds the nearest of the controllers held; of two as near the first one does."""
         unknown = Locality()
         order = {
@@ -105,7 +105,7 @@
         }
         return min(order, key=lambda holder: order[holder], default=watcher) == watcher
 
-    def nearer(self, watcher: int, address: str, now: float) -> bool:
+    def is_nearer_available(self, watcher: int, address: str, now: float) -> bool:
         """Whether a controller nearer than the one that a watcher holds could be had: it moves there.
 
         At the start nobody's place is known, and all gateways hold the seeds.
@@ -120,13 +120,13 @@
             if other not in others and place.zone
         )
 
-    def failed(self, address: str, now: float) -> None:
+    def record_failure(self, address: str, now: float) -> None:
         """A controller was silent, or out of contact with a majority."""
         rest = min(REST_MOST_S, max(REST_S, self._rests.get(address, (0.0, 0.0))[1] * 2))
         self._rests[address] = (now + rest * self._rng.uniform(0.7, 1.0), rest)
         if len(self._rests) > KNOWN_MAX * 2:
             del self._rests[next(iter(self._rests))]
 
-    def worked(self, address: str) -> None:
+    def record_success(self, address: str) -> None:
         """A controller answered with news of a majority."""
         self._rests.pop(address, None)
--- a/brambleusher/membership/settings_watch.py
+++ b/brambleusher/membership/settings_watch.py
@@ -16,7 +16,7 @@
 LOOK_EVERY_S = 2.0
 
 
-class SettingsWatch:
+class SettingsWatcher:
     """Calls `changed` with new settings; a file that can't be used changes nothing."""
 
     def __init__(self, scheduler: Scheduler, path: str, changed: Callable[[Settings], None]) -> None:
@@ -25,7 +25,7 @@
         if path:
             scheduler.spawn(self._run, name="settings")
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Read the file again if it is another one."""
         stamp = self._stamp()
         if stamp is None or stamp == self._seen:
@@ -41,7 +41,7 @@
     def _run(self) -> None:
         while True:
             self._scheduler.sleep(LOOK_EVERY_S)
-            self.look()
+            self.check()
 
     def _stamp(self) -> tuple[int, int, int] | None:
         try:
--- a/brambleusher/membership/views.py
+++ b/brambleusher/membership/views.py
@@ -19,12 +19,12 @@
 ALIVE_S = 3.0  # a process that was heard of this lately is taken for alive
 
 
-class State(Enum):
+class PeerState(Enum):
     """What a process says of itself."""
 
     STARTING = "starting"
     READY = "ready"
-    LEAVING = "leaving"
+    DRAINING = "leaving"
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +36,7 @@
     address: str  # where clients (gateway) or peers (controller) reach it
     zone: str
     region: str
-    state: State
+    state: PeerState
     incarnation: int  # Unix time of its start in ms; orders two starts of one name that overlap
 
     def as_json(self) -> dict[str, Any]:
@@ -56,7 +56,7 @@
 KEYS = ("name", "role", "address", "zone", "region", "state", "incarnation")
 
 
-def peer_of(data: Any) -> Peer:
+def peer_from_json(data: Any) -> Peer:
     """A peer from its form on the wire; raises `InvalidMessageError`."""
     try:
         return Peer(
@@ -65,7 +65,7 @@
             str(data["address"]),
             str(data["zone"]),
             str(data["region"]),
-            State(data["state"]),
+            PeerState(data["state"]),
             int(data["incarnation"]),
         )
     except (KeyError, TypeError, ValueError) as error:
@@ -79,7 +79,7 @@
         self._rng = rng
         self._heard: dict[str, tuple[Peer, float]] = {}
 
-    def heard(self, peer: Peer, at: float) -> None:
+    def record_contact(self, peer: Peer, at: float) -> None:
         """A peer was heard of, itself or through others, as of a moment on the local clock."""
         known = self._heard.get(peer.name)
         if known is not None and (known[1] >= at and known[0].incarnation >= peer.incarnation):
@@ -108,12 +108,12 @@
         for part in sample[:SAMPLE]:
             if not isinstance(part, list) or len(part) != len(KEYS) + 1:
                 raise InvalidMessageError("a part of a sample is no list of its length")
-            peer = peer_of(dict(zip(KEYS, part, strict=False)))
+            peer = peer_from_json(dict(zip(KEYS, part, strict=False)))
             age_ms = part[-1]
             if not isinstance(age_ms, int) or age_ms < 0:
                 raise InvalidMessageError("an age is no count of ms")
             if age_ms < FORGET_S * 1000:
-                self.heard(peer, now - age_ms / 1000)
+                self.record_contact(peer, now - age_ms / 1000)
 
     def alive(self, role: str, now: float, within_s: float = ALIVE_S) -> list[Peer]:
         """Peers of a role that were heard of lately, in the order of their names."""
--- a/tests/system/test_control_plane.py
+++ b/tests/system/test_control_plane.py
@@ -361,16 +361,16 @@
     whole.sleep(2)
     sent = dict.fromkeys(whole.controllers, 0)
     for name, controller in whole.controllers.items():
-        announcer = controller._announcer
-        assert announcer is not None
-        answer = announcer._answer
+        publisher = controller._publisher
+        assert publisher is not None
+        answer = publisher._answer
 
         def counted(*given: Any, name: str = name, answer: Any = answer) -> Any:
             made = answer(*given)
             sent[name] += "packed" in made
             return made
 
-        announcer._answer = counted  # type: ignore[method-assign, assignment]
+        publisher._answer = counted  # type: ignore[method-assign, assignment]
     body = configuration(2, *(route(f"/r{number}/") for number in range(600)))
     assert whole.put("c1", 1, body).status == 200
     whole.wait(lambda: in_force(whole, 2), 2.0)
--- a/tests/system/test_control_plane_faults.py
+++ b/tests/system/test_control_plane_faults.py
@@ -197,7 +197,7 @@
     whole.served()
     leader = leader_of(whole)
     replica = replica_of(whole, leader)
-    copy = SetEvacuation("n1", True, replica.applied).as_json()
+    copy = SetEvacuation("n1", True, replica.applied_index).as_json()
     assert whole.control("c1", "POST", "/api/evacuations/n1").status == 200
     assert whole.control("c2", "DELETE", "/api/evacuations/n1").status == 200
     message = {"kind": "forward", "number": 1, "command": copy}
--- a/tests/system/test_fault_days_find_faults.py
+++ b/tests/system/test_fault_days_find_faults.py
@@ -88,11 +88,11 @@
 def votes_stay_with_those_that_leave(patch: Patch) -> None:
     """As it was: a controller that ends hands over the lead alone."""
 
-    def leave(self: Replica) -> None:
+    def begin_graceful_shutdown(self: Replica) -> None:
         self.consensus.transfer()
         self._pump()
 
-    patch.setattr(Replica, "leave", leave)
+    patch.setattr(Replica, "begin_graceful_shutdown", begin_graceful_shutdown)
     patch.setattr(Controller, "_successors", lambda self: [])
 
 
--- a/tests/system/test_fleet_figures.py
+++ b/tests/system/test_fleet_figures.py
@@ -12,7 +12,7 @@
     FRESH_S,
     SUM_EVERY_S,
     FleetLoadReports,
-    checked,
+    parse_report,
 )
 from brambleusher.wire.errors import InvalidMessageError
 
@@ -22,27 +22,27 @@
 def test_the_sum_leaves_out_who_asks() -> None:
     figures = FleetLoadReports()
     for name in ("g1", "g2", "g3"):
-        figures.take(name, checked({"a": ONE}), 0.0)
-    reporters, sums = figures.others("g1", 0.1)
+        figures.record(name, parse_report({"a": ONE}), 0.0)
+    reporters, sums = figures.sum_of_others("g1", 0.1)
     assert reporters == 2
     assert sums["a"] == [4.0, 2.0, 1.0, 4.0, 1.6, 6.0, 1.0, 2.0]
-    assert figures.others("other", 0.1)[0] == 3
+    assert figures.sum_of_others("other", 0.1)[0] == 3
 
 
 def test_old_reports_fall_out() -> None:
     figures = FleetLoadReports()
-    figures.take("g1", checked({"a": ONE}), 0.0)
-    figures.take("g2", checked({"a": ONE}), FRESH_S)
-    assert figures.others("x", FRESH_S + SUM_EVERY_S)[0] == 1
+    figures.record("g1", parse_report({"a": ONE}), 0.0)
+    figures.record("g2", parse_report({"a": ONE}), FRESH_S)
+    assert figures.sum_of_others("x", FRESH_S + SUM_EVERY_S)[0] == 1
 
 
 def test_no_single_gateway_moves_the_fleet() -> None:
     """Nineteen saw an instance well, one claims that everything failed."""
     figures = FleetLoadReports()
     for number in range(19):
-        figures.take(f"g{number}", checked({"a": [5.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.2, 1.0]}), 0.0)
-    figures.take("liar", checked({"a": [0.0, 1e9, 0.0, 1e9, 1e18, 0.0, 1e9, 1e9]}), 0.0)
-    served, failed, _, answers, latency, _, load, weight = figures.others("x", 0.1)[1]["a"]
+        figures.record(f"g{number}", parse_report({"a": [5.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.2, 1.0]}), 0.0)
+    figures.record("liar", parse_report({"a": [0.0, 1e9, 0.0, 1e9, 1e18, 0.0, 1e9, 1e9]}), 0.0)
+    served, failed, _, answers, latency, _, load, weight = figures.sum_of_others("x", 0.1)[1]["a"]
     assert failed <= FAILED_MOST
     assert served / (served + failed) > 0.95
     assert answers <= COUNT_MOST
@@ -56,4 +56,4 @@
 )
 def test_a_report_that_is_none_is_refused(report: Any) -> None:
     with pytest.raises(InvalidMessageError):
-        checked(report)
+        parse_report(report)
--- a/tests/system/test_observer.py
+++ b/tests/system/test_observer.py
@@ -9,7 +9,7 @@
 import pytest
 
 from brambleusher.controlplane.relay.relay import RelayServer
-from brambleusher.membership.controllers import Controllers, Locality, places_of
+from brambleusher.membership.controllers import Controllers, Locality, controllers_from_json
 from brambleusher.wire.errors import InvalidMessageError
 from tests.system.test_configuration_patch import patch, patch_body
 from tests.system.whole import DIRECTORY, Whole, configuration, route
@@ -137,7 +137,7 @@
     assert observer._message({"kind": "join", "from": "x", "passed": True}, "host") is None
     assert not sent
     observer._message({"kind": "join", "from": "x"}, "host")
-    assert sorted(sent) == sorted(observer.controllers.learned())
+    assert sorted(sent) == sorted(observer.controllers.announced_addresses())
     assert sent
 
 
@@ -146,18 +146,18 @@
 
 def test_seeds_that_are_observers_are_asked_only_while_nobody_else_is_known() -> None:
     known = Controllers(("seed",), random.Random(1), HERE)
-    known.is_observer("seed", [])
-    assert known.take(0, 0.0) == "seed"
-    known.is_observer("seed", [("c", HERE)])
-    assert {known.take(0, float(at)) for at in range(20)} == {"c"}
-    known.learn([])
-    assert known.take(0, 0.0) == "seed"
+    known.mark_observer("seed", [])
+    assert known.acquire(0, 0.0) == "seed"
+    known.mark_observer("seed", [("c", HERE)])
+    assert {known.acquire(0, float(at)) for at in range(20)} == {"c"}
+    known.set_announced([])
+    assert known.acquire(0, 0.0) == "seed"
 
 
 def test_a_list_of_controllers_that_is_none_is_told() -> None:
     for data in (None, 3, [["a", "b"]], {"a": 1}):
         with pytest.raises(InvalidMessageError):
-            places_of(data)
+            controllers_from_json(data)
 
 
 def test_a_relayed_call_that_can_not_be_read_is_told(whole: Whole) -> None:
--- a/tests/system/test_views.py
+++ b/tests/system/test_views.py
@@ -8,18 +8,18 @@
 
 import pytest
 
-from brambleusher.membership.views import ALIVE_S, FORGET_S, SAMPLE, VIEW_MAX, PartialView, Peer, State
+from brambleusher.membership.views import ALIVE_S, FORGET_S, SAMPLE, VIEW_MAX, PartialView, Peer, PeerState
 from brambleusher.wire.errors import InvalidMessageError
 
 
-def peer(name: str, state: State = State.READY, incarnation: int = 1) -> Peer:
+def peer(name: str, state: PeerState = PeerState.READY, incarnation: int = 1) -> Peer:
     return Peer(name, "gateway", f"{name}:80", "n1", "north", state, incarnation)
 
 
 def view(*names: str, at: float = 0.0) -> PartialView:
     made = PartialView(random.Random(1))
     for name in names:
-        made.heard(peer(name), at)
+        made.record_contact(peer(name), at)
     return made
 
 
@@ -33,22 +33,22 @@
 def test_the_younger_news_wins_whichever_comes_first() -> None:
     for order in (0, 1):
         made = view()
-        news = [(peer("a"), 1.0), (peer("a", State.LEAVING), 2.0)]
+        news = [(peer("a"), 1.0), (peer("a", PeerState.DRAINING), 2.0)]
         for each, at in news[::-1] if order else news:
-            made.heard(each, at)
-        assert made.alive("gateway", 2.0)[0].state is State.LEAVING
+            made.record_contact(each, at)
+        assert made.alive("gateway", 2.0)[0].state is PeerState.DRAINING
 
 
 def test_a_new_start_counts_though_the_old_one_was_heard_of_later() -> None:
     made = view()
-    made.heard(peer("a", State.LEAVING, 1), 5.0)
-    made.heard(peer("a", State.STARTING, 2), 4.9)
+    made.record_contact(peer("a", PeerState.DRAINING, 1), 5.0)
+    made.record_contact(peer("a", PeerState.STARTING, 2), 4.9)
     assert made.alive("gateway", 5.0)[0].incarnation == 2
 
 
 def test_what_nobody_hears_of_is_forgotten() -> None:
     made = view("a")
-    made.heard(peer("b"), FORGET_S)
+    made.record_contact(peer("b"), FORGET_S)
     made.expire(FORGET_S + 1)
     assert [part[0] for part in made.sample(FORGET_S + 1)] == ["b"]
 
@@ -66,7 +66,7 @@
     for step in range(12):
         now = step * 0.1
         for name, mine in views.items():
-            mine.heard(peer(name), now)
+            mine.record_contact(peer(name), now)
             views[rng.choice([other for other in views if other != name])].merge(mine.sample(now), now)
     assert all(len(each.alive("gateway", 1.2)) == 8 for each in views.values())
 
