--- a/brambleusher/features/capture.py
+++ b/brambleusher/features/capture.py
@@ -21,7 +21,7 @@
 from brambleusher.features.output import ITEM_BYTES, Lane
 from brambleusher.features.records import VERSION, action_of, chosen, event_of, seal, server_entry
 from brambleusher.loadbalancing import api
-from brambleusher.loadbalancing.state_codec import save_settings
+from brambleusher.loadbalancing.settings_codec import save_settings
 from brambleusher.net.endpoint_list import EndpointListUpdate
 from brambleusher.runtime.sinks import append_whole
 from brambleusher.runtime.system import Item
--- a/brambleusher/features/records.py
+++ b/brambleusher/features/records.py
@@ -4,12 +4,13 @@
 
 import zlib
 from collections.abc import Callable, Sequence
-from typing import Any
+from typing import Any, cast
 
 import orjson
 
 from brambleusher.loadbalancing import api
-from brambleusher.loadbalancing.state_codec import plain, restore_rules, save_rules, unplain
+from brambleusher.loadbalancing.json_values import plain, unplain
+from brambleusher.loadbalancing.settings_codec import restore_rules, save_rules
 from brambleusher.net.endpoint_list import state_of, state_word
 
 VERSION = 1
@@ -82,6 +83,10 @@
     return name, told(event)
 
 
+def _load_report(values: Sequence[object] | None) -> api.LoadReport | None:
+    return api.LoadReport(*(cast(float | None, unplain(value)) for value in values)) if values else None
+
+
 def event_from(record: dict[str, Any]) -> api.Event | None:
     """The event of a record, as the module was told it."""
     name, told = record["ev"], record["in"]
@@ -93,10 +98,9 @@
             told["left_ns"], told["work_hint_ns"], told["is_retry"],
         )  # fmt: skip
     if name == "attempt":
-        report = told["report"]
         return api.AttemptEnded(
             record["id"], told["attempt"], told["server"], api.Status(told["status"]),
-            told["latency_ns"], told["closed"], report and api.LoadReport(*map(unplain, report)),
+            told["latency_ns"], told["closed"], _load_report(told["report"]),
         )  # fmt: skip
     if name == "stream":
         return api.StreamStarted(record["id"], told["attempt"], told["server"], told["latency_ns"])
@@ -119,7 +123,7 @@
     """The entry of the endpoint list that the module was told."""
     return api.HostEntry(
         raw["id"], raw["zone"], raw["kind"], raw["cell"], state_of(raw["state"]),
-        unplain(raw["weight"]), raw["started_ns"],
+        cast(float, unplain(raw["weight"])), raw["started_ns"],
     )  # fmt: skip
 
 
--- a/brambleusher/features/replay.py
+++ b/brambleusher/features/replay.py
@@ -17,13 +17,9 @@
     sound,
 )
 from brambleusher.loadbalancing import api
-from brambleusher.loadbalancing.state_codec import (
-    StateError,
-    hosts_held,
-    hosts_reached,
-    restore,
-    restore_settings,
-)
+from brambleusher.loadbalancing.json_values import StateError
+from brambleusher.loadbalancing.settings_codec import restore_settings
+from brambleusher.loadbalancing.state_codec import hosts_held, hosts_reached, restore
 from brambleusher.loadbalancing.zone_aware_balancer import balancer_for
 
 SAME, DIFFERENT, REFUSED = 0, 1, 2
--- /dev/null
+++ b/brambleusher/loadbalancing/settings_codec.py
@@ -0,0 +1,158 @@
+"""Settings of the balancer as JSON values and back, as captures and states handed to a successor have them.
+
+The keys are a stored form: the tables below map them to the attributes, which may be renamed.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from typing import Any, Final
+
+from brambleusher.loadbalancing import api
+from brambleusher.loadbalancing.json_values import MALFORMED, StateError, plain, unplain
+
+# Stored key -> attribute, in the order in which they are written.
+ZONE_RULES_KEYS: Final = {
+    "neighbours": "neighbours",
+    "spill": "spill",
+    "strain": "strain",
+    "panic": "panic",
+    "half_life_ns": "half_life_ns",
+    "hold_most_ns": "hold_most_ns",
+    "trust": "trust",
+    "evacuate": "evacuate",
+}
+REQUEST_CLASS_KEYS: Final = {
+    "name": "name",
+    "aim_ns": "aim_ns",
+    "deadline_ns": "deadline_ns",
+    "worth": "worth",
+    "late_worth": "late_worth",
+    "effect": "effect",
+    "group": "group",
+    "window_ns": "window_ns",
+    "stream": "stream",
+}
+TENANT_KEYS: Final = {
+    "name": "name",
+    "share": "share",
+    "quota_per_s": "quota_per_s",
+}
+SETTINGS_KEYS: Final = {
+    "zone": "zone",
+    "classes": "classes",
+    "fleet_size": "fleet_size",
+    "tenants": "tenants",
+    "subscribe": "subscribe",
+    "ask_within_ns": "ask_within_ns",
+    "tick_ns": "tick_ns",
+    "max_attempts": "max_attempts",
+    "second_copies": "second_copies",
+    "can_cancel": "can_cancel",
+    "can_probe": "can_probe",
+    "max_retry_after_ns": "max_retry_after_ns",
+    "connect_timeout_ns": "connect_timeout_ns",
+    "cross_zone_price": "cross_zone_price",
+    "connection_price": "connection_price",
+    "late_price": "late_price",
+    "waste_price": "waste_price",
+    "over_share_worth": "over_share_worth",
+    "worth_by_work": "worth_by_work",
+    "worst_class_part": "worst_class_part",
+    "drain_grace_ns": "drain_grace_ns",
+    "drain_release_ns": "drain_release_ns",
+    "conn_idle_ns": "conn_idle_ns",
+    "cold_ns": "cold_ns",
+    "start_capacity": "start_capacity",
+    "fall_multiple": "fall_multiple",
+    "fall_ns": "fall_ns",
+    "report_fields": "report_fields",
+    "weights": "weights",
+    "zones": "zones",
+}
+
+_SECTIONS: Final = frozenset({"classes", "tenants", "zones"})  # keys whose values are records of their own
+
+
+def save_rules(rules: api.ZoneRules | None) -> dict[str, Any] | None:
+    """Return rules on zones as JSON values."""
+    return None if rules is None else _record(rules, ZONE_RULES_KEYS)
+
+
+def restore_rules(raw: object) -> api.ZoneRules | None:
+    """Return the rules that `save_rules` was given.
+
+    Raises:
+        StateError: They are not this version's, or cannot be read.
+    """
+    if raw is None:
+        return None
+    if not isinstance(raw, Mapping):
+        raise StateError(f"the rules on zones are no object but a {type(raw).__name__}")
+    try:
+        if set(raw) != set(ZONE_RULES_KEYS):
+            raise StateError("the rules on zones are not this version's")
+        values: dict[str, Any] = {ZONE_RULES_KEYS[key]: unplain(value) for key, value in raw.items()}
+        return api.ZoneRules(**values)
+    except StateError:
+        raise
+    except MALFORMED as error:
+        raise StateError(f"the rules on zones can't be read: {type(error).__name__}: {error}") from None
+
+
+def save_settings(settings: api.Settings) -> dict[str, Any]:
+    """Return the settings as JSON values."""
+    sections: dict[str, object] = {
+        "classes": [_save_request_class(item) for item in settings.classes],
+        "tenants": [_record(item, TENANT_KEYS) for item in settings.tenants],
+        "zones": save_rules(settings.zones),
+        "report_fields": list(settings.report_fields),
+    }
+    return {
+        key: sections[key] if key in sections else plain(getattr(settings, attribute))
+        for key, attribute in SETTINGS_KEYS.items()
+    }
+
+
+def restore_settings(raw: object) -> api.Settings:
+    """Return the settings that `save_settings` was given.
+
+    Raises:
+        StateError: They are not this version's, or cannot be read.
+    """
+    if not isinstance(raw, Mapping):
+        raise StateError(f"the settings are no object but a {type(raw).__name__}")
+    try:
+        values: dict[str, Any] = {key: unplain(value) for key, value in raw.items() if key not in _SECTIONS}
+        values["classes"] = tuple(_request_class(item) for item in raw["classes"])
+        values["tenants"] = tuple(_tenant(item) for item in raw["tenants"])
+        values["zones"] = restore_rules(raw["zones"])
+        values["report_fields"] = tuple(values["report_fields"])
+        if set(values) != set(SETTINGS_KEYS):
+            raise StateError("the settings are not this version's")
+        return api.Settings(**{SETTINGS_KEYS[key]: value for key, value in values.items()})
+    except StateError:
+        raise
+    except MALFORMED as error:
+        raise StateError(f"the settings can't be read: {type(error).__name__}: {error}") from None
+
+
+def _record(item: object, keys: Mapping[str, str]) -> dict[str, Any]:
+    return {key: plain(getattr(item, attribute)) for key, attribute in keys.items()}
+
+
+def _save_request_class(item: api.RequestClass) -> dict[str, Any]:
+    words = {"effect": item.effect.value, "group": item.group.value}
+    return {
+        key: words[key] if key in words else plain(getattr(item, attribute))
+        for key, attribute in REQUEST_CLASS_KEYS.items()
+    }
+
+
+def _request_class(raw: Mapping[str, Any]) -> api.RequestClass:
+    words = {"effect": api.Effect(raw["effect"]), "group": api.Group(raw["group"])}
+    return api.RequestClass(**{REQUEST_CLASS_KEYS[key]: words.get(key, value) for key, value in raw.items()})
+
+
+def _tenant(raw: Mapping[str, Any]) -> api.Tenant:
+    return api.Tenant(**{TENANT_KEYS[key]: value for key, value in raw.items()})
--- a/brambleusher/loadbalancing/state_codec.py
+++ b/brambleusher/loadbalancing/state_codec.py
@@ -13,14 +13,15 @@
 from base64 import b64decode, b64encode
 from collections import deque
 from collections.abc import Callable
-from dataclasses import fields
 from typing import Any
 
 from brambleusher.loadbalancing import api
 from brambleusher.loadbalancing.balancer import Balancer, Turn
 from brambleusher.loadbalancing.hosts import NOTHING, Host, Request
 from brambleusher.loadbalancing.idle_timeout import Trust
+from brambleusher.loadbalancing.json_values import StateError
 from brambleusher.loadbalancing.retry_budget import Retries
+from brambleusher.loadbalancing.settings_codec import restore_rules, save_rules
 from brambleusher.loadbalancing.zone_aware_balancer import balancer_for
 from brambleusher.loadbalancing.zone_routing import Node, State, Zone, Zones
 
@@ -30,45 +31,12 @@
 )
 # Plain objects by name, and how to make an empty one that is filled with what was kept.
 _KEPT: dict[str, Callable[[], Any]] = {
-    "zones": lambda: Zones(None, "", 0, 0), "zone": lambda: Zone(""), "node": Node, "rules": api.ZoneRules,
-    "trust": Trust,
+    "zones": lambda: Zones(None, "", 0, 0), "zone": lambda: Zone(""), "node": Node, "trust": Trust,
 }  # fmt: skip
-_KEPT_AS = {Zones: "zones", Zone: "zone", Node: "node", api.ZoneRules: "rules", Trust: "trust"}
+_KEPT_AS = {Zones: "zones", Zone: "zone", Node: "node", Trust: "trust"}
 _WORDS = struct.Struct(">624I")  # the random generator's
 
 
-class StateError(ValueError):
-    """A state, or settings, that this module can't go on from."""
-
-
-def plain(value: Any) -> Any:
-    """A value without references as JSON has it; what JSON can't say stands in an object of one key."""
-    kind = type(value)
-    if value is None or kind is str or kind is int or kind is bool:
-        return value
-    if kind is float:
-        return value if math.isfinite(value) else {"f": str(value)}
-    if kind is list:
-        return [plain(item) for item in value]
-    if kind is tuple:
-        return {"t": [plain(item) for item in value]}
-    raise StateError(f"a {kind.__name__} can't be kept")
-
-
-def unplain(value: Any) -> Any:
-    """The value that `plain` was given."""
-    if isinstance(value, list):
-        return [unplain(item) for item in value]
-    if not isinstance(value, dict):
-        return value
-    ((key, held),) = value.items()
-    if key == "f":
-        return float(held)
-    if key == "t":
-        return tuple(unplain(item) for item in held)
-    raise StateError(f"a value of kind {key} is unknown")
-
-
 class _Saver:
     """Walks from the balancer to all hosts and requests that it reaches."""
 
@@ -110,6 +78,8 @@
             return {"retries": {name: self.value(item) for name, item in vars(value).items()}}
         if kind in _KEPT_AS:
             return {_KEPT_AS[kind]: {name: self.value(item) for name, item in vars(value).items()}}
+        if kind is api.ZoneRules:
+            return {"rules": save_rules(value)}
         if kind is State:
             return {"state": value.value}
         raise StateError(f"a {kind.__name__} can't be kept")
@@ -177,6 +147,8 @@
             return _fill(Retries(0), {name: self.value(item) for name, item in held.items()})
         if key in _KEPT:
             return _fill(_KEPT[key](), {name: self.value(item) for name, item in held.items()})
+        if key == "rules":
+            return restore_rules(held)
         if key == "state":
             return State(held)
         raise StateError(f"a value of kind {key} is unknown")
@@ -235,74 +207,3 @@
         not host.ready or host.shut_ns > now or (host.name in used and host.weight <= 0)
         for host in balancer._hosts.values()
     )
-
-
-# --- settings -------------------------------------------------------------------------------
-
-
-def _record(item: Any) -> dict[str, Any]:
-    return {part.name: _setting(getattr(item, part.name)) for part in fields(item)}
-
-
-def save_rules(rules: api.ZoneRules | None) -> dict[str, Any] | None:
-    """Rules on zones as plain JSON values."""
-    return None if rules is None else {part.name: plain(getattr(rules, part.name)) for part in fields(rules)}
-
-
-def restore_rules(raw: Any) -> api.ZoneRules | None:
-    """The rules that `save_rules` was given; raises `StateError`."""
-    if raw is None:
-        return None
-    try:
-        if set(raw) != {part.name for part in fields(api.ZoneRules)}:
-            raise StateError("the rules on zones are not this version's")
-        return api.ZoneRules(**{name: unplain(value) for name, value in raw.items()})
-    except StateError:
-        raise
-    except Exception as error:
-        raise StateError(f"the rules on zones can't be read: {type(error).__name__}: {error}") from None
-
-
-def _setting(value: Any) -> Any:
-    if isinstance(value, api.Effect | api.Group):
-        return value.value
-    if isinstance(value, api.RequestClass | api.Tenant):
-        return _record(value)
-    if isinstance(value, api.ZoneRules):
-        return save_rules(value)
-    if isinstance(value, tuple):
-        return [_setting(item) for item in value]
-    return plain(value)
-
-
-def save_settings(settings: api.Settings) -> dict[str, Any]:
-    """The settings as plain JSON values."""
-    return _record(settings)
-
-
-def restore_settings(raw: Any) -> api.Settings:
-    """The settings that `save_settings` was given."""
-    try:
-        beside = _RECORDS.keys() | {"zones"}
-        values = {name: unplain(value) for name, value in raw.items() if name not in beside}
-        values |= {name: tuple(made(item) for item in raw[name]) for name, made in _RECORDS.items()}
-        values["zones"] = restore_rules(raw["zones"])
-        values["report_fields"] = tuple(values["report_fields"])
-        if set(values) != {part.name for part in fields(api.Settings)}:
-            raise StateError("the settings are not this version's")
-        return api.Settings(**values)
-    except StateError:
-        raise
-    except Exception as error:
-        raise StateError(f"the settings can't be read: {type(error).__name__}: {error}") from None
-
-
-def _class_of(raw: dict[str, Any]) -> api.RequestClass:
-    return api.RequestClass(**{**raw, "effect": api.Effect(raw["effect"]), "group": api.Group(raw["group"])})
-
-
-def _tenant_of(raw: dict[str, Any]) -> api.Tenant:
-    return api.Tenant(**raw)
-
-
-_RECORDS = {"classes": _class_of, "tenants": _tenant_of}
--- a/brambleusher/loadbalancing/state_transfer.py
+++ b/brambleusher/loadbalancing/state_transfer.py
@@ -10,7 +10,8 @@
 
 from brambleusher.loadbalancing import api
 from brambleusher.loadbalancing.balancer import Balancer
-from brambleusher.loadbalancing.state_codec import StateError, restore, save
+from brambleusher.loadbalancing.json_values import StateError
+from brambleusher.loadbalancing.state_codec import restore, save
 
 MOST_HOSTS = 512  # beyond, a successor starts from nothing: writing and reading it would take too long
 
--- a/brambleusher/sidecar/balancer_driver.py
+++ b/brambleusher/sidecar/balancer_driver.py
@@ -12,7 +12,8 @@
 from typing import Any
 
 from brambleusher.loadbalancing import Balancer, api
-from brambleusher.loadbalancing.state_codec import StateError, hosts_avoided, save
+from brambleusher.loadbalancing.json_values import StateError
+from brambleusher.loadbalancing.state_codec import hosts_avoided, save
 from brambleusher.loadbalancing.state_transfer import bequeath, inherit
 from brambleusher.loadbalancing.zone_aware_balancer import ZonedBalancer, balancer_for
 from brambleusher.observability.counters import Counters
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -24,7 +24,9 @@
 from brambleusher.features.output import Lane
 from brambleusher.features.replay import DIFFERENT, REFUSED, SAME, replay
 from brambleusher.loadbalancing import Balancer, api
-from brambleusher.loadbalancing.state_codec import StateError, restore, restore_settings, save, save_settings
+from brambleusher.loadbalancing.json_values import StateError
+from brambleusher.loadbalancing.settings_codec import restore_settings, save_settings
+from brambleusher.loadbalancing.state_codec import restore, save
 from brambleusher.net.endpoint_list import EndpointListUpdate
 from brambleusher.runtime.real import RealSystem
 from brambleusher.sidecar.app import memory_of_features
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -21,7 +21,8 @@
 
 from brambleusher.handover.process_registry import ROOM, SENDS, Stage, Takeover, folder_for, part_of
 from brambleusher.loadbalancing import Balancer, api
-from brambleusher.loadbalancing.state_codec import StateError, save
+from brambleusher.loadbalancing.json_values import StateError
+from brambleusher.loadbalancing.state_codec import save
 from brambleusher.loadbalancing.state_transfer import bequeath, inherit
 from brambleusher.net.http import Message
 from brambleusher.runtime.real import RealSystem
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -24,7 +24,9 @@
 from brambleusher.lab.virtual.explore import OUTPUT_BYTES
 from brambleusher.loadbalancing import Balancer, api
 from brambleusher.loadbalancing.api import Status, ZoneRules
-from brambleusher.loadbalancing.state_codec import StateError, restore, restore_settings, save, save_settings
+from brambleusher.loadbalancing.json_values import StateError
+from brambleusher.loadbalancing.settings_codec import restore_settings, save_settings
+from brambleusher.loadbalancing.state_codec import restore, save
 from brambleusher.loadbalancing.zone_aware_balancer import ZonedBalancer, balancer_for
 from brambleusher.loadbalancing.zone_routing import Load, State, Zones, fill
 from brambleusher.sidecar.operator_configuration import parse_operator_file
