--- a/brambleusher/wire/consensus_messages.py
+++ b/brambleusher/wire/consensus_messages.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from dataclasses import asdict, dataclass, fields
+from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Any
 
 from brambleusher.wire.errors import InvalidMessageError
@@ -20,7 +21,13 @@
 
     def as_json(self) -> dict[str, Any]:
         """The form for the wire and the disk."""
-        return asdict(self)
+        return {
+            "id": self.id,
+            "address": self.address,
+            "control": self.control,
+            "zone": self.zone,
+            "voter": self.voter,
+        }
 
 
 @dataclass(frozen=True, slots=True)
@@ -130,17 +137,6 @@
     | JoinRequest
     | LeaveRequest
 )
-KINDS: dict[str, type[Any]] = {
-    "vote": VoteRequest,
-    "voted": VoteReply,
-    "append": Append,
-    "appended": AppendReply,
-    "snapshot": InstallSnapshot,
-    "transfer": TransferLeadership,
-    "join": JoinRequest,
-    "leave": LeaveRequest,
-}
-NAMES = {kind: name for name, kind in KINDS.items()}
 
 
 def member_of(data: Any) -> Member:
@@ -162,37 +158,148 @@
     return Entry(index, term, kind, content)
 
 
+@dataclass(frozen=True, slots=True)
+class _Key:
+    """One key of a message on the wire, and the attribute that it is read into.
+
+    `json_type` is the exact type of the value on the wire; None where any is taken.
+    """
+
+    key: str
+    attribute: str
+    json_type: type | None
+    encode: Callable[[Any], Any] | None = None
+    decode: Callable[[Any], Any] | None = None
+
+    def read(self, kind: str, data: dict[str, Any]) -> Any:
+        """The attribute's value from a message's object; raises `InvalidMessageError`."""
+        if self.key not in data:
+            raise InvalidMessageError(f"{kind} lacks {self.key}")
+        value = data[self.key]
+        # The exact type: a JSON boolean is no integer here.
+        if self.json_type is not None and type(value) is not self.json_type:
+            raise InvalidMessageError(f"{self.key} of {kind} is no {self.json_type.__name__}")
+        return value if self.decode is None else self.decode(value)
+
+    def write(self, message: Message) -> Any:
+        """The value on the wire."""
+        value = getattr(message, self.attribute)
+        return value if self.encode is None else self.encode(value)
+
+
+@dataclass(frozen=True, slots=True)
+class _Layout:
+    """The form of one kind of message on the wire; keys are written in this order."""
+
+    kind: str
+    message_type: type[Any]
+    keys: tuple[_Key, ...]
+
+
+def _number(key: str, attribute: str) -> _Key:
+    return _Key(key, attribute, int)
+
+
+def _text(key: str, attribute: str) -> _Key:
+    return _Key(key, attribute, str)
+
+
+def _flag(key: str, attribute: str) -> _Key:
+    return _Key(key, attribute, bool)
+
+
+def _list(key: str, attribute: str, decode_part: Callable[[Any], Any]) -> _Key:
+    return _Key(
+        key,
+        attribute,
+        list,
+        lambda values: [value.as_json() for value in values],
+        lambda parts: [decode_part(part) for part in parts],
+    )
+
+
+_TERM = _number("term", "term")
+_SENDER = _text("sender", "sender")
+
+# Replicas of other versions read these keys: a renamed attribute must not change them.
+_LAYOUTS = (
+    _Layout(
+        "vote",
+        VoteRequest,
+        (
+            _TERM,
+            _SENDER,
+            _number("last_index", "last_index"),
+            _number("last_term", "last_term"),
+            _flag("pre", "pre"),
+            _flag("transfer", "transfer"),
+        ),
+    ),
+    _Layout(
+        "voted",
+        VoteReply,
+        (_TERM, _SENDER, _number("asked", "asked"), _flag("pre", "pre"), _flag("granted", "granted")),
+    ),
+    _Layout(
+        "append",
+        Append,
+        (
+            _TERM,
+            _SENDER,
+            _number("previous_index", "previous_index"),
+            _number("previous_term", "previous_term"),
+            _list("entries", "entries", entry_of),
+            _number("commit", "commit"),
+            _number("round", "round"),
+        ),
+    ),
+    _Layout(
+        "appended",
+        AppendReply,
+        (
+            _TERM,
+            _SENDER,
+            _flag("accepted", "accepted"),
+            _number("matched", "matched"),
+            _number("round", "round"),
+        ),
+    ),
+    _Layout(
+        "snapshot",
+        InstallSnapshot,
+        (
+            _TERM,
+            _SENDER,
+            _number("index", "index"),
+            _number("index_term", "index_term"),
+            _list("members", "members", member_of),
+            _Key("state", "state", None),
+            _number("round", "round"),
+        ),
+    ),
+    _Layout("transfer", TransferLeadership, (_TERM, _SENDER)),
+    _Layout(
+        "join",
+        JoinRequest,
+        (_SENDER, _Key("member", "member", None, Member.as_json, member_of)),
+    ),
+    _Layout("leave", LeaveRequest, (_SENDER,)),
+)
+_LAYOUT_BY_KIND = {layout.kind: layout for layout in _LAYOUTS}
+_LAYOUT_BY_TYPE = {layout.message_type: layout for layout in _LAYOUTS}
+
+
 def as_json(message: Message) -> dict[str, Any]:
     """A message as an object with its kind."""
-    data: dict[str, Any] = {"kind": NAMES[type(message)]}
-    for field in fields(message):
-        value = getattr(message, field.name)
-        if field.name == "member":
-            value = value.as_json()
-        elif field.name in ("entries", "members"):
-            value = [part.as_json() for part in value]
-        data[field.name] = value
-    return data
+    layout = _LAYOUT_BY_TYPE[type(message)]
+    return {"kind": layout.kind, **{key.key: key.write(message) for key in layout.keys}}
 
 
 def from_json(data: dict[str, Any]) -> Message:
     """The message that an object holds; raises `InvalidMessageError`."""
-    kind = KINDS.get(str(data.get("kind")))
-    if kind is None:
+    layout = _LAYOUT_BY_KIND.get(str(data.get("kind")))
+    if layout is None:
         raise InvalidMessageError(f"kind {data.get('kind')!r} is unknown")
-    values: dict[str, Any] = {}
-    for field in fields(kind):
-        if field.name not in data:
-            raise InvalidMessageError(f"{data['kind']} lacks {field.name}")
-        value = data[field.name]
-        if field.name == "member":
-            value = member_of(value)
-        elif field.name in ("entries", "members"):
-            if not isinstance(value, list):
-                raise InvalidMessageError(f"{field.name} of {data['kind']} is no list")
-            value = [entry_of(part) if field.name == "entries" else member_of(part) for part in value]
-        elif field.type in ("int", "str", "bool") and type(value).__name__ != field.type:
-            raise InvalidMessageError(f"{field.name} of {data['kind']} is no {field.type}")
-        values[field.name] = value
-    message: Message = kind(**values)
+    values = {key.attribute: key.read(layout.kind, data) for key in layout.keys}
+    message: Message = layout.message_type(**values)
     return message
