--- a/brambleusher/features/capture.py
+++ b/brambleusher/features/capture.py
@@ -25,7 +25,7 @@
 from brambleusher.net.endpoint_list import EndpointListUpdate
 from brambleusher.runtime.sinks import append_whole
 from brambleusher.runtime.system import Item
-from brambleusher.sidecar.balancer_driver import Decision, Recorder
+from brambleusher.sidecar.balancer_driver import Decision, DecisionRecorder
 from brambleusher.sidecar.operator_configuration import CaptureSettings
 
 log = logging.getLogger(__name__)
@@ -54,7 +54,7 @@
         self.size = len(self.head) + sum(map(len, self.lines)) + 2 * ITEM_BYTES
 
 
-class Capture(Recorder):
+class Capture(DecisionRecorder):
     """The ring, as the decisions fill it."""
 
     def __init__(
@@ -82,10 +82,10 @@
         self._open: Segment | None = Segment(head := self._head(None), 0, self._due(len(head)))
         self._again_ns = 0
 
-    def began(self, state: Callable[[], dict[str, Any]], inherited: bool = False) -> None:
+    def start(self, state: Callable[[], dict[str, Any]], is_imported: bool = False) -> None:
         """From here on `state` tells the module's; one that was inherited stands in the first header."""
         self._state = state
-        if inherited:
+        if is_imported:
             head = self._head(state())
             self._open = Segment(head, 0, self._due(len(head)))
 
@@ -127,7 +127,7 @@
     # --- the ring -------------------------------------------------------------------------------
 
     def _record(self, decision: Decision) -> None:
-        event, now_ns, call = decision.event, decision.now_ns, decision.call
+        event, now_ns, call = decision.event, decision.now_ns, decision.request
         name, told = event_of(event)
         if isinstance(event, api.HostList):
             told["version"] = self._told
--- a/brambleusher/features/figures.py
+++ b/brambleusher/features/figures.py
@@ -12,7 +12,7 @@
 from brambleusher.loadbalancing import api
 from brambleusher.observability.counters import Counters
 from brambleusher.runtime.scheduler import Scheduler
-from brambleusher.sidecar.balancer_driver import Call, Clock, Observer, Outcome
+from brambleusher.sidecar.balancer_driver import AttemptOutcome, ClientRequest, Clock, DecisionObserver
 from brambleusher.sidecar.operator_configuration import FiguresSettings
 
 PREFIX = "brambleusher."
@@ -55,7 +55,7 @@
         return f"{PREFIX}{name}{tags} value={value}i {self._last_ns}\n".encode()
 
 
-class Figures(Observer):
+class Figures(DecisionObserver):
     """Counts and times what passes."""
 
     def __init__(
@@ -81,28 +81,28 @@
 
     # --- what passes ----------------------------------------------------------------------------
 
-    def taken(self, call: Call) -> None:
+    def request_accepted(self, request: ClientRequest) -> None:
         """A request was taken."""
-        tags = self._tags_of(call)
+        tags = self._tags_of(request)
         self._counts["requests", tags] += 1
         self._inflight[tags] = self._inflight.get(tags, 0) + 1
 
-    def claim_ended(self, call: Call, node: str, outcome: Outcome) -> None:
+    def attempt_finished(self, request: ClientRequest, endpoint: str, outcome: AttemptOutcome) -> None:
         """An attempt has ended; one that was never begun has no time."""
         if outcome.status is not api.Status.MOOT:
             ms = round(outcome.latency_ns / 1e6)
-            self._put("attempt_ms", "ms", ms, self._tags_of(call))
+            self._put("attempt_ms", "ms", ms, self._tags_of(request))
 
-    def over(self, call: Call, kind: str | None, took_ns: int) -> None:
+    def request_finished(self, request: ClientRequest, kind: str | None, took_ns: int) -> None:
         """A request is over."""
-        tags = self._tags_of(call)
+        tags = self._tags_of(request)
         self._inflight[tags] -= 1
         if kind is None:
             self._counts["requests_gone", tags] += 1
             return
         self._counts["answers", tags] += 1
         self._counts[f"answers_{kind}", tags] += 1
-        if kind == "served" and took_ns > self._aims[call.request_class]:
+        if kind == "served" and took_ns > self._aims[request.request_class]:
             self._counts["answers_late", tags] += 1
 
     # --- lines ----------------------------------------------------------------------------------
@@ -129,8 +129,8 @@
             words = self._tags[tags] = self._format.tags(tags)
         self._lane.hold(self._format.line(name, kind, value, words, self._clock.now_ns()))
 
-    def _tags_of(self, call: Call) -> Tags:
+    def _tags_of(self, request: ClientRequest) -> Tags:
         # Guards against a tag for each text that clients think up.
-        known = call.tenant in self._tenants
-        tenant = call.tenant if known and call.tenant else "other" if call.tenant else "none"
-        return call.request_class, tenant
+        known = request.tenant in self._tenants
+        tenant = request.tenant if known and request.tenant else "other" if request.tenant else "none"
+        return request.request_class, tenant
--- a/brambleusher/features/status.py
+++ b/brambleusher/features/status.py
@@ -22,7 +22,7 @@
 from brambleusher.runtime.scheduler import Event, Scheduler, Task, Timeout
 from brambleusher.runtime.streams import Stream
 from brambleusher.runtime.system import SHORT_OF_ROOM, Socket
-from brambleusher.sidecar.balancer_driver import Call, Observer, Outcome
+from brambleusher.sidecar.balancer_driver import AttemptOutcome, ClientRequest, DecisionObserver
 from brambleusher.sidecar.operator_configuration import StatusSettings
 
 log = logging.getLogger(__name__)
@@ -42,7 +42,7 @@
 )
 
 
-class StatusPage(Observer):
+class StatusPage(DecisionObserver):
     """Keeps what the page shows, builds it, serves it."""
 
     def __init__(
@@ -122,27 +122,27 @@
         if update.full:
             self._errors = {name: kept for name, kept in self._errors.items() if name in self._endpoints}
 
-    def taken(self, call: Call) -> None:
+    def request_accepted(self, request: ClientRequest) -> None:
         """A request was taken."""
-        self._inflight[call.request_class] += 1
+        self._inflight[request.request_class] += 1
 
-    def claim_ended(self, call: Call, node: str, outcome: Outcome) -> None:
+    def attempt_finished(self, request: ClientRequest, endpoint: str, outcome: AttemptOutcome) -> None:
         """An attempt has ended; what went wrong is kept with its node."""
-        if outcome.status not in _NO_ERROR and node in self._endpoints:
-            errors = self._errors.setdefault(node, deque(maxlen=ERRORS_KEPT))
+        if outcome.status not in _NO_ERROR and endpoint in self._endpoints:
+            errors = self._errors.setdefault(endpoint, deque(maxlen=ERRORS_KEPT))
             errors.append((int(self._age() * 1000), outcome.status.value))
-            self._rows.changed(node)
+            self._rows.changed(endpoint)
 
-    def over(self, call: Call, kind: str | None, took_ns: int) -> None:
+    def request_finished(self, request: ClientRequest, kind: str | None, took_ns: int) -> None:
         """A request is over."""
-        self._inflight[call.request_class] -= 1
+        self._inflight[request.request_class] -= 1
         if kind is None:
             return
         second = int(self._age())
         if not self._answers or self._answers[-1][0] != second:
             self._forget(second)
             self._answers.append((second, Counter()))
-        self._answers[-1][1][call.request_class] += 1
+        self._answers[-1][1][request.request_class] += 1
 
     def _age(self) -> float:
         return self._scheduler.now() - self._started
--- a/brambleusher/fronts/mysql/front.py
+++ b/brambleusher/fronts/mysql/front.py
@@ -43,7 +43,7 @@
 from brambleusher.runtime.scheduler import Event, Scheduler, Task, Timeout
 from brambleusher.runtime.streams import Stream
 from brambleusher.runtime.system import SHORT_OF_ROOM, Address, Socket
-from brambleusher.sidecar.balancer_driver import Call, Clock, Decisions
+from brambleusher.sidecar.balancer_driver import BalancerDriver, ClientRequest, Clock
 
 log = logging.getLogger(__name__)
 
@@ -128,7 +128,7 @@
     def __init__(
         self,
         scheduler: Scheduler,
-        decisions: Decisions,
+        decisions: BalancerDriver,
         nodes: MysqlNodes,
         clock: Clock,
         counters: Counters,
@@ -611,7 +611,7 @@
         left_ns = given.deadline_ms * 1_000_000
         left_ns -= min(ANSWER_MARGIN_NS, left_ns // 10)
         self._requests += 1
-        call = Call(
+        call = ClientRequest(
             f"mysql {self._requests}",  # with a space: no id of an HTTP request has one
             given.request_class, given.tenant, left_ns,
             None if given.work_us is None else given.work_us * 1000, False, work,
@@ -635,7 +635,7 @@
             kind = "failed" if answer.kind is AnswerKind.SERVED else answer.kind.value
             return self._say_error(client, self._sorry(answer, work, statement))
         finally:
-            self._decisions.observers.over(call, kind, self._clock.now_ns() - arrived_ns)
+            self._decisions.observers.request_finished(call, kind, self._clock.now_ns() - arrived_ns)
             self._counters.add(f"answers_{kind}" if kind else "requests_gone")
 
     @staticmethod
--- a/brambleusher/fronts/mysql/nodes.py
+++ b/brambleusher/fronts/mysql/nodes.py
@@ -29,7 +29,7 @@
 from brambleusher.observability.counters import Counters
 from brambleusher.runtime.scheduler import Event, Scheduler, Timeout
 from brambleusher.runtime.streams import Called, Stream
-from brambleusher.sidecar.balancer_driver import Outcome
+from brambleusher.sidecar.balancer_driver import AttemptOutcome
 
 log = logging.getLogger(__name__)
 
@@ -216,7 +216,7 @@
 
     def __init__(self, nodes: MysqlNodes, conn: Conn) -> None:
         self._nodes, self.conn = nodes, conn
-        self._ended: Callable[[Outcome], None] | None = None
+        self._ended: Callable[[AttemptOutcome], None] | None = None
         self.began_at = 0.0  # when its claim was made
         self.waited_ns = 0  # time that the node took, without the client's
         self.measured = False  # a statement of it counts as one at the node
@@ -236,7 +236,7 @@
         """Whether its claim is still out."""
         return self._ended is not None
 
-    def claim(self, ended: Callable[[Outcome], None], began_at: float, now: float) -> None:
+    def claim(self, ended: Callable[[AttemptOutcome], None], began_at: float, now: float) -> None:
         """The claim that it was got by stays out."""
         self._ended, self.began_at = ended, began_at
         self.waited_ns = int((now - began_at) * 1e9)
@@ -246,7 +246,7 @@
         if self._ended is not None:
             ended, self._ended = self._ended, None
             report = self._nodes.report(self.node) if status is Status.OK else None
-            ended(Outcome(status, self.waited_ns, report))
+            ended(AttemptOutcome(status, self.waited_ns, report))
 
     def measure(self) -> None:
         """A statement goes out on it."""
@@ -409,7 +409,7 @@
         payload: object,
         timeout_ns: int,
         deadline: float,
-        ended: Callable[[Outcome], None],
+        ended: Callable[[AttemptOutcome], None],
         begun: Callable[[object], None],
         passing: Callable[[bool], None] | None = None,
         wanted: Callable[[], bool] = lambda: True,
@@ -443,7 +443,7 @@
                 begun(reply)
             if not left:
                 took = int((self._scheduler.now() - start) * 1e9)
-                ended(Outcome(status, took, self.report(node) if status is Status.OK else None, reply))
+                ended(AttemptOutcome(status, took, self.report(node) if status is Status.OK else None, reply))
 
         self._scheduler.spawn(run, name=f"mysql claim {name}")
         return claim
@@ -454,7 +454,7 @@
         claim: Claim,
         work: Work,
         limit: float,
-        ended: Callable[[Outcome], None],
+        ended: Callable[[AttemptOutcome], None],
         start: float,
         wanted: Callable[[], bool],
     ) -> tuple[Status, Reply | None, bool]:
--- a/brambleusher/fronts/mysql/service.py
+++ b/brambleusher/fronts/mysql/service.py
@@ -15,7 +15,7 @@
 from brambleusher.net.endpoint_list import EndpointListUpdate
 from brambleusher.observability.counters import Counters
 from brambleusher.runtime.scheduler import Scheduler
-from brambleusher.sidecar.balancer_driver import Clock, Decisions
+from brambleusher.sidecar.balancer_driver import BalancerDriver, Clock
 from brambleusher.sidecar.operator_section import OperatorError
 
 log = logging.getLogger(__name__)
@@ -30,7 +30,7 @@
         platform: Settings,
         seed: int,
         scheduler: Scheduler,
-        decisions: Decisions,
+        decisions: BalancerDriver,
         clock: Clock,
         counters: Counters,
         entropy: Callable[[int], bytes] = os.urandom,
--- a/brambleusher/lab/faults/breakages.py
+++ b/brambleusher/lab/faults/breakages.py
@@ -30,7 +30,7 @@
 from brambleusher.runtime.scheduler import Cancelled
 from brambleusher.runtime.streams import Called, Stream
 from brambleusher.sidecar.app import Sidecar
-from brambleusher.sidecar.balancer_driver import Call, Decisions, Ticket
+from brambleusher.sidecar.balancer_driver import BalancerDriver, ClientRequest, PendingRequest
 
 LATE_SECONDS = 0.001  # past the drain limit
 
@@ -270,12 +270,14 @@
 
 @breakage("answer-swapped", "one request in sixteen gets the answer served before its own", "other-answer")
 def _answer_swapped(patches: Patches) -> None:
-    def live(self: RequestLife, call: Call, deadline: Callable[[], float], client: ClientHandle) -> Any:
+    def live(
+        self: RequestLife, call: ClientRequest, deadline: Callable[[], float], client: ClientHandle
+    ) -> Any:
         answer: Answer | None = old(self, call, deadline, client)
         if answer is None or answer.kind is not Kind.SERVED:
             return answer
         before, self._before = getattr(self, "_before", answer), answer  # type: ignore[attr-defined]
-        return before if now_and_then(call.request, 16) else answer
+        return before if now_and_then(call.request_id, 16) else answer
 
     old = patches.set(RequestLife, "live", live)
 
@@ -344,8 +346,10 @@
 
 @breakage("answer-late", "requests are held for 100 ms more than their time", "answer")
 def _answer_late(patches: Patches) -> None:
-    def live(self: RequestLife, call: Call, deadline: Callable[[], float], client: ClientHandle) -> Any:
-        late = replace(call, left_ns=call.left_ns + 100_000_000)
+    def live(
+        self: RequestLife, call: ClientRequest, deadline: Callable[[], float], client: ClientHandle
+    ) -> Any:
+        late = replace(call, time_left_ns=call.time_left_ns + 100_000_000)
         return old(self, late, lambda: deadline() + 0.1, client)
 
     old = patches.set(RequestLife, "live", live)
@@ -387,20 +391,20 @@
 
 @breakage("timer-lost", "one of the module's timers in forty is not set", "timers")
 def _timer_lost(patches: Patches) -> None:
-    def set_timer(self: Decisions, at_ns: int, token: int) -> None:
+    def set_timer(self: BalancerDriver, at_ns: int, token: int) -> None:
         if at_ns // 1000 % 40:
             old(self, at_ns, token)
 
-    old = patches.set(Decisions, "_set_timer", set_timer)
+    old = patches.set(BalancerDriver, "_set_timer", set_timer)
 
 
 @breakage("ticket-kept", "tickets of requests with several claims are never let go", "left-over")
 def _ticket_kept(patches: Patches) -> None:
-    def forget(self: Decisions, ticket: Ticket) -> None:
-        if ticket.claims_wanted < 2:
-            old(self, ticket)
+    def release(self: BalancerDriver, pending: PendingRequest) -> None:
+        if pending.attempts_requested < 2:
+            old(self, pending)
 
-    old = patches.set(Decisions, "_forget", forget)
+    old = patches.set(BalancerDriver, "_release", release)
 
 
 @breakage("places-kept", "a connection that is closed goes on counting as open", "left-over", "recovery")
--- a/brambleusher/lab/fleets/fleet.py
+++ b/brambleusher/lab/fleets/fleet.py
@@ -594,7 +594,7 @@
         nodes = sidecar.nodes
         idle = nodes.idle_connections
         return SidecarEnd(
-            name=self.figures.name, up=True, tickets=sidecar.decisions.tickets,
+            name=self.figures.name, up=True, tickets=sidecar.decisions.pending_requests,
             clients=sidecar.clients.connections, claims=nodes.claims_out,
             node_connections=nodes.open_connections, node_idle=idle, timers=sidecar.scheduler.timers,
             descriptors=process.descriptors,
--- a/brambleusher/net/client_listener.py
+++ b/brambleusher/net/client_listener.py
@@ -33,10 +33,10 @@
 from brambleusher.runtime.streams import Stream
 from brambleusher.runtime.system import SHORT_OF_ROOM, Socket
 from brambleusher.sidecar.balancer_driver import (
-    Call,
+    BalancerDriver,
+    ClientRequest,
     Clock,
-    Decisions,
-    DuplicateRequest,
+    DuplicateRequestError,
 )
 
 log = logging.getLogger(__name__)
@@ -103,7 +103,7 @@
     def __init__(
         self,
         scheduler: Scheduler,
-        decisions: Decisions,
+        decisions: BalancerDriver,
         nodes: UpstreamPool,
         clock: Clock,
         counters: Counters,
@@ -539,15 +539,15 @@
             # Guards against answers that come when nobody waits any more: its time began when it came.
             waited_ns = int(min(self._scheduler.system.waited(stream.sock), late) * 1e9)
             arrived_ns -= waited_ns
-            call = replace(call, left_ns=max(call.left_ns - waited_ns, 0))
+            call = replace(call, time_left_ns=max(call.time_left_ns - waited_ns, 0))
             self._counters.add("requests_read_late")
         self._places.named(connection, call.tenant or "")
         if self._rewrites is not None:
             passed = self._rewrites.inward(request, path, call.request_class, connection.peer)
             call = replace(call, payload=passed)
-        due = min(self._clock.seconds(now_ns + call.left_ns), self.answer_by)
+        due = min(self._clock.seconds(now_ns + call.time_left_ns), self.answer_by)
         if upload is not None:
-            self._await_body(upload, call.left_ns)
+            self._await_body(upload, call.time_left_ns)
 
         def deadline() -> float:
             return due if upload is None else upload.due
@@ -576,7 +576,7 @@
             if upload is not None and upload.left:
                 answer = None
             kind = None if answer is None else answer.kind.value
-            self._decisions.observers.over(call, kind, self._clock.now_ns() - arrived_ns)
+            self._decisions.observers.request_finished(call, kind, self._clock.now_ns() - arrived_ns)
             if answer is None:
                 self._counters.add("requests_gone")
                 return None
@@ -592,7 +592,7 @@
             if isinstance(answer.payload, Message) and isinstance(answer.payload.rest, Tail):
                 reply.rest = answer.payload.rest
             return reply
-        except DuplicateRequest as error:
+        except DuplicateRequestError as error:
             raise HttpError(400, str(error)) from None
         finally:
             # Else it ends with its answer's last byte.
@@ -626,7 +626,7 @@
         kind = answer.payload.headers.get("content-type")
         return 200, [("Content-Type", kind)] if kind else [], answer.payload.body
 
-    def _call(self, request: Message, path: str) -> Call:
+    def _call(self, request: Message, path: str) -> ClientRequest:
         """What the decisions need to know of a request; raises `HttpError` where that makes no sense."""
         headers = request.headers
         named = path[1:].split("/", 1)[0]
@@ -651,11 +651,11 @@
         if hint is not None and not _DECIMAL.match(hint):
             raise HttpError(400, "Work-Hint is not a number of microseconds")
         left_ns = int(wait) * 1_000_000
-        return Call(
-            request=headers["request-id"],
+        return ClientRequest(
+            request_id=headers["request-id"],
             request_class=request_class,
             tenant=tenant,
-            left_ns=left_ns - min(ANSWER_MARGIN_NS, left_ns // 10),
+            time_left_ns=left_ns - min(ANSWER_MARGIN_NS, left_ns // 10),
             work_hint_ns=None if hint is None else int(float(hint) * 1000),
             is_retry=headers.get("client-retry") == "1",
             payload=request,
--- a/brambleusher/net/request_life.py
+++ b/brambleusher/net/request_life.py
@@ -12,13 +12,13 @@
 from brambleusher.runtime.scheduler import Scheduler, Timeout
 from brambleusher.runtime.system import Socket
 from brambleusher.sidecar.balancer_driver import (
-    AnswerBegun,
-    Call,
-    ClaimEnded,
-    Decisions,
-    MakeClaim,
-    Outcome,
-    Ticket,
+    AttemptFinished,
+    AttemptOutcome,
+    AttemptRequested,
+    BalancerDriver,
+    ClientRequest,
+    PendingRequest,
+    ResponseStarted,
 )
 
 log = logging.getLogger(__name__)
@@ -67,7 +67,7 @@
         payload: object,
         timeout_ns: int,
         deadline: float,
-        ended: Callable[[Outcome], None],
+        ended: Callable[[AttemptOutcome], None],
         begun: Callable[[object], None],
         passing: Callable[[bool], None],
         wanted: Callable[[], bool],
@@ -84,19 +84,19 @@
 class RequestLife:
     """Lives of requests, in whatever protocol they came."""
 
-    def __init__(self, decisions: Decisions, nodes: ClaimSide, scheduler: Scheduler) -> None:
+    def __init__(self, decisions: BalancerDriver, nodes: ClaimSide, scheduler: Scheduler) -> None:
         self._decisions, self._nodes, self._scheduler = decisions, nodes, scheduler
 
-    def live(self, call: Call, deadline: Callable[[], float], client: ClientHandle) -> Answer | None:
+    def live(self, call: ClientRequest, deadline: Callable[[], float], client: ClientHandle) -> Answer | None:
         """One request from its arrival to its final answer; None if its client left before.
 
         The module is asked at each point of choice: when the request comes, and whenever a claim
         made for it has ended.  `deadline` is when the answer must leave; it comes nearer where a body that
         goes out as it comes is whole.
         """
-        ticket, began_at = self._decisions.take(call), self._scheduler.now()
+        ticket, began_at = self._decisions.submit(call), self._scheduler.now()
         claims: dict[int, ClaimUnderWay] = {}
-        ticket.call_off = lambda attempt: claims[attempt].call_off() if attempt in claims else None
+        ticket.cancel_attempt = lambda attempt: claims[attempt].call_off() if attempt in claims else None
 
         def wanted() -> bool:
             return not client.has_left()
@@ -109,36 +109,45 @@
                         self._abandon(ticket, claims)
                         return None
                 step = ticket.steps.popleft()
-                if isinstance(step, MakeClaim | Refuse | Fail) and client.has_left():
+                if isinstance(step, AttemptRequested | Refuse | Fail) and client.has_left():
                     ticket.steps.appendleft(step)  # `close` tells the module that it is not made
                     self._abandon(ticket, claims)
                     return None
                 # 2. Make a claim.
-                if isinstance(step, MakeClaim):
+                if isinstance(step, AttemptRequested):
 
-                    def ended(outcome: Outcome, made: MakeClaim = step) -> None:
-                        self._decisions.claim_ended(ticket, ClaimEnded(made.attempt, made.node, outcome))
+                    def ended(outcome: AttemptOutcome, made: AttemptRequested = step) -> None:
+                        self._decisions.deliver_attempt_finished(
+                            ticket, AttemptFinished(made.attempt, made.endpoint, outcome)
+                        )
 
-                    def begun(payload: object, made: MakeClaim = step) -> None:
+                    def begun(payload: object, made: AttemptRequested = step) -> None:
                         took = int((self._scheduler.now() - began_at) * 1e9)
-                        news = AnswerBegun(made.attempt, made.node, took, payload)
-                        self._decisions.claim_begun(ticket, news)
+                        news = ResponseStarted(made.attempt, made.endpoint, took, payload)
+                        self._decisions.deliver_response_started(ticket, news)
 
-                    def passing(whole: bool, made: MakeClaim = step) -> None:
-                        self._decisions.body_passing(ticket, made.attempt, whole)
+                    def passing(whole: bool, made: AttemptRequested = step) -> None:
+                        self._decisions.report_body_progress(ticket, made.attempt, whole)
 
                     claims[step.attempt] = self._nodes.claim(
-                        step.node, call.payload, step.timeout_ns, deadline(), ended, begun, passing, wanted
+                        step.endpoint,
+                        call.payload,
+                        step.timeout_ns,
+                        deadline(),
+                        ended,
+                        begun,
+                        passing,
+                        wanted,
                     )
                 # 3. A claim has ended: the first that served answers the request.
-                elif isinstance(step, ClaimEnded):
+                elif isinstance(step, AttemptFinished):
                     served = step.outcome.status is Status.OK
-                    self._decisions.ended(ticket, step, closed=served)
+                    self._decisions.finish_attempt(ticket, step, closed=served)
                     if served:
                         return Answer(Kind.SERVED, payload=step.outcome.payload)
                 # 4. An answer has begun: from here on it is its protocol's, and no other claim is wanted.
-                elif isinstance(step, AnswerBegun):
-                    self._decisions.began(ticket, step)
+                elif isinstance(step, ResponseStarted):
+                    self._decisions.start_response(ticket, step)
                     for attempt, claim in claims.items():
                         if attempt != step.attempt:
                             claim.call_off()
@@ -151,24 +160,24 @@
                     return Answer(Kind.FAILED)
         except Timeout:
             # Guards against a module that owes an answer and never gives it.
-            log.error("no answer from the module", extra={"fields": {"request": call.request}})
-            self._decisions.left(ticket)
+            log.error("no answer from the module", extra={"fields": {"request": call.request_id}})
+            self._decisions.abandon_request(ticket)
             return Answer(Kind.FAILED)
         except Exception:
             # Guards against a request left without an answer by a fault of ours.
-            log.exception("request failed", extra={"fields": {"request": call.request}})
-            self._decisions.left(ticket)
+            log.exception("request failed", extra={"fields": {"request": call.request_id}})
+            self._decisions.abandon_request(ticket)
             return Answer(Kind.FAILED)
         finally:
-            self._decisions.close(ticket)
+            self._decisions.close_request(ticket)
 
-    def _abandon(self, ticket: Ticket, claims: dict[int, ClaimUnderWay]) -> None:
+    def _abandon(self, ticket: PendingRequest, claims: dict[int, ClaimUnderWay]) -> None:
         """The client has left: nothing more is sent for it, and what is out is called off."""
-        self._decisions.left(ticket)
+        self._decisions.abandon_request(ticket)
         for claim in claims.values():
             claim.call_off()
 
-    def _wait(self, ticket: Ticket, deadline: float, client: ClientHandle) -> bool:
+    def _wait(self, ticket: PendingRequest, deadline: float, client: ClientHandle) -> bool:
         """Wait for something to happen; true if the client is to be looked at."""
         try:
             return self._scheduler.park(deadline, client.watch(), event=ticket.event) == "socket"
--- a/brambleusher/net/upstream_pool.py
+++ b/brambleusher/net/upstream_pool.py
@@ -27,7 +27,7 @@
 from brambleusher.observability.log_format import SparseLog
 from brambleusher.runtime.scheduler import Event, Scheduler, Timeout
 from brambleusher.runtime.streams import Called, Stream
-from brambleusher.sidecar.balancer_driver import Outcome, nothing
+from brambleusher.sidecar.balancer_driver import AttemptOutcome, do_nothing
 
 log = logging.getLogger(__name__)
 
@@ -233,7 +233,7 @@
         payload: object,
         timeout_ns: int,
         deadline: float,
-        ended: Callable[[Outcome], None],
+        ended: Callable[[AttemptOutcome], None],
         begun: Callable[[object], None] | None = None,
         passing: Callable[[bool], None] = lambda whole: None,
         wanted: Callable[[], bool] = lambda: True,
@@ -253,8 +253,8 @@
 
         def tell(status: Status, report: LoadReport | None, answer: Message | None) -> None:
             latency = int((self._scheduler.now() - claim.began_at) * 1e9)
-            drop = answer.rest.close if answer is not None and isinstance(answer.rest, Tail) else nothing
-            ended(Outcome(status, latency, report, answer, drop))
+            drop = answer.rest.close if answer is not None and isinstance(answer.rest, Tail) else do_nothing
+            ended(AttemptOutcome(status, latency, report, answer, drop))
 
         def run() -> None:
             outcome: Ended | None = (Status.ERROR, None, None)
--- a/brambleusher/sidecar/app.py
+++ b/brambleusher/sidecar/app.py
@@ -37,7 +37,7 @@
 from brambleusher.runtime.real import RealSystem
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.system import Sink, System
-from brambleusher.sidecar.balancer_driver import Clock, Decisions, Observer, Observers
+from brambleusher.sidecar.balancer_driver import BalancerDriver, Clock, DecisionObserver, DecisionObservers
 from brambleusher.sidecar.configuration import Config, ConfigError, fixed_keys_changed
 from brambleusher.sidecar.operator_configuration import CaptureSettings, FiguresSettings, OperatorFile
 from brambleusher.sidecar.operator_section import OperatorError
@@ -137,10 +137,10 @@
             if operator.status is None
             else StatusPage(operator.status, config.settings, self.scheduler, self._standing)
         )
-        observers: list[Observer] = [each for each in (self.figures, self.status) if each is not None]
-        self.decisions = Decisions(
+        observers: list[DecisionObserver] = [each for each in (self.figures, self.status) if each is not None]
+        self.decisions = BalancerDriver(
             config.settings, config.seed, self.scheduler, self.clock, self.counters,
-            Observers(observers) if observers else None, self.capture, make, learnt,
+            DecisionObservers(observers) if observers else None, self.capture, make, learnt,
         )  # fmt: skip
         self.endpoint_list = EndpointList(
             self.scheduler,
@@ -148,11 +148,11 @@
             random.Random(config.seed ^ 1),
             self.counters,
             self._listed,
-            lambda: self.decisions.listed(ListKind.FAILED, ()),
+            lambda: self.decisions.update_endpoints(ListKind.FAILED, ()),
             slices=True,
             sidecars=config.settings.fleet_size,
         )
-        self.decisions.on_let_go = self._let_go
+        self.decisions.on_close_idle_connections = self._let_go
         self.decisions.on_subscribe = self.endpoint_list.ask
         self.places = Places(rooms.clients, max(int(config.limits.sockets * ASKING_PART), 8))
         self.clients = ClientListener(
@@ -225,7 +225,7 @@
         return {
             "list": {"version": self._version, "full": True, "servers": servers},
             "discovery": "{}:{}".format(*self.config.discovery),
-            "state": self.decisions.learnt(),
+            "state": self.decisions.export_state(),
         }
 
     def _parted(self) -> None:
@@ -236,10 +236,10 @@
         self.nodes.resize(room.nodes)
         self.places.most = room.clients
         self.places.asking = min(room.clients, max(int(self.config.limits.sockets * ASKING_PART), 8))
-        self.decisions.part(self.takeover.sends)
+        self.decisions.set_process_share(self.takeover.sends)
 
     def _standing(self) -> dict[str, object] | None:
-        return self.decisions.standing()
+        return self.decisions.zone_status()
 
     def _output(self, where: str, make: Callable[[], Sink]) -> Output:
         if where not in self.outputs:
@@ -338,7 +338,7 @@
             log.info("admin endpoint", extra={"fields": {"address": f"{host}:{port}"}})
         if self.takeover is not None:
             if self.takeover.processes > 1:
-                self.decisions.part(self.takeover.sends)
+                self.decisions.set_process_share(self.takeover.sends)
             self.scheduler.spawn(self.takeover.watch, name="takeover", urgent=True)
         where = self._listen()
         log.info(
@@ -423,7 +423,9 @@
 
     def figures_text(self) -> bytes:
         """The figures as they stand."""
-        return service_figures.render(self.tally, len(self.nodes.listed), self.decisions.avoided())
+        return service_figures.render(
+            self.tally, len(self.nodes.listed), self.decisions.count_avoided_hosts()
+        )
 
     def offline(self, node: str) -> bool:
         """Leave an endpoint out from now on; false for one never listed: from when it is."""
@@ -521,7 +523,7 @@
         if self.mysql is not None:
             self.mysql.nodes.update(update)
         kind = ListKind.FULL if update.full else ListKind.DELTA
-        self.decisions.listed(kind, [endpoint.entry for endpoint in update.endpoints])
+        self.decisions.update_endpoints(kind, [endpoint.entry for endpoint in update.endpoints])
 
     def _report(self) -> None:
         self.counters.report("asked")
@@ -562,14 +564,16 @@
         except OperatorError as error:
             log.error("bad operator file, the rules on zones stay", extra={"fields": {"reason": error}})
             return
-        if self.decisions.rules_changed(rules):
+        if self.decisions.change_zone_rules(rules):
             log.info("rules on zones read again", extra={"fields": {"on": rules is not None}})
         else:
             log.warning("can't change in a running sidecar", extra={"fields": {"key": "zones"}})
 
     def _serve_on(self) -> None:
         handed = self.takeover is not None and self.takeover.has_successor()
-        log.info("ending", extra={"fields": {"owed": self.decisions.owed, "handed_over": handed}})
+        log.info(
+            "ending", extra={"fields": {"owed": self.decisions.unanswered_requests, "handed_over": handed}}
+        )
         if self.takeover is not None:
             self.takeover.stage(Stage.LEAVING)
         if handed:
--- a/brambleusher/sidecar/balancer_driver.py
+++ b/brambleusher/sidecar/balancer_driver.py
@@ -46,109 +46,109 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
+class ClientRequest:
     """A request as the decisions see it; `payload` is for those who pass it on."""
 
-    request: str
+    request_id: str
     request_class: str
     tenant: str | None
-    left_ns: int
+    time_left_ns: int
     work_hint_ns: int | None
     is_retry: bool
     payload: object
 
 
-def nothing() -> None:
+def do_nothing() -> None:
     """What most payloads need done to them."""
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
+class AttemptOutcome:
     """How a claim ended; `payload` is what the endpoint answered, where it served."""
 
     status: api.Status
     latency_ns: int
     report: api.LoadReport | None = None
     payload: object = None
-    drop: Callable[[], None] = nothing  # called where nobody takes the payload
+    discard: Callable[[], None] = do_nothing  # called where nobody takes the payload
 
 
 @dataclass(frozen=True, slots=True)
-class ClaimEnded:
+class AttemptFinished:
     """A claim's end, on its way to the request it was made for."""
 
     attempt: int
-    node: str
-    outcome: Outcome
+    endpoint: str
+    outcome: AttemptOutcome
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerBegun:
+class ResponseStarted:
     """A claim's answer has begun to go out, or its node is held: it can't be repeated any more."""
 
     attempt: int
-    node: str
+    endpoint: str
     latency_ns: int
     payload: object
 
 
 @dataclass(frozen=True, slots=True)
-class MakeClaim:
+class AttemptRequested:
     """The module wants a claim made; claims are numbered in the order it asked for them."""
 
     attempt: int
-    node: str
+    endpoint: str
     timeout_ns: int
 
 
-Step = MakeClaim | api.Refuse | api.Fail | ClaimEnded | AnswerBegun
+RequestStep = AttemptRequested | api.Refuse | api.Fail | AttemptFinished | ResponseStarted
 
 
-class Observer:
+class DecisionObserver:
     """One that is told of requests as they pass; it is quick, and parks nowhere."""
 
-    def taken(self, call: Call) -> None:
+    def request_accepted(self, request: ClientRequest) -> None:
         """A request was taken."""
 
-    def claim_ended(self, call: Call, node: str, outcome: Outcome) -> None:
+    def attempt_finished(self, request: ClientRequest, endpoint: str, outcome: AttemptOutcome) -> None:
         """A claim made for a request has ended, before its final answer or after."""
 
-    def over(self, call: Call, kind: str | None, took_ns: int) -> None:
+    def request_finished(self, request: ClientRequest, kind: str | None, took_ns: int) -> None:
         """A request has its final answer of some kind, or its client has left (None)."""
 
 
-class Observers(Observer):
+class DecisionObservers(DecisionObserver):
     """Several, in order; a fault in one is logged and harms neither the others nor the request."""
 
-    def __init__(self, observers: Iterable[Observer] = ()) -> None:
+    def __init__(self, observers: Iterable[DecisionObserver] = ()) -> None:
         self._all = tuple(observers)
 
-    def taken(self, call: Call) -> None:
+    def request_accepted(self, request: ClientRequest) -> None:
         """Pass it on."""
         for observer in self._all:
             try:
-                observer.taken(call)
+                observer.request_accepted(request)
             except Exception:
                 self._failed(observer)
 
-    def claim_ended(self, call: Call, node: str, outcome: Outcome) -> None:
+    def attempt_finished(self, request: ClientRequest, endpoint: str, outcome: AttemptOutcome) -> None:
         """Pass it on."""
         for observer in self._all:
             try:
-                observer.claim_ended(call, node, outcome)
+                observer.attempt_finished(request, endpoint, outcome)
             except Exception:
                 self._failed(observer)
 
-    def over(self, call: Call, kind: str | None, took_ns: int) -> None:
+    def request_finished(self, request: ClientRequest, kind: str | None, took_ns: int) -> None:
         """Pass it on."""
         for observer in self._all:
             try:
-                observer.over(call, kind, took_ns)
+                observer.request_finished(request, kind, took_ns)
             except Exception:
                 self._failed(observer)
 
     @staticmethod
-    def _failed(observer: Observer) -> None:
+    def _failed(observer: DecisionObserver) -> None:
         log.exception("a feature failed", extra={"fields": {"feature": type(observer).__name__}})
 
 
@@ -160,44 +160,53 @@
     now_ns: int
     actions: Sequence[api.Action]
     error: Exception | None = None
-    call: Call | None = None  # the request it was about
+    request: ClientRequest | None = None  # the request it was about
 
 
-class Recorder:
+class DecisionRecorder:
     """One that is told of everything that passes between the sidecar and the module."""
 
-    def began(self, state: Callable[[], dict[str, Any]], inherited: bool = False) -> None:
+    def start(self, state: Callable[[], dict[str, Any]], is_imported: bool = False) -> None:
         """The module is made, from nothing or not; `state` tells its state between two events."""
 
     def record(self, decision: Decision) -> None:
         """One event has been decided on; its actions are not routed yet."""
 
 
-class Ticket:
+class PendingRequest:
     """A request that is owed an answer, and the steps that wait for its task."""
 
-    __slots__ = ("event", "call", "call_off", "claims_ended", "claims_wanted", "open", "request", "steps")
-
-    def __init__(self, call: Call) -> None:
-        self.call, self.request = call, call.request
-        self.steps: deque[Step] = deque()
+    __slots__ = (
+        "event",
+        "attempts_finished",
+        "attempts_requested",
+        "cancel_attempt",
+        "is_open",
+        "request",
+        "request_id",
+        "steps",
+    )
+
+    def __init__(self, request: ClientRequest) -> None:
+        self.request, self.request_id = request, request.request_id
+        self.steps: deque[RequestStep] = deque()
         self.event = Event()
-        self.open = True
-        self.claims_wanted = self.claims_ended = 0
+        self.is_open = True
+        self.attempts_requested = self.attempts_finished = 0
         # Where a claim is called off, also once the request is over; set by whoever makes the claims.
-        self.call_off: Callable[[int], None] = lambda attempt: None
+        self.cancel_attempt: Callable[[int], None] = lambda attempt: None
 
-    def put(self, step: Step) -> None:
+    def add_step(self, step: RequestStep) -> None:
         """Hand a step to the task."""
         self.steps.append(step)
         self.event.set()
 
 
-class DuplicateRequest(ValueError):
+class DuplicateRequestError(ValueError):
     """A request whose id is in use."""
 
 
-class Decisions:
+class BalancerDriver:
     """Drives one `Balancer` by the clock and by what happens."""
 
     def __init__(
@@ -207,36 +216,36 @@
         scheduler: Scheduler,
         clock: Clock,
         counters: Counters,
-        observers: Observer | None = None,
-        recorder: Recorder | None = None,
+        observers: DecisionObserver | None = None,
+        recorder: DecisionRecorder | None = None,
         make: Callable[[api.Settings, int], Balancer] = balancer_for,
-        learnt: Any = None,
+        state: Any = None,
     ) -> None:
-        """`learnt` is what another process's `learnt` told: this one goes on from it, if it can."""
-        self.settings, self.observers = settings, observers or Observer()
-        inherited = None
-        if learnt is not None:
+        """`state` is what another process's `export_state` made: this one goes on from it, if it can."""
+        self.settings, self.observers = settings, observers or DecisionObserver()
+        imported = None
+        if state is not None:
             try:
-                inherited = inherit(settings, seed, learnt)
+                imported = inherit(settings, seed, state)
             except StateError as error:
                 log.warning("what was learnt can't be used", extra={"fields": {"reason": error}})
-        self._balancer, self._recorder = inherited or make(settings, seed), recorder
+        self._balancer, self._recorder = imported or make(settings, seed), recorder
         if recorder is not None:
-            recorder.began(lambda: save(self._balancer), inherited is not None)
+            recorder.start(lambda: save(self._balancer), imported is not None)
         self._scheduler, self._clock, self._counters = scheduler, clock, counters
-        self._tickets: dict[str, Ticket] = {}
-        self.on_let_go: Callable[[str], None] = lambda node: None
+        self._pending: dict[str, PendingRequest] = {}
+        self.on_close_idle_connections: Callable[[str], None] = lambda node: None
         self.on_subscribe: Callable[[], None] = lambda: None
 
     @property
-    def owed(self) -> int:
+    def unanswered_requests(self) -> int:
         """Requests without their final answer."""
-        return sum(ticket.open for ticket in self._tickets.values())
+        return sum(pending.is_open for pending in self._pending.values())
 
     @property
-    def tickets(self) -> int:
+    def pending_requests(self) -> int:
         """Requests without their final answer, or with claims out."""
-        return len(self._tickets)
+        return len(self._pending)
 
     def start(self, entries: Iterable[api.HostEntry]) -> None:
         """Begin, with the list held from before."""
@@ -244,118 +253,127 @@
         actions = self._balancer.start(now)
         if self._recorder is not None:
             self._recorder.record(Decision(None, now, actions))
-        self._route(actions)
-        self.listed(api.ListKind.SAVED, entries)
+        self._dispatch(actions)
+        self.update_endpoints(api.ListKind.SAVED, entries)
 
     # --- events ---------------------------------------------------------------------------------
 
-    def take(self, call: Call) -> Ticket:
-        """A request has come: its first steps wait in the ticket."""
-        if call.request in self._tickets:
-            raise DuplicateRequest(f"request {call.request} is in progress")
-        ticket = self._tickets[call.request] = Ticket(call)
-        self.observers.taken(call)
+    def submit(self, request: ClientRequest) -> PendingRequest:
+        """A request has come: its first steps wait in the pending request."""
+        if request.request_id in self._pending:
+            raise DuplicateRequestError(f"request {request.request_id} is in progress")
+        pending = self._pending[request.request_id] = PendingRequest(request)
+        self.observers.request_accepted(request)
         event = api.RequestArrived(
-            call.request, call.request_class, call.tenant, call.left_ns, call.work_hint_ns, call.is_retry
+            request.request_id,
+            request.request_class,
+            request.tenant,
+            request.time_left_ns,
+            request.work_hint_ns,
+            request.is_retry,
         )
-        self._handle(event, ticket)
-        return ticket
+        self._handle(event, pending)
+        return pending
 
-    def ended(self, ticket: Ticket, end: ClaimEnded, closed: bool) -> None:
+    def finish_attempt(self, pending: PendingRequest, end: AttemptFinished, closed: bool) -> None:
         """A claim has ended."""
-        ticket.claims_ended += 1
+        pending.attempts_finished += 1
         outcome = end.outcome
         self._counters.add(
             f"claims_{outcome.status.value}" if outcome.status is not api.Status.OK else "claims_served"
         )
-        self.observers.claim_ended(ticket.call, end.node, outcome)
+        self.observers.attempt_finished(pending.request, end.endpoint, outcome)
         event = api.AttemptEnded(
-            ticket.request, end.attempt, end.node, outcome.status, outcome.latency_ns, closed, outcome.report
+            pending.request_id,
+            end.attempt,
+            end.endpoint,
+            outcome.status,
+            outcome.latency_ns,
+            closed,
+            outcome.report,
         )
-        self._handle(event, ticket)
-        self._forget(ticket)
+        self._handle(event, pending)
+        self._release(pending)
 
-    def began(self, ticket: Ticket, step: AnswerBegun) -> None:
+    def start_response(self, pending: PendingRequest, step: ResponseStarted) -> None:
         """A claim's answer has begun: the request is closed, the claim stays out until it ends."""
-        self._handle(api.StreamStarted(ticket.request, step.attempt, step.node, step.latency_ns))
+        self._handle(api.StreamStarted(pending.request_id, step.attempt, step.endpoint, step.latency_ns))
 
-    def left(self, ticket: Ticket) -> None:
+    def abandon_request(self, pending: PendingRequest) -> None:
         """The client has gone, or got an answer that the module did not choose."""
-        self._handle(api.RequestGone(ticket.request))
+        self._handle(api.RequestGone(pending.request_id))
 
-    def close(self, ticket: Ticket) -> None:
+    def close_request(self, pending: PendingRequest) -> None:
         """The request has had its final answer; what its claims still bring goes to the module alone."""
-        ticket.open = False
-        while ticket.steps:
-            step = ticket.steps.popleft()
-            if isinstance(
-                step, MakeClaim
-            ):  # asked for and not made any more: the module hears of each one's end
-                step = ClaimEnded(step.attempt, step.node, Outcome(api.Status.MOOT, 0))
-            if isinstance(step, ClaimEnded):
-                self.ended(ticket, step, closed=True)
-                step.outcome.drop()
-        self._forget(ticket)
-
-    def claim_ended(self, ticket: Ticket, end: ClaimEnded) -> None:
+        pending.is_open = False
+        while pending.steps:
+            step = pending.steps.popleft()
+            if isinstance(step, AttemptRequested):  # not made any more: the module hears of each one's end
+                step = AttemptFinished(step.attempt, step.endpoint, AttemptOutcome(api.Status.MOOT, 0))
+            if isinstance(step, AttemptFinished):
+                self.finish_attempt(pending, step, closed=True)
+                step.outcome.discard()
+        self._release(pending)
+
+    def deliver_attempt_finished(self, pending: PendingRequest, end: AttemptFinished) -> None:
         """Where a claim reports its end: the request's task if it still waits, else the module."""
-        if ticket.open:
-            ticket.put(end)
+        if pending.is_open:
+            pending.add_step(end)
         else:
-            self.ended(ticket, end, closed=True)
-            end.outcome.drop()
+            self.finish_attempt(pending, end, closed=True)
+            end.outcome.discard()
 
-    def body_passing(self, ticket: Ticket, attempt: int, whole: bool) -> None:
+    def report_body_progress(self, pending: PendingRequest, attempt: int, whole: bool) -> None:
         """The request's body goes out on a claim as it comes, or has gone out: its time begins now."""
-        self._handle(api.BodyPassing(ticket.request, attempt, whole, ticket.call.left_ns))
-        ticket.event.set()  # whoever waits has another deadline now
+        self._handle(api.BodyPassing(pending.request_id, attempt, whole, pending.request.time_left_ns))
+        pending.event.set()  # whoever waits has another deadline now
 
-    def claim_begun(self, ticket: Ticket, step: AnswerBegun) -> None:
+    def deliver_response_started(self, pending: PendingRequest, step: ResponseStarted) -> None:
         """Where a claim reports that its answer has begun; nobody waits for it any more if it is late."""
-        if ticket.open:
-            ticket.put(step)
+        if pending.is_open:
+            pending.add_step(step)
 
-    def listed(self, kind: api.ListKind, entries: Iterable[api.HostEntry]) -> None:
+    def update_endpoints(self, kind: api.ListKind, entries: Iterable[api.HostEntry]) -> None:
         """News from discovery."""
         self._handle(api.HostList(kind, list(entries)))
 
-    def rules_changed(self, rules: api.ZoneRules | None) -> bool:
+    def change_zone_rules(self, rules: api.ZoneRules | None) -> bool:
         """The operator says something else of zones; false where the decisions began without rules."""
         if not isinstance(self._balancer, ZonedBalancer):
             return rules is None
         self._handle(api.RulesChanged(rules))
         return True
 
-    def standing(self) -> dict[str, object] | None:
+    def zone_status(self) -> dict[str, object] | None:
         """What is made of zones, as plain values; None where the decisions began without rules."""
         if not isinstance(self._balancer, ZonedBalancer):
             return None
         return self._balancer.standing(self._clock.now_ns())
 
-    def part(self, part: float) -> None:
+    def set_process_share(self, share: float) -> None:
         """This process does so much of this sidecar's work from now on."""
-        self._handle(api.PartChanged(part))
+        self._handle(api.PartChanged(share))
 
-    def learnt(self) -> dict[str, Any] | None:
+    def export_state(self) -> dict[str, Any] | None:
         """What the module has learnt, for another process of this sidecar."""
         return bequeath(self._balancer)
 
-    def avoided(self) -> int:
+    def count_avoided_hosts(self) -> int:
         """How many endpoints of the list get nothing now."""
         return hosts_avoided(self._balancer, self._clock.now_ns())
 
     # --- actions --------------------------------------------------------------------------------
 
-    def _handle(self, event: api.Event, ticket: Ticket | None = None) -> None:
+    def _handle(self, event: api.Event, pending: PendingRequest | None = None) -> None:
         try:
-            self._route(self._decide(event))
+            self._dispatch(self._decide(event))
         except Exception:
             # Guards against a request left without an answer, or a module that stops ticking for good,
             # after one fault in the module.
             self._counters.add("faults")
             log.exception("the module failed", extra={"fields": {"event": type(event).__name__}})
-            if ticket is not None and ticket.open:
-                ticket.put(api.Fail(ticket.request))
+            if pending is not None and pending.is_open:
+                pending.add_step(api.Fail(pending.request_id))
             if isinstance(event, api.TimerFired):
                 self._set_timer(self._clock.now_ns() + RESTART_TIMER_NS, event.token)
 
@@ -364,34 +382,36 @@
         now = self._clock.now_ns()
         if self._recorder is None:
             return self._balancer.handle(event, now)
-        ticket = self._tickets.get(getattr(event, "request", ""))
-        call = None if ticket is None else ticket.call
+        pending = self._pending.get(getattr(event, "request", ""))
+        request = None if pending is None else pending.request
         try:
             actions = self._balancer.handle(event, now)
         except Exception as error:
-            self._recorder.record(Decision(event, now, (), error, call))
+            self._recorder.record(Decision(event, now, (), error, request))
             raise
-        self._recorder.record(Decision(event, now, actions, None, call))
+        self._recorder.record(Decision(event, now, actions, None, request))
         return actions
 
-    def _route(self, actions: list[api.Action]) -> None:
+    def _dispatch(self, actions: list[api.Action]) -> None:
         for action in actions:
             if isinstance(action, api.Send | api.Refuse | api.Fail | api.Cancel):
-                ticket = self._tickets.get(action.request)
+                pending = self._pending.get(action.request)
                 if isinstance(action, api.Cancel):
-                    if ticket is not None:
-                        ticket.call_off(action.attempt)
-                elif ticket is None or not ticket.open:
+                    if pending is not None:
+                        pending.cancel_attempt(action.attempt)
+                elif pending is None or not pending.is_open:
                     log.error("action for a request that is over", extra={"fields": {"action": action}})
                 elif isinstance(action, api.Send):
-                    ticket.put(MakeClaim(ticket.claims_wanted, action.host, action.timeout_ns))
-                    ticket.claims_wanted += 1
+                    pending.add_step(
+                        AttemptRequested(pending.attempts_requested, action.host, action.timeout_ns)
+                    )
+                    pending.attempts_requested += 1
                 else:
-                    ticket.put(action)
+                    pending.add_step(action)
             elif isinstance(action, api.SetTimer):
                 self._set_timer(action.at_ns, action.token)
             elif isinstance(action, api.LetGo):
-                self.on_let_go(action.host)
+                self.on_close_idle_connections(action.host)
             elif isinstance(action, api.Subscribe):
                 self.on_subscribe()
             elif isinstance(action, api.Log):
@@ -402,6 +422,6 @@
     def _set_timer(self, at_ns: int, token: int) -> None:
         self._scheduler.call_at(self._clock.seconds(at_ns), lambda: self._handle(api.TimerFired(token)))
 
-    def _forget(self, ticket: Ticket) -> None:
-        if not ticket.open and ticket.claims_ended >= ticket.claims_wanted:
-            self._tickets.pop(ticket.request, None)
+    def _release(self, pending: PendingRequest) -> None:
+        if not pending.is_open and pending.attempts_finished >= pending.attempts_requested:
+            self._pending.pop(pending.request_id, None)
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -104,7 +104,7 @@
 def settled(rig: Rig) -> None:
     """Wait until the sidecar has done with all it was asked."""
     until = time.monotonic() + WAIT
-    while rig.sidecar.nodes.claims_out or rig.sidecar.tally.open or rig.sidecar.decisions.tickets:
+    while rig.sidecar.nodes.claims_out or rig.sidecar.tally.open or rig.sidecar.decisions.pending_requests:
         assert time.monotonic() < until
         time.sleep(0.002)
 
@@ -158,7 +158,7 @@
                 with rig.send("a") as sock:
                     first = sock.recv(65536)
                     self.assertTrue(first.startswith(OK))
-                    self.assertEqual(rig.sidecar.decisions.tickets, 0, "for the module it is over")
+                    self.assertEqual(rig.sidecar.decisions.pending_requests, 0, "for the module it is over")
                     self.assertEqual(rig.sidecar.tally.open, 1, "for its client it is not")
                     go.put(1)
                     reader, body, done = MessageReader.responses(passing=True), b"", False
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -30,7 +30,7 @@
 from brambleusher.net.endpoint_list import EndpointListUpdate
 from brambleusher.runtime.real import RealSystem
 from brambleusher.sidecar.app import memory_of_features
-from brambleusher.sidecar.balancer_driver import Call, Decision
+from brambleusher.sidecar.balancer_driver import ClientRequest, Decision
 from brambleusher.sidecar.operator_configuration import CaptureSettings, parse_operator_file
 from brambleusher.sidecar.operator_section import OperatorError
 from tests.rig import WAIT, Node, Rig, answer, reset
@@ -44,12 +44,12 @@
 
 
 class Recorded(Balancer):
-    """A balancer that records what passes, as `Decisions` does; an event that it fails at is left."""
+    """A balancer that records what passes, as `BalancerDriver` does; an event that it fails at is left."""
 
     def __init__(self, settings: api.Settings, capture: Capture) -> None:
         super().__init__(settings, SEED)
-        self.capture, self.calls = capture, dict[str, Call]()
-        capture.began(lambda: {**save(self.bare())})
+        self.capture, self.calls = capture, dict[str, ClientRequest]()
+        capture.start(lambda: {**save(self.bare())})
 
     def bare(self) -> Balancer:
         """Itself, without what this class adds."""
@@ -64,7 +64,7 @@
 
     def handle(self, event: api.Event, now: int) -> list[api.Action]:
         if isinstance(event, api.RequestArrived):
-            self.calls[event.request] = Call(
+            self.calls[event.request] = ClientRequest(
                 event.request, event.request_class, event.tenant, 0, None, False, 0
             )
         call = self.calls.get(getattr(event, "request", ""))
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -93,7 +93,7 @@
             sock.connect_ex(stuck.listener.getsockname())
         rig = self.rig(stuck)
         waiting = rig.send("w1")
-        while rig.sidecar.decisions.owed == 0:
+        while rig.sidecar.decisions.unanswered_requests == 0:
             time.sleep(0.002)
         other = self.node()
         rig.discovery.push(Discovery.text([stuck.entry("h0", "Terminating"), other.entry("h1")], version=8))
