--- a/brambleusher/controlplane/admin_listeners.py
+++ b/brambleusher/controlplane/admin_listeners.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from brambleusher.controlplane.configuration.admin_api import CONFIGURATION_BYTES
+from brambleusher.controlplane.configuration.admin_api import CONFIGURATION_BYTES_MAX
 from brambleusher.runtime.http_server import HttpRequest, HttpResponse, HttpServer
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.streams import parse_address
@@ -19,7 +19,7 @@
     """The listeners of a controller or an observer."""
 
     def __init__(self, scheduler: Scheduler, bind: Bind, orders: Handler, resolve: Handler) -> None:
-        self._servers = [HttpServer(scheduler, parse_address(bind.control), orders, CONFIGURATION_BYTES)]
+        self._servers = [HttpServer(scheduler, parse_address(bind.control), orders, CONFIGURATION_BYTES_MAX)]
         if bind.directory:
             directory = parse_address(bind.directory)
             self._servers.append(HttpServer(scheduler, directory, resolve, QUESTION_BYTES))
--- a/brambleusher/controlplane/configuration/admin_api.py
+++ b/brambleusher/controlplane/configuration/admin_api.py
@@ -1,20 +1,23 @@
-"""The operator's calls: configurations and evacuations in, the newest configuration out."""
+"""The operator's HTTP API: change requests and evacuations in, the newest configuration out.
+
+Paths, status codes, JSON keys and the texts of errors are fixed by the operator's tools.
+"""
 
 from __future__ import annotations
 
-import logging
+from http import HTTPStatus
 
 import orjson
 from result import Err
 
-from brambleusher.controlplane.configuration.replicated_state import ReplicatedState
-from brambleusher.controlplane.configuration.state_machine import (
+from brambleusher.controlplane.configuration.commands import (
     Command,
     PutConfiguration,
     SetEvacuation,
-    SharedState,
     Verdict,
 )
+from brambleusher.controlplane.configuration.replicated_state import ReplicatedState
+from brambleusher.controlplane.configuration.state_machine import SharedState
 from brambleusher.runtime.http_server import HttpRequest, HttpResponse, json_response
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.wire import configuration, configuration_patch
@@ -22,22 +25,30 @@
 from brambleusher.wire.errors import InvalidConfigurationError
 from brambleusher.wire.packing import unpack
 
-log = logging.getLogger(__name__)
-
-ANSWER_S = 0.85  # callers go on to another controller after a second of silence
-CONFIGURATION_BYTES = 8 * 1024 * 1024  # of the body of one call
+RESPONSE_TIMEOUT_S = 0.85  # operators turn to another controller after a second without a response
+CONFIGURATION_BYTES_MAX = 8 * 1024 * 1024  # of the body of one request
 CONFIGURATION_PATH = "/api/config"
 EVACUATIONS_PATH = "/api/evacuations/"
 STATUS_PATH = "/api/status"
-REVISION_MAX = 2**53
+REVISION_MAX = 2**53  # beyond it JSON readers lose precision
+
+# Why a command that was applied had no effect, as the operator's tools expect it.
+_REJECTIONS: dict[Verdict, tuple[HTTPStatus, str]] = {
+    Verdict.OUTDATED: (
+        HTTPStatus.SERVICE_UNAVAILABLE,
+        "the zone was changed since this controller knew of it; send it again",
+    ),
+    Verdict.STALE: (HTTPStatus.PRECONDITION_FAILED, "If-Match: another version is current"),
+    Verdict.NOT_HIGHER: (HTTPStatus.BAD_REQUEST, "revision: it is not above the current one"),
+}
 
 
 def _error(status: int, reason: str) -> HttpResponse:
     return json_response(status, {"error": reason})
 
 
-def _base(request: HttpRequest) -> int:
-    """The revision that a change builds on; raises `InvalidConfigurationError`."""
+def _base_revision(request: HttpRequest) -> int:
+    """Return the revision that a change builds on; raises `InvalidConfigurationError`."""
     base = request.headers.get(b"if-match", b"").strip().strip(b'"')
     if not base.isdigit() or int(base) > REVISION_MAX:
         raise InvalidConfigurationError("If-Match", "it is no revision")
@@ -51,96 +62,92 @@
 
 
 class AdminApi:
-    """Answers calls on a controller's `control` address."""
+    """Handles requests on a controller's `control` address."""
 
-    def __init__(self, scheduler: Scheduler, replica: ReplicatedState, zones: frozenset[str]) -> None:
-        self._scheduler, self._replica, self._zones = scheduler, replica, zones
+    def __init__(self, scheduler: Scheduler, state: ReplicatedState, zones: frozenset[str]) -> None:
+        self._scheduler, self._state, self._zones = scheduler, state, zones
 
     def handle(self, request: HttpRequest) -> HttpResponse:
-        """One call."""
-        if request.path == CONFIGURATION_PATH and request.method == "PUT":
-            return self._put(request)
-        if request.path == CONFIGURATION_PATH and request.method == "PATCH":
-            return self._patch(request)
-        if request.path == CONFIGURATION_PATH and request.method == "GET":
-            return self._get()
-        if request.path.startswith(EVACUATIONS_PATH) and request.method in ("POST", "DELETE"):
-            zone = request.path.removeprefix(EVACUATIONS_PATH)
-            return self._evacuate(request, zone)
-        if request.path == STATUS_PATH and request.method == "GET":
-            return json_response(200, self._replica.status())
-        return _error(404, f"{request.method} {request.path} is no call of this controller")
+        """Return the response to one request."""
+        match request.method, request.path:
+            case "PUT", path if path == CONFIGURATION_PATH:
+                return self._put_configuration(request)
+            case "PATCH", path if path == CONFIGURATION_PATH:
+                return self._patch_configuration(request)
+            case "GET", path if path == CONFIGURATION_PATH:
+                return self._get_configuration()
+            case "GET", path if path == STATUS_PATH:
+                return json_response(HTTPStatus.OK, self._state.status())
+            case "POST" | "DELETE", path if path.startswith(EVACUATIONS_PATH):
+                return self._set_evacuation(request, path.removeprefix(EVACUATIONS_PATH))
+        return _error(HTTPStatus.NOT_FOUND, f"{request.method} {request.path} is no call of this controller")
 
     def _deadline(self) -> float:
-        return self._scheduler.now() + ANSWER_S
+        return self._scheduler.now() + RESPONSE_TIMEOUT_S
 
-    def _get(self) -> HttpResponse:
-        read = self._replica.read(self._deadline())
+    def _get_configuration(self) -> HttpResponse:
+        read = self._state.read(self._deadline())
         if isinstance(read, Err):
-            return _error(503, "no majority answered in time")
+            return _error(HTTPStatus.SERVICE_UNAVAILABLE, "no majority answered in time")
         state = read.ok_value
         if not state.packed:
-            return _error(404, "there is no configuration yet")
-        return HttpResponse(200, unpack(state.packed))
+            return _error(HTTPStatus.NOT_FOUND, "there is no configuration yet")
+        return HttpResponse(HTTPStatus.OK, unpack(state.packed))
 
-    def _put(self, request: HttpRequest) -> HttpResponse:
+    def _put_configuration(self, request: HttpRequest) -> HttpResponse:
         try:
-            base = _base(request)
+            base_revision = _base_revision(request)
             revision = _bounded(configuration.read(request.body).revision)
         except InvalidConfigurationError as error:
-            return _error(400, str(error))
-        return self._submit(PutConfiguration.of(base, revision, request.body), self._deadline())
+            return _error(HTTPStatus.BAD_REQUEST, str(error))
+        command = PutConfiguration.from_body(base_revision, revision, request.body)
+        return self._submit(command, self._deadline())
 
-    def _patch(self, request: HttpRequest) -> HttpResponse:
-        """What a patch makes of its base goes into the log, whole: nobody has to merge it again."""
+    def _patch_configuration(self, request: HttpRequest) -> HttpResponse:
+        """Merge a patch here: the log holds the whole configuration, so that no replica has to merge it."""
         deadline = self._deadline()
         try:
-            base = _base(request)
+            base_revision = _base_revision(request)
             patch = configuration_patch.read(request.body)
             _bounded(patch.revision)
-            held = self._replica.read(deadline)
-            if isinstance(held, Err):
-                return _error(503, "no majority answered in time")
-            merged = self._merged(held.ok_value, base, patch)
+            read = self._state.read(deadline)
+            if isinstance(read, Err):
+                return _error(HTTPStatus.SERVICE_UNAVAILABLE, "no majority answered in time")
+            merged = self._merge(read.ok_value, base_revision, patch)
         except InvalidConfigurationError as error:
-            return _error(400, str(error))
-        command = PutConfiguration.of_patch(base, patch.revision, request.body, merged)
+            return _error(HTTPStatus.BAD_REQUEST, str(error))
+        command = PutConfiguration.from_patch(base_revision, patch.revision, request.body, merged)
         return self._submit(command, deadline)
 
     @staticmethod
-    def _merged(state: SharedState, base: int, patch: Patch) -> bytes | None:
-        """The configuration after a patch; None where its base is not the current one."""
-        if state.revision != base or not state.packed:
+    def _merge(state: SharedState, base_revision: int, patch: Patch) -> bytes | None:
+        """Return the configuration after a patch; None where its base is not the current one."""
+        if state.revision != base_revision or not state.packed:
             return None
         return configuration_patch.merge(unpack(state.packed), patch)
 
-    def _evacuate(self, request: HttpRequest, zone: str) -> HttpResponse:
-        evacuated = request.method == "POST"
+    def _set_evacuation(self, request: HttpRequest, zone: str) -> HttpResponse:
         if zone not in self._zones:
-            return _error(404, f"zone {zone} is unknown")
+            return _error(HTTPStatus.NOT_FOUND, f"zone {zone} is unknown")
         deadline = self._deadline()
-        seen = self._replica.read_applied_index(deadline)
-        if isinstance(seen, Err):
-            return _error(503, "no controller answered in time")
+        applied_index = self._state.read_applied_index(deadline)
+        if isinstance(applied_index, Err):
+            return _error(HTTPStatus.SERVICE_UNAVAILABLE, "no controller answered in time")
         if request.hung_up():
-            # It was held back on its way, and its caller has sent it again elsewhere or given it up.
-            return _error(503, "the caller has gone")
-        return self._submit(SetEvacuation(zone, evacuated, seen.ok_value), deadline)
+            # It was delayed on its way, and its caller has sent it again elsewhere or given it up: a delayed
+            # copy must not act after a later request.
+            return _error(HTTPStatus.SERVICE_UNAVAILABLE, "the caller has gone")
+        command = SetEvacuation(zone, request.method == "POST", applied_index.ok_value)
+        return self._submit(command, deadline)
 
     def _submit(self, command: Command, deadline: float) -> HttpResponse:
-        submitted = self._replica.submit(command, deadline)
+        submitted = self._state.submit(command, deadline)
         if isinstance(submitted, Err):
-            return _error(503, "no majority took it in time; it may be in force or not")
-        verdict = submitted.ok_value
-        if verdict is Verdict.OUTDATED:
-            return _error(503, "the zone was changed since this controller knew of it; send it again")
-        if verdict is Verdict.STALE:
-            return _error(412, "If-Match: another version is current")
-        if verdict is Verdict.NOT_HIGHER:
-            return _error(400, "revision: it is not above the current one")
-        answer = (
-            {"revision": command.revision}
-            if isinstance(command, PutConfiguration)
-            else {"zone": command.zone}
-        )
-        return HttpResponse(200, orjson.dumps(answer))
+            reason = "no majority took it in time; it may be in force or not"
+            return _error(HTTPStatus.SERVICE_UNAVAILABLE, reason)
+        rejection = _REJECTIONS.get(submitted.ok_value)
+        if rejection is not None:
+            return _error(*rejection)
+        if isinstance(command, PutConfiguration):
+            return HttpResponse(HTTPStatus.OK, orjson.dumps({"revision": command.revision}))
+        return HttpResponse(HTTPStatus.OK, orjson.dumps({"zone": command.zone}))
--- a/brambleusher/controlplane/configuration/publisher.py
+++ b/brambleusher/controlplane/configuration/publisher.py
@@ -87,7 +87,7 @@
             "version": listed.version,
         }
         if state.index > held and not brief:
-            answer["packed"], answer["evacuated"] = state.packed, state.evacuated
+            answer["packed"], answer["evacuated"] = state.packed, state.evacuated_zones
         if listed.read_at is not None:
             answer["age_ms"] = int((now - listed.read_at) * 1000)
             if brief:
--- a/brambleusher/controlplane/configuration/replicated_state.py
+++ b/brambleusher/controlplane/configuration/replicated_state.py
@@ -1,18 +1,19 @@
-"""What callers of the configuration shard ask for, whether a replica of it is in this process or not."""
+"""What callers of the configuration group use, whether a replica of it is in this process or not."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Any, Protocol
+from typing import Protocol
 
 from result import Result
 
-from brambleusher.controlplane.configuration.state_machine import Command, SharedState, Verdict
+from brambleusher.controlplane.configuration.commands import Command, Verdict
+from brambleusher.controlplane.configuration.state_machine import SharedState
 
 
 @dataclass(frozen=True, slots=True)
 class NoLeaderError:
-    """Failure: no leader could be reached in time; whether the command was taken is unknown."""
+    """Failure as a value: no leader was reached in time; whether a command was accepted is unknown."""
 
 
 SubmitResult = Result[Verdict, NoLeaderError]
@@ -24,13 +25,13 @@
     """The state that a majority agrees on.  Deadlines are seconds of the scheduler's clock."""
 
     def submit(self, command: Command, deadline: float) -> SubmitResult:
-        """Have a command applied."""
+        """Have a command committed and applied."""
 
     def read(self, deadline: float) -> ReadResult:
-        """The state as a majority has it at this moment."""
+        """Return the state as a majority has it at this moment (a linearizable read)."""
 
     def read_applied_index(self, deadline: float) -> IndexResult:
-        """The index up to which a replica has applied the log at this moment."""
+        """Return the index up to which a replica has applied the log at this moment."""
 
-    def status(self) -> dict[str, Any]:
-        """What this process knows of the group, as one JSON object."""
+    def status(self) -> dict[str, object]:
+        """Return what this process knows of the group, as a JSON object."""
--- a/brambleusher/controlplane/configuration/state_machine.py
+++ b/brambleusher/controlplane/configuration/state_machine.py
@@ -1,168 +1,114 @@
-"""What the commands of the configuration shard do: the configuration in force and evacuated zones; pure."""
+"""The state machine of the configuration group: configuration in force and evacuated zones; pure."""
 
 from __future__ import annotations
 
-import hashlib
 from dataclasses import dataclass, field
-from enum import Enum
-from typing import Any
 
+from brambleusher.controlplane.configuration.commands import (
+    Command,
+    PutConfiguration,
+    SetEvacuation,
+    Verdict,
+)
 from brambleusher.wire.errors import InvalidMessageError
-from brambleusher.wire.packing import pack
-
-PATCH = b"PATCH\n"  # ahead of a patch in its digest: a whole configuration never begins so
-# Of the stored form of the state: fixed by what is on disks and by controllers of other versions.
+from brambleusher.wire.json_fields import (
+    JsonObject,
+    as_object,
+    require_int,
+    require_list,
+    require_object,
+    require_str,
+)
+
+ACCEPTED_DIGESTS_MAX = 4096  # change requests that are remembered; a day has hundreds
+# Of the stored form: fixed by what is on disks and by controllers of other versions.
 STATE_KEYS = frozenset({"index", "revision", "packed", "digests", "evacuated", "zones_changed"})
-HISTORY_MAX = 4096  # digests of configurations taken; a day holds hundreds
-
-
-class Verdict(Enum):
-    """How a command ended where it was applied."""
-
-    ACCEPTED = "accepted"
-    REPEATED = "repeated"  # it had been taken before
-    STALE = "stale"  # another version is current
-    NOT_HIGHER = "not_higher"  # its revision is not above the current one
-    OUTDATED = "outdated"  # its subject was changed after the order was received: it may be an old copy
-
-
-def digest_of(base: int, order: bytes) -> str:
-    """What tells an order from all others."""
-    return hashlib.sha256(b"%d\n%b" % (base, order)).hexdigest()
-
-
-@dataclass(frozen=True, slots=True)
-class PutConfiguration:
-    """Command: a checked configuration on top of the revision `base`.
-
-    `packed` is its body (see `wire.packing`); `digest` tells this very order from all others.  Without a
-    body it never comes into force, and only finds out whether this very order was taken before.
-    """
-
-    base: int
-    revision: int
-    digest: str
-    packed: str
-
-    @classmethod
-    def of(cls, base: int, revision: int, body: bytes) -> PutConfiguration:
-        """The command for a whole configuration as it was sent."""
-        return cls(base, revision, digest_of(base, body), pack(body))
-
-    @classmethod
-    def of_patch(cls, base: int, revision: int, patch: bytes, merged: bytes | None) -> PutConfiguration:
-        """The command for a patch as it was sent, with what it makes of the configuration `base`."""
-        return cls(base, revision, digest_of(base, PATCH + patch), pack(merged) if merged else "")
-
-    def as_json(self) -> dict[str, Any]:
-        """The form in the log."""
-        return {
-            "op": "put",
-            "base": self.base,
-            "revision": self.revision,
-            "digest": self.digest,
-            "packed": self.packed,
-        }
-
-
-@dataclass(frozen=True, slots=True)
-class SetEvacuation:
-    """Command: a zone is evacuated, or taken back.
-
-    `seen` is the index up to which the replica that received the order had applied the log at that moment
-    (None: written by a version that did not say).  It tells a copy that was held back on its way from a new
-    order: what was changed after it does not change again.
-    """
-
-    zone: str
-    evacuated: bool
-    seen: int | None = None
-
-    def as_json(self) -> dict[str, Any]:
-        """The form in the log."""
-        return {"op": "evacuate", "zone": self.zone, "evacuated": self.evacuated, "seen": self.seen}
-
-
-Command = PutConfiguration | SetEvacuation
-
-
-def command_of(data: dict[str, Any]) -> Command:
-    """A command from its form in the log; raises `KeyError` where a part is missing."""
-    if data["op"] == "put":
-        return PutConfiguration(data["base"], data["revision"], data["digest"], data["packed"])
-    return SetEvacuation(data["zone"], data["evacuated"], data.get("seen"))
 
 
 @dataclass(slots=True)
 class SharedState:
-    """The state that all replicas of the configuration shard agree on."""
+    """The state that all replicas of the configuration group agree on."""
 
     index: int = 0  # of the last command that changed something: the version that gateways hold
     revision: int = 0
-    packed: str = ""  # the body of the configuration in force; empty before the first
-    digests: list[str] = field(default_factory=list)
-    evacuated: list[str] = field(default_factory=list)
-    zones_changed: dict[str, int] = field(default_factory=dict)  # index of each zone's last change
+    packed: str = ""  # body of the configuration in force; empty before the first
+    accepted_digests: list[str] = field(default_factory=list)
+    evacuated_zones: list[str] = field(default_factory=list)
+    zone_change_index: dict[str, int] = field(default_factory=dict)  # of each zone's last change
 
     def apply(self, index: int, command: Command) -> Verdict:
-        """Apply a committed command; says how it ended."""
+        """Apply a committed command and return how it ended."""
         if isinstance(command, PutConfiguration):
-            return self._put(index, command)
-        return self._evacuate(index, command)
+            return self._put_configuration(index, command)
+        return self._set_evacuation(index, command)
 
-    def _put(self, index: int, command: PutConfiguration) -> Verdict:
+    def _put_configuration(self, index: int, command: PutConfiguration) -> Verdict:
         digest = command.digest
-        if digest in self.digests:
+        if digest in self.accepted_digests:
             return Verdict.REPEATED
-        if command.base != self.revision or not command.packed:
+        if command.base_revision != self.revision or not command.packed:
             return Verdict.STALE
         if command.revision <= self.revision:
             return Verdict.NOT_HIGHER
         self.index, self.revision, self.packed = index, command.revision, command.packed
-        self.digests = [*self.digests, digest][-HISTORY_MAX:]
+        self.accepted_digests = [*self.accepted_digests, digest][-ACCEPTED_DIGESTS_MAX:]
         return Verdict.ACCEPTED
 
-    def _evacuate(self, index: int, command: SetEvacuation) -> Verdict:
-        if (command.zone in self.evacuated) is command.evacuated:
+    def _set_evacuation(self, index: int, command: SetEvacuation) -> Verdict:
+        zone = command.zone
+        if (zone in self.evacuated_zones) is command.is_evacuated:
             return Verdict.REPEATED
-        if command.seen is not None and command.seen < self.zones_changed.get(command.zone, 0):
+        applied_index = command.applied_index
+        if applied_index is not None and applied_index < self.zone_change_index.get(zone, 0):
             return Verdict.OUTDATED
-        rest = [zone for zone in self.evacuated if zone != command.zone]
-        self.evacuated = [*rest, command.zone] if command.evacuated else rest
-        self.zones_changed = {**self.zones_changed, command.zone: index}
+        others = [other for other in self.evacuated_zones if other != zone]
+        self.evacuated_zones = [*others, zone] if command.is_evacuated else others
+        self.zone_change_index = {**self.zone_change_index, zone: index}
         self.index = index
         return Verdict.ACCEPTED
 
-    def as_json(self) -> dict[str, Any]:
-        """The form in snapshots."""
+    def as_json(self) -> dict[str, object]:
+        """Return the form in snapshots."""
         return {
             "index": self.index,
             "revision": self.revision,
             "packed": self.packed,
-            "digests": self.digests,
-            "evacuated": self.evacuated,
-            "zones_changed": self.zones_changed,
+            "digests": self.accepted_digests,
+            "evacuated": self.evacuated_zones,
+            "zones_changed": self.zone_change_index,
         }
 
-    def answer_as_json(self) -> dict[str, Any]:
-        """The form for a reader, who needs nothing of the past."""
+    def as_read_json(self) -> dict[str, object]:
+        """Return the form for a reader, who needs no digests of the past."""
         return {**self.as_json(), "digests": []}
 
     @classmethod
-    def from_json(cls, data: dict[str, Any] | None) -> SharedState:
-        """The state of a snapshot; an empty one without.  Versions before wrote fewer keys.
+    def from_json(cls, value: object) -> SharedState:
+        """Return the state of a snapshot; an empty one for None.  Versions before wrote fewer keys.
 
-        Raises `InvalidMessageError` for keys that this version does not know: it would lose what they hold.
+        Raises:
+            InvalidMessageError: A field is of the wrong type, or unknown: its content would be lost.
         """
-        if data is None:
+        if value is None:
             return cls()
+        data = as_object(value, "a state")
         if unknown := data.keys() - STATE_KEYS:
             raise InvalidMessageError(f"a state has unknown keys: {', '.join(sorted(unknown))}")
+        complete = {**cls().as_json(), **data}
         return cls(
-            index=data.get("index", 0),
-            revision=data.get("revision", 0),
-            packed=data.get("packed", ""),
-            digests=data.get("digests", []),
-            evacuated=data.get("evacuated", []),
-            zones_changed=data.get("zones_changed", {}),
+            index=require_int(complete, "index"),
+            revision=require_int(complete, "revision"),
+            packed=require_str(complete, "packed"),
+            accepted_digests=_texts(complete, "digests"),
+            evacuated_zones=_texts(complete, "evacuated"),
+            zone_change_index=_indexes(complete, "zones_changed"),
         )
+
+
+def _texts(data: JsonObject, key: str) -> list[str]:
+    return [str(text) for text in require_list(data, key)]
+
+
+def _indexes(data: JsonObject, key: str) -> dict[str, int]:
+    indexes = require_object(data, key)
+    return {zone: require_int(indexes, zone) for zone in indexes}
--- a/brambleusher/controlplane/relay/relay.py
+++ b/brambleusher/controlplane/relay/relay.py
@@ -10,6 +10,7 @@
 
 from result import Err, Ok
 
+from brambleusher.controlplane.configuration.commands import Command, Verdict, command_from_json
 from brambleusher.controlplane.configuration.replicated_state import (
     IndexResult,
     NoLeaderError,
@@ -17,7 +18,7 @@
     ReplicatedState,
     SubmitResult,
 )
-from brambleusher.controlplane.configuration.state_machine import Command, SharedState, Verdict, command_of
+from brambleusher.controlplane.configuration.state_machine import SharedState
 from brambleusher.membership.controllers import Controllers, controllers_from_json
 from brambleusher.membership.line_connection import LineClient
 from brambleusher.runtime.scheduler import Scheduler, Timeout
@@ -56,7 +57,7 @@
             return {"answer": self._submit(message.get("command"), deadline)}
         if what == "read":
             state = self._state.read(deadline)
-            return {"answer": None if isinstance(state, Err) else state.ok_value.answer_as_json()}
+            return {"answer": None if isinstance(state, Err) else state.ok_value.as_read_json()}
         if what == "index":
             index = self._state.read_applied_index(deadline)
             return {"answer": None if isinstance(index, Err) else index.ok_value}
@@ -68,7 +69,7 @@
 
     def _submit(self, data: Any, deadline: float) -> str | None:
         try:
-            command = command_of(data)
+            command = command_from_json(data)
         except (KeyError, TypeError) as error:
             raise InvalidMessageError(f"a relayed command can't be read: {error!r}") from error
         verdict = self._state.submit(command, deadline)
--- a/brambleusher/controlplane/replica.py
+++ b/brambleusher/controlplane/replica.py
@@ -11,22 +11,20 @@
 
 from result import Err, Ok
 
+from brambleusher.controlplane.configuration.commands import Command, Verdict, command_from_json
 from brambleusher.controlplane.configuration.replicated_state import (
     IndexResult,
     NoLeaderError,
     ReadResult,
     SubmitResult,
 )
-from brambleusher.controlplane.configuration.state_machine import Command, SharedState, Verdict, command_of
-from brambleusher.controlplane.consensus.outputs import HardState, Outgoing, Record
+from brambleusher.controlplane.configuration.state_machine import SharedState
+from brambleusher.controlplane.consensus.outputs import HardState, Outgoing, Record, Restore
 from brambleusher.controlplane.consensus.replica_state import Consensus
 from brambleusher.controlplane.consensus.replicated_log import Log
-from brambleusher.controlplane.storage.storage import (
-    CorruptStorageError,
-    Recovered,
-    Storage,
-    snapshot_as_json,
-)
+from brambleusher.controlplane.storage.errors import CorruptStorageError
+from brambleusher.controlplane.storage.recovery import RecoveredState
+from brambleusher.controlplane.storage.storage import Storage
 from brambleusher.runtime.disk import Disk
 from brambleusher.runtime.scheduler import Event, Scheduler, Timeout
 from brambleusher.wire import consensus_messages as wire
@@ -64,7 +62,7 @@
 class SnapshotJob:
     """Work for the disk: a snapshot and the entries after it."""
 
-    header: dict[str, Any]
+    snapshot: Restore
     hard: HardState
     rest: list[Entry]
 
@@ -120,7 +118,7 @@
 
     # --- start -----------------------------------------------------------------------------------
 
-    def _recover(self, disk: Disk) -> Recovered:
+    def _recover(self, disk: Disk) -> RecoveredState:
         try:
             return self._storage.recover()
         except CorruptStorageError as error:
@@ -132,7 +130,7 @@
             self._storage = Storage(disk)
             return self._storage.recover()
 
-    def _identity(self, found: Recovered) -> Member:
+    def _identity(self, found: RecoveredState) -> Member:
         """Who this replica is: as the disk says, else anew; the seeds of the first start are known to all."""
         settings = self._settings
         identity = found.identity
@@ -236,7 +234,7 @@
             **self.consensus.status(),
             "revision": self.state.revision,
             "version": self.state.index,
-            "evacuated": self.state.evacuated,
+            "evacuated": self.state.evacuated_zones,
             "disk_jobs": len(self._jobs),
         }
 
@@ -286,10 +284,10 @@
         deadline = self._scheduler.now() + FORWARD_S
         answer: Any = None
         if "command" in data and self.consensus.taking_proposals():
-            verdict = self._propose(command_of(data["command"]), deadline)
+            verdict = self._propose(command_from_json(data["command"]), deadline)
             answer = verdict.value if verdict is not None else None
         elif data.get("read") and self.consensus.leading and self._confirmed(deadline):
-            answer = self.state.answer_as_json()
+            answer = self.state.as_read_json()
         self._send(sender, {"kind": "forwarded", "number": data.get("number", -1), "answer": answer})
 
     def _propose(self, command: Command, deadline: float) -> Verdict | None:
@@ -388,7 +386,7 @@
         verdict = None
         self._applied = entry.index
         if entry.kind == "command":
-            verdict = self.state.apply(entry.index, command_of(entry.data))
+            verdict = self.state.apply(entry.index, command_from_json(entry.data))
         term, waiter = self._waiting.pop(entry.index, (0, None))
         if waiter is not None:
             waiter.done(verdict if term == entry.term else None)
@@ -428,7 +426,7 @@
                 records += more
         try:
             if isinstance(job, SnapshotJob):
-                self._storage.write_snapshot(job.header, self.identity.id, job.hard, job.rest)
+                self._storage.write_snapshot(job.snapshot, self.identity.id, job.hard, job.rest)
             else:
                 self._storage.write(records)
         except OSError as error:
@@ -454,20 +452,19 @@
     def _disk_done(self, number: int, job: list[Record] | SnapshotJob) -> None:
         if isinstance(job, SnapshotJob):
             self._snapshot_under_way = False
-            self.consensus.compacted(job.header["index"])
+            self.consensus.compacted(job.snapshot.index)
             return
         self._synced = max(self._synced, number)
         self.consensus.synced(self._synced)
         while self._held and self._held[0].after <= self._synced:
             self._post(self._held.popleft())
         self._pump()
-        if self._storage.snapshot_due and not self._snapshot_under_way:
+        if self._storage.is_snapshot_due and not self._snapshot_under_way:
             self._begin_snapshot()
 
     def _begin_snapshot(self) -> None:
         consensus = self.consensus
         made = consensus.snapshot(self._applied, self.state.as_json())
-        header = snapshot_as_json(made.index, made.term, made.members, made.state)
         rest = consensus.log.after(made.index, consensus.log.last_index - made.index)
         self._snapshot_under_way = True
-        self._queue(self._handed, SnapshotJob(header, HardState(consensus.term, consensus.vote), rest))
+        self._queue(self._handed, SnapshotJob(made, HardState(consensus.term, consensus.vote), rest))
--- /dev/null
+++ b/brambleusher/controlplane/storage/records.py
@@ -0,0 +1,166 @@
+"""Records of the log on disk, and their stored form.
+
+A record is a line: its CRC-32 as eight hexadecimal digits, a space, and a JSON object whose `t` is the kind.
+"""
+
+from __future__ import annotations
+
+import zlib
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass
+from enum import Enum
+
+import orjson
+
+from brambleusher.controlplane.consensus.outputs import HardState, Record, Restore, Truncate
+from brambleusher.wire.consensus_messages import Entry, Member, entry_of, member_of
+from brambleusher.wire.errors import InvalidMessageError
+from brambleusher.wire.json_fields import JsonObject, as_object, require_int, require_list, require_str
+
+CHECKSUM_DIGITS = 8
+
+
+class RecordKind(Enum):
+    """Kinds of records; the values are the stored form."""
+
+    IDENTITY = "identity"
+    BOOTSTRAP_MEMBERS = "founders"
+    HARD_STATE = "hard"
+    TRUNCATE = "cut"
+    RESTORE = "restore"
+    ENTRY = "entry"
+
+
+@dataclass(frozen=True, slots=True)
+class IdentityRecord:
+    """Who the replica is: the first record of every segment."""
+
+    identity: str
+
+
+@dataclass(frozen=True, slots=True)
+class BootstrapMembersRecord:
+    """The members of the first group, which every bootstrap member knows from its settings."""
+
+    members: tuple[Member, ...]
+
+
+StoredRecord = IdentityRecord | BootstrapMembersRecord | Record
+
+
+@dataclass(frozen=True, slots=True)
+class SnapshotFile:
+    """The content of a snapshot file: the state, and what the removed segments held besides."""
+
+    snapshot: Restore
+    identity: str
+    hard_state: HardState
+
+
+def encode_line(data: JsonObject) -> bytes:
+    """Return an object as a line with its checksum."""
+    text = orjson.dumps(data)
+    return b"%08x %s\n" % (zlib.crc32(text), text)
+
+
+def decode_line(line: bytes) -> dict[str, object]:
+    """Return the object of a line without its end.
+
+    Raises:
+        InvalidMessageError: The line is torn, or holds no JSON object.
+    """
+    checksum, _, text = line.partition(b" ")
+    try:
+        if len(checksum) != CHECKSUM_DIGITS or int(checksum, 16) != zlib.crc32(text):
+            raise InvalidMessageError("the checksum does not match")
+        data = orjson.loads(text)
+    except ValueError as error:
+        raise InvalidMessageError("a record can't be decoded") from error
+    return as_object(data, "a record")
+
+
+def encode_records(records: Iterable[StoredRecord]) -> bytes:
+    """Return records as lines."""
+    return b"".join(encode_line(record_to_json(record)) for record in records)
+
+
+def record_to_json(record: StoredRecord) -> dict[str, object]:
+    """Return a record's stored form."""
+    match record:
+        case IdentityRecord():
+            return {"t": RecordKind.IDENTITY.value, "id": record.identity}
+        case BootstrapMembersRecord():
+            return {"t": RecordKind.BOOTSTRAP_MEMBERS.value, "members": _members_to_json(record.members)}
+        case HardState():
+            return {"t": RecordKind.HARD_STATE.value, "term": record.term, "vote": record.vote}
+        case Truncate():
+            return {"t": RecordKind.TRUNCATE.value, "first": record.first}
+        case Restore():
+            return {"t": RecordKind.RESTORE.value, **_snapshot_to_json(record)}
+        case Entry():
+            return {"t": RecordKind.ENTRY.value, "entry": record.as_json()}
+
+
+def record_from_json(data: JsonObject) -> StoredRecord | None:
+    """Return the record of its stored form; None for a kind that only a later version knows.
+
+    Raises:
+        InvalidMessageError: A field is missing or of the wrong type.
+    """
+    kind = require_str(data, "t")
+    parse = _PARSERS.get(kind)
+    return parse(data) if parse is not None else None
+
+
+def snapshot_file_to_json(file: SnapshotFile) -> dict[str, object]:
+    """Return a snapshot file's stored form."""
+    return {
+        **_snapshot_to_json(file.snapshot),
+        "identity": file.identity,
+        "hard_term": file.hard_state.term,
+        "vote": file.hard_state.vote,
+    }
+
+
+def snapshot_file_from_json(data: JsonObject) -> SnapshotFile:
+    """Return a snapshot file from its stored form.
+
+    Raises:
+        InvalidMessageError: A field is missing or of the wrong type.
+    """
+    hard_state = HardState(require_int({"hard_term": 0, **data}, "hard_term"), str(data.get("vote", "")))
+    return SnapshotFile(_snapshot_from_json(data), str(data.get("identity", "")), hard_state)
+
+
+def _members_to_json(members: Iterable[Member]) -> list[object]:
+    return [member.as_json() for member in members]
+
+
+def _members_from_json(data: JsonObject) -> tuple[Member, ...]:
+    return tuple(member_of(member) for member in require_list(data, "members"))
+
+
+def _snapshot_to_json(snapshot: Restore) -> dict[str, object]:
+    return {
+        "index": snapshot.index,
+        "term": snapshot.term,
+        "members": _members_to_json(snapshot.members),
+        "state": snapshot.state,
+    }
+
+
+def _snapshot_from_json(data: JsonObject) -> Restore:
+    if "state" not in data:
+        raise InvalidMessageError("a snapshot has no state")
+    index, term = require_int(data, "index"), require_int(data, "term")
+    return Restore(index, term, _members_from_json(data), data["state"])
+
+
+_PARSERS: dict[str, Callable[[JsonObject], StoredRecord]] = {
+    RecordKind.IDENTITY.value: lambda data: IdentityRecord(require_str(data, "id")),
+    RecordKind.BOOTSTRAP_MEMBERS.value: lambda data: BootstrapMembersRecord(_members_from_json(data)),
+    RecordKind.HARD_STATE.value: lambda data: HardState(require_int(data, "term"), require_str(data, "vote")),
+    RecordKind.TRUNCATE.value: lambda data: Truncate(require_int(data, "first")),
+    RecordKind.RESTORE.value: _snapshot_from_json,
+    RecordKind.ENTRY.value: lambda data: entry_of(data.get("entry")),
+}
--- a/brambleusher/system_tools.py
+++ b/brambleusher/system_tools.py
@@ -9,7 +9,8 @@
 from pathlib import Path
 from typing import Any
 
-from brambleusher.controlplane.storage.storage import CorruptStorageError, inspect
+from brambleusher.controlplane.storage.errors import CorruptStorageError
+from brambleusher.controlplane.storage.storage import inspect
 from brambleusher.runtime.disk import FolderDisk
 from brambleusher.runtime.http_client import CallFailed, HttpClient
 from brambleusher.runtime.real import RealSystem
--- a/tests/system/control_plane_faults.py
+++ b/tests/system/control_plane_faults.py
@@ -15,7 +15,7 @@
 from functools import partial
 from typing import Any
 
-from brambleusher.controlplane.storage import storage
+from brambleusher.controlplane.storage import segments
 from tests.system.cluster import Broken
 from tests.system.memory_disk import MemoryDisk
 from tests.system.whole import SECOND, Reply, Whole, configuration, route
@@ -239,7 +239,7 @@
             return
         replica = self.whole.controllers[leader].replica
         if replica.consensus.in_contact(self.whole.now) and replica.consensus.commit > 0:
-            holds = zone in replica.state.evacuated
+            holds = zone in replica.state.evacuated_zones
             newest = replica.consensus.log.term_at(replica.consensus.commit) == replica.consensus.term
             if newest and holds is not self.evacuated[zone]:
                 raise Broken(f"zone {zone}: acknowledged {self.evacuated[zone]}, in force {holds}")
@@ -367,7 +367,7 @@
             table = gateway._watcher.routes
             if table is None or table.revision != state.revision:
                 raise Broken(f"{name} has another configuration in calm times")
-            if gateway.instances.evacuated != frozenset(state.evacuated):
+            if gateway.instances.evacuated != frozenset(state.evacuated_zones):
                 raise Broken(f"{name} has other zones evacuated in calm times")
         for name in self.names:
             other = self.whole.controllers[name].replica
@@ -634,16 +634,16 @@
 @contextmanager
 def short_segments(size: int) -> Iterator[None]:
     """Have snapshots come after a few changes, as after hundreds of them in service."""
-    usual, storage.SEGMENT_BYTES = storage.SEGMENT_BYTES, size
+    usual, segments.SEGMENT_BYTES = segments.SEGMENT_BYTES, size
     try:
         yield
     finally:
-        storage.SEGMENT_BYTES = usual
+        segments.SEGMENT_BYTES = usual
 
 
 def play(seed: int, cores: int = 3, tolerated: int = 1, zones: dict[str, str] | None = None) -> None:
     """One day, every other one with short segments; raises `Broken` with what happened on it."""
-    with short_segments(SHORT_SEGMENT if seed % 2 else storage.SEGMENT_BYTES):
+    with short_segments(SHORT_SEGMENT if seed % 2 else segments.SEGMENT_BYTES):
         day = Day(seed, cores, tolerated, zones)
         try:
             day.run()
--- a/tests/system/test_configuration_patch.py
+++ b/tests/system/test_configuration_patch.py
@@ -8,7 +8,8 @@
 
 import pytest
 
-from brambleusher.controlplane.configuration.state_machine import PutConfiguration, SharedState, Verdict
+from brambleusher.controlplane.configuration.commands import PutConfiguration, Verdict
+from brambleusher.controlplane.configuration.state_machine import SharedState
 from brambleusher.wire import configuration_patch
 from brambleusher.wire.errors import InvalidConfigurationError
 from tests.system.whole import CONTROL, Reply, Whole, configuration, route
@@ -173,16 +174,18 @@
 def test_an_order_without_a_body_never_comes_into_force() -> None:
     """It only asks whether a patch was taken before: its base may become current meanwhile."""
     state = SharedState()
-    assert state.apply(1, PutConfiguration.of(0, 4, BASE)) is Verdict.ACCEPTED
-    question = PutConfiguration.of_patch(4, 5, b"patch", None)
+    assert state.apply(1, PutConfiguration.from_body(0, 4, BASE)) is Verdict.ACCEPTED
+    question = PutConfiguration.from_patch(4, 5, b"patch", None)
     assert state.apply(2, question) is Verdict.STALE
     assert state.revision == 4
-    assert state.apply(3, PutConfiguration.of_patch(4, 5, b"patch", BASE)) is Verdict.ACCEPTED
+    assert state.apply(3, PutConfiguration.from_patch(4, 5, b"patch", BASE)) is Verdict.ACCEPTED
     assert state.apply(4, question) is Verdict.REPEATED
 
 
 def test_a_patch_is_told_from_a_whole_configuration_of_the_same_bytes() -> None:
-    assert PutConfiguration.of(1, 2, b"x").digest != PutConfiguration.of_patch(1, 2, b"x", b"y").digest
+    assert (
+        PutConfiguration.from_body(1, 2, b"x").digest != PutConfiguration.from_patch(1, 2, b"x", b"y").digest
+    )
 
 
 def test_two_items_of_one_name_are_told() -> None:
--- a/tests/system/test_control_plane_faults.py
+++ b/tests/system/test_control_plane_faults.py
@@ -10,13 +10,13 @@
 
 import pytest
 
-from brambleusher.controlplane.configuration.state_machine import (
+from brambleusher.controlplane.configuration.commands import (
     PutConfiguration,
     SetEvacuation,
-    SharedState,
     Verdict,
-    command_of,
+    command_from_json,
 )
+from brambleusher.controlplane.configuration.state_machine import SharedState
 from brambleusher.controlplane.replica import PendingProposal, Replica
 from tests.system.control_plane_faults import SHORT_SEGMENT, play, short_segments
 from tests.system.memory_disk import MemoryDisk
@@ -92,7 +92,7 @@
         assert read.status == 503 or read.body == configuration(taken, route(f"/n{taken - 1}/"))
         statuses.add(read.status)
     assert whole.now - joined < 3.0
-    assert replica_of(whole, leader_of(whole)).state.evacuated == []
+    assert replica_of(whole, leader_of(whole)).state.evacuated_zones == []
 
 
 def test_one_that_stood_still_for_twenty_seconds_shows_nothing_old_when_it_goes_on(whole: Whole) -> None:
@@ -203,9 +203,9 @@
     message = {"kind": "forward", "number": 1, "command": copy}
     replica.handle(message, whole.controllers[follower_of(whole)].settings.peer_address)
     whole.sleep(0.5)
-    assert replica.state.evacuated == []
+    assert replica.state.evacuated_zones == []
     assert whole.control("c3", "POST", "/api/evacuations/n1").status == 200
-    assert replica.state.evacuated == ["n1"]
+    assert replica.state.evacuated_zones == ["n1"]
 
 
 def test_without_what_was_seen_the_copy_would_act() -> None:
@@ -222,10 +222,12 @@
 
 def test_state_and_orders_of_the_version_before_are_read() -> None:
     written = {"index": 3, "revision": 2, "packed": "", "digests": [], "evacuated": ["n1"]}
-    assert SharedState.from_json(written).evacuated == ["n1"]
-    assert command_of({"op": "evacuate", "zone": "n1", "evacuated": False}) == SetEvacuation("n1", False)
+    assert SharedState.from_json(written).evacuated_zones == ["n1"]
+    assert command_from_json({"op": "evacuate", "zone": "n1", "evacuated": False}) == SetEvacuation(
+        "n1", False
+    )
     command = SetEvacuation("n1", True, 7)
-    assert command_of(command.as_json()) == command
+    assert command_from_json(command.as_json()) == command
 
 
 def test_an_evacuation_whose_caller_has_gone_is_not_begun(whole: Whole) -> None:
@@ -240,7 +242,7 @@
     assert whole.control(other, "DELETE", "/api/evacuations/n1").status == 200
     whole.world.network.mend("caller", held)
     whole.sleep(3.0)
-    assert replica_of(whole, other).state.evacuated == []
+    assert replica_of(whole, other).state.evacuated_zones == []
 
 
 # --- 3: a second loss right after a repair or a replacement --------------------------------------
@@ -424,7 +426,7 @@
     index = replica.consensus.log.last_index + 1
     earlier, later = PendingProposal(), PendingProposal()
     replica._waiting[index] = (0, earlier)
-    command = PutConfiguration.of(1, 2, configuration(2))
+    command = PutConfiguration.from_body(1, 2, configuration(2))
     answers: list[Verdict | None] = []
     scheduler = whole.controllers[leader_of(whole)].scheduler
     scheduler.call_soon(
--- a/tests/system/test_fault_days_find_faults.py
+++ b/tests/system/test_fault_days_find_faults.py
@@ -10,13 +10,13 @@
 
 from brambleusher.controller.app import Controller
 from brambleusher.controlplane.configuration.admin_api import AdminApi
-from brambleusher.controlplane.configuration.replicated_state import ReadResult
-from brambleusher.controlplane.configuration.state_machine import (
+from brambleusher.controlplane.configuration.commands import (
     PutConfiguration,
     SetEvacuation,
-    SharedState,
     Verdict,
 )
+from brambleusher.controlplane.configuration.replicated_state import ReadResult
+from brambleusher.controlplane.configuration.state_machine import SharedState
 from brambleusher.controlplane.replica import Replica
 from brambleusher.runtime.http_server import HttpRequest, HttpResponse
 from tests.system.cluster import Broken
@@ -39,7 +39,7 @@
     submit = Replica.submit
 
     def refuse(self: Replica, command: Any, deadline: float) -> Any:
-        if isinstance(command, PutConfiguration) and command.base != self.state.revision:
+        if isinstance(command, PutConfiguration) and command.base_revision != self.state.revision:
             return Ok(Verdict.STALE)
         return submit(self, command, deadline)
 
@@ -48,10 +48,10 @@
 
 def repeats_are_refused(patch: Patch) -> None:
     """What was taken is not remembered."""
-    put = SharedState._put
+    put = SharedState._put_configuration
 
     def forget(self: SharedState, index: int, command: PutConfiguration) -> Verdict:
-        self.digests = []
+        self.accepted_digests = []
         return put(self, index, command)
 
     patch.setattr(SharedState, "_put", forget)
@@ -61,10 +61,10 @@
     """The version that a change builds on is not compared."""
 
     def put(self: SharedState, index: int, command: PutConfiguration) -> Verdict:
-        if command.digest in self.digests:
+        if command.digest in self.accepted_digests:
             return Verdict.REPEATED
         self.index, self.revision, self.packed = index, command.revision, command.packed
-        self.digests = [*self.digests, command.digest]
+        self.accepted_digests = [*self.accepted_digests, command.digest]
         return Verdict.ACCEPTED
 
     patch.setattr(SharedState, "_put", put)
@@ -72,14 +72,14 @@
 
 def old_evacuations_act(patch: Patch) -> None:
     """As it was: an order carries nothing that tells its age, whoever hung up."""
-    evacuate = AdminApi._evacuate
+    evacuate = AdminApi._set_evacuation
 
     def act(self: AdminApi, request: HttpRequest, zone: str) -> HttpResponse:
         fresh = HttpRequest(request.method, request.path, request.query, request.headers, request.body)
         return evacuate(self, fresh, zone)
 
     def submit(command: SetEvacuation) -> dict[str, Any]:
-        return {"op": "evacuate", "zone": command.zone, "evacuated": command.evacuated}
+        return {"op": "evacuate", "zone": command.zone, "evacuated": command.is_evacuated}
 
     patch.setattr(AdminApi, "_evacuate", act)
     patch.setattr(SetEvacuation, "as_json", submit)
--- a/tests/system/test_storage.py
+++ b/tests/system/test_storage.py
@@ -7,7 +7,8 @@
 import pytest
 
 from brambleusher.controlplane.consensus.outputs import HardState, Record, Restore, Truncate
-from brambleusher.controlplane.storage.storage import CorruptStorageError, Storage, inspect
+from brambleusher.controlplane.storage.errors import CorruptStorageError
+from brambleusher.controlplane.storage.storage import Storage, inspect, read_only
 from brambleusher.wire.consensus_messages import Entry, Member
 from tests.system.memory_disk import MemoryDisk, PowerLost
 
@@ -70,7 +71,7 @@
     for at in range(before, len(disk.files[name].data)):
         kept = disk.files[name].data[at]
         disk.files[name].data[at] = kept ^ 1
-        assert Storage(disk).read_only().log.last_index == 1
+        assert read_only(disk).log.last_index == 1
         disk.files[name].data[at] = kept
 
 
@@ -80,26 +81,21 @@
     storage.write([entry(1), entry(2)])
     first = disk.names()[-1]
     old = bytes(disk.files[first].data)
-    storage.write_snapshot(header(1), "a", HardState(1, ""), [entry(2)])
+    storage.write_snapshot(snapshot(1), "a", HardState(1, ""), [entry(2)])
     disk.append(first, old[:-4])
     with pytest.raises(CorruptStorageError, match=first):
         Storage(disk).recover()
 
 
-def header(index: int) -> dict[str, object]:
-    return {
-        "index": index,
-        "term": 1,
-        "members": [member.as_json() for member in MEMBERS],
-        "state": {"revision": index},
-    }
+def snapshot(index: int) -> Restore:
+    return Restore(index, 1, MEMBERS, {"revision": index})
 
 
 def test_a_snapshot_leaves_one_segment_and_what_follows_it() -> None:
     disk = MemoryDisk()
     storage = begun(disk)
     storage.write([HardState(2, "c"), entry(1), entry(2), entry(3)])
-    storage.write_snapshot(header(2), "a", HardState(2, "c"), [entry(3)])
+    storage.write_snapshot(snapshot(2), "a", HardState(2, "c"), [entry(3)])
     storage.write([entry(4)])
     assert len(disk.names()) == 2
     found = Storage(disk).recover()
@@ -133,7 +129,7 @@
         storage.write(records)
         acknowledged.append(index)
         if step % 3 == 0:
-            storage.write_snapshot(header(index - 1), "a", HardState(1, ""), [entry(index)])
+            storage.write_snapshot(snapshot(index - 1), "a", HardState(1, ""), [entry(index)])
 
 
 def play_until(disk: MemoryDisk, at: int, acknowledged: list[int]) -> None:
