--- a/benchmarks/lists.py
+++ b/benchmarks/lists.py
@@ -38,10 +38,10 @@
 from brambleusher.loadbalancing.zone_aware_balancer import balancer_for
 from brambleusher.net.http import MessageReader
 from brambleusher.observability.log_format import configure
+from brambleusher.operator_settings.configuration import parse_operator_file
 from brambleusher.runtime.streams import Stream
 from brambleusher.sidecar.app import Collector, Sidecar
 from brambleusher.sidecar.configuration import parse_config
-from brambleusher.sidecar.operator_configuration import parse_operator_file
 
 MS = 1_000_000
 CHANGE_MS, TICK_MS, HELD_MS, TOLD_MS = 0.3, 3.0, 5.0, 500.0
--- a/brambleusher/cli/serve.py
+++ b/brambleusher/cli/serve.py
@@ -6,11 +6,11 @@
 import sys
 
 from brambleusher.observability.log_format import configure
+from brambleusher.operator_settings.configuration import load_operator_file
+from brambleusher.operator_settings.section import OperatorError
 from brambleusher.runtime.system import System
 from brambleusher.sidecar.app import serve
 from brambleusher.sidecar.configuration import ConfigError, load_config
-from brambleusher.sidecar.operator_configuration import load_operator_file
-from brambleusher.sidecar.operator_section import OperatorError
 
 
 def run(operator_path: str | None, log_format: str, system: System | None = None) -> int:
--- a/brambleusher/features/capture.py
+++ b/brambleusher/features/capture.py
@@ -18,15 +18,15 @@
 
 import orjson
 
+from brambleusher.decisions.balancer_driver import Decision, DecisionRecorder
 from brambleusher.features.output import ITEM_BYTES, Lane
 from brambleusher.features.records import VERSION, action_of, chosen, event_of, seal, server_entry
 from brambleusher.loadbalancing import api
 from brambleusher.loadbalancing.settings_codec import save_settings
 from brambleusher.net.endpoint_list import EndpointListUpdate
+from brambleusher.operator_settings.configuration import CaptureSettings
 from brambleusher.runtime.sinks import append_whole
 from brambleusher.runtime.system import Item
-from brambleusher.sidecar.balancer_driver import Decision, DecisionRecorder
-from brambleusher.sidecar.operator_configuration import CaptureSettings
 
 log = logging.getLogger(__name__)
 
--- a/brambleusher/features/figures.py
+++ b/brambleusher/features/figures.py
@@ -8,12 +8,12 @@
 import re
 from collections import Counter
 
+from brambleusher.decisions.balancer_driver import AttemptOutcome, ClientRequest, Clock, DecisionObserver
 from brambleusher.features.output import Lane
 from brambleusher.loadbalancing import api
 from brambleusher.observability.counters import Counters
+from brambleusher.operator_settings.configuration import FiguresSettings
 from brambleusher.runtime.scheduler import Scheduler
-from brambleusher.sidecar.balancer_driver import AttemptOutcome, ClientRequest, Clock, DecisionObserver
-from brambleusher.sidecar.operator_configuration import FiguresSettings
 
 PREFIX = "brambleusher."
 DROPPED = "figures_dropped"
--- a/brambleusher/features/rewrites.py
+++ b/brambleusher/features/rewrites.py
@@ -13,7 +13,7 @@
 
 from brambleusher.net.http import Field, Message
 from brambleusher.net.passing import end_to_end
-from brambleusher.sidecar.operator_configuration import Rule
+from brambleusher.operator_settings.configuration import Rule
 
 # A list whose quotes are balanced; in any other, what is appended could land inside a quote.
 _QUOTES_CLOSED = re.compile(r'(?:[^"]|"(?:[^"\\]|\\.)*")*\Z')
--- a/brambleusher/features/status.py
+++ b/brambleusher/features/status.py
@@ -15,15 +15,15 @@
 import orjson
 
 from brambleusher import __version__
+from brambleusher.decisions.balancer_driver import AttemptOutcome, ClientRequest, DecisionObserver
 from brambleusher.features.blocks import Blocks
 from brambleusher.loadbalancing.api import HostState, Settings, Status
 from brambleusher.net.endpoint_list import Endpoint, EndpointListUpdate, state_word
 from brambleusher.net.http import HttpError, Message, MessageReader, write_response
+from brambleusher.operator_settings.configuration import StatusSettings
 from brambleusher.runtime.scheduler import Event, Scheduler, Task, Timeout
 from brambleusher.runtime.streams import Stream
 from brambleusher.runtime.system import SHORT_OF_ROOM, Socket
-from brambleusher.sidecar.balancer_driver import AttemptOutcome, ClientRequest, DecisionObserver
-from brambleusher.sidecar.operator_configuration import StatusSettings
 
 log = logging.getLogger(__name__)
 
--- a/brambleusher/fronts/mysql/front.py
+++ b/brambleusher/fronts/mysql/front.py
@@ -14,6 +14,7 @@
 from collections.abc import Callable
 from dataclasses import replace
 
+from brambleusher.decisions.balancer_driver import BalancerDriver, ClientRequest, Clock
 from brambleusher.fronts.mysql.auth import RsaKey, Secret, ServerLogin, Turn
 from brambleusher.fronts.mysql.channel import Channel, server_context
 from brambleusher.fronts.mysql.constants import (
@@ -43,7 +44,6 @@
 from brambleusher.runtime.scheduler import Event, Scheduler, Task, Timeout
 from brambleusher.runtime.streams import Stream
 from brambleusher.runtime.system import SHORT_OF_ROOM, Address, Socket
-from brambleusher.sidecar.balancer_driver import BalancerDriver, ClientRequest, Clock
 
 log = logging.getLogger(__name__)
 
--- a/brambleusher/fronts/mysql/nodes.py
+++ b/brambleusher/fronts/mysql/nodes.py
@@ -14,6 +14,7 @@
 from enum import Enum
 from typing import Protocol
 
+from brambleusher.decisions.balancer_driver import AttemptOutcome
 from brambleusher.fronts.mysql.auth import ClientLogin, LoginRefused, Turn
 from brambleusher.fronts.mysql.channel import Channel, client_context
 from brambleusher.fronts.mysql.constants import Capability, Command, Errno
@@ -29,7 +30,6 @@
 from brambleusher.observability.counters import Counters
 from brambleusher.runtime.scheduler import Event, Scheduler, Timeout
 from brambleusher.runtime.streams import Called, Stream
-from brambleusher.sidecar.balancer_driver import AttemptOutcome
 
 log = logging.getLogger(__name__)
 
--- a/brambleusher/fronts/mysql/service.py
+++ b/brambleusher/fronts/mysql/service.py
@@ -8,15 +8,15 @@
 import random
 from collections.abc import Callable
 
+from brambleusher.decisions.balancer_driver import BalancerDriver, Clock
 from brambleusher.fronts.mysql.front import Front
 from brambleusher.fronts.mysql.nodes import MysqlNodes
 from brambleusher.fronts.mysql.settings import MysqlSettings, check_against, load_secrets
 from brambleusher.loadbalancing.api import Settings
 from brambleusher.net.endpoint_list import EndpointListUpdate
 from brambleusher.observability.counters import Counters
+from brambleusher.operator_settings.section import OperatorError
 from brambleusher.runtime.scheduler import Scheduler
-from brambleusher.sidecar.balancer_driver import BalancerDriver, Clock
-from brambleusher.sidecar.operator_section import OperatorError
 
 log = logging.getLogger(__name__)
 
--- a/brambleusher/fronts/mysql/settings.py
+++ b/brambleusher/fronts/mysql/settings.py
@@ -11,8 +11,8 @@
 from brambleusher.fronts.mysql.constants import CACHING_SHA2, NATIVE
 from brambleusher.fronts.mysql.statements import digest_of, words
 from brambleusher.loadbalancing import api
+from brambleusher.operator_settings.section import OperatorError, Section
 from brambleusher.runtime.streams import parse_address
-from brambleusher.sidecar.operator_section import OperatorError, Section
 
 MAX_FILE = 1024 * 1024
 MAX_ENTRIES = 10_000
--- a/brambleusher/lab/faults/breakages.py
+++ b/brambleusher/lab/faults/breakages.py
@@ -13,6 +13,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
+from brambleusher.decisions.balancer_driver import BalancerDriver, ClientRequest, PendingRequest
 from brambleusher.features import capture as capture_module
 from brambleusher.lab.checker.rules import RULES
 from brambleusher.loadbalancing import Balancer, api
@@ -30,7 +31,6 @@
 from brambleusher.runtime.scheduler import Cancelled
 from brambleusher.runtime.streams import Called, Stream
 from brambleusher.sidecar.app import Sidecar
-from brambleusher.sidecar.balancer_driver import BalancerDriver, ClientRequest, PendingRequest
 
 LATE_SECONDS = 0.001  # past the drain limit
 
--- a/brambleusher/lab/fleets/fleet.py
+++ b/brambleusher/lab/fleets/fleet.py
@@ -40,11 +40,11 @@
 from brambleusher.loadbalancing import Balancer
 from brambleusher.loadbalancing.api import Settings
 from brambleusher.loadbalancing.zone_aware_balancer import balancer_for
+from brambleusher.operator_settings.configuration import OperatorFile, parse_operator_file
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.system import Address
 from brambleusher.sidecar.app import Sidecar
 from brambleusher.sidecar.configuration import Config, parse_config
-from brambleusher.sidecar.operator_configuration import OperatorFile, parse_operator_file
 
 SECOND = 10**9
 LEAD_IN_S = 1.2  # from the start of the processes to the first request that may come
--- a/brambleusher/lab/mysql/replay.py
+++ b/brambleusher/lab/mysql/replay.py
@@ -43,12 +43,12 @@
 from brambleusher.lab.stand_ins.settings import DiscoverySettings
 from brambleusher.lab.virtual.network import Connection
 from brambleusher.lab.virtual.world import START_NS, Machine, Process, Tap, VirtualSystem, World
+from brambleusher.operator_settings.configuration import parse_operator_file
 from brambleusher.runtime.real import RealSystem
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.system import Address
 from brambleusher.sidecar.app import Sidecar
 from brambleusher.sidecar.configuration import parse_config
-from brambleusher.sidecar.operator_configuration import parse_operator_file
 
 SECOND = 1_000_000_000
 NAMES = [f"n{at}" for at in range(6)]
--- a/brambleusher/net/client_listener.py
+++ b/brambleusher/net/client_listener.py
@@ -8,6 +8,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
+from brambleusher.decisions.balancer_driver import (
+    BalancerDriver,
+    ClientRequest,
+    Clock,
+    DuplicateRequestError,
+)
 from brambleusher.loadbalancing.api import Effect
 from brambleusher.loadbalancing.connection_admission import FRESH_SECONDS, Places
 from brambleusher.loadbalancing.maintenance import Service
@@ -32,12 +38,6 @@
 from brambleusher.runtime.scheduler import Scheduler, Task, Timeout
 from brambleusher.runtime.streams import Stream
 from brambleusher.runtime.system import SHORT_OF_ROOM, Socket
-from brambleusher.sidecar.balancer_driver import (
-    BalancerDriver,
-    ClientRequest,
-    Clock,
-    DuplicateRequestError,
-)
 
 log = logging.getLogger(__name__)
 
--- a/brambleusher/net/request_life.py
+++ b/brambleusher/net/request_life.py
@@ -8,10 +8,7 @@
 from enum import Enum
 from typing import Protocol
 
-from brambleusher.loadbalancing.api import Fail, Refuse, Status
-from brambleusher.runtime.scheduler import Scheduler, Timeout
-from brambleusher.runtime.system import Socket
-from brambleusher.sidecar.balancer_driver import (
+from brambleusher.decisions.balancer_driver import (
     AttemptFinished,
     AttemptOutcome,
     AttemptRequested,
@@ -20,6 +17,9 @@
     PendingRequest,
     ResponseStarted,
 )
+from brambleusher.loadbalancing.api import Fail, Refuse, Status
+from brambleusher.runtime.scheduler import Scheduler, Timeout
+from brambleusher.runtime.system import Socket
 
 log = logging.getLogger(__name__)
 
--- a/brambleusher/net/upstream_pool.py
+++ b/brambleusher/net/upstream_pool.py
@@ -10,6 +10,7 @@
 
 import orjson
 
+from brambleusher.decisions.balancer_driver import AttemptOutcome, do_nothing
 from brambleusher.loadbalancing.api import CONNECT_PART, HostState, LoadReport, Settings, Status
 from brambleusher.loadbalancing.connection_limits import Link, Pace
 from brambleusher.net.bodies import Answered, Tail, Upload
@@ -27,7 +28,6 @@
 from brambleusher.observability.log_format import SparseLog
 from brambleusher.runtime.scheduler import Event, Scheduler, Timeout
 from brambleusher.runtime.streams import Called, Stream
-from brambleusher.sidecar.balancer_driver import AttemptOutcome, do_nothing
 
 log = logging.getLogger(__name__)
 
--- /dev/null
+++ b/brambleusher/operator_settings/__init__.py
@@ -0,0 +1,1 @@
+"""The operator file: its settings, and how it is read and checked."""
--- a/brambleusher/sidecar/operator_configuration.py
+++ b/brambleusher/operator_settings/configuration.py
@@ -12,8 +12,8 @@
 from brambleusher.loadbalancing.api import Tier, ZoneRules
 from brambleusher.net.http import HOP_BY_HOP, is_token, is_value
 from brambleusher.net.passing import PROTECTED
+from brambleusher.operator_settings.section import OperatorError, Section
 from brambleusher.runtime.streams import parse_address
-from brambleusher.sidecar.operator_section import OperatorError, Section
 
 if TYPE_CHECKING:
     from brambleusher.fronts.mysql.settings import MysqlSettings
--- a/brambleusher/sidecar/__init__.py
+++ b/brambleusher/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""The sidecar in service: assembly, configuration, and the driver of the balancer."""
+"""The sidecar in service: assembly, configuration and lifecycle."""
--- a/brambleusher/sidecar/app.py
+++ b/brambleusher/sidecar/app.py
@@ -13,6 +13,7 @@
 from brambleusher.admin import figures as service_figures
 from brambleusher.admin.server import DESCRIPTORS as ADMIN_DESCRIPTORS
 from brambleusher.admin.server import AdminServer
+from brambleusher.decisions.balancer_driver import BalancerDriver, Clock, DecisionObserver, DecisionObservers
 from brambleusher.features.capture import Capture, DirSink
 from brambleusher.features.figures import DROPPED, Figures
 from brambleusher.features.output import LaneStream, Output
@@ -34,13 +35,12 @@
 from brambleusher.observability.counters import Counters
 from brambleusher.observability.log_format import configure
 from brambleusher.observability.request_counts import Tally
+from brambleusher.operator_settings.configuration import CaptureSettings, FiguresSettings, OperatorFile
+from brambleusher.operator_settings.section import OperatorError
 from brambleusher.runtime.real import RealSystem
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.system import Sink, System
-from brambleusher.sidecar.balancer_driver import BalancerDriver, Clock, DecisionObserver, DecisionObservers
 from brambleusher.sidecar.configuration import Config, ConfigError, fixed_keys_changed
-from brambleusher.sidecar.operator_configuration import CaptureSettings, FiguresSettings, OperatorFile
-from brambleusher.sidecar.operator_section import OperatorError
 
 if TYPE_CHECKING:
     from brambleusher.fronts.mysql.service import MysqlService
--- a/brambleusher/xds/config.py
+++ b/brambleusher/xds/config.py
@@ -11,9 +11,9 @@
 
 from brambleusher.loadbalancing.api import Effect, Settings
 from brambleusher.loadbalancing.settings import WireError, parse_settings
+from brambleusher.operator_settings.configuration import MAX_FILE, decode_yaml
+from brambleusher.operator_settings.section import OperatorError, Section
 from brambleusher.runtime.streams import parse_address
-from brambleusher.sidecar.operator_configuration import MAX_FILE, decode_yaml
-from brambleusher.sidecar.operator_section import OperatorError, Section
 from brambleusher.xds.faults import ControlError
 from brambleusher.xds.versions import MIN_SECRET
 
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -12,10 +12,10 @@
 from typing import Any
 
 from brambleusher.net.http import Message, MessageReader
+from brambleusher.operator_settings.configuration import parse_operator_file
 from brambleusher.runtime.system import System
 from brambleusher.sidecar.app import Sidecar
 from brambleusher.sidecar.configuration import parse_config
-from brambleusher.sidecar.operator_configuration import parse_operator_file
 
 WAIT = 20.0  # a bound on what must come, not a time anything should take
 Script = Callable[[socket.socket, Message], None]
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -19,6 +19,7 @@
 from typing import Any
 from unittest import mock
 
+from brambleusher.decisions.balancer_driver import ClientRequest, Decision
 from brambleusher.features import capture as capture_module
 from brambleusher.features.capture import Capture, DirSink
 from brambleusher.features.output import Lane
@@ -28,11 +29,10 @@
 from brambleusher.loadbalancing.settings_codec import restore_settings, save_settings
 from brambleusher.loadbalancing.state_codec import restore, save
 from brambleusher.net.endpoint_list import EndpointListUpdate
+from brambleusher.operator_settings.configuration import CaptureSettings, parse_operator_file
+from brambleusher.operator_settings.section import OperatorError
 from brambleusher.runtime.real import RealSystem
 from brambleusher.sidecar.app import memory_of_features
-from brambleusher.sidecar.balancer_driver import ClientRequest, Decision
-from brambleusher.sidecar.operator_configuration import CaptureSettings, parse_operator_file
-from brambleusher.sidecar.operator_section import OperatorError
 from tests.rig import WAIT, Node, Rig, answer, reset
 from tests.rules import SECOND, World
 from tests.test_figures import ready, until
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -21,12 +21,12 @@
 
 from brambleusher.features.figures import Influx, Statsd
 from brambleusher.features.output import ITEM_BYTES, Output
+from brambleusher.operator_settings.configuration import FiguresSettings, Target, parse_operator_file
+from brambleusher.operator_settings.section import OperatorError
 from brambleusher.runtime import sinks
 from brambleusher.runtime.real import RealSystem
 from brambleusher.runtime.sinks import DescriptorSink, FileSink, append_whole, pieces
 from brambleusher.runtime.system import Item
-from brambleusher.sidecar.operator_configuration import FiguresSettings, Target, parse_operator_file
-from brambleusher.sidecar.operator_section import OperatorError
 from tests.rig import WAIT, Node, Rig, answer, reset
 
 
--- a/tests/test_mysql_settings.py
+++ b/tests/test_mysql_settings.py
@@ -20,10 +20,10 @@
 )
 from brambleusher.fronts.mysql.statements import Statements
 from brambleusher.loadbalancing import api
+from brambleusher.operator_settings.configuration import parse_operator_file
+from brambleusher.operator_settings.section import OperatorError
 from brambleusher.sidecar.app import Sidecar
 from brambleusher.sidecar.configuration import parse_config
-from brambleusher.sidecar.operator_configuration import parse_operator_file
-from brambleusher.sidecar.operator_section import OperatorError
 
 GOOD: dict[str, Any] = {
     "listen": "127.0.0.1:3307", "users_file": "u", "accounts_file": "a", "strict_class": "move",
@@ -174,7 +174,7 @@
 def test_nothing_of_it_is_loaded_while_it_is_off() -> None:
     program = (
         "import sys, brambleusher.__main__, brambleusher.sidecar.app; "
-        "from brambleusher.sidecar.operator_configuration import *; "
+        "from brambleusher.operator_settings.configuration import *; "
         "parse_operator_file(b'figures: {}'); "
         "print([name for name in sys.modules if name.split('.')[0] in ('sqlglot', 'cryptography', 'ssl') "
         "or 'fronts' in name])"
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -13,7 +13,7 @@
     "brambleusher/admin",
     "brambleusher/net",
     "brambleusher/runtime",
-    "brambleusher/sidecar/balancer_driver.py",
+    "brambleusher/decisions/balancer_driver.py",
     "brambleusher/sidecar/app.py",
     "brambleusher/wire",
     "brambleusher/membership",
--- a/tests/test_rewrites.py
+++ b/tests/test_rewrites.py
@@ -13,7 +13,7 @@
 from brambleusher.features.rewrites import Rewrites, forward, forwarded_for
 from brambleusher.net.http import Field, MessageReader
 from brambleusher.net.passing import PROTECTED, end_to_end
-from brambleusher.sidecar.operator_configuration import (
+from brambleusher.operator_settings.configuration import (
     FRAMING,
     CaptureSettings,
     FiguresSettings,
@@ -21,7 +21,7 @@
     load_operator_file,
     parse_operator_file,
 )
-from brambleusher.sidecar.operator_section import OperatorError
+from brambleusher.operator_settings.section import OperatorError
 from tests.rig import Node, Rig, answer, read
 
 
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -9,8 +9,8 @@
 
 from brambleusher.features.status import MAX_VIEWERS, page, row_of
 from brambleusher.net.http import Message
-from brambleusher.sidecar.operator_configuration import StatusSettings, parse_operator_file
-from brambleusher.sidecar.operator_section import OperatorError
+from brambleusher.operator_settings.configuration import StatusSettings, parse_operator_file
+from brambleusher.operator_settings.section import OperatorError
 from tests.rig import WAIT, Discovery, Node, Rig, answer, read, reset
 from tests.test_figures import until
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -29,8 +29,8 @@
 from brambleusher.loadbalancing.state_codec import restore, save
 from brambleusher.loadbalancing.zone_aware_balancer import ZonedBalancer, balancer_for
 from brambleusher.loadbalancing.zone_routing import Load, State, Zones, fill
-from brambleusher.sidecar.operator_configuration import parse_operator_file
-from brambleusher.sidecar.operator_section import OperatorError
+from brambleusher.operator_settings.configuration import parse_operator_file
+from brambleusher.operator_settings.section import OperatorError
 from tests.rules import MS, SECOND, World
 from tests.test_rules import BASE
 
