--- a/brambleusher/controller/app.py
+++ b/brambleusher/controller/app.py
@@ -11,7 +11,8 @@
 from brambleusher.controlplane.configuration.publisher import ConfigurationPublisher
 from brambleusher.controlplane.registry import resolver as registry
 from brambleusher.controlplane.registry.instance_list import InstanceListReader
-from brambleusher.controlplane.relay.relay import CONTROLLERS_ANNOUNCEMENT, RELAY, RelayServer
+from brambleusher.controlplane.relay.messages import CONTROLLERS_ANNOUNCEMENT, RELAY
+from brambleusher.controlplane.relay.server import RelayServer
 from brambleusher.controlplane.replica import Replica
 from brambleusher.membership.line_connection import LineSender, LineServer
 from brambleusher.membership.process import run_until_signalled
--- a/brambleusher/controller/observer.py
+++ b/brambleusher/controller/observer.py
@@ -13,7 +13,8 @@
 from brambleusher.controlplane.admin_listeners import AdminListeners
 from brambleusher.controlplane.configuration.admin_api import AdminApi
 from brambleusher.controlplane.registry import resolver as registry
-from brambleusher.controlplane.relay.relay import CONTROLLERS_ANNOUNCEMENT, RELAY, RelayClient, RemoteState
+from brambleusher.controlplane.relay.client import RelayClient, RemoteState
+from brambleusher.controlplane.relay.messages import CONTROLLERS_ANNOUNCEMENT, RELAY
 from brambleusher.membership.controllers import Controllers, Locality, controllers_from_json
 from brambleusher.membership.line_connection import LineSender, LineServer
 from brambleusher.membership.process import run_until_signalled
@@ -98,9 +99,9 @@
         at, held = self._found.get((zone, region), (-USABLE_S, []))
         if begun - at < FRESH_S:
             return held
-        found = self._relay.call("resolve", begun + RESOLVE_S, zone=zone, region=region)
-        if isinstance(found, list):
-            self._keep((zone, region), begun, [str(address) for address in found])
+        found = self._relay.resolve(zone, region, begun + RESOLVE_S)
+        if found is not None:
+            self._keep((zone, region), begun, found)
         elif begun - at >= USABLE_S:
             return []
         return self._found[zone, region][1]
--- /dev/null
+++ b/brambleusher/controlplane/relay/server.py
@@ -0,0 +1,67 @@
+"""Serves observers on a controller: executes the calls that they relay."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from result import Err
+
+from brambleusher.controlplane.configuration.commands import Command
+from brambleusher.controlplane.configuration.replicated_state import ReplicatedState
+from brambleusher.controlplane.relay.messages import (
+    AppliedIndexCall,
+    ControllersCall,
+    ControllersJson,
+    ReadCall,
+    RelayCall,
+    ResolveCall,
+    SubmitCall,
+    call_from_json,
+    reply_to_json,
+)
+from brambleusher.runtime.scheduler import Scheduler
+from brambleusher.wire.json_fields import JsonObject
+
+RESPONSE_TIMEOUT_S = 0.45  # for a controller to answer, one further hop to the leader included
+
+
+class RelayServer:
+    """Answers observers on a controller."""
+
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        state: ReplicatedState,
+        find_gateways: Callable[[str, str], list[str]],
+        controllers: Callable[[], ControllersJson],
+    ) -> None:
+        self._scheduler, self._state = scheduler, state
+        self._find_gateways, self._controllers = find_gateways, controllers
+
+    def handle(self, message: JsonObject) -> dict[str, object]:
+        """Return the reply to one call.
+
+        Raises:
+            InvalidMessageError: The call can't be read.
+        """
+        call = call_from_json(message)
+        return reply_to_json(self._answer(call, self._scheduler.now() + RESPONSE_TIMEOUT_S))
+
+    def _answer(self, call: RelayCall, deadline: float) -> object:
+        match call:
+            case SubmitCall():
+                return self._submit(call.command, deadline)
+            case ReadCall():
+                state = self._state.read(deadline)
+                return None if isinstance(state, Err) else state.ok_value.as_read_json()
+            case AppliedIndexCall():
+                index = self._state.read_applied_index(deadline)
+                return None if isinstance(index, Err) else index.ok_value
+            case ResolveCall():
+                return self._find_gateways(call.zone, call.region)
+            case ControllersCall():
+                return self._controllers()
+
+    def _submit(self, command: Command, deadline: float) -> str | None:
+        verdict = self._state.submit(command, deadline)
+        return None if isinstance(verdict, Err) else verdict.ok_value.value
--- a/tests/system/test_observer.py
+++ b/tests/system/test_observer.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from brambleusher.controlplane.relay.relay import RelayServer
+from brambleusher.controlplane.relay.server import RelayServer
 from brambleusher.membership.controllers import Controllers, Locality, controllers_from_json
 from brambleusher.wire.errors import InvalidMessageError
 from tests.system.test_configuration_patch import patch, patch_body
@@ -85,7 +85,7 @@
     for controller in whole.controllers.values():
         handle = controller._relay.handle
 
-        def counted(message: dict[str, Any], handle: Any = handle) -> dict[str, Any]:
+        def counted(message: Any, handle: Any = handle) -> dict[str, Any]:
             calls.append(str(message["what"]))
             return handle(message)  # type: ignore[no-any-return]
 
