--- a/brambleusher/controller/app.py
+++ b/brambleusher/controller/app.py
@@ -102,7 +102,7 @@
 
     def _needed(self) -> bool:
         """Whether this vote may count while another can still get it, or just got one and this one stays."""
-        replacing = len(self.replica.voters()) > self.replica.consensus.voters_wanted
+        replacing = len(self.replica.voters()) > self.replica.consensus.required_voters
         return self.replica.has_vote() and (replacing or bool(self._successors()))
 
     def _successors(self) -> list[str]:
--- a/brambleusher/controlplane/configuration/publisher.py
+++ b/brambleusher/controlplane/configuration/publisher.py
@@ -79,7 +79,7 @@
         state, listed = self._replica.state, self._instances
         answer: dict[str, Any] = {
             "index": state.index,
-            "contact": self._replica.consensus.in_contact(now),
+            "contact": self._replica.consensus.has_quorum_contact(now),
             "gateways": len(gateways),
             "rank": gateways.index(peer.name) if peer.name in gateways else 0,
             "controllers": self._controllers(),
--- a/brambleusher/controlplane/consensus/durability.py
+++ b/brambleusher/controlplane/consensus/durability.py
@@ -7,30 +7,30 @@
     """Records are numbered from 1 in the order in which they are handed out; syncs come in that order."""
 
     def __init__(self, synced_index: int) -> None:
-        self.recorded = 0  # number of the last record handed out
+        self.last_record = 0  # number of the last record handed out
         self.synced_index = synced_index  # of the last entry on the disk
         self._waiting: list[tuple[int, int]] = []  # (record, index of its entry), not synced yet
 
-    def next_record(self) -> int:
+    def allocate_record(self) -> int:
         """The number of one more record."""
-        self.recorded += 1
-        return self.recorded
+        self.last_record += 1
+        return self.last_record
 
-    def appended(self, record: int, index: int) -> None:
+    def record_append(self, record: int, index: int) -> None:
         """A record brings an entry."""
         self._waiting.append((record, index))
 
-    def truncated(self, first: int) -> None:
+    def record_truncation(self, first: int) -> None:
         """Entries from an index on are void, whatever records of them are still to be synced."""
         self._waiting = [pair for pair in self._waiting if pair[1] < first]
         self.synced_index = min(self.synced_index, first - 1)
 
-    def restored(self, record: int, index: int) -> None:
+    def record_snapshot(self, record: int, index: int) -> None:
         """A record brings a snapshot up to an index in place of all entries."""
         self._waiting = [(record, index)]
         self.synced_index = 0
 
-    def synced(self, record: int, last_index: int) -> None:
+    def record_sync(self, record: int, last_index: int) -> None:
         """Records up to this number are on the disk; the log ends at `last_index`."""
         while self._waiting and self._waiting[0][0] <= record:
             _, index = self._waiting.pop(0)
--- a/brambleusher/controlplane/consensus/membership_change.py
+++ b/brambleusher/controlplane/consensus/membership_change.py
@@ -22,41 +22,42 @@
 class Group:
     """What a leader knows of its group.
 
-    `quiet_s` has the seconds since each other member answered, `caught_up` those that hold everything,
-    `leaving` those that are about to end.  `settled`: all voters are there, and have been for a while.
+    `seconds_since_contact` has the time since each other member answered, `caught_up` those that hold
+    everything, `leaving` those that are about to end.  `is_stable`: all voters are there, and have been for
+    a while.
     Votes are spread over regions, and within these over zones.
     """
 
     members: Sequence[Member]
     leader: str
-    voters_wanted: int
-    quiet_s: Mapping[str, float] = field(default_factory=dict)
+    required_voters: int
+    seconds_since_contact: Mapping[str, float] = field(default_factory=dict)
     caught_up: Collection[str] = ()
     leaving: Collection[str] = ()
-    settled: bool = False
+    is_stable: bool = False
     regions: Mapping[str, str] = field(default_factory=dict)  # region by zone
 
     @property
     def voters(self) -> list[Member]:
         """Members whose votes count."""
-        return [member for member in self.members if member.voter]
+        return [member for member in self.members if member.is_voter]
 
-    def lost(self, member: Member) -> bool:
+    def is_unresponsive(self, member: Member) -> bool:
         """Whether a member has said nothing for too long."""
-        return member.id != self.leader and self.quiet_s.get(member.id, 0.0) > LOST_VOTER_S
+        return member.id != self.leader and self.seconds_since_contact.get(member.id, 0.0) > LOST_VOTER_S
 
-    def going(self, member: Member) -> bool:
+    def should_lose_vote(self, member: Member) -> bool:
         """Whether a member should not keep a vote that another can have."""
-        return member.id != self.leader and (member.id in self.leaving or self.lost(member))
+        return member.id != self.leader and (member.id in self.leaving or self.is_unresponsive(member))
 
     @property
-    def zones_known(self) -> bool:
+    def has_known_zones(self) -> bool:
         """Whether every voter's zone is known: founders do not tell theirs, until somebody heard of it."""
         return all(member.zone for member in self.voters)
 
     def zone_load(self, zone: str) -> int:
         """Votes in a zone that are to stay."""
-        return sum(member.zone == zone and not self.going(member) for member in self.voters)
+        return sum(member.zone == zone and not self.should_lose_vote(member) for member in self.voters)
 
     def load(self, zone: str) -> tuple[int, int]:
         """Votes in a zone's region and in the zone itself that are to stay."""
@@ -66,7 +67,7 @@
 
     def with_vote(self, identity: str, voter: bool) -> tuple[Member, ...]:
         """The members with one vote changed."""
-        return tuple(replace(each, voter=voter) if each.id == identity else each for each in self.members)
+        return tuple(replace(each, is_voter=voter) if each.id == identity else each for each in self.members)
 
 
 def next_members(group: Group, joining: Sequence[Member]) -> tuple[Member, ...] | None:
@@ -87,7 +88,7 @@
         old = next((member for member in group.members if member.address == newcomer.address), None)
         if newcomer.id not in known and old is not None:
             rest = [member for member in group.members if member.id != old.id]
-            return (*rest, replace(newcomer, voter=False)) if any(m.voter for m in rest) else None
+            return (*rest, replace(newcomer, is_voter=False)) if any(m.is_voter for m in rest) else None
     return None
 
 
@@ -95,7 +96,7 @@
     known = {member.id for member in group.members}
     for newcomer in joining:
         if newcomer.id not in known and len(group.members) < MEMBERS_MAX:
-            return (*group.members, replace(newcomer, voter=False))
+            return (*group.members, replace(newcomer, is_voter=False))
     return None
 
 
@@ -104,12 +105,12 @@
     learners = [
         member
         for member in group.members
-        if not member.voter and member.id in group.caught_up and member.id not in group.leaving
+        if not member.is_voter and member.id in group.caught_up and member.id not in group.leaving
     ]
     if not learners:
         return None
     chosen = min(learners, key=lambda member: (group.load(member.zone), member.id))
-    missing = len(group.voters) < group.voters_wanted
+    missing = len(group.voters) < group.required_voters
     if not missing and not (_may_exceed(group) and _improves(group, chosen)):
         return None
     return group.with_vote(chosen.id, True)
@@ -118,17 +119,17 @@
 def _may_exceed(group: Group) -> bool:
     """Whether the group is complete and one more vote can be agreed on by those that are there."""
     voters = group.voters
-    if len(voters) != group.voters_wanted:
+    if len(voters) != group.required_voters:
         return False
-    live = sum(not group.lost(member) for member in voters)
+    live = sum(not group.is_unresponsive(member) for member in voters)
     return live + 1 >= votes_needed(len(voters) + 1, 0)
 
 
 def _improves(group: Group, learner: Member) -> bool:
     """Whether a vote for this learner in place of another's leaves the group better off."""
-    if any(group.going(member) for member in group.voters):
+    if any(group.should_lose_vote(member) for member in group.voters):
         return True
-    if not group.settled or not group.zones_known or not learner.zone:
+    if not group.is_stable or not group.has_known_zones or not learner.zone:
         return False  # a vote for the sake of zones alone must not meet a loss that is not noticed yet
     return any(
         _more_crowded(group, member.zone, learner.zone)
@@ -151,18 +152,18 @@
     """With a vote too many: one that leaves or is lost loses it, else one of the fullest region and zone."""
     voters = group.voters
     others = [member for member in voters if member.id != group.leader]
-    if len(voters) <= group.voters_wanted or not others:
+    if len(voters) <= group.required_voters or not others:
         return None
     gone = max(
         others,
         key=lambda member: (
-            group.lost(member),
+            group.is_unresponsive(member),
             member.id in group.leaving,
             group.load(member.zone),
             member.id,
         ),
     )
-    live = sum(not group.lost(member) for member in voters if member is not gone)
+    live = sum(not group.is_unresponsive(member) for member in voters if member is not gone)
     if live < votes_needed(len(voters) - 1, 0):
         return None
     return group.with_vote(gone.id, False)
@@ -171,7 +172,9 @@
 def _forgotten(group: Group) -> tuple[Member, ...] | None:
     """The learner that has been silent longest, if for too long; sooner where there is no room for others."""
     after_s = LOST_LEARNER_S if len(group.members) < MEMBERS_MAX else LOST_VOTER_S
-    silent = {each.id: group.quiet_s.get(each.id, 0.0) for each in group.members if not each.voter}
+    silent = {
+        each.id: group.seconds_since_contact.get(each.id, 0.0) for each in group.members if not each.is_voter
+    }
     gone = max(silent, key=lambda identity: (silent[identity], identity), default="")
     if not gone or silent[gone] <= after_s:
         return None
--- a/brambleusher/controlplane/consensus/membership_requests.py
+++ b/brambleusher/controlplane/consensus/membership_requests.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Joining:
+class JoinCandidate:
     """A process that asks to become a member, since and until when (seconds of the local clock)."""
 
     member: Member
@@ -26,28 +26,28 @@
 
     def __init__(self, own: str) -> None:
         self._own = own
-        self._joining: dict[str, Joining] = {}
+        self._joining: dict[str, JoinCandidate] = {}
         self._leaving: dict[str, float] = {}
-        self._heard_at: dict[str, float] = {}
+        self._last_contact_s: dict[str, float] = {}
 
-    def joined(self, newcomer: Member, now: float) -> None:
+    def record_join(self, newcomer: Member, now: float) -> None:
         """Keep the latest process at an address: an earlier one there has lost its disk and is gone."""
         for identity, joining in list(self._joining.items()):
             if joining.member.address == newcomer.address and identity != newcomer.id:
                 del self._joining[identity]
         known = self._joining.get(newcomer.id)
         first_at = now if known is None or self._stale(known, now) else known.first_at
-        self._joining[newcomer.id] = Joining(newcomer, first_at, now)
+        self._joining[newcomer.id] = JoinCandidate(newcomer, first_at, now)
 
-    def asked_to_leave(self, identity: str, now: float) -> None:
+    def record_leave(self, identity: str, now: float) -> None:
         """A member is about to end."""
         self._leaving[identity] = now
 
-    def heard(self, identity: str, now: float) -> None:
+    def record_contact(self, identity: str, now: float) -> None:
         """A replica said something, whatever it was."""
-        self._heard_at[identity] = now
+        self._last_contact_s[identity] = now
 
-    def forget(self, members: Sequence[Member], now: float) -> None:
+    def expire(self, members: Sequence[Member], now: float) -> None:
         """Drop what has not been repeated, and what is known of replicas that are no members."""
         for identity, joining in list(self._joining.items()):
             if self._stale(joining, now):
@@ -56,13 +56,15 @@
             if now - at > LEAVE_FORGET_S:
                 del self._leaving[identity]
         known = {member.id for member in members}
-        self._heard_at = {identity: at for identity, at in self._heard_at.items() if identity in known}
+        self._last_contact_s = {
+            identity: at for identity, at in self._last_contact_s.items() if identity in known
+        }
 
-    def leaving(self) -> set[str]:
+    def leaving_members(self) -> set[str]:
         """Members that asked to leave lately."""
         return set(self._leaving)
 
-    def lost(self, members: Sequence[Member], now: float) -> set[str]:
+    def lost_disks(self, members: Sequence[Member], now: float) -> set[str]:
         """Members whose disks are proven to be lost."""
         replaced = [self._replaced(joining, members, now) for joining in self._joining.values()]
         return {member.id for member in replaced if member is not None}
@@ -77,10 +79,10 @@
         ]
 
     @staticmethod
-    def _stale(joining: Joining, now: float) -> bool:
+    def _stale(joining: JoinCandidate, now: float) -> bool:
         return now - joining.last_at > JOIN_FORGET_S
 
-    def _replaced(self, joining: Joining, members: Sequence[Member], now: float) -> Member | None:
+    def _replaced(self, joining: JoinCandidate, members: Sequence[Member], now: float) -> Member | None:
         """The member that another process at its address has taken the place of, with an empty disk.
 
         One request is no proof, since it may be old and the member newer: it has to be repeated a while
@@ -91,6 +93,6 @@
             return None
         for member in members:
             if member.address == newcomer.address and member.id not in (newcomer.id, self._own):
-                silent_since = max(joining.first_at, self._heard_at.get(member.id, joining.first_at))
+                silent_since = max(joining.first_at, self._last_contact_s.get(member.id, joining.first_at))
                 return member if joining.last_at - silent_since >= JOIN_PROOF_S else None
         return None
--- a/brambleusher/controlplane/consensus/outputs.py
+++ b/brambleusher/controlplane/consensus/outputs.py
@@ -24,11 +24,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Outgoing:
-    """A message to a member, to be sent once the record numbered `after` is synced (0: at once)."""
+    """A message to a member, to be sent once the record numbered `after_record` is synced (0: at once)."""
 
-    to: Member
+    recipient: Member
     message: wire.Message
-    after: int
+    after_record: int
 
 
 @dataclass(frozen=True, slots=True)
--- a/brambleusher/controlplane/consensus/reads.py
+++ b/brambleusher/controlplane/consensus/reads.py
@@ -19,7 +19,7 @@
         """Wait for a quorum's answers to the heartbeat of this number."""
         self._reads.append((number, done))
 
-    def confirmed(self, number: float) -> None:
+    def confirm(self, number: float) -> None:
         """A quorum has answered heartbeats up to this number."""
         ready = [done for asked, done in self._reads if asked <= number]
         self._reads = [read for read in self._reads if read[0] > number]
--- a/brambleusher/controlplane/consensus/replica_state.py
+++ b/brambleusher/controlplane/consensus/replica_state.py
@@ -57,14 +57,14 @@
         vote: str,
         now: float,
         rng: random.Random,
-        voters_wanted: int = 3,
+        required_voters: int = 3,
     ) -> None:
         self.identity, self.log = identity, log
         self.term, self.vote = term, vote
-        self.commit = log.base_index
+        self.commit_index = log.base_index
         self.role = Role.FOLLOWER if self._is_voter() else Role.LEARNER
-        self.leader = ""
-        self.voters_wanted = voters_wanted
+        self.leader_id = ""
+        self.required_voters = required_voters
         self.output = Output()
         self._rng = rng
         self._now = now
@@ -72,13 +72,15 @@
         self._votes: set[str] = set()
         self._own_vote_record = 0  # number of the record of this replica's vote for itself
         self._replication = Replication()
-        self._round = 0
+        self._heartbeat_sequence = 0
         self._heard_at = now
         self._majority_at = self._led_since = now
         self._requests = MembershipRequests(identity.id)
-        self.zones: Callable[[], Mapping[str, str]] = dict  # zone by address, of replicas that told it since
-        self.regions: Mapping[str, str] = {}  # region by zone
-        self.leaves = False  # whether this process is about to end
+        self.zone_by_address: Callable[[], Mapping[str, str]] = (
+            dict  # zone by address, of replicas that told it since
+        )
+        self.region_by_zone: Mapping[str, str] = {}  # region by zone
+        self.is_shutting_down = False  # whether this process is about to end
         self._transfer_until = 0.0
         self._successor = ""
         self._reads = PendingReads()
@@ -90,40 +92,42 @@
     @property
     def voters(self) -> list[Member]:
         """Members whose votes count."""
-        return [member for member in self.log.members if member.voter]
+        return [member for member in self.log.members if member.is_voter]
 
     @property
-    def leading(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether this replica is the leader, as far as it knows."""
         return self.role is Role.LEADER
 
     def leader_member(self) -> Member | None:
         """The leader as far as it is known."""
-        return self._member(self.leader)
+        return self._member(self.leader_id)
 
-    def in_contact(self, now: float) -> bool:
+    def has_quorum_contact(self, now: float) -> bool:
         """Whether this replica heard of a majority lately: as a leader itself, else from a leader."""
-        heard = self._majority_at if self.leading else self._heard_at
-        return bool(self.leader) and now - heard < ELECTION_MIN_S
+        heard = self._majority_at if self.is_leader else self._heard_at
+        return bool(self.leader_id) and now - heard < ELECTION_MIN_S
 
-    def quiet_for(self, now: float) -> float:
+    def seconds_since_leader_contact(self, now: float) -> float:
         """Seconds since a leader was heard from."""
         return now - self._heard_at
 
-    def wants_to_join(self, now: float) -> bool:
+    def should_request_membership(self, now: float) -> bool:
         """Whether to ask others for membership: not known as a member, or perhaps none any more."""
-        if self.leading:
+        if self.is_leader:
             return False
-        return self._member(self.identity.id) is None or self.quiet_for(now) >= JOIN_QUIET_S
+        return (
+            self._member(self.identity.id) is None or self.seconds_since_leader_contact(now) >= JOIN_QUIET_S
+        )
 
-    def taking_proposals(self) -> bool:
+    def accepts_proposals(self) -> bool:
         """Whether a proposal made here now would be appended."""
         full = self.log.last_index - self._durability.synced_index > UNSYNCED_MAX * 2
-        return self.leading and self._now >= self._transfer_until and not full
+        return self.is_leader and self._now >= self._transfer_until and not full
 
     def has_vote(self) -> bool:
         """Whether this replica may be needed for a quorum: its vote is not known to be taken away."""
-        return self._is_voter() or self.log.members_index > self.commit
+        return self._is_voter() or self.log.members_index > self.commit_index
 
     def status(self) -> dict[str, Any]:
         """The state as one JSON object."""
@@ -131,8 +135,8 @@
             "id": self.identity.id,
             "role": self.role.value,
             "term": self.term,
-            "leader": self.leader,
-            "commit": self.commit,
+            "leader": self.leader_id,
+            "commit": self.commit_index,
             "last_index": self.log.last_index,
             "synced_index": self._durability.synced_index,
             "members": [member.as_json() for member in self.log.members],
@@ -143,7 +147,7 @@
     def tick(self, now: float) -> None:
         """Time has passed."""
         self._now = now
-        self._requests.forget(self.log.members, now)
+        self._requests.expire(self.log.members, now)
         if self.role is Role.LEADER:
             self._lead()
         elif now >= self._election_at:
@@ -151,13 +155,13 @@
             if self.voters:
                 self._stand(pre=True)
 
-    def due_at(self) -> float:
+    def next_tick_at(self) -> float:
         """When `tick` has something to do next."""
         return self._heartbeat_at if self.role is Role.LEADER else self._election_at
 
     def propose(self, command: Any) -> tuple[int, int] | None:
         """Append a command; its index and term, or None where this replica does not take any."""
-        if not self.taking_proposals():
+        if not self.accepts_proposals():
             return None
         entry = self._append_own("command", command)
         self._replicate()
@@ -165,32 +169,32 @@
 
     def read(self, done: Callable[[bool], None]) -> None:
         """Call `done(True)` once a majority still follows and all committed before is applied here."""
-        if not self.leading or self.log.term_at(self.commit) != self.term:
+        if not self.is_leader or self.log.term_at(self.commit_index) != self.term:
             done(False)
             return
-        self._round += 1
-        self._reads.add(self._round, done)
+        self._heartbeat_sequence += 1
+        self._reads.add(self._heartbeat_sequence, done)
         self._replicate(heartbeat=True)
         self._finish_reads()
 
-    def synced(self, record: int) -> None:
+    def handle_records_synced(self, record: int) -> None:
         """Records up to this number are on the disk."""
-        self._durability.synced(record, self.log.last_index)
-        if self.leading:
+        self._durability.record_sync(record, self.log.last_index)
+        if self.is_leader:
             self._advance_commit()
         elif self.role is Role.CANDIDATE and record >= self._own_vote_record:
             # One that lost it with its power could win the same term twice, where no other vote is needed.
             self._votes.add(self.identity.id)
             self._count_votes()
 
-    def transfer(self) -> bool:
+    def transfer_leadership(self) -> bool:
         """Ask the voter that is furthest to take over; False where there is none or this is no leader."""
-        if not self.leading:
+        if not self.is_leader:
             return False
-        near = self._replication.heard_within(ELECTION_MIN_S, self._now)
-        leaving = self._requests.leaving()
+        near = self._replication.responsive_within(ELECTION_MIN_S, self._now)
+        leaving = self._requests.leaving_members()
         ready = [
-            (self._replication.progress[member.id].matched, member)
+            (self._replication.progress[member.id].match_index, member)
             for member in self.voters
             if member.id in near and member.id not in leaving
         ]
@@ -202,43 +206,43 @@
             self._send(successor, wire.TransferLeadership(self.term, self.identity.id))
         return True
 
-    def compacted(self, index: int) -> None:
+    def handle_snapshot_stored(self, index: int) -> None:
         """A snapshot up to an index is on the disk."""
         self.log.compact(index)
 
-    def handle(self, message: wire.Message, now: float) -> None:
+    def handle_message(self, message: wire.Message, now: float) -> None:
         """A message of another replica."""
         self._now = now
         if isinstance(message, wire.JoinRequest):
-            self._requests.joined(message.member, now)
+            self._requests.record_join(message.member, now)
             return
         if message.sender == self.identity.id:
             return
-        self._requests.heard(message.sender, now)
+        self._requests.record_contact(message.sender, now)
         if isinstance(message, wire.LeaveRequest):
-            self._requests.asked_to_leave(message.sender, now)
-            if self.leading:
+            self._requests.record_leave(message.sender, now)
+            if self.is_leader:
                 self._change_members()
             return
         if isinstance(message, wire.VoteRequest):
             self._vote_asked(message)
             return
-        if message.term > self.term and not (isinstance(message, wire.VoteReply) and message.pre):
+        if message.term > self.term and not (isinstance(message, wire.VoteReply) and message.is_pre_vote):
             self._follow(message.term, "")
         if isinstance(message, wire.VoteReply):
             self._voted(message)
-        elif isinstance(message, wire.AppendReply):
+        elif isinstance(message, wire.AppendEntriesReply):
             self._appended(message)
         elif message.term < self.term:
             self._send_to(
                 message.sender,
-                wire.AppendReply(self.term, self.identity.id, False, self.log.last_index, 0),
+                wire.AppendEntriesReply(self.term, self.identity.id, False, self.log.last_index, 0),
             )
-        elif isinstance(message, wire.Append):
+        elif isinstance(message, wire.AppendEntries):
             self._append(message)
         elif isinstance(message, wire.InstallSnapshot):
             self._install(message)
-        elif isinstance(message, wire.TransferLeadership) and self._is_voter() and not self.leaves:
+        elif isinstance(message, wire.TransferLeadership) and self._is_voter() and not self.is_shutting_down:
             self._stand(pre=False, transfer=True)
 
     def _lost(self) -> set[str]:
@@ -246,20 +250,20 @@
 
         Not while a change of members is under way, since a quorum of the earlier members might not be met.
         """
-        if self.log.members_index > self.commit:
+        if self.log.members_index > self.commit_index:
             return set()
-        return self._requests.lost(self.log.members, self._now)
+        return self._requests.lost_disks(self.log.members, self._now)
 
     # --- elections -------------------------------------------------------------------------------
 
     def _timeout(self) -> float:
         """Until it stands: one without a vote may have to, where the voters lack what it holds, but last."""
-        longer = UNLIKELY_WAITS_S if self.leaves or not self._is_voter() else 0.0
+        longer = UNLIKELY_WAITS_S if self.is_shutting_down or not self._is_voter() else 0.0
         return self._rng.uniform(ELECTION_MIN_S, ELECTION_MAX_S) + longer
 
     def _is_voter(self) -> bool:
         own = self._member(self.identity.id)
-        return own is not None and own.voter
+        return own is not None and own.is_voter
 
     def _member(self, identity: str) -> Member | None:
         return next((member for member in self.log.members if member.id == identity), None)
@@ -279,10 +283,10 @@
             self.term, self.vote = term, ""
             self._record(HardState(self.term, self.vote))
         self._become(Role.FOLLOWER if self._is_voter() else Role.LEARNER)
-        self.leader = leader
+        self.leader_id = leader
 
     def _stand(self, pre: bool, transfer: bool = False) -> None:
-        self.leader = ""
+        self.leader_id = ""
         after = 0
         if pre:
             self._become(Role.PRE_CANDIDATE)
@@ -291,7 +295,7 @@
             self._become(Role.CANDIDATE)
             self.term, self.vote = self.term + 1, self.identity.id
             after = self._own_vote_record = self._record(HardState(self.term, self.vote))
-            self._votes = set()  # the own vote counts once it is synced, see `synced`
+            self._votes = set()  # the own vote counts once it is synced, see `handle_records_synced`
         self._election_at = self._now + self._timeout()
         asked = self.term + 1 if pre else self.term
         request = wire.VoteRequest(
@@ -303,13 +307,13 @@
         self._count_votes()
 
     def _vote_asked(self, request: wire.VoteRequest) -> None:
-        heard = self.leading or (bool(self.leader) and self._now - self._heard_at < ELECTION_MIN_S)
-        if heard and not request.transfer:
+        heard = self.is_leader or (bool(self.leader_id) and self._now - self._heard_at < ELECTION_MIN_S)
+        if heard and not request.is_transfer:
             # A member that was cut off, or is none any more, must not unseat a leader that is well.
             self._reply_vote(request, False)
             return
         newer = (request.last_term, request.last_index) >= (self.log.last_term, self.log.last_index)
-        if request.pre:
+        if request.is_pre_vote:
             self._reply_vote(request, newer and request.term > self.term)
             return
         if request.term > self.term:
@@ -324,8 +328,8 @@
         self._reply_vote(request, granted)
 
     def _reply_vote(self, request: wire.VoteRequest, granted: bool) -> None:
-        reply = wire.VoteReply(self.term, self.identity.id, request.term, request.pre, granted)
-        self._send_to(request.sender, reply, 0 if request.pre else self._durability.recorded)
+        reply = wire.VoteReply(self.term, self.identity.id, request.term, request.is_pre_vote, granted)
+        self._send_to(request.sender, reply, 0 if request.is_pre_vote else self._durability.last_record)
 
     def _voted(self, reply: wire.VoteReply) -> None:
         if reply.term > self.term:
@@ -333,9 +337,9 @@
             return
         if not reply.granted:
             return
-        waited_for = self.term + 1 if reply.pre else self.term
-        role = Role.PRE_CANDIDATE if reply.pre else Role.CANDIDATE
-        if self.role is role and reply.asked == waited_for:
+        waited_for = self.term + 1 if reply.is_pre_vote else self.term
+        role = Role.PRE_CANDIDATE if reply.is_pre_vote else Role.CANDIDATE
+        if self.role is role and reply.requested_term == waited_for:
             self._votes.add(reply.sender)
             self._count_votes()
 
@@ -349,7 +353,7 @@
 
     def _win(self) -> None:
         self._become(Role.LEADER)
-        self.leader = self.identity.id
+        self.leader_id = self.identity.id
         self._led_since = self._majority_at = self._heartbeat_at = self._now
         self._replication = Replication()
         self._follow_members()
@@ -359,56 +363,58 @@
     # --- the leader ------------------------------------------------------------------------------
 
     def _follow_members(self) -> None:
-        self._replication.follow(self.log.members, self.identity.id, self.log.last_index + 1, self._now)
+        self._replication.track_members(
+            self.log.members, self.identity.id, self.log.last_index + 1, self._now
+        )
 
     def _lead(self) -> None:
         if self._now < self._heartbeat_at:
             return
-        live = self._replication.heard_within(ELECTION_MAX_S, self._now) | {self.identity.id}
+        live = self._replication.responsive_within(ELECTION_MAX_S, self._now) | {self.identity.id}
         if not self._quorum(live):
             self._follow(self.term, "")
             self._election_at = self._now + self._timeout()
             return
         behind = self.log.last_index - self._durability.synced_index > UNSYNCED_MAX
-        if (behind or not self._is_voter()) and self.taking_proposals():
-            self.transfer()
-        self._majority_at = max(self._majority_at, self._heard_majority_at())
+        if (behind or not self._is_voter()) and self.accepts_proposals():
+            self.transfer_leadership()
+        self._majority_at = max(self._majority_at, self._last_quorum_contact())
         self._heartbeat_at = self._now + HEARTBEAT_S
         self._change_members()
-        self._round += 1
+        self._heartbeat_sequence += 1
         self._replicate(heartbeat=True)
 
-    def _heard_majority_at(self) -> float:
+    def _last_quorum_contact(self) -> float:
         """When a quorum had been heard from last, this replica included."""
-        times = {identity: known.heard_at for identity, known in self._replication.progress.items()}
+        times = {identity: known.last_contact_s for identity, known in self._replication.progress.items()}
         return agreed_value(self.voters, {**times, self.identity.id: self._now}, self._lost())
 
     def _change_members(self) -> None:
-        if self.log.members_index > self.commit or self.log.term_at(self.commit) != self.term:
+        if self.log.members_index > self.commit_index or self.log.term_at(self.commit_index) != self.term:
             return  # one change at a time, and none before this term has committed something
-        near = self._replication.heard_within(ELECTION_MIN_S, self._now)
+        near = self._replication.responsive_within(ELECTION_MIN_S, self._now)
         group = Group(
             self._members_with_zones(),
             self.identity.id,
-            self.voters_wanted,
-            self._replication.quiet_s(self._now),
-            self._replication.holding(self.commit, near),
-            self._requests.leaving(),
-            self._settled(near),
-            self.regions,
+            self.required_voters,
+            self._replication.seconds_since_contact(self._now),
+            self._replication.caught_up(self.commit_index, near),
+            self._requests.leaving_members(),
+            self._is_stable(near),
+            self.region_by_zone,
         )
         changed = next_members(group, self._requests.admissible(self.log.members, self._now))
         if changed is not None:
             self._append_own("members", [member.as_json() for member in changed])
             self._replicate()
 
-    def _settled(self, near: set[str]) -> bool:
+    def _is_stable(self, near: set[str]) -> bool:
         """Whether this replica has led for a while and all voters are there."""
         others = {member.id for member in self.voters} - {self.identity.id}
         return others <= near and self._now - self._led_since >= SETTLED_S
 
     def _members_with_zones(self) -> tuple[Member, ...]:
-        zones = self.zones()
+        zones = self.zone_by_address()
         return tuple(
             each if each.zone else replace(each, zone=zones.get(each.address, ""))
             for each in self.log.members
@@ -424,7 +430,7 @@
 
     def _append_entry(self, entry: Entry) -> None:
         self.log.append(entry)
-        self._durability.appended(self._record(entry), entry.index)
+        self._durability.record_append(self._record(entry), entry.index)
 
     def _replicate(self, heartbeat: bool = False) -> None:
         for member in self.log.members:
@@ -441,35 +447,48 @@
         entries = self._replication.next_entries(self.log, known)
         self._send(
             member,
-            wire.Append(self.term, self.identity.id, previous, term, entries, self.commit, self._round),
+            wire.AppendEntries(
+                self.term,
+                self.identity.id,
+                previous,
+                term,
+                entries,
+                self.commit_index,
+                self._heartbeat_sequence,
+            ),
         )
 
     def _send_snapshot(self, member: Member, known: Progress) -> None:
-        if self._now - known.snapshot_at < SNAPSHOT_EVERY_S:
-            beat = wire.Append(self.term, self.identity.id, 0, 0, [], 0, self._round)
+        if self._now - known.snapshot_sent_s < SNAPSHOT_EVERY_S:
+            beat = wire.AppendEntries(self.term, self.identity.id, 0, 0, [], 0, self._heartbeat_sequence)
             self._send(member, beat)
             return
-        known.snapshot_at = self._now
-        # The driver fills in what is applied when the message leaves: see `with_state`.
-        self._send(member, wire.InstallSnapshot(self.term, self.identity.id, 0, 0, [], None, self._round))
+        known.snapshot_sent_s = self._now
+        # The driver fills in what is applied when the message leaves: see `fill_snapshot`.
+        self._send(
+            member,
+            wire.InstallSnapshot(self.term, self.identity.id, 0, 0, [], None, self._heartbeat_sequence),
+        )
 
-    def snapshot(self, applied: int, state: Any) -> Restore:
+    def make_snapshot(self, applied: int, state: Any) -> Restore:
         """A state that holds just what is committed up to the index `applied`, with what belongs to it."""
         term = self.log.term_at(applied)
-        if term is None or applied > self.commit:
-            raise AssertionError(f"{applied} is no index of a state: {self.log.base_index}..{self.commit}")
+        if term is None or applied > self.commit_index:
+            raise AssertionError(
+                f"{applied} is no index of a state: {self.log.base_index}..{self.commit_index}"
+            )
         return Restore(applied, term, self.log.members_at(applied), state)
 
-    def with_state(self, message: wire.InstallSnapshot, applied: int, state: Any) -> wire.InstallSnapshot:
+    def fill_snapshot(self, message: wire.InstallSnapshot, applied: int, state: Any) -> wire.InstallSnapshot:
         """The message with a state that holds just what is committed up to the index `applied`."""
-        made = self.snapshot(applied, state)
+        made = self.make_snapshot(applied, state)
         members = list(made.members)
         return replace(message, index=made.index, index_term=made.term, members=members, state=state)
 
-    def _appended(self, reply: wire.AppendReply) -> None:
-        if not self.leading or reply.term != self.term:
+    def _appended(self, reply: wire.AppendEntriesReply) -> None:
+        if not self.is_leader or reply.term != self.term:
             return
-        known = self._replication.replied(reply, self._now)
+        known = self._replication.record_reply(reply, self._now)
         if known is None:
             return
         if reply.accepted:
@@ -484,16 +503,16 @@
         """The planned successor holds everything now: let it stand."""
         if identity == self._successor and self._now < self._transfer_until:
             member = self._member(identity)
-            if member is not None and known.matched == self.log.last_index:
+            if member is not None and known.match_index == self.log.last_index:
                 self._send(member, wire.TransferLeadership(self.term, self.identity.id))
 
     def _advance_commit(self) -> None:
-        matched = {identity: known.matched for identity, known in self._replication.progress.items()}
+        matched = {identity: known.match_index for identity, known in self._replication.progress.items()}
         matched[self.identity.id] = self._durability.synced_index
         agreed = int(agreed_value(self.voters, matched, self._lost()))
-        if agreed <= self.commit or self.log.term_at(agreed) != self.term:
+        if agreed <= self.commit_index or self.log.term_at(agreed) != self.term:
             return
-        members_agreed = self.commit < self.log.members_index <= agreed
+        members_agreed = self.commit_index < self.log.members_index <= agreed
         self._commit_to(agreed)
         self._replicate(heartbeat=True)  # followers announce it too, and should not wait for a beat
         if members_agreed:
@@ -502,9 +521,13 @@
     def _finish_reads(self) -> None:
         if not self._reads:
             return
-        rounds = {identity: known.round for identity, known in self._replication.progress.items()}
-        agreed = agreed_value(self.voters, {**rounds, self.identity.id: self._round}, self._lost())
-        self._reads.confirmed(agreed)
+        rounds = {
+            identity: known.heartbeat_sequence for identity, known in self._replication.progress.items()
+        }
+        agreed = agreed_value(
+            self.voters, {**rounds, self.identity.id: self._heartbeat_sequence}, self._lost()
+        )
+        self._reads.confirm(agreed)
 
     # --- the follower ----------------------------------------------------------------------------
 
@@ -513,29 +536,29 @@
         self._heard_at = self._now
         self._election_at = self._now + self._timeout()
 
-    def _append(self, message: wire.Append) -> None:
+    def _append(self, message: wire.AppendEntries) -> None:
         self._heard_leader(message.sender)
         if self.log.term_at(message.previous_index) != message.previous_term:
             if message.previous_index < self.log.base_index:
                 self._append_past_base(message)
                 return
             hint = min(self.log.last_index, max(message.previous_index - 1, self.log.base_index))
-            self._reply_append(False, hint, message.round)
+            self._reply_append(False, hint, message.heartbeat_sequence)
             return
         self._take_entries(message.entries)
         last = message.previous_index + len(message.entries)
-        self._reply_append(True, last, message.round)
-        self._commit_to(min(message.commit, last))
+        self._reply_append(True, last, message.heartbeat_sequence)
+        self._commit_to(min(message.leader_commit, last))
 
-    def _append_past_base(self, message: wire.Append) -> None:
+    def _append_past_base(self, message: wire.AppendEntries) -> None:
         """Entries that begin before the own snapshot: what the snapshot holds is agreed on already."""
         last = message.previous_index + len(message.entries)
         if last < self.log.base_index:
-            self._reply_append(True, last, message.round)
+            self._reply_append(True, last, message.heartbeat_sequence)
             return
         self._take_entries([entry for entry in message.entries if entry.index > self.log.base_index])
-        self._reply_append(True, last, message.round)
-        self._commit_to(min(message.commit, last))
+        self._reply_append(True, last, message.heartbeat_sequence)
+        self._commit_to(min(message.leader_commit, last))
 
     def _take_entries(self, entries: list[Entry]) -> None:
         for entry in entries:
@@ -545,7 +568,7 @@
             if held is not None:
                 self.log.truncate(entry.index)
                 self._record(Truncate(entry.index))
-                self._durability.truncated(entry.index)
+                self._durability.record_truncation(entry.index)
             self._append_entry(entry)
         if entries:
             self._become(Role.FOLLOWER if self._is_voter() else Role.LEARNER)
@@ -555,39 +578,39 @@
         if self.log.term_at(message.index) == message.index_term:
             # The log goes on behind it, and what follows may be confirmed already: it stays.
             self._commit_to(message.index)
-        elif message.index > self.commit:
+        elif message.index > self.commit_index:
             self._restore(message)
         self._become(Role.FOLLOWER if self._is_voter() else Role.LEARNER)
-        self._reply_append(True, min(message.index, self.log.last_index), message.round)
+        self._reply_append(True, min(message.index, self.log.last_index), message.heartbeat_sequence)
 
     def _restore(self, message: wire.InstallSnapshot) -> None:
         """Begin anew from a snapshot that the log does not reach, or contradicts."""
         members = tuple(message.members)
         self.log = Log(message.index, message.index_term, members)
         restore = Restore(message.index, message.index_term, members, message.state)
-        self._durability.restored(self._record(restore), message.index)
-        self.commit = message.index
+        self._durability.record_snapshot(self._record(restore), message.index)
+        self.commit_index = message.index
         self.output.restored.append(restore)
 
     def _reply_append(self, accepted: bool, matched: int, number: int) -> None:
-        reply = wire.AppendReply(self.term, self.identity.id, accepted, matched, number)
+        reply = wire.AppendEntriesReply(self.term, self.identity.id, accepted, matched, number)
         # A heartbeat of what is synced already is answered at once, however slow the disk is.
         waits = accepted and (matched > self._durability.synced_index)
-        self._send_to(self.leader, reply, self._durability.recorded if waits else 0)
+        self._send_to(self.leader_id, reply, self._durability.last_record if waits else 0)
 
     # --- shared ----------------------------------------------------------------------------------
 
     def _commit_to(self, index: int) -> None:
         index = min(index, self.log.last_index)
-        if index <= self.commit:
+        if index <= self.commit_index:
             return
-        begin = self.commit - self.log.base_index
+        begin = self.commit_index - self.log.base_index
         self.output.committed += self.log.entries[begin : index - self.log.base_index]
-        self.commit = index
+        self.commit_index = index
 
     def _record(self, record: Record) -> int:
         self.output.records.append(record)
-        return self._durability.next_record()
+        return self._durability.allocate_record()
 
     def _send(self, to: Member, message: wire.Message, after: int = 0) -> None:
         self.output.messages.append(Outgoing(to, message, after))
--- a/brambleusher/controlplane/consensus/replicated_log.py
+++ b/brambleusher/controlplane/consensus/replicated_log.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from brambleusher.wire.consensus_messages import Entry, Member, member_of
+from brambleusher.wire.consensus_messages import Entry, Member
 
 
 class Log:
@@ -33,16 +33,16 @@
             return self.entries[index - self.base_index - 1].term
         return None
 
-    def after(self, index: int, most: int) -> list[Entry]:
-        """Up to `most` entries that follow an index, which is not before the snapshot."""
+    def entries_after(self, index: int, limit: int) -> list[Entry]:
+        """Up to `limit` entries that follow an index, which is not before the snapshot."""
         begin = index - self.base_index
-        return self.entries[begin : begin + most]
+        return self.entries[begin : begin + limit]
 
     def append(self, entry: Entry) -> None:
         """Add the next entry; one that changes members acts at once."""
         self.entries.append(entry)
         if entry.kind == "members":
-            self.members = tuple(member_of(part) for part in entry.data)
+            self.members = tuple(Member.from_json(part) for part in entry.data)
             self.members_index = entry.index
 
     def truncate(self, first: int) -> None:
@@ -65,12 +65,12 @@
         members = self.base_members
         for entry in self.entries[: index - self.base_index]:
             if entry.kind == "members":
-                members = tuple(member_of(part) for part in entry.data)
+                members = tuple(Member.from_json(part) for part in entry.data)
         return members
 
     def _find_members(self) -> None:
         self.members, self.members_index = self.base_members, self.base_index
         for entry in self.entries:
             if entry.kind == "members":
-                self.members = tuple(member_of(part) for part in entry.data)
+                self.members = tuple(Member.from_json(part) for part in entry.data)
                 self.members_index = entry.index
--- a/brambleusher/controlplane/consensus/replication.py
+++ b/brambleusher/controlplane/consensus/replication.py
@@ -10,7 +10,7 @@
 
 from brambleusher.controlplane.consensus.outputs import SNAPSHOT_EVERY_S
 from brambleusher.controlplane.consensus.replicated_log import Log
-from brambleusher.wire.consensus_messages import AppendReply, Entry, Member
+from brambleusher.wire.consensus_messages import AppendEntriesReply, Entry, Member
 
 ENTRIES_A_MESSAGE = 64
 MESSAGE_BYTES = 128 * 1024  # of entries in one message: 0.2 s of a link with 5 Mbit/s, ahead of a heartbeat
@@ -22,20 +22,20 @@
     """What a leader knows of one other member; times in seconds of its clock."""
 
     next_index: int
-    matched: int = 0
-    heard_at: float = 0.0
-    round: int = 0
-    snapshot_at: float = -SNAPSHOT_EVERY_S
+    match_index: int = 0
+    last_contact_s: float = 0.0
+    heartbeat_sequence: int = 0
+    snapshot_sent_s: float = -SNAPSHOT_EVERY_S
     in_flight: deque[tuple[int, int]] = field(default_factory=deque)  # index and bytes, sent, not confirmed
 
-    def confirmed(self, matched: int) -> None:
+    def record_match(self, match_index: int) -> None:
         """It holds everything up to an index."""
-        self.matched = max(self.matched, matched)
-        self.next_index = max(self.next_index, self.matched + 1)
-        while self.in_flight and self.in_flight[0][0] <= self.matched:
+        self.match_index = max(self.match_index, match_index)
+        self.next_index = max(self.next_index, self.match_index + 1)
+        while self.in_flight and self.in_flight[0][0] <= self.match_index:
             self.in_flight.popleft()
 
-    def refused(self, hint: int) -> None:
+    def step_back(self, hint: int) -> None:
         """What was sent does not fit: go back, to behind the hinted index or further."""
         self.next_index = max(1, min(self.next_index - 1, hint + 1))
         self.in_flight.clear()
@@ -52,15 +52,15 @@
 
     progress: dict[str, Progress] = field(default_factory=dict)
 
-    def follow(self, members: Iterable[Member], own: str, next_index: int, now: float) -> None:
+    def track_members(self, members: Iterable[Member], own: str, next_index: int, now: float) -> None:
         """Keep track of just these members."""
         others = {member.id for member in members} - {own}
         for identity in others - set(self.progress):
-            self.progress[identity] = Progress(next_index, heard_at=now)
+            self.progress[identity] = Progress(next_index, last_contact_s=now)
         for identity in set(self.progress) - others:
             del self.progress[identity]
 
-    def replied(self, reply: AppendReply, now: float) -> Progress | None:
+    def record_reply(self, reply: AppendEntriesReply, now: float) -> Progress | None:
         """Take in an answer; None where it is of no member.
 
         A refusal sets back what is sent next, below what had been confirmed if need be: sending an entry
@@ -69,12 +69,12 @@
         known = self.progress.get(reply.sender)
         if known is None:
             return None
-        known.heard_at = now
+        known.last_contact_s = now
         if reply.accepted:
-            known.confirmed(reply.matched)
-        elif reply.round >= known.round:
-            known.refused(reply.matched)
-        known.round = max(known.round, reply.round)
+            known.record_match(reply.match_index)
+        elif reply.heartbeat_sequence >= known.heartbeat_sequence:
+            known.step_back(reply.match_index)
+        known.heartbeat_sequence = max(known.heartbeat_sequence, reply.heartbeat_sequence)
         return known
 
     def next_entries(self, log: Log, known: Progress) -> list[Entry]:
@@ -83,7 +83,7 @@
             return []
         chosen: list[Entry] = []
         total = 0
-        for entry in log.after(known.next_index - 1, ENTRIES_A_MESSAGE):
+        for entry in log.entries_after(known.next_index - 1, ENTRIES_A_MESSAGE):
             size = wire_bytes(entry)
             total += size
             if chosen and total > MESSAGE_BYTES:
@@ -93,14 +93,14 @@
         known.next_index += len(chosen)
         return chosen
 
-    def heard_within(self, seconds: float, now: float) -> set[str]:
+    def responsive_within(self, seconds: float, now: float) -> set[str]:
         """Members that answered lately."""
-        return {identity for identity, known in self.progress.items() if now - known.heard_at < seconds}
+        return {identity for identity, known in self.progress.items() if now - known.last_contact_s < seconds}
 
-    def holding(self, index: int, among: Collection[str]) -> set[str]:
+    def caught_up(self, index: int, among: Collection[str]) -> set[str]:
         """Members, of those named, that confirmed everything up to an index."""
-        return {identity for identity in among if self.progress[identity].matched >= index}
+        return {identity for identity in among if self.progress[identity].match_index >= index}
 
-    def quiet_s(self, now: float) -> dict[str, float]:
+    def seconds_since_contact(self, now: float) -> dict[str, float]:
         """Seconds since each member answered."""
-        return {identity: now - known.heard_at for identity, known in self.progress.items()}
+        return {identity: now - known.last_contact_s for identity, known in self.progress.items()}
--- a/brambleusher/controlplane/replica.py
+++ b/brambleusher/controlplane/replica.py
@@ -107,8 +107,8 @@
         self._joined_at = self._sleeps_until = 0.0
         self.seeds: tuple[str, ...] = settings.seed_peers()
         self.known_controllers: Callable[[], list[str]] = list
-        self.consensus.zones = self._zones
-        self.consensus.regions = settings.zones
+        self.consensus.zone_by_address = self._zones
+        self.consensus.region_by_zone = settings.zones
         self.known_zones: Callable[[], dict[str, str]] = dict
         self._event = Event()
         self._resting = False  # after an error of the disk
@@ -164,7 +164,7 @@
         while self._scheduler.now() < deadline:
             answer = (
                 self._propose(command, deadline)
-                if self.consensus.taking_proposals()
+                if self.consensus.accepts_proposals()
                 else self._forward({"command": command.as_json()}, deadline)
             )
             if isinstance(answer, Verdict):
@@ -185,7 +185,7 @@
     def read(self, deadline: float) -> ReadResult:
         """The state as a majority has it at this moment."""
         while self._scheduler.now() < deadline:
-            if self.consensus.leading:
+            if self.consensus.is_leader:
                 if self._confirmed(min(deadline, self._scheduler.now() + FORWARD_S)):
                     return Ok(self.state)
                 self._scheduler.sleep(LOOK_AGAIN_S)
@@ -204,16 +204,16 @@
 
     def begin_graceful_shutdown(self) -> None:
         """This process is about to end: hand over the lead and the vote, where others can have them."""
-        if not self.consensus.leaves:
-            self.consensus.leaves = True
+        if not self.consensus.is_shutting_down:
+            self.consensus.is_shutting_down = True
             self._scheduler.spawn(self._hand_over_vote, name="leave")
 
     def _hand_over_vote(self) -> None:
         """Tell all members, since whoever leads next has to know too."""
-        request = wire.as_json(wire.LeaveRequest(self.identity.id))
+        request = wire.encode_message(wire.LeaveRequest(self.identity.id))
         while True:
-            if self.consensus.taking_proposals():
-                self.consensus.transfer()
+            if self.consensus.accepts_proposals():
+                self.consensus.transfer_leadership()
                 self._pump()
             for member in self.consensus.log.members:
                 if member.id != self.identity.id:
@@ -249,12 +249,12 @@
         if kind == "forwarded":
             self._take_forwarded(data, sender)
             return
-        message = wire.from_json(data)
+        message = wire.decode_message(data)
         if isinstance(message, wire.JoinRequest):
             self._pass_join(message, sender)
         else:
             self._route(message.sender, sender)
-        self.consensus.handle(message, self._scheduler.now())
+        self.consensus.handle_message(message, self._scheduler.now())
         self._pump()
 
     def _pass_join(self, request: wire.JoinRequest, sender: str) -> None:
@@ -262,7 +262,7 @@
         leader = self.consensus.leader_member()
         itself = sender == request.member.address
         if itself and leader is not None and leader.address not in (sender, self.identity.address):
-            self._send(leader.address, wire.as_json(request))
+            self._send(leader.address, wire.encode_message(request))
 
     def _take_forwarded(self, data: dict[str, Any], sender: str) -> None:
         """An answer to what was forwarded: only from the replica that was asked."""
@@ -283,10 +283,10 @@
     def _serve_forward(self, data: dict[str, Any], sender: str) -> None:
         deadline = self._scheduler.now() + FORWARD_S
         answer: Any = None
-        if "command" in data and self.consensus.taking_proposals():
+        if "command" in data and self.consensus.accepts_proposals():
             verdict = self._propose(command_from_json(data["command"]), deadline)
             answer = verdict.value if verdict is not None else None
-        elif data.get("read") and self.consensus.leading and self._confirmed(deadline):
+        elif data.get("read") and self.consensus.is_leader and self._confirmed(deadline):
             answer = self.state.as_read_json()
         self._send(sender, {"kind": "forwarded", "number": data.get("number", -1), "answer": answer})
 
@@ -344,19 +344,19 @@
             self._join(now)
             self._sleeps_until = 0.0
             self._pump()
-            self._sleeps_until = max(self.consensus.due_at(), now + LEAST_SLEEP_S)
+            self._sleeps_until = max(self.consensus.next_tick_at(), now + LEAST_SLEEP_S)
             try:
                 self._scheduler.park(self._sleeps_until, event=self._event)
             except Timeout:
                 continue
 
     def _join(self, now: float) -> None:
-        if not self.consensus.wants_to_join(now):
+        if not self.consensus.should_request_membership(now):
             return
         if now - self._joined_at < JOIN_EVERY_S:
             return
         self._joined_at = now
-        request = wire.as_json(wire.JoinRequest(self.identity.id, self.identity))
+        request = wire.encode_message(wire.JoinRequest(self.identity.id, self.identity))
         heard = self._routes.values()  # one that lost its disk is still spoken to, maybe by none of its seeds
         for address in {*self.seeds, *self.known_controllers(), *heard} - {self.identity.address}:
             self._send(address, request)
@@ -373,11 +373,11 @@
         for entry in output.committed:
             self._apply(entry)
         for message in output.messages:
-            if message.after > self._synced:
+            if message.after_record > self._synced:
                 self._held.append(message)
             else:
                 self._post(message)
-        if self.consensus.due_at() < self._sleeps_until:
+        if self.consensus.next_tick_at() < self._sleeps_until:
             self._event.set()
         if self.state.index != before:
             self._changed()
@@ -392,15 +392,15 @@
             waiter.done(verdict if term == entry.term else None)
 
     def _post(self, outgoing: Outgoing) -> None:
-        address = outgoing.to.address or self._routes.get(outgoing.to.id, "")
+        address = outgoing.recipient.address or self._routes.get(outgoing.recipient.id, "")
         if not address:
             return
         message = outgoing.message
         if isinstance(message, wire.InstallSnapshot):
-            if not self.consensus.leading:
+            if not self.consensus.is_leader:
                 return
-            message = self.consensus.with_state(message, self._applied, self.state.as_json())
-        self._send(address, wire.as_json(message))
+            message = self.consensus.fill_snapshot(message, self._applied, self.state.as_json())
+        self._send(address, wire.encode_message(message))
 
     # --- the disk --------------------------------------------------------------------------------
 
@@ -452,11 +452,11 @@
     def _disk_done(self, number: int, job: list[Record] | SnapshotJob) -> None:
         if isinstance(job, SnapshotJob):
             self._snapshot_under_way = False
-            self.consensus.compacted(job.snapshot.index)
+            self.consensus.handle_snapshot_stored(job.snapshot.index)
             return
         self._synced = max(self._synced, number)
-        self.consensus.synced(self._synced)
-        while self._held and self._held[0].after <= self._synced:
+        self.consensus.handle_records_synced(self._synced)
+        while self._held and self._held[0].after_record <= self._synced:
             self._post(self._held.popleft())
         self._pump()
         if self._storage.is_snapshot_due and not self._snapshot_under_way:
@@ -464,7 +464,7 @@
 
     def _begin_snapshot(self) -> None:
         consensus = self.consensus
-        made = consensus.snapshot(self._applied, self.state.as_json())
-        rest = consensus.log.after(made.index, consensus.log.last_index - made.index)
+        made = consensus.make_snapshot(self._applied, self.state.as_json())
+        rest = consensus.log.entries_after(made.index, consensus.log.last_index - made.index)
         self._snapshot_under_way = True
         self._queue(self._handed, SnapshotJob(made, HardState(consensus.term, consensus.vote), rest))
--- a/brambleusher/controlplane/storage/records.py
+++ b/brambleusher/controlplane/storage/records.py
@@ -13,7 +13,7 @@
 import orjson
 
 from brambleusher.controlplane.consensus.outputs import HardState, Record, Restore, Truncate
-from brambleusher.wire.consensus_messages import Entry, Member, entry_of, member_of
+from brambleusher.wire.consensus_messages import Entry, Member
 from brambleusher.wire.errors import InvalidMessageError
 from brambleusher.wire.json_fields import JsonObject, as_object, require_int, require_list, require_str
 
@@ -137,7 +137,7 @@
 
 
 def _members_from_json(data: JsonObject) -> tuple[Member, ...]:
-    return tuple(member_of(member) for member in require_list(data, "members"))
+    return tuple(Member.from_json(member) for member in require_list(data, "members"))
 
 
 def _snapshot_to_json(snapshot: Restore) -> dict[str, object]:
@@ -162,5 +162,5 @@
     RecordKind.HARD_STATE.value: lambda data: HardState(require_int(data, "term"), require_str(data, "vote")),
     RecordKind.TRUNCATE.value: lambda data: Truncate(require_int(data, "first")),
     RecordKind.RESTORE.value: _snapshot_from_json,
-    RecordKind.ENTRY.value: lambda data: entry_of(data.get("entry")),
+    RecordKind.ENTRY.value: lambda data: Entry.from_json(data.get("entry")),
 }
--- a/brambleusher/wire/consensus_messages.py
+++ b/brambleusher/wire/consensus_messages.py
@@ -15,20 +15,28 @@
 
     id: str
     address: str
-    control: str
+    admin_address: str
     zone: str
-    voter: bool
+    is_voter: bool
 
     def as_json(self) -> dict[str, Any]:
         """The form for the wire and the disk."""
         return {
             "id": self.id,
             "address": self.address,
-            "control": self.control,
+            "control": self.admin_address,
             "zone": self.zone,
-            "voter": self.voter,
+            "voter": self.is_voter,
         }
 
+    @classmethod
+    def from_json(cls, data: Any) -> Member:
+        """A member from its JSON form; raises `InvalidMessageError`."""
+        try:
+            return cls(data["id"], data["address"], data["control"], data["zone"], bool(data["voter"]))
+        except (KeyError, TypeError) as error:
+            raise InvalidMessageError("a member lacks a key") from error
+
 
 @dataclass(frozen=True, slots=True)
 class Entry:
@@ -43,52 +51,70 @@
         """The form for the wire and the disk."""
         return [self.index, self.term, self.kind, self.data]
 
+    @classmethod
+    def from_json(cls, data: Any) -> Entry:
+        """An entry from its JSON form; raises `InvalidMessageError`."""
+        try:
+            index, term, kind, content = data
+        except (TypeError, ValueError) as error:
+            raise InvalidMessageError("an entry is no list of four") from error
+        if (
+            not isinstance(index, int)
+            or not isinstance(term, int)
+            or kind not in ("none", "command", "members")
+        ):
+            raise InvalidMessageError("an entry has parts of the wrong kind")
+        return cls(index, term, kind, content)
+
 
 @dataclass(frozen=True, slots=True)
 class VoteRequest:
-    """A candidate asks for a vote; a `pre` vote changes nothing and only asks whether one would be given."""
+    """A candidate asks for a vote; a pre-vote changes nothing and only asks whether one would be given."""
 
     term: int
     sender: str
     last_index: int
     last_term: int
-    pre: bool
-    transfer: bool
+    is_pre_vote: bool
+    is_transfer: bool
 
 
 @dataclass(frozen=True, slots=True)
 class VoteReply:
-    """The answer to a request for a vote of `asked` term."""
+    """The answer to a request for a vote in `requested_term`."""
 
     term: int
     sender: str
-    asked: int
-    pre: bool
+    requested_term: int
+    is_pre_vote: bool
     granted: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Append:
-    """Entries after `previous_index`, or none (a heartbeat); `round` numbers the leader's heartbeats."""
+class AppendEntries:
+    """Entries after `previous_index`, or none (a heartbeat).
+
+    `heartbeat_sequence` numbers the leader's heartbeats.
+    """
 
     term: int
     sender: str
     previous_index: int
     previous_term: int
     entries: list[Entry]
-    commit: int
-    round: int
+    leader_commit: int
+    heartbeat_sequence: int
 
 
 @dataclass(frozen=True, slots=True)
-class AppendReply:
-    """How far the log agrees and is synced; on a refusal `matched` is a hint where to try next."""
+class AppendEntriesReply:
+    """How far the log agrees and is synced; on a refusal `match_index` is a hint where to try next."""
 
     term: int
     sender: str
     accepted: bool
-    matched: int
-    round: int
+    match_index: int
+    heartbeat_sequence: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -101,7 +127,7 @@
     index_term: int
     members: list[Member]
     state: Any
-    round: int
+    heartbeat_sequence: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -130,8 +156,8 @@
 Message = (
     VoteRequest
     | VoteReply
-    | Append
-    | AppendReply
+    | AppendEntries
+    | AppendEntriesReply
     | InstallSnapshot
     | TransferLeadership
     | JoinRequest
@@ -139,25 +165,6 @@
 )
 
 
-def member_of(data: Any) -> Member:
-    """A member from its JSON form; raises `InvalidMessageError`."""
-    try:
-        return Member(data["id"], data["address"], data["control"], data["zone"], bool(data["voter"]))
-    except (KeyError, TypeError) as error:
-        raise InvalidMessageError("a member lacks a key") from error
-
-
-def entry_of(data: Any) -> Entry:
-    """An entry from its JSON form; raises `InvalidMessageError`."""
-    try:
-        index, term, kind, content = data
-    except (TypeError, ValueError) as error:
-        raise InvalidMessageError("an entry is no list of four") from error
-    if not isinstance(index, int) or not isinstance(term, int) or kind not in ("none", "command", "members"):
-        raise InvalidMessageError("an entry has parts of the wrong kind")
-    return Entry(index, term, kind, content)
-
-
 @dataclass(frozen=True, slots=True)
 class _Key:
     """One key of a message on the wire, and the attribute that it is read into.
@@ -231,37 +238,43 @@
             _SENDER,
             _number("last_index", "last_index"),
             _number("last_term", "last_term"),
-            _flag("pre", "pre"),
-            _flag("transfer", "transfer"),
+            _flag("pre", "is_pre_vote"),
+            _flag("transfer", "is_transfer"),
         ),
     ),
     _Layout(
         "voted",
         VoteReply,
-        (_TERM, _SENDER, _number("asked", "asked"), _flag("pre", "pre"), _flag("granted", "granted")),
+        (
+            _TERM,
+            _SENDER,
+            _number("asked", "requested_term"),
+            _flag("pre", "is_pre_vote"),
+            _flag("granted", "granted"),
+        ),
     ),
     _Layout(
         "append",
-        Append,
+        AppendEntries,
         (
             _TERM,
             _SENDER,
             _number("previous_index", "previous_index"),
             _number("previous_term", "previous_term"),
-            _list("entries", "entries", entry_of),
-            _number("commit", "commit"),
-            _number("round", "round"),
+            _list("entries", "entries", Entry.from_json),
+            _number("commit", "leader_commit"),
+            _number("round", "heartbeat_sequence"),
         ),
     ),
     _Layout(
         "appended",
-        AppendReply,
+        AppendEntriesReply,
         (
             _TERM,
             _SENDER,
             _flag("accepted", "accepted"),
-            _number("matched", "matched"),
-            _number("round", "round"),
+            _number("matched", "match_index"),
+            _number("round", "heartbeat_sequence"),
         ),
     ),
     _Layout(
@@ -272,16 +285,16 @@
             _SENDER,
             _number("index", "index"),
             _number("index_term", "index_term"),
-            _list("members", "members", member_of),
+            _list("members", "members", Member.from_json),
             _Key("state", "state", None),
-            _number("round", "round"),
+            _number("round", "heartbeat_sequence"),
         ),
     ),
     _Layout("transfer", TransferLeadership, (_TERM, _SENDER)),
     _Layout(
         "join",
         JoinRequest,
-        (_SENDER, _Key("member", "member", None, Member.as_json, member_of)),
+        (_SENDER, _Key("member", "member", None, Member.as_json, Member.from_json)),
     ),
     _Layout("leave", LeaveRequest, (_SENDER,)),
 )
@@ -289,13 +302,13 @@
 _LAYOUT_BY_TYPE = {layout.message_type: layout for layout in _LAYOUTS}
 
 
-def as_json(message: Message) -> dict[str, Any]:
+def encode_message(message: Message) -> dict[str, Any]:
     """A message as an object with its kind."""
     layout = _LAYOUT_BY_TYPE[type(message)]
     return {"kind": layout.kind, **{key.key: key.write(message) for key in layout.keys}}
 
 
-def from_json(data: dict[str, Any]) -> Message:
+def decode_message(data: dict[str, Any]) -> Message:
     """The message that an object holds; raises `InvalidMessageError`."""
     layout = _LAYOUT_BY_KIND.get(str(data.get("kind")))
     if layout is None:
--- a/tests/system/cluster.py
+++ b/tests/system/cluster.py
@@ -114,7 +114,7 @@
             else:
                 log.append(record)
         own = member(identity or name, voter=False)
-        own = Member(own.id, f"at-{name}", own.control, own.zone, False)
+        own = Member(own.id, f"at-{name}", own.admin_address, own.zone, False)
         consensus = self.make(
             own, log, term, vote, self.now, random.Random(self.rng.random()), max(3, len(self.founders))
         )
@@ -145,15 +145,15 @@
         if node.synced < len(node.records):
             return  # the snapshot waits for what is written before it
         consensus, log = node.consensus, node.consensus.log
-        snapshot = consensus.snapshot(node.applied, dict(node.state))
-        rest = log.after(node.applied, log.last_index - node.applied)
+        snapshot = consensus.make_snapshot(node.applied, dict(node.state))
+        rest = log.entries_after(node.applied, log.last_index - node.applied)
         records = [snapshot, HardState(consensus.term, consensus.vote), *rest]
         node.base += len(node.records) - len(records)
         node.records, node.synced = records, len(records)
-        consensus.compacted(node.applied)
+        consensus.handle_snapshot_stored(node.applied)
 
     def leader(self) -> Node | None:
-        leading = [node for node in self.nodes.values() if node.up and node.consensus.leading]
+        leading = [node for node in self.nodes.values() if node.up and node.consensus.is_leader]
         return max(leading, key=lambda node: node.consensus.term, default=None)
 
     # --- steps -----------------------------------------------------------------------------------
@@ -182,7 +182,7 @@
             self.deliver(sender, to, message)
 
     def _join(self, node: Node) -> None:
-        if node.consensus.wants_to_join(self.now) and self.steps % 10 == 0:
+        if node.consensus.should_request_membership(self.now) and self.steps % 10 == 0:
             request = wire.JoinRequest(node.consensus.identity.id, node.consensus.identity)
             for other in self.nodes.values():
                 if other.up and other is not node:
@@ -195,8 +195,8 @@
         if node.frozen_until > self.steps:
             self.later.append((node.frozen_until, (sender, to, message)))
             return
-        copy = wire.from_json(wire.as_json(message))
-        node.consensus.handle(copy, self.now)
+        copy = wire.decode_message(wire.encode_message(message))
+        node.consensus.handle_message(copy, self.now)
         self.pump(node)
 
     def post(self, sender: str, to: str, message: wire.Message) -> None:
@@ -227,12 +227,12 @@
                 node.held.append(outgoing)
             else:
                 self._post(node, outgoing)
-        if node.consensus.leading:
+        if node.consensus.is_leader:
             self.checker.saw_leader(node.consensus.term, node.consensus.identity.id)
 
     @staticmethod
     def _waits(node: Node, outgoing: Outgoing) -> bool:
-        return outgoing.after > node.synced + node.base
+        return outgoing.after_record > node.synced + node.base
 
     def _apply(self, node: Node, entry: Entry) -> None:
         content = (entry.term, entry.kind, entry.data)
@@ -244,11 +244,15 @@
     def _post(self, node: Node, outgoing: Outgoing) -> None:
         message = outgoing.message
         if isinstance(message, wire.InstallSnapshot):
-            if not node.consensus.leading:
+            if not node.consensus.is_leader:
                 return
-            message = node.consensus.with_state(message, node.applied, dict(node.state))
+            message = node.consensus.fill_snapshot(message, node.applied, dict(node.state))
         to = next(
-            (other.name for other in self.nodes.values() if other.consensus.identity.id == outgoing.to.id),
+            (
+                other.name
+                for other in self.nodes.values()
+                if other.consensus.identity.id == outgoing.recipient.id
+            ),
             None,
         )
         if to is not None:
@@ -257,7 +261,7 @@
     def sync(self, node: Node) -> None:
         """All records handed out so far become durable."""
         node.synced = len(node.records)
-        node.consensus.synced(node.synced + node.base)
+        node.consensus.handle_records_synced(node.synced + node.base)
         while node.held and not self._waits(node, node.held[0]):
             self._post(node, node.held.popleft())
         self.pump(node)
@@ -304,7 +308,7 @@
 
         def same() -> bool:
             live = [node for node in self.nodes.values() if node.up]
-            commits = {node.consensus.commit for node in live}
+            commits = {node.consensus.commit_index for node in live}
             leader = self.leader()
             return leader is not None and commits == {leader.consensus.log.last_index}
 
--- a/tests/system/control_plane_faults.py
+++ b/tests/system/control_plane_faults.py
@@ -238,9 +238,9 @@
         if zone not in self.evacuated or self.zone_orders.get(zone) or leader is None:
             return
         replica = self.whole.controllers[leader].replica
-        if replica.consensus.in_contact(self.whole.now) and replica.consensus.commit > 0:
+        if replica.consensus.has_quorum_contact(self.whole.now) and replica.consensus.commit_index > 0:
             holds = zone in replica.state.evacuated_zones
-            newest = replica.consensus.log.term_at(replica.consensus.commit) == replica.consensus.term
+            newest = replica.consensus.log.term_at(replica.consensus.commit_index) == replica.consensus.term
             if newest and holds is not self.evacuated[zone]:
                 raise Broken(f"zone {zone}: acknowledged {self.evacuated[zone]}, in force {holds}")
 
--- a/tests/system/exploration.py
+++ b/tests/system/exploration.py
@@ -59,7 +59,7 @@
     def propose(self) -> None:
         """A command at whoever believes to lead."""
         for node in self.cluster.nodes.values():
-            if node.up and node.consensus.leading:
+            if node.up and node.consensus.is_leader:
                 content = self.cluster.steps
                 place = node.consensus.propose(content)
                 self.cluster.pump(node)
@@ -100,7 +100,7 @@
         if leader is not None:
             self.cluster.compact(leader)
             for known in leader.consensus._replication.progress.values():
-                known.snapshot_at = -10.0
+                known.snapshot_sent_s = -10.0
 
     def recovered(self) -> bool:
         """Whether all that was lost has had its time and all have their votes: one more loss is borne."""
@@ -113,7 +113,7 @@
             node.up and node.frozen_until <= self.cluster.steps for node in self.cluster.nodes.values()
         )
         held = {node.consensus.identity.id for node in self.cluster.nodes.values()}
-        return all_there and voters == held and consensus.log.members_index <= consensus.commit
+        return all_there and voters == held and consensus.log.members_index <= consensus.commit_index
 
     def lose_disk(self, name: str, power_of_all: bool) -> None:
         """A replica comes back empty; the others may lose power at that moment."""
@@ -153,7 +153,7 @@
             node = cluster.nodes[name]
             if cluster.steps < begin:
                 continue
-            node.consensus.leaves = True
+            node.consensus.is_shutting_down = True
             if node.up and cluster.steps % 5 == 0:
                 self._ask_to_leave(node)
             without_vote = not node.consensus.has_vote() and bool(node.consensus.log.members)
@@ -165,8 +165,8 @@
                 self.disturbed_at = cluster.steps
 
     def _ask_to_leave(self, node: Node) -> None:
-        if node.consensus.leading:
-            node.consensus.transfer()
+        if node.consensus.is_leader:
+            node.consensus.transfer_leadership()
             self.cluster.pump(node)
         request = wire.LeaveRequest(node.consensus.identity.id)
         for other in self.cluster.nodes.values():
@@ -181,7 +181,7 @@
         for node in list(cluster.nodes.values()):
             node.slow_disk = False
             node.frozen_until = 0
-            node.consensus.leaves = False
+            node.consensus.is_shutting_down = False
             if not node.up:
                 cluster.restart(node.name)
         cluster.check()
--- a/tests/system/test_consensus.py
+++ b/tests/system/test_consensus.py
@@ -28,7 +28,7 @@
     change(cluster)
     first = cluster.leader()
     assert first is not None
-    first.consensus.transfer()
+    first.consensus.transfer_leadership()
     cluster.pump(first)
     assert cluster.run(lambda: cluster.leader() not in (None, first))
     assert cluster.commit("after")
@@ -48,7 +48,7 @@
 def rejoin(cluster: Cluster) -> None:
     """A replica loses its disk and comes back as a new member."""
     change(cluster)
-    lost = next(node for node in cluster.nodes.values() if not node.consensus.leading)
+    lost = next(node for node in cluster.nodes.values() if not node.consensus.is_leader)
     cluster.wipe(lost.name, "again")
     assert cluster.commit("meanwhile")
 
@@ -63,7 +63,7 @@
 def replace(cluster: Cluster) -> None:
     """A replica is gone for good, and an empty one at another address takes its vote."""
     change(cluster)
-    gone = next(node for node in cluster.nodes.values() if not node.consensus.leading)
+    gone = next(node for node in cluster.nodes.values() if not node.consensus.is_leader)
     cluster.crash(gone.name)
     cluster.start("d", None)
 
@@ -110,7 +110,7 @@
 
 class VotesTwice(Consensus):
     def _vote_asked(self, request: wire.VoteRequest) -> None:
-        if not request.pre:
+        if not request.is_pre_vote:
             self.vote = ""
         super()._vote_asked(request)
 
@@ -118,7 +118,7 @@
 class ForgetsVotes(Consensus):
     def _record(self, record: Any) -> int:
         if isinstance(record, HardState):
-            return self._durability.recorded
+            return self._durability.last_record
         return super()._record(record)
 
 
@@ -135,7 +135,9 @@
 
 class VotesForTheShorter(Consensus):
     def _vote_asked(self, request: wire.VoteRequest) -> None:
-        longest = wire.VoteRequest(request.term, request.sender, 10**9, 10**9, request.pre, request.transfer)
+        longest = wire.VoteRequest(
+            request.term, request.sender, 10**9, 10**9, request.is_pre_vote, request.is_transfer
+        )
         super()._vote_asked(longest)
 
 
@@ -155,37 +157,37 @@
 
 
 class FollowsOldLeaders(Consensus):
-    def handle(self, message: wire.Message, now: float) -> None:
-        if isinstance(message, wire.Append) and message.term < self.term:
-            message = wire.Append(
+    def handle_message(self, message: wire.Message, now: float) -> None:
+        if isinstance(message, wire.AppendEntries) and message.term < self.term:
+            message = wire.AppendEntries(
                 self.term,
                 message.sender,
                 message.previous_index,
                 message.previous_term,
                 message.entries,
-                message.commit,
-                message.round,
+                message.leader_commit,
+                message.heartbeat_sequence,
             )
-        super().handle(message, now)
+        super().handle_message(message, now)
 
 
 class AgreesWithAnything(Consensus):
-    def _append(self, message: wire.Append) -> None:
+    def _append(self, message: wire.AppendEntries) -> None:
         known = self.log.term_at(message.previous_index)
         if known is not None and known != message.previous_term:
-            message = wire.Append(
-                message.term, message.sender, message.previous_index, known, message.entries, message.commit,
-                message.round,
+            message = wire.AppendEntries(
+                message.term, message.sender, message.previous_index, known, message.entries,
+                message.leader_commit, message.heartbeat_sequence,
             )  # fmt: skip
         super()._append(message)
 
 
 class SkipsTheLastMatch(Consensus):
     def _advance_commit(self) -> None:
-        if self.leading:
+        if self.is_leader:
             progress = self._replication.progress.values()
-            matched = max([self._durability.synced_index, *(known.matched for known in progress)])
-            if matched > self.commit and self.log.term_at(matched) == self.term:
+            matched = max([self._durability.synced_index, *(known.match_index for known in progress)])
+            if matched > self.commit_index and self.log.term_at(matched) == self.term:
                 self._commit_to(matched)
 
 
@@ -222,14 +224,14 @@
     change(cluster)
     old = cluster.leader()
     assert old is not None
-    late = wire.Append(
+    late = wire.AppendEntries(
         old.consensus.term, old.name, old.consensus.log.last_index, old.consensus.log.last_term,
         [wire.Entry(old.consensus.log.last_index + 1, old.consensus.term, "command", "late")],
-        old.consensus.commit, 1,
+        old.consensus.commit_index, 1,
     )  # fmt: skip
     cluster.crash(old.name)
     assert cluster.commit("of the successor")
-    follower = next(node for node in cluster.nodes.values() if node.up and not node.consensus.leading)
+    follower = next(node for node in cluster.nodes.values() if node.up and not node.consensus.is_leader)
     before = list(follower.consensus.log.entries)
     cluster.deliver(old.name, follower.name, late)
     return follower.consensus.log.entries == before
@@ -290,7 +292,7 @@
         cluster.step()
     assert answers == [False]
     assert leader.consensus.role is not Role.LEADER
-    assert not leader.consensus.in_contact(cluster.now)
+    assert not leader.consensus.has_quorum_contact(cluster.now)
 
 
 def test_a_read_is_answered_once_a_majority_confirmed_the_leader() -> None:
@@ -320,7 +322,7 @@
     cluster.cut = set()
     for _ in range(100):
         cluster.step()
-    assert leader.consensus.leading
+    assert leader.consensus.is_leader
     assert leader.consensus.term == term
 
 
@@ -343,7 +345,7 @@
     cluster.crash(late)
     for number in range(5):
         assert cluster.commit(f"more {number}")
-    leader.consensus.compacted(leader.consensus.commit)
+    leader.consensus.handle_snapshot_stored(leader.consensus.commit_index)
     cluster.restart(late)
     cluster.check()
     assert cluster.nodes[late].consensus.log.base_index > 0
@@ -355,10 +357,10 @@
     first = next_members(Group(members, "a", 5), joining)
     assert first is not None
     assert [each.id for each in first] == ["a", "b", "c", "d"]
-    assert not first[-1].voter
+    assert not first[-1].is_voter
     second = next_members(Group(first, "a", 5, {}, {"d"}), [])
     assert second is not None
-    assert second[-1].voter
+    assert second[-1].is_voter
 
 
 def test_a_lost_voter_keeps_its_vote_while_nobody_can_take_it() -> None:
@@ -369,7 +371,7 @@
 def votes_after(group: Group) -> str | None:
     """The voters after the next change, in the order of their names; None where nothing changes."""
     changed = next_members(group, [])
-    return None if changed is None else "".join(sorted(each.id for each in changed if each.voter))
+    return None if changed is None else "".join(sorted(each.id for each in changed if each.is_voter))
 
 
 def test_a_lost_voter_makes_room_for_a_learner_that_holds_everything() -> None:
@@ -397,8 +399,8 @@
 def test_votes_spread_over_zones_again_once_a_zone_is_back() -> None:
     zones = {"a": "1", "b": "2", "c": "3", "d": "2"}
     members = tuple(replace_in(member(name, voter=name != "c"), zone=zone) for name, zone in zones.items())
-    group = Group(members, "a", 3, {}, {"b", "c", "d"}, settled=True)
-    assert votes_after(replace_in(group, settled=False)) is None
+    group = Group(members, "a", 3, {}, {"b", "c", "d"}, is_stable=True)
+    assert votes_after(replace_in(group, is_stable=False)) is None
     assert votes_after(group) == "abcd"
     following = replace_in(group, members=group.with_vote("c", True))
     assert votes_after(following) == "abc"
@@ -408,7 +410,7 @@
 def test_votes_are_not_moved_for_zones_while_those_of_voters_are_unknown() -> None:
     founders = tuple(replace_in(member(name), zone="") for name in "abc")
     newcomer = replace_in(member("d", voter=False), zone="1")
-    group = Group((*founders, newcomer), "a", 3, {}, {"b", "c", "d"}, settled=True)
+    group = Group((*founders, newcomer), "a", 3, {}, {"b", "c", "d"}, is_stable=True)
     assert votes_after(group) is None
 
 
@@ -452,23 +454,23 @@
 
 
 def test_messages_survive_the_wire_and_faults_in_them_are_told() -> None:
-    message = wire.Append(3, "a", 1, 1, [wire.Entry(2, 3, "command", {"op": "x"})], 1, 9)
-    data = wire.as_json(message)
-    assert wire.from_json(data) == message
+    message = wire.AppendEntries(3, "a", 1, 1, [wire.Entry(2, 3, "command", {"op": "x"})], 1, 9)
+    data = wire.encode_message(message)
+    assert wire.decode_message(data) == message
     for key in list(data):
         broken = {name: value for name, value in data.items() if name != key}
         with pytest.raises(InvalidMessageError):
-            wire.from_json(broken)
+            wire.decode_message(broken)
     for key, value in (("term", "3"), ("entries", 7), ("entries", [[1, 2]]), ("kind", "else")):
         with pytest.raises(InvalidMessageError):
-            wire.from_json({**data, key: value})
+            wire.decode_message({**data, key: value})
 
 
 def test_held_messages_wait_for_their_record() -> None:
     cluster = Cluster("abc", seed=7)
     node = cluster.nodes["a"]
-    node.consensus.handle(wire.VoteRequest(5, "b", 9, 9, False, False), 10.0)
+    node.consensus.handle_message(wire.VoteRequest(5, "b", 9, 9, False, False), 10.0)
     sent = node.consensus.take_output()
     replies = [out for out in sent.messages if isinstance(out.message, wire.VoteReply)]
     assert [type(out) for out in replies] == [Outgoing]
-    assert replies[0].after == len(sent.records) > 0
+    assert replies[0].after_record == len(sent.records) > 0
--- a/tests/system/test_consensus_losses.py
+++ b/tests/system/test_consensus_losses.py
@@ -41,7 +41,7 @@
 class SnapshotIsIgnored(Consensus):
     def _install(self, message: wire.InstallSnapshot) -> None:
         self._heard_leader(message.sender)
-        self._reply_append(True, min(message.index, self.log.last_index), message.round)
+        self._reply_append(True, min(message.index, self.log.last_index), message.heartbeat_sequence)
 
 
 def test_days_with_losses_find_that_a_snapshot_is_ignored() -> None:
@@ -58,9 +58,9 @@
 
     def _install(self, message: wire.InstallSnapshot) -> None:
         self._heard_leader(message.sender)
-        if message.index > self.commit:
+        if message.index > self.commit_index:
             self._restore(message)
-        self._reply_append(True, min(message.index, self.log.last_index), message.round)
+        self._reply_append(True, min(message.index, self.log.last_index), message.heartbeat_sequence)
 
 
 def entries(first: int, last: int, term: int = 1) -> list[Entry]:
@@ -71,27 +71,27 @@
     """It holds and has confirmed 22 entries, knows 14 as committed, and gets a snapshot up to 15."""
     log = Log(0, 0, FOUNDERS)
     follower = make(member("b", voter=False), log, 1, "", 0.0, random.Random(1))
-    follower.handle(wire.Append(1, "a", 0, 0, entries(1, 22), 14, 7), 0.1)
-    follower.synced(len(follower.take_output().records))
+    follower.handle_message(wire.AppendEntries(1, "a", 0, 0, entries(1, 22), 14, 7), 0.1)
+    follower.handle_records_synced(len(follower.take_output().records))
     state = {"applied": 15}
-    follower.handle(wire.InstallSnapshot(1, "a", 15, 1, list(FOUNDERS), state, 5), 0.2)
+    follower.handle_message(wire.InstallSnapshot(1, "a", 15, 1, list(FOUNDERS), state, 5), 0.2)
     output = follower.take_output()
-    assert not any(out.after for out in output.messages)
+    assert not any(out.after_record for out in output.messages)
     return follower, [out.message for out in output.messages], output.committed
 
 
 def test_a_late_snapshot_keeps_what_was_confirmed_behind_it() -> None:
     follower, replies, committed = follower_with_a_late_snapshot(Consensus)
-    assert (follower.log.last_index, follower.commit) == (22, 15)
+    assert (follower.log.last_index, follower.commit_index) == (22, 15)
     assert [entry.index for entry in committed] == [15]
-    assert replies == [wire.AppendReply(1, "b", True, 15, 5)]
+    assert replies == [wire.AppendEntriesReply(1, "b", True, 15, 5)]
 
 
 def test_with_the_whole_log_replaced_what_was_confirmed_is_gone() -> None:
     log = Log(0, 0, FOUNDERS)
     follower = SnapshotReplacesEverything(member("b", voter=False), log, 1, "", 0.0, random.Random(1))
-    follower.handle(wire.Append(1, "a", 0, 0, entries(1, 22), 14, 7), 0.1)
-    follower.handle(wire.InstallSnapshot(1, "a", 15, 1, list(FOUNDERS), {}, 5), 0.2)
+    follower.handle_message(wire.AppendEntries(1, "a", 0, 0, entries(1, 22), 14, 7), 0.1)
+    follower.handle_message(wire.InstallSnapshot(1, "a", 15, 1, list(FOUNDERS), {}, 5), 0.2)
     assert follower.log.last_index == 15
 
 
@@ -108,9 +108,9 @@
     late, other = (cluster.nodes[name] for name in "abc" if name != leader.name)
     state = {index: content for index, content in leader.state.items() if index <= leader.applied}
     asked = wire.InstallSnapshot(leader.consensus.term, leader.name, 0, 0, [], None, 0)
-    snapshot = leader.consensus.with_state(asked, leader.applied, state)
+    snapshot = leader.consensus.fill_snapshot(asked, leader.applied, state)
     leader.slow_disk = True
-    late.consensus.commit -= 1  # it has not heard of the last commit yet
+    late.consensus.commit_index -= 1  # it has not heard of the last commit yet
     late.applied -= 1
     del late.state[late.applied + 1]
     cluster.mutate = lambda number, sender, to, message: "drop" if to == other.name else "deliver"
@@ -133,14 +133,14 @@
 
 
 def test_a_refusal_sets_back_what_is_sent_and_an_old_one_does_not() -> None:
-    replication = Replication({"b": Progress(next_index=23, matched=22, round=9)})
-    known = replication.replied(wire.AppendReply(1, "b", False, 15, 8), 1.0)
+    replication = Replication({"b": Progress(next_index=23, match_index=22, heartbeat_sequence=9)})
+    known = replication.record_reply(wire.AppendEntriesReply(1, "b", False, 15, 8), 1.0)
     assert known is not None
     assert known.next_index == 23
-    known = replication.replied(wire.AppendReply(1, "b", False, 15, 9), 1.0)
+    known = replication.record_reply(wire.AppendEntriesReply(1, "b", False, 15, 9), 1.0)
     assert known is not None
-    assert (known.next_index, known.matched) == (16, 22)
-    assert replication.replied(wire.AppendReply(1, "z", True, 1, 9), 1.0) is None
+    assert (known.next_index, known.match_index) == (16, 22)
+    assert replication.record_reply(wire.AppendEntriesReply(1, "z", True, 1, 9), 1.0) is None
 
 
 def test_a_state_is_sent_under_the_index_up_to_which_it_is_applied() -> None:
@@ -150,10 +150,10 @@
     leader = cluster.leader()
     assert leader is not None
     asked = wire.InstallSnapshot(leader.consensus.term, leader.name, 0, 0, [], None, 4)
-    sent = leader.consensus.with_state(asked, 2, "two")
+    sent = leader.consensus.fill_snapshot(asked, 2, "two")
     assert (sent.index, sent.index_term, sent.state) == (2, leader.consensus.log.term_at(2), "two")
     with pytest.raises(AssertionError):
-        leader.consensus.with_state(asked, leader.consensus.commit + 1, "not committed")
+        leader.consensus.fill_snapshot(asked, leader.consensus.commit_index + 1, "not committed")
 
 
 # --- quorums -------------------------------------------------------------------------------------
@@ -193,12 +193,12 @@
     log = Log(0, 0, FOUNDERS)
     replica = Consensus(member("a", voter=False), log, 1, "", 0.0, random.Random(1))
     four = [each.as_json() for each in (*FOUNDERS, member("d"))]
-    replica.handle(wire.Append(1, "c", 0, 0, [Entry(1, 1, "members", four)], 0, 1), 0.0)
+    replica.handle_message(wire.AppendEntries(1, "c", 0, 0, [Entry(1, 1, "members", four)], 0, 1), 0.0)
     empty = replace(member("b2", voter=False), address="at-b")
     for at in (0.1, 0.4, 0.7):
-        replica.handle(wire.JoinRequest("b2", empty), at)
+        replica.handle_message(wire.JoinRequest("b2", empty), at)
     assert replica._lost() == set()
-    replica.handle(wire.Append(1, "c", 1, 1, [], 1, 2), 0.8)
+    replica.handle_message(wire.AppendEntries(1, "c", 1, 1, [], 1, 2), 0.8)
     assert replica._lost() == {"b"}
 
 
@@ -213,9 +213,9 @@
     requests = MembershipRequests("a")
     for step in range(12):
         now = step * 0.1
-        requests.heard("b2", now)
-        requests.joined(old, now)
-        assert requests.lost(members, now) == set()
+        requests.record_contact("b2", now)
+        requests.record_join(old, now)
+        assert requests.lost_disks(members, now) == set()
         assert requests.admissible(members, now) == []
 
 
@@ -223,23 +223,23 @@
     members = FOUNDERS
     empty = replace(member("b2", voter=False), address="at-b")
     requests = MembershipRequests("a")
-    requests.joined(empty, 1.0)
-    requests.heard("b", 1.1)  # a last word that was on its way
-    requests.joined(empty, 1.3)
+    requests.record_join(empty, 1.0)
+    requests.record_contact("b", 1.1)  # a last word that was on its way
+    requests.record_join(empty, 1.3)
     assert requests.admissible(members, 1.3) == []
-    requests.joined(empty, 1.1 + JOIN_PROOF_S + 0.1)
+    requests.record_join(empty, 1.1 + JOIN_PROOF_S + 0.1)
     assert requests.admissible(members, 1.7) == [empty]
-    assert requests.lost(members, 1.7) == {"b"}
-    assert requests.lost(members, 9.0) == set()  # it has long not been repeated
+    assert requests.lost_disks(members, 1.7) == {"b"}
+    assert requests.lost_disks(members, 9.0) == set()  # it has long not been repeated
 
 
 def test_requests_are_forgotten() -> None:
     requests = MembershipRequests("a")
-    requests.joined(member("z", voter=False), 0.0)
-    requests.asked_to_leave("b", 0.0)
-    assert requests.leaving() == {"b"}
-    requests.forget(FOUNDERS, 10.0)
-    assert requests.leaving() == set()
+    requests.record_join(member("z", voter=False), 0.0)
+    requests.record_leave("b", 0.0)
+    assert requests.leaving_members() == {"b"}
+    requests.expire(FOUNDERS, 10.0)
+    assert requests.leaving_members() == set()
     assert requests.admissible(FOUNDERS, 10.0) == []
 
 
@@ -250,7 +250,7 @@
     """As it was: a replica that does not know yet of its own vote denies it."""
 
     def _vote_asked(self, request: wire.VoteRequest) -> None:
-        if self._is_voter() or request.pre:
+        if self._is_voter() or request.is_pre_vote:
             super()._vote_asked(request)
 
 
@@ -312,9 +312,9 @@
     alone.tick(2.0)
     records = alone.take_output().records
     assert records[0] == HardState(2, "a")
-    assert alone.leading is (make is CountsItsVoteUnsynced)
-    alone.synced(len(records))
-    assert alone.leading
+    assert alone.is_leader is (make is CountsItsVoteUnsynced)
+    alone.handle_records_synced(len(records))
+    assert alone.is_leader
 
 
 # --- members that leave --------------------------------------------------------------------------
@@ -333,7 +333,7 @@
 def voters_of(cluster: Cluster, voter: bool = True) -> set[str]:
     leader = cluster.leader()
     members = () if leader is None else leader.consensus.log.members
-    return {each.id for each in members if each.voter is voter}
+    return {each.id for each in members if each.is_voter is voter}
 
 
 def test_a_member_that_leaves_has_given_its_vote_away_within_a_tenth_of_a_second() -> None:
@@ -341,7 +341,7 @@
     leader = cluster.leader()
     assert leader is not None
     leaving = next(name for name in "abc" if name != leader.name)
-    cluster.nodes[leaving].consensus.leaves = True
+    cluster.nodes[leaving].consensus.is_shutting_down = True
     assert cluster.nodes[leaving].consensus.has_vote()
     cluster.post(leaving, leader.name, wire.LeaveRequest(leaving))
     assert cluster.run(lambda: not cluster.nodes[leaving].consensus.has_vote(), steps=8)
@@ -362,7 +362,7 @@
     one, behind = (name for name in "abc" if name != first.name)
     cluster.cut = {frozenset((behind, name)) for name in "abcd"} | {frozenset(("d", name)) for name in "abc"}
     assert cluster.commit("on two of three")
-    first.consensus.leaves = True
+    first.consensus.is_shutting_down = True
     cluster.wipe(one, "again")
     cluster.cut = set()
     assert cluster.commit("after")
@@ -386,7 +386,7 @@
         assert size <= MESSAGE_BYTES
         sent += size
     assert UNCONFIRMED_BYTES <= sent <= UNCONFIRMED_BYTES + MESSAGE_BYTES
-    replication.replied(wire.AppendReply(1, "b", True, known.next_index - 1, 1), 1.0)
+    replication.record_reply(wire.AppendEntriesReply(1, "b", True, known.next_index - 1, 1), 1.0)
     assert replication.next_entries(log, known)
 
 
@@ -398,7 +398,7 @@
     replication = Replication({"b": Progress(next_index=65)})
     known = replication.progress["b"]
     assert [entry.index for entry in replication.next_entries(log, known)] == [65]
-    replication.replied(wire.AppendReply(1, "b", False, 40, 1), 1.0)
+    replication.record_reply(wire.AppendEntriesReply(1, "b", False, 40, 1), 1.0)
     assert replication.next_entries(log, known)[0].index == 41
 
 
--- a/tests/system/test_control_plane.py
+++ b/tests/system/test_control_plane.py
@@ -428,7 +428,7 @@
         leader = whole.leader()
         known = whole.controllers[leader].replica.consensus.log.members if leader is not None else ()
         zones = {f"{whole.world.machines[name].ip}:7720": zone_of(name) for name in whole.controllers}
-        held = [zones[member.address] for member in known if member.voter]
+        held = [zones[member.address] for member in known if member.is_voter]
         return sorted(held.count(zone) for zone in whole.zones)
 
     def zone_of(name: str) -> str:
--- a/tests/system/test_fault_days_find_faults.py
+++ b/tests/system/test_fault_days_find_faults.py
@@ -89,7 +89,7 @@
     """As it was: a controller that ends hands over the lead alone."""
 
     def begin_graceful_shutdown(self: Replica) -> None:
-        self.consensus.transfer()
+        self.consensus.transfer_leadership()
         self._pump()
 
     patch.setattr(Replica, "begin_graceful_shutdown", begin_graceful_shutdown)
--- a/tests/system/test_votes_over_regions.py
+++ b/tests/system/test_votes_over_regions.py
@@ -15,14 +15,14 @@
 Places = dict[str, str]  # region by zone
 
 
-def settled_group(places: Places, zones: list[str], voters: set[int], leader: int, wanted: int) -> Group:
+def stable_group(places: Places, zones: list[str], voters: set[int], leader: int, wanted: int) -> Group:
     members = [Member(f"m{at}", f"at-{at}", "", zone, at in voters) for at, zone in enumerate(zones)]
     return Group(
         members,
         f"m{leader}",
         wanted,
         caught_up={member.id for member in members},
-        settled=True,
+        is_stable=True,
         regions=places,
     )
 
@@ -31,14 +31,14 @@
     """The members once nothing is to change any more; votes change one at a time."""
     members = list(group.members)
     for _ in range(MOVES_MAX):
-        before = {member.id for member in members if member.voter}
+        before = {member.id for member in members if member.is_voter}
         changed = next_members(
             Group(
                 members,
                 group.leader,
-                group.voters_wanted,
+                group.required_voters,
                 caught_up=group.caught_up,
-                settled=True,
+                is_stable=True,
                 regions=group.regions,
             ),
             (),
@@ -46,12 +46,12 @@
         if changed is None:
             return members
         members = list(changed)
-        assert len(before ^ {member.id for member in members if member.voter}) == 1
+        assert len(before ^ {member.id for member in members if member.is_voter}) == 1
     raise AssertionError("votes move for ever")
 
 
 def votes(members: list[Member], places: Places) -> list[int]:
-    counts = Counter(places[member.zone] for member in members if member.voter)
+    counts = Counter(places[member.zone] for member in members if member.is_voter)
     return sorted(counts.values())
 
 
@@ -63,14 +63,14 @@
     rng = random.Random(seed)
     zones = list(THREE_REGIONS)
     voters = set(rng.sample(range(6), rng.choice([1, 3, 5])))
-    group = settled_group(THREE_REGIONS, zones, voters, rng.choice(sorted(voters)), 5)
+    group = stable_group(THREE_REGIONS, zones, voters, rng.choice(sorted(voters)), 5)
     assert votes(final_members(group), THREE_REGIONS) == [1, 2, 2]
 
 
 def test_after_replacements_votes_return_to_the_region_that_has_too_few() -> None:
     """Three of region a, two of b, while c has two controllers without a vote."""
     zones = ["a1", "a2", "a2", "b1", "b2", "c1", "c2"]
-    group = settled_group(THREE_REGIONS, zones, {0, 1, 2, 3, 4}, 0, 5)
+    group = stable_group(THREE_REGIONS, zones, {0, 1, 2, 3, 4}, 0, 5)
     assert votes(final_members(group), THREE_REGIONS) == [1, 2, 2]
 
 
@@ -81,12 +81,12 @@
     zones = [rng.choice(list(places)) for _ in range(rng.randrange(3, 11))]
     wanted = rng.choice([3, 5])
     voters = set(rng.sample(range(len(zones)), min(wanted, len(zones))))
-    group = settled_group(places, zones, voters, rng.choice(sorted(voters)), wanted)
+    group = stable_group(places, zones, voters, rng.choice(sorted(voters)), wanted)
     members = final_members(group)
-    assert sum(member.voter for member in members) == min(wanted, len(zones))
+    assert sum(member.is_voter for member in members) == min(wanted, len(zones))
 
 
 def test_without_regions_zones_alone_count() -> None:
-    group = settled_group({}, ["x", "x", "x", "y", "z"], {0, 1, 2}, 0, 3)
-    counts = Counter(member.zone for member in final_members(group) if member.voter)
+    group = stable_group({}, ["x", "x", "x", "y", "z"], {0, 1, 2}, 0, 3)
+    counts = Counter(member.zone for member in final_members(group) if member.is_voter)
     assert max(counts.values()) == 1
--- a/tests/system/whole.py
+++ b/tests/system/whole.py
@@ -444,7 +444,7 @@
     def leader(self) -> str | None:
         for name, controller in self.controllers.items():
             alive = self.world.machines[name].processes
-            if alive and controller.replica.consensus.leading:
+            if alive and controller.replica.consensus.is_leader:
                 return name
         return None
 
