--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -407,7 +407,7 @@
     balancer = Balancer(settings, 7)
     balancer.start(SECOND)
     entries = [api.HostEntry(f"h{n}", f"zone-{n % zones}", "k", 0, api.HostState.READY) for n in range(1000)]
-    balancer.handle(api.HostList(api.ListKind.SAVED, entries), SECOND)
+    balancer.handle(api.HostListUpdated(api.ListKind.SAVED, entries), SECOND)
     return balancer
 
 
@@ -426,9 +426,9 @@
             name, f"c{rng.randrange(classes)}", f"t{rng.randrange(tenants)}", 4 * SECOND
         )
         for action in balancer.handle(event, now):
-            if isinstance(action, api.Send):
+            if isinstance(action, api.StartAttempt):
                 ended = api.AttemptEnded(
-                    name, 0, action.host, api.Status.OK, 1_000_000, True, api.LoadReport(0.4, 30.0)
+                    name, 0, action.host, api.AttemptStatus.OK, 1_000_000, True, api.LoadReport(0.4, 30.0)
                 )
                 balancer.handle(ended, now + 500_000)
 
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -427,12 +427,12 @@
         for action in actions:
             if isinstance(action, api.SetTimer):
                 at(action.at_ns / SECOND, "timer", sender)
-            elif isinstance(action, api.Send):
+            elif isinstance(action, api.StartAttempt):
                 attempt = tries[action.request]
                 tries[action.request] += 1
                 ends, report = fleet.serve(action.host, now, work[action.request])
                 at(ends, "answer", (sender, action.request, attempt, action.host, now, report))
-            elif isinstance(action, api.Refuse | api.Fail):
+            elif isinstance(action, api.RejectRequest | api.FailRequest):
                 arrived.pop(action.request, None)
 
     def reweigh(step: bool) -> None:
@@ -444,13 +444,13 @@
     work: dict[str, float] = {}
     if proxies:
         zone.start(0)
-        zone.handle(api.HostList(api.ListKind.FULL, listed), 0)
+        zone.handle(api.HostListUpdated(api.ListKind.FULL, listed), 0)
         reweigh(False)
         at(1.0, "report")
     else:
         for sender, each in enumerate(sidecars):
             route(sender, each.start(0), 0)
-            route(sender, each.handle(api.HostList(api.ListKind.FULL, list(listed)), 0), 0)
+            route(sender, each.handle(api.HostListUpdated(api.ListKind.FULL, list(listed)), 0), 0)
     at(seconds / 3, "slow")
     at(seconds * 2 / 3, "well")
     at(seconds / 2, "drain")
@@ -509,18 +509,20 @@
             sender, name, attempt, host, began, report = what
             if name in arrived:
                 served += now - arrived.pop(name) <= aim
-            event = api.AttemptEnded(name, attempt, host, api.Status.OK, ns(now - began), True, report)
+            event = api.AttemptEnded(name, attempt, host, api.AttemptStatus.OK, ns(now - began), True, report)
             route(sender, sidecars[sender].handle(event, ns(now)), now)
         elif kind in ("slow", "well"):
             fleet.speed[slow] = usual / 5 if kind == "slow" else usual
         elif kind == "drain":
             gone = [api.HostEntry(drained, "z", "k", 0, api.HostState.DRAINING)]
             if proxies:
-                zone.handle(api.HostList(api.ListKind.DELTA, gone), ns(now))
+                zone.handle(api.HostListUpdated(api.ListKind.DELTA, gone), ns(now))
                 reweigh(False)
             else:
                 for sender, each in enumerate(sidecars):
-                    route(sender, each.handle(api.HostList(api.ListKind.DELTA, list(gone)), ns(now)), now)
+                    route(
+                        sender, each.handle(api.HostListUpdated(api.ListKind.DELTA, list(gone)), ns(now)), now
+                    )
     loads = [fleet.busy_s[name] / fleet.places[name] / seconds for name in fleet.names if name != drained]
     return Day(served / max(judged, 1), max(loads), sum(loads) / len(loads))
 
--- a/benchmarks/lists.py
+++ b/benchmarks/lists.py
@@ -104,12 +104,12 @@
 
     def whole(self) -> float:
         """Milliseconds that a whole list takes."""
-        event = api.HostList(api.ListKind.FULL, [self.entry(at) for at in range(self.count)])
+        event = api.HostListUpdated(api.ListKind.FULL, [self.entry(at) for at in range(self.count)])
         return spent(lambda: self.balancer.handle(event, self.now))
 
     def change(self, state: api.HostState, at: int) -> float:
         """Milliseconds that one change takes."""
-        event = api.HostList(api.ListKind.DELTA, [self.entry(at, state)])
+        event = api.HostListUpdated(api.ListKind.DELTA, [self.entry(at, state)])
         return spent(lambda: self.balancer.handle(event, self.now))
 
     def traffic(self, seconds: float, rate: float) -> None:
@@ -124,14 +124,15 @@
             self.requests += 1
             arrived = api.RequestArrived(f"q{self.requests}", "look", None, 1000 * MS)
             for action in self.balancer.handle(arrived, self.now):
-                if isinstance(action, api.Send):
+                if isinstance(action, api.StartAttempt):
                     latency = int(self.rng.expovariate(1 / 20) * MS)
                     self.due.append((self.now + latency, action.request, action.host))
             for item in [item for item in self.due if item[0] <= self.now]:
                 self.due.remove(item)
                 report = api.LoadReport(0.2 + self.rng.random() * 0.3, 80.0)
                 self.balancer.handle(
-                    api.AttemptEnded(item[1], 0, item[2], api.Status.OK, 20 * MS, True, report), self.now
+                    api.AttemptEnded(item[1], 0, item[2], api.AttemptStatus.OK, 20 * MS, True, report),
+                    self.now,
                 )
 
 
@@ -147,7 +148,7 @@
         mine = []
         for _ in range(40):
             at = run.rng.randrange(nodes)
-            for state in (api.HostState.DRAINING, api.HostState.GONE, api.HostState.READY):
+            for state in (api.HostState.DRAINING, api.HostState.REMOVED, api.HostState.READY):
                 mine.append(run.change(state, at))
             run.traffic(0.02, 200)
         run.traffic(0.5, 1500)  # a burst: more hosts come into use
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -63,13 +63,13 @@
     work: float
     aim: float
     deadline: float
-    effect: api.Effect = api.Effect.SAFE
+    effect: api.Idempotency = api.Idempotency.SAFE
 
 
 CLASSES = (
     Class("listing-lookup", 0.45, 0.017, 0.285, 0.57),
     Class("price-check", 0.28, 0.035, 0.43, 1.14),
-    Class("transfer-record", 0.27, 0.054, 0.43, 1.7, api.Effect.UNSAFE),
+    Class("transfer-record", 0.27, 0.054, 0.43, 1.7, api.Idempotency.UNSAFE),
 )
 MEAN_WORK = sum(each.share * each.work for each in CLASSES)
 CAPACITY = sum(node.cores * node.speed for node in NODES)  # seconds of a standard core a second
@@ -102,7 +102,7 @@
         """Whether one more may go out, with so many attempts out already."""
         raise NotImplementedError
 
-    def ended(self, status: api.Status, seconds: float, out: int, now: float) -> None:
+    def ended(self, status: api.AttemptStatus, seconds: float, out: int, now: float) -> None:
         """An attempt has ended."""
 
 
@@ -138,9 +138,9 @@
         """Below the limit."""
         return out < self.limit
 
-    def ended(self, status: api.Status, seconds: float, out: int, now: float) -> None:
+    def ended(self, status: api.AttemptStatus, seconds: float, out: int, now: float) -> None:
         """A round trip more, if there was one."""
-        if status not in (api.Status.OK, api.Status.TIMEOUT) or seconds <= 0:
+        if status not in (api.AttemptStatus.OK, api.AttemptStatus.TIMEOUT) or seconds <= 0:
             return
         self.count += 1
         warm = min(self.count, 10)
@@ -180,10 +180,10 @@
         self._requests += 1.0
         return self._rng.random() >= odds
 
-    def ended(self, status: api.Status, seconds: float, out: int, now: float) -> None:
+    def ended(self, status: api.AttemptStatus, seconds: float, out: int, now: float) -> None:
         """An answer counts as accepted; what is turned away or not answered does not."""
         self._fade(now)
-        self._accepts += status in (api.Status.OK, api.Status.ERROR)
+        self._accepts += status in (api.AttemptStatus.OK, api.AttemptStatus.ERROR)
 
 
 class Guarded(Balancer):
@@ -302,7 +302,7 @@
         ]
         for number, balancer in enumerate(self.balancers):
             self._act(number, balancer.start(0))
-            self._give(number, api.HostList(api.ListKind.SAVED, entries))
+            self._give(number, api.HostListUpdated(api.ListKind.SAVED, entries))
         self.prepared()
         self._arrive()
         end = demand.seconds + 2.0
@@ -360,7 +360,7 @@
         """A refusal or a failure: the client may ask again."""
         asked = self.open[name][0]
         cls = CLASSES[asked.cls]
-        if asked.tries >= TRIES or (cls.effect is api.Effect.UNSAFE and not refused):
+        if asked.tries >= TRIES or (cls.effect is api.Idempotency.UNSAFE and not refused):
             return
         pause = self.rng.uniform(*BACKOFF)
         if wait and self.rng.random() < HONOUR:
@@ -378,17 +378,17 @@
             if isinstance(action, api.SetTimer):
                 when = max(action.at_ns / SECOND, self.now)
                 self._at(when, partial(self._give, number, api.TimerFired(action.token)))
-            elif isinstance(action, api.Send):
+            elif isinstance(action, api.StartAttempt):
                 self._send(number, action)
-            elif isinstance(action, api.Refuse):
+            elif isinstance(action, api.RejectRequest):
                 self._answered(action.request, True, action.retry_after_ns / SECOND)
-            elif isinstance(action, api.Fail):
+            elif isinstance(action, api.FailRequest):
                 self._answered(action.request, False, 0.0)
-            elif isinstance(action, api.Cancel):
+            elif isinstance(action, api.CancelAttempt):
                 attempt = self.open[action.request][2][action.attempt]
-                self._end(number, attempt, api.Status.CANCELLED)
+                self._end(number, attempt, api.AttemptStatus.CANCELLED)
 
-    def _send(self, number: int, action: api.Send) -> None:
+    def _send(self, number: int, action: api.StartAttempt) -> None:
         asked, _, attempts = self.open[action.request]
         attempt = Attempt(action.request, len(attempts), int(action.host[1:]), self.now)
         attempts.append(attempt)
@@ -396,19 +396,19 @@
         if action.timeout_ns:
             due = min(due, self.now + action.timeout_ns / SECOND)
         self._at(self.now + LATENCY, lambda: self._reach(number, attempt, asked))
-        self._at(due, lambda: self._end(number, attempt, api.Status.TIMEOUT))
+        self._at(due, lambda: self._end(number, attempt, api.AttemptStatus.TIMEOUT))
 
-    def _end(self, number: int, attempt: Attempt, status: api.Status,
+    def _end(self, number: int, attempt: Attempt, status: api.AttemptStatus,
              report: api.LoadReport | None = None) -> None:  # fmt: skip
         if attempt.over:
             return
         attempt.over = True
-        if status is not api.Status.OK and attempt.job is not None:
+        if status is not api.AttemptStatus.OK and attempt.job is not None:
             machine = self.machines[attempt.node]
             if not machine.runs(attempt.job) and machine.drop(attempt.job, self.now):
                 self._wake(attempt.node)
         asked = self.open[attempt.request][0]
-        served = status is api.Status.OK
+        served = status is api.AttemptStatus.OK
         if served and asked.answered is None:
             asked.answered = self.now
         closed = served or self.now >= asked.at + CLASSES[asked.cls].deadline + 0.01
@@ -423,7 +423,7 @@
         if attempt.over:
             return
 
-        def reply(status: api.Status) -> None:
+        def reply(status: api.AttemptStatus) -> None:
             seen = machine.report(self.now)
             report = api.LoadReport(seen.utilization, seen.throughput) if seen else None
             self._at(self.now + LATENCY, lambda: self._end(number, attempt, status, report))
@@ -431,14 +431,14 @@
         machine.advance(self.now)
         if node in self.demand.fails:
             self.attempts += 1
-            reply(api.Status.ERROR)
+            reply(api.AttemptStatus.ERROR)
         elif machine.full:
-            reply(api.Status.FULL)
+            reply(api.AttemptStatus.OVERLOADED)
         else:
             self.attempts += 1
             noise = NODES[node].work_noise
             work = asked.work * math.exp(noise * self.rng.gauss(0, 1) - noise**2 / 2)
-            attempt.job = Job(work, lambda at: True, lambda at: reply(api.Status.OK))
+            attempt.job = Job(work, lambda at: True, lambda at: reply(api.AttemptStatus.OK))
             machine.add(attempt.job, self.now)
             self._wake(node)
 
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -82,8 +82,11 @@
         self._now = now
         if isinstance(event, api.AttemptEnded):
             bad = event.status in (
-                api.Status.CONNECT_FAILED, api.Status.RESET, api.Status.TIMEOUT, api.Status.ERROR
-            )  # fmt: skip
+                api.AttemptStatus.CONNECT_FAILED,
+                api.AttemptStatus.RESET,
+                api.AttemptStatus.TIMEOUT,
+                api.AttemptStatus.ERROR,
+            )
             self._failed[event.host] = self._failed.get(event.host, 0) + 1 if bad else 0
             if self._failed[event.host] >= self.FAILURES and not self._is_out(event.host):
                 times = self._ejected.get(event.host, (0, 0))[0] + 1
--- a/brambleusher/dataplane/upstream.py
+++ b/brambleusher/dataplane/upstream.py
@@ -12,7 +12,7 @@
 from brambleusher.dataplane.budgets import connections_of
 from brambleusher.dataplane.failures import AnswerBroken, AttemptFailure, Lost, NotReached, Rejected
 from brambleusher.dataplane.instances import HEARD_S, Instance, Instances
-from brambleusher.loadbalancing.api import Status
+from brambleusher.loadbalancing.api import AttemptStatus
 from brambleusher.loadbalancing.idle_timeout import Trust
 from brambleusher.runtime.h11_messages import next_event, whole
 from brambleusher.runtime.scheduler import Scheduler, Timeout
@@ -253,7 +253,7 @@
         except (OSError, h11.ProtocolError):
             self.close(instance, connection)
             if connection.rested_s:
-                self._trust.ended(Status.RESET, int(connection.rested_s * SECOND))
+                self._trust.ended(AttemptStatus.RESET, int(connection.rested_s * SECOND))
             return Err(Lost())
         except Timeout:
             self.close(instance, connection)
@@ -265,7 +265,7 @@
             self.close(instance, connection)
             return Err(Lost())
         if connection.rested_s:
-            self._trust.ended(Status.OK, int(connection.rested_s * SECOND))
+            self._trust.ended(AttemptStatus.OK, int(connection.rested_s * SECOND))
             connection.rested_s = 0.0
         self._note_load(instance, head.headers)
         answer = Answer(self, instance, connection, head)
@@ -296,7 +296,7 @@
 
     def _forgotten(self, instance: Instance, connection: Connection) -> None:
         self.close(instance, connection)
-        self._trust.ended(Status.RESET, int(connection.rested_s * SECOND))
+        self._trust.ended(AttemptStatus.RESET, int(connection.rested_s * SECOND))
 
     def _note_load(self, instance: Instance, headers: Headers) -> None:
         for name, value in headers:
--- a/brambleusher/decisions/balancer_driver.py
+++ b/brambleusher/decisions/balancer_driver.py
@@ -66,7 +66,7 @@
 class AttemptOutcome:
     """How a claim ended; `payload` is what the endpoint answered, where it served."""
 
-    status: api.Status
+    status: api.AttemptStatus
     latency_ns: int
     report: api.LoadReport | None = None
     payload: object = None
@@ -101,7 +101,7 @@
     timeout_ns: int
 
 
-RequestStep = AttemptRequested | api.Refuse | api.Fail | AttemptFinished | ResponseStarted
+RequestStep = AttemptRequested | api.RejectRequest | api.FailRequest | AttemptFinished | ResponseStarted
 
 
 class DecisionObserver:
@@ -280,7 +280,9 @@
         pending.attempts_finished += 1
         outcome = end.outcome
         self._counters.add(
-            f"claims_{outcome.status.value}" if outcome.status is not api.Status.OK else "claims_served"
+            f"claims_{outcome.status.value}"
+            if outcome.status is not api.AttemptStatus.OK
+            else "claims_served"
         )
         self.observers.attempt_finished(pending.request, end.endpoint, outcome)
         event = api.AttemptEnded(
@@ -301,7 +303,7 @@
 
     def abandon_request(self, pending: PendingRequest) -> None:
         """The client has gone, or got an answer that the module did not choose."""
-        self._handle(api.RequestGone(pending.request_id))
+        self._handle(api.ClientDisconnected(pending.request_id))
 
     def close_request(self, pending: PendingRequest) -> None:
         """The request has had its final answer; what its claims still bring goes to the module alone."""
@@ -309,7 +311,9 @@
         while pending.steps:
             step = pending.steps.popleft()
             if isinstance(step, AttemptRequested):  # not made any more: the module hears of each one's end
-                step = AttemptFinished(step.attempt, step.endpoint, AttemptOutcome(api.Status.MOOT, 0))
+                step = AttemptFinished(
+                    step.attempt, step.endpoint, AttemptOutcome(api.AttemptStatus.NOT_STARTED, 0)
+                )
             if isinstance(step, AttemptFinished):
                 self.finish_attempt(pending, step, closed=True)
                 step.outcome.discard()
@@ -325,7 +329,9 @@
 
     def report_body_progress(self, pending: PendingRequest, attempt: int, whole: bool) -> None:
         """The request's body goes out on a claim as it comes, or has gone out: its time begins now."""
-        self._handle(api.BodyPassing(pending.request_id, attempt, whole, pending.request.time_left_ns))
+        self._handle(
+            api.RequestBodyProgressed(pending.request_id, attempt, whole, pending.request.time_left_ns)
+        )
         pending.event.set()  # whoever waits has another deadline now
 
     def deliver_response_started(self, pending: PendingRequest, step: ResponseStarted) -> None:
@@ -335,13 +341,13 @@
 
     def update_endpoints(self, kind: api.ListKind, entries: Iterable[api.HostEntry]) -> None:
         """News from discovery."""
-        self._handle(api.HostList(kind, list(entries)))
+        self._handle(api.HostListUpdated(kind, list(entries)))
 
     def change_zone_rules(self, rules: api.ZoneRules | None) -> bool:
         """The operator says something else of zones; false where the decisions began without rules."""
         if not isinstance(self._balancer, ZonedBalancer):
             return rules is None
-        self._handle(api.RulesChanged(rules))
+        self._handle(api.ZoneRulesChanged(rules))
         return True
 
     def zone_status(self) -> dict[str, object] | None:
@@ -352,7 +358,7 @@
 
     def set_process_share(self, share: float) -> None:
         """This process does so much of this sidecar's work from now on."""
-        self._handle(api.PartChanged(share))
+        self._handle(api.ProcessShareChanged(share))
 
     def export_state(self) -> dict[str, Any] | None:
         """What the module has learnt, for another process of this sidecar."""
@@ -373,7 +379,7 @@
             self._counters.add("faults")
             log.exception("the module failed", extra={"fields": {"event": type(event).__name__}})
             if pending is not None and pending.is_open:
-                pending.add_step(api.Fail(pending.request_id))
+                pending.add_step(api.FailRequest(pending.request_id))
             if isinstance(event, api.TimerFired):
                 self._set_timer(self._clock.now_ns() + RESTART_TIMER_NS, event.token)
 
@@ -394,14 +400,14 @@
 
     def _dispatch(self, actions: list[api.Action]) -> None:
         for action in actions:
-            if isinstance(action, api.Send | api.Refuse | api.Fail | api.Cancel):
+            if isinstance(action, api.StartAttempt | api.RejectRequest | api.FailRequest | api.CancelAttempt):
                 pending = self._pending.get(action.request)
-                if isinstance(action, api.Cancel):
+                if isinstance(action, api.CancelAttempt):
                     if pending is not None:
                         pending.cancel_attempt(action.attempt)
                 elif pending is None or not pending.is_open:
                     log.error("action for a request that is over", extra={"fields": {"action": action}})
-                elif isinstance(action, api.Send):
+                elif isinstance(action, api.StartAttempt):
                     pending.add_step(
                         AttemptRequested(pending.attempts_requested, action.host, action.timeout_ns)
                     )
@@ -410,11 +416,11 @@
                     pending.add_step(action)
             elif isinstance(action, api.SetTimer):
                 self._set_timer(action.at_ns, action.token)
-            elif isinstance(action, api.LetGo):
+            elif isinstance(action, api.CloseIdleConnections):
                 self.on_close_idle_connections(action.host)
-            elif isinstance(action, api.Subscribe):
+            elif isinstance(action, api.SubscribeToEndpoints):
                 self.on_subscribe()
-            elif isinstance(action, api.Log):
+            elif isinstance(action, api.WriteLog):
                 log.info(action.text)
             else:  # a probe: this deployment forbids them
                 log.error("action not allowed", extra={"fields": {"action": action}})
--- a/brambleusher/features/capture.py
+++ b/brambleusher/features/capture.py
@@ -129,7 +129,7 @@
     def _record(self, decision: Decision) -> None:
         event, now_ns, call = decision.event, decision.now_ns, decision.request
         name, told = event_of(event)
-        if isinstance(event, api.HostList):
+        if isinstance(event, api.HostListUpdated):
             told["version"] = self._told
             # Exact beside discovery's form: the module counts in nanoseconds.
             told["servers"] = [
@@ -152,7 +152,7 @@
             self._open.lines.append(line)
             self._open.size += len(line) + ITEM_BYTES
         self._count += 1
-        if isinstance(event, api.HostList):
+        if isinstance(event, api.HostListUpdated):
             self._fold(event.kind, event.entries)
         if self._open is not None:
             self._rotate(self._open, now_ns)
@@ -214,7 +214,7 @@
             self._servers.clear()
             self._addresses = {entry.host: self._addresses.get(entry.host, "") for entry in entries}
         for entry in entries:
-            if entry.state is api.HostState.GONE:
+            if entry.state is api.HostState.REMOVED:
                 self._servers.pop(entry.host, None)
                 self._addresses.pop(entry.host, None)
             else:
--- a/brambleusher/features/figures.py
+++ b/brambleusher/features/figures.py
@@ -89,7 +89,7 @@
 
     def attempt_finished(self, request: ClientRequest, endpoint: str, outcome: AttemptOutcome) -> None:
         """An attempt has ended; one that was never begun has no time."""
-        if outcome.status is not api.Status.MOOT:
+        if outcome.status is not api.AttemptStatus.NOT_STARTED:
             ms = round(outcome.latency_ns / 1e6)
             self._put("attempt_ms", "ms", ms, self._tags_of(request))
 
--- a/brambleusher/features/records.py
+++ b/brambleusher/features/records.py
@@ -16,15 +16,15 @@
 VERSION = 1
 # An action's name and its fields in order; they are texts and whole numbers.
 _ACTIONS: dict[type, Callable[[Any], list[Any]]] = {
-    api.Send: lambda act: ["send", act.request, act.host, act.timeout_ns],
-    api.Refuse: lambda act: ["refuse", act.request, act.retry_after_ns],
-    api.Fail: lambda act: ["fail", act.request],
-    api.Cancel: lambda act: ["cancel", act.request, act.attempt],
-    api.LetGo: lambda act: ["let_go", act.host],
-    api.Probe: lambda act: ["probe", act.host],
+    api.StartAttempt: lambda act: ["send", act.request, act.host, act.timeout_ns],
+    api.RejectRequest: lambda act: ["refuse", act.request, act.retry_after_ns],
+    api.FailRequest: lambda act: ["fail", act.request],
+    api.CancelAttempt: lambda act: ["cancel", act.request, act.attempt],
+    api.CloseIdleConnections: lambda act: ["let_go", act.host],
+    api.CheckHealth: lambda act: ["probe", act.host],
     api.SetTimer: lambda act: ["timer", act.at_ns, act.token],
-    api.Subscribe: lambda act: ["subscribe"],
-    api.Log: lambda act: ["log", act.text],
+    api.SubscribeToEndpoints: lambda act: ["subscribe"],
+    api.WriteLog: lambda act: ["log", act.text],
 }
 BEGIN = "begin"  # the balancer's start, which is no event
 
@@ -64,15 +64,15 @@
         "stream",
         lambda event: {"attempt": event.attempt, "server": event.host, "latency_ns": event.latency_ns},
     ),
-    api.RequestGone: ("gone", lambda event: {}),
+    api.ClientDisconnected: ("gone", lambda event: {}),
     api.TimerFired: ("timer", lambda event: {"token": event.token}),
-    api.HostList: ("list", lambda event: {"kind": event.kind.value}),
-    api.RulesChanged: ("rules", lambda event: {"zones": save_rules(event.zones)}),
-    api.BodyPassing: (
+    api.HostListUpdated: ("list", lambda event: {"kind": event.kind.value}),
+    api.ZoneRulesChanged: ("rules", lambda event: {"zones": save_rules(event.zones)}),
+    api.RequestBodyProgressed: (
         "body",
         lambda event: {"attempt": event.attempt, "whole": event.whole, "left_ns": event.left_ns},
     ),
-    api.PartChanged: ("part", lambda event: {"part": event.part}),
+    api.ProcessShareChanged: ("part", lambda event: {"part": event.part}),
     type(None): (BEGIN, lambda event: {}),
 }  # fmt: skip
 
@@ -99,23 +99,23 @@
         )  # fmt: skip
     if name == "attempt":
         return api.AttemptEnded(
-            record["id"], told["attempt"], told["server"], api.Status(told["status"]),
+            record["id"], told["attempt"], told["server"], api.AttemptStatus(told["status"]),
             told["latency_ns"], told["closed"], _load_report(told["report"]),
         )  # fmt: skip
     if name == "stream":
         return api.StreamStarted(record["id"], told["attempt"], told["server"], told["latency_ns"])
     if name == "gone":
-        return api.RequestGone(record["id"])
+        return api.ClientDisconnected(record["id"])
     if name == "timer":
         return api.TimerFired(told["token"])
     if name == "list":
-        return api.HostList(api.ListKind(told["kind"]), [entry_from(raw) for raw in told["servers"]])
+        return api.HostListUpdated(api.ListKind(told["kind"]), [entry_from(raw) for raw in told["servers"]])
     if name == "rules":
-        return api.RulesChanged(restore_rules(told["zones"]))
+        return api.ZoneRulesChanged(restore_rules(told["zones"]))
     if name == "body":
-        return api.BodyPassing(record["id"], told["attempt"], told["whole"], told["left_ns"])
+        return api.RequestBodyProgressed(record["id"], told["attempt"], told["whole"], told["left_ns"])
     if name == "part":
-        return api.PartChanged(told["part"])
+        return api.ProcessShareChanged(told["part"])
     raise RecordError(f"the event {name} is unknown")
 
 
@@ -135,7 +135,7 @@
 def chosen(event: api.Event | None, actions: Sequence[api.Action]) -> str | None:
     """The server a record is about: the one sent to, else the one whose attempt has ended."""
     for action in actions:
-        if isinstance(action, api.Send):
+        if isinstance(action, api.StartAttempt):
             return action.host
     return event.host if isinstance(event, api.AttemptEnded) else None
 
--- a/brambleusher/features/replay.py
+++ b/brambleusher/features/replay.py
@@ -82,7 +82,7 @@
             actions = self._balancer.start(now) if event is None else self._balancer.handle(event, now)
         except Exception as error:
             raised = type(error).__name__
-        if isinstance(event, api.HostList):
+        if isinstance(event, api.HostListUpdated):
             self._follow(event)
         if raised != record.get("raised"):
             found.append(f"recorded failure {record.get('raised')}, rerun failure {raised}")
@@ -93,13 +93,13 @@
             found.append(f"recorded server {_text(server)}, rerun server {_text(chosen(event, actions))}")
         return found + self._unknown(event, server, told)
 
-    def _follow(self, event: api.HostList) -> None:
+    def _follow(self, event: api.HostListUpdated) -> None:
         if event.kind is api.ListKind.FAILED:
             return
         if event.kind is not api.ListKind.DELTA:
             self._listed.clear()
         for entry in event.entries:
-            if entry.state is api.HostState.GONE:
+            if entry.state is api.HostState.REMOVED:
                 self._listed.discard(entry.host)
             else:
                 self._listed.add(entry.host)
--- a/brambleusher/features/status.py
+++ b/brambleusher/features/status.py
@@ -17,7 +17,7 @@
 from brambleusher import __version__
 from brambleusher.decisions.balancer_driver import AttemptOutcome, ClientRequest, DecisionObserver
 from brambleusher.features.blocks import Blocks
-from brambleusher.loadbalancing.api import HostState, Settings, Status
+from brambleusher.loadbalancing.api import AttemptStatus, HostState, Settings
 from brambleusher.net.endpoint_list import Endpoint, EndpointListUpdate, state_word
 from brambleusher.net.http import HttpError, Message, MessageReader, write_response
 from brambleusher.operator_settings.configuration import StatusSettings
@@ -35,7 +35,7 @@
 MINUTE = 60
 ERRORS_KEPT = 3
 FEW = 8  # pieces of a page are put together
-_NO_ERROR = frozenset({Status.OK, Status.CANCELLED, Status.MOOT})
+_NO_ERROR = frozenset({AttemptStatus.OK, AttemptStatus.CANCELLED, AttemptStatus.NOT_STARTED})
 
 _STYLE = (
     "body{font-family:sans-serif}table{border-collapse:collapse}td,th{border:1px solid;padding:.2em .5em}"
@@ -112,7 +112,7 @@
             self._rows = Blocks(self._rendered)
         for endpoint in update.endpoints:
             name = endpoint.entry.host
-            if endpoint.entry.state is HostState.GONE:
+            if endpoint.entry.state is HostState.REMOVED:
                 self._endpoints.pop(name, None)
                 self._errors.pop(name, None)
                 self._rows.removed(name)
--- a/brambleusher/fronts/mysql/front.py
+++ b/brambleusher/fronts/mysql/front.py
@@ -37,7 +37,7 @@
 from brambleusher.fronts.mysql.session import PreparedText, Session
 from brambleusher.fronts.mysql.settings import MysqlSettings
 from brambleusher.fronts.mysql.statements import Kind, Statement, Statements, words
-from brambleusher.loadbalancing.api import Status
+from brambleusher.loadbalancing.api import AttemptStatus
 from brambleusher.net.request_life import Answer, ClientHandle, RequestLife
 from brambleusher.net.request_life import Kind as AnswerKind
 from brambleusher.observability.counters import Counters
@@ -77,7 +77,7 @@
 class Lost(Exception):
     """A connection of a session broke, or was given up; the client is to be told once."""
 
-    def __init__(self, error: Err, status: Status, stop: bool = False) -> None:
+    def __init__(self, error: Err, status: AttemptStatus, stop: bool = False) -> None:
         super().__init__(error.text)
         self.error, self.status, self.stop = error, status, stop
 
@@ -284,9 +284,9 @@
         if client.held is not None:
             held, client.held = client.held, None
             if work is not None and work.conn is held.conn:
-                held.stop(Status.CANCELLED)
+                held.stop(AttemptStatus.CANCELLED)
             else:
-                held.drop(Status.CANCELLED)
+                held.drop(AttemptStatus.CANCELLED)
         client.channel.close()
 
     def _last_word(self, client: Client, error: Err) -> None:
@@ -527,18 +527,18 @@
 
     def _thinks(self, client: Client) -> bool:
         if client.held is not None:
-            client.held.finish(Status.OK)
+            client.held.finish(AttemptStatus.OK)
         return True
 
     def _drained(self, client: Client) -> bool:
         self._counters.add("mysql_drained")
-        return self._lose(client, _drain_error(client.session), Status.CANCELLED)
+        return self._lose(client, _drain_error(client.session), AttemptStatus.CANCELLED)
 
     def _too_late(self, client: Client) -> bool:
         text = "the transaction's time is over; it was rolled back"
-        return self._lose(client, Err.of(Errno.QUERY_TIMEOUT, text), Status.TIMEOUT)
+        return self._lose(client, Err.of(Errno.QUERY_TIMEOUT, text), AttemptStatus.TIMEOUT)
 
-    def _lose(self, client: Client, error: Err, status: Status) -> bool:
+    def _lose(self, client: Client, error: Err, status: AttemptStatus) -> bool:
         """Give up what the session holds; the client hears of it with its next command."""
         held, client.held = client.held, None
         if held is not None:
@@ -756,7 +756,7 @@
                     log.warning("bad answer", extra={"fields": {"node": held.node.name, "reason": error}})
                     spoilt = Err(error.errno, error.state, str(error))
                     told = self._unless_unknown(session.in_transaction, statement, spoilt)
-                    raise Lost(told, Status.ERROR) from None
+                    raise Lost(told, AttemptStatus.ERROR) from None
                 if relay.extra:
                     held.conn.doomed = True
                 if relay.done:
@@ -767,7 +767,7 @@
                 if out:
                     client.channel.send(out, self._scheduler.now() + WRITE_SECONDS)
                 if held.claimed and held.client_took(self._scheduler.now()) > THINK_SECONDS:
-                    held.finish(Status.OK)  # it reads slowly: that is not the node's doing
+                    held.finish(AttemptStatus.OK)  # it reads slowly: that is not the node's doing
             return not (statement.release and relay.error is None)
         except Lost as lost:
             client.held = None
@@ -788,7 +788,7 @@
         except (OSError, Timeout, Left):
             if not whole and not relay.done:  # the client has gone: the statement has nobody to run for
                 client.held = None
-                held.stop(Status.CANCELLED)
+                held.stop(AttemptStatus.CANCELLED)
             raise Left from None
 
     def _keep(self, client: Client, held: Held, mode: Mode) -> None:
@@ -798,7 +798,7 @@
             return
         client.held = held
         if mode is Mode.KEEP:
-            held.finish(Status.OK)
+            held.finish(AttemptStatus.OK)
             client.deadline = None
 
     def _from_node(self, client: Client, held: Held, deadline: float | None, statement: Statement) -> bytes:
@@ -813,11 +813,11 @@
                     text = "Query execution was interrupted, maximum statement execution time exceeded"
                     late = Err.of(Errno.QUERY_TIMEOUT, text)
                     error = self._unless_unknown(in_transaction, statement, late)
-                    raise Lost(error, Status.TIMEOUT, stop=not commit)
+                    raise Lost(error, AttemptStatus.TIMEOUT, stop=not commit)
                 if client.leave_at is not None and now >= self._leaves_at(client, now) and not commit:
                     self._counters.add("mysql_drained")
                     error = self._unless_unknown(in_transaction, statement, _drain_error(client.session))
-                    raise Lost(error, Status.CANCELLED, stop=True)
+                    raise Lost(error, AttemptStatus.CANCELLED, stop=True)
                 until = now + WATCH_SECONDS if deadline is None else min(now + WATCH_SECONDS, deadline)
                 try:
                     data = channel.receive(until, client.event)
@@ -830,7 +830,7 @@
                 if data is not None:
                     raise ConnectionResetError
         except _BROKEN as error:
-            raise Lost(self._lost_error(in_transaction, statement), Status.RESET) from error
+            raise Lost(self._lost_error(in_transaction, statement), AttemptStatus.RESET) from error
         finally:
             held.waited_ns += int((self._scheduler.now() - begun) * 1e9)
 
@@ -871,7 +871,7 @@
         except (OSError, Timeout, ProtocolError) as error:
             log.info("tied session lost its node", extra={"fields": {"reason": type(error).__name__}})
             client.held = None
-            held.drop(Status.RESET)
+            held.drop(AttemptStatus.RESET)
             session.lost()
             text = "the node was lost; this statement did not run, and what was open there is rolled back"
             self._say_error(client, Err.of(Errno.NET_READ, text))
@@ -981,7 +981,7 @@
                 held.release()
             except (OSError, Timeout, ProtocolError) as error:
                 log.info("a reset failed", extra={"fields": {"reason": type(error).__name__}})
-                held.drop(Status.RESET)
+                held.drop(AttemptStatus.RESET)
         client.session.reset()
         self._keep_in_mind(client)
         client.last = client.id_conn = None
@@ -991,7 +991,7 @@
     def _change_user(self, client: Client, body: bytes) -> bool:
         held, client.held = client.held, None
         if held is not None:
-            held.drop(Status.OK)
+            held.drop(AttemptStatus.OK)
         client.last = client.id_conn = None
         client.deadline = client.leave_at = None
         capabilities = client.session.capabilities
--- a/brambleusher/fronts/mysql/mapping.py
+++ b/brambleusher/fronts/mysql/mapping.py
@@ -43,7 +43,10 @@
         hint = statement.hint if settings.hints and statement.hint is not None else Hint()
         listed = self._by_digest.get(statement.digest)
         wanted: tuple[str | None, str] = None, ""
-        if hint.request_class in self._classes and self._effect(hint.request_class) is not api.Effect.KEYED:
+        if (
+            hint.request_class in self._classes
+            and self._effect(hint.request_class) is not api.Idempotency.KEYED
+        ):
             wanted = hint.request_class, "hint"
         elif listed is not None:
             wanted = listed.request_class, "digest"
@@ -56,7 +59,7 @@
         name, reason = wanted
         if name is None:
             name, reason = settings.strict_class, "nothing else fits"
-        elif self._effect(name) is not api.Effect.UNSAFE and (transaction or not statement.plain_read):
+        elif self._effect(name) is not api.Idempotency.UNSAFE and (transaction or not statement.plain_read):
             what = "a transaction" if transaction else "no plain read"
             name, reason = settings.strict_class, f"{reason} says {name}, but it is {what}"
         deadline_ms = (
@@ -83,5 +86,5 @@
         ms = self._settings.grace_ms.get(request_class)
         return self._classes[request_class].deadline_ns if ms is None else ms * 1_000_000
 
-    def _effect(self, name: str | None) -> api.Effect:
+    def _effect(self, name: str | None) -> api.Idempotency:
         return self._classes[name or ""].effect
--- a/brambleusher/fronts/mysql/nodes.py
+++ b/brambleusher/fronts/mysql/nodes.py
@@ -25,7 +25,13 @@
 from brambleusher.fronts.mysql.replies import ReplyRelay
 from brambleusher.fronts.mysql.session import Flavour, PreparedText, Session, Setup, replay_text
 from brambleusher.fronts.mysql.settings import MysqlSettings, Passwords
-from brambleusher.loadbalancing.api import CONNECT_PART, HostState, LoadReport, Settings, Status
+from brambleusher.loadbalancing.api import (
+    CONNECT_TIMEOUT_FRACTION,
+    AttemptStatus,
+    HostState,
+    LoadReport,
+    Settings,
+)
 from brambleusher.net.endpoint_list import Endpoint, EndpointListUpdate
 from brambleusher.observability.counters import Counters
 from brambleusher.runtime.scheduler import Event, Scheduler, Timeout
@@ -156,11 +162,11 @@
         self.event = Event()  # rings when it is called off, and when a connection may be had
         self.flavour = flavour
         self.granted: Conn | None = None
-        self.why: Status | None = None
+        self.why: AttemptStatus | None = None
         self.sending = self.written = False
         self.measured = False  # its statement counts as one at the node
 
-    def call_off(self, why: Status = Status.CANCELLED) -> None:
+    def call_off(self, why: AttemptStatus = AttemptStatus.CANCELLED) -> None:
         """Give it up; a statement under way is stopped at the node."""
         if self.why is None:
             self.why = why
@@ -241,11 +247,11 @@
         self._ended, self.began_at = ended, began_at
         self.waited_ns = int((now - began_at) * 1e9)
 
-    def finish(self, status: Status) -> None:
+    def finish(self, status: AttemptStatus) -> None:
         """The claim is over; the second time nothing happens."""
         if self._ended is not None:
             ended, self._ended = self._ended, None
-            report = self._nodes.report(self.node) if status is Status.OK else None
+            report = self._nodes.report(self.node) if status is AttemptStatus.OK else None
             ended(AttemptOutcome(status, self.waited_ns, report))
 
     def measure(self) -> None:
@@ -263,18 +269,18 @@
     def release(self) -> None:
         """Give the connection back, in a state that any session may find it in."""
         self.measured_whole()
-        self.finish(Status.OK)
+        self.finish(AttemptStatus.OK)
         self.node.held.pop(self, None)
         self._nodes.give_back(self.conn)
 
-    def drop(self, status: Status) -> None:
+    def drop(self, status: AttemptStatus) -> None:
         """Close the connection: what was open on it is rolled back by the node."""
         self.measured_whole()
         self.finish(status)
         self.node.held.pop(self, None)
         self._nodes.discard(self.conn)
 
-    def stop(self, status: Status) -> None:
+    def stop(self, status: AttemptStatus) -> None:
         """Stop the statement at the node, and close the connection."""
         self.measured_whole()
         self.finish(status)
@@ -341,7 +347,7 @@
     def _place(self, machine: Endpoint) -> None:
         entry = machine.entry
         node = self._nodes.get(entry.host)
-        if entry.state is HostState.GONE:
+        if entry.state is HostState.REMOVED:
             if node is not None:
                 self._leave(self._nodes.pop(entry.host))
             return
@@ -363,7 +369,7 @@
             self.discard(node.idle.pop())
         for claim in list(node.claims):
             if not claim.sending:
-                claim.call_off(Status.FULL)
+                claim.call_off(AttemptStatus.OVERLOADED)
         for held in list(node.held):
             if held.conn.owner is not None:
                 held.conn.owner.leave(held)
@@ -422,11 +428,11 @@
         limit = min(deadline, start + timeout_ns / 1e9) if timeout_ns else deadline
 
         def run() -> None:
-            status, reply, left = Status.ERROR, None, False
+            status, reply, left = AttemptStatus.ERROR, None, False
             node = self._nodes.get(name)
             try:
                 if node is None or node.leaving:
-                    status = Status.FULL
+                    status = AttemptStatus.OVERLOADED
                 else:
                     node.claims[claim] = None
                     status, reply, left = self._attempt(node, claim, payload, limit, ended, start, wanted)
@@ -443,7 +449,11 @@
                 begun(reply)
             if not left:
                 took = int((self._scheduler.now() - start) * 1e9)
-                ended(AttemptOutcome(status, took, self.report(node) if status is Status.OK else None, reply))
+                ended(
+                    AttemptOutcome(
+                        status, took, self.report(node) if status is AttemptStatus.OK else None, reply
+                    )
+                )
 
         self._scheduler.spawn(run, name=f"mysql claim {name}")
         return claim
@@ -457,7 +467,7 @@
         ended: Callable[[AttemptOutcome], None],
         start: float,
         wanted: Callable[[], bool],
-    ) -> tuple[Status, Reply | None, bool]:
+    ) -> tuple[AttemptStatus, Reply | None, bool]:
         """How it ended, with what answer; whether the claim is now in the session's hands."""
         conn: Conn | None = None
         relay: ReplyRelay | None = None
@@ -465,7 +475,7 @@
             conn = self._take(node, claim, work, limit)
             if conn is None:
                 self._counters.add("connections_lacking")
-                return Status.MOOT, None, False
+                return AttemptStatus.NOT_STARTED, None, False
             self._tune(conn, work, claim, limit)
             data, relay = self._worded(conn, work, claim, limit)
             work.conn = conn
@@ -473,7 +483,7 @@
             # Guards against work begun for what is over.
             if limit - self._scheduler.now() < 0.001 or not wanted():
                 self.give_back(conn)
-                return Status.MOOT, None, False
+                return AttemptStatus.NOT_STARTED, None, False
             self._counters.add("claims_sent")
             # Guards against an earlier node's refusal told for what this one may have run.
             work.error = work.nonsense = None
@@ -489,32 +499,32 @@
             work.error = failed.error
             self._stop_or_drop(conn, claim)
             own = failed.error.errno in NODE_ERRORS
-            return Status.FULL if own else Status.MOOT, None, False
+            return AttemptStatus.OVERLOADED if own else AttemptStatus.NOT_STARTED, None, False
         except Called:
             self._stop_or_drop(conn, claim)
             return self._called_off(claim), None, False
         except Timeout:
             self._stop_or_drop(conn, claim)
             work.broke = relay is not None and relay.begun
-            return Status.TIMEOUT if claim.written else Status.CONNECT_FAILED, None, False
+            return AttemptStatus.TIMEOUT if claim.written else AttemptStatus.CONNECT_FAILED, None, False
         except LoginRefused as refused:
             return self._refused(node, work, refused.error), None, False
         except ProtocolError as error:
             log.warning("bad answer", extra={"fields": {"node": node.name, "reason": error}})
             self._stop_or_drop(conn, claim)
             if not claim.written:
-                return Status.CONNECT_FAILED, None, False
+                return AttemptStatus.CONNECT_FAILED, None, False
             work.nonsense, work.broke = error, relay is not None and relay.begun
-            return Status.ERROR, None, False
+            return AttemptStatus.ERROR, None, False
         except OSError:
             if conn is not None:
                 self.discard(conn)
             work.broke = relay is not None and relay.begun
-            return Status.RESET if claim.written else Status.CONNECT_FAILED, None, False
+            return AttemptStatus.RESET if claim.written else AttemptStatus.CONNECT_FAILED, None, False
         if relay.done and relay.error is not None and relay.error.errno in NODE_ERRORS:
             work.error = relay.error
             self.discard(conn)
-            return Status.ERROR, None, False
+            return AttemptStatus.ERROR, None, False
         held = Held(self, conn)
         if not relay.done:
             held.measured, claim.measured = True, False  # until the rest of its answer is here
@@ -527,21 +537,21 @@
             if relay.done and relay.prepared is None:
                 held.release()
             else:
-                held.stop(Status.CANCELLED)
-            return Status.OK if relay.done else Status.CANCELLED, None, False
+                held.stop(AttemptStatus.CANCELLED)
+            return AttemptStatus.OK if relay.done else AttemptStatus.CANCELLED, None, False
         if mode is Mode.RELEASE:
             held.release()
-            return Status.OK, reply, False
+            return AttemptStatus.OK, reply, False
         if node.leaving:
             work.owner.leave(held)  # the news came while its answer was awaited
         if mode is Mode.KEEP and relay.done:
-            return Status.OK, reply, False
+            return AttemptStatus.OK, reply, False
         held.claim(ended, start, self._scheduler.now())
-        return Status.OK, reply, True
+        return AttemptStatus.OK, reply, True
 
     @staticmethod
-    def _called_off(claim: Claim) -> Status:
-        return claim.why if claim.why is not None and not claim.written else Status.CANCELLED
+    def _called_off(claim: Claim) -> AttemptStatus:
+        return claim.why if claim.why is not None and not claim.written else AttemptStatus.CANCELLED
 
     def _stop_or_drop(self, conn: Conn | None, claim: Claim) -> None:
         if conn is None:
@@ -551,7 +561,7 @@
         else:
             self.discard(conn)
 
-    def _refused(self, node: Node, work: Work, error: Err) -> Status:
+    def _refused(self, node: Node, work: Work, error: Err) -> AttemptStatus:
         """What a node's refusal of a login means; how many connections it has is learned from a 1040."""
         if error.errno in (Errno.CON_COUNT, Errno.TOO_MANY_USER_CONNECTIONS):
             node.most = max(1, node.open)
@@ -560,14 +570,14 @@
             log.warning(
                 "node is out of connections", extra={"fields": {"node": node.name, "most": node.most}}
             )
-            return Status.FULL
+            return AttemptStatus.OVERLOADED
         log.warning(
             "login refused", extra={"fields": {"node": node.name, "errno": error.errno, "state": error.state}}
         )
         work.error = Err.of(
             Errno.SERVER_ISNT_AVAILABLE, f"the node refused the sidecar's login ({error.errno})"
         )
-        return Status.CONNECT_FAILED
+        return AttemptStatus.CONNECT_FAILED
 
     def _receive(self, conn: Conn, claim: Claim, limit: float) -> bytes:
         """The next bytes; raises `Called` where they are not wanted any more."""
@@ -597,7 +607,7 @@
                 self.discard(conn)
                 continue
             if node.leaving:
-                claim.call_off(Status.FULL)
+                claim.call_off(AttemptStatus.OVERLOADED)
                 continue
             if self._room(node, flavour.account):
                 return self._open(node, claim, flavour, limit)
@@ -678,7 +688,7 @@
         channel: Channel | None = None
         try:
             now = self._scheduler.now()
-            wait = min(self._connect_seconds, (limit - now) * CONNECT_PART)
+            wait = min(self._connect_seconds, (limit - now) * CONNECT_TIMEOUT_FRACTION)
             stream = Stream.connect(self._scheduler, node.address, now + wait, claim.event)
             channel = Channel(stream)
             login = self._log_in(channel, flavour, limit, claim)
--- a/brambleusher/lab/faults/breakages.py
+++ b/brambleusher/lab/faults/breakages.py
@@ -17,7 +17,7 @@
 from brambleusher.features import capture as capture_module
 from brambleusher.lab.checker.rules import RULES
 from brambleusher.loadbalancing import Balancer, api
-from brambleusher.loadbalancing.api import HostState, Status
+from brambleusher.loadbalancing.api import AttemptStatus, HostState
 from brambleusher.loadbalancing.hosts import Host, Request
 from brambleusher.loadbalancing.maintenance import Service
 from brambleusher.net import client_listener as listener_module
@@ -126,7 +126,7 @@
 def _old_process(patches: Patches) -> None:
     def place(self: UpstreamPool, machine: Endpoint) -> None:
         node = self._nodes.get(machine.entry.host)
-        if node is not None and machine.entry.state is not HostState.GONE:
+        if node is not None and machine.entry.state is not HostState.REMOVED:
             node.address, node.started_ns = machine.address, machine.entry.started_ns
         old(self, machine)
 
@@ -217,7 +217,7 @@
 def _refused_after(patches: Patches) -> None:
     def finish(self: Balancer, request: Request) -> None:
         request.closed = True
-        self._out.append(api.Refuse(request.id, 0))
+        self._out.append(api.RejectRequest(request.id, 0))
 
     patches.set(Balancer, "_finish", finish)
 
@@ -229,15 +229,15 @@
         if outcome is None:  # told already
             return None
         status, *rest = outcome
-        return (Status.CONNECT_FAILED if status is Status.RESET else status, *rest)
+        return (AttemptStatus.CONNECT_FAILED if status is AttemptStatus.RESET else status, *rest)
 
     old = patches.set(UpstreamPool, "_attempt", attempt)
 
 
 @breakage("error-as-full", "a 500 is taken for a node that was full and did not begin", "repeat", "refusal")
 def _error_as_full(patches: Patches) -> None:
-    def status_of(answer: Message) -> Status:
-        return Status.FULL if answer.status >= 500 else Status(old(answer))
+    def status_of(answer: Message) -> AttemptStatus:
+        return AttemptStatus.OVERLOADED if answer.status >= 500 else AttemptStatus(old(answer))
 
     old = patches.set(nodes_module, "status_of", status_of)
 
@@ -246,7 +246,7 @@
 def _again_below(patches: Patches) -> None:
     def attempt(self: UpstreamPool, node: Node, claim: Claim, *how: Any) -> Any:
         outcome = old(self, node, claim, *how)
-        if outcome is not None and outcome[0] is Status.RESET and claim.why is None:
+        if outcome is not None and outcome[0] is AttemptStatus.RESET and claim.why is None:
             outcome = old(self, node, claim, *how)
         return outcome
 
--- a/brambleusher/loadbalancing/api.py
+++ b/brambleusher/loadbalancing/api.py
@@ -10,10 +10,10 @@
 from enum import Enum
 
 # Of an attempt's time, a connect may take this part and `connect_timeout_ns`, whichever is less.
-CONNECT_PART = 0.2
+CONNECT_TIMEOUT_FRACTION = 0.2
 
 
-class Effect(Enum):
+class Idempotency(Enum):
     """What running a request twice would do."""
 
     SAFE = "safe"
@@ -21,7 +21,7 @@
     UNSAFE = "unsafe"
 
 
-class Group(Enum):
+class DeduplicationScope(Enum):
     """Which hosts discard a repeat of a keyed request."""
 
     ALL = "all"
@@ -34,7 +34,7 @@
 
     READY = "ready"
     DRAINING = "draining"
-    GONE = "gone"
+    REMOVED = "gone"
 
 
 class ListKind(Enum):
@@ -46,17 +46,17 @@
     FAILED = "failed"
 
 
-class Status(Enum):
+class AttemptStatus(Enum):
     """How an attempt ended."""
 
     OK = "ok"
     ERROR = "error"
-    FULL = "full"
+    OVERLOADED = "full"
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    NOT_STARTED = "moot"
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,8 +68,8 @@
     deadline_ns: int
     worth: float
     late_worth: float = 0.0
-    effect: Effect = Effect.SAFE
-    group: Group = Group.ALL
+    effect: Idempotency = Idempotency.SAFE
+    group: DeduplicationScope = DeduplicationScope.ALL
     window_ns: int = 0
     stream: bool = False
 
@@ -168,7 +168,7 @@
 
 
 @dataclass(slots=True)
-class HostList:
+class HostListUpdated:
     """News from discovery."""
 
     kind: ListKind
@@ -194,7 +194,7 @@
     request: str
     attempt: int
     host: str
-    status: Status
+    status: AttemptStatus
     latency_ns: int
     closed: bool
     report: LoadReport | None = None
@@ -211,14 +211,14 @@
 
 
 @dataclass(slots=True)
-class RequestGone:
+class ClientDisconnected:
     """The client has left; nothing is owed any more."""
 
     request: str
 
 
 @dataclass(slots=True)
-class ProbeEnded:
+class HealthCheckEnded:
     """The result of one probe."""
 
     host: str
@@ -235,14 +235,14 @@
 
 
 @dataclass(slots=True)
-class RulesChanged:
+class ZoneRulesChanged:
     """The operator says something else of zones; None: nothing any more."""
 
     zones: ZoneRules | None
 
 
 @dataclass(slots=True)
-class BodyPassing:
+class RequestBodyProgressed:
     """A request's body goes out on an attempt as it comes, or (`whole`) has gone out, with `left_ns` left.
 
     Between the two the attempt is neither late nor a place taken; from the first on it can't be repeated.
@@ -255,23 +255,23 @@
 
 
 @dataclass(slots=True)
-class PartChanged:
+class ProcessShareChanged:
     """This process does so much of what its proxy does; the rest is other processes' of the same proxy."""
 
     part: float
 
 
 Event = (
-    HostList
+    HostListUpdated
     | RequestArrived
     | AttemptEnded
     | StreamStarted
-    | RequestGone
-    | ProbeEnded
+    | ClientDisconnected
+    | HealthCheckEnded
     | TimerFired
-    | RulesChanged
-    | PartChanged
-    | BodyPassing
+    | ZoneRulesChanged
+    | ProcessShareChanged
+    | RequestBodyProgressed
 )
 
 
@@ -279,7 +279,7 @@
 
 
 @dataclass(slots=True)
-class Send:
+class StartAttempt:
     """Start an attempt; `timeout_ns` of 0 leaves it the client's remaining time."""
 
     request: str
@@ -288,7 +288,7 @@
 
 
 @dataclass(slots=True)
-class Refuse:
+class RejectRequest:
     """Final answer: not served, and trying again does no harm."""
 
     request: str
@@ -296,14 +296,14 @@
 
 
 @dataclass(slots=True)
-class Fail:
+class FailRequest:
     """Final answer: not served, and no promise about its effect."""
 
     request: str
 
 
 @dataclass(slots=True)
-class Cancel:
+class CancelAttempt:
     """Stop waiting for an attempt."""
 
     request: str
@@ -311,14 +311,14 @@
 
 
 @dataclass(slots=True)
-class LetGo:
+class CloseIdleConnections:
     """Close the idle connections held to a host."""
 
     host: str
 
 
 @dataclass(slots=True)
-class Probe:
+class CheckHealth:
     """Ask a host whether it is well."""
 
     host: str
@@ -333,15 +333,25 @@
 
 
 @dataclass(slots=True)
-class Subscribe:
+class SubscribeToEndpoints:
     """Ask discovery for changes from now on."""
 
 
 @dataclass(slots=True)
-class Log:
+class WriteLog:
     """A rare line for the people on call."""
 
     text: str
 
 
-Action = Send | Refuse | Fail | Cancel | LetGo | Probe | SetTimer | Subscribe | Log
+Action = (
+    StartAttempt
+    | RejectRequest
+    | FailRequest
+    | CancelAttempt
+    | CloseIdleConnections
+    | CheckHealth
+    | SetTimer
+    | SubscribeToEndpoints
+    | WriteLog
+)
--- a/brambleusher/loadbalancing/balancer.py
+++ b/brambleusher/loadbalancing/balancer.py
@@ -21,7 +21,7 @@
 from brambleusher.loadbalancing import api
 from brambleusher.loadbalancing import capacity_estimates as sizes
 from brambleusher.loadbalancing import slow_start as cold
-from brambleusher.loadbalancing.api import Effect, Group, HostState, ListKind, Status
+from brambleusher.loadbalancing.api import AttemptStatus, DeduplicationScope, HostState, Idempotency, ListKind
 from brambleusher.loadbalancing.host_ranking import Ranks
 from brambleusher.loadbalancing.hosts import NOTHING, RESERVE, Host, Request
 from brambleusher.loadbalancing.idle_timeout import Trust
@@ -63,7 +63,7 @@
 USUAL_OF_AIM = 0.35  # at most: a crowd's first answers come before its reports, and pass for usual ones
 SPOILT = 0.01  # share of requests that may find every attempt used up on full hosts
 SILENCE = 6.0  # times the usual answer's time: past it an attempt is given up where some are not answered
-NEVER_RAN = frozenset({Status.FULL, Status.CONNECT_FAILED, Status.MOOT})
+NEVER_RAN = frozenset({AttemptStatus.OVERLOADED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_STARTED})
 SECOND = 1e9
 
 
@@ -208,9 +208,10 @@
         self._ask_wait_ns = settings.ask_within_ns // 20
         self._handlers: dict[type, Callable[[Any, int], None]] = {
             api.AttemptEnded: self._attempt_ended, api.RequestArrived: self._arrived,
-            api.TimerFired: self._timer, api.RequestGone: self._gone, api.HostList: self._listed,
-            api.ProbeEnded: self._probed, api.StreamStarted: self._gone, api.PartChanged: self._part_changed,
-            api.BodyPassing: self._passing,
+            api.TimerFired: self._timer, api.ClientDisconnected: self._gone,
+            api.HostListUpdated: self._listed, api.HealthCheckEnded: self._probed,
+            api.StreamStarted: self._gone, api.ProcessShareChanged: self._part_changed,
+            api.RequestBodyProgressed: self._passing,
         }  # fmt: skip
 
     def start(self, now: int) -> list[api.Action]:
@@ -444,7 +445,9 @@
         self._ranked = sorted(self._densities)
         if self._tight and not was and self._ticked_ns - self._logged_ns > BEST_WINDOW * self._unit_ns:
             self._logged_ns = self._ticked_ns
-            self._out.append(api.Log(f"overload: fleet index {index:.2f}, at most {self._limit:.0f} out"))
+            self._out.append(
+                api.WriteLog(f"overload: fleet index {index:.2f}, at most {self._limit:.0f} out")
+            )
 
     def _worth_now(self, density: float) -> bool:
         """Whether a request is worth its place: the fuller, the higher its rank among late arrivals."""
@@ -482,7 +485,7 @@
         host = self._pick(request, now) if welcome else None
         if host is None:
             self._retries.unworked()
-            self._out.append(api.Refuse(event.request, self._stay_away(not welcome)))
+            self._out.append(api.RejectRequest(event.request, self._stay_away(not welcome)))
             return
         self._requests[request.id] = request
         self._send(request, host, now)
@@ -492,15 +495,15 @@
     def _fits(self, request: Request, now: int) -> Callable[[Host], bool]:
         """Which hosts this request may go to: not where it has been, within its group, cold rules kept."""
         tried = [host for host, _, _ in request.attempts]
-        group = self.settings.classes[request.cls].group if request.origin else Group.ALL
+        group = self.settings.classes[request.cls].group if request.origin else DeduplicationScope.ALL
         origin = request.origin
 
         def fits(host: Host) -> bool:
             if not host.ready or host.shut_ns > now or host in tried:
                 return False
             if origin is not None and (
-                (group is Group.ZONE and host.zone != origin.zone)
-                or (group is Group.CELL and host.cell != origin.cell)
+                (group is DeduplicationScope.ZONE and host.zone != origin.zone)
+                or (group is DeduplicationScope.CELL and host.cell != origin.cell)
             ):
                 return False
             return host.started_ns <= 0 or self._cold_room(host, now)
@@ -528,13 +531,19 @@
         idle, timeout = now - host.used_ns if host.linked and not host.out else 0, 0
         cls, left = self.settings.classes[request.cls], self.settings.max_attempts - len(request.attempts)
         if idle > self._trust.trust_ns:
-            self._out.append(api.LetGo(host.name))
+            self._out.append(api.CloseIdleConnections(host.name))
             idle = 0
         doubted = idle > self._trust.least_ns and self._trust.cut
         usual = self._lat_sum[request.cls] / max(self._lat_n[request.cls], 1.0)
-        if doubted and cls.effect is not Effect.UNSAFE and left > 1:
+        if doubted and cls.effect is not Idempotency.UNSAFE and left > 1:
             timeout = int(min(3 * usual or math.inf, cls.aim_ns / 2, (request.deadline_ns - now) / 2))
-        if self._silent > 1 and not self._late and cls.effect is Effect.SAFE and left > 1 and not timeout:
+        if (
+            self._silent > 1
+            and not self._late
+            and cls.effect is Idempotency.SAFE
+            and left > 1
+            and not timeout
+        ):
             # Guards against connections that fell silent under a request, while there is room elsewhere.
             patience = max(SILENCE * usual, cls.aim_ns * GOAL_OF_AIM)
             timeout = int(patience) if now + 2 * patience < request.deadline_ns else 0
@@ -544,7 +553,7 @@
         request.out, self._open = request.out + 1, self._open + 1
         self._peak = max(self._peak, self._open)
         host.used_ns = now
-        self._out.append(api.Send(request.id, host.name, timeout))
+        self._out.append(api.StartAttempt(request.id, host.name, timeout))
 
     def _may_repeat(self, request: Request, now: int) -> bool:
         """Whether one more attempt keeps the rule on effects; any attempt out may yet run."""
@@ -555,8 +564,8 @@
             return False
         if request.out and not self.settings.second_copies:
             return False
-        if cls.effect is not Effect.KEYED or not (request.ran or request.out):
-            return cls.effect is Effect.SAFE or not (request.ran or request.out)
+        if cls.effect is not Idempotency.KEYED or not (request.ran or request.out):
+            return cls.effect is Idempotency.SAFE or not (request.ran or request.out)
         # Keyed: the resend has to arrive, connection and all, while the group still remembers.
         if request.origin is None:
             request.origin, request.first_ran_ns, _ = request.attempts[-1]
@@ -569,9 +578,13 @@
             self._retries.unworked()
         self._call_off(request)
         cls = self.settings.classes[request.cls]
-        harmless = cls.effect is Effect.SAFE or (cls.effect is Effect.KEYED and cls.group is Group.ALL)
-        refusal = api.Refuse(request.id, self._stay_away(self._tight))
-        self._out.append(refusal if harmless or not (request.ran or request.out) else api.Fail(request.id))
+        harmless = cls.effect is Idempotency.SAFE or (
+            cls.effect is Idempotency.KEYED and cls.group is DeduplicationScope.ALL
+        )
+        refusal = api.RejectRequest(request.id, self._stay_away(self._tight))
+        self._out.append(
+            refusal if harmless or not (request.ran or request.out) else api.FailRequest(request.id)
+        )
 
     def _stay_away(self, crowded: bool) -> int:
         """When a refused client should come back: for as long as can be said where there is a crowd.
@@ -593,25 +606,27 @@
         request.out, request.lost = request.out - 1, request.lost - (not known)
         self._open -= known
         host.used_ns = now
-        self._silent += event.status is Status.TIMEOUT
-        request.reached |= event.status not in (Status.CONNECT_FAILED, Status.MOOT)
-        host.linked = event.status in (Status.OK, Status.ERROR, Status.FULL)
+        self._silent += event.status is AttemptStatus.TIMEOUT
+        request.reached |= event.status not in (AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_STARTED)
+        host.linked = event.status in (AttemptStatus.OK, AttemptStatus.ERROR, AttemptStatus.OVERLOADED)
         self._release(host, now)
         if event.report is not None:
             self._report(host, event.report, now)
-        elif event.status is Status.OK and host.util_ns >= 0:
+        elif event.status is AttemptStatus.OK and host.util_ns >= 0:
             # It reported before and answers without: some hosts fall silent just when they are busy.
             host.util, host.util_ns = max(host.util, 1 - RESERVE), now
         lost = idle > self._trust.least_ns and self._trust.ended(event.status, idle)
-        if event.status is Status.OK and sent > host.passed[0]:
+        if event.status is AttemptStatus.OK and sent > host.passed[0]:
             host.passed[0] = sent
             host.passed.sort()
-        if not lost and (known or event.status is not Status.TIMEOUT):  # of one written off all was learnt
+        if not lost and (
+            known or event.status is not AttemptStatus.TIMEOUT
+        ):  # of one written off all was learnt
             self._learn(host, request.cls, event.status, event.latency_ns, now)
         if event.closed:
             request.closed = True
             self._call_off(request)
-        if event.status not in NEVER_RAN and event.status is not Status.OK:
+        if event.status not in NEVER_RAN and event.status is not AttemptStatus.OK:
             if not request.ran or sent < request.first_ran_ns:
                 request.origin, request.first_ran_ns = host, sent
             request.ran = True
@@ -622,40 +637,40 @@
         if request.closed and not request.out:
             del self._requests[request.id]
 
-    def _learn(self, host: Host, cls: int, status: Status, latency_ns: int, now: int) -> None:
+    def _learn(self, host: Host, cls: int, status: AttemptStatus, latency_ns: int, now: int) -> None:
         """What an attempt's end says of its host: late answers of ended requests teach as well."""
         aim = self.settings.classes[cls].aim_ns
-        if status is Status.OK:
+        if status is AttemptStatus.OK:
             host.served += 1
             self._served_rate += 1
             self._sample(host, cls, latency_ns / (aim * GOAL_OF_AIM))
             self._lat_n[cls] += 1
             self._lat_sum[cls] += latency_ns
-        elif status is Status.TIMEOUT:
+        elif status is AttemptStatus.TIMEOUT:
             # A client that left before its aim says no more than that the answer took longer.
             host.failed += latency_ns >= aim * GOAL_OF_AIM
             self._sample(host, cls, latency_ns / (aim * GOAL_OF_AIM))
-        elif status is Status.FULL:
+        elif status is AttemptStatus.OVERLOADED:
             # No wait, but no room either: the admission limit sees it.  The health does not: a full host
             # is well, and cutting it fills the next one.
             self._index_n += 1
             host.turned += 1
             host.shut_ns = now + int(self._unit_ns * (1 - host.welcome))
             self._full_sum, self._turned = self._full_sum + 1, self._turned + 1
-        elif status not in (Status.CANCELLED, Status.MOOT):
+        elif status not in (AttemptStatus.CANCELLED, AttemptStatus.NOT_STARTED):
             host.failed += 1
             self._sample(host, cls, 1 / GOAL_OF_AIM)  # not served: its aim is missed
-            if status is Status.CONNECT_FAILED:
+            if status is AttemptStatus.CONNECT_FAILED:
                 # Down, cut off or out of connections: not over at once.  A host that fails fast has little
                 # out and would draw turns; one attempt an aim is the trickle that finds it well again.
                 host.shut_ns = now + self._unit_ns
                 self._unlinked += 1
 
-    def _retry(self, request: Request, status: Status, now: int, lost: bool) -> None:
+    def _retry(self, request: Request, status: AttemptStatus, now: int, lost: bool) -> None:
         """Try elsewhere while the rules, the time and the budget allow; else answer."""
         costs = status not in NEVER_RAN and not lost
         afford = self._retries.left and not self._tight if costs else not self._tight or self._retries.left
-        if status is not Status.MOOT and afford and self._may_repeat(request, now):
+        if status is not AttemptStatus.NOT_STARTED and afford and self._may_repeat(request, now):
             host = self._pick(request, now)
             if host is not None and (host.linked or not self._late_to_connect(request, now)):
                 if costs or self._tight:
@@ -689,7 +704,7 @@
                     self._retries.spend()
                     self._send(request, other, now)
 
-    def _passing(self, event: api.BodyPassing, now: int) -> None:
+    def _passing(self, event: api.RequestBodyProgressed, now: int) -> None:
         """An attempt whose body is on its way counts as written off; once that is whole, its time begins."""
         request = self._requests.get(event.request)
         if request is None or event.attempt >= len(request.attempts):
@@ -710,7 +725,7 @@
         if request.out and self.settings.can_cancel:
             for attempt, (host, _, _) in enumerate(request.attempts):
                 if (request.id, attempt) in host.out or (request.id, attempt) in host.lost:
-                    self._out.append(api.Cancel(request.id, attempt))
+                    self._out.append(api.CancelAttempt(request.id, attempt))
 
     def _late_to_connect(self, request: Request, now: int) -> bool:
         """Whether a connect that fails would end past half of the time of a request that reached no host.
@@ -718,10 +733,10 @@
         Guards against clients kept waiting for hosts that take no connection: they could ask elsewhere.
         """
         return not request.reached and now <= request.half_ns < now + min(
-            self.settings.connect_timeout_ns, int((request.deadline_ns - now) * api.CONNECT_PART)
+            self.settings.connect_timeout_ns, int((request.deadline_ns - now) * api.CONNECT_TIMEOUT_FRACTION)
         )
 
-    def _gone(self, event: api.RequestGone | api.StreamStarted, now: int) -> None:
+    def _gone(self, event: api.ClientDisconnected | api.StreamStarted, now: int) -> None:
         """The client has left, or has its stream: no answer is owed."""
         request = self._requests.get(event.request)
         if request is not None:
@@ -731,7 +746,7 @@
 
     # --- membership and cold hosts --------------------------------------------------------------
 
-    def _listed(self, event: api.HostList, now: int) -> None:
+    def _listed(self, event: api.HostListUpdated, now: int) -> None:
         if event.kind is ListKind.FAILED:
             # Ask again, later each time and never in step, but inside the limit on silence.
             self._ask_wait_ns = min(self._ask_wait_ns * 2, self.settings.ask_within_ns // 2)
@@ -746,7 +761,7 @@
         changed = []
         for entry in event.entries:
             host = self._hosts.get(entry.host)
-            if entry.state is HostState.GONE:
+            if entry.state is HostState.REMOVED:
                 self._remove(entry.host)
                 continue
             if host is None:
@@ -788,7 +803,7 @@
             host.weight, host.tokens = 0.0, 0
             if host.linked:  # each open one has a price and takes of the host's capacity
                 host.linked = False
-                self._out.append(api.LetGo(host.name))
+                self._out.append(api.CloseIdleConnections(host.name))
         for host in ring:
             host.begin(len(self._classes))
         self._turn.seat(ring)
@@ -800,7 +815,7 @@
             if host.out is not NOTHING:  # one never used has no connections
                 self._closing[host.name] = host
             host.closing_ns = now + self.settings.drain_release_ns
-            self._out.append(api.LetGo(host.name))
+            self._out.append(api.CloseIdleConnections(host.name))
 
     def _remove(self, name: str) -> None:
         host = self._hosts.pop(name, None)
@@ -834,10 +849,10 @@
 
     # --- the tick -------------------------------------------------------------------------------
 
-    def _part_changed(self, event: api.PartChanged, now: int) -> None:
+    def _part_changed(self, event: api.ProcessShareChanged, now: int) -> None:
         self._part = min(max(event.part, 0.01), 1.0)
 
-    def _probed(self, event: api.ProbeEnded, now: int) -> None:
+    def _probed(self, event: api.HealthCheckEnded, now: int) -> None:
         host = self._hosts.get(event.host)
         if host is not None and event.report is not None:
             self._report(host, event.report, now)
@@ -866,8 +881,8 @@
                 self._quiet_ns[cls] = self._lat_sum[cls] / count
         if self._ask_at is not None and now >= self._ask_at:
             self._ask_at = None
-            self._out.append(api.Subscribe())
-        self._out += [api.LetGo(name) for name in self._closing]
+            self._out.append(api.SubscribeToEndpoints())
+        self._out += [api.CloseIdleConnections(name) for name in self._closing]
         for host in [host for host in self._closing.values() if not host.draining or host.closing_ns <= now]:
             del self._closing[host.name]
         # About one recompute a request: no oftener than there is news, and the cost goes by traffic.
--- a/brambleusher/loadbalancing/fleet_balancer.py
+++ b/brambleusher/loadbalancing/fleet_balancer.py
@@ -88,9 +88,9 @@
                 host.served += 1
                 self._served_rate += 1
             else:
-                self._learn(host, cls, api.Status.OK, event.latency_ns, now)
+                self._learn(host, cls, api.AttemptStatus.OK, event.latency_ns, now)
         for _ in range(failed):
-            self._learn(host, cls, api.Status.ERROR, 0, now)
+            self._learn(host, cls, api.AttemptStatus.ERROR, 0, now)
 
     def next_tick(self, actions: list[api.Action]) -> int | None:
         """When the balancer wants its timer, out of the actions of an event."""
--- a/brambleusher/loadbalancing/idle_timeout.py
+++ b/brambleusher/loadbalancing/idle_timeout.py
@@ -8,7 +8,7 @@
 
 import math
 
-from brambleusher.loadbalancing.api import Status
+from brambleusher.loadbalancing.api import AttemptStatus
 
 CUT = 0.7  # of the idle time at which one was lost: the next loss would teach little
 WINDOW = 32.0  # aims; trust comes back slowly, each test costs a request
@@ -30,21 +30,21 @@
         """Whether it is less than hosts allow."""
         return self.trust_ns < self.limit_ns
 
-    def ended(self, status: Status, idle_ns: int) -> bool:
+    def ended(self, status: AttemptStatus, idle_ns: int) -> bool:
         """An attempt has ended; whether that says more of idle connections than of its host.
 
         A reset does, unless resets are rare and one that was idle for longer was kept lately: where traffic
         is thin, one by chance would have most requests open anew.  A time-out, which may be a busy host's,
         does where most sent on idle ones lately were.
         """
-        if status is Status.OK:
+        if status is AttemptStatus.OK:
             self.kept, self.proven_ns = self.kept + 1, max(self.proven_ns, idle_ns)
             return False
-        self.lost += status is Status.TIMEOUT
-        self.reset += status is Status.RESET
+        self.lost += status is AttemptStatus.TIMEOUT
+        self.reset += status is AttemptStatus.RESET
         by_chance = idle_ns < self.proven_ns and self.reset <= 1 + self.kept * CHANCE
-        silent = status is Status.TIMEOUT and self.lost > max(1.0, self.kept)
-        if not silent and (status is not Status.RESET or by_chance):
+        silent = status is AttemptStatus.TIMEOUT and self.lost > max(1.0, self.kept)
+        if not silent and (status is not AttemptStatus.RESET or by_chance):
             return False
         self.trust_ns = max(min(self.trust_ns, idle_ns * CUT), self.least_ns)
         return True
--- a/brambleusher/loadbalancing/maintenance.py
+++ b/brambleusher/loadbalancing/maintenance.py
@@ -61,7 +61,7 @@
     def effective(self, entry: HostEntry) -> HostEntry:
         """What is to be made of an entry."""
         ban = self.bans.get(entry.host)
-        if ban is None or entry.state is HostState.GONE:
+        if ban is None or entry.state is HostState.REMOVED:
             return entry
         if ban.on:
             return replace(entry, state=HostState.DRAINING)
@@ -78,7 +78,7 @@
             for host in [host for host in self._listed if host not in named]:
                 self._leaves(host)
         for entry in entries:
-            if entry.state is HostState.GONE:
+            if entry.state is HostState.REMOVED:
                 self._leaves(entry.host)
             else:
                 self._listed[entry.host] = entry
--- a/brambleusher/loadbalancing/settings.py
+++ b/brambleusher/loadbalancing/settings.py
@@ -9,9 +9,9 @@
 from brambleusher.loadbalancing import api
 
 _EFFECTS = {
-    "read_like": api.Effect.SAFE,
-    "idempotency_key": api.Effect.KEYED,
-    "non_idempotent": api.Effect.UNSAFE,
+    "read_like": api.Idempotency.SAFE,
+    "idempotency_key": api.Idempotency.KEYED,
+    "non_idempotent": api.Idempotency.UNSAFE,
 }
 
 
@@ -52,7 +52,7 @@
     if effect is None:
         raise WireError(f"setting {path}effect is missing or unknown")
     try:
-        group = api.Group(raw.get("group") or "all")
+        group = api.DeduplicationScope(raw.get("group") or "all")
     except ValueError:
         raise WireError(f"setting {path}group is unknown") from None
     return api.RequestClass(
--- a/brambleusher/loadbalancing/settings_codec.py
+++ b/brambleusher/loadbalancing/settings_codec.py
@@ -150,7 +150,7 @@
 
 
 def _request_class(raw: Mapping[str, Any]) -> api.RequestClass:
-    words = {"effect": api.Effect(raw["effect"]), "group": api.Group(raw["group"])}
+    words = {"effect": api.Idempotency(raw["effect"]), "group": api.DeduplicationScope(raw["group"])}
     return api.RequestClass(**{REQUEST_CLASS_KEYS[key]: words.get(key, value) for key, value in raw.items()})
 
 
--- a/brambleusher/loadbalancing/simulator_adapter.py
+++ b/brambleusher/loadbalancing/simulator_adapter.py
@@ -22,7 +22,7 @@
 _STATES = {
     "Running": api.HostState.READY,
     "Stopping": api.HostState.DRAINING,
-    "Deleted": api.HostState.GONE,
+    "Deleted": api.HostState.REMOVED,
 }
 _KINDS = {
     "SAVED": api.ListKind.SAVED,
@@ -30,7 +30,7 @@
     "INCREMENTAL": api.ListKind.DELTA,
     "FAILED": api.ListKind.FAILED,
 }
-_STATUSES = {status.value: status for status in api.Status}
+_STATUSES = {status.value: status for status in api.AttemptStatus}
 # Events that carry nothing the module uses.
 _IGNORED = frozenset({"peer_data"})
 
@@ -78,25 +78,25 @@
 def format_action(who: str, action: api.Action) -> str:
     """One action as its wire line."""
     kind = type(action)
-    if kind is api.Send:
+    if kind is api.StartAttempt:
         line = f"relay\twho={who}\top_id={action.request}\thost={action.host}"  # type: ignore[union-attr]
         timeout = action.timeout_ns  # type: ignore[union-attr]
         return f"{line}\tgive_up_after_ns={timeout}" if timeout else line
     if isinstance(action, api.SetTimer):
         return f"wake_me\twho={who}\ttime_ns={action.at_ns}\tkey_back={action.token}"
-    if isinstance(action, api.Refuse):
+    if isinstance(action, api.RejectRequest):
         return f"not_now\twho={who}\top_id={action.request}\tstay_away_ns={action.retry_after_ns}"
-    if isinstance(action, api.Fail):
+    if isinstance(action, api.FailRequest):
         return f"give_up\twho={who}\top_id={action.request}"
-    if isinstance(action, api.Cancel):
+    if isinstance(action, api.CancelAttempt):
         return f"abort_attempt\twho={who}\top_id={action.request}\tcopy={action.attempt}"
-    if isinstance(action, api.LetGo):
+    if isinstance(action, api.CloseIdleConnections):
         return f"let_go\twho={who}\thost={action.host}"
-    if isinstance(action, api.Probe):
+    if isinstance(action, api.CheckHealth):
         return f"health_check\twho={who}\thost={action.host}"
-    if isinstance(action, api.Subscribe):
+    if isinstance(action, api.SubscribeToEndpoints):
         return f"observe\twho={who}\ton=1"
-    assert isinstance(action, api.Log)
+    assert isinstance(action, api.WriteLog)
     return f"debug\twho={who}\twords={action.text}"
 
 
@@ -137,13 +137,13 @@
         if name == "bell":
             return api.TimerFired(int(parts["key_back"]))
         if name == "lapsed":
-            return api.RequestGone(parts["op_id"])
+            return api.ClientDisconnected(parts["op_id"])
         if name == "backends_changed":
             kind = _KINDS[parts["scope"]]
             failed = kind is api.ListKind.FAILED
-            return api.HostList(kind, [] if failed else self._lists[int(parts["list"])])
+            return api.HostListUpdated(kind, [] if failed else self._lists[int(parts["list"])])
         if name == "checked":
-            return api.ProbeEnded(
+            return api.HealthCheckEnded(
                 parts["host"],
                 parts.get("status") == "ok",
                 int(parts.get("duration_ns", 0)),
--- a/brambleusher/loadbalancing/zone_aware_balancer.py
+++ b/brambleusher/loadbalancing/zone_aware_balancer.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 from brambleusher.loadbalancing import api
-from brambleusher.loadbalancing.api import Effect, Status
+from brambleusher.loadbalancing.api import AttemptStatus, Idempotency
 from brambleusher.loadbalancing.balancer import (
     CAPACITY_WINDOW,
     COLD_SLICE,
@@ -44,7 +44,7 @@
         self._probing: list[str] = []  # requests whose last attempt is a probe
         self._due_ns = 0  # when the timer is to fire
         self._ahead = False  # zones' grants may be used a burst ahead
-        self._handlers[api.RulesChanged] = self._rules_changed
+        self._handlers[api.ZoneRulesChanged] = self._rules_changed
 
     @property
     def _on(self) -> bool:
@@ -55,14 +55,14 @@
         zones = self._zones
         return {"panic": zones.panic, "beyond": round(zones.beyond, 3), "zones": zones.standing(now)}
 
-    def _rules_changed(self, event: api.RulesChanged, now: int) -> None:
+    def _rules_changed(self, event: api.ZoneRulesChanged, now: int) -> None:
         self._zones.set_rules(event.zones, now)
         self._choose()
         self._weigh(now, 0.0)
 
     # --- membership -----------------------------------------------------------------------------
 
-    def _listed(self, event: api.HostList, now: int) -> None:
+    def _listed(self, event: api.HostListUpdated, now: int) -> None:
         super()._listed(event, now)
         ready: dict[str, list[str]] = {}
         draining: dict[str, list[str]] = {}
@@ -103,7 +103,7 @@
         hold, floor = self._hold()
         before = {name for name in self._zones.zones if self._zones.shut(name)}
         changed = self._zones.tick(now, gap, self._loads(now), asked, hold, floor)
-        self._out += [api.Log(text) for text in self._zones.said]
+        self._out += [api.WriteLog(text) for text in self._zones.said]
         self._zones.said.clear()
         if changed:
             out = {name for name in self._zones.zones if self._zones.shut(name)}
@@ -245,7 +245,7 @@
         plain = super()._fits(request, now)
         if not self._on:
             return plain
-        zones, unsafe = self._zones, self.settings.classes[request.cls].effect is Effect.UNSAFE
+        zones, unsafe = self._zones, self.settings.classes[request.cls].effect is Idempotency.UNSAFE
         let = {name: zones.admits(name, now, self._ahead) for name in zones.zones}
         if unsafe:
             sure = {name: each and not zones.doubtful(name) for name, each in let.items()}
@@ -274,7 +274,7 @@
         """
         zone = self._zones.probe(now)
         cls = self.settings.classes[request.cls]
-        if zone is None or cls.effect is not Effect.SAFE or self.settings.max_attempts < 2:
+        if zone is None or cls.effect is not Idempotency.SAFE or self.settings.max_attempts < 2:
             return None
         if request.deadline_ns - now < 2 * self._patience(request):
             return None
@@ -308,7 +308,7 @@
             host.cold_level -= 0.0 if self._zones.needed(now) else max(0.0, cost - 1)
         if request.id in self._probing:
             sent = self._out[-1]
-            assert isinstance(sent, api.Send)
+            assert isinstance(sent, api.StartAttempt)
             sent.timeout_ns = self._patience(request)
 
     def _attempt_ended(self, event: api.AttemptEnded, now: int) -> None:
@@ -324,9 +324,13 @@
         if event.request in self._probing and event.attempt == 0:
             self._probing.remove(event.request)
 
-    def _retry(self, request: Request, status: Status, now: int, lost: bool) -> None:
+    def _retry(self, request: Request, status: AttemptStatus, now: int, lost: bool) -> None:
         """An unanswered probe costs its request no more than the time: it goes elsewhere at once."""
-        if request.id in self._probing and status is not Status.MOOT and self._may_repeat(request, now):
+        if (
+            request.id in self._probing
+            and status is not AttemptStatus.NOT_STARTED
+            and self._may_repeat(request, now)
+        ):
             self._probing.remove(request.id)
             host = self._pick(request, now)
             if host is not None:
--- a/brambleusher/loadbalancing/zone_routing.py
+++ b/brambleusher/loadbalancing/zone_routing.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from brambleusher.loadbalancing.api import Status, ZoneRules
+from brambleusher.loadbalancing.api import AttemptStatus, ZoneRules
 
 SECOND = 1e9
 HALVING = 0.693  # a count that halves in a time is its rate by that time over this
@@ -37,8 +37,8 @@
 CLEAR_AIMS = 2.0  # nothing wrong for so long: no longer suspected
 SUSPECT_OFFER = 0.5  # of its spare
 SHORT_PART = 0.25  # of the shortest aim: what timed out sooner had no time, which says nothing of the node
-UNANSWERED = frozenset({Status.CONNECT_FAILED, Status.RESET, Status.TIMEOUT})
-ANSWERED = frozenset({Status.OK, Status.FULL, Status.ERROR})
+UNANSWERED = frozenset({AttemptStatus.CONNECT_FAILED, AttemptStatus.RESET, AttemptStatus.TIMEOUT})
+ANSWERED = frozenset({AttemptStatus.OK, AttemptStatus.OVERLOADED, AttemptStatus.ERROR})
 PROOF = 3  # connects failed in a row, over a zone: that it can't be reached is not to be doubted
 
 # Probes: single requests that may be sent again, to a zone that is out.
@@ -317,13 +317,13 @@
             zone.level -= 1.0
 
     def ended(
-        self, name: str, host: str, cls: int, status: Status, sent_ns: int, latency_ns: int, now: int
+        self, name: str, host: str, cls: int, status: AttemptStatus, sent_ns: int, latency_ns: int, now: int
     ) -> None:
         """How an attempt there ended."""
         zone = self.zones.get(name)
         if zone is None or host not in zone.ready or status not in ANSWERED | UNANSWERED:
             return
-        if status is Status.TIMEOUT and latency_ns < self.unit_ns * SHORT_PART:
+        if status is AttemptStatus.TIMEOUT and latency_ns < self.unit_ns * SHORT_PART:
             return
         node = zone.nodes.setdefault(host, Node())
         zone.ended += 1
@@ -331,9 +331,9 @@
             node.heard_ns, node.streak = now, 0
             zone.heard_ns, zone.missed, zone.unreached = now, 0, 0
             zone.probe_pause_ns = 0
-            zone.answered += status is Status.OK
-            node.gone_wrong += status is Status.ERROR
-            if status is Status.OK and zone.calm:
+            zone.answered += status is AttemptStatus.OK
+            node.gone_wrong += status is AttemptStatus.ERROR
+            if status is AttemptStatus.OK and zone.calm:
                 self._time(zone, cls, float(latency_ns))
             return
         if not node.streak:
@@ -343,7 +343,7 @@
         zone.missed += 1
         if zone.held:  # soon once more: is it lost again?
             zone.probe_ns, zone.probe_pause_ns = min(zone.probe_ns, now + int(PROBE_AIMS * self.unit_ns)), 0
-        zone.unreached = zone.unreached + 1 if status is Status.CONNECT_FAILED else 0
+        zone.unreached = zone.unreached + 1 if status is AttemptStatus.CONNECT_FAILED else 0
 
     def _time(self, zone: Zone, cls: int, latency_ns: float) -> None:
         """Stochastic approximation of a quantile (Robbins and Monro): up and down by its odds."""
--- a/brambleusher/net/client_listener.py
+++ b/brambleusher/net/client_listener.py
@@ -14,7 +14,7 @@
     Clock,
     DuplicateRequestError,
 )
-from brambleusher.loadbalancing.api import Effect
+from brambleusher.loadbalancing.api import Idempotency
 from brambleusher.loadbalancing.connection_admission import FRESH_SECONDS, Places
 from brambleusher.loadbalancing.maintenance import Service
 from brambleusher.net.bodies import LEAST_RATE, Tail, Upload
@@ -117,7 +117,8 @@
         self._counters, self._places, self._is_ready = counters, places, is_ready
         self._life, self._rewrites = RequestLife(decisions, nodes, scheduler), rewrites
         self._methods = {
-            cls.name: "GET" if cls.effect is Effect.SAFE else "POST" for cls in decisions.settings.classes
+            cls.name: "GET" if cls.effect is Idempotency.SAFE else "POST"
+            for cls in decisions.settings.classes
         }
         self._tenants = {tenant.name for tenant in decisions.settings.tenants}
         self.tally, self._service = tally or Tally(self._methods), service or Service()
--- a/brambleusher/net/entries.py
+++ b/brambleusher/net/entries.py
@@ -13,7 +13,7 @@
 _STATES = {
     "Ready": HostState.READY,
     "Terminating": HostState.DRAINING,
-    "Gone": HostState.GONE,
+    "Gone": HostState.REMOVED,
 }
 MAX_SERVERS = 25_000
 
@@ -73,7 +73,7 @@
     except ValueError:
         where = None
     if where is None:
-        if state is not HostState.GONE:
+        if state is not HostState.REMOVED:
             raise ListError(f"the addr of {name} is not host:port")
         where = ("", 0)
     entry = HostEntry(
--- a/brambleusher/net/request_life.py
+++ b/brambleusher/net/request_life.py
@@ -17,7 +17,7 @@
     PendingRequest,
     ResponseStarted,
 )
-from brambleusher.loadbalancing.api import Fail, Refuse, Status
+from brambleusher.loadbalancing.api import AttemptStatus, FailRequest, RejectRequest
 from brambleusher.runtime.scheduler import Scheduler, Timeout
 from brambleusher.runtime.system import Socket
 
@@ -109,7 +109,7 @@
                         self._abandon(ticket, claims)
                         return None
                 step = ticket.steps.popleft()
-                if isinstance(step, AttemptRequested | Refuse | Fail) and client.has_left():
+                if isinstance(step, AttemptRequested | RejectRequest | FailRequest) and client.has_left():
                     ticket.steps.appendleft(step)  # `close` tells the module that it is not made
                     self._abandon(ticket, claims)
                     return None
@@ -141,7 +141,7 @@
                     )
                 # 3. A claim has ended: the first that served answers the request.
                 elif isinstance(step, AttemptFinished):
-                    served = step.outcome.status is Status.OK
+                    served = step.outcome.status is AttemptStatus.OK
                     self._decisions.finish_attempt(ticket, step, closed=served)
                     if served:
                         return Answer(Kind.SERVED, payload=step.outcome.payload)
@@ -153,7 +153,7 @@
                             claim.call_off()
                     return Answer(Kind.SERVED, payload=step.payload)
                 # 5. The module has given up on it: the answer goes out at once.
-                elif isinstance(step, Refuse):
+                elif isinstance(step, RejectRequest):
                     wait = min(step.retry_after_ns, self._decisions.settings.max_retry_after_ns)
                     return Answer(Kind.REFUSED, wait)
                 else:
--- a/brambleusher/net/slices.py
+++ b/brambleusher/net/slices.py
@@ -137,7 +137,7 @@
                 self._drop(name)
                 if name in self.held:
                     was = self.held[name].entry
-                    entry = HostEntry(name, was.zone, was.kind, was.cell, HostState.GONE)
+                    entry = HostEntry(name, was.zone, was.kind, was.cell, HostState.REMOVED)
                     self._urgent[name] = Endpoint(entry, ("", 0))
             if at % STEP_ENDPOINTS == STEP_ENDPOINTS - 1:
                 yield
@@ -164,7 +164,7 @@
         if endpoint == was:
             return
         if was is None:
-            if entry.state is not HostState.GONE:
+            if entry.state is not HostState.REMOVED:
                 self._rest[name] = endpoint
         elif entry.state is HostState.READY and (was.address, was.entry.started_ns) == (
             endpoint.address, entry.started_ns,
@@ -178,7 +178,7 @@
         self._rest.pop(name, None)
 
     def _hold(self, endpoint: Endpoint) -> None:
-        if endpoint.entry.state is HostState.GONE:
+        if endpoint.entry.state is HostState.REMOVED:
             self.held.pop(endpoint.entry.host, None)
         else:
             self.held[endpoint.entry.host] = endpoint
--- a/brambleusher/net/upstream_pool.py
+++ b/brambleusher/net/upstream_pool.py
@@ -11,7 +11,13 @@
 import orjson
 
 from brambleusher.decisions.balancer_driver import AttemptOutcome, do_nothing
-from brambleusher.loadbalancing.api import CONNECT_PART, HostState, LoadReport, Settings, Status
+from brambleusher.loadbalancing.api import (
+    CONNECT_TIMEOUT_FRACTION,
+    AttemptStatus,
+    HostState,
+    LoadReport,
+    Settings,
+)
 from brambleusher.loadbalancing.connection_limits import Link, Pace
 from brambleusher.net.bodies import Answered, Tail, Upload
 from brambleusher.net.endpoint_list import Endpoint, EndpointListUpdate
@@ -41,7 +47,7 @@
 _REWRITTEN = HOP_BY_HOP | {"content-length", "request-timeout-ms", "expect"}
 
 
-Ended = tuple[Status, LoadReport | None, Message | None]
+Ended = tuple[AttemptStatus, LoadReport | None, Message | None]
 
 
 def parse_report(text: str | None, tell: Callable[[str], object] = lambda fault: None) -> LoadReport | None:
@@ -76,13 +82,13 @@
     return parse_report(text, tell) or (None if text is None else LoadReport(None, None))
 
 
-def status_of(answer: Message) -> Status:
+def status_of(answer: Message) -> AttemptStatus:
     """What an answer proves; a 503 that does not say so proves nothing."""
     if answer.status == 200:
-        return Status.OK
+        return AttemptStatus.OK
     if answer.status in (503, 504) and answer.headers.get("not-started") == "1":
-        return Status.FULL
-    return Status.ERROR
+        return AttemptStatus.OVERLOADED
+    return AttemptStatus.ERROR
 
 
 @dataclass(slots=True)
@@ -107,14 +113,14 @@
     def __init__(self, began_at: float) -> None:
         self.began_at = began_at  # its latency counts from here
         self.event = Event()  # set when it is called off
-        self.why: Status | None = None  # the status it was called off with
+        self.why: AttemptStatus | None = None  # the status it was called off with
         self.stream: Stream | None = None
         self.fresh = False  # its connection was opened for it
         self.begun = False  # its answer passes on
         self.sending = False  # its first byte is on its way
         self.written = False  # its last byte has been handed over: from here on it may have run
 
-    def call_off(self, why: Status = Status.CANCELLED) -> None:
+    def call_off(self, why: AttemptStatus = AttemptStatus.CANCELLED) -> None:
         """Close its connection, which gives it up at the endpoint too."""
         if self.why is None and not self.begun:
             self.why = why
@@ -164,7 +170,7 @@
 
     def _place(self, endpoint: Endpoint) -> None:
         entry = endpoint.entry
-        if entry.state is HostState.GONE:
+        if entry.state is HostState.REMOVED:
             self._gone(entry.host)
             return
         self.listed[entry.host] = endpoint
@@ -197,7 +203,7 @@
         self._drop(node)
         for claim in list(node.claims):
             if not claim.sending:  # guards against one that waits for a connect and is sent after the notice
-                claim.call_off(Status.FULL)
+                claim.call_off(AttemptStatus.OVERLOADED)
 
     def let_go(self, name: str) -> None:
         """Close the idle connections to a node."""
@@ -251,17 +257,17 @@
         claim = Claim(start)
         limit = min(deadline, start + timeout_ns / 1e9) if timeout_ns else deadline
 
-        def tell(status: Status, report: LoadReport | None, answer: Message | None) -> None:
+        def tell(status: AttemptStatus, report: LoadReport | None, answer: Message | None) -> None:
             latency = int((self._scheduler.now() - claim.began_at) * 1e9)
             drop = answer.rest.close if answer is not None and isinstance(answer.rest, Tail) else do_nothing
             ended(AttemptOutcome(status, latency, report, answer, drop))
 
         def run() -> None:
-            outcome: Ended | None = (Status.ERROR, None, None)
+            outcome: Ended | None = (AttemptStatus.ERROR, None, None)
             node = self._node(name)
             try:
                 if node is None:
-                    outcome = Status.FULL, None, None
+                    outcome = AttemptStatus.OVERLOADED, None, None
                 else:
                     node.claims[claim] = None
                     outcome = self._attempt(node, claim, payload, limit, tell, passing, wanted)
@@ -284,7 +290,7 @@
         claim: Claim,
         request: Message,
         deadline: float,
-        tell: Callable[[Status, LoadReport | None, Message | None], None],
+        tell: Callable[[AttemptStatus, LoadReport | None, Message | None], None],
         passing: Callable[[bool], None],
         wanted: Callable[[], bool],
     ) -> Ended | None:
@@ -293,18 +299,18 @@
         upload = request.rest if isinstance(request.rest, Upload) else None
         try:
             if upload is not None and upload.spent:
-                return Status.MOOT, None, None  # guards against a body sent in part
+                return AttemptStatus.NOT_STARTED, None, None  # guards against a body sent in part
             stream = claim.stream = self._connection(node, claim, deadline)
             if stream is None:
                 # Not the node's doing: told as full, a sidecar short of connections took its nodes for
                 # overloaded and refused nearly everything.
                 self._counters.add("connections_lacking")
-                return Status.MOOT, None, None
+                return AttemptStatus.NOT_STARTED, None, None
             if claim.why is not None:
                 return self._called_off(claim), None, None
             left_ms = int((deadline - self._scheduler.now()) * 1000) if upload is None else upload.wait_ms
             if left_ms < 1 or not wanted():  # guards against work begun for a request that is over
-                return Status.MOOT, None, None
+                return AttemptStatus.NOT_STARTED, None, None
             self._counters.add("claims_sent")
             claim.sending = True
             if upload is None:
@@ -318,12 +324,12 @@
                 passing(True)
             answer, keep = self._answer(stream, claim, deadline)
             status = status_of(answer)
-            if status is Status.FULL and claim.fresh:
+            if status is AttemptStatus.OVERLOADED and claim.fresh:
                 node.link.full(self._scheduler.now())
                 keep = False  # guards against a place held in a full table
             if not isinstance(answer.rest, Tail):
                 return status, self._report(node, answer), answer
-            if status is not Status.OK:
+            if status is not AttemptStatus.OK:
                 return status, self._report(node, answer), None
             claim.begun = True
             tell(status, self._report(node, answer), answer)
@@ -335,13 +341,13 @@
         except Called:
             return self._called_off(claim), None, None
         except Timeout:
-            return Status.TIMEOUT if claim.written else Status.CONNECT_FAILED, None, None
+            return AttemptStatus.TIMEOUT if claim.written else AttemptStatus.CONNECT_FAILED, None, None
         except OSError:
-            return Status.RESET if claim.written else Status.CONNECT_FAILED, None, None
+            return AttemptStatus.RESET if claim.written else AttemptStatus.CONNECT_FAILED, None, None
         except HttpError as error:
             self._counters.add("bad_answers")
             self._bad_answers.warning("bad answer", node=node.name, reason=error)
-            return Status.ERROR, None, None
+            return AttemptStatus.ERROR, None, None
         finally:
             if claim.stream is not None:
                 node.link.gives_back(self._scheduler.now(), keep)
@@ -352,11 +358,11 @@
         try:
             assert stream is not None
             answer, _ = self._answer(stream, claim, self._scheduler.now() + REST_SECONDS)
-            if status_of(answer) is Status.FULL:
-                return Status.FULL, self._report(node, answer), None
+            if status_of(answer) is AttemptStatus.OVERLOADED:
+                return AttemptStatus.OVERLOADED, self._report(node, answer), None
         except (OSError, Timeout, HttpError, Called):
             pass
-        return Status.CONNECT_FAILED, None, None
+        return AttemptStatus.CONNECT_FAILED, None, None
 
     def _pass_on(
         self, stream: Stream, claim: Claim, upload: Upload, head: bytes, passing: Callable[[bool], None]
@@ -376,7 +382,7 @@
                 piece = upload.piece(claim.event, look)
             except (HttpError, OSError):
                 # Its client's doing, and no last byte was written: the node has not run it.
-                claim.call_off(Status.MOOT)
+                claim.call_off(AttemptStatus.NOT_STARTED)
                 raise Called from None
             if piece is None:
                 raise Called
@@ -394,8 +400,8 @@
         return report_of(answer, bad)
 
     @staticmethod
-    def _called_off(claim: Claim) -> Status:
-        return claim.why if claim.why is not None and not claim.written else Status.CANCELLED
+    def _called_off(claim: Claim) -> AttemptStatus:
+        return claim.why if claim.why is not None and not claim.written else AttemptStatus.CANCELLED
 
     def _connection(self, node: Node, claim: Claim, deadline: float) -> Stream | None:
         """The most recently used idle connection that can be trusted, else a new one, in its turn.
@@ -405,7 +411,7 @@
         """
         now = self._scheduler.now()
         # Part of the time only, so that one node that takes no connection leaves time for another.
-        until = now + min(self._connect_seconds, (deadline - now) * CONNECT_PART)
+        until = now + min(self._connect_seconds, (deadline - now) * CONNECT_TIMEOUT_FRACTION)
         while True:
             if (stream := self._idle(node, now)) is not None:
                 self._counters.add("connections_reused")
--- a/brambleusher/xds/config.py
+++ b/brambleusher/xds/config.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from brambleusher.loadbalancing.api import Effect, Settings
+from brambleusher.loadbalancing.api import Idempotency, Settings
 from brambleusher.loadbalancing.settings import WireError, parse_settings
 from brambleusher.operator_settings.configuration import MAX_FILE, decode_yaml
 from brambleusher.operator_settings.section import OperatorError, Section
@@ -228,7 +228,7 @@
     if known is None:
         raise ControlError(f"{path}.name: the settings have no class {name}")
     usual = ClassPlan(name, (f"/{name}",), max(1, known.deadline_ns // 1_000_000), 0)
-    safe = known.effect is Effect.SAFE
+    safe = known.effect is Idempotency.SAFE
     most = max(0, settings.max_attempts - 1)
     retries = section.whole("retries", min(1, most) if safe else 0, 0, 10)
     if retries and not safe:
--- a/brambleusher/xds/core.py
+++ b/brambleusher/xds/core.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, field, replace
 
-from brambleusher.loadbalancing.api import HostList, HostState, ListKind, Settings, TimerFired
+from brambleusher.loadbalancing.api import HostListUpdated, HostState, ListKind, Settings, TimerFired
 from brambleusher.loadbalancing.fleet_balancer import FleetBalancer, standings
 from brambleusher.loadbalancing.locality_weights import Damper, Rounder, Tier, tiers
 from brambleusher.loadbalancing.view_consistency import Handout, Place, Why, Word
@@ -71,11 +71,11 @@
             return False
         entries = [each.entry for name, each in endpoints.items() if before.get(name) != each]
         entries += [
-            replace(each.entry, state=HostState.GONE)
+            replace(each.entry, state=HostState.REMOVED)
             for name, each in before.items()
             if name not in endpoints
         ]
-        self.balancer.handle(HostList(ListKind.DELTA, entries), now)
+        self.balancer.handle(HostListUpdated(ListKind.DELTA, entries), now)
         return True
 
     def tick(self, now: int) -> None:
--- a/brambleusher/xds/resources.py
+++ b/brambleusher/xds/resources.py
@@ -21,7 +21,7 @@
 from google.protobuf import any_pb2, duration_pb2, wrappers_pb2
 from google.protobuf.message import Message
 
-from brambleusher.loadbalancing.api import Effect
+from brambleusher.loadbalancing.api import Idempotency
 from brambleusher.loadbalancing.locality_weights import Tier
 from brambleusher.xds.config import ClassPlan, ControlConfig, Group, ListenerPlan
 from brambleusher.xds.snapshot import CDS, LDS, RDS, Draft, sized, varint
@@ -183,7 +183,7 @@
     usual = [
         f"/{cls.name}"
         for cls in config.settings.classes
-        if cls.effect is not Effect.SAFE and cls.name not in given
+        if cls.effect is not Idempotency.SAFE and cls.name not in given
     ]
     hidden = [plan for plan in config.classes if plan not in plans and not plan.retries]
     return usual + [prefix for plan in hidden for prefix in plan.prefixes]
--- a/brambleusher/xds/roster.py
+++ b/brambleusher/xds/roster.py
@@ -38,7 +38,7 @@
         if update.full:
             self._told = {}
         for endpoint in update.endpoints:
-            if endpoint.entry.state is HostState.GONE:
+            if endpoint.entry.state is HostState.REMOVED:
                 self._told.pop(endpoint.entry.host, None)
             else:
                 self._told[endpoint.entry.host] = endpoint
--- a/tests/rules.py
+++ b/tests/rules.py
@@ -12,7 +12,7 @@
 
 MS = 1_000_000
 SECOND = 1_000 * MS
-UNRUN = {api.Status.FULL, api.Status.CONNECT_FAILED, api.Status.MOOT}
+UNRUN = {api.AttemptStatus.OVERLOADED, api.AttemptStatus.CONNECT_FAILED, api.AttemptStatus.NOT_STARTED}
 
 
 class Breach(AssertionError):
@@ -26,7 +26,7 @@
     host: str
     sent: int
     ends: int
-    status: api.Status | None = None
+    status: api.AttemptStatus | None = None
 
 
 @dataclass
@@ -71,21 +71,23 @@
                 self.left.setdefault(entry.host, now)
 
     def action(self, action: api.Action, now: int) -> None:
-        if isinstance(action, api.Send):
+        if isinstance(action, api.StartAttempt):
             self._send(action, now)
-        elif isinstance(action, (api.Refuse, api.Fail)):
+        elif isinstance(action, (api.RejectRequest, api.FailRequest)):
             owed = self.requests[action.request]
             if owed.answered:
                 raise Breach("rule 1: two answers")
             if now > owed.deadline:
                 raise Breach("rule 1: late answer")
             risky = [a for a in owed.attempts if a.status not in UNRUN]
-            if isinstance(action, api.Refuse) and risky:
+            if isinstance(action, api.RejectRequest) and risky:
                 effect, group = owed.cls.effect, owed.cls.group
-                if effect is api.Effect.UNSAFE or (effect is api.Effect.KEYED and group is not api.Group.ALL):
+                if effect is api.Idempotency.UNSAFE or (
+                    effect is api.Idempotency.KEYED and group is not api.DeduplicationScope.ALL
+                ):
                     raise Breach("rule 2: refused what may have run")
             owed.answered = True
-        elif isinstance(action, api.LetGo):
+        elif isinstance(action, api.CloseIdleConnections):
             self.let_go[action.host] = now
 
     def closes(self, now: int) -> None:
@@ -96,7 +98,7 @@
             if release and host in self.used and now > since + release and self.let_go.get(host, -1) < since:
                 raise Breach("rule 5: an idle connection to a draining host stayed open")
 
-    def _send(self, action: api.Send, now: int) -> None:
+    def _send(self, action: api.StartAttempt, now: int) -> None:
         owed = self.requests[action.request]
         if owed.answered:
             raise Breach("rule 1: sent after the end")
@@ -108,16 +110,16 @@
         if not self.settings.second_copies and any(a.status is None for a in owed.attempts):
             raise Breach("rule 2: two attempts out")
         risky = [a for a in owed.attempts if a.status not in UNRUN]
-        if risky and owed.cls.effect is api.Effect.UNSAFE:
+        if risky and owed.cls.effect is api.Idempotency.UNSAFE:
             raise Breach("rule 2: unsafe request repeated")
-        if risky and owed.cls.effect is api.Effect.KEYED:
+        if risky and owed.cls.effect is api.Idempotency.KEYED:
             first = min(risky, key=lambda a: a.sent)
             if now >= first.sent + owed.cls.window_ns:
                 raise Breach("rule 2: repeated after the window")
             here, there = self.places[action.host], self.places[first.host]
             group = owed.cls.group
-            if (group is api.Group.ZONE and here.zone != there.zone) or (
-                group is api.Group.CELL and here.cell != there.cell
+            if (group is api.DeduplicationScope.ZONE and here.zone != there.zone) or (
+                group is api.DeduplicationScope.CELL and here.cell != there.cell
             ):
                 raise Breach("rule 2: repeated outside the group")
         self._cold(action.host, now)
@@ -166,10 +168,10 @@
             self.actions.append((self.now, action))
             if isinstance(action, api.SetTimer):
                 self.timers.append((action.at_ns, action.token))
-            elif isinstance(action, api.Subscribe):
+            elif isinstance(action, api.SubscribeToEndpoints):
                 self.asked += 1
             self.checker.action(action, self.now)
-            if isinstance(action, api.Send):
+            if isinstance(action, api.StartAttempt):
                 self.sends += 1
                 owed = self.checker.requests[action.request]
                 self.out.append((action.request, len(owed.attempts) - 1))
@@ -179,7 +181,7 @@
 
     def list_hosts(self, kind: api.ListKind, entries: list[api.HostEntry]) -> None:
         self.checker.listed(kind, entries, self.now)
-        self.give(api.HostList(kind, entries))
+        self.give(api.HostListUpdated(kind, entries))
 
     def request(self, cls: api.RequestClass, left_ns: int, tenant: str | None = None) -> str:
         self.count += 1
@@ -188,13 +190,15 @@
         self.give(api.RequestArrived(name, cls.name, tenant, left_ns))
         return name
 
-    def end(self, name: str, attempt: int, status: api.Status, report: api.LoadReport | None = None) -> None:
+    def end(
+        self, name: str, attempt: int, status: api.AttemptStatus, report: api.LoadReport | None = None
+    ) -> None:
         self.out.remove((name, attempt))
         owed = self.checker.requests[name]
         sent = owed.attempts[attempt]
         sent.status = status
         self.checker.used[sent.host] = self.now
-        if status is api.Status.OK:
+        if status is api.AttemptStatus.OK:
             owed.answered = True
         self.give(
             api.AttemptEnded(name, attempt, sent.host, status, self.now - sent.sent, owed.answered, report)
@@ -210,7 +214,7 @@
             next_end = min(ends, default=None)
             if next_end is not None and next_end[0] <= min(until, next_timer[0] if next_timer else until):
                 self.now = max(self.now, next_end[0])
-                self.end(next_end[1], next_end[2], api.Status.TIMEOUT)
+                self.end(next_end[1], next_end[2], api.AttemptStatus.TIMEOUT)
             elif next_timer is not None and next_timer[0] <= until:
                 self.now = max(self.now, next_timer[0])
                 self.timers.remove((next_timer[0], next_timer[2]))
@@ -245,11 +249,11 @@
             self.list_hosts(api.ListKind.DELTA, [entry])
         elif self.entries:
             old = self.entries[self.rng.choice(sorted(self.entries))]
-            state = self.rng.choice([api.HostState.DRAINING, api.HostState.GONE, api.HostState.READY])
+            state = self.rng.choice([api.HostState.DRAINING, api.HostState.REMOVED, api.HostState.READY])
             started = self.now if state is api.HostState.READY else old.started_ns
             new = api.HostEntry(old.host, old.zone, old.kind, old.cell, state, 1.0, started)
             self.entries[new.host] = new
-            if state is api.HostState.GONE:
+            if state is api.HostState.REMOVED:
                 del self.entries[new.host]
             if self.rng.random() < 0.3:
                 self.list_hosts(api.ListKind.FULL, list(self.entries.values()))
@@ -264,10 +268,14 @@
             self.request(cls, self.rng.randrange(cls.aim_ns // 2, cls.deadline_ns), tenant)
         elif roll < 0.8 and self.out:
             name, attempt = self.rng.choice(self.out)
-            choices = [s for s in api.Status if s not in (api.Status.MOOT, api.Status.CANCELLED)]
-            status = self.rng.choice([*[api.Status.OK] * 6, *choices])
+            choices = [
+                s
+                for s in api.AttemptStatus
+                if s not in (api.AttemptStatus.NOT_STARTED, api.AttemptStatus.CANCELLED)
+            ]
+            status = self.rng.choice([*[api.AttemptStatus.OK] * 6, *choices])
             if self.checker.requests[name].answered and self.rng.random() < 0.2:
-                status = api.Status.MOOT
+                status = api.AttemptStatus.NOT_STARTED
             report = api.LoadReport(
                 self.rng.choice([None, -1.0, 0.0, 0.5, 1.0, 7.0, float("nan")]),
                 self.rng.choice([None, -1.0, 0.0, 10.0, float("inf")]),
@@ -276,7 +284,7 @@
         elif roll < 0.84 and self.out:
             name, _ = self.rng.choice(self.out)
             self.checker.requests[name].answered = True
-            self.give(api.RequestGone(name))
+            self.give(api.ClientDisconnected(name))
         elif roll < 0.87:
             self.membership()
         else:
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -74,16 +74,18 @@
     balancer, now, count = Balancer(settings, 3), 100 * SECOND, 0
     balancer.start(now)
     new = entries({"b": 1}, now - 2 * SECOND)
-    balancer.handle(api.HostList(api.ListKind.SAVED, entries({"a": 2}) + new), now)
+    balancer.handle(api.HostListUpdated(api.ListKind.SAVED, entries({"a": 2}) + new), now)
     for number in range(600):
         now += 10_000_000
         for action in balancer.handle(api.RequestArrived(str(number), "r", None, 2 * SECOND), now):
-            if isinstance(action, api.Send):
+            if isinstance(action, api.StartAttempt):
                 is_new = action.host == new[0].host
                 count += is_new
                 report = told if is_new else api.LoadReport(0.8, 20.0)
                 balancer.handle(
-                    api.AttemptEnded(str(number), 0, action.host, api.Status.OK, 50_000_000, True, report),
+                    api.AttemptEnded(
+                        str(number), 0, action.host, api.AttemptStatus.OK, 50_000_000, True, report
+                    ),
                     now + 5_000_000,
                 )
         if number % 10 == 0:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -71,7 +71,7 @@
         update = decode_update({"version": 4, "full": False, "servers": [ENTRY, gone]})
         first, second = update.endpoints
         self.assertEqual((first.address, first.entry.started_ns), (("127.0.0.1", 80), 3_000_000))
-        self.assertEqual((second.entry.state, update.full), (HostState.GONE, False))
+        self.assertEqual((second.entry.state, update.full), (HostState.REMOVED, False))
 
     def test_what_makes_no_sense_is_refused_whole(self) -> None:
         for bad in (
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -362,7 +362,7 @@
 def test_the_list_held_never_goes_back() -> None:
     roster = Roster()
     assert set(roster.take(update(5, endpoint("n1"), endpoint("n2"))) or ()) == {"n1", "n2"}
-    assert set(roster.take(update(6, endpoint("n2", api.HostState.GONE), full=False)) or ()) == {"n2"}
+    assert set(roster.take(update(6, endpoint("n2", api.HostState.REMOVED), full=False)) or ()) == {"n2"}
     assert roster.take(update(3, endpoint("n1"), endpoint("n2"))) is None and roster.behind
     assert roster.take(update(5, endpoint("n3"), full=False)) is None
     assert set(roster.endpoints) == {"n1"} and roster.version == 6
@@ -690,7 +690,9 @@
     fleet, sidecar = FleetBalancer(parsed, 1), Balancer(parsed, 1)
     for each in (fleet, sidecar):
         each.start(0)
-        each.handle(api.HostList(api.ListKind.FULL, entries(12)), 0)  # a sidecar uses so many at the least
+        each.handle(
+            api.HostListUpdated(api.ListKind.FULL, entries(12)), 0
+        )  # a sidecar uses so many at the least
         each.handle(api.TimerFired(0), SECOND)
     mine, theirs = ([standing.weight for standing in standings(each)] for each in (fleet, sidecar))
     assert mine == pytest.approx(theirs) and min(mine) > 0
@@ -700,7 +702,7 @@
     parsed = parse_settings(SETTINGS)
     fleet = FleetBalancer(parsed, 1)
     fleet.start(0)
-    fleet.handle(api.HostList(api.ListKind.FULL, entries(40)), 0)
+    fleet.handle(api.HostListUpdated(api.ListKind.FULL, entries(40)), 0)
     now = 0
     for _ in range(8):
         now += SECOND // 2
--- a/tests/test_crossings_fleet.py
+++ b/tests/test_crossings_fleet.py
@@ -51,7 +51,7 @@
 
     def begin(self, number: int) -> None:
         self.act(number, self.fleet[number].start(self.now))
-        kind = api.HostList(api.ListKind.SAVED, self.entries)
+        kind = api.HostListUpdated(api.ListKind.SAVED, self.entries)
         self.act(number, self.fleet[number].handle(kind, self.now))
 
     def restart(self, number: int) -> None:
@@ -63,12 +63,12 @@
 
     def act(self, number: int, actions: list[api.Action]) -> None:
         for action in actions:
-            if isinstance(action, api.Send):
+            if isinstance(action, api.StartAttempt):
                 if action.host in self.new:
                     self.sent[action.host].append((self.now - BEGIN) / SECOND)
                 took = int(WORK_S * SECOND)
                 ended = api.AttemptEnded(
-                    action.request, 0, action.host, api.Status.OK, took, True, self.report(action.host)
+                    action.request, 0, action.host, api.AttemptStatus.OK, took, True, self.report(action.host)
                 )
                 self.push(self.now + took, number, ended)
             elif isinstance(action, api.SetTimer):
--- a/tests/test_crossings_upstream.py
+++ b/tests/test_crossings_upstream.py
@@ -179,7 +179,13 @@
         """The module's last moment for a repeat leaves time for two connects, and a claim takes one."""
         connect, window = 250_000_000, 2_000_000_000
         kind = api.RequestClass(
-            "k", 10**9, 10**10, 1.0, effect=api.Effect.KEYED, group=api.Group.ALL, window_ns=window
+            "k",
+            10**9,
+            10**10,
+            1.0,
+            effect=api.Idempotency.KEYED,
+            group=api.DeduplicationScope.ALL,
+            window_ns=window,
         )
         settings = api.Settings(
             zone="z", fleet_size=1, classes=(kind,), connect_timeout_ns=connect, max_attempts=3
@@ -189,11 +195,11 @@
         for passed in range(0, window + connect, 10_000_000):
             balancer = Balancer(settings, 1)
             balancer.start(0)
-            balancer.handle(api.HostList(api.ListKind.SAVED, entries), 0)
+            balancer.handle(api.HostListUpdated(api.ListKind.SAVED, entries), 0)
             (send,) = balancer.handle(api.RequestArrived("r", "k", None, 10**10), 0)
-            assert isinstance(send, api.Send)
-            ended = api.AttemptEnded("r", 0, send.host, api.Status.RESET, passed, False, None)
-            if any(isinstance(action, api.Send) for action in balancer.handle(ended, passed)):
+            assert isinstance(send, api.StartAttempt)
+            ended = api.AttemptEnded("r", 0, send.host, api.AttemptStatus.RESET, passed, False, None)
+            if any(isinstance(action, api.StartAttempt) for action in balancer.handle(ended, passed)):
                 last = passed
         assert last is not None
         self.assertLess(last + 2 * connect, window)
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -24,7 +24,7 @@
     balancer = Balancer(settings, 3)
     balancer.start(0)
     entries = [entry(name) for name in names]
-    balancer.handle(api.HostList(api.ListKind.SAVED, entries), 0)
+    balancer.handle(api.HostListUpdated(api.ListKind.SAVED, entries), 0)
     return balancer, entries
 
 
@@ -91,10 +91,16 @@
         now += 20 * MS
         actions = balancer.handle(api.RequestArrived(f"q{n}", "c", None, SECOND), now)
         for action in actions:
-            if isinstance(action, api.Send):
+            if isinstance(action, api.StartAttempt):
                 util, qps = reports.get(action.host, (None, None))
                 ended = api.AttemptEnded(
-                    action.request, 0, action.host, api.Status.OK, 10 * MS, True, api.LoadReport(util, qps)
+                    action.request,
+                    0,
+                    action.host,
+                    api.AttemptStatus.OK,
+                    10 * MS,
+                    True,
+                    api.LoadReport(util, qps),
                 )
                 balancer.handle(ended, now)
         if n % 4 == 3:
@@ -126,8 +132,10 @@
         now += 40 * MS
         actions = balancer.handle(api.RequestArrived(f"q{n}", "c", None, 2 * SECOND), now)
         for action in actions:
-            if isinstance(action, api.Send) and action.host == "h2":
-                balancer.handle(api.AttemptEnded(action.request, 0, "h2", api.Status.OK, 10 * MS, True), now)
+            if isinstance(action, api.StartAttempt) and action.host == "h2":
+                balancer.handle(
+                    api.AttemptEnded(action.request, 0, "h2", api.AttemptStatus.OK, 10 * MS, True), now
+                )
     balancer.handle(api.TimerFired(0), now + 450 * MS)
     weights = {host.name: host.weight for host in balancer._hosts.values()}
     assert weights["h1"] < 1 and weights["h2"] > 63
@@ -136,7 +144,7 @@
 def test_a_draining_host_loses_its_tokens_at_once() -> None:
     balancer, entries = build(["h1", "h2"])
     drained = api.HostEntry("h1", "a", "k", 0, api.HostState.DRAINING)
-    balancer.handle(api.HostList(api.ListKind.DELTA, [drained]), 1)
+    balancer.handle(api.HostListUpdated(api.ListKind.DELTA, [drained]), 1)
     host = balancer._hosts[entries[0].host]
     assert (host.tokens, host.weight) == (0, 0.0)
 
@@ -158,29 +166,31 @@
     code = text.split("```python\n", 1)[1].split("```", 1)[0]
     scope: dict[str, object] = {}
     exec(code, scope)
-    assert isinstance(scope["send"], api.Send)
+    assert isinstance(scope["send"], api.StartAttempt)
 
 
 def test_a_host_that_takes_no_connection_is_let_be() -> None:
     """Guards against hosts that are down: they fail fast, hold little, and so look free."""
     balancer, _ = build(["h1", "h2"])
     balancer.handle(api.RequestArrived("q0", "c", None, 2 * SECOND), 1)
-    first = next(a for a in balancer._out if isinstance(a, api.Send)).host
-    refused = api.AttemptEnded("q0", 0, first, api.Status.CONNECT_FAILED, 250 * MS, False)
-    (retry,) = [a for a in balancer.handle(refused, 250 * MS) if isinstance(a, api.Send)]
+    first = next(a for a in balancer._out if isinstance(a, api.StartAttempt)).host
+    refused = api.AttemptEnded("q0", 0, first, api.AttemptStatus.CONNECT_FAILED, 250 * MS, False)
+    (retry,) = [a for a in balancer.handle(refused, 250 * MS) if isinstance(a, api.StartAttempt)]
     assert retry.host != first
     for n in range(1, 7):
         arrived = api.RequestArrived(f"q{n}", "c", None, 2 * SECOND)
-        assert [a.host for a in balancer.handle(arrived, 260 * MS) if isinstance(a, api.Send)] == [retry.host]
+        assert [a.host for a in balancer.handle(arrived, 260 * MS) if isinstance(a, api.StartAttempt)] == [
+            retry.host
+        ]
 
 
 def test_full_answers_leave_the_health_alone() -> None:
     """Guards against one full host's turns filling the next."""
     balancer, _ = build(["h1", "h2"])
     host = balancer._hosts["h1"]
-    balancer._learn(host, 0, api.Status.FULL, 0, 1)
+    balancer._learn(host, 0, api.AttemptStatus.OVERLOADED, 0, 1)
     assert host.health == 1.0
-    balancer._learn(host, 0, api.Status.ERROR, 0, 1)
+    balancer._learn(host, 0, api.AttemptStatus.ERROR, 0, 1)
     assert host.health < 1.0
 
 
@@ -200,19 +210,19 @@
     high = api.RequestClass("high", 500 * MS, 2 * SECOND, 10.0)
     balancer = Balancer(api.Settings(zone="a", classes=(low, high), fleet_size=1, worth_by_work=True), 3)
     balancer.start(0)
-    balancer.handle(api.HostList(api.ListKind.SAVED, [entry("h1"), entry("h2")]), 0)
+    balancer.handle(api.HostListUpdated(api.ListKind.SAVED, [entry("h1"), entry("h2")]), 0)
     now, kept = 0, {"low": 0, "high": 0}
     for n in range(400):
         now += 10 * MS
         name = "low" if n % 2 else "high"
         for action in balancer.handle(api.RequestArrived(f"q{n}", name, None, 2 * SECOND), now):
-            if isinstance(action, api.Send) and n >= 200:
+            if isinstance(action, api.StartAttempt) and n >= 200:
                 kept[name] += 1
         if n % 5 == 0 and balancer._requests:
             oldest = next(iter(balancer._requests.values()))
             host, sent, _ = oldest.attempts[0]
             ended = api.AttemptEnded(
-                oldest.id, 0, host.name, api.Status.OK, now - sent, True, api.LoadReport(1.0, 10.0)
+                oldest.id, 0, host.name, api.AttemptStatus.OK, now - sent, True, api.LoadReport(1.0, 10.0)
             )
             balancer.handle(ended, now)
         if n % 6 == 0:
@@ -225,7 +235,7 @@
     """Guards against paying to exchange work between zones that are as busy as each other."""
     settings = api.Settings(zone="a", classes=(CLS,), fleet_size=1, cross_zone_price=0.2)
     balancer = Balancer(settings, 3)
-    balancer.handle(api.HostList(api.ListKind.SAVED, [entry("h1"), entry("h2", "b")]), 0)
+    balancer.handle(api.HostListUpdated(api.ListKind.SAVED, [entry("h1"), entry("h2", "b")]), 0)
     here, there = balancer._hosts["h1"], balancer._hosts["h2"]
     remote = {}
     for label, util, away in (("idle", 0.3, 0.3), ("busy", 0.95, 0.3), ("both", 0.95, 1.0)):
@@ -247,15 +257,21 @@
     balancer = Balancer(settings, 3)
     balancer.start(SECOND)
     fresh = [entry("h1", started_ns=SECOND), entry("h2", started_ns=SECOND)]
-    balancer.handle(api.HostList(api.ListKind.SAVED, fresh), SECOND)
+    balancer.handle(api.HostListUpdated(api.ListKind.SAVED, fresh), SECOND)
     now, sent = SECOND, 0
     for n in range(100):
         now += 40 * MS
         for action in balancer.handle(api.RequestArrived(f"q{n}", "c", None, SECOND), now):
-            if isinstance(action, api.Send):
+            if isinstance(action, api.StartAttempt):
                 sent += 1
                 ended = api.AttemptEnded(
-                    action.request, 0, action.host, api.Status.OK, 10 * MS, True, api.LoadReport(0.5, 10.0)
+                    action.request,
+                    0,
+                    action.host,
+                    api.AttemptStatus.OK,
+                    10 * MS,
+                    True,
+                    api.LoadReport(0.5, 10.0),
                 )
                 balancer.handle(ended, now)
         balancer.handle(api.TimerFired(0), now)
@@ -281,8 +297,8 @@
 def used_once(seed_gap: int) -> tuple[Balancer, str, int]:
     balancer, _ = build(["h1"], conn_idle_ns=60 * SECOND)
     (sent,) = balancer.handle(api.RequestArrived("a", "c", None, 2 * SECOND), MS)
-    assert isinstance(sent, api.Send)
-    balancer.handle(api.AttemptEnded("a", 0, "h1", api.Status.OK, 9 * MS, True), 10 * MS)
+    assert isinstance(sent, api.StartAttempt)
+    balancer.handle(api.AttemptEnded("a", 0, "h1", api.AttemptStatus.OK, 9 * MS, True), 10 * MS)
     return balancer, "h1", 10 * MS + seed_gap
 
 
@@ -290,20 +306,20 @@
     """Guards against connections dropped unseen while idle; the host is not to blame."""
     balancer, host, now = used_once(SECOND)
     balancer.handle(api.RequestArrived("b", "c", None, 2 * SECOND), now)
-    balancer.handle(api.AttemptEnded("b", 0, host, api.Status.RESET, MS, False), now + MS)
+    balancer.handle(api.AttemptEnded("b", 0, host, api.AttemptStatus.RESET, MS, False), now + MS)
     assert balancer._hosts[host].health == 1.0
     (sent,) = balancer.handle(api.RequestArrived("c", "c", None, 2 * SECOND), now + 2 * MS)
-    assert isinstance(sent, api.Send)
-    balancer.handle(api.AttemptEnded("c", 0, host, api.Status.OK, MS, True), now + 3 * MS)
+    assert isinstance(sent, api.StartAttempt)
+    balancer.handle(api.AttemptEnded("c", 0, host, api.AttemptStatus.OK, MS, True), now + 3 * MS)
     later = balancer.handle(api.RequestArrived("d", "c", None, 2 * SECOND), now + 3 * MS + 900 * MS)
-    assert [type(action) for action in later] == [api.LetGo, api.Send]
+    assert [type(action) for action in later] == [api.CloseIdleConnections, api.StartAttempt]
 
 
 @pytest.mark.parametrize(("kept_ms", "trusted"), [(1200, True), (800, False)])
 def test_a_reset_costs_no_trust_where_longer_idle_ones_were_kept(kept_ms: int, trusted: bool) -> None:
     """Guards against resets by chance: most requests of thin traffic would open a connection anew."""
     balancer, host, now = used_once(kept_ms * MS)
-    for name, status in (("b", api.Status.OK), ("c", api.Status.RESET)):
+    for name, status in (("b", api.AttemptStatus.OK), ("c", api.AttemptStatus.RESET)):
         balancer.handle(api.RequestArrived(name, "c", None, 2 * SECOND), now)
         balancer.handle(api.AttemptEnded(name, 0, host, status, MS, False), now + MS)
         now += SECOND
@@ -315,16 +331,18 @@
     """Guards against impatient clients and busy hosts: closing for them costs a handshake a request."""
     balancer, host, now = used_once(SECOND)
     balancer.handle(api.RequestArrived("b", "c", None, 100 * MS), now)
-    balancer.handle(api.AttemptEnded("b", 0, host, api.Status.TIMEOUT, 100 * MS, False), now + 100 * MS)
+    balancer.handle(
+        api.AttemptEnded("b", 0, host, api.AttemptStatus.TIMEOUT, 100 * MS, False), now + 100 * MS
+    )
     assert balancer._trust.trust_ns == 60 * SECOND
 
 
 def test_an_early_leaver_is_no_failure_of_the_host() -> None:
     balancer, _ = build(["h1", "h2"])
     host = balancer._hosts["h1"]
-    balancer._learn(host, 0, api.Status.TIMEOUT, 100 * MS, 1)
+    balancer._learn(host, 0, api.AttemptStatus.TIMEOUT, 100 * MS, 1)
     assert host.health == 1.0
-    balancer._learn(host, 0, api.Status.TIMEOUT, 500 * MS, 1)
+    balancer._learn(host, 0, api.AttemptStatus.TIMEOUT, 500 * MS, 1)
     assert host.health < 1.0
 
 
@@ -333,7 +351,7 @@
     balancer, _ = build(["h1"])
     for n, report in enumerate((api.LoadReport(0.2, 10.0), None)):
         balancer.handle(api.RequestArrived(f"q{n}", "c", None, 2 * SECOND), n * SECOND)
-        ended = api.AttemptEnded(f"q{n}", 0, "h1", api.Status.OK, 9 * MS, True, report)
+        ended = api.AttemptEnded(f"q{n}", 0, "h1", api.AttemptStatus.OK, 9 * MS, True, report)
         balancer.handle(ended, n * SECOND + 9 * MS)
         assert balancer._hosts["h1"].util == (0.2 if report else 0.75)
 
@@ -342,12 +360,12 @@
     """Guards against hosts that take few connections: each try elsewhere costs one of few attempts."""
     balancer, _ = build([f"h{n}" for n in range(4)])
     (sent,) = balancer.handle(api.RequestArrived("a", "c", None, 2 * SECOND), MS)
-    assert isinstance(sent, api.Send)
-    balancer.handle(api.AttemptEnded("a", 0, sent.host, api.Status.OK, 9 * MS, True), 10 * MS)
+    assert isinstance(sent, api.StartAttempt)
+    balancer.handle(api.AttemptEnded("a", 0, sent.host, api.AttemptStatus.OK, 9 * MS, True), 10 * MS)
     balancer._unlinked = 2.0
     for n in range(6):
         (again,) = balancer.handle(api.RequestArrived(f"b{n}", "c", None, 2 * SECOND), 20 * MS)
-        assert isinstance(again, api.Send) and again.host == sent.host
+        assert isinstance(again, api.StartAttempt) and again.host == sent.host
 
 
 def test_a_small_proxy_refuses_the_part_that_has_no_place() -> None:
@@ -378,25 +396,27 @@
         balancer.handle(api.TimerFired(0), n * SECOND // 2)
     for n in range(30):
         (action,) = balancer.handle(api.RequestArrived(f"q{n}", "c", None, 2 * SECOND), 4 * SECOND)
-        assert isinstance(action, api.Send)
+        assert isinstance(action, api.StartAttempt)
 
 
 class GivingUp(unittest.TestCase):
     def test_one_that_reached_no_host_is_given_up_before_half_of_its_time(self) -> None:
         """Guards against clients kept waiting for hosts that take no connection."""
         for status, at_ms, expected in (
-            (api.Status.CONNECT_FAILED, 50, api.Send),
-            (api.Status.CONNECT_FAILED, 170, api.Refuse),
-            (api.Status.FULL, 170, api.Send),  # it was written whole
-            (api.Status.CONNECT_FAILED, 300, api.Send),  # too late to be given up early
+            (api.AttemptStatus.CONNECT_FAILED, 50, api.StartAttempt),
+            (api.AttemptStatus.CONNECT_FAILED, 170, api.RejectRequest),
+            (api.AttemptStatus.OVERLOADED, 170, api.StartAttempt),  # it was written whole
+            (api.AttemptStatus.CONNECT_FAILED, 300, api.StartAttempt),  # too late to be given up early
         ):
             with self.subTest(status=status, at_ms=at_ms):
                 balancer, _ = build(["h1", "h2"])
                 actions = balancer.handle(api.RequestArrived("q", "c", None, 400 * MS), 0)
-                (first,) = [action for action in actions if isinstance(action, api.Send)]
+                (first,) = [action for action in actions if isinstance(action, api.StartAttempt)]
                 ended = api.AttemptEnded("q", 0, first.host, status, at_ms * MS, False)
                 actions = balancer.handle(ended, at_ms * MS)
-                self.assertEqual([type(a) for a in actions if not isinstance(a, api.LetGo)], [expected])
+                self.assertEqual(
+                    [type(a) for a in actions if not isinstance(a, api.CloseIdleConnections)], [expected]
+                )
 
 
 class Admission(unittest.TestCase):
@@ -434,5 +454,5 @@
                 balancer, _ = build(["h1", "h2"])
                 balancer._silent, balancer._late = silent, late
                 actions = balancer.handle(api.RequestArrived("q", "c", None, 2 * SECOND), 0)
-                (sent,) = [action for action in actions if isinstance(action, api.Send)]
+                (sent,) = [action for action in actions if isinstance(action, api.StartAttempt)]
                 self.assertEqual(sent.timeout_ns, expected)
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from brambleusher.loadbalancing.api import LoadReport, Status
+from brambleusher.loadbalancing.api import AttemptStatus, LoadReport
 from brambleusher.net.http import (
     MAX_BODY,
     MAX_HEAD,
@@ -121,14 +121,14 @@
 
     def test_what_an_answer_proves(self) -> None:
         for status, headers, expected in (
-            ("200", {}, Status.OK),
-            ("500", {}, Status.ERROR),
-            ("503", {}, Status.ERROR),
-            ("503", {"not-started": "0"}, Status.ERROR),
-            ("500", {"not-started": "1"}, Status.ERROR),
-            ("503", {"not-started": "1"}, Status.FULL),
-            ("504", {"not-started": "1"}, Status.FULL),
-            ("204", {}, Status.ERROR),
+            ("200", {}, AttemptStatus.OK),
+            ("500", {}, AttemptStatus.ERROR),
+            ("503", {}, AttemptStatus.ERROR),
+            ("503", {"not-started": "0"}, AttemptStatus.ERROR),
+            ("500", {"not-started": "1"}, AttemptStatus.ERROR),
+            ("503", {"not-started": "1"}, AttemptStatus.OVERLOADED),
+            ("504", {"not-started": "1"}, AttemptStatus.OVERLOADED),
+            ("204", {}, AttemptStatus.ERROR),
         ):
             self.assertEqual(status_of(Message((status, ""), 1, headers)), expected, (status, headers))
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -11,7 +11,7 @@
 from tests.test_design import entry
 
 SAFE = api.RequestClass("safe", 500 * MS, 2 * SECOND, 1.0)
-ONCE = api.RequestClass("once", 500 * MS, 2 * SECOND, 1.0, effect=api.Effect.UNSAFE)
+ONCE = api.RequestClass("once", 500 * MS, 2 * SECOND, 1.0, effect=api.Idempotency.UNSAFE)
 
 
 def build(hosts: int = 3, **changes: object) -> Balancer:
@@ -21,7 +21,7 @@
     )  # fmt: skip
     balancer = Balancer(settings, 3)
     balancer.start(0)
-    balancer.handle(api.HostList(api.ListKind.SAVED, [entry(f"h{n}") for n in range(hosts)]), 0)
+    balancer.handle(api.HostListUpdated(api.ListKind.SAVED, [entry(f"h{n}") for n in range(hosts)]), 0)
     return balancer
 
 
@@ -39,12 +39,12 @@
         self._take(self.balancer.handle(api.RequestArrived(name, cls, None, 2 * SECOND), self.now))
         self.now += 20 * MS
         if answered and name in self.sent:
-            self.end(name, 0, api.Status.OK)
+            self.end(name, 0, api.AttemptStatus.OK)
         return name
 
-    def end(self, name: str, attempt: int, status: api.Status, util: float = 0.2) -> list[api.Action]:
+    def end(self, name: str, attempt: int, status: api.AttemptStatus, util: float = 0.2) -> list[api.Action]:
         host, report = self.sent[name][attempt], api.LoadReport(util, 50.0)
-        event = api.AttemptEnded(name, attempt, host, status, 20 * MS, status is api.Status.OK, report)
+        event = api.AttemptEnded(name, attempt, host, status, 20 * MS, status is api.AttemptStatus.OK, report)
         return self._take(self.balancer.handle(event, self.now))
 
     def tick(self) -> list[api.Action]:
@@ -53,7 +53,7 @@
     def _take(self, actions: list[api.Action]) -> list[api.Action]:
         self.actions += actions
         for action in actions:
-            if isinstance(action, api.Send):
+            if isinstance(action, api.StartAttempt):
                 self.sent.setdefault(action.request, []).append(action.host)
         return list(actions)
 
@@ -67,7 +67,7 @@
             for _ in range(count):
                 names = [drive.ask(answered=False) for _ in range(8)]
                 for each in names:
-                    drive.end(each, 0, api.Status.OK, util)
+                    drive.end(each, 0, api.AttemptStatus.OK, util)
                 drive.tick()
 
         rounds(2)
@@ -82,17 +82,17 @@
         first, second = drive.sent[name]
         self.assertNotEqual(first, second)
         self.assertEqual(drive.balancer._open, 1)  # the copy
-        actions = drive.end(name, 1, api.Status.OK)
-        self.assertIn(api.Cancel(name, 0), actions)  # what is out for it is called off
-        drive.end(name, 0, api.Status.CANCELLED)
+        actions = drive.end(name, 1, api.AttemptStatus.OK)
+        self.assertIn(api.CancelAttempt(name, 0), actions)  # what is out for it is called off
+        drive.end(name, 0, api.AttemptStatus.CANCELLED)
         self.assertEqual((drive.balancer._open, drive.balancer._requests), (0, {}))
 
     def test_one_that_must_not_run_twice_is_not_copied_and_holds_no_place(self) -> None:
         drive, name = self.silent("once")
         self.assertEqual(len(drive.sent[name]), 1)
         self.assertEqual(drive.balancer._open, 0)
-        late = drive.end(name, 0, api.Status.OK)  # it was answered after all
-        self.assertEqual([action for action in late if isinstance(action, api.Cancel)], [])
+        late = drive.end(name, 0, api.AttemptStatus.OK)  # it was answered after all
+        self.assertEqual([action for action in late if isinstance(action, api.CancelAttempt)], [])
         self.assertEqual((drive.balancer._open, drive.balancer._requests), (0, {}))
 
     def test_where_hosts_are_busy_nothing_is_written_off(self) -> None:
@@ -105,9 +105,9 @@
         """Guards against a client kept waiting for a silent connection after its copy has failed."""
         drive, name = self.silent("safe")
         drive.balancer._retries.spare = 0.0
-        actions = drive.end(name, 1, api.Status.ERROR)
-        self.assertIn(api.Refuse, [type(action) for action in actions])
-        self.assertIn(api.Cancel(name, 0), actions)
+        actions = drive.end(name, 1, api.AttemptStatus.ERROR)
+        self.assertIn(api.RejectRequest, [type(action) for action in actions])
+        self.assertIn(api.CancelAttempt(name, 0), actions)
 
     def test_in_a_queue_nothing_is_overtaken(self) -> None:
         """Guards against a crowd taken for silence: answers in the order of the sends, late as they are."""
@@ -116,7 +116,7 @@
         for name in names:
             drive.now += 30 * MS
             if name in drive.sent:
-                drive.end(name, 0, api.Status.OK)
+                drive.end(name, 0, api.AttemptStatus.OK)
             drive.tick()
         self.assertTrue(all(len(sent) == 1 for sent in drive.sent.values()))
 
@@ -132,7 +132,12 @@
                     for attempt in range(4):
                         if len(drive.sent[name]) > attempt:
                             bad = drive.sent[name][attempt] == "h0"
-                            drive.end(name, attempt, api.Status.FULL if bad else api.Status.OK, util)
+                            drive.end(
+                                name,
+                                attempt,
+                                api.AttemptStatus.OVERLOADED if bad else api.AttemptStatus.OK,
+                                util,
+                            )
                     drive.tick()
                 weights = {host.name: host.weight for host in drive.balancer._hosts.values()}
                 asked = sum(sent.count("h0") for sent in drive.sent.values())
@@ -173,5 +178,5 @@
             for n in range(3)
         ]
         self.assertEqual(
-            [type(actions[0]) for actions in asked], [api.Send, api.Refuse, api.Send]
+            [type(actions[0]) for actions in asked], [api.StartAttempt, api.RejectRequest, api.StartAttempt]
         )  # the third is the repeat of the second, which nobody worked on
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -26,7 +26,7 @@
 from tests.rig import Discovery, Node, Rig
 from tests.test_figures import until
 
-READY, DRAINING, GONE = api.HostState.READY, api.HostState.DRAINING, api.HostState.GONE
+READY, DRAINING, GONE = api.HostState.READY, api.HostState.DRAINING, api.HostState.REMOVED
 MS = 1_000_000
 
 
@@ -94,23 +94,25 @@
     def entry(at: int, state: api.HostState = READY) -> api.HostEntry:
         return api.HostEntry(f"h{at}", f"z{at % 3}", "k", at % 5, state, 1.0, 0)
 
-    first.handle(api.HostList(api.ListKind.FULL, [entry(at) for at in range(300)]), 1)
+    first.handle(api.HostListUpdated(api.ListKind.FULL, [entry(at) for at in range(300)]), 1)
     second: Balancer | None = None
-    out: list[api.Send] = []
+    out: list[api.StartAttempt] = []
     for step in range(400):
         now = step * 5 * MS
         events: list[api.Event] = [api.RequestArrived(f"r{step}", "a", None, 1000 * MS), api.TimerFired(0)]
         state = rng.choice((READY, DRAINING, GONE))
-        events.append(api.HostList(api.ListKind.DELTA, [entry(rng.randrange(300), state)]))
+        events.append(api.HostListUpdated(api.ListKind.DELTA, [entry(rng.randrange(300), state)]))
         if len(out) > 5:
             sent = out.pop(0)
-            events.append(api.AttemptEnded(sent.request, 0, sent.host, api.Status.OK, 20 * MS, True, None))
+            events.append(
+                api.AttemptEnded(sent.request, 0, sent.host, api.AttemptStatus.OK, 20 * MS, True, None)
+            )
         if step == 200:
             second = restore(settings(), 9, orjson.loads(orjson.dumps(save(first))))
         for event in events:
             actions = first.handle(event, now)
             assert second is None or second.handle(event, now) == actions
-            out += [action for action in actions if isinstance(action, api.Send)]
+            out += [action for action in actions if isinstance(action, api.StartAttempt)]
     assert second is not None and len(out) > 3
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -12,8 +12,8 @@
 
 CLASSES = tuple(
     api.RequestClass(f"{effect.value}-{group.value}", 400 * MS, 2 * SECOND, 1.0, 0.0, effect, group, SECOND)
-    for effect in api.Effect
-    for group in api.Group
+    for effect in api.Idempotency
+    for group in api.DeduplicationScope
 )
 BASE = api.Settings(
     zone="z0",
@@ -63,40 +63,42 @@
 
 
 SAFE = CLASSES[0]
-KEYED_CELL = next(c for c in CLASSES if c.effect is api.Effect.KEYED and c.group is api.Group.CELL)
-UNSAFE = next(c for c in CLASSES if c.effect is api.Effect.UNSAFE)
+KEYED_CELL = next(
+    c for c in CLASSES if c.effect is api.Idempotency.KEYED and c.group is api.DeduplicationScope.CELL
+)
+UNSAFE = next(c for c in CLASSES if c.effect is api.Idempotency.UNSAFE)
 
 
 def test_checker_sees_two_answers_late_answers_and_none() -> None:
     judge = checker(SAFE)
     with pytest.raises(Breach, match="never answered"):
         judge.close()
-    judge.action(api.Fail("r"), 0)
+    judge.action(api.FailRequest("r"), 0)
     with pytest.raises(Breach, match="two answers"):
-        judge.action(api.Refuse("r"), 0)
+        judge.action(api.RejectRequest("r"), 0)
     with pytest.raises(Breach, match="after the end"):
-        judge.action(api.Send("r", "h0"), 0)
+        judge.action(api.StartAttempt("r", "h0"), 0)
     with pytest.raises(Breach, match="late"):
-        checker(SAFE).action(api.Fail("r"), 2 * SECOND)
+        checker(SAFE).action(api.FailRequest("r"), 2 * SECOND)
 
 
 def test_checker_sees_double_effects() -> None:
     judge = checker(UNSAFE, second_copies=True)
-    judge.action(api.Send("r", "h0"), 0)
+    judge.action(api.StartAttempt("r", "h0"), 0)
     with pytest.raises(Breach, match="unsafe"):
-        judge.action(api.Send("r", "h1"), 1)
+        judge.action(api.StartAttempt("r", "h1"), 1)
     with pytest.raises(Breach, match="refused"):
-        judge.action(api.Refuse("r"), 1)
+        judge.action(api.RejectRequest("r"), 1)
     judge = checker(KEYED_CELL, second_copies=True)
-    judge.action(api.Send("r", "h0"), 0)
+    judge.action(api.StartAttempt("r", "h0"), 0)
     with pytest.raises(Breach, match="group"):
-        judge.action(api.Send("r", "h1"), 1)
+        judge.action(api.StartAttempt("r", "h1"), 1)
     with pytest.raises(Breach, match="window"):
-        judge.action(api.Send("r", "h0"), SECOND)
+        judge.action(api.StartAttempt("r", "h0"), SECOND)
     judge = checker(SAFE)
-    judge.action(api.Send("r", "h0"), 0)
+    judge.action(api.StartAttempt("r", "h0"), 0)
     with pytest.raises(Breach, match="two attempts"):
-        judge.action(api.Send("r", "h1"), 1)
+        judge.action(api.StartAttempt("r", "h1"), 1)
 
 
 def test_checker_sees_sends_to_a_host_that_left() -> None:
@@ -107,7 +109,7 @@
         judge = checker(SAFE)
         judge.listed(kind, entries, 0)
         with pytest.raises(Breach, match="left"):
-            judge.action(api.Send("r", "h0"), 1)
+            judge.action(api.StartAttempt("r", "h0"), 1)
 
 
 def test_checker_sees_a_flooded_cold_host() -> None:
@@ -117,7 +119,7 @@
     with pytest.raises(Breach, match="flooded"):
         for n in range(20):
             judge.requests[f"q{n}"] = Owed(SAFE, SECOND)
-            judge.action(api.Send(f"q{n}", "h0"), 2)
+            judge.action(api.StartAttempt(f"q{n}", "h0"), 2)
 
 
 def test_cold_host_gets_no_more_than_its_slice() -> None:
@@ -129,8 +131,8 @@
         name = world.request(SAFE, SECOND)
         world.pass_time(20 * MS)
         if (name, 0) in world.out:
-            world.end(name, 0, api.Status.OK, api.LoadReport(0.5, 10.0))
-    gone = [replace(entry, state=api.HostState.GONE) for entry in world.entries.values()]
+            world.end(name, 0, api.AttemptStatus.OK, api.LoadReport(0.5, 10.0))
+    gone = [replace(entry, state=api.HostState.REMOVED) for entry in world.entries.values()]
     cold = api.HostEntry("new", "z0", "k0", 0, api.HostState.READY, 1.0, world.now)
     world.list_hosts(api.ListKind.DELTA, [*gone, cold])
     before = world.sends
@@ -167,14 +169,14 @@
 def test_checker_sees_connections_kept_to_a_draining_host() -> None:
     never, late, after = checker(SAFE), checker(SAFE), checker(SAFE)
     for judge in (never, late, after):
-        judge.action(api.Send("r", "h0"), 0)
+        judge.action(api.StartAttempt("r", "h0"), 0)
         drain(judge, 10 * MS)
     never.closes(310 * MS)
     with pytest.raises(Breach, match="rule 5"):
         never.closes(311 * MS)
     with pytest.raises(Breach, match="rule 5"):
         late.closes(400 * MS)
-    after.action(api.LetGo("h0"), 10 * MS)
+    after.action(api.CloseIdleConnections("h0"), 10 * MS)
     after.closes(500 * MS)
     after.used["h0"] = 600 * MS  # an outcome after the close opens it again
     with pytest.raises(Breach, match="rule 5"):
@@ -193,15 +195,15 @@
         world.list_hosts(api.ListKind.DELTA, [drained])
         world.pass_time(SECOND)
         world.actions.clear()
-        world.end(name, 0, api.Status.OK)
-        closed = [action for _, action in world.actions if isinstance(action, api.LetGo)]
+        world.end(name, 0, api.AttemptStatus.OK)
+        closed = [action for _, action in world.actions if isinstance(action, api.CloseIdleConnections)]
         assert bool(closed) is bool(release)
         world.finish()
         back = replace(old, started_ns=world.now)
         world.list_hosts(api.ListKind.DELTA, [back])
         world.actions.clear()
         world.pass_time(SECOND)
-        assert not [action for _, action in world.actions if isinstance(action, api.LetGo)]
+        assert not [action for _, action in world.actions if isinstance(action, api.CloseIdleConnections)]
 
 
 def test_hundreds_of_proxies_together_spare_a_cold_host() -> None:
@@ -225,17 +227,20 @@
     for seed in range(count):
         balancer = Balancer(chosen, seed)
         balancer.start(0)
-        balancer.handle(api.HostList(api.ListKind.SAVED, warm), 0)
+        balancer.handle(api.HostListUpdated(api.ListKind.SAVED, warm), 0)
         for n in range(160):
             now = seed * MS + n * 125 * MS
             if n == 80:
-                balancer.handle(api.HostList(api.ListKind.DELTA, [fresh]), 10 * SECOND + seed)
+                balancer.handle(api.HostListUpdated(api.ListKind.DELTA, [fresh]), 10 * SECOND + seed)
             for action in balancer.handle(api.RequestArrived(f"q{n}", SAFE.name, None, SECOND), now):
-                if isinstance(action, api.Send):
+                if isinstance(action, api.StartAttempt):
                     sends += [now] * (action.host == "new")
                     report = api.LoadReport(0.5, full_rate / 2)
                     balancer.handle(
-                        api.AttemptEnded(f"q{n}", 0, action.host, api.Status.OK, 50 * MS, True, report), now
+                        api.AttemptEnded(
+                            f"q{n}", 0, action.host, api.AttemptStatus.OK, 50 * MS, True, report
+                        ),
+                        now,
                     )
             balancer.handle(api.TimerFired(0), now)
     assert sends  # it is let in at all
@@ -255,7 +260,7 @@
         name = world.request(SAFE, SECOND)
         world.pass_time(50 * MS)
         if (name, 0) in world.out:
-            world.end(name, 0, api.Status.OK, api.LoadReport(0.5, 10.0))
+            world.end(name, 0, api.AttemptStatus.OK, api.LoadReport(0.5, 10.0))
     assert all(host.weight >= 0 for host in world.balancer._turn.ring)
     assert any(host.name == "new" for host in world.balancer._turn.ring)
     world.finish()
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -35,19 +35,19 @@
         self.balancer.start(self.now)
         ready = api.HostState.READY
         self.act(
-            api.HostList(
+            api.HostListUpdated(
                 api.ListKind.SAVED, [api.HostEntry(h, "a", "k", 0, ready, s) for h, s in nominal.items()]
             )
         )
 
     def act(self, event: api.Event) -> None:
         for action in self.balancer.handle(event, self.now):
-            if isinstance(action, api.Send):
+            if isinstance(action, api.StartAttempt):
                 self.out.append((self.now + ANSWER_NS, action.request, action.host))
                 self.sent[action.host] += 1
             elif isinstance(action, api.SetTimer):
                 self.tick = action.at_ns
-            self.refused += isinstance(action, api.Refuse)
+            self.refused += isinstance(action, api.RejectRequest)
 
     def run(self, asked_a_second: float, seconds: int) -> None:
         rng = random.Random(3)
@@ -56,7 +56,7 @@
             while self.out and self.out[0][0] <= self.now:
                 _, request, host = self.out.popleft()
                 report = api.LoadReport(self.use[host], None)
-                self.act(api.AttemptEnded(request, 0, host, api.Status.OK, ANSWER_NS, True, report))
+                self.act(api.AttemptEnded(request, 0, host, api.AttemptStatus.OK, ANSWER_NS, True, report))
             if self.now >= self.tick:
                 self.act(api.TimerFired(0))
             if rng.random() < asked_a_second * STEP / SECOND:
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -128,13 +128,13 @@
         balancer = Balancer(settings, 7)
         balancer.start(0)
         nodes = [api.HostEntry(f"h{n}", "z", "k", 0, api.HostState.READY) for n in range(3)]
-        balancer.handle(api.HostList(api.ListKind.SAVED, nodes), 0)
+        balancer.handle(api.HostListUpdated(api.ListKind.SAVED, nodes), 0)
         for n in range(30):
             (send,) = balancer.handle(api.RequestArrived(f"r{n}", "look", None, 2 * 10**9), n)
-            assert isinstance(send, api.Send)
+            assert isinstance(send, api.StartAttempt)
             if n < 20:
                 report = api.LoadReport(0.5, 100.0)
-                ended = api.AttemptEnded(f"r{n}", 0, send.host, api.Status.OK, 10**7, True, report)
+                ended = api.AttemptEnded(f"r{n}", 0, send.host, api.AttemptStatus.OK, 10**7, True, report)
                 balancer.handle(ended, n)
         left = json.loads(json.dumps(bequeath(balancer)))
         heir = inherit(settings, 8, left)
@@ -143,7 +143,9 @@
             self.assertEqual((heir._hosts[name].util, heir._hosts[name].served), (host.util, host.served))
             self.assertEqual(len(heir._hosts[name].out), 0)
         self.assertEqual((heir._open, heir._requests), (0, {}))
-        self.assertIsInstance(heir.handle(api.RequestArrived("r5", "look", None, 10**9), 101)[0], api.Send)
+        self.assertIsInstance(
+            heir.handle(api.RequestArrived("r5", "look", None, 10**9), 101)[0], api.StartAttempt
+        )
         for bad in (None, {}, {**left, "hosts": [[]]}, save(balancer)):
             with self.subTest(str(bad)[:40]), self.assertRaises(StateError):
                 inherit(settings, 8, bad)
@@ -157,16 +159,16 @@
             )  # fmt: skip
             balancer = Balancer(settings, 7)
             balancer.start(10**12)
-            balancer.handle(api.PartChanged(part), 10**12)
+            balancer.handle(api.ProcessShareChanged(part), 10**12)
             node = api.HostEntry("h", "z", "k", 0, api.HostState.READY, started_ns=10**12)
-            balancer.handle(api.HostList(api.ListKind.SAVED, [node]), 10**12)
+            balancer.handle(api.HostListUpdated(api.ListKind.SAVED, [node]), 10**12)
             count = 0
             for n in range(900):
                 now = 10**12 + n * 10**7
                 for action in balancer.handle(api.RequestArrived(f"r{n}", "look", None, 10**9), now):
-                    if isinstance(action, api.Send):
+                    if isinstance(action, api.StartAttempt):
                         count += 1
-                        ok = api.AttemptEnded(f"r{n}", 0, "h", api.Status.OK, 10**6, True, None)
+                        ok = api.AttemptEnded(f"r{n}", 0, "h", api.AttemptStatus.OK, 10**6, True, None)
                         balancer.handle(ok, now)
             return count
 
--- a/tests/test_thin_traffic.py
+++ b/tests/test_thin_traffic.py
@@ -27,20 +27,20 @@
         nonlocal tick
         actions = balancer.handle(event, now)
         for action in actions:
-            if isinstance(action, api.Send):
+            if isinstance(action, api.StartAttempt):
                 out.append((now + wait, action.request, action.host))
             elif isinstance(action, api.SetTimer):
                 tick = action.at_ns
-        return any(isinstance(action, api.Refuse) for action in actions)
+        return any(isinstance(action, api.RejectRequest) for action in actions)
 
     balancer.start(now)
     hosts = [api.HostEntry(f"h{number}", "a", "k", 0, api.HostState.READY) for number in range(HOSTS)]
-    act(api.HostList(api.ListKind.SAVED, hosts))
+    act(api.HostListUpdated(api.ListKind.SAVED, hosts))
     for step in range(seconds * SECOND // STEP):
         now += STEP
         while out and out[0][0] <= now:
             _, request, host = out.popleft()
-            act(api.AttemptEnded(request, 0, host, api.Status.OK, wait, True, report))
+            act(api.AttemptEnded(request, 0, host, api.AttemptStatus.OK, wait, True, report))
         if now >= tick:
             act(api.TimerFired(0))
         if rng.random() < asked_a_second * STEP / SECOND:
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -16,7 +16,7 @@
     Service,
 )
 
-READY, DRAINING, GONE = HostState.READY, HostState.DRAINING, HostState.GONE
+READY, DRAINING, GONE = HostState.READY, HostState.DRAINING, HostState.REMOVED
 
 
 def entry(host: str = "a", state: HostState = READY, started_ns: int = 0) -> HostEntry:
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -86,11 +86,14 @@
 
 
 def test_actions_become_lines() -> None:
-    assert format_action("1", api.Send("r", "h", 5)) == "relay\twho=1\top_id=r\thost=h\tgive_up_after_ns=5"
-    assert format_action("1", api.Refuse("r", 5)) == "not_now\twho=1\top_id=r\tstay_away_ns=5"
-    assert format_action("1", api.Fail("r")) == "give_up\twho=1\top_id=r"
-    assert format_action("1", api.Cancel("r", 2)) == "abort_attempt\twho=1\top_id=r\tcopy=2"
-    assert format_action("1", api.Probe("h")) == "health_check\twho=1\thost=h"
-    assert format_action("1", api.Subscribe()) == "observe\twho=1\ton=1"
-    assert format_action("1", api.Log("a b")) == "debug\twho=1\twords=a b"
+    assert (
+        format_action("1", api.StartAttempt("r", "h", 5))
+        == "relay\twho=1\top_id=r\thost=h\tgive_up_after_ns=5"
+    )
+    assert format_action("1", api.RejectRequest("r", 5)) == "not_now\twho=1\top_id=r\tstay_away_ns=5"
+    assert format_action("1", api.FailRequest("r")) == "give_up\twho=1\top_id=r"
+    assert format_action("1", api.CancelAttempt("r", 2)) == "abort_attempt\twho=1\top_id=r\tcopy=2"
+    assert format_action("1", api.CheckHealth("h")) == "health_check\twho=1\thost=h"
+    assert format_action("1", api.SubscribeToEndpoints()) == "observe\twho=1\ton=1"
+    assert format_action("1", api.WriteLog("a b")) == "debug\twho=1\twords=a b"
     assert format_action("1", api.SetTimer(3, 4)) == "wake_me\twho=1\ttime_ns=3\tkey_back=4"
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -23,7 +23,7 @@
 from brambleusher.lab.fleets.scenario import draw_scenario
 from brambleusher.lab.virtual.explore import OUTPUT_BYTES
 from brambleusher.loadbalancing import Balancer, api
-from brambleusher.loadbalancing.api import Status, ZoneRules
+from brambleusher.loadbalancing.api import AttemptStatus, ZoneRules
 from brambleusher.loadbalancing.json_values import StateError
 from brambleusher.loadbalancing.settings_codec import restore_settings, save_settings
 from brambleusher.loadbalancing.state_codec import restore, save
@@ -53,7 +53,9 @@
         self.dead: set[str] = set()
         self.trace: list[tuple[float, str]] = []
 
-    def end(self, host: str, status: Status = Status.OK, after: int = 60 * MS, cls: int = 0) -> None:
+    def end(
+        self, host: str, status: AttemptStatus = AttemptStatus.OK, after: int = 60 * MS, cls: int = 0
+    ) -> None:
         self.zones.ended(host[0], host, cls, status, self.now - after, after, self.now)
 
     def answers(self, *hosts: str) -> None:
@@ -63,7 +65,7 @@
         while (zone := self.zones.probe(self.now)) is not None:
             host = zone.ready[zone.probe_at % len(zone.ready)]
             self.zones.probed(zone, self.now)
-            self.end(host, Status.CONNECT_FAILED if host in self.dead else Status.OK)
+            self.end(host, AttemptStatus.CONNECT_FAILED if host in self.dead else AttemptStatus.OK)
 
     def tick(self, seconds: float = TICK / SECOND, dark: tuple[str, ...] = ()) -> None:
         """Time passes; all live hosts answer; `dark` ones have owed answers since the first of it."""
@@ -186,9 +188,9 @@
     seen = Seen()
     for _ in range(20):
         for host in seen.ready["b"]:
-            seen.end(host, Status.TIMEOUT, after=UNIT // 10)  # its client had no time
-            seen.end(host, Status.CANCELLED)
-            seen.end(host, Status.MOOT)
+            seen.end(host, AttemptStatus.TIMEOUT, after=UNIT // 10)  # its client had no time
+            seen.end(host, AttemptStatus.CANCELLED)
+            seen.end(host, AttemptStatus.NOT_STARTED)
     seen.dead.update(seen.ready["b"])
     seen.tick(1.0)
     assert seen.state("b") is State.HEALTHY
@@ -209,7 +211,7 @@
 def test_a_grey_zone_is_suspected_and_what_must_not_run_twice_goes_elsewhere() -> None:
     seen = Seen()
     for at in range(24):
-        seen.end(f"b{at % 4}", Status.RESET if at % 3 == 0 else Status.OK)
+        seen.end(f"b{at % 4}", AttemptStatus.RESET if at % 3 == 0 else AttemptStatus.OK)
     seen.tick()
     assert seen.state("b") is State.SUSPECT and "went wrong" in seen.zones.zones["b"].reason
     assert seen.zones.doubtful("b") and not seen.zones.doubtful("a") and not seen.zones.shut("b")
@@ -384,7 +386,7 @@
     assert all(seen.state(name) is State.LOST for name in lost)
     assert not seen.zones.panic and seen.zones.shut("b")  # the zone that is left has room
     for host in seen.ready["b"]:
-        seen.end(host, Status.CONNECT_FAILED)
+        seen.end(host, AttemptStatus.CONNECT_FAILED)
     seen.loads["a"].used = seen.loads["a"].capacity
     seen.tick()
     assert seen.zones.panic
@@ -452,21 +454,21 @@
 
 def test_a_change_of_rules_is_recorded_and_read_back() -> None:
     for rules in (None, replace(RULES, trust=("b",), neighbours=(("a", ((("b", 2.0),),)),))):
-        name, told = event_of(api.RulesChanged(rules))
+        name, told = event_of(api.ZoneRulesChanged(rules))
         record = json.loads(json.dumps({"ev": name, "in": told}))
-        assert event_from(record) == api.RulesChanged(rules)
+        assert event_from(record) == api.ZoneRulesChanged(rules)
 
 
 def test_rules_that_go_leave_a_plain_balancer() -> None:
     told = replace(BASE, cross_zone_price=0.1, zones=RULES)
     world = drive(balancer_for(told, 3), 3)
-    world.give(api.RulesChanged(None))
+    world.give(api.ZoneRulesChanged(None))
     balancer = world.balancer
     assert isinstance(balancer, ZonedBalancer)
     assert all(not balancer._zones.shut(name) for name in balancer._zones.zones)
     for _ in range(100):
         world.step()
-    world.give(api.RulesChanged(RULES))
+    world.give(api.ZoneRulesChanged(RULES))
     for _ in range(100):
         world.step()
     world.finish()
