--- a/brambleusher/admin/calls.py
+++ b/brambleusher/admin/calls.py
@@ -9,7 +9,7 @@
 from brambleusher.net.http import HttpError
 
 
-class Call(Enum):
+class AdminCall(Enum):
     """What can be asked for."""
 
     READY = "ready"
@@ -22,13 +22,13 @@
 
 ID = "ID"  # stands for the id of an endpoint
 # Method and path; what is done and what comes back is `server.AdminServer.answer`'s, call by call.
-TABLE: tuple[tuple[str, tuple[str, ...], Call], ...] = (
-    ("GET", ("control", "ready"), Call.READY),
-    ("GET", ("control", "counters"), Call.COUNTERS),
-    ("POST", ("control", "registry-nodes", ID, "offline"), Call.OFFLINE),
-    ("POST", ("control", "registry-nodes", ID, "online"), Call.ONLINE),
-    ("POST", ("control", "out-of-service"), Call.OUT_OF_SERVICE),
-    ("POST", ("control", "in-service"), Call.IN_SERVICE),
+TABLE: tuple[tuple[str, tuple[str, ...], AdminCall], ...] = (
+    ("GET", ("control", "ready"), AdminCall.READY),
+    ("GET", ("control", "counters"), AdminCall.COUNTERS),
+    ("POST", ("control", "registry-nodes", ID, "offline"), AdminCall.OFFLINE),
+    ("POST", ("control", "registry-nodes", ID, "online"), AdminCall.ONLINE),
+    ("POST", ("control", "out-of-service"), AdminCall.OUT_OF_SERVICE),
+    ("POST", ("control", "in-service"), AdminCall.IN_SERVICE),
 )
 
 _ESCAPE = re.compile(rb"%([0-9A-Fa-f]{2})")
@@ -36,10 +36,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class AdminRequest:
     """One call, and the node it is about where it is about one."""
 
-    call: Call
+    call: AdminCall
     node: str = ""
 
 
@@ -54,7 +54,7 @@
         raise HttpError(400, "the path is not UTF-8") from None
 
 
-def find(method: str, target: str) -> Asked:
+def find(method: str, target: str) -> AdminRequest:
     """The call that is meant; raises `HttpError`: 404 for a path of none, 405 for another method."""
     parts = target.partition("?")[0].removeprefix("/").split("/")
     allowed = []
@@ -63,7 +63,7 @@
             continue
         if wanted == method:
             node = decode(parts[path.index(ID)]) if ID in path else ""
-            return Asked(call, node)
+            return AdminRequest(call, node)
         allowed.append(wanted)
     if allowed:
         raise HttpError(405, f"this call is made with {allowed[0]}")
--- a/brambleusher/admin/server.py
+++ b/brambleusher/admin/server.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from brambleusher.admin.calls import Asked, Call, find
+from brambleusher.admin.calls import AdminCall, AdminRequest, find
 from brambleusher.net.http import HttpError, Message, MessageReader, write_response
-from brambleusher.runtime.scheduler import Scheduler, Task, Timeout
+from brambleusher.runtime.scheduler import Scheduler, Task, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
-from brambleusher.runtime.system import SHORT_OF_ROOM, Socket
+from brambleusher.runtime.system import RESOURCE_EXHAUSTION_ERRNOS, Socket
 
 log = logging.getLogger(__name__)
 
@@ -23,7 +23,7 @@
 NO_DESCRIPTOR_SECONDS = 0.05
 
 
-class Service(Protocol):
+class AdminService(Protocol):
     """What calls are about."""
 
     def is_serving(self) -> bool:
@@ -48,7 +48,7 @@
 class AdminServer:
     """Serves operators' calls."""
 
-    def __init__(self, scheduler: Scheduler, service: Service) -> None:
+    def __init__(self, scheduler: Scheduler, service: AdminService) -> None:
         self._scheduler, self._service = scheduler, service
         self._listener: Socket | None = None
         self._accepting: Task | None = None
@@ -79,7 +79,7 @@
                 self._scheduler.park(sock=listener)
                 continue
             except OSError as error:
-                if error.errno in SHORT_OF_ROOM:
+                if error.errno in RESOURCE_EXHAUSTION_ERRNOS:
                     log.warning("no descriptor for a call", extra={"fields": {"error": error.strerror}})
                     self._scheduler.sleep(NO_DESCRIPTOR_SECONDS)
                 continue
@@ -101,7 +101,7 @@
                 status, body = self.answer(self._read(stream))
             except HttpError as error:
                 status, body = error.status, f"{error}\n".encode()
-            except (OSError, Timeout):
+            except (OSError, TaskTimeoutError):
                 return
             except Exception:
                 # Guards against a call without an answer, by a fault of ours.
@@ -112,13 +112,13 @@
                 text = write_response(status, [("Content-Type", "text/plain")], body, False)
                 stream.send(text, self._scheduler.now() + WRITE_SECONDS)
                 stream.finish()
-            except (OSError, Timeout):
+            except (OSError, TaskTimeoutError):
                 return
         finally:
             self._callers.pop(stream, None)
             stream.close()
 
-    def _read(self, stream: Stream) -> Asked:
+    def _read(self, stream: Stream) -> AdminRequest:
         """The call; raises `HttpError`, `OSError` where the caller left."""
         reader, deadline = MessageReader.requests(), self._scheduler.now() + CALL_SECONDS
         told_to_go_on = False
@@ -128,7 +128,7 @@
                 stream.send(b"HTTP/1.1 100 Continue\r\n\r\n", deadline)
             try:
                 data = stream.receive(deadline)
-            except Timeout:
+            except TaskTimeoutError:
                 raise HttpError(408, "the call did not come whole in time") from None
             if not data:
                 raise ConnectionResetError("the caller has left")
@@ -142,23 +142,23 @@
             raise HttpError(413, "no call has a body")
         return call
 
-    def answer(self, asked: Asked) -> tuple[int, bytes]:
+    def answer(self, asked: AdminRequest) -> tuple[int, bytes]:
         """Do what is asked: the status and what is said."""
         service, node = self._service, asked.node
-        by_node: dict[Call, Callable[[str], bool]] = {
-            Call.OFFLINE: service.offline, Call.ONLINE: service.online
+        by_node: dict[AdminCall, Callable[[str], bool]] = {
+            AdminCall.OFFLINE: service.offline, AdminCall.ONLINE: service.online
         }  # fmt: skip
         match asked.call:
-            case Call.READY:
+            case AdminCall.READY:
                 return (200, b"ready\n") if service.is_serving() else (503, b"starting\n")
-            case Call.COUNTERS:
+            case AdminCall.COUNTERS:
                 return 200, service.figures_text()
-            case Call.OFFLINE | Call.ONLINE:
+            case AdminCall.OFFLINE | AdminCall.ONLINE:
                 if not by_node[asked.call](node):
                     return 404, b"no such registry node was ever listed\n"
-            case Call.OUT_OF_SERVICE:
+            case AdminCall.OUT_OF_SERVICE:
                 service.out_of_service()
-            case Call.IN_SERVICE:
+            case AdminCall.IN_SERVICE:
                 service.in_service()
         log.info("operators' call", extra={"fields": {"call": asked.call.value, "registry_node": node}})
         return 200, f"{asked.call.value}\n".encode()
--- a/brambleusher/controlplane/configuration/publisher.py
+++ b/brambleusher/controlplane/configuration/publisher.py
@@ -9,7 +9,7 @@
 from brambleusher.controlplane.registry.load_reports import FleetLoadReports, parse_report
 from brambleusher.controlplane.replica import Replica
 from brambleusher.membership.views import PartialView, Peer, peer_from_json
-from brambleusher.runtime.scheduler import Event, Scheduler, Timeout
+from brambleusher.runtime.scheduler import Event, Scheduler, TaskTimeoutError
 from brambleusher.wire.errors import InvalidMessageError
 
 HOLD_S = 0.5  # a gateway that hears nothing for longer leaves this controller for another
@@ -58,7 +58,7 @@
         try:
             while not self._news(held, source, version):
                 self._scheduler.park(deadline, event=event)
-        except Timeout:
+        except TaskTimeoutError:
             pass
         finally:
             self._waiting.discard(event)
--- a/brambleusher/controlplane/registry/instance_list.py
+++ b/brambleusher/controlplane/registry/instance_list.py
@@ -9,7 +9,7 @@
 
 import orjson
 
-from brambleusher.runtime.http_client import CallFailed, HttpClient
+from brambleusher.runtime.http_client import HttpCallError, HttpClient
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.streams import parse_address
 from brambleusher.wire.errors import InvalidMessageError
@@ -52,7 +52,7 @@
             begun = self._scheduler.now()
             try:
                 instances = self._read()
-            except CallFailed as error:
+            except HttpCallError as error:
                 self._failures += 1
                 if self._failures in (1, 10, 100):
                     log.warning("the list of instances can't be read", extra={"fields": {"why": str(error)}})
@@ -74,17 +74,17 @@
                 f"/instances?page_token={token}" if token else "/instances", CALL_S
             )
             if status != 200:
-                raise CallFailed(f"status {status}")
+                raise HttpCallError(f"status {status}")
             try:
                 data = orjson.loads(body)
                 instances += data["instances"]
                 token = data["next_token"]
             except (orjson.JSONDecodeError, KeyError, TypeError) as error:
-                raise CallFailed(f"the list can't be read: {error}") from error
+                raise HttpCallError(f"the list can't be read: {error}") from error
             if not token:
                 self._pages = page + 1
                 return instances
-        raise CallFailed(f"the list has over {PAGES_MAX} pages")
+        raise HttpCallError(f"the list has over {PAGES_MAX} pages")
 
     def to_message(self) -> dict[str, Any]:
         """The reading for another controller, with its age."""
--- a/brambleusher/controlplane/relay/client.py
+++ b/brambleusher/controlplane/relay/client.py
@@ -26,7 +26,7 @@
 )
 from brambleusher.membership.controllers import Controllers, controllers_from_json
 from brambleusher.membership.line_connection import LineClient
-from brambleusher.runtime.scheduler import Scheduler, Timeout
+from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
 from brambleusher.runtime.streams import parse_address
 from brambleusher.wire.errors import InvalidMessageError
 
@@ -60,7 +60,7 @@
         client = idle.pop() if idle else LineClient(self._scheduler, parse_address(address))
         try:
             reply = RelayReply.from_json(client.call(call.as_json(), timeout_s))
-        except (OSError, Timeout, InvalidMessageError):
+        except (OSError, TaskTimeoutError, InvalidMessageError):
             client.close()
             return None
         if reply.is_from_observer:
--- a/brambleusher/controlplane/replica.py
+++ b/brambleusher/controlplane/replica.py
@@ -26,7 +26,7 @@
 from brambleusher.controlplane.storage.recovery import RecoveredState
 from brambleusher.controlplane.storage.storage import Storage
 from brambleusher.runtime.disk import Disk
-from brambleusher.runtime.scheduler import Event, Scheduler, Timeout
+from brambleusher.runtime.scheduler import Event, Scheduler, TaskTimeoutError
 from brambleusher.wire import consensus_messages as wire
 from brambleusher.wire.consensus_messages import Entry, Member
 from brambleusher.wire.settings import Settings
@@ -331,7 +331,7 @@
     def _wait(self, waiter: PendingProposal, deadline: float) -> Any:
         try:
             self._scheduler.park(deadline, event=waiter.event)
-        except Timeout:
+        except TaskTimeoutError:
             return None
         return waiter.answer
 
@@ -347,7 +347,7 @@
             self._sleeps_until = max(self.consensus.next_tick_at(), now + LEAST_SLEEP_S)
             try:
                 self._scheduler.park(self._sleeps_until, event=self._event)
-            except Timeout:
+            except TaskTimeoutError:
                 continue
 
     def _join(self, now: float) -> None:
--- a/brambleusher/dataplane/client_connection.py
+++ b/brambleusher/dataplane/client_connection.py
@@ -8,8 +8,8 @@
 import orjson
 
 from brambleusher.runtime.h11_messages import go_on, whole
-from brambleusher.runtime.scheduler import Event, Scheduler, Timeout
-from brambleusher.runtime.streams import RECEIVE, Stream
+from brambleusher.runtime.scheduler import Event, Scheduler, TaskTimeoutError
+from brambleusher.runtime.streams import RECEIVE_BYTES, Stream
 from brambleusher.wire.configuration import Limits
 
 SEND_S = 10.0  # for a client to take what is sent to it
@@ -156,8 +156,8 @@
             if self.idle and self.closing and self.stream.quiet():
                 return None
             try:
-                data = self.stream.receive(deadline, self.wake if self.idle else None, RECEIVE)
-            except Timeout:
+                data = self.stream.receive(deadline, self.wake if self.idle else None, RECEIVE_BYTES)
+            except TaskTimeoutError:
                 return None
             if data is not None:
                 return data
--- a/brambleusher/dataplane/serving.py
+++ b/brambleusher/dataplane/serving.py
@@ -17,7 +17,7 @@
 from brambleusher.dataplane.prefixes import shared_prefix
 from brambleusher.dataplane.routes import RouteTable, pick_service
 from brambleusher.dataplane.upstream import Answer, Upstream
-from brambleusher.runtime.scheduler import Scheduler, Timeout
+from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
 from brambleusher.wire.configuration import Route
 from brambleusher.wire.policy import Policy
 from brambleusher.wire.settings import Bounds
@@ -240,7 +240,7 @@
             try:
                 while data := answer.read(work.deadline):
                     parts.append(data)
-            except (AnswerBroken, Timeout):
+            except (AnswerBroken, TaskTimeoutError):
                 self._counters.add("broken")
                 again = self._attempts(work, budget)
                 if again is None:
@@ -302,7 +302,7 @@
                 if events:
                     self._begin()
                     self._client.data(events)
-        except (AnswerBroken, Timeout, EventTooLong):
+        except (AnswerBroken, TaskTimeoutError, EventTooLong):
             answer.abandon()
             return False
         except BaseException:  # the client is gone
--- a/brambleusher/dataplane/upstream.py
+++ b/brambleusher/dataplane/upstream.py
@@ -15,7 +15,7 @@
 from brambleusher.loadbalancing.api import AttemptStatus
 from brambleusher.loadbalancing.idle_timeout import Trust
 from brambleusher.runtime.h11_messages import next_event, whole
-from brambleusher.runtime.scheduler import Scheduler, Timeout
+from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
 from brambleusher.wire import instance_load
 from brambleusher.wire.policy import Policy
@@ -75,13 +75,13 @@
         self.on_end: Callable[[bool | None], object] = _nothing
 
     def read(self, deadline: float) -> bytes:
-        """The next bytes of the body, empty at its end; raises `AnswerBroken` and `Timeout`."""
+        """The next bytes of the body, empty at its end; raises `AnswerBroken` and `TaskTimeoutError`."""
         try:
             event = next_event(self._connection.h11, self._connection.stream, deadline)
         except (OSError, h11.ProtocolError) as error:
             self.abandon()
             raise AnswerBroken from error
-        except Timeout:
+        except TaskTimeoutError:
             self.abandon()
             raise
         self.instance.heard_at = self._upstream.now()
@@ -202,10 +202,10 @@
                 min(now + CONNECT_S, now + (deadline - now) / 2),
                 prepare=lambda sock: self._scheduler.system.bound_silence(sock, SILENT_S),
             )
-        except (OSError, Timeout) as error:
+        except (OSError, TaskTimeoutError) as error:
             instance.connections -= 1
             instance.failed_to_connect(self._scheduler.now())
-            timed_out = isinstance(error, Timeout)
+            timed_out = isinstance(error, TaskTimeoutError)
             if timed_out:
                 self._instances.zone_rests.timed_out(instance.zone, instance.id, self._scheduler.now())
             return Err(NotReached(timed_out))
@@ -255,7 +255,7 @@
             if connection.rested_s:
                 self._trust.ended(AttemptStatus.RESET, int(connection.rested_s * SECOND))
             return Err(Lost())
-        except Timeout:
+        except TaskTimeoutError:
             self.close(instance, connection)
             return Err(Lost())
         except BaseException:
@@ -283,7 +283,7 @@
         try:
             connection.stream.send(begin, deadline)
             self._scheduler.park(min(until, deadline), connection.stream.sock)
-        except Timeout:
+        except TaskTimeoutError:
             return True
         except OSError:
             self._forgotten(instance, connection)
@@ -312,7 +312,7 @@
         try:
             while answer.read(deadline):
                 pass
-        except (AnswerBroken, Timeout):
+        except (AnswerBroken, TaskTimeoutError):
             pass
         return Err(Rejected(answer.status))
 
--- a/brambleusher/dataplane/watcher.py
+++ b/brambleusher/dataplane/watcher.py
@@ -11,7 +11,7 @@
 from brambleusher.membership.controllers import Controllers, controllers_from_json
 from brambleusher.membership.line_connection import LineClient
 from brambleusher.membership.views import Peer
-from brambleusher.runtime.scheduler import Scheduler, Timeout
+from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
 from brambleusher.runtime.streams import parse_address
 from brambleusher.wire import configuration
 from brambleusher.wire.errors import InvalidConfigurationError, InvalidMessageError
@@ -57,7 +57,7 @@
             try:
                 if self._follow(address, number):
                     continue
-            except (OSError, Timeout, InvalidMessageError) as error:
+            except (OSError, TaskTimeoutError, InvalidMessageError) as error:
                 log.debug("a controller is left", extra={"fields": {"address": address, "why": repr(error)}})
             self._controllers.record_failure(address, self._scheduler.now())
             self._scheduler.sleep(PAUSE_S)
--- a/brambleusher/features/blocks.py
+++ b/brambleusher/features/blocks.py
@@ -9,7 +9,7 @@
 Row = tuple[bytes, bytes]  # one row as the page's HTML and as JSON
 
 
-class Blocks:
+class RowBlocks:
     """Rows by name, in the order in which the names came; a name that is new takes a place that is free."""
 
     def __init__(self, render: Callable[[str], Row]) -> None:
--- a/brambleusher/features/capture.py
+++ b/brambleusher/features/capture.py
@@ -19,7 +19,7 @@
 import orjson
 
 from brambleusher.decisions.balancer_driver import Decision, DecisionRecorder
-from brambleusher.features.output import ITEM_BYTES, Lane
+from brambleusher.features.output import ITEM_BYTES, OutputQueue
 from brambleusher.features.records import VERSION, action_of, chosen, event_of, seal, server_entry
 from brambleusher.loadbalancing import api
 from brambleusher.loadbalancing.settings_codec import save_settings
@@ -63,8 +63,8 @@
         served: api.Settings,
         seed: int,
         known: EndpointListUpdate,
-        dumps: Lane,
-        files: Lane | None,
+        dumps: OutputQueue,
+        files: OutputQueue | None,
     ) -> None:
         self._limit = settings.ring_kb * 1024
         self._dumps, self._files = dumps, files
--- a/brambleusher/features/figures.py
+++ b/brambleusher/features/figures.py
@@ -9,7 +9,7 @@
 from collections import Counter
 
 from brambleusher.decisions.balancer_driver import AttemptOutcome, ClientRequest, Clock, DecisionObserver
-from brambleusher.features.output import Lane
+from brambleusher.features.output import OutputQueue
 from brambleusher.loadbalancing import api
 from brambleusher.observability.counters import Counters
 from brambleusher.operator_settings.configuration import FiguresSettings
@@ -25,7 +25,7 @@
 Tags = tuple[str, str]  # class and tenant
 
 
-class Statsd:
+class StatsdFormat:
     """Lines as DogStatsD extends them: `name:value|kind|#tag:value,…`."""
 
     def tags(self, tags: Tags) -> str:
@@ -38,7 +38,7 @@
         return f"{PREFIX}{name}:{value}|{kind}{tags}\n".encode()
 
 
-class Influx:
+class InfluxFormat:
     """Line protocol: `name,tag=value,… value=1i time`."""
 
     def __init__(self) -> None:
@@ -55,15 +55,22 @@
         return f"{PREFIX}{name}{tags} value={value}i {self._last_ns}\n".encode()
 
 
-class Figures(DecisionObserver):
+class MetricsReporter(DecisionObserver):
     """Counts and times what passes."""
 
     def __init__(
-        self, settings: FiguresSettings, served: api.Settings, clock: Clock, counters: Counters, lane: Lane
+        self,
+        settings: FiguresSettings,
+        served: api.Settings,
+        clock: Clock,
+        counters: Counters,
+        lane: OutputQueue,
     ) -> None:
         self._clock, self._counters, self._lane = clock, counters, lane
         self._flush_seconds = settings.flush_ms / 1000
-        self._format: Statsd | Influx = Statsd() if settings.format == "statsd" else Influx()
+        self._format: StatsdFormat | InfluxFormat = (
+            StatsdFormat() if settings.format == "statsd" else InfluxFormat()
+        )
         self._aims = {cls.name: cls.aim_ns for cls in served.classes}
         self._tenants = {tenant.name for tenant in served.tenants}
         self._tags: dict[Tags, str] = {}
--- a/brambleusher/features/output.py
+++ b/brambleusher/features/output.py
@@ -21,7 +21,7 @@
 ITEM_BYTES = 41  # what Python holds for a line beside its text
 
 
-class Lane:
+class OutputQueue:
     """Lines on their way to a writer; the oldest are dropped once they outgrow `limit` bytes."""
 
     def __init__(self, worker: Worker, limit: int) -> None:
@@ -91,18 +91,18 @@
         self._taken, self._lost = 0, self._lost + lost
 
 
-class Output:
+class OutputWriter:
     """A sink, the worker that writes to it, and the lanes that lead there."""
 
     def __init__(self, sink: Sink, name: str, system: System) -> None:
         self._sink, self._name = sink, name
-        self._lanes: list[Lane] = []
+        self._lanes: list[OutputQueue] = []
         self._closing = self._closed = False
         self._worker = system.worker(name, self._due, self._write)
 
-    def lane(self, limit: int) -> Lane:
+    def lane(self, limit: int) -> OutputQueue:
         """One more lane, for the serving thread."""
-        lane = Lane(self._worker, limit)
+        lane = OutputQueue(self._worker, limit)
         with self._worker.lock:
             self._lanes.append(lane)
         return lane
@@ -138,10 +138,10 @@
             self._sink.close()
 
 
-class LaneStream:
+class OutputQueueStream:
     """A stream for the log handler, so that a log line never waits for standard error either."""
 
-    def __init__(self, lane: Lane) -> None:
+    def __init__(self, lane: OutputQueue) -> None:
         self._lane = lane
 
     def write(self, text: str) -> int:
--- a/brambleusher/features/replay.py
+++ b/brambleusher/features/replay.py
@@ -25,12 +25,12 @@
 SAME, DIFFERENT, REFUSED = 0, 1, 2
 
 
-class Refused(ValueError):
+class CaptureError(ValueError):
     """A file that is no capture, or not one that can be rerun here."""
 
 
 @dataclass
-class Tally:
+class ReplaySummary:
     """What was found so far."""
 
     records: int = 0
@@ -46,24 +46,24 @@
     def __init__(self, head: dict[str, Any]) -> None:
         version = head.get("v")
         if type(version) is not int or version != VERSION:
-            raise Refused(f"the header's v is {json.dumps(version)}; only {VERSION} can be read")
+            raise CaptureError(f"the header's v is {json.dumps(version)}; only {VERSION} can be read")
         listed = head.get("list")
         if not isinstance(listed, dict) or not isinstance(listed.get("servers"), list):
-            raise Refused("the header has no list")
+            raise CaptureError("the header has no list")
         if "settings" not in head:
-            raise Refused("the header has no settings")
+            raise CaptureError("the header has no settings")
         try:
             seed = int(head.get("seed", ""), 16)
             self._listed = {server["id"] for server in listed["servers"]}
         except (TypeError, ValueError, KeyError):
-            raise Refused("the header's seed or list can't be read") from None
+            raise CaptureError("the header's seed or list can't be read") from None
         try:
             settings, state = restore_settings(head["settings"]), head.get("state")
             self._balancer = balancer_for(settings, seed) if state is None else restore(settings, seed, state)
         except StateError as error:
-            raise Refused(str(error)) from None
+            raise CaptureError(str(error)) from None
         if state is not None and self._listed != hosts_held(self._balancer):
-            raise Refused("the header's list is not the one its state was taken with")
+            raise CaptureError("the header's list is not the one its state was taken with")
         # An attempt may end on a server that has left the list.
         self._ever = self._listed | hosts_reached(self._balancer)
         next_one = head.get("n", 0)
@@ -131,10 +131,10 @@
         yield before, True
 
 
-def rerun(file: BinaryIO, out: TextIO) -> Tally:
+def rerun(file: BinaryIO, out: TextIO) -> ReplaySummary:
     """Rerun a capture, or the log of a sidecar with dumps in it; prints as it goes."""
     current: Rerun | None = None
-    tally = Tally()
+    tally = ReplaySummary()
 
     def differs(where: str, what: str) -> None:
         tally.differing += 1
@@ -156,7 +156,7 @@
             current = Rerun(record)
             continue
         if current is None:
-            raise Refused("records come before any header")
+            raise CaptureError("records come before any header")
         tally.records += 1
         where = f"line {number}, record {_text(record.get('n'))}"
         if record.get("n") != current.next:
@@ -166,7 +166,7 @@
         if found := current.check(record):
             differs(f"{where} {words}", "; ".join(found))
     if current is None:
-        raise Refused("there is no header")
+        raise CaptureError("there is no header")
     return tally
 
 
@@ -175,7 +175,7 @@
     try:
         with open(path, "rb") as file:
             tally = rerun(file, out)
-    except (OSError, Refused) as error:
+    except (OSError, CaptureError) as error:
         reason = error.strerror if isinstance(error, OSError) else error
         print(f"brambleusher: {path} is refused: {reason}", file=errors)
         return REFUSED
--- a/brambleusher/features/rewrites.py
+++ b/brambleusher/features/rewrites.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from brambleusher.net.http import Field, Message
+from brambleusher.net.http import HeaderField, Message
 from brambleusher.net.passing import end_to_end
 from brambleusher.operator_settings.configuration import Rule
 
@@ -25,7 +25,7 @@
     return f"for={address}" if address.version == 4 else f'for="[{address}]"'
 
 
-def forward(fields: list[Field], client: str) -> list[Field]:
+def forward(fields: list[HeaderField], client: str) -> list[HeaderField]:
     """The fields with the client's address added to what `Forwarded` already tells."""
     came = [value for name, value in fields if name.lower() == "forwarded"]
     chain = [value for value in came if value and _QUOTES_CLOSED.match(value)]
@@ -33,7 +33,7 @@
     return [*kept, ("Forwarded", ", ".join([*chain, forwarded_for(client)]))]
 
 
-def apply(rule: Rule, fields: list[Field]) -> list[Field]:
+def apply(rule: Rule, fields: list[HeaderField]) -> list[HeaderField]:
     """One rule's action; names compare without regard to case."""
     name = rule.name.lower()
     if rule.action == "add":
@@ -69,11 +69,13 @@
         fields = self._apply("in", end_to_end(request), path, request_class)
         return replace(request, passed=forward(fields, client))
 
-    def outward(self, fields: list[Field], path: str, request_class: str) -> list[Field]:
+    def outward(self, fields: list[HeaderField], path: str, request_class: str) -> list[HeaderField]:
         """The fields of an answer as the client is to get them."""
         return self._apply("out", fields, path, request_class)
 
-    def _apply(self, direction: str, fields: list[Field], path: str, request_class: str) -> list[Field]:
+    def _apply(
+        self, direction: str, fields: list[HeaderField], path: str, request_class: str
+    ) -> list[HeaderField]:
         for rule in self._rules[direction]:
             if rule.request_class not in (None, request_class):
                 continue
--- a/brambleusher/features/status.py
+++ b/brambleusher/features/status.py
@@ -16,14 +16,14 @@
 
 from brambleusher import __version__
 from brambleusher.decisions.balancer_driver import AttemptOutcome, ClientRequest, DecisionObserver
-from brambleusher.features.blocks import Blocks
+from brambleusher.features.blocks import RowBlocks
 from brambleusher.loadbalancing.api import AttemptStatus, HostState, Settings
 from brambleusher.net.endpoint_list import Endpoint, EndpointListUpdate, state_word
 from brambleusher.net.http import HttpError, Message, MessageReader, write_response
 from brambleusher.operator_settings.configuration import StatusSettings
-from brambleusher.runtime.scheduler import Event, Scheduler, Task, Timeout
+from brambleusher.runtime.scheduler import Event, Scheduler, Task, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
-from brambleusher.runtime.system import SHORT_OF_ROOM, Socket
+from brambleusher.runtime.system import RESOURCE_EXHAUSTION_ERRNOS, Socket
 
 log = logging.getLogger(__name__)
 
@@ -57,7 +57,7 @@
         self._scheduler, self._classes = scheduler, [cls.name for cls in served.classes]
         self._started = scheduler.now()
         self._endpoints: dict[str, Endpoint] = {}
-        self._rows = Blocks(self._rendered)
+        self._rows = RowBlocks(self._rendered)
         self._errors: dict[str, deque[tuple[int, str]]] = {}
         self._inflight = dict.fromkeys(self._classes, 0)
         self._answers: deque[tuple[int, Counter[str]]] = deque()  # by second, the last minute's
@@ -109,7 +109,7 @@
         """News of the endpoint list; shown at the next refresh."""
         if update.full:
             self._endpoints.clear()
-            self._rows = Blocks(self._rendered)
+            self._rows = RowBlocks(self._rendered)
         for endpoint in update.endpoints:
             name = endpoint.entry.host
             if endpoint.entry.state is HostState.REMOVED:
@@ -210,7 +210,7 @@
                 self._scheduler.park(sock=listener)
                 continue
             except OSError as error:
-                if error.errno in SHORT_OF_ROOM:
+                if error.errno in RESOURCE_EXHAUSTION_ERRNOS:
                     # Guards against a loop at full speed while no descriptor is free.
                     self._scheduler.sleep(NO_DESCRIPTOR_SECONDS)
                 continue
@@ -220,7 +220,7 @@
         def serve() -> None:
             try:
                 self._serve(stream)
-            except (OSError, Timeout):
+            except (OSError, TaskTimeoutError):
                 return
             finally:
                 stream.close()
--- a/brambleusher/fronts/mysql/channel.py
+++ b/brambleusher/fronts/mysql/channel.py
@@ -5,7 +5,7 @@
 import ssl
 
 from brambleusher.runtime.scheduler import Event
-from brambleusher.runtime.streams import RECEIVE, Stream
+from brambleusher.runtime.streams import RECEIVE_BYTES, Stream
 from brambleusher.runtime.system import Socket
 
 
@@ -64,7 +64,7 @@
         """Bytes that are here already; None where more must come first."""
         assert self._tls is not None
         try:
-            return self._tls.read(RECEIVE)
+            return self._tls.read(RECEIVE_BYTES)
         except ssl.SSLWantReadError:
             return None
         except (ssl.SSLZeroReturnError, ssl.SSLEOFError):
@@ -88,7 +88,7 @@
     def receive_now(self) -> bytes | None:
         """Bytes that have come, empty at the end; None where there are none yet."""
         try:
-            raw = self.stream.sock.recv(RECEIVE)
+            raw = self.stream.sock.recv(RECEIVE_BYTES)
         except BlockingIOError:
             raw = None
         except OSError:
@@ -111,7 +111,7 @@
             return
         view = memoryview(data)
         while view:
-            view = view[self._tls.write(view[:RECEIVE]) :]
+            view = view[self._tls.write(view[:RECEIVE_BYTES]) :]
             self._flush(deadline)
 
     def quiet(self) -> bool:
--- a/brambleusher/fronts/mysql/front.py
+++ b/brambleusher/fronts/mysql/front.py
@@ -1,6 +1,6 @@
 """The MySQL front: the listener, the clients' sessions, and their commands.
 
-A command of a session that nothing ties is a request: it goes through `RequestLife`, and the decisions
+A command of a session that nothing ties is a request: it goes through `RequestLifecycle`, and the decisions
 choose its node.  One of a tied session goes to the connection that the session holds.  Nothing here, nor
 anything below, sends a command a second time but the decisions' own repeats of plain reads.
 """
@@ -38,12 +38,12 @@
 from brambleusher.fronts.mysql.settings import MysqlSettings
 from brambleusher.fronts.mysql.statements import Kind, Statement, Statements, words
 from brambleusher.loadbalancing.api import AttemptStatus
-from brambleusher.net.request_life import Answer, ClientHandle, RequestLife
-from brambleusher.net.request_life import Kind as AnswerKind
+from brambleusher.net.request_life import ClientHandle, FinalResponse, RequestLifecycle
+from brambleusher.net.request_life import ResponseKind as AnswerKind
 from brambleusher.observability.counters import Counters
-from brambleusher.runtime.scheduler import Event, Scheduler, Task, Timeout
+from brambleusher.runtime.scheduler import Event, Scheduler, Task, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
-from brambleusher.runtime.system import SHORT_OF_ROOM, Address, Socket
+from brambleusher.runtime.system import RESOURCE_EXHAUSTION_ERRNOS, Address, Socket
 
 log = logging.getLogger(__name__)
 
@@ -143,7 +143,7 @@
         self._rng, self._entropy = rng, entropy
         self._mapping = Mapping(settings, decisions.settings)
         self._statements = Statements()
-        self._life = RequestLife(decisions, nodes, scheduler)
+        self._life = RequestLifecycle(decisions, nodes, scheduler)
         self._most = settings.max_packet_mb * 1024 * 1024
         self._memory_left = settings.memory_mb * 1024 * 1024
         self._listener: Socket | None = None
@@ -199,7 +199,7 @@
         except BlockingIOError:
             return False
         except OSError as error:
-            if error.errno in SHORT_OF_ROOM:
+            if error.errno in RESOURCE_EXHAUSTION_ERRNOS:
                 # Guards against a loop at full speed while no descriptor is free.
                 log.warning("no descriptor to accept with", extra={"fields": {"error": error.strerror}})
                 self._scheduler.sleep(NO_DESCRIPTOR_SECONDS)
@@ -262,7 +262,7 @@
             self._counters.add("mysql_bad_packets")
             log.info("bad packet", extra={"fields": {"peer": client.peer, "reason": error}})
             self._last_word(client, Err(error.errno, error.state, str(error)))
-        except (OSError, Timeout, Left):
+        except (OSError, TaskTimeoutError, Left):
             return
         except Exception:
             # Guards against a session that ends without a word over a fault of ours.
@@ -296,7 +296,7 @@
                 frame(error.encode(), client.reader.answer_seq), self._scheduler.now() + WRITE_SECONDS
             )
             client.channel.stream.finish()
-        except (OSError, Timeout):
+        except (OSError, TaskTimeoutError):
             return
 
     def _keep_in_mind(self, client: Client, more: int = 0) -> None:
@@ -376,7 +376,7 @@
                 continue
             try:
                 data = channel.receive(deadline)
-            except Timeout:
+            except TaskTimeoutError:
                 client.reader.seq = login.seq
                 raise ProtocolError(
                     "the login did not come to its end in time", Errno.NET_READ_INTERRUPTED
@@ -433,7 +433,7 @@
             deadline, late = self._waits_until(client, begun_at)
             try:
                 data = client.channel.receive(deadline, client.event)
-            except Timeout:
+            except TaskTimeoutError:
                 if not late(client):
                     return None
                 continue
@@ -657,7 +657,7 @@
             client.reader.feed(data)
         return data == b""
 
-    def _sorry(self, answer: Answer, work: Work, statement: Statement) -> Err:
+    def _sorry(self, answer: FinalResponse, work: Work, statement: Statement) -> Err:
         """The one error for a request that has no answer."""
         if work.error is not None and (not work.reached or answer.kind is AnswerKind.REFUSED):
             return work.error
@@ -785,7 +785,7 @@
                 client.channel.stream.finish()
                 return False
             return True
-        except (OSError, Timeout, Left):
+        except (OSError, TaskTimeoutError, Left):
             if not whole and not relay.done:  # the client has gone: the statement has nobody to run for
                 client.held = None
                 held.stop(AttemptStatus.CANCELLED)
@@ -821,7 +821,7 @@
                 until = now + WATCH_SECONDS if deadline is None else min(now + WATCH_SECONDS, deadline)
                 try:
                     data = channel.receive(until, client.event)
-                except Timeout:
+                except TaskTimeoutError:
                     if self._has_left(client):
                         raise Left from None
                     continue
@@ -868,7 +868,7 @@
             except TuneFailed as failed:
                 return self._say_error(client, failed.error)
             work.reached = True
-        except (OSError, Timeout, ProtocolError) as error:
+        except (OSError, TaskTimeoutError, ProtocolError) as error:
             log.info("tied session lost its node", extra={"fields": {"reason": type(error).__name__}})
             client.held = None
             held.drop(AttemptStatus.RESET)
@@ -979,7 +979,7 @@
             try:
                 self._nodes.reset(held.conn)
                 held.release()
-            except (OSError, Timeout, ProtocolError) as error:
+            except (OSError, TaskTimeoutError, ProtocolError) as error:
                 log.info("a reset failed", extra={"fields": {"reason": type(error).__name__}})
                 held.drop(AttemptStatus.RESET)
         client.session.reset()
@@ -1113,7 +1113,7 @@
         try:
             limit = self._scheduler.now() + 1.0
             self._nodes.ask(client.held.conn, b"\x1a" + here.to_bytes(4, "little"), limit)
-        except (OSError, Timeout, ProtocolError):
+        except (OSError, TaskTimeoutError, ProtocolError):
             client.held.conn.doomed = True
 
     def _after_cursor(self, client: Client) -> None:
--- a/brambleusher/fronts/mysql/nodes.py
+++ b/brambleusher/fronts/mysql/nodes.py
@@ -34,8 +34,8 @@
 )
 from brambleusher.net.endpoint_list import Endpoint, EndpointListUpdate
 from brambleusher.observability.counters import Counters
-from brambleusher.runtime.scheduler import Event, Scheduler, Timeout
-from brambleusher.runtime.streams import Called, Stream
+from brambleusher.runtime.scheduler import Event, Scheduler, TaskTimeoutError
+from brambleusher.runtime.streams import Stream, WaitInterruptedError
 
 log = logging.getLogger(__name__)
 
@@ -173,9 +173,9 @@
             self.event.set()
 
     def check(self) -> None:
-        """Raises `Called` once it was called off."""
+        """Raises `WaitInterruptedError` once it was called off."""
         if self.why is not None:
-            raise Called
+            raise WaitInterruptedError
 
 
 @dataclass(slots=True, eq=False)
@@ -500,10 +500,10 @@
             self._stop_or_drop(conn, claim)
             own = failed.error.errno in NODE_ERRORS
             return AttemptStatus.OVERLOADED if own else AttemptStatus.NOT_STARTED, None, False
-        except Called:
+        except WaitInterruptedError:
             self._stop_or_drop(conn, claim)
             return self._called_off(claim), None, False
-        except Timeout:
+        except TaskTimeoutError:
             self._stop_or_drop(conn, claim)
             work.broke = relay is not None and relay.begun
             return AttemptStatus.TIMEOUT if claim.written else AttemptStatus.CONNECT_FAILED, None, False
@@ -580,7 +580,7 @@
         return AttemptStatus.CONNECT_FAILED
 
     def _receive(self, conn: Conn, claim: Claim, limit: float) -> bytes:
-        """The next bytes; raises `Called` where they are not wanted any more."""
+        """The next bytes; raises `WaitInterruptedError` where they are not wanted any more."""
         while True:
             data = conn.channel.receive(limit, claim.event)
             if data is None:
@@ -671,7 +671,7 @@
         self._counters.add("mysql_waits")
         try:
             self._scheduler.park(until, event=claim.event)
-        except Timeout:
+        except TaskTimeoutError:
             return claim.granted is not None
         finally:
             if claim in node.waiters:
@@ -913,7 +913,7 @@
             close = b"".join(frame(b"\x19" + number.to_bytes(4, "little"), 0) for number, _ in gone)
             try:  # it has no answer, and a few bytes always fit
                 conn.channel.send(close, self._scheduler.now() + 1)
-            except (OSError, Timeout):
+            except (OSError, TaskTimeoutError):
                 conn.doomed = True
 
     # --- stopping a statement at the node -------------------------------------------------------
--- a/brambleusher/gateway/app.py
+++ b/brambleusher/gateway/app.py
@@ -19,7 +19,7 @@
 from brambleusher.membership.views import Peer, PeerState
 from brambleusher.runtime.acceptor import Acceptor
 from brambleusher.runtime.http_server import HttpRequest, HttpResponse, HttpServer, json_response
-from brambleusher.runtime.scheduler import Scheduler, Timeout
+from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
 from brambleusher.runtime.streams import Stream, parse_address
 from brambleusher.runtime.system import System
 from brambleusher.wire.configuration import Limits
@@ -225,7 +225,7 @@
         while True:
             try:
                 self.scheduler.park(self.scheduler.now() + UPKEEP_S)
-            except Timeout:
+            except TaskTimeoutError:
                 self.instances.tick(self.scheduler.now())
                 self._upstream.tick(UPKEEP_S)
                 for service in list(self.instances.weights):
--- a/brambleusher/lab/checker/rerun.py
+++ b/brambleusher/lab/checker/rerun.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable, Iterator
 from typing import Any
 
-from brambleusher.features.replay import Refused, rerun
+from brambleusher.features.replay import CaptureError, rerun
 
 MOST_TOLD = 5  # differences that are told in words
 
@@ -21,7 +21,7 @@
     out = io.StringIO()
     try:
         tally = rerun(io.BytesIO(captured), out)
-    except Refused as error:
+    except CaptureError as error:
         return [f"the capture is refused: {error}"]
     if not tally.records:
         return ["the capture has no records"]
--- a/brambleusher/lab/faults/breakages.py
+++ b/brambleusher/lab/faults/breakages.py
@@ -26,10 +26,10 @@
 from brambleusher.net.client_listener import ClientListener
 from brambleusher.net.endpoint_list import Endpoint, EndpointList, EndpointListUpdate, Feed
 from brambleusher.net.http import Message, MessageReader
-from brambleusher.net.request_life import Answer, ClientHandle, Kind, RequestLife
-from brambleusher.net.upstream_pool import Claim, Node, UpstreamPool
-from brambleusher.runtime.scheduler import Cancelled
-from brambleusher.runtime.streams import Called, Stream
+from brambleusher.net.request_life import ClientHandle, FinalResponse, RequestLifecycle, ResponseKind
+from brambleusher.net.upstream_pool import UpstreamAttempt, UpstreamEndpoint, UpstreamPool
+from brambleusher.runtime.scheduler import TaskCancelledError
+from brambleusher.runtime.streams import Stream, WaitInterruptedError
 from brambleusher.sidecar.app import Sidecar
 
 LATE_SECONDS = 0.001  # past the drain limit
@@ -224,7 +224,7 @@
 
 @breakage("reset-as-connect", "a reset after the last byte passes for a failed connect", "repeat", "refusal")
 def _reset_as_connect(patches: Patches) -> None:
-    def attempt(self: UpstreamPool, node: Node, claim: Claim, *how: Any) -> Any:
+    def attempt(self: UpstreamPool, node: UpstreamEndpoint, claim: UpstreamAttempt, *how: Any) -> Any:
         outcome = old(self, node, claim, *how)
         if outcome is None:  # told already
             return None
@@ -244,7 +244,7 @@
 
 @breakage("again-below", "a claim that met a reset is made again below the module", "repeat", "once")
 def _again_below(patches: Patches) -> None:
-    def attempt(self: UpstreamPool, node: Node, claim: Claim, *how: Any) -> Any:
+    def attempt(self: UpstreamPool, node: UpstreamEndpoint, claim: UpstreamAttempt, *how: Any) -> Any:
         outcome = old(self, node, claim, *how)
         if outcome is not None and outcome[0] is AttemptStatus.RESET and claim.why is None:
             outcome = old(self, node, claim, *how)
@@ -271,20 +271,20 @@
 @breakage("answer-swapped", "one request in sixteen gets the answer served before its own", "other-answer")
 def _answer_swapped(patches: Patches) -> None:
     def live(
-        self: RequestLife, call: ClientRequest, deadline: Callable[[], float], client: ClientHandle
+        self: RequestLifecycle, call: ClientRequest, deadline: Callable[[], float], client: ClientHandle
     ) -> Any:
-        answer: Answer | None = old(self, call, deadline, client)
-        if answer is None or answer.kind is not Kind.SERVED:
+        answer: FinalResponse | None = old(self, call, deadline, client)
+        if answer is None or answer.kind is not ResponseKind.SERVED:
             return answer
         before, self._before = getattr(self, "_before", answer), answer  # type: ignore[attr-defined]
         return before if now_and_then(call.request_id, 16) else answer
 
-    old = patches.set(RequestLife, "live", live)
+    old = patches.set(RequestLifecycle, "live", live)
 
 
 @breakage("connection-kept", "a connection goes back before its answer has come", "shared", "other-answer")
 def _connection_kept(patches: Patches) -> None:
-    def give_back(self: UpstreamPool, node: Node, stream: Stream, keep: bool) -> None:
+    def give_back(self: UpstreamPool, node: UpstreamEndpoint, stream: Stream, keep: bool) -> None:
         old(self, node, stream, True)
 
     old = patches.set(UpstreamPool, "_give_back", give_back)
@@ -292,7 +292,9 @@
 
 @breakage("reuse-unseen", "an idle connection is used again without a look at what waits on it", "dirty")
 def _reuse_unseen(patches: Patches) -> None:
-    def connection(self: UpstreamPool, node: Node, claim: Claim, deadline: float) -> Stream | None:
+    def connection(
+        self: UpstreamPool, node: UpstreamEndpoint, claim: UpstreamAttempt, deadline: float
+    ) -> Stream | None:
         if node.idle and self._scheduler.now() - node.idle[-1].used_at < self._pace.idle:
             return node.idle.pop()
         return old(self, node, claim, deadline)  # type: ignore[no-any-return]
@@ -302,7 +304,9 @@
 
 @breakage("cut-served", "what came of an answer before its connection broke is served", "made-answer")
 def _cut_served(patches: Patches) -> None:
-    def answer(self: UpstreamPool, stream: Stream, claim: Claim, deadline: float) -> tuple[Message, bool]:
+    def answer(
+        self: UpstreamPool, stream: Stream, claim: UpstreamAttempt, deadline: float
+    ) -> tuple[Message, bool]:
         reader = MessageReader.responses()
         while True:
             try:
@@ -310,7 +314,7 @@
             except OSError:
                 data = b""
             if data is None:
-                raise Called
+                raise WaitInterruptedError
             if not data:
                 head = reader.head()
                 if head is None:
@@ -336,9 +340,9 @@
 
 @breakage("silent-fault", "an exception while a failure is worded ends the connection", "answer")
 def _silent_fault(patches: Patches) -> None:
-    def worded(self: ClientListener, answer: Answer) -> Any:
-        if answer.kind is Kind.FAILED:
-            raise Cancelled  # which no guard against exceptions holds up
+    def worded(self: ClientListener, answer: FinalResponse) -> Any:
+        if answer.kind is ResponseKind.FAILED:
+            raise TaskCancelledError  # which no guard against exceptions holds up
         return old(self, answer)
 
     old = patches.set(ClientListener, "_worded", worded)
@@ -347,12 +351,12 @@
 @breakage("answer-late", "requests are held for 100 ms more than their time", "answer")
 def _answer_late(patches: Patches) -> None:
     def live(
-        self: RequestLife, call: ClientRequest, deadline: Callable[[], float], client: ClientHandle
+        self: RequestLifecycle, call: ClientRequest, deadline: Callable[[], float], client: ClientHandle
     ) -> Any:
         late = replace(call, time_left_ns=call.time_left_ns + 100_000_000)
         return old(self, late, lambda: deadline() + 0.1, client)
 
-    old = patches.set(RequestLife, "live", live)
+    old = patches.set(RequestLifecycle, "live", live)
 
 
 @breakage("sigterm-drops", "the program ends after SIGTERM with requests unanswered", "answer")
@@ -428,7 +432,7 @@
 
 @breakage("descriptor-kept", "idle connections to a node that leaves are forgotten, not closed", "left-over")
 def _descriptor_kept(patches: Patches) -> None:
-    def drop(self: UpstreamPool, node: Node) -> None:
+    def drop(self: UpstreamPool, node: UpstreamEndpoint) -> None:
         self._open -= len(node.idle)
         node.idle.clear()
 
--- a/brambleusher/lab/mysql/client.py
+++ b/brambleusher/lab/mysql/client.py
@@ -10,7 +10,7 @@
 import struct
 from dataclasses import dataclass, field
 
-from brambleusher.runtime.scheduler import Scheduler, Timeout
+from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
 from brambleusher.runtime.system import Address
 
@@ -88,7 +88,7 @@
             if last[0] == 0xFF:
                 return self._error(told, last)
             told.ok = last[0] == 0
-        except Timeout:
+        except TaskTimeoutError:
             told.late = True
         except Gone as gone:
             told.gone = gone
@@ -107,7 +107,7 @@
                 pass
             if self._buffer:
                 told.nonsense = "bytes behind the reply"
-        except Timeout:
+        except TaskTimeoutError:
             told.late = True
         except Gone as gone:
             told.gone = gone
@@ -125,7 +125,7 @@
             self._send(b"\x03" + text.encode(), deadline)
             if self._stream is not None:
                 self._stream.receive(deadline)
-        except (OSError, Timeout):
+        except (OSError, TaskTimeoutError):
             pass
         self.close()
 
--- a/brambleusher/lab/mysql/server.py
+++ b/brambleusher/lab/mysql/server.py
@@ -65,7 +65,7 @@
     collation_of,
 )
 from brambleusher.lab.stand_ins.server import Connection, Server
-from brambleusher.runtime.scheduler import Event, Scheduler, Timeout
+from brambleusher.runtime.scheduler import Event, Scheduler, TaskTimeoutError
 
 log = logging.getLogger(__name__)
 
@@ -561,7 +561,7 @@
         """Wait for the event or a moment; whether it was the event.  Raises `Killed`."""
         try:
             self.scheduler.park(until, event=peer.event)
-        except Timeout:
+        except TaskTimeoutError:
             return False
         if peer.killed:
             raise Killed
--- a/brambleusher/lab/processes/fleet.py
+++ b/brambleusher/lab/processes/fleet.py
@@ -20,7 +20,7 @@
 from brambleusher.lab.stand_ins.client import says_ready
 from brambleusher.lab.stand_ins.discovery import Entry
 from brambleusher.net.http import HttpError
-from brambleusher.runtime.scheduler import Timeout
+from brambleusher.runtime.scheduler import TaskTimeoutError
 from brambleusher.runtime.streams import Stream, parse_address
 from brambleusher.runtime.system import Address
 
@@ -199,7 +199,7 @@
             deadline = scheduler.now() + ASK_SECONDS
             try:
                 stream = Stream.connect(scheduler, self.address, deadline)
-            except (OSError, Timeout):
+            except (OSError, TaskTimeoutError):
                 scheduler.sleep(LOOK_SECONDS)
                 continue
             try:
@@ -209,7 +209,7 @@
                 if self.fleet.called:
                     self.stage.network.heard(self.admin, True)
                 self.ready = says_ready(stream, deadline)
-            except (OSError, Timeout, HttpError):
+            except (OSError, TaskTimeoutError, HttpError):
                 pass
             finally:
                 stream.close()
--- a/brambleusher/lab/processes/real_fleet.py
+++ b/brambleusher/lab/processes/real_fleet.py
@@ -29,7 +29,7 @@
 from brambleusher.lab.stand_ins.discovery import Discovery, Entry
 from brambleusher.lab.stand_ins.node import Execution, Node
 from brambleusher.net.http import HttpError
-from brambleusher.runtime.scheduler import Scheduler, Timeout
+from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
 from brambleusher.runtime.system import Address
 
@@ -199,11 +199,11 @@
         deadline = self.scheduler.now() + 1.0
         try:
             stream = Stream.connect(self.scheduler, address, deadline)
-        except (OSError, Timeout):
+        except (OSError, TaskTimeoutError):
             return False
         try:
             return says_ready(stream, deadline)
-        except (OSError, Timeout, HttpError):
+        except (OSError, TaskTimeoutError, HttpError):
             return False
         finally:
             stream.close()
--- a/brambleusher/lab/processes/relays.py
+++ b/brambleusher/lab/processes/relays.py
@@ -17,9 +17,9 @@
 
 from brambleusher.lab.virtual.network import End
 from brambleusher.runtime.real import RealSystem
-from brambleusher.runtime.scheduler import Event, Task, Timeout
+from brambleusher.runtime.scheduler import Event, Task, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
-from brambleusher.runtime.system import END_SENDING, Address, Poller, Socket
+from brambleusher.runtime.system import SHUTDOWN_WRITE, Address, Poller, Socket
 
 if TYPE_CHECKING:
     from brambleusher.lab.processes.stage import RealMachine, RealStage
@@ -196,7 +196,7 @@
         feed.tell(EARLY, "opened", conn)
         try:
             self.far = self._connect()
-        except (OSError, Timeout):
+        except (OSError, TaskTimeoutError):
             feed.tell(EARLY, "refused", conn)
             self.scheduler.system.reset(self.near.sock)
             self.near.open = False
@@ -354,7 +354,7 @@
             self.end()
             return
         try:
-            direction.sink.sock.shutdown(END_SENDING)
+            direction.sink.sock.shutdown(SHUTDOWN_WRITE)
         except OSError:
             self.end()
             return
--- a/brambleusher/lab/stand_ins/bad_client.py
+++ b/brambleusher/lab/stand_ins/bad_client.py
@@ -9,7 +9,7 @@
 
 from brambleusher.lab.stand_ins.client import wording_of
 from brambleusher.lab.stand_ins.settings import Ask
-from brambleusher.runtime.scheduler import Scheduler, Task, Timeout
+from brambleusher.runtime.scheduler import Scheduler, Task, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
 from brambleusher.runtime.system import Address
 
@@ -109,7 +109,7 @@
             deed.end = "closed"
         except _Left:
             deed.end = "left"
-        except Timeout:
+        except TaskTimeoutError:
             deed.end = "stayed" if stream is not None else "unreachable"
         except OSError:
             deed.end = "reset" if stream is not None else "unreachable"
--- a/brambleusher/lab/stand_ins/client.py
+++ b/brambleusher/lab/stand_ins/client.py
@@ -8,8 +8,8 @@
 
 from brambleusher.lab.stand_ins.node import WORK_HEADER
 from brambleusher.lab.stand_ins.settings import Ask, ClientSettings
-from brambleusher.net.http import Field, HttpError, Message, MessageReader, write_request
-from brambleusher.runtime.scheduler import Event, Scheduler, Task, Timeout
+from brambleusher.net.http import HeaderField, HttpError, Message, MessageReader, write_request
+from brambleusher.runtime.scheduler import Event, Scheduler, Task, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
 from brambleusher.runtime.system import Address
 
@@ -54,9 +54,9 @@
         return bool(self.tries) and self.tries[-1].end == "answered" and self.tries[-1].status == 200
 
 
-def headers_of(ask: Ask, name: str, wait_s: float, retry: bool) -> list[Field]:
+def headers_of(ask: Ask, name: str, wait_s: float, retry: bool) -> list[HeaderField]:
     """A request's headers, its length apart."""
-    fields: list[Field] = [
+    fields: list[HeaderField] = [
         ("Host", "api.internal"),
         ("Request-Id", name),
         ("Request-Class", ask.request_class),
@@ -107,7 +107,7 @@
 
 
 def says_ready(stream: Stream, deadline: float) -> bool:
-    """Ask a sidecar on a connection whether clients may come; raises `OSError`, `Timeout`, `HttpError`."""
+    """Ask a sidecar whether clients may come; raises `OSError`, `TaskTimeoutError`, `HttpError`."""
     stream.send(write_request("GET", "/ready", [("Host", "api.internal")]), deadline)
     answer = Client.answer(stream, deadline, [])
     return answer is not None and answer.status == 200
@@ -194,11 +194,11 @@
         deadline = self.scheduler.now() + CONNECT_SECONDS
         try:
             stream = Stream.connect(self.scheduler, self.target, deadline)
-        except (OSError, Timeout):
+        except (OSError, TaskTimeoutError):
             return False
         try:
             return says_ready(stream, deadline)
-        except (OSError, Timeout, HttpError):
+        except (OSError, TaskTimeoutError, HttpError):
             return False
         finally:
             stream.close()
@@ -250,7 +250,7 @@
                     stream = Stream.connect(
                         self.scheduler, self.target, min(until, self.scheduler.now() + CONNECT_SECONDS)
                     )
-                except (OSError, Timeout):
+                except (OSError, TaskTimeoutError):
                     entry.end = "unreachable"
                     return
                 self.connects += 1
@@ -273,11 +273,11 @@
             if answer is None:
                 raise ConnectionResetError("the connection ended before the answer")
             if self.scheduler.now() > until:  # too late to be of use
-                raise Timeout
+                raise TaskTimeoutError
             entry.end, entry.status, entry.body = "answered", answer.status, answer.body
             entry.retry_after_s = _seconds(answer.headers.get("retry-after"))
             keep = answer.keep_alive
-        except Timeout:
+        except TaskTimeoutError:
             entry.end = "left" if until < deadline else "late"
         except HttpError:
             entry.end = "unreadable"
--- a/brambleusher/lab/stand_ins/discovery.py
+++ b/brambleusher/lab/stand_ins/discovery.py
@@ -15,7 +15,7 @@
 from brambleusher.lab.stand_ins.server import Connection, Server, Troubles
 from brambleusher.lab.stand_ins.settings import DiscoverySettings
 from brambleusher.net.http import Message, MessageReader, write_response
-from brambleusher.runtime.scheduler import Scheduler, Timeout
+from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
 
 READ_SECONDS = 10.0
 WRITE_SECONDS = 10.0
@@ -283,7 +283,7 @@
         deadline = self.scheduler.now() + self.settings.beat_s
         try:
             return watch.connection.stream.receive(deadline, watch.connection.event) == b""
-        except Timeout:
+        except TaskTimeoutError:
             return False
 
     def _call(self, watch: _Watch, seconds: float) -> None:
--- a/brambleusher/lab/stand_ins/node.py
+++ b/brambleusher/lab/stand_ins/node.py
@@ -14,7 +14,7 @@
 from brambleusher.lab.stand_ins.machine import Job, Machine
 from brambleusher.lab.stand_ins.server import Connection, Server, Troubles
 from brambleusher.lab.stand_ins.settings import NodeSettings
-from brambleusher.net.http import Field, HttpError, Message, MessageReader, write_response
+from brambleusher.net.http import HeaderField, HttpError, Message, MessageReader, write_response
 from brambleusher.runtime.scheduler import Scheduler, Timer
 
 WORK_HEADER = "lab-work-us"  # the true work of a request, where the client's stand-in tells it
@@ -151,7 +151,7 @@
     execution: Execution
     due: float  # when its sidecar stops waiting
     job: Job | None = None
-    answer: tuple[int, list[Field], bytes] | None = None
+    answer: tuple[int, list[HeaderField], bytes] | None = None
     timer: Timer | None = None  # its handshake
     gone: bool = False
     over: bool = field(default=False)
@@ -495,7 +495,7 @@
     def _send(self, connection: Connection, data: bytes) -> None:
         connection.stream.send(data, self.scheduler.now() + WRITE_SECONDS)
 
-    def _reports(self) -> list[Field]:
+    def _reports(self) -> list[HeaderField]:
         fields = self.settings.report_fields
         if not fields:
             return []
@@ -515,7 +515,7 @@
         }  # fmt: skip
         return [("Server-Load", orjson.dumps({name: figures.get(name, 0) for name in fields}).decode())]
 
-    def _spoil(self, connection: Connection, how: SpoiltHow, headers: list[Field], body: bytes) -> bool:
+    def _spoil(self, connection: Connection, how: SpoiltHow, headers: list[HeaderField], body: bytes) -> bool:
         """Send an answer that is not as it should be; false once the connection is of no further use."""
         good = write_response(200, headers, body)
         if how in ("second-copy", "noise-behind"):
@@ -576,7 +576,7 @@
     return (head + "\r\n").encode() + body  # unframed
 
 
-def _wrong_report(how: ReportHow, fields: tuple[str, ...]) -> list[Field]:
+def _wrong_report(how: ReportHow, fields: tuple[str, ...]) -> list[HeaderField]:
     values: dict[ReportHow, object] = {"negative": -3.5, "huge": 1e300, "idle": 0}
     if how == "absent":
         return []
--- a/brambleusher/lab/stand_ins/operators.py
+++ b/brambleusher/lab/stand_ins/operators.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from brambleusher.net.http import HttpError, MessageReader, write_request
-from brambleusher.runtime.scheduler import Scheduler, Task, Timeout
+from brambleusher.runtime.scheduler import Scheduler, Task, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
 from brambleusher.runtime.system import Address
 
@@ -85,7 +85,7 @@
                     return called
                 reader.feed(data)
             called.status = answer.status
-        except (OSError, Timeout, HttpError):
+        except (OSError, TaskTimeoutError, HttpError):
             pass
         finally:
             if stream is not None:
--- a/brambleusher/lab/stand_ins/server.py
+++ b/brambleusher/lab/stand_ins/server.py
@@ -8,7 +8,7 @@
 from typing import TypeVar
 
 from brambleusher.net.http import HttpError
-from brambleusher.runtime.scheduler import Event, Scheduler, Task, Timeout
+from brambleusher.runtime.scheduler import Event, Scheduler, Task, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
 from brambleusher.runtime.system import Address, Socket
 
@@ -109,7 +109,7 @@
     def _run(self, connection: Connection) -> None:
         try:
             self.serve(connection)
-        except (OSError, Timeout):
+        except (OSError, TaskTimeoutError):
             return
         except HttpError as error:
             log.debug("unreadable", extra={"fields": {"server": self.name, "reason": error}})
--- a/brambleusher/lab/virtual/network.py
+++ b/brambleusher/lab/virtual/network.py
@@ -12,7 +12,7 @@
 from collections import deque
 from typing import TYPE_CHECKING, Any, Final, NamedTuple
 
-from brambleusher.runtime.system import END_SENDING, PEEK, READ, WRITE, Address
+from brambleusher.runtime.system import PEEK, READ, SHUTDOWN_WRITE, WRITE, Address
 
 if TYPE_CHECKING:
     from brambleusher.lab.virtual.world import Machine, Process, World
@@ -347,13 +347,13 @@
         return size
 
     def shutdown(self, how: int, /) -> None:
-        """`END_SENDING`: the peer gets what was sent, and the end."""
+        """`SHUTDOWN_WRITE`: the peer gets what was sent, and the end."""
         process = self.process
         if process is None or process.dead:
             raise Killed
         if self.fd < 0:
             raise fault(errno.EBADF)
-        if how != END_SENDING:
+        if how != SHUTDOWN_WRITE:
             raise fault(errno.EINVAL)
         closed = self._closed()
         if self.wish == Wish.CONNECTING:
--- a/brambleusher/load/player.py
+++ b/brambleusher/load/player.py
@@ -12,7 +12,7 @@
 from brambleusher.load.pacing import Due, Pace
 from brambleusher.load.results import Outcome
 from brambleusher.load.wording import AnswerError, AnswerReader, worded
-from brambleusher.runtime.scheduler import Scheduler, Task, Timeout
+from brambleusher.runtime.scheduler import Scheduler, Task, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
 from brambleusher.runtime.system import Address
 
@@ -127,7 +127,7 @@
                 fresh = True
                 try:
                     connection = Connection(Stream.connect(scheduler, target, deadline))
-                except Timeout:
+                except TaskTimeoutError:
                     return "timed out", 0
                 except OSError:
                     return "unreachable", 0
@@ -146,7 +146,7 @@
                     if reader.feed(part):
                         keep = reader.keep
                         return self._by_status(reader.status)
-            except Timeout:
+            except TaskTimeoutError:
                 return "timed out", 0
             except AnswerError:
                 return "failed", reader.status
--- a/brambleusher/membership/line_connection.py
+++ b/brambleusher/membership/line_connection.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from brambleusher.runtime.acceptor import Acceptor
-from brambleusher.runtime.scheduler import Event, Scheduler, Timeout
+from brambleusher.runtime.scheduler import Event, Scheduler, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
 from brambleusher.runtime.system import Address
 from brambleusher.wire import lines
@@ -86,14 +86,14 @@
                     self._scheduler.now() + CONNECT_S,
                     prepare=lambda sock: self._scheduler.system.bound_silence(sock, SILENT_S),
                 )
-            except (OSError, Timeout):
+            except (OSError, TaskTimeoutError):
                 self._queue.clear()
                 self._held = 0
                 self._scheduler.sleep(RETRY_S)
                 continue
             try:
                 self._drain(stream)
-            except (OSError, Timeout):
+            except (OSError, TaskTimeoutError):
                 continue
             finally:
                 stream.close()
@@ -118,7 +118,7 @@
         self._buffer = lines.LineBuffer()
 
     def call(self, message: dict[str, Any], timeout_s: float) -> dict[str, Any]:
-        """The answer; raises `OSError`, `Timeout` or `InvalidMessageError`, and then is closed."""
+        """The answer; raises `OSError`, `TaskTimeoutError` or `InvalidMessageError`, and then is closed."""
         deadline = self._scheduler.now() + timeout_s
         try:
             if self._stream is None:
--- a/brambleusher/net/bodies.py
+++ b/brambleusher/net/bodies.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from brambleusher.net.http import HttpError, MessageReader
-from brambleusher.runtime.scheduler import Event, Timeout
+from brambleusher.runtime.scheduler import Event, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
 
 PIECE = 32 * 1024  # bytes: one of them and what is made of it is what a body costs
@@ -18,7 +18,7 @@
 LEAST_RATE = 48_000  # bytes a second that a request's body comes with, on the whole
 
 
-class Tail:
+class ResponseBodyStream:
     """The rest of an answer whose first bytes have come; its claim waits until it is `over`."""
 
     __slots__ = ("_reader", "_stream", "done", "length", "over")
@@ -30,7 +30,7 @@
         self.done = False  # to its last byte
 
     def piece(self) -> bytes:
-        """The next bytes, empty at the end; raises `HttpError`, `OSError` or `Timeout` where it is spoilt."""
+        """The next bytes, empty at the end; raises `HttpError`, `OSError` or `TaskTimeoutError`."""
         while not self.done:
             data, self.done = self._reader.drain()
             if data:
@@ -56,11 +56,11 @@
         self.over.set()
 
 
-class Answered(Exception):
+class EarlyResponseError(Exception):
     """The node has said something, or left, before the request it was sent was whole."""
 
 
-class Upload:
+class RequestBodyStream:
     """A request's body that passes on before it is whole.
 
     What has come of it is held until more is read, so that a claim that never began to send can be made
@@ -112,7 +112,7 @@
                 due = self._begun_at + self._patience + self.size / LEAST_RATE
                 try:
                     got = self._stream.receive(min(due, now() + LOOK_SECONDS), event, PIECE)
-                except Timeout:
+                except TaskTimeoutError:
                     if now() < due:
                         continue
                     raise
@@ -125,7 +125,7 @@
         except HttpError as error:
             self.error = error
             raise
-        except Timeout:
+        except TaskTimeoutError:
             self.error = HttpError(408, "the request did not come whole in time")
             raise self.error from None
         except OSError:
--- a/brambleusher/net/client_listener.py
+++ b/brambleusher/net/client_listener.py
@@ -17,27 +17,27 @@
 from brambleusher.loadbalancing.api import Idempotency
 from brambleusher.loadbalancing.connection_admission import FRESH_SECONDS, Places
 from brambleusher.loadbalancing.maintenance import Service
-from brambleusher.net.bodies import LEAST_RATE, Tail, Upload
+from brambleusher.net.bodies import LEAST_RATE, RequestBodyStream, ResponseBodyStream
 from brambleusher.net.http import (
-    MAX_PASSED,
-    Field,
+    MAX_STREAMED_BODY_BYTES,
     Framing,
+    HeaderField,
     HttpError,
     Message,
     MessageReader,
     chunk,
     write_response,
 )
-from brambleusher.net.passing import Passing, end_to_end
+from brambleusher.net.passing import HeaderRewriter, end_to_end
 from brambleusher.net.presence import ClientPresence
-from brambleusher.net.request_life import Answer, ClientHandle, Kind, RequestLife
+from brambleusher.net.request_life import ClientHandle, FinalResponse, RequestLifecycle, ResponseKind
 from brambleusher.net.upstream_pool import UpstreamPool
 from brambleusher.observability.counters import Counters
 from brambleusher.observability.log_format import SparseLog
 from brambleusher.observability.request_counts import FAILED, REFUSED, SERVED, Tally
-from brambleusher.runtime.scheduler import Scheduler, Task, Timeout
+from brambleusher.runtime.scheduler import Scheduler, Task, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
-from brambleusher.runtime.system import SHORT_OF_ROOM, Socket
+from brambleusher.runtime.system import RESOURCE_EXHAUSTION_ERRNOS, Socket
 
 log = logging.getLogger(__name__)
 
@@ -62,28 +62,28 @@
 _DECIMAL = re.compile(r"[0-9]{1,12}(\.[0-9]{1,9})?\Z")
 
 
-_ENDS = {Kind.SERVED: SERVED, Kind.REFUSED: REFUSED, Kind.FAILED: FAILED}
+_ENDS = {ResponseKind.SERVED: SERVED, ResponseKind.REFUSED: REFUSED, ResponseKind.FAILED: FAILED}
 
 
 @dataclass(slots=True)
-class Reply:
+class ClientResponse:
     """An answer as it is worded for HTTP; `end` is what it counts as, for the class of its request."""
 
     status: int
-    headers: list[Field]
+    headers: list[HeaderField]
     body: bytes
     request_class: str | None = None  # None: it answers nothing that was taken
     end: str = FAILED
     taken: bool = True  # its request came whole
-    rest: Tail | None = None  # in place of `body`
+    rest: ResponseBodyStream | None = None  # in place of `body`
     last: bool = False  # its connection can't carry another request
 
 
-class Cut(Exception):
+class ResponseTruncatedError(Exception):
     """The rest of an answer that passes on does not come."""
 
 
-class Connection:
+class ClientConnection:
     """One client's connection."""
 
     __slots__ = ("accepted_at", "asked", "peer", "released", "stream", "task", "waited")
@@ -109,13 +109,13 @@
         counters: Counters,
         places: Places,
         is_ready: Callable[[], bool],
-        rewrites: Passing | None = None,
+        rewrites: HeaderRewriter | None = None,
         tally: Tally | None = None,
         service: Service | None = None,
     ) -> None:
         self._scheduler, self._decisions, self._clock = scheduler, decisions, clock
         self._counters, self._places, self._is_ready = counters, places, is_ready
-        self._life, self._rewrites = RequestLife(decisions, nodes, scheduler), rewrites
+        self._life, self._rewrites = RequestLifecycle(decisions, nodes, scheduler), rewrites
         self._methods = {
             cls.name: "GET" if cls.effect is Idempotency.SAFE else "POST"
             for cls in decisions.settings.classes
@@ -125,7 +125,7 @@
         self._leaving: Task | None = None
         self._listener: Socket | None = None
         self._accepting: Task | None = None
-        self._connections: set[Connection] = set()
+        self._connections: set[ClientConnection] = set()
         self._put_off_since: float | None = None  # accepts, while connections wait in the system's queue
         self._closing, self._closing_at = False, math.inf
         self.answer_by = math.inf  # what comes from now on is answered by then: SIGKILL follows
@@ -194,7 +194,7 @@
         except BlockingIOError:
             return False
         except OSError as error:
-            if error.errno in SHORT_OF_ROOM:
+            if error.errno in RESOURCE_EXHAUSTION_ERRNOS:
                 # Guards against a loop at full speed, and against dying, while no descriptor is free.
                 log.warning("no descriptor to accept with", extra={"fields": {"error": error.strerror}})
                 self._make_room(self._places.taken)
@@ -202,7 +202,7 @@
             return True  # others concern the connection that was to be taken, and it is gone
         self._counters.add("connections_accepted")
         self._accepted += 1
-        connection = Connection(Stream(self._scheduler, sock), peer)
+        connection = ClientConnection(Stream(self._scheduler, sock), peer)
         if self._put_off_since is not None:
             # Guards against silent ones by the hundred that are held too long: each group let in after
             # another would have its whole time again, though it may have connected when the first did.
@@ -222,7 +222,7 @@
         now, closed = self._scheduler.now(), False
         places = self._places
         for each in places.surplus(now) if most is None else places.for_one_more(now, most):
-            assert isinstance(each, Connection)
+            assert isinstance(each, ClientConnection)
             if each.stream.peek():
                 # Its request has come and was not read yet.  Guards against looking at it again with each
                 # answer: where most have asked and are not read, that is what keeps them unread.
@@ -234,25 +234,25 @@
                 closed = True
         return closed
 
-    def _close_idle(self, connection: Connection) -> None:
+    def _close_idle(self, connection: ClientConnection) -> None:
         """Close it now: its place is needed."""
         self._release(connection)
         self._connections.discard(connection)
         # Guards against a connection left open: a task called off before its first step closes nothing.
         connection.stream.close()
 
-    def _dismiss(self, connection: Connection) -> None:
+    def _dismiss(self, connection: ClientConnection) -> None:
         """End its sending, and close it once its client has, so that no reset overtakes what was sent."""
         self._release(connection)
         self._scheduler.spawn(self._part_with, connection, name="part with client")
 
-    def _release(self, connection: Connection) -> None:
+    def _release(self, connection: ClientConnection) -> None:
         connection.released = True
         self._places.closed(connection, self._scheduler.now())
         if connection.task is not None:
             connection.task.cancel()
 
-    def _part_with(self, connection: Connection) -> None:
+    def _part_with(self, connection: ClientConnection) -> None:
         """Half-close, and read for a bounded time what crossed that: it is not served, but asked for anew."""
         try:
             connection.stream.finish()
@@ -262,7 +262,7 @@
             self._forget(connection)
             connection.stream.close()
 
-    def _forget(self, connection: Connection) -> None:
+    def _forget(self, connection: ClientConnection) -> None:
         self._connections.discard(connection)
         self._places.closed(connection, self._scheduler.now())
 
@@ -281,7 +281,7 @@
         while not self._service.wanted:
             now = self._scheduler.now()
             for connection in self._places.waiting():
-                assert isinstance(connection, Connection)
+                assert isinstance(connection, ClientConnection)
                 since = connection.stream.used_at
                 if not self._service.may_rest(now, since, connection.asked) and connection.stream.quiet():
                     self._dismiss(connection)
@@ -292,7 +292,7 @@
         """Close each connection as soon as nothing is owed on it, then take no new ones; a task calls it."""
         self._closing, self._closing_at = True, self._scheduler.now()
         for connection in self._places.waiting():
-            assert isinstance(connection, Connection)
+            assert isinstance(connection, ClientConnection)
             if connection.stream.quiet():
                 self._dismiss(connection)
         self._await_last_connects()
@@ -320,7 +320,7 @@
 
     # --- one connection -------------------------------------------------------------------------
 
-    def _serve(self, connection: Connection) -> None:
+    def _serve(self, connection: ClientConnection) -> None:
         """Request after request, until one side closes."""
         reader = MessageReader.requests(passing=True)
         try:
@@ -331,14 +331,14 @@
                     return
             if connection.stream.open and not connection.stream.finished:
                 connection.stream.finish()
-        except (OSError, Timeout):
+        except (OSError, TaskTimeoutError):
             return
         finally:
             if not connection.released:
                 self._forget(connection)
                 connection.stream.close()
 
-    def _rest(self, connection: Connection, reader: MessageReader) -> None:
+    def _rest(self, connection: ClientConnection, reader: MessageReader) -> None:
         """An answer is out: its connection waits for the next request, unless that has come already."""
         now = connection.stream.used_at = self._scheduler.now()
         if reader.buffered:
@@ -347,7 +347,7 @@
         if self._places.scarce(now):
             self._make_room()
 
-    def _exchange(self, connection: Connection, reader: MessageReader) -> bool:
+    def _exchange(self, connection: ClientConnection, reader: MessageReader) -> bool:
         """One request and its answer; false when the connection is to be closed."""
         stream = connection.stream
         try:
@@ -359,7 +359,7 @@
             return False
         if request is None:
             return False
-        upload = request.rest if isinstance(request.rest, Upload) else None
+        upload = request.rest if isinstance(request.rest, RequestBodyStream) else None
         keep = request.keep_alive
         try:
             reply = self._answer(connection, reader, request, upload)
@@ -368,13 +368,13 @@
             if not keep or error.status != 404 or upload is not None:
                 self._turn_away(stream, error)
                 return False
-            reply = Reply(error.status, [], f"{error}\n".encode())
+            reply = ClientResponse(error.status, [], f"{error}\n".encode())
         except Exception:
             # Guards against a request left without an answer by a fault of ours.
             self._counters.add("faults")
             self._counters.add("answers_failed")
             log.exception("request failed")
-            reply = Reply(500, [], b"")
+            reply = ClientResponse(500, [], b"")
         if reply is None:
             return False
         keep = keep and not reply.last and (upload is None or upload.done)
@@ -383,13 +383,13 @@
             keep = self._write(stream, reply, keep, request.minor)
             if upload is not None and not upload.done:
                 # Guards against a reset that overtakes the answer while the body still comes.
-                stream.finish(BODY_LINGER_SECONDS, MAX_PASSED)
-        except (OSError, Timeout):
+                stream.finish(BODY_LINGER_SECONDS, MAX_STREAMED_BODY_BYTES)
+        except (OSError, TaskTimeoutError):
             self._counters.add("answers_unsent")
             raise
         return keep
 
-    def _may_stay(self, connection: Connection, reader: MessageReader) -> bool:
+    def _may_stay(self, connection: ClientConnection, reader: MessageReader) -> bool:
         """Whether a connection that is about to get its answer may have another request after it."""
         now = self._scheduler.now()
         ending = self._closing or not self._service.wanted
@@ -402,10 +402,10 @@
         return False
 
     @staticmethod
-    def _has_more(connection: Connection, reader: MessageReader) -> bool:
+    def _has_more(connection: ClientConnection, reader: MessageReader) -> bool:
         return reader.buffered > 0 or not connection.stream.quiet()
 
-    def _write(self, stream: Stream, reply: Reply, keep: bool, minor: int) -> bool:
+    def _write(self, stream: Stream, reply: ClientResponse, keep: bool, minor: int) -> bool:
         """The answer to its last byte, with which its request ends; whether the connection may be kept."""
         try:
             if reply.rest is None:
@@ -423,7 +423,9 @@
                 reply.rest.close()
             self.tally.open -= reply.request_class is not None and reply.taken
 
-    def _pass_on(self, stream: Stream, reply: Reply, rest: Tail, keep: bool, minor: int) -> tuple[bool, bool]:
+    def _pass_on(
+        self, stream: Stream, reply: ClientResponse, rest: ResponseBodyStream, keep: bool, minor: int
+    ) -> tuple[bool, bool]:
         """An answer piece by piece as it comes: whether its connection may be kept, whether it is whole."""
         now = self._scheduler.now
         unknown = Framing.CHUNKS if minor else Framing.END  # HTTP/1.0 has no chunks
@@ -439,7 +441,7 @@
                 )
                 head = b""
                 piece = self._next(rest)
-        except Cut as cut:
+        except ResponseTruncatedError as cut:
             # Once, and so that the client can tell: short of its length, or without its last chunk.
             self._counters.add("answers_cut")
             log.warning("an answer broke off", extra={"fields": {"reason": cut}})
@@ -452,13 +454,13 @@
         return keep, True
 
     @staticmethod
-    def _next(rest: Tail) -> bytes:
+    def _next(rest: ResponseBodyStream) -> bytes:
         try:
             return rest.piece()
-        except (HttpError, OSError, Timeout) as error:
-            raise Cut(f"{type(error).__name__}: {error}") from None
+        except (HttpError, OSError, TaskTimeoutError) as error:
+            raise ResponseTruncatedError(f"{type(error).__name__}: {error}") from None
 
-    def _count_bad(self, connection: Connection, error: HttpError) -> None:
+    def _count_bad(self, connection: ClientConnection, error: HttpError) -> None:
         self._counters.add("bad_requests")
         self._bad_requests.warning("bad request", peer=connection.peer, status=error.status, reason=error)
 
@@ -470,7 +472,7 @@
         )
         stream.finish()
 
-    def _read(self, connection: Connection, reader: MessageReader) -> Message | None:
+    def _read(self, connection: ClientConnection, reader: MessageReader) -> Message | None:
         """The next request; None if the client closed instead."""
         # Guards against connections held with half a request or with nothing: the first one is timed
         # from the accept on, not from its first byte.
@@ -499,7 +501,7 @@
                 data = connection.stream.receive(
                     deadline + reader.size_so_far / LEAST_RATE if begun else deadline
                 )
-            except Timeout:
+            except TaskTimeoutError:
                 if reader.begun:
                     raise HttpError(408, "the request did not come whole in time") from None
                 if connection.stream.quiet():
@@ -511,7 +513,9 @@
         self._places.asked(connection, self._scheduler.now())
         return request
 
-    def _upload(self, connection: Connection, reader: MessageReader, started_at: float | None) -> Message:
+    def _upload(
+        self, connection: ClientConnection, reader: MessageReader, started_at: float | None
+    ) -> Message:
         """A request whose body passes on; raises `HttpError` where its class has none of such size."""
         request, now = reader.head(), self._scheduler.now()
         assert request is not None
@@ -520,19 +524,27 @@
         if reader.expects_continue and not reader.size_so_far:
             connection.stream.send(b"HTTP/1.1 100 Continue\r\n\r\n", now + WRITE_SECONDS)
         began = now if started_at is None else started_at
-        request.rest = Upload(connection.stream, reader, began, READ_SECONDS)
+        request.rest = RequestBodyStream(connection.stream, reader, began, READ_SECONDS)
         return request
 
     def _answer(
-        self, connection: Connection, reader: MessageReader, request: Message, upload: Upload | None
-    ) -> Reply | None:
+        self,
+        connection: ClientConnection,
+        reader: MessageReader,
+        request: Message,
+        upload: RequestBodyStream | None,
+    ) -> ClientResponse | None:
         """The answer; None if the client has left."""
         stream, (method, target) = connection.stream, request.start
         path = target.split("?", 1)[0]
         if path == "/ready" and method == "GET":
             if not self._service.ready:
-                return Reply(503, [], b"out of service\n")
-            return Reply(200, [], b"ready\n") if self._is_ready() else Reply(503, [], b"starting\n")
+                return ClientResponse(503, [], b"out of service\n")
+            return (
+                ClientResponse(200, [], b"ready\n")
+                if self._is_ready()
+                else ClientResponse(503, [], b"starting\n")
+            )
         arrived_ns = now_ns = self._clock.now_ns()
         call = self._call(request, path)
         late = 0.0 if upload is not None else self._late(connection)
@@ -571,7 +583,7 @@
             return None
         self._counters.add("requests_taken")
         self.tally.open += upload is None
-        reply: Reply | None = None
+        reply: ClientResponse | None = None
         try:
             answer = self._life.live(call, deadline, ClientHandle(watch, has_left))
             if upload is not None and upload.left:
@@ -587,10 +599,10 @@
             status, headers, body = self._worded(answer)
             if self._rewrites is not None:
                 headers = self._rewrites.outward(headers, path, call.request_class)
-            reply = Reply(status, headers, body, call.request_class, _ENDS[answer.kind])
+            reply = ClientResponse(status, headers, body, call.request_class, _ENDS[answer.kind])
             reply.taken = upload is None or upload.done
             reply.last = presence.dropped > 0
-            if isinstance(answer.payload, Message) and isinstance(answer.payload.rest, Tail):
+            if isinstance(answer.payload, Message) and isinstance(answer.payload.rest, ResponseBodyStream):
                 reply.rest = answer.payload.rest
             return reply
         except DuplicateRequestError as error:
@@ -599,11 +611,11 @@
             # Else it ends with its answer's last byte.
             self.tally.open -= reply is None and (upload is None or upload.done)
 
-    def _late(self, connection: Connection) -> float:
+    def _late(self, connection: ClientConnection) -> float:
         """Seconds for which a request that was read now may have waited unseen."""
         return max(self._scheduler.late, 0.0 if connection.asked else connection.waited)
 
-    def _await_body(self, upload: Upload, left_ns: int) -> None:
+    def _await_body(self, upload: RequestBodyStream, left_ns: int) -> None:
         """The request's time begins, and it is taken, when its last byte has come."""
         left = left_ns / 1e9
         upload.wait_ms = int(left * 1000)
@@ -616,11 +628,11 @@
         if upload.done:
             whole()
 
-    def _worded(self, answer: Answer) -> tuple[int, list[Field], bytes]:
-        if answer.kind is Kind.REFUSED:
+    def _worded(self, answer: FinalResponse) -> tuple[int, list[HeaderField], bytes]:
+        if answer.kind is ResponseKind.REFUSED:
             wait = f"{answer.retry_after_ns / 1e9:.3f}"
             return 503, [("Retry-After", wait)] if answer.retry_after_ns > 0 else [], b""
-        if answer.kind is Kind.FAILED or not isinstance(answer.payload, Message):
+        if answer.kind is ResponseKind.FAILED or not isinstance(answer.payload, Message):
             return 502, [], b""
         if self._rewrites is not None:
             return 200, end_to_end(answer.payload), answer.payload.body
--- a/brambleusher/net/endpoint_list.py
+++ b/brambleusher/net/endpoint_list.py
@@ -15,22 +15,22 @@
 from brambleusher.loadbalancing.backoff import Backoff
 from brambleusher.net.entries import (
     Endpoint,
+    EndpointListError,
     EndpointListUpdate,
-    ListError,
     decode_update,
     state_of,
     state_word,
 )
-from brambleusher.net.slices import Slices, decode_steps
+from brambleusher.net.slices import EndpointListSlices, decode_steps
 from brambleusher.observability.counters import Counters
-from brambleusher.runtime.scheduler import Event, Scheduler, Task, Timeout, Timer
+from brambleusher.runtime.scheduler import Event, Scheduler, Task, TaskTimeoutError, Timer
 
 __all__ = [
     "Endpoint",
     "EndpointList",
+    "EndpointListError",
     "EndpointListUpdate",
     "Feed",
-    "ListError",
     "decode_update",
     "state_of",
     "state_word",
@@ -67,7 +67,7 @@
         self._scheduler, self._feed, self._rng, self._counters = scheduler, feed, rng, counters
         self._on_update, self._on_broken = on_update, on_broken
         self._sidecars = sidecars
-        self._slices = Slices(SMALL, SLICE) if slices else None
+        self._slices = EndpointListSlices(SMALL, SLICE) if slices else None
         self._of = 0  # the version of the list that slices come of
         self._more = Event()  # set when something waits in `_slices`
         self._telling: Task | None = None
@@ -141,7 +141,7 @@
             now = self._scheduler.now()
             try:
                 self._scheduler.park(now + backoff.pause(heard, now - began), event=self._asked)
-            except Timeout:
+            except TaskTimeoutError:
                 continue
 
     def _take(self, text: bytes) -> None:
@@ -152,7 +152,7 @@
         except ValueError as error:
             # The last good list stays.  What this one changed is unknown now: ask for all of it.
             self._counters.add("lists_rejected")
-            raise ListError(f"bad endpoint list: {error}") from None
+            raise EndpointListError(f"bad endpoint list: {error}") from None
         slices = self._slices
         if slices is None or slices.is_small(update):
             if slices is not None:
@@ -182,7 +182,7 @@
             self._more.set()  # what is urgent need not wait for the last step
             self._scheduler.breathe()
 
-    def _tell(self, slices: Slices) -> None:
+    def _tell(self, slices: EndpointListSlices) -> None:
         """The task: slice after slice, as long as any wait."""
         while True:
             self._scheduler.park(event=self._more)
--- a/brambleusher/net/entries.py
+++ b/brambleusher/net/entries.py
@@ -18,7 +18,7 @@
 MAX_SERVERS = 25_000
 
 
-class ListError(ValueError):
+class EndpointListError(ValueError):
     """A endpoint list that makes no sense."""
 
 
@@ -52,29 +52,29 @@
 def _whole(raw: dict[str, Any], key: str, default: int) -> int:
     value = raw.get(key, default)
     if isinstance(value, bool) or not isinstance(value, int) or value < 0:
-        raise ListError(f"{key} is not a whole number")
+        raise EndpointListError(f"{key} is not a whole number")
     return value
 
 
 def decode_endpoint(raw: Any) -> Endpoint:
-    """One entry; raises `ListError` where it makes no sense."""
+    """One entry; raises `EndpointListError` where it makes no sense."""
     if not isinstance(raw, dict):
-        raise ListError("an entry is not an object")
+        raise EndpointListError("an entry is not an object")
     name, address, state = raw.get("id"), raw.get("addr"), _STATES.get(str(raw.get("state")))
     if not isinstance(name, str) or not name:
-        raise ListError("an entry has no id")
+        raise EndpointListError("an entry has no id")
     if state is None:
-        raise ListError(f"the state of {name} is unknown")
+        raise EndpointListError(f"the state of {name} is unknown")
     weight = raw.get("weight", 1.0)
     if isinstance(weight, bool) or not isinstance(weight, int | float) or not 0 <= weight < math.inf:
-        raise ListError(f"the weight of {name} is not a number")
+        raise EndpointListError(f"the weight of {name} is not a number")
     try:
         where = parse_address(address) if isinstance(address, str) else None
     except ValueError:
         where = None
     if where is None:
         if state is not HostState.REMOVED:
-            raise ListError(f"the addr of {name} is not host:port")
+            raise EndpointListError(f"the addr of {name} is not host:port")
         where = ("", 0)
     entry = HostEntry(
         host=name,
@@ -90,17 +90,17 @@
 
 
 def decode_version(raw: dict[str, Any]) -> int:
-    """The version of a list; raises `ListError` where it is no number."""
+    """The version of a list; raises `EndpointListError` where it is no number."""
     return _whole(raw, "version", 0)
 
 
 def decode_update(raw: Any) -> EndpointListUpdate:
     """One object from discovery, checked whole before any of it is used."""
     if not isinstance(raw, dict):
-        raise ListError("the list is not an object")
+        raise EndpointListError("the list is not an object")
     servers = raw.get("servers")
     if not isinstance(servers, list) or len(servers) > MAX_SERVERS:
-        raise ListError("servers is missing or not a list")
+        raise EndpointListError("servers is missing or not a list")
     return EndpointListUpdate(
         decode_version(raw), raw.get("full") is True, tuple(decode_endpoint(entry) for entry in servers)
     )
--- a/brambleusher/net/http.py
+++ b/brambleusher/net/http.py
@@ -12,11 +12,11 @@
 from enum import Enum
 from http import HTTPStatus
 
-MAX_HEAD = 16 * 1024
+MAX_HEAD_BYTES = 16 * 1024
 MAX_HEADERS = 100
-MAX_BODY = 64 * 1024  # that is held whole
-MAX_PASSED = 32 * 1024 * 1024  # that passes on in pieces
-MAX_ANSWER = 1024 * 1024  # of an answer that is held whole where nothing can pass on
+MAX_BUFFERED_BODY_BYTES = 64 * 1024  # that is held whole
+MAX_STREAMED_BODY_BYTES = 32 * 1024 * 1024  # that passes on in pieces
+MAX_BUFFERED_RESPONSE_BYTES = 1024 * 1024  # of an answer that is held whole where nothing can pass on
 MAX_CHUNK_LINE = 256
 
 _TOKEN = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+\Z")
@@ -26,7 +26,7 @@
 _VERSION = re.compile(r"HTTP/1\.([01])\Z")
 _DIGITS = re.compile(r"[0-9]{1,12}\Z")
 _HEX = re.compile(rb"[0-9A-Fa-f]{1,8}\Z")
-Field = tuple[str, str]  # a header's name as it was written, and its value
+HeaderField = tuple[str, str]  # a header's name as it was written, and its value
 
 _FRAMING = frozenset({"content-length", "transfer-encoding"})
 # Headers that speak of one connection, or are written anew for the next.
@@ -61,8 +61,8 @@
     minor: int
     headers: dict[str, str]
     body: bytes = b""
-    fields: list[Field] = field(default_factory=list)  # the headers line by line, repeated ones apart
-    passed: list[Field] | None = None  # those to pass on where rewrites are on; None: the usual ones
+    fields: list[HeaderField] = field(default_factory=list)  # the headers line by line, repeated ones apart
+    passed: list[HeaderField] | None = None  # those to pass on where rewrites are on; None: the usual ones
     rest: object = None  # a body too large to be held, in place of `body`
 
     @property
@@ -77,7 +77,7 @@
         return "close" not in words and (self.minor == 1 or "keep-alive" in words)
 
 
-def _headers(lines: list[str], lenient: bool = False) -> tuple[dict[str, str], list[Field]]:
+def _headers(lines: list[str], lenient: bool = False) -> tuple[dict[str, str], list[HeaderField]]:
     """Names and values, joined by name and line by line.
 
     Where `lenient`, a value that can't be read is empty unless the framing needs it.
@@ -85,7 +85,7 @@
     if len(lines) > MAX_HEADERS:
         raise HttpError(431, "too many headers")
     headers: dict[str, str] = {}
-    fields: list[Field] = []
+    fields: list[HeaderField] = []
     for line in lines:
         name, colon, value = line.partition(":")
         value = value.strip(" \t")
@@ -195,7 +195,7 @@
 
     def __init__(self, parse: Callable[[list[str]], Message], answers: bool) -> None:
         self._parse, self._answers = parse, answers
-        self._largest = MAX_ANSWER if answers else MAX_BODY
+        self._largest = MAX_BUFFERED_RESPONSE_BYTES if answers else MAX_BUFFERED_BODY_BYTES
         self._passing = False  # larger bodies are not held: they are read by `drain`
         self._passed = 0  # of a body that is drained
         self._buffer = bytearray()
@@ -216,7 +216,7 @@
 
     def _set(self, passing: bool) -> MessageReader:
         if passing:
-            self._passing, self._largest = True, MAX_PASSED
+            self._passing, self._largest = True, MAX_STREAMED_BODY_BYTES
         return self
 
     @property
@@ -241,7 +241,7 @@
         if not self._passing or message is None:
             return False
         came = len(self._buffer) if self._length == -2 else len(message.body)
-        return self._passed > 0 or max(self._length, came) > MAX_BODY
+        return self._passed > 0 or max(self._length, came) > MAX_BUFFERED_BODY_BYTES
 
     @property
     def buffered(self) -> int:
@@ -295,7 +295,7 @@
             self._check(len(self._buffer))
             return None
         else:
-            if len(self._buffer) < self._length or self._length > MAX_BODY or self._passed:
+            if len(self._buffer) < self._length or self._length > MAX_BUFFERED_BODY_BYTES or self._passed:
                 return None
             message.body = bytes(self._buffer[: self._length])
             del self._buffer[: self._length]
@@ -343,9 +343,9 @@
         while not self._answers and buffer[:2] == b"\r\n":  # an empty line before a request is passed over
             del buffer[:2]
         end = buffer.find(b"\r\n\r\n", max(0, self._looked - 3))
-        if end < 0 or end > MAX_HEAD:
+        if end < 0 or end > MAX_HEAD_BYTES:
             self._looked = len(buffer)
-            if len(buffer) > MAX_HEAD:
+            if len(buffer) > MAX_HEAD_BYTES:
                 raise HttpError(431, "the head is too large")
             line = buffer.find(b"\n")
             if line == 0 or (line > 0 and buffer[line - 1] != 13):
--- a/brambleusher/net/request_life.py
+++ b/brambleusher/net/request_life.py
@@ -18,7 +18,7 @@
     ResponseStarted,
 )
 from brambleusher.loadbalancing.api import AttemptStatus, FailRequest, RejectRequest
-from brambleusher.runtime.scheduler import Scheduler, Timeout
+from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
 from brambleusher.runtime.system import Socket
 
 log = logging.getLogger(__name__)
@@ -26,7 +26,7 @@
 GUARD_SECONDS = 0.005  # past that moment: the module had its chance to answer
 
 
-class Kind(Enum):
+class ResponseKind(Enum):
     """What became of a request."""
 
     SERVED = "served"
@@ -35,10 +35,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class FinalResponse:
     """A final answer, before it is worded in any protocol."""
 
-    kind: Kind
+    kind: ResponseKind
     retry_after_ns: int = 0
     payload: object = None
 
@@ -51,14 +51,14 @@
     has_left: Callable[[], bool]
 
 
-class ClaimUnderWay(Protocol):
+class RunningAttempt(Protocol):
     """A claim, as the request it was made for sees it."""
 
     def call_off(self) -> None:
         """Give it up; its end is told all the same."""
 
 
-class ClaimSide(Protocol):
+class AttemptStarter(Protocol):
     """The nodes, in some protocol."""
 
     def claim(
@@ -72,7 +72,7 @@
         passing: Callable[[bool], None],
         wanted: Callable[[], bool],
         /,
-    ) -> ClaimUnderWay:
+    ) -> RunningAttempt:
         """Start a claim; `ended` is called once, whatever happens.
 
         `begun` may be called once before, with a payload: the answer is on its way out from then on.
@@ -81,13 +81,15 @@
         """
 
 
-class RequestLife:
+class RequestLifecycle:
     """Lives of requests, in whatever protocol they came."""
 
-    def __init__(self, decisions: BalancerDriver, nodes: ClaimSide, scheduler: Scheduler) -> None:
+    def __init__(self, decisions: BalancerDriver, nodes: AttemptStarter, scheduler: Scheduler) -> None:
         self._decisions, self._nodes, self._scheduler = decisions, nodes, scheduler
 
-    def live(self, call: ClientRequest, deadline: Callable[[], float], client: ClientHandle) -> Answer | None:
+    def live(
+        self, call: ClientRequest, deadline: Callable[[], float], client: ClientHandle
+    ) -> FinalResponse | None:
         """One request from its arrival to its final answer; None if its client left before.
 
         The module is asked at each point of choice: when the request comes, and whenever a claim
@@ -95,7 +97,7 @@
         goes out as it comes is whole.
         """
         ticket, began_at = self._decisions.submit(call), self._scheduler.now()
-        claims: dict[int, ClaimUnderWay] = {}
+        claims: dict[int, RunningAttempt] = {}
         ticket.cancel_attempt = lambda attempt: claims[attempt].call_off() if attempt in claims else None
 
         def wanted() -> bool:
@@ -144,34 +146,34 @@
                     served = step.outcome.status is AttemptStatus.OK
                     self._decisions.finish_attempt(ticket, step, closed=served)
                     if served:
-                        return Answer(Kind.SERVED, payload=step.outcome.payload)
+                        return FinalResponse(ResponseKind.SERVED, payload=step.outcome.payload)
                 # 4. An answer has begun: from here on it is its protocol's, and no other claim is wanted.
                 elif isinstance(step, ResponseStarted):
                     self._decisions.start_response(ticket, step)
                     for attempt, claim in claims.items():
                         if attempt != step.attempt:
                             claim.call_off()
-                    return Answer(Kind.SERVED, payload=step.payload)
+                    return FinalResponse(ResponseKind.SERVED, payload=step.payload)
                 # 5. The module has given up on it: the answer goes out at once.
                 elif isinstance(step, RejectRequest):
                     wait = min(step.retry_after_ns, self._decisions.settings.max_retry_after_ns)
-                    return Answer(Kind.REFUSED, wait)
+                    return FinalResponse(ResponseKind.REFUSED, wait)
                 else:
-                    return Answer(Kind.FAILED)
-        except Timeout:
+                    return FinalResponse(ResponseKind.FAILED)
+        except TaskTimeoutError:
             # Guards against a module that owes an answer and never gives it.
             log.error("no answer from the module", extra={"fields": {"request": call.request_id}})
             self._decisions.abandon_request(ticket)
-            return Answer(Kind.FAILED)
+            return FinalResponse(ResponseKind.FAILED)
         except Exception:
             # Guards against a request left without an answer by a fault of ours.
             log.exception("request failed", extra={"fields": {"request": call.request_id}})
             self._decisions.abandon_request(ticket)
-            return Answer(Kind.FAILED)
+            return FinalResponse(ResponseKind.FAILED)
         finally:
             self._decisions.close_request(ticket)
 
-    def _abandon(self, ticket: PendingRequest, claims: dict[int, ClaimUnderWay]) -> None:
+    def _abandon(self, ticket: PendingRequest, claims: dict[int, RunningAttempt]) -> None:
         """The client has left: nothing more is sent for it, and what is out is called off."""
         self._decisions.abandon_request(ticket)
         for claim in claims.values():
@@ -181,7 +183,7 @@
         """Wait for something to happen; true if the client is to be looked at."""
         try:
             return self._scheduler.park(deadline, client.watch(), event=ticket.event) == "socket"
-        except Timeout:
+        except TaskTimeoutError:
             # Guards against passing over a step that came in the same moment, after a late wake-up.
             if not ticket.steps:
                 raise
--- a/brambleusher/net/slices.py
+++ b/brambleusher/net/slices.py
@@ -17,8 +17,8 @@
 from brambleusher.net.entries import (
     MAX_SERVERS,
     Endpoint,
+    EndpointListError,
     EndpointListUpdate,
-    ListError,
     decode_endpoint,
     decode_update,
     decode_version,
@@ -57,9 +57,9 @@
     rest = orjson.loads(b'{"servers":[' + text[at:])
     entries = rest["servers"]
     if not isinstance(entries, list) or len(endpoints) + len(entries) > MAX_SERVERS:
-        raise ListError("servers is missing or too long")
+        raise EndpointListError("servers is missing or too long")
     if endpoints and not entries:  # guards against a comma that nothing follows
-        raise ListError("servers is not a list")
+        raise EndpointListError("servers is not a list")
     whole = {**head, **rest}
     endpoints += [decode_endpoint(entry) for entry in entries]
     return EndpointListUpdate(decode_version(whole), whole.get("full") is True, tuple(endpoints))
@@ -79,7 +79,7 @@
     return None, at
 
 
-class Slices:
+class EndpointListSlices:
     """What has been told of the list, and what is still to be told.
 
     Urgent is what takes a endpoint away that was told as ready: it drains, is gone, or another process took
--- a/brambleusher/net/upstream_pool.py
+++ b/brambleusher/net/upstream_pool.py
@@ -19,7 +19,7 @@
     Settings,
 )
 from brambleusher.loadbalancing.connection_limits import Link, Pace
-from brambleusher.net.bodies import Answered, Tail, Upload
+from brambleusher.net.bodies import EarlyResponseError, RequestBodyStream, ResponseBodyStream
 from brambleusher.net.endpoint_list import Endpoint, EndpointListUpdate
 from brambleusher.net.http import (
     HOP_BY_HOP,
@@ -32,8 +32,8 @@
 )
 from brambleusher.observability.counters import Counters
 from brambleusher.observability.log_format import SparseLog
-from brambleusher.runtime.scheduler import Event, Scheduler, Timeout
-from brambleusher.runtime.streams import Called, Stream
+from brambleusher.runtime.scheduler import Event, Scheduler, TaskTimeoutError
+from brambleusher.runtime.streams import Stream, WaitInterruptedError
 
 log = logging.getLogger(__name__)
 
@@ -92,20 +92,20 @@
 
 
 @dataclass(slots=True)
-class Node:
+class UpstreamEndpoint:
     """One endpoint: its place, its idle connections (the last used at the end), its open claims."""
 
     name: str
     address: tuple[str, int]
     started_ns: int
     idle: list[Stream]
-    claims: dict[Claim, None]  # in the order they began
+    claims: dict[UpstreamAttempt, None]  # in the order they began
     link: Link
-    waiting: deque[Claim] = field(default_factory=deque)  # for a connection
+    waiting: deque[UpstreamAttempt] = field(default_factory=deque)  # for a connection
     leaving: bool = False
 
 
-class Claim:
+class UpstreamAttempt:
     """One claim: its task, and how far it has come."""
 
     __slots__ = ("event", "began_at", "begun", "fresh", "sending", "stream", "why", "written")
@@ -143,7 +143,9 @@
         self._connect_seconds = settings.connect_timeout_ns / 1e9
         self._pace = Pace.of(settings.fleet_size, settings.conn_idle_ns / 1e9 or math.inf)
         self.listed: dict[str, Endpoint] = {}
-        self._nodes: dict[str, Node] = {}  # those of them in use, and no others: a list may have thousands
+        self._nodes: dict[
+            str, UpstreamEndpoint
+        ] = {}  # those of them in use, and no others: a list may have thousands
         self._most, self._open = most_connections, 0
         self._bad_answers = SparseLog(log, scheduler.now)
         self._bad_reports = SparseLog(log, scheduler.now)
@@ -186,7 +188,7 @@
         else:
             node.leaving = False
 
-    def _node(self, name: str) -> Node | None:
+    def _node(self, name: str) -> UpstreamEndpoint | None:
         """The record of a node that a claim is to be made on; None where none may be."""
         node = self._nodes.get(name)
         if node is not None:
@@ -194,11 +196,11 @@
         endpoint = self.listed.get(name)
         if endpoint is None or endpoint.entry.state is not HostState.READY:
             return None
-        node = Node(name, endpoint.address, endpoint.entry.started_ns, [], {}, Link(self._pace))
+        node = UpstreamEndpoint(name, endpoint.address, endpoint.entry.started_ns, [], {}, Link(self._pace))
         self._nodes[name] = node
         return node
 
-    def _leave(self, node: Node) -> None:
+    def _leave(self, node: UpstreamEndpoint) -> None:
         node.leaving = True
         self._drop(node)
         for claim in list(node.claims):
@@ -243,23 +245,27 @@
         begun: Callable[[object], None] | None = None,
         passing: Callable[[bool], None] = lambda whole: None,
         wanted: Callable[[], bool] = lambda: True,
-    ) -> Claim:
+    ) -> UpstreamAttempt:
         """Start a claim; `ended` is called once, whatever happens.
 
         It is told of an answer that is not held when its first bytes have come: the payload's `rest` is a
-        `Tail` then, and whoever takes it closes it.  `passing` is told when a body begins to pass on, and
-        when it is whole.  `begun` is never called: what it would say, `ended` does.  `wanted` is asked right
-        before the first byte is sent; where it says no, nothing is.
+        `ResponseBodyStream` then, and whoever takes it closes it.  `passing` is told when a body begins to
+        pass on, and when it is whole.  `begun` is never called: what it would say, `ended` does.  `wanted` is
+        asked right before the first byte is sent; where it says no, nothing is.
         """
         if not isinstance(payload, Message):
             raise TypeError("endpoints are spoken to in HTTP alone")
         start = self._scheduler.now()
-        claim = Claim(start)
+        claim = UpstreamAttempt(start)
         limit = min(deadline, start + timeout_ns / 1e9) if timeout_ns else deadline
 
         def tell(status: AttemptStatus, report: LoadReport | None, answer: Message | None) -> None:
             latency = int((self._scheduler.now() - claim.began_at) * 1e9)
-            drop = answer.rest.close if answer is not None and isinstance(answer.rest, Tail) else do_nothing
+            drop = (
+                answer.rest.close
+                if answer is not None and isinstance(answer.rest, ResponseBodyStream)
+                else do_nothing
+            )
             ended(AttemptOutcome(status, latency, report, answer, drop))
 
         def run() -> None:
@@ -286,8 +292,8 @@
 
     def _attempt(
         self,
-        node: Node,
-        claim: Claim,
+        node: UpstreamEndpoint,
+        claim: UpstreamAttempt,
         request: Message,
         deadline: float,
         tell: Callable[[AttemptStatus, LoadReport | None, Message | None], None],
@@ -296,7 +302,7 @@
     ) -> Ended | None:
         """How it ended; None where that was told already and the rest of its answer has passed on."""
         keep, stream = False, None
-        upload = request.rest if isinstance(request.rest, Upload) else None
+        upload = request.rest if isinstance(request.rest, RequestBodyStream) else None
         try:
             if upload is not None and upload.spent:
                 return AttemptStatus.NOT_STARTED, None, None  # guards against a body sent in part
@@ -327,7 +333,7 @@
             if status is AttemptStatus.OVERLOADED and claim.fresh:
                 node.link.full(self._scheduler.now())
                 keep = False  # guards against a place held in a full table
-            if not isinstance(answer.rest, Tail):
+            if not isinstance(answer.rest, ResponseBodyStream):
                 return status, self._report(node, answer), answer
             if status is not AttemptStatus.OK:
                 return status, self._report(node, answer), None
@@ -336,11 +342,11 @@
             self._scheduler.park(event=answer.rest.over)
             keep = answer.keep_alive and answer.rest.reusable
             return None
-        except Answered:
+        except EarlyResponseError:
             return self._early(node, stream, claim)
-        except Called:
+        except WaitInterruptedError:
             return self._called_off(claim), None, None
-        except Timeout:
+        except TaskTimeoutError:
             return AttemptStatus.TIMEOUT if claim.written else AttemptStatus.CONNECT_FAILED, None, None
         except OSError:
             return AttemptStatus.RESET if claim.written else AttemptStatus.CONNECT_FAILED, None, None
@@ -353,28 +359,33 @@
                 node.link.gives_back(self._scheduler.now(), keep)
                 self._give_back(node, claim.stream, keep or not claim.sending)
 
-    def _early(self, node: Node, stream: Stream | None, claim: Claim) -> Ended:
+    def _early(self, node: UpstreamEndpoint, stream: Stream | None, claim: UpstreamAttempt) -> Ended:
         """What a node says of a request that is not whole: it has not run, and may have been turned away."""
         try:
             assert stream is not None
             answer, _ = self._answer(stream, claim, self._scheduler.now() + REST_SECONDS)
             if status_of(answer) is AttemptStatus.OVERLOADED:
                 return AttemptStatus.OVERLOADED, self._report(node, answer), None
-        except (OSError, Timeout, HttpError, Called):
+        except (OSError, TaskTimeoutError, HttpError, WaitInterruptedError):
             pass
         return AttemptStatus.CONNECT_FAILED, None, None
 
     def _pass_on(
-        self, stream: Stream, claim: Claim, upload: Upload, head: bytes, passing: Callable[[bool], None]
+        self,
+        stream: Stream,
+        claim: UpstreamAttempt,
+        upload: RequestBodyStream,
+        head: bytes,
+        passing: Callable[[bool], None],
     ) -> None:
-        """A request's body, piece by piece as it comes; raises `Called` where the rest of it does not."""
+        """A request's body, piece by piece; raises `WaitInterruptedError` where the rest does not come."""
         now, chunked = self._scheduler.now, upload.length is None
         passing(False)
         held = upload.start()
 
         def look() -> None:
             if not stream.quiet():
-                raise Answered
+                raise EarlyResponseError
 
         stream.send(head + (chunk(held) if chunked and held else held), now() + PIECE_SECONDS)
         while True:
@@ -383,16 +394,16 @@
             except (HttpError, OSError):
                 # Its client's doing, and no last byte was written: the node has not run it.
                 claim.call_off(AttemptStatus.NOT_STARTED)
-                raise Called from None
+                raise WaitInterruptedError from None
             if piece is None:
-                raise Called
+                raise WaitInterruptedError
             if not piece:
                 break
             stream.send(chunk(piece) if chunked else piece, min(now() + PIECE_SECONDS, upload.due))
         if chunked:
             stream.send(chunk(b""), min(now() + PIECE_SECONDS, upload.due))
 
-    def _report(self, node: Node, answer: Message) -> LoadReport | None:
+    def _report(self, node: UpstreamEndpoint, answer: Message) -> LoadReport | None:
         def bad(fault: str) -> None:
             self._counters.add("bad_reports")
             self._bad_reports.warning("bad load report", node=node.name, reason=fault)
@@ -400,10 +411,10 @@
         return report_of(answer, bad)
 
     @staticmethod
-    def _called_off(claim: Claim) -> AttemptStatus:
+    def _called_off(claim: UpstreamAttempt) -> AttemptStatus:
         return claim.why if claim.why is not None and not claim.written else AttemptStatus.CANCELLED
 
-    def _connection(self, node: Node, claim: Claim, deadline: float) -> Stream | None:
+    def _connection(self, node: UpstreamEndpoint, claim: UpstreamAttempt, deadline: float) -> Stream | None:
         """The most recently used idle connection that can be trusted, else a new one, in its turn.
 
         None where this sidecar has no place left for one.  Raises as `Stream.connect` does, also where the
@@ -426,11 +437,11 @@
             self._await_turn(node, claim, min(until, now + pause))
             now = self._scheduler.now()
             if now >= until:
-                raise Timeout
+                raise TaskTimeoutError
         node.link.takes(self._scheduler.now())
         return stream
 
-    def _idle(self, node: Node, now: float) -> Stream | None:
+    def _idle(self, node: UpstreamEndpoint, now: float) -> Stream | None:
         for at in range(len(node.idle) - 1, -1, -1):
             stream = node.idle[at]
             if now < stream.used_at + REUSE_REST_SECONDS:
@@ -443,11 +454,11 @@
         return None
 
     @staticmethod
-    def _rest_left(node: Node, now: float) -> float:
+    def _rest_left(node: UpstreamEndpoint, now: float) -> float:
         """Seconds until the first of the idle connections has rested; 0 where none is idle."""
         return node.idle[0].used_at + REUSE_REST_SECONDS - now if node.idle else 0.0
 
-    def _connect(self, node: Node, claim: Claim, until: float) -> Stream:
+    def _connect(self, node: UpstreamEndpoint, claim: UpstreamAttempt, until: float) -> Stream:
         self._open += 1
         node.link.opens()
         try:
@@ -462,21 +473,21 @@
         self._counters.add("connections_opened")
         return stream
 
-    def _await_turn(self, node: Node, claim: Claim, until: float) -> None:
+    def _await_turn(self, node: UpstreamEndpoint, claim: UpstreamAttempt, until: float) -> None:
         """Wait for a connection to come back, or for the moment when one may be opened."""
         node.waiting.append(claim)
         try:
             self._scheduler.park(until, event=claim.event)
-        except Timeout:
+        except TaskTimeoutError:
             return
         finally:
             if claim in node.waiting:
                 node.waiting.remove(claim)
         if claim.why is not None:
-            raise Called
+            raise WaitInterruptedError
 
     @staticmethod
-    def _encode(request: Message, node: Node, left_ms: int) -> bytes:
+    def _encode(request: Message, node: UpstreamEndpoint, left_ms: int) -> bytes:
         if request.passed is not None:
             headers = [field for field in request.passed if field[0].lower() not in _REWRITTEN]
         else:
@@ -489,17 +500,17 @@
         if "host" not in request.headers:
             headers.insert(0, ("Host", f"{node.address[0]}:{node.address[1]}"))
         headers.append(("Request-Timeout-Ms", str(left_ms)))
-        if isinstance(request.rest, Upload):
+        if isinstance(request.rest, RequestBodyStream):
             length = request.rest.length
             framing = Framing.CHUNKS if length is None else Framing.LENGTH
             return write_request(*request.start, headers, b"", length, framing)
         return write_request(*request.start, headers, request.body)
 
-    def _answer(self, stream: Stream, claim: Claim, deadline: float) -> tuple[Message, bool]:
+    def _answer(self, stream: Stream, claim: UpstreamAttempt, deadline: float) -> tuple[Message, bool]:
         """The whole answer, and whether its connection can serve another claim.
 
-        One that is not held has a `Tail` as its `rest`.  What comes behind an answer spoils the connection,
-        not the answer.
+        One that is not held has a `ResponseBodyStream` as its `rest`.  What comes behind an answer spoils the
+        connection, not the answer.
         """
         reader, now = MessageReader.responses(passing=True), stream.scheduler.now
         interim, due = 0, deadline
@@ -508,7 +519,7 @@
             wait = due if patience is None else min(due, patience)
             try:
                 data = stream.receive(wait, claim.event)
-            except Timeout:
+            except TaskTimeoutError:
                 if patience is not None and wait == patience:
                     if reader.size:
                         return self._begun(stream, reader)
@@ -519,7 +530,7 @@
                 # Guards against a length that does not fit: the claim would wait until its deadline.
                 raise HttpError(502, "the rest of the answer did not come") from None
             if data is None:
-                raise Called
+                raise WaitInterruptedError
             if not data:
                 if (answer := reader.end()) is not None:  # framed by the connection's end
                     return answer, False
@@ -543,12 +554,12 @@
     def _begun(stream: Stream, reader: MessageReader) -> tuple[Message, bool]:
         answer = reader.head()
         assert answer is not None
-        answer.rest = Tail(stream, reader)
+        answer.rest = ResponseBodyStream(stream, reader)
         return answer, False
 
     # --- connections ----------------------------------------------------------------------------
 
-    def _give_back(self, node: Node, stream: Stream, keep: bool) -> None:
+    def _give_back(self, node: UpstreamEndpoint, stream: Stream, keep: bool) -> None:
         if not keep or node.leaving or not stream.open:
             self._discard(node, stream)
         else:
@@ -557,13 +568,13 @@
         if node.waiting:
             node.waiting.popleft().event.set()
 
-    def _discard(self, node: Node, stream: Stream) -> None:
+    def _discard(self, node: UpstreamEndpoint, stream: Stream) -> None:
         if stream.open:
             self._open -= 1
             node.link.closed()
             stream.close()
 
-    def _drop(self, node: Node) -> None:
+    def _drop(self, node: UpstreamEndpoint) -> None:
         while node.idle:
             self._discard(node, node.idle.pop())
 
--- a/brambleusher/net/watch.py
+++ b/brambleusher/net/watch.py
@@ -7,7 +7,7 @@
 from brambleusher.net.bodies import LEAST_RATE
 from brambleusher.net.http import MessageReader, write_request
 from brambleusher.net.texts import TextAssembler
-from brambleusher.runtime.scheduler import Scheduler, Timeout
+from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
 
 CONNECT_SECONDS = 1.0
@@ -18,7 +18,7 @@
 LONG_LINE = 64 * 1024  # past it, others run after each piece of one
 
 
-class WatchFailed(OSError):
+class WatchError(OSError):
     """Discovery did not answer with a watch."""
 
 
@@ -29,7 +29,7 @@
         self._scheduler, self._address = scheduler, address
 
     def __call__(self, since: int | None) -> Generator[bytes, None, None]:
-        """Lines as they come; ends with the watch, raises `Timeout` when it has gone silent."""
+        """Lines as they come; ends with the watch, raises `TaskTimeoutError` when it has gone silent."""
         now = self._scheduler.now
         stream = Stream.connect(self._scheduler, self._address, now() + CONNECT_SECONDS)
         try:
@@ -40,10 +40,10 @@
             while (head := reader.head()) is None:
                 data = stream.receive(deadline)
                 if not data:
-                    raise WatchFailed("discovery closed the connection")
+                    raise WatchError("discovery closed the connection")
                 reader.feed(data)
             if head.status != 200:
-                raise WatchFailed(f"discovery answered {head.status}")
+                raise WatchError(f"discovery answered {head.status}")
             yield from self._lines(stream, reader)
         finally:
             stream.close()
@@ -65,18 +65,18 @@
             if done:
                 return
             if len(pending) + texts.size > MAX_LINE:
-                raise WatchFailed("a line is too long")
+                raise WatchError("a line is too long")
             if len(pending) > LONG_LINE:
                 self._scheduler.breathe()
             patience = TEXT_SECONDS if texts.incomplete else SILENT_SECONDS
             # Guards against a watch that trickles: a long line has as much longer as its bytes take.
             try:
                 data = stream.receive(heard_at + patience + len(pending) / LEAST_RATE)
-            except Timeout:
+            except TaskTimeoutError:
                 if not texts.incomplete:
                     raise
                 yield texts.give_up()
                 raise
             if not data:
-                raise WatchFailed("the watch was cut")
+                raise WatchError("the watch was cut")
             reader.feed(data)
--- a/brambleusher/runtime/acceptor.py
+++ b/brambleusher/runtime/acceptor.py
@@ -5,9 +5,9 @@
 import logging
 from collections.abc import Callable
 
-from brambleusher.runtime.scheduler import Scheduler, Task, Timeout
+from brambleusher.runtime.scheduler import Scheduler, Task, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
-from brambleusher.runtime.system import READ, SHORT_OF_ROOM, Address
+from brambleusher.runtime.system import READ, RESOURCE_EXHAUSTION_ERRNOS, Address
 
 log = logging.getLogger(__name__)
 
@@ -49,7 +49,7 @@
                 self._scheduler.park(None, self._listener, READ)
                 continue
             except OSError as error:
-                if error.errno in SHORT_OF_ROOM:
+                if error.errno in RESOURCE_EXHAUSTION_ERRNOS:
                     self._scheduler.sleep(SHORT_PAUSE_S)
                 continue
             stream = Stream(self._scheduler, sock)
@@ -58,7 +58,7 @@
     def _run(self, stream: Stream, peer: str) -> None:
         try:
             self._serve(stream, peer)
-        except (OSError, Timeout):
+        except (OSError, TaskTimeoutError):
             return
         finally:
             stream.close()
--- a/brambleusher/runtime/h11_messages.py
+++ b/brambleusher/runtime/h11_messages.py
@@ -6,7 +6,7 @@
 
 import h11
 
-from brambleusher.runtime.streams import RECEIVE, Stream
+from brambleusher.runtime.streams import RECEIVE_BYTES, Stream
 
 SEND_S = 5.0  # for a peer to take a line that tells it to go on
 
@@ -18,7 +18,7 @@
     """
     while (event := connection.next_event()) is h11.NEED_DATA:
         go_on(connection, stream)
-        connection.receive_data(stream.receive(deadline, size=RECEIVE) or b"")
+        connection.receive_data(stream.receive(deadline, size=RECEIVE_BYTES) or b"")
     return event
 
 
--- a/brambleusher/runtime/http_client.py
+++ b/brambleusher/runtime/http_client.py
@@ -7,7 +7,7 @@
 import h11
 
 from brambleusher.runtime.h11_messages import next_event, whole
-from brambleusher.runtime.scheduler import Scheduler, Timeout
+from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
 from brambleusher.runtime.system import Address
 
@@ -15,7 +15,7 @@
 
 
 @dataclass(eq=False)
-class CallFailed(Exception):
+class HttpCallError(Exception):
     """A call had no whole answer."""
 
     reason: str
@@ -34,20 +34,20 @@
         self._connection = h11.Connection(h11.CLIENT)
 
     def get(self, target: str, timeout_s: float) -> tuple[int, bytes]:
-        """Status and body of a GET; raises `CallFailed`."""
+        """Status and body of a GET; raises `HttpCallError`."""
         deadline = self._scheduler.now() + timeout_s
         reused = self._stream is not None
         try:
             return self._get(target, deadline)
-        except (OSError, Timeout, h11.ProtocolError) as error:
+        except (OSError, TaskTimeoutError, h11.ProtocolError) as error:
             self.close()
             if not reused or self._scheduler.now() >= deadline:
-                raise CallFailed(f"{type(error).__name__}: {error}") from error
+                raise HttpCallError(f"{type(error).__name__}: {error}") from error
         try:  # the kept connection had ended
             return self._get(target, deadline)
-        except (OSError, Timeout, h11.ProtocolError) as error:
+        except (OSError, TaskTimeoutError, h11.ProtocolError) as error:
             self.close()
-            raise CallFailed(f"{type(error).__name__}: {error}") from error
+            raise HttpCallError(f"{type(error).__name__}: {error}") from error
 
     def close(self) -> None:
         """End the connection that is kept."""
--- a/brambleusher/runtime/http_server.py
+++ b/brambleusher/runtime/http_server.py
@@ -51,7 +51,7 @@
     return HttpResponse(status, orjson.dumps(data), headers)
 
 
-class BodyTooLarge(Exception):
+class BodyTooLargeError(Exception):
     """A request's body is over the server's bound."""
 
 
@@ -75,7 +75,7 @@
         while True:
             try:
                 request = self._read(stream, connection)
-            except BodyTooLarge:
+            except BodyTooLargeError:
                 self._answer(stream, connection, json_response(413, {"error": "the body is too large"}))
                 return
             except h11.RemoteProtocolError as error:
@@ -104,7 +104,7 @@
                 parts.append(bytes(event.data))
                 held += len(event.data)
                 if held > self._body_bytes:
-                    raise BodyTooLarge
+                    raise BodyTooLargeError
             elif isinstance(event, h11.EndOfMessage) and head is not None:
                 return self._whole(head, b"".join(parts), stream)
             else:
--- a/brambleusher/runtime/scheduler.py
+++ b/brambleusher/runtime/scheduler.py
@@ -21,14 +21,14 @@
 LATE_SECONDS = 0.05  # by which a timer has to be late for the process to be behind
 BREATH_SECONDS = 0.0005  # that others may have between two steps of long work, where they never rest
 
-__all__ = ["READ", "WRITE", "Cancelled", "Event", "Scheduler", "Task", "Timeout", "Timer"]
+__all__ = ["READ", "WRITE", "Event", "Scheduler", "Task", "TaskCancelledError", "TaskTimeoutError", "Timer"]
 
 
-class Timeout(Exception):
+class TaskTimeoutError(Exception):
     """The deadline passed before what was waited for came."""
 
 
-class Cancelled(BaseException):
+class TaskCancelledError(BaseException):
     """Raised inside a task that was called off; not an `Exception`, so that handlers let it pass."""
 
 
@@ -80,9 +80,9 @@
         self.timer: Timer | None = None
 
     def cancel(self) -> None:
-        """Raise `Cancelled` where the task is parked; a task that has ended is left alone."""
+        """Raise `TaskCancelledError` where the task is parked; a task that has ended is left alone."""
         if not self.done:
-            self.scheduler.wake(self, Cancelled())
+            self.scheduler.wake(self, TaskCancelledError())
 
 
 class Scheduler:
@@ -146,7 +146,7 @@
         events: int = READ,
         event: Event | None = None,
     ) -> str:
-        """Wait for a socket, a event or both; says which came, raises `Timeout` if neither did."""
+        """Wait for a socket, a event or both; says which came, raises `TaskTimeoutError` if neither did."""
         if event is not None and event.is_set:
             event.is_set = False
             return "event"
@@ -161,7 +161,7 @@
         if event is not None:
             task.event, event.task = event, task
         if deadline is not None:
-            task.timer = self.call_at(deadline, lambda: self.wake(task, Timeout()))
+            task.timer = self.call_at(deadline, lambda: self.wake(task, TaskTimeoutError()))
         task.parked = True
         why = self.hub.switch()
         if event is not None:
@@ -179,7 +179,7 @@
         """Let others run for a while."""
         try:
             self.park(self.now() + seconds)
-        except Timeout:
+        except TaskTimeoutError:
             return
 
     def give_way(self) -> None:
@@ -232,7 +232,7 @@
             return
         if task.sock_fd < 0 and task.event is None and task.timer is None:
             # Queued already.  A cancel must not be lost to a reason that came a moment earlier.
-            if isinstance(why, Cancelled):
+            if isinstance(why, TaskCancelledError):
                 for at, (queued, _) in enumerate(self._ready):
                     if queued is task:
                         self._ready[at] = (task, why)
@@ -335,10 +335,10 @@
 
     def _body(self, task: Task, call: Callable[..., Any], args: tuple[Any, ...], why: Any) -> None:
         try:
-            if isinstance(why, Cancelled):  # called off before its first step
+            if isinstance(why, TaskCancelledError):  # called off before its first step
                 return
             call(*args)
-        except Cancelled:
+        except TaskCancelledError:
             return
         except Exception:
             # Guards against one task's fault ending the program.
--- a/brambleusher/runtime/streams.py
+++ b/brambleusher/runtime/streams.py
@@ -6,14 +6,14 @@
 import os
 from collections.abc import Callable
 
-from brambleusher.runtime.scheduler import Event, Scheduler, Timeout
-from brambleusher.runtime.system import END_SENDING, PEEK, READ, WRITE, Address, Socket
+from brambleusher.runtime.scheduler import Event, Scheduler, TaskTimeoutError
+from brambleusher.runtime.system import PEEK, READ, SHUTDOWN_WRITE, WRITE, Address, Socket
 
-RECEIVE = 64 * 1024
+RECEIVE_BYTES = 64 * 1024
 LINGER_SECONDS, LINGER_BYTES = 0.5, 1024 * 1024
 
 
-class Called(Exception):
+class WaitInterruptedError(Exception):
     """The event was set: what was waited for is not wanted any more."""
 
 
@@ -45,9 +45,12 @@
         event: Event | None = None,
         prepare: Callable[[Socket], None] | None = None,
     ) -> Stream:
-        """A connection to `address`; raises `OSError`, `Timeout` at the deadline, `Called` at the event.
+        """Open a connection to `address`; `prepare` is called with the socket before it connects.
 
-        `prepare` is called with the socket before it connects.
+        Raises:
+            OSError: the connection could not be made.
+            TaskTimeoutError: the deadline has passed.
+            WaitInterruptedError: the event was set first.
         """
         sock = scheduler.system.connection()
         stream = cls(scheduler, sock)
@@ -57,7 +60,7 @@
             code = sock.connect_ex(address)
             if code == errno.EINPROGRESS:
                 if scheduler.park(deadline, sock, WRITE, event) == "event":
-                    raise Called
+                    raise WaitInterruptedError
                 code = scheduler.system.error_of(sock)
             if code:
                 raise OSError(code, os.strerror(code))
@@ -67,7 +70,7 @@
         return stream
 
     def receive(
-        self, deadline: float | None, event: Event | None = None, size: int = RECEIVE
+        self, deadline: float | None, event: Event | None = None, size: int = RECEIVE_BYTES
     ) -> bytes | None:
         """The next bytes, at most so many, empty at the end; None where the event was set first."""
         while True:
@@ -105,12 +108,12 @@
         Guards against a reset that overtakes the answer: closing with bytes unread sends one.
         """
         self.finished = True
-        self.sock.shutdown(END_SENDING)
+        self.sock.shutdown(SHUTDOWN_WRITE)
         deadline, left = self.scheduler.now() + seconds, most
         try:
             while left > 0 and (data := self.receive(deadline)):
                 left -= len(data)
-        except Timeout:
+        except TaskTimeoutError:
             return
 
     def close(self) -> None:
--- a/brambleusher/runtime/system.py
+++ b/brambleusher/runtime/system.py
@@ -16,11 +16,11 @@
 from greenlet import greenlet
 
 READ, WRITE = 1, 4  # poll(2)'s POLLIN and POLLOUT
-GONE_WRONG = 8 | 16 | 32  # POLLERR, POLLHUP and POLLNVAL, which come unasked
+POLL_FAILURE_EVENTS = 8 | 16 | 32  # POLLERR, POLLHUP and POLLNVAL, which come unasked
 PEEK = 2  # recv(2)'s MSG_PEEK
-END_SENDING = 1  # shutdown(2)'s SHUT_WR
+SHUTDOWN_WRITE = 1  # shutdown(2)'s SHUT_WR
 # Errors of accept that concern this process; others concern the connection, which is gone then.
-SHORT_OF_ROOM = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
+RESOURCE_EXHAUSTION_ERRNOS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 
 Address = tuple[str, int]
 Item = bytes  # whole lines, each with its line end; one item may hold several
@@ -42,7 +42,7 @@
         """Hand over bytes; says how many were taken."""
 
     def shutdown(self, how: int, /) -> None:
-        """`END_SENDING`."""
+        """`SHUTDOWN_WRITE`."""
 
     def getsockname(self) -> Any:
         """The address it is bound to: host and port first."""
--- a/brambleusher/sidecar/app.py
+++ b/brambleusher/sidecar/app.py
@@ -15,8 +15,8 @@
 from brambleusher.admin.server import AdminServer
 from brambleusher.decisions.balancer_driver import BalancerDriver, Clock, DecisionObserver, DecisionObservers
 from brambleusher.features.capture import Capture, DirSink
-from brambleusher.features.figures import DROPPED, Figures
-from brambleusher.features.output import LaneStream, Output
+from brambleusher.features.figures import DROPPED, MetricsReporter
+from brambleusher.features.output import OutputQueueStream, OutputWriter
 from brambleusher.features.records import server_entry
 from brambleusher.features.rewrites import Rewrites
 from brambleusher.features.status import DESCRIPTORS, StatusPage
@@ -29,7 +29,7 @@
 from brambleusher.loadbalancing.state_transfer import MOST_HOSTS
 from brambleusher.loadbalancing.zone_aware_balancer import balancer_for
 from brambleusher.net.client_listener import ClientListener
-from brambleusher.net.endpoint_list import EndpointList, EndpointListUpdate, ListError, decode_update
+from brambleusher.net.endpoint_list import EndpointList, EndpointListError, EndpointListUpdate, decode_update
 from brambleusher.net.upstream_pool import UpstreamPool
 from brambleusher.net.watch import HttpWatch
 from brambleusher.observability.counters import Counters
@@ -119,7 +119,7 @@
         self.scheduler = Scheduler(self.system)
         self.clock = Clock(self.system)
         self.counters = Counters()
-        self.outputs: dict[str, Output] = {}  # by where they lead
+        self.outputs: dict[str, OutputWriter] = {}  # by where they lead
         self.figures = None if operator.figures is None else self._figures(operator.figures)
         self.takeover, learnt = self._join(config), None
         if self.takeover is not None and self.takeover.processes > 1:
@@ -209,7 +209,7 @@
             update = decode_update(taught["list"])
             if taught["discovery"] != "{}:{}".format(*self.config.discovery):
                 update = replace(update, version=0)  # another discovery's
-        except (ListError, KeyError, TypeError) as error:
+        except (EndpointListError, KeyError, TypeError) as error:
             log.warning("what was handed on can't be used", extra={"fields": {"error": error}})
             return None
         self.config = replace(self.config, known=update)
@@ -241,15 +241,15 @@
     def _standing(self) -> dict[str, object] | None:
         return self.decisions.zone_status()
 
-    def _output(self, where: str, make: Callable[[], Sink]) -> Output:
+    def _output(self, where: str, make: Callable[[], Sink]) -> OutputWriter:
         if where not in self.outputs:
-            self.outputs[where] = Output(make(), where, self.system)
+            self.outputs[where] = OutputWriter(make(), where, self.system)
         return self.outputs[where]
 
-    def _stderr(self) -> Output:
+    def _stderr(self) -> OutputWriter:
         return self._output(STDERR, lambda: self.system.descriptor_sink(2))
 
-    def _figures(self, settings: FiguresSettings) -> Figures:
+    def _figures(self, settings: FiguresSettings) -> MetricsReporter:
         self.counters.also(DROPPED)
         target = settings.target
         if target.kind == "stderr":
@@ -259,7 +259,7 @@
         else:
             output = self._output("figures", lambda: self.system.datagram_sink(target.address))
         lane = output.lane(settings.buffer_kb * 1024)
-        return Figures(settings, self.config.settings, self.clock, self.counters, lane)
+        return MetricsReporter(settings, self.config.settings, self.clock, self.counters, lane)
 
     def _capture(self, settings: CaptureSettings) -> Capture:
         config, ring = self.config, settings.ring_kb * 1024
@@ -641,7 +641,7 @@
     sidecar.endpoint_list.on_step = collector.step
     if STDERR in sidecar.outputs:
         # Guards against a log line that waits, and requests with it, where a feature has filled the pipe.
-        configure(stream=LaneStream(sidecar.outputs[STDERR].lane(LOG_BYTES)), form=log_format)
+        configure(stream=OutputQueueStream(sidecar.outputs[STDERR].lane(LOG_BYTES)), form=log_format)
     sidecar.install_signals()
     try:
         try:
--- a/brambleusher/sidecar/configuration.py
+++ b/brambleusher/sidecar/configuration.py
@@ -11,7 +11,7 @@
 
 from brambleusher.loadbalancing import api
 from brambleusher.loadbalancing.settings import WireError, parse_settings
-from brambleusher.net.endpoint_list import EndpointListUpdate, ListError, decode_update
+from brambleusher.net.endpoint_list import EndpointListError, EndpointListUpdate, decode_update
 from brambleusher.runtime.streams import parse_address
 
 
@@ -117,7 +117,7 @@
         raise ConfigError(f"settings: {error}") from None
     try:
         known = decode_update(raw.get("known", {"full": True, "version": 0, "servers": []}))
-    except ListError as error:
+    except EndpointListError as error:
         raise ConfigError(f"known: {error}") from None
     return Config(
         name=_text(raw, "name", env.get("NODE_NAME")),
--- a/brambleusher/system_tools.py
+++ b/brambleusher/system_tools.py
@@ -12,7 +12,7 @@
 from brambleusher.controlplane.storage.errors import CorruptStorageError
 from brambleusher.controlplane.storage.storage import inspect
 from brambleusher.runtime.disk import FolderDisk
-from brambleusher.runtime.http_client import CallFailed, HttpClient
+from brambleusher.runtime.http_client import HttpCallError, HttpClient
 from brambleusher.runtime.real import RealSystem
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.streams import parse_address
@@ -106,7 +106,7 @@
     def ask() -> None:
         try:
             answers.append(HttpClient(scheduler, parse_address(address)).get("/api/status", CALL_S))
-        except (CallFailed, ValueError) as error:
+        except (HttpCallError, ValueError) as error:
             answers.append(str(error))
 
     scheduler.spawn(ask, name="status")
--- a/tests/lab.py
+++ b/tests/lab.py
@@ -7,7 +7,7 @@
 
 from brambleusher.lab.stand_ins.settings import Ask
 from brambleusher.lab.virtual.world import VirtualSystem, World, WorldSettings
-from brambleusher.runtime.scheduler import Scheduler, Timeout
+from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
 from brambleusher.runtime.system import Address
 
@@ -94,7 +94,7 @@
                 while data := stream.receive(scheduler.now() + wait):
                     got += data
                 return bytes(got), "end"
-            except Timeout:
+            except TaskTimeoutError:
                 return bytes(got), "silence"
             except OSError as error:
                 return bytes(got), type(error).__name__
--- a/tests/system/whole.py
+++ b/tests/system/whole.py
@@ -16,7 +16,7 @@
 from brambleusher.lab.virtual.world import Machine, Process, VirtualSystem, World, WorldSettings
 from brambleusher.runtime.acceptor import Acceptor
 from brambleusher.runtime.http_server import HttpRequest, HttpResponse, HttpServer, json_response
-from brambleusher.runtime.scheduler import Scheduler, Timeout
+from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
 from brambleusher.wire import settings as settings_reader
 from tests.system.memory_disk import MemoryDisk
@@ -469,7 +469,7 @@
             begun = scheduler.now()
             try:
                 self._call(scheduler, reply, address, method, target, headers or {}, body, begun + timeout_s)
-            except (OSError, Timeout, h11.ProtocolError) as error:
+            except (OSError, TaskTimeoutError, h11.ProtocolError) as error:
                 reply.error = type(error).__name__
             reply.seconds = scheduler.now() - begun
             reply.error = reply.error or "none"
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -9,7 +9,7 @@
 import unittest
 from typing import Any
 
-from brambleusher.admin.calls import Call, find
+from brambleusher.admin.calls import AdminCall, find
 from brambleusher.admin.server import MOST
 from brambleusher.net.http import HttpError, Message
 from tests.rig import WAIT, Discovery, Node, Rig, Script, answer, read
@@ -18,12 +18,12 @@
 class Calls(unittest.TestCase):
     def test_the_table(self) -> None:
         for method, target, call, node in (
-            ("GET", "/control/ready", Call.READY, ""),
-            ("GET", "/control/counters?now", Call.COUNTERS, ""),
-            ("POST", "/control/registry-nodes/s-5be2a07c/offline", Call.OFFLINE, "s-5be2a07c"),
-            ("POST", "/control/registry-nodes/a%2Fb%C3%A9/online", Call.ONLINE, "a/bé"),
-            ("POST", "/control/out-of-service", Call.OUT_OF_SERVICE, ""),
-            ("POST", "/control/in-service", Call.IN_SERVICE, ""),
+            ("GET", "/control/ready", AdminCall.READY, ""),
+            ("GET", "/control/counters?now", AdminCall.COUNTERS, ""),
+            ("POST", "/control/registry-nodes/s-5be2a07c/offline", AdminCall.OFFLINE, "s-5be2a07c"),
+            ("POST", "/control/registry-nodes/a%2Fb%C3%A9/online", AdminCall.ONLINE, "a/bé"),
+            ("POST", "/control/out-of-service", AdminCall.OUT_OF_SERVICE, ""),
+            ("POST", "/control/in-service", AdminCall.IN_SERVICE, ""),
         ):
             with self.subTest(target):
                 asked = find(method, target)
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -7,7 +7,14 @@
 import time
 import unittest
 
-from brambleusher.net.http import MAX_BODY, MAX_PASSED, HttpError, Message, MessageReader, chunk
+from brambleusher.net.http import (
+    MAX_BUFFERED_BODY_BYTES,
+    MAX_STREAMED_BODY_BYTES,
+    HttpError,
+    Message,
+    MessageReader,
+    chunk,
+)
 from tests.rig import WAIT, Node, Rig, Script, answer, read
 
 OK = b"HTTP/1.1 200 OK\r\n"
@@ -40,7 +47,11 @@
             ("length", b"Content-Length: %d\r\n\r\n" % len(LARGE) + LARGE, LARGE),
             ("chunks", CHUNKED + chunks(LARGE, 7001), LARGE),
             ("one chunk", CHUNKED + chunks(LARGE, len(LARGE)), LARGE),
-            ("just over", CHUNKED + chunks(LARGE[: MAX_BODY + 1], 50_000), LARGE[: MAX_BODY + 1]),
+            (
+                "just over",
+                CHUNKED + chunks(LARGE[: MAX_BUFFERED_BODY_BYTES + 1], 50_000),
+                LARGE[: MAX_BUFFERED_BODY_BYTES + 1],
+            ),
         ):
             for step in (1009, 65536, len(text) + 60):
                 with self.subTest(name, step=step):
@@ -61,7 +72,7 @@
 
     def test_more_than_passes_is_refused_said_or_found(self) -> None:
         reader = MessageReader.requests(passing=True)
-        reader.feed(b"POST / HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % (MAX_PASSED + 1))
+        reader.feed(b"POST / HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % (MAX_STREAMED_BODY_BYTES + 1))
         with self.assertRaises(HttpError) as caught:
             reader.take()
         self.assertEqual(caught.exception.status, 413)
@@ -69,7 +80,7 @@
         reader.feed(b"POST / HTTP/1.1\r\n" + CHUNKED)
         piece = chunk(bytes(1 << 20))
         with self.assertRaises(HttpError) as caught:
-            for _ in range(MAX_PASSED // (1 << 20) + 1):
+            for _ in range(MAX_STREAMED_BODY_BYTES // (1 << 20) + 1):
                 reader.feed(piece)
                 if reader.take() is None and reader.large:
                     reader.drain()
@@ -188,7 +199,9 @@
                 rig = self.rig(self.node(cut(data)))
                 with rig.send("a", "move") as sock:
                     _, body, done = whole(sock)
-                self.assertTrue(LARGE[:200_000].startswith(body) and len(body) > MAX_BODY and not done)
+                self.assertTrue(
+                    LARGE[:200_000].startswith(body) and len(body) > MAX_BUFFERED_BODY_BYTES and not done
+                )
                 self.assertEqual(
                     rig.sidecar.tally.ends["move"], {"fulfilled": 0, "throttled": 0, "faulted": 1}
                 )
@@ -205,7 +218,7 @@
         with rig.send("a", wait_ms=60_000) as sock:
             _, body, done = whole(sock)
         self.assertFalse(done)
-        self.assertLessEqual(len(body), MAX_PASSED)
+        self.assertLessEqual(len(body), MAX_STREAMED_BODY_BYTES)
         node.left.get(timeout=WAIT)
 
     def test_a_client_that_reads_nothing_holds_up_its_node_and_nobody_else(self) -> None:
@@ -214,8 +227,8 @@
         def script(sock: socket.socket, request: Message) -> None:
             if request.headers["request-id"] == "small":
                 return answer(b"mine")(sock, request)
-            sock.sendall(OK + b"Content-Length: %d\r\n\r\n" % MAX_PASSED)
-            for _ in range(MAX_PASSED >> 20):
+            sock.sendall(OK + b"Content-Length: %d\r\n\r\n" % MAX_STREAMED_BODY_BYTES)
+            for _ in range(MAX_STREAMED_BODY_BYTES >> 20):
                 sock.sendall(bytes(1 << 20))
                 sent.put(1)
 
@@ -223,7 +236,7 @@
         with rig.send("big") as sock:
             sock.recv(1)
             self.assertEqual(rig.call("small").body, b"mine")
-            self.assertLess(sent.qsize(), MAX_PASSED >> 20)
+            self.assertLess(sent.qsize(), MAX_STREAMED_BODY_BYTES >> 20)
             self.assertEqual(rig.sidecar.nodes.claims_out, 1)
         settled(rig)  # it left: so does the claim
 
@@ -330,7 +343,7 @@
         rig = self.rig(node)
         get = self.head("b", "Content-Length: 100000").replace(b"POST /move", b"GET /look")
         for text in (
-            self.head("a", f"Content-Length: {MAX_PASSED + 1}"),
+            self.head("a", f"Content-Length: {MAX_STREAMED_BODY_BYTES + 1}"),
             get.replace(b"Class: move", b"Class: look"),
         ):
             with rig.connect() as sock:
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -22,7 +22,7 @@
 from brambleusher.decisions.balancer_driver import ClientRequest, Decision
 from brambleusher.features import capture as capture_module
 from brambleusher.features.capture import Capture, DirSink
-from brambleusher.features.output import Lane
+from brambleusher.features.output import OutputQueue
 from brambleusher.features.replay import DIFFERENT, REFUSED, SAME, replay
 from brambleusher.loadbalancing import Balancer, api
 from brambleusher.loadbalancing.json_values import StateError
@@ -77,11 +77,11 @@
         return actions
 
 
-def lane() -> Lane:
-    return Lane(RealSystem().worker("lane", lambda: False, lambda: None), 1 << 30)
+def lane() -> OutputQueue:
+    return OutputQueue(RealSystem().worker("lane", lambda: False, lambda: None), 1 << 30)
 
 
-def taken(lane: Lane) -> bytes:
+def taken(lane: OutputQueue) -> bytes:
     """All that has been put."""
     out = b""
     while items := lane.take():
@@ -93,7 +93,7 @@
 class Kept:
     """A world of legal events, recorded."""
 
-    def __init__(self, ring_kb: int = 64, seed: int = 1, files: Lane | None = None) -> None:
+    def __init__(self, ring_kb: int = 64, seed: int = 1, files: OutputQueue | None = None) -> None:
         self.dumps = lane()
         self.capture = Capture(CaptureSettings(ring_kb), ASKS, SEED, EMPTY, self.dumps, files)
         self.world = World(ASKS, seed, Recorded(ASKS, self.capture))
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -11,10 +11,10 @@
 from typing import Any
 
 from brambleusher.loadbalancing.api import HostState
-from brambleusher.net.endpoint_list import ListError, decode_update
+from brambleusher.net.endpoint_list import EndpointListError, decode_update
 from brambleusher.observability.log_format import KeyValueFormatter
 from brambleusher.runtime.real import RealSystem
-from brambleusher.runtime.scheduler import Event, Scheduler, Task, Timeout
+from brambleusher.runtime.scheduler import Event, Scheduler, Task, TaskTimeoutError
 from brambleusher.sidecar.configuration import ConfigError, load_config, parse_config
 from tests.rig import SETTINGS
 
@@ -82,11 +82,11 @@
             {"started_ms": -1},
             {"cell": 1.5},
         ):
-            with self.subTest(bad), self.assertRaises(ListError):
+            with self.subTest(bad), self.assertRaises(EndpointListError):
                 decode_update({"version": 4, "full": True, "servers": [ENTRY, {**ENTRY, **bad}]})
         texts: tuple[Any, ...] = (None, [], {}, {"servers": {}}, {"servers": [], "version": "x"})
         for raw in texts:
-            with self.subTest(raw), self.assertRaises(ListError):
+            with self.subTest(raw), self.assertRaises(EndpointListError):
                 decode_update(raw)
 
 
@@ -108,7 +108,7 @@
             seen.append(scheduler.park(event=event))
             try:
                 scheduler.park(scheduler.now(), event=event)
-            except Timeout:
+            except TaskTimeoutError:
                 seen.append("timeout")
             try:
                 scheduler.park(event=event)
@@ -147,7 +147,7 @@
             held.append(weakref.ref(body))
             try:
                 scheduler.park(scheduler.now())
-            except Timeout:
+            except TaskTimeoutError:
                 return
 
         gc.disable()
--- a/tests/test_crossings_client.py
+++ b/tests/test_crossings_client.py
@@ -151,7 +151,7 @@
         """Send when the timer of the wait has fired, before the task that waited runs."""
         scheduler = rig.sidecar.scheduler
         (connection,) = rig.sidecar.places.waiting()
-        assert isinstance(connection, client_listener.Connection) and connection.task is not None
+        assert isinstance(connection, client_listener.ClientConnection) and connection.task is not None
         timer = connection.task.timer
         (due,) = [when for when, _, each in scheduler._timers if each is timer]
         scheduler.call_at(due, lambda: sock.sendall(request("r2")))
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -19,8 +19,8 @@
 from pathlib import Path
 from unittest import mock
 
-from brambleusher.features.figures import Influx, Statsd
-from brambleusher.features.output import ITEM_BYTES, Output
+from brambleusher.features.figures import InfluxFormat, StatsdFormat
+from brambleusher.features.output import ITEM_BYTES, OutputWriter
 from brambleusher.operator_settings.configuration import FiguresSettings, Target, parse_operator_file
 from brambleusher.operator_settings.section import OperatorError
 from brambleusher.runtime import sinks
@@ -64,11 +64,11 @@
             (("price-check", "peach-seats"), "attempt_ms:212|ms|#class:price-check,tenant:peach-seats"),
             (("a|b,c#d:e", "f\ng h\\"), "attempt_ms:212|ms|#class:a_b_c_d_e,tenant:f_g_h_"),
         ):
-            made = Statsd().line("attempt_ms", "ms", 212, Statsd().tags(tags), 5)
+            made = StatsdFormat().line("attempt_ms", "ms", 212, StatsdFormat().tags(tags), 5)
             self.assertEqual(made.decode(), f"brambleusher.{line}\n")
 
     def test_influx(self) -> None:
-        influx = Influx()
+        influx = InfluxFormat()
         tags = influx.tags(("a b,c=d", "e\nf\\"))
         lines = [influx.line("attempt_ms", "ms", 212, tags, at) for at in (7, 7, 6, 20)]
         start = "brambleusher.attempt_ms,class=a\\ b\\,c\\=d,tenant=e_f_ value=212i "
@@ -95,7 +95,7 @@
 class Lanes(unittest.TestCase):
     def test_a_full_lane_drops_its_oldest_lines_and_counts_them(self) -> None:
         gate = Gate()
-        out = Output(gate, "gate", RealSystem())
+        out = OutputWriter(gate, "gate", RealSystem())
         lane = out.lane(10 * (ITEM_BYTES + 4))
         lane.put([b"bad\n"])
         self.assertTrue(gate.taken.wait(WAIT))
@@ -111,7 +111,7 @@
     def test_lines_wait_for_the_flush_or_for_half_a_lane(self) -> None:
         gate = Gate()
         gate.open.set()
-        out = Output(gate, "gate", RealSystem())
+        out = OutputWriter(gate, "gate", RealSystem())
         self.addCleanup(out.close)
         lane = out.lane(10 * (ITEM_BYTES + 4))
         lane.hold(b"000\n")
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -14,7 +14,7 @@
 import pytest
 
 from brambleusher.net import upstream_pool, watch
-from brambleusher.net.client_listener import ClientListener, Connection
+from brambleusher.net.client_listener import ClientConnection, ClientListener
 from brambleusher.net.http import MessageReader
 from brambleusher.net.presence import ClientPresence
 from brambleusher.net.texts import TextAssembler
@@ -59,11 +59,11 @@
     """The listener is closed without waiting for those who come at once."""
 
 
-def no_more(connection: Connection, reader: Any) -> bool:
+def no_more(connection: ClientConnection, reader: Any) -> bool:
     return False
 
 
-def rests_always(clients: ClientListener, connection: Connection, reader: Any) -> None:
+def rests_always(clients: ClientListener, connection: ClientConnection, reader: Any) -> None:
     """A connection rests after its answer, whatever was sent ahead on it, and goes on when given up."""
     now = clients._scheduler.now()
     clients._places.rests(connection, now)
@@ -86,7 +86,7 @@
             return
         data = stream.receive(feed._scheduler.now() + watch.SILENT_SECONDS)
         if not data:
-            raise watch.WatchFailed("the watch was cut")
+            raise watch.WatchError("the watch was cut")
         reader.feed(data)
 
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -6,8 +6,8 @@
 
 from brambleusher.loadbalancing.api import AttemptStatus, LoadReport
 from brambleusher.net.http import (
-    MAX_BODY,
-    MAX_HEAD,
+    MAX_BUFFERED_BODY_BYTES,
+    MAX_HEAD_BYTES,
     ChunkedDecoder,
     HttpError,
     Message,
@@ -72,9 +72,9 @@
             ("bad chunk size", line + b"Transfer-Encoding: chunked\r\n\r\nx\r\n", 400),
             ("chunk too short", line + b"Transfer-Encoding: chunked\r\n\r\n1\r\nab\r\n", 400),
             ("chunk line too long", line + b"Transfer-Encoding: chunked\r\n\r\n1;" + b"a" * 300, 400),
-            ("body too large", line + b"Content-Length: %d\r\n\r\n" % (MAX_BODY + 1), 413),
+            ("body too large", line + b"Content-Length: %d\r\n\r\n" % (MAX_BUFFERED_BODY_BYTES + 1), 413),
             ("chunks too large", line + b"Transfer-Encoding: chunked\r\n\r\n10001\r\n" + b"a" * 65537, 413),
-            ("head too large", line + b"A: " + b"a" * MAX_HEAD, 431),
+            ("head too large", line + b"A: " + b"a" * MAX_HEAD_BYTES, 431),
             ("too many headers", line + b"A: b\r\n" * 101 + b"\r\n", 431),
         ):
             with self.subTest(name), self.assertRaises(HttpError) as caught:
@@ -82,9 +82,12 @@
             self.assertEqual(caught.exception.status, status, name)
 
     def test_the_largest_body_passes(self) -> None:
-        data = b"POST / HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % MAX_BODY + b"a" * MAX_BODY
+        data = (
+            b"POST / HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % MAX_BUFFERED_BODY_BYTES
+            + b"a" * MAX_BUFFERED_BODY_BYTES
+        )
         (message,) = fed(MessageReader.requests(), data, 8192)
-        self.assertEqual(len(message.body), MAX_BODY)
+        self.assertEqual(len(message.body), MAX_BUFFERED_BODY_BYTES)
 
 
 class Responses(unittest.TestCase):
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -11,15 +11,15 @@
 import orjson
 import pytest
 
-from brambleusher.features.blocks import BLOCK, Blocks
+from brambleusher.features.blocks import BLOCK, RowBlocks
 from brambleusher.loadbalancing import Balancer, api
 from brambleusher.loadbalancing.connection_limits import Link, Pace
 from brambleusher.loadbalancing.host_ranking import Ranks
 from brambleusher.loadbalancing.hosts import Host
 from brambleusher.loadbalancing.state_codec import restore, save
 from brambleusher.net.endpoint_list import EndpointList
-from brambleusher.net.entries import Endpoint, EndpointListUpdate, ListError, decode_update
-from brambleusher.net.slices import Slices, decode_steps
+from brambleusher.net.entries import Endpoint, EndpointListError, EndpointListUpdate, decode_update
+from brambleusher.net.slices import EndpointListSlices, decode_steps
 from brambleusher.observability.counters import Counters
 from brambleusher.runtime.real import RealSystem
 from brambleusher.runtime.scheduler import BREATH_SECONDS, Scheduler
@@ -162,7 +162,7 @@
         with pytest.raises(ValueError):
             end_of(decode_steps(bad))
     many = orjson.dumps({"version": 1, "full": True, "servers": raw_list(rng, 1)["servers"] * 25_001})
-    with pytest.raises(ListError):
+    with pytest.raises(EndpointListError):
         end_of(decode_steps(many))
 
 
@@ -188,7 +188,7 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_slices_come_to_what_the_lists_say_whatever_overtakes_what(seed: int) -> None:
     rng = random.Random(seed)
-    slices, said, heard = Slices(8, 16), dict[str, Endpoint](), dict[str, Endpoint]()
+    slices, said, heard = EndpointListSlices(8, 16), dict[str, Endpoint](), dict[str, Endpoint]()
 
     def hear(count: int) -> None:
         for _ in range(count):
@@ -215,7 +215,7 @@
 
 
 def test_what_leaves_goes_first_and_never_all_at_once() -> None:
-    slices = Slices(8, 16)
+    slices = EndpointListSlices(8, 16)
     end_of(slices.take(EndpointListUpdate(1, True, tuple(machine(f"n{at}") for at in range(1000)))))
     while slices.waiting:
         slices.next()
@@ -309,7 +309,7 @@
         assert orjson.loads(b"[" + b"".join(parts) + b"]") == names
         return names
 
-    blocks, names = Blocks(render), [f"n{at}" for at in range(3 * BLOCK)]
+    blocks, names = RowBlocks(render), [f"n{at}" for at in range(3 * BLOCK)]
     assert all_made() == []
     for name in names:
         blocks.changed(name)
--- a/tests/test_making_room.py
+++ b/tests/test_making_room.py
@@ -5,7 +5,7 @@
 import json
 import unittest
 
-from brambleusher.net.client_listener import Connection
+from brambleusher.net.client_listener import ClientConnection
 from brambleusher.runtime.real import RealSystem
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.streams import Stream
@@ -46,7 +46,7 @@
         for _ in range(count):
             stream = Waiting(self.sidecar.scheduler, waits)
             self.addCleanup(stream.close)
-            connection = Connection(stream, "p")
+            connection = ClientConnection(stream, "p")
             connection.asked = True
             self.clients._connections.add(connection)
             self.places.opened(connection, "p", 0.0)
--- a/tests/test_network_differential.py
+++ b/tests/test_network_differential.py
@@ -22,7 +22,7 @@
 
 from brambleusher.lab.virtual.world import START_NS, VirtualSystem, World, WorldSettings
 from brambleusher.runtime.real import RealSystem
-from brambleusher.runtime.system import END_SENDING, PEEK, READ, WRITE, Socket, System
+from brambleusher.runtime.system import PEEK, READ, SHUTDOWN_WRITE, WRITE, Socket, System
 
 Step = tuple[Any, ...]
 Result = Any
@@ -136,7 +136,7 @@
         return self.socks[name].recv(size, PEEK)
 
     def do_shutdown(self, name: str) -> Result:
-        return self.socks[name].shutdown(END_SENDING)
+        return self.socks[name].shutdown(SHUTDOWN_WRITE)
 
     def do_close(self, name: str) -> Result:
         return self.socks[name].close()
--- a/tests/test_rewrites.py
+++ b/tests/test_rewrites.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from brambleusher.features.rewrites import Rewrites, forward, forwarded_for
-from brambleusher.net.http import Field, MessageReader
+from brambleusher.net.http import HeaderField, MessageReader
 from brambleusher.net.passing import PROTECTED, end_to_end
 from brambleusher.operator_settings.configuration import (
     FRAMING,
@@ -159,7 +159,7 @@
         ):
             self.assertEqual(forwarded_for(client), said)
         mine = "for=192.0.2.1"
-        cases: list[tuple[list[Field], str]] = [
+        cases: list[tuple[list[HeaderField], str]] = [
             ([], mine),
             ([("forwarded", "for=a;by=b")], f"for=a;by=b, {mine}"),
             ([("Forwarded", "for=a"), ("Forwarded", 'for="[::1]"')], f'for=a, for="[::1]", {mine}'),
@@ -171,7 +171,9 @@
 
 
 class OnSockets(unittest.TestCase):
-    def exchange(self, operator: str, node: Node, cls: str, *lines: str) -> tuple[list[Field], list[Field]]:
+    def exchange(
+        self, operator: str, node: Node, cls: str, *lines: str
+    ) -> tuple[list[HeaderField], list[HeaderField]]:
         """One request with such lines: what the endpoint got, and what the client got."""
         rig = Rig([node.entry("h0")], operator)
         self.addCleanup(rig.end)
--- a/tests/test_stand_in_discovery.py
+++ b/tests/test_stand_in_discovery.py
@@ -12,9 +12,9 @@
 from brambleusher.lab.stand_ins import discovery as at_discovery
 from brambleusher.lab.stand_ins.discovery import Discovery, Entry, GarbageHow
 from brambleusher.lab.stand_ins.settings import DiscoverySettings
-from brambleusher.net.endpoint_list import ListError, decode_update
+from brambleusher.net.endpoint_list import EndpointListError, decode_update
 from brambleusher.net.http import HttpError, MessageReader
-from brambleusher.runtime.scheduler import Scheduler, Timeout
+from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
 from tests.lab import SERVER, Lab
 
@@ -59,7 +59,7 @@
                 if done:
                     return "done"
             return "cut in a line" if pending else "end"
-        except Timeout:
+        except TaskTimeoutError:
             return "silence"
         except (OSError, HttpError) as error:
             return type(error).__name__
@@ -193,7 +193,7 @@
     elif how in ("half-line", "bad-chunk"):
         assert not bad and ended == ("cut in a line" if how == "half-line" else "HttpError")
     else:
-        with pytest.raises((ValueError, ListError)):
+        with pytest.raises((ValueError, EndpointListError)):
             decode_update(json.loads(bad[0]))
         assert len(bad) == 1 and ended == "silence"  # told once
 
