--- a/benchmarks/load_lateness.py
+++ b/benchmarks/load_lateness.py
@@ -19,7 +19,7 @@
 from brambleusher.load.pacing import Pace
 from brambleusher.load.player import Play
 from brambleusher.load.processes import play
-from brambleusher.runtime.real import RealSystem
+from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.runtime.scheduler import Scheduler
 
 
--- a/benchmarks/mysql.py
+++ b/benchmarks/mysql.py
@@ -32,7 +32,7 @@
 from brambleusher.lab.mysql.server import MysqlServer, MysqlSettings, accounts
 from brambleusher.lab.virtual.world import START_NS, VirtualSystem, World
 from brambleusher.operator_settings.configuration import parse_operator_file
-from brambleusher.runtime.real import RealSystem
+from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.sidecar.app import Sidecar
 from brambleusher.sidecar.configuration import parse_config
--- a/benchmarks/system_cost.py
+++ b/benchmarks/system_cost.py
@@ -26,7 +26,7 @@
 from brambleusher.membership.line_connection import LineClient
 from brambleusher.runtime.acceptor import Acceptor
 from brambleusher.runtime.http_server import HttpRequest, HttpResponse, HttpServer, json_response
-from brambleusher.runtime.real import RealSystem
+from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.streams import Stream
 from brambleusher.wire import lines
--- a/brambleusher/admin/server.py
+++ b/brambleusher/admin/server.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from brambleusher.admin.calls import AdminCall, AdminRequest, find
+from brambleusher.admin.routes import AdminCall, AdminRequest, find
 from brambleusher.net.http import HttpError, Message, MessageReader, write_response
 from brambleusher.runtime.scheduler import Scheduler, Task, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
--- a/brambleusher/features/capture.py
+++ b/brambleusher/features/capture.py
@@ -19,7 +19,7 @@
 import orjson
 
 from brambleusher.decisions.balancer_driver import Decision, DecisionRecorder
-from brambleusher.features.output import ITEM_BYTES, OutputQueue
+from brambleusher.features.output_queue import ITEM_BYTES, OutputQueue
 from brambleusher.features.records import VERSION, action_of, chosen, event_of, seal, server_entry
 from brambleusher.loadbalancing import api
 from brambleusher.loadbalancing.settings_codec import save_settings
--- a/brambleusher/features/figures.py
+++ b/brambleusher/features/metrics_reporter.py
@@ -1,6 +1,6 @@
 """Figures for a collector: counters, a gauge and a timer by class and tenant, as statsd or influx lines.
 
-Lines wait in a lane (`features/output.py`) until the next flush; a full one drops the oldest.
+Lines wait in a lane (`features/output_queue.py`) until the next flush; a full one drops the oldest.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 from collections import Counter
 
 from brambleusher.decisions.balancer_driver import AttemptOutcome, ClientRequest, Clock, DecisionObserver
-from brambleusher.features.output import OutputQueue
+from brambleusher.features.output_queue import OutputQueue
 from brambleusher.loadbalancing import api
 from brambleusher.observability.counters import Counters
 from brambleusher.operator_settings.configuration import FiguresSettings
--- a/brambleusher/features/rewrites.py
+++ b/brambleusher/features/rewrites.py
@@ -11,8 +11,8 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
+from brambleusher.net.header_forwarding import end_to_end
 from brambleusher.net.http import HeaderField, Message
-from brambleusher.net.passing import end_to_end
 from brambleusher.operator_settings.configuration import Rule
 
 # A list whose quotes are balanced; in any other, what is appended could land inside a quote.
--- a/brambleusher/features/status.py
+++ b/brambleusher/features/status.py
@@ -16,7 +16,7 @@
 
 from brambleusher import __version__
 from brambleusher.decisions.balancer_driver import AttemptOutcome, ClientRequest, DecisionObserver
-from brambleusher.features.blocks import RowBlocks
+from brambleusher.features.row_blocks import RowBlocks
 from brambleusher.loadbalancing.api import AttemptStatus, HostState, Settings
 from brambleusher.net.endpoint_list import Endpoint, EndpointListUpdate, state_word
 from brambleusher.net.http import HttpError, Message, MessageReader, write_response
--- a/brambleusher/fronts/mysql/front.py
+++ b/brambleusher/fronts/mysql/front.py
@@ -38,8 +38,8 @@
 from brambleusher.fronts.mysql.settings import MysqlSettings
 from brambleusher.fronts.mysql.statements import Kind, Statement, Statements, words
 from brambleusher.loadbalancing.api import AttemptStatus
-from brambleusher.net.request_life import ClientHandle, FinalResponse, RequestLifecycle
-from brambleusher.net.request_life import ResponseKind as AnswerKind
+from brambleusher.net.request_lifecycle import ClientHandle, FinalResponse, RequestLifecycle
+from brambleusher.net.request_lifecycle import ResponseKind as AnswerKind
 from brambleusher.observability.counters import Counters
 from brambleusher.runtime.scheduler import Event, Scheduler, Task, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
--- a/brambleusher/lab/experiments/direct.py
+++ b/brambleusher/lab/experiments/direct.py
@@ -18,7 +18,7 @@
 from brambleusher.load.player import Play
 from brambleusher.load.processes import play
 from brambleusher.load.request import Request
-from brambleusher.runtime.real import RealSystem
+from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.system import Address
 
--- a/brambleusher/lab/experiments/matrix.py
+++ b/brambleusher/lab/experiments/matrix.py
@@ -15,7 +15,7 @@
 from brambleusher.lab.experiments.run import run
 from brambleusher.lab.experiments.store import CellResult, Store
 from brambleusher.lab.processes.parent import tied_to
-from brambleusher.runtime.real import RealSystem
+from brambleusher.runtime.operating_system import RealSystem
 
 END_SECONDS = 10.0
 Say = Callable[[str], object]
--- a/brambleusher/lab/experiments/run.py
+++ b/brambleusher/lab/experiments/run.py
@@ -32,7 +32,7 @@
 from brambleusher.load.player import Play, Player
 from brambleusher.load.request import Request
 from brambleusher.load.wording import target_of
-from brambleusher.runtime.real import RealSystem
+from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.system import Address
 
--- a/brambleusher/lab/faults/breakages.py
+++ b/brambleusher/lab/faults/breakages.py
@@ -21,12 +21,12 @@
 from brambleusher.loadbalancing.hosts import Host, Request
 from brambleusher.loadbalancing.maintenance import Service
 from brambleusher.net import client_listener as listener_module
-from brambleusher.net import entries as list_module
+from brambleusher.net import endpoint_entries as list_module
 from brambleusher.net import upstream_pool as nodes_module
 from brambleusher.net.client_listener import ClientListener
 from brambleusher.net.endpoint_list import Endpoint, EndpointList, EndpointListUpdate, Feed
 from brambleusher.net.http import Message, MessageReader
-from brambleusher.net.request_life import ClientHandle, FinalResponse, RequestLifecycle, ResponseKind
+from brambleusher.net.request_lifecycle import ClientHandle, FinalResponse, RequestLifecycle, ResponseKind
 from brambleusher.net.upstream_pool import UpstreamAttempt, UpstreamEndpoint, UpstreamPool
 from brambleusher.runtime.scheduler import TaskCancelledError
 from brambleusher.runtime.streams import Stream, WaitInterruptedError
--- a/brambleusher/lab/mysql/fuzz.py
+++ b/brambleusher/lab/mysql/fuzz.py
@@ -34,7 +34,7 @@
 )
 from brambleusher.fronts.mysql.packets import PacketReader, ProtocolError, frame, lenenc
 from brambleusher.fronts.mysql.replies import ReplyRelay
-from brambleusher.runtime.real import RealSystem
+from brambleusher.runtime.operating_system import RealSystem
 
 OLD = int(
     Capability.PROTOCOL_41
--- a/brambleusher/lab/mysql/replay.py
+++ b/brambleusher/lab/mysql/replay.py
@@ -44,7 +44,7 @@
 from brambleusher.lab.virtual.network import Connection
 from brambleusher.lab.virtual.world import START_NS, Machine, Process, Tap, VirtualSystem, World
 from brambleusher.operator_settings.configuration import parse_operator_file
-from brambleusher.runtime.real import RealSystem
+from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.system import Address
 from brambleusher.sidecar.app import Sidecar
--- a/brambleusher/lab/processes/breakages.py
+++ b/brambleusher/lab/processes/breakages.py
@@ -5,8 +5,8 @@
 from contextlib import AbstractContextManager
 
 from brambleusher.lab.faults.breakages import BREAKAGES, Breakage, Patches
-from brambleusher.net.presence import ClientPresence
-from brambleusher.runtime.real import RealSystem
+from brambleusher.net.client_presence import ClientPresence
+from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.system import Socket
 
--- a/brambleusher/lab/processes/child.py
+++ b/brambleusher/lab/processes/child.py
@@ -14,7 +14,7 @@
 import click
 
 from brambleusher.cli.serve import run
-from brambleusher.runtime.real import RealSystem
+from brambleusher.runtime.operating_system import RealSystem
 
 
 class RiggedSystem(RealSystem):
--- a/brambleusher/lab/processes/relays.py
+++ b/brambleusher/lab/processes/relays.py
@@ -16,7 +16,7 @@
 from typing import TYPE_CHECKING, Any
 
 from brambleusher.lab.virtual.network import End
-from brambleusher.runtime.real import RealSystem
+from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.runtime.scheduler import Event, Task, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
 from brambleusher.runtime.system import SHUTDOWN_WRITE, Address, Poller, Socket
--- a/brambleusher/lab/processes/up.py
+++ b/brambleusher/lab/processes/up.py
@@ -18,7 +18,7 @@
     json_line,
     text_of,
 )
-from brambleusher.runtime.real import RealSystem
+from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.runtime.scheduler import Scheduler
 
 if TYPE_CHECKING:
--- a/brambleusher/load/processes.py
+++ b/brambleusher/load/processes.py
@@ -14,7 +14,7 @@
 from brambleusher.load.demand import DemandFile
 from brambleusher.load.player import Play, Player
 from brambleusher.load.results import Results
-from brambleusher.runtime.real import RealSystem
+from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.runtime.scheduler import Scheduler
 
 LEAD_NS = 200_000_000
--- a/brambleusher/net/client_listener.py
+++ b/brambleusher/net/client_listener.py
@@ -17,7 +17,8 @@
 from brambleusher.loadbalancing.api import Idempotency
 from brambleusher.loadbalancing.connection_admission import FRESH_SECONDS, Places
 from brambleusher.loadbalancing.maintenance import Service
-from brambleusher.net.bodies import LEAST_RATE, RequestBodyStream, ResponseBodyStream
+from brambleusher.net.client_presence import ClientPresence
+from brambleusher.net.header_forwarding import HeaderRewriter, end_to_end
 from brambleusher.net.http import (
     MAX_STREAMED_BODY_BYTES,
     Framing,
@@ -28,9 +29,8 @@
     chunk,
     write_response,
 )
-from brambleusher.net.passing import HeaderRewriter, end_to_end
-from brambleusher.net.presence import ClientPresence
-from brambleusher.net.request_life import ClientHandle, FinalResponse, RequestLifecycle, ResponseKind
+from brambleusher.net.request_lifecycle import ClientHandle, FinalResponse, RequestLifecycle, ResponseKind
+from brambleusher.net.streamed_bodies import LEAST_RATE, RequestBodyStream, ResponseBodyStream
 from brambleusher.net.upstream_pool import UpstreamPool
 from brambleusher.observability.counters import Counters
 from brambleusher.observability.log_format import SparseLog
--- a/brambleusher/net/endpoint_list.py
+++ b/brambleusher/net/endpoint_list.py
@@ -13,7 +13,7 @@
 from typing import TypeVar
 
 from brambleusher.loadbalancing.backoff import Backoff
-from brambleusher.net.entries import (
+from brambleusher.net.endpoint_entries import (
     Endpoint,
     EndpointListError,
     EndpointListUpdate,
@@ -21,7 +21,7 @@
     state_of,
     state_word,
 )
-from brambleusher.net.slices import EndpointListSlices, decode_steps
+from brambleusher.net.endpoint_list_slices import EndpointListSlices, decode_steps
 from brambleusher.observability.counters import Counters
 from brambleusher.runtime.scheduler import Event, Scheduler, Task, TaskTimeoutError, Timer
 
--- a/brambleusher/net/slices.py
+++ b/brambleusher/net/endpoint_list_slices.py
@@ -14,7 +14,7 @@
 import orjson
 
 from brambleusher.loadbalancing.api import HostEntry, HostState
-from brambleusher.net.entries import (
+from brambleusher.net.endpoint_entries import (
     MAX_SERVERS,
     Endpoint,
     EndpointListError,
--- a/brambleusher/net/watch.py
+++ b/brambleusher/net/endpoint_watch.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Generator, Iterator
 
-from brambleusher.net.bodies import LEAST_RATE
 from brambleusher.net.http import MessageReader, write_request
-from brambleusher.net.texts import TextAssembler
+from brambleusher.net.json_text_assembler import TextAssembler
+from brambleusher.net.streamed_bodies import LEAST_RATE
 from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
 
--- a/brambleusher/net/upstream_pool.py
+++ b/brambleusher/net/upstream_pool.py
@@ -19,7 +19,6 @@
     Settings,
 )
 from brambleusher.loadbalancing.connection_limits import Link, Pace
-from brambleusher.net.bodies import EarlyResponseError, RequestBodyStream, ResponseBodyStream
 from brambleusher.net.endpoint_list import Endpoint, EndpointListUpdate
 from brambleusher.net.http import (
     HOP_BY_HOP,
@@ -30,6 +29,7 @@
     chunk,
     write_request,
 )
+from brambleusher.net.streamed_bodies import EarlyResponseError, RequestBodyStream, ResponseBodyStream
 from brambleusher.observability.counters import Counters
 from brambleusher.observability.log_format import SparseLog
 from brambleusher.runtime.scheduler import Event, Scheduler, TaskTimeoutError
--- a/brambleusher/operator_settings/configuration.py
+++ b/brambleusher/operator_settings/configuration.py
@@ -10,8 +10,8 @@
 from typing import TYPE_CHECKING, Any
 
 from brambleusher.loadbalancing.api import Tier, ZoneRules
+from brambleusher.net.header_forwarding import PROTECTED
 from brambleusher.net.http import HOP_BY_HOP, is_token, is_value
-from brambleusher.net.passing import PROTECTED
 from brambleusher.operator_settings.section import OperatorError, Section
 from brambleusher.runtime.streams import parse_address
 
--- a/brambleusher/runtime/system.py
+++ b/brambleusher/runtime/system.py
@@ -1,7 +1,7 @@
 """The seam: all that the program gets from the machine it runs on.
 
 The scheduler, the streams and the features reach clocks, sockets, signals, writer threads and standard
-error through a `System` alone.  `runtime/real.py` is the operating system's; another one may be a
+error through a `System` alone.  `runtime/operating_system.py` is the operating system's; another one may be a
 machine in a virtual world.  Sockets are used as the operating system's are, so that a real one is the
 very `socket.socket` and costs nothing more.
 """
--- a/brambleusher/sidecar/app.py
+++ b/brambleusher/sidecar/app.py
@@ -10,13 +10,13 @@
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING, Any
 
-from brambleusher.admin import figures as service_figures
+from brambleusher.admin import metrics_text as service_figures
 from brambleusher.admin.server import DESCRIPTORS as ADMIN_DESCRIPTORS
 from brambleusher.admin.server import AdminServer
 from brambleusher.decisions.balancer_driver import BalancerDriver, Clock, DecisionObserver, DecisionObservers
 from brambleusher.features.capture import Capture, DirSink
-from brambleusher.features.figures import DROPPED, MetricsReporter
-from brambleusher.features.output import OutputQueueStream, OutputWriter
+from brambleusher.features.metrics_reporter import DROPPED, MetricsReporter
+from brambleusher.features.output_queue import OutputQueueStream, OutputWriter
 from brambleusher.features.records import server_entry
 from brambleusher.features.rewrites import Rewrites
 from brambleusher.features.status import DESCRIPTORS, StatusPage
@@ -30,14 +30,14 @@
 from brambleusher.loadbalancing.zone_aware_balancer import balancer_for
 from brambleusher.net.client_listener import ClientListener
 from brambleusher.net.endpoint_list import EndpointList, EndpointListError, EndpointListUpdate, decode_update
+from brambleusher.net.endpoint_watch import HttpWatch
 from brambleusher.net.upstream_pool import UpstreamPool
-from brambleusher.net.watch import HttpWatch
 from brambleusher.observability.counters import Counters
 from brambleusher.observability.log_format import configure
 from brambleusher.observability.request_counts import Tally
 from brambleusher.operator_settings.configuration import CaptureSettings, FiguresSettings, OperatorFile
 from brambleusher.operator_settings.section import OperatorError
-from brambleusher.runtime.real import RealSystem
+from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.system import Sink, System
 from brambleusher.sidecar.configuration import Config, ConfigError, fixed_keys_changed
--- a/brambleusher/system_main.py
+++ b/brambleusher/system_main.py
@@ -8,7 +8,7 @@
 
 from brambleusher.observability import log_format as logs
 from brambleusher.runtime.disk import FolderDisk
-from brambleusher.runtime.real import RealSystem
+from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.wire import policy as policy_reader
 from brambleusher.wire import settings as reader
 from brambleusher.wire.errors import InvalidFileError
--- a/brambleusher/system_tools.py
+++ b/brambleusher/system_tools.py
@@ -13,7 +13,7 @@
 from brambleusher.controlplane.storage.storage import inspect
 from brambleusher.runtime.disk import FolderDisk
 from brambleusher.runtime.http_client import HttpCallError, HttpClient
-from brambleusher.runtime.real import RealSystem
+from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.streams import parse_address
 from brambleusher.wire import configuration
--- a/brambleusher/xds/discovery.py
+++ b/brambleusher/xds/discovery.py
@@ -9,9 +9,9 @@
 
 from brambleusher.decisions.balancer_driver import Clock
 from brambleusher.net.endpoint_list import EndpointList, EndpointListUpdate
-from brambleusher.net.watch import HttpWatch
+from brambleusher.net.endpoint_watch import HttpWatch
 from brambleusher.observability.counters import Counters
-from brambleusher.runtime.real import RealSystem
+from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.runtime.scheduler import Scheduler
 
 COUNTS = ("lists_taken", "lists_rejected", "watches_broken")
--- a/tests/crossing.py
+++ b/tests/crossing.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 
-from brambleusher.runtime.real import RealSystem
+from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.runtime.system import Address, Socket
 from tests.rig import WAIT, Rig
 
--- a/tests/mysql_rig.py
+++ b/tests/mysql_rig.py
@@ -16,7 +16,7 @@
 from brambleusher.lab.mysql.engine import Database
 from brambleusher.lab.mysql.server import Fault, Moment, MysqlServer, MysqlSettings, accounts
 from brambleusher.operator_settings.configuration import parse_operator_file
-from brambleusher.runtime.real import RealSystem
+from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.sidecar.app import Sidecar
 from brambleusher.sidecar.configuration import parse_config
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -9,7 +9,7 @@
 import unittest
 from typing import Any
 
-from brambleusher.admin.calls import AdminCall, find
+from brambleusher.admin.routes import AdminCall, find
 from brambleusher.admin.server import MOST
 from brambleusher.net.http import HttpError, Message
 from tests.rig import WAIT, Discovery, Node, Rig, Script, answer, read
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -22,7 +22,7 @@
 from brambleusher.decisions.balancer_driver import ClientRequest, Decision
 from brambleusher.features import capture as capture_module
 from brambleusher.features.capture import Capture, DirSink
-from brambleusher.features.output import OutputQueue
+from brambleusher.features.output_queue import OutputQueue
 from brambleusher.features.replay import DIFFERENT, REFUSED, SAME, replay
 from brambleusher.loadbalancing import Balancer, api
 from brambleusher.loadbalancing.json_values import StateError
@@ -31,7 +31,7 @@
 from brambleusher.net.endpoint_list import EndpointListUpdate
 from brambleusher.operator_settings.configuration import CaptureSettings, parse_operator_file
 from brambleusher.operator_settings.section import OperatorError
-from brambleusher.runtime.real import RealSystem
+from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.sidecar.app import memory_of_features
 from tests.rig import WAIT, Node, Rig, answer, reset
 from tests.rules import SECOND, World
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -13,7 +13,7 @@
 from brambleusher.loadbalancing.api import HostState
 from brambleusher.net.endpoint_list import EndpointListError, decode_update
 from brambleusher.observability.log_format import KeyValueFormatter
-from brambleusher.runtime.real import RealSystem
+from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.runtime.scheduler import Event, Scheduler, Task, TaskTimeoutError
 from brambleusher.sidecar.configuration import ConfigError, load_config, parse_config
 from tests.rig import SETTINGS
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -18,8 +18,8 @@
 import pytest
 
 from brambleusher.loadbalancing.backoff import MOST_OF_FEW_SECONDS, MOST_SECONDS, Backoff
-from brambleusher.net import watch
-from brambleusher.net.texts import TextAssembler
+from brambleusher.net import endpoint_watch
+from brambleusher.net.json_text_assembler import TextAssembler
 from tests.crossing import Patient, held_still
 from tests.rig import WAIT, Discovery, Node, Rig, answer, read
 
@@ -75,8 +75,8 @@
     @staticmethod
     def quick(name: str) -> AbstractContextManager[object]:
         """A short wait; one that a test of guards has made endless stays so."""
-        seconds = 0.3 if getattr(watch, name) < math.inf else math.inf
-        return mock.patch.object(watch, name, seconds)
+        seconds = 0.3 if getattr(endpoint_watch, name) < math.inf else math.inf
+        return mock.patch.object(endpoint_watch, name, seconds)
 
     def test_no_head(self) -> None:
         self.heals(lambda sock: None)
@@ -221,10 +221,10 @@
         rng = random.Random(seed)
         backoff = Backoff(sidecars, rng)
         for _ in range(200):
-            took = rng.choice([0.0, 0.01, watch.CONNECT_SECONDS, watch.ANSWER_SECONDS])
+            took = rng.choice([0.0, 0.01, endpoint_watch.CONNECT_SECONDS, endpoint_watch.ANSWER_SECONDS])
             wait = backoff.pause(False, took)
             assert 0.05 <= wait <= MOST_SECONDS
-            assert took + wait + watch.CONNECT_SECONDS < 6.0, f"seed {seed}"
+            assert took + wait + endpoint_watch.CONNECT_SECONDS < 6.0, f"seed {seed}"
             if sidecars <= 30:
                 assert wait <= MOST_OF_FEW_SECONDS
         assert backoff.pause(True, 0.0) <= 0.1
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -19,12 +19,12 @@
 from pathlib import Path
 from unittest import mock
 
-from brambleusher.features.figures import InfluxFormat, StatsdFormat
-from brambleusher.features.output import ITEM_BYTES, OutputWriter
+from brambleusher.features.metrics_reporter import InfluxFormat, StatsdFormat
+from brambleusher.features.output_queue import ITEM_BYTES, OutputWriter
 from brambleusher.operator_settings.configuration import FiguresSettings, Target, parse_operator_file
 from brambleusher.operator_settings.section import OperatorError
 from brambleusher.runtime import sinks
-from brambleusher.runtime.real import RealSystem
+from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.runtime.sinks import DescriptorSink, FileSink, append_whole, pieces
 from brambleusher.runtime.system import Item
 from tests.rig import WAIT, Node, Rig, answer, reset
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -13,11 +13,11 @@
 
 import pytest
 
-from brambleusher.net import upstream_pool, watch
+from brambleusher.net import endpoint_watch, upstream_pool
 from brambleusher.net.client_listener import ClientConnection, ClientListener
+from brambleusher.net.client_presence import ClientPresence
 from brambleusher.net.http import MessageReader
-from brambleusher.net.presence import ClientPresence
-from brambleusher.net.texts import TextAssembler
+from brambleusher.net.json_text_assembler import TextAssembler
 from brambleusher.net.upstream_pool import UpstreamPool
 from brambleusher.runtime.streams import Stream
 from brambleusher.sidecar.app import Sidecar
@@ -72,7 +72,9 @@
     connection.released = False
 
 
-def any_byte_counts(feed: watch.HttpWatch, stream: Stream, reader: Any) -> Generator[bytes, None, None]:
+def any_byte_counts(
+    feed: endpoint_watch.HttpWatch, stream: Stream, reader: Any
+) -> Generator[bytes, None, None]:
     """The clock of silence starts anew with each byte."""
     pending = bytearray()
     while True:
@@ -84,9 +86,9 @@
             yield line
         if done:
             return
-        data = stream.receive(feed._scheduler.now() + watch.SILENT_SECONDS)
+        data = stream.receive(feed._scheduler.now() + endpoint_watch.SILENT_SECONDS)
         if not data:
-            raise watch.WatchError("the watch was cut")
+            raise endpoint_watch.WatchError("the watch was cut")
         reader.feed(data)
 
 
@@ -179,19 +181,19 @@
     ),
     (
         "whole lines alone are signs of life",
-        [(watch.HttpWatch, "_lines", any_byte_counts)],
+        [(endpoint_watch.HttpWatch, "_lines", any_byte_counts)],
         test_crossings_lists.Silence,
         "test_pieces_of_a_line_without_end",
     ),
     (
         "the clock of silence",
-        [(watch, "SILENT_SECONDS", math.inf)],
+        [(endpoint_watch, "SILENT_SECONDS", math.inf)],
         test_crossings_lists.Silence,
         "test_a_head_and_nothing_more",
     ),
     (
         "the wait for a head",
-        [(watch, "ANSWER_SECONDS", math.inf)],
+        [(endpoint_watch, "ANSWER_SECONDS", math.inf)],
         test_crossings_lists.Silence,
         "test_no_head",
     ),
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -11,17 +11,17 @@
 import orjson
 import pytest
 
-from brambleusher.features.blocks import BLOCK, RowBlocks
+from brambleusher.features.row_blocks import BLOCK, RowBlocks
 from brambleusher.loadbalancing import Balancer, api
 from brambleusher.loadbalancing.connection_limits import Link, Pace
 from brambleusher.loadbalancing.host_ranking import Ranks
 from brambleusher.loadbalancing.hosts import Host
 from brambleusher.loadbalancing.state_codec import restore, save
+from brambleusher.net.endpoint_entries import Endpoint, EndpointListError, EndpointListUpdate, decode_update
 from brambleusher.net.endpoint_list import EndpointList
-from brambleusher.net.entries import Endpoint, EndpointListError, EndpointListUpdate, decode_update
-from brambleusher.net.slices import EndpointListSlices, decode_steps
+from brambleusher.net.endpoint_list_slices import EndpointListSlices, decode_steps
 from brambleusher.observability.counters import Counters
-from brambleusher.runtime.real import RealSystem
+from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.runtime.scheduler import BREATH_SECONDS, Scheduler
 from tests.rig import Discovery, Node, Rig
 from tests.test_figures import until
--- a/tests/test_making_room.py
+++ b/tests/test_making_room.py
@@ -6,7 +6,7 @@
 import unittest
 
 from brambleusher.net.client_listener import ClientConnection
-from brambleusher.runtime.real import RealSystem
+from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.streams import Stream
 from brambleusher.sidecar.app import Sidecar
--- a/tests/test_network_differential.py
+++ b/tests/test_network_differential.py
@@ -21,7 +21,7 @@
 from hypothesis import strategies as st
 
 from brambleusher.lab.virtual.world import START_NS, VirtualSystem, World, WorldSettings
-from brambleusher.runtime.real import RealSystem
+from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.runtime.system import PEEK, READ, SHUTDOWN_WRITE, WRITE, Socket, System
 
 Step = tuple[Any, ...]
--- a/tests/test_rewrites.py
+++ b/tests/test_rewrites.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 
 from brambleusher.features.rewrites import Rewrites, forward, forwarded_for
+from brambleusher.net.header_forwarding import PROTECTED, end_to_end
 from brambleusher.net.http import HeaderField, MessageReader
-from brambleusher.net.passing import PROTECTED, end_to_end
 from brambleusher.operator_settings.configuration import (
     FRAMING,
     CaptureSettings,
--- a/tests/test_seam.py
+++ b/tests/test_seam.py
@@ -11,7 +11,7 @@
 FORBIDDEN = {"time", "select", "selectors", "socket", "threading", "subprocess", "asyncio"}
 # The real implementation, and programs of their own that never run in a virtual world.
 OUTSIDE = (
-    "runtime/real.py", "runtime/sinks.py", "xds/", "cli/", "lab/control/xds_", "lab/processes/",
+    "runtime/operating_system.py", "runtime/sinks.py", "xds/", "cli/", "lab/control/xds_", "lab/processes/",
     "load/processes.py",
 )  # fmt: skip
 INSIDE = ("lab/processes/up.py", "lab/processes/parent.py")  # all the same
--- a/tests/test_stand_in_client.py
+++ b/tests/test_stand_in_client.py
@@ -16,7 +16,7 @@
 from brambleusher.lab.stand_ins.settings import Ask, ClientSettings, DiscoverySettings, NodeSettings
 from brambleusher.lab.virtual.network import Connection
 from brambleusher.lab.virtual.world import Tap
-from brambleusher.runtime.real import RealSystem
+from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.system import System
 from tests.lab import SERVER, Lab, ask
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -25,7 +25,7 @@
 from brambleusher.loadbalancing.state_codec import save
 from brambleusher.loadbalancing.state_transfer import bequeath, inherit
 from brambleusher.net.http import Message
-from brambleusher.runtime.real import RealSystem
+from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.runtime.scheduler import Scheduler
 from tests.rig import SETTINGS, WAIT, Discovery, Node, Rig, answer, read
 
