--- /dev/null
+++ b/brambleusher/handover/shared_settings.py
@@ -0,0 +1,85 @@
+"""What operators ordered of any process of one sidecar: bans, and whether it is in service.
+
+The processes keep it in one file, merged by the time of each order and replaced as a whole.
+"""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+
+from brambleusher.handover.shared_folder import SHARED_SETTINGS_FILE, JsonObject, SharedFolder
+from brambleusher.loadbalancing.maintenance import Ban, Bans
+
+log = logging.getLogger(__name__)
+
+# The keys on disk.
+_BANS, _SERVICE, _CHANGED, _IN_SERVICE = "bans", "service", "said", "wanted"
+
+
+class SharedSettingsError(ValueError):
+    """Shared settings that can't be used; the message names the key."""
+
+
+@dataclass(frozen=True, slots=True)
+class SharedSettings:
+    """Orders of operators; `service_changed_ns` is the time of the last one about the service (0: none)."""
+
+    bans: Mapping[str, Ban]
+    is_in_service: bool = True
+    service_changed_ns: int = 0
+
+    def encode(self) -> JsonObject:
+        """Return the form on disk."""
+        return {
+            _BANS: {host: [ban.since, ban.ended] for host, ban in self.bans.items()},
+            _SERVICE: {_CHANGED: self.service_changed_ns, _IN_SERVICE: self.is_in_service},
+        }
+
+    @classmethod
+    def decode(cls, raw: JsonObject) -> SharedSettings:
+        """Parse the form on disk; a key that is missing has its default.
+
+        Raises:
+            SharedSettingsError: A value is not of its kind.
+        """
+        try:
+            bans = Bans.read(raw.get(_BANS, {}))
+        except ValueError as error:
+            raise SharedSettingsError(str(error)) from None
+        service = raw.get(_SERVICE, {_CHANGED: 0, _IN_SERVICE: True})
+        if not isinstance(service, dict):
+            raise SharedSettingsError(f"{_SERVICE} is not an object")
+        try:
+            return cls(bans, bool(service[_IN_SERVICE]), int(service[_CHANGED]))
+        except KeyError as error:
+            raise SharedSettingsError(f"{_SERVICE}.{error.args[0]} is missing") from None
+        except (ValueError, TypeError):
+            raise SharedSettingsError(f"{_SERVICE}.{_CHANGED} is not a time") from None
+
+
+class SharedSettingsStore:
+    """The file of the shared settings."""
+
+    def __init__(self, folder: SharedFolder) -> None:
+        self._folder = folder
+
+    def read(self) -> SharedSettings | None:
+        """Return the shared settings; None where there are none that can be used, which is logged."""
+        raw = self._folder.read(SHARED_SETTINGS_FILE)
+        if raw is None:
+            return None
+        try:
+            return SharedSettings.decode(raw)
+        except SharedSettingsError as error:
+            log.warning("shared settings rejected", extra={"fields": {"error": error}})
+            return None
+
+    def update(self, merge: Callable[[SharedSettings | None], SharedSettings]) -> None:
+        """Replace the settings by what `merge` returns, under the folder's lock; a failure is logged."""
+        try:
+            with self._folder.exclusive_lock():
+                self._folder.write(SHARED_SETTINGS_FILE, merge(self.read()).encode())
+        except OSError as error:
+            log.exception("shared settings not written", extra={"fields": {"error": error}})
--- a/brambleusher/sidecar/app.py
+++ b/brambleusher/sidecar/app.py
@@ -8,7 +8,7 @@
 import signal
 from collections.abc import Callable
 from dataclasses import dataclass, replace
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from brambleusher.admin import metrics_text as service_figures
 from brambleusher.admin.server import DESCRIPTORS as ADMIN_DESCRIPTORS
@@ -20,8 +20,12 @@
 from brambleusher.features.records import server_entry
 from brambleusher.features.rewrites import Rewrites
 from brambleusher.features.status import DESCRIPTORS, StatusPage
-from brambleusher.handover.process_registry import DESCRIPTORS as TAKEOVER_DESCRIPTORS
-from brambleusher.handover.process_registry import Stage, Takeover, folder_for
+from brambleusher.handover.process_group import ProcessGroup
+from brambleusher.handover.process_registry import DESCRIPTORS as HANDOVER_DESCRIPTORS
+from brambleusher.handover.process_registry import ProcessStage
+from brambleusher.handover.shared_folder import folder_path
+from brambleusher.handover.shared_settings import SharedSettings
+from brambleusher.handover.state_transfer import TransferredState
 from brambleusher.loadbalancing import Balancer
 from brambleusher.loadbalancing.api import HostEntry, ListKind, Settings
 from brambleusher.loadbalancing.connection_admission import Places
@@ -121,12 +125,12 @@
         self.counters = Counters()
         self.outputs: dict[str, OutputWriter] = {}  # by where they lead
         self.figures = None if operator.figures is None else self._figures(operator.figures)
-        self.takeover, learnt = self._join(config), None
-        if self.takeover is not None and self.takeover.processes > 1:
-            learnt = self._taught(self.takeover)
+        self.process_group, balancer_state = self._join(config), None
+        if self.process_group is not None and self.process_group.registry.process_count > 1:
+            balancer_state = self._import_state(self.process_group)
         config = self.config
         self._operator = operator
-        rooms = self._rooms(1.0 if self.takeover is None else self.takeover.room)
+        rooms = self._rooms(1.0 if self.process_group is None else self.process_group.shares.connections)
         self.tally = Tally(cls.name for cls in config.settings.classes)
         self.nodes = UpstreamPool(self.scheduler, config.settings, self.counters, rooms.nodes, self._relayed)
         self.admin_server = None if config.admin is None else AdminServer(self.scheduler, self)
@@ -140,7 +144,7 @@
         observers: list[DecisionObserver] = [each for each in (self.figures, self.status) if each is not None]
         self.decisions = BalancerDriver(
             config.settings, config.seed, self.scheduler, self.clock, self.counters,
-            DecisionObservers(observers) if observers else None, self.capture, make, learnt,
+            DecisionObservers(observers) if observers else None, self.capture, make, balancer_state,
         )  # fmt: skip
         self.endpoint_list = EndpointList(
             self.scheduler,
@@ -172,8 +176,8 @@
         spare = SPARE_DESCRIPTORS + (DESCRIPTORS if operator.status is not None else 0)
         if self.config.admin is not None:
             spare += ADMIN_DESCRIPTORS
-        if self.takeover is not None:
-            spare += TAKEOVER_DESCRIPTORS
+        if self.process_group is not None:
+            spare += HANDOVER_DESCRIPTORS
         if operator.mysql is not None:
             memory -= self._memory_of_mysql(operator.mysql, memory)
             spare += self._descriptors_of_mysql(operator.mysql, limits.sockets - spare)
@@ -184,59 +188,59 @@
         for_nodes = max(int(places * NODE_PART), 8)
         return Rooms(for_nodes, max(places - for_nodes, 8))
 
-    def _join(self, config: Config) -> Takeover | None:
-        """Be one of this sidecar's processes, where the platform lets it be several."""
+    def _join(self, config: Config) -> ProcessGroup | None:
+        """Register as one of this sidecar's processes, where the platform lets it be several."""
         self._succeeds = False  # another process serves
         if config.listener_fd is None or config.shared_dir is None:
             return None
-        takeover = Takeover(folder_for(config.shared_dir, config.name), self.scheduler)
+        group = ProcessGroup(
+            folder_path(config.shared_dir, config.name), self._parted, self._shared, self._export_state
+        )
         try:
-            self._succeeds = takeover.join()
+            self._succeeds = group.registry.join()
         except OSError as error:
             # Guards against a sidecar that doesn't serve for want of what is a help in an upgrade alone.
-            log.error("no folder to share", extra={"fields": {"error": error}})
+            log.error("process registry unavailable", extra={"fields": {"error": error}})
             return None
-        takeover.on_shared, takeover.on_parts = self._shared, self._parted
-        takeover.learnt = self._learnt
-        return takeover
-
-    def _taught(self, takeover: Takeover) -> Any:
-        """Take over the list of the process that serves; what its module has learnt."""
-        taught = takeover.taught(self.system.sleep, self.system.monotonic)
-        if taught is None:
+        return group
+
+    def _import_state(self, group: ProcessGroup) -> object:
+        """Take over the endpoint list of the process that serves; return its balancer's state."""
+        state = group.transfer.receive(self.system.sleep, self.system.monotonic)
+        if state is None:
             return None
         try:
-            update = decode_update(taught["list"])
-            if taught["discovery"] != "{}:{}".format(*self.config.discovery):
-                update = replace(update, version=0)  # another discovery's
-        except (EndpointListError, KeyError, TypeError) as error:
-            log.warning("what was handed on can't be used", extra={"fields": {"error": error}})
+            update = decode_update(state.endpoint_list)
+        except EndpointListError as error:
+            log.warning("transferred state rejected", extra={"fields": {"error": error}})
             return None
+        if state.discovery != "{}:{}".format(*self.config.discovery):
+            update = replace(update, version=0)  # another discovery's
         self.config = replace(self.config, known=update)
-        return taught.get("state")
+        return state.balancer
 
-    def _learnt(self) -> dict[str, Any] | None:
+    def _export_state(self) -> TransferredState | None:
         if len(self.nodes.listed) > MOST_HOSTS:
             return None
         servers = [
             server_entry(self.bans.raw(name) or endpoint.entry, "{}:{}".format(*endpoint.address))
             for name, endpoint in self.nodes.listed.items()
         ]
-        return {
-            "list": {"version": self._version, "full": True, "servers": servers},
-            "discovery": "{}:{}".format(*self.config.discovery),
-            "state": self.decisions.export_state(),
-        }
+        return TransferredState(
+            endpoint_list={"version": self._version, "full": True, "servers": servers},
+            discovery="{}:{}".format(*self.config.discovery),
+            balancer=self.decisions.export_state(),
+        )
 
     def _parted(self) -> None:
         """Other processes came, went or went on: what this one may hold, and send to cold nodes."""
-        if self.takeover is None:
+        if self.process_group is None:
             return
-        room = self._rooms(self.takeover.room)
+        room = self._rooms(self.process_group.shares.connections)
         self.nodes.resize(room.nodes)
         self.places.most = room.clients
         self.places.asking = min(room.clients, max(int(self.config.limits.sockets * ASKING_PART), 8))
-        self.decisions.set_process_share(self.takeover.sends)
+        self.decisions.set_process_share(self.process_group.shares.sending)
 
     def _standing(self) -> dict[str, object] | None:
         return self.decisions.zone_status()
@@ -313,7 +317,7 @@
     def start(self) -> tuple[str, int]:
         """Listen and follow the endpoint list; says where it listens."""
         known = self.config.known
-        if self.takeover is not None and (shared := self.takeover.shared()) is not None:
+        if self.process_group is not None and (shared := self.process_group.settings.read()) is not None:
             self._shared(shared)  # said before this process began
         self.endpoint_list.hold(known)
         known = self._effective(known)
@@ -336,10 +340,10 @@
             except OSError as error:
                 raise ConfigError(f"admin_addr: {error.strerror}") from None
             log.info("admin endpoint", extra={"fields": {"address": f"{host}:{port}"}})
-        if self.takeover is not None:
-            if self.takeover.processes > 1:
-                self.decisions.set_process_share(self.takeover.sends)
-            self.scheduler.spawn(self.takeover.watch, name="takeover", urgent=True)
+        if self.process_group is not None:
+            if self.process_group.registry.process_count > 1:
+                self.decisions.set_process_share(self.process_group.shares.sending)
+            self.process_group.watch(self.scheduler)
         where = self._listen()
         log.info(
             "listening", extra={"fields": {"node": self.config.name, "address": f"{where[0]}:{where[1]}"}}
@@ -365,8 +369,8 @@
         if self._ending:
             return
         self.clients.accept()
-        if self.takeover is not None:
-            self.takeover.stage(Stage.SERVING)
+        if self.process_group is not None:
+            self.process_group.registry.set_stage(ProcessStage.SERVING)
         log.info("serving", extra={"fields": {"succeeds": self._succeeds}})
 
     def run(self) -> None:
@@ -387,8 +391,8 @@
         """Release what the scheduler holds, and write what waits to be written."""
         if self.admin_server is not None:
             self.admin_server.close()
-        if self.takeover is not None:
-            self.takeover.leave()
+        if self.process_group is not None:
+            self.process_group.registry.leave()
         self.scheduler.close()
         for output in self.outputs.values():
             output.close()
@@ -466,29 +470,22 @@
 
     def _share(self) -> None:
         """Tell the other processes of this sidecar what operators have said, and what they will have."""
-        if self.takeover is None:
+        if self.process_group is None:
             return
 
-        def merge(shared: dict[str, Any]) -> dict[str, Any]:
-            self._shared(shared)
-            service = {"said": self._service_said, "wanted": self.service.ready}
-            return {"bans": self.bans.said(), "service": service}
+        def merge(shared: SharedSettings | None) -> SharedSettings:
+            if shared is not None:
+                self._shared(shared)
+            return SharedSettings(dict(self.bans.bans), self.service.ready, self._service_said)
 
-        self.takeover.share(merge)
+        self.process_group.settings.update(merge)
 
-    def _shared(self, shared: dict[str, Any]) -> None:
+    def _shared(self, shared: SharedSettings) -> None:
         """Another process, now or before, was told this by operators: the last call counts."""
-        try:
-            bans = Bans.read(shared.get("bans", {}))
-            service = shared.get("service", {"said": 0, "wanted": True})
-            said, wanted = int(service["said"]), bool(service["wanted"])
-        except (ValueError, KeyError, TypeError) as error:
-            log.warning("what is shared can't be used", extra={"fields": {"error": error}})
-            return
-        for entry in self.bans.merge(bans):
+        for entry in self.bans.merge(shared.bans):
             self._tell(entry)
-        if said > self._service_said:
-            self._want(wanted, said)
+        if shared.service_changed_ns > self._service_said:
+            self._want(shared.is_in_service, shared.service_changed_ns)
 
     def _tell(self, entry: HostEntry | None) -> None:
         """What a ban makes of a node, where it makes a difference."""
@@ -570,12 +567,12 @@
             log.warning("can't change in a running sidecar", extra={"fields": {"key": "zones"}})
 
     def _serve_on(self) -> None:
-        handed = self.takeover is not None and self.takeover.has_successor()
+        handed = self.process_group is not None and self.process_group.registry.has_successor()
         log.info(
             "ending", extra={"fields": {"owed": self.decisions.unanswered_requests, "handed_over": handed}}
         )
-        if self.takeover is not None:
-            self.takeover.stage(Stage.LEAVING)
+        if self.process_group is not None:
+            self.process_group.registry.set_stage(ProcessStage.DRAINING)
         if handed:
             self.service.retire(self.scheduler.now())
             self.clients.hand_over()
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -14,14 +14,21 @@
 import threading
 import time
 import unittest
+from collections.abc import Callable
 from itertools import product
 from pathlib import Path
 from typing import Any
 from unittest import mock
 
-from brambleusher.handover.process_registry import ROOM, SENDS, Stage, Takeover, folder_for, part_of
+from brambleusher.handover.folder_watcher import FolderWatcher
+from brambleusher.handover.limit_shares import CONNECTION_WEIGHTS, SENDING_WEIGHTS, share_of
+from brambleusher.handover.process_registry import ProcessRegistry, ProcessStage
+from brambleusher.handover.shared_folder import SharedFolder, folder_path
+from brambleusher.handover.shared_settings import SharedSettings, SharedSettingsStore
+from brambleusher.handover.state_transfer import StateTransfer, TransferredState
 from brambleusher.loadbalancing import Balancer, api
 from brambleusher.loadbalancing.json_values import StateError
+from brambleusher.loadbalancing.maintenance import Ban
 from brambleusher.loadbalancing.state_codec import save
 from brambleusher.loadbalancing.state_transfer import bequeath, inherit
 from brambleusher.net.http import Message
@@ -36,28 +43,31 @@
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        self.folder = folder_for(folder.name, "n/0")
+        self.folder = folder_path(folder.name, "n/0")
         self.scheduler = Scheduler(RealSystem())
         self.addCleanup(self.scheduler.close)
 
-    def process(self, pid: int) -> Takeover:
-        process = Takeover(self.folder, self.scheduler, pid)
+    def process(self, pid: int) -> ProcessRegistry:
+        process = ProcessRegistry(SharedFolder(self.folder, pid))
         self.addCleanup(process.leave)
         return process
 
+    def settings(self, pid: int) -> SharedSettingsStore:
+        return SharedSettingsStore(SharedFolder(self.folder, pid))
+
     def test_a_process_is_there_as_long_as_it_lives(self) -> None:
         first, second = self.process(1), self.process(2)
         self.assertFalse(first.join())
         self.assertFalse(second.join(), "the first is there and does not serve")
-        self.assertEqual(second.processes, 2)
-        first.stage(Stage.SERVING)
+        self.assertEqual(second.process_count, 2)
+        first.set_stage(ProcessStage.SERVING)
         self.assertTrue(second.has_successor())
-        first.stage(Stage.LEAVING)
+        first.set_stage(ProcessStage.DRAINING)
         self.assertFalse(second.has_successor(), "one that leaves takes over nothing")
-        os.close(first._lock)  # as SIGKILL does: its file stays
-        first._lock = -1
+        os.close(first._lock_fd)  # as SIGKILL does: its file stays
+        first._lock_fd = -1
         self.assertFalse(second.has_successor())
-        self.assertEqual((second.processes, len(os.listdir(self.folder))), (1, 1))
+        self.assertEqual((second.process_count, len(os.listdir(self.folder))), (1, 1))
 
     def test_one_that_joins_is_never_seen_without_its_lock(self) -> None:
         """Guards against being taken for a process that was killed, whose file is removed."""
@@ -73,52 +83,86 @@
         with mock.patch("fcntl.flock", flock):
             new.join()
         self.assertTrue(seen)
-        new.stage(Stage.SERVING)
+        new.set_stage(ProcessStage.SERVING)
         self.assertTrue(old.has_successor())
 
     def test_parts_never_come_to_more_than_the_whole(self) -> None:
-        for stages in product(Stage, repeat=3):
-            for parts in (ROOM, SENDS):
+        for stages in product(ProcessStage, repeat=3):
+            for parts in (CONNECTION_WEIGHTS, SENDING_WEIGHTS):
                 with self.subTest(stages):
                     taken = [
-                        part_of(parts, own, stages[:at] + stages[at + 1 :]) for at, own in enumerate(stages)
+                        share_of(parts, own, stages[:at] + stages[at + 1 :]) for at, own in enumerate(stages)
                         if parts[own]
                     ]  # fmt: skip
                     self.assertLessEqual(sum(taken), 1.0 + 1e-9)
-        self.assertEqual(part_of(SENDS, Stage.SERVING, [Stage.STARTING]), 1.0)
+        self.assertEqual(share_of(SENDING_WEIGHTS, ProcessStage.SERVING, [ProcessStage.STARTING]), 1.0)
 
-    def test_what_is_said_to_both_is_merged(self) -> None:
-        first, second = self.process(1), self.process(2)
-        first.join(), second.join()
-        first.share(lambda shared: {**shared, "a": 1})
-        second.share(lambda shared: {**shared, "b": 2})
-        self.assertEqual(first.shared(), {"v": 1, "a": 1, "b": 2})
+    def test_settings_changed_by_both_are_merged(self) -> None:
+        self.process(1).join(), self.process(2).join()
+        first, second = self.settings(1), self.settings(2)
 
-    def test_a_file_that_can_not_be_used_is_a_start_from_nothing(self) -> None:
-        process = self.process(1)
+        def ban(host: str, since: int) -> Callable[[SharedSettings | None], SharedSettings]:
+            return lambda shared: SharedSettings({**(shared.bans if shared else {}), host: Ban(since)})
+
+        first.update(ban("a", 1))
+        second.update(ban("b", 2))
+        self.assertEqual(first.read(), SharedSettings({"a": Ban(1), "b": Ban(2)}))
+
+    def test_the_files_keep_their_names_and_bytes(self) -> None:
+        """Guards against two versions of the program that don't understand each other in an upgrade."""
+        process = self.process(7)
         process.join()
+        names = {"starting-7": None, "serving-7": ProcessStage.SERVING, "leaving-7": ProcessStage.DRAINING}
+        for name, stage in names.items():
+            if stage is not None:
+                process.set_stage(stage)
+            self.assertEqual([path.name for path in self.folder.iterdir()], [name])
+        settings = SharedSettings({"h0": Ban(5), "h1": Ban(6, 9)}, False, 8)
+        self.settings(7).update(lambda shared: settings)
+        shared = b'{"v":1,"bans":{"h0":[5,0],"h1":[6,9]},"service":{"said":8,"wanted":false}}'
+        self.assertEqual((self.folder / "shared.json").read_bytes(), shared)
+        self.assertEqual(self.settings(7).read(), settings)
+        state = TransferredState({"version": 3, "full": True, "servers": []}, "10.0.0.1:80", {"a": [1.5]})
+        StateTransfer(SharedFolder(self.folder, 7), lambda: state).offer(9)
+        learnt = (
+            b'{"v":1,"list":{"version":3,"full":true,"servers":[]},"discovery":"10.0.0.1:80",'
+            b'"state":{"a":[1.5]}}'
+        )
+        self.assertEqual((self.folder / "learnt-9.json").read_bytes(), learnt)
+
+    def test_a_file_that_can_not_be_used_is_a_start_from_nothing(self) -> None:
+        self.process(1).join()
+        settings = self.settings(1)
         for text in (b"", b'{"v":1,"bans":', b"[]", b'{"v":99}', b"\xff\xfe"):
-            with self.subTest(text), self.assertLogs("brambleusher.handover.process_registry", "WARNING"):
+            with self.subTest(text), self.assertLogs("brambleusher.handover.shared_folder", "WARNING"):
                 (self.folder / "shared.json").write_bytes(text)
-                self.assertIsNone(process.shared())
-        process.share(lambda shared: {**shared, "a": 1})  # and it is whole again
-        self.assertEqual(process.shared(), {"v": 1, "a": 1})
+                self.assertIsNone(settings.read())
+        for text in (b'{"v":1,"bans":[]}', b'{"v":1,"bans":{"h":[1]}}', b'{"v":1,"service":{"said":1}}'):
+            with self.subTest(text), self.assertLogs("brambleusher.handover.shared_settings", "WARNING"):
+                (self.folder / "shared.json").write_bytes(text)
+                self.assertIsNone(settings.read())
+        settings.update(lambda shared: SharedSettings({"a": Ban(1)}))  # and it is whole again
+        self.assertEqual(settings.read(), SharedSettings({"a": Ban(1)}))
 
     def test_a_newcomer_is_taught_by_the_one_that_serves(self) -> None:
+        state = TransferredState({"version": 7}, "10.0.0.1:80", {"a": 1})
         old, new = self.process(1), self.process(2)
+        transfer = StateTransfer(SharedFolder(self.folder, 1), lambda: state)
         old.join()
-        old.learnt = lambda: {"list": 7}
-        old.stage(Stage.SERVING)
+        old.set_stage(ProcessStage.SERVING)
         new.join()
-        old._look(True)
-        self.assertEqual(new.taught(lambda s: None, lambda: 0.0), {"v": 1, "list": 7})
+        watcher = FolderWatcher(
+            self.folder, self.scheduler, old, self.settings(1), transfer, lambda settings: None
+        )
+        watcher.look(is_changed=True)
+        received = StateTransfer(SharedFolder(self.folder, 2)).receive(lambda s: None, lambda: 0.0)
+        self.assertEqual(received, state)
         third = self.process(3)
         third.join()
         clock = iter(range(100))
-        with self.assertLogs(
-            "brambleusher.handover.process_registry", "WARNING"
-        ):  # the others are silent: it starts all the same
-            self.assertIsNone(third.taught(lambda s: None, lambda: float(next(clock))))
+        silent = StateTransfer(SharedFolder(self.folder, 3))
+        with self.assertLogs("brambleusher.handover.state_transfer", "WARNING"):  # it starts all the same
+            self.assertIsNone(silent.receive(lambda s: None, lambda: float(next(clock))))
 
     def test_the_module_goes_on_without_the_requests(self) -> None:
         settings = api.Settings(
