--- a/brambleusher/loadbalancing/state_codec.py
+++ b/brambleusher/loadbalancing/state_codec.py
@@ -1,8 +1,8 @@
-"""A `Balancer`'s whole state as plain JSON values, and a `Balancer` that goes on from them.
+"""A `Balancer`'s whole state as plain JSON values, and a `Balancer` that continues from them.
 
-For records that begin in mid-service: the same events after the same state lead to the same
-actions, in another process as well.  Hosts and requests refer to each other, so both are kept in
-tables and referred to by place.  Nothing here is executed from what is read.
+Captures that begin in mid-service need it: the same events after the same state lead to the same actions, in
+another process as well.  Hosts and requests refer to each other, so both are stored in tables and referred to
+by index.  Which attribute is stored under which key is in `state_tables`.  Nothing that is read is executed.
 """
 
 from __future__ import annotations
@@ -13,183 +13,227 @@
 from base64 import b64decode, b64encode
 from collections import deque
 from collections.abc import Callable
-from typing import Any
+from dataclasses import dataclass
+from operator import attrgetter
+from typing import Any, cast
 
-from brambleusher.loadbalancing import api
+from brambleusher.loadbalancing import api, state_tables
 from brambleusher.loadbalancing.balancer import Balancer, Turn
 from brambleusher.loadbalancing.hosts import NOTHING, Host, Request
 from brambleusher.loadbalancing.idle_timeout import Trust
-from brambleusher.loadbalancing.json_values import StateError
+from brambleusher.loadbalancing.json_values import MALFORMED, StateError
 from brambleusher.loadbalancing.retry_budget import Retries
 from brambleusher.loadbalancing.settings_codec import restore_rules, save_rules
-from brambleusher.loadbalancing.zone_aware_balancer import balancer_for
+from brambleusher.loadbalancing.state_tables import FieldTable
+from brambleusher.loadbalancing.zone_aware_balancer import ZonedBalancer, balancer_for
 from brambleusher.loadbalancing.zone_routing import Node, State, Zone, Zones
 
-# Made anew from the settings, or of no meaning between two events.
-_DERIVED = frozenset(
-    "settings _rng _classes _by_worth _unit_ns _tick_ns _quota _handlers _out _ranks".split()  # noqa: SIM905
-)
-# Plain objects by name, and how to make an empty one that is filled with what was kept.
-_KEPT: dict[str, Callable[[], Any]] = {
-    "zones": lambda: Zones(None, "", 0, 0), "zone": lambda: Zone(""), "node": Node, "trust": Trust,
-}  # fmt: skip
-_KEPT_AS = {Zones: "zones", Zone: "zone", Node: "node", Trust: "trust"}
-_WORDS = struct.Struct(">624I")  # the random generator's
+JsonObject = dict[str, Any]
+Row = list[Any]
+
+_RANDOM_WORDS = struct.Struct(">624I")  # the state of the Mersenne Twister
+# The only keys of the objects that stand for what JSON does not have.
+_FLOAT, _TUPLE, _DICT, _EMPTY_MAPPING = "f", "t", "d", "none"
+_DEQUE, _DEQUE_LENGTH = "q", "most"
+_HOST, _REQUEST, _ZONE_STATE, _ZONE_RULES = "h", "r", "state", "rules"
+
+
+@dataclass(frozen=True, slots=True)
+class _Record:
+    """A kind of object that is stored by its fields, and how to make one to be filled with them."""
+
+    kind: type
+    fields: FieldTable
+    make_empty: Callable[[random.Random], object]
+
+
+_RECORDS = {
+    "turn": _Record(Turn, state_tables.TOKEN_ROUND_ROBIN, Turn),
+    "retries": _Record(Retries, state_tables.RETRY_BUDGET, lambda _: Retries(0)),
+    "trust": _Record(Trust, state_tables.IDLE_TIMEOUT, lambda _: Trust()),
+    "zones": _Record(Zones, state_tables.ZONE_ROUTER, lambda _: Zones(None, "", 0, 0)),
+    "zone": _Record(Zone, state_tables.ZONE, lambda _: Zone("")),
+    "node": _Record(Node, state_tables.ZONE_NODE, lambda _: Node()),
+}
+_KEY_OF_RECORD = {record.kind: key for key, record in _RECORDS.items()}
+
+
+def fields_of(balancer: Balancer) -> FieldTable:
+    """Return the table of what is stored of a balancer itself."""
+    if isinstance(balancer, ZonedBalancer):
+        return state_tables.ZONE_AWARE_BALANCER
+    return state_tables.BALANCER
 
 
 class _Saver:
     """Walks from the balancer to all hosts and requests that it reaches."""
 
     def __init__(self) -> None:
-        self.hosts: list[Host] = []
-        self.requests: list[Request] = []
-        self._places: dict[int, int] = {}
-
-    def _place(self, item: Any, table: list[Any]) -> int:
-        place = self._places.get(id(item))
-        if place is None:
-            place = self._places[id(item)] = len(table)
-            table.append(item)
-        return place
+        self._hosts: list[Host] = []
+        self._requests: list[Request] = []
+        self._index_of: dict[int, int] = {}  # by identity
 
-    def value(self, value: Any) -> Any:
+    def value(self, value: object) -> object:
+        """Return a value as JSON; hosts and requests are numbered as they are met."""
         kind = type(value)
         if kind is float:  # most are
-            return value if math.isfinite(value) else {"f": str(value)}
+            number = cast(float, value)
+            return number if math.isfinite(number) else {_FLOAT: str(number)}
         if value is None or kind is str or kind is int or kind is bool:
             return value
         if kind is Host:
-            return {"h": self._place(value, self.hosts)}
+            return {_HOST: self._index(value, self._hosts)}
         if kind is Request:
-            return {"r": self._place(value, self.requests)}
-        if kind is list:
+            return {_REQUEST: self._index(value, self._requests)}
+        return self._container(value)
+
+    def _index(self, item: object, table: list[Any]) -> int:
+        index = self._index_of.get(id(item))
+        if index is None:
+            index = self._index_of[id(item)] = len(table)
+            table.append(item)
+        return index
+
+    def _container(self, value: object) -> object:
+        if type(value) is list:
             return [self.value(item) for item in value]
-        if kind is tuple:
-            return {"t": [self.value(item) for item in value]}
-        if kind is dict:
-            return {"d": [[self.value(key), self.value(item)] for key, item in value.items()]}
+        if type(value) is tuple:
+            return {_TUPLE: [self.value(item) for item in value]}
+        if type(value) is dict:
+            return {_DICT: [[self.value(key), self.value(item)] for key, item in value.items()]}
         if value is NOTHING:
-            return {"none": 0}
-        if kind is deque:
-            return {"q": [self.value(item) for item in value], "most": value.maxlen}
-        if kind is Turn:
-            return {"turn": {name: self.value(item) for name, item in vars(value).items() if name != "_rng"}}
-        if kind is Retries:
-            return {"retries": {name: self.value(item) for name, item in vars(value).items()}}
-        if kind in _KEPT_AS:
-            return {_KEPT_AS[kind]: {name: self.value(item) for name, item in vars(value).items()}}
-        if kind is api.ZoneRules:
-            return {"rules": save_rules(value)}
-        if kind is State:
-            return {"state": value.value}
-        raise StateError(f"a {kind.__name__} can't be kept")
-
-    def rows(self) -> tuple[list[list[Any]], list[list[Any]]]:
-        """Of hosts and of requests; each row may lead to more of either."""
-        hosts: list[list[Any]] = []
-        requests: list[list[Any]] = []
-        while len(hosts) < len(self.hosts) or len(requests) < len(self.requests):
-            items, rows = (self.hosts, hosts) if len(hosts) < len(self.hosts) else (self.requests, requests)
-            item = items[len(rows)]
-            rows.append([self.value(getattr(item, name)) for name in _names(item)])
-        return hosts, requests
-
-
-def _names(item: Host | Request) -> list[str]:
-    return list(Host.__slots__) if isinstance(item, Host) else list(vars(item))
-
-
-def save(balancer: Balancer) -> dict[str, Any]:
-    """All that decides what the balancer does next; take it between two events."""
+            return {_EMPTY_MAPPING: 0}
+        if isinstance(value, deque):
+            return {_DEQUE: [self.value(item) for item in value], _DEQUE_LENGTH: value.maxlen}
+        key = _KEY_OF_RECORD.get(type(value))
+        if key is not None:
+            return {key: self.record(value, _RECORDS[key].fields)}
+        if isinstance(value, api.ZoneRules):
+            return {_ZONE_RULES: save_rules(value)}
+        if isinstance(value, State):
+            return {_ZONE_STATE: value.value}
+        raise StateError(f"a {type(value).__name__} can't be saved: {value!r:.100}")
+
+    def record(self, item: object, fields: FieldTable) -> JsonObject:
+        """Return the stored fields of an object under their keys."""
+        return {key: self.value(attrgetter(path)(item)) for path, key in fields.items()}
+
+    def rows(self) -> tuple[list[Row], list[Row]]:
+        """Return the rows of hosts and of requests; each row may lead to more of either."""
+        hosts: list[Row] = []
+        requests: list[Row] = []
+        while True:
+            if len(hosts) < len(self._hosts):
+                hosts.append(self._row(self._hosts[len(hosts)], state_tables.HOST))
+            elif len(requests) < len(self._requests):
+                requests.append(self._row(self._requests[len(requests)], state_tables.REQUEST))
+            else:
+                return hosts, requests
+
+    def _row(self, item: object, fields: FieldTable) -> Row:
+        return [self.value(getattr(item, name)) for name in fields]
+
+
+def save(balancer: Balancer) -> JsonObject:
+    """Return all that decides what the balancer does next; call it between two events."""
     saver = _Saver()
-    own = {name: saver.value(value) for name, value in vars(balancer).items() if name not in _DERIVED}
+    own = saver.record(balancer, fields_of(balancer))
     hosts, requests = saver.rows()
     version, words, gauss = balancer._rng.getstate()
     return {
         "own": own,
-        "host_names": _names(saver.hosts[0]) if hosts else [], "hosts": hosts,
-        "request_names": _names(saver.requests[0]) if requests else [], "requests": requests,
-        "random": [version, b64encode(_WORDS.pack(*words[:-1])).decode(), words[-1], gauss],
-    }  # fmt: skip
+        "host_names": list(state_tables.HOST.values()) if hosts else [],
+        "hosts": hosts,
+        "request_names": list(state_tables.REQUEST.values()) if requests else [],
+        "requests": requests,
+        "random": [version, b64encode(_RANDOM_WORDS.pack(*words[:-1])).decode(), words[-1], gauss],
+    }
 
 
 class _Loader:
-    """Turns values back; a reference is a place in a table of empty records that are filled later."""
+    """Turns values back; a reference is an index into a table of empty records that are filled later."""
 
     def __init__(self, rng: random.Random, hosts: int, requests: int) -> None:
         self._rng = rng
         self.hosts = [Host.__new__(Host) for _ in range(hosts)]
         self.requests = [Request.__new__(Request) for _ in range(requests)]
 
-    def value(self, value: Any) -> Any:
+    def value(self, value: object) -> object:
+        """Return the value that the saver was given."""
         if isinstance(value, list):
             return [self.value(item) for item in value]
         if not isinstance(value, dict):
             return value
-        (key, held), *more = value.items()
-        if key == "f":
-            return float(held)
-        if key == "h":
-            return self.hosts[held]
-        if key == "r":
-            return self.requests[held]
-        if key == "t":
-            return tuple(self.value(item) for item in held)
-        if key == "d":
-            return {self.value(name): self.value(item) for name, item in held}
-        if key == "none":
-            return NOTHING
-        if key == "q":
-            return deque((self.value(item) for item in held), maxlen=dict(more)["most"])
-        if key == "turn":
-            return _fill(Turn(self._rng), {name: self.value(item) for name, item in held.items()}, {"_rng"})
-        if key == "retries":
-            return _fill(Retries(0), {name: self.value(item) for name, item in held.items()})
-        if key in _KEPT:
-            return _fill(_KEPT[key](), {name: self.value(item) for name, item in held.items()})
-        if key == "rules":
-            return restore_rules(held)
-        if key == "state":
-            return State(held)
-        raise StateError(f"a value of kind {key} is unknown")
-
-
-def _fill(item: Any, values: dict[str, Any], beside: frozenset[str] | set[str] = frozenset()) -> Any:
-    """Give an object its attributes: exactly those it has, so that a state of other code is noticed."""
-    if set(values) != set(vars(item)) - beside:
-        raise StateError(f"the state of a {type(item).__name__} is not this version's")
-    vars(item).update(values)
-    return item
-
-
-def restore(settings: api.Settings, seed: int, state: Any) -> Balancer:
-    """A balancer that goes on where `save` was called."""
+        (key, content), *more = value.items()
+        if key in _RECORDS:
+            record = _RECORDS[key]
+            item = record.make_empty(self._rng)
+            self.fill(item, record.fields, content)
+            return item
+        if key == _DEQUE:
+            return deque((self.value(item) for item in content), maxlen=dict(more)[_DEQUE_LENGTH])
+        read = self._readers().get(key)
+        if read is None:
+            raise StateError(f"a value of kind {key} is unknown")
+        return read(content)
+
+    def _readers(self) -> dict[str, Callable[[Any], object]]:
+        return {
+            _FLOAT: float,
+            _HOST: self.hosts.__getitem__,
+            _REQUEST: self.requests.__getitem__,
+            _TUPLE: lambda content: tuple(self.value(item) for item in content),
+            _DICT: lambda content: {self.value(key): self.value(item) for key, item in content},
+            _EMPTY_MAPPING: lambda _: NOTHING,
+            _ZONE_RULES: restore_rules,
+            _ZONE_STATE: State,
+        }
+
+    def fill(self, item: object, fields: FieldTable, stored: JsonObject) -> None:
+        """Give an object its fields: exactly those of its table, so that another version is noticed."""
+        if set(stored) != set(fields.values()):
+            raise StateError(f"the state of a {type(item).__name__} is not this version's")
+        for path, key in fields.items():
+            owner, _, name = path.rpartition(".")
+            setattr(attrgetter(owner)(item) if owner else item, name, self.value(stored[key]))
+
+    def fill_rows(self, items: list[Any], fields: FieldTable, names: list[str], rows: list[Row]) -> None:
+        """Give hosts, or requests, what their rows have under `names`."""
+        if items and names != list(fields.values()):
+            raise StateError(f"the state of a {type(items[0]).__name__} is not this version's")
+        for item, row in zip(items, rows, strict=True):
+            for attribute, value in zip(fields, row, strict=True):
+                setattr(item, attribute, self.value(value))
+
+
+def restore(settings: api.Settings, seed: int, state: object) -> Balancer:
+    """Return a balancer that continues where `save` was called.
+
+    Raises:
+        StateError: The state is not this version's, or was cut or made up.
+    """
     balancer = balancer_for(settings, seed)
     try:
-        version, words, at, gauss = state["random"]
-        balancer._rng.setstate((version, (*_WORDS.unpack(b64decode(words, validate=True)), at), gauss))
-        loader = _Loader(balancer._rng, len(state["hosts"]), len(state["requests"]))
-        entry = api.HostEntry("", "", "", 0, api.HostState.READY)
-        for made, sample, names, rows in (
-            (loader.hosts, Host(entry, False, 0), state["host_names"], state["hosts"]),
-            (loader.requests, Request("", 0, 0, 0), state["request_names"], state["requests"]),
-        ):
-            if made and names != _names(sample):
-                raise StateError(f"the state of a {type(sample).__name__} is not this version's")
-            for item, row in zip(made, rows, strict=True):
-                for name, value in zip(names, row, strict=True):
-                    setattr(item, name, loader.value(value))
-        own = {name: loader.value(value) for name, value in state["own"].items()}
-        _fill(balancer, own, _DERIVED)
-        balancer._ranks.sort(balancer._hosts.values())
+        _continue_from(balancer, cast(JsonObject, state))
     except StateError:
         raise
-    except Exception as error:
-        # Whatever a state that was made up or cut leads to, the caller hears of it in one way.
+    except (*MALFORMED, struct.error) as error:
+        # Whatever a malformed state leads to, the caller gets one kind of error.
         raise StateError(f"the state can't be read: {type(error).__name__}: {error}") from None
     return balancer
 
 
+def _continue_from(balancer: Balancer, state: JsonObject) -> None:
+    version, words, position, gauss = state["random"]
+    unpacked = _RANDOM_WORDS.unpack(b64decode(words, validate=True))
+    balancer._rng.setstate((version, (*unpacked, position), gauss))
+    loader = _Loader(balancer._rng, len(state["hosts"]), len(state["requests"]))
+    loader.fill_rows(loader.hosts, state_tables.HOST, state["host_names"], state["hosts"])
+    loader.fill_rows(loader.requests, state_tables.REQUEST, state["request_names"], state["requests"])
+    loader.fill(balancer, fields_of(balancer), state["own"])
+    balancer._ranks.sort(balancer._hosts.values())
+
+
 def hosts_held(balancer: Balancer) -> set[str]:
     """The hosts of the list that it goes by."""
     return set(balancer._hosts)
--- a/brambleusher/loadbalancing/state_transfer.py
+++ b/brambleusher/loadbalancing/state_transfer.py
@@ -6,17 +6,15 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 from brambleusher.loadbalancing import api
 from brambleusher.loadbalancing.balancer import Balancer
 from brambleusher.loadbalancing.json_values import StateError
-from brambleusher.loadbalancing.state_codec import restore, save
+from brambleusher.loadbalancing.state_codec import JsonObject, restore, save
 
 MOST_HOSTS = 512  # beyond, a successor starts from nothing: writing and reading it would take too long
 
 
-def bequeath(balancer: Balancer) -> dict[str, Any] | None:
+def bequeath(balancer: Balancer) -> JsonObject | None:
     """The balancer's state without requests, as JSON values; None where it is too large."""
     if len(balancer._hosts) > MOST_HOSTS:
         return None
@@ -32,7 +30,7 @@
     return state
 
 
-def inherit(settings: api.Settings, seed: int, state: Any) -> Balancer:
+def inherit(settings: api.Settings, seed: int, state: object) -> Balancer:
     """A balancer that goes on from there; raises `StateError`."""
     balancer = restore(settings, seed, state)
     if balancer._requests:
--- /dev/null
+++ b/tests/test_state_codec.py
@@ -0,0 +1,84 @@
+"""The stored form of a balancer's state: complete, and with the keys that earlier versions wrote."""
+
+from __future__ import annotations
+
+import random
+
+import pytest
+
+from brambleusher.loadbalancing import Balancer, api, state_tables
+from brambleusher.loadbalancing.balancer import Turn
+from brambleusher.loadbalancing.hosts import Host, Request
+from brambleusher.loadbalancing.idle_timeout import Trust
+from brambleusher.loadbalancing.retry_budget import Retries
+from brambleusher.loadbalancing.state_codec import fields_of, save
+from brambleusher.loadbalancing.zone_aware_balancer import balancer_for
+from brambleusher.loadbalancing.zone_routing import Node, Zone, Zones
+
+# Made anew from the settings, or without meaning between two events.
+DERIVED = "settings _rng _classes _by_worth _unit_ns _tick_ns _quota _handlers _out _ranks"
+# As captures and state transfers of earlier versions have them, in their order.
+OWN_KEYS = (
+    "_hosts _requests _turn _unlinked _peak _rate _lately _silent _trust _open _ready _part _closing "
+    "_ticked_ns _mean_capacity _mean_util _remote _kind_capacity _sized _size_used _size_asked "
+    "_size_rate _lat_n _lat_sum _quiet_ns _index_n _served_rate _span _retries _limit _offered "
+    "_logged_ns _full_sum _turned _best_rate _tight _late _ranked _mean_open _came_ns _densities "
+    "_tenant_level _tenant_seen _my_share _used _ask_at _ask_wait_ns"
+)
+ZONE_KEYS = "_zones _probing _due_ns _ahead"
+HOST_KEYS = (
+    "rank name zone kind cell local ready out lost weight room credit tokens started_ns sum_qps "
+    "sum_util throughput util util_ns late_n late_sum served failed turned pi passed shut_ns used_ns "
+    "closing_ns draining linked cold_level cold_seen_ns size"
+)
+REQUEST_KEYS = "id cls deadline_ns half_ns reached attempts out lost closed ran passing origin first_ran_ns"
+
+
+def make_balancer(zone_rules: api.ZoneRules | None) -> Balancer:
+    request_class = api.RequestClass("read", 10**9, 2 * 10**9, 1.0)
+    return balancer_for(api.Settings("a", (request_class,), 1, zones=zone_rules), 1)
+
+
+@pytest.mark.parametrize(
+    ("rules", "keys"),
+    [(None, OWN_KEYS.split()), (api.ZoneRules(), [*OWN_KEYS.split(), *ZONE_KEYS.split()])],
+)
+def test_a_balancer_is_stored_under_the_keys_of_earlier_versions(
+    rules: api.ZoneRules | None, keys: list[str]
+) -> None:
+    state = save(make_balancer(rules))
+    assert list(state) == ["own", "host_names", "hosts", "request_names", "requests", "random"]
+    assert list(state["own"]) == keys
+
+
+@pytest.mark.parametrize("rules", [None, api.ZoneRules()])
+def test_every_attribute_of_a_balancer_is_stored_or_known_to_be_derived(rules: api.ZoneRules | None) -> None:
+    balancer = make_balancer(rules)
+    assert set(vars(balancer)) - set(DERIVED.split()) == set(fields_of(balancer))
+
+
+def test_hosts_and_requests_are_stored_under_the_keys_of_earlier_versions() -> None:
+    assert list(state_tables.HOST.values()) == HOST_KEYS.split()
+    assert list(state_tables.REQUEST.values()) == REQUEST_KEYS.split()
+
+
+def test_every_attribute_of_a_host_is_stored() -> None:
+    assert set(state_tables.HOST) == set(Host.__slots__)
+
+
+@pytest.mark.parametrize(
+    ("record", "fields", "not_stored"),
+    [
+        (Request("", 0, 0, 0), state_tables.REQUEST, set[str]()),
+        (Turn(random.Random(1)), state_tables.TOKEN_ROUND_ROBIN, {"_rng"}),
+        (Retries(1), state_tables.RETRY_BUDGET, set[str]()),
+        (Trust(), state_tables.IDLE_TIMEOUT, set[str]()),
+        (Zones(None, "", 0, 0), state_tables.ZONE_ROUTER, set[str]()),
+        (Zone(""), state_tables.ZONE, set[str]()),
+        (Node(), state_tables.ZONE_NODE, set[str]()),
+    ],
+)
+def test_every_attribute_of_a_record_is_stored(
+    record: object, fields: state_tables.FieldTable, not_stored: set[str]
+) -> None:
+    assert set(vars(record)) - not_stored == set(fields)
