--- /dev/null
+++ b/brambleusher/dataplane/attempts.py
@@ -0,0 +1,174 @@
+"""The attempts of one request: choose an instance, send, and retry elsewhere while that is allowed."""
+
+from __future__ import annotations
+
+from http import HTTPStatus
+
+from result import Ok, Result
+
+from brambleusher.dataplane.attempt_failure import AttemptFailure, AttemptLost, ConnectFailed
+from brambleusher.dataplane.client_request import HeaderList
+from brambleusher.dataplane.counters import Counters
+from brambleusher.dataplane.instance import Instance
+from brambleusher.dataplane.instance_table import InstanceTable
+from brambleusher.dataplane.placement import Placement
+from brambleusher.dataplane.request_context import RequestContext
+from brambleusher.dataplane.upstream_client import MISDIRECTED_REQUEST, UpstreamClient, UpstreamRequest
+from brambleusher.dataplane.upstream_response import UpstreamResponse
+from brambleusher.loadbalancing.instance_weights import InstanceWeights
+from brambleusher.runtime.scheduler import Scheduler
+from brambleusher.wire.policy import Policy
+
+FAILED_ATTEMPTS_MAX = 4  # of one request, rejections and failed connections included
+ATTEMPT_MIN_S = 0.05  # with less time left an attempt is pointless
+PRIORITY_MAX = 9
+MS_PER_S = 1000
+REPLACED_HEADERS = frozenset({b"x-deadline-remaining", b"x-target-instance", b"priority", b"last-event-id"})
+
+
+class _WeightedAttempt:
+    """Records an attempt in the weights of its service."""
+
+    def __init__(
+        self, scheduler: Scheduler, weights: InstanceWeights, context: RequestContext, instance_id: str
+    ) -> None:
+        self._scheduler, self._weights, self._instance_id = scheduler, weights, instance_id
+        route = context.route
+        target_s = route.setpoint_ms / MS_PER_S
+        self._number = weights.started(instance_id, route.priority, target_s, scheduler.now())
+
+    def response_started(self) -> None:
+        """Record the first bytes of the body."""
+        self._weights.answered(self._instance_id, self._number, self._scheduler.now())
+
+    def attempt_finished(self, has_succeeded: bool | None) -> None:
+        """Record the end of the attempt; None: it says nothing of the instance."""
+        self._weights.ended(self._instance_id, self._number, has_succeeded)
+
+
+class AttemptRunner:
+    """Runs the attempts of requests."""
+
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        instances: InstanceTable,
+        placement: Placement,
+        upstream: UpstreamClient,
+        counters: Counters,
+        policy: Policy,
+    ) -> None:
+        self._scheduler, self._instances, self._placement = scheduler, instances, placement
+        self._upstream, self._counters, self._policy = upstream, counters, policy
+
+    def run(self, context: RequestContext) -> UpstreamResponse | None:
+        """Try instances until one responds; None where none did and none may be tried any more."""
+        failed_attempts = 0
+        while failed_attempts < FAILED_ATTEMPTS_MAX:
+            now_s = self._scheduler.now()
+            if context.remaining_s(now_s) < ATTEMPT_MIN_S:
+                context.rejection_reason = "time"
+                return None
+            if context.may_have_run and not context.may_run_again:
+                context.rejection_reason = "ran"
+                return None
+            instance = self._placement.choose(
+                context.placement, context.tried, now_s, context.unresponsive_regions
+            )
+            if instance is None:
+                context.rejection_reason = context.rejection_reason or "no_instance"
+                return None
+            context.tried.add(instance.id)
+            if not self._upstream.has_capacity(instance):
+                context.rejection_reason = "connections"
+                continue
+            if not self._takes_retry_budget(context, now_s):
+                context.rejection_reason = "retry_budget"
+                return None
+            result = self._attempt(context, instance)
+            if isinstance(result, Ok):
+                context.attempts_sent += 1
+                context.possible_runs += 1
+                return result.ok_value
+            failed_attempts += 1
+            self._record_failure(context, instance, result.err_value)
+        return None
+
+    def resume(self, context: RequestContext, last_event_id: int | None) -> UpstreamResponse | None:
+        """Continue an event stream at another instance; None where that is not possible."""
+        if last_event_id is not None:
+            context.last_event_id = str(last_event_id).encode()
+        response = self.run(context) if self._policy.resume else None
+        if response is None:
+            return None
+        if response.status != HTTPStatus.OK:
+            response.abandon()
+            return None
+        self._counters.add("resumed")
+        return response
+
+    def _takes_retry_budget(self, context: RequestContext, now_s: float) -> bool:
+        """Take of the retry budget for every attempt but the first that reaches an instance."""
+        if not context.attempts_sent or not self._policy.retry_budget:
+            return True
+        return context.retry_budget.take(now_s)
+
+    def _attempt(
+        self, context: RequestContext, instance: Instance
+    ) -> Result[UpstreamResponse, AttemptFailure]:
+        weights = self._instances.weights[instance.service]
+        attempt = _WeightedAttempt(self._scheduler, weights, context, instance.id)
+        try:
+            result = self._upstream.send(self._upstream_request(context, instance), attempt)
+        except BaseException:
+            attempt.attempt_finished(None)
+            raise
+        if not isinstance(result, Ok):
+            is_connect_failure = isinstance(result.err_value, ConnectFailed)
+            attempt.attempt_finished(None if is_connect_failure else False)
+        return result
+
+    def _upstream_request(self, context: RequestContext, instance: Instance) -> UpstreamRequest:
+        request = context.request
+        return UpstreamRequest(
+            instance=instance,
+            method=request.method,
+            target=request.target,
+            headers=self._headers(context, instance),
+            body=request.body,
+            attempt_id=context.attempt_id,
+            deadline_s=context.deadline_s,
+            must_run_once=not context.route.repeatable,
+        )
+
+    def _headers(self, context: RequestContext, instance: Instance) -> HeaderList:
+        request = context.request
+        headers = [header for header in request.end_to_end_headers() if header[0] not in REPLACED_HEADERS]
+        remaining_ms = max(1, int(context.remaining_s(self._scheduler.now()) * MS_PER_S))
+        priority = min(max(context.route.priority, 0), PRIORITY_MAX)
+        headers += [
+            (b"X-Deadline-Remaining", str(remaining_ms).encode()),
+            (b"X-Target-Instance", instance.id.encode()),
+            (b"Priority", str(priority).encode()),
+        ]
+        if context.last_event_id:
+            headers.append((b"Last-Event-Id", context.last_event_id))
+        if request.body or request.method not in (b"GET", b"HEAD"):
+            headers.append((b"Content-Length", str(len(request.body)).encode()))
+        return headers
+
+    def _record_failure(self, context: RequestContext, instance: Instance, failure: AttemptFailure) -> None:
+        context.rejection_reason = failure.counter
+        self._counters.add(failure.counter)
+        if isinstance(failure, ConnectFailed):
+            weights = self._instances.weights.get(instance.service)
+            if weights is not None:
+                weights.unreachable(instance.id)
+            if failure.has_timed_out:
+                context.unresponsive_regions.add(instance.region)
+            return
+        context.attempts_sent += 1
+        if isinstance(failure, AttemptLost):
+            context.possible_runs += 1
+        elif failure.status == MISDIRECTED_REQUEST:
+            instance.record_replaced(self._scheduler.now())
--- a/brambleusher/dataplane/client_connection.py
+++ b/brambleusher/dataplane/client_connection.py
@@ -1,214 +1,166 @@
-"""One connection of a client, by h11: whole requests in, answers out."""
+"""One connection of a client, by h11: complete requests in, responses out."""
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from http import HTTPStatus
 
 import h11
 import orjson
 
+from brambleusher.dataplane.body_memory import BodyMemory
+from brambleusher.dataplane.client_request import HOP_BY_HOP_HEADERS, ClientRequest, HeaderList
+from brambleusher.dataplane.errors import RequestTooLargeError
 from brambleusher.runtime.h11_messages import go_on, whole
 from brambleusher.runtime.scheduler import Event, Scheduler, TaskTimeoutError
 from brambleusher.runtime.streams import RECEIVE_BYTES, Stream
 from brambleusher.wire.configuration import Limits
 
-SEND_S = 10.0  # for a client to take what is sent to it
-BODY_S = 10.0
-BODY_TOO_LARGE, HEAD_TOO_LARGE, NO_MEMORY = 413, 431, 503
-CONNECTION_HEADERS = frozenset(
-    {
-        b"connection",
-        b"keep-alive",
-        b"proxy-connection",
-        b"proxy-authenticate",
-        b"proxy-authorization",
-        b"te",
-        b"trailer",
-        b"transfer-encoding",
-        b"upgrade",
-        b"content-length",
-        b"expect",
-    }
-)
-
-
-@dataclass(slots=True, eq=False)
-class Request:
-    """One request of a client, whole."""
-
-    method: bytes
-    target: bytes
-    headers: list[tuple[bytes, bytes]]  # names in lower case
-    body: bytes
-    read_at: float
-
-    def header(self, name: bytes) -> bytes:
-        """A header's value; empty where it is not there."""
-        for key, value in self.headers:
-            if key == name:
-                return value
-        return b""
-
-    def end_to_end(self) -> list[tuple[bytes, bytes]]:
-        """The headers that go on to the instance."""
-        listed = {
-            part.strip().lower()
-            for name, value in self.headers
-            if name == b"connection"
-            for part in value.split(b",")
-        }
-        return [
-            (name, value)
-            for name, value in self.headers
-            if name not in CONNECTION_HEADERS and name not in listed
-        ]
-
-
-class RequestTooLarge(Exception):
-    """A request is over the limits; `status` says which."""
-
-    def __init__(self, status: int) -> None:
-        super().__init__(status)
-        self.status = status
-
-
-class BodyMemory:
-    """The bytes of request bodies that all connections hold together, within a bound."""
-
-    def __init__(self, most: int) -> None:
-        self._most = most
-        self.held = 0
-
-    def take(self, size: int) -> bool:
-        """Account for bytes, unless they are beyond the bound."""
-        if self.held + size > self._most:
-            return False
-        self.held += size
-        return True
-
-    def give_back(self, size: int) -> None:
-        """Bytes were let go."""
-        self.held -= size
+SEND_TIMEOUT_S = 10.0  # for a client to take what is sent to it
+BODY_TIMEOUT_S = 10.0
+HEAD_TIMEOUT_MIN_S = 1.0
+MS_PER_S = 1000
+HEADER_LINE_OVERHEAD_BYTES = 4  # colon, space and line end
 
 
 class ClientConnection:
-    """Reads requests and writes answers; one at a time."""
+    """Reads requests and writes responses, one at a time."""
 
-    def __init__(self, scheduler: Scheduler, stream: Stream, limits: Limits, memory: BodyMemory) -> None:
+    def __init__(self, scheduler: Scheduler, stream: Stream, limits: Limits, body_memory: BodyMemory) -> None:
         self._scheduler, self.stream = scheduler, stream
-        self._memory, self._taken = memory, 0
+        self._body_memory, self._body_bytes = body_memory, 0
         self.limits = limits
-        self.wake = Event()  # set to end a connection that rests
-        self.idle = True
-        self.ending = False  # each answer is the connection's last
-        self.closing = False  # it ends where it rests
-        self.begun = False  # the head of an answer was sent
-        self._h11 = h11.Connection(h11.SERVER, max_incomplete_event_size=limits.header_bytes)
+        self.wake = Event()  # set to end an idle connection
+        self.is_idle = True
+        self.closes_after_response = False
+        self.closes_when_idle = False
+        self.has_response_begun = False  # the head of a response was sent
+        self._protocol = h11.Connection(h11.SERVER, max_incomplete_event_size=limits.header_bytes)
 
-    def read(self) -> Request | None:
-        """The next request; None where the client left, stayed silent or the gateway ends.
+    # --- requests ---------------------------------------------------------------------------------
 
-        Raises `h11.RemoteProtocolError` and `RequestTooLarge`.
+    def read(self) -> ClientRequest | None:
+        """Read the next request; None where the client disconnected or was idle, or the gateway ends.
+
+        Raises:
+            h11.RemoteProtocolError: The client does not speak HTTP/1.1.
+            RequestTooLargeError: The request exceeds a limit.
         """
-        self.release()
-        self.idle, self.begun = True, False
+        self.release_body()
+        self.is_idle, self.has_response_begun = True, False
         head: h11.Request | None = None
-        parts: list[bytes] = []
-        held = 0
-        deadline = self._scheduler.now() + self.limits.idle_ms / 1000
+        body: list[bytes] = []
+        deadline_s = self._scheduler.now() + self.limits.idle_ms / MS_PER_S
         while True:
-            event = self._h11.next_event()
+            event = self._protocol.next_event()
             if event is h11.NEED_DATA:
-                data = self._receive(deadline)
-                if data is None:
+                was_idle = self.is_idle
+                if not self._feed(deadline_s):
                     return None
-                if self.idle:
-                    self.idle = False
-                    deadline = self._scheduler.now() + max(self.limits.header_ms / 1000, 1.0)
-                self._h11.receive_data(data)
+                if was_idle:
+                    head_timeout_s = max(self.limits.header_ms / MS_PER_S, HEAD_TIMEOUT_MIN_S)
+                    deadline_s = self._scheduler.now() + head_timeout_s
             elif isinstance(event, h11.Request):
-                self.idle = False
-                head, deadline = event, self._scheduler.now() + BODY_S
-                if sum(len(name) + len(value) + 4 for name, value in head.headers) > self.limits.header_bytes:
-                    raise RequestTooLarge(HEAD_TOO_LARGE)
+                self.is_idle = False
+                head, deadline_s = event, self._scheduler.now() + BODY_TIMEOUT_S
+                self._check_head(head)
             elif isinstance(event, h11.Data):
-                parts.append(bytes(event.data))
-                held += len(event.data)
-                if held > self.limits.body_bytes:
-                    raise RequestTooLarge(BODY_TOO_LARGE)
-                if not self._memory.take(len(event.data)):
-                    raise RequestTooLarge(NO_MEMORY)
-                self._taken += len(event.data)
+                self._reserve_body(len(event.data))
+                body.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage) and head is not None:
-                headers = list(head.headers)
-                return Request(head.method, head.target, headers, b"".join(parts), self._scheduler.now())
+                return self._request(head, b"".join(body))
             else:
                 return None
 
-    def release(self) -> None:
-        """The body of the last request is held no more."""
-        self._memory.give_back(self._taken)
-        self._taken = 0
+    def _request(self, head: h11.Request, body: bytes) -> ClientRequest:
+        return ClientRequest(head.method, head.target, list(head.headers), body, self._scheduler.now())
+
+    def _check_head(self, head: h11.Request) -> None:
+        size_bytes = sum(len(name) + len(value) + HEADER_LINE_OVERHEAD_BYTES for name, value in head.headers)
+        if size_bytes > self.limits.header_bytes:
+            raise RequestTooLargeError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "limits.header_bytes")
+
+    def _reserve_body(self, size_bytes: int) -> None:
+        if self._body_bytes + size_bytes > self.limits.body_bytes:
+            raise RequestTooLargeError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "limits.body_bytes")
+        if not self._body_memory.reserve(size_bytes):
+            raise RequestTooLargeError(HTTPStatus.SERVICE_UNAVAILABLE, "the memory for all request bodies")
+        self._body_bytes += size_bytes
+
+    def release_body(self) -> None:
+        """Give the memory of the last request's body back."""
+        self._body_memory.release(self._body_bytes)
+        self._body_bytes = 0
+
+    def _feed(self, deadline_s: float) -> bool:
+        """Receive bytes for the parser; False where none will come."""
+        go_on(self._protocol, self.stream, SEND_TIMEOUT_S)
+        data = self._receive(deadline_s)
+        if data is None:
+            return False
+        self.is_idle = False
+        self._protocol.receive_data(data)
+        return True
 
-    def _receive(self, deadline: float) -> bytes | None:
-        go_on(self._h11, self.stream, SEND_S)
+    def _receive(self, deadline_s: float) -> bytes | None:
         while True:
-            if self.idle and self.closing and self.stream.quiet():
+            if self.is_idle and self.closes_when_idle and self.stream.quiet():
                 return None
             try:
-                data = self.stream.receive(deadline, self.wake if self.idle else None, RECEIVE_BYTES)
+                data = self.stream.receive(deadline_s, self.wake if self.is_idle else None, RECEIVE_BYTES)
             except TaskTimeoutError:
                 return None
             if data is not None:
                 return data
 
-    def begin(self, status: int, headers: list[tuple[bytes, bytes]]) -> None:
-        """Send the head of an answer whose body follows in pieces."""
-        self._write(self._h11.send(self._head(status, headers, None)) or b"")
+    def begin_next_cycle(self) -> bool:
+        """Prepare for the next request; False where the connection can't carry one."""
+        if self._protocol.our_state is not h11.DONE or self._protocol.their_state is not h11.DONE:
+            return False
+        self._protocol.start_next_cycle()
+        return True
 
-    def _head(self, status: int, headers: list[tuple[bytes, bytes]], length: int | None) -> h11.Response:
-        """The head of an answer, with a length or in chunks."""
-        framing = (
-            (b"Transfer-Encoding", b"chunked")
-            if length is None
-            else (b"Content-Length", str(length).encode())
-        )
-        sent = [pair for pair in headers if pair[0].lower() not in CONNECTION_HEADERS]
-        sent.append(framing)
-        if self.ending:
-            sent.append((b"Connection", b"close"))
-        self.begun = True
-        return h11.Response(status_code=status, headers=sent)
+    # --- responses --------------------------------------------------------------------------------
+
+    def begin_response(self, status: int, headers: HeaderList) -> None:
+        """Send the head of a response whose body follows in chunks."""
+        self._write(self._protocol.send(self._head(status, headers, None)) or b"")
 
-    def data(self, data: bytes) -> None:
+    def send_data(self, data: bytes) -> None:
         """Send a piece of the body."""
-        self._write(self._h11.send(h11.Data(data=data)) or b"")
+        self._write(self._protocol.send(h11.Data(data=data)) or b"")
 
-    def end(self) -> None:
-        """The answer is whole."""
-        self._write(self._h11.send(h11.EndOfMessage()) or b"")
+    def end_response(self) -> None:
+        """Send the end of the body."""
+        self._write(self._protocol.send(h11.EndOfMessage()) or b"")
 
-    def answer(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
-        """Send a whole answer."""
-        self._write(whole(self._h11, self._head(status, headers, len(body)), body))
+    def send_response(self, status: int, headers: HeaderList, body: bytes) -> None:
+        """Send a complete response."""
+        self._write(whole(self._protocol, self._head(status, headers, len(body)), body))
 
-    def error(
+    def send_error(
         self, status: int, reason: str, attempt_id: bytes = b"", retry_after_s: float | None = None
     ) -> None:
-        """Send an answer of the gateway's own; with a time to come back where the request has not run."""
+        """Send a response of the gateway's own, `retry_after_s` where the request has not run."""
         headers = [(b"Content-Type", b"application/json")]
         if attempt_id:
             headers.append((b"X-Attempt-Id", attempt_id))
         if retry_after_s is not None:
             headers.append((b"Retry-After", f"{retry_after_s:.2f}".encode()))
-        self.answer(status, headers, orjson.dumps({"error": reason}))
+        self.send_response(status, headers, orjson.dumps({"error": reason}))
 
-    def next(self) -> bool:
-        """Make ready for the next request; False where the connection is over."""
-        if self._h11.our_state is not h11.DONE or self._h11.their_state is not h11.DONE:
-            return False
-        self._h11.start_next_cycle()
-        return True
+    def _head(self, status: int, headers: HeaderList, length_bytes: int | None) -> h11.Response:
+        """Build the head of a response, with a length or, where that is None, in chunks."""
+        framing = (
+            (b"Transfer-Encoding", b"chunked")
+            if length_bytes is None
+            else (b"Content-Length", str(length_bytes).encode())
+        )
+        sent = [header for header in headers if header[0].lower() not in HOP_BY_HOP_HEADERS]
+        sent.append(framing)
+        if self.closes_after_response:
+            sent.append((b"Connection", b"close"))
+        self.has_response_begun = True
+        return h11.Response(status_code=status, headers=sent)
 
     def _write(self, data: bytes) -> None:
-        self.stream.send(data, self._scheduler.now() + SEND_S)
+        self.stream.send(data, self._scheduler.now() + SEND_TIMEOUT_S)
--- /dev/null
+++ b/brambleusher/dataplane/client_request.py
@@ -0,0 +1,58 @@
+"""One complete request of a client."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+HOP_BY_HOP_HEADERS = frozenset(
+    {
+        b"connection",
+        b"keep-alive",
+        b"proxy-connection",
+        b"proxy-authenticate",
+        b"proxy-authorization",
+        b"te",
+        b"trailer",
+        b"transfer-encoding",
+        b"upgrade",
+        b"content-length",
+        b"expect",
+    }
+)
+
+HeaderList = list[tuple[bytes, bytes]]
+
+
+@dataclass(slots=True, eq=False)
+class ClientRequest:
+    """Head and body of a request; header names are in lower case."""
+
+    method: bytes
+    target: bytes
+    headers: HeaderList
+    body: bytes
+    received_at_s: float
+
+    def header(self, name: bytes) -> bytes:
+        """Return a header's value, empty where it is missing."""
+        for key, value in self.headers:
+            if key == name:
+                return value
+        return b""
+
+    def end_to_end_headers(self) -> HeaderList:
+        """Return the headers that are forwarded to the instance.
+
+        Hop-by-hop headers, and those that `Connection` names, are left out.
+        """
+        named_by_connection = {
+            token.strip().lower()
+            for name, value in self.headers
+            if name == b"connection"
+            for token in value.split(b",")
+        }
+        return [
+            (name, value)
+            for name, value in self.headers
+            if name not in HOP_BY_HOP_HEADERS and name not in named_by_connection
+        ]
--- a/brambleusher/dataplane/counters.py
+++ b/brambleusher/dataplane/counters.py
@@ -1,4 +1,4 @@
-"""Counts of what became of requests, for operators."""
+"""Counters of request outcomes, for operators."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 
 class Counters:
-    """Named counts."""
+    """Named counters; the names are part of the status page and do not change."""
 
     def __init__(self) -> None:
         self._counts: Counter[str] = Counter()
 
     def add(self, name: str, number: int = 1) -> None:
-        """Count something."""
+        """Increase a counter."""
         self._counts[name] += number
 
     def as_json(self) -> dict[str, int]:
-        """All counts."""
+        """Return all counters that were ever increased, by name."""
         return dict(sorted(self._counts.items()))
--- /dev/null
+++ b/brambleusher/dataplane/instance_table.py
@@ -0,0 +1,205 @@
+"""All instances that this gateway knows: what the list says, what attempts have shown, which may be used."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Iterable, Mapping, Sequence
+
+from brambleusher.dataplane.instance import Instance, InstanceStatus
+from brambleusher.dataplane.instance_entry import InstanceEntry
+from brambleusher.dataplane.warm_up_budget import WarmUpBudget
+from brambleusher.dataplane.zone_backoff import ZoneBackoff
+from brambleusher.loadbalancing.instance_weights import InstanceWeights, Mechanisms
+from brambleusher.loadbalancing.subsetting import place
+from brambleusher.runtime.streams import parse_address
+from brambleusher.wire.configuration import Route, Service
+from brambleusher.wire.instance_load import InstanceLoad
+from brambleusher.wire.policy import Policy
+
+WARM_UP_MARGIN_S = 1.5  # the list lags: an instance may have started later than it seems
+DEFAULT_GATEWAY_COUNT = 8.0  # until a controller has counted them
+
+
+class InstanceTable:
+    """Owns all instances, and the weights of each service."""
+
+    def __init__(
+        self,
+        zones: Mapping[str, str],
+        rng: random.Random,
+        policy: Policy | None = None,
+        gateway_name: str = "",
+    ) -> None:
+        """Start without a list; `zones` gives the region of each zone."""
+        self._zones, self._rng, self._gateway_name = zones, rng, gateway_name
+        self._policy = policy or Policy()
+        self._instances: dict[str, Instance] = {}
+        self._by_service: dict[str, list[Instance]] = {}
+        self.weights: dict[str, InstanceWeights] = {}
+        self.evacuated_zones: frozenset[str] = frozenset()
+        self.services: Mapping[str, Service] = {}
+        self.gateway_count = DEFAULT_GATEWAY_COUNT
+        self.gateway_rank = 0  # of this gateway among them, in the order of their names
+        self.zone_backoff = ZoneBackoff()
+        self.list_read_at_s = -1.0  # when the platform gave the current list, on the local clock
+
+    # --- the list ---------------------------------------------------------------------------------
+
+    @property
+    def has_list(self) -> bool:
+        """Whether a list has been taken yet."""
+        return self.list_read_at_s >= 0
+
+    def for_service(self, service: str) -> list[Instance]:
+        """Return the instances of a service that are on the list."""
+        return self._by_service.get(service, [])
+
+    def update(self, entries: Iterable[InstanceEntry], read_at_s: float, now_s: float) -> list[Instance]:
+        """Apply a newer list; return the instances that drain or were removed.
+
+        Args:
+            entries: The complete list.
+            read_at_s: When the platform gave it, on the local clock.
+            now_s: The time of the scheduler.
+        """
+        is_first, self.list_read_at_s = not self.has_list, read_at_s
+        listed: set[str] = set()
+        for entry in entries:
+            instance = self._instances.get(entry.id)
+            if instance is None:
+                instance = self._add(entry, is_first, now_s)
+            listed.add(instance.id)
+            _apply_entry(instance, entry, now_s)
+        removed = self._remove_unlisted(listed)
+        self._group_by_service()
+        self._update_weights()
+        draining = [each for each in self._instances.values() if each.status is InstanceStatus.DRAINING]
+        return draining + removed
+
+    def _add(self, entry: InstanceEntry, is_first_list: bool, now_s: float) -> Instance:
+        instance = Instance(
+            entry.id,
+            entry.service,
+            parse_address(entry.address),
+            entry.zone,
+            self._zones.get(entry.zone, ""),
+            entry.capacity,
+            preference_rank=place(f"{self._gateway_name} {entry.id}"),
+        )
+        if not is_first_list:
+            instance.warming_until_s = now_s + self._warm_up_s(entry.service)
+        self._instances[instance.id] = instance
+        return instance
+
+    def _remove_unlisted(self, listed: set[str]) -> list[Instance]:
+        unlisted = [instance_id for instance_id in self._instances if instance_id not in listed]
+        removed = [self._instances.pop(instance_id) for instance_id in unlisted]
+        for instance in removed:
+            instance.set_status(InstanceStatus.REMOVED)
+        return removed
+
+    def _group_by_service(self) -> None:
+        self._by_service = {}
+        for instance in self._instances.values():
+            self._by_service.setdefault(instance.service, []).append(instance)
+
+    def _warm_up_s(self, service_name: str) -> float:
+        service = self.services.get(service_name)
+        return service.warmup_s + WARM_UP_MARGIN_S if service is not None and service.warmup_s > 0 else 0.0
+
+    def set_evacuated_zones(self, zones: frozenset[str], now_s: float) -> None:
+        """Change the evacuated zones; instances of one that is taken back may have to warm up again."""
+        restored = self.evacuated_zones - zones
+        for instance in self._instances.values():
+            if instance.zone in restored:
+                warming_until_s = now_s + self._warm_up_s(instance.service)
+                instance.warming_until_s = max(instance.warming_until_s, warming_until_s)
+        self.evacuated_zones = zones
+        self._update_weights()
+
+    # --- weights ----------------------------------------------------------------------------------
+
+    def _update_weights(self) -> None:
+        for service, instances in self._by_service.items():
+            weights = self.weights.get(service)
+            if weights is None:
+                weights = self.weights[service] = InstanceWeights(self._rng, self._mechanisms())
+            weights.follow({each.id: each.capacity for each in instances if self._is_in_service(each)})
+
+    def _mechanisms(self) -> Mechanisms:
+        policy = self._policy
+        return Mechanisms(
+            spare=policy.spare_weights,
+            latency_index=policy.latency_index,
+            health=policy.health,
+            silence=policy.silence,
+            room_above_share=policy.room_above_share,
+            reported_load=policy.reported_load,
+        )
+
+    def tick(self, now_s: float) -> None:
+        """Recompute weights."""
+        for weights in self.weights.values():
+            weights.tick(now_s, self.gateway_count)
+
+    def record_load(self, instance: Instance, load: InstanceLoad) -> None:
+        """Record the load that an instance reported with a response."""
+        weights = self.weights.get(instance.service)
+        if weights is not None:
+            weights.reported(instance.id, load.running, load.waiting, load.slots)
+
+    def metrics_report(self) -> dict[str, list[float]]:
+        """Return what this gateway observed of each instance, for the other gateways."""
+        report: dict[str, list[float]] = {}
+        for weights in self.weights.values():
+            report.update(weights.report())
+        return report
+
+    def apply_fleet_metrics(
+        self, reporters: int, totals: Mapping[str, Sequence[float]], now_s: float
+    ) -> None:
+        """Apply what so many other gateways observed of each instance, added up."""
+        if not self._policy.fleet_figures:
+            return
+        for weights in self.weights.values():
+            weights.hear(reporters, totals, now_s)
+
+    # --- which may be used ------------------------------------------------------------------------
+
+    def _is_in_service(self, instance: Instance) -> bool:
+        return instance.status is InstanceStatus.READY and instance.zone not in self.evacuated_zones
+
+    def usable(self, route: Route, service: str, now_s: float) -> list[Instance]:
+        """Return the instances that a request of a route may be sent to."""
+        homes = route.home_regions
+        return [
+            instance
+            for instance in self.for_service(service)
+            if self._is_in_service(instance)
+            and (not homes or instance.region in homes)
+            and (instance.backoff_until_s <= now_s or not self._policy.rest_after_failure)
+        ]
+
+    def admit(self, instance: Instance, now_s: float) -> bool:
+        """Take of the budget of an instance that warms up; whether one more attempt keeps within it."""
+        service = self.services.get(instance.service)
+        has_limit = service is not None and service.cold_per_s > 0 and self._policy.cold_budget
+        if not self.is_warming_up(instance, now_s) or service is None or not has_limit:
+            return True
+        if instance.warm_up_budget is None:
+            instance.warm_up_budget = WarmUpBudget(instance.id, now_s)
+        gateways = int(self.gateway_count)
+        return instance.warm_up_budget.take(service.cold_per_s, self.gateway_rank, gateways, now_s)
+
+    @staticmethod
+    def is_warming_up(instance: Instance, now_s: float) -> bool:
+        """Whether an instance is warming up."""
+        return instance.warming_until_s > now_s
+
+
+def _apply_entry(instance: Instance, entry: InstanceEntry, now_s: float) -> None:
+    instance.capacity = entry.capacity
+    if entry.warm_up_s > 0:
+        instance.warming_until_s = max(instance.warming_until_s, now_s + entry.warm_up_s)
+    if not entry.is_ready:
+        instance.set_status(InstanceStatus.DRAINING)
--- a/brambleusher/dataplane/placement.py
+++ b/brambleusher/dataplane/placement.py
@@ -1,4 +1,4 @@
-"""Which instance a request goes to: homes, evacuations, kept prefixes, then the weights of the design."""
+"""Placement: which instance a request goes to, by home regions, evacuations, prefix affinity and weights."""
 
 from __future__ import annotations
 
@@ -7,17 +7,20 @@
 from collections.abc import Collection
 from dataclasses import dataclass
 
-from brambleusher.dataplane.instances import HEARD_S, Instance, Instances
-from brambleusher.dataplane.prefixes import LARGE_PREFIX_TOKENS, keepers
+from brambleusher.dataplane.instance import Instance
+from brambleusher.dataplane.instance_table import InstanceTable
+from brambleusher.dataplane.prefix_affinity import LARGE_PREFIX_TOKENS, rank_by_affinity
+from brambleusher.loadbalancing.instance_weights import InstanceWeights
 from brambleusher.wire.configuration import Route
 from brambleusher.wire.policy import Policy
 
-FEW_LEAST = 4  # instances that a gateway uses at the least: one may be slow, one may be lost
-FEW_HEADROOM = 2.5  # all are used from 1 / 2.5 of full use on
+SUBSET_MIN = 4  # instances that a gateway uses at the least: one may be slow, one may be lost
+SUBSET_HEADROOM = 2.5  # all are used from a utilisation of 1 / 2.5 on
+CONTACT_FRESH_S = 0.5  # without a byte from an instance for so long, only a new connection proves it is there
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
+class PlacementRequest:
     """What placement has to know of a request."""
 
     route: Route
@@ -29,98 +32,136 @@
 class Placement:
     """Chooses among the instances of one gateway."""
 
-    def __init__(self, instances: Instances, region: str, policy: Policy | None = None) -> None:
+    def __init__(self, instances: InstanceTable, region: str, policy: Policy | None = None) -> None:
         self._instances, self._region = instances, region
         self._policy = policy or Policy()
 
     def choose(
-        self, wanted: Wanted, tried: Collection[str], now: float, silent_regions: Collection[str] = ()
+        self,
+        request: PlacementRequest,
+        tried: Collection[str],
+        now_s: float,
+        unresponsive_regions: Collection[str] = (),
     ) -> Instance | None:
-        """The instance for the next attempt, none of those tried; None where none may be used now.
+        """Choose the instance for the next attempt, none of those tried; None where none may be used now.
 
-        Regions in which a connection of this very request timed out, and zones that rest, come last.
+        Regions in which a connection of this very request timed out, and zones in back-off, come last.
         """
         usable = [
             instance
-            for instance in self._instances.usable(wanted.route, wanted.service, now)
+            for instance in self._instances.usable(request.route, request.service, now_s)
             if instance.id not in tried
         ]
-        rests = self._instances.zone_rests
-        resting = rests.resting(now) if self._policy.zone_rests else frozenset()
-        last = silent_regions if self._policy.zone_rests else ()
-        awake = [each for each in usable if each.zone not in resting and each.region not in last]
-        chosen = self._of(wanted, awake, now)
-        if chosen is None and len(awake) < len(usable):
-            chosen = self._of(wanted, usable, now)
+        zone_backoff = self._instances.zone_backoff
+        responsive = self._responsive(usable, now_s, unresponsive_regions)
+        chosen = self._choose_from(request, responsive, now_s)
+        if chosen is None and len(responsive) < len(usable):
+            chosen = self._choose_from(request, usable, now_s)
         if chosen is not None:
-            rests.tried(chosen.zone, now)
+            zone_backoff.begin_trial(chosen.zone, now_s)
         return chosen
 
-    def _of(self, wanted: Wanted, usable: list[Instance], now: float) -> Instance | None:
-        few = self._few(wanted, usable)
-        if few:
-            chosen = self._among(wanted, few, now, only_well=True, among_few=True)
+    def _responsive(
+        self, usable: list[Instance], now_s: float, unresponsive_regions: Collection[str]
+    ) -> list[Instance]:
+        if not self._policy.zone_rests:
+            return usable
+        zones = self._instances.zone_backoff.zones_in_backoff(now_s)
+        return [each for each in usable if each.zone not in zones and each.region not in unresponsive_regions]
+
+    def _choose_from(
+        self, request: PlacementRequest, usable: list[Instance], now_s: float
+    ) -> Instance | None:
+        """Try the subset of this gateway, then healthy instances by distance, then all."""
+        weights = self._instances.weights.get(request.service)
+        if weights is None:
+            return None
+        if self._has_affinity(request):
+            return self._choose_by_affinity(request, usable, weights, now_s)
+        subset = self._subset(usable, weights)
+        if subset:
+            chosen = self._choose_by_weight(_healthy(subset, weights), weights, now_s, is_subset=True)
             if chosen is not None:
                 return chosen
-        for group in self._groups(wanted, usable):
-            chosen = self._among(wanted, group, now, only_well=True)
+        for group in self._groups_by_distance(usable):
+            chosen = self._choose_by_weight(_healthy(group, weights), weights, now_s)
             if chosen is not None:
                 return chosen
-        return self._among(wanted, usable, now, only_well=False)
+        return self._choose_by_weight(usable, weights, now_s)
 
-    def _few(self, wanted: Wanted, usable: list[Instance]) -> list[Instance]:
-        """The instances that this gateway prefers, near ones if any, as many as the load asks for.
+    # --- candidates -------------------------------------------------------------------------------
 
-        Few instances for each gateway mean that connections are used again, and that one which fails is
+    def _subset(self, usable: list[Instance], weights: InstanceWeights) -> list[Instance]:
+        """Return the instances that this gateway prefers, near ones if any, as many as the load asks for.
+
+        Few instances for each gateway mean that connections are reused, and that one which fails is
         noticed by the few that use it after as many requests.  The fuller the instances are the more
         evenly they have to be used.  Empty where all of them are needed.
         """
-        weights = self._instances.weights.get(wanted.service)
-        if not self._policy.subset or self._kept(wanted) or weights is None:
+        if not self._policy.subset:
             return []
-        well = [instance for instance in usable if weights.well(instance.id)]
-        near = [instance for instance in well if self._near(instance)] or well
-        size = max(FEW_LEAST, math.ceil(len(near) * weights.mean_utilisation * FEW_HEADROOM))
+        healthy = _healthy(usable, weights)
+        near = [instance for instance in healthy if self._is_near(instance)] or healthy
+        size = max(SUBSET_MIN, math.ceil(len(near) * weights.mean_utilisation * SUBSET_HEADROOM))
         if size >= len(near):
             return []
-        return heapq.nsmallest(size, near, key=lambda instance: instance.rank)
+        return heapq.nsmallest(size, near, key=lambda instance: instance.preference_rank)
 
-    def _near(self, instance: Instance) -> bool:
+    def _is_near(self, instance: Instance) -> bool:
         return instance.region == self._region or not self._policy.own_region_first
 
-    def _groups(self, wanted: Wanted, usable: list[Instance]) -> list[list[Instance]]:
-        """Nearer instances first; for a large prefix all together, so that it has one keeper everywhere.
+    def _groups_by_distance(self, usable: list[Instance]) -> list[list[Instance]]:
+        near = [instance for instance in usable if self._is_near(instance)]
+        return [near, [instance for instance in usable if not self._is_near(instance)]]
+
+    # --- choice -----------------------------------------------------------------------------------
+
+    def _has_affinity(self, request: PlacementRequest) -> bool:
+        """Whether a request's shared prefix is large enough for one instance to cache it."""
+        return self._policy.prefix_keepers and request.prefix_tokens >= LARGE_PREFIX_TOKENS
+
+    def _choose_by_affinity(
+        self, request: PlacementRequest, usable: list[Instance], weights: InstanceWeights, now_s: float
+    ) -> Instance | None:
+        """Choose by the affinity of the prefix alone, over all regions: healthy instances, then all.
 
-        A prompt on its way to another region is far less than its shared part read once more there.
+        A prompt on its way to another region costs far less than another prefill of its prefix there.
         """
-        if self._kept(wanted):
-            return [usable]
-        near = [instance for instance in usable if self._near(instance)]
-        return [near, [instance for instance in usable if not self._near(instance)]]
+        return self._first_by_affinity(
+            request, _healthy(usable, weights), weights, now_s
+        ) or self._first_by_affinity(request, usable, weights, now_s)
 
-    def _kept(self, wanted: Wanted) -> bool:
-        """Whether a request's shared prefix is worth one instance that keeps it."""
-        return self._policy.prefix_keepers and wanted.prefix_tokens >= LARGE_PREFIX_TOKENS
+    def _first_by_affinity(
+        self, request: PlacementRequest, group: list[Instance], weights: InstanceWeights, now_s: float
+    ) -> Instance | None:
+        by_id = {instance.id: instance for instance in group}
+        for instance_id in rank_by_affinity(request.prefix_key, by_id):
+            if self._instances.admit(by_id[instance_id], now_s):
+                weights.choose([instance_id], now_s)  # it takes a token like any other
+                return by_id[instance_id]
+        return None
 
-    def _among(
-        self, wanted: Wanted, group: list[Instance], now: float, only_well: bool, among_few: bool = False
+    def _choose_by_weight(
+        self, group: list[Instance], weights: InstanceWeights, now_s: float, is_subset: bool = False
     ) -> Instance | None:
-        weights = self._instances.weights.get(wanted.service)
-        if weights is None:
-            return None
-        by_id = {instance.id: instance for instance in group if not only_well or weights.well(instance.id)}
-        if self._kept(wanted):
-            for name in keepers(wanted.prefix_key, by_id):
-                if self._instances.admits(by_id[name], now):
-                    weights.choose([name], now)
-                    return by_id[name]
-            return None
+        """Choose by weighted round robin; in a subset, instances with an idle connection come first."""
+        by_id = {instance.id: instance for instance in group}
         while by_id:
-            first = [name for name, each in by_id.items() if each.idle and now - each.heard_at <= HEARD_S]
-            chosen = weights.choose(list(by_id), now, among_few, first if among_few else ())
+            connected = [
+                instance_id
+                for instance_id, instance in by_id.items()
+                if is_subset
+                and instance.idle_connections
+                and now_s - instance.last_contact_s <= CONTACT_FRESH_S
+            ]
+            chosen = weights.choose(list(by_id), now_s, is_subset, connected)
             if chosen is None:
                 return None
-            if self._instances.admits(by_id[chosen], now):
+            if self._instances.admit(by_id[chosen], now_s):
                 return by_id[chosen]
             del by_id[chosen]
         return None
+
+
+def _healthy(group: list[Instance], weights: InstanceWeights) -> list[Instance]:
+    return [instance for instance in group if weights.well(instance.id)]
--- /dev/null
+++ b/brambleusher/dataplane/request_context.py
@@ -0,0 +1,42 @@
+"""The state of one request between its arrival and the end of its response."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from brambleusher.dataplane.client_request import ClientRequest
+from brambleusher.dataplane.placement import PlacementRequest
+from brambleusher.dataplane.retry_budget import RetryBudget
+from brambleusher.wire.configuration import Route
+
+
+@dataclass(slots=True, eq=False)
+class RequestContext:
+    """A request, its route, and what its attempts have shown so far."""
+
+    request: ClientRequest
+    route: Route
+    placement: PlacementRequest
+    retry_budget: RetryBudget
+    attempt_id: bytes
+    deadline_s: float
+    last_event_id: bytes
+    tried: set[str] = field(default_factory=set)
+    unresponsive_regions: set[str] = field(default_factory=set)  # where a connection of its own timed out
+    attempts_sent: int = 0  # that reached an instance
+    possible_runs: int = 0  # instances that may have run it
+    rejection_reason: str = ""  # why no further attempt was made; part of a counter's name
+
+    @property
+    def may_have_run(self) -> bool:
+        """Whether any instance may have run it."""
+        return self.possible_runs > 0
+
+    @property
+    def may_run_again(self) -> bool:
+        """Whether its route allows one more instance to run it."""
+        return self.route.repeatable and self.possible_runs < max(self.route.tries, 1)
+
+    def remaining_s(self, now_s: float) -> float:
+        """Return the time left until the deadline."""
+        return self.deadline_s - now_s
--- /dev/null
+++ b/brambleusher/dataplane/request_handler.py
@@ -0,0 +1,143 @@
+"""One request on a gateway: find its route, run its attempts, forward the response."""
+
+from __future__ import annotations
+
+import random
+from http import HTTPStatus
+
+from brambleusher.dataplane.attempts import ATTEMPT_MIN_S, MS_PER_S, AttemptRunner
+from brambleusher.dataplane.client_connection import ClientConnection
+from brambleusher.dataplane.client_request import ClientRequest
+from brambleusher.dataplane.counters import Counters
+from brambleusher.dataplane.errors import ResponseBrokenError
+from brambleusher.dataplane.instance_table import InstanceTable
+from brambleusher.dataplane.placement import PlacementRequest
+from brambleusher.dataplane.prefix_affinity import shared_prefix
+from brambleusher.dataplane.request_context import RequestContext
+from brambleusher.dataplane.retry_budget import RetryBudget
+from brambleusher.dataplane.routing import RouteTable, pick_service
+from brambleusher.dataplane.streaming import StreamRelay, is_event_stream
+from brambleusher.dataplane.upstream_response import UpstreamResponse
+from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
+from brambleusher.wire.configuration import Route
+from brambleusher.wire.settings import Bounds
+
+RETRY_AFTER_S = 0.25
+RETRY_AFTER_FRACTION = 0.25  # of the time left at most: clients honour up to a third of it
+
+
+class RequestHandler:
+    """Serves the requests of clients."""
+
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        bounds: Bounds,
+        instances: InstanceTable,
+        attempts: AttemptRunner,
+        counters: Counters,
+        rng: random.Random,
+    ) -> None:
+        self._scheduler, self._bounds, self._rng = scheduler, bounds, rng
+        self._instances, self._attempts, self._counters = instances, attempts, counters
+        self._retry_budgets: dict[str, RetryBudget] = {}
+
+    def handle(self, client: ClientConnection, request: ClientRequest, routes: RouteTable) -> None:
+        """Respond to one request."""
+        path = request.target.decode("latin-1")
+        route = routes.find(request.header(b"host").decode("latin-1"), path)
+        attempt_id = request.header(b"x-attempt-id")
+        if route is None:
+            self._counters.add("no_route")
+            client.send_error(HTTPStatus.NOT_FOUND, "there is no route", attempt_id)
+            return
+        context = self._context(request, route, attempt_id)
+        context.retry_budget.record_request()
+        response = self._attempts.run(context)
+        if response is None:
+            self._reject(client, context)
+        elif is_event_stream(context, response):
+            self._relay_stream(client, context, response)
+        else:
+            self._relay_complete(client, context, response)
+
+    def _context(self, request: ClientRequest, route: Route, attempt_id: bytes) -> RequestContext:
+        prefix_key, prefix_tokens = "", 0
+        if route.affine:
+            prefix_key, prefix_tokens = shared_prefix(request.header(b"x-prompt-prefix").decode("latin-1"))
+        limit_s = route.deadline_ms / MS_PER_S
+        remaining_ms = request.header(b"x-deadline-remaining")
+        if remaining_ms.isdigit():
+            limit_s = min(limit_s, int(remaining_ms) / MS_PER_S)
+        service = pick_service(route, self._rng)
+        return RequestContext(
+            request,
+            route,
+            PlacementRequest(route, service, prefix_key, prefix_tokens),
+            self._retry_budget(service),
+            attempt_id,
+            request.received_at_s + limit_s,
+            request.header(b"last-event-id"),
+        )
+
+    def _retry_budget(self, service: str) -> RetryBudget:
+        gateways = self._instances.gateway_count
+        budget = self._retry_budgets.get(service)
+        if budget is None:
+            bounds = self._bounds
+            budget = self._retry_budgets[service] = RetryBudget(
+                bounds.retry_ratio,
+                bounds.retry_slack,
+                bounds.retry_window_s,
+                gateways,
+                self._scheduler.now(),
+            )
+        budget.set_gateway_count(gateways)
+        return budget
+
+    # --- responses --------------------------------------------------------------------------------
+
+    def _reject(self, client: ClientConnection, context: RequestContext) -> None:
+        """Respond where no instance did, and say at once whether the request may have run."""
+        remaining_s = context.remaining_s(self._scheduler.now())
+        if context.may_have_run:
+            self._counters.add("failed")
+            is_late = remaining_s < ATTEMPT_MIN_S
+            status = HTTPStatus.GATEWAY_TIMEOUT if is_late else HTTPStatus.BAD_GATEWAY
+            client.send_error(status, "no whole answer came", context.attempt_id)
+            return
+        self._counters.add(f"refused_{context.rejection_reason}")
+        retry_after_s = max(0.0, min(RETRY_AFTER_S, remaining_s * RETRY_AFTER_FRACTION))
+        client.send_error(
+            HTTPStatus.SERVICE_UNAVAILABLE, "no instance can take it now", context.attempt_id, retry_after_s
+        )
+
+    def _relay_stream(
+        self, client: ClientConnection, context: RequestContext, response: UpstreamResponse
+    ) -> None:
+        if StreamRelay(self._attempts, client, context).run(response):
+            self._counters.add("served")
+        elif client.has_response_begun:
+            client.stream.close()  # without its end, so that the client sees that it is incomplete
+        else:
+            self._reject(client, context)
+
+    def _relay_complete(
+        self, client: ClientConnection, context: RequestContext, response: UpstreamResponse
+    ) -> None:
+        """Buffer a response until it is complete, so that one that breaks off can be retried."""
+        pending: UpstreamResponse | None = response
+        while pending is not None:
+            body: list[bytes] = []
+            try:
+                while data := pending.read(context.deadline_s):
+                    body.append(data)
+            except (ResponseBrokenError, TaskTimeoutError):
+                self._counters.add("broken")
+                pending = self._attempts.run(context)
+                continue
+            is_served = pending.status < HTTPStatus.BAD_REQUEST
+            self._counters.add("served" if is_served else "passed_failure")
+            client.send_response(pending.status, pending.headers, b"".join(body))
+            return
+        self._reject(client, context)
--- a/brambleusher/dataplane/routes.py
+++ b/brambleusher/dataplane/routing.py
@@ -1,4 +1,4 @@
-"""The table of routes of one configuration."""
+"""Routing: the route table of one configuration and the choice of a service."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class RouteTable:
-    """Finds a request's route by host and longest prefix."""
+    """Finds a request's route by host and longest path prefix."""
 
     def __init__(self, configuration: Configuration) -> None:
         self.revision = configuration.revision
@@ -19,7 +19,10 @@
             self._hosts.setdefault(route.host.lower(), {})[route.path_prefix] = route
 
     def find(self, host: str, path: str) -> Route | None:
-        """The route of a request: its longest prefix that begins the path, cut at slashes."""
+        """Return the route with the longest prefix of the path, cut at slashes; None where there is none.
+
+        A host is looked up as it stands, then without its port.
+        """
         host = host.lower()
         routes = self._hosts.get(host)
         if routes is None:
@@ -36,7 +39,7 @@
 
 
 def pick_service(route: Route, rng: random.Random) -> str:
-    """One of the route's services, by their shares."""
+    """Return one of the route's services, at random by their weights."""
     if route.service is not None:
         return route.service
     shares = route.shares
--- /dev/null
+++ b/brambleusher/dataplane/streaming.py
@@ -0,0 +1,74 @@
+"""Relaying of an event stream to a client, event by event, across instances where the route allows."""
+
+from __future__ import annotations
+
+from http import HTTPStatus
+
+from brambleusher.dataplane.attempts import AttemptRunner
+from brambleusher.dataplane.client_connection import ClientConnection
+from brambleusher.dataplane.client_request import HeaderList
+from brambleusher.dataplane.errors import EventTooLongError, ResponseBrokenError
+from brambleusher.dataplane.event_stream import EventSplitter
+from brambleusher.dataplane.request_context import RequestContext
+from brambleusher.dataplane.upstream_response import UpstreamResponse
+from brambleusher.runtime.scheduler import TaskTimeoutError
+
+EVENT_STREAM_TYPE = b"text/event-stream"
+STREAMING_KIND = "streaming"
+
+
+def is_event_stream(context: RequestContext, response: UpstreamResponse) -> bool:
+    """Whether a response is to be relayed event by event."""
+    return (
+        context.route.kind == STREAMING_KIND
+        and response.status == HTTPStatus.OK
+        and response.header(b"content-type").startswith(EVENT_STREAM_TYPE)
+    )
+
+
+class StreamRelay:
+    """Relays one stream."""
+
+    def __init__(self, attempts: AttemptRunner, client: ClientConnection, context: RequestContext) -> None:
+        self._attempts, self._client, self._context = attempts, client, context
+        last_event_id = context.last_event_id
+        self._splitter = EventSplitter(int(last_event_id) if last_event_id.isdigit() else None)
+        self._headers: HeaderList = []
+
+    def run(self, response: UpstreamResponse) -> bool:
+        """Relay the stream until it is complete; False where it broke off and can't be resumed."""
+        self._headers = response.headers
+        while not self._relay(response):
+            last_event_id = self._splitter.last_id
+            resumed = self._attempts.resume(self._context, last_event_id)
+            if resumed is None:
+                return False
+            response = resumed
+            if not self._client.has_response_begun:
+                self._headers = response.headers
+            self._splitter = EventSplitter(last_event_id)
+        return True
+
+    def _relay(self, response: UpstreamResponse) -> bool:
+        """Relay the events of one instance; whether its stream came to its end."""
+        try:
+            while data := response.read(self._context.deadline_s):
+                events = self._splitter.feed(data)
+                if events:
+                    self._begin_response()
+                    self._client.send_data(events)
+        except (ResponseBrokenError, TaskTimeoutError, EventTooLongError):
+            response.abandon()
+            return False
+        except BaseException:  # the client disconnected, or the task was cancelled: no fault of the instance
+            response.abandon(None)
+            raise
+        if self._splitter.has_partial_event:
+            return False
+        self._begin_response()
+        self._client.end_response()
+        return True
+
+    def _begin_response(self) -> None:
+        if not self._client.has_response_begun:
+            self._client.begin_response(HTTPStatus.OK, self._headers)
--- /dev/null
+++ b/brambleusher/dataplane/upstream_client.py
@@ -0,0 +1,229 @@
+"""One attempt: a request over a connection to one instance, up to the head of its response."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+import h11
+from result import Err, Ok, Result
+
+from brambleusher.dataplane.attempt_failure import AttemptFailure, AttemptLost, AttemptRejected, ConnectFailed
+from brambleusher.dataplane.client_request import HeaderList
+from brambleusher.dataplane.connection_pool import RESPONSE_HEAD_MAX_BYTES, ConnectionPool, Headers
+from brambleusher.dataplane.errors import ResponseBrokenError
+from brambleusher.dataplane.instance import Instance
+from brambleusher.dataplane.instance_table import InstanceTable
+from brambleusher.dataplane.upstream_connection import UpstreamConnection
+from brambleusher.dataplane.upstream_response import AttemptListener, OutcomeIgnored, UpstreamResponse
+from brambleusher.runtime.h11_messages import next_event, whole
+from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
+from brambleusher.wire import instance_load
+
+STRAY_RESPONSES_MAX = 4  # responses to other requests that are read before the one that is due
+UNPROVEN_IDLE_S = 0.05  # an idle time after which an instance may have forgotten a connection
+PROOF_MARGIN_S = 0.004  # beside a round trip: timers and small queues
+PROOF_ROUND_TRIPS = 1.5
+PROOF_MAX_S = 0.1
+ATTEMPT_HEADER = b"x-attempt-id"
+NOT_EXECUTED_HEADER = b"x-not-executed"
+MISDIRECTED_REQUEST = 421  # of an instance that is not the one named in the request
+
+
+@dataclass(frozen=True, slots=True)
+class UpstreamRequest:
+    """What is sent to one instance."""
+
+    instance: Instance
+    method: bytes
+    target: bytes
+    headers: HeaderList
+    body: bytes
+    attempt_id: bytes
+    deadline_s: float
+    must_run_once: bool  # it can't be sent again once it may have run
+
+    def head(self) -> h11.Request:
+        """Return the request line and headers."""
+        return h11.Request(method=self.method, target=self.target, headers=list(self.headers))
+
+
+@dataclass(frozen=True, slots=True)
+class _PreparedAttempt:
+    connection: UpstreamConnection
+    unsent: bytes
+
+
+class UpstreamClient:
+    """Sends requests to instances over pooled connections."""
+
+    def __init__(self, scheduler: Scheduler, instances: InstanceTable, pool: ConnectionPool) -> None:
+        self._scheduler, self._instances, self._pool = scheduler, instances, pool
+        self.malformed_loads = 0
+
+    def has_capacity(self, instance: Instance) -> bool:
+        """Whether an attempt can get a connection to an instance."""
+        return self._pool.has_capacity(instance)
+
+    def send(
+        self, request: UpstreamRequest, listener: AttemptListener
+    ) -> Result[UpstreamResponse, AttemptFailure]:
+        """Send a request and wait for the head of its response.
+
+        The listener is notified only of an attempt that is returned with a response.
+        """
+        prepared = self._prepare(request)
+        if isinstance(prepared, Err):
+            return prepared
+        connection = prepared.ok_value.connection
+        head = self._exchange(request, prepared.ok_value)
+        if head is None:
+            return Err(AttemptLost())
+        self._pool.record_response(connection)
+        self._record_load(request.instance, head.headers)
+        if _is_rejection(head):
+            return Err(self._drain_rejection(request, connection, head))
+        return Ok(UpstreamResponse(self._scheduler, self._pool, request.instance, connection, head, listener))
+
+    # --- the connection ---------------------------------------------------------------------------
+
+    def _prepare(self, request: UpstreamRequest) -> Result[_PreparedAttempt, ConnectFailed]:
+        """Get a connection, an idle one if possible."""
+        head = request.head()  # before a connection is taken: it may raise
+        # Without an id the response can't be told from another's, unless the connection is new.
+        if request.attempt_id:
+            reused = self._reuse_connection(request, head)
+            if reused is not None:
+                return Ok(reused)
+        opened = self._pool.connect(request.instance, request.deadline_s)
+        if isinstance(opened, Err):
+            return opened
+        connection = opened.ok_value
+        return Ok(_PreparedAttempt(connection, whole(connection.protocol, head, request.body)))
+
+    def _reuse_connection(self, request: UpstreamRequest, head: h11.Request) -> _PreparedAttempt | None:
+        connection = self._pool.acquire_idle(request.instance, request.must_run_once)
+        if connection is None:
+            return None
+        data = whole(connection.protocol, head, request.body)
+        needs_proof = request.must_run_once and self._pool.drops_idle_unseen
+        if not needs_proof or connection.idle_s <= UNPROVEN_IDLE_S:
+            return _PreparedAttempt(connection, data)
+        if self._is_alive(request, connection, data[:-1]):
+            return _PreparedAttempt(connection, data[-1:])
+        self._pool.close(request.instance, connection)
+        self._pool.record_reset(connection)
+        return None
+
+    def _is_alive(self, request: UpstreamRequest, connection: UpstreamConnection, begin: bytes) -> bool:
+        """Send all but the last byte of a request; whether the connection is still there.
+
+        An instance that has forgotten a connection resets it when anything comes.  An incomplete request
+        can't have run, so that it may go over another connection then.
+        """
+        proof_s = min(connection.handshake_s * PROOF_ROUND_TRIPS + PROOF_MARGIN_S, PROOF_MAX_S)
+        until_s = self._scheduler.now() + proof_s
+        try:
+            connection.stream.send(begin, request.deadline_s)
+            self._scheduler.park(min(until_s, request.deadline_s), connection.stream.sock)
+        except TaskTimeoutError:
+            return True
+        except OSError:
+            return False
+        except BaseException:
+            self._pool.close(request.instance, connection)
+            raise
+        return False  # something came where nothing was due: its end
+
+    # --- the response -----------------------------------------------------------------------------
+
+    def _exchange(self, request: UpstreamRequest, prepared: _PreparedAttempt) -> h11.Response | None:
+        """Send the rest of a request and read the response's head; None where the attempt is lost."""
+        connection = prepared.connection
+        head: h11.Response | None = None
+        try:
+            connection.stream.send(prepared.unsent, request.deadline_s)
+            head = _read_matching_head(connection, request)
+        except (OSError, h11.ProtocolError):
+            self._pool.record_reset(connection)
+        except TaskTimeoutError:
+            pass  # it says nothing of the connection: the instance may be slow
+        except BaseException:
+            self._pool.close(request.instance, connection)
+            raise
+        if head is None:
+            self._pool.close(request.instance, connection)
+        return head
+
+    def _record_load(self, instance: Instance, headers: Headers) -> None:
+        for name, value in headers:
+            if name == instance_load.HEADER:
+                load = instance_load.read(value)
+                if load is None:
+                    self.malformed_loads += 1
+                else:
+                    self._instances.record_load(instance, load)
+
+    def _drain_rejection(
+        self, request: UpstreamRequest, connection: UpstreamConnection, head: h11.Response
+    ) -> AttemptRejected:
+        """Read the body of a rejection, so that the connection can be reused."""
+        response = UpstreamResponse(
+            self._scheduler, self._pool, request.instance, connection, head, OutcomeIgnored()
+        )
+        try:
+            while response.read(request.deadline_s):
+                pass
+        except (ResponseBrokenError, TaskTimeoutError):
+            pass  # the promise stands in the head
+        return AttemptRejected(response.status)
+
+
+def _is_rejection(head: h11.Response) -> bool:
+    """Whether an instance promises that it has not run the request and never will."""
+    return head.status_code == MISDIRECTED_REQUEST or any(
+        name == NOT_EXECUTED_HEADER for name, _ in head.headers
+    )
+
+
+def _read_matching_head(connection: UpstreamConnection, request: UpstreamRequest) -> h11.Response | None:
+    """Read the head of the response to this very request; responses to others are dropped.
+
+    Instances echo the id of a request.  One that doesn't can be believed only on a new connection: on
+    a reused one a second response to the request before would look the same.
+    """
+    for _ in range(STRAY_RESPONSES_MAX):
+        head = _read_head(connection, request.deadline_s)
+        if head is None:
+            return None
+        echoed = dict(head.headers).get(ATTEMPT_HEADER)
+        if echoed == request.attempt_id or (echoed is None and not connection.is_reused):
+            return head
+        if not _drop_response(connection, request.deadline_s):
+            return None
+    return None
+
+
+def _read_head(connection: UpstreamConnection, deadline_s: float) -> h11.Response | None:
+    while True:
+        event = next_event(connection.protocol, connection.stream, deadline_s)
+        if isinstance(event, h11.Response):
+            return event
+        if not isinstance(event, h11.InformationalResponse):
+            return None
+
+
+def _drop_response(connection: UpstreamConnection, deadline_s: float) -> bool:
+    """Read a response that belongs to another request, and prepare for the one that is due."""
+    while True:
+        event = next_event(connection.protocol, connection.stream, deadline_s)
+        if isinstance(event, h11.EndOfMessage):
+            break
+        if not isinstance(event, h11.Data):
+            return False
+    received = connection.protocol.trailing_data[0]
+    connection.protocol = h11.Connection(h11.CLIENT, max_incomplete_event_size=RESPONSE_HEAD_MAX_BYTES)
+    # The parser has to have seen a request before it reads a response to one.
+    whole(connection.protocol, h11.Request(method=b"GET", target=b"/", headers=[(b"Host", b"-")]))
+    if received:
+        connection.protocol.receive_data(received)
+    return True
--- /dev/null
+++ b/brambleusher/dataplane/upstream_response.py
@@ -0,0 +1,100 @@
+"""A response of an instance whose head has come; its body is read in pieces."""
+
+from __future__ import annotations
+
+from http import HTTPStatus
+from typing import Protocol
+
+import h11
+
+from brambleusher.dataplane.client_request import HeaderList
+from brambleusher.dataplane.connection_pool import ConnectionPool
+from brambleusher.dataplane.errors import ResponseBrokenError
+from brambleusher.dataplane.instance import Instance
+from brambleusher.dataplane.upstream_connection import UpstreamConnection
+from brambleusher.runtime.h11_messages import next_event
+from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
+
+
+class AttemptListener(Protocol):
+    """Is notified of the outcome of an attempt that has a response."""
+
+    def response_started(self) -> None:
+        """Record the first bytes of the body."""
+
+    def attempt_finished(self, has_succeeded: bool | None) -> None:
+        """Record the end of the attempt; None: it says nothing of the instance."""
+
+
+class OutcomeIgnored:
+    """A listener for attempts whose outcome is recorded elsewhere."""
+
+    def response_started(self) -> None:
+        """Do nothing."""
+
+    def attempt_finished(self, has_succeeded: bool | None) -> None:
+        """Do nothing."""
+
+
+class UpstreamResponse:
+    """Head and body of a response; owns its connection until the body ends."""
+
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        pool: ConnectionPool,
+        instance: Instance,
+        connection: UpstreamConnection,
+        head: h11.Response,
+        listener: AttemptListener,
+    ) -> None:
+        self._scheduler, self._pool = scheduler, pool
+        self._instance, self._connection = instance, connection
+        self._listener = listener
+        self.status = head.status_code
+        self.headers: HeaderList = list(head.headers)
+        self._is_finished = self._has_body_begun = False
+
+    def header(self, name: bytes) -> bytes:
+        """Return a header's value by its name in lower case, empty where it is missing."""
+        return next((value for key, value in self.headers if key == name), b"")
+
+    def read(self, deadline_s: float) -> bytes:
+        """Read the next bytes of the body, empty at its end.
+
+        Raises:
+            ResponseBrokenError: The connection ended before the body was complete.
+            TaskTimeoutError: The deadline passed.
+        """
+        try:
+            event = next_event(self._connection.protocol, self._connection.stream, deadline_s)
+        except (OSError, h11.ProtocolError) as error:
+            self.abandon()
+            raise ResponseBrokenError(f"{self._instance.id}: the response broke off: {error!r}") from error
+        except TaskTimeoutError:
+            self.abandon()
+            raise
+        self._instance.last_contact_s = self._scheduler.now()
+        if isinstance(event, h11.Data):
+            if not self._has_body_begun:
+                self._has_body_begun = True
+                self._listener.response_started()
+            return bytes(event.data)
+        if isinstance(event, h11.EndOfMessage):
+            self._finish()
+            return b""
+        self.abandon()
+        raise ResponseBrokenError(f"{self._instance.id}: the connection ended within the response")
+
+    def abandon(self, has_succeeded: bool | None = False) -> None:
+        """Close the connection: the rest can't be had or, with `has_succeeded` None, is not wanted."""
+        if not self._is_finished:
+            self._is_finished = True
+            self._pool.close(self._instance, self._connection)
+            self._listener.attempt_finished(has_succeeded)
+
+    def _finish(self) -> None:
+        if not self._is_finished:
+            self._is_finished = True
+            self._pool.release(self._instance, self._connection, self.headers)
+            self._listener.attempt_finished(self.status < HTTPStatus.INTERNAL_SERVER_ERROR)
--- a/brambleusher/gateway/app.py
+++ b/brambleusher/gateway/app.py
@@ -1,45 +1,43 @@
-"""The gateway: assembles the data plane of one edge machine, and its life from start to SIGTERM."""
+"""The gateway: assembles the data plane of one edge machine."""
 
 from __future__ import annotations
 
 import logging
 import random
+from http import HTTPStatus
 
-import h11
-
-from brambleusher.dataplane.client_connection import NO_MEMORY, BodyMemory, ClientConnection, RequestTooLarge
+from brambleusher.dataplane.attempts import AttemptRunner
+from brambleusher.dataplane.body_memory import BodyMemory
+from brambleusher.dataplane.configuration_client import ConfigurationClient
+from brambleusher.dataplane.connection_pool import ConnectionPool
 from brambleusher.dataplane.counters import Counters
-from brambleusher.dataplane.instances import Instance, Instances
-from brambleusher.dataplane.serving import Serving
-from brambleusher.dataplane.upstream import Upstream
-from brambleusher.dataplane.watcher import Watcher
+from brambleusher.dataplane.instance_table import InstanceTable
+from brambleusher.dataplane.placement import Placement
+from brambleusher.dataplane.request_handler import RequestHandler
+from brambleusher.dataplane.routing import RouteTable
+from brambleusher.dataplane.upstream_client import UpstreamClient
+from brambleusher.gateway.client_server import ClientServer
+from brambleusher.gateway.graceful_shutdown import GracefulShutdown
 from brambleusher.membership.controllers import Controllers, Locality
 from brambleusher.membership.process import run_until_signalled
 from brambleusher.membership.settings_watch import SettingsWatcher
 from brambleusher.membership.views import Peer, PeerState
-from brambleusher.runtime.acceptor import Acceptor
 from brambleusher.runtime.http_server import HttpRequest, HttpResponse, HttpServer, json_response
 from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
-from brambleusher.runtime.streams import Stream, parse_address
+from brambleusher.runtime.streams import parse_address
 from brambleusher.runtime.system import System
-from brambleusher.wire.configuration import Limits
 from brambleusher.wire.policy import Policy
 from brambleusher.wire.settings import Settings
 
 log = logging.getLogger(__name__)
 
-BYTES_A_MB = 1024 * 1024
-BODIES_PART = 4  # one over the part of the machine's memory that clients' bodies may take
-UPKEEP_S = 0.25
-POOL_CONTRACT = "pool"  # in `in_force` where idle connections may be forgotten unseen
-CLIENTS_MAX = 2500
+BYTES_PER_MB = 1024 * 1024
+NS_PER_MS = 1_000_000
+BODY_MEMORY_DIVISOR = 4  # of the machine's memory, for the bodies of clients' requests
+MAINTENANCE_INTERVAL_S = 0.25
+DROPS_IDLE_UNSEEN = "pool"  # in `in_force`: instances may drop idle connections without a word
 READY_PATH = "/api/readiness"
 STATUS_PATH = "/api/status"
-LEAVE_LEAST_S = 2.6  # after SIGTERM: clients hold the registry's last answer for so long
-LEAVE_QUIET_S = 0.6  # without a request for so long the gateway may end
-LAST_REQUESTS_S = 3.0  # before SIGKILL: requests that come later are sent elsewhere
-LEAVE_MARGIN_S = 0.3  # before SIGKILL the process is over
-NOT_YET_S = 0.3  # until a client should come back to a gateway that knows no configuration
 
 
 class Gateway:
@@ -48,144 +46,83 @@
     def __init__(
         self, system: System, settings: Settings, path: str = "", policy: Policy | None = None
     ) -> None:
+        """Build all parts and listen; `path` names the settings file to watch, empty for none."""
         self.scheduler = Scheduler(system)
         self.settings = settings
-        rng = random.Random(f"{settings.node_name} {system.wall_ns()}")
-        self._incarnation = system.wall_ns() // 1_000_000
-        self._leaving_at: float | None = None
-        self._last_request_at = 0.0
-        self._active = 0
-        self._clients: set[ClientConnection] = set()
-        self._body_memory = BodyMemory(settings.limits.memory_mb * BYTES_A_MB // BODIES_PART)
         policy = policy or Policy()
+        rng = random.Random(f"{settings.node_name} {system.wall_ns()}")
+        self._incarnation = system.wall_ns() // NS_PER_MS
+        self._shutdown = GracefulShutdown(self.scheduler, lambda: self.settings.bounds.grace_s)
         self.counters = Counters()
-        self.instances = Instances(settings.zones, rng, policy, settings.node_name)
-        self._upstream = Upstream(self.scheduler, self.instances, POOL_CONTRACT in settings.in_force, policy)
-        self._controllers = Controllers(settings.seed_peers(), rng, Locality(settings.zone, settings.region))
-        self._watcher = Watcher(
-            self.scheduler, self._controllers, self.instances, self._self, self._close_idle
-        )
-        self._serving = Serving(
+        self.instances = InstanceTable(settings.zones, rng, policy, settings.node_name)
+        drops_idle_unseen = DROPS_IDLE_UNSEEN in settings.in_force
+        self.connection_pool = ConnectionPool(self.scheduler, self.instances, drops_idle_unseen, policy)
+        self._upstream = UpstreamClient(self.scheduler, self.instances, self.connection_pool)
+        locality = Locality(settings.zone, settings.region)
+        self.controllers = Controllers(settings.seed_peers(), rng, locality)
+        self._configuration = ConfigurationClient(
             self.scheduler,
-            settings.region,
-            settings.bounds,
+            self.controllers,
             self.instances,
-            self._upstream,
+            self._describe_self,
+            self.connection_pool.close_idle,
+        )
+        handler = self._request_handler(policy, rng)
+        self._ready_server = HttpServer(self.scheduler, parse_address(settings.bind.ready), self._handle_call)
+        self.body_memory = BodyMemory(settings.limits.memory_mb * BYTES_PER_MB // BODY_MEMORY_DIVISOR)
+        self._clients = ClientServer(
+            self.scheduler,
+            parse_address(settings.bind.front),
+            handler,
             self.counters,
-            rng,
-            policy,
+            self.body_memory,
+            lambda: self._configuration.routes,
+            self._accepts_requests,
+        )
+        self._settings_watcher = SettingsWatcher(self.scheduler, path, self._apply_settings)
+        self.scheduler.spawn(self._run_maintenance, name="maintenance")
+
+    def _request_handler(self, policy: Policy, rng: random.Random) -> RequestHandler:
+        settings = self.settings
+        placement = Placement(self.instances, settings.region, policy)
+        attempts = AttemptRunner(
+            self.scheduler, self.instances, placement, self._upstream, self.counters, policy
         )
-        self._ready = HttpServer(self.scheduler, parse_address(settings.bind.ready), self._answer_ready)
-        self._front = Acceptor(self.scheduler, parse_address(settings.bind.front), self._serve, CLIENTS_MAX)
-        self._watch = SettingsWatcher(self.scheduler, path, self._settings_changed)
-        self.scheduler.spawn(self._upkeep, name="upkeep")
+        return RequestHandler(self.scheduler, settings.bounds, self.instances, attempts, self.counters, rng)
+
+    # --- lifecycle --------------------------------------------------------------------------------
 
     def run(self) -> None:
-        """Serve until SIGTERM or SIGINT and what follows is over."""
+        """Serve until SIGTERM or SIGINT, then until the graceful shutdown is over."""
         log.info("gateway started", extra={"fields": {"name": self.settings.node_name}})
-        run_until_signalled(self.scheduler, self.leave, self._watch)
-        log.info("gateway ended", extra={"fields": dict(self.counters.as_json())})
-
-    def leave(self) -> None:
-        """Take leave: not ready, connections end with their answers, then the process does."""
-        if self._leaving_at is not None:
-            return
-        self._leaving_at = self.scheduler.now()
-        log.info("gateway leaves", extra={"fields": {"active": self._active}})
-        for client in self._clients:
-            client.ending = True
-        self.scheduler.spawn(self._end, name="end")
+        run_until_signalled(self.scheduler, self.begin_graceful_shutdown, self._settings_watcher)
+        log.info("gateway stopped", extra={"fields": dict(self.counters.as_json())})
+
+    def begin_graceful_shutdown(self) -> None:
+        """Become not ready; connections close with their responses, then the process ends."""
+        self._shutdown.begin(self._clients)
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether clients should come here."""
-        known = self._watcher.routes is not None and self.instances.listed
-        return known and self._leaving_at is None
-
-    # --- clients ---------------------------------------------------------------------------------
-
-    def _serve(self, stream: Stream, peer: str) -> None:
-        routes = self._watcher.routes
-        limits = routes.limits if routes is not None else Limits()
-        client = ClientConnection(self.scheduler, stream, limits, self._body_memory)
-        client.ending = self._leaving_at is not None
-        self._clients.add(client)
-        try:
-            while self._serve_one(client):
-                pass
-        except h11.LocalProtocolError:
-            log.exception("an answer could not be worded")
-        finally:
-            client.release()
-            self._clients.discard(client)
-
-    def _serve_one(self, client: ClientConnection) -> bool:
-        """One request; whether another may follow."""
-        try:
-            request = client.read()
-        except h11.RemoteProtocolError as error:
-            self.counters.add("bad_request")
-            client.error(error.error_status_hint, str(error))
-            client.stream.finish()
-            return False
-        except RequestTooLarge as error:
-            self.counters.add("too_large")
-            wait = NOT_YET_S if error.status == NO_MEMORY else None
-            client.error(error.status, "the request is over the limits", retry_after_s=wait)
-            client.stream.finish()
-            return False
-        if request is None:
-            return False
-        self._active += 1
-        self._last_request_at = self.scheduler.now()
-        try:
-            routes = self._watcher.routes
-            if routes is None or not self.instances.listed or self._too_late():
-                attempt_id = request.header(b"x-attempt-id")
-                self.counters.add("not_serving")
-                client.error(503, "this gateway does not serve now", attempt_id, NOT_YET_S)
-            else:
-                client.limits = routes.limits
-                self._serving.serve(client, request, routes)
-        finally:
-            self._active -= 1
-        if client.ending:
-            if client.stream.open:
-                client.stream.finish()
-            return False
-        return client.stream.open and client.next()
-
-    def _too_late(self) -> bool:
-        """Whether a request that comes now could be cut off by SIGKILL."""
-        if self._leaving_at is None:
-            return False
-        return self.scheduler.now() > self._leaving_at + self.settings.bounds.grace_s - LAST_REQUESTS_S
-
-    def _end(self) -> None:
-        assert self._leaving_at is not None
-        last = self._leaving_at + self.settings.bounds.grace_s - LEAVE_MARGIN_S
-        earliest = min(self._leaving_at + LEAVE_LEAST_S, last)
-        while (now := self.scheduler.now()) < last:
-            quiet = self._active == 0 and now - self._last_request_at > LEAVE_QUIET_S
-            if now >= earliest and quiet:
-                break
-            self.scheduler.sleep(0.05)
-        self._front.close()
-        for client in list(self._clients):
-            client.closing = True
-            if client.idle:
-                client.wake.set()
-        while self._active and self.scheduler.now() < last:
-            self.scheduler.sleep(0.02)
-        self.scheduler.sleep(0.02)
-        self.scheduler.stop()
-
-    # --- the rest --------------------------------------------------------------------------------
-
-    def _self(self) -> Peer:
+        return self._has_configuration and not self._shutdown.has_begun
+
+    @property
+    def _has_configuration(self) -> bool:
+        return self._configuration.routes is not None and self.instances.has_list
+
+    @property
+    def routes(self) -> RouteTable | None:
+        """The routes in force, None before a configuration came."""
+        return self._configuration.routes
+
+    def _accepts_requests(self) -> bool:
+        return self.instances.has_list and not self._shutdown.is_too_late_for_requests
+
+    def _describe_self(self) -> Peer:
         settings = self.settings
-        state = PeerState.READY if self.ready else PeerState.STARTING
-        if self._leaving_at is not None:
+        state = PeerState.READY if self.is_ready else PeerState.STARTING
+        if self._shutdown.has_begun:
             state = PeerState.DRAINING
         return Peer(
             settings.node_name,
@@ -197,40 +134,43 @@
             self._incarnation,
         )
 
-    def _answer_ready(self, request: HttpRequest) -> HttpResponse:
+    # --- status -----------------------------------------------------------------------------------
+
+    def _handle_call(self, request: HttpRequest) -> HttpResponse:
         if request.path == READY_PATH:
-            return json_response(200 if self.ready else 503, {"ready": self.ready})
+            status = HTTPStatus.OK if self.is_ready else HTTPStatus.SERVICE_UNAVAILABLE
+            return json_response(status, {"ready": self.is_ready})
         if request.path == STATUS_PATH:
-            return json_response(200, self.status())
-        return json_response(404, {"error": f"{request.method} {request.path} is no call of this gateway"})
+            return json_response(HTTPStatus.OK, self.status())
+        reason = f"{request.method} {request.path} is no call of this gateway"
+        return json_response(HTTPStatus.NOT_FOUND, {"error": reason})
 
     def status(self) -> dict[str, object]:
-        """The state as one JSON object."""
-        routes = self._watcher.routes
+        """Return the state as one JSON object."""
+        routes = self.routes
         return {
-            "ready": self.ready,
-            "version": self._watcher.index,
+            "ready": self.is_ready,
+            "version": self._configuration.state_index,
             "revision": routes.revision if routes is not None else 0,
-            "gateways": self.instances.gateways,
+            "gateways": self.instances.gateway_count,
             "weights": {name: weights.weights() for name, weights in self.instances.weights.items()},
             "malformed_loads": self._upstream.malformed_loads,
             "counters": self.counters.as_json(),
         }
 
-    def _close_idle(self, instances: list[Instance]) -> None:
-        for instance in instances:
-            self._upstream.close_idle(instance)
+    # --- maintenance ------------------------------------------------------------------------------
 
-    def _upkeep(self) -> None:
+    def _run_maintenance(self) -> None:
         while True:
             try:
-                self.scheduler.park(self.scheduler.now() + UPKEEP_S)
+                self.scheduler.park(self.scheduler.now() + MAINTENANCE_INTERVAL_S)
             except TaskTimeoutError:
                 self.instances.tick(self.scheduler.now())
-                self._upstream.tick(UPKEEP_S)
+                self.connection_pool.tick(MAINTENANCE_INTERVAL_S)
                 for service in list(self.instances.weights):
-                    self._upstream.expire(self.instances.of(service))
+                    self.connection_pool.close_expired(self.instances.for_service(service))
 
-    def _settings_changed(self, settings: Settings) -> None:
-        self._controllers.set_seeds(settings.seed_peers())
-        log.info("settings read again", extra={"fields": {"seeds": ",".join(settings.seeds)}})
+    def _apply_settings(self, settings: Settings) -> None:
+        """Apply the seeds of changed settings; all else takes a restart."""
+        self.controllers.set_seeds(settings.seed_peers())
+        log.info("settings reloaded", extra={"fields": {"seeds": ",".join(settings.seeds)}})
--- /dev/null
+++ b/brambleusher/gateway/graceful_shutdown.py
@@ -0,0 +1,64 @@
+"""Graceful shutdown of a gateway: not ready, requests under way end, then the process does."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+
+from brambleusher.gateway.client_server import ClientServer
+from brambleusher.runtime.scheduler import Scheduler
+
+log = logging.getLogger(__name__)
+
+CLIENTS_NOTICE_S = 2.6  # after SIGTERM: clients use the registry's last answer for so long
+IDLE_S = 0.6  # without a request for so long the gateway may end
+LAST_REQUESTS_S = 3.0  # before SIGKILL: requests that come later are rejected
+KILL_MARGIN_S = 0.3  # before SIGKILL the process has ended
+LOOK_INTERVAL_S = 0.05
+LAST_LOOK_INTERVAL_S = 0.02
+
+
+class GracefulShutdown:
+    """Knows whether the gateway is shutting down, and ends it in time."""
+
+    def __init__(self, scheduler: Scheduler, grace_s: Callable[[], float]) -> None:
+        """`grace_s` gives the time between SIGTERM and SIGKILL."""
+        self._scheduler, self._grace_s = scheduler, grace_s
+        self._started_at_s: float | None = None
+
+    @property
+    def has_begun(self) -> bool:
+        """Whether the gateway is shutting down."""
+        return self._started_at_s is not None
+
+    @property
+    def is_too_late_for_requests(self) -> bool:
+        """Whether a request that comes now could be cut off by SIGKILL."""
+        if self._started_at_s is None:
+            return False
+        return self._scheduler.now() > self._started_at_s + self._grace_s() - LAST_REQUESTS_S
+
+    def begin(self, clients: ClientServer) -> None:
+        """Begin, once: client connections close with their responses, later the process ends."""
+        if self._started_at_s is not None:
+            return
+        self._started_at_s = self._scheduler.now()
+        log.info(
+            "graceful shutdown started",
+            extra={"fields": {"role": "gateway", "active_requests": clients.active_requests}},
+        )
+        clients.close_after_responses()
+        self._scheduler.spawn(self._finish, clients, self._started_at_s, name="graceful_shutdown")
+
+    def _finish(self, clients: ClientServer, started_at_s: float) -> None:
+        deadline_s = started_at_s + self._grace_s() - KILL_MARGIN_S
+        earliest_s = min(started_at_s + CLIENTS_NOTICE_S, deadline_s)
+        while (now_s := self._scheduler.now()) < deadline_s:
+            if now_s >= earliest_s and clients.is_idle(IDLE_S):
+                break
+            self._scheduler.sleep(LOOK_INTERVAL_S)
+        clients.close()
+        while clients.active_requests and self._scheduler.now() < deadline_s:
+            self._scheduler.sleep(LAST_LOOK_INTERVAL_S)
+        self._scheduler.sleep(LAST_LOOK_INTERVAL_S)
+        self._scheduler.stop()
--- a/tests/system/control_plane_faults.py
+++ b/tests/system/control_plane_faults.py
@@ -364,10 +364,10 @@
             raise Broken("nobody leads in calm times")
         state = self.whole.controllers[leader].replica.state
         for name, gateway in self.whole.gateways.items():
-            table = gateway._watcher.routes
+            table = gateway.routes
             if table is None or table.revision != state.revision:
                 raise Broken(f"{name} has another configuration in calm times")
-            if gateway.instances.evacuated != frozenset(state.evacuated_zones):
+            if gateway.instances.evacuated_zones != frozenset(state.evacuated_zones):
                 raise Broken(f"{name} has other zones evacuated in calm times")
         for name in self.names:
             other = self.whole.controllers[name].replica
--- a/tests/system/test_configuration_patch.py
+++ b/tests/system/test_configuration_patch.py
@@ -54,7 +54,7 @@
     assert found["routes"][0] == changed
     assert found["services"] == json.loads(BASE)["services"]
     whole.sleep(1.0)
-    table = whole.gateways["g1"]._watcher.routes
+    table = whole.gateways["g1"].routes
     assert table is not None
     assert table.revision == 4
 
--- a/tests/system/test_control_plane.py
+++ b/tests/system/test_control_plane.py
@@ -24,7 +24,7 @@
 
 
 def in_force(whole: Whole, revision: int) -> bool:
-    tables = [gateway._watcher.routes for gateway in whole.gateways.values()]
+    tables = [gateway.routes for gateway in whole.gateways.values()]
     return all(table is not None and table.revision == revision for table in tables)
 
 
@@ -156,7 +156,7 @@
     whole.wait(lambda: whole.leader() is not None and in_force(whole, 2))
     assert whole.now - back < 2.0
     assert whole.control("c3", "GET", "/api/config").body == configuration(2, route("/n/"))
-    assert all(gateway.instances.evacuated == {"n2"} for gateway in whole.gateways.values())
+    assert all(gateway.instances.evacuated_zones == {"n2"} for gateway in whole.gateways.values())
 
 
 @pytest.mark.parametrize("lost", ["c1", "c2", "c3"])
@@ -289,7 +289,7 @@
         for _ in range(60):
             whole.sleep(0.1)
             for name, gateway in whole.gateways.items():
-                table = gateway._watcher.routes
+                table = gateway.routes
                 assert table is not None
                 assert table.revision >= seen[name]
                 seen[name] = table.revision
@@ -382,7 +382,7 @@
 def test_news_come_from_the_second_controller_where_the_first_is_silent(whole: Whole) -> None:
     whole.served()
     whole.sleep(2)
-    held = whole.gateways["g1"]._controllers._held
+    held = whole.gateways["g1"].controllers._held
     first = next(name for name in whole.controllers if f"{whole.world.machines[name].ip}:7720" == held[0])
     whole.process(first).stall(6 * 10**9)
     core = next(name for name in whole.controllers if name != first)
@@ -459,7 +459,7 @@
             for name, controller in whole.controllers.items()
             if controller.settings.zone == zone
         }
-        return set(gateway._controllers._held.values()) == near
+        return set(gateway.controllers._held.values()) == near
 
     whole.wait(lambda: all(held_near(gateway) for gateway in whole.gateways.values()), seconds=6.0)
     whole.close()
@@ -487,7 +487,7 @@
     whole.sleep(3.0)
     assert 2 <= len(sent) <= 6
     for gateway in whole.gateways.values():
-        routes = gateway._watcher.routes
+        routes = gateway.routes
         found = routes.find("h", "/s/") if routes is not None else None
         assert found is not None
         assert not gateway.instances.usable(found, "llm", whole.now)
--- a/tests/system/test_control_plane_faults.py
+++ b/tests/system/test_control_plane_faults.py
@@ -131,7 +131,7 @@
         for _ in range(100):
             whole.sleep(0.03)
             gateway = whole.gateways.get(name)
-            table = gateway._watcher.routes if gateway is not None else None
+            table = gateway.routes if gateway is not None else None
             seen.add(0 if table is None else table.revision)
         assert seen - {0} == {2}
 
@@ -142,7 +142,7 @@
         whole.power_off(name)
     whole.sleep(2.0)
     whole.add_gateway("g2", "10.2.0.2", "n1")
-    whole.wait(lambda: "g2" in whole.gateways and whole.gateways["g2"].ready, 6.0)
+    whole.wait(lambda: "g2" in whole.gateways and whole.gateways["g2"].is_ready, 6.0)
 
 
 # --- 2: one number, one content; the same order again --------------------------------------------
--- a/tests/system/test_dataplane_parts.py
+++ b/tests/system/test_dataplane_parts.py
@@ -8,12 +8,17 @@
 
 import pytest
 
-from brambleusher.dataplane.budgets import ColdBudget, RetryBudget, connections_of
-from brambleusher.dataplane.events import EventSplitter, EventTooLong
-from brambleusher.dataplane.instances import COLD_MARGIN_S, Instances, Standing
-from brambleusher.dataplane.placement import FEW_LEAST, Placement, Wanted
-from brambleusher.dataplane.prefixes import keepers, shared_prefix
-from brambleusher.dataplane.routes import RouteTable, pick_service
+from brambleusher.dataplane.connection_pool import connection_quota
+from brambleusher.dataplane.errors import EventTooLongError
+from brambleusher.dataplane.event_stream import EventSplitter
+from brambleusher.dataplane.instance import InstanceStatus
+from brambleusher.dataplane.instance_entry import InstanceEntry
+from brambleusher.dataplane.instance_table import WARM_UP_MARGIN_S, InstanceTable
+from brambleusher.dataplane.placement import SUBSET_MIN, Placement, PlacementRequest
+from brambleusher.dataplane.prefix_affinity import rank_by_affinity, shared_prefix
+from brambleusher.dataplane.retry_budget import RetryBudget
+from brambleusher.dataplane.routing import RouteTable, pick_service
+from brambleusher.dataplane.warm_up_budget import WarmUpBudget
 from brambleusher.membership.controllers import Controllers, Locality
 from brambleusher.wire.configuration import Configuration, Route, Service
 
@@ -83,9 +88,9 @@
     names = [f"i{number}" for number in range(10)]
     moved = 0
     for number in range(200):
-        first = keepers(f"k{number}", names)[0]
-        assert keepers(f"k{number}", [*reversed(names)])[0] == first
-        without = keepers(f"k{number}", [name for name in names if name != "i3"])[0]
+        first = rank_by_affinity(f"k{number}", names)[0]
+        assert rank_by_affinity(f"k{number}", [*reversed(names)])[0] == first
+        without = rank_by_affinity(f"k{number}", [name for name in names if name != "i3"])[0]
         moved += without != first
         assert without == first or first == "i3"
     assert 5 < moved < 45
@@ -104,24 +109,24 @@
         got += splitter.feed(STREAM[at:])
         assert got == STREAM
         assert splitter.last_id == 4
-        assert not splitter.partial
+        assert not splitter.has_partial_event
 
 
 def test_events_that_were_passed_on_are_left_out() -> None:
-    splitter = EventSplitter(after=2)
+    splitter = EventSplitter(after_id=2)
     assert splitter.feed(STREAM) == b"id: 3\r\ndata: c\r\n\r\nid: 4\ndata: d\n\n"
 
 
 def test_a_partial_event_is_known_as_such() -> None:
     splitter = EventSplitter()
     assert splitter.feed(STREAM[:-1]) == STREAM[: STREAM.index(b"id: 4")]
-    assert splitter.partial
+    assert splitter.has_partial_event
     assert splitter.last_id == 3
 
 
 def test_an_event_without_an_end_is_bounded() -> None:
     splitter = EventSplitter()
-    with pytest.raises(EventTooLong):
+    with pytest.raises(EventTooLongError):
         for _ in range(100):
             splitter.feed(b"x" * 65536)
 
@@ -132,7 +137,7 @@
 def test_retries_of_all_gateways_stay_within_the_slack() -> None:
     budgets = [RetryBudget(0.2, 56, 10, 8, 0.0) for _ in range(8)]
     for budget in budgets:
-        budget.share_among(8)
+        budget.set_gateway_count(8)
     taken = sum(budget.take(step / 100) for step in range(1000) for budget in budgets)
     assert 8 <= taken <= 56
 
@@ -141,7 +146,7 @@
     budget = RetryBudget(0.2, 0, 10, 8, 0.0)
     taken = 0
     for _ in range(1000):
-        budget.request()
+        budget.record_request()
         taken += budget.take(0.0)
     assert 80 <= taken <= 110
 
@@ -149,7 +154,7 @@
 @pytest.mark.parametrize("gateways", [1, 8, 87, 400])
 def test_a_cold_instance_gets_no_more_than_its_bound_from_all(gateways: int) -> None:
     for instance in range(20):
-        budgets = [ColdBudget(f"i{instance}", 0.0) for _ in range(gateways)]
+        budgets = [WarmUpBudget(f"i{instance}", 0.0) for _ in range(gateways)]
         times = []
         for step in range(300):
             for rank, budget in enumerate(budgets):
@@ -160,7 +165,7 @@
 
 
 def test_a_cold_instance_gets_a_fair_part_of_what_it_can_take() -> None:
-    budgets = [ColdBudget("i", 0.0) for _ in range(8)]
+    budgets = [WarmUpBudget("i", 0.0) for _ in range(8)]
     taken = sum(
         budget.take(26.0, rank, 8, step / 100) for step in range(300) for rank, budget in enumerate(budgets)
     )
@@ -168,8 +173,8 @@
 
 
 def test_connections_are_shared_out() -> None:
-    assert 8 * connections_of(110, 8) <= 110
-    assert connections_of(3, 50) == 1
+    assert 8 * connection_quota(110, 8) <= 110
+    assert connection_quota(3, 50) == 1
 
 
 # --- instances ------------------------------------------------------------------------------------
@@ -188,80 +193,84 @@
     }
 
 
-def instances(*entries: dict[str, Any]) -> Instances:
-    made = Instances(ZONES, random.Random(1))
+def listed(*entries: dict[str, Any]) -> list[InstanceEntry]:
+    return [InstanceEntry.from_json(each) for each in entries]
+
+
+def instances(*entries: dict[str, Any]) -> InstanceTable:
+    made = InstanceTable(ZONES, random.Random(1))
     made.services = {"llm": Service(name="llm", warmup_s=3.0, cold_per_s=10.0)}
-    made.take_list(list(entries), 0.0, 0.0)
+    made.update(listed(*entries), 0.0, 0.0)
     return made
 
 
-def usable(known: Instances, now: float = 0.0, **given: Any) -> set[str]:
+def usable(known: InstanceTable, now: float = 0.0, **given: Any) -> set[str]:
     return {instance.id for instance in known.usable(route(**given), "llm", now)}
 
 
 def test_draining_and_gone_instances_get_nothing_and_never_come_back() -> None:
     known = instances(entry("a"), entry("b"), entry("c"))
-    kept = known.of("llm")
-    left = known.take_list([entry("a", state="draining"), entry("b")], 1.0, 1.0)
-    assert {instance.id: instance.standing for instance in left} == {
-        "a": Standing.DRAINING,
-        "c": Standing.GONE,
+    kept = known.for_service("llm")
+    left = known.update(listed(entry("a", state="draining"), entry("b")), 1.0, 1.0)
+    assert {instance.id: instance.status for instance in left} == {
+        "a": InstanceStatus.DRAINING,
+        "c": InstanceStatus.REMOVED,
     }
     assert usable(known) == {"b"}
-    known.take_list([entry("a"), entry("b")], 2.0, 2.0)
+    known.update(listed(entry("a"), entry("b")), 2.0, 2.0)
     assert usable(known) == {"b"}
-    assert next(each for each in kept if each.id == "c").standing is Standing.GONE
+    assert next(each for each in kept if each.id == "c").status is InstanceStatus.REMOVED
 
 
 def test_homes_and_evacuations_bind() -> None:
     known = instances(entry("a"), entry("b", "n2"), entry("c", "s1"))
     assert usable(known, home_regions=("north",)) == {"a", "b"}
-    known.set_evacuated(frozenset({"n1"}), 0.0)
+    known.set_evacuated_zones(frozenset({"n1"}), 0.0)
     assert usable(known, home_regions=("north",)) == {"b"}
     assert usable(known) == {"b", "c"}
 
 
 def test_instances_of_the_first_list_are_warm_and_later_ones_are_not() -> None:
     known = instances(entry("a"))
-    known.take_list([entry("a"), entry("b")], 1.0, 1.0)
-    by_name = {instance.id: instance for instance in known.of("llm")}
-    assert not known.is_cold(by_name["a"], 1.0)
-    assert known.is_cold(by_name["b"], 1.0)
-    assert not known.is_cold(by_name["b"], 1.0 + 3.0 + COLD_MARGIN_S + 0.1)
+    known.update(listed(entry("a"), entry("b")), 1.0, 1.0)
+    by_name = {instance.id: instance for instance in known.for_service("llm")}
+    assert not known.is_warming_up(by_name["a"], 1.0)
+    assert known.is_warming_up(by_name["b"], 1.0)
+    assert not known.is_warming_up(by_name["b"], 1.0 + 3.0 + WARM_UP_MARGIN_S + 0.1)
 
 
 def test_what_the_list_says_of_warming_up_counts() -> None:
     known = instances(entry("a", warmup_ms=2500))
-    assert known.is_cold(known.of("llm")[0], 2.4)
+    assert known.is_warming_up(known.for_service("llm")[0], 2.4)
 
 
-def test_a_zone_that_is_taken_back_is_cold() -> None:
+def test_a_zone_that_is_taken_back_is_warming_up() -> None:
     known = instances(entry("a"), entry("b", "n2"))
-    known.set_evacuated(frozenset({"n1"}), 0.0)
-    known.set_evacuated(frozenset(), 5.0)
-    cold = {instance.id for instance in known.of("llm") if known.is_cold(instance, 5.1)}
+    known.set_evacuated_zones(frozenset({"n1"}), 0.0)
+    known.set_evacuated_zones(frozenset(), 5.0)
+    cold = {instance.id for instance in known.for_service("llm") if known.is_warming_up(instance, 5.1)}
     assert cold == {"a"}
 
 
 def test_an_instance_that_takes_no_connection_rests_longer_each_time() -> None:
     known = instances(entry("a"))
-    instance = known.of("llm")[0]
+    instance = known.for_service("llm")[0]
     rests = []
     for _ in range(6):
-        instance.failed_to_connect(10.0)
-        rests.append(instance.down_until - 10.0)
+        instance.record_connect_failure(10.0)
+        rests.append(instance.backoff_until_s - 10.0)
     assert rests == sorted(rests)
     assert rests[-1] == 2.0
     assert usable(known, 10.0) == set()
-    instance.connected()
+    instance.record_connected()
     assert usable(known, 10.0) == {"a"}
 
 
 # --- placement ------------------------------------------------------------------------------------
 
 
-def wanted(key: str = "", tokens: int = 0, **given: Any) -> Wanted:
-    return Wanted(route(**given), "llm", key, tokens)
+def wanted(key: str = "", tokens: int = 0, **given: Any) -> PlacementRequest:
+    return PlacementRequest(route(**given), "llm", key, tokens)
 
 
 def test_near_instances_come_first() -> None:
@@ -273,9 +282,9 @@
 
 def used_by(gateway: str, known_zones: dict[str, str], **given: Any) -> set[str]:
     """The instances that a gateway in the north prefers, at low use."""
-    known = Instances(ZONES, random.Random(1), gateway=gateway)
+    known = InstanceTable(ZONES, random.Random(1), gateway_name=gateway)
     known.services = {"llm": Service(name="llm")}
-    known.take_list([entry(name, zone, capacity=100) for name, zone in known_zones.items()], 0.0, 0.0)
+    known.update(listed(*(entry(name, zone, capacity=100) for name, zone in known_zones.items())), 0.0, 0.0)
     known.tick(0.0)
     for number in range(1, 6):
         known.tick(number * 0.5)
@@ -287,17 +296,17 @@
 def test_a_gateway_uses_few_instances_always_the_same_and_others_use_others() -> None:
     zones = {f"i{number}": "n1" if number % 2 else "n2" for number in range(20)}
     first, again, other = (used_by(name, zones) for name in ("g1", "g1", "g2"))
-    assert len(first) == FEW_LEAST
+    assert len(first) == SUBSET_MIN
     assert first == again
     assert first != other
     users = Counter(name for number in range(40) for name in used_by(f"g{number}", zones))
     assert set(users) == set(zones)
-    assert max(users.values()) <= 4 * 40 * FEW_LEAST / 20
+    assert max(users.values()) <= 4 * 40 * SUBSET_MIN / 20
 
 
 def test_few_far_instances_are_used_where_no_near_one_may_be() -> None:
     zones = {f"i{number}": "s1" for number in range(20)}
-    assert len(used_by("g1", zones, home_regions=("south",))) == FEW_LEAST
+    assert len(used_by("g1", zones, home_regions=("south",))) == SUBSET_MIN
 
 
 def test_all_instances_are_used_where_they_are_full() -> None:
@@ -345,10 +354,10 @@
 def test_a_cold_keeper_is_passed_over_once_its_budget_is_spent() -> None:
     """Open case: a region back cold with full spare gets no more than the bound of cold instances."""
     known = instances(entry("a"))
-    known.gateways = 1.0
-    known.take_list([entry("a"), entry("b")], 1.0, 1.0)
+    known.gateway_count = 1.0
+    known.update(listed(entry("a"), entry("b")), 1.0, 1.0)
     placement = Placement(known, "north")
-    key = next(f"k{n}" for n in range(50) if keepers(f"k{n}", ["a", "b"])[0] == "b")
+    key = next(f"k{n}" for n in range(50) if rank_by_affinity(f"k{n}", ["a", "b"])[0] == "b")
     sent = [placement.choose(wanted(key, 13000), (), 1.0) for _ in range(10)]
     assert [instance.id for instance in sent if instance].count("b") <= 1
 
--- a/tests/system/test_gateway.py
+++ b/tests/system/test_gateway.py
@@ -257,10 +257,10 @@
 
 
 def test_bodies_of_all_clients_together_are_bounded(whole: Whole) -> None:
-    memory = whole.gateways["g1"]._body_memory
+    memory = whole.gateways["g1"].body_memory
     whole.request("g1", attempt="fits", body=b"x" * 50_000)
-    assert memory.held == 0
-    memory._most = 60_000
+    assert memory.reserved_bytes == 0
+    memory._limit_bytes = 60_000
     for server in whole.servers.values():
         server.pause_s = 0.3
     first = whole.start_request("g1", attempt="first", body=b"x" * 50_000)
@@ -272,7 +272,7 @@
     whole.wait(lambda: bool(first.error))
     assert first.whole
     whole.sleep(0.5)
-    assert memory.held == 0
+    assert memory.reserved_bytes == 0
     assert whole.request("g1", attempt="third", body=b"x" * 50_000).status == 200
 
 
--- a/tests/system/test_kept_connections.py
+++ b/tests/system/test_idle_connections.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from brambleusher.dataplane import upstream
-from brambleusher.dataplane.instances import HEARD_S
-from brambleusher.dataplane.upstream import UNPROVEN_S
+from brambleusher.dataplane import upstream_client
+from brambleusher.dataplane.placement import CONTACT_FRESH_S
+from brambleusher.dataplane.upstream_client import UNPROVEN_IDLE_S
 from tests.system.whole import Server, Whole, configuration, route
 
 WARM_S = 6.0  # after which the list is known and instances on it are warm
@@ -39,8 +39,8 @@
 
 def test_a_connection_that_is_there_is_used_again_after_a_rest(whole: Whole) -> None:
     assert ask(whole, "a") == 200
-    assert ask(whole, "b", rest_s=4 * UNPROVEN_S) == 200
-    assert ask(whole, "c", rest_s=4 * UNPROVEN_S) == 200
+    assert ask(whole, "b", rest_s=4 * UNPROVEN_IDLE_S) == 200
+    assert ask(whole, "c", rest_s=4 * UNPROVEN_IDLE_S) == 200
     assert desk(whole).connections == 1
 
 
@@ -58,18 +58,18 @@
         whole.start_request("g1", "/d/x", attempt=attempt)
     whole.sleep(0.3)
     gateway = whole.gateways["g1"]
-    trust = gateway._upstream._trust
-    before = trust.trust_ns
+    pool = gateway.connection_pool
+    before_s = pool.trusted_idle_s
     whole.sleep(0.5)
-    gateway.instances.of("desk")[0].heard_at = whole.now
+    gateway.instances.for_service("desk")[0].last_contact_s = whole.now
     assert ask(whole, "c") == 200
-    assert trust.trust_ns < before
+    assert pool.trusted_idle_s < before_s
 
 
 def test_an_instance_that_was_not_heard_of_lately_is_connected_anew(whole: Whole) -> None:
     """It may have gone dark: a request over a kept connection would be lost then, a new connection is not."""
     assert ask(whole, "a") == 200
-    assert ask(whole, "b", rest_s=HEARD_S * 1.5) == 200
+    assert ask(whole, "b", rest_s=CONTACT_FRESH_S * 1.5) == 200
     assert desk(whole).connections == 2
 
 
@@ -79,13 +79,13 @@
     whole.served(configuration(1, ONCE))
     whole.sleep(WARM_S)
     assert ask(whole, "a") == 200
-    assert ask(whole, "b", rest_s=HEARD_S * 2) == 200
+    assert ask(whole, "b", rest_s=CONTACT_FRESH_S * 2) == 200
     assert desk(whole).connections == 1
     whole.close()
 
 
 def test_without_the_proof_the_request_would_be_lost(whole: Whole, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream, "UNPROVEN_S", 60.0)
+    monkeypatch.setattr(upstream_client, "UNPROVEN_IDLE_S", 60.0)
     assert ask(whole, "a") == 200
     desk(whole).forgets_after_s = 0.1
     whole.sleep(0.2)
--- a/tests/system/test_observer.py
+++ b/tests/system/test_observer.py
@@ -36,7 +36,7 @@
     assert patch(whole, "o2", 2, patch_body(3, {"routes": [route("/d/")]})).status == 200
     assert whole.control("o1", "POST", "/api/evacuations/n1").status == 200
     whole.sleep(1.0)
-    assert whole.gateways["g1"].instances.evacuated == {"n1"}
+    assert whole.gateways["g1"].instances.evacuated_zones == {"n1"}
     assert whole.control("o2", "DELETE", "/api/evacuations/n1").status == 200
     assert whole.control("o2", "GET", "/api/status").json()["role"] == "observer"
 
@@ -103,7 +103,7 @@
     whole.sleep(3.0)
     whole.seeds = [f"10.4.0.{at}:8166" for at in (1, 2, 3)]
     whole.add_gateway("g9", "10.2.0.9", "n1")
-    whole.wait(lambda: "g9" in whole.gateways and whole.gateways["g9"].ready, seconds=8.0)
+    whole.wait(lambda: "g9" in whole.gateways and whole.gateways["g9"].is_ready, seconds=8.0)
     whole.add_core("c9", "10.1.0.9")
     whole.wait(lambda: "c9" in whole.controllers, seconds=5.0)
     replica = whole.controllers["c9"].replica
@@ -124,7 +124,7 @@
     for name in names:
         whole.power_on(name)
     back = whole.now
-    whole.wait(lambda: all(gateway.ready for gateway in whole.gateways.values()), seconds=6.0)
+    whole.wait(lambda: all(gateway.is_ready for gateway in whole.gateways.values()), seconds=6.0)
     whole.wait(lambda: whole.control("o1", "GET", "/api/config").status == 200, seconds=2.0)
     assert whole.now - back < 6.0
     whole.close()
--- a/tests/system/test_policy.py
+++ b/tests/system/test_policy.py
@@ -9,7 +9,7 @@
 import pytest
 
 from brambleusher import system_main
-from brambleusher.dataplane.instances import Instances
+from brambleusher.dataplane.instance_table import InstanceTable
 from brambleusher.dataplane.placement import Placement
 from brambleusher.loadbalancing.instance_weights import (
     LOAD_FRESH_S,
@@ -24,7 +24,7 @@
 from brambleusher.wire.errors import InvalidPolicyError
 from brambleusher.wire.instance_load import InstanceLoad
 from brambleusher.wire.policy import Policy
-from tests.system.test_dataplane_parts import ZONES, entry, wanted
+from tests.system.test_dataplane_parts import ZONES, entry, listed, wanted
 from tests.system.test_instance_weights import AIM_S, send, ticks
 
 
@@ -65,10 +65,10 @@
         policy.read(str(tmp_path / "none.toml"))
 
 
-def known(held: Policy, *entries: dict[str, object]) -> Instances:
-    made = Instances(ZONES, random.Random(1), held)
+def known(held: Policy, *entries: dict[str, object]) -> InstanceTable:
+    made = InstanceTable(ZONES, random.Random(1), held)
     made.services = {"llm": Service(name="llm", warmup_s=3.0, cold_per_s=10.0)}
-    made.take_list(list(entries), 0.0, 0.0)
+    made.update(listed(*entries), 0.0, 0.0)
     return made
 
 
@@ -89,15 +89,15 @@
 def test_cold_budget_and_rest_are_switched_off() -> None:
     for held, most in ((Policy(), 1), (Policy(cold_budget=False), 5)):
         instances = known(held, entry("a"))
-        instances.gateways = 1.0
-        instances.take_list([entry("a"), entry("b")], 1.0, 1.0)
-        cold = next(instance for instance in instances.of("llm") if instance.id == "b")
-        assert sum(instances.admits(cold, 1.0) for _ in range(5)) == most
-        cold.failed_to_connect(1.0)
+        instances.gateway_count = 1.0
+        instances.update(listed(entry("a"), entry("b")), 1.0, 1.0)
+        cold = next(instance for instance in instances.for_service("llm") if instance.id == "b")
+        assert sum(instances.admit(cold, 1.0) for _ in range(5)) == most
+        cold.record_connect_failure(1.0)
         usable = {instance.id for instance in instances.usable(wanted().route, "llm", 1.0)}
         assert ("b" in usable) is not held.rest_after_failure
     rests = known(Policy(rest_after_failure=False), entry("a"))
-    rests.of("llm")[0].failed_to_connect(1.0)
+    rests.for_service("llm")[0].record_connect_failure(1.0)
     assert rests.usable(wanted().route, "llm", 1.0)
 
 
--- a/tests/system/whole.py
+++ b/tests/system/whole.py
@@ -556,7 +556,7 @@
         """With a configuration in force at all gateways."""
         reply = self.put("c1", 0, body or configuration(1))
         assert reply.status == 200, reply
-        self.wait(lambda: all(gateway.ready for gateway in self.gateways.values()))
+        self.wait(lambda: all(gateway.is_ready for gateway in self.gateways.values()))
         return self
 
 
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -26,7 +26,8 @@
         "brambleusher.runtime",
         "brambleusher.loadbalancing",
     ),
-    "brambleusher/gateway/app.py": (
+    "brambleusher/gateway": (
+        "brambleusher.gateway",
         "brambleusher.dataplane",
         "brambleusher.membership",
         "brambleusher.wire",
