--- a/brambleusher/dataplane/connection_pool.py
+++ b/brambleusher/dataplane/connection_pool.py
@@ -103,7 +103,9 @@
             )
         except (OSError, TaskTimeoutError) as error:
             instance.connection_count -= 1
-            return Err(self._record_connect_failure(instance, has_timed_out=isinstance(error, TaskTimeoutError)))
+            return Err(
+                self._record_connect_failure(instance, has_timed_out=isinstance(error, TaskTimeoutError))
+            )
         except BaseException:
             instance.connection_count -= 1
             raise
