--- /dev/null
+++ b/tests/test_recorded_messages.py
@@ -0,0 +1,63 @@
+"""Lines between processes, recorded from the code of 49e18d4: read, answered and written alike."""
+
+from __future__ import annotations
+
+import hashlib
+import json
+import re
+from collections import defaultdict
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from brambleusher.wire import lines
+from brambleusher.wire.consensus_messages import decode_message, encode_message
+from tests.recorded import conversation
+
+RECORDED = Path(__file__).parent / "recorded"
+CONSENSUS = (RECORDED / "consensus.jsonl").read_bytes().splitlines(keepends=True)
+ANSWERS: dict[str, str] = json.loads((RECORDED / "answers.json").read_bytes())
+SENT: dict[str, dict[str, Any]] = json.loads((RECORDED / "sent.json").read_bytes())
+KIND = re.compile(r'"kind":"(\w+)"')
+
+
+@pytest.fixture(scope="module")
+def day() -> dict[str, Any]:
+    return conversation.play()
+
+
+@pytest.mark.parametrize("line", CONSENSUS, ids=lambda line: line[:60].decode())
+def test_a_message_between_replicas_is_written_as_it_was_read(line: bytes) -> None:
+    assert lines.encode(encode_message(decode_message(lines.decode(line)))) == line
+
+
+def test_every_kind_between_replicas_is_among_them() -> None:
+    kinds = {lines.decode(line)["kind"] for line in CONSENSUS}
+    assert kinds == {"vote", "voted", "append", "appended", "snapshot", "transfer", "join", "leave"}
+
+
+@pytest.mark.parametrize("name", sorted(ANSWERS))
+def test_an_answer_is_the_recorded_one(name: str, day: dict[str, Any]) -> None:
+    assert day["answers"][name] == ANSWERS[name]
+
+
+def test_every_question_is_asked(day: dict[str, Any]) -> None:
+    assert set(day["answers"]) == set(ANSWERS)
+    assert set(SENT) == {
+        "answer", "append", "appended", "controllers", "forward", "forwarded", "instances", "join", "leave",
+        "relay", "shuffle", "vote", "voted",
+    }  # fmt: skip
+
+
+@pytest.mark.parametrize("kind", sorted(SENT))
+def test_lines_between_processes_are_the_recorded_ones(kind: str, day: dict[str, Any]) -> None:
+    sent: dict[str, list[str]] = defaultdict(list)
+    for line in day["sent"]:
+        found = KIND.search(line)
+        sent[found[1] if found else "answer"].append(line)
+    expected = SENT[kind]
+    assert expected["first"] in sent[kind]
+    assert len(sent[kind]) == expected["count"]
+    # The order of lines sent at one moment to several processes is not fixed.
+    assert hashlib.sha256("".join(sorted(sent[kind])).encode()).hexdigest() == expected["sha256"]
