--- a/brambleusher/controller/app.py
+++ b/brambleusher/controller/app.py
@@ -50,9 +50,16 @@
         self._sparse = SparseLog(log, self.scheduler.now)
         self._publisher: ConfigurationPublisher | None = None
         self.view = PartialView(self._rng)
-        self.replica = Replica(self.scheduler, settings, disk, self._send, self._rng, self._changed)
-        self.replica.known_controllers = self._known_controllers
-        self.replica.known_zones = self._known_zones
+        self.replica = Replica(
+            self.scheduler,
+            settings,
+            disk,
+            self._send,
+            self._rng,
+            self._changed,
+            self._known_controllers,
+            self._known_zones,
+        )
         self.instances = InstanceListReader(
             self.scheduler,
             settings,
--- a/brambleusher/controlplane/configuration/replicated_state.py
+++ b/brambleusher/controlplane/configuration/replicated_state.py
@@ -30,7 +30,7 @@
     def read(self, deadline: float) -> ReadResult:
         """Return the state as a majority has it at this moment (a linearizable read)."""
 
-    def read_applied_index(self, deadline: float) -> IndexResult:
+    def read_applied_index(self, deadline: float, /) -> IndexResult:
         """Return the index up to which a replica has applied the log at this moment."""
 
     def status(self) -> dict[str, object]:
--- /dev/null
+++ b/brambleusher/controlplane/disk_writer.py
@@ -0,0 +1,153 @@
+"""Writes a replica's records and snapshots beside the serving thread, in order."""
+
+from __future__ import annotations
+
+import logging
+from collections import deque
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from brambleusher.controlplane.consensus.outputs import HardState, Record, Restore
+from brambleusher.controlplane.storage.storage import Storage
+from brambleusher.runtime.scheduler import Scheduler
+from brambleusher.wire.consensus_messages import Entry
+
+log = logging.getLogger(__name__)
+
+RETRY_BACKOFF_S = 0.2  # after a write that the disk rejected
+
+
+@dataclass(frozen=True, slots=True)
+class RecordsJob:
+    """Records to append and sync."""
+
+    records: list[Record]
+    last_number: int  # of the last of the records; they are numbered from 1 since the start
+
+
+@dataclass(frozen=True, slots=True)
+class SnapshotJob:
+    """A snapshot, and the entries that follow it."""
+
+    snapshot: Restore
+    hard_state: HardState
+    entries: list[Entry]
+
+
+Job = RecordsJob | SnapshotJob
+
+
+class DiskWriter:
+    """A queue of jobs for the disk's worker thread; a failed job is retried after a backoff.
+
+    Callbacks run on the serving thread.
+    """
+
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        storage: Storage,
+        identity: str,
+        on_synced: Callable[[], None],
+        on_snapshot_written: Callable[[int], None],
+    ) -> None:
+        """Start the worker.
+
+        Args:
+            scheduler: Of the serving thread.
+            storage: Belongs to the worker from now on.
+            identity: Of the replica, repeated at the head of each segment.
+            on_synced: Called once `synced_number` has advanced.
+            on_snapshot_written: Called with the index of a snapshot that is durable.
+        """
+        self._scheduler, self._storage, self._identity = scheduler, storage, identity
+        self._on_synced, self._on_snapshot_written = on_synced, on_snapshot_written
+        self._jobs: deque[Job] = deque()  # guarded by the worker's lock, like `_is_backing_off`
+        self._appended_number = 0
+        self.synced_number = 0  # of the last record that is durable
+        self._is_snapshot_pending = False
+        self._is_backing_off = False
+        self._worker = scheduler.system.worker("disk", self._is_due, self._run_next)
+
+    @property
+    def pending_jobs(self) -> int:
+        """Jobs that are queued or being done."""
+        return len(self._jobs)
+
+    @property
+    def is_snapshot_due(self) -> bool:
+        """Whether the segment has grown enough for a snapshot that is not yet being written."""
+        return self._storage.is_snapshot_due and not self._is_snapshot_pending
+
+    def append(self, records: list[Record]) -> None:
+        """Queue records, which get the next numbers."""
+        self._appended_number += len(records)
+        self._queue(RecordsJob(records, self._appended_number))
+
+    def write_snapshot(self, snapshot: Restore, hard_state: HardState, entries: list[Entry]) -> None:
+        """Queue a snapshot with the entries that follow it."""
+        self._is_snapshot_pending = True
+        self._queue(SnapshotJob(snapshot, hard_state, entries))
+
+    def _queue(self, job: Job) -> None:
+        with self._worker.lock:
+            self._jobs.append(job)
+            self._worker.wake()
+
+    # --- in the worker ---------------------------------------------------------------------------
+
+    def _is_due(self) -> bool:
+        return bool(self._jobs) and not self._is_backing_off
+
+    def _run_next(self) -> None:
+        """Do the next job; consecutive records are written and synced together."""
+        with self._worker.lock:
+            job, taken = self._next_job()
+        try:
+            if isinstance(job, SnapshotJob):
+                self._storage.write_snapshot(job.snapshot, self._identity, job.hard_state, job.entries)
+            else:
+                self._storage.write(job.records)
+        except OSError as error:
+            with self._worker.lock:
+                self._is_backing_off = True
+            reason = str(error)
+            self._scheduler.call_soon(lambda: self._failed(reason))
+            return
+        with self._worker.lock:
+            for _ in range(taken):
+                self._jobs.popleft()
+        self._scheduler.call_soon(lambda: self._done(job))
+
+    def _next_job(self) -> tuple[Job, int]:
+        """Return what to do next, and how many queued jobs that covers."""
+        first = self._jobs[0]
+        if isinstance(first, SnapshotJob):
+            return first, 1
+        records, last_number, taken = list(first.records), first.last_number, 1
+        while taken < len(self._jobs):
+            following = self._jobs[taken]
+            if isinstance(following, SnapshotJob):
+                break
+            records += following.records
+            last_number, taken = following.last_number, taken + 1
+        return RecordsJob(records, last_number), taken
+
+    # --- on the serving thread -------------------------------------------------------------------
+
+    def _failed(self, reason: str) -> None:
+        log.warning("disk write failed", extra={"fields": {"reason": reason, "retry_s": RETRY_BACKOFF_S}})
+        self._scheduler.call_at(self._scheduler.now() + RETRY_BACKOFF_S, self._retry)
+
+    def _retry(self) -> None:
+        with self._worker.lock:
+            self._is_backing_off = False
+            self._worker.wake()
+
+    def _done(self, job: Job) -> None:
+        if isinstance(job, SnapshotJob):
+            self._is_snapshot_pending = False
+            self._on_snapshot_written(job.snapshot.index)
+            return
+        self.synced_number = max(self.synced_number, job.last_number)
+        self._on_synced()
--- a/brambleusher/controlplane/relay/client.py
+++ b/brambleusher/controlplane/relay/client.py
@@ -108,7 +108,7 @@
         answer = self._relay.call(ReadCall(), deadline)
         return Ok(SharedState.from_json(answer)) if isinstance(answer, dict) else Err(NoLeaderError())
 
-    def read_applied_index(self, deadline: float) -> IndexResult:
+    def read_applied_index(self, deadline: float, /) -> IndexResult:
         """Return the index that a controller had applied after this call was made."""
         answer = self._relay.call(AppliedIndexCall(), deadline)
         return Ok(answer) if isinstance(answer, int) else Err(NoLeaderError())
--- /dev/null
+++ b/brambleusher/controlplane/startup.py
@@ -0,0 +1,74 @@
+"""The start of a replica: recovers its disk, and gives it an identity where the disk has none."""
+
+from __future__ import annotations
+
+import logging
+import random
+
+from brambleusher.controlplane.consensus.replicated_log import Log
+from brambleusher.controlplane.storage.errors import CorruptStorageError
+from brambleusher.controlplane.storage.recovery import RecoveredState
+from brambleusher.controlplane.storage.storage import Storage
+from brambleusher.runtime.disk import Disk
+from brambleusher.runtime.system import System
+from brambleusher.wire.consensus_messages import Member
+from brambleusher.wire.settings import Settings
+
+log = logging.getLogger(__name__)
+
+WRITE_RETRY_S = 0.2
+IDENTITY_BITS = 64
+# Begins the identities of the first group, followed by the address; stored, so its spelling stays.
+BOOTSTRAP_PREFIX = "founder-"
+
+
+def recover_storage(disk: Disk) -> tuple[Storage, RecoveredState]:
+    """Recover a disk; one that is corrupt counts as lost, and the replica comes back as a new member."""
+    storage = Storage(disk)
+    try:
+        return storage, storage.recover()
+    except CorruptStorageError as error:
+        reason = str(error)
+    log.error("storage corrupt, disk emptied", extra={"fields": {"reason": reason}})
+    for name in disk.names():
+        disk.remove(name)
+    disk.sync_folder()
+    storage = Storage(disk)
+    return storage, storage.recover()
+
+
+def establish_identity(
+    system: System, settings: Settings, storage: Storage, recovered: RecoveredState, rng: random.Random
+) -> Member:
+    """Return who this replica is: as its disk says, else a new identity that is durable on return."""
+    identity = recovered.identity
+    if not identity:
+        identity = f"{rng.getrandbits(IDENTITY_BITS):016x}"
+        bootstrap_members = _bootstrap_members(settings)
+        if bootstrap_members:
+            identity = BOOTSTRAP_PREFIX + settings.peer_address
+        _write_identity(system, storage, identity, bootstrap_members)
+        recovered.log = Log(0, 0, bootstrap_members)
+    return Member(identity, settings.peer_address, settings.bind.control, settings.zone, False)
+
+
+def _bootstrap_members(settings: Settings) -> tuple[Member, ...]:
+    """Return the members of the first group, the seeds; empty where this process is none of them."""
+    seeds = dict(zip(settings.seed_peers(), settings.seeds, strict=True))
+    if not settings.bootstrap or settings.peer_address not in seeds:
+        return ()
+    return tuple(Member(BOOTSTRAP_PREFIX + peer, peer, seeds[peer], "", True) for peer in sorted(seeds))
+
+
+def _write_identity(
+    system: System, storage: Storage, identity: str, bootstrap_members: tuple[Member, ...]
+) -> None:
+    """Write the new identity before any message is sent under it, however long the disk takes."""
+    while True:
+        try:
+            storage.begin(identity, bootstrap_members)
+        except OSError as error:
+            log.warning("disk write failed", extra={"fields": {"reason": str(error), "record": "identity"}})
+            system.sleep(WRITE_RETRY_S)
+        else:
+            return
--- a/tests/system/test_control_plane_faults.py
+++ b/tests/system/test_control_plane_faults.py
@@ -17,7 +17,7 @@
     command_from_json,
 )
 from brambleusher.controlplane.configuration.state_machine import SharedState
-from brambleusher.controlplane.replica import PendingProposal, Replica
+from brambleusher.controlplane.replica import Replica
 from tests.system.control_plane_faults import SHORT_SEGMENT, play, short_segments
 from tests.system.memory_disk import MemoryDisk
 from tests.system.whole import Whole, configuration, route
@@ -408,15 +408,15 @@
     asking = follower_of(whole)
     replica = replica_of(whole, asking)
     asked = whole.controllers[leader_of(whole)].settings.peer_address
-    waiter = PendingProposal()
-    replica._forwarded[77] = (asked, waiter)
+    pending = replica._forwarding.expect_reply(77, asked)
     answer: dict[str, Any] = {"kind": "forwarded", "number": 77, "answer": "accepted"}
     replica.handle(answer, "10.1.0.99:7720")
     replica.handle({**answer, "number": 78}, asked)
     replica.handle({**answer, "number": "77"}, asked)
-    assert waiter.answer is None
+    assert pending.result is None
+    assert not pending.event.is_set
     replica.handle(answer, asked)
-    assert waiter.answer == "accepted"
+    assert pending.result == "accepted"
 
 
 def test_a_caller_that_gives_up_leaves_the_place_of_a_later_one_alone(whole: Whole) -> None:
@@ -424,8 +424,7 @@
     whole.served()
     replica = replica_of(whole, leader_of(whole))
     index = replica.consensus.log.last_index + 1
-    earlier, later = PendingProposal(), PendingProposal()
-    replica._waiting[index] = (0, earlier)
+    earlier = replica._proposals.add(index, term=0)
     command = PutConfiguration.from_body(1, 2, configuration(2))
     answers: list[Verdict | None] = []
     scheduler = whole.controllers[leader_of(whole)].scheduler
@@ -435,10 +434,12 @@
     whole.wait(lambda: bool(answers))
     assert answers == [Verdict.ACCEPTED]
     assert earlier.event.is_set
-    assert earlier.answer is None
-    replica._waiting[index + 5] = (1, later)
-    replica._forget_place(index + 5, earlier)
-    assert replica._waiting[index + 5] == (1, later)
+    assert earlier.result is None
+    later = replica._proposals.add(index + 5, term=1)
+    replica._proposals.discard(index + 5, earlier)
+    assert replica._proposals.at(index + 5) is later
+    replica._proposals.applied(index + 5, 1, Verdict.ACCEPTED)
+    assert later.result is Verdict.ACCEPTED
 
 
 # --- days drawn from seeds -----------------------------------------------------------------------
--- a/tests/system/test_fault_days_find_faults.py
+++ b/tests/system/test_fault_days_find_faults.py
@@ -90,7 +90,7 @@
 
     def begin_graceful_shutdown(self: Replica) -> None:
         self.consensus.transfer_leadership()
-        self._pump()
+        self._process_output()
 
     patch.setattr(Replica, "begin_graceful_shutdown", begin_graceful_shutdown)
     patch.setattr(Controller, "_successors", lambda self: [])
