--- a/benchmarks/lists.py
+++ b/benchmarks/lists.py
@@ -89,9 +89,9 @@
         settings = api.Settings(
             zone="a",
             classes=(api.RequestClass("look", 100 * MS, 1000 * MS, 1.0),),
-            fleet_size=50, max_attempts=3, drain_release_ns=500 * MS, conn_idle_ns=30_000 * MS,
-            cold_ns=21_000 * MS, start_capacity=0.17, connection_price=0.1,
-            report_fields=("utilization", "throughput"), zones=api.ZoneRules() if rules else None,
+            fleet_size=50, max_attempts=3, drain_release_ns=500 * MS, connection_idle_timeout_ns=30_000 * MS,
+            warm_up_ns=21_000 * MS, initial_capacity=0.17, connection_price=0.1,
+            report_fields=("utilization", "throughput"), zone_rules=api.ZoneRules() if rules else None,
         )  # fmt: skip
         self.balancer: Balancer = balancer_for(settings, seed)
         self.balancer.start(0)
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -86,8 +86,8 @@
             )
             for each in CLASSES
         ),
-        second_copies=True, can_cancel=True, max_retry_after_ns=570 * MS, over_share_worth=0.05,
-        worth_by_work=True, conn_idle_ns=30 * SECOND, cross_zone_price=0.1,
+        hedging_enabled=True, can_cancel_attempts=True, max_retry_after_ns=570 * MS, over_quota_value=0.05,
+        is_value_by_work=True, connection_idle_timeout_ns=30 * SECOND, cross_zone_price=0.1,
         report_fields=("throughput", "utilization"),
     )  # fmt: skip
 
--- a/brambleusher/features/metrics_reporter.py
+++ b/brambleusher/features/metrics_reporter.py
@@ -71,7 +71,7 @@
         self._format: StatsdFormat | InfluxFormat = (
             StatsdFormat() if settings.format == "statsd" else InfluxFormat()
         )
-        self._aims = {cls.name: cls.aim_ns for cls in served.classes}
+        self._aims = {cls.name: cls.latency_target_ns for cls in served.classes}
         self._tenants = {tenant.name for tenant in served.tenants}
         self._tags: dict[Tags, str] = {}
         self._inflight: dict[Tags, int] = {}
--- a/brambleusher/features/records.py
+++ b/brambleusher/features/records.py
@@ -37,7 +37,7 @@
     """An entry of the endpoint list in discovery's form."""
     return {
         "id": entry.host, "addr": address, "zone": entry.zone, "kind": entry.kind, "cell": entry.cell,
-        "state": state_word(entry.state), "weight": plain(entry.nominal),
+        "state": state_word(entry.state), "weight": plain(entry.weight),
         "started_ms": entry.started_ns // 1_000_000,
     }  # fmt: skip
 
@@ -46,7 +46,7 @@
     report = event.report
     return {
         "attempt": event.attempt, "server": event.host, "status": event.status.value,
-        "latency_ns": event.latency_ns, "closed": event.closed,
+        "latency_ns": event.latency_ns, "closed": event.request_ended,
         "report": report and [plain(report.utilisation), plain(report.throughput)],
     }  # fmt: skip
 
@@ -67,12 +67,12 @@
     api.ClientDisconnected: ("gone", lambda event: {}),
     api.TimerFired: ("timer", lambda event: {"token": event.token}),
     api.HostListUpdated: ("list", lambda event: {"kind": event.kind.value}),
-    api.ZoneRulesChanged: ("rules", lambda event: {"zones": save_rules(event.zones)}),
+    api.ZoneRulesChanged: ("rules", lambda event: {"zones": save_rules(event.rules)}),
     api.RequestBodyProgressed: (
         "body",
-        lambda event: {"attempt": event.attempt, "whole": event.whole, "left_ns": event.left_ns},
+        lambda event: {"attempt": event.attempt, "whole": event.is_complete, "left_ns": event.left_ns},
     ),
-    api.ProcessShareChanged: ("part", lambda event: {"part": event.part}),
+    api.ProcessShareChanged: ("part", lambda event: {"part": event.share}),
     type(None): (BEGIN, lambda event: {}),
 }  # fmt: skip
 
--- a/brambleusher/fronts/mysql/mapping.py
+++ b/brambleusher/fronts/mysql/mapping.py
@@ -87,4 +87,4 @@
         return self._classes[request_class].deadline_ns if ms is None else ms * 1_000_000
 
     def _effect(self, name: str | None) -> api.Idempotency:
-        return self._classes[name or ""].effect
+        return self._classes[name or ""].idempotency
--- a/brambleusher/fronts/mysql/nodes.py
+++ b/brambleusher/fronts/mysql/nodes.py
@@ -302,7 +302,7 @@
     ) -> None:
         self._scheduler, self._settings, self._passwords = scheduler, settings, passwords
         self._counters, self._node_key = counters, node_key
-        self._window = WINDOW_OF_AIM * min(cls.aim_ns for cls in platform.classes) / 1e9
+        self._window = WINDOW_OF_AIM * min(cls.latency_target_ns for cls in platform.classes) / 1e9
         self._connect_seconds = platform.connect_timeout_ns / 1e9
         self._idle_seconds = settings.idle_ms / 1000
         # After the news of a drain, less what a command of ours ahead of a statement may take.
--- a/brambleusher/fronts/mysql/settings.py
+++ b/brambleusher/fronts/mysql/settings.py
@@ -223,10 +223,10 @@
             continue
         if name not in classes:
             raise OperatorError(f"{path}: there is no class {name}")
-        if classes[name].effect is api.Idempotency.KEYED:
+        if classes[name].idempotency is api.Idempotency.KEYED:
             # Guards against repeats that the nodes would have to recognise: MySQL carries no key for that.
             raise OperatorError(f"{path}: {name} is repeated by a key, which MySQL does not carry")
-    if classes[settings.strict_class].effect is not api.Idempotency.UNSAFE:
+    if classes[settings.strict_class].idempotency is not api.Idempotency.UNSAFE:
         raise OperatorError(f"mysql.strict_class: {settings.strict_class} may be repeated")
     given = [("mysql.tenant", settings.tenant)]
     given += [(f"mysql.users.{name}.tenant", rule.tenant) for name, rule in settings.users.items()]
--- a/brambleusher/loadbalancing/api.py
+++ b/brambleusher/loadbalancing/api.py
@@ -64,14 +64,14 @@
     """One class of requests and what its answers are worth."""
 
     name: str
-    aim_ns: int
+    latency_target_ns: int
     deadline_ns: int
-    worth: float
-    late_worth: float = 0.0
-    effect: Idempotency = Idempotency.SAFE
-    group: DeduplicationScope = DeduplicationScope.ALL
-    window_ns: int = 0
-    stream: bool = False
+    value: float
+    late_value: float = 0.0
+    idempotency: Idempotency = Idempotency.SAFE
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
+    deduplication_window_ns: int = 0
+    is_streaming: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,7 +79,7 @@
     """A tenant's share of the service; past `quota_per_s` its traffic is worth little."""
 
     name: str
-    share: float
+    quota_share: float
     quota_per_s: float
 
 
@@ -90,21 +90,21 @@
 class ZoneRules:
     """What the operator says of zones.
 
-    `neighbours` has, for a zone, the tiers after it, nearest first; without any they are learned.  `spill`
-    is the part of a zone's spare that all proxies together may be granted anew in a second, `strain` the
-    use of a zone up to which there is spare.
+    `neighbours` has, for a zone, the tiers after it, nearest first; without any they are learned.
+    `spill_rate` is the part of a zone's spare capacity that all proxies together may be granted anew in a
+    second, `max_utilisation` the use of a zone up to which there is spare capacity.
     """
 
     neighbours: tuple[tuple[str, tuple[Tier, ...]], ...] = ()
-    spill: float = 1.0
-    strain: float = 0.95
-    panic: float = 0.5  # of all nodes seem well: with fewer the evidence is doubted; 0: never
-    half_life_ns: int = 20_000_000_000  # of the penalty for a loss
-    hold_most_ns: int = (
+    spill_rate: float = 1.0
+    max_utilisation: float = 0.95
+    panic_threshold: float = 0.5  # of all nodes seem well: with fewer the evidence is doubted; 0: never
+    flap_penalty_half_life_ns: int = 20_000_000_000  # of the penalty for a loss
+    max_flap_hold_ns: int = (
         60_000_000_000  # the longest that a zone which answers is not trusted; 0: flaps cost nothing
     )
-    trust: tuple[str, ...] = ()  # held for flapping no more
-    evacuate: tuple[str, ...] = ()  # to be sent less and less, and then nothing
+    flap_exempt: tuple[str, ...] = ()  # held for flapping no more
+    evacuated: tuple[str, ...] = ()  # to be sent less and less, and then nothing
 
 
 @dataclass(frozen=True, slots=True)
@@ -115,32 +115,33 @@
     classes: tuple[RequestClass, ...]
     fleet_size: int
     tenants: tuple[Tenant, ...] = ()
-    subscribe: bool = False
-    ask_within_ns: int = 10_000_000_000
+    subscribes_to_endpoints: bool = False
+    endpoint_poll_deadline_ns: int = 10_000_000_000
     tick_ns: int = 1_000_000
     max_attempts: int = 1
-    second_copies: bool = False
-    can_cancel: bool = False
-    can_probe: bool = False
+    hedging_enabled: bool = False
+    can_cancel_attempts: bool = False
+    can_check_health: bool = False
     max_retry_after_ns: int = 0
     connect_timeout_ns: int = 250_000_000
     cross_zone_price: float = 0.0
     connection_price: float = 0.0
     late_price: float = 0.0
     waste_price: float = 0.0
-    over_share_worth: float = 1.0
-    worth_by_work: bool = False
-    worst_class_part: float = 0.0
+    over_quota_value: float = 1.0
+    is_value_by_work: bool = False
+    worst_class_weight: float = 0.0
     drain_grace_ns: int = 0
     drain_release_ns: int = 0
-    conn_idle_ns: int = 0
-    cold_ns: int = 0
-    start_capacity: float = 1.0
-    fall_multiple: float = 1.0
-    fall_ns: int = 1_000_000_000
+    connection_idle_timeout_ns: int = 0
+    warm_up_ns: int = 0
+    initial_capacity: float = 1.0
+    overload_multiple: float = 1.0
+    overload_window_ns: int = 1_000_000_000
     report_fields: tuple[str, ...] = ()
-    weights: str = "silent"  # what `HostEntry.nominal` is: `nominal` or `rough` sizes, `live` spare, nothing
-    zones: ZoneRules | None = None
+    # What `HostEntry.weight` is: `nominal` or `rough` sizes, `live` spare, or (`silent`) nothing.
+    weight_source: str = "silent"
+    zone_rules: ZoneRules | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -160,7 +161,7 @@
     kind: str
     cell: int
     state: HostState
-    nominal: float = 1.0
+    weight: float = 1.0
     started_ns: int = 0
 
 
@@ -189,14 +190,14 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """How one attempt ended; `closed` tells that the request itself has ended."""
+    """How one attempt ended; `request_ended` tells that the request itself has ended."""
 
     request: str
     attempt: int
     host: str
     status: AttemptStatus
     latency_ns: int
-    closed: bool
+    request_ended: bool
     report: LoadReport | None = None
 
 
@@ -238,19 +239,20 @@
 class ZoneRulesChanged:
     """The operator says something else of zones; None: nothing any more."""
 
-    zones: ZoneRules | None
+    rules: ZoneRules | None
 
 
 @dataclass(slots=True)
 class RequestBodyProgressed:
-    """A request's body goes out on an attempt as it comes, or (`whole`) has gone out, with `left_ns` left.
+    """A request's body goes out on an attempt as it comes, or (`is_complete`) has gone out, with `left_ns`
+    left.
 
     Between the two the attempt is neither late nor a place taken; from the first on it can't be repeated.
     """
 
     request: str
     attempt: int
-    whole: bool
+    is_complete: bool
     left_ns: int
 
 
@@ -258,7 +260,7 @@
 class ProcessShareChanged:
     """This process does so much of what its proxy does; the rest is other processes' of the same proxy."""
 
-    part: float
+    share: float
 
 
 Event = (
--- a/brambleusher/loadbalancing/balancer.py
+++ b/brambleusher/loadbalancing/balancer.py
@@ -164,8 +164,8 @@
         self._rng = random.Random(seed)
         self._classes = {cls.name: at for at, cls in enumerate(settings.classes)}
         count = len(settings.classes)
-        self._by_worth = sorted(range(count), key=lambda at: (-settings.classes[at].worth, at))
-        self._unit_ns = min(cls.aim_ns for cls in settings.classes)
+        self._by_worth = sorted(range(count), key=lambda at: (-settings.classes[at].value, at))
+        self._unit_ns = min(cls.latency_target_ns for cls in settings.classes)
         self._tick_ns = max(settings.tick_ns, int(self._unit_ns * TICK))
         self._hosts: dict[str, Host] = {}
         self._requests: dict[str, Request] = {}
@@ -173,7 +173,9 @@
         # Lately: failed connections; the most attempts out; requests.
         self._unlinked = self._peak = self._rate = self._lately = 0.0
         self._silent = 0.0  # attempts that timed out lately
-        self._trust = Trust(float(settings.conn_idle_ns or math.inf), self._unit_ns * IDLE_DOUBT)
+        self._trust = Trust(
+            float(settings.connection_idle_timeout_ns or math.inf), self._unit_ns * IDLE_DOUBT
+        )
         self._open = self._ready = 0  # attempts out, ready hosts
         self._part = 1.0  # of this proxy's work, while a new version of it takes over
         self._ranks: Ranks[Host] = Ranks()  # the ready hosts in this proxy's order of preference
@@ -189,7 +191,7 @@
         self._size_rate = 0.0 if self._sized else 1.0
         # Own traffic.
         self._lat_n, self._lat_sum = [0.0] * count, [0.0] * count
-        self._quiet_ns = [cls.aim_ns * WAIT_OF_AIM for cls in settings.classes]
+        self._quiet_ns = [cls.latency_target_ns * WAIT_OF_AIM for cls in settings.classes]
         self._index_n, self._served_rate, self._span, self._retries = 0.0, 0.0, 1e-9, Retries(count)
         # Admission.
         self._limit, self._offered, self._logged_ns = math.inf, 1e-9, 0
@@ -205,7 +207,7 @@
         self._used = 0, 0  # how many hosts here and elsewhere a proxy like this one uses
         # Discovery.
         self._ask_at: int | None = None
-        self._ask_wait_ns = settings.ask_within_ns // 20
+        self._ask_wait_ns = settings.endpoint_poll_deadline_ns // 20
         self._handlers: dict[type, Callable[[Any, int], None]] = {
             api.AttemptEnded: self._attempt_ended, api.RequestArrived: self._arrived,
             api.TimerFired: self._timer, api.ClientDisconnected: self._gone,
@@ -217,7 +219,7 @@
     def start(self, now: int) -> list[api.Action]:
         """The first actions of an instance that knows nothing yet."""
         self._ticked_ns, self._out = now, [api.SetTimer(now + self._tick_ns, 0)]
-        if self.settings.subscribe:
+        if self.settings.subscribes_to_endpoints:
             # A fleet that restarts together must not jam the register: spread the first call.
             self._ask_at = now + int(self._rng.random() * self._ask_wait_ns)
         return self._out
@@ -261,7 +263,9 @@
         pi, count = aggregate_pi(mean, host.late_n, self._by_worth)
         acc, seen = pi * count, count + 1.0  # one sample of prior: evidence fades, the host comes back
         for looked, (request, sent) in enumerate(host.out.values()):
-            age = min((now - sent) / (self.settings.classes[request.cls].aim_ns * GOAL_OF_AIM), MISSED)
+            age = min(
+                (now - sent) / (self.settings.classes[request.cls].latency_target_ns * GOAL_OF_AIM), MISSED
+            )
             if age <= pi or looked >= OLD_LOOKED_AT:
                 break
             acc += age
@@ -379,8 +383,8 @@
     def _worth_density(self, event: api.RequestArrived, cls: int, now: int, spent: float) -> float:
         """Worth per unit of work, as it is counted here; beyond a tenant's share little is left."""
         settings = self.settings
-        kind, worth = settings.classes[cls], settings.classes[cls].worth
-        worth *= kind.late_worth if spent >= kind.aim_ns else 1.0  # its client has waited before
+        kind, worth = settings.classes[cls], settings.classes[cls].value
+        worth *= kind.late_value if spent >= kind.latency_target_ns else 1.0  # its client has waited before
         over, tenant = False, self._quota.get(event.tenant or "")
         if tenant is not None and tenant.quota_per_s > 0:
             rate = tenant.quota_per_s * max(self._my_share, 1 / settings.fleet_size)
@@ -389,7 +393,7 @@
             level, self._tenant_seen[tenant.name] = min(level, max(rate, TENANT_BURST)), now
             over = level < 1
             self._tenant_level[tenant.name] = level - (level >= 1)
-        if not settings.worth_by_work:
+        if not settings.is_value_by_work:
             worth /= max(self._quiet_ns[cls], 1.0) / SECOND
         worth *= 1 + 0.01 * self._rng.random()  # breaks ties between equal requests
         return worth - OVER_SHARE if over else worth
@@ -410,7 +414,10 @@
         self._tight = self._late and (busy or self._full_sum > 1)
         # What this proxy's part of the fleet serves in the time to be held: the limit stays near it.
         counts = sum(self._lat_n) + 1e-9
-        aim = sum(n * cls.aim_ns for n, cls in zip(self._lat_n, settings.classes, strict=True)) / counts
+        aim = (
+            sum(n * cls.latency_target_ns for n, cls in zip(self._lat_n, settings.classes, strict=True))
+            / counts
+        )
         usual = sum(n * quiet for n, quiet in zip(self._lat_n, self._quiet_ns, strict=True)) / counts
         held = min(usual, aim * USUAL_OF_AIM) + aim * WAIT_OF_AIM if counts >= 1 else float(self._unit_ns)
         # Hosts that are crowded serve less than they did, and go on so until the crowd has left: the
@@ -495,7 +502,11 @@
     def _fits(self, request: Request, now: int) -> Callable[[Host], bool]:
         """Which hosts this request may go to: not where it has been, within its group, cold rules kept."""
         tried = [host for host, _, _ in request.attempts]
-        group = self.settings.classes[request.cls].group if request.origin else DeduplicationScope.ALL
+        group = (
+            self.settings.classes[request.cls].deduplication_scope
+            if request.origin
+            else DeduplicationScope.ALL
+        )
         origin = request.origin
 
         def fits(host: Host) -> bool:
@@ -535,17 +546,19 @@
             idle = 0
         doubted = idle > self._trust.least_ns and self._trust.cut
         usual = self._lat_sum[request.cls] / max(self._lat_n[request.cls], 1.0)
-        if doubted and cls.effect is not Idempotency.UNSAFE and left > 1:
-            timeout = int(min(3 * usual or math.inf, cls.aim_ns / 2, (request.deadline_ns - now) / 2))
+        if doubted and cls.idempotency is not Idempotency.UNSAFE and left > 1:
+            timeout = int(
+                min(3 * usual or math.inf, cls.latency_target_ns / 2, (request.deadline_ns - now) / 2)
+            )
         if (
             self._silent > 1
             and not self._late
-            and cls.effect is Idempotency.SAFE
+            and cls.idempotency is Idempotency.SAFE
             and left > 1
             and not timeout
         ):
             # Guards against connections that fell silent under a request, while there is room elsewhere.
-            patience = max(SILENCE * usual, cls.aim_ns * GOAL_OF_AIM)
+            patience = max(SILENCE * usual, cls.latency_target_ns * GOAL_OF_AIM)
             timeout = int(patience) if now + 2 * patience < request.deadline_ns else 0
         host.begin(len(self._classes))
         host.out[(request.id, len(request.attempts))] = (request, now)
@@ -562,14 +575,14 @@
             return False
         if request.passing:
             return False
-        if request.out and not self.settings.second_copies:
+        if request.out and not self.settings.hedging_enabled:
             return False
-        if cls.effect is not Idempotency.KEYED or not (request.ran or request.out):
-            return cls.effect is Idempotency.SAFE or not (request.ran or request.out)
+        if cls.idempotency is not Idempotency.KEYED or not (request.ran or request.out):
+            return cls.idempotency is Idempotency.SAFE or not (request.ran or request.out)
         # Keyed: the resend has to arrive, connection and all, while the group still remembers.
         if request.origin is None:
             request.origin, request.first_ran_ns, _ = request.attempts[-1]
-        return now + 2 * self.settings.connect_timeout_ns < request.first_ran_ns + cls.window_ns
+        return now + 2 * self.settings.connect_timeout_ns < request.first_ran_ns + cls.deduplication_window_ns
 
     def _finish(self, request: Request) -> None:
         """The final answer: a refusal where trying again does no harm, a failure otherwise."""
@@ -578,8 +591,8 @@
             self._retries.unworked()
         self._call_off(request)
         cls = self.settings.classes[request.cls]
-        harmless = cls.effect is Idempotency.SAFE or (
-            cls.effect is Idempotency.KEYED and cls.group is DeduplicationScope.ALL
+        harmless = cls.idempotency is Idempotency.SAFE or (
+            cls.idempotency is Idempotency.KEYED and cls.deduplication_scope is DeduplicationScope.ALL
         )
         refusal = api.RejectRequest(request.id, self._stay_away(self._tight))
         self._out.append(
@@ -623,7 +636,7 @@
             known or event.status is not AttemptStatus.TIMEOUT
         ):  # of one written off all was learnt
             self._learn(host, request.cls, event.status, event.latency_ns, now)
-        if event.closed:
+        if event.request_ended:
             request.closed = True
             self._call_off(request)
         if event.status not in NEVER_RAN and event.status is not AttemptStatus.OK:
@@ -639,7 +652,7 @@
 
     def _learn(self, host: Host, cls: int, status: AttemptStatus, latency_ns: int, now: int) -> None:
         """What an attempt's end says of its host: late answers of ended requests teach as well."""
-        aim = self.settings.classes[cls].aim_ns
+        aim = self.settings.classes[cls].latency_target_ns
         if status is AttemptStatus.OK:
             host.served += 1
             self._served_rate += 1
@@ -689,7 +702,7 @@
             for key, (request, sent) in list(host.out.items()):
                 if sent >= host.passed[0]:
                     break
-                cls, goal = request.cls, self.settings.classes[request.cls].aim_ns * GOAL_OF_AIM
+                cls, goal = request.cls, self.settings.classes[request.cls].latency_target_ns * GOAL_OF_AIM
                 here = host.late_sum[cls] / max(host.late_n[cls], 0.1) * goal
                 if now - sent <= WRITE_OFF * max(self._lat_sum[cls] / max(self._lat_n[cls], 1.0), here):
                     continue
@@ -711,10 +724,10 @@
             return
         (host, _, idle), key = request.attempts[event.attempt], (event.request, event.attempt)
         request.passing = True
-        if not event.whole and key in host.out:
+        if not event.is_complete and key in host.out:
             host.lost[key] = host.out.pop(key)
             self._open, request.lost = self._open - 1, request.lost + 1
-        elif event.whole and key in host.lost:
+        elif event.is_complete and key in host.lost:
             del host.lost[key]
             host.out[key], request.attempts[event.attempt] = (request, now), (host, now, idle)
             self._open, request.lost = self._open + 1, request.lost - 1
@@ -722,7 +735,7 @@
 
     def _call_off(self, request: Request) -> None:
         """The request is over: what is still out for it is no use to anyone."""
-        if request.out and self.settings.can_cancel:
+        if request.out and self.settings.can_cancel_attempts:
             for attempt, (host, _, _) in enumerate(request.attempts):
                 if (request.id, attempt) in host.out or (request.id, attempt) in host.lost:
                     self._out.append(api.CancelAttempt(request.id, attempt))
@@ -749,11 +762,11 @@
     def _listed(self, event: api.HostListUpdated, now: int) -> None:
         if event.kind is ListKind.FAILED:
             # Ask again, later each time and never in step, but inside the limit on silence.
-            self._ask_wait_ns = min(self._ask_wait_ns * 2, self.settings.ask_within_ns // 2)
+            self._ask_wait_ns = min(self._ask_wait_ns * 2, self.settings.endpoint_poll_deadline_ns // 2)
             self._ask_at = now + int(self._ask_wait_ns * (0.5 + 0.5 * self._rng.random()))
             return
         if event.kind is not ListKind.SAVED:
-            self._ask_wait_ns = self.settings.ask_within_ns // 20
+            self._ask_wait_ns = self.settings.endpoint_poll_deadline_ns // 20
         if event.kind is not ListKind.DELTA:
             named = {entry.host for entry in event.entries}
             for name in [name for name in self._hosts if name not in named]:
@@ -827,10 +840,10 @@
     def _warmth(self, host: Host, now: int) -> float:
         """The least part of its capacity that a host started lately can be counted on for."""
         age, settings = now - host.started_ns, self.settings
-        if host.started_ns <= 0 or age >= settings.cold_ns:
+        if host.started_ns <= 0 or age >= settings.warm_up_ns:
             return 1.0
         told = 0.0 if self._sized else cold.told(host, self._kind_capacity.get(host.kind))
-        return cold.warmth(age, settings.start_capacity, settings.cold_ns, told)
+        return cold.warmth(age, settings.initial_capacity, settings.warm_up_ns, told)
 
     def _cold_room(self, host: Host, now: int) -> bool:
         """Whether one more send keeps within this proxy's slice of a cold host's budget."""
@@ -844,13 +857,13 @@
         capacity = kinds.get(host.kind, min(kinds.values(), default=mean or SECOND / self._unit_ns))
         # Only the proxies that have the host among theirs send to it: as many as chance has it.
         sharers = cold.sharers(settings.fleet_size, self._ranks.zones, host.zone, near, away, self._part)
-        rate = COLD_SLICE * settings.fall_multiple * warmth * capacity / sharers
-        return cold.room(host, now, rate, settings.fall_ns)
+        rate = COLD_SLICE * settings.overload_multiple * warmth * capacity / sharers
+        return cold.room(host, now, rate, settings.overload_window_ns)
 
     # --- the tick -------------------------------------------------------------------------------
 
     def _part_changed(self, event: api.ProcessShareChanged, now: int) -> None:
-        self._part = min(max(event.part, 0.01), 1.0)
+        self._part = min(max(event.share, 0.01), 1.0)
 
     def _probed(self, event: api.HealthCheckEnded, now: int) -> None:
         host = self._hosts.get(event.host)
--- a/brambleusher/loadbalancing/capacity_estimates.py
+++ b/brambleusher/loadbalancing/capacity_estimates.py
@@ -28,8 +28,8 @@
 
 def size_of(settings: api.Settings, entry: api.HostEntry) -> float:
     """How much a host of the list can do beside others; 1 where the list does not tell."""
-    told = settings.weights in COMPARABLE and math.isfinite(entry.nominal) and entry.nominal > 0
-    return entry.nominal if told else 1.0
+    told = settings.weight_source in COMPARABLE and math.isfinite(entry.weight) and entry.weight > 0
+    return entry.weight if told else 1.0
 
 
 def in_use(hosts: Sequence[Host], ready: int) -> float:
--- a/brambleusher/loadbalancing/settings.py
+++ b/brambleusher/loadbalancing/settings.py
@@ -57,14 +57,14 @@
         raise WireError(f"setting {path}group is unknown") from None
     return api.RequestClass(
         name=name,
-        aim_ns=int(_number(raw, "promise_ns", path, 1)),
+        latency_target_ns=int(_number(raw, "promise_ns", path, 1)),
         deadline_ns=int(_number(raw, "give_up_ns", path, 1)),
-        worth=_number(raw, "worth", path),
-        late_worth=_default(raw, "late_worth", path, 0.0),
-        effect=effect,
-        group=group,
-        window_ns=int(_default(raw, "window_ns", path, 0)),
-        stream=bool(raw.get("stream", False)),
+        value=_number(raw, "worth", path),
+        late_value=_default(raw, "late_worth", path, 0.0),
+        idempotency=effect,
+        deduplication_scope=group,
+        deduplication_window_ns=int(_default(raw, "window_ns", path, 0)),
+        is_streaming=bool(raw.get("stream", False)),
     )
 
 
@@ -102,13 +102,13 @@
             )
             for item in projects
         ),
-        subscribe=raw.get("membership_mode") == "subscribe",
-        ask_within_ns=int(_default(safety, "must_ask_in_ns", "safety.", 10e9)),
+        subscribes_to_endpoints=raw.get("membership_mode") == "subscribe",
+        endpoint_poll_deadline_ns=int(_default(safety, "must_ask_in_ns", "safety.", 10e9)),
         tick_ns=int(_default(raw, "tick_ns", "", 1e6)),
         max_attempts=int(_default(limits, "max_attempts", "limits.", 1)),
-        second_copies=bool(limits.get("second_copies", False)),
-        can_cancel=bool(limits.get("cancel", False)),
-        can_probe=bool(limits.get("probing", False)),
+        hedging_enabled=bool(limits.get("second_copies", False)),
+        can_cancel_attempts=bool(limits.get("cancel", False)),
+        can_check_health=bool(limits.get("probing", False)),
         max_retry_after_ns=(
             int(_default(limits, "max_retry_after_ns", "limits.", 0)) if limits.get("retry_after") else 0
         ),
@@ -118,16 +118,16 @@
         + _default(fees, "handshake", "fees.", 0.0),
         late_price=_default(fees, "late_fail", "fees.", 0.0),
         waste_price=_default(fees, "waste", "fees.", 0.0),
-        over_share_worth=_default(raw, "over_share_worth", "", 1.0),
-        worth_by_work=raw.get("worth_by") == "work",
-        worst_class_part=_default(_section(raw, "score_parts"), "worst_class", "score_parts.", 0.0),
+        over_quota_value=_default(raw, "over_share_worth", "", 1.0),
+        is_value_by_work=raw.get("worth_by") == "work",
+        worst_class_weight=_default(_section(raw, "score_parts"), "worst_class", "score_parts.", 0.0),
         drain_grace_ns=int(_number(safety, "drain_grace_ns", "safety.")),
         drain_release_ns=int(_default(safety, "drain_release_ns", "safety.", 0)),
-        conn_idle_ns=int(_default(limits, "conn_idle_ns", "limits.", 0)),
-        cold_ns=int(_number(safety, "cold_ns", "safety.")),
-        start_capacity=_number(safety, "start_capacity", "safety."),
-        fall_multiple=_number(safety, "fall_multiple", "safety."),
-        fall_ns=int(_number(safety, "fall_ns", "safety.", 1)),
+        connection_idle_timeout_ns=int(_default(limits, "conn_idle_ns", "limits.", 0)),
+        warm_up_ns=int(_number(safety, "cold_ns", "safety.")),
+        initial_capacity=_number(safety, "start_capacity", "safety."),
+        overload_multiple=_number(safety, "fall_multiple", "safety."),
+        overload_window_ns=int(_number(safety, "fall_ns", "safety.", 1)),
         report_fields=tuple(str(name) for name in names),
-        weights=str(raw.get("weights") or "silent"),
+        weight_source=str(raw.get("weights") or "silent"),
     )
--- a/brambleusher/loadbalancing/settings_codec.py
+++ b/brambleusher/loadbalancing/settings_codec.py
@@ -14,28 +14,28 @@
 # Stored key -> attribute, in the order in which they are written.
 ZONE_RULES_KEYS: Final = {
     "neighbours": "neighbours",
-    "spill": "spill",
-    "strain": "strain",
-    "panic": "panic",
-    "half_life_ns": "half_life_ns",
-    "hold_most_ns": "hold_most_ns",
-    "trust": "trust",
-    "evacuate": "evacuate",
+    "spill": "spill_rate",
+    "strain": "max_utilisation",
+    "panic": "panic_threshold",
+    "half_life_ns": "flap_penalty_half_life_ns",
+    "hold_most_ns": "max_flap_hold_ns",
+    "trust": "flap_exempt",
+    "evacuate": "evacuated",
 }
 REQUEST_CLASS_KEYS: Final = {
     "name": "name",
-    "aim_ns": "aim_ns",
+    "aim_ns": "latency_target_ns",
     "deadline_ns": "deadline_ns",
-    "worth": "worth",
-    "late_worth": "late_worth",
-    "effect": "effect",
-    "group": "group",
-    "window_ns": "window_ns",
-    "stream": "stream",
+    "worth": "value",
+    "late_worth": "late_value",
+    "effect": "idempotency",
+    "group": "deduplication_scope",
+    "window_ns": "deduplication_window_ns",
+    "stream": "is_streaming",
 }
 TENANT_KEYS: Final = {
     "name": "name",
-    "share": "share",
+    "share": "quota_share",
     "quota_per_s": "quota_per_s",
 }
 SETTINGS_KEYS: Final = {
@@ -43,32 +43,32 @@
     "classes": "classes",
     "fleet_size": "fleet_size",
     "tenants": "tenants",
-    "subscribe": "subscribe",
-    "ask_within_ns": "ask_within_ns",
+    "subscribe": "subscribes_to_endpoints",
+    "ask_within_ns": "endpoint_poll_deadline_ns",
     "tick_ns": "tick_ns",
     "max_attempts": "max_attempts",
-    "second_copies": "second_copies",
-    "can_cancel": "can_cancel",
-    "can_probe": "can_probe",
+    "second_copies": "hedging_enabled",
+    "can_cancel": "can_cancel_attempts",
+    "can_probe": "can_check_health",
     "max_retry_after_ns": "max_retry_after_ns",
     "connect_timeout_ns": "connect_timeout_ns",
     "cross_zone_price": "cross_zone_price",
     "connection_price": "connection_price",
     "late_price": "late_price",
     "waste_price": "waste_price",
-    "over_share_worth": "over_share_worth",
-    "worth_by_work": "worth_by_work",
-    "worst_class_part": "worst_class_part",
+    "over_share_worth": "over_quota_value",
+    "worth_by_work": "is_value_by_work",
+    "worst_class_part": "worst_class_weight",
     "drain_grace_ns": "drain_grace_ns",
     "drain_release_ns": "drain_release_ns",
-    "conn_idle_ns": "conn_idle_ns",
-    "cold_ns": "cold_ns",
-    "start_capacity": "start_capacity",
-    "fall_multiple": "fall_multiple",
-    "fall_ns": "fall_ns",
+    "conn_idle_ns": "connection_idle_timeout_ns",
+    "cold_ns": "warm_up_ns",
+    "start_capacity": "initial_capacity",
+    "fall_multiple": "overload_multiple",
+    "fall_ns": "overload_window_ns",
     "report_fields": "report_fields",
-    "weights": "weights",
-    "zones": "zones",
+    "weights": "weight_source",
+    "zones": "zone_rules",
 }
 
 _SECTIONS: Final = frozenset({"classes", "tenants", "zones"})  # keys whose values are records of their own
@@ -105,7 +105,7 @@
     sections: dict[str, object] = {
         "classes": [_save_request_class(item) for item in settings.classes],
         "tenants": [_record(item, TENANT_KEYS) for item in settings.tenants],
-        "zones": save_rules(settings.zones),
+        "zones": save_rules(settings.zone_rules),
         "report_fields": list(settings.report_fields),
     }
     return {
@@ -142,7 +142,7 @@
 
 
 def _save_request_class(item: api.RequestClass) -> dict[str, Any]:
-    words = {"effect": item.effect.value, "group": item.group.value}
+    words = {"effect": item.idempotency.value, "group": item.deduplication_scope.value}
     return {
         key: words[key] if key in words else plain(getattr(item, attribute))
         for key, attribute in REQUEST_CLASS_KEYS.items()
--- a/brambleusher/loadbalancing/simulator_adapter.py
+++ b/brambleusher/loadbalancing/simulator_adapter.py
@@ -70,7 +70,7 @@
         kind=parts.get("sku", ""),
         cell=int(parts.get("block", 0)),
         state=_STATES[parts["state"]],
-        nominal=float(parts.get("nominal", 1)),
+        weight=float(parts.get("nominal", 1)),
         started_ns=int(parts.get("last_start_ns", 0)),
     )
 
--- a/brambleusher/loadbalancing/zone_aware_balancer.py
+++ b/brambleusher/loadbalancing/zone_aware_balancer.py
@@ -32,7 +32,7 @@
 
 def balancer_for(settings: api.Settings, seed: int) -> Balancer:
     """The balancer that settings ask for: without rules on zones, the plain one."""
-    return Balancer(settings, seed) if settings.zones is None else ZonedBalancer(settings, seed)
+    return Balancer(settings, seed) if settings.zone_rules is None else ZonedBalancer(settings, seed)
 
 
 class ZonedBalancer(Balancer):
@@ -40,7 +40,7 @@
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self._zones = Zones(settings.zones, settings.zone, self._unit_ns, settings.fleet_size)
+        self._zones = Zones(settings.zone_rules, settings.zone, self._unit_ns, settings.fleet_size)
         self._probing: list[str] = []  # requests whose last attempt is a probe
         self._due_ns = 0  # when the timer is to fire
         self._ahead = False  # zones' grants may be used a burst ahead
@@ -56,7 +56,7 @@
         return {"panic": zones.panic, "beyond": round(zones.beyond, 3), "zones": zones.standing(now)}
 
     def _rules_changed(self, event: api.ZoneRulesChanged, now: int) -> None:
-        self._zones.set_rules(event.zones, now)
+        self._zones.set_rules(event.rules, now)
         self._choose()
         self._weigh(now, 0.0)
 
@@ -221,7 +221,7 @@
         if not self._on or self._late or counts < 1 or not self._zones.troubled:
             return
         ring, classes = self._turn.ring, self.settings.classes
-        aim = sum(n * cls.aim_ns for n, cls in zip(self._lat_n, classes, strict=True)) / counts
+        aim = sum(n * cls.latency_target_ns for n, cls in zip(self._lat_n, classes, strict=True)) / counts
         rates = [host.throughput / max(host.util, 0.5) for host in ring if host.util_ns >= 0]
         if rates:
             share = max(self._my_share, 1 / self.settings.fleet_size)
@@ -245,7 +245,7 @@
         plain = super()._fits(request, now)
         if not self._on:
             return plain
-        zones, unsafe = self._zones, self.settings.classes[request.cls].effect is Idempotency.UNSAFE
+        zones, unsafe = self._zones, self.settings.classes[request.cls].idempotency is Idempotency.UNSAFE
         let = {name: zones.admits(name, now, self._ahead) for name in zones.zones}
         if unsafe:
             sure = {name: each and not zones.doubtful(name) for name, each in let.items()}
@@ -274,7 +274,7 @@
         """
         zone = self._zones.probe(now)
         cls = self.settings.classes[request.cls]
-        if zone is None or cls.effect is not Idempotency.SAFE or self.settings.max_attempts < 2:
+        if zone is None or cls.idempotency is not Idempotency.SAFE or self.settings.max_attempts < 2:
             return None
         if request.deadline_ns - now < 2 * self._patience(request):
             return None
@@ -293,7 +293,7 @@
         return None
 
     def _patience(self, request: Request) -> int:
-        return int(self.settings.classes[request.cls].aim_ns * GOAL_OF_AIM)
+        return int(self.settings.classes[request.cls].latency_target_ns * GOAL_OF_AIM)
 
     def _send(self, request: Request, host: Host, now: int) -> None:
         super()._send(request, host, now)
@@ -304,7 +304,7 @@
             # The rule's budget is more than a cold host can do: here all proxies together keep to that, each
             # by its part of the zone's traffic.
             even = self._zones.share_of(host.zone) * self.settings.fleet_size
-            cost = COLD_SLICE * self.settings.fall_multiple / max(even, 0.25)
+            cost = COLD_SLICE * self.settings.overload_multiple / max(even, 0.25)
             host.cold_level -= 0.0 if self._zones.needed(now) else max(0.0, cost - 1)
         if request.id in self._probing:
             sent = self._out[-1]
--- a/brambleusher/loadbalancing/zone_routing.py
+++ b/brambleusher/loadbalancing/zone_routing.py
@@ -224,14 +224,14 @@
                 zone.reason, zone.penalty = "the operator's rules are gone", 0.0
             return
         for zone in self.zones.values():
-            if zone.name in rules.trust:
+            if zone.name in rules.flap_exempt:
                 zone.penalty, zone.probe_ns, zone.probe_pause_ns = 0.0, now, 0
                 self._say(zone, "is trusted now, as the operator's rules have it")
-            left = before is not None and zone.name in before.evacuate
-            if zone.name in rules.evacuate and not left:
+            left = before is not None and zone.name in before.evacuated
+            if zone.name in rules.evacuated and not left:
                 zone.leaving_ns = now
                 self._say(zone, "is being evacuated, as the operator's rules have it")
-            elif left and zone.name not in rules.evacuate:
+            elif left and zone.name not in rules.evacuated:
                 zone.leaving_ns = 0
                 if zone.state is not State.LOST:
                     self._to(zone, State.RETURNING, "the operator's rules evacuate it no more", now)
@@ -288,7 +288,7 @@
         for name in {**ready, **draining}:  # in their order, which no hash of a name changes
             if name not in self.zones:
                 zone = self.zones[name] = Zone(name, since_ns=now, heard_ns=now)
-                if self.rules is not None and name in self.rules.evacuate:
+                if self.rules is not None and name in self.rules.evacuated:
                     zone.leaving_ns = max(now - int(EVACUATION_S * SECOND), 1)
         for name, zone in self.zones.items():
             before, zone.ready = zone.ready, sorted(ready.get(name, ()))
@@ -457,7 +457,7 @@
             node.gone_wrong *= kept
         zone.answered *= 0.5 ** (gap / USED_AIMS)
         zone.grown *= 0.5 ** (gap / LAG_AIMS)
-        zone.penalty *= 0.5 ** (gap * self.unit_ns / self.rules.half_life_ns)
+        zone.penalty *= 0.5 ** (gap * self.unit_ns / self.rules.flap_penalty_half_life_ns)
 
     # --- states ---------------------------------------------------------------------------------
 
@@ -506,8 +506,8 @@
         assert rules is not None
         zone.losses += 1
         zone.listed_out = False
-        if rules.hold_most_ns > 0:
-            most = TRUSTED * 2.0 ** (rules.hold_most_ns / rules.half_life_ns)
+        if rules.max_flap_hold_ns > 0:
+            most = TRUSTED * 2.0 ** (rules.max_flap_hold_ns / rules.flap_penalty_half_life_ns)
             zone.penalty = min(zone.penalty + penalty, most)
         zone.grant = zone.grown = zone.level = 0.0
         zone.held, zone.missed = False, 0
@@ -569,14 +569,14 @@
         assert rules is not None
         total = sum(len(zone.ready) for zone in self.zones.values())
         well, pressed, was = 0, True, self.panic
-        strain = rules.strain - (0.1 if was else 0.0)  # once in doubt, only clear relief ends it
+        strain = rules.max_utilisation - (0.1 if was else 0.0)  # once in doubt, only clear relief ends it
         for name, zone in self.zones.items():
             if zone.out or not zone.ready:
                 continue
             load = loads.get(name) or Load()
             well += len(zone.ready) - len(load.dark)
             pressed &= load.strained or load.used > strain * load.capacity
-        self.panic = total > 0 and pressed and well < rules.panic * total
+        self.panic = total > 0 and pressed and well < rules.panic_threshold * total
         if not any(zone.ready and not zone.out for zone in self.zones.values()) and total:
             self.panic = True  # whatever the rules say: nothing is left to go by
         if self.panic != was:
@@ -654,7 +654,7 @@
             if not load.hosts or self.shut(name):
                 zone.limit = -1.0
                 continue
-            spare = max(rules.strain * load.capacity - load.used, 0.0) * share
+            spare = max(rules.max_utilisation * load.capacity - load.used, 0.0) * share
             self._regrant(zone, load, used, spare, seconds, now)
             offer = self._tier_offer(zone.tier) * self.weights.get(name, 1.0)
             masses[name] = load.mass * offer * (SUSPECT_OFFER if zone.state is State.SUSPECT else 1.0)
@@ -707,16 +707,16 @@
                 zone.grant = min(zone.grant * 2 ** (seconds / DOUBLING_S), most)
             zone.grant = max(zone.grant, start)
             return
-        over = load.used / load.capacity - rules.strain if load.capacity else 0.0
-        over = min(over / max(1 - rules.strain, 0.01), 1.0)
+        over = load.used / load.capacity - rules.max_utilisation if load.capacity else 0.0
+        over = min(over / max(1 - rules.max_utilisation, 0.01), 1.0)
         over = max(over, 0.5) if load.strained else over
         if over > 0:
             zone.grant *= max(0.0, 1.0 - STRAIN_PULL * over * seconds)
         elif wanted:
-            step = max(min(rules.spill * spare * seconds, spare - zone.grown), 0.0)
+            step = max(min(rules.spill_rate * spare * seconds, spare - zone.grown), 0.0)
             zone.grant, zone.grown = zone.grant + step, zone.grown + step
         else:
-            keep = KEEP * used + rules.spill * spare * HEADROOM_S
+            keep = KEEP * used + rules.spill_rate * spare * HEADROOM_S
             zone.grant += (keep - zone.grant) * min(seconds / UNUSED_S, 1.0)
         # One request in a few aims at least: a zone that nothing is sent to tells nothing.
         zone.grant = max(zone.grant, used if over <= 0 else 0.0, LEAST_AN_AIM * SECOND / self.unit_ns)
@@ -737,7 +737,7 @@
     def _most(self, zone: Zone, load: Load, now: int) -> float:
         """The most that a returning zone is granted: this proxy's part of what it can do at this moment."""
         assert self.rules is not None
-        times = NEEDED_TIMES if self.needed(now) else self.rules.strain
+        times = NEEDED_TIMES if self.needed(now) else self.rules.max_utilisation
         return self.share_of(zone.name) * times * load.capacity
 
     # --- to be looked at ------------------------------------------------------------------------
--- a/brambleusher/net/client_listener.py
+++ b/brambleusher/net/client_listener.py
@@ -117,7 +117,7 @@
         self._counters, self._places, self._is_ready = counters, places, is_ready
         self._life, self._rewrites = RequestLifecycle(decisions, nodes, scheduler), rewrites
         self._methods = {
-            cls.name: "GET" if cls.effect is Idempotency.SAFE else "POST"
+            cls.name: "GET" if cls.idempotency is Idempotency.SAFE else "POST"
             for cls in decisions.settings.classes
         }
         self._tenants = {tenant.name for tenant in decisions.settings.tenants}
--- a/brambleusher/net/endpoint_entries.py
+++ b/brambleusher/net/endpoint_entries.py
@@ -83,7 +83,7 @@
         kind=sys.intern(str(raw.get("kind", ""))),
         cell=_whole(raw, "cell", 0),
         state=state,
-        nominal=float(weight),
+        weight=float(weight),
         started_ns=_whole(raw, "started_ms", 0) * 1_000_000,
     )
     return Endpoint(entry, where)
--- a/brambleusher/net/upstream_pool.py
+++ b/brambleusher/net/upstream_pool.py
@@ -141,7 +141,7 @@
         """`written` is told of each claim whose last byte has been handed over."""
         self._scheduler, self._counters, self._written = scheduler, counters, written
         self._connect_seconds = settings.connect_timeout_ns / 1e9
-        self._pace = Pace.of(settings.fleet_size, settings.conn_idle_ns / 1e9 or math.inf)
+        self._pace = Pace.of(settings.fleet_size, settings.connection_idle_timeout_ns / 1e9 or math.inf)
         self.listed: dict[str, Endpoint] = {}
         self._nodes: dict[
             str, UpstreamEndpoint
--- a/brambleusher/operator_settings/configuration.py
+++ b/brambleusher/operator_settings/configuration.py
@@ -252,13 +252,17 @@
     section, usual = Section(raw, "zones"), ZoneRules()
     rules = ZoneRules(
         neighbours=_neighbours(section.take("neighbours")),
-        spill=section.number("spill", usual.spill, 0.01, 10.0),
-        strain=section.number("strain", usual.strain, 0.1, 1.0),
-        panic=section.number("panic", usual.panic, 0.0, 1.0),
-        half_life_ns=int(section.number("half_life_s", usual.half_life_ns / 1e9, 1.0, 3600.0) * 1e9),
-        hold_most_ns=int(section.number("hold_most_s", usual.hold_most_ns / 1e9, 0.0, 86_400.0) * 1e9),
-        trust=section.names("trust", MAX_ZONES),
-        evacuate=section.names("evacuate", MAX_ZONES),
+        spill_rate=section.number("spill", usual.spill_rate, 0.01, 10.0),
+        max_utilisation=section.number("strain", usual.max_utilisation, 0.1, 1.0),
+        panic_threshold=section.number("panic", usual.panic_threshold, 0.0, 1.0),
+        flap_penalty_half_life_ns=int(
+            section.number("half_life_s", usual.flap_penalty_half_life_ns / 1e9, 1.0, 3600.0) * 1e9
+        ),
+        max_flap_hold_ns=int(
+            section.number("hold_most_s", usual.max_flap_hold_ns / 1e9, 0.0, 86_400.0) * 1e9
+        ),
+        flap_exempt=section.names("trust", MAX_ZONES),
+        evacuated=section.names("evacuate", MAX_ZONES),
     )
     section.end()
     return rules
--- a/brambleusher/sidecar/app.py
+++ b/brambleusher/sidecar/app.py
@@ -116,7 +116,7 @@
         operator = operator or OperatorFile()
         self.bans, self.service, self._service_said = Bans(), Service(), 0
         self._version = 0  # of the list that was told last
-        self.config = replace(config, settings=replace(config.settings, zones=operator.zones))
+        self.config = replace(config, settings=replace(config.settings, zone_rules=operator.zones))
         self._load, self._load_operator = load, load_operator
         config = self.config
         self.system: System = RealSystem() if system is None else system
@@ -324,7 +324,7 @@
         self.nodes.update(known)
         self.decisions.start(endpoint.entry for endpoint in known.endpoints)
         self.endpoint_list.start()
-        if not self.config.settings.subscribe:  # the module leaves the list to us
+        if not self.config.settings.subscribes_to_endpoints:  # the module leaves the list to us
             self.endpoint_list.ask()
         self.scheduler.spawn(self.nodes.reap, name="reap")
         if self.figures is not None:
@@ -538,7 +538,9 @@
             # The running configuration stays: a file half written must not take a serving sidecar down.
             log.error("bad configuration, the running one stays", extra={"fields": {"reason": error}})
             return
-        config = replace(config, settings=replace(config.settings, zones=self.config.settings.zones))
+        config = replace(
+            config, settings=replace(config.settings, zone_rules=self.config.settings.zone_rules)
+        )
         for key in fixed_keys_changed(self.config, config):
             log.warning("can't change in a running sidecar", extra={"fields": {"key": key}})
         host, port = config.discovery
@@ -549,7 +551,9 @@
         if moved:
             self.config = replace(self.config, discovery=config.discovery)
             settings = self.config.settings
-            within = min(settings.fleet_size / LISTS_A_SECOND, settings.ask_within_ns / 1e9 * MOVE_PART)
+            within = min(
+                settings.fleet_size / LISTS_A_SECOND, settings.endpoint_poll_deadline_ns / 1e9 * MOVE_PART
+            )
             self.endpoint_list.change_over(HttpWatch(self.scheduler, config.discovery), within)
 
     def _reload_zones(self) -> None:
--- a/brambleusher/xds/config.py
+++ b/brambleusher/xds/config.py
@@ -228,7 +228,7 @@
     if known is None:
         raise ControlError(f"{path}.name: the settings have no class {name}")
     usual = ClassPlan(name, (f"/{name}",), max(1, known.deadline_ns // 1_000_000), 0)
-    safe = known.effect is Idempotency.SAFE
+    safe = known.idempotency is Idempotency.SAFE
     most = max(0, settings.max_attempts - 1)
     retries = section.whole("retries", min(1, most) if safe else 0, 0, 10)
     if retries and not safe:
--- a/brambleusher/xds/core.py
+++ b/brambleusher/xds/core.py
@@ -409,4 +409,4 @@
 
 
 def _settings_of(config: ControlConfig, zone: str) -> Settings:
-    return replace(config.settings, zone=zone, subscribe=False)
+    return replace(config.settings, zone=zone, subscribes_to_endpoints=False)
--- a/brambleusher/xds/resources.py
+++ b/brambleusher/xds/resources.py
@@ -183,7 +183,7 @@
     usual = [
         f"/{cls.name}"
         for cls in config.settings.classes
-        if cls.effect is not Idempotency.SAFE and cls.name not in given
+        if cls.idempotency is not Idempotency.SAFE and cls.name not in given
     ]
     hidden = [plan for plan in config.classes if plan not in plans and not plan.retries]
     return usual + [prefix for plan in hidden for prefix in plan.prefixes]
--- a/tests/rules.py
+++ b/tests/rules.py
@@ -81,7 +81,7 @@
                 raise Breach("rule 1: late answer")
             risky = [a for a in owed.attempts if a.status not in UNRUN]
             if isinstance(action, api.RejectRequest) and risky:
-                effect, group = owed.cls.effect, owed.cls.group
+                effect, group = owed.cls.idempotency, owed.cls.deduplication_scope
                 if effect is api.Idempotency.UNSAFE or (
                     effect is api.Idempotency.KEYED and group is not api.DeduplicationScope.ALL
                 ):
@@ -107,17 +107,17 @@
             raise Breach("rule 3: sent to a host that left")
         if len(owed.attempts) >= self.settings.max_attempts:
             raise Breach("rule 1: too many attempts")
-        if not self.settings.second_copies and any(a.status is None for a in owed.attempts):
+        if not self.settings.hedging_enabled and any(a.status is None for a in owed.attempts):
             raise Breach("rule 2: two attempts out")
         risky = [a for a in owed.attempts if a.status not in UNRUN]
-        if risky and owed.cls.effect is api.Idempotency.UNSAFE:
+        if risky and owed.cls.idempotency is api.Idempotency.UNSAFE:
             raise Breach("rule 2: unsafe request repeated")
-        if risky and owed.cls.effect is api.Idempotency.KEYED:
+        if risky and owed.cls.idempotency is api.Idempotency.KEYED:
             first = min(risky, key=lambda a: a.sent)
-            if now >= first.sent + owed.cls.window_ns:
+            if now >= first.sent + owed.cls.deduplication_window_ns:
                 raise Breach("rule 2: repeated after the window")
             here, there = self.places[action.host], self.places[first.host]
-            group = owed.cls.group
+            group = owed.cls.deduplication_scope
             if (group is api.DeduplicationScope.ZONE and here.zone != there.zone) or (
                 group is api.DeduplicationScope.CELL and here.cell != there.cell
             ):
@@ -131,13 +131,13 @@
         """Rule 4, this instance's even slice of the budget of each window."""
         entry, settings = self.places[host], self.settings
         age = now - entry.started_ns
-        if not self.full_rate or entry.started_ns <= 0 or age >= settings.cold_ns:
+        if not self.full_rate or entry.started_ns <= 0 or age >= settings.warm_up_ns:
             return
         sends = self.cold_sends.setdefault(host, [])
         sends.append(now)
-        grown = settings.start_capacity + (1 - settings.start_capacity) * age / settings.cold_ns
-        budget = settings.fall_multiple * grown * self.full_rate * settings.fall_ns / SECOND
-        recent = [at for at in sends if at > now - settings.fall_ns]
+        grown = settings.initial_capacity + (1 - settings.initial_capacity) * age / settings.warm_up_ns
+        budget = settings.overload_multiple * grown * self.full_rate * settings.overload_window_ns / SECOND
+        recent = [at for at in sends if at > now - settings.overload_window_ns]
         if len(recent) > max(2.0, budget / settings.fleet_size + 1):
             raise Breach("rule 4: a cold host was flooded")
 
@@ -242,7 +242,7 @@
     def membership(self) -> None:
         """One legal piece of news from discovery."""
         roll = self.rng.random()
-        if roll < 0.2 and self.settings.subscribe:
+        if roll < 0.2 and self.settings.subscribes_to_endpoints:
             self.list_hosts(api.ListKind.FAILED, [])
         elif roll < 0.45:
             entry = self.add_host(started_ns=self.now - self.rng.randrange(SECOND))
@@ -265,7 +265,7 @@
         if roll < 0.35:
             cls = self.rng.choice(self.settings.classes)
             tenant = self.rng.choice(self.settings.tenants).name if self.settings.tenants else None
-            self.request(cls, self.rng.randrange(cls.aim_ns // 2, cls.deadline_ns), tenant)
+            self.request(cls, self.rng.randrange(cls.latency_target_ns // 2, cls.deadline_ns), tenant)
         elif roll < 0.8 and self.out:
             name, attempt = self.rng.choice(self.out)
             choices = [
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -40,7 +40,7 @@
 
 SEED = 0x8C1F30D27A5BE964
 EMPTY = EndpointListUpdate(0, True, ())
-ASKS = replace(BASE, subscribe=True)
+ASKS = replace(BASE, subscribes_to_endpoints=True)
 
 
 class Recorded(Balancer):
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -68,7 +68,7 @@
 def sends_to_a_cold_host(told: api.LoadReport) -> int:
     """How many of 600 requests within 6 s go to a host that started 2 s before, and reports so much."""
     settings = api.Settings(
-        zone="a", fleet_size=10, cold_ns=20 * SECOND, start_capacity=0.2, fall_multiple=4.0,
+        zone="a", fleet_size=10, warm_up_ns=20 * SECOND, initial_capacity=0.2, overload_multiple=4.0,
         classes=(api.RequestClass("r", SECOND, 2 * SECOND, 1.0),),
     )  # fmt: skip
     balancer, now, count = Balancer(settings, 3), 100 * SECOND, 0
--- a/tests/test_crossings_fleet.py
+++ b/tests/test_crossings_fleet.py
@@ -43,8 +43,8 @@
 
     def balancer(self, number: int) -> Balancer:
         settings = api.Settings(
-            zone=ZONES[number % 3], fleet_size=self.told, cold_ns=int(COLD_S * SECOND),
-            start_capacity=START, fall_multiple=MULTIPLE, fall_ns=int(FALL_S * SECOND),
+            zone=ZONES[number % 3], fleet_size=self.told, warm_up_ns=int(COLD_S * SECOND),
+            initial_capacity=START, overload_multiple=MULTIPLE, overload_window_ns=int(FALL_S * SECOND),
             classes=(api.RequestClass("r", SECOND, 2 * SECOND, 1.0),),
         )  # fmt: skip
         return Balancer(settings, self.rng.getrandbits(32))
--- a/tests/test_crossings_upstream.py
+++ b/tests/test_crossings_upstream.py
@@ -183,9 +183,9 @@
             10**9,
             10**10,
             1.0,
-            effect=api.Idempotency.KEYED,
-            group=api.DeduplicationScope.ALL,
-            window_ns=window,
+            idempotency=api.Idempotency.KEYED,
+            deduplication_scope=api.DeduplicationScope.ALL,
+            deduplication_window_ns=window,
         )
         settings = api.Settings(
             zone="z", fleet_size=1, classes=(kind,), connect_timeout_ns=connect, max_attempts=3
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -208,7 +208,7 @@
     """Guards against queues in which every answer comes late: what is out is bounded."""
     low = api.RequestClass("low", 500 * MS, 2 * SECOND, 1.0)
     high = api.RequestClass("high", 500 * MS, 2 * SECOND, 10.0)
-    balancer = Balancer(api.Settings(zone="a", classes=(low, high), fleet_size=1, worth_by_work=True), 3)
+    balancer = Balancer(api.Settings(zone="a", classes=(low, high), fleet_size=1, is_value_by_work=True), 3)
     balancer.start(0)
     balancer.handle(api.HostListUpdated(api.ListKind.SAVED, [entry("h1"), entry("h2")]), 0)
     now, kept = 0, {"low": 0, "high": 0}
@@ -252,7 +252,12 @@
 def test_a_fleet_that_is_cold_as_a_whole_is_let_in_by_what_it_carries() -> None:
     """Guards against one request a host until all are warm, after every host was restarted."""
     settings = api.Settings(
-        zone="a", classes=(CLS,), fleet_size=1, cold_ns=20 * SECOND, start_capacity=0.5, fall_multiple=3.0
+        zone="a",
+        classes=(CLS,),
+        fleet_size=1,
+        warm_up_ns=20 * SECOND,
+        initial_capacity=0.5,
+        overload_multiple=3.0,
     )
     balancer = Balancer(settings, 3)
     balancer.start(SECOND)
@@ -295,7 +300,7 @@
 
 
 def used_once(seed_gap: int) -> tuple[Balancer, str, int]:
-    balancer, _ = build(["h1"], conn_idle_ns=60 * SECOND)
+    balancer, _ = build(["h1"], connection_idle_timeout_ns=60 * SECOND)
     (sent,) = balancer.handle(api.RequestArrived("a", "c", None, 2 * SECOND), MS)
     assert isinstance(sent, api.StartAttempt)
     balancer.handle(api.AttemptEnded("a", 0, "h1", api.AttemptStatus.OK, 9 * MS, True), 10 * MS)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -11,13 +11,13 @@
 from tests.test_design import entry
 
 SAFE = api.RequestClass("safe", 500 * MS, 2 * SECOND, 1.0)
-ONCE = api.RequestClass("once", 500 * MS, 2 * SECOND, 1.0, effect=api.Idempotency.UNSAFE)
+ONCE = api.RequestClass("once", 500 * MS, 2 * SECOND, 1.0, idempotency=api.Idempotency.UNSAFE)
 
 
 def build(hosts: int = 3, **changes: object) -> Balancer:
     settings = api.Settings(
-        zone="a", classes=(SAFE, ONCE), fleet_size=1, max_attempts=4, second_copies=True, can_cancel=True,
-        **changes,  # type: ignore[arg-type]
+        zone="a", classes=(SAFE, ONCE), fleet_size=1, max_attempts=4, hedging_enabled=True,
+        can_cancel_attempts=True, **changes,  # type: ignore[arg-type]
     )  # fmt: skip
     balancer = Balancer(settings, 3)
     balancer.start(0)
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -83,7 +83,8 @@
     """A proxy that uses a few of its hosts."""
     return api.Settings(
         zone="z0", classes=(api.RequestClass("a", 100 * MS, 1000 * MS, 1.0),), fleet_size=5, max_attempts=3,
-        drain_release_ns=500 * MS, connection_price=0.1, conn_idle_ns=5000 * MS, cold_ns=3000 * MS,
+        drain_release_ns=500 * MS, connection_price=0.1,
+        connection_idle_timeout_ns=5000 * MS, warm_up_ns=3000 * MS,
     )  # fmt: skip
 
 
--- a/tests/test_mysql_settings.py
+++ b/tests/test_mysql_settings.py
@@ -32,8 +32,8 @@
     zone="z",
     classes=(
         api.RequestClass("look", 10**9, 2 * 10**9, 1.0),
-        api.RequestClass("move", 10**9, 3 * 10**9, 1.0, effect=api.Idempotency.UNSAFE),
-        api.RequestClass("keyed", 10**9, 2 * 10**9, 1.0, effect=api.Idempotency.KEYED),
+        api.RequestClass("move", 10**9, 3 * 10**9, 1.0, idempotency=api.Idempotency.UNSAFE),
+        api.RequestClass("keyed", 10**9, 2 * 10**9, 1.0, idempotency=api.Idempotency.KEYED),
     ),
     fleet_size=1,
     tenants=(api.Tenant("acme", 0.5, 10.0), api.Tenant("peach", 0.5, 10.0)),
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -26,7 +26,7 @@
     balancer._rate *= rng.uniform(0.1, 10)
     balancer._retries.spare, balancer._retries.unserved = rng.uniform(0, 5), rng.uniform(0, 100)
     for cls, told in enumerate(balancer.settings.classes):
-        balancer._quiet_ns[cls] = told.aim_ns * rng.uniform(0.001, 1.0)
+        balancer._quiet_ns[cls] = told.latency_target_ns * rng.uniform(0.001, 1.0)
         balancer._lat_n[cls] = rng.uniform(0, 200)
         balancer._lat_sum[cls] = balancer._lat_n[cls] * told.deadline_ns * rng.random()
     for host in balancer._hosts.values():
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -23,19 +23,25 @@
     tick_ns=5 * MS,
     max_attempts=4,
     cross_zone_price=0.1,
-    over_share_worth=0.1,
+    over_quota_value=0.1,
     drain_grace_ns=0,
     drain_release_ns=300 * MS,
-    cold_ns=5 * SECOND,
-    start_capacity=0.2,
-    fall_multiple=3.0,
+    warm_up_ns=5 * SECOND,
+    initial_capacity=0.2,
+    overload_multiple=3.0,
 )
 
 
 @given(strategies.integers(0, 2**32), strategies.booleans(), strategies.booleans(), strategies.integers(0, 6))
 @settings(derandomize=True, deadline=None, max_examples=120)
 def test_rules_hold_under_random_events(seed: int, copies: bool, asks: bool, hosts: int) -> None:
-    chosen = replace(BASE, second_copies=copies, subscribe=asks, can_cancel=copies, can_probe=asks)
+    chosen = replace(
+        BASE,
+        hedging_enabled=copies,
+        subscribes_to_endpoints=asks,
+        can_cancel_attempts=copies,
+        can_check_health=asks,
+    )
     worlds = [World(chosen, seed) for _ in range(2)]
     for world in worlds:
         world.start(hosts)
@@ -64,9 +70,11 @@
 
 SAFE = CLASSES[0]
 KEYED_CELL = next(
-    c for c in CLASSES if c.effect is api.Idempotency.KEYED and c.group is api.DeduplicationScope.CELL
+    c
+    for c in CLASSES
+    if c.idempotency is api.Idempotency.KEYED and c.deduplication_scope is api.DeduplicationScope.CELL
 )
-UNSAFE = next(c for c in CLASSES if c.effect is api.Idempotency.UNSAFE)
+UNSAFE = next(c for c in CLASSES if c.idempotency is api.Idempotency.UNSAFE)
 
 
 def test_checker_sees_two_answers_late_answers_and_none() -> None:
@@ -83,13 +91,13 @@
 
 
 def test_checker_sees_double_effects() -> None:
-    judge = checker(UNSAFE, second_copies=True)
+    judge = checker(UNSAFE, hedging_enabled=True)
     judge.action(api.StartAttempt("r", "h0"), 0)
     with pytest.raises(Breach, match="unsafe"):
         judge.action(api.StartAttempt("r", "h1"), 1)
     with pytest.raises(Breach, match="refused"):
         judge.action(api.RejectRequest("r"), 1)
-    judge = checker(KEYED_CELL, second_copies=True)
+    judge = checker(KEYED_CELL, hedging_enabled=True)
     judge.action(api.StartAttempt("r", "h0"), 0)
     with pytest.raises(Breach, match="group"):
         judge.action(api.StartAttempt("r", "h1"), 1)
@@ -144,13 +152,13 @@
 
 
 def test_lists_that_fail_are_asked_for_again_within_the_limit() -> None:
-    world = World(replace(BASE, subscribe=True), 9)
+    world = World(replace(BASE, subscribes_to_endpoints=True), 9)
     world.start(2)
-    world.pass_time(BASE.ask_within_ns // 2)
+    world.pass_time(BASE.endpoint_poll_deadline_ns // 2)
     assert world.asked == 1
     for n in range(2, 8):
         world.list_hosts(api.ListKind.FAILED, [])
-        world.pass_time(BASE.ask_within_ns)
+        world.pass_time(BASE.endpoint_poll_deadline_ns)
         assert world.asked == n
 
 
@@ -215,10 +223,10 @@
         tenants=(),
         fleet_size=count,
         cross_zone_price=0.0,
-        cold_ns=18 * SECOND,
-        start_capacity=0.13,
-        fall_multiple=2.0,
-        fall_ns=2 * SECOND,
+        warm_up_ns=18 * SECOND,
+        initial_capacity=0.13,
+        overload_multiple=2.0,
+        overload_window_ns=2 * SECOND,
         connection_price=0.1,
     )
     warm = [api.HostEntry(f"h{n}", "z0", "k", 0, api.HostState.READY) for n in range(hosts)]
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -21,11 +21,12 @@
     """One proxy beside hosts of the sizes given, all as busy as `use` says of them."""
 
     def __init__(self, nominal: dict[str, float], use: dict[str, float], **settings: object) -> None:
-        told: dict[str, object] = {"report_fields": ("utilization",), "weights": "nominal"} | settings
+        told: dict[str, object] = {"report_fields": ("utilization",), "weight_source": "nominal"} | settings
         self.balancer = Balancer(
             api.Settings(
-                zone="a", fleet_size=FLEET, worth_by_work=True, cold_ns=10 * SECOND, start_capacity=0.3,
-                fall_multiple=4.0, classes=(api.RequestClass("r", SECOND, 2 * SECOND, 1.0),), **told,  # type: ignore[arg-type]
+                zone="a", fleet_size=FLEET, is_value_by_work=True, warm_up_ns=10 * SECOND, initial_capacity=0.3,
+                overload_multiple=4.0, classes=(api.RequestClass("r", SECOND, 2 * SECOND, 1.0),),
+                **told,  # type: ignore[arg-type]
             ),
             7,
         )  # fmt: skip
@@ -105,4 +106,4 @@
     assert not sizes.stand_in(parse_settings(SETUP | told))
     told["telemetry"] = {"names": ["recent_ms", "utilization"]}
     assert sizes.stand_in(parse_settings(SETUP | told))
-    assert parse_settings(SETUP | told).weights == "rough"
+    assert parse_settings(SETUP | told).weight_source == "rough"
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -165,10 +165,8 @@
             self.assertIsNone(silent.receive(lambda s: None, lambda: float(next(clock))))
 
     def test_the_module_goes_on_without_the_requests(self) -> None:
-        settings = api.Settings(
-            zone="z", classes=(api.RequestClass("look", aim_ns=10**9, deadline_ns=2 * 10**9, worth=1.0),),
-            fleet_size=1,
-        )  # fmt: skip
+        look = api.RequestClass("look", latency_target_ns=10**9, deadline_ns=2 * 10**9, value=1.0)
+        settings = api.Settings(zone="z", classes=(look,), fleet_size=1)
         balancer = Balancer(settings, 7)
         balancer.start(0)
         nodes = [api.HostEntry(f"h{n}", "z", "k", 0, api.HostState.READY) for n in range(3)]
@@ -196,10 +194,10 @@
 
     def test_a_cold_host_is_sent_a_part_by_each_of_two_processes(self) -> None:
         def sends(part: float) -> int:
-            cls = api.RequestClass("look", aim_ns=10**9, deadline_ns=2 * 10**9, worth=1.0)
+            cls = api.RequestClass("look", latency_target_ns=10**9, deadline_ns=2 * 10**9, value=1.0)
             settings = api.Settings(
-                zone="z", classes=(cls,), fleet_size=1, cold_ns=21 * 10**9, start_capacity=0.17,
-                fall_multiple=4.0, fall_ns=3 * 10**9,
+                zone="z", classes=(cls,), fleet_size=1, warm_up_ns=21 * 10**9, initial_capacity=0.17,
+                overload_multiple=4.0, overload_window_ns=3 * 10**9,
             )  # fmt: skip
             balancer = Balancer(settings, 7)
             balancer.start(10**12)
--- a/tests/test_thin_traffic.py
+++ b/tests/test_thin_traffic.py
@@ -15,7 +15,7 @@
     """The part that it refuses in the last two thirds; hosts are at 0.85, and answers take so long."""
     rng = random.Random(seed)
     settings = api.Settings(
-        zone="a", fleet_size=SIDECARS, connection_price=0.1, worth_by_work=True,
+        zone="a", fleet_size=SIDECARS, connection_price=0.1, is_value_by_work=True,
         classes=(api.RequestClass("r", SECOND, 2 * SECOND, 1.0),),
     )  # fmt: skip
     balancer, now, tick = Balancer(settings, seed), 100 * SECOND, 0
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -273,7 +273,7 @@
     begin = seen.now
     while zone.out:
         seen.tick(0.5)
-        assert seen.now - begin <= RULES.hold_most_ns + 10 * UNIT
+        assert seen.now - begin <= RULES.max_flap_hold_ns + 10 * UNIT
     assert seen.now - begin > 3 * SECOND and seen.state("b") is State.RETURNING
 
 
@@ -285,13 +285,13 @@
         seen.regain()
         seen.tick(1.0)
     assert seen.zones.zones["b"].held
-    seen.zones.set_rules(replace(RULES, trust=("b",)), seen.now)
+    seen.zones.set_rules(replace(RULES, flap_exempt=("b",)), seen.now)
     seen.tick()
     assert seen.state("b") is State.RETURNING and not seen.zones.shut("b")
 
 
 def test_without_a_hold_flaps_cost_nothing() -> None:
-    seen = Seen(replace(RULES, hold_most_ns=0))
+    seen = Seen(replace(RULES, max_flap_hold_ns=0))
     for _ in range(3):
         seen.lose()
         assert seen.zones.shut("b")
@@ -303,7 +303,7 @@
 def test_an_evacuated_zone_is_offered_less_and_less_and_comes_back_gently() -> None:
     seen = Seen()
     seen.tick(3.0)
-    seen.zones.set_rules(replace(RULES, evacuate=("a",)), seen.now)
+    seen.zones.set_rules(replace(RULES, evacuated=("a",)), seen.now)
     seen.tick(5.0)
     half = seen.zones.zones["a"].limit
     seen.tick(5.5)
@@ -339,7 +339,7 @@
     parts: list[float], spill: float
 ) -> None:
     """Each knows its own part of the lost zone's traffic alone; whatever the parts are, they add up."""
-    total, rules = sum(parts), replace(RULES, spill=spill)
+    total, rules = sum(parts), replace(RULES, spill_rate=spill)
     proxies = [Seen(rules, fleet=len(parts)) for _ in parts]
     for proxy, part in zip(proxies, parts, strict=True):
         proxy.tick(1.0)
@@ -398,7 +398,7 @@
 
 
 def test_when_every_zone_is_out_all_take_part() -> None:
-    seen = Seen(replace(RULES, panic=0.0))
+    seen = Seen(replace(RULES, panic_threshold=0.0))
     seen.tick(2.0)
     seen.dead.update(host for hosts in seen.ready.values() for host in hosts)
     seen.tick(3.0, dark=tuple(seen.dead))
@@ -420,7 +420,7 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_without_rules_two_balancers_act_alike(seed: int) -> None:
     """Guards against the module changing anything for those who have not asked for it."""
-    told = replace(BASE, cross_zone_price=0.1, subscribe=True)
+    told = replace(BASE, cross_zone_price=0.1, subscribes_to_endpoints=True)
     assert type(balancer_for(told, seed)) is Balancer
     plain, off = drive(Balancer(told, seed), seed), drive(ZonedBalancer(told, seed), seed)
     assert plain.actions == off.actions and plain.sends > 50
@@ -428,14 +428,19 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_with_rules_the_rules_of_the_module_hold(seed: int) -> None:
-    told = replace(BASE, cross_zone_price=0.1, subscribe=True, zones=RULES)
+    told = replace(BASE, cross_zone_price=0.1, subscribes_to_endpoints=True, zone_rules=RULES)
     world = drive(balancer_for(told, seed), seed, 400)
     world.finish()
     assert world.sends > 20
 
 
 def test_a_state_with_zones_is_kept_whole() -> None:
-    told = replace(BASE, cross_zone_price=0.1, subscribe=True, zones=replace(RULES, neighbours=(("z0", ()),)))
+    told = replace(
+        BASE,
+        cross_zone_price=0.1,
+        subscribes_to_endpoints=True,
+        zone_rules=replace(RULES, neighbours=(("z0", ()),)),
+    )
     world = drive(balancer_for(told, 4), 4)
     kept = json.loads(json.dumps(save(world.balancer)))
     settings_kept = restore_settings(json.loads(json.dumps(save_settings(told))))
@@ -453,14 +458,14 @@
 
 
 def test_a_change_of_rules_is_recorded_and_read_back() -> None:
-    for rules in (None, replace(RULES, trust=("b",), neighbours=(("a", ((("b", 2.0),),)),))):
+    for rules in (None, replace(RULES, flap_exempt=("b",), neighbours=(("a", ((("b", 2.0),),)),))):
         name, told = event_of(api.ZoneRulesChanged(rules))
         record = json.loads(json.dumps({"ev": name, "in": told}))
         assert event_from(record) == api.ZoneRulesChanged(rules)
 
 
 def test_rules_that_go_leave_a_plain_balancer() -> None:
-    told = replace(BASE, cross_zone_price=0.1, zones=RULES)
+    told = replace(BASE, cross_zone_price=0.1, zone_rules=RULES)
     world = drive(balancer_for(told, 3), 3)
     world.give(api.ZoneRulesChanged(None))
     balancer = world.balancer
