--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -24,8 +24,8 @@
         told: dict[str, object] = {"report_fields": ("utilization",), "weight_source": "nominal"} | settings
         self.balancer = Balancer(
             api.Settings(
-                zone="a", fleet_size=FLEET, is_value_by_work=True, warm_up_ns=10 * SECOND, initial_capacity=0.3,
-                overload_multiple=4.0, classes=(api.RequestClass("r", SECOND, 2 * SECOND, 1.0),),
+                zone="a", fleet_size=FLEET, is_value_by_work=True, warm_up_ns=10 * SECOND,
+                initial_capacity=0.3, overload_multiple=4.0, classes=(api.RequestClass("r", SECOND, 2 * SECOND, 1.0),),
                 **told,  # type: ignore[arg-type]
             ),
             7,
@@ -75,7 +75,7 @@
 
 @pytest.mark.parametrize("weights", ["live", "silent"])
 def test_what_the_list_does_not_have_as_sizes_is_none(weights: str) -> None:
-    seen = Served({"a": 4.0, "b": 1.0}, {"a": 0.5, "b": 0.5}, weights=weights)
+    seen = Served({"a": 4.0, "b": 1.0}, {"a": 0.5, "b": 0.5}, weight_source=weights)
     seen.run(60.0, 10)
     assert seen.sent["a"] / seen.sent.total() == pytest.approx(0.5, abs=0.05)
 
