--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -25,7 +25,8 @@
         self.balancer = Balancer(
             api.Settings(
                 zone="a", fleet_size=FLEET, is_value_by_work=True, warm_up_ns=10 * SECOND,
-                initial_capacity=0.3, overload_multiple=4.0, classes=(api.RequestClass("r", SECOND, 2 * SECOND, 1.0),),
+                initial_capacity=0.3, overload_multiple=4.0,
+                classes=(api.RequestClass("r", SECOND, 2 * SECOND, 1.0),),
                 **told,  # type: ignore[arg-type]
             ),
             7,
--- a/tests/test_state_codec.py
+++ b/tests/test_state_codec.py
@@ -36,7 +36,7 @@
 
 def make_balancer(zone_rules: api.ZoneRules | None) -> Balancer:
     request_class = api.RequestClass("read", 10**9, 2 * 10**9, 1.0)
-    return balancer_for(api.Settings("a", (request_class,), 1, zones=zone_rules), 1)
+    return balancer_for(api.Settings("a", (request_class,), 1, zone_rules=zone_rules), 1)
 
 
 @pytest.mark.parametrize(
