--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -46,7 +46,7 @@
     modules,
 )
 from brambleusher.loadbalancing import Balancer, api
-from brambleusher.loadbalancing.fleet_balancer import FleetBalancer, Told, standings
+from brambleusher.loadbalancing.fleet_balancer import FleetBalancer, ReportedOutcomes, host_statuses
 from brambleusher.loadbalancing.locality_weights import Damper, Rounder
 from brambleusher.loadbalancing.settings import parse_settings
 
@@ -437,7 +437,7 @@
 
     def reweigh(step: bool) -> None:
         weights.clear()
-        shares = rounder.round(damper.follow(standings(zone), step))
+        shares = rounder.round(damper.follow(host_statuses(zone), step))
         weights.update({each.host: each.weight for each in shares if each.weight})
 
     arrived: dict[str, float] = {}
@@ -494,7 +494,10 @@
             sums[3] += report.throughput
         elif kind == "report":
             for host, (n, took, util, rps) in sorted(gathered.items()):
-                zone.tell(Told(host, "look", n, 0, ns(took / n), api.LoadReport(util / n, rps / n)), ns(now))
+                outcomes = ReportedOutcomes(
+                    host, "look", n, 0, ns(took / n), api.LoadReport(util / n, rps / n)
+                )
+                zone.record_outcomes(outcomes, ns(now))
             gathered.clear()
             zone.handle(api.TimerFired(0), ns(now))
             turn += 1
--- a/brambleusher/dataplane/attempts.py
+++ b/brambleusher/dataplane/attempts.py
@@ -35,15 +35,15 @@
         self._scheduler, self._weights, self._instance_id = scheduler, weights, instance_id
         route = context.route
         target_s = route.setpoint_ms / MS_PER_S
-        self._number = weights.started(instance_id, route.priority, target_s, scheduler.now())
+        self._number = weights.start_attempt(instance_id, route.priority, target_s, scheduler.now())
 
     def response_started(self) -> None:
         """Record the first bytes of the body."""
-        self._weights.answered(self._instance_id, self._number, self._scheduler.now())
+        self._weights.record_first_byte(self._instance_id, self._number, self._scheduler.now())
 
     def attempt_finished(self, has_succeeded: bool | None) -> None:
         """Record the end of the attempt; None: it says nothing of the instance."""
-        self._weights.ended(self._instance_id, self._number, has_succeeded)
+        self._weights.finish_attempt(self._instance_id, self._number, has_succeeded)
 
 
 class AttemptRunner:
@@ -163,7 +163,7 @@
         if isinstance(failure, ConnectFailed):
             weights = self._instances.weights.get(instance.service)
             if weights is not None:
-                weights.unreachable(instance.id)
+                weights.record_connect_failure(instance.id)
             if failure.has_timed_out:
                 context.unresponsive_regions.add(instance.region)
             return
--- a/brambleusher/dataplane/instance_table.py
+++ b/brambleusher/dataplane/instance_table.py
@@ -124,7 +124,7 @@
             weights = self.weights.get(service)
             if weights is None:
                 weights = self.weights[service] = InstanceWeights(self._rng, self._mechanisms())
-            weights.follow({each.id: each.capacity for each in instances if self._is_in_service(each)})
+            weights.set_instances({each.id: each.capacity for each in instances if self._is_in_service(each)})
 
     def _mechanisms(self) -> Mechanisms:
         policy = self._policy
@@ -140,19 +140,19 @@
     def tick(self, now_s: float) -> None:
         """Recompute weights."""
         for weights in self.weights.values():
-            weights.tick(now_s, self.gateway_count)
+            weights.recompute(now_s, self.gateway_count)
 
     def record_load(self, instance: Instance, load: InstanceLoad) -> None:
         """Record the load that an instance reported with a response."""
         weights = self.weights.get(instance.service)
         if weights is not None:
-            weights.reported(instance.id, load.running, load.waiting, load.slots)
+            weights.record_load(instance.id, load.running, load.waiting, load.slots)
 
     def metrics_report(self) -> dict[str, list[float]]:
         """Return what this gateway observed of each instance, for the other gateways."""
         report: dict[str, list[float]] = {}
         for weights in self.weights.values():
-            report.update(weights.report())
+            report.update(weights.export_sums())
         return report
 
     def apply_fleet_metrics(
@@ -162,7 +162,7 @@
         if not self._policy.fleet_figures:
             return
         for weights in self.weights.values():
-            weights.hear(reporters, totals, now_s)
+            weights.import_sums(reporters, totals, now_s)
 
     # --- which may be used ------------------------------------------------------------------------
 
--- a/brambleusher/dataplane/placement.py
+++ b/brambleusher/dataplane/placement.py
@@ -164,4 +164,4 @@
 
 
 def _healthy(group: list[Instance], weights: InstanceWeights) -> list[Instance]:
-    return [instance for instance in group if weights.well(instance.id)]
+    return [instance for instance in group if weights.has_fair_weight(instance.id)]
--- a/brambleusher/decisions/balancer_driver.py
+++ b/brambleusher/decisions/balancer_driver.py
@@ -13,9 +13,9 @@
 
 from brambleusher.loadbalancing import Balancer, api
 from brambleusher.loadbalancing.json_values import StateError
-from brambleusher.loadbalancing.state_codec import hosts_avoided, save
-from brambleusher.loadbalancing.state_transfer import bequeath, inherit
-from brambleusher.loadbalancing.zone_aware_balancer import ZonedBalancer, balancer_for
+from brambleusher.loadbalancing.state_codec import count_avoided_hosts, save
+from brambleusher.loadbalancing.state_transfer import export_state, import_state
+from brambleusher.loadbalancing.zone_aware_balancer import ZoneAwareBalancer, balancer_for
 from brambleusher.observability.counters import Counters
 from brambleusher.runtime.scheduler import Event, Scheduler
 from brambleusher.runtime.system import System
@@ -226,7 +226,7 @@
         imported = None
         if state is not None:
             try:
-                imported = inherit(settings, seed, state)
+                imported = import_state(settings, seed, state)
             except StateError as error:
                 log.warning("what was learnt can't be used", extra={"fields": {"reason": error}})
         self._balancer, self._recorder = imported or make(settings, seed), recorder
@@ -345,16 +345,16 @@
 
     def change_zone_rules(self, rules: api.ZoneRules | None) -> bool:
         """The operator says something else of zones; false where the decisions began without rules."""
-        if not isinstance(self._balancer, ZonedBalancer):
+        if not isinstance(self._balancer, ZoneAwareBalancer):
             return rules is None
         self._handle(api.ZoneRulesChanged(rules))
         return True
 
     def zone_status(self) -> dict[str, object] | None:
         """What is made of zones, as plain values; None where the decisions began without rules."""
-        if not isinstance(self._balancer, ZonedBalancer):
+        if not isinstance(self._balancer, ZoneAwareBalancer):
             return None
-        return self._balancer.standing(self._clock.now_ns())
+        return self._balancer.zone_status(self._clock.now_ns())
 
     def set_process_share(self, share: float) -> None:
         """This process does so much of this sidecar's work from now on."""
@@ -362,11 +362,11 @@
 
     def export_state(self) -> dict[str, Any] | None:
         """What the module has learnt, for another process of this sidecar."""
-        return bequeath(self._balancer)
+        return export_state(self._balancer)
 
     def count_avoided_hosts(self) -> int:
         """How many endpoints of the list get nothing now."""
-        return hosts_avoided(self._balancer, self._clock.now_ns())
+        return count_avoided_hosts(self._balancer, self._clock.now_ns())
 
     # --- actions --------------------------------------------------------------------------------
 
--- a/brambleusher/features/replay.py
+++ b/brambleusher/features/replay.py
@@ -19,7 +19,7 @@
 from brambleusher.loadbalancing import api
 from brambleusher.loadbalancing.json_values import StateError
 from brambleusher.loadbalancing.settings_codec import restore_settings
-from brambleusher.loadbalancing.state_codec import hosts_held, hosts_reached, restore
+from brambleusher.loadbalancing.state_codec import attempted_hosts, known_hosts, restore
 from brambleusher.loadbalancing.zone_aware_balancer import balancer_for
 
 SAME, DIFFERENT, REFUSED = 0, 1, 2
@@ -62,10 +62,10 @@
             self._balancer = balancer_for(settings, seed) if state is None else restore(settings, seed, state)
         except StateError as error:
             raise CaptureError(str(error)) from None
-        if state is not None and self._listed != hosts_held(self._balancer):
+        if state is not None and self._listed != known_hosts(self._balancer):
             raise CaptureError("the header's list is not the one its state was taken with")
         # An attempt may end on a server that has left the list.
-        self._ever = self._listed | hosts_reached(self._balancer)
+        self._ever = self._listed | attempted_hosts(self._balancer)
         next_one = head.get("n", 0)
         self.next = next_one if isinstance(next_one, int) else 0
 
--- a/brambleusher/loadbalancing/balancer.py
+++ b/brambleusher/loadbalancing/balancer.py
@@ -96,7 +96,7 @@
     return [weight * WEIGHT_TOTAL / left for weight in cut]
 
 
-class Turn:
+class TokenRoundRobin:
     """Tokens spent in round robin over the hosts that have some left."""
 
     def __init__(self, rng: random.Random) -> None:
@@ -169,7 +169,7 @@
         self._tick_ns = max(settings.tick_ns, int(self._unit_ns * TICK))
         self._hosts: dict[str, Host] = {}
         self._requests: dict[str, Request] = {}
-        self._turn = Turn(self._rng)
+        self._turn = TokenRoundRobin(self._rng)
         # Lately: failed connections; the most attempts out; requests.
         self._unlinked = self._peak = self._rate = self._lately = 0.0
         self._silent = 0.0  # attempts that timed out lately
--- a/brambleusher/loadbalancing/fleet_balancer.py
+++ b/brambleusher/loadbalancing/fleet_balancer.py
@@ -14,11 +14,13 @@
 from brambleusher.loadbalancing.balancer import Balancer
 from brambleusher.loadbalancing.hosts import Host
 
-MOST_TOLD = 64  # attempts that one event counts for: evidence fades within a few aims, and more says no more
+MAX_OUTCOMES_PER_EVENT = (
+    64  # attempts that one event counts for: evidence fades within a few aims, and more says no more
+)
 
 
 @dataclass(slots=True)
-class Told:
+class ReportedOutcomes:
     """What attempts at a host came to since the last event: counts, the mean time in ns, its own figures."""
 
     host: str
@@ -30,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class HostStatus:
     """What a balancer makes of one host; the weights of all add up to 64."""
 
     host: str
@@ -42,7 +44,7 @@
     utilisation: float | None
 
 
-def scaled(served: int, failed: int, most: int = MOST_TOLD) -> tuple[int, int]:
+def scale_counts(served: int, failed: int, most: int = MAX_OUTCOMES_PER_EVENT) -> tuple[int, int]:
     """At most `most` attempts in the same proportion; a failure among very many is not rounded away."""
     total = served + failed
     if total <= most:
@@ -56,7 +58,7 @@
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self._handlers[Told] = self._told
+        self._handlers[ReportedOutcomes] = self._told
 
     def _choose(self) -> None:
         """All ready hosts are in use: nothing is chosen, and there are no connections to let go of."""
@@ -72,17 +74,17 @@
         # Guards against a subset made for one small proxy becoming that of a whole zone.
         return max(len(self._hosts), 1)
 
-    def tell(self, event: Told, now: int) -> None:
+    def record_outcomes(self, event: ReportedOutcomes, now: int) -> None:
         """Take in one sum; a host or class that is not known is passed over."""
         self._told(event, now)
 
-    def _told(self, event: Told, now: int) -> None:
+    def _told(self, event: ReportedOutcomes, now: int) -> None:
         host, cls = self._hosts.get(event.host), self._classes.get(event.request_class)
         if host is None or cls is None:
             return
         if event.report is not None:
             self._report(host, event.report, now)
-        served, failed = scaled(max(event.served, 0), max(event.failed, 0))
+        served, failed = scale_counts(max(event.served, 0), max(event.failed, 0))
         for _ in range(served):
             if event.latency_ns is None:  # it counts for the health, and the index has nothing to go by
                 host.served += 1
@@ -92,17 +94,17 @@
         for _ in range(failed):
             self._learn(host, cls, api.AttemptStatus.ERROR, 0, now)
 
-    def next_tick(self, actions: list[api.Action]) -> int | None:
+    def next_timer_ns(self, actions: list[api.Action]) -> int | None:
         """When the balancer wants its timer, out of the actions of an event."""
         return next((action.at_ns for action in actions if isinstance(action, api.SetTimer)), None)
 
 
-def standings(balancer: Balancer) -> list[Standing]:
+def host_statuses(balancer: Balancer) -> list[HostStatus]:
     """All hosts as the balancer sees them now, in the order of their names."""
-    return [_standing(host) for _, host in sorted(balancer._hosts.items())]
+    return [_host_status(host) for _, host in sorted(balancer._hosts.items())]
 
 
-def _standing(host: Host) -> Standing:
+def _host_status(host: Host) -> HostStatus:
     state = api.HostState.READY if host.ready else api.HostState.DRAINING
     told = host.util if host.util_ns >= 0 else None
-    return Standing(host.name, host.zone, state, host.weight, host.pi, host.health, told)
+    return HostStatus(host.name, host.zone, state, host.weight, host.pi, host.health, told)
--- a/brambleusher/loadbalancing/instance_weights.py
+++ b/brambleusher/loadbalancing/instance_weights.py
@@ -54,7 +54,7 @@
 
 
 @dataclass(slots=True)
-class Figures:
+class InstanceMetrics:
     """What is known of one instance."""
 
     name: str
@@ -148,21 +148,21 @@
     def __init__(self, rng: random.Random, mechanisms: Mechanisms | None = None) -> None:
         self._rng = rng
         self._mechanisms = mechanisms or Mechanisms()
-        self._known: dict[str, Figures] = {}
-        self._ring: list[Figures] = []
+        self._known: dict[str, InstanceMetrics] = {}
+        self._ring: list[InstanceMetrics] = []
         self._at = 0
         self._attempts = 0
         self.mean_utilisation = 1.0  # of the instances with figures; until there are any, as if all were full
         self._ticked: float | None = None
         self._reporters, self._heard_at = 0, -math.inf
 
-    def follow(self, ready: Mapping[str, float]) -> None:
+    def set_instances(self, ready: Mapping[str, float]) -> None:
         """The ready instances and their capacities; all others lose weight and tokens at once."""
         for name, capacity in ready.items():
             if name in self._known:
                 self._known[name].capacity = capacity
             else:
-                self._known[name] = Figures(name, max(capacity, 1.0))
+                self._known[name] = InstanceMetrics(name, max(capacity, 1.0))
         for figures in self._known.values():
             if figures.name not in ready:
                 figures.weight, figures.tokens, figures.credit = 0.0, 0, 0.0
@@ -176,8 +176,8 @@
 
     # --- own traffic -----------------------------------------------------------------------------
 
-    def started(self, name: str, priority: int, aim_s: float, now: float) -> int:
-        """An attempt was sent; its number is for `answered` and `ended`."""
+    def start_attempt(self, name: str, priority: int, aim_s: float, now: float) -> int:
+        """An attempt was sent; its number is for `record_first_byte` and `finish_attempt`."""
         self._attempts += 1
         figures = self._known.get(name)
         if figures is not None:
@@ -185,7 +185,7 @@
             figures.out[self._attempts] = (level, now, max(aim_s, 0.01))
         return self._attempts
 
-    def answered(self, name: str, attempt: int, now: float) -> None:
+    def record_first_byte(self, name: str, attempt: int, now: float) -> None:
         """The first bytes of an answer came."""
         figures = self._known.get(name)
         if figures is None or attempt not in figures.out:
@@ -196,7 +196,7 @@
         figures.late_sum[priority] += (now - sent) / aim
         figures.out[attempt] = (priority, now, math.inf)  # its wait is over, its slot is not
 
-    def ended(self, name: str, attempt: int, well: bool | None) -> None:
+    def finish_attempt(self, name: str, attempt: int, well: bool | None) -> None:
         """An attempt is over: well, as a failure, or (None) with nothing to say of the instance."""
         figures = self._known.get(name)
         if figures is None or figures.out.pop(attempt, None) is None:
@@ -206,13 +206,13 @@
             figures.failed += not well
         figures.ended += bool(well)
 
-    def unreachable(self, name: str) -> None:
+    def record_connect_failure(self, name: str) -> None:
         """A connection to an instance failed."""
         figures = self._known.get(name)
         if figures is not None:
             figures.failed += 1
 
-    def reported(self, name: str, running: float, waiting: float, slots: float) -> None:
+    def record_load(self, name: str, running: float, waiting: float, slots: float) -> None:
         """An instance told its load with an answer."""
         figures = self._known.get(name)
         if figures is not None and self._mechanisms.reported_load:
@@ -221,12 +221,12 @@
 
     # --- other gateways ---------------------------------------------------------------------------
 
-    def report(self) -> dict[str, list[float]]:
+    def export_sums(self) -> dict[str, list[float]]:
         """What this gateway saw lately, by instance."""
         reports = {figures.name: figures.report() for figures in self._known.values()}
         return {name: report for name, report in reports.items() if any(report)}
 
-    def hear(self, reporters: int, sums: Mapping[str, Sequence[float]], now: float) -> None:
+    def import_sums(self, reporters: int, sums: Mapping[str, Sequence[float]], now: float) -> None:
         """What so many other gateways saw, added up; an older version's sums have no reported loads."""
         self._reporters, self._heard_at = reporters, now
         for figures in self._known.values():
@@ -234,11 +234,11 @@
 
     def _forget_others(self, now: float) -> None:
         if self._reporters and now - self._heard_at > OTHERS_FRESH_S:
-            self.hear(0, {}, now)
+            self.import_sums(0, {}, now)
 
     # --- weights ---------------------------------------------------------------------------------
 
-    def tick(self, now: float, gateways: float) -> None:
+    def recompute(self, now: float, gateways: float) -> None:
         """Recompute, where it is time to."""
         if self._ticked is None:
             self._ticked = now
@@ -252,7 +252,7 @@
         self._weigh(now, gateways)
 
     @staticmethod
-    def _fade(figures: Figures, gap: float) -> None:
+    def _fade(figures: InstanceMetrics, gap: float) -> None:
         kept = math.exp(-gap / FIGURES_S)
         figures.rate = figures.rate * kept + (figures.ended / gap) * (1 - kept)
         figures.used = figures.used * kept + len(figures.out) * (1 - kept)
@@ -297,7 +297,7 @@
         rate = sum(figures.rate + figures.others[5] for figures in self._ring)
         return rate / used if used > 0 and rate > 0 else 1.0
 
-    def _spare(self, figures: Figures, throughput: float, gateways: float) -> float | None:
+    def _spare(self, figures: InstanceMetrics, throughput: float, gateways: float) -> float | None:
         """Requests a second that an instance could take beside what it does; None without figures."""
         utilisation = figures.utilisation(gateways, self._reporters)
         if utilisation is None:
@@ -305,12 +305,12 @@
         spare = throughput * figures.capacity * (1.0 - utilisation)
         return 0.0 if 1.0 - utilisation < MIN_SPARE_SHARE else spare
 
-    def well(self, name: str) -> bool:
+    def has_fair_weight(self, name: str) -> bool:
         """Whether an instance has a fair part of the weight: a prompt kept there is worth going for."""
         figures = self._known.get(name)
         return figures is not None and figures.weight * len(self._ring) >= WEIGHT_TOTAL / 4
 
-    def in_use(self, name: str) -> int:
+    def attempts_in_flight(self, name: str) -> int:
         """Own attempts out at an instance."""
         figures = self._known.get(name)
         return len(figures.out) if figures is not None else 0
@@ -351,7 +351,7 @@
                 return taken
         return self._borrow((figures for figures in self._ring if figures.name in wanted), now)
 
-    def _load(self, ring: Sequence[Figures]) -> None:
+    def _load(self, ring: Sequence[InstanceMetrics]) -> None:
         scale = len(self._ring) / WEIGHT_TOTAL
         for figures in ring:
             figures.credit += figures.weight * scale
@@ -371,13 +371,13 @@
                 return figures.name
         return None
 
-    def _has_room(self, figures: Figures, out: int, share: float) -> bool:
+    def _has_room(self, figures: InstanceMetrics, out: int, share: float) -> bool:
         return not self._mechanisms.room_above_share or figures.has_room(out, share)
 
-    def _silent(self, figures: Figures, now: float) -> bool:
+    def _silent(self, figures: InstanceMetrics, now: float) -> bool:
         return self._mechanisms.silence and figures.silence(now) >= SILENCE_PASSED_OVER
 
-    def _borrow(self, candidates: Iterable[Figures], now: float) -> str | None:
+    def _borrow(self, candidates: Iterable[InstanceMetrics], now: float) -> str | None:
         """Those without weight come last: all-zero candidates count as equal."""
         best = min(
             candidates,
--- a/brambleusher/loadbalancing/locality_weights.py
+++ b/brambleusher/loadbalancing/locality_weights.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from brambleusher.loadbalancing.api import HostState
-from brambleusher.loadbalancing.fleet_balancer import Standing
+from brambleusher.loadbalancing.fleet_balancer import HostStatus
 
 SCALE = 100  # the usual node's weight: fine enough to tell a tenth, small enough to be few bytes
 LEAST_STEP = 0.05  # of the way to a weight: a zone in full use still follows
@@ -46,9 +46,9 @@
     def __init__(self) -> None:
         self._held: dict[str, float] = {}
 
-    def follow(self, standings: Iterable[Standing], step: bool) -> list[Standing]:
+    def follow(self, host_statuses: Iterable[HostStatus], step: bool) -> list[HostStatus]:
         """The weights to go by; between two steps only nodes that come and go make a difference."""
-        held = list(standings)
+        held = list(host_statuses)
         told = [each.utilisation for each in held if each.utilisation is not None]
         part = max(LEAST_STEP, (1 - sum(told) / len(told)) / 2) if told else 1.0
         # As parts of the usual weight, which are the same however many nodes come and go.
@@ -64,7 +64,7 @@
                 weight = before + (part if step else 0.0) * (goal - before)
             now[each.host] = weight
             out.append(
-                Standing(each.host, each.zone, each.state, weight, each.pi, each.health, each.utilisation)
+                HostStatus(each.host, each.zone, each.state, weight, each.pi, each.health, each.utilisation)
             )
         self._held = now
         return out
@@ -80,9 +80,9 @@
         self._change = change  # share of a weight by which it must have moved
         self._last: dict[str, int] = {}
 
-    def round(self, standings: Iterable[Standing]) -> list[Share]:
+    def round(self, host_statuses: Iterable[HostStatus]) -> list[Share]:
         """The nodes' shares, in the order given; `SCALE` is the mean of the ready ones."""
-        held = list(standings)
+        held = list(host_statuses)
         ready = [each for each in held if each.state is HostState.READY]
         total = sum(each.weight for each in ready)
         unit = SCALE * len(ready) / total if total > 0 else 0.0
--- a/brambleusher/loadbalancing/state_codec.py
+++ b/brambleusher/loadbalancing/state_codec.py
@@ -18,14 +18,14 @@
 from typing import Any, cast
 
 from brambleusher.loadbalancing import api, state_tables
-from brambleusher.loadbalancing.balancer import Balancer, Turn
+from brambleusher.loadbalancing.balancer import Balancer, TokenRoundRobin
 from brambleusher.loadbalancing.hosts import NOTHING, Host, Request
 from brambleusher.loadbalancing.idle_timeout import Trust
 from brambleusher.loadbalancing.json_values import MALFORMED, StateError
 from brambleusher.loadbalancing.retry_budget import Retries
 from brambleusher.loadbalancing.settings_codec import restore_rules, save_rules
 from brambleusher.loadbalancing.state_tables import FieldTable
-from brambleusher.loadbalancing.zone_aware_balancer import ZonedBalancer, balancer_for
+from brambleusher.loadbalancing.zone_aware_balancer import ZoneAwareBalancer, balancer_for
 from brambleusher.loadbalancing.zone_routing import Node, State, Zone, Zones
 
 JsonObject = dict[str, Any]
@@ -48,7 +48,7 @@
 
 
 _RECORDS = {
-    "turn": _Record(Turn, state_tables.TOKEN_ROUND_ROBIN, Turn),
+    "turn": _Record(TokenRoundRobin, state_tables.TOKEN_ROUND_ROBIN, TokenRoundRobin),
     "retries": _Record(Retries, state_tables.RETRY_BUDGET, lambda _: Retries(0)),
     "trust": _Record(Trust, state_tables.IDLE_TIMEOUT, lambda _: Trust()),
     "zones": _Record(Zones, state_tables.ZONE_ROUTER, lambda _: Zones(None, "", 0, 0)),
@@ -60,7 +60,7 @@
 
 def fields_of(balancer: Balancer) -> FieldTable:
     """Return the table of what is stored of a balancer itself."""
-    if isinstance(balancer, ZonedBalancer):
+    if isinstance(balancer, ZoneAwareBalancer):
         return state_tables.ZONE_AWARE_BALANCER
     return state_tables.BALANCER
 
@@ -234,17 +234,17 @@
     balancer._ranks.sort(balancer._hosts.values())
 
 
-def hosts_held(balancer: Balancer) -> set[str]:
+def known_hosts(balancer: Balancer) -> set[str]:
     """The hosts of the list that it goes by."""
     return set(balancer._hosts)
 
 
-def hosts_reached(balancer: Balancer) -> set[str]:
+def attempted_hosts(balancer: Balancer) -> set[str]:
     """The hosts that attempts may still come back from."""
     return {host.name for request in balancer._requests.values() for host, _, _ in request.attempts}
 
 
-def hosts_avoided(balancer: Balancer, now: int) -> int:
+def count_avoided_hosts(balancer: Balancer, now: int) -> int:
     """How many hosts of its list get no attempt now: draining, shut for a while, or left without weight."""
     used = {host.name for host in balancer._turn.ring}
     return sum(
--- a/brambleusher/loadbalancing/state_transfer.py
+++ b/brambleusher/loadbalancing/state_transfer.py
@@ -14,7 +14,7 @@
 MOST_HOSTS = 512  # beyond, a successor starts from nothing: writing and reading it would take too long
 
 
-def bequeath(balancer: Balancer) -> JsonObject | None:
+def export_state(balancer: Balancer) -> JsonObject | None:
     """The balancer's state without requests, as JSON values; None where it is too large."""
     if len(balancer._hosts) > MOST_HOSTS:
         return None
@@ -30,7 +30,7 @@
     return state
 
 
-def inherit(settings: api.Settings, seed: int, state: object) -> Balancer:
+def import_state(settings: api.Settings, seed: int, state: object) -> Balancer:
     """A balancer that goes on from there; raises `StateError`."""
     balancer = restore(settings, seed, state)
     if balancer._requests:
--- a/brambleusher/loadbalancing/zone_aware_balancer.py
+++ b/brambleusher/loadbalancing/zone_aware_balancer.py
@@ -32,10 +32,10 @@
 
 def balancer_for(settings: api.Settings, seed: int) -> Balancer:
     """The balancer that settings ask for: without rules on zones, the plain one."""
-    return Balancer(settings, seed) if settings.zone_rules is None else ZonedBalancer(settings, seed)
+    return Balancer(settings, seed) if settings.zone_rules is None else ZoneAwareBalancer(settings, seed)
 
 
-class ZonedBalancer(Balancer):
+class ZoneAwareBalancer(Balancer):
     """One client proxy's decisions, with rules on zones."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
@@ -50,7 +50,7 @@
     def _on(self) -> bool:
         return self._zones.rules is not None
 
-    def standing(self, now: int) -> dict[str, object]:
+    def zone_status(self, now: int) -> dict[str, object]:
         """What is made of zones, for people: plain values."""
         zones = self._zones
         return {"panic": zones.panic, "beyond": round(zones.beyond, 3), "zones": zones.standing(now)}
--- a/brambleusher/xds/core.py
+++ b/brambleusher/xds/core.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field, replace
 
 from brambleusher.loadbalancing.api import HostListUpdated, HostState, ListKind, Settings, TimerFired
-from brambleusher.loadbalancing.fleet_balancer import FleetBalancer, standings
+from brambleusher.loadbalancing.fleet_balancer import FleetBalancer, host_statuses
 from brambleusher.loadbalancing.locality_weights import Damper, Rounder, Tier, tiers
 from brambleusher.loadbalancing.view_consistency import Handout, Place, Why, Word
 from brambleusher.net.endpoint_list import Endpoint, EndpointListUpdate
@@ -60,7 +60,7 @@
         self.balancer = FleetBalancer(settings, seed)
         self.loads = Loads(cls.name for cls in settings.classes)
         self._damper, self._rounder = Damper(), Rounder(change)
-        self._due_at = self.balancer.next_tick(self.balancer.start(now)) or now
+        self._due_at = self.balancer.next_timer_ns(self.balancer.start(now)) or now
         self.tiers: list[Tier] = []
         self._endpoints: Mapping[str, Endpoint] = {}
 
@@ -81,9 +81,9 @@
     def tick(self, now: int) -> None:
         """Tell the balancer what was gathered, and the time where it wants it."""
         for told in self.loads.tell():
-            self.balancer.tell(told, now)
+            self.balancer.record_outcomes(told, now)
         if now >= self._due_at:
-            self._due_at = self.balancer.next_tick(self.balancer.handle(TimerFired(0), now)) or now
+            self._due_at = self.balancer.next_timer_ns(self.balancer.handle(TimerFired(0), now)) or now
 
     def round_anew(self, change: float) -> None:
         """Another share by which weights must have moved to go out."""
@@ -92,7 +92,7 @@
     def weigh(self, order: Iterable[tuple[str, ...]], step: bool) -> bool:
         """Read the weights, and go a step towards them; says whether any has moved enough to go out."""
         before = self.tiers
-        followed = self._damper.follow(standings(self.balancer), step)
+        followed = self._damper.follow(host_statuses(self.balancer), step)
         self.tiers = tiers(self._rounder.round(followed), list(order))
         return self.tiers != before
 
--- a/brambleusher/xds/loads.py
+++ b/brambleusher/xds/loads.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from brambleusher.loadbalancing.api import LoadReport
-from brambleusher.loadbalancing.fleet_balancer import Told
+from brambleusher.loadbalancing.fleet_balancer import ReportedOutcomes
 from brambleusher.xds.resources import LATENCY_MS, THROUGHPUT, UTILISATION
 from brambleusher.xds.wire import Sum
 
@@ -53,7 +53,7 @@
                 before = held.figures.get(name, (0, 0.0))
                 held.figures[name] = (before[0] + count, before[1] + total)
 
-    def tell(self) -> list[Told]:
+    def tell(self) -> list[ReportedOutcomes]:
         """All that was gathered, as events, and a fresh start."""
         sums, self._sums = self._sums, {}
         out = []
@@ -64,5 +64,5 @@
             if utilisation is not None and throughput is not None:
                 report = LoadReport(utilisation, throughput)
             latency_ns = None if latency is None else int(latency * 1e6)
-            out.append(Told(node, cluster, held.served, held.failed, latency_ns, report))
+            out.append(ReportedOutcomes(node, cluster, held.served, held.failed, latency_ns, report))
         return out
--- a/tests/system/test_dataplane_parts.py
+++ b/tests/system/test_dataplane_parts.py
@@ -313,7 +313,7 @@
     known = instances(*(entry(f"i{number}", capacity=2) for number in range(12)))
     weights = known.weights["llm"]
     for number in range(12):
-        weights.reported(f"i{number}", 1, 0, 2)
+        weights.record_load(f"i{number}", 1, 0, 2)
     known.tick(0.0)
     known.tick(0.5)
     placement = Placement(known, "north")
--- a/tests/system/test_instance_weights.py
+++ b/tests/system/test_instance_weights.py
@@ -13,21 +13,21 @@
 
 def weights_of(*names: str, capacity: float = 64.0) -> InstanceWeights:
     weights = InstanceWeights(random.Random(1))
-    weights.follow(dict.fromkeys(names, capacity))
-    weights.tick(0.0, 1.0)
+    weights.set_instances(dict.fromkeys(names, capacity))
+    weights.recompute(0.0, 1.0)
     return weights
 
 
 def send(weights: InstanceWeights, name: str, now: float, latency: float = 0.05, well: bool = True) -> None:
-    attempt = weights.started(name, 0, AIM_S, now)
+    attempt = weights.start_attempt(name, 0, AIM_S, now)
     if well:
-        weights.answered(name, attempt, now + latency)
-    weights.ended(name, attempt, well)
+        weights.record_first_byte(name, attempt, now + latency)
+    weights.finish_attempt(name, attempt, well)
 
 
 def ticks(weights: InstanceWeights, begin: float, count: int) -> float:
     for step in range(1, count + 1):
-        weights.tick(begin + step * TICK_S, 1.0)
+        weights.recompute(begin + step * TICK_S, 1.0)
     return begin + count * TICK_S
 
 
@@ -38,7 +38,7 @@
 def test_the_less_used_instance_gets_more() -> None:
     weights = weights_of("a", "b", capacity=4.0)
     for _ in range(3):
-        weights.started("a", 0, 1000.0, 0.0)
+        weights.start_attempt("a", 0, 1000.0, 0.0)
     send(weights, "b", 0.0)
     ticks(weights, 0.0, 200)
     assert weights.weights()["b"] == pytest.approx(4 * weights.weights()["a"], rel=0.1)
@@ -47,7 +47,7 @@
 def test_a_full_instance_gets_nothing() -> None:
     weights = weights_of("a", "b", capacity=2.0)
     for _ in range(2):
-        weights.started("a", 0, 1000.0, 0.0)
+        weights.start_attempt("a", 0, 1000.0, 0.0)
     send(weights, "b", 0.0)
     ticks(weights, 0.0, 400)
     assert weights.weights()["a"] == 0.0
@@ -92,7 +92,7 @@
         send(weights, "a", 0.0)
         send(weights, "b", 0.0)
     for _ in range(5):
-        weights.started("a", 0, AIM_S, 0.1)
+        weights.start_attempt("a", 0, AIM_S, 0.1)
     ticks(weights, 0.0, 2)
     assert weights.weights()["a"] == 0.0
 
@@ -120,20 +120,20 @@
 def test_an_instance_that_holds_more_than_its_share_is_passed_over() -> None:
     weights = weights_of("a", "b", "c", "d")
     for _ in range(8):
-        weights.started("a", 0, AIM_S, 0.0)
+        weights.start_attempt("a", 0, AIM_S, 0.0)
     assert "a" not in {weights.choose(["a", "b", "c", "d"], 0.0) for _ in range(3)}
 
 
 def test_those_that_leave_lose_weight_and_tokens_at_once() -> None:
     weights = weights_of("a", "b")
-    attempt = weights.started("a", 0, AIM_S, 0.0)
-    weights.follow({"b": 64.0})
+    attempt = weights.start_attempt("a", 0, AIM_S, 0.0)
+    weights.set_instances({"b": 64.0})
     assert weights.weights() == {"b": 64.0}
     assert weights.choose(["a", "b"], 0.0) == "b"
     assert weights.choose(["a"], 0.0) is None
-    weights.ended("a", attempt, True)
-    weights.follow({"b": 64.0})
-    assert weights.in_use("a") == 0
+    weights.finish_attempt("a", attempt, True)
+    weights.set_instances({"b": 64.0})
+    assert weights.attempts_in_flight("a") == 0
 
 
 def test_the_weight_of_a_moment_is_a_cut_for_tokens() -> None:
@@ -152,15 +152,15 @@
 
 def test_what_others_saw_judges_an_instance_that_this_gateway_never_used() -> None:
     weights = weights_of("a", "b")
-    weights.hear(20, {"a": BAD, "b": GOOD}, 0.4)
-    weights.tick(0.5, 21.0)
+    weights.import_sums(20, {"a": BAD, "b": GOOD}, 0.4)
+    weights.recompute(0.5, 21.0)
     shares = weights.weights()
     assert shares["a"] < shares["b"] / 10
 
 
 def test_without_news_of_others_a_gateway_judges_alone_again() -> None:
     weights = weights_of("a", "b")
-    weights.hear(20, {"a": BAD, "b": GOOD}, 0.4)
+    weights.import_sums(20, {"a": BAD, "b": GOOD}, 0.4)
     ticks(weights, 0.0, int(OTHERS_FRESH_S / TICK_S) + 2)
     assert weights.weights() == {"a": 32.0, "b": 32.0}
 
@@ -168,11 +168,11 @@
 def test_own_failures_count_against_good_news_of_others() -> None:
     """A gateway that is cut off from an instance sees what others do not."""
     weights = weights_of("a", "b")
-    weights.hear(20, {"a": GOOD, "b": GOOD}, 0.0)
+    weights.import_sums(20, {"a": GOOD, "b": GOOD}, 0.0)
     for _ in range(12):
         send(weights, "a", 0.0, well=False)
-    weights.hear(20, {"a": GOOD, "b": GOOD}, 0.4)
-    weights.tick(0.5, 21.0)
+    weights.import_sums(20, {"a": GOOD, "b": GOOD}, 0.4)
+    weights.recompute(0.5, 21.0)
     assert weights.weights()["a"] < weights.weights()["b"] / 4
 
 
@@ -181,7 +181,7 @@
     send(weights, "a", 0.0, 0.1)
     send(weights, "a", 0.0, well=False)
     ticks(weights, 0.0, 1)
-    report = weights.report()
+    report = weights.export_sums()
     assert set(report) == {"a"}
     served, failed, *_ = report["a"]
     assert 0 < failed <= 1
@@ -192,6 +192,6 @@
     weights = weights_of("a", "b", "c")
     for name in "bc":
         send(weights, name, 0.0)
-    weights.started("a", 0, AIM_S, 0.1)
+    weights.start_attempt("a", 0, AIM_S, 0.1)
     chosen = {weights.choose(["a", "b", "c"], 0.1 + 0.7 * AIM_S) for _ in range(6)}
     assert chosen == {"b", "c"}
--- a/tests/system/test_policy.py
+++ b/tests/system/test_policy.py
@@ -103,8 +103,8 @@
 
 def weights_with(**off: bool) -> InstanceWeights:
     weights = InstanceWeights(random.Random(1), Mechanisms(**off))
-    weights.follow({"a": 64.0, "b": 64.0})
-    weights.tick(0.0, 1.0)
+    weights.set_instances({"a": 64.0, "b": 64.0})
+    weights.recompute(0.0, 1.0)
     return weights
 
 
@@ -130,7 +130,7 @@
 def test_silence_is_switched_off() -> None:
     for off, expected in (({}, {"b"}), ({"silence": False}, {"a", "b"})):
         weights = weights_with(**off, room_above_share=False)
-        weights.started("a", 0, AIM_S, 0.0)
+        weights.start_attempt("a", 0, AIM_S, 0.0)
         now = AIM_S * (SILENCE_PASSED_OVER + 0.1)
         assert {weights.choose(["a", "b"], now) for _ in range(2)} == expected
 
@@ -156,8 +156,8 @@
 
 def test_the_fuller_instance_gets_less_at_once() -> None:
     weights = weights_with()
-    weights.reported("a", 48, 0, 64)
-    weights.reported("b", 0, 0, 64)
+    weights.record_load("a", 48, 0, 64)
+    weights.record_load("b", 0, 0, 64)
     ticks(weights, 0.0, 1)
     held = weights.weights()
     assert held["a"] == pytest.approx(held["b"] / 4, rel=0.1)
@@ -165,18 +165,18 @@
 
 def test_without_the_mechanism_and_without_reports_nothing_changes() -> None:
     weights = weights_with(reported_load=False)
-    weights.reported("a", 64, 10, 64)
+    weights.record_load("a", 64, 10, 64)
     ticks(weights, 0.0, 1)
     assert weights.weights() == {"a": 32.0, "b": 32.0}
 
 
 def test_what_others_were_told_counts_and_a_report_fades() -> None:
     weights = weights_with()
-    weights.hear(5, {"a": [0, 0, 0, 0, 0, 0, 4.0, 5.0], "b": [0, 0, 0, 0, 0, 0, 0.0, 5.0]}, 0.0)
+    weights.import_sums(5, {"a": [0, 0, 0, 0, 0, 0, 4.0, 5.0], "b": [0, 0, 0, 0, 0, 0, 0.0, 5.0]}, 0.0)
     ticks(weights, 0.0, 1)
     assert weights.weights()["a"] < weights.weights()["b"] / 3
     alone = weights_with()
-    alone.reported("a", 60, 0, 64)
+    alone.record_load("a", 60, 0, 64)
     steps = int(3 * LOAD_FRESH_S / TICK_S)
     ticks(alone, 0.0, steps)
     assert alone.weights() == {"a": 32.0, "b": 32.0}
@@ -184,7 +184,7 @@
 
 def test_sums_of_an_older_controller_have_no_reports() -> None:
     weights = weights_with()
-    weights.hear(2, {"a": [3.0, 0.0, 1.0, 3.0, 0.3, 1.0]}, 0.0)
+    weights.import_sums(2, {"a": [3.0, 0.0, 1.0, 3.0, 0.3, 1.0]}, 0.0)
     ticks(weights, 0.0, 1)
     assert set(weights.weights()) == {"a", "b"}
 
@@ -192,10 +192,10 @@
 def test_what_one_liar_can_move_is_bounded() -> None:
     """One that claims to be idle gets no more than an idle one would; one that claims anything gets none."""
     weights = weights_with()
-    weights.reported("a", 0, 0, 1)
-    weights.reported("b", 32, 0, 64)
+    weights.record_load("a", 0, 0, 1)
+    weights.record_load("b", 32, 0, 64)
     ticks(weights, 0.0, 1)
     held = weights.weights()
     assert held["a"] <= 2.1 * held["b"]
-    weights.reported("a", 10**6, 10**6, 1)
-    assert weights.report()["a"][6] <= LOAD_MOST
+    weights.record_load("a", 10**6, 10**6, 1)
+    assert weights.export_sums()["a"][6] <= LOAD_MOST
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -25,7 +25,13 @@
 from brambleusher.lab.control.xds import ProxyStandIn
 from brambleusher.lab.control.xds_rules import faults
 from brambleusher.loadbalancing import Balancer, api
-from brambleusher.loadbalancing.fleet_balancer import FleetBalancer, Standing, Told, scaled, standings
+from brambleusher.loadbalancing.fleet_balancer import (
+    FleetBalancer,
+    HostStatus,
+    ReportedOutcomes,
+    host_statuses,
+    scale_counts,
+)
 from brambleusher.loadbalancing.locality_weights import SCALE, Damper, Rounder, Share, tiers
 from brambleusher.loadbalancing.settings import parse_settings
 from brambleusher.loadbalancing.view_consistency import Handout, Place, Why, Word
@@ -694,7 +700,7 @@
             api.HostListUpdated(api.ListKind.FULL, entries(12)), 0
         )  # a sidecar uses so many at the least
         each.handle(api.TimerFired(0), SECOND)
-    mine, theirs = ([standing.weight for standing in standings(each)] for each in (fleet, sidecar))
+    mine, theirs = ([standing.weight for standing in host_statuses(each)] for each in (fleet, sidecar))
     assert mine == pytest.approx(theirs) and min(mine) > 0
 
 
@@ -709,19 +715,21 @@
         for at, entry in enumerate(entries(40)):
             busy = api.LoadReport(0.95 if at == 0 else 0.4, 100.0)
             failed, latency = (30 if at == 1 else 0), (900 * MS if at == 2 else 100 * MS)
-            fleet.tell(Told(entry.host, "look", 30 - failed, failed, latency, busy), now)
+            fleet.record_outcomes(
+                ReportedOutcomes(entry.host, "look", 30 - failed, failed, latency, busy), now
+            )
         fleet.handle(api.TimerFired(0), now)
-    weights = {each.host: each.weight for each in standings(fleet)}
+    weights = {each.host: each.weight for each in host_statuses(fleet)}
     usual = weights["n10"]
     assert usual > 0 and weights["n00"] < usual / 2  # busy
     assert weights["n01"] < usual / 2 and weights["n02"] < usual / 2  # failing, late
-    fleet.tell(Told("nobody", "look", 1, 1), now)
-    fleet.tell(Told("n03", "no class", 1, 1), now)
+    fleet.record_outcomes(ReportedOutcomes("nobody", "look", 1, 1), now)
+    fleet.record_outcomes(ReportedOutcomes("n03", "no class", 1, 1), now)
 
 
 @given(st.integers(0, 10**9), st.integers(0, 10**9))
 def test_many_attempts_count_as_a_few_in_proportion(served: int, failed: int) -> None:
-    good, bad = scaled(served, failed)
+    good, bad = scale_counts(served, failed)
     assert good >= 0 and bad >= 0 and good + bad == min(served + failed, 64)
     assert (bad > 0) == (failed > 0)
 
@@ -729,8 +737,8 @@
 def test_rounding_stays_until_a_weight_has_moved() -> None:
     rounder = Rounder(0.1)
 
-    def standing(name: str, weight: float, state: api.HostState = api.HostState.READY) -> Standing:
-        return Standing(name, "z", state, weight, 0.0, 1.0, None)
+    def standing(name: str, weight: float, state: api.HostState = api.HostState.READY) -> HostStatus:
+        return HostStatus(name, "z", state, weight, 0.0, 1.0, None)
 
     first = rounder.round([standing("a", 32), standing("b", 32), standing("c", 0, api.HostState.DRAINING)])
     assert [(share.weight, share.draining) for share in first] == [(SCALE, False), (SCALE, False), (0, True)]
@@ -756,7 +764,7 @@
         spare = {name: size * (1 - util[name]) + 1e-6 for name, size in capacity.items()}
         goal = {name: 64 * each / sum(spare.values()) for name, each in spare.items()}
         states = [
-            Standing(name, "z", api.HostState.READY, each, 0.0, 1.0, util[name])
+            HostStatus(name, "z", api.HostState.READY, each, 0.0, 1.0, util[name])
             for name, each in goal.items()
         ]
         weight = {each.host: each.weight for each in damper.follow(states, step=True)}
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -8,7 +8,7 @@
 import pytest
 
 from brambleusher.loadbalancing import Balancer, api
-from brambleusher.loadbalancing.balancer import Turn, aggregate_pi, final_weights
+from brambleusher.loadbalancing.balancer import TokenRoundRobin, aggregate_pi, final_weights
 from brambleusher.loadbalancing.hosts import Host
 from tests.rules import MS, SECOND
 
@@ -40,7 +40,7 @@
 
 
 def test_turn_order_of_the_source() -> None:
-    turn = Turn(random.Random(1))
+    turn = TokenRoundRobin(random.Random(1))
     hosts = [Host(entry(name), True, 1) for name in ("1", "2", "3")]
     turn.seat(list(hosts))
     turn.ring, turn._at, turn.scale = hosts, 0, 1.0
@@ -55,7 +55,7 @@
 
 def test_a_host_with_more_attempts_out_than_its_weight_explains_is_passed_over() -> None:
     """Guards against hosts that slowed down, or that all proxies found at once, between two reports."""
-    turn = Turn(random.Random(1))
+    turn = TokenRoundRobin(random.Random(1))
     hosts = [Host(entry(name), True, 1) for name in ("1", "2")]
     turn.seat(list(hosts))
     for host in hosts:
@@ -78,7 +78,7 @@
 
 
 def test_a_recompute_cuts_tokens_left() -> None:
-    turn = Turn(random.Random(1))
+    turn = TokenRoundRobin(random.Random(1))
     host = Host(entry("1"), True, 1)
     turn.ring, turn.scale, host.weight, host.tokens = [host], 1.0, 3.0, 20
     turn.cut()
--- a/tests/test_state_codec.py
+++ b/tests/test_state_codec.py
@@ -7,7 +7,7 @@
 import pytest
 
 from brambleusher.loadbalancing import Balancer, api, state_tables
-from brambleusher.loadbalancing.balancer import Turn
+from brambleusher.loadbalancing.balancer import TokenRoundRobin
 from brambleusher.loadbalancing.hosts import Host, Request
 from brambleusher.loadbalancing.idle_timeout import Trust
 from brambleusher.loadbalancing.retry_budget import Retries
@@ -70,7 +70,7 @@
     ("record", "fields", "not_stored"),
     [
         (Request("", 0, 0, 0), state_tables.REQUEST, set[str]()),
-        (Turn(random.Random(1)), state_tables.TOKEN_ROUND_ROBIN, {"_rng"}),
+        (TokenRoundRobin(random.Random(1)), state_tables.TOKEN_ROUND_ROBIN, {"_rng"}),
         (Retries(1), state_tables.RETRY_BUDGET, set[str]()),
         (Trust(), state_tables.IDLE_TIMEOUT, set[str]()),
         (Zones(None, "", 0, 0), state_tables.ZONE_ROUTER, set[str]()),
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -30,7 +30,7 @@
 from brambleusher.loadbalancing.json_values import StateError
 from brambleusher.loadbalancing.maintenance import Ban
 from brambleusher.loadbalancing.state_codec import save
-from brambleusher.loadbalancing.state_transfer import bequeath, inherit
+from brambleusher.loadbalancing.state_transfer import export_state, import_state
 from brambleusher.net.http import Message
 from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.runtime.scheduler import Scheduler
@@ -178,8 +178,8 @@
                 report = api.LoadReport(0.5, 100.0)
                 ended = api.AttemptEnded(f"r{n}", 0, send.host, api.AttemptStatus.OK, 10**7, True, report)
                 balancer.handle(ended, n)
-        left = json.loads(json.dumps(bequeath(balancer)))
-        heir = inherit(settings, 8, left)
+        left = json.loads(json.dumps(export_state(balancer)))
+        heir = import_state(settings, 8, left)
         heir.start(100)
         for name, host in balancer._hosts.items():
             self.assertEqual((heir._hosts[name].util, heir._hosts[name].served), (host.util, host.served))
@@ -190,7 +190,7 @@
         )
         for bad in (None, {}, {**left, "hosts": [[]]}, save(balancer)):
             with self.subTest(str(bad)[:40]), self.assertRaises(StateError):
-                inherit(settings, 8, bad)
+                import_state(settings, 8, bad)
 
     def test_a_cold_host_is_sent_a_part_by_each_of_two_processes(self) -> None:
         def sends(part: float) -> int:
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -27,7 +27,7 @@
 from brambleusher.loadbalancing.json_values import StateError
 from brambleusher.loadbalancing.settings_codec import restore_settings, save_settings
 from brambleusher.loadbalancing.state_codec import restore, save
-from brambleusher.loadbalancing.zone_aware_balancer import ZonedBalancer, balancer_for
+from brambleusher.loadbalancing.zone_aware_balancer import ZoneAwareBalancer, balancer_for
 from brambleusher.loadbalancing.zone_routing import Load, State, Zones, fill
 from brambleusher.operator_settings.configuration import parse_operator_file
 from brambleusher.operator_settings.section import OperatorError
@@ -422,7 +422,7 @@
     """Guards against the module changing anything for those who have not asked for it."""
     told = replace(BASE, cross_zone_price=0.1, subscribes_to_endpoints=True)
     assert type(balancer_for(told, seed)) is Balancer
-    plain, off = drive(Balancer(told, seed), seed), drive(ZonedBalancer(told, seed), seed)
+    plain, off = drive(Balancer(told, seed), seed), drive(ZoneAwareBalancer(told, seed), seed)
     assert plain.actions == off.actions and plain.sends > 50
 
 
@@ -446,7 +446,7 @@
     settings_kept = restore_settings(json.loads(json.dumps(save_settings(told))))
     assert settings_kept == told
     again = restore(settings_kept, 4, kept)
-    assert isinstance(again, ZonedBalancer) and save(again) == save(world.balancer)
+    assert isinstance(again, ZoneAwareBalancer) and save(again) == save(world.balancer)
     for at in range(1, 30):
         event = api.RequestArrived(f"again{at}", told.classes[0].name, None, SECOND)
         now = world.now + at * 40 * MS
@@ -469,7 +469,7 @@
     world = drive(balancer_for(told, 3), 3)
     world.give(api.ZoneRulesChanged(None))
     balancer = world.balancer
-    assert isinstance(balancer, ZonedBalancer)
+    assert isinstance(balancer, ZoneAwareBalancer)
     assert all(not balancer._zones.shut(name) for name in balancer._zones.zones)
     for _ in range(100):
         world.step()
