--- a/benchmarks/lists.py
+++ b/benchmarks/lists.py
@@ -259,7 +259,7 @@
             self._drive(address)
         except BaseException as error:
             self.failed = error
-        self.sidecar.end()
+        self.sidecar.begin_graceful_shutdown()
 
     def _accept(self) -> None:
         while True:
@@ -340,7 +340,7 @@
 
         def notice() -> None:
             def is_told() -> bool:
-                machine = self.sidecar.nodes.listed.get(last["id"])
+                machine = self.sidecar.upstream_pool.listed.get(last["id"])
                 return machine is not None and machine.entry.started_ns == last["started_ms"] * MS and (
                     machine.entry.state is api.HostState.DRAINING
                 )  # fmt: skip
@@ -397,7 +397,7 @@
             gc.collect()
         except BaseException as error:
             failed.append(error)
-        sidecar.end()
+        sidecar.begin_graceful_shutdown()
 
     sidecar.scheduler.spawn(take)
     sidecar.run()
--- a/brambleusher/lab/faults/breakages.py
+++ b/brambleusher/lab/faults/breakages.py
@@ -104,7 +104,7 @@
     def listed(self: Sidecar, update: EndpointListUpdate) -> None:
         leaving = [each for each in update.endpoints if each.entry.state is not HostState.READY]
         named = {each.entry.host for each in update.endpoints}
-        if not leaving and not (update.full and set(self.nodes.listed) - named):
+        if not leaving and not (update.full and set(self.upstream_pool.listed) - named):
             old(self, update)
             return
         if not update.full:
--- a/brambleusher/lab/fleets/fleet.py
+++ b/brambleusher/lab/fleets/fleet.py
@@ -591,11 +591,11 @@
         if sidecar is None or process is None or process.dead:
             stderr = b"" if process is None else bytes(process.stderr)
             return SidecarEnd(self.figures.name, False, 0, 0, 0, 0, 0, 0, 0, 0, stderr)
-        nodes = sidecar.nodes
+        nodes = sidecar.upstream_pool
         idle = nodes.idle_connections
         return SidecarEnd(
-            name=self.figures.name, up=True, tickets=sidecar.decisions.pending_requests,
-            clients=sidecar.clients.connections, claims=nodes.claims_out,
+            name=self.figures.name, up=True, tickets=sidecar.balancer_driver.pending_requests,
+            clients=sidecar.client_listener.connections, claims=nodes.claims_out,
             node_connections=nodes.open_connections, node_idle=idle, timers=sidecar.scheduler.timers,
             descriptors=process.descriptors,
             # The waker's two, the listener, the admin endpoint, the watch, and connections to nodes.
--- a/brambleusher/lab/mysql/replay.py
+++ b/brambleusher/lab/mysql/replay.py
@@ -691,8 +691,8 @@
         assert sidecar.mysql is not None
         if sidecar.mysql.front.connections:
             breaches.append(f"{sidecar.mysql.front.connections} sessions left")
-        if sidecar.decisions.unanswered_requests or sidecar.decisions._pending:
-            breaches.append(f"{len(sidecar.decisions._pending)} requests left")
+        if sidecar.balancer_driver.unanswered_requests or sidecar.balancer_driver._pending:
+            breaches.append(f"{len(sidecar.balancer_driver._pending)} requests left")
         for node in sidecar.mysql.nodes._nodes.values():
             left = len(node.held), len(node.claims), len(node.waiters), node.side, node.open - len(node.idle)
             if any(left):
--- a/brambleusher/net/client_listener.py
+++ b/brambleusher/net/client_listener.py
@@ -34,7 +34,7 @@
 from brambleusher.net.upstream_pool import UpstreamPool
 from brambleusher.observability.counters import Counters
 from brambleusher.observability.log_format import SparseLog
-from brambleusher.observability.request_counts import FAILED, REFUSED, SERVED, Tally
+from brambleusher.observability.request_counts import FAILED, REJECTED, SERVED, RequestCounts
 from brambleusher.runtime.scheduler import Scheduler, Task, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
 from brambleusher.runtime.system import RESOURCE_EXHAUSTION_ERRNOS, Socket
@@ -62,7 +62,7 @@
 _DECIMAL = re.compile(r"[0-9]{1,12}(\.[0-9]{1,9})?\Z")
 
 
-_ENDS = {ResponseKind.SERVED: SERVED, ResponseKind.REFUSED: REFUSED, ResponseKind.FAILED: FAILED}
+_ENDS = {ResponseKind.SERVED: SERVED, ResponseKind.REFUSED: REJECTED, ResponseKind.FAILED: FAILED}
 
 
 @dataclass(slots=True)
@@ -110,7 +110,7 @@
         places: Places,
         is_ready: Callable[[], bool],
         rewrites: HeaderRewriter | None = None,
-        tally: Tally | None = None,
+        request_counts: RequestCounts | None = None,
         service: Service | None = None,
     ) -> None:
         self._scheduler, self._decisions, self._clock = scheduler, decisions, clock
@@ -121,7 +121,8 @@
             for cls in decisions.settings.classes
         }
         self._tenants = {tenant.name for tenant in decisions.settings.tenants}
-        self.tally, self._service = tally or Tally(self._methods), service or Service()
+        self.request_counts = request_counts or RequestCounts(self._methods)
+        self._service = service or Service()
         self._leaving: Task | None = None
         self._listener: Socket | None = None
         self._accepting: Task | None = None
@@ -416,12 +417,12 @@
                 keep, whole = self._pass_on(stream, reply, reply.rest, keep, minor)
                 end = reply.end if whole else FAILED
             if reply.request_class is not None:
-                self.tally.ends[reply.request_class][end] += 1
+                self.request_counts.finished[reply.request_class][end] += 1
             return keep
         finally:
             if reply.rest is not None:
                 reply.rest.close()
-            self.tally.open -= reply.request_class is not None and reply.taken
+            self.request_counts.in_flight -= reply.request_class is not None and reply.taken
 
     def _pass_on(
         self, stream: Stream, reply: ClientResponse, rest: ResponseBodyStream, keep: bool, minor: int
@@ -582,7 +583,7 @@
             self._counters.add("requests_gone_unread")
             return None
         self._counters.add("requests_taken")
-        self.tally.open += upload is None
+        self.request_counts.in_flight += upload is None
         reply: ClientResponse | None = None
         try:
             answer = self._life.live(call, deadline, ClientHandle(watch, has_left))
@@ -609,7 +610,7 @@
             raise HttpError(400, str(error)) from None
         finally:
             # Else it ends with its answer's last byte.
-            self.tally.open -= reply is None and (upload is None or upload.done)
+            self.request_counts.in_flight -= reply is None and (upload is None or upload.done)
 
     def _late(self, connection: ClientConnection) -> float:
         """Seconds for which a request that was read now may have waited unseen."""
@@ -622,7 +623,7 @@
 
         def whole() -> None:
             upload.due = self._scheduler.now() + left
-            self.tally.open += 1
+            self.request_counts.in_flight += 1
 
         upload.whole = whole
         if upload.done:
--- a/brambleusher/observability/request_counts.py
+++ b/brambleusher/observability/request_counts.py
@@ -9,15 +9,15 @@
 
 from collections.abc import Iterable
 
-SERVED, REFUSED, FAILED = "fulfilled", "throttled", "faulted"
+SERVED, REJECTED, FAILED = "fulfilled", "throttled", "faulted"
 
 
-class Tally:
+class RequestCounts:
     """Counts since the process began."""
 
-    __slots__ = ("ends", "open", "relayed")
+    __slots__ = ("attempts_sent", "finished", "in_flight")
 
     def __init__(self, classes: Iterable[str]) -> None:
-        self.ends = {name: {SERVED: 0, REFUSED: 0, FAILED: 0} for name in classes}
-        self.open = 0  # taken and not ended
-        self.relayed = 0  # claims written whole
+        self.finished = {name: {SERVED: 0, REJECTED: 0, FAILED: 0} for name in classes}
+        self.in_flight = 0  # taken and not ended
+        self.attempts_sent = 0  # claims written whole
--- a/brambleusher/sidecar/app.py
+++ b/brambleusher/sidecar/app.py
@@ -38,7 +38,7 @@
 from brambleusher.net.upstream_pool import UpstreamPool
 from brambleusher.observability.counters import Counters
 from brambleusher.observability.log_format import configure
-from brambleusher.observability.request_counts import Tally
+from brambleusher.observability.request_counts import RequestCounts
 from brambleusher.operator_settings.configuration import CaptureSettings, FiguresSettings, OperatorFile
 from brambleusher.operator_settings.section import OperatorError
 from brambleusher.runtime.operating_system import RealSystem
@@ -124,15 +124,17 @@
         self.clock = Clock(self.system)
         self.counters = Counters()
         self.outputs: dict[str, OutputWriter] = {}  # by where they lead
-        self.figures = None if operator.figures is None else self._figures(operator.figures)
+        self.metrics_reporter = None if operator.figures is None else self._figures(operator.figures)
         self.process_group, balancer_state = self._join(config), None
         if self.process_group is not None and self.process_group.registry.process_count > 1:
             balancer_state = self._import_state(self.process_group)
         config = self.config
         self._operator = operator
         rooms = self._rooms(1.0 if self.process_group is None else self.process_group.shares.connections)
-        self.tally = Tally(cls.name for cls in config.settings.classes)
-        self.nodes = UpstreamPool(self.scheduler, config.settings, self.counters, rooms.nodes, self._relayed)
+        self.request_counts = RequestCounts(cls.name for cls in config.settings.classes)
+        self.upstream_pool = UpstreamPool(
+            self.scheduler, config.settings, self.counters, rooms.nodes, self._relayed
+        )
         self.admin_server = None if config.admin is None else AdminServer(self.scheduler, self)
         self.admin_address: tuple[str, int] | None = None  # where it listens
         self.capture = None if operator.capture is None else self._capture(operator.capture)
@@ -141,8 +143,10 @@
             if operator.status is None
             else StatusPage(operator.status, config.settings, self.scheduler, self._standing)
         )
-        observers: list[DecisionObserver] = [each for each in (self.figures, self.status) if each is not None]
-        self.decisions = BalancerDriver(
+        observers: list[DecisionObserver] = [
+            each for each in (self.metrics_reporter, self.status) if each is not None
+        ]
+        self.balancer_driver = BalancerDriver(
             config.settings, config.seed, self.scheduler, self.clock, self.counters,
             DecisionObservers(observers) if observers else None, self.capture, make, balancer_state,
         )  # fmt: skip
@@ -152,17 +156,17 @@
             random.Random(config.seed ^ 1),
             self.counters,
             self._listed,
-            lambda: self.decisions.update_endpoints(ListKind.FAILED, ()),
+            lambda: self.balancer_driver.update_endpoints(ListKind.FAILED, ()),
             slices=True,
             sidecars=config.settings.fleet_size,
         )
-        self.decisions.on_close_idle_connections = self._let_go
-        self.decisions.on_subscribe = self.endpoint_list.ask
-        self.places = Places(rooms.clients, max(int(config.limits.sockets * ASKING_PART), 8))
-        self.clients = ClientListener(
-            self.scheduler, self.decisions, self.nodes, self.clock, self.counters,
-            self.places,
-            self.is_ready, self._rewrites(operator), self.tally, self.service,
+        self.balancer_driver.on_close_idle_connections = self._let_go
+        self.balancer_driver.on_subscribe = self.endpoint_list.ask
+        self.connection_admission = Places(rooms.clients, max(int(config.limits.sockets * ASKING_PART), 8))
+        self.client_listener = ClientListener(
+            self.scheduler, self.balancer_driver, self.upstream_pool, self.clock, self.counters,
+            self.connection_admission,
+            self.is_ready, self._rewrites(operator), self.request_counts, self.service,
         )  # fmt: skip
         self.mysql = None if operator.mysql is None else self._mysql(operator.mysql)
         self._started_at = self.scheduler.now()
@@ -220,16 +224,16 @@
         return state.balancer
 
     def _export_state(self) -> TransferredState | None:
-        if len(self.nodes.listed) > MOST_HOSTS:
+        if len(self.upstream_pool.listed) > MOST_HOSTS:
             return None
         servers = [
             server_entry(self.bans.raw(name) or endpoint.entry, "{}:{}".format(*endpoint.address))
-            for name, endpoint in self.nodes.listed.items()
+            for name, endpoint in self.upstream_pool.listed.items()
         ]
         return TransferredState(
             endpoint_list={"version": self._version, "full": True, "servers": servers},
             discovery="{}:{}".format(*self.config.discovery),
-            balancer=self.decisions.export_state(),
+            balancer=self.balancer_driver.export_state(),
         )
 
     def _parted(self) -> None:
@@ -237,13 +241,15 @@
         if self.process_group is None:
             return
         room = self._rooms(self.process_group.shares.connections)
-        self.nodes.resize(room.nodes)
-        self.places.most = room.clients
-        self.places.asking = min(room.clients, max(int(self.config.limits.sockets * ASKING_PART), 8))
-        self.decisions.set_process_share(self.process_group.shares.sending)
+        self.upstream_pool.resize(room.nodes)
+        self.connection_admission.most = room.clients
+        self.connection_admission.asking = min(
+            room.clients, max(int(self.config.limits.sockets * ASKING_PART), 8)
+        )
+        self.balancer_driver.set_process_share(self.process_group.shares.sending)
 
     def _standing(self) -> dict[str, object] | None:
-        return self.decisions.zone_status()
+        return self.balancer_driver.zone_status()
 
     def _output(self, where: str, make: Callable[[], Sink]) -> OutputWriter:
         if where not in self.outputs:
@@ -300,12 +306,12 @@
         from brambleusher.fronts.mysql.service import MysqlService  # here: it loads what an extra brings
 
         return MysqlService(
-            settings, self.config.settings, self.config.seed, self.scheduler, self.decisions, self.clock,
-            self.counters,
+            settings, self.config.settings, self.config.seed, self.scheduler, self.balancer_driver,
+            self.clock, self.counters,
         )  # fmt: skip
 
     def _let_go(self, node: str) -> None:
-        self.nodes.let_go(node)
+        self.upstream_pool.let_go(node)
         if self.mysql is not None:
             self.mysql.nodes.let_go(node)
 
@@ -321,14 +327,14 @@
             self._shared(shared)  # said before this process began
         self.endpoint_list.hold(known)
         known = self._effective(known)
-        self.nodes.update(known)
-        self.decisions.start(endpoint.entry for endpoint in known.endpoints)
+        self.upstream_pool.update(known)
+        self.balancer_driver.start(endpoint.entry for endpoint in known.endpoints)
         self.endpoint_list.start()
         if not self.config.settings.subscribes_to_endpoints:  # the module leaves the list to us
             self.endpoint_list.ask()
-        self.scheduler.spawn(self.nodes.reap, name="reap")
-        if self.figures is not None:
-            self.figures.start(self.scheduler)
+        self.scheduler.spawn(self.upstream_pool.reap, name="reap")
+        if self.metrics_reporter is not None:
+            self.metrics_reporter.start(self.scheduler)
         if self.status is not None:
             self.status.listed(known)
             self.status.start(self.config.listen[0])
@@ -342,7 +348,7 @@
             log.info("admin endpoint", extra={"fields": {"address": f"{host}:{port}"}})
         if self.process_group is not None:
             if self.process_group.registry.process_count > 1:
-                self.decisions.set_process_share(self.process_group.shares.sending)
+                self.balancer_driver.set_process_share(self.process_group.shares.sending)
             self.process_group.watch(self.scheduler)
         where = self._listen()
         log.info(
@@ -352,13 +358,13 @@
 
     def _listen(self) -> tuple[str, int]:
         if self.config.listener_fd is None:
-            return self.clients.listen(self.config.listen)
+            return self.client_listener.listen(self.config.listen)
         try:
-            where = self.clients.adopt(self.config.listener_fd)
+            where = self.client_listener.adopt(self.config.listener_fd)
         except OSError as error:
             raise ConfigError(f"NODE_FD: {error.strerror}") from None
         if not self._succeeds:
-            self.clients.accept()
+            self.client_listener.accept()
         self.scheduler.spawn(self._begin_to_serve, name="begin to serve")
         return where
 
@@ -368,7 +374,7 @@
             self.scheduler.sleep(READY_LOOK_SECONDS)
         if self._ending:
             return
-        self.clients.accept()
+        self.client_listener.accept()
         if self.process_group is not None:
             self.process_group.registry.set_stage(ProcessStage.SERVING)
         log.info("serving", extra={"fields": {"succeeds": self._succeeds}})
@@ -378,13 +384,13 @@
         self.scheduler.run(self._over)
         if self.capture is not None:
             self.capture.close()
-        if self.figures is not None:
-            self.figures.flush()
+        if self.metrics_reporter is not None:
+            self.metrics_reporter.flush()
         for where, output in self.outputs.items():
             if where != STDERR:  # which the counters are yet to go to
                 output.close()
-        if self.figures is not None:
-            self.figures.count_lost()
+        if self.metrics_reporter is not None:
+            self.metrics_reporter.count_lost()
         self.counters.report("exit")
 
     def close(self) -> None:
@@ -397,7 +403,7 @@
         for output in self.outputs.values():
             output.close()
 
-    def end(self) -> None:
+    def begin_graceful_shutdown(self) -> None:
         """Begin to wind down; safe in a signal handler."""
         if not self._ending:
             self._ending = True
@@ -407,28 +413,28 @@
         """Print the counts soon, and the capture where it is on; safe in a signal handler."""
         self.scheduler.call_soon(self._report)
 
-    def reload(self) -> None:
+    def reload_configuration(self) -> None:
         """Read the configuration again soon; safe in a signal handler."""
         self.scheduler.call_soon(self._reload)
 
     def install_signals(self) -> None:
         """SIGTERM and SIGINT end the sidecar, SIGUSR1 prints the counts, SIGHUP reads the configuration."""
         # Guards against SIGHUP ending the process, which is what it does where nobody handles it.
-        self.system.on_signal(signal.SIGHUP, self.reload)
-        self.system.on_signal(signal.SIGTERM, self.end)
-        self.system.on_signal(signal.SIGINT, self.end)
+        self.system.on_signal(signal.SIGHUP, self.reload_configuration)
+        self.system.on_signal(signal.SIGTERM, self.begin_graceful_shutdown)
+        self.system.on_signal(signal.SIGINT, self.begin_graceful_shutdown)
         self.system.on_signal(signal.SIGUSR1, self.report)
 
     # --- what operators call --------------------------------------------------------------------
 
     def is_serving(self) -> bool:
         """Whether this process can serve, wanted or not."""
-        return self.clients.accepting and self.is_ready()
+        return self.client_listener.accepting and self.is_ready()
 
     def figures_text(self) -> bytes:
         """The figures as they stand."""
         return service_figures.render(
-            self.tally, len(self.nodes.listed), self.decisions.count_avoided_hosts()
+            self.request_counts, len(self.upstream_pool.listed), self.balancer_driver.count_avoided_hosts()
         )
 
     def offline(self, node: str) -> bool:
@@ -466,7 +472,7 @@
             self.service.resume()
         else:
             self.service.leave(self.scheduler.now())
-            self.clients.leave()
+            self.client_listener.leave()
 
     def _share(self) -> None:
         """Tell the other processes of this sidecar what operators have said, and what they will have."""
@@ -489,7 +495,7 @@
 
     def _tell(self, entry: HostEntry | None) -> None:
         """What a ban makes of a node, where it makes a difference."""
-        if entry is None or (endpoint := self.nodes.listed.get(entry.host)) is None:
+        if entry is None or (endpoint := self.upstream_pool.listed.get(entry.host)) is None:
             return
         self._told(EndpointListUpdate(self._version, False, (replace(endpoint, entry=entry),)))
 
@@ -505,7 +511,7 @@
         return replace(update, endpoints=endpoints)
 
     def _relayed(self) -> None:
-        self.tally.relayed += 1
+        self.request_counts.attempts_sent += 1
 
     def _listed(self, update: EndpointListUpdate) -> None:
         self._told(self._effective(update))
@@ -516,11 +522,11 @@
         if self.capture is not None:
             self.capture.listed(update)
         # The connections first: what the module sends from here on goes by the same list.
-        self.nodes.update(update)
+        self.upstream_pool.update(update)
         if self.mysql is not None:
             self.mysql.nodes.update(update)
         kind = ListKind.FULL if update.full else ListKind.DELTA
-        self.decisions.update_endpoints(kind, [endpoint.entry for endpoint in update.endpoints])
+        self.balancer_driver.update_endpoints(kind, [endpoint.entry for endpoint in update.endpoints])
 
     def _report(self) -> None:
         self.counters.report("asked")
@@ -565,7 +571,7 @@
         except OperatorError as error:
             log.error("bad operator file, the rules on zones stay", extra={"fields": {"reason": error}})
             return
-        if self.decisions.change_zone_rules(rules):
+        if self.balancer_driver.change_zone_rules(rules):
             log.info("rules on zones read again", extra={"fields": {"on": rules is not None}})
         else:
             log.warning("can't change in a running sidecar", extra={"fields": {"key": "zones"}})
@@ -573,13 +579,14 @@
     def _serve_on(self) -> None:
         handed = self.process_group is not None and self.process_group.registry.has_successor()
         log.info(
-            "ending", extra={"fields": {"owed": self.decisions.unanswered_requests, "handed_over": handed}}
+            "ending",
+            extra={"fields": {"owed": self.balancer_driver.unanswered_requests, "handed_over": handed}},
         )
         if self.process_group is not None:
             self.process_group.registry.set_stage(ProcessStage.DRAINING)
         if handed:
             self.service.retire(self.scheduler.now())
-            self.clients.hand_over()
+            self.client_listener.hand_over()
             self._wound_down = True
             return
         self.scheduler.spawn(self._wind_down, name="wind down")
@@ -587,12 +594,12 @@
     def _wind_down(self) -> None:
         """The task: serve on as long as clients may send and be answered, then close what rests."""
         killed_at = self.scheduler.now() + self._grace_seconds()
-        self.clients.answer_by = killed_at - ANSWER_AHEAD_SECONDS
+        self.client_listener.answer_by = killed_at - ANSWER_AHEAD_SECONDS
         self.scheduler.sleep(SERVE_ON_SECONDS)
-        while self.clients.connections and self.scheduler.now() < killed_at - CLOSE_AHEAD_SECONDS:
+        while self.client_listener.connections and self.scheduler.now() < killed_at - CLOSE_AHEAD_SECONDS:
             self.scheduler.sleep(ENDING_LOOK_SECONDS)
-        self.clients.wind_down()
-        self.nodes.close()
+        self.client_listener.wind_down()
+        self.upstream_pool.close()
         if self.mysql is not None:
             self.mysql.wind_down()
         if self.status is not None:
@@ -606,7 +613,7 @@
 
     def _over(self) -> bool:
         open_sessions = 0 if self.mysql is None else self.mysql.front.connections
-        return self._wound_down and not self.clients.connections and not open_sessions
+        return self._wound_down and not self.client_listener.connections and not open_sessions
 
 
 class Collector:
--- a/tests/mysql_rig.py
+++ b/tests/mysql_rig.py
@@ -188,7 +188,7 @@
         )
 
     def end(self) -> None:
-        self.sidecar.end()
+        self.sidecar.begin_graceful_shutdown()
         self.thread.join(WAIT)
         self.discovery.close()
         assert not self.thread.is_alive()
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -181,7 +181,7 @@
         self.discovery.asked.get(timeout=WAIT)
 
     def end(self) -> None:
-        self.sidecar.end()
+        self.sidecar.begin_graceful_shutdown()
         self.thread.join(WAIT)
         self.discovery.close()
         assert not self.thread.is_alive()
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -115,7 +115,11 @@
 def settled(rig: Rig) -> None:
     """Wait until the sidecar has done with all it was asked."""
     until = time.monotonic() + WAIT
-    while rig.sidecar.nodes.claims_out or rig.sidecar.tally.open or rig.sidecar.decisions.pending_requests:
+    while (
+        rig.sidecar.upstream_pool.claims_out
+        or rig.sidecar.request_counts.in_flight
+        or rig.sidecar.balancer_driver.pending_requests
+    ):
         assert time.monotonic() < until
         time.sleep(0.002)
 
@@ -142,7 +146,7 @@
                     _, body, done = whole(sock)
                     self.assertEqual((len(body), body == LARGE, done), (len(LARGE), True, True))
             settled(rig)
-            self.assertEqual(rig.sidecar.tally.ends["look"]["fulfilled"], 1)
+            self.assertEqual(rig.sidecar.request_counts.finished["look"]["fulfilled"], 1)
 
     def test_a_small_answer_that_the_connection_ends_is_served(self) -> None:
         def script(sock: socket.socket, request: Message) -> None:
@@ -169,8 +173,10 @@
                 with rig.send("a") as sock:
                     first = sock.recv(65536)
                     self.assertTrue(first.startswith(OK))
-                    self.assertEqual(rig.sidecar.decisions.pending_requests, 0, "for the module it is over")
-                    self.assertEqual(rig.sidecar.tally.open, 1, "for its client it is not")
+                    self.assertEqual(
+                        rig.sidecar.balancer_driver.pending_requests, 0, "for the module it is over"
+                    )
+                    self.assertEqual(rig.sidecar.request_counts.in_flight, 1, "for its client it is not")
                     go.put(1)
                     reader, body, done = MessageReader.responses(passing=True), b"", False
                     reader.feed(first)
@@ -203,7 +209,8 @@
                     LARGE[:200_000].startswith(body) and len(body) > MAX_BUFFERED_BODY_BYTES and not done
                 )
                 self.assertEqual(
-                    rig.sidecar.tally.ends["move"], {"fulfilled": 0, "throttled": 0, "faulted": 1}
+                    rig.sidecar.request_counts.finished["move"],
+                    {"fulfilled": 0, "throttled": 0, "faulted": 1},
                 )
 
     def test_chunks_without_end_are_cut_and_cost_no_memory(self) -> None:
@@ -237,7 +244,7 @@
             sock.recv(1)
             self.assertEqual(rig.call("small").body, b"mine")
             self.assertLess(sent.qsize(), MAX_STREAMED_BODY_BYTES >> 20)
-            self.assertEqual(rig.sidecar.nodes.claims_out, 1)
+            self.assertEqual(rig.sidecar.upstream_pool.claims_out, 1)
         settled(rig)  # it left: so does the claim
 
 
@@ -292,8 +299,10 @@
                     self.assertEqual((len(body), body == LARGE), (len(LARGE), True))
                     self.assertEqual(message.headers["request-timeout-ms"], "4990")
         settled(rig)
-        self.assertEqual(rig.sidecar.tally.ends["move"]["fulfilled"], 6)
-        self.assertEqual((rig.sidecar.tally.relayed, rig.sidecar.tally.open), (6, 0))
+        self.assertEqual(rig.sidecar.request_counts.finished["move"]["fulfilled"], 6)
+        self.assertEqual(
+            (rig.sidecar.request_counts.attempts_sent, rig.sidecar.request_counts.in_flight), (6, 0)
+        )
 
     def test_a_client_that_leaves_half_way_leaves_a_node_that_has_not_run_it(self) -> None:
         node, got = self.taking()
@@ -302,7 +311,10 @@
             sock.sendall(self.head("half", "Content-Length: 300000") + LARGE[:200_000])
         node.left.get(timeout=WAIT)
         settled(rig)
-        self.assertEqual((got.qsize(), rig.sidecar.tally.relayed, rig.sidecar.tally.open), (0, 0, 0))
+        self.assertEqual(
+            (got.qsize(), rig.sidecar.request_counts.attempts_sent, rig.sidecar.request_counts.in_flight),
+            (0, 0, 0),
+        )
 
     def test_one_that_breaks_at_its_node_is_refused_and_goes_nowhere_else(self) -> None:
         def breaking(sock: socket.socket, request: Message) -> None:
--- a/tests/test_crossings_client.py
+++ b/tests/test_crossings_client.py
@@ -108,7 +108,7 @@
         self.hooks.before("client", "shutdown", "close", do=lambda: sock.sendall(b"x" * 1000))
         answer(body)(*held)
         self.counted(rig, "answers_served")
-        self.until(lambda: not rig.sidecar.clients.connections)
+        self.until(lambda: not rig.sidecar.client_listener.connections)
         (got,) = answers(drain(sock))
         self.assertEqual((got.status, got.body), (200, body))
 
@@ -128,7 +128,7 @@
             threading.Thread(target=lambda: anew.put(read(other)), daemon=True).start()
 
         self.hooks.before("client", "shutdown", "close", do=cross)
-        rig.sidecar.end()
+        rig.sidecar.begin_graceful_shutdown()
         self.assertEqual(drain(sock), b"", "an end, and no reset")
         self.assertEqual(anew.get(timeout=WAIT).status, 200, "the listener is open a moment longer")
         rig.thread.join(WAIT)
@@ -150,7 +150,7 @@
     def send_at_the_end_of_the_wait(rig: Rig, sock: socket.socket) -> None:
         """Send when the timer of the wait has fired, before the task that waited runs."""
         scheduler = rig.sidecar.scheduler
-        (connection,) = rig.sidecar.places.waiting()
+        (connection,) = rig.sidecar.connection_admission.waiting()
         assert isinstance(connection, client_listener.ClientConnection) and connection.task is not None
         timer = connection.task.timer
         (due,) = [when for when, _, each in scheduler._timers if each is timer]
@@ -163,14 +163,14 @@
         sock.sendall(request("r1"))
         held = node.held.get(timeout=WAIT)
         wind_down = threading.Event()
-        real = rig.sidecar.clients.wind_down
+        real = rig.sidecar.client_listener.wind_down
 
         def winding_down() -> None:
             wind_down.set()
             real()
 
-        with mock.patch.object(rig.sidecar.clients, "wind_down", winding_down):
-            rig.sidecar.end()
+        with mock.patch.object(rig.sidecar.client_listener, "wind_down", winding_down):
+            rig.sidecar.begin_graceful_shutdown()
             self.assertTrue(wind_down.wait(WAIT))
         sock.sendall(request("r2"))
         answer(b"one")(*held)
@@ -184,9 +184,9 @@
         sock = self.connect(rig)
         sock.sendall(request("r1"))
         held = node.held.get(timeout=WAIT)
-        places = rig.sidecar.places
+        places = rig.sidecar.connection_admission
         sock.sendall(request("r2"))
-        (connection,) = rig.sidecar.clients._connections
+        (connection,) = rig.sidecar.client_listener._connections
         self.until(lambda: connection.stream.peek() is None, "it is read ahead")
         with (
             mock.patch.object(places, "scarce", lambda now: True),
@@ -217,7 +217,7 @@
         sock.sendall(request("r1"))
         self.counted(rig, "requests_gone")
         self.assertEqual(self.hooks.made, [("upstream", "connected")])
-        rig.sidecar.end()
+        rig.sidecar.begin_graceful_shutdown()
         rig.thread.join(WAIT)
         self.assertEqual(node.seen.qsize(), 0)
 
@@ -233,7 +233,7 @@
         self.hooks.before("upstream", "connected", do=reset)
         sock.sendall(request("r1"))
         self.counted(rig, "requests_gone")
-        rig.sidecar.end()
+        rig.sidecar.begin_graceful_shutdown()
         rig.thread.join(WAIT)
         self.assertEqual(node.seen.qsize(), 0)
 
@@ -247,7 +247,7 @@
         for node in nodes:
             with contextlib.suppress(queue.Empty, OSError):
                 NOT_STARTED(*node.held.get_nowait())
-        rig.sidecar.end()
+        rig.sidecar.begin_graceful_shutdown()
         rig.thread.join(WAIT)
         self.assertLessEqual(sum(node.seen.qsize() for node in nodes), 1)
 
@@ -262,7 +262,7 @@
             taken[0].let_go(NOT_STARTED)
             sock.close()
         self.counted(rig, "requests_gone")
-        rig.sidecar.end()
+        rig.sidecar.begin_graceful_shutdown()
         rig.thread.join(WAIT)
         self.assertEqual(sum(node.seen.qsize() for node in nodes), 1)
 
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -69,7 +69,7 @@
             rig.discovery.first = Discovery.text([new.entry("h1")], True, version=9)
             rig.discovery.asked.get(timeout=WAIT)  # the second call
             self.until(lambda: rig.sidecar.counters.count("lists_taken") >= 1)
-            self.until(lambda: list(rig.sidecar.nodes.listed) == ["h1"])
+            self.until(lambda: list(rig.sidecar.upstream_pool.listed) == ["h1"])
             self.assertEqual(rig.call("r1").body, b"new")
 
     @staticmethod
@@ -123,7 +123,7 @@
         rig = self.rig([old.entry("h0")])
         update = {"version": 8, "full": False, "servers": [old.entry("h0", "Terminating"), new.entry("h1")]}
         rig.discovery.push(json.dumps(update, indent=2).encode())
-        self.until(lambda: sorted(rig.sidecar.nodes.listed) == ["h0", "h1"])
+        self.until(lambda: sorted(rig.sidecar.upstream_pool.listed) == ["h0", "h1"])
         self.assertEqual(rig.call("r1").body, b"new")
         self.assertEqual(rig.sidecar.counters.count("lists_rejected"), 0)
 
@@ -161,7 +161,7 @@
         rig = self.rig([old.entry("h0")])
         self.assertEqual(rig.call("r1").body, b"old")
         rig.discovery.push(Discovery.text([new.entry("h1")], True, version=8))
-        self.until(lambda: list(rig.sidecar.nodes.listed) == ["h1"])
+        self.until(lambda: list(rig.sidecar.upstream_pool.listed) == ["h1"])
         self.assertEqual([rig.call(f"r{n}").body for n in range(2, 12)], [b"new"] * 10)
 
     def test_a_node_back_under_its_id_gets_nothing_at_the_old_address(self) -> None:
@@ -198,9 +198,9 @@
         host, port = other.address.split(":")
         moved = replace(rig.sidecar.config, discovery=(host, int(port)))
         rig.sidecar._load = lambda: moved
-        rig.sidecar.reload()
+        rig.sidecar.reload_configuration()
         other.asked.get(timeout=WAIT)
-        self.until(lambda: list(rig.sidecar.nodes.listed) == ["h1"])
+        self.until(lambda: list(rig.sidecar.upstream_pool.listed) == ["h1"])
         with contextlib.suppress(OSError):  # it may have hung up already
             rig.discovery.push(Discovery.text([stale.entry("h0")], True, version=99))
         self.assertEqual([rig.call(f"r{n}").body for n in range(8)], [b"new"] * 8)
@@ -210,7 +210,7 @@
         old, new = self.node(b"old"), self.node(b"new")
         rig = self.rig([old.entry("h0")])
         rig.discovery.push(Discovery.text([new.entry("h1")], True, version=2))
-        self.until(lambda: list(rig.sidecar.nodes.listed) == ["h1"])
+        self.until(lambda: list(rig.sidecar.upstream_pool.listed) == ["h1"])
         self.assertEqual(rig.call("r1").body, b"new")
 
 
--- a/tests/test_crossings_shutdown.py
+++ b/tests/test_crossings_shutdown.py
@@ -24,7 +24,7 @@
 class Ends(Case):
     def winding_down(self, rig: Rig) -> None:
         """End it, and wait until it has closed what rests, and its listener."""
-        rig.sidecar.end()
+        rig.sidecar.begin_graceful_shutdown()
         self.until(lambda: rig.sidecar._wound_down)
 
     def ended(self, rig: Rig) -> None:
@@ -40,14 +40,14 @@
     @staticmethod
     def reads_one(rig: Rig) -> bool:
         """Whether the one client's request has begun to come."""
-        return rig.sidecar.places.taken == 1 and not rig.sidecar.places.silent
+        return rig.sidecar.connection_admission.taken == 1 and not rig.sidecar.connection_admission.silent
 
     def test_before_it_is_ready(self) -> None:
         """No list, and a discovery that says nothing: what comes is refused, and the process ends."""
         rig = Rig([], discovery=Scripted([], lambda sock: None), system=self.system)
         self.addCleanup(rig.end)
         sock = self.connect(rig)
-        rig.sidecar.end()
+        rig.sidecar.begin_graceful_shutdown()
         sock.sendall(request("r1"))
         self.assertIn(read(sock).status, (429, 503))
         self.ended(rig)
@@ -103,9 +103,9 @@
         node = Node(answer(b"yes"))
         self.addCleanup(node.close)
         rig = self.rig(node)
-        rig.sidecar.end()
+        rig.sidecar.begin_graceful_shutdown()
         with held_still(rig):
-            self.assertFalse(rig.sidecar.clients._closing)
+            self.assertFalse(rig.sidecar.client_listener._closing)
             socks = [self.connect(rig) for _ in range(40)]
             for number, sock in enumerate(socks):
                 sock.sendall(request(f"q{number}"))
@@ -134,7 +134,7 @@
         for thread in threads:
             thread.start()
         self.until(lambda: node.seen.qsize() > 20)
-        rig.sidecar.end()
+        rig.sidecar.begin_graceful_shutdown()
         self.ended(rig)
         seen = {node.seen.get()[0].headers["request-id"] for _ in range(node.seen.qsize())}
         for _ in threads:
@@ -148,7 +148,7 @@
         with mock.patch.object(sidecar, "LONGEST_GRACE_SECONDS", 1.6):
             rig = self.rig(node)
             sock = self.connect(rig)
-            rig.sidecar.end()
+            rig.sidecar.begin_graceful_shutdown()
             begun = time.monotonic()
             last, count = begun, 0
             while True:
@@ -167,8 +167,8 @@
         rig = self.rig(node)
         sock = self.connect(rig)
         with held_still(rig):
-            rig.sidecar.end()
-        self.until(lambda: rig.sidecar.clients.answer_by < math.inf)
+            rig.sidecar.begin_graceful_shutdown()
+        self.until(lambda: rig.sidecar.client_listener.answer_by < math.inf)
         sock.sendall(
             request("m1", "Content-Length: 0")
             .replace(b"GET /look", b"POST /move")
@@ -177,7 +177,7 @@
         _, _, message = self.held(node)
         self.assertLess(int(message.headers["request-timeout-ms"]), 1100)
         self.assertEqual(read(sock).status, 502)
-        self.assertLess(rig.sidecar.scheduler.now(), rig.sidecar.clients.answer_by + WAIT / 10)
+        self.assertLess(rig.sidecar.scheduler.now(), rig.sidecar.client_listener.answer_by + WAIT / 10)
         self.ended(rig)
 
     def test_a_second_signal_and_a_reload_beside_the_first(self) -> None:
@@ -192,7 +192,11 @@
                 rig.sidecar._load = lambda moved=moved: moved
                 sock = rig.send("r1")
                 _, upstream, message = self.held(node)
-                calls: list[Callable[[], None]] = [rig.sidecar.reload, rig.sidecar.end, rig.sidecar.end]
+                calls: list[Callable[[], None]] = [
+                    rig.sidecar.reload_configuration,
+                    rig.sidecar.begin_graceful_shutdown,
+                    rig.sidecar.begin_graceful_shutdown,
+                ]
                 with held_still(rig):
                     for call in calls if order == "reload first" else [*calls[1:], calls[0]]:
                         call()
@@ -211,8 +215,8 @@
         sock = rig.send("r1")
         _, upstream, message = self.held(node)
         with held_still(rig):
-            rig.sidecar.reload()
-            rig.sidecar.end()
+            rig.sidecar.reload_configuration()
+            rig.sidecar.begin_graceful_shutdown()
         answer(b"whole")(upstream, message)
         self.assertEqual(read(sock).body, b"whole")
         self.ended(rig)
@@ -228,11 +232,11 @@
         rig = Rig([old.entry("h0")], system=self.system, sockets=64)
         self.addCleanup(rig.end)
         idle = [self.connect(rig) for _ in range(100)]
-        self.until(lambda: rig.sidecar.places.taken >= rig.sidecar.places.most)
+        self.until(lambda: rig.sidecar.connection_admission.taken >= rig.sidecar.connection_admission.most)
         rig.discovery.first = Discovery.text([new.entry("h1")], True, version=9)
         rig.discovery.conns[-1].shutdown(socket.SHUT_RDWR)
         rig.discovery.asked.get(timeout=WAIT)
-        self.until(lambda: list(rig.sidecar.nodes.listed) == ["h1"])
+        self.until(lambda: list(rig.sidecar.upstream_pool.listed) == ["h1"])
         self.assertEqual(rig.call("r1").body, b"new")
         self.assertLessEqual(self.system.most_seen, 64)
         self.assertEqual(len(idle), 100)
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -188,7 +188,7 @@
 
     def test_late_answers_are_counted(self) -> None:
         rig = self.rig(f"figures: {{target: 'file:{self.file}', flush_ms: 10, format: influx}}")
-        figures = rig.sidecar.figures
+        figures = rig.sidecar.metrics_reporter
         assert figures is not None
         with mock.patch.dict(figures._aims, {"look": 0}):  # every answer takes longer than that
             rig.call("a")
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -242,20 +242,20 @@
     rig = Rig(many, "status: {port: 0, refresh_ms: 10}")
     try:
         rig.listed(1)
-        assert len(rig.sidecar.nodes.listed) == 900
+        assert len(rig.sidecar.upstream_pool.listed) == 900
         others = [node.entry(f"o{at}") for at in range(899)]
         rig.discovery.push(Discovery.text([*others, node.entry("h5", "Terminating")], True, 8))
         answered = 0
-        while set(rig.sidecar.nodes.listed) != {"h5", *(entry["id"] for entry in others)}:
+        while set(rig.sidecar.upstream_pool.listed) != {"h5", *(entry["id"] for entry in others)}:
             answered += rig.call(f"r{answered}").status == 200
             assert answered < 5000
-        assert rig.sidecar.nodes.listed["h5"].entry.state is DRAINING
+        assert rig.sidecar.upstream_pool.listed["h5"].entry.state is DRAINING
         assert rig.call("last").status == 200
         rig.discovery.push(Discovery.text([*others[:200], {"id": "bad", "state": "Ready"}], True, 9))
         rig.discovery.asked.get(timeout=20.0)  # it asks for the whole list again, and gets the first one
         rig.listed(4)
         assert rig.sidecar.counters.count("lists_rejected") == 1
-        until(lambda: set(rig.sidecar.nodes.listed) == {entry["id"] for entry in many})
+        until(lambda: set(rig.sidecar.upstream_pool.listed) == {entry["id"] for entry in many})
     finally:
         rig.end()
         node.close()
--- a/tests/test_making_room.py
+++ b/tests/test_making_room.py
@@ -38,7 +38,7 @@
         }  # fmt: skip
         self.sidecar = Sidecar(parse_config(json.dumps(config).encode(), {}))
         self.addCleanup(self.sidecar.close)
-        self.places, self.clients = self.sidecar.places, self.sidecar.clients
+        self.places, self.clients = self.sidecar.connection_admission, self.sidecar.client_listener
         self.places.most = self.places.asking = 20
 
     def rest(self, count: int, waits: bytes | None) -> list[Waiting]:
--- a/tests/test_mysql_front.py
+++ b/tests/test_mysql_front.py
@@ -79,7 +79,7 @@
     @staticmethod
     def _end(made: Iterable[tuple[MysqlRig, Servers]]) -> None:
         for rig, _ in made:
-            rig.sidecar.end()  # all at once: each goes on for a while
+            rig.sidecar.begin_graceful_shutdown()  # all at once: each goes on for a while
         for rig, servers in made:
             rig.end()
             servers.end()
@@ -633,7 +633,7 @@
     rig, _ = make(1, "  grace_ms: {move: 300}\n  drain_spread_ms: 0\n", once=True)
     free, tied = Raw(rig), connect(rig)
     tied.begin()
-    rig.sidecar.end()
+    rig.sidecar.begin_graceful_shutdown()
     rig.until(lambda: rig.sidecar._wound_down)
     tied.commit()
     message = free.sock.recv(65536)
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -63,7 +63,7 @@
         rig = Rig([node.entry("h0")])
         before = rig.send("before")
         first = held.get(timeout=WAIT)
-        rig.sidecar.end()
+        rig.sidecar.begin_graceful_shutdown()
         after = rig.send("after")  # new connections keep coming for a while
         second = held.get(timeout=WAIT)
         for sock in (first, second):
@@ -93,7 +93,7 @@
             sock.connect_ex(stuck.listener.getsockname())
         rig = self.rig(stuck)
         waiting = rig.send("w1")
-        while rig.sidecar.decisions.unanswered_requests == 0:
+        while rig.sidecar.balancer_driver.unanswered_requests == 0:
             time.sleep(0.002)
         other = self.node()
         rig.discovery.push(Discovery.text([stuck.entry("h0", "Terminating"), other.entry("h1")], version=8))
@@ -167,7 +167,7 @@
             json.dumps({**rig.config, "discovery": mute.address}).encode(), {}
         )
         for _ in range(3):  # once more does no harm
-            rig.sidecar.reload()
+            rig.sidecar.reload_configuration()
         target = mute.seen.get(timeout=WAIT)[0].start[1]
         self.assertNotIn("since", target)
         self.assertEqual(rig.call("a").body, b"old")
@@ -203,7 +203,7 @@
         def broken(event: object, now: int) -> list[object]:
             raise ZeroDivisionError
 
-        rig.sidecar.decisions._balancer.handle = broken  # type: ignore[method-assign,assignment]
+        rig.sidecar.balancer_driver._balancer.handle = broken  # type: ignore[method-assign,assignment]
         with self.assertLogs("brambleusher", "ERROR"):
             self.assertEqual(rig.call().status, 502)
 
@@ -214,13 +214,13 @@
 
     def test_a_lack_of_connections_is_not_held_against_the_nodes(self) -> None:
         rig = self.rig(self.node(hang), self.node(hang))
-        rig.sidecar.nodes._most = 1
+        rig.sidecar.upstream_pool._most = 1
         first = rig.send("a")
         while rig.sidecar.counters.count("claims_sent") == 0:
             time.sleep(0.002)
         self.assertEqual(rig.call("b").status, 503)
         self.assertEqual(rig.sidecar.counters.count("connections_lacking"), 1)
-        self.assertEqual(rig.sidecar.decisions._balancer._full_sum, 0)
+        self.assertEqual(rig.sidecar.balancer_driver._balancer._full_sum, 0)
         first.close()
 
     def test_a_small_machine_has_connections_for_its_load(self) -> None:
@@ -230,13 +230,13 @@
             limits = {"cores": 1.0, "memory_mb": memory_mb, "sockets": sockets}
             sidecar = Sidecar(parse_config(json.dumps({**config, "limits": limits}).encode(), {}))
             self.addCleanup(sidecar.close)
-            self.assertGreaterEqual(sidecar.nodes._most, claims)
-            self.assertGreaterEqual(sidecar.clients._places.most, clients)
-            self.assertLess(sidecar.nodes._most + sidecar.clients._places.most, sockets)
+            self.assertGreaterEqual(sidecar.upstream_pool._most, claims)
+            self.assertGreaterEqual(sidecar.client_listener._places.most, clients)
+            self.assertLess(sidecar.upstream_pool._most + sidecar.client_listener._places.most, sockets)
 
     def test_all_descriptors_in_use_is_survived(self) -> None:
         rig = self.rig(self.node())
-        rig.sidecar.clients._places.most = 2
+        rig.sidecar.client_listener._places.most = 2
         idle = [rig.connect() for _ in range(6)]
         self.assertEqual(rig.call().status, 200)  # one that is idle makes room
         for sock in idle:
@@ -281,7 +281,7 @@
 
     def test_silent_connections_make_room_for_those_that_ask(self) -> None:
         rig = self.rig(self.node())
-        rig.sidecar.clients._places.most = 16
+        rig.sidecar.client_listener._places.most = 16
         with mock.patch("brambleusher.loadbalancing.connection_admission.FRESH_SECONDS", 0.0):
             silent = [rig.connect() for _ in range(24)]
             for sock in silent[:8]:
--- a/tests/test_virtual_sidecar.py
+++ b/tests/test_virtual_sidecar.py
@@ -50,6 +50,6 @@
     with mock.patch("brambleusher.loadbalancing.connection_admission.FRESH_SECONDS", 0.0):
         assert [bool(each) for each in lab.do(two)] == [False, True]
     lab.world.run(lab.world.now_ns + SECOND)
-    assert made[0].clients.connections == 0
+    assert made[0].client_listener.connections == 0
     assert process.descriptors == before
     lab.world.close()
