--- a/brambleusher/controller/__init__.py
+++ b/brambleusher/controller/__init__.py
@@ -1,1 +1,1 @@
-"""The controller and the observer: the control plane of one machine."""
+"""The controller and the observer: the processes of the control plane."""
--- /dev/null
+++ b/brambleusher/controller/peer_directory.py
@@ -0,0 +1,51 @@
+"""The other controllers that a controller knows of, as members of the group or by gossip."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
+
+from brambleusher.membership.views import FORGET_S, PartialView, Peer
+from brambleusher.runtime.scheduler import Scheduler
+
+CONTROLLER_ROLE = "controller"
+GATEWAY_ROLE = "gateway"
+
+
+class PeerDirectory:
+    """Joins the group's members with the partial view."""
+
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        view: PartialView,
+        own_address: str,
+        member_addresses: Callable[[], Iterable[str]],
+    ) -> None:
+        self._scheduler, self._view, self._own_address = scheduler, view, own_address
+        self._member_addresses = member_addresses
+
+    def addresses(self) -> list[str]:
+        """Return the addresses of the other controllers: members, and those with recent contact."""
+        known = set(self._member_addresses())
+        known |= {peer.address for peer in self._view.alive(CONTROLLER_ROLE, self._scheduler.now())}
+        return sorted(known - {self._own_address, ""})
+
+    def zones(self) -> dict[str, str]:
+        """Return the zones of the other controllers by address."""
+        return {address: peer.zone for address, peer in self._peers().items()}
+
+    def as_json(self) -> list[tuple[str, str, str]]:
+        """Return address, zone and region of all controllers, this one included.
+
+        Zone and region are empty for those without contact.
+        """
+        peers = self._peers()
+        return [
+            (address, peers[address].zone, peers[address].region) if address in peers else (address, "", "")
+            for address in [*self.addresses(), self._own_address]
+        ]
+
+    def _peers(self) -> dict[str, Peer]:
+        """Return the controllers of the partial view by address."""
+        peers = self._view.alive(CONTROLLER_ROLE, self._scheduler.now(), FORGET_S)
+        return {peer.address: peer for peer in peers}
--- a/tests/system/test_observer.py
+++ b/tests/system/test_observer.py
@@ -133,10 +133,10 @@
 def test_what_an_observer_passed_on_is_not_passed_on_again(whole: Whole) -> None:
     observer = whole.observers["o1"]
     sent: list[str] = []
-    observer._send = lambda address, message: sent.append(address)  # type: ignore[method-assign]
-    assert observer._message({"kind": "join", "from": "x", "passed": True}, "host") is None
+    observer._senders.send = lambda address, message: sent.append(address)  # type: ignore[method-assign]
+    assert observer.handle_message({"kind": "join", "from": "x", "passed": True}) is None
     assert not sent
-    observer._message({"kind": "join", "from": "x"}, "host")
+    observer.handle_message({"kind": "join", "from": "x"})
     assert sorted(sent) == sorted(observer.controllers.announced_addresses())
     assert sent
 
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -33,14 +33,8 @@
         "brambleusher.wire",
         "brambleusher.runtime",
     ),
-    "brambleusher/controller/observer.py": (
-        "brambleusher.controlplane",
-        "brambleusher.membership",
-        "brambleusher.wire",
-        "brambleusher.runtime",
-        "brambleusher.observability.log_format",
-    ),
-    "brambleusher/controller/app.py": (
+    "brambleusher/controller": (
+        "brambleusher.controller",
         "brambleusher.controlplane",
         "brambleusher.membership",
         "brambleusher.wire",
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -19,9 +19,8 @@
     "brambleusher/membership",
     "brambleusher/controlplane",
     "brambleusher/dataplane",
-    "brambleusher/gateway/app.py",
-    "brambleusher/controller/app.py",
-    "brambleusher/controller/observer.py",
+    "brambleusher/gateway",
+    "brambleusher/controller",
 )
 WITHDRAWN = ("submitter", "execute.?node", "machine.?list", "requeue.?notice", r"\bbells?\b", r"\bdoors?\b")
 # Counters keep the names that operators read, and a message of the simulator's wire has its own.
