--- a/brambleusher/controlplane/consensus/outputs.py
+++ b/brambleusher/controlplane/consensus/outputs.py
@@ -1,16 +1,13 @@
-"""What agreement hands to its driver, and what it keeps of each replica."""
+"""What consensus hands to its driver: messages, records for the disk, committed entries, its status."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from enum import Enum
-from typing import Any
 
 from brambleusher.wire import consensus_messages as wire
 from brambleusher.wire.consensus_messages import Entry, Member
 
-SNAPSHOT_EVERY_S = 1.0  # to one replica: a snapshot on a slow link takes a while
-
 
 class Role(Enum):
     """What a replica is at the moment."""
@@ -53,7 +50,7 @@
     index: int
     term: int
     members: tuple[Member, ...]
-    state: Any
+    state: object
 
 
 Record = HardState | Truncate | Restore | Entry
@@ -67,3 +64,30 @@
     records: list[Record] = field(default_factory=list)
     committed: list[Entry] = field(default_factory=list)
     restored: list[Restore] = field(default_factory=list)
+
+
+@dataclass(frozen=True, slots=True)
+class ConsensusStatus:
+    """The state of a replica for operators."""
+
+    identity: str
+    role: Role
+    term: int
+    leader_id: str
+    commit_index: int
+    last_index: int
+    synced_index: int
+    members: tuple[Member, ...]
+
+    def as_json(self) -> dict[str, object]:
+        """Return the form of the admin answers; operators' tools read these keys."""
+        return {
+            "id": self.identity,
+            "role": self.role.value,
+            "term": self.term,
+            "leader": self.leader_id,
+            "commit": self.commit_index,
+            "last_index": self.last_index,
+            "synced_index": self.synced_index,
+            "members": [member.as_json() for member in self.members],
+        }
--- a/brambleusher/controlplane/consensus/reads.py
+++ b/brambleusher/controlplane/consensus/reads.py
@@ -1,33 +1,44 @@
-"""Reads that wait for a quorum to confirm that this replica still leads; pure."""
+"""Linearizable reads: a leader confirms with a quorum that it still leads before it answers.
+
+Source: Ongaro's dissertation, section 6.4 (read index).
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
+from brambleusher.controlplane.consensus.leader_state import LeaderState
+from brambleusher.controlplane.consensus.replica_state import ReplicaState
 
-class PendingReads:
-    """Each read waits for the answers to a heartbeat that was sent after it was asked."""
-
-    def __init__(self) -> None:
-        self._reads: list[tuple[int, Callable[[bool], None]]] = []
 
-    def __bool__(self) -> bool:
-        """Whether any read waits."""
-        return bool(self._reads)
+class Reads:
+    """Reads of the leader's state."""
 
-    def add(self, number: int, done: Callable[[bool], None]) -> None:
-        """Wait for a quorum's answers to the heartbeat of this number."""
-        self._reads.append((number, done))
+    def __init__(self, state: ReplicaState) -> None:
+        self._state = state
 
-    def confirm(self, number: float) -> None:
-        """A quorum has answered heartbeats up to this number."""
-        ready = [done for asked, done in self._reads if asked <= number]
-        self._reads = [read for read in self._reads if read[0] > number]
-        for done in ready:
-            done(True)
+    def begin_read(self, leading: LeaderState | None, done: Callable[[bool], None]) -> bool:
+        """Begin a read with the next heartbeat, which the caller sends; return whether it begins.
 
-    def fail(self) -> None:
-        """This replica does not lead any more."""
-        reads, self._reads = self._reads, []
-        for _, done in reads:
+        A leader that has committed nothing in its term may lack commits of the leader before; its read fails
+        at once, as does one of a replica that does not lead.
+        """
+        state = self._state
+        if leading is None or state.log.term_at(state.commit_index) != state.term:
             done(False)
+            return False
+        state.heartbeat_sequence += 1
+        leading.pending_reads.add(state.heartbeat_sequence, done)
+        return True
+
+    def confirm_reads(self, leading: LeaderState) -> None:
+        """Answer the reads whose heartbeat a quorum has replied to."""
+        if not leading.pending_reads:
+            return
+        state = self._state
+        sequences = {
+            identity: known.heartbeat_sequence for identity, known in leading.progress.followers.items()
+        }
+        leading.pending_reads.confirm(
+            state.agreed_value({**sequences, state.identity.id: state.heartbeat_sequence})
+        )
--- a/brambleusher/controlplane/consensus/replication.py
+++ b/brambleusher/controlplane/consensus/replication.py
@@ -1,106 +1,116 @@
-"""What a leader knows of the other members, and what it sends each of them next; no I/O."""
+"""Replication by the leader: what it appends, sends to each follower, and commits.
 
-from __future__ import annotations
-
-from collections import deque
-from collections.abc import Collection, Iterable
-from dataclasses import dataclass, field
-
-import orjson
-
-from brambleusher.controlplane.consensus.outputs import SNAPSHOT_EVERY_S
-from brambleusher.controlplane.consensus.replicated_log import Log
-from brambleusher.wire.consensus_messages import AppendEntriesReply, Entry, Member
-
-ENTRIES_A_MESSAGE = 64
-MESSAGE_BYTES = 128 * 1024  # of entries in one message: 0.2 s of a link with 5 Mbit/s, ahead of a heartbeat
-UNCONFIRMED_BYTES = 256 * 1024  # sent to one member and not confirmed yet
-
-
-@dataclass(slots=True)
-class Progress:
-    """What a leader knows of one other member; times in seconds of its clock."""
+Leader append-only: a leader only ever adds to its log.  Commitment: an entry is committed once a quorum has
+it on disk and it is of the leader's own term; earlier entries are committed with it.
 
-    next_index: int
-    match_index: int = 0
-    last_contact_s: float = 0.0
-    heartbeat_sequence: int = 0
-    snapshot_sent_s: float = -SNAPSHOT_EVERY_S
-    in_flight: deque[tuple[int, int]] = field(default_factory=deque)  # index and bytes, sent, not confirmed
-
-    def record_match(self, match_index: int) -> None:
-        """It holds everything up to an index."""
-        self.match_index = max(self.match_index, match_index)
-        self.next_index = max(self.next_index, self.match_index + 1)
-        while self.in_flight and self.in_flight[0][0] <= self.match_index:
-            self.in_flight.popleft()
-
-    def step_back(self, hint: int) -> None:
-        """What was sent does not fit: go back, to behind the hinted index or further."""
-        self.next_index = max(1, min(self.next_index - 1, hint + 1))
-        self.in_flight.clear()
+Source: Raft, section 5.3 and 5.4.2.
+"""
 
+from __future__ import annotations
 
-def wire_bytes(entry: Entry) -> int:
-    """About how many bytes an entry has in a message."""
-    return len(orjson.dumps(entry.data)) + 32
+from brambleusher.controlplane.consensus.leader_state import LeaderState
+from brambleusher.controlplane.consensus.progress import FollowerProgress
+from brambleusher.controlplane.consensus.replica_state import ReplicaState
+from brambleusher.controlplane.consensus.snapshots import Snapshots
+from brambleusher.controlplane.consensus.timing import ELECTION_MAX_S, HEARTBEAT_S
+from brambleusher.wire import consensus_messages as wire
+from brambleusher.wire.consensus_messages import Entry, EntryKind, Member
 
 
-@dataclass(slots=True)
 class Replication:
-    """The progress of each other member while this replica leads."""
-
-    progress: dict[str, Progress] = field(default_factory=dict)
-
-    def track_members(self, members: Iterable[Member], own: str, next_index: int, now: float) -> None:
-        """Keep track of just these members."""
-        others = {member.id for member in members} - {own}
-        for identity in others - set(self.progress):
-            self.progress[identity] = Progress(next_index, last_contact_s=now)
-        for identity in set(self.progress) - others:
-            del self.progress[identity]
-
-    def record_reply(self, reply: AppendEntriesReply, now: float) -> Progress | None:
-        """Take in an answer; None where it is of no member.
-
-        A refusal sets back what is sent next, below what had been confirmed if need be: sending an entry
-        twice does no harm.  One that is older than another answer says nothing any more.
+    """Appends and sends entries while this replica leads; each call gets the state of the leadership."""
+
+    def __init__(self, state: ReplicaState, snapshots: Snapshots) -> None:
+        self._state = state
+        self._snapshots = snapshots
+
+    def append(self, leading: LeaderState, kind: EntryKind, data: object) -> Entry:
+        """Append an entry of the current term; a change of members is in force from here on."""
+        state = self._state
+        entry = Entry(state.log.last_index + 1, state.term, kind, data)
+        state.append_entry(entry)
+        if kind is EntryKind.MEMBERS:
+            self.track_members(leading)
+        return entry
+
+    def track_members(self, leading: LeaderState) -> None:
+        """Keep the progress of just the other members."""
+        state = self._state
+        leading.progress.track_members(
+            state.log.members, state.identity.id, state.log.last_index + 1, state.now
+        )
+
+    def broadcast(self, leading: LeaderState) -> None:
+        """Send entries to every member that lacks some."""
+        self._send_to_members(leading, is_heartbeat=False)
+
+    def heartbeat(self, leading: LeaderState) -> None:
+        """Send every member its next entries, or none: the leader is there."""
+        self._send_to_members(leading, is_heartbeat=True)
+
+    def begin_heartbeat(self, leading: LeaderState) -> None:
+        """Begin the next heartbeat: what a quorum was heard, when the one after it is due."""
+        leading.last_quorum_contact_s = max(leading.last_quorum_contact_s, self.last_quorum_contact(leading))
+        leading.heartbeat_due_s = self._state.now + HEARTBEAT_S
+
+    def last_quorum_contact(self, leading: LeaderState) -> float:
+        """Return when a quorum had been heard of last, this replica included; seconds of the clock."""
+        state = self._state
+        times = {identity: known.last_contact_s for identity, known in leading.progress.followers.items()}
+        return state.agreed_value({**times, state.identity.id: state.now})
+
+    def has_quorum_contact(self, leading: LeaderState) -> bool:
+        """Return whether a quorum answered within the longest election timeout."""
+        state = self._state
+        live = leading.progress.responsive_within(ELECTION_MAX_S, state.now) | {state.identity.id}
+        return state.has_quorum(live)
+
+    def send_missing_entries(self, identity: str, progress: FollowerProgress) -> None:
+        """Send a member what it lacks, if anything."""
+        member = self._state.member(identity)
+        if member is not None and progress.next_index <= self._state.log.last_index:
+            self._send_entries(member, progress)
+
+    def advance_commit(self, leading: LeaderState) -> bool:
+        """Commit what a quorum has on disk; return whether that committed a change of members.
+
+        Leader completeness: entries of earlier terms are never committed by counting replicas, since a later
+        leader may still lack them; they are committed by the first entry of this term after them.
         """
-        known = self.progress.get(reply.sender)
-        if known is None:
-            return None
-        known.last_contact_s = now
-        if reply.accepted:
-            known.record_match(reply.match_index)
-        elif reply.heartbeat_sequence >= known.heartbeat_sequence:
-            known.step_back(reply.match_index)
-        known.heartbeat_sequence = max(known.heartbeat_sequence, reply.heartbeat_sequence)
-        return known
-
-    def next_entries(self, log: Log, known: Progress) -> list[Entry]:
-        """Entries to send a member now: within the bounds, and counted as sent."""
-        if sum(size for _, size in known.in_flight) >= UNCONFIRMED_BYTES:
-            return []
-        chosen: list[Entry] = []
-        total = 0
-        for entry in log.entries_after(known.next_index - 1, ENTRIES_A_MESSAGE):
-            size = wire_bytes(entry)
-            total += size
-            if chosen and total > MESSAGE_BYTES:
-                break
-            chosen.append(entry)
-            known.in_flight.append((entry.index, size))
-        known.next_index += len(chosen)
-        return chosen
-
-    def responsive_within(self, seconds: float, now: float) -> set[str]:
-        """Members that answered lately."""
-        return {identity for identity, known in self.progress.items() if now - known.last_contact_s < seconds}
-
-    def caught_up(self, index: int, among: Collection[str]) -> set[str]:
-        """Members, of those named, that confirmed everything up to an index."""
-        return {identity for identity in among if self.progress[identity].match_index >= index}
-
-    def seconds_since_contact(self, now: float) -> dict[str, float]:
-        """Seconds since each member answered."""
-        return {identity: now - known.last_contact_s for identity, known in self.progress.items()}
+        state = self._state
+        matched = {identity: known.match_index for identity, known in leading.progress.followers.items()}
+        matched[state.identity.id] = state.durability.synced_index
+        agreed = int(state.agreed_value(matched))
+        if agreed <= state.commit_index or state.log.term_at(agreed) != state.term:
+            return False
+        commits_members = state.commit_index < state.log.members_index <= agreed
+        state.commit_to(agreed)
+        self.heartbeat(leading)  # followers commit by it too, and should not wait for the next one
+        return commits_members
+
+    def _send_to_members(self, leading: LeaderState, *, is_heartbeat: bool) -> None:
+        for member in self._state.log.members:
+            known = leading.progress.followers.get(member.id)
+            if known is not None and (is_heartbeat or known.next_index <= self._state.log.last_index):
+                self._send_entries(member, known)
+
+    def _send_entries(self, member: Member, known: FollowerProgress) -> None:
+        state = self._state
+        previous_index = known.next_index - 1
+        previous_term = state.log.term_at(previous_index)
+        if previous_term is None:
+            self._snapshots.send_snapshot(member, known)
+            return
+        entries = known.take_next_entries(state.log)
+        state.send(
+            member,
+            wire.AppendEntries(
+                state.term,
+                state.identity.id,
+                previous_index,
+                previous_term,
+                entries,
+                state.commit_index,
+                state.heartbeat_sequence,
+            ),
+        )
--- a/brambleusher/controlplane/replica.py
+++ b/brambleusher/controlplane/replica.py
@@ -20,7 +20,7 @@
 )
 from brambleusher.controlplane.configuration.state_machine import SharedState
 from brambleusher.controlplane.consensus.outputs import HardState, Outgoing
-from brambleusher.controlplane.consensus.replica_state import Consensus
+from brambleusher.controlplane.consensus.raft import Consensus
 from brambleusher.controlplane.disk_writer import DiskWriter
 from brambleusher.controlplane.forwarding import ForwardedRequest, LeaderForwarding, SendMessage
 from brambleusher.controlplane.outbox import AddressBook, Outbox
@@ -29,7 +29,7 @@
 from brambleusher.runtime.disk import Disk
 from brambleusher.runtime.scheduler import Event, Scheduler, TaskTimeoutError
 from brambleusher.wire import consensus_messages as wire
-from brambleusher.wire.consensus_messages import Entry
+from brambleusher.wire.consensus_messages import Entry, EntryKind
 from brambleusher.wire.settings import Settings
 
 JOIN_INTERVAL_S = 0.5  # between requests to become a member
@@ -81,9 +81,9 @@
             scheduler.now(),
             rng,
             max(VOTERS_MIN, settings.tolerance.machines * 2 + 1),
+            self._zones,
+            settings.zones,
         )
-        self.consensus.zone_by_address = self._zones
-        self.consensus.region_by_zone = settings.zones
         self._addresses = AddressBook()
         self._outbox = Outbox(self._deliver)
         self._proposals = PendingProposals()
@@ -143,7 +143,7 @@
     def status(self) -> dict[str, object]:
         """Return the state as a JSON object."""
         return {
-            **self.consensus.status(),
+            **self.consensus.status().as_json(),
             "revision": self.state.revision,
             "version": self.state.index,
             "evacuated": self.state.evacuated_zones,
@@ -155,7 +155,7 @@
     def begin_graceful_shutdown(self) -> None:
         """Hand over leadership and vote, where others can have them; the process ends soon."""
         if not self.consensus.is_shutting_down:
-            self.consensus.is_shutting_down = True
+            self.consensus.begin_graceful_shutdown()
             self._scheduler.spawn(self._hand_over_vote, name="leave")
 
     def _hand_over_vote(self) -> None:
@@ -298,7 +298,7 @@
     def _apply(self, entry: Entry) -> None:
         verdict = None
         self._applied_index = entry.index
-        if entry.kind == "command":
+        if entry.kind is EntryKind.COMMAND:
             verdict = self.state.apply(entry.index, command_from_json(entry.data))
         self._proposals.applied(entry.index, entry.term, verdict)
 
--- a/brambleusher/wire/consensus_messages.py
+++ b/brambleusher/wire/consensus_messages.py
@@ -1,12 +1,19 @@
-"""Messages between the replicas of a shard, and their form as JSON objects."""
+"""Messages between the replicas of a shard, and their form as JSON objects.
+
+Types and attributes have Raft's names; the keys on the wire are in the table of layouts at the end.
+
+Source: D. Ongaro and J. Ousterhout, "In Search of an Understandable Consensus Algorithm", figures 2 and 13.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import dataclass
+from enum import Enum
 from typing import Any
 
 from brambleusher.wire.errors import InvalidMessageError
+from brambleusher.wire.json_fields import JsonObject
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,8 +26,8 @@
     zone: str
     is_voter: bool
 
-    def as_json(self) -> dict[str, Any]:
-        """The form for the wire and the disk."""
+    def as_json(self) -> dict[str, object]:
+        """Return the form for the wire and the disk."""
         return {
             "id": self.id,
             "address": self.address,
@@ -30,46 +37,78 @@
         }
 
     @classmethod
-    def from_json(cls, data: Any) -> Member:
-        """A member from its JSON form; raises `InvalidMessageError`."""
+    def from_json(cls, data: object) -> Member:
+        """Return a member from its JSON form.
+
+        Raises:
+            InvalidMessageError: It is no object, or lacks a key.
+        """
+        if not isinstance(data, dict):
+            raise InvalidMessageError("a member lacks a key")
         try:
             return cls(data["id"], data["address"], data["control"], data["zone"], bool(data["voter"]))
-        except (KeyError, TypeError) as error:
+        except KeyError as error:
             raise InvalidMessageError("a member lacks a key") from error
 
 
+class EntryKind(Enum):
+    """What an entry of the log is for; the values are on the wire and the disk."""
+
+    NONE = "none"  # begins a leader's term
+    COMMAND = "command"
+    MEMBERS = "members"
+
+
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One place in the log; `kind` is `none`, `command` or `members`."""
+    """One entry of the log; `data` is a command, a list of members or None, as its kind says."""
 
     index: int
     term: int
-    kind: str
-    data: Any
+    kind: EntryKind
+    data: object
+
+    def members(self) -> tuple[Member, ...]:
+        """Return the members that an entry of the kind `MEMBERS` brings.
 
-    def as_json(self) -> list[Any]:
-        """The form for the wire and the disk."""
-        return [self.index, self.term, self.kind, self.data]
+        Raises:
+            InvalidMessageError: The data is no list of members.
+        """
+        if not isinstance(self.data, list):
+            raise InvalidMessageError(f"the members of entry {self.index} are no list")
+        return tuple(Member.from_json(part) for part in self.data)
+
+    def as_json(self) -> list[object]:
+        """Return the form for the wire and the disk."""
+        return [self.index, self.term, self.kind.value, self.data]
 
     @classmethod
-    def from_json(cls, data: Any) -> Entry:
-        """An entry from its JSON form; raises `InvalidMessageError`."""
-        try:
-            index, term, kind, content = data
-        except (TypeError, ValueError) as error:
-            raise InvalidMessageError("an entry is no list of four") from error
-        if (
-            not isinstance(index, int)
-            or not isinstance(term, int)
-            or kind not in ("none", "command", "members")
-        ):
+    def from_json(cls, data: object) -> Entry:
+        """Return an entry from its JSON form.
+
+        Raises:
+            InvalidMessageError: It is no list of an index, a term, a kind and data.
+        """
+        if not isinstance(data, list) or len(data) != ENTRY_PARTS:
+            raise InvalidMessageError("an entry is no list of four")
+        index, term, kind, content = data
+        if not isinstance(index, int) or not isinstance(term, int):
             raise InvalidMessageError("an entry has parts of the wrong kind")
-        return cls(index, term, kind, content)
+        try:
+            return cls(index, term, EntryKind(kind), content)
+        except ValueError as error:
+            raise InvalidMessageError("an entry has parts of the wrong kind") from error
+
+
+ENTRY_PARTS = 4  # index, term, kind, data
 
 
 @dataclass(frozen=True, slots=True)
 class VoteRequest:
-    """A candidate asks for a vote; a pre-vote changes nothing and only asks whether one would be given."""
+    """RequestVote: a candidate asks for a vote.
+
+    A pre-vote changes nothing and only asks whether a vote would be granted.
+    """
 
     term: int
     sender: str
@@ -81,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VoteReply:
-    """The answer to a request for a vote in `requested_term`."""
+    """The reply to a request for a vote in `requested_term`."""
 
     term: int
     sender: str
@@ -108,7 +147,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendEntriesReply:
-    """How far the log agrees and is synced; on a refusal `match_index` is a hint where to try next."""
+    """How far the log matches and is synced; on a rejection `match_index` is a hint where to try next."""
 
     term: int
     sender: str
@@ -126,13 +165,13 @@
     index: int
     index_term: int
     members: list[Member]
-    state: Any
+    state: object
     heartbeat_sequence: int
 
 
 @dataclass(frozen=True, slots=True)
 class TransferLeadership:
-    """The leader asks its successor to stand for election at once."""
+    """TimeoutNow: the leader asks its successor to start an election at once."""
 
     term: int
     sender: str
@@ -148,21 +187,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaveRequest:
-    """A member that is about to end asks for another to get its vote."""
+    """A member that is shutting down asks for another to get its vote."""
 
     sender: str
 
 
-Message = (
-    VoteRequest
-    | VoteReply
-    | AppendEntries
-    | AppendEntriesReply
-    | InstallSnapshot
-    | TransferLeadership
-    | JoinRequest
-    | LeaveRequest
-)
+LeaderMessage = AppendEntries | InstallSnapshot | TransferLeadership
+TermMessage = VoteReply | AppendEntriesReply | LeaderMessage
+Message = VoteRequest | TermMessage | JoinRequest | LeaveRequest
 
 
 @dataclass(frozen=True, slots=True)
@@ -175,11 +207,11 @@
     key: str
     attribute: str
     json_type: type | None
-    encode: Callable[[Any], Any] | None = None
-    decode: Callable[[Any], Any] | None = None
+    encode: Callable[[Any], object] | None = None
+    decode: Callable[[Any], object] | None = None
 
-    def read(self, kind: str, data: dict[str, Any]) -> Any:
-        """The attribute's value from a message's object; raises `InvalidMessageError`."""
+    def read(self, kind: str, data: JsonObject) -> object:
+        """Return the attribute's value from a message's object; raise `InvalidMessageError`."""
         if self.key not in data:
             raise InvalidMessageError(f"{kind} lacks {self.key}")
         value = data[self.key]
@@ -188,9 +220,9 @@
             raise InvalidMessageError(f"{self.key} of {kind} is no {self.json_type.__name__}")
         return value if self.decode is None else self.decode(value)
 
-    def write(self, message: Message) -> Any:
-        """The value on the wire."""
-        value = getattr(message, self.attribute)
+    def write(self, message: Message) -> object:
+        """Return the value on the wire."""
+        value: object = getattr(message, self.attribute)
         return value if self.encode is None else self.encode(value)
 
 
@@ -215,7 +247,7 @@
     return _Key(key, attribute, bool)
 
 
-def _list(key: str, attribute: str, decode_part: Callable[[Any], Any]) -> _Key:
+def _list(key: str, attribute: str, decode_part: Callable[[object], object]) -> _Key:
     return _Key(
         key,
         attribute,
@@ -302,14 +334,18 @@
 _LAYOUT_BY_TYPE = {layout.message_type: layout for layout in _LAYOUTS}
 
 
-def encode_message(message: Message) -> dict[str, Any]:
-    """A message as an object with its kind."""
+def encode_message(message: Message) -> dict[str, object]:
+    """Return a message as an object with its kind."""
     layout = _LAYOUT_BY_TYPE[type(message)]
     return {"kind": layout.kind, **{key.key: key.write(message) for key in layout.keys}}
 
 
-def decode_message(data: dict[str, Any]) -> Message:
-    """The message that an object holds; raises `InvalidMessageError`."""
+def decode_message(data: JsonObject) -> Message:
+    """Return the message that an object has.
+
+    Raises:
+        InvalidMessageError: The kind is unknown, or a key is missing or of the wrong type.
+    """
     layout = _LAYOUT_BY_KIND.get(str(data.get("kind")))
     if layout is None:
         raise InvalidMessageError(f"kind {data.get('kind')!r} is unknown")
--- a/tests/system/cluster.py
+++ b/tests/system/cluster.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from brambleusher.controlplane.consensus.outputs import HardState, Outgoing, Restore, Truncate
-from brambleusher.controlplane.consensus.replica_state import Consensus
+from brambleusher.controlplane.consensus.raft import Consensus
 from brambleusher.controlplane.consensus.replicated_log import Log
 from brambleusher.wire import consensus_messages as wire
 from brambleusher.wire.consensus_messages import Entry, Member
@@ -25,6 +25,12 @@
     return Member(name, f"at-{name}", f"control-{name}", "z", voter)
 
 
+def machine_state(snapshot: Restore) -> dict[int, Any]:
+    """The applied entries by index, as a snapshot has them."""
+    assert isinstance(snapshot.state, dict)
+    return dict(snapshot.state)
+
+
 class Broken(AssertionError):
     """The checker found that a promise was broken."""
 
@@ -110,7 +116,7 @@
                 log.truncate(record.first)
             elif isinstance(record, Restore):
                 log = Log(record.index, record.term, record.members)
-                state = dict(record.state)
+                state = machine_state(record)
             else:
                 log.append(record)
         own = member(identity or name, voter=False)
@@ -219,7 +225,7 @@
         output = node.consensus.take_output()
         node.records += output.records
         for restore in output.restored:
-            node.state, node.applied = dict(restore.state), restore.index
+            node.state, node.applied = machine_state(restore), restore.index
         for entry in output.committed:
             self._apply(node, entry)
         for outgoing in output.messages:
@@ -235,7 +241,7 @@
         return outgoing.after_record > node.synced + node.base
 
     def _apply(self, node: Node, entry: Entry) -> None:
-        content = (entry.term, entry.kind, entry.data)
+        content = (entry.term, entry.kind.value, entry.data)
         if entry.index != node.applied + 1:
             raise Broken(f"entry {entry.index} is applied after {node.applied}")
         node.state[entry.index], node.applied = content, entry.index
--- a/tests/system/exploration.py
+++ b/tests/system/exploration.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from brambleusher.controlplane.consensus.replica_state import Consensus
+from brambleusher.controlplane.consensus.raft import Consensus
 from brambleusher.wire import consensus_messages as wire
 from tests.system.cluster import Broken, Cluster, Node
 
@@ -97,9 +97,9 @@
     def shorten(self) -> None:
         """The leader keeps no entries that others still lack: they need a snapshot."""
         leader = self.cluster.leader()
-        if leader is not None:
+        if leader is not None and leader.consensus.state.leader_state is not None:
             self.cluster.compact(leader)
-            for known in leader.consensus._replication.progress.values():
+            for known in leader.consensus.state.leader_state.progress.followers.values():
                 known.snapshot_sent_s = -10.0
 
     def recovered(self) -> bool:
@@ -153,7 +153,7 @@
             node = cluster.nodes[name]
             if cluster.steps < begin:
                 continue
-            node.consensus.is_shutting_down = True
+            node.consensus.begin_graceful_shutdown()
             if node.up and cluster.steps % 5 == 0:
                 self._ask_to_leave(node)
             without_vote = not node.consensus.has_vote() and bool(node.consensus.log.members)
@@ -181,7 +181,7 @@
         for node in list(cluster.nodes.values()):
             node.slow_disk = False
             node.frozen_until = 0
-            node.consensus.is_shutting_down = False
+            node.consensus.state.is_shutting_down = False
             if not node.up:
                 cluster.restart(node.name)
         cluster.check()
--- a/tests/system/test_consensus.py
+++ b/tests/system/test_consensus.py
@@ -2,19 +2,27 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Collection, Sequence
 from dataclasses import replace as replace_in
 from typing import Any
 
 import pytest
 
-from brambleusher.controlplane.consensus.membership_change import MEMBERS_MAX, Group, next_members
-from brambleusher.controlplane.consensus.outputs import HardState, Outgoing, Role
-from brambleusher.controlplane.consensus.replica_state import UNSYNCED_MAX, Consensus
+from brambleusher.controlplane.consensus.election import Election
+from brambleusher.controlplane.consensus.follower import Follower
+from brambleusher.controlplane.consensus.leader_state import LeaderState
+from brambleusher.controlplane.consensus.membership_plan import MEMBERS_MAX, Group, next_members
+from brambleusher.controlplane.consensus.outputs import HardState, Outgoing, Record, Role
+from brambleusher.controlplane.consensus.raft import Consensus
+from brambleusher.controlplane.consensus.replica_state import ReplicaState
+from brambleusher.controlplane.consensus.replication import Replication
+from brambleusher.controlplane.consensus.timing import UNSYNCED_MAX
 from brambleusher.wire import consensus_messages as wire
+from brambleusher.wire.consensus_messages import EntryKind
 from brambleusher.wire.errors import InvalidMessageError
 from tests.system.cluster import Broken, Cluster, member
 from tests.system.exploration import MUTATIONS, explore
+from tests.system.faulty_parts import installed
 
 
 def change(cluster: Cluster) -> None:
@@ -108,87 +116,74 @@
 # --- faults put into the program on purpose: each has to be found --------------------------------
 
 
-class VotesTwice(Consensus):
-    def _vote_asked(self, request: wire.VoteRequest) -> None:
+class VotesTwice(Election):
+    def handle_vote_request(self, request: wire.VoteRequest) -> None:
         if not request.is_pre_vote:
-            self.vote = ""
-        super()._vote_asked(request)
+            self._state.vote = ""
+        super().handle_vote_request(request)
 
 
-class ForgetsVotes(Consensus):
-    def _record(self, record: Any) -> int:
+class ForgetsVotes(ReplicaState):
+    def record(self, record: Record) -> int:
         if isinstance(record, HardState):
-            return self._durability.last_record
-        return super()._record(record)
+            return self.durability.last_record
+        return super().record(record)
 
 
-class AnswersBeforeSync(Consensus):
-    def _send(self, to: wire.Member, message: wire.Message, after: int = 0) -> None:
-        super()._send(to, message, 0)
+class AnswersBeforeSync(ReplicaState):
+    def send(self, recipient: wire.Member, message: wire.Message, after_record: int = 0) -> None:
+        super().send(recipient, message, 0)
 
 
-class CountsItselfUnsynced(Consensus):
-    def _append_entry(self, entry: wire.Entry) -> None:
-        super()._append_entry(entry)
-        self._durability.synced_index = self.log.last_index
+class CountsItselfUnsynced(ReplicaState):
+    def append_entry(self, entry: wire.Entry) -> None:
+        super().append_entry(entry)
+        self.durability.synced_index = self.log.last_index
 
 
-class VotesForTheShorter(Consensus):
-    def _vote_asked(self, request: wire.VoteRequest) -> None:
-        longest = wire.VoteRequest(
-            request.term, request.sender, 10**9, 10**9, request.is_pre_vote, request.is_transfer
-        )
-        super()._vote_asked(longest)
+class VotesForTheShorter(Election):
+    def handle_vote_request(self, request: wire.VoteRequest) -> None:
+        super().handle_vote_request(replace_in(request, last_index=10**9, last_term=10**9))
 
 
-class KeepsConflicts(Consensus):
-    def _take_entries(self, entries: list[wire.Entry]) -> None:
-        super()._take_entries([entry for entry in entries if self.log.term_at(entry.index) is None])
+class KeepsConflicts(Follower):
+    def _append(self, entries: Sequence[wire.Entry]) -> None:
+        super()._append([entry for entry in entries if self._state.log.term_at(entry.index) is None])
 
 
-class CommitsAlone(Consensus):
-    def _quorum(self, agreeing: set[str]) -> bool:
+class CommitsAlone(ReplicaState):
+    def has_quorum(self, agreeing: Collection[str]) -> bool:
         return len(agreeing) >= 1
 
 
-class CommitsOldTerms(Consensus):
-    def _commit_to(self, index: int) -> None:
-        super()._commit_to(self.log.last_index)
+class CommitsOldTerms(ReplicaState):
+    def commit_to(self, index: int) -> None:
+        super().commit_to(self.log.last_index)
 
 
 class FollowsOldLeaders(Consensus):
     def handle_message(self, message: wire.Message, now: float) -> None:
         if isinstance(message, wire.AppendEntries) and message.term < self.term:
-            message = wire.AppendEntries(
-                self.term,
-                message.sender,
-                message.previous_index,
-                message.previous_term,
-                message.entries,
-                message.leader_commit,
-                message.heartbeat_sequence,
-            )
+            message = replace_in(message, term=self.term)
         super().handle_message(message, now)
 
 
-class AgreesWithAnything(Consensus):
-    def _append(self, message: wire.AppendEntries) -> None:
-        known = self.log.term_at(message.previous_index)
+class AgreesWithAnything(Follower):
+    def handle_append_entries(self, message: wire.AppendEntries) -> None:
+        known = self._state.log.term_at(message.previous_index)
         if known is not None and known != message.previous_term:
-            message = wire.AppendEntries(
-                message.term, message.sender, message.previous_index, known, message.entries,
-                message.leader_commit, message.heartbeat_sequence,
-            )  # fmt: skip
-        super()._append(message)
+            message = replace_in(message, previous_term=known)
+        super().handle_append_entries(message)
 
 
-class SkipsTheLastMatch(Consensus):
-    def _advance_commit(self) -> None:
-        if self.is_leader:
-            progress = self._replication.progress.values()
-            matched = max([self._durability.synced_index, *(known.match_index for known in progress)])
-            if matched > self.commit_index and self.log.term_at(matched) == self.term:
-                self._commit_to(matched)
+class SkipsTheLastMatch(Replication):
+    def advance_commit(self, leading: LeaderState) -> bool:
+        state = self._state
+        followers = leading.progress.followers.values()
+        matched = max([state.durability.synced_index, *(known.match_index for known in followers)])
+        if matched > state.commit_index and state.log.term_at(matched) == state.term:
+            state.commit_to(matched)
+        return False
 
 
 FAULTS = [
@@ -206,10 +201,11 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: fault.__name__)
-def test_a_fault_put_in_on_purpose_is_found(fault: type[Consensus]) -> None:
+def test_a_fault_put_in_on_purpose_is_found(fault: type) -> None:
     for seed in range(150):
         try:
-            explore(fault, seed)
+            with installed(fault):
+                explore(Consensus, seed)
         except (Broken, AssertionError, KeyError, IndexError):
             return
     pytest.fail("no day of faults found it")
@@ -226,7 +222,7 @@
     assert old is not None
     late = wire.AppendEntries(
         old.consensus.term, old.name, old.consensus.log.last_index, old.consensus.log.last_term,
-        [wire.Entry(old.consensus.log.last_index + 1, old.consensus.term, "command", "late")],
+        [wire.Entry(old.consensus.log.last_index + 1, old.consensus.term, EntryKind.COMMAND, "late")],
         old.consensus.commit_index, 1,
     )  # fmt: skip
     cluster.crash(old.name)
@@ -291,7 +287,7 @@
     for _ in range(100):
         cluster.step()
     assert answers == [False]
-    assert leader.consensus.role is not Role.LEADER
+    assert leader.consensus.state.role is not Role.LEADER
     assert not leader.consensus.has_quorum_contact(cluster.now)
 
 
@@ -454,7 +450,7 @@
 
 
 def test_messages_survive_the_wire_and_faults_in_them_are_told() -> None:
-    message = wire.AppendEntries(3, "a", 1, 1, [wire.Entry(2, 3, "command", {"op": "x"})], 1, 9)
+    message = wire.AppendEntries(3, "a", 1, 1, [wire.Entry(2, 3, EntryKind.COMMAND, {"op": "x"})], 1, 9)
     data = wire.encode_message(message)
     assert wire.decode_message(data) == message
     for key in list(data):
--- a/tests/system/test_consensus_losses.py
+++ b/tests/system/test_consensus_losses.py
@@ -11,22 +11,25 @@
 
 import pytest
 
+from brambleusher.controlplane.consensus.election import Election
 from brambleusher.controlplane.consensus.membership_requests import JOIN_PROOF_S, MembershipRequests
-from brambleusher.controlplane.consensus.outputs import HardState, Record
-from brambleusher.controlplane.consensus.quorum import agreed_value, has_quorum, votes_needed
-from brambleusher.controlplane.consensus.replica_state import Consensus
-from brambleusher.controlplane.consensus.replicated_log import Log
-from brambleusher.controlplane.consensus.replication import (
+from brambleusher.controlplane.consensus.outputs import HardState, Record, Restore
+from brambleusher.controlplane.consensus.progress import (
     MESSAGE_BYTES,
     UNCONFIRMED_BYTES,
-    Progress,
-    Replication,
+    FollowerProgress,
+    ReplicationProgress,
     wire_bytes,
 )
+from brambleusher.controlplane.consensus.quorum import agreed_value, has_quorum, votes_needed
+from brambleusher.controlplane.consensus.raft import Consensus
+from brambleusher.controlplane.consensus.replicated_log import Log
+from brambleusher.controlplane.consensus.snapshots import Snapshots
 from brambleusher.wire import consensus_messages as wire
-from brambleusher.wire.consensus_messages import Entry, Member
+from brambleusher.wire.consensus_messages import Entry, EntryKind, Member
 from tests.system.cluster import Broken, Cluster, member
 from tests.system.exploration import explore
+from tests.system.faulty_parts import installed
 
 FOUNDERS = tuple(member(name) for name in "abc")
 
@@ -38,33 +41,36 @@
         explore(Consensus, seed, names, losses=True)
 
 
-class SnapshotIsIgnored(Consensus):
-    def _install(self, message: wire.InstallSnapshot) -> None:
-        self._heard_leader(message.sender)
-        self._reply_append(True, min(message.index, self.log.last_index), message.heartbeat_sequence)
+class SnapshotIsIgnored(Snapshots):
+    def handle_install_snapshot(self, message: wire.InstallSnapshot) -> None:
+        state = self._state
+        state.record_leader_contact(message.sender)
+        state.reply_to_leader(True, min(message.index, state.log.last_index), message.heartbeat_sequence)
 
 
 def test_days_with_losses_find_that_a_snapshot_is_ignored() -> None:
-    with pytest.raises(Broken):
+    with installed(SnapshotIsIgnored), pytest.raises(Broken):
         for seed in range(20):
-            explore(SnapshotIsIgnored, seed, losses=True)
+            explore(Consensus, seed, losses=True)
 
 
 # --- snapshots that come late --------------------------------------------------------------------
 
 
-class SnapshotReplacesEverything(Consensus):
+class SnapshotReplacesEverything(Snapshots):
     """As it was: a snapshot drops what follows it, confirmed or not."""
 
-    def _install(self, message: wire.InstallSnapshot) -> None:
-        self._heard_leader(message.sender)
-        if message.index > self.commit_index:
-            self._restore(message)
-        self._reply_append(True, min(message.index, self.log.last_index), message.heartbeat_sequence)
+    def handle_install_snapshot(self, message: wire.InstallSnapshot) -> None:
+        state = self._state
+        state.record_leader_contact(message.sender)
+        if message.index > state.commit_index:
+            members = tuple(message.members)
+            state.restore(Restore(message.index, message.index_term, members, message.state))
+        state.reply_to_leader(True, min(message.index, state.log.last_index), message.heartbeat_sequence)
 
 
 def entries(first: int, last: int, term: int = 1) -> list[Entry]:
-    return [Entry(index, term, "command", index) for index in range(first, last + 1)]
+    return [Entry(index, term, EntryKind.COMMAND, index) for index in range(first, last + 1)]
 
 
 def follower_with_a_late_snapshot(make: type[Consensus]) -> tuple[Consensus, list[wire.Message], list[Entry]]:
@@ -89,7 +95,8 @@
 
 def test_with_the_whole_log_replaced_what_was_confirmed_is_gone() -> None:
     log = Log(0, 0, FOUNDERS)
-    follower = SnapshotReplacesEverything(member("b", voter=False), log, 1, "", 0.0, random.Random(1))
+    with installed(SnapshotReplacesEverything):
+        follower = Consensus(member("b", voter=False), log, 1, "", 0.0, random.Random(1))
     follower.handle_message(wire.AppendEntries(1, "a", 0, 0, entries(1, 22), 14, 7), 0.1)
     follower.handle_message(wire.InstallSnapshot(1, "a", 15, 1, list(FOUNDERS), {}, 5), 0.2)
     assert follower.log.last_index == 15
@@ -110,7 +117,7 @@
     asked = wire.InstallSnapshot(leader.consensus.term, leader.name, 0, 0, [], None, 0)
     snapshot = leader.consensus.fill_snapshot(asked, leader.applied, state)
     leader.slow_disk = True
-    late.consensus.commit_index -= 1  # it has not heard of the last commit yet
+    late.consensus.state.commit_index -= 1  # it has not heard of the last commit yet
     late.applied -= 1
     del late.state[late.applied + 1]
     cluster.mutate = lambda number, sender, to, message: "drop" if to == other.name else "deliver"
@@ -133,7 +140,9 @@
 
 
 def test_a_refusal_sets_back_what_is_sent_and_an_old_one_does_not() -> None:
-    replication = Replication({"b": Progress(next_index=23, match_index=22, heartbeat_sequence=9)})
+    replication = ReplicationProgress(
+        {"b": FollowerProgress(next_index=23, match_index=22, heartbeat_sequence=9)}
+    )
     known = replication.record_reply(wire.AppendEntriesReply(1, "b", False, 15, 8), 1.0)
     assert known is not None
     assert known.next_index == 23
@@ -193,13 +202,15 @@
     log = Log(0, 0, FOUNDERS)
     replica = Consensus(member("a", voter=False), log, 1, "", 0.0, random.Random(1))
     four = [each.as_json() for each in (*FOUNDERS, member("d"))]
-    replica.handle_message(wire.AppendEntries(1, "c", 0, 0, [Entry(1, 1, "members", four)], 0, 1), 0.0)
+    replica.handle_message(
+        wire.AppendEntries(1, "c", 0, 0, [Entry(1, 1, EntryKind.MEMBERS, four)], 0, 1), 0.0
+    )
     empty = replace(member("b2", voter=False), address="at-b")
     for at in (0.1, 0.4, 0.7):
         replica.handle_message(wire.JoinRequest("b2", empty), at)
-    assert replica._lost() == set()
+    assert replica.state.lost_disks() == set()
     replica.handle_message(wire.AppendEntries(1, "c", 1, 1, [], 1, 2), 0.8)
-    assert replica._lost() == {"b"}
+    assert replica.state.lost_disks() == {"b"}
 
 
 # --- requests to join ----------------------------------------------------------------------------
@@ -246,31 +257,32 @@
 # --- votes of replicas that do not know of them --------------------------------------------------
 
 
-class OnlyMembersVote(Consensus):
+class OnlyMembersVote(Election):
     """As it was: a replica that does not know yet of its own vote denies it."""
 
-    def _vote_asked(self, request: wire.VoteRequest) -> None:
-        if self._is_voter() or request.is_pre_vote:
-            super()._vote_asked(request)
+    def handle_vote_request(self, request: wire.VoteRequest) -> None:
+        if self._state.is_voter or request.is_pre_vote:
+            super().handle_vote_request(request)
 
 
-class WithoutAVoteNobodyStands(Consensus):
+class OnlyVotersStartElections(Election):
     """As it was: what only a replica without a vote holds keeps the others from leading."""
 
-    def _stand(self, pre: bool, transfer: bool = False) -> None:
-        if self._is_voter():
-            super()._stand(pre, transfer)
+    def start_election(self, *, is_pre_vote: bool, is_transfer: bool = False) -> bool:
+        if not self._state.is_voter:
+            return False
+        return super().start_election(is_pre_vote=is_pre_vote, is_transfer=is_transfer)
 
 
 def members_entry(index: int, term: int, *members: Member) -> Entry:
-    return Entry(index, term, "members", [each.as_json() for each in members])
+    return Entry(index, term, EntryKind.MEMBERS, [each.as_json() for each in members])
 
 
 def group_without_its_leader(make: type[Consensus], ends: dict[str, list[Entry]]) -> Cluster:
     """Of the voters a, b and c the first is gone; d is a learner; each holds two entries and its own end."""
     cluster = Cluster("abc", seed=4)
     cluster.make = make
-    common = [Entry(1, 1, "none", None), members_entry(2, 1, *FOUNDERS, member("d", voter=False))]
+    common = [Entry(1, 1, EntryKind.NONE, None), members_entry(2, 1, *FOUNDERS, member("d", voter=False))]
     for name in "bcd":
         records: list[Record] = [HardState(3, ""), *common, *ends[name]]
         cluster.start(name, records)
@@ -282,37 +294,41 @@
     four = members_entry(3, 2, *FOUNDERS, member("d"))
     ends: dict[str, list[Entry]] = {"b": [four], "c": [], "d": []}
     assert group_without_its_leader(Consensus, ends).commit("after")
-    assert not group_without_its_leader(OnlyMembersVote, ends).commit("after")
+    with installed(OnlyMembersVote):
+        assert not group_without_its_leader(Consensus, ends).commit("after")
 
 
 def test_a_replica_without_a_vote_leads_where_the_others_lack_what_it_holds() -> None:
     """b wants the vote of d, which denies it, since it holds the entries of a later leader."""
     four = members_entry(3, 2, *FOUNDERS, member("d"))
-    later = [Entry(3, 3, "none", None), Entry(4, 3, "command", "of the later leader")]
+    later = [Entry(3, 3, EntryKind.NONE, None), Entry(4, 3, EntryKind.COMMAND, "of the later leader")]
     ends: dict[str, list[Entry]] = {"b": [four], "c": [], "d": later}
     cluster = group_without_its_leader(Consensus, ends)
     assert cluster.commit("after")
-    assert cluster.run(lambda: (leader := cluster.leader()) is not None and leader.consensus._is_voter())
-    assert not group_without_its_leader(WithoutAVoteNobodyStands, ends).commit("after")
+    assert cluster.run(lambda: (leader := cluster.leader()) is not None and leader.consensus.state.is_voter)
+    with installed(OnlyVotersStartElections):
+        assert not group_without_its_leader(Consensus, ends).commit("after")
 
 
-class CountsItsVoteUnsynced(Consensus):
+class CountsItsVoteUnsynced(Election):
     """As it was: a candidate counts its own vote before its disk has it."""
 
-    def _stand(self, pre: bool, transfer: bool = False) -> None:
-        super()._stand(pre, transfer)
-        self._votes.add(self.identity.id)
-        self._count_votes()
+    def start_election(self, *, is_pre_vote: bool, is_transfer: bool = False) -> bool:
+        has_won = super().start_election(is_pre_vote=is_pre_vote, is_transfer=is_transfer)
+        self._votes.add(self._state.identity.id)
+        return self._count_votes() or has_won
 
 
-@pytest.mark.parametrize("make", [Consensus, CountsItsVoteUnsynced])
-def test_where_one_vote_is_enough_it_counts_once_it_is_synced(make: type[Consensus]) -> None:
+@pytest.mark.parametrize("election", [Election, CountsItsVoteUnsynced])
+def test_where_one_vote_is_enough_it_counts_once_it_is_synced(election: type[Election]) -> None:
     """Else a loss of power lets it lead the same term again, and write other entries at the same place."""
-    alone = make(member("a", voter=False), Log(0, 0, (member("a"),)), 1, "", 0.0, random.Random(1))
+    log = Log(0, 0, (member("a"),))
+    with installed(election):
+        alone = Consensus(member("a", voter=False), log, 1, "", 0.0, random.Random(1))
     alone.tick(2.0)
     records = alone.take_output().records
     assert records[0] == HardState(2, "a")
-    assert alone.is_leader is (make is CountsItsVoteUnsynced)
+    assert alone.is_leader is (election is CountsItsVoteUnsynced)
     alone.handle_records_synced(len(records))
     assert alone.is_leader
 
@@ -341,7 +357,7 @@
     leader = cluster.leader()
     assert leader is not None
     leaving = next(name for name in "abc" if name != leader.name)
-    cluster.nodes[leaving].consensus.is_shutting_down = True
+    cluster.nodes[leaving].consensus.begin_graceful_shutdown()
     assert cluster.nodes[leaving].consensus.has_vote()
     cluster.post(leaving, leader.name, wire.LeaveRequest(leaving))
     assert cluster.run(lambda: not cluster.nodes[leaving].consensus.has_vote(), steps=8)
@@ -362,7 +378,7 @@
     one, behind = (name for name in "abc" if name != first.name)
     cluster.cut = {frozenset((behind, name)) for name in "abcd"} | {frozenset(("d", name)) for name in "abc"}
     assert cluster.commit("on two of three")
-    first.consensus.is_shutting_down = True
+    first.consensus.begin_graceful_shutdown()
     cluster.wipe(one, "again")
     cluster.cut = set()
     assert cluster.commit("after")
@@ -376,37 +392,37 @@
     """64 configurations of 35 kB ahead of a heartbeat would hold a small link for seconds."""
     log = Log(0, 0, FOUNDERS)
     for index in range(1, 65):
-        log.append(Entry(index, 1, "command", {"packed": "x" * 35_000}))
-    replication = Replication({"b": Progress(next_index=1)})
-    known = replication.progress["b"]
+        log.append(Entry(index, 1, EntryKind.COMMAND, {"packed": "x" * 35_000}))
+    replication = ReplicationProgress({"b": FollowerProgress(next_index=1)})
+    known = replication.followers["b"]
     sent = 0
     for _ in range(64):
-        chosen = replication.next_entries(log, known)
+        chosen = known.take_next_entries(log)
         size = sum(wire_bytes(entry) for entry in chosen)
         assert size <= MESSAGE_BYTES
         sent += size
     assert UNCONFIRMED_BYTES <= sent <= UNCONFIRMED_BYTES + MESSAGE_BYTES
     replication.record_reply(wire.AppendEntriesReply(1, "b", True, known.next_index - 1, 1), 1.0)
-    assert replication.next_entries(log, known)
+    assert known.take_next_entries(log)
 
 
 def test_what_a_member_may_have_got_from_others_does_not_count_as_sent() -> None:
     """A new leader knows nothing confirmed yet; its first entry must not wait for an answer."""
     log = Log(0, 0, FOUNDERS)
     for index in range(1, 66):
-        log.append(Entry(index, 1, "command", {"packed": "x" * 35_000}))
-    replication = Replication({"b": Progress(next_index=65)})
-    known = replication.progress["b"]
-    assert [entry.index for entry in replication.next_entries(log, known)] == [65]
+        log.append(Entry(index, 1, EntryKind.COMMAND, {"packed": "x" * 35_000}))
+    replication = ReplicationProgress({"b": FollowerProgress(next_index=65)})
+    known = replication.followers["b"]
+    assert [entry.index for entry in known.take_next_entries(log)] == [65]
     replication.record_reply(wire.AppendEntriesReply(1, "b", False, 40, 1), 1.0)
-    assert replication.next_entries(log, known)[0].index == 41
+    assert known.take_next_entries(log)[0].index == 41
 
 
 def test_an_entry_over_the_bound_goes_alone() -> None:
     log = Log(0, 0, FOUNDERS)
     for index in (1, 2):
-        log.append(Entry(index, 1, "command", {"packed": "x" * (MESSAGE_BYTES * 3)}))
-    replication = Replication({"b": Progress(next_index=1)})
-    known = replication.progress["b"]
-    assert [entry.index for entry in replication.next_entries(log, known)] == [1]
-    assert replication.next_entries(log, known) == []
+        log.append(Entry(index, 1, EntryKind.COMMAND, {"packed": "x" * (MESSAGE_BYTES * 3)}))
+    replication = ReplicationProgress({"b": FollowerProgress(next_index=1)})
+    known = replication.followers["b"]
+    assert [entry.index for entry in known.take_next_entries(log)] == [1]
+    assert known.take_next_entries(log) == []
--- a/tests/system/test_storage.py
+++ b/tests/system/test_storage.py
@@ -9,14 +9,14 @@
 from brambleusher.controlplane.consensus.outputs import HardState, Record, Restore, Truncate
 from brambleusher.controlplane.storage.errors import CorruptStorageError
 from brambleusher.controlplane.storage.storage import Storage, inspect, read_only
-from brambleusher.wire.consensus_messages import Entry, Member
+from brambleusher.wire.consensus_messages import Entry, EntryKind, Member
 from tests.system.memory_disk import MemoryDisk, PowerLost
 
 MEMBERS = tuple(Member(name, f"10.0.0.{at}:1", f"10.0.0.{at}:2", "z", True) for at, name in enumerate("abc"))
 
 
 def entry(index: int, term: int = 1) -> Entry:
-    return Entry(index, term, "command", {"op": "evacuate", "zone": f"z{index}", "evacuated": True})
+    return Entry(index, term, EntryKind.COMMAND, {"op": "evacuate", "zone": f"z{index}", "evacuated": True})
 
 
 def begun(disk: MemoryDisk) -> Storage:
--- a/tests/system/test_votes_over_regions.py
+++ b/tests/system/test_votes_over_regions.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from brambleusher.controlplane.consensus.membership_change import Group, next_members
+from brambleusher.controlplane.consensus.membership_plan import Group, next_members
 from brambleusher.wire.consensus_messages import Member
 
 MOVES_MAX = 40
--- a/tests/test_recorded_data_folder.py
+++ b/tests/test_recorded_data_folder.py
@@ -67,7 +67,7 @@
     if data["t"] == "restore":
         return Restore(data["index"], data["term"], members_of(data["members"]), data["state"])
     assert data["t"] == "entry"
-    return Entry(*data["entry"])
+    return Entry.from_json(data["entry"])
 
 
 def test_every_kind_of_record_is_among_them() -> None:
@@ -108,7 +108,7 @@
     state = SharedState.from_json(found.state)
     if expected["state"] is not None:
         assert orjson.dumps(state.as_json()) == orjson.dumps(expected["state"])
-    commands = [(entry.index, entry.data) for entry in found.log.entries if entry.kind == "command"]
+    commands = [(entry.index, entry.data) for entry in found.log.entries if entry.kind.value == "command"]
     verdicts = [state.apply(index, command_from_json(data)).value for index, data in commands]
     assert verdicts == expected["verdicts"]
     assert orjson.dumps(state.as_json()) == orjson.dumps(expected["state_after_all"])
@@ -117,7 +117,8 @@
 @pytest.mark.parametrize("name", NAMES)
 def test_commands_are_written_as_they_were_read(name: str) -> None:
     for entry in Storage(disk_of(files_of(name))).recover().log.entries:
-        if entry.kind == "command":
+        if entry.kind.value == "command":
+            assert isinstance(entry.data, dict)
             # A version before wrote no `seen`; since then it is written, if only as null.
             seen = {"seen": None} if entry.data["op"] == "evacuate" else {}
             expected = {**entry.data, **{key: entry.data.get(key) for key in seen}}
