--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -47,7 +47,7 @@
 )
 from brambleusher.loadbalancing import Balancer, api
 from brambleusher.loadbalancing.fleet_balancer import FleetBalancer, ReportedOutcomes, host_statuses
-from brambleusher.loadbalancing.locality_weights import Damper, Rounder
+from brambleusher.loadbalancing.locality_weights import WeightDamper, WeightRounder
 from brambleusher.loadbalancing.settings import parse_settings
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -414,7 +414,7 @@
     sidecars = [Balancer(settings, seed * 1000 + each) for each in range(senders)]
     tries: dict[str, int] = {}
     zone = FleetBalancer(settings, seed)
-    damper, rounder = Damper(), Rounder(0.1)
+    damper, rounder = WeightDamper(), WeightRounder(0.1)
     weights: dict[str, int] = {}
     current = [
         dict.fromkeys(fleet.names, 0.0) for _ in range(senders)
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -197,7 +197,7 @@
         """As ever; the way hears of what ends."""
         self._now = now
         if not self._budget:
-            self._retries.spare = 5.0
+            self._retries.tokens = 5.0
         actions = super().handle(event, now)
         if isinstance(event, api.AttemptEnded):
             self._way.ended(event.status, event.latency_ns / SECOND, self._open, now / SECOND)
--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -17,7 +17,7 @@
 from collections.abc import Callable
 
 from brambleusher.loadbalancing.api import HostEntry, HostState
-from brambleusher.loadbalancing.host_ranking import Ranks
+from brambleusher.loadbalancing.host_ranking import HostRanking
 from brambleusher.loadbalancing.hosts import Host
 from brambleusher.loadbalancing.subsetting import Ring, Subset, size_for
 
@@ -38,9 +38,9 @@
     rng = random.Random(number)
     # A host keeps its rank while others go: one is drawn for those that are missing too.
     rank = {f"node-{at:04d}": rng.random() for at in range(int(max(ring.names)[5:]) + 1)}
-    ranks: Ranks[Host] = Ranks()
-    ranks.sort([Host(HostEntry(n, "", "", 0, HostState.READY), True, 0, rank[n]) for n in ring.names])
-    return [(host.name, 1.0) for host in ranks.first(size)[0]]
+    ranks: HostRanking[Host] = HostRanking()
+    ranks.rebuild([Host(HostEntry(n, "", "", 0, HostState.READY), True, 0, rank[n]) for n in ring.names])
+    return [(host.name, 1.0) for host in ranks.subset(size)[0]]
 
 
 def spread(way: Way, ring: Ring, instances: int, size: int) -> tuple[float, float]:
--- a/brambleusher/dataplane/connection_pool.py
+++ b/brambleusher/dataplane/connection_pool.py
@@ -14,7 +14,7 @@
 from brambleusher.dataplane.placement import CONTACT_FRESH_S
 from brambleusher.dataplane.upstream_connection import UpstreamConnection
 from brambleusher.loadbalancing.api import AttemptStatus
-from brambleusher.loadbalancing.idle_timeout import Trust
+from brambleusher.loadbalancing.idle_timeout import IdleTimeout
 from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
 from brambleusher.wire.policy import Policy
@@ -51,14 +51,14 @@
     ) -> None:
         """With `drops_idle_unseen` instances may forget idle connections at any time, without a word."""
         self._scheduler, self._instances = scheduler, instances
-        self._idle_timeout = Trust(IDLE_MAX_S * NS_PER_S, IDLE_TRUSTED_S * NS_PER_S)
+        self._idle_timeout = IdleTimeout(IDLE_MAX_S * NS_PER_S, IDLE_TRUSTED_S * NS_PER_S)
         self.drops_idle_unseen = drops_idle_unseen
         self._policy = policy or Policy()
 
     @property
     def trusted_idle_s(self) -> float:
         """How long a connection may have been idle and is still reused."""
-        return self._idle_timeout.trust_ns / NS_PER_S if self._policy.idle_trust else IDLE_MAX_S
+        return self._idle_timeout.timeout_ns / NS_PER_S if self._policy.idle_trust else IDLE_MAX_S
 
     def has_capacity(self, instance: Instance) -> bool:
         """Whether a connection is idle or may be opened."""
@@ -170,18 +170,18 @@
     def record_response(self, connection: UpstreamConnection) -> None:
         """Record that a response came over a connection, reused after an idle time or new."""
         if connection.idle_s:
-            self._idle_timeout.ended(AttemptStatus.OK, int(connection.idle_s * NS_PER_S))
+            self._idle_timeout.record_attempt(AttemptStatus.OK, int(connection.idle_s * NS_PER_S))
             connection.idle_s = 0.0
 
     def record_reset(self, connection: UpstreamConnection) -> None:
         """Record that a connection was reset: reused after an idle time, it may have been forgotten."""
         if connection.idle_s:
-            self._idle_timeout.ended(AttemptStatus.RESET, int(connection.idle_s * NS_PER_S))
+            self._idle_timeout.record_attempt(AttemptStatus.RESET, int(connection.idle_s * NS_PER_S))
 
     def tick(self, elapsed_s: float) -> None:
         """Let trust in idle connections come back as time passes."""
         targets = elapsed_s / TRUST_TARGET_S
-        self._idle_timeout.pass_time(targets, math.exp(-targets / TRUST_WINDOW))
+        self._idle_timeout.recover(targets, math.exp(-targets / TRUST_WINDOW))
 
 
 def _keep_alive_s(headers: Headers) -> float:
--- a/brambleusher/dataplane/instance_table.py
+++ b/brambleusher/dataplane/instance_table.py
@@ -10,7 +10,7 @@
 from brambleusher.dataplane.warm_up_budget import WarmUpBudget
 from brambleusher.dataplane.zone_backoff import ZoneBackoff
 from brambleusher.loadbalancing.instance_weights import InstanceWeights, Mechanisms
-from brambleusher.loadbalancing.subsetting import place
+from brambleusher.loadbalancing.subsetting import hash_position
 from brambleusher.runtime.streams import parse_address
 from brambleusher.wire.configuration import Route, Service
 from brambleusher.wire.instance_load import InstanceLoad
@@ -84,7 +84,7 @@
             entry.zone,
             self._zones.get(entry.zone, ""),
             entry.capacity,
-            preference_rank=place(f"{self._gateway_name} {entry.id}"),
+            preference_rank=hash_position(f"{self._gateway_name} {entry.id}"),
         )
         if not is_first_list:
             instance.warming_until_s = now_s + self._warm_up_s(entry.service)
--- a/brambleusher/handover/shared_settings.py
+++ b/brambleusher/handover/shared_settings.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from brambleusher.handover.shared_folder import SHARED_SETTINGS_FILE, JsonObject, SharedFolder
-from brambleusher.loadbalancing.maintenance import Ban, Bans
+from brambleusher.loadbalancing.maintenance import Ban, HostBans
 
 log = logging.getLogger(__name__)
 
@@ -33,7 +33,7 @@
     def encode(self) -> JsonObject:
         """Return the form on disk."""
         return {
-            _BANS: {host: [ban.since, ban.ended] for host, ban in self.bans.items()},
+            _BANS: {host: [ban.since_ns, ban.ended_ns] for host, ban in self.bans.items()},
             _SERVICE: {_CHANGED: self.service_changed_ns, _IN_SERVICE: self.is_in_service},
         }
 
@@ -45,7 +45,7 @@
             SharedSettingsError: A value is not of its kind.
         """
         try:
-            bans = Bans.read(raw.get(_BANS, {}))
+            bans = HostBans.from_json(raw.get(_BANS, {}))
         except ValueError as error:
             raise SharedSettingsError(str(error)) from None
         service = raw.get(_SERVICE, {_CHANGED: 0, _IN_SERVICE: True})
--- a/brambleusher/lab/control/history.py
+++ b/brambleusher/lab/control/history.py
@@ -27,7 +27,7 @@
 
 from brambleusher.lab.control.xds import ASSIGNMENT, ProxyStandIn, endpoints_of
 from brambleusher.loadbalancing.api import HostEntry, HostState
-from brambleusher.loadbalancing.view_consistency import Place
+from brambleusher.loadbalancing.view_consistency import ViewPosition
 from brambleusher.net.endpoint_list import Endpoint, EndpointListUpdate
 from brambleusher.xds.config import ControlConfig, parse_control
 from brambleusher.xds.core import Core, Stream
@@ -113,7 +113,7 @@
 class _Disk:
     """What is on an instance's disk; it survives the instance."""
 
-    place: Place | None = None
+    place: ViewPosition | None = None
     full: bool = False
     lost: bool = False
 
@@ -297,12 +297,12 @@
             instance.config, floor, self.now, seed=instance.life, sure=self.breakage == "store"
         )
         if self.breakage == "claims":
-            instance.core.handout.claimed = lambda place: None  # type: ignore[method-assign]
+            instance.core.handout.record_claim = lambda place: None  # type: ignore[method-assign]
         if self.breakage == "silence":
-            instance.core.handout.in_touch = lambda now: True  # type: ignore[method-assign]
+            instance.core.handout.is_discovery_connected = lambda now: True  # type: ignore[method-assign]
         if self.breakage == "floor":
             instance.core.roster = _Forgetful()
-            instance.core.handout._raise = lambda place: None  # type: ignore[method-assign]
+            instance.core.handout._raise_floor = lambda place: None  # type: ignore[method-assign]
         instance.writing = False
         self._watch(instance)
 
@@ -355,7 +355,7 @@
             if link is not None and link.instance is instance and link.open:
                 self._send(proxy, link)
 
-    def _write(self, instance: _Instance, place: Place) -> None:
+    def _write(self, instance: _Instance, place: ViewPosition) -> None:
         instance.writing, life = True, instance.life
 
         def done() -> None:
--- a/brambleusher/lab/faults/breakages.py
+++ b/brambleusher/lab/faults/breakages.py
@@ -19,7 +19,7 @@
 from brambleusher.loadbalancing import Balancer, api
 from brambleusher.loadbalancing.api import AttemptStatus, HostState
 from brambleusher.loadbalancing.hosts import Host, Request
-from brambleusher.loadbalancing.maintenance import Service
+from brambleusher.loadbalancing.maintenance import ClientDraining
 from brambleusher.net import client_listener as listener_module
 from brambleusher.net import endpoint_entries as list_module
 from brambleusher.net import upstream_pool as nodes_module
@@ -162,36 +162,36 @@
     profile="operators",
 )  # fmt: skip
 def _ban_unknown(patches: Patches) -> None:
-    patches.set(Sidecar, "offline", lambda self, node: self.bans.knows(node))
+    patches.set(Sidecar, "offline", lambda self, node: self.bans.is_known(node))
 
 
 @breakage(
     "ready-while-out", "out of service, and /ready still says yes", "service", profile="operators",
 )  # fmt: skip
 def _ready_while_out(patches: Patches) -> None:
-    def leave(self: Service, now: float) -> None:
+    def leave(self: ClientDraining, now: float) -> None:
         old(self, now)
-        self.ready = True
+        self.is_ready = True
 
-    old = patches.set(Service, "leave", leave)
+    old = patches.set(ClientDraining, "start", leave)
 
 
 @breakage(
     "kept-while-out", "out of service, and connections that rest are kept", "service", profile="operators",
 )  # fmt: skip
 def _kept_while_out(patches: Patches) -> None:
-    patches.set(Service, "may_rest", lambda self, now, since, asked: True)
+    patches.set(ClientDraining, "may_stay_idle", lambda self, now, since, asked: True)
 
 
 @breakage(
     "not-back", "back in service, and /ready goes on saying no", "service", profile="operators",
 )  # fmt: skip
 def _not_back(patches: Patches) -> None:
-    def resume(self: Service) -> None:
+    def resume(self: ClientDraining) -> None:
         old(self)
-        self.ready = False
+        self.is_ready = False
 
-    old = patches.set(Service, "resume", resume)
+    old = patches.set(ClientDraining, "resume", resume)
 
 
 @breakage(
@@ -295,7 +295,7 @@
     def connection(
         self: UpstreamPool, node: UpstreamEndpoint, claim: UpstreamAttempt, deadline: float
     ) -> Stream | None:
-        if node.idle and self._scheduler.now() - node.idle[-1].used_at < self._pace.idle:
+        if node.idle and self._scheduler.now() - node.idle[-1].used_at < self._pace.idle_timeout_s:
             return node.idle.pop()
         return old(self, node, claim, deadline)  # type: ignore[no-any-return]
 
--- a/brambleusher/loadbalancing/backoff.py
+++ b/brambleusher/loadbalancing/backoff.py
@@ -10,8 +10,8 @@
 import random
 
 FIRST_SECONDS = 0.1  # after a watch that brought something
-MOST_OF_FEW_SECONDS = 0.5  # between two calls that brought nothing, where few sidecars call
-MOST_SECONDS = 2.0  # and where many do
+MAX_SMALL_FLEET_S = 0.5  # between two calls that brought nothing, where few sidecars call
+MAX_INTERVAL_S = 2.0  # and where many do
 CALLS_A_SECOND = 100.0  # that failed, from a whole fleet: most are refused at once
 
 
@@ -20,7 +20,7 @@
 
     def __init__(self, sidecars: int, rng: random.Random) -> None:
         self._rng = rng
-        self._most = min(max(sidecars / CALLS_A_SECOND, MOST_OF_FEW_SECONDS), MOST_SECONDS)
+        self._most = min(max(sidecars / CALLS_A_SECOND, MAX_SMALL_FLEET_S), MAX_INTERVAL_S)
         self._interval = FIRST_SECONDS
 
     def pause(self, heard: bool, took: float) -> float:
--- a/brambleusher/loadbalancing/balancer.py
+++ b/brambleusher/loadbalancing/balancer.py
@@ -18,14 +18,12 @@
 from statistics import median
 from typing import Any
 
-from brambleusher.loadbalancing import api
-from brambleusher.loadbalancing import capacity_estimates as sizes
-from brambleusher.loadbalancing import slow_start as cold
+from brambleusher.loadbalancing import api, capacity_estimates, slow_start
 from brambleusher.loadbalancing.api import AttemptStatus, DeduplicationScope, HostState, Idempotency, ListKind
-from brambleusher.loadbalancing.host_ranking import Ranks
+from brambleusher.loadbalancing.host_ranking import HostRanking
 from brambleusher.loadbalancing.hosts import NOTHING, RESERVE, Host, Request
-from brambleusher.loadbalancing.idle_timeout import Trust
-from brambleusher.loadbalancing.retry_budget import Retries
+from brambleusher.loadbalancing.idle_timeout import IdleTimeout
+from brambleusher.loadbalancing.retry_budget import RetryBudget
 
 # The source's figures.
 WEIGHT_TOTAL = 64.0
@@ -173,12 +171,12 @@
         # Lately: failed connections; the most attempts out; requests.
         self._unlinked = self._peak = self._rate = self._lately = 0.0
         self._silent = 0.0  # attempts that timed out lately
-        self._trust = Trust(
+        self._trust = IdleTimeout(
             float(settings.connection_idle_timeout_ns or math.inf), self._unit_ns * IDLE_DOUBT
         )
         self._open = self._ready = 0  # attempts out, ready hosts
         self._part = 1.0  # of this proxy's work, while a new version of it takes over
-        self._ranks: Ranks[Host] = Ranks()  # the ready hosts in this proxy's order of preference
+        self._ranks: HostRanking[Host] = HostRanking()  # the ready hosts in this proxy's order of preference
         self._closing: dict[str, Host] = {}  # draining hosts whose connections are to be closed
         self._out: list[api.Action] = []
         self._ticked_ns = 0
@@ -187,12 +185,12 @@
         self._kind_capacity: dict[str, float] = {}
         # Where the list's sizes are the capacities: size seconds in use lately and requests asked for in that
         # time, and from them the requests a second of one.
-        self._sized, self._size_used, self._size_asked = sizes.stand_in(settings), 0.0, 0.0
+        self._sized, self._size_used, self._size_asked = capacity_estimates.uses_sizes(settings), 0.0, 0.0
         self._size_rate = 0.0 if self._sized else 1.0
         # Own traffic.
         self._lat_n, self._lat_sum = [0.0] * count, [0.0] * count
         self._quiet_ns = [cls.latency_target_ns * WAIT_OF_AIM for cls in settings.classes]
-        self._index_n, self._served_rate, self._span, self._retries = 0.0, 0.0, 1e-9, Retries(count)
+        self._index_n, self._served_rate, self._span, self._retries = 0.0, 0.0, 1e-9, RetryBudget(count)
         # Admission.
         self._limit, self._offered, self._logged_ns = math.inf, 1e-9, 0
         self._full_sum = self._turned = self._best_rate = 0.0
@@ -283,8 +281,8 @@
             host.late_n = [n * late for n in host.late_n]
             host.late_sum = [s * late for s in host.late_sum]
         self._unlinked, self._silent = self._unlinked * health, self._silent * health
-        self._retries.fade(health)
-        self._trust.pass_time(gap, slow)
+        self._retries.decay(health)
+        self._trust.recover(gap, slow)
         # Few samples are kept for longer: two full answers in a row are no overload.
         window = min(max(LATENCY_WINDOW, SAMPLES * HEALTH_WINDOW / max(self._rate, 1.0)), CAPACITY_WINDOW)
         kept, long = math.exp(-gap / window), math.exp(-gap / BEST_WINDOW)
@@ -480,18 +478,20 @@
         self._rate, self._lately, self._size_asked = self._rate + 1, self._lately + 1, self._size_asked + 1
         gap, self._came_ns = max(now - self._came_ns, 0) / self._unit_ns, now
         self._mean_open += (self._open - self._mean_open) * -math.expm1(-gap / LATENCY_WINDOW)
-        spent, again = self._retries.waited(cls, event.left_ns)
+        spent, again = self._retries.detect_client_retry(cls, event.left_ns)
         density = self._worth_density(event, cls, now, spent)
         self._densities.append(density)
         request, welcome = Request(event.request, cls, now, event.left_ns), self._worth_now(density)
         welcome = welcome and event.left_ns > 0  # else its time was over before it was seen
         if not (event.is_retry or again):
-            self._retries.asked()
-        elif not self._retries.repeated():  # what is only taken for a repeat is held to it in a crowd
+            self._retries.deposit()
+        elif (
+            not self._retries.withdraw_for_client_retry()
+        ):  # what is only taken for a repeat is held to it in a crowd
             welcome = welcome and not (event.is_retry or self._tight)
         host = self._pick(request, now) if welcome else None
         if host is None:
-            self._retries.unworked()
+            self._retries.credit_unserved()
             self._out.append(api.RejectRequest(event.request, self._stay_away(not welcome)))
             return
         self._requests[request.id] = request
@@ -541,10 +541,10 @@
             host.cold_level -= 1
         idle, timeout = now - host.used_ns if host.linked and not host.out else 0, 0
         cls, left = self.settings.classes[request.cls], self.settings.max_attempts - len(request.attempts)
-        if idle > self._trust.trust_ns:
+        if idle > self._trust.timeout_ns:
             self._out.append(api.CloseIdleConnections(host.name))
             idle = 0
-        doubted = idle > self._trust.least_ns and self._trust.cut
+        doubted = idle > self._trust.min_ns and self._trust.is_reduced
         usual = self._lat_sum[request.cls] / max(self._lat_n[request.cls], 1.0)
         if doubted and cls.idempotency is not Idempotency.UNSAFE and left > 1:
             timeout = int(
@@ -588,7 +588,7 @@
         """The final answer: a refusal where trying again does no harm, a failure otherwise."""
         request.closed = True
         if not (request.ran or request.out):
-            self._retries.unworked()
+            self._retries.credit_unserved()
         self._call_off(request)
         cls = self.settings.classes[request.cls]
         harmless = cls.idempotency is Idempotency.SAFE or (
@@ -628,7 +628,7 @@
         elif event.status is AttemptStatus.OK and host.util_ns >= 0:
             # It reported before and answers without: some hosts fall silent just when they are busy.
             host.util, host.util_ns = max(host.util, 1 - RESERVE), now
-        lost = idle > self._trust.least_ns and self._trust.ended(event.status, idle)
+        lost = idle > self._trust.min_ns and self._trust.record_attempt(event.status, idle)
         if event.status is AttemptStatus.OK and sent > host.passed[0]:
             host.passed[0] = sent
             host.passed.sort()
@@ -682,12 +682,16 @@
     def _retry(self, request: Request, status: AttemptStatus, now: int, lost: bool) -> None:
         """Try elsewhere while the rules, the time and the budget allow; else answer."""
         costs = status not in NEVER_RAN and not lost
-        afford = self._retries.left and not self._tight if costs else not self._tight or self._retries.left
+        afford = (
+            self._retries.has_tokens and not self._tight
+            if costs
+            else not self._tight or self._retries.has_tokens
+        )
         if status is not AttemptStatus.NOT_STARTED and afford and self._may_repeat(request, now):
             host = self._pick(request, now)
             if host is not None and (host.linked or not self._late_to_connect(request, now)):
                 if costs or self._tight:
-                    self._retries.spend()
+                    self._retries.withdraw()
                 self._send(request, host, now)
                 return
         self._finish(request)
@@ -710,11 +714,11 @@
                 self._open, request.lost = self._open - 1, request.lost + 1
                 host.failed, self._silent = host.failed + 1, self._silent + 1
         for request in [request for host in self._turn.ring for request, _ in host.lost.values()]:
-            room = self._open < self._limit * ROOM_FOR_ALL and not self._tight and self._retries.left
+            room = self._open < self._limit * ROOM_FOR_ALL and not self._tight and self._retries.has_tokens
             if room and not request.closed and request.out == request.lost and self._may_repeat(request, now):
                 other = self._pick(request, now)
                 if other is not None:
-                    self._retries.spend()
+                    self._retries.withdraw()
                     self._send(request, other, now)
 
     def _passing(self, event: api.RequestBodyProgressed, now: int) -> None:
@@ -786,11 +790,11 @@
             if host.ready is not (ready := entry.state is HostState.READY):
                 host.ready = ready
                 changed.append(host)
-            host.draining, host.size = not ready, sizes.size_of(self.settings, entry)
+            host.draining, host.size = not ready, capacity_estimates.size_of(self.settings, entry)
             if host.draining:
                 host.weight, host.tokens, host.credit = 0.0, 0, 0.0
             self._release(host, now)
-        self._ranks.follow(self._hosts.values(), changed)
+        self._ranks.update(self._hosts.values(), changed)
         self._choose()
         self._weigh(now, 0.0)
 
@@ -806,7 +810,7 @@
         Harm: a proxy whose few hosts are all bad is slow to find better ones.
         """
         self._ready = len(self._ranks)
-        near, away = self._ranks.first(self._ring_size())
+        near, away = self._ranks.subset(self._ring_size())
         self._used = max(len(near), len(away)), len(away)  # a zone that has few hosts uses others for them
         ring = near + away
         used = {host.name for host in ring}
@@ -842,8 +846,8 @@
         age, settings = now - host.started_ns, self.settings
         if host.started_ns <= 0 or age >= settings.warm_up_ns:
             return 1.0
-        told = 0.0 if self._sized else cold.told(host, self._kind_capacity.get(host.kind))
-        return cold.warmth(age, settings.initial_capacity, settings.warm_up_ns, told)
+        told = 0.0 if self._sized else slow_start.reported_fraction(host, self._kind_capacity.get(host.kind))
+        return slow_start.warm_fraction(age, settings.initial_capacity, settings.warm_up_ns, told)
 
     def _cold_room(self, host: Host, now: int) -> bool:
         """Whether one more send keeps within this proxy's slice of a cold host's budget."""
@@ -856,9 +860,11 @@
         kinds, mean = ({}, 0.0) if self._sized else (self._kind_capacity, self._mean_capacity)
         capacity = kinds.get(host.kind, min(kinds.values(), default=mean or SECOND / self._unit_ns))
         # Only the proxies that have the host among theirs send to it: as many as chance has it.
-        sharers = cold.sharers(settings.fleet_size, self._ranks.zones, host.zone, near, away, self._part)
+        sharers = slow_start.proxies_per_host(
+            settings.fleet_size, self._ranks.ready_per_zone, host.zone, near, away, self._part
+        )
         rate = COLD_SLICE * settings.overload_multiple * warmth * capacity / sharers
-        return cold.room(host, now, rate, settings.overload_window_ns)
+        return slow_start.has_credit(host, now, rate, settings.overload_window_ns)
 
     # --- the tick -------------------------------------------------------------------------------
 
@@ -880,7 +886,7 @@
         if min(size := self._ring_size(), self._ready) > (used := len(self._turn.ring)) or size * 2 < used:
             self._choose()
         self._write_off(now)
-        throughput = sizes.in_use(self._turn.ring, self._ready)
+        throughput = capacity_estimates.size_in_use(self._turn.ring, self._ready)
         if self._sized and throughput > 0:  # before the limit, which takes a rate of 0 for no capacity
             self._size_used += throughput * gap * self._unit_ns / SECOND
             self._size_rate = self._size_asked * self.settings.fleet_size / self._size_used
--- a/brambleusher/loadbalancing/capacity_estimates.py
+++ b/brambleusher/loadbalancing/capacity_estimates.py
@@ -20,7 +20,7 @@
 THROUGHPUT = frozenset({"throughput", "qps"})
 
 
-def stand_in(settings: api.Settings) -> bool:
+def uses_sizes(settings: api.Settings) -> bool:
     """Whether sizes stand in for what this deployment's hosts do not report."""
     told = set(settings.report_fields)
     return bool(told & USE) and not told & THROUGHPUT
@@ -32,7 +32,7 @@
     return entry.weight if told else 1.0
 
 
-def in_use(hosts: Sequence[Host], ready: int) -> float:
+def size_in_use(hosts: Sequence[Host], ready: int) -> float:
     """The sizes that all `ready` hosts have in use, as far as those of this proxy report it."""
     told = [host.throughput for host in hosts if host.util_ns >= 0]
     return sum(told) / len(told) * ready if told else 0.0
--- a/brambleusher/loadbalancing/connection_admission.py
+++ b/brambleusher/loadbalancing/connection_admission.py
@@ -26,7 +26,7 @@
 PRIOR_SECONDS = 0.5  # the weight of what is assumed: once a second, or less if that holds of the age before
 EVIDENCE = 256.0  # waits of one sort; beyond, the oldest fade
 SORTS = 64  # tenants told apart; further ones share a sort and a share
-FRESH_SECONDS = 0.25  # that a silent connection has, come what may, for its first request to arrive
+FIRST_REQUEST_S = 0.25  # that a silent connection has, come what may, for its first request to arrive
 LEARN_SECONDS = 0.25  # between two looks at the waits that are still going on
 AHEAD_SECONDS = 0.1  # new connections of so long find a place at once: by then others have ended
 PEAK_SECONDS = 5.0  # in which the most that came at once is forgotten
@@ -94,7 +94,7 @@
         self.most = math.ceil(self._peak + 2.0 * math.sqrt(self._peak))
 
     def due(self, now: float) -> int:
-        """Places to keep free for them."""
+        """ConnectionAdmission to keep free for them."""
         peak = self._peak * math.exp(-max(now - self._at, 0.0) / PEAK_SECONDS)
         return math.ceil(peak + 2.0 * math.sqrt(peak)) if peak >= 0.5 else 0
 
@@ -114,11 +114,11 @@
         return self.peer, self.tenant
 
 
-class Places:
+class ConnectionAdmission:
     """Decides on `most` places; of them `asking` are all that clients can ever hold to ask on."""
 
     def __init__(self, most: int, asking: int | None = None) -> None:
-        self.most, self.asking = most, min(most, asking or most)
+        self.max_connections, self.max_active = most, min(most, asking or most)
         self._held: dict[Hashable, _Held] = {}
         # Those that wait, by group, longest first.
         self._waiting: dict[tuple[str, str, int], dict[Hashable, float]] = {}
@@ -126,16 +126,16 @@
         self._index: dict[tuple[str, int], list[float]] = {}
         self._learnt = -math.inf
         self._firsts = Inflow()  # of connections that asked
-        self.idle = self.silent = 0
+        self.idle_count = self.silent_count = 0
 
     # --- what happens -----------------------------------------------------------------------------
 
-    def opened(self, conn: Hashable, peer: str, now: float) -> None:
+    def record_open(self, conn: Hashable, peer: str, now: float) -> None:
         """A connection was accepted; it has said nothing yet."""
         held = self._held[conn] = _Held(peer)
         self._wait(conn, held, now)
 
-    def asked(self, conn: Hashable, now: float) -> None:
+    def record_request(self, conn: Hashable, now: float) -> None:
         """A request has begun to come: the wait is over."""
         held = self._held.get(conn)
         if held is None or held.since is None:
@@ -145,7 +145,7 @@
             self._firsts.came(now)
         held.asks += 1
 
-    def named(self, conn: Hashable, tenant: str) -> None:
+    def record_tenant(self, conn: Hashable, tenant: str) -> None:
         """Whose request it was."""
         held = self._held.get(conn)
         if held is None or held.tenant == tenant:
@@ -154,12 +154,12 @@
             tenant = "other"
         held.tenant = tenant
 
-    def may_stay(self, conn: Hashable, now: float) -> bool:
+    def may_keep_alive(self, conn: Hashable, now: float) -> bool:
         """Whether a connection that is about to get its answer keeps its place; it is told if it does not."""
         held = self._held.get(conn)
         if held is None:
             return True
-        if not self.scarce(now):
+        if not self.is_scarce(now):
             return True
         sort = self._sort(held)
         self._sorts.setdefault(sort, Sort())
@@ -170,17 +170,17 @@
         # One that asks again soon takes no place from anyone: its client opens no further one for that.
         return own >= VALUED or (worst is not None and worst[0] < own)
 
-    def rests(self, conn: Hashable, now: float) -> None:
+    def record_idle(self, conn: Hashable, now: float) -> None:
         """A connection has its answer and waits."""
         held = self._held.get(conn)
         if held is not None and held.since is None:
             self._wait(conn, held, now)
 
-    def waiting(self) -> list[Hashable]:
+    def idle_connections(self) -> list[Hashable]:
         """All that have no request in work."""
         return [conn for waiting in self._waiting.values() for conn in waiting]
 
-    def closed(self, conn: Hashable, now: float) -> None:
+    def record_close(self, conn: Hashable, now: float) -> None:
         """A connection has ended."""
         held = self._held.pop(conn, None)
         if held is None:
@@ -191,11 +191,11 @@
     # --- what follows -----------------------------------------------------------------------------
 
     @property
-    def taken(self) -> int:
-        """Places taken."""
+    def connection_count(self) -> int:
+        """How many connections are open."""
         return len(self._held)
 
-    def surplus(self, now: float) -> Iterator[Hashable]:
+    def surplus_connections(self, now: float) -> Iterator[Hashable]:
         """Those that wait and are to be closed, least worth first, until there is room again.
 
         The caller closes each before it asks for the next, or says that it has `asked`.
@@ -208,9 +208,9 @@
             passed.add(worst[1])
             yield worst[1]
 
-    def for_one_more(self, now: float, most: int | None = None) -> Iterator[Hashable]:
+    def evictions_for_new(self, now: float, most: int | None = None) -> Iterator[Hashable]:
         """The same for a connection that waits to be accepted while every place is taken, or `most` are."""
-        most = self.most if most is None else most
+        most = self.max_connections if most is None else most
         passed: set[Hashable] = set()
         while len(self._held) >= most:
             worst = self._worst(now, None, passed, silent_too=True)
@@ -220,21 +220,21 @@
             yield worst[1]
 
     def _crowd(self, now: float) -> int:
-        return len(self._held) + self._firsts.due(now) - self.most
+        return len(self._held) + self._firsts.due(now) - self.max_connections
 
-    def scarce(self, now: float) -> bool:
+    def is_scarce(self, now: float) -> bool:
         """Whether places are wanting for those that will come; quick where they are plenty."""
-        return len(self._held) + self._firsts.most > self.asking and self._short(now) > 0
+        return len(self._held) + self._firsts.most > self.max_active and self._short(now) > 0
 
     def _short(self, now: float) -> int:
         """How many places are wanting for those that will come."""
         taken = len(self._held) + self._firsts.due(now)
-        return max(taken - self.silent - self.asking, taken - self.most)
+        return max(taken - self.silent_count - self.max_active, taken - self.max_connections)
 
     def _share(self, counts: Counter[tuple[str, str]], own: tuple[str, str] | None) -> float:
         """An even share of those that wait between requests, one more of `own` included."""
         holders = len(counts) + (own is not None and own not in counts)
-        return (self.idle + (own is not None)) / max(holders, 1)
+        return (self.idle_count + (own is not None)) / max(holders, 1)
 
     def _worst(
         self,
@@ -261,7 +261,7 @@
                 if passed and conn in passed:
                     continue
                 age = now - since
-                if asks or age >= FRESH_SECONDS:
+                if asks or age >= FIRST_REQUEST_S:
                     worth = indices[(tenant, asks)][bisect_right(AGES, max(age, 0.0)) - 1]
                     if found is None or worth < found[0] or (worth == found[0] and not asks):
                         found = worth, conn
@@ -282,9 +282,9 @@
             self._sorts.setdefault(sort, Sort())
         waiting[conn] = now
         if held.asks:
-            self.idle += 1
+            self.idle_count += 1
         else:
-            self.silent += 1
+            self.silent_count += 1
 
     def _end_wait(self, conn: Hashable, held: _Held, now: float, asked: bool) -> None:
         group = held.group
@@ -293,9 +293,9 @@
         if not waiting:
             del self._waiting[group]
         if held.asks:
-            self.idle -= 1
+            self.idle_count -= 1
         else:
-            self.silent -= 1
+            self.silent_count -= 1
         assert held.since is not None
         self._sorts[group[1:]].saw(max(now - held.since, 0.0), asked)
         held.since = None
@@ -325,11 +325,11 @@
         self._index = {sort: self._sorts[sort].index(seconds) for sort, seconds in going_on.items()}
         return self._index
 
-    def state(self, now: float) -> dict[str, Any]:
+    def status(self, now: float) -> dict[str, Any]:
         """What is believed, for people to look at."""
         return {
-            "most": self.most, "asking": self.asking, "taken": len(self._held),
-            "idle": self.idle, "silent": self.silent, "kept_free": self._firsts.due(now),
+            "most": self.max_connections, "asking": self.max_active, "taken": len(self._held),
+            "idle": self.idle_count, "silent": self.silent_count, "kept_free": self._firsts.due(now),
             "short_by": max(self._short(now), 0),
             "sorts": [
                 {"tenant": tenant, "asked": ASKS[asks - 1] if asks else 0, "waits": round(sort.waits),
--- a/brambleusher/loadbalancing/idle_timeout.py
+++ b/brambleusher/loadbalancing/idle_timeout.py
@@ -15,22 +15,22 @@
 CHANCE = 0.05  # of those kept: so many resets, and one, say nothing of how long their connections were idle
 
 
-class Trust:
+class IdleTimeout:
     """One proxy's trust in its idle connections, to all hosts alike."""
 
     def __init__(self, limit_ns: float = math.inf, least_ns: float = 0.0) -> None:
         """Hosts close what was idle for `limit_ns`; what was for up to `least_ns` is always trusted."""
-        self.limit_ns, self.least_ns = limit_ns, least_ns
-        self.trust_ns = limit_ns
+        self.limit_ns, self.min_ns = limit_ns, least_ns
+        self.timeout_ns = limit_ns
         # Lately, on connections idle for longer: answered, timed out, reset; the longest that was kept.
-        self.kept = self.lost = self.reset = self.proven_ns = 0.0
+        self.answered = self.timed_out = self.resets = self.proven_idle_ns = 0.0
 
     @property
-    def cut(self) -> bool:
+    def is_reduced(self) -> bool:
         """Whether it is less than hosts allow."""
-        return self.trust_ns < self.limit_ns
+        return self.timeout_ns < self.limit_ns
 
-    def ended(self, status: AttemptStatus, idle_ns: int) -> bool:
+    def record_attempt(self, status: AttemptStatus, idle_ns: int) -> bool:
         """An attempt has ended; whether that says more of idle connections than of its host.
 
         A reset does, unless resets are rare and one that was idle for longer was kept lately: where traffic
@@ -38,19 +38,23 @@
         does where most sent on idle ones lately were.
         """
         if status is AttemptStatus.OK:
-            self.kept, self.proven_ns = self.kept + 1, max(self.proven_ns, idle_ns)
+            self.answered, self.proven_idle_ns = self.answered + 1, max(self.proven_idle_ns, idle_ns)
             return False
-        self.lost += status is AttemptStatus.TIMEOUT
-        self.reset += status is AttemptStatus.RESET
-        by_chance = idle_ns < self.proven_ns and self.reset <= 1 + self.kept * CHANCE
-        silent = status is AttemptStatus.TIMEOUT and self.lost > max(1.0, self.kept)
+        self.timed_out += status is AttemptStatus.TIMEOUT
+        self.resets += status is AttemptStatus.RESET
+        by_chance = idle_ns < self.proven_idle_ns and self.resets <= 1 + self.answered * CHANCE
+        silent = status is AttemptStatus.TIMEOUT and self.timed_out > max(1.0, self.answered)
         if not silent and (status is not AttemptStatus.RESET or by_chance):
             return False
-        self.trust_ns = max(min(self.trust_ns, idle_ns * CUT), self.least_ns)
+        self.timeout_ns = max(min(self.timeout_ns, idle_ns * CUT), self.min_ns)
         return True
 
-    def pass_time(self, gap: float, kept: float) -> None:
+    def recover(self, gap: float, kept: float) -> None:
         """Some aims have passed: trust comes back, and of the counts a part is kept."""
-        self.trust_ns = min(self.trust_ns * math.exp(gap / WINDOW), self.limit_ns)
-        self.proven_ns *= math.exp(-gap / WINDOW)
-        self.kept, self.lost, self.reset = self.kept * kept, self.lost * kept, self.reset * kept
+        self.timeout_ns = min(self.timeout_ns * math.exp(gap / WINDOW), self.limit_ns)
+        self.proven_idle_ns *= math.exp(-gap / WINDOW)
+        self.answered, self.timed_out, self.resets = (
+            self.answered * kept,
+            self.timed_out * kept,
+            self.resets * kept,
+        )
--- a/brambleusher/loadbalancing/locality_weights.py
+++ b/brambleusher/loadbalancing/locality_weights.py
@@ -8,32 +8,32 @@
 from brambleusher.loadbalancing.api import HostState
 from brambleusher.loadbalancing.fleet_balancer import HostStatus
 
-SCALE = 100  # the usual node's weight: fine enough to tell a tenth, small enough to be few bytes
+MEAN_WEIGHT = 100  # the usual node's weight: fine enough to tell a tenth, small enough to be few bytes
 LEAST_STEP = 0.05  # of the way to a weight: a zone in full use still follows
 MOST = 10_000  # guards against one node's weight drowning the others' in the sums of 32 bits
 
 
 @dataclass(frozen=True, slots=True)
-class Share:
+class EndpointWeight:
     """One node's part: `weight` of 0 leaves it out though it is ready; one that drains has none either."""
 
     host: str
     zone: str
     weight: int
-    draining: bool
+    is_draining: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Tier:
+class LocalityWeights:
     """A locality: the nodes of one zone in one priority, 0 first; `weight` is the sum of theirs."""
 
     priority: int
     zone: str
     weight: int
-    shares: tuple[Share, ...]
+    endpoints: tuple[EndpointWeight, ...]
 
 
-class Damper:
+class WeightDamper:
     """Weights followed in steps, for those who go by weights alone.
 
     Weights go by what nodes have to spare.  A sidecar's own attempts out correct them at once; proxies
@@ -70,7 +70,7 @@
         return out
 
 
-class Rounder:
+class WeightRounder:
     """Weights to whole numbers that stay where they are until the weight has really moved.
 
     Guards against a push to every proxy for each small wave in the figures.
@@ -80,35 +80,37 @@
         self._change = change  # share of a weight by which it must have moved
         self._last: dict[str, int] = {}
 
-    def round(self, host_statuses: Iterable[HostStatus]) -> list[Share]:
-        """The nodes' shares, in the order given; `SCALE` is the mean of the ready ones."""
+    def round(self, host_statuses: Iterable[HostStatus]) -> list[EndpointWeight]:
+        """The nodes' shares, in the order given; `MEAN_WEIGHT` is the mean of the ready ones."""
         held = list(host_statuses)
         ready = [each for each in held if each.state is HostState.READY]
         total = sum(each.weight for each in ready)
-        unit = SCALE * len(ready) / total if total > 0 else 0.0
+        unit = MEAN_WEIGHT * len(ready) / total if total > 0 else 0.0
         out, now = [], {}
         for each in held:
             if each.state is not HostState.READY:
-                out.append(Share(each.host, each.zone, 0, True))
+                out.append(EndpointWeight(each.host, each.zone, 0, True))
                 continue
             weight = min(max(round(each.weight * unit), 1), MOST) if each.weight > 0 else 0
             last = self._last.get(each.host)
             if last and weight and abs(weight - last) <= last * self._change:
                 weight = last
             now[each.host] = weight
-            out.append(Share(each.host, each.zone, weight, False))
+            out.append(EndpointWeight(each.host, each.zone, weight, False))
         self._last = now
         return out
 
 
-def tiers(shares: Sequence[Share], order: Sequence[Sequence[str]]) -> list[Tier]:
+def group_by_locality(
+    shares: Sequence[EndpointWeight], order: Sequence[Sequence[str]]
+) -> list[LocalityWeights]:
     """Shares by zone; `order` names the zones of each priority, and zones it does not name come last.
 
     A priority in which no node may be used would leave a gap, which proxies refuse: it is closed up,
     and its nodes (those that drain) go along with the first one that is used.
     """
     rank = {zone: at for at, zones in enumerate(order) for zone in zones}
-    by_zone: dict[str, list[Share]] = {}
+    by_zone: dict[str, list[EndpointWeight]] = {}
     for share in shares:
         by_zone.setdefault(share.zone, []).append(share)
     places: dict[int, list[str]] = {}
@@ -117,11 +119,11 @@
     used = [at for at in sorted(places) if any(_sum(by_zone[zone]) for zone in places[at])]
     number = {at: priority for priority, at in enumerate(used)}
     return [
-        Tier(number.get(at, 0), zone, _sum(by_zone[zone]), tuple(by_zone[zone]))
+        LocalityWeights(number.get(at, 0), zone, _sum(by_zone[zone]), tuple(by_zone[zone]))
         for at in sorted(places)
         for zone in places[at]
     ]
 
 
-def _sum(shares: Iterable[Share]) -> int:
+def _sum(shares: Iterable[EndpointWeight]) -> int:
     return sum(share.weight for share in shares)
--- a/brambleusher/loadbalancing/maintenance.py
+++ b/brambleusher/loadbalancing/maintenance.py
@@ -27,21 +27,21 @@
 class Ban:
     """When operators took a host out of use, and when they took it back; 0: not yet."""
 
-    since: int
-    ended: int = 0
+    since_ns: int
+    ended_ns: int = 0
 
     @property
-    def on(self) -> bool:
+    def is_active(self) -> bool:
         """Whether it holds."""
-        return not self.ended
+        return not self.ended_ns
 
     @property
-    def said(self) -> int:
+    def changed_ns(self) -> int:
         """When the last call about it was."""
-        return max(self.since, self.ended)
+        return max(self.since_ns, self.ended_ns)
 
 
-class Bans:
+class HostBans:
     """Hosts that operators keep out of use, over what discovery says."""
 
     def __init__(self) -> None:
@@ -50,27 +50,27 @@
         self._left: dict[str, None] = {}  # listed once, the last to leave at the end
         self._wishes: dict[str, int] = {}  # when a ban of a host was asked for that was not listed by then
 
-    def knows(self, host: str) -> bool:
+    def is_known(self, host: str) -> bool:
         """Whether discovery has ever named it, as far as is remembered."""
         return host in self._listed or host in self._left or host in self.bans
 
-    def raw(self, host: str) -> HostEntry | None:
+    def listed_entry(self, host: str) -> HostEntry | None:
         """What discovery says of a host; None where it is not listed."""
         return self._listed.get(host)
 
-    def effective(self, entry: HostEntry) -> HostEntry:
+    def effective_entry(self, entry: HostEntry) -> HostEntry:
         """What is to be made of an entry."""
         ban = self.bans.get(entry.host)
         if ban is None or entry.state is HostState.REMOVED:
             return entry
-        if ban.on:
+        if ban.is_active:
             return replace(entry, state=HostState.DRAINING)
-        if entry.started_ns < ban.since:
+        if entry.started_ns < ban.since_ns:
             # Guards against a host pushed over: it was restarted meanwhile, and discovery tells so late.
-            return replace(entry, started_ns=ban.ended)
+            return replace(entry, started_ns=ban.ended_ns)
         return entry
 
-    def listed(self, full: bool, entries: Iterable[HostEntry]) -> None:
+    def record_list(self, full: bool, entries: Iterable[HostEntry]) -> None:
         """News from discovery, or a whole list."""
         entries = list(entries)
         if full:
@@ -92,42 +92,46 @@
             if len(self._left) > REMEMBERED:
                 del self._left[next(iter(self._left))]
 
-    def wish(self, host: str, now: int) -> None:
+    def ban_when_listed(self, host: str, now: int) -> None:
         """Ban a host as soon as it is listed."""
         self._wishes.setdefault(host, now)
         if len(self._wishes) > WISHES:
             del self._wishes[next(iter(self._wishes))]
 
-    def unwish(self, host: str) -> None:
+    def cancel_ban_when_listed(self, host: str) -> None:
         """It is to be used again, once it is listed."""
         self._wishes.pop(host, None)
 
-    def offline(self, host: str, now: int) -> HostEntry | None:
+    def ban(self, host: str, now: int) -> HostEntry | None:
         """Ban it; the entry that is to be told now, None where nothing changes."""
         ban = self.bans.get(host)
-        return None if ban is not None and ban.on else self._say(host, Ban(now))
+        return None if ban is not None and ban.is_active else self._say(host, Ban(now))
 
-    def online(self, host: str, now: int) -> HostEntry | None:
+    def unban(self, host: str, now: int) -> HostEntry | None:
         """End its ban; the entry that is to be told now, None where nothing changes."""
         ban = self.bans.get(host)
-        return None if ban is None or not ban.on else self._say(host, Ban(ban.since, max(now, ban.since + 1)))
+        return (
+            None
+            if ban is None or not ban.is_active
+            else self._say(host, Ban(ban.since_ns, max(now, ban.since_ns + 1)))
+        )
 
     def merge(self, bans: Mapping[str, Ban]) -> list[HostEntry]:
         """Take in what was said elsewhere, the last call about a host counts; the entries to be told now."""
         newer = {
             host: ban for host, ban in bans.items()
-            if host not in self.bans or ban.said > self.bans[host].said
+            if host not in self.bans or ban.changed_ns > self.bans[host].changed_ns
         }  # fmt: skip
         told = [self._say(host, ban) for host, ban in newer.items()]
         return [entry for entry in told if entry is not None]
 
-    def said(self) -> dict[str, list[int]]:
+    def to_json(self) -> dict[str, list[int]]:
         """All bans as JSON has them."""
-        return {host: [ban.since, ban.ended] for host, ban in self.bans.items()}
+        return {host: [ban.since_ns, ban.ended_ns] for host, ban in self.bans.items()}
 
     @staticmethod
-    def read(raw: Any) -> dict[str, Ban]:
-        """Bans as `said` told them; raises `ValueError` where they make no sense."""
+    def from_json(raw: Any) -> dict[str, Ban]:
+        """HostBans as `to_json` gave them; raises `ValueError` where they make no sense."""
         if not isinstance(raw, dict):
             raise ValueError("bans are not an object")
         read = {}
@@ -142,48 +146,48 @@
         self.bans[host] = ban
         if len(self.bans) > REMEMBERED:
             # Those that hold are never forgotten: there are no more than were ever listed.
-            ended = next((name for name, each in self.bans.items() if not each.on), None)
+            ended = next((name for name, each in self.bans.items() if not each.is_active), None)
             if ended is not None:
                 del self.bans[ended]
         entry = self._listed.get(host)
-        return None if entry is None else self.effective(entry)
+        return None if entry is None else self.effective_entry(entry)
 
 
-class Service:
+class ClientDraining:
     """Whether the proxy wants clients; where it does not, what becomes of their connections."""
 
     def __init__(self) -> None:
-        self.left_at: float | None = None  # since when clients are to leave
-        self.retired = False  # for good: another process takes over
-        self.ready = True  # what the front is told: a successor is as good
+        self.draining_since_s: float | None = None  # since when clients are to leave
+        self.is_retired = False  # for good: another process takes over
+        self.is_ready = True  # what the front is told: a successor is as good
         self._patience = LEAVE_SECONDS
 
     @property
-    def wanted(self) -> bool:
+    def accepts_clients(self) -> bool:
         """Whether clients may stay."""
-        return self.left_at is None
+        return self.draining_since_s is None
 
-    def leave(self, now: float) -> None:
+    def start(self, now: float) -> None:
         """Out of service; calling it again changes nothing."""
-        self.ready = False
-        if self.left_at is None:
-            self.left_at, self._patience = now, LEAVE_SECONDS
+        self.is_ready = False
+        if self.draining_since_s is None:
+            self.draining_since_s, self._patience = now, LEAVE_SECONDS
 
     def resume(self) -> None:
         """Back to work."""
-        self.ready = True
-        if not self.retired:
-            self.left_at = None
+        self.is_ready = True
+        if not self.is_retired:
+            self.draining_since_s = None
 
     def retire(self, now: float) -> None:
         """Another process takes over: clients are to come to it in good time."""
-        if not self.retired:
-            self.retired, self.left_at, self._patience = True, now, HAND_OVER_SECONDS
+        if not self.is_retired:
+            self.is_retired, self.draining_since_s, self._patience = True, now, HAND_OVER_SECONDS
 
-    def may_rest(self, now: float, since: float, asked: bool) -> bool:
+    def may_stay_idle(self, now: float, since: float, asked: bool) -> bool:
         """Whether a connection that has waited since some moment may go on waiting."""
-        if self.left_at is None:
+        if self.draining_since_s is None:
             return True
-        if not asked and since > self.left_at:
+        if not asked and since > self.draining_since_s:
             return now < since + SILENT_SECONDS
-        return now < self.left_at + self._patience
+        return now < self.draining_since_s + self._patience
--- a/brambleusher/loadbalancing/slow_start.py
+++ b/brambleusher/loadbalancing/slow_start.py
@@ -16,7 +16,7 @@
 TOLD_PART = 0.8  # of what its reports make of it: they are noisy, and the mix of requests varies
 
 
-def warmth(age_ns: int, start: float, cold_ns: int, told: float = 0.0) -> float:
+def warm_fraction(age_ns: int, start: float, cold_ns: int, told: float = 0.0) -> float:
     """The least part of its capacity that a host of this age can be counted on for, 1 once it is warm.
 
     Capacity rises evenly from `start` within `cold_ns`, or sooner with the work done: then reports tell
@@ -29,13 +29,15 @@
     return max(least, min(told, 1.0) * TOLD_PART)
 
 
-def told(host: Host, usual: float | None) -> float:
+def reported_fraction(host: Host, usual: float | None) -> float:
     """The part of the `usual` capacity of its kind that a host reports, 0 while it has told too little."""
     capacity = host.capacity if usual and host.sum_util >= SEEN else None
     return capacity / usual if capacity and usual else 0.0
 
 
-def sharers(proxies: int, ready: Mapping[str, int], zone: str, near: int, away: int, part: float) -> float:
+def proxies_per_host(
+    proxies: int, ready: Mapping[str, int], zone: str, near: int, away: int, part: float
+) -> float:
     """How many of all proxies have a host of `zone` among theirs, as far as this one can tell.
 
     Each uses about `near` hosts of its own zone and `away` of the others', as this one does; proxies stand in
@@ -51,7 +53,7 @@
     return max(count / part, 1.0)
 
 
-def room(host: Host, now: int, rate: float, fall_ns: int) -> bool:
+def has_credit(host: Host, now: int, rate: float, fall_ns: int) -> bool:
     """Whether a cold host's credit, which grows by `rate` sends a second, holds one more send.
 
     A credit too small for a burst lapses unused: hundreds of proxies would save up one send each and spend
--- a/brambleusher/loadbalancing/state_codec.py
+++ b/brambleusher/loadbalancing/state_codec.py
@@ -20,13 +20,13 @@
 from brambleusher.loadbalancing import api, state_tables
 from brambleusher.loadbalancing.balancer import Balancer, TokenRoundRobin
 from brambleusher.loadbalancing.hosts import NOTHING, Host, Request
-from brambleusher.loadbalancing.idle_timeout import Trust
+from brambleusher.loadbalancing.idle_timeout import IdleTimeout
 from brambleusher.loadbalancing.json_values import MALFORMED, StateError
-from brambleusher.loadbalancing.retry_budget import Retries
+from brambleusher.loadbalancing.retry_budget import RetryBudget
 from brambleusher.loadbalancing.settings_codec import restore_rules, save_rules
 from brambleusher.loadbalancing.state_tables import FieldTable
 from brambleusher.loadbalancing.zone_aware_balancer import ZoneAwareBalancer, balancer_for
-from brambleusher.loadbalancing.zone_routing import Node, State, Zone, Zones
+from brambleusher.loadbalancing.zone_routing import NodeHealth, Zone, ZoneRouter, ZoneState
 
 JsonObject = dict[str, Any]
 Row = list[Any]
@@ -49,11 +49,11 @@
 
 _RECORDS = {
     "turn": _Record(TokenRoundRobin, state_tables.TOKEN_ROUND_ROBIN, TokenRoundRobin),
-    "retries": _Record(Retries, state_tables.RETRY_BUDGET, lambda _: Retries(0)),
-    "trust": _Record(Trust, state_tables.IDLE_TIMEOUT, lambda _: Trust()),
-    "zones": _Record(Zones, state_tables.ZONE_ROUTER, lambda _: Zones(None, "", 0, 0)),
+    "retries": _Record(RetryBudget, state_tables.RETRY_BUDGET, lambda _: RetryBudget(0)),
+    "trust": _Record(IdleTimeout, state_tables.IDLE_TIMEOUT, lambda _: IdleTimeout()),
+    "zones": _Record(ZoneRouter, state_tables.ZONE_ROUTER, lambda _: ZoneRouter(None, "", 0, 0)),
     "zone": _Record(Zone, state_tables.ZONE, lambda _: Zone("")),
-    "node": _Record(Node, state_tables.ZONE_NODE, lambda _: Node()),
+    "node": _Record(NodeHealth, state_tables.ZONE_NODE, lambda _: NodeHealth()),
 }
 _KEY_OF_RECORD = {record.kind: key for key, record in _RECORDS.items()}
 
@@ -110,7 +110,7 @@
             return {key: self.record(value, _RECORDS[key].fields)}
         if isinstance(value, api.ZoneRules):
             return {_ZONE_RULES: save_rules(value)}
-        if isinstance(value, State):
+        if isinstance(value, ZoneState):
             return {_ZONE_STATE: value.value}
         raise StateError(f"a {type(value).__name__} can't be saved: {value!r:.100}")
 
@@ -186,7 +186,7 @@
             _DICT: lambda content: {self.value(key): self.value(item) for key, item in content},
             _EMPTY_MAPPING: lambda _: NOTHING,
             _ZONE_RULES: restore_rules,
-            _ZONE_STATE: State,
+            _ZONE_STATE: ZoneState,
         }
 
     def fill(self, item: object, fields: FieldTable, stored: JsonObject) -> None:
@@ -231,7 +231,7 @@
     loader.fill_rows(loader.hosts, state_tables.HOST, state["host_names"], state["hosts"])
     loader.fill_rows(loader.requests, state_tables.REQUEST, state["request_names"], state["requests"])
     loader.fill(balancer, fields_of(balancer), state["own"])
-    balancer._ranks.sort(balancer._hosts.values())
+    balancer._ranks.rebuild(balancer._hosts.values())
 
 
 def known_hosts(balancer: Balancer) -> set[str]:
--- a/brambleusher/loadbalancing/state_tables.py
+++ b/brambleusher/loadbalancing/state_tables.py
@@ -119,10 +119,20 @@
     "first_ran_ns",
 )
 TOKEN_ROUND_ROBIN: FieldTable = _unchanged("ring", "_at", "scale")
-RETRY_BUDGET: FieldTable = _unchanged("spare", "unserved", "first_left")
-IDLE_TIMEOUT: FieldTable = _unchanged(
-    "limit_ns", "least_ns", "trust_ns", "kept", "lost", "reset", "proven_ns"
-)
+RETRY_BUDGET: FieldTable = {
+    "tokens": "spare",
+    "unserved_credit": "unserved",
+    "first_attempt_left_ns": "first_left",
+}
+IDLE_TIMEOUT: FieldTable = {
+    "limit_ns": "limit_ns",
+    "min_ns": "least_ns",
+    "timeout_ns": "trust_ns",
+    "answered": "kept",
+    "timed_out": "lost",
+    "resets": "reset",
+    "proven_idle_ns": "proven_ns",
+}
 ZONE_ROUTER: FieldTable = _unchanged(
     "rules",
     "own",
--- a/brambleusher/loadbalancing/subsetting.py
+++ b/brambleusher/loadbalancing/subsetting.py
@@ -19,8 +19,8 @@
 _MASK = (1 << 64) - 1
 
 
-def place(name: str) -> int:
-    """A name's place among 64-bit numbers, the same everywhere."""
+def hash_position(name: str) -> int:
+    """A name's position among 64-bit numbers, the same everywhere."""
     return int.from_bytes(blake2b(name.encode(), digest_size=8).digest(), "big")
 
 
@@ -41,7 +41,7 @@
 
     def __init__(self, names: Iterable[str]) -> None:
         self.places = sorted(
-            {name: place(name) for name in names}.items(), key=lambda pair: (pair[1], pair[0])
+            {name: hash_position(name) for name in names}.items(), key=lambda pair: (pair[1], pair[0])
         )
         self.names: Sequence[str] = [name for name, _ in self.places]
 
@@ -59,7 +59,7 @@
         """Deterministic subsetting by rounds (Site Reliability Engineering, 2016, chapter 20).
 
         Instances in a round divide the hosts among them, in an order of that round's own.  The order is by
-        hash, so that a host which goes moves those behind it by one place, and no more.
+        hash, so that a host which goes moves those behind it by one hash_position, and no more.
         """
         _check(number, size)
         count = max(len(self.names) // size, 1)
--- a/brambleusher/loadbalancing/zone_aware_balancer.py
+++ b/brambleusher/loadbalancing/zone_aware_balancer.py
@@ -23,7 +23,7 @@
     Balancer,
 )
 from brambleusher.loadbalancing.hosts import RESERVE, Host, Request
-from brambleusher.loadbalancing.zone_routing import Load, Zones
+from brambleusher.loadbalancing.zone_routing import ZoneLoad, ZoneRouter
 
 STILL_AIMS = 0.25  # a timer that fires so late: this proxy stood still
 DARK_AIMS = 0.5  # a host that answers nothing for so long, though asked, is dark
@@ -40,7 +40,7 @@
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self._zones = Zones(settings.zone_rules, settings.zone, self._unit_ns, settings.fleet_size)
+        self._zones = ZoneRouter(settings.zone_rules, settings.zone, self._unit_ns, settings.fleet_size)
         self._probing: list[str] = []  # requests whose last attempt is a probe
         self._due_ns = 0  # when the timer is to fire
         self._ahead = False  # zones' grants may be used a burst ahead
@@ -81,7 +81,7 @@
                 host.ready = not host.draining and not zones.shut(host.zone)
                 zone = zones.zones.get(host.zone)
                 host.rank = host.rank % 1.0 + (zone.tier if zone is not None else 0)
-            self._ranks.sort(self._hosts.values())
+            self._ranks.rebuild(self._hosts.values())
         super()._choose()
 
     # --- the tick -------------------------------------------------------------------------------
@@ -123,9 +123,9 @@
             return 1 - RESERVE, 1.0 if price <= 0 else 0.01
         return hold, max(0.01, 1 - price * 20)
 
-    def _loads(self, now: int) -> dict[str, Load]:
+    def _loads(self, now: int) -> dict[str, ZoneLoad]:
         """What the ready hosts of each zone report, and which owe answers for too long."""
-        loads: dict[str, Load] = {}
+        loads: dict[str, ZoneLoad] = {}
         missing: dict[str, list[int]] = {}
         used = {host.name for host in self._turn.ring}
         rate = self._size_rate or 1.0  # before it is known, hosts' capacities beside each other
@@ -134,7 +134,7 @@
                 continue
             load = loads.get(host.zone)
             if load is None:
-                load, missing[host.zone] = loads.setdefault(host.zone, Load()), [0, 0]
+                load, missing[host.zone] = loads.setdefault(host.zone, ZoneLoad()), [0, 0]
             if (since := self._dark_since(host, now)) > 0:
                 load.dark[host.name] = since
             if host.name not in used and host.ready:  # not among this proxy's few: as those that are
@@ -189,7 +189,7 @@
             if not request.closed and request.out == request.lost and self._may_repeat(request, now):
                 other = self._pick(request, now)
                 if other is not None:
-                    self._retries.spend()
+                    self._retries.withdraw()
                     self._send(request, other, now)
 
     def _welcome_back(self, name: str, now: int) -> None:
--- a/brambleusher/loadbalancing/zone_routing.py
+++ b/brambleusher/loadbalancing/zone_routing.py
@@ -1,6 +1,6 @@
 """What becomes of zones: how near each is, how well, and how much of this proxy's traffic it may be given.
 
-`Zones` is told of sends, of their ends, of the list and, at each tick, of what each zone's hosts report.
+`ZoneRouter` is told of sends, of their ends, of the list and, at each tick, of what each zone's hosts report.
 It answers which zones take part, the part of its spare that each may offer, and whether one more request
 may go to a zone now.  It is pure: no clock, no I/O, nothing drawn.  `docs/design/zones.md` weighs the ways.
 
@@ -80,7 +80,7 @@
 RANK_AIMS = 4.0  # between two rankings
 
 
-class State(Enum):
+class ZoneState(Enum):
     """What this proxy makes of a zone."""
 
     HEALTHY = "healthy"
@@ -90,7 +90,7 @@
 
 
 @dataclass(slots=True)
-class Load:
+class ZoneLoad:
     """A zone's ready hosts at one tick; rates are requests a second."""
 
     hosts: int = 0
@@ -103,7 +103,7 @@
 
 
 @dataclass
-class Node:
+class NodeHealth:
     """What is known of one host's answers."""
 
     heard_ns: int = 0  # its last answer of any kind
@@ -117,10 +117,10 @@
     """One zone: state, evidence, penalty, grant."""
 
     name: str
-    state: State = State.HEALTHY
+    state: ZoneState = ZoneState.HEALTHY
     since_ns: int = 0
     reason: str = "nothing speaks against it"
-    nodes: dict[str, Node] = field(default_factory=dict)
+    nodes: dict[str, NodeHealth] = field(default_factory=dict)
     ready: list[str] = field(default_factory=list)
     ended: float = 0.0  # ends lately
     wrong_ns: int = 0  # the last time anything spoke against it
@@ -155,17 +155,17 @@
     @property
     def out(self) -> bool:
         """Whether it takes no part, unless the evidence is doubted."""
-        return self.state is State.LOST or self.held
+        return self.state is ZoneState.LOST or self.held
 
     @property
     def ramps(self) -> bool:
         """Whether its limit is on its way up, or down to nothing."""
-        return self.state is State.RETURNING or bool(self.leaving_ns)
+        return self.state is ZoneState.RETURNING or bool(self.leaving_ns)
 
     @property
     def proven(self) -> bool:
         """Whether that it is out is beyond doubt: connects fail."""
-        return self.state is State.LOST and self.unreached >= PROOF
+        return self.state is ZoneState.LOST and self.unreached >= PROOF
 
 
 def tiers_for(rules: ZoneRules, own: str) -> list[list[tuple[str, float]]] | None:
@@ -195,7 +195,7 @@
     return given
 
 
-class Zones:
+class ZoneRouter:
     """All zones as one proxy sees them; without rules nothing is judged and all take part."""
 
     def __init__(self, rules: ZoneRules | None, own: str, unit_ns: int, fleet_size: int) -> None:
@@ -220,7 +220,7 @@
         if rules is None:
             self.panic, self.beyond = False, 0.0
             for zone in self.zones.values():
-                zone.state, zone.held, zone.limit, zone.leaving_ns = State.HEALTHY, False, -1.0, 0
+                zone.state, zone.held, zone.limit, zone.leaving_ns = ZoneState.HEALTHY, False, -1.0, 0
                 zone.reason, zone.penalty = "the operator's rules are gone", 0.0
             return
         for zone in self.zones.values():
@@ -233,8 +233,8 @@
                 self._say(zone, "is being evacuated, as the operator's rules have it")
             elif left and zone.name not in rules.evacuated:
                 zone.leaving_ns = 0
-                if zone.state is not State.LOST:
-                    self._to(zone, State.RETURNING, "the operator's rules evacuate it no more", now)
+                if zone.state is not ZoneState.LOST:
+                    self._to(zone, ZoneState.RETURNING, "the operator's rules evacuate it no more", now)
         self._rank()
 
     def _rank(self) -> None:
@@ -252,7 +252,7 @@
             self.zones[self.own].tier = 0
 
     def _rank_by_cost(self) -> None:
-        """Zones that quick answers take as long from are as near; one not known yet is in tier 1.
+        """ZoneRouter that quick answers take as long from are as near; one not known yet is in tier 1.
 
         Classes are compared each with itself: the mean of what a zone's quick answers take more than those
         of the nearest.
@@ -294,7 +294,7 @@
             before, zone.ready = zone.ready, sorted(ready.get(name, ()))
             there = {*zone.ready, *draining.get(name, ())}
             zone.nodes = {host: node for host, node in zone.nodes.items() if host in there}
-            if before and not zone.ready and self.rules is not None and zone.state is not State.LOST:
+            if before and not zone.ready and self.rules is not None and zone.state is not ZoneState.LOST:
                 if draining.get(name):
                     zone.reason = "drained in order"
                 elif len(before) > 1:
@@ -325,7 +325,7 @@
             return
         if status is AttemptStatus.TIMEOUT and latency_ns < self.unit_ns * SHORT_PART:
             return
-        node = zone.nodes.setdefault(host, Node())
+        node = zone.nodes.setdefault(host, NodeHealth())
         zone.ended += 1
         if status in ANSWERED:
             node.heard_ns, node.streak = now, 0
@@ -370,7 +370,7 @@
     def doubtful(self, name: str) -> bool:
         """Whether what must not run twice had better go elsewhere."""
         zone = self.zones.get(name)
-        return self.rules is not None and zone is not None and (zone.out or zone.state is State.SUSPECT)
+        return self.rules is not None and zone is not None and (zone.out or zone.state is ZoneState.SUSPECT)
 
     def part_of(self, name: str) -> float:
         """The part of their spare that a zone's hosts may offer."""
@@ -428,7 +428,7 @@
     # --- the tick -------------------------------------------------------------------------------
 
     def tick(
-        self, now: int, gap: float, loads: Mapping[str, Load], rate: float, hold: float, floor: float
+        self, now: int, gap: float, loads: Mapping[str, ZoneLoad], rate: float, hold: float, floor: float
     ) -> bool:
         """Judge all zones anew; `gap` is the time since the last tick in aims, `rate` what comes a second.
 
@@ -440,7 +440,7 @@
         before = [self.shut(name) for name in self.zones]
         for name, zone in self.zones.items():
             self._fade(zone, gap)
-            self._judge(zone, loads.get(name) or Load(), now)
+            self._judge(zone, loads.get(name) or ZoneLoad(), now)
         self._doubt(loads)
         if now - self._ranked_ns > RANK_AIMS * self.unit_ns:
             self._ranked_ns = now
@@ -461,10 +461,10 @@
 
     # --- states ---------------------------------------------------------------------------------
 
-    def _judge(self, zone: Zone, load: Load, now: int) -> None:
+    def _judge(self, zone: Zone, load: ZoneLoad, now: int) -> None:
         """One zone's state, by what speaks for and against it now."""
         unit = self.unit_ns
-        if zone.state is State.LOST:
+        if zone.state is ZoneState.LOST:
             return self._return(zone, now)
         if zone.held:
             return self._hold(zone, now)
@@ -491,15 +491,15 @@
         told = f"{len(dark)} of {len(zone.ready)} nodes dark, no answer for {quiet / SECOND:.2f} s"
         if all_dark and quiet >= need:
             self._lose(zone, told, now)
-        elif zone.state is State.RETURNING:
+        elif zone.state is ZoneState.RETURNING:
             if now - max(zone.since_ns, zone.wanted_ns, zone.wrong_ns) > WELL_AIMS * unit:
-                self._to(zone, State.HEALTHY, "it answers all that it is sent", now)
+                self._to(zone, ZoneState.HEALTHY, "it answers all that it is sent", now)
         elif suspect:
             if grey:
                 told = f"{wrong / zone.ended:.0%} of what ended lately went wrong, at several nodes"
-            self._to(zone, State.SUSPECT, told, now)
-        elif zone.state is State.SUSPECT and now - zone.wrong_ns > CLEAR_AIMS * unit:
-            self._to(zone, State.HEALTHY, "nothing speaks against it any more", now)
+            self._to(zone, ZoneState.SUSPECT, told, now)
+        elif zone.state is ZoneState.SUSPECT and now - zone.wrong_ns > CLEAR_AIMS * unit:
+            self._to(zone, ZoneState.HEALTHY, "nothing speaks against it any more", now)
 
     def _lose(self, zone: Zone, reason: str, now: int, penalty: float = 1.0) -> None:
         rules, flapping = self.rules, zone.held
@@ -515,7 +515,7 @@
         zone.probe_ns = now + zone.probe_pause_ns
         for node in zone.nodes.values():
             node.streak = 0
-        self._to(zone, State.LOST, reason, now, quiet=flapping)
+        self._to(zone, ZoneState.LOST, reason, now, quiet=flapping)
 
     def _return(self, zone: Zone, now: int) -> None:
         """A lost zone that has answered since is on its way back, once its penalty trusts it."""
@@ -531,7 +531,7 @@
         zone.held = zone.penalty >= TRUSTED
         if zone.held:
             reason += f", and is held after {zone.losses} losses"
-        self._to(zone, State.RETURNING, reason, now, quiet=zone.held and flaps)
+        self._to(zone, ZoneState.RETURNING, reason, now, quiet=zone.held and flaps)
 
     def _hold(self, zone: Zone, now: int) -> None:
         if zone.missed >= MISSED:
@@ -541,17 +541,17 @@
             zone.listed_out = True
         elif zone.penalty < TRUSTED:
             zone.held = False
-            self._to(zone, State.RETURNING, "it answers and is trusted again", now)
+            self._to(zone, ZoneState.RETURNING, "it answers and is trusted again", now)
         elif self.short_ns and now - self.short_ns > NEED_AIMS * self.unit_ns:
             zone.held = False
-            self._to(zone, State.RETURNING, "it answers and is needed, trusted or not", now)
+            self._to(zone, ZoneState.RETURNING, "it answers and is needed, trusted or not", now)
 
-    def _to(self, zone: Zone, state: State, reason: str, now: int, quiet: bool = False) -> None:
-        if zone.state is state and state is State.SUSPECT:
+    def _to(self, zone: Zone, state: ZoneState, reason: str, now: int, quiet: bool = False) -> None:
+        if zone.state is state and state is ZoneState.SUSPECT:
             zone.reason = reason
             return
         zone.state, zone.reason, zone.since_ns = state, reason, now
-        if state is State.RETURNING:
+        if state is ZoneState.RETURNING:
             zone.grant = zone.level = 0.0
             zone.level_ns = zone.wanted_ns = now
         if not quiet:
@@ -560,7 +560,7 @@
     def _say(self, zone: Zone, text: str) -> None:
         self.said.append(f"zone {zone.name} {text}")
 
-    def _doubt(self, loads: Mapping[str, Load]) -> None:
+    def _doubt(self, loads: Mapping[str, ZoneLoad]) -> None:
         """Panic: few nodes seem well, and those are pressed: it may be this proxy that is ill.
 
         A zone that connects can't reach stays out: that is no matter of doubt.
@@ -573,7 +573,7 @@
         for name, zone in self.zones.items():
             if zone.out or not zone.ready:
                 continue
-            load = loads.get(name) or Load()
+            load = loads.get(name) or ZoneLoad()
             well += len(zone.ready) - len(load.dark)
             pressed &= load.strained or load.used > strain * load.capacity
         self.panic = total > 0 and pressed and well < rules.panic_threshold * total
@@ -589,7 +589,7 @@
 
     # --- traffic --------------------------------------------------------------------------------
 
-    def _steer(self, gap: float, loads: Mapping[str, Load], hold: float, floor: float) -> None:
+    def _steer(self, gap: float, loads: Mapping[str, ZoneLoad], hold: float, floor: float) -> None:
         """How much of its spare each tier offers, by the use of the tiers before it."""
         here, strained, counted = [0.0, 0.0], 0, 0
         for tier in sorted({zone.tier for zone in self.zones.values()}):
@@ -616,15 +616,15 @@
             strained += sum(load.strained for load in full)
             counted += len(full)
 
-    def _share(self, loads: Mapping[str, Load], hold: float) -> float:
+    def _share(self, loads: Mapping[str, ZoneLoad], hold: float) -> float:
         """This proxy's part of what spills: its part of the traffic of the zones in trouble.
 
         Over all proxies these parts add up to one, whoever they are, since each zone's traffic is all theirs.
         """
-        troubled = [zone for zone in self.zones.values() if zone.out or zone.state is State.RETURNING]
+        troubled = [zone for zone in self.zones.values() if zone.out or zone.state is ZoneState.RETURNING]
         own = self.zones.get(self.own)
         if own is not None and own not in troubled:
-            load = loads.get(self.own) or Load()
+            load = loads.get(self.own) or ZoneLoad()
             if load.strained or load.used > hold * load.capacity or own.leaving_ns:
                 troubled.append(own)
         parts = [self._part(zone) for zone in troubled]
@@ -636,7 +636,7 @@
             return zone.own_part
         return min(1.0, max(len(self.zones), 1) / self.fleet_size) if zone.name == self.own else 0.0
 
-    def _grant(self, now: int, gap: float, loads: Mapping[str, Load], rate: float, hold: float) -> None:
+    def _grant(self, now: int, gap: float, loads: Mapping[str, ZoneLoad], rate: float, hold: float) -> None:
         """Limits and parts of all zones: what comes is shared out by spare and tier, within the grants."""
         rules = self.rules
         assert rules is not None
@@ -645,19 +645,19 @@
         share = self._share(loads, hold)
         masses: dict[str, float] = {}
         for name, zone in self.zones.items():
-            load, used = loads.get(name) or Load(), zone.answered * per_s
-            if zone.state is State.HEALTHY and load.throughput > 0 and not zone.leaving_ns:
+            load, used = loads.get(name) or ZoneLoad(), zone.answered * per_s
+            if zone.state is ZoneState.HEALTHY and load.throughput > 0 and not zone.leaving_ns:
                 part = min(1.0, used / load.throughput)
                 kept = 0.5 ** (gap / SHARE_AIMS) if zone.own_part >= 0 else 0.0
                 zone.own_part = zone.own_part * kept + part * (1 - kept)
-            zone.calm = zone.state is State.HEALTHY and load.used < hold * load.capacity
+            zone.calm = zone.state is ZoneState.HEALTHY and load.used < hold * load.capacity
             if not load.hosts or self.shut(name):
                 zone.limit = -1.0
                 continue
             spare = max(rules.max_utilisation * load.capacity - load.used, 0.0) * share
             self._regrant(zone, load, used, spare, seconds, now)
             offer = self._tier_offer(zone.tier) * self.weights.get(name, 1.0)
-            masses[name] = load.mass * offer * (SUSPECT_OFFER if zone.state is State.SUSPECT else 1.0)
+            masses[name] = load.mass * offer * (SUSPECT_OFFER if zone.state is ZoneState.SUSPECT else 1.0)
             zone.limit = self._limit_of(zone, load, rate, now)
         self._ticked_ns = now
         if self.panic:
@@ -669,7 +669,7 @@
         given = fill(rate, masses, limits)
         for name, limit in limits.items():
             zone = self.zones[name]
-            full = zone.state is State.RETURNING and zone.grant >= self._most(zone, loads[name], now)
+            full = zone.state is ZoneState.RETURNING and zone.grant >= self._most(zone, loads[name], now)
             if limit >= 0 and given[name] >= WANTED * limit and not full:
                 zone.wanted_ns = now
         parts = {name: amount / loads[name].mass for name, amount in given.items()}
@@ -692,12 +692,14 @@
                 offer *= part
         return offer
 
-    def _regrant(self, zone: Zone, load: Load, used: float, spare: float, seconds: float, now: int) -> None:
+    def _regrant(
+        self, zone: Zone, load: ZoneLoad, used: float, spare: float, seconds: float, now: int
+    ) -> None:
         """Let a zone's grant grow while it is wanted, fall where the zone is strained, lapse where unused."""
         rules = self.rules
         assert rules is not None
         wanted = zone.wanted_ns == self._ticked_ns  # at the last tick
-        if zone.state is State.RETURNING:
+        if zone.state is ZoneState.RETURNING:
             start = START_PART * load.capacity * self.share_of(zone.name)
             start = max(start, LEAST_AN_AIM * SECOND / self.unit_ns)
             if wanted and self.needed(now):  # up to its limit; it is told that it is no more by its silence
@@ -721,20 +723,20 @@
         # One request in a few aims at least: a zone that nothing is sent to tells nothing.
         zone.grant = max(zone.grant, used if over <= 0 else 0.0, LEAST_AN_AIM * SECOND / self.unit_ns)
 
-    def _limit_of(self, zone: Zone, load: Load, rate: float, now: int) -> float:
+    def _limit_of(self, zone: Zone, load: ZoneLoad, rate: float, now: int) -> float:
         """Requests a second that a zone may be sent by this proxy; below 0: any."""
         rules = self.rules
         assert rules is not None
         if zone.leaving_ns:
             left = 1.0 - (now - zone.leaving_ns) / (EVACUATION_S * SECOND)
             return max(left, 0.0) * rate
-        if zone.state is State.RETURNING:
+        if zone.state is ZoneState.RETURNING:
             most = self._most(zone, load, now)
             return min(zone.grant, most) if load.capacity else zone.grant
         # Before any report there is nothing to go by.
         return -1.0 if zone.name == self.own or not load.capacity else zone.grant
 
-    def _most(self, zone: Zone, load: Load, now: int) -> float:
+    def _most(self, zone: Zone, load: ZoneLoad, now: int) -> float:
         """The most that a returning zone is granted: this proxy's part of what it can do at this moment."""
         assert self.rules is not None
         times = NEEDED_TIMES if self.needed(now) else self.rules.max_utilisation
--- a/brambleusher/net/client_listener.py
+++ b/brambleusher/net/client_listener.py
@@ -15,8 +15,8 @@
     DuplicateRequestError,
 )
 from brambleusher.loadbalancing.api import Idempotency
-from brambleusher.loadbalancing.connection_admission import FRESH_SECONDS, Places
-from brambleusher.loadbalancing.maintenance import Service
+from brambleusher.loadbalancing.connection_admission import FIRST_REQUEST_S, ConnectionAdmission
+from brambleusher.loadbalancing.maintenance import ClientDraining
 from brambleusher.net.client_presence import ClientPresence
 from brambleusher.net.header_forwarding import HeaderRewriter, end_to_end
 from brambleusher.net.http import (
@@ -107,11 +107,11 @@
         nodes: UpstreamPool,
         clock: Clock,
         counters: Counters,
-        places: Places,
+        places: ConnectionAdmission,
         is_ready: Callable[[], bool],
         rewrites: HeaderRewriter | None = None,
         request_counts: RequestCounts | None = None,
-        service: Service | None = None,
+        service: ClientDraining | None = None,
     ) -> None:
         self._scheduler, self._decisions, self._clock = scheduler, decisions, clock
         self._counters, self._places, self._is_ready = counters, places, is_ready
@@ -122,7 +122,7 @@
         }
         self._tenants = {tenant.name for tenant in decisions.settings.tenants}
         self.request_counts = request_counts or RequestCounts(self._methods)
-        self._service = service or Service()
+        self._service = service or ClientDraining()
         self._leaving: Task | None = None
         self._listener: Socket | None = None
         self._accepting: Task | None = None
@@ -175,7 +175,9 @@
 
     def _accept_all(self, listener: Socket) -> None:
         while True:
-            if self._places.taken >= self._places.most and not self._make_room(self._places.most):
+            if self._places.connection_count >= self._places.max_connections and not self._make_room(
+                self._places.max_connections
+            ):
                 self._counters.add("accepts_put_off")
                 self._put_off()
             elif not self._accept_one(listener):
@@ -198,7 +200,7 @@
             if error.errno in RESOURCE_EXHAUSTION_ERRNOS:
                 # Guards against a loop at full speed, and against dying, while no descriptor is free.
                 log.warning("no descriptor to accept with", extra={"fields": {"error": error.strerror}})
-                self._make_room(self._places.taken)
+                self._make_room(self._places.connection_count)
                 self._put_off()
             return True  # others concern the connection that was to be taken, and it is gone
         self._counters.add("connections_accepted")
@@ -208,10 +210,10 @@
             # Guards against silent ones by the hundred that are held too long: each group let in after
             # another would have its whole time again, though it may have connected when the first did.
             connection.waited = connection.accepted_at - self._put_off_since
-            least = connection.accepted_at - FIRST_SECONDS + FRESH_SECONDS
+            least = connection.accepted_at - FIRST_SECONDS + FIRST_REQUEST_S
             connection.accepted_at = max(self._put_off_since, least)
         self._connections.add(connection)
-        self._places.opened(connection, connection.peer, connection.accepted_at)
+        self._places.record_open(connection, connection.peer, connection.accepted_at)
         connection.task = self._scheduler.spawn(self._serve, connection, name="client")
         return True
 
@@ -222,12 +224,12 @@
         """
         now, closed = self._scheduler.now(), False
         places = self._places
-        for each in places.surplus(now) if most is None else places.for_one_more(now, most):
+        for each in places.surplus_connections(now) if most is None else places.evictions_for_new(now, most):
             assert isinstance(each, ClientConnection)
             if each.stream.peek():
                 # Its request has come and was not read yet.  Guards against looking at it again with each
                 # answer: where most have asked and are not read, that is what keeps them unread.
-                places.asked(each, now)
+                places.record_request(each, now)
             else:
                 silent = "" if each.asked else "_silent"
                 self._counters.add(f"submitters_closed{silent}")
@@ -249,7 +251,7 @@
 
     def _release(self, connection: ClientConnection) -> None:
         connection.released = True
-        self._places.closed(connection, self._scheduler.now())
+        self._places.record_close(connection, self._scheduler.now())
         if connection.task is not None:
             connection.task.cancel()
 
@@ -265,7 +267,7 @@
 
     def _forget(self, connection: ClientConnection) -> None:
         self._connections.discard(connection)
-        self._places.closed(connection, self._scheduler.now())
+        self._places.record_close(connection, self._scheduler.now())
 
     @property
     def connections(self) -> int:
@@ -279,12 +281,15 @@
 
     def _leave(self) -> None:
         """The task: close what may not rest any longer, until clients are wanted again."""
-        while not self._service.wanted:
+        while not self._service.accepts_clients:
             now = self._scheduler.now()
-            for connection in self._places.waiting():
+            for connection in self._places.idle_connections():
                 assert isinstance(connection, ClientConnection)
                 since = connection.stream.used_at
-                if not self._service.may_rest(now, since, connection.asked) and connection.stream.quiet():
+                if (
+                    not self._service.may_stay_idle(now, since, connection.asked)
+                    and connection.stream.quiet()
+                ):
                     self._dismiss(connection)
             self._scheduler.sleep(LEAVE_LOOK_SECONDS)
         self._leaving = None
@@ -292,7 +297,7 @@
     def wind_down(self) -> None:
         """Close each connection as soon as nothing is owed on it, then take no new ones; a task calls it."""
         self._closing, self._closing_at = True, self._scheduler.now()
-        for connection in self._places.waiting():
+        for connection in self._places.idle_connections():
             assert isinstance(connection, ClientConnection)
             if connection.stream.quiet():
                 self._dismiss(connection)
@@ -344,8 +349,8 @@
         now = connection.stream.used_at = self._scheduler.now()
         if reader.buffered:
             return
-        self._places.rests(connection, now)
-        if self._places.scarce(now):
+        self._places.record_idle(connection, now)
+        if self._places.is_scarce(now):
             self._make_room()
 
     def _exchange(self, connection: ClientConnection, reader: MessageReader) -> bool:
@@ -354,7 +359,7 @@
         try:
             request = self._read(connection, reader)
         except HttpError as error:
-            self._places.asked(connection, self._scheduler.now())
+            self._places.record_request(connection, self._scheduler.now())
             self._count_bad(connection, error)
             self._turn_away(stream, error)
             return False
@@ -393,8 +398,8 @@
     def _may_stay(self, connection: ClientConnection, reader: MessageReader) -> bool:
         """Whether a connection that is about to get its answer may have another request after it."""
         now = self._scheduler.now()
-        ending = self._closing or not self._service.wanted
-        if not ending and self._places.may_stay(connection, now):
+        ending = self._closing or not self._service.accepts_clients
+        if not ending and self._places.may_keep_alive(connection, now):
             return True
         if now < self._closing_at + LAST_REQUESTS_SECONDS and self._has_more(connection, reader):
             return True  # what has come already is taken, and owed an answer
@@ -487,7 +492,7 @@
         while (request := reader.take()) is None:
             if reader.begun and not begun:
                 begun = True
-                self._places.asked(connection, self._scheduler.now())
+                self._places.record_request(connection, self._scheduler.now())
                 started_at = self._scheduler.now()
                 if connection.asked:
                     deadline = started_at + READ_SECONDS
@@ -511,7 +516,7 @@
             if not data:
                 return None
             reader.feed(data)
-        self._places.asked(connection, self._scheduler.now())
+        self._places.record_request(connection, self._scheduler.now())
         return request
 
     def _upload(
@@ -539,7 +544,7 @@
         stream, (method, target) = connection.stream, request.start
         path = target.split("?", 1)[0]
         if path == "/ready" and method == "GET":
-            if not self._service.ready:
+            if not self._service.is_ready:
                 return ClientResponse(503, [], b"out of service\n")
             return (
                 ClientResponse(200, [], b"ready\n")
@@ -555,7 +560,7 @@
             arrived_ns -= waited_ns
             call = replace(call, time_left_ns=max(call.time_left_ns - waited_ns, 0))
             self._counters.add("requests_read_late")
-        self._places.named(connection, call.tenant or "")
+        self._places.record_tenant(connection, call.tenant or "")
         if self._rewrites is not None:
             passed = self._rewrites.inward(request, path, call.request_class, connection.peer)
             call = replace(call, payload=passed)
--- a/brambleusher/net/upstream_pool.py
+++ b/brambleusher/net/upstream_pool.py
@@ -18,7 +18,7 @@
     LoadReport,
     Settings,
 )
-from brambleusher.loadbalancing.connection_limits import Link, Pace
+from brambleusher.loadbalancing.connection_limits import ConnectionLimit, ConnectPacing
 from brambleusher.net.endpoint_list import Endpoint, EndpointListUpdate
 from brambleusher.net.http import (
     HOP_BY_HOP,
@@ -100,7 +100,7 @@
     started_ns: int
     idle: list[Stream]
     claims: dict[UpstreamAttempt, None]  # in the order they began
-    link: Link
+    link: ConnectionLimit
     waiting: deque[UpstreamAttempt] = field(default_factory=deque)  # for a connection
     leaving: bool = False
 
@@ -141,7 +141,9 @@
         """`written` is told of each claim whose last byte has been handed over."""
         self._scheduler, self._counters, self._written = scheduler, counters, written
         self._connect_seconds = settings.connect_timeout_ns / 1e9
-        self._pace = Pace.of(settings.fleet_size, settings.connection_idle_timeout_ns / 1e9 or math.inf)
+        self._pace = ConnectPacing.for_fleet(
+            settings.fleet_size, settings.connection_idle_timeout_ns / 1e9 or math.inf
+        )
         self.listed: dict[str, Endpoint] = {}
         self._nodes: dict[
             str, UpstreamEndpoint
@@ -196,7 +198,9 @@
         endpoint = self.listed.get(name)
         if endpoint is None or endpoint.entry.state is not HostState.READY:
             return None
-        node = UpstreamEndpoint(name, endpoint.address, endpoint.entry.started_ns, [], {}, Link(self._pace))
+        node = UpstreamEndpoint(
+            name, endpoint.address, endpoint.entry.started_ns, [], {}, ConnectionLimit(self._pace)
+        )
         self._nodes[name] = node
         return node
 
@@ -331,7 +335,7 @@
             answer, keep = self._answer(stream, claim, deadline)
             status = status_of(answer)
             if status is AttemptStatus.OVERLOADED and claim.fresh:
-                node.link.full(self._scheduler.now())
+                node.link.record_rejection(self._scheduler.now())
                 keep = False  # guards against a place held in a full table
             if not isinstance(answer.rest, ResponseBodyStream):
                 return status, self._report(node, answer), answer
@@ -356,7 +360,7 @@
             return AttemptStatus.ERROR, None, None
         finally:
             if claim.stream is not None:
-                node.link.gives_back(self._scheduler.now(), keep)
+                node.link.record_release(self._scheduler.now(), keep)
                 self._give_back(node, claim.stream, keep or not claim.sending)
 
     def _early(self, node: UpstreamEndpoint, stream: Stream | None, claim: UpstreamAttempt) -> Ended:
@@ -428,7 +432,7 @@
                 self._counters.add("connections_reused")
                 break
             pause = self._rest_left(node, now)
-            if not 0 < pause < until - now and (pause := node.link.pause(now)) <= 0:
+            if not 0 < pause < until - now and (pause := node.link.wait_s(now)) <= 0:
                 if self._open >= self._most and not self._make_room():
                     return None
                 stream = self._connect(node, claim, until)
@@ -438,7 +442,7 @@
             now = self._scheduler.now()
             if now >= until:
                 raise TaskTimeoutError
-        node.link.takes(self._scheduler.now())
+        node.link.record_acquire(self._scheduler.now())
         return stream
 
     def _idle(self, node: UpstreamEndpoint, now: float) -> Stream | None:
@@ -448,7 +452,7 @@
                 continue
             del node.idle[at]
             # Guards against a claim written to a connection that its node is about to close, or has.
-            if now - stream.used_at < self._pace.idle and stream.quiet():
+            if now - stream.used_at < self._pace.idle_timeout_s and stream.quiet():
                 return stream
             self._discard(node, stream)
         return None
@@ -460,14 +464,14 @@
 
     def _connect(self, node: UpstreamEndpoint, claim: UpstreamAttempt, until: float) -> Stream:
         self._open += 1
-        node.link.opens()
+        node.link.record_open()
         try:
             stream = Stream.connect(self._scheduler, node.address, until, claim.event)
         except BaseException as error:
             if isinstance(error, OSError):
-                node.link.full(self._scheduler.now())
+                node.link.record_rejection(self._scheduler.now())
             self._open -= 1
-            node.link.closed()
+            node.link.record_close()
             raise
         claim.fresh = True
         self._counters.add("connections_opened")
@@ -571,7 +575,7 @@
     def _discard(self, node: UpstreamEndpoint, stream: Stream) -> None:
         if stream.open:
             self._open -= 1
-            node.link.closed()
+            node.link.record_close()
             stream.close()
 
     def _drop(self, node: UpstreamEndpoint) -> None:
@@ -592,13 +596,13 @@
         while True:
             self._scheduler.sleep(1.0)
             now = self._scheduler.now()
-            old = now - self._pace.idle
+            old = now - self._pace.idle_timeout_s
             for node in list(self._nodes.values()):
                 keep = [stream for stream in node.idle if stream.used_at > old and stream.quiet()]
-                keep = keep[max(0, len(keep) - max(node.link.keeps(now), 1)) :]  # the last used
+                keep = keep[max(0, len(keep) - max(node.link.idle_to_keep(now), 1)) :]  # the last used
                 for stream in node.idle:
                     if stream not in keep:
                         self._discard(node, stream)
                 node.idle[:] = keep
-                if not (keep or node.claims or node.waiting) and node.link.rests(now):
+                if not (keep or node.claims or node.waiting) and node.link.is_forgettable(now):
                     del self._nodes[node.name]
--- a/brambleusher/sidecar/app.py
+++ b/brambleusher/sidecar/app.py
@@ -28,8 +28,8 @@
 from brambleusher.handover.state_transfer import TransferredState
 from brambleusher.loadbalancing import Balancer
 from brambleusher.loadbalancing.api import HostEntry, ListKind, Settings
-from brambleusher.loadbalancing.connection_admission import Places
-from brambleusher.loadbalancing.maintenance import Bans, Service
+from brambleusher.loadbalancing.connection_admission import ConnectionAdmission
+from brambleusher.loadbalancing.maintenance import ClientDraining, HostBans
 from brambleusher.loadbalancing.state_transfer import MOST_HOSTS
 from brambleusher.loadbalancing.zone_aware_balancer import balancer_for
 from brambleusher.net.client_listener import ClientListener
@@ -114,7 +114,7 @@
         make: Callable[[Settings, int], Balancer] = balancer_for,
     ) -> None:
         operator = operator or OperatorFile()
-        self.bans, self.service, self._service_said = Bans(), Service(), 0
+        self.bans, self.service, self._service_said = HostBans(), ClientDraining(), 0
         self._version = 0  # of the list that was told last
         self.config = replace(config, settings=replace(config.settings, zone_rules=operator.zones))
         self._load, self._load_operator = load, load_operator
@@ -162,7 +162,9 @@
         )
         self.balancer_driver.on_close_idle_connections = self._let_go
         self.balancer_driver.on_subscribe = self.endpoint_list.ask
-        self.connection_admission = Places(rooms.clients, max(int(config.limits.sockets * ASKING_PART), 8))
+        self.connection_admission = ConnectionAdmission(
+            rooms.clients, max(int(config.limits.sockets * ASKING_PART), 8)
+        )
         self.client_listener = ClientListener(
             self.scheduler, self.balancer_driver, self.upstream_pool, self.clock, self.counters,
             self.connection_admission,
@@ -227,7 +229,7 @@
         if len(self.upstream_pool.listed) > MOST_HOSTS:
             return None
         servers = [
-            server_entry(self.bans.raw(name) or endpoint.entry, "{}:{}".format(*endpoint.address))
+            server_entry(self.bans.listed_entry(name) or endpoint.entry, "{}:{}".format(*endpoint.address))
             for name, endpoint in self.upstream_pool.listed.items()
         ]
         return TransferredState(
@@ -242,8 +244,8 @@
             return
         room = self._rooms(self.process_group.shares.connections)
         self.upstream_pool.resize(room.nodes)
-        self.connection_admission.most = room.clients
-        self.connection_admission.asking = min(
+        self.connection_admission.max_connections = room.clients
+        self.connection_admission.max_active = min(
             room.clients, max(int(self.config.limits.sockets * ASKING_PART), 8)
         )
         self.balancer_driver.set_process_share(self.process_group.shares.sending)
@@ -439,18 +441,18 @@
 
     def offline(self, node: str) -> bool:
         """Leave an endpoint out from now on; false for one never listed: from when it is."""
-        if self._said(node, self.bans.offline):
+        if self._said(node, self.bans.ban):
             return True
-        self.bans.wish(node, self.clock.now_ns())
+        self.bans.ban_when_listed(node, self.clock.now_ns())
         return False
 
     def online(self, node: str) -> bool:
         """Use it again from now on; false for one that was never listed."""
-        self.bans.unwish(node)
-        return self._said(node, self.bans.online)
+        self.bans.cancel_ban_when_listed(node)
+        return self._said(node, self.bans.unban)
 
     def _said(self, node: str, say: Callable[[str, int], HostEntry | None]) -> bool:
-        if not self.bans.knows(node):
+        if not self.bans.is_known(node):
             return False
         self._tell(say(node, self.clock.now_ns()))
         self._share()
@@ -471,7 +473,7 @@
         if wanted:
             self.service.resume()
         else:
-            self.service.leave(self.scheduler.now())
+            self.service.start(self.scheduler.now())
             self.client_listener.leave()
 
     def _share(self) -> None:
@@ -482,7 +484,7 @@
         def merge(shared: SharedSettings | None) -> SharedSettings:
             if shared is not None:
                 self._shared(shared)
-            return SharedSettings(dict(self.bans.bans), self.service.ready, self._service_said)
+            return SharedSettings(dict(self.bans.bans), self.service.is_ready, self._service_said)
 
         self.process_group.settings.update(merge)
 
@@ -502,9 +504,9 @@
     def _effective(self, update: EndpointListUpdate) -> EndpointListUpdate:
         """What bans make of news from discovery."""
         self._version = update.version
-        self.bans.listed(update.full, (endpoint.entry for endpoint in update.endpoints))
+        self.bans.record_list(update.full, (endpoint.entry for endpoint in update.endpoints))
         endpoints = tuple(
-            endpoint if (entry := self.bans.effective(endpoint.entry)) is endpoint.entry
+            endpoint if (entry := self.bans.effective_entry(endpoint.entry)) is endpoint.entry
             else replace(endpoint, entry=entry)
             for endpoint in update.endpoints
         )  # fmt: skip
--- a/brambleusher/xds/core.py
+++ b/brambleusher/xds/core.py
@@ -14,8 +14,18 @@
 
 from brambleusher.loadbalancing.api import HostListUpdated, HostState, ListKind, Settings, TimerFired
 from brambleusher.loadbalancing.fleet_balancer import FleetBalancer, host_statuses
-from brambleusher.loadbalancing.locality_weights import Damper, Rounder, Tier, tiers
-from brambleusher.loadbalancing.view_consistency import Handout, Place, Why, Word
+from brambleusher.loadbalancing.locality_weights import (
+    LocalityWeights,
+    WeightDamper,
+    WeightRounder,
+    group_by_locality,
+)
+from brambleusher.loadbalancing.view_consistency import (
+    PeerStatus,
+    ViewConsistency,
+    ViewPosition,
+    WithheldReason,
+)
 from brambleusher.net.endpoint_list import Endpoint, EndpointListUpdate
 from brambleusher.xds.config import ControlConfig, Group
 from brambleusher.xds.faults import ProtocolError
@@ -59,9 +69,9 @@
         self.name = name
         self.balancer = FleetBalancer(settings, seed)
         self.loads = Loads(cls.name for cls in settings.classes)
-        self._damper, self._rounder = Damper(), Rounder(change)
+        self._damper, self._rounder = WeightDamper(), WeightRounder(change)
         self._due_at = self.balancer.next_timer_ns(self.balancer.start(now)) or now
-        self.tiers: list[Tier] = []
+        self.tiers: list[LocalityWeights] = []
         self._endpoints: Mapping[str, Endpoint] = {}
 
     def listed(self, endpoints: Mapping[str, Endpoint], now: int) -> bool:
@@ -87,13 +97,13 @@
 
     def round_anew(self, change: float) -> None:
         """Another share by which weights must have moved to go out."""
-        self._rounder = Rounder(change)
+        self._rounder = WeightRounder(change)
 
     def weigh(self, order: Iterable[tuple[str, ...]], step: bool) -> bool:
         """Read the weights, and go a step towards them; says whether any has moved enough to go out."""
         before = self.tiers
         followed = self._damper.follow(host_statuses(self.balancer), step)
-        self.tiers = tiers(self._rounder.round(followed), list(order))
+        self.tiers = group_by_locality(self._rounder.round(followed), list(order))
         return self.tiers != before
 
 
@@ -118,13 +128,13 @@
     """All that one instance knows and decides."""
 
     def __init__(
-        self, config: ControlConfig, floor: Place | None, now: int, seed: int = 0, sure: bool = False
+        self, config: ControlConfig, floor: ViewPosition | None, now: int, seed: int = 0, sure: bool = False
     ) -> None:
         """`floor`: the place on durable storage; None where the store is new or was lost."""
         self.config, self.seal = config, Seal(config.secret)
         self.roster = Roster()
         unsure = 0 if sure else config.new_store_ms * MS
-        self.handout = Handout(floor, now, config.silence_ms * MS, unsure)
+        self.handout = ViewConsistency(floor, now, config.silence_ms * MS, unsure)
         rng = random.Random(seed)
         self.zones = {
             name: Zone(
@@ -141,7 +151,7 @@
         self._written_endpoints: dict[str, Endpoint] | None = None  # the list held when it was last written
         self.endpoints: dict[str, Endpoint] = {}  # the list that views are made of
         self._node_at: dict[tuple[str, int], str] = {}
-        self._place: Place | None = None  # of that list
+        self._place: ViewPosition | None = None  # of that list
         self._news_ns = now
         self._store_fails = False
         self._weighed_ns = now
@@ -173,23 +183,23 @@
         version = self.roster.version
         if version is None:
             return
-        self.handout.heard(Place(self.config.epoch, version), now)
+        self.handout.record_discovery(ViewPosition(self.config.epoch, version), now)
         self._settle(now)
 
     def lost(self, now: int) -> None:
         """The watch has ended."""
-        self.handout.lost()
+        self.handout.record_discovery_lost()
 
     # --- durable storage --------------------------------------------------------------------------
 
-    def to_write(self) -> Place | None:
+    def to_write(self) -> ViewPosition | None:
         """What must be on durable storage before the newest list may go out."""
-        return self.handout.to_write()
+        return self.handout.position_to_write()
 
-    def written(self, place: Place, now: int) -> None:
+    def written(self, place: ViewPosition, now: int) -> None:
         """It is there."""
         self._store_fails = False
-        self.handout.recorded(place)
+        self.handout.record_written(place)
         self._settle(now)
 
     def write_failed(self, now: int) -> None:
@@ -199,23 +209,23 @@
 
     # --- other instances --------------------------------------------------------------------------
 
-    def said(self, peer: str, word: Word, now: int) -> None:
+    def said(self, peer: str, word: PeerStatus, now: int) -> None:
         """Another instance has spoken."""
-        self.handout.said(peer, word, now)
+        self.handout.record_peer_status(peer, word, now)
         self.on_change()
 
-    def word(self, now: int) -> Word:
+    def word(self, now: int) -> PeerStatus:
         """What to tell the others."""
-        return self.handout.word(now)
+        return self.handout.peer_status(now)
 
     # --- the view ---------------------------------------------------------------------------------
 
     def _settle(self, now: int) -> None:
         """Make views of the newest list as far as it may go out."""
-        place = self.handout.place
+        place = self.handout.position
         if place is None:
             return
-        if self.handout.to_write() is None:
+        if self.handout.position_to_write() is None:
             if self.handout.floor is not None and place < self.handout.floor:
                 return
             endpoints = self.roster.endpoints
@@ -341,7 +351,7 @@
         subscriber = stream.subscriber
         subscriber.receive(request)
         for place in subscriber.claims:
-            self.handout.claimed(place)
+            self.handout.record_claim(place)
         subscriber.claims.clear()
         for kind, names, rejection in subscriber.rejections:
             self.nacks += 1
@@ -372,13 +382,13 @@
         if group is not None and stream.group is not None:
             stream.zone, stream.form = zone, form_of(group, stream.who)
 
-    def why_not(self, now: int) -> Why | None:
+    def why_not(self, now: int) -> WithheldReason | None:
         """Why nothing goes out now."""
-        if self._place is None and self.handout.place is not None:
-            return self.handout.why_not(now) or Why.UNWRITTEN
-        unwritten = self.handout.to_write() is not None
-        return self.handout.why_not(
-            now, harmless=unwritten and self._store_fails and self._place == self.handout.place
+        if self._place is None and self.handout.position is not None:
+            return self.handout.withheld_reason(now) or WithheldReason.NOT_DURABLE
+        unwritten = self.handout.position_to_write() is not None
+        return self.handout.withheld_reason(
+            now, harmless=unwritten and self._store_fails and self._place == self.handout.position
         )
 
     def next(self, stream: Stream, now: int) -> Response | None:
@@ -397,7 +407,7 @@
             subscriber.refresh(EDS)
         response = subscriber.take()
         if response is not None:
-            self.handout.acted(response.place)
+            self.handout.record_published(response.place)
             stream.responses += 1
             if response.kind == EDS:
                 stream.refreshed_ns = now
--- a/brambleusher/xds/instances.py
+++ b/brambleusher/xds/instances.py
@@ -6,7 +6,7 @@
 import secrets
 from typing import Any
 
-from brambleusher.loadbalancing.view_consistency import Place, Word
+from brambleusher.loadbalancing.view_consistency import PeerStatus, ViewPosition
 from brambleusher.xds.faults import ProtocolError
 from brambleusher.xds.versions import Seal
 
@@ -35,11 +35,11 @@
     return inner
 
 
-def _place(raw: Any) -> Place | None:
+def _place(raw: Any) -> ViewPosition | None:
     if raw is None:
         return None
     if isinstance(raw, list) and len(raw) == 2 and all(type(part) is int and part >= 0 for part in raw):
-        return Place(*raw)
+        return ViewPosition(*raw)
     raise ProtocolError("a word that can't be read")
 
 
@@ -49,19 +49,19 @@
     return _pack(seal, {"from": name, "number": number}), number
 
 
-def answer(seal: Seal, data: bytes, name: str, word: Word) -> bytes:
+def answer(seal: Seal, data: bytes, name: str, word: PeerStatus) -> bytes:
     """The answer to a call; raises `ProtocolError` where the caller does not know the secret."""
     asked = _unpack(seal, data)
     return _pack(
         seal,
-        {"name": name, "number": str(asked.get("number", ""))[:64], "place": word.place,
-         "floor": word.floor, "in_touch": word.in_touch},
+        {"name": name, "number": str(asked.get("number", ""))[:64], "place": word.position,
+         "floor": word.floor, "in_touch": word.is_connected},
     )  # fmt: skip
 
 
-def read_answer(seal: Seal, data: bytes, number: str) -> Word:
+def read_answer(seal: Seal, data: bytes, number: str) -> PeerStatus:
     """The word in an answer; raises `ProtocolError` where it answers another call."""
     body = _unpack(seal, data)
     if body.get("number") != number:
         raise ProtocolError("an answer to another call")
-    return Word(_place(body.get("place")), _place(body.get("floor")), body.get("in_touch") is True)
+    return PeerStatus(_place(body.get("place")), _place(body.get("floor")), body.get("in_touch") is True)
--- a/brambleusher/xds/resources.py
+++ b/brambleusher/xds/resources.py
@@ -22,7 +22,7 @@
 from google.protobuf.message import Message
 
 from brambleusher.loadbalancing.api import Idempotency
-from brambleusher.loadbalancing.locality_weights import Tier
+from brambleusher.loadbalancing.locality_weights import LocalityWeights
 from brambleusher.xds.config import ClassPlan, ControlConfig, Group, ListenerPlan
 from brambleusher.xds.snapshot import CDS, LDS, RDS, Draft, sized, varint
 
@@ -218,7 +218,7 @@
             policy.endpoint_stale_after.CopyFrom(_ms(stale_after_ms))
         self._tail = sized(4, _bytes(policy)) if policy.ByteSize() else b""
 
-    def draft(self, tiers: Sequence[Tier], addresses: Addresses) -> Draft:
+    def draft(self, tiers: Sequence[LocalityWeights], addresses: Addresses) -> Draft:
         """The assignment as it stands."""
         fresh: dict[tuple[str, int, int, int], bytes] = {}
         parts = [sized(1, ENDPOINTS.encode())]
@@ -230,10 +230,12 @@
         self._cache = fresh  # what was not used any more is forgotten
         return Draft(ENDPOINTS, b"".join([*parts, self._tail]))
 
-    def _zone(self, tier: Tier, addresses: Addresses, fresh: dict[tuple[str, int, int, int], bytes]) -> bytes:
+    def _zone(
+        self, tier: LocalityWeights, addresses: Addresses, fresh: dict[tuple[str, int, int, int], bytes]
+    ) -> bytes:
         parts = [sized(1, sized(2, tier.zone.encode()) if tier.zone else b"")]
-        for share in tier.shares:
-            health = _DRAINING if share.draining else 0 if share.weight else _UNHEALTHY
+        for share in tier.endpoints:
+            health = _DRAINING if share.is_draining else 0 if share.weight else _UNHEALTHY
             parts.append(self._endpoint(addresses[share.host], health, share.weight or 1, fresh))
         if tier.weight:
             parts.append(sized(3, b"\x08" + varint(tier.weight)))
@@ -242,7 +244,7 @@
         return b"".join(parts)
 
     def _nodes(
-        self, tier: Tier, addresses: Addresses, fresh: dict[tuple[str, int, int, int], bytes]
+        self, tier: LocalityWeights, addresses: Addresses, fresh: dict[tuple[str, int, int, int], bytes]
     ) -> list[bytes]:
         end = b"\x28" + varint(tier.priority) if tier.priority else b""
         zone = sized(2, tier.zone.encode())
@@ -254,7 +256,7 @@
                 + sized(3, b"\x08" + varint(share.weight))
                 + end,
             )
-            for share in tier.shares
+            for share in tier.endpoints
             if share.weight
         ]
 
--- a/brambleusher/xds/server.py
+++ b/brambleusher/xds/server.py
@@ -153,7 +153,9 @@
             self._withheld_since = None
         elif self._withheld_since is None:
             self._withheld_since = now
-        elif now - self._withheld_since > WITHHELD_SECONDS and core.handout.others_in_touch(self._now()):
+        elif now - self._withheld_since > WITHHELD_SECONDS and core.handout.is_any_peer_connected(
+            self._now()
+        ):
             for each in list(self._open.values()):
                 each.stop(UNAVAILABLE, f"withheld: {why.value}")
 
--- a/brambleusher/xds/service.py
+++ b/brambleusher/xds/service.py
@@ -12,7 +12,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from typing import Any
 
-from brambleusher.loadbalancing.view_consistency import Place
+from brambleusher.loadbalancing.view_consistency import ViewPosition
 from brambleusher.net.endpoint_list import EndpointListUpdate
 from brambleusher.xds.config import ControlConfig, load_control, reload_control
 from brambleusher.xds.core import Core
@@ -172,7 +172,7 @@
                 if not await self._write_one(loop, place):
                     await asyncio.sleep(RETRY_SECONDS)
 
-    async def _write_one(self, loop: asyncio.AbstractEventLoop, place: Place) -> bool:
+    async def _write_one(self, loop: asyncio.AbstractEventLoop, place: ViewPosition) -> bool:
         began = loop.time()
         job = loop.run_in_executor(self._pool, self.store.write, place)
         try:
--- a/brambleusher/xds/snapshot.py
+++ b/brambleusher/xds/snapshot.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from brambleusher.loadbalancing.view_consistency import Place
+from brambleusher.loadbalancing.view_consistency import ViewPosition
 from brambleusher.xds.versions import Seal, digest
 
 _TYPES = "type.googleapis.com/envoy.config."
@@ -54,7 +54,7 @@
 
     @classmethod
     def make(
-        cls, kind: str, name: str, body: bytes, seal: Seal, place: Place, refers: Iterable[str] = ()
+        cls, kind: str, name: str, body: bytes, seal: Seal, place: ViewPosition, refers: Iterable[str] = ()
     ) -> Resource:
         """A resource as it first appears in the view at `place`."""
         content = digest(body)
@@ -83,7 +83,9 @@
         self._seal = seal
         self._shelves: dict[tuple[str, str], dict[str, Resource]] = {}
 
-    def shelf(self, scope: str, kind: str, drafts: Iterable[Draft], place: Place) -> Mapping[str, Resource]:
+    def shelf(
+        self, scope: str, kind: str, drafts: Iterable[Draft], place: ViewPosition
+    ) -> Mapping[str, Resource]:
         """The resources of one kind in one scope (those of one kind of subscriber), by name.
 
         As long as nothing changes it is the same object: a subscriber need not look into it again.
@@ -105,7 +107,7 @@
 class Snapshot:
     """All that one kind of subscriber may have, as of one place."""
 
-    place: Place
+    place: ViewPosition
     kinds: Mapping[str, Mapping[str, Resource]]
     made_ns: int = 0  # when what led to it was heard
     # Responses as far as they are the same for all subscribers: their version and their bytes.
--- a/brambleusher/xds/status.py
+++ b/brambleusher/xds/status.py
@@ -129,11 +129,11 @@
             "instance": core.config.name,
             "handing_out": why is None,
             "withheld_because": None if why is None else why.value,
-            "place": handout.place,
+            "place": handout.position,
             "floor": handout.floor,
             "written": handout.written,
             "discovery": {
-                "in_touch": handout.in_touch(now),
+                "in_touch": handout.is_discovery_connected(now),
                 "version": core.roster.version,
                 "told": core.roster.told_version,
                 "behind": core.roster.behind,
@@ -143,15 +143,15 @@
                 zone.name: {
                     "reports": zone.loads.taken,
                     "reports_of_unknown_nodes": zone.loads.unknown,
-                    "in_use": sum(share.weight > 0 for tier in zone.tiers for share in tier.shares),
+                    "in_use": sum(share.weight > 0 for tier in zone.tiers for share in tier.endpoints),
                     "left_out": [
                         share.host
                         for tier in zone.tiers
-                        for share in tier.shares
-                        if not share.weight and not share.draining
+                        for share in tier.endpoints
+                        if not share.weight and not share.is_draining
                     ][:100],
                     "draining": [
-                        share.host for tier in zone.tiers for share in tier.shares if share.draining
+                        share.host for tier in zone.tiers for share in tier.endpoints if share.is_draining
                     ][:100],
                 }
                 for zone in core.zones.values()
--- a/brambleusher/xds/store.py
+++ b/brambleusher/xds/store.py
@@ -12,7 +12,7 @@
 import os
 import sqlite3
 
-from brambleusher.loadbalancing.view_consistency import Place
+from brambleusher.loadbalancing.view_consistency import ViewPosition
 from brambleusher.xds.faults import ControlError
 from brambleusher.xds.versions import Seal
 
@@ -33,7 +33,7 @@
     def __init__(self, path: str, seal: Seal) -> None:
         """Open or make the file; raises `ControlError` where that can't be done at all."""
         self._path, self._seal = path, seal
-        self.floor: Place | None = None  # what was last written; None: nothing, or it was lost
+        self.floor: ViewPosition | None = None  # what was last written; None: nothing, or it was lost
         self.starts = 0
         self.lost = False  # there was a file, and it could not be read
         try:
@@ -75,7 +75,7 @@
         epoch, version, starts = (int(part) for part in text.split("."))
         self.starts = starts
         if epoch:
-            self.floor = Place(epoch, version)
+            self.floor = ViewPosition(epoch, version)
 
     def _put_aside(self, reason: str) -> None:
         with contextlib.suppress(sqlite3.Error, AttributeError):
@@ -93,15 +93,15 @@
     def begin(self) -> None:
         """Count a start; raises `StoreError`."""
         self.starts += 1
-        self._write(self.floor or Place(0, 0))
+        self._write(self.floor or ViewPosition(0, 0))
 
-    def write(self, place: Place) -> None:
+    def write(self, place: ViewPosition) -> None:
         """Have a place on durable storage when this returns, unless a later one is; raises `StoreError`."""
         if self.floor is None or place > self.floor:
             self._write(place)
             self.floor = place
 
-    def _write(self, place: Place) -> None:
+    def _write(self, place: ViewPosition) -> None:
         text = _ROW.format(place.epoch, place.version, self.starts)
         row = f"{text}.{self._seal.mark(text)}".encode()
         try:
--- a/brambleusher/xds/subscriber.py
+++ b/brambleusher/xds/subscriber.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from brambleusher.loadbalancing.view_consistency import Place
+from brambleusher.loadbalancing.view_consistency import ViewPosition
 from brambleusher.xds.faults import ProtocolError
 from brambleusher.xds.snapshot import CDS, EDS, LDS, ORDER, RDS, WHOLE, Resource, Snapshot, sized
 from brambleusher.xds.versions import Claim, Seal, digest
@@ -45,7 +45,7 @@
     version: str
     resources: tuple[Resource, ...]
     removed: tuple[str, ...]
-    place: Place
+    place: ViewPosition
     made_ns: int
     data: bytes = field(repr=False)
 
@@ -65,7 +65,7 @@
     resources: tuple[Resource, ...]
     removed: tuple[str, ...]
     version: str
-    place: Place
+    place: ViewPosition
     made_ns: int
 
 
@@ -99,7 +99,7 @@
         self._seal, self._max_names, self._max_name = seal, max_names, max_name
         self._kinds: dict[str, _Kind] = {}
         self._offer: Snapshot | None = None
-        self.claims: list[Place] = []  # proven by versions it came with; the owner takes them
+        self.claims: list[ViewPosition] = []  # proven by versions it came with; the owner takes them
         self.rejections: list[tuple[str, str, Rejection]] = []  # kind, names, why; the owner takes them
         self.acked_ns: list[int] = []  # the times of views acknowledged just now; the owner takes them
 
--- a/brambleusher/xds/versions.py
+++ b/brambleusher/xds/versions.py
@@ -14,7 +14,7 @@
 import re
 from dataclasses import dataclass
 
-from brambleusher.loadbalancing.view_consistency import Place
+from brambleusher.loadbalancing.view_consistency import ViewPosition
 
 _FORM = re.compile(r"(\d{1,18})\.(\d{1,18})\.([0-9a-f]{16})\.([0-9a-f]{16})", re.ASCII)
 DIGEST_BYTES = 8
@@ -30,7 +30,7 @@
 class Claim:
     """What a version string with a good seal says."""
 
-    place: Place
+    place: ViewPosition
     digest: str
 
 
@@ -50,7 +50,7 @@
         """Whether `mark` is the seal over `text`."""
         return hmac.compare_digest(self.mark(text).encode(), mark.encode("utf-8", "replace"))
 
-    def version(self, place: Place, content: str) -> str:
+    def version(self, place: ViewPosition, content: str) -> str:
         """The version string of content, given as its digest, in the view at `place`."""
         text = f"{place.epoch}.{place.version}.{content}"
         return f"{text}.{self.mark(text)}"
@@ -60,4 +60,4 @@
         found = _FORM.fullmatch(version)
         if found is None or not self.good(version[: found.start(4) - 1], found[4]):
             return None
-        return Claim(Place(int(found[1]), int(found[2])), found[3])
+        return Claim(ViewPosition(int(found[1]), int(found[2])), found[3])
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -6,9 +6,8 @@
 
 import pytest
 
-from brambleusher.loadbalancing import Balancer, api
-from brambleusher.loadbalancing import slow_start as cold
-from brambleusher.loadbalancing.host_ranking import Ranks
+from brambleusher.loadbalancing import Balancer, api, slow_start
+from brambleusher.loadbalancing.host_ranking import HostRanking
 from brambleusher.loadbalancing.hosts import Host
 
 SECOND = 10**9
@@ -39,12 +38,14 @@
     rng, sums = random.Random(5), dict.fromkeys((entry.host for entry in entries(counts)), 0.0)
     for number in range(200):
         own = ZONES[number % len(ZONES)]
-        ranks: Ranks[Host] = Ranks()
-        ranks.sort([Host(entry, entry.zone == own, 0, rng.random()) for entry in entries(counts)])
-        near, away = ranks.first(ring)
+        ranks: HostRanking[Host] = HostRanking()
+        ranks.rebuild([Host(entry, entry.zone == own, 0, rng.random()) for entry in entries(counts)])
+        near, away = ranks.subset(ring)
         used = max(len(near), len(away)), len(away)
         for host in near + away:
-            sums[host.name] += 1 / cold.sharers(200, ranks.zones, host.zone, *used, 1.0)
+            sums[host.name] += 1 / slow_start.proxies_per_host(
+                200, ranks.ready_per_zone, host.zone, *used, 1.0
+            )
     for zone in counts:
         mean = sum(value for name, value in sums.items() if name[0] == zone) / counts[zone]
         assert 0.8 < mean < 1.2, (zone, mean)
@@ -53,16 +54,16 @@
 
 def test_zones_are_counted_as_hosts_come_and_go() -> None:
     hosts = [Host(entry, True, 0, 0.5) for entry in entries(dict.fromkeys(ZONES, 20))]
-    ranks: Ranks[Host] = Ranks()
-    ranks.follow(hosts, hosts)
+    ranks: HostRanking[Host] = HostRanking()
+    ranks.update(hosts, hosts)
     hosts[0].ready = False
-    ranks.follow(hosts, hosts[:1])
-    ranks.follow(hosts, hosts[:1])
+    ranks.update(hosts, hosts[:1])
+    ranks.update(hosts, hosts[:1])
     ranks.discard(hosts[21])
-    assert ranks.zones == {"a": 19, "b": 19, "c": 20, "d": 20}
+    assert ranks.ready_per_zone == {"a": 19, "b": 19, "c": 20, "d": 20}
     hosts[0].ready = True
-    ranks.follow(hosts, hosts[:1])
-    assert ranks.zones["a"] == 20
+    ranks.update(hosts, hosts[:1])
+    assert ranks.ready_per_zone["a"] == 20
 
 
 def sends_to_a_cold_host(told: api.LoadReport) -> int:
@@ -101,11 +102,14 @@
 
 def test_what_is_told_is_taken_with_doubt() -> None:
     host = Host(entries({"a": 1}, 1)[0], True, 1)
-    assert cold.told(host, 20.0) == 0.0
+    assert slow_start.reported_fraction(host, 20.0) == 0.0
     host.sum_util, host.sum_qps = 0.4, 40.0
-    assert cold.told(host, 20.0) == 0.0  # too little was told
+    assert slow_start.reported_fraction(host, 20.0) == 0.0  # too little was told
     host.sum_util, host.sum_qps = 1.0, 100.0
-    assert cold.told(host, None) == 0.0  # nothing to compare with
-    assert cold.warmth(SECOND, 0.2, 20 * SECOND, cold.told(host, 20.0)) == cold.TOLD_PART
-    assert cold.warmth(-SECOND, 0.2, 20 * SECOND) == 0.2
-    assert cold.warmth(20 * SECOND, 0.2, 20 * SECOND) == 1.0
+    assert slow_start.reported_fraction(host, None) == 0.0  # nothing to compare with
+    assert (
+        slow_start.warm_fraction(SECOND, 0.2, 20 * SECOND, slow_start.reported_fraction(host, 20.0))
+        == slow_start.TOLD_PART
+    )
+    assert slow_start.warm_fraction(-SECOND, 0.2, 20 * SECOND) == 0.2
+    assert slow_start.warm_fraction(20 * SECOND, 0.2, 20 * SECOND) == 1.0
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -32,9 +32,20 @@
     host_statuses,
     scale_counts,
 )
-from brambleusher.loadbalancing.locality_weights import SCALE, Damper, Rounder, Share, tiers
+from brambleusher.loadbalancing.locality_weights import (
+    MEAN_WEIGHT,
+    EndpointWeight,
+    WeightDamper,
+    WeightRounder,
+    group_by_locality,
+)
 from brambleusher.loadbalancing.settings import parse_settings
-from brambleusher.loadbalancing.view_consistency import Handout, Place, Why, Word
+from brambleusher.loadbalancing.view_consistency import (
+    PeerStatus,
+    ViewConsistency,
+    ViewPosition,
+    WithheldReason,
+)
 from brambleusher.net.endpoint_list import Endpoint, EndpointListUpdate
 from brambleusher.xds.config import ControlConfig, Group, load_control, parse_control
 from brambleusher.xds.core import Core, Stream, restrained
@@ -52,7 +63,7 @@
 MS, SECOND = 1_000_000, 1_000_000_000
 SECRET = b"a secret for the tests"
 SEAL = Seal(SECRET)
-AT_FIVE = Place(1, 5)
+AT_FIVE = ViewPosition(1, 5)
 
 
 # --- the protocol -------------------------------------------------------------------------------
@@ -66,7 +77,7 @@
 
     def make(self, **kinds: dict[str, Any]) -> Snapshot:
         self.version += 1
-        place = Place(1, self.version)
+        place = ViewPosition(1, self.version)
         shelves = {}
         for kind, word in ((CDS, "cds"), (EDS, "eds"), (LDS, "lds"), (RDS, "rds")):
             drafts = []
@@ -237,9 +248,9 @@
     resource = now.kinds[EDS]["e"]
     version = {
         "present": resource.version,
-        "other place, same content": SEAL.version(Place(0, 3), resource.digest),
-        "older content": SEAL.version(Place(1, 1), "0" * 16),
-        "of the future": SEAL.version(Place(9, 99), "1" * 16),
+        "other place, same content": SEAL.version(ViewPosition(0, 3), resource.digest),
+        "older content": SEAL.version(ViewPosition(1, 1), "0" * 16),
+        "of the future": SEAL.version(ViewPosition(9, 99), "1" * 16),
         "made up": f"9.99.{resource.digest}.{'0' * 16}",
     }.get(claim)
     held.offer(now)
@@ -253,8 +264,8 @@
 def test_whole_state_is_sent_anew_on_a_new_stream_and_its_claim_is_kept() -> None:
     views, held = Views(), subscriber()
     held.offer(views.make(eds={"e": "now"}))
-    held.receive(Request(EDS, version=SEAL.version(Place(4, 2), "0" * 16), names=("e",)))
-    assert held.claims == [Place(4, 2)]
+    held.receive(Request(EDS, version=SEAL.version(ViewPosition(4, 2), "0" * 16), names=("e",)))
+    assert held.claims == [ViewPosition(4, 2)]
     assert had(held.take()) == (EDS, {"e": b"now"}, ())
 
 
@@ -297,9 +308,9 @@
 
 
 def test_a_seal_is_only_good_over_what_it_was_put_on() -> None:
-    version = SEAL.version(Place(3, 41), "0123456789abcdef")
+    version = SEAL.version(ViewPosition(3, 41), "0123456789abcdef")
     claim = SEAL.read(version)
-    assert claim is not None and claim.place == Place(3, 41)
+    assert claim is not None and claim.place == ViewPosition(3, 41)
     for other in (version.replace("41", "42"), version[:-1] + "0", version + "0", "", "3.41", "²" + version):
         assert SEAL.read(other) is None or other == version
     assert Seal(b"another secret, as long").read(version) is None
@@ -308,48 +319,51 @@
 # --- who may hand out ---------------------------------------------------------------------------
 
 
-def handout(floor: Place | None = AT_FIVE) -> Handout:
-    return Handout(floor, 0, silence_ns=3 * SECOND, unsure_ns=2 * SECOND)
+def handout(floor: ViewPosition | None = AT_FIVE) -> ViewConsistency:
+    return ViewConsistency(floor, 0, silence_ns=3 * SECOND, unsure_ns=2 * SECOND)
 
 
 def test_nothing_goes_out_before_it_is_known_to_be_the_present_and_written() -> None:
     held = handout()
-    assert held.why_not(0) is Why.NOTHING
-    held.heard(Place(1, 4), 0)
-    assert held.why_not(0) is Why.BEHIND
-    assert held.to_write() is None  # an older place is never written
-    held.heard(Place(1, 6), 0)
-    assert held.why_not(0) is Why.UNWRITTEN and held.why_not(0, harmless=True) is None
-    held.recorded(Place(1, 6))
-    assert held.why_not(0) is None
-    assert held.why_not(3 * SECOND + 1) is Why.ALONE
-    held.claimed(Place(1, 7))
-    assert held.why_not(0) is Why.BEHIND
-    held.heard(Place(2, 1), 0)  # the operator's epoch comes first
-    held.recorded(Place(2, 1))
-    assert held.why_not(0) is None
+    assert held.withheld_reason(0) is WithheldReason.NO_DISCOVERY
+    held.record_discovery(ViewPosition(1, 4), 0)
+    assert held.withheld_reason(0) is WithheldReason.BEHIND
+    assert held.position_to_write() is None  # an older place is never written
+    held.record_discovery(ViewPosition(1, 6), 0)
+    assert (
+        held.withheld_reason(0) is WithheldReason.NOT_DURABLE
+        and held.withheld_reason(0, harmless=True) is None
+    )
+    held.record_written(ViewPosition(1, 6))
+    assert held.withheld_reason(0) is None
+    assert held.withheld_reason(3 * SECOND + 1) is WithheldReason.ISOLATED
+    held.record_claim(ViewPosition(1, 7))
+    assert held.withheld_reason(0) is WithheldReason.BEHIND
+    held.record_discovery(ViewPosition(2, 1), 0)  # the operator's epoch comes first
+    held.record_written(ViewPosition(2, 1))
+    assert held.withheld_reason(0) is None
 
 
 def test_another_instance_vouches_or_shows_that_this_one_is_behind() -> None:
     held = handout()
-    held.heard(Place(1, 6), 0)
-    held.recorded(Place(1, 6))
-    held.lost()
-    assert held.why_not(0) is Why.ALONE
-    held.said("b", Word(Place(1, 6), Place(1, 5), in_touch=False), 0)
-    assert held.why_not(0) is Why.ALONE  # it is as cut off
-    held.said("b", Word(Place(1, 6), Place(1, 6), in_touch=True), 0)
-    assert held.why_not(0) is None and held.why_not(3 * SECOND + 1) is Why.ALONE
-    held.said("b", Word(Place(1, 7), Place(1, 6), in_touch=True), 0)
-    assert held.why_not(0) is Why.BEHIND
+    held.record_discovery(ViewPosition(1, 6), 0)
+    held.record_written(ViewPosition(1, 6))
+    held.record_discovery_lost()
+    assert held.withheld_reason(0) is WithheldReason.ISOLATED
+    held.record_peer_status("b", PeerStatus(ViewPosition(1, 6), ViewPosition(1, 5), is_connected=False), 0)
+    assert held.withheld_reason(0) is WithheldReason.ISOLATED  # it is as cut off
+    held.record_peer_status("b", PeerStatus(ViewPosition(1, 6), ViewPosition(1, 6), is_connected=True), 0)
+    assert held.withheld_reason(0) is None and held.withheld_reason(3 * SECOND + 1) is WithheldReason.ISOLATED
+    held.record_peer_status("b", PeerStatus(ViewPosition(1, 7), ViewPosition(1, 6), is_connected=True), 0)
+    assert held.withheld_reason(0) is WithheldReason.BEHIND
 
 
 def test_with_a_store_that_was_lost_claims_are_awaited() -> None:
     held = handout(None)
-    held.heard(Place(1, 6), 0)
-    held.recorded(Place(1, 6))
-    assert held.why_not(SECOND) is Why.UNSURE
-    assert held.why_not(2 * SECOND) is None
+    held.record_discovery(ViewPosition(1, 6), 0)
+    held.record_written(ViewPosition(1, 6))
+    assert held.withheld_reason(SECOND) is WithheldReason.AWAITING_CLAIMS
+    assert held.withheld_reason(2 * SECOND) is None
 
 
 # --- the list and the views -----------------------------------------------------------------------
@@ -409,7 +423,7 @@
 
 
 def core_with(
-    folder: Path, *machines: Endpoint, version: int = 1, floor: Place | None = None, **more: Any
+    folder: Path, *machines: Endpoint, version: int = 1, floor: ViewPosition | None = None, **more: Any
 ) -> Core:
     core = Core(control(folder, **more), floor, 0, sure=True)
     core.listed(update(version, *machines), 0)
@@ -445,7 +459,7 @@
     core.listed(update(2, endpoint("n1", api.HostState.DRAINING), full=False), 1)
     feed(core, stream, proxy, [], 1)
     assert len(proxy.usable()) == 2  # it is not written yet
-    core.written(Place(1, 2), 2)
+    core.written(ViewPosition(1, 2), 2)
     feed(core, stream, proxy, [], 2)
     assert set(proxy.usable()) == {"10.0.0.1:9002"}
     assert [each.address for each in proxy.endpoints() if each.draining] == ["10.0.0.1:9001"]
@@ -458,7 +472,7 @@
     core.write_failed(1)
     feed(core, stream, proxy, [], 1)
     assert set(proxy.usable()) == {"10.0.0.1:9001"} and len(proxy.endpoints()) == 2
-    core.written(Place(1, 2), 2)
+    core.written(ViewPosition(1, 2), 2)
     feed(core, stream, proxy, [], 2)
     assert set(proxy.usable()) == {"10.0.0.1:9001", "10.0.0.1:9003"}
 
@@ -478,9 +492,9 @@
 
 
 def test_a_restarted_instance_withholds_until_discovery_has_caught_up(tmp_path: Path) -> None:
-    core = core_with(tmp_path, endpoint("n1"), version=4, floor=Place(1, 9))
+    core = core_with(tmp_path, endpoint("n1"), version=4, floor=ViewPosition(1, 9))
     stream, proxy = join(core)
-    assert core.why_not(0) is Why.BEHIND and not proxy.responses
+    assert core.why_not(0) is WithheldReason.BEHIND and not proxy.responses
     core.listed(update(9, endpoint("n2")), 1)
     feed(core, stream, proxy, [], 1)
     assert set(proxy.usable()) == {"10.0.0.1:9002"}
@@ -492,7 +506,7 @@
     core.lost(SECOND)
     minute = 60 * SECOND
     core.tick(minute)
-    assert core.why_not(minute) is Why.ALONE
+    assert core.why_not(minute) is WithheldReason.ISOLATED
     later = core.open(None, True, minute)
     newcomer = ProxyStandIn("q", "z", True)
     feed(core, later, newcomer, newcomer.connect(), minute)
@@ -504,7 +518,7 @@
     core.listed(update(8, endpoint("n2", api.HostState.DRAINING), full=False), minute)
     assert core.to_write() is None and core.roster.behind
     core.listed(update(10, endpoint("n3"), full=False), minute)
-    core.written(Place(1, 10), minute)
+    core.written(ViewPosition(1, 10), minute)
     feed(core, stream, proxy, [], minute)
     assert set(proxy.usable()) == {"10.0.0.1:9001", "10.0.0.1:9003"}
 
@@ -513,7 +527,7 @@
     core = core_with(tmp_path, endpoint("n1"))
     for version, why in (
         (f"9.9.{'0' * 16}.{'0' * 16}", None),
-        (SEAL.version(Place(1, 2), "0" * 16), Why.BEHIND),
+        (SEAL.version(ViewPosition(1, 2), "0" * 16), WithheldReason.BEHIND),
     ):
         stream = core.open(None, False, 0)
         core.request(stream, Request(EDS, version=version, names=(ENDPOINTS,)), Who("p"), 0)
@@ -639,13 +653,13 @@
 
 def test_endpoints_in_both_forms() -> None:
     shares = [
-        Share("n1", "z", 100, False),
-        Share("n2", "z", 0, False),
-        Share("n3", "z", 0, True),
-        Share("n4", "y", 50, False),
+        EndpointWeight("n1", "z", 100, False),
+        EndpointWeight("n2", "z", 0, False),
+        EndpointWeight("n3", "z", 0, True),
+        EndpointWeight("n4", "y", 50, False),
     ]
     addresses = {f"n{at}": ("10.0.0.1", at) for at in range(1, 5)}
-    parts = tiers(shares, (("z",), ("y",)))
+    parts = group_by_locality(shares, (("z",), ("y",)))
     made = endpoint_pb2.ClusterLoadAssignment.FromString(
         Endpoints("zones", 60_000).draft(parts, addresses).body
     )
@@ -673,10 +687,11 @@
     nodes: list[tuple[str, int, bool]], order: list[list[str]]
 ) -> None:
     shares = [
-        Share(f"n{at}", zone, 0 if drain else weight, drain) for at, (zone, weight, drain) in enumerate(nodes)
+        EndpointWeight(f"n{at}", zone, 0 if drain else weight, drain)
+        for at, (zone, weight, drain) in enumerate(nodes)
     ]
-    made = tiers(shares, order)
-    assert sorted(share.host for tier in made for share in tier.shares) == sorted(
+    made = group_by_locality(shares, order)
+    assert sorted(share.host for tier in made for share in tier.endpoints) == sorted(
         share.host for share in shares
     )
     used = {tier.priority for tier in made}
@@ -735,18 +750,22 @@
 
 
 def test_rounding_stays_until_a_weight_has_moved() -> None:
-    rounder = Rounder(0.1)
+    rounder = WeightRounder(0.1)
 
     def standing(name: str, weight: float, state: api.HostState = api.HostState.READY) -> HostStatus:
         return HostStatus(name, "z", state, weight, 0.0, 1.0, None)
 
     first = rounder.round([standing("a", 32), standing("b", 32), standing("c", 0, api.HostState.DRAINING)])
-    assert [(share.weight, share.draining) for share in first] == [(SCALE, False), (SCALE, False), (0, True)]
+    assert [(share.weight, share.is_draining) for share in first] == [
+        (MEAN_WEIGHT, False),
+        (MEAN_WEIGHT, False),
+        (0, True),
+    ]
     assert rounder.round([standing("a", 33), standing("b", 31)]) == first[:2]
     moved = rounder.round([standing("a", 64), standing("b", 0.001)])
-    assert [share.weight for share in moved] == [2 * SCALE, 1]
+    assert [share.weight for share in moved] == [2 * MEAN_WEIGHT, 1]
     assert [share.weight for share in rounder.round([standing("a", 64), standing("b", 0.0)])] == [
-        2 * SCALE,
+        2 * MEAN_WEIGHT,
         0,
     ]
 
@@ -756,7 +775,7 @@
     """Nodes of unlike capacity, whose use follows from the weights of a period ago."""
     capacity = {"a": 60.0, "b": 100.0, "c": 140.0, "d": 100.0}
     offered = use * sum(capacity.values())
-    damper = Damper()
+    damper = WeightDamper()
     weight = dict.fromkeys(capacity, 16.0)
     for _ in range(60):
         total = sum(weight.values())
@@ -813,9 +832,9 @@
     for start in (1, 2, 3):
         store = Store(path, SEAL)
         store.begin()
-        assert store.starts == start and store.floor == (None if start == 1 else Place(1, start + 5))
-        store.write(Place(1, 6 + start))
-        store.write(Place(1, 2))
+        assert store.starts == start and store.floor == (None if start == 1 else ViewPosition(1, start + 5))
+        store.write(ViewPosition(1, 6 + start))
+        store.write(ViewPosition(1, 2))
         store.close()
 
 
@@ -823,7 +842,7 @@
 def test_a_store_that_cannot_be_read_is_put_aside(tmp_path: Path, harm: str) -> None:
     path = tmp_path / "s.db"
     store = Store(str(path), SEAL if harm != "another's row" else Seal(b"another secret, as long"))
-    store.write(Place(1, 9))
+    store.write(ViewPosition(1, 9))
     store.close()
     whole = path.read_bytes()
     if harm == "torn":
@@ -834,9 +853,9 @@
         path.write_bytes(b"")
     store = Store(str(path), SEAL)
     assert store.floor is None and store.lost == (harm != "empty")
-    store.write(Place(1, 10))
+    store.write(ViewPosition(1, 10))
     store.close()
-    assert Store(str(path), SEAL).floor == Place(1, 10)
+    assert Store(str(path), SEAL).floor == ViewPosition(1, 10)
 
 
 def test_a_disk_that_is_full_fails_the_write_and_keeps_what_was_there(tmp_path: Path) -> None:
@@ -845,20 +864,20 @@
         import resource, signal, sys
         from brambleusher.xds.store import Store, StoreError
         from brambleusher.xds.versions import Seal
-        from brambleusher.loadbalancing.view_consistency import Place
+        from brambleusher.loadbalancing.view_consistency import ViewPosition
         signal.signal(signal.SIGXFSZ, signal.SIG_IGN)
         path, seal = sys.argv[1], Seal(b"a secret for the tests")
         store = Store(path, seal)
         store.begin()
-        store.write(Place(1, 1))
+        store.write(ViewPosition(1, 1))
         resource.setrlimit(resource.RLIMIT_FSIZE, (100, resource.RLIM_INFINITY))
         try:
-            store.write(Place(1, 2))
+            store.write(ViewPosition(1, 2))
         except StoreError:
             print("failed")
         print(tuple(store.floor))
         resource.setrlimit(resource.RLIMIT_FSIZE, (resource.RLIM_INFINITY, resource.RLIM_INFINITY))
-        store.write(Place(1, 3))
+        store.write(ViewPosition(1, 3))
         print(tuple(store.floor))
     """)
     done = subprocess.run(
@@ -869,15 +888,15 @@
         check=True,
     )
     assert done.stdout.split("\n")[:3] == ["failed", "(1, 1)", "(1, 3)"]
-    assert Store(str(tmp_path / "s.db"), SEAL).floor == Place(1, 3)
+    assert Store(str(tmp_path / "s.db"), SEAL).floor == ViewPosition(1, 3)
 
 
 def test_writes_fail_alone(tmp_path: Path) -> None:
     store = Store(str(tmp_path / "s.db"), SEAL)
-    store.write(Place(1, 1))
+    store.write(ViewPosition(1, 1))
     store.close()
     with pytest.raises(StoreError):
-        store.write(Place(1, 2))
+        store.write(ViewPosition(1, 2))
 
 
 # --- the file ---------------------------------------------------------------------------------------
--- a/tests/test_control_live.py
+++ b/tests/test_control_live.py
@@ -326,7 +326,7 @@
         async def both(second: Service, target: str) -> None:
             await until(lambda: second.core.why_not(second.now()) is None)
             other.close()
-            await until(lambda: not second.core.handout.in_touch(second.now()))
+            await until(lambda: not second.core.handout.is_discovery_connected(second.now()))
             await until(lambda: second.core.why_not(second.now()) is None)  # the first one vouches
             proxy = LiveProxy(ProxyStandIn("p", "z", True), target)
             proxy.start()
--- a/tests/test_crossings_client.py
+++ b/tests/test_crossings_client.py
@@ -150,7 +150,7 @@
     def send_at_the_end_of_the_wait(rig: Rig, sock: socket.socket) -> None:
         """Send when the timer of the wait has fired, before the task that waited runs."""
         scheduler = rig.sidecar.scheduler
-        (connection,) = rig.sidecar.connection_admission.waiting()
+        (connection,) = rig.sidecar.connection_admission.idle_connections()
         assert isinstance(connection, client_listener.ClientConnection) and connection.task is not None
         timer = connection.task.timer
         (due,) = [when for when, _, each in scheduler._timers if each is timer]
@@ -189,9 +189,9 @@
         (connection,) = rig.sidecar.client_listener._connections
         self.until(lambda: connection.stream.peek() is None, "it is read ahead")
         with (
-            mock.patch.object(places, "scarce", lambda now: True),
-            mock.patch.object(places, "surplus", lambda now: iter(places.waiting())),
-            mock.patch.object(places, "may_stay", lambda conn, now: True),
+            mock.patch.object(places, "is_scarce", lambda now: True),
+            mock.patch.object(places, "surplus_connections", lambda now: iter(places.idle_connections())),
+            mock.patch.object(places, "may_keep_alive", lambda conn, now: True),
         ):
             answer(b"one")(*held)
             first = MessageReader.responses()
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -17,7 +17,7 @@
 
 import pytest
 
-from brambleusher.loadbalancing.backoff import MOST_OF_FEW_SECONDS, MOST_SECONDS, Backoff
+from brambleusher.loadbalancing.backoff import MAX_INTERVAL_S, MAX_SMALL_FLEET_S, Backoff
 from brambleusher.net import endpoint_watch
 from brambleusher.net.json_text_assembler import TextAssembler
 from tests.crossing import Patient, held_still
@@ -223,10 +223,10 @@
         for _ in range(200):
             took = rng.choice([0.0, 0.01, endpoint_watch.CONNECT_SECONDS, endpoint_watch.ANSWER_SECONDS])
             wait = backoff.pause(False, took)
-            assert 0.05 <= wait <= MOST_SECONDS
+            assert 0.05 <= wait <= MAX_INTERVAL_S
             assert took + wait + endpoint_watch.CONNECT_SECONDS < 6.0, f"seed {seed}"
             if sidecars <= 30:
-                assert wait <= MOST_OF_FEW_SECONDS
+                assert wait <= MAX_SMALL_FLEET_S
         assert backoff.pause(True, 0.0) <= 0.1
 
 
--- a/tests/test_crossings_shutdown.py
+++ b/tests/test_crossings_shutdown.py
@@ -40,7 +40,10 @@
     @staticmethod
     def reads_one(rig: Rig) -> bool:
         """Whether the one client's request has begun to come."""
-        return rig.sidecar.connection_admission.taken == 1 and not rig.sidecar.connection_admission.silent
+        return (
+            rig.sidecar.connection_admission.connection_count == 1
+            and not rig.sidecar.connection_admission.silent_count
+        )
 
     def test_before_it_is_ready(self) -> None:
         """No list, and a discovery that says nothing: what comes is refused, and the process ends."""
@@ -232,7 +235,12 @@
         rig = Rig([old.entry("h0")], system=self.system, sockets=64)
         self.addCleanup(rig.end)
         idle = [self.connect(rig) for _ in range(100)]
-        self.until(lambda: rig.sidecar.connection_admission.taken >= rig.sidecar.connection_admission.most)
+        self.until(
+            lambda: (
+                rig.sidecar.connection_admission.connection_count
+                >= rig.sidecar.connection_admission.max_connections
+            )
+        )
         rig.discovery.first = Discovery.text([new.entry("h1")], True, version=9)
         rig.discovery.conns[-1].shutdown(socket.SHUT_RDWR)
         rig.discovery.asked.get(timeout=WAIT)
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -328,7 +328,7 @@
         balancer.handle(api.RequestArrived(name, "c", None, 2 * SECOND), now)
         balancer.handle(api.AttemptEnded(name, 0, host, status, MS, False), now + MS)
         now += SECOND
-    assert (balancer._trust.trust_ns == 60 * SECOND) is trusted
+    assert (balancer._trust.timeout_ns == 60 * SECOND) is trusted
     assert (balancer._hosts[host].health < 1.0) is trusted  # else its idle time is to blame
 
 
@@ -339,7 +339,7 @@
     balancer.handle(
         api.AttemptEnded("b", 0, host, api.AttemptStatus.TIMEOUT, 100 * MS, False), now + 100 * MS
     )
-    assert balancer._trust.trust_ns == 60 * SECOND
+    assert balancer._trust.timeout_ns == 60 * SECOND
 
 
 def test_an_early_leaver_is_no_failure_of_the_host() -> None:
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -66,8 +66,8 @@
 def rests_always(clients: ClientListener, connection: ClientConnection, reader: Any) -> None:
     """A connection rests after its answer, whatever was sent ahead on it, and goes on when given up."""
     now = clients._scheduler.now()
-    clients._places.rests(connection, now)
-    if clients._places.scarce(now):
+    clients._places.record_idle(connection, now)
+    if clients._places.is_scarce(now):
         clients._make_room()
     connection.released = False
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -6,7 +6,7 @@
 import unittest
 
 from brambleusher.loadbalancing import Balancer, api
-from brambleusher.loadbalancing.retry_budget import BURST, SHARE, Retries
+from brambleusher.loadbalancing.retry_budget import DEPOSIT_PER_REQUEST, MAX_TOKENS, RetryBudget
 from tests.rules import MS, SECOND
 from tests.test_design import entry
 
@@ -104,7 +104,7 @@
     def test_a_copy_that_fails_ends_the_request_at_once(self) -> None:
         """Guards against a client kept waiting for a silent connection after its copy has failed."""
         drive, name = self.silent("safe")
-        drive.balancer._retries.spare = 0.0
+        drive.balancer._retries.tokens = 0.0
         actions = drive.end(name, 1, api.AttemptStatus.ERROR)
         self.assertIn(api.RejectRequest, [type(action) for action in actions])
         self.assertIn(api.CancelAttempt(name, 0), actions)
@@ -149,30 +149,30 @@
     def test_work_stays_within_the_share_over_random_histories(self) -> None:
         """The bound is on what was worked on: first work for a repeat of what was never worked on is free."""
         for seed in range(50):
-            rng, retries = random.Random(seed), Retries()
+            rng, retries = random.Random(seed), RetryBudget()
             firsts, work, refused = 0, 0, 0
             for _ in range(2000):
                 roll = rng.random()
                 if roll < 0.4:
                     firsts += 1
-                    retries.asked()
+                    retries.deposit()
                     if rng.random() < 0.5:
                         work += 1
                     else:
                         refused += 1
-                        retries.unworked()
+                        retries.credit_unserved()
                 elif roll < 0.7:
-                    work += retries.repeated()
+                    work += retries.withdraw_for_client_retry()
                 elif roll < 0.9:
-                    work += retries.spend()
+                    work += retries.withdraw()
                 else:
-                    retries.fade(rng.random())
-            self.assertLessEqual(work, (1 + SHARE) * firsts + BURST, f"seed {seed}")
+                    retries.decay(rng.random())
+            self.assertLessEqual(work, (1 + DEPOSIT_PER_REQUEST) * firsts + MAX_TOKENS, f"seed {seed}")
             self.assertGreater(refused, 0)
 
     def test_a_client_that_asks_again_draws_on_it(self) -> None:
         drive = Drive(build(3))
-        drive.balancer._retries.spare = 1.0
+        drive.balancer._retries.tokens = 1.0
         asked = [
             drive.balancer.handle(api.RequestArrived(f"r{n}", "safe", None, SECOND, is_retry=True), 1)
             for n in range(3)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -6,144 +6,158 @@
 import random
 import unittest
 
-from brambleusher.loadbalancing.connection_limits import ALIVE_SECONDS, OPEN_PART, OPEN_WORK, Link, Pace
+from brambleusher.loadbalancing.connection_limits import (
+    HANDSHAKE_CORE_FRACTION,
+    HANDSHAKE_CORE_S,
+    RECENT_RESPONSE_S,
+    ConnectionLimit,
+    ConnectPacing,
+)
 
 
 class Pacing(unittest.TestCase):
     def test_a_storm_of_opens_stays_within_its_part_of_the_node(self) -> None:
         """Guards against the next trouble after a reset: every sidecar opens all it had, at once."""
         for sidecars in (1, 2, 5, 40):
-            pace = Pace.of(sidecars)
-            link, opened, now = Link(pace), 0, 0.0
+            pace = ConnectPacing.for_fleet(sidecars)
+            link, opened, now = ConnectionLimit(pace), 0, 0.0
             for step in range(2000):
                 now = step / 1000
-                while link.pause(now) <= 0:
-                    link.opens()
+                while link.wait_s(now) <= 0:
+                    link.record_open()
                     opened += 1
-            self.assertLessEqual(opened, pace.burst + pace.rate * now + 1)
-            self.assertGreater(opened, pace.rate * now - 1)
-            self.assertLessEqual(pace.rate * sidecars * OPEN_WORK, OPEN_PART + 1e-9)
+            self.assertLessEqual(opened, pace.burst + pace.opens_per_s * now + 1)
+            self.assertGreater(opened, pace.opens_per_s * now - 1)
+            self.assertLessEqual(
+                pace.opens_per_s * sidecars * HANDSHAKE_CORE_S, HANDSHAKE_CORE_FRACTION + 1e-9
+            )
 
     def test_what_rested_for_nearly_as_long_as_its_node_allows_is_not_trusted(self) -> None:
         """The node's clock starts with its last byte sent, ours with that byte read: later by the way."""
         for allowed, trusted in ((30.0, 24.0), (2.0, 1.0), (1.0, 0.5), (0.2, 0.1), (math.inf, math.inf)):
-            self.assertEqual(Pace.of(1, allowed).idle, trusted)
+            self.assertEqual(ConnectPacing.for_fleet(1, allowed).idle_timeout_s, trusted)
 
     def test_a_pause_is_as_long_as_it_says(self) -> None:
-        link = Link(Pace.of(1))
-        while link.pause(1.0) <= 0:
-            link.opens()
-        pause = link.pause(1.0)
+        link = ConnectionLimit(ConnectPacing.for_fleet(1))
+        while link.wait_s(1.0) <= 0:
+            link.record_open()
+        pause = link.wait_s(1.0)
         self.assertGreater(pause, 0.0)
-        self.assertGreater(link.pause(1.0 + pause / 2), 0.0)
-        self.assertEqual(link.pause(1.0 + pause * 1.001), 0.0)
+        self.assertGreater(link.wait_s(1.0 + pause / 2), 0.0)
+        self.assertEqual(link.wait_s(1.0 + pause * 1.001), 0.0)
 
     def test_a_clock_that_stands_or_goes_back_gives_nothing_away(self) -> None:
-        link = Link(Pace.of(1))
+        link = ConnectionLimit(ConnectPacing.for_fleet(1))
         for now in (5.0, 5.0, 4.0, 5.0):
-            while link.pause(now) <= 0:
-                link.opens()
-        self.assertLessEqual(link.held, link._pace.burst + 1)
+            while link.wait_s(now) <= 0:
+                link.record_open()
+        self.assertLessEqual(link.open_count, link._pace.burst + 1)
 
 
 class Cap(unittest.TestCase):
-    def answered(self, held: int, now: float) -> Link:
-        link = Link(Pace.of(1))
+    def answered(self, held: int, now: float) -> ConnectionLimit:
+        link = ConnectionLimit(ConnectPacing.for_fleet(1))
         for _ in range(held):
-            link.opens()
-        link.takes(now)
-        link.gives_back(now, True)
+            link.record_open()
+        link.record_acquire(now)
+        link.record_release(now, True)
         return link
 
     def test_it_is_learnt_from_a_failed_connect_only_while_others_are_answered(self) -> None:
-        for after, expected in ((0.1, 8.0), (ALIVE_SECONDS * 2, math.inf)):
+        for after, expected in ((0.1, 8.0), (RECENT_RESPONSE_S * 2, math.inf)):
             link = self.answered(10, 1.0)
-            link.opens()
-            link.full(1.0 + after)  # of 10 others
-            link.closed()
+            link.record_open()
+            link.record_rejection(1.0 + after)  # of 10 others
+            link.record_close()
             self.assertEqual(link.cap, expected)
         lone = self.answered(0, 1.0)
-        lone.opens()
-        lone.full(1.1)
+        lone.record_open()
+        lone.record_rejection(1.1)
         self.assertEqual(lone.cap, math.inf)  # the node is down, for all that is known
 
     def test_it_holds_further_opens_until_one_comes_back_or_it_has_grown(self) -> None:
         link = self.answered(10, 1.0)
-        link.opens()
-        link.full(1.1)
-        link.closed()
-        self.assertEqual(link.pause(1.1), math.inf)
+        link.record_open()
+        link.record_rejection(1.1)
+        link.record_close()
+        self.assertEqual(link.wait_s(1.1), math.inf)
         for _ in range(3):
-            link.closed()
-        self.assertEqual(link.pause(1.1), 0.0)
+            link.record_close()
+        self.assertEqual(link.wait_s(1.1), 0.0)
         for _ in range(3):
-            link.opens()
-        self.assertEqual(link.pause(5.0), 0.0)  # one more a second
+            link.record_open()
+        self.assertEqual(link.wait_s(5.0), 0.0)  # one more a second
 
     def test_sidecars_that_cannot_talk_come_to_even_parts_of_a_table(self) -> None:
         """One began with nearly all of it; over the next minutes both hold a fair part on average."""
         for seed in range(5):
             rng, table, means = random.Random(seed), 60, [0.0, 0.0]
-            links = [Link(Pace.of(2)) for _ in range(2)]
+            links = [ConnectionLimit(ConnectPacing.for_fleet(2)) for _ in range(2)]
             for _ in range(55):
-                links[0].opens()
+                links[0].record_open()
             for step in range(3000):
                 now = 1.0 + step / 10
                 for link in rng.sample(links, 2):
-                    if link.held:
-                        link.takes(now)
-                        link.gives_back(now, True)
-                    if link.pause(now) <= 0:
-                        link.opens()
-                        if sum(each.held for each in links) > table:
-                            link.full(now)
-                            link.closed()
-                    while link.held > max(link.cap, 1.0):
-                        link.closed()
+                    if link.open_count:
+                        link.record_acquire(now)
+                        link.record_release(now, True)
+                    if link.wait_s(now) <= 0:
+                        link.record_open()
+                        if sum(each.open_count for each in links) > table:
+                            link.record_rejection(now)
+                            link.record_close()
+                    while link.open_count > max(link.cap, 1.0):
+                        link.record_close()
                 if step >= 1000:
-                    means = [mean + link.held / 2000 for mean, link in zip(means, links, strict=True)]
+                    means = [mean + link.open_count / 2000 for mean, link in zip(means, links, strict=True)]
             self.assertLess(max(means), 1.6 * min(means))
             self.assertGreater(sum(means), 0.7 * table)
 
 
 class Kept(unittest.TestCase):
     def test_idle_ones_are_kept_for_what_was_used_at_once_lately(self) -> None:
-        link = Link(Pace.of(1))
+        link = ConnectionLimit(ConnectPacing.for_fleet(1))
         for _ in range(9):
-            link.takes(1.0)
-        self.assertEqual(link.keeps(1.0), 3)
+            link.record_acquire(1.0)
+        self.assertEqual(link.idle_to_keep(1.0), 3)
         for _ in range(9):
-            link.gives_back(1.0, True)
-        self.assertEqual(link.keeps(1.0), 12)
-        self.assertLess(link.keeps(30.0), 4)
+            link.record_release(1.0, True)
+        self.assertEqual(link.idle_to_keep(1.0), 12)
+        self.assertLess(link.idle_to_keep(30.0), 4)
 
     def test_trust_ends_well_before_the_nodes_limit(self) -> None:
         for idle, trusted in ((30.0, 24.0), (2.0, 1.0), (math.inf, math.inf)):
-            self.assertEqual(Pace.of(1, idle).idle, trusted)
+            self.assertEqual(ConnectPacing.for_fleet(1, idle).idle_timeout_s, trusted)
 
     def test_books_balance_over_random_steps(self) -> None:
         for seed in range(20):
-            rng, link, now, used, held = random.Random(seed), Link(Pace.of(3)), 0.0, 0, 0
+            rng, link, now, used, held = (
+                random.Random(seed),
+                ConnectionLimit(ConnectPacing.for_fleet(3)),
+                0.0,
+                0,
+                0,
+            )
             for _ in range(500):
                 now += rng.expovariate(20.0)
                 roll = rng.random()
-                if roll < 0.35 and link.pause(now) <= 0:
-                    link.opens()
+                if roll < 0.35 and link.wait_s(now) <= 0:
+                    link.record_open()
                     held += 1
                     if rng.random() < 0.2:
-                        link.full(now)
-                        link.closed()
+                        link.record_rejection(now)
+                        link.record_close()
                         held -= 1
                 elif roll < 0.6 and used < held:
-                    link.takes(now)
+                    link.record_acquire(now)
                     used += 1
                 elif roll < 0.85 and used:
-                    link.gives_back(now, rng.random() < 0.8)
+                    link.record_release(now, rng.random() < 0.8)
                     used -= 1
                 elif held > used:
-                    link.closed()
+                    link.record_close()
                     held -= 1
-                self.assertEqual((link.held, link.used), (held, used))
+                self.assertEqual((link.open_count, link.in_use), (held, used))
                 self.assertGreaterEqual(link.cap, 1.0)
-                self.assertGreaterEqual(link.keeps(now), 0)
-                link.state(now)
+                self.assertGreaterEqual(link.idle_to_keep(now), 0)
+                link.status(now)
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -13,8 +13,8 @@
 
 from brambleusher.features.row_blocks import BLOCK, RowBlocks
 from brambleusher.loadbalancing import Balancer, api
-from brambleusher.loadbalancing.connection_limits import Link, Pace
-from brambleusher.loadbalancing.host_ranking import Ranks
+from brambleusher.loadbalancing.connection_limits import ConnectionLimit, ConnectPacing
+from brambleusher.loadbalancing.host_ranking import HostRanking
 from brambleusher.loadbalancing.hosts import Host
 from brambleusher.loadbalancing.state_codec import restore, save
 from brambleusher.net.endpoint_entries import Endpoint, EndpointListError, EndpointListUpdate, decode_update
@@ -55,7 +55,7 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_the_subset_kept_is_the_one_that_sorting_all_hosts_gives(seed: int) -> None:
     rng = random.Random(seed)
-    ranks: Ranks[Host] = Ranks()
+    ranks: HostRanking[Host] = HostRanking()
     hosts: dict[str, Host] = {}
     for _ in range(60):
         changed = []
@@ -72,9 +72,9 @@
             else:
                 host.ready = not host.ready
             changed.append(host)
-        ranks.follow(hosts.values(), [host for host in changed if host.name in hosts])
+        ranks.update(hosts.values(), [host for host in changed if host.name in hosts])
         for size in (4, 12, 50, 200):
-            assert ranks.first(size) == sorted_anew(hosts, size), f"seed {seed}"
+            assert ranks.subset(size) == sorted_anew(hosts, size), f"seed {seed}"
         assert list(ranks) == sorted((h for h in hosts.values() if h.ready), key=lambda host: host.rank)
         assert len(ranks) == sum(host.ready for host in hosts.values())
 
@@ -326,25 +326,25 @@
 
 
 def test_a_link_rests_once_nothing_is_left_of_its_use() -> None:
-    link = Link(Pace.of(100, 30.0))
-    assert link.rests(0.0)
+    link = ConnectionLimit(ConnectPacing.for_fleet(100, 30.0))
+    assert link.is_forgettable(0.0)
     for _ in range(3):
-        link.opens()
-        link.takes(1.0)
+        link.record_open()
+        link.record_acquire(1.0)
     for _ in range(3):
-        link.gives_back(1.1, True)
-    link.closed()
-    link.full(1.1)
+        link.record_release(1.1, True)
+    link.record_close()
+    link.record_rejection(1.1)
     for _ in range(2):
-        link.closed()
-    assert not link.rests(1.2) and not link.rests(600.0)  # it believes in a cap
-    other = Link(Pace.of(100, 30.0))
-    other.opens()
-    other.takes(1.0)
-    assert not other.rests(100.0)
-    other.gives_back(1.4, True)
-    other.closed()
-    assert not other.rests(1.5) and other.rests(200.0)
+        link.record_close()
+    assert not link.is_forgettable(1.2) and not link.is_forgettable(600.0)  # it believes in a cap
+    other = ConnectionLimit(ConnectPacing.for_fleet(100, 30.0))
+    other.record_open()
+    other.record_acquire(1.0)
+    assert not other.is_forgettable(100.0)
+    other.record_release(1.4, True)
+    other.record_close()
+    assert not other.is_forgettable(1.5) and other.is_forgettable(200.0)
 
 
 class Moments:
--- a/tests/test_making_room.py
+++ b/tests/test_making_room.py
@@ -39,7 +39,7 @@
         self.sidecar = Sidecar(parse_config(json.dumps(config).encode(), {}))
         self.addCleanup(self.sidecar.close)
         self.places, self.clients = self.sidecar.connection_admission, self.sidecar.client_listener
-        self.places.most = self.places.asking = 20
+        self.places.max_connections = self.places.max_active = 20
 
     def rest(self, count: int, waits: bytes | None) -> list[Waiting]:
         streams = []
@@ -49,9 +49,9 @@
             connection = ClientConnection(stream, "p")
             connection.asked = True
             self.clients._connections.add(connection)
-            self.places.opened(connection, "p", 0.0)
-            self.places.asked(connection, 0.1)
-            self.places.rests(connection, 0.2)
+            self.places.record_open(connection, "p", 0.0)
+            self.places.record_request(connection, 0.1)
+            self.places.record_idle(connection, 0.2)
             streams.append(stream)
         return streams
 
@@ -62,16 +62,16 @@
             self.assertFalse(self.clients._make_room())
             self.assertFalse(self.clients._make_room(20))
         self.assertLessEqual(sum(stream.looks for stream in streams), 30)
-        self.assertEqual(self.places.taken, 30, "none of them is turned back unheard")
+        self.assertEqual(self.places.connection_count, 30, "none of them is turned back unheard")
 
     def test_one_whose_other_end_has_left_goes(self) -> None:
         streams = self.rest(30, b"")
         self.assertTrue(self.clients._make_room())
-        self.assertLessEqual(self.places.taken, 20)
-        self.assertEqual(sum(not stream.open for stream in streams), 30 - self.places.taken)
+        self.assertLessEqual(self.places.connection_count, 20)
+        self.assertEqual(sum(not stream.open for stream in streams), 30 - self.places.connection_count)
 
     def test_what_is_quiet_goes_as_ever(self) -> None:
         self.rest(15, b"G"), self.rest(15, None)
         self.assertTrue(self.clients._make_room())
-        self.assertGreaterEqual(self.places.taken, 15)
-        self.assertLess(self.places.taken, 30)
+        self.assertGreaterEqual(self.places.connection_count, 15)
+        self.assertLess(self.places.connection_count, 30)
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -7,7 +7,7 @@
 import unittest
 from dataclasses import dataclass, field
 
-from brambleusher.loadbalancing.connection_admission import FRESH_SECONDS, Places
+from brambleusher.loadbalancing.connection_admission import FIRST_REQUEST_S, ConnectionAdmission
 
 SERVICE = 0.05  # seconds that a request is in work
 
@@ -27,7 +27,7 @@
 class World:
     """Clients that may hold `cap` connections to ask on; what finds none counts as turned off."""
 
-    places: Places
+    places: ConnectionAdmission
     cap: int
     crowds: list[Crowd]
     seed: int = 1
@@ -49,7 +49,7 @@
             if conn in open_:
                 crowd = open_.pop(conn)
                 self.closed[crowd.peer] = self.closed.get(crowd.peer, 0) + (crowd.again is not None)
-                self.places.closed(conn, now)
+                self.places.record_close(conn, now)
 
         for crowd in self.crowds:
             put(rng.expovariate(crowd.rate), "come", crowd, 0)
@@ -60,49 +60,53 @@
                 self.asked[crowd.peer] = self.asked.get(crowd.peer, 0) + (not crowd.silent)
                 if not crowd.silent and sum(not each.silent for each in open_.values()) >= self.cap:
                     continue
-                for victim in self.places.for_one_more(now):
+                for victim in self.places.evictions_for_new(now):
                     end(victim)  # type: ignore[arg-type]
-                if self.places.taken >= self.places.most:
+                if self.places.connection_count >= self.places.max_connections:
                     continue
                 conn = count
                 open_[conn] = crowd
-                self.places.opened(conn, crowd.peer, now)
+                self.places.record_open(conn, crowd.peer, now)
                 if not crowd.silent:
                     put(now + 0.001, "ask", crowd, conn)
             elif what == "ask" and conn in open_:
-                self.places.asked(conn, now)
-                self.places.named(conn, crowd.tenant)
+                self.places.record_request(conn, now)
+                self.places.record_tenant(conn, crowd.tenant)
                 put(now + SERVICE, "answer", crowd, conn)
             elif what == "answer":
                 self.served[crowd.peer] = self.served.get(crowd.peer, 0) + 1
-                if not self.places.may_stay(conn, now):
+                if not self.places.may_keep_alive(conn, now):
                     end(conn)
                     continue
-                self.places.rests(conn, now)
-                for victim in self.places.surplus(now):
+                self.places.record_idle(conn, now)
+                for victim in self.places.surplus_connections(now):
                     end(victim)  # type: ignore[arg-type]
                 if crowd.again is not None and conn in open_:
                     put(now + rng.uniform(0.5, 1.5) * crowd.again, "ask", crowd, conn)
-            assert self.places.taken == len(open_) <= self.places.most
+            assert self.places.connection_count == len(open_) <= self.places.max_connections
 
 
 class Scarce(unittest.TestCase):
     def test_those_that_ask_once_and_stay_hold_no_place(self) -> None:
         """Guards against the recorded day: 128 connections that clients can hold, all of which asked once."""
-        world = World(Places(212, 128), 128, [Crowd("app", 250.0), Crowd("rude", 40.0, silent=True)])
+        world = World(
+            ConnectionAdmission(212, 128), 128, [Crowd("app", 250.0), Crowd("rude", 40.0, silent=True)]
+        )
         world.run(8.0)
         self.assertGreater(world.served["app"], 0.97 * world.asked["app"] - 40)
 
     def test_without_the_ceiling_of_the_clients_their_own_bounds_do(self) -> None:
         """The same where only our own places bound it, and silent ones come by the hundred."""
-        world = World(Places(120), 10_000, [Crowd("app", 250.0), Crowd("rude", 150.0, silent=True)])
+        world = World(
+            ConnectionAdmission(120), 10_000, [Crowd("app", 250.0), Crowd("rude", 150.0, silent=True)]
+        )
         world.run(8.0)
         self.assertGreater(world.served["app"], 0.97 * world.asked["app"] - 40)
 
     def test_those_that_ask_again_keep_theirs(self) -> None:
         """Guards against closing all alike: half of the load comes on connections that are used again."""
         pool = Crowd("pool", 4.0, again=0.2, tenant="a")
-        world = World(Places(212, 128), 128, [pool, Crowd("once", 200.0, tenant="b")])
+        world = World(ConnectionAdmission(212, 128), 128, [pool, Crowd("once", 200.0, tenant="b")])
         world.run(8.0)
         self.assertGreater(world.served["once"], 0.97 * world.asked["once"] - 40)
         self.assertGreater(world.served["pool"], 300)
@@ -111,7 +115,7 @@
     def test_a_peer_with_few_is_not_crowded_out_by_one_with_many(self) -> None:
         """Even where the many ask sooner: below an even share nothing is taken away."""
         few, many = Crowd("few", 2.0, again=1.5), Crowd("many", 40.0, again=0.3)
-        world = World(Places(100), 10_000, [few, many])
+        world = World(ConnectionAdmission(100), 10_000, [few, many])
         world.run(10.0)
         self.assertEqual(world.closed.get("few", 0), 0)
         self.assertGreater(world.closed["many"], 50)
@@ -129,63 +133,65 @@
                     )
                     for n in range(rng.randrange(1, 4))
                 ]
-                world = World(Places(200, 100), 10_000, crowds, seed)
+                world = World(ConnectionAdmission(200, 100), 10_000, crowds, seed)
                 world.run(5.0)
                 self.assertEqual(sum(world.closed.values()), 0)
 
 
 class Cases(unittest.TestCase):
     def test_a_silent_one_has_time_for_its_first_request(self) -> None:
-        places = Places(4)
+        places = ConnectionAdmission(4)
         for n in range(4):
-            places.opened(n, "p", 1.0)
-        self.assertEqual(list(places.for_one_more(1.0 + FRESH_SECONDS / 2)), [])
-        self.assertEqual(next(places.for_one_more(1.0 + FRESH_SECONDS)), 0)
+            places.record_open(n, "p", 1.0)
+        self.assertEqual(list(places.evictions_for_new(1.0 + FIRST_REQUEST_S / 2)), [])
+        self.assertEqual(next(places.evictions_for_new(1.0 + FIRST_REQUEST_S)), 0)
 
     def test_one_passed_over_is_not_named_again(self) -> None:
         """Guards against a loop over one whose request has come and was not read yet."""
-        places = Places(3)
+        places = ConnectionAdmission(3)
         for n in range(3):
-            places.opened(n, "p", 0.0)
-        self.assertEqual(list(places.for_one_more(1.0)), [0, 1, 2])
+            places.record_open(n, "p", 0.0)
+        self.assertEqual(list(places.evictions_for_new(1.0)), [0, 1, 2])
 
     def test_what_is_not_known_changes_nothing(self) -> None:
-        places = Places(3)
-        places.asked("x", 1.0)
-        places.named("x", "t")
-        places.rests("x", 1.0)
-        places.closed("x", 1.0)
-        self.assertTrue(places.may_stay("x", 1.0))
-        self.assertEqual(places.taken, 0)
+        places = ConnectionAdmission(3)
+        places.record_request("x", 1.0)
+        places.record_tenant("x", "t")
+        places.record_idle("x", 1.0)
+        places.record_close("x", 1.0)
+        self.assertTrue(places.may_keep_alive("x", 1.0))
+        self.assertEqual(places.connection_count, 0)
 
     def test_books_balance_over_random_steps(self) -> None:
         for seed in range(30):
             with self.subTest(seed=seed):
-                rng, places, now = random.Random(seed), Places(12, 8), 0.0
+                rng, places, now = random.Random(seed), ConnectionAdmission(12, 8), 0.0
                 at: dict[int, str] = {}
                 for n in range(400):
                     now += rng.expovariate(50.0)
                     roll, some = rng.random(), rng.choice(sorted(at)) if at else -1
                     if roll < 0.4 and len(at) < 12:
-                        places.opened(n, rng.choice("ab"), now)
+                        places.record_open(n, rng.choice("ab"), now)
                         at[n] = "silent"
                     elif some >= 0 and roll < 0.6 and at[some] != "busy":
-                        places.asked(some, now)
-                        places.named(some, rng.choice("xyz"))
+                        places.record_request(some, now)
+                        places.record_tenant(some, rng.choice("xyz"))
                         at[some] = "busy"
-                    elif some >= 0 and roll < 0.8 and at[some] == "busy" and places.may_stay(some, now):
-                        places.rests(some, now)
+                    elif some >= 0 and roll < 0.8 and at[some] == "busy" and places.may_keep_alive(some, now):
+                        places.record_idle(some, now)
                         at[some] = "idle"
                     elif some >= 0:
-                        places.closed(some, now)
+                        places.record_close(some, now)
                         del at[some]
-                    for victim in list(places.surplus(now)):
+                    for victim in list(places.surplus_connections(now)):
                         self.assertNotEqual(at[victim], "busy")  # type: ignore[index]
-                    self.assertEqual(places.taken, len(at))
-                    self.assertEqual(places.idle, sum(state == "idle" for state in at.values()))
-                    self.assertEqual(places.silent, sum(state == "silent" for state in at.values()))
-                    self.assertEqual(set(places.waiting()), {c for c, state in at.items() if state != "busy"})
-                    places.state(now)
+                    self.assertEqual(places.connection_count, len(at))
+                    self.assertEqual(places.idle_count, sum(state == "idle" for state in at.values()))
+                    self.assertEqual(places.silent_count, sum(state == "silent" for state in at.values()))
+                    self.assertEqual(
+                        set(places.idle_connections()), {c for c, state in at.items() if state != "busy"}
+                    )
+                    places.status(now)
                 for conn in list(at):
-                    places.closed(conn, now)
-                self.assertEqual((places.taken, places.waiting()), (0, []))
+                    places.record_close(conn, now)
+                self.assertEqual((places.connection_count, places.idle_connections()), (0, []))
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -24,7 +24,7 @@
     balancer._silent, balancer._unlinked = rng.uniform(0, 50), rng.uniform(0, 5)
     balancer._tight, balancer._late = rng.random() < 0.5, rng.random() < 0.5
     balancer._rate *= rng.uniform(0.1, 10)
-    balancer._retries.spare, balancer._retries.unserved = rng.uniform(0, 5), rng.uniform(0, 100)
+    balancer._retries.tokens, balancer._retries.unserved_credit = rng.uniform(0, 5), rng.uniform(0, 100)
     for cls, told in enumerate(balancer.settings.classes):
         balancer._quiet_ns[cls] = told.latency_target_ns * rng.uniform(0.001, 1.0)
         balancer._lat_n[cls] = rng.uniform(0, 200)
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -231,12 +231,14 @@
             sidecar = Sidecar(parse_config(json.dumps({**config, "limits": limits}).encode(), {}))
             self.addCleanup(sidecar.close)
             self.assertGreaterEqual(sidecar.upstream_pool._most, claims)
-            self.assertGreaterEqual(sidecar.client_listener._places.most, clients)
-            self.assertLess(sidecar.upstream_pool._most + sidecar.client_listener._places.most, sockets)
+            self.assertGreaterEqual(sidecar.client_listener._places.max_connections, clients)
+            self.assertLess(
+                sidecar.upstream_pool._most + sidecar.client_listener._places.max_connections, sockets
+            )
 
     def test_all_descriptors_in_use_is_survived(self) -> None:
         rig = self.rig(self.node())
-        rig.sidecar.client_listener._places.most = 2
+        rig.sidecar.client_listener._places.max_connections = 2
         idle = [rig.connect() for _ in range(6)]
         self.assertEqual(rig.call().status, 200)  # one that is idle makes room
         for sock in idle:
@@ -281,8 +283,8 @@
 
     def test_silent_connections_make_room_for_those_that_ask(self) -> None:
         rig = self.rig(self.node())
-        rig.sidecar.client_listener._places.most = 16
-        with mock.patch("brambleusher.loadbalancing.connection_admission.FRESH_SECONDS", 0.0):
+        rig.sidecar.client_listener._places.max_connections = 16
+        with mock.patch("brambleusher.loadbalancing.connection_admission.FIRST_REQUEST_S", 0.0):
             silent = [rig.connect() for _ in range(24)]
             for sock in silent[:8]:
                 self.assertEqual(sock.recv(1), b"")
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -7,9 +7,7 @@
 
 import pytest
 
-from brambleusher.loadbalancing import Balancer, api
-from brambleusher.loadbalancing import capacity_estimates as sizes
-from brambleusher.loadbalancing import slow_start as cold
+from brambleusher.loadbalancing import Balancer, api, capacity_estimates, slow_start
 from brambleusher.loadbalancing.settings import parse_settings
 from tests.test_wirehost import SETUP
 
@@ -98,13 +96,13 @@
     seen.run(40.0, 5)
     host = seen.balancer._hosts["a"]
     host.started_ns = seen.now
-    assert cold.told(host, 2.0) == pytest.approx(1.0)
+    assert slow_start.reported_fraction(host, 2.0) == pytest.approx(1.0)
     assert seen.balancer._warmth(host, seen.now) == pytest.approx(0.3)
 
 
 def test_where_throughput_is_reported_sizes_are_not_asked() -> None:
     told: dict[str, object] = {"telemetry": {"names": ["throughput", "utilization"]}, "weights": "rough"}
-    assert not sizes.stand_in(parse_settings(SETUP | told))
+    assert not capacity_estimates.uses_sizes(parse_settings(SETUP | told))
     told["telemetry"] = {"names": ["recent_ms", "utilization"]}
-    assert sizes.stand_in(parse_settings(SETUP | told))
+    assert capacity_estimates.uses_sizes(parse_settings(SETUP | told))
     assert parse_settings(SETUP | told).weight_source == "rough"
--- a/tests/test_state_codec.py
+++ b/tests/test_state_codec.py
@@ -9,11 +9,11 @@
 from brambleusher.loadbalancing import Balancer, api, state_tables
 from brambleusher.loadbalancing.balancer import TokenRoundRobin
 from brambleusher.loadbalancing.hosts import Host, Request
-from brambleusher.loadbalancing.idle_timeout import Trust
-from brambleusher.loadbalancing.retry_budget import Retries
+from brambleusher.loadbalancing.idle_timeout import IdleTimeout
+from brambleusher.loadbalancing.retry_budget import RetryBudget
 from brambleusher.loadbalancing.state_codec import fields_of, save
 from brambleusher.loadbalancing.zone_aware_balancer import balancer_for
-from brambleusher.loadbalancing.zone_routing import Node, Zone, Zones
+from brambleusher.loadbalancing.zone_routing import NodeHealth, Zone, ZoneRouter
 
 # Made anew from the settings, or without meaning between two events.
 DERIVED = "settings _rng _classes _by_worth _unit_ns _tick_ns _quota _handlers _out _ranks"
@@ -71,11 +71,11 @@
     [
         (Request("", 0, 0, 0), state_tables.REQUEST, set[str]()),
         (TokenRoundRobin(random.Random(1)), state_tables.TOKEN_ROUND_ROBIN, {"_rng"}),
-        (Retries(1), state_tables.RETRY_BUDGET, set[str]()),
-        (Trust(), state_tables.IDLE_TIMEOUT, set[str]()),
-        (Zones(None, "", 0, 0), state_tables.ZONE_ROUTER, set[str]()),
+        (RetryBudget(1), state_tables.RETRY_BUDGET, set[str]()),
+        (IdleTimeout(), state_tables.IDLE_TIMEOUT, set[str]()),
+        (ZoneRouter(None, "", 0, 0), state_tables.ZONE_ROUTER, set[str]()),
         (Zone(""), state_tables.ZONE, set[str]()),
-        (Node(), state_tables.ZONE_NODE, set[str]()),
+        (NodeHealth(), state_tables.ZONE_NODE, set[str]()),
     ],
 )
 def test_every_attribute_of_a_record_is_stored(
--- a/tests/test_sums.py
+++ b/tests/test_sums.py
@@ -13,8 +13,7 @@
 from brambleusher.lab.virtual.explore import play
 from brambleusher.lab.virtual.mass import DAYS, draw_mass
 from brambleusher.lab.virtual.network import Connection, End
-from brambleusher.loadbalancing import Balancer
-from brambleusher.loadbalancing import slow_start as cold
+from brambleusher.loadbalancing import Balancer, slow_start
 from brambleusher.net.endpoint_list import EndpointList
 from brambleusher.net.upstream_pool import UpstreamPool
 
@@ -103,7 +102,7 @@
 
 
 def undivided(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(cold, "sharers", lambda *_: 1.0)
+    patch.setattr(slow_start, "proxies_per_host", lambda *_: 1.0)
 
 
 def every_node_used(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -12,8 +12,8 @@
     SILENT_SECONDS,
     WISHES,
     Ban,
-    Bans,
-    Service,
+    ClientDraining,
+    HostBans,
 )
 
 READY, DRAINING, GONE = HostState.READY, HostState.DRAINING, HostState.REMOVED
@@ -24,106 +24,106 @@
 
 
 class BansTest(unittest.TestCase):
-    def bans(self) -> Bans:
-        bans = Bans()
-        bans.listed(True, [entry("a"), entry("b")])
+    def bans(self) -> HostBans:
+        bans = HostBans()
+        bans.record_list(True, [entry("a"), entry("b")])
         return bans
 
     def test_a_ban_holds_whatever_discovery_says(self) -> None:
         bans = self.bans()
-        told = bans.offline("a", 100)
+        told = bans.ban("a", 100)
         assert told is not None
         self.assertIs(told.state, DRAINING)
         for news in ([entry("a")], [entry("a", DRAINING)], [entry("a", started_ns=150)]):
-            bans.listed(False, news)
-            self.assertIs(bans.effective(news[0]).state, DRAINING)
-        bans.listed(True, [entry("b")])  # gone, and back under the same id
-        bans.listed(True, [entry("a"), entry("b")])
-        self.assertIs(bans.effective(entry("a")).state, DRAINING)
-        self.assertIs(bans.effective(entry("a", GONE)).state, GONE)
-        self.assertIs(bans.effective(entry("b")).state, READY)
+            bans.record_list(False, news)
+            self.assertIs(bans.effective_entry(news[0]).state, DRAINING)
+        bans.record_list(True, [entry("b")])  # gone, and back under the same id
+        bans.record_list(True, [entry("a"), entry("b")])
+        self.assertIs(bans.effective_entry(entry("a")).state, DRAINING)
+        self.assertIs(bans.effective_entry(entry("a", GONE)).state, GONE)
+        self.assertIs(bans.effective_entry(entry("b")).state, READY)
 
     def test_a_ban_of_a_host_not_listed_yet_holds_from_when_it_is(self) -> None:
         # A proxy that has just started, or hears late, says no: the caller's time runs all the same.
         bans = self.bans()
         for host in ("c", "d", "e"):
-            bans.wish(host, 100)
-            self.assertFalse(bans.knows(host))
-        bans.unwish("d")
-        bans.listed(False, [entry("c"), entry("d")])
-        self.assertIs(bans.effective(entry("c")).state, DRAINING)
-        self.assertIs(bans.effective(entry("d")).state, READY)
-        self.assertEqual(bans.said(), {"c": [100, 0]})
-        self.assertIs(bans.online("c", 200).state, READY)  # type: ignore[union-attr]
+            bans.ban_when_listed(host, 100)
+            self.assertFalse(bans.is_known(host))
+        bans.cancel_ban_when_listed("d")
+        bans.record_list(False, [entry("c"), entry("d")])
+        self.assertIs(bans.effective_entry(entry("c")).state, DRAINING)
+        self.assertIs(bans.effective_entry(entry("d")).state, READY)
+        self.assertEqual(bans.to_json(), {"c": [100, 0]})
+        self.assertIs(bans.unban("c", 200).state, READY)  # type: ignore[union-attr]
         for number in range(2 * WISHES):
-            bans.wish(f"x{number}", 300)
+            bans.ban_when_listed(f"x{number}", 300)
         self.assertEqual(len(bans._wishes), WISHES)
 
     def test_calls_may_be_repeated_and_one_call_back_ends_the_ban(self) -> None:
         bans = self.bans()
-        self.assertIsNone(bans.online("a", 90))
-        bans.offline("a", 100)
-        self.assertIsNone(bans.offline("a", 110))
-        told = bans.online("a", 200)
+        self.assertIsNone(bans.unban("a", 90))
+        bans.ban("a", 100)
+        self.assertIsNone(bans.ban("a", 110))
+        told = bans.unban("a", 200)
         assert told is not None
         self.assertIs(told.state, READY)
-        self.assertIsNone(bans.online("a", 210))
+        self.assertIsNone(bans.unban("a", 210))
 
     def test_one_that_comes_back_is_taken_for_started_unless_discovery_told(self) -> None:
         for listed, believed in ((0, 200), (99, 200), (150, 150)):
             with self.subTest(listed=listed):
                 bans = self.bans()
-                bans.offline("a", 100)
-                bans.listed(False, [entry("a", started_ns=listed)])
-                told = bans.online("a", 200)
+                bans.ban("a", 100)
+                bans.record_list(False, [entry("a", started_ns=listed)])
+                told = bans.unban("a", 200)
                 assert told is not None
                 self.assertEqual(told.started_ns, believed)
-                later = bans.effective(entry("a", started_ns=300))
+                later = bans.effective_entry(entry("a", started_ns=300))
                 self.assertEqual(later.started_ns, 300)
 
     def test_a_ban_that_ends_while_discovery_drains_the_node_leaves_it_draining(self) -> None:
         bans = self.bans()
-        bans.offline("a", 100)
-        bans.listed(False, [entry("a", DRAINING)])
-        told = bans.online("a", 200)
+        bans.ban("a", 100)
+        bans.record_list(False, [entry("a", DRAINING)])
+        told = bans.unban("a", 200)
         assert told is not None
         self.assertIs(told.state, DRAINING)
 
     def test_ids_once_listed_are_known_and_others_are_not(self) -> None:
         bans = self.bans()
-        self.assertFalse(bans.knows("c"))
-        bans.listed(False, [entry("a", GONE)])
-        self.assertTrue(bans.knows("a"))
-        self.assertIsNone(bans.offline("a", 100))  # nothing to tell, and banned when it comes back
-        self.assertIs(bans.effective(entry("a")).state, DRAINING)
+        self.assertFalse(bans.is_known("c"))
+        bans.record_list(False, [entry("a", GONE)])
+        self.assertTrue(bans.is_known("a"))
+        self.assertIsNone(bans.ban("a", 100))  # nothing to tell, and banned when it comes back
+        self.assertIs(bans.effective_entry(entry("a")).state, DRAINING)
         for n in range(REMEMBERED + 1):
-            bans.listed(False, [entry(f"x{n}"), entry(f"x{n}", GONE)])
-        self.assertFalse(bans.knows("x0"))
-        self.assertTrue(bans.knows("a"), "a banned one is never forgotten")
-        self.assertTrue(bans.knows(f"x{REMEMBERED}"))
+            bans.record_list(False, [entry(f"x{n}"), entry(f"x{n}", GONE)])
+        self.assertFalse(bans.is_known("x0"))
+        self.assertTrue(bans.is_known("a"), "a banned one is never forgotten")
+        self.assertTrue(bans.is_known(f"x{REMEMBERED}"))
 
     def test_what_was_said_elsewhere_counts_if_it_was_said_later(self) -> None:
         bans = self.bans()
-        bans.offline("a", 100)
+        bans.ban("a", 100)
         self.assertEqual(bans.merge({"a": Ban(90, 95)}), [])
         (told,) = bans.merge({"a": Ban(100, 120), "x": Ban(110)})  # x is not listed here yet
         self.assertEqual((told.host, told.state, told.started_ns), ("a", READY, 120))
-        self.assertIs(bans.effective(entry("x")).state, DRAINING)
+        self.assertIs(bans.effective_entry(entry("x")).state, DRAINING)
         self.assertEqual(bans.merge(dict(bans.bans)), [])
 
     def test_an_entry_that_nothing_is_laid_over_is_passed_as_it_is(self) -> None:
         plain = entry("b")
-        self.assertIs(self.bans().effective(plain), plain)
+        self.assertIs(self.bans().effective_entry(plain), plain)
         self.assertEqual(replace(plain), plain)
 
 
 class ServiceTest(unittest.TestCase):
     def test_who_may_rest(self) -> None:
-        service = Service()
-        self.assertTrue(service.wanted and service.may_rest(5.0, 0.0, True))
-        service.leave(10.0)
-        service.leave(11.0)  # again: the first call counts
-        self.assertFalse(service.wanted)
+        service = ClientDraining()
+        self.assertTrue(service.accepts_clients and service.may_stay_idle(5.0, 0.0, True))
+        service.start(10.0)
+        service.start(11.0)  # again: the first call counts
+        self.assertFalse(service.accepts_clients)
         for now, since, asked, may in (
             (10.5, 9.0, True, True),  # its next request is served, and it leaves with the answer
             (10.0 + LEAVE_SECONDS, 9.0, True, False),
@@ -133,6 +133,6 @@
             (13.0, 12.9, False, True),
         ):
             with self.subTest(now=now, since=since, asked=asked):
-                self.assertEqual(service.may_rest(now, since, asked), may)
+                self.assertEqual(service.may_stay_idle(now, since, asked), may)
         service.resume()
-        self.assertTrue(service.wanted and service.may_rest(20.0, 0.0, True))
+        self.assertTrue(service.accepts_clients and service.may_stay_idle(20.0, 0.0, True))
