--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -28,7 +28,7 @@
 from brambleusher.loadbalancing.settings_codec import restore_settings, save_settings
 from brambleusher.loadbalancing.state_codec import restore, save
 from brambleusher.loadbalancing.zone_aware_balancer import ZoneAwareBalancer, balancer_for
-from brambleusher.loadbalancing.zone_routing import Load, State, Zones, fill
+from brambleusher.loadbalancing.zone_routing import ZoneLoad, ZoneRouter, ZoneState, fill
 from brambleusher.operator_settings.configuration import parse_operator_file
 from brambleusher.operator_settings.section import OperatorError
 from tests.rules import MS, SECOND, World
@@ -43,10 +43,10 @@
     """Zones of four hosts each, as one proxy in zone `a` sees them, ticked in steps."""
 
     def __init__(self, rules: ZoneRules = RULES, names: str = "abcd", hosts: int = 4, fleet: int = 8) -> None:
-        self.zones, self.now = Zones(rules, "a", UNIT, fleet), 10 * SECOND
+        self.zones, self.now = ZoneRouter(rules, "a", UNIT, fleet), 10 * SECOND
         self.ready = {name: [f"{name}{at}" for at in range(hosts)] for name in names}
         self.loads = {
-            name: Load(hosts, 20.0 * hosts, 12.0 * hosts, 12.0 * hosts, 8.0 * hosts) for name in names
+            name: ZoneLoad(hosts, 20.0 * hosts, 12.0 * hosts, 12.0 * hosts, 8.0 * hosts) for name in names
         }
         self.zones.listed(self.ready, {}, self.now)
         self.rate = 25.0
@@ -77,7 +77,7 @@
                 load.dark = {host: begin for host in dark if host[0] == name and self.now - begin > UNIT // 2}
             self.zones.tick(self.now, TICK / UNIT, self.loads, self.rate, 0.7, 0.01)
 
-    def state(self, name: str) -> State:
+    def state(self, name: str) -> ZoneState:
         return self.zones.zones[name].state
 
     def lose(self, name: str = "b", seconds: float = 1.5) -> None:
@@ -162,9 +162,9 @@
             dark = dict.fromkeys(seen.ready["b"], begin) if seen.now - begin > UNIT // 4 else {}
             seen.loads["b"].dark = dark
             seen.zones.tick(seen.now, 0.0, seen.loads, 25.0, 0.7, 0.01)
-            if seen.state("b") is State.LOST:
+            if seen.state("b") is ZoneState.LOST:
                 break
-        assert seen.state("b") is State.LOST
+        assert seen.state("b") is ZoneState.LOST
         assert f"{count} of {count} nodes dark" in seen.zones.zones["b"].reason
         took[count] = seen.now - begin
     assert took[4] < took[2] < took[1] <= 3 * UNIT
@@ -174,14 +174,14 @@
     seen = Seen()
     seen.dead.add("b0")
     seen.tick(5.0, dark=("b0",))
-    assert seen.state("b") is State.HEALTHY
+    assert seen.state("b") is ZoneState.HEALTHY
 
 
 def test_a_zone_where_one_node_answers_is_not_lost() -> None:
     seen = Seen()
     seen.dead.update(("b0", "b1", "b2"))
     seen.tick(5.0, dark=("b0", "b1", "b2"))
-    assert seen.state("b") is not State.LOST
+    assert seen.state("b") is not ZoneState.LOST
 
 
 def test_ends_that_say_nothing_of_a_node_don_t_count() -> None:
@@ -193,7 +193,7 @@
             seen.end(host, AttemptStatus.NOT_STARTED)
     seen.dead.update(seen.ready["b"])
     seen.tick(1.0)
-    assert seen.state("b") is State.HEALTHY
+    assert seen.state("b") is ZoneState.HEALTHY
 
 
 def test_silence_while_this_proxy_stood_still_says_nothing() -> None:
@@ -205,7 +205,7 @@
     for name in "abcd":
         seen.loads[name].dark = dict.fromkeys(seen.ready[name], before)
     seen.zones.tick(seen.now, 6.0, seen.loads, 25.0, 0.7, 0.01)
-    assert {seen.state(name) for name in "abcd"} == {State.HEALTHY}
+    assert {seen.state(name) for name in "abcd"} == {ZoneState.HEALTHY}
 
 
 def test_a_grey_zone_is_suspected_and_what_must_not_run_twice_goes_elsewhere() -> None:
@@ -213,10 +213,10 @@
     for at in range(24):
         seen.end(f"b{at % 4}", AttemptStatus.RESET if at % 3 == 0 else AttemptStatus.OK)
     seen.tick()
-    assert seen.state("b") is State.SUSPECT and "went wrong" in seen.zones.zones["b"].reason
+    assert seen.state("b") is ZoneState.SUSPECT and "went wrong" in seen.zones.zones["b"].reason
     assert seen.zones.doubtful("b") and not seen.zones.doubtful("a") and not seen.zones.shut("b")
     seen.tick(15.0)
-    assert seen.state("b") is State.HEALTHY
+    assert seen.state("b") is ZoneState.HEALTHY
 
 
 def test_a_zone_drained_in_order_is_not_lost_and_one_that_left_the_list_is() -> None:
@@ -224,9 +224,9 @@
     drained, gone = Seen(), Seen()
     drained.zones.listed({**seen.ready, "b": []}, {"b": seen.ready["b"]}, seen.now)
     drained.zones.listed({**seen.ready, "b": []}, {}, seen.now)
-    assert drained.state("b") is State.HEALTHY and drained.zones.zones["b"].reason == "drained in order"
+    assert drained.state("b") is ZoneState.HEALTHY and drained.zones.zones["b"].reason == "drained in order"
     gone.zones.listed({**seen.ready, "b": []}, {}, seen.now)
-    assert gone.state("b") is State.LOST and gone.zones.zones["b"].penalty == 1.0
+    assert gone.state("b") is ZoneState.LOST and gone.zones.zones["b"].penalty == 1.0
 
 
 # --- the way back ---------------------------------------------------------------------------------
@@ -243,15 +243,15 @@
     assert 4 <= zone.probe_at - tried <= 6  # a request each four aims: the pause has grown
     seen.regain()
     seen.tick(2.5)
-    assert seen.state("b") is State.RETURNING and not seen.zones.shut("b")
+    assert seen.state("b") is ZoneState.RETURNING and not seen.zones.shut("b")
     grants: list[float] = []
-    while seen.state("b") is State.RETURNING and len(grants) < 400:
+    while seen.state("b") is ZoneState.RETURNING and len(grants) < 400:
         used = zone.answered * 0.693 / (UNIT / SECOND)
         seen.tick()
         grants.append(zone.grant)
         start = 0.1 * 80.0 * zone.own_part
         assert zone.grant <= max(2.0 * max(used, zone.answered * 0.693 / (UNIT / SECOND)), start) + 1e-6
-    assert seen.state("b") is State.HEALTHY and grants == sorted(grants)
+    assert seen.state("b") is ZoneState.HEALTHY and grants == sorted(grants)
 
 
 @pytest.mark.parametrize("period", [2.0, 5.0, 10.0])
@@ -274,7 +274,7 @@
     while zone.out:
         seen.tick(0.5)
         assert seen.now - begin <= RULES.max_flap_hold_ns + 10 * UNIT
-    assert seen.now - begin > 3 * SECOND and seen.state("b") is State.RETURNING
+    assert seen.now - begin > 3 * SECOND and seen.state("b") is ZoneState.RETURNING
 
 
 def test_a_zone_is_trusted_at_once_when_the_operator_says_so() -> None:
@@ -287,7 +287,7 @@
     assert seen.zones.zones["b"].held
     seen.zones.set_rules(replace(RULES, flap_exempt=("b",)), seen.now)
     seen.tick()
-    assert seen.state("b") is State.RETURNING and not seen.zones.shut("b")
+    assert seen.state("b") is ZoneState.RETURNING and not seen.zones.shut("b")
 
 
 def test_without_a_hold_flaps_cost_nothing() -> None:
@@ -309,10 +309,10 @@
     seen.tick(5.5)
     assert 0 < half < 0.75 * seen.rate and seen.zones.zones["a"].limit == 0
     assert not seen.zones.admits("a", seen.now + SECOND) or seen.zones.zones["a"].level < 2
-    assert seen.state("a") is State.HEALTHY
+    assert seen.state("a") is ZoneState.HEALTHY
     seen.zones.set_rules(RULES, seen.now)
     seen.tick()
-    assert seen.state("a") is State.RETURNING and 0 < seen.zones.zones["a"].limit < seen.rate
+    assert seen.state("a") is ZoneState.RETURNING and 0 < seen.zones.zones["a"].limit < seen.rate
 
 
 # --- spill ----------------------------------------------------------------------------------------
@@ -383,7 +383,7 @@
     for name in lost:
         seen.lose(name, 0.0)
     seen.tick(2.0, dark=tuple(host for name in lost for host in seen.ready[name]))
-    assert all(seen.state(name) is State.LOST for name in lost)
+    assert all(seen.state(name) is ZoneState.LOST for name in lost)
     assert not seen.zones.panic and seen.zones.shut("b")  # the zone that is left has room
     for host in seen.ready["b"]:
         seen.end(host, AttemptStatus.CONNECT_FAILED)
@@ -402,7 +402,7 @@
     seen.tick(2.0)
     seen.dead.update(host for hosts in seen.ready.values() for host in hosts)
     seen.tick(3.0, dark=tuple(seen.dead))
-    assert all(seen.state(name) is State.LOST for name in "abcd")
+    assert all(seen.state(name) is ZoneState.LOST for name in "abcd")
     assert not any(seen.zones.shut(name) for name in "abcd")
 
 
@@ -543,6 +543,6 @@
 def test_zones_stand_in_the_order_in_which_the_list_names_them() -> None:
     # A set of names goes by their hashes, which differ from process to process: so would sums over zones.
     names = [f"zone-{at}" for at in range(24)]
-    zones = Zones(RULES, "zone-0", UNIT, 8)
+    zones = ZoneRouter(RULES, "zone-0", UNIT, 8)
     zones.listed({name: [f"{name}-host"] for name in names[:16]}, {name: [] for name in names[8:]}, SECOND)
     assert list(zones.zones) == names
