--- a/brambleusher/system_main.py
+++ b/brambleusher/system_main.py
@@ -15,20 +15,20 @@
 from brambleusher.wire.policy import Policy
 
 SETTINGS_VARIABLE = "BRAMBLEUSHER_SETTINGS"
-USAGE_STATUS = 2
+USAGE_EXIT_STATUS = 2
 MEMBER = "member"
 ROLES = ("gateway", "controller", MEMBER)
 
 
 def start(role: str, path: str, policy_path: str = "") -> int:
-    """Run a role with a settings file until it ends; the exit status."""
+    """Run a role with a settings file until it ends; return the exit status."""
     logs.configure()
     try:
         settings = reader.read(path)
         policy = policy_reader.read(policy_path) if policy_path else Policy()
     except InvalidFileError as error:
         print(f"brambleusher: {error}", file=sys.stderr)
-        return USAGE_STATUS
+        return USAGE_EXIT_STATUS
     if role == "gateway":
         from brambleusher.gateway.app import Gateway
 
@@ -43,10 +43,10 @@
 
 
 def _start_without_disk(role: str, settings: reader.Settings, path: str) -> int:
-    """Where a controller may run on any machine of a class, one without a disk passes calls on."""
+    """Run an observer on a machine without a disk, where a controller may run on any machine of a class."""
     if role != MEMBER:
         print(f"brambleusher: {path}: data_dir: a controller needs a folder", file=sys.stderr)
-        return USAGE_STATUS
+        return USAGE_EXIT_STATUS
     from brambleusher.controller.observer import Observer
 
     Observer(RealSystem(), settings, path).run()
@@ -54,25 +54,30 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """`gateway`, `controller`, `member`, or one of the tools; the exit status.
+    """Run `gateway`, `controller`, `member`, or one of the tools; return the exit status.
 
     A gateway takes `--policy FILE` too.  A `member` of the control plane is a controller where its
     machine has a disk, and else an observer.
     """
     words = sys.argv[1:] if arguments is None else list(arguments)
-    policy_path = ""
-    if words[:2] == ["gateway", "--policy"] and len(words) == 3:
-        words, policy_path = words[:1], words[2]
-    if len(words) == 1 and words[0] in ROLES:
-        path = os.environ.get(SETTINGS_VARIABLE, "")
-        if not path:
-            print(f"brambleusher: {SETTINGS_VARIABLE} names no settings file", file=sys.stderr)
-            return USAGE_STATUS
-        return start(words[0], path, policy_path)
+    match words:
+        case ["gateway", "--policy", policy_path]:
+            return _start_from_environment("gateway", policy_path)
+        case [role] if role in ROLES:
+            return _start_from_environment(role)
     from brambleusher.system_tools import run
 
     return run(words)
 
 
+def _start_from_environment(role: str, policy_path: str = "") -> int:
+    """Run a role with the settings file that the environment names; return the exit status."""
+    path = os.environ.get(SETTINGS_VARIABLE, "")
+    if not path:
+        print(f"brambleusher: {SETTINGS_VARIABLE} names no settings file", file=sys.stderr)
+        return USAGE_EXIT_STATUS
+    return start(role, path, policy_path)
+
+
 if __name__ == "__main__":
     sys.exit(main())
--- a/brambleusher/system_tools.py
+++ b/brambleusher/system_tools.py
@@ -1,13 +1,15 @@
-"""Tools of the whole serving system on the command line, by `fire`: checks, a state folder, a status."""
+"""Tools of the whole serving system on the command line, by `fire`: checks, a data folder, a status."""
 
 from __future__ import annotations
 
 import json
 import sys
 import tomllib
-from collections.abc import Sequence
+from collections.abc import Callable, Sequence
+from http import HTTPStatus
 from pathlib import Path
-from typing import Any
+
+from result import Err, Ok, Result
 
 from brambleusher.controlplane.storage.errors import CorruptStorageError
 from brambleusher.controlplane.storage.storage import inspect
@@ -21,12 +23,12 @@
 from brambleusher.wire import settings as settings_reader
 from brambleusher.wire.errors import InvalidConfigurationError, InvalidPolicyError, InvalidSettingsError
 
-CALL_S = 3.0
-SERVES = frozenset({"edge", "controller", "registry"})
-FAULT_STATUS = 1
+CALL_TIMEOUT_S = 3.0
+SERVED_PARTIES = frozenset({"edge", "controller", "registry"})
+FAULT_EXIT_STATUS = 1
 
 
-class Fault(Exception):
+class ToolError(Exception):
     """What a tool found wrong, in one line."""
 
 
@@ -35,7 +37,7 @@
     try:
         settings = settings_reader.read(path)
     except InvalidSettingsError as error:
-        raise Fault(str(error)) from error
+        raise ToolError(str(error)) from error
     return f"{path}: {settings.node_name} serves {', '.join(settings.serves) or 'nothing'}"
 
 
@@ -44,39 +46,39 @@
     try:
         checked = configuration.read(Path(path).read_bytes())
     except (OSError, InvalidConfigurationError) as error:
-        raise Fault(f"{path}: {error}") from error
+        raise ToolError(f"{path}: {error}") from error
     return f"{path}: revision {checked.revision}, {len(checked.routes)} routes"
 
 
 def check_deploy(path: str = "deploy/system.toml") -> str:
-    """Check a deploy file: a build line, and roles that together serve clients, operators and questions."""
+    """Check a deploy file: a build line, and roles that serve clients, operators and the registry."""
     try:
         data = tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except (OSError, tomllib.TOMLDecodeError) as error:
-        raise Fault(f"{path}: {error}") from error
+        raise ToolError(f"{path}: {error}") from error
     if not isinstance(data.get("build"), str):
-        raise Fault(f"{path}: build: it is missing")
+        raise ToolError(f"{path}: build: it is missing")
     served: set[str] = set()
     for name, role in data.get("roles", {}).items():
         for key in ("run", "on"):
             if not isinstance(role.get(key), str):
-                raise Fault(f"{path}: roles.{name}.{key}: it is missing")
-        unknown = set(role.get("serves", [])) - SERVES
+                raise ToolError(f"{path}: roles.{name}.{key}: it is missing")
+        unknown = set(role.get("serves", [])) - SERVED_PARTIES
         if unknown:
-            raise Fault(f"{path}: roles.{name}.serves: {', '.join(sorted(unknown))} is unknown")
+            raise ToolError(f"{path}: roles.{name}.serves: {', '.join(sorted(unknown))} is unknown")
         served |= set(role.get("serves", []))
-    if served != SERVES:
-        raise Fault(f"{path}: roles: nobody serves {', '.join(sorted(SERVES - served))}")
+    if served != SERVED_PARTIES:
+        raise ToolError(f"{path}: roles: nobody serves {', '.join(sorted(SERVED_PARTIES - served))}")
     return f"{path}: {len(data['roles'])} roles"
 
 
 def check_policy(path: str) -> str:
     """Read a policy file as a gateway would at its start."""
     try:
-        held = policy_reader.read(path)
+        checked = policy_reader.read(path)
     except InvalidPolicyError as error:
-        raise Fault(str(error)) from error
-    off = [name for name, _, _ in policy_reader.described() if not getattr(held, name)]
+        raise ToolError(str(error)) from error
+    off = [name for name, _, _ in policy_reader.described() if not getattr(checked, name)]
     return f"{path}: switched off: {', '.join(off) or 'nothing'}"
 
 
@@ -88,39 +90,49 @@
 
 
 def state(folder: str) -> str:
-    """Verify a controller's state folder, changing nothing, and show what it holds as one JSON object."""
+    """Verify a controller's data folder, changing nothing, and show its content as one JSON object."""
     if not Path(folder).is_dir():
-        raise Fault(f"{folder}: it is no folder")
+        raise ToolError(f"{folder}: it is no folder")
     try:
         found = inspect(FolderDisk(folder))
     except CorruptStorageError as error:
-        raise Fault(f"{folder}: {error}") from error
+        raise ToolError(f"{folder}: {error}") from error
     return json.dumps(found, indent=2)
 
 
 def status(address: str) -> str:
     """Ask a running gateway (its `ready` address) or controller (its `control` address) for its state."""
+    try:
+        status_code, body = _get(address, "/api/status")
+    except (HttpCallError, ValueError) as error:
+        raise ToolError(f"{address}: {error}") from error
+    if status_code != HTTPStatus.OK:
+        raise ToolError(f"{address}: it answers {status_code}")
+    return json.dumps(json.loads(body), indent=2)
+
+
+def _get(address: str, path: str) -> tuple[int, bytes]:
+    """Return status and body of a call; raises `HttpCallError`, and `ValueError` for a wrong address."""
+    server = parse_address(address)
     scheduler = Scheduler(RealSystem())
-    answers: list[tuple[int, bytes] | str] = []
+    outcomes: list[Result[tuple[int, bytes], HttpCallError]] = []
 
-    def ask() -> None:
+    def call() -> None:
         try:
-            answers.append(HttpClient(scheduler, parse_address(address)).get("/api/status", CALL_S))
-        except (HttpCallError, ValueError) as error:
-            answers.append(str(error))
+            outcomes.append(Ok(HttpClient(scheduler, server).get(path, CALL_TIMEOUT_S)))
+        except HttpCallError as error:
+            outcomes.append(Err(error))
 
-    scheduler.spawn(ask, name="status")
-    scheduler.run(lambda: bool(answers))
+    scheduler.spawn(call, name="status")
+    scheduler.run(lambda: bool(outcomes))
     scheduler.close()
-    answer = answers[0]
-    if isinstance(answer, str):
-        raise Fault(f"{address}: {answer}")
-    if answer[0] != 200:
-        raise Fault(f"{address}: it answers {answer[0]}")
-    return json.dumps(json.loads(answer[1]), indent=2)
+    outcome = outcomes[0]
+    if isinstance(outcome, Err):
+        raise outcome.err_value
+    return outcome.ok_value
 
 
-TOOLS: dict[str, Any] = {
+TOOLS: dict[str, Callable[..., str]] = {
     "check-settings": check_settings,
     "check-configuration": check_configuration,
     "check-deploy": check_deploy,
@@ -132,14 +144,14 @@
 
 
 def run(words: Sequence[str]) -> int:
-    """One tool; 0 where all is well, 1 for a fault it found, 2 for a wrong call."""
+    """Run one tool; return 0 where it found nothing wrong, 1 for a fault, 2 for a wrong call."""
     import fire
 
     try:
         fire.Fire(TOOLS, command=list(words), name="brambleusher-system")
-    except Fault as fault:
-        print(fault, file=sys.stderr)
-        return FAULT_STATUS
-    except fire.core.FireExit as leaving:
-        return int(leaving.code or 0)
+    except ToolError as error:
+        print(error, file=sys.stderr)
+        return FAULT_EXIT_STATUS
+    except fire.core.FireExit as exit_request:
+        return int(exit_request.code or 0)
     return 0
