--- a/brambleusher/controller/app.py
+++ b/brambleusher/controller/app.py
@@ -23,7 +23,7 @@
 SHUFFLE_INTERVAL_S = 0.6
 SHUFFLE_JITTER = (0.8, 1.2)  # of the interval: controllers do not shuffle in step
 SHUTDOWN_MIN_S = 1.2  # after SIGTERM: time to transfer leadership and to answer pending calls
-SHUTDOWN_LOOK_S = 0.1
+SHUTDOWN_POLL_S = 0.1
 KILL_MARGIN_S = 1.0  # before `grace_s` is over the process has ended
 NS_PER_MS = 1_000_000
 
@@ -78,7 +78,7 @@
         deadline_s = self.scheduler.now() + self.settings.bounds.grace_s - KILL_MARGIN_S
         self.scheduler.sleep(SHUTDOWN_MIN_S)
         while self.scheduler.now() < deadline_s and self._is_vote_needed():
-            self.scheduler.sleep(SHUTDOWN_LOOK_S)
+            self.scheduler.sleep(SHUTDOWN_POLL_S)
 
     def _is_vote_needed(self) -> bool:
         """Whether this vote may count while another can still get it, or just got one and this one stays."""
--- a/brambleusher/controller/process.py
+++ b/brambleusher/controller/process.py
@@ -55,7 +55,7 @@
 
     def run(self) -> None:
         """Serve until SIGTERM or SIGINT, then until the graceful shutdown is over."""
-        log.info(f"{self.role} started", extra={"fields": {"name": self.settings.node_name}})
+        log.info("process started", extra={"fields": {"role": self.role, "name": self.settings.node_name}})
         run_until_signalled(self.scheduler, self.begin_graceful_shutdown, self._settings_watcher)
 
     def begin_graceful_shutdown(self) -> None:
--- a/brambleusher/dataplane/configuration_client.py
+++ b/brambleusher/dataplane/configuration_client.py
@@ -108,7 +108,7 @@
             while True:
                 answer = client.call(self._request(poller, state).as_json(), POLL_TIMEOUT_S)
                 if answer.get("observer"):
-                    self._mark_observer(address, answer)
+                    self._record_observer(address, answer)
                     return False
                 update = ConfigurationUpdate.from_json(answer)
                 confirms_list = state.is_primary and update.list_version == state.list_version
@@ -145,7 +145,7 @@
         self._metrics_due_s = self._scheduler.now() + METRICS_INTERVAL_S
         return self._instances.metrics_report()
 
-    def _mark_observer(self, address: str, answer: dict[str, Any]) -> None:
+    def _record_observer(self, address: str, answer: dict[str, Any]) -> None:
         self._controllers.mark_observer(address, controllers_from_json(answer.get("controllers")))
 
     def _is_behind(self, update: ConfigurationUpdate) -> bool:
--- a/brambleusher/gateway/app.py
+++ b/brambleusher/gateway/app.py
@@ -31,6 +31,7 @@
 
 log = logging.getLogger(__name__)
 
+ROLE = "gateway"
 BYTES_PER_MB = 1024 * 1024
 NS_PER_MS = 1_000_000
 BODY_MEMORY_DIVISOR = 4  # of the machine's memory, for the bodies of clients' requests
@@ -68,7 +69,9 @@
             self.connection_pool.close_idle,
         )
         handler = self._request_handler(policy, rng)
-        self._ready_server = HttpServer(self.scheduler, parse_address(settings.bind.ready), self._handle_call)
+        self._ready_server = HttpServer(
+            self.scheduler, parse_address(settings.bind.ready), self._handle_request
+        )
         self.body_memory = BodyMemory(settings.limits.memory_mb * BYTES_PER_MB // BODY_MEMORY_DIVISOR)
         self._clients = ClientServer(
             self.scheduler,
@@ -94,9 +97,9 @@
 
     def run(self) -> None:
         """Serve until SIGTERM or SIGINT, then until the graceful shutdown is over."""
-        log.info("gateway started", extra={"fields": {"name": self.settings.node_name}})
+        log.info("process started", extra={"fields": {"role": ROLE, "name": self.settings.node_name}})
         run_until_signalled(self.scheduler, self.begin_graceful_shutdown, self._settings_watcher)
-        log.info("gateway stopped", extra={"fields": dict(self.counters.as_json())})
+        log.info("process stopped", extra={"fields": {"role": ROLE, **self.counters.as_json()}})
 
     def begin_graceful_shutdown(self) -> None:
         """Become not ready; connections close with their responses, then the process ends."""
@@ -126,7 +129,7 @@
             state = PeerState.DRAINING
         return Peer(
             settings.node_name,
-            "gateway",
+            ROLE,
             settings.bind.front,
             settings.zone,
             settings.region,
@@ -136,7 +139,7 @@
 
     # --- status -----------------------------------------------------------------------------------
 
-    def _handle_call(self, request: HttpRequest) -> HttpResponse:
+    def _handle_request(self, request: HttpRequest) -> HttpResponse:
         if request.path == READY_PATH:
             status = HTTPStatus.OK if self.is_ready else HTTPStatus.SERVICE_UNAVAILABLE
             return json_response(status, {"ready": self.is_ready})
--- a/brambleusher/gateway/client_server.py
+++ b/brambleusher/gateway/client_server.py
@@ -50,9 +50,9 @@
         self.active_requests = 0
         self._acceptor = Acceptor(scheduler, address, self._serve, CONNECTIONS_MAX)
 
-    def is_idle(self, quiet_s: float) -> bool:
+    def is_idle(self, idle_s: float) -> bool:
         """Whether no request is under way and none came for so long."""
-        return not self.active_requests and self._scheduler.now() - self._last_request_s > quiet_s
+        return not self.active_requests and self._scheduler.now() - self._last_request_s > idle_s
 
     def close_after_responses(self) -> None:
         """From now on close each connection with its next response."""
--- a/brambleusher/gateway/graceful_shutdown.py
+++ b/brambleusher/gateway/graceful_shutdown.py
@@ -14,8 +14,8 @@
 IDLE_S = 0.6  # without a request for so long the gateway may end
 LAST_REQUESTS_S = 3.0  # before SIGKILL: requests that come later are rejected
 KILL_MARGIN_S = 0.3  # before SIGKILL the process has ended
-LOOK_INTERVAL_S = 0.05
-LAST_LOOK_INTERVAL_S = 0.02
+POLL_INTERVAL_S = 0.05
+LAST_POLL_INTERVAL_S = 0.02
 
 
 class GracefulShutdown:
@@ -43,10 +43,8 @@
         if self._started_at_s is not None:
             return
         self._started_at_s = self._scheduler.now()
-        log.info(
-            "graceful shutdown started",
-            extra={"fields": {"role": "gateway", "active_requests": clients.active_requests}},
-        )
+        fields = {"role": "gateway", "active_requests": clients.active_requests}
+        log.info("graceful shutdown started", extra={"fields": fields})
         clients.close_after_responses()
         self._scheduler.spawn(self._finish, clients, self._started_at_s, name="graceful_shutdown")
 
@@ -56,9 +54,9 @@
         while (now_s := self._scheduler.now()) < deadline_s:
             if now_s >= earliest_s and clients.is_idle(IDLE_S):
                 break
-            self._scheduler.sleep(LOOK_INTERVAL_S)
+            self._scheduler.sleep(POLL_INTERVAL_S)
         clients.close()
         while clients.active_requests and self._scheduler.now() < deadline_s:
-            self._scheduler.sleep(LAST_LOOK_INTERVAL_S)
-        self._scheduler.sleep(LAST_LOOK_INTERVAL_S)
+            self._scheduler.sleep(LAST_POLL_INTERVAL_S)
+        self._scheduler.sleep(LAST_POLL_INTERVAL_S)
         self._scheduler.stop()
--- a/tests/system/test_policy.py
+++ b/tests/system/test_policy.py
@@ -24,7 +24,7 @@
 from brambleusher.wire.errors import InvalidPolicyError
 from brambleusher.wire.instance_load import InstanceLoad
 from brambleusher.wire.policy import Policy
-from tests.system.test_dataplane_parts import ZONES, entry, listed, wanted
+from tests.system.dataplane_builders import ZONES, entry, listed, placement_request
 from tests.system.test_instance_weights import AIM_S, send, ticks
 
 
@@ -75,7 +75,7 @@
 def chosen(held: Policy, key: str = "", tokens: int = 0) -> set[str]:
     instances = known(held, entry("a"), entry("b", "n2"), entry("c", "s1"))
     placement = Placement(instances, "north", held)
-    found = [placement.choose(wanted(key, tokens), (), 0.0) for _ in range(12)]
+    found = [placement.choose(placement_request(key, tokens), (), 0.0) for _ in range(12)]
     return {instance.id for instance in found if instance}
 
 
@@ -94,11 +94,11 @@
         cold = next(instance for instance in instances.for_service("llm") if instance.id == "b")
         assert sum(instances.admit(cold, 1.0) for _ in range(5)) == most
         cold.record_connect_failure(1.0)
-        usable = {instance.id for instance in instances.usable(wanted().route, "llm", 1.0)}
+        usable = {instance.id for instance in instances.usable(placement_request().route, "llm", 1.0)}
         assert ("b" in usable) is not held.rest_after_failure
     rests = known(Policy(rest_after_failure=False), entry("a"))
     rests.for_service("llm")[0].record_connect_failure(1.0)
-    assert rests.usable(wanted().route, "llm", 1.0)
+    assert rests.usable(placement_request().route, "llm", 1.0)
 
 
 def weights_with(**off: bool) -> InstanceWeights:
--- a/tests/system/test_zone_backoff.py
+++ b/tests/system/test_zone_backoff.py
@@ -8,7 +8,7 @@
 from brambleusher.dataplane.placement import Placement
 from brambleusher.dataplane.zone_backoff import BACKOFF_FIRST_S, BACKOFF_MAX_S, TRIAL_S, ZoneBackoff
 from brambleusher.wire.policy import Policy
-from tests.system.test_dataplane_parts import ZONES, entry, instances, listed, wanted
+from tests.system.dataplane_builders import ZONES, entry, instances, listed, placement_request
 
 
 def time_out(backoff: ZoneBackoff, zone: str, count: int, now: float = 0.0) -> None:
@@ -67,7 +67,7 @@
 
 
 def chosen_zones(known: InstanceTable, placement: Placement, now: float, **given: object) -> set[str]:
-    found = [placement.choose(wanted(), (), now, **given) for _ in range(8)]  # type: ignore[arg-type]
+    found = [placement.choose(placement_request(), (), now, **given) for _ in range(8)]  # type: ignore[arg-type]
     return {instance.zone for instance in found if instance}
 
 
@@ -85,7 +85,7 @@
     known = instances(entry("a"), entry("b", "n2"), entry("c", "s1"))
     placement = Placement(known, "north")
     assert chosen_zones(known, placement, 0.1, unresponsive_regions={"north"}) == {"s1"}
-    homes = placement.choose(wanted(home_regions=("north",)), {"a"}, 0.1, {"north"})
+    homes = placement.choose(placement_request(home_regions=("north",)), {"a"}, 0.1, {"north"})
     assert homes is not None
     assert homes.id == "b"
 
