--- /dev/null
+++ b/tests/recorded/sidecar_day.py
@@ -0,0 +1,111 @@
+"""A day of a few sidecars with all features on, and what operators' tools read of them."""
+
+from __future__ import annotations
+
+import logging
+from typing import Any
+
+import msgspec
+
+from brambleusher.lab.fleets.figures import DOOR_PORT
+from brambleusher.lab.fleets.fleet import Fleet, world_of
+from brambleusher.lab.fleets.scenario import draw_scenario
+from brambleusher.runtime.scheduler import Scheduler
+from brambleusher.runtime.streams import Stream
+
+SECOND = 10**9
+STATUS_PORT = 8099
+TARGETS = (
+    "GET /control/ready",
+    "GET /control/counters",
+    "POST /control/registry-nodes/{node}/offline",
+    "POST /control/registry-nodes/{node}/online",
+    "POST /control/registry-nodes/nobody/offline",
+    "POST /control/registry-nodes/%zz/offline",
+    "POST /control/out-of-service",
+    "GET /control/ready",
+    "POST /control/in-service",
+    "PUT /control/in-service",
+    "GET /control",
+    "GET /control/counters",
+)
+PAGES = ("GET /status.json", "GET /", "POST /", "GET /none")
+
+
+class Noted(logging.Handler):
+    """Keeps the fields of log lines that have one of a name."""
+
+    def __init__(self, name: str) -> None:
+        super().__init__(logging.INFO)
+        self.name_of_field, self.fields = name, list[dict[str, Any]]()
+
+    def emit(self, record: logging.LogRecord) -> None:
+        """One record."""
+        fields: dict[str, Any] = getattr(record, "fields", {})
+        if self.name_of_field in fields:
+            self.fields.append(dict(fields))
+
+
+def play(figures_format: str) -> dict[str, Any]:
+    """The day: what each call was answered, the pages, the lines for a collector and all counters."""
+    scenario = draw_scenario(11, "operators")
+    operator = {
+        **scenario.world.operator,
+        "figures": {"format": figures_format, "target": "stderr", "flush_ms": 500},
+        "status": {"port": STATUS_PORT, "refresh_ms": 200},
+        "zones": {"half_life_s": 2.0, "spill": 0.5},
+    }
+    scenario = msgspec.structs.replace(
+        scenario, world=msgspec.structs.replace(scenario.world, operator=operator)
+    )
+    answers: list[tuple[str, str]] = []
+    noted, log = Noted("connections_accepted"), logging.getLogger("brambleusher")
+    log.addHandler(noted)
+    log.setLevel(logging.INFO)
+    with world_of(scenario) as world:
+        fleet = Fleet(scenario, world)
+        caller = world.machine("caller", "10.9.0.1")
+        sidecar = fleet.sidecars[0]
+
+        def call(scheduler: Scheduler, port: int, line: str) -> None:
+            end = scheduler.now() + 3.0
+            got = b""
+            try:
+                stream = Stream.connect(scheduler, (sidecar.machine.ip, port), end)
+                stream.send(f"{line} HTTP/1.1\r\nHost: s\r\n\r\n".encode(), end)
+                while data := stream.receive(end):
+                    got += data
+                stream.close()
+            except OSError as error:
+                got += type(error).__name__.encode()
+            answers.append((line, got.decode()))
+
+        def ask(scheduler: Scheduler) -> None:
+            node = scenario.world.nodes[0].id
+            for line in TARGETS:
+                call(scheduler, DOOR_PORT, line.format(node=node))
+            for line in PAGES:
+                call(scheduler, STATUS_PORT, line)
+            scheduler.stop()
+
+        def ask_all() -> None:
+            caller.serve(lambda scheduler: scheduler.spawn(ask, scheduler), "ask")
+
+        fleet.start()
+        for seconds in (2, 5):
+            world.at(fleet.begins_ns + seconds * SECOND, ask_all)
+        world.run(fleet.ends_ns)
+        fleet.dump()
+        world.run(world.now_ns + 2 * SECOND)
+        for each in fleet.sidecars:
+            if each.process is not None:
+                each.process.signal(15)
+        world.run(world.now_ns + 5 * SECOND)
+        written = [bytes(each.process.stderr).decode() for each in fleet.sidecars if each.process is not None]
+    log.removeHandler(noted)
+    lines = [line for text in written for line in text.splitlines()]
+    return {
+        "answers": answers,
+        "metrics": [line for line in lines if line.startswith("brambleusher.")],
+        "counters": noted.fields,
+    }
--- a/tests/test_recorded_messages.py
+++ b/tests/test_recorded_messages.py
@@ -15,7 +15,7 @@
 from brambleusher.wire.consensus_messages import decode_message, encode_message
 from tests.recorded import conversation
 
-RECORDED = Path(__file__).parent / "recorded"
+RECORDED = Path(__file__).parent / "recorded" / "messages"
 CONSENSUS = (RECORDED / "consensus.jsonl").read_bytes().splitlines(keepends=True)
 ANSWERS: dict[str, str] = json.loads((RECORDED / "answers.json").read_bytes())
 SENT: dict[str, dict[str, Any]] = json.loads((RECORDED / "sent.json").read_bytes())
