--- a/tests/test_recorded_files.py
+++ b/tests/test_recorded_files.py
@@ -16,7 +16,7 @@
 import pytest
 from pydantic import BaseModel
 
-from brambleusher.loadbalancing.view_consistency import Place
+from brambleusher.loadbalancing.view_consistency import ViewPosition
 from brambleusher.operator_settings.configuration import parse_operator_file
 from brambleusher.sidecar.configuration import parse_config
 from brambleusher.wire import configuration, policy, settings
@@ -121,28 +121,30 @@
     for name in ("control.db", "control.db-journal"):
         shutil.copy(XDS / name, tmp_path)
     with closing(Store(str(tmp_path / "control.db"), SEAL)) as old:
-        assert (old.floor, old.starts, old.lost) == (Place(3, 41), 2, False)
+        assert (old.floor, old.starts, old.lost) == (ViewPosition(3, 41), 2, False)
         old.begin()
-        old.write(Place(3, 42))
+        old.write(ViewPosition(3, 42))
     with closing(Store(str(tmp_path / "control.db"), SEAL)) as again:
-        assert (again.floor, again.starts, again.lost) == (Place(3, 42), 3, False)
+        assert (again.floor, again.starts, again.lost) == (ViewPosition(3, 42), 3, False)
     with closing(Store(str(tmp_path / "new.db"), SEAL)) as new:
         new.begin()
-        new.write(Place(3, 41))
+        new.write(ViewPosition(3, 41))
         new.begin()
     assert row_of(tmp_path / "new.db") == row_of(XDS / "control.db")
 
 
 def test_versions_and_resources_have_the_recorded_bytes(folder: Path) -> None:
-    assert SEAL.version(Place(3, 41), "0123456789abcdef") == RESOURCES["version"]
+    assert SEAL.version(ViewPosition(3, 41), "0123456789abcdef") == RESOURCES["version"]
     claim = SEAL.read(RESOURCES["version"])
-    assert claim is not None and (claim.place, claim.digest) == (Place(3, 41), "0123456789abcdef")
+    assert claim is not None and (claim.place, claim.digest) == (ViewPosition(3, 41), "0123456789abcdef")
     config = load_control("control.yaml")
     made: dict[str, list[Any]] = {}
     for group in config.groups:
         for kind, drafts in fixed(config, group).items():
             for draft in drafts:
-                resource = Resource.make(kind, draft.name, draft.body, SEAL, Place(3, 41), draft.refers)
+                resource = Resource.make(
+                    kind, draft.name, draft.body, SEAL, ViewPosition(3, 41), draft.refers
+                )
                 entries = hashlib.sha256(resource.state_entry + resource.delta_entry).hexdigest()
                 name = f"{group.identity} {kind} {draft.name}"
                 made[name] = [resource.version, entries, sorted(resource.refers)]
