--- a/brambleusher/controller/peer_directory.py
+++ b/brambleusher/controller/peer_directory.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Iterable
 
-from brambleusher.membership.views import FORGET_S, PartialView, Peer
+from brambleusher.membership.views import CONTACT_TTL_S, PartialView, Peer
 from brambleusher.runtime.scheduler import Scheduler
 
 CONTROLLER_ROLE = "controller"
@@ -47,5 +47,5 @@
 
     def _peers(self) -> dict[str, Peer]:
         """Return the controllers of the partial view by address."""
-        peers = self._view.alive(CONTROLLER_ROLE, self._scheduler.now(), FORGET_S)
+        peers = self._view.alive(CONTROLLER_ROLE, self._scheduler.now(), CONTACT_TTL_S)
         return {peer.address: peer for peer in peers}
--- a/brambleusher/controlplane/relay/messages.py
+++ b/brambleusher/controlplane/relay/messages.py
@@ -7,7 +7,7 @@
 from enum import Enum
 
 from brambleusher.controlplane.configuration.commands import Command, command_from_json
-from brambleusher.membership.controllers import Locality, controllers_from_json
+from brambleusher.membership.controllers import KnownController, controllers_from_json
 from brambleusher.wire.errors import InvalidMessageError
 from brambleusher.wire.json_fields import JsonObject
 
@@ -117,7 +117,7 @@
 
     answer: object  # its form goes by the call; None where there is none
     is_from_observer: bool
-    controllers: list[tuple[str, Locality]]  # that an observer knows
+    controllers: list[KnownController]  # that an observer knows
 
     @classmethod
     def from_json(cls, data: JsonObject) -> RelayReply:
--- a/brambleusher/membership/controllers.py
+++ b/brambleusher/membership/controllers.py
@@ -1,17 +1,20 @@
-"""Which controllers a process asks, and how it leaves one that is silent or out of contact; pure."""
+"""Which controllers a process calls, and how it leaves one that fails; pure."""
 
 from __future__ import annotations
 
 import random
 from collections.abc import Iterable
 from dataclasses import dataclass
-from typing import Any
+from typing import NamedTuple
 
 from brambleusher.wire.errors import InvalidMessageError
 
 KNOWN_MAX = 32
-REST_S = 1.0  # for a controller that failed, before it is tried again, doubled each time
-REST_MOST_S = 4.0
+BACKOFF_MIN_S = 1.0  # for a controller that failed, before it is called again; doubled each time
+BACKOFF_MAX_S = 4.0
+BACKOFF_JITTER_MIN, BACKOFF_JITTER_MAX = 0.7, 1.0  # factors of a backoff
+
+SAME_ZONE, SAME_REGION, OTHER_REGION = 0, 1, 2  # distances: the price of bytes goes by them
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,111 +25,154 @@
     region: str = ""
 
     def distance(self, other: Locality) -> int:
-        """0 within a zone, 1 within a region, 2 beyond: what bytes between the two cost goes by it."""
+        """Return how far apart two processes are."""
         if self.zone == other.zone:
-            return 0
-        return 1 if self.region == other.region else 2
+            return SAME_ZONE
+        return SAME_REGION if self.region == other.region else OTHER_REGION
+
+
+UNKNOWN_LOCALITY = Locality()
+
+
+class KnownController(NamedTuple):
+    """A controller's address, and where it is."""
+
+    address: str
+    locality: Locality
 
 
-def controllers_from_json(data: Any) -> list[tuple[str, Locality]]:
-    """Addresses and places from their form on the wire; raises `InvalidMessageError`."""
+def controllers_from_json(data: object) -> list[KnownController]:
+    """Return controllers from their form on the wire: address, zone and region of each.
+
+    Raises:
+        InvalidMessageError: It is no list of such triples.
+    """
+    if not isinstance(data, list):
+        raise InvalidMessageError(f"controllers are no list: {data!r:.80}")
     try:
-        return [(str(address), Locality(str(zone), str(region))) for address, zone, region in data]
+        return [
+            KnownController(str(address), Locality(str(zone), str(region))) for address, zone, region in data
+        ]
     except (TypeError, ValueError) as error:
-        raise InvalidMessageError(f"no list of controllers: {error}") from error
+        raise InvalidMessageError(f"a controller has no address, zone and region: {error}") from error
+
+
+class Backoff(NamedTuple):
+    """A controller that failed is not called before a moment, unless there is no other."""
+
+    until_s: float
+    duration_s: float
+
+
+NO_BACKOFF = Backoff(0.0, 0.0)
 
 
 class Controllers:
-    """Known controllers; each watcher holds one, all different while there are enough, near ones first."""
+    """Known controllers.
+
+    Each of the caller's connection slots acquires one, all different while there are enough, near ones first.
+    """
 
     def __init__(self, seeds: tuple[str, ...], rng: random.Random, here: Locality) -> None:
         self._rng, self._here = rng, here
         self._seeds = seeds
-        self._known: dict[str, Locality] = dict.fromkeys(seeds, Locality())
-        self._learned: dict[str, Locality] = {}
+        self._known: dict[str, Locality] = dict.fromkeys(seeds, UNKNOWN_LOCALITY)
+        self._announced: dict[str, Locality] = {}
         self._observers: set[str] = set()
-        self._rests: dict[str, tuple[float, float]] = {}  # address: until, for how long
-        self._held: dict[int, str] = {}
+        self._backoffs: dict[str, Backoff] = {}
+        self._acquired: dict[int, str] = {}  # address by slot
+
+    # --- which controllers there are -------------------------------------------------------------
 
-    def set_announced(self, named: Iterable[tuple[str, Locality]]) -> None:
-        """A controller named others: they replace what was known, but for the seeds."""
-        self._learned = dict(list(named)[:KNOWN_MAX])
-        self._follow()
+    def set_announced(self, controllers: Iterable[tuple[str, Locality]]) -> None:
+        """Replace what was known, except the seeds: a controller announced all controllers."""
+        self._announced = dict(list(controllers)[:KNOWN_MAX])
+        self._update_known()
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
-        """The settings name other seeds."""
+        """Replace the seeds: the settings have changed."""
         self._seeds = seeds
-        self._follow()
+        self._update_known()
 
-    def mark_observer(self, address: str, named: Iterable[tuple[str, Locality]]) -> None:
-        """A process said that it is no controller, and which controllers it knows."""
+    def mark_observer(self, address: str, controllers: Iterable[tuple[str, Locality]]) -> None:
+        """Record that a process is no controller, and add the controllers that it knows."""
         self._observers.add(address)
-        self._learned = {**dict(list(named)[:KNOWN_MAX]), **self._learned}
-        self._follow()
-
-    def _follow(self) -> None:
-        """Seeds that are observers are asked only while nobody else is known."""
-        known = {**dict.fromkeys(self._seeds, Locality()), **self._learned}
-        controllers = {address: place for address, place in known.items() if address not in self._observers}
+        self._announced = {**dict(list(controllers)[:KNOWN_MAX]), **self._announced}
+        self._update_known()
+
+    def _update_known(self) -> None:
+        """Keep seeds that are observers only while nobody else is known."""
+        known = {**dict.fromkeys(self._seeds, UNKNOWN_LOCALITY), **self._announced}
+        controllers = {
+            address: locality for address, locality in known.items() if address not in self._observers
+        }
         self._known = controllers or known
         self._observers &= known.keys()
 
     def announced_addresses(self) -> list[str]:
-        """Addresses that a controller named."""
-        return list(self._learned)
+        """Return the addresses of the announced controllers."""
+        return list(self._announced)
 
     def announced_as_json(self) -> list[tuple[str, str, str]]:
-        """Address, zone and region of the controllers that were named."""
-        return [(address, place.zone, place.region) for address, place in self._learned.items()]
+        """Return address, zone and region of the announced controllers, the form on the wire."""
+        return [(address, locality.zone, locality.region) for address, locality in self._announced.items()]
+
+    # --- which one to call -----------------------------------------------------------------------
 
-    def acquire(self, watcher: int, now: float) -> str:
-        """A controller for a watcher: one that rested enough, and that no other watcher holds."""
-        others = {address for holder, address in self._held.items() if holder != watcher}
+    def acquire(self, slot: int, now: float) -> str:
+        """Return a controller for a slot: one of the nearest of those that are not backing off."""
+        others = self._acquired_by_others(slot)
         free = [address for address in self._known if address not in others]
-        rested = [address for address in free if self._rests.get(address, (0.0, 0.0))[0] <= now]
-        if rested:
-            near = min(self._here.distance(self._known[address]) for address in rested)
-            chosen = self._rng.choice(
-                [address for address in rested if self._here.distance(self._known[address]) == near]
-            )
+        available = [address for address in free if self._backoff(address).until_s <= now]
+        if available:
+            chosen = self._rng.choice(self._nearest_of(available))
         else:
-            chosen = min(
-                free or list(self._known), key=lambda address: self._rests.get(address, (0.0, 0.0))[0]
-            )
-        self._held[watcher] = chosen
+            candidates = free or list(self._known)
+            chosen = min(candidates, key=lambda address: self._backoff(address).until_s)
+        self._acquired[slot] = chosen
         return chosen
 
-    def holds_nearest(self, watcher: int) -> bool:
-        """Whether a watcher holds the nearest of the controllers held; of two as near the first one does."""
-        unknown = Locality()
-        order = {
-            holder: (self._here.distance(self._known.get(held, unknown)), holder)
-            for holder, held in self._held.items()
-        }
-        return min(order, key=lambda holder: order[holder], default=watcher) == watcher
+    def _acquired_by_others(self, slot: int) -> set[str]:
+        return {address for holder, address in self._acquired.items() if holder != slot}
+
+    def _nearest_of(self, addresses: list[str]) -> list[str]:
+        least = min(self._distance(address) for address in addresses)
+        return [address for address in addresses if self._distance(address) == least]
+
+    def _distance(self, address: str) -> int:
+        return self._here.distance(self._known.get(address, UNKNOWN_LOCALITY))
+
+    def _backoff(self, address: str) -> Backoff:
+        return self._backoffs.get(address, NO_BACKOFF)
+
+    def holds_nearest(self, slot: int) -> bool:
+        """Whether a slot has the nearest of the acquired controllers; among equals the first slot has."""
+        order = {holder: (self._distance(address), holder) for holder, address in self._acquired.items()}
+        return min(order, key=lambda holder: order[holder], default=slot) == slot
 
-    def is_nearer_available(self, watcher: int, address: str, now: float) -> bool:
-        """Whether a controller nearer than the one that a watcher holds could be had: it moves there.
+    def is_nearer_available(self, slot: int, address: str, now: float) -> bool:
+        """Whether a slot could acquire a nearer controller than the one at `address`.
 
-        At the start nobody's place is known, and all gateways hold the seeds.
+        At the start no locality is known, and all slots have seeds.
         """
         if address not in self._known:
             return False
-        others = {held for holder, held in self._held.items() if holder != watcher}
-        own = self._here.distance(self._known[address])
+        others = self._acquired_by_others(slot)
+        own_distance = self._distance(address)
         return any(
-            self._here.distance(place) < own and self._rests.get(other, (0.0, 0.0))[0] <= now
-            for other, place in self._known.items()
-            if other not in others and place.zone
+            self._here.distance(locality) < own_distance and self._backoff(other).until_s <= now
+            for other, locality in self._known.items()
+            if other not in others and locality.zone
         )
 
     def record_failure(self, address: str, now: float) -> None:
-        """A controller was silent, or out of contact with a majority."""
-        rest = min(REST_MOST_S, max(REST_S, self._rests.get(address, (0.0, 0.0))[1] * 2))
-        self._rests[address] = (now + rest * self._rng.uniform(0.7, 1.0), rest)
-        if len(self._rests) > KNOWN_MAX * 2:
-            del self._rests[next(iter(self._rests))]
+        """Back off from a controller that timed out, or is out of contact with a majority."""
+        duration_s = min(BACKOFF_MAX_S, max(BACKOFF_MIN_S, self._backoff(address).duration_s * 2))
+        until_s = now + duration_s * self._rng.uniform(BACKOFF_JITTER_MIN, BACKOFF_JITTER_MAX)
+        self._backoffs[address] = Backoff(until_s, duration_s)
+        if len(self._backoffs) > KNOWN_MAX * 2:
+            del self._backoffs[next(iter(self._backoffs))]
 
     def record_success(self, address: str) -> None:
-        """A controller answered with news of a majority."""
-        self._rests.pop(address, None)
+        """End the backoff from a controller that answered and is in contact with a majority."""
+        self._backoffs.pop(address, None)
--- a/brambleusher/membership/line_connection.py
+++ b/brambleusher/membership/line_connection.py
@@ -1,10 +1,9 @@
-"""JSON lines over TCP: a server of lines, and a client that keeps a connection and notices silence."""
+"""JSON lines over TCP: a server, a one-way sender, and a client that keeps its connection."""
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Callable
-from typing import Any
 
 from brambleusher.runtime.acceptor import Acceptor
 from brambleusher.runtime.scheduler import Event, Scheduler, TaskTimeoutError
@@ -12,63 +11,86 @@
 from brambleusher.runtime.system import Address
 from brambleusher.wire import lines
 from brambleusher.wire.errors import InvalidMessageError
+from brambleusher.wire.json_fields import JsonObject
 
-CONNECT_S = 0.5
-SILENT_S = 1.0  # unacknowledged bytes older than this end a connection
-IDLE_S = 30.0
-SEND_S = 3.0
-RETRY_S = 0.1
-QUEUE_BYTES = 24 * 1024 * 1024
+CONNECT_TIMEOUT_S = 0.5
+UNACKNOWLEDGED_MAX_S = 1.0  # bytes that the peer's kernel has not acknowledged for longer end a connection
+IDLE_TIMEOUT_S = 30.0
+SEND_TIMEOUT_S = 3.0
+RECONNECT_BACKOFF_S = 0.1
+QUEUE_BYTES_MAX = 24 * 1024 * 1024
+CONNECTIONS_MAX = 512
+
+MessageHandler = Callable[[dict[str, object], str], dict[str, object] | None]
+
+
+def _connect(scheduler: Scheduler, address: Address, deadline: float) -> Stream:
+    """Return a connection that fails soon once the peer is unreachable."""
+    return Stream.connect(
+        scheduler,
+        address,
+        deadline,
+        prepare=lambda sock: scheduler.system.bound_silence(sock, UNACKNOWLEDGED_MAX_S),
+    )
 
 
 class LineServer:
-    """Calls the handler with each message; what it returns goes back on the same connection."""
+    """Calls a handler with each message; what that returns is sent back on the same connection."""
 
     def __init__(
         self,
         scheduler: Scheduler,
         address: Address,
-        handler: Callable[[dict[str, Any], str], dict[str, Any] | None],
-        invalid: Callable[[str, str], None],
-        connections: int = 512,
+        handler: MessageHandler,
+        on_invalid: Callable[[str, str], None],
+        connections: int = CONNECTIONS_MAX,
     ) -> None:
-        self._scheduler, self._handler, self._invalid = scheduler, handler, invalid
+        """Listen.
+
+        Args:
+            scheduler: Of the serving thread.
+            address: Where to listen.
+            handler: Gets a message and the sender's host; may raise `InvalidMessageError`.
+            on_invalid: Gets the host and the reason where a message is invalid; its connection is closed.
+            connections: That are served at once.
+        """
+        self._scheduler, self._handler, self._on_invalid = scheduler, handler, on_invalid
         self.acceptor = Acceptor(scheduler, address, self._serve, connections)
 
     def _serve(self, stream: Stream, peer: str) -> None:
         buffer = lines.LineBuffer()
-        while data := stream.receive(self._scheduler.now() + IDLE_S):
+        while data := stream.receive(self._scheduler.now() + IDLE_TIMEOUT_S):
             try:
                 for line in buffer.feed(data):
                     reply = self._handler(lines.decode(line), peer)
                     if reply is not None:
-                        stream.send(lines.encode(reply), self._scheduler.now() + SEND_S)
+                        stream.send(lines.encode(reply), self._scheduler.now() + SEND_TIMEOUT_S)
             except InvalidMessageError as error:
-                self._invalid(peer, str(error))
+                self._on_invalid(peer, str(error))
                 return
 
 
 class LineSender:
-    """One way: messages to one address, in order, over a connection made anew when it fails.
+    """Sends messages one way to one address, in order, over a connection that is renewed when it fails.
 
-    What can't be sent is dropped: those who use it repeat what matters.
+    Messages that can't be sent are dropped: callers repeat what matters.
     """
 
     def __init__(self, scheduler: Scheduler, address: Address) -> None:
         self._scheduler, self._address = scheduler, address
         self._queue: deque[bytes] = deque()
-        self._held = 0
-        self._event = Event()
+        self._queued_bytes = 0
+        self._enqueued = Event()
         self._task = scheduler.spawn(self._run, name="sender")
 
-    def send(self, message: dict[str, Any]) -> None:
-        """Queue a message; the oldest go first where the peer does not take them."""
+    def send(self, message: JsonObject) -> None:
+        """Queue a message; the oldest are dropped where the peer does not read them."""
         line = lines.encode(message)
         self._queue.append(line)
-        self._held += len(line)
-        while self._held > QUEUE_BYTES and len(self._queue) > 1:
-            self._held -= len(self._queue.popleft())
-        self._event.set()
+        self._queued_bytes += len(line)
+        while self._queued_bytes > QUEUE_BYTES_MAX and len(self._queue) > 1:
+            self._queued_bytes -= len(self._queue.popleft())
+        self._enqueued.set()
 
     def close(self) -> None:
         """Stop sending."""
@@ -77,36 +99,33 @@
     def _run(self) -> None:
         while True:
             if not self._queue:
-                self._scheduler.park(event=self._event)
+                self._scheduler.park(event=self._enqueued)
                 continue
+            deadline = self._scheduler.now() + CONNECT_TIMEOUT_S
             try:
-                stream = Stream.connect(
-                    self._scheduler,
-                    self._address,
-                    self._scheduler.now() + CONNECT_S,
-                    prepare=lambda sock: self._scheduler.system.bound_silence(sock, SILENT_S),
-                )
+                stream = _connect(self._scheduler, self._address, deadline)
             except (OSError, TaskTimeoutError):
                 self._queue.clear()
-                self._held = 0
-                self._scheduler.sleep(RETRY_S)
+                self._queued_bytes = 0
+                self._scheduler.sleep(RECONNECT_BACKOFF_S)
                 continue
             try:
-                self._drain(stream)
+                self._send_queued(stream)
             except (OSError, TaskTimeoutError):
                 continue
             finally:
                 stream.close()
 
-    def _drain(self, stream: Stream) -> None:
+    def _send_queued(self, stream: Stream) -> None:
+        """Send what is queued until the peer closes the connection."""
         while True:
             if not self._queue:
-                if self._scheduler.park(None, stream.sock, event=self._event) != "event":
-                    return  # the peer ended it; it never sends anything here
+                if self._scheduler.park(None, stream.sock, event=self._enqueued) != "event":
+                    return  # it became readable: the peer never sends anything here, so it has closed
                 continue
             line = self._queue.popleft()
-            self._held -= len(line)
-            stream.send(line, self._scheduler.now() + SEND_S)
+            self._queued_bytes -= len(line)
+            stream.send(line, self._scheduler.now() + SEND_TIMEOUT_S)
 
 
 class LineClient:
@@ -117,28 +136,33 @@
         self._stream: Stream | None = None
         self._buffer = lines.LineBuffer()
 
-    def call(self, message: dict[str, Any], timeout_s: float) -> dict[str, Any]:
-        """The answer; raises `OSError`, `TaskTimeoutError` or `InvalidMessageError`, and then is closed."""
+    def call(self, message: JsonObject, timeout_s: float) -> dict[str, object]:
+        """Send a message and return the reply.
+
+        Raises:
+            OSError: The connection failed; like after every error it is closed.
+            TaskTimeoutError: There was no reply in time.
+            InvalidMessageError: The reply can't be read.
+        """
         deadline = self._scheduler.now() + timeout_s
         try:
-            if self._stream is None:
-                self._buffer = lines.LineBuffer()
-                self._stream = Stream.connect(
-                    self._scheduler,
-                    self._address,
-                    min(deadline, self._scheduler.now() + CONNECT_S),
-                    prepare=lambda sock: self._scheduler.system.bound_silence(sock, SILENT_S),
-                )
-            self._stream.send(lines.encode(message), deadline)
-            while data := self._stream.receive(deadline):
-                whole = self._buffer.feed(data)
-                if whole:
-                    return lines.decode(whole[0])
-            raise ConnectionResetError("the connection ended before the answer")
-        except BaseException:
+            return self._exchange(message, deadline)
+        except BaseException:  # a task that is cancelled, too, leaves no half-read connection behind
             self.close()
             raise
 
+    def _exchange(self, message: JsonObject, deadline: float) -> dict[str, object]:
+        if self._stream is None:
+            self._buffer = lines.LineBuffer()
+            connect_deadline = min(deadline, self._scheduler.now() + CONNECT_TIMEOUT_S)
+            self._stream = _connect(self._scheduler, self._address, connect_deadline)
+        self._stream.send(lines.encode(message), deadline)
+        while data := self._stream.receive(deadline):
+            complete = self._buffer.feed(data)
+            if complete:
+                return lines.decode(complete[0])
+        raise ConnectionResetError("the connection ended before the reply")
+
     def close(self) -> None:
         """End the connection."""
         if self._stream is not None:
--- a/brambleusher/membership/process.py
+++ b/brambleusher/membership/process.py
@@ -9,10 +9,12 @@
 from brambleusher.runtime.scheduler import Scheduler
 
 
-def run_until_signalled(scheduler: Scheduler, leave: Callable[[], None], settings: SettingsWatcher) -> None:
-    """Run; SIGTERM and SIGINT have it leave, SIGHUP has the settings looked at."""
+def run_until_signalled(
+    scheduler: Scheduler, begin_shutdown: Callable[[], None], settings: SettingsWatcher
+) -> None:
+    """Run until the scheduler stops; SIGTERM and SIGINT begin the shutdown, SIGHUP checks the settings."""
     system = scheduler.system
     for number in (signal.SIGTERM, signal.SIGINT):
-        system.on_signal(number, lambda: scheduler.call_soon(leave))
+        system.on_signal(number, lambda: scheduler.call_soon(begin_shutdown))
     system.on_signal(signal.SIGHUP, lambda: scheduler.call_soon(settings.check))
     scheduler.run()
--- a/brambleusher/membership/settings_watch.py
+++ b/brambleusher/membership/settings_watch.py
@@ -1,10 +1,11 @@
-"""Notices a changed settings file, with a signal or without, and reads it again."""
+"""Notices a changed settings file, on a signal or periodically, and reads it again."""
 
 from __future__ import annotations
 
 import logging
-import os
 from collections.abc import Callable
+from pathlib import Path
+from typing import NamedTuple
 
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.wire import settings as reader
@@ -13,39 +14,52 @@
 
 log = logging.getLogger(__name__)
 
-LOOK_EVERY_S = 2.0
+CHECK_INTERVAL_S = 2.0
+
+
+class FileVersion(NamedTuple):
+    """What changes when a file is written or replaced."""
+
+    modified_ns: int
+    size_bytes: int
+    inode: int
 
 
 class SettingsWatcher:
-    """Calls `changed` with new settings; a file that can't be used changes nothing."""
+    """Calls back with new settings; a file that can't be used changes nothing."""
 
-    def __init__(self, scheduler: Scheduler, path: str, changed: Callable[[Settings], None]) -> None:
-        self._scheduler, self._path, self._changed = scheduler, path, changed
-        self._seen = self._stamp()
+    def __init__(self, scheduler: Scheduler, path: str, on_changed: Callable[[Settings], None]) -> None:
+        """Watch the file at `path`; nothing where it is empty."""
+        self._scheduler, self._path, self._on_changed = scheduler, path, on_changed
+        self._version = self._current_version()
         if path:
             scheduler.spawn(self._run, name="settings")
 
     def check(self) -> None:
-        """Read the file again if it is another one."""
-        stamp = self._stamp()
-        if stamp is None or stamp == self._seen:
+        """Read the file again if it has changed."""
+        version = self._current_version()
+        if version is None or version == self._version:
             return
-        self._seen = stamp
+        self._version = version
         try:
             settings = reader.read(self._path)
         except InvalidSettingsError as error:
-            log.error("the settings stay as they were", extra={"fields": {"why": str(error)}})
+            reason = str(error)
+        else:
+            self._on_changed(settings)
             return
-        self._changed(settings)
+        log.error("settings reload failed", extra={"fields": {"path": self._path, "reason": reason}})
 
     def _run(self) -> None:
         while True:
-            self._scheduler.sleep(LOOK_EVERY_S)
+            self._scheduler.sleep(CHECK_INTERVAL_S)
             self.check()
 
-    def _stamp(self) -> tuple[int, int, int] | None:
+    def _current_version(self) -> FileVersion | None:
+        if not self._path:
+            return None
         try:
-            status = os.stat(self._path)
+            status = Path(self._path).stat()
         except OSError:
             return None
-        return status.st_mtime_ns, status.st_size, status.st_ino
+        return FileVersion(status.st_mtime_ns, status.st_size, status.st_ino)
--- a/brambleusher/membership/views.py
+++ b/brambleusher/membership/views.py
@@ -1,7 +1,9 @@
 """Peer sampling: who serves, as a partial view that processes shuffle among each other; pure.
 
-Each entry has an age.  A process refreshes its own entry where it calls, views are merged by the younger
-age, and what nobody has heard of for a while falls out.
+Each entry has an age.  A process refreshes its own entry where it calls, views are merged by the younger age,
+and a peer without any contact for a while is removed.
+
+Source: M. Jelasity et al., "Gossip-based peer sampling", ACM Transactions on Computer Systems 25(3), 2007.
 """
 
 from __future__ import annotations
@@ -9,18 +11,19 @@
 import random
 from dataclasses import dataclass
 from enum import Enum
-from typing import Any
+from typing import NamedTuple
 
 from brambleusher.wire.errors import InvalidMessageError
 
-VIEW_MAX = 512
-SAMPLE = 64  # entries in one shuffle
-FORGET_S = 12.0
-ALIVE_S = 3.0  # a process that was heard of this lately is taken for alive
+PEERS_MAX = 512
+SAMPLE_SIZE = 64  # entries in one shuffle
+CONTACT_TTL_S = 12.0  # a peer without a contact for so long is removed
+ALIVE_WITHIN_S = 3.0  # a peer with a contact so recent counts as alive
+MS_PER_S = 1000
 
 
 class PeerState(Enum):
-    """What a process says of itself."""
+    """What a process says of itself; the values are the form on the wire."""
 
     STARTING = "starting"
     READY = "ready"
@@ -33,31 +36,40 @@
 
     name: str
     role: str
-    address: str  # where clients (gateway) or peers (controller) reach it
+    address: str  # where clients (of a gateway) or peers (of a controller) reach it
     zone: str
     region: str
     state: PeerState
     incarnation: int  # Unix time of its start in ms; orders two starts of one name that overlap
 
-    def as_json(self) -> dict[str, Any]:
-        """The form on the wire."""
-        return {
-            "name": self.name,
-            "role": self.role,
-            "address": self.address,
-            "zone": self.zone,
-            "region": self.region,
-            "state": self.state.value,
-            "incarnation": self.incarnation,
-        }
+    def as_json(self) -> dict[str, object]:
+        """Return the form on the wire."""
+        return dict(zip(PEER_KEYS, self.as_values(), strict=True))
+
+    def as_values(self) -> list[object]:
+        """Return the values of the form on the wire, in the order of `PEER_KEYS`."""
+        return [
+            self.name,
+            self.role,
+            self.address,
+            self.zone,
+            self.region,
+            self.state.value,
+            self.incarnation,
+        ]
+
 
+PEER_KEYS = ("name", "role", "address", "zone", "region", "state", "incarnation")
 
-# The wire's keys, in the order in which a sample has their values.
-KEYS = ("name", "role", "address", "zone", "region", "state", "incarnation")
 
+def peer_from_json(data: object) -> Peer:
+    """Return a peer from its form on the wire.
 
-def peer_from_json(data: Any) -> Peer:
-    """A peer from its form on the wire; raises `InvalidMessageError`."""
+    Raises:
+        InvalidMessageError: A field is missing or can't be read.
+    """
+    if not isinstance(data, dict):
+        raise InvalidMessageError(f"a peer is no object: {data!r:.80}")
     try:
         return Peer(
             str(data["name"]),
@@ -69,53 +81,72 @@
             int(data["incarnation"]),
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise InvalidMessageError(f"no peer: {error}") from error
+        raise InvalidMessageError(f"a peer can't be read: {error!r}") from error
+
+
+class Contact(NamedTuple):
+    """A peer, and when this process last heard of it, on the local clock."""
+
+    peer: Peer
+    at_s: float
 
 
 class PartialView:
-    """The peers that this process has heard of lately, and when."""
+    """The peers that this process has heard of recently, itself or through others."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
-        self._heard: dict[str, tuple[Peer, float]] = {}
+        self._contacts: dict[str, Contact] = {}
 
-    def record_contact(self, peer: Peer, at: float) -> None:
-        """A peer was heard of, itself or through others, as of a moment on the local clock."""
-        known = self._heard.get(peer.name)
-        if known is not None and (known[1] >= at and known[0].incarnation >= peer.incarnation):
+    def record_contact(self, peer: Peer, at_s: float) -> None:
+        """Record what a peer said of itself at a moment; an older incarnation never replaces a newer one."""
+        known = self._contacts.get(peer.name)
+        if known is not None and (known.at_s >= at_s and known.peer.incarnation >= peer.incarnation):
             return
-        self._heard[peer.name] = (peer, max(at, known[1]) if known else at)
-        if len(self._heard) > VIEW_MAX:
-            oldest = min(self._heard, key=lambda name: self._heard[name][1])
-            del self._heard[oldest]
+        self._contacts[peer.name] = Contact(peer, max(at_s, known.at_s) if known else at_s)
+        if len(self._contacts) > PEERS_MAX:
+            oldest = min(self._contacts, key=lambda name: self._contacts[name].at_s)
+            del self._contacts[oldest]
 
     def expire(self, now: float) -> None:
-        """Forget those that nobody has heard of for long."""
-        for name in [name for name, (_, at) in self._heard.items() if now - at > FORGET_S]:
-            del self._heard[name]
-
-    def sample(self, now: float) -> list[list[Any]]:
-        """A shuffled part of the view for another process: peers as lists, with ages in ms."""
-        known = list(self._heard.values())
-        chosen = self._rng.sample(known, min(SAMPLE, len(known)))
-        forms = [(peer.as_json(), int((now - at) * 1000)) for peer, at in chosen]
-        return [[*(form[key] for key in KEYS), age_ms] for form, age_ms in forms]
-
-    def merge(self, sample: Any, now: float) -> None:
-        """Take in another process's sample; raises `InvalidMessageError`."""
+        """Remove peers without a recent contact."""
+        expired = [name for name, contact in self._contacts.items() if now - contact.at_s > CONTACT_TTL_S]
+        for name in expired:
+            del self._contacts[name]
+
+    def sample(self, now: float) -> list[list[object]]:
+        """Return a random part of the view for another process: values of peers, each with its age in ms."""
+        contacts = list(self._contacts.values())
+        chosen = self._rng.sample(contacts, min(SAMPLE_SIZE, len(contacts)))
+        return [[*peer.as_values(), int((now - at_s) * MS_PER_S)] for peer, at_s in chosen]
+
+    def merge(self, sample: object, now: float) -> None:
+        """Merge another process's sample.
+
+        Raises:
+            InvalidMessageError: An entry can't be read; those before it have been merged.
+        """
         if not isinstance(sample, list):
-            raise InvalidMessageError("a sample is no list")
-        for part in sample[:SAMPLE]:
-            if not isinstance(part, list) or len(part) != len(KEYS) + 1:
-                raise InvalidMessageError("a part of a sample is no list of its length")
-            peer = peer_from_json(dict(zip(KEYS, part, strict=False)))
-            age_ms = part[-1]
-            if not isinstance(age_ms, int) or age_ms < 0:
-                raise InvalidMessageError("an age is no count of ms")
-            if age_ms < FORGET_S * 1000:
-                self.record_contact(peer, now - age_ms / 1000)
-
-    def alive(self, role: str, now: float, within_s: float = ALIVE_S) -> list[Peer]:
-        """Peers of a role that were heard of lately, in the order of their names."""
-        known = [peer for peer, at in self._heard.values() if peer.role == role and now - at <= within_s]
-        return sorted(known, key=lambda peer: peer.name)
+            raise InvalidMessageError(f"a sample is no list: {sample!r:.80}")
+        for entry in sample[:SAMPLE_SIZE]:
+            peer, age_ms = _entry_from_json(entry)
+            if age_ms < CONTACT_TTL_S * MS_PER_S:
+                self.record_contact(peer, now - age_ms / MS_PER_S)
+
+    def alive(self, role: str, now: float, within_s: float = ALIVE_WITHIN_S) -> list[Peer]:
+        """Return the peers of a role with a recent contact, in the order of their names."""
+        peers = [
+            peer for peer, at_s in self._contacts.values() if peer.role == role and now - at_s <= within_s
+        ]
+        return sorted(peers, key=lambda peer: peer.name)
+
+
+def _entry_from_json(entry: object) -> tuple[Peer, int]:
+    """Return the peer of a sample's entry, and its age in ms."""
+    if not isinstance(entry, list) or len(entry) != len(PEER_KEYS) + 1:
+        raise InvalidMessageError(f"an entry of a sample is no list of {len(PEER_KEYS) + 1}: {entry!r:.80}")
+    *values, age_ms = entry
+    peer = peer_from_json(dict(zip(PEER_KEYS, values, strict=True)))
+    if not isinstance(age_ms, int) or age_ms < 0:
+        raise InvalidMessageError(f"an age is no count of ms: {age_ms!r}")
+    return peer, age_ms
--- a/brambleusher/wire/lines.py
+++ b/brambleusher/wire/lines.py
@@ -1,54 +1,60 @@
-"""JSON lines: one object a line, the only form that processes of the system send each other."""
+"""JSON lines: one object a line, the only form in which processes of the system send each other messages."""
 
 from __future__ import annotations
 
-from typing import Any
-
 import orjson
 
 from brambleusher.wire.errors import InvalidMessageError
+from brambleusher.wire.json_fields import JsonObject, as_object
 
 LINE_BYTES_MAX = 16 * 1024 * 1024  # a snapshot with the largest configuration fits twice
 
 
-def encode(message: dict[str, Any]) -> bytes:
-    """One message as a line."""
+def encode(message: JsonObject) -> bytes:
+    """Return one message as a line."""
     return orjson.dumps(message) + b"\n"
 
 
-def decode(line: bytes) -> dict[str, Any]:
-    """The message of a line; raises `InvalidMessageError`."""
+def decode(line: bytes) -> dict[str, object]:
+    """Return the message of a line.
+
+    Raises:
+        InvalidMessageError: It is no JSON object.
+    """
     try:
         message = orjson.loads(line)
     except orjson.JSONDecodeError as error:
         raise InvalidMessageError(f"a line is no JSON: {error}") from error
-    if not isinstance(message, dict):
-        raise InvalidMessageError("a line is no JSON object")
-    return message
+    return as_object(message, "a line")
 
 
 class LineBuffer:
-    """Bytes in, whole lines out; raises `InvalidMessageError` where a line is over the bound."""
+    """Splits a stream of bytes into lines."""
 
-    def __init__(self, most: int = LINE_BYTES_MAX) -> None:
+    def __init__(self, max_bytes: int = LINE_BYTES_MAX) -> None:
+        """Bound lines to `max_bytes`."""
         self._parts: list[bytes] = []
-        self._held = 0
-        self._most = most
+        self._buffered_bytes = 0
+        self._max_bytes = max_bytes
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The lines that `data` completes, without their line ends."""
+        """Return the lines that `data` completes, without their line ends.
+
+        Raises:
+            InvalidMessageError: A line is over the bound.
+        """
         if b"\n" not in data:
-            self._hold(data)
+            self._append(data)
             return []
-        *whole, rest = data.split(b"\n")
-        whole[0] = b"".join([*self._parts, whole[0]])
-        self._parts, self._held = [], 0
-        self._hold(rest)
-        return whole
+        *complete, rest = data.split(b"\n")
+        complete[0] = b"".join([*self._parts, complete[0]])
+        self._parts, self._buffered_bytes = [], 0
+        self._append(rest)
+        return complete
 
-    def _hold(self, data: bytes) -> None:
+    def _append(self, data: bytes) -> None:
         if data:
             self._parts.append(data)
-            self._held += len(data)
-        if self._held > self._most:
-            raise InvalidMessageError(f"a line of over {self._most} bytes")
+            self._buffered_bytes += len(data)
+        if self._buffered_bytes > self._max_bytes:
+            raise InvalidMessageError(f"a line has over {self._max_bytes} bytes")
--- a/tests/system/test_control_plane.py
+++ b/tests/system/test_control_plane.py
@@ -382,7 +382,7 @@
 def test_news_come_from_the_second_controller_where_the_first_is_silent(whole: Whole) -> None:
     whole.served()
     whole.sleep(2)
-    held = whole.gateways["g1"].controllers._held
+    held = whole.gateways["g1"].controllers._acquired
     first = next(name for name in whole.controllers if f"{whole.world.machines[name].ip}:7720" == held[0])
     whole.process(first).stall(6 * 10**9)
     core = next(name for name in whole.controllers if name != first)
@@ -459,7 +459,7 @@
             for name, controller in whole.controllers.items()
             if controller.settings.zone == zone
         }
-        return set(gateway.controllers._held.values()) == near
+        return set(gateway.controllers._acquired.values()) == near
 
     whole.wait(lambda: all(held_near(gateway) for gateway in whole.gateways.values()), seconds=6.0)
     whole.close()
@@ -477,7 +477,7 @@
     def counted(self: LineClient, message: dict[str, Any], timeout_s: float) -> dict[str, Any]:
         answer = call(self, message, timeout_s)
         if "instances" in answer:
-            sent.append(answer["source"])
+            sent.append(str(answer["source"]))
         return answer
 
     monkeypatch.setattr(LineClient, "call", counted)
--- a/tests/system/test_controllers.py
+++ b/tests/system/test_controllers.py
@@ -42,7 +42,7 @@
 
 def test_the_poller_with_the_nearest_controller_is_primary() -> None:
     known = Controllers(("far", "zone"), random.Random(3), HERE)
-    known._held = {0: "far", 1: "zone"}
+    known._acquired = {0: "far", 1: "zone"}
     assert known.holds_nearest(0)  # nobody's place is known yet
     assert not known.holds_nearest(1)
     known.set_announced([("far", Locality("s1", "south")), ("zone", Locality("n1", "north"))])
--- a/tests/system/test_views.py
+++ b/tests/system/test_views.py
@@ -8,7 +8,15 @@
 
 import pytest
 
-from brambleusher.membership.views import ALIVE_S, FORGET_S, SAMPLE, VIEW_MAX, PartialView, Peer, PeerState
+from brambleusher.membership.views import (
+    ALIVE_WITHIN_S,
+    CONTACT_TTL_S,
+    PEERS_MAX,
+    SAMPLE_SIZE,
+    PartialView,
+    Peer,
+    PeerState,
+)
 from brambleusher.wire.errors import InvalidMessageError
 
 
@@ -27,7 +35,7 @@
     first, second = view("a", "b"), view()
     second.merge(first.sample(2.0), 102.0)
     assert [each.name for each in second.alive("gateway", 102.0)] == ["a", "b"]
-    assert second.alive("gateway", 100.1 + ALIVE_S) == []
+    assert second.alive("gateway", 100.1 + ALIVE_WITHIN_S) == []
 
 
 def test_the_younger_news_wins_whichever_comes_first() -> None:
@@ -48,15 +56,15 @@
 
 def test_what_nobody_hears_of_is_forgotten() -> None:
     made = view("a")
-    made.record_contact(peer("b"), FORGET_S)
-    made.expire(FORGET_S + 1)
-    assert [part[0] for part in made.sample(FORGET_S + 1)] == ["b"]
+    made.record_contact(peer("b"), CONTACT_TTL_S)
+    made.expire(CONTACT_TTL_S + 1)
+    assert [part[0] for part in made.sample(CONTACT_TTL_S + 1)] == ["b"]
 
 
 def test_views_and_samples_are_bounded() -> None:
-    made = view(*(f"g{number}" for number in range(VIEW_MAX + 50)))
-    assert len(made.sample(0.0)) == SAMPLE
-    assert len(made.alive("gateway", 0.0)) <= VIEW_MAX
+    made = view(*(f"g{number}" for number in range(PEERS_MAX + 50)))
+    assert len(made.sample(0.0)) == SAMPLE_SIZE
+    assert len(made.alive("gateway", 0.0)) <= PEERS_MAX
 
 
 def test_a_fleet_comes_to_know_itself_by_shuffling() -> None:
