--- a/brambleusher/controlplane/consensus/leadership_transfer.py
+++ b/brambleusher/controlplane/consensus/leadership_transfer.py
@@ -32,7 +32,7 @@
         """Choose a successor; return False where no voter is there."""
         state = self._state
         near = leading.progress.responsive_within(ELECTION_MIN_S, state.now)
-        leaving = state.membership_requests.leaving_members()
+        leaving = state.membership_requests.members_shutting_down()
         ready = [
             (leading.progress.followers[member.id].match_index, member)
             for member in state.voters
--- a/brambleusher/controlplane/consensus/membership_change.py
+++ b/brambleusher/controlplane/consensus/membership_change.py
@@ -49,7 +49,7 @@
             self._required_voters,
             leading.progress.seconds_since_contact(state.now),
             leading.progress.caught_up(state.commit_index, near),
-            state.membership_requests.leaving_members(),
+            state.membership_requests.members_shutting_down(),
             self._is_stable(leading, near),
             self._region_by_zone,
         )
--- a/brambleusher/controlplane/consensus/raft.py
+++ b/brambleusher/controlplane/consensus/raft.py
@@ -26,7 +26,7 @@
 from brambleusher.controlplane.consensus.replicated_log import Log
 from brambleusher.controlplane.consensus.replication import Replication
 from brambleusher.controlplane.consensus.snapshots import Snapshots
-from brambleusher.controlplane.consensus.timing import ELECTION_MIN_S, JOIN_QUIET_S, UNSYNCED_MAX
+from brambleusher.controlplane.consensus.timing import ELECTION_MIN_S, REJOIN_AFTER_S, UNSYNCED_MAX
 from brambleusher.wire import consensus_messages as wire
 from brambleusher.wire.consensus_messages import Entry, EntryKind, Member
 
@@ -137,7 +137,7 @@
         if self.is_leader:
             return False
         is_member = self.state.member(self.identity.id) is not None
-        return not is_member or self.seconds_since_leader_contact(now) >= JOIN_QUIET_S
+        return not is_member or self.seconds_since_leader_contact(now) >= REJOIN_AFTER_S
 
     def accepts_proposals(self) -> bool:
         """Return whether a proposal made here now would be appended."""
@@ -235,8 +235,8 @@
         if message.sender == state.identity.id:
             return
         state.membership_requests.record_contact(message.sender, now)
-        if isinstance(message, wire.LeaveRequest):
-            self._handle_leave_request(message)
+        if isinstance(message, wire.ShutdownNotice):
+            self._handle_shutdown_notice(message)
         elif isinstance(message, wire.VoteRequest):
             self._election.handle_vote_request(message)
         else:
@@ -275,8 +275,8 @@
         if self._election.start_election(is_pre_vote=False, is_transfer=True):
             self._begin_term()
 
-    def _handle_leave_request(self, message: wire.LeaveRequest) -> None:
-        self.state.membership_requests.record_leave(message.sender, self.state.now)
+    def _handle_shutdown_notice(self, message: wire.ShutdownNotice) -> None:
+        self.state.membership_requests.record_shutdown(message.sender, self.state.now)
         if self.state.leader_state is not None:
             self._change_members(self.state.leader_state)
 
--- a/brambleusher/controlplane/consensus/replica_state.py
+++ b/brambleusher/controlplane/consensus/replica_state.py
@@ -78,14 +78,14 @@
         """Return the voters without this replica."""
         return [member for member in self.voters if member.id != self.identity.id]
 
-    def lost_disks(self) -> set[str]:
+    def wiped_members(self) -> set[str]:
         """Return members whose disks are proven to be lost, while that may count: see `quorum`.
 
         Not while a change of members is under way, since a quorum of the earlier members might not be met.
         """
         if self.has_uncommitted_members:
             return set()
-        return self.membership_requests.lost_disks(self.log.members, self.now)
+        return self.membership_requests.wiped_members(self.log.members, self.now)
 
     @property
     def has_uncommitted_members(self) -> bool:
@@ -94,11 +94,11 @@
 
     def has_quorum(self, agreeing: Collection[str]) -> bool:
         """Return whether those that agree are a quorum of the voters."""
-        return has_quorum(self.voters, agreeing, self.lost_disks())
+        return has_quorum(self.voters, agreeing, self.wiped_members())
 
     def agreed_value(self, values: Mapping[str, float]) -> float:
         """Return the highest value that a quorum of the voters has reached."""
-        return agreed_value(self.voters, values, self.lost_disks())
+        return agreed_value(self.voters, values, self.wiped_members())
 
     # --- role and term ---------------------------------------------------------------------------
 
--- a/brambleusher/controlplane/consensus/timing.py
+++ b/brambleusher/controlplane/consensus/timing.py
@@ -9,7 +9,7 @@
 # How much longer than others a replica without a vote, or one that shuts down, waits before its election.
 UNLIKELY_LEADER_DELAY_S = 0.6
 TRANSFER_S = 1.0  # for a planned successor to become leader, then proposals are accepted again
-JOIN_QUIET_S = 1.5  # without a leader for so long, a replica asks whether it still is a member
+REJOIN_AFTER_S = 1.5  # without a leader for so long, a replica asks whether it still is a member
 STABLE_S = 3.0  # of leading, before votes move for the sake of zones alone
 SNAPSHOT_EVERY_S = 1.0  # to one replica: a snapshot on a slow link takes a while
 # Entries of its own that a leader's disk has not synced: then it transfers leadership; at twice that it
--- a/brambleusher/controlplane/replica.py
+++ b/brambleusher/controlplane/replica.py
@@ -160,7 +160,7 @@
 
     def _hand_over_vote(self) -> None:
         """Ask all members again and again, since whoever leads next has to know too."""
-        request = wire.encode_message(wire.LeaveRequest(self.identity.id))
+        request = wire.encode_message(wire.ShutdownNotice(self.identity.id))
         while True:
             if self.consensus.accepts_proposals():
                 self.consensus.transfer_leadership()
--- a/brambleusher/wire/consensus_messages.py
+++ b/brambleusher/wire/consensus_messages.py
@@ -76,7 +76,7 @@
         """
         if not isinstance(self.data, list):
             raise InvalidMessageError(f"the members of entry {self.index} are no list")
-        return tuple(Member.from_json(part) for part in self.data)
+        return tuple(Member.from_json(item) for item in self.data)
 
     def as_json(self) -> list[object]:
         """Return the form for the wire and the disk."""
@@ -186,7 +186,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeaveRequest:
+class ShutdownNotice:
     """A member that is shutting down asks for another to get its vote."""
 
     sender: str
@@ -194,7 +194,7 @@
 
 LeaderMessage = AppendEntries | InstallSnapshot | TransferLeadership
 TermMessage = VoteReply | AppendEntriesReply | LeaderMessage
-Message = VoteRequest | TermMessage | JoinRequest | LeaveRequest
+Message = VoteRequest | TermMessage | JoinRequest | ShutdownNotice
 
 
 @dataclass(frozen=True, slots=True)
@@ -247,13 +247,13 @@
     return _Key(key, attribute, bool)
 
 
-def _list(key: str, attribute: str, decode_part: Callable[[object], object]) -> _Key:
+def _list(key: str, attribute: str, decode_item: Callable[[object], object]) -> _Key:
     return _Key(
         key,
         attribute,
         list,
         lambda values: [value.as_json() for value in values],
-        lambda parts: [decode_part(part) for part in parts],
+        lambda items: [decode_item(item) for item in items],
     )
 
 
@@ -328,7 +328,7 @@
         JoinRequest,
         (_SENDER, _Key("member", "member", None, Member.as_json, Member.from_json)),
     ),
-    _Layout("leave", LeaveRequest, (_SENDER,)),
+    _Layout("leave", ShutdownNotice, (_SENDER,)),
 )
 _LAYOUT_BY_KIND = {layout.kind: layout for layout in _LAYOUTS}
 _LAYOUT_BY_TYPE = {layout.message_type: layout for layout in _LAYOUTS}
--- a/tests/system/exploration.py
+++ b/tests/system/exploration.py
@@ -168,7 +168,7 @@
         if node.consensus.is_leader:
             node.consensus.transfer_leadership()
             self.cluster.pump(node)
-        request = wire.LeaveRequest(node.consensus.identity.id)
+        request = wire.ShutdownNotice(node.consensus.identity.id)
         for other in self.cluster.nodes.values():
             if other is not node:
                 self.cluster.post(node.name, other.name, request)
--- a/tests/system/test_consensus.py
+++ b/tests/system/test_consensus.py
@@ -383,7 +383,7 @@
     assert votes_after(group) == "abcd"
     assert votes_after(replace_in(group, members=group.with_vote("d", True))) == "abd"
     assert votes_after(replace_in(group, caught_up={"b", "c"})) is None
-    assert votes_after(replace_in(group, leaving={"c", "d"})) is None
+    assert votes_after(replace_in(group, shutting_down={"c", "d"})) is None
 
 
 def test_nobody_is_replaced_while_too_few_are_there_to_agree_on_one_more_vote() -> None:
--- a/tests/system/test_consensus_losses.py
+++ b/tests/system/test_consensus_losses.py
@@ -12,7 +12,7 @@
 import pytest
 
 from brambleusher.controlplane.consensus.election import Election
-from brambleusher.controlplane.consensus.membership_requests import JOIN_PROOF_S, MembershipRequests
+from brambleusher.controlplane.consensus.membership_requests import DISK_LOSS_PROOF_S, MembershipRequests
 from brambleusher.controlplane.consensus.outputs import HardState, Record, Restore
 from brambleusher.controlplane.consensus.progress import (
     MESSAGE_BYTES,
@@ -208,9 +208,9 @@
     empty = replace(member("b2", voter=False), address="at-b")
     for at in (0.1, 0.4, 0.7):
         replica.handle_message(wire.JoinRequest("b2", empty), at)
-    assert replica.state.lost_disks() == set()
+    assert replica.state.wiped_members() == set()
     replica.handle_message(wire.AppendEntries(1, "c", 1, 1, [], 1, 2), 0.8)
-    assert replica.state.lost_disks() == {"b"}
+    assert replica.state.wiped_members() == {"b"}
 
 
 # --- requests to join ----------------------------------------------------------------------------
@@ -226,7 +226,7 @@
         now = step * 0.1
         requests.record_contact("b2", now)
         requests.record_join(old, now)
-        assert requests.lost_disks(members, now) == set()
+        assert requests.wiped_members(members, now) == set()
         assert requests.admissible(members, now) == []
 
 
@@ -238,19 +238,19 @@
     requests.record_contact("b", 1.1)  # a last word that was on its way
     requests.record_join(empty, 1.3)
     assert requests.admissible(members, 1.3) == []
-    requests.record_join(empty, 1.1 + JOIN_PROOF_S + 0.1)
+    requests.record_join(empty, 1.1 + DISK_LOSS_PROOF_S + 0.1)
     assert requests.admissible(members, 1.7) == [empty]
-    assert requests.lost_disks(members, 1.7) == {"b"}
-    assert requests.lost_disks(members, 9.0) == set()  # it has long not been repeated
+    assert requests.wiped_members(members, 1.7) == {"b"}
+    assert requests.wiped_members(members, 9.0) == set()  # it has long not been repeated
 
 
 def test_requests_are_forgotten() -> None:
     requests = MembershipRequests("a")
     requests.record_join(member("z", voter=False), 0.0)
-    requests.record_leave("b", 0.0)
-    assert requests.leaving_members() == {"b"}
+    requests.record_shutdown("b", 0.0)
+    assert requests.members_shutting_down() == {"b"}
     requests.expire(FOUNDERS, 10.0)
-    assert requests.leaving_members() == set()
+    assert requests.members_shutting_down() == set()
     assert requests.admissible(FOUNDERS, 10.0) == []
 
 
@@ -359,7 +359,7 @@
     leaving = next(name for name in "abc" if name != leader.name)
     cluster.nodes[leaving].consensus.begin_graceful_shutdown()
     assert cluster.nodes[leaving].consensus.has_vote()
-    cluster.post(leaving, leader.name, wire.LeaveRequest(leaving))
+    cluster.post(leaving, leader.name, wire.ShutdownNotice(leaving))
     assert cluster.run(lambda: not cluster.nodes[leaving].consensus.has_vote(), steps=8)
     assert voters_of(cluster) == {*"abcd"} - {leaving}
     cluster.crash(leaving)
--- a/tests/system/test_votes_over_regions.py
+++ b/tests/system/test_votes_over_regions.py
@@ -23,7 +23,7 @@
         wanted,
         caught_up={member.id for member in members},
         is_stable=True,
-        regions=places,
+        region_by_zone=places,
     )
 
 
@@ -39,7 +39,7 @@
                 group.required_voters,
                 caught_up=group.caught_up,
                 is_stable=True,
-                regions=group.regions,
+                region_by_zone=group.region_by_zone,
             ),
             (),
         )
