--- a/brambleusher/fronts/mysql/front.py
+++ b/brambleusher/fronts/mysql/front.py
@@ -659,9 +659,9 @@
 
     def _sorry(self, answer: FinalResponse, work: Work, statement: Statement) -> Err:
         """The one error for a request that has no answer."""
-        if work.error is not None and (not work.reached or answer.kind is AnswerKind.REFUSED):
+        if work.error is not None and (not work.reached or answer.kind is AnswerKind.REJECTED):
             return work.error
-        if answer.kind is AnswerKind.REFUSED and (statement.plain_read or not work.reached):
+        if answer.kind is AnswerKind.REJECTED and (statement.plain_read or not work.reached):
             wait = f"{answer.retry_after_ns / 1e9:.3f}"
             text = f"turned away, not run: it may be tried again in {wait} s"
             if work.reached:
--- a/brambleusher/lab/faults/breakages.py
+++ b/brambleusher/lab/faults/breakages.py
@@ -20,10 +20,9 @@
 from brambleusher.loadbalancing.api import AttemptStatus, HostState
 from brambleusher.loadbalancing.hosts import Host, Request
 from brambleusher.loadbalancing.maintenance import ClientDraining
-from brambleusher.net import client_listener as listener_module
+from brambleusher.net import client_connection, client_request_handler, client_response
 from brambleusher.net import endpoint_entries as list_module
 from brambleusher.net import upstream_pool as nodes_module
-from brambleusher.net.client_listener import ClientListener
 from brambleusher.net.endpoint_list import Endpoint, EndpointList, EndpointListUpdate, Feed
 from brambleusher.net.http import Message, MessageReader
 from brambleusher.net.request_lifecycle import ClientHandle, FinalResponse, RequestLifecycle, ResponseKind
@@ -335,17 +334,17 @@
         data: bytes = old(status, *rest, **more)
         return data * 2 if status == 502 else data
 
-    old = patches.set(listener_module, "write_response", write_response)
+    old = patches.set(client_response, "write_response", write_response)
 
 
 @breakage("silent-fault", "an exception while a failure is worded ends the connection", "answer")
 def _silent_fault(patches: Patches) -> None:
-    def worded(self: ClientListener, answer: FinalResponse) -> Any:
-        if answer.kind is ResponseKind.FAILED:
+    def word_response(response: FinalResponse, *more: Any) -> Any:
+        if response.kind is ResponseKind.FAILED:
             raise TaskCancelledError  # which no guard against exceptions holds up
-        return old(self, answer)
+        return old(response, *more)
 
-    old = patches.set(ClientListener, "_worded", worded)
+    old = patches.set(client_request_handler, "word_response", word_response)
 
 
 @breakage("answer-late", "requests are held for 100 ms more than their time", "answer")
@@ -379,7 +378,7 @@
 
 @breakage("half-requests-kept", "a client may take half a minute over its first request", "bad-client")
 def _half_requests_kept(patches: Patches) -> None:
-    patches.set(listener_module, "FIRST_SECONDS", 30.0)
+    patches.set(client_connection, "FIRST_REQUEST_TIMEOUT_S", 30.0)
 
 
 # --- what is left behind --------------------------------------------------------------------------
--- /dev/null
+++ b/brambleusher/net/client_request_handler.py
@@ -0,0 +1,197 @@
+"""Takes one complete (or streamed) request of a client to its response."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Callable
+from dataclasses import dataclass, replace
+
+from brambleusher.decisions.balancer_driver import (
+    BalancerDriver,
+    ClientRequest,
+    Clock,
+    DuplicateRequestError,
+)
+from brambleusher.loadbalancing.maintenance import ClientDraining
+from brambleusher.net.client_connection import ClientConnection
+from brambleusher.net.client_connections import ClientConnections
+from brambleusher.net.client_presence import ClientPresence
+from brambleusher.net.client_request_parser import ClientRequestParser
+from brambleusher.net.client_response import COUNTED_AS, ClientResponse, word_response
+from brambleusher.net.header_forwarding import HeaderRewriter
+from brambleusher.net.http import HttpError, Message, MessageReader
+from brambleusher.net.request_lifecycle import ClientHandle, FinalResponse, RequestLifecycle
+from brambleusher.net.streamed_bodies import RequestBodyStream, ResponseBodyStream
+from brambleusher.observability.counters import Counters
+from brambleusher.observability.request_counts import RequestCounts
+from brambleusher.runtime.scheduler import Scheduler
+from brambleusher.runtime.system import Socket
+
+_NS_PER_S = 1e9
+
+
+@dataclass(slots=True)
+class _Exchange:
+    """A request in progress: whose it is, when its response is due, and what is known of its client."""
+
+    connection: ClientConnection
+    path: str
+    request: ClientRequest
+    body_stream: RequestBodyStream | None
+    arrived_ns: int  # Unix time; earlier than its read where it waited unseen
+    due: float  # seconds on the scheduler's clock; a streamed body has a deadline of its own
+    unseen_s: float  # for which it may have waited unseen
+    presence: ClientPresence
+
+    def deadline(self) -> float:
+        """When the response has to leave."""
+        return self.due if self.body_stream is None else self.body_stream.due
+
+    @property
+    def is_body_complete(self) -> bool:
+        """Whether the last byte of the request has come."""
+        return self.body_stream is None or self.body_stream.done
+
+    def watched_socket(self) -> Socket | None:
+        """What to watch for the client's leaving; a streamed body is read by its attempt."""
+        return self.presence.socket() if self.is_body_complete else None
+
+    def has_client_left(self) -> bool:
+        """Whether the client has closed its connection."""
+        if self.body_stream is not None and not self.body_stream.done:
+            return self.body_stream.left
+        return self.presence.look()
+
+
+class ClientRequestHandler:
+    """Answers requests: `/ready` by itself, all others through the balancer."""
+
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        decisions: BalancerDriver,
+        lifecycle: RequestLifecycle,
+        parser: ClientRequestParser,
+        connections: ClientConnections,
+        clock: Clock,
+        counters: Counters,
+        request_counts: RequestCounts,
+        service: ClientDraining,
+        is_ready: Callable[[], bool],
+        rewriter: HeaderRewriter | None,
+    ) -> None:
+        self._scheduler, self._decisions, self._clock = scheduler, decisions, clock
+        self._lifecycle, self._parser, self._connections = lifecycle, parser, connections
+        self._counters, self._request_counts = counters, request_counts
+        self._service, self._is_ready, self._rewriter = service, is_ready, rewriter
+        # Seconds on the scheduler's clock: responses leave before the process is killed.
+        self.latest_response_at = math.inf
+
+    def handle(
+        self, connection: ClientConnection, reader: MessageReader, message: Message
+    ) -> ClientResponse | None:
+        """Handle a request; None if its client has left.
+
+        Raises:
+            HttpError: the request makes no sense, or its streamed body was spoilt.
+        """
+        method, target = message.start
+        path = target.split("?", 1)[0]
+        if path == "/ready" and method == "GET":
+            return self._answer_readiness()
+        exchange = self._begin(connection, reader, message, path)
+        if exchange.unseen_s and exchange.has_client_left():
+            # A process that was stopped, or is behind, finds its queues full of requests given up long ago,
+            # oldest first: work for nobody, which would take the capacity of those who still wait.
+            self._counters.add("requests_gone_unread")
+            return None
+        self._counters.add("requests_taken")
+        is_body_streamed = exchange.body_stream is not None
+        self._request_counts.in_flight += not is_body_streamed
+        response: ClientResponse | None = None
+        try:
+            response = self._respond(exchange)
+            return response
+        except DuplicateRequestError as error:
+            raise HttpError(400, str(error)) from None
+        finally:
+            # Otherwise it ends with the last byte of its response.
+            self._request_counts.in_flight -= response is None and exchange.is_body_complete
+
+    def _answer_readiness(self) -> ClientResponse:
+        if not self._service.is_ready:
+            return ClientResponse(503, [], b"out of service\n")
+        if self._is_ready():
+            return ClientResponse(200, [], b"ready\n")
+        return ClientResponse(503, [], b"starting\n")
+
+    def _begin(
+        self, connection: ClientConnection, reader: MessageReader, message: Message, path: str
+    ) -> _Exchange:
+        body_stream = message.rest if isinstance(message.rest, RequestBodyStream) else None
+        arrived_ns = now_ns = self._clock.now_ns()
+        request = self._parser.parse(message, path)
+        unseen_s = 0.0 if body_stream is not None else self._unseen_s(connection)
+        if unseen_s:
+            # Its time began when it came: else its response would come when nobody waits any more.
+            waited_s = min(self._scheduler.system.waited(connection.stream.sock), unseen_s)
+            waited_ns = int(waited_s * _NS_PER_S)
+            arrived_ns -= waited_ns
+            request = replace(request, time_left_ns=max(request.time_left_ns - waited_ns, 0))
+            self._counters.add("requests_read_late")
+        self._connections.mark_tenant(connection, request.tenant or "")
+        if self._rewriter is not None:
+            forwarded = self._rewriter.inward(message, path, request.request_class, connection.peer)
+            request = replace(request, payload=forwarded)
+        due = min(self._clock.seconds(now_ns + request.time_left_ns), self.latest_response_at)
+        if body_stream is not None:
+            self._start_time_with_last_byte(body_stream, request.time_left_ns)
+        presence = ClientPresence(connection.stream, reader)
+        return _Exchange(connection, path, request, body_stream, arrived_ns, due, unseen_s, presence)
+
+    def _unseen_s(self, connection: ClientConnection) -> float:
+        """Seconds for which a request that was read now may have waited unseen."""
+        return max(self._scheduler.late, 0.0 if connection.was_served else connection.accept_delay_s)
+
+    def _start_time_with_last_byte(self, body_stream: RequestBodyStream, time_left_ns: int) -> None:
+        """A streamed request's time begins, and it counts as accepted, when its last byte has come."""
+        time_left_s = time_left_ns / 1e9
+        body_stream.wait_ms = int(time_left_s * 1000)
+
+        def on_complete() -> None:
+            body_stream.due = self._scheduler.now() + time_left_s
+            self._request_counts.in_flight += 1
+
+        body_stream.whole = on_complete
+        if body_stream.done:
+            on_complete()
+
+    def _respond(self, exchange: _Exchange) -> ClientResponse | None:
+        """Have the balancer decide on the request, and word the outcome; None if its client has left."""
+        request, body_stream = exchange.request, exchange.body_stream
+        client = ClientHandle(exchange.watched_socket, exchange.has_client_left)
+        final = self._lifecycle.live(request, exchange.deadline, client)
+        if body_stream is not None and body_stream.left:
+            final = None
+        kind = None if final is None else final.kind.value
+        took_ns = self._clock.now_ns() - exchange.arrived_ns
+        self._decisions.observers.request_finished(request, kind, took_ns)
+        if final is None:
+            self._counters.add("requests_gone")
+            return None
+        if body_stream is not None and body_stream.error is not None:
+            raise body_stream.error
+        self._counters.add(f"answers_{final.kind.value}")
+        return self._word(exchange, final)
+
+    def _word(self, exchange: _Exchange, final: FinalResponse) -> ClientResponse:
+        request_class = exchange.request.request_class
+        status, headers, body = word_response(final, self._rewriter)
+        if self._rewriter is not None:
+            headers = self._rewriter.outward(headers, exchange.path, request_class)
+        response = ClientResponse(status, headers, body, request_class, COUNTED_AS[final.kind])
+        response.is_request_complete = exchange.is_body_complete
+        response.must_close = exchange.presence.dropped > 0
+        if isinstance(final.payload, Message) and isinstance(final.payload.rest, ResponseBodyStream):
+            response.body_stream = final.payload.rest
+        return response
--- a/brambleusher/net/request_lifecycle.py
+++ b/brambleusher/net/request_lifecycle.py
@@ -30,7 +30,7 @@
     """What became of a request."""
 
     SERVED = "served"
-    REFUSED = "refused"
+    REJECTED = "refused"
     FAILED = "failed"
 
 
@@ -157,7 +157,7 @@
                 # 5. The module has given up on it: the answer goes out at once.
                 elif isinstance(step, RejectRequest):
                     wait = min(step.retry_after_ns, self._decisions.settings.max_retry_after_ns)
-                    return FinalResponse(ResponseKind.REFUSED, wait)
+                    return FinalResponse(ResponseKind.REJECTED, wait)
                 else:
                     return FinalResponse(ResponseKind.FAILED)
         except TaskTimeoutError:
--- a/brambleusher/sidecar/app.py
+++ b/brambleusher/sidecar/app.py
@@ -366,7 +366,7 @@
         except OSError as error:
             raise ConfigError(f"NODE_FD: {error.strerror}") from None
         if not self._succeeds:
-            self.client_listener.accept()
+            self.client_listener.start_accepting()
         self.scheduler.spawn(self._begin_to_serve, name="begin to serve")
         return where
 
@@ -376,7 +376,7 @@
             self.scheduler.sleep(READY_LOOK_SECONDS)
         if self._ending:
             return
-        self.client_listener.accept()
+        self.client_listener.start_accepting()
         if self.process_group is not None:
             self.process_group.registry.set_stage(ProcessStage.SERVING)
         log.info("serving", extra={"fields": {"succeeds": self._succeeds}})
@@ -431,7 +431,7 @@
 
     def is_serving(self) -> bool:
         """Whether this process can serve, wanted or not."""
-        return self.client_listener.accepting and self.is_ready()
+        return self.client_listener.is_accepting and self.is_ready()
 
     def figures_text(self) -> bytes:
         """The figures as they stand."""
@@ -474,7 +474,7 @@
             self.service.resume()
         else:
             self.service.start(self.scheduler.now())
-            self.client_listener.leave()
+            self.client_listener.start_closing_idle()
 
     def _share(self) -> None:
         """Tell the other processes of this sidecar what operators have said, and what they will have."""
@@ -596,11 +596,11 @@
     def _wind_down(self) -> None:
         """The task: serve on as long as clients may send and be answered, then close what rests."""
         killed_at = self.scheduler.now() + self._grace_seconds()
-        self.client_listener.answer_by = killed_at - ANSWER_AHEAD_SECONDS
+        self.client_listener.latest_response_at = killed_at - ANSWER_AHEAD_SECONDS
         self.scheduler.sleep(SERVE_ON_SECONDS)
         while self.client_listener.connections and self.scheduler.now() < killed_at - CLOSE_AHEAD_SECONDS:
             self.scheduler.sleep(ENDING_LOOK_SECONDS)
-        self.client_listener.wind_down()
+        self.client_listener.drain()
         self.upstream_pool.close()
         if self.mysql is not None:
             self.mysql.wind_down()
--- a/tests/test_crossings_client.py
+++ b/tests/test_crossings_client.py
@@ -8,9 +8,10 @@
 import struct
 import threading
 import unittest
+from concurrent.futures import Future, ThreadPoolExecutor
 from unittest import mock
 
-from brambleusher.net import client_listener
+from brambleusher.net import client_connection, client_request_reader
 from brambleusher.net.http import Message, MessageReader
 from brambleusher.sidecar import app as sidecar
 from tests.crossing import HookedSystem, Patient, held_still
@@ -119,18 +120,27 @@
         sock = self.connect(rig)
         sock.sendall(request("r1"))
         self.assertEqual(read(sock).status, 200)
-        anew: queue.Queue[Message] = queue.Queue()
+        anew: queue.Queue[Future[Message]] = queue.Queue()
+        readers = ThreadPoolExecutor(max_workers=1)
+        self.addCleanup(readers.shutdown)
+
+        def end(other: socket.socket) -> None:
+            """Wake the reader, where no response has come, before its socket is closed."""
+            with contextlib.suppress(OSError):
+                other.shutdown(socket.SHUT_RDWR)
 
         def cross() -> None:
             sock.sendall(request("r2"))
             other = self.connect(rig)  # what a client does whose request crossed the end
+            self.addCleanup(end, other)
             other.sendall(request("r2b"))
-            threading.Thread(target=lambda: anew.put(read(other)), daemon=True).start()
+            anew.put(readers.submit(read, other))
 
         self.hooks.before("client", "shutdown", "close", do=cross)
         rig.sidecar.begin_graceful_shutdown()
         self.assertEqual(drain(sock), b"", "an end, and no reset")
-        self.assertEqual(anew.get(timeout=WAIT).status, 200, "the listener is open a moment longer")
+        response = anew.get(timeout=WAIT).result(timeout=WAIT)
+        self.assertEqual(response.status, 200, "the listener is open a moment longer")
         rig.thread.join(WAIT)
         seen = [node.seen.get(timeout=WAIT)[0].headers["request-id"] for _ in range(node.seen.qsize())]
         self.assertEqual(seen, ["r1", "r2b"])
@@ -138,7 +148,7 @@
     def test_a_request_that_comes_as_the_wait_for_it_ends_is_served(self) -> None:
         node = Node(answer(b"yes"))
         self.addCleanup(node.close)
-        with mock.patch.object(client_listener, "IDLE_SECONDS", 0.3):
+        with mock.patch.object(client_request_reader, "IDLE_TIMEOUT_S", 0.3):
             rig = self.rig(node)
             sock = self.connect(rig)
             sock.sendall(request("r1"))
@@ -151,7 +161,7 @@
         """Send when the timer of the wait has fired, before the task that waited runs."""
         scheduler = rig.sidecar.scheduler
         (connection,) = rig.sidecar.connection_admission.idle_connections()
-        assert isinstance(connection, client_listener.ClientConnection) and connection.task is not None
+        assert isinstance(connection, client_connection.ClientConnection) and connection.task is not None
         timer = connection.task.timer
         (due,) = [when for when, _, each in scheduler._timers if each is timer]
         scheduler.call_at(due, lambda: sock.sendall(request("r2")))
@@ -162,16 +172,16 @@
         sock = self.connect(rig)
         sock.sendall(request("r1"))
         held = node.held.get(timeout=WAIT)
-        wind_down = threading.Event()
-        real = rig.sidecar.client_listener.wind_down
+        has_drain_begun = threading.Event()
+        real = rig.sidecar.client_listener.drain
 
-        def winding_down() -> None:
-            wind_down.set()
+        def draining() -> None:
+            has_drain_begun.set()
             real()
 
-        with mock.patch.object(rig.sidecar.client_listener, "wind_down", winding_down):
+        with mock.patch.object(rig.sidecar.client_listener, "drain", draining):
             rig.sidecar.begin_graceful_shutdown()
-            self.assertTrue(wind_down.wait(WAIT))
+            self.assertTrue(has_drain_begun.wait(WAIT))
         sock.sendall(request("r2"))
         answer(b"one")(*held)
         node.let_go(answer(b"two"))
@@ -186,7 +196,7 @@
         held = node.held.get(timeout=WAIT)
         places = rig.sidecar.connection_admission
         sock.sendall(request("r2"))
-        (connection,) = rig.sidecar.client_listener._connections
+        (connection,) = rig.sidecar.client_listener._connections._open
         self.until(lambda: connection.stream.peek() is None, "it is read ahead")
         with (
             mock.patch.object(places, "is_scarce", lambda now: True),
--- a/tests/test_crossings_shutdown.py
+++ b/tests/test_crossings_shutdown.py
@@ -108,7 +108,7 @@
         rig = self.rig(node)
         rig.sidecar.begin_graceful_shutdown()
         with held_still(rig):
-            self.assertFalse(rig.sidecar.client_listener._closing)
+            self.assertFalse(rig.sidecar.client_listener._connections.is_draining)
             socks = [self.connect(rig) for _ in range(40)]
             for number, sock in enumerate(socks):
                 sock.sendall(request(f"q{number}"))
@@ -171,7 +171,7 @@
         sock = self.connect(rig)
         with held_still(rig):
             rig.sidecar.begin_graceful_shutdown()
-        self.until(lambda: rig.sidecar.client_listener.answer_by < math.inf)
+        self.until(lambda: rig.sidecar.client_listener.latest_response_at < math.inf)
         sock.sendall(
             request("m1", "Content-Length: 0")
             .replace(b"GET /look", b"POST /move")
@@ -180,7 +180,9 @@
         _, _, message = self.held(node)
         self.assertLess(int(message.headers["request-timeout-ms"]), 1100)
         self.assertEqual(read(sock).status, 502)
-        self.assertLess(rig.sidecar.scheduler.now(), rig.sidecar.client_listener.answer_by + WAIT / 10)
+        self.assertLess(
+            rig.sidecar.scheduler.now(), rig.sidecar.client_listener.latest_response_at + WAIT / 10
+        )
         self.ended(rig)
 
     def test_a_second_signal_and_a_reload_beside_the_first(self) -> None:
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -14,7 +14,10 @@
 import pytest
 
 from brambleusher.net import endpoint_watch, upstream_pool
-from brambleusher.net.client_listener import ClientConnection, ClientListener
+from brambleusher.net.client_connection import ClientConnection
+from brambleusher.net.client_connection_server import ClientConnectionServer
+from brambleusher.net.client_connections import ClientConnections
+from brambleusher.net.client_listener import ClientListener
 from brambleusher.net.client_presence import ClientPresence
 from brambleusher.net.http import MessageReader
 from brambleusher.net.json_text_assembler import TextAssembler
@@ -63,13 +66,13 @@
     return False
 
 
-def rests_always(clients: ClientListener, connection: ClientConnection, reader: Any) -> None:
+def rests_always(connections: ClientConnections, connection: ClientConnection, reader: Any) -> None:
     """A connection rests after its answer, whatever was sent ahead on it, and goes on when given up."""
-    now = clients._scheduler.now()
-    clients._places.record_idle(connection, now)
-    if clients._places.is_scarce(now):
-        clients._make_room()
-    connection.released = False
+    now = connections._scheduler.now()
+    connections._admission.record_idle(connection, now)
+    if connections._admission.is_scarce(now):
+        connections.close_least_valuable()
+    connection.is_released = False
 
 
 def any_byte_counts(
@@ -139,7 +142,7 @@
     ),
     (
         "half-close of resting connections",
-        [(ClientListener, "_dismiss", ClientListener._close_idle)],
+        [(ClientConnections, "close_gracefully", ClientConnections.close_now)],
         test_crossings_client.Closes,
         "test_a_request_that_crosses_the_end_of_a_resting_connection_is_not_sent_on",
     ),
@@ -157,13 +160,13 @@
     ),
     (
         "requests sent ahead at the end",
-        [(ClientListener, "_has_more", staticmethod(no_more))],
+        [(ClientConnectionServer, "_has_next_request", staticmethod(no_more))],
         test_crossings_client.Closes,
         "test_what_was_sent_ahead_is_answered_while_the_sidecar_ends",
     ),
     (
         "requests sent ahead where room is made",
-        [(ClientListener, "_rest", rests_always), (ClientPresence, "look", reads_and_sees_no_end)],
+        [(ClientConnections, "mark_idle", rests_always), (ClientPresence, "look", reads_and_sees_no_end)],
         test_crossings_client.Closes,
         "test_a_connection_that_is_given_up_carries_no_further_request",
     ),
--- a/tests/test_making_room.py
+++ b/tests/test_making_room.py
@@ -5,7 +5,7 @@
 import json
 import unittest
 
-from brambleusher.net.client_listener import ClientConnection
+from brambleusher.net.client_connection import ClientConnection
 from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.streams import Stream
@@ -38,7 +38,10 @@
         }  # fmt: skip
         self.sidecar = Sidecar(parse_config(json.dumps(config).encode(), {}))
         self.addCleanup(self.sidecar.close)
-        self.places, self.clients = self.sidecar.connection_admission, self.sidecar.client_listener
+        self.places, self.connections = (
+            self.sidecar.connection_admission,
+            self.sidecar.client_listener._connections,
+        )
         self.places.max_connections = self.places.max_active = 20
 
     def rest(self, count: int, waits: bytes | None) -> list[Waiting]:
@@ -47,8 +50,8 @@
             stream = Waiting(self.sidecar.scheduler, waits)
             self.addCleanup(stream.close)
             connection = ClientConnection(stream, "p")
-            connection.asked = True
-            self.clients._connections.add(connection)
+            connection.was_served = True
+            self.connections._open.add(connection)
             self.places.record_open(connection, "p", 0.0)
             self.places.record_request(connection, 0.1)
             self.places.record_idle(connection, 0.2)
@@ -59,19 +62,19 @@
         """Guards against each answer looking at every request that waits: being behind kept itself up."""
         streams = self.rest(30, b"G")
         for _ in range(25):
-            self.assertFalse(self.clients._make_room())
-            self.assertFalse(self.clients._make_room(20))
+            self.assertFalse(self.connections.close_least_valuable())
+            self.assertFalse(self.connections.make_room_for_one())
         self.assertLessEqual(sum(stream.looks for stream in streams), 30)
         self.assertEqual(self.places.connection_count, 30, "none of them is turned back unheard")
 
     def test_one_whose_other_end_has_left_goes(self) -> None:
         streams = self.rest(30, b"")
-        self.assertTrue(self.clients._make_room())
+        self.assertTrue(self.connections.close_least_valuable())
         self.assertLessEqual(self.places.connection_count, 20)
         self.assertEqual(sum(not stream.open for stream in streams), 30 - self.places.connection_count)
 
     def test_what_is_quiet_goes_as_ever(self) -> None:
         self.rest(15, b"G"), self.rest(15, None)
-        self.assertTrue(self.clients._make_room())
+        self.assertTrue(self.connections.close_least_valuable())
         self.assertGreaterEqual(self.places.connection_count, 15)
         self.assertLess(self.places.connection_count, 30)
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -17,7 +17,7 @@
 from typing import Any
 from unittest import mock
 
-from brambleusher.net.client_listener import READ_SECONDS
+from brambleusher.net.client_request_reader import REQUEST_TIMEOUT_S
 from brambleusher.net.http import Message
 from brambleusher.sidecar.app import Sidecar
 from brambleusher.sidecar.configuration import parse_config
@@ -231,14 +231,14 @@
             sidecar = Sidecar(parse_config(json.dumps({**config, "limits": limits}).encode(), {}))
             self.addCleanup(sidecar.close)
             self.assertGreaterEqual(sidecar.upstream_pool._most, claims)
-            self.assertGreaterEqual(sidecar.client_listener._places.max_connections, clients)
+            self.assertGreaterEqual(sidecar.connection_admission.max_connections, clients)
             self.assertLess(
-                sidecar.upstream_pool._most + sidecar.client_listener._places.max_connections, sockets
+                sidecar.upstream_pool._most + sidecar.connection_admission.max_connections, sockets
             )
 
     def test_all_descriptors_in_use_is_survived(self) -> None:
         rig = self.rig(self.node())
-        rig.sidecar.client_listener._places.max_connections = 2
+        rig.sidecar.connection_admission.max_connections = 2
         idle = [rig.connect() for _ in range(6)]
         self.assertEqual(rig.call().status, 200)  # one that is idle makes room
         for sock in idle:
@@ -272,18 +272,19 @@
 
     def test_one_that_does_not_ask_is_closed_and_one_that_has_asked_is_not(self) -> None:
         """Guards against silent connections held for minutes and half requests for ten seconds."""
-        rig, idle = self.rig(self.node()), mock.patch("brambleusher.net.client_listener.IDLE_SECONDS", 60.0)
+        rig = self.rig(self.node())
+        idle = mock.patch("brambleusher.net.client_request_reader.IDLE_TIMEOUT_S", 60.0)
         with idle, rig.connect() as asked, rig.connect() as silent, rig.connect() as half:
             read(rig.send("a", sock=asked))
             half.sendall(b"GET /look HTTP/1.1\r\n")
             for sock, got in ((half, b"HTTP/1.1 408"), (silent, b"")):
-                sock.settimeout(READ_SECONDS * 3)
+                sock.settimeout(REQUEST_TIMEOUT_S * 3)
                 self.assertEqual(sock.recv(12), got)
             self.assertEqual(read(rig.send("b", sock=asked)).status, 200)
 
     def test_silent_connections_make_room_for_those_that_ask(self) -> None:
         rig = self.rig(self.node())
-        rig.sidecar.client_listener._places.max_connections = 16
+        rig.sidecar.connection_admission.max_connections = 16
         with mock.patch("brambleusher.loadbalancing.connection_admission.FIRST_REQUEST_S", 0.0):
             silent = [rig.connect() for _ in range(24)]
             for sock in silent[:8]:
