--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -20,7 +20,7 @@
 
 from rich.progress import Progress
 
-from brambleusher.wire.policy import Policy
+from brambleusher.wire import policy
 
 ROOT = Path(__file__).resolve().parent.parent
 RESULTS = "plays.jsonl"
@@ -59,10 +59,10 @@
 
 
 def _variants(keys: list[str]) -> list[str]:
-    unknown = sorted(set(keys) - set(Policy.model_fields))
+    unknown = sorted(set(keys) - set(policy.key_names()))
     if unknown:
         raise AblationError(f"--keys: {', '.join(unknown)}: no key of the policy")
-    return [DEFAULT, *(keys or list(Policy.model_fields))]
+    return [DEFAULT, *(keys or policy.key_names())]
 
 
 def read_plays(folder: Path) -> list[Play]:
@@ -174,7 +174,7 @@
     """The paired differences, as a table in Markdown."""
     plays = read_plays(Path(out))
     sites = sorted({play.site for play in plays})
-    variants = [name for name in Policy.model_fields if any(play.variant == name for play in plays)]
+    variants = [name for name in policy.key_names() if any(play.variant == name for play in plays)]
     lines = [
         "| switched off | site | worth, difference | spread | pairs | rules broken |",
         "| --- " * 6 + "|",
@@ -192,7 +192,7 @@
 
     plays = read_plays(Path(out))
     sites = sorted({play.site for play in plays})
-    variants = [name for name in Policy.model_fields if any(play.variant == name for play in plays)]
+    variants = [name for name in policy.key_names() if any(play.variant == name for play in plays)]
     figure, axes = pyplot.subplots(figsize=(9, 1 + 0.4 * max(1, len(variants))))
     for at, site in enumerate(sites):
         pairs = [
--- a/brambleusher/dataplane/attempts.py
+++ b/brambleusher/dataplane/attempts.py
@@ -34,7 +34,7 @@
     ) -> None:
         self._scheduler, self._weights, self._instance_id = scheduler, weights, instance_id
         route = context.route
-        target_s = route.setpoint_ms / MS_PER_S
+        target_s = route.latency_target_ms / MS_PER_S
         self._number = weights.start_attempt(instance_id, route.priority, target_s, scheduler.now())
 
     def response_started(self) -> None:
@@ -98,7 +98,7 @@
         """Continue an event stream at another instance; None where that is not possible."""
         if last_event_id is not None:
             context.last_event_id = str(last_event_id).encode()
-        response = self.run(context) if self._policy.resume else None
+        response = self.run(context) if self._policy.resumes_streams else None
         if response is None:
             return None
         if response.status != HTTPStatus.OK:
@@ -109,7 +109,7 @@
 
     def _takes_retry_budget(self, context: RequestContext, now_s: float) -> bool:
         """Take of the retry budget for every attempt but the first that reaches an instance."""
-        if not context.attempts_sent or not self._policy.retry_budget:
+        if not context.attempts_sent or not self._policy.limits_retries:
             return True
         return context.retry_budget.take(now_s)
 
@@ -138,7 +138,7 @@
             body=request.body,
             attempt_id=context.attempt_id,
             deadline_s=context.deadline_s,
-            must_run_once=not context.route.repeatable,
+            must_run_once=not context.route.is_idempotent,
         )
 
     def _headers(self, context: RequestContext, instance: Instance) -> HeaderList:
--- a/brambleusher/dataplane/connection_pool.py
+++ b/brambleusher/dataplane/connection_pool.py
@@ -58,14 +58,14 @@
     @property
     def trusted_idle_s(self) -> float:
         """How long a connection may have been idle and is still reused."""
-        return self._idle_timeout.timeout_ns / NS_PER_S if self._policy.idle_trust else IDLE_MAX_S
+        return self._idle_timeout.timeout_ns / NS_PER_S if self._policy.learns_idle_timeout else IDLE_MAX_S
 
     def has_capacity(self, instance: Instance) -> bool:
         """Whether a connection is idle or may be opened."""
         if instance.idle_connections:
             return True
         service = self._instances.services.get(instance.service)
-        limit = service.conn_limit if service is not None else 1
+        limit = service.connection_limit if service is not None else 1
         return instance.connection_count < connection_quota(limit, self._instances.gateway_count)
 
     # --- lending ----------------------------------------------------------------------------------
--- a/brambleusher/dataplane/instance_table.py
+++ b/brambleusher/dataplane/instance_table.py
@@ -105,7 +105,7 @@
 
     def _warm_up_s(self, service_name: str) -> float:
         service = self.services.get(service_name)
-        return service.warmup_s + WARM_UP_MARGIN_S if service is not None and service.warmup_s > 0 else 0.0
+        return service.warm_up_s + WARM_UP_MARGIN_S if service is not None and service.warm_up_s > 0 else 0.0
 
     def set_evacuated_zones(self, zones: frozenset[str], now_s: float) -> None:
         """Change the evacuated zones; instances of one that is taken back may have to warm up again."""
@@ -129,12 +129,12 @@
     def _mechanisms(self) -> Mechanisms:
         policy = self._policy
         return Mechanisms(
-            spare=policy.spare_weights,
-            latency_index=policy.latency_index,
-            health=policy.health,
-            silence=policy.silence,
-            room_above_share=policy.room_above_share,
-            reported_load=policy.reported_load,
+            spare=policy.weighs_by_spare_capacity,
+            latency_index=policy.weighs_by_latency,
+            health=policy.weighs_by_health,
+            silence=policy.skips_unresponsive,
+            room_above_share=policy.limits_to_share,
+            reported_load=policy.uses_reported_load,
         )
 
     def tick(self, now_s: float) -> None:
@@ -146,7 +146,7 @@
         """Record the load that an instance reported with a response."""
         weights = self.weights.get(instance.service)
         if weights is not None:
-            weights.record_load(instance.id, load.running, load.waiting, load.slots)
+            weights.record_load(instance.id, load.running, load.queued, load.slots)
 
     def metrics_report(self) -> dict[str, list[float]]:
         """Return what this gateway observed of each instance, for the other gateways."""
@@ -159,7 +159,7 @@
         self, reporters: int, totals: Mapping[str, Sequence[float]], now_s: float
     ) -> None:
         """Apply what so many other gateways observed of each instance, added up."""
-        if not self._policy.fleet_figures:
+        if not self._policy.uses_fleet_metrics:
             return
         for weights in self.weights.values():
             weights.import_sums(reporters, totals, now_s)
@@ -177,19 +177,21 @@
             for instance in self.for_service(service)
             if self._is_in_service(instance)
             and (not homes or instance.region in homes)
-            and (instance.backoff_until_s <= now_s or not self._policy.rest_after_failure)
+            and (instance.backoff_until_s <= now_s or not self._policy.backs_off_after_failure)
         ]
 
     def admit(self, instance: Instance, now_s: float) -> bool:
         """Take of the budget of an instance that warms up; whether one more attempt keeps within it."""
         service = self.services.get(instance.service)
-        has_limit = service is not None and service.cold_per_s > 0 and self._policy.cold_budget
+        has_limit = service is not None and service.warm_up_requests_per_s > 0 and self._policy.limits_warm_up
         if not self.is_warming_up(instance, now_s) or service is None or not has_limit:
             return True
         if instance.warm_up_budget is None:
             instance.warm_up_budget = WarmUpBudget(instance.id, now_s)
         gateways = int(self.gateway_count)
-        return instance.warm_up_budget.take(service.cold_per_s, self.gateway_rank, gateways, now_s)
+        return instance.warm_up_budget.take(
+            service.warm_up_requests_per_s, self.gateway_rank, gateways, now_s
+        )
 
     @staticmethod
     def is_warming_up(instance: Instance, now_s: float) -> bool:
--- a/brambleusher/dataplane/placement.py
+++ b/brambleusher/dataplane/placement.py
@@ -64,7 +64,7 @@
     def _responsive(
         self, usable: list[Instance], now_s: float, unresponsive_regions: Collection[str]
     ) -> list[Instance]:
-        if not self._policy.zone_rests:
+        if not self._policy.backs_off_from_zones:
             return usable
         zones = self._instances.zone_backoff.zones_in_backoff(now_s)
         return [each for each in usable if each.zone not in zones and each.region not in unresponsive_regions]
@@ -98,7 +98,7 @@
         noticed by the few that use it after as many requests.  The fuller the instances are the more
         evenly they have to be used.  Empty where all of them are needed.
         """
-        if not self._policy.subset:
+        if not self._policy.uses_subset:
             return []
         healthy = _healthy(usable, weights)
         near = [instance for instance in healthy if self._is_near(instance)] or healthy
@@ -108,7 +108,7 @@
         return heapq.nsmallest(size, near, key=lambda instance: instance.preference_rank)
 
     def _is_near(self, instance: Instance) -> bool:
-        return instance.region == self._region or not self._policy.own_region_first
+        return instance.region == self._region or not self._policy.prefers_own_region
 
     def _groups_by_distance(self, usable: list[Instance]) -> list[list[Instance]]:
         near = [instance for instance in usable if self._is_near(instance)]
@@ -118,7 +118,7 @@
 
     def _has_affinity(self, request: PlacementRequest) -> bool:
         """Whether a request's shared prefix is large enough for one instance to cache it."""
-        return self._policy.prefix_keepers and request.prefix_tokens >= LARGE_PREFIX_TOKENS
+        return self._policy.has_prefix_affinity and request.prefix_tokens >= LARGE_PREFIX_TOKENS
 
     def _choose_by_affinity(
         self, request: PlacementRequest, usable: list[Instance], weights: InstanceWeights, now_s: float
--- a/brambleusher/dataplane/request_context.py
+++ b/brambleusher/dataplane/request_context.py
@@ -35,7 +35,7 @@
     @property
     def may_run_again(self) -> bool:
         """Whether its route allows one more instance to run it."""
-        return self.route.repeatable and self.possible_runs < max(self.route.tries, 1)
+        return self.route.is_idempotent and self.possible_runs < max(self.route.max_attempts, 1)
 
     def remaining_s(self, now_s: float) -> float:
         """Return the time left until the deadline."""
--- a/brambleusher/dataplane/request_handler.py
+++ b/brambleusher/dataplane/request_handler.py
@@ -63,7 +63,7 @@
 
     def _context(self, request: ClientRequest, route: Route, attempt_id: bytes) -> RequestContext:
         prefix_key, prefix_tokens = "", 0
-        if route.affine:
+        if route.has_affinity:
             prefix_key, prefix_tokens = shared_prefix(request.header(b"x-prompt-prefix").decode("latin-1"))
         limit_s = route.deadline_ms / MS_PER_S
         remaining_ms = request.header(b"x-deadline-remaining")
--- a/brambleusher/dataplane/routing.py
+++ b/brambleusher/dataplane/routing.py
@@ -42,5 +42,5 @@
     """Return one of the route's services, at random by their weights."""
     if route.service is not None:
         return route.service
-    shares = route.shares
-    return rng.choices([share.service for share in shares], [share.gain for share in shares])[0]
+    shares = route.weighted_services
+    return rng.choices([share.service for share in shares], [share.weight for share in shares])[0]
--- a/brambleusher/system_tools.py
+++ b/brambleusher/system_tools.py
@@ -78,7 +78,7 @@
         checked = policy_reader.read(path)
     except InvalidPolicyError as error:
         raise ToolError(str(error)) from error
-    off = [name for name, _, _ in policy_reader.described() if not getattr(checked, name)]
+    off = policy_reader.disabled_keys(checked)
     return f"{path}: switched off: {', '.join(off) or 'nothing'}"
 
 
--- a/brambleusher/wire/configuration.py
+++ b/brambleusher/wire/configuration.py
@@ -1,29 +1,31 @@
-"""The operator's configuration: routes, services and limits, read and checked with pydantic."""
+"""The operator's configuration: routes, services and limits, read and validated with pydantic.
+
+Aliases are the operator's keys, which stay as they are; fields have the terms of the code.
+"""
 
 from __future__ import annotations
 
 import json
-from typing import Any
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
 from brambleusher.wire.errors import InvalidConfigurationError
 
 
-class _Part(BaseModel):
-    """Unknown keys are kept out: later versions of the operator's tools may send more."""
+class _Section(BaseModel):
+    """Unknown keys are ignored: later versions of the operator's tools may send more."""
 
     model_config = ConfigDict(extra="ignore", frozen=True)
 
 
-class Split(_Part):
-    """One of several services of a route, and its share of the requests."""
+class WeightedService(_Section):
+    """One of several services of a route; its weight sets its fraction of the requests."""
 
     service: str
-    gain: float = Field(ge=0)
+    weight: float = Field(ge=0, alias="gain")
 
 
-class Route(_Part):
+class Route(_Section):
     """How requests of a host under a path prefix are served."""
 
     name: str = ""
@@ -31,48 +33,48 @@
     path_prefix: str
     kind: str = "mutating"
     deadline_ms: float = Field(gt=0)
-    setpoint_ms: float = Field(default=1000, ge=0)
+    latency_target_ms: float = Field(default=1000, ge=0, alias="setpoint_ms")
     priority: int = 5
     service: str | None = None
-    split: tuple[Split, ...] = ()
-    tries: int = Field(default=1, ge=0)
-    affine: bool = False
-    resumable: bool = False
-    gap_aim_ms: float = 0
+    split: tuple[WeightedService, ...] = ()
+    max_attempts: int = Field(default=1, ge=0, alias="tries")
+    has_affinity: bool = Field(default=False, alias="affine")
+    is_resumable: bool = Field(default=False, alias="resumable")
+    gap_target_ms: float = Field(default=0, alias="gap_aim_ms")
     home_regions: tuple[str, ...] = ()
 
     @property
-    def repeatable(self) -> bool:
+    def is_idempotent(self) -> bool:
         """Whether a request may run more than once."""
-        return self.kind == "idempotent" or (self.kind == "streaming" and self.resumable)
+        return self.kind == "idempotent" or (self.kind == "streaming" and self.is_resumable)
 
     @property
-    def shares(self) -> tuple[Split, ...]:
-        """Services and their shares; the single service has all."""
-        return self.split if self.service is None else (Split(service=self.service, gain=1.0),)
+    def weighted_services(self) -> tuple[WeightedService, ...]:
+        """Services and their weights; a single service has all requests."""
+        return self.split if self.service is None else (WeightedService(service=self.service, gain=1.0),)
 
 
-class Engine(_Part):
-    """What a model instance can hold."""
+class Engine(_Section):
+    """What a model instance has capacity for."""
 
     capacity: int = 1
     cache_tokens: int = 0
     stride: int = 1
 
 
-class Service(_Part):
+class Service(_Section):
     """One pool of instances, and how it may be used."""
 
     name: str
-    probe_path: str = "/"
-    conn_limit: int = Field(default=64, ge=1)
-    warmup_s: float = 0
-    cold_per_s: float = 0
+    health_check_path: str = Field(default="/", alias="probe_path")
+    connection_limit: int = Field(default=64, ge=1, alias="conn_limit")
+    warm_up_s: float = Field(default=0, alias="warmup_s")
+    warm_up_requests_per_s: float = Field(default=0, alias="cold_per_s")
     engine: Engine | None = None
 
 
-class Limits(_Part):
-    """Bounds on what clients may send, how long that may take, and how long they may rest."""
+class Limits(_Section):
+    """Bounds on what clients may send, how long that may take, and how long they may be idle."""
 
     header_bytes: int = 16384
     body_bytes: int = 4194304
@@ -80,7 +82,7 @@
     idle_ms: float = 15000
 
 
-class Configuration(_Part):
+class Configuration(_Section):
     """A whole configuration of one revision."""
 
     revision: int = Field(ge=1)
@@ -89,30 +91,38 @@
     limits: Limits = Limits()
 
 
-def _unique(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _reject_duplicate_keys(pairs: list[tuple[str, object]]) -> dict[str, object]:
     keys = dict(pairs)
     if len(keys) != len(pairs):
         raise InvalidConfigurationError("body", "a key stands twice in one object")
     return keys
 
 
-def load(body: bytes) -> Any:
-    """The JSON of a call of the operator; raises `InvalidConfigurationError`."""
+def load(body: bytes) -> object:
+    """Return the JSON of an operator's request.
+
+    Raises:
+        InvalidConfigurationError: The body can't be read, or an object has a key twice.
+    """
     try:
-        return json.loads(body, object_pairs_hook=_unique)
+        return json.loads(body, object_pairs_hook=_reject_duplicate_keys)
     except (ValueError, RecursionError) as error:
         raise InvalidConfigurationError("body", f"it can't be read whole: {error}") from error
 
 
 def invalid(error: ValidationError) -> InvalidConfigurationError:
-    """The first fault that pydantic found, with its key."""
+    """Return the first fault that pydantic found, with its key."""
     first = error.errors()[0]
-    key = ".".join(str(part) for part in first["loc"]) or "body"
+    key = ".".join(str(step) for step in first["loc"]) or "body"
     return InvalidConfigurationError(key, first["msg"])
 
 
 def read(body: bytes) -> Configuration:
-    """A configuration from the bytes sent, checked; raises `InvalidConfigurationError`."""
+    """Return a configuration from the bytes sent, validated.
+
+    Raises:
+        InvalidConfigurationError: It must not come into force; the error names the faulty key.
+    """
     try:
         configuration = Configuration.model_validate(load(body))
     except ValidationError as error:
@@ -122,7 +132,11 @@
 
 
 def read_checked(body: bytes) -> Configuration:
-    """A configuration that a controller has checked; raises `InvalidConfigurationError` where it is none."""
+    """Return a configuration that a controller has validated before.
+
+    Raises:
+        InvalidConfigurationError: It is no configuration.
+    """
     try:
         return Configuration.model_validate_json(body)
     except ValidationError as error:
@@ -130,20 +144,23 @@
 
 
 def _check(configuration: Configuration) -> None:
-    known = {service.name for service in configuration.services}
-    places: set[tuple[str, str]] = set()
-    for at, route in enumerate(configuration.routes):
-        key = f"routes.{at}"
-        place = (route.host.lower(), route.path_prefix)
-        if place in places:
-            raise InvalidConfigurationError(
-                key, f"host {place[0]} and prefix {place[1]} have a route already"
-            )
-        places.add(place)
-        if not route.shares:
-            raise InvalidConfigurationError(key, "it names no service")
-        for share in route.shares:
-            if share.service not in known:
-                raise InvalidConfigurationError(key, f"service {share.service} is unknown")
-        if sum(share.gain for share in route.shares) <= 0:
-            raise InvalidConfigurationError(key, "the weights of its services sum to 0")
+    """Check what concerns several parts: routes are distinct, their services exist."""
+    services = {service.name for service in configuration.services}
+    matches: set[tuple[str, str]] = set()
+    for position, route in enumerate(configuration.routes):
+        key = f"routes.{position}"
+        host, prefix = match = (route.host.lower(), route.path_prefix)
+        if match in matches:
+            raise InvalidConfigurationError(key, f"host {host} and prefix {prefix} have a route already")
+        matches.add(match)
+        _check_services(key, route, services)
+
+
+def _check_services(key: str, route: Route, services: set[str]) -> None:
+    if not route.weighted_services:
+        raise InvalidConfigurationError(key, "it names no service")
+    for weighted in route.weighted_services:
+        if weighted.service not in services:
+            raise InvalidConfigurationError(key, f"service {weighted.service} is unknown")
+    if sum(weighted.weight for weighted in route.weighted_services) <= 0:
+        raise InvalidConfigurationError(key, "the weights of its services sum to 0")
--- a/brambleusher/wire/configuration_patch.py
+++ b/brambleusher/wire/configuration_patch.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 import json
-from typing import Any
+from collections.abc import Collection
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
@@ -15,6 +15,8 @@
 
 SECTIONS = ("routes", "services")
 
+Item = dict[str, object]  # a route or a service, as it was sent
+
 
 class _Strict(BaseModel):
     model_config = ConfigDict(extra="forbid", frozen=True)
@@ -23,8 +25,12 @@
 class Upserts(_Strict):
     """Items to add, or to replace by `name`, by section."""
 
-    routes: tuple[dict[str, Any], ...] = ()
-    services: tuple[dict[str, Any], ...] = ()
+    routes: tuple[Item, ...] = ()
+    services: tuple[Item, ...] = ()
+
+    def of(self, section: str) -> tuple[Item, ...]:
+        """Return the items of a section."""
+        return self.routes if section == "routes" else self.services
 
 
 class Removals(_Strict):
@@ -33,6 +39,10 @@
     routes: tuple[str, ...] = ()
     services: tuple[str, ...] = ()
 
+    def of(self, section: str) -> tuple[str, ...]:
+        """Return the names of a section."""
+        return self.routes if section == "routes" else self.services
+
 
 class Patch(_Strict):
     """A change of named items that makes a configuration of a new revision."""
@@ -43,7 +53,11 @@
 
 
 def read(body: bytes) -> Patch:
-    """A patch from the bytes sent; raises `InvalidConfigurationError` that names what is wrong."""
+    """Return a patch from the bytes sent.
+
+    Raises:
+        InvalidConfigurationError: It is no patch; the error names the faulty key.
+    """
     try:
         patch = Patch.model_validate(configuration.load(body))
     except ValidationError as error:
@@ -54,28 +68,33 @@
 
 
 def _check_names(section: str, patch: Patch) -> None:
-    named: set[str] = set()
-    for at, item in enumerate(getattr(patch.upsert, section)):
+    """Check that each item has a name, and that no name occurs twice."""
+    names: set[str] = set()
+    for position, item in enumerate(patch.upsert.of(section)):
         name = item.get("name")
         if not isinstance(name, str) or not name:
-            raise InvalidConfigurationError(f"upsert.{section}.{at}.name", "it is missing or no text")
-        if name in named:
-            raise InvalidConfigurationError(f"upsert.{section}.{at}.name", f"{name} stands twice")
-        named.add(name)
-    for at, name in enumerate(getattr(patch.remove, section)):
-        if name in named:
-            raise InvalidConfigurationError(f"remove.{section}.{at}", f"{name} stands twice in the patch")
-        named.add(name)
+            raise InvalidConfigurationError(f"upsert.{section}.{position}.name", "it is missing or no text")
+        if name in names:
+            raise InvalidConfigurationError(f"upsert.{section}.{position}.name", f"{name} stands twice")
+        names.add(name)
+    for position, name in enumerate(patch.remove.of(section)):
+        if name in names:
+            raise InvalidConfigurationError(
+                f"remove.{section}.{position}", f"{name} stands twice in the patch"
+            )
+        names.add(name)
 
 
 def merge(body: bytes, patch: Patch) -> bytes:
-    """The whole configuration that a patch makes of another; raises `InvalidConfigurationError`."""
+    """Return the whole configuration that a patch makes of another.
+
+    Raises:
+        InvalidConfigurationError: A removed item does not exist, or the result is no valid configuration.
+    """
     merged = json.loads(body)
     for section in SECTIONS:
-        upserts = getattr(patch.upsert, section)
-        merged[section] = _merge_items(
-            section, merged.get(section, []), upserts, getattr(patch.remove, section)
-        )
+        items = merged.get(section, [])
+        merged[section] = _merge_items(section, items, patch.upsert.of(section), patch.remove.of(section))
     merged["revision"] = patch.revision
     result = json.dumps(merged, ensure_ascii=False, separators=(",", ":")).encode()
     configuration.read(result)
@@ -83,15 +102,15 @@
 
 
 def _merge_items(
-    section: str, items: list[dict[str, Any]], upserts: tuple[dict[str, Any], ...], removals: tuple[str, ...]
-) -> list[dict[str, Any]]:
-    """Items that stay keep their order, a replaced one its place; new ones follow."""
-    held = {item.get("name", "") for item in items}
-    for at, name in enumerate(removals):
-        if name not in held:
-            raise InvalidConfigurationError(f"remove.{section}.{at}", f"there is no {name}")
-    replacing = {item["name"]: item for item in upserts}
-    kept = [
-        replacing.get(item.get("name", ""), item) for item in items if item.get("name", "") not in removals
+    section: str, items: list[Item], upserts: Collection[Item], removals: Collection[str]
+) -> list[Item]:
+    """Return the items of a section: remaining ones in their order, replaced ones in place, then new ones."""
+    present = {item.get("name", "") for item in items}
+    for position, name in enumerate(removals):
+        if name not in present:
+            raise InvalidConfigurationError(f"remove.{section}.{position}", f"there is no {name}")
+    replacements = {item["name"]: item for item in upserts}
+    remaining = [
+        replacements.get(item.get("name", ""), item) for item in items if item.get("name", "") not in removals
     ]
-    return kept + [item for item in upserts if item["name"] not in held]
+    return remaining + [item for item in upserts if item["name"] not in present]
--- a/brambleusher/wire/packing.py
+++ b/brambleusher/wire/packing.py
@@ -12,21 +12,25 @@
 from brambleusher.wire.errors import InvalidMessageError
 
 UNPACKED_BYTES_MAX = 16 * 1024 * 1024
-LEVEL = 6
+COMPRESSION_LEVEL = 6
 
 
 def pack(data: bytes) -> str:
-    """Bytes as a short text."""
-    return base64.b85encode(zlib.compress(data, LEVEL)).decode()
+    """Return bytes as a short text."""
+    return base64.b85encode(zlib.compress(data, COMPRESSION_LEVEL)).decode()
 
 
 def unpack(text: str) -> bytes:
-    """The bytes that were packed; raises `InvalidMessageError` for what is none, or too large."""
+    """Return the bytes that were packed.
+
+    Raises:
+        InvalidMessageError: The text is no packed one, is truncated, or unpacks to too many bytes.
+    """
     try:
-        inflater = zlib.decompressobj()
-        data = inflater.decompress(base64.b85decode(text), UNPACKED_BYTES_MAX)
+        decompressor = zlib.decompressobj()
+        data = decompressor.decompress(base64.b85decode(text), UNPACKED_BYTES_MAX)
     except (ValueError, zlib.error) as error:
         raise InvalidMessageError(f"a packed text can't be read: {error}") from error
-    if inflater.unconsumed_tail or not inflater.eof:
-        raise InvalidMessageError("a packed text is too large, or cut short")
+    if decompressor.unconsumed_tail or not decompressor.eof:
+        raise InvalidMessageError(f"a packed text is truncated, or has over {UNPACKED_BYTES_MAX} bytes")
     return data
--- a/brambleusher/wire/policy.py
+++ b/brambleusher/wire/policy.py
@@ -1,6 +1,7 @@
 """The policy file of a gateway (TOML): one checked key for each mechanism that decides; all are optional.
 
 Keys exist so that each mechanism can be switched off by itself and measured.  In service all stay on.
+Aliases are the keys of the file; fields have the terms of the code.
 """
 
 from __future__ import annotations
@@ -13,37 +14,99 @@
 from brambleusher.wire.errors import InvalidPolicyError
 
 
-def _switch(meaning: str) -> bool:
-    """A key that is true unless the file says otherwise; pydantic replaces it by the key's value."""
-    field: bool = Field(default=True, description=meaning)
-    return field
-
-
 class Policy(BaseModel):
     """Which mechanisms act at a gateway."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, strict=True)
 
-    own_region_first: bool = _switch("instances of the gateway's own region are used first")
-    subset: bool = _switch("a gateway uses as few instances as the load allows, always the same")
-    prefix_keepers: bool = _switch("a large shared prefix has one instance that keeps it")
-    spare_weights: bool = _switch("weights go by spare capacity, else all begin alike")
-    latency_index: bool = _switch("weights are cut by latency over aim")
-    health: bool = _switch("weights are scaled by the share of attempts that were served")
-    silence: bool = _switch("one that is silent for most of an aim is passed over")
-    room_above_share: bool = _switch("one with more attempts than its share is passed over")
-    fleet_figures: bool = _switch("what other gateways saw of instances counts too")
-    reported_load: bool = _switch("the load that instances tell is believed, if it is fresh")
-    cold_budget: bool = _switch("sends to an instance that warms up are bounded")
-    retry_budget: bool = _switch("sends past the first of a request are bounded")
-    rest_after_failure: bool = _switch("an instance that takes no connection rests")
-    zone_rests: bool = _switch("a zone in which connections time out is tried last")
-    resume: bool = _switch("a resumable stream that broke off goes on at another instance")
-    idle_trust: bool = _switch("one lost idle connection speaks against the others")
+    prefers_own_region: bool = Field(
+        default=True,
+        alias="own_region_first",
+        description="instances of the gateway's own region are used first",
+    )
+    uses_subset: bool = Field(
+        default=True,
+        alias="subset",
+        description="a gateway uses as few instances as the load allows, always the same",
+    )
+    has_prefix_affinity: bool = Field(
+        default=True,
+        alias="prefix_keepers",
+        description="a large shared prefix has one instance that caches it",
+    )
+    weighs_by_spare_capacity: bool = Field(
+        default=True,
+        alias="spare_weights",
+        description="weights go by spare capacity, else all begin alike",
+    )
+    weighs_by_latency: bool = Field(
+        default=True,
+        alias="latency_index",
+        description="weights are cut by latency over its target",
+    )
+    weighs_by_health: bool = Field(
+        default=True,
+        alias="health",
+        description="weights are scaled by the fraction of attempts that were served",
+    )
+    skips_unresponsive: bool = Field(
+        default=True,
+        alias="silence",
+        description="one without a response for most of a latency target is passed over",
+    )
+    limits_to_share: bool = Field(
+        default=True,
+        alias="room_above_share",
+        description="one with more attempts than its share is passed over",
+    )
+    uses_fleet_metrics: bool = Field(
+        default=True,
+        alias="fleet_figures",
+        description="what other gateways observed of instances counts too",
+    )
+    uses_reported_load: bool = Field(
+        default=True,
+        alias="reported_load",
+        description="the load that instances report counts, if it is fresh",
+    )
+    limits_warm_up: bool = Field(
+        default=True,
+        alias="cold_budget",
+        description="attempts at an instance that warms up are bounded",
+    )
+    limits_retries: bool = Field(
+        default=True,
+        alias="retry_budget",
+        description="attempts past the first of a request are bounded",
+    )
+    backs_off_after_failure: bool = Field(
+        default=True,
+        alias="rest_after_failure",
+        description="an instance that accepts no connection is left alone for a backoff",
+    )
+    backs_off_from_zones: bool = Field(
+        default=True,
+        alias="zone_rests",
+        description="a zone in which connections time out is tried last",
+    )
+    resumes_streams: bool = Field(
+        default=True,
+        alias="resume",
+        description="a resumable stream that broke off goes on at another instance",
+    )
+    learns_idle_timeout: bool = Field(
+        default=True,
+        alias="idle_trust",
+        description="one lost idle connection shortens the time for which the others are kept",
+    )
 
 
 def read(path: str) -> Policy:
-    """The policy in a file; raises `InvalidPolicyError` that names file and key."""
+    """Return the policy in a file.
+
+    Raises:
+        InvalidPolicyError: It can't be used; the error names file and key.
+    """
     try:
         return Policy.model_validate(tomllib.loads(Path(path).read_text(encoding="utf-8")))
     except (OSError, UnicodeDecodeError) as error:
@@ -52,13 +115,24 @@
         raise InvalidPolicyError(path, "file", f"no TOML: {error}") from error
     except ValidationError as error:
         first = error.errors()[0]
-        key = ".".join(str(part) for part in first["loc"]) or "file"
+        key = ".".join(str(step) for step in first["loc"]) or "file"
         raise InvalidPolicyError(path, key, first["msg"]) from error
 
 
+def key_names() -> list[str]:
+    """Return the keys of the file."""
+    return [field.alias or name for name, field in Policy.model_fields.items()]
+
+
+def disabled_keys(policy: Policy) -> list[str]:
+    """Return the keys of the mechanisms that a policy switches off."""
+    values = policy.model_dump(by_alias=True)
+    return [key for key in key_names() if not values[key]]
+
+
 def described() -> list[tuple[str, str, str]]:
-    """Each key with its default, as TOML has it, and its meaning."""
+    """Return each key with its default, as TOML has it, and its meaning."""
     return [
-        (name, str(field.default).lower(), field.description or "")
-        for name, field in Policy.model_fields.items()
+        (key, str(field.default).lower(), field.description or "")
+        for key, field in zip(key_names(), Policy.model_fields.values(), strict=True)
     ]
--- a/brambleusher/wire/settings.py
+++ b/brambleusher/wire/settings.py
@@ -15,7 +15,7 @@
 
 
 class Bind(_Section):
-    """Addresses (`host:port`) to listen on; which are there goes by the role."""
+    """Addresses (`host:port`) to listen on; which are set goes by the role."""
 
     front: str = ""
     ready: str = ""
@@ -24,7 +24,7 @@
 
 
 class MachineLimits(_Section):
-    """What the machine has."""
+    """Resources of the machine."""
 
     memory_mb: int = 256
     fd_limit: int = 1024
@@ -38,7 +38,7 @@
 
 
 class Bounds(_Section):
-    """Figures of the rules in force; times in the unit of the name."""
+    """Values of the rules in force, under the keys of the settings file; times in the unit of the name."""
 
     ack_ms: float = 5000
     drain_ms: float = 4000
@@ -54,7 +54,7 @@
 
 
 class Platform(_Section):
-    """Where the list of instances is, and how often all processes together may ask."""
+    """Where the list of instances is, and how often all processes together may read it."""
 
     address: str = ""
     rate_per_s: float = 10
@@ -62,7 +62,7 @@
 
 
 class Settings(_Section):
-    """Everything that a process is told at its start."""
+    """All settings of a process."""
 
     node_name: str
     serves: tuple[str, ...] = ()
@@ -83,16 +83,20 @@
 
     @property
     def peer_address(self) -> str:
-        """Where this process takes messages of others (`host:port`)."""
+        """Where this process receives messages of others (`host:port`)."""
         return f"{self.ip}:{self.port_range[0]}"
 
     def seed_peers(self) -> tuple[str, ...]:
-        """The peer addresses of the seeds: their hosts, with the first port of the range."""
+        """Return the peer addresses of the seeds: their hosts, with the first port of the range."""
         return tuple(f"{seed.rpartition(':')[0]}:{self.port_range[0]}" for seed in self.seeds)
 
 
 def read(path: str) -> Settings:
-    """The settings in a file; raises `InvalidSettingsError` that names file and key."""
+    """Return the settings in a file.
+
+    Raises:
+        InvalidSettingsError: They can't be used; the error names file and key.
+    """
     try:
         return parse(Path(path).read_text(encoding="utf-8"), path)
     except (OSError, UnicodeDecodeError) as error:
@@ -100,12 +104,12 @@
 
 
 def parse(text: str, path: str) -> Settings:
-    """The settings in a text; `path` is for messages."""
+    """Return the settings in a text; `path` names the file in errors."""
     try:
         return Settings.model_validate(tomllib.loads(text))
     except tomllib.TOMLDecodeError as error:
         raise InvalidSettingsError(path, "file", f"no TOML: {error}") from error
     except ValidationError as error:
         first = error.errors()[0]
-        key = ".".join(str(part) for part in first["loc"]) or "file"
+        key = ".".join(str(step) for step in first["loc"]) or "file"
         raise InvalidSettingsError(path, key, f"{first['msg']}, not {first.get('input')!r}") from error
--- a/tests/system/test_policy.py
+++ b/tests/system/test_policy.py
@@ -54,7 +54,7 @@
 ) -> None:
     assert system_main.main(["policy"]) == 0
     listed = capsys.readouterr().out
-    assert set(tomllib.loads(listed)) == set(Policy.model_fields)
+    assert set(tomllib.loads(listed)) == set(policy.key_names())
     path = tmp_path / "policy.toml"
     path.write_text(listed)
     assert policy.read(str(path)) == Policy()
@@ -95,7 +95,7 @@
         assert sum(instances.admit(cold, 1.0) for _ in range(5)) == most
         cold.record_connect_failure(1.0)
         usable = {instance.id for instance in instances.usable(placement_request().route, "llm", 1.0)}
-        assert ("b" in usable) is not held.rest_after_failure
+        assert ("b" in usable) is not held.backs_off_after_failure
     rests = known(Policy(rest_after_failure=False), entry("a"))
     rests.for_service("llm")[0].record_connect_failure(1.0)
     assert rests.usable(placement_request().route, "llm", 1.0)
