--- a/brambleusher/controlplane/consensus/outputs.py
+++ b/brambleusher/controlplane/consensus/outputs.py
@@ -19,6 +19,14 @@
     LEADER = "leader"
 
 
+@dataclass(frozen=True, slots=True)
+class LogPosition:
+    """Where an entry is in the log; of another term at the same index, it was replaced."""
+
+    index: int
+    term: int
+
+
 @dataclass(frozen=True, slots=True)
 class Outgoing:
     """A message to a member, to be sent once the record numbered `after_record` is synced (0: at once)."""
--- a/brambleusher/controlplane/consensus/raft.py
+++ b/brambleusher/controlplane/consensus/raft.py
@@ -16,11 +16,18 @@
 from collections.abc import Callable, Mapping
 
 from brambleusher.controlplane.consensus.election import Election
+from brambleusher.controlplane.consensus.errors import InvariantViolationError
 from brambleusher.controlplane.consensus.follower import Follower
 from brambleusher.controlplane.consensus.leader_state import LeaderState
 from brambleusher.controlplane.consensus.leadership_transfer import LeadershipTransfer
 from brambleusher.controlplane.consensus.membership_change import MembershipChange
-from brambleusher.controlplane.consensus.outputs import ConsensusStatus, HardState, Output, Restore
+from brambleusher.controlplane.consensus.outputs import (
+    ConsensusStatus,
+    HardState,
+    LogPosition,
+    Output,
+    Restore,
+)
 from brambleusher.controlplane.consensus.reads import Reads
 from brambleusher.controlplane.consensus.replica_state import ReplicaState
 from brambleusher.controlplane.consensus.replicated_log import Log
@@ -192,14 +199,14 @@
         elif self._election.handle_timer():
             self._begin_term()
 
-    def propose(self, command: object) -> tuple[int, int] | None:
-        """Append a command; return its index and term, or None where this replica accepts none."""
+    def propose(self, command: object) -> LogPosition | None:
+        """Append a command; return where it is in the log, or None where this replica accepts none."""
         leading = self._leader_for_proposals()
         if leading is None:
             return None
         entry = self._append(leading, EntryKind.COMMAND, command)
         self._replication.broadcast(leading)
-        return entry.index, entry.term
+        return LogPosition(entry.index, entry.term)
 
     def read(self, done: Callable[[bool], None]) -> None:
         """Call `done(True)` once a quorum still follows and all committed before is applied here."""
@@ -297,7 +304,9 @@
         """Begin a term as its leader: its first entry lets it commit those of earlier terms."""
         leading = self.state.leader_state
         if leading is None:
-            raise AssertionError(f"{self.identity.id} begins term {self.term} without being its leader")
+            raise InvariantViolationError(
+                f"{self.identity.id} begins term {self.term} without being its leader"
+            )
         self._replication.track_members(leading)
         self._append(leading, EntryKind.NONE, None)
         self._replication.broadcast(leading)
--- a/brambleusher/controlplane/consensus/snapshots.py
+++ b/brambleusher/controlplane/consensus/snapshots.py
@@ -7,6 +7,7 @@
 
 from dataclasses import replace
 
+from brambleusher.controlplane.consensus.errors import InvariantViolationError
 from brambleusher.controlplane.consensus.outputs import Restore
 from brambleusher.controlplane.consensus.progress import FollowerProgress
 from brambleusher.controlplane.consensus.replica_state import ReplicaState
@@ -27,12 +28,16 @@
         Args:
             applied_index: The index up to which the state machine holds everything, and nothing beyond.
             machine_state: The state machine's state as JSON.
+
+        Raises:
+            InvariantViolationError: The index is not committed, or gone from the log.
         """
         state = self._state
         term = state.log.term_at(applied_index)
         if term is None or applied_index > state.commit_index:
-            raise AssertionError(
-                f"{applied_index} is no index of a state: {state.log.base_index}..{state.commit_index}"
+            raise InvariantViolationError(
+                f"no snapshot can be made at index {applied_index}: the log has "
+                f"{state.log.base_index}..{state.commit_index} committed"
             )
         return Restore(applied_index, term, state.log.members_at(applied_index), machine_state)
 
--- a/brambleusher/controlplane/replica.py
+++ b/brambleusher/controlplane/replica.py
@@ -226,11 +226,10 @@
         position = self.consensus.propose(command.as_json())
         if position is None:
             return None
-        index, term = position
-        pending = self._proposals.add(index, term)
+        pending = self._proposals.add(position.index, position.term)
         self._process_output()
         verdict = pending.wait(self._scheduler, deadline)
-        self._proposals.discard(index, pending)
+        self._proposals.discard(position.index, pending)
         return verdict
 
     def _forward_command(self, command: Command, deadline: float) -> Verdict | None:
--- a/tests/system/cluster.py
+++ b/tests/system/cluster.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from brambleusher.controlplane.consensus.outputs import HardState, Outgoing, Restore, Truncate
+from brambleusher.controlplane.consensus.outputs import HardState, LogPosition, Outgoing, Restore, Truncate
 from brambleusher.controlplane.consensus.raft import Consensus
 from brambleusher.controlplane.consensus.replicated_log import Log
 from brambleusher.wire import consensus_messages as wire
@@ -31,7 +31,7 @@
     return dict(snapshot.state)
 
 
-class Broken(AssertionError):
+class SafetyViolationError(AssertionError):
     """The checker found that a promise was broken."""
 
 
@@ -45,11 +45,11 @@
 
     def saw_applied(self, index: int, content: Any) -> None:
         if self.applied.setdefault(index, content) != content:
-            raise Broken(f"two contents at {index}")
+            raise SafetyViolationError(f"two contents at {index}")
 
     def saw_leader(self, term: int, name: str) -> None:
         if self.leaders.setdefault(term, name) != name:
-            raise Broken(f"two leaders in term {term}")
+            raise SafetyViolationError(f"two leaders in term {term}")
 
     def saw_acknowledged(self, index: int, content: Any) -> None:
         self.acknowledged[index] = content
@@ -58,7 +58,7 @@
         for state in states:
             for index, content in self.acknowledged.items():
                 if state.get(index) != content:
-                    raise Broken(f"what was acknowledged at {index} is lost")
+                    raise SafetyViolationError(f"what was acknowledged at {index} is lost")
 
 
 @dataclass
@@ -70,11 +70,11 @@
     records: list[Any] = field(default_factory=list)
     synced: int = 0
     applied: int = 0  # index up to which `state` holds everything
-    base: int = 0  # added to a place in `records` gives the number of the record
-    held: deque[Outgoing] = field(default_factory=deque)
+    base: int = 0  # added to a position in `records` gives the number of the record
+    unsent: deque[Outgoing] = field(default_factory=deque)
     state: dict[int, Any] = field(default_factory=dict)
     up: bool = True
-    founder: bool = True  # part of the first group, as its disk says
+    is_bootstrap_member: bool = True  # part of the first group, as its disk says
     slow_disk: bool = False
     frozen_until: int = 0  # the step at which it runs again
 
@@ -84,30 +84,34 @@
 
     make: type[Consensus] = Consensus
 
-    def __init__(self, names: Sequence[str], seed: int, founders: str | None = None) -> None:
+    def __init__(self, names: Sequence[str], seed: int, bootstrap_members: str | None = None) -> None:
         self.rng = random.Random(seed)
         self.now = 0.0
         self.checker = Checker()
         self.messages: list[tuple[str, str, wire.Message]] = []
-        self.later: list[tuple[int, tuple[str, str, wire.Message]]] = []
+        self.delayed: list[tuple[int, tuple[str, str, wire.Message]]] = []
         self.steps = 0
         self.sent = 0
         self.mutate: Callable[[int, str, str, wire.Message], str] = lambda *_: "deliver"
         self.delay_steps: Callable[[], int] = lambda: DELAY_STEPS
-        self.cut: set[frozenset[str]] = set()
-        self.founders = tuple(member(name) for name in founders or names)
+        self.partitioned: set[frozenset[str]] = set()
+        self.bootstrap_members = tuple(member(name) for name in bootstrap_members or names)
         self.nodes: dict[str, Node] = {}
         for name in names:
-            self.start(name, [] if name in (founders or names) else None)
+            self.start(name, [] if name in (bootstrap_members or names) else None)
 
     # --- nodes -----------------------------------------------------------------------------------
 
     def start(
-        self, name: str, records: list[Any] | None, identity: str = "", founder: bool | None = None
+        self,
+        name: str,
+        records: list[Any] | None,
+        identity: str = "",
+        is_bootstrap_member: bool | None = None,
     ) -> Node:
         """Start a replica from its durable records; None: an empty disk and no part in the first group."""
-        founder = records is not None if founder is None else founder
-        log = Log(0, 0, self.founders) if founder else Log()
+        is_bootstrap_member = records is not None if is_bootstrap_member is None else is_bootstrap_member
+        log = Log(0, 0, self.bootstrap_members) if is_bootstrap_member else Log()
         term, vote, state = 0, "", dict[int, Any]()
         for record in records or []:
             if isinstance(record, HardState):
@@ -122,9 +126,22 @@
         own = member(identity or name, voter=False)
         own = Member(own.id, f"at-{name}", own.admin_address, own.zone, False)
         consensus = self.make(
-            own, log, term, vote, self.now, random.Random(self.rng.random()), max(3, len(self.founders))
+            own,
+            log,
+            term,
+            vote,
+            self.now,
+            random.Random(self.rng.random()),
+            max(3, len(self.bootstrap_members)),
+        )
+        node = Node(
+            name,
+            consensus,
+            list(records or []),
+            len(records or []),
+            state=state,
+            is_bootstrap_member=is_bootstrap_member,
         )
-        node = Node(name, consensus, list(records or []), len(records or []), state=state, founder=founder)
         node.applied = log.base_index
         node.base = -len(node.records)  # record numbers begin anew
         self.nodes[name] = node
@@ -139,7 +156,7 @@
 
     def restart(self, name: str) -> None:
         node = self.nodes[name]
-        self.start(name, node.records, node.consensus.identity.id, node.founder)
+        self.start(name, node.records, node.consensus.identity.id, node.is_bootstrap_member)
 
     def wipe(self, name: str, identity: str) -> None:
         """Come back with an empty disk, under another identity."""
@@ -168,7 +185,7 @@
         """A little time passes: ticks, joins, syncs, and all messages that are due."""
         self.steps += 1
         self.now += STEP_S
-        self._deliver_held_back()
+        self._deliver_delayed()
         for node in list(self.nodes.values()):
             if node.up and node.frozen_until <= self.steps:
                 node.consensus.tick(self.now)
@@ -180,10 +197,10 @@
         for sender, to, message in queue:
             self.deliver(sender, to, message)
 
-    def _deliver_held_back(self) -> None:
+    def _deliver_delayed(self) -> None:
         """Ahead of the ticks: a replica that was frozen finds old messages before it looks at the clock."""
-        due = [message for at, message in self.later if at <= self.steps]
-        self.later = [(at, message) for at, message in self.later if at > self.steps]
+        due = [message for at, message in self.delayed if at <= self.steps]
+        self.delayed = [(at, message) for at, message in self.delayed if at > self.steps]
         for sender, to, message in due:
             self.deliver(sender, to, message)
 
@@ -196,10 +213,10 @@
 
     def deliver(self, sender: str, to: str, message: wire.Message) -> None:
         node = self.nodes.get(to)
-        if node is None or not node.up or frozenset((sender, to)) in self.cut:
+        if node is None or not node.up or frozenset((sender, to)) in self.partitioned:
             return
         if node.frozen_until > self.steps:
-            self.later.append((node.frozen_until, (sender, to, message)))
+            self.delayed.append((node.frozen_until, (sender, to, message)))
             return
         copy = wire.decode_message(wire.encode_message(message))
         node.consensus.handle_message(copy, self.now)
@@ -211,7 +228,7 @@
         if fate == "drop":
             return
         if fate in ("delay", "again"):
-            self.later.append((self.steps + self.delay_steps(), (sender, to, message)))
+            self.delayed.append((self.steps + self.delay_steps(), (sender, to, message)))
         if fate == "delay":
             return
         if fate == "first":
@@ -230,7 +247,7 @@
             self._apply(node, entry)
         for outgoing in output.messages:
             if self._waits(node, outgoing):
-                node.held.append(outgoing)
+                node.unsent.append(outgoing)
             else:
                 self._post(node, outgoing)
         if node.consensus.is_leader:
@@ -243,7 +260,7 @@
     def _apply(self, node: Node, entry: Entry) -> None:
         content = (entry.term, entry.kind.value, entry.data)
         if entry.index != node.applied + 1:
-            raise Broken(f"entry {entry.index} is applied after {node.applied}")
+            raise SafetyViolationError(f"entry {entry.index} is applied after {node.applied}")
         node.state[entry.index], node.applied = content, entry.index
         self.checker.saw_applied(entry.index, content)
 
@@ -268,8 +285,8 @@
         """All records handed out so far become durable."""
         node.synced = len(node.records)
         node.consensus.handle_records_synced(node.synced + node.base)
-        while node.held and not self._waits(node, node.held[0]):
-            self._post(node, node.held.popleft())
+        while node.unsent and not self._waits(node, node.unsent[0]):
+            self._post(node, node.unsent.popleft())
         self.pump(node)
 
     # --- what tests do ---------------------------------------------------------------------------
@@ -281,21 +298,21 @@
             self.step()
         return until()
 
-    def propose(self, content: Any) -> tuple[int, int] | None:
+    def propose(self, content: Any) -> LogPosition | None:
         """Have the leader propose; index and term, where there is one."""
         leader = self.leader()
         if leader is None:
             return None
-        place = leader.consensus.propose(content)
+        position = leader.consensus.propose(content)
         self.pump(leader)
-        return place
+        return position
 
     def commit(self, content: Any, steps: int = 600) -> bool:
         """Propose until it is applied at a leader that proposed it, as a caller that repeats itself would."""
         for _ in range(steps):
-            leader, place = self.leader(), self.propose(content)
-            if leader is not None and place is not None:
-                index, term = place
+            leader, position = self.leader(), self.propose(content)
+            if leader is not None and position is not None:
+                index, term = position.index, position.term
                 for _ in range(60):
                     self.step()
                     applied = leader.state.get(index)
@@ -309,7 +326,7 @@
             self.step()
         return False
 
-    def settle(self) -> bool:
+    def converges(self) -> bool:
         """Whether all live members come to hold the same."""
 
         def same() -> bool:
@@ -322,6 +339,6 @@
 
     def check(self) -> None:
         """Everything that was acknowledged is at every live replica."""
-        if not self.settle():
-            raise Broken("the replicas do not come to agree")
+        if not self.converges():
+            raise SafetyViolationError("the replicas do not come to agree")
         self.checker.check_end([node.state for node in self.nodes.values() if node.up])
--- a/tests/system/control_plane_faults.py
+++ b/tests/system/control_plane_faults.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from brambleusher.controlplane.storage import segments
-from tests.system.cluster import Broken
+from tests.system.cluster import SafetyViolationError
 from tests.system.memory_disk import MemoryDisk
 from tests.system.whole import SECOND, Reply, Whole, configuration, route
 
@@ -79,15 +79,15 @@
         """An order has a clear answer."""
         if order.method in CHANGES and order.status == 200:
             if order.content in self.refused:
-                raise Broken(f"revision {order.revision} is acknowledged after it was refused")
+                raise SafetyViolationError(f"revision {order.revision} is acknowledged after it was refused")
             if self.acknowledged.setdefault(order.revision, order.content) != order.content:
-                raise Broken(f"two changes are acknowledged as revision {order.revision}")
+                raise SafetyViolationError(f"two changes are acknowledged as revision {order.revision}")
             self.held[order.revision] = order.content
             self.newest = max(self.newest, order.revision)
             self.orders.append(order)
         elif order.method in CHANGES and order.status in FINAL:
             if self.acknowledged.get(order.revision) == order.content:
-                raise Broken(f"revision {order.revision} is refused after it was acknowledged")
+                raise SafetyViolationError(f"revision {order.revision} is refused after it was acknowledged")
             self.refused.add(order.content)
         elif order.method == "GET" and order.status == 200:
             self._read(order, newest_at_begin)
@@ -96,13 +96,13 @@
         content = content_of(order.answer)
         revision = self.sent.get(content)
         if revision is None:
-            raise Broken("what was read is nothing that was sent")
+            raise SafetyViolationError("what was read is nothing that was sent")
         if revision < newest_at_begin:
-            raise Broken(f"revision {revision} was read after {newest_at_begin}")
+            raise SafetyViolationError(f"revision {revision} was read after {newest_at_begin}")
         if content in self.refused:
-            raise Broken(f"revision {revision} is in force though it was refused")
+            raise SafetyViolationError(f"revision {revision} is in force though it was refused")
         if self.acknowledged.get(revision, content) != content:
-            raise Broken(f"revision {revision} has another content than what was acknowledged")
+            raise SafetyViolationError(f"revision {revision} has another content than what was acknowledged")
         self.held[revision] = content
         self.newest = max(self.newest, revision)
 
@@ -177,7 +177,7 @@
         if clear and not lost:
             order.status, order.answer = reply.status, reply.body
         elif reply.whole and reply.status == 404 and order.method == "GET" and not lost:
-            raise Broken("there is no configuration any more")
+            raise SafetyViolationError("there is no configuration any more")
         elif self.whole.now - order.begun_at > GIVE_UP_S:
             order.status = -1
         else:
@@ -242,7 +242,9 @@
             holds = zone in replica.state.evacuated_zones
             newest = replica.consensus.log.term_at(replica.consensus.commit_index) == replica.consensus.term
             if newest and holds is not self.evacuated[zone]:
-                raise Broken(f"zone {zone}: acknowledged {self.evacuated[zone]}, in force {holds}")
+                raise SafetyViolationError(
+                    f"zone {zone}: acknowledged {self.evacuated[zone]}, in force {holds}"
+                )
 
 
 class Day:
@@ -277,7 +279,7 @@
     # --- a day -----------------------------------------------------------------------------------
 
     def run(self, seconds: float = 45.0) -> None:
-        """Play it; raises `Broken`."""
+        """Play it; raises `SafetyViolationError`."""
         whole = self.whole
         body = configuration(1)
         history, content = self.operators.history, content_of(body)
@@ -315,7 +317,7 @@
         reads: list[Order] = []
         while not any(read.status == 200 for read in reads):
             if self.whole.now - back > RECOVERY_S + GIVE_UP_S:
-                raise Broken("nothing can be read after all is back")
+                raise SafetyViolationError("nothing can be read after all is back")
             if not reads or reads[-1].status:
                 reads.append(self.operators.begin(Order("GET", "/api/config")))
             self._step()
@@ -356,23 +358,23 @@
             if order.status == 200:
                 return
             if self.whole.now - begun > RECOVERY_S:
-                raise Broken("no order is taken after all is back")
+                raise SafetyViolationError("no order is taken after all is back")
 
     def _check_gateways(self) -> None:
         leader = self.whole.leader()
         if leader is None:
-            raise Broken("nobody leads in calm times")
+            raise SafetyViolationError("nobody leads in calm times")
         state = self.whole.controllers[leader].replica.state
         for name, gateway in self.whole.gateways.items():
             table = gateway.routes
             if table is None or table.revision != state.revision:
-                raise Broken(f"{name} has another configuration in calm times")
+                raise SafetyViolationError(f"{name} has another configuration in calm times")
             if gateway.instances.evacuated_zones != frozenset(state.evacuated_zones):
-                raise Broken(f"{name} has other zones evacuated in calm times")
+                raise SafetyViolationError(f"{name} has other zones evacuated in calm times")
         for name in self.names:
             other = self.whole.controllers[name].replica
             if other.state.index != state.index:
-                raise Broken(f"{name} has not caught up in calm times")
+                raise SafetyViolationError(f"{name} has not caught up in calm times")
 
     # --- disruptions -----------------------------------------------------------------------------
 
@@ -642,12 +644,12 @@
 
 
 def play(seed: int, cores: int = 3, tolerated: int = 1, zones: dict[str, str] | None = None) -> None:
-    """One day, every other one with short segments; raises `Broken` with what happened on it."""
+    """Play one day, every other one with short segments; raise `SafetyViolationError` with its history."""
     with short_segments(SHORT_SEGMENT if seed % 2 else segments.SEGMENT_BYTES):
         day = Day(seed, cores, tolerated, zones)
         try:
             day.run()
-        except Broken as error:
-            raise Broken(f"day {seed}: {error}\n" + "\n".join(day.log)) from error
+        except SafetyViolationError as error:
+            raise SafetyViolationError(f"day {seed}: {error}\n" + "\n".join(day.log)) from error
         finally:
             day.whole.close()
--- a/tests/system/exploration.py
+++ b/tests/system/exploration.py
@@ -1,4 +1,4 @@
-"""Days of faults for a replica group, drawn from a seed; what breaks a promise raises `Broken`."""
+"""Days of faults for a replica group, drawn from a seed; a broken rule raises `SafetyViolationError`."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from brambleusher.controlplane.consensus.raft import Consensus
 from brambleusher.wire import consensus_messages as wire
-from tests.system.cluster import Broken, Cluster, Node
+from tests.system.cluster import Cluster, Node, SafetyViolationError
 
 MUTATIONS = ("drop", "double", "delay", "first")
 SNAPSHOT_FATES = ("deliver", "delay", "again")  # large messages wait longest, and in more than one connection
@@ -37,7 +37,7 @@
         cluster, rng = self.cluster, self.rng
         down = [node.name for node in cluster.nodes.values() if not node.up]
         if roll < 0.02:
-            cluster.cut = {frozenset(rng.sample(self.names, 2)) for _ in range(rng.randrange(3))}
+            cluster.partitioned = {frozenset(rng.sample(self.names, 2)) for _ in range(rng.randrange(3))}
         elif roll < 0.04 and not down:
             cluster.crash(rng.choice(self.names))
         elif roll < 0.09 and down:
@@ -61,10 +61,10 @@
         for node in self.cluster.nodes.values():
             if node.up and node.consensus.is_leader:
                 content = self.cluster.steps
-                place = node.consensus.propose(content)
+                position = node.consensus.propose(content)
                 self.cluster.pump(node)
-                if place is not None:
-                    self.pending.append((node.name, *place, content))
+                if position is not None:
+                    self.pending.append((node.name, position.index, position.term, content))
 
     def acknowledge(self) -> None:
         """Callers that wait where their command is applied are told."""
@@ -176,7 +176,7 @@
     def end(self) -> None:
         """All faults are over: everything acknowledged has to be everywhere."""
         cluster = self.cluster
-        cluster.cut = set()
+        cluster.partitioned = set()
         cluster.mutate = lambda *_: "deliver"
         for node in list(cluster.nodes.values()):
             node.slow_disk = False
@@ -219,4 +219,4 @@
     day.end()
 
 
-__all__ = ["MUTATIONS", "Broken", "Day", "explore"]
+__all__ = ["MUTATIONS", "Day", "SafetyViolationError", "explore"]
--- a/tests/system/memory_disk.py
+++ b/tests/system/memory_disk.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 
-class PowerLost(BaseException):
+class PowerLossError(BaseException):
     """Raised out of a disk call at which the machine lost power."""
 
 
@@ -96,7 +96,7 @@
         tail = bytes(file.data[len(durable) :])
         if not tail:
             return durable
-        kind = rng.choice(("lost", "torn", "whole", "hole"))
+        kind = rng.choice(("lost", "torn", "complete", "hole"))
         if kind == "lost":
             return durable
         if kind == "torn":
--- a/tests/system/test_consensus.py
+++ b/tests/system/test_consensus.py
@@ -20,7 +20,7 @@
 from brambleusher.wire import consensus_messages as wire
 from brambleusher.wire.consensus_messages import EntryKind
 from brambleusher.wire.errors import InvalidMessageError
-from tests.system.cluster import Broken, Cluster, member
+from tests.system.cluster import Cluster, SafetyViolationError, member
 from tests.system.exploration import MUTATIONS, explore
 from tests.system.faulty_parts import installed
 
@@ -206,7 +206,7 @@
         try:
             with installed(fault):
                 explore(Consensus, seed)
-        except (Broken, AssertionError, KeyError, IndexError):
+        except (SafetyViolationError, AssertionError, KeyError, IndexError):
             return
     pytest.fail("no day of faults found it")
 
@@ -258,7 +258,7 @@
     cluster.start(one, [])  # an empty disk, and the identity of the old one
     cluster.restart(two)
     assert cluster.run(lambda: cluster.leader() is not None)
-    with pytest.raises(Broken):
+    with pytest.raises(SafetyViolationError):
         cluster.check()
 
 
@@ -281,7 +281,7 @@
     leader = cluster.leader()
     assert leader is not None
     answers: list[bool] = []
-    cluster.cut = {frozenset((leader.name, other)) for other in "abc" if other != leader.name}
+    cluster.partitioned = {frozenset((leader.name, other)) for other in "abc" if other != leader.name}
     leader.consensus.read(answers.append)
     cluster.pump(leader)
     for _ in range(100):
@@ -311,11 +311,11 @@
     leader = cluster.leader()
     assert leader is not None
     other = next(name for name in "abc" if name != leader.name)
-    cluster.cut = {frozenset((other, name)) for name in "abc" if name != other}
+    cluster.partitioned = {frozenset((other, name)) for name in "abc" if name != other}
     for _ in range(200):
         cluster.step()
     term = leader.consensus.term
-    cluster.cut = set()
+    cluster.partitioned = set()
     for _ in range(100):
         cluster.step()
     assert leader.consensus.is_leader
--- a/tests/system/test_consensus_losses.py
+++ b/tests/system/test_consensus_losses.py
@@ -27,11 +27,11 @@
 from brambleusher.controlplane.consensus.snapshots import Snapshots
 from brambleusher.wire import consensus_messages as wire
 from brambleusher.wire.consensus_messages import Entry, EntryKind, Member
-from tests.system.cluster import Broken, Cluster, member
+from tests.system.cluster import Cluster, SafetyViolationError, member
 from tests.system.exploration import explore
 from tests.system.faulty_parts import installed
 
-FOUNDERS = tuple(member(name) for name in "abc")
+BOOTSTRAP_MEMBERS = tuple(member(name) for name in "abc")
 
 
 @pytest.mark.parametrize("block", range(6))
@@ -49,7 +49,7 @@
 
 
 def test_days_with_losses_find_that_a_snapshot_is_ignored() -> None:
-    with installed(SnapshotIsIgnored), pytest.raises(Broken):
+    with installed(SnapshotIsIgnored), pytest.raises(SafetyViolationError):
         for seed in range(20):
             explore(Consensus, seed, losses=True)
 
@@ -75,12 +75,12 @@
 
 def follower_with_a_late_snapshot(make: type[Consensus]) -> tuple[Consensus, list[wire.Message], list[Entry]]:
     """It holds and has confirmed 22 entries, knows 14 as committed, and gets a snapshot up to 15."""
-    log = Log(0, 0, FOUNDERS)
+    log = Log(0, 0, BOOTSTRAP_MEMBERS)
     follower = make(member("b", voter=False), log, 1, "", 0.0, random.Random(1))
     follower.handle_message(wire.AppendEntries(1, "a", 0, 0, entries(1, 22), 14, 7), 0.1)
     follower.handle_records_synced(len(follower.take_output().records))
     state = {"applied": 15}
-    follower.handle_message(wire.InstallSnapshot(1, "a", 15, 1, list(FOUNDERS), state, 5), 0.2)
+    follower.handle_message(wire.InstallSnapshot(1, "a", 15, 1, list(BOOTSTRAP_MEMBERS), state, 5), 0.2)
     output = follower.take_output()
     assert not any(out.after_record for out in output.messages)
     return follower, [out.message for out in output.messages], output.committed
@@ -94,11 +94,11 @@
 
 
 def test_with_the_whole_log_replaced_what_was_confirmed_is_gone() -> None:
-    log = Log(0, 0, FOUNDERS)
+    log = Log(0, 0, BOOTSTRAP_MEMBERS)
     with installed(SnapshotReplacesEverything):
         follower = Consensus(member("b", voter=False), log, 1, "", 0.0, random.Random(1))
     follower.handle_message(wire.AppendEntries(1, "a", 0, 0, entries(1, 22), 14, 7), 0.1)
-    follower.handle_message(wire.InstallSnapshot(1, "a", 15, 1, list(FOUNDERS), {}, 5), 0.2)
+    follower.handle_message(wire.InstallSnapshot(1, "a", 15, 1, list(BOOTSTRAP_MEMBERS), {}, 5), 0.2)
     assert follower.log.last_index == 15
 
 
@@ -121,14 +121,14 @@
     late.applied -= 1
     del late.state[late.applied + 1]
     cluster.mutate = lambda number, sender, to, message: "drop" if to == other.name else "deliver"
-    place = cluster.propose("confirmed")
-    assert place is not None
+    position = cluster.propose("confirmed")
+    assert position is not None
     cluster.step()
     cluster.step()
     cluster.deliver(leader.name, late.name, snapshot)
     cluster.mutate = lambda *_: "deliver"
-    assert cluster.run(lambda: place[0] in leader.state, steps=60)
-    cluster.checker.saw_acknowledged(place[0], leader.state[place[0]])
+    assert cluster.run(lambda: position.index in leader.state, steps=60)
+    cluster.checker.saw_acknowledged(position.index, leader.state[position.index])
     cluster.crash(leader.name)
     return cluster
 
@@ -199,9 +199,9 @@
 
 def test_a_lost_disk_counts_for_nothing_while_members_change() -> None:
     """A quorum of the members before the change need not meet one of those after it without the lost one."""
-    log = Log(0, 0, FOUNDERS)
+    log = Log(0, 0, BOOTSTRAP_MEMBERS)
     replica = Consensus(member("a", voter=False), log, 1, "", 0.0, random.Random(1))
-    four = [each.as_json() for each in (*FOUNDERS, member("d"))]
+    four = [each.as_json() for each in (*BOOTSTRAP_MEMBERS, member("d"))]
     replica.handle_message(
         wire.AppendEntries(1, "c", 0, 0, [Entry(1, 1, EntryKind.MEMBERS, four)], 0, 1), 0.0
     )
@@ -231,7 +231,7 @@
 
 
 def test_a_repeated_request_from_the_address_of_a_silent_member_proves_that_its_disk_is_lost() -> None:
-    members = FOUNDERS
+    members = BOOTSTRAP_MEMBERS
     empty = replace(member("b2", voter=False), address="at-b")
     requests = MembershipRequests("a")
     requests.record_join(empty, 1.0)
@@ -249,9 +249,9 @@
     requests.record_join(member("z", voter=False), 0.0)
     requests.record_shutdown("b", 0.0)
     assert requests.members_shutting_down() == {"b"}
-    requests.expire(FOUNDERS, 10.0)
+    requests.expire(BOOTSTRAP_MEMBERS, 10.0)
     assert requests.members_shutting_down() == set()
-    assert requests.admissible(FOUNDERS, 10.0) == []
+    assert requests.admissible(BOOTSTRAP_MEMBERS, 10.0) == []
 
 
 # --- votes of replicas that do not know of them --------------------------------------------------
@@ -282,7 +282,10 @@
     """Of the voters a, b and c the first is gone; d is a learner; each holds two entries and its own end."""
     cluster = Cluster("abc", seed=4)
     cluster.make = make
-    common = [Entry(1, 1, EntryKind.NONE, None), members_entry(2, 1, *FOUNDERS, member("d", voter=False))]
+    common = [
+        Entry(1, 1, EntryKind.NONE, None),
+        members_entry(2, 1, *BOOTSTRAP_MEMBERS, member("d", voter=False)),
+    ]
     for name in "bcd":
         records: list[Record] = [HardState(3, ""), *common, *ends[name]]
         cluster.start(name, records)
@@ -291,7 +294,7 @@
 
 
 def test_a_replica_votes_that_does_not_know_yet_that_it_may() -> None:
-    four = members_entry(3, 2, *FOUNDERS, member("d"))
+    four = members_entry(3, 2, *BOOTSTRAP_MEMBERS, member("d"))
     ends: dict[str, list[Entry]] = {"b": [four], "c": [], "d": []}
     assert group_without_its_leader(Consensus, ends).commit("after")
     with installed(OnlyMembersVote):
@@ -300,7 +303,7 @@
 
 def test_a_replica_without_a_vote_leads_where_the_others_lack_what_it_holds() -> None:
     """b wants the vote of d, which denies it, since it holds the entries of a later leader."""
-    four = members_entry(3, 2, *FOUNDERS, member("d"))
+    four = members_entry(3, 2, *BOOTSTRAP_MEMBERS, member("d"))
     later = [Entry(3, 3, EntryKind.NONE, None), Entry(4, 3, EntryKind.COMMAND, "of the later leader")]
     ends: dict[str, list[Entry]] = {"b": [four], "c": [], "d": later}
     cluster = group_without_its_leader(Consensus, ends)
@@ -376,11 +379,13 @@
     first = cluster.leader()
     assert first is not None
     one, behind = (name for name in "abc" if name != first.name)
-    cluster.cut = {frozenset((behind, name)) for name in "abcd"} | {frozenset(("d", name)) for name in "abc"}
+    cluster.partitioned = {frozenset((behind, name)) for name in "abcd"} | {
+        frozenset(("d", name)) for name in "abc"
+    }
     assert cluster.commit("on two of three")
     first.consensus.begin_graceful_shutdown()
     cluster.wipe(one, "again")
-    cluster.cut = set()
+    cluster.partitioned = set()
     assert cluster.commit("after")
     cluster.check()
 
@@ -390,7 +395,7 @@
 
 def test_a_message_and_what_is_not_confirmed_are_bounded_in_bytes() -> None:
     """64 configurations of 35 kB ahead of a heartbeat would hold a small link for seconds."""
-    log = Log(0, 0, FOUNDERS)
+    log = Log(0, 0, BOOTSTRAP_MEMBERS)
     for index in range(1, 65):
         log.append(Entry(index, 1, EntryKind.COMMAND, {"packed": "x" * 35_000}))
     replication = ReplicationProgress({"b": FollowerProgress(next_index=1)})
@@ -408,7 +413,7 @@
 
 def test_what_a_member_may_have_got_from_others_does_not_count_as_sent() -> None:
     """A new leader knows nothing confirmed yet; its first entry must not wait for an answer."""
-    log = Log(0, 0, FOUNDERS)
+    log = Log(0, 0, BOOTSTRAP_MEMBERS)
     for index in range(1, 66):
         log.append(Entry(index, 1, EntryKind.COMMAND, {"packed": "x" * 35_000}))
     replication = ReplicationProgress({"b": FollowerProgress(next_index=65)})
@@ -419,7 +424,7 @@
 
 
 def test_an_entry_over_the_bound_goes_alone() -> None:
-    log = Log(0, 0, FOUNDERS)
+    log = Log(0, 0, BOOTSTRAP_MEMBERS)
     for index in (1, 2):
         log.append(Entry(index, 1, EntryKind.COMMAND, {"packed": "x" * (MESSAGE_BYTES * 3)}))
     replication = ReplicationProgress({"b": FollowerProgress(next_index=1)})
--- a/tests/system/test_fault_days_find_faults.py
+++ b/tests/system/test_fault_days_find_faults.py
@@ -19,7 +19,7 @@
 from brambleusher.controlplane.configuration.state_machine import SharedState
 from brambleusher.controlplane.replica import Replica
 from brambleusher.runtime.http_server import HttpRequest, HttpResponse
-from tests.system.cluster import Broken
+from tests.system.cluster import SafetyViolationError
 from tests.system.control_plane_faults import play
 
 Patch = pytest.MonkeyPatch
@@ -114,7 +114,7 @@
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: fault.__name__)
 def test_days_of_faults_find_it(fault: Callable[[Patch], None], monkeypatch: Patch) -> None:
     fault(monkeypatch)
-    with pytest.raises((Broken, AssertionError)):
+    with pytest.raises((SafetyViolationError, AssertionError)):
         first = FIRST_DAY.get(fault, 0)
         for seed in range(first, first + DAYS):
             play(seed)
--- a/tests/system/test_storage.py
+++ b/tests/system/test_storage.py
@@ -10,7 +10,7 @@
 from brambleusher.controlplane.storage.errors import CorruptStorageError
 from brambleusher.controlplane.storage.storage import Storage, inspect, read_only
 from brambleusher.wire.consensus_messages import Entry, EntryKind, Member
-from tests.system.memory_disk import MemoryDisk, PowerLost
+from tests.system.memory_disk import MemoryDisk, PowerLossError
 
 MEMBERS = tuple(Member(name, f"10.0.0.{at}:1", f"10.0.0.{at}:2", "z", True) for at, name in enumerate("abc"))
 
@@ -137,10 +137,10 @@
 
     def lose(change: int, what: str) -> None:
         if change == at:
-            raise PowerLost
+            raise PowerLossError
 
     disk.before = lose
-    with pytest.raises(PowerLost):
+    with pytest.raises(PowerLossError):
         play(disk, acknowledged)
     disk.before = None
 
