--- a/brambleusher/dataplane/instance_table.py
+++ b/brambleusher/dataplane/instance_table.py
@@ -120,11 +120,11 @@
     # --- weights ----------------------------------------------------------------------------------
 
     def _update_weights(self) -> None:
-        for service, instances in self._by_service.items():
+        for service in self._by_service:
             weights = self.weights.get(service)
             if weights is None:
                 weights = self.weights[service] = InstanceWeights(self._rng, self._mechanisms())
-            weights.set_instances({each.id: each.capacity for each in instances if self._is_in_service(each)})
+            weights.set_instances({each.id: each.capacity for each in self._in_service(service)})
 
     def _mechanisms(self) -> Mechanisms:
         policy = self._policy
@@ -166,17 +166,20 @@
 
     # --- which may be used ------------------------------------------------------------------------
 
-    def _is_in_service(self, instance: Instance) -> bool:
-        return instance.status is InstanceStatus.READY and instance.zone not in self.evacuated_zones
+    def _in_service(self, service: str) -> list[Instance]:
+        return [
+            instance
+            for instance in self.for_service(service)
+            if instance.status is InstanceStatus.READY and instance.zone not in self.evacuated_zones
+        ]
 
     def usable(self, route: Route, service: str, now_s: float) -> list[Instance]:
         """Return the instances that a request of a route may be sent to."""
         homes = route.home_regions
         return [
             instance
-            for instance in self.for_service(service)
-            if self._is_in_service(instance)
-            and (not homes or instance.region in homes)
+            for instance in self._in_service(service)
+            if (not homes or instance.region in homes)
             and (instance.backoff_until_s <= now_s or not self._policy.backs_off_after_failure)
         ]
 
