--- a/brambleusher/controller/app.py
+++ b/brambleusher/controller/app.py
@@ -2,12 +2,11 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 from brambleusher.controller.messages import MessageKind
 from brambleusher.controller.peer_directory import CONTROLLER_ROLE, GATEWAY_ROLE, PeerDirectory
 from brambleusher.controller.process import ControlPlaneProcess
 from brambleusher.controlplane.configuration.admin_api import AdminApi
+from brambleusher.controlplane.configuration.long_poll_messages import LONG_POLL
 from brambleusher.controlplane.configuration.publisher import ConfigurationPublisher
 from brambleusher.controlplane.registry import resolver
 from brambleusher.controlplane.registry.instance_list import InstanceListReader
@@ -94,10 +93,10 @@
 
     # --- messages ---------------------------------------------------------------------------------
 
-    def handle_message(self, message: dict[str, Any]) -> dict[str, Any] | None:
+    def handle_message(self, message: dict[str, object]) -> dict[str, object] | None:
         """Return the reply to a message of another process, None where it has none."""
         kind = message.get("kind")
-        if kind == MessageKind.LONG_POLL and self._publisher is not None:
+        if kind == LONG_POLL and self._publisher is not None:
             return self._publisher.handle_long_poll(message)
         if kind == RELAY:
             return self._relay.handle(message)
@@ -114,7 +113,7 @@
             self.replica.handle(message, sender)
         return None
 
-    def _send(self, address: str, message: dict[str, Any]) -> None:
+    def _send(self, address: str, message: dict[str, object]) -> None:
         self._senders.send(address, {"from": self.settings.peer_address, **message})
 
     def _notify_gateways(self) -> None:
--- a/brambleusher/controller/messages.py
+++ b/brambleusher/controller/messages.py
@@ -8,6 +8,5 @@
 class MessageKind(StrEnum):
     """The value of `kind` in a message."""
 
-    LONG_POLL = "watch"  # a gateway asks for configuration updates
     INSTANCE_LIST = "instances"  # a controller's reading of the platform's list
     SHUFFLE = "shuffle"  # a sample of a partial view
--- a/brambleusher/controller/observer.py
+++ b/brambleusher/controller/observer.py
@@ -6,12 +6,10 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 from brambleusher.controller.gateway_lookup import GatewayLookup
-from brambleusher.controller.messages import MessageKind
 from brambleusher.controller.process import ControlPlaneProcess
 from brambleusher.controlplane.configuration.admin_api import AdminApi
+from brambleusher.controlplane.configuration.long_poll_messages import LONG_POLL
 from brambleusher.controlplane.relay.client import RelayClient, RemoteState
 from brambleusher.controlplane.relay.messages import CONTROLLERS_ANNOUNCEMENT, RELAY
 from brambleusher.membership.controllers import Controllers, Locality, controllers_from_json
@@ -51,14 +49,14 @@
 
     # --- messages ---------------------------------------------------------------------------------
 
-    def handle_message(self, message: dict[str, Any]) -> dict[str, Any] | None:
+    def handle_message(self, message: dict[str, object]) -> dict[str, object] | None:
         """Return the reply to a message, None where it has none.
 
         It comes from a gateway, an observer or a controller that has this process among its seeds and
         knows nobody else.
         """
         kind = message.get("kind")
-        if kind in (MessageKind.LONG_POLL, RELAY):
+        if kind in (LONG_POLL, RELAY):
             return {"observer": True, "answer": None, "controllers": self.controllers.announced_as_json()}
         if kind == CONTROLLERS_ANNOUNCEMENT:
             self.controllers.set_announced(controllers_from_json(message.get("controllers")))
@@ -67,7 +65,7 @@
             self._forward({**message, "passed": True})
         return None
 
-    def _forward(self, message: dict[str, Any]) -> None:
+    def _forward(self, message: dict[str, object]) -> None:
         """Send a message to all controllers; it is marked, so that no observer forwards it again."""
         addresses = self.controllers.announced_addresses()
         self._senders.close_except(addresses)
--- a/brambleusher/controller/peer_senders.py
+++ b/brambleusher/controller/peer_senders.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from collections.abc import Collection
-from typing import Any
 
 from brambleusher.membership.line_connection import LineSender
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.streams import parse_address
+from brambleusher.wire.json_fields import JsonObject
 
 SENDERS_MAX = 64
 
@@ -19,7 +19,7 @@
         self._scheduler = scheduler
         self._senders: dict[str, LineSender] = {}
 
-    def send(self, address: str, message: dict[str, Any]) -> None:
+    def send(self, address: str, message: JsonObject) -> None:
         """Queue a message; beyond `SENDERS_MAX` the oldest connection is closed for a new one."""
         sender = self._senders.get(address)
         if sender is None:
--- a/brambleusher/controller/process.py
+++ b/brambleusher/controller/process.py
@@ -5,7 +5,7 @@
 import logging
 import random
 from abc import ABC, abstractmethod
-from typing import Any, ClassVar
+from typing import ClassVar
 
 from brambleusher.controller.peer_senders import PeerSenders
 from brambleusher.controlplane.admin_listeners import AdminListeners
@@ -83,7 +83,7 @@
     # --- callers ----------------------------------------------------------------------------------
 
     @abstractmethod
-    def handle_message(self, message: dict[str, Any]) -> dict[str, Any] | None:
+    def handle_message(self, message: dict[str, object]) -> dict[str, object] | None:
         """Return the reply to a message of another process, None where it has none.
 
         Raises:
--- a/brambleusher/dataplane/configuration_client.py
+++ b/brambleusher/dataplane/configuration_client.py
@@ -5,17 +5,16 @@
 import logging
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any
 
-from brambleusher.dataplane.configuration_messages import (
+from brambleusher.dataplane.instance import Instance
+from brambleusher.dataplane.instance_table import InstanceTable
+from brambleusher.dataplane.long_poll_messages import (
     NO_LIST,
-    ConfigurationUpdate,
-    FleetMetrics,
     ListVersion,
+    LoadReport,
     LongPollRequest,
+    LongPollResponse,
 )
-from brambleusher.dataplane.instance import Instance
-from brambleusher.dataplane.instance_table import InstanceTable
 from brambleusher.dataplane.routing import RouteTable
 from brambleusher.membership.controllers import Controllers, controllers_from_json
 from brambleusher.membership.line_connection import LineClient
@@ -24,6 +23,7 @@
 from brambleusher.runtime.streams import parse_address
 from brambleusher.wire import configuration
 from brambleusher.wire.errors import InvalidConfigurationError, InvalidMessageError
+from brambleusher.wire.json_fields import JsonObject
 from brambleusher.wire.packing import unpack
 
 log = logging.getLogger(__name__)
@@ -34,7 +34,7 @@
 BRIEF_WAIT_S = 0.25  # for an update to come from the other controller before it is asked for twice
 LIST_LAG_S = 1.0  # behind another controller's reading: then that one is worth having
 LIST_STALE_S = 3.2  # a controller whose reading of the list is older is left for another
-METRICS_INTERVAL_S = 0.8  # at which metrics of instances are exchanged with the other gateways
+REPORT_INTERVAL_S = 0.8  # at which load reports are exchanged with the other gateways
 QUORUM_WAIT_S = 2.0  # after the start, for a controller with a majority, before another's state is applied
 COUNT_WINDOW_S = 30.0  # the largest count of gateways within this time shares the budgets
 COUNT_SAMPLE_S = 1.0
@@ -80,7 +80,7 @@
         self._instances, self._describe_self, self._on_unusable = instances, describe_self, on_unusable
         self.state_index = -1  # of the last applied command
         self.routes: RouteTable | None = None
-        self._metrics_due_s = 0.0
+        self._report_due_s = 0.0
         self._started_at_s = scheduler.now()
         self._gateway_count = GatewayCount()
         for poller in range(POLLERS):
@@ -110,17 +110,17 @@
                 if answer.get("observer"):
                     self._record_observer(address, answer)
                     return False
-                update = ConfigurationUpdate.from_json(answer)
-                confirms_list = state.is_primary and update.list_version == state.list_version
-                self._apply(update, confirms_list)
-                if not state.is_primary and state.is_brief and self._is_behind(update):
+                response = LongPollResponse.from_json(answer)
+                confirms_list = state.is_primary and response.list_version == state.list_version
+                self._apply(response, confirms_list)
+                if not state.is_primary and state.is_brief and self._is_behind(response):
                     # The other controller should bring it; if it does not, this one is asked for its content.
                     self._scheduler.sleep(BRIEF_WAIT_S)
-                    state.is_brief = not self._is_behind(update)
+                    state.is_brief = not self._is_behind(response)
                     continue
                 state.is_brief = True
-                state.list_version = update.list_version
-                if not self._is_useful(update):
+                state.list_version = response.list_version
+                if not self._is_useful(response):
                     return False
                 self._controllers.record_success(address)
                 if self._controllers.is_nearer_available(poller, address, self._scheduler.now()):
@@ -135,70 +135,74 @@
         state.is_primary = is_primary
         gateway = self._describe_self()
         if is_primary:
-            return LongPollRequest(gateway, self.state_index, state.list_version, metrics=self._due_metrics())
+            return LongPollRequest(
+                gateway, self.state_index, state.list_version, load_report=self._due_load_report()
+            )
         list_version = state.list_version if state.is_brief else NO_LIST
-        return LongPollRequest(gateway, self.state_index, list_version, brief=state.is_brief)
+        return LongPollRequest(gateway, self.state_index, list_version, is_brief=state.is_brief)
 
-    def _due_metrics(self) -> FleetMetrics | None:
-        if self._scheduler.now() < self._metrics_due_s:
+    def _due_load_report(self) -> LoadReport | None:
+        if self._scheduler.now() < self._report_due_s:
             return None
-        self._metrics_due_s = self._scheduler.now() + METRICS_INTERVAL_S
-        return self._instances.metrics_report()
+        self._report_due_s = self._scheduler.now() + REPORT_INTERVAL_S
+        return self._instances.load_report()
 
-    def _record_observer(self, address: str, answer: dict[str, Any]) -> None:
+    def _record_observer(self, address: str, answer: JsonObject) -> None:
         self._controllers.mark_observer(address, controllers_from_json(answer.get("controllers")))
 
-    def _is_behind(self, update: ConfigurationUpdate) -> bool:
+    def _is_behind(self, response: LongPollResponse) -> bool:
         """Whether a controller that answered briefly has what this gateway still lacks."""
         has_newer_list = False
-        if update.list_age_s is not None:
-            read_at_s = self._scheduler.now() - update.list_age_s
+        if response.list_age_s is not None:
+            read_at_s = self._scheduler.now() - response.list_age_s
             has_newer_list = read_at_s > self._instances.list_read_at_s + LIST_LAG_S
-        return update.state_index > self.state_index or has_newer_list
+        return response.state_index > self.state_index or has_newer_list
 
-    def _is_useful(self, update: ConfigurationUpdate) -> bool:
+    def _is_useful(self, response: LongPollResponse) -> bool:
         """Whether a controller is in contact with a majority and its list is fresh."""
-        age_s = update.list_age_s
+        age_s = response.list_age_s
         has_fresh_list = not self._instances.has_list or (age_s is not None and age_s < LIST_STALE_S)
-        return update.has_quorum_contact and has_fresh_list
+        return response.has_quorum_contact and has_fresh_list
 
     # --- applying ---------------------------------------------------------------------------------
 
-    def _apply(self, update: ConfigurationUpdate, confirms_list: bool) -> None:
+    def _apply(self, response: LongPollResponse, confirms_list: bool) -> None:
         """Apply what is newer; `confirms_list`: the list that was taken from there has not changed."""
         now_s = self._scheduler.now()
         try:
-            self._apply_state(update, now_s)
-            self._apply_instances(update, now_s, confirms_list)
-            self._instances.gateway_count = self._gateway_count.record(update.gateway_count, now_s)
-            self._instances.gateway_rank = update.gateway_rank
-            if update.metrics is not None:
-                self._instances.apply_fleet_metrics(update.metrics.reporters, update.metrics.totals, now_s)
+            self._apply_state(response, now_s)
+            self._apply_instances(response, now_s, confirms_list)
+            self._instances.gateway_count = self._gateway_count.record(response.gateway_count, now_s)
+            self._instances.gateway_rank = response.gateway_rank
+            load = response.fleet_load()
+            if load is not None:
+                self._instances.apply_fleet_load(load.reporters, load.totals, now_s)
         except (TypeError, ValueError, InvalidConfigurationError) as error:
-            raise InvalidMessageError(f"a configuration update can't be applied: {error!r}") from error
-        if update.controllers and update.has_quorum_contact:
-            self._controllers.set_announced(update.controllers)
+            raise InvalidMessageError(f"a configuration can't be applied: {error!r}") from error
+        if response.controllers and response.has_quorum_contact:
+            self._controllers.set_announced(response.controllers)
 
-    def _apply_state(self, update: ConfigurationUpdate, now_s: float) -> None:
-        if update.state_index <= self.state_index or update.state is None:
+    def _apply_state(self, response: LongPollResponse, now_s: float) -> None:
+        if response.state_index <= self.state_index or response.state is None:
             return
         has_waited = now_s - self._started_at_s >= QUORUM_WAIT_S
-        if not update.has_quorum_contact and self.routes is None and not has_waited:
+        if not response.has_quorum_contact and self.routes is None and not has_waited:
             return  # it may have lost contact long ago, and others have newer state
-        packed = update.state.packed_configuration
+        packed = response.state.packed_configuration
         routes = RouteTable(configuration.read_checked(unpack(packed))) if packed else None
-        self.state_index = update.state_index
+        self.state_index = response.state_index
         if routes is not None:
             self.routes = routes
             self._instances.services = routes.services
-        self._instances.set_evacuated_zones(update.state.evacuated_zones, now_s)
+        self._instances.set_evacuated_zones(response.state.evacuated_zones, now_s)
 
-    def _apply_instances(self, update: ConfigurationUpdate, now_s: float, confirms_list: bool) -> None:
-        if update.list_age_s is None:
+    def _apply_instances(self, response: LongPollResponse, now_s: float, confirms_list: bool) -> None:
+        if response.list_age_s is None:
             return
-        read_at_s = now_s - update.list_age_s
-        if update.instances is not None and read_at_s > self._instances.list_read_at_s:
-            self._on_unusable(self._instances.update(update.instances, read_at_s, now_s))
+        read_at_s = now_s - response.list_age_s
+        instances = response.instances() if read_at_s > self._instances.list_read_at_s else None
+        if instances is not None:
+            self._on_unusable(self._instances.update(instances, read_at_s, now_s))
         elif confirms_list and self._instances.has_list:
             # Otherwise a list that does not change would seem to grow old, and be requested again.
             self._instances.list_read_at_s = max(self._instances.list_read_at_s, read_at_s)
--- a/brambleusher/dataplane/instance_entry.py
+++ b/brambleusher/dataplane/instance_entry.py
@@ -2,9 +2,10 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
 from dataclasses import dataclass
-from typing import Any
+
+from brambleusher.wire.errors import InvalidMessageError
+from brambleusher.wire.json_fields import JsonObject, require_str
 
 MS_PER_S = 1000
 DEFAULT_CAPACITY = 1  # of an instance whose entry says nothing, or 0
@@ -24,20 +25,28 @@
     is_ready: bool
 
     @classmethod
-    def from_json(cls, data: Mapping[str, Any]) -> InstanceEntry:
-        """Parse an entry.
+    def from_json(cls, data: JsonObject) -> InstanceEntry:
+        """Return an entry from its form on the wire.
 
         Raises:
-            KeyError: The entry has no id, service or address.
-            ValueError: A number can't be read.
-            TypeError: A value has the wrong type.
+            InvalidMessageError: A field is missing or can't be read.
         """
         return cls(
-            id=data["id"],
-            service=str(data["service"]),
-            address=data["address"],
+            id=require_str(data, "id"),
+            service=require_str(data, "service"),
+            address=require_str(data, "address"),
             zone=str(data.get("zone", "")),
-            capacity=float(data.get("capacity", DEFAULT_CAPACITY) or DEFAULT_CAPACITY),
-            warm_up_s=float(data.get("warmup_ms", 0) or 0) / MS_PER_S,
+            capacity=_number(data, "capacity", DEFAULT_CAPACITY),
+            warm_up_s=_number(data, "warmup_ms", 0) / MS_PER_S,
             is_ready=data.get("state") == READY_STATE,
         )
+
+
+def _number(data: JsonObject, key: str, default: float) -> float:
+    value = data.get(key) or default
+    if not isinstance(value, int | float | str):
+        raise InvalidMessageError(f"{key} is no number: {value!r:.80}")
+    try:
+        return float(value)
+    except ValueError as error:
+        raise InvalidMessageError(f"{key} is no number: {value!r:.80}") from error
--- a/brambleusher/dataplane/instance_table.py
+++ b/brambleusher/dataplane/instance_table.py
@@ -148,16 +148,14 @@
         if weights is not None:
             weights.record_load(instance.id, load.running, load.queued, load.slots)
 
-    def metrics_report(self) -> dict[str, list[float]]:
+    def load_report(self) -> dict[str, list[float]]:
         """Return what this gateway observed of each instance, for the other gateways."""
         report: dict[str, list[float]] = {}
         for weights in self.weights.values():
             report.update(weights.export_sums())
         return report
 
-    def apply_fleet_metrics(
-        self, reporters: int, totals: Mapping[str, Sequence[float]], now_s: float
-    ) -> None:
+    def apply_fleet_load(self, reporters: int, totals: Mapping[str, Sequence[float]], now_s: float) -> None:
         """Apply what so many other gateways observed of each instance, added up."""
         if not self._policy.uses_fleet_metrics:
             return
