--- /dev/null
+++ b/brambleusher/loadbalancing/flap_damping.py
@@ -0,0 +1,38 @@
+"""Flap damping: a zone that is lost again and again is kept out until its penalty has decayed.
+
+Each loss adds a penalty that halves with time; above a limit it keeps the zone out though it responds.  The
+penalty is bounded, so that the longest suppression is the operator's `max_flap_hold_ns`.
+
+Source: RFC 2439, BGP Route Flap Damping.
+"""
+
+from __future__ import annotations
+
+from brambleusher.loadbalancing.zone_state import Zone, ZoneTable
+
+REUSE_PENALTY = 0.5  # a zone with less is used again; each loss adds 1
+# For the loss of a zone whose only node left the list: nodes are replaced every day.
+SINGLE_NODE_PENALTY = 0.4
+
+
+class FlapDamping:
+    """Keeps the flap penalties of all zones."""
+
+    def __init__(self, table: ZoneTable) -> None:
+        self._table = table
+
+    def add(self, zone: Zone, penalty: float) -> None:
+        """Add the penalty for a loss; with `max_flap_hold_ns` of 0, flaps cost nothing."""
+        rules = self._table.active_rules
+        if rules.max_flap_hold_ns > 0:
+            most = REUSE_PENALTY * 2.0 ** (rules.max_flap_hold_ns / rules.flap_penalty_half_life_ns)
+            zone.flap_penalty = min(zone.flap_penalty + penalty, most)
+
+    def decay(self, zone: Zone, gap: float) -> None:
+        """Let the penalty decay over `gap` latency targets."""
+        rules = self._table.active_rules
+        zone.flap_penalty *= 0.5 ** (gap * self._table.target_ns / rules.flap_penalty_half_life_ns)
+
+    def must_suppress(self, zone: Zone) -> bool:
+        """Return whether the penalty keeps the zone out."""
+        return zone.flap_penalty >= REUSE_PENALTY
--- /dev/null
+++ b/brambleusher/loadbalancing/spill_grants.py
@@ -0,0 +1,351 @@
+"""Spill: how much of this proxy's requests each zone may be given, without the proxies talking to each other.
+
+A zone other than one's own is sent no more than its grant, in requests a second.  All proxies together raise
+their grants by no more than a fraction of the zone's spare capacity a second: each raises by its share of the
+traffic of the zones in trouble, and those shares add up to one.  A returning zone comes back by slow start:
+its grant grows as it responds.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+
+from brambleusher.loadbalancing.zone_health import RESPONSE_HALF_LIFE_TARGETS
+from brambleusher.loadbalancing.zone_state import HALVING, NS_PER_S, Zone, ZoneLoad, ZoneState, ZoneTable
+from brambleusher.loadbalancing.zone_tiers import ZoneTiers
+
+# Spill.
+REPORT_LAG_TARGETS = 1.0  # half-life of what was granted and reports can't show yet
+UNUSED_LAPSE_S = 2.0  # a grant that is not used lapses over this time
+HEADROOM_S = 0.25  # of spill is granted ahead of use
+BURST_S = 0.3  # of a grant may come at once, or one request
+EXHAUSTED_FRACTION = 0.98  # of a limit is given out: the grant is too small
+# Requests that a zone in use is granted at least: one that is sent nothing tells nothing.
+MIN_PER_TARGET = 0.25
+KEPT_FACTOR = 1.25  # times what is used stays granted
+TRAFFIC_SHARE_HALF_LIFE_TARGETS = 16.0
+STRAIN_DECREASE = 0.5  # of a grant a second where the zone is full, less as it is less over its maximum
+STRAINED_OVERLOAD = 0.5  # what a strained zone counts as over its maximum at least
+MIN_OVERLOAD_RANGE = 0.01  # guards against a division by 0 where the maximum utilisation is 1
+SUSPECT_OFFER = 0.5  # of its spare capacity
+MIN_SPILL_SHARE = 0.25  # of an even share of the fleet
+TIER_OFFER_GAIN = 0.5  # of the error a latency target
+EVACUATION_S = 10.0  # an evacuated zone is offered less over this time, down to nothing
+
+# The way back.
+NEED_FRACTION = 0.1  # of the demand unplaced: suppressed zones are needed soon
+NEEDED_TARGETS = 4.0  # so long after any demand was unplaced, returning zones are needed
+NEEDED_FACTOR = 2.0  # what a returning zone can do is then granted: nodes queue for a while
+NEEDED_DOUBLING_S = 0.15  # the grant of a returning zone doubles in this time where it is needed
+START_FRACTION = 0.1  # of what the zone can do is offered at first, by all proxies together
+DOUBLING_S = 0.6  # the grant of a returning zone doubles in this time, while it responds
+RESPONSE_FACTOR = 2.0  # and never exceeds so many times what it responds to
+
+UNLIMITED = -1.0
+
+
+@dataclass(slots=True)
+class _NearerTiers:
+    """Load of the tiers before one; rates are requests a second."""
+
+    used: float = 0.0
+    capacity: float = 0.0
+    strained_zones: int = 0
+    zones: int = 0
+
+    def add(self, loads: list[ZoneLoad]) -> None:
+        self.used += sum(load.used for load in loads)
+        self.capacity += sum(load.capacity for load in loads)
+        self.strained_zones += sum(load.is_strained for load in loads)
+        self.zones += len(loads)
+
+
+def fill(demand: float, weights: Mapping[str, float], limits: Mapping[str, float]) -> dict[str, float]:
+    """Share a demand out by weight, none over its limit (below 0: none); the excess goes to the others.
+
+    Returns:
+        Requests a second by zone; their sum is less than the demand where all limits are reached.
+    """
+    given: dict[str, float] = {}
+    left, free = demand, {name: weight for name, weight in weights.items() if weight > 0}
+    while free:
+        total = sum(free.values())
+        full = [name for name, weight in free.items() if 0 <= limits[name] <= left * weight / total]
+        if not full:
+            given.update({name: left * weight / total for name, weight in free.items()})
+            break
+        for name in full:
+            given[name] = limits[name]
+            del free[name]
+        left = max(demand - sum(given.values()), 0.0)
+    return given
+
+
+class SpillGrants:
+    """Sets the limit and the offered fraction of each zone."""
+
+    def __init__(self, table: ZoneTable, tiers: ZoneTiers) -> None:
+        self._table = table
+        self._tiers = tiers
+        # Fraction of its spare capacity that a tier offers, by the use of nearer tiers.
+        self.offer_by_tier: dict[int, float] = {}
+        self.ticked_ns = 0
+
+    # --- requests -------------------------------------------------------------------------------
+
+    def admits(self, name: str, now: int, ahead: bool = False) -> bool:
+        """Return whether one more request may go to a zone now; `ahead`: or could soon, within a burst."""
+        zone = self._table.zones.get(name)
+        if self._table.rules is None or zone is None or zone.limit_per_s < 0:
+            return True
+        self._refill(zone, now)
+        return zone.tokens >= (1.0 - max(1.0, zone.limit_per_s * BURST_S) if ahead else 1.0)
+
+    def record_sent(self, name: str, now: int) -> None:
+        """Take in that one more request goes to a zone."""
+        zone = self._table.zones.get(name)
+        if zone is not None and zone.limit_per_s >= 0:
+            self._refill(zone, now)
+            zone.tokens -= 1.0
+
+    @staticmethod
+    def _refill(zone: Zone, now: int) -> None:
+        most = max(1.0, zone.limit_per_s * BURST_S)
+        came = zone.limit_per_s * max(now - zone.refilled_ns, 0) / NS_PER_S
+        zone.tokens = min(zone.tokens + came, most)
+        zone.refilled_ns = now
+
+    # --- shares ---------------------------------------------------------------------------------
+
+    def capacity_share(self, name: str) -> float:
+        """Return this proxy's share of what a zone can do: half by its share of traffic before, half evenly.
+
+        Over all proxies both halves add up, and one that had no traffic there can still come.
+        """
+        zone = self._table.zones.get(name)
+        fleet_size = self._table.fleet_size
+        share = 1.0 / fleet_size if zone is None else self._traffic_share(zone)
+        return (share + 1.0 / fleet_size) / 2
+
+    def _traffic_share(self, zone: Zone) -> float:
+        """Return this proxy's share of a zone's traffic; where it is unknown, as if all zones were alike."""
+        if zone.own_traffic_share >= 0:
+            return zone.own_traffic_share
+        if zone.name != self._table.own_zone:
+            return 0.0
+        return min(1.0, max(len(self._table.zones), 1) / self._table.fleet_size)
+
+    def _spill_share(self, loads: Mapping[str, ZoneLoad], hold: float) -> float:
+        """Return this proxy's share of what spills: its share of the traffic of the zones in trouble.
+
+        Over all proxies these shares add up to one, whoever they are: each zone's traffic is all theirs.
+        """
+        table = self._table
+        troubled = [zone for zone in table.zones.values() if zone.is_out or zone.state is ZoneState.RETURNING]
+        own = table.zones.get(table.own_zone)
+        if own is not None and own not in troubled:
+            load = loads.get(table.own_zone) or ZoneLoad()
+            if load.is_strained or load.used > hold * load.capacity or own.evacuation_began_ns:
+                troubled.append(own)
+        shares = [self._traffic_share(zone) for zone in troubled]
+        mean = sum(shares) / len(shares) if shares else 0.0
+        return max(mean, MIN_SPILL_SHARE / table.fleet_size)
+
+    # --- tiers ----------------------------------------------------------------------------------
+
+    def update_tier_offers(
+        self, gap: float, loads: Mapping[str, ZoneLoad], hold: float, floor: float
+    ) -> None:
+        """Set the fraction of its spare capacity that each tier offers, by the use of the tiers before it."""
+        table = self._table
+        nearer = _NearerTiers()
+        for tier in sorted({zone.tier for zone in table.zones.values()}):
+            names = [
+                name for name, zone in table.zones.items()
+                if zone.tier == tier and not table.is_excluded(name)
+            ]  # fmt: skip
+            loaded = [name for name in names if name in loads and loads[name].host_count]
+            if not nearer.capacity:
+                self.offer_by_tier[tier] = 1.0
+            else:
+                self._update_tier_offer(tier, [loads[name] for name in loaded], nearer, gap, hold, floor)
+            # One on its way back, or out, is at its limit, however little it is used.
+            nearer.add([loads[name] for name in loaded if not table.zones[name].is_ramping])
+
+    def _update_tier_offer(
+        self, tier: int, loads: list[ZoneLoad], nearer: _NearerTiers, gap: float, hold: float, floor: float
+    ) -> None:
+        used, capacity = sum(load.used for load in loads), sum(load.capacity for load in loads)
+        if not capacity:
+            return
+        utilisation, further = nearer.used / nearer.capacity, used / capacity
+        if nearer.strained_zones * 2 > nearer.zones:
+            utilisation = 1.0
+        if utilisation > hold:
+            error = (utilisation - hold) / (1 - hold)
+            # Tiers as busy as each other gain nothing by exchanging work.
+            error = min(error, (utilisation - further) / (1 - hold))
+        else:
+            error = (utilisation - hold) / hold
+        before = self.offer_by_tier.get(tier, floor)
+        self.offer_by_tier[tier] = min(1.0, max(floor, before + TIER_OFFER_GAIN * error * gap))
+
+    def _tier_offer(self, tier: int) -> float:
+        """Return what a tier offers once those before it do."""
+        offer = 1.0
+        for number, fraction in self.offer_by_tier.items():
+            if number <= tier:
+                offer *= fraction
+        return offer
+
+    # --- grants ---------------------------------------------------------------------------------
+
+    def decay(self, zone: Zone, gap: float) -> None:
+        """Let what reports can't show yet decay over `gap` latency targets."""
+        zone.unreported_grant_per_s *= 0.5 ** (gap / REPORT_LAG_TARGETS)
+
+    def needs_returning_zones(self, now: int) -> bool:
+        """Return whether demand was unplaced lately, so that returning zones must take more."""
+        last_ns = self._table.last_unplaced_ns
+        return bool(last_ns) and now - last_ns <= NEEDED_TARGETS * self._table.target_ns
+
+    def update(self, now: int, gap: float, loads: Mapping[str, ZoneLoad], demand: float, hold: float) -> None:
+        """Set limits and offered fractions of all zones: the demand is shared out within the grants.
+
+        Args:
+            now: In ns.
+            gap: Since the last tick, in latency targets.
+            loads: By zone.
+            demand: Requests a second that come to this proxy.
+            hold: Use of nearer hosts above which further ones help.
+        """
+        weights = self._update_limits(now, gap, loads, demand, hold)
+        self.ticked_ns = now
+        if self._table.is_panic:
+            for zone in self._table.zones.values():
+                zone.offered_fraction = 1.0
+                zone.limit_per_s = UNLIMITED
+            self._table.unplaced_fraction = 0.0
+            return
+        self._share_out(weights, loads, demand, now)
+
+    def _update_limits(
+        self, now: int, gap: float, loads: Mapping[str, ZoneLoad], demand: float, hold: float
+    ) -> dict[str, float]:
+        """Set the limit of each zone; returns the weights of those that take part."""
+        table = self._table
+        max_utilisation = table.active_rules.max_utilisation
+        seconds = gap * table.target_ns / NS_PER_S
+        # Of a count that halves in `RESPONSE_HALF_LIFE_TARGETS`.
+        per_s = HALVING / (RESPONSE_HALF_LIFE_TARGETS * table.target_ns / NS_PER_S)
+        spill_share = self._spill_share(loads, hold)
+        weights: dict[str, float] = {}
+        for name, zone in table.zones.items():
+            load, used = loads.get(name) or ZoneLoad(), zone.recent_responses * per_s
+            self._update_traffic_share(zone, load, used, gap)
+            zone.is_calm = zone.state is ZoneState.HEALTHY and load.used < hold * load.capacity
+            if not load.host_count or table.is_excluded(name):
+                zone.limit_per_s = UNLIMITED
+                continue
+            spare = max(max_utilisation * load.capacity - load.used, 0.0) * spill_share
+            self._update_grant(zone, load, used, spare, seconds, now)
+            offer = self._tier_offer(zone.tier) * self._tiers.weights.get(name, 1.0)
+            caution = SUSPECT_OFFER if zone.state is ZoneState.SUSPECT else 1.0
+            weights[name] = load.total_weight * offer * caution
+            zone.limit_per_s = self._limit(zone, load, demand, now)
+        return weights
+
+    @staticmethod
+    def _update_traffic_share(zone: Zone, load: ZoneLoad, used: float, gap: float) -> None:
+        if zone.state is not ZoneState.HEALTHY or load.throughput <= 0 or zone.evacuation_began_ns:
+            return
+        share = min(1.0, used / load.throughput)
+        is_known = zone.own_traffic_share >= 0
+        kept = 0.5 ** (gap / TRAFFIC_SHARE_HALF_LIFE_TARGETS) if is_known else 0.0
+        zone.own_traffic_share = zone.own_traffic_share * kept + share * (1 - kept)
+
+    def _share_out(
+        self, weights: Mapping[str, float], loads: Mapping[str, ZoneLoad], demand: float, now: int
+    ) -> None:
+        """Set the offered fractions, and what of the demand fits nowhere."""
+        table = self._table
+        limits = {name: table.zones[name].limit_per_s for name, weight in weights.items() if weight > 0}
+        given = fill(demand, weights, limits)
+        for name, limit in limits.items():
+            zone = table.zones[name]
+            is_full = zone.state is ZoneState.RETURNING and zone.grant_per_s >= self._max_grant(
+                zone, loads[name], now
+            )
+            if limit >= 0 and given[name] >= EXHAUSTED_FRACTION * limit and not is_full:
+                zone.grant_exhausted_ns = now
+        fractions = {name: amount / loads[name].total_weight for name, amount in given.items()}
+        most = max(fractions.values(), default=0.0)
+        for name in weights:
+            zone = table.zones[name]
+            has_fraction = most > 0 and name in fractions
+            zone.offered_fraction = fractions[name] / most if has_fraction else self._tier_offer(zone.tier)
+        # Only where each zone that could take it has a limit.
+        is_limited = demand > 0 and limits and all(table.zones[name].limit_per_s >= 0 for name in weights)
+        table.unplaced_fraction = max(0.0, 1.0 - sum(given.values()) / demand) if is_limited else 0.0
+        is_short = table.unplaced_fraction > NEED_FRACTION
+        table.short_since_ns = (table.short_since_ns or now) if is_short else 0
+        if table.unplaced_fraction > 0:
+            table.last_unplaced_ns = now
+
+    def _update_grant(
+        self, zone: Zone, load: ZoneLoad, used: float, spare: float, seconds: float, now: int
+    ) -> None:
+        """Let a grant grow while it is exhausted, fall where the zone is strained, lapse where unused."""
+        is_exhausted = zone.grant_exhausted_ns == self.ticked_ns  # at the last tick
+        if zone.state is ZoneState.RETURNING:
+            self._update_returning_grant(zone, load, used, seconds, is_exhausted, now)
+            return
+        rules = self._table.active_rules
+        over = load.used / load.capacity - rules.max_utilisation if load.capacity else 0.0
+        over = min(over / max(1 - rules.max_utilisation, MIN_OVERLOAD_RANGE), 1.0)
+        over = max(over, STRAINED_OVERLOAD) if load.is_strained else over
+        if over > 0:
+            zone.grant_per_s *= max(0.0, 1.0 - STRAIN_DECREASE * over * seconds)
+        elif is_exhausted:
+            step = max(min(rules.spill_rate * spare * seconds, spare - zone.unreported_grant_per_s), 0.0)
+            zone.grant_per_s += step
+            zone.unreported_grant_per_s += step
+        else:
+            kept = KEPT_FACTOR * used + rules.spill_rate * spare * HEADROOM_S
+            zone.grant_per_s += (kept - zone.grant_per_s) * min(seconds / UNUSED_LAPSE_S, 1.0)
+        least = MIN_PER_TARGET * NS_PER_S / self._table.target_ns
+        zone.grant_per_s = max(zone.grant_per_s, used if over <= 0 else 0.0, least)
+
+    def _update_returning_grant(
+        self, zone: Zone, load: ZoneLoad, used: float, seconds: float, is_exhausted: bool, now: int
+    ) -> None:
+        """Slow start: the grant of a returning zone doubles while it is exhausted."""
+        start = START_FRACTION * load.capacity * self.capacity_share(zone.name)
+        start = max(start, MIN_PER_TARGET * NS_PER_S / self._table.target_ns)
+        if is_exhausted and self.needs_returning_zones(now):
+            # Up to its limit; that it can't do more shows in its silence.
+            zone.grant_per_s *= 2 ** (seconds / NEEDED_DOUBLING_S)
+        elif is_exhausted:
+            most = max(RESPONSE_FACTOR * used, start)
+            zone.grant_per_s = min(zone.grant_per_s * 2 ** (seconds / DOUBLING_S), most)
+        zone.grant_per_s = max(zone.grant_per_s, start)
+
+    def _limit(self, zone: Zone, load: ZoneLoad, demand: float, now: int) -> float:
+        """Return the requests a second that a zone may be sent by this proxy; below 0: any."""
+        if zone.evacuation_began_ns:
+            left = 1.0 - (now - zone.evacuation_began_ns) / (EVACUATION_S * NS_PER_S)
+            return max(left, 0.0) * demand
+        if zone.state is ZoneState.RETURNING:
+            most = self._max_grant(zone, load, now)
+            return min(zone.grant_per_s, most) if load.capacity else zone.grant_per_s
+        # Before any report there is nothing to go by.
+        is_unlimited = zone.name == self._table.own_zone or not load.capacity
+        return UNLIMITED if is_unlimited else zone.grant_per_s
+
+    def _max_grant(self, zone: Zone, load: ZoneLoad, now: int) -> float:
+        """Return the most that a returning zone is granted: this proxy's share of what it can do now."""
+        factor = self._table.active_rules.max_utilisation
+        if self.needs_returning_zones(now):
+            factor = NEEDED_FACTOR
+        return self.capacity_share(zone.name) * factor * load.capacity
--- a/brambleusher/loadbalancing/state_codec.py
+++ b/brambleusher/loadbalancing/state_codec.py
@@ -26,7 +26,8 @@
 from brambleusher.loadbalancing.settings_codec import restore_rules, save_rules
 from brambleusher.loadbalancing.state_tables import FieldTable
 from brambleusher.loadbalancing.zone_aware_balancer import ZoneAwareBalancer, balancer_for
-from brambleusher.loadbalancing.zone_routing import NodeHealth, Zone, ZoneRouter, ZoneState
+from brambleusher.loadbalancing.zone_routing import ZoneRouter
+from brambleusher.loadbalancing.zone_state import NodeHealth, Zone, ZoneState
 
 JsonObject = dict[str, Any]
 Row = list[Any]
--- a/brambleusher/loadbalancing/zone_aware_balancer.py
+++ b/brambleusher/loadbalancing/zone_aware_balancer.py
@@ -23,7 +23,8 @@
     Balancer,
 )
 from brambleusher.loadbalancing.hosts import RESERVE, Host, Request
-from brambleusher.loadbalancing.zone_routing import ZoneLoad, ZoneRouter
+from brambleusher.loadbalancing.zone_routing import ZoneRouter
+from brambleusher.loadbalancing.zone_state import ZoneLoad
 
 STILL_AIMS = 0.25  # a timer that fires so late: this proxy stood still
 DARK_AIMS = 0.5  # a host that answers nothing for so long, though asked, is dark
@@ -53,7 +54,11 @@
     def zone_status(self, now: int) -> dict[str, object]:
         """What is made of zones, for people: plain values."""
         zones = self._zones
-        return {"panic": zones.panic, "beyond": round(zones.beyond, 3), "zones": zones.standing(now)}
+        return {
+            "panic": zones.is_panic,
+            "beyond": round(zones.unplaced_fraction, 3),
+            "zones": zones.status(now),
+        }
 
     def _rules_changed(self, event: api.ZoneRulesChanged, now: int) -> None:
         self._zones.set_rules(event.rules, now)
@@ -68,7 +73,7 @@
         draining: dict[str, list[str]] = {}
         for host in self._hosts.values():
             (draining if host.draining else ready).setdefault(host.zone, []).append(host.name)
-        self._zones.listed(ready, draining, now)
+        self._zones.record_list(ready, draining, now)
         if self._on:
             self._choose()
             self._weigh(now, 0.0)
@@ -78,7 +83,7 @@
         if self._on:
             zones = self._zones
             for host in self._hosts.values():
-                host.ready = not host.draining and not zones.shut(host.zone)
+                host.ready = not host.draining and not zones.is_excluded(host.zone)
                 zone = zones.zones.get(host.zone)
                 host.rank = host.rank % 1.0 + (zone.tier if zone is not None else 0)
             self._ranks.rebuild(self._hosts.values())
@@ -88,7 +93,7 @@
 
     def _timer(self, event: api.TimerFired, now: int) -> None:
         if self._on and self._due_ns and now - self._due_ns > STILL_AIMS * self._unit_ns:
-            self._zones.stood_still(now)
+            self._zones.record_stall(now)
         super()._timer(event, now)
         self._due_ns = max((act.at_ns for act in self._out if isinstance(act, api.SetTimer)), default=0)
 
@@ -101,12 +106,11 @@
         """Have all zones judged by what their hosts report and owe; act on a change."""
         asked = self._rate / HEALTH_WINDOW / self._unit_ns * SECOND
         hold, floor = self._hold()
-        before = {name for name in self._zones.zones if self._zones.shut(name)}
+        before = {name for name in self._zones.zones if self._zones.is_excluded(name)}
         changed = self._zones.tick(now, gap, self._loads(now), asked, hold, floor)
-        self._out += [api.WriteLog(text) for text in self._zones.said]
-        self._zones.said.clear()
+        self._out += [api.WriteLog(text) for text in self._zones.take_log_lines()]
         if changed:
-            out = {name for name in self._zones.zones if self._zones.shut(name)}
+            out = {name for name in self._zones.zones if self._zones.is_excluded(name)}
             self._choose()
             for name in sorted(before - out):
                 self._welcome_back(name, now)
@@ -136,7 +140,7 @@
             if load is None:
                 load, missing[host.zone] = loads.setdefault(host.zone, ZoneLoad()), [0, 0]
             if (since := self._dark_since(host, now)) > 0:
-                load.dark[host.name] = since
+                load.unanswered_since_ns[host.name] = since
             if host.name not in used and host.ready:  # not among this proxy's few: as those that are
                 missing[host.zone][0] += 1
                 continue
@@ -146,26 +150,26 @@
             age = now - host.util_ns if host.util_ns >= 0 else math.inf
             fade = min(1.0, age / (self._unit_ns * CAPACITY_WINDOW))
             util = host.util + fade * (self._mean_util - host.util) if host.util_ns >= 0 else self._mean_util
-            load.hosts += 1
+            load.host_count += 1
             load.capacity += capacity
             load.used += util * capacity
             load.throughput += host.throughput * rate if host.util_ns >= 0 else 0.0
-            load.mass += capacity * max(1 - util, 0.01) * host.health * host.welcome
+            load.total_weight += capacity * max(1 - util, 0.01) * host.health * host.welcome
             missing[host.zone][1] += host.pi > PI_GOAL or host.health < 0.5
         for name, load in loads.items():
             others, bad = missing[name]
-            if load.hosts:
-                load.strained = bad > STRAINED_PART * load.hosts
-                scale = 1 + others / load.hosts
+            if load.host_count:
+                load.is_strained = bad > STRAINED_PART * load.host_count
+                scale = 1 + others / load.host_count
                 load.capacity, load.used = load.capacity * scale, load.used * scale
-                load.throughput, load.mass = load.throughput * scale, load.mass * scale
+                load.throughput, load.total_weight = load.throughput * scale, load.total_weight * scale
         return loads
 
     def _dark_since(self, host: Host, now: int) -> int:
         """Since when a host has left attempts unanswered for too long; 0 where it has not."""
         zone = self._zones.zones.get(host.zone)
         node = zone.nodes.get(host.name) if zone is not None else None
-        heard = max(node.heard_ns if node is not None else 0, self._zones.blind_ns)
+        heard = max(node.last_response_ns if node is not None else 0, self._zones.stalled_until_ns)
         for looked, (request, sent) in enumerate(host.out.values()):
             if looked >= OLD_LOOKED_AT:
                 break
@@ -208,7 +212,7 @@
             super()._steer_zones(gap)
 
     def _offer(self, host: Host) -> float:
-        return self._zones.part_of(host.zone) if self._on else super()._offer(host)
+        return self._zones.offered_fraction(host.zone) if self._on else super()._offer(host)
 
     def _steer_admission(self, gap: float) -> None:
         """In trouble the limit is the goal's, as long as answers keep to it.
@@ -218,7 +222,7 @@
         """
         super()._steer_admission(gap)
         counts = sum(self._lat_n)
-        if not self._on or self._late or counts < 1 or not self._zones.troubled:
+        if not self._on or self._late or counts < 1 or not self._zones.is_any_in_trouble:
             return
         ring, classes = self._turn.ring, self.settings.classes
         aim = sum(n * cls.latency_target_ns for n, cls in zip(self._lat_n, classes, strict=True)) / counts
@@ -234,7 +238,7 @@
         """What fits nowhere is refused, the cheapest worth first."""
         if not super()._worth_now(density):
             return False
-        beyond = self._zones.beyond if self._on else 0.0
+        beyond = self._zones.unplaced_fraction if self._on else 0.0
         if beyond <= 0 or not self._ranked:
             return True
         return density >= self._ranked[min(int(beyond * len(self._ranked)), len(self._ranked) - 1)]
@@ -248,7 +252,7 @@
         zones, unsafe = self._zones, self.settings.classes[request.cls].idempotency is Idempotency.UNSAFE
         let = {name: zones.admits(name, now, self._ahead) for name in zones.zones}
         if unsafe:
-            sure = {name: each and not zones.doubtful(name) for name, each in let.items()}
+            sure = {name: each and not zones.is_doubtful(name) for name, each in let.items()}
             let = sure if any(sure.values()) else let
 
         def fits(host: Host) -> bool:
@@ -260,7 +264,7 @@
         if self._on and not request.attempts and (probe := self._probe(request, now)) is not None:
             return probe
         host = super()._pick(request, now)
-        if host is None and self._on and self._zones.beyond <= 0:
+        if host is None and self._on and self._zones.unplaced_fraction <= 0:
             # What comes fits as a whole, and not at this moment: chance is no reason to refuse.
             self._ahead = True
             host = super()._pick(request, now)
@@ -272,22 +276,22 @@
 
         It may where it can be sent again in time if nobody answers.
         """
-        zone = self._zones.probe(now)
+        zone = self._zones.zone_to_probe(now)
         cls = self.settings.classes[request.cls]
         if zone is None or cls.idempotency is not Idempotency.SAFE or self.settings.max_attempts < 2:
             return None
         if request.deadline_ns - now < 2 * self._patience(request):
             return None
-        plain, count = super()._fits(request, now), len(zone.ready)
+        plain, count = super()._fits(request, now), len(zone.ready_hosts)
         for step in range(count):
-            host = self._hosts.get(zone.ready[(zone.probe_at + step) % count])
+            host = self._hosts.get(zone.ready_hosts[(zone.probe_turn + step) % count])
             if host is None or host.draining:
                 continue
             was, host.ready = host.ready, True
             fits = plain(host)
             host.ready = was
             if fits:
-                self._zones.probed(zone, now)
+                self._zones.record_probe(zone, now)
                 self._probing.append(request.id)
                 return host
         return None
@@ -299,13 +303,13 @@
         super()._send(request, host, now)
         if not self._on:
             return
-        self._zones.sent(host.zone, now)
+        self._zones.record_sent(host.zone, now)
         if host.started_ns > 0 and self._warmth(host, now) < 1:
             # The rule's budget is more than a cold host can do: here all proxies together keep to that, each
             # by its part of the zone's traffic.
-            even = self._zones.share_of(host.zone) * self.settings.fleet_size
+            even = self._zones.capacity_share(host.zone) * self.settings.fleet_size
             cost = COLD_SLICE * self.settings.overload_multiple / max(even, 0.25)
-            host.cold_level -= 0.0 if self._zones.needed(now) else max(0.0, cost - 1)
+            host.cold_level -= 0.0 if self._zones.needs_returning_zones(now) else max(0.0, cost - 1)
         if request.id in self._probing:
             sent = self._out[-1]
             assert isinstance(sent, api.StartAttempt)
@@ -317,7 +321,7 @@
             host, sent, _ = request.attempts[event.attempt]
             key = event.request, event.attempt
             if self._on and (key in host.out or key in host.lost):
-                self._zones.ended(
+                self._zones.record_end(
                     host.zone, host.name, request.cls, event.status, sent, event.latency_ns, now
                 )
         super()._attempt_ended(event, now)
--- /dev/null
+++ b/brambleusher/loadbalancing/zone_health.py
@@ -0,0 +1,323 @@
+"""Health of zones: which are healthy, suspect, lost or returning, and when the evidence itself is doubted.
+
+A node is dark when what it was sent is not answered; a zone is lost when all of its nodes that were sent
+anything are.  A lost zone is probed with single requests and returns once one is answered, unless flap
+damping suppresses it.  With too few healthy nodes left the evidence is doubted (panic), since it may be this
+proxy that is unhealthy.
+
+The texts of reasons and log lines are part of recorded captures and of admin answers, and so do not change.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+
+from brambleusher.loadbalancing.api import AttemptStatus
+from brambleusher.loadbalancing.flap_damping import SINGLE_NODE_PENALTY, FlapDamping
+from brambleusher.loadbalancing.zone_state import (
+    HALVING,
+    NS_PER_S,
+    NodeHealth,
+    Zone,
+    ZoneLoad,
+    ZoneState,
+    ZoneTable,
+)
+
+# Evidence, in latency targets.
+LOST_TARGETS = (2.0, 1.0, 0.5)  # silence that loses a zone, by its dark nodes: several at once count for more
+SUSPECT_FRACTION = 0.5  # of that time: suspected
+MISSING_RESPONSES = 4.0  # that should have come by then, at the recent rate: silence by chance is shorter
+DARK_FAILURES = 2  # in a row without a response: the node is dark, whatever their age
+RESPONSIVE_TARGETS = 2.0  # a node that responded within these is responsive
+GREY_FRACTION = 0.15  # of recent ends failed, at two nodes or more: suspected
+GREY_MIN_ENDS = 6.0
+GREY_NODE_FAILURES = 0.5  # recent ones, from which a node counts as one that fails
+GREY_HALF_LIFE_TARGETS = 8.0
+GREY_NODES = 2
+CLEAR_TARGETS = 2.0  # without a fault for so long: no longer suspected
+# What timed out sooner had no time to be answered, which says nothing of the node.
+MIN_TIMEOUT_TARGETS = 0.25
+RESPONSE_HALF_LIFE_TARGETS = 1.0
+UNANSWERED = frozenset({AttemptStatus.CONNECT_FAILED, AttemptStatus.RESET, AttemptStatus.TIMEOUT})
+ANSWERED = frozenset({AttemptStatus.OK, AttemptStatus.OVERLOADED, AttemptStatus.ERROR})
+JUDGED = ANSWERED | UNANSWERED
+
+# Probes: single requests that may be repeated, to a zone that is out; intervals in latency targets.
+PROBE_TARGETS, MAX_PROBE_TARGETS = 1.0, 4.0  # doubled while they fail
+SUPPRESSED_PROBE_TARGETS = 8.0  # a suppressed zone responds: probes of many proxies are traffic too
+UNTRIED_TARGETS = 8.0  # without a request that may probe it, a zone returns unprobed, as gently as ever
+MISSED_PROBES = 2  # of a suppressed zone, in a row: it is lost again
+
+NEEDED_TARGETS = 1.0  # demand has been unplaced for so long: suppressed zones are used
+HEALTHY_TARGETS = 6.0  # a returning zone without shortage or fault for so long is healthy
+PANIC_HYSTERESIS = 0.1  # of use: once in panic, only clear relief ends it
+
+
+@dataclass(frozen=True, slots=True)
+class _Evidence:
+    """What speaks against a zone that is in use."""
+
+    is_silent: bool  # for long enough to be lost
+    is_failing: bool  # many ends failed, at several nodes
+    is_suspect: bool
+    silence_text: str
+    failing_text: str
+
+
+class ZoneHealth:
+    """Judges zones by the responses of their nodes."""
+
+    def __init__(self, table: ZoneTable, damping: FlapDamping) -> None:
+        self._table = table
+        self._damping = damping
+
+    # --- evidence -------------------------------------------------------------------------------
+
+    def is_evidence(self, zone: Zone, host: str, status: AttemptStatus, latency_ns: int) -> bool:
+        """Return whether the end of an attempt says anything of its zone."""
+        if host not in zone.ready_hosts or status not in JUDGED:
+            return False
+        too_short = latency_ns < self._table.target_ns * MIN_TIMEOUT_TARGETS
+        return not (status is AttemptStatus.TIMEOUT and too_short)
+
+    def record_end(self, zone: Zone, host: str, status: AttemptStatus, sent_ns: int, now: int) -> None:
+        """Take in how an attempt at a host of the zone ended; it must be evidence."""
+        node = zone.nodes.setdefault(host, NodeHealth())
+        zone.recent_ends += 1
+        if status in ANSWERED:
+            self._record_response(zone, node, status, now)
+        else:
+            self._record_failure(zone, node, status, sent_ns, now)
+
+    @staticmethod
+    def _record_response(zone: Zone, node: NodeHealth, status: AttemptStatus, now: int) -> None:
+        node.last_response_ns = now
+        node.consecutive_failures = 0
+        zone.last_response_ns = now
+        zone.consecutive_failures = 0
+        zone.consecutive_connect_failures = 0
+        zone.probe_interval_ns = 0
+        zone.recent_responses += status is AttemptStatus.OK
+        node.recent_failures += status is AttemptStatus.ERROR
+
+    def _record_failure(
+        self, zone: Zone, node: NodeHealth, status: AttemptStatus, sent_ns: int, now: int
+    ) -> None:
+        if not node.consecutive_failures:
+            node.failing_since_ns = sent_ns
+        node.consecutive_failures += 1
+        node.recent_failures += 1
+        zone.consecutive_failures += 1
+        if zone.is_suppressed:  # probe again soon: is it lost again?
+            soon_ns = now + int(PROBE_TARGETS * self._table.target_ns)
+            zone.next_probe_ns = min(zone.next_probe_ns, soon_ns)
+            zone.probe_interval_ns = 0
+        if status is AttemptStatus.CONNECT_FAILED:
+            zone.consecutive_connect_failures += 1
+        else:
+            zone.consecutive_connect_failures = 0
+
+    def decay(self, zone: Zone, gap: float) -> None:
+        """Let the evidence decay over `gap` latency targets."""
+        kept = 0.5 ** (gap / GREY_HALF_LIFE_TARGETS)
+        zone.recent_ends *= kept
+        for node in zone.nodes.values():
+            node.recent_failures *= kept
+        zone.recent_responses *= 0.5 ** (gap / RESPONSE_HALF_LIFE_TARGETS)
+
+    # --- probes ---------------------------------------------------------------------------------
+
+    def zone_to_probe(self, now: int) -> Zone | None:
+        """Return a zone that is out and due to be probed with one request."""
+        for zone in self._table.zones.values():
+            if zone.ready_hosts and zone.next_probe_ns <= now and self._table.is_excluded(zone.name):
+                return zone
+        return None
+
+    def record_probe(self, zone: Zone, now: int) -> None:
+        """Take in that a zone is being probed; the next probe comes later while none is answered."""
+        target_ns = self._table.target_ns
+        rarity = max(1.0, zone.flap_penalty)  # one that flaps is probed the less, the more it does
+        interval_ns = min(
+            max(2 * zone.probe_interval_ns, int(PROBE_TARGETS * target_ns)),
+            int(MAX_PROBE_TARGETS * rarity * target_ns),
+        )
+        if zone.is_suppressed and not zone.consecutive_failures:
+            interval_ns = int(SUPPRESSED_PROBE_TARGETS * rarity * target_ns)
+        zone.probe_interval_ns = interval_ns
+        zone.next_probe_ns = now + interval_ns
+        zone.probe_turn += 1
+        zone.last_probe_ns = now
+
+    # --- judgement ------------------------------------------------------------------------------
+
+    def judge(self, zone: Zone, load: ZoneLoad, now: int) -> None:
+        """Set one zone's state, by what speaks for and against it now."""
+        if zone.state is ZoneState.LOST:
+            self._judge_lost(zone, now)
+        elif zone.is_suppressed:
+            self._judge_suppressed(zone, now)
+        else:
+            self._judge_in_use(zone, self._evidence(zone, load, now), now)
+
+    def _evidence(self, zone: Zone, load: ZoneLoad, now: int) -> _Evidence:
+        target_ns = self._table.target_ns
+        dark = self._dark_since(zone, load, now)
+        responsive = sum(
+            name not in dark and now - node.last_response_ns <= RESPONSIVE_TARGETS * target_ns
+            for name, node in zone.nodes.items()
+        )
+        least = min(GREY_NODES, len(zone.ready_hosts))
+        # Since when nobody there has answered what was asked before: all dark nodes, and no other's response.
+        began_ns = max(zone.last_response_ns, self._table.stalled_until_ns, min(dark.values(), default=now))
+        silent_ns = now - began_ns
+        all_dark = len(dark) >= max(least, 1) and len(dark) >= responsive
+        needed_ns = self._silence_needed_ns(zone, len(dark))
+        failed = sum(node.recent_failures for node in zone.nodes.values())
+        nodes_failing = sum(node.recent_failures >= GREY_NODE_FAILURES for node in zone.nodes.values())
+        is_failing = (
+            nodes_failing >= least
+            and zone.recent_ends >= GREY_MIN_ENDS
+            and failed >= GREY_FRACTION * zone.recent_ends
+        )
+        return _Evidence(
+            is_silent=all_dark and silent_ns >= needed_ns,
+            is_failing=is_failing,
+            is_suspect=is_failing or (all_dark and silent_ns >= needed_ns * SUSPECT_FRACTION),
+            silence_text=(
+                f"{len(dark)} of {len(zone.ready_hosts)} nodes dark, "
+                f"no answer for {silent_ns / NS_PER_S:.2f} s"
+            ),
+            failing_text=(
+                f"{failed / zone.recent_ends:.0%} of what ended lately went wrong, at several nodes"
+                if is_failing
+                else ""
+            ),
+        )
+
+    @staticmethod
+    def _dark_since(zone: Zone, load: ZoneLoad, now: int) -> dict[str, int]:
+        """Return the dark nodes of a zone, and since when."""
+        dark = dict(load.unanswered_since_ns)
+        for name, node in zone.nodes.items():
+            if node.consecutive_failures >= DARK_FAILURES:
+                dark[name] = min(dark.get(name, now), node.failing_since_ns)
+        return dark
+
+    def _silence_needed_ns(self, zone: Zone, dark_nodes: int) -> float:
+        """Return how long a zone must be silent to be lost, in ns."""
+        target_ns = self._table.target_ns
+        needed = LOST_TARGETS[min(dark_nodes, len(LOST_TARGETS)) - 1] * target_ns if dark_nodes else 0.0
+        by_chance = (
+            MISSING_RESPONSES * target_ns * RESPONSE_HALF_LIFE_TARGETS
+            / (HALVING * max(zone.recent_responses, 1e-9))
+        )  # fmt: skip
+        return max(needed, min(by_chance, LOST_TARGETS[0] * target_ns))
+
+    def _judge_in_use(self, zone: Zone, evidence: _Evidence, now: int) -> None:
+        target_ns = self._table.target_ns
+        if evidence.is_suspect:
+            zone.last_fault_ns = now
+        if evidence.is_silent:
+            self.lose(zone, evidence.silence_text, now)
+        elif zone.state is ZoneState.RETURNING:
+            troubled_ns = max(zone.since_ns, zone.grant_exhausted_ns, zone.last_fault_ns)
+            if now - troubled_ns > HEALTHY_TARGETS * target_ns:
+                self.set_state(zone, ZoneState.HEALTHY, "it answers all that it is sent", now)
+        elif evidence.is_suspect:
+            text = evidence.failing_text if evidence.is_failing else evidence.silence_text
+            self.set_state(zone, ZoneState.SUSPECT, text, now)
+        elif zone.state is ZoneState.SUSPECT and now - zone.last_fault_ns > CLEAR_TARGETS * target_ns:
+            self.set_state(zone, ZoneState.HEALTHY, "nothing speaks against it any more", now)
+
+    def _judge_lost(self, zone: Zone, now: int) -> None:
+        """Let a lost zone that has responded since return, once its penalty allows it."""
+        if not zone.ready_hosts:
+            return
+        untried_ns = now - max(zone.since_ns, zone.last_probe_ns)
+        if zone.last_response_ns > zone.since_ns:
+            self.take_back(zone, "it answers again", now)
+        elif untried_ns > UNTRIED_TARGETS * self._table.target_ns:
+            self.take_back(zone, "no request came that may try it", now)
+
+    def _judge_suppressed(self, zone: Zone, now: int) -> None:
+        short_since_ns = self._table.short_since_ns
+        if zone.consecutive_failures >= MISSED_PROBES:
+            self.lose(zone, f"{zone.consecutive_failures} probes in a row were not answered", now)
+        elif not zone.ready_hosts:
+            self.lose(zone, "its nodes left the list", now, SINGLE_NODE_PENALTY)
+            zone.is_delisted = True
+        elif not self._damping.must_suppress(zone):
+            zone.is_suppressed = False
+            self.set_state(zone, ZoneState.RETURNING, "it answers and is trusted again", now)
+        elif short_since_ns and now - short_since_ns > NEEDED_TARGETS * self._table.target_ns:
+            zone.is_suppressed = False
+            self.set_state(zone, ZoneState.RETURNING, "it answers and is needed, trusted or not", now)
+
+    # --- transitions ----------------------------------------------------------------------------
+
+    def lose(self, zone: Zone, reason: str, now: int, penalty: float = 1.0) -> None:
+        """Take a zone out of use."""
+        is_flapping = zone.is_suppressed
+        zone.loss_count += 1
+        zone.is_delisted = False
+        self._damping.add(zone, penalty)
+        zone.grant_per_s = zone.unreported_grant_per_s = zone.tokens = 0.0
+        zone.is_suppressed = False
+        zone.consecutive_failures = 0
+        zone.probe_interval_ns = int(PROBE_TARGETS * self._table.target_ns)
+        zone.next_probe_ns = now + zone.probe_interval_ns
+        for node in zone.nodes.values():
+            node.consecutive_failures = 0
+        self.set_state(zone, ZoneState.LOST, reason, now, quiet=is_flapping)
+
+    def take_back(self, zone: Zone, reason: str, now: int) -> None:
+        """Let a lost zone return; flap damping may suppress it for a while."""
+        zone.is_suppressed = self._damping.must_suppress(zone)
+        if zone.is_suppressed:
+            reason += f", and is held after {zone.loss_count} losses"
+        is_flapping = zone.is_suppressed and zone.loss_count > 1
+        self.set_state(zone, ZoneState.RETURNING, reason, now, quiet=is_flapping)
+
+    def set_state(self, zone: Zone, state: ZoneState, reason: str, now: int, quiet: bool = False) -> None:
+        """Change a zone's state, and log it unless `quiet`."""
+        if zone.state is state and state is ZoneState.SUSPECT:
+            zone.reason = reason
+            return
+        zone.state = state
+        zone.reason = reason
+        zone.since_ns = now
+        if state is ZoneState.RETURNING:
+            zone.grant_per_s = zone.tokens = 0.0
+            zone.refilled_ns = zone.grant_exhausted_ns = now
+        if not quiet:
+            self._table.log(zone, f"is {state.value}: {reason}")
+
+    # --- panic ----------------------------------------------------------------------------------
+
+    def update_panic(self, loads: Mapping[str, ZoneLoad]) -> None:
+        """Decide whether the evidence is doubted.
+
+        Panic: few nodes seem healthy, and those are under load: it may be this proxy that is unhealthy.  A
+        zone that connects can't reach stays out: that is no matter of doubt.
+        """
+        table = self._table
+        rules = table.active_rules
+        was_panic = table.is_panic
+        total = sum(len(zone.ready_hosts) for zone in table.zones.values())
+        max_utilisation = rules.max_utilisation - (PANIC_HYSTERESIS if was_panic else 0.0)
+        healthy, is_pressed = 0, True
+        for name, zone in table.zones.items():
+            if zone.is_out or not zone.ready_hosts:
+                continue
+            load = loads.get(name) or ZoneLoad()
+            healthy += len(zone.ready_hosts) - len(load.unanswered_since_ns)
+            is_pressed &= load.is_strained or load.used > max_utilisation * load.capacity
+        table.is_panic = total > 0 and is_pressed and healthy < rules.panic_threshold * total
+        if total and not any(zone.ready_hosts and not zone.is_out for zone in table.zones.values()):
+            table.is_panic = True  # whatever the rules say: nothing is left to go by
+        if table.is_panic != was_panic:
+            entered = f"panic: {healthy} of {total} nodes seem well: all zones are used"
+            table.log_lines.append(f"zones: {entered if table.is_panic else 'panic is over'}")
--- a/tests/test_state_codec.py
+++ b/tests/test_state_codec.py
@@ -13,7 +13,8 @@
 from brambleusher.loadbalancing.retry_budget import RetryBudget
 from brambleusher.loadbalancing.state_codec import fields_of, save
 from brambleusher.loadbalancing.zone_aware_balancer import balancer_for
-from brambleusher.loadbalancing.zone_routing import NodeHealth, Zone, ZoneRouter
+from brambleusher.loadbalancing.zone_routing import ZoneRouter
+from brambleusher.loadbalancing.zone_state import NodeHealth, Zone
 
 # Made anew from the settings, or without meaning between two events.
 DERIVED = "settings _rng _classes _by_worth _unit_ns _tick_ns _quota _handlers _out _ranks"
@@ -66,6 +67,19 @@
     assert set(state_tables.HOST) == set(Host.__slots__)
 
 
+def attributes_of(record: object) -> set[str]:
+    """All attributes; of a router, those of its parts, but for their references to each other."""
+    if not isinstance(record, ZoneRouter):
+        return set(vars(record))
+    parts = vars(record)
+    return {
+        f"{part}.{name}"
+        for part, owner in parts.items()
+        for name, value in vars(owner).items()
+        if not any(value is each for each in parts.values())
+    }
+
+
 @pytest.mark.parametrize(
     ("record", "fields", "not_stored"),
     [
@@ -81,4 +95,4 @@
 def test_every_attribute_of_a_record_is_stored(
     record: object, fields: state_tables.FieldTable, not_stored: set[str]
 ) -> None:
-    assert set(vars(record)) - not_stored == set(fields)
+    assert attributes_of(record) - not_stored == set(fields)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -26,9 +26,11 @@
 from brambleusher.loadbalancing.api import AttemptStatus, ZoneRules
 from brambleusher.loadbalancing.json_values import StateError
 from brambleusher.loadbalancing.settings_codec import restore_settings, save_settings
+from brambleusher.loadbalancing.spill_grants import fill
 from brambleusher.loadbalancing.state_codec import restore, save
 from brambleusher.loadbalancing.zone_aware_balancer import ZoneAwareBalancer, balancer_for
-from brambleusher.loadbalancing.zone_routing import ZoneLoad, ZoneRouter, ZoneState, fill
+from brambleusher.loadbalancing.zone_routing import ZoneRouter
+from brambleusher.loadbalancing.zone_state import ZoneLoad, ZoneState
 from brambleusher.operator_settings.configuration import parse_operator_file
 from brambleusher.operator_settings.section import OperatorError
 from tests.rules import MS, SECOND, World
@@ -48,7 +50,7 @@
         self.loads = {
             name: ZoneLoad(hosts, 20.0 * hosts, 12.0 * hosts, 12.0 * hosts, 8.0 * hosts) for name in names
         }
-        self.zones.listed(self.ready, {}, self.now)
+        self.zones.record_list(self.ready, {}, self.now)
         self.rate = 25.0
         self.dead: set[str] = set()
         self.trace: list[tuple[float, str]] = []
@@ -56,15 +58,15 @@
     def end(
         self, host: str, status: AttemptStatus = AttemptStatus.OK, after: int = 60 * MS, cls: int = 0
     ) -> None:
-        self.zones.ended(host[0], host, cls, status, self.now - after, after, self.now)
+        self.zones.record_end(host[0], host, cls, status, self.now - after, after, self.now)
 
     def answers(self, *hosts: str) -> None:
         for host in hosts or [each for hosts in self.ready.values() for each in hosts]:
-            if host not in self.dead and not self.zones.shut(host[0]):
+            if host not in self.dead and not self.zones.is_excluded(host[0]):
                 self.end(host)
-        while (zone := self.zones.probe(self.now)) is not None:
-            host = zone.ready[zone.probe_at % len(zone.ready)]
-            self.zones.probed(zone, self.now)
+        while (zone := self.zones.zone_to_probe(self.now)) is not None:
+            host = zone.ready_hosts[zone.probe_turn % len(zone.ready_hosts)]
+            self.zones.record_probe(zone, self.now)
             self.end(host, AttemptStatus.CONNECT_FAILED if host in self.dead else AttemptStatus.OK)
 
     def tick(self, seconds: float = TICK / SECOND, dark: tuple[str, ...] = ()) -> None:
@@ -74,7 +76,9 @@
             self.now += TICK
             self.answers()
             for name, load in self.loads.items():
-                load.dark = {host: begin for host in dark if host[0] == name and self.now - begin > UNIT // 2}
+                load.unanswered_since_ns = {
+                    host: begin for host in dark if host[0] == name and self.now - begin > UNIT // 2
+                }
             self.zones.tick(self.now, TICK / UNIT, self.loads, self.rate, 0.7, 0.01)
 
     def state(self, name: str) -> ZoneState:
@@ -143,7 +147,7 @@
         for name, more in extra.items():
             work = 40 * math.exp(0.5 * rng.gauss(0, 1))
             seen.end(f"{name}{rng.randrange(4)}", after=int((work + more) * MS))
-    seen.zones._rank()
+    seen.zones.tiers.rank()
     assert {name: zone.tier for name, zone in seen.zones.zones.items()} == {"a": 0, "b": 1, "c": 2, "d": 2}
 
 
@@ -160,7 +164,7 @@
         for _ in range(100):
             seen.tick(dark=())
             dark = dict.fromkeys(seen.ready["b"], begin) if seen.now - begin > UNIT // 4 else {}
-            seen.loads["b"].dark = dark
+            seen.loads["b"].unanswered_since_ns = dark
             seen.zones.tick(seen.now, 0.0, seen.loads, 25.0, 0.7, 0.01)
             if seen.state("b") is ZoneState.LOST:
                 break
@@ -201,9 +205,9 @@
     seen.tick(2.0)
     before = seen.now
     seen.now += 3 * SECOND
-    seen.zones.stood_still(seen.now)
+    seen.zones.record_stall(seen.now)
     for name in "abcd":
-        seen.loads[name].dark = dict.fromkeys(seen.ready[name], before)
+        seen.loads[name].unanswered_since_ns = dict.fromkeys(seen.ready[name], before)
     seen.zones.tick(seen.now, 6.0, seen.loads, 25.0, 0.7, 0.01)
     assert {seen.state(name) for name in "abcd"} == {ZoneState.HEALTHY}
 
@@ -214,7 +218,7 @@
         seen.end(f"b{at % 4}", AttemptStatus.RESET if at % 3 == 0 else AttemptStatus.OK)
     seen.tick()
     assert seen.state("b") is ZoneState.SUSPECT and "went wrong" in seen.zones.zones["b"].reason
-    assert seen.zones.doubtful("b") and not seen.zones.doubtful("a") and not seen.zones.shut("b")
+    assert seen.zones.is_doubtful("b") and not seen.zones.is_doubtful("a") and not seen.zones.is_excluded("b")
     seen.tick(15.0)
     assert seen.state("b") is ZoneState.HEALTHY
 
@@ -222,11 +226,11 @@
 def test_a_zone_drained_in_order_is_not_lost_and_one_that_left_the_list_is() -> None:
     seen = Seen()
     drained, gone = Seen(), Seen()
-    drained.zones.listed({**seen.ready, "b": []}, {"b": seen.ready["b"]}, seen.now)
-    drained.zones.listed({**seen.ready, "b": []}, {}, seen.now)
+    drained.zones.record_list({**seen.ready, "b": []}, {"b": seen.ready["b"]}, seen.now)
+    drained.zones.record_list({**seen.ready, "b": []}, {}, seen.now)
     assert drained.state("b") is ZoneState.HEALTHY and drained.zones.zones["b"].reason == "drained in order"
-    gone.zones.listed({**seen.ready, "b": []}, {}, seen.now)
-    assert gone.state("b") is ZoneState.LOST and gone.zones.zones["b"].penalty == 1.0
+    gone.zones.record_list({**seen.ready, "b": []}, {}, seen.now)
+    assert gone.state("b") is ZoneState.LOST and gone.zones.zones["b"].flap_penalty == 1.0
 
 
 # --- the way back ---------------------------------------------------------------------------------
@@ -237,20 +241,23 @@
     seen.tick(5.0)
     seen.lose(seconds=25.0)
     zone = seen.zones.zones["b"]
-    assert seen.zones.shut("b") and zone.penalty < 0.5
-    tried = zone.probe_at
+    assert seen.zones.is_excluded("b") and zone.flap_penalty < 0.5
+    tried = zone.probe_turn
     seen.tick(10.0)
-    assert 4 <= zone.probe_at - tried <= 6  # a request each four aims: the pause has grown
+    assert 4 <= zone.probe_turn - tried <= 6  # a request each four aims: the pause has grown
     seen.regain()
     seen.tick(2.5)
-    assert seen.state("b") is ZoneState.RETURNING and not seen.zones.shut("b")
+    assert seen.state("b") is ZoneState.RETURNING and not seen.zones.is_excluded("b")
     grants: list[float] = []
     while seen.state("b") is ZoneState.RETURNING and len(grants) < 400:
-        used = zone.answered * 0.693 / (UNIT / SECOND)
+        used = zone.recent_responses * 0.693 / (UNIT / SECOND)
         seen.tick()
-        grants.append(zone.grant)
-        start = 0.1 * 80.0 * zone.own_part
-        assert zone.grant <= max(2.0 * max(used, zone.answered * 0.693 / (UNIT / SECOND)), start) + 1e-6
+        grants.append(zone.grant_per_s)
+        start = 0.1 * 80.0 * zone.own_traffic_share
+        assert (
+            zone.grant_per_s
+            <= max(2.0 * max(used, zone.recent_responses * 0.693 / (UNIT / SECOND)), start) + 1e-6
+        )
     assert seen.state("b") is ZoneState.HEALTHY and grants == sorted(grants)
 
 
@@ -266,12 +273,12 @@
         until = seen.now + int(period * SECOND)
         while seen.now < until:
             seen.tick()
-            ups, used = ups + 1, used + (not zone.out)
-    assert zone.losses >= 3 and used <= 0.1 * ups
+            ups, used = ups + 1, used + (not zone.is_out)
+    assert zone.loss_count >= 3 and used <= 0.1 * ups
     seen.lose(seconds=period)
     seen.regain()
     begin = seen.now
-    while zone.out:
+    while zone.is_out:
         seen.tick(0.5)
         assert seen.now - begin <= RULES.max_flap_hold_ns + 10 * UNIT
     assert seen.now - begin > 3 * SECOND and seen.state("b") is ZoneState.RETURNING
@@ -284,20 +291,20 @@
         seen.lose()
         seen.regain()
         seen.tick(1.0)
-    assert seen.zones.zones["b"].held
+    assert seen.zones.zones["b"].is_suppressed
     seen.zones.set_rules(replace(RULES, flap_exempt=("b",)), seen.now)
     seen.tick()
-    assert seen.state("b") is ZoneState.RETURNING and not seen.zones.shut("b")
+    assert seen.state("b") is ZoneState.RETURNING and not seen.zones.is_excluded("b")
 
 
 def test_without_a_hold_flaps_cost_nothing() -> None:
     seen = Seen(replace(RULES, max_flap_hold_ns=0))
     for _ in range(3):
         seen.lose()
-        assert seen.zones.shut("b")
+        assert seen.zones.is_excluded("b")
         seen.regain()
         seen.tick(2.5)
-        assert not seen.zones.shut("b")
+        assert not seen.zones.is_excluded("b")
 
 
 def test_an_evacuated_zone_is_offered_less_and_less_and_comes_back_gently() -> None:
@@ -305,14 +312,14 @@
     seen.tick(3.0)
     seen.zones.set_rules(replace(RULES, evacuated=("a",)), seen.now)
     seen.tick(5.0)
-    half = seen.zones.zones["a"].limit
+    half = seen.zones.zones["a"].limit_per_s
     seen.tick(5.5)
-    assert 0 < half < 0.75 * seen.rate and seen.zones.zones["a"].limit == 0
-    assert not seen.zones.admits("a", seen.now + SECOND) or seen.zones.zones["a"].level < 2
+    assert 0 < half < 0.75 * seen.rate and seen.zones.zones["a"].limit_per_s == 0
+    assert not seen.zones.admits("a", seen.now + SECOND) or seen.zones.zones["a"].tokens < 2
     assert seen.state("a") is ZoneState.HEALTHY
     seen.zones.set_rules(RULES, seen.now)
     seen.tick()
-    assert seen.state("a") is ZoneState.RETURNING and 0 < seen.zones.zones["a"].limit < seen.rate
+    assert seen.state("a") is ZoneState.RETURNING and 0 < seen.zones.zones["a"].limit_per_s < seen.rate
 
 
 # --- spill ----------------------------------------------------------------------------------------
@@ -344,17 +351,17 @@
     for proxy, part in zip(proxies, parts, strict=True):
         proxy.tick(1.0)
         for name in "bcd":
-            proxy.zones.zones[name].grant = proxy.zones.zones[name].answered = 0.0
-        proxy.zones.zones["a"].own_part = part / total
+            proxy.zones.zones[name].grant_per_s = proxy.zones.zones[name].recent_responses = 0.0
+        proxy.zones.zones["a"].own_traffic_share = part / total
         proxy.rate = 48.0 * part / total
         proxy.dead.update(host for hosts in proxy.ready.values() for host in hosts)  # what is sent is out yet
-        proxy.zones._lose(proxy.zones.zones["a"], "told so", proxy.now)
+        proxy.zones.health.lose(proxy.zones.zones["a"], "told so", proxy.now)
     spare = 0.95 * 80.0 - 48.0
     before = 0.5 * len(parts)  # each has that little always
     for _ in range(24):
         for proxy in proxies:
             proxy.tick()
-        granted = sum(proxy.zones.zones["b"].grant for proxy in proxies)
+        granted = sum(proxy.zones.zones["b"].grant_per_s for proxy in proxies)
         assert granted - before <= 1.25 * spill * spare * TICK / SECOND + 1e-6
         before = granted
     assert before > 0.5 * len(parts)
@@ -364,16 +371,16 @@
     seen = Seen()
     seen.tick(3.0)
     seen.dead.update(seen.ready["a"])
-    seen.zones._lose(seen.zones.zones["a"], "told so", seen.now)
+    seen.zones.health.lose(seen.zones.zones["a"], "told so", seen.now)
     seen.tick(3.0)
-    assert seen.zones.beyond < 0.2 and seen.zones.zones["b"].grant > 1
+    assert seen.zones.unplaced_fraction < 0.2 and seen.zones.zones["b"].grant_per_s > 1
     seen.dead.update(host for hosts in seen.ready.values() for host in hosts)  # nothing is used there
     for name in "bcd":
         seen.loads[name].used = seen.loads[name].capacity
-    before = {name: seen.zones.zones[name].grant for name in "bcd"}
+    before = {name: seen.zones.zones[name].grant_per_s for name in "bcd"}
     seen.tick(10.0)
-    assert all(seen.zones.zones[name].grant < before[name] for name in "bcd")
-    assert seen.zones.beyond > 0.2
+    assert all(seen.zones.zones[name].grant_per_s < before[name] for name in "bcd")
+    assert seen.zones.unplaced_fraction > 0.2
 
 
 def test_few_well_nodes_that_are_pressed_are_panic_and_proof_is_not_doubted() -> None:
@@ -384,17 +391,17 @@
         seen.lose(name, 0.0)
     seen.tick(2.0, dark=tuple(host for name in lost for host in seen.ready[name]))
     assert all(seen.state(name) is ZoneState.LOST for name in lost)
-    assert not seen.zones.panic and seen.zones.shut("b")  # the zone that is left has room
+    assert not seen.zones.is_panic and seen.zones.is_excluded("b")  # the zone that is left has room
     for host in seen.ready["b"]:
         seen.end(host, AttemptStatus.CONNECT_FAILED)
     seen.loads["a"].used = seen.loads["a"].capacity
     seen.tick()
-    assert seen.zones.panic
-    assert [seen.zones.shut(name) for name in "abcd"] == [False, True, False, False]
-    assert seen.zones.doubtful("c")
+    assert seen.zones.is_panic
+    assert [seen.zones.is_excluded(name) for name in "abcd"] == [False, True, False, False]
+    assert seen.zones.is_doubtful("c")
     seen.loads["a"].used = 0.5 * seen.loads["a"].capacity
     seen.tick()
-    assert not seen.zones.panic and seen.zones.shut("c")
+    assert not seen.zones.is_panic and seen.zones.is_excluded("c")
 
 
 def test_when_every_zone_is_out_all_take_part() -> None:
@@ -403,7 +410,7 @@
     seen.dead.update(host for hosts in seen.ready.values() for host in hosts)
     seen.tick(3.0, dark=tuple(seen.dead))
     assert all(seen.state(name) is ZoneState.LOST for name in "abcd")
-    assert not any(seen.zones.shut(name) for name in "abcd")
+    assert not any(seen.zones.is_excluded(name) for name in "abcd")
 
 
 # --- the balancer ---------------------------------------------------------------------------------
@@ -470,7 +477,7 @@
     world.give(api.ZoneRulesChanged(None))
     balancer = world.balancer
     assert isinstance(balancer, ZoneAwareBalancer)
-    assert all(not balancer._zones.shut(name) for name in balancer._zones.zones)
+    assert all(not balancer._zones.is_excluded(name) for name in balancer._zones.zones)
     for _ in range(100):
         world.step()
     world.give(api.ZoneRulesChanged(RULES))
@@ -544,5 +551,7 @@
     # A set of names goes by their hashes, which differ from process to process: so would sums over zones.
     names = [f"zone-{at}" for at in range(24)]
     zones = ZoneRouter(RULES, "zone-0", UNIT, 8)
-    zones.listed({name: [f"{name}-host"] for name in names[:16]}, {name: [] for name in names[8:]}, SECOND)
+    zones.record_list(
+        {name: [f"{name}-host"] for name in names[:16]}, {name: [] for name in names[8:]}, SECOND
+    )
     assert list(zones.zones) == names
