--- a/tests/system/test_fault_days_find_faults.py
+++ b/tests/system/test_fault_days_find_faults.py
@@ -54,7 +54,7 @@
         self.accepted_digests = []
         return put(self, index, command)
 
-    patch.setattr(SharedState, "_put", forget)
+    patch.setattr(SharedState, "_put_configuration", forget)
 
 
 def numbers_are_taken_twice(patch: Patch) -> None:
@@ -67,7 +67,7 @@
         self.accepted_digests = [*self.accepted_digests, command.digest]
         return Verdict.ACCEPTED
 
-    patch.setattr(SharedState, "_put", put)
+    patch.setattr(SharedState, "_put_configuration", put)
 
 
 def old_evacuations_act(patch: Patch) -> None:
@@ -81,7 +81,7 @@
     def submit(command: SetEvacuation) -> dict[str, Any]:
         return {"op": "evacuate", "zone": command.zone, "evacuated": command.is_evacuated}
 
-    patch.setattr(AdminApi, "_evacuate", act)
+    patch.setattr(AdminApi, "_set_evacuation", act)
     patch.setattr(SetEvacuation, "as_json", submit)
 
 
