--- /dev/null
+++ b/brambleusher/dataplane/configuration_store.py
@@ -0,0 +1,111 @@
+"""The gateway's copy of the control plane's state: what is newer is applied, what is older never."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from brambleusher.dataplane.instance import Instance
+from brambleusher.dataplane.instance_table import InstanceTable
+from brambleusher.dataplane.long_poll_messages import LongPollResponse
+from brambleusher.dataplane.routing import RouteTable
+from brambleusher.membership.controllers import Controllers
+from brambleusher.runtime.scheduler import Scheduler
+from brambleusher.wire import configuration
+from brambleusher.wire.errors import InvalidConfigurationError, InvalidMessageError
+from brambleusher.wire.packing import unpack
+
+LIST_LAG_S = 1.0  # behind another controller's reading: then that one is worth having
+QUORUM_WAIT_S = 2.0  # after the start, for a controller with a majority, before another's state is applied
+COUNT_WINDOW_S = 30.0  # the largest count of gateways within this time shares the budgets
+COUNT_SAMPLE_S = 1.0
+
+
+class GatewayCount:
+    """The largest count of gateways lately: budgets that are shared by too few would be exceeded."""
+
+    def __init__(self) -> None:
+        self._samples: list[tuple[float, int]] = []
+
+    def record(self, gateways: int, now_s: float) -> float:
+        """Record a count; return the largest of the window, at least 1."""
+        self._samples = [(at_s, count) for at_s, count in self._samples if now_s - at_s < COUNT_WINDOW_S]
+        samples = self._samples
+        if not samples or samples[-1][1] != gateways or now_s - samples[-1][0] > COUNT_SAMPLE_S:
+            samples.append((now_s, gateways))
+        return float(max(1, *(count for _, count in samples)))
+
+
+class ConfigurationStore:
+    """Owns the routes in force, and keeps the instance table up to date."""
+
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        controllers: Controllers,
+        instances: InstanceTable,
+        on_unusable: Callable[[list[Instance]], None],
+    ) -> None:
+        """Start without a configuration; `on_unusable` gets instances that drain or were removed."""
+        self._scheduler, self._controllers = scheduler, controllers
+        self._instances, self._on_unusable = instances, on_unusable
+        self.state_index = -1  # of the last applied command
+        self.routes: RouteTable | None = None
+        self._started_at_s = scheduler.now()
+        self._gateway_count = GatewayCount()
+
+    def is_behind(self, response: LongPollResponse) -> bool:
+        """Whether a controller that answered briefly has what this gateway still lacks."""
+        has_newer_list = False
+        if response.list_age_s is not None:
+            read_at_s = self._scheduler.now() - response.list_age_s
+            has_newer_list = read_at_s > self._instances.list_read_at_s + LIST_LAG_S
+        return response.state_index > self.state_index or has_newer_list
+
+    def apply(self, response: LongPollResponse, confirms_list: bool) -> None:
+        """Apply what is newer, the state first: a list that can't be read does not delay a configuration.
+
+        Args:
+            response: Of any controller.
+            confirms_list: Whether the list was taken from this controller and has not changed since.
+
+        Raises:
+            InvalidMessageError: A part can't be read; what comes before it is applied.
+        """
+        now_s = self._scheduler.now()
+        try:
+            self._apply_state(response, now_s)
+            self._apply_instances(response, now_s, confirms_list)
+            self._instances.gateway_count = self._gateway_count.record(response.gateway_count, now_s)
+            self._instances.gateway_rank = response.gateway_rank
+            load = response.fleet_load()
+            if load is not None:
+                self._instances.apply_fleet_load(load.reporters, load.totals, now_s)
+        except (TypeError, ValueError, InvalidConfigurationError) as error:
+            raise InvalidMessageError(f"a configuration can't be applied: {error!r}") from error
+        if response.controllers and response.has_quorum_contact:
+            self._controllers.set_announced(response.controllers)
+
+    def _apply_state(self, response: LongPollResponse, now_s: float) -> None:
+        if response.state_index <= self.state_index or response.state is None:
+            return
+        has_waited = now_s - self._started_at_s >= QUORUM_WAIT_S
+        if not response.has_quorum_contact and self.routes is None and not has_waited:
+            return  # it may have lost contact long ago, and others have newer state
+        packed = response.state.packed_configuration
+        routes = RouteTable(configuration.read_checked(unpack(packed))) if packed else None
+        self.state_index = response.state_index
+        if routes is not None:
+            self.routes = routes
+            self._instances.services = routes.services
+        self._instances.set_evacuated_zones(response.state.evacuated_zones, now_s)
+
+    def _apply_instances(self, response: LongPollResponse, now_s: float, confirms_list: bool) -> None:
+        if response.list_age_s is None:
+            return
+        read_at_s = now_s - response.list_age_s
+        instances = response.instances() if read_at_s > self._instances.list_read_at_s else None
+        if instances is not None:
+            self._on_unusable(self._instances.update(instances, read_at_s, now_s))
+        elif confirms_list and self._instances.has_list:
+            # Otherwise a list that does not change would seem to grow old, and be requested again.
+            self._instances.list_read_at_s = max(self._instances.list_read_at_s, read_at_s)
--- a/brambleusher/gateway/app.py
+++ b/brambleusher/gateway/app.py
@@ -9,6 +9,7 @@
 from brambleusher.dataplane.attempts import AttemptRunner
 from brambleusher.dataplane.body_memory import BodyMemory
 from brambleusher.dataplane.configuration_client import ConfigurationClient
+from brambleusher.dataplane.configuration_store import ConfigurationStore
 from brambleusher.dataplane.connection_pool import ConnectionPool
 from brambleusher.dataplane.counters import Counters
 from brambleusher.dataplane.instance_table import InstanceTable
@@ -61,12 +62,11 @@
         self._upstream = UpstreamClient(self.scheduler, self.instances, self.connection_pool)
         locality = Locality(settings.zone, settings.region)
         self.controllers = Controllers(settings.seed_peers(), rng, locality)
-        self._configuration = ConfigurationClient(
-            self.scheduler,
-            self.controllers,
-            self.instances,
-            self._describe_self,
-            self.connection_pool.close_idle,
+        self._configuration = ConfigurationStore(
+            self.scheduler, self.controllers, self.instances, self.connection_pool.close_idle
+        )
+        self._configuration_client = ConfigurationClient(
+            self.scheduler, self.controllers, self.instances, self._configuration, self._describe_self
         )
         handler = self._request_handler(policy, rng)
         self._ready_server = HttpServer(
