--- a/brambleusher/controlplane/relay/__init__.py
+++ b/brambleusher/controlplane/relay/__init__.py
@@ -1,1 +1,1 @@
-"""Calls of observers to controllers."""
+"""Requests of observers to controllers."""
--- a/brambleusher/controlplane/relay/client.py
+++ b/brambleusher/controlplane/relay/client.py
@@ -1,6 +1,6 @@
-"""Relays calls from an observer, which has no disk and no vote, to controllers.
+"""Relays requests from an observer, which has no disk and no vote, to controllers.
 
-An observer tries one controller after the other.  A relayed call may arrive twice: commands are idempotent.
+An observer tries one controller after the other.  A request may arrive twice: commands are idempotent.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 )
 from brambleusher.controlplane.configuration.state_machine import SharedState
 from brambleusher.controlplane.relay.messages import (
-    AppliedIndexCall,
-    ControllersCall,
-    ReadCall,
-    RelayCall,
+    AppliedIndexRequest,
+    ControllersRequest,
+    ReadRequest,
     RelayReply,
-    ResolveCall,
-    SubmitCall,
+    RelayRequest,
+    ResolveRequest,
+    SubmitRequest,
 )
 from brambleusher.membership.controllers import Controllers, controllers_from_json
 from brambleusher.membership.line_connection import LineClient
@@ -37,17 +37,17 @@
 
 
 class RelayClient:
-    """Calls controllers, near ones first; keeps connections between calls."""
+    """Calls controllers, near ones first; keeps connections between requests."""
 
     def __init__(self, scheduler: Scheduler, controllers: Controllers) -> None:
         self._scheduler, self._controllers = scheduler, controllers
         self._idle: dict[str, list[LineClient]] = {}
 
-    def call(self, call: RelayCall, deadline: float) -> object:
+    def request(self, request: RelayRequest, deadline: float) -> object:
         """Return what a controller answered; None where none did before the deadline."""
         while (now := self._scheduler.now()) < deadline:
             address = self._controllers.acquire(CONNECTION_SLOT, now)
-            answer = self._attempt(address, call, min(ATTEMPT_TIMEOUT_S, deadline - now))
+            answer = self._attempt(address, request, min(ATTEMPT_TIMEOUT_S, deadline - now))
             if answer is not None:
                 self._controllers.record_success(address)
                 return answer
@@ -55,11 +55,11 @@
             self._scheduler.sleep(RETRY_BACKOFF_S)
         return None
 
-    def _attempt(self, address: str, call: RelayCall, timeout_s: float) -> object:
+    def _attempt(self, address: str, request: RelayRequest, timeout_s: float) -> object:
         idle = self._idle.setdefault(address, [])
         client = idle.pop() if idle else LineClient(self._scheduler, parse_address(address))
         try:
-            reply = RelayReply.from_json(client.call(call.as_json(), timeout_s))
+            reply = RelayReply.from_json(client.call(request.as_json(), timeout_s))
         except (OSError, TaskTimeoutError, InvalidMessageError):
             client.close()
             return None
@@ -73,13 +73,13 @@
 
     def resolve(self, zone: str, region: str, deadline: float) -> list[str] | None:
         """Return addresses of gateways near a client; None where no controller answered."""
-        answer = self.call(ResolveCall(zone, region), deadline)
+        answer = self.request(ResolveRequest(zone, region), deadline)
         return [str(address) for address in answer] if isinstance(answer, list) else None
 
     def refresh_controllers(self, deadline: float) -> bool:
         """Ask which controllers there are; whether any answered."""
         try:
-            controllers = controllers_from_json(self.call(ControllersCall(), deadline))
+            controllers = controllers_from_json(self.request(ControllersRequest(), deadline))
         except InvalidMessageError:
             return False
         self._controllers.set_announced(controllers)
@@ -93,24 +93,24 @@
 
 
 class RemoteState:
-    """The replicated state as an observer has it: every call goes to a controller."""
+    """The replicated state as an observer has it: every request goes to a controller."""
 
     def __init__(self, relay: RelayClient) -> None:
         self._relay = relay
 
     def submit(self, command: Command, deadline: float) -> SubmitResult:
         """Have a command committed and applied."""
-        answer = self._relay.call(SubmitCall(command), deadline)
+        answer = self._relay.request(SubmitRequest(command), deadline)
         return Ok(Verdict(answer)) if isinstance(answer, str) else Err(NoLeaderError())
 
     def read(self, deadline: float) -> ReadResult:
         """Return the state as a majority has it at this moment."""
-        answer = self._relay.call(ReadCall(), deadline)
+        answer = self._relay.request(ReadRequest(), deadline)
         return Ok(SharedState.from_json(answer)) if isinstance(answer, dict) else Err(NoLeaderError())
 
     def read_applied_index(self, deadline: float, /) -> IndexResult:
-        """Return the index that a controller had applied after this call was made."""
-        answer = self._relay.call(AppliedIndexCall(), deadline)
+        """Return the index that a controller had applied after this request was made."""
+        answer = self._relay.request(AppliedIndexRequest(), deadline)
         return Ok(answer) if isinstance(answer, int) else Err(NoLeaderError())
 
     def status(self) -> dict[str, object]:
--- a/brambleusher/controlplane/relay/messages.py
+++ b/brambleusher/controlplane/relay/messages.py
@@ -11,14 +11,14 @@
 from brambleusher.wire.errors import InvalidMessageError
 from brambleusher.wire.json_fields import JsonObject
 
-RELAY = "relay"  # kind of a call of an observer to a controller
+RELAY = "relay"  # kind of a request of an observer to a controller
 CONTROLLERS_ANNOUNCEMENT = "controllers"  # kind of a controller's message that names the controllers
 
 # Address, zone and region of controllers, as they are announced.
 ControllersJson = Sequence[tuple[str, str, str]]
 
 
-class CallKind(Enum):
+class RequestKind(Enum):
     """What an observer asks for; the values are the form on the wire."""
 
     SUBMIT = "submit"
@@ -29,36 +29,36 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SubmitCall:
+class SubmitRequest:
     """Have a command committed; the answer is the verdict."""
 
     command: Command
 
     def as_json(self) -> dict[str, object]:
         """Return the form on the wire."""
-        return _call_to_json(CallKind.SUBMIT, command=self.command.as_json())
+        return _request_to_json(RequestKind.SUBMIT, command=self.command.as_json())
 
 
 @dataclass(frozen=True, slots=True)
-class ReadCall:
+class ReadRequest:
     """Read the state as a majority has it; the answer is the state."""
 
     def as_json(self) -> dict[str, object]:
         """Return the form on the wire."""
-        return _call_to_json(CallKind.READ)
+        return _request_to_json(RequestKind.READ)
 
 
 @dataclass(frozen=True, slots=True)
-class AppliedIndexCall:
+class AppliedIndexRequest:
     """Ask for the index that the controller has applied."""
 
     def as_json(self) -> dict[str, object]:
         """Return the form on the wire."""
-        return _call_to_json(CallKind.APPLIED_INDEX)
+        return _request_to_json(RequestKind.APPLIED_INDEX)
 
 
 @dataclass(frozen=True, slots=True)
-class ResolveCall:
+class ResolveRequest:
     """Ask for gateways near a client; the answer is a list of their addresses."""
 
     zone: str
@@ -66,44 +66,44 @@
 
     def as_json(self) -> dict[str, object]:
         """Return the form on the wire."""
-        return _call_to_json(CallKind.RESOLVE, zone=self.zone, region=self.region)
+        return _request_to_json(RequestKind.RESOLVE, zone=self.zone, region=self.region)
 
 
 @dataclass(frozen=True, slots=True)
-class ControllersCall:
+class ControllersRequest:
     """Ask which controllers there are."""
 
     def as_json(self) -> dict[str, object]:
         """Return the form on the wire."""
-        return _call_to_json(CallKind.CONTROLLERS)
+        return _request_to_json(RequestKind.CONTROLLERS)
 
 
-RelayCall = SubmitCall | ReadCall | AppliedIndexCall | ResolveCall | ControllersCall
+RelayRequest = SubmitRequest | ReadRequest | AppliedIndexRequest | ResolveRequest | ControllersRequest
 
 
-def _call_to_json(kind: CallKind, **fields: object) -> dict[str, object]:
+def _request_to_json(kind: RequestKind, **fields: object) -> dict[str, object]:
     return {"kind": RELAY, "what": kind.value, **fields}
 
 
-def call_from_json(data: JsonObject) -> RelayCall:
-    """Return a call from its form on the wire.
+def request_from_json(data: JsonObject) -> RelayRequest:
+    """Return a request from its form on the wire.
 
     Raises:
         InvalidMessageError: It asks for nothing that is known, or its command can't be read.
     """
     match data.get("what"):
-        case CallKind.SUBMIT.value:
-            return SubmitCall(command_from_json(data.get("command")))
-        case CallKind.READ.value:
-            return ReadCall()
-        case CallKind.APPLIED_INDEX.value:
-            return AppliedIndexCall()
-        case CallKind.RESOLVE.value:
-            return ResolveCall(str(data.get("zone", "")), str(data.get("region", "")))
-        case CallKind.CONTROLLERS.value:
-            return ControllersCall()
+        case RequestKind.SUBMIT.value:
+            return SubmitRequest(command_from_json(data.get("command")))
+        case RequestKind.READ.value:
+            return ReadRequest()
+        case RequestKind.APPLIED_INDEX.value:
+            return AppliedIndexRequest()
+        case RequestKind.RESOLVE.value:
+            return ResolveRequest(str(data.get("zone", "")), str(data.get("region", "")))
+        case RequestKind.CONTROLLERS.value:
+            return ControllersRequest()
         case unknown:
-            raise InvalidMessageError(f"a relayed call asks for {unknown!r}")
+            raise InvalidMessageError(f"a relayed request asks for {unknown!r}")
 
 
 def reply_to_json(answer: object) -> dict[str, object]:
@@ -113,9 +113,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayReply:
-    """The reply to a call."""
+    """The reply to a request."""
 
-    answer: object  # its form goes by the call; None where there is none
+    answer: object  # its form goes by the request; None where there is none
     is_from_observer: bool
     controllers: list[KnownController]  # that an observer knows
 
--- a/brambleusher/controlplane/relay/server.py
+++ b/brambleusher/controlplane/relay/server.py
@@ -1,4 +1,4 @@
-"""Serves observers on a controller: executes the calls that they relay."""
+"""Serves observers on a controller: executes the requests that they relay."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from brambleusher.controlplane.configuration.commands import Command
 from brambleusher.controlplane.configuration.replicated_state import ReplicatedState
 from brambleusher.controlplane.relay.messages import (
-    AppliedIndexCall,
-    ControllersCall,
+    AppliedIndexRequest,
     ControllersJson,
-    ReadCall,
-    RelayCall,
-    ResolveCall,
-    SubmitCall,
-    call_from_json,
+    ControllersRequest,
+    ReadRequest,
+    RelayRequest,
+    ResolveRequest,
+    SubmitRequest,
     reply_to_json,
+    request_from_json,
 )
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.wire.json_fields import JsonObject
@@ -39,27 +39,27 @@
         self._find_gateways, self._controllers = find_gateways, controllers
 
     def handle(self, message: JsonObject) -> dict[str, object]:
-        """Return the reply to one call.
+        """Return the reply to one request.
 
         Raises:
-            InvalidMessageError: The call can't be read.
+            InvalidMessageError: The request can't be read.
         """
-        call = call_from_json(message)
-        return reply_to_json(self._answer(call, self._scheduler.now() + RESPONSE_TIMEOUT_S))
+        request = request_from_json(message)
+        return reply_to_json(self._answer(request, self._scheduler.now() + RESPONSE_TIMEOUT_S))
 
-    def _answer(self, call: RelayCall, deadline: float) -> object:
-        match call:
-            case SubmitCall():
-                return self._submit(call.command, deadline)
-            case ReadCall():
+    def _answer(self, request: RelayRequest, deadline: float) -> object:
+        match request:
+            case SubmitRequest():
+                return self._submit(request.command, deadline)
+            case ReadRequest():
                 state = self._state.read(deadline)
                 return None if isinstance(state, Err) else state.ok_value.as_read_json()
-            case AppliedIndexCall():
+            case AppliedIndexRequest():
                 index = self._state.read_applied_index(deadline)
                 return None if isinstance(index, Err) else index.ok_value
-            case ResolveCall():
-                return self._find_gateways(call.zone, call.region)
-            case ControllersCall():
+            case ResolveRequest():
+                return self._find_gateways(request.zone, request.region)
+            case ControllersRequest():
                 return self._controllers()
 
     def _submit(self, command: Command, deadline: float) -> str | None:
--- a/brambleusher/controlplane/replica.py
+++ b/brambleusher/controlplane/replica.py
@@ -40,8 +40,24 @@
 FORWARD_NUMBER_MAX = 1 << 40
 
 
+def _voter_count(settings: Settings) -> int:
+    """Return how many voters keep a majority when as many machines are lost as have to be tolerated."""
+    return max(VOTERS_MIN, settings.tolerance.machines * 2 + 1)
+
+
 class Replica:
-    """Serves commands and reads; calls `on_state_changed` whenever the state has a new version."""
+    """Serves commands and reads.
+
+    Args:
+        scheduler: Of the serving thread.
+        settings: Of this process.
+        disk: Where the log and snapshots are; it is recovered before the constructor returns.
+        send: Sends a message to an address, without a guarantee.
+        rng: Source of every random draw.
+        on_state_changed: Called whenever the state has got a new version.
+        known_controllers: Returns addresses of the other controllers, for requests to join.
+        known_zones: Returns zones of the other controllers by address, for the placement of votes.
+    """
 
     def __init__(
         self,
@@ -54,18 +70,6 @@
         known_controllers: Callable[[], list[str]] = list,
         known_zones: Callable[[], dict[str, str]] = dict,
     ) -> None:
-        """Recover the disk and start.
-
-        Args:
-            scheduler: Of the serving thread.
-            settings: Of this process.
-            disk: Where the log and snapshots are.
-            send: Sends a message to an address, without a guarantee.
-            rng: Source of every random draw.
-            on_state_changed: Called after the state has got a new version.
-            known_controllers: Returns addresses of the other controllers, for requests to join.
-            known_zones: Returns zones of the other controllers by address, for the placement of votes.
-        """
         self._scheduler, self._send = scheduler, send
         self._on_state_changed = on_state_changed
         self._known_controllers, self._known_zones = known_controllers, known_zones
@@ -80,7 +84,7 @@
             recovered.vote,
             scheduler.now(),
             rng,
-            max(VOTERS_MIN, settings.tolerance.machines * 2 + 1),
+            _voter_count(settings),
             self._zones,
             settings.zones,
         )
