--- a/tests/system/test_consensus_losses.py
+++ b/tests/system/test_consensus_losses.py
@@ -1,4 +1,4 @@
-"""Agreement with snapshots, lost disks and members that go: days of faults, and each crossing forced.
+"""Consensus with snapshots, lost disks and members that shut down: days of faults, each crossing forced.
 
 Where a test forces a crossing it also runs a replica with the fault put back in, and sees it break.
 """
@@ -7,21 +7,11 @@
 
 import random
 from dataclasses import replace
-from itertools import combinations
 
 import pytest
 
 from brambleusher.controlplane.consensus.election import Election
-from brambleusher.controlplane.consensus.membership_requests import DISK_LOSS_PROOF_S, MembershipRequests
 from brambleusher.controlplane.consensus.outputs import HardState, Record, Restore
-from brambleusher.controlplane.consensus.progress import (
-    MESSAGE_BYTES,
-    UNCONFIRMED_BYTES,
-    FollowerProgress,
-    ReplicationProgress,
-    wire_bytes,
-)
-from brambleusher.controlplane.consensus.quorum import agreed_value, has_quorum, votes_needed
 from brambleusher.controlplane.consensus.raft import Consensus
 from brambleusher.controlplane.consensus.replicated_log import Log
 from brambleusher.controlplane.consensus.snapshots import Snapshots
@@ -139,19 +129,6 @@
     cluster.check()
 
 
-def test_a_refusal_sets_back_what_is_sent_and_an_old_one_does_not() -> None:
-    replication = ReplicationProgress(
-        {"b": FollowerProgress(next_index=23, match_index=22, heartbeat_sequence=9)}
-    )
-    known = replication.record_reply(wire.AppendEntriesReply(1, "b", False, 15, 8), 1.0)
-    assert known is not None
-    assert known.next_index == 23
-    known = replication.record_reply(wire.AppendEntriesReply(1, "b", False, 15, 9), 1.0)
-    assert known is not None
-    assert (known.next_index, known.match_index) == (16, 22)
-    assert replication.record_reply(wire.AppendEntriesReply(1, "z", True, 1, 9), 1.0) is None
-
-
 def test_a_state_is_sent_under_the_index_up_to_which_it_is_applied() -> None:
     cluster = Cluster("abc", seed=6)
     for number in range(3):
@@ -165,38 +142,6 @@
         leader.consensus.fill_snapshot(asked, leader.consensus.commit_index + 1, "not committed")
 
 
-# --- quorums -------------------------------------------------------------------------------------
-
-
-def test_any_quorum_meets_all_that_may_hold_what_was_committed() -> None:
-    for count in range(1, 8):
-        voters = [member(str(number)) for number in range(count)]
-        names = [voter.id for voter in voters]
-        for lost_count in range(count):
-            lost = set(names[:lost_count])
-            rest = [name for name in names if name not in lost]
-            for size in range(count + 1):
-                for agreeing in combinations(rest, size):
-                    if not has_quorum(voters, agreeing, lost):
-                        continue
-                    for holding in combinations(names, count // 2 + 1):
-                        survivors = set(holding) - lost
-                        # Where all that held it lost their disks, more was lost than is borne.
-                        assert not survivors or survivors & set(agreeing), (count, lost, agreeing, holding)
-
-
-def test_one_lost_disk_of_four_costs_no_quorum_and_of_three_it_does() -> None:
-    assert [votes_needed(count, 0) for count in (1, 2, 3, 4, 5, 6)] == [1, 2, 2, 3, 3, 4]
-    assert [votes_needed(count, 1) for count in (1, 2, 3, 4, 5, 6)] == [1, 1, 2, 2, 3, 3]
-    four = [member(name) for name in "abcd"]
-    assert not has_quorum(four, "ad", "")
-    assert has_quorum(four, "ad", "b")
-    assert not has_quorum(four, "ab", "b")
-    assert agreed_value(four, {"a": 9, "b": 9, "d": 7}, "") == 7
-    assert agreed_value(four, {"a": 9, "b": 9, "d": 7}, "b") == 7
-    assert agreed_value(four, {"a": 9, "b": 9}, "b") == -1
-
-
 def test_a_lost_disk_counts_for_nothing_while_members_change() -> None:
     """A quorum of the members before the change need not meet one of those after it without the lost one."""
     log = Log(0, 0, BOOTSTRAP_MEMBERS)
@@ -213,47 +158,6 @@
     assert replica.state.wiped_members() == {"b"}
 
 
-# --- requests to join ----------------------------------------------------------------------------
-
-
-def test_an_old_request_to_join_does_not_replace_the_process_that_is_there_now() -> None:
-    """A request of the process before, held back on its way, comes after the newer one became a member."""
-    newer = replace(member("b2"), address="at-b")
-    old = replace(member("b", voter=False), address="at-b")
-    members = (member("a"), newer, member("c"))
-    requests = MembershipRequests("a")
-    for step in range(12):
-        now = step * 0.1
-        requests.record_contact("b2", now)
-        requests.record_join(old, now)
-        assert requests.wiped_members(members, now) == set()
-        assert requests.admissible(members, now) == []
-
-
-def test_a_repeated_request_from_the_address_of_a_silent_member_proves_that_its_disk_is_lost() -> None:
-    members = BOOTSTRAP_MEMBERS
-    empty = replace(member("b2", voter=False), address="at-b")
-    requests = MembershipRequests("a")
-    requests.record_join(empty, 1.0)
-    requests.record_contact("b", 1.1)  # a last word that was on its way
-    requests.record_join(empty, 1.3)
-    assert requests.admissible(members, 1.3) == []
-    requests.record_join(empty, 1.1 + DISK_LOSS_PROOF_S + 0.1)
-    assert requests.admissible(members, 1.7) == [empty]
-    assert requests.wiped_members(members, 1.7) == {"b"}
-    assert requests.wiped_members(members, 9.0) == set()  # it has long not been repeated
-
-
-def test_requests_are_forgotten() -> None:
-    requests = MembershipRequests("a")
-    requests.record_join(member("z", voter=False), 0.0)
-    requests.record_shutdown("b", 0.0)
-    assert requests.members_shutting_down() == {"b"}
-    requests.expire(BOOTSTRAP_MEMBERS, 10.0)
-    assert requests.members_shutting_down() == set()
-    assert requests.admissible(BOOTSTRAP_MEMBERS, 10.0) == []
-
-
 # --- votes of replicas that do not know of them --------------------------------------------------
 
 
@@ -388,46 +292,3 @@
     cluster.partitioned = set()
     assert cluster.commit("after")
     cluster.check()
-
-
-# --- bounds --------------------------------------------------------------------------------------
-
-
-def test_a_message_and_what_is_not_confirmed_are_bounded_in_bytes() -> None:
-    """64 configurations of 35 kB ahead of a heartbeat would hold a small link for seconds."""
-    log = Log(0, 0, BOOTSTRAP_MEMBERS)
-    for index in range(1, 65):
-        log.append(Entry(index, 1, EntryKind.COMMAND, {"packed": "x" * 35_000}))
-    replication = ReplicationProgress({"b": FollowerProgress(next_index=1)})
-    known = replication.followers["b"]
-    sent = 0
-    for _ in range(64):
-        chosen = known.take_next_entries(log)
-        size = sum(wire_bytes(entry) for entry in chosen)
-        assert size <= MESSAGE_BYTES
-        sent += size
-    assert UNCONFIRMED_BYTES <= sent <= UNCONFIRMED_BYTES + MESSAGE_BYTES
-    replication.record_reply(wire.AppendEntriesReply(1, "b", True, known.next_index - 1, 1), 1.0)
-    assert known.take_next_entries(log)
-
-
-def test_what_a_member_may_have_got_from_others_does_not_count_as_sent() -> None:
-    """A new leader knows nothing confirmed yet; its first entry must not wait for an answer."""
-    log = Log(0, 0, BOOTSTRAP_MEMBERS)
-    for index in range(1, 66):
-        log.append(Entry(index, 1, EntryKind.COMMAND, {"packed": "x" * 35_000}))
-    replication = ReplicationProgress({"b": FollowerProgress(next_index=65)})
-    known = replication.followers["b"]
-    assert [entry.index for entry in known.take_next_entries(log)] == [65]
-    replication.record_reply(wire.AppendEntriesReply(1, "b", False, 40, 1), 1.0)
-    assert known.take_next_entries(log)[0].index == 41
-
-
-def test_an_entry_over_the_bound_goes_alone() -> None:
-    log = Log(0, 0, BOOTSTRAP_MEMBERS)
-    for index in (1, 2):
-        log.append(Entry(index, 1, EntryKind.COMMAND, {"packed": "x" * (MESSAGE_BYTES * 3)}))
-    replication = ReplicationProgress({"b": FollowerProgress(next_index=1)})
-    known = replication.followers["b"]
-    assert [entry.index for entry in known.take_next_entries(log)] == [1]
-    assert known.take_next_entries(log) == []
--- /dev/null
+++ b/tests/system/test_quorum.py
@@ -0,0 +1,37 @@
+"""Quorums, with and without voters whose disks are lost."""
+
+from __future__ import annotations
+
+from itertools import combinations
+
+from brambleusher.controlplane.consensus.quorum import agreed_value, has_quorum, votes_needed
+from tests.system.cluster import member
+
+
+def test_any_quorum_meets_all_that_may_hold_what_was_committed() -> None:
+    for count in range(1, 8):
+        voters = [member(str(number)) for number in range(count)]
+        names = [voter.id for voter in voters]
+        for lost_count in range(count):
+            lost = set(names[:lost_count])
+            rest = [name for name in names if name not in lost]
+            for size in range(count + 1):
+                for agreeing in combinations(rest, size):
+                    if not has_quorum(voters, agreeing, lost):
+                        continue
+                    for holding in combinations(names, count // 2 + 1):
+                        survivors = set(holding) - lost
+                        # Where all that held it lost their disks, more was lost than is borne.
+                        assert not survivors or survivors & set(agreeing), (count, lost, agreeing, holding)
+
+
+def test_one_lost_disk_of_four_costs_no_quorum_and_of_three_it_does() -> None:
+    assert [votes_needed(count, 0) for count in (1, 2, 3, 4, 5, 6)] == [1, 2, 2, 3, 3, 4]
+    assert [votes_needed(count, 1) for count in (1, 2, 3, 4, 5, 6)] == [1, 1, 2, 2, 3, 3]
+    four = [member(name) for name in "abcd"]
+    assert not has_quorum(four, "ad", "")
+    assert has_quorum(four, "ad", "b")
+    assert not has_quorum(four, "ab", "b")
+    assert agreed_value(four, {"a": 9, "b": 9, "d": 7}, "") == 7
+    assert agreed_value(four, {"a": 9, "b": 9, "d": 7}, "b") == 7
+    assert agreed_value(four, {"a": 9, "b": 9}, "b") == -1
