--- a/brambleusher/controlplane/consensus/election.py
+++ b/brambleusher/controlplane/consensus/election.py
@@ -19,7 +19,7 @@
 class Election:
     """The election of this replica, and its votes for others.
 
-    Methods that may end in a won election return whether this replica became leader by them.
+    Methods that may end in a won election return whether it is won: the caller makes this replica the leader.
     """
 
     def __init__(self, state: ReplicaState) -> None:
@@ -128,7 +128,4 @@
             return False
         if state.role is Role.PRE_CANDIDATE:
             return self.start_election(is_pre_vote=False)
-        if state.role is Role.CANDIDATE:
-            state.become(Role.LEADER)
-            return True
-        return False
+        return state.role is Role.CANDIDATE
--- a/brambleusher/controlplane/consensus/raft.py
+++ b/brambleusher/controlplane/consensus/raft.py
@@ -16,7 +16,6 @@
 from collections.abc import Callable, Mapping
 
 from brambleusher.controlplane.consensus.election import Election
-from brambleusher.controlplane.consensus.errors import InvariantViolationError
 from brambleusher.controlplane.consensus.follower import Follower
 from brambleusher.controlplane.consensus.leader_state import LeaderState
 from brambleusher.controlplane.consensus.leadership_transfer import LeadershipTransfer
@@ -197,7 +196,7 @@
         if state.leader_state is not None:
             self._tick_leader(state.leader_state)
         elif self._election.handle_timer():
-            self._begin_term()
+            self._become_leader()
 
     def propose(self, command: object) -> LogPosition | None:
         """Append a command; return where it is in the log, or None where this replica accepts none."""
@@ -226,7 +225,7 @@
         if self.state.leader_state is not None:
             self._advance_commit(self.state.leader_state)
         elif self._election.handle_records_synced(record):
-            self._begin_term()
+            self._become_leader()
 
     def handle_snapshot_stored(self, index: int) -> None:
         """Drop entries up to an index whose snapshot is on the disk."""
@@ -259,7 +258,7 @@
             state.become_follower(message.term, "")
         if isinstance(message, wire.VoteReply):
             if self._election.handle_vote_reply(message):
-                self._begin_term()
+                self._become_leader()
         elif isinstance(message, wire.AppendEntriesReply):
             self._handle_append_reply(message)
         elif message.term < state.term:
@@ -280,7 +279,7 @@
         if not self.state.is_voter or self.state.is_shutting_down:
             return
         if self._election.start_election(is_pre_vote=False, is_transfer=True):
-            self._begin_term()
+            self._become_leader()
 
     def _handle_shutdown_notice(self, message: wire.ShutdownNotice) -> None:
         self.state.membership_requests.record_shutdown(message.sender, self.state.now)
@@ -300,13 +299,9 @@
         self._reads.confirm_reads(leading)
         self._replication.send_missing_entries(reply.sender, progress)
 
-    def _begin_term(self) -> None:
-        """Begin a term as its leader: its first entry lets it commit those of earlier terms."""
-        leading = self.state.leader_state
-        if leading is None:
-            raise InvariantViolationError(
-                f"{self.identity.id} begins term {self.term} without being its leader"
-            )
+    def _become_leader(self) -> None:
+        """Lead the term whose election is won; its first entry lets it commit those of earlier terms."""
+        leading = self.state.become_leader()
         self._replication.track_members(leading)
         self._append(leading, EntryKind.NONE, None)
         self._replication.broadcast(leading)
--- a/brambleusher/controlplane/consensus/replica_state.py
+++ b/brambleusher/controlplane/consensus/replica_state.py
@@ -102,16 +102,20 @@
 
     # --- role and term ---------------------------------------------------------------------------
 
-    def become(self, role: Role) -> None:
-        """Change the role; no other place does."""
-        if self.leader_state is not None and role is not Role.LEADER:
+    def become(self, role: Role, leader_state: LeaderState | None = None) -> None:
+        """Change the role; no other place does.  Only a leader has a leader's state."""
+        if self.leader_state is not None:
             self.leader_state.pending_reads.fail()
-            self.leader_state = None
-        if role is Role.LEADER:
-            self.leader_state = LeaderState(self.now, self.now, self.now)
-            self.leader_id = self.identity.id
+        self.leader_state = leader_state
         self.role = role
 
+    def become_leader(self) -> LeaderState:
+        """Become the leader of the current term; return the state of this leadership."""
+        leader_state = LeaderState(self.now, self.now, self.now)
+        self.become(Role.LEADER, leader_state)
+        self.leader_id = self.identity.id
+        return leader_state
+
     def become_follower(self, term: int, leader_id: str) -> None:
         """Follow a leader, or nobody yet (""), in a term that is the current one or later.
 
