--- a/brambleusher/handover/shared_settings.py
+++ b/brambleusher/handover/shared_settings.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from brambleusher.handover.shared_folder import SHARED_SETTINGS_FILE, JsonObject, SharedFolder
-from brambleusher.loadbalancing.maintenance import Ban, HostBans
+from brambleusher.loadbalancing.host_bans import Ban, HostBans
 
 log = logging.getLogger(__name__)
 
--- a/brambleusher/lab/faults/breakages.py
+++ b/brambleusher/lab/faults/breakages.py
@@ -18,8 +18,8 @@
 from brambleusher.lab.checker.rules import RULES
 from brambleusher.loadbalancing import Balancer, api
 from brambleusher.loadbalancing.api import AttemptStatus, HostState
+from brambleusher.loadbalancing.client_draining import ClientDraining
 from brambleusher.loadbalancing.hosts import Host, Request
-from brambleusher.loadbalancing.maintenance import ClientDraining
 from brambleusher.net import client_connection, client_request_handler, client_response
 from brambleusher.net import endpoint_entries as list_module
 from brambleusher.net import upstream_pool as nodes_module
--- a/brambleusher/loadbalancing/backoff.py
+++ b/brambleusher/loadbalancing/backoff.py
@@ -1,18 +1,19 @@
-"""How long to wait before the next call for a watch of the endpoint list.
+"""Backoff between two calls for a watch of the endpoint list.
 
-A sidecar is held to a change of the list some seconds after discovery had it and could be reached, whatever
-became of the calls before, so waits are short; and a fleet that calls in one moment jams discovery, so they
-are spread, by the fleet's size.  Pure: times are seconds.
+A sidecar must apply a change of the list within some seconds after discovery had it and could be reached,
+whatever became of the calls before, so waits are short; and a fleet that calls in one moment overloads
+discovery, so they are spread, by the fleet's size.  Pure: times are seconds.
 """
 
 from __future__ import annotations
 
 import random
 
-FIRST_SECONDS = 0.1  # after a watch that brought something
+FIRST_INTERVAL_S = 0.1  # after a watch that brought something
 MAX_SMALL_FLEET_S = 0.5  # between two calls that brought nothing, where few sidecars call
 MAX_INTERVAL_S = 2.0  # and where many do
-CALLS_A_SECOND = 100.0  # that failed, from a whole fleet: most are refused at once
+FAILED_CALLS_PER_S = 100.0  # from a whole fleet: most are rejected at once
+JITTER_FRACTION = 0.5  # of an interval
 
 
 class Backoff:
@@ -20,15 +21,18 @@
 
     def __init__(self, sidecars: int, rng: random.Random) -> None:
         self._rng = rng
-        self._most = min(max(sidecars / CALLS_A_SECOND, MAX_SMALL_FLEET_S), MAX_INTERVAL_S)
-        self._interval = FIRST_SECONDS
+        self._max_interval_s = min(max(sidecars / FAILED_CALLS_PER_S, MAX_SMALL_FLEET_S), MAX_INTERVAL_S)
+        self._interval_s = FIRST_INTERVAL_S
 
-    def pause(self, heard: bool, took: float) -> float:
-        """Seconds to wait after a call that took so long; `heard` says that it brought something.
+    def wait_s(self, has_data: bool, took_s: float) -> float:
+        """Return how long to wait after a call that took so long; `has_data`: it brought something.
 
-        The time that a failed call took is part of the wait: one that was given up late is followed at once.
+        The time that a failed call took is part of the wait: one that timed out late is followed at once.
         """
-        self._interval = FIRST_SECONDS if heard else min(self._interval * 2, self._most)
-        spread = 0.5 + 0.5 * self._rng.random()
-        wait = self._interval if heard else max(self._interval - took, FIRST_SECONDS)
-        return wait * spread
+        if has_data:
+            self._interval_s = FIRST_INTERVAL_S
+        else:
+            self._interval_s = min(self._interval_s * 2, self._max_interval_s)
+        jitter = (1 - JITTER_FRACTION) + JITTER_FRACTION * self._rng.random()
+        wait_s = self._interval_s if has_data else max(self._interval_s - took_s, FIRST_INTERVAL_S)
+        return wait_s * jitter
--- a/brambleusher/loadbalancing/connection_limits.py
+++ b/brambleusher/loadbalancing/connection_limits.py
@@ -1,13 +1,15 @@
-"""The budget of connections to endpoints: how many, how fast they are opened, which are kept.
+"""Limits of the connections to an endpoint: how many, how fast they are opened, which are kept.
 
 Opening one costs its node a handshake's work, and a node holds only so many.  So opens are paced, node by
-node, such that all sidecars together take `HANDSHAKE_CORE_FRACTION` of a core; what a node's table seems to
-hold is learnt from connects that fail while the node answers on other connections, by additive increase and
-multiplicative decrease, which sidecars that can't talk converge by to even parts (Chiu and Jain); and what
-is idle beyond the most in use of late is let go, since it takes a place in the node's table from others.
-None is opened ahead of need: one that waits costs as much as one that is asked for, and most are reused.
+node, such that all sidecars together take `HANDSHAKE_CORE_FRACTION` of a core.  The capacity of a node's
+table is learned from connects that fail while the node answers on other connections, by additive increase
+and multiplicative decrease, which sidecars that can't talk converge by to even shares.  Idle connections
+beyond the recent peak of use are closed, since they take capacity of the node's table from others.  None is
+opened ahead of need: one that waits costs as much as one that is asked for, and most are reused.
 
 Pure: times are seconds on the caller's clock.
+
+Source: Chiu and Jain, "Analysis of the increase and decrease algorithms for congestion avoidance" (1989).
 """
 
 from __future__ import annotations
@@ -18,110 +20,126 @@
 
 HANDSHAKE_CORE_S = 0.0015  # seconds of a core that a handshake takes at the most
 HANDSHAKE_CORE_FRACTION = 0.2  # of a core of each node, for the handshakes of all sidecars
-BURST_SECONDS = 0.25  # opens that come at once: as many as are due in so long
-LEAST_BURST = 4.0
-CUT = 0.8  # of the connections held, when a further one finds no place
-GROWTH_SECONDS = 1.0  # in which the cap rises by one
-RECENT_RESPONSE_S = 1.0  # an answer so lately says that a connect failed for want of a place
-PEAK_SECONDS = 10.0  # in which the most in use is forgotten
-FORGOTTEN = 0.1  # in use lately, on average: nothing to speak of
-IDLE_PART = 0.8  # of a node's idle limit: past it a connection is not trusted with a claim
+BURST_S = 0.25  # opens that come at once: as many as are due in so long
+MIN_BURST = 4.0
+DECREASE_FACTOR = 0.8  # of the open connections, when a further one is rejected
+INCREASE_S = 1.0  # in which the cap rises by one
+RECENT_RESPONSE_S = 1.0  # a response so recent says that a connect failed for want of capacity
+PEAK_DECAY_S = 10.0
+NEGLIGIBLE_USE = 0.1  # connections in use lately, on average
+IDLE_FRACTION = 0.8  # of a node's idle limit: past it a connection is not used for an attempt
+IDLE_MARGIN_S = 1.0  # before a node's idle limit, where that is long
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectPacing:
-    """What holds for the connections to every node; `sidecars` open to each, `idle` is the nodes' limit."""
+    """What holds for the connections of one sidecar to every node."""
 
-    opens_per_s: float  # opens a second to one node
-    burst: float  # opens to it that may come at once
-    idle_timeout_s: float  # seconds unused for which a connection is trusted
+    opens_per_s: float  # to one node
+    burst: float  # opens to one node that may come at once
+    idle_timeout_s: float  # seconds unused for which a connection is used again
 
     @classmethod
     def for_fleet(cls, sidecars: int, idle_seconds: float = math.inf) -> ConnectPacing:
-        """For so many sidecars, and nodes that close what was idle for so long."""
-        rate = HANDSHAKE_CORE_FRACTION / HANDSHAKE_CORE_S / max(sidecars, 1)
-        idle = min(idle_seconds * IDLE_PART, max(idle_seconds - 1.0, idle_seconds / 2))
-        return cls(rate, max(rate * BURST_SECONDS, LEAST_BURST), idle)
+        """Return the pacing for so many sidecars, and nodes that close what was idle for so long."""
+        opens_per_s = HANDSHAKE_CORE_FRACTION / HANDSHAKE_CORE_S / max(sidecars, 1)
+        idle = min(idle_seconds * IDLE_FRACTION, max(idle_seconds - IDLE_MARGIN_S, idle_seconds / 2))
+        return cls(opens_per_s, max(opens_per_s * BURST_S, MIN_BURST), idle)
 
 
 class ConnectionLimit:
-    """The connections to one node, from one sidecar."""
+    """The limit of the connections to one node, from one sidecar."""
 
     __slots__ = (
-        "_answered_at", "_cap_at", "_pace", "_peak", "_peak_at", "_token_at", "_tokens", "cap", "open_count",
-        "rejected", "in_use",
-    )  # fmt: skip
-
-    def __init__(self, pace: ConnectPacing) -> None:
-        self._pace = pace
-        self.open_count = self.in_use = self.rejected = (
-            0  # open or opening; with a claim on them; found no place
-        )
-        self.cap = math.inf  # what its table seems to hold for us
+        "_cap_at",
+        "_pacing",
+        "_peak",
+        "_peak_at",
+        "_responded_at",
+        "_token_at",
+        "_tokens",
+        "cap",
+        "in_use",
+        "open_count",
+        "rejected",
+    )
+
+    def __init__(self, pacing: ConnectPacing) -> None:
+        self._pacing = pacing
+        self.open_count = 0  # open or opening
+        self.in_use = 0  # of these, with an attempt on them
+        self.rejected = 0  # connects that the node had no capacity for
+        self.cap = math.inf  # what the node's table seems to hold for this sidecar
         self._cap_at = self._token_at = 0.0
-        self._tokens = pace.burst
-        self._peak, self._peak_at, self._answered_at = 0.0, 0.0, -math.inf
+        self._tokens = pacing.burst
+        self._peak = self._peak_at = 0.0
+        self._responded_at = -math.inf
 
     # --- opening ----------------------------------------------------------------------------------
 
     def wait_s(self, now: float) -> float:
-        """Seconds until one more may be opened: 0 for now, infinite if one has to come back first."""
+        """Return the seconds until one more may be opened: 0 now, infinite if one has to be closed first."""
         if self.cap < math.inf:
-            self.cap += max(now - self._cap_at, 0.0) / GROWTH_SECONDS
+            self.cap += max(now - self._cap_at, 0.0) / INCREASE_S
             self._cap_at = max(self._cap_at, now)
         if self.open_count >= max(self.cap, 1.0):
             return math.inf
-        self._tokens = min(
-            self._tokens + self._pace.opens_per_s * max(now - self._token_at, 0.0), self._pace.burst
-        )
+        came = self._pacing.opens_per_s * max(now - self._token_at, 0.0)
+        self._tokens = min(self._tokens + came, self._pacing.burst)
         self._token_at = max(self._token_at, now)
-        return 0.0 if self._tokens >= 1.0 else (1.0 - self._tokens) / self._pace.opens_per_s
+        return 0.0 if self._tokens >= 1.0 else (1.0 - self._tokens) / self._pacing.opens_per_s
 
     def record_open(self) -> None:
-        """A connect begins; what becomes of it is told by `closed`, and by `full` where that is why."""
+        """Take in that a connect begins; `record_close`, and `record_rejection` before it, tell its end."""
         self.open_count += 1
         self._tokens -= 1.0
 
     def record_rejection(self, now: float) -> None:
-        """A new connection found no place: a sign of a full table where others are answered."""
+        """Take in that a connect failed: a sign of a full table where other connections work."""
         self.rejected += 1
         others = self.open_count - 1
-        if others > 0 and now - self._answered_at < RECENT_RESPONSE_S:
-            self.cap, self._cap_at = max(1.0, math.floor(min(self.cap, others) * CUT)), now
+        if others > 0 and now - self._responded_at < RECENT_RESPONSE_S:
+            self.cap = max(1.0, math.floor(min(self.cap, others) * DECREASE_FACTOR))
+            self._cap_at = now
 
     def record_close(self) -> None:
-        """A connection has ended, or a connect came to nothing."""
+        """Take in that a connection has ended, or that a connect came to nothing."""
         self.open_count -= 1
 
     # --- use --------------------------------------------------------------------------------------
 
     def record_acquire(self, now: float) -> None:
-        """A claim goes out on a connection."""
+        """Take in that an attempt goes out on a connection."""
         self.in_use += 1
-        self._peak, self._peak_at = max(float(self.in_use), self._lately(now)), now
+        self._peak = max(float(self.in_use), self._recent_peak(now))
+        self._peak_at = now
 
     def record_release(self, now: float, answered: bool) -> None:
-        """The claim has ended."""
+        """Take in that the attempt has ended."""
         self.in_use -= 1
         if answered:
-            self._answered_at = now
+            self._responded_at = now
 
     def idle_to_keep(self, now: float) -> int:
-        """How many idle ones are worth their place: what was used at once lately, and what chance adds."""
-        peak = self._lately(now)
+        """Return how many idle connections to keep: the recent peak of use, and what chance adds."""
+        peak = self._recent_peak(now)
         return max(0, math.ceil(peak + math.sqrt(peak)) - self.in_use)
 
     def is_forgettable(self, now: float) -> bool:
-        """Whether nothing is held, and nothing believed, that a new record would not have as well."""
+        """Return whether a new record would hold the same: nothing open, nothing learned, nothing recent."""
         self.wait_s(now)
-        idle = not self.open_count and self.cap == math.inf and self._tokens >= self._pace.burst
-        return idle and self._lately(now) < FORGOTTEN
+        idle = not self.open_count and self.cap == math.inf and self._tokens >= self._pacing.burst
+        return idle and self._recent_peak(now) < NEGLIGIBLE_USE
 
-    def _lately(self, now: float) -> float:
-        return self._peak * math.exp(-max(now - self._peak_at, 0.0) / PEAK_SECONDS)
+    def _recent_peak(self, now: float) -> float:
+        return self._peak * math.exp(-max(now - self._peak_at, 0.0) / PEAK_DECAY_S)
 
     def status(self, now: float) -> dict[str, Any]:
-        """What is believed, for people to look at."""
-        cap = None if self.cap == math.inf else int(self.cap)
-        return {"held": self.open_count, "used": self.in_use, "cap": cap, "refused": self.rejected,
-                "keeps": self.idle_to_keep(now)}  # fmt: skip
+        """Return the status for the admin endpoint, as JSON values."""
+        return {
+            "held": self.open_count,
+            "used": self.in_use,
+            "cap": None if self.cap == math.inf else int(self.cap),
+            "refused": self.rejected,
+            "keeps": self.idle_to_keep(now),
+        }
--- a/brambleusher/loadbalancing/host_ranking.py
+++ b/brambleusher/loadbalancing/host_ranking.py
@@ -11,13 +11,13 @@
 from bisect import bisect_left
 from collections import Counter
 from collections.abc import Collection, Iterator
-from typing import Generic, Protocol, TypeVar
+from typing import Generic, NamedTuple, Protocol, TypeVar
 
-SORT_PART = 8  # of all hosts, one in so many changed at once: sorting anew is cheaper
+REBUILD_DIVISOR = 8  # with more than one in so many hosts changed at once, sorting anew is cheaper
 
 
 class Ranked(Protocol):
-    """What is asked of a host."""
+    """What ranking needs of a host."""
 
     rank: float
     name: str
@@ -29,6 +29,14 @@
 H = TypeVar("H", bound=Ranked)
 
 
+class _Slot(NamedTuple, Generic[H]):
+    """Where a host stands, or would stand, in its list."""
+
+    hosts: list[H]
+    position: int
+    is_occupied: bool
+
+
 def _key(host: Ranked) -> tuple[float, str]:
     return host.rank, host.name
 
@@ -41,14 +49,14 @@
     def __init__(self) -> None:
         self.local: list[H] = []
         self.remote: list[H] = []
-        self.ready_per_zone: Counter[str] = Counter()  # how many of each zone that has any
+        self.ready_per_zone: Counter[str] = Counter()  # without zones that have none
 
     def __len__(self) -> int:
-        """How many are ready."""
+        """Return how many are ready."""
         return len(self.local) + len(self.remote)
 
     def __iter__(self) -> Iterator[H]:
-        """All by rank, merged as far as they are asked for."""
+        """Yield all by rank, merged as far as they are asked for."""
         return heapq.merge(self.local, self.remote, key=_key)
 
     def rebuild(self, hosts: Collection[H]) -> None:
@@ -62,33 +70,36 @@
 
         `hosts` are all there are, from which the order is made anew where much has changed.
         """
-        if len(changed) * SORT_PART > len(hosts):
+        if len(changed) * REBUILD_DIVISOR > len(hosts):
             self.rebuild(hosts)
             return
         for host in changed:
             if host.ready:
-                held, at, there = self._locate(host)
-                if not there:
-                    held.insert(at, host)
-                    self.ready_per_zone[host.zone] += 1
+                self._insert(host)
             else:
                 self.discard(host)
 
+    def _insert(self, host: H) -> None:
+        slot = self._locate(host)
+        if not slot.is_occupied:
+            slot.hosts.insert(slot.position, host)
+            self.ready_per_zone[host.zone] += 1
+
     def discard(self, host: H) -> None:
-        """It is not ready any more, or gone; nothing happens where it was not there."""
-        held, at, there = self._locate(host)
-        if there:
-            del held[at]
+        """Remove a host that is not ready any more, or gone; nothing happens where it was not there."""
+        slot = self._locate(host)
+        if slot.is_occupied:
+            del slot.hosts[slot.position]
             self.ready_per_zone[host.zone] -= 1
             if not self.ready_per_zone[host.zone]:
                 del self.ready_per_zone[host.zone]  # as it would be if they were sorted anew
 
-    def _locate(self, host: H) -> tuple[list[H], int, bool]:
-        held = self.local if host.local else self.remote
-        at = bisect_left(held, _key(host), key=_key)
-        return held, at, at < len(held) and held[at] is host
+    def _locate(self, host: H) -> _Slot[H]:
+        hosts = self.local if host.local else self.remote
+        index = bisect_left(hosts, _key(host), key=_key)
+        return _Slot(hosts, index, index < len(hosts) and hosts[index] is host)
 
     def subset(self, size: int) -> tuple[list[H], list[H]]:
-        """The subset of `size`, in its parts: half of it near, and what one part lacks from the other."""
-        near = self.local[: max(size // 2, size - len(self.remote))]
-        return near, self.remote[: max(size - len(near), 0)]
+        """Return the subset of `size`: local and remote hosts, half each; what one lacks the other adds."""
+        local = self.local[: max(size // 2, size - len(self.remote))]
+        return local, self.remote[: max(size - len(local), 0)]
--- a/brambleusher/loadbalancing/idle_timeout.py
+++ b/brambleusher/loadbalancing/idle_timeout.py
@@ -1,7 +1,7 @@
-"""How long a connection may have been idle and still be trusted, from what became of attempts on such ones.
+"""Idle timeout, learned: how long a connection may have been idle and still be used for an attempt.
 
 Guards against connections that are dropped unseen while idle: the next request on one is lost.  Pure: times
-are nanoseconds, gaps are aims.
+are nanoseconds, gaps are latency targets.
 """
 
 from __future__ import annotations
@@ -10,20 +10,27 @@
 
 from brambleusher.loadbalancing.api import AttemptStatus
 
-CUT = 0.7  # of the idle time at which one was lost: the next loss would teach little
-WINDOW = 32.0  # aims; trust comes back slowly, each test costs a request
-CHANCE = 0.05  # of those kept: so many resets, and one, say nothing of how long their connections were idle
+DECREASE_FACTOR = 0.7  # of the idle time at which one was lost: the next loss would teach little
+RECOVERY_TARGETS = 32.0  # the timeout grows back slowly, since each test costs a request
+CHANCE_RESETS = 0.05  # of those answered: so many resets, and one, say nothing of idle times
 
 
 class IdleTimeout:
-    """One proxy's trust in its idle connections, to all hosts alike."""
+    """One proxy's timeout of its idle connections, to all hosts alike."""
 
-    def __init__(self, limit_ns: float = math.inf, least_ns: float = 0.0) -> None:
-        """Hosts close what was idle for `limit_ns`; what was for up to `least_ns` is always trusted."""
-        self.limit_ns, self.min_ns = limit_ns, least_ns
+    def __init__(self, limit_ns: float = math.inf, min_ns: float = 0.0) -> None:
+        """Start at the limit.
+
+        Args:
+            limit_ns: Hosts close what was idle for so long.
+            min_ns: The timeout is never less.
+        """
+        self.limit_ns = limit_ns
+        self.min_ns = min_ns
         self.timeout_ns = limit_ns
-        # Lately, on connections idle for longer: answered, timed out, reset; the longest that was kept.
-        self.answered = self.timed_out = self.resets = self.proven_idle_ns = 0.0
+        # Decaying counts of attempts on connections that were idle for longer than `min_ns`.
+        self.answered = self.timed_out = self.resets = 0.0
+        self.proven_idle_ns = 0.0  # the longest idle time lately after which a connection still worked
 
     @property
     def is_reduced(self) -> bool:
@@ -31,30 +38,38 @@
         return self.timeout_ns < self.limit_ns
 
     def record_attempt(self, status: AttemptStatus, idle_ns: int) -> bool:
-        """An attempt has ended; whether that says more of idle connections than of its host.
+        """Take in how an attempt on an idle connection ended.
+
+        A reset says that the connection was dropped, unless resets are rare and one that was idle for longer
+        has worked lately: where traffic is thin, one by chance would have most requests connect anew.  A
+        timeout, which may be a busy host's, says so where most attempts on idle connections timed out lately.
 
-        A reset does, unless resets are rare and one that was idle for longer was kept lately: where traffic
-        is thin, one by chance would have most requests open anew.  A time-out, which may be a busy host's,
-        does where most sent on idle ones lately were.
+        Returns:
+            Whether it says more of idle connections than of its host.
         """
         if status is AttemptStatus.OK:
-            self.answered, self.proven_idle_ns = self.answered + 1, max(self.proven_idle_ns, idle_ns)
+            self.answered += 1
+            self.proven_idle_ns = max(self.proven_idle_ns, idle_ns)
             return False
         self.timed_out += status is AttemptStatus.TIMEOUT
         self.resets += status is AttemptStatus.RESET
-        by_chance = idle_ns < self.proven_idle_ns and self.resets <= 1 + self.answered * CHANCE
-        silent = status is AttemptStatus.TIMEOUT and self.timed_out > max(1.0, self.answered)
-        if not silent and (status is not AttemptStatus.RESET or by_chance):
+        if not self._is_dropped(status, idle_ns):
             return False
-        self.timeout_ns = max(min(self.timeout_ns, idle_ns * CUT), self.min_ns)
+        self.timeout_ns = max(min(self.timeout_ns, idle_ns * DECREASE_FACTOR), self.min_ns)
         return True
 
+    def _is_dropped(self, status: AttemptStatus, idle_ns: int) -> bool:
+        if status is AttemptStatus.TIMEOUT:
+            return self.timed_out > max(1.0, self.answered)
+        if status is not AttemptStatus.RESET:
+            return False
+        is_chance = idle_ns < self.proven_idle_ns and self.resets <= 1 + self.answered * CHANCE_RESETS
+        return not is_chance
+
     def recover(self, gap: float, kept: float) -> None:
-        """Some aims have passed: trust comes back, and of the counts a part is kept."""
-        self.timeout_ns = min(self.timeout_ns * math.exp(gap / WINDOW), self.limit_ns)
-        self.proven_idle_ns *= math.exp(-gap / WINDOW)
-        self.answered, self.timed_out, self.resets = (
-            self.answered * kept,
-            self.timed_out * kept,
-            self.resets * kept,
-        )
+        """Let the timeout grow back over `gap` latency targets, and keep a fraction of the counts."""
+        self.timeout_ns = min(self.timeout_ns * math.exp(gap / RECOVERY_TARGETS), self.limit_ns)
+        self.proven_idle_ns *= math.exp(-gap / RECOVERY_TARGETS)
+        self.answered *= kept
+        self.timed_out *= kept
+        self.resets *= kept
--- a/brambleusher/loadbalancing/retry_budget.py
+++ b/brambleusher/loadbalancing/retry_budget.py
@@ -1,56 +1,67 @@
-"""The budget for work that is asked for again.
+"""Retry budget: bounds the work that hosts do more than once for a request.
 
-Everything that makes hosts work a second time for one request draws on one budget: a client that asks
-again, an attempt made anew after one that may have run, and a second copy beside one that is still out.
-The work that reaches hosts is at most `1 + DEPOSIT_PER_REQUEST` times what is first asked for, and
-`MAX_TOKENS` attempts.
+Everything that makes hosts work again for one request draws on one budget: a retry of the client, a retry
+after an attempt that may have run, and a hedged request beside one that is still in flight.  The work that
+reaches hosts is at most `1 + DEPOSIT_PER_REQUEST` times what is first requested, and `MAX_TOKENS` attempts.
 
-Kept as two counts, so that the bound holds by construction (the form of the retry budgets in Finagle and
-in "Addressing cascading failures" of Google's SRE book, carried on to the client's own repeats):
+Kept as two counts, so that the bound holds by construction:
 
-- each first request lays `DEPOSIT_PER_REQUEST` of an attempt aside; what is done again takes a whole one;
-- a first request that ended without any work at a host leaves one attempt that its repeat may have: that
-  repeat is the first work done for it.
+- each first request deposits `DEPOSIT_PER_REQUEST` of a token; repeated work takes a whole one;
+- a first request that ended without any work at a host leaves a credit for its retry: that retry is the first
+  work done for it.
+
+Source: the retry budgets of Finagle, and "Addressing cascading failures" in Site Reliability Engineering
+(2016); carried on to the retries that clients make themselves.
 """
 
 from __future__ import annotations
 
-DEPOSIT_PER_REQUEST = 0.2  # of an attempt, laid aside by each first request
-MAX_TOKENS = 5.0  # attempts that may be laid aside at once
-RISES, FALLS = 0.25, 0.002  # each request's pull on the time that first tries have
-AGAIN = 0.1  # of that time: with so much less left, it is a client's later try
-UNSERVED = 4096.0  # repeats waited for at once: bounds what a wave of refusals can bring back
+from typing import NamedTuple
+
+DEPOSIT_PER_REQUEST = 0.2  # of a token
+MAX_TOKENS = 5.0
+# How far each request moves the mean of the time that first requests have left.
+RISE_FRACTION, FALL_FRACTION = 0.25, 0.002
+RETRY_FRACTION = 0.1  # of that time: a request with so much less left is a client's retry
+MAX_UNSERVED_CREDIT = 4096.0  # bounds what a wave of rejections can bring back
+
+
+class ClientWait(NamedTuple):
+    """What a request's remaining time tells of its client."""
+
+    waited_ns: float  # before this request
+    is_retry: bool
 
 
 class RetryBudget:
-    """What may still be done again; one for each balancer."""
+    """The budget of one balancer."""
 
     def __init__(self, classes: int = 1) -> None:
         self.tokens = MAX_TOKENS
         self.unserved_credit = 0.0
-        self.first_attempt_left_ns = [0.0] * classes  # ns that clients have for a first try
+        self.first_attempt_left_ns = [0.0] * classes  # usual, by class
 
-    def detect_client_retry(self, cls: int, left_ns: int) -> tuple[float, bool]:
-        """How long a client has waited before this try, in ns, and whether it asks again, marked or not.
+    def detect_client_retry(self, cls: int, left_ns: int) -> ClientWait:
+        """Return how long a client has waited before this request, and whether it is a retry, marked or not.
 
-        A client that asks again has less time left than first tries of its class have, by as much as has
-        passed since.  Ids are always new, and nothing else tells.  Where clients give each try a time of
-        its own, a later try can't be told from a first one.
+        A client that retries has less time left than first requests of its class have, by as much as has
+        passed since.  Ids are always new, and nothing else tells.  Where clients give each try a time of its
+        own, a retry can't be told from a first request.
         """
-        spent = self.first_attempt_left_ns[cls] - left_ns
-        self.first_attempt_left_ns[cls] -= spent * (FALLS if spent > 0 else RISES)
-        return spent, spent > AGAIN * self.first_attempt_left_ns[cls]
+        waited_ns = self.first_attempt_left_ns[cls] - left_ns
+        self.first_attempt_left_ns[cls] -= waited_ns * (FALL_FRACTION if waited_ns > 0 else RISE_FRACTION)
+        return ClientWait(waited_ns, waited_ns > RETRY_FRACTION * self.first_attempt_left_ns[cls])
 
     def deposit(self) -> None:
-        """A first request has come."""
+        """Add the deposit of a first request."""
         self.tokens = min(self.tokens + DEPOSIT_PER_REQUEST, MAX_TOKENS)
 
     def credit_unserved(self) -> None:
-        """A request ended without work at any host: its client may ask for it again."""
-        self.unserved_credit = min(self.unserved_credit + 1.0, UNSERVED)
+        """Add the credit of a request that ended without work at any host: its client may retry."""
+        self.unserved_credit = min(self.unserved_credit + 1.0, MAX_UNSERVED_CREDIT)
 
     def withdraw_for_client_retry(self) -> bool:
-        """A client asks again: whether the budget has an attempt for it, which is taken."""
+        """Take an attempt for a client's retry, if there is one; returns whether there was."""
         if self.unserved_credit >= 1.0:
             self.unserved_credit -= 1.0
             return True
@@ -62,12 +73,12 @@
         return self.tokens >= 1.0
 
     def withdraw(self) -> bool:
-        """Take one attempt, if there is one."""
+        """Take one token, if there is one; returns whether there was."""
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
         return True
 
     def decay(self, kept: float) -> None:
-        """Clients that have not come back by now won't: forget a part of them."""
+        """Keep a fraction of the credit: clients that have not come back by now won't."""
         self.unserved_credit *= kept
--- a/brambleusher/net/client_connection_server.py
+++ b/brambleusher/net/client_connection_server.py
@@ -5,7 +5,7 @@
 import logging
 from http import HTTPStatus
 
-from brambleusher.loadbalancing.maintenance import ClientDraining
+from brambleusher.loadbalancing.client_draining import ClientDraining
 from brambleusher.net.client_connection import ClientConnection
 from brambleusher.net.client_connections import ClientConnections
 from brambleusher.net.client_request_handler import ClientRequestHandler
--- a/brambleusher/net/client_connections.py
+++ b/brambleusher/net/client_connections.py
@@ -5,8 +5,8 @@
 import math
 from collections.abc import Iterator
 
+from brambleusher.loadbalancing.client_draining import ClientDraining
 from brambleusher.loadbalancing.connection_admission import ConnectionAdmission
-from brambleusher.loadbalancing.maintenance import ClientDraining
 from brambleusher.net.client_connection import ClientConnection
 from brambleusher.net.http import MessageReader
 from brambleusher.observability.counters import Counters
--- a/brambleusher/net/client_listener.py
+++ b/brambleusher/net/client_listener.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 
 from brambleusher.decisions.balancer_driver import BalancerDriver, Clock
+from brambleusher.loadbalancing.client_draining import ClientDraining
 from brambleusher.loadbalancing.connection_admission import FIRST_REQUEST_S, ConnectionAdmission
-from brambleusher.loadbalancing.maintenance import ClientDraining
 from brambleusher.net.client_connection import FIRST_REQUEST_TIMEOUT_S, ClientConnection
 from brambleusher.net.client_connection_server import ClientConnectionServer
 from brambleusher.net.client_connections import ClientConnections
--- a/brambleusher/net/client_request_handler.py
+++ b/brambleusher/net/client_request_handler.py
@@ -12,7 +12,7 @@
     Clock,
     DuplicateRequestError,
 )
-from brambleusher.loadbalancing.maintenance import ClientDraining
+from brambleusher.loadbalancing.client_draining import ClientDraining
 from brambleusher.net.client_connection import ClientConnection
 from brambleusher.net.client_connections import ClientConnections
 from brambleusher.net.client_presence import ClientPresence
--- a/brambleusher/net/endpoint_list.py
+++ b/brambleusher/net/endpoint_list.py
@@ -140,7 +140,7 @@
             self._on_broken()
             now = self._scheduler.now()
             try:
-                self._scheduler.park(now + backoff.pause(heard, now - began), event=self._asked)
+                self._scheduler.park(now + backoff.wait_s(heard, now - began), event=self._asked)
             except TaskTimeoutError:
                 continue
 
--- a/brambleusher/sidecar/app.py
+++ b/brambleusher/sidecar/app.py
@@ -28,8 +28,9 @@
 from brambleusher.handover.state_transfer import TransferredState
 from brambleusher.loadbalancing import Balancer
 from brambleusher.loadbalancing.api import HostEntry, ListKind, Settings
+from brambleusher.loadbalancing.client_draining import ClientDraining
 from brambleusher.loadbalancing.connection_admission import ConnectionAdmission
-from brambleusher.loadbalancing.maintenance import ClientDraining, HostBans
+from brambleusher.loadbalancing.host_bans import HostBans
 from brambleusher.loadbalancing.state_transfer import MOST_HOSTS
 from brambleusher.loadbalancing.zone_aware_balancer import balancer_for
 from brambleusher.net.client_listener import ClientListener
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -109,7 +109,7 @@
     assert slow_start.reported_fraction(host, None) == 0.0  # nothing to compare with
     assert (
         slow_start.warm_fraction(SECOND, 0.2, 20 * SECOND, slow_start.reported_fraction(host, 20.0))
-        == slow_start.TOLD_PART
+        == slow_start.REPORTED_FRACTION
     )
     assert slow_start.warm_fraction(-SECOND, 0.2, 20 * SECOND) == 0.2
     assert slow_start.warm_fraction(20 * SECOND, 0.2, 20 * SECOND) == 1.0
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -222,12 +222,12 @@
         backoff = Backoff(sidecars, rng)
         for _ in range(200):
             took = rng.choice([0.0, 0.01, endpoint_watch.CONNECT_SECONDS, endpoint_watch.ANSWER_SECONDS])
-            wait = backoff.pause(False, took)
+            wait = backoff.wait_s(False, took)
             assert 0.05 <= wait <= MAX_INTERVAL_S
             assert took + wait + endpoint_watch.CONNECT_SECONDS < 6.0, f"seed {seed}"
             if sidecars <= 30:
                 assert wait <= MAX_SMALL_FLEET_S
-        assert backoff.pause(True, 0.0) <= 0.1
+        assert backoff.wait_s(True, 0.0) <= 0.1
 
 
 if __name__ == "__main__":
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -51,7 +51,7 @@
         for now in (5.0, 5.0, 4.0, 5.0):
             while link.wait_s(now) <= 0:
                 link.record_open()
-        self.assertLessEqual(link.open_count, link._pace.burst + 1)
+        self.assertLessEqual(link.open_count, link._pacing.burst + 1)
 
 
 class Cap(unittest.TestCase):
--- a/tests/test_recorded_shared_folder.py
+++ b/tests/test_recorded_shared_folder.py
@@ -11,7 +11,7 @@
 from brambleusher.handover.shared_folder import SharedFolder
 from brambleusher.handover.shared_settings import SharedSettingsStore
 from brambleusher.handover.state_transfer import StateTransfer, TransferredState
-from brambleusher.loadbalancing.maintenance import Ban
+from brambleusher.loadbalancing.host_bans import Ban
 from brambleusher.net.endpoint_list import decode_update
 
 RECORDED = Path(__file__).parent / "recorded" / "shared-folder"
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -27,8 +27,8 @@
 from brambleusher.handover.shared_settings import SharedSettings, SharedSettingsStore
 from brambleusher.handover.state_transfer import StateTransfer, TransferredState
 from brambleusher.loadbalancing import Balancer, api
+from brambleusher.loadbalancing.host_bans import Ban
 from brambleusher.loadbalancing.json_values import StateError
-from brambleusher.loadbalancing.maintenance import Ban
 from brambleusher.loadbalancing.state_codec import save
 from brambleusher.loadbalancing.state_transfer import export_state, import_state
 from brambleusher.net.http import Message
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -6,15 +6,8 @@
 from dataclasses import replace
 
 from brambleusher.loadbalancing.api import HostEntry, HostState
-from brambleusher.loadbalancing.maintenance import (
-    LEAVE_SECONDS,
-    REMEMBERED,
-    SILENT_SECONDS,
-    WISHES,
-    Ban,
-    ClientDraining,
-    HostBans,
-)
+from brambleusher.loadbalancing.client_draining import DRAIN_GRACE_S, FIRST_REQUEST_GRACE_S, ClientDraining
+from brambleusher.loadbalancing.host_bans import MAX_PENDING_BANS, MAX_REMEMBERED, Ban, HostBans
 
 READY, DRAINING, GONE = HostState.READY, HostState.DRAINING, HostState.REMOVED
 
@@ -55,9 +48,9 @@
         self.assertIs(bans.effective_entry(entry("d")).state, READY)
         self.assertEqual(bans.to_json(), {"c": [100, 0]})
         self.assertIs(bans.unban("c", 200).state, READY)  # type: ignore[union-attr]
-        for number in range(2 * WISHES):
+        for number in range(2 * MAX_PENDING_BANS):
             bans.ban_when_listed(f"x{number}", 300)
-        self.assertEqual(len(bans._wishes), WISHES)
+        self.assertEqual(len(bans._pending), MAX_PENDING_BANS)
 
     def test_calls_may_be_repeated_and_one_call_back_ends_the_ban(self) -> None:
         bans = self.bans()
@@ -96,11 +89,11 @@
         self.assertTrue(bans.is_known("a"))
         self.assertIsNone(bans.ban("a", 100))  # nothing to tell, and banned when it comes back
         self.assertIs(bans.effective_entry(entry("a")).state, DRAINING)
-        for n in range(REMEMBERED + 1):
+        for n in range(MAX_REMEMBERED + 1):
             bans.record_list(False, [entry(f"x{n}"), entry(f"x{n}", GONE)])
         self.assertFalse(bans.is_known("x0"))
         self.assertTrue(bans.is_known("a"), "a banned one is never forgotten")
-        self.assertTrue(bans.is_known(f"x{REMEMBERED}"))
+        self.assertTrue(bans.is_known(f"x{MAX_REMEMBERED}"))
 
     def test_what_was_said_elsewhere_counts_if_it_was_said_later(self) -> None:
         bans = self.bans()
@@ -126,10 +119,10 @@
         self.assertFalse(service.accepts_clients)
         for now, since, asked, may in (
             (10.5, 9.0, True, True),  # its next request is served, and it leaves with the answer
-            (10.0 + LEAVE_SECONDS, 9.0, True, False),
-            (10.0 + LEAVE_SECONDS, 9.0, False, False),
+            (10.0 + DRAIN_GRACE_S, 9.0, True, False),
+            (10.0 + DRAIN_GRACE_S, 9.0, False, False),
             (10.5, 10.4, False, True),  # new: the front has not looked yet
-            (10.4 + SILENT_SECONDS, 10.4, False, False),
+            (10.4 + FIRST_REQUEST_GRACE_S, 10.4, False, False),
             (13.0, 12.9, False, True),
         ):
             with self.subTest(now=now, since=since, asked=asked):
