--- a/brambleusher/fronts/mysql/front.py
+++ b/brambleusher/fronts/mysql/front.py
@@ -620,7 +620,7 @@
         client.request_class, client.leave_at = given.request_class, None
         client.deadline = deadline
         self._counters.add("requests_taken")
-        answer = self._life.live(
+        answer = self._life.run(
             call, lambda: deadline, ClientHandle(self._watch(client), lambda: self._has_left(client))
         )
         work.over = True
--- a/brambleusher/fronts/mysql/nodes.py
+++ b/brambleusher/fronts/mysql/nodes.py
@@ -33,6 +33,7 @@
     Settings,
 )
 from brambleusher.net.endpoint_list import Endpoint, EndpointListUpdate
+from brambleusher.net.request_lifecycle import AttemptOrder
 from brambleusher.observability.counters import Counters
 from brambleusher.runtime.scheduler import Event, Scheduler, TaskTimeoutError
 from brambleusher.runtime.streams import Stream, WaitInterruptedError
@@ -166,7 +167,7 @@
         self.sending = self.written = False
         self.measured = False  # its statement counts as one at the node
 
-    def call_off(self, why: AttemptStatus = AttemptStatus.CANCELLED) -> None:
+    def cancel(self, why: AttemptStatus = AttemptStatus.CANCELLED) -> None:
         """Give it up; a statement under way is stopped at the node."""
         if self.why is None:
             self.why = why
@@ -369,7 +370,7 @@
             self.discard(node.idle.pop())
         for claim in list(node.claims):
             if not claim.sending:
-                claim.call_off(AttemptStatus.OVERLOADED)
+                claim.cancel(AttemptStatus.OVERLOADED)
         for held in list(node.held):
             if held.conn.owner is not None:
                 held.conn.owner.leave(held)
@@ -409,19 +410,11 @@
 
     # --- claims ---------------------------------------------------------------------------------
 
-    def claim(
-        self,
-        name: str,
-        payload: object,
-        timeout_ns: int,
-        deadline: float,
-        ended: Callable[[AttemptOutcome], None],
-        begun: Callable[[object], None],
-        passing: Callable[[bool], None] | None = None,
-        wanted: Callable[[], bool] = lambda: True,
-    ) -> Claim:
-        """Start a claim; `ended` is called once, whatever happens, and `begun` before it where the answer
-        goes on or the session holds the connection."""
+    def start_attempt(self, order: AttemptOrder) -> Claim:
+        """Start an attempt; `on_response_started` is called where the answer goes on or the session holds
+        the connection."""
+        name, payload, timeout_ns, deadline = order.endpoint, order.payload, order.timeout_ns, order.deadline
+        ended, begun, wanted = order.on_finished, order.on_response_started, order.is_wanted
         if not isinstance(payload, Work):
             raise TypeError("these nodes are spoken to in MySQL alone")
         claim, start = Claim(payload.session.flavour), self._scheduler.now()
@@ -607,7 +600,7 @@
                 self.discard(conn)
                 continue
             if node.leaving:
-                claim.call_off(AttemptStatus.OVERLOADED)
+                claim.cancel(AttemptStatus.OVERLOADED)
                 continue
             if self._room(node, flavour.account):
                 return self._open(node, claim, flavour, limit)
--- a/brambleusher/lab/faults/breakages.py
+++ b/brambleusher/lab/faults/breakages.py
@@ -20,13 +20,22 @@
 from brambleusher.loadbalancing.api import AttemptStatus, HostState
 from brambleusher.loadbalancing.client_draining import ClientDraining
 from brambleusher.loadbalancing.hosts import Host, Request
-from brambleusher.net import client_connection, client_request_handler, client_response
+from brambleusher.net import (
+    client_connection,
+    client_request_handler,
+    client_response,
+    upstream_exchange,
+    upstream_responses,
+)
 from brambleusher.net import endpoint_entries as list_module
-from brambleusher.net import upstream_pool as nodes_module
 from brambleusher.net.endpoint_list import Endpoint, EndpointList, EndpointListUpdate, Feed
 from brambleusher.net.http import Message, MessageReader
 from brambleusher.net.request_lifecycle import ClientHandle, FinalResponse, RequestLifecycle, ResponseKind
-from brambleusher.net.upstream_pool import UpstreamAttempt, UpstreamEndpoint, UpstreamPool
+from brambleusher.net.upstream_connections import UpstreamConnections
+from brambleusher.net.upstream_endpoint import AttemptResult, UpstreamAttempt, UpstreamEndpoint
+from brambleusher.net.upstream_exchange import UpstreamExchange
+from brambleusher.net.upstream_pool import UpstreamPool
+from brambleusher.net.upstream_response_reader import UpstreamResponseReader
 from brambleusher.runtime.scheduler import TaskCancelledError
 from brambleusher.runtime.streams import Stream, WaitInterruptedError
 from brambleusher.sidecar.app import Sidecar
@@ -124,12 +133,12 @@
 @breakage("old-process", "idle connections to a process that was replaced are kept", "drain", "dirty")
 def _old_process(patches: Patches) -> None:
     def place(self: UpstreamPool, machine: Endpoint) -> None:
-        node = self._nodes.get(machine.entry.host)
+        node = self._endpoints.get(machine.entry.host)
         if node is not None and machine.entry.state is not HostState.REMOVED:
             node.address, node.started_ns = machine.address, machine.entry.started_ns
         old(self, machine)
 
-    old = patches.set(UpstreamPool, "_place", place)
+    old = patches.set(UpstreamPool, "_update_endpoint", place)
 
 
 @breakage("versions-kept", "a new discovery is asked for what follows the old one's version", "versions")
@@ -223,33 +232,32 @@
 
 @breakage("reset-as-connect", "a reset after the last byte passes for a failed connect", "repeat", "refusal")
 def _reset_as_connect(patches: Patches) -> None:
-    def attempt(self: UpstreamPool, node: UpstreamEndpoint, claim: UpstreamAttempt, *how: Any) -> Any:
-        outcome = old(self, node, claim, *how)
-        if outcome is None:  # told already
-            return None
-        status, *rest = outcome
-        return (AttemptStatus.CONNECT_FAILED if status is AttemptStatus.RESET else status, *rest)
+    def run(self: UpstreamExchange) -> AttemptResult | None:
+        result: AttemptResult | None = old(self)
+        if result is not None and result.status is AttemptStatus.RESET:  # None: told already
+            return replace(result, status=AttemptStatus.CONNECT_FAILED)
+        return result
 
-    old = patches.set(UpstreamPool, "_attempt", attempt)
+    old = patches.set(UpstreamExchange, "run", run)
 
 
 @breakage("error-as-full", "a 500 is taken for a node that was full and did not begin", "repeat", "refusal")
 def _error_as_full(patches: Patches) -> None:
-    def status_of(answer: Message) -> AttemptStatus:
+    def attempt_status_of(answer: Message) -> AttemptStatus:
         return AttemptStatus.OVERLOADED if answer.status >= 500 else AttemptStatus(old(answer))
 
-    old = patches.set(nodes_module, "status_of", status_of)
+    old = patches.set(upstream_exchange, "attempt_status_of", attempt_status_of)
 
 
 @breakage("again-below", "a claim that met a reset is made again below the module", "repeat", "once")
 def _again_below(patches: Patches) -> None:
-    def attempt(self: UpstreamPool, node: UpstreamEndpoint, claim: UpstreamAttempt, *how: Any) -> Any:
-        outcome = old(self, node, claim, *how)
-        if outcome is not None and outcome[0] is AttemptStatus.RESET and claim.why is None:
-            outcome = old(self, node, claim, *how)
-        return outcome
+    def run(self: UpstreamExchange) -> AttemptResult | None:
+        result: AttemptResult | None = old(self)
+        if result is not None and result.status is AttemptStatus.RESET and self.attempt.cancelled_as is None:
+            result = old(self)
+        return result
 
-    old = patches.set(UpstreamPool, "_attempt", attempt)
+    old = patches.set(UpstreamExchange, "run", run)
 
 
 @breakage("attempts-uncounted", "the limit on attempts is not looked at", "attempts")
@@ -269,7 +277,7 @@
 
 @breakage("answer-swapped", "one request in sixteen gets the answer served before its own", "other-answer")
 def _answer_swapped(patches: Patches) -> None:
-    def live(
+    def run(
         self: RequestLifecycle, call: ClientRequest, deadline: Callable[[], float], client: ClientHandle
     ) -> Any:
         answer: FinalResponse | None = old(self, call, deadline, client)
@@ -278,38 +286,36 @@
         before, self._before = getattr(self, "_before", answer), answer  # type: ignore[attr-defined]
         return before if now_and_then(call.request_id, 16) else answer
 
-    old = patches.set(RequestLifecycle, "live", live)
+    old = patches.set(RequestLifecycle, "run", run)
 
 
 @breakage("connection-kept", "a connection goes back before its answer has come", "shared", "other-answer")
 def _connection_kept(patches: Patches) -> None:
-    def give_back(self: UpstreamPool, node: UpstreamEndpoint, stream: Stream, keep: bool) -> None:
+    def release(self: UpstreamConnections, node: UpstreamEndpoint, stream: Stream, keep: bool) -> None:
         old(self, node, stream, True)
 
-    old = patches.set(UpstreamPool, "_give_back", give_back)
+    old = patches.set(UpstreamConnections, "release", release)
 
 
 @breakage("reuse-unseen", "an idle connection is used again without a look at what waits on it", "dirty")
 def _reuse_unseen(patches: Patches) -> None:
-    def connection(
-        self: UpstreamPool, node: UpstreamEndpoint, claim: UpstreamAttempt, deadline: float
+    def acquire(
+        self: UpstreamConnections, node: UpstreamEndpoint, claim: UpstreamAttempt, deadline: float
     ) -> Stream | None:
-        if node.idle and self._scheduler.now() - node.idle[-1].used_at < self._pace.idle_timeout_s:
+        if node.idle and self._scheduler.now() - node.idle[-1].used_at < self._pacing.idle_timeout_s:
             return node.idle.pop()
         return old(self, node, claim, deadline)  # type: ignore[no-any-return]
 
-    old = patches.set(UpstreamPool, "_connection", connection)
+    old = patches.set(UpstreamConnections, "acquire", acquire)
 
 
 @breakage("cut-served", "what came of an answer before its connection broke is served", "made-answer")
 def _cut_served(patches: Patches) -> None:
-    def answer(
-        self: UpstreamPool, stream: Stream, claim: UpstreamAttempt, deadline: float
-    ) -> tuple[Message, bool]:
+    def read(self: UpstreamResponseReader) -> tuple[Message, bool]:
         reader = MessageReader.responses()
         while True:
             try:
-                data = stream.receive(deadline, claim.event)
+                data = self._stream.receive(self._deadline, self._cancel_event)
             except OSError:
                 data = b""
             if data is None:
@@ -325,7 +331,7 @@
                 if whole.status >= 200:
                     return whole, whole.keep_alive and not reader.buffered
 
-    patches.set(UpstreamPool, "_answer", answer)
+    patches.set(UpstreamResponseReader, "read", read)
 
 
 @breakage("two-answers", "a failure is answered twice", "one-answer")
@@ -349,13 +355,13 @@
 
 @breakage("answer-late", "requests are held for 100 ms more than their time", "answer")
 def _answer_late(patches: Patches) -> None:
-    def live(
+    def run(
         self: RequestLifecycle, call: ClientRequest, deadline: Callable[[], float], client: ClientHandle
     ) -> Any:
         late = replace(call, time_left_ns=call.time_left_ns + 100_000_000)
         return old(self, late, lambda: deadline() + 0.1, client)
 
-    old = patches.set(RequestLifecycle, "live", live)
+    old = patches.set(RequestLifecycle, "run", run)
 
 
 @breakage("sigterm-drops", "the program ends after SIGTERM with requests unanswered", "answer")
@@ -412,10 +418,10 @@
 
 @breakage("places-kept", "a connection that is closed goes on counting as open", "left-over", "recovery")
 def _places_kept(patches: Patches) -> None:
-    def discard(self: UpstreamPool, stream: Stream) -> None:
+    def discard(self: UpstreamConnections, stream: Stream) -> None:
         stream.close()
 
-    patches.set(UpstreamPool, "_discard", discard)
+    patches.set(UpstreamConnections, "_discard", discard)
 
 
 @breakage("limit-stuck", "the module's limit on what is out only falls", "recovery")
@@ -431,22 +437,22 @@
 
 @breakage("descriptor-kept", "idle connections to a node that leaves are forgotten, not closed", "left-over")
 def _descriptor_kept(patches: Patches) -> None:
-    def drop(self: UpstreamPool, node: UpstreamEndpoint) -> None:
-        self._open -= len(node.idle)
+    def close_idle(self: UpstreamConnections, node: UpstreamEndpoint) -> None:
+        self.open_count -= len(node.idle)
         node.idle.clear()
 
-    patches.set(UpstreamPool, "_drop", drop)
+    patches.set(UpstreamConnections, "close_idle", close_idle)
 
 
 @breakage("report-halved", "the module is told half of what a load report says", "report")
 def _report_halved(patches: Patches) -> None:
-    def parse_report(text: str | None, *more: Any) -> api.LoadReport | None:
+    def parse_load_report(text: str | None, *more: Any) -> api.LoadReport | None:
         report: api.LoadReport | None = old(text, *more)
         if report is None or report.utilisation is None:
             return report
         return replace(report, utilisation=report.utilisation / 2)
 
-    old = patches.set(nodes_module, "parse_report", parse_report)
+    old = patches.set(upstream_responses, "parse_load_report", parse_load_report)
 
 
 @breakage("capture-forgets", "a capture leaves out the load reports", "replay")
--- a/brambleusher/lab/fleets/fleet.py
+++ b/brambleusher/lab/fleets/fleet.py
@@ -595,7 +595,7 @@
         idle = nodes.idle_connections
         return SidecarEnd(
             name=self.figures.name, up=True, tickets=sidecar.balancer_driver.pending_requests,
-            clients=sidecar.client_listener.connections, claims=nodes.claims_out,
+            clients=sidecar.client_listener.connections, claims=nodes.open_attempts,
             node_connections=nodes.open_connections, node_idle=idle, timers=sidecar.scheduler.timers,
             descriptors=process.descriptors,
             # The waker's two, the listener, the admin endpoint, the watch, and connections to nodes.
--- a/brambleusher/net/client_request_handler.py
+++ b/brambleusher/net/client_request_handler.py
@@ -170,7 +170,7 @@
         """Have the balancer decide on the request, and word the outcome; None if its client has left."""
         request, body_stream = exchange.request, exchange.body_stream
         client = ClientHandle(exchange.watched_socket, exchange.has_client_left)
-        final = self._lifecycle.live(request, exchange.deadline, client)
+        final = self._lifecycle.run(request, exchange.deadline, client)
         if body_stream is not None and body_stream.left:
             final = None
         kind = None if final is None else final.kind.value
--- a/brambleusher/net/request_lifecycle.py
+++ b/brambleusher/net/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of one request: from its arrival to its final answer, in whatever protocol it came."""
+"""The lifecycle of one request: from its arrival to its final response, in whatever protocol it came."""
 
 from __future__ import annotations
 
@@ -23,20 +23,21 @@
 
 log = logging.getLogger(__name__)
 
-GUARD_SECONDS = 0.005  # past that moment: the module had its chance to answer
+DECISION_GRACE_S = 0.005  # past the deadline: the balancer had its chance to answer
+_NS_PER_S = 1e9
 
 
 class ResponseKind(Enum):
     """What became of a request."""
 
     SERVED = "served"
-    REJECTED = "refused"
+    REJECTED = "refused"  # the spelling that counters and metrics have
     FAILED = "failed"
 
 
 @dataclass(frozen=True, slots=True)
 class FinalResponse:
-    """A final answer, before it is worded in any protocol."""
+    """A final response, before it is worded in any protocol."""
 
     kind: ResponseKind
     retry_after_ns: int = 0
@@ -45,146 +46,203 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientHandle:
-    """The other end of a request: `watch` has its socket as long as it can be seen to leave."""
+    """The client of a request: `watched_socket` has its socket as long as it can be seen to leave."""
 
-    watch: Callable[[], Socket | None]
+    watched_socket: Callable[[], Socket | None]
     has_left: Callable[[], bool]
 
 
+@dataclass(frozen=True, slots=True)
+class AttemptOrder:
+    """An attempt that is to be made, and whom to call as it proceeds.
+
+    Attributes:
+        endpoint: The name of the endpoint.
+        payload: The request in its protocol.
+        timeout_ns: From its start; 0 for none but the deadline.
+        deadline: When the response has to leave, in seconds on the scheduler's clock.
+        on_finished: Called once, whatever happens.
+        on_response_started: May be called once before, with a payload: the response is on its way out.
+        on_body_progress: Called with false when a streamed body begins to go out, with true when it is
+            complete.
+        is_wanted: Asked right before the first byte is sent: where it says no, nothing is.
+    """
+
+    endpoint: str
+    payload: object
+    timeout_ns: int
+    deadline: float
+    on_finished: Callable[[AttemptOutcome], None]
+    on_response_started: Callable[[object], None]
+    on_body_progress: Callable[[bool], None]
+    is_wanted: Callable[[], bool]
+
+
 class RunningAttempt(Protocol):
-    """A claim, as the request it was made for sees it."""
+    """An attempt, as the request it was made for sees it."""
 
-    def call_off(self) -> None:
-        """Give it up; its end is told all the same."""
+    def cancel(self) -> None:
+        """Cancel it; its end is reported all the same."""
 
 
 class AttemptStarter(Protocol):
-    """The nodes, in some protocol."""
+    """The endpoints, in some protocol."""
 
-    def claim(
-        self,
-        name: str,
-        payload: object,
-        timeout_ns: int,
-        deadline: float,
-        ended: Callable[[AttemptOutcome], None],
-        begun: Callable[[object], None],
-        passing: Callable[[bool], None],
-        wanted: Callable[[], bool],
-        /,
-    ) -> RunningAttempt:
-        """Start a claim; `ended` is called once, whatever happens.
-
-        `begun` may be called once before, with a payload: the answer is on its way out from then on.
-        `passing` is told when the request's body begins to go out as it comes, and when that is whole.
-        `wanted` is asked right before the first byte is sent: where it says no, nothing is.
-        """
+    def start_attempt(self, order: AttemptOrder, /) -> RunningAttempt:
+        """Start an attempt."""
 
 
 class RequestLifecycle:
-    """Lives of requests, in whatever protocol they came."""
+    """Takes requests from their arrival to their final response, in whatever protocol they came."""
 
-    def __init__(self, decisions: BalancerDriver, nodes: AttemptStarter, scheduler: Scheduler) -> None:
-        self._decisions, self._nodes, self._scheduler = decisions, nodes, scheduler
+    def __init__(self, decisions: BalancerDriver, upstream: AttemptStarter, scheduler: Scheduler) -> None:
+        self._decisions, self._upstream, self._scheduler = decisions, upstream, scheduler
 
-    def live(
-        self, call: ClientRequest, deadline: Callable[[], float], client: ClientHandle
+    def run(
+        self, request: ClientRequest, deadline: Callable[[], float], client: ClientHandle
     ) -> FinalResponse | None:
-        """One request from its arrival to its final answer; None if its client left before.
+        """Run one request; the balancer decides when it comes and whenever an attempt has ended.
 
-        The module is asked at each point of choice: when the request comes, and whenever a claim
-        made for it has ended.  `deadline` is when the answer must leave; it comes nearer where a body that
-        goes out as it comes is whole.
+        Args:
+            request: The request.
+            deadline: When the response must leave, in seconds on the scheduler's clock; it comes nearer
+                where a streamed body is complete.
+            client: The client.
+
+        Returns:
+            The final response; None if the client left before.
         """
-        ticket, began_at = self._decisions.submit(call), self._scheduler.now()
-        claims: dict[int, RunningAttempt] = {}
-        ticket.cancel_attempt = lambda attempt: claims[attempt].call_off() if attempt in claims else None
+        pending = self._decisions.submit(request)
+        return _RequestRun(self._decisions, self._upstream, self._scheduler, pending, deadline, client).run()
+
+
+def _canceller(attempts: dict[int, RunningAttempt]) -> Callable[[int], None]:
+    """Make the callback that cancels an attempt.
+
+    It holds the attempts alone: a pending request that led back to its run would be a reference cycle, and
+    keep what its request held until the collector comes by.
+    """
 
-        def wanted() -> bool:
-            return not client.has_left()
+    def cancel(number: int) -> None:
+        if number in attempts:
+            attempts[number].cancel()
 
+    return cancel
+
+
+class _RequestRun:
+    """One request on its way."""
+
+    __slots__ = (
+        "_attempts", "_client", "_deadline", "_decisions", "_pending", "_scheduler", "_started_at",
+        "_upstream",
+    )  # fmt: skip
+
+    def __init__(
+        self,
+        decisions: BalancerDriver,
+        upstream: AttemptStarter,
+        scheduler: Scheduler,
+        pending: PendingRequest,
+        deadline: Callable[[], float],
+        client: ClientHandle,
+    ) -> None:
+        self._decisions, self._upstream, self._scheduler = decisions, upstream, scheduler
+        self._pending, self._deadline, self._client = pending, deadline, client
+        self._started_at = scheduler.now()
+        self._attempts: dict[int, RunningAttempt] = {}
+        pending.cancel_attempt = _canceller(self._attempts)
+
+    def run(self) -> FinalResponse | None:
+        """Run it; None if its client left before its final response."""
+        pending = self._pending
         try:
-            while True:
-                # 1. Wait for the module's next step, a claim's end or the client's leaving.
-                while not ticket.steps:
-                    if self._wait(ticket, deadline() + GUARD_SECONDS, client) and client.has_left():
-                        self._abandon(ticket, claims)
-                        return None
-                step = ticket.steps.popleft()
-                if isinstance(step, AttemptRequested | RejectRequest | FailRequest) and client.has_left():
-                    ticket.steps.appendleft(step)  # `close` tells the module that it is not made
-                    self._abandon(ticket, claims)
-                    return None
-                # 2. Make a claim.
-                if isinstance(step, AttemptRequested):
-
-                    def ended(outcome: AttemptOutcome, made: AttemptRequested = step) -> None:
-                        self._decisions.deliver_attempt_finished(
-                            ticket, AttemptFinished(made.attempt, made.endpoint, outcome)
-                        )
-
-                    def begun(payload: object, made: AttemptRequested = step) -> None:
-                        took = int((self._scheduler.now() - began_at) * 1e9)
-                        news = ResponseStarted(made.attempt, made.endpoint, took, payload)
-                        self._decisions.deliver_response_started(ticket, news)
-
-                    def passing(whole: bool, made: AttemptRequested = step) -> None:
-                        self._decisions.report_body_progress(ticket, made.attempt, whole)
-
-                    claims[step.attempt] = self._nodes.claim(
-                        step.endpoint,
-                        call.payload,
-                        step.timeout_ns,
-                        deadline(),
-                        ended,
-                        begun,
-                        passing,
-                        wanted,
-                    )
-                # 3. A claim has ended: the first that served answers the request.
-                elif isinstance(step, AttemptFinished):
-                    served = step.outcome.status is AttemptStatus.OK
-                    self._decisions.finish_attempt(ticket, step, closed=served)
-                    if served:
-                        return FinalResponse(ResponseKind.SERVED, payload=step.outcome.payload)
-                # 4. An answer has begun: from here on it is its protocol's, and no other claim is wanted.
-                elif isinstance(step, ResponseStarted):
-                    self._decisions.start_response(ticket, step)
-                    for attempt, claim in claims.items():
-                        if attempt != step.attempt:
-                            claim.call_off()
-                    return FinalResponse(ResponseKind.SERVED, payload=step.payload)
-                # 5. The module has given up on it: the answer goes out at once.
-                elif isinstance(step, RejectRequest):
-                    wait = min(step.retry_after_ns, self._decisions.settings.max_retry_after_ns)
-                    return FinalResponse(ResponseKind.REJECTED, wait)
-                else:
-                    return FinalResponse(ResponseKind.FAILED)
+            return self._process_steps()
         except TaskTimeoutError:
-            # Guards against a module that owes an answer and never gives it.
-            log.error("no answer from the module", extra={"fields": {"request": call.request_id}})
-            self._decisions.abandon_request(ticket)
+            # The balancer owes a response and did not give it.
+            log.error("no decision before the deadline", extra={"fields": {"request": pending.request_id}})
+            self._decisions.abandon_request(pending)
             return FinalResponse(ResponseKind.FAILED)
         except Exception:
-            # Guards against a request left without an answer by a fault of ours.
-            log.exception("request failed", extra={"fields": {"request": call.request_id}})
-            self._decisions.abandon_request(ticket)
+            # A fault of ours must not leave the request without a response.
+            log.exception("request failed", extra={"fields": {"request": pending.request_id}})
+            self._decisions.abandon_request(pending)
             return FinalResponse(ResponseKind.FAILED)
         finally:
-            self._decisions.close_request(ticket)
-
-    def _abandon(self, ticket: PendingRequest, claims: dict[int, RunningAttempt]) -> None:
-        """The client has left: nothing more is sent for it, and what is out is called off."""
-        self._decisions.abandon_request(ticket)
-        for claim in claims.values():
-            claim.call_off()
-
-    def _wait(self, ticket: PendingRequest, deadline: float, client: ClientHandle) -> bool:
-        """Wait for something to happen; true if the client is to be looked at."""
+            self._decisions.close_request(pending)
+
+    def _process_steps(self) -> FinalResponse | None:
+        pending, client = self._pending, self._client
+        while True:
+            while not pending.steps:
+                if self._wait() and client.has_left():
+                    self._abandon()
+                    return None
+            step = pending.steps.popleft()
+            if isinstance(step, AttemptRequested | RejectRequest | FailRequest) and client.has_left():
+                pending.steps.appendleft(step)  # `close_request` tells the balancer that it is not made
+                self._abandon()
+                return None
+            if isinstance(step, AttemptRequested):
+                self._attempts[step.attempt] = self._upstream.start_attempt(self._order_for(step))
+            elif isinstance(step, AttemptFinished):
+                # The first attempt that served answers the request.
+                is_served = step.outcome.status is AttemptStatus.OK
+                self._decisions.finish_attempt(pending, step, closed=is_served)
+                if is_served:
+                    return FinalResponse(ResponseKind.SERVED, payload=step.outcome.payload)
+            else:
+                return self._final_response(step)
+
+    def _final_response(self, step: ResponseStarted | RejectRequest | FailRequest) -> FinalResponse:
+        if isinstance(step, ResponseStarted):
+            # From here on the response is its protocol's, and no other attempt is wanted.
+            self._decisions.start_response(self._pending, step)
+            for number, attempt in self._attempts.items():
+                if number != step.attempt:
+                    attempt.cancel()
+            return FinalResponse(ResponseKind.SERVED, payload=step.payload)
+        if isinstance(step, RejectRequest):
+            longest_ns = self._decisions.settings.max_retry_after_ns
+            return FinalResponse(ResponseKind.REJECTED, min(step.retry_after_ns, longest_ns))
+        return FinalResponse(ResponseKind.FAILED)
+
+    def _order_for(self, step: AttemptRequested) -> AttemptOrder:
+        pending, decisions = self._pending, self._decisions
+
+        def on_finished(outcome: AttemptOutcome) -> None:
+            finished = AttemptFinished(step.attempt, step.endpoint, outcome)
+            decisions.deliver_attempt_finished(pending, finished)
+
+        def on_response_started(payload: object) -> None:
+            took_ns = int((self._scheduler.now() - self._started_at) * _NS_PER_S)
+            started = ResponseStarted(step.attempt, step.endpoint, took_ns, payload)
+            decisions.deliver_response_started(pending, started)
+
+        def on_body_progress(is_complete: bool) -> None:
+            decisions.report_body_progress(pending, step.attempt, is_complete)
+
+        return AttemptOrder(
+            step.endpoint, pending.request.payload, step.timeout_ns, self._deadline(), on_finished,
+            on_response_started, on_body_progress, self._is_client_there,
+        )  # fmt: skip
+
+    def _is_client_there(self) -> bool:
+        return not self._client.has_left()
+
+    def _abandon(self) -> None:
+        """The client has left: nothing more is sent for it, and open attempts are cancelled."""
+        self._decisions.abandon_request(self._pending)
+        for attempt in self._attempts.values():
+            attempt.cancel()
+
+    def _wait(self) -> bool:
+        """Wait for the next step; true if the client is to be looked at."""
+        deadline, sock = self._deadline() + DECISION_GRACE_S, self._client.watched_socket()
         try:
-            return self._scheduler.park(deadline, client.watch(), event=ticket.event) == "socket"
+            return self._scheduler.park(deadline, sock, event=self._pending.event) == "socket"
         except TaskTimeoutError:
-            # Guards against passing over a step that came in the same moment, after a late wake-up.
-            if not ticket.steps:
+            # Race: a step may have come in the same moment, after a late wake-up.
+            if not self._pending.steps:
                 raise
             return False
--- /dev/null
+++ b/brambleusher/net/upstream_request_writer.py
@@ -0,0 +1,81 @@
+"""Writes an attempt's request to an endpoint: encoded whole, or with its body streamed as it comes."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from brambleusher.loadbalancing.api import AttemptStatus
+from brambleusher.net.http import HOP_BY_HOP, Framing, HeaderField, HttpError, Message, chunk, write_request
+from brambleusher.net.streamed_bodies import EarlyResponseError, RequestBodyStream
+from brambleusher.net.upstream_endpoint import UpstreamAttempt
+from brambleusher.runtime.streams import Stream, WaitInterruptedError
+from brambleusher.runtime.system import Address
+
+PIECE_TIMEOUT_S = 10.0  # for an endpoint that takes a piece of a body slowly
+_REWRITTEN = HOP_BY_HOP | {"content-length", "request-timeout-ms", "expect"}
+
+
+def encode_request(request: Message, address: Address, time_left_ms: int) -> bytes:
+    """Encode a request for an endpoint; of a streamed body only the head."""
+    headers = _forwarded_headers(request)
+    if "host" not in request.headers:
+        headers.insert(0, ("Host", f"{address[0]}:{address[1]}"))
+    headers.append(("Request-Timeout-Ms", str(time_left_ms)))
+    if isinstance(request.rest, RequestBodyStream):
+        length = request.rest.length
+        framing = Framing.CHUNKS if length is None else Framing.LENGTH
+        return write_request(*request.start, headers, b"", length, framing)
+    return write_request(*request.start, headers, request.body)
+
+
+def _forwarded_headers(request: Message) -> list[HeaderField]:
+    if request.passed is not None:
+        return [field for field in request.passed if field[0].lower() not in _REWRITTEN]
+    named = {word.strip().lower() for word in request.headers.get("connection", "").split(",")}
+    return [
+        (name.title(), value)
+        for name, value in request.headers.items()
+        if name not in _REWRITTEN and name not in named
+    ]
+
+
+def stream_request(
+    stream: Stream,
+    attempt: UpstreamAttempt,
+    body: RequestBodyStream,
+    head: bytes,
+    on_progress: Callable[[bool], None],
+) -> None:
+    """Send a request whose body is streamed piece by piece as it comes from the client.
+
+    Raises:
+        EarlyResponseError: the endpoint has said something, or left, before the request was complete.
+        WaitInterruptedError: the attempt was cancelled, or the rest of the body does not come.
+        OSError: the connection was lost.
+        TaskTimeoutError: the endpoint did not take a piece in time.
+    """
+    now, is_chunked = stream.scheduler.now, body.length is None
+    on_progress(False)
+    buffered = body.start()
+
+    def check_for_response() -> None:
+        if not stream.quiet():
+            raise EarlyResponseError
+
+    first = chunk(buffered) if is_chunked and buffered else buffered
+    stream.send(head + first, now() + PIECE_TIMEOUT_S)
+    while True:
+        try:
+            piece = body.piece(attempt.cancel_event, check_for_response)
+        except (HttpError, OSError):
+            # Its client's doing, and no last byte was written: the endpoint has not run it.
+            attempt.cancel(AttemptStatus.NOT_STARTED)
+            raise WaitInterruptedError from None
+        if piece is None:
+            raise WaitInterruptedError
+        if not piece:
+            break
+        data = chunk(piece) if is_chunked else piece
+        stream.send(data, min(now() + PIECE_TIMEOUT_S, body.due))
+    if is_chunked:
+        stream.send(chunk(b""), min(now() + PIECE_TIMEOUT_S, body.due))
--- a/brambleusher/sidecar/app.py
+++ b/brambleusher/sidecar/app.py
@@ -314,7 +314,7 @@
         )  # fmt: skip
 
     def _let_go(self, node: str) -> None:
-        self.upstream_pool.let_go(node)
+        self.upstream_pool.close_idle_connections(node)
         if self.mysql is not None:
             self.mysql.nodes.let_go(node)
 
@@ -335,7 +335,7 @@
         self.endpoint_list.start()
         if not self.config.settings.subscribes_to_endpoints:  # the module leaves the list to us
             self.endpoint_list.ask()
-        self.scheduler.spawn(self.upstream_pool.reap, name="reap")
+        self.scheduler.spawn(self.upstream_pool.close_expired_connections, name="reap")
         if self.metrics_reporter is not None:
             self.metrics_reporter.start(self.scheduler)
         if self.status is not None:
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -116,7 +116,7 @@
     """Wait until the sidecar has done with all it was asked."""
     until = time.monotonic() + WAIT
     while (
-        rig.sidecar.upstream_pool.claims_out
+        rig.sidecar.upstream_pool.open_attempts
         or rig.sidecar.request_counts.in_flight
         or rig.sidecar.balancer_driver.pending_requests
     ):
@@ -244,7 +244,7 @@
             sock.recv(1)
             self.assertEqual(rig.call("small").body, b"mine")
             self.assertLess(sent.qsize(), MAX_STREAMED_BODY_BYTES >> 20)
-            self.assertEqual(rig.sidecar.upstream_pool.claims_out, 1)
+            self.assertEqual(rig.sidecar.upstream_pool.open_attempts, 1)
         settled(rig)  # it left: so does the claim
 
 
--- a/tests/test_crossings_upstream.py
+++ b/tests/test_crossings_upstream.py
@@ -11,7 +11,7 @@
 from unittest import mock
 
 from brambleusher.loadbalancing import Balancer, api
-from brambleusher.net import upstream_pool
+from brambleusher.net import upstream_connections, upstream_response_reader
 from brambleusher.net.http import Message
 from tests.rig import WAIT, Rig, answer, read
 from tests.test_crossings_client import Case, Holding
@@ -20,8 +20,8 @@
 class Answers(Case):
     def test_a_second_answer_that_comes_late_reaches_no_other_request(self) -> None:
         """It comes after the first one was passed on, and before the next request's answer."""
-        rest = 2.0 if upstream_pool.REUSE_REST_SECONDS else 0.0  # a test of guards has taken it away
-        with mock.patch.object(upstream_pool, "REUSE_REST_SECONDS", rest):
+        rest = 2.0 if upstream_connections.REUSE_DELAY_S else 0.0  # a test of guards has taken it away
+        with mock.patch.object(upstream_connections, "REUSE_DELAY_S", rest):
             node = self.holding()
             rig = self.rig(node)
             client = self.connect(rig)
@@ -71,8 +71,8 @@
     def test_a_first_byte_that_comes_after_the_hold_is_no_broken_answer(self) -> None:
         """Guards against a cut where a node sends its head, and thinks before its first byte."""
         with (
-            mock.patch.object(upstream_pool, "HELD_SECONDS", 0.01),
-            mock.patch.object(upstream_pool, "REST_SECONDS", WAIT),
+            mock.patch.object(upstream_response_reader, "RESPONSE_BUFFER_TIMEOUT_S", 0.01),
+            mock.patch.object(upstream_response_reader, "RESPONSE_IDLE_TIMEOUT_S", WAIT),
         ):
             node = self.holding()
             rig = self.rig(node)
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from brambleusher.net import endpoint_watch, upstream_pool
+from brambleusher.net import endpoint_watch, upstream_connections
 from brambleusher.net.client_connection import ClientConnection
 from brambleusher.net.client_connection_server import ClientConnectionServer
 from brambleusher.net.client_connections import ClientConnections
@@ -21,7 +21,9 @@
 from brambleusher.net.client_presence import ClientPresence
 from brambleusher.net.http import MessageReader
 from brambleusher.net.json_text_assembler import TextAssembler
+from brambleusher.net.upstream_connections import UpstreamConnections
 from brambleusher.net.upstream_pool import UpstreamPool
+from brambleusher.net.upstream_response_reader import UpstreamResponseReader
 from brambleusher.runtime.streams import Stream
 from brambleusher.sidecar.app import Sidecar
 from tests import (
@@ -99,26 +101,27 @@
     return [line.strip()]
 
 
-def takes_whatever_is_idle(nodes: UpstreamPool, node: Any, now: float) -> Stream | None:
+def takes_whatever_is_idle(connections: UpstreamConnections, node: Any, now: float) -> Stream | None:
     return node.idle.pop() if node.idle else None
 
 
 def leaves_claims_alone(nodes: UpstreamPool, node: Any) -> None:
     """A node that leaves keeps the attempts that wait for a connection to it."""
-    node.leaving = True
-    nodes._drop(node)
+    node.is_draining = True
+    nodes.connections.close_idle(node)
 
 
 def ends_with_requests_open(sidecar: Sidecar) -> bool:
     return sidecar._wound_down
 
 
-def reset_is_an_end(nodes: UpstreamPool, stream: Stream, claim: Any, deadline: float) -> Any:
+def reset_is_an_end(response_reader: UpstreamResponseReader) -> Any:
     """An answer without length that is reset counts as whole."""
     reader = MessageReader.responses(passing=True)
+    stream, deadline = response_reader._stream, response_reader._deadline
     while True:
         try:
-            data = stream.receive(deadline, claim.event) or b""
+            data = stream.receive(deadline, response_reader._cancel_event) or b""
         except ConnectionResetError:
             data = b""
         if not data and (answer := reader.end()) is not None:
@@ -208,19 +211,19 @@
     ),
     (
         "rest before reuse",
-        [(upstream_pool, "REUSE_REST_SECONDS", 0.0)],
+        [(upstream_connections, "REUSE_DELAY_S", 0.0)],
         test_crossings_upstream.Answers,
         "test_a_second_answer_that_comes_late_reaches_no_other_request",
     ),
     (
         "look before reuse",
-        [(UpstreamPool, "_idle", takes_whatever_is_idle)],
+        [(UpstreamConnections, "_take_idle", takes_whatever_is_idle)],
         test_crossings_upstream.Idle,
         "test_bytes_that_came_while_it_rested_spoil_it",
     ),
     (
         "a reset is no end",
-        [(UpstreamPool, "_answer", reset_is_an_end)],
+        [(UpstreamResponseReader, "read", reset_is_an_end)],
         test_crossings_upstream.Answers,
         "test_a_reset_before_the_end_of_an_answer_without_length_is_no_end",
     ),
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -15,7 +15,7 @@
     write_request,
     write_response,
 )
-from brambleusher.net.upstream_pool import parse_report, status_of
+from brambleusher.net.upstream_responses import attempt_status_of, parse_load_report
 
 
 def fed(reader: MessageReader, data: bytes, step: int) -> list[Message]:
@@ -133,7 +133,9 @@
             ("504", {"not-started": "1"}, AttemptStatus.OVERLOADED),
             ("204", {}, AttemptStatus.ERROR),
         ):
-            self.assertEqual(status_of(Message((status, ""), 1, headers)), expected, (status, headers))
+            self.assertEqual(
+                attempt_status_of(Message((status, ""), 1, headers)), expected, (status, headers)
+            )
 
     def test_reports_keep_only_sense(self) -> None:
         for text, expected in (
@@ -146,7 +148,7 @@
             ("{", None),
             (None, None),
         ):
-            self.assertEqual(parse_report(text), expected, text)
+            self.assertEqual(parse_load_report(text), expected, text)
 
 
 class Writers(unittest.TestCase):
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -214,7 +214,7 @@
 
     def test_a_lack_of_connections_is_not_held_against_the_nodes(self) -> None:
         rig = self.rig(self.node(hang), self.node(hang))
-        rig.sidecar.upstream_pool._most = 1
+        rig.sidecar.upstream_pool.connections.max_connections = 1
         first = rig.send("a")
         while rig.sidecar.counters.count("claims_sent") == 0:
             time.sleep(0.002)
@@ -230,10 +230,12 @@
             limits = {"cores": 1.0, "memory_mb": memory_mb, "sockets": sockets}
             sidecar = Sidecar(parse_config(json.dumps({**config, "limits": limits}).encode(), {}))
             self.addCleanup(sidecar.close)
-            self.assertGreaterEqual(sidecar.upstream_pool._most, claims)
+            self.assertGreaterEqual(sidecar.upstream_pool.connections.max_connections, claims)
             self.assertGreaterEqual(sidecar.connection_admission.max_connections, clients)
             self.assertLess(
-                sidecar.upstream_pool._most + sidecar.connection_admission.max_connections, sockets
+                sidecar.upstream_pool.connections.max_connections
+                + sidecar.connection_admission.max_connections,
+                sockets,
             )
 
     def test_all_descriptors_in_use_is_survived(self) -> None:
--- a/tests/test_stand_in_node.py
+++ b/tests/test_stand_in_node.py
@@ -14,7 +14,7 @@
 from brambleusher.lab.stand_ins.node import Execution, Node, ReportHow, SpoiltHow
 from brambleusher.lab.stand_ins.settings import NodeSettings
 from brambleusher.net.http import HttpError, Message, MessageReader
-from brambleusher.net.upstream_pool import parse_report
+from brambleusher.net.upstream_responses import parse_load_report
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.streams import Stream
 from tests.lab import SERVER, Lab, ask
@@ -264,7 +264,7 @@
     lab = Lab()
     node = node_in(lab, **usual)
     told = loads(lab)
-    report = parse_report(told[-1])
+    report = parse_load_report(told[-1])
     assert report is not None and report.utilisation is not None and 0.05 < report.utilisation < 0.4
     lab.call(node.scheduler, lambda: node.begin(at_node.ReportsLate(60.0)))
     assert loads(lab) == [None] * 4
--- a/tests/test_sums.py
+++ b/tests/test_sums.py
@@ -15,7 +15,7 @@
 from brambleusher.lab.virtual.network import Connection, End
 from brambleusher.loadbalancing import Balancer, slow_start
 from brambleusher.net.endpoint_list import EndpointList
-from brambleusher.net.upstream_pool import UpstreamPool
+from brambleusher.net.upstream_connections import UpstreamConnections
 
 SECOND = 10**9
 NODE = NodeLimits("node 0", 3, 0.001)
@@ -110,8 +110,10 @@
 
 
 def closed_after_use(patch: pytest.MonkeyPatch) -> None:
-    old = UpstreamPool._give_back
-    patch.setattr(UpstreamPool, "_give_back", lambda self, node, stream, keep: old(self, node, stream, False))
+    old = UpstreamConnections.release
+    patch.setattr(
+        UpstreamConnections, "release", lambda self, node, stream, keep: old(self, node, stream, False)
+    )
 
 
 @pytest.mark.parametrize(
