--- a/tests/system/test_consensus.py
+++ b/tests/system/test_consensus.py
@@ -187,7 +187,7 @@
     assert leader.consensus.term == term
 
 
-def test_a_leader_whose_disk_stands_still_goes_on_with_the_others() -> None:
+def test_a_leader_whose_disk_is_stuck_commits_with_the_others() -> None:
     cluster = Cluster("abc", seed=4)
     change(cluster)
     leader = cluster.leader()
@@ -212,7 +212,7 @@
     assert cluster.nodes[late].consensus.log.base_index > 0
 
 
-def test_a_leader_whose_disk_takes_nothing_hands_over_before_its_memory_fills() -> None:
+def test_a_leader_whose_disk_is_stuck_transfers_leadership_before_its_memory_fills() -> None:
     cluster = Cluster("abc", seed=4)
     change(cluster)
     leader = cluster.leader()
@@ -228,7 +228,7 @@
     assert leader.consensus.log.last_index - leader.synced < UNSYNCED_MAX * 3
 
 
-def test_a_leader_whose_disk_takes_nothing_and_that_nobody_can_succeed_stops_taking_more() -> None:
+def test_a_leader_whose_disk_is_stuck_and_has_no_successor_stops_accepting_proposals() -> None:
     cluster = Cluster("a", seed=4)
     assert cluster.commit("first")
     leader = cluster.leader()
@@ -240,7 +240,7 @@
     assert leader.consensus.log.last_index <= UNSYNCED_MAX * 2 + 10
 
 
-def test_held_messages_wait_for_their_record() -> None:
+def test_messages_wait_until_their_record_is_synced() -> None:
     cluster = Cluster("abc", seed=7)
     node = cluster.nodes["a"]
     node.consensus.handle_message(wire.VoteRequest(5, "b", 9, 9, False, False), 10.0)
--- a/tests/system/test_consensus_losses.py
+++ b/tests/system/test_consensus_losses.py
@@ -26,7 +26,7 @@
 
 @pytest.mark.parametrize("block", range(6))
 @pytest.mark.parametrize("names", ["abc", "abcde"])
-def test_days_with_lost_disks_and_members_that_go(names: str, block: int) -> None:
+def test_days_with_lost_disks_and_members_that_shut_down(names: str, block: int) -> None:
     for seed in range(block * 20, block * 20 + 20):
         explore(Consensus, seed, names, losses=True)
 
@@ -259,7 +259,7 @@
     return {each.id for each in members if each.is_voter is voter}
 
 
-def test_a_member_that_leaves_has_given_its_vote_away_within_a_tenth_of_a_second() -> None:
+def test_a_member_that_shuts_down_has_transferred_its_vote_within_a_tenth_of_a_second() -> None:
     cluster = with_a_learner()
     leader = cluster.leader()
     assert leader is not None
@@ -277,7 +277,7 @@
     cluster.check()
 
 
-def test_one_that_holds_the_only_copy_leads_though_it_is_about_to_end() -> None:
+def test_a_replica_with_the_only_copy_leads_though_it_is_shutting_down() -> None:
     """It and the one that lost its disk had confirmed; the third knows nothing of it."""
     cluster = with_a_learner()
     first = cluster.leader()
--- a/tests/system/test_consensus_messages.py
+++ b/tests/system/test_consensus_messages.py
@@ -9,7 +9,7 @@
 from brambleusher.wire.errors import InvalidMessageError
 
 
-def test_messages_survive_the_wire_and_faults_in_them_are_told() -> None:
+def test_messages_round_trip_and_invalid_ones_are_rejected() -> None:
     message = wire.AppendEntries(3, "a", 1, 1, [wire.Entry(2, 3, EntryKind.COMMAND, {"op": "x"})], 1, 9)
     data = wire.encode_message(message)
     assert wire.decode_message(data) == message
--- a/tests/system/test_membership_plan.py
+++ b/tests/system/test_membership_plan.py
@@ -20,7 +20,7 @@
     assert second[-1].is_voter
 
 
-def test_a_lost_voter_keeps_its_vote_while_nobody_can_take_it() -> None:
+def test_an_unresponsive_voter_keeps_its_vote_while_nobody_can_take_it() -> None:
     members = (member("a"), member("b"), member("c"))
     assert next_members(Group(members, "a", 3, {"c": 9.0}, {"b"}), []) is None
 
@@ -31,14 +31,14 @@
     return None if changed is None else "".join(sorted(each.id for each in changed if each.is_voter))
 
 
-def test_a_lost_voter_makes_room_for_a_learner_that_holds_everything() -> None:
+def test_an_unresponsive_voter_is_replaced_by_a_learner_that_is_caught_up() -> None:
     members = (member("a"), member("b"), member("c"), member("d", voter=False))
     group = Group(members, "a", 3, {"c": 9.0}, {"b", "d"})
     assert votes_after(group) == "abcd"
     assert votes_after(replace_in(group, members=group.with_vote("d", True))) == "abd"
 
 
-def test_a_voter_that_leaves_is_replaced_before_it_loses_its_vote() -> None:
+def test_a_voter_that_shuts_down_is_replaced_before_it_loses_its_vote() -> None:
     members = (member("a"), member("b"), member("c"), member("d", voter=False))
     group = Group(members, "a", 3, {}, {"b", "c", "d"}, {"c"})
     assert votes_after(group) == "abcd"
@@ -71,7 +71,7 @@
     assert votes_after(group) is None
 
 
-def test_a_learner_that_is_silent_makes_room_sooner_where_there_is_none() -> None:
+def test_an_unresponsive_learner_is_removed_sooner_where_the_group_is_full() -> None:
     learners = tuple(member(f"l{number}", voter=False) for number in range(MEMBERS_MAX - 1))
     group = Group((member("a"), *learners), "a", 1, {"l3": 5.0, "l4": 7.0}, {"l1"})
     changed = next_members(group, [member("new", voter=False)])
--- a/tests/system/test_membership_requests.py
+++ b/tests/system/test_membership_requests.py
@@ -38,7 +38,7 @@
     assert requests.wiped_members(members, 9.0) == set()  # it has long not been repeated
 
 
-def test_requests_are_forgotten() -> None:
+def test_requests_expire() -> None:
     requests = MembershipRequests("a")
     requests.record_join(member("z", voter=False), 0.0)
     requests.record_shutdown("b", 0.0)
--- a/tests/system/test_replication_progress.py
+++ b/tests/system/test_replication_progress.py
@@ -17,7 +17,7 @@
 BOOTSTRAP_MEMBERS = tuple(member(name) for name in "abc")
 
 
-def test_a_refusal_sets_back_what_is_sent_and_an_old_one_does_not() -> None:
+def test_a_rejection_sets_back_what_is_sent_and_an_old_one_does_not() -> None:
     replication = ReplicationProgress(
         {"b": FollowerProgress(next_index=23, match_index=22, heartbeat_sequence=9)}
     )
@@ -48,7 +48,7 @@
     assert known.take_next_entries(log)
 
 
-def test_what_a_member_may_have_got_from_others_does_not_count_as_sent() -> None:
+def test_entries_a_member_may_have_from_others_do_not_count_as_sent() -> None:
     """A new leader knows nothing confirmed yet; its first entry must not wait for an answer."""
     log = Log(0, 0, BOOTSTRAP_MEMBERS)
     for index in range(1, 66):
