--- a/tests/system/test_configuration_patch.py
+++ b/tests/system/test_configuration_patch.py
@@ -44,7 +44,7 @@
     return [each["name"] for each in configuration["routes"]]
 
 
-def test_items_are_added_replaced_in_their_place_and_removed(whole: Whole) -> None:
+def test_items_are_added_replaced_in_place_and_removed(whole: Whole) -> None:
     changed = route("/b/", deadline_ms=1234)
     body = patch_body(4, {"routes": [route("/d/"), changed]}, {"routes": ["/a/"]})
     assert patch(whole, "c2", 1, body).status == 200
@@ -68,7 +68,7 @@
     assert found["services"][-1] == {"name": "new", "y": 2}
 
 
-def test_the_same_patch_sent_again_is_acknowledged_by_anyone_even_after_others(whole: Whole) -> None:
+def test_a_repeated_patch_is_acknowledged_by_any_controller_even_after_others(whole: Whole) -> None:
     first = patch_body(2, {"routes": [route("/d/")]})
     assert patch(whole, "c1", 1, first).status == 200
     assert patch(whole, "c2", 2, patch_body(5, remove={"routes": ["/d/"]})).status == 200
@@ -78,13 +78,13 @@
     assert names(held(whole)) == ["/a/", "/b/", "/c/"]
 
 
-def test_a_patch_of_a_patch_that_was_lost_is_refused(whole: Whole) -> None:
+def test_a_patch_of_a_lost_patch_is_rejected(whole: Whole) -> None:
     """The operator believes that 2 was taken; nobody has it."""
     assert patch(whole, "c1", 2, patch_body(3, {"routes": [route("/d/")]})).status == 412
     assert held(whole) == json.loads(BASE)
 
 
-def test_a_patch_on_an_old_version_is_refused_even_if_it_no_longer_fits(whole: Whole) -> None:
+def test_a_patch_of_an_outdated_revision_is_rejected_even_if_it_no_longer_fits(whole: Whole) -> None:
     assert patch(whole, "c1", 1, patch_body(2, remove={"routes": ["/a/"]})).status == 200
     assert patch(whole, "c1", 1, patch_body(3, {"routes": [route("/d/")]})).status == 412
     assert patch(whole, "c1", 1, patch_body(3, remove={"routes": ["/a/"]})).status == 412
@@ -108,7 +108,7 @@
     assert names(held(whole)) == ["/a/", "/b/", "/c/", added]
 
 
-def test_a_patch_that_was_acknowledged_survives_the_loss_of_power_of_all(whole: Whole) -> None:
+def test_an_acknowledged_patch_survives_a_power_loss_of_all(whole: Whole) -> None:
     assert patch(whole, "c1", 1, patch_body(2, {"routes": [route("/d/")]})).status == 200
     for core in ("c1", "c2", "c3"):
         whole.power_off(core, nothing_unsynced=True)
@@ -118,14 +118,14 @@
     assert names(held(whole, "c2")) == ["/a/", "/b/", "/c/", "/d/"]
 
 
-def test_a_patch_without_any_configuration_is_refused() -> None:
+def test_a_patch_without_any_configuration_is_rejected() -> None:
     whole = Whole()
     whole.wait(lambda: whole.leader() is not None)
     whole.wait(lambda: patch(whole, "c1", 1, patch_body(2)).status == 412)
     whole.close()
 
 
-def test_a_body_of_four_megabytes_is_taken(whole: Whole) -> None:
+def test_a_body_of_four_megabytes_is_accepted(whole: Whole) -> None:
     services = [{"name": f"s{at}", "note": f"{at}" * 400} for at in range(2400)]
     body = patch_body(2, {"services": services})
     assert 2 * 2**20 < len(body) <= 4 * 2**20
@@ -158,20 +158,20 @@
 
 
 @pytest.mark.parametrize(("body", "key"), INVALID, ids=[str(at) for at in range(len(INVALID))])
-def test_an_invalid_patch_says_why_and_leaves_no_trace(whole: Whole, body: bytes, key: str) -> None:
+def test_an_invalid_patch_is_rejected_with_the_reason(whole: Whole, body: bytes, key: str) -> None:
     reply = patch(whole, "c3", 1, body)
     assert reply.status == 400
     assert key in reply.json()["error"]
     assert held(whole) == json.loads(BASE)
 
 
-def test_a_patch_without_its_base_is_refused(whole: Whole) -> None:
+def test_a_patch_without_its_base_is_rejected(whole: Whole) -> None:
     reply = whole.control("c1", "PATCH", "/api/config", body=patch_body(2))
     assert reply.status == 400
     assert "If-Match" in reply.json()["error"]
 
 
-def test_an_order_without_a_body_never_comes_into_force() -> None:
+def test_a_command_without_a_body_never_comes_into_force() -> None:
     """It only asks whether a patch was taken before: its base may become current meanwhile."""
     state = SharedState()
     assert state.apply(1, PutConfiguration.from_body(0, 4, BASE)) is Verdict.ACCEPTED
@@ -182,12 +182,12 @@
     assert state.apply(4, question) is Verdict.REPEATED
 
 
-def test_a_patch_is_told_from_a_whole_configuration_of_the_same_bytes() -> None:
+def test_a_patch_and_a_configuration_of_the_same_bytes_have_different_digests() -> None:
     assert (
         PutConfiguration.from_body(1, 2, b"x").digest != PutConfiguration.from_patch(1, 2, b"x", b"y").digest
     )
 
 
-def test_two_items_of_one_name_are_told() -> None:
+def test_two_items_of_one_name_are_rejected() -> None:
     with pytest.raises(InvalidConfigurationError, match="stands twice"):
         configuration_patch.read(patch_body(2, {"services": [{"name": "a"}, {"name": "a"}]}))
--- a/tests/system/test_control_plane.py
+++ b/tests/system/test_control_plane.py
@@ -28,7 +28,7 @@
     return all(table is not None and table.revision == revision for table in tables)
 
 
-def test_a_configuration_is_acknowledged_and_brought_to_all(whole: Whole) -> None:
+def test_a_configuration_is_acknowledged_and_published_to_all_gateways(whole: Whole) -> None:
     whole.add_server("a")
     body = configuration(3)
     reply = whole.put("c2", 0, body)
@@ -41,7 +41,7 @@
         assert (read.status, read.body) == (200, body)
 
 
-def test_the_same_order_sent_again_is_acknowledged_by_anyone_even_after_others(whole: Whole) -> None:
+def test_a_repeated_change_request_is_acknowledged_by_any_controller_even_after_others(whole: Whole) -> None:
     first, second = configuration(3), configuration(7, route("/t/"))
     assert whole.put("c1", 0, first).status == 200
     for core in ("c1", "c2", "c3"):
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize(("body", "key"), INVALID, ids=[str(at) for at in range(len(INVALID))])
-def test_an_invalid_configuration_says_why_and_leaves_no_trace(whole: Whole, body: bytes, key: str) -> None:
+def test_an_invalid_configuration_is_rejected_with_the_reason(whole: Whole, body: bytes, key: str) -> None:
     whole.served()
     reply = whole.put("c2", 1, body)
     assert reply.status == 400
@@ -94,13 +94,13 @@
     assert whole.control("c1", "GET", "/api/config").body == configuration(1)
 
 
-def test_a_change_on_an_old_version_is_refused(whole: Whole) -> None:
+def test_a_change_of_an_outdated_revision_is_rejected(whole: Whole) -> None:
     whole.served()
     assert whole.put("c1", 0, configuration(4, route("/n/"))).status == 412
     assert whole.put("c1", 3, configuration(4, route("/n/"))).status == 412
 
 
-def test_calls_that_are_none_are_told_so(whole: Whole) -> None:
+def test_unknown_requests_are_rejected(whole: Whole) -> None:
     whole.served()
     assert whole.control("c1", "GET", "/else").status == 404
     assert whole.control("c1", "POST", "/api/evacuations/nowhere").status == 404
@@ -109,7 +109,7 @@
     assert "If-Match" in reply.json()["error"]
 
 
-def test_an_evacuation_reaches_all_gateways_and_is_taken_back(whole: Whole) -> None:
+def test_an_evacuation_reaches_all_gateways_and_can_be_ended(whole: Whole) -> None:
     whole.add_server("a", zone="n1")
     whole.add_server("b", zone="n2")
     whole.served()
@@ -127,7 +127,7 @@
     assert {whole.arrivals(f"f{number}")[0].instance for number in range(6)} == {"a", "b"}
 
 
-def test_the_leader_loses_power_right_after_it_acknowledged(whole: Whole) -> None:
+def test_a_change_survives_a_power_loss_of_the_leader_right_after_its_acknowledgement(whole: Whole) -> None:
     whole.served()
     leader = whole.leader()
     assert leader is not None
@@ -143,7 +143,7 @@
 
 
 @pytest.mark.parametrize("unsynced", [True, False])
-def test_all_lose_power_and_nothing_acknowledged_is_lost(whole: Whole, unsynced: bool) -> None:
+def test_acknowledged_changes_survive_a_power_loss_of_all(whole: Whole, unsynced: bool) -> None:
     whole.served()
     assert whole.control("c1", "POST", "/api/evacuations/n2").status == 200
     assert whole.put("c2", 1, configuration(2, route("/n/"))).status == 200
@@ -160,7 +160,9 @@
 
 
 @pytest.mark.parametrize("lost", ["c1", "c2", "c3"])
-def test_one_loses_its_disk_while_the_others_lose_power(whole: Whole, lost: str) -> None:
+def test_acknowledged_changes_survive_a_lost_disk_and_a_power_loss_of_the_others(
+    whole: Whole, lost: str
+) -> None:
     whole.served()
     assert whole.put("c2", 1, configuration(2, route("/n/"))).status == 200
     for name in ("c1", "c2", "c3"):
@@ -186,7 +188,7 @@
     whole.wait(lambda: whole.put(lost, 2, configuration(3)).status == 200)
 
 
-def test_a_machine_gone_for_good_is_replaced_at_another_address(whole: Whole) -> None:
+def test_a_lost_controller_is_replaced_at_another_address(whole: Whole) -> None:
     whole.served()
     gone = others(whole)[0]
     whole.power_off(gone)
@@ -206,7 +208,7 @@
     whole.wait(lambda: whole.put("c4", 1, configuration(2)).status == 200)
 
 
-def test_sigterm_hands_the_lead_over_at_once(whole: Whole) -> None:
+def test_sigterm_transfers_leadership_at_once(whole: Whole) -> None:
     whole.served()
     leader = whole.leader()
     assert leader is not None
@@ -218,7 +220,7 @@
     assert whole.process(leader).ended == 0
 
 
-def test_a_leader_that_is_cut_off_acknowledges_nothing(whole: Whole) -> None:
+def test_a_partitioned_leader_acknowledges_nothing(whole: Whole) -> None:
     whole.served()
     leader = whole.leader()
     assert leader is not None
@@ -233,7 +235,7 @@
     whole.wait(lambda: in_force(whole, 3), 4.0)
 
 
-def test_a_full_disk_of_one_holds_nothing_up(whole: Whole) -> None:
+def test_a_full_disk_of_one_controller_delays_nothing(whole: Whole) -> None:
     whole.served()
     leader = whole.leader()
     assert leader is not None
@@ -269,7 +271,7 @@
     whole.close()
 
 
-def test_a_gateway_leaves_a_controller_that_freezes(whole: Whole) -> None:
+def test_a_gateway_fails_over_from_a_frozen_controller(whole: Whole) -> None:
     whole.served()
     whole.process("c1").stall(8 * 10**9)
     whole.wait(lambda: whole.put("c2", 1, configuration(2, route("/n/"))).status == 200)
@@ -278,7 +280,7 @@
     assert whole.now - acknowledged < 2.0
 
 
-def test_no_version_goes_back(whole: Whole) -> None:
+def test_no_published_version_goes_back(whole: Whole) -> None:
     whole.served()
     seen: dict[str, int] = dict.fromkeys(whole.gateways, 0)
     revision = 1
@@ -303,7 +305,7 @@
     assert revision > 3
 
 
-def test_a_broken_message_is_dropped_and_the_replica_goes_on(whole: Whole) -> None:
+def test_an_invalid_message_is_dropped_and_the_replica_continues(whole: Whole) -> None:
     whole.served()
     for junk in (b"{}\n", b"nonsense\n", b'{"kind":"append","from":"x"}\n', b'{"kind":"watch"}\n', b"[1]\n"):
         reply = whole.call(("10.1.0.1", 7720), "POST", "/x", body=junk)
@@ -311,14 +313,14 @@
     assert whole.put("c1", 1, configuration(2)).status == 200
 
 
-def test_the_platform_is_called_about_three_times_a_second_by_all_together(whole: Whole) -> None:
+def test_all_controllers_together_read_the_platform_about_three_times_a_second(whole: Whole) -> None:
     whole.served()
     before = whole.platform_calls
     whole.sleep(10)
     assert 20 <= whole.platform_calls - before <= 36
 
 
-def test_what_one_controller_reads_reaches_all(whole: Whole) -> None:
+def test_an_instance_list_read_by_one_controller_reaches_all(whole: Whole) -> None:
     whole.served()
     whole.sleep(3)
     for name in ("c2", "c3"):
@@ -329,7 +331,7 @@
         assert [entry["id"] for entry in controller.instances.instances] == ["new"]
 
 
-def test_a_list_that_can_not_be_read_changes_nothing(whole: Whole) -> None:
+def test_an_unreadable_instance_list_changes_nothing(whole: Whole) -> None:
     whole.add_server("a")
     whole.served()
     whole.sleep(2)
@@ -338,7 +340,7 @@
     assert whole.request("g1").status == 200
 
 
-def test_a_calm_replica_rests(whole: Whole) -> None:
+def test_an_idle_replica_ticks_rarely(whole: Whole) -> None:
     """Guards against a task that wakes itself: some ten heartbeats a second, and what they bring."""
     whole.served()
     whole.sleep(1)
@@ -355,7 +357,7 @@
     assert all(1 <= count <= 60 for count in steps.values()), steps
 
 
-def test_a_large_configuration_comes_once_to_each_gateway(whole: Whole) -> None:
+def test_a_large_configuration_is_sent_once_to_each_gateway(whole: Whole) -> None:
     """Two controllers are followed; large news comes from one of them."""
     whole.served()
     whole.sleep(2)
@@ -379,7 +381,7 @@
     assert whole.control("c2", "GET", "/api/config").body == body
 
 
-def test_news_come_from_the_second_controller_where_the_first_is_silent(whole: Whole) -> None:
+def test_updates_come_from_the_second_controller_while_the_first_is_unresponsive(whole: Whole) -> None:
     whole.served()
     whole.sleep(2)
     held = whole.gateways["g1"].controllers._acquired
@@ -392,7 +394,7 @@
     assert whole.now - acknowledged < 1.5
 
 
-def test_six_cores_have_five_voters_and_bear_the_loss_of_two() -> None:
+def test_six_controllers_have_five_voters_and_tolerate_the_loss_of_two() -> None:
     whole = Whole(cores=6, tolerated=2)
 
     def voters() -> set[str]:
@@ -447,7 +449,7 @@
     whole.close()
 
 
-def test_gateways_come_to_follow_controllers_of_their_own_zone() -> None:
+def test_gateways_move_to_controllers_of_their_own_zone() -> None:
     """Seeds are known first, wherever they are: what gateways ask all the time should not cross regions."""
     whole = Whole(cores=6, gateways=6, tolerated=2)
     whole.served()
@@ -465,7 +467,7 @@
     whole.close()
 
 
-def test_a_list_that_does_not_change_is_sent_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_unchanged_instance_list_is_sent_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """It seemed to grow old at gateways, which had it sent by their second controller every two seconds."""
     whole = Whole(gateways=2)
     whole.add_server("a")
--- a/tests/system/test_control_plane_faults.py
+++ b/tests/system/test_control_plane_faults.py
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize("leads", [True, False])
-def test_one_that_is_cut_off_neither_confirms_nor_refuses_nor_shows_what_is_old(
+def test_a_partitioned_controller_neither_acknowledges_nor_rejects_nor_reads_stale_state(
     whole: Whole, leads: bool
 ) -> None:
     whole.served()
@@ -95,7 +95,7 @@
     assert replica_of(whole, leader_of(whole)).state.evacuated_zones == []
 
 
-def test_one_that_stood_still_for_twenty_seconds_shows_nothing_old_when_it_goes_on(whole: Whole) -> None:
+def test_a_controller_frozen_for_twenty_seconds_reads_no_stale_state_afterwards(whole: Whole) -> None:
     """Calls that came meanwhile wait for it, and it still believes to lead."""
     whole.served()
     stood = leader_of(whole)
@@ -115,7 +115,7 @@
     assert whole.control(other, "GET", "/api/config").body == configuration(3, route("/n/"))
 
 
-def test_a_gateway_that_starts_takes_nothing_old_from_one_that_is_cut_off(whole: Whole) -> None:
+def test_a_starting_gateway_takes_no_stale_state_from_a_partitioned_controller(whole: Whole) -> None:
     """It reaches all three; the one that is cut off from the others knows an old configuration."""
     whole.served()
     alone = follower_of(whole)
@@ -136,7 +136,7 @@
         assert seen - {0} == {2}
 
 
-def test_a_gateway_that_starts_without_any_majority_takes_what_there_is(whole: Whole) -> None:
+def test_a_gateway_starts_without_a_majority(whole: Whole) -> None:
     whole.served()
     for name in (leader_of(whole), follower_of(whole)):
         whole.power_off(name)
@@ -148,7 +148,7 @@
 # --- 2: one number, one content; the same order again --------------------------------------------
 
 
-def test_a_number_has_one_content_whoever_is_asked_and_whatever_is_lost_later(whole: Whole) -> None:
+def test_a_revision_has_one_content_at_every_controller_after_every_loss(whole: Whole) -> None:
     whole.served()
     bodies = [configuration(5, route("/x/")), configuration(5, route("/y/"))]
     assert sorted(whole.put("c2", 1, body).status for body in bodies) == [200, 412]
@@ -177,7 +177,7 @@
     all_say_the_same()
 
 
-def test_an_order_whose_answer_was_lost_is_acknowledged_by_the_next_leader(whole: Whole) -> None:
+def test_a_change_request_whose_response_was_lost_is_acknowledged_by_the_next_leader(whole: Whole) -> None:
     whole.served()
     leader = leader_of(whole)
     body = configuration(2, route("/n/"))
@@ -193,7 +193,7 @@
 # --- 2, 5: an old copy of an order ---------------------------------------------------------------
 
 
-def test_a_copy_of_an_order_that_was_held_back_does_not_act_after_a_later_one(whole: Whole) -> None:
+def test_a_delayed_copy_of_a_change_request_does_not_act_after_a_later_one(whole: Whole) -> None:
     whole.served()
     leader = leader_of(whole)
     replica = replica_of(whole, leader)
@@ -208,7 +208,7 @@
     assert replica.state.evacuated_zones == ["n1"]
 
 
-def test_without_what_was_seen_the_copy_would_act() -> None:
+def test_without_its_applied_index_a_delayed_copy_would_act() -> None:
     state = SharedState()
     assert state.apply(5, SetEvacuation("n1", True, 4)) is Verdict.ACCEPTED
     assert state.apply(6, SetEvacuation("n1", True, 4)) is Verdict.REPEATED
@@ -220,7 +220,7 @@
     assert again.apply(9, SetEvacuation("n1", True)) is Verdict.ACCEPTED
 
 
-def test_state_and_orders_of_the_version_before_are_read() -> None:
+def test_state_and_commands_of_the_version_before_are_read() -> None:
     written = {"index": 3, "revision": 2, "packed": "", "digests": [], "evacuated": ["n1"]}
     assert SharedState.from_json(written).evacuated_zones == ["n1"]
     assert command_from_json({"op": "evacuate", "zone": "n1", "evacuated": False}) == SetEvacuation(
@@ -230,7 +230,7 @@
     assert command_from_json(command.as_json()) == command
 
 
-def test_an_evacuation_whose_caller_has_gone_is_not_begun(whole: Whole) -> None:
+def test_an_evacuation_whose_client_disconnected_is_not_proposed(whole: Whole) -> None:
     """A cut holds the operator's call back until it has turned to another controller and gone on."""
     whole.served()
     held, other = follower_of(whole), leader_of(whole)
@@ -275,7 +275,7 @@
 
 
 @pytest.mark.parametrize("leads", [True, False])
-def test_a_disk_is_lost_two_seconds_after_a_machine_went_without_a_word(whole: Whole, leads: bool) -> None:
+def test_a_disk_is_lost_two_seconds_after_a_sudden_loss_of_a_controller(whole: Whole, leads: bool) -> None:
     """Its vote is given away after a second of silence; sooner there is no majority: see the design note."""
     whole.served()
     whole.add_core("c4", "10.1.0.4")
@@ -317,7 +317,9 @@
 
 @pytest.mark.parametrize("after_s", [0.10, 0.14, 0.18, 0.22, 0.42, 0.46, 0.50])
 @pytest.mark.parametrize("seed", [1, 3])
-def test_one_that_has_just_ended_gets_no_vote_for_the_sake_of_zones(seed: int, after_s: float) -> None:
+def test_a_controller_that_just_ended_gets_no_vote_for_the_balance_of_zones(
+    seed: int, after_s: float
+) -> None:
     """Its successor stands in another zone, and whoever leads next heard it a moment ago."""
     whole = Whole(seed=seed, gateways=1)
     whole.served()
@@ -335,7 +337,7 @@
     whole.close()
 
 
-def test_without_a_successor_one_that_leaves_ends_soon(whole: Whole) -> None:
+def test_a_draining_controller_without_a_successor_ends_soon(whole: Whole) -> None:
     whole.served()
     leaving = follower_of(whole)
     whole.process(leaving).signal(15)
@@ -343,7 +345,7 @@
     assert whole.process(leaving).dead
 
 
-def test_all_are_replaced_one_after_the_other_and_a_disk_is_lost_in_between(whole: Whole) -> None:
+def test_all_controllers_are_replaced_one_by_one_with_disks_lost_in_between(whole: Whole) -> None:
     whole.served()
     names = list(CORES)
     for number in range(4, 10):
@@ -368,7 +370,7 @@
 # --- 4: hundreds of changes ----------------------------------------------------------------------
 
 
-def test_after_hundreds_of_changes_those_that_missed_them_catch_up_and_lead_with_the_newest(
+def test_controllers_that_missed_hundreds_of_changes_catch_up_and_can_lead(
     whole: Whole,
 ) -> None:
     """One was without power, one lost its disk, one stayed: each of them then leads."""
@@ -403,7 +405,7 @@
 # --- 5: answers to the wrong caller --------------------------------------------------------------
 
 
-def test_an_answer_counts_only_from_the_replica_that_was_asked(whole: Whole) -> None:
+def test_a_forwarded_reply_counts_only_from_the_replica_that_was_asked(whole: Whole) -> None:
     whole.served()
     asking = follower_of(whole)
     replica = replica_of(whole, asking)
@@ -419,7 +421,7 @@
     assert pending.result == "accepted"
 
 
-def test_a_caller_that_gives_up_leaves_the_place_of_a_later_one_alone(whole: Whole) -> None:
+def test_a_discarded_proposal_does_not_remove_a_later_one_at_its_index(whole: Whole) -> None:
     """An entry of an earlier term is gone, and another caller's has its index."""
     whole.served()
     replica = replica_of(whole, leader_of(whole))
@@ -446,13 +448,13 @@
 
 
 @pytest.mark.parametrize("block", range(6))
-def test_days_of_losses_with_operators_that_race_and_repeat(block: int) -> None:
+def test_random_days_of_faults_with_racing_operators(block: int) -> None:
     for seed in range(block * 6, block * 6 + 6):
         play(seed)
 
 
 @pytest.mark.parametrize("block", range(3))
-def test_days_of_six_controllers_that_bear_the_loss_of_two(block: int) -> None:
+def test_random_days_of_six_controllers_that_tolerate_two_losses(block: int) -> None:
     for seed in range(block * 4, block * 4 + 4):
         play(seed, cores=6, tolerated=2)
 
@@ -461,6 +463,6 @@
 
 
 @pytest.mark.parametrize("block", range(2))
-def test_days_of_six_controllers_over_three_regions(block: int) -> None:
+def test_random_days_of_six_controllers_in_three_regions(block: int) -> None:
     for seed in range(1000 + block * 4, 1000 + block * 4 + 4):
         play(seed, cores=6, tolerated=2, zones=THREE_REGIONS)
--- a/tests/system/test_fleet_figures.py
+++ b/tests/system/test_load_reports.py
@@ -19,7 +19,7 @@
 ONE = [2.0, 1.0, 0.5, 2.0, 0.8, 3.0, 0.5, 1.0]
 
 
-def test_the_sum_leaves_out_who_asks() -> None:
+def test_the_sum_excludes_the_gateway_that_asks() -> None:
     figures = FleetLoadReports()
     for name in ("g1", "g2", "g3"):
         figures.record(name, parse_report({"a": ONE}), 0.0)
@@ -29,7 +29,7 @@
     assert figures.sum_of_others("other", 0.1)[0] == 3
 
 
-def test_old_reports_fall_out() -> None:
+def test_old_reports_expire() -> None:
     figures = FleetLoadReports()
     figures.record("g1", parse_report({"a": ONE}), 0.0)
     figures.record("g2", parse_report({"a": ONE}), REPORT_TTL_S)
@@ -54,6 +54,6 @@
     "report",
     [[], {"a": 1}, {"a": [1, 2]}, {"a": [1, 2, 3, 4, 5, "6"]}, {"a": [1, 2, 3, 4, 5, -6]}, {"a": [None] * 8}],
 )
-def test_a_report_that_is_none_is_refused(report: Any) -> None:
+def test_a_malformed_report_is_rejected(report: Any) -> None:
     with pytest.raises(InvalidMessageError):
         parse_report(report)
--- a/tests/system/test_observer.py
+++ b/tests/system/test_observer.py
@@ -25,7 +25,7 @@
     whole.close()
 
 
-def test_orders_and_reads_pass_through(whole: Whole) -> None:
+def test_change_requests_and_reads_are_relayed(whole: Whole) -> None:
     second = configuration(2, route("/n/"))
     assert whole.put("o1", 1, second).status == 200
     assert whole.put("o2", 1, second).status == 200
@@ -52,7 +52,7 @@
     assert set(near.json()["addresses"]) == {"10.2.0.1:8161", "10.2.0.2:8161"}
 
 
-def test_without_a_majority_nothing_is_acknowledged_and_nothing_is_read(whole: Whole) -> None:
+def test_without_a_majority_an_observer_acknowledges_and_reads_nothing(whole: Whole) -> None:
     for name in ("c1", "c2"):
         whole.power_off(name)
     assert whole.put("o1", 1, configuration(2)).status == 503
@@ -60,7 +60,7 @@
     assert whole.control("o1", "POST", "/api/evacuations/n1").status == 503
 
 
-def test_an_observer_leaves_a_controller_that_is_lost(whole: Whole) -> None:
+def test_an_observer_fails_over_from_a_lost_controller(whole: Whole) -> None:
     for name in ("c1", "c2", "c3"):
         whole.power_off(name)
         whole.wait(lambda: whole.control("o1", "GET", "/api/config").status == 200)
@@ -68,7 +68,7 @@
         whole.sleep(4.0)
 
 
-def test_the_registry_lives_on_its_last_answer_for_a_while(whole: Whole) -> None:
+def test_the_registry_caches_its_last_answer_for_a_while(whole: Whole) -> None:
     ask = ((whole.world.machines["o1"].ip, DIRECTORY), "GET", "/api/resolution?name=h&region=north&zone=n1")
     assert whole.call(*ask).status == 200
     for name in ("c1", "c2", "c3"):
@@ -79,7 +79,7 @@
     assert whole.call(*ask).status == 503
 
 
-def test_an_observer_rests_while_nobody_calls(whole: Whole) -> None:
+def test_an_idle_observer_only_refreshes_controllers(whole: Whole) -> None:
     """It asks who the controllers are, every two seconds, and does nothing else."""
     calls: list[str] = []
     for controller in whole.controllers.values():
@@ -111,7 +111,7 @@
     whole.close()
 
 
-def test_all_lose_power_while_the_seeds_are_observers() -> None:
+def test_the_system_recovers_from_a_power_loss_of_all_while_the_seeds_are_observers() -> None:
     """The settings name observers alone by then: nobody but the controllers knows a controller."""
     whole = Whole(gateways=3, observers=3)
     whole.add_server("a")
@@ -130,7 +130,7 @@
     whole.close()
 
 
-def test_what_an_observer_passed_on_is_not_passed_on_again(whole: Whole) -> None:
+def test_a_forwarded_message_is_not_forwarded_again(whole: Whole) -> None:
     observer = whole.observers["o1"]
     sent: list[str] = []
     observer._senders.send = lambda address, message: sent.append(address)  # type: ignore[method-assign]
@@ -144,7 +144,7 @@
 HERE = Locality("n1", "north")
 
 
-def test_seeds_that_are_observers_are_asked_only_while_nobody_else_is_known() -> None:
+def test_seeds_that_are_observers_are_called_only_while_no_controller_is_known() -> None:
     known = Controllers(("seed",), random.Random(1), HERE)
     known.mark_observer("seed", [])
     assert known.acquire(0, 0.0) == "seed"
@@ -154,13 +154,13 @@
     assert known.acquire(0, 0.0) == "seed"
 
 
-def test_a_list_of_controllers_that_is_none_is_told() -> None:
+def test_a_malformed_list_of_controllers_is_rejected() -> None:
     for data in (None, 3, [["a", "b"]], {"a": 1}):
         with pytest.raises(InvalidMessageError):
             controllers_from_json(data)
 
 
-def test_a_relayed_call_that_can_not_be_read_is_told(whole: Whole) -> None:
+def test_a_malformed_relayed_request_is_rejected(whole: Whole) -> None:
     controller = whole.controllers["c1"]
     server = RelayServer(controller.scheduler, controller.replica, lambda zone, region: [], list)
     for message in ({}, {"what": "else"}, {"what": "submit"}, {"what": "submit", "command": {"op": "put"}}):
--- a/tests/system/test_packing.py
+++ b/tests/system/test_packing.py
@@ -10,7 +10,7 @@
 from tests.system.whole import configuration, route
 
 
-def test_what_is_packed_comes_back() -> None:
+def test_packed_bytes_are_unpacked() -> None:
     for data in (b"", b"{}", bytes(range(256)) * 100):
         assert unpack(pack(data)) == data
 
@@ -22,12 +22,12 @@
 
 
 @pytest.mark.parametrize("text", ["", "!", "~~~~~~", pack(b"x" * 100)[:-10], " "])
-def test_what_is_none_is_refused(text: str) -> None:
+def test_a_malformed_text_is_rejected(text: str) -> None:
     with pytest.raises(InvalidMessageError):
         unpack(text)
 
 
-def test_what_would_unpack_beyond_the_bound_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_text_that_unpacks_beyond_the_bound_is_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
     packed = pack(b"x" * 5000)
     monkeypatch.setattr(packing, "UNPACKED_BYTES_MAX", 4000)
     with pytest.raises(InvalidMessageError):
--- a/tests/system/test_views.py
+++ b/tests/system/test_partial_view.py
@@ -31,14 +31,14 @@
     return made
 
 
-def test_a_view_passes_on_what_it_knows_with_its_age() -> None:
+def test_a_sample_carries_the_age_of_each_contact() -> None:
     first, second = view("a", "b"), view()
     second.merge(first.sample(2.0), 102.0)
     assert [each.name for each in second.alive("gateway", 102.0)] == ["a", "b"]
     assert second.alive("gateway", 100.1 + ALIVE_WITHIN_S) == []
 
 
-def test_the_younger_news_wins_whichever_comes_first() -> None:
+def test_the_latest_contact_wins_in_any_order() -> None:
     for order in (0, 1):
         made = view()
         news = [(peer("a"), 1.0), (peer("a", PeerState.DRAINING), 2.0)]
@@ -47,14 +47,14 @@
         assert made.alive("gateway", 2.0)[0].state is PeerState.DRAINING
 
 
-def test_a_new_start_counts_though_the_old_one_was_heard_of_later() -> None:
+def test_a_newer_incarnation_wins_over_a_later_contact_of_the_older_one() -> None:
     made = view()
     made.record_contact(peer("a", PeerState.DRAINING, 1), 5.0)
     made.record_contact(peer("a", PeerState.STARTING, 2), 4.9)
     assert made.alive("gateway", 5.0)[0].incarnation == 2
 
 
-def test_what_nobody_hears_of_is_forgotten() -> None:
+def test_peers_without_contact_expire() -> None:
     made = view("a")
     made.record_contact(peer("b"), CONTACT_TTL_S)
     made.expire(CONTACT_TTL_S + 1)
@@ -67,7 +67,7 @@
     assert len(made.alive("gateway", 0.0)) <= PEERS_MAX
 
 
-def test_a_fleet_comes_to_know_itself_by_shuffling() -> None:
+def test_shuffling_spreads_all_peers_to_all_views() -> None:
     """Eight views that know one process each; every round each sends a sample to another one."""
     rng = random.Random(7)
     views = {f"g{number}": view(f"g{number}") for number in range(8)}
@@ -94,10 +94,10 @@
         [[*GOOD[:6], "x", 5]],
     ],
 )
-def test_a_sample_that_is_none_is_refused(sample: Any) -> None:
+def test_a_malformed_sample_is_rejected(sample: Any) -> None:
     with pytest.raises(InvalidMessageError):
         view().merge(sample, 0.0)
 
 
-def test_peers_are_compared_by_what_they_say() -> None:
+def test_peers_are_compared_by_their_fields() -> None:
     assert replace(peer("a"), zone="n2") != peer("a")
--- a/tests/system/test_storage.py
+++ b/tests/system/test_storage.py
@@ -26,7 +26,7 @@
     return storage
 
 
-def test_what_was_written_is_recovered() -> None:
+def test_written_records_are_recovered() -> None:
     disk = MemoryDisk()
     storage = begun(disk)
     storage.write([HardState(3, "b"), entry(1), entry(2)])
@@ -37,7 +37,7 @@
     assert found.log.members == MEMBERS
 
 
-def test_a_restored_snapshot_replaces_what_was_before() -> None:
+def test_a_restored_snapshot_replaces_earlier_entries() -> None:
     disk = MemoryDisk()
     storage = begun(disk)
     storage.write([entry(1), Restore(7, 2, MEMBERS[:2], {"revision": 5}), entry(8, 2)])
@@ -46,7 +46,7 @@
     assert found.log.members == MEMBERS[:2]
 
 
-def test_a_torn_end_is_cut_at_every_byte() -> None:
+def test_a_torn_end_is_truncated_at_every_byte() -> None:
     disk = MemoryDisk()
     storage = begun(disk)
     storage.write([entry(1)])
@@ -75,7 +75,7 @@
         disk.files[name].data[at] = kept
 
 
-def test_a_fault_before_the_last_segment_is_not_repaired_in_silence() -> None:
+def test_corruption_before_the_last_segment_is_an_error() -> None:
     disk = MemoryDisk()
     storage = begun(disk)
     storage.write([entry(1), entry(2)])
@@ -91,7 +91,7 @@
     return Restore(index, 1, MEMBERS, {"revision": index})
 
 
-def test_a_snapshot_leaves_one_segment_and_what_follows_it() -> None:
+def test_a_snapshot_leaves_one_segment_with_the_entries_after_it() -> None:
     disk = MemoryDisk()
     storage = begun(disk)
     storage.write([HardState(2, "c"), entry(1), entry(2), entry(3)])
@@ -103,7 +103,7 @@
     assert (found.log.base_index, found.log.last_index) == (2, 4)
 
 
-def test_a_full_disk_loses_nothing_and_goes_on_once_it_has_room() -> None:
+def test_a_full_disk_loses_nothing_and_recovers_once_it_has_capacity() -> None:
     disk = MemoryDisk()
     storage = begun(disk)
     storage.write([entry(1)])
@@ -179,7 +179,7 @@
     assert lost
 
 
-def test_a_folder_is_shown_without_being_changed() -> None:
+def test_inspecting_a_folder_does_not_change_it() -> None:
     disk = MemoryDisk()
     storage = begun(disk)
     storage.write([entry(1)])
