--- a/tests/recorded/conversation.py
+++ b/tests/recorded/conversation.py
@@ -13,7 +13,7 @@
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.streams import Stream
 from brambleusher.wire.packing import unpack
-from tests.system.whole import PEER, Whole, configuration, route
+from tests.system.virtual_deployment import PEER, VirtualDeployment, configuration, route
 
 ME = (
     b'"me":{"name":"%b","role":"gateway","address":"10.2.0.%b:8161","zone":"n1","region":"north",'
@@ -90,13 +90,13 @@
         return [line + b"\n" for _, data in self.sent_by for line in data.split(b"\n") if line]
 
 
-def ask(whole: Whole, machine: str, line: bytes) -> bytes:
+def ask(deployment: VirtualDeployment, machine: str, line: bytes) -> bytes:
     """What a process answers to one line on its inner port; empty where it ends the connection instead."""
     answer: list[bytes] = []
 
     def run(scheduler: Scheduler) -> None:
         end = scheduler.now() + 3.0
-        stream = Stream.connect(scheduler, (whole.world.machines[machine].ip, PEER), end)
+        stream = Stream.connect(scheduler, (deployment.world.machines[machine].ip, PEER), end)
         stream.send(line, end)
         got = b""
         while not got.endswith(b"\n") and (data := stream.receive(end)):
@@ -105,8 +105,8 @@
         stream.close()
         scheduler.stop()
 
-    whole.caller.serve(lambda scheduler: scheduler.spawn(run, scheduler), "ask")
-    whole.wait(lambda: bool(answer))
+    deployment.caller.serve(lambda scheduler: scheduler.spawn(run, scheduler), "ask")
+    deployment.wait(lambda: bool(answer))
     return unpacked(answer[0])
 
 
@@ -117,22 +117,24 @@
 
 def play() -> dict[str, Any]:
     """The day: what was answered to each question, and the first line of each kind between processes."""
-    whole = Whole(seed=47, cores=3, gateways=0, observers=1)
+    deployment = VirtualDeployment(seed=47, cores=3, gateways=0, observers=1)
     try:
         lines = Lines()
-        whole.world.taps.append(lines)
+        deployment.world.taps.append(lines)
         for name, service, zone in (("i1", "llm", "n1"), ("i2", "desk", "s1")):
-            whole.add_server(name, service, zone)
-        whole.wait(lambda: whole.leader() is not None)
-        assert whole.put("c1", 0, configuration(1)).status == 200
-        assert whole.put("o1", 1, configuration(2, route(), route("/t/"))).status == 200
-        whole.sleep(3.0)
-        answers = {name: ask(whole, machine, line).decode() for name, (machine, line) in QUESTIONS.items()}
-        whole.add_core("c4", "10.1.0.4")
-        whole.sleep(1.0)
-        whole.process("c2").signal(15)
-        whole.sleep(8.0)
+            deployment.add_server(name, service, zone)
+        deployment.wait(lambda: deployment.leader() is not None)
+        assert deployment.put("c1", 0, configuration(1)).status == 200
+        assert deployment.put("o1", 1, configuration(2, route(), route("/t/"))).status == 200
+        deployment.sleep(3.0)
+        answers = {
+            name: ask(deployment, machine, line).decode() for name, (machine, line) in QUESTIONS.items()
+        }
+        deployment.add_core("c4", "10.1.0.4")
+        deployment.sleep(1.0)
+        deployment.process("c2").signal(15)
+        deployment.sleep(8.0)
         sent = [unpacked(line).decode() for line in lines.all_of()]
     finally:
-        whole.close()
+        deployment.close()
     return {"answers": answers, "sent": sent}
--- a/tests/recorded/system_day.py
+++ b/tests/recorded/system_day.py
@@ -4,7 +4,15 @@
 
 from typing import Any
 
-from tests.system.whole import CONTROL, DIRECTORY, READY, Reply, Whole, configuration, route
+from tests.system.virtual_deployment import (
+    CONTROL,
+    DIRECTORY,
+    READY,
+    Reply,
+    VirtualDeployment,
+    configuration,
+    route,
+)
 
 # Method, target, `If-Match`, body.
 CALLS: tuple[tuple[str, str, str, bytes], ...] = (
@@ -39,31 +47,32 @@
 
 def play() -> dict[str, Any]:
     """The day: each answer by who gave it and to what."""
-    whole = Whole(seed=5, cores=3, gateways=1, observers=1)
+    deployment = VirtualDeployment(seed=5, cores=3, gateways=1, observers=1)
     try:
         for number, (service, zone) in enumerate((("llm", "n1"), ("llm", "n2"), ("desk", "s1"))):
-            whole.add_server(f"i{number}", service, zone)
-        whole.served(configuration(1, route(), route("/d/", kind="idempotent", service="desk")))
-        whole.sleep(4.0)
+            deployment.add_server(f"i{number}", service, zone)
+        deployment.served(configuration(1, route(), route("/d/", kind="idempotent", service="desk")))
+        deployment.sleep(4.0)
         requests = [
-            whole.request("g1", target, f"a{n}") for n, target in enumerate(("/s/1", "/s/2", "/d/x", "/none"))
+            deployment.request("g1", target, f"a{n}")
+            for n, target in enumerate(("/s/1", "/s/2", "/d/x", "/none"))
         ]
-        whole.servers["i0"].shed = True
-        whole.servers["i1"].cut_after = 2
-        requests += [whole.request("g1", f"/s/{n}", f"b{n}") for n in range(3)]
-        whole.servers["i1"].silent = True
-        requests += [whole.request("g1", "/s/x", "c0")]
-        whole.sleep(1.0)
+        deployment.servers["i0"].shed = True
+        deployment.servers["i1"].cut_after = 2
+        requests += [deployment.request("g1", f"/s/{n}", f"b{n}") for n in range(3)]
+        deployment.servers["i1"].silent = True
+        requests += [deployment.request("g1", "/s/x", "c0")]
+        deployment.sleep(1.0)
 
         def ask(machine: str, port: int, target: str) -> dict[str, Any]:
-            return told(whole.call((whole.world.machines[machine].ip, port), "GET", target))
+            return told(deployment.call((deployment.world.machines[machine].ip, port), "GET", target))
 
         answers = {f"request {number}": told(reply) for number, reply in enumerate(requests)}
         for machine, port in (("c1", CONTROL), ("c2", CONTROL), ("o1", CONTROL), ("g1", READY)):
             answers[f"{machine} status"] = ask(machine, port, "/api/status")
         for number, (method, target, match, body) in enumerate(CALLS):
             headers = {"If-Match": match} if match else {}
-            reply = whole.control("c1", method, target, headers=headers, body=body)
+            reply = deployment.control("c1", method, target, headers=headers, body=body)
             answers[f"c1 {number} {method} {target}"] = told(reply)
         answers["o1 GET /api/config"] = ask("o1", CONTROL, "/api/config")
         for target in ("/api/resolution?zone=n1&region=north", "/api/resolution", "/none"):
@@ -72,4 +81,4 @@
             answers[f"g1 {target}"] = ask("g1", READY, target)
         return answers
     finally:
-        whole.close()
+        deployment.close()
--- a/tests/system/control_plane_faults.py
+++ b/tests/system/control_plane_faults.py
@@ -18,7 +18,7 @@
 from brambleusher.controlplane.storage import segments
 from tests.system.cluster import SafetyViolationError
 from tests.system.memory_disk import MemoryDisk
-from tests.system.whole import SECOND, Reply, Whole, configuration, route
+from tests.system.virtual_deployment import SECOND, Reply, VirtualDeployment, configuration, route
 
 STEP_S = 0.05
 SYNC_S = 4.0
@@ -58,10 +58,10 @@
 
 def patched(content: str, revision: int, route: dict[str, Any], removed: str) -> str:
     """What a patch with one route to add and one to remove should make of a configuration."""
-    whole = json.loads(content)
-    whole["revision"] = revision
-    whole["routes"] = [each for each in whole["routes"] if each["name"] != removed] + [route]
-    return json.dumps(whole, sort_keys=True)
+    deployment = json.loads(content)
+    deployment["revision"] = revision
+    deployment["routes"] = [each for each in deployment["routes"] if each["name"] != removed] + [route]
+    return json.dumps(deployment, sort_keys=True)
 
 
 @dataclass
@@ -110,8 +110,10 @@
 class Operators:
     """Several operators at once: they change, race, evacuate, read, and repeat what was taken."""
 
-    def __init__(self, whole: Whole, rng: random.Random, addresses: Callable[[], list[str]]) -> None:
-        self.whole, self.rng, self._addresses = whole, rng, addresses
+    def __init__(
+        self, deployment: VirtualDeployment, rng: random.Random, addresses: Callable[[], list[str]]
+    ) -> None:
+        self.deployment, self.rng, self._addresses = deployment, rng, addresses
         self.history = History()
         self.under_way: list[tuple[Order, int]] = []
         self.zone_orders: dict[str, str] = {}  # zone: the last order that was begun, "" once given up
@@ -121,7 +123,7 @@
 
     def begin(self, order: Order, on_end: Callable[[Order], None] | None = None) -> Order:
         """Send an order, and go on with it at each step."""
-        order.begun_at = self.whole.now
+        order.begun_at = self.deployment.now
         order.on_end = on_end
         if order.content:
             self.history.sent[order.content] = order.revision
@@ -166,28 +168,28 @@
     def _look(self, order: Order) -> None:
         reply = order.reply
         if reply is None:
-            if self.whole.now >= order.send_at:
+            if self.deployment.now >= order.send_at:
                 self._send(order)
             return
         if not reply.error:
             return
         order.reply = None
         lost = self.rng.random() < 0.15
-        clear = reply.whole and (reply.status in FINAL or reply.status == 200)
+        clear = reply.is_complete and (reply.status in FINAL or reply.status == 200)
         if clear and not lost:
             order.status, order.answer = reply.status, reply.body
-        elif reply.whole and reply.status == 404 and order.method == "GET" and not lost:
+        elif reply.is_complete and reply.status == 404 and order.method == "GET" and not lost:
             raise SafetyViolationError("there is no configuration any more")
-        elif self.whole.now - order.begun_at > GIVE_UP_S:
+        elif self.deployment.now - order.begun_at > GIVE_UP_S:
             order.status = -1
         else:
-            order.send_at = self.whole.now + min(0.05 * 2**order.calls, 0.5) * self.rng.random()
+            order.send_at = self.deployment.now + min(0.05 * 2**order.calls, 0.5) * self.rng.random()
 
     def _send(self, order: Order) -> None:
         order.calls += 1
         host = self.rng.choice(self._addresses())
         headers = {"If-Match": str(order.base)} if order.method in CHANGES else {}
-        order.reply = self.whole.start_call(
+        order.reply = self.deployment.start_call(
             (host, 8166), order.method, order.target, headers=headers, body=order.body, timeout_s=ACK_S
         )
 
@@ -216,7 +218,7 @@
 
     def _turn_zone(self, zone: str) -> None:
         """Evacuate a zone or take it back, one order after the other."""
-        if self.zone_orders.get(zone) or self.whole.now - self.settled_at.get(zone, 0.0) < APPLY_S:
+        if self.zone_orders.get(zone) or self.deployment.now - self.settled_at.get(zone, 0.0) < APPLY_S:
             return
         self.check_zone(zone)
         method = "DELETE" if self.evacuated.get(zone) else "POST"
@@ -224,7 +226,7 @@
 
         def ended(order: Order) -> None:
             self.zone_orders[zone] = ""
-            self.settled_at[zone] = self.whole.now
+            self.settled_at[zone] = self.deployment.now
             if order.status == 200:
                 self.evacuated[zone] = method == "POST"
             else:
@@ -234,11 +236,11 @@
 
     def check_zone(self, zone: str) -> None:
         """What was acknowledged last is what holds, at the leader."""
-        leader = self.whole.leader()
+        leader = self.deployment.leader()
         if zone not in self.evacuated or self.zone_orders.get(zone) or leader is None:
             return
-        replica = self.whole.controllers[leader].replica
-        if replica.consensus.has_quorum_contact(self.whole.now) and replica.consensus.commit_index > 0:
+        replica = self.deployment.controllers[leader].replica
+        if replica.consensus.has_quorum_contact(self.deployment.now) and replica.consensus.commit_index > 0:
             holds = zone in replica.state.evacuated_zones
             newest = replica.consensus.log.term_at(replica.consensus.commit_index) == replica.consensus.term
             if newest and holds is not self.evacuated[zone]:
@@ -254,43 +256,43 @@
         self, seed: int, cores: int = 3, tolerated: int = 1, zones: dict[str, str] | None = None
     ) -> None:
         self.rng = random.Random(f"faults {seed}")
-        self.whole = Whole(seed, cores=cores, gateways=2, tolerated=tolerated, zones=zones)
+        self.deployment = VirtualDeployment(seed, cores=cores, gateways=2, tolerated=tolerated, zones=zones)
         self.tolerated = tolerated
         self.names = [f"c{at + 1}" for at in range(cores)]
         self.gone: list[str] = []
         self.log: list[str] = []
-        self.operators = Operators(self.whole, self.rng, self._addresses)
+        self.operators = Operators(self.deployment, self.rng, self._addresses)
         self.free_at = 0.0  # when the next loss is borne
         self._plans: list[tuple[float, Callable[[], None]]] = []
         self._added = cores
 
     def _addresses(self) -> list[str]:
         """The operator's list lags: machines that left lately are on it."""
-        return [self.whole.world.machines[name].ip for name in [*self.names, *self.gone[-1:]]]
+        return [self.deployment.world.machines[name].ip for name in [*self.names, *self.gone[-1:]]]
 
     def later(self, seconds: float, call: Callable[[], None]) -> None:
         """Plan a step of a disruption."""
-        self._plans.append((self.whole.now + seconds, call))
+        self._plans.append((self.deployment.now + seconds, call))
 
     def note(self, text: str) -> None:
         """For whoever reads a day that broke something."""
-        self.log.append(f"{self.whole.now:7.2f} {text} (leader {self.whole.leader()})")
+        self.log.append(f"{self.deployment.now:7.2f} {text} (leader {self.deployment.leader()})")
 
     # --- a day -----------------------------------------------------------------------------------
 
     def run(self, seconds: float = 45.0) -> None:
         """Play it; raises `SafetyViolationError`."""
-        whole = self.whole
+        deployment = self.deployment
         body = configuration(1)
         history, content = self.operators.history, content_of(body)
         history.sent[content] = 1
-        whole.served(body)
+        deployment.served(body)
         history.acknowledged[1] = history.held[1] = content
         self.operators.history.newest = 1
         self.busy(0.0)  # machines that have just started count as lost
-        end = whole.now + seconds
-        while whole.now < end:
-            if whole.now >= self.free_at:
+        end = deployment.now + seconds
+        while deployment.now < end:
+            if deployment.now >= self.free_at:
                 self.disrupt()
             if self.rng.random() < 0.08:
                 self.operators.want()
@@ -298,9 +300,9 @@
         self._finish()
 
     def _step(self) -> None:
-        self.whole.sleep(STEP_S)
-        due = [plan for plan in self._plans if plan[0] <= self.whole.now]
-        self._plans = [plan for plan in self._plans if plan[0] > self.whole.now]
+        self.deployment.sleep(STEP_S)
+        due = [plan for plan in self._plans if plan[0] <= self.deployment.now]
+        self._plans = [plan for plan in self._plans if plan[0] > self.deployment.now]
         for _, call in due:
             call()
         self.operators.step()
@@ -308,15 +310,15 @@
     def _finish(self) -> None:
         """All comes back; at last everything acknowledged is in force everywhere."""
         closing = self.rng.random() < 0.6
-        while self._plans or self.whole.now < self.free_at - (0.0 if closing else SYNC_S):
+        while self._plans or self.deployment.now < self.free_at - (0.0 if closing else SYNC_S):
             self._step()
         if closing:
             self._lose_disks_after_an_acknowledgement()
         self.note("the end")
-        back = self.whole.now
+        back = self.deployment.now
         reads: list[Order] = []
         while not any(read.status == 200 for read in reads):
-            if self.whole.now - back > RECOVERY_S + GIVE_UP_S:
+            if self.deployment.now - back > RECOVERY_S + GIVE_UP_S:
                 raise SafetyViolationError("nothing can be read after all is back")
             if not reads or reads[-1].status:
                 reads.append(self.operators.begin(Order("GET", "/api/config")))
@@ -324,7 +326,7 @@
         self._check_orders_are_taken()
         while self.operators.under_way:
             self._step()
-        self.whole.sleep(max(APPLY_S, back + SYNC_S - self.whole.now))
+        self.deployment.sleep(max(APPLY_S, back + SYNC_S - self.deployment.now))
         for zone in ("n1", "n2"):
             self.operators.check_zone(zone)
         self._check_gateways()
@@ -334,7 +336,7 @@
         base = self.operators.history.newest
         order = self.operators.begin(self.operators.any_change(base, base + 1))
         while not order.status:
-            self.whole.sleep(0.002)
+            self.deployment.sleep(0.002)
             self.operators.step()
         lost = self.rng.sample(self.names, self.tolerated)
         dark = self.names if self.rng.random() < 0.6 else lost
@@ -342,14 +344,14 @@
         for name in dark:
             self._off(name)
         for name in lost:
-            self.whole.disks[name] = MemoryDisk()
+            self.deployment.disks[name] = MemoryDisk()
         for name in dark:
             self.later(self.rng.uniform(0.05, 3.0), partial(self._on, name))
         while self._plans:
             self._step()
 
     def _check_orders_are_taken(self) -> None:
-        begun = self.whole.now
+        begun = self.deployment.now
         while True:
             base = self.operators.history.newest
             order = self.operators.begin(self.operators.any_change(base, base + 1))
@@ -357,22 +359,22 @@
                 self._step()
             if order.status == 200:
                 return
-            if self.whole.now - begun > RECOVERY_S:
+            if self.deployment.now - begun > RECOVERY_S:
                 raise SafetyViolationError("no order is taken after all is back")
 
     def _check_gateways(self) -> None:
-        leader = self.whole.leader()
+        leader = self.deployment.leader()
         if leader is None:
             raise SafetyViolationError("nobody leads in calm times")
-        state = self.whole.controllers[leader].replica.state
-        for name, gateway in self.whole.gateways.items():
+        state = self.deployment.controllers[leader].replica.state
+        for name, gateway in self.deployment.gateways.items():
             table = gateway.routes
             if table is None or table.revision != state.revision:
                 raise SafetyViolationError(f"{name} has another configuration in calm times")
             if gateway.instances.evacuated_zones != frozenset(state.evacuated_zones):
                 raise SafetyViolationError(f"{name} has other zones evacuated in calm times")
         for name in self.names:
-            other = self.whole.controllers[name].replica
+            other = self.deployment.controllers[name].replica
             if other.state.index != state.index:
                 raise SafetyViolationError(f"{name} has not caught up in calm times")
 
@@ -380,7 +382,7 @@
 
     def disrupt(self) -> None:
         """One more loss, of a machine drawn by lot, the leader more often; at times as many as are borne."""
-        leader = self.whole.leader()
+        leader = self.deployment.leader()
         names = self.rng.sample(self.names, self.tolerated if self.rng.random() < 0.5 else 1)
         if leader in self.names and leader not in names and self.rng.random() < 0.3:
             names[0] = leader
@@ -413,19 +415,19 @@
 
     def busy(self, seconds: float) -> None:
         """No further loss for a time, and not before `sync_s` after it."""
-        self.free_at = max(self.free_at, self.whole.now + seconds + SYNC_S)
+        self.free_at = max(self.free_at, self.deployment.now + seconds + SYNC_S)
 
     def cut_off(self, name: str) -> None:
         """From the other controllers or from all but operators, for up to twenty seconds."""
         seconds = self.rng.uniform(0.5, 20.0)
         everyone = self.rng.random() < 0.3
-        others = [each for each in self.whole.world.machines if each not in (name, "caller")]
+        others = [each for each in self.deployment.world.machines if each not in (name, "caller")]
         peers = others if everyone else [each for each in self.names if each != name]
         self._cut([(name, other) for other in peers], seconds)
 
     def _cut(self, pairs: list[tuple[str, str]], seconds: float, one_way: bool = False) -> None:
         """Cut machines from each other for a time."""
-        network = self.whole.world.network
+        network = self.deployment.world.network
         for one, other in pairs:
             network.cut(one, other, one_way)
 
@@ -447,7 +449,7 @@
     def standstill(self, name: str) -> None:
         """The process stands still and goes on where it was."""
         seconds = self.rng.uniform(0.2, 20.0)
-        self.whole.process(name).stall(int(seconds * SECOND))
+        self.deployment.process(name).stall(int(seconds * SECOND))
         self.busy(seconds)
 
     def power(self, name: str) -> None:
@@ -458,18 +460,18 @@
         self.busy(seconds)
 
     def _off(self, name: str) -> None:
-        if not self.whole.world.machines[name].gone:
-            self.whole.power_off(name, nothing_unsynced=self.rng.random() < 0.5)
+        if not self.deployment.world.machines[name].gone:
+            self.deployment.power_off(name, nothing_unsynced=self.rng.random() < 0.5)
 
     def _on(self, name: str) -> None:
-        if name in self.names and self.whole.world.machines[name].gone:
-            self.whole.power_on(name)
+        if name in self.names and self.deployment.world.machines[name].gone:
+            self.deployment.power_on(name)
 
     def disk_lost(self, name: str) -> None:
         """It comes back empty; at times all others lose power at that moment."""
         seconds = self.rng.uniform(0.1, 3.0)
         self._off(name)
-        self.whole.disks[name] = MemoryDisk()
+        self.deployment.disks[name] = MemoryDisk()
         alone = self.tolerated == 1 and self.rng.random() < 0.3
         others = [each for each in self.names if each != name] if alone else []
         for other in others:
@@ -481,7 +483,7 @@
     def disk_full(self, name: str) -> None:
         """The disk takes nothing for a while."""
         seconds = self.rng.uniform(0.5, 8.0)
-        disk = self.whole.disks[name]
+        disk = self.deployment.disks[name]
         disk.full = True
 
         def free() -> None:
@@ -492,10 +494,10 @@
 
     def restart(self, name: str) -> None:
         """SIGTERM, and a new start once it has ended."""
-        self.whole.process(name).signal(15)
+        self.deployment.process(name).signal(15)
 
         def start() -> None:
-            if name in self.names and not self.whole.process(name).dead:
+            if name in self.names and not self.deployment.process(name).dead:
                 self.later(0.1, start)
             else:
                 self._start_again(name)
@@ -506,8 +508,8 @@
     def _add(self) -> str:
         self._added += 1
         name = f"c{self._added}"
-        self.whole.seeds = [f"{self.whole.world.machines[each].ip}:8166" for each in self.names[:3]]
-        self.whole.add_core(name, f"10.1.0.{self._added}")
+        self.deployment.seeds = [f"{self.deployment.world.machines[each].ip}:8166" for each in self.names[:3]]
+        self.deployment.add_core(name, f"10.1.0.{self._added}")
         self.names.append(name)
         return name
 
@@ -517,17 +519,17 @@
         It counts until the successor has had its time, and not after that: the next loss may come at once.
         """
         self._add()
-        begun = self.whole.now
+        begun = self.deployment.now
         seconds = self.rng.uniform(0.5, 6.0)
 
         def leave() -> None:
             self.note(f"{name} gets SIGTERM")
-            if name in self.whole.controllers and not self.whole.process(name).dead:
-                self.whole.process(name).signal(15)
+            if name in self.deployment.controllers and not self.deployment.process(name).dead:
+                self.deployment.process(name).signal(15)
             self.later(0.1, remove)
 
         def remove() -> None:
-            if self.whole.process(name).dead or self.whole.now > begun + seconds + GRACE_S:
+            if self.deployment.process(name).dead or self.deployment.now > begun + seconds + GRACE_S:
                 self.note(f"{name} is gone")
                 self._remove(name)
             else:
@@ -537,7 +539,7 @@
         self.free_at = max(begun + SYNC_S, begun + seconds) + self.rng.uniform(0.02, 2.0)
 
     def _remove(self, name: str) -> None:
-        self.whole.power_off(name)
+        self.deployment.power_off(name)
         if name in self.names:
             self.names.remove(name)
             self.gone.append(name)
@@ -551,7 +553,7 @@
     def slow_links(self, name: str) -> None:
         """Its messages take long, and are there when others have long been sent over new connections."""
         seconds = self.rng.uniform(0.5, 8.0)
-        network = self.whole.world.network
+        network = self.deployment.world.network
         others = [each for each in self.names if each != name]
         for other in others:
             network.slow_link(name, other, int(self.rng.uniform(0.05, 1.5) * SECOND))
@@ -566,7 +568,7 @@
 
     def clock_step(self, name: str) -> None:
         """The time of day jumps, and back; the process is killed in between."""
-        machine = self.whole.world.machines[name]
+        machine = self.deployment.world.machines[name]
         by_ns = int(self.rng.uniform(-8.0, 8.0) * SECOND)
         machine.shift_wall(by_ns)
         self.later(1.0, partial(self._kill, name))
@@ -574,8 +576,8 @@
         self.busy(3.0)
 
     def _kill(self, name: str) -> None:
-        if name in self.names and not self.whole.process(name).dead:
-            self.whole.process(name).kill()
+        if name in self.names and not self.deployment.process(name).dead:
+            self.deployment.process(name).kill()
             self.later(self.rng.uniform(0.1, 1.0), partial(self._start_again, name))
 
     def all_power(self, name: str) -> None:
@@ -587,11 +589,11 @@
 
     def resets(self, name: str) -> None:
         """All connections of a machine are reset, more than once."""
-        machine = self.whole.world.machines[name]
+        machine = self.deployment.world.machines[name]
 
         def reset() -> None:
-            for connection in self.whole.world.network.connections(machine):
-                self.whole.world.network.reset(connection)
+            for connection in self.deployment.world.network.connections(machine):
+                self.deployment.world.network.reset(connection)
 
         for _ in range(self.rng.randrange(1, 5)):
             self.later(self.rng.uniform(0.0, 2.0), reset)
@@ -600,7 +602,7 @@
     def operators_cut(self, name: str) -> None:
         """What operators send to a machine is held up, and comes when they have long turned to others."""
         seconds = self.rng.uniform(0.5, 6.0)
-        network = self.whole.world.network
+        network = self.deployment.world.network
         network.cut("caller", name)
         self.later(seconds, lambda: network.mend("caller", name))
         self.busy(0.0)
@@ -608,12 +610,12 @@
     def zone_cut(self, name: str) -> None:
         """A controller and the gateways of its zone are cut off from all others; clients reach them."""
         seconds = self.rng.uniform(0.5, 12.0)
-        zone = self.whole.controllers[name].settings.zone
+        zone = self.deployment.controllers[name].settings.zone
         inside = [
             name,
-            *(each for each, gateway in self.whole.gateways.items() if gateway.settings.zone == zone),
+            *(each for each, gateway in self.deployment.gateways.items() if gateway.settings.zone == zone),
         ]
-        outside = [each for each in self.whole.world.machines if each not in (*inside, "caller")]
+        outside = [each for each in self.deployment.world.machines if each not in (*inside, "caller")]
         self._cut([(one, other) for one in inside for other in outside], seconds)
 
     def killed(self, name: str) -> None:
@@ -623,8 +625,12 @@
         self.busy(1.0)
 
     def _start_again(self, name: str) -> None:
-        if name in self.names and not self.whole.world.machines[name].gone and self.whole.process(name).dead:
-            self.whole.start_core(name)
+        if (
+            name in self.names
+            and not self.deployment.world.machines[name].gone
+            and self.deployment.process(name).dead
+        ):
+            self.deployment.start_core(name)
 
     def split(self, name: str) -> None:
         """The controllers fall into two halves, then stand as before; nothing is lost by it."""
@@ -652,4 +658,4 @@
         except SafetyViolationError as error:
             raise SafetyViolationError(f"day {seed}: {error}\n" + "\n".join(day.log)) from error
         finally:
-            day.whole.close()
+            day.deployment.close()
--- a/tests/system/test_configuration_patch.py
+++ b/tests/system/test_configuration_patch.py
@@ -12,17 +12,17 @@
 from brambleusher.controlplane.configuration.state_machine import SharedState
 from brambleusher.wire import configuration_patch
 from brambleusher.wire.errors import InvalidConfigurationError
-from tests.system.whole import CONTROL, Reply, Whole, configuration, route
+from tests.system.virtual_deployment import CONTROL, Reply, VirtualDeployment, configuration, route
 
 BASE = configuration(1, route("/a/"), route("/b/"), route("/c/"))
 
 
 @pytest.fixture
-def whole() -> Iterator[Whole]:
-    whole = Whole()
-    whole.served(BASE)
-    yield whole
-    whole.close()
+def deployment() -> Iterator[VirtualDeployment]:
+    deployment = VirtualDeployment()
+    deployment.served(BASE)
+    yield deployment
+    deployment.close()
 
 
 Items = dict[str, Any] | None
@@ -32,69 +32,73 @@
     return json.dumps({"revision": revision, "upsert": upsert or {}, "remove": remove or {}}).encode()
 
 
-def patch(whole: Whole, core: str, base: int, body: bytes) -> Reply:
-    return whole.control(core, "PATCH", "/api/config", headers={"If-Match": str(base)}, body=body)
+def patch(deployment: VirtualDeployment, core: str, base: int, body: bytes) -> Reply:
+    return deployment.control(core, "PATCH", "/api/config", headers={"If-Match": str(base)}, body=body)
 
 
-def held(whole: Whole, core: str = "c1") -> Any:
-    return json.loads(whole.control(core, "GET", "/api/config").body)
+def held(deployment: VirtualDeployment, core: str = "c1") -> Any:
+    return json.loads(deployment.control(core, "GET", "/api/config").body)
 
 
 def names(configuration: Any) -> list[str]:
     return [each["name"] for each in configuration["routes"]]
 
 
-def test_items_are_added_replaced_in_place_and_removed(whole: Whole) -> None:
+def test_items_are_added_replaced_in_place_and_removed(deployment: VirtualDeployment) -> None:
     changed = route("/b/", deadline_ms=1234)
     body = patch_body(4, {"routes": [route("/d/"), changed]}, {"routes": ["/a/"]})
-    assert patch(whole, "c2", 1, body).status == 200
-    found = held(whole)
+    assert patch(deployment, "c2", 1, body).status == 200
+    found = held(deployment)
     assert found["revision"] == 4
     assert names(found) == ["/b/", "/c/", "/d/"]
     assert found["routes"][0] == changed
     assert found["services"] == json.loads(BASE)["services"]
-    whole.sleep(1.0)
-    table = whole.gateways["g1"].routes
+    deployment.sleep(1.0)
+    table = deployment.gateways["g1"].routes
     assert table is not None
     assert table.revision == 4
 
 
-def test_keys_that_this_version_does_not_know_stay(whole: Whole) -> None:
+def test_keys_that_this_version_does_not_know_stay(deployment: VirtualDeployment) -> None:
     body = patch_body(2, {"routes": [route("/d/", later={"x": [1]})], "services": [{"name": "new", "y": 2}]})
-    assert patch(whole, "c1", 1, body).status == 200
-    assert patch(whole, "c2", 2, patch_body(3, remove={"routes": ["/a/"]})).status == 200
-    found = held(whole)
+    assert patch(deployment, "c1", 1, body).status == 200
+    assert patch(deployment, "c2", 2, patch_body(3, remove={"routes": ["/a/"]})).status == 200
+    found = held(deployment)
     assert found["routes"][-1]["later"] == {"x": [1]}
     assert found["services"][-1] == {"name": "new", "y": 2}
 
 
-def test_a_repeated_patch_is_acknowledged_by_any_controller_even_after_others(whole: Whole) -> None:
+def test_a_repeated_patch_is_acknowledged_by_any_controller_even_after_others(
+    deployment: VirtualDeployment,
+) -> None:
     first = patch_body(2, {"routes": [route("/d/")]})
-    assert patch(whole, "c1", 1, first).status == 200
-    assert patch(whole, "c2", 2, patch_body(5, remove={"routes": ["/d/"]})).status == 200
+    assert patch(deployment, "c1", 1, first).status == 200
+    assert patch(deployment, "c2", 2, patch_body(5, remove={"routes": ["/d/"]})).status == 200
     for core in ("c1", "c2", "c3"):
-        assert patch(whole, core, 1, first).status == 200
-    assert held(whole)["revision"] == 5
-    assert names(held(whole)) == ["/a/", "/b/", "/c/"]
+        assert patch(deployment, core, 1, first).status == 200
+    assert held(deployment)["revision"] == 5
+    assert names(held(deployment)) == ["/a/", "/b/", "/c/"]
 
 
-def test_a_patch_of_a_lost_patch_is_rejected(whole: Whole) -> None:
+def test_a_patch_of_a_lost_patch_is_rejected(deployment: VirtualDeployment) -> None:
     """The operator believes that 2 was taken; nobody has it."""
-    assert patch(whole, "c1", 2, patch_body(3, {"routes": [route("/d/")]})).status == 412
-    assert held(whole) == json.loads(BASE)
+    assert patch(deployment, "c1", 2, patch_body(3, {"routes": [route("/d/")]})).status == 412
+    assert held(deployment) == json.loads(BASE)
 
 
-def test_a_patch_of_an_outdated_revision_is_rejected_even_if_it_no_longer_fits(whole: Whole) -> None:
-    assert patch(whole, "c1", 1, patch_body(2, remove={"routes": ["/a/"]})).status == 200
-    assert patch(whole, "c1", 1, patch_body(3, {"routes": [route("/d/")]})).status == 412
-    assert patch(whole, "c1", 1, patch_body(3, remove={"routes": ["/a/"]})).status == 412
+def test_a_patch_of_an_outdated_revision_is_rejected_even_if_it_no_longer_fits(
+    deployment: VirtualDeployment,
+) -> None:
+    assert patch(deployment, "c1", 1, patch_body(2, remove={"routes": ["/a/"]})).status == 200
+    assert patch(deployment, "c1", 1, patch_body(3, {"routes": [route("/d/")]})).status == 412
+    assert patch(deployment, "c1", 1, patch_body(3, remove={"routes": ["/a/"]})).status == 412
 
 
-def test_two_patches_that_race_on_different_items_have_one_winner(whole: Whole) -> None:
+def test_two_patches_that_race_on_different_items_have_one_winner(deployment: VirtualDeployment) -> None:
     bodies = [patch_body(3, {"routes": [route("/x/")]}), patch_body(3, {"routes": [route("/y/")]})]
     replies = [
-        whole.start_call(
-            (whole.world.machines[core].ip, CONTROL),
+        deployment.start_call(
+            (deployment.world.machines[core].ip, CONTROL),
             "PATCH",
             "/api/config",
             headers={"If-Match": "1"},
@@ -102,35 +106,35 @@
         )
         for core, body in zip(("c2", "c3"), bodies, strict=True)
     ]
-    whole.wait(lambda: all(reply.error for reply in replies))
+    deployment.wait(lambda: all(reply.error for reply in replies))
     assert sorted(reply.status for reply in replies) == [200, 412]
     added = ["/x/", "/y/"][[reply.status for reply in replies].index(200)]
-    assert names(held(whole)) == ["/a/", "/b/", "/c/", added]
+    assert names(held(deployment)) == ["/a/", "/b/", "/c/", added]
 
 
-def test_an_acknowledged_patch_survives_a_power_loss_of_all(whole: Whole) -> None:
-    assert patch(whole, "c1", 1, patch_body(2, {"routes": [route("/d/")]})).status == 200
+def test_an_acknowledged_patch_survives_a_power_loss_of_all(deployment: VirtualDeployment) -> None:
+    assert patch(deployment, "c1", 1, patch_body(2, {"routes": [route("/d/")]})).status == 200
     for core in ("c1", "c2", "c3"):
-        whole.power_off(core, nothing_unsynced=True)
+        deployment.power_off(core, nothing_unsynced=True)
     for core in ("c1", "c2", "c3"):
-        whole.power_on(core)
-    whole.wait(lambda: whole.control("c2", "GET", "/api/config").status == 200)
-    assert names(held(whole, "c2")) == ["/a/", "/b/", "/c/", "/d/"]
+        deployment.power_on(core)
+    deployment.wait(lambda: deployment.control("c2", "GET", "/api/config").status == 200)
+    assert names(held(deployment, "c2")) == ["/a/", "/b/", "/c/", "/d/"]
 
 
 def test_a_patch_without_any_configuration_is_rejected() -> None:
-    whole = Whole()
-    whole.wait(lambda: whole.leader() is not None)
-    whole.wait(lambda: patch(whole, "c1", 1, patch_body(2)).status == 412)
-    whole.close()
+    deployment = VirtualDeployment()
+    deployment.wait(lambda: deployment.leader() is not None)
+    deployment.wait(lambda: patch(deployment, "c1", 1, patch_body(2)).status == 412)
+    deployment.close()
 
 
-def test_a_body_of_four_megabytes_is_accepted(whole: Whole) -> None:
+def test_a_body_of_four_megabytes_is_accepted(deployment: VirtualDeployment) -> None:
     services = [{"name": f"s{at}", "note": f"{at}" * 400} for at in range(2400)]
     body = patch_body(2, {"services": services})
     assert 2 * 2**20 < len(body) <= 4 * 2**20
-    whole.wait(lambda: patch(whole, "c1", 1, body).status == 200)
-    assert len(held(whole)["services"]) == 2402
+    deployment.wait(lambda: patch(deployment, "c1", 1, body).status == 200)
+    assert len(held(deployment)["services"]) == 2402
 
 
 INVALID = [
@@ -158,15 +162,17 @@
 
 
 @pytest.mark.parametrize(("body", "key"), INVALID, ids=[str(at) for at in range(len(INVALID))])
-def test_an_invalid_patch_is_rejected_with_the_reason(whole: Whole, body: bytes, key: str) -> None:
-    reply = patch(whole, "c3", 1, body)
+def test_an_invalid_patch_is_rejected_with_the_reason(
+    deployment: VirtualDeployment, body: bytes, key: str
+) -> None:
+    reply = patch(deployment, "c3", 1, body)
     assert reply.status == 400
     assert key in reply.json()["error"]
-    assert held(whole) == json.loads(BASE)
+    assert held(deployment) == json.loads(BASE)
 
 
-def test_a_patch_without_its_base_is_rejected(whole: Whole) -> None:
-    reply = whole.control("c1", "PATCH", "/api/config", body=patch_body(2))
+def test_a_patch_without_its_base_is_rejected(deployment: VirtualDeployment) -> None:
+    reply = deployment.control("c1", "PATCH", "/api/config", body=patch_body(2))
     assert reply.status == 400
     assert "If-Match" in reply.json()["error"]
 
--- a/tests/system/test_control_plane.py
+++ b/tests/system/test_control_plane.py
@@ -9,54 +9,56 @@
 
 from brambleusher.gateway.app import Gateway
 from brambleusher.membership.line_connection import LineClient
-from tests.system.whole import DIRECTORY, Whole, configuration, route
+from tests.system.virtual_deployment import DIRECTORY, VirtualDeployment, configuration, route
 
 
 @pytest.fixture
-def whole() -> Iterator[Whole]:
-    made = Whole()
+def deployment() -> Iterator[VirtualDeployment]:
+    made = VirtualDeployment()
     yield made
     made.close()
 
 
-def others(whole: Whole) -> list[str]:
-    return [name for name in whole.controllers if name != whole.leader()]
+def others(deployment: VirtualDeployment) -> list[str]:
+    return [name for name in deployment.controllers if name != deployment.leader()]
 
 
-def in_force(whole: Whole, revision: int) -> bool:
-    tables = [gateway.routes for gateway in whole.gateways.values()]
+def in_force(deployment: VirtualDeployment, revision: int) -> bool:
+    tables = [gateway.routes for gateway in deployment.gateways.values()]
     return all(table is not None and table.revision == revision for table in tables)
 
 
-def test_a_configuration_is_acknowledged_and_published_to_all_gateways(whole: Whole) -> None:
-    whole.add_server("a")
+def test_a_configuration_is_acknowledged_and_published_to_all_gateways(deployment: VirtualDeployment) -> None:
+    deployment.add_server("a")
     body = configuration(3)
-    reply = whole.put("c2", 0, body)
+    reply = deployment.put("c2", 0, body)
     assert (reply.status, reply.json()) == (200, {"revision": 3})
-    acknowledged = whole.now
-    whole.wait(lambda: in_force(whole, 3))
-    assert whole.now - acknowledged < 1.0
+    acknowledged = deployment.now
+    deployment.wait(lambda: in_force(deployment, 3))
+    assert deployment.now - acknowledged < 1.0
     for core in ("c1", "c2", "c3"):
-        read = whole.control(core, "GET", "/api/config")
+        read = deployment.control(core, "GET", "/api/config")
         assert (read.status, read.body) == (200, body)
 
 
-def test_a_repeated_change_request_is_acknowledged_by_any_controller_even_after_others(whole: Whole) -> None:
+def test_a_repeated_change_request_is_acknowledged_by_any_controller_even_after_others(
+    deployment: VirtualDeployment,
+) -> None:
     first, second = configuration(3), configuration(7, route("/t/"))
-    assert whole.put("c1", 0, first).status == 200
+    assert deployment.put("c1", 0, first).status == 200
     for core in ("c1", "c2", "c3"):
-        assert whole.put(core, 0, first).status == 200
-    assert whole.put("c1", 3, second).status == 200
-    assert whole.put("c2", 0, first).status == 200
-    assert whole.control("c3", "GET", "/api/config").body == second
+        assert deployment.put(core, 0, first).status == 200
+    assert deployment.put("c1", 3, second).status == 200
+    assert deployment.put("c2", 0, first).status == 200
+    assert deployment.control("c3", "GET", "/api/config").body == second
 
 
-def test_two_changes_on_one_version_have_one_winner(whole: Whole) -> None:
-    whole.served()
+def test_two_changes_on_one_version_have_one_winner(deployment: VirtualDeployment) -> None:
+    deployment.served()
     bodies = [configuration(5, route("/x/")), configuration(5, route("/y/"))]
     replies = [
-        whole.start_call(
-            (whole.world.machines[core].ip, 8166),
+        deployment.start_call(
+            (deployment.world.machines[core].ip, 8166),
             "PUT",
             "/api/config",
             headers={"If-Match": "1"},
@@ -64,10 +66,10 @@
         )
         for core, body in zip(("c2", "c3"), bodies, strict=True)
     ]
-    whole.wait(lambda: all(reply.error for reply in replies))
+    deployment.wait(lambda: all(reply.error for reply in replies))
     assert sorted(reply.status for reply in replies) == [200, 412]
     winner = bodies[[reply.status for reply in replies].index(200)]
-    assert whole.control("c1", "GET", "/api/config").body == winner
+    assert deployment.control("c1", "GET", "/api/config").body == winner
 
 
 INVALID = [
@@ -86,266 +88,278 @@
 
 
 @pytest.mark.parametrize(("body", "key"), INVALID, ids=[str(at) for at in range(len(INVALID))])
-def test_an_invalid_configuration_is_rejected_with_the_reason(whole: Whole, body: bytes, key: str) -> None:
-    whole.served()
-    reply = whole.put("c2", 1, body)
+def test_an_invalid_configuration_is_rejected_with_the_reason(
+    deployment: VirtualDeployment, body: bytes, key: str
+) -> None:
+    deployment.served()
+    reply = deployment.put("c2", 1, body)
     assert reply.status == 400
     assert key in reply.json()["error"]
-    assert whole.control("c1", "GET", "/api/config").body == configuration(1)
+    assert deployment.control("c1", "GET", "/api/config").body == configuration(1)
 
 
-def test_a_change_of_an_outdated_revision_is_rejected(whole: Whole) -> None:
-    whole.served()
-    assert whole.put("c1", 0, configuration(4, route("/n/"))).status == 412
-    assert whole.put("c1", 3, configuration(4, route("/n/"))).status == 412
+def test_a_change_of_an_outdated_revision_is_rejected(deployment: VirtualDeployment) -> None:
+    deployment.served()
+    assert deployment.put("c1", 0, configuration(4, route("/n/"))).status == 412
+    assert deployment.put("c1", 3, configuration(4, route("/n/"))).status == 412
 
 
-def test_unknown_requests_are_rejected(whole: Whole) -> None:
-    whole.served()
-    assert whole.control("c1", "GET", "/else").status == 404
-    assert whole.control("c1", "POST", "/api/evacuations/nowhere").status == 404
-    reply = whole.control("c1", "PUT", "/api/config", headers={"If-Match": "x"}, body=configuration(2))
+def test_unknown_requests_are_rejected(deployment: VirtualDeployment) -> None:
+    deployment.served()
+    assert deployment.control("c1", "GET", "/else").status == 404
+    assert deployment.control("c1", "POST", "/api/evacuations/nowhere").status == 404
+    reply = deployment.control("c1", "PUT", "/api/config", headers={"If-Match": "x"}, body=configuration(2))
     assert reply.status == 400
     assert "If-Match" in reply.json()["error"]
 
 
-def test_an_evacuation_reaches_all_gateways_and_can_be_ended(whole: Whole) -> None:
-    whole.add_server("a", zone="n1")
-    whole.add_server("b", zone="n2")
-    whole.served()
-    whole.sleep(6)
-    assert whole.control("c3", "POST", "/api/evacuations/n1").status == 200
-    whole.sleep(1.0)
+def test_an_evacuation_reaches_all_gateways_and_can_be_ended(deployment: VirtualDeployment) -> None:
+    deployment.add_server("a", zone="n1")
+    deployment.add_server("b", zone="n2")
+    deployment.served()
+    deployment.sleep(6)
+    assert deployment.control("c3", "POST", "/api/evacuations/n1").status == 200
+    deployment.sleep(1.0)
     for number in range(6):
-        assert whole.request("g1", attempt=f"e{number}").status == 200
-    assert {whole.arrivals(f"e{number}")[0].instance for number in range(6)} == {"b"}
-    assert whole.control("c1", "POST", "/api/evacuations/n1").status == 200
-    assert whole.control("c1", "DELETE", "/api/evacuations/n1").status == 200
-    whole.sleep(6.0)
+        assert deployment.request("g1", attempt=f"e{number}").status == 200
+    assert {deployment.arrivals(f"e{number}")[0].instance for number in range(6)} == {"b"}
+    assert deployment.control("c1", "POST", "/api/evacuations/n1").status == 200
+    assert deployment.control("c1", "DELETE", "/api/evacuations/n1").status == 200
+    deployment.sleep(6.0)
     for number in range(6):
-        assert whole.request("g1", attempt=f"f{number}").status == 200
-    assert {whole.arrivals(f"f{number}")[0].instance for number in range(6)} == {"a", "b"}
+        assert deployment.request("g1", attempt=f"f{number}").status == 200
+    assert {deployment.arrivals(f"f{number}")[0].instance for number in range(6)} == {"a", "b"}
 
 
-def test_a_change_survives_a_power_loss_of_the_leader_right_after_its_acknowledgement(whole: Whole) -> None:
-    whole.served()
-    leader = whole.leader()
+def test_a_change_survives_a_power_loss_of_the_leader_right_after_its_acknowledgement(
+    deployment: VirtualDeployment,
+) -> None:
+    deployment.served()
+    leader = deployment.leader()
     assert leader is not None
-    assert whole.put(leader, 1, configuration(2, route("/n/"))).status == 200
-    whole.power_off(leader, nothing_unsynced=True)
-    whole.wait(lambda: in_force(whole, 2), 6.0)
-    core = others(whole)[0] if others(whole)[0] != leader else others(whole)[1]
-    whole.wait(lambda: whole.control(core, "GET", "/api/config").status == 200)
-    assert whole.put(core, 2, configuration(3)).status == 200
-    whole.power_on(leader)
-    whole.sleep(3)
-    assert whole.control(leader, "GET", "/api/config").body == configuration(3)
+    assert deployment.put(leader, 1, configuration(2, route("/n/"))).status == 200
+    deployment.power_off(leader, nothing_unsynced=True)
+    deployment.wait(lambda: in_force(deployment, 2), 6.0)
+    core = others(deployment)[0] if others(deployment)[0] != leader else others(deployment)[1]
+    deployment.wait(lambda: deployment.control(core, "GET", "/api/config").status == 200)
+    assert deployment.put(core, 2, configuration(3)).status == 200
+    deployment.power_on(leader)
+    deployment.sleep(3)
+    assert deployment.control(leader, "GET", "/api/config").body == configuration(3)
 
 
 @pytest.mark.parametrize("unsynced", [True, False])
-def test_acknowledged_changes_survive_a_power_loss_of_all(whole: Whole, unsynced: bool) -> None:
-    whole.served()
-    assert whole.control("c1", "POST", "/api/evacuations/n2").status == 200
-    assert whole.put("c2", 1, configuration(2, route("/n/"))).status == 200
+def test_acknowledged_changes_survive_a_power_loss_of_all(
+    deployment: VirtualDeployment, unsynced: bool
+) -> None:
+    deployment.served()
+    assert deployment.control("c1", "POST", "/api/evacuations/n2").status == 200
+    assert deployment.put("c2", 1, configuration(2, route("/n/"))).status == 200
     for name in ("c1", "c2", "c3", "g1", "g2"):
-        whole.power_off(name, nothing_unsynced=unsynced)
-    whole.sleep(1.0)
+        deployment.power_off(name, nothing_unsynced=unsynced)
+    deployment.sleep(1.0)
     for name in ("c1", "c2", "c3", "g1", "g2"):
-        whole.power_on(name)
-    back = whole.now
-    whole.wait(lambda: whole.leader() is not None and in_force(whole, 2))
-    assert whole.now - back < 2.0
-    assert whole.control("c3", "GET", "/api/config").body == configuration(2, route("/n/"))
-    assert all(gateway.instances.evacuated_zones == {"n2"} for gateway in whole.gateways.values())
+        deployment.power_on(name)
+    back = deployment.now
+    deployment.wait(lambda: deployment.leader() is not None and in_force(deployment, 2))
+    assert deployment.now - back < 2.0
+    assert deployment.control("c3", "GET", "/api/config").body == configuration(2, route("/n/"))
+    assert all(gateway.instances.evacuated_zones == {"n2"} for gateway in deployment.gateways.values())
 
 
 @pytest.mark.parametrize("lost", ["c1", "c2", "c3"])
 def test_acknowledged_changes_survive_a_lost_disk_and_a_power_loss_of_the_others(
-    whole: Whole, lost: str
+    deployment: VirtualDeployment, lost: str
 ) -> None:
-    whole.served()
-    assert whole.put("c2", 1, configuration(2, route("/n/"))).status == 200
+    deployment.served()
+    assert deployment.put("c2", 1, configuration(2, route("/n/"))).status == 200
     for name in ("c1", "c2", "c3"):
-        whole.power_off(name, nothing_unsynced=True)
-    whole.disks[lost].__init__()  # type: ignore[misc]
-    whole.sleep(0.5)
+        deployment.power_off(name, nothing_unsynced=True)
+    deployment.disks[lost].__init__()  # type: ignore[misc]
+    deployment.sleep(0.5)
     for name in ("c1", "c2", "c3"):
-        whole.power_on(name)
-    whole.wait(lambda: whole.control("c1", "GET", "/api/config").status == 200)
-    assert whole.control("c1", "GET", "/api/config").body == configuration(2, route("/n/"))
+        deployment.power_on(name)
+    deployment.wait(lambda: deployment.control("c1", "GET", "/api/config").status == 200)
+    assert deployment.control("c1", "GET", "/api/config").body == configuration(2, route("/n/"))
 
     def again_a_voter() -> bool:
-        leader = whole.leader()
+        leader = deployment.leader()
         if leader is None:
             return False
-        voters = whole.controllers[leader].replica.consensus.voters
-        own = whole.controllers[lost].replica.identity.id
+        voters = deployment.controllers[leader].replica.consensus.voters
+        own = deployment.controllers[lost].replica.identity.id
         return own in {member.id for member in voters}
 
-    whole.wait(again_a_voter, 4.0)
+    deployment.wait(again_a_voter, 4.0)
     rest = next(name for name in ("c1", "c2", "c3") if name != lost)
-    whole.power_off(rest)
-    whole.wait(lambda: whole.put(lost, 2, configuration(3)).status == 200)
+    deployment.power_off(rest)
+    deployment.wait(lambda: deployment.put(lost, 2, configuration(3)).status == 200)
 
 
-def test_a_lost_controller_is_replaced_at_another_address(whole: Whole) -> None:
-    whole.served()
-    gone = others(whole)[0]
-    whole.power_off(gone)
-    whole.add_core("c4", "10.1.0.4")
+def test_a_lost_controller_is_replaced_at_another_address(deployment: VirtualDeployment) -> None:
+    deployment.served()
+    gone = others(deployment)[0]
+    deployment.power_off(gone)
+    deployment.add_core("c4", "10.1.0.4")
 
     def replaced() -> bool:
-        leader = whole.leader()
+        leader = deployment.leader()
         if leader is None:
             return False
         return "10.1.0.4:7720" in {
-            each.address for each in whole.controllers[leader].replica.consensus.voters
+            each.address for each in deployment.controllers[leader].replica.consensus.voters
         }
 
-    whole.wait(replaced)
-    second = next(name for name in ("c1", "c2", "c3") if name not in (gone, whole.leader()))
-    whole.power_off(second)
-    whole.wait(lambda: whole.put("c4", 1, configuration(2)).status == 200)
+    deployment.wait(replaced)
+    second = next(name for name in ("c1", "c2", "c3") if name not in (gone, deployment.leader()))
+    deployment.power_off(second)
+    deployment.wait(lambda: deployment.put("c4", 1, configuration(2)).status == 200)
 
 
-def test_sigterm_transfers_leadership_at_once(whole: Whole) -> None:
-    whole.served()
-    leader = whole.leader()
+def test_sigterm_transfers_leadership_at_once(deployment: VirtualDeployment) -> None:
+    deployment.served()
+    leader = deployment.leader()
     assert leader is not None
-    whole.process(leader).signal(15)
-    begun = whole.now
-    whole.wait(lambda: whole.leader() not in (None, leader))
-    assert whole.now - begun < 0.3
-    whole.wait(lambda: whole.process(leader).dead)
-    assert whole.process(leader).ended == 0
+    deployment.process(leader).signal(15)
+    begun = deployment.now
+    deployment.wait(lambda: deployment.leader() not in (None, leader))
+    assert deployment.now - begun < 0.3
+    deployment.wait(lambda: deployment.process(leader).dead)
+    assert deployment.process(leader).ended == 0
 
 
-def test_a_partitioned_leader_acknowledges_nothing(whole: Whole) -> None:
-    whole.served()
-    leader = whole.leader()
+def test_a_partitioned_leader_acknowledges_nothing(deployment: VirtualDeployment) -> None:
+    deployment.served()
+    leader = deployment.leader()
     assert leader is not None
-    for name in others(whole):
-        whole.world.network.cut(leader, name)
-    reply = whole.put(leader, 1, configuration(2))
+    for name in others(deployment):
+        deployment.world.network.cut(leader, name)
+    reply = deployment.put(leader, 1, configuration(2))
     assert reply.status == 503
     assert reply.seconds < 1.0
-    assert whole.control(leader, "GET", "/api/config").status == 503
+    assert deployment.control(leader, "GET", "/api/config").status == 503
     rest = next(name for name in ("c1", "c2", "c3") if name != leader)
-    whole.wait(lambda: whole.put(rest, 1, configuration(3, route("/n/"))).status == 200)
-    whole.wait(lambda: in_force(whole, 3), 4.0)
+    deployment.wait(lambda: deployment.put(rest, 1, configuration(3, route("/n/"))).status == 200)
+    deployment.wait(lambda: in_force(deployment, 3), 4.0)
 
 
-def test_a_full_disk_of_one_controller_delays_nothing(whole: Whole) -> None:
-    whole.served()
-    leader = whole.leader()
+def test_a_full_disk_of_one_controller_delays_nothing(deployment: VirtualDeployment) -> None:
+    deployment.served()
+    leader = deployment.leader()
     assert leader is not None
-    whole.disks[leader].full = True
-    assert whole.put(leader, 1, configuration(2)).status == 200
-    whole.disks[leader].full = False
-    whole.sleep(1)
+    deployment.disks[leader].full = True
+    assert deployment.put(leader, 1, configuration(2)).status == 200
+    deployment.disks[leader].full = False
+    deployment.sleep(1)
     for name in ("c1", "c2", "c3"):
-        whole.power_off(name, nothing_unsynced=True)
+        deployment.power_off(name, nothing_unsynced=True)
     for name in ("c1", "c2", "c3"):
-        whole.power_on(name)
-    whole.wait(lambda: whole.control("c1", "GET", "/api/config").status == 200)
-    assert whole.control("c1", "GET", "/api/config").body == configuration(2)
+        deployment.power_on(name)
+    deployment.wait(lambda: deployment.control("c1", "GET", "/api/config").status == 200)
+    assert deployment.control("c1", "GET", "/api/config").body == configuration(2)
 
 
 def test_the_registry_names_ready_gateways_near_ones_first() -> None:
-    whole = Whole(gateways=6)
-    whole.add_server("a")
-    ask = ((whole.world.machines["c2"].ip, DIRECTORY), "GET", "/api/resolution?name=h&region=south&zone=s1")
-    assert whole.call(*ask).status == 503
-    whole.served()
-    whole.sleep(3)
-    reply = whole.call(*ask)
+    deployment = VirtualDeployment(gateways=6)
+    deployment.add_server("a")
+    ask = (
+        (deployment.world.machines["c2"].ip, DIRECTORY),
+        "GET",
+        "/api/resolution?name=h&region=south&zone=s1",
+    )
+    assert deployment.call(*ask).status == 503
+    deployment.served()
+    deployment.sleep(3)
+    reply = deployment.call(*ask)
     assert sorted(reply.json()["addresses"]) == ["10.2.0.3:8161", "10.2.0.6:8161"]
-    whole.process("g3").signal(15)
-    whole.sleep(1.0)
-    addresses = whole.call(*ask).json()["addresses"]
+    deployment.process("g3").signal(15)
+    deployment.sleep(1.0)
+    addresses = deployment.call(*ask).json()["addresses"]
     assert "10.2.0.3:8161" not in addresses
     assert "10.2.0.6:8161" in addresses
-    whole.power_off("g6")
-    whole.sleep(4.0)
-    assert set(whole.call(*ask).json()["addresses"]) == {f"10.2.0.{at}:8161" for at in (1, 2, 4, 5)}
-    whole.close()
+    deployment.power_off("g6")
+    deployment.sleep(4.0)
+    assert set(deployment.call(*ask).json()["addresses"]) == {f"10.2.0.{at}:8161" for at in (1, 2, 4, 5)}
+    deployment.close()
 
 
-def test_a_gateway_fails_over_from_a_frozen_controller(whole: Whole) -> None:
-    whole.served()
-    whole.process("c1").stall(8 * 10**9)
-    whole.wait(lambda: whole.put("c2", 1, configuration(2, route("/n/"))).status == 200)
-    acknowledged = whole.now
-    whole.wait(lambda: in_force(whole, 2))
-    assert whole.now - acknowledged < 2.0
+def test_a_gateway_fails_over_from_a_frozen_controller(deployment: VirtualDeployment) -> None:
+    deployment.served()
+    deployment.process("c1").stall(8 * 10**9)
+    deployment.wait(lambda: deployment.put("c2", 1, configuration(2, route("/n/"))).status == 200)
+    acknowledged = deployment.now
+    deployment.wait(lambda: in_force(deployment, 2))
+    assert deployment.now - acknowledged < 2.0
 
 
-def test_no_published_version_goes_back(whole: Whole) -> None:
-    whole.served()
-    seen: dict[str, int] = dict.fromkeys(whole.gateways, 0)
+def test_no_published_version_goes_back(deployment: VirtualDeployment) -> None:
+    deployment.served()
+    seen: dict[str, int] = dict.fromkeys(deployment.gateways, 0)
     revision = 1
     for turn in range(6):
-        leader = whole.leader()
+        leader = deployment.leader()
         if leader is not None:
-            whole.process(leader).stall(2 * 10**9) if turn % 2 else whole.process(leader).signal(9)
+            deployment.process(leader).stall(2 * 10**9) if turn % 2 else deployment.process(leader).signal(9)
         for _ in range(60):
-            whole.sleep(0.1)
-            for name, gateway in whole.gateways.items():
+            deployment.sleep(0.1)
+            for name, gateway in deployment.gateways.items():
                 table = gateway.routes
                 assert table is not None
                 assert table.revision >= seen[name]
                 seen[name] = table.revision
         for name in ("c1", "c2", "c3"):
-            if whole.process(name).dead:
-                whole.start_core(name)
+            if deployment.process(name).dead:
+                deployment.start_core(name)
         core = f"c{turn % 3 + 1}"
-        whole.sleep(1.5)
-        if whole.put(core, revision, configuration(revision + 1)).status == 200:
+        deployment.sleep(1.5)
+        if deployment.put(core, revision, configuration(revision + 1)).status == 200:
             revision += 1
     assert revision > 3
 
 
-def test_an_invalid_message_is_dropped_and_the_replica_continues(whole: Whole) -> None:
-    whole.served()
+def test_an_invalid_message_is_dropped_and_the_replica_continues(deployment: VirtualDeployment) -> None:
+    deployment.served()
     for junk in (b"{}\n", b"nonsense\n", b'{"kind":"append","from":"x"}\n', b'{"kind":"watch"}\n', b"[1]\n"):
-        reply = whole.call(("10.1.0.1", 7720), "POST", "/x", body=junk)
-        assert not reply.whole
-    assert whole.put("c1", 1, configuration(2)).status == 200
+        reply = deployment.call(("10.1.0.1", 7720), "POST", "/x", body=junk)
+        assert not reply.is_complete
+    assert deployment.put("c1", 1, configuration(2)).status == 200
 
 
-def test_all_controllers_together_read_the_platform_about_three_times_a_second(whole: Whole) -> None:
-    whole.served()
-    before = whole.platform_calls
-    whole.sleep(10)
-    assert 20 <= whole.platform_calls - before <= 36
+def test_all_controllers_together_read_the_platform_about_three_times_a_second(
+    deployment: VirtualDeployment,
+) -> None:
+    deployment.served()
+    before = deployment.platform_calls
+    deployment.sleep(10)
+    assert 20 <= deployment.platform_calls - before <= 36
 
 
-def test_an_instance_list_read_by_one_controller_reaches_all(whole: Whole) -> None:
-    whole.served()
-    whole.sleep(3)
+def test_an_instance_list_read_by_one_controller_reaches_all(deployment: VirtualDeployment) -> None:
+    deployment.served()
+    deployment.sleep(3)
     for name in ("c2", "c3"):
-        whole.world.network.cut(name, "platform")
-    whole.add_server("new")
-    whole.sleep(1.6)
-    for controller in whole.controllers.values():
+        deployment.world.network.cut(name, "platform")
+    deployment.add_server("new")
+    deployment.sleep(1.6)
+    for controller in deployment.controllers.values():
         assert [entry["id"] for entry in controller.instances.instances] == ["new"]
 
 
-def test_an_unreadable_instance_list_changes_nothing(whole: Whole) -> None:
-    whole.add_server("a")
-    whole.served()
-    whole.sleep(2)
-    whole.platform_down = True
-    whole.sleep(5)
-    assert whole.request("g1").status == 200
+def test_an_unreadable_instance_list_changes_nothing(deployment: VirtualDeployment) -> None:
+    deployment.add_server("a")
+    deployment.served()
+    deployment.sleep(2)
+    deployment.platform_down = True
+    deployment.sleep(5)
+    assert deployment.request("g1").status == 200
 
 
-def test_an_idle_replica_ticks_rarely(whole: Whole) -> None:
+def test_an_idle_replica_ticks_rarely(deployment: VirtualDeployment) -> None:
     """Guards against a task that wakes itself: some ten heartbeats a second, and what they bring."""
-    whole.served()
-    whole.sleep(1)
-    steps = dict.fromkeys(whole.controllers, 0)
-    for name, controller in whole.controllers.items():
+    deployment.served()
+    deployment.sleep(1)
+    steps = dict.fromkeys(deployment.controllers, 0)
+    for name, controller in deployment.controllers.items():
         tick = controller.replica.consensus.tick
 
         def counted(now: float, name: str = name, tick: object = tick) -> None:
@@ -353,16 +367,16 @@
             tick(now)  # type: ignore[operator]
 
         controller.replica.consensus.tick = counted  # type: ignore[method-assign]
-    whole.sleep(2)
+    deployment.sleep(2)
     assert all(1 <= count <= 60 for count in steps.values()), steps
 
 
-def test_a_large_configuration_is_sent_once_to_each_gateway(whole: Whole) -> None:
+def test_a_large_configuration_is_sent_once_to_each_gateway(deployment: VirtualDeployment) -> None:
     """Two controllers are followed; large news comes from one of them."""
-    whole.served()
-    whole.sleep(2)
-    sent = dict.fromkeys(whole.controllers, 0)
-    for name, controller in whole.controllers.items():
+    deployment.served()
+    deployment.sleep(2)
+    sent = dict.fromkeys(deployment.controllers, 0)
+    for name, controller in deployment.controllers.items():
         publisher = controller._publisher
         assert publisher is not None
         respond = publisher._respond
@@ -374,105 +388,111 @@
 
         publisher._respond = counted  # type: ignore[method-assign, assignment]
     body = configuration(2, *(route(f"/r{number}/") for number in range(600)))
-    assert whole.put("c1", 1, body).status == 200
-    whole.wait(lambda: in_force(whole, 2), 2.0)
-    whole.sleep(2)
-    assert sum(sent.values()) == len(whole.gateways)
-    assert whole.control("c2", "GET", "/api/config").body == body
-
-
-def test_updates_come_from_the_second_controller_while_the_first_is_unresponsive(whole: Whole) -> None:
-    whole.served()
-    whole.sleep(2)
-    held = whole.gateways["g1"].controllers._acquired
-    first = next(name for name in whole.controllers if f"{whole.world.machines[name].ip}:7720" == held[0])
-    whole.process(first).stall(6 * 10**9)
-    core = next(name for name in whole.controllers if name != first)
-    whole.wait(lambda: whole.put(core, 1, configuration(2, route("/n/"))).status == 200)
-    acknowledged = whole.now
-    whole.wait(lambda: in_force(whole, 2))
-    assert whole.now - acknowledged < 1.5
+    assert deployment.put("c1", 1, body).status == 200
+    deployment.wait(lambda: in_force(deployment, 2), 2.0)
+    deployment.sleep(2)
+    assert sum(sent.values()) == len(deployment.gateways)
+    assert deployment.control("c2", "GET", "/api/config").body == body
+
+
+def test_updates_come_from_the_second_controller_while_the_first_is_unresponsive(
+    deployment: VirtualDeployment,
+) -> None:
+    deployment.served()
+    deployment.sleep(2)
+    held = deployment.gateways["g1"].controllers._acquired
+    first = next(
+        name for name in deployment.controllers if f"{deployment.world.machines[name].ip}:7720" == held[0]
+    )
+    deployment.process(first).stall(6 * 10**9)
+    core = next(name for name in deployment.controllers if name != first)
+    deployment.wait(lambda: deployment.put(core, 1, configuration(2, route("/n/"))).status == 200)
+    acknowledged = deployment.now
+    deployment.wait(lambda: in_force(deployment, 2))
+    assert deployment.now - acknowledged < 1.5
 
 
 def test_six_controllers_have_five_voters_and_tolerate_the_loss_of_two() -> None:
-    whole = Whole(cores=6, tolerated=2)
+    deployment = VirtualDeployment(cores=6, tolerated=2)
 
     def voters() -> set[str]:
-        leader = whole.leader()
-        known = whole.controllers[leader].replica.consensus.voters if leader is not None else []
+        leader = deployment.leader()
+        known = deployment.controllers[leader].replica.consensus.voters if leader is not None else []
         return {member.address for member in known}
 
-    whole.served()
-    whole.wait(lambda: len(voters()) == 5)
-    whole.sleep(3.0)
-    leader = whole.leader()
+    deployment.served()
+    deployment.wait(lambda: len(voters()) == 5)
+    deployment.sleep(3.0)
+    leader = deployment.leader()
     assert leader is not None
     others_with_a_vote = [
         name
-        for name in whole.controllers
-        if name != leader and f"{whole.world.machines[name].ip}:7720" in voters()
+        for name in deployment.controllers
+        if name != leader and f"{deployment.world.machines[name].ip}:7720" in voters()
     ]
-    assert whole.put("c6", 1, configuration(2)).status == 200
+    assert deployment.put("c6", 1, configuration(2)).status == 200
     for name in (leader, others_with_a_vote[0]):
-        whole.power_off(name, nothing_unsynced=True)
+        deployment.power_off(name, nothing_unsynced=True)
     rest = others_with_a_vote[1]
-    whole.wait(lambda: whole.put(rest, 2, configuration(3, route("/n/"))).status == 200)
-    whole.wait(lambda: in_force(whole, 3))
-    assert whole.control(rest, "GET", "/api/config").body == configuration(3, route("/n/"))
-    whole.close()
+    deployment.wait(lambda: deployment.put(rest, 2, configuration(3, route("/n/"))).status == 200)
+    deployment.wait(lambda: in_force(deployment, 3))
+    assert deployment.control(rest, "GET", "/api/config").body == configuration(3, route("/n/"))
+    deployment.close()
 
 
 def test_votes_are_spread_over_zones_and_move_back_when_a_zone_returns() -> None:
     """Two of six controllers stand in each zone: no zone may come to hold three of five votes."""
-    whole = Whole(cores=6, tolerated=2)
+    deployment = VirtualDeployment(cores=6, tolerated=2)
 
     def votes_by_zone() -> list[int]:
-        leader = whole.leader()
-        known = whole.controllers[leader].replica.consensus.log.members if leader is not None else ()
-        zones = {f"{whole.world.machines[name].ip}:7720": zone_of(name) for name in whole.controllers}
+        leader = deployment.leader()
+        known = deployment.controllers[leader].replica.consensus.log.members if leader is not None else ()
+        zones = {
+            f"{deployment.world.machines[name].ip}:7720": zone_of(name) for name in deployment.controllers
+        }
         held = [zones[member.address] for member in known if member.is_voter]
-        return sorted(held.count(zone) for zone in whole.zones)
+        return sorted(held.count(zone) for zone in deployment.zones)
 
     def zone_of(name: str) -> str:
-        return whole.controllers[name].settings.zone
+        return deployment.controllers[name].settings.zone
 
-    whole.served()
-    whole.wait(lambda: votes_by_zone() == [1, 2, 2])
-    dark = [name for name in whole.controllers if zone_of(name) == "n2"]
+    deployment.served()
+    deployment.wait(lambda: votes_by_zone() == [1, 2, 2])
+    dark = [name for name in deployment.controllers if zone_of(name) == "n2"]
     for name in dark:
-        whole.power_off(name)
-    whole.sleep(6.0)
+        deployment.power_off(name)
+    deployment.sleep(6.0)
     for name in dark:
-        whole.power_on(name)
-    whole.wait(lambda: votes_by_zone() == [1, 2, 2])
-    assert whole.put("c1", 1, configuration(2)).status == 200
-    whole.close()
+        deployment.power_on(name)
+    deployment.wait(lambda: votes_by_zone() == [1, 2, 2])
+    assert deployment.put("c1", 1, configuration(2)).status == 200
+    deployment.close()
 
 
 def test_gateways_move_to_controllers_of_their_own_zone() -> None:
     """Seeds are known first, wherever they are: what gateways ask all the time should not cross regions."""
-    whole = Whole(cores=6, gateways=6, tolerated=2)
-    whole.served()
+    deployment = VirtualDeployment(cores=6, gateways=6, tolerated=2)
+    deployment.served()
 
     def held_near(gateway: Gateway) -> bool:
         zone = gateway.settings.zone
         near = {
-            f"{whole.world.machines[name].ip}:7720"
-            for name, controller in whole.controllers.items()
+            f"{deployment.world.machines[name].ip}:7720"
+            for name, controller in deployment.controllers.items()
             if controller.settings.zone == zone
         }
         return set(gateway.controllers._acquired.values()) == near
 
-    whole.wait(lambda: all(held_near(gateway) for gateway in whole.gateways.values()), seconds=6.0)
-    whole.close()
+    deployment.wait(lambda: all(held_near(gateway) for gateway in deployment.gateways.values()), seconds=6.0)
+    deployment.close()
 
 
 def test_an_unchanged_instance_list_is_sent_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """It seemed to grow old at gateways, which had it sent by their second controller every two seconds."""
-    whole = Whole(gateways=2)
-    whole.add_server("a")
-    whole.served()
-    whole.sleep(5.0)
+    deployment = VirtualDeployment(gateways=2)
+    deployment.add_server("a")
+    deployment.served()
+    deployment.sleep(5.0)
     sent: list[str] = []
     call = LineClient.call
 
@@ -483,14 +503,14 @@
         return answer
 
     monkeypatch.setattr(LineClient, "call", counted)
-    whole.sleep(10.0)
+    deployment.sleep(10.0)
     assert not sent
-    whole.servers["a"].state = "draining"
-    whole.sleep(3.0)
+    deployment.servers["a"].state = "draining"
+    deployment.sleep(3.0)
     assert 2 <= len(sent) <= 6
-    for gateway in whole.gateways.values():
+    for gateway in deployment.gateways.values():
         routes = gateway.routes
         found = routes.find("h", "/s/") if routes is not None else None
         assert found is not None
-        assert not gateway.instances.usable(found, "llm", whole.now)
-    whole.close()
+        assert not gateway.instances.usable(found, "llm", deployment.now)
+    deployment.close()
--- a/tests/system/test_gateway.py
+++ b/tests/system/test_gateway.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.system.whole import FRONT, READY, Whole, configuration, route
+from tests.system.virtual_deployment import FRONT, READY, VirtualDeployment, configuration, route
 
 EVENTS = b"".join(b"id: %d\ndata: token %d\n\n" % (number, number) for number in range(1, 6))
 DESK = route("/d/", service="desk", kind="mutating", resumable=False, affine=False, tries=1)
@@ -16,8 +16,8 @@
 
 
 @pytest.fixture
-def whole() -> Iterator[Whole]:
-    made = Whole(gateways=2)
+def deployment() -> Iterator[VirtualDeployment]:
+    made = VirtualDeployment(gateways=2)
     made.add_server("a", zone="n1")
     made.add_server("b", zone="n2")
     made.add_server("s", zone="s1")
@@ -29,30 +29,30 @@
     made.close()
 
 
-def only(whole: Whole, *names: str) -> None:
+def only(deployment: VirtualDeployment, *names: str) -> None:
     """Leave just these instances on the list."""
-    for name, server in whole.servers.items():
+    for name, server in deployment.servers.items():
         server.listed = name in names
-    whole.sleep(2.0)
+    deployment.sleep(2.0)
 
 
-def test_a_stream_is_passed_on_whole_with_the_head_of_its_instance(whole: Whole) -> None:
-    reply = whole.request("g1", attempt="one")
-    (arrival,) = whole.arrivals("one")
-    assert (reply.status, reply.body, reply.whole) == (200, EVENTS, True)
+def test_a_stream_is_passed_on_whole_with_the_head_of_its_instance(deployment: VirtualDeployment) -> None:
+    reply = deployment.request("g1", attempt="one")
+    (arrival,) = deployment.arrivals("one")
+    assert (reply.status, reply.body, reply.is_complete) == (200, EVENTS, True)
     assert reply.headers["x-server-seal"] == f"{arrival.instance}.one"
     assert reply.headers["x-attempt-id"] == "one"
 
 
-def test_events_are_passed_on_as_they_come(whole: Whole) -> None:
-    for server in whole.servers.values():
+def test_events_are_passed_on_as_they_come(deployment: VirtualDeployment) -> None:
+    for server in deployment.servers.values():
         server.pause_s = 0.5
-    reply = whole.start_request("g1", attempt="slow")
-    whole.sleep(1.3)
+    reply = deployment.start_request("g1", attempt="slow")
+    deployment.sleep(1.3)
     assert reply.body == EVENTS[: EVENTS.index(b"id: 3")]
 
 
-def test_the_request_goes_on_unchanged_and_names_its_target(whole: Whole) -> None:
+def test_the_request_goes_on_unchanged_and_names_its_target(deployment: VirtualDeployment) -> None:
     headers = {
         "X-Target-Instance": "i-forged",
         "X-Model": "m",
@@ -61,8 +61,8 @@
         "X-Hop": "dropped",
         "Priority": "0",
     }
-    whole.request("g1", "/s/deep/path?x=1&y=%2F", attempt="two", body=b"\0binary\xff", headers=headers)
-    (arrival,) = whole.arrivals("two")
+    deployment.request("g1", "/s/deep/path?x=1&y=%2F", attempt="two", body=b"\0binary\xff", headers=headers)
+    (arrival,) = deployment.arrivals("two")
     assert (arrival.method, arrival.target, arrival.body) == (
         "POST",
         "/s/deep/path?x=1&y=%2F",
@@ -76,231 +76,239 @@
     assert arrival.headers["priority"] == "5"
 
 
-def test_a_request_without_a_route_is_told_so(whole: Whole) -> None:
-    assert whole.request("g1", "/none/x").status == 404
-    assert whole.request("g1", headers={"Host": "other"}).status == 404
+def test_a_request_without_a_route_is_told_so(deployment: VirtualDeployment) -> None:
+    assert deployment.request("g1", "/none/x").status == 404
+    assert deployment.request("g1", headers={"Host": "other"}).status == 404
 
 
-def test_a_resumable_stream_goes_on_at_another_instance(whole: Whole) -> None:
-    only(whole, "a", "b")
-    whole.servers["a"].cut_after = whole.servers["b"].cut_after = 2
-    reply = whole.start_request("g1", attempt="res")
-    whole.wait(lambda: bool(whole.arrivals("res")))
-    first = whole.arrivals("res")[0].instance
+def test_a_resumable_stream_goes_on_at_another_instance(deployment: VirtualDeployment) -> None:
+    only(deployment, "a", "b")
+    deployment.servers["a"].cut_after = deployment.servers["b"].cut_after = 2
+    reply = deployment.start_request("g1", attempt="res")
+    deployment.wait(lambda: bool(deployment.arrivals("res")))
+    first = deployment.arrivals("res")[0].instance
     second = "b" if first == "a" else "a"
-    whole.servers[second].cut_after = None
-    whole.wait(lambda: bool(reply.error))
-    assert (reply.status, reply.body, reply.whole) == (200, EVENTS, True)
+    deployment.servers[second].cut_after = None
+    deployment.wait(lambda: bool(reply.error))
+    assert (reply.status, reply.body, reply.is_complete) == (200, EVENTS, True)
     assert reply.headers["x-server-seal"] == f"{first}.res"
-    assert [arrival.headers.get("last-event-id") for arrival in whole.arrivals("res")] == [None, "2"]
+    assert [arrival.headers.get("last-event-id") for arrival in deployment.arrivals("res")] == [None, "2"]
 
 
-def test_a_stream_goes_on_from_where_the_client_left_off(whole: Whole) -> None:
-    reply = whole.request("g1", attempt="cont", headers={"Last-Event-Id": "3"})
+def test_a_stream_goes_on_from_where_the_client_left_off(deployment: VirtualDeployment) -> None:
+    reply = deployment.request("g1", attempt="cont", headers={"Last-Event-Id": "3"})
     assert reply.body == EVENTS[EVENTS.index(b"id: 4") :]
-    assert whole.arrivals("cont")[0].headers["last-event-id"] == "3"
+    assert deployment.arrivals("cont")[0].headers["last-event-id"] == "3"
 
 
-def test_no_more_instances_run_a_stream_than_its_route_allows(whole: Whole) -> None:
-    for server in whole.servers.values():
+def test_no_more_instances_run_a_stream_than_its_route_allows(deployment: VirtualDeployment) -> None:
+    for server in deployment.servers.values():
         server.cut_after = 1
-    reply = whole.request("g1", attempt="cuts")
-    assert not reply.whole
-    assert len(whole.arrivals("cuts")) == 2
+    reply = deployment.request("g1", attempt="cuts")
+    assert not reply.is_complete
+    assert len(deployment.arrivals("cuts")) == 2
 
 
-def test_a_stream_that_may_not_be_resumed_ends_without_its_end(whole: Whole) -> None:
-    for server in whole.servers.values():
+def test_a_stream_that_may_not_be_resumed_ends_without_its_end(deployment: VirtualDeployment) -> None:
+    for server in deployment.servers.values():
         server.cut_after = 2
-    reply = whole.request("g1", "/o/x", attempt="once")
+    reply = deployment.request("g1", "/o/x", attempt="once")
     assert reply.status == 200
-    assert not reply.whole
+    assert not reply.is_complete
     assert reply.body == EVENTS[: EVENTS.index(b"id: 3")]
-    assert len(whole.arrivals("once")) == 1
+    assert len(deployment.arrivals("once")) == 1
 
 
-def test_what_may_run_once_is_not_sent_again_after_a_cut(whole: Whole) -> None:
-    for server in whole.servers.values():
+def test_what_may_run_once_is_not_sent_again_after_a_cut(deployment: VirtualDeployment) -> None:
+    for server in deployment.servers.values():
         server.cut_after = 0
-    reply = whole.request("g1", "/d/x", attempt="mut")
-    assert (reply.status, reply.whole) == (502, True)
+    reply = deployment.request("g1", "/d/x", attempt="mut")
+    assert (reply.status, reply.is_complete) == (502, True)
     assert "x-server-seal" not in reply.headers
-    assert len(whole.arrivals("mut")) == 1
+    assert len(deployment.arrivals("mut")) == 1
 
 
-def test_what_an_instance_rejected_goes_to_another(whole: Whole) -> None:
-    whole.servers["d1"].shed = True
+def test_what_an_instance_rejected_goes_to_another(deployment: VirtualDeployment) -> None:
+    deployment.servers["d1"].shed = True
     for number in range(4):
-        assert whole.request("g1", "/d/x", attempt=f"shed{number}").status == 200
-    assert all(whole.arrivals(f"shed{number}")[-1].instance == "d2" for number in range(4))
+        assert deployment.request("g1", "/d/x", attempt=f"shed{number}").status == 200
+    assert all(deployment.arrivals(f"shed{number}")[-1].instance == "d2" for number in range(4))
 
 
-def test_where_all_reject_the_refusal_is_a_promise_with_a_time_to_come_back(whole: Whole) -> None:
-    for server in whole.servers.values():
+def test_where_all_reject_the_refusal_is_a_promise_with_a_time_to_come_back(
+    deployment: VirtualDeployment,
+) -> None:
+    for server in deployment.servers.values():
         server.shed = True
-    reply = whole.request("g1", "/d/x", attempt="full")
+    reply = deployment.request("g1", "/d/x", attempt="full")
     assert reply.status == 503
     assert 0 < float(reply.headers["retry-after"]) <= 4.0 / 3
     assert reply.seconds < 0.1
 
 
-def test_retries_of_rejections_stay_within_the_budget(whole: Whole) -> None:
-    for server in whole.servers.values():
+def test_retries_of_rejections_stay_within_the_budget(deployment: VirtualDeployment) -> None:
+    for server in deployment.servers.values():
         server.shed = True
     for number in range(60):
-        whole.request("g1", "/d/x", attempt=f"b{number}")
-    sent = sum(len(whole.arrivals(f"b{number}")) for number in range(60))
+        deployment.request("g1", "/d/x", attempt=f"b{number}")
+    sent = sum(len(deployment.arrivals(f"b{number}")) for number in range(60))
     assert sent - 60 <= 0.2 * 60 + 50
 
 
-def test_a_failure_of_an_instance_is_passed_on_as_it_is(whole: Whole) -> None:
-    for server in whole.servers.values():
+def test_a_failure_of_an_instance_is_passed_on_as_it_is(deployment: VirtualDeployment) -> None:
+    for server in deployment.servers.values():
         server.status = 500
-    reply = whole.request("g1", "/d/x", attempt="fail")
+    reply = deployment.request("g1", "/d/x", attempt="fail")
     assert reply.status == 500
     assert reply.body.endswith(b"ran fail")
     assert reply.headers["x-server-seal"].endswith("fail")
 
 
-def test_an_answer_to_another_request_is_dropped(whole: Whole) -> None:
-    for server in whole.servers.values():
+def test_an_answer_to_another_request_is_dropped(deployment: VirtualDeployment) -> None:
+    for server in deployment.servers.values():
         server.stray = 1
     for number in range(5):
-        reply = whole.request("g1", "/d/x", attempt=f"s{number}")
+        reply = deployment.request("g1", "/d/x", attempt=f"s{number}")
         assert reply.body.endswith(f"ran s{number}".encode())
 
 
-def test_a_request_stays_inside_its_homes(whole: Whole) -> None:
-    only(whole, "s", "d1")
-    reply = whole.request("g1", "/h/x", attempt="home")
+def test_a_request_stays_inside_its_homes(deployment: VirtualDeployment) -> None:
+    only(deployment, "s", "d1")
+    reply = deployment.request("g1", "/h/x", attempt="home")
     assert reply.status == 503
-    assert whole.arrivals("home") == []
-    assert whole.request("g1", "/s/x", attempt="any").status == 200
+    assert deployment.arrivals("home") == []
+    assert deployment.request("g1", "/s/x", attempt="any").status == 200
 
 
-def test_a_connection_that_is_refused_costs_no_attempt(whole: Whole) -> None:
-    whole.process("a").kill()
+def test_a_connection_that_is_refused_costs_no_attempt(deployment: VirtualDeployment) -> None:
+    deployment.process("a").kill()
     for number in range(6):
-        assert whole.request("g1", "/o/x", attempt=f"r{number}").status == 200
-    assert {whole.arrivals(f"r{number}")[0].instance for number in range(6)} == {"b"}
+        assert deployment.request("g1", "/o/x", attempt=f"r{number}").status == 200
+    assert {deployment.arrivals(f"r{number}")[0].instance for number in range(6)} == {"b"}
 
 
-def test_an_instance_that_drains_gets_nothing_more(whole: Whole) -> None:
-    whole.request("g1", attempt="before")
-    whole.servers["a"].state = "draining"
-    whole.sleep(2.0)
+def test_an_instance_that_drains_gets_nothing_more(deployment: VirtualDeployment) -> None:
+    deployment.request("g1", attempt="before")
+    deployment.servers["a"].state = "draining"
+    deployment.sleep(2.0)
     for number in range(6):
-        whole.request("g1", attempt=f"after{number}")
-    assert all(whole.arrivals(f"after{number}")[0].instance != "a" for number in range(6))
+        deployment.request("g1", attempt=f"after{number}")
+    assert all(deployment.arrivals(f"after{number}")[0].instance != "a" for number in range(6))
 
 
-def test_another_incarnation_at_the_address_runs_nothing(whole: Whole) -> None:
-    only(whole, "a")
-    whole.servers["a"].name = "reborn"
-    reply = whole.request("g1", attempt="reuse")
+def test_another_incarnation_at_the_address_runs_nothing(deployment: VirtualDeployment) -> None:
+    only(deployment, "a")
+    deployment.servers["a"].name = "reborn"
+    reply = deployment.request("g1", attempt="reuse")
     assert reply.status == 503
-    assert whole.arrivals("reuse")[0].headers["x-target-instance"] == "a"
+    assert deployment.arrivals("reuse")[0].headers["x-target-instance"] == "a"
 
 
-def test_an_instance_that_another_was_found_in_place_of_is_asked_once(whole: Whole) -> None:
+def test_an_instance_that_another_was_found_in_place_of_is_asked_once(deployment: VirtualDeployment) -> None:
     """After a region was lost its instances come back as others; the list still names the old ones."""
-    only(whole, "d1", "d2")
-    whole.servers["d1"].name = "reborn"
+    only(deployment, "d1", "d2")
+    deployment.servers["d1"].name = "reborn"
     for number in range(8):
-        assert whole.request("g1", "/d/x", attempt=f"r{number}").status == 200
-    asked = [arrival for number in range(8) for arrival in whole.arrivals(f"r{number}")]
+        assert deployment.request("g1", "/d/x", attempt=f"r{number}").status == 200
+    asked = [arrival for number in range(8) for arrival in deployment.arrivals(f"r{number}")]
     assert [arrival.instance for arrival in asked].count("reborn") <= 1
 
 
 def test_a_gateway_that_knows_no_configuration_promises_and_is_not_ready() -> None:
-    whole = Whole(gateways=1)
-    address = whole.world.machines["g1"].ip
-    reply = whole.request("g1")
+    deployment = VirtualDeployment(gateways=1)
+    address = deployment.world.machines["g1"].ip
+    reply = deployment.request("g1")
     assert reply.status == 503
     assert float(reply.headers["retry-after"]) > 0
-    assert whole.call((address, READY), "GET", "/api/readiness").status == 503
-    whole.served()
-    assert whole.call((address, READY), "GET", "/api/readiness").status == 200
-    whole.close()
+    assert deployment.call((address, READY), "GET", "/api/readiness").status == 503
+    deployment.served()
+    assert deployment.call((address, READY), "GET", "/api/readiness").status == 200
+    deployment.close()
 
 
-def test_a_head_over_the_limit_is_told_so_and_the_connection_ends(whole: Whole) -> None:
-    reply = whole.call((whole.world.machines["g1"].ip, FRONT), "POST", "/s/x", headers={"X-Big": "x" * 20000})
+def test_a_head_over_the_limit_is_told_so_and_the_connection_ends(deployment: VirtualDeployment) -> None:
+    reply = deployment.call(
+        (deployment.world.machines["g1"].ip, FRONT), "POST", "/s/x", headers={"X-Big": "x" * 20000}
+    )
     assert reply.status == 431
 
 
-def test_sigterm_serves_what_is_under_way_and_what_still_comes(whole: Whole) -> None:
-    for server in whole.servers.values():
+def test_sigterm_serves_what_is_under_way_and_what_still_comes(deployment: VirtualDeployment) -> None:
+    for server in deployment.servers.values():
         server.pause_s = 0.6
-    reply = whole.start_request("g1", attempt="under-way")
-    whole.sleep(0.3)
-    whole.process("g1").signal(15)
-    whole.sleep(0.2)
-    address = whole.world.machines["g1"].ip
-    assert whole.call((address, READY), "GET", "/api/readiness").status == 503
-    late = whole.start_request("g1", attempt="late")
-    whole.wait(lambda: bool(reply.error and late.error))
-    assert reply.whole
-    assert late.whole
+    reply = deployment.start_request("g1", attempt="under-way")
+    deployment.sleep(0.3)
+    deployment.process("g1").signal(15)
+    deployment.sleep(0.2)
+    address = deployment.world.machines["g1"].ip
+    assert deployment.call((address, READY), "GET", "/api/readiness").status == 503
+    late = deployment.start_request("g1", attempt="late")
+    deployment.wait(lambda: bool(reply.error and late.error))
+    assert reply.is_complete
+    assert late.is_complete
     assert late.headers["connection"] == "close"
-    whole.wait(lambda: whole.process("g1").dead, 9.0)
-    assert whole.process("g1").ended == 0
+    deployment.wait(lambda: deployment.process("g1").dead, 9.0)
+    assert deployment.process("g1").ended == 0
 
 
-def test_the_status_is_one_object(whole: Whole) -> None:
-    whole.request("g1")
-    address = whole.world.machines["g1"].ip
-    status = whole.call((address, READY), "GET", "/api/status").json()
+def test_the_status_is_one_object(deployment: VirtualDeployment) -> None:
+    deployment.request("g1")
+    address = deployment.world.machines["g1"].ip
+    status = deployment.call((address, READY), "GET", "/api/status").json()
     assert status["revision"] == 1
     assert status["counters"]["served"] == 1
     assert set(status["weights"]) == {"llm", "desk"}
 
 
-def test_bodies_of_all_clients_together_are_bounded(whole: Whole) -> None:
-    memory = whole.gateways["g1"].body_memory
-    whole.request("g1", attempt="fits", body=b"x" * 50_000)
+def test_bodies_of_all_clients_together_are_bounded(deployment: VirtualDeployment) -> None:
+    memory = deployment.gateways["g1"].body_memory
+    deployment.request("g1", attempt="fits", body=b"x" * 50_000)
     assert memory.reserved_bytes == 0
     memory._limit_bytes = 60_000
-    for server in whole.servers.values():
+    for server in deployment.servers.values():
         server.pause_s = 0.3
-    first = whole.start_request("g1", attempt="first", body=b"x" * 50_000)
-    whole.sleep(0.2)
-    second = whole.request("g1", attempt="second", body=b"x" * 50_000)
+    first = deployment.start_request("g1", attempt="first", body=b"x" * 50_000)
+    deployment.sleep(0.2)
+    second = deployment.request("g1", attempt="second", body=b"x" * 50_000)
     assert second.status == 503
     assert float(second.headers["retry-after"]) > 0
-    assert whole.arrivals("second") == []
-    whole.wait(lambda: bool(first.error))
-    assert first.whole
-    whole.sleep(0.5)
+    assert deployment.arrivals("second") == []
+    deployment.wait(lambda: bool(first.error))
+    assert first.is_complete
+    deployment.sleep(0.5)
     assert memory.reserved_bytes == 0
-    assert whole.request("g1", attempt="third", body=b"x" * 50_000).status == 200
+    assert deployment.request("g1", attempt="third", body=b"x" * 50_000).status == 200
 
 
-def test_a_second_answer_without_an_id_on_a_kept_connection_is_not_taken(whole: Whole) -> None:
+def test_a_second_answer_without_an_id_on_a_kept_connection_is_not_taken(
+    deployment: VirtualDeployment,
+) -> None:
     """What may come late to the request before looks like the answer to the next one, and is dropped."""
-    only(whole, "d1")
-    assert whole.request("g1", "/d/x", attempt="first").status == 200
-    whole.servers["d1"].stray, whole.servers["d1"].stray_id = 1, ""
-    reply = whole.request("g1", "/d/x", attempt="second")
+    only(deployment, "d1")
+    assert deployment.request("g1", "/d/x", attempt="first").status == 200
+    deployment.servers["d1"].stray, deployment.servers["d1"].stray_id = 1, ""
+    reply = deployment.request("g1", "/d/x", attempt="second")
     assert (reply.status, reply.body) == (200, b"d1 ran second")
-    assert len(whole.arrivals("second")) == 1
+    assert len(deployment.arrivals("second")) == 1
 
 
-def test_an_answer_without_an_id_is_believed_on_a_new_connection_only(whole: Whole) -> None:
-    only(whole, "d1")
-    whole.servers["d1"].echoes = False
-    assert whole.request("g1", "/d/x", attempt="first").body == b"d1 ran first"
-    reply = whole.request("g1", "/d/x", attempt="second")
+def test_an_answer_without_an_id_is_believed_on_a_new_connection_only(deployment: VirtualDeployment) -> None:
+    only(deployment, "d1")
+    deployment.servers["d1"].echoes = False
+    assert deployment.request("g1", "/d/x", attempt="first").body == b"d1 ran first"
+    reply = deployment.request("g1", "/d/x", attempt="second")
     assert reply.status in (502, 504)
-    assert len(whole.arrivals("second")) == 1
+    assert len(deployment.arrivals("second")) == 1
 
 
 @pytest.mark.parametrize("how", ["silent", "cut"])
-def test_what_may_run_once_is_sent_once_after_no_response_or_a_reset(whole: Whole, how: str) -> None:
+def test_what_may_run_once_is_sent_once_after_no_response_or_a_reset(
+    deployment: VirtualDeployment, how: str
+) -> None:
     for name in ("d1", "d2"):
-        server = whole.servers[name]
+        server = deployment.servers[name]
         server.silent, server.cut_after = how == "silent", 0 if how == "cut" else None
-    reply = whole.request("g1", "/d/x", attempt="once", headers={"X-Deadline-Remaining": "1500"})
+    reply = deployment.request("g1", "/d/x", attempt="once", headers={"X-Deadline-Remaining": "1500"})
     assert reply.status in (502, 504)
-    whole.sleep(2.0)
-    assert len(whole.arrivals("once")) == 1
+    deployment.sleep(2.0)
+    assert len(deployment.arrivals("once")) == 1
--- a/tests/system/test_long_poll_messages.py
+++ b/tests/system/test_long_poll_messages.py
@@ -13,7 +13,7 @@
 from brambleusher.wire import lines
 from brambleusher.wire.errors import InvalidMessageError
 from tests.system.dataplane_builders import entry
-from tests.system.whole import Whole, configuration
+from tests.system.virtual_deployment import VirtualDeployment, configuration
 
 GATEWAY = Peer("g1", "gateway", "10.0.0.1:80", "n1", "north", PeerState.READY, 7)
 ME = (
@@ -110,10 +110,10 @@
 
 
 def test_a_list_that_can_not_be_read_delays_no_configuration() -> None:
-    whole = Whole(gateways=1)
-    server = whole.add_server("a")
+    deployment = VirtualDeployment(gateways=1)
+    server = deployment.add_server("a")
     server.entry = lambda: {"id": "a"}  # type: ignore[method-assign]
-    assert whole.put("c1", 0, configuration(1)).status == 200
-    gateway = whole.gateways["g1"]
-    whole.wait(lambda: gateway.routes is not None and gateway.routes.revision == 1)
-    whole.close()
+    assert deployment.put("c1", 0, configuration(1)).status == 200
+    gateway = deployment.gateways["g1"]
+    deployment.wait(lambda: gateway.routes is not None and gateway.routes.revision == 1)
+    deployment.close()
--- a/tests/system/test_observer.py
+++ b/tests/system/test_observer.py
@@ -12,77 +12,81 @@
 from brambleusher.membership.controllers import Controllers, Locality, controllers_from_json
 from brambleusher.wire.errors import InvalidMessageError
 from tests.system.test_configuration_patch import patch, patch_body
-from tests.system.whole import DIRECTORY, Whole, configuration, route
+from tests.system.virtual_deployment import DIRECTORY, VirtualDeployment, configuration, route
 
 
 @pytest.fixture
-def whole() -> Iterator[Whole]:
-    whole = Whole(gateways=3, observers=3)
-    whole.add_server("a")
-    whole.served()
-    whole.sleep(3.0)
-    yield whole
-    whole.close()
+def deployment() -> Iterator[VirtualDeployment]:
+    deployment = VirtualDeployment(gateways=3, observers=3)
+    deployment.add_server("a")
+    deployment.served()
+    deployment.sleep(3.0)
+    yield deployment
+    deployment.close()
 
 
-def test_change_requests_and_reads_are_relayed(whole: Whole) -> None:
+def test_change_requests_and_reads_are_relayed(deployment: VirtualDeployment) -> None:
     second = configuration(2, route("/n/"))
-    assert whole.put("o1", 1, second).status == 200
-    assert whole.put("o2", 1, second).status == 200
-    assert whole.control("o3", "GET", "/api/config").body == second
-    assert whole.put("o1", 1, configuration(3)).status == 412
-    assert whole.put("o1", 2, configuration(2)).status == 400
-    assert whole.put("o1", 2, b"{").status == 400
-    assert patch(whole, "o2", 2, patch_body(3, {"routes": [route("/d/")]})).status == 200
-    assert whole.control("o1", "POST", "/api/evacuations/n1").status == 200
-    whole.sleep(1.0)
-    assert whole.gateways["g1"].instances.evacuated_zones == {"n1"}
-    assert whole.control("o2", "DELETE", "/api/evacuations/n1").status == 200
-    assert whole.control("o2", "GET", "/api/status").json()["role"] == "observer"
-
-
-def test_the_registry_answers_as_a_controller_does(whole: Whole) -> None:
+    assert deployment.put("o1", 1, second).status == 200
+    assert deployment.put("o2", 1, second).status == 200
+    assert deployment.control("o3", "GET", "/api/config").body == second
+    assert deployment.put("o1", 1, configuration(3)).status == 412
+    assert deployment.put("o1", 2, configuration(2)).status == 400
+    assert deployment.put("o1", 2, b"{").status == 400
+    assert patch(deployment, "o2", 2, patch_body(3, {"routes": [route("/d/")]})).status == 200
+    assert deployment.control("o1", "POST", "/api/evacuations/n1").status == 200
+    deployment.sleep(1.0)
+    assert deployment.gateways["g1"].instances.evacuated_zones == {"n1"}
+    assert deployment.control("o2", "DELETE", "/api/evacuations/n1").status == 200
+    assert deployment.control("o2", "GET", "/api/status").json()["role"] == "observer"
+
+
+def test_the_registry_answers_as_a_controller_does(deployment: VirtualDeployment) -> None:
     ask = "/api/resolution?name=h&region=south&zone=s1"
     for name in ("o1", "c1"):
-        reply = whole.call((whole.world.machines[name].ip, DIRECTORY), "GET", ask)
+        reply = deployment.call((deployment.world.machines[name].ip, DIRECTORY), "GET", ask)
         assert reply.status == 200
         assert reply.json()["ttl_s"] > 0
     ask = "/api/resolution?name=h&region=north&zone=n1"
-    near = whole.call((whole.world.machines["o1"].ip, DIRECTORY), "GET", ask)
+    near = deployment.call((deployment.world.machines["o1"].ip, DIRECTORY), "GET", ask)
     assert set(near.json()["addresses"]) == {"10.2.0.1:8161", "10.2.0.2:8161"}
 
 
-def test_without_a_majority_an_observer_acknowledges_and_reads_nothing(whole: Whole) -> None:
+def test_without_a_majority_an_observer_acknowledges_and_reads_nothing(deployment: VirtualDeployment) -> None:
     for name in ("c1", "c2"):
-        whole.power_off(name)
-    assert whole.put("o1", 1, configuration(2)).status == 503
-    assert whole.control("o1", "GET", "/api/config").status == 503
-    assert whole.control("o1", "POST", "/api/evacuations/n1").status == 503
+        deployment.power_off(name)
+    assert deployment.put("o1", 1, configuration(2)).status == 503
+    assert deployment.control("o1", "GET", "/api/config").status == 503
+    assert deployment.control("o1", "POST", "/api/evacuations/n1").status == 503
 
 
-def test_an_observer_fails_over_from_a_lost_controller(whole: Whole) -> None:
+def test_an_observer_fails_over_from_a_lost_controller(deployment: VirtualDeployment) -> None:
     for name in ("c1", "c2", "c3"):
-        whole.power_off(name)
-        whole.wait(lambda: whole.control("o1", "GET", "/api/config").status == 200)
-        whole.power_on(name)
-        whole.sleep(4.0)
-
-
-def test_the_registry_caches_its_last_answer_for_a_while(whole: Whole) -> None:
-    ask = ((whole.world.machines["o1"].ip, DIRECTORY), "GET", "/api/resolution?name=h&region=north&zone=n1")
-    assert whole.call(*ask).status == 200
+        deployment.power_off(name)
+        deployment.wait(lambda: deployment.control("o1", "GET", "/api/config").status == 200)
+        deployment.power_on(name)
+        deployment.sleep(4.0)
+
+
+def test_the_registry_caches_its_last_answer_for_a_while(deployment: VirtualDeployment) -> None:
+    ask = (
+        (deployment.world.machines["o1"].ip, DIRECTORY),
+        "GET",
+        "/api/resolution?name=h&region=north&zone=n1",
+    )
+    assert deployment.call(*ask).status == 200
     for name in ("c1", "c2", "c3"):
-        whole.power_off(name)
-    whole.sleep(1.0)
-    assert whole.call(*ask).status == 200
-    whole.sleep(6.0)
-    assert whole.call(*ask).status == 503
+        deployment.power_off(name)
+    deployment.sleep(1.0)
+    assert deployment.call(*ask).status == 200
+    deployment.sleep(6.0)
+    assert deployment.call(*ask).status == 503
 
 
-def test_an_idle_observer_only_refreshes_controllers(whole: Whole) -> None:
+def test_an_idle_observer_only_refreshes_controllers(deployment: VirtualDeployment) -> None:
     """It asks who the controllers are, every two seconds, and does nothing else."""
     calls: list[str] = []
-    for controller in whole.controllers.values():
+    for controller in deployment.controllers.values():
         handle = controller._relay.handle
 
         def counted(message: Any, handle: Any = handle) -> dict[str, Any]:
@@ -90,48 +94,48 @@
             return handle(message)  # type: ignore[no-any-return]
 
         controller._relay.handle = counted  # type: ignore[method-assign]
-    whole.sleep(20.0)
+    deployment.sleep(20.0)
     assert set(calls) == {"controllers"}
     assert 3 * 8 <= len(calls) <= 3 * 13
 
 
 def test_gateways_and_new_controllers_find_the_others_through_observers() -> None:
     """All seeds are observers by now: whoever starts learns from them who is there."""
-    whole = Whole(gateways=2, observers=3)
-    whole.add_server("a")
-    whole.served()
-    whole.sleep(3.0)
-    whole.seeds = [f"10.4.0.{at}:8166" for at in (1, 2, 3)]
-    whole.add_gateway("g9", "10.2.0.9", "n1")
-    whole.wait(lambda: "g9" in whole.gateways and whole.gateways["g9"].is_ready, seconds=8.0)
-    whole.add_core("c9", "10.1.0.9")
-    whole.wait(lambda: "c9" in whole.controllers, seconds=5.0)
-    replica = whole.controllers["c9"].replica
-    whole.wait(lambda: replica.state.revision == 1, seconds=8.0)
-    whole.close()
+    deployment = VirtualDeployment(gateways=2, observers=3)
+    deployment.add_server("a")
+    deployment.served()
+    deployment.sleep(3.0)
+    deployment.seeds = [f"10.4.0.{at}:8166" for at in (1, 2, 3)]
+    deployment.add_gateway("g9", "10.2.0.9", "n1")
+    deployment.wait(lambda: "g9" in deployment.gateways and deployment.gateways["g9"].is_ready, seconds=8.0)
+    deployment.add_core("c9", "10.1.0.9")
+    deployment.wait(lambda: "c9" in deployment.controllers, seconds=5.0)
+    replica = deployment.controllers["c9"].replica
+    deployment.wait(lambda: replica.state.revision == 1, seconds=8.0)
+    deployment.close()
 
 
 def test_the_system_recovers_from_a_power_loss_of_all_while_the_seeds_are_observers() -> None:
     """The settings name observers alone by then: nobody but the controllers knows a controller."""
-    whole = Whole(gateways=3, observers=3)
-    whole.add_server("a")
-    whole.served()
-    whole.sleep(3.0)
-    whole.seeds = [f"10.4.0.{at}:8166" for at in (1, 2, 3)]
-    names = [*whole.controllers, *whole.gateways, *whole.observers]
+    deployment = VirtualDeployment(gateways=3, observers=3)
+    deployment.add_server("a")
+    deployment.served()
+    deployment.sleep(3.0)
+    deployment.seeds = [f"10.4.0.{at}:8166" for at in (1, 2, 3)]
+    names = [*deployment.controllers, *deployment.gateways, *deployment.observers]
     for name in names:
-        whole.power_off(name)
+        deployment.power_off(name)
     for name in names:
-        whole.power_on(name)
-    back = whole.now
-    whole.wait(lambda: all(gateway.is_ready for gateway in whole.gateways.values()), seconds=6.0)
-    whole.wait(lambda: whole.control("o1", "GET", "/api/config").status == 200, seconds=2.0)
-    assert whole.now - back < 6.0
-    whole.close()
+        deployment.power_on(name)
+    back = deployment.now
+    deployment.wait(lambda: all(gateway.is_ready for gateway in deployment.gateways.values()), seconds=6.0)
+    deployment.wait(lambda: deployment.control("o1", "GET", "/api/config").status == 200, seconds=2.0)
+    assert deployment.now - back < 6.0
+    deployment.close()
 
 
-def test_a_forwarded_message_is_not_forwarded_again(whole: Whole) -> None:
-    observer = whole.observers["o1"]
+def test_a_forwarded_message_is_not_forwarded_again(deployment: VirtualDeployment) -> None:
+    observer = deployment.observers["o1"]
     sent: list[str] = []
     observer._senders.send = lambda address, message: sent.append(address)  # type: ignore[method-assign]
     assert observer.handle_message({"kind": "join", "from": "x", "passed": True}) is None
@@ -160,8 +164,8 @@
             controllers_from_json(data)
 
 
-def test_a_malformed_relayed_request_is_rejected(whole: Whole) -> None:
-    controller = whole.controllers["c1"]
+def test_a_malformed_relayed_request_is_rejected(deployment: VirtualDeployment) -> None:
+    controller = deployment.controllers["c1"]
     server = RelayServer(controller.scheduler, controller.replica, lambda zone, region: [], list)
     for message in ({}, {"what": "else"}, {"what": "submit"}, {"what": "submit", "command": {"op": "put"}}):
         with pytest.raises(InvalidMessageError):
--- a/tests/system/test_packing.py
+++ b/tests/system/test_packing.py
@@ -7,7 +7,7 @@
 from brambleusher.wire import packing
 from brambleusher.wire.errors import InvalidMessageError
 from brambleusher.wire.packing import pack, unpack
-from tests.system.whole import configuration, route
+from tests.system.virtual_deployment import configuration, route
 
 
 def test_packed_bytes_are_unpacked() -> None:
--- a/tests/system/test_system_tools.py
+++ b/tests/system/test_system_tools.py
@@ -10,7 +10,7 @@
 from brambleusher.controlplane.consensus.outputs import HardState
 from brambleusher.controlplane.storage.storage import Storage
 from brambleusher.runtime.disk import FolderDisk
-from tests.system.whole import SETTINGS, configuration, route
+from tests.system.virtual_deployment import SETTINGS, configuration, route
 
 ROOT = Path(__file__).resolve().parents[2]
 
--- a/tests/system/whole.py
+++ b/tests/system/virtual_deployment.py
@@ -103,7 +103,7 @@
 class Server:
     """A stand-in for an instance: streams events, or answers with a body; told how to fail."""
 
-    def __init__(self, system: Whole, name: str, service: str, zone: str, ip: str) -> None:
+    def __init__(self, system: VirtualDeployment, name: str, service: str, zone: str, ip: str) -> None:
         self.system, self.name, self.service, self.zone, self.ip = system, name, service, zone, ip
         self.state, self.listed, self.warmup_ms = "ready", True, 0
         self.events = 5
@@ -258,7 +258,7 @@
     status: int = 0
     headers: dict[str, str] = field(default_factory=dict)
     body: bytes = b""
-    whole: bool = False
+    is_complete: bool = False
     error: str = ""
     seconds: float = 0.0
 
@@ -266,7 +266,7 @@
         return json.loads(self.body)
 
 
-class Whole:
+class VirtualDeployment:
     """Machines, processes, the platform's list, and calls from outside."""
 
     def __init__(
@@ -507,7 +507,7 @@
                 elif isinstance(event, h11.Data):
                     reply.body += bytes(event.data)
                 elif isinstance(event, h11.EndOfMessage):
-                    reply.whole = True
+                    reply.is_complete = True
                     return
                 else:
                     return
@@ -552,7 +552,7 @@
         seen = [arrival for server in self.servers.values() for arrival in server.arrivals]
         return sorted((each for each in seen if each.attempt == attempt), key=lambda each: each.at)
 
-    def served(self, body: bytes | None = None) -> Whole:
+    def served(self, body: bytes | None = None) -> VirtualDeployment:
         """With a configuration in force at all gateways."""
         reply = self.put("c1", 0, body or configuration(1))
         assert reply.status == 200, reply
@@ -560,4 +560,4 @@
         return self
 
 
-__all__ = ["Arrival", "Machine", "Reply", "Server", "Whole", "configuration", "route"]
+__all__ = ["Arrival", "Machine", "Reply", "Server", "VirtualDeployment", "configuration", "route"]
--- a/tests/test_recorded_data_folder.py
+++ b/tests/test_recorded_data_folder.py
@@ -16,7 +16,7 @@
 from brambleusher.controlplane.storage.storage import Storage, inspect
 from brambleusher.wire.consensus_messages import Entry, Member
 from tests.system.memory_disk import MemoryDisk
-from tests.system.whole import Whole
+from tests.system.virtual_deployment import VirtualDeployment
 
 FOLDERS = Path(__file__).parent / "recorded" / "controller"
 NAMES = ["all-records", "restored", "running", "snapshot", "torn-end"]
@@ -153,20 +153,20 @@
 
 
 def test_a_torn_end_is_cut_and_the_log_goes_on_after_it() -> None:
-    whole, torn = files_of("all-records"), files_of("torn-end")
+    deployment, torn = files_of("all-records"), files_of("torn-end")
     disk = disk_of(torn)
     storage = Storage(disk)
     storage.recover()
     (segment,) = torn
-    last = whole[segment].splitlines(keepends=True)[-1]
-    assert disk.read(segment) == whole[segment].removesuffix(last)
+    last = deployment[segment].splitlines(keepends=True)[-1]
+    assert disk.read(segment) == deployment[segment].removesuffix(last)
     storage.write([record_of(parsed(last))])
-    assert contents(disk) == whole
+    assert contents(disk) == deployment
 
 
 def test_controllers_start_from_the_recorded_folder() -> None:
     """The group that wrote it had three members; two that hold its folder are a majority."""
-    system = Whole(seed=11, cores=3, gateways=0)
+    system = VirtualDeployment(seed=11, cores=3, gateways=0)
     try:
         for name in ("c1", "c2", "c3"):
             system.power_off(name)
