--- a/brambleusher/features/rewrites.py
+++ b/brambleusher/features/rewrites.py
@@ -67,7 +67,7 @@
     def inward(self, request: Message, path: str, request_class: str, client: str) -> Message:
         """The request as the endpoint is to get it."""
         fields = self._apply("in", end_to_end(request), path, request_class)
-        return replace(request, passed=forward(fields, client))
+        return replace(request, forwarded_fields=forward(fields, client))
 
     def outward(self, fields: list[HeaderField], path: str, request_class: str) -> list[HeaderField]:
         """The fields of an answer as the client is to get them."""
--- a/brambleusher/lab/faults/breakages.py
+++ b/brambleusher/lab/faults/breakages.py
@@ -377,7 +377,7 @@
 @breakage("both-framings", "a request with a length and a coding is read by its coding", "unasked", "framing")
 def _both_framings(patches: Patches) -> None:
     def framing(self: MessageReader, message: Message) -> int:
-        if not self._answers and "transfer-encoding" in message.headers:
+        if not self._is_for_responses and "transfer-encoding" in message.headers:
             message.headers.pop("content-length", None)
         return old(self, message)  # type: ignore[no-any-return]
 
--- a/brambleusher/lab/stand_ins/node.py
+++ b/brambleusher/lab/stand_ins/node.py
@@ -288,7 +288,7 @@
         scheduler, stream = self.scheduler, connection.stream
         deadline = scheduler.now() + idle_s
         while (request := reader.take()) is None:
-            if not reader.begun and (unread or self.troubles.all(Resets)):
+            if not reader.has_begun and (unread or self.troubles.all(Resets)):
                 scheduler.park(deadline, stream.sock)
                 if unread and not stream.quiet():
                     return None  # closing with bytes unread is a reset
@@ -303,7 +303,7 @@
             if not data:
                 return None
             reader.feed(data)
-            if reader.begun:
+            if reader.has_begun:
                 deadline = scheduler.now() + READ_SECONDS
         return request
 
--- a/brambleusher/net/client_connection_server.py
+++ b/brambleusher/net/client_connection_server.py
@@ -12,7 +12,7 @@
 from brambleusher.net.client_request_reader import ClientRequestReader
 from brambleusher.net.client_response import ClientResponse, ClientResponseWriter
 from brambleusher.net.http import MAX_STREAMED_BODY_BYTES, HttpError, Message, MessageReader
-from brambleusher.net.streamed_bodies import RequestBodyStream
+from brambleusher.net.streamed_bodies import request_body_stream
 from brambleusher.observability.counters import Counters
 from brambleusher.observability.log_format import SparseLog
 from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
@@ -45,7 +45,7 @@
 
     def serve(self, connection: ClientConnection) -> None:
         """Serve request after request, until one side closes; the task of a connection."""
-        reader = MessageReader.requests(passing=True)
+        reader = MessageReader.requests(streaming=True)
         try:
             while self._exchange(connection, reader):
                 connection.was_served = True
@@ -85,7 +85,7 @@
             return self._handler.handle(connection, reader, message)
         except HttpError as error:
             self._count_bad_request(connection, error)
-            is_body_streamed = isinstance(message.rest, RequestBodyStream)
+            is_body_streamed = request_body_stream(message) is not None
             if not message.keep_alive or error.status != HTTPStatus.NOT_FOUND or is_body_streamed:
                 self._writer.write_error(connection.stream, error)
                 return None
@@ -102,13 +102,13 @@
     ) -> bool:
         """Send a response; returns whether the connection stays open."""
         stream = connection.stream
-        body_stream = message.rest if isinstance(message.rest, RequestBodyStream) else None
+        body_stream = request_body_stream(message)
         keep_alive = message.keep_alive and not response.must_close
-        keep_alive = keep_alive and (body_stream is None or body_stream.done)
+        keep_alive = keep_alive and (body_stream is None or body_stream.is_complete)
         keep_alive = keep_alive and self._may_keep(connection, reader)
         try:
             keep_alive = self._writer.write(stream, response, keep_alive, message.minor)
-            if body_stream is not None and not body_stream.done:
+            if body_stream is not None and not body_stream.is_complete:
                 # A close with bytes of the body unread would send a reset, which overtakes the response.
                 stream.finish(BODY_LINGER_S, MAX_STREAMED_BODY_BYTES)
         except (OSError, TaskTimeoutError):
--- a/brambleusher/net/client_presence.py
+++ b/brambleusher/net/client_presence.py
@@ -28,7 +28,7 @@
         self.dropped = 0  # bytes that came and were not kept
 
     def socket(self) -> Socket | None:
-        """What to watch for the client's leaving; None once it has sent ahead more than is looked at."""
+        """Return what to watch for the client's leaving; None once it has sent ahead more than is read."""
         return self._stream.sock if self.dropped < DROPPED_BYTES else None
 
     def look(self) -> bool:
--- a/brambleusher/net/client_request_handler.py
+++ b/brambleusher/net/client_request_handler.py
@@ -21,7 +21,7 @@
 from brambleusher.net.header_forwarding import HeaderRewriter
 from brambleusher.net.http import HttpError, Message, MessageReader
 from brambleusher.net.request_lifecycle import ClientHandle, FinalResponse, RequestLifecycle
-from brambleusher.net.streamed_bodies import RequestBodyStream, ResponseBodyStream
+from brambleusher.net.streamed_bodies import RequestBodyStream, request_body_stream, response_body_stream
 from brambleusher.observability.counters import Counters
 from brambleusher.observability.request_counts import RequestCounts
 from brambleusher.runtime.scheduler import Scheduler
@@ -50,7 +50,7 @@
     @property
     def is_body_complete(self) -> bool:
         """Whether the last byte of the request has come."""
-        return self.body_stream is None or self.body_stream.done
+        return self.body_stream is None or self.body_stream.is_complete
 
     def watched_socket(self) -> Socket | None:
         """What to watch for the client's leaving; a streamed body is read by its attempt."""
@@ -58,8 +58,8 @@
 
     def has_client_left(self) -> bool:
         """Whether the client has closed its connection."""
-        if self.body_stream is not None and not self.body_stream.done:
-            return self.body_stream.left
+        if self.body_stream is not None and not self.body_stream.is_complete:
+            return self.body_stream.has_client_left
         return self.presence.look()
 
 
@@ -128,7 +128,7 @@
     def _begin(
         self, connection: ClientConnection, reader: MessageReader, message: Message, path: str
     ) -> _Exchange:
-        body_stream = message.rest if isinstance(message.rest, RequestBodyStream) else None
+        body_stream = request_body_stream(message)
         arrived_ns = now_ns = self._clock.now_ns()
         request = self._parser.parse(message, path)
         unseen_s = 0.0 if body_stream is not None else self._unseen_s(connection)
@@ -156,14 +156,14 @@
     def _start_time_with_last_byte(self, body_stream: RequestBodyStream, time_left_ns: int) -> None:
         """A streamed request's time begins, and it counts as accepted, when its last byte has come."""
         time_left_s = time_left_ns / 1e9
-        body_stream.wait_ms = int(time_left_s * 1000)
+        body_stream.client_timeout_ms = int(time_left_s * 1000)
 
         def on_complete() -> None:
             body_stream.due = self._scheduler.now() + time_left_s
             self._request_counts.in_flight += 1
 
-        body_stream.whole = on_complete
-        if body_stream.done:
+        body_stream.on_complete = on_complete
+        if body_stream.is_complete:
             on_complete()
 
     def _respond(self, exchange: _Exchange) -> ClientResponse | None:
@@ -171,7 +171,7 @@
         request, body_stream = exchange.request, exchange.body_stream
         client = ClientHandle(exchange.watched_socket, exchange.has_client_left)
         final = self._lifecycle.run(request, exchange.deadline, client)
-        if body_stream is not None and body_stream.left:
+        if body_stream is not None and body_stream.has_client_left:
             final = None
         kind = None if final is None else final.kind.value
         took_ns = self._clock.now_ns() - exchange.arrived_ns
@@ -192,6 +192,6 @@
         response = ClientResponse(status, headers, body, request_class, COUNTED_AS[final.kind])
         response.is_request_complete = exchange.is_body_complete
         response.must_close = exchange.presence.dropped > 0
-        if isinstance(final.payload, Message) and isinstance(final.payload.rest, ResponseBodyStream):
-            response.body_stream = final.payload.rest
+        if isinstance(final.payload, Message):
+            response.body_stream = response_body_stream(final.payload)
         return response
--- a/brambleusher/net/client_request_reader.py
+++ b/brambleusher/net/client_request_reader.py
@@ -5,7 +5,7 @@
 from brambleusher.net.client_connection import ClientConnection
 from brambleusher.net.client_connections import ClientConnections
 from brambleusher.net.http import HttpError, Message, MessageReader
-from brambleusher.net.streamed_bodies import LEAST_RATE, RequestBodyStream
+from brambleusher.net.streamed_bodies import MIN_BYTES_PER_S, RequestBodyStream
 from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
 
 REQUEST_TIMEOUT_S = 2.4  # from the first byte of a later request to its last
@@ -58,14 +58,14 @@
     def run(self) -> Message | None:
         reader = self._reader
         while (request := reader.take()) is None:
-            if reader.begun and not self._has_begun:
+            if reader.has_begun and not self._has_begun:
                 self._begin()
-            if self._has_begun and reader.large:
+            if self._has_begun and reader.is_large:
                 return self._streamed_request()
             if reader.expects_continue and not self._has_sent_continue:
                 self._has_sent_continue = True
                 self._stream.send(CONTINUE, self._deadline)
-            if self._connections.is_draining and not reader.begun and self._stream.quiet():
+            if self._connections.is_draining and not reader.has_begun and self._stream.quiet():
                 return None
             if not self._receive():
                 return None
@@ -84,11 +84,11 @@
         """Wait for the next bytes; false once the request will not come any more."""
         reader, deadline = self._reader, self._deadline
         if self._has_begun:
-            deadline += reader.size_so_far / LEAST_RATE
+            deadline += reader.size_so_far / MIN_BYTES_PER_S
         try:
             data = self._stream.receive(deadline)
         except TaskTimeoutError:
-            if reader.begun:
+            if reader.has_begun:
                 raise HttpError(408, "the request did not come whole in time") from None
             return not self._stream.quiet()  # it may have come in the moment in which the wait ended
         if not data:
@@ -97,7 +97,7 @@
         return True
 
     def _streamed_request(self) -> Message:
-        """A request whose body is too large to be buffered; raises `HttpError` where its method has none."""
+        """Begin to stream a body too large to be buffered; raises `HttpError` where its method has none."""
         request, now = self._reader.head(), self._scheduler.now()
         assert request is not None
         if request.start[0] != "POST":  # what is safe to repeat has no body
@@ -105,5 +105,5 @@
         if self._reader.expects_continue and not self._reader.size_so_far:
             self._stream.send(CONTINUE, now + CONTINUE_TIMEOUT_S)
         started_at = now if self._started_at is None else self._started_at
-        request.rest = RequestBodyStream(self._stream, self._reader, started_at, REQUEST_TIMEOUT_S)
+        request.body_stream = RequestBodyStream(self._stream, self._reader, started_at, REQUEST_TIMEOUT_S)
         return request
--- a/brambleusher/net/client_response.py
+++ b/brambleusher/net/client_response.py
@@ -157,6 +157,6 @@
 
     def _next_piece(self) -> bytes:
         try:
-            return self._body.piece()
+            return self._body.next_piece()
         except (HttpError, OSError, TaskTimeoutError) as error:
             raise ResponseTruncatedError(f"{type(error).__name__}: {error}") from None
--- a/brambleusher/net/endpoint_watch.py
+++ b/brambleusher/net/endpoint_watch.py
@@ -6,7 +6,7 @@
 
 from brambleusher.net.http import MessageReader, write_request
 from brambleusher.net.json_text_assembler import TextAssembler
-from brambleusher.net.streamed_bodies import LEAST_RATE
+from brambleusher.net.streamed_bodies import MIN_BYTES_PER_S
 from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
 
@@ -71,7 +71,7 @@
             patience = TEXT_SECONDS if texts.incomplete else SILENT_SECONDS
             # Guards against a watch that trickles: a long line has as much longer as its bytes take.
             try:
-                data = stream.receive(heard_at + patience + len(pending) / LEAST_RATE)
+                data = stream.receive(heard_at + patience + len(pending) / MIN_BYTES_PER_S)
             except TaskTimeoutError:
                 if not texts.incomplete:
                     raise
--- /dev/null
+++ b/brambleusher/net/http/__init__.py
@@ -0,0 +1,45 @@
+"""HTTP/1.1 messages: a parser that is fed bytes and holds no socket, and the writers beside it.
+
+Limits are strict, and what could be read in two ways is an error: a message framed wrongly would
+hand the rest of its bytes to the next one on the connection.
+"""
+
+from brambleusher.net.http.chunked import ChunkedDecoder, chunk
+from brambleusher.net.http.heads import is_token, is_value, parse_request_head, parse_response_head
+from brambleusher.net.http.message import (
+    HOP_BY_HOP,
+    MAX_BUFFERED_BODY_BYTES,
+    MAX_BUFFERED_RESPONSE_BYTES,
+    MAX_CHUNK_LINE_BYTES,
+    MAX_HEAD_BYTES,
+    MAX_HEADERS,
+    MAX_STREAMED_BODY_BYTES,
+    HeaderField,
+    HttpError,
+    Message,
+)
+from brambleusher.net.http.reader import MessageReader
+from brambleusher.net.http.writer import Framing, write_request, write_response
+
+__all__ = [
+    "HOP_BY_HOP",
+    "MAX_BUFFERED_BODY_BYTES",
+    "MAX_BUFFERED_RESPONSE_BYTES",
+    "MAX_CHUNK_LINE_BYTES",
+    "MAX_HEADERS",
+    "MAX_HEAD_BYTES",
+    "MAX_STREAMED_BODY_BYTES",
+    "ChunkedDecoder",
+    "Framing",
+    "HeaderField",
+    "HttpError",
+    "Message",
+    "MessageReader",
+    "chunk",
+    "is_token",
+    "is_value",
+    "parse_request_head",
+    "parse_response_head",
+    "write_request",
+    "write_response",
+]
--- /dev/null
+++ b/brambleusher/net/http/reader.py
@@ -0,0 +1,235 @@
+"""Splits a stream of bytes into messages."""
+
+from __future__ import annotations
+
+import re
+from collections.abc import Callable
+from http import HTTPStatus
+
+from brambleusher.net.http.chunked import ChunkedDecoder
+from brambleusher.net.http.heads import parse_request_head, parse_response_head
+from brambleusher.net.http.message import (
+    MAX_BUFFERED_BODY_BYTES,
+    MAX_BUFFERED_RESPONSE_BYTES,
+    MAX_HEAD_BYTES,
+    MAX_STREAMED_BODY_BYTES,
+    HttpError,
+    Message,
+)
+
+_LENGTH = re.compile(r"[0-9]{1,12}\Z")
+_HEAD_END = b"\r\n\r\n"
+_CARRIAGE_RETURN = 0x0D
+# In place of a body's length.
+_CHUNKED, _UNTIL_CLOSE = -1, -2
+_BODILESS = frozenset({HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED})
+
+
+class MessageReader:
+    """Splits a stream of bytes into messages."""
+
+    def __init__(
+        self, parse: Callable[[list[str]], Message], is_for_responses: bool, is_streaming: bool
+    ) -> None:
+        self._parse, self._is_for_responses, self._is_streaming = parse, is_for_responses, is_streaming
+        self._max_body_bytes = MAX_BUFFERED_RESPONSE_BYTES if is_for_responses else MAX_BUFFERED_BODY_BYTES
+        if is_streaming:
+            self._max_body_bytes = MAX_STREAMED_BODY_BYTES
+        self._drained_bytes = 0  # of a body that is streamed
+        self._buffer = bytearray()
+        self._message: Message | None = None
+        self._length = 0  # of the body, or `_CHUNKED` or `_UNTIL_CLOSE`
+        self._chunked = ChunkedDecoder()
+        self._searched_bytes = 0  # in which no end of a head was found
+
+    @classmethod
+    def requests(cls, streaming: bool = False) -> MessageReader:
+        """Make a reader of requests; with `streaming`, of those too whose bodies are not buffered."""
+        return cls(parse_request_head, False, streaming)
+
+    @classmethod
+    def responses(cls, streaming: bool = False) -> MessageReader:
+        """Make a reader of responses; with `streaming`, of those too whose bodies are not buffered."""
+        return cls(parse_response_head, True, streaming)
+
+    @property
+    def has_begun(self) -> bool:
+        """Whether part of a message has come."""
+        return self._message is not None or bool(self._buffer)
+
+    @property
+    def ends_with_connection(self) -> bool:
+        """Whether a head has come of a response that only the connection's end would end."""
+        return self._message is not None and self._length == _UNTIL_CLOSE
+
+    @property
+    def length(self) -> int | None:
+        """The length of the body as its head has it; None where it has none."""
+        return self._length if self._length >= 0 else None
+
+    @property
+    def is_large(self) -> bool:
+        """Whether a body is known to be larger than can be buffered; it is to be read by `drain`."""
+        message = self._message
+        if not self._is_streaming or message is None:
+            return False
+        came = len(self._buffer) if self._length == _UNTIL_CLOSE else len(message.body)
+        return self._drained_bytes > 0 or max(self._length, came) > MAX_BUFFERED_BODY_BYTES
+
+    @property
+    def buffered(self) -> int:
+        """How many bytes wait for the next message."""
+        return len(self._buffer)
+
+    @property
+    def size(self) -> int:
+        """How many bytes of a body are known to come or have come."""
+        body = len(self._message.body) if self._message is not None else 0
+        return max(self._length, body) if self._message is not None else 0
+
+    @property
+    def size_so_far(self) -> int:
+        """How many bytes of a body have come."""
+        message = self._message
+        return 0 if message is None else len(self._buffer) + len(message.body)
+
+    @property
+    def expects_continue(self) -> bool:
+        """Whether a request's head is complete and its sender waits for leave to send the body."""
+        message = self._message
+        return message is not None and message.headers.get("expect", "").lower() == "100-continue"
+
+    def feed(self, data: bytes) -> None:
+        """Take in what the connection brought."""
+        self._buffer += data
+
+    def head(self) -> Message | None:
+        """Take the next message's head, once it is complete; its body is read by `take`."""
+        if self._message is None:
+            self._message = self._read_head()
+            if self._message is not None:
+                self._length = self._framing(self._message)
+                self._chunked = ChunkedDecoder()
+        return self._message
+
+    def take(self) -> Message | None:
+        """Take the next message once all of it is here.
+
+        Raises:
+            HttpError: the message is malformed or too large.
+        """
+        message = self.head()
+        if message is None:
+            return None
+        if self._length == _CHUNKED:
+            is_complete = self._take_chunked(message)
+        elif self._length == _UNTIL_CLOSE:
+            self._check_size(len(self._buffer))
+            is_complete = False
+        else:
+            is_complete = self._take_sized(message)
+        if not is_complete:
+            return None
+        self._message = None
+        return message
+
+    def _take_chunked(self, message: Message) -> bool:
+        message.body += self._chunked.feed(bytes(self._buffer))
+        self._buffer.clear()
+        self._check_size(len(message.body))
+        if self.is_large or not self._chunked.done:
+            return False
+        self._buffer += self._chunked.rest
+        return True
+
+    def _take_sized(self, message: Message) -> bool:
+        is_here = len(self._buffer) >= self._length
+        if not is_here or self._length > MAX_BUFFERED_BODY_BYTES or self._drained_bytes:
+            return False
+        message.body = bytes(self._buffer[: self._length])
+        del self._buffer[: self._length]
+        return True
+
+    def drain(self) -> tuple[bytes, bool]:
+        """Take what has come of a body that is streamed; the body may be without end.
+
+        Returns:
+            The bytes, and whether that was the end of the body.
+
+        Raises:
+            HttpError: the body is malformed or too large.
+        """
+        data, message, is_done = bytes(self._buffer), self._message, False
+        self._buffer.clear()
+        buffered = b""
+        if message is not None and message.body:  # read by `take` before it was seen to be large
+            buffered, message.body = message.body, b""
+        if self._length == _CHUNKED:
+            data = buffered + self._chunked.feed(data)
+            if is_done := self._chunked.done:
+                self._buffer += self._chunked.rest
+        elif self._length >= 0:
+            data, rest = data[: self._length], data[self._length :]
+            self._length -= len(data)
+            self._buffer += rest
+            is_done = self._length == 0
+        self._drained_bytes += len(data)
+        if self._is_streaming:
+            self._check_size(self._drained_bytes)
+        if is_done:
+            self._message, self._drained_bytes = None, 0
+        return data, is_done
+
+    def end(self) -> Message | None:
+        """Take the message that ends with the connection, which has ended; None where none does."""
+        message = self._message
+        if message is None or self._length != _UNTIL_CLOSE:
+            return None
+        message.body, self._message = bytes(self._buffer), None
+        self._buffer.clear()
+        return message
+
+    def _check_size(self, size: int) -> None:
+        if size > self._max_body_bytes:
+            raise HttpError(413, "the body is too large")
+
+    def _read_head(self) -> Message | None:
+        buffer = self._buffer
+        while not self._is_for_responses and buffer[:2] == b"\r\n":  # empty lines before a request
+            del buffer[:2]
+        end = buffer.find(_HEAD_END, max(0, self._searched_bytes - len(_HEAD_END) + 1))
+        if end < 0 or end > MAX_HEAD_BYTES:
+            self._searched_bytes = len(buffer)
+            self._check_incomplete_head()
+            return None
+        text = buffer[:end].decode("latin-1")
+        del buffer[: end + len(_HEAD_END)]
+        self._searched_bytes = 0
+        return self._parse(text.split("\r\n"))
+
+    def _check_incomplete_head(self) -> None:
+        """Raise `HttpError` for a bad first line at once, not when its sender gives up."""
+        buffer = self._buffer
+        if len(buffer) > MAX_HEAD_BYTES:
+            raise HttpError(431, "the head is too large")
+        line_end = buffer.find(b"\n")
+        if line_end == 0 or (line_end > 0 and buffer[line_end - 1] != _CARRIAGE_RETURN):
+            raise HttpError(400, "a line ends without a carriage return")
+        if line_end > 0:
+            self._parse([buffer[: line_end - 1].decode("latin-1")])
+
+    def _framing(self, message: Message) -> int:
+        """How the end of a body is found: its length, `_CHUNKED` or `_UNTIL_CLOSE`."""
+        coding, length = message.headers.get("transfer-encoding"), message.headers.get("content-length")
+        if coding is not None:
+            if length is not None or coding.lower() != "chunked" or message.minor == 0:
+                raise HttpError(400, "the body's length is not clear")
+            return _CHUNKED
+        if self._is_for_responses and (message.status in _BODILESS or message.status < HTTPStatus.OK):
+            return 0
+        if length is None:
+            return _UNTIL_CLOSE if self._is_for_responses else 0
+        if not _LENGTH.match(length):
+            raise HttpError(400, "bad content length")
+        self._check_size(int(length))
+        return int(length)
--- a/brambleusher/net/streamed_bodies.py
+++ b/brambleusher/net/streamed_bodies.py
@@ -1,127 +1,128 @@
-"""Bodies too large to be held: they pass on in pieces, pulled by the task at the receiving end.
+"""Bodies too large to be buffered: they are streamed in pieces, pulled by the task at the receiving end.
 
-A piece is read from the giving side only when the last one is gone, so a body costs one piece of memory.
+A piece is read from the sending side only when the last one is gone, so a body costs one piece of memory.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-from brambleusher.net.http import HttpError, MessageReader
+from brambleusher.net.http import HttpError, Message, MessageReader
 from brambleusher.runtime.scheduler import Event, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
 
-PIECE = 32 * 1024  # bytes: one of them and what is made of it is what a body costs
-REST_SECONDS = 5.0  # without a byte of an answer that passes on
-LOOK_SECONDS = 0.2  # between two looks at the other end, while nothing comes
-LONGEST_SECONDS = 900.0  # that a body of the largest size may take
-LEAST_RATE = 48_000  # bytes a second that a request's body comes with, on the whole
+PIECE_BYTES = 32 * 1024  # one of them and what is made of it is what a body costs
+RESPONSE_PIECE_TIMEOUT_S = 5.0  # without a byte of a response that is streamed
+CHECK_INTERVAL_S = 0.2  # between two looks at the other end, while nothing comes
+MAX_BODY_DURATION_S = 900.0  # that a body of the largest size may take
+MIN_BYTES_PER_S = 48_000  # that a request's body comes with, on the whole
+
+
+class EarlyResponseError(Exception):
+    """The endpoint has said something, or left, before the request it was sent was complete."""
 
 
 class ResponseBodyStream:
-    """The rest of an answer whose first bytes have come; its claim waits until it is `over`."""
+    """The rest of a response whose first bytes have come; its attempt waits for `closed_event`."""
 
-    __slots__ = ("_reader", "_stream", "done", "length", "over")
+    __slots__ = ("_reader", "_stream", "closed_event", "is_complete", "length")
 
     def __init__(self, stream: Stream, reader: MessageReader) -> None:
         self._stream, self._reader = stream, reader
         self.length = reader.length  # of the whole body; None: it is not known
-        self.over = Event()
-        self.done = False  # to its last byte
+        self.closed_event = Event()
+        self.is_complete = False
 
-    def piece(self) -> bytes:
-        """The next bytes, empty at the end; raises `HttpError`, `OSError` or `TaskTimeoutError`."""
-        while not self.done:
-            data, self.done = self._reader.drain()
+    def next_piece(self) -> bytes:
+        """Take the next bytes, empty at the end.
+
+        Raises:
+            HttpError: the body is malformed or too large.
+            OSError: the connection was lost.
+            TaskTimeoutError: no byte came for too long.
+        """
+        while not self.is_complete:
+            data, self.is_complete = self._reader.drain()
             if data:
                 self._stream.scheduler.give_way()
                 return data
-            if self.done:
+            if self.is_complete:
                 break
-            data = self._stream.receive(self._stream.scheduler.now() + REST_SECONDS, size=PIECE) or b""
+            deadline = self._stream.scheduler.now() + RESPONSE_PIECE_TIMEOUT_S
+            data = self._stream.receive(deadline, size=PIECE_BYTES) or b""
             if not data:
                 if not self._reader.ends_with_connection:
                     raise ConnectionResetError("the connection ended before its answer")
-                self.done = True
+                self.is_complete = True
             self._reader.feed(data)
         return b""
 
     @property
-    def reusable(self) -> bool:
-        """Whether the connection can serve another claim."""
-        return self.done and not self._reader.ends_with_connection and not self._reader.buffered
+    def is_connection_reusable(self) -> bool:
+        """Whether the connection can serve another attempt."""
+        return self.is_complete and not self._reader.ends_with_connection and not self._reader.buffered
 
     def close(self) -> None:
-        """No more of it is wanted."""
-        self.over.set()
+        """Let its attempt end: no more of it is wanted."""
+        self.closed_event.set()
 
 
-class EarlyResponseError(Exception):
-    """The node has said something, or left, before the request it was sent was whole."""
+def _ignore_completion() -> None:
+    """Do nothing."""
 
 
 class RequestBodyStream:
-    """A request's body that passes on before it is whole.
-
-    What has come of it is held until more is read, so that a claim that never began to send can be made
-    again.  `whole` is told when its last byte was read.
+    """A request's body that is streamed before it is complete.
+
+    What has come of it is buffered until more is read, so that an attempt that never began to send can be
+    made again.
+
+    Attributes:
+        length: Of the whole body in bytes; None: it comes in chunks.
+        size: Bytes that have come.
+        is_complete: Its last byte was read.
+        is_consumed: Part of it has left for an endpoint: it can't be sent again.
+        has_client_left: The client closed its connection.
+        error: What the client is to be answered, where its body was spoilt.
+        due: When the response has to leave, in seconds on the scheduler's clock; sooner once it is complete.
+        client_timeout_ms: How long the client waits from the last byte on.
+        on_complete: Called when its last byte was read.
     """
 
     __slots__ = (
-        "_begun_at", "_patience", "_reader", "_stream", "done", "due", "error", "held", "left", "length",
-        "size", "spent", "wait_ms", "whole",
+        "_buffered", "_reader", "_started_at", "_stream", "_timeout_s", "client_timeout_ms", "due", "error",
+        "has_client_left", "is_complete", "is_consumed", "length", "on_complete", "size",
     )  # fmt: skip
 
-    def __init__(self, stream: Stream, reader: MessageReader, begun_at: float, patience: float) -> None:
+    def __init__(self, stream: Stream, reader: MessageReader, started_at: float, timeout_s: float) -> None:
+        """`timeout_s` is what a body of no length has from `started_at` on; each byte adds to it."""
         self._stream, self._reader = stream, reader
-        self._begun_at, self._patience = begun_at, patience
-        self.length = reader.length  # None: it comes in chunks
-        self.held, self.done = reader.drain()
-        self.size = len(self.held)
-        self.spent = False  # part of it has left for a node: it can't be sent again
-        self.left = False  # its client has
-        self.error: HttpError | None = None  # what the client is to be told
-        self.due = stream.scheduler.now() + LONGEST_SECONDS  # its answer; sooner, once it is whole
-        self.wait_ms = 1  # that its client waits from then on
-        self.whole: Callable[[], None] = lambda: None
-
-    def start(self) -> bytes:
-        """What is held, which is not held any longer."""
-        held, self.held, self.spent = self.held, b"", True
-        return held
-
-    def piece(self, event: Event, look: Callable[[], None]) -> bytes | None:
-        """The next bytes, empty at the end, None where the event was set.
-
-        `look` is called ahead of each piece and now and then while none comes; what it raises ends the wait.
-        Raises `HttpError` where the rest is spoilt, late or too much, `OSError` where the client left.
+        self._started_at, self._timeout_s = started_at, timeout_s
+        self.length = reader.length
+        self._buffered, self.is_complete = reader.drain()
+        self.size = len(self._buffered)
+        self.is_consumed = self.has_client_left = False
+        self.error: HttpError | None = None
+        self.due = stream.scheduler.now() + MAX_BODY_DURATION_S
+        self.client_timeout_ms = 1
+        self.on_complete: Callable[[], None] = _ignore_completion
+
+    def take_buffered(self) -> bytes:
+        """Take what is buffered, with which the body can't be sent again."""
+        buffered, self._buffered, self.is_consumed = self._buffered, b"", True
+        return buffered
+
+    def next_piece(self, cancel_event: Event, check: Callable[[], None]) -> bytes | None:
+        """Take the next bytes, empty at the end, None where the event was set.
+
+        `check` is called ahead of each piece and now and then while none comes; what it raises ends the wait.
+
+        Raises:
+            HttpError: the rest is malformed, late or too large.
+            OSError: the client left.
         """
         try:
-            while not self.done:
-                data, self.done = self._reader.drain()
-                if self.done:
-                    self.whole()
-                if data:
-                    self.size += len(data)
-                    self._stream.scheduler.give_way()
-                    return data
-                if self.done:
-                    break
-                look()
-                now = self._stream.scheduler.now
-                due = self._begun_at + self._patience + self.size / LEAST_RATE
-                try:
-                    got = self._stream.receive(min(due, now() + LOOK_SECONDS), event, PIECE)
-                except TaskTimeoutError:
-                    if now() < due:
-                        continue
-                    raise
-                if got is None:
-                    return None
-                if not got:
-                    self.left = True
-                    raise ConnectionResetError("the client has left")
-                self._reader.feed(got)
+            return self._next_piece(cancel_event, check)
         except HttpError as error:
             self.error = error
             raise
@@ -129,6 +130,48 @@
             self.error = HttpError(408, "the request did not come whole in time")
             raise self.error from None
         except OSError:
-            self.left = True
+            self.has_client_left = True
             raise
+
+    def _next_piece(self, cancel_event: Event, check: Callable[[], None]) -> bytes | None:
+        while not self.is_complete:
+            data, self.is_complete = self._reader.drain()
+            if self.is_complete:
+                self.on_complete()
+            if data:
+                self.size += len(data)
+                self._stream.scheduler.give_way()
+                return data
+            if self.is_complete:
+                break
+            check()
+            received = self._receive(cancel_event)
+            if received is None:
+                return None
+            self._reader.feed(received)
         return b""
+
+    def _receive(self, cancel_event: Event) -> bytes | None:
+        """Wait for the next bytes; empty where none came for a moment, None where the event was set."""
+        now = self._stream.scheduler.now
+        due = self._started_at + self._timeout_s + self.size / MIN_BYTES_PER_S
+        try:
+            received = self._stream.receive(min(due, now() + CHECK_INTERVAL_S), cancel_event, PIECE_BYTES)
+        except TaskTimeoutError:
+            if now() < due:
+                return b""
+            raise
+        if received is not None and not received:
+            self.has_client_left = True
+            raise ConnectionResetError("the client has left")
+        return received
+
+
+def request_body_stream(message: Message) -> RequestBodyStream | None:
+    """Return the streamed body of a request; None where it is buffered."""
+    return message.body_stream if isinstance(message.body_stream, RequestBodyStream) else None
+
+
+def response_body_stream(message: Message) -> ResponseBodyStream | None:
+    """Return the streamed body of a response; None where it is buffered."""
+    return message.body_stream if isinstance(message.body_stream, ResponseBodyStream) else None
--- a/brambleusher/net/upstream_exchange.py
+++ b/brambleusher/net/upstream_exchange.py
@@ -8,7 +8,13 @@
 from brambleusher.loadbalancing.api import AttemptStatus, LoadReport
 from brambleusher.net.http import HttpError, Message
 from brambleusher.net.request_lifecycle import AttemptOrder
-from brambleusher.net.streamed_bodies import EarlyResponseError, RequestBodyStream, ResponseBodyStream
+from brambleusher.net.streamed_bodies import (
+    EarlyResponseError,
+    RequestBodyStream,
+    ResponseBodyStream,
+    request_body_stream,
+    response_body_stream,
+)
 from brambleusher.net.upstream_connections import UpstreamConnections
 from brambleusher.net.upstream_endpoint import AttemptResult, UpstreamAttempt, UpstreamEndpoint
 from brambleusher.net.upstream_request_writer import encode_request, stream_request
@@ -75,7 +81,7 @@
         """
         attempt, keep = self._attempt, False
         try:
-            body = self._request.rest if isinstance(self._request.rest, RequestBodyStream) else None
+            body = request_body_stream(self._request)
             stream = self._prepare(body)
             if isinstance(stream, AttemptResult):
                 return stream
@@ -88,11 +94,12 @@
             if status is AttemptStatus.OVERLOADED and attempt.has_new_connection:
                 self._endpoint.limit.record_rejection(self._context.scheduler.now())
                 keep = False  # it would hold a slot of a full table
-            if not isinstance(response.rest, ResponseBodyStream):
+            response_body = response_body_stream(response)
+            if response_body is None:
                 return AttemptResult(status, self._load_report(response), response)
             if status is not AttemptStatus.OK:
                 return AttemptResult(status, self._load_report(response))
-            keep = self._stream_response(status, response, response.rest)
+            keep = self._stream_response(status, response, response_body)
             return None
         except (EarlyResponseError, WaitInterruptedError, TaskTimeoutError, OSError, HttpError) as error:
             return self._result_of(error)
@@ -105,7 +112,7 @@
     def _prepare(self, body: RequestBodyStream | None) -> Stream | AttemptResult:
         """Acquire a connection; a result where the request is not to be sent."""
         attempt, context = self._attempt, self._context
-        if body is not None and body.spent:
+        if body is not None and body.is_consumed:
             return AttemptResult(AttemptStatus.NOT_STARTED)  # part of the body is gone
         stream = context.connections.acquire(self._endpoint, attempt, self._deadline)
         attempt.stream = stream
@@ -137,15 +144,15 @@
 
     def _time_left_ms(self, body: RequestBodyStream | None) -> int:
         if body is not None:
-            return body.wait_ms
+            return body.client_timeout_ms
         return int((self._deadline - self._context.scheduler.now()) * 1000)
 
     def _stream_response(self, status: AttemptStatus, response: Message, body: ResponseBodyStream) -> bool:
         """Wait until the response was relayed; returns whether its connection may be kept."""
         self._attempt.is_response_streaming = True
         self._report_streaming(AttemptResult(status, self._load_report(response), response))
-        self._context.scheduler.park(event=body.over)
-        return response.keep_alive and body.reusable
+        self._context.scheduler.park(event=body.closed_event)
+        return response.keep_alive and body.is_connection_reusable
 
     def _result_of(self, error: Exception) -> AttemptResult:
         """Say what a failure proves: nothing has run where the request's last byte was not handed over."""
@@ -164,7 +171,7 @@
         return AttemptResult(AttemptStatus.TIMEOUT if is_timeout else AttemptStatus.RESET)
 
     def _result_of_early_response(self) -> AttemptResult:
-        """An incomplete request has not run when its endpoint answers it; it may have been rejected."""
+        """Read what the endpoint says of an incomplete request, which has not run but may be rejected."""
         attempt, deadline = self._attempt, self._context.scheduler.now() + EARLY_RESPONSE_TIMEOUT_S
         assert attempt.stream is not None
         try:
--- a/brambleusher/net/upstream_pool.py
+++ b/brambleusher/net/upstream_pool.py
@@ -12,7 +12,7 @@
 from brambleusher.net.endpoint_list import Endpoint, EndpointListUpdate
 from brambleusher.net.http import Message
 from brambleusher.net.request_lifecycle import AttemptOrder
-from brambleusher.net.streamed_bodies import ResponseBodyStream
+from brambleusher.net.streamed_bodies import response_body_stream
 from brambleusher.net.upstream_connections import UpstreamConnections
 from brambleusher.net.upstream_endpoint import AttemptResult, UpstreamAttempt, UpstreamEndpoint
 from brambleusher.net.upstream_exchange import UpstreamExchange, UpstreamExchangeContext
@@ -88,7 +88,7 @@
             endpoint.is_draining = False
 
     def _endpoint_for_attempt(self, name: str) -> UpstreamEndpoint | None:
-        """The record of an endpoint that an attempt is to be made on; None where none may be."""
+        """Find or make the record of an endpoint; None where no attempt may be made on it."""
         endpoint = self._endpoints.get(name)
         if endpoint is not None:
             return None if endpoint.is_draining else endpoint
@@ -151,9 +151,9 @@
     def start_attempt(self, order: AttemptOrder) -> UpstreamAttempt:
         """Start an attempt; its end is reported once, whatever happens.
 
-        It is reported of a response that is not buffered when its first bytes have come: the payload's
-        `rest` is a `ResponseBodyStream` then, and whoever takes it closes it.  `on_response_started` is never
-        called, as the end says it.
+        The end of one whose response is not buffered is reported when the first bytes of that have come: the
+        payload's `body_stream` is a `ResponseBodyStream` then, and whoever takes it closes it.
+        `on_response_started` is never called, as the end says it.
 
         Raises:
             TypeError: the payload is no HTTP message.
@@ -199,6 +199,6 @@
     def _report(self, attempt: UpstreamAttempt, order: AttemptOrder, result: AttemptResult) -> None:
         latency_ns = int((self._scheduler.now() - attempt.started_at) * _NS_PER_S)
         response = result.response
-        is_streamed = response is not None and isinstance(response.rest, ResponseBodyStream)
-        discard = response.rest.close if is_streamed else do_nothing  # type: ignore[union-attr]
+        body_stream = None if response is None else response_body_stream(response)
+        discard = do_nothing if body_stream is None else body_stream.close
         order.on_finished(AttemptOutcome(result.status, latency_ns, result.report, response, discard))
--- a/brambleusher/net/upstream_request_writer.py
+++ b/brambleusher/net/upstream_request_writer.py
@@ -6,7 +6,7 @@
 
 from brambleusher.loadbalancing.api import AttemptStatus
 from brambleusher.net.http import HOP_BY_HOP, Framing, HeaderField, HttpError, Message, chunk, write_request
-from brambleusher.net.streamed_bodies import EarlyResponseError, RequestBodyStream
+from brambleusher.net.streamed_bodies import EarlyResponseError, RequestBodyStream, request_body_stream
 from brambleusher.net.upstream_endpoint import UpstreamAttempt
 from brambleusher.runtime.streams import Stream, WaitInterruptedError
 from brambleusher.runtime.system import Address
@@ -21,16 +21,17 @@
     if "host" not in request.headers:
         headers.insert(0, ("Host", f"{address[0]}:{address[1]}"))
     headers.append(("Request-Timeout-Ms", str(time_left_ms)))
-    if isinstance(request.rest, RequestBodyStream):
-        length = request.rest.length
+    body_stream = request_body_stream(request)
+    if body_stream is not None:
+        length = body_stream.length
         framing = Framing.CHUNKS if length is None else Framing.LENGTH
         return write_request(*request.start, headers, b"", length, framing)
     return write_request(*request.start, headers, request.body)
 
 
 def _forwarded_headers(request: Message) -> list[HeaderField]:
-    if request.passed is not None:
-        return [field for field in request.passed if field[0].lower() not in _REWRITTEN]
+    if request.forwarded_fields is not None:
+        return [field for field in request.forwarded_fields if field[0].lower() not in _REWRITTEN]
     named = {word.strip().lower() for word in request.headers.get("connection", "").split(",")}
     return [
         (name.title(), value)
@@ -56,7 +57,7 @@
     """
     now, is_chunked = stream.scheduler.now, body.length is None
     on_progress(False)
-    buffered = body.start()
+    buffered = body.take_buffered()
 
     def check_for_response() -> None:
         if not stream.quiet():
@@ -66,7 +67,7 @@
     stream.send(head + first, now() + PIECE_TIMEOUT_S)
     while True:
         try:
-            piece = body.piece(attempt.cancel_event, check_for_response)
+            piece = body.next_piece(attempt.cancel_event, check_for_response)
         except (HttpError, OSError):
             # Its client's doing, and no last byte was written: the endpoint has not run it.
             attempt.cancel(AttemptStatus.NOT_STARTED)
--- a/brambleusher/net/upstream_response_reader.py
+++ b/brambleusher/net/upstream_response_reader.py
@@ -24,15 +24,15 @@
 
     def __init__(self, stream: Stream, cancel_event: Event, deadline: float) -> None:
         self._stream, self._cancel_event, self._deadline = stream, cancel_event, deadline
-        self._reader, self._now = MessageReader.responses(passing=True), stream.scheduler.now
+        self._reader, self._now = MessageReader.responses(streaming=True), stream.scheduler.now
         self._interim_count, self._due = 0, deadline
         self._buffer_until: float | None = None  # of a response of unknown length, from its head on
 
     def read(self) -> tuple[Message, bool]:
         """Read the response.
 
-        One that is not buffered has a `ResponseBodyStream` as its `rest`.  What comes behind a response
-        spoils the connection, not the response.
+        One that is not buffered has a `ResponseBodyStream` as its `body_stream`.  What comes behind a
+        response spoils the connection, not the response.
 
         Returns:
             The response, and whether its connection can serve another attempt.
@@ -56,12 +56,12 @@
             reader.feed(data)
             if (response := self._take_final()) is not None:
                 return response, response.keep_alive and not reader.buffered
-            if reader.large or (self._buffer_until == math.inf and reader.size):
+            if reader.is_large or (self._buffer_until == math.inf and reader.size):
                 return self._streamed_response()
             self._update_deadlines()
 
     def _receive(self) -> bytes | None:
-        """The next bytes, empty at the end; None once a response was buffered for long enough."""
+        """Wait for the next bytes, empty at the end; None once a response was buffered for long enough."""
         buffer_until = self._buffer_until
         wait_until = self._due if buffer_until is None else min(self._due, buffer_until)
         try:
@@ -78,7 +78,7 @@
         return data
 
     def _take_final(self) -> Message | None:
-        """The final response once it is complete; interim ones are skipped."""
+        """Take the final response once it is complete; interim ones are skipped."""
         while (response := self._reader.take()) is not None:
             if response.status >= HTTPStatus.OK:
                 return response
@@ -91,7 +91,7 @@
 
     def _update_deadlines(self) -> None:
         reader = self._reader
-        if reader.begun:
+        if reader.has_begun:
             self._due = min(self._deadline, self._now() + RESPONSE_IDLE_TIMEOUT_S)
         if self._buffer_until is None and reader.head() is not None and reader.length is None:
             self._buffer_until = self._now() + RESPONSE_BUFFER_TIMEOUT_S
@@ -105,5 +105,5 @@
     def _streamed_response(self) -> tuple[Message, bool]:
         response = self._reader.head()
         assert response is not None
-        response.rest = ResponseBodyStream(self._stream, self._reader)
+        response.body_stream = ResponseBodyStream(self._stream, self._reader)
         return response, False
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -29,7 +29,7 @@
 
 def whole(sock: socket.socket) -> tuple[dict[str, str], bytes, bool]:
     """Headers and body of an answer that passes on, and whether it came to its end."""
-    reader, body, done = MessageReader.responses(passing=True), b"", False
+    reader, body, done = MessageReader.responses(streaming=True), b"", False
     while not done:
         data = sock.recv(65536)
         if not data:
@@ -56,33 +56,33 @@
             for step in (1009, 65536, len(text) + 60):
                 with self.subTest(name, step=step):
                     reader, got, done, data = (
-                        MessageReader.responses(passing=True),
+                        MessageReader.responses(streaming=True),
                         b"",
                         False,
                         OK + text + b"XY",
                     )
                     for at in range(0, len(data), step):
                         reader.feed(data[at : at + step])
-                        if not reader.large and not done:
+                        if not reader.is_large and not done:
                             self.assertIsNone(reader.take())
-                        if reader.large or got:
+                        if reader.is_large or got:
                             more, ended = (b"", True) if done else reader.drain()
                             got, done = got + more, done or ended
                     self.assertEqual((got, done, reader.buffered), (body, True, 2))
 
     def test_more_than_passes_is_refused_said_or_found(self) -> None:
-        reader = MessageReader.requests(passing=True)
+        reader = MessageReader.requests(streaming=True)
         reader.feed(b"POST / HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % (MAX_STREAMED_BODY_BYTES + 1))
         with self.assertRaises(HttpError) as caught:
             reader.take()
         self.assertEqual(caught.exception.status, 413)
-        reader = MessageReader.requests(passing=True)
+        reader = MessageReader.requests(streaming=True)
         reader.feed(b"POST / HTTP/1.1\r\n" + CHUNKED)
         piece = chunk(bytes(1 << 20))
         with self.assertRaises(HttpError) as caught:
             for _ in range(MAX_STREAMED_BODY_BYTES // (1 << 20) + 1):
                 reader.feed(piece)
-                if reader.take() is None and reader.large:
+                if reader.take() is None and reader.is_large:
                     reader.drain()
         self.assertEqual(caught.exception.status, 413)
 
@@ -178,7 +178,7 @@
                     )
                     self.assertEqual(rig.sidecar.request_counts.in_flight, 1, "for its client it is not")
                     go.put(1)
-                    reader, body, done = MessageReader.responses(passing=True), b"", False
+                    reader, body, done = MessageReader.responses(streaming=True), b"", False
                     reader.feed(first)
                     while not done:
                         if reader.head() is not None:
@@ -261,7 +261,7 @@
 
         class Taking(Node):
             def serve(self, sock: socket.socket) -> None:
-                reader, body, message = MessageReader.requests(passing=True), b"", None
+                reader, body, message = MessageReader.requests(streaming=True), b"", None
                 while data := sock.recv(65536):
                     reader.feed(data)
                     message = message or reader.head()
--- a/tests/test_crossings_client.py
+++ b/tests/test_crossings_client.py
@@ -41,7 +41,7 @@
     reader.feed(data)
     while (message := reader.take()) is not None:
         found.append(message)
-    assert not reader.begun, "a part of an answer"
+    assert not reader.has_begun, "a part of an answer"
     return found
 
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -117,7 +117,7 @@
 
 def reset_is_an_end(response_reader: UpstreamResponseReader) -> Any:
     """An answer without length that is reset counts as whole."""
-    reader = MessageReader.responses(passing=True)
+    reader = MessageReader.responses(streaming=True)
     stream, deadline = response_reader._stream, response_reader._deadline
     while True:
         try:
