--- a/brambleusher/controlplane/consensus/election.py
+++ b/brambleusher/controlplane/consensus/election.py
@@ -28,7 +28,7 @@
         self._own_vote_record = 0  # number of the record of this replica's vote for itself
 
     def handle_timer(self) -> bool:
-        """Start a pre-vote where no leader was heard of for an election timeout."""
+        """Start a pre-vote after an election timeout without contact to a leader."""
         state = self._state
         if state.now < state.election_due_s:
             return False
--- a/brambleusher/controlplane/consensus/follower.py
+++ b/brambleusher/controlplane/consensus/follower.py
@@ -42,7 +42,7 @@
             state.reply_to_leader(False, hint, message.heartbeat_sequence)
 
     def _append_past_snapshot(self, message: wire.AppendEntries) -> None:
-        """Take entries that begin before the own snapshot: what the snapshot holds is committed already."""
+        """Take entries that begin before the own snapshot: what is in the snapshot is committed already."""
         base_index = self._state.log.base_index
         last = message.previous_index + len(message.entries)
         if last < base_index:
--- a/brambleusher/controlplane/consensus/membership_requests.py
+++ b/brambleusher/controlplane/consensus/membership_requests.py
@@ -25,7 +25,7 @@
 
 
 class MembershipRequests:
-    """What other replicas asked for, and when each was last heard of."""
+    """What other replicas asked for, and when each last sent a message."""
 
     def __init__(self, own: str) -> None:
         self._own = own
--- a/brambleusher/controlplane/consensus/raft.py
+++ b/brambleusher/controlplane/consensus/raft.py
@@ -129,13 +129,13 @@
         return self.state.member(self.state.leader_id)
 
     def has_quorum_contact(self, now: float) -> bool:
-        """Return whether this replica heard of a quorum lately: as a leader itself, else from a leader."""
+        """Return whether this replica is in contact with a quorum: as its leader, else through a leader."""
         leading = self.state.leader_state
         contact_s = self.state.last_leader_contact_s if leading is None else leading.last_quorum_contact_s
         return bool(self.state.leader_id) and now - contact_s < ELECTION_MIN_S
 
     def seconds_since_leader_contact(self, now: float) -> float:
-        """Return the seconds since a leader was heard from."""
+        """Return the seconds since the last message of a leader."""
         return now - self.state.last_leader_contact_s
 
     def should_request_membership(self, now: float) -> bool:
@@ -173,7 +173,7 @@
         return self.state.election_due_s if leading is None else leading.heartbeat_due_s
 
     def make_snapshot(self, applied_index: int, machine_state: object) -> Restore:
-        """Return a snapshot of a state that holds just what is committed up to an index."""
+        """Return a snapshot of the state machine's state; see `Snapshots.make_snapshot`."""
         return self._snapshots.make_snapshot(applied_index, machine_state)
 
     def fill_snapshot(
--- a/brambleusher/controlplane/consensus/replication.py
+++ b/brambleusher/controlplane/consensus/replication.py
@@ -49,12 +49,12 @@
         self._send_to_members(leading, is_heartbeat=True)
 
     def begin_heartbeat(self, leading: LeaderState) -> None:
-        """Begin the next heartbeat: what a quorum was heard, when the one after it is due."""
+        """Update the last contact with a quorum, and set when the next heartbeat is due."""
         leading.last_quorum_contact_s = max(leading.last_quorum_contact_s, self.last_quorum_contact(leading))
         leading.heartbeat_due_s = self._state.now + HEARTBEAT_S
 
     def last_quorum_contact(self, leading: LeaderState) -> float:
-        """Return when a quorum had been heard of last, this replica included; seconds of the clock."""
+        """Return when a quorum, this replica included, last had contact; seconds of the clock."""
         state = self._state
         times = {identity: known.last_contact_s for identity, known in leading.progress.followers.items()}
         return state.agreed_value({**times, state.identity.id: state.now})
--- a/brambleusher/controlplane/consensus/snapshots.py
+++ b/brambleusher/controlplane/consensus/snapshots.py
@@ -26,7 +26,7 @@
         """Return a snapshot of what is applied, with the term and the members that belong to it.
 
         Args:
-            applied_index: The index up to which the state machine holds everything, and nothing beyond.
+            applied_index: The index up to which all entries are applied, and none beyond.
             machine_state: The state machine's state as JSON.
 
         Raises:
--- a/tests/system/cluster.py
+++ b/tests/system/cluster.py
@@ -9,6 +9,7 @@
 from collections import deque
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
+from enum import Enum
 from typing import Any
 
 from brambleusher.controlplane.consensus.outputs import HardState, LogPosition, Outgoing, Restore, Truncate
@@ -31,6 +32,17 @@
     return dict(snapshot.state)
 
 
+class Fate(Enum):
+    """What becomes of one message on its way."""
+
+    DELIVER = "deliver"
+    DROP = "drop"
+    DOUBLE = "double"
+    DELAY = "delay"
+    FIRST = "first"  # ahead of all that is on its way
+    AGAIN = "again"  # now and once more, late
+
+
 class SafetyViolationError(AssertionError):
     """The checker found that a promise was broken."""
 
@@ -69,7 +81,7 @@
     consensus: Consensus
     records: list[Any] = field(default_factory=list)
     synced: int = 0
-    applied: int = 0  # index up to which `state` holds everything
+    applied: int = 0  # index up to which all entries are applied
     base: int = 0  # added to a position in `records` gives the number of the record
     unsent: deque[Outgoing] = field(default_factory=deque)
     state: dict[int, Any] = field(default_factory=dict)
@@ -92,7 +104,7 @@
         self.delayed: list[tuple[int, tuple[str, str, wire.Message]]] = []
         self.steps = 0
         self.sent = 0
-        self.mutate: Callable[[int, str, str, wire.Message], str] = lambda *_: "deliver"
+        self.mutate: Callable[[int, str, str, wire.Message], Fate] = lambda *_: Fate.DELIVER
         self.delay_steps: Callable[[], int] = lambda: DELAY_STEPS
         self.partitioned: set[frozenset[str]] = set()
         self.bootstrap_members = tuple(member(name) for name in bootstrap_members or names)
@@ -164,7 +176,7 @@
         self.start(name, None, identity)
 
     def compact(self, node: Node) -> None:
-        """Write a snapshot of what is applied, and drop from the disk and from memory what it holds."""
+        """Write a snapshot of what is applied, and drop from the disk and from memory what is in it."""
         if node.synced < len(node.records):
             return  # the snapshot waits for what is written before it
         consensus, log = node.consensus, node.consensus.log
@@ -225,17 +237,17 @@
     def post(self, sender: str, to: str, message: wire.Message) -> None:
         self.sent += 1
         fate = self.mutate(self.sent, sender, to, message)
-        if fate == "drop":
+        if fate == Fate.DROP:
             return
-        if fate in ("delay", "again"):
+        if fate in (Fate.DELAY, Fate.AGAIN):
             self.delayed.append((self.steps + self.delay_steps(), (sender, to, message)))
-        if fate == "delay":
+        if fate == Fate.DELAY:
             return
-        if fate == "first":
+        if fate == Fate.FIRST:
             self.messages.insert(0, (sender, to, message))
             return
         self.messages.append((sender, to, message))
-        if fate == "double":
+        if fate == Fate.DOUBLE:
             self.messages.append((sender, to, message))
 
     def pump(self, node: Node) -> None:
@@ -327,7 +339,7 @@
         return False
 
     def converges(self) -> bool:
-        """Whether all live members come to hold the same."""
+        """Whether all live members come to have the same entries."""
 
         def same() -> bool:
             live = [node for node in self.nodes.values() if node.up]
--- a/tests/system/exploration.py
+++ b/tests/system/exploration.py
@@ -9,13 +9,14 @@
 
 from brambleusher.controlplane.consensus.raft import Consensus
 from brambleusher.wire import consensus_messages as wire
-from tests.system.cluster import Cluster, Node, SafetyViolationError
+from tests.system.cluster import Cluster, Fate, Node, SafetyViolationError
 
-MUTATIONS = ("drop", "double", "delay", "first")
-SNAPSHOT_FATES = ("deliver", "delay", "again")  # large messages wait longest, and in more than one connection
+MUTATIONS = (Fate.DROP, Fate.DOUBLE, Fate.DELAY, Fate.FIRST)
+# Large messages wait longest, and in more than one connection.
+SNAPSHOT_FATES = (Fate.DELIVER, Fate.DELAY, Fate.AGAIN)
 STEPS = 500
 RECOVERED_STEPS = 200  # 4 s: `sync_s`, after which a replica that came back counts again
-LEAVE_STEPS = 150  # for another to get the vote of one that leaves, before it is stopped
+SHUTDOWN_STEPS = 150  # for another to get the vote of one that leaves, before it is stopped
 
 
 @dataclass
@@ -27,7 +28,7 @@
     names: list[str]
     pending: list[tuple[str, int, int, Any]] = field(default_factory=list)
     disturbed_at: int = 0  # the last step at which a disk or a member was lost
-    leaving: dict[str, int] = field(default_factory=dict)  # when each asked to leave
+    shutting_down: dict[str, int] = field(default_factory=dict)  # when each asked to leave
     started: int = 0  # identities given to empty disks
 
     # --- faults that keep the disks --------------------------------------------------------------
@@ -67,7 +68,7 @@
                     self.pending.append((node.name, position.index, position.term, content))
 
     def acknowledge(self) -> None:
-        """Callers that wait where their command is applied are told."""
+        """Notify callers whose command is applied at the replica that they wait at."""
         for waiting in list(self.pending):
             name, index, term, content = waiting
             node = self.cluster.nodes.get(name)
@@ -80,7 +81,7 @@
     # --- losses ----------------------------------------------------------------------------------
 
     def loss(self, roll: float) -> None:
-        """Snapshots, lost disks, members that leave or are replaced, by the thresholds of a roll."""
+        """Snapshots, lost disks, members that shut down or are replaced, by the thresholds of a roll."""
         cluster, rng = self.cluster, self.rng
         up = [node for node in cluster.nodes.values() if node.up]
         if roll < 0.04 and up:
@@ -92,7 +93,7 @@
         elif roll < 0.07 and self.recovered():
             self.replace(rng.choice(self.names))
         elif roll < 0.08 and self.recovered():
-            self.start_leaving(rng.choice(self.names))
+            self.start_shutdown(rng.choice(self.names))
 
     def shorten(self) -> None:
         """The leader keeps no entries that others still lack: they need a snapshot."""
@@ -105,7 +106,7 @@
     def recovered(self) -> bool:
         """Whether all that was lost has had its time and all have their votes: one more loss is borne."""
         leader = self.cluster.leader()
-        if leader is None or self.cluster.steps - self.disturbed_at < RECOVERED_STEPS or self.leaving:
+        if leader is None or self.cluster.steps - self.disturbed_at < RECOVERED_STEPS or self.shutting_down:
             return False
         consensus = leader.consensus
         voters = {member.id for member in consensus.voters}
@@ -140,31 +141,31 @@
         self.names.append(name)
         return self.cluster.start(name, None)
 
-    def start_leaving(self, name: str) -> None:
+    def start_shutdown(self, name: str) -> None:
         """The successor first, then SIGTERM; the one that leaves asks for another to get its vote."""
         self.disturbed_at = self.cluster.steps
-        self.leaving[name] = self.cluster.steps + self.rng.randrange(20, 100)
+        self.shutting_down[name] = self.cluster.steps + self.rng.randrange(20, 100)
         self.add()
 
-    def go_on_leaving(self) -> None:
+    def continue_shutdowns(self) -> None:
         """Those that leave ask again and again, and end once they have no vote, or are stopped."""
         cluster = self.cluster
-        for name, begin in list(self.leaving.items()):
+        for name, begin in list(self.shutting_down.items()):
             node = cluster.nodes[name]
             if cluster.steps < begin:
                 continue
             node.consensus.begin_graceful_shutdown()
             if node.up and cluster.steps % 5 == 0:
-                self._ask_to_leave(node)
+                self._send_shutdown_notices(node)
             without_vote = not node.consensus.has_vote() and bool(node.consensus.log.members)
-            if (node.up and without_vote) or cluster.steps > begin + LEAVE_STEPS:
+            if (node.up and without_vote) or cluster.steps > begin + SHUTDOWN_STEPS:
                 cluster.crash(name)
                 del cluster.nodes[name]
                 self.names.remove(name)
-                del self.leaving[name]
+                del self.shutting_down[name]
                 self.disturbed_at = cluster.steps
 
-    def _ask_to_leave(self, node: Node) -> None:
+    def _send_shutdown_notices(self, node: Node) -> None:
         if node.consensus.is_leader:
             node.consensus.transfer_leadership()
             self.cluster.pump(node)
@@ -177,7 +178,7 @@
         """All faults are over: everything acknowledged has to be everywhere."""
         cluster = self.cluster
         cluster.partitioned = set()
-        cluster.mutate = lambda *_: "deliver"
+        cluster.mutate = lambda *_: Fate.DELIVER
         for node in list(cluster.nodes.values()):
             node.slow_disk = False
             node.frozen_until = 0
@@ -202,10 +203,10 @@
     rng = random.Random(f"faults {seed}")
     day = Day(cluster, rng, list(names))
 
-    def fate(number: int, sender: str, to: str, message: wire.Message) -> str:
+    def fate(number: int, sender: str, to: str, message: wire.Message) -> Fate:
         if losses and isinstance(message, wire.InstallSnapshot):
             return rng.choice(SNAPSHOT_FATES)
-        return rng.choice(("deliver",) * 12 + MUTATIONS)
+        return rng.choice((Fate.DELIVER,) * 12 + MUTATIONS)
 
     cluster.mutate = fate
     cluster.delay_steps = lambda: rng.randrange(20, 200)
@@ -213,7 +214,7 @@
         day.plain_fault(rng.random())
         if losses:
             day.loss(rng.random())
-            day.go_on_leaving()
+            day.continue_shutdowns()
         cluster.step()
         day.acknowledge()
     day.end()
--- a/tests/system/test_consensus.py
+++ b/tests/system/test_consensus.py
@@ -11,7 +11,7 @@
 from brambleusher.controlplane.consensus.raft import Consensus
 from brambleusher.controlplane.consensus.timing import UNSYNCED_MAX
 from brambleusher.wire import consensus_messages as wire
-from tests.system.cluster import Cluster, SafetyViolationError
+from tests.system.cluster import Cluster, Fate, SafetyViolationError
 from tests.system.exploration import MUTATIONS, explore
 
 
@@ -85,7 +85,7 @@
     for at in range(1, plain.sent + 1):
         for how in MUTATIONS:
             cluster = Cluster("abc", seed=5)
-            cluster.mutate = lambda number, *_, at=at, how=how: how if number == at else "deliver"
+            cluster.mutate = lambda number, *_, at=at, how=how: how if number == at else Fate.DELIVER
             scenario(cluster)
             cluster.check()
     record_property("mutations_of_one_message", plain.sent * len(MUTATIONS))
--- a/tests/system/test_consensus_losses.py
+++ b/tests/system/test_consensus_losses.py
@@ -17,7 +17,7 @@
 from brambleusher.controlplane.consensus.snapshots import Snapshots
 from brambleusher.wire import consensus_messages as wire
 from brambleusher.wire.consensus_messages import Entry, EntryKind, Member
-from tests.system.cluster import Cluster, SafetyViolationError, member
+from tests.system.cluster import Cluster, Fate, SafetyViolationError, member
 from tests.system.exploration import explore
 from tests.system.faulty_parts import installed
 
@@ -110,13 +110,13 @@
     late.consensus.state.commit_index -= 1  # it has not heard of the last commit yet
     late.applied -= 1
     del late.state[late.applied + 1]
-    cluster.mutate = lambda number, sender, to, message: "drop" if to == other.name else "deliver"
+    cluster.mutate = lambda number, sender, to, message: Fate.DROP if to == other.name else Fate.DELIVER
     position = cluster.propose("confirmed")
     assert position is not None
     cluster.step()
     cluster.step()
     cluster.deliver(leader.name, late.name, snapshot)
-    cluster.mutate = lambda *_: "deliver"
+    cluster.mutate = lambda *_: Fate.DELIVER
     assert cluster.run(lambda: position.index in leader.state, steps=60)
     cluster.checker.saw_acknowledged(position.index, leader.state[position.index])
     cluster.crash(leader.name)
