--- a/tests/system/test_gateway.py
+++ b/tests/system/test_gateway.py
@@ -36,7 +36,7 @@
     deployment.sleep(2.0)
 
 
-def test_a_stream_is_passed_on_whole_with_the_head_of_its_instance(deployment: VirtualDeployment) -> None:
+def test_a_stream_is_relayed_complete_with_the_head_of_its_instance(deployment: VirtualDeployment) -> None:
     reply = deployment.request("g1", attempt="one")
     (arrival,) = deployment.arrivals("one")
     assert (reply.status, reply.body, reply.is_complete) == (200, EVENTS, True)
@@ -44,7 +44,7 @@
     assert reply.headers["x-attempt-id"] == "one"
 
 
-def test_events_are_passed_on_as_they_come(deployment: VirtualDeployment) -> None:
+def test_events_are_relayed_as_they_come(deployment: VirtualDeployment) -> None:
     for server in deployment.servers.values():
         server.pause_s = 0.5
     reply = deployment.start_request("g1", attempt="slow")
@@ -52,7 +52,7 @@
     assert reply.body == EVENTS[: EVENTS.index(b"id: 3")]
 
 
-def test_the_request_goes_on_unchanged_and_names_its_target(deployment: VirtualDeployment) -> None:
+def test_the_request_is_forwarded_unchanged_and_names_its_target(deployment: VirtualDeployment) -> None:
     headers = {
         "X-Target-Instance": "i-forged",
         "X-Model": "m",
@@ -76,12 +76,12 @@
     assert arrival.headers["priority"] == "5"
 
 
-def test_a_request_without_a_route_is_told_so(deployment: VirtualDeployment) -> None:
+def test_a_request_without_a_route_gets_404(deployment: VirtualDeployment) -> None:
     assert deployment.request("g1", "/none/x").status == 404
     assert deployment.request("g1", headers={"Host": "other"}).status == 404
 
 
-def test_a_resumable_stream_goes_on_at_another_instance(deployment: VirtualDeployment) -> None:
+def test_a_resumable_stream_continues_at_another_instance(deployment: VirtualDeployment) -> None:
     only(deployment, "a", "b")
     deployment.servers["a"].cut_after = deployment.servers["b"].cut_after = 2
     reply = deployment.start_request("g1", attempt="res")
@@ -95,7 +95,7 @@
     assert [arrival.headers.get("last-event-id") for arrival in deployment.arrivals("res")] == [None, "2"]
 
 
-def test_a_stream_goes_on_from_where_the_client_left_off(deployment: VirtualDeployment) -> None:
+def test_a_stream_continues_after_the_last_event_id_of_the_client(deployment: VirtualDeployment) -> None:
     reply = deployment.request("g1", attempt="cont", headers={"Last-Event-Id": "3"})
     assert reply.body == EVENTS[EVENTS.index(b"id: 4") :]
     assert deployment.arrivals("cont")[0].headers["last-event-id"] == "3"
@@ -109,7 +109,7 @@
     assert len(deployment.arrivals("cuts")) == 2
 
 
-def test_a_stream_that_may_not_be_resumed_ends_without_its_end(deployment: VirtualDeployment) -> None:
+def test_a_stream_that_is_not_resumable_is_cut_off_visibly(deployment: VirtualDeployment) -> None:
     for server in deployment.servers.values():
         server.cut_after = 2
     reply = deployment.request("g1", "/o/x", attempt="once")
@@ -119,7 +119,7 @@
     assert len(deployment.arrivals("once")) == 1
 
 
-def test_what_may_run_once_is_not_sent_again_after_a_cut(deployment: VirtualDeployment) -> None:
+def test_a_request_that_must_run_once_is_not_retried_after_a_reset(deployment: VirtualDeployment) -> None:
     for server in deployment.servers.values():
         server.cut_after = 0
     reply = deployment.request("g1", "/d/x", attempt="mut")
@@ -128,14 +128,14 @@
     assert len(deployment.arrivals("mut")) == 1
 
 
-def test_what_an_instance_rejected_goes_to_another(deployment: VirtualDeployment) -> None:
+def test_a_rejected_request_is_retried_at_another_instance(deployment: VirtualDeployment) -> None:
     deployment.servers["d1"].shed = True
     for number in range(4):
         assert deployment.request("g1", "/d/x", attempt=f"shed{number}").status == 200
     assert all(deployment.arrivals(f"shed{number}")[-1].instance == "d2" for number in range(4))
 
 
-def test_where_all_reject_the_refusal_is_a_promise_with_a_time_to_come_back(
+def test_where_all_instances_reject_the_gateway_rejects_with_retry_after(
     deployment: VirtualDeployment,
 ) -> None:
     for server in deployment.servers.values():
@@ -155,7 +155,7 @@
     assert sent - 60 <= 0.2 * 60 + 50
 
 
-def test_a_failure_of_an_instance_is_passed_on_as_it_is(deployment: VirtualDeployment) -> None:
+def test_an_error_response_of_an_instance_is_forwarded_unchanged(deployment: VirtualDeployment) -> None:
     for server in deployment.servers.values():
         server.status = 500
     reply = deployment.request("g1", "/d/x", attempt="fail")
@@ -164,7 +164,7 @@
     assert reply.headers["x-server-seal"].endswith("fail")
 
 
-def test_an_answer_to_another_request_is_dropped(deployment: VirtualDeployment) -> None:
+def test_a_response_to_another_request_is_dropped(deployment: VirtualDeployment) -> None:
     for server in deployment.servers.values():
         server.stray = 1
     for number in range(5):
@@ -172,7 +172,7 @@
         assert reply.body.endswith(f"ran s{number}".encode())
 
 
-def test_a_request_stays_inside_its_homes(deployment: VirtualDeployment) -> None:
+def test_a_request_stays_inside_its_home_regions(deployment: VirtualDeployment) -> None:
     only(deployment, "s", "d1")
     reply = deployment.request("g1", "/h/x", attempt="home")
     assert reply.status == 503
@@ -180,14 +180,14 @@
     assert deployment.request("g1", "/s/x", attempt="any").status == 200
 
 
-def test_a_connection_that_is_refused_costs_no_attempt(deployment: VirtualDeployment) -> None:
+def test_a_refused_connection_costs_no_attempt(deployment: VirtualDeployment) -> None:
     deployment.process("a").kill()
     for number in range(6):
         assert deployment.request("g1", "/o/x", attempt=f"r{number}").status == 200
     assert {deployment.arrivals(f"r{number}")[0].instance for number in range(6)} == {"b"}
 
 
-def test_an_instance_that_drains_gets_nothing_more(deployment: VirtualDeployment) -> None:
+def test_a_draining_instance_gets_no_further_request(deployment: VirtualDeployment) -> None:
     deployment.request("g1", attempt="before")
     deployment.servers["a"].state = "draining"
     deployment.sleep(2.0)
@@ -204,7 +204,7 @@
     assert deployment.arrivals("reuse")[0].headers["x-target-instance"] == "a"
 
 
-def test_an_instance_that_another_was_found_in_place_of_is_asked_once(deployment: VirtualDeployment) -> None:
+def test_a_replaced_instance_is_tried_once(deployment: VirtualDeployment) -> None:
     """After a region was lost its instances come back as others; the list still names the old ones."""
     only(deployment, "d1", "d2")
     deployment.servers["d1"].name = "reborn"
@@ -214,7 +214,7 @@
     assert [arrival.instance for arrival in asked].count("reborn") <= 1
 
 
-def test_a_gateway_that_knows_no_configuration_promises_and_is_not_ready() -> None:
+def test_a_gateway_without_a_configuration_rejects_and_is_not_ready() -> None:
     deployment = VirtualDeployment(gateways=1)
     address = deployment.world.machines["g1"].ip
     reply = deployment.request("g1")
@@ -226,14 +226,14 @@
     deployment.close()
 
 
-def test_a_head_over_the_limit_is_told_so_and_the_connection_ends(deployment: VirtualDeployment) -> None:
+def test_a_head_over_the_limit_gets_431(deployment: VirtualDeployment) -> None:
     reply = deployment.call(
         (deployment.world.machines["g1"].ip, FRONT), "POST", "/s/x", headers={"X-Big": "x" * 20000}
     )
     assert reply.status == 431
 
 
-def test_sigterm_serves_what_is_under_way_and_what_still_comes(deployment: VirtualDeployment) -> None:
+def test_graceful_shutdown_serves_requests_under_way_and_late_ones(deployment: VirtualDeployment) -> None:
     for server in deployment.servers.values():
         server.pause_s = 0.6
     reply = deployment.start_request("g1", attempt="under-way")
@@ -260,7 +260,7 @@
     assert set(status["weights"]) == {"llm", "desk"}
 
 
-def test_bodies_of_all_clients_together_are_bounded(deployment: VirtualDeployment) -> None:
+def test_the_memory_for_bodies_of_all_clients_is_bounded(deployment: VirtualDeployment) -> None:
     memory = deployment.gateways["g1"].body_memory
     deployment.request("g1", attempt="fits", body=b"x" * 50_000)
     assert memory.reserved_bytes == 0
@@ -280,7 +280,7 @@
     assert deployment.request("g1", attempt="third", body=b"x" * 50_000).status == 200
 
 
-def test_a_second_answer_without_an_id_on_a_kept_connection_is_not_taken(
+def test_a_response_without_an_id_on_a_reused_connection_is_dropped(
     deployment: VirtualDeployment,
 ) -> None:
     """What may come late to the request before looks like the answer to the next one, and is dropped."""
@@ -292,7 +292,7 @@
     assert len(deployment.arrivals("second")) == 1
 
 
-def test_an_answer_without_an_id_is_believed_on_a_new_connection_only(deployment: VirtualDeployment) -> None:
+def test_a_response_without_an_id_is_accepted_on_a_new_connection_only(deployment: VirtualDeployment) -> None:
     only(deployment, "d1")
     deployment.servers["d1"].echoes = False
     assert deployment.request("g1", "/d/x", attempt="first").body == b"d1 ran first"
@@ -302,9 +302,7 @@
 
 
 @pytest.mark.parametrize("how", ["silent", "cut"])
-def test_what_may_run_once_is_sent_once_after_no_response_or_a_reset(
-    deployment: VirtualDeployment, how: str
-) -> None:
+def test_a_request_that_must_run_once_is_sent_once(deployment: VirtualDeployment, how: str) -> None:
     for name in ("d1", "d2"):
         server = deployment.servers[name]
         server.silent, server.cut_after = how == "silent", 0 if how == "cut" else None
--- a/tests/system/test_idle_connections.py
+++ b/tests/system/test_idle_connections.py
@@ -37,14 +37,14 @@
     return status
 
 
-def test_a_connection_that_is_there_is_used_again_after_a_rest(deployment: VirtualDeployment) -> None:
+def test_a_connection_is_reused_after_an_idle_time(deployment: VirtualDeployment) -> None:
     assert ask(deployment, "a") == 200
     assert ask(deployment, "b", rest_s=4 * UNPROVEN_IDLE_S) == 200
     assert ask(deployment, "c", rest_s=4 * UNPROVEN_IDLE_S) == 200
     assert desk(deployment).connections == 1
 
 
-def test_a_connection_that_was_forgotten_costs_no_request(deployment: VirtualDeployment) -> None:
+def test_a_connection_that_the_instance_forgot_costs_no_request(deployment: VirtualDeployment) -> None:
     """Without the proof the request would be lost: nobody could say whether it had run."""
     assert ask(deployment, "a") == 200
     desk(deployment).forgets_after_s = 0.1
@@ -52,7 +52,7 @@
     assert desk(deployment).connections == 2
 
 
-def test_after_one_was_forgotten_others_that_rested_as_long_are_not_tried(
+def test_after_a_reset_connections_idle_for_as_long_are_not_reused(
     deployment: VirtualDeployment,
 ) -> None:
     desk(deployment).forgets_after_s = 0.6
@@ -68,14 +68,14 @@
     assert pool.trusted_idle_s < before_s
 
 
-def test_an_instance_that_was_not_heard_of_lately_is_connected_anew(deployment: VirtualDeployment) -> None:
+def test_an_instance_without_recent_contact_gets_a_new_connection(deployment: VirtualDeployment) -> None:
     """It may have gone dark: a request over a kept connection would be lost then, a new connection is not."""
     assert ask(deployment, "a") == 200
     assert ask(deployment, "b", rest_s=CONTACT_FRESH_S * 1.5) == 200
     assert desk(deployment).connections == 2
 
 
-def test_where_connections_are_not_forgotten_nothing_is_held_back() -> None:
+def test_where_instances_keep_idle_connections_all_are_reused() -> None:
     deployment = VirtualDeployment(gateways=1)
     deployment.add_server("d1", "desk")
     deployment.served(configuration(1, ONCE))
--- a/tests/system/test_placement.py
+++ b/tests/system/test_placement.py
@@ -94,7 +94,7 @@
 
 
 def test_a_warming_instance_with_affinity_is_skipped_once_its_budget_is_spent() -> None:
-    """Open case: a region back cold with full spare gets no more than the bound of cold instances."""
+    """A region that comes back with full spare capacity gets no more than the warm-up rate allows."""
     known = instances(entry("a"))
     known.gateway_count = 1.0
     known.update(listed(entry("a"), entry("b")), 1.0, 1.0)
--- a/tests/system/test_policy.py
+++ b/tests/system/test_policy.py
@@ -60,45 +60,45 @@
     assert policy.read(str(path)) == Policy()
 
 
-def test_a_missing_file_is_told(tmp_path: Path) -> None:
+def test_a_missing_file_is_an_invalid_policy(tmp_path: Path) -> None:
     with pytest.raises(InvalidPolicyError):
         policy.read(str(tmp_path / "none.toml"))
 
 
-def known(held: Policy, *entries: dict[str, object]) -> InstanceTable:
-    made = InstanceTable(ZONES, random.Random(1), held)
+def instance_table(active: Policy, *entries: dict[str, object]) -> InstanceTable:
+    made = InstanceTable(ZONES, random.Random(1), active)
     made.services = {"llm": Service(name="llm", warmup_s=3.0, cold_per_s=10.0)}
     made.update(listed(*entries), 0.0, 0.0)
     return made
 
 
-def chosen(held: Policy, key: str = "", tokens: int = 0) -> set[str]:
-    instances = known(held, entry("a"), entry("b", "n2"), entry("c", "s1"))
-    placement = Placement(instances, "north", held)
+def chosen(active: Policy, key: str = "", tokens: int = 0) -> set[str]:
+    instances = instance_table(active, entry("a"), entry("b", "n2"), entry("c", "s1"))
+    placement = Placement(instances, "north", active)
     found = [placement.choose(placement_request(key, tokens), (), 0.0) for _ in range(12)]
     return {instance.id for instance in found if instance}
 
 
-def test_own_region_and_keepers_are_switched_off() -> None:
+def test_own_region_and_prefix_affinity_can_be_switched_off() -> None:
     assert chosen(Policy()) == {"a", "b"}
     assert chosen(Policy(own_region_first=False)) == {"a", "b", "c"}
     assert len(chosen(Policy(), "k", 5000)) == 1
     assert len(chosen(Policy(prefix_keepers=False), "k", 5000)) == 2
 
 
-def test_cold_budget_and_rest_are_switched_off() -> None:
-    for held, most in ((Policy(), 1), (Policy(cold_budget=False), 5)):
-        instances = known(held, entry("a"))
+def test_warm_up_budget_and_backoff_can_be_switched_off() -> None:
+    for active, most in ((Policy(), 1), (Policy(cold_budget=False), 5)):
+        instances = instance_table(active, entry("a"))
         instances.gateway_count = 1.0
         instances.update(listed(entry("a"), entry("b")), 1.0, 1.0)
-        cold = next(instance for instance in instances.for_service("llm") if instance.id == "b")
-        assert sum(instances.admit(cold, 1.0) for _ in range(5)) == most
-        cold.record_connect_failure(1.0)
+        warming = next(instance for instance in instances.for_service("llm") if instance.id == "b")
+        assert sum(instances.admit(warming, 1.0) for _ in range(5)) == most
+        warming.record_connect_failure(1.0)
         usable = {instance.id for instance in instances.usable(placement_request().route, "llm", 1.0)}
-        assert ("b" in usable) is not held.backs_off_after_failure
-    rests = known(Policy(rest_after_failure=False), entry("a"))
-    rests.for_service("llm")[0].record_connect_failure(1.0)
-    assert rests.usable(placement_request().route, "llm", 1.0)
+        assert ("b" in usable) is not active.backs_off_after_failure
+    without_backoff = instance_table(Policy(rest_after_failure=False), entry("a"))
+    without_backoff.for_service("llm")[0].record_connect_failure(1.0)
+    assert without_backoff.usable(placement_request().route, "llm", 1.0)
 
 
 def weights_with(**off: bool) -> InstanceWeights:
@@ -108,26 +108,26 @@
     return weights
 
 
-def test_health_and_latency_are_switched_off() -> None:
+def test_health_and_latency_can_be_switched_off() -> None:
     for off, differs in (({}, True), ({"health": False}, False)):
         weights = weights_with(**off, latency_index=False, spare=False)
         for at in range(8):
             send(weights, "a", at / 100, well=False)
             send(weights, "b", at / 100)
         ticks(weights, 0.0, 2)
-        held = weights.weights()
-        assert (held["a"] < held["b"]) is differs
+        current = weights.weights()
+        assert (current["a"] < current["b"]) is differs
     for off, differs in (({}, True), ({"latency_index": False}, False)):
         weights = weights_with(**off, spare=False)
         for at in range(8):
             send(weights, "a", at / 100, latency=AIM_S * 1.3)
             send(weights, "b", at / 100)
         ticks(weights, 0.0, 1)
-        held = weights.weights()
-        assert (held["a"] < held["b"]) is differs
+        current = weights.weights()
+        assert (current["a"] < current["b"]) is differs
 
 
-def test_silence_is_switched_off() -> None:
+def test_skipping_unresponsive_instances_can_be_switched_off() -> None:
     for off, expected in (({}, {"b"}), ({"silence": False}, {"a", "b"})):
         weights = weights_with(**off, room_above_share=False)
         weights.start_attempt("a", 0, AIM_S, 0.0)
@@ -150,17 +150,17 @@
         ),
     ],
 )
-def test_a_load_is_read_or_ignored(value: bytes, load: InstanceLoad | None) -> None:
+def test_a_reported_load_is_parsed_or_ignored(value: bytes, load: InstanceLoad | None) -> None:
     assert instance_load.read(value) == load
 
 
-def test_the_fuller_instance_gets_less_at_once() -> None:
+def test_the_instance_with_higher_load_gets_less_weight_at_once() -> None:
     weights = weights_with()
     weights.record_load("a", 48, 0, 64)
     weights.record_load("b", 0, 0, 64)
     ticks(weights, 0.0, 1)
-    held = weights.weights()
-    assert held["a"] == pytest.approx(held["b"] / 4, rel=0.1)
+    current = weights.weights()
+    assert current["a"] == pytest.approx(current["b"] / 4, rel=0.1)
 
 
 def test_without_the_mechanism_and_without_reports_nothing_changes() -> None:
@@ -170,7 +170,7 @@
     assert weights.weights() == {"a": 32.0, "b": 32.0}
 
 
-def test_what_others_were_told_counts_and_a_report_fades() -> None:
+def test_reports_of_other_gateways_count_and_a_report_fades() -> None:
     weights = weights_with()
     weights.import_sums(5, {"a": [0, 0, 0, 0, 0, 0, 4.0, 5.0], "b": [0, 0, 0, 0, 0, 0, 0.0, 5.0]}, 0.0)
     ticks(weights, 0.0, 1)
@@ -189,13 +189,13 @@
     assert set(weights.weights()) == {"a", "b"}
 
 
-def test_what_one_liar_can_move_is_bounded() -> None:
+def test_the_effect_of_one_false_load_report_is_bounded() -> None:
     """One that claims to be idle gets no more than an idle one would; one that claims anything gets none."""
     weights = weights_with()
     weights.record_load("a", 0, 0, 1)
     weights.record_load("b", 32, 0, 64)
     ticks(weights, 0.0, 1)
-    held = weights.weights()
-    assert held["a"] <= 2.1 * held["b"]
+    current = weights.weights()
+    assert current["a"] <= 2.1 * current["b"]
     weights.record_load("a", 10**6, 10**6, 1)
     assert weights.export_sums()["a"][6] <= LOAD_MOST
--- a/tests/system/test_system_tools.py
+++ b/tests/system/test_system_tools.py
@@ -33,7 +33,7 @@
     return SETTINGS.format(**{**values, **given})
 
 
-def test_the_deploy_file_of_this_project_is_whole(capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_deploy_file_of_this_project_is_complete(capsys: pytest.CaptureFixture[str]) -> None:
     assert system_main.main(["check-deploy", str(ROOT / "deploy" / "system.toml")]) == 0
     assert "3 roles" in capsys.readouterr().out
 
@@ -48,7 +48,7 @@
         ("build = ", "Invalid value"),
     ],
 )
-def test_a_wrong_deploy_file_is_told_by_key(
+def test_a_wrong_deploy_file_is_reported_by_key(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], text: str, named: str
 ) -> None:
     path = tmp_path / "system.toml"
@@ -66,7 +66,7 @@
         (("[bounds]", "[bounds"), "no TOML"),
     ],
 )
-def test_wrong_settings_are_told_by_file_and_key(
+def test_wrong_settings_are_reported_by_file_and_key(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], change: tuple[str, str], named: str
 ) -> None:
     path = tmp_path / "local.toml"
@@ -77,7 +77,7 @@
     assert str(path) in message
 
 
-def test_settings_with_unknown_keys_are_taken(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_settings_with_unknown_keys_are_accepted(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     path = tmp_path / "local.toml"
     path.write_text(settings_text())
     assert system_main.main(["check-settings", str(path)]) == 0
@@ -93,7 +93,7 @@
     assert "routes.0: service none is unknown" in capsys.readouterr().err
 
 
-def test_a_state_folder_is_shown_and_verified(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_data_folder_is_shown_and_verified(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     disk = FolderDisk(str(tmp_path / "state"))
     storage = Storage(disk)
     storage.recover()
@@ -106,7 +106,7 @@
     assert system_main.main(["state", str(tmp_path / "none")]) == 1
 
 
-def test_a_role_without_settings_ends_with_2(
+def test_a_role_without_settings_exits_with_2(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str], tmp_path: Path
 ) -> None:
     monkeypatch.delenv(system_main.SETTINGS_VARIABLE, raising=False)
@@ -117,11 +117,11 @@
     assert "none.toml" in capsys.readouterr().err
 
 
-def test_a_wrong_call_ends_with_2(capsys: pytest.CaptureFixture[str]) -> None:
+def test_an_unknown_command_exits_with_2(capsys: pytest.CaptureFixture[str]) -> None:
     assert system_main.main(["no-such-tool"]) == 2
 
 
-def test_a_process_that_is_not_there_is_told(capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_process_that_does_not_answer_is_reported(capsys: pytest.CaptureFixture[str]) -> None:
     assert system_main.main(["status", "nonsense"]) == 1
     assert "nonsense" in capsys.readouterr().err
 
--- a/tests/system/test_zone_backoff.py
+++ b/tests/system/test_zone_backoff.py
@@ -16,7 +16,7 @@
         backoff.record_timeout(zone, f"{zone}{at}", now)
 
 
-def test_one_silent_instance_is_not_a_silent_zone() -> None:
+def test_one_unresponsive_instance_is_not_an_unresponsive_zone() -> None:
     backoff = ZoneBackoff()
     time_out(backoff, "z", 1)
     backoff.record_timeout("z", "z0", 0.1)
@@ -25,7 +25,7 @@
     assert backoff.zones_in_backoff(0.2) == {"z"}
 
 
-def test_an_instance_that_takes_a_connection_clears_its_zone() -> None:
+def test_an_accepted_connection_ends_the_backoff_of_its_zone() -> None:
     backoff = ZoneBackoff()
     time_out(backoff, "z", 3)
     backoff.record_connected("z")
@@ -51,14 +51,14 @@
     assert not backoff.zones_in_backoff(now)
 
 
-def test_a_trial_that_nothing_is_heard_of_holds_others_back_for_a_moment_only() -> None:
+def test_a_trial_without_an_outcome_delays_others_for_a_moment_only() -> None:
     backoff = ZoneBackoff()
     time_out(backoff, "z", 2)
     backoff.begin_trial("z", BACKOFF_FIRST_S)
     assert not backoff.zones_in_backoff(BACKOFF_FIRST_S + TRIAL_S + 0.01)
 
 
-def test_a_zone_without_evidence_is_not_held_back_by_a_request() -> None:
+def test_a_zone_without_evidence_gets_no_backoff_from_a_request() -> None:
     backoff = ZoneBackoff()
     backoff.begin_trial("z", 0.0)
     time_out(backoff, "z", 1)
@@ -71,7 +71,7 @@
     return {instance.zone for instance in found if instance}
 
 
-def test_a_resting_zone_comes_last_but_is_used_where_there_is_no_other() -> None:
+def test_a_zone_in_backoff_comes_last_but_is_used_where_there_is_no_other() -> None:
     known = instances(entry("a"), entry("b", "n2"))
     placement = Placement(known, "north")
     time_out(known.zone_backoff, "n1", 2)
@@ -81,7 +81,7 @@
     assert chosen_zones(only, Placement(only, "north"), 0.1) == {"n1"}
 
 
-def test_a_request_leaves_a_region_in_which_it_waited_in_vain() -> None:
+def test_a_request_leaves_a_region_in_which_a_connection_timed_out() -> None:
     known = instances(entry("a"), entry("b", "n2"), entry("c", "s1"))
     placement = Placement(known, "north")
     assert chosen_zones(known, placement, 0.1, unresponsive_regions={"north"}) == {"s1"}
