--- a/tests/system/test_control_plane_faults.py
+++ b/tests/system/test_control_plane_faults.py
@@ -18,7 +18,7 @@
 )
 from brambleusher.controlplane.configuration.state_machine import SharedState
 from brambleusher.controlplane.replica import Replica
-from tests.system.control_plane_faults import SHORT_SEGMENT, play, short_segments
+from tests.system.control_plane_faults import SHORT_SEGMENT_BYTES, play, short_segments
 from tests.system.memory_disk import MemoryDisk
 from tests.system.virtual_deployment import VirtualDeployment, configuration, route
 
@@ -388,7 +388,7 @@
     deployment: VirtualDeployment,
 ) -> None:
     """One was without power, one lost its disk, one stayed: each of them then leads."""
-    with short_segments(SHORT_SEGMENT):
+    with short_segments(SHORT_SEGMENT_BYTES):
         deployment.served()
         dark = follower_of(deployment)
         deployment.power_off(dark)
