--- a/brambleusher/admin/metrics_text.py
+++ b/brambleusher/admin/metrics_text.py
@@ -1,4 +1,4 @@
-"""The figures that operators fetch, as text: one `name=value` a line."""
+"""The metrics that operators fetch, as text: one `name=value` a line."""
 
 from __future__ import annotations
 
@@ -6,11 +6,17 @@
 
 
 def render(request_counts: RequestCounts, listed: int, avoided: int) -> bytes:
-    """All of them as they stand; `listed` and `avoided` are endpoints."""
+    """Render all metrics as they stand.
+
+    Args:
+        request_counts: Requests by class and outcome.
+        listed: Endpoints that the list names.
+        avoided: Endpoints that get no requests now.
+    """
     lines = [
-        f"edge_node.operations.{name}.{end}={count}"
-        for name, ends in request_counts.finished.items()
-        for end, count in ends.items()
+        f"edge_node.operations.{name}.{outcome}={count}"
+        for name, outcomes in request_counts.finished.items()
+        for outcome, count in outcomes.items()
     ]
     lines += [
         f"edge_node.relayed={request_counts.attempts_sent}",
--- a/brambleusher/admin/routes.py
+++ b/brambleusher/admin/routes.py
@@ -20,51 +20,67 @@
     IN_SERVICE = "in-service"
 
 
-ID = "ID"  # stands for the id of an endpoint
-# Method and path; what is done and what comes back is `server.AdminServer.answer`'s, call by call.
-TABLE: tuple[tuple[str, tuple[str, ...], AdminCall], ...] = (
-    ("GET", ("control", "ready"), AdminCall.READY),
-    ("GET", ("control", "counters"), AdminCall.COUNTERS),
-    ("POST", ("control", "registry-nodes", ID, "offline"), AdminCall.OFFLINE),
-    ("POST", ("control", "registry-nodes", ID, "online"), AdminCall.ONLINE),
-    ("POST", ("control", "out-of-service"), AdminCall.OUT_OF_SERVICE),
-    ("POST", ("control", "in-service"), AdminCall.IN_SERVICE),
+@dataclass(frozen=True, slots=True)
+class AdminRoute:
+    """A method and a path that make a call; what comes back is `AdminServer.respond`'s, call by call."""
+
+    method: str
+    path: tuple[str, ...]
+    call: AdminCall
+
+
+ENDPOINT_ID = "ID"  # stands for the id of an endpoint
+ROUTES = (
+    AdminRoute("GET", ("control", "ready"), AdminCall.READY),
+    AdminRoute("GET", ("control", "counters"), AdminCall.COUNTERS),
+    AdminRoute("POST", ("control", "registry-nodes", ENDPOINT_ID, "offline"), AdminCall.OFFLINE),
+    AdminRoute("POST", ("control", "registry-nodes", ENDPOINT_ID, "online"), AdminCall.ONLINE),
+    AdminRoute("POST", ("control", "out-of-service"), AdminCall.OUT_OF_SERVICE),
+    AdminRoute("POST", ("control", "in-service"), AdminCall.IN_SERVICE),
 )
 
-_ESCAPE = re.compile(rb"%([0-9A-Fa-f]{2})")
-_BROKEN = re.compile(rb"%(?![0-9A-Fa-f]{2})")
+_PERCENT_ESCAPE = re.compile(rb"%([0-9A-Fa-f]{2})")
+_BROKEN_ESCAPE = re.compile(rb"%(?![0-9A-Fa-f]{2})")
 
 
 @dataclass(frozen=True, slots=True)
 class AdminRequest:
-    """One call, and the node it is about where it is about one."""
+    """One call, and the endpoint it is about where it is about one."""
 
     call: AdminCall
-    node: str = ""
+    endpoint: str = ""
+
+
+def find_route(method: str, target: str) -> AdminRequest:
+    """Find the call that is meant.
+
+    Raises:
+        HttpError: no call has the path (404), or it has another method (405).
+    """
+    parts = tuple(target.partition("?")[0].removeprefix("/").split("/"))
+    matching = [route for route in ROUTES if _has_path(route, parts)]
+    for route in matching:
+        if route.method == method:
+            is_about_endpoint = ENDPOINT_ID in route.path
+            endpoint = _unquote(parts[route.path.index(ENDPOINT_ID)]) if is_about_endpoint else ""
+            return AdminRequest(route.call, endpoint)
+    if matching:
+        raise HttpError(405, f"this call is made with {matching[0].method}")
+    raise HttpError(404, "no such call")
 
 
-def decode(text: str) -> str:
-    """A part of a path without its percent signs; raises `HttpError` where it makes no text."""
+def _has_path(route: AdminRoute, parts: tuple[str, ...]) -> bool:
+    if len(route.path) != len(parts):
+        return False
+    return all(want in (ENDPOINT_ID, part) for want, part in zip(route.path, parts, strict=True))
+
+
+def _unquote(text: str) -> str:
+    """Decode a part of a path; raises `HttpError` where it makes no text."""
     raw = text.encode("latin-1")
-    if _BROKEN.search(raw):
+    if _BROKEN_ESCAPE.search(raw):
         raise HttpError(400, "a percent sign is not followed by two hexadecimal digits")
     try:
-        return _ESCAPE.sub(lambda found: bytes([int(found[1], 16)]), raw).decode()
+        return _PERCENT_ESCAPE.sub(lambda found: bytes([int(found[1], 16)]), raw).decode()
     except UnicodeDecodeError:
         raise HttpError(400, "the path is not UTF-8") from None
-
-
-def find(method: str, target: str) -> AdminRequest:
-    """The call that is meant; raises `HttpError`: 404 for a path of none, 405 for another method."""
-    parts = target.partition("?")[0].removeprefix("/").split("/")
-    allowed = []
-    for wanted, path, call in TABLE:
-        if len(path) != len(parts) or any(a not in (ID, b) for a, b in zip(path, parts, strict=True)):
-            continue
-        if wanted == method:
-            node = decode(parts[path.index(ID)]) if ID in path else ""
-            return AdminRequest(call, node)
-        allowed.append(wanted)
-    if allowed:
-        raise HttpError(405, f"this call is made with {allowed[0]}")
-    raise HttpError(404, "no such call")
--- a/brambleusher/admin/server.py
+++ b/brambleusher/admin/server.py
@@ -3,24 +3,29 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable
 from typing import Protocol
 
-from brambleusher.admin.routes import AdminCall, AdminRequest, find
+from brambleusher.admin.routes import AdminCall, AdminRequest, find_route
 from brambleusher.net.http import HttpError, Message, MessageReader, write_response
+from brambleusher.runtime.listening import (
+    ACCEPT_RETRY_S,
+    OutOfDescriptorsError,
+    accept_connection,
+    local_address,
+)
 from brambleusher.runtime.scheduler import Scheduler, Task, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
-from brambleusher.runtime.system import RESOURCE_EXHAUSTION_ERRNOS, Socket
+from brambleusher.runtime.system import Address, Socket
 
 log = logging.getLogger(__name__)
 
-MOST = 16  # connections at once; one more closes the oldest
-DESCRIPTORS = MOST + 2  # the listener, and the one that is accepted before the oldest is closed
+MAX_CALLERS = 16  # connections at once; one more closes the oldest
+DESCRIPTORS = MAX_CALLERS + 2  # the listener, and the one that is accepted before the oldest is closed
 BACKLOG = 64
-CALL_SECONDS = 1.5  # from the accept to the last byte of the call
-WRITE_SECONDS = 1.0
-MOST_BODY = 4096  # no call needs one
-NO_DESCRIPTOR_SECONDS = 0.05
+CALL_TIMEOUT_S = 1.5  # from the accept to the last byte of the call
+WRITE_TIMEOUT_S = 1.0
+MAX_BODY_BYTES = 4096  # no call needs one
+CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 class AdminService(Protocol):
@@ -29,20 +34,20 @@
     def is_serving(self) -> bool:
         """Whether this process can serve."""
 
-    def figures_text(self) -> bytes:
-        """The figures as they stand."""
+    def metrics_text(self) -> bytes:
+        """Render the metrics as they stand."""
 
-    def offline(self, node: str) -> bool:
-        """Leave an endpoint out; false for one that was never listed."""
+    def take_endpoint_offline(self, name: str) -> bool:
+        """Ban an endpoint; false for one that was never listed."""
 
-    def online(self, node: str) -> bool:
-        """Use it again; false for one that was never listed."""
+    def put_endpoint_online(self, name: str) -> bool:
+        """End an endpoint's ban; false for one that was never listed."""
 
-    def out_of_service(self) -> None:
+    def take_out_of_service(self) -> None:
         """Send clients away."""
 
-    def in_service(self) -> None:
-        """Back to work."""
+    def put_in_service(self) -> None:
+        """Accept clients again."""
 
 
 class AdminServer:
@@ -52,14 +57,13 @@
         self._scheduler, self._service = scheduler, service
         self._listener: Socket | None = None
         self._accepting: Task | None = None
-        self._callers: dict[Stream, Task] = {}  # those whose call is not whole, the oldest first
+        self._callers: dict[Stream, Task] = {}  # those whose call is not complete, the oldest first
 
-    def listen(self, address: tuple[str, int]) -> tuple[str, int]:
-        """Bind, and start to take calls; says where.  Raises `OSError`."""
+    def listen(self, address: Address) -> Address:
+        """Bind, and start to take calls; returns the address it listens on, raises `OSError`."""
         self._listener = listener = self._scheduler.system.listen(address, BACKLOG)
         self._accepting = self._scheduler.spawn(self._accept_all, listener, name="admin", urgent=True)
-        host, port = listener.getsockname()[:2]
-        return str(host), int(port)
+        return local_address(listener)
 
     def close(self) -> None:
         """Take no more calls."""
@@ -74,20 +78,19 @@
     def _accept_all(self, listener: Socket) -> None:
         while True:
             try:
-                sock, _ = self._scheduler.system.accept(listener)
-            except BlockingIOError:
-                self._scheduler.park(sock=listener)
+                accepted = accept_connection(self._scheduler, listener)
+            except OutOfDescriptorsError as error:
+                log.warning("accept failed", extra={"fields": {"listener": "admin", "error": error.strerror}})
+                self._scheduler.sleep(ACCEPT_RETRY_S)
                 continue
-            except OSError as error:
-                if error.errno in RESOURCE_EXHAUSTION_ERRNOS:
-                    log.warning("no descriptor for a call", extra={"fields": {"error": error.strerror}})
-                    self._scheduler.sleep(NO_DESCRIPTOR_SECONDS)
+            if accepted is None:
+                self._scheduler.park(sock=listener)
                 continue
-            if len(self._callers) >= MOST:
-                # Guards against callers that say nothing keeping out the next one.
+            if len(self._callers) >= MAX_CALLERS:
+                # Callers that say nothing must not keep out the next one.
                 self._drop(next(iter(self._callers)))
-            stream = Stream(self._scheduler, sock)
-            self._callers[stream] = self._scheduler.spawn(self._serve, stream, name="call", urgent=True)
+            stream = accepted.stream
+            self._callers[stream] = self._scheduler.spawn(self._serve, stream, name="admin call", urgent=True)
 
     def _drop(self, stream: Stream) -> None:
         task = self._callers.pop(stream, None)
@@ -97,35 +100,39 @@
 
     def _serve(self, stream: Stream) -> None:
         try:
-            try:
-                status, body = self.answer(self._read(stream))
-            except HttpError as error:
-                status, body = error.status, f"{error}\n".encode()
-            except (OSError, TaskTimeoutError):
-                return
-            except Exception:
-                # Guards against a call without an answer, by a fault of ours.
-                log.exception("call failed")
-                status, body = 500, b"failed\n"
+            response = self._serve_call(stream)
+            # From here on a newer caller does not close this one.
             self._callers.pop(stream, None)
-            try:
-                text = write_response(status, [("Content-Type", "text/plain")], body, False)
-                stream.send(text, self._scheduler.now() + WRITE_SECONDS)
-                stream.finish()
-            except (OSError, TaskTimeoutError):
-                return
+            stream.send(response, self._scheduler.now() + WRITE_TIMEOUT_S)
+            stream.finish()
+        except (OSError, TaskTimeoutError):
+            return
         finally:
             self._callers.pop(stream, None)
             stream.close()
 
+    def _serve_call(self, stream: Stream) -> bytes:
+        """Read a call and do what it asks for; raises `OSError` where the caller left."""
+        try:
+            status, body = self.respond(self._read(stream))
+        except HttpError as error:
+            status, body = error.status, f"{error}\n".encode()
+        except (OSError, TaskTimeoutError):
+            raise
+        except Exception:
+            # A fault of ours must not leave the call without a response.
+            log.exception("admin call failed")
+            status, body = 500, b"failed\n"
+        return write_response(status, [("Content-Type", "text/plain")], body, False)
+
     def _read(self, stream: Stream) -> AdminRequest:
-        """The call; raises `HttpError`, `OSError` where the caller left."""
-        reader, deadline = MessageReader.requests(), self._scheduler.now() + CALL_SECONDS
-        told_to_go_on = False
-        while (call := self._taken(reader)) is None:
-            if reader.expects_continue and not told_to_go_on:
-                told_to_go_on = True
-                stream.send(b"HTTP/1.1 100 Continue\r\n\r\n", deadline)
+        """Read the call; raises `HttpError`, and `OSError` where the caller left."""
+        reader, deadline = MessageReader.requests(), self._scheduler.now() + CALL_TIMEOUT_S
+        has_sent_continue = False
+        while (message := self._take(reader)) is None:
+            if reader.expects_continue and not has_sent_continue:
+                has_sent_continue = True
+                stream.send(CONTINUE, deadline)
             try:
                 data = stream.receive(deadline)
             except TaskTimeoutError:
@@ -133,32 +140,35 @@
             if not data:
                 raise ConnectionResetError("the caller has left")
             reader.feed(data)
-        return find(*call.start)
+        return find_route(*message.start)
 
     @staticmethod
-    def _taken(reader: MessageReader) -> Message | None:
-        call = reader.take()
-        if reader.size > MOST_BODY:
+    def _take(reader: MessageReader) -> Message | None:
+        message = reader.take()
+        if reader.size > MAX_BODY_BYTES:
             raise HttpError(413, "no call has a body")
-        return call
-
-    def answer(self, asked: AdminRequest) -> tuple[int, bytes]:
-        """Do what is asked: the status and what is said."""
-        service, node = self._service, asked.node
-        by_node: dict[AdminCall, Callable[[str], bool]] = {
-            AdminCall.OFFLINE: service.offline, AdminCall.ONLINE: service.online
-        }  # fmt: skip
-        match asked.call:
+        return message
+
+    def respond(self, request: AdminRequest) -> tuple[int, bytes]:
+        """Do what a call asks for; returns the status and the body of its response."""
+        service = self._service
+        match request.call:
             case AdminCall.READY:
                 return (200, b"ready\n") if service.is_serving() else (503, b"starting\n")
             case AdminCall.COUNTERS:
-                return 200, service.figures_text()
+                return 200, service.metrics_text()
             case AdminCall.OFFLINE | AdminCall.ONLINE:
-                if not by_node[asked.call](node):
+                if not self._set_endpoint(request):
                     return 404, b"no such registry node was ever listed\n"
             case AdminCall.OUT_OF_SERVICE:
-                service.out_of_service()
+                service.take_out_of_service()
             case AdminCall.IN_SERVICE:
-                service.in_service()
-        log.info("operators' call", extra={"fields": {"call": asked.call.value, "registry_node": node}})
-        return 200, f"{asked.call.value}\n".encode()
+                service.put_in_service()
+        fields = {"call": request.call.value, "registry_node": request.endpoint}
+        log.info("admin call", extra={"fields": fields})
+        return 200, f"{request.call.value}\n".encode()
+
+    def _set_endpoint(self, request: AdminRequest) -> bool:
+        if request.call is AdminCall.OFFLINE:
+            return self._service.take_endpoint_offline(request.endpoint)
+        return self._service.put_endpoint_online(request.endpoint)
--- a/brambleusher/lab/faults/breakages.py
+++ b/brambleusher/lab/faults/breakages.py
@@ -172,7 +172,7 @@
     profile="operators",
 )  # fmt: skip
 def _ban_unknown(patches: Patches) -> None:
-    patches.set(Sidecar, "offline", lambda self, node: self.bans.is_known(node))
+    patches.set(Sidecar, "take_endpoint_offline", lambda self, node: self.bans.is_known(node))
 
 
 @breakage(
--- a/brambleusher/net/client_listener.py
+++ b/brambleusher/net/client_listener.py
@@ -19,14 +19,18 @@
 from brambleusher.net.upstream_pool import UpstreamPool
 from brambleusher.observability.counters import Counters
 from brambleusher.observability.request_counts import RequestCounts
+from brambleusher.runtime.listening import (
+    ACCEPT_RETRY_S,
+    OutOfDescriptorsError,
+    accept_connection,
+    local_address,
+)
 from brambleusher.runtime.scheduler import Scheduler, Task
-from brambleusher.runtime.streams import Stream
-from brambleusher.runtime.system import RESOURCE_EXHAUSTION_ERRNOS, Address, Socket
+from brambleusher.runtime.system import Address, Socket
 
 log = logging.getLogger(__name__)
 
 BACKLOG = 512
-ACCEPT_RETRY_S = 0.05  # between two tries to accept while no slot or descriptor is free
 LAST_CONNECTS_S = 0.2  # that the listener stays open at the most once the sidecar drains
 LAST_CONNECTS_PAUSE_S = 0.05  # without a new connection that ends it sooner
 
@@ -83,7 +87,7 @@
         """
         self._listener = self._scheduler.system.listen(address, BACKLOG)
         self.start_accepting()
-        return self._address_of(self._listener)
+        return local_address(self._listener)
 
     def adopt(self, fd: int) -> Address:
         """Take over a socket that listens already, and don't accept yet.
@@ -97,12 +101,7 @@
             OSError: the descriptor is no listening socket.
         """
         self._listener = self._scheduler.system.adopt(fd)
-        return self._address_of(self._listener)
-
-    @staticmethod
-    def _address_of(listener: Socket) -> Address:
-        host, port = listener.getsockname()[:2]
-        return str(host), int(port)
+        return local_address(self._listener)
 
     # --- accepting ------------------------------------------------------------------------------
 
@@ -134,19 +133,17 @@
     def _accept_one(self, listener: Socket) -> bool:
         """Accept one connection from the backlog; false if it is empty."""
         try:
-            sock, peer = self._scheduler.system.accept(listener)
-        except BlockingIOError:
+            accepted = accept_connection(self._scheduler, listener)
+        except OutOfDescriptorsError as error:
+            log.warning("accept failed", extra={"fields": {"listener": "clients", "error": error.strerror}})
+            self._connections.make_room_below_current()
+            self._delay_accepts()
+            return True
+        if accepted is None:
             return False
-        except OSError as error:
-            if error.errno in RESOURCE_EXHAUSTION_ERRNOS:
-                # Without the delay this would loop at full speed while no descriptor is free.
-                log.warning("accept failed: no descriptor", extra={"fields": {"error": error.strerror}})
-                self._connections.make_room_below_current()
-                self._delay_accepts()
-            return True  # other errors concern the connection that was to be accepted, and it is gone
         self._counters.add("connections_accepted")
         self._accepted_count += 1
-        connection = ClientConnection(Stream(self._scheduler, sock), peer)
+        connection = ClientConnection(accepted.stream, accepted.peer)
         if self._accepts_delayed_since is not None:
             earliest = connection.accepted_at - FIRST_REQUEST_TIMEOUT_S + FIRST_REQUEST_S
             connection.set_accept_delayed(self._accepts_delayed_since, earliest)
--- a/brambleusher/runtime/acceptor.py
+++ b/brambleusher/runtime/acceptor.py
@@ -1,18 +1,18 @@
-"""Takes connections on one address and gives each a task, within a bound on how many are open."""
+"""Accepts connections on one address and gives each a task, within a limit on how many are open."""
 
 from __future__ import annotations
 
 import logging
 from collections.abc import Callable
 
+from brambleusher.runtime.listening import ACCEPT_RETRY_S, OutOfDescriptorsError, accept_connection
 from brambleusher.runtime.scheduler import Scheduler, Task, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
-from brambleusher.runtime.system import READ, RESOURCE_EXHAUSTION_ERRNOS, Address
+from brambleusher.runtime.system import Address
 
 log = logging.getLogger(__name__)
 
 BACKLOG = 512
-SHORT_PAUSE_S = 0.05  # out of descriptors: connections end in the meantime
 
 
 class Acceptor:
@@ -23,16 +23,16 @@
         scheduler: Scheduler,
         address: Address,
         serve: Callable[[Stream, str], None],
-        most: int = 1024,
+        max_connections: int = 1024,
     ) -> None:
-        self._scheduler, self._serve, self._most = scheduler, serve, most
+        self._scheduler, self._serve, self._max_connections = scheduler, serve, max_connections
         self._listener = scheduler.system.listen(address, BACKLOG)
         self.open: dict[Stream, Task] = {}
         self._task = scheduler.spawn(self._accept, name="accept")
         self.closed = False
 
     def close(self) -> None:
-        """Take no more connections; those that are open stay."""
+        """Stop accepting; connections that are open stay."""
         if not self.closed:
             self.closed = True
             self._task.cancel()
@@ -40,19 +40,18 @@
 
     def _accept(self) -> None:
         while not self.closed:
-            if len(self.open) >= self._most:
-                self._scheduler.sleep(SHORT_PAUSE_S)
+            if len(self.open) >= self._max_connections:
+                self._scheduler.sleep(ACCEPT_RETRY_S)
                 continue
             try:
-                sock, peer = self._scheduler.system.accept(self._listener)
-            except BlockingIOError:
-                self._scheduler.park(None, self._listener, READ)
+                accepted = accept_connection(self._scheduler, self._listener)
+            except OutOfDescriptorsError:
+                self._scheduler.sleep(ACCEPT_RETRY_S)
                 continue
-            except OSError as error:
-                if error.errno in RESOURCE_EXHAUSTION_ERRNOS:
-                    self._scheduler.sleep(SHORT_PAUSE_S)
+            if accepted is None:
+                self._scheduler.park(sock=self._listener)
                 continue
-            stream = Stream(self._scheduler, sock)
+            stream, peer = accepted.stream, accepted.peer
             self.open[stream] = self._scheduler.spawn(self._run, stream, peer, name="connection")
 
     def _run(self, stream: Stream, peer: str) -> None:
--- a/brambleusher/sidecar/app.py
+++ b/brambleusher/sidecar/app.py
@@ -339,7 +339,7 @@
         if self.metrics_reporter is not None:
             self.metrics_reporter.start(self.scheduler)
         if self.status is not None:
-            self.status.listed(known)
+            self.status.update_endpoints(known)
             self.status.start(self.config.listen[0])
         if self.mysql is not None:
             self.mysql.start(known)
@@ -434,20 +434,20 @@
         """Whether this process can serve, wanted or not."""
         return self.client_listener.is_accepting and self.is_ready()
 
-    def figures_text(self) -> bytes:
+    def metrics_text(self) -> bytes:
         """The figures as they stand."""
         return service_figures.render(
             self.request_counts, len(self.upstream_pool.listed), self.balancer_driver.count_avoided_hosts()
         )
 
-    def offline(self, node: str) -> bool:
+    def take_endpoint_offline(self, node: str) -> bool:
         """Leave an endpoint out from now on; false for one never listed: from when it is."""
         if self._said(node, self.bans.ban):
             return True
         self.bans.ban_when_listed(node, self.clock.now_ns())
         return False
 
-    def online(self, node: str) -> bool:
+    def put_endpoint_online(self, node: str) -> bool:
         """Use it again from now on; false for one that was never listed."""
         self.bans.cancel_ban_when_listed(node)
         return self._said(node, self.bans.unban)
@@ -459,12 +459,12 @@
         self._share()
         return True
 
-    def out_of_service(self) -> None:
+    def take_out_of_service(self) -> None:
         """Send clients away; this process runs on."""
         self._want(False, self.clock.now_ns())
         self._share()
 
-    def in_service(self) -> None:
+    def put_in_service(self) -> None:
         """Take clients again."""
         self._want(True, self.clock.now_ns())
         self._share()
@@ -521,7 +521,7 @@
 
     def _told(self, update: EndpointListUpdate) -> None:
         if self.status is not None:
-            self.status.listed(update)
+            self.status.update_endpoints(update)
         if self.capture is not None:
             self.capture.listed(update)
         # The connections first: what the module sends from here on goes by the same list.
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -9,8 +9,8 @@
 import unittest
 from typing import Any
 
-from brambleusher.admin.routes import AdminCall, find
-from brambleusher.admin.server import MOST
+from brambleusher.admin.routes import AdminCall, find_route
+from brambleusher.admin.server import MAX_CALLERS
 from brambleusher.net.http import HttpError, Message
 from tests.rig import WAIT, Discovery, Node, Rig, Script, answer, read
 
@@ -26,8 +26,8 @@
             ("POST", "/control/in-service", AdminCall.IN_SERVICE, ""),
         ):
             with self.subTest(target):
-                asked = find(method, target)
-                self.assertEqual((asked.call, asked.node), (call, node))
+                asked = find_route(method, target)
+                self.assertEqual((asked.call, asked.endpoint), (call, node))
 
     def test_what_is_no_call(self) -> None:
         for method, target, status in (
@@ -42,7 +42,7 @@
             ("POST", "/control/registry-nodes/%ff/offline", 400),
         ):
             with self.subTest(target), self.assertRaises(HttpError) as caught:
-                find(method, target)
+                find_route(method, target)
             self.assertEqual(caught.exception.status, status)
 
 
@@ -142,7 +142,7 @@
     def test_callers_that_say_nothing_or_half_a_call_hold_up_nobody(self) -> None:
         rig = self.rig(self.node())
         rig.listed(1)  # until the list is in, the answer is 503: see the test below
-        silent = [self.connect(rig) for _ in range(MOST * 2)]
+        silent = [self.connect(rig) for _ in range(MAX_CALLERS * 2)]
         for sock in silent[::2]:
             sock.sendall(b"GET /control/rea")
         begun = time.monotonic()
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -7,7 +7,8 @@
 import socket
 import unittest
 
-from brambleusher.features.status import MAX_VIEWERS, page, row_of
+from brambleusher.features.status import MAX_VIEWERS
+from brambleusher.features.status_rendering import ServerStatus, render_page, render_server
 from brambleusher.net.http import Message
 from brambleusher.operator_settings.configuration import StatusSettings, parse_operator_file
 from brambleusher.operator_settings.section import OperatorError
@@ -124,16 +125,18 @@
         port = self.node.address.rpartition(":")[2]
         with self.assertLogs("brambleusher.features.status", "ERROR") as logged:
             rig = self.rig(f"status: {{port: {port}}}")
-        self.assertIn("no status page", logged.output[0])
+        self.assertIn("status page listen failed", logged.output[0])
         self.assertEqual(rig.call().status, 200)
 
 
 class Html(unittest.TestCase):
     def test_what_came_from_outside_is_escaped(self) -> None:
-        server = {"id": "<b>", "addr": '"&', "state": "Ready", "errors": [{"t_ms": 1, "error": "reset"}]}
-        text = b"".join(page(
+        server: ServerStatus = {
+            "id": "<b>", "addr": '"&', "state": "Ready", "errors": [{"t_ms": 1, "error": "reset"}],
+        }  # fmt: skip
+        text = b"".join(render_page(
             {"version": "1", "uptime_s": 2, "inflight": {"<i>": 0}, "answers_per_minute": {"<i>": 3}},
-            [row_of(server)[0]],
+            [render_server(server)[0]],
         )).decode()  # fmt: skip
         self.assertIn("<td>&lt;b&gt;</td><td>&quot;&amp;</td><td>Ready</td><td>reset at 1 ms</td>", text)
         self.assertNotIn("<i>", text)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -9,6 +9,7 @@
 import random
 import signal
 from dataclasses import replace
+from typing import Any, cast
 
 import msgspec
 import pytest
@@ -18,7 +19,7 @@
 from brambleusher.cli.explore import _chunk
 from brambleusher.features.records import event_from, event_of
 from brambleusher.features.replay import rerun
-from brambleusher.features.status import page
+from brambleusher.features.status_rendering import render_page
 from brambleusher.lab.fleets.fleet import Fleet
 from brambleusher.lab.fleets.scenario import draw_scenario
 from brambleusher.lab.virtual.explore import OUTPUT_BYTES
@@ -507,8 +508,9 @@
         def shown() -> dict[str, bool]:
             assert place.sidecar is not None and place.sidecar.status is not None
             now = place.sidecar.status.snapshot()
-            assert b"macon" in b"".join(page(now, []))
-            return {zone["zone"]: zone["evacuating"] for zone in now["zones"]["zones"]}
+            assert b"macon" in b"".join(render_page(now, []))
+            zones = cast("list[dict[str, Any]]", now["zones"]["zones"])
+            return {zone["zone"]: zone["evacuating"] for zone in zones}
 
         assert shown()["macon"]
         for operator, said, evacuated in (
