--- a/tests/system/test_configuration_patch.py
+++ b/tests/system/test_configuration_patch.py
@@ -8,8 +8,6 @@
 
 import pytest
 
-from brambleusher.controlplane.configuration.commands import PutConfiguration, Verdict
-from brambleusher.controlplane.configuration.state_machine import SharedState
 from brambleusher.wire import configuration_patch
 from brambleusher.wire.errors import InvalidConfigurationError
 from tests.system.virtual_deployment import CONTROL, Reply, VirtualDeployment, configuration, route
@@ -177,23 +175,6 @@
     assert "If-Match" in reply.json()["error"]
 
 
-def test_a_command_without_a_body_never_comes_into_force() -> None:
-    """It only asks whether a patch was taken before: its base may become current meanwhile."""
-    state = SharedState()
-    assert state.apply(1, PutConfiguration.from_body(0, 4, BASE)) is Verdict.ACCEPTED
-    question = PutConfiguration.from_patch(4, 5, b"patch", None)
-    assert state.apply(2, question) is Verdict.STALE
-    assert state.revision == 4
-    assert state.apply(3, PutConfiguration.from_patch(4, 5, b"patch", BASE)) is Verdict.ACCEPTED
-    assert state.apply(4, question) is Verdict.REPEATED
-
-
-def test_a_patch_and_a_configuration_of_the_same_bytes_have_different_digests() -> None:
-    assert (
-        PutConfiguration.from_body(1, 2, b"x").digest != PutConfiguration.from_patch(1, 2, b"x", b"y").digest
-    )
-
-
 def test_two_items_of_one_name_are_rejected() -> None:
     with pytest.raises(InvalidConfigurationError, match="stands twice"):
         configuration_patch.read(patch_body(2, {"services": [{"name": "a"}, {"name": "a"}]}))
--- a/tests/system/test_control_plane_faults.py
+++ b/tests/system/test_control_plane_faults.py
@@ -14,9 +14,7 @@
     PutConfiguration,
     SetEvacuation,
     Verdict,
-    command_from_json,
 )
-from brambleusher.controlplane.configuration.state_machine import SharedState
 from brambleusher.controlplane.replica import Replica
 from tests.system.control_plane_faults import SHORT_SEGMENT_BYTES, play, short_segments
 from tests.system.memory_disk import MemoryDisk
@@ -218,28 +216,6 @@
     assert replica.state.evacuated_zones == ["n1"]
 
 
-def test_without_its_applied_index_a_delayed_copy_would_act() -> None:
-    state = SharedState()
-    assert state.apply(5, SetEvacuation("n1", True, 4)) is Verdict.ACCEPTED
-    assert state.apply(6, SetEvacuation("n1", True, 4)) is Verdict.REPEATED
-    assert state.apply(7, SetEvacuation("n1", False, 6)) is Verdict.ACCEPTED
-    assert state.apply(8, SetEvacuation("n1", True, 4)) is Verdict.OUTDATED
-    assert state.apply(8, SetEvacuation("n2", True, 4)) is Verdict.ACCEPTED
-    again = SharedState.from_json(state.as_json())
-    assert again.apply(9, SetEvacuation("n1", True, 6)) is Verdict.OUTDATED
-    assert again.apply(9, SetEvacuation("n1", True)) is Verdict.ACCEPTED
-
-
-def test_state_and_commands_of_the_version_before_are_read() -> None:
-    written = {"index": 3, "revision": 2, "packed": "", "digests": [], "evacuated": ["n1"]}
-    assert SharedState.from_json(written).evacuated_zones == ["n1"]
-    assert command_from_json({"op": "evacuate", "zone": "n1", "evacuated": False}) == SetEvacuation(
-        "n1", False
-    )
-    command = SetEvacuation("n1", True, 7)
-    assert command_from_json(command.as_json()) == command
-
-
 def test_an_evacuation_whose_client_disconnected_is_not_proposed(deployment: VirtualDeployment) -> None:
     """A cut holds the operator's call back until it has turned to another controller and gone on."""
     deployment.served()
--- a/tests/system/test_json_fields.py
+++ b/tests/system/test_json_fields.py
@@ -6,7 +6,6 @@
 
 import pytest
 
-from brambleusher.controlplane.configuration.state_machine import SharedState
 from brambleusher.wire.errors import InvalidMessageError, WireError
 from brambleusher.wire.json_fields import (
     as_object,
@@ -43,23 +42,3 @@
 def test_a_value_that_is_no_object_is_named() -> None:
     with pytest.raises(WireError, match="a command is no object"):
         as_object([], "a command")
-
-
-def test_a_state_with_an_unknown_key_is_rejected() -> None:
-    """A later version's key: its content would be lost with the next snapshot."""
-    with pytest.raises(InvalidMessageError, match="later"):
-        SharedState.from_json({**SharedState().as_json(), "later": 1})
-
-
-def test_a_state_keeps_its_form() -> None:
-    stored = {
-        "index": 9,
-        "revision": 3,
-        "packed": "p",
-        "digests": ["d"],
-        "evacuated": ["n1"],
-        "zones_changed": {"n1": 9},
-    }
-    state = SharedState.from_json(stored)
-    assert list(state.as_json().items()) == list(stored.items())
-    assert SharedState.from_json(None) == SharedState()
