--- a/tests/recorded/conversation.py
+++ b/tests/recorded/conversation.py
@@ -122,7 +122,7 @@
         lines = Lines()
         deployment.world.taps.append(lines)
         for name, service, zone in (("i1", "llm", "n1"), ("i2", "desk", "s1")):
-            deployment.add_server(name, service, zone)
+            deployment.add_instance(name, service, zone)
         deployment.wait(lambda: deployment.leader() is not None)
         assert deployment.put("c1", 0, configuration(1)).status == 200
         assert deployment.put("o1", 1, configuration(2, route(), route("/t/"))).status == 200
--- a/tests/recorded/system_day.py
+++ b/tests/recorded/system_day.py
@@ -50,17 +50,17 @@
     deployment = VirtualDeployment(seed=5, cores=3, gateways=1, observers=1)
     try:
         for number, (service, zone) in enumerate((("llm", "n1"), ("llm", "n2"), ("desk", "s1"))):
-            deployment.add_server(f"i{number}", service, zone)
+            deployment.add_instance(f"i{number}", service, zone)
         deployment.served(configuration(1, route(), route("/d/", kind="idempotent", service="desk")))
         deployment.sleep(4.0)
         requests = [
             deployment.request("g1", target, f"a{n}")
             for n, target in enumerate(("/s/1", "/s/2", "/d/x", "/none"))
         ]
-        deployment.servers["i0"].shed = True
-        deployment.servers["i1"].cut_after = 2
+        deployment.stub_instances["i0"].rejects_requests = True
+        deployment.stub_instances["i1"].resets_after_events = 2
         requests += [deployment.request("g1", f"/s/{n}", f"b{n}") for n in range(3)]
-        deployment.servers["i1"].silent = True
+        deployment.stub_instances["i1"].is_unresponsive = True
         requests += [deployment.request("g1", "/s/x", "c0")]
         deployment.sleep(1.0)
 
--- /dev/null
+++ b/tests/system/stub_instance.py
@@ -0,0 +1,177 @@
+"""A stand-in for an instance: records the requests that it gets, and responds or fails as a test says."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+import h11
+
+from brambleusher.lab.virtual.world import Machine
+from brambleusher.runtime.acceptor import Acceptor
+from brambleusher.runtime.scheduler import Scheduler
+from brambleusher.runtime.streams import Stream
+
+
+@dataclass
+class Arrival:
+    """A request as an instance saw it."""
+
+    instance: str
+    attempt: str
+    method: str
+    target: str
+    headers: dict[str, str]
+    body: bytes
+    at: float
+
+
+class StubInstance:
+    """Streams events, or responds with a body; its attributes say how it fails."""
+
+    def __init__(self, machine: Machine, name: str, service: str, zone: str, ip: str) -> None:
+        self.machine, self.name, self.service, self.zone, self.ip = machine, name, service, zone, ip
+        self.state, self.is_listed, self.warmup_ms = "ready", True, 0
+        self.events = 5
+        self.pause_s = 0.02
+        self.resets_after_events: int | None = None  # events, then a reset in the middle of the next
+        self.status = 200
+        self.rejects_requests = False
+        self.is_unresponsive = False
+        self.stray_responses = 0  # answers to other requests ahead of the one that is due
+        self.stray_attempt_id = "other"  # that they name; empty: none
+        self.forgets_after_s: float | None = None  # of rest a connection is reset when anything comes
+        self.connections = 0  # taken so far
+        self.echoes_attempt_id = True  # whether its answers name the request that they are for
+        self.arrivals: list[Arrival] = []
+        self.scheduler: Scheduler | None = None
+        self.start()
+
+    def start(self) -> None:
+        def build(scheduler: Scheduler) -> object:
+            self.scheduler = scheduler
+            return Acceptor(scheduler, (self.ip, 80), self._serve)
+
+        self.machine.serve(build, self.name)
+
+    def entry(self) -> dict[str, Any]:
+        return {
+            "id": self.name,
+            "service": self.service,
+            "address": f"{self.ip}:80",
+            "zone": self.zone,
+            "revision": "v1",
+            "capacity": 8,
+            "state": self.state,
+            "warmup_ms": self.warmup_ms,
+        }
+
+    def _serve(self, stream: Stream, peer: str) -> None:
+        assert self.scheduler is not None
+        connection = h11.Connection(h11.SERVER)
+        self.connections += 1
+        answered_at = None
+        while True:
+            if answered_at is not None and self._forgotten(stream, answered_at):
+                return
+            got = read_message(self.scheduler, stream, connection)
+            if got is None:
+                return
+            head, body = got
+            headers = {key.decode(): value.decode() for key, value in head.headers}
+            attempt = headers.get("x-attempt-id", "")
+            self.arrivals.append(
+                Arrival(
+                    self.name, attempt, head.method.decode(), head.target.decode(), headers, body,
+                    self.scheduler.now(),
+                )
+            )  # fmt: skip
+            if not self._answer(stream, connection, headers, attempt):
+                return
+            connection.start_next_cycle()
+            answered_at = self.scheduler.now()
+
+    def _forgotten(self, stream: Stream, answered_at: float) -> bool:
+        """Whether the connection was reset because something came after too long a rest."""
+        assert self.scheduler is not None
+        self.scheduler.park(None, stream.sock)
+        rested = self.scheduler.now() - answered_at
+        if self.forgets_after_s is None or rested <= self.forgets_after_s:
+            return False
+        self.scheduler.system.reset(stream.sock)
+        return True
+
+    def _answer(
+        self, stream: Stream, connection: h11.Connection, headers: dict[str, str], attempt: str
+    ) -> bool:
+        assert self.scheduler is not None
+        deadline = self.scheduler.now() + 5
+
+        def send(event: Any) -> None:
+            stream.send(connection.send(event) or b"", deadline)
+
+        if self.is_unresponsive:
+            self.scheduler.sleep(30.0)
+            return False
+        named = headers.get("x-target-instance")
+        plain = [("X-Attempt-Id", attempt), ("Content-Length", "0")]
+        if named not in (None, self.name) or self.rejects_requests:
+            status = 503 if self.rejects_requests else 421
+            send(h11.Response(status_code=status, headers=[*plain, ("X-Not-Executed", "1")]))
+            send(h11.EndOfMessage())
+            return True
+        for _ in range(self.stray_responses):
+            name = f"X-Attempt-Id: {self.stray_attempt_id}\r\n" if self.stray_attempt_id else ""
+            stream.send(f"HTTP/1.1 200 OK\r\n{name}Content-Length: 5\r\n\r\nother".encode(), deadline)
+        own = [
+            *([("X-Attempt-Id", attempt)] if self.echoes_attempt_id else []),
+            ("X-Server-Seal", f"{self.name}.{attempt}"),
+        ]
+        if self.service == "desk" or self.status != 200:
+            body = f"{self.name} ran {attempt}".encode()
+            length = ("Content-Length", str(len(body)))
+            send(h11.Response(status_code=self.status, headers=[*own, length]))
+            if self.resets_after_events is not None:
+                stream.send(body[:3], deadline)
+                self.scheduler.system.reset(stream.sock)
+                return False
+            send(h11.Data(data=body))
+            send(h11.EndOfMessage())
+            return True
+        return self._stream(stream, send, own, int(headers.get("last-event-id", "0")))
+
+    def _stream(self, stream: Stream, send: Callable[[Any], None], own: list[Any], last: int) -> bool:
+        assert self.scheduler is not None
+        kind = ("Content-Type", "text/event-stream")
+        send(h11.Response(status_code=200, headers=[*own, kind, ("Transfer-Encoding", "chunked")]))
+        for number in range(last + 1, self.events + 1):
+            self.scheduler.sleep(self.pause_s)
+            event = f"id: {number}\ndata: token {number}\n\n".encode()
+            if self.resets_after_events is not None and number > self.resets_after_events:
+                send(h11.Data(data=event[:7]))
+                self.scheduler.sleep(self.pause_s)
+                self.scheduler.system.reset(stream.sock)
+                return False
+            send(h11.Data(data=event))
+        send(h11.EndOfMessage())
+        return True
+
+
+def read_message(
+    scheduler: Scheduler, stream: Stream, connection: h11.Connection
+) -> tuple[h11.Request, bytes] | None:
+    """A whole request at a stand-in's side."""
+    head, parts = None, []
+    while True:
+        event = connection.next_event()
+        if event is h11.NEED_DATA:
+            connection.receive_data(stream.receive(scheduler.now() + 60) or b"")
+        elif isinstance(event, h11.Request):
+            head = event
+        elif isinstance(event, h11.Data):
+            parts.append(bytes(event.data))
+        elif isinstance(event, h11.EndOfMessage) and head is not None:
+            return head, b"".join(parts)
+        else:
+            return None
--- a/tests/system/test_control_plane.py
+++ b/tests/system/test_control_plane.py
@@ -29,7 +29,7 @@
 
 
 def test_a_configuration_is_acknowledged_and_published_to_all_gateways(deployment: VirtualDeployment) -> None:
-    deployment.add_server("a")
+    deployment.add_instance("a")
     body = configuration(3)
     reply = deployment.put("c2", 0, body)
     assert (reply.status, reply.json()) == (200, {"revision": 3})
@@ -114,8 +114,8 @@
 
 
 def test_an_evacuation_reaches_all_gateways_and_can_be_ended(deployment: VirtualDeployment) -> None:
-    deployment.add_server("a", zone="n1")
-    deployment.add_server("b", zone="n2")
+    deployment.add_instance("a", zone="n1")
+    deployment.add_instance("b", zone="n2")
     deployment.served()
     deployment.sleep(6)
     assert deployment.control("c3", "POST", "/api/evacuations/n1").status == 200
@@ -261,7 +261,7 @@
 
 def test_the_registry_names_ready_gateways_near_ones_first() -> None:
     deployment = VirtualDeployment(gateways=6)
-    deployment.add_server("a")
+    deployment.add_instance("a")
     ask = (
         (deployment.world.machines["c2"].ip, DIRECTORY),
         "GET",
@@ -339,14 +339,14 @@
     deployment.sleep(3)
     for name in ("c2", "c3"):
         deployment.world.network.cut(name, "platform")
-    deployment.add_server("new")
+    deployment.add_instance("new")
     deployment.sleep(1.6)
     for controller in deployment.controllers.values():
         assert [entry["id"] for entry in controller.instances.instances] == ["new"]
 
 
 def test_an_unreadable_instance_list_changes_nothing(deployment: VirtualDeployment) -> None:
-    deployment.add_server("a")
+    deployment.add_instance("a")
     deployment.served()
     deployment.sleep(2)
     deployment.platform_down = True
@@ -490,7 +490,7 @@
 def test_an_unchanged_instance_list_is_sent_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """It seemed to grow old at gateways, which had it sent by their second controller every two seconds."""
     deployment = VirtualDeployment(gateways=2)
-    deployment.add_server("a")
+    deployment.add_instance("a")
     deployment.served()
     deployment.sleep(5.0)
     sent: list[str] = []
@@ -505,7 +505,7 @@
     monkeypatch.setattr(LineClient, "call", counted)
     deployment.sleep(10.0)
     assert not sent
-    deployment.servers["a"].state = "draining"
+    deployment.stub_instances["a"].state = "draining"
     deployment.sleep(3.0)
     assert 2 <= len(sent) <= 6
     for gateway in deployment.gateways.values():
--- a/tests/system/test_gateway.py
+++ b/tests/system/test_gateway.py
@@ -18,11 +18,11 @@
 @pytest.fixture
 def deployment() -> Iterator[VirtualDeployment]:
     made = VirtualDeployment(gateways=2)
-    made.add_server("a", zone="n1")
-    made.add_server("b", zone="n2")
-    made.add_server("s", zone="s1")
-    made.add_server("d1", "desk", "n1")
-    made.add_server("d2", "desk", "n2")
+    made.add_instance("a", zone="n1")
+    made.add_instance("b", zone="n2")
+    made.add_instance("s", zone="s1")
+    made.add_instance("d1", "desk", "n1")
+    made.add_instance("d2", "desk", "n2")
     made.served(configuration(1, route(), DESK, ONCE, HOME))
     made.sleep(WARM_S)
     yield made
@@ -31,8 +31,8 @@
 
 def only(deployment: VirtualDeployment, *names: str) -> None:
     """Leave just these instances on the list."""
-    for name, server in deployment.servers.items():
-        server.listed = name in names
+    for name, server in deployment.stub_instances.items():
+        server.is_listed = name in names
     deployment.sleep(2.0)
 
 
@@ -45,7 +45,7 @@
 
 
 def test_events_are_relayed_as_they_come(deployment: VirtualDeployment) -> None:
-    for server in deployment.servers.values():
+    for server in deployment.stub_instances.values():
         server.pause_s = 0.5
     reply = deployment.start_request("g1", attempt="slow")
     deployment.sleep(1.3)
@@ -83,12 +83,14 @@
 
 def test_a_resumable_stream_continues_at_another_instance(deployment: VirtualDeployment) -> None:
     only(deployment, "a", "b")
-    deployment.servers["a"].cut_after = deployment.servers["b"].cut_after = 2
+    deployment.stub_instances["a"].resets_after_events = deployment.stub_instances[
+        "b"
+    ].resets_after_events = 2
     reply = deployment.start_request("g1", attempt="res")
     deployment.wait(lambda: bool(deployment.arrivals("res")))
     first = deployment.arrivals("res")[0].instance
     second = "b" if first == "a" else "a"
-    deployment.servers[second].cut_after = None
+    deployment.stub_instances[second].resets_after_events = None
     deployment.wait(lambda: bool(reply.error))
     assert (reply.status, reply.body, reply.is_complete) == (200, EVENTS, True)
     assert reply.headers["x-server-seal"] == f"{first}.res"
@@ -102,16 +104,16 @@
 
 
 def test_no_more_instances_run_a_stream_than_its_route_allows(deployment: VirtualDeployment) -> None:
-    for server in deployment.servers.values():
-        server.cut_after = 1
+    for server in deployment.stub_instances.values():
+        server.resets_after_events = 1
     reply = deployment.request("g1", attempt="cuts")
     assert not reply.is_complete
     assert len(deployment.arrivals("cuts")) == 2
 
 
 def test_a_stream_that_is_not_resumable_is_cut_off_visibly(deployment: VirtualDeployment) -> None:
-    for server in deployment.servers.values():
-        server.cut_after = 2
+    for server in deployment.stub_instances.values():
+        server.resets_after_events = 2
     reply = deployment.request("g1", "/o/x", attempt="once")
     assert reply.status == 200
     assert not reply.is_complete
@@ -120,8 +122,8 @@
 
 
 def test_a_request_that_must_run_once_is_not_retried_after_a_reset(deployment: VirtualDeployment) -> None:
-    for server in deployment.servers.values():
-        server.cut_after = 0
+    for server in deployment.stub_instances.values():
+        server.resets_after_events = 0
     reply = deployment.request("g1", "/d/x", attempt="mut")
     assert (reply.status, reply.is_complete) == (502, True)
     assert "x-server-seal" not in reply.headers
@@ -129,7 +131,7 @@
 
 
 def test_a_rejected_request_is_retried_at_another_instance(deployment: VirtualDeployment) -> None:
-    deployment.servers["d1"].shed = True
+    deployment.stub_instances["d1"].rejects_requests = True
     for number in range(4):
         assert deployment.request("g1", "/d/x", attempt=f"shed{number}").status == 200
     assert all(deployment.arrivals(f"shed{number}")[-1].instance == "d2" for number in range(4))
@@ -138,8 +140,8 @@
 def test_where_all_instances_reject_the_gateway_rejects_with_retry_after(
     deployment: VirtualDeployment,
 ) -> None:
-    for server in deployment.servers.values():
-        server.shed = True
+    for server in deployment.stub_instances.values():
+        server.rejects_requests = True
     reply = deployment.request("g1", "/d/x", attempt="full")
     assert reply.status == 503
     assert 0 < float(reply.headers["retry-after"]) <= 4.0 / 3
@@ -147,8 +149,8 @@
 
 
 def test_retries_of_rejections_stay_within_the_budget(deployment: VirtualDeployment) -> None:
-    for server in deployment.servers.values():
-        server.shed = True
+    for server in deployment.stub_instances.values():
+        server.rejects_requests = True
     for number in range(60):
         deployment.request("g1", "/d/x", attempt=f"b{number}")
     sent = sum(len(deployment.arrivals(f"b{number}")) for number in range(60))
@@ -156,7 +158,7 @@
 
 
 def test_an_error_response_of_an_instance_is_forwarded_unchanged(deployment: VirtualDeployment) -> None:
-    for server in deployment.servers.values():
+    for server in deployment.stub_instances.values():
         server.status = 500
     reply = deployment.request("g1", "/d/x", attempt="fail")
     assert reply.status == 500
@@ -165,8 +167,8 @@
 
 
 def test_a_response_to_another_request_is_dropped(deployment: VirtualDeployment) -> None:
-    for server in deployment.servers.values():
-        server.stray = 1
+    for server in deployment.stub_instances.values():
+        server.stray_responses = 1
     for number in range(5):
         reply = deployment.request("g1", "/d/x", attempt=f"s{number}")
         assert reply.body.endswith(f"ran s{number}".encode())
@@ -189,7 +191,7 @@
 
 def test_a_draining_instance_gets_no_further_request(deployment: VirtualDeployment) -> None:
     deployment.request("g1", attempt="before")
-    deployment.servers["a"].state = "draining"
+    deployment.stub_instances["a"].state = "draining"
     deployment.sleep(2.0)
     for number in range(6):
         deployment.request("g1", attempt=f"after{number}")
@@ -198,7 +200,7 @@
 
 def test_another_incarnation_at_the_address_runs_nothing(deployment: VirtualDeployment) -> None:
     only(deployment, "a")
-    deployment.servers["a"].name = "reborn"
+    deployment.stub_instances["a"].name = "reborn"
     reply = deployment.request("g1", attempt="reuse")
     assert reply.status == 503
     assert deployment.arrivals("reuse")[0].headers["x-target-instance"] == "a"
@@ -207,7 +209,7 @@
 def test_a_replaced_instance_is_tried_once(deployment: VirtualDeployment) -> None:
     """After a region was lost its instances come back as others; the list still names the old ones."""
     only(deployment, "d1", "d2")
-    deployment.servers["d1"].name = "reborn"
+    deployment.stub_instances["d1"].name = "reborn"
     for number in range(8):
         assert deployment.request("g1", "/d/x", attempt=f"r{number}").status == 200
     asked = [arrival for number in range(8) for arrival in deployment.arrivals(f"r{number}")]
@@ -234,7 +236,7 @@
 
 
 def test_graceful_shutdown_serves_requests_under_way_and_late_ones(deployment: VirtualDeployment) -> None:
-    for server in deployment.servers.values():
+    for server in deployment.stub_instances.values():
         server.pause_s = 0.6
     reply = deployment.start_request("g1", attempt="under-way")
     deployment.sleep(0.3)
@@ -265,7 +267,7 @@
     deployment.request("g1", attempt="fits", body=b"x" * 50_000)
     assert memory.reserved_bytes == 0
     memory._limit_bytes = 60_000
-    for server in deployment.servers.values():
+    for server in deployment.stub_instances.values():
         server.pause_s = 0.3
     first = deployment.start_request("g1", attempt="first", body=b"x" * 50_000)
     deployment.sleep(0.2)
@@ -286,7 +288,7 @@
     """What may come late to the request before looks like the answer to the next one, and is dropped."""
     only(deployment, "d1")
     assert deployment.request("g1", "/d/x", attempt="first").status == 200
-    deployment.servers["d1"].stray, deployment.servers["d1"].stray_id = 1, ""
+    deployment.stub_instances["d1"].stray_responses, deployment.stub_instances["d1"].stray_attempt_id = 1, ""
     reply = deployment.request("g1", "/d/x", attempt="second")
     assert (reply.status, reply.body) == (200, b"d1 ran second")
     assert len(deployment.arrivals("second")) == 1
@@ -294,7 +296,7 @@
 
 def test_a_response_without_an_id_is_accepted_on_a_new_connection_only(deployment: VirtualDeployment) -> None:
     only(deployment, "d1")
-    deployment.servers["d1"].echoes = False
+    deployment.stub_instances["d1"].echoes_attempt_id = False
     assert deployment.request("g1", "/d/x", attempt="first").body == b"d1 ran first"
     reply = deployment.request("g1", "/d/x", attempt="second")
     assert reply.status in (502, 504)
@@ -304,8 +306,8 @@
 @pytest.mark.parametrize("how", ["silent", "cut"])
 def test_a_request_that_must_run_once_is_sent_once(deployment: VirtualDeployment, how: str) -> None:
     for name in ("d1", "d2"):
-        server = deployment.servers[name]
-        server.silent, server.cut_after = how == "silent", 0 if how == "cut" else None
+        server = deployment.stub_instances[name]
+        server.is_unresponsive, server.resets_after_events = how == "silent", 0 if how == "cut" else None
     reply = deployment.request("g1", "/d/x", attempt="once", headers={"X-Deadline-Remaining": "1500"})
     assert reply.status in (502, 504)
     deployment.sleep(2.0)
--- a/tests/system/test_idle_connections.py
+++ b/tests/system/test_idle_connections.py
@@ -9,7 +9,7 @@
 from brambleusher.dataplane import upstream_client
 from brambleusher.dataplane.placement import CONTACT_FRESH_S
 from brambleusher.dataplane.upstream_client import UNPROVEN_IDLE_S
-from tests.system.virtual_deployment import Server, VirtualDeployment, configuration, route
+from tests.system.virtual_deployment import StubInstance, VirtualDeployment, configuration, route
 
 WARM_S = 6.0  # after which the list is known and instances on it are warm
 ONCE = route("/d/", kind="mutating", service="desk", resumable=False, affine=False)
@@ -18,15 +18,15 @@
 @pytest.fixture
 def deployment() -> Iterator[VirtualDeployment]:
     deployment = VirtualDeployment(gateways=1, in_force=("pool",))
-    deployment.add_server("d1", "desk")
+    deployment.add_instance("d1", "desk")
     deployment.served(configuration(1, ONCE))
     deployment.sleep(WARM_S)
     yield deployment
     deployment.close()
 
 
-def desk(deployment: VirtualDeployment) -> Server:
-    return deployment.servers["d1"]
+def desk(deployment: VirtualDeployment) -> StubInstance:
+    return deployment.stub_instances["d1"]
 
 
 def ask(deployment: VirtualDeployment, attempt: str, rest_s: float = 0.0) -> int:
@@ -77,7 +77,7 @@
 
 def test_where_instances_keep_idle_connections_all_are_reused() -> None:
     deployment = VirtualDeployment(gateways=1)
-    deployment.add_server("d1", "desk")
+    deployment.add_instance("d1", "desk")
     deployment.served(configuration(1, ONCE))
     deployment.sleep(WARM_S)
     assert ask(deployment, "a") == 200
--- a/tests/system/test_long_poll_messages.py
+++ b/tests/system/test_long_poll_messages.py
@@ -111,7 +111,7 @@
 
 def test_a_list_that_can_not_be_read_delays_no_configuration() -> None:
     deployment = VirtualDeployment(gateways=1)
-    server = deployment.add_server("a")
+    server = deployment.add_instance("a")
     server.entry = lambda: {"id": "a"}  # type: ignore[method-assign]
     assert deployment.put("c1", 0, configuration(1)).status == 200
     gateway = deployment.gateways["g1"]
--- a/tests/system/test_observer.py
+++ b/tests/system/test_observer.py
@@ -18,7 +18,7 @@
 @pytest.fixture
 def deployment() -> Iterator[VirtualDeployment]:
     deployment = VirtualDeployment(gateways=3, observers=3)
-    deployment.add_server("a")
+    deployment.add_instance("a")
     deployment.served()
     deployment.sleep(3.0)
     yield deployment
@@ -102,7 +102,7 @@
 def test_gateways_and_new_controllers_find_the_others_through_observers() -> None:
     """All seeds are observers by now: whoever starts learns from them who is there."""
     deployment = VirtualDeployment(gateways=2, observers=3)
-    deployment.add_server("a")
+    deployment.add_instance("a")
     deployment.served()
     deployment.sleep(3.0)
     deployment.seeds = [f"10.4.0.{at}:8166" for at in (1, 2, 3)]
@@ -118,7 +118,7 @@
 def test_the_system_recovers_from_a_power_loss_of_all_while_the_seeds_are_observers() -> None:
     """The settings name observers alone by then: nobody but the controllers knows a controller."""
     deployment = VirtualDeployment(gateways=3, observers=3)
-    deployment.add_server("a")
+    deployment.add_instance("a")
     deployment.served()
     deployment.sleep(3.0)
     deployment.seeds = [f"10.4.0.{at}:8166" for at in (1, 2, 3)]
--- a/tests/system/virtual_deployment.py
+++ b/tests/system/virtual_deployment.py
@@ -14,12 +14,12 @@
 from brambleusher.controller.observer import Observer
 from brambleusher.gateway.app import Gateway
 from brambleusher.lab.virtual.world import Machine, Process, VirtualSystem, World, WorldSettings
-from brambleusher.runtime.acceptor import Acceptor
 from brambleusher.runtime.http_server import HttpRequest, HttpResponse, HttpServer, json_response
 from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
 from brambleusher.wire import settings as settings_reader
 from tests.system.memory_disk import MemoryDisk
+from tests.system.stub_instance import Arrival, StubInstance
 
 SECOND = 10**9
 ZONES = {"n1": "north", "n2": "north", "s1": "south"}
@@ -87,170 +87,6 @@
     }
 
 
-@dataclass
-class Arrival:
-    """A request as an instance saw it."""
-
-    instance: str
-    attempt: str
-    method: str
-    target: str
-    headers: dict[str, str]
-    body: bytes
-    at: float
-
-
-class Server:
-    """A stand-in for an instance: streams events, or answers with a body; told how to fail."""
-
-    def __init__(self, system: VirtualDeployment, name: str, service: str, zone: str, ip: str) -> None:
-        self.system, self.name, self.service, self.zone, self.ip = system, name, service, zone, ip
-        self.state, self.listed, self.warmup_ms = "ready", True, 0
-        self.events = 5
-        self.pause_s = 0.02
-        self.cut_after: int | None = None  # events, then a reset in the middle of the next
-        self.status = 200
-        self.shed = False
-        self.silent = False
-        self.stray = 0  # answers to other requests ahead of the one that is due
-        self.stray_id = "other"  # that they name; empty: none
-        self.forgets_after_s: float | None = None  # of rest a connection is reset when anything comes
-        self.connections = 0  # taken so far
-        self.echoes = True  # whether its answers name the request that they are for
-        self.arrivals: list[Arrival] = []
-        self.machine = system.world.machine(name, ip)
-        self.scheduler: Scheduler | None = None
-        self.start()
-
-    def start(self) -> None:
-        def build(scheduler: Scheduler) -> object:
-            self.scheduler = scheduler
-            return Acceptor(scheduler, (self.ip, 80), self._serve)
-
-        self.machine.serve(build, self.name)
-
-    def entry(self) -> dict[str, Any]:
-        return {
-            "id": self.name,
-            "service": self.service,
-            "address": f"{self.ip}:80",
-            "zone": self.zone,
-            "revision": "v1",
-            "capacity": 8,
-            "state": self.state,
-            "warmup_ms": self.warmup_ms,
-        }
-
-    def _serve(self, stream: Stream, peer: str) -> None:
-        assert self.scheduler is not None
-        connection = h11.Connection(h11.SERVER)
-        self.connections += 1
-        answered_at = None
-        while True:
-            if answered_at is not None and self._forgotten(stream, answered_at):
-                return
-            got = read_message(self.scheduler, stream, connection)
-            if got is None:
-                return
-            head, body = got
-            headers = {key.decode(): value.decode() for key, value in head.headers}
-            attempt = headers.get("x-attempt-id", "")
-            self.arrivals.append(
-                Arrival(
-                    self.name, attempt, head.method.decode(), head.target.decode(), headers, body,
-                    self.scheduler.now(),
-                )
-            )  # fmt: skip
-            if not self._answer(stream, connection, headers, attempt):
-                return
-            connection.start_next_cycle()
-            answered_at = self.scheduler.now()
-
-    def _forgotten(self, stream: Stream, answered_at: float) -> bool:
-        """Whether the connection was reset because something came after too long a rest."""
-        assert self.scheduler is not None
-        self.scheduler.park(None, stream.sock)
-        rested = self.scheduler.now() - answered_at
-        if self.forgets_after_s is None or rested <= self.forgets_after_s:
-            return False
-        self.scheduler.system.reset(stream.sock)
-        return True
-
-    def _answer(
-        self, stream: Stream, connection: h11.Connection, headers: dict[str, str], attempt: str
-    ) -> bool:
-        assert self.scheduler is not None
-        deadline = self.scheduler.now() + 5
-
-        def send(event: Any) -> None:
-            stream.send(connection.send(event) or b"", deadline)
-
-        if self.silent:
-            self.scheduler.sleep(30.0)
-            return False
-        named = headers.get("x-target-instance")
-        plain = [("X-Attempt-Id", attempt), ("Content-Length", "0")]
-        if named not in (None, self.name) or self.shed:
-            status = 503 if self.shed else 421
-            send(h11.Response(status_code=status, headers=[*plain, ("X-Not-Executed", "1")]))
-            send(h11.EndOfMessage())
-            return True
-        for _ in range(self.stray):
-            name = f"X-Attempt-Id: {self.stray_id}\r\n" if self.stray_id else ""
-            stream.send(f"HTTP/1.1 200 OK\r\n{name}Content-Length: 5\r\n\r\nother".encode(), deadline)
-        own = [
-            *([("X-Attempt-Id", attempt)] if self.echoes else []),
-            ("X-Server-Seal", f"{self.name}.{attempt}"),
-        ]
-        if self.service == "desk" or self.status != 200:
-            body = f"{self.name} ran {attempt}".encode()
-            length = ("Content-Length", str(len(body)))
-            send(h11.Response(status_code=self.status, headers=[*own, length]))
-            if self.cut_after is not None:
-                stream.send(body[:3], deadline)
-                self.scheduler.system.reset(stream.sock)
-                return False
-            send(h11.Data(data=body))
-            send(h11.EndOfMessage())
-            return True
-        return self._stream(stream, send, own, int(headers.get("last-event-id", "0")))
-
-    def _stream(self, stream: Stream, send: Callable[[Any], None], own: list[Any], last: int) -> bool:
-        assert self.scheduler is not None
-        kind = ("Content-Type", "text/event-stream")
-        send(h11.Response(status_code=200, headers=[*own, kind, ("Transfer-Encoding", "chunked")]))
-        for number in range(last + 1, self.events + 1):
-            self.scheduler.sleep(self.pause_s)
-            event = f"id: {number}\ndata: token {number}\n\n".encode()
-            if self.cut_after is not None and number > self.cut_after:
-                send(h11.Data(data=event[:7]))
-                self.scheduler.sleep(self.pause_s)
-                self.scheduler.system.reset(stream.sock)
-                return False
-            send(h11.Data(data=event))
-        send(h11.EndOfMessage())
-        return True
-
-
-def read_message(
-    scheduler: Scheduler, stream: Stream, connection: h11.Connection
-) -> tuple[h11.Request, bytes] | None:
-    """A whole request at a stand-in's side."""
-    head, parts = None, []
-    while True:
-        event = connection.next_event()
-        if event is h11.NEED_DATA:
-            connection.receive_data(stream.receive(scheduler.now() + 60) or b"")
-        elif isinstance(event, h11.Request):
-            head = event
-        elif isinstance(event, h11.Data):
-            parts.append(bytes(event.data))
-        elif isinstance(event, h11.EndOfMessage) and head is not None:
-            return head, b"".join(parts)
-        else:
-            return None
-
-
 @dataclass
 class Reply:
     """What a client got; `whole` is false where the connection ended within an answer."""
@@ -287,7 +123,7 @@
         self.controllers: dict[str, Controller] = {}
         self.gateways: dict[str, Gateway] = {}
         self.observers: dict[str, Observer] = {}
-        self.servers: dict[str, Server] = {}
+        self.stub_instances: dict[str, StubInstance] = {}
         self.platform_down = False
         self.platform_calls = 0
         self.regions = zones or ZONES
@@ -311,13 +147,14 @@
         self.platform_calls += 1
         if self.platform_down:
             return json_response(429, {})
-        entries = [server.entry() for server in self.servers.values() if server.listed]
+        entries = [each.entry() for each in self.stub_instances.values() if each.is_listed]
         return json_response(200, {"instances": entries, "next_token": None})
 
-    def add_server(self, name: str, service: str = "llm", zone: str = "n1") -> Server:
-        server = Server(self, name, service, zone, f"10.3.0.{len(self.servers) + 1}")
-        self.servers[name] = server
-        return server
+    def add_instance(self, name: str, service: str = "llm", zone: str = "n1") -> StubInstance:
+        ip = f"10.3.0.{len(self.stub_instances) + 1}"
+        instance = StubInstance(self.world.machine(name, ip), name, service, zone, ip)
+        self.stub_instances[name] = instance
+        return instance
 
     def _settings(
         self, name: str, ip: str, zone: str, bootstrap: bool, core: bool
@@ -412,20 +249,6 @@
         assert process is not None
         return process
 
-    def cut(self, *names: str) -> None:
-        """Cut machines off from all others."""
-        for name in names:
-            for other in self.world.machines:
-                if other not in names:
-                    self.world.network.cut(name, other)
-
-    def mend(self, *names: str) -> None:
-        """Join machines to all others again."""
-        for name in names:
-            for other in self.world.machines:
-                if other not in names:
-                    self.world.network.mend(name, other)
-
     # --- time ------------------------------------------------------------------------------------
 
     @property
@@ -549,7 +372,7 @@
 
     def arrivals(self, attempt: str) -> list[Arrival]:
         """What instances saw of a request."""
-        seen = [arrival for server in self.servers.values() for arrival in server.arrivals]
+        seen = [arrival for instance in self.stub_instances.values() for arrival in instance.arrivals]
         return sorted((each for each in seen if each.attempt == attempt), key=lambda each: each.at)
 
     def served(self, body: bytes | None = None) -> VirtualDeployment:
@@ -560,4 +383,4 @@
         return self
 
 
-__all__ = ["Arrival", "Machine", "Reply", "Server", "VirtualDeployment", "configuration", "route"]
+__all__ = ["Arrival", "Machine", "Reply", "StubInstance", "VirtualDeployment", "configuration", "route"]
