--- a/brambleusher/controlplane/configuration/publisher.py
+++ b/brambleusher/controlplane/configuration/publisher.py
@@ -20,7 +20,7 @@
 from brambleusher.runtime.scheduler import Event, Scheduler, TaskTimeoutError
 from brambleusher.wire.json_fields import JsonObject
 
-POLL_HOLD_S = 0.5  # without an update; gateways turn to another controller after about twice that
+POLL_TIMEOUT_S = 0.5  # without an update; gateways turn to another controller after about twice that
 GATEWAY_ALIVE_S = 10.0  # gateways with a contact so recent share budgets
 
 
@@ -72,7 +72,7 @@
         return self._respond(request).as_json()
 
     def _wait_for_update(self, request: LongPollRequest) -> None:
-        deadline = self._scheduler.now() + POLL_HOLD_S
+        deadline = self._scheduler.now() + POLL_TIMEOUT_S
         event = Event()
         self._waiting.add(event)
         try:
@@ -99,7 +99,7 @@
         gateways = [peer.name for peer in self._view.alive("gateway", now, GATEWAY_ALIVE_S)]
         name = request.gateway.name
         read_at_s = self._instances.read_at_s
-        sends_list = read_at_s is not None and not request.is_brief and self._has_other_list(request)
+        is_list_due = read_at_s is not None and not request.is_brief and self._has_other_list(request)
         return LongPollResponse(
             state_index=self._replica.state.index,
             has_quorum_contact=self._replica.consensus.has_quorum_contact(now),
@@ -110,7 +110,7 @@
             list_version=self._instances.version,
             list_age_s=now - read_at_s if read_at_s is not None else None,
             state=self._state_update(request),
-            instances=self._instances.instances if sends_list else None,
+            instances=self._instances.instances if is_list_due else None,
             fleet_load=self._fleet_load(request, now),
         )
 
--- a/brambleusher/controlplane/outbox.py
+++ b/brambleusher/controlplane/outbox.py
@@ -11,7 +11,7 @@
 ADDRESSES_MAX = 256
 
 
-class AddressBook:
+class ReplicaAddresses:
     """Addresses of replicas by identity, also of such that are no members yet."""
 
     def __init__(self) -> None:
--- a/brambleusher/controlplane/registry/instance_list.py
+++ b/brambleusher/controlplane/registry/instance_list.py
@@ -24,7 +24,7 @@
 READ_INTERVAL_MAX_S = 2.2
 PAUSE_MIN_S = 0.1
 JITTER_MIN, JITTER_MAX = 0.9, 1.1  # factors of the pause: controllers that started together drift apart
-CALL_TIMEOUT_S = 1.5
+REQUEST_TIMEOUT_S = 1.5
 RATE_FRACTION = 0.5  # of the platform's rate that all controllers together may use
 PAGES_MAX = 200
 LOGGED_FAILURES = frozenset({1, 10, 100})  # consecutive ones
@@ -93,8 +93,8 @@
 
     def _pause_s(self) -> float:
         readers = self._reader_count()
-        calls_s = readers * self._page_count / (self._rate_per_s * RATE_FRACTION)
-        return max(min(READ_INTERVAL_S * readers, READ_INTERVAL_MAX_S), calls_s)
+        rate_limited_s = readers * self._page_count / (self._rate_per_s * RATE_FRACTION)
+        return max(min(READ_INTERVAL_S * readers, READ_INTERVAL_MAX_S), rate_limited_s)
 
     def _read_pages(self) -> list[RawInstance]:
         instances: list[RawInstance] = []
@@ -110,7 +110,7 @@
     def _read_page(self, token: str) -> tuple[list[RawInstance], str]:
         """Return the instances of a page and the token of the next one, empty on the last."""
         path = f"{LIST_PATH}?page_token={token}" if token else LIST_PATH
-        status, body = self._client.get(path, CALL_TIMEOUT_S)
+        status, body = self._client.get(path, REQUEST_TIMEOUT_S)
         if status != HTTPStatus.OK:
             raise InstanceListError(f"status {status}")
         try:
--- a/brambleusher/controlplane/replica.py
+++ b/brambleusher/controlplane/replica.py
@@ -23,9 +23,10 @@
 from brambleusher.controlplane.consensus.raft import Consensus
 from brambleusher.controlplane.disk_writer import DiskWriter
 from brambleusher.controlplane.forwarding import ForwardedRequest, LeaderForwarding, SendMessage
-from brambleusher.controlplane.outbox import AddressBook, Outbox
+from brambleusher.controlplane.outbox import Outbox, ReplicaAddresses
 from brambleusher.controlplane.pending_proposals import PendingProposals, PendingResult
 from brambleusher.controlplane.startup import establish_identity, recover_storage
+from brambleusher.controlplane.storage.recovery import RecoveredState
 from brambleusher.runtime.disk import Disk
 from brambleusher.runtime.scheduler import Event, Scheduler, TaskTimeoutError
 from brambleusher.wire import consensus_messages as wire
@@ -77,18 +78,8 @@
         self.state = SharedState.from_json(recovered.state)
         self._applied_index = recovered.log.base_index
         self.identity = establish_identity(scheduler.system, settings, storage, recovered, rng)
-        self.consensus = Consensus(
-            self.identity,
-            recovered.log,
-            recovered.term,
-            recovered.vote,
-            scheduler.now(),
-            rng,
-            _voter_count(settings),
-            self._zones,
-            settings.zones,
-        )
-        self._addresses = AddressBook()
+        self.consensus = self._start_consensus(settings, recovered, rng)
+        self._addresses = ReplicaAddresses()
         self._outbox = Outbox(self._deliver)
         self._proposals = PendingProposals()
         self._forwarding = LeaderForwarding(scheduler, send, rng.randrange(FORWARD_NUMBER_MAX))
@@ -101,6 +92,21 @@
         self._process_output()
         scheduler.spawn(self._run, name="replica")
 
+    def _start_consensus(
+        self, settings: Settings, recovered: RecoveredState, rng: random.Random
+    ) -> Consensus:
+        return Consensus(
+            self.identity,
+            recovered.log,
+            recovered.term,
+            recovered.vote,
+            self._scheduler.now(),
+            rng,
+            _voter_count(settings),
+            self._zones,
+            settings.zones,
+        )
+
     # --- requests of callers ---------------------------------------------------------------------
 
     def submit(self, command: Command, deadline: float) -> SubmitResult:
--- a/brambleusher/dataplane/instance_table.py
+++ b/brambleusher/dataplane/instance_table.py
@@ -133,7 +133,7 @@
             latency_index=policy.weighs_by_latency,
             health=policy.weighs_by_health,
             silence=policy.skips_unresponsive,
-            room_above_share=policy.limits_to_share,
+            room_above_share=policy.limits_to_quota_share,
             reported_load=policy.uses_reported_load,
         )
 
--- a/brambleusher/membership/controllers.py
+++ b/brambleusher/membership/controllers.py
@@ -133,7 +133,7 @@
         return chosen
 
     def _acquired_by_others(self, slot: int) -> set[str]:
-        return {address for holder, address in self._acquired.items() if holder != slot}
+        return {address for other, address in self._acquired.items() if other != slot}
 
     def _nearest_of(self, addresses: list[str]) -> list[str]:
         least = min(self._distance(address) for address in addresses)
@@ -147,8 +147,8 @@
 
     def holds_nearest(self, slot: int) -> bool:
         """Whether a slot has the nearest of the acquired controllers; among equals the first slot has."""
-        order = {holder: (self._distance(address), holder) for holder, address in self._acquired.items()}
-        return min(order, key=lambda holder: order[holder], default=slot) == slot
+        ranks = [(self._distance(address), other) for other, address in self._acquired.items()]
+        return min(ranks, default=(SAME_ZONE, slot))[1] == slot
 
     def is_nearer_available(self, slot: int, address: str, now: float) -> bool:
         """Whether a slot could acquire a nearer controller than the one at `address`.
--- a/brambleusher/wire/lines.py
+++ b/brambleusher/wire/lines.py
@@ -46,10 +46,10 @@
         if b"\n" not in data:
             self._append(data)
             return []
-        *complete, rest = data.split(b"\n")
+        *complete, remainder = data.split(b"\n")
         complete[0] = b"".join([*self._parts, complete[0]])
         self._parts, self._buffered_bytes = [], 0
-        self._append(rest)
+        self._append(remainder)
         return complete
 
     def _append(self, data: bytes) -> None:
--- a/brambleusher/wire/policy.py
+++ b/brambleusher/wire/policy.py
@@ -54,7 +54,7 @@
         alias="silence",
         description="one without a response for most of a latency target is passed over",
     )
-    limits_to_share: bool = Field(
+    limits_to_quota_share: bool = Field(
         default=True,
         alias="room_above_share",
         description="one with more attempts than its share is passed over",
--- a/brambleusher/wire/settings.py
+++ b/brambleusher/wire/settings.py
@@ -47,8 +47,8 @@
     retry_ratio: float = 0.2
     retry_window_s: float = 10
     retry_slack: float = 50
-    cold_overshoot: float = 1.5
-    cold_slack: float = 5
+    warm_up_overshoot: float = Field(default=1.5, alias="cold_overshoot")
+    warm_up_slack: float = Field(default=5, alias="cold_slack")
     ttl_max_s: float = 5
     reuse_s: float = 2
 
--- a/tests/system/test_outbox.py
+++ b/tests/system/test_outbox.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from brambleusher.controlplane.consensus.outputs import Outgoing
-from brambleusher.controlplane.outbox import ADDRESSES_MAX, AddressBook, Outbox
+from brambleusher.controlplane.outbox import ADDRESSES_MAX, Outbox, ReplicaAddresses
 from brambleusher.wire import consensus_messages as wire
 from brambleusher.wire.consensus_messages import Member
 
@@ -30,7 +30,7 @@
 
 
 def test_a_member_without_an_address_is_reached_where_its_messages_came_from() -> None:
-    addresses = AddressBook()
+    addresses = ReplicaAddresses()
     unknown = replace(MEMBER, id="c", address="")
     assert addresses.address_of(unknown) == ""
     addresses.record("c", "10.0.0.3:1")
@@ -39,7 +39,7 @@
 
 
 def test_recorded_addresses_are_bounded_and_the_oldest_go_first() -> None:
-    addresses = AddressBook()
+    addresses = ReplicaAddresses()
     for number in range(ADDRESSES_MAX + 1):
         addresses.record(f"r{number}", f"10.0.0.3:{number}")
     assert len(addresses.addresses()) == ADDRESSES_MAX
