--- a/benchmarks/lists.py
+++ b/benchmarks/lists.py
@@ -40,8 +40,9 @@
 from brambleusher.observability.log_format import configure
 from brambleusher.operator_settings.configuration import parse_operator_file
 from brambleusher.runtime.streams import Stream
-from brambleusher.sidecar.app import Collector, Sidecar
+from brambleusher.sidecar.app import Sidecar
 from brambleusher.sidecar.configuration import parse_config
+from brambleusher.sidecar.garbage_collection import GarbageCollectionPolicy
 
 MS = 1_000_000
 CHANGE_MS, TICK_MS, HELD_MS, TOLD_MS = 0.3, 3.0, 5.0, 500.0
@@ -219,7 +220,7 @@
 class Run:
     """One sidecar with what surrounds it, driven by a task in its own hub."""
 
-    def __init__(self, nodes: int, quick: bool, collector: Collector) -> None:
+    def __init__(self, nodes: int, quick: bool, collector: GarbageCollectionPolicy) -> None:
         self.nodes, self.requests, self.usual = nodes, 500 if quick else 1500, 0.0
         self.node = socket.create_server(("127.0.0.1", 0), backlog=128)
         self.node.setblocking(False)
@@ -420,7 +421,7 @@
     args = parser.parse_args()
     sizes = [int(part) for part in args.nodes.split(",")]
     configure(stream=io.StringIO())
-    collector = Collector()
+    collector = GarbageCollectionPolicy()
     missed: list[str] = []
 
     def gate(what: str, figure: float, most: float) -> None:
--- a/brambleusher/__main__.py
+++ b/brambleusher/__main__.py
@@ -25,7 +25,7 @@
     words = sys.argv[1:] if arguments is None else list(arguments)
     options = serving(words)
     if options is not None:
-        from brambleusher.cli.serve import run
+        from brambleusher.sidecar.main import run
 
         return run(options.get("--operator"), options.get("--log-format", "logfmt"))
     from brambleusher.cli import call
--- a/brambleusher/cli/group.py
+++ b/brambleusher/cli/group.py
@@ -45,7 +45,7 @@
 
         configure(form=log_format)
         return None
-    from brambleusher.cli.serve import run as serve
+    from brambleusher.sidecar.main import run as serve
 
     return serve(operator, log_format)
 
--- a/brambleusher/decisions/balancer_driver.py
+++ b/brambleusher/decisions/balancer_driver.py
@@ -218,8 +218,10 @@
         counters: Counters,
         observers: DecisionObserver | None = None,
         recorder: DecisionRecorder | None = None,
-        make: Callable[[api.Settings, int], Balancer] = balancer_for,
+        make_balancer: Callable[[api.Settings, int], Balancer] = balancer_for,
         state: Any = None,
+        close_idle_connections: Callable[[str], None] = lambda endpoint: None,
+        subscribe: Callable[[], None] = do_nothing,
     ) -> None:
         """`state` is what another process's `export_state` made: this one goes on from it, if it can."""
         self.settings, self.observers = settings, observers or DecisionObserver()
@@ -228,14 +230,13 @@
             try:
                 imported = import_state(settings, seed, state)
             except StateError as error:
-                log.warning("what was learnt can't be used", extra={"fields": {"reason": error}})
-        self._balancer, self._recorder = imported or make(settings, seed), recorder
+                log.warning("balancer state rejected", extra={"fields": {"reason": error}})
+        self._balancer, self._recorder = imported or make_balancer(settings, seed), recorder
         if recorder is not None:
             recorder.start(lambda: save(self._balancer), imported is not None)
         self._scheduler, self._clock, self._counters = scheduler, clock, counters
         self._pending: dict[str, PendingRequest] = {}
-        self.on_close_idle_connections: Callable[[str], None] = lambda node: None
-        self.on_subscribe: Callable[[], None] = lambda: None
+        self._close_idle_connections, self._subscribe = close_idle_connections, subscribe
 
     @property
     def unanswered_requests(self) -> int:
@@ -417,9 +418,9 @@
             elif isinstance(action, api.SetTimer):
                 self._set_timer(action.at_ns, action.token)
             elif isinstance(action, api.CloseIdleConnections):
-                self.on_close_idle_connections(action.host)
+                self._close_idle_connections(action.host)
             elif isinstance(action, api.SubscribeToEndpoints):
-                self.on_subscribe()
+                self._subscribe()
             elif isinstance(action, api.WriteLog):
                 log.info(action.text)
             else:  # a probe: this deployment forbids them
--- a/brambleusher/fronts/mysql/front.py
+++ b/brambleusher/fronts/mysql/front.py
@@ -157,7 +157,7 @@
             else None
         )
         for name in COUNTS:
-            counters.also(name)
+            counters.register(name)
         self._handlers: dict[int, Callable[[Client, bytes], bool]] = {
             Command.QUIT: lambda client, body: False,
             Command.PING: self._ping,
--- a/brambleusher/lab/faults/breakages.py
+++ b/brambleusher/lab/faults/breakages.py
@@ -41,6 +41,9 @@
 from brambleusher.runtime.scheduler import TaskCancelledError
 from brambleusher.runtime.streams import Stream, WaitInterruptedError
 from brambleusher.sidecar.app import Sidecar
+from brambleusher.sidecar.endpoint_updates import EndpointUpdates
+from brambleusher.sidecar.lifecycle import Lifecycle
+from brambleusher.sidecar.operator_calls import OperatorCalls
 
 LATE_SECONDS = 0.001  # past the drain limit
 
@@ -111,20 +114,21 @@
 
 @breakage("drain-late", "what drains or is gone is taken in 1 ms after the limit", "drain")
 def _drain_late(patches: Patches) -> None:
-    def listed(self: Sidecar, update: EndpointListUpdate) -> None:
+    def receive(self: EndpointUpdates, update: EndpointListUpdate) -> None:
         leaving = [each for each in update.endpoints if each.entry.state is not HostState.READY]
         named = {each.entry.host for each in update.endpoints}
-        if not leaving and not (update.full and set(self.upstream_pool.listed) - named):
+        if not leaving and not (update.full and set(self._upstream_pool.listed) - named):
             old(self, update)
             return
         if not update.full:
             ready = tuple(each for each in update.endpoints if each.entry.state is HostState.READY)
             old(self, replace(update, endpoints=ready))
             update = replace(update, endpoints=tuple(leaving))
-        wait = self.config.settings.drain_grace_ns / 1e9 + LATE_SECONDS
-        self.scheduler.call_at(self.scheduler.now() + wait, lambda: old(self, update))
+        wait = self._driver.settings.drain_grace_ns / 1e9 + LATE_SECONDS
+        scheduler = self._driver._scheduler
+        scheduler.call_at(scheduler.now() + wait, lambda: old(self, update))
 
-    old = patches.set(Sidecar, "_listed", listed)
+    old = patches.set(EndpointUpdates, "receive", receive)
 
 
 @breakage("drain-ignored", "a node that drains is taken for one that is ready", "drain")
@@ -160,11 +164,11 @@
     "ban-lifted", "news of a node from discovery ends the operators' ban", "drain", profile="operators",
 )  # fmt: skip
 def _ban_lifted(patches: Patches) -> None:
-    def effective(self: Sidecar, update: EndpointListUpdate) -> EndpointListUpdate:
+    def apply_bans(self: EndpointUpdates, update: EndpointListUpdate) -> EndpointListUpdate:
         old(self, update)  # which keeps the books
         return update
 
-    old = patches.set(Sidecar, "_effective", effective)
+    old = patches.set(EndpointUpdates, "apply_bans", apply_bans)
 
 
 @breakage(
@@ -172,7 +176,7 @@
     profile="operators",
 )  # fmt: skip
 def _ban_unknown(patches: Patches) -> None:
-    patches.set(Sidecar, "take_endpoint_offline", lambda self, node: self.bans.is_known(node))
+    patches.set(OperatorCalls, "take_endpoint_offline", lambda self, node: self.bans.is_known(node))
 
 
 @breakage(
@@ -368,7 +372,7 @@
 
 @breakage("sigterm-drops", "the program ends after SIGTERM with requests unanswered", "answer")
 def _sigterm_drops(patches: Patches) -> None:
-    patches.set(Sidecar, "_over", lambda self: self._wound_down)
+    patches.set(Lifecycle, "is_finished", lambda self: self.is_drained)
 
 
 # --- requests -------------------------------------------------------------------------------------
--- a/brambleusher/lab/fleets/fleet.py
+++ b/brambleusher/lab/fleets/fleet.py
@@ -547,7 +547,7 @@
             sidecar = self.sidecar = Sidecar(
                 load(), load, load_operator(), system, load_operator, fleet.new_balancer
             )
-            sidecar.install_signals()
+            sidecar.install_signal_handlers()
             sidecar.start()
             sidecar.run()
             sidecar.close()
--- a/brambleusher/lab/mysql/replay.py
+++ b/brambleusher/lab/mysql/replay.py
@@ -595,7 +595,7 @@
                 operator=parse_operator_file(operator),
                 system=system,
             )
-            made.install_signals()
+            made.install_signal_handlers()
             made.start()
             self.sidecars.append(made)
             made.run()
--- a/brambleusher/lab/processes/child.py
+++ b/brambleusher/lab/processes/child.py
@@ -13,8 +13,8 @@
 
 import click
 
-from brambleusher.cli.serve import run
 from brambleusher.runtime.operating_system import RealSystem
+from brambleusher.sidecar.main import run
 
 
 class RiggedSystem(RealSystem):
--- a/brambleusher/observability/counters.py
+++ b/brambleusher/observability/counters.py
@@ -50,7 +50,7 @@
     def __init__(self) -> None:
         self._counts = dict.fromkeys(NAMES, 0)
 
-    def also(self, name: str) -> None:
+    def register(self, name: str) -> None:
         """Count one name more, for a feature that is on."""
         self._counts[name] = 0
 
--- a/brambleusher/observability/request_counts.py
+++ b/brambleusher/observability/request_counts.py
@@ -20,4 +20,8 @@
     def __init__(self, classes: Iterable[str]) -> None:
         self.finished = {name: {SERVED: 0, REJECTED: 0, FAILED: 0} for name in classes}
         self.in_flight = 0  # taken and not ended
-        self.attempts_sent = 0  # claims written whole
+        self.attempts_sent = 0  # whose request was written whole
+
+    def count_attempt(self) -> None:
+        """Count an attempt whose request was written whole."""
+        self.attempts_sent += 1
--- /dev/null
+++ b/brambleusher/sidecar/endpoint_updates.py
@@ -0,0 +1,69 @@
+"""The way of an endpoint list's update: operators' bans are laid over it, then all that go by it have it."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+from typing import TYPE_CHECKING
+
+from brambleusher.decisions.balancer_driver import BalancerDriver
+from brambleusher.features.capture import Capture
+from brambleusher.features.status import StatusPage
+from brambleusher.loadbalancing.api import HostEntry, ListKind
+from brambleusher.loadbalancing.host_bans import HostBans
+from brambleusher.net.endpoint_list import EndpointListUpdate
+from brambleusher.net.upstream_pool import UpstreamPool
+
+if TYPE_CHECKING:
+    from brambleusher.fronts.mysql.service import MysqlService
+
+
+class EndpointUpdates:
+    """Passes updates of the endpoint list, and operators' bans, to the parts that go by them."""
+
+    def __init__(
+        self,
+        bans: HostBans,
+        upstream_pool: UpstreamPool,
+        driver: BalancerDriver,
+        status: StatusPage | None,
+        capture: Capture | None,
+        mysql: MysqlService | None,
+    ) -> None:
+        self._bans, self._upstream_pool, self._driver = bans, upstream_pool, driver
+        self._status, self._capture, self._mysql = status, capture, mysql
+        self.version = 0  # of the last update from discovery
+
+    def receive(self, update: EndpointListUpdate) -> None:
+        """Take an update from discovery."""
+        self.publish(self.apply_bans(update))
+
+    def apply_bans(self, update: EndpointListUpdate) -> EndpointListUpdate:
+        """Return an update from discovery as bans change it, and remember what it lists."""
+        self.version = update.version
+        self._bans.record_list(update.full, (endpoint.entry for endpoint in update.endpoints))
+        endpoints = tuple(
+            endpoint
+            if (entry := self._bans.effective_entry(endpoint.entry)) is endpoint.entry
+            else replace(endpoint, entry=entry)
+            for endpoint in update.endpoints
+        )
+        return replace(update, endpoints=endpoints)
+
+    def publish(self, update: EndpointListUpdate) -> None:
+        """Pass an update on as it stands."""
+        if self._status is not None:
+            self._status.update_endpoints(update)
+        if self._capture is not None:
+            self._capture.listed(update)
+        # The connections first: what the balancer sends from here on goes by the same list.
+        self._upstream_pool.update(update)
+        if self._mysql is not None:
+            self._mysql.nodes.update(update)
+        kind = ListKind.FULL if update.full else ListKind.DELTA
+        self._driver.update_endpoints(kind, [endpoint.entry for endpoint in update.endpoints])
+
+    def publish_ban(self, entry: HostEntry | None) -> None:
+        """Pass on what a ban makes of an endpoint; nothing where it makes no difference or is not listed."""
+        if entry is None or (endpoint := self._upstream_pool.listed.get(entry.host)) is None:
+            return
+        self.publish(EndpointListUpdate(self.version, False, (replace(endpoint, entry=entry),)))
--- /dev/null
+++ b/brambleusher/sidecar/feature_assembly.py
@@ -0,0 +1,82 @@
+"""The features that an operator file switches on, built from its sections."""
+
+from __future__ import annotations
+
+import logging
+from typing import TYPE_CHECKING
+
+from brambleusher.decisions.balancer_driver import BalancerDriver, Clock
+from brambleusher.features.capture import Capture, DirSink
+from brambleusher.features.metrics_reporter import DROPPED, MetricsReporter
+from brambleusher.features.rewrites import Rewrites
+from brambleusher.loadbalancing.api import Settings
+from brambleusher.observability.counters import Counters
+from brambleusher.operator_settings.configuration import CaptureSettings, FiguresSettings, Rule
+from brambleusher.runtime.scheduler import Scheduler
+from brambleusher.runtime.system import System
+from brambleusher.sidecar.configuration import Config
+from brambleusher.sidecar.outputs import Outputs
+
+if TYPE_CHECKING:
+    from brambleusher.fronts.mysql.service import MysqlService
+    from brambleusher.fronts.mysql.settings import MysqlSettings
+
+log = logging.getLogger(__name__)
+
+KIB = 1024
+
+
+def build_metrics_reporter(
+    settings: FiguresSettings,
+    served: Settings,
+    clock: Clock,
+    counters: Counters,
+    outputs: Outputs,
+    system: System,
+) -> MetricsReporter:
+    """Return the reporter of metrics, with a queue to its target."""
+    counters.register(DROPPED)
+    target = settings.target
+    if target.kind == "stderr":
+        output = outputs.stderr()
+    elif target.kind == "file":
+        output = outputs.writer("figures", lambda: system.file_sink(target.path))
+    else:
+        output = outputs.writer("figures", lambda: system.datagram_sink(target.address))
+    return MetricsReporter(settings, served, clock, counters, output.lane(settings.buffer_kb * KIB))
+
+
+def build_capture(settings: CaptureSettings, config: Config, outputs: Outputs) -> Capture:
+    """Return the capture, with queues to standard error for dumps and to its files."""
+    ring_bytes = settings.ring_kb * KIB
+    dumps, files = outputs.stderr().lane(2 * ring_bytes), None
+    if settings.dir is not None:
+        sink = DirSink(settings.dir, config.name, settings.files, ring_bytes)
+        files = outputs.writer("capture", lambda: sink).lane(ring_bytes)
+    return Capture(settings, config.settings, config.seed, config.known, dumps, files)
+
+
+def build_rewrites(rules: tuple[Rule, ...], served: Settings) -> Rewrites:
+    """Return the rewrites of headers; rules for classes that are not served are logged."""
+    rewrites = Rewrites(rules)
+    for name in sorted(rewrites.classes - {cls.name for cls in served.classes}):
+        log.warning("rewrite rule names unknown class", extra={"fields": {"class": name}})
+    return rewrites
+
+
+def build_mysql(
+    settings: MysqlSettings,
+    config: Config,
+    scheduler: Scheduler,
+    driver: BalancerDriver,
+    clock: Clock,
+    counters: Counters,
+) -> MysqlService:
+    """Return the MySQL front.
+
+    Raises:
+        OperatorError: Its section, a file or a library can't be used.
+    """
+    from brambleusher.fronts.mysql.service import MysqlService  # here: it loads what an extra brings
+
+    return MysqlService(settings, config.settings, config.seed, scheduler, driver, clock, counters)
--- /dev/null
+++ b/brambleusher/sidecar/lifecycle.py
@@ -0,0 +1,193 @@
+"""The life of a sidecar's process: start, handover from a predecessor, serving, graceful shutdown, exit."""
+
+from __future__ import annotations
+
+import logging
+from typing import TYPE_CHECKING
+
+from brambleusher.handover.process_registry import ProcessStage
+from brambleusher.sidecar.configuration import ConfigError
+from brambleusher.sidecar.state_exchange import address_text
+
+if TYPE_CHECKING:
+    from brambleusher.sidecar.app import Sidecar
+
+log = logging.getLogger(__name__)
+
+READINESS_POLL_INTERVAL_S = 0.02
+# After SIGTERM new connections keep coming for 0.2 to 0.4 s, and clients send on those they have until they
+# are closed.  SIGKILL comes no sooner than the longest deadline, 3 s where that is longer, and 0.7 s more.
+SERVE_AFTER_SIGTERM_S = 0.45
+MAX_GRACE_DEADLINE_S, GRACE_MARGIN_S = 3.0, 0.7
+CLOSE_BEFORE_SIGKILL_S = 0.75  # idle connections are closed so long ahead of it
+RESPOND_BEFORE_SIGKILL_S = 0.25  # requests that came after SIGTERM have their responses so long ahead of it
+DRAIN_POLL_INTERVAL_S = 0.02
+NS_PER_S = 1e9
+
+
+class Lifecycle:
+    """Starts, drains and ends one sidecar's process."""
+
+    def __init__(self, sidecar: Sidecar, has_predecessor: bool) -> None:
+        self._sidecar = sidecar
+        self._has_predecessor = has_predecessor  # another process of this sidecar was serving at the start
+        self.is_shutting_down = False
+        self.is_drained = False  # no request is accepted any more
+
+    # --- start ----------------------------------------------------------------------------------
+
+    def start(self) -> tuple[str, int]:
+        """Start all parts; return the address of the clients' listener.
+
+        Raises:
+            ConfigError: The admin address or the descriptor of the listener can't be used.
+            OSError: The clients' address can't be listened on.
+        """
+        sidecar = self._sidecar
+        self._start_endpoints()
+        if sidecar.admin_server is not None and sidecar.config.admin is not None:
+            self._start_admin_server(sidecar.config.admin)
+        if (group := sidecar.process_group) is not None:
+            if group.registry.process_count > 1:
+                sidecar.balancer_driver.set_process_share(group.shares.sending)
+            group.watch(sidecar.scheduler)
+        address = self._listen()
+        fields = {"node": sidecar.config.name, "address": address_text(address)}
+        log.info("listening", extra={"fields": fields})
+        return address
+
+    def _start_endpoints(self) -> None:
+        """Start from the endpoint list that is known, follow discovery, and start what goes by the list."""
+        sidecar = self._sidecar
+        known = sidecar.config.known
+        settings = None if sidecar.process_group is None else sidecar.process_group.settings.read()
+        if settings is not None:
+            sidecar.operator_calls.apply_shared(settings)  # ordered before this process began
+        sidecar.endpoint_list.hold(known)
+        known = sidecar.endpoint_updates.apply_bans(known)
+        sidecar.upstream_pool.update(known)
+        sidecar.balancer_driver.start(endpoint.entry for endpoint in known.endpoints)
+        sidecar.endpoint_list.start()
+        if not sidecar.config.settings.subscribes_to_endpoints:  # the balancer leaves the list to the sidecar
+            sidecar.endpoint_list.ask()
+        sidecar.scheduler.spawn(sidecar.upstream_pool.close_expired_connections, name="reap")
+        if sidecar.metrics_reporter is not None:
+            sidecar.metrics_reporter.start(sidecar.scheduler)
+        if sidecar.status is not None:
+            sidecar.status.update_endpoints(known)
+            sidecar.status.start(sidecar.config.listen[0])
+        if sidecar.mysql is not None:
+            sidecar.mysql.start(known)
+
+    def _start_admin_server(self, admin: tuple[str, int]) -> None:
+        sidecar = self._sidecar
+        assert sidecar.admin_server is not None
+        try:
+            sidecar.admin_address = sidecar.admin_server.listen(admin)
+        except OSError as error:
+            raise ConfigError(f"admin_addr: {error.strerror}") from None
+        log.info("admin endpoint", extra={"fields": {"address": address_text(sidecar.admin_address)}})
+
+    def _listen(self) -> tuple[str, int]:
+        """Listen; on a listener that the platform holds, accept once this process is ready."""
+        sidecar = self._sidecar
+        if sidecar.config.listener_fd is None:
+            return sidecar.client_listener.listen(sidecar.config.listen)
+        try:
+            address = sidecar.client_listener.adopt(sidecar.config.listener_fd)
+        except OSError as error:
+            raise ConfigError(f"NODE_FD: {error.strerror}") from None
+        if not self._has_predecessor:
+            sidecar.client_listener.start_accepting()
+        sidecar.scheduler.spawn(self._serve_once_ready, name="serve once ready")
+        return address
+
+    def _serve_once_ready(self) -> None:
+        """Accept once this process can serve: until then its predecessor does.  A task's body."""
+        sidecar = self._sidecar
+        while not sidecar.is_ready():
+            sidecar.scheduler.sleep(READINESS_POLL_INTERVAL_S)
+        if self.is_shutting_down:
+            return
+        sidecar.client_listener.start_accepting()
+        if sidecar.process_group is not None:
+            sidecar.process_group.registry.set_stage(ProcessStage.SERVING)
+        log.info("serving", extra={"fields": {"has_predecessor": self._has_predecessor}})
+
+    # --- run and exit ---------------------------------------------------------------------------
+
+    def run(self) -> None:
+        """Serve until a graceful shutdown has ended, then write what the features hold."""
+        sidecar = self._sidecar
+        sidecar.scheduler.run(self.is_finished)
+        if sidecar.capture is not None:
+            sidecar.capture.close()
+        if sidecar.metrics_reporter is not None:
+            sidecar.metrics_reporter.flush()
+        sidecar.outputs.close_all_but_stderr()
+        if sidecar.metrics_reporter is not None:
+            sidecar.metrics_reporter.count_lost()
+        sidecar.counters.report("exit")
+
+    def is_finished(self) -> bool:
+        """Return whether the process is drained and no connection of a client is open."""
+        sidecar = self._sidecar
+        open_sessions = 0 if sidecar.mysql is None else sidecar.mysql.front.connections
+        return self.is_drained and not sidecar.client_listener.connections and not open_sessions
+
+    def close(self) -> None:
+        """Leave the process group, release what the scheduler holds, write what waits to be written."""
+        sidecar = self._sidecar
+        if sidecar.admin_server is not None:
+            sidecar.admin_server.close()
+        if sidecar.process_group is not None:
+            sidecar.process_group.registry.leave()
+        sidecar.scheduler.close()
+        sidecar.outputs.close()
+
+    # --- graceful shutdown ----------------------------------------------------------------------
+
+    def begin_graceful_shutdown(self) -> None:
+        """Begin to drain, soon; safe in a signal handler, and without effect the second time."""
+        if not self.is_shutting_down:
+            self.is_shutting_down = True
+            self._sidecar.scheduler.call_soon(self._hand_over_or_drain)
+
+    def _hand_over_or_drain(self) -> None:
+        """Leave new connections to a successor where there is one, else drain."""
+        sidecar = self._sidecar
+        group = sidecar.process_group
+        is_handed_over = group is not None and group.registry.has_successor()
+        pending = sidecar.balancer_driver.unanswered_requests
+        fields = {"pending_requests": pending, "handed_over": is_handed_over}
+        log.info("graceful shutdown", extra={"fields": fields})
+        if group is not None:
+            group.registry.set_stage(ProcessStage.DRAINING)
+        if is_handed_over:
+            sidecar.client_draining.retire(sidecar.scheduler.now())
+            sidecar.client_listener.hand_over()
+            self.is_drained = True
+            return
+        sidecar.scheduler.spawn(self._drain, name="drain")
+
+    def _drain(self) -> None:
+        """Serve as long as clients may send and be answered, then close idle connections.  A task's body."""
+        sidecar = self._sidecar
+        sigkill_at = sidecar.scheduler.now() + self._grace_period_s()
+        sidecar.client_listener.latest_response_at = sigkill_at - RESPOND_BEFORE_SIGKILL_S
+        sidecar.scheduler.sleep(SERVE_AFTER_SIGTERM_S)
+        close_at = sigkill_at - CLOSE_BEFORE_SIGKILL_S
+        while sidecar.client_listener.connections and sidecar.scheduler.now() < close_at:
+            sidecar.scheduler.sleep(DRAIN_POLL_INTERVAL_S)
+        sidecar.client_listener.drain()
+        sidecar.upstream_pool.close()
+        if sidecar.mysql is not None:
+            sidecar.mysql.wind_down()
+        if sidecar.status is not None:
+            sidecar.status.stop()
+        self.is_drained = True
+
+    def _grace_period_s(self) -> float:
+        """Return the least seconds from SIGTERM to SIGKILL."""
+        longest_deadline_s = max(cls.deadline_ns for cls in self._sidecar.config.settings.classes) / NS_PER_S
+        return min(longest_deadline_s, MAX_GRACE_DEADLINE_S) + GRACE_MARGIN_S
--- /dev/null
+++ b/brambleusher/sidecar/main.py
@@ -0,0 +1,73 @@
+"""A sidecar as a process's main program."""
+
+from __future__ import annotations
+
+import os
+import sys
+from collections.abc import Callable
+
+from brambleusher.features.output_queue import OutputQueueStream
+from brambleusher.observability.log_format import configure
+from brambleusher.operator_settings.configuration import OperatorFile, load_operator_file
+from brambleusher.operator_settings.section import OperatorError
+from brambleusher.runtime.system import System
+from brambleusher.sidecar.app import Sidecar
+from brambleusher.sidecar.configuration import Config, ConfigError, load_config
+from brambleusher.sidecar.garbage_collection import GarbageCollectionPolicy, freeze_current_objects
+
+LOG_QUEUE_BYTES = 64 * 1024  # of log lines that wait for standard error, where features write to it too
+EXIT_CONFIGURATION = 2  # the exit status where the configuration can't be used
+
+
+def serve(
+    load: Callable[[], Config],
+    operator: OperatorFile | None = None,
+    log_format: str = "logfmt",
+    load_operator: Callable[[], OperatorFile] | None = None,
+    system: System | None = None,
+) -> None:
+    """Run one sidecar until it is told to shut down.
+
+    Raises:
+        ConfigError: The configuration can't be used.
+        OperatorError: The operator file can't be used.
+    """
+    garbage_collection = GarbageCollectionPolicy()
+    sidecar = Sidecar(load(), load, operator, system, load_operator)
+    sidecar.endpoint_list.on_step = garbage_collection.step
+    if sidecar.outputs.has_stderr:
+        # Guards against a log line that waits, and requests with it, where a feature has filled the pipe.
+        queue = sidecar.outputs.stderr().lane(LOG_QUEUE_BYTES)
+        configure(stream=OutputQueueStream(queue), form=log_format)
+    sidecar.install_signal_handlers()
+    try:
+        try:
+            sidecar.start()
+        except OSError as error:
+            raise ConfigError(f"listen: {error.strerror}") from None
+        freeze_current_objects()
+        sidecar.run()
+    finally:
+        sidecar.close()
+        configure(form=log_format)
+
+
+def run(operator_path: str | None, log_format: str, system: System | None = None) -> int:
+    """Run one sidecar by the environment's configuration; return the exit status."""
+    configure(form=log_format)
+    try:
+        operator = load_operator_file(operator_path)
+        serve(
+            lambda: load_config(os.environ),
+            operator,
+            log_format,
+            lambda: load_operator_file(operator_path),
+            system,
+        )
+    except OperatorError as error:
+        print(f"brambleusher: bad operator file: {error}", file=sys.stderr)
+        return EXIT_CONFIGURATION
+    except ConfigError as error:
+        print(f"brambleusher: bad configuration: {error}", file=sys.stderr)
+        return EXIT_CONFIGURATION
+    return 0
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -32,7 +32,7 @@
 from brambleusher.operator_settings.configuration import CaptureSettings, parse_operator_file
 from brambleusher.operator_settings.section import OperatorError
 from brambleusher.runtime.operating_system import RealSystem
-from brambleusher.sidecar.app import memory_of_features
+from brambleusher.sidecar.connection_budgets import feature_buffers_memory
 from tests.rig import WAIT, Node, Rig, answer, reset
 from tests.rules import SECOND, World
 from tests.test_figures import ready, until
@@ -179,9 +179,9 @@
             (b"capture: {ring_kb: 4096}", 6 << 20),
             (b"capture: {ring_kb: 4096, dir: /x}", 10 << 20),
         ):
-            self.assertEqual(memory_of_features(parse_operator_file(text), 12 << 20), beyond)
+            self.assertEqual(feature_buffers_memory(parse_operator_file(text), 12 << 20), beyond)
         with self.assertRaisesRegex(OperatorError, "capture.ring_kb"):
-            memory_of_features(parse_operator_file(b"capture: {ring_kb: 1048576}"), 12 << 20)
+            feature_buffers_memory(parse_operator_file(b"capture: {ring_kb: 1048576}"), 12 << 20)
 
 
 class Replays(unittest.TestCase):
--- a/tests/test_crossings_client.py
+++ b/tests/test_crossings_client.py
@@ -13,7 +13,7 @@
 
 from brambleusher.net import client_connection, client_request_reader
 from brambleusher.net.http import Message, MessageReader
-from brambleusher.sidecar import app as sidecar
+from brambleusher.sidecar import lifecycle
 from tests.crossing import HookedSystem, Patient, held_still
 from tests.rig import WAIT, Node, Rig, Script, answer, read
 
@@ -67,7 +67,7 @@
 class Case(Patient):
     def setUp(self) -> None:
         # What rests is closed 0.55 s after the end began, and not as late as the platform lets it be.
-        short = mock.patch.object(sidecar, "LONGEST_GRACE_SECONDS", 0.6)
+        short = mock.patch.object(lifecycle, "MAX_GRACE_DEADLINE_S", 0.6)
         short.start()
         self.addCleanup(short.stop)
         self.system = HookedSystem()
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -197,7 +197,7 @@
         other.first = Discovery.text([new.entry("h1")], True, version=3)  # its versions are its own
         host, port = other.address.split(":")
         moved = replace(rig.sidecar.config, discovery=(host, int(port)))
-        rig.sidecar._load = lambda: moved
+        rig.sidecar.reloader.load_configuration = lambda: moved
         rig.sidecar.reload_configuration()
         other.asked.get(timeout=WAIT)
         self.until(lambda: list(rig.sidecar.upstream_pool.listed) == ["h1"])
--- a/tests/test_crossings_shutdown.py
+++ b/tests/test_crossings_shutdown.py
@@ -13,7 +13,7 @@
 from typing import Any
 from unittest import mock
 
-from brambleusher.sidecar import app as sidecar
+from brambleusher.sidecar import lifecycle
 from brambleusher.sidecar.configuration import ConfigError
 from tests.crossing import held_still
 from tests.rig import WAIT, Discovery, Node, Rig, answer, read
@@ -25,7 +25,7 @@
     def winding_down(self, rig: Rig) -> None:
         """End it, and wait until it has closed what rests, and its listener."""
         rig.sidecar.begin_graceful_shutdown()
-        self.until(lambda: rig.sidecar._wound_down)
+        self.until(lambda: rig.sidecar.lifecycle.is_drained)
 
     def ended(self, rig: Rig) -> None:
         rig.thread.join(WAIT)
@@ -148,7 +148,7 @@
     def test_a_resting_connection_is_served_until_shortly_before_sigkill(self) -> None:
         node = Node(answer(b"yes"))
         self.addCleanup(node.close)
-        with mock.patch.object(sidecar, "LONGEST_GRACE_SECONDS", 1.6):
+        with mock.patch.object(lifecycle, "MAX_GRACE_DEADLINE_S", 1.6):
             rig = self.rig(node)
             sock = self.connect(rig)
             rig.sidecar.begin_graceful_shutdown()
@@ -194,7 +194,7 @@
                 self.addCleanup(other.close)
                 host, port = other.address.split(":")
                 moved = replace(rig.sidecar.config, discovery=(host, int(port)))
-                rig.sidecar._load = lambda moved=moved: moved
+                rig.sidecar.reloader.load_configuration = lambda moved=moved: moved
                 sock = rig.send("r1")
                 _, upstream, message = self.held(node)
                 calls: list[Callable[[], None]] = [
@@ -216,7 +216,7 @@
         def load() -> Any:
             raise ConfigError("settings: half written")
 
-        rig.sidecar._load = load
+        rig.sidecar.reloader.load_configuration = load
         sock = rig.send("r1")
         _, upstream, message = self.held(node)
         with held_still(rig):
--- a/tests/test_fault_plans.py
+++ b/tests/test_fault_plans.py
@@ -219,7 +219,7 @@
 
 def ends(fleet: Fleet) -> bool:
     """Whether the sidecar has been told to end and serves its clients to the last, or has ended."""
-    return not sidecar(fleet).up or sidecar(fleet).sidecar._ending
+    return not sidecar(fleet).up or sidecar(fleet).sidecar.lifecycle.is_shutting_down
 
 
 def down(fleet: Fleet, name: str) -> bool:
@@ -327,7 +327,7 @@
         {"restart": True},
         lambda fleet, _: any(name == NODE.id and ban.on for name, ban in bans(fleet).items()),
     ),
-    "sidecar-out-of-service": ({}, lambda fleet, _: not sidecar(fleet).sidecar.service.ready),
+    "sidecar-out-of-service": ({}, lambda fleet, _: not sidecar(fleet).sidecar.client_draining.is_ready),
     "sidecars-released": (
         {"down_s": 0.1},
         lambda fleet, _: sidecar(fleet).starts == 2 and not sidecar(fleet).sidecar.endpoint_list.fresh,
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -25,7 +25,7 @@
 from brambleusher.net.upstream_pool import UpstreamPool
 from brambleusher.net.upstream_response_reader import UpstreamResponseReader
 from brambleusher.runtime.streams import Stream
-from brambleusher.sidecar.app import Sidecar
+from brambleusher.sidecar.lifecycle import Lifecycle
 from tests import (
     crossing,
     rig,
@@ -111,8 +111,8 @@
     nodes.connections.close_idle(node)
 
 
-def ends_with_requests_open(sidecar: Sidecar) -> bool:
-    return sidecar._wound_down
+def ends_with_requests_open(lifecycle: Lifecycle) -> bool:
+    return lifecycle.is_drained
 
 
 def reset_is_an_end(response_reader: UpstreamResponseReader) -> Any:
@@ -229,7 +229,7 @@
     ),
     (
         "requests in work keep the process",
-        [(Sidecar, "_over", ends_with_requests_open)],
+        [(Lifecycle, "is_finished", ends_with_requests_open)],
         test_crossings_shutdown.Ends,
         "test_during_an_attempt_and_before_a_further_one",
     ),
--- a/tests/test_mysql_front.py
+++ b/tests/test_mysql_front.py
@@ -634,7 +634,7 @@
     free, tied = Raw(rig), connect(rig)
     tied.begin()
     rig.sidecar.begin_graceful_shutdown()
-    rig.until(lambda: rig.sidecar._wound_down)
+    rig.until(lambda: rig.sidecar.lifecycle.is_drained)
     tied.commit()
     message = free.sock.recv(65536)
     assert Err.parse(message[4:]).errno == Errno.SERVER_SHUTDOWN
--- a/tests/test_operators_in_virtual_time.py
+++ b/tests/test_operators_in_virtual_time.py
@@ -12,7 +12,7 @@
 from brambleusher.lab.fleets.scenario import draw_scenario
 from brambleusher.lab.virtual.explore import ENDLESS, play
 from brambleusher.loadbalancing import Balancer
-from brambleusher.sidecar.app import READY_SECONDS
+from brambleusher.sidecar.app import FRESH_LIST_TIMEOUT_S
 from tests.test_fault_plans import FROM_S, fault_of, scenario_with
 
 
@@ -28,7 +28,7 @@
         assert run.run(
             begun + 5 * SECOND, lambda: all(each.sidecar and each.sidecar.is_ready() for each in there)
         )
-        assert run.now_ns - begun < 0.8 * READY_SECONDS * SECOND
+        assert run.now_ns - begun < 0.8 * FRESH_LIST_TIMEOUT_S * SECOND
         assert not any(each.sidecar and each.sidecar.endpoint_list.fresh for each in there)
 
 
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -163,7 +163,7 @@
         rig = self.rig(old)
         rig.listed(1)
         mute = self.node(hang)
-        rig.sidecar._load = lambda: parse_config(
+        rig.sidecar.reloader.load_configuration = lambda: parse_config(
             json.dumps({**rig.config, "discovery": mute.address}).encode(), {}
         )
         for _ in range(3):  # once more does no harm
@@ -405,7 +405,7 @@
             logged(line)
         self.assertNotIn("since", other.asked.get(timeout=WAIT))
         program.send_signal(signal.SIGTERM)
-        logged("msg=ending")
+        logged('msg="graceful shutdown"')
         program.send_signal(signal.SIGHUP)
         logged("why=exit")
         self.assertEqual(program.wait(WAIT), 0)
