--- a/tests/test_fault_plans.py
+++ b/tests/test_fault_plans.py
@@ -325,7 +325,7 @@
     "link-jitter": ({"by_s": 0.1}, lambda fleet, _: extra(fleet) > 0),
     "node-banned": (
         {"restart": True},
-        lambda fleet, _: any(name == NODE.id and ban.on for name, ban in bans(fleet).items()),
+        lambda fleet, _: any(name == NODE.id and ban.is_active for name, ban in bans(fleet).items()),
     ),
     "sidecar-out-of-service": ({}, lambda fleet, _: not sidecar(fleet).sidecar.client_draining.is_ready),
     "sidecars-released": (
