--- a/brambleusher/lab/control/history.py
+++ b/brambleusher/lab/control/history.py
@@ -297,12 +297,12 @@
             instance.config, floor, self.now, seed=instance.life, sure=self.breakage == "store"
         )
         if self.breakage == "claims":
-            instance.core.handout.record_claim = lambda place: None  # type: ignore[method-assign]
+            instance.core.handout.record_claim = lambda position: None  # type: ignore[method-assign]
         if self.breakage == "silence":
             instance.core.handout.is_discovery_connected = lambda now: True  # type: ignore[method-assign]
         if self.breakage == "floor":
             instance.core.roster = _Forgetful()
-            instance.core.handout._raise_floor = lambda place: None  # type: ignore[method-assign]
+            instance.core.handout._raise_floor = lambda position: None  # type: ignore[method-assign]
         instance.writing = False
         self._watch(instance)
 
--- a/brambleusher/loadbalancing/view_consistency.py
+++ b/brambleusher/loadbalancing/view_consistency.py
@@ -1,8 +1,8 @@
-"""Whether an instance of a control service may hand out the view it holds.
+"""View consistency: whether an instance of a control service may publish the view that it has.
 
-A view's place is (epoch, version): the operator's epoch, and discovery's version within it.  An
-instance hands out only a view that is not behind anything it has reason to believe was acted on,
-and only while somebody who should know has lately confirmed that it is not behind.
+A view's position is (epoch, version): the operator's epoch, and discovery's version within it.  An instance
+publishes only a view that is not behind anything it has reason to believe was acted on, and only while
+somebody who should know has lately confirmed that it is not behind.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class WithheldReason(Enum):
-    """WithheldReason a view is withheld."""
+    """Why a view is withheld; the values are texts of log lines and of the admin endpoint."""
 
     NO_DISCOVERY = "nothing was heard from discovery since the start"
     BEHIND = "the view held is older than one that was handed out"
@@ -31,90 +31,104 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerStatus:
-    """What another instance says of itself: its view's place, what was acted on, whether it is in touch."""
+    """What an instance tells the others of itself."""
 
-    position: ViewPosition | None
-    floor: ViewPosition | None
-    is_connected: bool
+    position: ViewPosition | None  # of its view
+    floor: ViewPosition | None  # the latest that was acted on, as far as it knows
+    is_connected: bool  # to discovery
 
 
 class ViewConsistency:
     """One instance's knowledge of what was acted on, here and elsewhere."""
 
-    def __init__(self, floor: ViewPosition | None, now: int, silence_ns: int, unsure_ns: int) -> None:
-        """`floor` is what durable storage says; None where it can't say, and then claims are awaited."""
-        self.floor, self.written = floor, floor
+    def __init__(self, floor: ViewPosition | None, now: int, timeout_ns: int, claims_wait_ns: int) -> None:
+        """Start.
+
+        Args:
+            floor: What durable storage says; None where it can't say, and then claims are awaited.
+            now: In ns.
+            timeout_ns: After which a contact with discovery, or with another instance, is no longer recent.
+            claims_wait_ns: How long claims are awaited.
+        """
+        self.floor = floor
+        self.written = floor
         self.position: ViewPosition | None = None
-        self._silence_ns = silence_ns
-        self._sure_at = now if floor is not None else now + unsure_ns
-        self._heard: int | None = None
-        self._words: dict[str, tuple[PeerStatus, int]] = {}
+        self._timeout_ns = timeout_ns
+        self._claims_awaited_until = now if floor is not None else now + claims_wait_ns
+        self._last_discovery_contact: int | None = None
+        self._peers: dict[str, tuple[PeerStatus, int]] = {}  # with the time of the last status
 
     # --- events ---------------------------------------------------------------------------------
 
-    def record_discovery(self, place: ViewPosition | None, now: int) -> None:
-        """Discovery has spoken; the view that follows from all it said is at `place`."""
-        self.position, self._heard = place, now
+    def record_discovery(self, position: ViewPosition | None, now: int) -> None:
+        """Take in an update of discovery; the view that follows from all of them is at `position`."""
+        self.position = position
+        self._last_discovery_contact = now
 
     def record_discovery_lost(self) -> None:
-        """The watch has ended: what it said last says nothing of the present."""
-        self._heard = None
+        """Take in that the watch has ended: its last update says nothing of the present."""
+        self._last_discovery_contact = None
 
-    def record_peer_status(self, peer: str, word: PeerStatus, now: int) -> None:
-        """Another instance has spoken."""
-        self._words[peer] = (word, now)
-        for place in (word.position if word.is_connected else None, word.floor):
-            self._raise_floor(place)
+    def record_peer_status(self, peer: str, status: PeerStatus, now: int) -> None:
+        """Take in the status of another instance."""
+        self._peers[peer] = (status, now)
+        self._raise_floor(status.position if status.is_connected else None)
+        self._raise_floor(status.floor)
 
-    def record_claim(self, place: ViewPosition) -> None:
-        """A subscriber has shown that it was given the view at `place`."""
-        self._raise_floor(place)
+    def record_claim(self, position: ViewPosition) -> None:
+        """Take in that a subscriber has shown that it was given the view at `position`."""
+        self._raise_floor(position)
 
-    def record_written(self, place: ViewPosition) -> None:
-        """`place` is on durable storage."""
-        self.written = max(place, self.written) if self.written is not None else place
-        self._raise_floor(place)
+    def record_written(self, position: ViewPosition) -> None:
+        """Take in that `position` is on durable storage."""
+        self.written = max(position, self.written) if self.written is not None else position
+        self._raise_floor(position)
 
-    def record_published(self, place: ViewPosition) -> None:
-        """The view at `place` goes out."""
-        self._raise_floor(place)
+    def record_published(self, position: ViewPosition) -> None:
+        """Take in that the view at `position` goes out."""
+        self._raise_floor(position)
 
-    def _raise_floor(self, place: ViewPosition | None) -> None:
-        if place is not None and (self.floor is None or place > self.floor):
-            self.floor = place
+    def _raise_floor(self, position: ViewPosition | None) -> None:
+        if position is not None and (self.floor is None or position > self.floor):
+            self.floor = position
 
-    # --- what follows ---------------------------------------------------------------------------
+    # --- answers --------------------------------------------------------------------------------
 
     def is_discovery_connected(self, now: int) -> bool:
-        """Whether discovery itself was heard of lately."""
-        return self._heard is not None and now - self._heard <= self._silence_ns
+        """Return whether there was a recent contact with discovery itself."""
+        contact = self._last_discovery_contact
+        return contact is not None and now - contact <= self._timeout_ns
 
     def is_confirmed_by_peer(self, now: int) -> bool:
-        """Whether another instance, itself in touch with discovery, lately said that it is no further."""
+        """Return whether a peer that is connected to discovery lately said that it is no further."""
         if self.position is None:
             return False
         return any(
-            word.is_connected and word.position is not None and word.position <= self.position
-            for word, at in self._words.values()
-            if now - at <= self._silence_ns
+            status.is_connected and status.position is not None and status.position <= self.position
+            for status, at in self._peers.values()
+            if now - at <= self._timeout_ns
         )
 
     def is_any_peer_connected(self, now: int) -> bool:
-        """Whether another instance lately said that it is in touch with discovery."""
-        return any(word.is_connected and now - at <= self._silence_ns for word, at in self._words.values())
+        """Return whether another instance lately said that it is connected to discovery."""
+        return any(
+            status.is_connected and now - at <= self._timeout_ns for status, at in self._peers.values()
+        )
 
     def position_to_write(self) -> ViewPosition | None:
-        """The place that durable storage must hold before the view goes out; None where it does."""
-        place = self.position
-        if place is None or (self.floor is not None and place < self.floor):
+        """Return the position that durable storage must hold before the view goes out; None where it does."""
+        position = self.position
+        if position is None or (self.floor is not None and position < self.floor):
             return None
-        return place if self.written is None or place > self.written else None
+        return position if self.written is None or position > self.written else None
 
     def withheld_reason(self, now: int, harmless: bool = False) -> WithheldReason | None:
-        """WithheldReason the view is withheld; None where it may go out.
+        """Return why the view is withheld; None where it may go out.
 
-        `harmless` says that it only takes nodes away from one that is on durable storage: it does not
-        wait for a disk that fails, since a drain that is told too late is harm done for certain.
+        Args:
+            now: In ns.
+            harmless: The view only takes nodes away from one that is on durable storage.  It does not wait
+                for a disk that fails, since a drain that is published too late is harm done for certain.
         """
         if self.position is None:
             return WithheldReason.NO_DISCOVERY
@@ -122,12 +136,12 @@
             return WithheldReason.BEHIND
         if not self.is_discovery_connected(now) and not self.is_confirmed_by_peer(now):
             return WithheldReason.ISOLATED
-        if now < self._sure_at:
+        if now < self._claims_awaited_until:
             return WithheldReason.AWAITING_CLAIMS
         if self.position_to_write() is not None and not harmless:
             return WithheldReason.NOT_DURABLE
         return None
 
     def peer_status(self, now: int) -> PeerStatus:
-        """What this instance tells the others."""
+        """Return what this instance tells the others."""
         return PeerStatus(self.position, self.floor, self.is_discovery_connected(now))
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -320,7 +320,7 @@
 
 
 def handout(floor: ViewPosition | None = AT_FIVE) -> ViewConsistency:
-    return ViewConsistency(floor, 0, silence_ns=3 * SECOND, unsure_ns=2 * SECOND)
+    return ViewConsistency(floor, 0, timeout_ns=3 * SECOND, claims_wait_ns=2 * SECOND)
 
 
 def test_nothing_goes_out_before_it_is_known_to_be_the_present_and_written() -> None:
