--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -74,7 +74,7 @@
         super().__init__(settings, seed)
         self._failed: dict[str, int] = {}
         self._ejected: dict[str, tuple[int, int]] = {}  # how often, and until when
-        self._offers: dict[str, float] = {}
+        self._offered: dict[str, float] = {}
         self._now = 0
 
     def handle(self, event: api.Event, now: int) -> list[api.Action]:
@@ -111,24 +111,24 @@
         if 0 < total < 1:
             health = [each / total for each in health]
         loads = [health[0], min(health[1], 1 - health[0])]
-        self._offers = {}
+        self._offered = {}
         for level, good, load in zip(levels, well, loads, strict=True):
             panics = bool(level) and total < 1 and len(good) < self.PANIC * len(level)
             used = level if panics or not total else good
             spare = sum(self._spare(host) for host in used)
             for host in used:
-                self._offers[host.name] = load / max(spare, 1e-9)
+                self._offered[host.name] = load / max(spare, 1e-9)
 
     def _spare(self, host: Host) -> float:
         util = host.utilisation if host.reported_ns >= 0 else self.capacity.mean_utilisation
         return (host.capacity or self.capacity.mean_capacity or 1.0) * max(1 - util, 0.01)
 
-    def _offer(self, host: Host) -> float:
-        return self._offers.get(host.name, 0.0)
+    def _offers(self) -> Callable[[Host], float]:
+        return lambda host: self._offered.get(host.name, 0.0)
 
     def _eligibility(self, request: Request, now: int) -> Callable[[Host], bool]:
         plain = super()._eligibility(request, now)
-        return lambda host: self._offers.get(host.name, 0.0) > 0 and plain(host)
+        return lambda host: self._offered.get(host.name, 0.0) > 0 and plain(host)
 
 
 def no_zones(settings: api.Settings, seed: int) -> Balancer:
--- a/brambleusher/loadbalancing/admission_control.py
+++ b/brambleusher/loadbalancing/admission_control.py
@@ -48,6 +48,7 @@
 VALUE_JITTER = 0.01  # of a value: breaks ties between equal requests
 REMEMBERED_DENSITIES = 128
 MIN_OFFERED = 1e-9  # stands for nothing, and can be divided by
+MIN_ANSWERS = 1e-9  # likewise
 CHANCE_DEVIATIONS = 2  # of what is in flight, that the mean may be left behind by
 
 
@@ -160,24 +161,20 @@
     def _latency_budget(self) -> _LatencyBudget:
         """Return the time in which what is in flight is to be served."""
         traffic = self._traffic
-        classes = self._settings.classes
-        counts = sum(traffic.answer_counts) + 1e-9
-        target_ns = (
-            sum(n * each.latency_target_ns for n, each in zip(traffic.answer_counts, classes, strict=True))
-            / counts
+        counts = traffic.answer_counts
+        total = sum(counts) + MIN_ANSWERS
+        target_sum_ns = sum(
+            n * each.latency_target_ns for n, each in zip(counts, self._settings.classes, strict=True)
         )
-        usual_ns = (
-            sum(
-                n * unloaded_ns
-                for n, unloaded_ns in zip(traffic.answer_counts, traffic.unloaded_latency_ns, strict=True)
-            )
-            / counts
+        target_ns = target_sum_ns / total
+        if total < 1:
+            return _LatencyBudget(float(self._unit_ns), target_ns, is_known=False)
+        usual_sum_ns = sum(
+            n * usual_ns for n, usual_ns in zip(counts, traffic.unloaded_latency_ns, strict=True)
         )
-        is_known = counts >= 1
-        to_hold_ns = float(self._unit_ns)
-        if is_known:
-            to_hold_ns = min(usual_ns, target_ns * USUAL_LATENCY_FRACTION) + target_ns * QUEUEING_FRACTION
-        return _LatencyBudget(to_hold_ns, target_ns, is_known)
+        usual_ns = usual_sum_ns / total
+        to_hold_ns = min(usual_ns, target_ns * USUAL_LATENCY_FRACTION) + target_ns * QUEUEING_FRACTION
+        return _LatencyBudget(to_hold_ns, target_ns, is_known=True)
 
     def _due_in_flight(self, hosts: Sequence[Host], gap: float, budget: _LatencyBudget) -> float:
         """Return what this proxy's share of the fleet serves in the time to be held: the limit stays near it.
@@ -240,7 +237,9 @@
         value = request_class.value
         if waited_ns >= request_class.latency_target_ns:  # its client has waited before
             value *= request_class.late_value
-        is_over_quota = self.quotas.is_over_quota(event.tenant, self.effective_fleet_share(), now)
+        is_over_quota = bool(settings.tenants) and self.quotas.is_over_quota(
+            event.tenant, self.effective_fleet_share(), now
+        )
         if not settings.is_value_by_work:
             value /= max(self._traffic.unloaded_latency_ns[class_index], 1.0) / NS_PER_S
         value *= 1 + VALUE_JITTER * self._rng.random()
--- a/brambleusher/loadbalancing/attempt_tracker.py
+++ b/brambleusher/loadbalancing/attempt_tracker.py
@@ -6,11 +6,9 @@
 
 from __future__ import annotations
 
-from typing import NamedTuple
-
 from brambleusher.loadbalancing import api
 from brambleusher.loadbalancing.api import AttemptStatus
-from brambleusher.loadbalancing.hosts import Attempt, AttemptKey, Host, InFlightAttempt, Request
+from brambleusher.loadbalancing.hosts import Attempt, AttemptKey, Host, Request
 from brambleusher.loadbalancing.retry_policy import NEVER_RAN
 from brambleusher.loadbalancing.traffic import TrafficStatistics
 
@@ -18,14 +16,6 @@
 _KEEPS_CONNECTION = (AttemptStatus.OK, AttemptStatus.ERROR, AttemptStatus.OVERLOADED)
 
 
-class EndedAttempt(NamedTuple):
-    """An attempt that has just ended."""
-
-    request: Request
-    attempt: Attempt
-    was_in_flight: bool  # else it was written off
-
-
 class AttemptTracker:
     """Owner of the requests and of the state of their attempts."""
 
@@ -44,7 +34,7 @@
     def start(self, request: Request, host: Host, now: int, idle_ns: int) -> None:
         """Put one more attempt in flight."""
         host.begin_use(self._class_count)
-        host.in_flight[(request.id, len(request.attempts))] = InFlightAttempt(request, now)
+        host.in_flight[(request.id, len(request.attempts))] = (request, now)
         request.attempts.append(Attempt(host, now, idle_ns))
         request.unfinished += 1
         traffic = self._traffic
@@ -52,13 +42,12 @@
         traffic.peak_in_flight = max(traffic.peak_in_flight, traffic.in_flight)
         host.last_used_ns = now
 
-    def end(self, event: api.AttemptEnded, now: int) -> EndedAttempt | None:
-        """Take in an attempt's end; None where it had ended before."""
-        found = self.find(event.request, event.attempt)
-        if found is None:
-            return None
-        request, attempt = found
-        host = attempt.host
+    def end(self, request: Request, host: Host, event: api.AttemptEnded, now: int) -> bool | None:
+        """Take in an attempt's end.
+
+        Returns:
+            Whether it was in flight, else it was written off; None where it had ended before.
+        """
         key = (event.request, event.attempt)
         was_in_flight = host.in_flight.pop(key, None) is not None
         if was_in_flight:
@@ -73,15 +62,15 @@
         if status is not AttemptStatus.CONNECT_FAILED and status is not AttemptStatus.NOT_STARTED:
             request.has_reached_host = True
         host.is_connected = status in _KEEPS_CONNECTION
-        return EndedAttempt(request, attempt, was_in_flight)
+        return was_in_flight
 
     def write_off(self, host: Host, key: AttemptKey) -> Request:
         """Count an attempt in flight no more; return its request."""
-        attempt = host.in_flight.pop(key)
-        host.written_off[key] = attempt
+        request, sent_ns = host.in_flight.pop(key)
+        host.written_off[key] = (request, sent_ns)
         self._traffic.in_flight -= 1
-        attempt.request.written_off += 1
-        return attempt.request
+        request.written_off += 1
+        return request
 
     def apply_body_progress(self, event: api.RequestBodyProgressed, now: int) -> None:
         """Write an attempt off while its body is on its way; once that is complete, its time begins."""
@@ -96,7 +85,7 @@
             self.write_off(host, key)
         elif event.is_complete and key in host.written_off:
             del host.written_off[key]
-            host.in_flight[key] = InFlightAttempt(request, now)
+            host.in_flight[key] = (request, now)
             request.attempts[event.attempt] = attempt._replace(sent_ns=now)
             self._traffic.in_flight += 1
             request.written_off -= 1
@@ -126,7 +115,7 @@
 
 def record_run(request: Request, attempt: Attempt, status: AttemptStatus) -> None:
     """Take in whether an attempt that has ended may have run: that binds a keyed request to its hosts."""
-    if status not in NEVER_RAN and status is not AttemptStatus.OK:
+    if status is not AttemptStatus.OK and status not in NEVER_RAN:
         if not request.may_have_run or attempt.sent_ns < request.first_run_ns:
             request.first_run_host = attempt.host
             request.first_run_ns = attempt.sent_ns
--- a/brambleusher/loadbalancing/balancer.py
+++ b/brambleusher/loadbalancing/balancer.py
@@ -19,12 +19,12 @@
 from brambleusher.loadbalancing.admission_control import AdmissionControl
 from brambleusher.loadbalancing.api import AttemptStatus, ListKind
 from brambleusher.loadbalancing.attempt_timeout import AttemptTimeouts
-from brambleusher.loadbalancing.attempt_tracker import AttemptTracker, EndedAttempt, record_run
+from brambleusher.loadbalancing.attempt_tracker import AttemptTracker, record_run
 from brambleusher.loadbalancing.endpoint_subscription import EndpointSubscription
 from brambleusher.loadbalancing.fleet_capacity import FleetCapacity
 from brambleusher.loadbalancing.host_selection import Eligibility, HostSelector
 from brambleusher.loadbalancing.host_table import HostTable
-from brambleusher.loadbalancing.hosts import RESERVE, Host, Request
+from brambleusher.loadbalancing.hosts import RESERVE, Attempt, Host, Request, decay_hosts
 from brambleusher.loadbalancing.idle_timeout import IdleTimeout
 from brambleusher.loadbalancing.outlier_detection import OutlierDetector, record_order
 from brambleusher.loadbalancing.performance_index import PerformanceIndex
@@ -135,16 +135,16 @@
             return
         spares = self.weights.spare_capacities(hosts, now)
         self._update_remote_offer(gap)
-        self.weights.assign(hosts, spares, self._offer, now)
+        self.weights.assign(hosts, spares, self._offers(), now)
         self.round_robin.cut_tokens()
 
     def _update_remote_offer(self, gap: float) -> None:
         """Steer how much of their spare capacity remote hosts offer."""
         self.remote_offer.update(self.round_robin.ring, gap)
 
-    def _offer(self, host: Host) -> float:
-        """Return the part of its spare capacity that a host offers."""
-        return self.remote_offer.of_host(host)
+    def _offers(self) -> Callable[[Host], float]:
+        """Return what tells the part of its spare capacity that a host offers."""
+        return self.remote_offer.of_host
 
     def _update_admission_limit(self, gap: float) -> None:
         """Set the limit on attempts in flight."""
@@ -218,7 +218,7 @@
         self.attempts.requests[request.id] = request
         self._start_attempt(request, host, now)
 
-    def _on_answer_not_owed(self, event: api.ClientDisconnected | api.StreamStarted, now: int) -> None:
+    def _on_answer_not_owed(self, event: api.ClientDisconnected | api.StreamStarted, _now: int) -> None:
         """Owe no answer: the client has left, or has its stream."""
         self.attempts.close(event.request)
 
@@ -247,25 +247,31 @@
     # --- ends of attempts ------------------------------------------------------------------------
 
     def _on_attempt_ended(self, event: api.AttemptEnded, now: int) -> None:
-        ended = self.attempts.end(event, now)
-        if ended is None:
+        found = self.attempts.find(event.request, event.attempt)
+        if found is None:
+            return
+        request, attempt = found
+        host = attempt.host
+        was_in_flight = self.attempts.end(request, host, event, now)
+        if was_in_flight is None:
             return
-        request = ended.request
         self.outliers.timeouts += event.status is AttemptStatus.TIMEOUT
-        if self.host_table.begin_closing(ended.attempt.host, now):
-            self._actions.append(api.CloseIdleConnections(ended.attempt.host.name))
-        is_idle_loss = self._learn_from(event, ended, now)
+        if host.is_draining and self.host_table.begin_closing(host, now):
+            self._actions.append(api.CloseIdleConnections(host.name))
+        is_idle_loss = self._learn_from(event, request, attempt, was_in_flight, now)
         if event.request_ended:
             request.is_answered = True
             self._cancel_attempts(request)
-        record_run(request, ended.attempt, event.status)
+        record_run(request, attempt, event.status)
         if not request.is_answered and not request.has_live_attempt:
             self._retry(request, event.status, now, is_idle_loss)
         self.attempts.forget_if_done(request)
 
-    def _learn_from(self, event: api.AttemptEnded, ended: EndedAttempt, now: int) -> bool:
+    def _learn_from(
+        self, event: api.AttemptEnded, request: Request, attempt: Attempt, was_in_flight: bool, now: int
+    ) -> bool:
         """Learn from an attempt's end; return whether its connection's idle time is to blame."""
-        host, sent_ns, idle_ns = ended.attempt
+        host, sent_ns, idle_ns = attempt
         status = event.status
         if event.report is not None:
             self.capacity.record_report(host, event.report, now)
@@ -279,8 +285,8 @@
         if status is AttemptStatus.OK:
             record_order(host, sent_ns)
         # Of one that was written off, all that a time-out says is known.
-        if not is_idle_loss and (ended.was_in_flight or status is not AttemptStatus.TIMEOUT):
-            self.outliers.record_outcome(host, ended.request.class_index, status, event.latency_ns, now)
+        if not is_idle_loss and (was_in_flight or status is not AttemptStatus.TIMEOUT):
+            self.outliers.record_outcome(host, request.class_index, status, event.latency_ns, now)
         return is_idle_loss
 
     def _write_off_lost_attempts(self, now: int) -> None:
@@ -291,15 +297,19 @@
         """
         if self.capacity.mean_utilisation < 1 - RESERVE:
             for host in self.round_robin.ring:
-                for key, _ in self.outliers.lost_attempts(host, now):
-                    self.attempts.write_off(host, key)
-                    host.failed += 1
-                    self.outliers.timeouts += 1
-        waiting = [attempt.request for host in self.round_robin.ring for attempt in host.written_off.values()]
+                if host.in_flight:
+                    self._write_off_lost_attempts_of(host, now)
+        waiting = [request for host in self.round_robin.ring for request, _ in host.written_off.values()]
         for request in waiting:
             if self.retry_policy.can_afford_hedge():
                 self._hedge(request, now)
 
+    def _write_off_lost_attempts_of(self, host: Host, now: int) -> None:
+        for key in self.outliers.lost_attempts(host, now):
+            self.attempts.write_off(host, key)
+            host.failed += 1
+            self.outliers.timeouts += 1
+
     def _hedge(self, request: Request, now: int) -> None:
         """Start another attempt of a request whose attempts are all written off."""
         if request.is_answered or request.has_live_attempt:
@@ -328,7 +338,7 @@
         if host is not None and event.report is not None:
             self.capacity.record_report(host, event.report, now)
 
-    def _on_process_share(self, event: api.ProcessShareChanged, now: int) -> None:
+    def _on_process_share(self, event: api.ProcessShareChanged, _now: int) -> None:
         self.slow_start.set_process_share(event.share)
 
     def _close_idle_connections(self, host_names: Iterable[str]) -> None:
@@ -336,7 +346,7 @@
 
     # --- the tick --------------------------------------------------------------------------------
 
-    def _on_timer(self, event: api.TimerFired, now: int) -> None:
+    def _on_timer(self, _event: api.TimerFired, now: int) -> None:
         """Do all work that costs time for each host: here, not on requests."""
         gap = max(0, now - self.ticked_ns) / self._unit_ns
         self.ticked_ns = now
@@ -353,14 +363,14 @@
             self.traffic.learn_unloaded_latencies()
         if self.subscription.take_due(now):
             self._actions.append(api.SubscribeToEndpoints())
-        self._close_idle_connections(self.host_table.continue_closing(now))
+        if self.host_table.closing:
+            self._close_idle_connections(self.host_table.continue_closing(now))
         self._set_timer(now)
 
     def _decay(self, gap: float) -> None:
         """Forget a little of everything; `gap` is the time since the last tick in targets."""
         decay = Decay.after(gap)
-        for host in self.round_robin.ring:
-            host.decay(decay)
+        decay_hosts(self.round_robin.ring, decay)
         self.outliers.decay(decay)
         self.retry_policy.budget.decay(decay.health)
         self.idle_timeout.recover(gap, decay.capacity)
--- a/brambleusher/loadbalancing/fleet_capacity.py
+++ b/brambleusher/loadbalancing/fleet_capacity.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 import math
-from collections.abc import Sequence
+from collections.abc import Iterable, Sequence
 from statistics import median
 
 from brambleusher.loadbalancing import api, capacity_estimates
@@ -77,14 +77,19 @@
         available = sum(capacity * host.acceptance for host, capacity in warm)
         self.mean_utilisation = used / available if warm else 0.0
 
-    def faded_utilisation(self, host: Host, now: int) -> float:
-        """Return a host's utilisation; a report that is not renewed fades to the fleet's mean.
+    def faded_utilisations(self, hosts: Iterable[Host], now: int) -> list[float]:
+        """Return the utilisation of hosts; a report that is not renewed fades to the fleet's mean.
 
         Silence is not spare capacity, and a host judged full long ago must be tried again.
         """
-        age_ns = now - host.reported_ns if host.reported_ns >= 0 else math.inf
-        faded = min(1.0, age_ns / (self._unit_ns * CAPACITY_WINDOW))
-        return host.utilisation + faded * (self.mean_utilisation - host.utilisation)
+        window_ns = self._unit_ns * CAPACITY_WINDOW
+        mean = self.mean_utilisation
+        utilisations = []
+        for host in hosts:
+            age_ns = now - host.reported_ns if host.reported_ns >= 0 else math.inf
+            faded = min(1.0, age_ns / window_ns)
+            utilisations.append(host.utilisation + faded * (mean - host.utilisation))
+        return utilisations
 
     def learn_rate_per_size(self, sizes_in_use: float, gap: float) -> None:
         """Relate the requests asked for to the sizes in use; call it before the admission limit is set.
--- a/brambleusher/loadbalancing/hosts.py
+++ b/brambleusher/loadbalancing/hosts.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from types import MappingProxyType
 from typing import Any, NamedTuple
 
@@ -24,11 +25,9 @@
 AttemptKey = tuple[str, int]  # the request's id and the attempt's number
 
 
-class InFlightAttempt(NamedTuple):
-    """An attempt that a host has not answered yet."""
-
-    request: Request
-    sent_ns: int
+# An attempt that a host has not answered yet, and when it was sent, in ns: a plain tuple, as one is made for
+# every attempt.
+InFlightAttempt = tuple["Request", int]
 
 
 class Attempt(NamedTuple):
@@ -152,16 +151,6 @@
             return self.throughput_sum / self.utilisation_sum
         return None
 
-    def decay(self, decay: Decay) -> None:
-        """Forget a part of what it was seen to do."""
-        self.throughput_sum *= decay.capacity
-        self.utilisation_sum *= decay.capacity
-        self.served *= decay.health
-        self.failed *= decay.health
-        self.rejected *= decay.health
-        self.latency_counts = [count * decay.latency for count in self.latency_counts]
-        self.latency_ratio_sums = [total * decay.latency for total in self.latency_ratio_sums]
-
     def withdraw_tokens(self) -> None:
         """Take its weight and tokens at once; the fraction carried over stays."""
         self.weight = 0.0
@@ -190,3 +179,16 @@
     def has_live_attempt(self) -> bool:
         """Whether an attempt is in flight that is not written off."""
         return self.unfinished != self.written_off
+
+
+def decay_hosts(hosts: Iterable[Host], decay: Decay) -> None:
+    """Forget a part of what hosts were seen to do; one loop, since every tick goes through it."""
+    _, latency, health, capacity = decay
+    for host in hosts:
+        host.throughput_sum *= capacity
+        host.utilisation_sum *= capacity
+        host.served *= health
+        host.failed *= health
+        host.rejected *= health
+        host.latency_counts = [count * latency for count in host.latency_counts]
+        host.latency_ratio_sums = [total * latency for total in host.latency_ratio_sums]
--- a/brambleusher/loadbalancing/outlier_detection.py
+++ b/brambleusher/loadbalancing/outlier_detection.py
@@ -11,8 +11,8 @@
 
 from brambleusher.loadbalancing.admission_control import AdmissionControl
 from brambleusher.loadbalancing.api import AttemptStatus
-from brambleusher.loadbalancing.hosts import AttemptKey, Host, InFlightAttempt
-from brambleusher.loadbalancing.performance_index import MISSED_RATIO, record_latency
+from brambleusher.loadbalancing.hosts import AttemptKey, Host
+from brambleusher.loadbalancing.performance_index import MAX_RATIO, MISSED_RATIO
 from brambleusher.loadbalancing.traffic import TrafficStatistics
 from brambleusher.loadbalancing.windows import Decay
 
@@ -71,7 +71,8 @@
 
     def record_ratio(self, host: Host, class_index: int, ratio: float) -> None:
         """Count one latency over its goal, to the host's index and to the fleet's."""
-        record_latency(host, class_index, ratio)
+        host.latency_counts[class_index] += 1
+        host.latency_ratio_sums[class_index] += min(ratio, MAX_RATIO)
         self._admission.outcomes += 1
 
     def _record_rejection(self, host: Host, now: int) -> None:
@@ -84,22 +85,23 @@
         host.ejected_until_ns = now + int(self._unit_ns * (1 - host.acceptance))
         self._admission.record_rejection()
 
-    def lost_attempts(self, host: Host, now: int) -> list[tuple[AttemptKey, InFlightAttempt]]:
+    def lost_attempts(self, host: Host, now: int) -> list[AttemptKey]:
         """Return a host's attempts that later ones have overtaken, and that are older than usual answers.
 
         Guards against connections that fall silent: a queue answers in order.
         """
         lost = []
-        for key, attempt in host.in_flight.items():
-            if attempt.sent_ns >= host.newest_answered_ns[0]:
+        overtaken_ns = host.newest_answered_ns[0]
+        for key, (request, sent_ns) in host.in_flight.items():
+            if sent_ns >= overtaken_ns:
                 break
-            class_index = attempt.request.class_index
+            class_index = request.class_index
             ratio_sum = host.latency_ratio_sums[class_index]
             count = max(host.latency_counts[class_index], MIN_HOST_ANSWERS)
             usual_here_ns = ratio_sum / count * self._goals_ns[class_index]
             usual_ns = max(self._traffic.mean_latency_ns(class_index), usual_here_ns)
-            if now - attempt.sent_ns > WRITE_OFF_TIMES * usual_ns:
-                lost.append((key, attempt))
+            if now - sent_ns > WRITE_OFF_TIMES * usual_ns:
+                lost.append(key)
         return lost
 
 
--- a/brambleusher/loadbalancing/performance_index.py
+++ b/brambleusher/loadbalancing/performance_index.py
@@ -42,12 +42,6 @@
     return (weighted / covered, total) if covered else (0.0, 0.0)
 
 
-def record_latency(host: Host, class_index: int, ratio: float) -> None:
-    """Count a latency, or what stands for one, over its goal."""
-    host.latency_counts[class_index] += 1
-    host.latency_ratio_sums[class_index] += min(ratio, MAX_RATIO)
-
-
 class PerformanceIndex:
     """The index of hosts under the latency targets of the settings."""
 
@@ -64,8 +58,9 @@
         index, count = aggregate_pi(means, host.latency_counts, self._by_importance)
         total = index * count
         seen = count + 1.0  # one sample of prior: evidence fades, the host comes back
+        goals_ns = self.goals_ns
         for looked_at, (request, sent_ns) in enumerate(host.in_flight.values()):
-            ratio = min((now - sent_ns) / self.goals_ns[request.class_index], MAX_RATIO)
+            ratio = min((now - sent_ns) / goals_ns[request.class_index], MAX_RATIO)
             if ratio <= index or looked_at >= OLDEST_LOOKED_AT:
                 break
             total += ratio
--- a/brambleusher/loadbalancing/slow_start_budget.py
+++ b/brambleusher/loadbalancing/slow_start_budget.py
@@ -30,9 +30,11 @@
 
     def warm_fraction(self, host: Host, now: int) -> float:
         """Return the least part of its capacity that a host started lately can be counted on for."""
+        if host.started_ns <= 0:
+            return 1.0
         settings = self._settings
         age_ns = now - host.started_ns
-        if host.started_ns <= 0 or age_ns >= settings.warm_up_ns:
+        if age_ns >= settings.warm_up_ns:
             return 1.0
         reported = 0.0
         if not self._capacity.uses_sizes:
--- a/brambleusher/loadbalancing/state_codec.py
+++ b/brambleusher/loadbalancing/state_codec.py
@@ -12,14 +12,14 @@
 import struct
 from base64 import b64decode, b64encode
 from collections import deque
-from collections.abc import Callable, Mapping
+from collections.abc import Callable
 from dataclasses import dataclass
 from operator import attrgetter
 from typing import Any, cast
 
 from brambleusher.loadbalancing import api, state_tables
 from brambleusher.loadbalancing.balancer import Balancer
-from brambleusher.loadbalancing.hosts import NO_ATTEMPTS, Attempt, AttemptKey, Host, InFlightAttempt, Request
+from brambleusher.loadbalancing.hosts import NO_ATTEMPTS, Attempt, Host, Request
 from brambleusher.loadbalancing.idle_timeout import IdleTimeout
 from brambleusher.loadbalancing.json_values import MALFORMED, StateError
 from brambleusher.loadbalancing.retry_budget import RetryBudget
@@ -244,21 +244,12 @@
     loader = _Loader(balancer.rng, len(state["hosts"]), len(state["requests"]))
     loader.fill_rows(loader.hosts, state_tables.HOST, state["host_names"], state["hosts"])
     loader.fill_rows(loader.requests, state_tables.REQUEST, state["request_names"], state["requests"])
-    for host in loader.hosts:
-        if host.in_flight is not NO_ATTEMPTS:
-            host.in_flight = _named(host.in_flight)
-            host.written_off = _named(host.written_off)
     for request in loader.requests:
         request.attempts = [Attempt(*attempt) for attempt in request.attempts]
     loader.fill(balancer, fields_of(balancer), state["own"])
     balancer.host_table.ranking.rebuild(balancer.host_table.hosts.values())
 
 
-def _named(attempts: Mapping[AttemptKey, InFlightAttempt]) -> dict[AttemptKey, InFlightAttempt]:
-    """Return attempts as the types that they were stored from."""
-    return {key: InFlightAttempt(*attempt) for key, attempt in attempts.items()}
-
-
 def known_hosts(balancer: Balancer) -> set[str]:
     """Return the hosts of the list that it goes by."""
     return set(balancer.host_table.hosts)
--- a/brambleusher/loadbalancing/weights.py
+++ b/brambleusher/loadbalancing/weights.py
@@ -52,16 +52,19 @@
         Ours: a host without figures counts as the median spare, as far as it is warm.
         """
         capacity = self._capacity
-        warm_fractions = [self._slow_start.warm_fraction(host, now) for host in hosts]
+        warm_fraction_of = self._slow_start.warm_fraction
+        warm_fractions = [warm_fraction_of(host, now) for host in hosts]
         capacity.update(hosts, warm_fractions)
         # With little free, weights lean towards capacity.
         lean = max(0.0, RESERVE - (1 - capacity.mean_utilisation))
+        capacity_of_kind = capacity.capacity_of_kind
+        utilisations = capacity.faded_utilisations(hosts, now)
         spares: list[float | None] = []
-        for host, warm_fraction in zip(hosts, warm_fractions, strict=True):
+        for host, warm_fraction, utilisation in zip(hosts, warm_fractions, utilisations, strict=True):
             # One that warms up, or has not reported: what others of its kind carry, as far as it is warm.
             known = host.capacity if warm_fraction >= 1 else None
-            expected = known or capacity.capacity_of_kind.get(host.kind)
-            free = 1 - capacity.faded_utilisation(host, now)
+            expected = known or capacity_of_kind.get(host.kind)
+            free = 1 - utilisation
             usable = free if free >= MIN_SPARE_FRACTION else 0.0
             spares.append(expected and expected * warm_fraction * (usable + lean))
         reported = [spare for spare in spares if spare is not None]
@@ -76,8 +79,9 @@
     ) -> None:
         """Give hosts their weights; `offer` is the part of its spare capacity that a host may offer."""
         base = [spare * offer(host) for host, spare in zip(hosts, spares, strict=True)]
+        index_of = self._performance_index.of_host
         for host in hosts:
-            host.performance_index = self._performance_index.of_host(host, now)
+            host.performance_index = index_of(host, now)
         # When most of the fleet misses its goal the goal judges no host: the usual index does, or the few
         # hosts under it would get everything and be the next to drop out.
         yardstick = max(1.0, median(host.performance_index for host in hosts))
--- a/brambleusher/loadbalancing/zone_aware_balancer.py
+++ b/brambleusher/loadbalancing/zone_aware_balancer.py
@@ -6,6 +6,8 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
+
 from brambleusher.loadbalancing import api
 from brambleusher.loadbalancing.admission_control import BUSY_UTILISATION
 from brambleusher.loadbalancing.api import AttemptStatus, Idempotency
@@ -89,11 +91,11 @@
 
     # --- the tick --------------------------------------------------------------------------------
 
-    def _on_timer(self, event: api.TimerFired, now: int) -> None:
+    def _on_timer(self, _event: api.TimerFired, now: int) -> None:
         is_late = self.timer_due_ns and now - self.timer_due_ns > PAUSE_TARGETS * self._unit_ns
         if self._has_rules and is_late:
             self.zone_router.record_stall(now)
-        super()._on_timer(event, now)
+        super()._on_timer(_event, now)
         self.timer_due_ns = max(
             (action.at_ns for action in self._actions if isinstance(action, api.SetTimer)), default=0
         )
@@ -161,8 +163,11 @@
         if not self._has_rules:
             super()._update_remote_offer(gap)
 
-    def _offer(self, host: Host) -> float:
-        return self.zone_router.offered_fraction(host.zone) if self._has_rules else super()._offer(host)
+    def _offers(self) -> Callable[[Host], float]:
+        if not self._has_rules:
+            return super()._offers()
+        offered_fraction = self.zone_router.offered_fraction
+        return lambda host: offered_fraction(host.zone)
 
     def _update_admission_limit(self, gap: float) -> None:
         """Raise the limit to the goal's where zones have faults, as long as answers keep to it.
--- a/brambleusher/loadbalancing/zone_loads.py
+++ b/brambleusher/loadbalancing/zone_loads.py
@@ -84,7 +84,7 @@
         has_reported = host.reported_ns >= 0
         utilisation = estimates.mean_utilisation
         if has_reported:
-            utilisation = estimates.faded_utilisation(host, now)
+            (utilisation,) = estimates.faded_utilisations((host,), now)
         load.host_count += 1
         load.capacity += capacity
         load.used += utilisation * capacity
