--- a/benchmarks/lists.py
+++ b/benchmarks/lists.py
@@ -368,7 +368,7 @@
             entry = rng.choice(entries)
             entry["state"] = ("Terminating", "Ready")[at % 2]
             text = text_of([entry], self.version, False)
-            self.changes.append(spent(lambda text=text: self.sidecar.endpoint_list._take(text)))  # type: ignore[misc]
+            self.changes.append(spent(lambda text=text: self.sidecar.endpoint_list._apply(text)))  # type: ignore[misc]
             if at % 10 == 0:
                 self.hub.sleep(0.001)
 
@@ -388,7 +388,7 @@
         try:
             gc.collect()
             tracemalloc.start()
-            sidecar.endpoint_list._take(text)
+            sidecar.endpoint_list._apply(text)
             slices = sidecar.endpoint_list._slices
             while slices is not None and slices.waiting:
                 sidecar.scheduler.sleep(0.001)
--- a/brambleusher/fronts/mysql/front.py
+++ b/brambleusher/fronts/mysql/front.py
@@ -753,7 +753,7 @@
                 try:
                     out = relay.feed(data)
                 except ProtocolError as error:
-                    log.warning("bad answer", extra={"fields": {"node": held.node.name, "reason": error}})
+                    log.warning("bad response", extra={"fields": {"node": held.node.name, "reason": error}})
                     spoilt = Err(error.errno, error.state, str(error))
                     told = self._unless_unknown(session.in_transaction, statement, spoilt)
                     raise Lost(told, AttemptStatus.ERROR) from None
--- a/brambleusher/fronts/mysql/nodes.py
+++ b/brambleusher/fronts/mysql/nodes.py
@@ -503,7 +503,7 @@
         except LoginRefused as refused:
             return self._refused(node, work, refused.error), None, False
         except ProtocolError as error:
-            log.warning("bad answer", extra={"fields": {"node": node.name, "reason": error}})
+            log.warning("bad response", extra={"fields": {"node": node.name, "reason": error}})
             self._stop_or_drop(conn, claim)
             if not claim.written:
                 return AttemptStatus.CONNECT_FAILED, None, False
--- a/brambleusher/lab/faults/breakages.py
+++ b/brambleusher/lab/faults/breakages.py
@@ -149,12 +149,12 @@
 
 @breakage("versions-kept", "a new discovery is asked for what follows the old one's version", "versions")
 def _versions_kept(patches: Patches) -> None:
-    def change_now(self: EndpointList, feed: Feed) -> None:
+    def switch_now(self: EndpointList, feed: Feed) -> None:
         version = self._version
         old(self, feed)
         self._version = version
 
-    old = patches.set(EndpointList, "_change_now", change_now)
+    old = patches.set(EndpointList, "_switch_now", switch_now)
 
 
 # --- what operators say ---------------------------------------------------------------------------
@@ -213,7 +213,7 @@
     profile="operators",
 )  # fmt: skip
 def _ready_late(patches: Patches) -> None:
-    patches.set(Sidecar, "is_ready", lambda self: self.endpoint_list.fresh)
+    patches.set(Sidecar, "is_ready", lambda self: self.endpoint_list.has_discovery_answered)
 
 
 # --- what may not be repeated ---------------------------------------------------------------------
--- a/brambleusher/lab/fleets/fleet.py
+++ b/brambleusher/lab/fleets/fleet.py
@@ -599,7 +599,7 @@
             node_connections=nodes.open_connections, node_idle=idle, timers=sidecar.scheduler.timers,
             descriptors=process.descriptors,
             # The waker's two, the listener, the admin endpoint, the watch, and connections to nodes.
-            descriptors_due=3 + (sidecar.admin_server is not None) + sidecar.endpoint_list.watching + idle,
+            descriptors_due=3 + (sidecar.admin_server is not None) + sidecar.endpoint_list.is_watching + idle,
             stderr=bytes(process.stderr),
         )  # fmt: skip
 
--- a/brambleusher/net/endpoint_entries.py
+++ b/brambleusher/net/endpoint_entries.py
@@ -1,11 +1,11 @@
-"""The endpoint list's entries: what discovery says of an endpoint, checked and decoded."""
+"""Entries of the endpoint list: what discovery says of an endpoint, checked and decoded."""
 
 from __future__ import annotations
 
 import math
 import sys
+from collections.abc import Mapping
 from dataclasses import dataclass
-from typing import Any
 
 from brambleusher.loadbalancing.api import HostEntry, HostState
 from brambleusher.runtime.streams import parse_address
@@ -16,15 +16,16 @@
     "Gone": HostState.REMOVED,
 }
 MAX_SERVERS = 25_000
+_NS_PER_MS = 1_000_000
 
 
 class EndpointListError(ValueError):
-    """A endpoint list that makes no sense."""
+    """An endpoint list that makes no sense."""
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """An endpoint as listed: what the module is told, and where it listens."""
+    """An endpoint as listed: what the balancer is told, and where it listens."""
 
     entry: HostEntry
     address: tuple[str, int]
@@ -40,27 +41,40 @@
 
 
 def state_word(state: HostState) -> str:
-    """A state in discovery's words."""
+    """Return discovery's word for a state."""
     return next(word for word, meant in _STATES.items() if meant is state)
 
 
 def state_of(word: str) -> HostState:
-    """The state that one of discovery's words means; raises `KeyError` where it means none."""
+    """Return the state that one of discovery's words means; raises `KeyError` where it means none."""
     return _STATES[word]
 
 
-def _whole(raw: dict[str, Any], key: str, default: int) -> int:
-    value = raw.get(key, default)
-    if isinstance(value, bool) or not isinstance(value, int) or value < 0:
-        raise EndpointListError(f"{key} is not a whole number")
-    return value
+def decode_update(raw: object) -> EndpointListUpdate:
+    """Decode one object from discovery, checked completely before any of it is used.
+
+    Raises:
+        EndpointListError: it makes no sense.
+    """
+    if not isinstance(raw, dict):
+        raise EndpointListError("the list is not an object")
+    servers = raw.get("servers")
+    if not isinstance(servers, list) or len(servers) > MAX_SERVERS:
+        raise EndpointListError("servers is missing or not a list")
+    endpoints = tuple(decode_endpoint(entry) for entry in servers)
+    return EndpointListUpdate(decode_version(raw), raw.get("full") is True, endpoints)
 
 
-def decode_endpoint(raw: Any) -> Endpoint:
-    """One entry; raises `EndpointListError` where it makes no sense."""
+def decode_version(raw: Mapping[str, object]) -> int:
+    """Decode the version of a list; raises `EndpointListError` where it is no number."""
+    return _decode_count(raw, "version", 0)
+
+
+def decode_endpoint(raw: object) -> Endpoint:
+    """Decode one entry; raises `EndpointListError` where it makes no sense."""
     if not isinstance(raw, dict):
         raise EndpointListError("an entry is not an object")
-    name, address, state = raw.get("id"), raw.get("addr"), _STATES.get(str(raw.get("state")))
+    name, state = raw.get("id"), _STATES.get(str(raw.get("state")))
     if not isinstance(name, str) or not name:
         raise EndpointListError("an entry has no id")
     if state is None:
@@ -68,39 +82,33 @@
     weight = raw.get("weight", 1.0)
     if isinstance(weight, bool) or not isinstance(weight, int | float) or not 0 <= weight < math.inf:
         raise EndpointListError(f"the weight of {name} is not a number")
-    try:
-        where = parse_address(address) if isinstance(address, str) else None
-    except ValueError:
-        where = None
-    if where is None:
-        if state is not HostState.REMOVED:
-            raise EndpointListError(f"the addr of {name} is not host:port")
-        where = ("", 0)
+    address = _decode_address(name, raw.get("addr"), state)
     entry = HostEntry(
         host=name,
         # The few words that thousands of entries share are kept once.
         zone=sys.intern(str(raw.get("zone", ""))),
         kind=sys.intern(str(raw.get("kind", ""))),
-        cell=_whole(raw, "cell", 0),
+        cell=_decode_count(raw, "cell", 0),
         state=state,
         weight=float(weight),
-        started_ns=_whole(raw, "started_ms", 0) * 1_000_000,
+        started_ns=_decode_count(raw, "started_ms", 0) * _NS_PER_MS,
     )
-    return Endpoint(entry, where)
+    return Endpoint(entry, address)
 
 
-def decode_version(raw: dict[str, Any]) -> int:
-    """The version of a list; raises `EndpointListError` where it is no number."""
-    return _whole(raw, "version", 0)
+def _decode_address(name: str, text: object, state: HostState) -> tuple[str, int]:
+    try:
+        if isinstance(text, str):
+            return parse_address(text)
+    except ValueError:
+        pass
+    if state is not HostState.REMOVED:
+        raise EndpointListError(f"the addr of {name} is not host:port")
+    return "", 0
 
 
-def decode_update(raw: Any) -> EndpointListUpdate:
-    """One object from discovery, checked whole before any of it is used."""
-    if not isinstance(raw, dict):
-        raise EndpointListError("the list is not an object")
-    servers = raw.get("servers")
-    if not isinstance(servers, list) or len(servers) > MAX_SERVERS:
-        raise EndpointListError("servers is missing or not a list")
-    return EndpointListUpdate(
-        decode_version(raw), raw.get("full") is True, tuple(decode_endpoint(entry) for entry in servers)
-    )
+def _decode_count(raw: Mapping[str, object], key: str, default: int) -> int:
+    value = raw.get(key, default)
+    if isinstance(value, bool) or not isinstance(value, int) or value < 0:
+        raise EndpointListError(f"{key} is not a whole number")
+    return value
--- a/brambleusher/net/endpoint_list.py
+++ b/brambleusher/net/endpoint_list.py
@@ -38,7 +38,8 @@
 
 log = logging.getLogger(__name__)
 
-SMALL, SLICE = 128, 40  # endpoints: told as they come; told at once of a longer list (0.3 ms)
+SMALL_LIST = 128  # endpoints; a list of no more is applied at once
+SLICE_SIZE = 40  # endpoints of a longer list that are applied at once: 0.3 ms
 
 # Takes the version held (None for the whole list) and yields texts until the watch ends.
 Feed = Callable[[int | None], Generator[bytes, None, None]]
@@ -46,8 +47,19 @@
 T = TypeVar("T")
 
 
+def _do_nothing() -> None:
+    """Do nothing."""
+
+
 class EndpointList:
-    """Follows discovery, and says when it can't."""
+    """Follows discovery, and says when it can't.
+
+    Attributes:
+        on_step: Called after each step of a long list.
+        is_watching: A watch is open, or being opened.
+        has_discovery_answered: Discovery has answered since the start.
+        has_watch_failed: A watch has failed since the start: another may be long in coming.
+    """
 
     def __init__(
         self,
@@ -60,118 +72,141 @@
         slices: bool = False,
         sidecars: int = 1,
     ) -> None:
-        """`sidecars` of them call discovery.
-
-        With `slices`, a long list is told as updates of some endpoints each, drains and removals first.
+        """Make a list that follows nothing yet.
+
+        Args:
+            scheduler: Runs its tasks.
+            feed: One watch at discovery.
+            rng: Draws the pauses between watches.
+            counters: Count watches and lists.
+            on_update: Called with each change.
+            on_broken: Called when a watch has failed or ended.
+            slices: Apply a long list as updates of some endpoints each, drains and removals first.
+            sidecars: How many call discovery.
         """
         self._scheduler, self._feed, self._rng, self._counters = scheduler, feed, rng, counters
         self._on_update, self._on_broken = on_update, on_broken
         self._sidecars = sidecars
-        self._slices = EndpointListSlices(SMALL, SLICE) if slices else None
-        self._of = 0  # the version of the list that slices come of
-        self._more = Event()  # set when something waits in `_slices`
-        self._telling: Task | None = None
+        self._slices = EndpointListSlices(SMALL_LIST, SLICE_SIZE) if slices else None
+        self._sliced_version = 0  # of the list that slices come of
+        self._slices_waiting = Event()
+        self._applying: Task | None = None
         self._version: int | None = None
-        self._asked = Event()
-        self._task: Task | None = None
-        self._change: Timer | None = None  # to another discovery, at its moment
-        self.on_step: Callable[[], None] = lambda: None  # told of each step of a long list
-        self.watching = False
-        self.fresh = False  # discovery has answered since the start
-        self.turned_away = False  # a watch has failed since the start: another may be long in coming
-
-    def hold(self, known: EndpointListUpdate) -> None:
-        """The list taken from the configuration, which was told; its version is 0 where there was none."""
+        self._watch_requested = Event()
+        self._following: Task | None = None
+        self._switch: Timer | None = None  # to another discovery, at its moment
+        self.on_step: Callable[[], None] = _do_nothing
+        self.is_watching = self.has_discovery_answered = self.has_watch_failed = False
+
+    def set_known(self, known: EndpointListUpdate) -> None:
+        """Take over the list of the configuration, which was applied; its version is 0 where it has none."""
         self._version = known.version or None
         if self._slices is not None:
-            self._slices.told(known)
+            self._slices.mark_applied(known)
 
-    def ask(self) -> None:
-        """Watch now, unless a watch is on."""
-        if not self.watching:
-            self._asked.set()
+    def request_watch(self) -> None:
+        """Watch now, unless a watch is open."""
+        if not self.is_watching:
+            self._watch_requested.set()
 
     def start(self) -> None:
-        """Start the task; its first watch waits until it is asked for."""
-        self._task = self._scheduler.spawn(self._follow, name="endpoint list")
-        if self._slices is not None and self._telling is None:
-            self._telling = self._scheduler.spawn(self._tell, self._slices, name="list slices")
+        """Start the task; its first watch waits until it is requested."""
+        self._following = self._scheduler.spawn(self._follow, name="endpoint list")
+        if self._slices is not None and self._applying is None:
+            self._applying = self._scheduler.spawn(self._apply_slices, self._slices, name="list slices")
 
-    def change_over(self, feed: Feed, within: float = 0.0) -> None:
-        """Follow another discovery; the list held stays until the new one has told its own.
+    def switch_discovery(self, feed: Feed, within_s: float = 0.0) -> None:
+        """Follow another discovery; the list held stays until the new one has sent its own.
 
-        Guards against a fleet that is told of it in one moment and calls for the whole list in one: each
-        goes over at a moment of its own within so many seconds, and follows the old one until then.
+        A fleet that is told of it in one moment must not call for the whole list in one: each switches at a
+        moment of its own within so many seconds, and follows the old one until then.
         """
-        if self._change is not None:
-            self._change.cancel()
-        moment = self._scheduler.now() + self._rng.random() * within
-        self._change = self._scheduler.call_at(moment, lambda: self._change_now(feed))
-
-    def _change_now(self, feed: Feed) -> None:
-        """Its versions need not be those of the old one, so the whole list is asked for."""
-        self._change = None
-        if self._task is not None:
-            self._task.cancel()  # which ends its watch
-        self._feed, self._version, self.watching = feed, None, False
+        if self._switch is not None:
+            self._switch.cancel()
+        moment = self._scheduler.now() + self._rng.random() * within_s
+        self._switch = self._scheduler.call_at(moment, lambda: self._switch_now(feed))
+
+    def _switch_now(self, feed: Feed) -> None:
+        """Ask for the whole list, as versions of the new discovery need not be those of the old one."""
+        self._switch = None
+        if self._following is not None:
+            self._following.cancel()  # which ends its watch
+        self._feed, self._version, self.is_watching = feed, None, False
         self.start()
-        self.ask()
+        self.request_watch()
+
+    # --- watches --------------------------------------------------------------------------------
 
     def _follow(self) -> None:
-        """The task: watch after watch, with a pause after each that grows while they bring nothing."""
-        self._scheduler.park(event=self._asked)
+        """Open watch after watch, with a pause after each that grows while they bring nothing."""
+        self._scheduler.park(event=self._watch_requested)
         backoff = Backoff(self._sidecars, self._rng)
         while True:
-            began, heard, self.watching = self._scheduler.now(), False, True
-            try:
-                with closing(self._feed(self._version)) as texts:
-                    for text in texts:
-                        if text.strip():
-                            self._take(text)
-                        heard = True
-                reason = "ended"
-            except Exception as error:
-                # Guards against a discovery that talks nonsense ending the watch for good.
-                reason = f"{type(error).__name__}: {error}"
-            self.watching = False
-            self.turned_away = True
+            started_at = self._scheduler.now()
+            has_received, reason = self._watch()
+            self.is_watching = False
+            self.has_watch_failed = True
             self._counters.add("watches_broken")
-            log.warning("watch broken", extra={"fields": {"reason": reason, "version": self._version}})
+            fields = {"reason": reason, "version": self._version}
+            log.warning("endpoint list watch failed", extra={"fields": fields})
             self._on_broken()
             now = self._scheduler.now()
+            wait_s = backoff.wait_s(has_received, now - started_at)
             try:
-                self._scheduler.park(now + backoff.wait_s(heard, now - began), event=self._asked)
+                self._scheduler.park(now + wait_s, event=self._watch_requested)
             except TaskTimeoutError:
                 continue
 
-    def _take(self, text: bytes) -> None:
-        # Until it is taken, what is held is of no one version: after a break, all of it is asked for.
+    def _watch(self) -> tuple[bool, str]:
+        """Follow one watch until it ends; returns whether it brought anything, and why it ended."""
+        has_received, self.is_watching = False, True
+        try:
+            with closing(self._feed(self._version)) as texts:
+                for text in texts:
+                    if text.strip():
+                        self._apply(text)
+                    has_received = True
+        except Exception as error:
+            # Whatever discovery sends must not end the watch for good.
+            return has_received, f"{type(error).__name__}: {error}"
+        return has_received, "ended"
+
+    # --- updates --------------------------------------------------------------------------------
+
+    def _apply(self, text: bytes) -> None:
+        # Until it is applied, what is held is of no one version: after a break, all of it is asked for.
         self._version = None
         try:
-            update = self._stepwise(decode_steps(text))
+            update = self._run_steps(decode_steps(text))
         except ValueError as error:
             # The last good list stays.  What this one changed is unknown now: ask for all of it.
             self._counters.add("lists_rejected")
             raise EndpointListError(f"bad endpoint list: {error}") from None
-        slices = self._slices
-        if slices is None or slices.is_small(update):
-            if slices is not None:
-                slices.told(update)
-            self._version = update.version
-            self.fresh = True
-            self._counters.add("lists_taken")
-            self._on_update(update)
-            return
-        self._of = update.version
-        self._more.set()
-        self._stepwise(slices.take(update))
+        if self._slices is None:
+            self._apply_at_once(update)
+        elif self._slices.is_small(update):
+            self._slices.mark_applied(update)
+            self._apply_at_once(update)
+        else:
+            self._apply_in_slices(self._slices, update)
+
+    def _apply_at_once(self, update: EndpointListUpdate) -> None:
+        self._version = update.version
+        self.has_discovery_answered = True
+        self._counters.add("lists_taken")
+        self._on_update(update)
+
+    def _apply_in_slices(self, slices: EndpointListSlices, update: EndpointListUpdate) -> None:
+        self._sliced_version = update.version
+        self._slices_waiting.set()
+        self._run_steps(slices.add(update))
         self._version = update.version
         self._counters.add("lists_taken")
         if not slices.waiting:  # that discovery answered is news even where nothing has changed
             self._on_update(EndpointListUpdate(update.version, False, ()))
-        self._more.set()
+        self._slices_waiting.set()
 
-    def _stepwise(self, steps: Generator[None, None, T]) -> T:
+    def _run_steps(self, steps: Generator[None, None, T]) -> T:
         """Go through steps, and let others run between them."""
         while True:
             try:
@@ -179,20 +214,20 @@
             except StopIteration as end:
                 return end.value  # type: ignore[no-any-return]
             self.on_step()
-            self._more.set()  # what is urgent need not wait for the last step
+            self._slices_waiting.set()  # what is urgent need not wait for the last step
             self._scheduler.breathe()
 
-    def _tell(self, slices: EndpointListSlices) -> None:
-        """The task: slice after slice, as long as any wait."""
+    def _apply_slices(self, slices: EndpointListSlices) -> None:
+        """Apply slice after slice, as long as any wait; a task."""
         while True:
-            self._scheduler.park(event=self._more)
-            while some := slices.next():
+            self._scheduler.park(event=self._slices_waiting)
+            while endpoints := slices.next():
                 try:
-                    self._on_update(EndpointListUpdate(self._of, False, some))
+                    self._on_update(EndpointListUpdate(self._sliced_version, False, endpoints))
                 except Exception:
-                    # Guards against one fault keeping all that is still to be told.
+                    # One fault must not hold up all that is still to be applied.
                     self._counters.add("faults")
-                    log.exception("a slice of the list failed")
+                    log.exception("endpoint list slice failed")
                 self.on_step()
                 self._scheduler.breathe()
-            self.fresh = self.fresh or self._version is not None
+            self.has_discovery_answered = self.has_discovery_answered or self._version is not None
--- a/brambleusher/net/upstream_exchange.py
+++ b/brambleusher/net/upstream_exchange.py
@@ -163,7 +163,7 @@
             return AttemptResult(attempt.status_if_cancelled)
         if isinstance(error, HttpError):
             self._context.counters.add("bad_answers")
-            self._context.bad_responses.warning("bad answer", node=self._endpoint.name, reason=error)
+            self._context.bad_responses.warning("bad response", node=self._endpoint.name, reason=error)
             return AttemptResult(AttemptStatus.ERROR)
         if not attempt.is_request_sent:
             return AttemptResult(AttemptStatus.CONNECT_FAILED)
--- a/brambleusher/sidecar/app.py
+++ b/brambleusher/sidecar/app.py
@@ -123,7 +123,7 @@
             make_balancer=make_balancer,
             state=balancer_state,
             close_idle_connections=self._close_idle_connections,
-            subscribe=lambda: self.endpoint_list.ask(),
+            subscribe=lambda: self.endpoint_list.request_watch(),
         )
         self.connection_admission = ConnectionAdmission(budgets.clients, budgets.requesting_clients)
         self.client_listener = ClientListener(
@@ -283,8 +283,8 @@
     def is_ready(self) -> bool:
         """Return whether clients may come: the endpoint list is fresh, or none has come in time."""
         has_waited = self.scheduler.now() - self._started_at >= FRESH_LIST_TIMEOUT_S
-        has_waited = has_waited or self.endpoint_list.turned_away
-        return self.endpoint_list.fresh or (has_waited and bool(self.config.known.endpoints))
+        has_waited = has_waited or self.endpoint_list.has_watch_failed
+        return self.endpoint_list.has_discovery_answered or (has_waited and bool(self.config.known.endpoints))
 
     def start(self) -> tuple[str, int]:
         """Start all parts; return the address of the clients' listener."""
--- a/brambleusher/sidecar/lifecycle.py
+++ b/brambleusher/sidecar/lifecycle.py
@@ -63,13 +63,13 @@
         settings = None if sidecar.process_group is None else sidecar.process_group.settings.read()
         if settings is not None:
             sidecar.operator_calls.apply_shared(settings)  # ordered before this process began
-        sidecar.endpoint_list.hold(known)
+        sidecar.endpoint_list.set_known(known)
         known = sidecar.endpoint_updates.apply_bans(known)
         sidecar.upstream_pool.update(known)
         sidecar.balancer_driver.start(endpoint.entry for endpoint in known.endpoints)
         sidecar.endpoint_list.start()
         if not sidecar.config.settings.subscribes_to_endpoints:  # the balancer leaves the list to the sidecar
-            sidecar.endpoint_list.ask()
+            sidecar.endpoint_list.request_watch()
         sidecar.scheduler.spawn(sidecar.upstream_pool.close_expired_connections, name="reap")
         if sidecar.metrics_reporter is not None:
             sidecar.metrics_reporter.start(sidecar.scheduler)
--- a/brambleusher/sidecar/reload.py
+++ b/brambleusher/sidecar/reload.py
@@ -73,7 +73,7 @@
         settings = sidecar.config.settings
         poll_deadline_s = settings.endpoint_poll_deadline_ns / NS_PER_S
         within_s = min(settings.fleet_size / LISTS_PER_SECOND, poll_deadline_s * CHANGE_OVER_FRACTION)
-        sidecar.endpoint_list.change_over(HttpWatch(sidecar.scheduler, discovery), within_s)
+        sidecar.endpoint_list.switch_discovery(HttpWatch(sidecar.scheduler, discovery), within_s)
 
     def _reload_zone_rules(self) -> None:
         """Take the operator file's section on zones; a file with a fault anywhere changes nothing."""
--- a/brambleusher/xds/discovery.py
+++ b/brambleusher/xds/discovery.py
@@ -71,6 +71,6 @@
             lambda: self._hand(self._on_lost, self.clock.now_ns()),
         )  # fmt: skip
         endpoint_list.start()
-        endpoint_list.ask()
+        endpoint_list.request_watch()
         scheduler.run(lambda: self._ended)
         scheduler.close()
--- a/tests/test_crossings_shutdown.py
+++ b/tests/test_crossings_shutdown.py
@@ -260,7 +260,7 @@
         rig = Rig(entries, discovery=Scripted(entries, lambda sock: None), system=self.system)
         self.addCleanup(rig.end)
         self.until(rig.sidecar.is_ready)
-        self.assertFalse(rig.sidecar.endpoint_list.fresh)
+        self.assertFalse(rig.sidecar.endpoint_list.has_discovery_answered)
         self.assertEqual(rig.call("r1").body, b"known")
 
 
--- a/tests/test_fault_plans.py
+++ b/tests/test_fault_plans.py
@@ -330,7 +330,10 @@
     "sidecar-out-of-service": ({}, lambda fleet, _: not sidecar(fleet).sidecar.client_draining.is_ready),
     "sidecars-released": (
         {"down_s": 0.1},
-        lambda fleet, _: sidecar(fleet).starts == 2 and not sidecar(fleet).sidecar.endpoint_list.fresh,
+        lambda fleet, _: (
+            sidecar(fleet).starts == 2
+            and not sidecar(fleet).sidecar.endpoint_list.has_discovery_answered
+        ),
     ),
 }  # fmt: skip
 # What these leave behind does not go away, or they can only be seen over a while.
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -205,31 +205,31 @@
         update = EndpointListUpdate(version, full, machines)
         applied(said, update)
         if slices.is_small(update):
-            slices.told(update)
+            slices.mark_applied(update)
             applied(heard, update)
             continue
-        for _ in slices.take(update):
+        for _ in slices.add(update):
             hear(rng.randrange(3))
         hear(rng.randrange(60))
     hear(200)
-    assert not slices.waiting and heard == said == slices.held, f"seed {seed}"
+    assert not slices.waiting and heard == said == slices.applied, f"seed {seed}"
 
 
 def test_what_leaves_goes_first_and_never_all_at_once() -> None:
     slices = EndpointListSlices(8, 16)
-    end_of(slices.take(EndpointListUpdate(1, True, tuple(machine(f"n{at}") for at in range(1000)))))
+    end_of(slices.add(EndpointListUpdate(1, True, tuple(machine(f"n{at}") for at in range(1000)))))
     while slices.waiting:
         slices.next()
     new = tuple(machine(f"m{at}") for at in range(1000))
-    end_of(slices.take(EndpointListUpdate(2, True, (*new, machine("n7", DRAINING), machine("n8", READY, 5)))))
+    end_of(slices.add(EndpointListUpdate(2, True, (*new, machine("n7", DRAINING), machine("n8", READY, 5)))))
     leave, slice_of = {f"n{at}" for at in range(1000)}, list[int]()
     while leave:
         some = slices.next()
         slice_of.append(len(some))
         leave -= {each.entry.host for each in some}
-        assert any(each.entry.state is READY for each in slices.held.values())
+        assert any(each.entry.state is READY for each in slices.applied.values())
     assert slices.waiting == 1000 - len(slice_of) * 4 and len(slice_of) <= 1000 / 12 + 1
-    end_of(slices.take(EndpointListUpdate(3, False, (machine("m3", DRAINING), machine("m999", GONE)))))
+    end_of(slices.add(EndpointListUpdate(3, False, (machine("m3", DRAINING), machine("m999", GONE)))))
     first = slices.next()  # at once, though others have waited for longer
     assert first[0] == machine("m3", DRAINING)
     while slices.waiting:
@@ -381,8 +381,8 @@
         for seed in range(40)
     ]
     for each in lists:
-        each.change_over(old, 2.0)
-        each.change_over(new, 2.0)  # told again before its moment: the last one counts
+        each.switch_discovery(old, 2.0)
+        each.switch_discovery(new, 2.0)  # told again before its moment: the last one counts
     assert len(moments.due) == 40 and not moments.spawned
     whens = [when - 100 for when, _ in moments.due]
     assert all(0 <= when < 2 for when in whens)
--- a/tests/test_operators_in_virtual_time.py
+++ b/tests/test_operators_in_virtual_time.py
@@ -29,7 +29,7 @@
             begun + 5 * SECOND, lambda: all(each.sidecar and each.sidecar.is_ready() for each in there)
         )
         assert run.now_ns - begun < 0.8 * FRESH_LIST_TIMEOUT_S * SECOND
-        assert not any(each.sidecar and each.sidecar.endpoint_list.fresh for each in there)
+        assert not any(each.sidecar and each.sidecar.endpoint_list.has_discovery_answered for each in there)
 
 
 def test_what_was_not_said_by_the_end_is_never_said() -> None:
--- a/tests/test_sums.py
+++ b/tests/test_sums.py
@@ -143,8 +143,8 @@
 def test_a_fleet_that_is_told_of_another_discovery_does_not_call_it_in_one_moment(
     whole: dict[str, Sums], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    old = EndpointList.change_over
-    monkeypatch.setattr(EndpointList, "change_over", lambda self, feed, within: old(self, feed, 0.0))
+    old = EndpointList.switch_discovery
+    monkeypatch.setattr(EndpointList, "switch_discovery", lambda self, feed, within_s: old(self, feed, 0.0))
     at_once = play(small("mass-roll"), sums=True).sums
     assert at_once is not None
     spread, calls = whole["mass-roll"].calls.values, at_once.calls.values
