--- a/brambleusher/loadbalancing/simulator_adapter.py
+++ b/brambleusher/loadbalancing/simulator_adapter.py
@@ -1,8 +1,7 @@
-"""Adapter between the simulator's wire and the decision module.
+"""Simulator adapter: translates between the simulator's lines and the events and actions of the balancer.
 
-Turns wire lines into events and actions into lines; it decides nothing.  Run it with
-``python -m brambleusher.loadbalancing.simulator_adapter``: it reads batches on standard input,
-writes replies on standard output and exits when the input ends.
+It decides nothing.  Run it with ``python -m brambleusher.loadbalancing.simulator_adapter``: it reads batches
+on standard input, writes replies on standard output and exits when the input ends.
 """
 
 from __future__ import annotations
@@ -15,24 +14,31 @@
 
 from brambleusher.loadbalancing import api
 from brambleusher.loadbalancing.balancer import Balancer
-from brambleusher.loadbalancing.settings import WireError, parse_settings
+from brambleusher.loadbalancing.settings import parse_settings
 
-__all__ = ["Adapter", "WireError", "format_action", "main", "parse_report", "parse_settings"]
+MAX_QUOTED_CHARS = 200  # of a line in an error message
+GC_THRESHOLDS = (100_000, 50, 50)  # records are acyclic and short-lived: rare collections suffice
 
-_STATES = {
+Fields = dict[str, str]
+
+_HOST_STATES = {
     "Running": api.HostState.READY,
     "Stopping": api.HostState.DRAINING,
     "Deleted": api.HostState.REMOVED,
 }
-_KINDS = {
+_LIST_KINDS = {
     "SAVED": api.ListKind.SAVED,
     "FULL": api.ListKind.FULL,
     "INCREMENTAL": api.ListKind.DELTA,
     "FAILED": api.ListKind.FAILED,
 }
-_STATUSES = {status.value: status for status in api.AttemptStatus}
-# Events that carry nothing the module uses.
-_IGNORED = frozenset({"peer_data"})
+_ATTEMPT_STATUSES = {status.value: status for status in api.AttemptStatus}
+_IGNORED_EVENTS = frozenset({"peer_data"})  # they carry nothing that the balancer uses
+_NO_TENANT = (None, "0")
+
+
+class SimulatorLineError(ValueError):
+    """A line that cannot be used; the message quotes it."""
 
 
 # --- lines ----------------------------------------------------------------------------------
@@ -47,7 +53,7 @@
 
 
 def parse_report(text: str | None, fields: tuple[str, ...]) -> api.LoadReport | None:
-    """A load report; values that make no sense are left out, never guessed."""
+    """Return a load report; values that make no sense are left out, never guessed."""
     if not text:
         return None
     values = dict(zip(fields, text.split(","), strict=False))
@@ -58,175 +64,199 @@
     )
 
 
-def _parts(line: str) -> dict[str, str]:
-    return dict([part.split("=", 1) for part in line.split("\t")[1:]])
+def _fields(line: str) -> Fields:
+    return dict([field.split("=", 1) for field in line.split("\t")[1:]])
 
 
 def _entry(line: str) -> api.HostEntry:
-    parts = _parts(line)
+    fields = _fields(line)
     return api.HostEntry(
-        host=parts["host"],
-        zone=parts.get("site", ""),
-        kind=parts.get("sku", ""),
-        cell=int(parts.get("block", 0)),
-        state=_STATES[parts["state"]],
-        weight=float(parts.get("nominal", 1)),
-        started_ns=int(parts.get("last_start_ns", 0)),
+        host=fields["host"],
+        zone=fields.get("site", ""),
+        kind=fields.get("sku", ""),
+        cell=int(fields.get("block", 0)),
+        state=_HOST_STATES[fields["state"]],
+        weight=float(fields.get("nominal", 1)),
+        started_ns=int(fields.get("last_start_ns", 0)),
     )
 
 
 def format_action(who: str, action: api.Action) -> str:
-    """One action as its wire line."""
-    kind = type(action)
-    if kind is api.StartAttempt:
-        line = f"relay\twho={who}\top_id={action.request}\thost={action.host}"  # type: ignore[union-attr]
-        timeout = action.timeout_ns  # type: ignore[union-attr]
-        return f"{line}\tgive_up_after_ns={timeout}" if timeout else line
-    if isinstance(action, api.SetTimer):
-        return f"wake_me\twho={who}\ttime_ns={action.at_ns}\tkey_back={action.token}"
-    if isinstance(action, api.RejectRequest):
-        return f"not_now\twho={who}\top_id={action.request}\tstay_away_ns={action.retry_after_ns}"
-    if isinstance(action, api.FailRequest):
-        return f"give_up\twho={who}\top_id={action.request}"
-    if isinstance(action, api.CancelAttempt):
-        return f"abort_attempt\twho={who}\top_id={action.request}\tcopy={action.attempt}"
-    if isinstance(action, api.CloseIdleConnections):
-        return f"let_go\twho={who}\thost={action.host}"
-    if isinstance(action, api.CheckHealth):
-        return f"health_check\twho={who}\thost={action.host}"
-    if isinstance(action, api.SubscribeToEndpoints):
-        return f"observe\twho={who}\ton=1"
-    assert isinstance(action, api.WriteLog)
-    return f"debug\twho={who}\twords={action.text}"
+    """Return one action as its line."""
+    match action:
+        case api.StartAttempt(request, host, timeout_ns):
+            line = f"relay\twho={who}\top_id={request}\thost={host}"
+            return f"{line}\tgive_up_after_ns={timeout_ns}" if timeout_ns else line
+        case api.SetTimer(at_ns, token):
+            return f"wake_me\twho={who}\ttime_ns={at_ns}\tkey_back={token}"
+        case api.RejectRequest(request, retry_after_ns):
+            return f"not_now\twho={who}\top_id={request}\tstay_away_ns={retry_after_ns}"
+        case api.FailRequest(request):
+            return f"give_up\twho={who}\top_id={request}"
+        case api.CancelAttempt(request, attempt):
+            return f"abort_attempt\twho={who}\top_id={request}\tcopy={attempt}"
+        case api.CloseIdleConnections(host):
+            return f"let_go\twho={who}\thost={host}"
+        case api.CheckHealth(host):
+            return f"health_check\twho={who}\thost={host}"
+        case api.SubscribeToEndpoints():
+            return f"observe\twho={who}\ton=1"
+        case api.WriteLog(text):
+            return f"debug\twho={who}\twords={text}"
 
 
 # --- the adapter ----------------------------------------------------------------------------
 
 
 class Adapter:
-    """Hosts one `Balancer` per instance named on the wire; the instances share nothing."""
+    """Hosts one `Balancer` per instance named by the simulator; the instances share nothing."""
 
-    def __init__(self, note: Callable[[str], None]) -> None:
-        self._note = note
+    def __init__(self, write_note: Callable[[str], None]) -> None:
+        """Start without instances; `write_note` takes lines for people, once for each unknown event."""
+        self._write_note = write_note
         self._instances: dict[str, Balancer] = {}
-        self._fields: dict[str, tuple[str, ...]] = {}
+        self._report_fields: dict[str, tuple[str, ...]] = {}  # by instance
         self._lists: dict[int, list[api.HostEntry]] = {}
         self._noted: set[str] = set()
+        self._readers: dict[str, Callable[[str, Fields], api.Event]] = {
+            "outcome": self._attempt_ended,
+            "demand": self._request_arrived,
+            "bell": lambda _, fields: api.TimerFired(int(fields["key_back"])),
+            "lapsed": lambda _, fields: api.ClientDisconnected(fields["op_id"]),
+            "backends_changed": self._list_updated,
+            "checked": self._health_check_ended,
+            "opened": self._stream_started,
+        }
+
+    # --- events ---------------------------------------------------------------------------------
+
+    def _attempt_ended(self, who: str, fields: Fields) -> api.Event:
+        return api.AttemptEnded(
+            fields["op_id"],
+            int(fields["copy"]),
+            fields["host"],
+            _ATTEMPT_STATUSES[fields["status"]],
+            int(fields.get("duration_ns", 0)),
+            fields.get("last") == "1",
+            parse_report(fields.get("telemetry"), self._report_fields[who]),
+        )
+
+    def _request_arrived(self, _who: str, fields: Fields) -> api.Event:
+        hint, tenant = fields.get("expected_ns"), fields.get("party")
+        return api.RequestArrived(
+            fields["op_id"],
+            fields["service"],
+            None if tenant in _NO_TENANT else tenant,
+            int(fields["remaining_ns"]),
+            None if hint is None else int(hint),
+            fields.get("is_retry") == "1",
+        )
+
+    def _list_updated(self, _who: str, fields: Fields) -> api.Event:
+        kind = _LIST_KINDS[fields["scope"]]
+        has_failed = kind is api.ListKind.FAILED
+        return api.HostListUpdated(kind, [] if has_failed else self._lists[int(fields["list"])])
 
-    def _event(self, name: str, who: str, parts: dict[str, str]) -> api.Event | None:
-        if name == "outcome":
-            return api.AttemptEnded(
-                parts["op_id"],
-                int(parts["copy"]),
-                parts["host"],
-                _STATUSES[parts["status"]],
-                int(parts.get("duration_ns", 0)),
-                parts.get("last") == "1",
-                parse_report(parts.get("telemetry"), self._fields[who]),
-            )
-        if name == "demand":
-            hint, tenant = parts.get("expected_ns"), parts.get("party")
-            return api.RequestArrived(
-                parts["op_id"],
-                parts["service"],
-                None if tenant in (None, "0") else tenant,
-                int(parts["remaining_ns"]),
-                None if hint is None else int(hint),
-                parts.get("is_retry") == "1",
-            )
-        if name == "bell":
-            return api.TimerFired(int(parts["key_back"]))
-        if name == "lapsed":
-            return api.ClientDisconnected(parts["op_id"])
-        if name == "backends_changed":
-            kind = _KINDS[parts["scope"]]
-            failed = kind is api.ListKind.FAILED
-            return api.HostListUpdated(kind, [] if failed else self._lists[int(parts["list"])])
-        if name == "checked":
-            return api.HealthCheckEnded(
-                parts["host"],
-                parts.get("status") == "ok",
-                int(parts.get("duration_ns", 0)),
-                parse_report(parts.get("telemetry"), self._fields[who]),
-            )
-        if name == "opened":
-            return api.StreamStarted(
-                parts["op_id"], int(parts.get("copy", 0)), parts["host"], int(parts.get("duration_ns", 0))
-            )
-        if name not in _IGNORED and name not in self._noted:
+    def _health_check_ended(self, who: str, fields: Fields) -> api.Event:
+        return api.HealthCheckEnded(
+            fields["host"],
+            fields.get("status") == "ok",
+            int(fields.get("duration_ns", 0)),
+            parse_report(fields.get("telemetry"), self._report_fields[who]),
+        )
+
+    def _stream_started(self, _who: str, fields: Fields) -> api.Event:
+        return api.StreamStarted(
+            fields["op_id"], int(fields.get("copy", 0)), fields["host"], int(fields.get("duration_ns", 0))
+        )
+
+    def _event(self, name: str, who: str, fields: Fields) -> api.Event | None:
+        reader = self._readers.get(name)
+        if reader is not None:
+            return reader(who, fields)
+        if name not in _IGNORED_EVENTS and name not in self._noted:
             self._noted.add(name)
-            self._note(f"unknown event {name!r} is skipped")
+            self._write_note(f"unknown event {name!r} is skipped")
         return None
 
-    def _line(self, line: str, lines: Iterator[str], now: int, out: list[str]) -> None:
+    # --- lines ----------------------------------------------------------------------------------
+
+    def _handle_line(self, line: str, lines: Iterator[str], now: int) -> list[str]:
+        """Return the replies to one line; an endpoint list takes further ones from `lines`."""
         name = line.split("\t", 1)[0]
         if name == "register":
-            parts = _parts(line)
-            count = int(parts["elements"])
-            self._lists[int(parts["list"])] = [_entry(next(lines).rstrip("\r\n")) for _ in range(count)]
-            return
+            self._register_list(_fields(line), lines)
+            return []
         if name == "init":
-            head, found, setup = line.partition("\tsetup=")
-            if not found:
-                raise WireError("init without setup")
-            parts = _parts(head)
-            who = parts["who"]
-            settings = parse_settings(setup)
-            self._fields[who] = settings.report_fields
-            balancer = self._instances[who] = Balancer(settings, int(parts.get("salt", 0)))
-            actions = balancer.start(now)
-        else:
-            parts = _parts(line)
-            who = parts["who"]
-            if name == "halt":
-                self._instances.pop(who, None)
-                return
-            if who not in self._instances:
-                raise WireError(f"instance {who} is unknown")
-            event = self._event(name, who, parts)
-            if event is None:
-                return
-            actions = self._instances[who].handle(event, now)
-        for action in actions:
-            out.append(format_action(who, action))
+            return self._start_instance(line, now)
+        fields = _fields(line)
+        who = fields["who"]
+        if name == "halt":
+            self._instances.pop(who, None)
+            return []
+        if who not in self._instances:
+            raise SimulatorLineError(f"instance {who} is unknown")
+        event = self._event(name, who, fields)
+        if event is None:
+            return []
+        return [format_action(who, action) for action in self._instances[who].handle(event, now)]
+
+    def _register_list(self, fields: Fields, lines: Iterator[str]) -> None:
+        count = int(fields["elements"])
+        self._lists[int(fields["list"])] = [_entry(next(lines).rstrip("\r\n")) for _ in range(count)]
+
+    def _start_instance(self, line: str, now: int) -> list[str]:
+        head, found, setup = line.partition("\tsetup=")
+        if not found:
+            raise SimulatorLineError("init without setup")
+        fields = _fields(head)
+        who = fields["who"]
+        settings = parse_settings(setup)
+        self._report_fields[who] = settings.report_fields
+        balancer = self._instances[who] = Balancer(settings, int(fields.get("salt", 0)))
+        return [format_action(who, action) for action in balancer.start(now)]
 
     def run(self, source: TextIO, sink: TextIO) -> None:
-        """Answer batch after batch until the input ends."""
+        """Answer batch after batch until the input ends.
+
+        Raises:
+            SimulatorLineError: A line, or the settings in it, cannot be used.
+        """
         lines = iter(source)
-        for line in lines:
-            line = line.rstrip("\r\n")
-            if not line:
-                continue
-            out: list[str] = []
-            try:
-                if line.split("\t", 1)[0] != "batch":
-                    raise WireError("a batch was expected")
-                now = int(_parts(line)["clock_ns"])
-                for raw in lines:
-                    line = raw.rstrip("\r\n")
-                    if line == "end":
-                        break
-                    if line:
-                        self._line(line, lines, now, out)
-                else:
-                    raise WireError("the input ended inside a batch")
-            except (KeyError, ValueError, StopIteration) as error:
-                what = f"missing or unknown {error}" if isinstance(error, KeyError) else str(error)
-                raise WireError(f"line {line[:200]!r}: {what}") from error
-            out.append("ready\n")
-            sink.write("\n".join(out))
-            sink.flush()
+        for raw in lines:
+            line = raw.rstrip("\r\n")
+            if line:
+                replies = self._handle_batch(line, lines)
+                sink.write("\n".join([*replies, "ready\n"]))
+                sink.flush()
+
+    def _handle_batch(self, first: str, lines: Iterator[str]) -> list[str]:
+        line = first
+        replies: list[str] = []
+        try:
+            if line.split("\t", 1)[0] != "batch":
+                raise SimulatorLineError("a batch was expected")
+            now = int(_fields(line)["clock_ns"])
+            for raw in lines:
+                line = raw.rstrip("\r\n")
+                if line == "end":
+                    return replies
+                if line:
+                    replies += self._handle_line(line, lines, now)
+            raise SimulatorLineError("the input ended inside a batch")
+        except (KeyError, ValueError, StopIteration) as error:
+            what = f"missing or unknown {error}" if isinstance(error, KeyError) else str(error)
+            raise SimulatorLineError(f"line {line[:MAX_QUOTED_CHARS]!r}: {what}") from error
 
 
 def main() -> int:
     """Serve standard input; non-zero if a line could not be used."""
-    # Records are acyclic and short-lived: reference counts free them, rare collections suffice.
-    gc.set_threshold(100_000, 50, 50)
+    gc.set_threshold(*GC_THRESHOLDS)
     sys.stdin.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     adapter = Adapter(lambda text: print(f"wirehost: {text}", file=sys.stderr))
     try:
         adapter.run(sys.stdin, sys.stdout)
-    except WireError as error:
+    except SimulatorLineError as error:
         print(f"wirehost: {error}", file=sys.stderr)
         return 1
     return 0
--- a/brambleusher/sidecar/configuration.py
+++ b/brambleusher/sidecar/configuration.py
@@ -10,7 +10,7 @@
 import orjson
 
 from brambleusher.loadbalancing import api
-from brambleusher.loadbalancing.settings import WireError, parse_settings
+from brambleusher.loadbalancing.settings import SettingsError, parse_settings
 from brambleusher.net.endpoint_list import EndpointListError, EndpointListUpdate, decode_update
 from brambleusher.runtime.streams import parse_address
 
@@ -113,7 +113,7 @@
         raise ConfigError("NODE_CONFIG is not an object")
     try:
         settings = parse_settings(raw.get("settings"))
-    except WireError as error:
+    except SettingsError as error:
         raise ConfigError(f"settings: {error}") from None
     try:
         known = decode_update(raw.get("known", {"full": True, "version": 0, "servers": []}))
--- a/brambleusher/xds/config.py
+++ b/brambleusher/xds/config.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from brambleusher.loadbalancing.api import Idempotency, Settings
-from brambleusher.loadbalancing.settings import WireError, parse_settings
+from brambleusher.loadbalancing.settings import SettingsError, parse_settings
 from brambleusher.operator_settings.configuration import MAX_FILE, decode_yaml
 from brambleusher.operator_settings.section import OperatorError, Section
 from brambleusher.runtime.streams import parse_address
@@ -217,7 +217,7 @@
             raw = raw["settings"]  # a sidecar's configuration does as well
     try:
         return parse_settings(raw)
-    except WireError as error:
+    except SettingsError as error:
         raise ControlError(f"settings: {error}") from None
 
 
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -9,12 +9,12 @@
 import pytest
 
 from brambleusher.loadbalancing import api
+from brambleusher.loadbalancing.settings import SettingsError, parse_settings
 from brambleusher.loadbalancing.simulator_adapter import (
     Adapter,
-    WireError,
+    SimulatorLineError,
     format_action,
     parse_report,
-    parse_settings,
 )
 
 SETUP: dict[str, Any] = {
@@ -56,24 +56,24 @@
 def test_halt_forgets_and_unknown_events_are_noted_once() -> None:
     _, notes = talk(INIT + REGISTER + MEMBERS, "novelty\twho=4\n", "novelty\twho=4\n")
     assert notes == ["unknown event 'novelty' is skipped"]
-    with pytest.raises(WireError, match="instance 4 is unknown"):
+    with pytest.raises(SimulatorLineError, match="instance 4 is unknown"):
         talk(INIT + REGISTER + MEMBERS, "halt\twho=4\n", "bell\twho=4\tkey_back=0\n")
 
 
 def test_a_malformed_line_is_named() -> None:
-    with pytest.raises(WireError, match="remaining_ns"):
+    with pytest.raises(SimulatorLineError, match="remaining_ns"):
         talk(INIT + REGISTER + MEMBERS, "demand\twho=4\top_id=r1\tservice=c\n")
-    with pytest.raises(WireError, match="batch was expected"):
+    with pytest.raises(SimulatorLineError, match="batch was expected"):
         Adapter(print).run(io.StringIO("hello\n"), io.StringIO())
 
 
 def test_settings_name_the_key_that_is_wrong() -> None:
     assert parse_settings(json.dumps(SETUP)).fleet_size == 2
-    with pytest.raises(WireError, match="fleet_size"):
+    with pytest.raises(SettingsError, match="fleet_size"):
         parse_settings(json.dumps({**SETUP, "fleet_size": 0}))
-    with pytest.raises(WireError, match="safety.cold_ns"):
+    with pytest.raises(SettingsError, match="safety.cold_ns"):
         parse_settings(json.dumps({**SETUP, "safety": {"drain_grace_ns": 0}}))
-    with pytest.raises(WireError, match=r"classes\[c\].effect"):
+    with pytest.raises(SettingsError, match=r"classes\[c\].effect"):
         parse_settings(json.dumps({**SETUP, "classes": [{"name": "c"}]}))
 
 
