--- a/tests/system/memory_disk.py
+++ b/tests/system/memory_disk.py
@@ -43,7 +43,7 @@
         self._change("append")
         file = self.files.setdefault(name, File())
         if self.full:
-            file.data += data[: len(data) // 2]  # a short write, then the refusal
+            file.data += data[: len(data) // 2]  # a short write, then the error
             raise OSError(errno.ENOSPC, "No space left on device")
         file.data += data
 
--- a/tests/system/test_control_plane.py
+++ b/tests/system/test_control_plane.py
@@ -1,4 +1,4 @@
-"""The control plane as a whole, in virtual time: orders, leaders, losses, long polls, the registry."""
+"""The whole control plane in virtual time: change requests, leaders, losses, long polls, the registry."""
 
 from __future__ import annotations
 
@@ -191,15 +191,15 @@
         return own in {member.id for member in voters}
 
     deployment.wait(again_a_voter, 4.0)
-    rest = next(name for name in ("c1", "c2", "c3") if name != lost)
-    deployment.power_off(rest)
+    remaining = next(name for name in ("c1", "c2", "c3") if name != lost)
+    deployment.power_off(remaining)
     deployment.wait(lambda: deployment.put(lost, 2, configuration(3)).status == 200)
 
 
 def test_a_lost_controller_is_replaced_at_another_address(deployment: VirtualDeployment) -> None:
     deployment.served()
-    gone = others(deployment)[0]
-    deployment.power_off(gone)
+    removed = others(deployment)[0]
+    deployment.power_off(removed)
     deployment.add_core("c4", "10.1.0.4")
 
     def replaced() -> bool:
@@ -211,7 +211,7 @@
         }
 
     deployment.wait(replaced)
-    second = next(name for name in ("c1", "c2", "c3") if name not in (gone, deployment.leader()))
+    second = next(name for name in ("c1", "c2", "c3") if name not in (removed, deployment.leader()))
     deployment.power_off(second)
     deployment.wait(lambda: deployment.put("c4", 1, configuration(2)).status == 200)
 
@@ -238,8 +238,8 @@
     assert reply.status == 503
     assert reply.seconds < 1.0
     assert deployment.control(leader, "GET", "/api/config").status == 503
-    rest = next(name for name in ("c1", "c2", "c3") if name != leader)
-    deployment.wait(lambda: deployment.put(rest, 1, configuration(3, route("/n/"))).status == 200)
+    remaining = next(name for name in ("c1", "c2", "c3") if name != leader)
+    deployment.wait(lambda: deployment.put(remaining, 1, configuration(3, route("/n/"))).status == 200)
     deployment.wait(lambda: in_force(deployment, 3), 4.0)
 
 
@@ -355,7 +355,7 @@
 
 
 def test_an_idle_replica_ticks_rarely(deployment: VirtualDeployment) -> None:
-    """Guards against a task that wakes itself: some ten heartbeats a second, and what they bring."""
+    """Guards against a task that wakes itself: some ten heartbeats a second, and their replies."""
     deployment.served()
     deployment.sleep(1)
     steps = dict.fromkeys(deployment.controllers, 0)
@@ -372,7 +372,7 @@
 
 
 def test_a_large_configuration_is_sent_once_to_each_gateway(deployment: VirtualDeployment) -> None:
-    """Two controllers are followed; large news comes from one of them."""
+    """Two controllers are polled; a large update comes from one of them."""
     deployment.served()
     deployment.sleep(2)
     sent = dict.fromkeys(deployment.controllers, 0)
@@ -433,15 +433,15 @@
     assert deployment.put("c6", 1, configuration(2)).status == 200
     for name in (leader, others_with_a_vote[0]):
         deployment.power_off(name, nothing_unsynced=True)
-    rest = others_with_a_vote[1]
-    deployment.wait(lambda: deployment.put(rest, 2, configuration(3, route("/n/"))).status == 200)
+    remaining = others_with_a_vote[1]
+    deployment.wait(lambda: deployment.put(remaining, 2, configuration(3, route("/n/"))).status == 200)
     deployment.wait(lambda: in_force(deployment, 3))
-    assert deployment.control(rest, "GET", "/api/config").body == configuration(3, route("/n/"))
+    assert deployment.control(remaining, "GET", "/api/config").body == configuration(3, route("/n/"))
     deployment.close()
 
 
 def test_votes_are_spread_over_zones_and_move_back_when_a_zone_returns() -> None:
-    """Two of six controllers stand in each zone: no zone may come to hold three of five votes."""
+    """Two of six controllers are in each zone: no zone may get three of five votes."""
     deployment = VirtualDeployment(cores=6, tolerated=2)
 
     def votes_by_zone() -> list[int]:
@@ -458,11 +458,11 @@
 
     deployment.served()
     deployment.wait(lambda: votes_by_zone() == [1, 2, 2])
-    dark = [name for name in deployment.controllers if zone_of(name) == "n2"]
-    for name in dark:
+    powered_off = [name for name in deployment.controllers if zone_of(name) == "n2"]
+    for name in powered_off:
         deployment.power_off(name)
     deployment.sleep(6.0)
-    for name in dark:
+    for name in powered_off:
         deployment.power_on(name)
     deployment.wait(lambda: votes_by_zone() == [1, 2, 2])
     assert deployment.put("c1", 1, configuration(2)).status == 200
@@ -470,7 +470,7 @@
 
 
 def test_gateways_move_to_controllers_of_their_own_zone() -> None:
-    """Seeds are known first, wherever they are: what gateways ask all the time should not cross regions."""
+    """Seeds are known first, wherever they are: frequent long polls should not cross regions."""
     deployment = VirtualDeployment(cores=6, gateways=6, tolerated=2)
     deployment.served()
 
@@ -488,7 +488,7 @@
 
 
 def test_an_unchanged_instance_list_is_sent_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It seemed to grow old at gateways, which had it sent by their second controller every two seconds."""
+    """It seemed stale at gateways, which requested it from their second controller every two seconds."""
     deployment = VirtualDeployment(gateways=2)
     deployment.add_instance("a")
     deployment.served()
--- a/tests/system/test_control_plane_faults.py
+++ b/tests/system/test_control_plane_faults.py
@@ -1,4 +1,4 @@
-"""The operators' five points about the control side, each brought about in the whole system.
+"""The operators' five requirements of the control plane, each tried in the whole system.
 
 Days drawn from seeds come last: one loss after the other, and operators that race and repeat.
 """
@@ -58,7 +58,7 @@
     deployment.wait(lambda: deployment.process(name).dead)
 
 
-# --- 1: a control machine that is cut off for some twenty seconds --------------------------------
+# --- 1: a controller that is partitioned for some twenty seconds ---------------------------------
 
 
 @pytest.mark.parametrize("leads", [True, False])
@@ -66,28 +66,32 @@
     deployment: VirtualDeployment, leads: bool
 ) -> None:
     deployment.served()
-    alone = leader_of(deployment) if leads else follower_of(deployment)
-    rest = [name for name in CORES if name != alone]
-    for name in (*rest, "g1"):
-        deployment.world.network.cut(alone, name)
-    taken = 1
+    partitioned = leader_of(deployment) if leads else follower_of(deployment)
+    others = [name for name in CORES if name != partitioned]
+    for name in (*others, "g1"):
+        deployment.world.network.cut(partitioned, name)
+    accepted = 1
     begun = deployment.now
     while deployment.now < begun + 20.0:
-        put_until_taken(deployment, rest[taken % 2], taken, configuration(taken + 1, route(f"/n{taken}/")))
-        taken += 1
-        # On top of what it knows and of what is new, old and invalid numbers: it can't tell which is which.
-        assert deployment.put(alone, 1, configuration(2, route("/alone/"))).status == 503
-        assert deployment.put(alone, taken, configuration(taken + 1, route("/alone/"))).status == 503
-        assert deployment.control(alone, "GET", "/api/config").status == 503
-        assert deployment.control(alone, "POST", "/api/evacuations/n1").status == 503
-    for name in (*rest, "g1"):
-        deployment.world.network.mend(alone, name)
+        put_until_taken(
+            deployment, others[accepted % 2], accepted, configuration(accepted + 1, route(f"/n{accepted}/"))
+        )
+        accepted += 1
+        # On the revision that it knows, and on newer, older and invalid ones: it can't distinguish them.
+        assert deployment.put(partitioned, 1, configuration(2, route("/alone/"))).status == 503
+        assert (
+            deployment.put(partitioned, accepted, configuration(accepted + 1, route("/alone/"))).status == 503
+        )
+        assert deployment.control(partitioned, "GET", "/api/config").status == 503
+        assert deployment.control(partitioned, "POST", "/api/evacuations/n1").status == 503
+    for name in (*others, "g1"):
+        deployment.world.network.mend(partitioned, name)
     joined = deployment.now
     statuses = set()
     while 200 not in statuses:
-        read = deployment.control(alone, "GET", "/api/config")
+        read = deployment.control(partitioned, "GET", "/api/config")
         assert read.status in (200, 503)
-        assert read.status == 503 or read.body == configuration(taken, route(f"/n{taken - 1}/"))
+        assert read.status == 503 or read.body == configuration(accepted, route(f"/n{accepted - 1}/"))
         statuses.add(read.status)
     assert deployment.now - joined < 3.0
     assert replica_of(deployment, leader_of(deployment)).state.evacuated_zones == []
@@ -96,7 +100,7 @@
 def test_a_controller_frozen_for_twenty_seconds_reads_no_stale_state_afterwards(
     deployment: VirtualDeployment,
 ) -> None:
-    """Calls that came meanwhile wait for it, and it still believes to lead."""
+    """Requests that arrived meanwhile wait for it, and it still believes that it leads."""
     deployment.served()
     stood = leader_of(deployment)
     address = (deployment.world.machines[stood].ip, 8166)
@@ -118,13 +122,13 @@
 def test_a_starting_gateway_takes_no_stale_state_from_a_partitioned_controller(
     deployment: VirtualDeployment,
 ) -> None:
-    """It reaches all three; the one that is cut off from the others knows an old configuration."""
+    """It reaches all three; the one that is partitioned from the others has an old configuration."""
     deployment.served()
-    alone = follower_of(deployment)
-    rest = [name for name in CORES if name != alone]
-    for name in rest:
-        deployment.world.network.cut(alone, name)
-    put_until_taken(deployment, rest[0], 1, configuration(2, route("/n/")))
+    partitioned = follower_of(deployment)
+    others = [name for name in CORES if name != partitioned]
+    for name in others:
+        deployment.world.network.cut(partitioned, name)
+    put_until_taken(deployment, others[0], 1, configuration(2, route("/n/")))
     deployment.sleep(1.0)
     for number in range(2, 8):
         name = f"g{number}"
@@ -147,7 +151,7 @@
     deployment.wait(lambda: "g2" in deployment.gateways and deployment.gateways["g2"].is_ready, 6.0)
 
 
-# --- 2: one number, one content; the same order again --------------------------------------------
+# --- 2: one revision, one content; repeated change requests --------------------------------------
 
 
 def test_a_revision_has_one_content_at_every_controller_after_every_loss(
@@ -196,7 +200,7 @@
         assert deployment.put(core, 2, configuration(2, route("/other/"))).status == 400
 
 
-# --- 2, 5: an old copy of an order ---------------------------------------------------------------
+# --- 2, 5: a delayed copy of a change request ----------------------------------------------------
 
 
 def test_a_delayed_copy_of_a_change_request_does_not_act_after_a_later_one(
@@ -217,7 +221,7 @@
 
 
 def test_an_evacuation_whose_client_disconnected_is_not_proposed(deployment: VirtualDeployment) -> None:
-    """A cut holds the operator's call back until it has turned to another controller and gone on."""
+    """A partition delays the operator's request until it has sent it to another controller."""
     deployment.served()
     held, other = follower_of(deployment), leader_of(deployment)
     deployment.world.network.cut("caller", held)
@@ -243,16 +247,16 @@
     deployment.served()
     deployment.add_core("c4", "10.1.0.4")
     deployment.sleep(SYNC_S + 1.0)
-    leaving = leader_of(deployment) if leads else follower_of(deployment)
-    deployment.process(leaving).signal(15)
+    draining = leader_of(deployment) if leads else follower_of(deployment)
+    deployment.process(draining).signal(15)
     deployment.sleep(after_s)
-    rest = [name for name in CORES if name != leaving]
-    leading = [name for name in rest if name == deployment.leader()]
-    lost = next(iter(leading), rest[0]) if lost_leads else rest[-1]
+    others = [name for name in CORES if name != draining]
+    leading = [name for name in others if name == deployment.leader()]
+    lost = next(iter(leading), others[0]) if lost_leads else others[-1]
     deployment.power_off(lost)
     deployment.disks[lost] = MemoryDisk()
-    deployment.wait(lambda: deployment.process(leaving).dead)
-    deployment.power_off(leaving)
+    deployment.wait(lambda: deployment.process(draining).dead)
+    deployment.power_off(draining)
     deployment.power_on(lost)
     back = deployment.now
     put_until_taken(deployment, "c4", 1, configuration(2, route("/n/")))
@@ -264,14 +268,14 @@
 def test_a_disk_is_lost_two_seconds_after_a_sudden_loss_of_a_controller(
     deployment: VirtualDeployment, leads: bool
 ) -> None:
-    """Its vote is given away after a second of silence; sooner there is no majority: see the design note."""
+    """Its vote moves after a second without contact; sooner there is no majority: see the design note."""
     deployment.served()
     deployment.add_core("c4", "10.1.0.4")
     deployment.sleep(SYNC_S + 1.0)
-    gone = leader_of(deployment) if leads else follower_of(deployment)
-    deployment.power_off(gone)
+    removed = leader_of(deployment) if leads else follower_of(deployment)
+    deployment.power_off(removed)
     deployment.sleep(2.5)
-    lost = next(name for name in CORES if name != gone)
+    lost = next(name for name in CORES if name != removed)
     deployment.power_off(lost)
     deployment.disks[lost] = MemoryDisk()
     deployment.power_on(lost)
@@ -280,21 +284,21 @@
 
 @pytest.mark.parametrize("seed", range(1, 9))
 def test_a_disk_is_lost_between_the_two_changes_of_a_replacement(seed: int) -> None:
-    """The successor has its vote, the one that leaves has its own still, and the leader's disk is gone."""
+    """The successor has its vote, the draining one has its own still, and the leader's disk is lost."""
     deployment = VirtualDeployment(seed=seed, gateways=1)
     deployment.served()
     deployment.add_core("c4", "10.1.0.4")
     deployment.sleep(SYNC_S + 1.0)
-    lost, leaving = leader_of(deployment), follower_of(deployment)
-    deployment.process(leaving).signal(15)
+    lost, draining = leader_of(deployment), follower_of(deployment)
+    deployment.process(draining).signal(15)
     while len(replica_of(deployment, lost).voters()) != 4:
         deployment.sleep(0.0002)
     deployment.sleep(0.0005 * (seed % 4))
     deployment.power_off(lost)
     deployment.disks[lost] = MemoryDisk()
-    ended(deployment, leaving)
-    deployment.power_off(leaving)
-    for name in ("c4", next(name for name in CORES if name not in (lost, leaving))):
+    ended(deployment, draining)
+    deployment.power_off(draining)
+    for name in ("c4", next(name for name in CORES if name not in (lost, draining))):
         deployment.power_off(name)
         deployment.power_on(name)
     deployment.sleep(0.5)
@@ -308,7 +312,7 @@
 def test_a_controller_that_just_ended_gets_no_vote_for_the_balance_of_zones(
     seed: int, after_s: float
 ) -> None:
-    """Its successor stands in another zone, and whoever leads next heard it a moment ago."""
+    """Its successor is in another zone, and the next leader had contact with it a moment ago."""
     deployment = VirtualDeployment(seed=seed, gateways=1)
     deployment.served()
     deployment.add_core("c4", "10.1.0.4")  # in the zone of c1
@@ -327,10 +331,10 @@
 
 def test_a_draining_controller_without_a_successor_ends_soon(deployment: VirtualDeployment) -> None:
     deployment.served()
-    leaving = follower_of(deployment)
-    deployment.process(leaving).signal(15)
+    draining = follower_of(deployment)
+    deployment.process(draining).signal(15)
     deployment.sleep(1.5)
-    assert deployment.process(leaving).dead
+    assert deployment.process(draining).dead
 
 
 def test_all_controllers_are_replaced_one_by_one_with_disks_lost_in_between(
@@ -342,11 +346,11 @@
         deployment.seeds = [f"{deployment.world.machines[name].ip}:8166" for name in names]
         deployment.add_core(f"c{number}", f"10.1.0.{number}")
         deployment.sleep(SYNC_S)
-        leaving = names.pop(0)
+        draining = names.pop(0)
         names.append(f"c{number}")
-        deployment.process(leaving).signal(15)
-        ended(deployment, leaving)
-        deployment.power_off(leaving)
+        deployment.process(draining).signal(15)
+        ended(deployment, draining)
+        deployment.power_off(draining)
         lost = names[number % 3]
         deployment.power_off(lost)
         deployment.disks[lost] = MemoryDisk()
@@ -363,23 +367,23 @@
 def test_controllers_that_missed_hundreds_of_changes_catch_up_and_can_lead(
     deployment: VirtualDeployment,
 ) -> None:
-    """One was without power, one lost its disk, one stayed: each of them then leads."""
+    """One was without power, one lost its disk, one stayed: each of them leads in turn."""
     with short_segments(SHORT_SEGMENT_BYTES):
         deployment.served()
-        dark = follower_of(deployment)
-        deployment.power_off(dark)
-        kept = [name for name in CORES if name != dark]
+        powered_off = follower_of(deployment)
+        deployment.power_off(powered_off)
+        remaining = [name for name in CORES if name != powered_off]
         for revision in range(2, 302):
-            if deployment.put(kept[revision % 2], revision - 1, configuration(revision)).status != 200:
-                put_until_taken(deployment, kept[0], revision - 1, configuration(revision))
-        assert any(name.startswith("snapshot") for name in deployment.disks[kept[0]].names())
-        deployment.power_on(dark)
-        deployment.wait(lambda: replica_of(deployment, dark).state.revision == 301, 3.0)
+            if deployment.put(remaining[revision % 2], revision - 1, configuration(revision)).status != 200:
+                put_until_taken(deployment, remaining[0], revision - 1, configuration(revision))
+        assert any(name.startswith("snapshot") for name in deployment.disks[remaining[0]].names())
+        deployment.power_on(powered_off)
+        deployment.wait(lambda: replica_of(deployment, powered_off).state.revision == 301, 3.0)
         deployment.sleep(SYNC_S)
-        deployment.power_off(kept[0])
-        deployment.disks[kept[0]] = MemoryDisk()
-        deployment.power_on(kept[0])
-        deployment.wait(lambda: replica_of(deployment, kept[0]).state.revision == 301, 3.0)
+        deployment.power_off(remaining[0])
+        deployment.disks[remaining[0]] = MemoryDisk()
+        deployment.power_on(remaining[0])
+        deployment.wait(lambda: replica_of(deployment, remaining[0]).state.revision == 301, 3.0)
         deployment.sleep(SYNC_S)
         for stopped in CORES:
             deployment.power_off(stopped, nothing_unsynced=True)
@@ -389,10 +393,12 @@
             assert deployment.control(leader, "GET", "/api/config").body == configuration(301)
             deployment.power_on(stopped)
             deployment.sleep(SYNC_S)
-        assert deployment.put(leader_of(deployment), 199, configuration(200)).status == 200  # taken long ago
+        assert (
+            deployment.put(leader_of(deployment), 199, configuration(200)).status == 200
+        )  # accepted long ago
 
 
-# --- 5: answers to the wrong caller --------------------------------------------------------------
+# --- 5: replies to the wrong caller --------------------------------------------------------------
 
 
 def test_a_forwarded_reply_counts_only_from_the_replica_that_was_asked(deployment: VirtualDeployment) -> None:
@@ -412,7 +418,7 @@
 
 
 def test_a_discarded_proposal_does_not_remove_a_later_one_at_its_index(deployment: VirtualDeployment) -> None:
-    """An entry of an earlier term is gone, and another caller's has its index."""
+    """An entry of an earlier term was overwritten, and another caller's has its index."""
     deployment.served()
     replica = replica_of(deployment, leader_of(deployment))
     index = replica.consensus.log.last_index + 1
@@ -434,7 +440,7 @@
     assert later.result is Verdict.ACCEPTED
 
 
-# --- days drawn from seeds -----------------------------------------------------------------------
+# --- random days ---------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("block", range(6))
--- a/tests/system/test_fault_days_find_faults.py
+++ b/tests/system/test_fault_days_find_faults.py
@@ -1,4 +1,4 @@
-"""Faults put into the control plane on purpose: days of faults have to find each."""
+"""Mutations of the control plane: random days of faults have to find each."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def reads_are_not_confirmed(patch: Patch) -> None:
-    """A controller answers with what it holds."""
+    """A controller answers with its own state."""
 
     def read(self: Replica, deadline: float) -> ReadResult:
         return Ok(self.state)
@@ -35,7 +35,7 @@
 
 
 def orders_are_refused_by_what_is_held(patch: Patch) -> None:
-    """A controller compares the version itself, before it asks anybody."""
+    """A controller compares the revision itself, before it asks the leader."""
     submit = Replica.submit
 
     def refuse(self: Replica, command: Any, deadline: float) -> Any:
@@ -47,7 +47,7 @@
 
 
 def repeats_are_refused(patch: Patch) -> None:
-    """What was taken is not remembered."""
+    """Accepted change requests are not remembered."""
     put = SharedState._put_configuration
 
     def forget(self: SharedState, index: int, command: PutConfiguration) -> Verdict:
@@ -58,7 +58,7 @@
 
 
 def numbers_are_taken_twice(patch: Patch) -> None:
-    """The version that a change builds on is not compared."""
+    """The base revision of a change is not compared."""
 
     def put(self: SharedState, index: int, command: PutConfiguration) -> Verdict:
         if command.digest in self.accepted_digests:
@@ -71,7 +71,7 @@
 
 
 def old_evacuations_act(patch: Patch) -> None:
-    """As it was: an order carries nothing that tells its age, whoever hung up."""
+    """As it was: a command carries no applied index, and a client that hung up is not noticed."""
     evacuate = AdminApi._set_evacuation
 
     def act(self: AdminApi, request: HttpRequest, zone: str) -> HttpResponse:
@@ -86,7 +86,7 @@
 
 
 def votes_stay_with_those_that_leave(patch: Patch) -> None:
-    """As it was: a controller that ends hands over the lead alone."""
+    """As it was: a controller that ends hands over leadership alone."""
 
     def begin_graceful_shutdown(self: Replica) -> None:
         self.consensus.transfer_leadership()
--- a/tests/system/test_load_reports.py
+++ b/tests/system/test_load_reports.py
@@ -1,4 +1,4 @@
-"""Sums of what gateways saw: bounded, fading, and without the asker's own."""
+"""Sums of what gateways observed: bounded, expiring, and without the asking gateway's own."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def test_no_single_gateway_moves_the_fleet() -> None:
-    """Nineteen saw an instance well, one claims that everything failed."""
+    """Nineteen observed a healthy instance, one claims that everything failed."""
     figures = FleetLoadReports()
     for number in range(19):
         figures.record(f"g{number}", parse_report({"a": [5.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.2, 1.0]}), 0.0)
--- a/tests/system/test_packing.py
+++ b/tests/system/test_packing.py
@@ -1,4 +1,4 @@
-"""Packed texts: whole, bounded, and refused where they are none."""
+"""Packed texts: complete, bounded, and rejected where they are malformed."""
 
 from __future__ import annotations
 
--- a/tests/system/test_partial_view.py
+++ b/tests/system/test_partial_view.py
@@ -1,4 +1,4 @@
-"""Partial views: merged by the younger age, shuffled, bounded."""
+"""Partial views: merged by the latest contact, shuffled, bounded."""
 
 from __future__ import annotations
 
@@ -68,7 +68,7 @@
 
 
 def test_shuffling_spreads_all_peers_to_all_views() -> None:
-    """Eight views that know one process each; every round each sends a sample to another one."""
+    """Eight views that know one process each; in each step each sends a sample to another one."""
     rng = random.Random(7)
     views = {f"g{number}": view(f"g{number}") for number in range(8)}
     for step in range(12):
--- a/tests/system/test_storage.py
+++ b/tests/system/test_storage.py
@@ -1,4 +1,4 @@
-"""The log on disk: torn ends, holes, full disks and power lost at every change."""
+"""The durable log: torn ends, holes, full disks, and power losses at every change."""
 
 from __future__ import annotations
 
@@ -117,7 +117,7 @@
 
 
 def play(disk: MemoryDisk, acknowledged: list[int]) -> None:
-    """A life with two snapshots; says what was written and synced."""
+    """Write with snapshots in between; record what was written and synced."""
     storage = Storage(disk)
     found = storage.recover()
     if not found.identity:
@@ -133,7 +133,7 @@
 
 
 def play_until(disk: MemoryDisk, at: int, acknowledged: list[int]) -> None:
-    """The same life up to a change of the disk, at which power is lost."""
+    """Play up to a change of the disk, at which power is lost."""
 
     def lose(change: int, what: str) -> None:
         if change == at:
@@ -158,11 +158,11 @@
             assert found.log.last_index >= (acknowledged or [0])[-1], (at, seed)
             assert found.identity in ("", "a")
             assert found.identity or not acknowledged
-            play(disk, [])  # and it goes on
+            play(disk, [])  # and it continues
 
 
 def test_a_forgotten_sync_of_the_folder_is_found() -> None:
-    """The check above can fail: without syncs of the folder some loss of power loses a synced entry."""
+    """The check above can fail: without syncs of the folder some power loss loses a synced entry."""
     lost = 0
     whole = MemoryDisk()
     play(whole, [])
