--- a/tests/test_recorded_answers.py
+++ b/tests/test_recorded_answers.py
@@ -9,12 +9,14 @@
 
 import pytest
 
-from tests.recorded import sidecar_day, system_day
+from tests.recorded import gateway_day, sidecar_day, system_day
 
 RECORDED = Path(__file__).parent / "recorded" / "answers"
 SIDECAR: dict[str, Any] = json.loads((RECORDED / "sidecar.json").read_bytes())
 SYSTEM: dict[str, Any] = json.loads((RECORDED / "system.json").read_bytes())
 
+GATEWAY: dict[str, Any] = json.loads((RECORDED / "gateway.json").read_bytes())
+
 
 @pytest.fixture(scope="module")
 def answers() -> dict[str, Any]:
@@ -50,3 +52,12 @@
         assert list(answer) == expected
     for counters, expected in zip(day["counters"], SIDECAR["counters"], strict=True):
         assert list(counters.items()) == list(expected.items())
+
+
+@pytest.mark.parametrize("trouble", gateway_day.TROUBLES, ids=lambda trouble: trouble.__name__)
+def test_a_gateway_answers_and_counts_alike_in_trouble(trouble: gateway_day.Trouble) -> None:
+    assert gateway_day.play(trouble) == GATEWAY[trouble.__name__]
+
+
+def test_every_trouble_is_recorded() -> None:
+    assert [trouble.__name__ for trouble in gateway_day.TROUBLES] == list(GATEWAY)
--- a/tests/test_recorded_messages.py
+++ b/tests/test_recorded_messages.py
@@ -4,6 +4,7 @@
 
 import hashlib
 import json
+import random
 import re
 from collections import defaultdict
 from pathlib import Path
@@ -11,6 +12,7 @@
 
 import pytest
 
+from brambleusher.membership.views import PartialView
 from brambleusher.wire import lines
 from brambleusher.wire.consensus_messages import decode_message, encode_message
 from tests.recorded import conversation
@@ -19,6 +21,13 @@
 CONSENSUS = (RECORDED / "consensus.jsonl").read_bytes().splitlines(keepends=True)
 ANSWERS: dict[str, str] = json.loads((RECORDED / "answers.json").read_bytes())
 SENT: dict[str, dict[str, Any]] = json.loads((RECORDED / "sent.json").read_bytes())
+# One process in each state; ages in ms.
+SAMPLE = (
+    b'{"from":"10.1.0.9:7720","kind":"shuffle","sample":'
+    b'[["c9","controller","10.1.0.0:7720","n1","north","starting",1790000000000,500],'
+    b'["g8","gateway","10.1.0.2:7720","n1","north","ready",1790000000002,1000],'
+    b'["g9","gateway","10.1.0.1:7720","n1","north","leaving",1790000000001,750]]}\n'
+)
 KIND = re.compile(r'"kind":"(\w+)"')
 
 
@@ -61,3 +70,10 @@
     assert len(sent[kind]) == expected["count"]
     # The order of lines sent at one moment to several processes is not fixed.
     assert hashlib.sha256("".join(sorted(sent[kind])).encode()).hexdigest() == expected["sha256"]
+
+
+def test_a_sample_of_a_view_is_written_as_it_was_read() -> None:
+    message, view = lines.decode(SAMPLE), PartialView(random.Random(1))
+    view.merge(message["sample"], 100.5)
+    written = {**message, "sample": sorted(view.sample(100.5), key=lambda entry: str(entry[0]))}
+    assert lines.encode(written) == SAMPLE
