--- a/tests/recorded/gateway_day.py
+++ b/tests/recorded/gateway_day.py
@@ -13,15 +13,15 @@
 
 def shed(deployment: VirtualDeployment) -> list[Reply]:
     """Both instances reject."""
-    for server in deployment.servers.values():
-        server.shed = True
+    for instance in deployment.stub_instances.values():
+        instance.rejects_requests = True
     return [deployment.request("g1", attempt=f"a{n}") for n in range(3)]
 
 
 def rejected_often(deployment: VirtualDeployment) -> list[Reply]:
     """Retries of rejections use the budget up."""
-    for server in deployment.servers.values():
-        server.shed = True
+    for instance in deployment.stub_instances.values():
+        instance.rejects_requests = True
     waiting = [deployment.start_request("g1", attempt=f"a{n}") for n in range(90)]
     deployment.sleep(5.0)
     return waiting[-4:]
@@ -29,8 +29,8 @@
 
 def silent(deployment: VirtualDeployment) -> list[Reply]:
     """Instances take requests and answer nothing."""
-    for server in deployment.servers.values():
-        server.silent = True
+    for instance in deployment.stub_instances.values():
+        instance.is_unresponsive = True
     short = {"X-Deadline-Remaining": "700"}
     return [
         deployment.request("g1", target, f"a{n}", headers=short)
@@ -40,30 +40,30 @@
 
 def failing(deployment: VirtualDeployment) -> list[Reply]:
     """Instances answer with a failure."""
-    for server in deployment.servers.values():
-        server.status = 500
+    for instance in deployment.stub_instances.values():
+        instance.status = 500
     return [deployment.request("g1", target, f"a{n}") for n, target in enumerate(("/s/x", "/d/x", "/w/x"))]
 
 
 def cut(deployment: VirtualDeployment) -> list[Reply]:
     """Answers break off."""
-    for server in deployment.servers.values():
-        server.cut_after = 2
+    for instance in deployment.stub_instances.values():
+        instance.resets_after_events = 2
     targets = ("/s/x", "/o/x", "/d/x", "/w/x")
     return [deployment.request("g1", target, f"a{n}") for n, target in enumerate(targets)]
 
 
 def gone(deployment: VirtualDeployment) -> list[Reply]:
     """Nobody listens at the addresses of the list."""
-    for server in deployment.servers.values():
-        server.machine.processes[0].kill()
+    for instance in deployment.stub_instances.values():
+        instance.machine.processes[0].kill()
     return [deployment.request("g1", target, f"a{n}") for n, target in enumerate(("/s/x", "/d/x", "/w/x"))]
 
 
 def dark(deployment: VirtualDeployment) -> list[Reply]:
     """Machines have no power."""
-    for server in deployment.servers.values():
-        server.machine.vanish()
+    for instance in deployment.stub_instances.values():
+        instance.machine.vanish()
     return [deployment.request("g1", target, f"a{n}") for n, target in enumerate(("/s/x", "/d/x", "/w/x"))]
 
 
@@ -101,7 +101,7 @@
             ("d1", "desk", "n1"),
             ("n1", "narrow", "n1"),
         ):
-            deployment.add_server(name, service, zone)
+            deployment.add_instance(name, service, zone)
         routes = [
             route(),
             route("/o/", resumable=False, affine=False),
