--- a/brambleusher/decisions/balancer_driver.py
+++ b/brambleusher/decisions/balancer_driver.py
@@ -1,213 +1,70 @@
-"""The sidecar's one caller of `Balancer`: events go in, actions are routed to whom they concern.
+"""The one caller of the balancer: events go in by the clock, actions are routed to whom they concern.
 
-Nothing here knows how requests, answers or lists travel.
+Nothing here knows how requests, responses or lists travel.
 """
 
 from __future__ import annotations
 
 import logging
-from collections import deque
-from collections.abc import Callable, Iterable, Sequence
-from dataclasses import dataclass
-from typing import Any
-
+from collections.abc import Callable, Iterable, Mapping
+
+from brambleusher.decisions.clock import Clock
+from brambleusher.decisions.observers import Decision, DecisionObserver, DecisionRecorder
+from brambleusher.decisions.requests import (
+    AttemptFinished,
+    AttemptOutcome,
+    AttemptRequested,
+    ClientRequest,
+    DuplicateRequestError,
+    PendingRequest,
+    ResponseStarted,
+    do_nothing,
+)
 from brambleusher.loadbalancing import Balancer, api
 from brambleusher.loadbalancing.json_values import StateError
 from brambleusher.loadbalancing.state_codec import count_avoided_hosts, save
 from brambleusher.loadbalancing.state_transfer import export_state, import_state
 from brambleusher.loadbalancing.zone_aware_balancer import ZoneAwareBalancer, balancer_for
 from brambleusher.observability.counters import Counters
-from brambleusher.runtime.scheduler import Event, Scheduler
-from brambleusher.runtime.system import System
+from brambleusher.runtime.scheduler import Scheduler
 
 log = logging.getLogger(__name__)
 
-RESTART_TIMER_NS = 250_000_000
-
-
-class Clock:
-    """Unix time, read from the wall once and carried on by the monotonic clock.
-
-    Guards against a wall clock that is set while the sidecar runs, and against comparing monotonic
-    time with the start times in the endpoint list, which are Unix time.
-    """
-
-    def __init__(self, system: System) -> None:
-        self._monotonic_ns = system.monotonic_ns
-        self._offset = system.wall_ns() - system.monotonic_ns()
-
-    def now_ns(self) -> int:
-        """Unix time in nanoseconds."""
-        return self._offset + self._monotonic_ns()
-
-    def seconds(self, at_ns: int) -> float:
-        """The scheduler's time at a moment of Unix time."""
-        return (at_ns - self._offset) / 1e9
-
-
-@dataclass(frozen=True, slots=True)
-class ClientRequest:
-    """A request as the decisions see it; `payload` is for those who pass it on."""
-
-    request_id: str
-    request_class: str
-    tenant: str | None
-    time_left_ns: int
-    work_hint_ns: int | None
-    is_retry: bool
-    payload: object
-
-
-def do_nothing() -> None:
-    """What most payloads need done to them."""
-
-
-@dataclass(frozen=True, slots=True)
-class AttemptOutcome:
-    """How a claim ended; `payload` is what the endpoint answered, where it served."""
-
-    status: api.AttemptStatus
-    latency_ns: int
-    report: api.LoadReport | None = None
-    payload: object = None
-    discard: Callable[[], None] = do_nothing  # called where nobody takes the payload
-
-
-@dataclass(frozen=True, slots=True)
-class AttemptFinished:
-    """A claim's end, on its way to the request it was made for."""
-
-    attempt: int
-    endpoint: str
-    outcome: AttemptOutcome
-
-
-@dataclass(frozen=True, slots=True)
-class ResponseStarted:
-    """A claim's answer has begun to go out, or its node is held: it can't be repeated any more."""
-
-    attempt: int
-    endpoint: str
-    latency_ns: int
-    payload: object
-
-
-@dataclass(frozen=True, slots=True)
-class AttemptRequested:
-    """The module wants a claim made; claims are numbered in the order it asked for them."""
-
-    attempt: int
-    endpoint: str
-    timeout_ns: int
-
-
-RequestStep = AttemptRequested | api.RejectRequest | api.FailRequest | AttemptFinished | ResponseStarted
-
-
-class DecisionObserver:
-    """One that is told of requests as they pass; it is quick, and parks nowhere."""
+RETRY_TIMER_NS = 250_000_000  # until a timer fires again that the balancer failed at
 
-    def request_accepted(self, request: ClientRequest) -> None:
-        """A request was taken."""
+# The counters' names, which operators read, apart from the names of statuses.
+ATTEMPT_COUNTERS = {
+    api.AttemptStatus.OK: "claims_served",
+    api.AttemptStatus.CONNECT_FAILED: "claims_connect_failed",
+    api.AttemptStatus.ERROR: "claims_error",
+    api.AttemptStatus.OVERLOADED: "claims_full",
+    api.AttemptStatus.RESET: "claims_reset",
+    api.AttemptStatus.TIMEOUT: "claims_timeout",
+    api.AttemptStatus.CANCELLED: "claims_cancelled",
+    api.AttemptStatus.NOT_STARTED: "claims_moot",
+}
 
-    def attempt_finished(self, request: ClientRequest, endpoint: str, outcome: AttemptOutcome) -> None:
-        """A claim made for a request has ended, before its final answer or after."""
 
-    def request_finished(self, request: ClientRequest, kind: str | None, took_ns: int) -> None:
-        """A request has its final answer of some kind, or its client has left (None)."""
-
-
-class DecisionObservers(DecisionObserver):
-    """Several, in order; a fault in one is logged and harms neither the others nor the request."""
-
-    def __init__(self, observers: Iterable[DecisionObserver] = ()) -> None:
-        self._all = tuple(observers)
-
-    def request_accepted(self, request: ClientRequest) -> None:
-        """Pass it on."""
-        for observer in self._all:
-            try:
-                observer.request_accepted(request)
-            except Exception:
-                self._failed(observer)
-
-    def attempt_finished(self, request: ClientRequest, endpoint: str, outcome: AttemptOutcome) -> None:
-        """Pass it on."""
-        for observer in self._all:
-            try:
-                observer.attempt_finished(request, endpoint, outcome)
-            except Exception:
-                self._failed(observer)
-
-    def request_finished(self, request: ClientRequest, kind: str | None, took_ns: int) -> None:
-        """Pass it on."""
-        for observer in self._all:
-            try:
-                observer.request_finished(request, kind, took_ns)
-            except Exception:
-                self._failed(observer)
-
-    @staticmethod
-    def _failed(observer: DecisionObserver) -> None:
-        log.exception("a feature failed", extra={"fields": {"feature": type(observer).__name__}})
-
-
-@dataclass(slots=True)
-class Decision:
-    """What the module was told (None: its start) and when, and what it led to or raised."""
-
-    event: api.Event | None
-    now_ns: int
-    actions: Sequence[api.Action]
-    error: Exception | None = None
-    request: ClientRequest | None = None  # the request it was about
-
-
-class DecisionRecorder:
-    """One that is told of everything that passes between the sidecar and the module."""
-
-    def start(self, state: Callable[[], dict[str, Any]], is_imported: bool = False) -> None:
-        """The module is made, from nothing or not; `state` tells its state between two events."""
-
-    def record(self, decision: Decision) -> None:
-        """One event has been decided on; its actions are not routed yet."""
-
-
-class PendingRequest:
-    """A request that is owed an answer, and the steps that wait for its task."""
-
-    __slots__ = (
-        "event",
-        "attempts_finished",
-        "attempts_requested",
-        "cancel_attempt",
-        "is_open",
-        "request",
-        "request_id",
-        "steps",
-    )
-
-    def __init__(self, request: ClientRequest) -> None:
-        self.request, self.request_id = request, request.request_id
-        self.steps: deque[RequestStep] = deque()
-        self.event = Event()
-        self.is_open = True
-        self.attempts_requested = self.attempts_finished = 0
-        # Where a claim is called off, also once the request is over; set by whoever makes the claims.
-        self.cancel_attempt: Callable[[int], None] = lambda attempt: None
-
-    def add_step(self, step: RequestStep) -> None:
-        """Hand a step to the task."""
-        self.steps.append(step)
-        self.event.set()
-
-
-class DuplicateRequestError(ValueError):
-    """A request whose id is in use."""
+def _close_nothing(_endpoint: str) -> None:
+    """Close no connections: the default of a callback."""
 
 
 class BalancerDriver:
-    """Drives one `Balancer` by the clock and by what happens."""
+    """Drives one balancer by the clock and by what happens.
+
+    Args:
+        settings: The settings of the decisions.
+        seed: The seed of the balancer's random draws.
+        scheduler: Runs the balancer's timers.
+        clock: The time that the balancer decides by.
+        counters: Counts attempts by their outcome.
+        observers: Follow requests.
+        recorder: Follows decisions.
+        make_balancer: Makes a balancer from settings and a seed.
+        state: What `export_state` of another process's driver made; the balancer goes on from it if it can.
+        close_idle_connections: Closes the idle connections to an endpoint.
+        subscribe: Asks discovery for the endpoint list.
+    """
 
     def __init__(
         self,
@@ -219,18 +76,12 @@
         observers: DecisionObserver | None = None,
         recorder: DecisionRecorder | None = None,
         make_balancer: Callable[[api.Settings, int], Balancer] = balancer_for,
-        state: Any = None,
-        close_idle_connections: Callable[[str], None] = lambda endpoint: None,
+        state: object = None,
+        close_idle_connections: Callable[[str], None] = _close_nothing,
         subscribe: Callable[[], None] = do_nothing,
     ) -> None:
-        """`state` is what another process's `export_state` made: this one goes on from it, if it can."""
         self.settings, self.observers = settings, observers or DecisionObserver()
-        imported = None
-        if state is not None:
-            try:
-                imported = import_state(settings, seed, state)
-            except StateError as error:
-                log.warning("balancer state rejected", extra={"fields": {"reason": error}})
+        imported = None if state is None else _import_balancer(settings, seed, state)
         self._balancer, self._recorder = imported or make_balancer(settings, seed), recorder
         if recorder is not None:
             recorder.start(lambda: save(self._balancer), imported is not None)
@@ -240,16 +91,16 @@
 
     @property
     def unanswered_requests(self) -> int:
-        """Requests without their final answer."""
+        """How many requests have no final response yet."""
         return sum(pending.is_open for pending in self._pending.values())
 
     @property
     def pending_requests(self) -> int:
-        """Requests without their final answer, or with claims out."""
+        """How many requests have no final response yet, or attempts in flight."""
         return len(self._pending)
 
     def start(self, entries: Iterable[api.HostEntry]) -> None:
-        """Begin, with the list held from before."""
+        """Start the balancer, with the endpoint list that is known."""
         now = self._clock.now_ns()
         actions = self._balancer.start(now)
         if self._recorder is not None:
@@ -260,7 +111,11 @@
     # --- events ---------------------------------------------------------------------------------
 
     def submit(self, request: ClientRequest) -> PendingRequest:
-        """A request has come: its first steps wait in the pending request."""
+        """Submit a request that has arrived; its first steps wait in the pending request.
+
+        Raises:
+            DuplicateRequestError: Its id is that of a request in progress.
+        """
         if request.request_id in self._pending:
             raise DuplicateRequestError(f"request {request.request_id} is in progress")
         pending = self._pending[request.request_id] = PendingRequest(request)
@@ -277,14 +132,10 @@
         return pending
 
     def finish_attempt(self, pending: PendingRequest, end: AttemptFinished, closed: bool) -> None:
-        """A claim has ended."""
+        """Note the end of an attempt; `closed`: the request has or gets its final response."""
         pending.attempts_finished += 1
         outcome = end.outcome
-        self._counters.add(
-            f"claims_{outcome.status.value}"
-            if outcome.status is not api.AttemptStatus.OK
-            else "claims_served"
-        )
+        self._counters.add(ATTEMPT_COUNTERS[outcome.status])
         self.observers.attempt_finished(pending.request, end.endpoint, outcome)
         event = api.AttemptEnded(
             pending.request_id,
@@ -299,19 +150,19 @@
         self._release(pending)
 
     def start_response(self, pending: PendingRequest, step: ResponseStarted) -> None:
-        """A claim's answer has begun: the request is closed, the claim stays out until it ends."""
+        """Note that an attempt's response has started: the request is closed, the attempt in flight."""
         self._handle(api.StreamStarted(pending.request_id, step.attempt, step.endpoint, step.latency_ns))
 
     def abandon_request(self, pending: PendingRequest) -> None:
-        """The client has gone, or got an answer that the module did not choose."""
+        """Give a request up: its client has disconnected, or got a response the balancer did not choose."""
         self._handle(api.ClientDisconnected(pending.request_id))
 
     def close_request(self, pending: PendingRequest) -> None:
-        """The request has had its final answer; what its claims still bring goes to the module alone."""
+        """Close a request with its final response; its attempts' ends go to the balancer alone."""
         pending.is_open = False
         while pending.steps:
             step = pending.steps.popleft()
-            if isinstance(step, AttemptRequested):  # not made any more: the module hears of each one's end
+            if isinstance(step, AttemptRequested):  # the balancer is told the end of each one
                 step = AttemptFinished(
                     step.attempt, step.endpoint, AttemptOutcome(api.AttemptStatus.NOT_STARTED, 0)
                 )
@@ -321,7 +172,7 @@
         self._release(pending)
 
     def deliver_attempt_finished(self, pending: PendingRequest, end: AttemptFinished) -> None:
-        """Where a claim reports its end: the request's task if it still waits, else the module."""
+        """Deliver an attempt's end to the request's task if that still waits, else to the balancer."""
         if pending.is_open:
             pending.add_step(end)
         else:
@@ -329,44 +180,44 @@
             end.outcome.discard()
 
     def report_body_progress(self, pending: PendingRequest, attempt: int, whole: bool) -> None:
-        """The request's body goes out on a claim as it comes, or has gone out: its time begins now."""
+        """Note that the request's body is being forwarded, or (`whole`) has been: its time begins now."""
         self._handle(
             api.RequestBodyProgressed(pending.request_id, attempt, whole, pending.request.time_left_ns)
         )
         pending.event.set()  # whoever waits has another deadline now
 
     def deliver_response_started(self, pending: PendingRequest, step: ResponseStarted) -> None:
-        """Where a claim reports that its answer has begun; nobody waits for it any more if it is late."""
+        """Deliver the start of an attempt's response to the request's task, if that still waits."""
         if pending.is_open:
             pending.add_step(step)
 
     def update_endpoints(self, kind: api.ListKind, entries: Iterable[api.HostEntry]) -> None:
-        """News from discovery."""
+        """Pass on an update of the endpoint list, or that discovery has failed."""
         self._handle(api.HostListUpdated(kind, list(entries)))
 
     def change_zone_rules(self, rules: api.ZoneRules | None) -> bool:
-        """The operator says something else of zones; false where the decisions began without rules."""
+        """Follow changed rules on zones; return False where the balancer has started without rules."""
         if not isinstance(self._balancer, ZoneAwareBalancer):
             return rules is None
         self._handle(api.ZoneRulesChanged(rules))
         return True
 
     def zone_status(self) -> dict[str, object] | None:
-        """What is made of zones, as plain values; None where the decisions began without rules."""
+        """Return the status of zones as plain values; None where the balancer has started without rules."""
         if not isinstance(self._balancer, ZoneAwareBalancer):
             return None
         return self._balancer.zone_status(self._clock.now_ns())
 
     def set_process_share(self, share: float) -> None:
-        """This process does so much of this sidecar's work from now on."""
+        """Set the share, from 0 to 1, of the sidecar's requests that this process sends."""
         self._handle(api.ProcessShareChanged(share))
 
-    def export_state(self) -> dict[str, Any] | None:
-        """What the module has learnt, for another process of this sidecar."""
+    def export_state(self) -> Mapping[str, object] | None:
+        """Return the balancer's state for another process of this sidecar; None where it has none to give."""
         return export_state(self._balancer)
 
     def count_avoided_hosts(self) -> int:
-        """How many endpoints of the list get nothing now."""
+        """Return how many endpoints of the list are sent no requests now."""
         return count_avoided_hosts(self._balancer, self._clock.now_ns())
 
     # --- actions --------------------------------------------------------------------------------
@@ -375,17 +226,17 @@
         try:
             self._dispatch(self._decide(event))
         except Exception:
-            # Guards against a request left without an answer, or a module that stops ticking for good,
-            # after one fault in the module.
+            # Guards against a request left without a response, or a balancer without its timer, for good
+            # after one fault in the balancer.
             self._counters.add("faults")
-            log.exception("the module failed", extra={"fields": {"event": type(event).__name__}})
+            log.exception("balancer failed", extra={"fields": {"event": type(event).__name__}})
             if pending is not None and pending.is_open:
                 pending.add_step(api.FailRequest(pending.request_id))
             if isinstance(event, api.TimerFired):
-                self._set_timer(self._clock.now_ns() + RESTART_TIMER_NS, event.token)
+                self._set_timer(self._clock.now_ns() + RETRY_TIMER_NS, event.token)
 
     def _decide(self, event: api.Event) -> list[api.Action]:
-        """The module's answer to an event."""
+        """Return the balancer's actions for an event, and record them."""
         now = self._clock.now_ns()
         if self._recorder is None:
             return self._balancer.handle(event, now)
@@ -400,21 +251,10 @@
         return actions
 
     def _dispatch(self, actions: list[api.Action]) -> None:
+        """Carry out the balancer's actions in order."""
         for action in actions:
             if isinstance(action, api.StartAttempt | api.RejectRequest | api.FailRequest | api.CancelAttempt):
-                pending = self._pending.get(action.request)
-                if isinstance(action, api.CancelAttempt):
-                    if pending is not None:
-                        pending.cancel_attempt(action.attempt)
-                elif pending is None or not pending.is_open:
-                    log.error("action for a request that is over", extra={"fields": {"action": action}})
-                elif isinstance(action, api.StartAttempt):
-                    pending.add_step(
-                        AttemptRequested(pending.attempts_requested, action.host, action.timeout_ns)
-                    )
-                    pending.attempts_requested += 1
-                else:
-                    pending.add_step(action)
+                self._dispatch_to_request(action)
             elif isinstance(action, api.SetTimer):
                 self._set_timer(action.at_ns, action.token)
             elif isinstance(action, api.CloseIdleConnections):
@@ -423,12 +263,39 @@
                 self._subscribe()
             elif isinstance(action, api.WriteLog):
                 log.info(action.text)
-            else:  # a probe: this deployment forbids them
-                log.error("action not allowed", extra={"fields": {"action": action}})
+            else:  # a health check: this deployment forbids them
+                log.error("balancer action unsupported", extra={"fields": {"action": action}})
+
+    def _dispatch_to_request(
+        self, action: api.StartAttempt | api.RejectRequest | api.FailRequest | api.CancelAttempt
+    ) -> None:
+        """Hand an action to the request that it is about."""
+        pending = self._pending.get(action.request)
+        if isinstance(action, api.CancelAttempt):
+            if pending is not None:
+                pending.cancel_attempt(action.attempt)
+        elif pending is None or not pending.is_open:
+            log.error("balancer action for finished request", extra={"fields": {"action": action}})
+        elif isinstance(action, api.StartAttempt):
+            attempt = pending.attempts_requested
+            pending.add_step(AttemptRequested(attempt, action.host, action.timeout_ns))
+            pending.attempts_requested += 1
+        else:
+            pending.add_step(action)
 
     def _set_timer(self, at_ns: int, token: int) -> None:
         self._scheduler.call_at(self._clock.seconds(at_ns), lambda: self._handle(api.TimerFired(token)))
 
     def _release(self, pending: PendingRequest) -> None:
-        if not pending.is_open and pending.attempts_finished >= pending.attempts_requested:
+        """Forget a request that is complete."""
+        if pending.is_complete:
             self._pending.pop(pending.request_id, None)
+
+
+def _import_balancer(settings: api.Settings, seed: int, state: object) -> Balancer | None:
+    """Return a balancer that goes on from another's state; None where it can't be used, which is logged."""
+    try:
+        return import_state(settings, seed, state)
+    except StateError as error:
+        log.warning("balancer state rejected", extra={"fields": {"reason": error}})
+        return None
--- a/brambleusher/features/capture.py
+++ b/brambleusher/features/capture.py
@@ -18,7 +18,7 @@
 
 import orjson
 
-from brambleusher.decisions.balancer_driver import Decision, DecisionRecorder
+from brambleusher.decisions.observers import Decision, DecisionRecorder
 from brambleusher.features.output_queue import ITEM_BYTES, OutputQueue
 from brambleusher.features.records import VERSION, action_of, chosen, event_of, seal, server_entry
 from brambleusher.loadbalancing import api
--- a/brambleusher/features/metrics_reporter.py
+++ b/brambleusher/features/metrics_reporter.py
@@ -8,7 +8,9 @@
 import re
 from collections import Counter
 
-from brambleusher.decisions.balancer_driver import AttemptOutcome, ClientRequest, Clock, DecisionObserver
+from brambleusher.decisions.clock import Clock
+from brambleusher.decisions.observers import DecisionObserver
+from brambleusher.decisions.requests import AttemptOutcome, ClientRequest
 from brambleusher.features.output_queue import OutputQueue
 from brambleusher.loadbalancing import api
 from brambleusher.observability.counters import Counters
--- a/brambleusher/features/status.py
+++ b/brambleusher/features/status.py
@@ -14,7 +14,8 @@
 import orjson
 
 from brambleusher import __version__
-from brambleusher.decisions.balancer_driver import AttemptOutcome, ClientRequest, DecisionObserver
+from brambleusher.decisions.observers import DecisionObserver
+from brambleusher.decisions.requests import AttemptOutcome, ClientRequest
 from brambleusher.features.row_blocks import RowBlocks
 from brambleusher.features.status_rendering import (
     StatusSnapshot,
--- a/brambleusher/fronts/mysql/front.py
+++ b/brambleusher/fronts/mysql/front.py
@@ -14,7 +14,9 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from brambleusher.decisions.balancer_driver import BalancerDriver, ClientRequest, Clock
+from brambleusher.decisions.balancer_driver import BalancerDriver
+from brambleusher.decisions.clock import Clock
+from brambleusher.decisions.requests import ClientRequest
 from brambleusher.fronts.mysql.auth import RsaKey, Secret, ServerLogin, Turn
 from brambleusher.fronts.mysql.channel import Channel, server_context
 from brambleusher.fronts.mysql.constants import (
--- a/brambleusher/fronts/mysql/nodes.py
+++ b/brambleusher/fronts/mysql/nodes.py
@@ -14,7 +14,7 @@
 from enum import Enum
 from typing import Protocol
 
-from brambleusher.decisions.balancer_driver import AttemptOutcome
+from brambleusher.decisions.requests import AttemptOutcome
 from brambleusher.fronts.mysql.auth import ClientLogin, LoginRefused, Turn
 from brambleusher.fronts.mysql.channel import Channel, client_context
 from brambleusher.fronts.mysql.constants import Capability, Command, Errno
--- a/brambleusher/fronts/mysql/service.py
+++ b/brambleusher/fronts/mysql/service.py
@@ -8,7 +8,8 @@
 import random
 from collections.abc import Callable
 
-from brambleusher.decisions.balancer_driver import BalancerDriver, Clock
+from brambleusher.decisions.balancer_driver import BalancerDriver
+from brambleusher.decisions.clock import Clock
 from brambleusher.fronts.mysql.front import Front
 from brambleusher.fronts.mysql.nodes import MysqlNodes
 from brambleusher.fronts.mysql.settings import MysqlSettings, check_against, load_secrets
--- a/brambleusher/lab/faults/breakages.py
+++ b/brambleusher/lab/faults/breakages.py
@@ -13,7 +13,8 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from brambleusher.decisions.balancer_driver import BalancerDriver, ClientRequest, PendingRequest
+from brambleusher.decisions.balancer_driver import BalancerDriver
+from brambleusher.decisions.requests import ClientRequest, PendingRequest
 from brambleusher.features import capture as capture_module
 from brambleusher.lab.checker.rules import RULES
 from brambleusher.loadbalancing import Balancer, api
--- a/brambleusher/net/client_listener.py
+++ b/brambleusher/net/client_listener.py
@@ -5,7 +5,8 @@
 import logging
 from collections.abc import Callable
 
-from brambleusher.decisions.balancer_driver import BalancerDriver, Clock
+from brambleusher.decisions.balancer_driver import BalancerDriver
+from brambleusher.decisions.clock import Clock
 from brambleusher.loadbalancing.client_draining import ClientDraining
 from brambleusher.loadbalancing.connection_admission import FIRST_REQUEST_S, ConnectionAdmission
 from brambleusher.net.client_connection import FIRST_REQUEST_TIMEOUT_S, ClientConnection
--- a/brambleusher/net/client_request_handler.py
+++ b/brambleusher/net/client_request_handler.py
@@ -6,12 +6,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from brambleusher.decisions.balancer_driver import (
-    BalancerDriver,
-    ClientRequest,
-    Clock,
-    DuplicateRequestError,
-)
+from brambleusher.decisions.balancer_driver import BalancerDriver
+from brambleusher.decisions.clock import Clock
+from brambleusher.decisions.requests import ClientRequest, DuplicateRequestError
 from brambleusher.loadbalancing.client_draining import ClientDraining
 from brambleusher.net.client_connection import ClientConnection
 from brambleusher.net.client_connections import ClientConnections
--- a/brambleusher/net/client_request_parser.py
+++ b/brambleusher/net/client_request_parser.py
@@ -4,7 +4,7 @@
 
 import re
 
-from brambleusher.decisions.balancer_driver import ClientRequest
+from brambleusher.decisions.requests import ClientRequest
 from brambleusher.loadbalancing.api import Idempotency, Settings
 from brambleusher.net.http import HttpError, Message
 
--- a/brambleusher/net/request_lifecycle.py
+++ b/brambleusher/net/request_lifecycle.py
@@ -8,11 +8,11 @@
 from enum import Enum
 from typing import Protocol
 
-from brambleusher.decisions.balancer_driver import (
+from brambleusher.decisions.balancer_driver import BalancerDriver
+from brambleusher.decisions.requests import (
     AttemptFinished,
     AttemptOutcome,
     AttemptRequested,
-    BalancerDriver,
     ClientRequest,
     PendingRequest,
     ResponseStarted,
--- a/brambleusher/net/upstream_pool.py
+++ b/brambleusher/net/upstream_pool.py
@@ -6,7 +6,7 @@
 import math
 from collections.abc import Callable
 
-from brambleusher.decisions.balancer_driver import AttemptOutcome, do_nothing
+from brambleusher.decisions.requests import AttemptOutcome, do_nothing
 from brambleusher.loadbalancing.api import AttemptStatus, HostState, Settings
 from brambleusher.loadbalancing.connection_limits import ConnectionLimit, ConnectPacing
 from brambleusher.net.endpoint_list import Endpoint, EndpointListUpdate
--- a/brambleusher/sidecar/app.py
+++ b/brambleusher/sidecar/app.py
@@ -13,7 +13,9 @@
 
 from brambleusher.admin import metrics_text
 from brambleusher.admin.server import AdminServer
-from brambleusher.decisions.balancer_driver import BalancerDriver, Clock, DecisionObserver, DecisionObservers
+from brambleusher.decisions.balancer_driver import BalancerDriver
+from brambleusher.decisions.clock import Clock
+from brambleusher.decisions.observers import DecisionObserver, DecisionObservers
 from brambleusher.features.status import StatusPage
 from brambleusher.handover.process_group import ProcessGroup
 from brambleusher.handover.shared_folder import folder_path
--- a/brambleusher/sidecar/feature_assembly.py
+++ b/brambleusher/sidecar/feature_assembly.py
@@ -5,7 +5,8 @@
 import logging
 from typing import TYPE_CHECKING
 
-from brambleusher.decisions.balancer_driver import BalancerDriver, Clock
+from brambleusher.decisions.balancer_driver import BalancerDriver
+from brambleusher.decisions.clock import Clock
 from brambleusher.features.capture import Capture, DirSink
 from brambleusher.features.metrics_reporter import DROPPED, MetricsReporter
 from brambleusher.features.rewrites import Rewrites
--- a/brambleusher/sidecar/operator_calls.py
+++ b/brambleusher/sidecar/operator_calls.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable
 
-from brambleusher.decisions.balancer_driver import Clock
+from brambleusher.decisions.clock import Clock
 from brambleusher.handover.shared_settings import SharedSettings, SharedSettingsStore
 from brambleusher.loadbalancing.api import HostEntry
 from brambleusher.loadbalancing.client_draining import ClientDraining
--- a/brambleusher/xds/discovery.py
+++ b/brambleusher/xds/discovery.py
@@ -7,7 +7,7 @@
 import threading
 from collections.abc import Callable, Generator
 
-from brambleusher.decisions.balancer_driver import Clock
+from brambleusher.decisions.clock import Clock
 from brambleusher.net.endpoint_list import EndpointList, EndpointListUpdate
 from brambleusher.net.endpoint_watch import HttpWatch
 from brambleusher.observability.counters import Counters
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -19,7 +19,8 @@
 from typing import Any
 from unittest import mock
 
-from brambleusher.decisions.balancer_driver import ClientRequest, Decision
+from brambleusher.decisions.observers import Decision
+from brambleusher.decisions.requests import ClientRequest
 from brambleusher.features import capture as capture_module
 from brambleusher.features.capture import Capture, DirSink
 from brambleusher.features.output_queue import OutputQueue
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -12,7 +12,8 @@
 import orjson
 import pytest
 
-from brambleusher.decisions.balancer_driver import ClientRequest, Decision
+from brambleusher.decisions.observers import Decision
+from brambleusher.decisions.requests import ClientRequest
 from brambleusher.features.capture import Capture
 from brambleusher.features.output_queue import OutputQueue
 from brambleusher.features.records import action_of, entry_from, event_from, event_of, server_entry
