--- a/brambleusher/dataplane/instance_table.py
+++ b/brambleusher/dataplane/instance_table.py
@@ -132,8 +132,8 @@
             spare=policy.weighs_by_spare_capacity,
             latency_index=policy.weighs_by_latency,
             health=policy.weighs_by_health,
-            silence=policy.skips_unresponsive,
-            room_above_share=policy.limits_to_quota_share,
+            unresponsive=policy.skips_unresponsive,
+            slot_limit=policy.limits_to_quota_share,
             reported_load=policy.uses_reported_load,
         )
 
--- a/brambleusher/loadbalancing/instance_weights.py
+++ b/brambleusher/loadbalancing/instance_weights.py
@@ -1,9 +1,9 @@
 """Weights of a service's instances as one gateway sees them, on the design's path; pure.
 
-Some instances tell their load with their answers, others tell nothing.  For these a gateway derives
-utilisation from its own traffic and the capacity on the list: of so many slots, this gateway's part is used
+Some instances report their load with their answers, others report nothing.  For these a gateway derives
+utilisation from its own traffic and the capacity on the list: of so many slots, this gateway's share is used
 by its own attempts.  Spare capacity is throughput over utilisation times one minus utilisation.  From there
-on it is the path of `brambleusher/loadbalancing/balancer.py`, with the same functions.  Times are seconds.
+on it is the path of `brambleusher/loadbalancing/weights.py`, with the same functions.  Times are seconds.
 """
 
 from __future__ import annotations
@@ -11,30 +11,25 @@
 import math
 import random
 from collections.abc import Collection, Iterable, Mapping, Sequence
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from statistics import median
 
-from brambleusher.loadbalancing.performance_index import PI_GOAL, aggregate_pi
+from brambleusher.loadbalancing.instance_metrics import (
+    MAX_LOAD,
+    MIN_LATENCY_TARGET_S,
+    NO_SUMS,
+    PRIORITIES,
+    TICK_S,
+    InFlight,
+    InstanceMetrics,
+    sums_from,
+)
 from brambleusher.loadbalancing.token_round_robin import WEIGHT_TOTAL
 from brambleusher.loadbalancing.weights import MIN_SPARE_FRACTION, final_weights
 
-TICK_S = 0.5  # weights are recomputed so often: news is acted on within the shortest aim
-FIGURES_S = 20.0  # window of throughput and utilisation
-INDEX_S = 4.0  # window of latencies
-HEALTH_S = 6.0  # window of successes and failures
-HEALTH_POWER = 6  # of the served share: an instance that fails two in five is next to no use to anyone
-OWN_EVIDENCE = 2.0  # times as much as others': a gateway may be cut off from what they reach
 OTHERS_FRESH_S = 3.0  # without news of the other gateways for so long, a gateway judges alone
-PRIOR = 1.0  # successes that an instance without a history is credited with
-AGE_CAP = 4.0  # the most that one unanswered attempt says, in aims
-PRIORITIES = 10
-SILENCE_PASSED_OVER = 0.6  # of an aim: usual answers begin within a third
-ROOM_ABOVE_SHARE = 1.25  # times its share of the attempts out that an instance may hold
-LOAD_FRESH_S = 3.0  # a reported load counts less and less; after so long about a third
-LOAD_BELIEVED = 0.3  # of one fresh report: with less the estimate from attempts is better
-LOAD_MOST = 2.0  # of the slots: what one report may claim
-
-NO_FIGURES = (0.0,) * 8
+UNRESPONSIVE_RATIO = 0.6  # of a latency target: usual answers begin within a third
+FAIR_WEIGHT_DIVISOR = 4  # of an even weight: with less an instance is not worth going to for its cache
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,278 +39,187 @@
     spare: bool = True
     latency_index: bool = True
     health: bool = True
-    silence: bool = True
-    room_above_share: bool = True
+    unresponsive: bool = True
+    slot_limit: bool = True
     reported_load: bool = True
 
 
-@dataclass(slots=True)
-class InstanceMetrics:
-    """What is known of one instance."""
-
-    name: str
-    capacity: float
-    out: dict[int, tuple[int, float, float]] = field(default_factory=dict)  # attempt: priority, sent, aim
-    rate: float = 0.0
-    used: float = 0.0  # mean of own attempts out
-    seen: float = 0.0  # seconds of history within the window
-    ended: int = 0  # since the last tick
-    late_n: list[float] = field(default_factory=lambda: [0.0] * PRIORITIES)
-    late_sum: list[float] = field(default_factory=lambda: [0.0] * PRIORITIES)
-    served: float = PRIOR
-    failed: float = 0.0
-    answered_at: float = -math.inf  # when an answer began last
-    quiet_index: float = 0.0  # of the last quiet spell, which counts where nothing is recent
-    load: float = 0.0  # that the instance told last, as a part of its slots
-    load_weight: float = 0.0  # 1 for a report of this moment, less for an older one
-    # Sums over the other gateways: served, failed, in use, answers, latencies in aims, requests a second,
-    # reported loads times their weights, these weights.
-    others: Sequence[float] = NO_FIGURES
-    weight: float = 0.0
-    tokens: int = 0
-    credit: float = 0.0
-
-    def health(self) -> float:
-        """The served share of recent attempts, of all gateways, as an estimate of what it is good for."""
-        served = self.served * OWN_EVIDENCE + self.others[0]
-        failed = self.failed * OWN_EVIDENCE + self.others[1]
-        return float((served / (served + failed)) ** HEALTH_POWER)
-
-    def index(self, now: float) -> float:
-        """Latency over aim, with the age of attempts that are out: a hung instance sends no answers.
-
-        Open case of the design: a hung instance with figures that are old and good.  Where nothing at all was
-        answered since an attempt was sent, its age over the aim is the index, whatever the mean says.
-        """
-        means = [total / n if n > 0.01 else 0.0 for total, n in zip(self.late_sum, self.late_n, strict=True)]
-        index, count = aggregate_pi(means, self.late_n, list(range(PRIORITIES)))
-        if self.others[3] > 0:
-            answers = count * OWN_EVIDENCE + self.others[3]
-            index, count = (index * count * OWN_EVIDENCE + self.others[4]) / answers, answers
-        if count <= 0.01:
-            index, count = self.quiet_index, 1.0
-        total, seen = index * count, count
-        for _, sent, aim in self.out.values():
-            age = min((now - sent) / aim, AGE_CAP)
-            if age > max(index, PI_GOAL):
-                total, seen = total + age, seen + 1
-        return max(total / seen, self.silence(now))
-
-    def silence(self, now: float) -> float:
-        """The age over the aim of the oldest attempt, where nothing at all was answered since it was sent."""
-        ages = [(now - sent) / aim for _, sent, aim in self.out.values() if sent > self.answered_at]
-        return min(max(ages, default=0.0), AGE_CAP)
-
-    def has_room(self, out: int, weights: float) -> bool:
-        """Whether its part of `out` attempts is within its weight, out of the candidates' `weights`."""
-        return weights <= 0 or len(self.out) < ROOM_ABOVE_SHARE * out * self.weight / weights + 1
-
-    def utilisation(self, gateways: float, reporters: int) -> float | None:
-        """The part of its capacity in use: as it says, else as if all gateways were like those heard of.
-
-        None without figures.
-        """
-        told = self.load_weight + self.others[7]
-        if told >= LOAD_BELIEVED:
-            return min(1.0, (self.load * self.load_weight + self.others[6]) / told)
-        if self.seen < TICK_S:
-            return None
-        used = (self.used + self.others[2]) * gateways / (reporters + 1)
-        return min(1.0, used / self.capacity)
-
-    def report(self) -> list[float]:
-        """What this gateway saw, for the others: see `others`."""
-        figures = (
-            self.served - PRIOR,
-            self.failed,
-            self.used,
-            sum(self.late_n),
-            sum(self.late_sum),
-            self.rate,
-            self.load * self.load_weight,
-            self.load_weight,
-        )
-        return [round(max(0.0, figure), 2) for figure in figures]
-
-
 class InstanceWeights:
     """Weights and tokens of one service's ready instances."""
 
     def __init__(self, rng: random.Random, mechanisms: Mechanisms | None = None) -> None:
         self._rng = rng
         self._mechanisms = mechanisms or Mechanisms()
-        self._known: dict[str, InstanceMetrics] = {}
-        self._ring: list[InstanceMetrics] = []
-        self._at = 0
+        self._instances: dict[str, InstanceMetrics] = {}
+        self._ring: list[InstanceMetrics] = []  # the ready ones, in the order of turns
+        self._next = 0
         self._attempts = 0
-        self.mean_utilisation = 1.0  # of the instances with figures; until there are any, as if all were full
-        self._ticked: float | None = None
-        self._reporters, self._heard_at = 0, -math.inf
+        # Of the instances with figures; until there are any, as if all were full.
+        self.mean_utilisation = 1.0
+        self._ticked_s: float | None = None
+        self._reporters = 0
+        self._reported_s = -math.inf  # when other gateways' sums came last
 
     def set_instances(self, ready: Mapping[str, float]) -> None:
-        """The ready instances and their capacities; all others lose weight and tokens at once."""
+        """Take the ready instances and their capacities; all others lose weight and tokens at once."""
         for name, capacity in ready.items():
-            if name in self._known:
-                self._known[name].capacity = capacity
+            if name in self._instances:
+                self._instances[name].capacity = capacity
             else:
-                self._known[name] = InstanceMetrics(name, max(capacity, 1.0))
-        for figures in self._known.values():
-            if figures.name not in ready:
-                figures.weight, figures.tokens, figures.credit = 0.0, 0, 0.0
-        for name in [name for name, kept in self._known.items() if name not in ready and not kept.out]:
-            del self._known[name]
-        if {figures.name for figures in self._ring} != set(ready):
-            self._ring = [self._known[name] for name in ready]
+                self._instances[name] = InstanceMetrics(name, max(capacity, 1.0))
+        for instance in self._instances.values():
+            if instance.name not in ready:
+                instance.weight = 0.0
+                instance.tokens = 0
+                instance.token_credit = 0.0
+        for name, instance in list(self._instances.items()):
+            if name not in ready and not instance.in_flight:
+                del self._instances[name]
+        if {instance.name for instance in self._ring} != set(ready):
+            self._ring = [self._instances[name] for name in ready]
             self._rng.shuffle(self._ring)
-            self._at = self._rng.randrange(len(self._ring)) if self._ring else 0
-            self._weigh(self._ticked or 0.0, 1.0)
+            self._next = self._rng.randrange(len(self._ring)) if self._ring else 0
+            self._weigh(self._ticked_s or 0.0, 1.0)
 
     # --- own traffic -----------------------------------------------------------------------------
 
-    def start_attempt(self, name: str, priority: int, aim_s: float, now: float) -> int:
-        """An attempt was sent; its number is for `record_first_byte` and `finish_attempt`."""
+    def start_attempt(self, name: str, priority: int, target_s: float, now: float) -> int:
+        """Count an attempt that was sent.
+
+        Returns:
+            Its number, for `record_first_byte` and `finish_attempt`.
+        """
         self._attempts += 1
-        figures = self._known.get(name)
-        if figures is not None:
+        instance = self._instances.get(name)
+        if instance is not None:
             level = min(max(priority, 0), PRIORITIES - 1)
-            figures.out[self._attempts] = (level, now, max(aim_s, 0.01))
+            target_s = max(target_s, MIN_LATENCY_TARGET_S)
+            instance.in_flight[self._attempts] = InFlight(level, now, target_s)
         return self._attempts
 
     def record_first_byte(self, name: str, attempt: int, now: float) -> None:
-        """The first bytes of an answer came."""
-        figures = self._known.get(name)
-        if figures is None or attempt not in figures.out:
+        """Count the latency of an answer that has begun."""
+        instance = self._instances.get(name)
+        if instance is None or attempt not in instance.in_flight:
             return
-        figures.answered_at = now
-        priority, sent, aim = figures.out[attempt]
-        figures.late_n[priority] += 1
-        figures.late_sum[priority] += (now - sent) / aim
-        figures.out[attempt] = (priority, now, math.inf)  # its wait is over, its slot is not
-
-    def finish_attempt(self, name: str, attempt: int, well: bool | None) -> None:
-        """An attempt is over: well, as a failure, or (None) with nothing to say of the instance."""
-        figures = self._known.get(name)
-        if figures is None or figures.out.pop(attempt, None) is None:
+        instance.last_response_s = now
+        priority, sent_s, target_s = instance.in_flight[attempt]
+        instance.latency_counts[priority] += 1
+        instance.latency_ratio_sums[priority] += (now - sent_s) / target_s
+        instance.in_flight[attempt] = InFlight(priority, now, math.inf)
+
+    def finish_attempt(self, name: str, attempt: int, has_succeeded: bool | None) -> None:
+        """End an attempt: with success, as a failure, or (None) with nothing to say of the instance."""
+        instance = self._instances.get(name)
+        if instance is None or instance.in_flight.pop(attempt, None) is None:
             return
-        if well is not None:
-            figures.served += well
-            figures.failed += not well
-        figures.ended += bool(well)
+        if has_succeeded is not None:
+            instance.served += has_succeeded
+            instance.failed += not has_succeeded
+        instance.served_since_tick += bool(has_succeeded)
 
     def record_connect_failure(self, name: str) -> None:
-        """A connection to an instance failed."""
-        figures = self._known.get(name)
-        if figures is not None:
-            figures.failed += 1
+        """Count a connection to an instance that failed."""
+        instance = self._instances.get(name)
+        if instance is not None:
+            instance.failed += 1
 
     def record_load(self, name: str, running: float, waiting: float, slots: float) -> None:
-        """An instance told its load with an answer."""
-        figures = self._known.get(name)
-        if figures is not None and self._mechanisms.reported_load:
-            figures.load = min(LOAD_MOST, (running + waiting) / max(slots, 1.0))
-            figures.load_weight = 1.0
+        """Take in the load that an instance reported with an answer."""
+        instance = self._instances.get(name)
+        if instance is not None and self._mechanisms.reported_load:
+            instance.load = min(MAX_LOAD, (running + waiting) / max(slots, 1.0))
+            instance.load_weight = 1.0
 
-    # --- other gateways ---------------------------------------------------------------------------
+    # --- other gateways --------------------------------------------------------------------------
 
     def export_sums(self) -> dict[str, list[float]]:
-        """What this gateway saw lately, by instance."""
-        reports = {figures.name: figures.report() for figures in self._known.values()}
-        return {name: report for name, report in reports.items() if any(report)}
+        """Return what this gateway saw lately, by instance."""
+        sums = {instance.name: instance.observed() for instance in self._instances.values()}
+        return {name: each for name, each in sums.items() if any(each)}
 
     def import_sums(self, reporters: int, sums: Mapping[str, Sequence[float]], now: float) -> None:
-        """What so many other gateways saw, added up; an older version's sums have no reported loads."""
-        self._reporters, self._heard_at = reporters, now
-        for figures in self._known.values():
-            figures.others = (*sums.get(figures.name, ()), *NO_FIGURES)[: len(NO_FIGURES)]
-
-    def _forget_others(self, now: float) -> None:
-        if self._reporters and now - self._heard_at > OTHERS_FRESH_S:
+        """Take in what `reporters` other gateways saw, added up."""
+        self._reporters = reporters
+        self._reported_s = now
+        for instance in self._instances.values():
+            figures = sums.get(instance.name)
+            instance.others = NO_SUMS if figures is None else sums_from(figures)
+
+    def _forget_stale_sums(self, now: float) -> None:
+        if self._reporters and now - self._reported_s > OTHERS_FRESH_S:
             self.import_sums(0, {}, now)
 
     # --- weights ---------------------------------------------------------------------------------
 
     def recompute(self, now: float, gateways: float) -> None:
-        """Recompute, where it is time to."""
-        if self._ticked is None:
-            self._ticked = now
-        gap = now - self._ticked
-        if gap < TICK_S:
+        """Recompute the weights, where it is time to."""
+        if self._ticked_s is None:
+            self._ticked_s = now
+        gap_s = now - self._ticked_s
+        if gap_s < TICK_S:
             return
-        self._ticked = now
-        self._forget_others(now)
-        for figures in self._known.values():
-            self._fade(figures, gap)
+        self._ticked_s = now
+        self._forget_stale_sums(now)
+        for instance in self._instances.values():
+            instance.decay(gap_s)
         self._weigh(now, gateways)
 
-    @staticmethod
-    def _fade(figures: InstanceMetrics, gap: float) -> None:
-        kept = math.exp(-gap / FIGURES_S)
-        figures.rate = figures.rate * kept + (figures.ended / gap) * (1 - kept)
-        figures.used = figures.used * kept + len(figures.out) * (1 - kept)
-        figures.seen = min(FIGURES_S, figures.seen + gap)
-        figures.ended = 0
-        figures.load_weight *= math.exp(-gap / LOAD_FRESH_S)
-        recent, health = math.exp(-gap / INDEX_S), math.exp(-gap / HEALTH_S)
-        if sum(figures.late_n) >= 1 and not figures.failed > 0.5:
-            figures.quiet_index = min(PI_GOAL, sum(figures.late_sum) / sum(figures.late_n))
-        figures.late_n = [n * recent for n in figures.late_n]
-        figures.late_sum = [total * recent for total in figures.late_sum]
-        figures.served = max(PRIOR, figures.served * health)
-        figures.failed *= health
-
     def _weigh(self, now: float, gateways: float) -> None:
-        throughput = self._throughput()
-        spares = [self._spare(figures, throughput, gateways) for figures in self._ring]
-        used = [figures.utilisation(gateways, self._reporters) for figures in self._ring]
-        told = [each for each in used if each is not None]
-        self.mean_utilisation = sum(told) / len(told) if told else 1.0
+        throughput = self._throughput_per_slot()
+        spares = [self._spare(instance, throughput, gateways) for instance in self._ring]
+        utilisations = [instance.utilisation(gateways, self._reporters) for instance in self._ring]
+        reported = [each for each in utilisations if each is not None]
+        self.mean_utilisation = sum(reported) / len(reported) if reported else 1.0
         known = [spare for spare in spares if spare is not None]
-        middle = median(known) if known else 1.0
-        base = [middle if spare is None else spare for spare in spares]
+        usual = median(known) if known else 1.0
+        base = [usual if spare is None else spare for spare in spares]
         acts = self._mechanisms
         weights = final_weights(
             base if acts.spare else [1.0] * len(base),
-            [figures.index(now) if acts.latency_index else 0.0 for figures in self._ring],
-            [figures.health() if acts.health else 1.0 for figures in self._ring],
+            [instance.performance_index(now) if acts.latency_index else 0.0 for instance in self._ring],
+            [instance.health() if acts.health else 1.0 for instance in self._ring],
         )
-        scale = len(self._ring) / WEIGHT_TOTAL
-        for figures, weight in zip(self._ring, weights, strict=True):
-            figures.weight = weight
-            figures.tokens = min(figures.tokens, math.ceil(weight * scale))
+        tokens_per_weight = len(self._ring) / WEIGHT_TOTAL
+        for instance, weight in zip(self._ring, weights, strict=True):
+            instance.weight = weight
+            instance.tokens = min(instance.tokens, math.ceil(weight * tokens_per_weight))
 
-    def _throughput(self) -> float:
-        """Requests a second that one slot serves, over all instances.
+    def _throughput_per_slot(self) -> float:
+        """Return requests a second that one slot serves, over all instances.
 
-        An instance's own figure would tell what kinds of requests it has got, rather than what it can do:
-        one that keeps long prompts looks ten times as slow as its neighbours.
+        An instance's own figure would say what kinds of requests it has got, rather than what it can do: one
+        that caches long prompts looks ten times as slow as its neighbours.
         """
-        used = sum(figures.used + figures.others[2] for figures in self._ring)
-        rate = sum(figures.rate + figures.others[5] for figures in self._ring)
-        return rate / used if used > 0 and rate > 0 else 1.0
+        in_use = sum(instance.mean_in_flight + instance.others.in_use for instance in self._ring)
+        rate = sum(instance.requests_per_s + instance.others.requests_per_s for instance in self._ring)
+        return rate / in_use if in_use > 0 and rate > 0 else 1.0
 
-    def _spare(self, figures: InstanceMetrics, throughput: float, gateways: float) -> float | None:
-        """Requests a second that an instance could take beside what it does; None without figures."""
-        utilisation = figures.utilisation(gateways, self._reporters)
+    def _spare(self, instance: InstanceMetrics, throughput: float, gateways: float) -> float | None:
+        """Return requests a second that an instance could take beside what it does; None without figures."""
+        utilisation = instance.utilisation(gateways, self._reporters)
         if utilisation is None:
             return None
-        spare = throughput * figures.capacity * (1.0 - utilisation)
+        spare = throughput * instance.capacity * (1.0 - utilisation)
         return 0.0 if 1.0 - utilisation < MIN_SPARE_FRACTION else spare
 
     def has_fair_weight(self, name: str) -> bool:
-        """Whether an instance has a fair part of the weight: a prompt kept there is worth going for."""
-        figures = self._known.get(name)
-        return figures is not None and figures.weight * len(self._ring) >= WEIGHT_TOTAL / 4
+        """Return whether an instance has a fair part of the weight: its prefix cache is worth going to."""
+        instance = self._instances.get(name)
+        if instance is None:
+            return False
+        return instance.weight * len(self._ring) >= WEIGHT_TOTAL / FAIR_WEIGHT_DIVISOR
 
     def attempts_in_flight(self, name: str) -> int:
-        """Own attempts out at an instance."""
-        figures = self._known.get(name)
-        return len(figures.out) if figures is not None else 0
+        """Return the number of own attempts in flight at an instance."""
+        instance = self._instances.get(name)
+        return len(instance.in_flight) if instance is not None else 0
 
     def weights(self) -> dict[str, float]:
-        """The weights, for operators."""
-        return {figures.name: round(figures.weight, 2) for figures in self._ring}
+        """Return the weights, for operators."""
+        return {instance.name: round(instance.weight, 2) for instance in self._ring}
 
-    # --- spending --------------------------------------------------------------------------------
+    # --- spending tokens -------------------------------------------------------------------------
 
     def choose(
         self, candidates: Sequence[str], now: float, among_few: bool = False, first: Collection[str] = ()
@@ -328,61 +232,62 @@
         Open case of the design: the candidates have no tokens while others have some.  Then the one that is
         least occupied for its weight is borrowed from, and no token is reloaded: others keep their turn.
 
-        An instance that holds more of the attempts out than its weight explains is passed over and keeps its
-        token: own attempts out show at once what figures show late, that it has slowed down or hangs.  So is
-        one that has been silent for most of an aim.
+        An instance that holds more of the attempts in flight than its weight explains is passed over and
+        keeps its token: own attempts in flight show at once what figures show late, that it has slowed down
+        or hangs. So is one that has been unresponsive for most of a latency target.
         """
-        wanted = set(candidates)
-        out = sum(len(figures.out) for figures in self._ring if figures.name in wanted) + 1
-        share = sum(figures.weight for figures in self._ring if figures.name in wanted)
-        if not any(figures.tokens > 0 for figures in self._ring):
+        names = set(candidates)
+        eligible = [instance for instance in self._ring if instance.name in names]
+        in_flight = sum(len(instance.in_flight) for instance in eligible) + 1
+        weight_sum = sum(instance.weight for instance in eligible)
+        if not any(instance.tokens > 0 for instance in self._ring):
             self._load(self._ring)
-        elif among_few:
-            few = [figures for figures in self._ring if figures.name in wanted]
-            if not any(figures.tokens > 0 for figures in few):
-                self._load(few)
-        for names in (wanted.intersection(first), wanted):
-            taken = self._in_turn(names, out, share, now) if names else None
-            if taken is not None:
-                return taken
-        return self._borrow((figures for figures in self._ring if figures.name in wanted), now)
-
-    def _load(self, ring: Sequence[InstanceMetrics]) -> None:
-        scale = len(self._ring) / WEIGHT_TOTAL
-        for figures in ring:
-            figures.credit += figures.weight * scale
-            fresh = int(figures.credit)
-            figures.credit -= fresh
-            figures.tokens = max(figures.tokens, fresh)
-
-    def _in_turn(self, names: Collection[str], out: int, share: float, now: float) -> str | None:
-        """The next of these in the ring that has a token and room and is not silent; takes its token."""
+        elif among_few and not any(instance.tokens > 0 for instance in eligible):
+            self._load(eligible)
+        for among in (names.intersection(first), names):
+            chosen = self._in_turn(among, in_flight, weight_sum, now) if among else None
+            if chosen is not None:
+                return chosen
+        return self._borrow(eligible, now)
+
+    def _load(self, instances: Sequence[InstanceMetrics]) -> None:
+        """Give instances their latest weight in tokens; fractions are carried over."""
+        tokens_per_weight = len(self._ring) / WEIGHT_TOTAL
+        for instance in instances:
+            instance.token_credit += instance.weight * tokens_per_weight
+            whole = int(instance.token_credit)
+            instance.token_credit -= whole
+            instance.tokens = max(instance.tokens, whole)
+
+    def _in_turn(self, names: Collection[str], in_flight: int, weight_sum: float, now: float) -> str | None:
+        """Take a token of the next of these in the ring that has one, a slot, and is not unresponsive."""
         for step in range(len(self._ring)):
-            place = (self._at + step) % len(self._ring)
-            figures = self._ring[place]
-            fits = figures.tokens > 0 and figures.name in names and self._has_room(figures, out, share)
-            if fits and not self._silent(figures, now):
-                figures.tokens -= 1
-                self._at = place + 1
-                return figures.name
+            index = (self._next + step) % len(self._ring)
+            instance = self._ring[index]
+            if instance.tokens <= 0 or instance.name not in names:
+                continue
+            if self._has_slot(instance, in_flight, weight_sum) and not self._is_unresponsive(instance, now):
+                instance.tokens -= 1
+                self._next = index + 1
+                return instance.name
         return None
 
-    def _has_room(self, figures: InstanceMetrics, out: int, share: float) -> bool:
-        return not self._mechanisms.room_above_share or figures.has_room(out, share)
+    def _has_slot(self, instance: InstanceMetrics, in_flight: int, weight_sum: float) -> bool:
+        return not self._mechanisms.slot_limit or instance.has_slot(in_flight, weight_sum)
 
-    def _silent(self, figures: InstanceMetrics, now: float) -> bool:
-        return self._mechanisms.silence and figures.silence(now) >= SILENCE_PASSED_OVER
+    def _is_unresponsive(self, instance: InstanceMetrics, now: float) -> bool:
+        return self._mechanisms.unresponsive and instance.unresponsive_ratio(now) >= UNRESPONSIVE_RATIO
 
     def _borrow(self, candidates: Iterable[InstanceMetrics], now: float) -> str | None:
-        """Those without weight come last: all-zero candidates count as equal."""
-        best = min(
+        """Return the least occupied; those without weight come last, and all-zero ones count as equal."""
+        least = min(
             candidates,
-            key=lambda figures: (
-                figures.weight <= 0,
-                self._silent(figures, now),
-                (len(figures.out) + 1) / (figures.weight or 1.0),
-                figures.name,
+            key=lambda instance: (
+                instance.weight <= 0,
+                self._is_unresponsive(instance, now),
+                (len(instance.in_flight) + 1) / (instance.weight or 1.0),
+                instance.name,
             ),
             default=None,
         )
-        return best.name if best is not None else None
+        return least.name if least is not None else None
--- a/tests/system/test_instance_weights.py
+++ b/tests/system/test_instance_weights.py
@@ -6,7 +6,8 @@
 
 import pytest
 
-from brambleusher.loadbalancing.instance_weights import HEALTH_POWER, OTHERS_FRESH_S, TICK_S, InstanceWeights
+from brambleusher.loadbalancing.instance_metrics import HEALTH_POWER, TICK_S
+from brambleusher.loadbalancing.instance_weights import OTHERS_FRESH_S, InstanceWeights
 
 AIM_S = 0.5
 
--- a/tests/system/test_policy.py
+++ b/tests/system/test_policy.py
@@ -11,14 +11,8 @@
 from brambleusher import system_main
 from brambleusher.dataplane.instance_table import InstanceTable
 from brambleusher.dataplane.placement import Placement
-from brambleusher.loadbalancing.instance_weights import (
-    LOAD_FRESH_S,
-    LOAD_MOST,
-    SILENCE_PASSED_OVER,
-    TICK_S,
-    InstanceWeights,
-    Mechanisms,
-)
+from brambleusher.loadbalancing.instance_metrics import LOAD_WINDOW_S, MAX_LOAD, TICK_S
+from brambleusher.loadbalancing.instance_weights import UNRESPONSIVE_RATIO, InstanceWeights, Mechanisms
 from brambleusher.wire import instance_load, policy
 from brambleusher.wire.configuration import Service
 from brambleusher.wire.errors import InvalidPolicyError
@@ -128,10 +122,10 @@
 
 
 def test_skipping_unresponsive_instances_can_be_switched_off() -> None:
-    for off, expected in (({}, {"b"}), ({"silence": False}, {"a", "b"})):
-        weights = weights_with(**off, room_above_share=False)
+    for off, expected in (({}, {"b"}), ({"unresponsive": False}, {"a", "b"})):
+        weights = weights_with(**off, slot_limit=False)
         weights.start_attempt("a", 0, AIM_S, 0.0)
-        now = AIM_S * (SILENCE_PASSED_OVER + 0.1)
+        now = AIM_S * (UNRESPONSIVE_RATIO + 0.1)
         assert {weights.choose(["a", "b"], now) for _ in range(2)} == expected
 
 
@@ -177,7 +171,7 @@
     assert weights.weights()["a"] < weights.weights()["b"] / 3
     alone = weights_with()
     alone.record_load("a", 60, 0, 64)
-    steps = int(3 * LOAD_FRESH_S / TICK_S)
+    steps = int(3 * LOAD_WINDOW_S / TICK_S)
     ticks(alone, 0.0, steps)
     assert alone.weights() == {"a": 32.0, "b": 32.0}
 
@@ -198,4 +192,4 @@
     current = weights.weights()
     assert current["a"] <= 2.1 * current["b"]
     weights.record_load("a", 10**6, 10**6, 1)
-    assert weights.export_sums()["a"][6] <= LOAD_MOST
+    assert weights.export_sums()["a"][6] <= MAX_LOAD
