--- a/brambleusher/loadbalancing/api.py
+++ b/brambleusher/loadbalancing/api.py
@@ -1,7 +1,7 @@
-"""Interface of the decision module: settings, events and actions.
+"""Interface of the balancer: settings, events and actions.
 
-Everything here is plain data in the terms of the field.  Times are whole nanoseconds on the
-caller's clock; the module never reads a clock of its own.
+Everything here is plain data.  Times are whole nanoseconds on the caller's clock; the balancer never reads a
+clock of its own.  Values of enums are stored in captures and counted under; they never change.
 """
 
 from __future__ import annotations
@@ -9,20 +9,20 @@
 from dataclasses import dataclass
 from enum import Enum
 
-# Of an attempt's time, a connect may take this part and `connect_timeout_ns`, whichever is less.
+# A connect may take this fraction of its attempt's time, and `connect_timeout_ns` at the most.
 CONNECT_TIMEOUT_FRACTION = 0.2
 
 
 class Idempotency(Enum):
-    """What running a request twice would do."""
+    """Whether a request may be executed twice."""
 
-    SAFE = "safe"
-    KEYED = "keyed"
-    UNSAFE = "unsafe"
+    SAFE = "safe"  # it may
+    KEYED = "keyed"  # it has an idempotency key, by which hosts discard a repeat
+    UNSAFE = "unsafe"  # it may not
 
 
 class DeduplicationScope(Enum):
-    """Which hosts discard a repeat of a keyed request."""
+    """Which hosts discard a repeat of a keyed request: all, those of one zone, or of one cell."""
 
     ALL = "all"
     ZONE = "zone"
@@ -30,7 +30,7 @@
 
 
 class HostState(Enum):
-    """What discovery says of a host."""
+    """The state of a host as discovery lists it."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -38,12 +38,12 @@
 
 
 class ListKind(Enum):
-    """How a list from discovery relates to the one held."""
+    """How an endpoint list relates to the current one."""
 
-    SAVED = "saved"
+    SAVED = "saved"  # from the configuration, may be old
     FULL = "full"
-    DELTA = "delta"
-    FAILED = "failed"
+    DELTA = "delta"  # changed hosts only
+    FAILED = "failed"  # discovery could not be reached: no list
 
 
 class AttemptStatus(Enum):
@@ -51,23 +51,23 @@
 
     OK = "ok"
     ERROR = "error"
-    OVERLOADED = "full"
+    OVERLOADED = "full"  # the host rejected it without executing it
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    NOT_STARTED = "moot"
+    NOT_STARTED = "moot"  # the request had ended before the attempt was sent
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of requests and what its answers are worth."""
+    """One class of requests and the value of its responses."""
 
     name: str
     latency_target_ns: int
     deadline_ns: int
-    value: float
-    late_value: float = 0.0
+    value: float  # of a response within the target
+    late_value: float = 0.0  # of one after it, as a fraction of `value`
     idempotency: Idempotency = Idempotency.SAFE
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
     deduplication_window_ns: int = 0
@@ -76,69 +76,68 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant's share of the service; past `quota_per_s` its traffic is worth little."""
+    """A tenant's share of the service, and its quota."""
 
     name: str
     quota_share: float
     quota_per_s: float
 
 
-Tier = tuple[tuple[str, float], ...]  # zones that are as near, with weights
+Tier = tuple[tuple[str, float], ...]  # zones that are equally near, with weights
 
 
 @dataclass(frozen=True)
 class ZoneRules:
-    """What the operator says of zones.
+    """The operator's rules on zones.
 
     `neighbours` has, for a zone, the tiers after it, nearest first; without any they are learned.
-    `spill_rate` is the part of a zone's spare capacity that all proxies together may be granted anew in a
+    `spill_rate` is the fraction of a zone's spare capacity that all proxies together may be granted anew in a
     second, `max_utilisation` the use of a zone up to which there is spare capacity.
     """
 
     neighbours: tuple[tuple[str, tuple[Tier, ...]], ...] = ()
     spill_rate: float = 1.0
     max_utilisation: float = 0.95
-    panic_threshold: float = 0.5  # of all nodes seem well: with fewer the evidence is doubted; 0: never
-    flap_penalty_half_life_ns: int = 20_000_000_000  # of the penalty for a loss
-    max_flap_hold_ns: int = (
-        60_000_000_000  # the longest that a zone which answers is not trusted; 0: flaps cost nothing
-    )
-    flap_exempt: tuple[str, ...] = ()  # held for flapping no more
-    evacuated: tuple[str, ...] = ()  # to be sent less and less, and then nothing
+    panic_threshold: float = 0.5  # of all nodes: with fewer healthy ones the evidence is doubted; 0: never
+    flap_penalty_half_life_ns: int = 20_000_000_000
+    # The longest that a zone which responds is kept out for flapping; 0: flaps cost nothing.
+    max_flap_hold_ns: int = 60_000_000_000
+    flap_exempt: tuple[str, ...] = ()  # zones that are not kept out for flapping
+    evacuated: tuple[str, ...] = ()  # zones to be sent less and less, and then nothing
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All the module is told at start-up."""
+    """Settings of a balancer, given at its start; prices are in values of a request."""
 
-    zone: str
+    zone: str  # of this proxy
     classes: tuple[RequestClass, ...]
-    fleet_size: int
+    fleet_size: int  # proxies
     tenants: tuple[Tenant, ...] = ()
-    subscribes_to_endpoints: bool = False
-    endpoint_poll_deadline_ns: int = 10_000_000_000
-    tick_ns: int = 1_000_000
-    max_attempts: int = 1
+    subscribes_to_endpoints: bool = False  # else the caller keeps the list up
+    endpoint_poll_deadline_ns: int = 10_000_000_000  # discovery must be asked within
+    tick_ns: int = 1_000_000  # the shortest time between two timers
+    max_attempts: int = 1  # a request
     hedging_enabled: bool = False
     can_cancel_attempts: bool = False
-    can_check_health: bool = False
-    max_retry_after_ns: int = 0
+    can_check_health: bool = False  # part of the stored form; nothing goes by it
+    max_retry_after_ns: int = 0  # 0: a rejection has no such hint
     connect_timeout_ns: int = 250_000_000
-    cross_zone_price: float = 0.0
-    connection_price: float = 0.0
-    late_price: float = 0.0
+    cross_zone_price: float = 0.0  # of an attempt in another zone
+    connection_price: float = 0.0  # of opening one
+    late_price: float = 0.0  # this and the next two: part of the stored form, nothing goes by them
     waste_price: float = 0.0
     over_quota_value: float = 1.0
-    is_value_by_work: bool = False
-    worst_class_weight: float = 0.0
-    drain_grace_ns: int = 0
-    drain_release_ns: int = 0
-    connection_idle_timeout_ns: int = 0
-    warm_up_ns: int = 0
-    initial_capacity: float = 1.0
-    overload_multiple: float = 1.0
+    is_value_by_work: bool = False  # a value is for a second of work, not for a request
+    worst_class_weight: float = 0.0  # part of the stored form; nothing goes by it
+    drain_grace_ns: int = 0  # attempts may go to a draining host for so long
+    drain_release_ns: int = 0  # idle connections to a draining host are closed within; 0: they need not be
+    connection_idle_timeout_ns: int = 0  # hosts close what is idle for so long; 0: never
+    warm_up_ns: int = 0  # after its start a host is warming up for so long
+    initial_capacity: float = 1.0  # of a host that has just started, as a fraction
+    overload_multiple: float = 1.0  # of its capacity within the window: a warming host fails under more
     overload_window_ns: int = 1_000_000_000
-    report_fields: tuple[str, ...] = ()
+    report_fields: tuple[str, ...] = ()  # of load reports, in their order
     # What `HostEntry.weight` is: `nominal` or `rough` sizes, `live` spare, or (`silent`) nothing.
     weight_source: str = "silent"
     zone_rules: ZoneRules | None = None
@@ -146,7 +145,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """A host's own figures; None where it does not tell."""
+    """A host's own metrics; None where it does not report them.  The throughput is in requests a second."""
 
     utilisation: float | None = None
     throughput: float | None = None
@@ -154,7 +153,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HostEntry:
-    """A host as discovery describes it; `started_ns` of 0 means long ago."""
+    """A host as discovery lists it; `started_ns` of 0 means long ago."""
 
     host: str
     zone: str
@@ -170,7 +169,7 @@
 
 @dataclass(slots=True)
 class HostListUpdated:
-    """News from discovery."""
+    """Discovery has sent a list, or changes of it."""
 
     kind: ListKind
     entries: list[HostEntry]
@@ -178,7 +177,7 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A client's request; it is owed one final answer within `left_ns`."""
+    """A client's request; it must get one final answer within `left_ns`."""
 
     request: str
     request_class: str
@@ -190,7 +189,7 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """How one attempt ended; `request_ended` tells that the request itself has ended."""
+    """One attempt has ended; `request_ended` says that the request itself has ended."""
 
     request: str
     attempt: int
@@ -203,7 +202,7 @@
 
 @dataclass(slots=True)
 class StreamStarted:
-    """A streamed answer has begun on this attempt."""
+    """A streamed response has begun on this attempt."""
 
     request: str
     attempt: int
@@ -213,14 +212,14 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client has left; nothing is owed any more."""
+    """The client has disconnected; its request needs no answer."""
 
     request: str
 
 
 @dataclass(slots=True)
 class HealthCheckEnded:
-    """The result of one probe."""
+    """A health check has ended."""
 
     host: str
     ok: bool
@@ -237,17 +236,17 @@
 
 @dataclass(slots=True)
 class ZoneRulesChanged:
-    """The operator says something else of zones; None: nothing any more."""
+    """The operator has changed the rules on zones; None: there are none any more."""
 
     rules: ZoneRules | None
 
 
 @dataclass(slots=True)
 class RequestBodyProgressed:
-    """A request's body goes out on an attempt as it comes, or (`is_complete`) has gone out, with `left_ns`
-    left.
+    """A request's body is being sent on an attempt as it comes, or has been sent (`is_complete`).
 
-    Between the two the attempt is neither late nor a place taken; from the first on it can't be repeated.
+    Between the two the attempt is neither late nor in flight for admission; from the first on it can't be
+    repeated.  `left_ns` is the time that the request then has left.
     """
 
     request: str
@@ -258,7 +257,7 @@
 
 @dataclass(slots=True)
 class ProcessShareChanged:
-    """This process does so much of what its proxy does; the rest is other processes' of the same proxy."""
+    """This process has so much of its proxy's traffic; other processes of the same proxy have the rest."""
 
     share: float
 
@@ -291,7 +290,7 @@
 
 @dataclass(slots=True)
 class RejectRequest:
-    """Final answer: not served, and trying again does no harm."""
+    """Final answer: not executed, so that a retry does no harm."""
 
     request: str
     retry_after_ns: int = 0
@@ -299,7 +298,7 @@
 
 @dataclass(slots=True)
 class FailRequest:
-    """Final answer: not served, and no promise about its effect."""
+    """Final answer: failed, it may have been executed."""
 
     request: str
 
@@ -314,14 +313,14 @@
 
 @dataclass(slots=True)
 class CloseIdleConnections:
-    """Close the idle connections held to a host."""
+    """Close the idle connections to a host."""
 
     host: str
 
 
 @dataclass(slots=True)
 class CheckHealth:
-    """Ask a host whether it is well."""
+    """Check the health of a host."""
 
     host: str
 
@@ -336,12 +335,12 @@
 
 @dataclass(slots=True)
 class SubscribeToEndpoints:
-    """Ask discovery for changes from now on."""
+    """Ask discovery for the list, and for changes from now on."""
 
 
 @dataclass(slots=True)
 class WriteLog:
-    """A rare line for the people on call."""
+    """Write a rare line for the people on call."""
 
     text: str
 
