--- a/brambleusher/features/capture.py
+++ b/brambleusher/features/capture.py
@@ -20,7 +20,14 @@
 
 from brambleusher.decisions.observers import Decision, DecisionRecorder
 from brambleusher.features.output_queue import ITEM_BYTES, OutputQueue
-from brambleusher.features.records import VERSION, action_of, chosen, event_of, seal, server_entry
+from brambleusher.features.records import (
+    VERSION,
+    encode_action,
+    encode_entry,
+    encode_event,
+    encode_record,
+    recorded_server,
+)
 from brambleusher.loadbalancing import api
 from brambleusher.loadbalancing.settings_codec import save_settings
 from brambleusher.net.endpoint_list import EndpointListUpdate
@@ -128,12 +135,12 @@
 
     def _record(self, decision: Decision) -> None:
         event, now_ns, call = decision.event, decision.now_ns, decision.request
-        name, told = event_of(event)
+        name, told = encode_event(event)
         if isinstance(event, api.HostListUpdated):
             told["version"] = self._told
             # Exact beside discovery's form: the module counts in nanoseconds.
             told["servers"] = [
-                {**server_entry(entry, self._addresses.get(entry.host, "")), "started_ns": entry.started_ns}
+                {**encode_entry(entry, self._addresses.get(entry.host, "")), "started_ns": entry.started_ns}
                 for entry in event.entries
             ]
         if self._open is not None:
@@ -143,12 +150,12 @@
                 "id": getattr(event, "request", None),
                 "class": request.request_class if request else call and call.request_class,
                 "tenant": request.tenant if request else call and call.tenant,
-                "server": chosen(event, decision.actions), "in": told,
-                "out": [action_of(each) for each in decision.actions],
+                "server": recorded_server(event, decision.actions), "in": told,
+                "out": [encode_action(each) for each in decision.actions],
             }  # fmt: skip
             if decision.error is not None:
                 record["raised"] = type(decision.error).__name__
-            line = seal(record)
+            line = encode_record(record)
             self._open.lines.append(line)
             self._open.size += len(line) + ITEM_BYTES
         self._count += 1
@@ -218,7 +225,7 @@
                 self._servers.pop(entry.host, None)
                 self._addresses.pop(entry.host, None)
             else:
-                self._servers[entry.host] = server_entry(entry, self._addresses.get(entry.host, ""))
+                self._servers[entry.host] = encode_entry(entry, self._addresses.get(entry.host, ""))
         self._version = self._told
 
 
--- a/brambleusher/features/records.py
+++ b/brambleusher/features/records.py
@@ -1,9 +1,12 @@
-"""What a capture is made of: events and actions of the decisions as JSON values, and back."""
+"""Records of a capture: events and actions of the balancer as JSON values, and back.
+
+The names and keys here are a stored form that captures of earlier versions have; they never change.
+"""
 
 from __future__ import annotations
 
 import zlib
-from collections.abc import Callable, Sequence
+from collections.abc import Callable, Mapping, Sequence
 from typing import Any, cast
 
 import orjson
@@ -14,139 +17,201 @@
 from brambleusher.net.endpoint_list import state_of, state_word
 
 VERSION = 1
-# An action's name and its fields in order; they are texts and whole numbers.
-_ACTIONS: dict[type, Callable[[Any], list[Any]]] = {
-    api.StartAttempt: lambda act: ["send", act.request, act.host, act.timeout_ns],
-    api.RejectRequest: lambda act: ["refuse", act.request, act.retry_after_ns],
-    api.FailRequest: lambda act: ["fail", act.request],
-    api.CancelAttempt: lambda act: ["cancel", act.request, act.attempt],
-    api.CloseIdleConnections: lambda act: ["let_go", act.host],
-    api.CheckHealth: lambda act: ["probe", act.host],
-    api.SetTimer: lambda act: ["timer", act.at_ns, act.token],
-    api.SubscribeToEndpoints: lambda act: ["subscribe"],
-    api.WriteLog: lambda act: ["log", act.text],
-}
 BEGIN = "begin"  # the balancer's start, which is no event
+NS_PER_MS = 1_000_000
+
+JsonObject = dict[str, Any]
 
 
 class RecordError(ValueError):
     """A record that can't be read."""
 
 
-def server_entry(entry: api.HostEntry, address: str) -> dict[str, Any]:
-    """An entry of the endpoint list in discovery's form."""
+# --- entries --------------------------------------------------------------------------------
+
+
+def encode_entry(entry: api.HostEntry, address: str) -> JsonObject:
+    """Return an entry of the endpoint list in discovery's form."""
     return {
-        "id": entry.host, "addr": address, "zone": entry.zone, "kind": entry.kind, "cell": entry.cell,
-        "state": state_word(entry.state), "weight": plain(entry.weight),
-        "started_ms": entry.started_ns // 1_000_000,
-    }  # fmt: skip
+        "id": entry.host,
+        "addr": address,
+        "zone": entry.zone,
+        "kind": entry.kind,
+        "cell": entry.cell,
+        "state": state_word(entry.state),
+        "weight": plain(entry.weight),
+        "started_ms": entry.started_ns // NS_PER_MS,
+    }
+
+
+def decode_entry(raw: Mapping[str, Any]) -> api.HostEntry:
+    """Return the entry of the endpoint list that the balancer was given."""
+    return api.HostEntry(
+        raw["id"],
+        raw["zone"],
+        raw["kind"],
+        raw["cell"],
+        state_of(raw["state"]),
+        cast(float, unplain(raw["weight"])),
+        raw["started_ns"],
+    )
+
+
+# --- events ---------------------------------------------------------------------------------
+
 
+def _encode_request(event: api.RequestArrived) -> JsonObject:
+    return {"left_ns": event.left_ns, "work_hint_ns": event.work_hint_ns, "is_retry": event.is_retry}
 
-def _attempt(event: api.AttemptEnded) -> dict[str, Any]:
+
+def _decode_request(record: JsonObject, fields: JsonObject) -> api.Event:
+    return api.RequestArrived(
+        record["id"],
+        record["class"],
+        record["tenant"],
+        fields["left_ns"],
+        fields["work_hint_ns"],
+        fields["is_retry"],
+    )
+
+
+def _encode_attempt(event: api.AttemptEnded) -> JsonObject:
     report = event.report
     return {
-        "attempt": event.attempt, "server": event.host, "status": event.status.value,
-        "latency_ns": event.latency_ns, "closed": event.request_ended,
+        "attempt": event.attempt,
+        "server": event.host,
+        "status": event.status.value,
+        "latency_ns": event.latency_ns,
+        "closed": event.request_ended,
         "report": report and [plain(report.utilisation), plain(report.throughput)],
-    }  # fmt: skip
-
-
-# An event's name, and what the module was told with it beside the request's id, class and tenant.
-_EVENTS: dict[type, tuple[str, Callable[[Any], dict[str, Any]]]] = {
-    api.RequestArrived: (
-        "request",
-        lambda event: {
-            "left_ns": event.left_ns, "work_hint_ns": event.work_hint_ns, "is_retry": event.is_retry,
-        },
-    ),
-    api.AttemptEnded: ("attempt", _attempt),
-    api.StreamStarted: (
-        "stream",
-        lambda event: {"attempt": event.attempt, "server": event.host, "latency_ns": event.latency_ns},
-    ),
-    api.ClientDisconnected: ("gone", lambda event: {}),
+    }
+
+
+def _decode_attempt(record: JsonObject, fields: JsonObject) -> api.Event:
+    return api.AttemptEnded(
+        record["id"],
+        fields["attempt"],
+        fields["server"],
+        api.AttemptStatus(fields["status"]),
+        fields["latency_ns"],
+        fields["closed"],
+        _decode_report(fields["report"]),
+    )
+
+
+def _decode_report(values: Sequence[object] | None) -> api.LoadReport | None:
+    return api.LoadReport(*(cast(float | None, unplain(value)) for value in values)) if values else None
+
+
+def _encode_stream(event: api.StreamStarted) -> JsonObject:
+    return {"attempt": event.attempt, "server": event.host, "latency_ns": event.latency_ns}
+
+
+def _decode_stream(record: JsonObject, fields: JsonObject) -> api.Event:
+    return api.StreamStarted(record["id"], fields["attempt"], fields["server"], fields["latency_ns"])
+
+
+def _encode_body(event: api.RequestBodyProgressed) -> JsonObject:
+    return {"attempt": event.attempt, "whole": event.is_complete, "left_ns": event.left_ns}
+
+
+def _decode_body(record: JsonObject, fields: JsonObject) -> api.Event:
+    return api.RequestBodyProgressed(record["id"], fields["attempt"], fields["whole"], fields["left_ns"])
+
+
+def _decode_list(_record: JsonObject, fields: JsonObject) -> api.Event:
+    return api.HostListUpdated(api.ListKind(fields["kind"]), [decode_entry(raw) for raw in fields["servers"]])
+
+
+def _no_fields(_event: object) -> JsonObject:
+    return {}
+
+
+# An event's name, and what the balancer was given with it beside the request's id, class and tenant.
+_ENCODERS: dict[type, tuple[str, Callable[[Any], JsonObject]]] = {
+    api.RequestArrived: ("request", _encode_request),
+    api.AttemptEnded: ("attempt", _encode_attempt),
+    api.StreamStarted: ("stream", _encode_stream),
+    api.ClientDisconnected: ("gone", _no_fields),
     api.TimerFired: ("timer", lambda event: {"token": event.token}),
     api.HostListUpdated: ("list", lambda event: {"kind": event.kind.value}),
     api.ZoneRulesChanged: ("rules", lambda event: {"zones": save_rules(event.rules)}),
-    api.RequestBodyProgressed: (
-        "body",
-        lambda event: {"attempt": event.attempt, "whole": event.is_complete, "left_ns": event.left_ns},
-    ),
+    api.RequestBodyProgressed: ("body", _encode_body),
     api.ProcessShareChanged: ("part", lambda event: {"part": event.share}),
-    type(None): (BEGIN, lambda event: {}),
-}  # fmt: skip
+    type(None): (BEGIN, _no_fields),
+}
+_DECODERS: dict[str, Callable[[JsonObject, JsonObject], api.Event | None]] = {
+    BEGIN: lambda _record, _fields: None,
+    "request": _decode_request,
+    "attempt": _decode_attempt,
+    "stream": _decode_stream,
+    "gone": lambda record, _: api.ClientDisconnected(record["id"]),
+    "timer": lambda _, fields: api.TimerFired(fields["token"]),
+    "list": _decode_list,
+    "rules": lambda _, fields: api.ZoneRulesChanged(restore_rules(fields["zones"])),
+    "body": _decode_body,
+    "part": lambda _, fields: api.ProcessShareChanged(fields["part"]),
+}
 
 
-def event_of(event: api.Event | None) -> tuple[str, dict[str, Any]]:
-    """An event's name and what came with it."""
-    name, told = _EVENTS[type(event)]
-    return name, told(event)
+def encode_event(event: api.Event | None) -> tuple[str, JsonObject]:
+    """Return an event's name and its fields."""
+    name, encode = _ENCODERS[type(event)]
+    return name, encode(event)
 
 
-def _load_report(values: Sequence[object] | None) -> api.LoadReport | None:
-    return api.LoadReport(*(cast(float | None, unplain(value)) for value in values)) if values else None
+def decode_event(record: JsonObject) -> api.Event | None:
+    """Return the event of a record, as the balancer was given it; None for its start.
 
+    Raises:
+        RecordError: The event is of no known kind.
+    """
+    name, fields = record["ev"], record["in"]
+    decode = _DECODERS.get(name)
+    if decode is None:
+        raise RecordError(f"the event {name} is unknown")
+    return decode(record, fields)
 
-def event_from(record: dict[str, Any]) -> api.Event | None:
-    """The event of a record, as the module was told it."""
-    name, told = record["ev"], record["in"]
-    if name == BEGIN:
-        return None
-    if name == "request":
-        return api.RequestArrived(
-            record["id"], record["class"], record["tenant"],
-            told["left_ns"], told["work_hint_ns"], told["is_retry"],
-        )  # fmt: skip
-    if name == "attempt":
-        return api.AttemptEnded(
-            record["id"], told["attempt"], told["server"], api.AttemptStatus(told["status"]),
-            told["latency_ns"], told["closed"], _load_report(told["report"]),
-        )  # fmt: skip
-    if name == "stream":
-        return api.StreamStarted(record["id"], told["attempt"], told["server"], told["latency_ns"])
-    if name == "gone":
-        return api.ClientDisconnected(record["id"])
-    if name == "timer":
-        return api.TimerFired(told["token"])
-    if name == "list":
-        return api.HostListUpdated(api.ListKind(told["kind"]), [entry_from(raw) for raw in told["servers"]])
-    if name == "rules":
-        return api.ZoneRulesChanged(restore_rules(told["zones"]))
-    if name == "body":
-        return api.RequestBodyProgressed(record["id"], told["attempt"], told["whole"], told["left_ns"])
-    if name == "part":
-        return api.ProcessShareChanged(told["part"])
-    raise RecordError(f"the event {name} is unknown")
-
-
-def entry_from(raw: dict[str, Any]) -> api.HostEntry:
-    """The entry of the endpoint list that the module was told."""
-    return api.HostEntry(
-        raw["id"], raw["zone"], raw["kind"], raw["cell"], state_of(raw["state"]),
-        cast(float, unplain(raw["weight"])), raw["started_ns"],
-    )  # fmt: skip
 
+# --- actions --------------------------------------------------------------------------------
 
-def action_of(action: api.Action) -> list[Any]:
-    """An action as a list."""
+# An action's name and its fields in order; they are texts and whole numbers.
+_ACTIONS: dict[type, Callable[[Any], list[Any]]] = {
+    api.StartAttempt: lambda action: ["send", action.request, action.host, action.timeout_ns],
+    api.RejectRequest: lambda action: ["refuse", action.request, action.retry_after_ns],
+    api.FailRequest: lambda action: ["fail", action.request],
+    api.CancelAttempt: lambda action: ["cancel", action.request, action.attempt],
+    api.CloseIdleConnections: lambda action: ["let_go", action.host],
+    api.CheckHealth: lambda action: ["probe", action.host],
+    api.SetTimer: lambda action: ["timer", action.at_ns, action.token],
+    api.SubscribeToEndpoints: lambda _: ["subscribe"],
+    api.WriteLog: lambda action: ["log", action.text],
+}
+
+
+def encode_action(action: api.Action) -> list[Any]:
+    """Return an action as a list."""
     return _ACTIONS[type(action)](action)
 
 
-def chosen(event: api.Event | None, actions: Sequence[api.Action]) -> str | None:
-    """The server a record is about: the one sent to, else the one whose attempt has ended."""
+# --- records --------------------------------------------------------------------------------
+
+
+def recorded_server(event: api.Event | None, actions: Sequence[api.Action]) -> str | None:
+    """Return the server a record is about: that of the new attempt, else that of the ended one."""
     for action in actions:
         if isinstance(action, api.StartAttempt):
             return action.host
     return event.host if isinstance(event, api.AttemptEnded) else None
 
 
-def seal(record: dict[str, Any]) -> bytes:
-    """A record as a line, with a checksum that shows a change which leads to no other decision."""
+def encode_record(record: JsonObject) -> bytes:
+    """Return a record as a line, with a checksum that shows a change which leads to no other decision."""
     text = orjson.dumps(record)
     return b'%s,"crc":%d}\n' % (text[:-1], zlib.crc32(text))
 
 
-def sound(record: dict[str, Any]) -> bool:
-    """Whether a record's checksum, which is taken out of it, fits."""
-    told = record.pop("crc", None)
-    return type(told) is int and told == zlib.crc32(orjson.dumps(record))
+def has_valid_checksum(record: JsonObject) -> bool:
+    """Return whether a record's checksum, which is taken out of it, fits."""
+    checksum = record.pop("crc", None)
+    return type(checksum) is int and checksum == zlib.crc32(orjson.dumps(record))
--- a/brambleusher/features/replay.py
+++ b/brambleusher/features/replay.py
@@ -11,10 +11,10 @@
 
 from brambleusher.features.records import (
     VERSION,
-    action_of,
-    chosen,
-    event_from,
-    sound,
+    decode_event,
+    encode_action,
+    has_valid_checksum,
+    recorded_server,
 )
 from brambleusher.loadbalancing import api
 from brambleusher.loadbalancing.json_values import StateError
@@ -71,9 +71,9 @@
 
     def check(self, record: dict[str, Any]) -> list[str]:
         """What differs in one record."""
-        found = [] if sound(record) else ["the record was changed: its checksum does not fit"]
+        found = [] if has_valid_checksum(record) else ["the record was changed: its checksum does not fit"]
         try:
-            event, now = event_from(record), record["t_ns"]
+            event, now = decode_event(record), record["t_ns"]
             told, server = record["out"], record["server"]
         except Exception as error:
             return [*found, f"the record can't be read: {type(error).__name__}: {error}"]
@@ -86,11 +86,13 @@
             self._follow(event)
         if raised != record.get("raised"):
             found.append(f"recorded failure {record.get('raised')}, rerun failure {raised}")
-        again = [action_of(action) for action in actions]
+        again = [encode_action(action) for action in actions]
         if again != told:
             found.append(f"recorded {_text(told)}, rerun {_text(again)}")
-        if chosen(event, actions) != server:
-            found.append(f"recorded server {_text(server)}, rerun server {_text(chosen(event, actions))}")
+        if recorded_server(event, actions) != server:
+            found.append(
+                f"recorded server {_text(server)}, rerun server {_text(recorded_server(event, actions))}"
+            )
         return found + self._unknown(event, server, told)
 
     def _follow(self, event: api.HostListUpdated) -> None:
--- a/brambleusher/lab/faults/breakages.py
+++ b/brambleusher/lab/faults/breakages.py
@@ -464,8 +464,8 @@
 
 @breakage("capture-forgets", "a capture leaves out the load reports", "replay")
 def _capture_forgets(patches: Patches) -> None:
-    def event_of(event: api.Event | None) -> tuple[str, dict[str, Any]]:
+    def encode_event(event: api.Event | None) -> tuple[str, dict[str, Any]]:
         name, told = old(event)
         return name, {**told, "report": None} if "report" in told else told
 
-    old = patches.set(capture_module, "event_of", event_of)
+    old = patches.set(capture_module, "encode_event", encode_event)
--- a/brambleusher/sidecar/state_exchange.py
+++ b/brambleusher/sidecar/state_exchange.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from brambleusher.decisions.balancer_driver import BalancerDriver
-from brambleusher.features.records import server_entry
+from brambleusher.features.records import encode_entry
 from brambleusher.handover.state_transfer import TransferredState
 from brambleusher.loadbalancing.host_bans import HostBans
 from brambleusher.loadbalancing.state_transfer import MOST_HOSTS
@@ -42,7 +42,7 @@
     if len(upstream_pool.listed) > MOST_HOSTS:
         return None
     servers = [
-        server_entry(bans.listed_entry(name) or endpoint.entry, address_text(endpoint.address))
+        encode_entry(bans.listed_entry(name) or endpoint.entry, address_text(endpoint.address))
         for name, endpoint in upstream_pool.listed.items()
     ]
     return TransferredState(
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -375,7 +375,7 @@
         kept = Kept()
         kept.world.start(3)
         with (
-            mock.patch.object(capture_module, "seal", side_effect=ValueError("made up")),
+            mock.patch.object(capture_module, "encode_record", side_effect=ValueError("made up")),
             self.assertLogs("brambleusher.features.capture", "ERROR"),
         ):
             kept.live(5)
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -16,7 +16,13 @@
 from brambleusher.decisions.requests import ClientRequest
 from brambleusher.features.capture import Capture
 from brambleusher.features.output_queue import OutputQueue
-from brambleusher.features.records import action_of, entry_from, event_from, event_of, server_entry
+from brambleusher.features.records import (
+    decode_entry,
+    decode_event,
+    encode_action,
+    encode_entry,
+    encode_event,
+)
 from brambleusher.features.replay import SAME, replay
 from brambleusher.loadbalancing import api
 from brambleusher.loadbalancing.settings_codec import restore_settings, save_settings
@@ -100,7 +106,7 @@
     capture.start(lambda: dict(save(balancer)), is_imported=state is not None)
     requests: dict[str, ClientRequest] = {}
     for record in records:
-        event, now = event_from(record), record["t_ns"]
+        event, now = decode_event(record), record["t_ns"]
         if isinstance(event, api.RequestArrived):
             name_, kind, tenant = record["id"], record["class"], record["tenant"]
             requests[name_] = ClientRequest(name_, kind, tenant, 0, None, False, 0)
@@ -146,7 +152,7 @@
 
 
 def test_actions_are_written_alike() -> None:
-    assert [action_of(action) for action in ACTIONS] == list(CODEC["actions"].values())
+    assert [encode_action(action) for action in ACTIONS] == list(CODEC["actions"].values())
 
 
 @pytest.mark.parametrize("recorded", CODEC["events"], ids=lambda recorded: str(recorded)[:60])
@@ -155,7 +161,7 @@
     record = {
         "ev": name, "in": {"servers": [], **told}, "id": "r1", "class": "look", "tenant": "a",
     }  # fmt: skip
-    again, told_again = event_of(event_from(record))
+    again, told_again = encode_event(decode_event(record))
     assert again == name
     assert orjson.dumps(told_again) == orjson.dumps(told)
 
@@ -169,6 +175,6 @@
     ]
     assert len(servers) > 20
     for server in servers:
-        written = server_entry(entry_from(server), server["addr"])
+        written = encode_entry(decode_entry(server), server["addr"])
         assert {**written, "started_ns": server["started_ns"]} == server
         assert list(written) == list(server)[:-1]
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -17,7 +17,7 @@
 from hypothesis import strategies as st
 
 from brambleusher.cli.explore import _chunk
-from brambleusher.features.records import event_from, event_of
+from brambleusher.features.records import decode_event, encode_event
 from brambleusher.features.replay import rerun
 from brambleusher.features.status_rendering import render_page
 from brambleusher.lab.fleets.fleet import Fleet
@@ -467,9 +467,9 @@
 
 def test_a_change_of_rules_is_recorded_and_read_back() -> None:
     for rules in (None, replace(RULES, flap_exempt=("b",), neighbours=(("a", ((("b", 2.0),),)),))):
-        name, told = event_of(api.ZoneRulesChanged(rules))
+        name, told = encode_event(api.ZoneRulesChanged(rules))
         record = json.loads(json.dumps({"ev": name, "in": told}))
-        assert event_from(record) == api.ZoneRulesChanged(rules)
+        assert decode_event(record) == api.ZoneRulesChanged(rules)
 
 
 def test_rules_that_go_leave_a_plain_balancer() -> None:
