--- a/benchmarks/system_cost.py
+++ b/benchmarks/system_cost.py
@@ -89,7 +89,7 @@
         for number in range(1, int(head.target.rpartition(b"/")[2]) + 1):
             event = h11.Data(data=b"id: %d\ndata: %b\n\n" % (number, b"x" * 50))
             stream.send(connection.send(event) or b"", deadline)
-            self.scheduler.give_way()
+            self.scheduler.yield_now()
             time.sleep(0.0005)  # so that events do not run together on their way
         stream.send(connection.send(h11.EndOfMessage()) or b"", deadline)
 
--- a/brambleusher/dataplane/client_connection.py
+++ b/brambleusher/dataplane/client_connection.py
@@ -10,7 +10,7 @@
 from brambleusher.dataplane.body_memory import BodyMemory
 from brambleusher.dataplane.client_request import HOP_BY_HOP_HEADERS, ClientRequest, HeaderList
 from brambleusher.dataplane.errors import RequestTooLargeError
-from brambleusher.runtime.h11_messages import go_on, whole
+from brambleusher.runtime.h11_messages import encode_message, send_continue
 from brambleusher.runtime.scheduler import Event, Scheduler, TaskTimeoutError
 from brambleusher.runtime.streams import RECEIVE_BYTES, Stream
 from brambleusher.wire.configuration import Limits
@@ -93,7 +93,7 @@
 
     def _feed(self, deadline_s: float) -> bool:
         """Receive bytes for the parser; False where none will come."""
-        go_on(self._protocol, self.stream, SEND_TIMEOUT_S)
+        send_continue(self._protocol, self.stream, SEND_TIMEOUT_S)
         data = self._receive(deadline_s)
         if data is None:
             return False
@@ -103,7 +103,7 @@
 
     def _receive(self, deadline_s: float) -> bytes | None:
         while True:
-            if self.is_idle and self.closes_when_idle and self.stream.quiet():
+            if self.is_idle and self.closes_when_idle and self.stream.is_idle():
                 return None
             try:
                 data = self.stream.receive(deadline_s, self.wake if self.is_idle else None, RECEIVE_BYTES)
@@ -135,7 +135,7 @@
 
     def send_response(self, status: int, headers: HeaderList, body: bytes) -> None:
         """Send a complete response."""
-        self._write(whole(self._protocol, self._head(status, headers, len(body)), body))
+        self._write(encode_message(self._protocol, self._head(status, headers, len(body)), body))
 
     def send_error(
         self, status: int, reason: str, attempt_id: bytes = b"", retry_after_s: float | None = None
--- a/brambleusher/dataplane/connection_pool.py
+++ b/brambleusher/dataplane/connection_pool.py
@@ -84,7 +84,7 @@
         while instance.idle_connections:
             connection = instance.idle_connections.pop()
             idle_s = now_s - connection.idle_since_s
-            if connection.idle_until_s > now_s and idle_s <= trusted_s and connection.stream.quiet():
+            if connection.idle_until_s > now_s and idle_s <= trusted_s and connection.stream.is_idle():
                 connection.idle_s = idle_s
                 return connection
             self.close(instance, connection)
@@ -99,7 +99,9 @@
                 self._scheduler,
                 instance.address,
                 min(begin_s + CONNECT_TIMEOUT_S, begin_s + (deadline_s - begin_s) / 2),
-                prepare=lambda sock: self._scheduler.system.bound_silence(sock, UNACKNOWLEDGED_MAX_S),
+                prepare=lambda sock: self._scheduler.system.set_unacknowledged_timeout(
+                    sock, UNACKNOWLEDGED_MAX_S
+                ),
             )
         except (OSError, TaskTimeoutError) as error:
             instance.connection_count -= 1
--- a/brambleusher/dataplane/upstream_client.py
+++ b/brambleusher/dataplane/upstream_client.py
@@ -15,7 +15,7 @@
 from brambleusher.dataplane.instance_table import InstanceTable
 from brambleusher.dataplane.upstream_connection import UpstreamConnection
 from brambleusher.dataplane.upstream_response import AttemptListener, OutcomeIgnored, UpstreamResponse
-from brambleusher.runtime.h11_messages import next_event, whole
+from brambleusher.runtime.h11_messages import encode_message, receive_event
 from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
 from brambleusher.wire import instance_load
 
@@ -98,13 +98,13 @@
         if isinstance(opened, Err):
             return opened
         connection = opened.ok_value
-        return Ok(_PreparedAttempt(connection, whole(connection.protocol, head, request.body)))
+        return Ok(_PreparedAttempt(connection, encode_message(connection.protocol, head, request.body)))
 
     def _reuse_connection(self, request: UpstreamRequest, head: h11.Request) -> _PreparedAttempt | None:
         connection = self._pool.acquire_idle(request.instance, request.must_run_once)
         if connection is None:
             return None
-        data = whole(connection.protocol, head, request.body)
+        data = encode_message(connection.protocol, head, request.body)
         needs_proof = request.must_run_once and self._pool.drops_idle_unseen
         if not needs_proof or connection.idle_s <= UNPROVEN_IDLE_S:
             return _PreparedAttempt(connection, data)
@@ -205,7 +205,7 @@
 
 def _read_head(connection: UpstreamConnection, deadline_s: float) -> h11.Response | None:
     while True:
-        event = next_event(connection.protocol, connection.stream, deadline_s)
+        event = receive_event(connection.protocol, connection.stream, deadline_s)
         if isinstance(event, h11.Response):
             return event
         if not isinstance(event, h11.InformationalResponse):
@@ -215,7 +215,7 @@
 def _drop_response(connection: UpstreamConnection, deadline_s: float) -> bool:
     """Read a response that belongs to another request, and prepare for the one that is due."""
     while True:
-        event = next_event(connection.protocol, connection.stream, deadline_s)
+        event = receive_event(connection.protocol, connection.stream, deadline_s)
         if isinstance(event, h11.EndOfMessage):
             break
         if not isinstance(event, h11.Data):
@@ -223,7 +223,7 @@
     received = connection.protocol.trailing_data[0]
     connection.protocol = h11.Connection(h11.CLIENT, max_incomplete_event_size=RESPONSE_HEAD_MAX_BYTES)
     # The parser has to have seen a request before it reads a response to one.
-    whole(connection.protocol, h11.Request(method=b"GET", target=b"/", headers=[(b"Host", b"-")]))
+    encode_message(connection.protocol, h11.Request(method=b"GET", target=b"/", headers=[(b"Host", b"-")]))
     if received:
         connection.protocol.receive_data(received)
     return True
--- a/brambleusher/dataplane/upstream_response.py
+++ b/brambleusher/dataplane/upstream_response.py
@@ -12,7 +12,7 @@
 from brambleusher.dataplane.errors import ResponseBrokenError
 from brambleusher.dataplane.instance import Instance
 from brambleusher.dataplane.upstream_connection import UpstreamConnection
-from brambleusher.runtime.h11_messages import next_event
+from brambleusher.runtime.h11_messages import receive_event
 from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
 
 
@@ -67,7 +67,7 @@
             TaskTimeoutError: The deadline passed.
         """
         try:
-            event = next_event(self._connection.protocol, self._connection.stream, deadline_s)
+            event = receive_event(self._connection.protocol, self._connection.stream, deadline_s)
         except (OSError, h11.ProtocolError) as error:
             self.abandon()
             raise ResponseBrokenError(f"{self._instance.id}: the response broke off: {error!r}") from error
--- a/brambleusher/features/status.py
+++ b/brambleusher/features/status.py
@@ -155,7 +155,7 @@
             for _ in range(len(self._rows)):  # at the most: rows may change all the time
                 if not self._rows.step():
                     break
-                self._scheduler.breathe()
+                self._scheduler.yield_until_idle()
             self._build()
 
     def _build(self) -> None:
--- a/brambleusher/fronts/mysql/channel.py
+++ b/brambleusher/fronts/mysql/channel.py
@@ -117,7 +117,7 @@
     def quiet(self) -> bool:
         """Whether the connection is open and nothing, not even its end, waits to be read."""
         if self._tls is None:
-            return self.stream.quiet()
+            return self.stream.is_idle()
         return self.receive_now() is None  # session tickets may have come: they are no data
 
     def close(self) -> None:
--- a/brambleusher/lab/processes/stage.py
+++ b/brambleusher/lab/processes/stage.py
@@ -237,7 +237,7 @@
             return said or self.failure is not None or (until_ns is not None and self.now_ns >= until_ns)
 
         if until_ns is not None:
-            self.at(until_ns, self.scheduler.nudge)
+            self.at(until_ns, self.scheduler.interrupt_poll)
         self.scheduler.run(over)
         if self.failure is not None:
             failure, self.failure = self.failure, None
--- a/brambleusher/lab/stand_ins/client.py
+++ b/brambleusher/lab/stand_ins/client.py
@@ -300,7 +300,7 @@
         """Whether one more connection may be opened; those that the sidecar has closed make room."""
         most = self.settings.most_open
         if most and self._used + len(self._idle) + len(self._held) >= most:
-            for stream in [stream for stream in self._held if not stream.quiet()]:
+            for stream in [stream for stream in self._held if not stream.is_idle()]:
                 stream.close()
                 self._held.remove(stream)
         return not most or self._used + len(self._idle) + len(self._held) < most
@@ -309,7 +309,7 @@
         """The connection used last, if one is kept that still stands."""
         while self._idle:
             stream = self._idle.pop()
-            if stream.quiet():
+            if stream.is_idle():
                 return stream
             stream.close()
         return None
--- a/brambleusher/lab/stand_ins/node.py
+++ b/brambleusher/lab/stand_ins/node.py
@@ -290,7 +290,7 @@
         while (request := reader.take()) is None:
             if not reader.has_begun and (unread or self.troubles.all(Resets)):
                 scheduler.park(deadline, stream.sock)
-                if unread and not stream.quiet():
+                if unread and not stream.is_idle():
                     return None  # closing with bytes unread is a reset
                 if self._meets("before"):
                     self.reset(connection)
--- a/brambleusher/lab/virtual/world.py
+++ b/brambleusher/lab/virtual/world.py
@@ -1013,14 +1013,14 @@
         self._check()
         return sock.take_error() if isinstance(sock, VirtualSocket) else 0
 
-    def waited(self, sock: Socket) -> float:
+    def seconds_since_data(self, sock: Socket) -> float:
         """Seconds since bytes last came on a connection, read or not."""
         self._check()
         if not isinstance(sock, VirtualSocket) or not sock.received_ns:
             return 0.0
         return (self.world.now_ns - sock.received_ns) / 1e9
 
-    def bound_silence(self, sock: Socket, seconds: float) -> None:
+    def set_unacknowledged_timeout(self, sock: Socket, seconds: float) -> None:
         """Have a connection fail once bytes sent stay unacknowledged for so long; there are no probes."""
         assert isinstance(sock, VirtualSocket)
         sock.silence_ns = int(seconds * 1e9)
--- a/brambleusher/load/player.py
+++ b/brambleusher/load/player.py
@@ -168,7 +168,7 @@
     def _kept(idle: list[Connection]) -> Connection | None:
         while idle:
             connection = idle.pop()
-            if connection.stream.quiet():
+            if connection.stream.is_idle():
                 return connection
             connection.stream.close()
         return None
--- a/brambleusher/membership/line_connection.py
+++ b/brambleusher/membership/line_connection.py
@@ -30,7 +30,7 @@
         scheduler,
         address,
         deadline,
-        prepare=lambda sock: scheduler.system.bound_silence(sock, UNACKNOWLEDGED_MAX_S),
+        prepare=lambda sock: scheduler.system.set_unacknowledged_timeout(sock, UNACKNOWLEDGED_MAX_S),
     )
 
 
--- a/brambleusher/net/client_connection_server.py
+++ b/brambleusher/net/client_connection_server.py
@@ -131,7 +131,7 @@
 
     @staticmethod
     def _has_next_request(connection: ClientConnection, reader: MessageReader) -> bool:
-        return reader.buffered > 0 or not connection.stream.quiet()
+        return reader.buffered > 0 or not connection.stream.is_idle()
 
     def _count_bad_request(self, connection: ClientConnection, error: HttpError) -> None:
         self._counters.add("bad_requests")
--- a/brambleusher/net/client_connections.py
+++ b/brambleusher/net/client_connections.py
@@ -145,7 +145,7 @@
             for connection in self._idle_connections():
                 since = connection.stream.used_at
                 may_stay = self._service.may_stay_idle(now, since, connection.was_served)
-                if not may_stay and connection.stream.quiet():
+                if not may_stay and connection.stream.is_idle():
                     self.close_gracefully(connection)
             self._scheduler.sleep(IDLE_CHECK_INTERVAL_S)
         self._closing_idle = None
@@ -154,7 +154,7 @@
         """Close what is idle now; every other connection is closed with its response."""
         self.is_draining, self.draining_since = True, self._scheduler.now()
         for connection in self._idle_connections():
-            if connection.stream.quiet():
+            if connection.stream.is_idle():
                 self.close_gracefully(connection)
 
     def _idle_connections(self) -> list[ClientConnection]:
--- a/brambleusher/net/client_request_handler.py
+++ b/brambleusher/net/client_request_handler.py
@@ -131,7 +131,7 @@
         unseen_s = 0.0 if body_stream is not None else self._unseen_s(connection)
         if unseen_s:
             # Its time began when it came: else its response would come when nobody waits any more.
-            waited_s = min(self._scheduler.system.waited(connection.stream.sock), unseen_s)
+            waited_s = min(self._scheduler.system.seconds_since_data(connection.stream.sock), unseen_s)
             waited_ns = int(waited_s * _NS_PER_S)
             arrived_ns -= waited_ns
             request = replace(request, time_left_ns=max(request.time_left_ns - waited_ns, 0))
@@ -148,7 +148,7 @@
 
     def _unseen_s(self, connection: ClientConnection) -> float:
         """Seconds for which a request that was read now may have waited unseen."""
-        return max(self._scheduler.late, 0.0 if connection.was_served else connection.accept_delay_s)
+        return max(self._scheduler.lateness_s, 0.0 if connection.was_served else connection.accept_delay_s)
 
     def _start_time_with_last_byte(self, body_stream: RequestBodyStream, time_left_ns: int) -> None:
         """A streamed request's time begins, and it counts as accepted, when its last byte has come."""
--- a/brambleusher/net/client_request_reader.py
+++ b/brambleusher/net/client_request_reader.py
@@ -65,7 +65,7 @@
             if reader.expects_continue and not self._has_sent_continue:
                 self._has_sent_continue = True
                 self._stream.send(CONTINUE, self._deadline)
-            if self._connections.is_draining and not reader.has_begun and self._stream.quiet():
+            if self._connections.is_draining and not reader.has_begun and self._stream.is_idle():
                 return None
             if not self._receive():
                 return None
@@ -90,7 +90,7 @@
         except TaskTimeoutError:
             if reader.has_begun:
                 raise HttpError(408, "the request did not come whole in time") from None
-            return not self._stream.quiet()  # it may have come in the moment in which the wait ended
+            return not self._stream.is_idle()  # it may have come in the moment in which the wait ended
         if not data:
             return False
         reader.feed(data)
--- a/brambleusher/net/endpoint_list.py
+++ b/brambleusher/net/endpoint_list.py
@@ -215,7 +215,7 @@
                 return end.value  # type: ignore[no-any-return]
             self.on_step()
             self._slices_waiting.set()  # what is urgent need not wait for the last step
-            self._scheduler.breathe()
+            self._scheduler.yield_until_idle()
 
     def _apply_slices(self, slices: EndpointListSlices) -> None:
         """Apply slice after slice, as long as any wait; a task."""
@@ -229,5 +229,5 @@
                     self._counters.add("faults")
                     log.exception("endpoint list slice failed")
                 self.on_step()
-                self._scheduler.breathe()
+                self._scheduler.yield_until_idle()
             self.has_discovery_answered = self.has_discovery_answered or self._version is not None
--- a/brambleusher/net/endpoint_watch.py
+++ b/brambleusher/net/endpoint_watch.py
@@ -67,7 +67,7 @@
             if len(pending) + texts.size > MAX_LINE:
                 raise WatchError("a line is too long")
             if len(pending) > LONG_LINE:
-                self._scheduler.breathe()
+                self._scheduler.yield_until_idle()
             patience = TEXT_SECONDS if texts.incomplete else SILENT_SECONDS
             # Guards against a watch that trickles: a long line has as much longer as its bytes take.
             try:
--- a/brambleusher/net/streamed_bodies.py
+++ b/brambleusher/net/streamed_bodies.py
@@ -44,7 +44,7 @@
         while not self.is_complete:
             data, self.is_complete = self._reader.drain()
             if data:
-                self._stream.scheduler.give_way()
+                self._stream.scheduler.yield_now()
                 return data
             if self.is_complete:
                 break
@@ -140,7 +140,7 @@
                 self.on_complete()
             if data:
                 self.size += len(data)
-                self._stream.scheduler.give_way()
+                self._stream.scheduler.yield_now()
                 return data
             if self.is_complete:
                 break
--- a/brambleusher/net/upstream_connections.py
+++ b/brambleusher/net/upstream_connections.py
@@ -85,7 +85,7 @@
     def close_expired(self, endpoint: UpstreamEndpoint, now: float) -> None:
         """Close what has been idle for too long, was closed from the other side or is too much."""
         oldest_use = now - self._pacing.idle_timeout_s
-        kept = [stream for stream in endpoint.idle if stream.used_at > oldest_use and stream.quiet()]
+        kept = [stream for stream in endpoint.idle if stream.used_at > oldest_use and stream.is_idle()]
         kept = kept[max(0, len(kept) - max(endpoint.limit.idle_to_keep(now), 1)) :]  # the last used
         for stream in endpoint.idle:
             if stream not in kept:
@@ -99,7 +99,7 @@
                 continue
             del endpoint.idle[at]
             # Race: a request written to a connection that its endpoint is about to close, or has closed.
-            if now - stream.used_at < self._pacing.idle_timeout_s and stream.quiet():
+            if now - stream.used_at < self._pacing.idle_timeout_s and stream.is_idle():
                 return stream
             self._discard(endpoint, stream)
         return None
--- a/brambleusher/net/upstream_request_writer.py
+++ b/brambleusher/net/upstream_request_writer.py
@@ -60,7 +60,7 @@
     buffered = body.take_buffered()
 
     def check_for_response() -> None:
-        if not stream.quiet():
+        if not stream.is_idle():
             raise EarlyResponseError
 
     first = chunk(buffered) if is_chunked and buffered else buffered
--- a/brambleusher/runtime/h11_messages.py
+++ b/brambleusher/runtime/h11_messages.py
@@ -11,25 +11,25 @@
 SEND_S = 5.0  # for a peer to take a line that tells it to go on
 
 
-def next_event(connection: h11.Connection, stream: Stream, deadline: float) -> Any:
+def receive_event(connection: h11.Connection, stream: Stream, deadline: float) -> Any:
     """The next event of the peer; raises `OSError`, `Timeout` and `h11.ProtocolError`.
 
     A client that waits to be told to go on with its body is told so.
     """
     while (event := connection.next_event()) is h11.NEED_DATA:
-        go_on(connection, stream)
+        send_continue(connection, stream)
         connection.receive_data(stream.receive(deadline, size=RECEIVE_BYTES) or b"")
     return event
 
 
-def go_on(connection: h11.Connection, stream: Stream, seconds: float = SEND_S) -> None:
+def send_continue(connection: h11.Connection, stream: Stream, seconds: float = SEND_S) -> None:
     """Tell a client that waits for it to go on with its body."""
     if connection.they_are_waiting_for_100_continue:
         informational = h11.InformationalResponse(status_code=100, headers=[])
         stream.send(connection.send(informational) or b"", stream.scheduler.now() + seconds)
 
 
-def whole(connection: h11.Connection, head: h11.Request | h11.Response, body: bytes = b"") -> bytes:
+def encode_message(connection: h11.Connection, head: h11.Request | h11.Response, body: bytes = b"") -> bytes:
     """A whole message as bytes."""
     events: list[h11.Event] = [head, *([h11.Data(data=body)] if body else []), h11.EndOfMessage()]
     return b"".join(connection.send(event) or b"" for event in events)
--- a/brambleusher/runtime/http_client.py
+++ b/brambleusher/runtime/http_client.py
@@ -6,7 +6,7 @@
 
 import h11
 
-from brambleusher.runtime.h11_messages import next_event, whole
+from brambleusher.runtime.h11_messages import encode_message, receive_event
 from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
 from brambleusher.runtime.system import Address
@@ -62,10 +62,10 @@
         stream, connection = self._stream, self._connection
         host = f"{self._address[0]}:{self._address[1]}".encode()
         request = h11.Request(method=b"GET", target=target.encode(), headers=[(b"Host", host)])
-        stream.send(whole(connection, request), deadline)
+        stream.send(encode_message(connection, request), deadline)
         status, parts, held = 0, [], 0
         while True:
-            event = next_event(connection, stream, deadline)
+            event = receive_event(connection, stream, deadline)
             if isinstance(event, h11.Response):
                 status = event.status_code
             elif isinstance(event, h11.Data):
--- a/brambleusher/runtime/http_server.py
+++ b/brambleusher/runtime/http_server.py
@@ -10,7 +10,7 @@
 import orjson
 
 from brambleusher.runtime.acceptor import Acceptor
-from brambleusher.runtime.h11_messages import next_event, whole
+from brambleusher.runtime.h11_messages import encode_message, receive_event
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.streams import Stream
 from brambleusher.runtime.system import Address
@@ -97,7 +97,7 @@
         held = 0
         deadline = self._scheduler.now() + IDLE_S
         while True:
-            event = next_event(connection, stream, deadline)
+            event = receive_event(connection, stream, deadline)
             if isinstance(event, h11.Request):
                 head, deadline = event, self._scheduler.now() + REQUEST_S
             elif isinstance(event, h11.Data):
@@ -123,4 +123,4 @@
         if self.closing:
             headers.append((b"Connection", b"close"))
         head = h11.Response(status_code=response.status, headers=headers)
-        stream.send(whole(connection, head, response.body), self._scheduler.now() + SEND_S)
+        stream.send(encode_message(connection, head, response.body), self._scheduler.now() + SEND_S)
--- a/brambleusher/runtime/operating_system.py
+++ b/brambleusher/runtime/operating_system.py
@@ -163,7 +163,7 @@
         assert isinstance(sock, socket.socket)
         return sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
 
-    def waited(self, sock: Socket) -> float:
+    def seconds_since_data(self, sock: Socket) -> float:
         """Seconds since bytes last came on a connection, read or not; 0 where the machine does not tell."""
         assert isinstance(sock, socket.socket)
         try:
@@ -173,7 +173,7 @@
             return 0.0
         return float(milliseconds) / 1000
 
-    def bound_silence(self, sock: Socket, seconds: float) -> None:
+    def set_unacknowledged_timeout(self, sock: Socket, seconds: float) -> None:
         """Have a connection fail once bytes sent, or probes, stay unacknowledged for so long."""
         assert isinstance(sock, socket.socket)
         try:
--- a/brambleusher/runtime/scheduler.py
+++ b/brambleusher/runtime/scheduler.py
@@ -116,7 +116,7 @@
         return len(self._timers) - self._shells
 
     @property
-    def late(self) -> float:
+    def lateness_s(self) -> float:
         """Seconds for which what comes to light now may have waited unseen, 0 where no timer was late.
 
         A process that was stopped, or is short of processor time, is behind for as long again as it was late.
@@ -182,7 +182,7 @@
         except TaskTimeoutError:
             return
 
-    def give_way(self) -> None:
+    def yield_now(self) -> None:
         """Let all run that are ready.
 
         Guards against one task that always finds something to do, and never has to wait for it.
@@ -194,7 +194,7 @@
         if isinstance(why, BaseException):
             raise why
 
-    def breathe(self) -> None:
+    def yield_until_idle(self) -> None:
         """Let others run until nobody is ready to, or for a moment where somebody always is.
 
         For long work in steps: it has the time that is left, and a part of it where none is.
@@ -224,7 +224,7 @@
     def call_soon(self, call: Callable[[], object]) -> None:
         """Have the hub make a short call in its next round; safe in a signal handler."""
         self._soon.append(call)
-        self.nudge()
+        self.interrupt_poll()
 
     def wake(self, task: Task, why: Any) -> None:
         """Queue a parked task to run again; the first reason to wake it counts."""
@@ -270,9 +270,9 @@
     def stop(self) -> None:
         """End `run` after this round; safe in a signal handler."""
         self._stopped = True
-        self.nudge()
+        self.interrupt_poll()
 
-    def nudge(self) -> None:
+    def interrupt_poll(self) -> None:
         """End a poll in progress; safe in a signal handler."""
         self._waker.wake()
 
--- a/brambleusher/runtime/streams.py
+++ b/brambleusher/runtime/streams.py
@@ -98,7 +98,7 @@
         except OSError:
             return b""
 
-    def quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether the connection is open and nothing, not even its end, waits to be read."""
         return self.peek() is None
 
--- a/brambleusher/runtime/system.py
+++ b/brambleusher/runtime/system.py
@@ -150,10 +150,10 @@
     def error_of(self, sock: Socket) -> int:
         """The error that waits on a socket, and clears it; 0 for none."""
 
-    def waited(self, sock: Socket) -> float:
+    def seconds_since_data(self, sock: Socket) -> float:
         """Seconds since bytes last came on a connection, read or not; 0 where the machine does not tell."""
 
-    def bound_silence(self, sock: Socket, seconds: float) -> None:
+    def set_unacknowledged_timeout(self, sock: Socket, seconds: float) -> None:
         """Have a connection fail once sent bytes, or probes on an idle one, stay unacknowledged so long.
 
         Guards against a peer without power, or behind a cut: it says nothing, and waits would never end.
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -157,7 +157,7 @@
     ),
     (
         "look when a wait ends",
-        [(Stream, "quiet", closes_when_the_wait_ends)],
+        [(Stream, "is_idle", closes_when_the_wait_ends)],
         test_crossings_client.Closes,
         "test_a_request_that_comes_as_the_wait_for_it_ends_is_served",
     ),
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -267,7 +267,7 @@
 
     def works() -> None:
         for _ in range(3):
-            scheduler.breathe()
+            scheduler.yield_until_idle()
             seen.append("step")
 
     def busy(turns: int) -> None:
--- a/tests/test_making_room.py
+++ b/tests/test_making_room.py
@@ -25,7 +25,7 @@
         self.looks += 1
         return self.waits
 
-    def quiet(self) -> bool:
+    def is_idle(self) -> bool:
         return self.peek() is None
 
 
