--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -513,14 +513,21 @@
             return {zone["zone"]: zone["evacuating"] for zone in zones}
 
         assert shown()["macon"]
-        for operator, said, evacuated in (
-            (b"zones: {evacuate: [macon], evacuate: []}", "bad operator file, the rules on zones stay", True),
-            (place.operator_file(evacuate=[]), "rules on zones read again", False),
-        ):
+
+        def logged(message: str) -> list[dict[str, object]]:
+            return [vars(each)["fields"] for each in caplog.records if each.getMessage() == message]
+
+        for operator, message, key, value, evacuated in (
+            (
+                b"zones: {evacuate: [macon], evacuate: []}",
+                "configuration reload rejected", "file", "operator file", True,
+            ),
+            (place.operator_file(evacuate=[]), "zone rules reloaded", "on", True, False),
+        ):  # fmt: skip
             place.operator = operator
             place.signal(signal.SIGHUP)
             fleet.world.run(fleet.world.now_ns + SECOND // 10)
-            assert said in caplog.text and shown()["macon"] is evacuated
+            assert [each[key] for each in logged(message)] == [value] and shown()["macon"] is evacuated
         assert "can't change" not in caplog.text
         fleet.world.run(fleet.world.now_ns + SECOND // 2)
         place.signal(signal.SIGUSR1)
