--- a/brambleusher/features/metrics_reporter.py
+++ b/brambleusher/features/metrics_reporter.py
@@ -14,7 +14,7 @@
 from brambleusher.features.output_queue import OutputQueue
 from brambleusher.loadbalancing import api
 from brambleusher.observability.counters import Counters
-from brambleusher.operator_settings.configuration import FiguresSettings
+from brambleusher.operator_settings.configuration import MetricsSettings
 from brambleusher.runtime.scheduler import Scheduler
 
 PREFIX = "brambleusher."
@@ -62,7 +62,7 @@
 
     def __init__(
         self,
-        settings: FiguresSettings,
+        settings: MetricsSettings,
         served: api.Settings,
         clock: Clock,
         counters: Counters,
--- a/brambleusher/features/rewrites.py
+++ b/brambleusher/features/rewrites.py
@@ -13,7 +13,7 @@
 
 from brambleusher.net.header_forwarding import end_to_end
 from brambleusher.net.http import HeaderField, Message
-from brambleusher.operator_settings.configuration import Rule
+from brambleusher.operator_settings.configuration import RewriteRule
 
 # A list whose quotes are balanced; in any other, what is appended could land inside a quote.
 _QUOTES_CLOSED = re.compile(r'(?:[^"]|"(?:[^"\\]|\\.)*")*\Z')
@@ -33,7 +33,7 @@
     return [*kept, ("Forwarded", ", ".join([*chain, forwarded_for(client)]))]
 
 
-def apply(rule: Rule, fields: list[HeaderField]) -> list[HeaderField]:
+def apply(rule: RewriteRule, fields: list[HeaderField]) -> list[HeaderField]:
     """One rule's action; names compare without regard to case."""
     name = rule.name.lower()
     if rule.action == "add":
@@ -53,8 +53,8 @@
 class Rewrites:
     """The rules of one sidecar."""
 
-    def __init__(self, rules: Iterable[Rule]) -> None:
-        self._rules: dict[str, list[Rule]] = {"in": [], "out": []}
+    def __init__(self, rules: Iterable[RewriteRule]) -> None:
+        self._rules: dict[str, list[RewriteRule]] = {"in": [], "out": []}
         for rule in rules:
             self._rules[rule.direction].append(rule)
 
--- a/brambleusher/fronts/mysql/service.py
+++ b/brambleusher/fronts/mysql/service.py
@@ -16,14 +16,14 @@
 from brambleusher.loadbalancing.api import Settings
 from brambleusher.net.endpoint_list import EndpointListUpdate
 from brambleusher.observability.counters import Counters
-from brambleusher.operator_settings.section import OperatorError
+from brambleusher.operator_settings.section import OperatorFileError
 from brambleusher.runtime.scheduler import Scheduler
 
 log = logging.getLogger(__name__)
 
 
 class MysqlService:
-    """MySQL on the sidecar's decisions; raises `OperatorError` where its section or a file is of no use."""
+    """MySQL on the sidecar's decisions; raises `OperatorFileError` if its section or a file is of no use."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
     ) -> None:
         for name in ("sqlglot", "cryptography"):
             if importlib.util.find_spec(name) is None:
-                raise OperatorError(f"mysql: {name} is missing: install brambleusher[mysql]")
+                raise OperatorFileError(f"mysql: {name} is missing: install brambleusher[mysql]")
         check_against(settings, platform)
         users, passwords, rsa, node_key = load_secrets(settings)
         self._settings, self._scheduler = settings, scheduler
@@ -50,7 +50,7 @@
                 random.Random(seed ^ 0x6D7973716C), entropy,
             )  # fmt: skip
         except OSError as error:  # certificates
-            raise OperatorError(f"mysql: TLS files can't be used: {error}") from None
+            raise OperatorFileError(f"mysql: TLS files can't be used: {error}") from None
 
     def start(self, known: EndpointListUpdate) -> tuple[str, int]:
         """Listen; says where."""
--- a/brambleusher/fronts/mysql/settings.py
+++ b/brambleusher/fronts/mysql/settings.py
@@ -11,7 +11,7 @@
 from brambleusher.fronts.mysql.constants import CACHING_SHA2, NATIVE
 from brambleusher.fronts.mysql.statements import digest_of, words
 from brambleusher.loadbalancing import api
-from brambleusher.operator_settings.section import OperatorError, Section
+from brambleusher.operator_settings.section import OperatorFileError, Section
 from brambleusher.runtime.streams import parse_address
 
 MAX_FILE = 1024 * 1024
@@ -89,7 +89,7 @@
     try:
         return parse_address(text or "")
     except ValueError as error:
-        raise OperatorError(f"{path}: {error}") from None
+        raise OperatorFileError(f"{path}: {error}") from None
 
 
 def _mapping(section: Section, key: str) -> dict[str, Any]:
@@ -97,19 +97,19 @@
     if raw is None:
         return {}
     if not isinstance(raw, dict) or len(raw) > MAX_ENTRIES:
-        raise OperatorError(f"{section.name(key)} is not a mapping of at most {MAX_ENTRIES}")
+        raise OperatorFileError(f"{section.name(key)} is not a mapping of at most {MAX_ENTRIES}")
     return raw
 
 
 def _flag(section: Section, key: str, default: bool) -> bool:
     value = section.take(key, default)
     if not isinstance(value, bool):
-        raise OperatorError(f"{section.name(key)} is not true or false")
+        raise OperatorFileError(f"{section.name(key)} is not true or false")
     return value
 
 
 def _optional_ms(section: Section, key: str) -> int | None:
-    return section.whole(key, 0, 1, 86_400_000) if section.has(key) else None
+    return section.integer(key, 0, 1, 86_400_000) if section.has(key) else None
 
 
 def _tls(raw: Any, path: str, server: bool) -> Tls:
@@ -121,21 +121,23 @@
         section.text("ca_file", "") or "",
         (section.text("host", "") or "") if not server else "",
     )
-    section.end()
+    section.reject_unknown_keys()
     if server and tls.mode != "off" and not (tls.cert_file and tls.key_file):
-        raise OperatorError(f"{path} needs cert_file and key_file")
+        raise OperatorFileError(f"{path} needs cert_file and key_file")
     if not server and tls.mode == "required" and not tls.ca_file:
         # Guards against a required TLS that anyone in between could answer.
-        raise OperatorError(f"{path}.ca_file is missing: without it the nodes' certificates prove nothing")
+        raise OperatorFileError(
+            f"{path}.ca_file is missing: without it the nodes' certificates prove nothing"
+        )
     return tls
 
 
 def parse_mysql(raw: Any) -> MysqlSettings:
-    """The section, checked; raises `OperatorError` naming the key."""
+    """The section, checked; raises `OperatorFileError` naming the key."""
     section = Section(raw, "mysql")
     for key in ("listen", "users_file", "accounts_file", "strict_class"):
         if not section.has(key):
-            raise OperatorError(f"mysql.{key} is missing")
+            raise OperatorFileError(f"mysql.{key} is missing")
     addresses = {
         str(name): _address(text if isinstance(text, str) else None, f"mysql.addresses.{name}")
         for name, text in _mapping(section, "addresses").items()
@@ -147,12 +149,12 @@
             rule.text("account", str(name)) or str(name), rule.text("class"), rule.text("tenant"),
             _optional_ms(rule, "deadline_ms"),
         )  # fmt: skip
-        rule.end()
+        rule.reject_unknown_keys()
     grace = {}
     if section.has("grace_ms"):
         given_grace = _mapping(section, "grace_ms")
         each = Section(given_grace, "mysql.grace_ms")
-        grace = {str(name): each.whole(name, 0, 0, 3_600_000) for name in given_grace}
+        grace = {str(name): each.integer(name, 0, 0, 3_600_000) for name in given_grace}
     usual = MysqlSettings(("", 0), "", "", "")
     settings = MysqlSettings(
         listen=_address(section.text("listen"), "mysql.listen"),
@@ -160,7 +162,7 @@
         accounts_file=section.text("accounts_file") or "",
         strict_class=section.text("strict_class") or "",
         default_class=section.text("default_class"),
-        port=section.whole("port", usual.port, 1, 65_535),
+        port=section.integer("port", usual.port, 1, 65_535),
         addresses=addresses,
         users=users,
         statements=_statements(section.take("statements")),
@@ -173,20 +175,20 @@
         rsa_key_file=section.text("rsa_key_file", "") or "",
         node_key_file=section.text("node_key_file", "") or "",
         ask_node_key=_flag(section, "ask_node_key", usual.ask_node_key),
-        sessions=section.whole("sessions", usual.sessions, 1, 100_000),
-        connections=section.whole("connections", usual.connections, 1, 10_000),
-        connections_total=section.whole("connections_total", usual.connections_total, 1, 100_000),
-        idle_ms=section.whole("idle_ms", usual.idle_ms, 10, 86_400_000),
-        pool_wait_ms=section.whole("pool_wait_ms", usual.pool_wait_ms, 0, 3_600_000),
-        login_ms=section.whole("login_ms", usual.login_ms, 10, 600_000),
-        session_idle_ms=section.whole("session_idle_ms", usual.session_idle_ms, 10, 604_800_000),
-        max_packet_mb=section.whole("max_packet_mb", usual.max_packet_mb, 1, 1024),
-        memory_mb=section.whole("memory_mb", usual.memory_mb, 1, 65_536),
+        sessions=section.integer("sessions", usual.sessions, 1, 100_000),
+        connections=section.integer("connections", usual.connections, 1, 10_000),
+        connections_total=section.integer("connections_total", usual.connections_total, 1, 100_000),
+        idle_ms=section.integer("idle_ms", usual.idle_ms, 10, 86_400_000),
+        pool_wait_ms=section.integer("pool_wait_ms", usual.pool_wait_ms, 0, 3_600_000),
+        login_ms=section.integer("login_ms", usual.login_ms, 10, 600_000),
+        session_idle_ms=section.integer("session_idle_ms", usual.session_idle_ms, 10, 604_800_000),
+        max_packet_mb=section.integer("max_packet_mb", usual.max_packet_mb, 1, 1024),
+        memory_mb=section.integer("memory_mb", usual.memory_mb, 1, 65_536),
         grace_ms=grace,
         load=section.choice("load", ("pool", "none"), usual.load),
-        drain_spread_ms=section.whole("drain_spread_ms", usual.drain_spread_ms, 0, 600_000),
+        drain_spread_ms=section.integer("drain_spread_ms", usual.drain_spread_ms, 0, 600_000),
     )
-    section.end()
+    section.reject_unknown_keys()
     return settings
 
 
@@ -194,24 +196,24 @@
     if raw is None:
         return ()
     if not isinstance(raw, list) or len(raw) > MAX_ENTRIES:
-        raise OperatorError(f"mysql.statements is not a list of at most {MAX_ENTRIES}")
+        raise OperatorFileError(f"mysql.statements is not a list of at most {MAX_ENTRIES}")
     out = []
     for at, given in enumerate(raw):
         path = f"mysql.statements[{at}]"
         rule = Section(given, path)
         text, request_class = rule.text("text"), rule.text("class")
         if text is None or request_class is None:
-            raise OperatorError(f"{path} needs text and class")
+            raise OperatorFileError(f"{path} needs text and class")
         parts, _, sound = words(text.encode())
         if not sound or not parts:
-            raise OperatorError(f"{path}.text can't be read as a statement")
+            raise OperatorFileError(f"{path}.text can't be read as a statement")
         out.append(StatementRule(digest_of(parts), request_class, _optional_ms(rule, "deadline_ms")))
-        rule.end()
+        rule.reject_unknown_keys()
     return tuple(out)
 
 
 def check_against(settings: MysqlSettings, platform: api.Settings) -> None:
-    """That classes and tenants are those of the platform; raises `OperatorError` naming the key."""
+    """That classes and tenants are those of the platform; raises `OperatorFileError` naming the key."""
     classes = {cls.name: cls for cls in platform.classes}
     tenants = {tenant.name for tenant in platform.tenants}
     named = [("mysql.strict_class", settings.strict_class), ("mysql.default_class", settings.default_class)]
@@ -222,19 +224,19 @@
         if name is None:
             continue
         if name not in classes:
-            raise OperatorError(f"{path}: there is no class {name}")
+            raise OperatorFileError(f"{path}: there is no class {name}")
         if classes[name].idempotency is api.Idempotency.KEYED:
             # Guards against repeats that the nodes would have to recognise: MySQL carries no key for that.
-            raise OperatorError(f"{path}: {name} is repeated by a key, which MySQL does not carry")
+            raise OperatorFileError(f"{path}: {name} is repeated by a key, which MySQL does not carry")
     if classes[settings.strict_class].idempotency is not api.Idempotency.UNSAFE:
-        raise OperatorError(f"mysql.strict_class: {settings.strict_class} may be repeated")
+        raise OperatorFileError(f"mysql.strict_class: {settings.strict_class} may be repeated")
     given = [("mysql.tenant", settings.tenant)]
     given += [(f"mysql.users.{name}.tenant", rule.tenant) for name, rule in settings.users.items()]
     for path, name in given:
         if name is not None and tenants and name not in tenants:
-            raise OperatorError(f"{path}: there is no tenant {name}")
+            raise OperatorFileError(f"{path}: there is no tenant {name}")
     if tenants and settings.tenant is None:
-        raise OperatorError("mysql.tenant is missing: this deployment has tenants")
+        raise OperatorFileError("mysql.tenant is missing: this deployment has tenants")
 
 
 # --- the files ----------------------------------------------------------------------------------
@@ -245,13 +247,13 @@
         with Path(path).open("rb") as file:
             raw = file.read(MAX_FILE + 1)
     except OSError as error:
-        raise OperatorError(f"{key}: {path} can't be read: {error.strerror}") from None
+        raise OperatorFileError(f"{key}: {path} can't be read: {error.strerror}") from None
     if len(raw) > MAX_FILE:
-        raise OperatorError(f"{key}: {path} has more than {MAX_FILE} bytes")
+        raise OperatorFileError(f"{key}: {path} has more than {MAX_FILE} bytes")
     try:
         text = raw.decode()
     except UnicodeDecodeError:
-        raise OperatorError(f"{key}: {path} is not UTF-8") from None
+        raise OperatorFileError(f"{key}: {path} is not UTF-8") from None
     return [
         (number, line)
         for number, line in enumerate(text.splitlines(), 1)
@@ -265,13 +267,13 @@
     for number, line in _lines(path, "mysql.users_file"):
         parts = line.split()
         if len(parts) != 3:
-            raise OperatorError(f"mysql.users_file: line {number} is not a name, a plugin and a hash")
+            raise OperatorFileError(f"mysql.users_file: line {number} is not a name, a plugin and a hash")
         try:
             secret = Secret.parse(parts[1], parts[2])
         except ValueError as error:
-            raise OperatorError(f"mysql.users_file: line {number}: {error}") from None
+            raise OperatorFileError(f"mysql.users_file: line {number}: {error}") from None
         if parts[0] in out:
-            raise OperatorError(f"mysql.users_file: line {number} has {parts[0]} for the second time")
+            raise OperatorFileError(f"mysql.users_file: line {number} has {parts[0]} for the second time")
         out[parts[0]] = secret
     return out
 
@@ -297,7 +299,7 @@
     for number, line in _lines(path, "mysql.accounts_file"):
         name, _, password = line.replace("\t", " ", 1).partition(" ")
         if name in out:
-            raise OperatorError(f"mysql.accounts_file: line {number} has {name} for the second time")
+            raise OperatorFileError(f"mysql.accounts_file: line {number} has {name} for the second time")
         out[name] = password.strip(" \t").encode()
     return Passwords(out)
 
@@ -308,13 +310,13 @@
     for name in users:
         account = settings.users[name].account if name in settings.users else name
         if account not in accounts:
-            raise OperatorError(f"mysql.accounts_file has no account {account}, which user {name} needs")
+            raise OperatorFileError(f"mysql.accounts_file has no account {account}, which user {name} needs")
     rsa = RsaKey(_raw(settings.rsa_key_file, "mysql.rsa_key_file"))
     if settings.rsa_key_file:
         try:
             rsa.check()
         except ValueError as error:
-            raise OperatorError(f"mysql.rsa_key_file: {error}") from None
+            raise OperatorFileError(f"mysql.rsa_key_file: {error}") from None
     return users, accounts, rsa, _raw(settings.node_key_file, "mysql.node_key_file")
 
 
@@ -324,4 +326,4 @@
     try:
         return Path(path).read_bytes()
     except OSError as error:
-        raise OperatorError(f"{key}: {path} can't be read: {error.strerror}") from None
+        raise OperatorFileError(f"{key}: {path} can't be read: {error.strerror}") from None
--- a/brambleusher/operator_settings/configuration.py
+++ b/brambleusher/operator_settings/configuration.py
@@ -12,13 +12,13 @@
 from brambleusher.loadbalancing.api import Tier, ZoneRules
 from brambleusher.net.header_forwarding import PROTECTED
 from brambleusher.net.http import HOP_BY_HOP, is_token, is_value
-from brambleusher.operator_settings.section import OperatorError, Section
+from brambleusher.operator_settings.section import OperatorFileError, Section
 from brambleusher.runtime.streams import parse_address
 
 if TYPE_CHECKING:
     from brambleusher.fronts.mysql.settings import MysqlSettings
 
-MAX_FILE = 256 * 1024
+MAX_FILE_BYTES = 256 * 1024
 MAX_RULES, MAX_VALUE = 256, 4096
 MAX_ZONES = 64
 # What the sidecar words anew on each connection.
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rule:
+class RewriteRule:
     """One rewrite: `name` is added with `value`, dropped, or renamed to `value`."""
 
     direction: str
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Target:
+class MetricsTarget:
     """Where lines go: standard error, a file's path, or an address for datagrams."""
 
     kind: str = "stderr"
@@ -49,11 +49,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FiguresSettings:
+class MetricsSettings:
     """Figures for a collector."""
 
     format: str = "statsd"
-    target: Target = Target()
+    target: MetricsTarget = MetricsTarget()
     flush_ms: int = 1000
     buffer_kb: int = 64
 
@@ -79,8 +79,8 @@
 class OperatorFile:
     """The features' settings; None for one that is off."""
 
-    rewrites: tuple[Rule, ...] | None = None
-    figures: FiguresSettings | None = None
+    rewrites: tuple[RewriteRule, ...] | None = None
+    figures: MetricsSettings | None = None
     status: StatusSettings | None = None
     capture: CaptureSettings | None = None
     zones: ZoneRules | None = None
@@ -90,81 +90,81 @@
 def _header(value: Any, path: str) -> str:
     """The name of a header that rules may touch."""
     if not isinstance(value, str) or not is_token(value):
-        raise OperatorError(f"{path} is not the name of a header")
+        raise OperatorFileError(f"{path} is not the name of a header")
     if value.lower() in PROTECTED:
-        raise OperatorError(f"{path}: {value} is protected")
+        raise OperatorFileError(f"{path}: {value} is protected")
     if value.lower() in FRAMING:
-        raise OperatorError(f"{path}: {value} belongs to the connection")
+        raise OperatorFileError(f"{path}: {value} belongs to the connection")
     return value
 
 
 def _pair(value: Any, path: str) -> tuple[Any, Any]:
     if not isinstance(value, dict) or len(value) != 1:
-        raise OperatorError(f"{path} is not one pair of name: value")
+        raise OperatorFileError(f"{path} is not one pair of name: value")
     return next(iter(value.items()))
 
 
-def _rule(raw: Any, path: str) -> Rule:
+def _rule(raw: Any, path: str) -> RewriteRule:
     section = Section(raw, path)
     if not section.has("match"):
-        raise OperatorError(f"{path}.match is missing")
+        raise OperatorFileError(f"{path}.match is missing")
     match = Section(section.take("match"), f"{path}.match")
     prefix, request_class = match.text("path_prefix"), match.text("class")
-    match.end()
+    match.reject_unknown_keys()
     if prefix is not None and not prefix.startswith("/"):
-        raise OperatorError(f"{path}.match.path_prefix does not begin with /")
+        raise OperatorFileError(f"{path}.match.path_prefix does not begin with /")
     direction = section.choice("direction", DIRECTIONS)
     named = [action for action in ACTIONS if section.has(action)]
     if len(named) != 1:
-        raise OperatorError(f"{path} has not exactly one of {', '.join(ACTIONS)}")
+        raise OperatorFileError(f"{path} has not exactly one of {', '.join(ACTIONS)}")
     action = named[0]
     given, where = section.take(action), f"{path}.{action}"
-    section.end()
+    section.reject_unknown_keys()
     if action == "drop":
-        return Rule(direction, action, _header(given, where), "", prefix, request_class)
+        return RewriteRule(direction, action, _header(given, where), "", prefix, request_class)
     name, value = _pair(given, where)
     name = _header(name, where)
     if action == "rename":
-        return Rule(direction, action, name, _header(value, where), prefix, request_class)
+        return RewriteRule(direction, action, name, _header(value, where), prefix, request_class)
     if not isinstance(value, str) or not is_value(value) or len(value) > MAX_VALUE:
         # Guards against a line break that would smuggle in a header of its own, or a request.
-        raise OperatorError(f"{where}.{name} is not a text that fits in a header (numbers need quotes)")
-    return Rule(direction, action, name, value.strip(" \t"), prefix, request_class)
+        raise OperatorFileError(f"{where}.{name} is not a text that fits in a header (numbers need quotes)")
+    return RewriteRule(direction, action, name, value.strip(" \t"), prefix, request_class)
 
 
-def _rules(raw: Any) -> tuple[Rule, ...]:
+def _rules(raw: Any) -> tuple[RewriteRule, ...]:
     if raw is None:
         return ()
     if not isinstance(raw, list) or len(raw) > MAX_RULES:
-        raise OperatorError(f"rewrites is not a list of at most {MAX_RULES} rules")
+        raise OperatorFileError(f"rewrites is not a list of at most {MAX_RULES} rules")
     return tuple(_rule(rule, f"rewrites[{at}]") for at, rule in enumerate(raw))
 
 
-def _target(text: str | None, path: str) -> Target:
+def _target(text: str | None, path: str) -> MetricsTarget:
     if text in (None, "stderr"):
-        return Target()
+        return MetricsTarget()
     kind, _, rest = str(text).partition(":")
     if kind == "file" and rest and "\0" not in rest:
-        return Target("file", path=rest)
+        return MetricsTarget("file", path=rest)
     if kind == "udp":
         try:
             host, port = parse_address(rest)
         except ValueError as error:
-            raise OperatorError(f"{path}: {error}") from None
+            raise OperatorFileError(f"{path}: {error}") from None
         if port:
-            return Target("udp", address=(host.removeprefix("[").removesuffix("]"), port))
-    raise OperatorError(f"{path} is not stderr, file: with a path or udp: with host:port")
+            return MetricsTarget("udp", address=(host.removeprefix("[").removesuffix("]"), port))
+    raise OperatorFileError(f"{path} is not stderr, file: with a path or udp: with host:port")
 
 
-def _figures(raw: Any) -> FiguresSettings:
-    section, usual = Section(raw, "figures"), FiguresSettings()
-    settings = FiguresSettings(
+def _figures(raw: Any) -> MetricsSettings:
+    section, usual = Section(raw, "figures"), MetricsSettings()
+    settings = MetricsSettings(
         format=section.choice("format", ("statsd", "influx"), usual.format),
         target=_target(section.text("target"), "figures.target"),
-        flush_ms=section.whole("flush_ms", usual.flush_ms, 10, 3_600_000),
-        buffer_kb=section.whole("buffer_kb", usual.buffer_kb, 4, 65_536),
+        flush_ms=section.integer("flush_ms", usual.flush_ms, 10, 3_600_000),
+        buffer_kb=section.integer("buffer_kb", usual.buffer_kb, 4, 65_536),
     )
-    section.end()
+    section.reject_unknown_keys()
     return settings
 
 
@@ -172,23 +172,23 @@
     section, usual = Section(raw, "status"), StatusSettings(0)
     on = section.has("port")
     settings = StatusSettings(
-        port=section.whole("port", usual.port, 0, 65_535),
-        refresh_ms=section.whole("refresh_ms", usual.refresh_ms, 10, 3_600_000),
+        port=section.integer("port", usual.port, 0, 65_535),
+        refresh_ms=section.integer("refresh_ms", usual.refresh_ms, 10, 3_600_000),
     )
-    section.end()
+    section.reject_unknown_keys()
     return settings if on else None
 
 
 def _capture(raw: Any) -> CaptureSettings:
     section, usual = Section(raw, "capture"), CaptureSettings()
     settings = CaptureSettings(
-        ring_kb=section.whole("ring_kb", usual.ring_kb, 32, 1_048_576),
+        ring_kb=section.integer("ring_kb", usual.ring_kb, 32, 1_048_576),
         dir=section.text("dir"),
-        files=section.whole("files", usual.files, 1, 1000),
+        files=section.integer("files", usual.files, 1, 1000),
     )
-    section.end()
+    section.reject_unknown_keys()
     if settings.dir is not None and "\0" in settings.dir:
-        raise OperatorError("capture.dir is not the name of a directory")
+        raise OperatorFileError("capture.dir is not the name of a directory")
     return settings
 
 
@@ -199,16 +199,16 @@
     if isinstance(raw, list) and raw:
         for at, name in enumerate(raw):
             if not isinstance(name, str) or not name:
-                raise OperatorError(f"{path}[{at}] is not the name of a zone")
+                raise OperatorFileError(f"{path}[{at}] is not the name of a zone")
         return tuple((name, 1.0) for name in raw)
     if isinstance(raw, dict) and raw:
         weights = []
         for name, weight in raw.items():
             if isinstance(weight, bool) or not isinstance(weight, int | float) or not 0 < weight <= 1000:
-                raise OperatorError(f"{path}.{name} is not a weight over 0 and up to 1000")
+                raise OperatorFileError(f"{path}.{name} is not a weight over 0 and up to 1000")
             weights.append((name, float(weight)))
         return tuple(weights)
-    raise OperatorError(f"{path} is not a zone, a list of zones, or zones with weights")
+    raise OperatorFileError(f"{path} is not a zone, a list of zones, or zones with weights")
 
 
 def _tiers(raw: dict[str, Any], zone: str, path: str) -> tuple[Tier, ...]:
@@ -216,16 +216,16 @@
     way, tiers = [zone], list[Tier]()
     while isinstance(then := raw.get(way[-1]), str):
         if then in way:
-            raise OperatorError(f"{path}.{zone} goes in a circle: {' to '.join([*way, then])}")
+            raise OperatorFileError(f"{path}.{zone} goes in a circle: {' to '.join([*way, then])}")
         tiers.append(_tier(then, f"{path}.{way[-1]}"))
         way.append(then)
     if (rest := raw.get(way[-1])) is None:
         if way[-1] in raw:
-            raise OperatorError(f"{path}.{way[-1]} names no zone")
+            raise OperatorFileError(f"{path}.{way[-1]} names no zone")
         return tuple(tiers)
     listed = rest if isinstance(rest, list) else [rest]
     if not 0 < len(listed) <= MAX_ZONES:
-        raise OperatorError(f"{path}.{way[-1]} is not a list of 1 to {MAX_ZONES} tiers")
+        raise OperatorFileError(f"{path}.{way[-1]} is not a list of 1 to {MAX_ZONES} tiers")
     own = [_tier(tier, f"{path}.{way[-1]}[{place}]") for place, tier in enumerate(listed)]
     if len(way) > 1:  # what the last one has may lead back: zones on the way have their place already
         own = [tuple(each for each in tier if each[0] not in way) for tier in own]
@@ -233,9 +233,9 @@
     names = [name for tier in own for name, _ in tier]
     for name in names:
         if name == zone:
-            raise OperatorError(f"{path}.{zone} goes in a circle: {zone} to {zone}")
+            raise OperatorFileError(f"{path}.{zone} goes in a circle: {zone} to {zone}")
         if names.count(name) > 1:
-            raise OperatorError(f"{path}.{zone} names {name} twice")
+            raise OperatorFileError(f"{path}.{zone} names {name} twice")
     return tuple(own)
 
 
@@ -244,7 +244,7 @@
     if raw is None:
         return ()
     if not isinstance(raw, dict) or len(raw) > MAX_ZONES:
-        raise OperatorError(f"{path} is not a mapping of at most {MAX_ZONES} zones")
+        raise OperatorFileError(f"{path} is not a mapping of at most {MAX_ZONES} zones")
     return tuple((zone, _tiers(raw, zone, path)) for zone in raw)
 
 
@@ -261,10 +261,10 @@
         max_flap_hold_ns=int(
             section.number("hold_most_s", usual.max_flap_hold_ns / 1e9, 0.0, 86_400.0) * 1e9
         ),
-        flap_exempt=section.names("trust", MAX_ZONES),
-        evacuated=section.names("evacuate", MAX_ZONES),
+        flap_exempt=section.name_list("trust", MAX_ZONES),
+        evacuated=section.name_list("evacuate", MAX_ZONES),
     )
-    section.end()
+    section.reject_unknown_keys()
     return rules
 
 
@@ -286,25 +286,25 @@
         for key_node, value_node in node.value:
             key, line = loader.construct_object(key_node, deep=True), key_node.start_mark.line + 1
             if not isinstance(key, str):
-                raise OperatorError(f"the key {key!r} in line {line} is not a text")
+                raise OperatorFileError(f"the key {key!r} in line {line} is not a text")
             if key in out:
-                raise OperatorError(f"{key} in line {line} is given twice")
+                raise OperatorFileError(f"{key} in line {line} is given twice")
             out[key] = loader.construct_object(value_node, deep=True)
         return out
 
     Loader.add_constructor("tag:yaml.org,2002:map", mapping)
     try:
         return yaml.load(text, Loader)  # a subclass of the safe loader
-    except OperatorError:
+    except OperatorFileError:
         raise
     except (yaml.YAMLError, ValueError, RecursionError) as error:
-        raise OperatorError(f"not YAML: {' '.join(str(error).split())}") from None
+        raise OperatorFileError(f"not YAML: {' '.join(str(error).split())}") from None
 
 
 def parse_operator_file(text: bytes) -> OperatorFile:
     """The settings in an operator file; an empty one switches nothing on."""
-    if len(text) > MAX_FILE:
-        raise OperatorError(f"the file has more than {MAX_FILE} bytes")
+    if len(text) > MAX_FILE_BYTES:
+        raise OperatorFileError(f"the file has more than {MAX_FILE_BYTES} bytes")
     section = Section(decode_yaml(text), "")
     settings = OperatorFile(
         rewrites=_rules(section.take("rewrites")) if section.has("rewrites") else None,
@@ -314,7 +314,7 @@
         figures=_figures(section.take("figures")) if section.has("figures") else None,
         mysql=_mysql(section.take("mysql")) if section.has("mysql") else None,
     )
-    section.end()
+    section.reject_unknown_keys()
     return settings
 
 
@@ -324,7 +324,7 @@
         return OperatorFile()
     try:
         with Path(path).open("rb") as file:
-            text = file.read(MAX_FILE + 1)
+            text = file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
-        raise OperatorError(f"{path} can't be read: {error.strerror}") from None
+        raise OperatorFileError(f"{path} can't be read: {error.strerror}") from None
     return parse_operator_file(text)
--- a/brambleusher/operator_settings/section.py
+++ b/brambleusher/operator_settings/section.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 
-class OperatorError(ValueError):
+class OperatorFileError(ValueError):
     """An operator file that can't be used; the message names the key."""
 
 
@@ -16,7 +16,7 @@
         if raw is None:
             raw = {}
         if not isinstance(raw, dict):
-            raise OperatorError(f"{path or 'the file'} is not a mapping")
+            raise OperatorFileError(f"{path or 'the file'} is not a mapping")
         self._left, self._path = dict(raw), path
 
     def name(self, key: str) -> str:
@@ -37,45 +37,45 @@
             return default
         value = self._left.pop(key)
         if not isinstance(value, str) or not value:
-            raise OperatorError(f"{self.name(key)} is not a text")
+            raise OperatorFileError(f"{self.name(key)} is not a text")
         return value
 
     def choice(self, key: str, among: tuple[str, ...], default: str = "") -> str:
         """One of a few texts."""
         value = self.text(key, default) or ""
         if value not in among:
-            raise OperatorError(f"{self.name(key)} is not one of {', '.join(among)}")
+            raise OperatorFileError(f"{self.name(key)} is not one of {', '.join(among)}")
         return value
 
-    def whole(self, key: str, default: int, low: int, high: int) -> int:
+    def integer(self, key: str, default: int, low: int, high: int) -> int:
         """A whole number within a range."""
         value = self._left.pop(key, default)
         if isinstance(value, bool) or not isinstance(value, int) or not low <= value <= high:
-            raise OperatorError(f"{self.name(key)} is not a whole number from {low} to {high}")
+            raise OperatorFileError(f"{self.name(key)} is not a whole number from {low} to {high}")
         return value
 
     def number(self, key: str, default: float, low: float, high: float) -> float:
         """A number within a range."""
         value = self._left.pop(key, default)
         if isinstance(value, bool) or not isinstance(value, int | float) or not low <= value <= high:
-            raise OperatorError(f"{self.name(key)} is not a number from {low:g} to {high:g}")
+            raise OperatorFileError(f"{self.name(key)} is not a number from {low:g} to {high:g}")
         return float(value)
 
-    def names(self, key: str, most: int) -> tuple[str, ...]:
+    def name_list(self, key: str, most: int) -> tuple[str, ...]:
         """A list of texts, none of them twice."""
         value = self._left.pop(key, None)
         if value is None:
             return ()
         if not isinstance(value, list) or len(value) > most:
-            raise OperatorError(f"{self.name(key)} is not a list of at most {most} names")
+            raise OperatorFileError(f"{self.name(key)} is not a list of at most {most} names")
         for at, name in enumerate(value):
             if not isinstance(name, str) or not name:
-                raise OperatorError(f"{self.name(key)}[{at}] is not a text")
+                raise OperatorFileError(f"{self.name(key)}[{at}] is not a text")
             if name in value[:at]:
-                raise OperatorError(f"{self.name(key)} names {name} twice")
+                raise OperatorFileError(f"{self.name(key)} names {name} twice")
         return tuple(value)
 
-    def end(self) -> None:
+    def reject_unknown_keys(self) -> None:
         """Refuse what is left over."""
         for key in self._left:
-            raise OperatorError(f"{self.name(key)} is unknown")
+            raise OperatorFileError(f"{self.name(key)} is unknown")
--- a/brambleusher/sidecar/app.py
+++ b/brambleusher/sidecar/app.py
@@ -70,7 +70,7 @@
         make_balancer: Makes a balancer from settings and a seed.
 
     Raises:
-        OperatorError: A feature that is on can't be built, or doesn't fit in the limits.
+        OperatorFileError: A feature that is on can't be built, or doesn't fit in the limits.
     """
 
     def __init__(
--- a/brambleusher/sidecar/connection_budgets.py
+++ b/brambleusher/sidecar/connection_budgets.py
@@ -12,7 +12,7 @@
 from brambleusher.features.status import DESCRIPTORS as STATUS_DESCRIPTORS
 from brambleusher.handover.process_registry import DESCRIPTORS as HANDOVER_DESCRIPTORS
 from brambleusher.operator_settings.configuration import OperatorFile
-from brambleusher.operator_settings.section import OperatorError
+from brambleusher.operator_settings.section import OperatorFileError
 from brambleusher.sidecar.configuration import Config
 
 if TYPE_CHECKING:
@@ -58,7 +58,7 @@
     """Return the bytes that the features' buffers may take beyond their usual sizes.
 
     Raises:
-        OperatorError: They are more than `max_bytes`.
+        OperatorFileError: They are more than `max_bytes`.
     """
     buffers_kib = 0
     if operator.figures is not None:
@@ -68,7 +68,7 @@
     excess = max(0, buffers_kib * KIB - FEATURE_BUFFERS_MEMORY_BYTES)
     if excess > max_bytes:
         # Guards against a sidecar killed for its memory once the ring is full.
-        raise OperatorError("capture.ring_kb and figures.buffer_kb don't fit in limits.memory_mb")
+        raise OperatorFileError("capture.ring_kb and figures.buffer_kb don't fit in limits.memory_mb")
     return excess
 
 
@@ -77,14 +77,14 @@
     required = MYSQL_MEMORY_BYTES + sessions + settings.memory_mb * MIB
     if required > max_bytes:
         # Guards against a sidecar killed for its memory once its sessions are all there.
-        raise OperatorError("mysql.sessions and mysql.memory_mb don't fit in limits.memory_mb")
+        raise OperatorFileError("mysql.sessions and mysql.memory_mb don't fit in limits.memory_mb")
     return required
 
 
 def _mysql_descriptors(settings: MysqlSettings, max_descriptors: int) -> int:
     required = settings.sessions + settings.connections_total
     if required > max_descriptors:
-        raise OperatorError("mysql.sessions and mysql.connections_total don't fit in limits.sockets")
+        raise OperatorFileError("mysql.sessions and mysql.connections_total don't fit in limits.sockets")
     return required
 
 
@@ -94,7 +94,7 @@
     """Return what a process may hold that has a share, from 0 to 1, of the sidecar's limits.
 
     Raises:
-        OperatorError: Features that are on need more than the limits leave.
+        OperatorFileError: Features that are on need more than the limits leave.
     """
     limits = config.limits
     memory = limits.memory_mb * MIB - RUNTIME_MEMORY_BYTES  # the least allowed is 32 MB
--- a/brambleusher/sidecar/feature_assembly.py
+++ b/brambleusher/sidecar/feature_assembly.py
@@ -12,7 +12,7 @@
 from brambleusher.features.rewrites import Rewrites
 from brambleusher.loadbalancing.api import Settings
 from brambleusher.observability.counters import Counters
-from brambleusher.operator_settings.configuration import CaptureSettings, FiguresSettings, Rule
+from brambleusher.operator_settings.configuration import CaptureSettings, MetricsSettings, RewriteRule
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.system import System
 from brambleusher.sidecar.configuration import Config
@@ -28,7 +28,7 @@
 
 
 def build_metrics_reporter(
-    settings: FiguresSettings,
+    settings: MetricsSettings,
     served: Settings,
     clock: Clock,
     counters: Counters,
@@ -57,7 +57,7 @@
     return Capture(settings, config.settings, config.seed, config.known, dumps, files)
 
 
-def build_rewrites(rules: tuple[Rule, ...], served: Settings) -> Rewrites:
+def build_rewrites(rules: tuple[RewriteRule, ...], served: Settings) -> Rewrites:
     """Return the rewrites of headers; rules for classes that are not served are logged."""
     rewrites = Rewrites(rules)
     for name in sorted(rewrites.classes - {cls.name for cls in served.classes}):
@@ -76,7 +76,7 @@
     """Return the MySQL front.
 
     Raises:
-        OperatorError: Its section, a file or a library can't be used.
+        OperatorFileError: Its section, a file or a library can't be used.
     """
     from brambleusher.fronts.mysql.service import MysqlService  # here: it loads what an extra brings
 
--- a/brambleusher/sidecar/main.py
+++ b/brambleusher/sidecar/main.py
@@ -9,7 +9,7 @@
 from brambleusher.features.output_queue import OutputQueueStream
 from brambleusher.observability.log_format import configure
 from brambleusher.operator_settings.configuration import OperatorFile, load_operator_file
-from brambleusher.operator_settings.section import OperatorError
+from brambleusher.operator_settings.section import OperatorFileError
 from brambleusher.runtime.system import System
 from brambleusher.sidecar.app import Sidecar
 from brambleusher.sidecar.configuration import Config, ConfigError, load_config
@@ -30,7 +30,7 @@
 
     Raises:
         ConfigError: The configuration can't be used.
-        OperatorError: The operator file can't be used.
+        OperatorFileError: The operator file can't be used.
     """
     garbage_collection = GarbageCollectionPolicy()
     sidecar = Sidecar(load(), load, operator, system, load_operator)
@@ -64,7 +64,7 @@
             lambda: load_operator_file(operator_path),
             system,
         )
-    except OperatorError as error:
+    except OperatorFileError as error:
         print(f"brambleusher: bad operator file: {error}", file=sys.stderr)
         return EXIT_CONFIGURATION
     except ConfigError as error:
--- a/brambleusher/sidecar/reload.py
+++ b/brambleusher/sidecar/reload.py
@@ -9,7 +9,7 @@
 
 from brambleusher.net.endpoint_watch import HttpWatch
 from brambleusher.operator_settings.configuration import OperatorFile
-from brambleusher.operator_settings.section import OperatorError
+from brambleusher.operator_settings.section import OperatorFileError
 from brambleusher.sidecar.configuration import Config, ConfigError, fixed_keys_changed
 from brambleusher.sidecar.state_exchange import address_text
 
@@ -81,7 +81,7 @@
             return
         try:
             rules = self.load_operator_file().zones
-        except OperatorError as error:
+        except OperatorFileError as error:
             _reject("operator file", error)
             return
         if self._sidecar.balancer_driver.change_zone_rules(rules):
--- a/brambleusher/xds/config.py
+++ b/brambleusher/xds/config.py
@@ -11,8 +11,8 @@
 
 from brambleusher.loadbalancing.api import Idempotency, Settings
 from brambleusher.loadbalancing.settings import SettingsError, parse_settings
-from brambleusher.operator_settings.configuration import MAX_FILE, decode_yaml
-from brambleusher.operator_settings.section import OperatorError, Section
+from brambleusher.operator_settings.configuration import MAX_FILE_BYTES, decode_yaml
+from brambleusher.operator_settings.section import OperatorFileError, Section
 from brambleusher.runtime.streams import parse_address
 from brambleusher.xds.faults import ControlError
 from brambleusher.xds.versions import MIN_SECRET
@@ -195,11 +195,11 @@
 def _file(path: Path, what: str) -> bytes:
     try:
         with path.open("rb") as file:
-            data = file.read(MAX_FILE + 1)
+            data = file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
         raise ControlError(f"{what}: {path} can't be read: {error.strerror}") from None
-    if len(data) > MAX_FILE:
-        raise ControlError(f"{what}: {path} has more than {MAX_FILE} bytes")
+    if len(data) > MAX_FILE_BYTES:
+        raise ControlError(f"{what}: {path} has more than {MAX_FILE_BYTES} bytes")
     return data
 
 
@@ -230,7 +230,7 @@
     usual = ClassPlan(name, (f"/{name}",), max(1, known.deadline_ns // 1_000_000), 0)
     safe = known.idempotency is Idempotency.SAFE
     most = max(0, settings.max_attempts - 1)
-    retries = section.whole("retries", min(1, most) if safe else 0, 0, 10)
+    retries = section.integer("retries", min(1, most) if safe else 0, 0, 10)
     if retries and not safe:
         raise ControlError(f"{path}.retries: a request of class {name} must not be sent twice")
     if retries > most:
@@ -238,13 +238,13 @@
     plan = ClassPlan(
         name,
         _texts(section, "prefixes", usual.prefixes),
-        section.whole("timeout_ms", usual.timeout_ms, 1, HOUR_MS),
+        section.integer("timeout_ms", usual.timeout_ms, 1, HOUR_MS),
         retries,
-        section.whole("connections", usual.connections, 1, 1_000_000),
-        section.whole("pending", usual.pending, 1, 1_000_000),
-        section.whole("requests", usual.requests, 1, 1_000_000),
+        section.integer("connections", usual.connections, 1, 1_000_000),
+        section.integer("pending", usual.pending, 1, 1_000_000),
+        section.integer("requests", usual.requests, 1, 1_000_000),
     )
-    section.end()
+    section.reject_unknown_keys()
     for prefix in plan.prefixes:
         if not prefix.startswith("/"):
             raise ControlError(f"{path}.prefixes: {prefix} does not begin with /")
@@ -259,7 +259,7 @@
         _texts(section, "may", ("*",)),
         section.choice("endpoints", ("zones", "nodes")) if section.has("endpoints") else None,
     )
-    section.end()
+    section.reject_unknown_keys()
     if group.zone is not None and group.zone not in zones:
         raise ControlError(f"{path}.zone: {group.zone} is not among zones")
     return group
@@ -269,7 +269,7 @@
     section = Section(raw, path)
     name, address = _needed(section, "name"), section.text("address")
     plan = ListenerPlan(name, None if address is None else _address(section, "address", address))
-    section.end()
+    section.reject_unknown_keys()
     return plan
 
 
@@ -293,51 +293,51 @@
         raise ControlError("spread.priorities is not none, zones or a mapping from zone to lists of zones")
     spread = Spread(
         priorities,
-        section.whole("weights_every_ms", usual.weights_every_ms, 100, HOUR_MS),
-        section.whole("change_percent", usual.change_percent, 0, 100),
+        section.integer("weights_every_ms", usual.weights_every_ms, 100, HOUR_MS),
+        section.integer("change_percent", usual.change_percent, 0, 100),
     )
-    section.end()
+    section.reject_unknown_keys()
     return spread
 
 
 def _bounds(raw: Any) -> Bounds:
     section, usual = Section(raw, "bounds"), Bounds()
     bounds = Bounds(
-        section.whole("streams", usual.streams, 1, 100_000),
-        section.whole("streams_per_identity", usual.streams_per_identity, 1, 100_000),
-        section.whole("message_kb", usual.message_kb, 1, 16_384),
-        section.whole("names", usual.names, 1, 100_000),
-        section.whole("name_bytes", usual.name_bytes, 16, 4096),
-        section.whole("requests_per_s", usual.requests_per_s, 1, 100_000),
-        section.whole("stall_ms", usual.stall_ms, 100, HOUR_MS),
+        section.integer("streams", usual.streams, 1, 100_000),
+        section.integer("streams_per_identity", usual.streams_per_identity, 1, 100_000),
+        section.integer("message_kb", usual.message_kb, 1, 16_384),
+        section.integer("names", usual.names, 1, 100_000),
+        section.integer("name_bytes", usual.name_bytes, 16, 4096),
+        section.integer("requests_per_s", usual.requests_per_s, 1, 100_000),
+        section.integer("stall_ms", usual.stall_ms, 100, HOUR_MS),
     )
-    section.end()
+    section.reject_unknown_keys()
     return bounds
 
 
 def _outlier(raw: Any) -> Outlier:
     section, usual = Section(raw, "outlier"), Outlier()
     outlier = Outlier(
-        section.whole("consecutive", usual.consecutive, 1, 1000),
-        section.whole("interval_ms", usual.interval_ms, 10, HOUR_MS),
-        section.whole("ejection_ms", usual.ejection_ms, 10, HOUR_MS),
-        section.whole("most_percent", usual.most_percent, 0, 100),
+        section.integer("consecutive", usual.consecutive, 1, 1000),
+        section.integer("interval_ms", usual.interval_ms, 10, HOUR_MS),
+        section.integer("ejection_ms", usual.ejection_ms, 10, HOUR_MS),
+        section.integer("most_percent", usual.most_percent, 0, 100),
     )
-    section.end()
+    section.reject_unknown_keys()
     return outlier
 
 
 def _tls(raw: Any, base: Path) -> TlsFiles:
     section = Section(raw, "tls")
     files = TlsFiles(*(str(base / _needed(section, key)) for key in ("certificate", "key", "client_ca")))
-    section.end()
+    section.reject_unknown_keys()
     return files
 
 
 def _peer(raw: Any, path: str) -> Peer:
     section = Section(raw, path)
     peer = Peer(_needed(section, "name"), _address(section, "address"))
-    section.end()
+    section.reject_unknown_keys()
     return peer
 
 
@@ -345,13 +345,13 @@
     """The file's content, checked; names of files in it are relative to `base`."""
     try:
         return _parse(text, base)
-    except OperatorError as error:
+    except OperatorFileError as error:
         raise ControlError(str(error)) from None
 
 
 def _parse(text: bytes, base: Path) -> ControlConfig:
-    if len(text) > MAX_FILE:
-        raise ControlError(f"the file has more than {MAX_FILE} bytes")
+    if len(text) > MAX_FILE_BYTES:
+        raise ControlError(f"the file has more than {MAX_FILE_BYTES} bytes")
     section = Section(decode_yaml(text), "")
     settings = _settings(section, base)
     zones = _texts(section, "zones", (settings.zone,))
@@ -365,10 +365,10 @@
         name=_needed(section, "name"),
         listen=listen,
         discovery=_address(section, "discovery"),
-        epoch=section.whole("epoch", 1, 1, 10**9),
+        epoch=section.integer("epoch", 1, 1, 10**9),
         secret=secret,
         store=str(base / _needed(store, "file")),
-        new_store_ms=store.whole("new_ms", 2000, 0, HOUR_MS),
+        new_store_ms=store.integer("new_ms", 2000, 0, HOUR_MS),
         settings=settings,
         zones=zones,
         groups=tuple(_group(raw, path, zones) for raw, path in _list(section, "subscribers", required=True)),
@@ -378,17 +378,17 @@
         spread=_spread(section.take("spread"), zones),
         bounds=_bounds(section.take("bounds")),
         outlier=_outlier(section.take("outlier")),
-        connect_timeout_ms=section.whole(
+        connect_timeout_ms=section.integer(
             "connect_timeout_ms", max(1, settings.connect_timeout_ns // 1_000_000), 1, 60_000
         ),
-        stale_after_ms=section.whole("stale_after_ms", 600_000, 0, 24 * HOUR_MS),
-        silence_ms=section.whole("silence_ms", 3500, 100, HOUR_MS),
-        reports_ms=section.whole("reports_ms", 1000, 100, HOUR_MS),
+        stale_after_ms=section.integer("stale_after_ms", 600_000, 0, 24 * HOUR_MS),
+        silence_ms=section.integer("silence_ms", 3500, 100, HOUR_MS),
+        reports_ms=section.integer("reports_ms", 1000, 100, HOUR_MS),
         peers=tuple(_peer(raw, path) for raw, path in _list(section, "peers")),
         status=_address(section, "status") if section.has("status") else None,
     )
-    store.end()
-    section.end()
+    store.reject_unknown_keys()
+    section.reject_unknown_keys()
     _once([each.name for each in config.classes], "the class")
     _once([prefix for each in config.classes for prefix in each.prefixes], "the prefix")
     _once([each.name for each in config.listeners], "the listener")
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -31,7 +31,7 @@
 from brambleusher.loadbalancing.state_codec import restore, save
 from brambleusher.net.endpoint_list import EndpointListUpdate
 from brambleusher.operator_settings.configuration import CaptureSettings, parse_operator_file
-from brambleusher.operator_settings.section import OperatorError
+from brambleusher.operator_settings.section import OperatorFileError
 from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.sidecar.connection_budgets import feature_buffers_memory
 from tests.rig import WAIT, Node, Rig, answer, reset
@@ -170,7 +170,7 @@
             ("dir", '"a\\0b"'),
             ("size", "1"),
         ):
-            with self.assertRaisesRegex(OperatorError, f"capture.{key}"):
+            with self.assertRaisesRegex(OperatorFileError, f"capture.{key}"):
                 parse_operator_file(f"capture: {{{key}: {value}}}".encode())
 
     def test_what_does_not_fit_in_the_memory_stops_the_start(self) -> None:
@@ -181,7 +181,7 @@
             (b"capture: {ring_kb: 4096, dir: /x}", 10 << 20),
         ):
             self.assertEqual(feature_buffers_memory(parse_operator_file(text), 12 << 20), beyond)
-        with self.assertRaisesRegex(OperatorError, "capture.ring_kb"):
+        with self.assertRaisesRegex(OperatorFileError, "capture.ring_kb"):
             feature_buffers_memory(parse_operator_file(b"capture: {ring_kb: 1048576}"), 12 << 20)
 
 
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -21,8 +21,8 @@
 
 from brambleusher.features.metrics_reporter import InfluxFormat, StatsdFormat
 from brambleusher.features.output_queue import ITEM_BYTES, OutputWriter
-from brambleusher.operator_settings.configuration import FiguresSettings, Target, parse_operator_file
-from brambleusher.operator_settings.section import OperatorError
+from brambleusher.operator_settings.configuration import MetricsSettings, MetricsTarget, parse_operator_file
+from brambleusher.operator_settings.section import OperatorFileError
 from brambleusher.runtime import sinks
 from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.runtime.sinks import DescriptorSink, FileSink, append_whole, pieces
@@ -41,11 +41,13 @@
 class Settings(unittest.TestCase):
     def test_defaults_and_faults(self) -> None:
         for text in (b"figures:", b"figures: {}"):
-            self.assertEqual(parse_operator_file(text).figures, FiguresSettings("statsd", Target(), 1000, 64))
+            self.assertEqual(
+                parse_operator_file(text).figures, MetricsSettings("statsd", MetricsTarget(), 1000, 64)
+            )
         for target, meant in (
-            ("file:/a b", Target("file", path="/a b")),
-            ("udp:192.0.2.1:8125", Target("udp", address=("192.0.2.1", 8125))),
-            ("udp:[::1]:8125", Target("udp", address=("::1", 8125))),
+            ("file:/a b", MetricsTarget("file", path="/a b")),
+            ("udp:192.0.2.1:8125", MetricsTarget("udp", address=("192.0.2.1", 8125))),
+            ("udp:[::1]:8125", MetricsTarget("udp", address=("::1", 8125))),
         ):
             settings = parse_operator_file(f'figures: {{target: "{target}"}}'.encode()).figures
             self.assertEqual(settings and settings.target, meant)
@@ -54,7 +56,10 @@
             ("target", "udp:a:0"), ("target", "1"), ("flush_ms", "0"), ("flush_ms", "1.5"),
             ("flush_ms", "true"), ("buffer_kb", "-1"), ("buffer", "1"),
         ):  # fmt: skip
-            with self.subTest(key=key, value=value), self.assertRaisesRegex(OperatorError, f"figures.{key}"):
+            with (
+                self.subTest(key=key, value=value),
+                self.assertRaisesRegex(OperatorFileError, f"figures.{key}"),
+            ):
                 parse_operator_file(f"figures: {{{key}: {value}}}".encode())
 
 
--- a/tests/test_mysql_settings.py
+++ b/tests/test_mysql_settings.py
@@ -21,7 +21,7 @@
 from brambleusher.fronts.mysql.statements import Statements
 from brambleusher.loadbalancing import api
 from brambleusher.operator_settings.configuration import parse_operator_file
-from brambleusher.operator_settings.section import OperatorError
+from brambleusher.operator_settings.section import OperatorFileError
 from brambleusher.sidecar.app import Sidecar
 from brambleusher.sidecar.configuration import parse_config
 
@@ -61,14 +61,14 @@
     ],
 )
 def test_a_fault_names_its_key(change: dict[str, Any], words: str) -> None:
-    with pytest.raises(OperatorError) as caught:
+    with pytest.raises(OperatorFileError) as caught:
         parse_mysql({**GOOD, **change})
     assert str(caught.value).startswith(words)
 
 
 @pytest.mark.parametrize("key", sorted(GOOD))
 def test_what_must_be_there(key: str) -> None:
-    with pytest.raises(OperatorError, match=f"mysql.{key} is missing"):
+    with pytest.raises(OperatorFileError, match=f"mysql.{key} is missing"):
         parse_mysql({name: value for name, value in GOOD.items() if name != key})
 
 
@@ -85,7 +85,7 @@
 )
 def test_it_must_fit_the_platform(change: dict[str, Any], words: str) -> None:
     given = {**GOOD, "tenant": "acme", **change}
-    with pytest.raises(OperatorError) as caught:
+    with pytest.raises(OperatorFileError) as caught:
         check_against(
             parse_mysql({key: value for key, value in given.items() if value is not None}), PLATFORM
         )
@@ -107,18 +107,18 @@
         ("web old -\n", "line 1: 'old'"),
     ):
         users.write_text(text)
-        with pytest.raises(OperatorError) as caught:
+        with pytest.raises(OperatorFileError) as caught:
             load_users(str(users))
         assert words in str(caught.value)
     users.write_bytes(b"\xff")
-    with pytest.raises(OperatorError, match="is not UTF-8"):
+    with pytest.raises(OperatorFileError, match="is not UTF-8"):
         load_users(str(users))
     users.write_text(f"web {NATIVE} -\n")
     accounts.write_text("other x\n")
     given = parse_mysql({**GOOD, "users_file": str(users), "accounts_file": str(accounts)})
-    with pytest.raises(OperatorError, match="has no account web, which user web needs"):
+    with pytest.raises(OperatorFileError, match="has no account web, which user web needs"):
         load_secrets(given)
-    with pytest.raises(OperatorError, match="can't be read"):
+    with pytest.raises(OperatorFileError, match="can't be read"):
         load_users(str(tmp_path / "none"))
 
 
@@ -167,7 +167,7 @@
             f"accounts_file: {tmp_path}/accounts, strict_class: move, "
             f"sessions: {sessions}, memory_mb: 1, connections_total: 100}}"
         )
-        with pytest.raises(OperatorError, match=words):
+        with pytest.raises(OperatorFileError, match=words):
             Sidecar(config, operator=parse_operator_file(text.encode()))
 
 
--- a/tests/test_rewrites.py
+++ b/tests/test_rewrites.py
@@ -16,12 +16,12 @@
 from brambleusher.operator_settings.configuration import (
     FRAMING,
     CaptureSettings,
-    FiguresSettings,
+    MetricsSettings,
     OperatorFile,
     load_operator_file,
     parse_operator_file,
 )
-from brambleusher.operator_settings.section import OperatorError
+from brambleusher.operator_settings.section import OperatorFileError
 from tests.rig import Node, Rig, answer, read
 
 
@@ -41,7 +41,7 @@
         run = tomllib.loads((deploy / "balancer.toml").read_text())["run"]
         self.assertTrue(run.endswith(" -m brambleusher --operator deploy/operator.yaml"))
         settings = load_operator_file(str(deploy / "operator.yaml"))
-        self.assertEqual(settings, OperatorFile(figures=FiguresSettings(), capture=CaptureSettings()))
+        self.assertEqual(settings, OperatorFile(figures=MetricsSettings(), capture=CaptureSettings()))
 
     def test_a_fault_names_its_key(self) -> None:
         in_rule = "{match: {}, direction: in, %s}"
@@ -73,7 +73,7 @@
             (rules(in_rule % '"drop": "a b"'), "rewrites[0].drop is not the name"),
             (rules(in_rule % "rename: {A: [b]}"), "rewrites[0].rename is not the name"),
         ):
-            with self.subTest(text[:80]), self.assertRaises(OperatorError) as caught:
+            with self.subTest(text[:80]), self.assertRaises(OperatorFileError) as caught:
                 parse_operator_file(text)
             self.assertIn(said, str(caught.exception))
 
@@ -82,7 +82,7 @@
             for action in (f"add: {{{name.title()}: x}}", f"drop: {name.upper()}",
                            f"rename: {{{name}: X}}", f"rename: {{X: {name.title()}}}"):  # fmt: skip
                 for direction in ("in", "out"):
-                    with self.subTest(action), self.assertRaisesRegex(OperatorError, "(?i)" + name):
+                    with self.subTest(action), self.assertRaisesRegex(OperatorFileError, "(?i)" + name):
                         parse_operator_file(rules(f"{{match: {{}}, direction: {direction}, {action}}}"))
 
     def test_a_bad_file_ends_the_program_with_2(self) -> None:
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -11,7 +11,7 @@
 from brambleusher.features.status_rendering import ServerStatus, render_page, render_server
 from brambleusher.net.http import Message
 from brambleusher.operator_settings.configuration import StatusSettings, parse_operator_file
-from brambleusher.operator_settings.section import OperatorError
+from brambleusher.operator_settings.section import OperatorFileError
 from tests.rig import WAIT, Discovery, Node, Rig, answer, read, reset
 from tests.test_figures import until
 
@@ -27,7 +27,7 @@
         ):
             self.assertEqual(parse_operator_file(text).status, meant)
         for key, value in (("port", "65536"), ("port", "a"), ("refresh_ms", "0"), ("host", "h")):
-            with self.assertRaisesRegex(OperatorError, f"status.{key}"):
+            with self.assertRaisesRegex(OperatorFileError, f"status.{key}"):
                 parse_operator_file(f"status: {{{key}: {value}}}".encode())
 
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -33,7 +33,7 @@
 from brambleusher.loadbalancing.zone_routing import ZoneRouter
 from brambleusher.loadbalancing.zone_state import ZoneLoad, ZoneState
 from brambleusher.operator_settings.configuration import parse_operator_file
-from brambleusher.operator_settings.section import OperatorError
+from brambleusher.operator_settings.section import OperatorFileError
 from tests.rules import MS, SECOND, World
 from tests.test_rules import BASE
 
@@ -137,7 +137,7 @@
     ],
 )
 def test_bad_rules_are_named(text: str, named: str) -> None:
-    with pytest.raises(OperatorError, match=named):
+    with pytest.raises(OperatorFileError, match=named):
         rules_of(text)
 
 
