--- a/brambleusher/controller/app.py
+++ b/brambleusher/controller/app.py
@@ -167,7 +167,7 @@
     def _announce_controllers(self) -> None:
         """Send all controllers to seeds that are none.
 
-        They may be observers, which after a loss of power know nobody else.
+        They may be observers, which know no other process after a loss of power.
         """
         known = {*self._directory.addresses(), self.settings.peer_address}
         for address in self.replica.seeds:
--- a/brambleusher/controller/gateway_lookup.py
+++ b/brambleusher/controller/gateway_lookup.py
@@ -8,8 +8,8 @@
 from brambleusher.runtime.scheduler import Scheduler
 
 RESOLVE_TIMEOUT_S = 0.7  # clients wait a second for the registry
-CACHE_FRESH_S = 0.4  # an answer serves all that ask for the same zone within this time
-CACHE_STALE_S = 3.0  # and so long where no controller answers: lost gateways must not be returned for ever
+CACHE_FRESH_S = 0.4  # without asking again: many clients of a zone ask at once
+CACHE_STALE_S = 3.0  # while no controller answers; longer, clients would be sent to gateways that are gone
 CACHED_ZONES_MAX = 64
 
 
--- a/brambleusher/controller/observer.py
+++ b/brambleusher/controller/observer.py
@@ -1,7 +1,7 @@
 """The observer: serves the control plane's callers on a machine without a disk, by asking controllers.
 
-It has no vote, no log and no reading of the platform's list; it keeps nothing but the addresses of
-controllers and the registry's last answers, and is idle while nobody calls.
+It has no vote, no log and does not read the platform's list.  Its only state are the addresses of controllers
+and cached answers of the registry; it is idle while it has no callers.
 """
 
 from __future__ import annotations
@@ -52,8 +52,7 @@
     def handle_message(self, message: dict[str, object]) -> dict[str, object] | None:
         """Return the reply to a message, None where it has none.
 
-        It comes from a gateway, an observer or a controller that has this process among its seeds and
-        knows nobody else.
+        The sender has this process among its seeds and knows no controller yet.
         """
         kind = message.get("kind")
         if kind in (LONG_POLL, RELAY):
--- a/brambleusher/dataplane/configuration_client.py
+++ b/brambleusher/dataplane/configuration_client.py
@@ -28,7 +28,7 @@
 POLLERS = 2  # controllers followed at once: one that freezes or is partitioned off delays nothing
 POLL_TIMEOUT_S = 1.1  # twice the time that a controller holds a poll, and a round trip between regions
 RETRY_PAUSE_S = 0.05
-BRIEF_WAIT_S = 0.25  # for an update to come from the other controller before it is asked for twice
+BRIEF_WAIT_S = 0.25  # for the primary poller to get an update, before its content is requested here too
 LIST_STALE_S = 3.2  # a controller whose reading of the list is older is left for another
 REPORT_INTERVAL_S = 0.8  # at which load reports are exchanged with the other gateways
 
@@ -86,7 +86,7 @@
                 confirms_list = state.is_primary and response.list_version == state.list_version
                 self._store.apply(response, confirms_list)
                 if not state.is_primary and state.is_brief and self._store.is_behind(response):
-                    # The other controller should bring it; if it does not, this one is asked for its content.
+                    # The primary poller should get it; if not, this controller is asked for it.
                     self._scheduler.sleep(BRIEF_WAIT_S)
                     state.is_brief = not self._store.is_behind(response)
                     continue
@@ -103,7 +103,7 @@
     def _request(self, poller: int, state: _PollState) -> LongPollRequest:
         is_primary = self._controllers.holds_nearest(poller)
         if is_primary and not state.is_primary:
-            state.list_version = NO_LIST  # no list was taken from brief answers, though they name one
+            state.list_version = NO_LIST  # brief responses name a list version, but have no list
         state.is_primary = is_primary
         gateway = self._describe_self()
         if is_primary:
--- a/brambleusher/dataplane/configuration_store.py
+++ b/brambleusher/dataplane/configuration_store.py
@@ -14,14 +14,14 @@
 from brambleusher.wire.errors import InvalidConfigurationError, InvalidMessageError
 from brambleusher.wire.packing import unpack
 
-LIST_LAG_S = 1.0  # behind another controller's reading: then that one is worth having
+LIST_LAG_S = 1.0  # behind another controller's reading, from which on that reading is requested
 QUORUM_WAIT_S = 2.0  # after the start, for a controller with a majority, before another's state is applied
 COUNT_WINDOW_S = 30.0  # the largest count of gateways within this time shares the budgets
 COUNT_SAMPLE_S = 1.0
 
 
 class GatewayCount:
-    """The largest count of gateways lately: budgets that are shared by too few would be exceeded."""
+    """The largest recent count of gateways: budgets shared by too few would be exceeded."""
 
     def __init__(self) -> None:
         self._samples: list[tuple[float, int]] = []
--- a/brambleusher/dataplane/connection_pool.py
+++ b/brambleusher/dataplane/connection_pool.py
@@ -20,7 +20,7 @@
 from brambleusher.wire.policy import Policy
 
 CONNECT_TIMEOUT_S = 0.25  # two round trips between far regions; half the time left if that is less
-UNACKNOWLEDGED_MAX_S = 0.6  # for bytes or TCP probes: then the instance's machine is gone
+UNACKNOWLEDGED_MAX_S = 0.6  # for bytes or TCP probes: then the instance is unreachable
 IDLE_DEFAULT_S = 3.0  # for a connection whose `Keep-Alive` says nothing
 IDLE_MARGIN_S = 1.0  # a connection is not used any more so long before `Keep-Alive` ends it
 IDLE_MAX_S = 60.0
@@ -49,7 +49,7 @@
         drops_idle_unseen: bool = False,
         policy: Policy | None = None,
     ) -> None:
-        """With `drops_idle_unseen` instances may forget idle connections at any time, without a word."""
+        """With `drops_idle_unseen` instances may drop idle connections at any time without closing them."""
         self._scheduler, self._instances = scheduler, instances
         self._idle_timeout = IdleTimeout(IDLE_MAX_S * NS_PER_S, IDLE_TRUSTED_S * NS_PER_S)
         self.drops_idle_unseen = drops_idle_unseen
@@ -73,8 +73,8 @@
     def acquire_idle(self, instance: Instance, must_run_once: bool) -> UpstreamConnection | None:
         """Take an idle connection that is still trusted; None where there is none.
 
-        A request that must not run twice gets one only if something came from the instance lately: it may
-        have lost power, and what is sent to it would be lost where a new connection only fails.
+        A request that must run once gets one only after a recent contact with the instance, which may have
+        lost power: a request over an idle connection would be lost, whereas a new connection only fails.
         """
         now_s = self._scheduler.now()
         is_stale = now_s - instance.last_contact_s > CONTACT_FRESH_S
--- a/brambleusher/dataplane/instance_table.py
+++ b/brambleusher/dataplane/instance_table.py
@@ -182,7 +182,7 @@
         ]
 
     def admit(self, instance: Instance, now_s: float) -> bool:
-        """Take of the budget of an instance that warms up; whether one more attempt keeps within it."""
+        """Take from the budget of an instance that warms up; whether one more attempt is within it."""
         service = self.services.get(instance.service)
         has_limit = service is not None and service.warm_up_requests_per_s > 0 and self._policy.limits_warm_up
         if not self.is_warming_up(instance, now_s) or service is None or not has_limit:
--- a/brambleusher/dataplane/request_context.py
+++ b/brambleusher/dataplane/request_context.py
@@ -22,7 +22,9 @@
     deadline_s: float
     last_event_id: bytes
     tried: set[str] = field(default_factory=set)
-    unresponsive_regions: set[str] = field(default_factory=set)  # where a connection of its own timed out
+    unresponsive_regions: set[str] = field(
+        default_factory=set
+    )  # in which a connection for this request timed out
     attempts_sent: int = 0  # that reached an instance
     possible_runs: int = 0  # instances that may have run it
     rejection_reason: str = ""  # why no further attempt was made; part of a counter's name
--- a/brambleusher/dataplane/upstream_client.py
+++ b/brambleusher/dataplane/upstream_client.py
@@ -20,10 +20,10 @@
 from brambleusher.wire import instance_load
 
 STRAY_RESPONSES_MAX = 4  # responses to other requests that are read before the one that is due
-UNPROVEN_IDLE_S = 0.05  # an idle time after which an instance may have forgotten a connection
-PROOF_MARGIN_S = 0.004  # beside a round trip: timers and small queues
-PROOF_ROUND_TRIPS = 1.5
-PROOF_MAX_S = 0.1
+UNCHECKED_IDLE_S = 0.05  # an idle time after which an instance may have forgotten a connection
+LIVENESS_MARGIN_S = 0.004  # added to the round trips: timers and small queues
+LIVENESS_ROUND_TRIPS = 1.5
+LIVENESS_MAX_S = 0.1
 ATTEMPT_HEADER = b"x-attempt-id"
 NOT_EXECUTED_HEADER = b"x-not-executed"
 MISDIRECTED_REQUEST = 421  # of an instance that is not the one named in the request
@@ -105,8 +105,8 @@
         if connection is None:
             return None
         data = encode_message(connection.protocol, head, request.body)
-        needs_proof = request.must_run_once and self._pool.drops_idle_unseen
-        if not needs_proof or connection.idle_s <= UNPROVEN_IDLE_S:
+        needs_check = request.must_run_once and self._pool.drops_idle_unseen
+        if not needs_check or connection.idle_s <= UNCHECKED_IDLE_S:
             return _PreparedAttempt(connection, data)
         if self._is_alive(request, connection, data[:-1]):
             return _PreparedAttempt(connection, data[-1:])
@@ -120,8 +120,8 @@
         An instance that has forgotten a connection resets it when anything comes.  An incomplete request
         can't have run, so that it may go over another connection then.
         """
-        proof_s = min(connection.handshake_s * PROOF_ROUND_TRIPS + PROOF_MARGIN_S, PROOF_MAX_S)
-        until_s = self._scheduler.now() + proof_s
+        timeout_s = min(connection.handshake_s * LIVENESS_ROUND_TRIPS + LIVENESS_MARGIN_S, LIVENESS_MAX_S)
+        until_s = self._scheduler.now() + timeout_s
         try:
             connection.stream.send(begin, request.deadline_s)
             self._scheduler.park(min(until_s, request.deadline_s), connection.stream.sock)
--- a/brambleusher/dataplane/zone_backoff.py
+++ b/brambleusher/dataplane/zone_backoff.py
@@ -1,8 +1,8 @@
 """Back-off from zones in which connections time out: power or network of a whole zone fails at once.
 
-A gateway of many uses each instance seldom.  Where a zone is lost it would wait for one instance of it after
-the other, and a request would spend all its attempts there.  An instance that refuses a connection is no
-evidence: its machine is reachable.  Pure; times are seconds.
+One of many gateways uses each instance seldom.  When a zone fails it would wait for the connect time-out of one
+instance after the other, and a request would spend all its attempts there.  A refused connection is no
+evidence: the machine is reachable.  Pure; times are seconds.
 """
 
 from __future__ import annotations
--- a/brambleusher/gateway/app.py
+++ b/brambleusher/gateway/app.py
@@ -37,7 +37,7 @@
 NS_PER_MS = 1_000_000
 BODY_MEMORY_DIVISOR = 4  # of the machine's memory, for the bodies of clients' requests
 MAINTENANCE_INTERVAL_S = 0.25
-DROPS_IDLE_UNSEEN = "pool"  # in `in_force`: instances may drop idle connections without a word
+DROPS_IDLE_UNSEEN = "pool"  # in `in_force`: instances may drop idle connections without closing them
 READY_PATH = "/api/readiness"
 STATUS_PATH = "/api/status"
 
--- a/brambleusher/gateway/graceful_shutdown.py
+++ b/brambleusher/gateway/graceful_shutdown.py
@@ -19,7 +19,7 @@
 
 
 class GracefulShutdown:
-    """Knows whether the gateway is shutting down, and ends it in time."""
+    """Ends the gateway in time, and knows whether that has begun."""
 
     def __init__(self, scheduler: Scheduler, grace_s: Callable[[], float]) -> None:
         """`grace_s` gives the time between SIGTERM and SIGKILL."""
--- a/tests/system/test_idle_connections.py
+++ b/tests/system/test_idle_connections.py
@@ -8,7 +8,7 @@
 
 from brambleusher.dataplane import upstream_client
 from brambleusher.dataplane.placement import CONTACT_FRESH_S
-from brambleusher.dataplane.upstream_client import UNPROVEN_IDLE_S
+from brambleusher.dataplane.upstream_client import UNCHECKED_IDLE_S
 from tests.system.virtual_deployment import StubInstance, VirtualDeployment, configuration, route
 
 WARM_S = 6.0  # after which the list is known and instances on it are warm
@@ -39,13 +39,13 @@
 
 def test_a_connection_is_reused_after_an_idle_time(deployment: VirtualDeployment) -> None:
     assert ask(deployment, "a") == 200
-    assert ask(deployment, "b", rest_s=4 * UNPROVEN_IDLE_S) == 200
-    assert ask(deployment, "c", rest_s=4 * UNPROVEN_IDLE_S) == 200
+    assert ask(deployment, "b", rest_s=4 * UNCHECKED_IDLE_S) == 200
+    assert ask(deployment, "c", rest_s=4 * UNCHECKED_IDLE_S) == 200
     assert desk(deployment).connections == 1
 
 
 def test_a_connection_that_the_instance_forgot_costs_no_request(deployment: VirtualDeployment) -> None:
-    """Without the proof the request would be lost: nobody could say whether it had run."""
+    """Without the check it would be lost: nothing would say whether it had run."""
     assert ask(deployment, "a") == 200
     desk(deployment).forgets_after_s = 0.1
     assert ask(deployment, "b", rest_s=0.2) == 200
@@ -86,10 +86,10 @@
     deployment.close()
 
 
-def test_without_the_proof_the_request_would_be_lost(
+def test_without_the_liveness_check_the_request_would_be_lost(
     deployment: VirtualDeployment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(upstream_client, "UNPROVEN_IDLE_S", 60.0)
+    monkeypatch.setattr(upstream_client, "UNCHECKED_IDLE_S", 60.0)
     assert ask(deployment, "a") == 200
     desk(deployment).forgets_after_s = 0.1
     deployment.sleep(0.2)
