--- a/brambleusher/dataplane/zone_backoff.py
+++ b/brambleusher/dataplane/zone_backoff.py
@@ -1,6 +1,6 @@
 """Back-off from zones in which connections time out: power or network of a whole zone fails at once.
 
-One of many gateways uses each instance seldom.  In a failed zone it would wait for the connect time-out of one
+One of many gateways uses each instance seldom.  In a failed zone it would wait for the time-out of one
 instance after the other, and a request would spend all its attempts there.  A refused connection is no
 evidence: the machine is reachable.  Pure; times are seconds.
 """
