--- a/tests/recorded/conversation.py
+++ b/tests/recorded/conversation.py
@@ -13,13 +13,14 @@
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.streams import Stream
 from brambleusher.wire.packing import unpack
-from tests.system.virtual_deployment import PEER, VirtualDeployment, configuration, route
+from tests.system.virtual_deployment import DIRECTORY, PEER, VirtualDeployment, configuration, route
 
 ME = (
     b'"me":{"name":"%b","role":"gateway","address":"10.2.0.%b:8161","zone":"n1","region":"north",'
     b'"state":"ready","incarnation":1790000000000}'
 )
 G1, G2 = ME % (b"g1", b"1"), ME % (b"g2", b"2")
+G3 = (ME % (b"g3", b"3")).replace(b'"n1","region":"north"', b'"s1","region":"south"')
 FIGURES = b'"figures":{"i1":[3.5,1.0,2.0,3.0,1.25,4.0,0.5,1.0],"i2":[1.0,0.0,1.0,1.0,0.5,2.0]}'
 WATCH = b'{"kind":"watch",%b,"index":%b,"source":"%b","version":%b%b}\n'
 # What is asked: the machine, and the line.
@@ -63,7 +64,11 @@
     ),
     "relay: read": ("c2", b'{"kind":"relay","what":"read"}\n'),
     "relay: index": ("c2", b'{"kind":"relay","what":"index"}\n'),
+    "watch: a second time": ("c1", WATCH % (G1, b"-1", b"", b"-1", b',"brief":true')),
+    "watch: another a second time": ("c1", WATCH % (G2, b"-1", b"", b"-1", b',"brief":true')),
+    "watch: of another region": ("c1", WATCH % (G3, b"-1", b"", b"-1", b',"brief":true')),
     "relay: resolve": ("c1", b'{"kind":"relay","what":"resolve","zone":"n1","region":"north"}\n'),
+    "relay: resolve for all": ("c1", b'{"kind":"relay","what":"resolve","zone":"s1","region":"south"}\n'),
     "relay: controllers": ("c1", b'{"kind":"relay","what":"controllers"}\n'),
     "relay: at an observer": ("o1", b'{"kind":"relay","what":"read"}\n'),
     "relay: unknown": ("c1", b'{"kind":"relay","what":"sing"}\n'),
@@ -130,6 +135,9 @@
         answers = {
             name: ask(deployment, machine, line).decode() for name, (machine, line) in QUESTIONS.items()
         }
+        observer = (deployment.world.machines["o1"].ip, DIRECTORY)
+        asked = "/api/resolution?zone=n1&region=north"
+        answers["resolution at an observer"] = deployment.call(observer, "GET", asked).body.decode()
         deployment.add_core("c4", "10.1.0.4")
         deployment.sleep(1.0)
         deployment.process("c2").signal(15)
