--- a/brambleusher/controlplane/registry/load_reports.py
+++ b/brambleusher/controlplane/registry/load_reports.py
@@ -49,20 +49,20 @@
     """
     if not isinstance(report, dict) or len(report) > INSTANCES_MAX:
         raise InvalidMessageError(f"a load report is no object of up to {INSTANCES_MAX} instances")
-    return {str(name): _bounded(_parse_metrics(values)) for name, values in report.items()}
+    return {str(name): _bounded(_parse_values(values)) for name, values in report.items()}
 
 
-def _parse_metrics(values: object) -> InstanceMetrics:
+def _parse_values(values: object) -> list[float]:
+    """Return the values of one instance, those that the gateway does not know as 0."""
     if not isinstance(values, list) or len(values) not in (WIDTH_WITHOUT_LOAD, WIDTH):
         raise InvalidMessageError(f"metrics of an instance are no list of {WIDTH}")
     if not all(isinstance(value, int | float) and value >= 0 for value in values):
         raise InvalidMessageError(f"metrics of an instance are no numbers: {values!r}")
-    padding = [0.0] * (WIDTH - len(values))
-    return InstanceMetrics(*(float(value) for value in values), *padding)
+    return [float(value) for value in values] + [0.0] * (WIDTH - len(values))
 
 
-def _bounded(metrics: InstanceMetrics) -> InstanceMetrics:
-    served, failed, in_flight, responses, latency_sum, requests_per_s, load_sum, load_weight = metrics
+def _bounded(values: list[float]) -> InstanceMetrics:
+    served, failed, in_flight, responses, latency_sum, requests_per_s, load_sum, load_weight = values
     scale = min(
         1.0,
         ATTEMPTS_MAX / max(served + failed, ATTEMPTS_MAX),
@@ -111,16 +111,16 @@
             del self._reports[gateway]
         self._sum = {}
         for _, report in self._reports.values():
-            for name, metrics in report.items():
-                self._add(name, metrics)
-
-    def _add(self, name: str, metrics: InstanceMetrics) -> None:
-        total = self._sum.get(name)
-        if total is None:
-            self._sum[name] = list(metrics)
-            return
-        for position, value in enumerate(metrics):
-            total[position] += value
+            self._add(report)
+
+    def _add(self, report: LoadReport) -> None:
+        for name, metrics in report.items():
+            total = self._sum.get(name)
+            if total is None:
+                self._sum[name] = list(metrics)
+                continue
+            for position, value in enumerate(metrics):
+                total[position] += value
 
 
 def _without(total: list[float], own: InstanceMetrics | None) -> list[float]:
