--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -204,7 +204,7 @@
             self._way.ended(event.status, event.latency_ns / SECOND, in_flight, now / SECOND)
         return actions
 
-    def _is_worth_a_slot(self, density: float) -> bool:
+    def _admits(self, density: float) -> bool:
         return self._way.admits(self.traffic.in_flight, self._now / SECOND)
 
 
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -98,7 +98,7 @@
     def _is_out(self, name: str) -> bool:
         return self._ejected.get(name, (0, 0))[1] > self._now
 
-    def _update_remote_offer(self, gap: float) -> None:
+    def _update_cross_zone_spill(self, gap: float) -> None:
         levels: list[list[Host]] = [[], []]
         for host in self.round_robin.ring:
             levels[not host.is_local].append(host)
@@ -123,7 +123,7 @@
         util = host.utilisation if host.reported_ns >= 0 else self.capacity.mean_utilisation
         return (host.capacity or self.capacity.mean_capacity or 1.0) * max(1 - util, 0.01)
 
-    def _offers(self) -> Callable[[Host], float]:
+    def _spill_fractions(self) -> Callable[[Host], float]:
         return lambda host: self._offered.get(host.name, 0.0)
 
     def _eligibility(self, request: Request, now: int) -> Callable[[Host], bool]:
--- a/brambleusher/dataplane/instance_table.py
+++ b/brambleusher/dataplane/instance_table.py
@@ -152,7 +152,7 @@
         """Return what this gateway observed of each instance, for the other gateways."""
         report: dict[str, list[float]] = {}
         for weights in self.weights.values():
-            report.update(weights.export_sums())
+            report.update(weights.export_totals())
         return report
 
     def apply_fleet_load(self, reporters: int, totals: Mapping[str, Sequence[float]], now_s: float) -> None:
@@ -160,7 +160,7 @@
         if not self._policy.uses_fleet_metrics:
             return
         for weights in self.weights.values():
-            weights.import_sums(reporters, totals, now_s)
+            weights.import_totals(reporters, totals, now_s)
 
     # --- which may be used ------------------------------------------------------------------------
 
--- a/brambleusher/loadbalancing/admission_control.py
+++ b/brambleusher/loadbalancing/admission_control.py
@@ -40,11 +40,11 @@
 EXHAUSTED_FRACTION = 0.01  # of requests may find every attempt used up on hosts that reject
 BUSY_UTILISATION = 0.5  # a report of less use says little of the rate at full use
 MIN_INDEX = 0.1  # answers that are much earlier than the goal say no more
-MAX_GROWTH, MAX_CUT = 1.0, -0.5  # of the limit in one latency target
+MAX_INCREASE, MAX_DECREASE = 1.0, -0.5  # of the limit in one latency target
 MAX_HEADROOM = 2.0  # times what is due, while hosts are busy and answers early
 IDLE_HEADROOM = 2.0  # times what is due or in flight, while hosts are not busy
 CROWDED_FLOOR_DIVISOR = 3  # of what is due, where hosts are healthy: they work on what was given up
-MIN_FLEET_SHARE = 0.1  # of an even share
+MIN_FLEET_FRACTION = 0.1  # of an even share
 VALUE_JITTER = 0.01  # of a value: breaks ties between equal requests
 REMEMBERED_DENSITIES = 128
 MIN_OFFERED = 1e-9  # stands for nothing, and can be divided by
@@ -55,7 +55,7 @@
 class _LatencyBudget(NamedTuple):
     """The latency to be held, of the classes as they are answered lately."""
 
-    to_hold_ns: float
+    budget_ns: float
     target_ns: float
     is_known: bool  # answers came lately
 
@@ -88,7 +88,7 @@
         self.rejections = 0.0
         self.rejections_long = 0.0
         self.best_rate = 0.0  # requests a second that a host reached
-        self.fleet_share = 1.0 / settings.fleet_size  # of what the fleet serves, that this proxy does
+        self.fleet_fraction = 1.0 / settings.fleet_size  # of what the fleet serves, that this proxy does
         # Values by work of requests lately: as they came, and sorted.
         self.densities: deque[float] = deque(maxlen=REMEMBERED_DENSITIES)
         self.sorted_densities: list[float] = []
@@ -106,22 +106,22 @@
         """Forget a part; few samples are kept for longer: two rejections in a row are no overload."""
         window = MIN_OUTCOMES * HEALTH_WINDOW / max(self._traffic.requests, 1.0)
         window = min(max(LATENCY_WINDOW, window), CAPACITY_WINDOW)
-        kept = math.exp(-decay.gap / window)
-        self.outcomes *= kept
-        self.rejections *= kept
+        retained = math.exp(-decay.gap / window)
+        self.outcomes *= retained
+        self.rejections *= retained
         # Whether hosts reject is a property of the deployment.
         self.rejections_long *= math.exp(-decay.gap / BEST_RATE_WINDOW)
 
-    def learn_fleet_share(self, throughput: float) -> None:
+    def update_fleet_fraction(self, throughput: float) -> None:
         """Relate what this proxy serves to the fleet's throughput."""
         if throughput > 0 and self._traffic.served > 0 and not self._capacity.uses_sizes:
             own = self._traffic.served / self._traffic.observed_s
-            least = MIN_FLEET_SHARE / self._settings.fleet_size
-            self.fleet_share = min(1.0, max(own / throughput, least))
+            least = MIN_FLEET_FRACTION / self._settings.fleet_size
+            self.fleet_fraction = min(1.0, max(own / throughput, least))
 
-    def effective_fleet_share(self) -> float:
-        """Return the share of the fleet to go by: by its own alone, one that was cut down would stay so."""
-        return max(self.fleet_share, 1 / self._settings.fleet_size)
+    def effective_fleet_fraction(self) -> float:
+        """Return the fraction to go by: by its own only, a proxy that was cut down would stay so."""
+        return max(self.fleet_fraction, 1 / self._settings.fleet_size)
 
     # --- the limit -------------------------------------------------------------------------------
 
@@ -138,7 +138,7 @@
         due = self._due_in_flight(hosts, gap, budget)
         goal = PI_GOAL
         if budget.is_known:
-            goal = budget.to_hold_ns / max(budget.target_ns * GOAL_PER_TARGET, 1.0)
+            goal = budget.budget_ns / max(budget.target_ns * GOAL_PER_TARGET, 1.0)
         self._steer(hosts, gap, due, goal / max(index, MIN_INDEX), is_busy or self.is_overloaded)
         self._update_offered(budget)
         self.sorted_densities = sorted(self.densities)
@@ -173,13 +173,13 @@
             n * usual_ns for n, usual_ns in zip(counts, traffic.unloaded_latency_ns, strict=True)
         )
         usual_ns = usual_sum_ns / total
-        to_hold_ns = min(usual_ns, target_ns * USUAL_LATENCY_FRACTION) + target_ns * QUEUEING_FRACTION
-        return _LatencyBudget(to_hold_ns, target_ns, is_known=True)
+        budget_ns = min(usual_ns, target_ns * USUAL_LATENCY_FRACTION) + target_ns * QUEUEING_FRACTION
+        return _LatencyBudget(budget_ns, target_ns, is_known=True)
 
     def _due_in_flight(self, hosts: Sequence[Host], gap: float, budget: _LatencyBudget) -> float:
-        """Return what this proxy's share of the fleet serves in the time to be held: the limit stays near it.
+        """Return what this proxy's part of the fleet serves in the latency budget: the limit stays near it.
 
-        Hosts that are crowded serve less than they did, and go on so until the crowd has left: the share
+        Hosts that are crowded serve less than they did, and go on so until the crowd has left: the part
         falls with the rate they reach now and once more with what that is of their best (followed upwards
         slowly: of a few noisy figures the highest is no measure).
         """
@@ -193,30 +193,30 @@
         self.best_rate = best + max(rate - best, 0.0) * min(gap / HEALTH_WINDOW, 1.0)
         acceptance = sum(host.acceptance for host in hosts) / max(len(hosts), 1)
         rate *= min(rate / self.best_rate, 1.0) * self._capacity.rate_per_size
-        share = self.effective_fleet_share()
-        return share * rate * acceptance * self._host_table.ready_count * budget.to_hold_ns / NS_PER_S
+        fraction = self.effective_fleet_fraction()
+        return fraction * rate * acceptance * self._host_table.ready_count * budget.budget_ns / NS_PER_S
 
     def _steer(
         self, hosts: Sequence[Host], gap: float, due: float, goal_over_index: float, is_crowded: bool
     ) -> None:
-        """Move the limit towards the goal, between a floor and a ceiling around what is due."""
+        """Move the limit towards the goal, between bounds around what is due."""
         in_flight = self._traffic.in_flight
-        change = min(max(goal_over_index - 1, MAX_CUT), MAX_GROWTH)
-        floor = due
+        change = min(max(goal_over_index - 1, MAX_DECREASE), MAX_INCREASE)
+        lower = due
         if is_crowded:
             # Where little is served at all, hosts still work on what was given up: wait for them.
             health = sum(host.health for host in hosts) / max(len(hosts), 1)
-            floor = due * (health / CROWDED_FLOOR_DIVISOR)
+            lower = due * (health / CROWDED_FLOOR_DIVISOR)
         # But an attempt a host, of all proxies together, crowds nobody: a limit below that is held down by
         # the little it lets through, and by the few of it that are never answered, while hosts are idle.
-        floor = max(floor, self.effective_fleet_share() * self._host_table.ready_count)
+        lower = max(lower, self.effective_fleet_fraction() * self._host_table.ready_count)
         if is_crowded:
             # Busy hosts whose answers are far from late are no crowd yet: the limit has as much headroom as
             # the goal.
-            ceiling = due * min(max(goal_over_index, 1.0), MAX_HEADROOM)
+            upper = due * min(max(goal_over_index, 1.0), MAX_HEADROOM)
         else:
-            ceiling = max(due * IDLE_HEADROOM, IDLE_HEADROOM * in_flight, len(hosts))
-        self.limit = max(min(self.limit * (1 + change * min(gap, 1.0)), ceiling), floor)
+            upper = max(due * IDLE_HEADROOM, IDLE_HEADROOM * in_flight, len(hosts))
+        self.limit = max(min(self.limit * (1 + change * min(gap, 1.0)), upper), lower)
         if not in_flight and self.outcomes < 1:
             # Guards against the first burst of a proxy that has been idle meeting the limit of an idle one: a
             # few attempts, as many as the hosts in use.  No answer speaks for a limit yet.
@@ -226,7 +226,7 @@
         traffic = self._traffic
         recent = traffic.recent_requests
         arrivals_in_target = min(traffic.requests / HEALTH_WINDOW, recent + math.sqrt(recent) + 1)
-        self.offered = max(arrivals_in_target * budget.to_hold_ns / self._unit_ns, MIN_OFFERED)
+        self.offered = max(arrivals_in_target * budget.budget_ns / self._unit_ns, MIN_OFFERED)
 
     # --- requests --------------------------------------------------------------------------------
 
@@ -238,14 +238,14 @@
         if waited_ns >= request_class.latency_target_ns:  # its client has waited before
             value *= request_class.late_value
         is_over_quota = bool(settings.tenants) and self.quotas.is_over_quota(
-            event.tenant, self.effective_fleet_share(), now
+            event.tenant, self.effective_fleet_fraction(), now
         )
         if not settings.is_value_by_work:
             value /= max(self._traffic.unloaded_latency_ns[class_index], 1.0) / NS_PER_S
         value *= 1 + VALUE_JITTER * self._rng.random()
         return value - OVER_QUOTA_PENALTY if is_over_quota else value
 
-    def is_worth_a_slot(self, density: float) -> bool:
+    def admits(self, density: float) -> bool:
         """Return whether to admit: the fuller, the higher a request must rank among late arrivals."""
         if math.isinf(self.limit):
             return True
@@ -266,11 +266,11 @@
         limit = self.limit
         traffic = self._traffic
         chance = math.sqrt(max(limit, 1.0))
-        alone = 1 / math.sqrt(self._settings.fleet_size)
-        seen = traffic.mean_in_flight + alone * (traffic.in_flight - traffic.mean_in_flight)
-        seen = max(seen, traffic.in_flight - CHANCE_DEVIATIONS * (1 - alone) * chance)
+        moment_weight = 1 / math.sqrt(self._settings.fleet_size)
+        seen = traffic.mean_in_flight + moment_weight * (traffic.in_flight - traffic.mean_in_flight)
+        seen = max(seen, traffic.in_flight - CHANCE_DEVIATIONS * (1 - moment_weight) * chance)
         admit_all = limit * ADMIT_ALL_FRACTION
-        occupied = (seen - admit_all) / (limit * (1 - ADMIT_ALL_FRACTION) + chance * alone)
+        occupied = (seen - admit_all) / (limit * (1 - ADMIT_ALL_FRACTION) + chance * moment_weight)
         # Where less than a slot is due the count is no guide: the part of what comes that has none is, unless
         # hosts reject.  With nothing in flight nothing would be learnt.
         has_guide = self.is_late or self.rejections_long < 1
--- a/brambleusher/loadbalancing/balancer.py
+++ b/brambleusher/loadbalancing/balancer.py
@@ -20,15 +20,15 @@
 from brambleusher.loadbalancing.api import AttemptStatus, ListKind
 from brambleusher.loadbalancing.attempt_timeout import AttemptTimeouts
 from brambleusher.loadbalancing.attempt_tracker import AttemptTracker, record_run
+from brambleusher.loadbalancing.cross_zone_spill import CrossZoneSpill
 from brambleusher.loadbalancing.endpoint_subscription import EndpointSubscription
 from brambleusher.loadbalancing.fleet_capacity import FleetCapacity
 from brambleusher.loadbalancing.host_selection import Eligibility, HostSelector
 from brambleusher.loadbalancing.host_table import HostTable
 from brambleusher.loadbalancing.hosts import RESERVE, Attempt, Host, Request, decay_hosts
 from brambleusher.loadbalancing.idle_timeout import IdleTimeout
-from brambleusher.loadbalancing.outlier_detection import OutlierDetector, record_order
+from brambleusher.loadbalancing.outlier_detection import OutlierDetector, record_answered
 from brambleusher.loadbalancing.performance_index import PerformanceIndex
-from brambleusher.loadbalancing.remote_offer import RemoteOffer
 from brambleusher.loadbalancing.retry_policy import NEVER_RAN, RetryPolicy
 from brambleusher.loadbalancing.slow_start_budget import SlowStartBudget
 from brambleusher.loadbalancing.token_round_robin import TokenRoundRobin
@@ -81,7 +81,7 @@
         self.slow_start = SlowStartBudget(settings, unit_ns, self.capacity, self.host_table)
         self.performance_index = PerformanceIndex(settings.classes)
         self.weights = WeightCalculator(self.capacity, self.slow_start, self.performance_index)
-        self.remote_offer = RemoteOffer(settings, unit_ns, self.capacity)
+        self.cross_zone_spill = CrossZoneSpill(settings, unit_ns, self.capacity)
         idle_limit_ns = float(settings.connection_idle_timeout_ns or math.inf)
         self.idle_timeout = IdleTimeout(idle_limit_ns, unit_ns * IDLE_DOUBT)
 
@@ -134,17 +134,17 @@
         if not hosts:
             return
         spares = self.weights.spare_capacities(hosts, now)
-        self._update_remote_offer(gap)
-        self.weights.assign(hosts, spares, self._offers(), now)
+        self._update_cross_zone_spill(gap)
+        self.weights.assign(hosts, spares, self._spill_fractions(), now)
         self.round_robin.cut_tokens()
 
-    def _update_remote_offer(self, gap: float) -> None:
+    def _update_cross_zone_spill(self, gap: float) -> None:
         """Steer how much of their spare capacity remote hosts offer."""
-        self.remote_offer.update(self.round_robin.ring, gap)
+        self.cross_zone_spill.update(self.round_robin.ring, gap)
 
-    def _offers(self) -> Callable[[Host], float]:
+    def _spill_fractions(self) -> Callable[[Host], float]:
         """Return what tells the part of its spare capacity that a host offers."""
-        return self.remote_offer.of_host
+        return self.cross_zone_spill.of_host
 
     def _update_admission_limit(self, gap: float) -> None:
         """Set the limit on attempts in flight."""
@@ -152,9 +152,9 @@
         if log_line is not None:
             self._actions.append(log_line)
 
-    def _is_worth_a_slot(self, density: float) -> bool:
+    def _admits(self, density: float) -> bool:
         """Return whether a request of such value by its work is admitted."""
-        return self.admission.is_worth_a_slot(density)
+        return self.admission.admits(density)
 
     def _eligibility(self, request: Request, now: int) -> Eligibility:
         """Return which hosts a request may go to."""
@@ -202,7 +202,7 @@
         density = self.admission.value_density(event, class_index, waited_ns, now)
         self.admission.densities.append(density)
         # One without time was over before it was seen.
-        is_admitted = self._is_worth_a_slot(density) and event.left_ns > 0
+        is_admitted = self._admits(density) and event.left_ns > 0
         if not (event.is_retry or looks_like_retry):
             budget.deposit()
         elif not budget.withdraw_for_client_retry():
@@ -258,7 +258,7 @@
         self.outliers.timeouts += event.status is AttemptStatus.TIMEOUT
         if host.is_draining and self.host_table.begin_closing(host, now):
             self._actions.append(api.CloseIdleConnections(host.name))
-        is_idle_loss = self._learn_from(event, request, attempt, was_in_flight, now)
+        is_idle_loss = self._record_outcome(event, request, attempt, was_in_flight, now)
         if event.request_ended:
             request.is_answered = True
             self._cancel_attempts(request)
@@ -267,7 +267,7 @@
             self._retry(request, event.status, now, is_idle_loss)
         self.attempts.forget_if_done(request)
 
-    def _learn_from(
+    def _record_outcome(
         self, event: api.AttemptEnded, request: Request, attempt: Attempt, was_in_flight: bool, now: int
     ) -> bool:
         """Learn from an attempt's end; return whether its connection's idle time is to blame."""
@@ -283,13 +283,13 @@
             status, idle_ns
         )
         if status is AttemptStatus.OK:
-            record_order(host, sent_ns)
+            record_answered(host, sent_ns)
         # Of one that was written off, all that a time-out says is known.
         if not is_idle_loss and (was_in_flight or status is not AttemptStatus.TIMEOUT):
             self.outliers.record_outcome(host, request.class_index, status, event.latency_ns, now)
         return is_idle_loss
 
-    def _write_off_lost_attempts(self, now: int) -> None:
+    def _write_off_overtaken_attempts(self, now: int) -> None:
         """Count lost attempts no more, and hedge their requests elsewhere.
 
         Counted as in flight, a few hold every slot and make idle hosts look late.  Where hosts are busy,
@@ -298,14 +298,14 @@
         if self.capacity.mean_utilisation < 1 - RESERVE:
             for host in self.round_robin.ring:
                 if host.in_flight:
-                    self._write_off_lost_attempts_of(host, now)
+                    self._write_off_overtaken_attempts_of(host, now)
         waiting = [request for host in self.round_robin.ring for request, _ in host.written_off.values()]
         for request in waiting:
             if self.retry_policy.can_afford_hedge():
                 self._hedge(request, now)
 
-    def _write_off_lost_attempts_of(self, host: Host, now: int) -> None:
-        for key in self.outliers.lost_attempts(host, now):
+    def _write_off_overtaken_attempts_of(self, host: Host, now: int) -> None:
+        for key in self.outliers.overtaken_attempts(host, now):
             self.attempts.write_off(host, key)
             host.failed += 1
             self.outliers.timeouts += 1
@@ -339,7 +339,7 @@
             self.capacity.record_report(host, event.report, now)
 
     def _on_process_share(self, event: api.ProcessShareChanged, _now: int) -> None:
-        self.slow_start.set_process_share(event.share)
+        self.slow_start.set_process_fraction(event.share)
 
     def _close_idle_connections(self, host_names: Iterable[str]) -> None:
         self._actions.extend(api.CloseIdleConnections(name) for name in host_names)
@@ -353,14 +353,14 @@
         self._decay(gap)
         if self.host_table.has_outgrown_subset():
             self._choose_hosts()
-        self._write_off_lost_attempts(now)
+        self._write_off_overtaken_attempts(now)
         throughput = capacity_estimates.size_in_use(self.round_robin.ring, self.host_table.ready_count)
-        self.capacity.learn_rate_per_size(throughput, gap)
+        self.capacity.update_rate_per_size(throughput, gap)
         self._recompute_weights(now, gap)
         self._update_admission_limit(gap)
-        self.admission.learn_fleet_share(throughput)
+        self.admission.update_fleet_fraction(throughput)
         if not self.admission.is_overloaded and self.capacity.mean_utilisation < 1 - RESERVE:
-            self.traffic.learn_unloaded_latencies()
+            self.traffic.update_unloaded_latencies()
         if self.subscription.take_due(now):
             self._actions.append(api.SubscribeToEndpoints())
         if self.host_table.closing:
--- a/brambleusher/loadbalancing/fleet_balancer.py
+++ b/brambleusher/loadbalancing/fleet_balancer.py
@@ -53,7 +53,7 @@
     return most - scaled_failed, scaled_failed
 
 
-class WholeFleetTable(HostTable):
+class AllHostsTable(HostTable):
     """All ready hosts are in use: nothing is chosen, and there are no connections to close."""
 
     def subset_size(self) -> int:
@@ -78,7 +78,7 @@
         self._handlers[ReportedOutcomes] = self.record_outcomes
 
     def _make_host_table(self) -> HostTable:
-        return WholeFleetTable(self.settings, self.rng, self.round_robin, self.traffic)
+        return AllHostsTable(self.settings, self.rng, self.round_robin, self.traffic)
 
     def record_outcomes(self, event: ReportedOutcomes, now: int) -> None:
         """Take in one sum; a host or class that is not known is passed over."""
--- a/brambleusher/loadbalancing/fleet_capacity.py
+++ b/brambleusher/loadbalancing/fleet_capacity.py
@@ -91,7 +91,7 @@
             utilisations.append(host.utilisation + faded * (mean - host.utilisation))
         return utilisations
 
-    def learn_rate_per_size(self, sizes_in_use: float, gap: float) -> None:
+    def update_rate_per_size(self, sizes_in_use: float, gap: float) -> None:
         """Relate the requests asked for to the sizes in use; call it before the admission limit is set.
 
         The limit takes a rate of 0 for no capacity.
--- a/brambleusher/loadbalancing/hosts.py
+++ b/brambleusher/loadbalancing/hosts.py
@@ -47,7 +47,7 @@
         "ejected_until_ns",
         "failed",
         "in_flight",
-        "in_flight_share",
+        "in_flight_fraction",
         "is_connected",
         "is_draining",
         "is_local",
@@ -55,7 +55,7 @@
         "kind",
         "last_used_ns",
         "latency_counts",
-        "latency_ratio_sums",
+        "latency_ratio_totals",
         "name",
         "newest_answered_ns",
         "performance_index",
@@ -93,11 +93,11 @@
         self.written_off: dict[AttemptKey, InFlightAttempt] = NO_ATTEMPTS
         # By class of request: answers lately, and the sum of their latencies over the goal.
         self.latency_counts: list[float] = NO_CLASSES
-        self.latency_ratio_sums: list[float] = NO_CLASSES
+        self.latency_ratio_totals: list[float] = NO_CLASSES
         # When those attempts answered here that were sent last were sent.
         self.newest_answered_ns: list[int] = NO_ANSWERS
         self.weight = 0.0
-        self.in_flight_share = 0.0  # of this proxy's attempts in flight, that its weight explains
+        self.in_flight_fraction = 0.0  # of this proxy's attempts in flight, that its weight explains
         self.token_credit = 0.0  # the fraction of a token that a load carries over
         self.tokens = 0
         self.forget(entry.started_ns, 0)
@@ -110,7 +110,7 @@
             self.in_flight = {}
             self.written_off = {}
             self.latency_counts = [0.0] * class_count
-            self.latency_ratio_sums = [0.0] * class_count
+            self.latency_ratio_totals = [0.0] * class_count
             self.newest_answered_ns = list(NO_ANSWERS)
 
     def forget(self, started_ns: int, class_count: int) -> None:
@@ -120,7 +120,7 @@
         self.throughput = self.utilisation = 0.0  # as reported, smoothed
         self.reported_ns = -1  # when last; under 0: never
         self.latency_counts = [0.0] * class_count if class_count else NO_CLASSES
-        self.latency_ratio_sums = [0.0] * class_count if class_count else NO_CLASSES
+        self.latency_ratio_totals = [0.0] * class_count if class_count else NO_CLASSES
         self.newest_answered_ns = list(NO_ANSWERS) if class_count else NO_ANSWERS
         # Attempts lately, by how they ended; the index as of the last recompute.
         self.served = self.failed = self.rejected = self.performance_index = 0.0
@@ -191,4 +191,4 @@
         host.failed *= health
         host.rejected *= health
         host.latency_counts = [count * latency for count in host.latency_counts]
-        host.latency_ratio_sums = [total * latency for total in host.latency_ratio_sums]
+        host.latency_ratio_totals = [total * latency for total in host.latency_ratio_totals]
--- a/brambleusher/loadbalancing/instance_metrics.py
+++ b/brambleusher/loadbalancing/instance_metrics.py
@@ -29,7 +29,7 @@
 MIN_LATENCY_TARGET_S = 0.01
 
 
-class ObservedSums(NamedTuple):
+class ObservedTotals(NamedTuple):
     """Sums over gateways, in the order in which they are exchanged."""
 
     served: float = 0.0
@@ -42,12 +42,12 @@
     load_weight: float = 0.0
 
 
-NO_SUMS = ObservedSums()
+NO_TOTALS = ObservedTotals()
 
 
-def sums_from(figures: Sequence[float]) -> ObservedSums:
+def totals_from(figures: Sequence[float]) -> ObservedTotals:
     """Return what other gateways sent: an older version sends no loads, a newer one may send more."""
-    return ObservedSums(*(*figures, *NO_SUMS[len(figures) :])[: len(NO_SUMS)])
+    return ObservedTotals(*(*figures, *NO_TOTALS[len(figures) :])[: len(NO_TOTALS)])
 
 
 class InFlight(NamedTuple):
@@ -75,14 +75,14 @@
     served_since_tick: int = 0
     # By priority.
     latency_counts: list[float] = field(default_factory=_zeros)
-    latency_ratio_sums: list[float] = field(default_factory=_zeros)
+    latency_ratio_totals: list[float] = field(default_factory=_zeros)
     served: float = PRIOR_SUCCESSES
     failed: float = 0.0
     last_response_s: float = -math.inf  # when an answer began last
     quiet_index: float = 0.0  # of the last quiet spell, which counts where nothing is recent
     load: float = 0.0  # that the instance reported last, as a part of its slots
     load_weight: float = 0.0  # 1 for a report of this moment, less for an older one
-    others: ObservedSums = NO_SUMS  # of the other gateways
+    others: ObservedTotals = NO_TOTALS  # of the other gateways
     weight: float = 0.0
     tokens: int = 0
     token_credit: float = 0.0  # the fraction of a token that a load carries over
@@ -113,7 +113,7 @@
         """Return the index of answers, of all gateways, and the count it rests on."""
         means = [
             total / count if count > MIN_COUNT else 0.0
-            for total, count in zip(self.latency_ratio_sums, self.latency_counts, strict=True)
+            for total, count in zip(self.latency_ratio_totals, self.latency_counts, strict=True)
         ]
         index, count = aggregate_pi(means, self.latency_counts, range(PRIORITIES))
         if self.others.answers > 0:
@@ -153,13 +153,13 @@
         return min(1.0, in_use / self.capacity)
 
     def observed(self) -> list[float]:
-        """Return what this gateway saw, for the others: the fields of `ObservedSums`."""
-        sums = ObservedSums(
+        """Return what this gateway saw, for the others: the fields of `ObservedTotals`."""
+        sums = ObservedTotals(
             served=self.served - PRIOR_SUCCESSES,
             failed=self.failed,
             in_use=self.mean_in_flight,
             answers=sum(self.latency_counts),
-            latency_ratios=sum(self.latency_ratio_sums),
+            latency_ratios=sum(self.latency_ratio_totals),
             requests_per_s=self.requests_per_s,
             weighted_load=self.load * self.load_weight,
             load_weight=self.load_weight,
@@ -175,10 +175,10 @@
         self.served_since_tick = 0
         self.load_weight *= math.exp(-gap_s / LOAD_WINDOW_S)
         if sum(self.latency_counts) >= 1 and not self.failed > QUIET_FAILURES:
-            self.quiet_index = min(PI_GOAL, sum(self.latency_ratio_sums) / sum(self.latency_counts))
+            self.quiet_index = min(PI_GOAL, sum(self.latency_ratio_totals) / sum(self.latency_counts))
         latency_kept = math.exp(-gap_s / LATENCY_WINDOW_S)
         self.latency_counts = [count * latency_kept for count in self.latency_counts]
-        self.latency_ratio_sums = [total * latency_kept for total in self.latency_ratio_sums]
+        self.latency_ratio_totals = [total * latency_kept for total in self.latency_ratio_totals]
         health_kept = math.exp(-gap_s / HEALTH_WINDOW_S)
         self.served = max(PRIOR_SUCCESSES, self.served * health_kept)
         self.failed *= health_kept
--- a/brambleusher/loadbalancing/instance_weights.py
+++ b/brambleusher/loadbalancing/instance_weights.py
@@ -17,12 +17,12 @@
 from brambleusher.loadbalancing.instance_metrics import (
     MAX_LOAD,
     MIN_LATENCY_TARGET_S,
-    NO_SUMS,
+    NO_TOTALS,
     PRIORITIES,
     TICK_S,
     InFlight,
     InstanceMetrics,
-    sums_from,
+    totals_from,
 )
 from brambleusher.loadbalancing.token_round_robin import WEIGHT_TOTAL
 from brambleusher.loadbalancing.weights import MIN_SPARE_FRACTION, final_weights
@@ -58,7 +58,7 @@
         self.mean_utilisation = 1.0
         self._ticked_s: float | None = None
         self._reporters = 0
-        self._reported_s = -math.inf  # when other gateways' sums came last
+        self._reported_s = -math.inf  # when other gateways' totals came last
 
     def set_instances(self, ready: Mapping[str, float]) -> None:
         """Take the ready instances and their capacities; all others lose weight and tokens at once."""
@@ -105,7 +105,7 @@
         instance.last_response_s = now
         priority, sent_s, target_s = instance.in_flight[attempt]
         instance.latency_counts[priority] += 1
-        instance.latency_ratio_sums[priority] += (now - sent_s) / target_s
+        instance.latency_ratio_totals[priority] += (now - sent_s) / target_s
         instance.in_flight[attempt] = InFlight(priority, now, math.inf)
 
     def finish_attempt(self, name: str, attempt: int, has_succeeded: bool | None) -> None:
@@ -133,22 +133,22 @@
 
     # --- other gateways --------------------------------------------------------------------------
 
-    def export_sums(self) -> dict[str, list[float]]:
+    def export_totals(self) -> dict[str, list[float]]:
         """Return what this gateway saw lately, by instance."""
-        sums = {instance.name: instance.observed() for instance in self._instances.values()}
-        return {name: each for name, each in sums.items() if any(each)}
+        totals = {instance.name: instance.observed() for instance in self._instances.values()}
+        return {name: each for name, each in totals.items() if any(each)}
 
-    def import_sums(self, reporters: int, sums: Mapping[str, Sequence[float]], now: float) -> None:
+    def import_totals(self, reporters: int, totals: Mapping[str, Sequence[float]], now: float) -> None:
         """Take in what `reporters` other gateways saw, added up."""
         self._reporters = reporters
         self._reported_s = now
         for instance in self._instances.values():
-            figures = sums.get(instance.name)
-            instance.others = NO_SUMS if figures is None else sums_from(figures)
+            reported = totals.get(instance.name)
+            instance.others = NO_TOTALS if reported is None else totals_from(reported)
 
-    def _forget_stale_sums(self, now: float) -> None:
+    def _forget_stale_totals(self, now: float) -> None:
         if self._reporters and now - self._reported_s > OTHERS_FRESH_S:
-            self.import_sums(0, {}, now)
+            self.import_totals(0, {}, now)
 
     # --- weights ---------------------------------------------------------------------------------
 
@@ -160,7 +160,7 @@
         if gap_s < TICK_S:
             return
         self._ticked_s = now
-        self._forget_stale_sums(now)
+        self._forget_stale_totals(now)
         for instance in self._instances.values():
             instance.decay(gap_s)
         self._weigh(now, gateways)
@@ -255,9 +255,9 @@
         tokens_per_weight = len(self._ring) / WEIGHT_TOTAL
         for instance in instances:
             instance.token_credit += instance.weight * tokens_per_weight
-            whole = int(instance.token_credit)
-            instance.token_credit -= whole
-            instance.tokens = max(instance.tokens, whole)
+            new_tokens = int(instance.token_credit)
+            instance.token_credit -= new_tokens
+            instance.tokens = max(instance.tokens, new_tokens)
 
     def _in_turn(self, names: Collection[str], in_flight: int, weight_sum: float, now: float) -> str | None:
         """Take a token of the next of these in the ring that has one, a slot, and is not unresponsive."""
--- a/brambleusher/loadbalancing/outlier_detection.py
+++ b/brambleusher/loadbalancing/outlier_detection.py
@@ -72,7 +72,7 @@
     def record_ratio(self, host: Host, class_index: int, ratio: float) -> None:
         """Count one latency over its goal, to the host's index and to the fleet's."""
         host.latency_counts[class_index] += 1
-        host.latency_ratio_sums[class_index] += min(ratio, MAX_RATIO)
+        host.latency_ratio_totals[class_index] += min(ratio, MAX_RATIO)
         self._admission.outcomes += 1
 
     def _record_rejection(self, host: Host, now: int) -> None:
@@ -85,7 +85,7 @@
         host.ejected_until_ns = now + int(self._unit_ns * (1 - host.acceptance))
         self._admission.record_rejection()
 
-    def lost_attempts(self, host: Host, now: int) -> list[AttemptKey]:
+    def overtaken_attempts(self, host: Host, now: int) -> list[AttemptKey]:
         """Return a host's attempts that later ones have overtaken, and that are older than usual answers.
 
         Guards against connections that fall silent: a queue answers in order.
@@ -96,7 +96,7 @@
             if sent_ns >= overtaken_ns:
                 break
             class_index = request.class_index
-            ratio_sum = host.latency_ratio_sums[class_index]
+            ratio_sum = host.latency_ratio_totals[class_index]
             count = max(host.latency_counts[class_index], MIN_HOST_ANSWERS)
             usual_here_ns = ratio_sum / count * self._goals_ns[class_index]
             usual_ns = max(self._traffic.mean_latency_ns(class_index), usual_here_ns)
@@ -105,7 +105,7 @@
         return lost
 
 
-def record_order(host: Host, sent_ns: int) -> None:
+def record_answered(host: Host, sent_ns: int) -> None:
     """Remember when an attempt was sent that was answered, if few were sent later."""
     if sent_ns > host.newest_answered_ns[0]:
         host.newest_answered_ns[0] = sent_ns
--- a/brambleusher/loadbalancing/performance_index.py
+++ b/brambleusher/loadbalancing/performance_index.py
@@ -24,8 +24,8 @@
 OLDEST_LOOKED_AT = 6  # attempts in flight at a host: bounds the work of a tick
 
 
-def aggregate_pi(index: list[float], count: list[float], order: Sequence[int]) -> tuple[float, float]:
-    """Aggregate the PI of classes, the most important first in `order`.
+def aggregate_pi(index: list[float], count: list[float], by_importance: Sequence[int]) -> tuple[float, float]:
+    """Aggregate the PI of classes, the most important first in `by_importance`.
 
     Returns:
         The PI and the count it rests on.
@@ -34,7 +34,7 @@
     needed = total * IMPORTANT_FRACTION
     covered = 0.0
     weighted = 0.0
-    for class_index in order:
+    for class_index in by_importance:
         if covered >= needed:
             break
         covered += count[class_index]
@@ -53,7 +53,7 @@
         """Return the aggregated PI, with the age of attempts in flight: a hung host sends no answers."""
         means = [
             total / count if count > MIN_COUNT else 0.0
-            for total, count in zip(host.latency_ratio_sums, host.latency_counts, strict=True)
+            for total, count in zip(host.latency_ratio_totals, host.latency_counts, strict=True)
         ]
         index, count = aggregate_pi(means, host.latency_counts, self._by_importance)
         total = index * count
--- a/brambleusher/loadbalancing/slow_start_budget.py
+++ b/brambleusher/loadbalancing/slow_start_budget.py
@@ -9,7 +9,7 @@
 from brambleusher.loadbalancing.windows import NS_PER_S
 
 BUDGET_FRACTION = 0.5  # of what a host that warms up survives: the rest is for chance and unequal proxies
-MIN_PROCESS_SHARE = 0.01
+MIN_PROCESS_FRACTION = 0.01
 
 
 class SlowStartBudget:
@@ -22,11 +22,11 @@
         self._unit_ns = unit_ns
         self._capacity = capacity
         self._host_table = host_table
-        self.process_share = 1.0  # of this proxy's work, while a new version of it takes over
+        self.process_fraction = 1.0  # of this proxy's work, while a new version of it takes over
 
-    def set_process_share(self, share: float) -> None:
+    def set_process_fraction(self, fraction: float) -> None:
         """Take in what part of its proxy's work this process does."""
-        self.process_share = min(max(share, MIN_PROCESS_SHARE), 1.0)
+        self.process_fraction = min(max(fraction, MIN_PROCESS_FRACTION), 1.0)
 
     def warm_fraction(self, host: Host, now: int) -> float:
         """Return the least part of its capacity that a host started lately can be counted on for."""
@@ -56,7 +56,7 @@
             host.zone,
             local_used,
             remote_used,
-            self.process_share,
+            self.process_fraction,
         )
         capacity = self._expected_capacity(host)
         rate = BUDGET_FRACTION * settings.overload_multiple * warm_fraction * capacity / proxies
--- a/brambleusher/loadbalancing/tenant_quotas.py
+++ b/brambleusher/loadbalancing/tenant_quotas.py
@@ -18,12 +18,12 @@
         }  # requests
         self.last_seen_ns: dict[str, int] = {}
 
-    def is_over_quota(self, tenant_name: str | None, fleet_share: float, now: int) -> bool:
+    def is_over_quota(self, tenant_name: str | None, fleet_fraction: float, now: int) -> bool:
         """Take a request from its tenant's bucket; return whether there was none left."""
         tenant = self._tenants.get(tenant_name or "")
         if tenant is None or tenant.quota_per_s <= 0:
             return False
-        rate = tenant.quota_per_s * fleet_share
+        rate = tenant.quota_per_s * fleet_fraction
         level = self.levels[tenant.name]
         level += rate * (now - self.last_seen_ns.get(tenant.name, now)) / NS_PER_S
         level = min(level, max(rate, BURST))
--- a/brambleusher/loadbalancing/token_round_robin.py
+++ b/brambleusher/loadbalancing/token_round_robin.py
@@ -48,16 +48,16 @@
         """
         roots = sum(math.sqrt(host.weight) for host in self.ring) or 1.0
         for host in self.ring:
-            host.in_flight_share = math.sqrt(host.weight) / roots
+            host.in_flight_fraction = math.sqrt(host.weight) / roots
             host.tokens = min(host.tokens, math.ceil(host.weight * self._tokens_per_weight))
 
     def load(self) -> None:
         """Give every host its latest weight; fractions are carried over."""
         for host in self.ring:
             host.token_credit += host.weight * self._tokens_per_weight
-            whole = int(host.token_credit)
-            host.token_credit -= whole
-            host.tokens = max(host.tokens, whole)
+            new_tokens = int(host.token_credit)
+            host.token_credit -= new_tokens
+            host.tokens = max(host.tokens, new_tokens)
 
     def spend(self, is_eligible: Callable[[Host], bool], in_flight: int) -> Host | None:
         """Spend the token of the next eligible host in turn that has one; only if none has, load anew.
@@ -74,7 +74,7 @@
                 host = self.ring[index]
                 if (
                     host.tokens > 0
-                    and len(host.in_flight) < host.in_flight_share * with_this_one
+                    and len(host.in_flight) < host.in_flight_fraction * with_this_one
                     and is_eligible(host)
                 ):
                     host.tokens -= 1
--- a/brambleusher/loadbalancing/traffic.py
+++ b/brambleusher/loadbalancing/traffic.py
@@ -26,7 +26,7 @@
         self.observed_s = 1e-9  # of the capacity window; short after a start, and so unbiased
         # By class, within the capacity window.
         self.answer_counts = [0.0] * class_count
-        self.latency_sums_ns = [0.0] * class_count
+        self.latency_totals_ns = [0.0] * class_count
         # By class, the mean where hosts are not busy.
         self.unloaded_latency_ns = [each.latency_target_ns * QUEUEING_FRACTION for each in settings.classes]
 
@@ -46,11 +46,11 @@
     def record_answer(self, class_index: int, latency_ns: int) -> None:
         """Count the latency of an answer."""
         self.answer_counts[class_index] += 1
-        self.latency_sums_ns[class_index] += latency_ns
+        self.latency_totals_ns[class_index] += latency_ns
 
     def mean_latency_ns(self, class_index: int) -> float:
         """Return what answers of a class usually take; 0 before there are any."""
-        return self.latency_sums_ns[class_index] / max(self.answer_counts[class_index], 1.0)
+        return self.latency_totals_ns[class_index] / max(self.answer_counts[class_index], 1.0)
 
     def decay(self, decay: Decay) -> None:
         """Forget a part of everything."""
@@ -60,10 +60,10 @@
         self.served *= decay.capacity
         self.observed_s = self.observed_s * decay.capacity + decay.gap * self._unit_ns / NS_PER_S
         self.answer_counts = [count * decay.capacity for count in self.answer_counts]
-        self.latency_sums_ns = [total * decay.capacity for total in self.latency_sums_ns]
+        self.latency_totals_ns = [total * decay.capacity for total in self.latency_totals_ns]
 
-    def learn_unloaded_latencies(self) -> None:
+    def update_unloaded_latencies(self) -> None:
         """Take the present means for what answers take where hosts are not busy."""
         for class_index, count in enumerate(self.answer_counts):
             if count >= 1:
-                self.unloaded_latency_ns[class_index] = self.latency_sums_ns[class_index] / count
+                self.unloaded_latency_ns[class_index] = self.latency_totals_ns[class_index] / count
--- a/brambleusher/loadbalancing/zone_aware_balancer.py
+++ b/brambleusher/loadbalancing/zone_aware_balancer.py
@@ -12,10 +12,10 @@
 from brambleusher.loadbalancing.admission_control import BUSY_UTILISATION
 from brambleusher.loadbalancing.api import AttemptStatus, Idempotency
 from brambleusher.loadbalancing.balancer import Balancer
+from brambleusher.loadbalancing.cross_zone_spill import MIN_SPILL, min_spill
 from brambleusher.loadbalancing.host_selection import Eligibility
 from brambleusher.loadbalancing.hosts import RESERVE, Host, Request
 from brambleusher.loadbalancing.performance_index import GOAL_PER_TARGET
-from brambleusher.loadbalancing.remote_offer import MIN_OFFER, min_offer
 from brambleusher.loadbalancing.slow_start_budget import BUDGET_FRACTION
 from brambleusher.loadbalancing.windows import NS_PER_S
 from brambleusher.loadbalancing.zone_loads import ZoneLoads
@@ -108,7 +108,7 @@
     def _judge_zones(self, now: int, gap: float) -> None:
         """Have all zones judged by what their hosts report and owe; act on a change."""
         router = self.zone_router
-        hold, floor = self._utilisation_to_hold()
+        hold, floor = self._target_utilisation()
         before = self._zones_out()
         loads = self._zone_loads.collect(now)
         has_changed = router.tick(now, gap, loads, self.traffic.requests_per_s, hold, floor)
@@ -125,16 +125,16 @@
         router = self.zone_router
         return {name for name in router.zones if router.is_excluded(name)}
 
-    def _utilisation_to_hold(self) -> tuple[float, float]:
+    def _target_utilisation(self) -> tuple[float, float]:
         """Return the use of near hosts above which crossing pays, and the part that is always offered.
 
-        As `RemoteOffer` has them, tier by tier in place of the own zone and the others.
+        As `CrossZoneSpill` has them, tier by tier in place of the own zone and the others.
         """
         price = self.settings.cross_zone_price
-        hold = self.remote_offer.utilisation_to_hold()
+        hold = self.cross_zone_spill.target_utilisation()
         if hold is None:
-            return 1 - RESERVE, 1.0 if price <= 0 else MIN_OFFER
-        return hold, min_offer(price)
+            return 1 - RESERVE, 1.0 if price <= 0 else MIN_SPILL
+        return hold, min_spill(price)
 
     def _abandon_attempts(self, zone_name: str, now: int) -> None:
         """Write off all attempts in a zone that is lost, and send them elsewhere too where that is safe."""
@@ -151,7 +151,7 @@
             if host.zone == zone_name:
                 host.served = host.failed = host.rejected = 0.0
                 host.latency_counts = [0.0] * len(host.latency_counts)
-                host.latency_ratio_sums = [0.0] * len(host.latency_ratio_sums)
+                host.latency_ratio_totals = [0.0] * len(host.latency_ratio_totals)
                 host.ejected_until_ns = 0
                 # Credit saved up while the zone was out is void.
                 host.slow_start_credit = host.rank % 1.0
@@ -159,13 +159,13 @@
 
     # --- weights and admission -------------------------------------------------------------------
 
-    def _update_remote_offer(self, gap: float) -> None:
+    def _update_cross_zone_spill(self, gap: float) -> None:
         if not self._has_rules:
-            super()._update_remote_offer(gap)
+            super()._update_cross_zone_spill(gap)
 
-    def _offers(self) -> Callable[[Host], float]:
+    def _spill_fractions(self) -> Callable[[Host], float]:
         if not self._has_rules:
-            return super()._offers()
+            return super()._spill_fractions()
         offered_fraction = self.zone_router.offered_fraction
         return lambda host: offered_fraction(host.zone)
 
@@ -194,16 +194,16 @@
             return
         answered = zip(self.traffic.answer_counts, self.settings.classes, strict=True)
         target_ns = sum(count * each.latency_target_ns for count, each in answered) / counts
-        share = self.admission.effective_fleet_share()
+        fraction = self.admission.effective_fleet_fraction()
         acceptance = sum(host.acceptance for host in hosts) / len(hosts)
         rate = sum(rates) / len(rates) * self.capacity.rate_per_size
         ready = self.host_table.ready_count
-        due = share * rate * acceptance * ready * target_ns * GOAL_PER_TARGET / NS_PER_S
+        due = fraction * rate * acceptance * ready * target_ns * GOAL_PER_TARGET / NS_PER_S
         self.admission.limit = max(self.admission.limit, due)
 
-    def _is_worth_a_slot(self, density: float) -> bool:
+    def _admits(self, density: float) -> bool:
         """Reject what fits nowhere, the cheapest first."""
-        if not super()._is_worth_a_slot(density):
+        if not super()._admits(density):
             return False
         beyond = self.zone_router.unplaced_fraction if self._has_rules else 0.0
         densities = self.admission.sorted_densities
--- a/brambleusher/loadbalancing/zone_loads.py
+++ b/brambleusher/loadbalancing/zone_loads.py
@@ -4,11 +4,11 @@
 
 from dataclasses import dataclass
 
+from brambleusher.loadbalancing.cross_zone_spill import misses_goal
 from brambleusher.loadbalancing.fleet_capacity import FleetCapacity
 from brambleusher.loadbalancing.host_table import HostTable
 from brambleusher.loadbalancing.hosts import Host
 from brambleusher.loadbalancing.performance_index import OLDEST_LOOKED_AT
-from brambleusher.loadbalancing.remote_offer import misses_goal
 from brambleusher.loadbalancing.slow_start_budget import SlowStartBudget
 from brambleusher.loadbalancing.traffic import TrafficStatistics
 from brambleusher.loadbalancing.zone_routing import ZoneRouter
--- a/tests/system/test_instance_weights.py
+++ b/tests/system/test_instance_weights.py
@@ -153,7 +153,7 @@
 
 def test_what_others_saw_judges_an_instance_that_this_gateway_never_used() -> None:
     weights = weights_of("a", "b")
-    weights.import_sums(20, {"a": BAD, "b": GOOD}, 0.4)
+    weights.import_totals(20, {"a": BAD, "b": GOOD}, 0.4)
     weights.recompute(0.5, 21.0)
     shares = weights.weights()
     assert shares["a"] < shares["b"] / 10
@@ -161,7 +161,7 @@
 
 def test_without_news_of_others_a_gateway_judges_alone_again() -> None:
     weights = weights_of("a", "b")
-    weights.import_sums(20, {"a": BAD, "b": GOOD}, 0.4)
+    weights.import_totals(20, {"a": BAD, "b": GOOD}, 0.4)
     ticks(weights, 0.0, int(OTHERS_FRESH_S / TICK_S) + 2)
     assert weights.weights() == {"a": 32.0, "b": 32.0}
 
@@ -169,10 +169,10 @@
 def test_own_failures_count_against_good_news_of_others() -> None:
     """A gateway that is cut off from an instance sees what others do not."""
     weights = weights_of("a", "b")
-    weights.import_sums(20, {"a": GOOD, "b": GOOD}, 0.0)
+    weights.import_totals(20, {"a": GOOD, "b": GOOD}, 0.0)
     for _ in range(12):
         send(weights, "a", 0.0, well=False)
-    weights.import_sums(20, {"a": GOOD, "b": GOOD}, 0.4)
+    weights.import_totals(20, {"a": GOOD, "b": GOOD}, 0.4)
     weights.recompute(0.5, 21.0)
     assert weights.weights()["a"] < weights.weights()["b"] / 4
 
@@ -182,7 +182,7 @@
     send(weights, "a", 0.0, 0.1)
     send(weights, "a", 0.0, well=False)
     ticks(weights, 0.0, 1)
-    report = weights.export_sums()
+    report = weights.export_totals()
     assert set(report) == {"a"}
     served, failed, *_ = report["a"]
     assert 0 < failed <= 1
--- a/tests/system/test_policy.py
+++ b/tests/system/test_policy.py
@@ -166,7 +166,7 @@
 
 def test_reports_of_other_gateways_count_and_a_report_fades() -> None:
     weights = weights_with()
-    weights.import_sums(5, {"a": [0, 0, 0, 0, 0, 0, 4.0, 5.0], "b": [0, 0, 0, 0, 0, 0, 0.0, 5.0]}, 0.0)
+    weights.import_totals(5, {"a": [0, 0, 0, 0, 0, 0, 4.0, 5.0], "b": [0, 0, 0, 0, 0, 0, 0.0, 5.0]}, 0.0)
     ticks(weights, 0.0, 1)
     assert weights.weights()["a"] < weights.weights()["b"] / 3
     alone = weights_with()
@@ -178,7 +178,7 @@
 
 def test_sums_of_an_older_controller_have_no_reports() -> None:
     weights = weights_with()
-    weights.import_sums(2, {"a": [3.0, 0.0, 1.0, 3.0, 0.3, 1.0]}, 0.0)
+    weights.import_totals(2, {"a": [3.0, 0.0, 1.0, 3.0, 0.3, 1.0]}, 0.0)
     ticks(weights, 0.0, 1)
     assert set(weights.weights()) == {"a", "b"}
 
@@ -192,4 +192,4 @@
     current = weights.weights()
     assert current["a"] <= 2.1 * current["b"]
     weights.record_load("a", 10**6, 10**6, 1)
-    assert weights.export_sums()["a"][6] <= MAX_LOAD
+    assert weights.export_totals()["a"][6] <= MAX_LOAD
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -48,7 +48,7 @@
     turn.ring, turn._next, turn._tokens_per_weight = hosts, 0, 1.0
     for host, weight in zip(hosts, (32.0, 12.0, 20.0), strict=True):
         host.weight = weight
-        host.in_flight_share = 1.0
+        host.in_flight_fraction = 1.0
     order = [spent.name for _ in range(64) if (spent := turn.spend(lambda host: True, 0))]
     assert order == ["1", "2", "3"] * 12 + ["1", "3"] * 8 + ["1"] * 12
     host_after = turn.spend(lambda host: True, 0)
@@ -201,7 +201,7 @@
     balancer, _ = build(["h1", "h2", "h3"])
     for name, index in (("h1", 2.0), ("h2", 2.0), ("h3", 1.4)):
         host = balancer.host_table.hosts[name]
-        host.latency_counts, host.latency_ratio_sums = [50.0], [50.0 * index]
+        host.latency_counts, host.latency_ratio_totals = [50.0], [50.0 * index]
     balancer._recompute_weights(SECOND, 0.0)
     assert all(host.weight > 15 for host in balancer.host_table.hosts.values())
 
@@ -241,12 +241,12 @@
     here, there = balancer.host_table.hosts["h1"], balancer.host_table.hosts["h2"]
     remote = {}
     for label, util, away in (("idle", 0.3, 0.3), ("busy", 0.95, 0.3), ("both", 0.95, 1.0)):
-        balancer.remote_offer.fraction = 0.5
+        balancer.cross_zone_spill.fraction = 0.5
         for host, use in ((here, util), (there, away)):
             host.throughput_sum, host.utilisation_sum = 100.0 * use, use
             host.utilisation, host.reported_ns, host.throughput = use, SECOND, 100.0 * use
         balancer._recompute_weights(SECOND, 0.5)
-        remote[label] = balancer.remote_offer.fraction
+        remote[label] = balancer.cross_zone_spill.fraction
     assert remote["idle"] < 0.5 < remote["busy"]
     assert remote["both"] <= 0.5
 
@@ -380,10 +380,10 @@
     balancer, _ = build(["h1"])
     balancer.admission.sorted_densities = [float(n) for n in range(100)]
     balancer.admission.limit, balancer.admission.offered, balancer.admission.is_late = 0.4, 1.0, True
-    assert not balancer._is_worth_a_slot(59.0) and balancer._is_worth_a_slot(61.0)
+    assert not balancer._admits(59.0) and balancer._admits(61.0)
     balancer.admission.is_late = False
     balancer.admission.rejections_long = 2.0  # hosts that reject bound their own queues
-    assert balancer._is_worth_a_slot(59.0)
+    assert balancer._admits(59.0)
 
 
 def test_ticks_are_no_oftener_than_traffic_warrants() -> None:
@@ -434,7 +434,7 @@
         for host in balancer.host_table.hosts.values():
             host.throughput_sum, host.utilisation_sum = 1000.0, 10.0
             host.utilisation, host.throughput, host.reported_ns = 0.01, 1.0, 1
-        balancer.traffic.answer_counts, balancer.traffic.latency_sums_ns = [100.0], [100.0 * 100 * MS]
+        balancer.traffic.answer_counts, balancer.traffic.latency_totals_ns = [100.0], [100.0 * 100 * MS]
         balancer.admission.outcomes = 100.0
         balancer.traffic.unloaded_latency_ns, balancer.admission.limit = [100.0 * MS], 100.0
         balancer._recompute_weights(1, 0.0)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -17,7 +17,7 @@
     """Draw what the limit goes by, within what it can come to be."""
     admission, traffic, budget = balancer.admission, balancer.traffic, balancer.retry_policy.budget
     admission.limit = 10 ** rng.uniform(-2, 3)
-    admission.fleet_share = rng.uniform(0.1 / balancer.settings.fleet_size, 1.0)
+    admission.fleet_fraction = rng.uniform(0.1 / balancer.settings.fleet_size, 1.0)
     admission.best_rate *= 10 ** rng.uniform(-1, 2)
     traffic.served *= rng.random()
     admission.rejections, admission.rejections_long = rng.uniform(0, 200), rng.uniform(0, 200)
@@ -30,13 +30,13 @@
         traffic.unloaded_latency_ns[index] = request_class.latency_target_ns * rng.uniform(0.001, 1.0)
         traffic.answer_counts[index] = rng.uniform(0, 200)
         answered_ns = traffic.answer_counts[index] * request_class.deadline_ns
-        traffic.latency_sums_ns[index] = answered_ns * rng.random()
+        traffic.latency_totals_ns[index] = answered_ns * rng.random()
     for host in balancer.host_table.hosts.values():
         host.utilisation, host.throughput = rng.random(), rng.uniform(0, 100)
         host.utilisation_sum, host.throughput_sum = rng.uniform(0, 50), rng.uniform(0, 2000)
         host.failed, host.served, host.rejected = (rng.uniform(0, 100) for _ in range(3))
         host.latency_counts = [rng.uniform(0, 100) for _ in host.latency_counts]
-        host.latency_ratio_sums = [n * rng.uniform(0, 4) for n in host.latency_counts]
+        host.latency_ratio_totals = [n * rng.uniform(0, 4) for n in host.latency_counts]
 
 
 class Scrambled(World):
