--- a/brambleusher/dataplane/attempt_failure.py
+++ b/brambleusher/dataplane/attempt_failure.py
@@ -8,12 +8,14 @@
 from dataclasses import dataclass
 from typing import ClassVar
 
+from brambleusher.dataplane.rejection_reason import RejectionReason
+
 
 @dataclass(frozen=True, slots=True)
 class ConnectFailed:
     """No connection was established: the request never left this gateway."""
 
-    counter: ClassVar[str] = "notreached"
+    reason: ClassVar[RejectionReason] = RejectionReason.CONNECT_FAILED
 
     has_timed_out: bool = False  # nothing answered; otherwise the connection was refused
 
@@ -22,7 +24,7 @@
 class AttemptRejected:
     """The instance promised that it did not run the request and never will."""
 
-    counter: ClassVar[str] = "rejected"
+    reason: ClassVar[RejectionReason] = RejectionReason.ATTEMPT_REJECTED
 
     status: int
 
@@ -31,7 +33,7 @@
 class AttemptLost:
     """At least a part of the request was sent and no complete response head came: it may have run."""
 
-    counter: ClassVar[str] = "lost"
+    reason: ClassVar[RejectionReason] = RejectionReason.ATTEMPT_LOST
 
 
 AttemptFailure = ConnectFailed | AttemptRejected | AttemptLost
--- a/brambleusher/dataplane/attempts.py
+++ b/brambleusher/dataplane/attempts.py
@@ -12,6 +12,7 @@
 from brambleusher.dataplane.instance import Instance
 from brambleusher.dataplane.instance_table import InstanceTable
 from brambleusher.dataplane.placement import Placement
+from brambleusher.dataplane.rejection_reason import RejectionReason
 from brambleusher.dataplane.request_context import RequestContext
 from brambleusher.dataplane.upstream_client import MISDIRECTED_REQUEST, UpstreamClient, UpstreamRequest
 from brambleusher.dataplane.upstream_response import UpstreamResponse
@@ -62,28 +63,31 @@
         self._upstream, self._counters, self._policy = upstream, counters, policy
 
     def run(self, context: RequestContext) -> UpstreamResponse | None:
-        """Try instances until one responds; None where none did and none may be tried any more."""
+        """Try instances until one responds; None where none did and none may be tried any more.
+
+        The reason is in the context then.
+        """
         failed_attempts = 0
         while failed_attempts < FAILED_ATTEMPTS_MAX:
             now_s = self._scheduler.now()
             if context.remaining_s(now_s) < ATTEMPT_MIN_S:
-                context.rejection_reason = "time"
+                context.rejection_reason = RejectionReason.DEADLINE
                 return None
             if context.may_have_run and not context.may_run_again:
-                context.rejection_reason = "ran"
+                context.rejection_reason = RejectionReason.MUST_NOT_RUN_AGAIN
                 return None
             instance = self._placement.choose(
                 context.placement, context.tried, now_s, context.unresponsive_regions
             )
             if instance is None:
-                context.rejection_reason = context.rejection_reason or "no_instance"
+                context.rejection_reason = context.rejection_reason or RejectionReason.NO_INSTANCE
                 return None
             context.tried.add(instance.id)
             if not self._upstream.has_capacity(instance):
-                context.rejection_reason = "connections"
+                context.rejection_reason = RejectionReason.CONNECTION_LIMIT
                 continue
             if not self._takes_retry_budget(context, now_s):
-                context.rejection_reason = "retry_budget"
+                context.rejection_reason = RejectionReason.RETRY_BUDGET
                 return None
             result = self._attempt(context, instance)
             if isinstance(result, Ok):
@@ -158,8 +162,8 @@
         return headers
 
     def _record_failure(self, context: RequestContext, instance: Instance, failure: AttemptFailure) -> None:
-        context.rejection_reason = failure.counter
-        self._counters.add(failure.counter)
+        context.rejection_reason = failure.reason
+        self._counters.add(failure.reason.value)
         if isinstance(failure, ConnectFailed):
             weights = self._instances.weights.get(instance.service)
             if weights is not None:
--- a/brambleusher/dataplane/request_context.py
+++ b/brambleusher/dataplane/request_context.py
@@ -6,6 +6,7 @@
 
 from brambleusher.dataplane.client_request import ClientRequest
 from brambleusher.dataplane.placement import PlacementRequest
+from brambleusher.dataplane.rejection_reason import RejectionReason
 from brambleusher.dataplane.retry_budget import RetryBudget
 from brambleusher.wire.configuration import Route
 
@@ -27,7 +28,7 @@
     )  # in which a connection for this request timed out
     attempts_sent: int = 0  # that reached an instance
     possible_runs: int = 0  # instances that may have run it
-    rejection_reason: str = ""  # why no further attempt was made; part of a counter's name
+    rejection_reason: RejectionReason = RejectionReason.NONE
 
     @property
     def may_have_run(self) -> bool:
--- a/brambleusher/dataplane/request_handler.py
+++ b/brambleusher/dataplane/request_handler.py
@@ -106,7 +106,7 @@
             status = HTTPStatus.GATEWAY_TIMEOUT if is_late else HTTPStatus.BAD_GATEWAY
             client.send_error(status, "no whole answer came", context.attempt_id)
             return
-        self._counters.add(f"refused_{context.rejection_reason}")
+        self._counters.add(f"refused_{context.rejection_reason.value}")
         retry_after_s = max(0.0, min(RETRY_AFTER_S, remaining_s * RETRY_AFTER_FRACTION))
         client.send_error(
             HTTPStatus.SERVICE_UNAVAILABLE, "no instance can take it now", context.attempt_id, retry_after_s
