--- a/brambleusher/dataplane/attempts.py
+++ b/brambleusher/dataplane/attempts.py
@@ -8,7 +8,7 @@
 
 from brambleusher.dataplane.attempt_failure import AttemptFailure, AttemptLost, ConnectFailed
 from brambleusher.dataplane.client_request import HeaderList
-from brambleusher.dataplane.counters import Counters
+from brambleusher.dataplane.counters import Counters, RequestCounter
 from brambleusher.dataplane.instance import Instance
 from brambleusher.dataplane.instance_table import InstanceTable
 from brambleusher.dataplane.placement import Placement
@@ -108,7 +108,7 @@
         if response.status != HTTPStatus.OK:
             response.abandon()
             return None
-        self._counters.add("resumed")
+        self._counters.add(RequestCounter.RESUMED)
         return response
 
     def _takes_retry_budget(self, context: RequestContext, now_s: float) -> bool:
@@ -163,7 +163,7 @@
 
     def _record_failure(self, context: RequestContext, instance: Instance, failure: AttemptFailure) -> None:
         context.rejection_reason = failure.reason
-        self._counters.add(failure.reason.value)
+        self._counters.add_failed_attempt(failure.reason)
         if isinstance(failure, ConnectFailed):
             weights = self._instances.weights.get(instance.service)
             if weights is not None:
--- a/brambleusher/dataplane/request_handler.py
+++ b/brambleusher/dataplane/request_handler.py
@@ -8,7 +8,7 @@
 from brambleusher.dataplane.attempts import ATTEMPT_MIN_S, MS_PER_S, AttemptRunner
 from brambleusher.dataplane.client_connection import ClientConnection
 from brambleusher.dataplane.client_request import ClientRequest
-from brambleusher.dataplane.counters import Counters
+from brambleusher.dataplane.counters import Counters, RequestCounter
 from brambleusher.dataplane.errors import ResponseBrokenError
 from brambleusher.dataplane.instance_table import InstanceTable
 from brambleusher.dataplane.placement import PlacementRequest
@@ -48,7 +48,7 @@
         route = routes.find(request.header(b"host").decode("latin-1"), path)
         attempt_id = request.header(b"x-attempt-id")
         if route is None:
-            self._counters.add("no_route")
+            self._counters.add(RequestCounter.NO_ROUTE)
             client.send_error(HTTPStatus.NOT_FOUND, "there is no route", attempt_id)
             return
         context = self._context(request, route, attempt_id)
@@ -101,12 +101,12 @@
         """Respond where no instance did, and say at once whether the request may have run."""
         remaining_s = context.remaining_s(self._scheduler.now())
         if context.may_have_run:
-            self._counters.add("failed")
+            self._counters.add(RequestCounter.FAILED)
             is_late = remaining_s < ATTEMPT_MIN_S
             status = HTTPStatus.GATEWAY_TIMEOUT if is_late else HTTPStatus.BAD_GATEWAY
             client.send_error(status, "no whole answer came", context.attempt_id)
             return
-        self._counters.add(f"refused_{context.rejection_reason.value}")
+        self._counters.add_rejection(context.rejection_reason)
         retry_after_s = max(0.0, min(RETRY_AFTER_S, remaining_s * RETRY_AFTER_FRACTION))
         client.send_error(
             HTTPStatus.SERVICE_UNAVAILABLE, "no instance can take it now", context.attempt_id, retry_after_s
@@ -116,7 +116,7 @@
         self, client: ClientConnection, context: RequestContext, response: UpstreamResponse
     ) -> None:
         if StreamRelay(self._attempts, client, context).run(response):
-            self._counters.add("served")
+            self._counters.add(RequestCounter.SERVED)
         elif client.has_response_begun:
             client.stream.close()  # without its end, so that the client sees that it is incomplete
         else:
@@ -133,11 +133,11 @@
                 while data := pending.read(context.deadline_s):
                     body.append(data)
             except (ResponseBrokenError, TaskTimeoutError):
-                self._counters.add("broken")
+                self._counters.add(RequestCounter.BROKEN)
                 pending = self._attempts.run(context)
                 continue
             is_served = pending.status < HTTPStatus.BAD_REQUEST
-            self._counters.add("served" if is_served else "passed_failure")
+            self._counters.add(RequestCounter.SERVED if is_served else RequestCounter.ERROR_FORWARDED)
             client.send_response(pending.status, pending.headers, b"".join(body))
             return
         self._reject(client, context)
--- a/brambleusher/gateway/client_server.py
+++ b/brambleusher/gateway/client_server.py
@@ -11,7 +11,7 @@
 from brambleusher.dataplane.body_memory import BodyMemory
 from brambleusher.dataplane.client_connection import ClientConnection
 from brambleusher.dataplane.client_request import ClientRequest
-from brambleusher.dataplane.counters import Counters
+from brambleusher.dataplane.counters import Counters, RequestCounter
 from brambleusher.dataplane.errors import RequestTooLargeError
 from brambleusher.dataplane.request_handler import RequestHandler
 from brambleusher.dataplane.routing import RouteTable
@@ -105,10 +105,10 @@
         try:
             return client.read()
         except h11.RemoteProtocolError as error:
-            self._counters.add("bad_request")
+            self._counters.add(RequestCounter.BAD_REQUEST)
             client.send_error(error.error_status_hint, str(error))
         except RequestTooLargeError as error:
-            self._counters.add("too_large")
+            self._counters.add(RequestCounter.TOO_LARGE)
             is_temporary = error.status == HTTPStatus.SERVICE_UNAVAILABLE
             retry_after_s = RETRY_AFTER_S if is_temporary else None
             client.send_error(error.status, "the request is over the limits", retry_after_s=retry_after_s)
@@ -118,7 +118,7 @@
     def _respond(self, client: ClientConnection, request: ClientRequest) -> None:
         routes = self._current_routes()
         if routes is None or not self._accepts_requests():
-            self._counters.add("not_serving")
+            self._counters.add(RequestCounter.NOT_SERVING)
             attempt_id = request.header(b"x-attempt-id")
             client.send_error(
                 HTTPStatus.SERVICE_UNAVAILABLE, "this gateway does not serve now", attempt_id, RETRY_AFTER_S
