--- a/brambleusher/features/rewrites.py
+++ b/brambleusher/features/rewrites.py
@@ -13,7 +13,7 @@
 
 from brambleusher.net.header_forwarding import end_to_end
 from brambleusher.net.http import HeaderField, Message
-from brambleusher.operator_settings.configuration import RewriteRule
+from brambleusher.operator_settings.rewrite_rules import RewriteRule
 
 # A list whose quotes are balanced; in any other, what is appended could land inside a quote.
 _QUOTES_CLOSED = re.compile(r'(?:[^"]|"(?:[^"\\]|\\.)*")*\Z')
--- a/brambleusher/sidecar/configuration.py
+++ b/brambleusher/sidecar/configuration.py
@@ -1,11 +1,10 @@
-"""The one place where configuration is read, checked and given defaults."""
+"""The configuration of a sidecar: its settings, and how they are read, checked and given defaults."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
 
 import orjson
 
@@ -14,6 +13,9 @@
 from brambleusher.net.endpoint_list import EndpointListError, EndpointListUpdate, decode_update
 from brambleusher.runtime.streams import parse_address
 
+HEXADECIMAL = 16
+FIRST_FREE_DESCRIPTOR, MAX_DESCRIPTOR = 3, 2**20  # below are standard input, output and error
+
 
 class ConfigError(ValueError):
     """Configuration that can't be used; the message names the key."""
@@ -30,7 +32,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All a sidecar is told at its start."""
+    """The configuration of one sidecar.
+
+    Attributes:
+        name: Its name in the fleet.
+        listen: Where clients connect.
+        discovery: Where the endpoint list comes from.
+        seed: The seed of its random draws.
+        limits: What the platform gives it.
+        known: The endpoint list that it starts with.
+        settings: The settings of the decisions.
+        admin: Where operators call; None: nowhere.
+        listener_fd: A socket that listens on `listen` already; None: there is none.
+        shared_dir: What all processes of this sidecar can write; None: nothing.
+    """
 
     name: str
     listen: tuple[str, int]
@@ -39,19 +54,19 @@
     limits: Limits
     known: EndpointListUpdate
     settings: api.Settings
-    admin: tuple[str, int] | None = None  # where operators call; None: nowhere
-    listener_fd: int | None = None  # a socket that listens on `listen` already; None: there is none
-    shared_dir: str | None = None  # what all processes of this sidecar can write; None: nothing
+    admin: tuple[str, int] | None = None
+    listener_fd: int | None = None
+    shared_dir: str | None = None
 
 
-def _text(raw: Mapping[str, Any], key: str, fallback: str | None) -> str:
+def _text(raw: Mapping[str, object], key: str, fallback: str | None) -> str:
     value = raw.get(key, fallback)
     if not isinstance(value, str) or not value:
         raise ConfigError(f"{key} is missing or not a text")
     return value
 
 
-def _address(raw: Mapping[str, Any], key: str, fallback: str | None) -> tuple[str, int]:
+def _address(raw: Mapping[str, object], key: str, fallback: str | None) -> tuple[str, int]:
     try:
         return parse_address(_text(raw, key, fallback))
     except ConfigError:
@@ -60,14 +75,14 @@
         raise ConfigError(f"{key}: {error}") from None
 
 
-def _at_least(raw: Mapping[str, Any], key: str, default: float, low: float) -> float:
+def _at_least(raw: Mapping[str, object], key: str, default: float, low: float) -> float:
     value = raw.get(key, default)
     if isinstance(value, bool) or not isinstance(value, int | float) or not value >= low:
         raise ConfigError(f"limits.{key} is not a number of at least {low:g}")
     return value
 
 
-def _limits(raw: Any) -> Limits:
+def _limits(raw: object) -> Limits:
     if not isinstance(raw, dict):
         raise ConfigError("limits is not an object")
     usual = Limits()
@@ -78,33 +93,39 @@
     )
 
 
-def _seed(value: Any) -> int:
+def _seed(value: object) -> int:
     if isinstance(value, int) and not isinstance(value, bool):
         return value
     try:
-        return int(value, 16)
-    except (TypeError, ValueError):
-        raise ConfigError("seed is missing or not a hexadecimal number") from None
+        if isinstance(value, str):
+            return int(value, HEXADECIMAL)
+    except ValueError:
+        pass  # the message is the same as for a value that is no text
+    raise ConfigError("seed is missing or not a hexadecimal number")
 
 
-def _admin(raw: Mapping[str, Any], env: Mapping[str, str]) -> tuple[str, int] | None:
-    """Where operators call; a fault names the key of the text or the variable, whichever has it."""
+def _admin(raw: Mapping[str, object], env: Mapping[str, str]) -> tuple[str, int] | None:
+    """Return where operators call; an error names the key of the text or the variable, whichever has it."""
     if "admin_addr" in raw:
         return _address(raw, "admin_addr", None)
     return _address(env, "NODE_ADMIN_ADDR", None) if env.get("NODE_ADMIN_ADDR") else None
 
 
 def _descriptor(env: Mapping[str, str]) -> int | None:
-    """The listening socket that the platform holds, where it holds one."""
+    """Return the descriptor of the listening socket that the platform holds, where it holds one."""
     if not (text := env.get("NODE_FD")):
         return None
-    if not text.isascii() or not text.isdigit() or not 3 <= int(text) < 2**20:
+    if not text.isascii() or not text.isdigit() or not FIRST_FREE_DESCRIPTOR <= int(text) < MAX_DESCRIPTOR:
         raise ConfigError("NODE_FD is not the number of a descriptor")
     return int(text)
 
 
 def parse_config(text: bytes, env: Mapping[str, str]) -> Config:
-    """The configuration; the environment stands in for the name and the addresses where the text has none."""
+    """Parse a configuration; the environment has the name and the addresses that the text has not.
+
+    Raises:
+        ConfigError: It can't be used; the message names the key.
+    """
     try:
         raw = orjson.loads(text)
     except orjson.JSONDecodeError as error:
@@ -134,7 +155,7 @@
 
 
 def fixed_keys_changed(old: Config, new: Config) -> list[str]:
-    """The keys that differ and that a running sidecar can't follow; `discovery` is the one it can."""
+    """Return the keys that differ and that a running sidecar can't follow; `discovery` is the one it can."""
     keys = {"admin_addr": "admin"} | {
         name: name for name in ("name", "listen", "seed", "limits", "known", "settings")
     }
@@ -142,7 +163,11 @@
 
 
 def load_config(env: Mapping[str, str]) -> Config:
-    """The configuration that the environment points at."""
+    """Load the configuration that the environment points at.
+
+    Raises:
+        ConfigError: It can't be read or used.
+    """
     path = env.get("NODE_CONFIG")
     if not path:
         raise ConfigError("NODE_CONFIG is not set")
--- a/brambleusher/sidecar/feature_assembly.py
+++ b/brambleusher/sidecar/feature_assembly.py
@@ -12,7 +12,8 @@
 from brambleusher.features.rewrites import Rewrites
 from brambleusher.loadbalancing.api import Settings
 from brambleusher.observability.counters import Counters
-from brambleusher.operator_settings.configuration import CaptureSettings, MetricsSettings, RewriteRule
+from brambleusher.operator_settings.configuration import CaptureSettings, MetricsSettings
+from brambleusher.operator_settings.rewrite_rules import RewriteRule
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.system import System
 from brambleusher.sidecar.configuration import Config
--- a/brambleusher/xds/config.py
+++ b/brambleusher/xds/config.py
@@ -11,8 +11,8 @@
 
 from brambleusher.loadbalancing.api import Idempotency, Settings
 from brambleusher.loadbalancing.settings import SettingsError, parse_settings
-from brambleusher.operator_settings.configuration import MAX_FILE_BYTES, decode_yaml
 from brambleusher.operator_settings.section import OperatorFileError, Section
+from brambleusher.operator_settings.yaml_codec import MAX_FILE_BYTES, decode_yaml
 from brambleusher.runtime.streams import parse_address
 from brambleusher.xds.faults import ControlError
 from brambleusher.xds.versions import MIN_SECRET
--- a/tests/test_rewrites.py
+++ b/tests/test_rewrites.py
@@ -14,13 +14,13 @@
 from brambleusher.net.header_forwarding import PROTECTED, end_to_end
 from brambleusher.net.http import HeaderField, MessageReader
 from brambleusher.operator_settings.configuration import (
-    FRAMING,
     CaptureSettings,
     MetricsSettings,
     OperatorFile,
     load_operator_file,
     parse_operator_file,
 )
+from brambleusher.operator_settings.rewrite_rules import FRAMING
 from brambleusher.operator_settings.section import OperatorFileError
 from tests.rig import Node, Rig, answer, read
 
