--- a/brambleusher/membership/line_connection.py
+++ b/brambleusher/membership/line_connection.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from brambleusher.runtime.acceptor import Acceptor
-from brambleusher.runtime.scheduler import Event, Scheduler, TaskTimeoutError
+from brambleusher.runtime.scheduler import Event, Scheduler, TaskTimeoutError, Wakeup
 from brambleusher.runtime.streams import Stream
 from brambleusher.runtime.system import Address
 from brambleusher.wire import lines
@@ -120,7 +120,7 @@
         """Send what is queued until the peer closes the connection."""
         while True:
             if not self._queue:
-                if self._scheduler.park(None, stream.sock, event=self._enqueued) != "event":
+                if self._scheduler.park(None, stream.sock, event=self._enqueued) is not Wakeup.EVENT:
                     return  # it became readable: the peer never sends anything here, so it has closed
                 continue
             line = self._queue.popleft()
--- a/brambleusher/net/request_lifecycle.py
+++ b/brambleusher/net/request_lifecycle.py
@@ -18,7 +18,7 @@
     ResponseStarted,
 )
 from brambleusher.loadbalancing.api import AttemptStatus, FailRequest, RejectRequest
-from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
+from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError, Wakeup
 from brambleusher.runtime.system import Socket
 
 log = logging.getLogger(__name__)
@@ -240,7 +240,7 @@
         """Wait for the next step; true if the client is to be looked at."""
         deadline, sock = self._deadline() + DECISION_GRACE_S, self._client.watched_socket()
         try:
-            return self._scheduler.park(deadline, sock, event=self._pending.event) == "socket"
+            return self._scheduler.park(deadline, sock, event=self._pending.event) is Wakeup.SOCKET
         except TaskTimeoutError:
             # Race: a step may have come in the same moment, after a late wake-up.
             if not self._pending.steps:
--- a/brambleusher/runtime/scheduler.py
+++ b/brambleusher/runtime/scheduler.py
@@ -1,6 +1,6 @@
 """Greenlet tasks over a poll set: one thread, one poller, one heap of timers.
 
-A task runs until it parks.  It may park on a socket, on a `Event`, or on both, always with the
+A task runs until it parks.  It may park on a socket, on an `Event`, or on both, always with the
 choice of a deadline; whichever comes first wakes it.  Deadlines are in seconds on `Scheduler.now`.
 """
 
@@ -10,7 +10,7 @@
 import logging
 from collections import deque
 from collections.abc import Callable
-from typing import Any
+from enum import Enum
 
 import greenlet
 
@@ -18,10 +18,30 @@
 
 log = logging.getLogger(__name__)
 
-LATE_SECONDS = 0.05  # by which a timer has to be late for the process to be behind
-BREATH_SECONDS = 0.0005  # that others may have between two steps of long work, where they never rest
+LATENESS_MIN_S = 0.05  # by which a timer has to be late for the process to be behind
+YIELD_MAX_S = 0.0005  # that others may have between two steps of long work, where always one is ready
+POLL_TIMEOUT_MAX_MS = 1000
+CANCELLED_TIMERS_MIN = 512  # in the heap, before it is cleared of them
+_MS_PER_S = 1000
 
-__all__ = ["READ", "WRITE", "Event", "Scheduler", "Task", "TaskCancelledError", "TaskTimeoutError", "Timer"]
+__all__ = [
+    "READ",
+    "WRITE",
+    "Event",
+    "Scheduler",
+    "Task",
+    "TaskCancelledError",
+    "TaskTimeoutError",
+    "Timer",
+    "Wakeup",
+]
+
+
+class Wakeup(Enum):
+    """What has woken a task that parked."""
+
+    SOCKET = "socket"
+    EVENT = "event"
 
 
 class TaskTimeoutError(Exception):
@@ -29,22 +49,25 @@
 
 
 class TaskCancelledError(BaseException):
-    """Raised inside a task that was called off; not an `Exception`, so that handlers let it pass."""
+    """Raised inside a task that was cancelled; not an `Exception`, so that handlers let it pass."""
+
+
+WakeReason = Wakeup | BaseException | None  # None: its first step, or its turn after it has yielded
 
 
 class Timer:
-    """A call due at some moment; `cancel` leaves an empty shell in the heap."""
+    """A callback due at some moment; a cancelled one stays in the heap, and does nothing."""
 
-    __slots__ = ("_scheduler", "call")
+    __slots__ = ("_scheduler", "callback")
 
-    def __init__(self, scheduler: Scheduler, call: Callable[[], object]) -> None:
+    def __init__(self, scheduler: Scheduler, callback: Callable[[], object]) -> None:
         self._scheduler = scheduler
-        self.call: Callable[[], object] | None = call
+        self.callback: Callable[[], object] | None = callback
 
     def cancel(self) -> None:
         """Make it do nothing."""
-        if self.call is not None:
-            self.call = None
+        if self.callback is not None:
+            self.callback = None
             self._scheduler.timer_cancelled()
 
 
@@ -61,7 +84,7 @@
         """Wake the task that waits, or let the next wait return at once."""
         self.is_set = True
         if self.task is not None:
-            self.task.scheduler.wake(self.task, "event")
+            self.task.scheduler.wake(self.task, Wakeup.EVENT)
 
 
 class Task:
@@ -70,7 +93,7 @@
     __slots__ = ("event", "done", "glet", "name", "parked", "scheduler", "sock_fd", "timer", "urgent")
 
     def __init__(
-        self, scheduler: Scheduler, name: str, run: Callable[[Any], None], urgent: bool = False
+        self, scheduler: Scheduler, name: str, run: Callable[[WakeReason], None], urgent: bool = False
     ) -> None:
         self.scheduler, self.name, self.urgent = scheduler, name, urgent
         self.glet = scheduler.system.greenlet(run, scheduler.hub)
@@ -94,14 +117,14 @@
         self.now: Callable[[], float] = system.monotonic
         self.hub = greenlet.getcurrent()
         self._poll = system.poller()
-        self._ready: deque[tuple[Task, Any]] = deque()
+        self._ready: deque[tuple[Task, WakeReason]] = deque()
         self._timers: list[tuple[float, int, Timer]] = []
-        self._timer_count = self._shells = 0
-        self._waiting: dict[int, Task] = {}
+        self._timer_count = self._cancelled_timers = 0
+        self._waiting: dict[int, Task] = {}  # by the descriptor that they wait on
         self._soon: deque[Callable[[], object]] = deque()
-        self._breathing: deque[Event] = deque()  # of tasks with long work, in turn
-        self._late, self._late_until = 0.0, 0.0
-        self._breath_at: float | None = 0.0  # when the last step of one ended; None: it is under way
+        self._yielding: deque[Event] = deque()  # of tasks with long work, in turn
+        self._lateness_s, self._late_until = 0.0, 0.0
+        self._last_step_at: float | None = 0.0  # when the last step of one ended; None: it is under way
         self._running: Task | None = None
         self._stopped = False
         # Signal handlers write here, so that a poll in progress ends.
@@ -112,8 +135,8 @@
 
     @property
     def timers(self) -> int:
-        """Calls that are due at some moment."""
-        return len(self._timers) - self._shells
+        """How many timers are pending."""
+        return len(self._timers) - self._cancelled_timers
 
     @property
     def lateness_s(self) -> float:
@@ -121,23 +144,29 @@
 
         A process that was stopped, or is short of processor time, is behind for as long again as it was late.
         """
-        return self._late if self.now() < self._late_until else 0.0
+        return self._lateness_s if self.now() < self._late_until else 0.0
 
-    def spawn(self, call: Callable[..., Any], *args: Any, name: str = "", urgent: bool = False) -> Task:
+    def spawn(
+        self, function: Callable[..., object], *args: object, name: str = "", urgent: bool = False
+    ) -> Task:
         """Start a task; it runs for the first time in the hub's next round.
 
         One that is `urgent` goes ahead of all that is ready whenever it is.
         """
-        task = Task(self, name or call.__qualname__, lambda why: self._body(task, call, args, why), urgent)
+
+        def run(reason: WakeReason) -> None:
+            self._run_task(task, function, args, reason)
+
+        task = Task(self, name or function.__qualname__, run, urgent)
         self._queue(task, None)
         task.parked = True
         return task
 
-    def _queue(self, task: Task, why: Any) -> None:
+    def _queue(self, task: Task, reason: WakeReason) -> None:
         if task.urgent:
-            self._ready.appendleft((task, why))
+            self._ready.appendleft((task, reason))
         else:
-            self._ready.append((task, why))
+            self._ready.append((task, reason))
 
     def park(
         self,
@@ -145,11 +174,25 @@
         sock: Socket | None = None,
         events: int = READ,
         event: Event | None = None,
-    ) -> str:
-        """Wait for a socket, a event or both; says which came, raises `TaskTimeoutError` if neither did."""
+    ) -> Wakeup:
+        """Wait for a socket, an event or both.
+
+        Args:
+            deadline: In seconds on `now`; None for none.
+            sock: The socket to wait for.
+            events: `READ` or `WRITE`, on the socket.
+            event: The event to wait for; it is cleared.
+
+        Returns:
+            Which of the two came.
+
+        Raises:
+            TaskTimeoutError: neither came before the deadline.
+            TaskCancelledError: the task was cancelled.
+        """
         if event is not None and event.is_set:
             event.is_set = False
-            return "event"
+            return Wakeup.EVENT
         task = self._current()
         if sock is not None:
             task.sock_fd = sock.fileno()
@@ -163,17 +206,18 @@
         if deadline is not None:
             task.timer = self.call_at(deadline, lambda: self.wake(task, TaskTimeoutError()))
         task.parked = True
-        why = self.hub.switch()
+        reason = self.hub.switch()
         if event is not None:
             event.is_set = False
-        if isinstance(why, BaseException):
+        if isinstance(reason, BaseException):
             try:
-                raise why
+                raise reason
             finally:
-                # Guards against a cycle for each deadline that passes (the exception holds this frame, and
-                # this the exception), which keeps what its task held until the collector comes by.
-                del why
-        return str(why)
+                # The exception holds this frame, and this the exception: a cycle for each deadline that
+                # passes would keep what its task held until the collector comes by.
+                del reason
+        assert isinstance(reason, Wakeup)
+        return reason
 
     def sleep(self, seconds: float) -> None:
         """Let others run for a while."""
@@ -183,16 +227,13 @@
             return
 
     def yield_now(self) -> None:
-        """Let all run that are ready.
-
-        Guards against one task that always finds something to do, and never has to wait for it.
-        """
+        """Let all run that are ready: a task that always finds something to do must not keep them waiting."""
         task = self._current()
         self._queue(task, None)
         task.parked = True
-        why = self.hub.switch()
-        if isinstance(why, BaseException):
-            raise why
+        reason = self.hub.switch()
+        if isinstance(reason, BaseException):
+            raise reason
 
     def yield_until_idle(self) -> None:
         """Let others run until nobody is ready to, or for a moment where somebody always is.
@@ -200,47 +241,46 @@
         For long work in steps: it has the time that is left, and a part of it where none is.
         """
         event = Event()
-        self._breathing.append(event)
+        self._yielding.append(event)
         self.park(event=event)
 
-    def call_at(self, when: float, call: Callable[[], object]) -> Timer:
-        """Have the hub make a short call at a moment; it must not park."""
-        timer = Timer(self, call)
+    def call_at(self, when: float, callback: Callable[[], object]) -> Timer:
+        """Have the hub call a short function at a moment; it must not park."""
+        timer = Timer(self, callback)
         self._timer_count += 1
         heapq.heappush(self._timers, (when, self._timer_count, timer))
         return timer
 
     def timer_cancelled(self) -> None:
-        """Clear the heap of empty shells once most of it is.
+        """Clear the heap of cancelled timers once most are.
 
-        Guards against a deadline of minutes for each request that was answered in milliseconds.
+        Each request that was answered in milliseconds would otherwise leave its deadline for minutes.
         """
-        self._shells += 1
-        if self._shells > 512 and self._shells * 2 > len(self._timers):
-            self._timers = [entry for entry in self._timers if entry[2].call is not None]
+        self._cancelled_timers += 1
+        if self._cancelled_timers > CANCELLED_TIMERS_MIN and self._cancelled_timers * 2 > len(self._timers):
+            self._timers = [entry for entry in self._timers if entry[2].callback is not None]
             heapq.heapify(self._timers)
-            self._shells = 0
+            self._cancelled_timers = 0
 
-    def call_soon(self, call: Callable[[], object]) -> None:
-        """Have the hub make a short call in its next round; safe in a signal handler."""
-        self._soon.append(call)
+    def call_soon(self, callback: Callable[[], object]) -> None:
+        """Have the hub call a short function in its next round; safe in a signal handler."""
+        self._soon.append(callback)
         self.interrupt_poll()
 
-    def wake(self, task: Task, why: Any) -> None:
+    def wake(self, task: Task, reason: WakeReason) -> None:
         """Queue a parked task to run again; the first reason to wake it counts."""
         if not task.parked:
             return
         if task.sock_fd < 0 and task.event is None and task.timer is None:
-            # Queued already.  A cancel must not be lost to a reason that came a moment earlier.
-            if isinstance(why, TaskCancelledError):
-                for at, (queued, _) in enumerate(self._ready):
-                    if queued is task:
-                        self._ready[at] = (task, why)
-                        return
-            else:
-                return
+            if not isinstance(reason, TaskCancelledError):
+                return  # queued already
+            # Race: a cancel must not be lost to a reason that came a moment earlier.
+            for at, (queued, _) in enumerate(self._ready):
+                if queued is task:
+                    self._ready[at] = (task, reason)
+                    return
         self._unhook(task)
-        self._queue(task, why)
+        self._queue(task, reason)
 
     # --- the hub --------------------------------------------------------------------------------
 
@@ -250,22 +290,23 @@
         while not self._stopped and not (until is not None and until()):
             self._fire(self.now())
             for _ in range(len(self._ready)):
-                task, why = self._ready.popleft()
+                task, reason = self._ready.popleft()
                 task.parked = False
                 self._running = task
-                task.glet.switch(why)
+                task.glet.switch(reason)
                 self._running = None
-            self._collect(0 if self._ready or self._breathing else self._pause())
-            if self._breathing:
-                self._let_breathe()
+            self._poll_once(0 if self._ready or self._yielding else self._poll_timeout_ms())
+            if self._yielding:
+                self._resume_long_work()
 
-    def _let_breathe(self) -> None:
+    def _resume_long_work(self) -> None:
         now = self.now()
-        if self._breath_at is None:
-            self._breath_at = now
-        if (not self._ready and self._pause() > 0) or now - self._breath_at >= BREATH_SECONDS:
-            self._breathing.popleft().set()
-            self._breath_at = None
+        if self._last_step_at is None:
+            self._last_step_at = now
+        is_idle = not self._ready and self._poll_timeout_ms() > 0
+        if is_idle or now - self._last_step_at >= YIELD_MAX_S:
+            self._yielding.popleft().set()
+            self._last_step_at = None
 
     def stop(self) -> None:
         """End `run` after this round; safe in a signal handler."""
@@ -280,40 +321,44 @@
         """Release the scheduler's own sockets."""
         self._waker.close()
 
-    def _pause(self) -> int:
-        while self._timers and self._timers[0][2].call is None:
+    def _poll_timeout_ms(self) -> int:
+        while self._timers and self._timers[0][2].callback is None:
             heapq.heappop(self._timers)
-            self._shells -= 1
+            self._cancelled_timers -= 1
         if not self._timers:
-            return 1000
-        return max(0, min(1000, int((self._timers[0][0] - self.now()) * 1000 + 0.999)))
+            return POLL_TIMEOUT_MAX_MS
+        left_ms = int((self._timers[0][0] - self.now()) * _MS_PER_S + 0.999)  # rounded up
+        return max(0, min(POLL_TIMEOUT_MAX_MS, left_ms))
 
     def _fire(self, now: float) -> None:
-        calls = [self._soon.popleft() for _ in range(len(self._soon))]
+        """Call what is due."""
+        callbacks = [self._soon.popleft() for _ in range(len(self._soon))]
         while self._timers and self._timers[0][0] <= now:
             due, _, timer = heapq.heappop(self._timers)
-            if timer.call is None:
-                self._shells -= 1
+            if timer.callback is None:
+                self._cancelled_timers -= 1
             else:
-                late = now - due
-                if late > LATE_SECONDS and now + late > self._late_until:
-                    self._late, self._late_until = late, now + late
-                calls.append(timer.call)
-                timer.call = None
-        for call in calls:
+                self._record_lateness(now - due, now)
+                callbacks.append(timer.callback)
+                timer.callback = None
+        for callback in callbacks:
             try:
-                call()
+                callback()
             except Exception:
                 log.exception("timer failed")
 
-    def _collect(self, pause: int) -> None:
-        for fd, _ in self._poll.poll(pause):
+    def _record_lateness(self, lateness_s: float, now: float) -> None:
+        if lateness_s > LATENESS_MIN_S and now + lateness_s > self._late_until:
+            self._lateness_s, self._late_until = lateness_s, now + lateness_s
+
+    def _poll_once(self, timeout_ms: int) -> None:
+        for fd, _ in self._poll.poll(timeout_ms):
             task = self._waiting.get(fd)
             if task is not None:
-                self.wake(task, "socket")
+                self.wake(task, Wakeup.SOCKET)
             elif fd == self._waker.fileno():
                 self._waker.clear()
-            else:  # guards against a loop at full speed over a socket nobody waits for
+            else:  # nobody waits for this socket: it would end every poll at once
                 self._poll.unregister(fd)
 
     def _unhook(self, task: Task) -> None:
@@ -333,15 +378,17 @@
             raise RuntimeError("only a task may wait")
         return self._running
 
-    def _body(self, task: Task, call: Callable[..., Any], args: tuple[Any, ...], why: Any) -> None:
+    def _run_task(
+        self, task: Task, function: Callable[..., object], args: tuple[object, ...], reason: WakeReason
+    ) -> None:
         try:
-            if isinstance(why, TaskCancelledError):  # called off before its first step
+            if isinstance(reason, TaskCancelledError):  # cancelled before its first step
                 return
-            call(*args)
+            function(*args)
         except TaskCancelledError:
             return
         except Exception:
-            # Guards against one task's fault ending the program.
+            # One task's fault must not end the program.
             log.exception("task failed", extra={"fields": {"task": task.name}})
         finally:
             task.done = True
--- a/brambleusher/runtime/streams.py
+++ b/brambleusher/runtime/streams.py
@@ -6,7 +6,7 @@
 import os
 from collections.abc import Callable
 
-from brambleusher.runtime.scheduler import Event, Scheduler, TaskTimeoutError
+from brambleusher.runtime.scheduler import Event, Scheduler, TaskTimeoutError, Wakeup
 from brambleusher.runtime.system import PEEK, READ, SHUTDOWN_WRITE, WRITE, Address, Socket
 
 RECEIVE_BYTES = 64 * 1024
@@ -59,7 +59,7 @@
                 prepare(sock)
             code = sock.connect_ex(address)
             if code == errno.EINPROGRESS:
-                if scheduler.park(deadline, sock, WRITE, event) == "event":
+                if scheduler.park(deadline, sock, WRITE, event) is Wakeup.EVENT:
                     raise WaitInterruptedError
                 code = scheduler.system.error_of(sock)
             if code:
@@ -77,7 +77,7 @@
             try:
                 return self.sock.recv(size)
             except BlockingIOError:
-                if self.scheduler.park(deadline, self.sock, READ, event) == "event":
+                if self.scheduler.park(deadline, self.sock, READ, event) is Wakeup.EVENT:
                     return None
 
     def send(self, data: bytes, deadline: float | None) -> None:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -105,7 +105,7 @@
         self.addCleanup(scheduler.close)
 
         def waits() -> None:
-            seen.append(scheduler.park(event=event))
+            seen.append(scheduler.park(event=event).value)
             try:
                 scheduler.park(scheduler.now(), event=event)
             except TaskTimeoutError:
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -22,7 +22,7 @@
 from brambleusher.net.endpoint_list_slices import EndpointListSlices, decode_steps
 from brambleusher.observability.counters import Counters
 from brambleusher.runtime.operating_system import RealSystem
-from brambleusher.runtime.scheduler import BREATH_SECONDS, Scheduler
+from brambleusher.runtime.scheduler import YIELD_MAX_S, Scheduler
 from tests.rig import Discovery, Node, Rig
 from tests.test_figures import until
 
@@ -273,7 +273,7 @@
     def busy(turns: int) -> None:
         for _ in range(turns):
             seen.append("turn")
-            clock[0] += BREATH_SECONDS / 4
+            clock[0] += YIELD_MAX_S / 4
             scheduler.sleep(0)
 
     scheduler.spawn(works)
