--- a/brambleusher/features/rewrites.py
+++ b/brambleusher/features/rewrites.py
@@ -1,4 +1,4 @@
-"""Header rewrites: what passes on to endpoints and to clients, changed by the operator's rules.
+"""Header rewrites: fields forwarded to endpoints and to clients, changed by the operator's rules.
 
 No sockets here.  Hop-by-hop fields go first, then the rules act in file order, and `Forwarded` is
 written last, so that a rule can drop what came of it but not what this sidecar says.
@@ -20,13 +20,14 @@
 
 
 def forwarded_for(client: str) -> str:
-    """A `for=` parameter (RFC 7239): IPv6 in brackets and quotes."""
+    """Write a `for=` parameter (RFC 7239): IPv6 in brackets and quotes."""
     address = ipaddress.ip_address(client.partition("%")[0])
-    return f"for={address}" if address.version == 4 else f'for="[{address}]"'
+    is_ipv4 = isinstance(address, ipaddress.IPv4Address)
+    return f"for={address}" if is_ipv4 else f'for="[{address}]"'
 
 
 def forward(fields: list[HeaderField], client: str) -> list[HeaderField]:
-    """The fields with the client's address added to what `Forwarded` already tells."""
+    """Add the client's address to what `Forwarded` already has."""
     came = [value for name, value in fields if name.lower() == "forwarded"]
     chain = [value for value in came if value and _QUOTES_CLOSED.match(value)]
     kept = [field for field in fields if field[0].lower() != "forwarded"]
@@ -34,7 +35,7 @@
 
 
 def apply(rule: RewriteRule, fields: list[HeaderField]) -> list[HeaderField]:
-    """One rule's action; names compare without regard to case."""
+    """Apply one rule; names compare without regard to case."""
     name = rule.name.lower()
     if rule.action == "add":
         return [*fields, (rule.name, rule.value)]
@@ -65,12 +66,12 @@
         return {name for name in every if name is not None}
 
     def inward(self, request: Message, path: str, request_class: str, client: str) -> Message:
-        """The request as the endpoint is to get it."""
+        """Rewrite a request as the endpoint is to get it."""
         fields = self._apply("in", end_to_end(request), path, request_class)
         return replace(request, forwarded_fields=forward(fields, client))
 
     def outward(self, fields: list[HeaderField], path: str, request_class: str) -> list[HeaderField]:
-        """The fields of an answer as the client is to get them."""
+        """Rewrite the fields of a response as the client is to get them."""
         return self._apply("out", fields, path, request_class)
 
     def _apply(
--- a/brambleusher/net/client_presence.py
+++ b/brambleusher/net/client_presence.py
@@ -1,4 +1,4 @@
-"""Whether the client of a request in work is still there, and what it sends before its answer is out."""
+"""Whether a client whose request is in progress is still there, and what it sends before its response."""
 
 from __future__ import annotations
 
@@ -6,50 +6,50 @@
 from brambleusher.runtime.streams import Stream
 from brambleusher.runtime.system import Socket
 
-KEPT_BYTES = 128 * 1024  # of what is sent ahead: the next requests; what comes beyond is not kept
-DROPPED_BYTES = 16 * 1024 * 1024  # past so much that was not kept the connection is read no further
-LOOK_BYTES = 64 * 1024
-LOOK_READS = 4  # in one look: bytes without end must not hold up other tasks
+MAX_READ_AHEAD_BYTES = 128 * 1024  # the next requests; what comes beyond is discarded
+MAX_DISCARDED_BYTES = 16 * 1024 * 1024  # past so much the connection is read no further
+READ_BYTES = 64 * 1024
+MAX_READS = 4  # in one check: bytes without end must not hold up other tasks
 
 
 class ClientPresence:
-    """One client's connection while a request of it is in work.
+    """One client's connection while a request of it is in progress.
 
-    A client that closes its connection has gone, also where bytes lie ahead of the close: they are read, and
-    kept for the next request as far as there is room.  What was not kept makes the rest of the connection
-    unusable, since part of a request may be missing from it.
+    A client that closes its connection has left, also where bytes lie ahead of the close: they are read, and
+    kept for the next request within a limit.  What was discarded makes the rest of the connection unusable,
+    since part of a request may be missing from it.
     """
 
-    __slots__ = ("_reader", "_stream", "dropped", "gone")
+    __slots__ = ("_reader", "_stream", "discarded_bytes", "has_left")
 
     def __init__(self, stream: Stream, reader: MessageReader) -> None:
         self._stream, self._reader = stream, reader
-        self.gone = False
-        self.dropped = 0  # bytes that came and were not kept
+        self.has_left = False
+        self.discarded_bytes = 0
 
     def socket(self) -> Socket | None:
         """Return what to watch for the client's leaving; None once it has sent ahead more than is read."""
-        return self._stream.sock if self.dropped < DROPPED_BYTES else None
+        return self._stream.sock if self.discarded_bytes < MAX_DISCARDED_BYTES else None
 
-    def look(self) -> bool:
-        """Read what has come, without waiting; true once the client has gone."""
-        for _ in range(LOOK_READS):
-            if self.gone or not self._read():
+    def check_left(self) -> bool:
+        """Read what has come, without waiting; true once the client has left."""
+        for _ in range(MAX_READS):
+            if self.has_left or not self._read():
                 break
-        return self.gone
+        return self.has_left
 
     def _read(self) -> bool:
-        """Read once; false where nothing waits."""
+        """Read once; false where nothing has come."""
         try:
-            data = self._stream.sock.recv(LOOK_BYTES)
+            data = self._stream.sock.recv(READ_BYTES)
         except BlockingIOError:
             return False
         except OSError:
             data = b""
         if not data:
-            self.gone = True
-        elif self.dropped or self._reader.buffered >= KEPT_BYTES:
-            self.dropped += len(data)
+            self.has_left = True
+        elif self.discarded_bytes or self._reader.buffered >= MAX_READ_AHEAD_BYTES:
+            self.discarded_bytes += len(data)
         else:
             self._reader.feed(data)
         return True
--- a/brambleusher/net/client_request_handler.py
+++ b/brambleusher/net/client_request_handler.py
@@ -57,7 +57,7 @@
         """Whether the client has closed its connection."""
         if self.body_stream is not None and not self.body_stream.is_complete:
             return self.body_stream.has_client_left
-        return self.presence.look()
+        return self.presence.check_left()
 
 
 class ClientRequestHandler:
@@ -188,7 +188,7 @@
             headers = self._rewriter.outward(headers, exchange.path, request_class)
         response = ClientResponse(status, headers, body, request_class, COUNTED_AS[final.kind])
         response.is_request_complete = exchange.is_body_complete
-        response.must_close = exchange.presence.dropped > 0
+        response.must_close = exchange.presence.discarded_bytes > 0
         if isinstance(final.payload, Message):
             response.body_stream = response_body_stream(final.payload)
         return response
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -57,7 +57,7 @@
     if presence._reader.buffered >= 128 * 1024:
         return False
     presence._read()
-    return presence.gone
+    return presence.has_left
 
 
 def no_last_connects(clients: ClientListener) -> None:
@@ -169,19 +169,22 @@
     ),
     (
         "requests sent ahead where room is made",
-        [(ClientConnections, "mark_idle", rests_always), (ClientPresence, "look", reads_and_sees_no_end)],
+        [
+            (ClientConnections, "mark_idle", rests_always),
+            (ClientPresence, "check_left", reads_and_sees_no_end),
+        ],
         test_crossings_client.Closes,
         "test_a_connection_that_is_given_up_carries_no_further_request",
     ),
     (
         "look before the first byte",
-        [(ClientPresence, "look", never_gone)],
+        [(ClientPresence, "check_left", never_gone)],
         test_crossings_client.Leaves,
         "test_nothing_is_sent_for_a_client_that_leaves_while_its_node_is_connected",
     ),
     (
         "floods are read",
-        [(ClientPresence, "look", gone_only_ahead_of_bytes)],
+        [(ClientPresence, "check_left", gone_only_ahead_of_bytes)],
         test_crossings_client.Leaves,
         "test_a_flood_that_leaves_is_seen_to_leave_and_gets_no_further_attempt",
     ),
