--- a/tests/recorded/sidecar_day.py
+++ b/tests/recorded/sidecar_day.py
@@ -55,9 +55,14 @@
         "status": {"port": STATUS_PORT, "refresh_ms": 200},
         "zones": {"half_life_s": 2.0, "spill": 0.5},
     }
-    scenario = msgspec.structs.replace(
-        scenario, world=msgspec.structs.replace(scenario.world, operator=operator)
+    # Some clients name a tenant that is unknown, some none: metrics have a tag for each.
+    tenants = {0: "stranger", 1: ""}
+    asks = tuple(
+        msgspec.structs.replace(ask, tenant=tenants.get(number % 7, ask.tenant))
+        for number, ask in enumerate(scenario.asks)
     )
+    world_figures = msgspec.structs.replace(scenario.world, operator=operator)
+    scenario = msgspec.structs.replace(scenario, world=world_figures, asks=asks)
     answers: list[tuple[str, str]] = []
     noted, log = Noted("connections_accepted"), logging.getLogger("brambleusher")
     log.addHandler(noted)
