--- a/brambleusher/lab/control/history.py
+++ b/brambleusher/lab/control/history.py
@@ -297,7 +297,7 @@
             instance.config, floor, self.now, seed=instance.life, sure=self.breakage == "store"
         )
         if self.breakage == "claims":
-            instance.core.handout.record_claim = lambda position: None  # type: ignore[method-assign]
+            instance.core.handout.record_subscriber_position = lambda position: None  # type: ignore[method-assign]
         if self.breakage == "silence":
             instance.core.handout.is_discovery_connected = lambda now: True  # type: ignore[method-assign]
         if self.breakage == "floor":
--- a/brambleusher/loadbalancing/api.py
+++ b/brambleusher/loadbalancing/api.py
@@ -101,7 +101,7 @@
     panic_threshold: float = 0.5  # of all nodes: with fewer healthy ones the evidence is doubted; 0: never
     flap_penalty_half_life_ns: int = 20_000_000_000
     # The longest that a zone which responds is kept out for flapping; 0: flaps cost nothing.
-    max_flap_hold_ns: int = 60_000_000_000
+    max_flap_suppression_ns: int = 60_000_000_000
     flap_exempt: tuple[str, ...] = ()  # zones that are not kept out for flapping
     evacuated: tuple[str, ...] = ()  # zones to be sent less and less, and then nothing
 
--- a/brambleusher/loadbalancing/backoff.py
+++ b/brambleusher/loadbalancing/backoff.py
@@ -12,7 +12,7 @@
 FIRST_INTERVAL_S = 0.1  # after a watch that brought something
 MAX_SMALL_FLEET_S = 0.5  # between two calls that brought nothing, where few sidecars call
 MAX_INTERVAL_S = 2.0  # and where many do
-FAILED_CALLS_PER_S = 100.0  # from a whole fleet: most are rejected at once
+FAILED_REQUESTS_PER_S = 100.0  # from a whole fleet: most are rejected at once
 JITTER_FRACTION = 0.5  # of an interval
 
 
@@ -21,7 +21,7 @@
 
     def __init__(self, sidecars: int, rng: random.Random) -> None:
         self._rng = rng
-        self._max_interval_s = min(max(sidecars / FAILED_CALLS_PER_S, MAX_SMALL_FLEET_S), MAX_INTERVAL_S)
+        self._max_interval_s = min(max(sidecars / FAILED_REQUESTS_PER_S, MAX_SMALL_FLEET_S), MAX_INTERVAL_S)
         self._interval_s = FIRST_INTERVAL_S
 
     def wait_s(self, has_data: bool, took_s: float) -> float:
--- a/brambleusher/loadbalancing/connection_admission.py
+++ b/brambleusher/loadbalancing/connection_admission.py
@@ -24,19 +24,19 @@
 MAX_TENANTS = 64  # told apart; further ones share a kind and a share
 OTHER_TENANTS = "other"
 FIRST_REQUEST_S = 0.25  # that a silent connection has, come what may, for its first request to arrive
-LEARN_INTERVAL_S = 0.25  # between two looks at the waits that are still going on
+UPDATE_INTERVAL_S = 0.25  # between two looks at the waits that are still going on
 # New connections of so long find room at once: by then others have ended.
 FORECAST_S = 0.1
 PEAK_DECAY_S = 5.0
 MIN_PEAK = 0.5  # of arrivals; less counts as none
 FORECAST_DEVIATIONS = 2.0  # of a Poisson count, on top of the peak
 # Requests a second: a connection that does so much is closed only when there is no other left.
-KEPT_VALUE = 2.0
+PROTECTED_VALUE = 2.0
 UNKNOWN_TENANT = ""
 
 
-class _Holder(NamedTuple):
-    """Who has a connection; holders share out what there is evenly."""
+class _Owner(NamedTuple):
+    """Who has a connection; owners share out what there is evenly."""
 
     peer: str
     tenant: str
@@ -50,15 +50,15 @@
 
 
 class _Group(NamedTuple):
-    """Connections of one holder and kind that wait."""
+    """Connections of one owner and kind that wait."""
 
     peer: str
     tenant: str
     level: int
 
     @property
-    def holder(self) -> _Holder:
-        return _Holder(self.peer, self.tenant)
+    def owner(self) -> _Owner:
+        return _Owner(self.peer, self.tenant)
 
     @property
     def kind(self) -> _Kind:
@@ -113,8 +113,8 @@
     group: _Group = _NO_GROUP  # while it waits
 
     @property
-    def holder(self) -> _Holder:
-        return _Holder(self.peer, self.tenant)
+    def owner(self) -> _Owner:
+        return _Owner(self.peer, self.tenant)
 
     @property
     def kind(self) -> _Kind:
@@ -137,10 +137,10 @@
         self._waiting: dict[_Group, dict[Hashable, float]] = {}  # since when, longest first
         self._statistics: dict[_Kind, WaitStatistics] = {}
         self._values: dict[_Kind, list[float]] = {}  # by age
-        self._learned_at = -math.inf
+        self._updated_at = -math.inf
         self._forecast = ArrivalForecast()  # of connections that bring a request
         self.idle_count = 0  # that wait after a request
-        self.silent_count = 0  # that wait for their first request
+        self.unused_count = 0  # that wait for their first request
 
     # --- events -----------------------------------------------------------------------------------
 
@@ -197,15 +197,15 @@
         connection = self._connections.get(conn)
         if connection is None or not self.is_scarce(now):
             return True
-        kind, holder = connection.kind, connection.holder
+        kind, owner = connection.kind, connection.owner
         self._statistics.setdefault(kind, WaitStatistics())
-        counts = self._idle_per_holder()
-        if counts[holder] + 1 < self._even_share(counts, holder):
+        counts = self._idle_per_owner()
+        if counts[owner] + 1 < self._even_count(counts, owner):
             return True
         own_value = self._current_values(now)[kind][0]
-        least = self._least_valuable(now, holder)
+        least = self._least_valuable(now, owner)
         # One that soon brings a request takes room from no one: its client opens no further one for that.
-        return own_value >= KEPT_VALUE or (least is not None and least.value < own_value)
+        return own_value >= PROTECTED_VALUE or (least is not None and least.value < own_value)
 
     def surplus_connections(self, now: float) -> Iterator[Hashable]:
         """Yield those that wait and are to be closed, least value first, until there is room again.
@@ -215,7 +215,7 @@
         passed: set[Hashable] = set()
         while self._shortage(now) > 0:
             least = self._least_valuable(now, None, passed)
-            if least is None or least.value >= KEPT_VALUE:
+            if least is None or least.value >= PROTECTED_VALUE:
                 return
             passed.add(least.conn)
             yield least.conn
@@ -225,7 +225,7 @@
         most = self.max_connections if most is None else most
         passed: set[Hashable] = set()
         while len(self._connections) >= most:
-            least = self._least_valuable(now, None, passed, silent_too=True)
+            least = self._least_valuable(now, None, passed, include_unused=True)
             if least is None:
                 return
             passed.add(least.conn)
@@ -239,39 +239,39 @@
     def _shortage(self, now: float) -> int:
         """Return how many connections are too many for those that will come."""
         expected = len(self._connections) + self._forecast.due(now)
-        return max(expected - self.silent_count - self.max_active, expected - self.max_connections)
+        return max(expected - self.unused_count - self.max_active, expected - self.max_connections)
 
     def _is_full(self, now: float) -> bool:
         return len(self._connections) + self._forecast.due(now) > self.max_connections
 
     # --- choice -----------------------------------------------------------------------------------
 
-    def _even_share(self, counts: Counter[_Holder], own: _Holder | None) -> float:
+    def _even_count(self, counts: Counter[_Owner], own: _Owner | None) -> float:
         """Return an even share of those that wait between requests, one more of `own` included."""
-        holders = len(counts) + (own is not None and own not in counts)
-        return (self.idle_count + (own is not None)) / max(holders, 1)
+        owners = len(counts) + (own is not None and own not in counts)
+        return (self.idle_count + (own is not None)) / max(owners, 1)
 
     def _least_valuable(
         self,
         now: float,
-        own: _Holder | None,
+        own: _Owner | None,
         passed: set[Hashable] | None = None,
-        silent_too: bool = False,
+        include_unused: bool = False,
     ) -> _Candidate | None:
-        """Return the waiting connection of least value among holders that have more than an even share.
+        """Return the waiting connection of least value among owners that have more than an even share.
 
         A silent one is not among them before its first request had time to come.
         """
         values = self._current_values(now)
-        counts = self._idle_per_holder()
-        share = self._even_share(counts, own)
-        silent_too |= self._is_full(now)
+        counts = self._idle_per_owner()
+        share = self._even_count(counts, own)
+        include_unused |= self._is_full(now)
         least: _Candidate | None = None
         for group, waiting in self._waiting.items():
-            holder = group.holder
-            if group.level and counts[holder] + (holder == own) < share:
+            owner = group.owner
+            if group.level and counts[owner] + (owner == own) < share:
                 continue
-            if not group.level and not silent_too:
+            if not group.level and not include_unused:
                 continue
             candidate = self._longest_waiting(group, waiting, values[group.kind], now, passed or set())
             if candidate is None:
@@ -308,7 +308,7 @@
         if connection.requests:
             self.idle_count += 1
         else:
-            self.silent_count += 1
+            self.unused_count += 1
 
     def _end_wait(self, conn: Hashable, connection: _Connection, now: float, has_request: bool) -> None:
         group = connection.group
@@ -319,25 +319,25 @@
         if connection.requests:
             self.idle_count -= 1
         else:
-            self.silent_count -= 1
+            self.unused_count -= 1
         assert connection.since is not None
         self._statistics[group.kind].record(max(now - connection.since, 0.0), has_request)
         connection.since = None
 
-    def _idle_per_holder(self) -> Counter[_Holder]:
-        """Return how many of those that brought a request wait, by holder."""
-        counts: Counter[_Holder] = Counter()
+    def _idle_per_owner(self) -> Counter[_Owner]:
+        """Return how many of those that brought a request wait, by owner."""
+        counts: Counter[_Owner] = Counter()
         for group, waiting in self._waiting.items():
             if group.level:
-                counts[group.holder] += len(waiting)
+                counts[group.owner] += len(waiting)
         return counts
 
     def _current_values(self, now: float) -> dict[_Kind, list[float]]:
         """Return the value of every kind by age, learned anew now and then."""
-        is_recent = now - self._learned_at < LEARN_INTERVAL_S
+        is_recent = now - self._updated_at < UPDATE_INTERVAL_S
         if is_recent and all(kind in self._values for kind in self._statistics):
             return self._values
-        self._learned_at = now
+        self._updated_at = now
         current = {kind: [0.0] * len(AGES_S) for kind in self._statistics}
         for group, waiting in self._waiting.items():
             seconds = current.setdefault(group.kind, [0.0] * len(AGES_S))
@@ -353,7 +353,7 @@
             "asking": self.max_active,
             "taken": len(self._connections),
             "idle": self.idle_count,
-            "silent": self.silent_count,
+            "silent": self.unused_count,
             "kept_free": self._forecast.due(now),
             "short_by": max(self._shortage(now), 0),
             "sorts": [
--- a/brambleusher/loadbalancing/flap_damping.py
+++ b/brambleusher/loadbalancing/flap_damping.py
@@ -1,7 +1,7 @@
 """Flap damping: a zone that is lost again and again is kept out until its penalty has decayed.
 
 Each loss adds a penalty that halves with time; above a limit it keeps the zone out though it responds.  The
-penalty is bounded, so that the longest suppression is the operator's `max_flap_hold_ns`.
+penalty is bounded, so that the longest suppression is the operator's `max_flap_suppression_ns`.
 
 Source: RFC 2439, BGP Route Flap Damping.
 """
@@ -22,10 +22,10 @@
         self._table = table
 
     def add(self, zone: Zone, penalty: float) -> None:
-        """Add the penalty for a loss; with `max_flap_hold_ns` of 0, flaps cost nothing."""
+        """Add the penalty for a loss; with `max_flap_suppression_ns` of 0, flaps cost nothing."""
         rules = self._table.active_rules
-        if rules.max_flap_hold_ns > 0:
-            most = REUSE_PENALTY * 2.0 ** (rules.max_flap_hold_ns / rules.flap_penalty_half_life_ns)
+        if rules.max_flap_suppression_ns > 0:
+            most = REUSE_PENALTY * 2.0 ** (rules.max_flap_suppression_ns / rules.flap_penalty_half_life_ns)
             zone.flap_penalty = min(zone.flap_penalty + penalty, most)
 
     def decay(self, zone: Zone, gap: float) -> None:
--- a/brambleusher/loadbalancing/idle_timeout.py
+++ b/brambleusher/loadbalancing/idle_timeout.py
@@ -66,10 +66,10 @@
         is_chance = idle_ns < self.proven_idle_ns and self.resets <= 1 + self.answered * CHANCE_RESETS
         return not is_chance
 
-    def recover(self, gap: float, kept: float) -> None:
+    def recover(self, gap: float, retained: float) -> None:
         """Let the timeout grow back over `gap` latency targets, and keep a fraction of the counts."""
         self.timeout_ns = min(self.timeout_ns * math.exp(gap / RECOVERY_TARGETS), self.limit_ns)
         self.proven_idle_ns *= math.exp(-gap / RECOVERY_TARGETS)
-        self.answered *= kept
-        self.timed_out *= kept
-        self.resets *= kept
+        self.answered *= retained
+        self.timed_out *= retained
+        self.resets *= retained
--- a/brambleusher/loadbalancing/retry_budget.py
+++ b/brambleusher/loadbalancing/retry_budget.py
@@ -79,6 +79,6 @@
         self.tokens -= 1.0
         return True
 
-    def decay(self, kept: float) -> None:
+    def decay(self, retained: float) -> None:
         """Keep a fraction of the credit: clients that have not come back by now won't."""
-        self.unserved_credit *= kept
+        self.unserved_credit *= retained
--- a/brambleusher/loadbalancing/settings_codec.py
+++ b/brambleusher/loadbalancing/settings_codec.py
@@ -18,7 +18,7 @@
     "strain": "max_utilisation",
     "panic": "panic_threshold",
     "half_life_ns": "flap_penalty_half_life_ns",
-    "hold_most_ns": "max_flap_hold_ns",
+    "hold_most_ns": "max_flap_suppression_ns",
     "trust": "flap_exempt",
     "evacuate": "evacuated",
 }
--- a/brambleusher/loadbalancing/simulator_adapter.py
+++ b/brambleusher/loadbalancing/simulator_adapter.py
@@ -111,9 +111,9 @@
 class Adapter:
     """Hosts one `Balancer` per instance named by the simulator; the instances share nothing."""
 
-    def __init__(self, write_note: Callable[[str], None]) -> None:
-        """Start without instances; `write_note` takes lines for people, once for each unknown event."""
-        self._write_note = write_note
+    def __init__(self, write_warning: Callable[[str], None]) -> None:
+        """Start without instances; `write_warning` takes lines for people, once for each unknown event."""
+        self._write_warning = write_warning
         self._instances: dict[str, Balancer] = {}
         self._report_fields: dict[str, tuple[str, ...]] = {}  # by instance
         self._lists: dict[int, list[api.HostEntry]] = {}
@@ -176,7 +176,7 @@
             return reader(who, fields)
         if name not in _IGNORED_EVENTS and name not in self._noted:
             self._noted.add(name)
-            self._write_note(f"unknown event {name!r} is skipped")
+            self._write_warning(f"unknown event {name!r} is skipped")
         return None
 
     # --- lines ----------------------------------------------------------------------------------
--- a/brambleusher/loadbalancing/spill_grants.py
+++ b/brambleusher/loadbalancing/spill_grants.py
@@ -28,9 +28,9 @@
 STRAIN_DECREASE = 0.5  # of a grant a second where the zone is full, less as it is less over its maximum
 STRAINED_OVERLOAD = 0.5  # what a strained zone counts as over its maximum at least
 MIN_OVERLOAD_RANGE = 0.01  # guards against a division by 0 where the maximum utilisation is 1
-SUSPECT_OFFER = 0.5  # of its spare capacity
+SUSPECT_FRACTION = 0.5  # of its spare capacity
 MIN_SPILL_SHARE = 0.25  # of an even share of the fleet
-TIER_OFFER_GAIN = 0.5  # of the error a latency target
+TIER_GAIN = 0.5  # of the error a latency target
 EVACUATION_S = 10.0  # an evacuated zone is offered less over this time, down to nothing
 
 # The way back.
@@ -89,7 +89,7 @@
         self._table = table
         self._tiers = tiers
         # Fraction of its spare capacity that a tier offers, by the use of nearer tiers.
-        self.offer_by_tier: dict[int, float] = {}
+        self.offered_by_tier: dict[int, float] = {}
         self.ticked_ns = 0
 
     # --- requests -------------------------------------------------------------------------------
@@ -136,7 +136,7 @@
             return 0.0
         return min(1.0, max(len(self._table.zones), 1) / self._table.fleet_size)
 
-    def _spill_share(self, loads: Mapping[str, ZoneLoad], hold: float) -> float:
+    def _spill_share(self, loads: Mapping[str, ZoneLoad], target_utilisation: float) -> float:
         """Return this proxy's share of what spills: its share of the traffic of the zones in trouble.
 
         Over all proxies these shares add up to one, whoever they are: each zone's traffic is all theirs.
@@ -146,7 +146,7 @@
         own = table.zones.get(table.own_zone)
         if own is not None and own not in troubled:
             load = loads.get(table.own_zone) or ZoneLoad()
-            if load.is_strained or load.used > hold * load.capacity or own.evacuation_began_ns:
+            if load.is_strained or load.used > target_utilisation * load.capacity or own.evacuation_began_ns:
                 troubled.append(own)
         shares = [self._traffic_share(zone) for zone in troubled]
         mean = sum(shares) / len(shares) if shares else 0.0
@@ -154,8 +154,8 @@
 
     # --- tiers ----------------------------------------------------------------------------------
 
-    def update_tier_offers(
-        self, gap: float, loads: Mapping[str, ZoneLoad], hold: float, floor: float
+    def update_tiers(
+        self, gap: float, loads: Mapping[str, ZoneLoad], target_utilisation: float, min_fraction: float
     ) -> None:
         """Set the fraction of its spare capacity that each tier offers, by the use of the tiers before it."""
         table = self._table
@@ -167,14 +167,22 @@
             ]  # fmt: skip
             loaded = [name for name in names if name in loads and loads[name].host_count]
             if not nearer.capacity:
-                self.offer_by_tier[tier] = 1.0
+                self.offered_by_tier[tier] = 1.0
             else:
-                self._update_tier_offer(tier, [loads[name] for name in loaded], nearer, gap, hold, floor)
+                self._update_tier(
+                    tier, [loads[name] for name in loaded], nearer, gap, target_utilisation, min_fraction
+                )
             # One on its way back, or out, is at its limit, however little it is used.
             nearer.add([loads[name] for name in loaded if not table.zones[name].is_ramping])
 
-    def _update_tier_offer(
-        self, tier: int, loads: list[ZoneLoad], nearer: _NearerTiers, gap: float, hold: float, floor: float
+    def _update_tier(
+        self,
+        tier: int,
+        loads: list[ZoneLoad],
+        nearer: _NearerTiers,
+        gap: float,
+        target_utilisation: float,
+        min_fraction: float,
     ) -> None:
         used, capacity = sum(load.used for load in loads), sum(load.capacity for load in loads)
         if not capacity:
@@ -182,19 +190,19 @@
         utilisation, further = nearer.used / nearer.capacity, used / capacity
         if nearer.strained_zones * 2 > nearer.zones:
             utilisation = 1.0
-        if utilisation > hold:
-            error = (utilisation - hold) / (1 - hold)
+        if utilisation > target_utilisation:
+            error = (utilisation - target_utilisation) / (1 - target_utilisation)
             # Tiers as busy as each other gain nothing by exchanging work.
-            error = min(error, (utilisation - further) / (1 - hold))
+            error = min(error, (utilisation - further) / (1 - target_utilisation))
         else:
-            error = (utilisation - hold) / hold
-        before = self.offer_by_tier.get(tier, floor)
-        self.offer_by_tier[tier] = min(1.0, max(floor, before + TIER_OFFER_GAIN * error * gap))
+            error = (utilisation - target_utilisation) / target_utilisation
+        before = self.offered_by_tier.get(tier, min_fraction)
+        self.offered_by_tier[tier] = min(1.0, max(min_fraction, before + TIER_GAIN * error * gap))
 
-    def _tier_offer(self, tier: int) -> float:
+    def _offered_by_tiers_up_to(self, tier: int) -> float:
         """Return what a tier offers once those before it do."""
         offer = 1.0
-        for number, fraction in self.offer_by_tier.items():
+        for number, fraction in self.offered_by_tier.items():
             if number <= tier:
                 offer *= fraction
         return offer
@@ -210,7 +218,9 @@
         last_ns = self._table.last_unplaced_ns
         return bool(last_ns) and now - last_ns <= NEEDED_TARGETS * self._table.target_ns
 
-    def update(self, now: int, gap: float, loads: Mapping[str, ZoneLoad], demand: float, hold: float) -> None:
+    def update(
+        self, now: int, gap: float, loads: Mapping[str, ZoneLoad], demand: float, target_utilisation: float
+    ) -> None:
         """Set limits and offered fractions of all zones: the demand is shared out within the grants.
 
         Args:
@@ -218,9 +228,9 @@
             gap: Since the last tick, in latency targets.
             loads: By zone.
             demand: Requests a second that come to this proxy.
-            hold: Use of nearer hosts above which further ones help.
+            target_utilisation: Use of nearer hosts above which further ones help.
         """
-        weights = self._update_limits(now, gap, loads, demand, hold)
+        weights = self._update_limits(now, gap, loads, demand, target_utilisation)
         self.ticked_ns = now
         if self._table.is_panic:
             for zone in self._table.zones.values():
@@ -231,7 +241,7 @@
         self._share_out(weights, loads, demand, now)
 
     def _update_limits(
-        self, now: int, gap: float, loads: Mapping[str, ZoneLoad], demand: float, hold: float
+        self, now: int, gap: float, loads: Mapping[str, ZoneLoad], demand: float, target_utilisation: float
     ) -> dict[str, float]:
         """Set the limit of each zone; returns the weights of those that take part."""
         table = self._table
@@ -239,19 +249,19 @@
         seconds = gap * table.target_ns / NS_PER_S
         # Of a count that halves in `RESPONSE_HALF_LIFE_TARGETS`.
         per_s = HALVING / (RESPONSE_HALF_LIFE_TARGETS * table.target_ns / NS_PER_S)
-        spill_share = self._spill_share(loads, hold)
+        spill_share = self._spill_share(loads, target_utilisation)
         weights: dict[str, float] = {}
         for name, zone in table.zones.items():
             load, used = loads.get(name) or ZoneLoad(), zone.recent_responses * per_s
             self._update_traffic_share(zone, load, used, gap)
-            zone.is_calm = zone.state is ZoneState.HEALTHY and load.used < hold * load.capacity
+            zone.is_calm = zone.state is ZoneState.HEALTHY and load.used < target_utilisation * load.capacity
             if not load.host_count or table.is_excluded(name):
                 zone.limit_per_s = UNLIMITED
                 continue
             spare = max(max_utilisation * load.capacity - load.used, 0.0) * spill_share
             self._update_grant(zone, load, used, spare, seconds, now)
-            offer = self._tier_offer(zone.tier) * self._tiers.weights.get(name, 1.0)
-            caution = SUSPECT_OFFER if zone.state is ZoneState.SUSPECT else 1.0
+            offer = self._offered_by_tiers_up_to(zone.tier) * self._tiers.weights.get(name, 1.0)
+            caution = SUSPECT_FRACTION if zone.state is ZoneState.SUSPECT else 1.0
             weights[name] = load.total_weight * offer * caution
             zone.limit_per_s = self._limit(zone, load, demand, now)
         return weights
@@ -262,8 +272,8 @@
             return
         share = min(1.0, used / load.throughput)
         is_known = zone.own_traffic_share >= 0
-        kept = 0.5 ** (gap / TRAFFIC_SHARE_HALF_LIFE_TARGETS) if is_known else 0.0
-        zone.own_traffic_share = zone.own_traffic_share * kept + share * (1 - kept)
+        retained = 0.5 ** (gap / TRAFFIC_SHARE_HALF_LIFE_TARGETS) if is_known else 0.0
+        zone.own_traffic_share = zone.own_traffic_share * retained + share * (1 - retained)
 
     def _share_out(
         self, weights: Mapping[str, float], loads: Mapping[str, ZoneLoad], demand: float, now: int
@@ -284,7 +294,9 @@
         for name in weights:
             zone = table.zones[name]
             has_fraction = most > 0 and name in fractions
-            zone.offered_fraction = fractions[name] / most if has_fraction else self._tier_offer(zone.tier)
+            zone.offered_fraction = (
+                fractions[name] / most if has_fraction else self._offered_by_tiers_up_to(zone.tier)
+            )
         # Only where each zone that could take it has a limit.
         is_limited = demand > 0 and limits and all(table.zones[name].limit_per_s >= 0 for name in weights)
         table.unplaced_fraction = max(0.0, 1.0 - sum(given.values()) / demand) if is_limited else 0.0
@@ -312,8 +324,8 @@
             zone.grant_per_s += step
             zone.unreported_grant_per_s += step
         else:
-            kept = KEPT_FACTOR * used + rules.spill_rate * spare * HEADROOM_S
-            zone.grant_per_s += (kept - zone.grant_per_s) * min(seconds / UNUSED_LAPSE_S, 1.0)
+            retained = KEPT_FACTOR * used + rules.spill_rate * spare * HEADROOM_S
+            zone.grant_per_s += (retained - zone.grant_per_s) * min(seconds / UNUSED_LAPSE_S, 1.0)
         least = MIN_PER_TARGET * NS_PER_S / self._table.target_ns
         zone.grant_per_s = max(zone.grant_per_s, used if over <= 0 else 0.0, least)
 
--- a/brambleusher/loadbalancing/state_tables.py
+++ b/brambleusher/loadbalancing/state_tables.py
@@ -150,7 +150,7 @@
     "table.last_unplaced_ns": "pressed_ns",
     "table.short_since_ns": "short_ns",
     "table.log_lines": "said",
-    "grants.offer_by_tier": "open",
+    "grants.offered_by_tier": "open",
     "tiers.weights": "weights",
     "table.stalled_until_ns": "blind_ns",
     "tiers.ranked_ns": "_ranked_ns",
--- a/brambleusher/loadbalancing/view_consistency.py
+++ b/brambleusher/loadbalancing/view_consistency.py
@@ -25,7 +25,7 @@
     NO_DISCOVERY = "nothing was heard from discovery since the start"
     BEHIND = "the view held is older than one that was handed out"
     ISOLATED = "neither discovery nor another instance has been heard of lately"
-    AWAITING_CLAIMS = "the store was new at the start: claims of subscribers are awaited"
+    AWAITING_SUBSCRIBERS = "the store was new at the start: claims of subscribers are awaited"
     NOT_DURABLE = "the place of the view is not on durable storage yet"
 
 
@@ -41,20 +41,22 @@
 class ViewConsistency:
     """One instance's knowledge of what was acted on, here and elsewhere."""
 
-    def __init__(self, floor: ViewPosition | None, now: int, timeout_ns: int, claims_wait_ns: int) -> None:
+    def __init__(
+        self, floor: ViewPosition | None, now: int, timeout_ns: int, subscribers_wait_ns: int
+    ) -> None:
         """Start.
 
         Args:
-            floor: What durable storage says; None where it can't say, and then claims are awaited.
+            floor: What durable storage says; None where it can't say: then subscribers are awaited.
             now: In ns.
             timeout_ns: After which a contact with discovery, or with another instance, is no longer recent.
-            claims_wait_ns: How long claims are awaited.
+            subscribers_wait_ns: How long subscribers are awaited, which show the views that they have.
         """
         self.floor = floor
         self.written = floor
         self.position: ViewPosition | None = None
         self._timeout_ns = timeout_ns
-        self._claims_awaited_until = now if floor is not None else now + claims_wait_ns
+        self._subscribers_awaited_until = now if floor is not None else now + subscribers_wait_ns
         self._last_discovery_contact: int | None = None
         self._peers: dict[str, tuple[PeerStatus, int]] = {}  # with the time of the last status
 
@@ -75,7 +77,7 @@
         self._raise_floor(status.position if status.is_connected else None)
         self._raise_floor(status.floor)
 
-    def record_claim(self, position: ViewPosition) -> None:
+    def record_subscriber_position(self, position: ViewPosition) -> None:
         """Take in that a subscriber has shown that it was given the view at `position`."""
         self._raise_floor(position)
 
@@ -136,8 +138,8 @@
             return WithheldReason.BEHIND
         if not self.is_discovery_connected(now) and not self.is_confirmed_by_peer(now):
             return WithheldReason.ISOLATED
-        if now < self._claims_awaited_until:
-            return WithheldReason.AWAITING_CLAIMS
+        if now < self._subscribers_awaited_until:
+            return WithheldReason.AWAITING_SUBSCRIBERS
         if self.position_to_write() is not None and not harmless:
             return WithheldReason.NOT_DURABLE
         return None
--- a/brambleusher/loadbalancing/zone_aware_balancer.py
+++ b/brambleusher/loadbalancing/zone_aware_balancer.py
@@ -181,7 +181,7 @@
             not self._has_rules
             or self.admission.is_late
             or counts < 1
-            or not self.zone_router.is_any_in_trouble
+            or not self.zone_router.is_any_degraded
         ):
             return
         hosts = self.round_robin.ring
--- a/brambleusher/loadbalancing/zone_health.py
+++ b/brambleusher/loadbalancing/zone_health.py
@@ -59,10 +59,10 @@
 class _Evidence:
     """What speaks against a zone that is in use."""
 
-    is_silent: bool  # for long enough to be lost
+    is_unresponsive: bool  # for long enough to be lost
     is_failing: bool  # many ends failed, at several nodes
     is_suspect: bool
-    silence_text: str
+    unresponsive_text: str
     failing_text: str
 
 
@@ -121,10 +121,10 @@
 
     def decay(self, zone: Zone, gap: float) -> None:
         """Let the evidence decay over `gap` latency targets."""
-        kept = 0.5 ** (gap / GREY_HALF_LIFE_TARGETS)
-        zone.recent_ends *= kept
+        retained = 0.5 ** (gap / GREY_HALF_LIFE_TARGETS)
+        zone.recent_ends *= retained
         for node in zone.nodes.values():
-            node.recent_failures *= kept
+            node.recent_failures *= retained
         zone.recent_responses *= 0.5 ** (gap / RESPONSE_HALF_LIFE_TARGETS)
 
     # --- probes ---------------------------------------------------------------------------------
@@ -172,9 +172,9 @@
         least = min(GREY_NODES, len(zone.ready_hosts))
         # Since when nobody there has answered what was asked before: all dark nodes, and no other's response.
         began_ns = max(zone.last_response_ns, self._table.stalled_until_ns, min(dark.values(), default=now))
-        silent_ns = now - began_ns
+        unresponsive_ns = now - began_ns
         all_dark = len(dark) >= max(least, 1) and len(dark) >= responsive
-        needed_ns = self._silence_needed_ns(zone, len(dark))
+        needed_ns = self._lost_after_ns(zone, len(dark))
         failed = sum(node.recent_failures for node in zone.nodes.values())
         nodes_failing = sum(node.recent_failures >= GREY_NODE_FAILURES for node in zone.nodes.values())
         is_failing = (
@@ -183,12 +183,12 @@
             and failed >= GREY_FRACTION * zone.recent_ends
         )
         return _Evidence(
-            is_silent=all_dark and silent_ns >= needed_ns,
+            is_unresponsive=all_dark and unresponsive_ns >= needed_ns,
             is_failing=is_failing,
-            is_suspect=is_failing or (all_dark and silent_ns >= needed_ns * SUSPECT_FRACTION),
-            silence_text=(
+            is_suspect=is_failing or (all_dark and unresponsive_ns >= needed_ns * SUSPECT_FRACTION),
+            unresponsive_text=(
                 f"{len(dark)} of {len(zone.ready_hosts)} nodes dark, "
-                f"no answer for {silent_ns / NS_PER_S:.2f} s"
+                f"no answer for {unresponsive_ns / NS_PER_S:.2f} s"
             ),
             failing_text=(
                 f"{failed / zone.recent_ends:.0%} of what ended lately went wrong, at several nodes"
@@ -206,7 +206,7 @@
                 dark[name] = min(dark.get(name, now), node.failing_since_ns)
         return dark
 
-    def _silence_needed_ns(self, zone: Zone, dark_nodes: int) -> float:
+    def _lost_after_ns(self, zone: Zone, dark_nodes: int) -> float:
         """Return how long a zone must be silent to be lost, in ns."""
         target_ns = self._table.target_ns
         needed = LOST_TARGETS[min(dark_nodes, len(LOST_TARGETS)) - 1] * target_ns if dark_nodes else 0.0
@@ -220,14 +220,14 @@
         target_ns = self._table.target_ns
         if evidence.is_suspect:
             zone.last_fault_ns = now
-        if evidence.is_silent:
-            self.lose(zone, evidence.silence_text, now)
+        if evidence.is_unresponsive:
+            self.lose(zone, evidence.unresponsive_text, now)
         elif zone.state is ZoneState.RETURNING:
             troubled_ns = max(zone.since_ns, zone.grant_exhausted_ns, zone.last_fault_ns)
             if now - troubled_ns > HEALTHY_TARGETS * target_ns:
                 self.set_state(zone, ZoneState.HEALTHY, "it answers all that it is sent", now)
         elif evidence.is_suspect:
-            text = evidence.failing_text if evidence.is_failing else evidence.silence_text
+            text = evidence.failing_text if evidence.is_failing else evidence.unresponsive_text
             self.set_state(zone, ZoneState.SUSPECT, text, now)
         elif zone.state is ZoneState.SUSPECT and now - zone.last_fault_ns > CLEAR_TARGETS * target_ns:
             self.set_state(zone, ZoneState.HEALTHY, "nothing speaks against it any more", now)
--- a/brambleusher/loadbalancing/zone_routing.py
+++ b/brambleusher/loadbalancing/zone_routing.py
@@ -162,7 +162,13 @@
         self.health.record_probe(zone, now)
 
     def tick(
-        self, now: int, gap: float, loads: Mapping[str, ZoneLoad], demand: float, hold: float, floor: float
+        self,
+        now: int,
+        gap: float,
+        loads: Mapping[str, ZoneLoad],
+        demand: float,
+        target_utilisation: float,
+        min_fraction: float,
     ) -> bool:
         """Judge all zones anew.
 
@@ -171,8 +177,8 @@
             gap: Since the last tick, in latency targets.
             loads: By zone.
             demand: Requests a second that come to this proxy.
-            hold: Use of nearer hosts above which further ones help.
-            floor: The fraction of their spare capacity that further ones always offer.
+            target_utilisation: Use of nearer hosts above which further ones help.
+            min_fraction: The fraction of their spare capacity that further ones always offer.
 
         Returns:
             Whether a zone came to take part, or ceased to.
@@ -187,8 +193,8 @@
             self.health.judge(zone, loads.get(name) or ZoneLoad(), now)
         self.health.update_panic(loads)
         self.tiers.rank_when_due(now)
-        self.grants.update_tier_offers(gap, loads, hold, floor)
-        self.grants.update(now, gap, loads, demand, hold)
+        self.grants.update_tiers(gap, loads, target_utilisation, min_fraction)
+        self.grants.update(now, gap, loads, demand, target_utilisation)
         return before != [self.is_excluded(name) for name in self.zones]
 
     # --- answers --------------------------------------------------------------------------------
@@ -209,7 +215,7 @@
         return self.table.stalled_until_ns
 
     @property
-    def is_any_in_trouble(self) -> bool:
+    def is_any_degraded(self) -> bool:
         """Whether any zone is out or on its way back, so that the others have more to carry."""
         return any(zone.is_out or zone.is_ramping for zone in self.zones.values())
 
--- a/brambleusher/operator_settings/zone_rules.py
+++ b/brambleusher/operator_settings/zone_rules.py
@@ -96,8 +96,8 @@
         flap_penalty_half_life_ns=int(
             section.number("half_life_s", usual.flap_penalty_half_life_ns / NS_PER_S, 1.0, 3600.0) * NS_PER_S
         ),
-        max_flap_hold_ns=int(
-            section.number("hold_most_s", usual.max_flap_hold_ns / NS_PER_S, 0.0, 86_400.0) * NS_PER_S
+        max_flap_suppression_ns=int(
+            section.number("hold_most_s", usual.max_flap_suppression_ns / NS_PER_S, 0.0, 86_400.0) * NS_PER_S
         ),
         flap_exempt=section.name_list("trust", MAX_ZONES),
         evacuated=section.name_list("evacuate", MAX_ZONES),
--- a/brambleusher/xds/core.py
+++ b/brambleusher/xds/core.py
@@ -351,7 +351,7 @@
         subscriber = stream.subscriber
         subscriber.receive(request)
         for place in subscriber.claims:
-            self.handout.record_claim(place)
+            self.handout.record_subscriber_position(place)
         subscriber.claims.clear()
         for kind, names, rejection in subscriber.rejections:
             self.nacks += 1
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -320,7 +320,7 @@
 
 
 def handout(floor: ViewPosition | None = AT_FIVE) -> ViewConsistency:
-    return ViewConsistency(floor, 0, timeout_ns=3 * SECOND, claims_wait_ns=2 * SECOND)
+    return ViewConsistency(floor, 0, timeout_ns=3 * SECOND, subscribers_wait_ns=2 * SECOND)
 
 
 def test_nothing_goes_out_before_it_is_known_to_be_the_present_and_written() -> None:
@@ -337,7 +337,7 @@
     held.record_written(ViewPosition(1, 6))
     assert held.withheld_reason(0) is None
     assert held.withheld_reason(3 * SECOND + 1) is WithheldReason.ISOLATED
-    held.record_claim(ViewPosition(1, 7))
+    held.record_subscriber_position(ViewPosition(1, 7))
     assert held.withheld_reason(0) is WithheldReason.BEHIND
     held.record_discovery(ViewPosition(2, 1), 0)  # the operator's epoch comes first
     held.record_written(ViewPosition(2, 1))
@@ -362,7 +362,7 @@
     held = handout(None)
     held.record_discovery(ViewPosition(1, 6), 0)
     held.record_written(ViewPosition(1, 6))
-    assert held.withheld_reason(SECOND) is WithheldReason.AWAITING_CLAIMS
+    assert held.withheld_reason(SECOND) is WithheldReason.AWAITING_SUBSCRIBERS
     assert held.withheld_reason(2 * SECOND) is None
 
 
--- a/tests/test_crossings_shutdown.py
+++ b/tests/test_crossings_shutdown.py
@@ -42,7 +42,7 @@
         """Whether the one client's request has begun to come."""
         return (
             rig.sidecar.connection_admission.connection_count == 1
-            and not rig.sidecar.connection_admission.silent_count
+            and not rig.sidecar.connection_admission.unused_count
         )
 
     def test_before_it_is_ready(self) -> None:
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -187,7 +187,7 @@
                         self.assertNotEqual(at[victim], "busy")  # type: ignore[index]
                     self.assertEqual(places.connection_count, len(at))
                     self.assertEqual(places.idle_count, sum(state == "idle" for state in at.values()))
-                    self.assertEqual(places.silent_count, sum(state == "silent" for state in at.values()))
+                    self.assertEqual(places.unused_count, sum(state == "silent" for state in at.values()))
                     self.assertEqual(
                         set(places.idle_connections()), {c for c, state in at.items() if state != "busy"}
                     )
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -281,7 +281,7 @@
     begin = seen.now
     while zone.is_out:
         seen.tick(0.5)
-        assert seen.now - begin <= RULES.max_flap_hold_ns + 10 * UNIT
+        assert seen.now - begin <= RULES.max_flap_suppression_ns + 10 * UNIT
     assert seen.now - begin > 3 * SECOND and seen.state("b") is ZoneState.RETURNING
 
 
@@ -299,7 +299,7 @@
 
 
 def test_without_a_hold_flaps_cost_nothing() -> None:
-    seen = Seen(replace(RULES, max_flap_hold_ns=0))
+    seen = Seen(replace(RULES, max_flap_suppression_ns=0))
     for _ in range(3):
         seen.lose()
         assert seen.zones.is_excluded("b")
