--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -7,8 +7,8 @@
 
 from brambleusher.loadbalancing import Balancer, api
 from brambleusher.loadbalancing.retry_budget import DEPOSIT_PER_REQUEST, MAX_TOKENS, RetryBudget
+from tests.balancer_builders import host_entry
 from tests.rules import MS, SECOND
-from tests.test_design import entry
 
 SAFE = api.RequestClass("safe", 500 * MS, 2 * SECOND, 1.0)
 ONCE = api.RequestClass("once", 500 * MS, 2 * SECOND, 1.0, idempotency=api.Idempotency.UNSAFE)
@@ -21,7 +21,7 @@
     )  # fmt: skip
     balancer = Balancer(settings, 3)
     balancer.start(0)
-    balancer.handle(api.HostListUpdated(api.ListKind.SAVED, [entry(f"h{n}") for n in range(hosts)]), 0)
+    balancer.handle(api.HostListUpdated(api.ListKind.SAVED, [host_entry(f"h{n}") for n in range(hosts)]), 0)
     return balancer
 
 
