--- a/brambleusher/__main__.py
+++ b/brambleusher/__main__.py
@@ -1,4 +1,4 @@
-"""The program's start: serving is read here, with nothing that serving does not need; else `cli`."""
+"""The program's entry: serving starts from here, without what it does not need; all else is `cli`'s."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 from collections.abc import Sequence
 
 
-def serving(words: Sequence[str]) -> dict[str, str] | None:
-    """The options of a command line that says to serve and says it plainly; None for any other."""
+def parse_serving_options(arguments: Sequence[str]) -> dict[str, str] | None:
+    """Return the options of a command line that says to serve; None for any other, which `cli` parses."""
     options: dict[str, str] = {}
-    rest = iter(words)
-    for word in rest:
-        name, equals, value = word.partition("=")
+    remaining = iter(arguments)
+    for argument in remaining:
+        name, equals, value = argument.partition("=")
         if not equals:
-            value = next(rest, "")
+            value = next(remaining, "")
         if name not in ("--operator", "--log-format") or not value or value.startswith("-"):
             return None
         options[name] = value
@@ -21,16 +21,16 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """One command; the exit status is what it returns."""
-    words = sys.argv[1:] if arguments is None else list(arguments)
-    options = serving(words)
+    """Run one command; return the exit status."""
+    arguments = sys.argv[1:] if arguments is None else list(arguments)
+    options = parse_serving_options(arguments)
     if options is not None:
         from brambleusher.sidecar.main import run
 
         return run(options.get("--operator"), options.get("--log-format", "logfmt"))
-    from brambleusher.cli import call
+    from brambleusher.cli import run_command
 
-    return call(words)
+    return run_command(arguments)
 
 
 if __name__ == "__main__":
--- a/brambleusher/cli/__init__.py
+++ b/brambleusher/cli/__init__.py
@@ -2,7 +2,7 @@
 
 To add a command, add a line to `COMMANDS` and a file of that name here, whose `command` is a Click
 command.  Its imports may be whatever the command needs; what comes from an extra of pyproject.toml
-needs no guard of its own: `call` says which package is missing.
+needs no guard of its own: `run_command` says which package is missing.
 """
 
 from __future__ import annotations
@@ -10,6 +10,8 @@
 import sys
 from collections.abc import Sequence
 
+EXIT_USAGE = 2
+
 # Command: what it does, in a line, and the extra that brings what it needs.
 COMMANDS: dict[str, tuple[str, str]] = {
     "capture": ("Captures of a running sidecar.", "lab"),
@@ -21,12 +23,12 @@
 }
 
 
-def plainly(words: Sequence[str]) -> int | None:
-    """The exit status of a command that has no options and needs no Click; None for any other.
+def run_without_click(arguments: Sequence[str]) -> int | None:
+    """Run a command that has no options and needs no Click; return its exit status, None for any other.
 
     The platform installs what serving needs and no more, and these two are for use there.
     """
-    match words:
+    match arguments:
         case ["replay", path] if not path.startswith("-"):
             from brambleusher.features.replay import replay
 
@@ -38,24 +40,27 @@
     return None
 
 
-def call(words: Sequence[str]) -> int:
-    """Run one command; 2 where it is not worded rightly or something that it needs is not installed."""
-    status = plainly(words)
+def run_command(arguments: Sequence[str]) -> int:
+    """Run one command; return its exit status.
+
+    The status is 2 where the arguments are wrong or a package that the command needs is not installed.
+    """
+    status = run_without_click(arguments)
     if status is not None:
         return status
     try:
         from brambleusher.cli.group import run
 
-        return run(words)
+        return run(arguments)
     except ModuleNotFoundError as error:
         missing = (error.name or "").split(".")[0]
         if missing in ("", "brambleusher"):
             raise
-        named = next((word for word in words if word in COMMANDS), "")
+        named = next((argument for argument in arguments if argument in COMMANDS), "")
         extra = COMMANDS[named][1] if named else "lab"
         print(
             f"brambleusher: {missing} is not installed; it comes with the extra {extra}:"
             f" pip install 'brambleusher[{extra}]'",
             file=sys.stderr,
         )
-        return 2
+        return EXIT_USAGE
--- a/brambleusher/cli/capture.py
+++ b/brambleusher/cli/capture.py
@@ -9,11 +9,11 @@
 
 @click.group(help="Captures of a running sidecar.")
 def command() -> None:
-    """Captures of a running sidecar."""
+    """Group the commands on captures."""
 
 
 @command.command(help="Have a sidecar write its capture to its standard error.")
 @click.argument("pid", type=int)
 def dump(pid: int) -> int:
-    """Have a sidecar write its capture to its standard error; 1 if that can't be done."""
+    """Have a sidecar write its capture to its standard error; return 1 if that can't be done."""
     return signal.dump(pid)
--- a/brambleusher/cli/group.py
+++ b/brambleusher/cli/group.py
@@ -10,36 +10,42 @@
 
 from brambleusher.cli import COMMANDS
 
+EXIT_INTERRUPTED = 130  # as shells have it: 128 and SIGINT
+
 
 class Commands(click.Group):
     """Commands by name, each imported when it is called for; help is worded from the table alone."""
 
-    def list_commands(self, ctx: click.Context) -> list[str]:
-        """Their names in the table's order."""
+    def list_commands(self, _ctx: click.Context) -> list[str]:
+        """List the commands in the table's order."""
         return list(COMMANDS)
 
-    def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """The command of a name; None where there is none."""
+    def get_command(self, _ctx: click.Context, cmd_name: str) -> click.Command | None:
+        """Return the command of a name, importing it; None where there is none."""
         if cmd_name not in COMMANDS:
             return None
         command = importlib.import_module(f"brambleusher.cli.{cmd_name}").command
         assert isinstance(command, click.Command)
         return command
 
-    def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
-        """The table, without importing what it names."""
+    def format_commands(self, _ctx: click.Context, formatter: click.HelpFormatter) -> None:
+        """Write the table, without importing what it names."""
         with formatter.section("Commands"):
             formatter.write_dl([(name, text) for name, (text, _) in COMMANDS.items()])
 
 
-@click.group(cls=Commands, invoke_without_command=True)
+@click.group(
+    cls=Commands,
+    invoke_without_command=True,
+    help="A sidecar load balancer; without a command it serves.",
+)
 @click.option("--operator", metavar="FILE", help="The operator file, in YAML: features to switch on.")
 @click.option(
     "--log-format", type=click.Choice(["logfmt", "json"]), default="logfmt", help="How log lines are written."
 )
 @click.pass_context
 def everything(ctx: click.Context, operator: str | None, log_format: str) -> int | None:
-    """A sidecar load balancer; without a command it serves."""
+    """Serve where no command is given."""
     if ctx.invoked_subcommand is not None:
         from brambleusher.observability.log_format import configure
 
@@ -50,10 +56,10 @@
     return serve(operator, log_format)
 
 
-def run(words: Sequence[str]) -> int:
-    """One command; the exit status is what it returns, 2 where it is not worded rightly."""
+def run(arguments: Sequence[str]) -> int:
+    """Run one command; return the exit status, 2 where the arguments are wrong."""
     try:
-        status = everything.main(list(words), prog_name="brambleusher", standalone_mode=False)
+        status = everything.main(list(arguments), prog_name="brambleusher", standalone_mode=False)
     except click.UsageError as error:
         print(f"brambleusher: {error.format_message()}", file=sys.stderr)
         return error.exit_code
@@ -62,5 +68,5 @@
         return error.exit_code
     except click.Abort:
         print("brambleusher: stopped", file=sys.stderr)
-        return 130
+        return EXIT_INTERRUPTED
     return status if isinstance(status, int) else 0
--- a/brambleusher/observability/counters.py
+++ b/brambleusher/observability/counters.py
@@ -1,4 +1,4 @@
-"""Counts of what the sidecar takes in, sends and answers."""
+"""Counters of what the sidecar accepts, sends and answers; operators read them by these names."""
 
 from __future__ import annotations
 
@@ -45,23 +45,23 @@
 
 
 class Counters:
-    """One count for each name; an unknown name is a fault in the program."""
+    """One count for each name; a name that is not registered is a fault in the program."""
 
     def __init__(self) -> None:
         self._counts = dict.fromkeys(NAMES, 0)
 
     def register(self, name: str) -> None:
-        """Count one name more, for a feature that is on."""
+        """Register one name more, for a feature that is on."""
         self._counts[name] = 0
 
     def add(self, name: str, more: int = 1) -> None:
-        """One more, or several."""
+        """Count one more, or several."""
         self._counts[name] += more
 
     def count(self, name: str) -> int:
-        """How often so far."""
+        """Return the count so far."""
         return self._counts[name]
 
     def report(self, why: str) -> None:
-        """All counts on one log line."""
+        """Log all counts on one line."""
         log.info("counters", extra={"fields": {"why": why, **self._counts}})
--- a/brambleusher/observability/log_format.py
+++ b/brambleusher/observability/log_format.py
@@ -17,14 +17,14 @@
     """What log lines are written to."""
 
     def write(self, text: str, /) -> object:
-        """Take one line, with its line end."""
+        """Write one line, with its line end."""
 
     def flush(self) -> object:
         """Let it go out."""
 
 
 def quote(value: object) -> str:
-    """A value as it stands if that is clear, else in quotes."""
+    """Return a value as it stands if that is unambiguous, else in quotes."""
     text = str(value)
     if text and all(char in _PLAIN for char in text):
         return text
@@ -36,13 +36,13 @@
     """`time=… level=… part=… msg=…`, then the record's `fields`, then a traceback if there is one."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """One record, one line."""
-        return " ".join(f"{key}={quote(value)}" for key, value in self.pairs(record).items())
+        """Format a record as one line."""
+        return " ".join(f"{key}={quote(value)}" for key, value in self.fields_of(record).items())
 
-    def pairs(self, record: logging.LogRecord) -> dict[str, object]:
-        """What a record's line has, in order."""
+    def fields_of(self, record: logging.LogRecord) -> dict[str, object]:
+        """Return the fields of a record's line, in order."""
         stamp = datetime.fromtimestamp(record.created, UTC).strftime("%Y-%m-%dT%H:%M:%S")
-        pairs: dict[str, object] = {
+        values: dict[str, object] = {
             "time": f"{stamp}.{int(record.msecs):03d}Z",
             "level": record.levelname.lower(),
             "part": record.name.removeprefix("brambleusher."),
@@ -50,18 +50,18 @@
         }
         fields = getattr(record, "fields", None)
         if isinstance(fields, dict):
-            pairs.update(fields)
+            values.update(fields)
         if record.exc_info:
-            pairs["trace"] = self.formatException(record.exc_info)
-        return pairs
+            values["trace"] = self.formatException(record.exc_info)
+        return values
 
 
 class JsonFormatter(KeyValueFormatter):
     """The same as one JSON object a line; numbers stay numbers."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """One record, one line."""
-        return orjson.dumps(self.pairs(record), default=str, option=orjson.OPT_NON_STR_KEYS).decode()
+        """Format a record as one line."""
+        return orjson.dumps(self.fields_of(record), default=str, option=orjson.OPT_NON_STR_KEYS).decode()
 
 
 def configure(level: int = logging.INFO, stream: LogStream | None = None, form: str = "logfmt") -> None:
@@ -78,9 +78,9 @@
 
 
 class SparseLog:
-    """Warnings of one kind, one in so many seconds; the next one says how many were left out.
+    """Warnings of one kind, limited to one in `seconds`; the next one says how many were left out.
 
-    Guards against a peer that talks nonsense at full speed, and a log that holds up everything else.
+    Guards against a peer that sends invalid data at full speed, and a log that delays everything else.
     """
 
     def __init__(self, log: logging.Logger, now: Callable[[], float], seconds: float = 1.0) -> None:
@@ -89,7 +89,7 @@
         self._left_out = 0
 
     def warning(self, message: str, **fields: object) -> None:
-        """Log it, unless one was logged a moment ago."""
+        """Log a warning, unless one was logged less than `seconds` ago."""
         if self._now() < self._next_at:
             self._left_out += 1
             return
--- a/brambleusher/observability/request_counts.py
+++ b/brambleusher/observability/request_counts.py
@@ -1,14 +1,15 @@
-"""What operators are told of requests, counted where their other ends know of it too.
+"""Counts of requests for operators, made where clients and endpoints can count the same.
 
-An answer counts when its last byte is written, an attempt when its request's last byte is.  A request that
-its client left counts as ended and as nothing else; one answered in part has failed.  What can't be read
-as a request was never taken.
+A response counts when its last byte is written, an attempt when its request's last byte is.  A request whose
+client disconnected counts as finished and as nothing else; one answered in part has failed.  What can't be
+parsed as a request was never accepted.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
+# The names that operators read.
 SERVED, REJECTED, FAILED = "fulfilled", "throttled", "faulted"
 
 
@@ -19,7 +20,7 @@
 
     def __init__(self, classes: Iterable[str]) -> None:
         self.finished = {name: {SERVED: 0, REJECTED: 0, FAILED: 0} for name in classes}
-        self.in_flight = 0  # taken and not ended
+        self.in_flight = 0  # accepted and not finished
         self.attempts_sent = 0  # whose request was written whole
 
     def count_attempt(self) -> None:
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -11,7 +11,7 @@
 import pytest
 
 from brambleusher import cli
-from brambleusher.__main__ import main, serving
+from brambleusher.__main__ import main, parse_serving_options
 
 ROOT = Path(__file__).parent.parent
 EXTRAS = "click, argparse, msgspec, zstandard, apachelogs, hdrh, numpy, matplotlib, rich"
@@ -33,7 +33,7 @@
 def test_serving_is_read_without_a_library_where_it_is_worded_plainly(
     words: list[str], options: dict[str, str] | None
 ) -> None:
-    assert serving(words) == options
+    assert parse_serving_options(words) == options
 
 
 @pytest.mark.parametrize(
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -13,7 +13,7 @@
 import msgspec
 import pytest
 
-from brambleusher.cli import call
+from brambleusher.cli import run_command
 from brambleusher.cli.explore import Tally, _all, _chunk
 from brambleusher.lab.faults.kinds import LEAST_KINDS, SidecarKilled
 from brambleusher.lab.fleets.figures import LEAST_REQUESTS
@@ -114,17 +114,17 @@
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     name, path = "ticket-kept", tmp_path / "small.yaml"
-    assert call(["explore", "--seeds", "0:4", "--jobs", "1", "--breakage", name]) == 1
+    assert run_command(["explore", "--seeds", "0:4", "--jobs", "1", "--breakage", name]) == 1
     out = capsys.readouterr().out
     found = re.search(r"replay with: brambleusher (explore --replay (\d+) .*)", out)
     assert found, out
-    assert call([*found[1].split(), "--quiet"]) == 1
-    assert call(["explore", "--shrink", found[2], "--breakage", name, "-o", str(path)]) == 1
-    assert call(["explore", str(path), "--quiet", "--breakage", name]) == 1
+    assert run_command([*found[1].split(), "--quiet"]) == 1
+    assert run_command(["explore", "--shrink", found[2], "--breakage", name, "-o", str(path)]) == 1
+    assert run_command(["explore", str(path), "--quiet", "--breakage", name]) == 1
     small, large = read_scenario(path.read_bytes()), draw_scenario(int(found[2]))
     assert len(small.asks) < len(large.asks)
     capsys.readouterr()
-    assert call(["explore", str(path), "--quiet"]) == 0
+    assert run_command(["explore", str(path), "--quiet"]) == 0
     assert "no breach" in capsys.readouterr().out
 
 
@@ -196,7 +196,7 @@
     words: list[str], named: str, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.chdir(ROOT)
-    assert call(["explore", *words]) == 2
+    assert run_command(["explore", *words]) == 2
     said = capsys.readouterr()
     assert named in said.err
     assert said.err.count("\n") == 1
@@ -214,7 +214,7 @@
     ):
         path = tmp_path / "bad.yaml"
         path.write_text(bad)
-        assert call(["explore", str(path)]) == 2
+        assert run_command(["explore", str(path)]) == 2
         said = capsys.readouterr()
         assert named in said.err
         assert said.err.count("\n") == 1
