--- a/tests/rules.py
+++ b/tests/rules.py
@@ -21,7 +21,7 @@
 
 @dataclass
 class Attempt:
-    """One send, as the checker saw it."""
+    """One attempt, as the checker saw it."""
 
     host: str
     sent: int
@@ -30,7 +30,7 @@
 
 
 @dataclass
-class Owed:
+class OwedRequest:
     """One request, as the checker saw it."""
 
     cls: api.RequestClass
@@ -44,31 +44,31 @@
 
     def __init__(self, settings: api.Settings) -> None:
         self.settings = settings
-        self.requests: dict[str, Owed] = {}
-        self.places: dict[str, api.HostEntry] = {}
-        self.left: dict[str, int] = {}  # host -> when told that it drains or is gone
-        self.cold_sends: dict[str, list[int]] = {}
+        self.requests: dict[str, OwedRequest] = {}
+        self.listed_hosts: dict[str, api.HostEntry] = {}
+        self.unavailable_since: dict[str, int] = {}  # host -> when told that it drains or is gone
+        self.sends_while_warming_up: dict[str, list[int]] = {}
         self.used: dict[str, int] = {}  # host -> last send or outcome
         self.draining: dict[str, int] = {}  # host -> when told that it drains
-        self.let_go: dict[str, int] = {}
+        self.closed: dict[str, int] = {}
         self.full_rate = 0.0  # requests a second of a warm host; 0 leaves rule 4 unchecked
 
     def listed(self, kind: api.ListKind, entries: list[api.HostEntry], now: int) -> None:
         if kind is api.ListKind.FAILED:
             return
         if kind is not api.ListKind.DELTA:
-            for name in set(self.places) - {entry.host for entry in entries}:
-                self.left.setdefault(name, now)
+            for name in set(self.listed_hosts) - {entry.host for entry in entries}:
+                self.unavailable_since.setdefault(name, now)
         for entry in entries:
-            self.places[entry.host] = entry
+            self.listed_hosts[entry.host] = entry
             if entry.state is api.HostState.DRAINING:
                 self.draining.setdefault(entry.host, now)
             else:
                 self.draining.pop(entry.host, None)
             if entry.state is api.HostState.READY:
-                self.left.pop(entry.host, None)
+                self.unavailable_since.pop(entry.host, None)
             else:
-                self.left.setdefault(entry.host, now)
+                self.unavailable_since.setdefault(entry.host, now)
 
     def action(self, action: api.Action, now: int) -> None:
         if isinstance(action, api.StartAttempt):
@@ -85,30 +85,30 @@
                 if effect is api.Idempotency.UNSAFE or (
                     effect is api.Idempotency.KEYED and group is not api.DeduplicationScope.ALL
                 ):
-                    raise Breach("rule 2: refused what may have run")
+                    raise Breach("rule 2: rejected what may have run")
             owed.answered = True
         elif isinstance(action, api.CloseIdleConnections):
-            self.let_go[action.host] = now
+            self.closed[action.host] = now
 
     def closes(self, now: int) -> None:
         """Rule 5: nothing idle is held to a draining host for longer than allowed."""
         release = self.settings.drain_release_ns
         for host, told in self.draining.items():
             since = max(told, self.used.get(host, told))
-            if release and host in self.used and now > since + release and self.let_go.get(host, -1) < since:
+            if release and host in self.used and now > since + release and self.closed.get(host, -1) < since:
                 raise Breach("rule 5: an idle connection to a draining host stayed open")
 
     def _send(self, action: api.StartAttempt, now: int) -> None:
         owed = self.requests[action.request]
         if owed.answered:
             raise Breach("rule 1: sent after the end")
-        told = self.left.get(action.host)
+        told = self.unavailable_since.get(action.host)
         if told is not None and now > told + self.settings.drain_grace_ns:
             raise Breach("rule 3: sent to a host that left")
         if len(owed.attempts) >= self.settings.max_attempts:
             raise Breach("rule 1: too many attempts")
         if not self.settings.hedging_enabled and any(a.status is None for a in owed.attempts):
-            raise Breach("rule 2: two attempts out")
+            raise Breach("rule 2: two attempts in flight")
         risky = [a for a in owed.attempts if a.status not in UNRUN]
         if risky and owed.cls.idempotency is api.Idempotency.UNSAFE:
             raise Breach("rule 2: unsafe request repeated")
@@ -116,30 +116,30 @@
             first = min(risky, key=lambda a: a.sent)
             if now >= first.sent + owed.cls.deduplication_window_ns:
                 raise Breach("rule 2: repeated after the window")
-            here, there = self.places[action.host], self.places[first.host]
+            here, there = self.listed_hosts[action.host], self.listed_hosts[first.host]
             group = owed.cls.deduplication_scope
             if (group is api.DeduplicationScope.ZONE and here.zone != there.zone) or (
                 group is api.DeduplicationScope.CELL and here.cell != there.cell
             ):
                 raise Breach("rule 2: repeated outside the group")
-        self._cold(action.host, now)
+        self._slow_start(action.host, now)
         self.used[action.host] = now
         ends = min(owed.deadline, now + action.timeout_ns) if action.timeout_ns else owed.deadline
         owed.attempts.append(Attempt(action.host, now, ends))
 
-    def _cold(self, host: str, now: int) -> None:
+    def _slow_start(self, host: str, now: int) -> None:
         """Rule 4, this instance's even slice of the budget of each window."""
-        entry, settings = self.places[host], self.settings
+        entry, settings = self.listed_hosts[host], self.settings
         age = now - entry.started_ns
         if not self.full_rate or entry.started_ns <= 0 or age >= settings.warm_up_ns:
             return
-        sends = self.cold_sends.setdefault(host, [])
+        sends = self.sends_while_warming_up.setdefault(host, [])
         sends.append(now)
         grown = settings.initial_capacity + (1 - settings.initial_capacity) * age / settings.warm_up_ns
         budget = settings.overload_multiple * grown * self.full_rate * settings.overload_window_ns / SECOND
         recent = [at for at in sends if at > now - settings.overload_window_ns]
         if len(recent) > max(2.0, budget / settings.fleet_size + 1):
-            raise Breach("rule 4: a cold host was flooded")
+            raise Breach("rule 4: a host that warms up was flooded")
 
     def close(self) -> None:
         """At the end nothing may be owed."""
@@ -186,7 +186,7 @@
     def request(self, cls: api.RequestClass, left_ns: int, tenant: str | None = None) -> str:
         self.count += 1
         name = f"r{self.count}"
-        self.checker.requests[name] = Owed(cls, self.now + left_ns)
+        self.checker.requests[name] = OwedRequest(cls, self.now + left_ns)
         self.give(api.RequestArrived(name, cls.name, tenant, left_ns))
         return name
 
@@ -232,7 +232,7 @@
         self.list_hosts(api.ListKind.SAVED, list(self.entries.values()))
 
     def add_host(self, started_ns: int = 0) -> api.HostEntry:
-        number = len(self.checker.places) + len(self.entries)
+        number = len(self.checker.listed_hosts) + len(self.entries)
         entry = api.HostEntry(
             f"h{number}", f"z{number % 3}", f"k{number % 2}", number % 4, api.HostState.READY, 1.0, started_ns
         )
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings, strategies
 
 from brambleusher.loadbalancing import Balancer, api
-from tests.rules import MS, SECOND, Breach, Checker, Owed, World
+from tests.rules import MS, SECOND, Breach, Checker, OwedRequest, World
 
 CLASSES = tuple(
     api.RequestClass(f"{effect.value}-{group.value}", 400 * MS, 2 * SECOND, 1.0, 0.0, effect, group, SECOND)
@@ -64,7 +64,7 @@
         ],
         0,
     )
-    judge.requests["r"] = Owed(cls, SECOND)
+    judge.requests["r"] = OwedRequest(cls, SECOND)
     return judge
 
 
@@ -95,7 +95,7 @@
     judge.action(api.StartAttempt("r", "h0"), 0)
     with pytest.raises(Breach, match="unsafe"):
         judge.action(api.StartAttempt("r", "h1"), 1)
-    with pytest.raises(Breach, match="refused"):
+    with pytest.raises(Breach, match="rejected"):
         judge.action(api.RejectRequest("r"), 1)
     judge = checker(KEYED_CELL, hedging_enabled=True)
     judge.action(api.StartAttempt("r", "h0"), 0)
@@ -109,7 +109,7 @@
         judge.action(api.StartAttempt("r", "h1"), 1)
 
 
-def test_checker_sees_sends_to_a_host_that_left() -> None:
+def test_checker_sees_attempts_at_a_host_that_left() -> None:
     for kind, entries in (
         (api.ListKind.DELTA, [api.HostEntry("h0", "z0", "k", 0, api.HostState.DRAINING)]),
         (api.ListKind.FULL, []),
@@ -120,18 +120,18 @@
             judge.action(api.StartAttempt("r", "h0"), 1)
 
 
-def test_checker_sees_a_flooded_cold_host() -> None:
+def test_checker_sees_a_flooded_host_that_warms_up() -> None:
     judge = checker(SAFE)
     judge.full_rate = 10.0
     judge.listed(api.ListKind.DELTA, [api.HostEntry("h0", "z0", "k", 0, api.HostState.READY, 1.0, 1)], 1)
     with pytest.raises(Breach, match="flooded"):
         for n in range(20):
-            judge.requests[f"q{n}"] = Owed(SAFE, SECOND)
+            judge.requests[f"q{n}"] = OwedRequest(SAFE, SECOND)
             judge.action(api.StartAttempt(f"q{n}", "h0"), 2)
 
 
-def test_cold_host_gets_no_more_than_its_slice() -> None:
-    """Even when it is the only host left: the rest is refused."""
+def test_a_host_warming_up_gets_no_more_than_its_budget() -> None:
+    """Even when it is the only host left: the rest is rejected."""
     world = World(replace(BASE, classes=(SAFE,)), 5)
     world.start(3)
     world.checker.full_rate = 20.0
@@ -214,7 +214,7 @@
         assert not [action for _, action in world.actions if isinstance(action, api.CloseIdleConnections)]
 
 
-def test_hundreds_of_proxies_together_spare_a_cold_host() -> None:
+def test_hundreds_of_proxies_together_spare_a_host_warming_up() -> None:
     """Guards against a first send from every proxy at once: all see one fresh host in the same moment."""
     count, hosts, full_rate = 300, 10, 12.0
     chosen = replace(
@@ -258,8 +258,8 @@
         assert sum(start <= at < start + 2 * SECOND for at in sends) <= budget
 
 
-def test_a_host_started_ahead_of_the_clock_is_as_cold_as_can_be() -> None:
-    """Guards against a wall clock behind the host's: its warmth, and so its weight, became negative."""
+def test_a_host_started_ahead_of_the_clock_counts_as_just_started() -> None:
+    """Guards against a wall clock behind the host's: its warm fraction, so its weight, was negative."""
     world = World(replace(BASE, classes=(SAFE,)), 5)
     world.start(2)
     ahead = api.HostEntry("new", "z0", "k0", 0, api.HostState.READY, 1.0, world.now + 100 * SECOND)
--- a/tests/test_cold.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Cold hosts of a large fleet: what all proxies may send them in sum, and what they report they can do."""
+"""Slow start in a large fleet: what all proxies may send in sum, and what hosts report they can do."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize(
-    ("counts", "ring"),
+    ("counts", "subset_size"),
     [
         (dict.fromkeys(ZONES, 25), 10),  # a list as it usually is
         (dict.fromkeys(ZONES, 25), 4),
@@ -33,40 +33,40 @@
     ],
     ids=["even", "few each", "a zone coming back", "a large zone"],
 )
-def test_slices_of_all_proxies_make_one_budget(counts: dict[str, int], ring: int) -> None:
-    """Drawn subsets of 200 proxies: the slices of those that have a host add up to about one."""
-    rng, sums = random.Random(5), dict.fromkeys((entry.host for entry in entries(counts)), 0.0)
+def test_budgets_of_all_proxies_add_up_to_one(counts: dict[str, int], subset_size: int) -> None:
+    """Drawn subsets of 200 proxies: the budgets of those that have a host add up to about one."""
+    rng, shares_of_host = random.Random(5), dict.fromkeys((entry.host for entry in entries(counts)), 0.0)
     for number in range(200):
         own = ZONES[number % len(ZONES)]
-        ranks: HostRanking[Host] = HostRanking()
-        ranks.rebuild([Host(entry, entry.zone == own, 0, rng.random()) for entry in entries(counts)])
-        near, away = ranks.subset(ring)
-        used = max(len(near), len(away)), len(away)
-        for host in near + away:
-            sums[host.name] += 1 / slow_start.proxies_per_host(
-                200, ranks.ready_per_zone, host.zone, *used, 1.0
+        ranking: HostRanking[Host] = HostRanking()
+        ranking.rebuild([Host(entry, entry.zone == own, 0, rng.random()) for entry in entries(counts)])
+        local, remote = ranking.subset(subset_size)
+        used = max(len(local), len(remote)), len(remote)
+        for host in local + remote:
+            shares_of_host[host.name] += 1 / slow_start.proxies_per_host(
+                200, ranking.ready_per_zone, host.zone, *used, 1.0
             )
     for zone in counts:
-        mean = sum(value for name, value in sums.items() if name[0] == zone) / counts[zone]
+        mean = sum(value for name, value in shares_of_host.items() if name[0] == zone) / counts[zone]
         assert 0.8 < mean < 1.2, (zone, mean)
-    assert max(sums.values()) < 2.5  # by chance; the rule allows twice, and few use all of theirs
+    assert max(shares_of_host.values()) < 2.5  # by chance; the rule allows twice, and few use all of theirs
 
 
 def test_zones_are_counted_as_hosts_come_and_go() -> None:
     hosts = [Host(entry, True, 0, 0.5) for entry in entries(dict.fromkeys(ZONES, 20))]
-    ranks: HostRanking[Host] = HostRanking()
-    ranks.update(hosts, hosts)
+    ranking: HostRanking[Host] = HostRanking()
+    ranking.update(hosts, hosts)
     hosts[0].is_ready = False
-    ranks.update(hosts, hosts[:1])
-    ranks.update(hosts, hosts[:1])
-    ranks.discard(hosts[21])
-    assert ranks.ready_per_zone == {"a": 19, "b": 19, "c": 20, "d": 20}
+    ranking.update(hosts, hosts[:1])
+    ranking.update(hosts, hosts[:1])
+    ranking.discard(hosts[21])
+    assert ranking.ready_per_zone == {"a": 19, "b": 19, "c": 20, "d": 20}
     hosts[0].is_ready = True
-    ranks.update(hosts, hosts[:1])
-    assert ranks.ready_per_zone["a"] == 20
+    ranking.update(hosts, hosts[:1])
+    assert ranking.ready_per_zone["a"] == 20
 
 
-def sends_to_a_cold_host(told: api.LoadReport) -> int:
+def attempts_at_a_host_warming_up(reported: api.LoadReport) -> int:
     """How many of 600 requests within 6 s go to a host that started 2 s before, and reports so much."""
     settings = api.Settings(
         zone="a", fleet_size=10, warm_up_ns=20 * SECOND, initial_capacity=0.2, overload_multiple=4.0,
@@ -82,7 +82,7 @@
             if isinstance(action, api.StartAttempt):
                 is_new = action.host == new[0].host
                 count += is_new
-                report = told if is_new else api.LoadReport(0.8, 20.0)
+                report = reported if is_new else api.LoadReport(0.8, 20.0)
                 balancer.handle(
                     api.AttemptEnded(
                         str(number), 0, action.host, api.AttemptStatus.OK, 50_000_000, True, report
@@ -94,17 +94,17 @@
     return count
 
 
-def test_a_cold_host_gets_what_it_reports_it_can_do() -> None:
+def test_a_host_warming_up_gets_what_it_reports_it_can_do() -> None:
     # Warm sooner by the work it does: at full use 25 a second as others do, and 6, as its age alone has it.
     warmed, as_old = api.LoadReport(0.2, 5.0), api.LoadReport(0.5, 3.0)
-    assert sends_to_a_cold_host(warmed) > 1.4 * sends_to_a_cold_host(as_old)
+    assert attempts_at_a_host_warming_up(warmed) > 1.4 * attempts_at_a_host_warming_up(as_old)
 
 
-def test_what_is_told_is_taken_with_doubt() -> None:
+def test_few_reports_say_nothing_and_many_count_with_a_margin() -> None:
     host = Host(entries({"a": 1}, 1)[0], True, 1)
     assert slow_start.reported_fraction(host, 20.0) == 0.0
     host.utilisation_sum, host.throughput_sum = 0.4, 40.0
-    assert slow_start.reported_fraction(host, 20.0) == 0.0  # too little was told
+    assert slow_start.reported_fraction(host, 20.0) == 0.0  # too few reports
     host.utilisation_sum, host.throughput_sum = 1.0, 100.0
     assert slow_start.reported_fraction(host, None) == 0.0  # nothing to compare with
     assert (
