--- a/brambleusher/loadbalancing/instance_metrics.py
+++ b/brambleusher/loadbalancing/instance_metrics.py
@@ -25,7 +25,7 @@
 LOAD_WINDOW_S = 3.0  # a reported load counts less and less; after so long about a third
 MIN_LOAD_WEIGHT = 0.3  # of one fresh report: with less the estimate from attempts is better
 MAX_LOAD = 2.0  # of the slots: what one report may claim
-QUIET_FAILURES = 0.5  # with more failures lately, latencies are not those of a quiet spell
+UNLOADED_FAILURES = 0.5  # with more failures lately, latencies are not those of an unloaded spell
 MIN_LATENCY_TARGET_S = 0.01
 
 
@@ -45,9 +45,9 @@
 NO_TOTALS = ObservedTotals()
 
 
-def totals_from(figures: Sequence[float]) -> ObservedTotals:
+def totals_from(reported: Sequence[float]) -> ObservedTotals:
     """Return what other gateways sent: an older version sends no loads, a newer one may send more."""
-    return ObservedTotals(*(*figures, *NO_TOTALS[len(figures) :])[: len(NO_TOTALS)])
+    return ObservedTotals(*(*reported, *NO_TOTALS[len(reported) :])[: len(NO_TOTALS)])
 
 
 class InFlight(NamedTuple):
@@ -79,7 +79,7 @@
     served: float = PRIOR_SUCCESSES
     failed: float = 0.0
     last_response_s: float = -math.inf  # when an answer began last
-    quiet_index: float = 0.0  # of the last quiet spell, which counts where nothing is recent
+    unloaded_index: float = 0.0  # of the last unloaded spell, which counts where nothing is recent
     load: float = 0.0  # that the instance reported last, as a part of its slots
     load_weight: float = 0.0  # 1 for a report of this moment, less for an older one
     others: ObservedTotals = NO_TOTALS  # of the other gateways
@@ -121,7 +121,7 @@
             index = (index * count * OWN_EVIDENCE + self.others.latency_ratios) / answers
             count = answers
         if count <= MIN_COUNT:
-            return self.quiet_index, 1.0
+            return self.unloaded_index, 1.0
         return index, count
 
     def unresponsive_ratio(self, now: float) -> float:
@@ -154,7 +154,7 @@
 
     def observed(self) -> list[float]:
         """Return what this gateway saw, for the others: the fields of `ObservedTotals`."""
-        sums = ObservedTotals(
+        totals = ObservedTotals(
             served=self.served - PRIOR_SUCCESSES,
             failed=self.failed,
             in_use=self.mean_in_flight,
@@ -164,21 +164,23 @@
             weighted_load=self.load * self.load_weight,
             load_weight=self.load_weight,
         )
-        return [round(max(0.0, each), 2) for each in sums]
+        return [round(max(0.0, each), 2) for each in totals]
 
     def decay(self, gap_s: float) -> None:
         """Forget a part of everything, and take in what ended since the last tick."""
-        kept = math.exp(-gap_s / USE_WINDOW_S)
-        self.requests_per_s = self.requests_per_s * kept + (self.served_since_tick / gap_s) * (1 - kept)
-        self.mean_in_flight = self.mean_in_flight * kept + len(self.in_flight) * (1 - kept)
+        retained = math.exp(-gap_s / USE_WINDOW_S)
+        self.requests_per_s = self.requests_per_s * retained + (self.served_since_tick / gap_s) * (
+            1 - retained
+        )
+        self.mean_in_flight = self.mean_in_flight * retained + len(self.in_flight) * (1 - retained)
         self.observed_s = min(USE_WINDOW_S, self.observed_s + gap_s)
         self.served_since_tick = 0
         self.load_weight *= math.exp(-gap_s / LOAD_WINDOW_S)
-        if sum(self.latency_counts) >= 1 and not self.failed > QUIET_FAILURES:
-            self.quiet_index = min(PI_GOAL, sum(self.latency_ratio_totals) / sum(self.latency_counts))
-        latency_kept = math.exp(-gap_s / LATENCY_WINDOW_S)
-        self.latency_counts = [count * latency_kept for count in self.latency_counts]
-        self.latency_ratio_totals = [total * latency_kept for total in self.latency_ratio_totals]
-        health_kept = math.exp(-gap_s / HEALTH_WINDOW_S)
-        self.served = max(PRIOR_SUCCESSES, self.served * health_kept)
-        self.failed *= health_kept
+        if sum(self.latency_counts) >= 1 and not self.failed > UNLOADED_FAILURES:
+            self.unloaded_index = min(PI_GOAL, sum(self.latency_ratio_totals) / sum(self.latency_counts))
+        latency_retained = math.exp(-gap_s / LATENCY_WINDOW_S)
+        self.latency_counts = [count * latency_retained for count in self.latency_counts]
+        self.latency_ratio_totals = [total * latency_retained for total in self.latency_ratio_totals]
+        health_retained = math.exp(-gap_s / HEALTH_WINDOW_S)
+        self.served = max(PRIOR_SUCCESSES, self.served * health_retained)
+        self.failed *= health_retained
--- a/brambleusher/loadbalancing/outlier_detection.py
+++ b/brambleusher/loadbalancing/outlier_detection.py
@@ -90,7 +90,7 @@
 
         Guards against connections that fall silent: a queue answers in order.
         """
-        lost = []
+        overtaken = []
         overtaken_ns = host.newest_answered_ns[0]
         for key, (request, sent_ns) in host.in_flight.items():
             if sent_ns >= overtaken_ns:
@@ -101,8 +101,8 @@
             usual_here_ns = ratio_sum / count * self._goals_ns[class_index]
             usual_ns = max(self._traffic.mean_latency_ns(class_index), usual_here_ns)
             if now - sent_ns > WRITE_OFF_TIMES * usual_ns:
-                lost.append(key)
-        return lost
+                overtaken.append(key)
+        return overtaken
 
 
 def record_answered(host: Host, sent_ns: int) -> None:
--- a/brambleusher/loadbalancing/weights.py
+++ b/brambleusher/loadbalancing/weights.py
@@ -22,18 +22,18 @@
 def final_weights(base: list[float], index: list[float], health: list[float]) -> list[float]:
     """Return weights out of 64: the share of the spare, cut by index and health; all-zero ones are equal."""
     total = sum(base)
-    cut = []
+    reduced = []
     for spare, host_index, host_health in zip(base, index, health, strict=True):
         weight = WEIGHT_TOTAL * spare / total if total > 0 else 0.0
         if host_index > PI_ZERO:
             weight = 0.0
         elif host_index > PI_GOAL:
             weight *= 1 - (host_index - PI_GOAL)
-        cut.append(weight * host_health)
-    left = sum(cut)
+        reduced.append(weight * host_health)
+    left = sum(reduced)
     if left <= 0:
-        return [WEIGHT_TOTAL / len(cut)] * len(cut) if cut else []
-    return [weight * WEIGHT_TOTAL / left for weight in cut]
+        return [WEIGHT_TOTAL / len(reduced)] * len(reduced) if reduced else []
+    return [weight * WEIGHT_TOTAL / left for weight in reduced]
 
 
 class WeightCalculator:
@@ -75,10 +75,14 @@
         ]
 
     def assign(
-        self, hosts: Sequence[Host], spares: Sequence[float], offer: Callable[[Host], float], now: int
+        self,
+        hosts: Sequence[Host],
+        spares: Sequence[float],
+        spill_fraction: Callable[[Host], float],
+        now: int,
     ) -> None:
-        """Give hosts their weights; `offer` is the part of its spare capacity that a host may offer."""
-        base = [spare * offer(host) for host, spare in zip(hosts, spares, strict=True)]
+        """Give hosts their weights; `spill_fraction` is the part of its spare that a host may offer."""
+        base = [spare * spill_fraction(host) for host, spare in zip(hosts, spares, strict=True)]
         index_of = self._performance_index.of_host
         for host in hosts:
             host.performance_index = index_of(host, now)
--- a/brambleusher/loadbalancing/zone_aware_balancer.py
+++ b/brambleusher/loadbalancing/zone_aware_balancer.py
@@ -108,10 +108,10 @@
     def _judge_zones(self, now: int, gap: float) -> None:
         """Have all zones judged by what their hosts report and owe; act on a change."""
         router = self.zone_router
-        hold, floor = self._target_utilisation()
+        target, min_spill_fraction = self._target_utilisation()
         before = self._zones_out()
         loads = self._zone_loads.collect(now)
-        has_changed = router.tick(now, gap, loads, self.traffic.requests_per_s, hold, floor)
+        has_changed = router.tick(now, gap, loads, self.traffic.requests_per_s, target, min_spill_fraction)
         self._actions.extend(api.WriteLog(text) for text in router.take_log_lines())
         if has_changed:
             after = self._zones_out()
@@ -131,10 +131,10 @@
         As `CrossZoneSpill` has them, tier by tier in place of the own zone and the others.
         """
         price = self.settings.cross_zone_price
-        hold = self.cross_zone_spill.target_utilisation()
-        if hold is None:
+        target = self.cross_zone_spill.target_utilisation()
+        if target is None:
             return 1 - RESERVE, 1.0 if price <= 0 else MIN_SPILL
-        return hold, min_spill(price)
+        return target, min_spill(price)
 
     def _abandon_attempts(self, zone_name: str, now: int) -> None:
         """Write off all attempts in a zone that is lost, and send them elsewhere too where that is safe."""
--- a/brambleusher/loadbalancing/zone_loads.py
+++ b/brambleusher/loadbalancing/zone_loads.py
@@ -14,9 +14,9 @@
 from brambleusher.loadbalancing.zone_routing import ZoneRouter
 from brambleusher.loadbalancing.zone_state import ZoneLoad
 
-MIN_SILENCE = 0.5  # latency targets without an answer, though asked, before a host is unresponsive
-MAX_SILENCE = 2.0  # latency targets, however slow usual answers are
-SILENCE_TIMES = 3.0  # the usual answer's time
+MIN_UNRESPONSIVE = 0.5  # latency targets without an answer, though asked, before a host is unresponsive
+MAX_UNRESPONSIVE = 2.0  # latency targets, however slow usual answers are
+UNRESPONSIVE_TIMES = 3.0  # the usual answer's time
 MIN_FREE = 0.01  # of a host's capacity: a full one still counts a little
 STRAINED_FRACTION = 0.5  # of a zone's hosts miss the goal or fail: it is under strain
 
@@ -102,7 +102,8 @@
                 break
             usual_ns = self._traffic.mean_latency_ns(request.class_index)
             patience_ns = max(
-                self._unit_ns * MIN_SILENCE, min(SILENCE_TIMES * usual_ns, MAX_SILENCE * self._unit_ns)
+                self._unit_ns * MIN_UNRESPONSIVE,
+                min(UNRESPONSIVE_TIMES * usual_ns, MAX_UNRESPONSIVE * self._unit_ns),
             )
             since_ns = max(sent_ns, last_contact_ns)
             if now - since_ns > patience_ns:
