--- a/brambleusher/lab/control/history.py
+++ b/brambleusher/lab/control/history.py
@@ -31,8 +31,8 @@
 from brambleusher.net.endpoint_list import Endpoint, EndpointListUpdate
 from brambleusher.xds.config import ControlConfig, parse_control
 from brambleusher.xds.core import Core, Stream
+from brambleusher.xds.discovered_endpoints import DiscoveredEndpoints
 from brambleusher.xds.faults import ProtocolError
-from brambleusher.xds.roster import Roster
 from brambleusher.xds.wire import decode_request
 
 MS, SECOND = 1_000_000, 1_000_000_000
@@ -163,12 +163,12 @@
     return "refused on principle"
 
 
-class _Forgetful(Roster):
+class _Forgetful(DiscoveredEndpoints):
     """A part of a breakage: the list held goes back with discovery."""
 
-    def take(self, update: EndpointListUpdate) -> Mapping[str, Endpoint | None] | None:
+    def update(self, update: EndpointListUpdate) -> Mapping[str, Endpoint | None] | None:
         self.version = None
-        return super().take(update)
+        return super().update(update)
 
 
 class History:
@@ -262,7 +262,7 @@
             core = instance.core
             if core is not None and instance.watching == watch and not instance.cut:
                 instance.heard = self.now
-                core.listed(update, self.now)
+                core.record_endpoint_list(update, self.now)
                 self._after(instance)
 
         self.at(self.rng.randrange(1, 50) * MS, arrive)
@@ -274,7 +274,7 @@
                 continue
             if instance.watching and not instance.cut and not self.down:
                 instance.heard = self.now
-                core.heard(self.now)
+                core.record_discovery_contact(self.now)
                 self._after(instance)
             elif not instance.watching and not instance.cut and not self.down:
                 self._watch(instance)
@@ -294,15 +294,15 @@
         disk.lost = False
         instance.life += 1
         instance.core = Core(
-            instance.config, floor, self.now, seed=instance.life, sure=self.breakage == "store"
+            instance.config, floor, self.now, seed=instance.life, is_floor_certain=self.breakage == "store"
         )
         if self.breakage == "claims":
-            instance.core.handout.record_subscriber_position = lambda position: None  # type: ignore[method-assign]
+            instance.core.view_consistency.record_subscriber_position = lambda position: None  # type: ignore[method-assign]
         if self.breakage == "silence":
-            instance.core.handout.is_discovery_connected = lambda now: True  # type: ignore[method-assign]
+            instance.core.view_consistency.is_discovery_connected = lambda now: True  # type: ignore[method-assign]
         if self.breakage == "floor":
-            instance.core.roster = _Forgetful()
-            instance.core.handout._raise_floor = lambda position: None  # type: ignore[method-assign]
+            instance.core.discovered = _Forgetful()
+            instance.core.view_consistency._raise_floor = lambda position: None  # type: ignore[method-assign]
         instance.writing = False
         self._watch(instance)
 
@@ -322,7 +322,7 @@
                 continue
             if instance.watching and self.now - instance.heard > SILENCE:
                 instance.watching = 0
-                core.lost(self.now)
+                core.record_discovery_lost()
             core.tick(self.now)
             self._after(instance)
 
@@ -337,7 +337,7 @@
                 asks: _Instance = asks, told: _Instance = told, asked: int = asked, life: int = life
             ) -> None:
                 if asks.core is not None and asks.life == life and told.core is not None:
-                    asks.core.said(told.name, told.core.word(self.now), asked)
+                    asks.core.record_peer_status(told.name, told.core.peer_status(self.now), asked)
                     self._after(asks)
 
             self.at(self.rng.randrange(1, 100) * MS, arrive)
@@ -347,7 +347,7 @@
         core = instance.core
         if core is None:
             return
-        place = core.to_write()
+        place = core.position_to_write()
         if place is not None and not instance.writing:
             self._write(instance, place)
         for proxy in self.proxies:
@@ -365,10 +365,10 @@
             if instance.life == life and instance.core is not None:
                 instance.writing = False
                 if fails:
-                    instance.core.write_failed(self.now)
+                    instance.core.record_write_failure(self.now)
                     self.at(500 * MS, lambda: self._after(instance))
                 else:
-                    instance.core.written(place, self.now)
+                    instance.core.record_written(place, self.now)
                 self._after(instance)
 
         self.at(self.rng.randrange(1, 20) * MS, done)
@@ -376,7 +376,7 @@
     def _send(self, proxy: _Proxy, link: _Link) -> None:
         core = link.instance.core
         assert core is not None
-        while not link.held and (response := core.next(link.stream, self.now)) is not None:
+        while not link.held and (response := core.next_response(link.stream, self.now)) is not None:
             if response.kind == ASSIGNMENT:
                 for resource in response.resources:
                     stamp = stamp_of(endpoint_pb2.ClusterLoadAssignment.FromString(resource.body))
@@ -395,7 +395,7 @@
             return
         forget = proxy.life == 0 or self.rng.random() < 0.2
         proxy.life += forget
-        stream = instance.core.open(None, proxy.stand_in.incremental, self.now)
+        stream = instance.core.open_stream(None, proxy.stand_in.incremental, self.now)
         proxy.link = _Link(instance, instance.life, stream)
         self._ask(proxy, proxy.link, proxy.stand_in.connect(forget))
 
@@ -405,7 +405,7 @@
             return
         link.open = False
         if link.instance.core is not None and link.instance.life == link.instance_life:
-            link.instance.core.close(link.stream)
+            link.instance.core.close_stream(link.stream)
         proxy.link = None
         self.at(self.rng.randrange(10, 2000) * MS, lambda: self._connect(proxy))
 
@@ -420,7 +420,7 @@
             return
         request, who = decode_request(data, proxy.stand_in.incremental)
         try:
-            instance.core.request(link.stream, request, who, self.now)
+            instance.core.handle_request(link.stream, request, who, self.now)
         except ProtocolError as error:
             raise Violation(f"a request of a proxy that keeps the rules was refused: {error}") from None
         self._after(instance)
@@ -490,7 +490,7 @@
         for instance in self.instances:
             if instance.watching and instance.core is not None:
                 instance.watching = 0
-                instance.core.lost(self.now)
+                instance.core.record_discovery_lost()
 
         def back() -> None:
             self.down = False
--- a/brambleusher/xds/config.py
+++ b/brambleusher/xds/config.py
@@ -15,7 +15,7 @@
 from brambleusher.operator_settings.yaml_codec import MAX_FILE_BYTES, decode_yaml
 from brambleusher.runtime.streams import parse_address
 from brambleusher.xds.faults import ControlError
-from brambleusher.xds.versions import MIN_SECRET
+from brambleusher.xds.versions import MIN_SECRET_BYTES
 
 MAX_ITEMS = 256
 HOUR_MS = 3_600_000
@@ -358,8 +358,8 @@
     _once(list(zones), "the zone")
     listen = _address(section, "listen")
     secret = _file(base / _needed(section, "secret_file"), "secret_file").strip()
-    if len(secret) < MIN_SECRET:
-        raise ControlError(f"secret_file has less than {MIN_SECRET} bytes")
+    if len(secret) < MIN_SECRET_BYTES:
+        raise ControlError(f"secret_file has less than {MIN_SECRET_BYTES} bytes")
     store = Section(section.take("store"), "store")
     config = ControlConfig(
         name=_needed(section, "name"),
--- a/brambleusher/xds/core.py
+++ b/brambleusher/xds/core.py
@@ -1,8 +1,8 @@
-"""The service without its sockets, files and threads: events in, what to write and to send out.
+"""Decide what each subscriber gets, without sockets, files or threads.
 
-The owner tells it of discovery, subscribers, reports, other instances, the disk and the time; asks
-`to_write` for the place that must be on durable storage next; and asks each stream for its next
-response.  Nothing here waits.
+The owner records events of discovery, subscribers, load reports, other instances, the store and the
+time; asks `position_to_write` for the position that must be on durable storage next; and asks for
+the next response of each stream.  Nothing here waits.  All times are in ns of the owner's clock.
 """
 
 from __future__ import annotations
@@ -28,82 +28,95 @@
 )
 from brambleusher.net.endpoint_list import Endpoint, EndpointListUpdate
 from brambleusher.xds.config import ControlConfig, Group
-from brambleusher.xds.faults import ProtocolError
-from brambleusher.xds.loads import Loads
-from brambleusher.xds.resources import Endpoints, fixed
-from brambleusher.xds.roster import Roster
+from brambleusher.xds.discovered_endpoints import DiscoveredEndpoints
+from brambleusher.xds.faults import ProtocolError, SubscriptionDeniedError
+from brambleusher.xds.loads import LoadReports
+from brambleusher.xds.resources import AssignmentBuilder, static_resources
 from brambleusher.xds.snapshot import CDS, EDS, LDS, RDS, SHORT, Draft, Library, Snapshot
 from brambleusher.xds.subscriber import Request, Response, Subscriber
 from brambleusher.xds.versions import Seal
-from brambleusher.xds.wire import Sum, Who
+from brambleusher.xds.wire import LoadSample, NodeIdentity
 
 log = logging.getLogger(__name__)
 
-MS = 1_000_000
+NS_PER_MS = 1_000_000
 FORMS = ("zones", "nodes")
+REFRESHES_PER_STALE_TIME = 3  # Envoy drops endpoints that were not renewed for `stale_after_ms`
+MAX_SHOWN_CHARS = 100  # of text that a subscriber sent, in a message
 
 
-def form_of(group: Group, who: Who) -> str:
-    """How a subscriber has its endpoints: as its group says, else by what it is."""
-    return group.form or ("nodes" if who.agent.lower().startswith("grpc") else "zones")
+def form_of(group: Group, node: NodeIdentity) -> str:
+    """Return how a subscriber's endpoints are grouped: as its group says, else by its kind."""
+    return group.form or ("nodes" if node.agent.lower().startswith("grpc") else "zones")
 
 
-def restrained(before: Mapping[str, Endpoint], newest: Mapping[str, Endpoint]) -> dict[str, Endpoint]:
-    """The nodes of `before` less what `newest` takes away: none is added and none comes back into use."""
-    out = {}
+def without_additions(before: Mapping[str, Endpoint], newest: Mapping[str, Endpoint]) -> dict[str, Endpoint]:
+    """Return `before` less what `newest` takes away: no endpoint is added or comes back into use."""
+    kept = {}
     for name, endpoint in before.items():
-        now = newest.get(name)
-        if now is None:
+        current = newest.get(name)
+        if current is None:
             continue
-        ready = now.entry.state is HostState.READY
-        if ready and (now.address, now.entry.started_ns) != (endpoint.address, endpoint.entry.started_ns):
-            continue  # what is listed there now is another process
-        out[name] = endpoint if ready else now
-    return out
+        is_ready = current.entry.state is HostState.READY
+        if is_ready and _process_of(current) != _process_of(endpoint):
+            continue  # the endpoint listed now is another process
+        kept[name] = endpoint if is_ready else current
+    return kept
+
+
+def _process_of(endpoint: Endpoint) -> tuple[tuple[str, int], int]:
+    return endpoint.address, endpoint.entry.started_ns
 
 
 class Zone:
-    """One zone of subscribers: its balancer, and the weights as they went out last."""
+    """One zone of subscribers: its balancer, and the weights as published last."""
 
-    def __init__(self, name: str, settings: Settings, seed: int, change: float, now: int) -> None:
+    def __init__(
+        self, name: str, settings: Settings, seed: int, change_threshold: float, now_ns: int
+    ) -> None:
         self.name = name
         self.balancer = FleetBalancer(settings, seed)
-        self.loads = Loads(cls.name for cls in settings.classes)
-        self._damper, self._rounder = WeightDamper(), WeightRounder(change)
-        self._due_at = self.balancer.next_timer_ns(self.balancer.start(now)) or now
+        self.load_reports = LoadReports(cls.name for cls in settings.classes)
+        self._damper, self._rounder = WeightDamper(), WeightRounder(change_threshold)
+        self._timer_ns = self.balancer.next_timer_ns(self.balancer.start(now_ns)) or now_ns
         self.tiers: list[LocalityWeights] = []
         self._endpoints: Mapping[str, Endpoint] = {}
 
-    def listed(self, endpoints: Mapping[str, Endpoint], now: int) -> bool:
-        """Take the list in; False where it is the one held."""
+    def update_endpoints(self, endpoints: Mapping[str, Endpoint], now_ns: int) -> bool:
+        """Hand the list to the balancer; False where it has it already."""
         before, self._endpoints = self._endpoints, endpoints
         if before is endpoints:
             return False
-        entries = [each.entry for name, each in endpoints.items() if before.get(name) != each]
+        entries = [endpoint.entry for name, endpoint in endpoints.items() if before.get(name) != endpoint]
         entries += [
-            replace(each.entry, state=HostState.REMOVED)
-            for name, each in before.items()
+            replace(endpoint.entry, state=HostState.REMOVED)
+            for name, endpoint in before.items()
             if name not in endpoints
         ]
-        self.balancer.handle(HostListUpdated(ListKind.DELTA, entries), now)
+        self.balancer.handle(HostListUpdated(ListKind.DELTA, entries), now_ns)
         return True
 
-    def tick(self, now: int) -> None:
-        """Tell the balancer what was gathered, and the time where it wants it."""
-        for told in self.loads.tell():
-            self.balancer.record_outcomes(told, now)
-        if now >= self._due_at:
-            self._due_at = self.balancer.next_timer_ns(self.balancer.handle(TimerFired(0), now)) or now
+    def tick(self, now_ns: int) -> None:
+        """Hand the gathered load reports to the balancer, and its timer when it is due."""
+        for outcomes in self.load_reports.drain():
+            self.balancer.record_outcomes(outcomes, now_ns)
+        if now_ns >= self._timer_ns:
+            actions = self.balancer.handle(TimerFired(0), now_ns)
+            self._timer_ns = self.balancer.next_timer_ns(actions) or now_ns
+
+    def set_change_threshold(self, change_threshold: float) -> None:
+        """Change the fraction by which a weight must have moved to be published."""
+        self._rounder = WeightRounder(change_threshold)
 
-    def round_anew(self, change: float) -> None:
-        """Another share by which weights must have moved to go out."""
-        self._rounder = WeightRounder(change)
+    def update_weights(self, priorities: Iterable[tuple[str, ...]], step: bool) -> bool:
+        """Read the balancer's weights and, with `step`, go a step towards them.
 
-    def weigh(self, order: Iterable[tuple[str, ...]], step: bool) -> bool:
-        """Read the weights, and go a step towards them; says whether any has moved enough to go out."""
+        Returns:
+            Whether any has moved enough to be published.
+        """
         before = self.tiers
         followed = self._damper.follow(host_statuses(self.balancer), step)
-        self.tiers = group_by_locality(self._rounder.round(followed), list(order))
+        self.tiers = group_by_locality(self._rounder.round(followed), list(priorities))
         return self.tiers != before
 
 
@@ -116,243 +129,283 @@
     subscriber: Subscriber
     opened_ns: int
     group: Group | None = None
-    who: Who = field(default_factory=Who)
+    node: NodeIdentity = field(default_factory=NodeIdentity)
     zone: str = ""
     form: str = ""
     responses: int = 0
-    lag_ns: int | None = None  # from the news to the acknowledgement of the view that it led to
+    lag_ns: int | None = None  # from a change to the acknowledgement of the view with it
     refreshed_ns: int = 0
 
 
 class Core:
-    """All that one instance knows and decides."""
+    """The state of one instance: the list, the weights, the views and the streams."""
 
     def __init__(
-        self, config: ControlConfig, floor: ViewPosition | None, now: int, seed: int = 0, sure: bool = False
+        self,
+        config: ControlConfig,
+        floor: ViewPosition | None,
+        now_ns: int,
+        seed: int = 0,
+        is_floor_certain: bool = False,
     ) -> None:
-        """`floor`: the place on durable storage; None where the store is new or was lost."""
+        """Start without a list.
+
+        Args:
+            config: The configuration.
+            floor: The position on durable storage; None where the store is new or was lost.
+            now_ns: The time.
+            seed: Seeds the balancers.
+            is_floor_certain: Do not wait for positions that subscribers prove, as a new store has to.
+        """
         self.config, self.seal = config, Seal(config.secret)
-        self.roster = Roster()
-        unsure = 0 if sure else config.new_store_ms * MS
-        self.handout = ViewConsistency(floor, now, config.silence_ms * MS, unsure)
+        self.discovered = DiscoveredEndpoints()
+        floor_wait_ns = 0 if is_floor_certain else config.new_store_ms * NS_PER_MS
+        self.view_consistency = ViewConsistency(floor, now_ns, config.silence_ms * NS_PER_MS, floor_wait_ns)
         rng = random.Random(seed)
         self.zones = {
             name: Zone(
-                name, _settings_of(config, name), rng.getrandbits(32), config.spread.change_percent / 100, now
+                name, _settings_of(config, name), rng.getrandbits(32), _change_threshold(config), now_ns
             )
             for name in config.zones
         }
         self.streams: dict[int, Stream] = {}
         self._library = Library(self.seal)
-        self._snapshots: dict[tuple[str, str, int], Snapshot] = {}
-        self._endpoints = self._builders()
-        self._drafts: dict[tuple[str, str], Draft] = {}
-        self._fixed: dict[int, dict[str, list[Draft]]] = {}
-        self._written_endpoints: dict[str, Endpoint] | None = None  # the list held when it was last written
+        self._snapshots: dict[tuple[str, str, int], Snapshot] = {}  # by zone, form, index of the group
+        self._assignment_builders = self._new_assignment_builders()
+        self._assignments: dict[tuple[str, str], Draft] = {}  # by zone and form
+        self._static_resources: dict[int, dict[str, list[Draft]]] = {}  # by index of the group, kind
+        self._durable_endpoints: dict[str, Endpoint] | None = None  # of the position written last
         self.endpoints: dict[str, Endpoint] = {}  # the list that views are made of
-        self._node_at: dict[tuple[str, int], str] = {}
-        self._place: ViewPosition | None = None  # of that list
-        self._news_ns = now
-        self._store_fails = False
-        self._weighed_ns = now
-        self._next_stream = 0
+        self._host_by_address: dict[tuple[str, int], str] = {}
+        self._position: ViewPosition | None = None  # of that list
+        self._changed_ns = now_ns
+        self._has_write_failed = False
+        self._weighed_ns = now_ns
+        self._last_stream_id = 0
         self.nacks = 0
         self.on_change: Callable[[], None] = lambda: None
 
-    def _builders(self) -> dict[tuple[str, str], Endpoints]:
-        stale = self.config.stale_after_ms
-        return {(zone, form): Endpoints(form, stale) for zone in self.config.zones for form in FORMS}
+    def _new_assignment_builders(self) -> dict[tuple[str, str], AssignmentBuilder]:
+        stale_ms = self.config.stale_after_ms
+        return {
+            (zone, form): AssignmentBuilder(form, stale_ms) for zone in self.config.zones for form in FORMS
+        }
 
     # --- discovery --------------------------------------------------------------------------------
 
-    def listed(self, update: EndpointListUpdate, now: int) -> None:
-        """An update from discovery."""
-        was_behind = self.roster.behind
-        changed = self.roster.take(update)
-        if self.roster.behind and not was_behind:
+    def record_endpoint_list(self, update: EndpointListUpdate, now_ns: int) -> None:
+        """Take in an update from discovery."""
+        was_behind = self.discovered.is_behind
+        changed = self.discovered.update(update)
+        if self.discovered.is_behind and not was_behind:
             log.warning(
-                "discovery is back with an older list, the newer one stays",
-                extra={"fields": {"version": self.roster.version, "told": self.roster.told_version}},
-            )
+                "discovery version went back",
+                extra={"fields": {"version": self.discovered.version,
+                                  "reported_version": self.discovered.reported_version}},
+            )  # fmt: skip
         if changed is not None:
-            self._news_ns = now
-        self.heard(now)
+            self._changed_ns = now_ns
+        self.record_discovery_contact(now_ns)
 
-    def heard(self, now: int) -> None:
-        """Discovery has said something, if only that nothing has changed."""
-        version = self.roster.version
+    def record_discovery_contact(self, now_ns: int) -> None:
+        """Note a message from discovery, if only that nothing has changed."""
+        version = self.discovered.version
         if version is None:
             return
-        self.handout.record_discovery(ViewPosition(self.config.epoch, version), now)
-        self._settle(now)
+        self.view_consistency.record_discovery(ViewPosition(self.config.epoch, version), now_ns)
+        self._update_view(now_ns)
 
-    def lost(self, now: int) -> None:
-        """The watch has ended."""
-        self.handout.record_discovery_lost()
+    def record_discovery_lost(self) -> None:
+        """Note that the watch of discovery has ended."""
+        self.view_consistency.record_discovery_lost()
 
     # --- durable storage --------------------------------------------------------------------------
 
-    def to_write(self) -> ViewPosition | None:
-        """What must be on durable storage before the newest list may go out."""
-        return self.handout.position_to_write()
+    def position_to_write(self) -> ViewPosition | None:
+        """Return what must be on durable storage before the newest list may be published."""
+        return self.view_consistency.position_to_write()
 
-    def written(self, place: ViewPosition, now: int) -> None:
-        """It is there."""
-        self._store_fails = False
-        self.handout.record_written(place)
-        self._settle(now)
+    def record_written(self, position: ViewPosition, now_ns: int) -> None:
+        """Note that a position is on durable storage."""
+        self._has_write_failed = False
+        self.view_consistency.record_written(position)
+        self._update_view(now_ns)
 
-    def write_failed(self, now: int) -> None:
-        """It could not be written, or takes too long: what only takes nodes away goes out all the same."""
-        self._store_fails = True
-        self._settle(now)
+    def record_write_failure(self, now_ns: int) -> None:
+        """Note that a write failed or takes too long: removals are published all the same."""
+        self._has_write_failed = True
+        self._update_view(now_ns)
 
     # --- other instances --------------------------------------------------------------------------
 
-    def said(self, peer: str, word: PeerStatus, now: int) -> None:
-        """Another instance has spoken."""
-        self.handout.record_peer_status(peer, word, now)
+    def record_peer_status(self, peer: str, status: PeerStatus, now_ns: int) -> None:
+        """Take in the status of another instance."""
+        self.view_consistency.record_peer_status(peer, status, now_ns)
         self.on_change()
 
-    def word(self, now: int) -> PeerStatus:
-        """What to tell the others."""
-        return self.handout.peer_status(now)
+    def peer_status(self, now_ns: int) -> PeerStatus:
+        """Return the status to report to other instances."""
+        return self.view_consistency.peer_status(now_ns)
 
     # --- the view ---------------------------------------------------------------------------------
 
-    def _settle(self, now: int) -> None:
-        """Make views of the newest list as far as it may go out."""
-        place = self.handout.position
-        if place is None:
+    def _publishable_endpoints(self, position: ViewPosition) -> dict[str, Endpoint] | None:
+        """Return the newest list as far as it may be published; None where the view has to stay."""
+        if self.view_consistency.position_to_write() is None:
+            floor = self.view_consistency.floor
+            if floor is not None and position < floor:
+                return None
+            self._durable_endpoints = self.discovered.endpoints
+            return self._durable_endpoints
+        if self._has_write_failed and self._durable_endpoints is not None:
+            return without_additions(self._durable_endpoints, self.discovered.endpoints)
+        return None
+
+    def _update_view(self, now_ns: int) -> None:
+        """Make views of the newest list as far as it may be published."""
+        position = self.view_consistency.position
+        if position is None:
             return
-        if self.handout.position_to_write() is None:
-            if self.handout.floor is not None and place < self.handout.floor:
-                return
-            endpoints = self.roster.endpoints
-            self._written_endpoints = endpoints
-        elif self._store_fails and self._written_endpoints is not None:
-            endpoints = restrained(self._written_endpoints, self.roster.endpoints)
-        else:
+        endpoints = self._publishable_endpoints(position)
+        if endpoints is None or (endpoints is self.endpoints and position == self._position):
             return
-        if endpoints is self.endpoints and place == self._place:
-            return
-        changed = endpoints != self.endpoints
-        self.endpoints, self._place = endpoints, place
-        if changed:
-            self._node_at = {endpoint.address: name for name, endpoint in endpoints.items()}
+        has_changed = endpoints != self.endpoints
+        self.endpoints, self._position = endpoints, position
+        if has_changed:
+            self._host_by_address = {endpoint.address: name for name, endpoint in endpoints.items()}
             served = {stream.zone for stream in self.streams.values()}
             for zone in self.zones.values():
-                if zone.name in served:  # the others when somebody asks, or at the next tick
-                    self._listed(zone, now)
+                if zone.name in served:  # the others at the first subscriber or the next tick
+                    self._update_zone_endpoints(zone, now_ns)
         self._snapshots.clear()
         self.on_change()
 
-    def _listed(self, zone: Zone, now: int) -> None:
-        """Have a zone know the list; between two steps of the weights only this changes them."""
-        if zone.listed(self.endpoints, now):
-            self._weigh(zone, step=False)
+    def _update_zone_endpoints(self, zone: Zone, now_ns: int) -> None:
+        """Hand the list to a zone; between two steps of the weights only this changes them."""
+        if zone.update_endpoints(self.endpoints, now_ns):
+            self._update_zone_weights(zone, step=False)
 
-    def _weigh(self, zone: Zone, step: bool) -> bool:
-        priorities = self.config.spread.priorities
-        order = () if priorities is None else priorities.get(zone.name, ((zone.name,),))
-        moved = zone.weigh(order, step)
-        # The nodes' addresses may have changed where their weights have not.
+    def _update_zone_weights(self, zone: Zone, step: bool) -> bool:
+        by_zone = self.config.spread.priorities
+        priorities = () if by_zone is None else by_zone.get(zone.name, ((zone.name,),))
+        has_moved = zone.update_weights(priorities, step)
+        # Addresses may have changed where the weights have not.
         for form in FORMS:
-            self._drafts.pop((zone.name, form), None)
-        return moved
+            self._assignments.pop((zone.name, form), None)
+        return has_moved
 
-    def tick(self, now: int) -> None:
-        """Let time pass: reports are told, weights move."""
+    def tick(self, now_ns: int) -> None:
+        """Let time pass: load reports reach the balancers, weights move."""
         for zone in self.zones.values():
-            self._listed(zone, now)
-            zone.tick(now)
-        if now - self._weighed_ns >= self.config.spread.weights_every_ms * MS and self.endpoints:
-            self._weighed_ns = now
-            moved = [zone for zone in self.zones.values() if self._weigh(zone, step=True)]
+            self._update_zone_endpoints(zone, now_ns)
+            zone.tick(now_ns)
+        interval_ns = self.config.spread.weights_every_ms * NS_PER_MS
+        if now_ns - self._weighed_ns >= interval_ns and self.endpoints:
+            self._weighed_ns = now_ns
+            moved = [zone for zone in self.zones.values() if self._update_zone_weights(zone, step=True)]
             if moved:
-                self._news_ns = now
+                self._changed_ns = now_ns
                 self._snapshots.clear()
                 self.on_change()
 
-    def reconfigure(self, config: ControlConfig, now: int) -> None:
-        """Another configuration; listeners, routes, clusters, groups and bounds follow it."""
+    def reconfigure(self, config: ControlConfig, now_ns: int) -> None:
+        """Take in another configuration; listeners, routes, clusters, groups and bounds follow it."""
         self.config = config
-        self._fixed.clear()
+        self._static_resources.clear()
         self._snapshots.clear()
-        self._drafts.clear()
-        self._endpoints = self._builders()
-        self._news_ns = now
+        self._assignments.clear()
+        self._assignment_builders = self._new_assignment_builders()
+        self._changed_ns = now_ns
         for zone in self.zones.values():
-            zone.round_anew(config.spread.change_percent / 100)
+            zone.set_change_threshold(_change_threshold(config))
         for stream in self.streams.values():
             if stream.group is not None:
-                self._place_in(stream, config.group_of(stream.identity))
+                self._assign_group(stream, config.group_of(stream.identity))
         self.on_change()
 
-    def snapshot(self, zone: str, form: str, group: Group, now: int) -> Snapshot:
-        """What a group's subscribers in a zone may have now."""
-        at = self.config.groups.index(group)
-        held = self._snapshots.get((zone, form, at))
-        if held is not None:
-            return held
-        assert self._place is not None
-        drafts = self._fixed.get(at)
+    def snapshot(self, zone: str, form: str, group: Group, now_ns: int) -> Snapshot:
+        """Return what a group's subscribers in a zone may have now; a list must have been published."""
+        group_index = self.config.groups.index(group)
+        cached = self._snapshots.get((zone, form, group_index))
+        if cached is not None:
+            return cached
+        assert self._position is not None
+        drafts = self._static_resources.get(group_index)
         if drafts is None:
-            drafts = self._fixed[at] = fixed(self.config, group)
-        moving = self._drafts.get((zone, form))
-        if moving is None:
-            self._listed(self.zones[zone], now)
-            addresses = {name: endpoint.address for name, endpoint in self.endpoints.items()}
-            moving = self._endpoints[zone, form].draft(self.zones[zone].tiers, addresses)
-            self._drafts[zone, form] = moving
-        shelves = {
-            kind: self._library.shelf(f"group {at}", kind, drafts[kind], self._place)
+            drafts = self._static_resources[group_index] = static_resources(self.config, group)
+        assignment = self._assignment(zone, form, now_ns)
+        kinds = {
+            kind: self._library.shelf(f"group {group_index}", kind, drafts[kind], self._position)
             for kind in (CDS, LDS, RDS)
         }
-        endpoints = [moving] if drafts[CDS] else []
         # One assignment for all groups of a zone: the same bytes, and the same object.
-        shelves[EDS] = self._library.shelf(f"{zone}/{form}", EDS, [moving], self._place) if endpoints else {}
-        made = Snapshot(self._place, shelves, self._news_ns)
-        self._snapshots[zone, form, at] = made
-        return made
+        has_clusters = bool(drafts[CDS])
+        kinds[EDS] = (
+            self._library.shelf(f"{zone}/{form}", EDS, [assignment], self._position) if has_clusters else {}
+        )
+        snapshot = Snapshot(self._position, kinds, self._changed_ns)
+        self._snapshots[zone, form, group_index] = snapshot
+        return snapshot
+
+    def _assignment(self, zone: str, form: str, now_ns: int) -> Draft:
+        assignment = self._assignments.get((zone, form))
+        if assignment is None:
+            self._update_zone_endpoints(self.zones[zone], now_ns)
+            addresses = {name: endpoint.address for name, endpoint in self.endpoints.items()}
+            assignment = self._assignment_builders[zone, form].draft(self.zones[zone].tiers, addresses)
+            self._assignments[zone, form] = assignment
+        return assignment
 
     # --- subscribers ------------------------------------------------------------------------------
 
-    def open(self, identity: str | None, incremental: bool, now: int) -> Stream:
-        """A stream has begun; `identity` is None where the first request is to tell."""
+    def open_stream(self, identity: str | None, incremental: bool, now_ns: int) -> Stream:
+        """Begin a stream.
+
+        Args:
+            identity: The name in the certificate; None where the first request gives it.
+            incremental: Whether it is of the incremental variant of the protocol.
+            now_ns: The time.
+
+        Raises:
+            ProtocolError: The subscriber may not subscribe, or there are too many streams.
+        """
         bounds = self.config.bounds
         if len(self.streams) >= bounds.streams:
             raise ProtocolError("too many streams")
         if identity is not None:
             self._admit(identity)
-        self._next_stream += 1
+        self._last_stream_id += 1
         subscriber = Subscriber(self.seal, incremental, bounds.names, bounds.name_bytes)
-        stream = Stream(self._next_stream, identity or "", subscriber, now, refreshed_ns=now)
+        stream = Stream(self._last_stream_id, identity or "", subscriber, now_ns, refreshed_ns=now_ns)
         self.streams[stream.id] = stream
         return stream
 
     def _admit(self, identity: str) -> Group:
         group = self.config.group_of(identity)
         if group is None:
-            raise ProtocolError(f"{identity[:100]!r} may not subscribe")
-        same = sum(stream.identity == identity for stream in self.streams.values())
-        if same > self.config.bounds.streams_per_identity:
+            raise SubscriptionDeniedError(f"{identity[:MAX_SHOWN_CHARS]!r} may not subscribe")
+        streams = sum(stream.identity == identity for stream in self.streams.values())
+        if streams > self.config.bounds.streams_per_identity:
             raise ProtocolError("too many streams of one subscriber")
         return group
 
-    def close(self, stream: Stream) -> None:
-        """A stream has ended."""
+    def close_stream(self, stream: Stream) -> None:
+        """Forget a stream that has ended."""
         self.streams.pop(stream.id, None)
 
-    def request(self, stream: Stream, request: Request, who: Who, now: int) -> None:
-        """A subscriber's request; raises `ProtocolError` where the stream is to end."""
+    def handle_request(self, stream: Stream, request: Request, node: NodeIdentity, now_ns: int) -> None:
+        """Take in a subscriber's request.
+
+        Raises:
+            ProtocolError: The request breaks a rule, and the stream has to end.
+        """
         if stream.group is None:
-            self._introduce(stream, who)
+            self._identify(stream, node)
         subscriber = stream.subscriber
         subscriber.receive(request)
-        for place in subscriber.claims:
-            self.handout.record_subscriber_position(place)
-        subscriber.claims.clear()
+        for position in subscriber.proven_positions:
+            self.view_consistency.record_subscriber_position(position)
+        subscriber.proven_positions.clear()
         for kind, names, rejection in subscriber.rejections:
             self.nacks += 1
             log.warning(
@@ -362,60 +415,68 @@
             )  # fmt: skip
         subscriber.rejections.clear()
         if subscriber.acked_ns:
-            stream.lag_ns = now - subscriber.acked_ns[-1]
+            stream.lag_ns = now_ns - subscriber.acked_ns[-1]
             subscriber.acked_ns.clear()
 
-    def _introduce(self, stream: Stream, who: Who) -> None:
+    def _identify(self, stream: Stream, node: NodeIdentity) -> None:
         if not stream.identity:
-            if not who.id:
+            if not node.id:
                 raise ProtocolError("the first request names no node")
-            stream.identity = who.id
-        stream.who = who
-        self._place_in(stream, self._admit(stream.identity))
+            stream.identity = node.id
+        stream.node = node
+        self._assign_group(stream, self._admit(stream.identity))
         if stream.group is None:
-            raise ProtocolError(f"zone {who.zone[:100]!r} is not served")
+            raise ProtocolError(f"zone {node.zone[:MAX_SHOWN_CHARS]!r} is not served")
 
-    def _place_in(self, stream: Stream, group: Group | None) -> None:
+    def _assign_group(self, stream: Stream, group: Group | None) -> None:
         """Give a stream its group, and with it zone and form; none where it may not subscribe any more."""
-        zone = (group.zone or stream.who.zone) if group is not None else ""
+        zone = (group.zone or stream.node.zone) if group is not None else ""
         stream.group = group if zone in self.zones else None
         if group is not None and stream.group is not None:
-            stream.zone, stream.form = zone, form_of(group, stream.who)
-
-    def why_not(self, now: int) -> WithheldReason | None:
-        """Why nothing goes out now."""
-        if self._place is None and self.handout.position is not None:
-            return self.handout.withheld_reason(now) or WithheldReason.NOT_DURABLE
-        unwritten = self.handout.position_to_write() is not None
-        return self.handout.withheld_reason(
-            now, harmless=unwritten and self._store_fails and self._place == self.handout.position
-        )
-
-    def next(self, stream: Stream, now: int) -> Response | None:
-        """A stream's next response, None as long as there is none or it is withheld."""
+            stream.zone, stream.form = zone, form_of(group, stream.node)
+
+    def withheld_reason(self, now_ns: int) -> WithheldReason | None:
+        """Return why nothing may be published now; None where it may."""
+        consistency = self.view_consistency
+        if self._position is None and consistency.position is not None:
+            return consistency.withheld_reason(now_ns) or WithheldReason.NOT_DURABLE
+        is_unwritten = consistency.position_to_write() is not None
+        has_only_removals = is_unwritten and self._has_write_failed and self._position == consistency.position
+        return consistency.withheld_reason(now_ns, harmless=has_only_removals)
+
+    def next_response(self, stream: Stream, now_ns: int) -> Response | None:
+        """Return a stream's next response; None as long as there is none or it is withheld."""
         if stream.group is None:
             return None
-        if self.why_not(now) is not None:
+        if self.withheld_reason(now_ns) is not None:
             return None
         subscriber = stream.subscriber
-        snapshot = self.snapshot(stream.zone, stream.form, stream.group, now)
+        snapshot = self.snapshot(stream.zone, stream.form, stream.group, now_ns)
         if subscriber.offered is not snapshot:
             subscriber.offer(snapshot)
-        stale_after = self.config.stale_after_ms * MS
-        if stale_after and stream.form == "zones" and now - stream.refreshed_ns > stale_after // 3:
-            stream.refreshed_ns = now
-            subscriber.refresh(EDS)
+        self._refresh_stale_endpoints(stream, now_ns)
         response = subscriber.take()
         if response is not None:
-            self.handout.record_published(response.place)
+            self.view_consistency.record_published(response.position)
             stream.responses += 1
             if response.kind == EDS:
-                stream.refreshed_ns = now
+                stream.refreshed_ns = now_ns
         return response
 
-    def load(self, zone: str, sums: list[Sum]) -> None:
-        """A proxy's report."""
-        self.zones[zone].loads.take(sums, self._node_at, self.endpoints)
+    def _refresh_stale_endpoints(self, stream: Stream, now_ns: int) -> None:
+        stale_ns = self.config.stale_after_ms * NS_PER_MS
+        is_due = now_ns - stream.refreshed_ns > stale_ns // REFRESHES_PER_STALE_TIME
+        if stale_ns and stream.form == "zones" and is_due:
+            stream.refreshed_ns = now_ns
+            stream.subscriber.refresh(EDS)
+
+    def record_load_report(self, zone: str, samples: list[LoadSample]) -> None:
+        """Take in a proxy's load report."""
+        self.zones[zone].load_reports.add(samples, self._host_by_address, self.endpoints)
+
+
+def _change_threshold(config: ControlConfig) -> float:
+    return config.spread.change_percent / 100
 
 
 def _settings_of(config: ControlConfig, zone: str) -> Settings:
--- a/brambleusher/xds/faults.py
+++ b/brambleusher/xds/faults.py
@@ -1,4 +1,4 @@
-"""What may be wrong with what the control service is given."""
+"""Errors of the control service."""
 
 from __future__ import annotations
 
@@ -9,3 +9,7 @@
 
 class ProtocolError(ValueError):
     """A subscriber broke a rule of the protocol or a bound; its stream ends, and nothing else."""
+
+
+class SubscriptionDeniedError(ProtocolError):
+    """No group is for the subscriber; it may not subscribe."""
--- a/brambleusher/xds/instances.py
+++ b/brambleusher/xds/instances.py
@@ -1,29 +1,35 @@
-"""What instances tell each other: a word a call, sealed, with the caller's own random number in it."""
+"""The messages between instances: a status a call, sealed, with the caller's own random number in it.
+
+The keys in the JSON objects are the wire form and stay.
+"""
 
 from __future__ import annotations
 
 import json
 import secrets
-from typing import Any
+from collections.abc import Mapping
 
 from brambleusher.loadbalancing.view_consistency import PeerStatus, ViewPosition
 from brambleusher.xds.faults import ProtocolError
 from brambleusher.xds.versions import Seal
 
 SERVICE, METHOD = "brambleusher.xds.v1.Instances", "Tell"
-MAX_BYTES = 4096
+MAX_BYTES = 4096  # of a message
+MAX_NUMBER_CHARS = 64
+NUMBER_BYTES = 16
+_POSITION_LENGTH = len(ViewPosition._fields)
 
 
-def _pack(seal: Seal, body: dict[str, Any]) -> bytes:
+def _pack(seal: Seal, body: Mapping[str, object]) -> bytes:
     text = json.dumps(body, sort_keys=True)
-    return json.dumps({"body": text, "mark": seal.mark(text)}).encode()
+    return json.dumps({"body": text, "mark": seal.sign(text)}).encode()
 
 
-def _unpack(seal: Seal, data: bytes) -> dict[str, Any]:
+def _unpack(seal: Seal, data: bytes) -> Mapping[str, object]:
     try:
         outer = json.loads(data[:MAX_BYTES])
-        body, mark = outer["body"], outer["mark"]
-        if not isinstance(body, str) or not isinstance(mark, str) or not seal.good(body, mark):
+        body, signature = outer["body"], outer["mark"]
+        if not isinstance(body, str) or not isinstance(signature, str) or not seal.verify(body, signature):
             raise ProtocolError("a word without a good seal")
         inner = json.loads(body)
     except (ValueError, KeyError, TypeError) as error:
@@ -35,33 +41,43 @@
     return inner
 
 
-def _place(raw: Any) -> ViewPosition | None:
+def _parse_position(raw: object) -> ViewPosition | None:
     if raw is None:
         return None
-    if isinstance(raw, list) and len(raw) == 2 and all(type(part) is int and part >= 0 for part in raw):
+    is_pair = isinstance(raw, list) and len(raw) == _POSITION_LENGTH
+    if isinstance(raw, list) and is_pair and all(type(number) is int and number >= 0 for number in raw):
         return ViewPosition(*raw)
     raise ProtocolError("a word that can't be read")
 
 
-def question(seal: Seal, name: str) -> tuple[bytes, str]:
-    """A call's bytes and the number that its answer must repeat."""
-    number = secrets.token_hex(16)
+def encode_request(seal: Seal, name: str) -> tuple[bytes, str]:
+    """Encode a request for the status, and return the number that its response must repeat."""
+    number = secrets.token_hex(NUMBER_BYTES)
     return _pack(seal, {"from": name, "number": number}), number
 
 
-def answer(seal: Seal, data: bytes, name: str, word: PeerStatus) -> bytes:
-    """The answer to a call; raises `ProtocolError` where the caller does not know the secret."""
-    asked = _unpack(seal, data)
+def encode_response(seal: Seal, data: bytes, name: str, status: PeerStatus) -> bytes:
+    """Encode the response to a request.
+
+    Raises:
+        ProtocolError: The caller does not know the secret.
+    """
+    request = _unpack(seal, data)
     return _pack(
         seal,
-        {"name": name, "number": str(asked.get("number", ""))[:64], "place": word.position,
-         "floor": word.floor, "in_touch": word.is_connected},
+        {"name": name, "number": str(request.get("number", ""))[:MAX_NUMBER_CHARS],
+         "place": status.position, "floor": status.floor, "in_touch": status.is_connected},
     )  # fmt: skip
 
 
-def read_answer(seal: Seal, data: bytes, number: str) -> PeerStatus:
-    """The word in an answer; raises `ProtocolError` where it answers another call."""
+def decode_response(seal: Seal, data: bytes, number: str) -> PeerStatus:
+    """Decode the status in a response.
+
+    Raises:
+        ProtocolError: It is not a response to the request with that number.
+    """
     body = _unpack(seal, data)
     if body.get("number") != number:
         raise ProtocolError("an answer to another call")
-    return PeerStatus(_place(body.get("place")), _place(body.get("floor")), body.get("in_touch") is True)
+    position, floor = _parse_position(body.get("place")), _parse_position(body.get("floor"))
+    return PeerStatus(position, floor, body.get("in_touch") is True)
--- a/brambleusher/xds/loads.py
+++ b/brambleusher/xds/loads.py
@@ -1,68 +1,75 @@
-"""What proxies report of the nodes, gathered until the balancer of their zone is told.
+"""Gather the load reports of proxies until the balancer of their zone takes them.
 
-Sums are gathered over a period and told once: a balancer hears as much from a thousand proxies as
-from one, and none of them more often than it asked to.
+Samples are added up over a period and handed over once: a balancer gets as many events from a thousand
+proxies as from one, and never more often than it takes them.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Mapping
+from collections.abc import Container, Iterable, Mapping
 from dataclasses import dataclass, field
 
 from brambleusher.loadbalancing.api import LoadReport
 from brambleusher.loadbalancing.fleet_balancer import ReportedOutcomes
 from brambleusher.xds.resources import LATENCY_MS, THROUGHPUT, UTILISATION
-from brambleusher.xds.wire import Sum
+from brambleusher.xds.wire import LoadSample
 
-MAX_MEAN = 1e9
+MAX_MEAN = 1e9  # of a metric in its own unit; more is an error of the sender
+NS_PER_MS = 1e6
 
 
 @dataclass(slots=True)
-class _Gathered:
-    served: int = 0
-    failed: int = 0
-    figures: dict[str, tuple[int, float]] = field(default_factory=dict)
+class _Totals:
+    successes: int = 0
+    errors: int = 0
+    metrics: dict[str, tuple[int, float]] = field(default_factory=dict)  # count and total by name
+
+    def add(self, sample: LoadSample) -> None:
+        self.successes += sample.successes
+        self.errors += sample.errors
+        for name, (count, total) in sample.metrics.items():
+            before = self.metrics.get(name, (0, 0.0))
+            self.metrics[name] = (before[0] + count, before[1] + total)
 
     def mean(self, name: str) -> float | None:
-        count, total = self.figures.get(name, (0, 0.0))
+        count, total = self.metrics.get(name, (0, 0.0))
         return min(total / count, MAX_MEAN) if count else None
 
+    def outcomes(self, host: str, cluster: str) -> ReportedOutcomes:
+        utilisation, throughput = self.mean(UTILISATION), self.mean(THROUGHPUT)
+        latency_ms = self.mean(LATENCY_MS)
+        report = None
+        if utilisation is not None and throughput is not None:
+            report = LoadReport(utilisation, throughput)
+        latency_ns = None if latency_ms is None else int(latency_ms * NS_PER_MS)
+        return ReportedOutcomes(host, cluster, self.successes, self.errors, latency_ns, report)
+
 
-class Loads:
-    """One zone's reports since the balancer was told last."""
+class LoadReports:
+    """The load reports of one zone since the balancer took them last."""
 
     def __init__(self, classes: Iterable[str]) -> None:
-        """`classes`: whose clusters are reported on; sums of any other are passed over."""
+        """Start empty; `classes` are the clusters that are reported on."""
         self._classes = frozenset(classes)
-        self._sums: dict[tuple[str, str], _Gathered] = {}
-        self.taken = self.unknown = 0  # sums, and those of nodes that are not listed
+        self._totals: dict[tuple[str, str], _Totals] = {}  # by host and cluster
+        self.accepted = self.unknown = 0  # samples, and those of hosts or clusters that are not listed
 
-    def take(self, sums: Iterable[Sum], node_at: Mapping[tuple[str, int], str], nodes: Iterable[str]) -> None:
-        """Add one report; sums of nodes that nobody lists, or of no class, are counted and passed over."""
-        known = nodes if isinstance(nodes, set | frozenset | dict) else set(nodes)
-        for each in sums:
-            node = each.node if each.node in known else node_at.get(each.address)
-            if node is None or each.cluster not in self._classes:
+    def add(
+        self,
+        samples: Iterable[LoadSample],
+        host_by_address: Mapping[tuple[str, int], str],
+        hosts: Container[str],
+    ) -> None:
+        """Add the samples of one report; those of unknown hosts or clusters are only counted."""
+        for sample in samples:
+            host = sample.host if sample.host in hosts else host_by_address.get(sample.address)
+            if host is None or sample.cluster not in self._classes:
                 self.unknown += 1
                 continue
-            self.taken += 1
-            held = self._sums.setdefault((node, each.cluster), _Gathered())
-            held.served += each.served
-            held.failed += each.failed
-            for name, (count, total) in each.figures.items():
-                before = held.figures.get(name, (0, 0.0))
-                held.figures[name] = (before[0] + count, before[1] + total)
+            self.accepted += 1
+            self._totals.setdefault((host, sample.cluster), _Totals()).add(sample)
 
-    def tell(self) -> list[ReportedOutcomes]:
-        """All that was gathered, as events, and a fresh start."""
-        sums, self._sums = self._sums, {}
-        out = []
-        for (node, cluster), held in sorted(sums.items()):
-            utilisation, throughput = held.mean(UTILISATION), held.mean(THROUGHPUT)
-            latency = held.mean(LATENCY_MS)
-            report = None
-            if utilisation is not None and throughput is not None:
-                report = LoadReport(utilisation, throughput)
-            latency_ns = None if latency is None else int(latency * 1e6)
-            out.append(ReportedOutcomes(node, cluster, held.served, held.failed, latency_ns, report))
-        return out
+    def drain(self) -> list[ReportedOutcomes]:
+        """Return all that was gathered as events for the balancer, and start again."""
+        totals, self._totals = self._totals, {}
+        return [totals[key].outcomes(*key) for key in sorted(totals)]
--- a/brambleusher/xds/resources.py
+++ b/brambleusher/xds/resources.py
@@ -189,7 +189,7 @@
     return usual + [prefix for plan in hidden for prefix in plan.prefixes]
 
 
-def fixed(config: ControlConfig, group: Group) -> dict[str, list[Draft]]:
+def static_resources(config: ControlConfig, group: Group) -> dict[str, list[Draft]]:
     """Listeners, routes and clusters that a group may have."""
     plans = [plan for plan in config.classes if group.sees(plan.name)]
     listeners = [plan for plan in config.listeners if group.sees(plan.name)]
@@ -203,7 +203,7 @@
     }
 
 
-class Endpoints:
+class AssignmentBuilder:
     """Builds the endpoints of one zone of subscribers in one form.
 
     `zones`: a locality for each zone, with weights on the endpoints.  `nodes`: a locality for each
--- a/brambleusher/xds/server.py
+++ b/brambleusher/xds/server.py
@@ -1,7 +1,7 @@
-"""The gRPC side: streams of subscribers and of load reports, and the calls between instances.
+"""Serve xDS subscribers, load reports and the calls between instances over gRPC.
 
 Messages pass as bytes.  A stream has a task that reads and one that writes; the writer takes the
-newest response whenever the one before has been handed over, so that a slow stream holds one
+newest response whenever the one before has been handed to gRPC, so that a slow stream holds one
 response and nothing else.
 """
 
@@ -11,295 +11,349 @@
 import contextlib
 import logging
 import time
-from collections.abc import Awaitable, Callable
-from typing import Any
+from collections.abc import Awaitable, Callable, Iterable, Mapping
+from typing import NoReturn, Protocol
 
 import grpc
 import grpc.aio
 
 from brambleusher.xds import instances
 from brambleusher.xds.core import Core, Stream
-from brambleusher.xds.faults import ProtocolError
+from brambleusher.xds.faults import ProtocolError, SubscriptionDeniedError
 from brambleusher.xds.tls import Certificates
 from brambleusher.xds.wire import ADS, LRS, ask_for_loads, decode_loads, decode_request
 
 log = logging.getLogger(__name__)
 
-Context = Any  # grpc.aio.ServicerContext, which has no types of its own
-WITHHELD_SECONDS = 5.0
-LOADS_PER_SECOND = 20
+MAX_WITHHELD_S = 5.0  # then streams are ended, so that proxies move to an instance that may publish
+MAX_LOAD_REPORTS_PER_S = 20  # of one stream; proxies are asked for one a second
+STOP_GRACE_S = 0.2
+PEER_POLL_INTERVAL_S = 0.5
+PEER_TIMEOUT_S = 1.0
+MAX_METADATA_BYTES = 16 * 1024
+KEEPALIVE_MS = 10_000  # a subscriber whose connection is cut is noticed within twice this
+MIN_PING_INTERVAL_MS = 5_000
+
 UNAVAILABLE, INVALID = grpc.StatusCode.UNAVAILABLE, grpc.StatusCode.INVALID_ARGUMENT
 DENIED, EXHAUSTED = grpc.StatusCode.PERMISSION_DENIED, grpc.StatusCode.RESOURCE_EXHAUSTED
 
 
-class Rate:
-    """So many requests a second, with as many saved up."""
+class ServicerContext(Protocol):
+    """The part of `grpc.aio.ServicerContext` in use; gRPC ships no types of its own."""
+
+    def peer(self) -> str:
+        """Return the address of the other end."""
+
+    def auth_context(self) -> Mapping[str, Iterable[bytes]]:
+        """Return the properties of the client's certificate."""
+
+    async def read(self) -> bytes:
+        """Return the next message, `grpc.aio.EOF` at the end."""
+
+    async def write(self, message: bytes) -> None:
+        """Send a message."""
+
+    async def abort(self, code: grpc.StatusCode, details: str) -> NoReturn:
+        """End the call with a status; raises `grpc.aio.AbortError`."""
+
+
+class UnaryCall(Protocol):
+    """A gRPC method with one request and one response."""
+
+    def __call__(self, request: bytes, *, timeout: float) -> Awaitable[bytes]:
+        """Call the method; `timeout` is in seconds."""
+
+
+class RateLimiter:
+    """A token bucket: so many requests a second, and a burst of as many."""
 
     def __init__(self, per_second: int) -> None:
-        self._rate, self._level = float(per_second), float(per_second)
-        self._seen = time.monotonic()
+        self._per_second = self._tokens = float(per_second)
+        self._updated_s = time.monotonic()
 
-    def take(self) -> bool:
-        """Whether one more is within the rate."""
-        now = time.monotonic()
-        self._level = min(self._level + (now - self._seen) * self._rate, self._rate)
-        self._seen = now
-        self._level -= 1
-        return self._level >= 0
+    def acquire(self) -> bool:
+        """Take a token; False where there was none."""
+        now_s = time.monotonic()
+        self._tokens = min(self._tokens + (now_s - self._updated_s) * self._per_second, self._per_second)
+        self._updated_s = now_s
+        self._tokens -= 1
+        return self._tokens >= 0
 
 
-class _Open:
-    """A stream and its tasks."""
+class _OpenStream:
+    """A stream of a subscriber with its tasks; created in the task that reads."""
 
     def __init__(self, stream: Stream, peer: str) -> None:
         self.stream, self.peer = stream, peer
-        self.news = asyncio.Event()
+        self.changed = asyncio.Event()
         self.task = asyncio.current_task()
-        self.writing_since: float | None = None
-        self.stuck_since: float | None = None
-        self.end: tuple[grpc.StatusCode, str] | None = None
+        self.writing_since_s: float | None = None
+        self.unacknowledged_since_s: float | None = None
+        self.end_status: tuple[grpc.StatusCode, str] | None = None
 
-    def stop(self, code: grpc.StatusCode, why: str) -> None:
+    def stop(self, code: grpc.StatusCode, reason: str) -> None:
         """End this stream, and nothing else."""
-        if self.end is None and self.task is not None:
-            self.end = (code, why)
+        if self.end_status is None and self.task is not None:
+            self.end_status = (code, reason)
             self.task.cancel()
 
+    def check_progress(self, now_s: float, max_stall_s: float) -> None:
+        """End the stream when its subscriber may not subscribe, reads nothing or acknowledges nothing."""
+        if self.stream.group is None and self.stream.responses:
+            self.stop(DENIED, "it may not subscribe any more")
+        if self.writing_since_s is not None and now_s - self.writing_since_s > max_stall_s:
+            self.stop(EXHAUSTED, "nothing was read for too long")
+        if not self.stream.subscriber.is_blocked:
+            self.unacknowledged_since_s = None
+        elif self.unacknowledged_since_s is None:
+            self.unacknowledged_since_s = now_s
+        elif now_s - self.unacknowledged_since_s > max_stall_s:
+            self.stop(EXHAUSTED, "nothing was answered for too long")
+
 
 class XdsServer:
-    """Serves one core."""
+    """The gRPC server of one core."""
 
-    def __init__(self, core: Core, now: Callable[[], int], certificates: Certificates | None) -> None:
-        self._core, self._now, self._certificates = core, now, certificates
-        self._open: dict[int, _Open] = {}
+    def __init__(self, core: Core, now_ns: Callable[[], int], certificates: Certificates | None) -> None:
+        self._core, self._now_ns, self._certificates = core, now_ns, certificates
+        self._streams: dict[int, _OpenStream] = {}
         self._server: grpc.aio.Server | None = None
-        self._withheld_since: float | None = None
+        self._withheld_since_s: float | None = None
         self.load_streams = self.ended_for_cause = 0
         core.on_change = self.wake
 
     async def start(self, address: tuple[str, int]) -> int:
-        """Listen; says on which port.  Raises `OSError`."""
-        bounds = self._core.config.bounds
-        server = grpc.aio.server(
-            options=[
-                ("grpc.max_receive_message_length", bounds.message_kb * 1024),
-                ("grpc.max_send_message_length", -1),
-                ("grpc.max_concurrent_streams", bounds.streams),
-                ("grpc.max_metadata_size", 16 * 1024),
-                ("grpc.so_reuseport", 0),
-                # A subscriber that is cut off is noticed, and its stream ends.
-                ("grpc.keepalive_time_ms", 10_000),
-                ("grpc.keepalive_timeout_ms", 10_000),
-                ("grpc.keepalive_permit_without_calls", 1),
-                ("grpc.http2.max_pings_without_data", 0),
-                ("grpc.http2.min_ping_interval_without_data_ms", 5_000),
-            ]
-        )
-        streams = {
-            ADS: {
-                "StreamAggregatedResources": grpc.stream_stream_rpc_method_handler(self._whole),
-                "DeltaAggregatedResources": grpc.stream_stream_rpc_method_handler(self._incremental),
-            },
-            LRS: {"StreamLoadStats": grpc.stream_stream_rpc_method_handler(self._loads)},
-            instances.SERVICE: {instances.METHOD: grpc.unary_unary_rpc_method_handler(self._tell)},
-        }
-        for service, methods in streams.items():
+        """Listen on an address.
+
+        Returns:
+            The port in use.
+
+        Raises:
+            OSError: The address can't be listened on.
+        """
+        server = grpc.aio.server(options=self._server_options())
+        for service, methods in self._method_handlers().items():
             server.add_generic_rpc_handlers((grpc.method_handlers_generic_handler(service, methods),))
-        where = f"{address[0]}:{address[1]}"
+        target = f"{address[0]}:{address[1]}"
         try:
             if self._certificates is None:
-                port = server.add_insecure_port(where)
+                port = server.add_insecure_port(target)
             else:
-                port = server.add_secure_port(where, self._certificates.server_credentials())
+                port = server.add_secure_port(target, self._certificates.server_credentials())
         except RuntimeError:
             port = 0
         if not port:
-            raise OSError(f"{where} can't be listened on")
+            raise OSError(f"{target} can't be listened on")
         await server.start()
         self._server = server
         return int(port)
 
+    def _server_options(self) -> list[tuple[str, int]]:
+        bounds = self._core.config.bounds
+        return [
+            ("grpc.max_receive_message_length", bounds.message_kb * 1024),
+            ("grpc.max_send_message_length", -1),
+            ("grpc.max_concurrent_streams", bounds.streams),
+            ("grpc.max_metadata_size", MAX_METADATA_BYTES),
+            ("grpc.so_reuseport", 0),
+            ("grpc.keepalive_time_ms", KEEPALIVE_MS),
+            ("grpc.keepalive_timeout_ms", KEEPALIVE_MS),
+            ("grpc.keepalive_permit_without_calls", 1),
+            ("grpc.http2.max_pings_without_data", 0),
+            ("grpc.http2.min_ping_interval_without_data_ms", MIN_PING_INTERVAL_MS),
+        ]
+
+    def _method_handlers(self) -> dict[str, dict[str, grpc.RpcMethodHandler]]:
+        return {
+            ADS: {
+                "StreamAggregatedResources": grpc.stream_stream_rpc_method_handler(
+                    self._stream_aggregated_resources
+                ),
+                "DeltaAggregatedResources": grpc.stream_stream_rpc_method_handler(
+                    self._delta_aggregated_resources
+                ),
+            },
+            LRS: {"StreamLoadStats": grpc.stream_stream_rpc_method_handler(self._stream_load_stats)},
+            instances.SERVICE: {
+                instances.METHOD: grpc.unary_unary_rpc_method_handler(self._report_peer_status)
+            },
+        }
+
     async def stop(self) -> None:
         """End all streams and the listener."""
-        for each in list(self._open.values()):
-            each.stop(UNAVAILABLE, "this instance is ending")
+        for open_stream in list(self._streams.values()):
+            open_stream.stop(UNAVAILABLE, "this instance is ending")
         if self._server is not None:
-            await self._server.stop(0.2)
+            await self._server.stop(STOP_GRACE_S)
 
-    # --- waking and watching ----------------------------------------------------------------------
+    # --- wake-ups and supervision -----------------------------------------------------------------
 
     def wake(self) -> None:
-        """There is news: every stream looks for its next response."""
-        for each in self._open.values():
-            each.news.set()
-
-    def watch(self) -> None:
-        """Now and then: end streams that have stalled, and move all to an instance that is in touch."""
-        now, core = time.monotonic(), self._core
-        stall = core.config.bounds.stall_ms / 1000
-        for each in list(self._open.values()):
-            if each.stream.group is None and each.stream.responses:
-                each.stop(DENIED, "it may not subscribe any more")
-            if each.writing_since is not None and now - each.writing_since > stall:
-                each.stop(EXHAUSTED, "nothing was read for too long")
-            if not each.stream.subscriber.stuck:
-                each.stuck_since = None
-            elif each.stuck_since is None:
-                each.stuck_since = now
-            elif now - each.stuck_since > stall:
-                each.stop(EXHAUSTED, "nothing was answered for too long")
-        why = core.why_not(self._now())
-        if why is None:
-            self._withheld_since = None
-        elif self._withheld_since is None:
-            self._withheld_since = now
-        elif now - self._withheld_since > WITHHELD_SECONDS and core.handout.is_any_peer_connected(
-            self._now()
-        ):
-            for each in list(self._open.values()):
-                each.stop(UNAVAILABLE, f"withheld: {why.value}")
-
-    def streams(self) -> list[tuple[Stream, str, float | None]]:
-        """All streams with the other end's address, and since when (monotonic) one waits to be written."""
-        return [(each.stream, each.peer, each.writing_since) for each in self._open.values()]
+        """Have every stream look for its next response."""
+        for open_stream in self._streams.values():
+            open_stream.changed.set()
+
+    def supervise(self) -> None:
+        """End streams that make no progress, and all of them once nothing could be published for long."""
+        now_s = time.monotonic()
+        max_stall_s = self._core.config.bounds.stall_ms / 1000
+        for open_stream in list(self._streams.values()):
+            open_stream.check_progress(now_s, max_stall_s)
+        self._end_withheld_streams(now_s)
+
+    def _end_withheld_streams(self, now_s: float) -> None:
+        reason = self._core.withheld_reason(self._now_ns())
+        if reason is None:
+            self._withheld_since_s = None
+        elif self._withheld_since_s is None:
+            self._withheld_since_s = now_s
+        elif now_s - self._withheld_since_s > MAX_WITHHELD_S and self._is_any_peer_connected():
+            for open_stream in list(self._streams.values()):
+                open_stream.stop(UNAVAILABLE, f"withheld: {reason.value}")
+
+    def _is_any_peer_connected(self) -> bool:
+        return self._core.view_consistency.is_any_peer_connected(self._now_ns())
 
     # --- subscribers ------------------------------------------------------------------------------
 
-    def _identity(self, context: Context) -> str | None:
-        """The name in the subscriber's certificate: the first that a group is for; None in plain text."""
+    def _identity(self, context: ServicerContext) -> str | None:
+        """Return the name in the subscriber's certificate: the first with a group; None in plain text."""
         if self._certificates is None:
             return None
-        held = context.auth_context()
+        properties = context.auth_context()
         names: list[str] = [
             name.decode("utf-8", "replace")
             for key in ("x509_subject_alternative_name", "x509_common_name")
-            for name in held.get(key, ())
+            for name in properties.get(key, ())
         ]
         if not names:
             raise ProtocolError("the certificate names nobody")
         return next((name for name in names if self._core.config.group_of(name) is not None), names[0])
 
-    async def _whole(self, requests: Any, context: Context) -> None:
-        await self._guarded(context, lambda: self._subscribe(context, False))
+    async def _stream_aggregated_resources(self, _requests: object, context: ServicerContext) -> None:
+        await self._contain_errors(context, lambda: self._serve_subscriber(context, incremental=False))
 
-    async def _incremental(self, requests: Any, context: Context) -> None:
-        await self._guarded(context, lambda: self._subscribe(context, True))
+    async def _delta_aggregated_resources(self, _requests: object, context: ServicerContext) -> None:
+        await self._contain_errors(context, lambda: self._serve_subscriber(context, incremental=True))
 
-    async def _guarded(self, context: Context, serve: Callable[[], Awaitable[None]]) -> None:
-        """A stream that breaks a rule, or in which a fault shows, ends alone."""
+    async def _contain_errors(self, context: ServicerContext, serve: Callable[[], Awaitable[None]]) -> None:
+        """Serve a stream, and end it alone when it breaks a rule or an internal error occurs."""
         try:
             await serve()
         except ProtocolError as error:
             self.ended_for_cause += 1
             log.warning("stream ended", extra={"fields": {"peer": context.peer(), "reason": error}})
-            await context.abort(DENIED if "may not subscribe" in str(error) else INVALID, str(error))
+            code = DENIED if isinstance(error, SubscriptionDeniedError) else INVALID
+            await context.abort(code, str(error))
         except (grpc.aio.AbortError, asyncio.CancelledError, grpc.aio.UsageError):
             raise
         except Exception:
             log.exception("stream failed", extra={"fields": {"peer": context.peer()}})
             await context.abort(grpc.StatusCode.INTERNAL, "a fault here")
 
-    async def _subscribe(self, context: Context, incremental: bool) -> None:
+    async def _serve_subscriber(self, context: ServicerContext, incremental: bool) -> None:
         core = self._core
-        stream = core.open(self._identity(context), incremental, self._now())
-        held = self._open[stream.id] = _Open(stream, context.peer())
-        writer = asyncio.create_task(self._write(held, context))
-        writer.add_done_callback(lambda task: self._writer_done(held, task))
+        stream = core.open_stream(self._identity(context), incremental, self._now_ns())
+        open_stream = self._streams[stream.id] = _OpenStream(stream, context.peer())
+        writer = asyncio.create_task(self._write_responses(open_stream, context))
+        writer.add_done_callback(lambda task: self._on_writer_done(open_stream, task))
         try:
-            await self._read(held, context)
+            await self._read_requests(open_stream, context)
         except asyncio.CancelledError:
-            if held.end is None:
+            if open_stream.end_status is None:
                 raise
-            code, why = held.end
+            code, reason = open_stream.end_status
             self.ended_for_cause += code is not UNAVAILABLE
-            log.warning("stream ended", extra={"fields": {"peer": held.peer, "reason": why}})
-            await context.abort(code, why)
+            log.warning("stream ended", extra={"fields": {"peer": open_stream.peer, "reason": reason}})
+            await context.abort(code, reason)
         finally:
             writer.cancel()
-            self._open.pop(stream.id, None)
-            core.close(stream)
+            self._streams.pop(stream.id, None)
+            core.close_stream(stream)
 
     @staticmethod
-    def _writer_done(held: _Open, task: asyncio.Task[None]) -> None:
+    def _on_writer_done(open_stream: _OpenStream, task: asyncio.Task[None]) -> None:
         if not task.cancelled() and task.exception() is not None:
-            log.error("writer failed", exc_info=task.exception(), extra={"fields": {"peer": held.peer}})
-            held.stop(grpc.StatusCode.INTERNAL, "a fault here")
+            fields = {"peer": open_stream.peer}
+            log.error("stream writer failed", exc_info=task.exception(), extra={"fields": fields})
+            open_stream.stop(grpc.StatusCode.INTERNAL, "a fault here")
 
-    async def _read(self, held: _Open, context: Context) -> None:
-        core, rate = self._core, Rate(self._core.config.bounds.requests_per_s)
-        incremental = held.stream.subscriber.incremental
+    async def _read_requests(self, open_stream: _OpenStream, context: ServicerContext) -> None:
+        core, limiter = self._core, RateLimiter(self._core.config.bounds.requests_per_s)
+        incremental = open_stream.stream.subscriber.incremental
         while (data := await context.read()) is not grpc.aio.EOF:
-            if not rate.take():
-                held.stop(EXHAUSTED, "too many requests a second")
-                await asyncio.sleep(0)
-            request, who = decode_request(data, incremental)
-            core.request(held.stream, request, who, self._now())
-            held.news.set()
-
-    async def _write(self, held: _Open, context: Context) -> None:
-        core, stream = self._core, held.stream
+            if not limiter.acquire():
+                open_stream.stop(EXHAUSTED, "too many requests a second")
+                await asyncio.sleep(0)  # here the cancellation arrives
+            request, node = decode_request(data, incremental)
+            core.handle_request(open_stream.stream, request, node, self._now_ns())
+            open_stream.changed.set()
+
+    async def _write_responses(self, open_stream: _OpenStream, context: ServicerContext) -> None:
+        core, stream = self._core, open_stream.stream
         while True:
-            await held.news.wait()
-            held.news.clear()
-            while (response := core.next(stream, self._now())) is not None:
-                held.writing_since = time.monotonic()
+            await open_stream.changed.wait()
+            open_stream.changed.clear()
+            while (response := core.next_response(stream, self._now_ns())) is not None:
+                open_stream.writing_since_s = time.monotonic()
                 try:
                     await context.write(response.data)
                 except (grpc.aio.UsageError, grpc.aio.InternalError, grpc.RpcError):
                     return  # the stream is over: its reader ends it
-                held.writing_since = None
+                open_stream.writing_since_s = None
 
     # --- load reports -----------------------------------------------------------------------------
 
-    async def _loads(self, requests: Any, context: Context) -> None:
-        await self._guarded(context, lambda: self._report(context))
+    async def _stream_load_stats(self, _requests: object, context: ServicerContext) -> None:
+        await self._contain_errors(context, lambda: self._serve_load_reports(context))
 
-    async def _report(self, context: Context) -> None:
-        core, rate = self._core, Rate(LOADS_PER_SECOND)
+    async def _serve_load_reports(self, context: ServicerContext) -> None:
+        core, limiter = self._core, RateLimiter(MAX_LOAD_REPORTS_PER_S)
         if self.load_streams >= core.config.bounds.streams:
             raise ProtocolError("too many streams of load reports")
-        identity = self._identity(context)
-        name, zone = identity, None
+        identity, zone = self._identity(context), None
         self.load_streams += 1
         try:
             while (data := await context.read()) is not grpc.aio.EOF:
-                if not rate.take():
+                if not limiter.acquire():
                     raise ProtocolError("too many load reports a second")
-                sums, who = decode_loads(data)
-                name = name or who.id
-                group = core.config.group_of(name)  # each time: the file may have been read again
+                samples, node = decode_loads(data)
+                identity = identity or node.id
+                group = core.config.group_of(identity)  # each time: the file may have been reloaded
                 if group is None:
-                    raise ProtocolError(f"{name[:100]!r} may not subscribe")
+                    raise SubscriptionDeniedError(f"{identity[:100]!r} may not subscribe")
                 if zone is None:
-                    zone = group.zone or who.zone
+                    zone = group.zone or node.zone
                     if zone not in core.zones:
                         raise ProtocolError(f"zone {zone[:100]!r} is not served")
                     await context.write(ask_for_loads(core.config.reports_ms))
-                core.load(zone, sums)
+                core.record_load_report(zone, samples)
         finally:
             self.load_streams -= 1
 
     # --- other instances --------------------------------------------------------------------------
 
-    async def _tell(self, data: bytes, context: Context) -> bytes:
+    async def _report_peer_status(self, data: bytes, context: ServicerContext) -> bytes:
+        core = self._core
         try:
-            return instances.answer(
-                self._core.seal, data, self._core.config.name, self._core.word(self._now())
+            return instances.encode_response(
+                core.seal, data, core.config.name, core.peer_status(self._now_ns())
             )
         except ProtocolError as error:
             await context.abort(DENIED, str(error))
-            raise  # which abort has done
 
 
-class Others:
-    """Asks each other instance for its word, again and again."""
+class PeerPoller:
+    """Polls the status of each other instance."""
 
-    def __init__(self, core: Core, now: Callable[[], int], certificates: Certificates | None) -> None:
-        self._core, self._now, self._certificates = core, now, certificates
+    def __init__(self, core: Core, now_ns: Callable[[], int], certificates: Certificates | None) -> None:
+        self._core, self._now_ns, self._certificates = core, now_ns, certificates
         self.problems: dict[str, str] = {}
 
-    async def follow(self, name: str, address: tuple[str, int], every: float = 0.5) -> None:
-        """The task for one of them; it never ends by itself."""
+    async def poll(
+        self, name: str, address: tuple[str, int], interval_s: float = PEER_POLL_INTERVAL_S
+    ) -> None:
+        """Poll one instance until cancelled, over a new channel whenever the certificates change."""
         target = f"{address[0]}:{address[1]}"
         while True:
             if self._certificates is None:
@@ -310,29 +364,29 @@
             async with channel:
                 call = channel.unary_unary(f"/{instances.SERVICE}/{instances.METHOD}")
                 while self._certificates is None or self._certificates.material is material:
-                    await self._ask(name, call)
-                    await asyncio.sleep(every)
+                    await self._request_status(name, call)
+                    await asyncio.sleep(interval_s)
 
-    async def _ask(self, name: str, call: Any) -> None:
+    async def _request_status(self, name: str, call: UnaryCall) -> None:
         core = self._core
-        asked, number = instances.question(core.seal, core.config.name)
-        at = self._now()  # what it answers may be as old as this
+        request, number = instances.encode_request(core.seal, core.config.name)
+        asked_ns = self._now_ns()  # the status in the response may be as old as this
         try:
-            word = instances.read_answer(core.seal, await call(asked, timeout=1.0), number)
+            status = instances.decode_response(core.seal, await call(request, timeout=PEER_TIMEOUT_S), number)
         except (grpc.RpcError, ProtocolError) as error:
             reason = error.code().name if isinstance(error, grpc.aio.AioRpcError) else str(error)
             if self.problems.get(name) != reason:
                 log.warning(
-                    "instance does not answer", extra={"fields": {"instance": name, "reason": reason}}
+                    "peer status request failed", extra={"fields": {"instance": name, "reason": reason}}
                 )
             self.problems[name] = reason
             return
         self.problems.pop(name, None)
-        core.said(name, word, at)
+        core.record_peer_status(name, status, asked_ns)
 
 
-async def cancel_all(tasks: list[asyncio.Task[Any]]) -> None:
-    """End tasks and wait until they are over."""
+async def cancel_all(tasks: Iterable[asyncio.Task[None]]) -> None:
+    """Cancel tasks and wait until they have ended."""
     for task in tasks:
         task.cancel()
     for task in tasks:
--- a/brambleusher/xds/service.py
+++ b/brambleusher/xds/service.py
@@ -18,7 +18,7 @@
 from brambleusher.xds.core import Core
 from brambleusher.xds.discovery import Discovery
 from brambleusher.xds.faults import ControlError
-from brambleusher.xds.server import Others, XdsServer, cancel_all
+from brambleusher.xds.server import PeerPoller, XdsServer, cancel_all
 from brambleusher.xds.status import Status
 from brambleusher.xds.store import Store, StoreError
 from brambleusher.xds.tls import Certificates
@@ -60,10 +60,10 @@
         self.now = self.discovery.clock.now_ns
         self.core = Core(config, self.store.floor, self.now(), self._seed)
         self.server = XdsServer(self.core, self.now, self.certificates)
-        self.others = Others(self.core, self.now, self.certificates)
+        self.peers = PeerPoller(self.core, self.now, self.certificates)
         self.status = Status(self.core, self.now, self._more)
         try:
-            self.store.begin()
+            self.store.record_start()
         except StoreError as error:
             self._store_failed(error)
         port = await self.server.start(config.listen)
@@ -73,9 +73,7 @@
             where = self._viewers.sockets[0].getsockname()
             addresses["status"] = f"{where[0]}:{where[1]}"
         self._tasks = [loop.create_task(each) for each in (self._tick(), self._write(), self._look())]
-        self._tasks += [
-            loop.create_task(self.others.follow(each.name, each.address)) for each in config.peers
-        ]
+        self._tasks += [loop.create_task(self.peers.poll(each.name, each.address)) for each in config.peers]
         self.discovery.start()
         log.info(
             "serving", extra={"fields": {**addresses, "floor": self.store.floor, "starts": self.store.starts}}
@@ -130,16 +128,16 @@
     # --- what happens -------------------------------------------------------------------------------
 
     def _listed(self, update: EndpointListUpdate, at: int) -> None:
-        self.core.listed(update, at)
+        self.core.record_endpoint_list(update, at)
         self._to_write.set()
 
     def _heard(self, at: int) -> None:
-        self.core.heard(at)
+        self.core.record_discovery_contact(at)
         self.server.wake()
         self._to_write.set()
 
     def _lost(self, at: int) -> None:
-        self.core.lost(at)
+        self.core.record_discovery_lost()
 
     async def _tick(self) -> None:
         """Reports, weights and time."""
@@ -149,8 +147,8 @@
             try:
                 now = self.now()
                 self.core.tick(now)
-                self.server.watch()
-                why = self.core.why_not(now)
+                self.server.supervise()
+                why = self.core.withheld_reason(now)
                 if why is not withheld:
                     if why is None:
                         self.server.wake()
@@ -168,7 +166,7 @@
         while True:
             await self._to_write.wait()
             self._to_write.clear()
-            while (place := self.core.to_write()) is not None:
+            while (place := self.core.position_to_write()) is not None:
                 if not await self._write_one(loop, place):
                     await asyncio.sleep(RETRY_SECONDS)
 
@@ -180,16 +178,16 @@
                 await asyncio.wait_for(asyncio.shield(job), WRITE_SECONDS)
             except TimeoutError:
                 # Guards against a disk that hangs holding a drain back.
-                self.core.write_failed(self.now())
+                self.core.record_write_failure(self.now())
                 await job
         except StoreError as error:
             self._store_failed(error)
-            self.core.write_failed(self.now())
+            self.core.record_write_failure(self.now())
             return False
         if self.store_problem is not None:
             log.info("store written again")
         self.store_problem, self.write_ms = None, (loop.time() - began) * 1000
-        self.core.written(place, self.now())
+        self.core.record_written(place, self.now())
         return True
 
     def _store_failed(self, error: StoreError) -> None:
@@ -209,13 +207,13 @@
         return {
             "store": {
                 "starts": self.store.starts,
-                "lost_at_start": self.store.lost,
+                "lost_at_start": self.store.was_lost,
                 "problem": self.store_problem,
                 "last_write_ms": round(self.write_ms, 2),
             },
             "instances": {
                 "peers": [peer.name for peer in self.config.peers],
-                "problems": self.others.problems,
+                "problems": self.peers.problems,
             },
             "tls": None
             if tls is None
--- a/brambleusher/xds/snapshot.py
+++ b/brambleusher/xds/snapshot.py
@@ -1,4 +1,4 @@
-"""Views as the protocol knows them: named resources of four kinds, each with its version and its bytes.
+"""Views in the form of the protocol: named resources of four kinds, each with its version and bytes.
 
 A resource is made once for each content and shared by all subscribers; what goes on the wire is
 put together from these bytes and never built twice.
@@ -17,26 +17,29 @@
 EDS = _TYPES + "endpoint.v3.ClusterLoadAssignment"
 LDS = _TYPES + "listener.v3.Listener"
 RDS = _TYPES + "route.v3.RouteConfiguration"
-# Make before break: what is pointed to goes before what points there.
+# Make before break: a resource is sent before those that refer to it.
 ORDER = (CDS, EDS, LDS, RDS)
-# An empty subscription to these means all there are, and a response in the state of the world is whole.
+# An empty subscription to these is one to all, and a state-of-the-world response lists all of them.
 WHOLE = frozenset({CDS, LDS})
+_VARINT_BITS, _VARINT_MASK, _VARINT_CONTINUES = 7, 0x7F, 0x80
+_LENGTH_DELIMITED = 2  # wire type
+
 SHORT = {CDS: "CDS", EDS: "EDS", LDS: "LDS", RDS: "RDS"}
 
 
 def varint(value: int) -> bytes:
-    """A whole number as protocol buffers have it."""
+    """Encode a number as a varint of protocol buffers."""
     out = bytearray()
-    while value > 0x7F:
-        out.append(value & 0x7F | 0x80)
-        value >>= 7
+    while value > _VARINT_MASK:
+        out.append(value & _VARINT_MASK | _VARINT_CONTINUES)
+        value >>= _VARINT_BITS
     out.append(value)
     return bytes(out)
 
 
 def sized(number: int, data: bytes) -> bytes:
-    """A field of bytes, text or a message."""
-    return varint(number << 3 | 2) + varint(len(data)) + data
+    """Encode a field of bytes, text or a message."""
+    return varint(number << 3 | _LENGTH_DELIMITED) + varint(len(data)) + data
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,14 +57,16 @@
 
     @classmethod
     def make(
-        cls, kind: str, name: str, body: bytes, seal: Seal, place: ViewPosition, refers: Iterable[str] = ()
+        cls, kind: str, name: str, body: bytes, seal: Seal, position: ViewPosition, refers: Iterable[str] = ()
     ) -> Resource:
-        """A resource as it first appears in the view at `place`."""
-        content = digest(body)
-        version = seal.version(place, content)
+        """Create a resource that first appears in the view at `position`."""
+        content_digest = digest(body)
+        version = seal.version(position, content_digest)
         any_ = sized(1, kind.encode()) + sized(2, body)
         wrapped = sized(1, version.encode()) + sized(2, any_) + sized(3, name.encode())
-        return cls(kind, name, version, content, body, sized(2, any_), sized(2, wrapped), frozenset(refers))
+        return cls(
+            kind, name, version, content_digest, body, sized(2, any_), sized(2, wrapped), frozenset(refers)
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,7 +81,7 @@
 class Library:
     """Makes resources, and gives the same one again for the same content.
 
-    Guards against a version that changes while the content does not, which would be sent to everyone.
+    A version that changes while the content does not would be sent to every subscriber.
     """
 
     def __init__(self, seal: Seal) -> None:
@@ -84,39 +89,42 @@
         self._shelves: dict[tuple[str, str], dict[str, Resource]] = {}
 
     def shelf(
-        self, scope: str, kind: str, drafts: Iterable[Draft], place: ViewPosition
+        self, scope: str, kind: str, drafts: Iterable[Draft], position: ViewPosition
     ) -> Mapping[str, Resource]:
-        """The resources of one kind in one scope (those of one kind of subscriber), by name.
+        """Return the resources of one kind in one scope (of subscribers that get the same), by name.
 
         As long as nothing changes it is the same object: a subscriber need not look into it again.
         """
-        before, out = self._shelves.get((scope, kind), {}), {}
+        before = self._shelves.get((scope, kind), {})
+        resources = {}
         for draft in drafts:
-            held = before.get(draft.name)
-            if held is None or held.body != draft.body:
-                held = Resource.make(kind, draft.name, draft.body, self._seal, place, draft.refers)
-            out[draft.name] = held
-        same = len(out) == len(before) and all(before.get(name) is held for name, held in out.items())
-        if same and (scope, kind) in self._shelves:
+            resource = before.get(draft.name)
+            if resource is None or resource.body != draft.body:
+                resource = Resource.make(kind, draft.name, draft.body, self._seal, position, draft.refers)
+            resources[draft.name] = resource
+        is_same = len(resources) == len(before) and all(
+            before.get(name) is resource for name, resource in resources.items()
+        )
+        if is_same and (scope, kind) in self._shelves:
             return before
-        self._shelves[scope, kind] = out
-        return out
+        self._shelves[scope, kind] = resources
+        return resources
 
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """All that one kind of subscriber may have, as of one place."""
+    """All that subscribers alike may have, as of one position."""
 
-    place: ViewPosition
+    position: ViewPosition
     kinds: Mapping[str, Mapping[str, Resource]]
-    made_ns: int = 0  # when what led to it was heard
+    made_ns: int = 0  # when the change that led to it arrived
     # Responses as far as they are the same for all subscribers: their version and their bytes.
     heads: dict[tuple[object, ...], tuple[str, bytes]] = field(default_factory=dict, repr=False)
 
     def get(self, kind: str, name: str) -> Resource | None:
-        """One resource."""
+        """Return one resource; None where there is none."""
         return self.kinds[kind].get(name)
 
     def names(self, kind: str) -> Iterable[str]:
-        """All names of one kind."""
+        """Return all names of one kind."""
         return self.kinds[kind]
--- a/brambleusher/xds/status.py
+++ b/brambleusher/xds/status.py
@@ -93,7 +93,7 @@
         """One subscriber."""
         held, kinds = stream.subscriber, {}
         for kind in ORDER:
-            names = held.subscription(kind)
+            names = held.subscribed_names(kind)
             if names is None:
                 continue
             sent, acked, waiting = held.versions(kind)
@@ -104,16 +104,16 @@
                 "waiting": waiting,
                 "rejected": {
                     name: {"version": each.version, "reason": each.reason}
-                    for name, each in held.rejects(kind).items()
+                    for name, each in held.rejected(kind).items()
                 },
             }
         return {
             "stream": stream.id,
             "subscriber": stream.identity,
-            "node": stream.who.id,
+            "node": stream.node.id,
             "zone": stream.zone,
             "endpoints": stream.form,
-            "agent": stream.who.agent,
+            "agent": stream.node.agent,
             "variant": "incremental" if held.incremental else "whole state",
             "responses": stream.responses,
             "lag_ms": None if stream.lag_ns is None else round(stream.lag_ns / 1e6, 1),
@@ -123,26 +123,26 @@
     def everything(self) -> dict[str, Any]:
         """The whole of `/status.json`."""
         core, now = self._core, self._now()
-        why = core.why_not(now)
-        handout = core.handout
+        why = core.withheld_reason(now)
+        consistency = core.view_consistency
         return {
             "instance": core.config.name,
             "handing_out": why is None,
             "withheld_because": None if why is None else why.value,
-            "place": handout.position,
-            "floor": handout.floor,
-            "written": handout.written,
+            "place": consistency.position,
+            "floor": consistency.floor,
+            "written": consistency.written,
             "discovery": {
-                "in_touch": handout.is_discovery_connected(now),
-                "version": core.roster.version,
-                "told": core.roster.told_version,
-                "behind": core.roster.behind,
+                "in_touch": consistency.is_discovery_connected(now),
+                "version": core.discovered.version,
+                "told": core.discovered.reported_version,
+                "behind": core.discovered.is_behind,
             },
             "nodes": len(core.endpoints),
             "zones": {
                 zone.name: {
-                    "reports": zone.loads.taken,
-                    "reports_of_unknown_nodes": zone.loads.unknown,
+                    "reports": zone.load_reports.accepted,
+                    "reports_of_unknown_nodes": zone.load_reports.unknown,
                     "in_use": sum(share.weight > 0 for tier in zone.tiers for share in tier.endpoints),
                     "left_out": [
                         share.host
@@ -169,7 +169,7 @@
         found = [
             stream
             for stream in core.streams.values()
-            if stream.group is not None and name in (stream.identity, stream.who.id, str(stream.id))
+            if stream.group is not None and name in (stream.identity, stream.node.id, str(stream.id))
         ]
         if not found or not core.endpoints:
             return None if not found else []
@@ -178,10 +178,10 @@
         newest = core.snapshot(stream.zone, stream.form, stream.group, self._now())
         out = []
         for kind in ORDER:
-            wants = stream.subscriber.subscription(kind)
+            wants = stream.subscriber.subscribed_names(kind)
             if wants is None:
                 continue
-            holds = stream.subscriber.holds(kind)
+            holds = stream.subscriber.acknowledged(kind)
             names = set(holds) | {each for each in newest.names(kind) if "*" in wants or each in wants}
             out += [difference(kind, each, holds.get(each), newest.get(kind, each)) for each in sorted(names)]
         return out
--- a/brambleusher/xds/store.py
+++ b/brambleusher/xds/store.py
@@ -1,16 +1,16 @@
-"""Durable storage for the place of the newest view that was handed out: one sealed row in SQLite.
+"""Durable storage for the position of the newest published view: one sealed row in SQLite.
 
 The journal is kept and written over, and the row has a fixed size, so that once the files exist a
 write needs no further space.  A file that can't be read, or whose row is not sealed by this
-installation, is put aside, and what was in it counts as lost.
+installation, is renamed, and its content counts as lost.
 """
 
 from __future__ import annotations
 
 import contextlib
 import logging
-import os
 import sqlite3
+from pathlib import Path
 
 from brambleusher.loadbalancing.view_consistency import ViewPosition
 from brambleusher.xds.faults import ControlError
@@ -20,38 +20,43 @@
 
 _SCHEMA = "CREATE TABLE IF NOT EXISTS place (id INTEGER PRIMARY KEY CHECK (id = 1), row BLOB NOT NULL)"
 _ROW = "{:018d}.{:018d}.{:018d}"  # epoch, version, starts: always as many bytes
-BUSY_MS = 200
+_SIDE_FILES = ("-journal", "-wal", "-shm")
+BUSY_TIMEOUT_S = 0.2  # for a lock that another process holds
 
 
 class StoreError(OSError):
-    """The place could not be written; what is on storage is an earlier one, whole."""
+    """A position could not be written; an earlier one is still on storage, complete."""
 
 
 class Store:
-    """The file; one thread at a time uses it."""
+    """The open file; one thread at a time uses it."""
 
     def __init__(self, path: str, seal: Seal) -> None:
-        """Open or make the file; raises `ControlError` where that can't be done at all."""
+        """Open or create the file.
+
+        Raises:
+            ControlError: The file can't be opened or created.
+        """
         self._path, self._seal = path, seal
-        self.floor: ViewPosition | None = None  # what was last written; None: nothing, or it was lost
+        self.floor: ViewPosition | None = None  # the position written last; None: none, or it was lost
         self.starts = 0
-        self.lost = False  # there was a file, and it could not be read
+        self.was_lost = False  # there was a file, and it could not be read
         try:
             self._db = self._open()
             self._read()
         except (sqlite3.DatabaseError, ValueError) as error:
-            if isinstance(error, sqlite3.OperationalError) and not _is_damage(error):
+            if isinstance(error, sqlite3.OperationalError) and not _is_corruption(error):
                 raise ControlError(f"store.file: {path}: {error}") from None
-            self._put_aside(str(error))
+            self._move_aside(str(error))
             try:
                 self._db = self._open()
-            except sqlite3.Error as again:
-                raise ControlError(f"store.file: {path}: {again}") from None
-            self.lost = True
+            except sqlite3.Error as retry_error:
+                raise ControlError(f"store.file: {path}: {retry_error}") from None
+            self.was_lost = True
 
     def _open(self) -> sqlite3.Connection:
         db = sqlite3.connect(
-            self._path, timeout=BUSY_MS / 1000, isolation_level=None, check_same_thread=False
+            self._path, timeout=BUSY_TIMEOUT_S, isolation_level=None, check_same_thread=False
         )
         try:
             db.execute("PRAGMA journal_mode = PERSIST")
@@ -63,47 +68,56 @@
         return db
 
     def _read(self) -> None:
-        (fine,) = self._db.execute("PRAGMA quick_check(1)").fetchone()
-        if fine != "ok":
-            raise ValueError(str(fine))
-        found = self._db.execute("SELECT row FROM place WHERE id = 1").fetchone()
-        if found is None:
+        (check,) = self._db.execute("PRAGMA quick_check(1)").fetchone()
+        if check != "ok":
+            raise ValueError(str(check))
+        row = self._db.execute("SELECT row FROM place WHERE id = 1").fetchone()
+        if row is None:
             return
-        text, _, mark = bytes(found[0]).decode("ascii").rpartition(".")
-        if not self._seal.good(text, mark):
+        text, _, seal = bytes(row[0]).decode("ascii").rpartition(".")
+        if not self._seal.verify(text, seal):
             raise ValueError("the row has no good seal")
-        epoch, version, starts = (int(part) for part in text.split("."))
+        epoch, version, starts = (int(field) for field in text.split("."))
         self.starts = starts
         if epoch:
             self.floor = ViewPosition(epoch, version)
 
-    def _put_aside(self, reason: str) -> None:
+    def _move_aside(self, reason: str) -> None:
         with contextlib.suppress(sqlite3.Error, AttributeError):
             self._db.close()
-        aside = f"{self._path}.bad"
-        log.error("store put aside", extra={"fields": {"file": self._path, "as": aside, "reason": reason}})
-        for end in ("-journal", "-wal", "-shm"):
+        renamed = f"{self._path}.bad"
+        fields = {"file": self._path, "renamed_to": renamed, "reason": reason}
+        log.error("store corrupt, file renamed", extra={"fields": fields})
+        for suffix in _SIDE_FILES:
             with contextlib.suppress(OSError):
-                os.unlink(self._path + end)
+                Path(self._path + suffix).unlink()
         try:
-            os.replace(self._path, aside)
+            Path(self._path).replace(renamed)
         except OSError as error:
             raise ControlError(f"store.file: {self._path}: {error.strerror}") from None
 
-    def begin(self) -> None:
-        """Count a start; raises `StoreError`."""
+    def record_start(self) -> None:
+        """Count a start of the service.
+
+        Raises:
+            StoreError: It could not be written.
+        """
         self.starts += 1
         self._write(self.floor or ViewPosition(0, 0))
 
-    def write(self, place: ViewPosition) -> None:
-        """Have a place on durable storage when this returns, unless a later one is; raises `StoreError`."""
-        if self.floor is None or place > self.floor:
-            self._write(place)
-            self.floor = place
+    def write(self, position: ViewPosition) -> None:
+        """Put a position on durable storage, unless a later one is there.
+
+        Raises:
+            StoreError: It could not be written.
+        """
+        if self.floor is None or position > self.floor:
+            self._write(position)
+            self.floor = position
 
-    def _write(self, place: ViewPosition) -> None:
-        text = _ROW.format(place.epoch, place.version, self.starts)
-        row = f"{text}.{self._seal.mark(text)}".encode()
+    def _write(self, position: ViewPosition) -> None:
+        text = _ROW.format(position.epoch, position.version, self.starts)
+        row = f"{text}.{self._seal.sign(text)}".encode()
         try:
             self._db.execute(
                 "INSERT INTO place VALUES (1, ?) ON CONFLICT (id) DO UPDATE SET row = excluded.row", (row,)
@@ -114,9 +128,9 @@
             raise StoreError(f"{self._path}: {error}") from None
 
     def close(self) -> None:
-        """Let go of the file."""
+        """Close the file."""
         self._db.close()
 
 
-def _is_damage(error: sqlite3.OperationalError) -> bool:
-    return any(word in str(error) for word in ("malformed", "corrupt", "not a database"))
+def _is_corruption(error: sqlite3.OperationalError) -> bool:
+    return any(text in str(error) for text in ("malformed", "corrupt", "not a database"))
--- a/brambleusher/xds/versions.py
+++ b/brambleusher/xds/versions.py
@@ -1,10 +1,10 @@
-"""Version strings that can be believed: a view's place, a digest of the content, and a seal over both.
+"""Version strings that prove themselves: a view's position, a digest of the content, and a MAC over both.
 
     EPOCH.VERSION.DIGEST.SEAL        e.g. 3.41.9f86d081884c7d65.c1a5e2b0d7f3a901
 
 Instances of one installation share the secret.  A subscriber hands the string back when it
-reconnects, to whichever instance; a string with a good seal proves that a view at that place was
-handed out, and any other proves nothing.
+reconnects, to whichever instance; a string with a valid seal proves that a view at that position was
+published, and any other proves nothing.
 """
 
 from __future__ import annotations
@@ -17,47 +17,48 @@
 from brambleusher.loadbalancing.view_consistency import ViewPosition
 
 _FORM = re.compile(r"(\d{1,18})\.(\d{1,18})\.([0-9a-f]{16})\.([0-9a-f]{16})", re.ASCII)
-DIGEST_BYTES = 8
-MIN_SECRET = 16
+DIGEST_BYTES = 8  # of content and of a seal, as the form above has them
+KEY_BYTES = 32
+MIN_SECRET_BYTES = 16
 
 
 def digest(data: bytes) -> str:
-    """A short name for content; equal for equal content, in every instance and after a restart."""
+    """Return a digest of content; the same in every instance and after a restart."""
     return hashlib.blake2b(data, digest_size=DIGEST_BYTES).hexdigest()
 
 
 @dataclass(frozen=True, slots=True)
-class Claim:
-    """What a version string with a good seal says."""
+class ProvenVersion:
+    """The content of a version string with a valid seal."""
 
-    place: ViewPosition
+    position: ViewPosition
     digest: str
 
 
 class Seal:
-    """Makes and reads version strings."""
+    """Makes and verifies version strings."""
 
     def __init__(self, secret: bytes) -> None:
-        """`secret`: at least 16 bytes, the same in every instance."""
-        self._secret = hashlib.blake2b(secret, digest_size=32, person=b"control seal").digest()
+        """Derive the key from a secret of at least `MIN_SECRET_BYTES`, the same in every instance."""
+        self._key = hashlib.blake2b(secret, digest_size=KEY_BYTES, person=b"control seal").digest()
 
-    def mark(self, text: str) -> str:
-        """The seal over a text."""
-        mac = hashlib.blake2b(text.encode(), digest_size=DIGEST_BYTES, key=self._secret)
+    def sign(self, text: str) -> str:
+        """Return the seal over a text."""
+        mac = hashlib.blake2b(text.encode(), digest_size=DIGEST_BYTES, key=self._key)
         return mac.hexdigest()
 
-    def good(self, text: str, mark: str) -> bool:
-        """Whether `mark` is the seal over `text`."""
-        return hmac.compare_digest(self.mark(text).encode(), mark.encode("utf-8", "replace"))
+    def verify(self, text: str, seal: str) -> bool:
+        """Return whether `seal` is the one over `text`."""
+        return hmac.compare_digest(self.sign(text).encode(), seal.encode("utf-8", "replace"))
 
-    def version(self, place: ViewPosition, content: str) -> str:
-        """The version string of content, given as its digest, in the view at `place`."""
-        text = f"{place.epoch}.{place.version}.{content}"
-        return f"{text}.{self.mark(text)}"
+    def version(self, position: ViewPosition, content_digest: str) -> str:
+        """Return the version string of content in the view at `position`."""
+        text = f"{position.epoch}.{position.version}.{content_digest}"
+        return f"{text}.{self.sign(text)}"
 
-    def read(self, version: str) -> Claim | None:
-        """What a version string proves; None where it is not one of this installation's."""
-        found = _FORM.fullmatch(version)
-        if found is None or not self.good(version[: found.start(4) - 1], found[4]):
+    def parse(self, version: str) -> ProvenVersion | None:
+        """Return what a version string proves; None where this installation did not make it."""
+        match = _FORM.fullmatch(version)
+        if match is None or not self.verify(version[: match.start(4) - 1], match[4]):
             return None
-        return Claim(ViewPosition(int(found[1]), int(found[2])), found[3])
+        return ProvenVersion(ViewPosition(int(match[1]), int(match[2])), match[3])
--- a/brambleusher/xds/wire.py
+++ b/brambleusher/xds/wire.py
@@ -1,4 +1,4 @@
-"""Requests and load reports from bytes, and the few small messages that go back.
+"""Decode requests and load reports, and encode the settings of load reports.
 
 Everything that a subscriber may put into a message is bounded here or by its reader.
 """
@@ -20,7 +20,9 @@
 
 ADS = "envoy.service.discovery.v3.AggregatedDiscoveryService"
 LRS = "envoy.service.load_stats.v3.LoadReportingService"
-MAX_COUNT = 1_000_000_000
+MAX_COUNT = 1_000_000_000  # of requests in one report
+MAX_NODE_CHARS = 256
+MAX_AGENT_CHARS = 100
 _METRICS = {
     UTILISATION: UTILISATION, f"named_metrics.{UTILISATION}": UTILISATION,
     THROUGHPUT: THROUGHPUT, f"named_metrics.{THROUGHPUT}": THROUGHPUT,
@@ -29,8 +31,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Who:
-    """What a subscriber says of itself in its first request."""
+class NodeIdentity:
+    """How a subscriber identifies itself in its first request."""
 
     id: str = ""
     zone: str = ""
@@ -38,22 +40,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sum:
-    """Attempts at one node since the last report, and its own figures as (count, total) by name."""
+class LoadSample:
+    """Requests to one host since the last report, and the host's own metrics as (count, total) by name."""
 
     cluster: str
-    node: str  # the node's id where the locality names it, else empty
+    host: str  # its name where the locality has it, else empty
     address: tuple[str, int]
-    served: int
-    failed: int
-    figures: dict[str, tuple[int, float]]
+    successes: int
+    errors: int
+    metrics: dict[str, tuple[int, float]]
 
 
-def _who(node: object) -> Who:
-    return Who(
-        str(getattr(node, "id", ""))[:256],
-        str(getattr(getattr(node, "locality", None), "zone", ""))[:256],
-        str(getattr(node, "user_agent_name", ""))[:100],
+def _node_identity(node: object) -> NodeIdentity:
+    return NodeIdentity(
+        str(getattr(node, "id", ""))[:MAX_NODE_CHARS],
+        str(getattr(getattr(node, "locality", None), "zone", ""))[:MAX_NODE_CHARS],
+        str(getattr(node, "user_agent_name", ""))[:MAX_AGENT_CHARS],
     )
 
 
@@ -61,8 +63,12 @@
     return (message.error_detail.message or "no reason given") if message.HasField("error_detail") else None
 
 
-def decode_request(data: bytes, incremental: bool) -> tuple[Request, Who]:
-    """A request of either variant and the node it names; raises `ProtocolError`."""
+def decode_request(data: bytes, incremental: bool) -> tuple[Request, NodeIdentity]:
+    """Decode a request of either variant, and the node it names.
+
+    Raises:
+        ProtocolError: The bytes are no such message.
+    """
     try:
         if incremental:
             delta = discovery_pb2.DeltaDiscoveryRequest.FromString(data)
@@ -72,7 +78,7 @@
                 unsubscribe=tuple(delta.resource_names_unsubscribe),
                 held=dict(delta.initial_resource_versions),
             )  # fmt: skip
-            return request, _who(delta.node)
+            return request, _node_identity(delta.node)
         state = discovery_pb2.DiscoveryRequest.FromString(data)
     except DecodeError:
         raise ProtocolError("a message that can't be read") from None
@@ -80,19 +86,19 @@
         state.type_url, state.response_nonce, _error(state),
         version=state.version_info, names=tuple(state.resource_names),
     )  # fmt: skip
-    return request, _who(state.node)
+    return request, _node_identity(state.node)
 
 
-def _figures(pairs: Iterable[tuple[str, int, float]]) -> dict[str, tuple[int, float]]:
-    out = {}
+def _accepted_metrics(pairs: Iterable[tuple[str, int, float]]) -> dict[str, tuple[int, float]]:
+    accepted = {}
     for name, count, total in pairs:
         known = _METRICS.get(name)
         if known is not None and 0 < count <= MAX_COUNT and math.isfinite(total) and total >= 0:
-            out[known] = (count, total)
-    return out
+            accepted[known] = (count, total)
+    return accepted
 
 
-def _named(stats: Iterable[load_report_pb2.EndpointLoadMetricStats]) -> list[tuple[str, int, float]]:
+def _named_metrics(stats: Iterable[load_report_pb2.EndpointLoadMetricStats]) -> list[tuple[str, int, float]]:
     return [(s.metric_name, s.num_requests_finished_with_metric, s.total_metric_value) for s in stats]
 
 
@@ -100,39 +106,50 @@
     return min(int(value), MAX_COUNT)
 
 
-def decode_loads(data: bytes) -> tuple[list[Sum], Who]:
-    """A load report's sums by node, and who sends it; raises `ProtocolError`."""
+def decode_loads(data: bytes) -> tuple[list[LoadSample], NodeIdentity]:
+    """Decode a load report into samples by host, and the node that sends it.
+
+    Raises:
+        ProtocolError: The bytes are no such message.
+    """
     try:
         message = lrs_pb2.LoadStatsRequest.FromString(data)
     except DecodeError:
         raise ProtocolError("a load report that can't be read") from None
-    sums = []
+    samples = []
     for cluster in message.cluster_stats:
-        for part in cluster.upstream_locality_stats:
-            for each in part.upstream_endpoint_stats:
-                where = each.address.socket_address
-                sums.append(
-                    Sum(
-                        cluster.cluster_name, "", (where.address, where.port_value),
-                        _count(each.total_successful_requests), _count(each.total_error_requests),
-                        _figures(_named(each.load_metric_stats)),
-                    )
-                )  # fmt: skip
-            if part.locality.sub_zone and not part.upstream_endpoint_stats:
-                own = part.cpu_utilization
-                figures = [(UTILISATION, own.num_requests_finished_with_metric, own.total_metric_value)]
-                sums.append(
-                    Sum(
-                        cluster.cluster_name, part.locality.sub_zone, ("", 0),
-                        _count(part.total_successful_requests), _count(part.total_error_requests),
-                        _figures([*figures, *_named(part.load_metric_stats)]),
-                    )
-                )  # fmt: skip
-    return sums, _who(message.node)
-
-
-def ask_for_loads(every_ms: int) -> bytes:
-    """The answer to a load report's first message: report on everything, by node, so often."""
-    answer = lrs_pb2.LoadStatsResponse(send_all_clusters=True, report_endpoint_granularity=True)
-    answer.load_reporting_interval.FromMilliseconds(every_ms)
-    return bytes(answer.SerializeToString())
+        for locality in cluster.upstream_locality_stats:
+            samples += [
+                _endpoint_sample(cluster.cluster_name, endpoint)
+                for endpoint in locality.upstream_endpoint_stats
+            ]
+            if locality.locality.sub_zone and not locality.upstream_endpoint_stats:
+                samples.append(_locality_sample(cluster.cluster_name, locality))
+    return samples, _node_identity(message.node)
+
+
+def _endpoint_sample(cluster: str, stats: load_report_pb2.UpstreamEndpointStats) -> LoadSample:
+    address = stats.address.socket_address
+    return LoadSample(
+        cluster, "", (address.address, address.port_value),
+        _count(stats.total_successful_requests), _count(stats.total_error_requests),
+        _accepted_metrics(_named_metrics(stats.load_metric_stats)),
+    )  # fmt: skip
+
+
+def _locality_sample(cluster: str, stats: load_report_pb2.UpstreamLocalityStats) -> LoadSample:
+    """Read the report of a client that reports by locality; a locality is one host then."""
+    cpu = stats.cpu_utilization
+    metrics = [(UTILISATION, cpu.num_requests_finished_with_metric, cpu.total_metric_value)]
+    return LoadSample(
+        cluster, stats.locality.sub_zone, ("", 0),
+        _count(stats.total_successful_requests), _count(stats.total_error_requests),
+        _accepted_metrics([*metrics, *_named_metrics(stats.load_metric_stats)]),
+    )  # fmt: skip
+
+
+def ask_for_loads(interval_ms: int) -> bytes:
+    """Encode the response to the first load report: report on all clusters, by endpoint, so often."""
+    response = lrs_pb2.LoadStatsResponse(send_all_clusters=True, report_endpoint_granularity=True)
+    response.load_reporting_interval.FromMilliseconds(interval_ms)
+    return bytes(response.SerializeToString())
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -48,16 +48,16 @@
 )
 from brambleusher.net.endpoint_list import Endpoint, EndpointListUpdate
 from brambleusher.xds.config import ControlConfig, Group, load_control, parse_control
-from brambleusher.xds.core import Core, Stream, restrained
+from brambleusher.xds.core import Core, Stream, without_additions
+from brambleusher.xds.discovered_endpoints import DiscoveredEndpoints
 from brambleusher.xds.faults import ControlError, ProtocolError
-from brambleusher.xds.resources import ENDPOINTS, Endpoints, fixed
-from brambleusher.xds.roster import Roster
+from brambleusher.xds.resources import ENDPOINTS, AssignmentBuilder, static_resources
 from brambleusher.xds.snapshot import CDS, EDS, LDS, RDS, Draft, Library, Snapshot
 from brambleusher.xds.status import MESSAGES
 from brambleusher.xds.store import Store, StoreError
 from brambleusher.xds.subscriber import Request, Response, Subscriber
 from brambleusher.xds.versions import Seal
-from brambleusher.xds.wire import Who, decode_loads, decode_request
+from brambleusher.xds.wire import NodeIdentity, decode_loads, decode_request
 from tests.rig import SETTINGS
 
 MS, SECOND = 1_000_000, 1_000_000_000
@@ -100,7 +100,7 @@
 
 
 def subscriber(incremental: bool = False) -> Subscriber:
-    return Subscriber(SEAL, incremental, max_names=10, max_name=50)
+    return Subscriber(SEAL, incremental, max_names=10, max_name_bytes=50)
 
 
 def test_whole_state_is_sent_acknowledged_and_not_sent_again() -> None:
@@ -128,11 +128,11 @@
     held.offer(views.make(eds={"e": "good", "other": "1"}))
     held.receive(Request(EDS, names=("e", "other"), subscribe=("e", "other")))
     held.receive(ack(held.take(), "e", "other"))
-    good = held.holds(EDS)["e"].version
+    good = held.acknowledged(EDS)["e"].version
     held.offer(views.make(eds={"e": "bad", "other": "1"}))
     held.receive(ack(held.take(), "e", "other", error="no such thing"))
-    assert held.holds(EDS)["e"].version == good
-    assert held.rejects(EDS)["e"].reason == "no such thing"
+    assert held.acknowledged(EDS)["e"].version == good
+    assert held.rejected(EDS)["e"].reason == "no such thing"
     held.offer(views.make(eds={"e": "bad", "other": "2"}))
     assert had(held.take()) == (EDS, {"other": b"2"}, ())
     held.refresh(EDS)  # what was refused is not refreshed either
@@ -144,7 +144,7 @@
     response = held.take()
     assert had(response) == (EDS, {"e": b"mended"}, ())
     held.receive(ack(response, "e", "other"))
-    assert not held.rejects(EDS) and held.holds(EDS)["e"].body == b"mended"
+    assert not held.rejected(EDS) and held.acknowledged(EDS)["e"].body == b"mended"
 
 
 def test_one_that_is_slow_gets_the_newest_and_nothing_in_between() -> None:
@@ -193,7 +193,7 @@
         now = (f"{at}-1", f"{at}-2")
         was = (f"{at - 1}-1", f"{at - 1}-2")
         held.receive(Request(CDS, nonce, names=("*", *now), subscribe=now, unsubscribe=was))
-    assert len(held._kinds[CDS].gone) <= 4
+    assert len(held._subscriptions[CDS].removed) <= 4
 
 
 def test_requests_written_before_the_last_response_was_read_change_no_names() -> None:
@@ -203,7 +203,7 @@
     held.receive(Request(EDS, names=("a", "b")))  # before any response: counts
     assert had(held.take()) == (EDS, {"a": b"1", "b": b"1"}, ())
     held.receive(Request(EDS, names=("b",)))
-    assert held.subscription(EDS) == ["a", "b"]
+    assert held.subscribed_names(EDS) == ["a", "b"]
 
 
 @pytest.mark.parametrize(
@@ -255,17 +255,17 @@
     }.get(claim)
     held.offer(now)
     held.receive(Request(EDS, subscribe=("e",), held={} if version is None else {"e": version}))
-    assert bool(held.claims) == claims
+    assert bool(held.proven_positions) == claims
     assert (held.take() is not None) == sent
     if not sent:  # what it has proven to hold counts as accepted
-        assert held.holds(EDS)["e"] is resource
+        assert held.acknowledged(EDS)["e"] is resource
 
 
 def test_whole_state_is_sent_anew_on_a_new_stream_and_its_claim_is_kept() -> None:
     views, held = Views(), subscriber()
     held.offer(views.make(eds={"e": "now"}))
     held.receive(Request(EDS, version=SEAL.version(ViewPosition(4, 2), "0" * 16), names=("e",)))
-    assert held.claims == [ViewPosition(4, 2)]
+    assert held.proven_positions == [ViewPosition(4, 2)]
     assert had(held.take()) == (EDS, {"e": b"now"}, ())
 
 
@@ -309,11 +309,11 @@
 
 def test_a_seal_is_only_good_over_what_it_was_put_on() -> None:
     version = SEAL.version(ViewPosition(3, 41), "0123456789abcdef")
-    claim = SEAL.read(version)
-    assert claim is not None and claim.place == ViewPosition(3, 41)
+    claim = SEAL.parse(version)
+    assert claim is not None and claim.position == ViewPosition(3, 41)
     for other in (version.replace("41", "42"), version[:-1] + "0", version + "0", "", "3.41", "²" + version):
-        assert SEAL.read(other) is None or other == version
-    assert Seal(b"another secret, as long").read(version) is None
+        assert SEAL.parse(other) is None or other == version
+    assert Seal(b"another secret, as long").parse(version) is None
 
 
 # --- who may hand out ---------------------------------------------------------------------------
@@ -380,14 +380,14 @@
 
 
 def test_the_list_held_never_goes_back() -> None:
-    roster = Roster()
-    assert set(roster.take(update(5, endpoint("n1"), endpoint("n2"))) or ()) == {"n1", "n2"}
-    assert set(roster.take(update(6, endpoint("n2", api.HostState.REMOVED), full=False)) or ()) == {"n2"}
-    assert roster.take(update(3, endpoint("n1"), endpoint("n2"))) is None and roster.behind
-    assert roster.take(update(5, endpoint("n3"), full=False)) is None
+    roster = DiscoveredEndpoints()
+    assert set(roster.update(update(5, endpoint("n1"), endpoint("n2"))) or ()) == {"n1", "n2"}
+    assert set(roster.update(update(6, endpoint("n2", api.HostState.REMOVED), full=False)) or ()) == {"n2"}
+    assert roster.update(update(3, endpoint("n1"), endpoint("n2"))) is None and roster.is_behind
+    assert roster.update(update(5, endpoint("n3"), full=False)) is None
     assert set(roster.endpoints) == {"n1"} and roster.version == 6
-    changed = roster.take(update(7, endpoint("n1", api.HostState.DRAINING), full=False))
-    assert not roster.behind and set(roster.endpoints) == {"n1", "n2", "n3"} and set(changed or ()) == {
+    changed = roster.update(update(7, endpoint("n1", api.HostState.DRAINING), full=False))
+    assert not roster.is_behind and set(roster.endpoints) == {"n1", "n2", "n3"} and set(changed or ()) == {
         "n1", "n2", "n3"
     }  # fmt: skip
 
@@ -400,7 +400,7 @@
     }
     newest = {each.entry.host: each for each in (
         endpoint("n1", drain), endpoint("n3"), endpoint("n4", port=1), endpoint("n5"))}  # fmt: skip
-    kept = restrained(before, newest)
+    kept = without_additions(before, newest)
     assert {name: each.entry.state for name, each in kept.items()} == {"n1": drain, "n3": drain}
 
 
@@ -425,11 +425,11 @@
 def core_with(
     folder: Path, *machines: Endpoint, version: int = 1, floor: ViewPosition | None = None, **more: Any
 ) -> Core:
-    core = Core(control(folder, **more), floor, 0, sure=True)
-    core.listed(update(version, *machines), 0)
-    place = core.to_write()
+    core = Core(control(folder, **more), floor, 0, is_floor_certain=True)
+    core.record_endpoint_list(update(version, *machines), 0)
+    place = core.position_to_write()
     if place is not None:
-        core.written(place, 0)
+        core.record_written(place, 0)
     return core
 
 
@@ -437,7 +437,7 @@
     core: Core, name: str = "p", incremental: bool = False, agent: str = "stand-in"
 ) -> tuple[Stream, ProxyStandIn]:
     proxy = ProxyStandIn(name, "z", incremental, agent)
-    stream = core.open(None, incremental, 0)
+    stream = core.open_stream(None, incremental, 0)
     feed(core, stream, proxy, proxy.connect())
     return stream, proxy
 
@@ -445,10 +445,10 @@
 def feed(core: Core, stream: Stream, proxy: ProxyStandIn, requests: list[bytes], now: int = 0) -> None:
     """Pass requests and responses to and fro until both are silent."""
     for data in requests:
-        core.request(stream, *decode_request(data, proxy.incremental), now)
-    while (response := core.next(stream, now)) is not None:
+        core.handle_request(stream, *decode_request(data, proxy.incremental), now)
+    while (response := core.next_response(stream, now)) is not None:
         for data in proxy.receive(response.data):
-            core.request(stream, *decode_request(data, proxy.incremental), now)
+            core.handle_request(stream, *decode_request(data, proxy.incremental), now)
 
 
 @pytest.mark.parametrize("incremental", [False, True])
@@ -456,10 +456,10 @@
     core = core_with(tmp_path, endpoint("n1"), endpoint("n2"))
     stream, proxy = join(core, incremental=incremental)
     assert proxy.complete() and set(proxy.usable()) == {"10.0.0.1:9001", "10.0.0.1:9002"}
-    core.listed(update(2, endpoint("n1", api.HostState.DRAINING), full=False), 1)
+    core.record_endpoint_list(update(2, endpoint("n1", api.HostState.DRAINING), full=False), 1)
     feed(core, stream, proxy, [], 1)
     assert len(proxy.usable()) == 2  # it is not written yet
-    core.written(ViewPosition(1, 2), 2)
+    core.record_written(ViewPosition(1, 2), 2)
     feed(core, stream, proxy, [], 2)
     assert set(proxy.usable()) == {"10.0.0.1:9002"}
     assert [each.address for each in proxy.endpoints() if each.draining] == ["10.0.0.1:9001"]
@@ -468,11 +468,13 @@
 def test_while_the_disk_is_full_drains_go_out_and_nothing_is_added(tmp_path: Path) -> None:
     core = core_with(tmp_path, endpoint("n1"), endpoint("n2"))
     stream, proxy = join(core)
-    core.listed(update(2, endpoint("n2", api.HostState.DRAINING), endpoint("n3"), full=False), 1)
-    core.write_failed(1)
+    core.record_endpoint_list(
+        update(2, endpoint("n2", api.HostState.DRAINING), endpoint("n3"), full=False), 1
+    )
+    core.record_write_failure(1)
     feed(core, stream, proxy, [], 1)
     assert set(proxy.usable()) == {"10.0.0.1:9001"} and len(proxy.endpoints()) == 2
-    core.written(ViewPosition(1, 2), 2)
+    core.record_written(ViewPosition(1, 2), 2)
     feed(core, stream, proxy, [], 2)
     assert set(proxy.usable()) == {"10.0.0.1:9001", "10.0.0.1:9003"}
 
@@ -483,10 +485,10 @@
     stream, proxy = join(core, agent=agent)
     before = proxy.responses
     for now, more in ((900 * MS, 0), (1100 * MS, 1), (1200 * MS, 1), (2200 * MS, 2)):
-        core.heard(now)
+        core.record_discovery_contact(now)
         feed(core, stream, proxy, [], now)
         assert proxy.responses == before + more * renewed
-    core.lost(2300 * MS)
+    core.record_discovery_lost()
     feed(core, stream, proxy, [], 9 * SECOND)  # out of touch: what it has is left to go stale
     assert proxy.responses == before + 2 * renewed
 
@@ -494,8 +496,8 @@
 def test_a_restarted_instance_withholds_until_discovery_has_caught_up(tmp_path: Path) -> None:
     core = core_with(tmp_path, endpoint("n1"), version=4, floor=ViewPosition(1, 9))
     stream, proxy = join(core)
-    assert core.why_not(0) is WithheldReason.BEHIND and not proxy.responses
-    core.listed(update(9, endpoint("n2")), 1)
+    assert core.withheld_reason(0) is WithheldReason.BEHIND and not proxy.responses
+    core.record_endpoint_list(update(9, endpoint("n2")), 1)
     feed(core, stream, proxy, [], 1)
     assert set(proxy.usable()) == {"10.0.0.1:9002"}
 
@@ -503,22 +505,22 @@
 def test_discovery_down_for_a_minute_and_back_with_an_older_list(tmp_path: Path) -> None:
     core = core_with(tmp_path, endpoint("n1"), endpoint("n2"), version=9)
     stream, proxy = join(core)
-    core.lost(SECOND)
+    core.record_discovery_lost()
     minute = 60 * SECOND
     core.tick(minute)
-    assert core.why_not(minute) is WithheldReason.ISOLATED
-    later = core.open(None, True, minute)
+    assert core.withheld_reason(minute) is WithheldReason.ISOLATED
+    later = core.open_stream(None, True, minute)
     newcomer = ProxyStandIn("q", "z", True)
     feed(core, later, newcomer, newcomer.connect(), minute)
     assert not newcomer.responses and len(proxy.usable()) == 2  # the last good view stays
-    core.listed(update(7, endpoint("n1")), minute)
+    core.record_endpoint_list(update(7, endpoint("n1")), minute)
     feed(core, stream, proxy, [], minute)
     feed(core, later, newcomer, [], minute)
     assert set(newcomer.usable()) == set(proxy.usable()) == {"10.0.0.1:9001", "10.0.0.1:9002"}
-    core.listed(update(8, endpoint("n2", api.HostState.DRAINING), full=False), minute)
-    assert core.to_write() is None and core.roster.behind
-    core.listed(update(10, endpoint("n3"), full=False), minute)
-    core.written(ViewPosition(1, 10), minute)
+    core.record_endpoint_list(update(8, endpoint("n2", api.HostState.DRAINING), full=False), minute)
+    assert core.position_to_write() is None and core.discovered.is_behind
+    core.record_endpoint_list(update(10, endpoint("n3"), full=False), minute)
+    core.record_written(ViewPosition(1, 10), minute)
     feed(core, stream, proxy, [], minute)
     assert set(proxy.usable()) == {"10.0.0.1:9001", "10.0.0.1:9003"}
 
@@ -529,10 +531,10 @@
         (f"9.9.{'0' * 16}.{'0' * 16}", None),
         (SEAL.version(ViewPosition(1, 2), "0" * 16), WithheldReason.BEHIND),
     ):
-        stream = core.open(None, False, 0)
-        core.request(stream, Request(EDS, version=version, names=(ENDPOINTS,)), Who("p"), 0)
-        assert core.why_not(0) is why
-        assert (core.next(stream, 0) is None) == (why is not None)
+        stream = core.open_stream(None, False, 0)
+        core.handle_request(stream, Request(EDS, version=version, names=(ENDPOINTS,)), NodeIdentity("p"), 0)
+        assert core.withheld_reason(0) is why
+        assert (core.next_response(stream, 0) is None) == (why is not None)
 
 
 def test_groups_see_what_they_may(tmp_path: Path) -> None:
@@ -550,9 +552,9 @@
     assert {route.route.cluster for route in table.virtual_hosts[0].routes} == {"look"}
     with pytest.raises(ProtocolError, match="may not subscribe"):
         join(core, "c-1")
-    stream = core.open(None, False, 0)
+    stream = core.open_stream(None, False, 0)
     with pytest.raises(ProtocolError, match="zone"):
-        core.request(stream, Request(CDS), Who("b-1", zone="elsewhere"), 0)
+        core.handle_request(stream, Request(CDS), NodeIdentity("b-1", zone="elsewhere"), 0)
 
 
 def test_streams_are_bounded(tmp_path: Path) -> None:
@@ -579,7 +581,7 @@
     feed(core, stream, proxy, [], 1)
     assert seen == [CDS, RDS, CDS]  # the cluster that is no more goes last
     assert proxy.complete() and set(proxy.kinds[CDS].resources) == {"look"}
-    assert not stream.subscriber.rejects(RDS)
+    assert not stream.subscriber.rejected(RDS)
 
 
 def test_another_configuration_moves_subscribers_and_turns_some_away(tmp_path: Path) -> None:
@@ -587,7 +589,7 @@
     stays, proxy = join(core, "stays")
     goes, _ = join(core, "goes")
     core.reconfigure(control(tmp_path, subscribers=[{"identity": "stays", "zone": "y"}], stale_after_ms=0), 1)
-    assert (stays.zone, goes.group) == ("y", None) and core.next(goes, 1) is None
+    assert (stays.zone, goes.group) == ("y", None) and core.next_response(goes, 1) is None
     feed(core, stays, proxy, [], 1)
     (made,) = proxy.kinds[EDS].resources.values()
     assert not made.policy.HasField("endpoint_stale_after")
@@ -598,7 +600,7 @@
 
 def test_resources_are_what_the_published_protos_say(tmp_path: Path) -> None:
     config = control(tmp_path)
-    drafts = fixed(config, config.groups[0])
+    drafts = static_resources(config, config.groups[0])
     clusters = {draft.name: cluster_pb2.Cluster.FromString(draft.body) for draft in drafts[CDS]}
     assert clusters["look"].eds_cluster_config.service_name == ENDPOINTS
     assert clusters["look"].common_lb_config.healthy_panic_threshold.value == 0
@@ -624,7 +626,7 @@
         classes=[each for each in plans if each["name"] in classes],
         subscribers=[{"identity": "*", "zone": "z", "may": ["web", "look"]}],
     )
-    (draft,) = fixed(config, config.groups[0])[RDS]
+    (draft,) = static_resources(config, config.groups[0])[RDS]
     table = route_pb2.RouteConfiguration.FromString(draft.body).virtual_hosts[0].routes
     found = [(route.match.prefix, route.route.retry_policy.num_retries.value) for route in table]
     assert found == [("/move", 0), ("/", 2)]
@@ -661,7 +663,7 @@
     addresses = {f"n{at}": ("10.0.0.1", at) for at in range(1, 5)}
     parts = group_by_locality(shares, (("z",), ("y",)))
     made = endpoint_pb2.ClusterLoadAssignment.FromString(
-        Endpoints("zones", 60_000).draft(parts, addresses).body
+        AssignmentBuilder("zones", 60_000).draft(parts, addresses).body
     )
     parts_ = made.endpoints
     assert [(part.locality.zone, part.priority, part.load_balancing_weight.value) for part in parts_] == [
@@ -670,7 +672,7 @@
     assert [each.health_status for each in made.endpoints[0].lb_endpoints] == [0, 2, 3]
     assert made.policy.endpoint_stale_after.seconds == 60
     made = endpoint_pb2.ClusterLoadAssignment.FromString(
-        Endpoints("nodes", 60_000).draft(parts, addresses).body
+        AssignmentBuilder("nodes", 60_000).draft(parts, addresses).body
     )
     parts_ = made.endpoints
     assert [(part.locality.sub_zone, part.priority, part.load_balancing_weight.value) for part in parts_] == [
@@ -815,9 +817,9 @@
     sums, who = decode_loads(report.SerializeToString())
     assert who.id == "p"
     core = core_with(tmp_path, endpoint("n1"), endpoint("n2"))
-    core.load("z", sums)
-    assert core.zones["z"].loads.unknown == 1
-    told = {each.host: each for each in core.zones["z"].loads.tell()}
+    core.record_load_report("z", sums)
+    assert core.zones["z"].load_reports.unknown == 1
+    told = {each.host: each for each in core.zones["z"].load_reports.drain()}
     assert told["n1"].report == api.LoadReport(0.5, 100.0) and told["n1"].latency_ns is None
     assert (told["n1"].served, told["n1"].failed, told["n2"].served) == (9, 1, 5)
     with pytest.raises(ProtocolError):
@@ -831,7 +833,7 @@
     path = str(tmp_path / "s.db")
     for start in (1, 2, 3):
         store = Store(path, SEAL)
-        store.begin()
+        store.record_start()
         assert store.starts == start and store.floor == (None if start == 1 else ViewPosition(1, start + 5))
         store.write(ViewPosition(1, 6 + start))
         store.write(ViewPosition(1, 2))
@@ -852,7 +854,7 @@
     elif harm == "empty":
         path.write_bytes(b"")
     store = Store(str(path), SEAL)
-    assert store.floor is None and store.lost == (harm != "empty")
+    assert store.floor is None and store.was_lost == (harm != "empty")
     store.write(ViewPosition(1, 10))
     store.close()
     assert Store(str(path), SEAL).floor == ViewPosition(1, 10)
@@ -868,7 +870,7 @@
         signal.signal(signal.SIGXFSZ, signal.SIG_IGN)
         path, seal = sys.argv[1], Seal(b"a secret for the tests")
         store = Store(path, seal)
-        store.begin()
+        store.record_start()
         store.write(ViewPosition(1, 1))
         resource.setrlimit(resource.RLIMIT_FSIZE, (100, resource.RLIM_INFINITY))
         try:
--- a/tests/test_control_live.py
+++ b/tests/test_control_live.py
@@ -324,15 +324,15 @@
         peers = [{"name": "one", "address": target}]
 
         async def both(second: Service, target: str) -> None:
-            await until(lambda: second.core.why_not(second.now()) is None)
+            await until(lambda: second.core.withheld_reason(second.now()) is None)
             other.close()
-            await until(lambda: not second.core.handout.is_discovery_connected(second.now()))
-            await until(lambda: second.core.why_not(second.now()) is None)  # the first one vouches
+            await until(lambda: not second.core.view_consistency.is_discovery_connected(second.now()))
+            await until(lambda: second.core.withheld_reason(second.now()) is None)  # the first one vouches
             proxy = LiveProxy(ProxyStandIn("p", "z", True), target)
             proxy.start()
             await proxy.until(proxy.proxy.complete)
             one.change(entry("n2", 10_002))
-            await until(lambda: second.core.why_not(second.now()) is not None)
+            await until(lambda: second.core.withheld_reason(second.now()) is not None)
             await proxy.until(lambda: proxy.ended is grpc.StatusCode.UNAVAILABLE)  # and moves its subscribers
             await proxy.stop()
 
--- a/tests/test_recorded_files.py
+++ b/tests/test_recorded_files.py
@@ -21,7 +21,7 @@
 from brambleusher.sidecar.configuration import parse_config
 from brambleusher.wire import configuration, policy, settings
 from brambleusher.xds.config import load_control
-from brambleusher.xds.resources import fixed
+from brambleusher.xds.resources import static_resources
 from brambleusher.xds.snapshot import Resource
 from brambleusher.xds.store import Store
 from brambleusher.xds.versions import Seal
@@ -121,26 +121,26 @@
     for name in ("control.db", "control.db-journal"):
         shutil.copy(XDS / name, tmp_path)
     with closing(Store(str(tmp_path / "control.db"), SEAL)) as old:
-        assert (old.floor, old.starts, old.lost) == (ViewPosition(3, 41), 2, False)
-        old.begin()
+        assert (old.floor, old.starts, old.was_lost) == (ViewPosition(3, 41), 2, False)
+        old.record_start()
         old.write(ViewPosition(3, 42))
     with closing(Store(str(tmp_path / "control.db"), SEAL)) as again:
-        assert (again.floor, again.starts, again.lost) == (ViewPosition(3, 42), 3, False)
+        assert (again.floor, again.starts, again.was_lost) == (ViewPosition(3, 42), 3, False)
     with closing(Store(str(tmp_path / "new.db"), SEAL)) as new:
-        new.begin()
+        new.record_start()
         new.write(ViewPosition(3, 41))
-        new.begin()
+        new.record_start()
     assert row_of(tmp_path / "new.db") == row_of(XDS / "control.db")
 
 
 def test_versions_and_resources_have_the_recorded_bytes(folder: Path) -> None:
     assert SEAL.version(ViewPosition(3, 41), "0123456789abcdef") == RESOURCES["version"]
-    claim = SEAL.read(RESOURCES["version"])
-    assert claim is not None and (claim.place, claim.digest) == (ViewPosition(3, 41), "0123456789abcdef")
+    claim = SEAL.parse(RESOURCES["version"])
+    assert claim is not None and (claim.position, claim.digest) == (ViewPosition(3, 41), "0123456789abcdef")
     config = load_control("control.yaml")
     made: dict[str, list[Any]] = {}
     for group in config.groups:
-        for kind, drafts in fixed(config, group).items():
+        for kind, drafts in static_resources(config, group).items():
             for draft in drafts:
                 resource = Resource.make(
                     kind, draft.name, draft.body, SEAL, ViewPosition(3, 41), draft.refers
