--- a/brambleusher/decisions/balancer_driver.py
+++ b/brambleusher/decisions/balancer_driver.py
@@ -179,10 +179,10 @@
             self.finish_attempt(pending, end, closed=True)
             end.outcome.discard()
 
-    def report_body_progress(self, pending: PendingRequest, attempt: int, whole: bool) -> None:
-        """Note that the request's body is being forwarded, or (`whole`) has been: its time begins now."""
+    def report_body_progress(self, pending: PendingRequest, attempt: int, is_complete: bool) -> None:
+        """Note that the request's body is on its way, or (`is_complete`) forwarded: its time begins now."""
         self._handle(
-            api.RequestBodyProgressed(pending.request_id, attempt, whole, pending.request.time_left_ns)
+            api.RequestBodyProgressed(pending.request_id, attempt, is_complete, pending.request.time_left_ns)
         )
         pending.event.set()  # whoever waits has another deadline now
 
--- a/brambleusher/handover/folder_watcher.py
+++ b/brambleusher/handover/folder_watcher.py
@@ -44,14 +44,14 @@
                 is_changed = changed_ns != self._changed_ns
                 if is_changed or (self._registry.others and now >= check_liveness_at):
                     check_liveness_at = now + LIVENESS_INTERVAL_S
-                    self.look(is_changed)
+                    self.poll(is_changed)
                     self._changed_ns = changed_ns
             except OSError as error:
                 log.warning("shared folder unreadable", extra={"fields": {"error": error}})
                 self._scheduler.sleep(ERROR_BACKOFF_S)
             self._scheduler.sleep(SCAN_INTERVAL_S)
 
-    def look(self, is_changed: bool) -> None:
+    def poll(self, is_changed: bool) -> None:
         """Scan the processes; where the folder has changed, read the settings and serve new processes.
 
         Raises:
@@ -66,4 +66,4 @@
             return
         for pid, stage in self._registry.others.items():
             if stage is ProcessStage.STARTING:
-                self._transfer.offer(pid)
+                self._transfer.send(pid)
--- a/brambleusher/handover/limit_shares.py
+++ b/brambleusher/handover/limit_shares.py
@@ -11,7 +11,9 @@
 SENDING_WEIGHTS = {ProcessStage.STARTING: 0, ProcessStage.SERVING: 4, ProcessStage.DRAINING: 1}
 
 
-def share_of(weights: Mapping[ProcessStage, int], own: ProcessStage, others: Iterable[ProcessStage]) -> float:
+def limit_share(
+    weights: Mapping[ProcessStage, int], own: ProcessStage, others: Iterable[ProcessStage]
+) -> float:
     """Return the share, from 0 to 1, of a process beside others; all of them never exceed 1 together."""
     weight_of_others = sum(weights[stage] for stage in others)
     return weights[own] / (weights[own] + weight_of_others) if weight_of_others else 1.0
@@ -26,9 +28,9 @@
     @property
     def connections(self) -> float:
         """The share of the connections and the memory that the sidecar may hold."""
-        return share_of(CONNECTION_WEIGHTS, self._registry.stage, self._registry.others.values())
+        return limit_share(CONNECTION_WEIGHTS, self._registry.stage, self._registry.others.values())
 
     @property
     def sending(self) -> float:
         """The share of what the sidecar may send to endpoints that are warming up."""
-        return share_of(SENDING_WEIGHTS, self._registry.stage, self._registry.others.values())
+        return limit_share(SENDING_WEIGHTS, self._registry.stage, self._registry.others.values())
--- a/brambleusher/handover/process_registry.py
+++ b/brambleusher/handover/process_registry.py
@@ -95,7 +95,7 @@
         """Whether another process was serving at the last scan."""
         return ProcessStage.SERVING in self._others.values()
 
-    def join(self) -> bool:
+    def register(self) -> bool:
         """Register this process; return whether another one is serving.
 
         Raises:
@@ -122,7 +122,7 @@
             fields = {"stage": STAGE_PREFIXES[stage], "error": error}
             log.warning("process stage not published", extra={"fields": fields})
 
-    def leave(self) -> None:
+    def unregister(self) -> None:
         """Remove this process from the registry."""
         if self._stage_path is not None:
             self._stage_path.unlink(missing_ok=True)
--- a/brambleusher/handover/state_transfer.py
+++ b/brambleusher/handover/state_transfer.py
@@ -69,13 +69,13 @@
         self, folder: SharedFolder, export: Callable[[], TransferredState | None] = _export_nothing
     ) -> None:
         self._folder, self._export = folder, export
-        self._offered: set[int] = set()  # ids of processes that have been offered the state
+        self._sent: set[int] = set()  # ids of processes that have been offered the state
 
-    def offer(self, pid: int) -> None:
+    def send(self, pid: int) -> None:
         """Write the state for a new process, once."""
-        if pid in self._offered:
+        if pid in self._sent:
             return
-        self._offered.add(pid)
+        self._sent.add(pid)
         try:
             if (state := self._export()) is not None:
                 self._folder.write(state_file(pid), state.encode())
--- a/brambleusher/lab/faults/breakages.py
+++ b/brambleusher/lab/faults/breakages.py
@@ -44,7 +44,7 @@
 from brambleusher.sidecar.app import Sidecar
 from brambleusher.sidecar.endpoint_updates import EndpointUpdates
 from brambleusher.sidecar.lifecycle import Lifecycle
-from brambleusher.sidecar.operator_calls import OperatorCalls
+from brambleusher.sidecar.operator_actions import OperatorActions
 
 LATE_SECONDS = 0.001  # past the drain limit
 
@@ -177,7 +177,7 @@
     profile="operators",
 )  # fmt: skip
 def _ban_unknown(patches: Patches) -> None:
-    patches.set(OperatorCalls, "take_endpoint_offline", lambda self, node: self.bans.is_known(node))
+    patches.set(OperatorActions, "take_endpoint_offline", lambda self, node: self.bans.is_known(node))
 
 
 @breakage(
--- a/brambleusher/operator_settings/configuration.py
+++ b/brambleusher/operator_settings/configuration.py
@@ -64,7 +64,7 @@
     """The features' settings; None for one that is off."""
 
     rewrites: tuple[RewriteRule, ...] | None = None
-    figures: MetricsSettings | None = None
+    metrics: MetricsSettings | None = None
     status: StatusSettings | None = None
     capture: CaptureSettings | None = None
     zones: ZoneRules | None = None
@@ -74,12 +74,12 @@
 def _parse_target(text: str | None, path: str) -> MetricsTarget:
     if text in (None, "stderr"):
         return MetricsTarget()
-    kind, _, rest = str(text).partition(":")
-    if kind == "file" and rest and "\0" not in rest:
-        return MetricsTarget("file", path=rest)
+    kind, _, remainder = str(text).partition(":")
+    if kind == "file" and remainder and "\0" not in remainder:
+        return MetricsTarget("file", path=remainder)
     if kind == "udp":
         try:
-            host, port = parse_address(rest)
+            host, port = parse_address(remainder)
         except ValueError as error:
             raise OperatorFileError(f"{path}: {error}") from None
         if port:
@@ -87,7 +87,7 @@
     raise OperatorFileError(f"{path} is not stderr, file: with a path or udp: with host:port")
 
 
-def _parse_figures(raw: object) -> MetricsSettings:
+def _parse_metrics(raw: object) -> MetricsSettings:
     section, usual = Section(raw, "figures"), MetricsSettings()
     settings = MetricsSettings(
         format=section.choice("format", ("statsd", "influx"), usual.format),
@@ -143,7 +143,7 @@
         status=_parse_status(section.take("status")),
         capture=_parse_capture(section.take("capture")) if section.has("capture") else None,
         zones=parse_zone_rules(section.take("zones")) if section.has("zones") else None,
-        figures=_parse_figures(section.take("figures")) if section.has("figures") else None,
+        metrics=_parse_metrics(section.take("figures")) if section.has("figures") else None,
         mysql=_parse_mysql(section.take("mysql")) if section.has("mysql") else None,
     )
     section.reject_unknown_keys()
--- a/brambleusher/operator_settings/zone_rules.py
+++ b/brambleusher/operator_settings/zone_rules.py
@@ -44,11 +44,11 @@
         tiers.append(_parse_tier(following, f"{path}.{visited[-1]}"))
         visited.append(following)
     last = visited[-1]
-    if (rest := raw.get(last)) is None:
+    if (remainder := raw.get(last)) is None:
         if last in raw:
             raise OperatorFileError(f"{path}.{last} names no zone")
         return tuple(tiers)
-    own = _parse_tier_list(rest, f"{path}.{last}")
+    own = _parse_tier_list(remainder, f"{path}.{last}")
     if len(visited) > 1:  # what the last one has may lead back: zones on the way have their tier already
         own = [tuple(weighted for weighted in tier if weighted[0] not in visited) for tier in own]
         return (*tiers, *(tier for tier in own if tier))
--- a/brambleusher/sidecar/app.py
+++ b/brambleusher/sidecar/app.py
@@ -1,6 +1,6 @@
 """A sidecar put together from its parts.
 
-What the parts do over time is in `lifecycle`, `reload`, `operator_calls` and `endpoint_updates`.
+What the parts do over time is in `lifecycle`, `reload`, `operator_actions` and `endpoint_updates`.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 from brambleusher.sidecar.connection_budgets import ConnectionBudgets, connection_budgets
 from brambleusher.sidecar.endpoint_updates import EndpointUpdates
 from brambleusher.sidecar.lifecycle import Lifecycle
-from brambleusher.sidecar.operator_calls import OperatorCalls
+from brambleusher.sidecar.operator_actions import OperatorActions
 from brambleusher.sidecar.outputs import Outputs
 from brambleusher.sidecar.reload import ConfigurationReloader
 from brambleusher.sidecar.state_exchange import export_state, import_endpoint_list
@@ -157,7 +157,7 @@
             slices=True,
             sidecars=self.config.settings.fleet_size,
         )
-        self.operator_calls = OperatorCalls(
+        self.operator_actions = OperatorActions(
             self.bans,
             self.client_draining,
             self.scheduler,
@@ -169,14 +169,14 @@
             self._render_metrics,
         )
         has_admin = self.config.admin is not None
-        self.admin_server = AdminServer(self.scheduler, self.operator_calls) if has_admin else None
+        self.admin_server = AdminServer(self.scheduler, self.operator_actions) if has_admin else None
         self.admin_address: tuple[str, int] | None = None  # where it listens
 
     def _build_metrics_reporter(self) -> MetricsReporter | None:
-        if self.operator.figures is None:
+        if self.operator.metrics is None:
             return None
         return feature_assembly.build_metrics_reporter(
-            self.operator.figures, self.config.settings, self.clock, self.counters, self.outputs, self.system
+            self.operator.metrics, self.config.settings, self.clock, self.counters, self.outputs, self.system
         )
 
     def _build_capture(self) -> Capture | None:
@@ -212,7 +212,7 @@
         return connection_budgets(
             self.config,
             self.operator,
-            share=1.0 if group is None else group.shares.connections,
+            process_share=1.0 if group is None else group.shares.connections,
             has_process_group=group is not None,
         )
 
@@ -226,7 +226,7 @@
         path = folder_path(config.shared_dir, config.name)
         group = ProcessGroup(path, self._apply_limit_shares, self._apply_shared_settings, self._export_state)
         try:
-            self._has_predecessor = group.registry.join()
+            self._has_predecessor = group.registry.register()
         except OSError:
             # Guards against a sidecar that doesn't serve for want of what is a help in an upgrade alone.
             log.exception("process registry unavailable", extra={"fields": {"folder": path}})
@@ -254,7 +254,7 @@
         )
 
     def _apply_shared_settings(self, settings: SharedSettings) -> None:
-        self.operator_calls.apply_shared(settings)
+        self.operator_actions.apply_shared(settings)
 
     def _apply_limit_shares(self) -> None:
         """Follow other processes that came, went or changed their stage."""
--- a/brambleusher/sidecar/connection_budgets.py
+++ b/brambleusher/sidecar/connection_budgets.py
@@ -61,8 +61,8 @@
         OperatorFileError: They are more than `max_bytes`.
     """
     buffers_kib = 0
-    if operator.figures is not None:
-        buffers_kib += operator.figures.buffer_kb
+    if operator.metrics is not None:
+        buffers_kib += operator.metrics.buffer_kb
     if (capture := operator.capture) is not None:
         buffers_kib += capture.ring_kb * (2 if capture.dir is None else 3)  # one in flight to each reader
     excess = max(0, buffers_kib * KIB - FEATURE_BUFFERS_MEMORY_BYTES)
@@ -89,7 +89,7 @@
 
 
 def connection_budgets(
-    config: Config, operator: OperatorFile, *, share: float, has_process_group: bool
+    config: Config, operator: OperatorFile, *, process_share: float, has_process_group: bool
 ) -> ConnectionBudgets:
     """Return what a process may hold that has a share, from 0 to 1, of the sidecar's limits.
 
@@ -108,10 +108,10 @@
         memory -= _mysql_memory(operator.mysql, memory // FEATURE_FRACTION_DIVISOR)
         available = (limits.sockets - descriptors) // FEATURE_FRACTION_DIVISOR
         descriptors += _mysql_descriptors(operator.mysql, available)
-    if share < 1:
-        memory = int((memory - RUNTIME_MEMORY_BYTES) * share)  # another process has its own runtime
+    if process_share < 1:
+        memory = int((memory - RUNTIME_MEMORY_BYTES) * process_share)  # another process has its own runtime
         memory = max(memory, MIN_SHARED_CONNECTIONS * CONNECTION_MEMORY_BYTES)
-    connections = min(int(limits.sockets * share) - descriptors, memory // CONNECTION_MEMORY_BYTES)
+    connections = min(int(limits.sockets * process_share) - descriptors, memory // CONNECTION_MEMORY_BYTES)
     upstream = max(int(connections * UPSTREAM_FRACTION), MIN_CONNECTIONS)
     clients = max(connections - upstream, MIN_CONNECTIONS)
     requesting = max(int(limits.sockets * REQUESTING_CLIENTS_FRACTION), MIN_CONNECTIONS)
--- a/brambleusher/sidecar/lifecycle.py
+++ b/brambleusher/sidecar/lifecycle.py
@@ -62,7 +62,7 @@
         known = sidecar.config.known
         settings = None if sidecar.process_group is None else sidecar.process_group.settings.read()
         if settings is not None:
-            sidecar.operator_calls.apply_shared(settings)  # ordered before this process began
+            sidecar.operator_actions.apply_shared(settings)  # ordered before this process began
         sidecar.endpoint_list.set_known(known)
         known = sidecar.endpoint_updates.apply_bans(known)
         sidecar.upstream_pool.update(known)
@@ -141,7 +141,7 @@
         if sidecar.admin_server is not None:
             sidecar.admin_server.close()
         if sidecar.process_group is not None:
-            sidecar.process_group.registry.leave()
+            sidecar.process_group.registry.unregister()
         sidecar.scheduler.close()
         sidecar.outputs.close()
 
--- a/brambleusher/sidecar/operator_calls.py
+++ b/brambleusher/sidecar/operator_actions.py
@@ -17,7 +17,7 @@
 from brambleusher.sidecar.endpoint_updates import EndpointUpdates
 
 
-class OperatorCalls:
+class OperatorActions:
     """Carries out the calls at the admin endpoint (`admin.server.AdminService`)."""
 
     def __init__(
@@ -62,12 +62,12 @@
     def take_out_of_service(self) -> None:
         """Send clients away; this process runs on."""
         self._set_service(False, self._clock.now_ns())
-        self._share()
+        self._publish()
 
     def put_in_service(self) -> None:
         """Take clients again."""
         self._set_service(True, self._clock.now_ns())
-        self._share()
+        self._publish()
 
     def apply_shared(self, settings: SharedSettings) -> None:
         """Take in what operators ordered of another process, now or before this one began."""
@@ -80,7 +80,7 @@
         if not self.bans.is_known(node):
             return False
         self._endpoint_updates.publish_ban(change(node, self._clock.now_ns()))
-        self._share()
+        self._publish()
         return True
 
     def _set_service(self, is_in_service: bool, changed_ns: int) -> None:
@@ -91,7 +91,7 @@
             self._client_draining.start(self._scheduler.now())
             self._client_listener.start_closing_idle()
 
-    def _share(self) -> None:
+    def _publish(self) -> None:
         """Merge the orders of this process with those of the others."""
         if self._shared_settings is not None:
             self._shared_settings.update(self._merge)
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -42,14 +42,14 @@
     def test_defaults_and_faults(self) -> None:
         for text in (b"figures:", b"figures: {}"):
             self.assertEqual(
-                parse_operator_file(text).figures, MetricsSettings("statsd", MetricsTarget(), 1000, 64)
+                parse_operator_file(text).metrics, MetricsSettings("statsd", MetricsTarget(), 1000, 64)
             )
         for target, meant in (
             ("file:/a b", MetricsTarget("file", path="/a b")),
             ("udp:192.0.2.1:8125", MetricsTarget("udp", address=("192.0.2.1", 8125))),
             ("udp:[::1]:8125", MetricsTarget("udp", address=("::1", 8125))),
         ):
-            settings = parse_operator_file(f'figures: {{target: "{target}"}}'.encode()).figures
+            settings = parse_operator_file(f'figures: {{target: "{target}"}}'.encode()).metrics
             self.assertEqual(settings and settings.target, meant)
         for key, value in (
             ("format", "json"), ("target", "tcp:a:1"), ("target", '"file:"'), ("target", "udp:a"),
--- a/tests/test_recorded_shared_folder.py
+++ b/tests/test_recorded_shared_folder.py
@@ -47,7 +47,7 @@
 def test_a_state_is_received_and_offered_alike(folder: Path, pid: int) -> None:
     state = received_by(folder, pid)
     assert not (folder / STATES[pid]).exists()  # read once
-    StateTransfer(SharedFolder(folder, 1), lambda: state).offer(pid)
+    StateTransfer(SharedFolder(folder, 1), lambda: state).send(pid)
     assert (folder / STATES[pid]).read_bytes() == (RECORDED / STATES[pid]).read_bytes()
 
 
--- a/tests/test_rewrites.py
+++ b/tests/test_rewrites.py
@@ -41,7 +41,7 @@
         run = tomllib.loads((deploy / "balancer.toml").read_text())["run"]
         self.assertTrue(run.endswith(" -m brambleusher --operator deploy/operator.yaml"))
         settings = load_operator_file(str(deploy / "operator.yaml"))
-        self.assertEqual(settings, OperatorFile(figures=MetricsSettings(), capture=CaptureSettings()))
+        self.assertEqual(settings, OperatorFile(metrics=MetricsSettings(), capture=CaptureSettings()))
 
     def test_a_fault_names_its_key(self) -> None:
         in_rule = "{match: {}, direction: in, %s}"
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -21,7 +21,7 @@
 from unittest import mock
 
 from brambleusher.handover.folder_watcher import FolderWatcher
-from brambleusher.handover.limit_shares import CONNECTION_WEIGHTS, SENDING_WEIGHTS, share_of
+from brambleusher.handover.limit_shares import CONNECTION_WEIGHTS, SENDING_WEIGHTS, limit_share
 from brambleusher.handover.process_registry import ProcessRegistry, ProcessStage
 from brambleusher.handover.shared_folder import SharedFolder, folder_path
 from brambleusher.handover.shared_settings import SharedSettings, SharedSettingsStore
@@ -49,7 +49,7 @@
 
     def process(self, pid: int) -> ProcessRegistry:
         process = ProcessRegistry(SharedFolder(self.folder, pid))
-        self.addCleanup(process.leave)
+        self.addCleanup(process.unregister)
         return process
 
     def settings(self, pid: int) -> SharedSettingsStore:
@@ -57,8 +57,8 @@
 
     def test_a_process_is_there_as_long_as_it_lives(self) -> None:
         first, second = self.process(1), self.process(2)
-        self.assertFalse(first.join())
-        self.assertFalse(second.join(), "the first is there and does not serve")
+        self.assertFalse(first.register())
+        self.assertFalse(second.register(), "the first is there and does not serve")
         self.assertEqual(second.process_count, 2)
         first.set_stage(ProcessStage.SERVING)
         self.assertTrue(second.has_successor())
@@ -72,7 +72,7 @@
     def test_one_that_joins_is_never_seen_without_its_lock(self) -> None:
         """Guards against being taken for a process that was killed, whose file is removed."""
         old, new = self.process(1), self.process(2)
-        old.join()
+        old.register()
         real, seen = fcntl.flock, []
 
         def flock(fd: int, how: int) -> None:
@@ -81,7 +81,7 @@
             real(fd, how)
 
         with mock.patch("fcntl.flock", flock):
-            new.join()
+            new.register()
         self.assertTrue(seen)
         new.set_stage(ProcessStage.SERVING)
         self.assertTrue(old.has_successor())
@@ -91,14 +91,15 @@
             for parts in (CONNECTION_WEIGHTS, SENDING_WEIGHTS):
                 with self.subTest(stages):
                     taken = [
-                        share_of(parts, own, stages[:at] + stages[at + 1 :]) for at, own in enumerate(stages)
+                        limit_share(parts, own, stages[:at] + stages[at + 1 :])
+                        for at, own in enumerate(stages)
                         if parts[own]
                     ]  # fmt: skip
                     self.assertLessEqual(sum(taken), 1.0 + 1e-9)
-        self.assertEqual(share_of(SENDING_WEIGHTS, ProcessStage.SERVING, [ProcessStage.STARTING]), 1.0)
+        self.assertEqual(limit_share(SENDING_WEIGHTS, ProcessStage.SERVING, [ProcessStage.STARTING]), 1.0)
 
     def test_settings_changed_by_both_are_merged(self) -> None:
-        self.process(1).join(), self.process(2).join()
+        self.process(1).register(), self.process(2).register()
         first, second = self.settings(1), self.settings(2)
 
         def ban(host: str, since: int) -> Callable[[SharedSettings | None], SharedSettings]:
@@ -111,7 +112,7 @@
     def test_the_files_keep_their_names_and_bytes(self) -> None:
         """Guards against two versions of the program that don't understand each other in an upgrade."""
         process = self.process(7)
-        process.join()
+        process.register()
         names = {"starting-7": None, "serving-7": ProcessStage.SERVING, "leaving-7": ProcessStage.DRAINING}
         for name, stage in names.items():
             if stage is not None:
@@ -123,7 +124,7 @@
         self.assertEqual((self.folder / "shared.json").read_bytes(), shared)
         self.assertEqual(self.settings(7).read(), settings)
         state = TransferredState({"version": 3, "full": True, "servers": []}, "10.0.0.1:80", {"a": [1.5]})
-        StateTransfer(SharedFolder(self.folder, 7), lambda: state).offer(9)
+        StateTransfer(SharedFolder(self.folder, 7), lambda: state).send(9)
         learnt = (
             b'{"v":1,"list":{"version":3,"full":true,"servers":[]},"discovery":"10.0.0.1:80",'
             b'"state":{"a":[1.5]}}'
@@ -131,7 +132,7 @@
         self.assertEqual((self.folder / "learnt-9.json").read_bytes(), learnt)
 
     def test_a_file_that_can_not_be_used_is_a_start_from_nothing(self) -> None:
-        self.process(1).join()
+        self.process(1).register()
         settings = self.settings(1)
         for text in (b"", b'{"v":1,"bans":', b"[]", b'{"v":99}', b"\xff\xfe"):
             with self.subTest(text), self.assertLogs("brambleusher.handover.shared_folder", "WARNING"):
@@ -148,17 +149,17 @@
         state = TransferredState({"version": 7}, "10.0.0.1:80", {"a": 1})
         old, new = self.process(1), self.process(2)
         transfer = StateTransfer(SharedFolder(self.folder, 1), lambda: state)
-        old.join()
+        old.register()
         old.set_stage(ProcessStage.SERVING)
-        new.join()
+        new.register()
         watcher = FolderWatcher(
             self.folder, self.scheduler, old, self.settings(1), transfer, lambda settings: None
         )
-        watcher.look(is_changed=True)
+        watcher.poll(is_changed=True)
         received = StateTransfer(SharedFolder(self.folder, 2)).receive(lambda s: None, lambda: 0.0)
         self.assertEqual(received, state)
         third = self.process(3)
-        third.join()
+        third.register()
         clock = iter(range(100))
         silent = StateTransfer(SharedFolder(self.folder, 3))
         with self.assertLogs("brambleusher.handover.state_transfer", "WARNING"):  # it starts all the same
