--- a/tests/test_takeover.py
+++ b/tests/test_handover.py
@@ -39,7 +39,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 
 
-class Across(unittest.TestCase):
+class SharedFolderTest(unittest.TestCase):
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -55,7 +55,7 @@
     def settings(self, pid: int) -> SharedSettingsStore:
         return SharedSettingsStore(SharedFolder(self.folder, pid))
 
-    def test_a_process_is_there_as_long_as_it_lives(self) -> None:
+    def test_a_process_is_registered_as_long_as_it_lives(self) -> None:
         first, second = self.process(1), self.process(2)
         self.assertFalse(first.register())
         self.assertFalse(second.register(), "the first is there and does not serve")
@@ -69,7 +69,7 @@
         self.assertFalse(second.has_successor())
         self.assertEqual((second.process_count, len(os.listdir(self.folder))), (1, 1))
 
-    def test_one_that_joins_is_never_seen_without_its_lock(self) -> None:
+    def test_a_process_that_registers_is_never_seen_without_its_lock(self) -> None:
         """Guards against being taken for a process that was killed, whose file is removed."""
         old, new = self.process(1), self.process(2)
         old.register()
@@ -86,7 +86,7 @@
         new.set_stage(ProcessStage.SERVING)
         self.assertTrue(old.has_successor())
 
-    def test_parts_never_come_to_more_than_the_whole(self) -> None:
+    def test_limit_shares_never_exceed_the_limit_together(self) -> None:
         for stages in product(ProcessStage, repeat=3):
             for parts in (CONNECTION_WEIGHTS, SENDING_WEIGHTS):
                 with self.subTest(stages):
@@ -131,7 +131,7 @@
         )
         self.assertEqual((self.folder / "learnt-9.json").read_bytes(), learnt)
 
-    def test_a_file_that_can_not_be_used_is_a_start_from_nothing(self) -> None:
+    def test_a_file_that_can_not_be_used_reads_as_none(self) -> None:
         self.process(1).register()
         settings = self.settings(1)
         for text in (b"", b'{"v":1,"bans":', b"[]", b'{"v":99}', b"\xff\xfe"):
@@ -145,7 +145,7 @@
         settings.update(lambda shared: SharedSettings({"a": Ban(1)}))  # and it is whole again
         self.assertEqual(settings.read(), SharedSettings({"a": Ban(1)}))
 
-    def test_a_newcomer_is_taught_by_the_one_that_serves(self) -> None:
+    def test_a_new_process_receives_the_state_of_the_serving_one(self) -> None:
         state = TransferredState({"version": 7}, "10.0.0.1:80", {"a": 1})
         old, new = self.process(1), self.process(2)
         transfer = StateTransfer(SharedFolder(self.folder, 1), lambda: state)
@@ -165,7 +165,7 @@
         with self.assertLogs("brambleusher.handover.state_transfer", "WARNING"):  # it starts all the same
             self.assertIsNone(silent.receive(lambda s: None, lambda: float(next(clock))))
 
-    def test_the_module_goes_on_without_the_requests(self) -> None:
+    def test_an_imported_balancer_goes_on_without_the_requests(self) -> None:
         look = api.RequestClass("look", latency_target_ns=10**9, deadline_ns=2 * 10**9, value=1.0)
         settings = api.Settings(zone="z", classes=(look,), fleet_size=1)
         balancer = Balancer(settings, 7)
@@ -194,7 +194,7 @@
             with self.subTest(str(bad)[:40]), self.assertRaises(StateError):
                 import_state(settings, 8, bad)
 
-    def test_a_cold_host_is_sent_a_part_by_each_of_two_processes(self) -> None:
+    def test_each_of_two_processes_sends_its_share_to_a_host_that_warms_up(self) -> None:
         def sends(part: float) -> int:
             cls = api.RequestClass("look", latency_target_ns=10**9, deadline_ns=2 * 10**9, value=1.0)
             settings = api.Settings(
@@ -219,7 +219,7 @@
         self.assertAlmostEqual(sends(1.0) / sends(0.5), 2.0, delta=0.4)
 
 
-class Processes(unittest.TestCase):
+class HandoverOfProcessesTest(unittest.TestCase):
     """`brambleusher` itself, started again beside itself."""
 
     def setUp(self) -> None:
