--- a/brambleusher/loadbalancing/connection_admission.py
+++ b/brambleusher/loadbalancing/connection_admission.py
@@ -52,20 +52,11 @@
 class _Group(NamedTuple):
     """Connections of one owner and kind that wait."""
 
-    peer: str
-    tenant: str
-    level: int
-
-    @property
-    def owner(self) -> _Owner:
-        return _Owner(self.peer, self.tenant)
-
-    @property
-    def kind(self) -> _Kind:
-        return _Kind(self.tenant, self.level)
+    owner: _Owner
+    kind: _Kind
 
 
-_NO_GROUP = _Group(UNKNOWN_TENANT, UNKNOWN_TENANT, 0)
+_NO_GROUP = _Group(_Owner("", UNKNOWN_TENANT), _Kind(UNKNOWN_TENANT, 0))
 
 
 class _Candidate(NamedTuple):
@@ -269,15 +260,15 @@
         least: _Candidate | None = None
         for group, waiting in self._waiting.items():
             owner = group.owner
-            if group.level and counts[owner] + (owner == own) < share:
+            if group.kind.level and counts[owner] + (owner == own) < share:
                 continue
-            if not group.level and not include_unused:
+            if not group.kind.level and not include_unused:
                 continue
             candidate = self._longest_waiting(group, waiting, values[group.kind], now, passed or set())
             if candidate is None:
                 continue
             is_tie = least is not None and candidate.value == least.value
-            if least is None or candidate.value < least.value or (is_tie and not group.level):
+            if least is None or candidate.value < least.value or (is_tie and not group.kind.level):
                 least = candidate
         return least
 
@@ -289,7 +280,7 @@
             if conn in passed:
                 continue
             age_s = now - since
-            if not group.level and age_s < FIRST_REQUEST_S:
+            if not group.kind.level and age_s < FIRST_REQUEST_S:
                 return None
             return _Candidate(values[age_index(max(age_s, 0.0))], conn)
         return None
@@ -299,7 +290,7 @@
     def _begin_wait(self, conn: Hashable, connection: _Connection, now: float) -> None:
         connection.since = now
         kind = connection.kind
-        connection.group = _Group(connection.peer, *kind)
+        connection.group = _Group(connection.owner, kind)
         waiting = self._waiting.get(connection.group)
         if waiting is None:
             waiting = self._waiting[connection.group] = {}
@@ -328,7 +319,7 @@
         """Return how many of those that brought a request wait, by owner."""
         counts: Counter[_Owner] = Counter()
         for group, waiting in self._waiting.items():
-            if group.level:
+            if group.kind.level:
                 counts[group.owner] += len(waiting)
         return counts
 
