--- a/tests/test_sizes.py
+++ b/tests/test_capacity_estimates.py
@@ -9,7 +9,7 @@
 
 from brambleusher.loadbalancing import Balancer, api, capacity_estimates, slow_start
 from brambleusher.loadbalancing.settings import parse_settings
-from tests.test_wirehost import SETUP
+from tests.test_simulator_adapter import SETUP
 
 SECOND, STEP = 10**9, 5_000_000
 FLEET, ANSWER_NS = 20, 200_000_000
@@ -63,7 +63,7 @@
                 self.act(api.RequestArrived(f"{self.now}", "r", None, 2 * SECOND))
 
 
-def test_turns_go_by_what_is_spare_of_a_size() -> None:
+def test_weights_follow_the_spare_part_of_a_size() -> None:
     """Without it hosts that report use alone were all sent the same, whatever they are and however busy."""
     seen = Served({"large": 4.0, "busy": 4.0, "small": 1.0}, {"large": 0.5, "busy": 0.75, "small": 0.5})
     seen.run(60.0, 20)
--- a/tests/test_places.py
+++ b/tests/test_connection_admission.py
@@ -87,7 +87,7 @@
 
 
 class Scarce(unittest.TestCase):
-    def test_those_that_ask_once_and_stay_hold_no_place(self) -> None:
+    def test_connections_that_stay_after_one_request_are_not_kept(self) -> None:
         """Guards against the recorded day: 128 connections that clients can hold, all of which asked once."""
         world = World(
             ConnectionAdmission(212, 128), 128, [Crowd("app", 250.0), Crowd("rude", 40.0, silent=True)]
@@ -103,7 +103,7 @@
         world.run(8.0)
         self.assertGreater(world.served["app"], 0.97 * world.asked["app"] - 40)
 
-    def test_those_that_ask_again_keep_theirs(self) -> None:
+    def test_connections_that_send_further_requests_are_kept(self) -> None:
         """Guards against closing all alike: half of the load comes on connections that are used again."""
         pool = Crowd("pool", 4.0, again=0.2, tenant="a")
         world = World(ConnectionAdmission(212, 128), 128, [pool, Crowd("once", 200.0, tenant="b")])
@@ -146,14 +146,14 @@
         self.assertEqual(list(places.evictions_for_new(1.0 + FIRST_REQUEST_S / 2)), [])
         self.assertEqual(next(places.evictions_for_new(1.0 + FIRST_REQUEST_S)), 0)
 
-    def test_one_passed_over_is_not_named_again(self) -> None:
+    def test_one_passed_over_is_not_yielded_again(self) -> None:
         """Guards against a loop over one whose request has come and was not read yet."""
         places = ConnectionAdmission(3)
         for n in range(3):
             places.record_open(n, "p", 0.0)
         self.assertEqual(list(places.evictions_for_new(1.0)), [0, 1, 2])
 
-    def test_what_is_not_known_changes_nothing(self) -> None:
+    def test_an_unknown_connection_changes_nothing(self) -> None:
         places = ConnectionAdmission(3)
         places.record_request("x", 1.0)
         places.record_tenant("x", "t")
@@ -162,7 +162,7 @@
         self.assertTrue(places.may_keep_alive("x", 1.0))
         self.assertEqual(places.connection_count, 0)
 
-    def test_books_balance_over_random_steps(self) -> None:
+    def test_counts_balance_over_random_steps(self) -> None:
         for seed in range(30):
             with self.subTest(seed=seed):
                 rng, places, now = random.Random(seed), ConnectionAdmission(12, 8), 0.0
--- a/tests/test_links.py
+++ b/tests/test_connection_limits.py
@@ -32,12 +32,12 @@
                 pace.opens_per_s * sidecars * HANDSHAKE_CORE_S, HANDSHAKE_CORE_FRACTION + 1e-9
             )
 
-    def test_what_rested_for_nearly_as_long_as_its_node_allows_is_not_trusted(self) -> None:
+    def test_a_connection_idle_for_nearly_as_long_as_its_node_allows_is_not_reused(self) -> None:
         """The node's clock starts with its last byte sent, ours with that byte read: later by the way."""
         for allowed, trusted in ((30.0, 24.0), (2.0, 1.0), (1.0, 0.5), (0.2, 0.1), (math.inf, math.inf)):
             self.assertEqual(ConnectPacing.for_fleet(1, allowed).idle_timeout_s, trusted)
 
-    def test_a_pause_is_as_long_as_it_says(self) -> None:
+    def test_an_open_is_allowed_after_the_wait_that_was_returned(self) -> None:
         link = ConnectionLimit(ConnectPacing.for_fleet(1))
         while link.wait_s(1.0) <= 0:
             link.record_open()
@@ -63,7 +63,7 @@
         link.record_release(now, True)
         return link
 
-    def test_it_is_learnt_from_a_failed_connect_only_while_others_are_answered(self) -> None:
+    def test_the_cap_is_learned_from_a_failed_connect_only_while_others_are_answered(self) -> None:
         for after, expected in ((0.1, 8.0), (RECENT_RESPONSE_S * 2, math.inf)):
             link = self.answered(10, 1.0)
             link.record_open()
@@ -88,7 +88,7 @@
             link.record_open()
         self.assertEqual(link.wait_s(5.0), 0.0)  # one more a second
 
-    def test_sidecars_that_cannot_talk_come_to_even_parts_of_a_table(self) -> None:
+    def test_sidecars_that_cannot_talk_converge_to_even_shares_of_a_table(self) -> None:
         """One began with nearly all of it; over the next minutes both hold a fair part on average."""
         for seed in range(5):
             rng, table, means = random.Random(seed), 60, [0.0, 0.0]
@@ -125,11 +125,11 @@
         self.assertEqual(link.idle_to_keep(1.0), 12)
         self.assertLess(link.idle_to_keep(30.0), 4)
 
-    def test_trust_ends_well_before_the_nodes_limit(self) -> None:
+    def test_the_idle_timeout_ends_well_before_the_nodes_limit(self) -> None:
         for idle, trusted in ((30.0, 24.0), (2.0, 1.0), (math.inf, math.inf)):
             self.assertEqual(ConnectPacing.for_fleet(1, idle).idle_timeout_s, trusted)
 
-    def test_books_balance_over_random_steps(self) -> None:
+    def test_counts_balance_over_random_steps(self) -> None:
         for seed in range(20):
             rng, link, now, used, held = (
                 random.Random(seed),
--- a/tests/test_upkeep.py
+++ b/tests/test_host_bans.py
@@ -1,4 +1,4 @@
-"""Bans over what discovery says, and who may stay with a sidecar that is out of service."""
+"""Bans of hosts, laid over what discovery lists."""
 
 from __future__ import annotations
 
@@ -6,7 +6,6 @@
 from dataclasses import replace
 
 from brambleusher.loadbalancing.api import HostEntry, HostState
-from brambleusher.loadbalancing.client_draining import DRAIN_GRACE_S, FIRST_REQUEST_GRACE_S, ClientDraining
 from brambleusher.loadbalancing.host_bans import MAX_PENDING_BANS, MAX_REMEMBERED, Ban, HostBans
 
 READY, DRAINING, GONE = HostState.READY, HostState.DRAINING, HostState.REMOVED
@@ -95,7 +94,7 @@
         self.assertTrue(bans.is_known("a"), "a banned one is never forgotten")
         self.assertTrue(bans.is_known(f"x{MAX_REMEMBERED}"))
 
-    def test_what_was_said_elsewhere_counts_if_it_was_said_later(self) -> None:
+    def test_a_ban_of_elsewhere_counts_if_it_is_later(self) -> None:
         bans = self.bans()
         bans.ban("a", 100)
         self.assertEqual(bans.merge({"a": Ban(90, 95)}), [])
@@ -108,24 +107,3 @@
         plain = entry("b")
         self.assertIs(self.bans().effective_entry(plain), plain)
         self.assertEqual(replace(plain), plain)
-
-
-class ServiceTest(unittest.TestCase):
-    def test_who_may_rest(self) -> None:
-        service = ClientDraining()
-        self.assertTrue(service.accepts_clients and service.may_stay_idle(5.0, 0.0, True))
-        service.start(10.0)
-        service.start(11.0)  # again: the first call counts
-        self.assertFalse(service.accepts_clients)
-        for now, since, asked, may in (
-            (10.5, 9.0, True, True),  # its next request is served, and it leaves with the answer
-            (10.0 + DRAIN_GRACE_S, 9.0, True, False),
-            (10.0 + DRAIN_GRACE_S, 9.0, False, False),
-            (10.5, 10.4, False, True),  # new: the front has not looked yet
-            (10.4 + FIRST_REQUEST_GRACE_S, 10.4, False, False),
-            (13.0, 12.9, False, True),
-        ):
-            with self.subTest(now=now, since=since, asked=asked):
-                self.assertEqual(service.may_stay_idle(now, since, asked), may)
-        service.resume()
-        self.assertTrue(service.accepts_clients and service.may_stay_idle(20.0, 0.0, True))
--- a/tests/test_zones.py
+++ b/tests/test_zone_routing.py
@@ -201,7 +201,7 @@
     assert seen.state("b") is ZoneState.HEALTHY
 
 
-def test_silence_while_this_proxy_stood_still_says_nothing() -> None:
+def test_silence_while_this_proxy_was_stalled_proves_nothing() -> None:
     seen = Seen()
     seen.tick(2.0)
     before = seen.now
@@ -263,7 +263,7 @@
 
 
 @pytest.mark.parametrize("period", [2.0, 5.0, 10.0])
-def test_flaps_hold_a_zone_longer_each_time_up_to_a_bound(period: float) -> None:
+def test_flaps_suppress_a_zone_longer_each_time_up_to_a_bound(period: float) -> None:
     seen = Seen()
     seen.tick(5.0)
     zone = seen.zones.zones["b"]
@@ -285,7 +285,7 @@
     assert seen.now - begin > 3 * SECOND and seen.state("b") is ZoneState.RETURNING
 
 
-def test_a_zone_is_trusted_at_once_when_the_operator_says_so() -> None:
+def test_a_zone_that_the_operator_exempts_is_suppressed_no_more() -> None:
     seen = Seen()
     seen.tick(5.0)
     for _ in range(3):
@@ -298,7 +298,7 @@
     assert seen.state("b") is ZoneState.RETURNING and not seen.zones.is_excluded("b")
 
 
-def test_without_a_hold_flaps_cost_nothing() -> None:
+def test_without_a_suppression_time_flaps_cost_nothing() -> None:
     seen = Seen(replace(RULES, max_flap_suppression_ns=0))
     for _ in range(3):
         seen.lose()
@@ -384,7 +384,7 @@
     assert seen.zones.unplaced_fraction > 0.2
 
 
-def test_few_well_nodes_that_are_pressed_are_panic_and_proof_is_not_doubted() -> None:
+def test_few_healthy_nodes_under_load_are_panic_and_an_unreachable_zone_stays_out() -> None:
     seen = Seen()
     seen.tick(2.0)
     lost = ("b", "c", "d")
