--- a/brambleusher/loadbalancing/host_bans.py
+++ b/brambleusher/loadbalancing/host_bans.py
@@ -137,16 +137,11 @@
         Raises:
             ValueError: They are not an object, or a ban is not two times.
         """
-        if not isinstance(raw, dict):
-            raise ValueError("bans are not an object")
-        bans = {}
-        for host, times in raw.items():
-            match times:
-                case [since_ns, ended_ns] if type(since_ns) is int and type(ended_ns) is int:
-                    bans[host] = Ban(since_ns, ended_ns)
-                case _:
-                    raise ValueError(f"the ban of {host} is not two times")
-        return bans
+        match raw:
+            case dict():
+                return {host: _ban_from_json(host, times) for host, times in raw.items()}
+            case _:
+                raise ValueError("bans are not an object")
 
     def _set(self, host: str, ban: Ban) -> HostEntry | None:
         self.bans.pop(host, None)
@@ -158,3 +153,11 @@
                 del self.bans[ended]
         entry = self._listed.get(host)
         return None if entry is None else self.effective_entry(entry)
+
+
+def _ban_from_json(host: str, times: object) -> Ban:
+    match times:
+        case [since_ns, ended_ns] if type(since_ns) is int and type(ended_ns) is int:
+            return Ban(since_ns, ended_ns)
+        case _:
+            raise ValueError(f"the ban of {host} is not two times")
