--- a/brambleusher/net/client_request_handler.py
+++ b/brambleusher/net/client_request_handler.py
@@ -51,7 +51,9 @@
 
     def watched_socket(self) -> Socket | None:
         """What to watch for the client's leaving; a streamed body is read by its attempt."""
-        return self.presence.socket() if self.is_body_complete else None
+        if self.body_stream is not None and not self.body_stream.is_complete:
+            return None
+        return self.presence.socket()
 
     def has_client_left(self) -> bool:
         """Whether the client has closed its connection."""
@@ -178,7 +180,7 @@
             return None
         if body_stream is not None and body_stream.error is not None:
             raise body_stream.error
-        self._counters.add(f"answers_{final.kind.value}")
+        self._counters.add(f"answers_{kind}")
         return self._word(exchange, final)
 
     def _word(self, exchange: _Exchange, final: FinalResponse) -> ClientResponse:
--- a/brambleusher/net/header_forwarding.py
+++ b/brambleusher/net/header_forwarding.py
@@ -31,9 +31,8 @@
 
     Source: RFC 9110, section 7.6.1.
     """
-    named = {word.strip().lower() for word in message.headers.get("connection", "").split(",")}
     # A `Connection: Request-Id` must not take off what the endpoint relies on.
-    removed = (named - PROTECTED - {"host"}) | _OWN_FRAMING
+    removed = (message.connection_options - PROTECTED - {"host"}) | _OWN_FRAMING
     fields: list[HeaderField] = []
     seen: set[str] = set()
     for name, value in message.fields:
--- a/brambleusher/net/http/message.py
+++ b/brambleusher/net/http/message.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Set
 from dataclasses import dataclass, field
 
 MAX_HEAD_BYTES = 16 * 1024
@@ -19,6 +20,9 @@
 )
 
 
+_NO_OPTIONS: Set[str] = frozenset()
+
+
 class HttpError(Exception):
     """A message that can't be used; `status` is what its sender is answered with."""
 
@@ -47,5 +51,13 @@
     @property
     def keep_alive(self) -> bool:
         """Whether the sender lets the connection serve another message."""
-        words = {word.strip().lower() for word in self.headers.get("connection", "").split(",")}
-        return "close" not in words and (self.minor == 1 or "keep-alive" in words)
+        options = self.connection_options
+        return "close" not in options and (self.minor == 1 or "keep-alive" in options)
+
+    @property
+    def connection_options(self) -> Set[str]:
+        """What the `Connection` header names, in lower case: options, and headers of this connection only."""
+        connection = self.headers.get("connection")
+        if connection is None:
+            return _NO_OPTIONS
+        return {word.strip().lower() for word in connection.split(",")}
--- a/brambleusher/net/http/reader.py
+++ b/brambleusher/net/http/reader.py
@@ -22,7 +22,9 @@
 _CARRIAGE_RETURN = 0x0D
 # In place of a body's length.
 _CHUNKED, _UNTIL_CLOSE = -1, -2
-_BODILESS = frozenset({HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED})
+# Plain numbers: each access to a member of an enum costs a call, and these are on the way of each request.
+_BODILESS_STATUSES = frozenset({HTTPStatus.NO_CONTENT.value, HTTPStatus.NOT_MODIFIED.value})
+_FIRST_FINAL_STATUS = HTTPStatus.OK.value
 
 
 class MessageReader:
@@ -109,7 +111,8 @@
             self._message = self._read_head()
             if self._message is not None:
                 self._length = self._framing(self._message)
-                self._chunked = ChunkedDecoder()
+                if self._length == _CHUNKED:
+                    self._chunked = ChunkedDecoder()
         return self._message
 
     def take(self) -> Message | None:
@@ -225,8 +228,10 @@
             if length is not None or coding.lower() != "chunked" or message.minor == 0:
                 raise HttpError(400, "the body's length is not clear")
             return _CHUNKED
-        if self._is_for_responses and (message.status in _BODILESS or message.status < HTTPStatus.OK):
-            return 0
+        if self._is_for_responses:
+            status = message.status
+            if status in _BODILESS_STATUSES or status < _FIRST_FINAL_STATUS:
+                return 0
         if length is None:
             return _UNTIL_CLOSE if self._is_for_responses else 0
         if not _LENGTH.match(length):
--- a/brambleusher/net/http/writer.py
+++ b/brambleusher/net/http/writer.py
@@ -26,7 +26,8 @@
     framing: Framing = Framing.LENGTH,
 ) -> bytes:
     """Write a request; `length` is that of a body of which the rest is sent apart."""
-    lines = [f"{method} {target} HTTP/1.1", *(f"{name}: {value}" for name, value in headers)]
+    lines = [f"{method} {target} HTTP/1.1"]
+    lines += [f"{name}: {value}" for name, value in headers]
     if framing is Framing.CHUNKS:
         lines.append("Transfer-Encoding: chunked")
     elif body or length or method not in ("GET", "HEAD"):
@@ -43,8 +44,8 @@
     framing: Framing = Framing.LENGTH,
 ) -> bytes:
     """Write a response; `length` is that of a body of which the rest is sent apart."""
-    reason = HTTPStatus(status).phrase
-    lines = [f"HTTP/1.1 {status} {reason}", *(f"{name}: {value}" for name, value in headers)]
+    lines = [f"HTTP/1.1 {status} {HTTPStatus(status).phrase}"]
+    lines += [f"{name}: {value}" for name, value in headers]
     if framing is Framing.LENGTH:
         lines.append(f"Content-Length: {len(body) if length is None else length}")
     elif framing is Framing.CHUNKS:
--- a/brambleusher/net/request_lifecycle.py
+++ b/brambleusher/net/request_lifecycle.py
@@ -25,6 +25,7 @@
 
 DECISION_GRACE_S = 0.005  # past the deadline: the balancer had its chance to answer
 _NS_PER_S = 1e9
+_SOCKET = Wakeup.SOCKET
 
 
 class ResponseKind(Enum):
@@ -35,7 +36,7 @@
     FAILED = "failed"
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class FinalResponse:
     """A final response, before it is worded in any protocol."""
 
@@ -44,7 +45,7 @@
     payload: object = None
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class ClientHandle:
     """The client of a request: `watched_socket` has its socket as long as it can be seen to leave."""
 
@@ -52,7 +53,7 @@
     has_left: Callable[[], bool]
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)  # not frozen: that would cost four times as much to make, for each request
 class AttemptOrder:
     """An attempt that is to be made, and whom to call as it proceeds.
 
@@ -240,7 +241,7 @@
         """Wait for the next step; true if the client is to be looked at."""
         deadline, sock = self._deadline() + DECISION_GRACE_S, self._client.watched_socket()
         try:
-            return self._scheduler.park(deadline, sock, event=self._pending.event) is Wakeup.SOCKET
+            return self._scheduler.park(deadline, sock, event=self._pending.event) is _SOCKET
         except TaskTimeoutError:
             # Race: a step may have come in the same moment, after a late wake-up.
             if not self._pending.steps:
--- a/brambleusher/net/upstream_endpoint.py
+++ b/brambleusher/net/upstream_endpoint.py
@@ -59,7 +59,7 @@
         return AttemptStatus.CANCELLED
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)  # not frozen: that would cost four times as much to make, for each request
 class AttemptResult:
     """How an attempt ended."""
 
--- a/brambleusher/net/upstream_exchange.py
+++ b/brambleusher/net/upstream_exchange.py
@@ -130,7 +130,7 @@
         attempt, context, deadline = self._attempt, self._context, self._deadline
         context.counters.add("claims_sent")
         attempt.has_started_sending = True
-        data = encode_request(self._request, self._endpoint.address, time_left_ms)
+        data = encode_request(self._request, self._endpoint.address, time_left_ms, body)
         if body is None:
             stream.send(data, deadline)
         else:
--- a/brambleusher/net/upstream_request_writer.py
+++ b/brambleusher/net/upstream_request_writer.py
@@ -6,7 +6,7 @@
 
 from brambleusher.loadbalancing.api import AttemptStatus
 from brambleusher.net.http import HOP_BY_HOP, Framing, HeaderField, HttpError, Message, chunk, write_request
-from brambleusher.net.streamed_bodies import EarlyResponseError, RequestBodyStream, request_body_stream
+from brambleusher.net.streamed_bodies import EarlyResponseError, RequestBodyStream
 from brambleusher.net.upstream_endpoint import UpstreamAttempt
 from brambleusher.runtime.streams import Stream, WaitInterruptedError
 from brambleusher.runtime.system import Address
@@ -15,13 +15,14 @@
 _REWRITTEN = HOP_BY_HOP | {"content-length", "request-timeout-ms", "expect"}
 
 
-def encode_request(request: Message, address: Address, time_left_ms: int) -> bytes:
-    """Encode a request for an endpoint; of a streamed body only the head."""
+def encode_request(
+    request: Message, address: Address, time_left_ms: int, body_stream: RequestBodyStream | None
+) -> bytes:
+    """Encode a request for an endpoint; of one whose body is streamed only the head."""
     headers = _forwarded_headers(request)
     if "host" not in request.headers:
         headers.insert(0, ("Host", f"{address[0]}:{address[1]}"))
     headers.append(("Request-Timeout-Ms", str(time_left_ms)))
-    body_stream = request_body_stream(request)
     if body_stream is not None:
         length = body_stream.length
         framing = Framing.CHUNKS if length is None else Framing.LENGTH
@@ -32,11 +33,11 @@
 def _forwarded_headers(request: Message) -> list[HeaderField]:
     if request.forwarded_fields is not None:
         return [field for field in request.forwarded_fields if field[0].lower() not in _REWRITTEN]
-    named = {word.strip().lower() for word in request.headers.get("connection", "").split(",")}
+    of_connection = request.connection_options
     return [
         (name.title(), value)
         for name, value in request.headers.items()
-        if name not in _REWRITTEN and name not in named
+        if name not in _REWRITTEN and name not in of_connection
     ]
 
 
--- a/brambleusher/net/upstream_response_reader.py
+++ b/brambleusher/net/upstream_response_reader.py
@@ -13,6 +13,9 @@
 MAX_INTERIM_RESPONSES = 16  # 1xx responses ahead of one attempt's final response
 RESPONSE_IDLE_TIMEOUT_S = 0.5  # without a byte of a response that has begun, and is buffered
 RESPONSE_BUFFER_TIMEOUT_S = 0.3  # that the begin of a response of unknown length is buffered
+# Plain numbers: each access to a member of an enum costs a call, and these are on the way of each request.
+_FIRST_FINAL_STATUS = HTTPStatus.OK.value
+_SWITCHING_PROTOCOLS = HTTPStatus.SWITCHING_PROTOCOLS.value
 
 
 class UpstreamResponseReader:
@@ -80,10 +83,10 @@
     def _take_final(self) -> Message | None:
         """Take the final response once it is complete; interim ones are skipped."""
         while (response := self._reader.take()) is not None:
-            if response.status >= HTTPStatus.OK:
+            if response.status >= _FIRST_FINAL_STATUS:
                 return response
             self._interim_count, self._due = self._interim_count + 1, self._deadline
-            is_upgrade = response.status == HTTPStatus.SWITCHING_PROTOCOLS
+            is_upgrade = response.status == _SWITCHING_PROTOCOLS
             if self._interim_count > MAX_INTERIM_RESPONSES or is_upgrade:
                 # 1xx responses without end, at full speed, would keep others from running.
                 raise HttpError(502, "interim answers without end")
--- a/brambleusher/net/upstream_responses.py
+++ b/brambleusher/net/upstream_responses.py
@@ -17,6 +17,10 @@
 UTILISATION_KEYS = ("util", "utilization")
 THROUGHPUT_KEYS = ("qps", "throughput")
 
+# Plain numbers: each access to a member of an enum costs a call, and these are on the way of each request.
+_OK = HTTPStatus.OK.value
+_UNAVAILABLE_STATUSES = frozenset({HTTPStatus.SERVICE_UNAVAILABLE.value, HTTPStatus.GATEWAY_TIMEOUT.value})
+
 FaultHandler = Callable[[str], object]  # takes a description of what makes no sense
 
 
@@ -41,8 +45,8 @@
 
 
 def _parse_figure(raw: dict[str, object], keys: tuple[str, str], on_fault: FaultHandler) -> float | None:
-    key = next((key for key in keys if key in raw), None)
-    value = None if key is None else raw[key]
+    key = keys[0] if keys[0] in raw else keys[1]
+    value = raw.get(key)
     if isinstance(value, int | float) and not isinstance(value, bool) and 0 <= value < math.inf:
         return float(value)
     if value is not None:
@@ -61,9 +65,9 @@
 
 def attempt_status_of(response: Message) -> AttemptStatus:
     """Say what a response proves; a 503 that does not say so does not prove that nothing was started."""
-    if response.status == HTTPStatus.OK:
+    status = response.status
+    if status == _OK:
         return AttemptStatus.OK
-    is_unavailable = response.status in (HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.GATEWAY_TIMEOUT)
-    if is_unavailable and response.headers.get(NOT_STARTED_HEADER) == "1":
+    if status in _UNAVAILABLE_STATUSES and response.headers.get(NOT_STARTED_HEADER) == "1":
         return AttemptStatus.OVERLOADED
     return AttemptStatus.ERROR
--- a/brambleusher/runtime/scheduler.py
+++ b/brambleusher/runtime/scheduler.py
@@ -44,6 +44,10 @@
     EVENT = "event"
 
 
+# Each access to a member of an enum costs a call, and these are on the way of each request.
+_SOCKET, _EVENT = Wakeup.SOCKET, Wakeup.EVENT
+
+
 class TaskTimeoutError(Exception):
     """The deadline passed before what was waited for came."""
 
@@ -84,7 +88,7 @@
         """Wake the task that waits, or let the next wait return at once."""
         self.is_set = True
         if self.task is not None:
-            self.task.scheduler.wake(self.task, Wakeup.EVENT)
+            self.task.scheduler.wake(self.task, _EVENT)
 
 
 class Task:
@@ -192,7 +196,7 @@
         """
         if event is not None and event.is_set:
             event.is_set = False
-            return Wakeup.EVENT
+            return _EVENT
         task = self._current()
         if sock is not None:
             task.sock_fd = sock.fileno()
@@ -355,7 +359,7 @@
         for fd, _ in self._poll.poll(timeout_ms):
             task = self._waiting.get(fd)
             if task is not None:
-                self.wake(task, Wakeup.SOCKET)
+                self.wake(task, _SOCKET)
             elif fd == self._waker.fileno():
                 self._waker.clear()
             else:  # nobody waits for this socket: it would end every poll at once
--- a/brambleusher/runtime/streams.py
+++ b/brambleusher/runtime/streams.py
@@ -13,6 +13,9 @@
 LINGER_SECONDS, LINGER_BYTES = 0.5, 1024 * 1024
 
 
+_EVENT = Wakeup.EVENT
+
+
 class WaitInterruptedError(Exception):
     """The event was set: what was waited for is not wanted any more."""
 
@@ -59,7 +62,7 @@
                 prepare(sock)
             code = sock.connect_ex(address)
             if code == errno.EINPROGRESS:
-                if scheduler.park(deadline, sock, WRITE, event) is Wakeup.EVENT:
+                if scheduler.park(deadline, sock, WRITE, event) is _EVENT:
                     raise WaitInterruptedError
                 code = scheduler.system.error_of(sock)
             if code:
@@ -77,7 +80,7 @@
             try:
                 return self.sock.recv(size)
             except BlockingIOError:
-                if self.scheduler.park(deadline, self.sock, READ, event) is Wakeup.EVENT:
+                if self.scheduler.park(deadline, self.sock, READ, event) is _EVENT:
                     return None
 
     def send(self, data: bytes, deadline: float | None) -> None:
