--- a/brambleusher/decisions/observers.py
+++ b/brambleusher/decisions/observers.py
@@ -5,10 +5,10 @@
 import logging
 from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass
-from typing import Any
 
 from brambleusher.decisions.requests import AttemptOutcome, ClientRequest
 from brambleusher.loadbalancing import api
+from brambleusher.loadbalancing.state_codec import JsonObject
 
 log = logging.getLogger(__name__)
 
@@ -83,7 +83,7 @@
 class DecisionRecorder:
     """Follows all that passes between the driver and the balancer."""
 
-    def start(self, state: Callable[[], dict[str, Any]], is_imported: bool = False) -> None:
+    def start(self, state: Callable[[], JsonObject], is_imported: bool = False) -> None:
         """Begin with a balancer, new or imported; `state` returns its state between two events."""
 
     def record(self, decision: Decision) -> None:
