--- a/tests/test_recorded_shared_folder.py
+++ b/tests/test_recorded_shared_folder.py
@@ -2,14 +2,16 @@
 
 from __future__ import annotations
 
+import fcntl
 import shutil
 from pathlib import Path
 
 import orjson
 import pytest
 
-from brambleusher.handover.shared_folder import SharedFolder
-from brambleusher.handover.shared_settings import SharedSettingsStore
+from brambleusher.handover.process_registry import ProcessRegistry, ProcessStage
+from brambleusher.handover.shared_folder import SharedFolder, folder_path
+from brambleusher.handover.shared_settings import SharedSettings, SharedSettingsStore
 from brambleusher.handover.state_transfer import StateTransfer, TransferredState
 from brambleusher.loadbalancing.host_bans import Ban
 from brambleusher.net.endpoint_list import decode_update
@@ -66,3 +68,29 @@
         (server["id"], (f"10.0.0.{at + 1}", 80), server["zone"], server["cell"])
         for at, server in enumerate(raw["list"]["servers"])
     ]
+
+
+def test_files_of_processes_are_named_alike(tmp_path: Path) -> None:
+    """The names that 49e18d4 gives and looks for: its processes and ours find each other by them."""
+    assert folder_path("/tmp", "n/0") == Path("/tmp/brambleusher-n_0")
+    registry = ProcessRegistry(SharedFolder(tmp_path, 7))
+    seen = []
+    assert not registry.register()
+    seen.append([path.name for path in tmp_path.iterdir()])
+    for stage in (ProcessStage.SERVING, ProcessStage.DRAINING):
+        registry.set_stage(stage)
+        seen.append([path.name for path in tmp_path.iterdir()])
+    assert seen == [["starting-7"], ["serving-7"], ["leaving-7"]]
+    SharedSettingsStore(SharedFolder(tmp_path, 7)).update(lambda _: SharedSettings({}))
+    assert sorted(path.name for path in tmp_path.iterdir()) == ["leaving-7", "lock", "shared.json"]
+    registry.unregister()
+
+
+@pytest.mark.parametrize("name", ["starting-99", "serving-99", "leaving-99", "joining-99"])
+def test_a_process_of_the_recorded_version_is_seen(name: str, tmp_path: Path) -> None:
+    registry = ProcessRegistry(SharedFolder(tmp_path, 7))
+    with (tmp_path / name).open("w") as other:
+        fcntl.flock(other, fcntl.LOCK_EX)
+        assert registry.register() is (name == "serving-99")
+        assert registry.process_count == (1 if name == "joining-99" else 2)
+    registry.unregister()
