--- a/brambleusher/loadbalancing/admission_control.py
+++ b/brambleusher/loadbalancing/admission_control.py
@@ -78,6 +78,8 @@
         self._traffic = traffic
         self._capacity = capacity
         self._host_table = host_table
+        # Of what is in flight at the moment, beside the mean: of many proxies each goes by the mean.
+        self._moment_weight = 1 / math.sqrt(settings.fleet_size)
         self.quotas = TenantQuotas(settings)
         self.limit = math.inf  # attempts in flight
         self.offered = MIN_OFFERED  # attempts in flight that would serve all that comes
@@ -266,7 +268,7 @@
         limit = self.limit
         traffic = self._traffic
         chance = math.sqrt(max(limit, 1.0))
-        moment_weight = 1 / math.sqrt(self._settings.fleet_size)
+        moment_weight = self._moment_weight
         seen = traffic.mean_in_flight + moment_weight * (traffic.in_flight - traffic.mean_in_flight)
         seen = max(seen, traffic.in_flight - CHANCE_DEVIATIONS * (1 - moment_weight) * chance)
         admit_all = limit * ADMIT_ALL_FRACTION
--- a/brambleusher/loadbalancing/attempt_timeout.py
+++ b/brambleusher/loadbalancing/attempt_timeout.py
@@ -38,12 +38,12 @@
     def timeout_ns(self, request: Request, idle_ns: int, now: int) -> int:
         """Return the time-out of the next attempt of a request, on a connection that was idle so long.
 
-        Guards against connections dropped unseen, and against those that fell silent under a request while
-        there is capacity elsewhere.  Harm: answers that would have come.
+        Guards against connections dropped unseen, and against those that became unresponsive under a request
+        while there is capacity elsewhere.  Harm: answers that would have come.
         """
-        request_class = self._settings.classes[request.class_index]
         if len(request.attempts) + 1 >= self._settings.max_attempts:
             return NO_TIMEOUT
+        request_class = self._settings.classes[request.class_index]
         timeout_ns = NO_TIMEOUT
         if idle_ns > self._idle_timeout.min_ns and self._idle_timeout.is_reduced:
             timeout_ns = self._after_idling(request, request_class, now)
--- a/brambleusher/loadbalancing/host_selection.py
+++ b/brambleusher/loadbalancing/host_selection.py
@@ -43,9 +43,9 @@
 
         Not where it has been, within the scope of its key, and within the budget of a host that warms up.
         """
-        tried = [host for host, _, _ in request.attempts]
+        tried = [host for host, _, _ in request.attempts] if request.attempts else ()
         bound_to = request.first_run_host
-        scope = DeduplicationScope.ALL
+        scope = None
         if bound_to is not None:
             scope = self._classes[request.class_index].deduplication_scope
         slow_start = self._slow_start
--- a/brambleusher/loadbalancing/zone_loads.py
+++ b/brambleusher/loadbalancing/zone_loads.py
@@ -52,6 +52,7 @@
         """Return the load of every zone that has hosts."""
         loads: dict[str, ZoneLoad] = {}
         counts: dict[str, _HostCounts] = {}
+        counted: list[Host] = []
         in_use = {host.name for host in self._host_table.in_use}
         for host in self._host_table.hosts.values():
             if host.is_draining:
@@ -60,20 +61,24 @@
             if load is None:
                 load = loads[host.zone] = ZoneLoad()
                 counts[host.zone] = _HostCounts()
-            unresponsive_since_ns = self._unresponsive_since_ns(host, now)
-            if unresponsive_since_ns > 0:
-                load.unanswered_since_ns[host.name] = unresponsive_since_ns
+            if host.in_flight:
+                unresponsive_since_ns = self._unresponsive_since_ns(host, now)
+                if unresponsive_since_ns > 0:
+                    load.unanswered_since_ns[host.name] = unresponsive_since_ns
             if host.name not in in_use and host.is_ready:
                 # Not among this proxy's few: it counts as those that are.
                 counts[host.zone].not_in_use += 1
-                continue
-            self._add(load, host, now)
+            else:
+                counted.append(host)
+        utilisations = self._capacity.faded_utilisations(counted, now)
+        for host, utilisation in zip(counted, utilisations, strict=True):
+            self._add(loads[host.zone], host, utilisation, now)
             counts[host.zone].missing_goal += misses_goal(host)
         for name, load in loads.items():
             _scale(load, counts[name])
         return loads
 
-    def _add(self, load: ZoneLoad, host: Host, now: int) -> None:
+    def _add(self, load: ZoneLoad, host: Host, utilisation: float, now: int) -> None:
         """Add a host to the load of its zone."""
         estimates = self._capacity
         rate = estimates.rate_per_size or 1.0  # before it is known, hosts' capacities beside each other
@@ -81,14 +86,13 @@
         usual = estimates.capacity_of_kind.get(host.kind, estimates.mean_capacity)
         known = host.capacity if warm_fraction >= 1 else None
         capacity = (known or usual) * warm_fraction * rate
-        has_reported = host.reported_ns >= 0
-        utilisation = estimates.mean_utilisation
-        if has_reported:
-            (utilisation,) = estimates.faded_utilisations((host,), now)
+        if host.reported_ns >= 0:
+            load.throughput += host.throughput * rate
+        else:
+            utilisation = estimates.mean_utilisation
         load.host_count += 1
         load.capacity += capacity
         load.used += utilisation * capacity
-        load.throughput += host.throughput * rate if has_reported else 0.0
         load.total_weight += capacity * max(1 - utilisation, MIN_FREE) * host.health * host.acceptance
 
     def _unresponsive_since_ns(self, host: Host, now: int) -> int:
