--- a/benchmarks/lists.py
+++ b/benchmarks/lists.py
@@ -35,7 +35,7 @@
 
 from brambleusher.loadbalancing import api
 from brambleusher.loadbalancing.balancer import Balancer
-from brambleusher.loadbalancing.zone_aware_balancer import balancer_for
+from brambleusher.loadbalancing.balancer_factory import balancer_for
 from brambleusher.net.http import MessageReader
 from brambleusher.observability.log_format import configure
 from brambleusher.operator_settings.configuration import parse_operator_file
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -42,8 +42,8 @@
 )
 from brambleusher.lab.virtual.zone_days import FALL_MULTIPLE, ZONES, Books, Day, play
 from brambleusher.loadbalancing import Balancer, api
+from brambleusher.loadbalancing.balancer_factory import balancer_for
 from brambleusher.loadbalancing.hosts import Host, Request
-from brambleusher.loadbalancing.zone_aware_balancer import balancer_for
 
 ZONE = "macon"
 WHOLE = 0.95
--- a/brambleusher/decisions/balancer_driver.py
+++ b/brambleusher/decisions/balancer_driver.py
@@ -21,10 +21,10 @@
     do_nothing,
 )
 from brambleusher.loadbalancing import Balancer, api
+from brambleusher.loadbalancing.balancer_factory import balancer_for
 from brambleusher.loadbalancing.json_values import StateError
 from brambleusher.loadbalancing.state_codec import count_avoided_hosts, save
 from brambleusher.loadbalancing.state_transfer import export_state, import_state
-from brambleusher.loadbalancing.zone_aware_balancer import ZoneAwareBalancer, balancer_for
 from brambleusher.observability.counters import Counters
 from brambleusher.runtime.scheduler import Scheduler
 
@@ -197,15 +197,13 @@
 
     def change_zone_rules(self, rules: api.ZoneRules | None) -> bool:
         """Follow changed rules on zones; return False where the balancer has started without rules."""
-        if not isinstance(self._balancer, ZoneAwareBalancer):
+        if not self._balancer.accepts_zone_rules:
             return rules is None
         self._handle(api.ZoneRulesChanged(rules))
         return True
 
     def zone_status(self) -> dict[str, object] | None:
         """Return the status of zones as plain values; None where the balancer has started without rules."""
-        if not isinstance(self._balancer, ZoneAwareBalancer):
-            return None
         return self._balancer.zone_status(self._clock.now_ns())
 
     def set_process_share(self, share: float) -> None:
--- a/brambleusher/features/replay.py
+++ b/brambleusher/features/replay.py
@@ -17,10 +17,10 @@
     recorded_server,
 )
 from brambleusher.loadbalancing import api
+from brambleusher.loadbalancing.balancer_factory import balancer_for
 from brambleusher.loadbalancing.json_values import StateError
 from brambleusher.loadbalancing.settings_codec import restore_settings
 from brambleusher.loadbalancing.state_codec import attempted_hosts, known_hosts, restore
-from brambleusher.loadbalancing.zone_aware_balancer import balancer_for
 
 SAME, DIFFERENT, REFUSED = 0, 1, 2
 
--- a/brambleusher/lab/fleets/fleet.py
+++ b/brambleusher/lab/fleets/fleet.py
@@ -39,7 +39,7 @@
 from brambleusher.lab.virtual.world import Machine as VirtualMachine
 from brambleusher.loadbalancing import Balancer
 from brambleusher.loadbalancing.api import Settings
-from brambleusher.loadbalancing.zone_aware_balancer import balancer_for
+from brambleusher.loadbalancing.balancer_factory import balancer_for
 from brambleusher.operator_settings.configuration import OperatorFile, parse_operator_file
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.system import Address
--- a/brambleusher/lab/virtual/zone_days.py
+++ b/brambleusher/lab/virtual/zone_days.py
@@ -28,7 +28,7 @@
 from brambleusher.lab.stand_ins.settings import Ask, ClientSettings, NodeSettings
 from brambleusher.loadbalancing import Balancer
 from brambleusher.loadbalancing.api import Settings
-from brambleusher.loadbalancing.zone_aware_balancer import balancer_for
+from brambleusher.loadbalancing.balancer_factory import balancer_for
 
 SECOND = 10**9
 ZONES = ("atl-north", "atl-south", "macon", "augusta")
--- a/brambleusher/loadbalancing/balancer.py
+++ b/brambleusher/loadbalancing/balancer.py
@@ -48,6 +48,8 @@
     Subclasses extend it by its handlers (`_on_...`) and by the methods under "extension points".
     """
 
+    accepts_zone_rules = False  # whether `ZoneRulesChanged` may be handled
+
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.settings = settings
         self.rng = random.Random(seed)
@@ -118,6 +120,10 @@
         self._handlers[type(event)](event, now)
         return self._actions
 
+    def zone_status(self, _now: int, /) -> dict[str, object] | None:
+        """Return the state of zones for operators, as plain values; None where zones play no part."""
+        return None
+
     # --- extension points ------------------------------------------------------------------------
 
     def _make_host_table(self) -> HostTable:
--- a/brambleusher/loadbalancing/state_codec.py
+++ b/brambleusher/loadbalancing/state_codec.py
@@ -12,23 +12,22 @@
 import struct
 from base64 import b64decode, b64encode
 from collections import deque
-from collections.abc import Callable
-from dataclasses import dataclass
+from collections.abc import Callable, Mapping
+from enum import Enum
 from operator import attrgetter
 from typing import Any, cast
 
 from brambleusher.loadbalancing import api, state_tables
 from brambleusher.loadbalancing.balancer import Balancer
+from brambleusher.loadbalancing.balancer_factory import balancer_for
 from brambleusher.loadbalancing.hosts import NO_ATTEMPTS, Attempt, Host, Request
 from brambleusher.loadbalancing.idle_timeout import IdleTimeout
 from brambleusher.loadbalancing.json_values import MALFORMED, StateError
 from brambleusher.loadbalancing.retry_budget import RetryBudget
 from brambleusher.loadbalancing.settings_codec import restore_rules, save_rules
 from brambleusher.loadbalancing.state_tables import FieldTable
+from brambleusher.loadbalancing.stored_records import StoredForm, StoredRecord
 from brambleusher.loadbalancing.token_round_robin import TokenRoundRobin
-from brambleusher.loadbalancing.zone_aware_balancer import ZoneAwareBalancer, balancer_for
-from brambleusher.loadbalancing.zone_routing import ZoneRouter
-from brambleusher.loadbalancing.zone_state import NodeHealth, Zone, ZoneState
 
 JsonObject = dict[str, Any]
 Row = list[Any]
@@ -40,37 +39,29 @@
 _HOST, _REQUEST, _ZONE_STATE, _ZONE_RULES = "h", "r", "state", "rules"
 
 
-@dataclass(frozen=True, slots=True)
-class _Record:
-    """A kind of object that is stored by its fields, and how to make one to be filled with them."""
-
-    kind: type
-    fields: FieldTable
-    make_empty: Callable[[random.Random], object]
-
-
-_RECORDS = {
-    "turn": _Record(TokenRoundRobin, state_tables.TOKEN_ROUND_ROBIN, TokenRoundRobin),
-    "retries": _Record(RetryBudget, state_tables.RETRY_BUDGET, lambda _: RetryBudget(0)),
-    "trust": _Record(IdleTimeout, state_tables.IDLE_TIMEOUT, lambda _: IdleTimeout()),
-    "zones": _Record(ZoneRouter, state_tables.ZONE_ROUTER, lambda _: ZoneRouter(None, "", 0, 0)),
-    "zone": _Record(Zone, state_tables.ZONE, lambda _: Zone("")),
-    "node": _Record(NodeHealth, state_tables.ZONE_NODE, lambda _: NodeHealth()),
+_RECORDS: Mapping[str, StoredRecord] = {
+    "turn": StoredRecord(TokenRoundRobin, state_tables.TOKEN_ROUND_ROBIN, TokenRoundRobin),
+    "retries": StoredRecord(RetryBudget, state_tables.RETRY_BUDGET, lambda _: RetryBudget(0)),
+    "trust": StoredRecord(IdleTimeout, state_tables.IDLE_TIMEOUT, lambda _: IdleTimeout()),
 }
-_KEY_OF_RECORD = {record.kind: key for key, record in _RECORDS.items()}
+_PLAIN = StoredForm(state_tables.BALANCER, _RECORDS)
+
 
+def stored_form(balancer: Balancer) -> StoredForm:
+    """Return how a balancer is stored; with rules on zones, the modules of zones are loaded already."""
+    if not balancer.accepts_zone_rules:
+        return _PLAIN
+    from brambleusher.loadbalancing.zone_state import ZoneState
+    from brambleusher.loadbalancing.zone_stored_records import ZONE_RECORDS
 
-def fields_of(balancer: Balancer) -> FieldTable:
-    """Return the table of what is stored of a balancer itself."""
-    if isinstance(balancer, ZoneAwareBalancer):
-        return state_tables.ZONE_AWARE_BALANCER
-    return state_tables.BALANCER
+    return StoredForm(state_tables.ZONE_AWARE_BALANCER, {**_RECORDS, **ZONE_RECORDS}, ZoneState)
 
 
 class _Saver:
     """Walks from the balancer to all hosts and requests that it reaches."""
 
-    def __init__(self) -> None:
+    def __init__(self, form: StoredForm) -> None:
+        self._form = form
         self._hosts: list[Host] = []
         self._requests: list[Request] = []
         self._index_of: dict[int, int] = {}  # by identity
@@ -107,12 +98,12 @@
             return {_EMPTY_MAPPING: 0}
         if isinstance(value, deque):
             return {_DEQUE: [self.value(item) for item in value], _DEQUE_LENGTH: value.maxlen}
-        key = _KEY_OF_RECORD.get(type(value))
+        key = self._form.key_of(type(value))
         if key is not None:
-            return {key: self.record(value, _RECORDS[key].fields)}
+            return {key: self.record(value, self._form.records[key].fields)}
         if isinstance(value, api.ZoneRules):
             return {_ZONE_RULES: save_rules(value)}
-        if isinstance(value, ZoneState):
+        if isinstance(value, Enum) and type(value) is self._form.state_enum:
             return {_ZONE_STATE: value.value}
         raise StateError(f"a {type(value).__name__} can't be saved: {value!r:.100}")
 
@@ -138,8 +129,9 @@
 
 def save(balancer: Balancer) -> JsonObject:
     """Return all that decides what the balancer does next; call it between two events."""
-    saver = _Saver()
-    own = saver.record(balancer, fields_of(balancer))
+    form = stored_form(balancer)
+    saver = _Saver(form)
+    own = saver.record(balancer, form.fields)
     hosts, requests = saver.rows()
     version, words, gauss = balancer.rng.getstate()
     return {
@@ -155,7 +147,8 @@
 class _Loader:
     """Turns values back; a reference is an index into a table of empty records that are filled later."""
 
-    def __init__(self, rng: random.Random, hosts: int, requests: int) -> None:
+    def __init__(self, form: StoredForm, rng: random.Random, hosts: int, requests: int) -> None:
+        self._form = form
         self._rng = rng
         self.hosts = [Host.__new__(Host) for _ in range(hosts)]
         self.requests = [Request.__new__(Request) for _ in range(requests)]
@@ -167,8 +160,8 @@
         if not isinstance(value, dict):
             return value
         (key, content), *more = value.items()
-        if key in _RECORDS:
-            record = _RECORDS[key]
+        if key in self._form.records:
+            record = self._form.records[key]
             item = record.make_empty(self._rng)
             self.fill(item, record.fields, content)
             return item
@@ -180,7 +173,7 @@
         return read(content)
 
     def _readers(self) -> dict[str, Callable[[Any], object]]:
-        return {
+        readers: dict[str, Callable[[Any], object]] = {
             _FLOAT: float,
             _HOST: self.hosts.__getitem__,
             _REQUEST: self.requests.__getitem__,
@@ -188,8 +181,10 @@
             _DICT: lambda content: {self.value(key): self.value(item) for key, item in content},
             _EMPTY_MAPPING: lambda _: NO_ATTEMPTS,
             _ZONE_RULES: restore_rules,
-            _ZONE_STATE: ZoneState,
         }
+        if self._form.state_enum is not None:
+            readers[_ZONE_STATE] = self._form.state_enum
+        return readers
 
     def fill(self, item: object, fields: FieldTable, stored: JsonObject) -> None:
         """Give an object its fields: exactly those of its table, so that another version is noticed."""
@@ -202,12 +197,12 @@
 
     def _set(self, owner: object, name: str, stored: object) -> None:
         """Set an attribute; a record is filled in place, since others may refer to it."""
-        record = _RECORDS.get(_KEY_OF_RECORD.get(type(getattr(owner, name)), ""))
+        record = self._form.records.get(self._form.key_of(type(getattr(owner, name))) or "")
         if record is None:
             setattr(owner, name, self.value(stored))
             return
         ((key, content),) = cast(JsonObject, stored).items()
-        if _RECORDS.get(key) is not record:
+        if self._form.records.get(key) is not record:
             raise StateError(f"the stored {name} is not a {record.kind.__name__}")
         self.fill(getattr(owner, name), record.fields, content)
 
@@ -241,12 +236,13 @@
     version, words, position, gauss = state["random"]
     unpacked = _RANDOM_WORDS.unpack(b64decode(words, validate=True))
     balancer.rng.setstate((version, (*unpacked, position), gauss))
-    loader = _Loader(balancer.rng, len(state["hosts"]), len(state["requests"]))
+    form = stored_form(balancer)
+    loader = _Loader(form, balancer.rng, len(state["hosts"]), len(state["requests"]))
     loader.fill_rows(loader.hosts, state_tables.HOST, state["host_names"], state["hosts"])
     loader.fill_rows(loader.requests, state_tables.REQUEST, state["request_names"], state["requests"])
     for request in loader.requests:
         request.attempts = [Attempt(*attempt) for attempt in request.attempts]
-    loader.fill(balancer, fields_of(balancer), state["own"])
+    loader.fill(balancer, form.fields, state["own"])
     balancer.host_table.ranking.rebuild(balancer.host_table.hosts.values())
 
 
--- a/brambleusher/loadbalancing/zone_aware_balancer.py
+++ b/brambleusher/loadbalancing/zone_aware_balancer.py
@@ -26,14 +26,11 @@
 MIN_PROXIES_IN_ZONE = 0.25  # that share what a host warming up can do
 
 
-def balancer_for(settings: api.Settings, seed: int) -> Balancer:
-    """Return the balancer that settings ask for: without rules on zones, the plain one."""
-    return Balancer(settings, seed) if settings.zone_rules is None else ZoneAwareBalancer(settings, seed)
-
-
 class ZoneAwareBalancer(Balancer):
     """One client proxy's decisions, with rules on zones."""
 
+    accepts_zone_rules = True
+
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
         self.zone_router = ZoneRouter(settings.zone_rules, settings.zone, self._unit_ns, settings.fleet_size)
@@ -49,7 +46,7 @@
     def _has_rules(self) -> bool:
         return self.zone_router.rules is not None
 
-    def zone_status(self, now: int) -> dict[str, object]:
+    def zone_status(self, now: int, /) -> dict[str, object]:
         """Return the state of zones for operators, as plain values."""
         router = self.zone_router
         return {
--- a/brambleusher/sidecar/app.py
+++ b/brambleusher/sidecar/app.py
@@ -16,17 +16,16 @@
 from brambleusher.decisions.balancer_driver import BalancerDriver
 from brambleusher.decisions.clock import Clock
 from brambleusher.decisions.observers import DecisionObserver, DecisionObservers
-from brambleusher.features.status import StatusPage
 from brambleusher.handover.process_group import ProcessGroup
 from brambleusher.handover.shared_folder import folder_path
 from brambleusher.handover.shared_settings import SharedSettings
 from brambleusher.handover.state_transfer import TransferredState
 from brambleusher.loadbalancing import Balancer
 from brambleusher.loadbalancing.api import ListKind, Settings
+from brambleusher.loadbalancing.balancer_factory import balancer_for
 from brambleusher.loadbalancing.client_draining import ClientDraining
 from brambleusher.loadbalancing.connection_admission import ConnectionAdmission
 from brambleusher.loadbalancing.host_bans import HostBans
-from brambleusher.loadbalancing.zone_aware_balancer import balancer_for
 from brambleusher.net.client_listener import ClientListener
 from brambleusher.net.endpoint_list import EndpointList
 from brambleusher.net.endpoint_watch import HttpWatch
@@ -51,6 +50,7 @@
     from brambleusher.features.capture import Capture
     from brambleusher.features.metrics_reporter import MetricsReporter
     from brambleusher.features.rewrites import Rewrites
+    from brambleusher.features.status import StatusPage
     from brambleusher.fronts.mysql.service import MysqlService
 
 log = logging.getLogger(__name__)
@@ -187,7 +187,9 @@
     def _build_status(self) -> StatusPage | None:
         if self.operator.status is None:
             return None
-        return StatusPage(self.operator.status, self.config.settings, self.scheduler, self._zone_status)
+        return feature_assembly.build_status(
+            self.operator.status, self.config.settings, self.scheduler, self._zone_status
+        )
 
     def _build_rewrites(self) -> Rewrites | None:
         if self.operator.rewrites is None:
--- a/brambleusher/sidecar/feature_assembly.py
+++ b/brambleusher/sidecar/feature_assembly.py
@@ -3,16 +3,16 @@
 from __future__ import annotations
 
 import logging
+from collections.abc import Callable
 from typing import TYPE_CHECKING
 
 from brambleusher.decisions.balancer_driver import BalancerDriver
 from brambleusher.decisions.clock import Clock
 from brambleusher.features.capture import Capture, DirSink
 from brambleusher.features.metrics_reporter import DROPPED, MetricsReporter
-from brambleusher.features.rewrites import Rewrites
 from brambleusher.loadbalancing.api import Settings
 from brambleusher.observability.counters import Counters
-from brambleusher.operator_settings.configuration import CaptureSettings, MetricsSettings
+from brambleusher.operator_settings.configuration import CaptureSettings, MetricsSettings, StatusSettings
 from brambleusher.operator_settings.rewrite_rules import RewriteRule
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.system import System
@@ -20,6 +20,8 @@
 from brambleusher.sidecar.outputs import Outputs
 
 if TYPE_CHECKING:
+    from brambleusher.features.rewrites import Rewrites
+    from brambleusher.features.status import StatusPage
     from brambleusher.fronts.mysql.service import MysqlService
     from brambleusher.fronts.mysql.settings import MysqlSettings
 
@@ -60,12 +62,26 @@
 
 def build_rewrites(rules: tuple[RewriteRule, ...], served: Settings) -> Rewrites:
     """Return the rewrites of headers; rules for classes that are not served are logged."""
+    from brambleusher.features.rewrites import Rewrites  # here: a start without rewrites is charged less
+
     rewrites = Rewrites(rules)
     for name in sorted(rewrites.classes - {cls.name for cls in served.classes}):
         log.warning("rewrite rule names unknown class", extra={"fields": {"class": name}})
     return rewrites
 
 
+def build_status(
+    settings: StatusSettings,
+    served: Settings,
+    scheduler: Scheduler,
+    zone_status: Callable[[], dict[str, object] | None],
+) -> StatusPage:
+    """Return the status page."""
+    from brambleusher.features.status import StatusPage  # here: a start without the page is charged less
+
+    return StatusPage(settings, served, scheduler, zone_status)
+
+
 def build_mysql(
     settings: MysqlSettings,
     config: Config,
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -25,10 +25,10 @@
 )
 from brambleusher.features.replay import SAME, replay
 from brambleusher.loadbalancing import api
+from brambleusher.loadbalancing.balancer_factory import balancer_for
 from brambleusher.loadbalancing.settings_codec import restore_settings, save_settings
 from brambleusher.loadbalancing.state_codec import restore, save
 from brambleusher.loadbalancing.state_transfer import export_state, import_state
-from brambleusher.loadbalancing.zone_aware_balancer import balancer_for
 from brambleusher.net.endpoint_list import EndpointListUpdate, decode_update
 from brambleusher.operator_settings.configuration import CaptureSettings
 from brambleusher.runtime.operating_system import RealSystem
--- a/tests/test_state_codec.py
+++ b/tests/test_state_codec.py
@@ -8,13 +8,13 @@
 import pytest
 
 from brambleusher.loadbalancing import Balancer, api, state_tables
+from brambleusher.loadbalancing.balancer_factory import balancer_for
 from brambleusher.loadbalancing.host_ranking import HostRanking
 from brambleusher.loadbalancing.hosts import Host, Request
 from brambleusher.loadbalancing.idle_timeout import IdleTimeout
 from brambleusher.loadbalancing.retry_budget import RetryBudget
-from brambleusher.loadbalancing.state_codec import fields_of, save
+from brambleusher.loadbalancing.state_codec import save, stored_form
 from brambleusher.loadbalancing.token_round_robin import TokenRoundRobin
-from brambleusher.loadbalancing.zone_aware_balancer import balancer_for
 from brambleusher.loadbalancing.zone_routing import ZoneRouter
 from brambleusher.loadbalancing.zone_state import NodeHealth, Zone
 
@@ -81,7 +81,7 @@
     rules: api.ZoneRules | None,
 ) -> None:
     balancer = make_balancer(rules)
-    assert set(public_state(balancer)) == set(fields_of(balancer))
+    assert set(public_state(balancer)) == set(stored_form(balancer).fields)
 
 
 def private_values(owner: object, prefix: str = "") -> dict[str, str]:
--- a/tests/test_zone_routing.py
+++ b/tests/test_zone_routing.py
@@ -25,11 +25,12 @@
 from brambleusher.lab.virtual.explore import OUTPUT_BYTES
 from brambleusher.loadbalancing import Balancer, api
 from brambleusher.loadbalancing.api import AttemptStatus, ZoneRules
+from brambleusher.loadbalancing.balancer_factory import balancer_for
 from brambleusher.loadbalancing.json_values import StateError
 from brambleusher.loadbalancing.settings_codec import restore_settings, save_settings
 from brambleusher.loadbalancing.spill_grants import fill
 from brambleusher.loadbalancing.state_codec import restore, save
-from brambleusher.loadbalancing.zone_aware_balancer import ZoneAwareBalancer, balancer_for
+from brambleusher.loadbalancing.zone_aware_balancer import ZoneAwareBalancer
 from brambleusher.loadbalancing.zone_routing import ZoneRouter
 from brambleusher.loadbalancing.zone_state import ZoneLoad, ZoneState
 from brambleusher.operator_settings.configuration import parse_operator_file
