--- a/brambleusher/features/capture.py
+++ b/brambleusher/features/capture.py
@@ -97,7 +97,7 @@
             self._open = Segment(head, 0, self._due(len(head)))
 
     def listed(self, update: EndpointListUpdate) -> None:
-        """What the module is told next of the endpoint list, with what only this side knows of it."""
+        """Record the list that the balancer gets next, with what only this side knows of it."""
         self._told = update.version
         for endpoint in update.endpoints:
             host, port = endpoint.address
--- a/brambleusher/features/metrics_reporter.py
+++ b/brambleusher/features/metrics_reporter.py
@@ -1,6 +1,6 @@
-"""Figures for a collector: counters, a gauge and a timer by class and tenant, as statsd or influx lines.
+"""Metrics for a collector: counters, a gauge and a timer by class and tenant, as statsd or influx lines.
 
-Lines wait in a lane (`features/output_queue.py`) until the next flush; a full one drops the oldest.
+Lines wait in a queue (`features/output_queue.py`) until the next flush; a full one drops the oldest.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
     """Lines as DogStatsD extends them: `name:value|kind|#tag:value,…`."""
 
     def tags(self, tags: Tags) -> str:
-        """The part of a line that names class and tenant."""
+        """Write the part of a line that names class and tenant."""
         words = (_STATSD_SPECIAL.sub("_", word) for word in tags)
         return "|#class:{},tenant:{}".format(*words)
 
@@ -47,7 +47,7 @@
         self._last_ns = 0
 
     def tags(self, tags: Tags) -> str:
-        """The part of a line that names class and tenant."""
+        """Write the part of a line that names class and tenant."""
         words = (_INFLUX_SPECIAL.sub(r"\\\1", _INFLUX_UNFIT.sub("_", word)) for word in tags)
         return ",class={},tenant={}".format(*words)
 
@@ -91,19 +91,19 @@
     # --- what passes ----------------------------------------------------------------------------
 
     def request_accepted(self, request: ClientRequest) -> None:
-        """A request was taken."""
+        """Count a request that was accepted."""
         tags = self._tags_of(request)
         self._counts["requests", tags] += 1
         self._inflight[tags] = self._inflight.get(tags, 0) + 1
 
-    def attempt_finished(self, request: ClientRequest, endpoint: str, outcome: AttemptOutcome) -> None:
-        """An attempt has ended; one that was never begun has no time."""
+    def attempt_finished(self, request: ClientRequest, _endpoint: str, outcome: AttemptOutcome) -> None:
+        """Record the time of an attempt; one that was never started has none."""
         if outcome.status is not api.AttemptStatus.NOT_STARTED:
             ms = round(outcome.latency_ns / 1e6)
             self._put("attempt_ms", "ms", ms, self._tags_of(request))
 
     def request_finished(self, request: ClientRequest, kind: str | None, took_ns: int) -> None:
-        """A request is over."""
+        """Count a request that is over."""
         tags = self._tags_of(request)
         self._inflight[tags] -= 1
         if kind is None:
--- a/brambleusher/features/row_blocks.py
+++ b/brambleusher/features/row_blocks.py
@@ -18,34 +18,34 @@
         self._names: list[dict[str, None]] = []
         self._made: list[Row] = []
         self._stale: dict[int, None] = {}  # blocks to be made anew, the longest waiting first
-        self._room: dict[int, None] = {}  # blocks that are not full
+        self._not_full: dict[int, None] = {}  # blocks that are not full
 
     def __len__(self) -> int:
         """How many blocks there are."""
         return len(self._names)
 
     def changed(self, name: str) -> None:
-        """A row is new, or has changed."""
+        """Record that a row is new, or has changed."""
         block = self._block_of.get(name)
         if block is None:
-            block = next(iter(self._room), None)
+            block = next(iter(self._not_full), None)
             if block is None:
                 block = len(self._names)
                 self._names.append({})
                 self._made.append((b"", b""))
-                self._room[block] = None
+                self._not_full[block] = None
             self._block_of[name] = block
             self._names[block][name] = None
             if len(self._names[block]) >= BLOCK:
-                del self._room[block]
+                del self._not_full[block]
         self._stale[block] = None
 
     def removed(self, name: str) -> None:
-        """A row is no more."""
+        """Record that a row is no more."""
         block = self._block_of.pop(name, None)
         if block is not None:
             del self._names[block][name]
-            self._room[block] = self._stale[block] = None
+            self._not_full[block] = self._stale[block] = None
 
     def step(self) -> bool:
         """Make one block anew; whether more are to be made."""
--- a/brambleusher/net/client_request_handler.py
+++ b/brambleusher/net/client_request_handler.py
@@ -50,7 +50,7 @@
         return self.body_stream is None or self.body_stream.is_complete
 
     def watched_socket(self) -> Socket | None:
-        """What to watch for the client's leaving; a streamed body is read by its attempt."""
+        """Return what to watch for the client's leaving; a streamed body is read by its attempt."""
         if self.body_stream is not None and not self.body_stream.is_complete:
             return None
         return self.presence.socket()
@@ -153,7 +153,7 @@
         return max(self._scheduler.lateness_s, 0.0 if connection.was_served else connection.accept_delay_s)
 
     def _start_time_with_last_byte(self, body_stream: RequestBodyStream, time_left_ns: int) -> None:
-        """A streamed request's time begins, and it counts as accepted, when its last byte has come."""
+        """Start a streamed request's time, and count it as accepted, when its last byte has come."""
         time_left_s = time_left_ns / 1e9
         body_stream.client_timeout_ms = int(time_left_s * 1000)
 
--- a/brambleusher/net/endpoint_watch.py
+++ b/brambleusher/net/endpoint_watch.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Generator, Iterator
+from http import HTTPStatus
 
 from brambleusher.net.http import MessageReader, write_request
 from brambleusher.net.json_text_assembler import TextAssembler
@@ -42,7 +43,7 @@
                 if not data:
                     raise WatchError("discovery closed the connection")
                 reader.feed(data)
-            if head.status != 200:
+            if head.status != HTTPStatus.OK:
                 raise WatchError(f"discovery answered {head.status}")
             yield from self._lines(stream, reader)
         finally:
--- a/brambleusher/net/json_text_assembler.py
+++ b/brambleusher/net/json_text_assembler.py
@@ -25,7 +25,7 @@
         return sum(map(len, self._held))
 
     def add(self, line: bytes) -> list[bytes]:
-        """The texts that are whole with this line; an empty one is a heartbeat."""
+        """Add a line; returns the texts that are complete with it, of which an empty one is a heartbeat."""
         bare = line.strip()
         if not self._held:
             if bare.startswith(b"{") and not bare.endswith(b"}"):
@@ -43,7 +43,7 @@
         return [self.give_up()]
 
     def give_up(self) -> bytes:
-        """What is held, whole or not."""
+        """Take what is held, complete or not."""
         text = b"\n".join(self._held)
         self._held.clear()
         self._tries = 0
--- a/brambleusher/net/request_lifecycle.py
+++ b/brambleusher/net/request_lifecycle.py
@@ -161,7 +161,7 @@
             return self._process_steps()
         except TaskTimeoutError:
             # The balancer owes a response and did not give it.
-            log.error("no decision before the deadline", extra={"fields": {"request": pending.request_id}})
+            self._log_no_decision()
             self._decisions.abandon_request(pending)
             return FinalResponse(ResponseKind.FAILED)
         except Exception:
@@ -172,6 +172,10 @@
         finally:
             self._decisions.close_request(pending)
 
+    def _log_no_decision(self) -> None:
+        fields = {"request": self._pending.request_id}
+        log.error("no decision before the deadline", extra={"fields": fields})
+
     def _process_steps(self) -> FinalResponse | None:
         pending, client = self._pending, self._client
         while True:
@@ -232,7 +236,7 @@
         return not self._client.has_left()
 
     def _abandon(self) -> None:
-        """The client has left: nothing more is sent for it, and open attempts are cancelled."""
+        """Send nothing more for a client that has left, and cancel open attempts."""
         self._decisions.abandon_request(self._pending)
         for attempt in self._attempts.values():
             attempt.cancel()
--- a/brambleusher/runtime/disk.py
+++ b/brambleusher/runtime/disk.py
@@ -11,7 +11,7 @@
     """Files of one folder; every call may block, and raises `OSError`."""
 
     def names(self) -> list[str]:
-        """The files that are there."""
+        """List the files that are there."""
 
     def read(self, name: str) -> bytes:
         """All bytes of a file."""
@@ -43,7 +43,7 @@
         self._folder.mkdir(parents=True, exist_ok=True)
 
     def names(self) -> list[str]:
-        """The files that are there."""
+        """List the files that are there."""
         return sorted(path.name for path in self._folder.iterdir())
 
     def read(self, name: str) -> bytes:
@@ -52,7 +52,7 @@
 
     def append(self, name: str, data: bytes) -> None:
         """Add bytes to a file, which is made where it is not there."""
-        with open(self._folder / name, "ab", buffering=0) as file:
+        with (self._folder / name).open("ab", buffering=0) as file:
             view = memoryview(data)
             while view:
                 view = view[file.write(view) :]
@@ -71,11 +71,11 @@
 
     def rename(self, name: str, to: str) -> None:
         """Rename a file over another."""
-        os.replace(self._folder / name, self._folder / to)
+        (self._folder / name).replace(self._folder / to)
 
     def remove(self, name: str) -> None:
         """Remove a file."""
-        os.remove(self._folder / name)
+        (self._folder / name).unlink()
 
     @staticmethod
     def _sync_path(path: Path) -> None:
--- a/brambleusher/runtime/h11_messages.py
+++ b/brambleusher/runtime/h11_messages.py
@@ -12,7 +12,7 @@
 
 
 def receive_event(connection: h11.Connection, stream: Stream, deadline: float) -> Any:
-    """The next event of the peer; raises `OSError`, `Timeout` and `h11.ProtocolError`.
+    """Wait for the next event of the peer; raises `OSError`, `TaskTimeoutError`, `h11.ProtocolError`.
 
     A client that waits to be told to go on with its body is told so.
     """
@@ -30,6 +30,6 @@
 
 
 def encode_message(connection: h11.Connection, head: h11.Request | h11.Response, body: bytes = b"") -> bytes:
-    """A whole message as bytes."""
+    """Encode a whole message."""
     events: list[h11.Event] = [head, *([h11.Data(data=body)] if body else []), h11.EndOfMessage()]
     return b"".join(connection.send(event) or b"" for event in events)
--- a/brambleusher/runtime/http_server.py
+++ b/brambleusher/runtime/http_server.py
@@ -47,7 +47,7 @@
 
 
 def json_response(status: int, data: object, *headers: tuple[bytes, bytes]) -> HttpResponse:
-    """An answer from data."""
+    """Make a response of data."""
     return HttpResponse(status, orjson.dumps(data), headers)
 
 
@@ -70,7 +70,7 @@
         self.acceptor = Acceptor(scheduler, address, self._serve, connections)
         self.closing = False
 
-    def _serve(self, stream: Stream, peer: str) -> None:
+    def _serve(self, stream: Stream, _peer: str) -> None:
         connection = h11.Connection(h11.SERVER)
         while True:
             try:
--- a/brambleusher/runtime/operating_system.py
+++ b/brambleusher/runtime/operating_system.py
@@ -29,7 +29,7 @@
         self._out.setblocking(False)
 
     def fileno(self) -> int:
-        """The descriptor to watch for `READ`."""
+        """Return the descriptor to watch for `READ`."""
         return self._in.fileno()
 
     def wake(self) -> None:
@@ -95,15 +95,15 @@
     greenlet = staticmethod(greenlet.greenlet)
 
     def poller(self) -> Poller:
-        """A new set of descriptors."""
+        """Make a new set of descriptors."""
         return select.poll()
 
     def waker(self) -> Waker:
-        """A new pair of sockets."""
+        """Make a new pair of sockets."""
         return PairWaker()
 
     def listen(self, address: Address, backlog: int) -> Socket:
-        """A socket that listens; raises `OSError`."""
+        """Make a socket that listens; raises `OSError`."""
         listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -116,7 +116,7 @@
         return listener
 
     def adopt(self, fd: int) -> Socket:
-        """A listening socket that this process was given; raises `OSError` where it is none."""
+        """Take over a listening socket that this process was given; raises `OSError` where it is none."""
         listener = socket.socket(fileno=fd)
         try:
             if not listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
@@ -129,7 +129,7 @@
         return listener
 
     def accept(self, listener: Socket) -> tuple[Socket, str]:
-        """A connection that waits, and its peer's host; raises `BlockingIOError` and `OSError`."""
+        """Accept a connection that waits, with its peer's host; raises `BlockingIOError` and `OSError`."""
         assert isinstance(listener, socket.socket)
         sock, peer = listener.accept()
         try:
@@ -140,7 +140,7 @@
         return sock, str(peer[0])
 
     def connection(self) -> Socket:
-        """A socket that is not connected yet; raises `OSError`."""
+        """Make a socket that is not connected yet; raises `OSError`."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self._prepare(sock)
         return sock
@@ -159,7 +159,7 @@
             sock.close()
 
     def error_of(self, sock: Socket) -> int:
-        """The error that waits on a socket, and clears it; 0 for none."""
+        """Take the error that waits on a socket; 0 for none."""
         assert isinstance(sock, socket.socket)
         return sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
 
@@ -188,21 +188,21 @@
     def on_signal(self, number: int, call: Callable[[], None]) -> None:
         """Have a signal handled."""
 
-        def handler(given: int, frame: FrameType | None) -> None:
+        def handler(_number: int, _frame: FrameType | None) -> None:
             call()
 
         signal.signal(number, handler)
 
     def worker(self, name: str, due: Callable[[], bool], turn: Callable[[], None]) -> Worker:
-        """A thread of its own."""
+        """Start a thread."""
         return ThreadWorker(name, due, turn)
 
     def descriptor_sink(self, fd: int) -> Sink:
-        """An open descriptor, such as standard error."""
+        """Make a sink of an open descriptor, such as standard error."""
         return DescriptorSink(fd)
 
     def file_sink(self, path: str) -> Sink:
-        """A file that is opened anew for each write."""
+        """Make a sink of a file that is opened anew for each write."""
         return FileSink(path)
 
     def datagram_sink(self, address: Address) -> Sink:
--- a/brambleusher/runtime/sinks.py
+++ b/brambleusher/runtime/sinks.py
@@ -21,7 +21,7 @@
 
 
 def pieces(items: Iterable[Item], most: int) -> Iterator[bytes]:
-    """The items' lines in pieces of whole lines, of at most so many bytes unless one line has more."""
+    """Cut the items' lines into pieces of whole lines, of at most so many bytes unless one line has more."""
     piece = bytearray()
     for item in items:
         for line in (item,) if item.count(b"\n") == 1 else item.splitlines(keepends=True):
@@ -50,7 +50,7 @@
         return lost
 
     def close(self) -> None:
-        """The descriptor is the process's, not ours."""
+        """Do nothing: the descriptor is the process's, not ours."""
 
 
 class FileSink:
--- a/brambleusher/runtime/streams.py
+++ b/brambleusher/runtime/streams.py
@@ -10,6 +10,7 @@
 from brambleusher.runtime.system import PEEK, READ, SHUTDOWN_WRITE, WRITE, Address, Socket
 
 RECEIVE_BYTES = 64 * 1024
+MAX_PORT = 65535
 LINGER_SECONDS, LINGER_BYTES = 0.5, 1024 * 1024
 
 
@@ -17,13 +18,13 @@
 
 
 class WaitInterruptedError(Exception):
-    """The event was set: what was waited for is not wanted any more."""
+    """The event was set first: the wait was interrupted."""
 
 
 def parse_address(text: str) -> Address:
     """`host:port` as a pair; raises `ValueError` where it is not one."""
     host, colon, port = text.rpartition(":")
-    if not colon or not host or not port.isascii() or not port.isdigit() or not 0 <= int(port) <= 65535:
+    if not colon or not host or not port.isascii() or not port.isdigit() or not 0 <= int(port) <= MAX_PORT:
         raise ValueError(f"{text!r} is not host:port")
     return host, int(port)
 
@@ -75,7 +76,7 @@
     def receive(
         self, deadline: float | None, event: Event | None = None, size: int = RECEIVE_BYTES
     ) -> bytes | None:
-        """The next bytes, at most so many, empty at the end; None where the event was set first."""
+        """Wait for the next bytes, at most so many, empty at the end; None where the event was set first."""
         while True:
             try:
                 return self.sock.recv(size)
@@ -93,7 +94,7 @@
                 self.scheduler.park(deadline, self.sock, WRITE)
 
     def peek(self) -> bytes | None:
-        """The first byte that waits to be read, empty at the end, None where neither has come."""
+        """Look at the first byte that waits to be read, empty at the end, None where neither has come."""
         try:
             return self.sock.recv(1, PEEK)
         except BlockingIOError:
--- a/brambleusher/runtime/system.py
+++ b/brambleusher/runtime/system.py
@@ -44,8 +44,8 @@
     def shutdown(self, how: int, /) -> None:
         """`SHUTDOWN_WRITE`."""
 
-    def getsockname(self) -> Any:
-        """The address it is bound to: host and port first."""
+    def getsockname(self) -> Address:
+        """Return the address it is bound to: host and port first."""
 
     def close(self) -> None:
         """Close it; bytes unread make that a reset."""
@@ -68,7 +68,7 @@
     """Ends a poll in progress; `wake` may be called in a signal handler."""
 
     def fileno(self) -> int:
-        """The descriptor to watch for `READ`."""
+        """Return the descriptor to watch for `READ`."""
 
     def wake(self) -> None:
         """Make it readable."""
@@ -111,7 +111,7 @@
         """Seconds on a clock that only advances."""
 
     def monotonic_ns(self) -> int:
-        """The same clock in nanoseconds."""
+        """Read the same clock, in nanoseconds."""
 
     def wall_ns(self) -> int:
         """Unix time in nanoseconds; it may be set, forward or back."""
@@ -120,35 +120,35 @@
         """Stand still, all of this process; only before it serves."""
 
     def greenlet(self, run: Callable[..., Any], parent: greenlet) -> greenlet:
-        """A greenlet for a task; it is over with the process."""
+        """Make a greenlet for a task; it is over with the process."""
 
     def poller(self) -> Poller:
-        """A new set of descriptors."""
+        """Make a new set of descriptors."""
 
     def waker(self) -> Waker:
-        """A new waker."""
+        """Make a new waker."""
 
     def listen(self, address: Address, backlog: int) -> Socket:
-        """A socket that listens; raises `OSError`."""
+        """Make a socket that listens; raises `OSError`."""
 
     def adopt(self, fd: int) -> Socket:
-        """A listening socket that this process was given; raises `OSError` where it is none."""
+        """Take over a listening socket that this process was given; raises `OSError` where it is none."""
 
     def accept(self, listener: Socket) -> tuple[Socket, str]:
-        """A connection that waits, and its peer's host.
+        """Accept a connection that waits; returns it and its peer's host.
 
         Raises `BlockingIOError` where none does, and `OSError`: out of descriptors or memory, or the
         connection was gone before it could be taken.
         """
 
     def connection(self) -> Socket:
-        """A socket that is not connected yet; raises `OSError` where no descriptor is free."""
+        """Make a socket that is not connected yet; raises `OSError` where no descriptor is free."""
 
     def reset(self, sock: Socket) -> None:
         """Close a connection so that its other end sees a reset."""
 
     def error_of(self, sock: Socket) -> int:
-        """The error that waits on a socket, and clears it; 0 for none."""
+        """Take the error that waits on a socket; 0 for none."""
 
     def seconds_since_data(self, sock: Socket) -> float:
         """Seconds since bytes last came on a connection, read or not; 0 where the machine does not tell."""
@@ -166,10 +166,10 @@
         """Start a worker."""
 
     def descriptor_sink(self, fd: int) -> Sink:
-        """An open descriptor, such as standard error."""
+        """Make a sink of an open descriptor, such as standard error."""
 
     def file_sink(self, path: str) -> Sink:
-        """A file that is opened anew for each write."""
+        """Make a sink of a file that is opened anew for each write."""
 
     def datagram_sink(self, address: Address) -> Sink:
         """Datagrams of whole lines to one address."""
