--- a/brambleusher/xds/discovery.py
+++ b/brambleusher/xds/discovery.py
@@ -1,4 +1,4 @@
-"""Follows discovery with the sidecar's own endpoint list, in a thread with its own scheduler."""
+"""Watch discovery with the sidecar's own endpoint list, in a thread with its own scheduler."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Discovery:
-    """The thread; what it hears is handed to the event loop in the order in which it came."""
+    """The thread that watches; it calls back in the event loop, in the order of the updates."""
 
     def __init__(
         self,
@@ -26,51 +26,51 @@
         seed: int,
         loop: asyncio.AbstractEventLoop,
         on_update: Callable[[EndpointListUpdate, int], None],
-        on_heard: Callable[[int], None],
-        on_lost: Callable[[int], None],
+        on_contact: Callable[[int], None],
+        on_lost: Callable[[], None],
     ) -> None:
         self._address, self._seed, self._loop = address, seed, loop
-        self._on_update, self._on_heard, self._on_lost = on_update, on_heard, on_lost
+        self._on_update, self._on_contact, self._on_lost = on_update, on_contact, on_lost
         system = RealSystem()
         self.clock = Clock(system)
         self.counters = Counters()
         self._system = system
         self._scheduler: Scheduler | None = None
-        self._ended = False
+        self._is_stopped = False
         self._thread = threading.Thread(target=self._run, name="discovery", daemon=True)
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start the thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """End the thread; it may take until its next round."""
-        self._ended = True
+        """Stop the thread; it ends at its next event."""
+        self._is_stopped = True
         if self._scheduler is not None:
             self._scheduler.stop()
 
-    def _hand(self, call: Callable[..., None], *args: object) -> None:
-        if not self._ended and not self._loop.is_closed():
-            self._loop.call_soon_threadsafe(call, *args)
+    def _call_in_loop(self, callback: Callable[..., None], *args: object) -> None:
+        if not self._is_stopped and not self._loop.is_closed():
+            self._loop.call_soon_threadsafe(callback, *args)
 
     def _run(self) -> None:
         scheduler = self._scheduler = Scheduler(self._system)
         watch = HttpWatch(scheduler, self._address)
 
-        def feed(since: int | None) -> Generator[bytes, None, None]:
-            """The watch, with a word for each empty line: discovery says that nothing has changed."""
+        def updates(since: int | None) -> Generator[bytes, None, None]:
+            """Yield the updates of the watch; an empty line says that nothing has changed."""
             for text in watch(since):
                 if text.strip():
                     yield text
                 else:
-                    self._hand(self._on_heard, self.clock.now_ns())
+                    self._call_in_loop(self._on_contact, self.clock.now_ns())
 
         endpoint_list = EndpointList(
-            scheduler, feed, random.Random(self._seed), self.counters,
-            lambda update: self._hand(self._on_update, update, self.clock.now_ns()),
-            lambda: self._hand(self._on_lost, self.clock.now_ns()),
+            scheduler, updates, random.Random(self._seed), self.counters,
+            lambda update: self._call_in_loop(self._on_update, update, self.clock.now_ns()),
+            lambda: self._call_in_loop(self._on_lost),
         )  # fmt: skip
         endpoint_list.start()
         endpoint_list.request_watch()
-        scheduler.run(lambda: self._ended)
+        scheduler.run(lambda: self._is_stopped)
         scheduler.close()
--- a/brambleusher/xds/service.py
+++ b/brambleusher/xds/service.py
@@ -1,4 +1,4 @@
-"""The service as a program: its parts put together, started, reloaded and ended."""
+"""The control service as a program: assemble, start, reload and stop its parts."""
 
 from __future__ import annotations
 
@@ -9,34 +9,43 @@
 import random
 import signal
 import sys
+from collections.abc import Mapping
 from concurrent.futures import ThreadPoolExecutor
-from typing import Any
 
-from brambleusher.loadbalancing.view_consistency import ViewPosition
+from brambleusher.loadbalancing.view_consistency import ViewPosition, WithheldReason
 from brambleusher.net.endpoint_list import EndpointListUpdate
 from brambleusher.xds.config import ControlConfig, load_control, reload_control
 from brambleusher.xds.core import Core
 from brambleusher.xds.discovery import Discovery
 from brambleusher.xds.faults import ControlError
 from brambleusher.xds.server import PeerPoller, XdsServer, cancel_all
-from brambleusher.xds.status import Status
+from brambleusher.xds.status import StatusServer
 from brambleusher.xds.store import Store, StoreError
 from brambleusher.xds.tls import Certificates
 from brambleusher.xds.versions import Seal
 
 log = logging.getLogger(__name__)
 
-TICK_SECONDS = 0.25
-WRITE_SECONDS = 0.1  # so long a drain waits for the disk; the rest of its time is the proxies'
-RETRY_SECONDS = 0.5
-LOOK_SECONDS = 1.0
+TICK_INTERVAL_S = 0.25
+MAX_WRITE_WAIT_S = 0.1  # so long a drain waits for the disk; the rest of its 500 ms is the proxies'
+WRITE_RETRY_S = 0.5
+CERTIFICATE_POLL_INTERVAL_S = 1.0
+SEED_BITS = 64
+# Most objects live for one push, and reference counts free them; a full collection takes as long as a push
+# and would delay one.
+GC_THRESHOLDS = (50_000, 20, 50)
+EXIT_UNUSABLE = 2  # the file can't be used, or an address not listened on
 
 
 class Service:
-    """One instance."""
+    """One instance of the control service."""
 
     def __init__(self, config: ControlConfig, path: str | None = None, seed: int | None = None) -> None:
-        """Opens the store and reads the certificates; raises `ControlError`."""
+        """Open the store and read the certificates.
+
+        Raises:
+            ControlError: One of them can't be used, or the epoch is lower than that of a published view.
+        """
         self.config, self._path = config, path
         self.store = Store(config.store, Seal(config.secret))
         floor = self.store.floor
@@ -44,205 +53,224 @@
             self.store.close()
             raise ControlError(f"epoch is {config.epoch}, and views of epoch {floor.epoch} were handed out")
         self.certificates = None if config.tls is None else Certificates(config.tls)
-        self._seed = random.SystemRandom().getrandbits(64) if seed is None else seed
-        self._ending = asyncio.Event()
-        self._to_write = asyncio.Event()
+        self._seed = random.SystemRandom().getrandbits(SEED_BITS) if seed is None else seed
+        self._stop_requested = asyncio.Event()
+        self._write_requested = asyncio.Event()
         self._pool = ThreadPoolExecutor(1, "store")
-        self._tasks: list[asyncio.Task[Any]] = []
+        self._tasks: list[asyncio.Task[None]] = []
         self.store_problem: str | None = None
-        self.write_ms = 0.0
-        self._viewers: asyncio.Server | None = None
+        self.last_write_ms = 0.0
+        self._status_listener: asyncio.Server | None = None
+
+    async def start(self) -> dict[str, str]:
+        """Start all parts.
+
+        Returns:
+            The instance's name and the addresses in use.
 
-    async def start(self) -> dict[str, Any]:
-        """Serve; says on which addresses.  Raises `OSError` where one can't be listened on."""
+        Raises:
+            OSError: An address can't be listened on.
+        """
         config, loop = self.config, asyncio.get_running_loop()
-        self.discovery = Discovery(config.discovery, self._seed, loop, self._listed, self._heard, self._lost)
-        self.now = self.discovery.clock.now_ns
-        self.core = Core(config, self.store.floor, self.now(), self._seed)
-        self.server = XdsServer(self.core, self.now, self.certificates)
-        self.peers = PeerPoller(self.core, self.now, self.certificates)
-        self.status = Status(self.core, self.now, self._more)
+        self._assemble(loop)
         try:
             self.store.record_start()
         except StoreError as error:
-            self._store_failed(error)
+            self._report_store_problem(error)
         port = await self.server.start(config.listen)
-        addresses: dict[str, Any] = {"instance": config.name, "xds": f"{config.listen[0]}:{port}"}
+        addresses = {"instance": config.name, "xds": f"{config.listen[0]}:{port}"}
         if config.status is not None:
-            self._viewers = await self.status.serve(config.status)
-            where = self._viewers.sockets[0].getsockname()
-            addresses["status"] = f"{where[0]}:{where[1]}"
-        self._tasks = [loop.create_task(each) for each in (self._tick(), self._write(), self._look())]
-        self._tasks += [loop.create_task(self.peers.poll(each.name, each.address)) for each in config.peers]
+            self._status_listener = await self.status.serve(config.status)
+            host, status_port = self._status_listener.sockets[0].getsockname()[:2]
+            addresses["status"] = f"{host}:{status_port}"
+        loops = (self._run_ticks(), self._run_writes(), self._run_certificate_checks())
+        self._tasks = [loop.create_task(each) for each in loops]
+        self._tasks += [loop.create_task(self.peers.poll(peer.name, peer.address)) for peer in config.peers]
         self.discovery.start()
-        log.info(
-            "serving", extra={"fields": {**addresses, "floor": self.store.floor, "starts": self.store.starts}}
-        )
+        fields = {**addresses, "floor": self.store.floor, "starts": self.store.starts}
+        log.info("serving", extra={"fields": fields})
         return addresses
 
+    def _assemble(self, loop: asyncio.AbstractEventLoop) -> None:
+        config = self.config
+        self.discovery = Discovery(
+            config.discovery,
+            self._seed,
+            loop,
+            on_update=self._on_endpoint_list,
+            on_contact=self._on_discovery_contact,
+            on_lost=self._on_discovery_lost,
+        )
+        self.now_ns = self.discovery.clock.now_ns
+        self.core = Core(config, self.store.floor, self.now_ns(), self._seed)
+        self.server = XdsServer(self.core, self.now_ns, self.certificates)
+        self.peers = PeerPoller(self.core, self.now_ns, self.certificates)
+        self.status = StatusServer(self.core, self.now_ns, self._extra_status)
+
     async def stop(self) -> None:
-        """End everything."""
+        """Stop all parts and close the store."""
         self.discovery.stop()
         await cancel_all(self._tasks)
         await self.server.stop()
-        if self._viewers is not None:
-            self._viewers.close()
+        if self._status_listener is not None:
+            self._status_listener.close()
         self._pool.shutdown(wait=True)
         self.store.close()
 
-    def end(self) -> None:
-        """Begin to end."""
-        self._ending.set()
+    def request_stop(self) -> None:
+        """Have `run` stop the service."""
+        self._stop_requested.set()
 
     def reload(self) -> None:
         """Read the file again; one that can't be used changes nothing."""
         if self._path is None:
             return
         try:
-            config, differs = reload_control(self.config, self._path)
+            config, unchangeable = reload_control(self.config, self._path)
         except ControlError as error:
-            log.error("bad configuration, the running one stays", extra={"fields": {"reason": error}})
+            self._report_reload_failure(error)
             return
-        for key in differs:
-            log.warning("can't change in a running service", extra={"fields": {"key": key}})
+        for key in unchangeable:
+            log.warning("configuration key needs a restart", extra={"fields": {"key": key}})
         self.config = config
-        self.core.reconfigure(config, self.now())
-        log.info("configuration read again")
+        self.core.reconfigure(config, self.now_ns())
+        log.info("configuration reloaded")
 
-    async def run(self, tell: bool) -> None:
-        """Serve until told to end by SIGTERM or SIGINT; SIGHUP has the file read again."""
+    @staticmethod
+    def _report_reload_failure(error: ControlError) -> None:
+        log.error("configuration reload failed", extra={"fields": {"reason": error}})
+
+    async def run(self, print_addresses: bool) -> None:
+        """Serve until SIGTERM or SIGINT; SIGHUP reloads the file."""
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.end)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self.request_stop)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         try:
             addresses = await self.start()
         except OSError:
             await self.stop()
             raise
-        if tell:
+        if print_addresses:
             print(json.dumps(addresses), flush=True)
-        await self._ending.wait()
+        await self._stop_requested.wait()
         await self.stop()
 
-    # --- what happens -------------------------------------------------------------------------------
+    # --- events -----------------------------------------------------------------------------------
 
-    def _listed(self, update: EndpointListUpdate, at: int) -> None:
-        self.core.record_endpoint_list(update, at)
-        self._to_write.set()
+    def _on_endpoint_list(self, update: EndpointListUpdate, at_ns: int) -> None:
+        self.core.record_endpoint_list(update, at_ns)
+        self._write_requested.set()
 
-    def _heard(self, at: int) -> None:
-        self.core.record_discovery_contact(at)
+    def _on_discovery_contact(self, at_ns: int) -> None:
+        self.core.record_discovery_contact(at_ns)
         self.server.wake()
-        self._to_write.set()
+        self._write_requested.set()
 
-    def _lost(self, at: int) -> None:
+    def _on_discovery_lost(self) -> None:
         self.core.record_discovery_lost()
 
-    async def _tick(self) -> None:
-        """Reports, weights and time."""
-        withheld = None
+    async def _run_ticks(self) -> None:
+        """Let time pass in the core, supervise streams, and log whether views are published."""
+        last_reason = None
         while True:
-            await asyncio.sleep(TICK_SECONDS)
+            await asyncio.sleep(TICK_INTERVAL_S)
             try:
-                now = self.now()
-                self.core.tick(now)
-                self.server.supervise()
-                why = self.core.withheld_reason(now)
-                if why is not withheld:
-                    if why is None:
-                        self.server.wake()
-                    log.warning(
-                        "handing out" if why is None else "withheld",
-                        extra={"fields": {"reason": why and why.value}},
-                    )
-                    withheld = why
+                last_reason = self._tick(last_reason)
             except Exception:
                 log.exception("tick failed")
 
-    async def _write(self) -> None:
-        """Keep the store up with the view, and the view waiting for the store."""
+    def _tick(self, last_reason: WithheldReason | None) -> WithheldReason | None:
+        now_ns = self.now_ns()
+        self.core.tick(now_ns)
+        self.server.supervise()
+        reason = self.core.withheld_reason(now_ns)
+        if reason is not last_reason:
+            if reason is None:
+                self.server.wake()
+            log.warning(
+                "publishing resumed" if reason is None else "publishing withheld",
+                extra={"fields": {"reason": reason and reason.value}},
+            )
+        return reason
+
+    async def _run_writes(self) -> None:
+        """Write each position that the core needs on durable storage; retry until it is there."""
         loop = asyncio.get_running_loop()
         while True:
-            await self._to_write.wait()
-            self._to_write.clear()
-            while (place := self.core.position_to_write()) is not None:
-                if not await self._write_one(loop, place):
-                    await asyncio.sleep(RETRY_SECONDS)
-
-    async def _write_one(self, loop: asyncio.AbstractEventLoop, place: ViewPosition) -> bool:
-        began = loop.time()
-        job = loop.run_in_executor(self._pool, self.store.write, place)
+            await self._write_requested.wait()
+            self._write_requested.clear()
+            while (position := self.core.position_to_write()) is not None:
+                if not await self._write(loop, position):
+                    await asyncio.sleep(WRITE_RETRY_S)
+
+    async def _write(self, loop: asyncio.AbstractEventLoop, position: ViewPosition) -> bool:
+        start_s = loop.time()
+        write = loop.run_in_executor(self._pool, self.store.write, position)
         try:
             try:
-                await asyncio.wait_for(asyncio.shield(job), WRITE_SECONDS)
+                await asyncio.wait_for(asyncio.shield(write), MAX_WRITE_WAIT_S)
             except TimeoutError:
-                # Guards against a disk that hangs holding a drain back.
-                self.core.record_write_failure(self.now())
-                await job
+                # A disk that hangs must not delay a drain.
+                self.core.record_write_failure(self.now_ns())
+                await write
         except StoreError as error:
-            self._store_failed(error)
-            self.core.record_write_failure(self.now())
+            self._report_store_problem(error)
+            self.core.record_write_failure(self.now_ns())
             return False
         if self.store_problem is not None:
-            log.info("store written again")
-        self.store_problem, self.write_ms = None, (loop.time() - began) * 1000
-        self.core.record_written(place, self.now())
+            log.info("store write recovered")
+        self.store_problem, self.last_write_ms = None, (loop.time() - start_s) * 1000
+        self.core.record_written(position, self.now_ns())
         return True
 
-    def _store_failed(self, error: StoreError) -> None:
+    def _report_store_problem(self, error: StoreError) -> None:
         if self.store_problem is None:
-            log.error("store can't be written: only drains go out", extra={"fields": {"reason": error}})
+            log.error("store write failed", extra={"fields": {"reason": error}})
         self.store_problem = str(error)
 
-    async def _look(self) -> None:
-        """Now and then: changed certificates."""
+    async def _run_certificate_checks(self) -> None:
         loop = asyncio.get_running_loop()
         while self.certificates is not None:
-            await asyncio.sleep(LOOK_SECONDS)
-            await loop.run_in_executor(None, self.certificates.look)
+            await asyncio.sleep(CERTIFICATE_POLL_INTERVAL_S)
+            await loop.run_in_executor(None, self.certificates.reload_if_changed)
 
-    def _more(self) -> dict[str, Any]:
-        tls = self.certificates
+    def _extra_status(self) -> Mapping[str, object]:
+        """Return the fields of the status that the core does not know."""
         return {
             "store": {
                 "starts": self.store.starts,
                 "lost_at_start": self.store.was_lost,
                 "problem": self.store_problem,
-                "last_write_ms": round(self.write_ms, 2),
+                "last_write_ms": round(self.last_write_ms, 2),
             },
             "instances": {
                 "peers": [peer.name for peer in self.config.peers],
                 "problems": self.peers.problems,
             },
-            "tls": None
-            if tls is None
-            else {
-                "valid_until": tls.material.not_after.isoformat(),
-                "problem": tls.problem,
-                "expires_soon": tls.expires_soon(),
-                "taken": tls.taken,
-            },
+            "tls": None if self.certificates is None else self.certificates.status(),
             "load_streams": self.server.load_streams,
             "streams_ended_for_cause": self.server.ended_for_cause,
         }
 
 
-def serve(path: str, tell: bool) -> int:
-    """Run one instance as this process's main program; 2 where its file can't be used."""
-    # Most of what is made lives for one push, and reference counts free it; a full collection takes as
-    # long as a push and would fall into one.
-    gc.set_threshold(50_000, 20, 50)
+def serve(path: str, print_addresses: bool) -> int:
+    """Run one instance as this process's main program.
+
+    Returns:
+        The exit status: 2 where the file can't be used or an address not listened on.
+    """
+    gc.set_threshold(*GC_THRESHOLDS)
     try:
-        asyncio.run(_serve(path, tell))
+        asyncio.run(_serve(path, print_addresses))
     except ControlError as error:
         print(f"brambleusher: bad control configuration: {error}", file=sys.stderr)
-        return 2
+        return EXIT_UNUSABLE
     except OSError as error:
         print(f"brambleusher: {error}", file=sys.stderr)
-        return 2
+        return EXIT_UNUSABLE
     return 0
 
 
-async def _serve(path: str, tell: bool) -> None:
-    await Service(load_control(path), path).run(tell)
+async def _serve(path: str, print_addresses: bool) -> None:
+    await Service(load_control(path), path).run(print_addresses)
--- a/brambleusher/xds/status.py
+++ b/brambleusher/xds/status.py
@@ -1,4 +1,4 @@
-"""What the service looks like from outside: JSON, a page, and one subscriber's view against the newest."""
+"""The status of an instance: JSON, a page, and one subscriber's resources against the newest."""
 
 from __future__ import annotations
 
@@ -8,255 +8,327 @@
 import html
 import json
 import logging
-from collections.abc import Callable
-from typing import Any
+from collections.abc import Callable, Mapping
+from http import HTTPStatus
+from typing import TypedDict
+from urllib.parse import unquote
 
 from envoy.config.cluster.v3 import cluster_pb2
-from envoy.config.endpoint.v3 import endpoint_pb2
+from envoy.config.core.v3 import health_check_pb2
+from envoy.config.endpoint.v3 import endpoint_components_pb2, endpoint_pb2
 from envoy.config.listener.v3 import listener_pb2
 from envoy.config.route.v3 import route_pb2
 from google.protobuf.json_format import MessageToDict
 from google.protobuf.message import Message
 
 from brambleusher.net.http import MessageReader
-from brambleusher.xds.core import Core, Stream
+from brambleusher.xds.core import Core, Stream, Zone
 from brambleusher.xds.snapshot import CDS, EDS, LDS, ORDER, RDS, SHORT, Resource
+from brambleusher.xds.subscriber import WILDCARD
 
 log = logging.getLogger(__name__)
 
-MAX_VIEWERS, PATIENCE_SECONDS, MAX_LINES = 16, 5.0, 2000
+MAX_CONNECTIONS = 16
+REQUEST_TIMEOUT_S = 5.0
+READ_BYTES = 4096
+MAX_DIFF_LINES = 2000
+MAX_LISTED_NAMES, MAX_LISTED_HOSTS = 20, 100  # in the status; the rest is cut off
+NS_PER_MS = 1e6
+_HEALTH = {health_check_pb2.UNHEALTHY: "left out", health_check_pb2.DRAINING: "draining"}
+_PAGE_COLUMNS = ("subscriber", "zone", "variant", "acknowledged", "lag ms", "rejected")
+
 MESSAGES: dict[str, type[Message]] = {
     CDS: cluster_pb2.Cluster, EDS: endpoint_pb2.ClusterLoadAssignment,
     LDS: listener_pb2.Listener, RDS: route_pb2.RouteConfiguration,
 }  # fmt: skip
 
 
-def nodes_of(body: bytes) -> dict[str, str]:
-    """An assignment's nodes, each with what it says of them, in words."""
-    made = endpoint_pb2.ClusterLoadAssignment.FromString(body)
-    out = {}
-    for part in made.endpoints:
-        for each in part.lb_endpoints:
-            where = each.endpoint.address.socket_address
-            state = {2: "left out", 3: "draining"}.get(each.health_status, "in use")
-            weight = (
-                part.load_balancing_weight.value
-                if part.locality.sub_zone
-                else each.load_balancing_weight.value
-            )
-            place = f"zone={part.locality.zone} priority={part.priority}"
-            out[f"{where.address}:{where.port_value}"] = f"{state} weight={weight} {place}"
-    return out
-
-
-def lines_of(kind: str, body: bytes | None) -> list[str]:
-    """A resource as lines that can be compared; none where there is no resource."""
+class RejectionStatus(TypedDict):
+    """A rejected resource in the status."""
+
+    version: str
+    reason: str
+
+
+class KindStatus(TypedDict):
+    """A subscription to one kind in the status."""
+
+    wants: list[str]
+    sent: str
+    acknowledged: str
+    waiting: int
+    rejected: dict[str, RejectionStatus]
+
+
+class SubscriberStatus(TypedDict):
+    """A subscriber in the status."""
+
+    stream: int
+    subscriber: str
+    node: str
+    zone: str
+    endpoints: str
+    agent: str
+    variant: str
+    responses: int
+    lag_ms: float | None
+    kinds: dict[str, KindStatus]
+
+
+class ResourceDifference(TypedDict):
+    """A subscriber's resource against the newest; without `changes` they are the same."""
+
+    kind: str
+    name: str
+    has: str | None
+    newest: str | None
+    changes: list[str]
+    more: int
+
+
+def describe_assignment(body: bytes) -> dict[str, str]:
+    """Return the endpoints of an assignment by address, each with its state, weight and place in words."""
+    assignment = endpoint_pb2.ClusterLoadAssignment.FromString(body)
+    return {
+        _address_of(endpoint): _describe(endpoint, locality)
+        for locality in assignment.endpoints
+        for endpoint in locality.lb_endpoints
+    }
+
+
+def _address_of(endpoint: endpoint_components_pb2.LbEndpoint) -> str:
+    address = endpoint.endpoint.address.socket_address
+    return f"{address.address}:{address.port_value}"
+
+
+def _describe(
+    endpoint: endpoint_components_pb2.LbEndpoint, locality: endpoint_components_pb2.LocalityLbEndpoints
+) -> str:
+    is_locality_of_one = bool(locality.locality.sub_zone)
+    weighted = locality if is_locality_of_one else endpoint
+    state = _HEALTH.get(endpoint.health_status, "in use")
+    weight = weighted.load_balancing_weight.value
+    return f"{state} weight={weight} zone={locality.locality.zone} priority={locality.priority}"
+
+
+def resource_lines(kind: str, body: bytes | None) -> list[str]:
+    """Return a resource as lines that can be compared; none where there is no resource."""
     if body is None:
         return []
     if kind == EDS:
-        return [f"{node} {what}" for node, what in sorted(nodes_of(body).items())]
+        return [f"{address} {state}" for address, state in sorted(describe_assignment(body).items())]
     message = MESSAGES[kind].FromString(body)
     return json.dumps(MessageToDict(message), indent=1, sort_keys=True).splitlines()
 
 
-def difference(kind: str, name: str, has: Resource | None, newest: Resource | None) -> dict[str, Any]:
-    """What a subscriber has of one resource against the newest; the same: no `changes`."""
-    same = has is not None and newest is not None and has.digest == newest.digest
-    before = lines_of(kind, has.body if has else None)
-    after = lines_of(kind, newest.body if newest else None)
-    changes = (
-        []
-        if same
-        else [
-            line
-            for line in difflib.unified_diff(before, after, lineterm="", n=0)
-            if not line.startswith(("---", "+++", "@@"))
-        ]
-    )
+def difference(kind: str, name: str, has: Resource | None, newest: Resource | None) -> ResourceDifference:
+    """Compare a subscriber's resource with the newest."""
+    is_same = has is not None and newest is not None and has.digest == newest.digest
+    before = resource_lines(kind, has.body if has else None)
+    after = resource_lines(kind, newest.body if newest else None)
+    diff = [] if is_same else difflib.unified_diff(before, after, lineterm="", n=0)
+    changes = [line for line in diff if not line.startswith(("---", "+++", "@@"))]
     return {
         "kind": SHORT[kind],
         "name": name,
         "has": has.version if has else None,
         "newest": newest.version if newest else None,
-        "changes": changes[:MAX_LINES],
-        "more": max(0, len(changes) - MAX_LINES),
+        "changes": changes[:MAX_DIFF_LINES],
+        "more": max(0, len(changes) - MAX_DIFF_LINES),
     }
 
 
-class Status:
-    """Everything there is to see of one instance."""
+def _subscriber_status(stream: Stream) -> SubscriberStatus:
+    subscriber = stream.subscriber
+    kinds: dict[str, KindStatus] = {}
+    for kind in ORDER:
+        names = subscriber.subscribed_names(kind)
+        if names is None:
+            continue
+        sent, acknowledged, unacknowledged = subscriber.versions(kind)
+        kinds[SHORT[kind]] = {
+            "wants": names[:MAX_LISTED_NAMES],
+            "sent": sent,
+            "acknowledged": acknowledged,
+            "waiting": unacknowledged,
+            "rejected": {
+                name: {"version": rejection.version, "reason": rejection.reason}
+                for name, rejection in subscriber.rejected(kind).items()
+            },
+        }
+    return {
+        "stream": stream.id,
+        "subscriber": stream.identity,
+        "node": stream.node.id,
+        "zone": stream.zone,
+        "endpoints": stream.form,
+        "agent": stream.node.agent,
+        "variant": "incremental" if subscriber.incremental else "whole state",
+        "responses": stream.responses,
+        "lag_ms": None if stream.lag_ns is None else round(stream.lag_ns / NS_PER_MS, 1),
+        "kinds": kinds,
+    }
 
-    def __init__(self, core: Core, now: Callable[[], int], also: Callable[[], dict[str, Any]]) -> None:
-        self._core, self._now, self._also = core, now, also
 
-    def subscriber(self, stream: Stream) -> dict[str, Any]:
-        """One subscriber."""
-        held, kinds = stream.subscriber, {}
-        for kind in ORDER:
-            names = held.subscribed_names(kind)
-            if names is None:
-                continue
-            sent, acked, waiting = held.versions(kind)
-            kinds[SHORT[kind]] = {
-                "wants": names[:20],
-                "sent": sent,
-                "acknowledged": acked,
-                "waiting": waiting,
-                "rejected": {
-                    name: {"version": each.version, "reason": each.reason}
-                    for name, each in held.rejected(kind).items()
-                },
-            }
-        return {
-            "stream": stream.id,
-            "subscriber": stream.identity,
-            "node": stream.node.id,
-            "zone": stream.zone,
-            "endpoints": stream.form,
-            "agent": stream.node.agent,
-            "variant": "incremental" if held.incremental else "whole state",
-            "responses": stream.responses,
-            "lag_ms": None if stream.lag_ns is None else round(stream.lag_ns / 1e6, 1),
-            "kinds": kinds,
-        }
+def _zone_status(zone: Zone) -> dict[str, object]:
+    weights = [weight for tier in zone.tiers for weight in tier.endpoints]
+    left_out = [weight.host for weight in weights if not weight.weight and not weight.is_draining]
+    draining = [weight.host for weight in weights if weight.is_draining]
+    return {
+        "reports": zone.load_reports.accepted,
+        "reports_of_unknown_nodes": zone.load_reports.unknown,
+        "in_use": sum(weight.weight > 0 for weight in weights),
+        "left_out": left_out[:MAX_LISTED_HOSTS],
+        "draining": draining[:MAX_LISTED_HOSTS],
+    }
+
+
+def _page_row(subscriber: SubscriberStatus) -> str:
+    kinds = subscriber["kinds"].items()
+    rejected = "; ".join(
+        f"{kind} {name}: {rejection['reason']}"
+        for kind, state in kinds
+        for name, rejection in state["rejected"].items()
+    )
+    acknowledged = ", ".join(f"{kind} {state['acknowledged']}" for kind, state in kinds)
+    cells = (
+        subscriber["subscriber"], subscriber["zone"], subscriber["variant"],
+        acknowledged, subscriber["lag_ms"], rejected,
+    )  # fmt: skip
+    return "".join(f"<td>{html.escape(str('' if cell is None else cell))}</td>" for cell in cells)
+
 
-    def everything(self) -> dict[str, Any]:
-        """The whole of `/status.json`."""
-        core, now = self._core, self._now()
-        why = core.withheld_reason(now)
+class StatusServer:
+    """Answers HTTP requests for the status of one instance."""
+
+    def __init__(
+        self, core: Core, now_ns: Callable[[], int], extra_fields: Callable[[], Mapping[str, object]]
+    ) -> None:
+        """Read from `core`; `extra_fields` gives what the core does not know."""
+        self._core, self._now_ns, self._extra_fields = core, now_ns, extra_fields
+
+    def status(self) -> dict[str, object]:
+        """Return the content of `/status.json`; its keys are an interface."""
+        core, now_ns = self._core, self._now_ns()
+        reason = core.withheld_reason(now_ns)
         consistency = core.view_consistency
         return {
             "instance": core.config.name,
-            "handing_out": why is None,
-            "withheld_because": None if why is None else why.value,
+            "handing_out": reason is None,
+            "withheld_because": None if reason is None else reason.value,
             "place": consistency.position,
             "floor": consistency.floor,
             "written": consistency.written,
             "discovery": {
-                "in_touch": consistency.is_discovery_connected(now),
+                "in_touch": consistency.is_discovery_connected(now_ns),
                 "version": core.discovered.version,
                 "told": core.discovered.reported_version,
                 "behind": core.discovered.is_behind,
             },
             "nodes": len(core.endpoints),
-            "zones": {
-                zone.name: {
-                    "reports": zone.load_reports.accepted,
-                    "reports_of_unknown_nodes": zone.load_reports.unknown,
-                    "in_use": sum(share.weight > 0 for tier in zone.tiers for share in tier.endpoints),
-                    "left_out": [
-                        share.host
-                        for tier in zone.tiers
-                        for share in tier.endpoints
-                        if not share.weight and not share.is_draining
-                    ][:100],
-                    "draining": [
-                        share.host for tier in zone.tiers for share in tier.endpoints if share.is_draining
-                    ][:100],
-                }
-                for zone in core.zones.values()
-            },
+            "zones": {zone.name: _zone_status(zone) for zone in core.zones.values()},
             "rejections": core.nacks,
-            **self._also(),
-            "subscribers": [
-                self.subscriber(stream) for stream in core.streams.values() if stream.group is not None
-            ],
+            **self._extra_fields(),
+            "subscribers": self._subscribers(),
         }
 
-    def diff(self, name: str) -> list[dict[str, Any]] | None:
-        """One subscriber, by its name, node or stream: what it has against the newest; None: not there."""
+    def _subscribers(self) -> list[SubscriberStatus]:
+        return [
+            _subscriber_status(stream) for stream in self._core.streams.values() if stream.group is not None
+        ]
+
+    def diff(self, name: str) -> list[ResourceDifference] | None:
+        """Compare all resources of a subscriber with the newest.
+
+        Args:
+            name: The subscriber's identity, node id or stream number.
+
+        Returns:
+            The differences; None where there is no such subscriber.
+        """
         core = self._core
-        found = [
+        streams = [
             stream
             for stream in core.streams.values()
             if stream.group is not None and name in (stream.identity, stream.node.id, str(stream.id))
         ]
-        if not found or not core.endpoints:
-            return None if not found else []
-        stream = found[-1]
+        if not streams:
+            return None
+        if not core.endpoints:
+            return []
+        stream = streams[-1]
         assert stream.group is not None
-        newest = core.snapshot(stream.zone, stream.form, stream.group, self._now())
-        out = []
+        newest = core.snapshot(stream.zone, stream.form, stream.group, self._now_ns())
+        differences = []
         for kind in ORDER:
-            wants = stream.subscriber.subscribed_names(kind)
-            if wants is None:
+            wanted = stream.subscriber.subscribed_names(kind)
+            if wanted is None:
                 continue
-            holds = stream.subscriber.acknowledged(kind)
-            names = set(holds) | {each for each in newest.names(kind) if "*" in wants or each in wants}
-            out += [difference(kind, each, holds.get(each), newest.get(kind, each)) for each in sorted(names)]
-        return out
+            has = stream.subscriber.acknowledged(kind)
+            names = set(has) | {each for each in newest.names(kind) if WILDCARD in wanted or each in wanted}
+            differences += [
+                difference(kind, each, has.get(each), newest.get(kind, each)) for each in sorted(names)
+            ]
+        return differences
 
     def page(self) -> str:
-        """The page: the same in a table."""
-        held = self.everything()
-        rows = []
-        for each in held["subscribers"]:
-            bad = "; ".join(
-                f"{kind} {name}: {why['reason']}"
-                for kind, state in each["kinds"].items()
-                for name, why in state["rejected"].items()
-            )
-            acked = ", ".join(f"{kind} {state['acknowledged']}" for kind, state in each["kinds"].items())
-            cells = (each["subscriber"], each["zone"], each["variant"], acked, each["lag_ms"], bad)
-            rows.append(
-                "".join(f"<td>{html.escape(str('' if cell is None else cell))}</td>" for cell in cells)
-            )
-        state = "handing out" if held["handing_out"] else f"withheld: {held['withheld_because']}"
-        heads = "".join(
-            f"<th>{name}</th>"
-            for name in ("subscriber", "zone", "variant", "acknowledged", "lag ms", "rejected")
-        )
-        title = html.escape(f"{held['instance']}: {state}")
-        body = "".join(f"<tr>{row}</tr>" for row in rows)
+        """Return the status as an HTML page."""
+        core = self._core
+        reason = core.withheld_reason(self._now_ns())
+        state = "handing out" if reason is None else f"withheld: {reason.value}"
+        rows = [f"<tr>{_page_row(subscriber)}</tr>" for subscriber in self._subscribers()]
+        heads = "".join(f"<th>{name}</th>" for name in _PAGE_COLUMNS)
+        title = html.escape(f"{core.config.name}: {state}")
+        counts = f"{len(core.endpoints)} nodes, {len(rows)} subscribers"
         return (
             f"<!doctype html><meta charset=utf-8><meta http-equiv=refresh content=2><title>{title}</title>"
-            f"<h1>{title}</h1><p>place {held['place']}, {held['nodes']} nodes, {len(rows)} subscribers</p>"
-            f"<table border=1><tr>{heads}</tr>{body}</table>"
+            f"<h1>{title}</h1><p>place {core.view_consistency.position}, {counts}</p>"
+            f"<table border=1><tr>{heads}</tr>{''.join(rows)}</table>"
         )
 
     # --- over HTTP --------------------------------------------------------------------------------
 
     async def serve(self, address: tuple[str, int]) -> asyncio.Server:
-        """Listen for viewers."""
-        viewers = asyncio.Semaphore(MAX_VIEWERS)
+        """Listen for HTTP requests."""
+        connections = asyncio.Semaphore(MAX_CONNECTIONS)
 
-        async def visit(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             try:
-                if viewers.locked():
+                if connections.locked():
                     return
-                async with viewers:
-                    await asyncio.wait_for(self._answer(reader, writer), PATIENCE_SECONDS)
+                async with connections:
+                    await asyncio.wait_for(self._respond(reader, writer), REQUEST_TIMEOUT_S)
             except (TimeoutError, OSError, ValueError):
                 return
             except Exception:
-                log.exception("status failed")
+                log.exception("status request failed")
             finally:
                 writer.close()
                 with contextlib.suppress(OSError):
                     await writer.wait_closed()
 
-        return await asyncio.start_server(visit, *address)
+        return await asyncio.start_server(handle, *address)
 
-    async def _answer(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _respond(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         requests = MessageReader.requests()
         while (request := requests.take()) is None:
-            data = await reader.read(4096)
+            data = await reader.read(READ_BYTES)
             if not data:
                 return
             requests.feed(data)
-        path = request.start[1].partition("?")[0]
-        status, kind, body = "404 Not Found", "text/plain", b"not here\n"
-        if path == "/status.json":
-            status, kind, body = "200 OK", "application/json", json.dumps(self.everything()).encode()
-        elif path == "/":
-            status, kind, body = "200 OK", "text/html; charset=utf-8", self.page().encode()
-        elif path.startswith("/diff/"):
-            from urllib.parse import unquote
-
-            found = self.diff(unquote(path.removeprefix("/diff/")))
-            if found is not None:
-                status, kind, body = "200 OK", "application/json", json.dumps(found).encode()
-        head = f"HTTP/1.1 {status}\r\nContent-Type: {kind}\r\nContent-Length: {len(body)}\r\n"
-        head += "Connection: close\r\n\r\n"
+        status, media_type, body = self._response_to(request.start[1].partition("?")[0])
+        head = f"HTTP/1.1 {status.value} {status.phrase}\r\n"
+        head += f"Content-Type: {media_type}\r\nContent-Length: {len(body)}\r\nConnection: close\r\n\r\n"
         writer.write(head.encode() + body)
         await writer.drain()
+
+    def _response_to(self, path: str) -> tuple[HTTPStatus, str, bytes]:
+        if path == "/status.json":
+            return HTTPStatus.OK, "application/json", json.dumps(self.status()).encode()
+        if path == "/":
+            return HTTPStatus.OK, "text/html; charset=utf-8", self.page().encode()
+        if path.startswith("/diff/"):
+            differences = self.diff(unquote(path.removeprefix("/diff/")))
+            if differences is not None:
+                return HTTPStatus.OK, "application/json", json.dumps(differences).encode()
+        return HTTPStatus.NOT_FOUND, "text/plain", b"not here\n"
--- a/brambleusher/xds/tls.py
+++ b/brambleusher/xds/tls.py
@@ -1,4 +1,4 @@
-"""Certificates and keys from files: checked as a whole, taken anew when they change, else the old stay."""
+"""Certificates and keys from files: checked together, and reloaded when they change."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 
 log = logging.getLogger(__name__)
 
-MAX_PEM = 1024 * 1024
-SOON = dt.timedelta(days=7)
+MAX_PEM_BYTES = 1024 * 1024
+EXPIRY_WARNING = dt.timedelta(days=7)
 _END = re.compile(rb"-----END [A-Z0-9 ]+-----")
 
 
@@ -36,26 +36,30 @@
 def _read(path: str, what: str) -> bytes:
     try:
         with Path(path).open("rb") as file:
-            return file.read(MAX_PEM)
+            return file.read(MAX_PEM_BYTES)
     except OSError as error:
         raise ControlError(f"tls.{what}: {path}: {error.strerror}") from None
 
 
 def _certificates(data: bytes, what: str) -> list[x509.Certificate]:
-    """All of a file, or nothing: one that ends within a certificate is half written."""
+    """Return the certificates of a file; one that ends within a certificate is half written."""
     try:
-        found = x509.load_pem_x509_certificates(data)
+        certificates = x509.load_pem_x509_certificates(data)
     except ValueError:
-        found = []
-    if not found:
+        certificates = []
+    if not certificates:
         raise ControlError(f"tls.{what} is not a certificate in PEM")
     if data.count(b"-----BEGIN ") != len(_END.findall(data)):
         raise ControlError(f"tls.{what} ends within a certificate")
-    return found
+    return certificates
 
 
 def check(certificate: bytes, key: bytes, client_ca: bytes, now: dt.datetime) -> Material:
-    """The three as one; raises `ControlError` where one can't be read, is out of its time or does not fit."""
+    """Check the three together.
+
+    Raises:
+        ControlError: One is not in PEM, not valid at `now`, or the key is another certificate's.
+    """
     chain = _certificates(certificate, "certificate")
     try:
         private = load_pem_private_key(key, None)
@@ -78,14 +82,18 @@
 
 
 class Certificates:
-    """The material in use; `look` takes in changed files."""
+    """The material in use; `reload_if_changed` takes in changed files."""
 
     def __init__(self, files: TlsFiles) -> None:
-        """Read the files; raises `ControlError`."""
+        """Read the files.
+
+        Raises:
+            ControlError: One of them can't be used.
+        """
         self._files = files
         self.material = self._load()
         self.problem: str | None = None
-        self.taken = 1
+        self.loads = 1  # sets that were taken into use
 
     def _bytes(self) -> tuple[bytes, bytes, bytes]:
         files = self._files
@@ -98,45 +106,57 @@
     def _load(self) -> Material:
         return check(*self._bytes(), dt.datetime.now(dt.UTC))
 
-    def look(self) -> bool:
-        """Read the files again; True where another set is in use now.  A faulty set is warned of once."""
-        held = self.material
+    def reload_if_changed(self) -> bool:
+        """Read the files again; a set that can't be used is logged once.
+
+        Returns:
+            Whether another set is in use now.
+        """
+        current = self.material
         try:
-            found = self._bytes()
-            if found == (held.certificate, held.key, held.client_ca):
+            files = self._bytes()
+            if files == (current.certificate, current.key, current.client_ca):
                 self.problem = None
                 return False
-            fresh = check(*found, dt.datetime.now(dt.UTC))
+            fresh = check(*files, dt.datetime.now(dt.UTC))
         except ControlError as error:
             if self.problem != str(error):
                 self.problem = str(error)
-                log.warning(
-                    "certificates can't be used, the old ones stay", extra={"fields": {"reason": error}}
-                )
+                log.warning("certificate reload failed", extra={"fields": {"reason": error}})
             return False
         self.material, self.problem = fresh, None
-        self.taken += 1
-        log.info("certificates taken", extra={"fields": {"valid_until": fresh.not_after.isoformat()}})
+        self.loads += 1
+        log.info("certificates reloaded", extra={"fields": {"valid_until": fresh.not_after.isoformat()}})
         return True
 
     def expires_soon(self) -> bool:
-        """Whether the certificate in use ends within a week."""
-        return self.material.not_after - dt.datetime.now(dt.UTC) < SOON
+        """Return whether the certificate in use expires within a week."""
+        return self.material.not_after - dt.datetime.now(dt.UTC) < EXPIRY_WARNING
+
+    def status(self) -> dict[str, object]:
+        """Return the fields of `tls` in the status."""
+        return {
+            "valid_until": self.material.not_after.isoformat(),
+            "problem": self.problem,
+            "expires_soon": self.expires_soon(),
+            "taken": self.loads,
+        }
 
     # --- for gRPC -------------------------------------------------------------------------------
 
     def _configuration(self) -> grpc.ServerCertificateConfiguration:
-        held = self.material
-        return grpc.ssl_server_certificate_configuration([(held.key, held.certificate)], held.client_ca)
+        material = self.material
+        pair = (material.key, material.certificate)
+        return grpc.ssl_server_certificate_configuration([pair], material.client_ca)
 
     def server_credentials(self) -> grpc.ServerCredentials:
-        """Credentials that ask for the newest material at each handshake."""
-        given = [self.material]
+        """Return credentials that ask for the newest material at each handshake."""
+        in_use = [self.material]
 
         def fetch() -> grpc.ServerCertificateConfiguration | None:
-            if given[0] is self.material:
+            if in_use[0] is self.material:
                 return None
-            given[0] = self.material
+            in_use[0] = self.material
             return self._configuration()
 
         return grpc.dynamic_ssl_server_credentials(
@@ -144,6 +164,6 @@
         )
 
     def channel_credentials(self) -> grpc.ChannelCredentials:
-        """For calls to other instances, which show certificates of the same authority."""
-        held = self.material
-        return grpc.ssl_channel_credentials(held.client_ca, held.key, held.certificate)
+        """Return credentials for calls to other instances, whose certificates are of the same authority."""
+        material = self.material
+        return grpc.ssl_channel_credentials(material.client_ca, material.key, material.certificate)
--- a/tests/test_control_live.py
+++ b/tests/test_control_live.py
@@ -259,7 +259,7 @@
             call = channel.stream_stream(f"/{LRS}/StreamLoadStats")()
             await call.write(report.SerializeToString())
             assert await call.read() is not grpc.aio.EOF
-            service.core.reconfigure(control(tmp_path, subscribers=[{"identity": "q"}]), service.now())
+            service.core.reconfigure(control(tmp_path, subscribers=[{"identity": "q"}]), service.now_ns())
             await call.write(report.SerializeToString())
             with pytest.raises(grpc.aio.AioRpcError) as ended:
                 await call.read()
@@ -324,15 +324,15 @@
         peers = [{"name": "one", "address": target}]
 
         async def both(second: Service, target: str) -> None:
-            await until(lambda: second.core.withheld_reason(second.now()) is None)
+            await until(lambda: second.core.withheld_reason(second.now_ns()) is None)
             other.close()
-            await until(lambda: not second.core.view_consistency.is_discovery_connected(second.now()))
-            await until(lambda: second.core.withheld_reason(second.now()) is None)  # the first one vouches
+            await until(lambda: not second.core.view_consistency.is_discovery_connected(second.now_ns()))
+            await until(lambda: second.core.withheld_reason(second.now_ns()) is None)  # the first one vouches
             proxy = LiveProxy(ProxyStandIn("p", "z", True), target)
             proxy.start()
             await proxy.until(proxy.proxy.complete)
             one.change(entry("n2", 10_002))
-            await until(lambda: second.core.withheld_reason(second.now()) is not None)
+            await until(lambda: second.core.withheld_reason(second.now_ns()) is not None)
             await proxy.until(lambda: proxy.ended is grpc.StatusCode.UNAVAILABLE)  # and moves its subscribers
             await proxy.stop()
 
@@ -402,10 +402,12 @@
             ((held.certificate + ours.pem[:-10], held.key), "ends within a certificate"),
         ):
             put(*bad)
-            assert not service.certificates.look() and says in (service.certificates.problem or "")
+            assert not service.certificates.reload_if_changed() and says in (
+                service.certificates.problem or ""
+            )
             assert service.certificates.material is held
         put(*ours.certificate("localhost"))
-        assert service.certificates.look() and service.certificates.material is not held
+        assert service.certificates.reload_if_changed() and service.certificates.material is not held
         fresh = proxy(target, "q.market")
         fresh.start()
         await fresh.until(fresh.proxy.complete)
@@ -459,10 +461,10 @@
         log = tmp_path / "control.log"
         config.write_bytes(written(tmp_path, discovery=discovery.address, classes=[{"name": "none"}]))
         program.process.send_signal(signal.SIGHUP)
-        run(until(lambda: "bad configuration, the running one stays" in log.read_text()))
+        run(until(lambda: "configuration reload failed" in log.read_text()))
         config.write_bytes(written(tmp_path, discovery="127.0.0.1:1", classes=[{"name": "look"}]))
         program.process.send_signal(signal.SIGHUP)
-        run(until(lambda: "configuration read again" in log.read_text()))
+        run(until(lambda: "configuration reloaded" in log.read_text()))
         assert "key=discovery" in log.read_text()
         assert program.end() == 0
         with socket.create_server(("127.0.0.1", 0)) as taken:
