--- a/brambleusher/features/replay.py
+++ b/brambleusher/features/replay.py
@@ -3,8 +3,9 @@
 from __future__ import annotations
 
 import json
-from collections.abc import Iterator
-from dataclasses import dataclass, field
+from collections.abc import Iterator, Sequence
+from dataclasses import dataclass
+from pathlib import Path
 from typing import Any, BinaryIO, TextIO
 
 import orjson
@@ -35,9 +36,7 @@
 
     records: int = 0
     differing: int = 0
-    missing: int = 0
-    other: int = 0
-    notes: list[str] = field(default_factory=list)
+    other: int = 0  # lines that are no records
 
 
 class Rerun:
@@ -70,7 +69,7 @@
         self.next = next_one if isinstance(next_one, int) else 0
 
     def check(self, record: dict[str, Any]) -> list[str]:
-        """What differs in one record."""
+        """Find what differs in one record."""
         found = [] if has_valid_checksum(record) else ["the record was changed: its checksum does not fit"]
         try:
             event, now = decode_event(record), record["t_ns"]
@@ -107,8 +106,8 @@
                 self._listed.add(entry.host)
         self._ever |= self._listed
 
-    def _unknown(self, event: api.Event | None, server: Any, told: Any) -> list[str]:
-        """Servers that the record names and the list does not."""
+    def _unknown(self, event: api.Event | None, server: str | None, told: Sequence[object]) -> list[str]:
+        """Find servers that the record names and the list does not."""
         sent = {action[2] for action in told if isinstance(action, list) and action[:1] == ["send"]}
         ended = {event.host} if isinstance(event, api.AttemptEnded) else set()
         if server is not None and server not in ended:
@@ -118,7 +117,7 @@
         return [f"the server {_text(name)} is unknown" for name in unknown]
 
 
-def _text(value: Any) -> str:
+def _text(value: object) -> str:
     return orjson.dumps(value).decode()
 
 
@@ -133,53 +132,79 @@
         yield before, True
 
 
-def rerun(file: BinaryIO, out: TextIO) -> ReplaySummary:
-    """Rerun a capture, or the log of a sidecar with dumps in it; prints as it goes."""
-    current: Rerun | None = None
-    tally = ReplaySummary()
-
-    def differs(where: str, what: str) -> None:
-        tally.differing += 1
-        print(f"{where}: {what}", file=out)
-
-    for number, (line, last) in enumerate(_lines(file), 1):
-        if not line.startswith(b"{"):  # the sidecar's log and its figures go the same way as a dump
-            tally.other += 1
-            continue
+class _Replay:
+    """One pass over a capture."""
+
+    def __init__(self, out: TextIO) -> None:
+        self._out = out
+        self._current: Rerun | None = None
+        self.summary = ReplaySummary()
+
+    def process(self, number: int, line: bytes, is_last: bool) -> None:
+        """Process a line; raises `CaptureError` where nothing can be rerun from it."""
+        if not line.startswith(b"{"):  # the sidecar's log and its metrics go the same way as a dump
+            self.summary.other += 1
+            return
         try:
             record = orjson.loads(line)
         except ValueError:
-            if last:
-                print(f"line {number}: the last line is cut off and was skipped", file=out)
-            elif current is not None:
-                differs(f"line {number}", "can't be read")
-            continue
+            self._report_unreadable(number, is_last)
+            return
         if record.get("ev") == "start":
-            current = Rerun(record)
-            continue
+            self._current = Rerun(record)
+        else:
+            self._check(number, record)
+
+    def finish(self) -> ReplaySummary:
+        """Return what was found; raises `CaptureError` where there was no header."""
+        if self._current is None:
+            raise CaptureError("there is no header")
+        return self.summary
+
+    def _report_unreadable(self, number: int, is_last: bool) -> None:
+        if is_last:
+            print(f"line {number}: the last line is cut off and was skipped", file=self._out)
+        elif self._current is not None:
+            self._report_difference(f"line {number}", "can't be read")
+
+    def _check(self, number: int, record: dict[str, Any]) -> None:
+        current = self._current
         if current is None:
             raise CaptureError("records come before any header")
-        tally.records += 1
+        self.summary.records += 1
         where = f"line {number}, record {_text(record.get('n'))}"
         if record.get("n") != current.next:
-            differs(where, f"record {current.next} should stand here")
+            self._report_difference(where, f"record {current.next} should stand here")
         current.next = record["n"] + 1 if isinstance(record.get("n"), int) else current.next + 1
         words = " ".join(f"{key}={_text(record.get(key))}" for key in ("t_ms", "ev", "id", "class", "tenant"))
-        if found := current.check(record):
-            differs(f"{where} {words}", "; ".join(found))
-    if current is None:
-        raise CaptureError("there is no header")
-    return tally
+        if differences := current.check(record):
+            self._report_difference(f"{where} {words}", "; ".join(differences))
+
+    def _report_difference(self, where: str, what: str) -> None:
+        self.summary.differing += 1
+        print(f"{where}: {what}", file=self._out)
+
+
+def rerun(file: BinaryIO, out: TextIO) -> ReplaySummary:
+    """Rerun a capture, or the log of a sidecar with dumps in it; prints as it goes.
+
+    Raises:
+        CaptureError: it has no header, or one that can't be rerun here.
+    """
+    pass_over = _Replay(out)
+    for number, (line, is_last) in enumerate(_lines(file), 1):
+        pass_over.process(number, line, is_last)
+    return pass_over.finish()
 
 
 def replay(path: str, out: TextIO, errors: TextIO) -> int:
     """Rerun the capture in a file: 0 if no decision differs, 1 if some do, 2 if the file is refused."""
     try:
-        with open(path, "rb") as file:
-            tally = rerun(file, out)
+        with Path(path).open("rb") as file:
+            summary = rerun(file, out)
     except (OSError, CaptureError) as error:
         reason = error.strerror if isinstance(error, OSError) else error
         print(f"brambleusher: {path} is refused: {reason}", file=errors)
         return REFUSED
-    print(f"{tally.records} records, {tally.differing} differ", file=out)
-    return DIFFERENT if tally.differing else SAME
+    print(f"{summary.records} records, {summary.differing} differ", file=out)
+    return DIFFERENT if summary.differing else SAME
