--- a/tests/recorded/conversation.py
+++ b/tests/recorded/conversation.py
@@ -69,6 +69,7 @@
     "watch: of another region": ("c1", WATCH % (G3, b"-1", b"", b"-1", b',"brief":true')),
     "relay: resolve": ("c1", b'{"kind":"relay","what":"resolve","zone":"n1","region":"north"}\n'),
     "relay: resolve for all": ("c1", b'{"kind":"relay","what":"resolve","zone":"s1","region":"south"}\n'),
+    "relay: resolve by region": ("c1", b'{"kind":"relay","what":"resolve","zone":"n2","region":"north"}\n'),
     "relay: controllers": ("c1", b'{"kind":"relay","what":"controllers"}\n'),
     "relay: at an observer": ("o1", b'{"kind":"relay","what":"read"}\n'),
     "relay: unknown": ("c1", b'{"kind":"relay","what":"sing"}\n'),
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -35,6 +35,7 @@
 
 RECORDED = Path(__file__).parent / "recorded" / "decisions"
 CAPTURES = ["plain", "plain-successor", "zones", "zones-successor"]
+MIDWAY = ["plain-midway", "zones-midway"]  # rings that have wrapped: they begin with requests under way
 STATES = ["plain", "zones"]
 CODEC = json.loads((RECORDED / "codec.json").read_bytes())
 # Names of actions in captures, with their fields in order.
@@ -69,7 +70,7 @@
     yield OutputQueue(RealSystem().worker("lane", lambda: False, lambda: None), 1 << 30)
 
 
-@pytest.mark.parametrize("name", CAPTURES)
+@pytest.mark.parametrize("name", [*CAPTURES, *MIDWAY])
 def test_a_capture_is_rerun_without_a_difference(name: str, tmp_path: Path) -> None:
     path = tmp_path / "capture.jsonl"
     path.write_bytes(captured(name))
@@ -135,6 +136,14 @@
     assert orjson.dumps(save(restored)) == orjson.dumps(recorded["state"])
 
 
+@pytest.mark.parametrize("name", MIDWAY)
+def test_a_state_in_a_capture_is_written_as_it_was_read(name: str) -> None:
+    head = orjson.loads(captured(name).splitlines()[0])
+    restored = restore(restore_settings(head["settings"]), 1, head["state"])
+    assert head["state"]["requests"]
+    assert orjson.dumps(save(restored)) == orjson.dumps(head["state"])
+
+
 @pytest.mark.parametrize("name", STATES)
 def test_a_transferred_state_is_written_as_it_was_read(name: str) -> None:
     recorded = state_of(name)
