--- a/brambleusher/runtime/scheduler.py
+++ b/brambleusher/runtime/scheduler.py
@@ -179,19 +179,13 @@
         events: int = READ,
         event: Event | None = None,
     ) -> Wakeup:
-        """Wait for a socket, an event or both.
-
-        Args:
-            deadline: In seconds on `now`; None for none.
-            sock: The socket to wait for.
-            events: `READ` or `WRITE`, on the socket.
-            event: The event to wait for; it is cleared.
+        """Wait for `events` (`READ` or `WRITE`) on a socket, for an event, or for both.
 
         Returns:
-            Which of the two came.
+            Which of the two came; the event is cleared.
 
         Raises:
-            TaskTimeoutError: neither came before the deadline.
+            TaskTimeoutError: neither came before the deadline, in seconds on `now`.
             TaskCancelledError: the task was cancelled.
         """
         if event is not None and event.is_set:
@@ -199,12 +193,7 @@
             return _EVENT
         task = self._current()
         if sock is not None:
-            task.sock_fd = sock.fileno()
-            if task.sock_fd in self._waiting:
-                task.sock_fd = -1
-                raise RuntimeError("two tasks wait on one socket")
-            self._waiting[task.sock_fd] = task
-            self._poll.register(task.sock_fd, events)
+            self._watch(task, sock, events)
         if event is not None:
             task.event, event.task = event, task
         if deadline is not None:
@@ -223,6 +212,14 @@
         assert isinstance(reason, Wakeup)
         return reason
 
+    def _watch(self, task: Task, sock: Socket, events: int) -> None:
+        fd = sock.fileno()
+        if fd in self._waiting:
+            raise RuntimeError("two tasks wait on one socket")
+        task.sock_fd = fd
+        self._waiting[fd] = task
+        self._poll.register(fd, events)
+
     def sleep(self, seconds: float) -> None:
         """Let others run for a while."""
         try:
--- a/brambleusher/runtime/system.py
+++ b/brambleusher/runtime/system.py
@@ -11,7 +11,7 @@
 import errno
 from collections.abc import Callable
 from contextlib import AbstractContextManager
-from typing import Any, Protocol
+from typing import Protocol
 
 from greenlet import greenlet
 
@@ -94,7 +94,7 @@
     """Calls `turn` beside the serving thread as long as `due` says so."""
 
     @property
-    def lock(self) -> AbstractContextManager[Any]:
+    def lock(self) -> AbstractContextManager[object]:
         """Guards what both threads touch; `due` is called with it held, `turn` without."""
 
     def wake(self) -> None:
@@ -119,7 +119,7 @@
     def sleep(self, seconds: float) -> None:
         """Stand still, all of this process; only before it serves."""
 
-    def greenlet(self, run: Callable[..., Any], parent: greenlet) -> greenlet:
+    def greenlet(self, run: Callable[..., object], parent: greenlet) -> greenlet:
         """Make a greenlet for a task; it is over with the process."""
 
     def poller(self) -> Poller:
