--- a/brambleusher/xds/config.py
+++ b/brambleusher/xds/config.py
@@ -1,4 +1,4 @@
-"""The one place where the control service's file is read, checked and given defaults."""
+"""Read the control service's file, check it and fill in defaults; its keys are an interface."""
 
 from __future__ import annotations
 
@@ -7,9 +7,8 @@
 import json
 from dataclasses import dataclass, replace
 from pathlib import Path
-from typing import Any
 
-from brambleusher.loadbalancing.api import Idempotency, Settings
+from brambleusher.loadbalancing.api import Idempotency, RequestClass, Settings
 from brambleusher.loadbalancing.settings import SettingsError, parse_settings
 from brambleusher.operator_settings.section import OperatorFileError, Section
 from brambleusher.operator_settings.yaml_codec import MAX_FILE_BYTES, decode_yaml
@@ -17,14 +16,27 @@
 from brambleusher.xds.faults import ControlError
 from brambleusher.xds.versions import MIN_SECRET_BYTES
 
-MAX_ITEMS = 256
+MAX_ITEMS = 256  # of one list
+MAX_RETRIES = 10
+MAX_CONCURRENCY = 1_000_000  # of connections or requests of one proxy
+MAX_STREAMS = 100_000
+MAX_EPOCH = 10**9
 HOUR_MS = 3_600_000
+NS_PER_MS = 1_000_000
+
 Address = tuple[str, int]
+Priorities = dict[str, tuple[tuple[str, ...], ...]]  # by a subscriber's zone: zones by priority
+
+# Keys that a running instance does not change.
+_FIXED_KEYS = (
+    "name", "listen", "discovery", "epoch", "secret", "store", "settings", "zones", "tls", "peers", "status",
+    "silence_ms", "new_store_ms",
+)  # fmt: skip
 
 
 @dataclass(frozen=True, slots=True)
 class TlsFiles:
-    """Where certificate, key and the subscribers' authority are; all of them PEM."""
+    """The files of certificate, key and the subscribers' authority; all of them PEM."""
 
     certificate: str
     key: str
@@ -33,25 +45,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Group:
-    """Subscribers alike: who they are, the zone whose view they get, and what they may subscribe to."""
+    """Subscribers alike: their identity, the zone whose view they get, and what they may subscribe to."""
 
     identity: str  # a pattern for the name in the certificate; in plain text for the node's id
     zone: str | None = None  # None: the zone that the subscriber says it is in
     may: tuple[str, ...] = ("*",)  # patterns for names of resources
-    form: str | None = None  # how endpoints are grouped; None: by what the subscriber is
+    form: str | None = None  # how endpoints are grouped; None: by the kind of client
 
-    def is_for(self, identity: str) -> bool:
-        """Whether a subscriber of that name belongs to it."""
+    def matches(self, identity: str) -> bool:
+        """Return whether a subscriber of that name belongs to the group."""
         return fnmatch.fnmatchcase(identity, self.identity)
 
-    def sees(self, name: str) -> bool:
-        """Whether its subscribers may have the resource of that name."""
+    def may_subscribe_to(self, name: str) -> bool:
+        """Return whether the subscribers may have the resource of that name."""
         return any(fnmatch.fnmatchcase(name, pattern) for pattern in self.may)
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """What one stream, and all together, may ask for."""
+    """Bounds of one stream, and of all together."""
 
     streams: int = 2000
     streams_per_identity: int = 2000
@@ -59,12 +71,12 @@
     names: int = 1000
     name_bytes: int = 512
     requests_per_s: int = 100
-    stall_ms: int = 30_000  # a response that can't be handed over for so long ends its stream
+    stall_ms: int = 30_000  # a stream that makes no progress for so long is ended
 
 
 @dataclass(frozen=True, slots=True)
 class ClassPlan:
-    """A class of requests: the paths that make it, and what one proxy may have out."""
+    """A class of requests: its paths, and the limits of one proxy."""
 
     name: str
     prefixes: tuple[str, ...]
@@ -77,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outlier:
-    """When a proxy leaves a node out by itself, between two words from here."""
+    """When a proxy ejects an endpoint by itself, between two updates."""
 
     consecutive: int = 5
     interval_ms: int = 10_000
@@ -95,9 +107,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Spread:
-    """How weights go out."""
+    """How weights are published."""
 
-    priorities: dict[str, tuple[tuple[str, ...], ...]] | None = None  # by zone; None: all in one
+    priorities: Priorities | None = None  # None: all endpoints in one priority
     weights_every_ms: int = 2000
     change_percent: int = 10
 
@@ -112,7 +124,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlConfig:
-    """All of the file."""
+    """The file's content, checked."""
 
     name: str
     listen: Address
@@ -138,19 +150,19 @@
     status: Address | None = None
 
     def group_of(self, identity: str) -> Group | None:
-        """The first group that a subscriber belongs to."""
-        return next((group for group in self.groups if group.is_for(identity)), None)
+        """Return the first group that a subscriber belongs to; None where there is none."""
+        return next((group for group in self.groups if group.matches(identity)), None)
 
 
 def is_loopback(host: str) -> bool:
-    """Whether an address can be reached from this machine alone."""
+    """Return whether an address can be reached from this machine only."""
     try:
         return ipaddress.ip_address(host.removeprefix("[").removesuffix("]")).is_loopback
     except ValueError:
         return host == "localhost"
 
 
-def _needed(section: Section, key: str) -> str:
+def _required_text(section: Section, key: str) -> str:
     value = section.text(key)
     if value is None:
         raise ControlError(f"{section.name(key)} is missing")
@@ -158,41 +170,41 @@
 
 
 def _address(section: Section, key: str, value: str | None = None) -> Address:
-    value = value if value is not None else _needed(section, key)
+    value = value if value is not None else _required_text(section, key)
     try:
         return parse_address(value)
     except ValueError as error:
         raise ControlError(f"{section.name(key)}: {error}") from None
 
 
-def _list(section: Section, key: str, required: bool = False) -> list[tuple[Any, str]]:
-    """The items of a list, each with its path."""
+def _list(section: Section, key: str, required: bool = False) -> list[tuple[object, str]]:
+    """Take a list; each item comes with its path."""
     raw = section.take(key)
     if raw is None and not required:
         return []
     if not isinstance(raw, list) or len(raw) > MAX_ITEMS or (required and not raw):
         raise ControlError(f"{section.name(key)} is not a list of 1 to {MAX_ITEMS} items")
-    return [(item, f"{section.name(key)}[{at}]") for at, item in enumerate(raw)]
+    return [(item, f"{section.name(key)}[{index}]") for index, item in enumerate(raw)]
 
 
 def _texts(section: Section, key: str, default: tuple[str, ...]) -> tuple[str, ...]:
     if not section.has(key):
         return default
-    out = []
+    texts = []
     for item, path in _list(section, key, required=True):
         if not isinstance(item, str) or not item:
             raise ControlError(f"{path} is not a text")
-        out.append(item)
-    return tuple(out)
+        texts.append(item)
+    return tuple(texts)
 
 
-def _once(names: list[str], what: str) -> None:
+def _reject_duplicates(names: list[str], what: str) -> None:
     for name in names:
         if names.count(name) > 1:
             raise ControlError(f"{what} {name} is given twice")
 
 
-def _file(path: Path, what: str) -> bytes:
+def _read_file(path: Path, what: str) -> bytes:
     try:
         with path.open("rb") as file:
             data = file.read(MAX_FILE_BYTES + 1)
@@ -210,7 +222,7 @@
     raw = inline
     if path is not None:
         try:
-            raw = json.loads(_file(base / path, "settings_file"))
+            raw = json.loads(_read_file(base / path, "settings_file"))
         except ValueError as error:
             raise ControlError(f"settings_file: {path} is not JSON: {error}") from None
         if isinstance(raw, dict) and isinstance(raw.get("settings"), dict):
@@ -221,28 +233,22 @@
         raise ControlError(f"settings: {error}") from None
 
 
-def _class(raw: Any, path: str, settings: Settings) -> ClassPlan:
+def _class(raw: object, path: str, settings: Settings) -> ClassPlan:
     section = Section(raw, path)
-    name = _needed(section, "name")
-    known = next((cls for cls in settings.classes if cls.name == name), None)
-    if known is None:
+    name = _required_text(section, "name")
+    request_class = next((cls for cls in settings.classes if cls.name == name), None)
+    if request_class is None:
         raise ControlError(f"{path}.name: the settings have no class {name}")
-    usual = ClassPlan(name, (f"/{name}",), max(1, known.deadline_ns // 1_000_000), 0)
-    safe = known.idempotency is Idempotency.SAFE
-    most = max(0, settings.max_attempts - 1)
-    retries = section.integer("retries", min(1, most) if safe else 0, 0, 10)
-    if retries and not safe:
-        raise ControlError(f"{path}.retries: a request of class {name} must not be sent twice")
-    if retries > most:
-        raise ControlError(f"{path}.retries: the settings allow {most}")
+    default = ClassPlan(name, (f"/{name}",), max(1, request_class.deadline_ns // NS_PER_MS), 0)
+    retries = _retries(section, path, request_class, settings)
     plan = ClassPlan(
         name,
-        _texts(section, "prefixes", usual.prefixes),
-        section.integer("timeout_ms", usual.timeout_ms, 1, HOUR_MS),
+        _texts(section, "prefixes", default.prefixes),
+        section.integer("timeout_ms", default.timeout_ms, 1, HOUR_MS),
         retries,
-        section.integer("connections", usual.connections, 1, 1_000_000),
-        section.integer("pending", usual.pending, 1, 1_000_000),
-        section.integer("requests", usual.requests, 1, 1_000_000),
+        section.integer("connections", default.connections, 1, MAX_CONCURRENCY),
+        section.integer("pending", default.pending, 1, MAX_CONCURRENCY),
+        section.integer("requests", default.requests, 1, MAX_CONCURRENCY),
     )
     section.reject_unknown_keys()
     for prefix in plan.prefixes:
@@ -251,10 +257,21 @@
     return plan
 
 
-def _group(raw: Any, path: str, zones: tuple[str, ...]) -> Group:
+def _retries(section: Section, path: str, request_class: RequestClass, settings: Settings) -> int:
+    is_safe = request_class.idempotency is Idempotency.SAFE
+    allowed = max(0, settings.max_attempts - 1)
+    retries = section.integer("retries", min(1, allowed) if is_safe else 0, 0, MAX_RETRIES)
+    if retries and not is_safe:
+        raise ControlError(f"{path}.retries: a request of class {request_class.name} must not be sent twice")
+    if retries > allowed:
+        raise ControlError(f"{path}.retries: the settings allow {allowed}")
+    return retries
+
+
+def _group(raw: object, path: str, zones: tuple[str, ...]) -> Group:
     section = Section(raw, path)
     group = Group(
-        _needed(section, "identity"),
+        _required_text(section, "identity"),
         section.text("zone"),
         _texts(section, "may", ("*",)),
         section.choice("endpoints", ("zones", "nodes")) if section.has("endpoints") else None,
@@ -265,88 +282,106 @@
     return group
 
 
-def _listener(raw: Any, path: str) -> ListenerPlan:
+def _listener(raw: object, path: str) -> ListenerPlan:
     section = Section(raw, path)
-    name, address = _needed(section, "name"), section.text("address")
+    name, address = _required_text(section, "name"), section.text("address")
     plan = ListenerPlan(name, None if address is None else _address(section, "address", address))
     section.reject_unknown_keys()
     return plan
 
 
-def _spread(raw: Any, zones: tuple[str, ...]) -> Spread:
-    section, usual = Section(raw, "spread"), Spread()
-    priorities: dict[str, tuple[tuple[str, ...], ...]] | None = None
-    way = section.take("priorities", "none")
-    if way == "zones":
-        priorities = {zone: ((zone,),) for zone in zones}
-    elif isinstance(way, dict):
-        priorities = {}
-        for zone, order in way.items():
-            if zone not in zones:
-                raise ControlError(f"spread.priorities: {zone} is not among zones")
-            if not isinstance(order, list) or not all(
-                isinstance(tier, list) and all(isinstance(each, str) for each in tier) for tier in order
-            ):
-                raise ControlError(f"spread.priorities.{zone} is not a list of lists of zones")
-            priorities[zone] = tuple(tuple(tier) for tier in order)
-    elif way != "none":
-        raise ControlError("spread.priorities is not none, zones or a mapping from zone to lists of zones")
+def _spread(raw: object, zones: tuple[str, ...]) -> Spread:
+    section, default = Section(raw, "spread"), Spread()
     spread = Spread(
-        priorities,
-        section.integer("weights_every_ms", usual.weights_every_ms, 100, HOUR_MS),
-        section.integer("change_percent", usual.change_percent, 0, 100),
+        _priorities(section.take("priorities", "none"), zones),
+        section.integer("weights_every_ms", default.weights_every_ms, 100, HOUR_MS),
+        section.integer("change_percent", default.change_percent, 0, 100),
     )
     section.reject_unknown_keys()
     return spread
 
 
-def _bounds(raw: Any) -> Bounds:
-    section, usual = Section(raw, "bounds"), Bounds()
+def _priorities(raw: object, zones: tuple[str, ...]) -> Priorities | None:
+    if raw == "none":
+        return None
+    if raw == "zones":
+        return {zone: ((zone,),) for zone in zones}
+    if not isinstance(raw, dict):
+        raise ControlError("spread.priorities is not none, zones or a mapping from zone to lists of zones")
+    priorities: Priorities = {}
+    for zone, tiers in raw.items():
+        if zone not in zones:
+            raise ControlError(f"spread.priorities: {zone} is not among zones")
+        if not isinstance(tiers, list) or not all(_is_list_of_texts(tier) for tier in tiers):
+            raise ControlError(f"spread.priorities.{zone} is not a list of lists of zones")
+        priorities[zone] = tuple(tuple(tier) for tier in tiers)
+    return priorities
+
+
+def _is_list_of_texts(raw: object) -> bool:
+    return isinstance(raw, list) and all(isinstance(item, str) for item in raw)
+
+
+def _bounds(raw: object) -> Bounds:
+    section, default = Section(raw, "bounds"), Bounds()
     bounds = Bounds(
-        section.integer("streams", usual.streams, 1, 100_000),
-        section.integer("streams_per_identity", usual.streams_per_identity, 1, 100_000),
-        section.integer("message_kb", usual.message_kb, 1, 16_384),
-        section.integer("names", usual.names, 1, 100_000),
-        section.integer("name_bytes", usual.name_bytes, 16, 4096),
-        section.integer("requests_per_s", usual.requests_per_s, 1, 100_000),
-        section.integer("stall_ms", usual.stall_ms, 100, HOUR_MS),
+        section.integer("streams", default.streams, 1, MAX_STREAMS),
+        section.integer("streams_per_identity", default.streams_per_identity, 1, MAX_STREAMS),
+        section.integer("message_kb", default.message_kb, 1, 16_384),
+        section.integer("names", default.names, 1, 100_000),
+        section.integer("name_bytes", default.name_bytes, 16, 4096),
+        section.integer("requests_per_s", default.requests_per_s, 1, 100_000),
+        section.integer("stall_ms", default.stall_ms, 100, HOUR_MS),
     )
     section.reject_unknown_keys()
     return bounds
 
 
-def _outlier(raw: Any) -> Outlier:
-    section, usual = Section(raw, "outlier"), Outlier()
+def _outlier(raw: object) -> Outlier:
+    section, default = Section(raw, "outlier"), Outlier()
     outlier = Outlier(
-        section.integer("consecutive", usual.consecutive, 1, 1000),
-        section.integer("interval_ms", usual.interval_ms, 10, HOUR_MS),
-        section.integer("ejection_ms", usual.ejection_ms, 10, HOUR_MS),
-        section.integer("most_percent", usual.most_percent, 0, 100),
+        section.integer("consecutive", default.consecutive, 1, 1000),
+        section.integer("interval_ms", default.interval_ms, 10, HOUR_MS),
+        section.integer("ejection_ms", default.ejection_ms, 10, HOUR_MS),
+        section.integer("most_percent", default.most_percent, 0, 100),
     )
     section.reject_unknown_keys()
     return outlier
 
 
-def _tls(raw: Any, base: Path) -> TlsFiles:
+def _tls(raw: object, base: Path) -> TlsFiles:
     section = Section(raw, "tls")
-    files = TlsFiles(*(str(base / _needed(section, key)) for key in ("certificate", "key", "client_ca")))
+    files = TlsFiles(
+        *(str(base / _required_text(section, key)) for key in ("certificate", "key", "client_ca"))
+    )
     section.reject_unknown_keys()
     return files
 
 
-def _peer(raw: Any, path: str) -> Peer:
+def _peer(raw: object, path: str) -> Peer:
     section = Section(raw, path)
-    peer = Peer(_needed(section, "name"), _address(section, "address"))
+    peer = Peer(_required_text(section, "name"), _address(section, "address"))
     section.reject_unknown_keys()
     return peer
 
 
 def parse_control(text: bytes, base: Path) -> ControlConfig:
-    """The file's content, checked; names of files in it are relative to `base`."""
+    """Parse and check the file's content.
+
+    Args:
+        text: The file's content, YAML.
+        base: The directory that names of files in it are relative to.
+
+    Raises:
+        ControlError: It can't be used; the message names the key.
+    """
     try:
-        return _parse(text, base)
+        config = _parse(text, base)
     except OperatorFileError as error:
         raise ControlError(str(error)) from None
+    _check_names(config)
+    _check_addresses(config)
+    return config
 
 
 def _parse(text: bytes, base: Path) -> ControlConfig:
@@ -355,19 +390,17 @@
     section = Section(decode_yaml(text), "")
     settings = _settings(section, base)
     zones = _texts(section, "zones", (settings.zone,))
-    _once(list(zones), "the zone")
+    _reject_duplicates(list(zones), "the zone")
     listen = _address(section, "listen")
-    secret = _file(base / _needed(section, "secret_file"), "secret_file").strip()
-    if len(secret) < MIN_SECRET_BYTES:
-        raise ControlError(f"secret_file has less than {MIN_SECRET_BYTES} bytes")
+    secret = _secret(section, base)
     store = Section(section.take("store"), "store")
     config = ControlConfig(
-        name=_needed(section, "name"),
+        name=_required_text(section, "name"),
         listen=listen,
         discovery=_address(section, "discovery"),
-        epoch=section.integer("epoch", 1, 1, 10**9),
+        epoch=section.integer("epoch", 1, 1, MAX_EPOCH),
         secret=secret,
-        store=str(base / _needed(store, "file")),
+        store=str(base / _required_text(store, "file")),
         new_store_ms=store.integer("new_ms", 2000, 0, HOUR_MS),
         settings=settings,
         zones=zones,
@@ -378,9 +411,7 @@
         spread=_spread(section.take("spread"), zones),
         bounds=_bounds(section.take("bounds")),
         outlier=_outlier(section.take("outlier")),
-        connect_timeout_ms=section.integer(
-            "connect_timeout_ms", max(1, settings.connect_timeout_ns // 1_000_000), 1, 60_000
-        ),
+        connect_timeout_ms=_connect_timeout_ms(section, settings),
         stale_after_ms=section.integer("stale_after_ms", 600_000, 0, 24 * HOUR_MS),
         silence_ms=section.integer("silence_ms", 3500, 100, HOUR_MS),
         reports_ms=section.integer("reports_ms", 1000, 100, HOUR_MS),
@@ -389,42 +420,57 @@
     )
     store.reject_unknown_keys()
     section.reject_unknown_keys()
-    _once([each.name for each in config.classes], "the class")
-    _once([prefix for each in config.classes for prefix in each.prefixes], "the prefix")
-    _once([each.name for each in config.listeners], "the listener")
-    _once([each.name for each in config.peers], "the peer")
+    return config
+
+
+def _secret(section: Section, base: Path) -> bytes:
+    secret = _read_file(base / _required_text(section, "secret_file"), "secret_file").strip()
+    if len(secret) < MIN_SECRET_BYTES:
+        raise ControlError(f"secret_file has less than {MIN_SECRET_BYTES} bytes")
+    return secret
+
+
+def _connect_timeout_ms(section: Section, settings: Settings) -> int:
+    default = max(1, settings.connect_timeout_ns // NS_PER_MS)
+    return section.integer("connect_timeout_ms", default, 1, 60_000)
+
+
+def _check_names(config: ControlConfig) -> None:
+    _reject_duplicates([plan.name for plan in config.classes], "the class")
+    _reject_duplicates([prefix for plan in config.classes for prefix in plan.prefixes], "the prefix")
+    _reject_duplicates([listener.name for listener in config.listeners], "the listener")
+    _reject_duplicates([peer.name for peer in config.peers], "the peer")
+
+
+def _check_addresses(config: ControlConfig) -> None:
     if config.tls is None and not is_loopback(config.listen[0]):
         raise ControlError("listen: without tls only a loopback address is served")
     if config.status is not None and not is_loopback(config.status[0]):
         raise ControlError("status: only a loopback address is served")
     if config.tls is None and not all(is_loopback(peer.address[0]) for peer in config.peers):
         raise ControlError("peers: without tls only loopback addresses are spoken to")
-    return config
 
 
 def load_control(path: str) -> ControlConfig:
-    """The file at `path`; raises `ControlError` with a message that names the key."""
-    where = Path(path)
-    return parse_control(_file(where, "the file"), where.parent)
+    """Read the file at `path`.
 
+    Raises:
+        ControlError: It can't be used; the message names the key.
+    """
+    file = Path(path)
+    return parse_control(_read_file(file, "the file"), file.parent)
 
-def reload_control(old: ControlConfig, path: str) -> tuple[ControlConfig, list[str]]:
-    """The running configuration with what may change taken from the file, and what differs but may not."""
+
+def reload_control(current: ControlConfig, path: str) -> tuple[ControlConfig, list[str]]:
+    """Read the file again for a running instance.
+
+    Returns:
+        The current configuration with what may change taken from the file, and the keys that differ but
+        may not change.
+
+    Raises:
+        ControlError: The file can't be used; the message names the key.
+    """
     new = load_control(path)
-    fixed = (
-        "name",
-        "listen",
-        "discovery",
-        "epoch",
-        "secret",
-        "store",
-        "settings",
-        "zones",
-        "tls",
-        "peers",
-        "status",
-        "silence_ms",
-        "new_store_ms",
-    )
-    differs = [key for key in fixed if getattr(old, key) != getattr(new, key)]
-    return replace(new, **{key: getattr(old, key) for key in fixed}), differs
+    differing = [key for key in _FIXED_KEYS if getattr(current, key) != getattr(new, key)]
+    return replace(new, **{key: getattr(current, key) for key in _FIXED_KEYS}), differing
--- a/brambleusher/xds/resources.py
+++ b/brambleusher/xds/resources.py
@@ -1,7 +1,7 @@
-"""Listeners, routes, clusters and endpoints as Envoy and gRPC take them.
+"""Build listeners, routes, clusters and endpoint assignments for Envoy and gRPC.
 
-The first three follow from the configuration and are built with the published protos.  Endpoints
-are put together from cached bytes, since every change of a weight or a state makes them anew.
+The first three follow from the configuration and are built with the published protos.  Assignments
+are joined from cached bytes, since every change of a weight or a state needs a new one.
 """
 
 from __future__ import annotations
@@ -29,10 +29,17 @@
 ROUTES, ENDPOINTS = "routes", "execute-nodes"
 RETRY_ON = "connect-failure,refused-stream,unavailable,retriable-status-codes"
 RETRY_STATUSES = (503, 504)
-# What a node's own load report carries, in ORCA's words.
+# Metrics of a host's own load report, named as in ORCA.
 UTILISATION, THROUGHPUT, LATENCY_MS = "cpu_utilization", "rps_fractional", "latency_ms"
-REPORTED = (UTILISATION, THROUGHPUT, f"named_metrics.{THROUGHPUT}", f"named_metrics.{LATENCY_MS}")
+REPORTED_METRICS = (UTILISATION, THROUGHPUT, f"named_metrics.{THROUGHPUT}", f"named_metrics.{LATENCY_MS}")
 _UNHEALTHY, _DRAINING = 2, 3  # envoy.config.core.v3.HealthStatus
+HOST_SELECTION_ATTEMPTS = 5  # a retry draws so often for a host that had no attempt yet
+ACTIVE_RETRIES_PER_RETRY = 3  # of one proxy to a cluster, for each retry that a request may have
+MS_PER_S, NS_PER_MS = 1000, 1_000_000
+# Encoded tags of varint fields.
+_VALUE_TAG = b"\x08"  # UInt32Value.value
+_HEALTH_STATUS_TAG = b"\x10"  # LbEndpoint.health_status
+_PRIORITY_TAG = b"\x28"  # LocalityLbEndpoints.priority
 
 Addresses = Mapping[str, tuple[str, int]]
 
@@ -44,10 +51,10 @@
 
 
 def _ms(value: int) -> duration_pb2.Duration:
-    return duration_pb2.Duration(seconds=value // 1000, nanos=value % 1000 * 1_000_000)
+    return duration_pb2.Duration(seconds=value // MS_PER_S, nanos=value % MS_PER_S * NS_PER_MS)
 
 
-def _whole(value: int) -> wrappers_pb2.UInt32Value:
+def _uint32(value: int) -> wrappers_pb2.UInt32Value:
     return wrappers_pb2.UInt32Value(value=value)
 
 
@@ -62,7 +69,7 @@
 
 
 def listener(plan: ListenerPlan) -> listener_pb2.Listener:
-    """One listener: HTTP on an address, or gRPC's API listener."""
+    """Build a listener: HTTP on an address, or gRPC's API listener."""
     manager = hcm_pb2.HttpConnectionManager(
         stat_prefix=plan.name,
         rds=hcm_pb2.Rds(config_source=_ads(), route_config_name=ROUTES),
@@ -104,9 +111,9 @@
         action.retry_policy.CopyFrom(
             route_components_pb2.RetryPolicy(
                 retry_on=RETRY_ON,
-                num_retries=_whole(plan.retries),
+                num_retries=_uint32(plan.retries),
                 retriable_status_codes=RETRY_STATUSES,
-                host_selection_retry_max_attempts=5,
+                host_selection_retry_max_attempts=HOST_SELECTION_ATTEMPTS,
                 retry_host_predicate=[
                     route_components_pb2.RetryPolicy.RetryHostPredicate(
                         name="envoy.retry_host_predicates.previous_hosts",
@@ -120,17 +127,20 @@
     )
 
 
-def routes(plans: Iterable[ClassPlan], never: Iterable[str] = ()) -> route_pb2.RouteConfiguration:
-    """The route table: a class by its path's beginning, the longest first.
+def routes(plans: Iterable[ClassPlan], non_repeatable: Iterable[str] = ()) -> route_pb2.RouteConfiguration:
+    """Build the route table: classes by prefix of the path, the longest first.
 
-    `never`: beginnings of paths that have no route here and must not be sent twice.
+    Args:
+        plans: The classes with a route.
+        non_repeatable: Prefixes that have no route here and must not be sent twice.
     """
     pairs = [(prefix, plan) for plan in plans for prefix in plan.prefixes]
-    named = list(pairs)
-    for path in sorted(set(never)):
-        over = [pair for pair in named if path.startswith(pair[0]) and path != pair[0]]
-        if over:  # guards against the retries of a class whose prefix is wide enough to take them along
-            pairs.append((path, replace(max(over, key=lambda pair: len(pair[0]))[1], retries=0)))
+    explicit = list(pairs)
+    for path in sorted(set(non_repeatable)):
+        covering = [pair for pair in explicit if path.startswith(pair[0]) and path != pair[0]]
+        if covering:  # without a route of its own it would get the retries of the class that covers it
+            _, nearest = max(covering, key=lambda pair: len(pair[0]))
+            pairs.append((path, replace(nearest, retries=0)))
     pairs.sort(key=lambda pair: (-len(pair[0]), pair[0]))
     host = route_components_pb2.VirtualHost(
         name=ROUTES, domains=["*"], routes=[_route(plan, prefix) for prefix, plan in pairs]
@@ -139,16 +149,16 @@
 
 
 def cluster(plan: ClassPlan, config: ControlConfig) -> cluster_pb2.Cluster:
-    """One class's cluster; all of them have the same endpoints."""
+    """Build the cluster of a class; all clusters have the same endpoints."""
     outlier = config.outlier
     limits = circuit_breaker_pb2.CircuitBreakers.Thresholds(
-        max_connections=_whole(plan.connections),
-        max_pending_requests=_whole(plan.pending),
-        max_requests=_whole(plan.requests),
-        max_retries=_whole(max(plan.retries, 1) * 3),
+        max_connections=_uint32(plan.connections),
+        max_pending_requests=_uint32(plan.pending),
+        max_requests=_uint32(plan.requests),
+        max_retries=_uint32(max(plan.retries, 1) * ACTIVE_RETRIES_PER_RETRY),
     )
     common = cluster_pb2.Cluster.CommonLbConfig(
-        # Guards against a proxy that sends to nodes that drain because too few others are left.
+        # Else a proxy sends to draining endpoints when too few others are left.
         healthy_panic_threshold=percent_pb2.Percent(value=0),
         locality_weighted_lb_config=cluster_pb2.Cluster.CommonLbConfig.LocalityWeightedLbConfig(),
     )
@@ -160,25 +170,25 @@
         lb_policy=cluster_pb2.Cluster.ROUND_ROBIN,
         circuit_breakers=circuit_breaker_pb2.CircuitBreakers(thresholds=[limits]),
         outlier_detection=outlier_detection_pb2.OutlierDetection(
-            consecutive_5xx=_whole(outlier.consecutive),
-            consecutive_gateway_failure=_whole(outlier.consecutive),
+            consecutive_5xx=_uint32(outlier.consecutive),
+            consecutive_gateway_failure=_uint32(outlier.consecutive),
             interval=_ms(outlier.interval_ms),
             base_ejection_time=_ms(outlier.ejection_ms),
-            max_ejection_percent=_whole(outlier.most_percent),
+            max_ejection_percent=_uint32(outlier.most_percent),
             # gRPC ejects by success rate or failure percentage alone; both stay at their defaults off.
-            enforcing_success_rate=_whole(0),
-            enforcing_failure_percentage=_whole(0),
+            enforcing_success_rate=_uint32(0),
+            enforcing_failure_percentage=_uint32(0),
         ),
         common_lb_config=common,
         lrs_server=config_source_pb2.ConfigSource(
             self=config_source_pb2.SelfConfigSource(), resource_api_version=config_source_pb2.V3
         ),
-        lrs_report_endpoint_metrics=REPORTED,
+        lrs_report_endpoint_metrics=REPORTED_METRICS,
     )
 
 
-def _never_twice(config: ControlConfig, plans: Sequence[ClassPlan]) -> list[str]:
-    """Prefixes of classes that are not among `plans` and must not be sent twice."""
+def _non_repeatable_prefixes(config: ControlConfig, plans: Sequence[ClassPlan]) -> list[str]:
+    """Return prefixes of classes that are not among `plans` and must not be sent twice."""
     given = {plan.name for plan in config.classes}
     usual = [
         f"/{cls.name}"
@@ -190,21 +200,21 @@
 
 
 def static_resources(config: ControlConfig, group: Group) -> dict[str, list[Draft]]:
-    """Listeners, routes and clusters that a group may have."""
-    plans = [plan for plan in config.classes if group.sees(plan.name)]
-    listeners = [plan for plan in config.listeners if group.sees(plan.name)]
+    """Build the listeners, routes and clusters that a group may have, by kind."""
+    plans = [plan for plan in config.classes if group.may_subscribe_to(plan.name)]
+    listeners = [plan for plan in config.listeners if group.may_subscribe_to(plan.name)]
     named = frozenset(plan.name for plan in plans)
     return {
         CDS: [Draft(plan.name, _bytes(cluster(plan, config)), frozenset({ENDPOINTS})) for plan in plans],
         LDS: [Draft(plan.name, _bytes(listener(plan)), frozenset({ROUTES})) for plan in listeners],
-        RDS: [Draft(ROUTES, _bytes(routes(plans, _never_twice(config, plans))), named)]
+        RDS: [Draft(ROUTES, _bytes(routes(plans, _non_repeatable_prefixes(config, plans))), named)]
         if plans and listeners
         else [],
     }
 
 
 class AssignmentBuilder:
-    """Builds the endpoints of one zone of subscribers in one form.
+    """Builds the endpoint assignment of one zone of subscribers in one form.
 
     `zones`: a locality for each zone, with weights on the endpoints.  `nodes`: a locality for each
     node, for clients (gRPC's) that weigh and report by locality alone.
@@ -219,7 +229,7 @@
         self._tail = sized(4, _bytes(policy)) if policy.ByteSize() else b""
 
     def draft(self, tiers: Sequence[LocalityWeights], addresses: Addresses) -> Draft:
-        """The assignment as it stands."""
+        """Build the assignment for the present weights and states."""
         fresh: dict[tuple[str, int, int, int], bytes] = {}
         parts = [sized(1, ENDPOINTS.encode())]
         for tier in tiers:
@@ -227,37 +237,37 @@
                 parts.append(sized(2, self._zone(tier, addresses, fresh)))
             else:
                 parts += self._nodes(tier, addresses, fresh)
-        self._cache = fresh  # what was not used any more is forgotten
+        self._cache = fresh  # entries that were not used this time are dropped
         return Draft(ENDPOINTS, b"".join([*parts, self._tail]))
 
     def _zone(
         self, tier: LocalityWeights, addresses: Addresses, fresh: dict[tuple[str, int, int, int], bytes]
     ) -> bytes:
         parts = [sized(1, sized(2, tier.zone.encode()) if tier.zone else b"")]
-        for share in tier.endpoints:
-            health = _DRAINING if share.is_draining else 0 if share.weight else _UNHEALTHY
-            parts.append(self._endpoint(addresses[share.host], health, share.weight or 1, fresh))
+        for host_weight in tier.endpoints:
+            health = _DRAINING if host_weight.is_draining else 0 if host_weight.weight else _UNHEALTHY
+            parts.append(self._endpoint(addresses[host_weight.host], health, host_weight.weight or 1, fresh))
         if tier.weight:
-            parts.append(sized(3, b"\x08" + varint(tier.weight)))
+            parts.append(sized(3, _VALUE_TAG + varint(tier.weight)))
         if tier.priority:
-            parts.append(b"\x28" + varint(tier.priority))
+            parts.append(_PRIORITY_TAG + varint(tier.priority))
         return b"".join(parts)
 
     def _nodes(
         self, tier: LocalityWeights, addresses: Addresses, fresh: dict[tuple[str, int, int, int], bytes]
     ) -> list[bytes]:
-        end = b"\x28" + varint(tier.priority) if tier.priority else b""
+        end = _PRIORITY_TAG + varint(tier.priority) if tier.priority else b""
         zone = sized(2, tier.zone.encode())
         return [
             sized(
                 2,
-                sized(1, zone + sized(3, share.host.encode()))
-                + self._endpoint(addresses[share.host], 0, 1, fresh)
-                + sized(3, b"\x08" + varint(share.weight))
+                sized(1, zone + sized(3, host_weight.host.encode()))
+                + self._endpoint(addresses[host_weight.host], 0, 1, fresh)
+                + sized(3, _VALUE_TAG + varint(host_weight.weight))
                 + end,
             )
-            for share in tier.endpoints
-            if share.weight
+            for host_weight in tier.endpoints
+            if host_weight.weight
         ]
 
     def _endpoint(
@@ -272,7 +282,7 @@
         if made is None:
             made = sized(1, sized(1, _bytes(_address(*address))))
             if health:
-                made += b"\x10" + varint(health)
-            made = sized(2, made + sized(4, b"\x08" + varint(weight)))
+                made += _HEALTH_STATUS_TAG + varint(health)
+            made = sized(2, made + sized(4, _VALUE_TAG + varint(weight)))
         fresh[key] = made
         return made
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -956,7 +956,7 @@
     (tmp_path / "control.secret").write_bytes(SECRET)
     config = parse_control(example.read_bytes(), tmp_path)
     assert [plan.retries for plan in config.classes] == [2, 2, 0]
-    assert config.group_of("market-one-3") == config.groups[0] and not config.groups[0].sees(
+    assert config.group_of("market-one-3") == config.groups[0] and not config.groups[0].may_subscribe_to(
         "transfer-record"
     )
 
