--- a/brambleusher/xds/core.py
+++ b/brambleusher/xds/core.py
@@ -42,6 +42,7 @@
 NS_PER_MS = 1_000_000
 FORMS = ("zones", "nodes")
 REFRESHES_PER_STALE_TIME = 3  # Envoy drops endpoints that were not renewed for `stale_after_ms`
+SEED_BITS = 32  # of a zone's balancer
 MAX_SHOWN_CHARS = 100  # of text that a subscriber sent, in a message
 
 
@@ -52,7 +53,7 @@
 
 def without_additions(before: Mapping[str, Endpoint], newest: Mapping[str, Endpoint]) -> dict[str, Endpoint]:
     """Return `before` less what `newest` takes away: no endpoint is added or comes back into use."""
-    kept = {}
+    remaining = {}
     for name, endpoint in before.items():
         current = newest.get(name)
         if current is None:
@@ -60,8 +61,8 @@
         is_ready = current.entry.state is HostState.READY
         if is_ready and _process_of(current) != _process_of(endpoint):
             continue  # the endpoint listed now is another process
-        kept[name] = endpoint if is_ready else current
-    return kept
+        remaining[name] = endpoint if is_ready else current
+    return remaining
 
 
 def _process_of(endpoint: Endpoint) -> tuple[tuple[str, int], int]:
@@ -161,13 +162,7 @@
         self.discovered = DiscoveredEndpoints()
         floor_wait_ns = 0 if is_floor_certain else config.new_store_ms * NS_PER_MS
         self.view_consistency = ViewConsistency(floor, now_ns, config.silence_ms * NS_PER_MS, floor_wait_ns)
-        rng = random.Random(seed)
-        self.zones = {
-            name: Zone(
-                name, _settings_of(config, name), rng.getrandbits(32), _change_threshold(config), now_ns
-            )
-            for name in config.zones
-        }
+        self.zones = _create_zones(config, seed, now_ns)
         self.streams: dict[int, Stream] = {}
         self._library = Library(self.seal)
         self._snapshots: dict[tuple[str, str, int], Snapshot] = {}  # by zone, form, index of the group
@@ -475,6 +470,16 @@
         self.zones[zone].load_reports.add(samples, self._host_by_address, self.endpoints)
 
 
+def _create_zones(config: ControlConfig, seed: int, now_ns: int) -> dict[str, Zone]:
+    rng = random.Random(seed)
+    return {
+        name: Zone(
+            name, _settings_of(config, name), rng.getrandbits(SEED_BITS), _change_threshold(config), now_ns
+        )
+        for name in config.zones
+    }
+
+
 def _change_threshold(config: ControlConfig) -> float:
     return config.spread.change_percent / 100
 
--- a/brambleusher/xds/discovery.py
+++ b/brambleusher/xds/discovery.py
@@ -27,10 +27,10 @@
         loop: asyncio.AbstractEventLoop,
         on_update: Callable[[EndpointListUpdate, int], None],
         on_contact: Callable[[int], None],
-        on_lost: Callable[[], None],
+        on_disconnect: Callable[[], None],
     ) -> None:
         self._address, self._seed, self._loop = address, seed, loop
-        self._on_update, self._on_contact, self._on_lost = on_update, on_contact, on_lost
+        self._on_update, self._on_contact, self._on_disconnect = on_update, on_contact, on_disconnect
         system = RealSystem()
         self.clock = Clock(system)
         self.counters = Counters()
@@ -68,7 +68,7 @@
         endpoint_list = EndpointList(
             scheduler, updates, random.Random(self._seed), self.counters,
             lambda update: self._call_in_loop(self._on_update, update, self.clock.now_ns()),
-            lambda: self._call_in_loop(self._on_lost),
+            lambda: self._call_in_loop(self._on_disconnect),
         )  # fmt: skip
         endpoint_list.start()
         endpoint_list.request_watch()
--- a/brambleusher/xds/service.py
+++ b/brambleusher/xds/service.py
@@ -99,7 +99,7 @@
             loop,
             on_update=self._on_endpoint_list,
             on_contact=self._on_discovery_contact,
-            on_lost=self._on_discovery_lost,
+            on_disconnect=self._on_discovery_lost,
         )
         self.now_ns = self.discovery.clock.now_ns
         self.core = Core(config, self.store.floor, self.now_ns(), self._seed)
--- a/brambleusher/xds/snapshot.py
+++ b/brambleusher/xds/snapshot.py
@@ -18,9 +18,9 @@
 LDS = _TYPES + "listener.v3.Listener"
 RDS = _TYPES + "route.v3.RouteConfiguration"
 # Make before break: a resource is sent before those that refer to it.
-ORDER = (CDS, EDS, LDS, RDS)
+SEND_ORDER = (CDS, EDS, LDS, RDS)
 # An empty subscription to these is one to all, and a state-of-the-world response lists all of them.
-WHOLE = frozenset({CDS, LDS})
+COMPLETE_KINDS = frozenset({CDS, LDS})
 _VARINT_BITS, _VARINT_MASK, _VARINT_CONTINUES = 7, 0x7F, 0x80
 _LENGTH_DELIMITED = 2  # wire type
 
--- a/brambleusher/xds/status.py
+++ b/brambleusher/xds/status.py
@@ -23,7 +23,7 @@
 
 from brambleusher.net.http import MessageReader
 from brambleusher.xds.core import Core, Stream, Zone
-from brambleusher.xds.snapshot import CDS, EDS, LDS, ORDER, RDS, SHORT, Resource
+from brambleusher.xds.snapshot import CDS, EDS, LDS, RDS, SEND_ORDER, SHORT, Resource
 from brambleusher.xds.subscriber import WILDCARD
 
 log = logging.getLogger(__name__)
@@ -141,7 +141,7 @@
 def _subscriber_status(stream: Stream) -> SubscriberStatus:
     subscriber = stream.subscriber
     kinds: dict[str, KindStatus] = {}
-    for kind in ORDER:
+    for kind in SEND_ORDER:
         names = subscriber.subscribed_names(kind)
         if names is None:
             continue
@@ -260,12 +260,14 @@
         assert stream.group is not None
         newest = core.snapshot(stream.zone, stream.form, stream.group, self._now_ns())
         differences = []
-        for kind in ORDER:
-            wanted = stream.subscriber.subscribed_names(kind)
-            if wanted is None:
+        for kind in SEND_ORDER:
+            subscribed = stream.subscriber.subscribed_names(kind)
+            if subscribed is None:
                 continue
             has = stream.subscriber.acknowledged(kind)
-            names = set(has) | {each for each in newest.names(kind) if WILDCARD in wanted or each in wanted}
+            names = set(has) | {
+                each for each in newest.names(kind) if WILDCARD in subscribed or each in subscribed
+            }
             differences += [
                 difference(kind, each, has.get(each), newest.get(kind, each)) for each in sorted(names)
             ]
--- a/brambleusher/xds/subscriber.py
+++ b/brambleusher/xds/subscriber.py
@@ -15,7 +15,17 @@
 
 from brambleusher.loadbalancing.view_consistency import ViewPosition
 from brambleusher.xds.faults import ProtocolError
-from brambleusher.xds.snapshot import CDS, EDS, LDS, ORDER, RDS, WHOLE, Resource, Snapshot, sized
+from brambleusher.xds.snapshot import (
+    CDS,
+    COMPLETE_KINDS,
+    EDS,
+    LDS,
+    RDS,
+    SEND_ORDER,
+    Resource,
+    Snapshot,
+    sized,
+)
 from brambleusher.xds.versions import ProvenVersion, Seal, digest
 
 WILDCARD = "*"
@@ -25,7 +35,7 @@
 MAX_SHOWN_CHARS = 100
 MAX_NONCE_DIGITS = 18
 MAX_CACHED_HEADS = 64  # of a snapshot: subscribers may ask for as many selections of names as they like
-NAME_LISTS = 3  # of one request, each of up to the bound: subscribed, unsubscribed, held
+NAME_LISTS = 3  # of one request, each of up to the bound: subscribed, unsubscribed, initial versions
 # Fields of DiscoveryResponse and DeltaDiscoveryResponse.
 _VERSION_FIELD, _TYPE_URL_FIELD, _NONCE_FIELD, _REMOVED_FIELD = 1, 4, 5, 6
 
@@ -41,7 +51,9 @@
     names: tuple[str, ...] = ()  # state of the world: all names subscribed to
     subscribe: tuple[str, ...] = ()  # incremental
     unsubscribe: tuple[str, ...] = ()
-    held: Mapping[str, str] = field(default_factory=dict)  # incremental: versions by name, at the start
+    initial_versions: Mapping[str, str] = field(
+        default_factory=dict
+    )  # incremental: versions by name, at the start
 
 
 @dataclass(frozen=True, slots=True)
@@ -155,9 +167,9 @@
             raise ProtocolError(f"more than {self._max_names} names")
 
     def _check_bounds(self, request: Request) -> None:
-        if request.kind not in ORDER:
+        if request.kind not in SEND_ORDER:
             raise ProtocolError(f"resources of type {request.kind[:MAX_SHOWN_CHARS]!r} are not served")
-        names = (*request.names, *request.subscribe, *request.unsubscribe, *request.held)
+        names = (*request.names, *request.subscribe, *request.unsubscribe, *request.initial_versions)
         if len(names) > NAME_LISTS * self._max_names or any(
             len(name) > self._max_name_bytes for name in names
         ):
@@ -191,7 +203,7 @@
             subscription.rejected.pop(resource.name, None)
         for name in sent.removed:
             subscription.acked.pop(name, None)
-        if not self.incremental and kind in WHOLE:
+        if not self.incremental and kind in COMPLETE_KINDS:
             subscription.acked = {resource.name: resource for resource in sent.resources}
         subscription.acked_version = sent.version
         self.acked_ns.append(sent.made_ns)
@@ -204,7 +216,7 @@
         is_wildcard = WILDCARD in names
         names.discard(WILDCARD)
         if is_first:
-            if not request.names and request.kind in WHOLE:
+            if not request.names and request.kind in COMPLETE_KINDS:
                 is_wildcard = True
             proven = self._seal.parse(request.version) if request.version else None
             if proven is not None:
@@ -228,10 +240,10 @@
     def _update_incremental(self, request: Request, subscription: _Subscription, is_first: bool) -> None:
         """Take in the names that a request adds and removes."""
         if is_first:
-            if not request.subscribe and request.kind in WHOLE:
+            if not request.subscribe and request.kind in COMPLETE_KINDS:
                 subscription.is_wildcard = True
-            for name, version in request.held.items():
-                self._record_held_version(subscription, name, self._seal.parse(version))
+            for name, version in request.initial_versions.items():
+                self._record_initial_version(subscription, name, self._seal.parse(version))
         for name in request.unsubscribe:
             self._unsubscribe(subscription, name)
         for name in request.subscribe:
@@ -243,7 +255,7 @@
             if not is_first:  # a name that is asked for again is sent again
                 subscription.sent.pop(name, None)
 
-    def _record_held_version(
+    def _record_initial_version(
         self, subscription: _Subscription, name: str, proven: ProvenVersion | None
     ) -> None:
         """Note a resource that a subscriber connects with; one that is not proven gets superseded."""
@@ -290,7 +302,7 @@
         snapshot = self._snapshot
         if snapshot is None:
             return None
-        for kind in ORDER:
+        for kind in SEND_ORDER:
             subscription = self._subscriptions.get(kind)
             if subscription is None or len(subscription.unacknowledged) >= MAX_UNACKNOWLEDGED:
                 continue
@@ -335,12 +347,12 @@
         newest = snapshot.kinds[kind]
         if kind not in (CDS, EDS):
             return newest
-        kept = {
+        retained = {
             name: resource
             for name, resource in self._referred_to(kind, snapshot).items()
             if name not in newest and subscription.includes(name)
         }
-        return {**newest, **kept} if kept else newest
+        return {**newest, **retained} if retained else newest
 
     def _referred_to(self, kind: str, snapshot: Snapshot) -> dict[str, Resource]:
         """Return clusters, or their endpoints, of acknowledged routes that newer ones have not replaced.
@@ -355,15 +367,15 @@
             newest = snapshot.get(RDS, route.name)
             if newest is not None and newest is not route:  # in use until the newest replaces it
                 used |= route.refers
-        kept = {name: clusters.acked[name] for name in used if name in clusters.acked}
+        retained = {name: clusters.acked[name] for name in used if name in clusters.acked}
         if kind == CDS:
-            return kept
+            return retained
         endpoints = self._subscriptions.get(EDS)
         if endpoints is None:
             return {}
         return {
             name: endpoints.acked[name]
-            for cluster in kept.values()
+            for cluster in retained.values()
             for name in cluster.refers
             if name in endpoints.acked
         }
@@ -390,7 +402,7 @@
     def _state_response(self, kind: str, subscription: _Subscription, snapshot: Snapshot) -> Response | None:
         view = self._view(kind, subscription, snapshot)
         due, missing = self._due(subscription, view)
-        if kind in WHOLE:
+        if kind in COMPLETE_KINDS:
             # Such a response lists all resources: one that it leaves out is removed.
             is_due = due or missing or subscription.is_response_due or not subscription.has_responded
             if not is_due or (not subscription.is_wildcard and not subscription.names):
--- a/brambleusher/xds/wire.py
+++ b/brambleusher/xds/wire.py
@@ -76,7 +76,7 @@
                 delta.type_url, delta.response_nonce, _error(delta),
                 subscribe=tuple(delta.resource_names_subscribe),
                 unsubscribe=tuple(delta.resource_names_unsubscribe),
-                held=dict(delta.initial_resource_versions),
+                initial_versions=dict(delta.initial_resource_versions),
             )  # fmt: skip
             return request, _node_identity(delta.node)
         state = discovery_pb2.DiscoveryRequest.FromString(data)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -254,7 +254,7 @@
         "made up": f"9.99.{resource.digest}.{'0' * 16}",
     }.get(claim)
     held.offer(now)
-    held.receive(Request(EDS, subscribe=("e",), held={} if version is None else {"e": version}))
+    held.receive(Request(EDS, subscribe=("e",), initial_versions={} if version is None else {"e": version}))
     assert bool(held.proven_positions) == claims
     assert (held.take() is not None) == sent
     if not sent:  # what it has proven to hold counts as accepted
