--- a/brambleusher/features/capture.py
+++ b/brambleusher/features/capture.py
@@ -81,7 +81,7 @@
         self._addresses: dict[str, str] = {}
         self._servers: dict[str, dict[str, Any]] = {}
         self._version = self._told = 0
-        self.listed(known)
+        self.update_endpoints(known)
         self._fold(api.ListKind.FULL, [endpoint.entry for endpoint in known.endpoints])
         self._count = 0  # of records so far: the number of the next one
         self._sealed: deque[Segment] = deque()
@@ -96,7 +96,7 @@
             head = self._head(state())
             self._open = Segment(head, 0, self._due(len(head)))
 
-    def listed(self, update: EndpointListUpdate) -> None:
+    def update_endpoints(self, update: EndpointListUpdate) -> None:
         """Record the list that the balancer gets next, with what only this side knows of it."""
         self._told = update.version
         for endpoint in update.endpoints:
@@ -115,13 +115,11 @@
     def dump(self) -> None:
         """Send the ring to standard error."""
         if not self._dumps.idle:
-            log.warning("a dump is under way")
+            log.warning("capture dump already running")
             return
         segments = [*self._sealed, *([self._open] if self._open is not None else [])]
         if not segments:
-            log.warning(
-                "the capture's header does not fit the ring", extra={"fields": {"limit": self._limit}}
-            )
+            log.warning("capture header exceeds the ring", extra={"fields": {"limit": self._limit}})
             return
         self._dumps.put([segments[0].head, *(line for segment in segments for line in segment.lines)])
 
@@ -200,7 +198,7 @@
             self._open = Segment(head, now_ns, self._due(size))
         if size > self._limit * HEAD_MOST:
             # Guards against a ring of hardly anything but headers, and against making them again and again.
-            log.warning("the capture's header does not fit the ring", extra={"fields": {"bytes": size}})
+            log.warning("capture header exceeds the ring", extra={"fields": {"bytes": size}})
             self._open, self._again_ns = None, now_ns + AGAIN_NS
         taken = 0 if self._open is None else self._open.size
         while self._sealed and self._sealed_size + taken > self._limit:
@@ -255,13 +253,15 @@
             except OSError as error:
                 lost += item.count(b"\n")
                 self._path = None
-                if not self._failing:  # once for each trouble
-                    self._failing = True
-                    log.error(
-                        "captures can't be written", extra={"fields": {"dir": self._folder, "error": error}}
-                    )
+                self._report_failure(error)
         return lost
 
+    def _report_failure(self, error: OSError) -> None:
+        """Log once for each series of failures."""
+        if not self._failing:
+            self._failing = True
+            log.error("capture write failed", extra={"fields": {"dir": self._folder, "error": error}})
+
     def close(self) -> None:
         """Nothing is held between writes."""
 
--- a/brambleusher/sidecar/endpoint_updates.py
+++ b/brambleusher/sidecar/endpoint_updates.py
@@ -54,7 +54,7 @@
         if self._status is not None:
             self._status.update_endpoints(update)
         if self._capture is not None:
-            self._capture.listed(update)
+            self._capture.update_endpoints(update)
         # The connections first: what the balancer sends from here on goes by the same list.
         self._upstream_pool.update(update)
         if self._mysql is not None:
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -360,7 +360,7 @@
             kept.world.start(400)
             kept.live(300)
         self.assertLess(len(logged.output), 10)
-        self.assertIn("does not fit", logged.output[0])
+        self.assertIn("capture header exceeds the ring", logged.output[0])
         kept.world.entries = dict(list(kept.world.entries.items())[:5])
         kept.world.list_hosts(api.ListKind.FULL, list(kept.world.entries.values()))
         kept.world.pass_time(2 * capture_module.AGAIN_NS)
@@ -465,7 +465,7 @@
                 self.assertEqual(rig.call(f"r{n}").status, 200)
             rig.end()
         self.assertEqual(len(logged.output), 1)
-        self.assertIn("captures can't be written", logged.output[0])
+        self.assertIn("capture write failed", logged.output[0])
 
     def test_a_sidecar_that_ends_leaves_its_capture(self) -> None:
         node = Node()
