--- a/brambleusher/lab/processes/breakages.py
+++ b/brambleusher/lab/processes/breakages.py
@@ -58,7 +58,7 @@
 
     Two guards are taken out: the look at requests found late, and that before each attempt.
     """
-    patches.set(Scheduler, "late", property(lambda self: 0.0))
+    patches.set(Scheduler, "lateness_s", property(lambda self: 0.0))
     patches.set(ClientPresence, "check_left", lambda self: False)
 
 
--- a/tests/test_breakages.py
+++ b/tests/test_breakages.py
@@ -14,6 +14,7 @@
 from brambleusher.lab.checker.rules import RULES
 from brambleusher.lab.faults.breakages import BREAKAGES, Patches
 from brambleusher.lab.fleets.scenario import Scenario, draw_scenario, read_scenario
+from brambleusher.lab.processes.breakages import ALL
 from brambleusher.lab.virtual.explore import play
 
 FILES = {path.stem: path for path in sorted((Path(__file__).parent / "breakages").glob("*.yaml"))}
@@ -63,6 +64,12 @@
     assert all(vars(owner)[key] is old for (owner, key), old in before.items())
 
 
+@pytest.mark.parametrize("name", sorted(ALL))
+def test_patches_name_attributes_that_the_program_has(name: str) -> None:
+    with ALL[name].on():
+        pass  # a patch of an attribute that is not there raises KeyError
+
+
 def test_there_are_enough_and_each_names_its_rules() -> None:
     assert len(BREAKAGES) >= 14
     assert set(FILES) <= set(BREAKAGES)
