--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -37,6 +37,7 @@
 CAPTURES = ["plain", "plain-successor", "zones", "zones-successor"]
 MIDWAY = ["plain-midway", "zones-midway"]  # rings that have wrapped: they begin with requests under way
 STATES = ["plain", "zones"]
+FRESH = ["plain-fresh", "zones-fresh"]  # with hosts that nothing was sent to yet
 CODEC = json.loads((RECORDED / "codec.json").read_bytes())
 # Names of actions in captures, with their fields in order.
 ACTIONS: list[api.Action] = [
@@ -127,7 +128,7 @@
     assert written == recorded
 
 
-@pytest.mark.parametrize("name", STATES)
+@pytest.mark.parametrize("name", [*STATES, *FRESH])
 def test_a_state_is_written_as_it_was_read(name: str) -> None:
     recorded = state_of(name)
     settings = restore_settings(recorded["settings"])
