--- a/brambleusher/lab/control/history.py
+++ b/brambleusher/lab/control/history.py
@@ -32,7 +32,7 @@
 from brambleusher.xds.config import ControlConfig, parse_control
 from brambleusher.xds.core import Core, Stream
 from brambleusher.xds.discovered_endpoints import DiscoveredEndpoints
-from brambleusher.xds.faults import ProtocolError
+from brambleusher.xds.errors import ProtocolError
 from brambleusher.xds.wire import decode_request
 
 MS, SECOND = 1_000_000, 1_000_000_000
--- a/brambleusher/xds/config.py
+++ b/brambleusher/xds/config.py
@@ -13,7 +13,7 @@
 from brambleusher.operator_settings.section import OperatorFileError, Section
 from brambleusher.operator_settings.yaml_codec import MAX_FILE_BYTES, decode_yaml
 from brambleusher.runtime.streams import parse_address
-from brambleusher.xds.faults import ControlError
+from brambleusher.xds.errors import ControlError
 from brambleusher.xds.versions import MIN_SECRET_BYTES
 
 MAX_ITEMS = 256  # of one list
--- a/brambleusher/xds/core.py
+++ b/brambleusher/xds/core.py
@@ -29,7 +29,7 @@
 from brambleusher.net.endpoint_list import Endpoint, EndpointListUpdate
 from brambleusher.xds.config import ControlConfig, Group
 from brambleusher.xds.discovered_endpoints import DiscoveredEndpoints
-from brambleusher.xds.faults import ProtocolError, SubscriptionDeniedError
+from brambleusher.xds.errors import ProtocolError, SubscriptionDeniedError
 from brambleusher.xds.loads import LoadReports
 from brambleusher.xds.resources import AssignmentBuilder, static_resources
 from brambleusher.xds.snapshot import CDS, EDS, LDS, RDS, SHORT, Draft, Library, Snapshot
--- a/brambleusher/xds/discovery.py
+++ b/brambleusher/xds/discovery.py
@@ -14,8 +14,6 @@
 from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.runtime.scheduler import Scheduler
 
-COUNTS = ("lists_taken", "lists_rejected", "watches_broken")
-
 
 class Discovery:
     """The thread that watches; it calls back in the event loop, in the order of the updates."""
--- a/brambleusher/xds/instances.py
+++ b/brambleusher/xds/peer_messages.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 
 from brambleusher.loadbalancing.view_consistency import PeerStatus, ViewPosition
-from brambleusher.xds.faults import ProtocolError
+from brambleusher.xds.errors import ProtocolError
 from brambleusher.xds.versions import Seal
 
 SERVICE, METHOD = "brambleusher.xds.v1.Instances", "Tell"
@@ -30,14 +30,14 @@
         outer = json.loads(data[:MAX_BYTES])
         body, signature = outer["body"], outer["mark"]
         if not isinstance(body, str) or not isinstance(signature, str) or not seal.verify(body, signature):
-            raise ProtocolError("a word without a good seal")
+            raise ProtocolError("a peer message without a valid seal")
         inner = json.loads(body)
     except (ValueError, KeyError, TypeError) as error:
         if isinstance(error, ProtocolError):
             raise
-        raise ProtocolError("a word that can't be read") from None
+        raise ProtocolError("a peer message that can't be read") from None
     if not isinstance(inner, dict):
-        raise ProtocolError("a word that can't be read")
+        raise ProtocolError("a peer message that can't be read")
     return inner
 
 
@@ -47,7 +47,7 @@
     is_pair = isinstance(raw, list) and len(raw) == _POSITION_LENGTH
     if isinstance(raw, list) and is_pair and all(type(number) is int and number >= 0 for number in raw):
         return ViewPosition(*raw)
-    raise ProtocolError("a word that can't be read")
+    raise ProtocolError("a peer message that can't be read")
 
 
 def encode_request(seal: Seal, name: str) -> tuple[bytes, str]:
@@ -78,6 +78,6 @@
     """
     body = _unpack(seal, data)
     if body.get("number") != number:
-        raise ProtocolError("an answer to another call")
+        raise ProtocolError("a response to another request")
     position, floor = _parse_position(body.get("place")), _parse_position(body.get("floor"))
     return PeerStatus(position, floor, body.get("in_touch") is True)
--- a/brambleusher/xds/server.py
+++ b/brambleusher/xds/server.py
@@ -17,9 +17,9 @@
 import grpc
 import grpc.aio
 
-from brambleusher.xds import instances
+from brambleusher.xds import peer_messages
 from brambleusher.xds.core import Core, Stream
-from brambleusher.xds.faults import ProtocolError, SubscriptionDeniedError
+from brambleusher.xds.errors import ProtocolError, SubscriptionDeniedError
 from brambleusher.xds.tls import Certificates
 from brambleusher.xds.wire import ADS, LRS, ask_for_loads, decode_loads, decode_request
 
@@ -174,8 +174,8 @@
                 ),
             },
             LRS: {"StreamLoadStats": grpc.stream_stream_rpc_method_handler(self._stream_load_stats)},
-            instances.SERVICE: {
-                instances.METHOD: grpc.unary_unary_rpc_method_handler(self._report_peer_status)
+            peer_messages.SERVICE: {
+                peer_messages.METHOD: grpc.unary_unary_rpc_method_handler(self._report_peer_status)
             },
         }
 
@@ -336,7 +336,7 @@
     async def _report_peer_status(self, data: bytes, context: ServicerContext) -> bytes:
         core = self._core
         try:
-            return instances.encode_response(
+            return peer_messages.encode_response(
                 core.seal, data, core.config.name, core.peer_status(self._now_ns())
             )
         except ProtocolError as error:
@@ -362,17 +362,19 @@
                 channel = grpc.aio.secure_channel(target, self._certificates.channel_credentials())
             material = self._certificates.material if self._certificates is not None else None
             async with channel:
-                call = channel.unary_unary(f"/{instances.SERVICE}/{instances.METHOD}")
+                call = channel.unary_unary(f"/{peer_messages.SERVICE}/{peer_messages.METHOD}")
                 while self._certificates is None or self._certificates.material is material:
                     await self._request_status(name, call)
                     await asyncio.sleep(interval_s)
 
     async def _request_status(self, name: str, call: UnaryCall) -> None:
         core = self._core
-        request, number = instances.encode_request(core.seal, core.config.name)
+        request, number = peer_messages.encode_request(core.seal, core.config.name)
         asked_ns = self._now_ns()  # the status in the response may be as old as this
         try:
-            status = instances.decode_response(core.seal, await call(request, timeout=PEER_TIMEOUT_S), number)
+            status = peer_messages.decode_response(
+                core.seal, await call(request, timeout=PEER_TIMEOUT_S), number
+            )
         except (grpc.RpcError, ProtocolError) as error:
             reason = error.code().name if isinstance(error, grpc.aio.AioRpcError) else str(error)
             if self.problems.get(name) != reason:
--- a/brambleusher/xds/service.py
+++ b/brambleusher/xds/service.py
@@ -17,7 +17,7 @@
 from brambleusher.xds.config import ControlConfig, load_control, reload_control
 from brambleusher.xds.core import Core
 from brambleusher.xds.discovery import Discovery
-from brambleusher.xds.faults import ControlError
+from brambleusher.xds.errors import ControlError
 from brambleusher.xds.server import PeerPoller, XdsServer, cancel_all
 from brambleusher.xds.status import StatusServer
 from brambleusher.xds.store import Store, StoreError
--- a/brambleusher/xds/status.py
+++ b/brambleusher/xds/status.py
@@ -21,6 +21,7 @@
 from google.protobuf.json_format import MessageToDict
 from google.protobuf.message import Message
 
+from brambleusher.loadbalancing.view_consistency import ViewPosition
 from brambleusher.net.http import MessageReader
 from brambleusher.xds.core import Core, Stream, Zone
 from brambleusher.xds.snapshot import CDS, EDS, LDS, RDS, SEND_ORDER, SHORT, Resource
@@ -198,6 +199,11 @@
     return "".join(f"<td>{html.escape(str('' if cell is None else cell))}</td>" for cell in cells)
 
 
+def _page_position(position: ViewPosition | None) -> str:
+    """Return a position in the form that the page has always had, whatever the class is called."""
+    return "None" if position is None else f"Place(epoch={position.epoch}, version={position.version})"
+
+
 class StatusServer:
     """Answers HTTP requests for the status of one instance."""
 
@@ -284,7 +290,7 @@
         counts = f"{len(core.endpoints)} nodes, {len(rows)} subscribers"
         return (
             f"<!doctype html><meta charset=utf-8><meta http-equiv=refresh content=2><title>{title}</title>"
-            f"<h1>{title}</h1><p>place {core.view_consistency.position}, {counts}</p>"
+            f"<h1>{title}</h1><p>place {_page_position(core.view_consistency.position)}, {counts}</p>"
             f"<table border=1><tr>{heads}</tr>{''.join(rows)}</table>"
         )
 
--- a/brambleusher/xds/store.py
+++ b/brambleusher/xds/store.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from brambleusher.loadbalancing.view_consistency import ViewPosition
-from brambleusher.xds.faults import ControlError
+from brambleusher.xds.errors import ControlError
 from brambleusher.xds.versions import Seal
 
 log = logging.getLogger(__name__)
--- a/brambleusher/xds/subscriber.py
+++ b/brambleusher/xds/subscriber.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 
 from brambleusher.loadbalancing.view_consistency import ViewPosition
-from brambleusher.xds.faults import ProtocolError
+from brambleusher.xds.errors import ProtocolError
 from brambleusher.xds.snapshot import (
     CDS,
     COMPLETE_KINDS,
--- a/brambleusher/xds/tls.py
+++ b/brambleusher/xds/tls.py
@@ -14,7 +14,7 @@
 from cryptography.hazmat.primitives.serialization import Encoding, PublicFormat, load_pem_private_key
 
 from brambleusher.xds.config import TlsFiles
-from brambleusher.xds.faults import ControlError
+from brambleusher.xds.errors import ControlError
 
 log = logging.getLogger(__name__)
 
--- a/brambleusher/xds/wire.py
+++ b/brambleusher/xds/wire.py
@@ -14,7 +14,7 @@
 from envoy.service.load_stats.v3 import lrs_pb2
 from google.protobuf.message import DecodeError
 
-from brambleusher.xds.faults import ProtocolError
+from brambleusher.xds.errors import ProtocolError
 from brambleusher.xds.resources import LATENCY_MS, THROUGHPUT, UTILISATION
 from brambleusher.xds.subscriber import Request
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -50,7 +50,7 @@
 from brambleusher.xds.config import ControlConfig, Group, load_control, parse_control
 from brambleusher.xds.core import Core, Stream, without_additions
 from brambleusher.xds.discovered_endpoints import DiscoveredEndpoints
-from brambleusher.xds.faults import ControlError, ProtocolError
+from brambleusher.xds.errors import ControlError, ProtocolError
 from brambleusher.xds.resources import ENDPOINTS, AssignmentBuilder, static_resources
 from brambleusher.xds.snapshot import CDS, EDS, LDS, RDS, Draft, Library, Snapshot
 from brambleusher.xds.status import MESSAGES
--- a/tests/test_control_live.py
+++ b/tests/test_control_live.py
@@ -453,6 +453,7 @@
         assert "+127.0.0.1:10009 in use weight=100" in text and "EDS execute-nodes: differs" in text
         page = await asyncio.to_thread(lambda: urllib.request.urlopen(f"http://{status}/").read().decode())
         assert "p/1" in page and "EDS execute-nodes: I won&#x27;t &lt;b&gt;" in page
+        assert "<p>place Place(epoch=1, version=2), 3 nodes, 1 subscribers</p>" in page
         await proxy.stop()
 
     try:
