--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -37,7 +37,7 @@
 CAPTURES = ["plain", "plain-successor", "zones", "zones-successor"]
 MIDWAY = ["plain-midway", "zones-midway"]  # rings that have wrapped: they begin with requests under way
 STATES = ["plain", "zones"]
-FRESH = ["plain-fresh", "zones-fresh"]  # with hosts that nothing was sent to yet
+FRESH = ["plain-fresh", "zones-fresh"]  # of twenty hosts some are out of use
 CODEC = json.loads((RECORDED / "codec.json").read_bytes())
 # Names of actions in captures, with their fields in order.
 ACTIONS: list[api.Action] = [
@@ -137,6 +137,11 @@
     assert orjson.dumps(save(restored)) == orjson.dumps(recorded["state"])
 
 
+@pytest.mark.parametrize("name", FRESH)
+def test_hosts_out_of_use_are_among_them(name: str) -> None:
+    assert {"none": 0} in [value for row in state_of(name)["state"]["hosts"] for value in row]
+
+
 @pytest.mark.parametrize("name", MIDWAY)
 def test_a_state_in_a_capture_is_written_as_it_was_read(name: str) -> None:
     head = orjson.loads(captured(name).splitlines()[0])
