--- a/brambleusher/cli/control.py
+++ b/brambleusher/cli/control.py
@@ -1,4 +1,4 @@
-"""`brambleusher control`: hand the decisions out to other proxies over xDS."""
+"""`brambleusher control`: serve the decisions to other proxies over xDS."""
 
 from __future__ import annotations
 
@@ -6,16 +6,21 @@
 import sys
 import urllib.error
 import urllib.request
+from typing import Any
 from urllib.parse import quote
 
 import click
 
+STATUS_TIMEOUT_S = 5  # a person waits for the response
+
 
 @click.group(invoke_without_command=True, help="Serve the decisions to other proxies over xDS.")
 @click.option("--config", "path", metavar="FILE", help="The control service's file, in YAML.")
-@click.option("--json", "tell", is_flag=True, help="Print one line with its addresses once it serves.")
+@click.option(
+    "--json", "should_print_addresses", is_flag=True, help="Print one line with its addresses once it serves."
+)
 @click.pass_context
-def command(ctx: click.Context, path: str | None, tell: bool) -> int | None:
+def command(ctx: click.Context, path: str | None, should_print_addresses: bool) -> int | None:
     """Serve the decisions to other proxies over xDS."""
     if ctx.invoked_subcommand is not None:
         return None
@@ -23,7 +28,7 @@
         raise click.UsageError("--config is missing", ctx)
     from brambleusher.xds.service import serve
 
-    return serve(path, tell)
+    return serve(path, should_print_addresses)
 
 
 @command.command(help="Show what one subscriber has against the newest.")
@@ -33,11 +38,15 @@
 )
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
 def diff(subscriber: str, address: str, as_json: bool) -> int:
-    """0 where the subscriber has the newest of everything, 1 where not, 2 where that can't be told."""
+    """Compare the resources that a subscriber has with the newest.
+
+    Returns:
+        Exit status 0 when it has the newest of all, 1 when not, 2 when that is unknown.
+    """
     try:
         url = f"http://{address}/diff/{quote(subscriber, safe='')}"
-        with urllib.request.urlopen(url, timeout=5) as answer:
-            found = json.load(answer)
+        with urllib.request.urlopen(url, timeout=STATUS_TIMEOUT_S) as response:
+            resources = json.load(response)
     except urllib.error.HTTPError:
         print(f"brambleusher: {address} has no subscriber {subscriber}", file=sys.stderr)
         return 2
@@ -45,15 +54,20 @@
         print(f"brambleusher: {address}: {error}", file=sys.stderr)
         return 2
     if as_json:
-        print(json.dumps(found, indent=1))
-    behind = [each for each in found if each["changes"] or each["has"] is None or each["newest"] is None]
-    for each in () if as_json else found:
-        same = each not in behind
-        print(f"{each['kind']} {each['name']}: {'newest' if same else 'differs'}")
-        if not same:
-            print(f"  has    {each['has'] or 'nothing'}\n  newest {each['newest'] or 'nothing'}")
-            for line in each["changes"]:
-                print(f"  {line}")
-            if each["more"]:
-                print(f"  and {each['more']} more lines")
+        print(json.dumps(resources, indent=1))
+    behind = [each for each in resources if each["changes"] or each["has"] is None or each["newest"] is None]
+    for each in () if as_json else resources:
+        _print_resource(each, is_newest=each not in behind)
     return 1 if behind else 0
+
+
+def _print_resource(resource: dict[str, Any], *, is_newest: bool) -> None:
+    """Print a resource, and where the subscriber's version differs from the newest."""
+    print(f"{resource['kind']} {resource['name']}: {'newest' if is_newest else 'differs'}")
+    if is_newest:
+        return
+    print(f"  has    {resource['has'] or 'nothing'}\n  newest {resource['newest'] or 'nothing'}")
+    for line in resource["changes"]:
+        print(f"  {line}")
+    if resource["more"]:
+        print(f"  and {resource['more']} more lines")
--- a/brambleusher/cli/explore.py
+++ b/brambleusher/cli/explore.py
@@ -11,7 +11,7 @@
 import time
 from collections import Counter
 from collections.abc import Generator, Iterator
-from contextlib import closing, contextmanager
+from contextlib import AbstractContextManager, closing, contextmanager
 from dataclasses import dataclass, field
 from pathlib import Path
 from types import FrameType
@@ -30,29 +30,33 @@
 from brambleusher.lab.virtual.explore import Endless, Result, play, shrink
 from brambleusher.lab.virtual.mass import DAYS, draw_mass
 
-FINE, BROKEN, MISUSED = 0, 1, 2
-CHUNK = 16  # seeds that a process takes at once
-SHOWN = 20  # breaches that a summary words
-MOST = 10_000_000
-SEED_SECONDS = 30.0  # of processor time that one run may take; a usual one takes a tenth of one
-MASS_SECONDS = 1800.0  # the same of a day of a whole fleet
-AGAIN_SECONDS = 1.0  # then it is ended, and ended again as long as that does not help
-MAX_FILE = 8 * 1024 * 1024
+STATUS_PASSED, STATUS_BREACHED, STATUS_USAGE = 0, 1, 2
+CHUNK_SEEDS = 16  # that a process takes at once
+PROGRESS_SEEDS = 200  # between two updates of the progress line
+MAX_SHOWN_SEEDS = 20  # whose breaches a summary describes
+MAX_SHOWN_BREACHES = 3  # of a seed
+MAX_SEEDS = 10_000_000
+SEED_END = 10**18  # seeds have up to 18 digits
+SEED_CPU_S = 30.0  # processor time that one run may take; a usual one takes a tenth of a second
+FLEET_DAY_CPU_S = 1800.0  # the same for a day of a whole fleet
+REPEAT_CPU_S = 1.0  # after the limit the exception is raised again at this interval, until it ends the run
+MAX_FILE_BYTES = 8 * 1024 * 1024
 
 
-class Misuse(click.ClickException):
-    """A call that can't be carried out: one line, status 2."""
+class ExploreUsageError(click.ClickException):
+    """The arguments are invalid: one line, status 2."""
 
-    exit_code = MISUSED
+    exit_code = STATUS_USAGE
 
     def show(self, file: object = None) -> None:
-        """One line."""
+        """Print the message as one line on standard error."""
+        del file  # part of Click's interface
         print(f"brambleusher: {self.message}", file=sys.stderr)
 
 
 @dataclass
-class Tally:
-    """What many runs came to."""
+class RunTotals:
+    """Counts over many runs."""
 
     seeds: int = 0
     asked: int = 0
@@ -70,7 +74,7 @@
     broken: list[Result] = field(default_factory=list)
 
     def add(self, result: Result) -> None:
-        """One run more."""
+        """Add the result of one run."""
         first = not self.seeds
         self.seeds += 1
         self.asked += result.asked
@@ -88,8 +92,8 @@
         if result.breaches:
             self.broken.append(result)
 
-    def worded(self, profile: str, took_s: float, jobs: int) -> list[str]:
-        """The summary's lines."""
+    def describe(self, profile: str, took_s: float, jobs: int) -> list[str]:
+        """Format the lines of the summary."""
         return [
             f"{self.seeds} seeds of profile {profile} in {took_s:.1f} s with {jobs} jobs: "
             f"{self.seeds / took_s:.1f} seeds and {self.virtual_s / took_s:.1f} virtual seconds a second",
@@ -103,56 +107,113 @@
         ]
 
 
-def seeds_of(text: str) -> range:
-    """`FIRST:END`, END left out; raises `Misuse`."""
+def parse_seeds(text: str) -> range:
+    """Parse `FIRST:END`, of which END is excluded.
+
+    Raises:
+        ExploreUsageError: the text has another form, or the range is empty or too large.
+    """
     found = re.fullmatch(r"(\d{1,18}):(\d{1,18})", text)
     if found is None:
-        raise Misuse(f"--seeds {text}: not FIRST:END, two whole numbers")
+        raise ExploreUsageError(f"--seeds {text}: not FIRST:END, two whole numbers")
     first, end = int(found[1]), int(found[2])
-    if not 0 < end - first <= MOST:
-        raise Misuse(f"--seeds {text}: END must be past FIRST, by {MOST} at most")
+    if not 0 < end - first <= MAX_SEEDS:
+        raise ExploreUsageError(f"--seeds {text}: END must be past FIRST, by {MAX_SEEDS} at most")
     return range(first, end)
 
 
-def _chunk(task: tuple[range, str, str | None]) -> list[Result]:
-    """What one process does with a few seeds.
+@dataclass(frozen=True, slots=True)
+class Options:
+    """The options that several ways of running share."""
+
+    jobs: int
+    profile: str
+    mutation: str | None
+    is_quiet: bool
+    has_sums: bool
+
+    def check(self) -> None:
+        """Reject unknown names and a number of jobs below 1.
+
+        Raises:
+            ExploreUsageError: an option has an invalid value.
+        """
+        if self.mutation is not None and self.mutation not in BREAKAGES:
+            raise ExploreUsageError(
+                f"--breakage {self.mutation}: there is none of that name; --list-breakages names them"
+            )
+        profiles = [*PROFILES, *DAYS]
+        if self.profile not in profiles:
+            raise ExploreUsageError(
+                f"--profile {self.profile}: there is none of that name; there are {', '.join(profiles)}"
+            )
+        if self.jobs < 1:
+            raise ExploreUsageError(f"--jobs {self.jobs}: at least 1")
+
+    def draw(self, seed: int) -> Scenario:
+        """Draw the scenario of a seed.
+
+        Raises:
+            ExploreUsageError: the seed is out of range.
+        """
+        if not 0 <= seed < SEED_END:
+            raise ExploreUsageError(f"seed {seed}: a whole number from 0 on")
+        return draw_profile_scenario(seed, self.profile)
+
+    @property
+    def mutation_argument(self) -> str:
+        """The argument that puts the same mutation into a replay, with a space before it."""
+        return "" if self.mutation is None else f" --breakage {self.mutation}"
+
+    def replay_command(self, seed: int, profile: str) -> str:
+        """Format the command that replays a seed."""
+        return f"brambleusher explore --replay {seed} --profile {profile}{self.mutation_argument}"
+
+
+def _activate(mutation_name: str | None) -> AbstractContextManager[object] | None:
+    """Look up a mutation by name, ready to be put into a run; None without a name."""
+    return None if mutation_name is None else BREAKAGES[mutation_name].on()
 
-    The collector is kept out of the runs: a world is full of cycles that live as long as it does.
+
+def play_chunk(task: tuple[range, str, str | None]) -> list[Result]:
+    """Play a few seeds in this process.
+
+    The garbage collector is disabled during a run: a world is full of cycles that live as long as it does.
     """
-    seeds, profile, breakage = task
+    seeds, profile, mutation_name = task
     results = []
-    with uncollected():
+    with garbage_collection_disabled():
         for seed in seeds:
-            broken = None if breakage is None else BREAKAGES[breakage].on()
-            scenario = drawn(seed, profile)
-            with bounded(allowed(scenario)):
-                results.append(play(scenario, broken))
+            mutation = _activate(mutation_name)
+            scenario = draw_profile_scenario(seed, profile)
+            with bounded(cpu_limit_s(scenario)):
+                results.append(play(scenario, mutation))
             gc.collect()
     return results
 
 
-def drawn(seed: int, profile: str) -> Scenario:
-    """The scenario of a seed in a profile, be it of faults on a small fleet or a day of a large one."""
+def draw_profile_scenario(seed: int, profile: str) -> Scenario:
+    """Draw the scenario of a seed in a profile: faults on a small fleet, or a day of a large one."""
     return draw_mass(seed, profile) if profile in DAYS else draw_scenario(seed, profile)
 
 
-def allowed(scenario: Scenario) -> float:
-    """Seconds of processor time that a run may take."""
-    return MASS_SECONDS if scenario.profile in DAYS else SEED_SECONDS
+def cpu_limit_s(scenario: Scenario) -> float:
+    """Return the seconds of processor time that a run may take."""
+    return FLEET_DAY_CPU_S if scenario.profile in DAYS else SEED_CPU_S
 
 
 @contextmanager
-def bounded(seconds: float = SEED_SECONDS) -> Iterator[None]:
-    """End what takes more processor time than that, and say where it was.
+def bounded(cpu_s: float = SEED_CPU_S) -> Iterator[None]:
+    """Raise `Endless` in a block that takes more processor time than `cpu_s` seconds.
 
-    Guards against one run without end holding up a whole range, and hiding itself.
+    Without it one run without end would hold up a whole range, and would not be found.
     """
 
-    def end(number: int, frame: FrameType | None) -> None:
-        raise Endless(f"no end after {seconds:g} s of processor time")
+    def end(_number: int, _frame: FrameType | None) -> None:
+        raise Endless(f"no end after {cpu_s:g} s of processor time")
 
     before = signal.signal(signal.SIGVTALRM, end)
-    signal.setitimer(signal.ITIMER_VIRTUAL, seconds, AGAIN_SECONDS)
+    signal.setitimer(signal.ITIMER_VIRTUAL, cpu_s, REPEAT_CPU_S)
     try:
         yield
     finally:
@@ -160,14 +221,14 @@
         signal.signal(signal.SIGVTALRM, before)
 
 
-def _leave_stopping_to_the_parent() -> None:
-    """A terminal's Ctrl-C reaches every process: one of them has to answer for all."""
+def _ignore_interrupts() -> None:
+    """Ignore SIGINT: a terminal's Ctrl-C reaches every process, and the parent ends them all."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
 
 
 @contextmanager
-def _stoppable() -> Iterator[None]:
-    """Ctrl-C ends the call with one line."""
+def _reporting_interrupt() -> Iterator[None]:
+    """Turn Ctrl-C into Click's `Abort`, which is reported as one line."""
     try:
         yield
     except KeyboardInterrupt:
@@ -175,128 +236,139 @@
 
 
 @contextmanager
-def uncollected() -> Iterator[None]:
-    """Without the collector, which is called by hand between two runs."""
-    was = gc.isenabled()
+def garbage_collection_disabled() -> Iterator[None]:
+    """Disable the garbage collector, which is called explicitly between two runs."""
+    was_enabled = gc.isenabled()
     gc.disable()
     try:
         yield
     finally:
-        if was:
+        if was_enabled:
             gc.enable()
 
 
-def _all(seeds: range, profile: str, breakage: str | None, jobs: int) -> Generator[Result, None, None]:
-    """The results in the order of the seeds, whatever the number of processes."""
-    tasks = [(seeds[at : at + CHUNK], profile, breakage) for at in range(0, len(seeds), CHUNK)]
+def play_seeds(
+    seeds: range, profile: str, mutation_name: str | None, jobs: int
+) -> Generator[Result, None, None]:
+    """Yield the results in the order of the seeds, whatever the number of processes."""
+    tasks = [
+        (seeds[at : at + CHUNK_SEEDS], profile, mutation_name) for at in range(0, len(seeds), CHUNK_SEEDS)
+    ]
     if jobs == 1:
         for task in tasks:
-            yield from _chunk(task)
+            yield from play_chunk(task)
         return
     gc.collect()
     gc.freeze()
-    # A Ctrl-C amid the forks would leave behind those that the pool does not know of yet.
+    # A Ctrl-C amid the forks would leave processes behind that the pool does not know yet.
     before = signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGINT})
-    pool = multiprocessing.get_context("fork").Pool(min(jobs, len(tasks)), _leave_stopping_to_the_parent)
+    pool = multiprocessing.get_context("fork").Pool(min(jobs, len(tasks)), _ignore_interrupts)
     with pool:
         signal.pthread_sigmask(signal.SIG_SETMASK, before)
-        for results in pool.imap(_chunk, tasks):
+        for results in pool.imap(play_chunk, tasks):
             yield from results
 
 
 def _load(path: str) -> Scenario:
+    """Read a scenario file."""
     try:
         text = Path(path).read_bytes()
     except OSError as error:
-        raise Misuse(f"{path}: {error.strerror}") from None
-    if len(text) > MAX_FILE:
-        raise Misuse(f"{path}: larger than {MAX_FILE} bytes")
+        raise ExploreUsageError(f"{path}: {error.strerror}") from None
+    if len(text) > MAX_FILE_BYTES:
+        raise ExploreUsageError(f"{path}: larger than {MAX_FILE_BYTES} bytes")
     try:
         return read_scenario(text)
     except ScenarioError as error:
-        raise Misuse(f"{path}: {error}") from None
+        raise ExploreUsageError(f"{path}: {error}") from None
 
 
-def _worded(result: Result, where: str) -> list[str]:
-    """A result's breaches, a line each, and what replays them."""
+def _describe_breaches(result: Result, replay_command: str) -> list[str]:
+    """Format the breaches of a result, a line each, and the command that replays them."""
     lines = [
         f"seed {result.seed}: {breach.rule} at {breach.at_ns / 1e9:.9f}: {breach.who}: {breach.what}"
-        for breach in result.breaches[:3]
+        for breach in result.breaches[:MAX_SHOWN_BREACHES]
     ]
     if result.broken > len(lines):
         lines.append(f"seed {result.seed}: {result.broken} breaches in all")
-    return [*lines, f"replay with: {where}"]
+    return [*lines, f"replay with: {replay_command}"]
 
 
-def _explore(seeds: range, profile: str, breakage: str | None, jobs: int, progress: bool) -> int:
-    began, tally = time.monotonic(), Tally()
-    with closing(_all(seeds, profile, breakage, jobs)) as results:
+def _explore(seeds: range, options: Options) -> int:
+    """Play a range of seeds and print the summary and the breaches."""
+    should_print_progress = sys.stderr.isatty() and not options.is_quiet
+    began, totals = time.monotonic(), RunTotals()
+    with closing(play_seeds(seeds, options.profile, options.mutation, options.jobs)) as results:
         for result in results:
-            tally.add(result)
-            if progress and tally.seeds % 200 == 0:
+            totals.add(result)
+            if should_print_progress and totals.seeds % PROGRESS_SEEDS == 0:
                 print(
-                    f"\r{tally.seeds} seeds, {len(tally.broken)} broken", end="", file=sys.stderr, flush=True
+                    f"\r{totals.seeds} seeds, {len(totals.broken)} broken",
+                    end="",
+                    file=sys.stderr,
+                    flush=True,
                 )
-    took = max(time.monotonic() - began, 1e-9)
-    if progress:
+    took_s = max(time.monotonic() - began, 1e-9)
+    if should_print_progress:
         print("\r", end="", file=sys.stderr)
-    for line in tally.worded(profile, took, jobs):
+    for line in totals.describe(options.profile, took_s, options.jobs):
         print(line)
-    if not tally.broken:
+    if not totals.broken:
         print("no breach")
-        return FINE
-    for rule, count in sorted(tally.rules.items()):
+        return STATUS_PASSED
+    _print_breaches(totals, options)
+    return STATUS_BREACHED
+
+
+def _print_breaches(totals: RunTotals, options: Options) -> None:
+    """Print the rules that were broken, and the first seeds that broke them."""
+    for rule, count in sorted(totals.rules.items()):
         print(f"broken in {count} seeds: {rule}")
-    told = "" if breakage is None else f" --breakage {breakage}"
-    shown = 0
-    for result in tally.broken[:SHOWN]:
-        where = f"brambleusher explore --replay {result.seed} --profile {result.profile}{told}"
-        for line in _worded(result, where):
+    for result in totals.broken[:MAX_SHOWN_SEEDS]:
+        for line in _describe_breaches(result, options.replay_command(result.seed, result.profile)):
             print(line)
-        shown += 1
-    if len(tally.broken) > shown:
-        rest = " ".join(str(result.seed) for result in tally.broken[shown:])
-        print(f"further seeds with a breach: {rest}")
-    return BROKEN
+    if len(totals.broken) > MAX_SHOWN_SEEDS:
+        seeds = " ".join(str(result.seed) for result in totals.broken[MAX_SHOWN_SEEDS:])
+        print(f"further seeds with a breach: {seeds}")
 
 
-def _one(scenario: Scenario, breakage: str | None, quiet: bool, where: str, sums: bool) -> int:
+def _replay(scenario: Scenario, options: Options, replay_command: str) -> int:
     """Play one scenario in this process, with its time line unless quiet, and the sums over its fleet."""
-    broken = None if breakage is None else BREAKAGES[breakage].on()
-    with uncollected(), bounded(allowed(scenario)):
-        result = play(scenario, broken, None if quiet else print, sums=sums)
+    mutation = _activate(options.mutation)
+    with garbage_collection_disabled(), bounded(cpu_limit_s(scenario)):
+        result = play(scenario, mutation, None if options.is_quiet else print, sums=options.has_sums)
     if result.breaches:
-        for line in _worded(result, where):
+        for line in _describe_breaches(result, replay_command):
             print(line)
     else:
         print(f"{result.asked} requests asked, {result.taken} tries taken, {result.served} served, "
               f"{result.virtual_s:.1f} virtual seconds, no breach")  # fmt: skip
     print(f"digest {result.digest}")
-    passed: list[str] = []
+    exceeded: list[str] = []
     if result.sums is not None:
-        passed = result.sums.passed()
-        for line in [*result.sums.table(), *(f"passed {text}" for text in passed)]:
+        exceeded = result.sums.passed()
+        for line in [*result.sums.table(), *(f"passed {text}" for text in exceeded)]:
             print(line)
-    return BROKEN if result.breaches or passed else FINE
+    return STATUS_BREACHED if result.breaches or exceeded else STATUS_PASSED
 
 
-def _shrink(scenario: Scenario, breakage: str | None, out: str | None) -> int:
+def _shrink(scenario: Scenario, mutation_name: str | None, out: str | None) -> int:
     """Make a scenario smaller while its first breach stays, and write it."""
 
     def run(each: Scenario) -> Result:
-        broken = None if breakage is None else BREAKAGES[breakage].on()
-        with bounded(allowed(each)):
-            result = play(each, broken, stop_at_breach=True)
+        mutation = _activate(mutation_name)
+        with bounded(cpu_limit_s(each)):
+            result = play(each, mutation, stop_at_breach=True)
         gc.collect()
         return result
 
     path = Path(out or f"scenario-{scenario.seed}.yaml")
     if path.is_dir() or not os.access(path if path.exists() else path.parent, os.W_OK):
-        raise Misuse(f"{path}: can't be written")
-    with uncollected():
+        raise ExploreUsageError(f"{path}: can't be written")
+    with garbage_collection_disabled():
         first = run(scenario)
         if not first.breaches:
-            raise Misuse(f"seed {scenario.seed} breaks no rule: there is nothing to shrink")
+            raise ExploreUsageError(f"seed {scenario.seed} breaks no rule: there is nothing to shrink")
         rule = first.breaches[0].rule
         small = shrink(
             scenario, rule, lambda each: rule in run(each).rules, lambda text: print(text, file=sys.stderr)
@@ -305,10 +377,24 @@
     try:
         path.write_text(text, encoding="utf-8")
     except OSError as error:
-        raise Misuse(f"{path}: {error.strerror}") from None
+        raise ExploreUsageError(f"{path}: {error.strerror}") from None
     print(f"{rule}: {len(scenario.faults)} faults and {len(scenario.asks)} requests became "
           f"{len(small.faults)} and {len(small.asks)}; written to {path}")  # fmt: skip
-    return BROKEN
+    return STATUS_BREACHED
+
+
+def _print_mutations() -> int:
+    """Print the name, meaning and rules of every mutation."""
+    for name, mutation in BREAKAGES.items():
+        print(f"{name}: {mutation.text} ({', '.join(mutation.rules)})")
+    return STATUS_PASSED
+
+
+def _print_profiles() -> int:
+    """Print the names of the profiles."""
+    for name in (*PROFILES, *DAYS):
+        print(name)
+    return STATUS_PASSED
 
 
 @click.command(help="Play seeded days with faults in virtual time, and check every rule.")
@@ -317,64 +403,43 @@
 @click.option("--jobs", type=int, default=lambda: os.cpu_count() or 1, help="Processes; all cores.")
 @click.option("--profile", default="default", help="Which kinds of faults are drawn.", show_default=True)
 @click.option("--replay", type=int, metavar="SEED", help="Print the time line of one seed, and its digest.")
-@click.option("--shrink", "smaller", type=int, metavar="SEED", help="Find a smaller scenario that breaks.")
+@click.option("--shrink", "to_shrink", type=int, metavar="SEED", help="Find a smaller scenario that breaks.")
 @click.option("-o", "--out", metavar="FILE", help="Where --shrink writes the scenario.")
-@click.option("--write", type=int, metavar="SEED", help="Print the scenario of a seed as a file.")
-@click.option("--breakage", metavar="NAME", help="Put a deliberate fault into the program.")
-@click.option("--list-breakages", is_flag=True, help="Name the deliberate faults.")
-@click.option("--list-profiles", is_flag=True, help="Name the profiles.")
-@click.option("--quiet", is_flag=True, help="No time line, no progress.")
-@click.option("--sums", is_flag=True, help="Print the sums over the fleet of FILE or --replay.")
+@click.option("--write", "to_write", type=int, metavar="SEED", help="Print the scenario of a seed as a file.")
+@click.option("--breakage", "mutation", metavar="NAME", help="Put a deliberate fault into the program.")
+@click.option("--list-breakages", "should_list_mutations", is_flag=True, help="Name the deliberate faults.")
+@click.option("--list-profiles", "should_list_profiles", is_flag=True, help="Name the profiles.")
+@click.option("--quiet", "is_quiet", is_flag=True, help="No time line, no progress.")
+@click.option("--sums", "has_sums", is_flag=True, help="Print the sums over the fleet of FILE or --replay.")
 def command(
-    file: str | None,
-    seeds: str | None,
-    jobs: int,
-    profile: str,
-    replay: int | None,
-    smaller: int | None,
-    out: str | None,
-    write: int | None,
-    breakage: str | None,
-    list_breakages: bool,
-    list_profiles: bool,
-    quiet: bool,
-    sums: bool,
-) -> int:
-    """Status 0 without a breach, 1 with one, 2 where the call can't be carried out."""
-    if breakage is not None and breakage not in BREAKAGES:
-        raise Misuse(f"--breakage {breakage}: there is none of that name; --list-breakages names them")
-    profiles = [*PROFILES, *DAYS]
-    if profile not in profiles:
-        raise Misuse(f"--profile {profile}: there is none of that name; there are {', '.join(profiles)}")
-    if jobs < 1:
-        raise Misuse(f"--jobs {jobs}: at least 1")
-    if list_breakages:
-        for name, each in BREAKAGES.items():
-            print(f"{name}: {each.text} ({', '.join(each.rules)})")
-        return FINE
-    if list_profiles:
-        for name in profiles:
-            print(name)
-        return FINE
-    wanted = [each is not None for each in (file, seeds, replay, smaller, write)]
-    if sum(wanted) != 1:
-        raise Misuse("say one of FILE, --seeds, --replay, --shrink, --write")
-    if sums and file is None and replay is None:
-        raise Misuse("--sums goes with FILE or --replay: sums are of one run")
-    told = "" if breakage is None else f" --breakage {breakage}"
-    with _stoppable():
+    file: str | None, seeds: str | None, jobs: int, profile: str, replay: int | None, to_shrink: int | None,
+    out: str | None, to_write: int | None, mutation: str | None, should_list_mutations: bool,
+    should_list_profiles: bool, is_quiet: bool, has_sums: bool,
+) -> int:  # fmt: skip
+    """Explore seeds, or replay, shrink or print one scenario.
+
+    Returns:
+        Exit status 0 without a breach, 1 with one, 2 for a usage error.
+    """
+    options = Options(jobs, profile, mutation, is_quiet, has_sums)
+    options.check()
+    if should_list_mutations:
+        return _print_mutations()
+    if should_list_profiles:
+        return _print_profiles()
+    if sum(each is not None for each in (file, seeds, replay, to_shrink, to_write)) != 1:
+        raise ExploreUsageError("say one of FILE, --seeds, --replay, --shrink, --write")
+    if has_sums and file is None and replay is None:
+        raise ExploreUsageError("--sums goes with FILE or --replay: sums are of one run")
+    with _reporting_interrupt():
         if file is not None:
-            return _one(_load(file), breakage, quiet, f"brambleusher explore {file}{told}", sums)
+            return _replay(_load(file), options, f"brambleusher explore {file}{options.mutation_argument}")
         if seeds is not None:
-            return _explore(seeds_of(seeds), profile, breakage, jobs, sys.stderr.isatty() and not quiet)
-        for seed in (replay, smaller, write):
-            if seed is not None and not 0 <= seed < 10**18:
-                raise Misuse(f"seed {seed}: a whole number from 0 on")
+            return _explore(parse_seeds(seeds), options)
         if replay is not None:
-            where = f"brambleusher explore --replay {replay} --profile {profile}{told}"
-            return _one(drawn(replay, profile), breakage, quiet, where, sums)
-        if smaller is not None:
-            return _shrink(drawn(smaller, profile), breakage, out)
-        assert write is not None
-        print(write_scenario(drawn(write, profile)), end="")
-        return FINE
+            return _replay(options.draw(replay), options, options.replay_command(replay, profile))
+        if to_shrink is not None:
+            return _shrink(options.draw(to_shrink), mutation, out)
+        assert to_write is not None
+        print(write_scenario(options.draw(to_write)), end="")
+        return STATUS_PASSED
--- a/brambleusher/cli/lab.py
+++ b/brambleusher/cli/lab.py
@@ -7,23 +7,23 @@
 
 import click
 
-from brambleusher.cli.ranges import SECONDS
+from brambleusher.cli.ranges import DURATION_S
 
-FILE = click.Path(path_type=Path)
+FILE_PATH = click.Path(path_type=Path)
 
 
 @click.group(help="A stand-in fleet to try things on, and experiments with reports.")
 def command() -> None:
-    """A stand-in fleet to try things on, and experiments with reports."""
+    """Group the commands of the test bed."""
 
 
 @command.command("up", help="A fleet on loopback: stand-in nodes, discovery, real sidecars.  Ctrl-C ends it.")
-@click.argument("world", required=False, type=FILE)
-@click.option("--for", "seconds", type=SECONDS, metavar="SECONDS", help="End it by itself.")
+@click.argument("world", required=False, type=FILE_PATH)
+@click.option("--for", "seconds", type=DURATION_S, metavar="SECONDS", help="End it by itself.")
 @click.option("--json", "as_json", is_flag=True, help="One line with all addresses, once all is ready.")
-@click.option("--logs", type=FILE, metavar="DIR", help="Keep the sidecars' files and logs here.")
+@click.option("--logs", type=FILE_PATH, metavar="DIR", help="Keep the sidecars' files and logs here.")
 def up_command(world: Path | None, seconds: float | None, as_json: bool, logs: Path | None) -> int:
-    """A fleet on loopback, of a world in YAML or the usual one."""
+    """Run a fleet on loopback, as a file in YAML describes it or the default one."""
     from brambleusher.lab.fleets.worlds import WorldError, read_world
     from brambleusher.lab.processes.up import up
 
@@ -35,12 +35,16 @@
 
 
 @command.command("run", help="Run an experiment: a matrix of worlds, demands, settings and seeds.")
-@click.argument("experiment", type=FILE)
-@click.option("-o", "--out", type=FILE, metavar="FILE", help="Results.  [default: beside it, .sqlite]")
+@click.argument("experiment", type=FILE_PATH)
+@click.option("-o", "--out", type=FILE_PATH, metavar="FILE", help="Results.  [default: beside it, .sqlite]")
 @click.option("--jobs", type=click.IntRange(1, 256), metavar="N", help="Processes.  [default: one a core]")
 @click.option("--json", "as_json", is_flag=True, help="The figures of every cell as JSON at the end.")
 def run_command(experiment: Path, out: Path | None, jobs: int | None, as_json: bool) -> int:
-    """Run what the results don't have yet; 1 if a cell failed or a rule was broken."""
+    """Run the cells that the results lack.
+
+    Returns:
+        Exit status 0, or 1 when a cell failed or a rule was broken.
+    """
     import json
 
     from brambleusher.lab.experiments.matrix import run_all, told
@@ -52,25 +56,25 @@
         file, cells = read_experiment(experiment)
         failed = run_all(file, cells, out, jobs, told)
         with Store(out) as store:
-            figures = {cell.title: store.figures(cell.id) for cell in store.cells()}
+            metrics = {cell.title: store.figures(cell.id) for cell in store.cells()}
     except (ExperimentError, StoreError) as error:
         print(f"brambleusher: {error}", file=sys.stderr)
         return 1
     except KeyboardInterrupt:
         return 130
     if as_json:
-        print(json.dumps(figures))
+        print(json.dumps(metrics))
     print(f"{len(cells) - failed} of {len(cells)} cells are in {out}", file=sys.stderr)
-    return 1 if failed or any(each.get("breaches") for each in figures.values()) else 0
+    return 1 if failed or any(each.get("breaches") for each in metrics.values()) else 0
 
 
 @command.command("compare", help="Paired differences of A and B, each a results file or FILE:SETTINGS.")
 @click.argument("first", metavar="A")
 @click.argument("second", metavar="B")
-@click.option("--all", "everything", is_flag=True, help="Each node's load, too.")
+@click.option("--all", "has_node_loads", is_flag=True, help="Each node's load, too.")
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
-def compare_command(first: str, second: str, everything: bool, as_json: bool) -> int:
-    """Differences over pairs of cells with the same world, demand, seed and place."""
+def compare_command(first: str, second: str, has_node_loads: bool, as_json: bool) -> int:
+    """Compare pairs of cells with the same world, demand, seed and position."""
     import json
     from dataclasses import asdict
 
@@ -85,15 +89,15 @@
     if as_json:
         print(json.dumps([{**asdict(each), "clear": each.clear} for each in differences]))
     else:
-        print("\n".join(texts(differences, everything)))
+        print("\n".join(texts(differences, has_node_loads)))
     return 0
 
 
 @command.command("report", help="One page on an experiment, with everything in it.")
-@click.argument("results", type=FILE)
-@click.option("-o", "--out", type=FILE, metavar="FILE", help="The page.  [default: beside it, .html]")
+@click.argument("results", type=FILE_PATH)
+@click.option("-o", "--out", type=FILE_PATH, metavar="FILE", help="The page.  [default: beside it, .html]")
 def report_command(results: Path, out: Path | None) -> int:
-    """One HTML page."""
+    """Write one HTML page."""
     from brambleusher.lab.experiments.report import page
     from brambleusher.lab.experiments.store import Store, StoreError
 
@@ -112,18 +116,29 @@
 
 
 @command.command("drill", help="Play drills: real processes with faults between them, checked.")
-@click.argument("drills", nargs=-1, required=True, type=FILE, metavar="FILE...")
+@click.argument("drills", nargs=-1, required=True, type=FILE_PATH, metavar="FILE...")
 @click.option("--processes", "where", flag_value="processes", default=True, help="Real processes (usual).")
 @click.option("--virtual", "where", flag_value="virtual", help="In virtual time.")
 @click.option("--both", "where", flag_value="both", help="In both worlds, side by side.")
-@click.option("--logs", type=FILE, metavar="DIR", help="Keep the sidecars' files and logs here.")
-@click.option("--breakage", default="", metavar="NAME", help="Put a deliberate fault into every sidecar.")
-@click.option("--sums", is_flag=True, help="Print the sums over the fleet, memory and descriptors by second.")
+@click.option("--logs", type=FILE_PATH, metavar="DIR", help="Keep the sidecars' files and logs here.")
+@click.option(
+    "--breakage", "mutation", default="", metavar="NAME", help="Put a deliberate fault into every sidecar."
+)
+@click.option(
+    "--sums",
+    "has_sums",
+    is_flag=True,
+    help="Print the sums over the fleet, memory and descriptors by second.",
+)
 @click.option("--json", "as_json", is_flag=True, help="One line of JSON a play, its curves with it.")
 def drill_command(
-    drills: tuple[Path, ...], where: str, logs: Path | None, breakage: str, sums: bool, as_json: bool
+    drills: tuple[Path, ...], where: str, logs: Path | None, mutation: str, has_sums: bool, as_json: bool
 ) -> int:
-    """One line a play; 1 if a drill failed, 2 if one can't be used, 3 if a rig was too late to tell."""
+    """Run drills and print one line for each.
+
+    Returns:
+        Exit status 0, 1 when a drill failed, 2 when a file is invalid, 3 when a rig was too late to judge.
+    """
     from brambleusher.lab.processes.drill import DrillError, read_drill
     from brambleusher.lab.processes.told import play_all
 
@@ -132,4 +147,4 @@
     except DrillError as error:
         print(f"brambleusher: {error}", file=sys.stderr)
         return 2
-    return play_all(files, where, logs, breakage, as_json, sums)
+    return play_all(files, where, logs, mutation, as_json, has_sums)
--- a/brambleusher/cli/load.py
+++ b/brambleusher/cli/load.py
@@ -1,26 +1,26 @@
-"""`brambleusher load`: demand from HAR files and logs, looked at and reshaped."""
+"""`brambleusher load`: build, inspect, reshape and play demand files."""
 
 from __future__ import annotations
 
-import os
 import random
 import socket
 import sys
-from collections.abc import Iterator
+from collections.abc import Callable, Iterator, Mapping
 from contextlib import contextmanager
 from functools import wraps
 from pathlib import Path
-from typing import Any, TypeVar
+from typing import Any, ParamSpec
 
 import click
 import msgspec
 
 from brambleusher import __version__
-from brambleusher.cli.ranges import SECONDS, SPEED, TIMES
+from brambleusher.cli.ranges import DURATION_S, FACTOR, MAX_FACTOR, SPEED
 from brambleusher.load import demand, shape, synthetic
 from brambleusher.load.build import Plan, build
 from brambleusher.load.demand import DemandError, DemandFile, beside
-from brambleusher.load.mapping import Mapping, MappingError, read_mapping
+from brambleusher.load.mapping import Mapping as RowMapping
+from brambleusher.load.mapping import MappingError, read_mapping
 from brambleusher.load.opening import Progress, size_of
 from brambleusher.load.ordering import SPREADS
 from brambleusher.load.report import texts
@@ -29,20 +29,22 @@
 from brambleusher.load.summary import Summary, plot
 from brambleusher.load.times import SECOND
 
-FILE = click.Path(path_type=Path)
-PICTURES = (".svg", ".png", ".pdf")
-OUT = click.option("-o", "--out", type=FILE, required=True, metavar="FILE", help="The file to write.")
-SEED = click.option("--seed", default=1, show_default=True, help="For all that is drawn at random.")
-Call = TypeVar("Call", bound=Any)
+FILE_PATH = click.Path(path_type=Path)
+PLOT_SUFFIXES = (".svg", ".png", ".pdf")
+OUT_OPTION = click.option(
+    "-o", "--out", type=FILE_PATH, required=True, metavar="FILE", help="The file to write."
+)
+SEED_OPTION = click.option("--seed", default=1, show_default=True, help="For all that is drawn at random.")
+Parameters = ParamSpec("Parameters")
 
 
-def told(call: Call) -> Call:
-    """A command whose faults are messages and exit status 1."""
+def reports_errors(run: Callable[Parameters, int]) -> Callable[Parameters, int]:
+    """Wrap a command so that its errors become one line on standard error and exit status 1."""
 
-    @wraps(call)
-    def safely(*args: Any, **named: Any) -> Any:
+    @wraps(run)
+    def run_reporting_errors(*args: Parameters.args, **kwargs: Parameters.kwargs) -> int:
         try:
-            return call(*args, **named)
+            return run(*args, **kwargs)
         except (
             SourceError, DemandError, MappingError, shape.ShapeError, synthetic.RecipeError,
         ) as error:  # fmt: skip
@@ -51,17 +53,17 @@
             print(f"brambleusher: {error.filename or 'output'}: {error.strerror}", file=sys.stderr)
         return 1
 
-    return safely  # type: ignore[return-value]
+    return run_reporting_errors
 
 
 @click.group(help="Demand from HAR files, access logs, JSON lines and captures.")
 def command() -> None:
-    """Demand from HAR files, access logs, JSON lines and captures."""
+    """Group the commands on demand."""
 
 
 @contextmanager
-def progress_of(total: int) -> Iterator[Progress | None]:
-    """A progress bar where standard error is a terminal; `total` is in bytes or in requests."""
+def progress_bar(total: int) -> Iterator[Progress | None]:
+    """Show a progress bar where standard error is a terminal; `total` is in bytes or in requests."""
     if not sys.stderr.isatty():
         yield None
         return
@@ -74,75 +76,78 @@
         yield lambda size: bar.advance(task, size)
 
 
-def apart(out: Path, *sources: Path) -> None:
-    """Refuse an output that would take the place of what it is made of; raises `SourceError`."""
+def check_not_overwritten(out: Path, *sources: Path) -> None:
+    """Reject an output file that is one of its own sources.
+
+    Raises:
+        SourceError: the output is one of the sources.
+    """
     for source in sources:
         try:
-            if os.path.samefile(source, out):
+            if source.samefile(out):
                 raise SourceError(f"{out}: the output would take the place of what it is made of")
         except OSError:
-            continue  # one of them is not there; what is missing is told by whoever opens it
+            continue  # one of them does not exist; opening a missing source reports it
 
 
 @command.command("build", help="Make a demand file of sources, which are put together by their times.")
-@click.argument("sources", nargs=-1, required=True, type=FILE, metavar="SOURCE...")
-@OUT
+@click.argument("sources", nargs=-1, required=True, type=FILE_PATH, metavar="SOURCE...")
+@OUT_OPTION
 @click.option("--form", type=click.Choice(FORMS), help="What the sources are.  [default: by how each begins]")
 @click.option(
     "--log-format", metavar="FORMAT", help="Of access logs: a LogFormat, common, combined, platform."
 )
-@click.option("--mapping", type=FILE, metavar="FILE", help="What rows mean, in YAML.")
-@click.option("--window", type=SECONDS, default=5.0, show_default=True, help="Seconds to put in order.")
+@click.option("--mapping", type=FILE_PATH, metavar="FILE", help="What rows mean, in YAML.")
+@click.option("--window", type=DURATION_S, default=5.0, show_default=True, help="Seconds to put in order.")
 @click.option(
     "--spread", type=click.Choice(SPREADS), default="none", show_default=True, help="Of whole seconds."
 )
 @click.option("--processes", type=click.IntRange(1, 64), default=2, show_default=True, help="To parse lines.")
-@SEED
+@SEED_OPTION
 @click.option("--json", "as_json", is_flag=True, help="The report as JSON.")
-@told
+@reports_errors
 def build_command(
     sources: tuple[Path, ...], out: Path, form: str | None, log_format: str | None, mapping: Path | None,
     window: float, spread: str, processes: int, seed: int, as_json: bool,
 ) -> int:  # fmt: skip
-    """Make a demand file; 1 if a source can't be used, and then no file is left."""
-    apart(out, *sources, *([mapping] if mapping else []))
-    rules = Mapping() if mapping is None else read_mapping(mapping)
+    """Build a demand file; status 1 when a source is invalid, and then no file is left."""
+    check_not_overwritten(out, *sources, *([mapping] if mapping else []))
+    rules = RowMapping() if mapping is None else read_mapping(mapping)
     plan = Plan(
         sources, How(rules, form, log_format), round(window * SECOND), spread, seed, processes,
     )  # fmt: skip
-    with progress_of(sum(map(size_of, sources))) as progress:
+    with progress_bar(sum(map(size_of, sources))) as progress:
         report = build(plan, out, progress)
     plain = report.plain()
     if as_json:
         print(msgspec.json.encode({**plain, "spread": spread, "window_s": window}).decode())
         return 0
     print("\n".join(texts(plain)))
-    whole = plain["notes"].get("whole-seconds")
-    if whole:
+    if plain["notes"].get("whole-seconds"):
         how = "left bunched as they are" if spread == "none" else f"spread over their second: {spread}"
         print(f"times in whole seconds were {how}")
     return 0
 
 
 @command.command("inspect", help="Rate, mix, bursts and tenants of a demand file.")
-@click.argument("file", type=FILE)
+@click.argument("file", type=FILE_PATH)
 @click.option(
-    "--plot", "picture", type=FILE, metavar="FILE", help="Draw the rate by class (.svg, .png, .pdf)."
+    "--plot", "plot_path", type=FILE_PATH, metavar="FILE", help="Draw the rate by class (.svg, .png, .pdf)."
 )
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
-@told
-def inspect_command(file: Path, picture: Path | None, as_json: bool) -> int:
-    """Figures of a demand file, which is read whole and checked."""
-    if picture is not None and picture.suffix.lower() not in PICTURES:
+@reports_errors
+def inspect_command(file: Path, plot_path: Path | None, as_json: bool) -> int:
+    """Print metrics of a demand file, which is read completely and verified."""
+    if plot_path is not None and plot_path.suffix.lower() not in PLOT_SUFFIXES:
         raise click.BadParameter(
-            f"{str(picture)!r} ends in none of {', '.join(PICTURES)}", param_hint="--plot"
+            f"{str(plot_path)!r} ends in none of {', '.join(PLOT_SUFFIXES)}", param_hint="--plot"
         )
     with DemandFile(file) as source:
         source.verify()
         summary = Summary(source.requests())
         report, made = source.footer.report, source.header.made
-    if picture is not None:
-        plot(summary, str(picture), file.name)
+    if plot_path is not None:
+        plot(summary, str(plot_path), file.name)
     if as_json:
         print(msgspec.json.encode({**summary.plain(report), "report": report, "made": made}).decode())
         return 0
@@ -151,36 +156,38 @@
         print("\nwhen it was built:")
         print("\n".join(texts(report)))
         if report.get("notes", {}).get("whole-seconds"):
-            print(f"times in whole seconds: spread {origin(made).get('spread', 'none')}")
+            print(f"times in whole seconds: spread {original_provenance(made).get('spread', 'none')}")
     return 0
 
 
-def origin(made: dict[str, Any]) -> dict[str, Any]:
-    """How demand was made at first, before it was cut, scaled or mixed."""
+def original_provenance(made: dict[str, Any]) -> dict[str, Any]:
+    """Find how demand was made at first, before it was cut, scaled or mixed."""
     while isinstance(made.get("made"), dict):
         made = made["made"]
     return made
 
 
-def saved(source: DemandFile, out: Path, requests: Iterator[Request], by: str, **how: Any) -> int:
-    """Write demand that was made from a file; prints how much."""
-    apart(out, source.path)
-    made = {"by": by, "of": source.path.name, **how, "made": source.header.made}
+def write_derived(
+    source: DemandFile, out: Path, requests: Iterator[Request], by: str, parameters: Mapping[str, object]
+) -> int:
+    """Write demand that was derived from a file, and print the number of requests."""
+    check_not_overwritten(out, source.path)
+    made = {"by": by, "of": source.path.name, **parameters, "made": source.header.made}
     count = demand.write(out, requests, made, source.footer.report)
     print(f"{count:,} requests")
     return 0
 
 
 @command.command("cut", help="A span of time of a demand file.")
-@click.argument("file", type=FILE)
-@OUT
+@click.argument("file", type=FILE_PATH)
+@OUT_OPTION
 @click.option(
     "--from", "start", metavar="TIME", help="Seconds from the start, or ISO 8601.  [default: the start]"
 )
 @click.option("--to", "end", metavar="TIME", help="The same; it is not in the span.  [default: the end]")
-@told
-def cut_command(file: Path, out: Path, start: str | None, end: str | None) -> int:
-    """A span of time of a demand file."""
+@reports_errors
+def extract_span(file: Path, out: Path, start: str | None, end: str | None) -> int:
+    """Extract a span of time of a demand file."""
     with DemandFile(file) as source:
         first_ns = source.span_ns[0]
         start_ns = None if start is None else shape.moment(start, first_ns)
@@ -188,82 +195,83 @@
         if start_ns is not None and end_ns is not None and end_ns <= start_ns:
             raise shape.ShapeError(f"the span ends at {end}, which is not after its start at {start}")
         requests = source.requests(start_ns, end_ns)
-        return saved(source, out, requests, "cut", **{"from_ns": start_ns, "to_ns": end_ns})
+        return write_derived(source, out, requests, "cut", {"from_ns": start_ns, "to_ns": end_ns})
 
 
-def factors(words: tuple[str, ...], option: str) -> dict[str, float]:
-    """`NAME=FACTOR` pairs."""
+def parse_factors(pairs: tuple[str, ...], option: str) -> dict[str, float]:
+    """Parse `NAME=FACTOR` pairs."""
     found: dict[str, float] = {}
-    for word in words:
-        name, equals, text = word.rpartition("=")
-        found[name] = factor(text, option) if equals else factor("", option)
+    for pair in pairs:
+        name, equals, text = pair.rpartition("=")
+        found[name] = parse_factor(text, option) if equals else parse_factor("", option)
     return found
 
 
-def factor(text: str, option: str) -> float:
-    """A factor of at least 0."""
+def parse_factor(text: str, option: str) -> float:
+    """Parse a factor of at least 0."""
     try:
         value = float(text)
     except ValueError:
         value = -1.0
-    if not 0 <= value < 1e6:
+    if not 0 <= value < MAX_FACTOR:
         raise click.BadParameter(f"{text!r} is no factor", param_hint=option)
     return value
 
 
-def bursts(words: tuple[str, ...], start_ns: int) -> tuple[shape.Burst, ...]:
-    """`FROM..TO=FACTOR` spans."""
+def parse_bursts(texts: tuple[str, ...], start_ns: int) -> tuple[shape.Burst, ...]:
+    """Parse `FROM..TO=FACTOR` spans."""
     found = []
-    for word in words:
-        span, _, text = word.rpartition("=")
+    for burst in texts:
+        span, _, text = burst.rpartition("=")
         first, dots, last = span.partition("..")
         if not dots:
-            raise click.BadParameter(f"{word!r} is not FROM..TO=FACTOR", param_hint="--burst")
+            raise click.BadParameter(f"{burst!r} is not FROM..TO=FACTOR", param_hint="--burst")
         edges = [shape.moment(each, start_ns) - start_ns for each in (first, last)]
         if edges[1] <= edges[0]:
-            raise click.BadParameter(f"{word!r} ends before it begins", param_hint="--burst")
-        found.append(shape.Burst(edges[0], edges[1], factor(text, "--burst")))
+            raise click.BadParameter(f"{burst!r} ends before it begins", param_hint="--burst")
+        found.append(shape.Burst(edges[0], edges[1], parse_factor(text, "--burst")))
     return tuple(found)
 
 
 @command.command("scale", help="Faster, more, another mix, one burst multiplied.")
-@click.argument("file", type=FILE)
-@OUT
+@click.argument("file", type=FILE_PATH)
+@OUT_OPTION
 @click.option("--speed", type=SPEED, default=1.0, help="Times as fast.")
-@click.option("--rate", type=TIMES, default=1.0, help="Times as many.")
+@click.option("--rate", type=FACTOR, default=1.0, help="Times as many.")
 @click.option("--class", "classes", multiple=True, metavar="NAME=FACTOR", help="Times as many of a class.")
 @click.option("--tenant", "tenants", multiple=True, metavar="NAME=FACTOR", help="Times as many of a tenant.")
 @click.option("--burst", "spans", multiple=True, metavar="FROM..TO=FACTOR", help="Times as many in a span.")
-@click.option("--jitter", type=SECONDS, default=1.0, show_default=True, help="Seconds, of copies.")
-@SEED
-@told
+@click.option("--jitter", type=DURATION_S, default=1.0, show_default=True, help="Seconds, of copies.")
+@SEED_OPTION
+@reports_errors
 def scale_command(
     file: Path, out: Path, speed: float, rate: float, classes: tuple[str, ...], tenants: tuple[str, ...],
     spans: tuple[str, ...], jitter: float, seed: int,
 ) -> int:  # fmt: skip
-    """Demand reshaped."""
+    """Reshape demand: its speed, rate, mix and bursts."""
     with DemandFile(file) as source:
         start_ns = source.span_ns[0]
         scale = shape.Scale(
-            speed, rate, factors(classes, "--class"), factors(tenants, "--tenant"), bursts(spans, start_ns),
-            round(jitter * SECOND), seed,
+            speed, rate, parse_factors(classes, "--class"), parse_factors(tenants, "--tenant"),
+            parse_bursts(spans, start_ns), round(jitter * SECOND), seed,
         )  # fmt: skip
-        how = {
+        parameters = {
             "speed": speed, "rate": rate, "classes": dict(scale.classes), "tenants": dict(scale.tenants),
             "bursts": [[burst.start_ns, burst.end_ns, burst.times] for burst in scale.bursts], "seed": seed,
         }  # fmt: skip
-        return saved(source, out, shape.scaled(source.requests(), start_ns, scale), "scale", **how)
+        requests = shape.scaled(source.requests(), start_ns, scale)
+        return write_derived(source, out, requests, "scale", parameters)
 
 
 @command.command("mix", help="Several demand files as one.")
-@click.argument("files", nargs=-1, required=True, type=FILE, metavar="FILE...")
-@OUT
+@click.argument("files", nargs=-1, required=True, type=FILE_PATH, metavar="FILE...")
+@OUT_OPTION
 @click.option("--align", type=click.Choice(["start", "clock"]), default="start", show_default=True,
               help="All begin with the first file, or each when it did.")  # fmt: skip
-@told
+@reports_errors
 def mix_command(files: tuple[Path, ...], out: Path, align: str) -> int:
-    """Several demand files as one."""
-    apart(out, *files)
+    """Merge several demand files into one."""
+    check_not_overwritten(out, *files)
     sources = [DemandFile(file) for file in files]
     try:
         starts = [source.span_ns[0] for source in sources]
@@ -281,32 +289,34 @@
 
 
 @command.command("export", help="A demand file as a HAR file.")
-@click.argument("file", type=FILE)
-@OUT
-@told
+@click.argument("file", type=FILE_PATH)
+@OUT_OPTION
+@reports_errors
 def export_command(file: Path, out: Path) -> int:
-    """A demand file as a HAR file."""
+    """Export a demand file as a HAR file."""
     from brambleusher.load.har import write
 
-    apart(out, file)
-    with DemandFile(file) as source, beside(out) as part, open(part, "w", encoding="utf-8") as har:
+    check_not_overwritten(out, file)
+    with DemandFile(file) as source, beside(out) as unfinished, unfinished.open("w", encoding="utf-8") as har:
         print(f"{write(source.requests(), har, __version__):,} requests")
     return 0
 
 
 @command.command("make", help="Demand of the project's own making: marketplaces, an on-sale burst, retries.")
-@click.argument("recipe", required=False, type=FILE)
-@OUT
+@click.argument("recipe", required=False, type=FILE_PATH)
+@OUT_OPTION
 @click.option(
     "--form", type=click.Choice(["demand", "har", "access", "json"]), default="demand", show_default=True
 )
-@click.option("--whole-seconds", is_flag=True, help="An access log without parts of a second.")
-@SEED
-@told
-def make_command(recipe: Path | None, out: Path, form: str, whole_seconds: bool, seed: int) -> int:
-    """Demand by a recipe in YAML, or by the usual one."""
+@click.option(
+    "--whole-seconds", "has_full_seconds", is_flag=True, help="An access log without parts of a second."
+)
+@SEED_OPTION
+@reports_errors
+def make_command(recipe: Path | None, out: Path, form: str, has_full_seconds: bool, seed: int) -> int:
+    """Make demand by a recipe in YAML, or by the default one."""
     if recipe is not None:
-        apart(out, recipe)
+        check_not_overwritten(out, recipe)
     plan = synthetic.Recipe() if recipe is None else synthetic.read_recipe(recipe)
     made = synthetic.requests(plan, seed)
     if form == "demand":
@@ -314,14 +324,14 @@
     elif form == "har":
         from brambleusher.load.har import write
 
-        with beside(out) as part, open(part, "w", encoding="utf-8") as har:
+        with beside(out) as unfinished, unfinished.open("w", encoding="utf-8") as har:
             count = write(made, har, __version__)
     else:
         count = 0
-        with beside(out) as part, open(part, "wb") as log:
+        with beside(out) as unfinished, unfinished.open("wb") as log:
             for request in made:
                 if form == "access":
-                    log.write(synthetic.log_line(request, whole_seconds))
+                    log.write(synthetic.log_line(request, has_full_seconds))
                 else:
                     log.write(msgspec.json.encode(synthetic.json_record(request)) + b"\n")
                 count += 1
@@ -329,12 +339,12 @@
     return 0
 
 
-def addresses(words: tuple[str, ...]) -> list[tuple[str, int]]:
-    """`host:port`, several with commas between them."""
+def resolve_addresses(targets: tuple[str, ...]) -> list[tuple[str, int]]:
+    """Parse and resolve `host:port` addresses, several of which a comma separates."""
     from brambleusher.runtime.streams import parse_address
 
     try:
-        found = [parse_address(word) for given in words for word in given.split(",")]
+        found = [parse_address(address) for target in targets for address in target.split(",")]
     except ValueError as error:
         raise click.BadParameter(str(error), param_hint="--target") from None
     # A name is looked up once: looked up for each connection, it would hold up all that is due meanwhile.
@@ -346,7 +356,7 @@
 
 
 @command.command("play", help="Play a demand file, each request at its time whatever the answers do.")
-@click.argument("file", type=FILE)
+@click.argument("file", type=FILE_PATH)
 @click.option(
     "--target", "targets", multiple=True, required=True, metavar="HOST:PORT,...", help="Asked in turn."
 )
@@ -358,12 +368,12 @@
               help="Requests open at once in a process; beyond, they are counted as unsent.")  # fmt: skip
 @click.option("--seed", type=int, help="Of the requests' ids.  [default: a new one]")
 @click.option("--json", "as_json", is_flag=True, help="The results as JSON.")
-@told
+@reports_errors
 def play_command(
     file: Path, targets: tuple[str, ...], speed: float, processes: int, timeout_ms: int, most_open: int,
     seed: int | None, as_json: bool,
 ) -> int:  # fmt: skip
-    """Play on sockets; 1 where the generator itself was late or left requests unsent."""
+    """Play on sockets; status 1 when the generator itself was late or left requests unsent."""
     from brambleusher.load.pacing import Pace
     from brambleusher.load.player import Play
     from brambleusher.load.processes import PlayError, play
@@ -375,9 +385,9 @@
         raise SourceError(f"{file}: there are no requests")
     # Two plays at once must not have the same ids.
     ids = random.SystemRandom().getrandbits(63) if seed is None else seed
-    plan = Play(addresses(targets), Pace(start_ns, speed), timeout_ms, most_open, seed=ids)
+    plan = Play(resolve_addresses(targets), Pace(start_ns, speed), timeout_ms, most_open, seed=ids)
     try:
-        with progress_of(total) as advance:
+        with progress_bar(total) as advance:
             before = 0
 
             def sent(count: int) -> None:
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -14,7 +14,7 @@
 import pytest
 
 from brambleusher.cli import run_command
-from brambleusher.cli.explore import Tally, _all, _chunk
+from brambleusher.cli.explore import RunTotals, play_chunk, play_seeds
 from brambleusher.lab.faults.kinds import LEAST_KINDS, SidecarKilled
 from brambleusher.lab.fleets.figures import LEAST_REQUESTS
 from brambleusher.lab.fleets.fleet import Fleet
@@ -45,7 +45,7 @@
     first = 1000 + block * SEEDS
     broken: list[str] = []
     slow: list[str] = []
-    for result in _chunk((range(first, first + SEEDS), "default", None)):
+    for result in play_chunk((range(first, first + SEEDS), "default", None)):
         assert result.asked >= LEAST_REQUESTS and result.virtual_s >= 5 and len(result.faults) >= LEAST_KINDS
         for breach in result.breaches[:1]:
             told = f"brambleusher explore --replay {result.seed}: {breach}"
@@ -72,7 +72,7 @@
 
 def test_the_number_of_jobs_changes_nothing() -> None:
     seeds = range(20, 44)
-    one, three = ([result.digest for result in _all(seeds, "default", None, jobs)] for jobs in (1, 3))
+    one, three = ([result.digest for result in play_seeds(seeds, "default", None, jobs)] for jobs in (1, 3))
     assert one == three
     assert len(set(one)) == len(seeds)
 
@@ -91,10 +91,10 @@
     )
     less = play(down)
     assert less.asked == len(scenario.asks) and less.taken < whole.taken
-    tally = Tally()
+    totals = RunTotals()
     for result in (whole, less):
-        tally.add(result)
-    said = "\n".join(tally.worded("default", 1.0, 1))
+        totals.add(result)
+    said = "\n".join(totals.describe("default", 1.0, 1))
     assert f"{2 * len(scenario.asks)} requests asked" in said and f"{len(scenario.asks)} at least" in said
     assert f"{whole.taken + less.taken} tries taken by sidecars ({less.taken} at least)" in said
 
--- a/tests/test_zone_routing.py
+++ b/tests/test_zone_routing.py
@@ -16,7 +16,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from brambleusher.cli.explore import _chunk
+from brambleusher.cli.explore import play_chunk
 from brambleusher.features.records import decode_event, encode_event
 from brambleusher.features.replay import rerun
 from brambleusher.features.status_rendering import render_page
@@ -550,7 +550,7 @@
     first = 7000 + block * SEEDS
     broken = [
         f"brambleusher explore --replay {result.seed} --profile zones-ruled: {breach}"
-        for result in _chunk((range(first, first + SEEDS), "zones-ruled", None))
+        for result in play_chunk((range(first, first + SEEDS), "zones-ruled", None))
         for breach in result.breaches
         if breach.rule != "recovery"
     ]
