--- a/brambleusher/load/build.py
+++ b/brambleusher/load/build.py
@@ -1,27 +1,27 @@
-"""Sources to a demand file: read, mapped, put in order, spread, written; memory is bounded throughout."""
+"""Build a demand file: read sources, map and sort their rows, spread times, write; memory is bounded."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass, field
 from pathlib import Path
-from typing import Any
 
 import msgspec
 
 from brambleusher.load.demand import DemandWriter
 from brambleusher.load.opening import Progress
-from brambleusher.load.ordering import Timed, Window, merged, spread
+from brambleusher.load.ordering import Timed, Window, merge, spread
 from brambleusher.load.report import Report
 from brambleusher.load.sources import How, form_of, requests
 from brambleusher.load.times import SECOND
 
-MOST_HELD = 40_000  # requests in all windows
+MAX_WINDOW_ROWS = 40_000  # in the windows of all sources together, which bounds memory
+MIN_WINDOW_ROWS = 1000  # of one source, however many there are
 
 
 @dataclass(frozen=True)
 class Plan:
-    """A build."""
+    """What a build reads and how."""
 
     sources: Sequence[Path]
     how: How = field(default_factory=How)
@@ -30,8 +30,8 @@
     seed: int = 1
     processes: int = 1
 
-    def made(self, forms: Sequence[str]) -> dict[str, Any]:
-        """What the demand file says of itself."""
+    def provenance(self, forms: Sequence[str]) -> dict[str, object]:
+        """Describe the build, for the header of the demand file."""
         return {
             "by": "build",
             "sources": [
@@ -46,39 +46,45 @@
 
 
 def build(plan: Plan, out: Path, progress: Progress | None = None) -> Report:
-    """Write the demand file; raises `SourceError`, and then leaves no file."""
+    """Write the demand file.
+
+    Raises:
+        SourceError: a source is invalid; no file is left then.
+    """
     report = Report()
     forms = [plan.how.form or form_of(path) for path in plan.sources]
-    most = max(1000, MOST_HELD // max(1, len(plan.sources)))
+    max_rows = max(MIN_WINDOW_ROWS, MAX_WINDOW_ROWS // max(1, len(plan.sources)))
     streams = [
-        _ordered(_stream(plan, path, form, report, progress), Window(plan.window_ns, most), report)
+        _sort(_read(plan, path, form, report, progress), Window(plan.window_ns, max_rows), report)
         for path, form in zip(plan.sources, forms, strict=True)
     ]
-    with DemandWriter(out, plan.made(forms)) as writer:
-        for request in spread(merged(streams), plan.spread, plan.seed):
+    with DemandWriter(out, plan.provenance(forms)) as writer:
+        for request in spread(merge(streams), plan.spread, plan.seed):
             writer.add(request)
             report.requests += 1
         writer.close(report.plain())
     return report
 
 
-def _stream(plan: Plan, path: Path, form: str, report: Report, progress: Progress | None) -> Iterator[Timed]:
+def _read(plan: Plan, path: Path, form: str, report: Report, progress: Progress | None) -> Iterator[Timed]:
+    """Read the requests of a source, in several processes if that is wanted and possible."""
     if plan.processes > 1 and form in ("access", "json"):
-        from brambleusher.load.parallel import requests as shared_out
+        from brambleusher.load.parallel import requests as parallel_requests
 
-        return shared_out(path, form, plan.how, report, plan.processes, progress)
+        return parallel_requests(path, form, plan.how, report, plan.processes, progress)
     return requests(path, form, plan.how, report, progress)
 
 
-def _ordered(stream: Iterator[Timed], window: Window, report: Report) -> Iterator[Timed]:
+def _sort(stream: Iterator[Timed], window: Window, report: Report) -> Iterator[Timed]:
+    """Sort the requests of a source, and report those that are left out or were moved."""
     for timed in stream:
         yield from window.add(timed)
         if window.late:
             for late in window.late:
-                report.leave("out-of-order", late.place)
+                report.leave("out-of-order", late.position)
             window.late.clear()
     yield from window.end()
     if window.reordered:
         report.note("reordered", window.reordered)
-    if window.full:
-        report.note("window-full", window.full)
+    if window.overflowed:
+        report.note("window-full", window.overflowed)
--- a/brambleusher/load/ordering.py
+++ b/brambleusher/load/ordering.py
@@ -1,4 +1,4 @@
-"""Times put in order within a window, and bunched ones spread where that is asked for."""
+"""Sort rows by time within a window, and spread times in whole seconds where that is asked for."""
 
 from __future__ import annotations
 
@@ -14,91 +14,101 @@
 from brambleusher.load.times import SECOND
 
 SPREADS = ("none", "even", "poisson")
-MOST_IN_SECOND = 200_000  # requests that a spread takes for one second
+MAX_REQUESTS_PER_SECOND = 200_000  # that a spread holds in memory for one second
 
 
 class Timed(NamedTuple):
     """A request on its way into the file."""
 
     request: Request
-    whole: bool  # its time is in whole seconds
-    place: str
+    has_full_seconds: bool  # its time has no fraction of a second
+    position: str  # in its source, for messages
 
 
 class Window:
-    """Puts one source in order.  `add` gives what is in order now; `late` has what is left out.
+    """Sorts the rows of one source.  `add` yields the rows that are in order now; `late` has those left out.
 
     A row may be at most the window earlier than the latest before it.  One that is more than the window
-    later than all before it counts once the row behind it agrees, so that a single faulty time does not
-    put all that follows out of order.
+    later than all before it is accepted once the next row confirms it, so that a single wrong time does
+    not leave out all rows after it.
     """
 
-    def __init__(self, window_ns: int, most: int) -> None:
-        self._window, self._most = window_ns, most
+    def __init__(self, window_ns: int, max_rows: int) -> None:
+        self._window_ns, self._max_rows = window_ns, max_rows
         self._heap: list[tuple[int, int, Timed]] = []
         self._count = 0
-        self._newest: int | None = None
-        self._floor = -1  # what has been let go
-        self._ahead: Timed | None = None
+        self._newest_ns: int | None = None
+        self._released_ns = -1  # the time of the last row that was released
+        self._unconfirmed: Timed | None = None
         self.late: list[Timed] = []
-        self.reordered = self.full = 0
+        self.reordered = self.overflowed = 0
 
     def add(self, timed: Timed) -> Iterator[Timed]:
-        """One more row, as the source has them."""
+        """Add the next row of the source.
+
+        Returns:
+            The rows that are in order now.
+        """
         at = timed.request.at_ns
-        ahead = self._ahead
-        if ahead is not None:
-            self._ahead = None
-            if at >= ahead.request.at_ns - self._window:
-                self._take(ahead)
+        unconfirmed = self._unconfirmed
+        if unconfirmed is not None:
+            self._unconfirmed = None
+            if at >= unconfirmed.request.at_ns - self._window_ns:
+                self._insert(unconfirmed)
             else:
-                self.late.append(ahead)
-        if self._newest is None or at > self._newest + self._window:
-            if self._newest is None and ahead is not None:
-                self._take(timed)  # the first two rows differ: the second is taken
+                self.late.append(unconfirmed)
+        if self._newest_ns is None or at > self._newest_ns + self._window_ns:
+            if self._newest_ns is None and unconfirmed is not None:
+                self._insert(timed)  # the first two rows differ: the second is accepted
             else:
-                self._ahead = timed
-        elif at < max(self._newest - self._window, self._floor):
+                self._unconfirmed = timed
+        elif at < max(self._newest_ns - self._window_ns, self._released_ns):
             self.late.append(timed)
         else:
-            self._take(timed)
-        return self._due()
+            self._insert(timed)
+        return self._release()
 
     def end(self) -> Iterator[Timed]:
-        """All that is left."""
-        if self._ahead is not None:
-            ahead, self._ahead = self._ahead, None
-            self._take(ahead)
+        """Yield all rows that remain."""
+        if self._unconfirmed is not None:
+            unconfirmed, self._unconfirmed = self._unconfirmed, None
+            self._insert(unconfirmed)
         while self._heap:
             yield heapq.heappop(self._heap)[2]
 
-    def _take(self, timed: Timed) -> None:
+    def _insert(self, timed: Timed) -> None:
+        """Put a row into the heap."""
         at = timed.request.at_ns
-        if self._newest is None or at > self._newest:
-            self._newest = at
-        elif at < self._newest:
+        if self._newest_ns is None or at > self._newest_ns:
+            self._newest_ns = at
+        elif at < self._newest_ns:
             self.reordered += 1
         self._count += 1
         heapq.heappush(self._heap, (at, self._count, timed))
 
-    def _due(self) -> Iterator[Timed]:
+    def _release(self) -> Iterator[Timed]:
+        """Yield the rows that no later row can precede, and the earliest while there are too many."""
         heap = self._heap
-        while heap and (heap[0][0] <= (self._newest or 0) - self._window or len(heap) > self._most):
-            if heap[0][0] > (self._newest or 0) - self._window:
-                self.full += 1
-            self._floor, _, timed = heapq.heappop(heap)
+        while heap and (heap[0][0] <= (self._newest_ns or 0) - self._window_ns or len(heap) > self._max_rows):
+            if heap[0][0] > (self._newest_ns or 0) - self._window_ns:
+                self.overflowed += 1
+            self._released_ns, _, timed = heapq.heappop(heap)
             yield timed
 
 
-def merged(streams: list[Iterator[Timed]]) -> Iterator[Timed]:
-    """Streams that are in order, as one."""
+def merge(streams: list[Iterator[Timed]]) -> Iterator[Timed]:
+    """Merge streams that are in order."""
     if len(streams) == 1:
         return streams[0]
     return heapq.merge(*streams, key=lambda timed: timed.request.at_ns)
 
 
 def spread(stream: Iterator[Timed], how: str, seed: int) -> Iterator[Request]:
-    """Requests, those of a whole second spread over it: evenly, or as a Poisson stream of that count."""
+    """Spread requests with times in whole seconds over their second: evenly, or as a Poisson stream.
+
+    Raises:
+        SourceError: there are more requests in a second than a spread holds in memory.
+    """
     if how == "none":
         for timed in stream:
             yield timed.request
@@ -111,20 +121,23 @@
             yield from _spread(group, second, how, rng)
             second, group = at, []
         group.append(timed)
-        if len(group) > MOST_IN_SECOND:
-            raise SourceError(f"{timed.place}: more than {MOST_IN_SECOND:,} requests in one second to spread")
+        if len(group) > MAX_REQUESTS_PER_SECOND:
+            raise SourceError(
+                f"{timed.position}: more than {MAX_REQUESTS_PER_SECOND:,} requests in one second to spread"
+            )
     yield from _spread(group, second, how, rng)
 
 
 def _spread(group: list[Timed], second: int, how: str, rng: random.Random) -> list[Request]:
-    bunched = sum(timed.whole for timed in group)
+    """Spread the requests of one second, of which some may have exact times."""
+    count = sum(timed.has_full_seconds for timed in group)
     if how == "even":
-        times = iter([second * SECOND + (2 * at + 1) * SECOND // (2 * bunched) for at in range(bunched)])
+        times = iter([second * SECOND + (2 * at + 1) * SECOND // (2 * count) for at in range(count)])
     else:
-        # Given how many come, the times of a Poisson stream are uniform and independent.
-        times = iter(sorted(second * SECOND + rng.randrange(SECOND) for _ in range(bunched)))
+        # Given their count, the times of a Poisson stream are uniform and independent.
+        times = iter(sorted(second * SECOND + rng.randrange(SECOND) for _ in range(count)))
     requests = [
-        msgspec.structs.replace(timed.request, at_ns=next(times)) if timed.whole else timed.request
+        msgspec.structs.replace(timed.request, at_ns=next(times)) if timed.has_full_seconds else timed.request
         for timed in group
     ]
     return sorted(requests, key=attrgetter("at_ns"))
--- a/brambleusher/load/pacing.py
+++ b/brambleusher/load/pacing.py
@@ -19,23 +19,23 @@
 
 @dataclass(frozen=True)
 class Pace:
-    """How fast demand is played, and which part: every `parts`th request from number `part` on."""
+    """How fast demand is played, and which requests: every `partitions`th from number `partition` on."""
 
     start_ns: int  # the demand's own time at the start
     speed: float = 1.0
-    part: int = 0
-    parts: int = 1
+    partition: int = 0
+    partitions: int = 1
 
     def due(self, requests: Iterable[Request]) -> Iterator[Due]:
-        """The part's requests, each with its moment."""
+        """Yield the requests of the partition, each with the time when it is due."""
         for number, request in enumerate(requests):
-            if number % self.parts == self.part:
-                yield Due(number, self.at(request.at_ns), request)
+            if number % self.partitions == self.partition:
+                yield Due(number, self.due_ns(request.at_ns), request)
 
-    def at(self, at_ns: int) -> int:
-        """The moment of a time of the demand's."""
+    def due_ns(self, at_ns: int) -> int:
+        """Convert a time of the demand into nanoseconds after the start of the play."""
         return round((at_ns - self.start_ns) / self.speed)
 
     def source_ns(self, passed_ns: int) -> int:
-        """How far into the demand a moment is."""
+        """Convert nanoseconds since the start of the play into nanoseconds of the demand."""
         return round(passed_ns * self.speed)
--- a/brambleusher/load/processes.py
+++ b/brambleusher/load/processes.py
@@ -42,7 +42,7 @@
     try:
         for part in range(processes):
             mine, theirs = context.Pipe()
-            share = replace(plan, pace=replace(plan.pace, part=part, parts=processes))
+            share = replace(plan, pace=replace(plan.pace, partition=part, partitions=processes))
             child = context.Process(target=_child, args=(str(path), share, theirs), daemon=True)
             child.start()
             theirs.close()
