--- a/tests/recorded/gateway_day.py
+++ b/tests/recorded/gateway_day.py
@@ -86,8 +86,18 @@
     ]
 
 
+def warming(deployment: VirtualDeployment) -> list[Reply]:
+    """All instances say that they warm up."""
+    for instance in deployment.stub_instances.values():
+        instance.warmup_ms = 3000
+    deployment.sleep(2.0)
+    waiting = [deployment.start_request("g1", attempt=f"a{n}") for n in range(30)]
+    deployment.sleep(1.0)
+    return waiting
+
+
 TROUBLES: tuple[Trouble, ...] = (
-    shed, rejected_often, silent, failing, cut, gone, dark, crowded, no_requests,
+    shed, rejected_often, silent, failing, cut, gone, dark, crowded, no_requests, warming,
 )  # fmt: skip
 
 
@@ -109,7 +119,11 @@
             route("/w/", kind="mutating", service="desk"),
             route("/n/", kind="idempotent", service="narrow", tries=1),
         ]
-        services = [{"name": "llm"}, {"name": "desk"}, {"name": "narrow", "conn_limit": 1}]
+        services = [
+            {"name": "llm", "warmup_s": 3.0, "cold_per_s": 2.0},
+            {"name": "desk"},
+            {"name": "narrow", "conn_limit": 1},
+        ]
         deployment.served(configuration(1, *routes, services=services))
         deployment.sleep(4.0)
         replies = [told(reply) for reply in trouble(deployment)]
