--- a/tests/test_control_live.py
+++ b/tests/test_control_live.py
@@ -392,7 +392,7 @@
         ):
             stranger.start()
             await stranger.until(partial(over, stranger))
-            assert stranger.ended is code and not stranger.proxy.responses
+            assert stranger.ended is code and not stranger.proxy.responses, stranger.why
             await stranger.stop()
         held = service.certificates.material
         for bad, says in (
