--- a/tests/test_command_line.py
+++ b/tests/cli/test_command_line.py
@@ -13,7 +13,7 @@
 from brambleusher import cli
 from brambleusher.__main__ import main, parse_serving_options
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 EXTRAS = "click, argparse, msgspec, zstandard, apachelogs, hdrh, numpy, matplotlib, rich"
 
 
--- a/tests/system/exploration.py
+++ b/tests/controlplane/consensus/exploration.py
@@ -9,7 +9,7 @@
 
 from brambleusher.controlplane.consensus.raft import Consensus
 from brambleusher.wire import consensus_messages as wire
-from tests.system.cluster import Cluster, Fate, Node, SafetyViolationError
+from tests.controlplane.consensus.cluster import Cluster, Fate, Node, SafetyViolationError
 
 MUTATIONS = (Fate.DROP, Fate.DOUBLE, Fate.DELAY, Fate.FIRST)
 # Large messages wait longest, and in more than one connection.
--- a/tests/system/test_consensus.py
+++ b/tests/controlplane/consensus/test_consensus.py
@@ -11,8 +11,8 @@
 from brambleusher.controlplane.consensus.raft import Consensus
 from brambleusher.controlplane.consensus.timing import UNSYNCED_MAX
 from brambleusher.wire import consensus_messages as wire
-from tests.system.cluster import Cluster, Fate, SafetyViolationError
-from tests.system.exploration import MUTATIONS, explore
+from tests.controlplane.consensus.cluster import Cluster, Fate, SafetyViolationError
+from tests.controlplane.consensus.exploration import MUTATIONS, explore
 
 
 def change(cluster: Cluster) -> None:
--- a/tests/system/test_consensus_losses.py
+++ b/tests/controlplane/consensus/test_consensus_losses.py
@@ -17,9 +17,9 @@
 from brambleusher.controlplane.consensus.snapshots import Snapshots
 from brambleusher.wire import consensus_messages as wire
 from brambleusher.wire.consensus_messages import Entry, EntryKind, Member
-from tests.system.cluster import Cluster, Fate, SafetyViolationError, member
-from tests.system.exploration import explore
-from tests.system.faulty_parts import installed
+from tests.controlplane.consensus.cluster import Cluster, Fate, SafetyViolationError, member
+from tests.controlplane.consensus.exploration import explore
+from tests.controlplane.consensus.faulty_parts import installed
 
 BOOTSTRAP_MEMBERS = tuple(member(name) for name in "abc")
 
--- a/tests/system/test_consensus_mutations.py
+++ b/tests/controlplane/consensus/test_consensus_mutations.py
@@ -16,9 +16,9 @@
 from brambleusher.controlplane.consensus.replication import Replication
 from brambleusher.wire import consensus_messages as wire
 from brambleusher.wire.consensus_messages import EntryKind
-from tests.system.cluster import Cluster, SafetyViolationError
-from tests.system.exploration import explore
-from tests.system.faulty_parts import installed
+from tests.controlplane.consensus.cluster import Cluster, SafetyViolationError
+from tests.controlplane.consensus.exploration import explore
+from tests.controlplane.consensus.faulty_parts import installed
 
 
 class VotesTwice(Election):
--- a/tests/system/test_election.py
+++ b/tests/controlplane/consensus/test_election.py
@@ -12,7 +12,7 @@
 from brambleusher.controlplane.consensus.timing import ELECTION_MAX_S, ELECTION_MIN_S, FIRST_ELECTION_S
 from brambleusher.wire import consensus_messages as wire
 from brambleusher.wire.consensus_messages import Entry, EntryKind
-from tests.system.cluster import member
+from tests.controlplane.consensus.cluster import member
 
 TERM = 3
 
--- a/tests/system/test_membership_plan.py
+++ b/tests/controlplane/consensus/test_membership_plan.py
@@ -5,7 +5,7 @@
 from dataclasses import replace as replace_in
 
 from brambleusher.controlplane.consensus.membership_plan import MEMBERS_MAX, Group, next_members
-from tests.system.cluster import member
+from tests.controlplane.consensus.cluster import member
 
 
 def test_votes_and_members_change_one_at_a_time() -> None:
--- a/tests/system/test_membership_requests.py
+++ b/tests/controlplane/consensus/test_membership_requests.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from brambleusher.controlplane.consensus.membership_requests import DISK_LOSS_PROOF_S, MembershipRequests
-from tests.system.cluster import member
+from tests.controlplane.consensus.cluster import member
 
 BOOTSTRAP_MEMBERS = tuple(member(name) for name in "abc")
 
--- a/tests/system/test_quorum.py
+++ b/tests/controlplane/consensus/test_quorum.py
@@ -5,7 +5,7 @@
 from itertools import combinations
 
 from brambleusher.controlplane.consensus.quorum import agreed_value, has_quorum, votes_needed
-from tests.system.cluster import member
+from tests.controlplane.consensus.cluster import member
 
 
 def test_any_quorum_meets_all_that_may_hold_what_was_committed() -> None:
--- a/tests/system/test_replicated_log.py
+++ b/tests/controlplane/consensus/test_replicated_log.py
@@ -4,7 +4,7 @@
 
 from brambleusher.controlplane.consensus.replicated_log import Log
 from brambleusher.wire.consensus_messages import Entry, EntryKind, Member
-from tests.system.cluster import member
+from tests.controlplane.consensus.cluster import member
 
 ONE, TWO, THREE = ((member("a"),), (member("a"), member("b")), (member("a"), member("b"), member("c")))
 
--- a/tests/system/test_replication_progress.py
+++ b/tests/controlplane/consensus/test_replication_progress.py
@@ -12,7 +12,7 @@
 from brambleusher.controlplane.consensus.replicated_log import Log
 from brambleusher.wire import consensus_messages as wire
 from brambleusher.wire.consensus_messages import Entry, EntryKind
-from tests.system.cluster import member
+from tests.controlplane.consensus.cluster import member
 
 BOOTSTRAP_MEMBERS = tuple(member(name) for name in "abc")
 
--- a/tests/system/test_instance_table.py
+++ b/tests/dataplane/test_instance_table.py
@@ -4,7 +4,7 @@
 
 from brambleusher.dataplane.instance import InstanceStatus
 from brambleusher.dataplane.instance_table import WARM_UP_MARGIN_S
-from tests.system.dataplane_builders import entry, instances, listed, usable
+from tests.dataplane.dataplane_builders import entry, instances, listed, usable
 
 
 def test_draining_and_removed_instances_are_unusable_and_stay_so() -> None:
--- a/tests/system/test_long_poll_messages.py
+++ b/tests/dataplane/test_long_poll_messages.py
@@ -12,7 +12,7 @@
 from brambleusher.membership.views import Peer, PeerState
 from brambleusher.wire import lines
 from brambleusher.wire.errors import InvalidMessageError
-from tests.system.dataplane_builders import entry
+from tests.dataplane.dataplane_builders import entry
 from tests.system.virtual_deployment import VirtualDeployment, configuration
 
 GATEWAY = Peer("g1", "gateway", "10.0.0.1:80", "n1", "north", PeerState.READY, 7)
--- a/tests/system/test_placement.py
+++ b/tests/dataplane/test_placement.py
@@ -10,7 +10,7 @@
 from brambleusher.dataplane.placement import SUBSET_MIN, Placement
 from brambleusher.dataplane.prefix_affinity import rank_by_affinity
 from brambleusher.wire.configuration import Service
-from tests.system.dataplane_builders import ZONES, entry, instances, listed, placement_request
+from tests.dataplane.dataplane_builders import ZONES, entry, instances, listed, placement_request
 
 
 def test_near_instances_come_first() -> None:
--- a/tests/system/test_policy.py
+++ b/tests/dataplane/test_policy.py
@@ -18,8 +18,8 @@
 from brambleusher.wire.errors import InvalidPolicyError
 from brambleusher.wire.instance_load import InstanceLoad
 from brambleusher.wire.policy import Policy
-from tests.system.dataplane_builders import ZONES, entry, listed, placement_request
-from tests.system.test_instance_weights import AIM_S, send, ticks
+from tests.dataplane.dataplane_builders import ZONES, entry, listed, placement_request
+from tests.loadbalancing.test_instance_weights import AIM_S, send, ticks
 
 
 @pytest.mark.parametrize(
--- a/tests/system/test_request_context.py
+++ b/tests/dataplane/test_request_context.py
@@ -9,7 +9,7 @@
 from brambleusher.dataplane.client_request import ClientRequest
 from brambleusher.dataplane.request_context import RequestContext
 from brambleusher.dataplane.retry_budget import RetryBudget
-from tests.system.dataplane_builders import placement_request, route
+from tests.dataplane.dataplane_builders import placement_request, route
 
 
 def context(**given: Any) -> RequestContext:
--- a/tests/system/test_routing.py
+++ b/tests/dataplane/test_routing.py
@@ -7,7 +7,7 @@
 import pytest
 
 from brambleusher.dataplane.routing import pick_service
-from tests.system.dataplane_builders import route, table
+from tests.dataplane.dataplane_builders import route, table
 
 
 @pytest.mark.parametrize(
--- a/tests/system/test_zone_backoff.py
+++ b/tests/dataplane/test_zone_backoff.py
@@ -8,7 +8,7 @@
 from brambleusher.dataplane.placement import Placement
 from brambleusher.dataplane.zone_backoff import BACKOFF_FIRST_S, BACKOFF_MAX_S, TRIAL_S, ZoneBackoff
 from brambleusher.wire.policy import Policy
-from tests.system.dataplane_builders import ZONES, entry, instances, listed, placement_request
+from tests.dataplane.dataplane_builders import ZONES, entry, instances, listed, placement_request
 
 
 def time_out(backoff: ZoneBackoff, zone: str, count: int, now: float = 0.0) -> None:
--- a/tests/test_capture.py
+++ b/tests/features/test_capture.py
@@ -34,10 +34,10 @@
 from brambleusher.operator_settings.section import OperatorFileError
 from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.sidecar.connection_budgets import feature_buffers_memory
+from tests.features.test_figures import ready, until
+from tests.loadbalancing.test_rules import BASE
 from tests.rig import WAIT, Node, Rig, answer, reset
 from tests.rules import SECOND, World
-from tests.test_figures import ready, until
-from tests.test_rules import BASE
 
 SEED = 0x8C1F30D27A5BE964
 EMPTY = EndpointListUpdate(0, True, ())
--- a/tests/test_rewrites.py
+++ b/tests/features/test_rewrites.py
@@ -37,7 +37,7 @@
         self.assertEqual(parse_operator_file(b"rewrites: []").rewrites, ())
 
     def test_in_service_are_capture_and_figures_alone(self) -> None:
-        deploy = Path(__file__).parent.parent / "deploy"
+        deploy = Path(__file__).parents[2] / "deploy"
         run = tomllib.loads((deploy / "balancer.toml").read_text())["run"]
         self.assertTrue(run.endswith(" -m brambleusher --operator deploy/operator.yaml"))
         settings = load_operator_file(str(deploy / "operator.yaml"))
--- a/tests/test_status.py
+++ b/tests/features/test_status.py
@@ -12,8 +12,8 @@
 from brambleusher.net.http import Message
 from brambleusher.operator_settings.configuration import StatusSettings, parse_operator_file
 from brambleusher.operator_settings.section import OperatorFileError
+from tests.features.test_figures import until
 from tests.rig import WAIT, Discovery, Node, Rig, answer, read, reset
-from tests.test_figures import until
 
 ON = "status: {port: 0, refresh_ms: 10}"
 
--- a/tests/test_mysql_clients.py
+++ b/tests/fronts/mysql/test_mysql_clients.py
@@ -17,7 +17,7 @@
 import pytest
 import sqlalchemy as sa
 
-from tests.mysql_rig import MysqlRig, Servers
+from tests.fronts.mysql.mysql_rig import MysqlRig, Servers
 
 Place = tuple[str, int, str, str]  # host, port, user, password
 Values = list[Any]
--- a/tests/test_mysql_front.py
+++ b/tests/fronts/mysql/test_mysql_front.py
@@ -33,7 +33,7 @@
 from brambleusher.fronts.mysql.session import Session
 from brambleusher.lab.mysql.engine import ColumnInfo, Table
 from brambleusher.lab.mysql.server import CAPABILITIES, Fault, Moment
-from tests.mysql_rig import MysqlRig, Servers
+from tests.fronts.mysql.mysql_rig import MysqlRig, Servers
 from tests.rig import WAIT, Discovery
 
 Make = Callable[..., tuple[MysqlRig, Servers]]
--- a/tests/test_handover.py
+++ b/tests/handover/test_handover.py
@@ -36,7 +36,7 @@
 from brambleusher.runtime.scheduler import Scheduler
 from tests.rig import SETTINGS, WAIT, Discovery, Node, Rig, answer, read
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 
 
 class SharedFolderTest(unittest.TestCase):
--- a/tests/test_breakages.py
+++ b/tests/lab/test_breakages.py
@@ -17,7 +17,7 @@
 from brambleusher.lab.processes.breakages import ALL
 from brambleusher.lab.virtual.explore import play
 
-FILES = {path.stem: path for path in sorted((Path(__file__).parent / "breakages").glob("*.yaml"))}
+FILES = {path.stem: path for path in sorted((Path(__file__).parents[1] / "breakages").glob("*.yaml"))}
 LOOKED_AT = 40  # seeds, for those without a file: at least one in ten tells
 
 
--- a/tests/test_drills.py
+++ b/tests/lab/test_drills.py
@@ -11,7 +11,7 @@
 from brambleusher.lab.faults import kinds as faults
 from brambleusher.lab.processes.drill import Drill, DrillError, play, read_drill
 
-DRILLS = Path(__file__).parent.parent / "drills"
+DRILLS = Path(__file__).parents[2] / "drills"
 
 
 SMALL = Drill(sidecars=4, nodes=8, requests_per_s=30.0, after_s=2.0)
--- a/tests/test_explore.py
+++ b/tests/lab/test_explore.py
@@ -22,7 +22,7 @@
 from brambleusher.lab.virtual.explore import play
 from brambleusher.lab.virtual.world import VirtualSystem
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 SCENARIOS = sorted((ROOT / "tests" / "scenarios").glob("*.yaml"))
 BLOCKS = 6  # of seeds that CI plays: one test each, so that they spread over its processes
 SEEDS = 50  # in each
--- a/tests/test_fault_plans.py
+++ b/tests/lab/test_fault_plans.py
@@ -89,7 +89,7 @@
 
 
 def test_a_seed_draws_the_same_in_every_process() -> None:
-    code = "from tests.test_fault_plans import digest; print(digest())"
+    code = "from tests.lab.test_fault_plans import digest; print(digest())"
     found = {
         subprocess.run(
             [sys.executable, "-c", code],
--- a/tests/test_lab_experiments.py
+++ b/tests/lab/test_lab_experiments.py
@@ -27,7 +27,7 @@
 from brambleusher.load import demand, synthetic
 
 WAIT = 60.0
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 EXPERIMENT = """
 name: tries
 worlds:
--- a/tests/test_operators_in_virtual_time.py
+++ b/tests/lab/test_operators_in_virtual_time.py
@@ -13,7 +13,7 @@
 from brambleusher.lab.virtual.explore import ENDLESS, play
 from brambleusher.loadbalancing import Balancer
 from brambleusher.sidecar.app import FRESH_LIST_TIMEOUT_S
-from tests.test_fault_plans import FROM_S, fault_of, scenario_with
+from tests.lab.test_fault_plans import FROM_S, fault_of, scenario_with
 
 
 def test_a_sidecar_that_discovery_turns_away_is_ready_with_the_list_it_had() -> None:
--- a/tests/test_stand_in_client.py
+++ b/tests/lab/test_stand_in_client.py
@@ -19,8 +19,8 @@
 from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.system import System
-from tests.lab import SERVER, Lab, ask
-from tests.test_stand_in_node import USUAL, node_in
+from tests.lab.lab_builders import SERVER, Lab, ask
+from tests.lab.test_stand_in_node import USUAL, node_in
 
 FIXED = ClientSettings(tries=3, backoff="fixed", backoff_s=0.1, honour=1.0)
 
--- a/tests/test_stand_in_discovery.py
+++ b/tests/lab/test_stand_in_discovery.py
@@ -16,7 +16,7 @@
 from brambleusher.net.http import HttpError, MessageReader
 from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
-from tests.lab import SERVER, Lab
+from tests.lab.lab_builders import SERVER, Lab
 
 ENTRIES = [Entry(id=f"s-{name}", addr=f"10.1.0.{at}:9000", zone="a") for at, name in enumerate("abc")]
 DRAINS = Entry(id="s-b", addr="10.1.0.1:9000", zone="a", state="Terminating")
--- a/tests/test_stand_in_node.py
+++ b/tests/lab/test_stand_in_node.py
@@ -17,7 +17,7 @@
 from brambleusher.net.upstream_responses import parse_load_report
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.streams import Stream
-from tests.lab import SERVER, Lab, ask
+from tests.lab.lab_builders import SERVER, Lab, ask
 
 USUAL: dict[str, Any] = {
     "cores": 1, "work_noise": 0.0, "handshake_s": 0.0, "handshake_work_s": 0.0, "full_tax": 0.0,
--- a/tests/test_virtual_sidecar.py
+++ b/tests/lab/test_virtual_sidecar.py
@@ -10,7 +10,7 @@
 from brambleusher.runtime.streams import Stream
 from brambleusher.sidecar.app import Sidecar
 from brambleusher.sidecar.configuration import parse_config
-from tests.lab import SECOND, SERVER, Lab
+from tests.lab.lab_builders import SECOND, SERVER, Lab
 from tests.rig import SETTINGS
 
 
--- a/tests/test_world.py
+++ b/tests/lab/test_world.py
@@ -131,7 +131,7 @@
 
 def test_same_seed_same_run_elsewhere() -> None:
     """In another process, under other hashes."""
-    code = "from tests.test_world import trace; import zlib; print(zlib.crc32(repr(trace(5)).encode()))"
+    code = "from tests.lab.test_world import trace; import zlib; print(zlib.crc32(repr(trace(5)).encode()))"
     for hashes in ("1", "77"):
         found = subprocess.run(
             [sys.executable, "-c", code],
--- a/tests/test_admission_control.py
+++ b/tests/loadbalancing/test_admission_control.py
@@ -5,7 +5,7 @@
 import pytest
 
 from brambleusher.loadbalancing import Balancer, api
-from tests.balancer_builders import REQUEST_CLASS, build_balancer, host_entry
+from tests.loadbalancing.balancer_builders import REQUEST_CLASS, build_balancer, host_entry
 from tests.rules import MS, SECOND
 
 
--- a/tests/test_attempts.py
+++ b/tests/loadbalancing/test_attempts.py
@@ -5,7 +5,7 @@
 import pytest
 
 from brambleusher.loadbalancing import api
-from tests.balancer_builders import build_balancer
+from tests.loadbalancing.balancer_builders import build_balancer
 from tests.rules import MS, SECOND
 
 
--- a/tests/test_balancer.py
+++ b/tests/loadbalancing/test_balancer.py
@@ -5,12 +5,12 @@
 from pathlib import Path
 
 from brambleusher.loadbalancing import api
-from tests.balancer_builders import build_balancer
+from tests.loadbalancing.balancer_builders import build_balancer
 from tests.rules import MS, SECOND
 
 
 def test_readme_example_runs() -> None:
-    text = (Path(__file__).parent.parent / "README.md").read_text(encoding="utf-8")
+    text = (Path(__file__).parents[2] / "README.md").read_text(encoding="utf-8")
     code = text.split("```python\n", 1)[1].split("```", 1)[0]
     scope: dict[str, object] = {}
     exec(code, scope)
--- a/tests/test_capacity_estimates.py
+++ b/tests/loadbalancing/test_capacity_estimates.py
@@ -9,7 +9,7 @@
 
 from brambleusher.loadbalancing import Balancer, api, capacity_estimates, slow_start
 from brambleusher.loadbalancing.settings import parse_settings
-from tests.test_simulator_adapter import SETUP
+from tests.loadbalancing.test_simulator_adapter import SETUP
 
 SECOND, STEP = 10**9, 5_000_000
 FLEET, ANSWER_NS = 20, 200_000_000
--- a/tests/test_host_table.py
+++ b/tests/loadbalancing/test_host_table.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from brambleusher.loadbalancing import api
-from tests.balancer_builders import build_balancer, serve_with_reports
+from tests.loadbalancing.balancer_builders import build_balancer, serve_with_reports
 from tests.rules import SECOND
 
 
--- a/tests/test_limits.py
+++ b/tests/loadbalancing/test_limits.py
@@ -7,7 +7,7 @@
 
 from brambleusher.loadbalancing import Balancer, api
 from brambleusher.loadbalancing.retry_budget import DEPOSIT_PER_REQUEST, MAX_TOKENS, RetryBudget
-from tests.balancer_builders import host_entry
+from tests.loadbalancing.balancer_builders import host_entry
 from tests.rules import MS, SECOND
 
 SAFE = api.RequestClass("safe", 500 * MS, 2 * SECOND, 1.0)
--- a/tests/test_outlier_detection.py
+++ b/tests/loadbalancing/test_outlier_detection.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from brambleusher.loadbalancing import api
-from tests.balancer_builders import build_balancer
+from tests.loadbalancing.balancer_builders import build_balancer
 from tests.rules import MS, SECOND
 
 
--- a/tests/test_performance_index.py
+++ b/tests/loadbalancing/test_performance_index.py
@@ -6,7 +6,7 @@
 
 from brambleusher.loadbalancing import api
 from brambleusher.loadbalancing.performance_index import aggregate_pi
-from tests.balancer_builders import build_balancer
+from tests.loadbalancing.balancer_builders import build_balancer
 from tests.rules import MS, SECOND
 
 
--- a/tests/test_token_round_robin.py
+++ b/tests/loadbalancing/test_token_round_robin.py
@@ -7,7 +7,7 @@
 from brambleusher.loadbalancing import api
 from brambleusher.loadbalancing.hosts import Host
 from brambleusher.loadbalancing.token_round_robin import TokenRoundRobin
-from tests.balancer_builders import build_balancer, host_entry
+from tests.loadbalancing.balancer_builders import build_balancer, host_entry
 
 
 def test_order_of_turns_as_in_the_source() -> None:
--- a/tests/test_weights.py
+++ b/tests/loadbalancing/test_weights.py
@@ -6,7 +6,12 @@
 
 from brambleusher.loadbalancing import Balancer, api
 from brambleusher.loadbalancing.weights import final_weights
-from tests.balancer_builders import REQUEST_CLASS, build_balancer, host_entry, serve_with_reports
+from tests.loadbalancing.balancer_builders import (
+    REQUEST_CLASS,
+    build_balancer,
+    host_entry,
+    serve_with_reports,
+)
 from tests.rules import MS, SECOND
 
 
--- a/tests/test_zone_routing.py
+++ b/tests/loadbalancing/test_zone_routing.py
@@ -35,8 +35,8 @@
 from brambleusher.loadbalancing.zone_state import ZoneLoad, ZoneState
 from brambleusher.operator_settings.configuration import parse_operator_file
 from brambleusher.operator_settings.section import OperatorFileError
+from tests.loadbalancing.test_rules import BASE
 from tests.rules import MS, SECOND, World
-from tests.test_rules import BASE
 
 UNIT = 500 * MS
 RULES = ZoneRules()
--- a/tests/test_crossings_upstream.py
+++ b/tests/net/test_crossings_upstream.py
@@ -13,8 +13,8 @@
 from brambleusher.loadbalancing import Balancer, api
 from brambleusher.net import upstream_connections, upstream_response_reader
 from brambleusher.net.http import Message
+from tests.net.test_crossings_client import Case, Holding
 from tests.rig import WAIT, Rig, answer, read
-from tests.test_crossings_client import Case, Holding
 
 
 class Answers(Case):
--- a/tests/test_guards.py
+++ b/tests/net/test_guards.py
@@ -26,14 +26,9 @@
 from brambleusher.net.upstream_response_reader import UpstreamResponseReader
 from brambleusher.runtime.streams import Stream
 from brambleusher.sidecar.lifecycle import Lifecycle
-from tests import (
-    crossing,
-    rig,
-    test_crossings_client,
-    test_crossings_lists,
-    test_crossings_shutdown,
-    test_crossings_upstream,
-)
+from tests import crossing, rig
+from tests.net import test_crossings_client, test_crossings_lists, test_crossings_upstream
+from tests.sidecar import test_crossings_shutdown
 
 PATIENCE = 3.0  # seconds: what must come, and does not without the guard, is waited for no longer
 Patch = tuple[Any, str, Any]
--- a/tests/test_lists.py
+++ b/tests/net/test_lists.py
@@ -23,8 +23,8 @@
 from brambleusher.observability.counters import Counters
 from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.runtime.scheduler import YIELD_MAX_S, Scheduler
+from tests.features.test_figures import until
 from tests.rig import Discovery, Node, Rig
-from tests.test_figures import until
 
 READY, DRAINING, GONE = api.HostState.READY, api.HostState.DRAINING, api.HostState.REMOVED
 MS = 1_000_000
--- a/tests/test_crossings_page.py
+++ b/tests/project/test_crossings_page.py
@@ -5,14 +5,14 @@
 import re
 from pathlib import Path
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 PAGE = (ROOT / "docs" / "design" / "crossings.md").read_text(encoding="utf-8")
 SHORT = {
-    "C": "tests/test_crossings_client.py",
-    "D": "tests/test_crossings_shutdown.py",
-    "L": "tests/test_crossings_lists.py",
-    "U": "tests/test_crossings_upstream.py",
-    "F": "tests/test_crossings_fleet.py",
+    "C": "tests/net/test_crossings_client.py",
+    "D": "tests/sidecar/test_crossings_shutdown.py",
+    "L": "tests/net/test_crossings_lists.py",
+    "U": "tests/net/test_crossings_upstream.py",
+    "F": "tests/loadbalancing/test_crossings_fleet.py",
 }
 
 
--- a/tests/test_docs.py
+++ b/tests/project/test_docs.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 PAGES = sorted(
     page
     for page in (ROOT / "README.md", *(ROOT / "docs").rglob("*.md"))
--- a/tests/system/test_failures_page.py
+++ b/tests/project/test_failures_page.py
@@ -8,8 +8,8 @@
 PAGE = Path("docs/design/control-plane-failures.md")
 SHORT = {
     "F": "tests/system/test_control_plane_faults.py",
-    "L": "tests/system/test_consensus_losses.py",
-    "C": "tests/system/test_consensus.py",
+    "L": "tests/controlplane/consensus/test_consensus_losses.py",
+    "C": "tests/controlplane/consensus/test_consensus.py",
 }
 NAMED = re.compile(r"`([\w/.]+)::(\w+)`")
 
--- a/tests/test_known_red.py
+++ b/tests/project/test_known_red.py
@@ -11,7 +11,7 @@
 
 from tests.known_red import KnownRed, KnownRedError, read_known_red
 
-HERE = Path(__file__).resolve().parent
+HERE = Path(__file__).resolve().parents[1]
 TESTS = "def test_red():\n    assert False\n\n\ndef test_green():\n    assert True\n"
 
 
--- a/tests/test_layers.py
+++ b/tests/project/test_layers.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 ALLOWED: dict[str, tuple[str, ...]] = {
     "brambleusher/loadbalancing": ("brambleusher.loadbalancing",),
     "brambleusher/runtime": ("brambleusher.runtime",),
--- a/tests/test_names.py
+++ b/tests/project/test_names.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 PATHS = (
     "brambleusher/loadbalancing",
     "brambleusher/admin",
--- a/tests/test_crossings_shutdown.py
+++ b/tests/sidecar/test_crossings_shutdown.py
@@ -16,9 +16,9 @@
 from brambleusher.sidecar import lifecycle
 from brambleusher.sidecar.configuration import ConfigError
 from tests.crossing import held_still
+from tests.net.test_crossings_client import NOT_STARTED, Case, Holding, answers, drain, request
+from tests.net.test_crossings_lists import Scripted
 from tests.rig import WAIT, Discovery, Node, Rig, answer, read
-from tests.test_crossings_client import NOT_STARTED, Case, Holding, answers, drain, request
-from tests.test_crossings_lists import Scripted
 
 
 class Ends(Case):
--- a/tests/test_sidecar.py
+++ b/tests/sidecar/test_sidecar.py
@@ -355,7 +355,7 @@
         program = subprocess.Popen(
             [sys.executable, "-m", "brambleusher"],
             env={**os.environ, "NODE_CONFIG": str(path)},
-            cwd=Path(__file__).parent.parent,
+            cwd=Path(__file__).parents[2],
             stderr=subprocess.PIPE,
             text=True,
         )
--- a/tests/system/control_plane_faults.py
+++ b/tests/system/control_plane_faults.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from brambleusher.controlplane.storage import segments
-from tests.system.cluster import SafetyViolationError
+from tests.controlplane.consensus.cluster import SafetyViolationError
 from tests.system.memory_disk import MemoryDisk
 from tests.system.virtual_deployment import SECOND, Reply, VirtualDeployment, configuration, route
 
--- a/tests/system/test_fault_days_find_faults.py
+++ b/tests/system/test_fault_days_find_faults.py
@@ -19,7 +19,7 @@
 from brambleusher.controlplane.configuration.state_machine import SharedState
 from brambleusher.controlplane.replica import Replica
 from brambleusher.runtime.http_server import HttpRequest, HttpResponse
-from tests.system.cluster import SafetyViolationError
+from tests.controlplane.consensus.cluster import SafetyViolationError
 from tests.system.control_plane_faults import play
 
 Patch = pytest.MonkeyPatch
--- a/tests/system/test_observer.py
+++ b/tests/system/test_observer.py
@@ -11,8 +11,8 @@
 from brambleusher.controlplane.relay.server import RelayServer
 from brambleusher.membership.controllers import Controllers, Locality, controllers_from_json
 from brambleusher.wire.errors import InvalidMessageError
-from tests.system.test_configuration_patch import patch, patch_body
 from tests.system.virtual_deployment import DIRECTORY, VirtualDeployment, configuration, route
+from tests.wire.test_configuration_patch import patch, patch_body
 
 
 @pytest.fixture
--- a/tests/test_control.py
+++ b/tests/xds/test_control.py
@@ -945,7 +945,7 @@
 
 
 def test_the_example_is_one_that_can_be_used(tmp_path: Path) -> None:
-    example = Path(__file__).resolve().parent.parent / "deploy" / "control.yaml"
+    example = Path(__file__).resolve().parents[2] / "deploy" / "control.yaml"
     names = (
         ("listing-lookup", "read_like"),
         ("price-check", "read_like"),
--- a/tests/test_control_live.py
+++ b/tests/xds/test_control_live.py
@@ -50,9 +50,9 @@
 from brambleusher.xds.config import Bounds, parse_control
 from brambleusher.xds.service import Service
 from brambleusher.xds.wire import LRS
-from tests.test_control import control, written
+from tests.xds.test_control import control, written
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 WAIT = 30.0
 IN_A_ROW = 100  # calls of each client to other nodes: with four nodes in turn one of them would be due
 
