--- a/brambleusher/controlplane/__init__.py
+++ b/brambleusher/controlplane/__init__.py
@@ -1,1 +1,1 @@
-"""The control plane: agreement, storage, configuration, instances, registry, announcements."""
+"""The control plane: consensus, storage, configuration, instance registry and relay between controllers."""
--- a/brambleusher/controlplane/admin_listeners.py
+++ b/brambleusher/controlplane/admin_listeners.py
@@ -1,4 +1,4 @@
-"""The listeners for callers from outside: the operator's admin API and the registry."""
+"""HTTP listeners for clients outside the control plane: the operator's admin API and the registry."""
 
 from __future__ import annotations
 
@@ -10,13 +10,14 @@
 from brambleusher.runtime.streams import parse_address
 from brambleusher.wire.settings import Bind
 
-RESOLUTION_BYTES_MAX = 4096  # of the body of a request to the registry, which has none
+# Upper bound on the body of a request to the registry; valid requests have no body.
+RESOLUTION_BYTES_MAX = 4096
 
 Handler = Callable[[HttpRequest], HttpResponse]
 
 
 class AdminListeners:
-    """The HTTP listeners of a controller or an observer."""
+    """Owns the HTTP listeners of a controller or an observer."""
 
     def __init__(self, scheduler: Scheduler, bind: Bind, admin_api: Handler, resolver: Handler) -> None:
         admin_address = parse_address(bind.control)
@@ -26,6 +27,6 @@
             self._servers.append(HttpServer(scheduler, address, resolver, RESOLUTION_BYTES_MAX))
 
     def close_after_responses(self) -> None:
-        """End each connection with its next response."""
+        """Close each connection after its next response."""
         for server in self._servers:
             server.closing = True
--- a/brambleusher/controlplane/configuration/__init__.py
+++ b/brambleusher/controlplane/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration of the operator: commands, state machine, admin API and long poll."""
+"""The replicated configuration: its commands, state machine, admin API and long poll."""
--- a/brambleusher/controlplane/configuration/admin_api.py
+++ b/brambleusher/controlplane/configuration/admin_api.py
@@ -1,6 +1,6 @@
-"""The operator's HTTP API: change requests and evacuations in, the newest configuration out.
+"""The operator's HTTP API: changes and reads the configuration, and starts and ends zone evacuations.
 
-Paths, status codes, JSON keys and the texts of errors are fixed by the operator's tools.
+Operators' tools depend on the paths, status codes, JSON keys and error texts, so these must not change.
 """
 
 from __future__ import annotations
@@ -25,14 +25,15 @@
 from brambleusher.wire.errors import InvalidConfigurationError
 from brambleusher.wire.packing import unpack
 
-RESPONSE_TIMEOUT_S = 0.85  # operators turn to another controller after a second without a response
-CONFIGURATION_BYTES_MAX = 8 * 1024 * 1024  # of the body of one request
+# Operators' tools retry at another controller after one second without a response.
+RESPONSE_TIMEOUT_S = 0.85
+CONFIGURATION_BYTES_MAX = 8 * 1024 * 1024  # upper bound on the body of one request
 CONFIGURATION_PATH = "/api/config"
 EVACUATIONS_PATH = "/api/evacuations/"
 STATUS_PATH = "/api/status"
-REVISION_MAX = 2**53  # beyond it JSON readers lose precision
+REVISION_MAX = 2**53  # JSON parsers that read numbers as doubles lose precision above this value
 
-# Why a command that was applied had no effect, as the operator's tools expect it.
+# Responses for commands that were applied without effect; operators' tools match these texts.
 _REJECTIONS: dict[Verdict, tuple[HTTPStatus, str]] = {
     Verdict.OUTDATED: (
         HTTPStatus.SERVICE_UNAVAILABLE,
@@ -48,7 +49,11 @@
 
 
 def _base_revision(request: HttpRequest) -> int:
-    """Return the revision that a change builds on; raises `InvalidConfigurationError`."""
+    """Return the revision that a change is based on, from the `If-Match` header.
+
+    Raises:
+        InvalidConfigurationError: The header is missing or is not a valid revision.
+    """
     base = request.headers.get(b"if-match", b"").strip().strip(b'"')
     if not base.isdigit() or int(base) > REVISION_MAX:
         raise InvalidConfigurationError("If-Match", "it is no revision")
@@ -62,7 +67,7 @@
 
 
 class AdminApi:
-    """Handles requests on a controller's `control` address."""
+    """Handles HTTP requests on a controller's `control` address."""
 
     def __init__(self, scheduler: Scheduler, state: ReplicatedState, zones: frozenset[str]) -> None:
         self._scheduler, self._state, self._zones = scheduler, state, zones
@@ -104,7 +109,10 @@
         return self._submit(command, self._deadline())
 
     def _patch_configuration(self, request: HttpRequest) -> HttpResponse:
-        """Merge a patch here: the log holds the whole configuration, so that no replica has to merge it."""
+        """Merge a patch and submit the result.
+
+        The log stores the complete merged configuration, so that replicas do not have to merge patches.
+        """
         deadline = self._deadline()
         try:
             base_revision = _base_revision(request)
@@ -121,7 +129,7 @@
 
     @staticmethod
     def _merge(state: SharedState, base_revision: int, patch: Patch) -> bytes | None:
-        """Return the configuration after a patch; None where its base is not the current one."""
+        """Return the patched configuration, or None if the patch is not based on the current revision."""
         if state.revision != base_revision or not state.packed:
             return None
         return configuration_patch.merge(unpack(state.packed), patch)
@@ -134,8 +142,8 @@
         if isinstance(applied_index, Err):
             return _error(HTTPStatus.SERVICE_UNAVAILABLE, "no controller answered in time")
         if request.hung_up():
-            # It was delayed on its way, and its caller has sent it again elsewhere or given it up: a delayed
-            # copy must not act after a later request.
+            # The client disconnected: it has retried elsewhere or given up. A delayed copy of its request
+            # must not take effect after a later request.
             return _error(HTTPStatus.SERVICE_UNAVAILABLE, "the caller has gone")
         command = SetEvacuation(zone, request.method == "POST", applied_index.ok_value)
         return self._submit(command, deadline)
--- a/brambleusher/controlplane/configuration/commands.py
+++ b/brambleusher/controlplane/configuration/commands.py
@@ -1,4 +1,4 @@
-"""Commands of the configuration group's log, and how they may end."""
+"""Commands in the log of the configuration group, and the outcomes of applying them."""
 
 from __future__ import annotations
 
@@ -10,38 +10,41 @@
 from brambleusher.wire.json_fields import JsonObject, as_object, require_bool, require_int, require_str
 from brambleusher.wire.packing import pack
 
-PATCH_DIGEST_PREFIX = b"PATCH\n"  # ahead of a patch in its digest: a whole configuration never begins so
+# Prepended to a patch before hashing, so that its digest differs from that of a complete configuration, which
+# never begins with these bytes.
+PATCH_DIGEST_PREFIX = b"PATCH\n"
 
 
 class Operation(Enum):
-    """Kinds of commands; the values are the stored form."""
+    """The kind of a command; the values are stored in the log."""
 
     PUT_CONFIGURATION = "put"
     SET_EVACUATION = "evacuate"
 
 
 class Verdict(Enum):
-    """How a command ended where it was applied; the values are the form on the wire."""
+    """The outcome of applying a command; the values are sent on the wire."""
 
     ACCEPTED = "accepted"
-    REPEATED = "repeated"  # it had been accepted before
-    STALE = "stale"  # another version is current
-    NOT_HIGHER = "not_higher"  # its revision is not above the current one
-    OUTDATED = "outdated"  # its subject was changed after the request arrived: it may be a delayed copy
+    REPEATED = "repeated"  # the same change request was accepted before
+    STALE = "stale"  # the command is not based on the current revision
+    NOT_HIGHER = "not_higher"  # the new revision is not above the current revision
+    # The zone was changed after the request arrived, so the request may be a delayed copy.
+    OUTDATED = "outdated"
 
 
 def request_digest(base_revision: int, body: bytes) -> str:
-    """Return what distinguishes a change request from all others."""
+    """Return the digest that identifies a change request."""
     return hashlib.sha256(b"%d\n%b" % (base_revision, body)).hexdigest()
 
 
 @dataclass(frozen=True, slots=True)
 class PutConfiguration:
-    """Replaces the configuration of `base_revision` by a validated one.
+    """Replaces the configuration of revision `base_revision` by a validated configuration.
 
-    `packed` is its body (see `wire.packing`); `digest` distinguishes this change request from all others.
-    Without a body the command never comes into force, and only finds out whether the request was accepted
-    before.
+    `packed` is the packed body of the new configuration (see `wire.packing`); `digest` identifies the change
+    request. A command with an empty body never takes effect: it only determines whether the same request was
+    accepted before.
     """
 
     base_revision: int
@@ -51,19 +54,19 @@
 
     @classmethod
     def from_body(cls, base_revision: int, revision: int, body: bytes) -> PutConfiguration:
-        """Return the command for a whole configuration as it was sent."""
+        """Return the command for the body of a request that sends a complete configuration."""
         return cls(base_revision, revision, request_digest(base_revision, body), pack(body))
 
     @classmethod
     def from_patch(
         cls, base_revision: int, revision: int, patch: bytes, merged: bytes | None
     ) -> PutConfiguration:
-        """Return the command for a patch as it was sent, with the configuration that it makes of its base."""
+        """Return the command for the body of a patch request and the merged configuration."""
         digest = request_digest(base_revision, PATCH_DIGEST_PREFIX + patch)
         return cls(base_revision, revision, digest, pack(merged) if merged else "")
 
     def as_json(self) -> dict[str, object]:
-        """Return the form in the log."""
+        """Return the command as the JSON object that the log stores."""
         return {
             "op": Operation.PUT_CONFIGURATION.value,
             "base": self.base_revision,
@@ -78,8 +81,8 @@
     """Evacuates a zone, or ends its evacuation.
 
     `applied_index` is the index up to which the receiving replica had applied the log when the request
-    arrived (None: written by a version that did not record it).  It distinguishes a copy that was delayed on
-    its way from a new request: a zone that was changed after that index is not changed again.
+    arrived, or None for commands written by versions that did not record it. It guards against delayed copies
+    of a request: the command has no effect on a zone that was changed after that index.
     """
 
     zone: str
@@ -87,7 +90,7 @@
     applied_index: int | None = None
 
     def as_json(self) -> dict[str, object]:
-        """Return the form in the log."""
+        """Return the command as the JSON object that the log stores."""
         return {
             "op": Operation.SET_EVACUATION.value,
             "zone": self.zone,
@@ -100,10 +103,10 @@
 
 
 def command_from_json(value: object) -> Command:
-    """Return a command from its form in the log.
+    """Parse a command from the JSON value that the log stores.
 
     Raises:
-        InvalidMessageError: It is no object, or a field is missing or of the wrong type.
+        InvalidMessageError: The value is not an object, or a field is missing or of the wrong type.
     """
     data = as_object(value, "a command")
     operation = data.get("op")
--- a/brambleusher/controlplane/configuration/long_poll_messages.py
+++ b/brambleusher/controlplane/configuration/long_poll_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the long poll as a controller reads and answers them, with their form on the wire."""
+"""Requests and responses of the long poll between gateways and controllers, and their wire format."""
 
 from __future__ import annotations
 
@@ -11,30 +11,40 @@
 from brambleusher.wire.errors import InvalidMessageError
 from brambleusher.wire.json_fields import JsonObject
 
-LONG_POLL = "watch"  # kind of a gateway's message, on the wire
+LONG_POLL = "watch"  # value of the message's "kind" field on the wire
 MS_PER_S = 1000
 
 
 @dataclass(frozen=True, slots=True)
 class LongPollRequest:
-    """A gateway says which versions it has, and asks for newer ones."""
+    """A gateway's request for updates newer than the versions that it has.
+
+    Attributes:
+        gateway: The gateway that polls.
+        state_index: The index of the replicated state that the gateway has.
+        list_source: The name of the controller whose instance list the gateway has.
+        list_version: The version of that list, as counted by that controller.
+        is_brief: Whether to report only that there is an update, without its content: the gateway gets the
+            content from another controller.
+        has_load_report: Whether the gateway sent a load report and expects the sum of the other gateways'.
+        raw_load_report: The load report before parsing; a gateway with an invalid report still counts as
+            alive.
+    """
 
     gateway: Peer
-    state_index: int  # of the state that it has
-    list_source: object  # name of the controller whose instance list it has
-    list_version: int  # as that controller counts
-    is_brief: (
-        bool  # answer only that there is an update: the gateway gets its content from another controller
-    )
-    has_load_report: bool  # whether an exchange of what gateways observed of instances is due
-    raw_load_report: object  # not parsed: a gateway whose report can't be read is alive nevertheless
+    state_index: int
+    list_source: object
+    list_version: int
+    is_brief: bool
+    has_load_report: bool
+    raw_load_report: object
 
     @classmethod
     def from_json(cls, data: JsonObject) -> LongPollRequest:
-        """Return a request from its form on the wire.
+        """Parse a request from its wire format.
 
         Raises:
-            InvalidMessageError: A field is missing or can't be read.
+            InvalidMessageError: A field is missing or invalid.
         """
         gateway = peer_from_json(data.get("me"))
         state_index, list_version = data.get("index"), data.get("version")
@@ -51,17 +61,17 @@
         )
 
     def load_report(self) -> LoadReport | None:
-        """Return what the gateway observed of instances; None where no exchange is due.
+        """Return the gateway's measurements of instances, or None if the request has no load report.
 
         Raises:
-            InvalidMessageError: The report can't be read.
+            InvalidMessageError: The report is invalid.
         """
         return parse_report(self.raw_load_report) if self.has_load_report else None
 
 
 @dataclass(frozen=True, slots=True)
 class StateUpdate:
-    """The configuration in force, as it is packed, and the evacuated zones."""
+    """The packed configuration in force, and the evacuated zones."""
 
     packed: str
     evacuated_zones: list[str]
@@ -69,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetLoad:
-    """What the other gateways observed of instances, added up."""
+    """Sum of the other gateways' load reports."""
 
     reporters: int
     totals: MetricTotals
@@ -77,22 +87,36 @@
 
 @dataclass(frozen=True, slots=True)
 class LongPollResponse:
-    """What a controller has; parts that the gateway has already, or did not ask for, are None."""
+    """A controller's response; parts that the gateway already has or did not ask for are None.
+
+    Attributes:
+        state_index: The index of the controller's replicated state.
+        has_quorum_contact: Whether the controller is in contact with a quorum.
+        gateway_count: How many gateways the controller considers alive.
+        gateway_rank: The position of the polling gateway among the alive gateways, from 0.
+        controllers: The address, zone and region of each controller.
+        list_source: The name of this controller, which counts the versions of its instance list.
+        list_version: The version of the controller's instance list.
+        list_age_s: The age of that list in seconds, or None if the controller has no list yet.
+        state: The configuration and the evacuated zones.
+        instances: The instance list.
+        fleet_load: The sum of the other gateways' load reports.
+    """
 
     state_index: int
     has_quorum_contact: bool
     gateway_count: int
     gateway_rank: int
-    controllers: Sequence[tuple[str, str, str]]  # address, zone and region of each
+    controllers: Sequence[tuple[str, str, str]]
     list_source: str
     list_version: int
-    list_age_s: float | None  # None: this controller has no list yet
+    list_age_s: float | None
     state: StateUpdate | None
     instances: list[RawInstance] | None
     fleet_load: FleetLoad | None
 
     def as_json(self) -> dict[str, object]:
-        """Return the form on the wire."""
+        """Return the response in its wire format."""
         data: dict[str, object] = {
             "index": self.state_index,
             "contact": self.has_quorum_contact,
--- a/brambleusher/controlplane/configuration/publisher.py
+++ b/brambleusher/controlplane/configuration/publisher.py
@@ -1,6 +1,7 @@
 """Publishes configuration and instances to gateways by long poll.
 
-A gateway says which versions it has; the response comes once one of them is outdated, or after a while.
+A gateway's request names the versions that it has. The response is sent as soon as one of them is outdated,
+or after `POLL_TIMEOUT_S`.
 """
 
 from __future__ import annotations
@@ -20,12 +21,15 @@
 from brambleusher.runtime.scheduler import Event, Scheduler, TaskTimeoutError
 from brambleusher.wire.json_fields import JsonObject
 
-POLL_TIMEOUT_S = 0.5  # without an update; gateways turn to another controller after about twice that
-GATEWAY_ALIVE_S = 10.0  # gateways with a contact so recent share budgets
+# A poll without an update is answered after this time. Gateways switch to another controller after about
+# twice this time without a response.
+POLL_TIMEOUT_S = 0.5
+# Gateways that polled within this time count as alive; budgets are divided among them.
+GATEWAY_ALIVE_S = 10.0
 
 
 class ConfigurationPublisher:
-    """Answers long polls; `notify` wakes those that wait."""
+    """Answers long polls; `notify` wakes the polls that wait for an update."""
 
     def __init__(
         self,
@@ -36,15 +40,15 @@
         view: PartialView,
         controllers: Callable[[], list[tuple[str, str, str]]],
     ) -> None:
-        """Serve what other parts of the controller have.
+        """Create a publisher of the controller's replicated state and instance list.
 
         Args:
-            scheduler: Of the serving thread.
-            name: Of this controller, the source of versions of its instance list.
-            replica: Has the state.
-            instances: Has the instance list.
-            view: Has the gateways.
-            controllers: Returns address, zone and region of all controllers.
+            scheduler: The scheduler of the serving thread.
+            name: The name of this controller, sent as the source of its instance list's versions.
+            replica: The replica that has the replicated state.
+            instances: The reader that has the instance list.
+            view: The view that tracks which gateways are alive.
+            controllers: Returns the address, zone and region of all controllers.
         """
         self._scheduler, self._name = scheduler, name
         self._replica, self._instances, self._view = replica, instances, view
@@ -53,7 +57,7 @@
         self._load_reports = FleetLoadReports()
 
     def notify(self) -> None:
-        """Wake all polls: state or instances have a new version."""
+        """Wake all waiting polls, after the state or the instance list has changed."""
         for event in self._waiting:
             event.set()
 
@@ -61,7 +65,7 @@
         """Wait for an update and return the response.
 
         Raises:
-            InvalidMessageError: The request can't be read.
+            InvalidMessageError: The request is invalid.
         """
         request = LongPollRequest.from_json(message)
         self._view.record_contact(request.gateway, self._scheduler.now())
--- a/brambleusher/controlplane/configuration/replicated_state.py
+++ b/brambleusher/controlplane/configuration/replicated_state.py
@@ -1,4 +1,4 @@
-"""What callers of the configuration group use, whether a replica of it is in this process or not."""
+"""Interface to the configuration group, for processes with and without a replica of their own."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NoLeaderError:
-    """Failure as a value: no leader was reached in time; whether a command was accepted is unknown."""
+    """Error value: no leader was reached before the deadline; whether a command took effect is unknown."""
 
 
 SubmitResult = Result[Verdict, NoLeaderError]
@@ -22,16 +22,16 @@
 
 
 class ReplicatedState(Protocol):
-    """The state that a majority agrees on.  Deadlines are seconds of the scheduler's clock."""
+    """The replicated state that a majority agrees on. Deadlines are in seconds of the scheduler's clock."""
 
     def submit(self, command: Command, deadline: float) -> SubmitResult:
-        """Have a command committed and applied."""
+        """Commit and apply a command, and return its outcome."""
 
     def read(self, deadline: float) -> ReadResult:
-        """Return the state as a majority has it at this moment (a linearizable read)."""
+        """Return the current state by a linearizable read."""
 
     def read_applied_index(self, deadline: float, /) -> IndexResult:
-        """Return the index up to which a replica has applied the log at this moment."""
+        """Return the index up to which a replica has applied the log."""
 
     def status(self) -> dict[str, object]:
-        """Return what this process knows of the group, as a JSON object."""
+        """Return this process's view of the group as a JSON object."""
--- a/brambleusher/controlplane/configuration/state_machine.py
+++ b/brambleusher/controlplane/configuration/state_machine.py
@@ -1,4 +1,4 @@
-"""The state machine of the configuration group: configuration in force and evacuated zones; pure."""
+"""The state machine of the configuration group: configuration in force and evacuated zones, without I/O."""
 
 from __future__ import annotations
 
@@ -20,24 +20,36 @@
     require_str,
 )
 
-ACCEPTED_DIGESTS_MAX = 4096  # change requests that are remembered; a day has hundreds
-# Of the stored form: fixed by what is on disks and by controllers of other versions.
+# Limits how many accepted change requests are remembered to detect repeated ones; a day has hundreds.
+ACCEPTED_DIGESTS_MAX = 4096
+# Keys of the stored state; stored snapshots and controllers of other versions use them, so they must not
+# change.
 STATE_KEYS = frozenset({"index", "revision", "packed", "digests", "evacuated", "zones_changed"})
 
 
 @dataclass(slots=True)
 class SharedState:
-    """The state that all replicas of the configuration group agree on."""
-
-    index: int = 0  # of the last command that changed something: the version that gateways hold
+    """The state that all replicas of the configuration group agree on.
+
+    Attributes:
+        index: The log index of the last command that changed the state; gateways use it as the state's
+            version.
+        revision: The revision of the configuration in force.
+        packed: The packed body of the configuration in force, or "" before the first configuration.
+        accepted_digests: Digests of the latest accepted change requests, oldest first.
+        evacuated_zones: The names of the zones that are evacuated.
+        zone_change_index: The log index of the last change of each zone, by zone name.
+    """
+
+    index: int = 0
     revision: int = 0
-    packed: str = ""  # body of the configuration in force; empty before the first
+    packed: str = ""
     accepted_digests: list[str] = field(default_factory=list)
     evacuated_zones: list[str] = field(default_factory=list)
-    zone_change_index: dict[str, int] = field(default_factory=dict)  # of each zone's last change
+    zone_change_index: dict[str, int] = field(default_factory=dict)
 
     def apply(self, index: int, command: Command) -> Verdict:
-        """Apply a committed command and return how it ended."""
+        """Apply a committed command and return its outcome."""
         if isinstance(command, PutConfiguration):
             return self._put_configuration(index, command)
         return self._set_evacuation(index, command)
@@ -68,7 +80,7 @@
         return Verdict.ACCEPTED
 
     def as_json(self) -> dict[str, object]:
-        """Return the form in snapshots."""
+        """Return the state as the JSON object that snapshots store."""
         return {
             "index": self.index,
             "revision": self.revision,
@@ -79,15 +91,18 @@
         }
 
     def as_read_json(self) -> dict[str, object]:
-        """Return the form for a reader, who needs no digests of the past."""
+        """Return the state as a JSON object for a reader, without the digests of accepted change requests."""
         return {**self.as_json(), "digests": []}
 
     @classmethod
     def from_json(cls, value: object) -> SharedState:
-        """Return the state of a snapshot; an empty one for None.  Versions before wrote fewer keys.
+        """Parse the state in a snapshot, or return an empty state for None.
+
+        Earlier versions wrote fewer keys, so missing keys get their defaults. Unknown keys are rejected,
+        since their content would be lost.
 
         Raises:
-            InvalidMessageError: A field is of the wrong type, or unknown: its content would be lost.
+            InvalidMessageError: A field is unknown or of the wrong type.
         """
         if value is None:
             return cls()
--- a/brambleusher/controlplane/disk_writer.py
+++ b/brambleusher/controlplane/disk_writer.py
@@ -1,4 +1,4 @@
-"""Writes a replica's records and snapshots beside the serving thread, in order."""
+"""Writes a replica's log records and snapshots to disk in order, on a worker thread."""
 
 from __future__ import annotations
 
@@ -14,20 +14,24 @@
 
 log = logging.getLogger(__name__)
 
-RETRY_BACKOFF_S = 0.2  # after a write that the disk rejected
+RETRY_BACKOFF_S = 0.2  # delay before a failed write is retried
 
 
 @dataclass(frozen=True, slots=True)
 class RecordsJob:
-    """Records to append and sync."""
+    """Records to append and sync.
+
+    `last_number` is the number of the last record; records are numbered from 1 since the start of the
+    process.
+    """
 
     records: list[Record]
-    last_number: int  # of the last of the records; they are numbered from 1 since the start
+    last_number: int
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotJob:
-    """A snapshot, and the entries that follow it."""
+    """A snapshot to write, and the log entries that follow it."""
 
     snapshot: Restore
     hard_state: HardState
@@ -38,7 +42,7 @@
 
 
 class DiskWriter:
-    """A queue of jobs for the disk's worker thread; a failed job is retried after a backoff.
+    """Queue of write jobs for the disk's worker thread; a failed job is retried after `RETRY_BACKOFF_S`.
 
     Callbacks run on the serving thread.
     """
@@ -51,41 +55,41 @@
         on_synced: Callable[[], None],
         on_snapshot_written: Callable[[int], None],
     ) -> None:
-        """Start the worker.
+        """Start the worker thread.
 
         Args:
-            scheduler: Of the serving thread.
-            storage: Belongs to the worker from now on.
-            identity: Of the replica, repeated at the head of each segment.
-            on_synced: Called once `synced_number` has advanced.
-            on_snapshot_written: Called with the index of a snapshot that is durable.
+            scheduler: The scheduler of the serving thread.
+            storage: The storage to write to; only the worker may use it from now on.
+            identity: The identity of the replica, written at the start of each segment.
+            on_synced: Called after `synced_number` has advanced.
+            on_snapshot_written: Called with the index of a snapshot once the snapshot is durable.
         """
         self._scheduler, self._storage, self._identity = scheduler, storage, identity
         self._on_synced, self._on_snapshot_written = on_synced, on_snapshot_written
-        self._jobs: deque[Job] = deque()  # guarded by the worker's lock, like `_is_backing_off`
+        self._jobs: deque[Job] = deque()  # guarded by the worker's lock, as is `_is_backing_off`
         self._appended_number = 0
-        self.synced_number = 0  # of the last record that is durable
+        self.synced_number = 0  # number of the last record that is durable
         self._is_snapshot_pending = False
         self._is_backing_off = False
         self._worker = scheduler.system.worker("disk", self._is_due, self._run_next)
 
     @property
     def pending_jobs(self) -> int:
-        """Jobs that are queued or being done."""
+        """The number of jobs that are queued or running."""
         return len(self._jobs)
 
     @property
     def is_snapshot_due(self) -> bool:
-        """Whether the segment has grown enough for a snapshot that is not yet being written."""
+        """Whether the segment is large enough for a snapshot, and no snapshot is pending."""
         return self._storage.is_snapshot_due and not self._is_snapshot_pending
 
     def append(self, records: list[Record]) -> None:
-        """Queue records, which get the next numbers."""
+        """Queue records and assign them the next record numbers."""
         self._appended_number += len(records)
         self._queue(RecordsJob(records, self._appended_number))
 
     def write_snapshot(self, snapshot: Restore, hard_state: HardState, entries: list[Entry]) -> None:
-        """Queue a snapshot with the entries that follow it."""
+        """Queue a snapshot with the log entries that follow it."""
         self._is_snapshot_pending = True
         self._queue(SnapshotJob(snapshot, hard_state, entries))
 
@@ -94,13 +98,13 @@
             self._jobs.append(job)
             self._worker.wake()
 
-    # --- in the worker ---------------------------------------------------------------------------
+    # --- on the worker thread --------------------------------------------------------------------
 
     def _is_due(self) -> bool:
         return bool(self._jobs) and not self._is_backing_off
 
     def _run_next(self) -> None:
-        """Do the next job; consecutive records are written and synced together."""
+        """Run the next job; consecutive record jobs are written and synced together."""
         with self._worker.lock:
             job, taken = self._next_job()
         try:
@@ -120,7 +124,7 @@
         self._scheduler.call_soon(lambda: self._done(job))
 
     def _next_job(self) -> tuple[Job, int]:
-        """Return what to do next, and how many queued jobs that covers."""
+        """Return the next job, and how many queued jobs it combines."""
         first = self._jobs[0]
         if isinstance(first, SnapshotJob):
             return first, 1
--- a/brambleusher/controlplane/forwarding.py
+++ b/brambleusher/controlplane/forwarding.py
@@ -1,4 +1,4 @@
-"""Requests that a follower forwards to the leader, and the leader's replies."""
+"""Forwarding of client requests from a follower to the leader, and the leader's replies."""
 
 from __future__ import annotations
 
@@ -10,11 +10,13 @@
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.wire.json_fields import JsonObject, require_int
 
-REQUEST = "forward"  # kinds of messages, on the wire
+# Values of the "kind" field of messages on the wire.
+REQUEST = "forward"
 REPLY = "forwarded"
-UNNUMBERED = -1
+UNNUMBERED = -1  # request number of a message that has none
 
-REPLY_TIMEOUT_S = 0.45  # for the leader to reply; then the leader is looked up anew
+# How long to wait for the leader's reply before the current leader is determined again.
+REPLY_TIMEOUT_S = 0.45
 RETRY_BACKOFF_S = 0.03
 
 SendMessage = Callable[[str, dict[str, object]], None]
@@ -22,44 +24,57 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardedRequest:
-    """A follower asks the leader to commit a command, or without one to read the state."""
+    """A follower's request that the leader commit a command, or read the state if `command` is None."""
 
     number: int
     command: Command | None
 
     def as_json(self) -> dict[str, object]:
-        """Return the form on the wire."""
+        """Return the request in its wire format."""
         if self.command is None:
             return {"kind": REQUEST, "number": self.number, "read": True}
         return {"kind": REQUEST, "number": self.number, "command": self.command.as_json()}
 
     @classmethod
     def from_json(cls, data: JsonObject) -> ForwardedRequest:
-        """Return a request from its form on the wire.
+        """Parse a request from its wire format.
 
         Raises:
-            InvalidMessageError: The number or the command can't be read.
+            InvalidMessageError: The number or the command is invalid.
         """
         number = require_int({"number": UNNUMBERED, **data}, "number")
         return cls(number, command_from_json(data["command"]) if "command" in data else None)
 
 
 def reply_to_json(number: int, answer: object) -> dict[str, object]:
-    """Return the form on the wire of a leader's reply; None for a request that it could not serve."""
+    """Return a leader's reply in its wire format; an `answer` of None means the request was not served."""
     return {"kind": REPLY, "number": number, "answer": answer}
 
 
 class LeaderForwarding:
-    """Forwards requests of this replica's callers to the leader, and matches its replies to them."""
+    """Forwards requests to the leader, and matches the leader's replies to the requests."""
 
     def __init__(self, scheduler: Scheduler, send: SendMessage, first_number: int) -> None:
-        """Start with a random `first_number`, so that replies to an earlier process do not match."""
+        """Create the forwarder.
+
+        Args:
+            scheduler: The scheduler of the serving thread.
+            send: Sends a message to an address.
+            first_number: The number before that of the first request; random, so that replies to an earlier
+                process at this address match no request.
+        """
         self._scheduler, self._send = scheduler, send
         self._number = first_number
-        self._pending: dict[int, tuple[str, PendingResult[object]]] = {}  # by number, with who was asked
+        # Pending requests by number, each with the address that it was sent to.
+        self._pending: dict[int, tuple[str, PendingResult[object]]] = {}
 
     def forward(self, leader_address: str | None, command: Command | None, deadline: float) -> object:
-        """Forward a command, or a read without one; return the leader's answer, None where there is none."""
+        """Forward a command, or a read if `command` is None.
+
+        Returns:
+            The leader's answer, or None if no leader is known, too many requests are pending, or the leader
+            did not answer in time or could not serve the request.
+        """
         if leader_address is None or len(self._pending) >= PENDING_MAX:
             self._scheduler.sleep(RETRY_BACKOFF_S)
             return None
@@ -76,13 +91,13 @@
         return answer
 
     def expect_reply(self, number: int, address: str) -> PendingResult[object]:
-        """Register a request that was sent to a replica."""
+        """Register a request to a replica, so that its reply is matched."""
         pending: PendingResult[object] = PendingResult()
         self._pending[number] = (address, pending)
         return pending
 
     def handle_reply(self, data: JsonObject, sender: str) -> None:
-        """Resolve the request that a reply is to, if it comes from the replica that was asked."""
+        """Resolve the request with the reply's number, if the reply comes from the replica it was sent to."""
         number = data.get("number")
         address, pending = self._pending.get(number, ("", None)) if isinstance(number, int) else ("", None)
         if pending is not None and address == sender:
--- a/brambleusher/controlplane/pending_proposals.py
+++ b/brambleusher/controlplane/pending_proposals.py
@@ -1,4 +1,4 @@
-"""Tasks that wait for results: of proposals, of confirmed reads, of forwarded requests."""
+"""Results of proposals, reads and forwarded requests that tasks wait for."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from brambleusher.controlplane.configuration.commands import Verdict
 from brambleusher.runtime.scheduler import Event, Scheduler, TaskTimeoutError
 
-PENDING_MAX = 256  # of each kind
+PENDING_MAX = 256  # limit on pending proposals, and separately on pending forwarded requests
 
 ResultT = TypeVar("ResultT")
 
 
 class PendingResult(Generic[ResultT]):
-    """A result that one task waits for; None stands for none."""
+    """A result that one task waits for; None means that the operation failed."""
 
     __slots__ = ("event", "result")
 
@@ -22,12 +22,12 @@
         self.result: ResultT | None = None
 
     def resolve(self, result: ResultT | None) -> None:
-        """Set the result and wake the task."""
+        """Set the result and wake the waiting task."""
         self.result = result
         self.event.set()
 
     def wait(self, scheduler: Scheduler, deadline: float) -> ResultT | None:
-        """Return the result; None where there was none before the deadline."""
+        """Wait for the result; return None if there is no result before the deadline."""
         try:
             scheduler.park(deadline, event=self.event)
         except TaskTimeoutError:
@@ -39,37 +39,43 @@
 
 
 class PendingProposals:
-    """Proposals of this leader by their index in the log, until they are applied."""
+    """Proposals made by this leader that are not yet applied, by their index in the log."""
 
     def __init__(self) -> None:
-        self._by_index: dict[int, tuple[int, PendingProposal]] = {}  # with the term of the proposal
+        # Pending proposals by log index, each with the term in which it was proposed.
+        self._by_index: dict[int, tuple[int, PendingProposal]] = {}
 
     @property
     def is_full(self) -> bool:
-        """Whether no further proposal may be made now."""
+        """Whether the limit on pending proposals is reached."""
         return len(self._by_index) >= PENDING_MAX
 
     def at(self, index: int) -> PendingProposal | None:
-        """Return the proposal that is pending at an index."""
+        """Return the proposal that is pending at a log index, or None."""
         pending = self._by_index.get(index)
         return pending[1] if pending is not None else None
 
     def add(self, index: int, term: int) -> PendingProposal:
-        """Register a proposal that was appended at an index."""
+        """Register a proposal that was appended to the log at an index."""
         superseded = self.at(index)
-        if superseded is not None:  # of a term in which this replica led before: its entry was overwritten
+        if superseded is not None:
+            # Proposed in an earlier term in which this replica was leader: its log entry was overwritten.
             superseded.resolve(None)
         pending = PendingProposal()
         self._by_index[index] = (term, pending)
         return pending
 
     def applied(self, index: int, term: int, verdict: Verdict | None) -> None:
-        """Resolve the proposal at an index, with the verdict only if its own entry was applied there."""
+        """Resolve the proposal at an index after the entry there was applied.
+
+        The proposal gets the verdict only if the applied entry is of the proposal's term; otherwise another
+        leader's entry has replaced it, and it fails.
+        """
         proposed_term, pending = self._by_index.pop(index, (0, None))
         if pending is not None:
             pending.resolve(verdict if proposed_term == term else None)
 
     def discard(self, index: int, pending: PendingProposal) -> None:
-        """Give up a proposal, unless another caller's entry has come to have its index."""
+        """Remove a proposal, unless a later proposal has replaced it at the same index."""
         if self.at(index) is pending:
             del self._by_index[index]
--- a/brambleusher/controlplane/replica.py
+++ b/brambleusher/controlplane/replica.py
@@ -1,6 +1,7 @@
 """One replica of the configuration group: drives consensus, disk and state machine.
 
-Consensus is pure: this driver gives it messages, time and finished disk writes, and carries out its output.
+Consensus does no I/O: this driver passes it messages, clock readings and completed disk writes, and carries
+out its output.
 """
 
 from __future__ import annotations
@@ -33,8 +34,8 @@
 from brambleusher.wire.consensus_messages import Entry, EntryKind
 from brambleusher.wire.settings import Settings
 
-JOIN_INTERVAL_S = 0.5  # between requests to become a member
-VOTE_HANDOVER_INTERVAL_S = 0.1  # between requests of a draining replica for another to get its vote
+JOIN_INTERVAL_S = 0.5  # minimum time between two requests to become a member
+VOTE_HANDOVER_INTERVAL_S = 0.1  # time between two shutdown notices of a replica that hands over its vote
 TICK_MIN_S = 0.005
 RETRY_BACKOFF_S = 0.03
 VOTERS_MIN = 3
@@ -42,22 +43,22 @@
 
 
 def _voter_count(settings: Settings) -> int:
-    """Return how many voters keep a majority when as many machines are lost as have to be tolerated."""
+    """Return how many voters keep a majority when the tolerated number of machines fails."""
     return max(VOTERS_MIN, settings.tolerance.machines * 2 + 1)
 
 
 class Replica:
-    """Serves commands and reads.
+    """Serves commands and linearizable reads of the replicated state.
 
     Args:
-        scheduler: Of the serving thread.
-        settings: Of this process.
-        disk: Where the log and snapshots are; it is recovered before the constructor returns.
-        send: Sends a message to an address, without a guarantee.
-        rng: Source of every random draw.
-        on_state_changed: Called whenever the state has got a new version.
-        known_controllers: Returns addresses of the other controllers, for requests to join.
-        known_zones: Returns zones of the other controllers by address, for the placement of votes.
+        scheduler: The scheduler of the serving thread.
+        settings: The settings of this process.
+        disk: The disk with the log and snapshots; it is recovered before the constructor returns.
+        send: Sends a message to an address; messages may be lost.
+        rng: The source of all randomness.
+        on_state_changed: Called whenever the version of the state has changed.
+        known_controllers: Returns the addresses of the other controllers, for requests to join.
+        known_zones: Returns the zones of the other controllers by address, for the placement of voters.
     """
 
     def __init__(
@@ -107,10 +108,10 @@
             settings.zones,
         )
 
-    # --- requests of callers ---------------------------------------------------------------------
+    # --- client requests -------------------------------------------------------------------------
 
     def submit(self, command: Command, deadline: float) -> SubmitResult:
-        """Have a command committed and applied, here or by the leader."""
+        """Commit and apply a command, either here or by forwarding it to the leader."""
         while self._scheduler.now() < deadline:
             if self.consensus.accepts_proposals():
                 verdict = self._propose(command, deadline)
@@ -121,7 +122,7 @@
         return Err(NoLeaderError())
 
     def read(self, deadline: float) -> ReadResult:
-        """Return the state as a majority has it at this moment (a linearizable read)."""
+        """Return the current state by a linearizable read."""
         while self._scheduler.now() < deadline:
             if self.consensus.is_leader:
                 if self._confirm_leadership(min(deadline, self._request_deadline())):
@@ -135,23 +136,23 @@
 
     @property
     def applied_index(self) -> int:
-        """The index up to which `state` holds everything."""
+        """The index up to which the log is applied to `state`."""
         return self._applied_index
 
     def read_applied_index(self, _deadline: float, /) -> IndexResult:
-        """Return the index up to which `state` holds everything."""
+        """Return the index up to which the log is applied to `state`."""
         return Ok(self.applied_index)
 
     def has_vote(self) -> bool:
-        """Whether a quorum may need this replica."""
+        """Return whether a quorum may need this replica's vote."""
         return self.consensus.has_vote()
 
     def voters(self) -> list[str]:
-        """Return the addresses of the replicas that have a vote."""
+        """Return the addresses of the voting members."""
         return [member.address for member in self.consensus.voters]
 
     def status(self) -> dict[str, object]:
-        """Return the state as a JSON object."""
+        """Return the status of this replica as a JSON object."""
         return {
             **self.consensus.status().as_json(),
             "revision": self.state.revision,
@@ -163,13 +164,13 @@
     # --- graceful shutdown -----------------------------------------------------------------------
 
     def begin_graceful_shutdown(self) -> None:
-        """Hand over leadership and vote, where others can have them; the process ends soon."""
+        """Start handing over leadership and vote to other replicas, if any can take them."""
         if not self.consensus.is_shutting_down:
             self.consensus.begin_graceful_shutdown()
             self._scheduler.spawn(self._hand_over_vote, name="leave")
 
     def _hand_over_vote(self) -> None:
-        """Ask all members again and again, since whoever leads next has to know too."""
+        """Send shutdown notices to all members periodically, so that the next leader gets one too."""
         request = wire.encode_message(wire.ShutdownNotice(self.identity.id))
         while True:
             if self.consensus.accepts_proposals():
@@ -180,13 +181,13 @@
                     self._send(member.address, request)
             self._scheduler.sleep(VOTE_HANDOVER_INTERVAL_S)
 
-    # --- messages of other replicas --------------------------------------------------------------
+    # --- messages from other replicas ------------------------------------------------------------
 
     def handle(self, data: dict[str, object], sender: str) -> None:
-        """Handle a message of another replica.
+        """Handle a message from another replica.
 
         Raises:
-            InvalidMessageError: The message can't be read.
+            InvalidMessageError: The message is invalid.
         """
         kind = data.get("kind")
         if kind == forwarding.REQUEST:
@@ -206,7 +207,10 @@
         self._process_output()
 
     def _relay_join_request(self, request: wire.JoinRequest, sender: str) -> None:
-        """Send a newcomer's own request on to the leader, once: it may not know the leader."""
+        """Relay a join request to the leader, which the joining replica may not know.
+
+        Only a request that came directly from the joining replica is relayed, so that it is relayed once.
+        """
         leader = self.consensus.leader_member()
         is_own_request = sender == request.member.address
         if is_own_request and leader is not None and leader.address not in (sender, self.identity.address):
@@ -229,7 +233,11 @@
         return self._scheduler.now() + forwarding.REPLY_TIMEOUT_S
 
     def _propose(self, command: Command, deadline: float) -> Verdict | None:
-        """Append a command to the log and wait until it is applied; None where that did not happen."""
+        """Append a command to the log and wait until it is applied.
+
+        Returns:
+            The command's outcome, or None if the command was not appended, or was not applied in time.
+        """
         if self._proposals.is_full:
             self._scheduler.sleep(RETRY_BACKOFF_S)
             return None
@@ -247,12 +255,12 @@
         return Verdict(answer) if isinstance(answer, str) else None
 
     def _leader_address(self) -> str | None:
-        """Return where another replica that leads is reached; None where none is known."""
+        """Return the leader's address, or None if no leader is known or this replica is the leader."""
         leader = self.consensus.leader_member()
         return None if leader is None or leader.id == self.identity.id else leader.address
 
     def _confirm_leadership(self, deadline: float) -> bool:
-        """Whether a majority still follows this leader, so that its state is the newest."""
+        """Return whether a majority confirmed that this replica still leads, so that its state is current."""
         confirmed: PendingResult[bool] = PendingResult()
         self.consensus.read(confirmed.resolve)
         self._process_output()
@@ -278,17 +286,18 @@
             return
         self._last_join_at = now
         request = wire.encode_message(wire.JoinRequest(self.identity.id, self.identity))
-        # Replicas that sent messages too: members may still talk to one that lost its disk, and no seed may.
+        # Include addresses that sent messages: if this replica lost its disk, members may still send messages
+        # to it, even if no seed does.
         known = {*self.seeds, *self._known_controllers(), *self._addresses.addresses()}
         for address in known - {self.identity.address}:
             self._send(address, request)
 
     def _zones(self) -> dict[str, str]:
-        """Return zones of replicas by address, as far as they are known."""
+        """Return the known zones of replicas by address."""
         return {**self._known_zones(), self.identity.address: self.identity.zone}
 
     def _process_output(self) -> None:
-        """Carry out what consensus decided: store, apply, send."""
+        """Carry out the output of consensus: store records, apply committed entries, send messages."""
         output = self.consensus.take_output()
         if output.records:
             self._disk_writer.append(output.records)
@@ -322,7 +331,7 @@
             message = self.consensus.fill_snapshot(message, self._applied_index, self.state.as_json())
         self._send(address, wire.encode_message(message))
 
-    # --- finished disk writes --------------------------------------------------------------------
+    # --- completed disk writes -------------------------------------------------------------------
 
     def _records_synced(self) -> None:
         synced_number = self._disk_writer.synced_number
--- a/brambleusher/controlplane/startup.py
+++ b/brambleusher/controlplane/startup.py
@@ -1,4 +1,4 @@
-"""The start of a replica: recovers its disk, and gives it an identity where the disk has none."""
+"""Startup of a replica: recovers its disk, and creates an identity if the disk has none."""
 
 from __future__ import annotations
 
@@ -18,12 +18,13 @@
 
 WRITE_RETRY_S = 0.2
 IDENTITY_BITS = 64
-# Begins the identities of the first group, followed by the address; stored, so its spelling stays.
+# Prefix of the identities of bootstrap members, followed by the address. Identities are stored on disk, so
+# the prefix must not change.
 BOOTSTRAP_PREFIX = "founder-"
 
 
 def recover_storage(disk: Disk) -> tuple[Storage, RecoveredState]:
-    """Recover a disk; one that is corrupt counts as lost, and the replica comes back as a new member."""
+    """Recover a disk; a corrupt disk is emptied, and the replica rejoins the group as a new member."""
     storage = Storage(disk)
     try:
         return storage, storage.recover()
@@ -40,7 +41,7 @@
 def establish_identity(
     system: System, settings: Settings, storage: Storage, recovered: RecoveredState, rng: random.Random
 ) -> Member:
-    """Return who this replica is: as its disk says, else a new identity that is durable on return."""
+    """Return this replica's identity from its disk, or a new identity that is durable on return."""
     identity = recovered.identity
     if not identity:
         identity = f"{rng.getrandbits(IDENTITY_BITS):016x}"
@@ -53,7 +54,7 @@
 
 
 def _bootstrap_members(settings: Settings) -> tuple[Member, ...]:
-    """Return the members of the first group, the seeds; empty where this process is none of them."""
+    """Return the seeds as bootstrap members, or no members if this process does not bootstrap the group."""
     seeds = dict(zip(settings.seed_peers(), settings.seeds, strict=True))
     if not settings.bootstrap or settings.peer_address not in seeds:
         return ()
@@ -63,7 +64,7 @@
 def _write_identity(
     system: System, storage: Storage, identity: str, bootstrap_members: tuple[Member, ...]
 ) -> None:
-    """Write the new identity before any message is sent under it, however long the disk takes."""
+    """Write a new identity, and retry until it is durable: no message may be sent under it before that."""
     while True:
         try:
             storage.begin(identity, bootstrap_members)
