--- a/brambleusher/controlplane/consensus/election.py
+++ b/brambleusher/controlplane/consensus/election.py
@@ -1,11 +1,11 @@
 """Elections: pre-votes, votes and how a candidate becomes leader.
 
-Election safety (at most one leader a term): a replica votes once a term and syncs its vote before the reply
-leaves, and a candidate needs a quorum.  Leader completeness (a leader has every committed entry): a vote is
-granted only to a candidate whose log is at least as up to date, and every quorum meets every set of replicas
-that may have committed an entry.
+Election safety (at most one leader per term): a replica votes at most once per term and syncs its vote before
+it replies, and a candidate needs a quorum of votes. Leader completeness (a leader has every committed entry):
+a vote is granted only to a candidate whose log is at least as up to date, and every quorum intersects every
+set of replicas that may have committed an entry.
 
-Source: Raft, section 5.2 and 5.4.1; pre-vote: Ongaro's dissertation, section 9.6.
+Source: Raft paper, sections 5.2 and 5.4.1; pre-vote: Ongaro's dissertation, section 9.6.
 """
 
 from __future__ import annotations
@@ -17,18 +17,19 @@
 
 
 class Election:
-    """The election of this replica, and its votes for others.
+    """Runs this replica's elections, and votes on the requests of other candidates.
 
-    Methods that may end in a won election return whether it is won: the caller makes this replica the leader.
+    Methods that can complete an election return whether this replica won it; the caller then makes it the
+    leader.
     """
 
     def __init__(self, state: ReplicaState) -> None:
         self._state = state
         self._votes: set[str] = set()
-        self._own_vote_record = 0  # number of the record of this replica's vote for itself
+        self._own_vote_record = 0  # number of the disk record with this replica's vote for itself
 
     def handle_timer(self) -> bool:
-        """Start a pre-vote after an election timeout without contact to a leader."""
+        """Start a pre-vote if the election timeout has expired; return whether the election is won."""
         state = self._state
         if state.now < state.election_due_s:
             return False
@@ -36,11 +37,13 @@
         return bool(state.voters) and self.start_election(is_pre_vote=True)
 
     def start_election(self, *, is_pre_vote: bool, is_transfer: bool = False) -> bool:
-        """Ask all voters for their votes, in a pre-vote whether they would give them.
+        """Request votes from all voters; return whether the election is won.
 
         Args:
-            is_pre_vote: Ask without a change of term, so that a replica that was cut off disturbs nobody.
-            is_transfer: The leader asked for it; voters need not have lost contact with that leader.
+            is_pre_vote: Whether to ask only if the voters would grant a vote, without a change of term, so
+                that a replica that was partitioned does not disrupt the group.
+            is_transfer: Whether the leader asked for this election; voters then grant votes even if they are
+                still in contact with that leader.
         """
         state = self._state
         state.leader_id = ""
@@ -52,7 +55,8 @@
             state.become(Role.CANDIDATE)
             state.term += 1
             after_record = self._own_vote_record = state.record_vote(state.identity.id)
-            self._votes = set()  # the own vote counts once it is synced: see `handle_records_synced`
+            # This replica's own vote counts once its record is synced: see `handle_records_synced`.
+            self._votes = set()
         state.reset_election_timer()
         asked_term = state.term + 1 if is_pre_vote else state.term
         request = wire.VoteRequest(
@@ -63,10 +67,10 @@
         return self._count_votes()
 
     def handle_records_synced(self, record: int) -> bool:
-        """Count the own vote once its record is on the disk.
+        """Count this replica's own vote once its record is on the disk; return whether the election is won.
 
-        Election safety: a candidate that loses its vote with its power could win the same term twice, where
-        no other vote is needed.
+        Election safety: a candidate that lost its unsynced vote in a power failure could win the same term
+        twice in a group where its own vote is a quorum.
         """
         if self._state.role is not Role.CANDIDATE or record < self._own_vote_record:
             return False
@@ -74,21 +78,22 @@
         return self._count_votes()
 
     def handle_vote_request(self, request: wire.VoteRequest) -> None:
-        """Grant or deny a vote."""
+        """Grant or deny a vote, and send the reply."""
         state = self._state
         if self._has_live_leader() and not request.is_transfer:
-            # A member that was cut off, or is none any more, must not unseat a healthy leader.
+            # A replica that was partitioned or removed from the group must not depose a healthy leader.
             self._reply(request, False)
             return
-        # Leader completeness: no vote for a log that may lack a committed entry.
+        # Leader completeness: deny the vote if the candidate's log may lack a committed entry.
         is_up_to_date = (request.last_term, request.last_index) >= (state.log.last_term, state.log.last_index)
         if request.is_pre_vote:
             self._reply(request, is_up_to_date and request.term > state.term)
             return
         if request.term > state.term:
             state.become_follower(request.term, "")
-        # Whose votes count is for the candidate to say: this replica may not know yet that it got one.
-        # Election safety: one vote a term.
+        # A replica that is not a voter in its own log grants votes too: it may not have received the entry
+        # that makes it a voter yet, and the candidate decides whose votes count.
+        # Election safety: at most one vote per term.
         granted = is_up_to_date and request.term == state.term and state.vote in ("", request.sender)
         if granted and not state.vote:
             state.record_vote(request.sender)
@@ -97,7 +102,7 @@
         self._reply(request, granted)
 
     def handle_vote_reply(self, reply: wire.VoteReply) -> bool:
-        """Count a vote that was granted in the current election."""
+        """Count a vote if it was granted in the current election; return whether the election is won."""
         state = self._state
         if reply.term > state.term:
             state.become_follower(reply.term, "")
--- a/brambleusher/controlplane/consensus/errors.py
+++ b/brambleusher/controlplane/consensus/errors.py
@@ -1,7 +1,7 @@
-"""Errors of consensus; a message from outside that can't be read is an error of `brambleusher.wire`."""
+"""Exceptions of consensus; invalid messages raise the exceptions of `brambleusher.wire.errors` instead."""
 
 from __future__ import annotations
 
 
 class InvariantViolationError(AssertionError):
-    """A rule that consensus rests on does not hold: a fault of this program, never of its input."""
+    """An invariant of consensus is violated, which is always a bug in this program, not invalid input."""
--- a/brambleusher/controlplane/consensus/follower.py
+++ b/brambleusher/controlplane/consensus/follower.py
@@ -1,9 +1,9 @@
 """Replication as a follower: checks and appends the entries that the leader sends.
 
-Log matching: entries are taken only behind one of the same index and term, so that two logs which have an
-entry of the same index and term are the same up to there.
+Log matching: new entries are appended only after an entry with the index and term that the leader names, so
+that two logs that both have an entry with the same index and term are identical up to that entry.
 
-Source: Raft, section 5.3.
+Source: Raft paper, section 5.3.
 """
 
 from __future__ import annotations
@@ -17,19 +17,19 @@
 
 
 class Follower:
-    """Takes entries of the leader of the current term."""
+    """Checks and appends entries from the leader of the current term."""
 
     def __init__(self, state: ReplicaState) -> None:
         self._state = state
 
     def reject_stale_leader(self, message: wire.LeaderMessage) -> None:
-        """Tell the leader of an earlier term that there is a later one."""
+        """Reply to the leader of an earlier term with the current term, so that it steps down."""
         state = self._state
         reply = wire.AppendEntriesReply(state.term, state.identity.id, False, state.log.last_index, 0)
         state.send_to(message.sender, reply)
 
     def handle_append_entries(self, message: wire.AppendEntries) -> None:
-        """Append entries that fit behind the log, and commit what the leader has committed of them."""
+        """Append entries that match this replica's log, and commit those that the leader has committed."""
         state = self._state
         state.record_leader_contact(message.sender)
         if state.log.term_at(message.previous_index) == message.previous_term:
@@ -37,12 +37,12 @@
         elif message.previous_index < state.log.base_index:
             self._append_past_snapshot(message)
         else:
-            # Log matching: nothing is taken; the hint tells the leader how far to go back.
+            # Log matching: append nothing; the hint tells the leader which index to go back to.
             hint = min(state.log.last_index, max(message.previous_index - 1, state.log.base_index))
             state.reply_to_leader(False, hint, message.heartbeat_sequence)
 
     def _append_past_snapshot(self, message: wire.AppendEntries) -> None:
-        """Take entries that begin before the own snapshot: what is in the snapshot is committed already."""
+        """Append entries that begin before this replica's snapshot, except those that the snapshot covers."""
         base_index = self._state.log.base_index
         last = message.previous_index + len(message.entries)
         if last < base_index:
@@ -57,7 +57,7 @@
         self._state.commit_to(min(message.leader_commit, last))
 
     def _append(self, entries: Sequence[Entry]) -> None:
-        """Append what is missing; an entry of another term, and all behind it, give way to the leader's."""
+        """Append missing entries, after truncating the log from the first entry with a conflicting term."""
         state = self._state
         for entry in entries:
             known_term = state.log.term_at(entry.index)
@@ -69,4 +69,4 @@
                 state.durability.record_truncation(entry.index)
             state.append_entry(entry)
         if entries:
-            state.become_passive()  # the entries may have given or taken this replica's vote
+            state.become_passive()  # the entries may have granted or revoked this replica's vote
--- a/brambleusher/controlplane/consensus/membership_plan.py
+++ b/brambleusher/controlplane/consensus/membership_plan.py
@@ -1,8 +1,8 @@
-"""Which single change of its members a replica group makes next; pure.
+"""Decides on the next single membership change of a replica group; no I/O.
 
-A voter that shuts down, is unresponsive or is one too many in its zone is replaced in two changes: first
-another member gets a vote, then the one that is too many loses its own.  In between the group has an even
-number of voters, of which a lost disk takes nothing away (see `quorum`).
+A voter that shuts down, is unresponsive or is surplus in its zone is replaced in two changes: first another
+member is promoted to voter, then the surplus voter is demoted. In between the group has an even number of
+voters, which tolerates the loss of one disk without losing committed entries (see `quorum`).
 """
 
 from __future__ import annotations
@@ -13,25 +13,27 @@
 from brambleusher.controlplane.consensus.quorum import votes_needed
 from brambleusher.wire.consensus_messages import Member
 
-UNRESPONSIVE_VOTER_S = 1.0  # a voter this long without a reply gives its vote to a learner that is there
-UNRESPONSIVE_LEARNER_S = 60.0  # a learner this long without a reply is no member any more
+# A voter that has not replied for this time is replaced by a responsive learner.
+UNRESPONSIVE_VOTER_S = 1.0
+UNRESPONSIVE_LEARNER_S = 60.0  # a learner that has not replied for this time is removed from the group
 MEMBERS_MAX = 16
-CROWDED_BY = 2  # votes that a zone or region must have more than another before one moves there
+# How many more voters than another a zone or region must have before a voter is moved to the other.
+CROWDED_BY = 2
 
 
 @dataclass(frozen=True, slots=True)
 class Group:
-    """What a leader knows of its group; votes are spread over regions, and within these over zones.
+    """A leader's view of its group; voters are spread over regions, and within regions over zones.
 
     Attributes:
         members: All members, voters and learners.
-        leader: The identity of the leader, which always keeps its vote.
-        required_voters: How many votes the group should have.
-        seconds_since_contact: The time since each other member replied, by identity.
-        caught_up: Identities of those that have everything.
-        shutting_down: Identities of those that are about to end.
-        is_stable: Whether all voters are there, and have been for a while.
-        region_by_zone: The region of each zone, where regions are configured.
+        leader: The identity of the leader, which always stays a voter.
+        required_voters: How many voters the group should have.
+        seconds_since_contact: The seconds since the last reply of each other member, by identity.
+        caught_up: Identities of the members that have every committed entry.
+        shutting_down: Identities of the members that are shutting down.
+        is_stable: Whether all voters are responsive, and this leader has led for long enough to move voters.
+        region_by_zone: The region of each zone; empty if no regions are configured.
     """
 
     members: Sequence[Member]
@@ -45,7 +47,7 @@
 
     @property
     def voters(self) -> list[Member]:
-        """Members whose votes count."""
+        """The members that are voters."""
         return [member for member in self.members if member.is_voter]
 
     def is_unresponsive(self, member: Member) -> bool:
@@ -55,35 +57,39 @@
         return self.seconds_since_contact.get(member.id, 0.0) > UNRESPONSIVE_VOTER_S
 
     def should_lose_vote(self, member: Member) -> bool:
-        """Return whether a member should not keep a vote that another can have."""
+        """Return whether a member should be demoted if another member can be promoted in its place."""
         if member.id == self.leader:
             return False
         return member.id in self.shutting_down or self.is_unresponsive(member)
 
     @property
     def has_known_zones(self) -> bool:
-        """Whether every voter's zone is known: bootstrap members announce theirs only after the start."""
+        """Whether the zones of all voters are known; bootstrap members announce theirs only after startup."""
         return all(member.zone for member in self.voters)
 
     def votes_in_zone(self, zone: str) -> int:
-        """Return the votes in a zone that are to stay."""
+        """Return the number of voters in a zone that should stay voters."""
         return sum(member.zone == zone and not self.should_lose_vote(member) for member in self.voters)
 
     def votes_nearby(self, zone: str) -> tuple[int, int]:
-        """Return the votes in a zone's region and in the zone itself that are to stay."""
+        """Return the numbers of voters that should stay voters in a zone's region, and in the zone itself."""
         region = self.region_by_zone.get(zone, "")
-        zones = {zone} if not region else {name for name, its in self.region_by_zone.items() if its == region}
+        zones = (
+            {zone}
+            if not region
+            else {name for name, zone_region in self.region_by_zone.items() if zone_region == region}
+        )
         return sum(self.votes_in_zone(name) for name in zones), self.votes_in_zone(zone)
 
     def with_vote(self, identity: str, is_voter: bool) -> tuple[Member, ...]:
-        """Return the members with one vote changed."""
+        """Return the members after one member is promoted or demoted."""
         return tuple(
             replace(each, is_voter=is_voter) if each.id == identity else each for each in self.members
         )
 
 
 def next_members(group: Group, joining: Sequence[Member]) -> tuple[Member, ...] | None:
-    """Return the members after the next change, at most one vote apart; None where nothing is to change."""
+    """Return the members after the next change, which affects at most one vote, or None if none is needed."""
     return (
         _replace_wiped_member(group, joining)
         or _demote_voter(group)
@@ -94,7 +100,7 @@
 
 
 def _replace_wiped_member(group: Group, joining: Sequence[Member]) -> tuple[Member, ...] | None:
-    """Replace a member at whose address a newcomer is: its disk is gone, and it can never vote again."""
+    """Replace a member whose disk is lost by the new replica at its address, since it cannot vote again."""
     known = {member.id for member in group.members}
     for newcomer in joining:
         wiped = next((member for member in group.members if member.address == newcomer.address), None)
@@ -106,7 +112,7 @@
 
 
 def _admit_newcomer(group: Group, joining: Sequence[Member]) -> tuple[Member, ...] | None:
-    """Add a newcomer as a learner."""
+    """Add a joining replica as a learner."""
     known = {member.id for member in group.members}
     for newcomer in joining:
         if newcomer.id not in known and len(group.members) < MEMBERS_MAX:
@@ -115,7 +121,7 @@
 
 
 def _promote_learner(group: Group) -> tuple[Member, ...] | None:
-    """Give a vote to a learner that has everything, where there are the fewest votes."""
+    """Promote a caught-up learner to voter, in the region and zone with the fewest voters."""
     learners = [
         member
         for member in group.members
@@ -131,7 +137,7 @@
 
 
 def _may_exceed(group: Group) -> bool:
-    """Return whether the group is complete and one more vote can be agreed on by those that are there."""
+    """Return whether the group has all required voters, and its responsive voters can commit one more."""
     voters = group.voters
     if len(voters) != group.required_voters:
         return False
@@ -140,11 +146,12 @@
 
 
 def _improves(group: Group, learner: Member) -> bool:
-    """Return whether a vote for this learner in place of another's leaves the group better off."""
+    """Return whether replacing some voter by this learner improves the group."""
     if any(group.should_lose_vote(member) for member in group.voters):
         return True
     if not group.is_stable or not group.has_known_zones or not learner.zone:
-        return False  # a vote for the sake of zones alone must not meet a fault that is not detected yet
+        # Voters are not moved between zones while a fault may be undetected.
+        return False
     return any(
         _is_more_crowded(group, member.zone, learner.zone)
         for member in group.voters
@@ -153,7 +160,10 @@
 
 
 def _is_more_crowded(group: Group, zone: str, other: str) -> bool:
-    """Return whether a vote is better off in the other zone; never so both ways, or moves would not end."""
+    """Return whether a voter should move to the other zone.
+
+    The result is never true in both directions, since voters would then move back and forth forever.
+    """
     in_region, in_zone = group.votes_nearby(zone)
     in_other_region, in_other = group.votes_nearby(other)
     if in_region >= in_other_region + CROWDED_BY:
@@ -164,7 +174,7 @@
 
 
 def _demote_voter(group: Group) -> tuple[Member, ...] | None:
-    """Take a vote too many from one that shuts down or is unresponsive, else from the fullest zone."""
+    """Demote a surplus voter: preferably one that is unresponsive or shuts down, else in the fullest zone."""
     voters = group.voters
     others = [member for member in voters if member.id != group.leader]
     if len(voters) <= group.required_voters or not others:
@@ -185,7 +195,7 @@
 
 
 def _remove_unresponsive_learner(group: Group) -> tuple[Member, ...] | None:
-    """Remove the longest unresponsive learner, if for too long; sooner where the group is full."""
+    """Remove the learner that has been unresponsive the longest; a full group waits a shorter time."""
     limit_s = UNRESPONSIVE_LEARNER_S if len(group.members) < MEMBERS_MAX else UNRESPONSIVE_VOTER_S
     unresponsive_s = {
         each.id: group.seconds_since_contact.get(each.id, 0.0) for each in group.members if not each.is_voter
--- a/brambleusher/controlplane/consensus/membership_requests.py
+++ b/brambleusher/controlplane/consensus/membership_requests.py
@@ -1,6 +1,6 @@
-"""Requests to join a replica group and notices of shutdown that this replica got lately; pure.
+"""Recent join requests and shutdown notices that this replica received; no I/O.
 
-All times are of the local clock, in seconds.
+All times are in seconds of the local clock.
 """
 
 from __future__ import annotations
@@ -10,14 +10,16 @@
 
 from brambleusher.wire.consensus_messages import Member
 
-JOIN_REQUEST_EXPIRY_S = 3.0  # after which a request to join has to be repeated
-DISK_LOSS_PROOF_S = 0.4  # of repeated requests from the address of an unresponsive member: its disk is lost
-SHUTDOWN_NOTICE_EXPIRY_S = 1.0  # after which a notice of shutdown has to be repeated
+JOIN_REQUEST_EXPIRY_S = 3.0  # a join request that is not repeated within this time is dropped
+# When another process repeats join requests from the address of an unresponsive member for this time, that
+# member's disk counts as lost.
+DISK_LOSS_PROOF_S = 0.4
+SHUTDOWN_NOTICE_EXPIRY_S = 1.0  # a shutdown notice that is not repeated within this time is dropped
 
 
 @dataclass(frozen=True, slots=True)
 class JoinCandidate:
-    """A process that asks to become a member, with the times of its first and last request."""
+    """A process that requests to become a member, with the times of its first and last requests."""
 
     member: Member
     first_at: float
@@ -25,16 +27,19 @@
 
 
 class MembershipRequests:
-    """What other replicas asked for, and when each last sent a message."""
+    """Join requests, shutdown notices and the time of the last message of other replicas."""
 
-    def __init__(self, own: str) -> None:
-        self._own = own
+    def __init__(self, own_id: str) -> None:
+        self._own_id = own_id
         self._join_candidates: dict[str, JoinCandidate] = {}
         self._shutting_down_at: dict[str, float] = {}
         self._last_contact_s: dict[str, float] = {}
 
     def record_join(self, newcomer: Member, now: float) -> None:
-        """Keep the latest process at an address: an earlier one there has lost its disk and is gone."""
+        """Record a join request, and drop those of earlier processes at the same address.
+
+        An earlier process at that address with another identity has lost its disk and no longer exists.
+        """
         for identity, candidate in list(self._join_candidates.items()):
             if candidate.member.address == newcomer.address and identity != newcomer.id:
                 del self._join_candidates[identity]
@@ -43,15 +48,15 @@
         self._join_candidates[newcomer.id] = JoinCandidate(newcomer, first_at, now)
 
     def record_shutdown(self, identity: str, now: float) -> None:
-        """Take note that a member is shutting down."""
+        """Record a member's shutdown notice."""
         self._shutting_down_at[identity] = now
 
     def record_contact(self, identity: str, now: float) -> None:
-        """Take note that a replica sent a message, whatever it was."""
+        """Record that a replica sent a message of any kind."""
         self._last_contact_s[identity] = now
 
     def expire(self, members: Sequence[Member], now: float) -> None:
-        """Drop what has not been repeated, and what is known of replicas that are no members."""
+        """Drop requests and notices that were not repeated in time, and the contact times of non-members."""
         for identity, candidate in list(self._join_candidates.items()):
             if self._is_expired(candidate, now):
                 del self._join_candidates[identity]
@@ -64,18 +69,18 @@
         }
 
     def members_shutting_down(self) -> set[str]:
-        """Return members that announced their shutdown lately."""
+        """Return the identities of members whose shutdown notices have not expired."""
         return set(self._shutting_down_at)
 
     def wiped_members(self, members: Sequence[Member], now: float) -> set[str]:
-        """Return members whose disks are proven to be lost."""
+        """Return the identities of members whose disks are proven to be lost."""
         replaced = [
             self._replaced_by(candidate, members, now) for candidate in self._join_candidates.values()
         ]
         return {member.id for member in replaced if member is not None}
 
     def admissible(self, members: Sequence[Member], now: float) -> list[Member]:
-        """Return processes that may become members now: at free addresses, or in place of a wiped member."""
+        """Return the processes that may join now: at unused addresses, or in place of a wiped member."""
         occupied = {member.address for member in members}
         return [
             candidate.member
@@ -89,16 +94,17 @@
         return now - candidate.last_at > JOIN_REQUEST_EXPIRY_S
 
     def _replaced_by(self, candidate: JoinCandidate, members: Sequence[Member], now: float) -> Member | None:
-        """Return the member whose address another process has, with an empty disk; None where unproven.
+        """Return the member that lost its disk, as proven by a join request from its address, or None.
 
-        One request is no proof, since it may be old and the member newer: it has to be repeated a while
-        after the last message of the member.
+        A single request is not sufficient proof, since it may be a delayed request of a process that ran
+        before the member. The request has to be repeated at least `DISK_LOSS_PROOF_S` after the member's last
+        message.
         """
         newcomer = candidate.member
         if self._is_expired(candidate, now):
             return None
         for member in members:
-            if member.address == newcomer.address and member.id not in (newcomer.id, self._own):
+            if member.address == newcomer.address and member.id not in (newcomer.id, self._own_id):
                 last_contact_s = self._last_contact_s.get(member.id, candidate.first_at)
                 unresponsive_since_s = max(candidate.first_at, last_contact_s)
                 is_proven = candidate.last_at - unresponsive_since_s >= DISK_LOSS_PROOF_S
--- a/brambleusher/controlplane/consensus/outputs.py
+++ b/brambleusher/controlplane/consensus/outputs.py
@@ -1,4 +1,4 @@
-"""What consensus hands to its driver: messages, records for the disk, committed entries, its status."""
+"""Outputs of consensus for its driver: messages, records for the disk, committed entries and status."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Role(Enum):
-    """What a replica is at the moment."""
+    """The role of a replica in its group."""
 
     LEARNER = "learner"
     FOLLOWER = "follower"
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogPosition:
-    """Where an entry is in the log; of another term at the same index, it was replaced."""
+    """The index and term of a log entry; an entry with another term at the same index has replaced it."""
 
     index: int
     term: int
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outgoing:
-    """A message to a member, to be sent once the record numbered `after_record` is synced (0: at once)."""
+    """A message to a member, to be sent once record number `after_record` is synced (0 means immediately)."""
 
     recipient: Member
     message: wire.Message
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HardState:
-    """Record: term and vote."""
+    """Record of the current term and of this replica's vote in that term."""
 
     term: int
     vote: str
@@ -46,14 +46,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Truncate:
-    """Record: entries from an index on are void."""
+    """Record that deletes the entries from index `first` on."""
 
     first: int
 
 
 @dataclass(frozen=True, slots=True)
 class Restore:
-    """Record: a snapshot received from the leader replaces everything before it."""
+    """Record of a snapshot that replaces the state and log before it."""
 
     index: int
     term: int
@@ -66,7 +66,7 @@
 
 @dataclass(slots=True)
 class Output:
-    """What came out since it was last taken."""
+    """The outputs since the driver last took them."""
 
     messages: list[Outgoing] = field(default_factory=list)
     records: list[Record] = field(default_factory=list)
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConsensusStatus:
-    """The state of a replica for operators."""
+    """The status of a replica, for operators."""
 
     identity: str
     role: Role
@@ -88,7 +88,7 @@
     members: tuple[Member, ...]
 
     def as_json(self) -> dict[str, object]:
-        """Return the form of the admin answers; operators' tools read these keys."""
+        """Return the status as the JSON object of the admin API; operators' tools read these keys."""
         return {
             "id": self.identity,
             "role": self.role.value,
--- a/brambleusher/controlplane/consensus/progress.py
+++ b/brambleusher/controlplane/consensus/progress.py
@@ -1,6 +1,6 @@
-"""What a leader knows of the progress of each follower, and how much it may send ahead; no I/O.
+"""A leader's view of each follower's replication progress, and flow control of unconfirmed entries; no I/O.
 
-The follower's last reply is the only source of it.
+The view is derived only from the followers' replies.
 """
 
 from __future__ import annotations
@@ -16,22 +16,24 @@
 from brambleusher.wire.consensus_messages import AppendEntriesReply, Entry, Member
 
 MESSAGE_ENTRIES_MAX = 64
-MESSAGE_BYTES = 128 * 1024  # of entries in one message: 0.2 s of a link with 5 Mbit/s, ahead of a heartbeat
-UNCONFIRMED_BYTES = 256 * 1024  # sent to one member and not confirmed yet
-ENTRY_OVERHEAD_BYTES = 32  # of an entry in a message, beside its data
+# Limit on the bytes of entries in one message. A message of this size delays a heartbeat queued behind it by
+# 0.2 seconds on a link of 5 Mbit/s.
+MESSAGE_BYTES = 128 * 1024
+UNCONFIRMED_BYTES = 256 * 1024  # limit on the bytes sent to one member and not yet confirmed
+ENTRY_OVERHEAD_BYTES = 32  # estimated encoded size of an entry without its data
 
 
 def wire_bytes(entry: Entry) -> int:
-    """Return about how many bytes an entry has in a message."""
+    """Return the approximate size of an entry in a message, in bytes."""
     return len(orjson.dumps(entry.data)) + ENTRY_OVERHEAD_BYTES
 
 
 @dataclass(slots=True)
 class FollowerProgress:
-    """What a leader knows of one other member; times in seconds of its clock.
+    """A leader's view of one other member; times are in seconds of the leader's clock.
 
-    `next_index` and `match_index` are Raft's nextIndex and matchIndex; `in_flight` has the index and the
-    bytes of each entry that was sent and is not confirmed.
+    `next_index` and `match_index` are Raft's nextIndex and matchIndex; `in_flight` has the index and the size
+    in bytes of each entry that was sent and is not yet confirmed.
     """
 
     next_index: int
@@ -42,19 +44,19 @@
     in_flight: deque[tuple[int, int]] = field(default_factory=deque)
 
     def record_match(self, match_index: int) -> None:
-        """Take note that the member has everything up to an index."""
+        """Record that the member has all entries up to an index."""
         self.match_index = max(self.match_index, match_index)
         self.next_index = max(self.next_index, self.match_index + 1)
         while self.in_flight and self.in_flight[0][0] <= self.match_index:
             self.in_flight.popleft()
 
     def step_back(self, hint: int) -> None:
-        """Go back after a rejection, to behind the hinted index or further."""
+        """Move `next_index` back after a rejection, to at most the index after the hint."""
         self.next_index = max(1, min(self.next_index - 1, hint + 1))
         self.in_flight.clear()
 
     def take_next_entries(self, log: Log) -> list[Entry]:
-        """Return the entries to send now, within the bounds, and count them as sent."""
+        """Return the entries to send now, within the size limits, and record them as in flight."""
         if sum(size for _, size in self.in_flight) >= UNCONFIRMED_BYTES:
             return []
         chosen: list[Entry] = []
@@ -76,19 +78,19 @@
 
     followers: dict[str, FollowerProgress] = field(default_factory=dict)
 
-    def track_members(self, members: Iterable[Member], own: str, next_index: int, now: float) -> None:
-        """Keep the progress of just these members without the own one; new ones begin at `next_index`."""
-        others = {member.id for member in members} - {own}
+    def track_members(self, members: Iterable[Member], own_id: str, next_index: int, now: float) -> None:
+        """Track exactly the given members except this replica; new members start at `next_index`."""
+        others = {member.id for member in members} - {own_id}
         for identity in others - set(self.followers):
             self.followers[identity] = FollowerProgress(next_index, last_contact_s=now)
         for identity in set(self.followers) - others:
             del self.followers[identity]
 
     def record_reply(self, reply: AppendEntriesReply, now: float) -> FollowerProgress | None:
-        """Take in a reply; return the sender's progress, None where it is no member.
+        """Apply a reply; return the sender's progress, or None if the sender is not a member.
 
-        A rejection sets back what is sent next, below what had been confirmed if need be: sending an entry
-        twice does no harm.  One that is older than another reply says nothing any more.
+        A rejection moves `next_index` back, even below `match_index`: sending an entry twice is harmless. A
+        rejection that is older than another received reply is ignored.
         """
         known = self.followers.get(reply.sender)
         if known is None:
@@ -102,15 +104,15 @@
         return known
 
     def responsive_within(self, seconds: float, now: float) -> set[str]:
-        """Return the members that replied lately."""
+        """Return the identities of members that replied within the given time in seconds."""
         return {
             identity for identity, known in self.followers.items() if now - known.last_contact_s < seconds
         }
 
     def caught_up(self, index: int, among: Collection[str]) -> set[str]:
-        """Return the members, of those named, that confirmed everything up to an index."""
+        """Return those of the given members that confirmed all entries up to an index."""
         return {identity for identity in among if self.followers[identity].match_index >= index}
 
     def seconds_since_contact(self, now: float) -> dict[str, float]:
-        """Return the seconds since each member replied."""
+        """Return the seconds since the last reply of each member, by identity."""
         return {identity: now - known.last_contact_s for identity, known in self.followers.items()}
--- a/brambleusher/controlplane/consensus/raft.py
+++ b/brambleusher/controlplane/consensus/raft.py
@@ -1,11 +1,11 @@
-"""Consensus of the replicas of one shard: Raft as a state machine without I/O.
+"""Consensus of a group of replicas: Raft as a state machine without I/O.
 
-Messages, ticks and finished syncs go in; messages, records for the disk and committed entries come out.
-Times are seconds of a clock that only advances.  What must be durable before a message may leave carries
-the number of the record that it waits for.
+The inputs are messages, ticks and completed syncs; the outputs are messages, records for the disk and
+committed entries. Times are in seconds of a monotonic clock. A message that must not be sent before a record
+is durable carries the number of that record.
 
-`Consensus` takes each event to the part that handles it (election, replication, ...) and does what follows
-from it; the parts share the replica's state and do not call each other.
+`Consensus` passes each event to the component that handles it (election, replication, ...) and performs the
+resulting transitions; the components share the replica's state and do not call each other.
 
 Source: D. Ongaro and J. Ousterhout, "In Search of an Understandable Consensus Algorithm" (Raft).
 """
@@ -36,22 +36,22 @@
 from brambleusher.wire import consensus_messages as wire
 from brambleusher.wire.consensus_messages import Entry, EntryKind, Member
 
-DEFAULT_VOTERS = 3  # bear the loss of one
+DEFAULT_VOTERS = 3  # tolerates the loss of one voter
 
 
 class Consensus:
-    """One replica of one shard.
+    """One replica of a replica group.
 
     Args:
-        identity: Who this replica is.
-        log: The log as its disk has it.
-        term: The last term that its disk has.
-        vote: For whom it voted in that term, or "".
-        now: Seconds of the clock.
-        rng: Draws the election timeouts.
-        required_voters: How many votes the group should have.
-        zone_by_address: Gives the zones of replicas that have announced theirs, by address.
-        region_by_zone: The region of each zone, where regions are configured.
+        identity: This replica as a member: its identity, addresses and zone.
+        log: The log as recovered from the disk.
+        term: The current term as recovered from the disk.
+        vote: The identity of the candidate that this replica voted for in that term, or "".
+        now: The current time in seconds of the monotonic clock.
+        rng: The source of random election timeouts.
+        required_voters: How many voters the group should have.
+        zone_by_address: Returns the known zones of replicas by their addresses.
+        region_by_zone: The region of each zone; None if no regions are configured.
     """
 
     def __init__(
@@ -78,16 +78,16 @@
             self.state, required_voters, zone_by_address, region_by_zone or {}
         )
 
-    # --- what callers ask ------------------------------------------------------------------------
+    # --- queries ---------------------------------------------------------------------------------
 
     @property
     def identity(self) -> Member:
-        """Who this replica is."""
+        """This replica as a member: its identity, addresses and zone."""
         return self.state.identity
 
     @property
     def log(self) -> Log:
-        """The log behind the last snapshot."""
+        """The log after the last snapshot."""
         return self.state.log
 
     @property
@@ -97,7 +97,7 @@
 
     @property
     def vote(self) -> str:
-        """For whom this replica voted in the current term, or ""."""
+        """The identity of the candidate that this replica voted for in the current term, or ""."""
         return self.state.vote
 
     @property
@@ -107,7 +107,7 @@
 
     @property
     def voters(self) -> list[Member]:
-        """Members whose votes count."""
+        """The members that are voters."""
         return self.state.voters
 
     @property
@@ -117,44 +117,46 @@
 
     @property
     def is_shutting_down(self) -> bool:
-        """Whether this process is about to end: it starts elections last, and no transferred one."""
+        """Whether this process is shutting down; it then delays elections and declines leadership."""
         return self.state.is_shutting_down
 
     def begin_graceful_shutdown(self) -> None:
-        """Take note that this process is about to end."""
+        """Mark this replica as shutting down."""
         self.state.is_shutting_down = True
 
     def leader_member(self) -> Member | None:
-        """Return the leader as far as it is known."""
+        """Return the leader, or None if it is unknown."""
         return self.state.member(self.state.leader_id)
 
     def has_quorum_contact(self, now: float) -> bool:
-        """Return whether this replica is in contact with a quorum: as its leader, else through a leader."""
-        leading = self.state.leader_state
-        contact_s = self.state.last_leader_contact_s if leading is None else leading.last_quorum_contact_s
+        """Return whether this replica is in contact with a quorum, either as the leader or through it."""
+        leader_state = self.state.leader_state
+        contact_s = (
+            self.state.last_leader_contact_s if leader_state is None else leader_state.last_quorum_contact_s
+        )
         return bool(self.state.leader_id) and now - contact_s < ELECTION_MIN_S
 
     def seconds_since_leader_contact(self, now: float) -> float:
-        """Return the seconds since the last message of a leader."""
+        """Return the seconds since the last message from a leader."""
         return now - self.state.last_leader_contact_s
 
     def should_request_membership(self, now: float) -> bool:
-        """Return whether to ask others for membership: not known as a member, or perhaps none any more."""
+        """Return whether to request membership: this replica is not a member, or may have been removed."""
         if self.is_leader:
             return False
         is_member = self.state.member(self.identity.id) is not None
         return not is_member or self.seconds_since_leader_contact(now) >= REJOIN_AFTER_S
 
     def accepts_proposals(self) -> bool:
-        """Return whether a proposal made here now would be appended."""
+        """Return whether a proposal made now would be appended to the log."""
         return self._leader_for_proposals() is not None
 
     def has_vote(self) -> bool:
-        """Return whether a quorum may need this replica: its vote is not known to be taken away."""
+        """Return whether a quorum may need this replica: as a voter, or due to an uncommitted change."""
         return self.state.is_voter or self.state.has_uncommitted_members
 
     def status(self) -> ConsensusStatus:
-        """Return the state for operators."""
+        """Return the status of this replica, for operators."""
         state = self.state
         return ConsensusStatus(
             identity=state.identity.id,
@@ -168,9 +170,9 @@
         )
 
     def next_tick_at(self) -> float:
-        """Return when `tick` has something to do next; seconds of the clock."""
-        leading = self.state.leader_state
-        return self.state.election_due_s if leading is None else leading.heartbeat_due_s
+        """Return when `tick` next has work to do, in seconds of the monotonic clock."""
+        leader_state = self.state.leader_state
+        return self.state.election_due_s if leader_state is None else leader_state.heartbeat_due_s
 
     def make_snapshot(self, applied_index: int, machine_state: object) -> Restore:
         """Return a snapshot of the state machine's state; see `Snapshots.make_snapshot`."""
@@ -179,17 +181,17 @@
     def fill_snapshot(
         self, message: wire.InstallSnapshot, applied_index: int, machine_state: object
     ) -> wire.InstallSnapshot:
-        """Return a message that is about to leave with a snapshot of what is applied now."""
+        """Return the message with a snapshot of the currently applied state, just before it is sent."""
         return self._snapshots.fill_snapshot(message, applied_index, machine_state)
 
     def take_output(self) -> Output:
-        """Return what came out since the last call; the driver stores, sends and applies it."""
+        """Return the outputs since the last call, which the driver stores, sends and applies."""
         return self.state.take_output()
 
     # --- events ----------------------------------------------------------------------------------
 
     def tick(self, now: float) -> None:
-        """Do what is due by the clock: a leader's heartbeat, or an election."""
+        """Advance the clock, and send a heartbeat or start an election if it is due."""
         state = self.state
         state.now = now
         state.membership_requests.expire(state.log.members, now)
@@ -199,28 +201,33 @@
             self._become_leader()
 
     def propose(self, command: object) -> LogPosition | None:
-        """Append a command; return where it is in the log, or None where this replica accepts none."""
-        leading = self._leader_for_proposals()
-        if leading is None:
+        """Append a command; return its position in the log, or None if proposals are not accepted here."""
+        leader_state = self._leader_for_proposals()
+        if leader_state is None:
             return None
-        entry = self._append(leading, EntryKind.COMMAND, command)
-        self._replication.broadcast(leading)
+        entry = self._append(leader_state, EntryKind.COMMAND, command)
+        self._replication.broadcast(leader_state)
         return LogPosition(entry.index, entry.term)
 
     def read(self, done: Callable[[bool], None]) -> None:
-        """Call `done(True)` once a quorum still follows and all committed before is applied here."""
-        leading = self.state.leader_state
-        if self._reads.begin_read(leading, done) and leading is not None:
-            self._replication.heartbeat(leading)
-            self._reads.confirm_reads(leading)
+        """Begin a linearizable read.
+
+        Args:
+            done: Called with True once a quorum has confirmed that this replica still leads, or with False if
+                this replica does not lead, or has not committed an entry of its term.
+        """
+        leader_state = self.state.leader_state
+        if self._reads.begin_read(leader_state, done) and leader_state is not None:
+            self._replication.heartbeat(leader_state)
+            self._reads.confirm_reads(leader_state)
 
     def transfer_leadership(self) -> bool:
-        """Ask another voter to take over; return False where none is there or this is no leader."""
-        leading = self.state.leader_state
-        return leading is not None and self._transfer.begin_transfer(leading)
+        """Begin a leadership transfer; return False if this is not the leader or there is no successor."""
+        leader_state = self.state.leader_state
+        return leader_state is not None and self._transfer.begin_transfer(leader_state)
 
     def handle_records_synced(self, record: int) -> None:
-        """Go on with what waited for records up to this number to be on the disk."""
+        """Handle the sync of all records up to a number: advance the commit index, or count the own vote."""
         self.state.durability.record_sync(record, self.state.log.last_index)
         if self.state.leader_state is not None:
             self._advance_commit(self.state.leader_state)
@@ -228,11 +235,11 @@
             self._become_leader()
 
     def handle_snapshot_stored(self, index: int) -> None:
-        """Drop entries up to an index whose snapshot is on the disk."""
+        """Compact the log up to the index of a snapshot that is on the disk."""
         self.state.log.compact(index)
 
     def handle_message(self, message: wire.Message, now: float) -> None:
-        """Handle a message of another replica."""
+        """Handle a message from another replica."""
         state = self.state
         state.now = now
         if isinstance(message, wire.JoinRequest):
@@ -248,10 +255,10 @@
         else:
             self._handle_message_of_term(message)
 
-    # --- what follows from events ----------------------------------------------------------------
+    # --- event handling --------------------------------------------------------------------------
 
     def _handle_message_of_term(self, message: wire.TermMessage) -> None:
-        """Handle a message whose term counts; a later term makes this replica follow it."""
+        """Handle a message with a term; a later term than the current one makes this replica a follower."""
         state = self.state
         is_pre_vote = isinstance(message, wire.VoteReply) and message.is_pre_vote
         if message.term > state.term and not is_pre_vote:
@@ -275,7 +282,7 @@
             self._handle_transfer()
 
     def _handle_transfer(self) -> None:
-        """Start an election at once, as the leader asks, where this replica can stay leader."""
+        """Start an election as the leader asks, unless this replica is not a voter or is shutting down."""
         if not self.state.is_voter or self.state.is_shutting_down:
             return
         if self._election.start_election(is_pre_vote=False, is_transfer=True):
@@ -287,61 +294,64 @@
             self._change_members(self.state.leader_state)
 
     def _handle_append_reply(self, reply: wire.AppendEntriesReply) -> None:
-        leading = self.state.leader_state
-        if leading is None or reply.term != self.state.term:
+        leader_state = self.state.leader_state
+        if leader_state is None or reply.term != self.state.term:
             return
-        progress = leading.progress.record_reply(reply, self.state.now)
+        progress = leader_state.progress.record_reply(reply, self.state.now)
         if progress is None:
             return
         if reply.accepted:
-            self._advance_commit(leading)
-            self._transfer.continue_transfer(leading, reply.sender, progress)
-        self._reads.confirm_reads(leading)
+            self._advance_commit(leader_state)
+            self._transfer.continue_transfer(leader_state, reply.sender, progress)
+        self._reads.confirm_reads(leader_state)
         self._replication.send_missing_entries(reply.sender, progress)
 
     def _become_leader(self) -> None:
-        """Lead the term whose election is won; its first entry lets it commit those of earlier terms."""
-        leading = self.state.become_leader()
-        self._replication.track_members(leading)
-        self._append(leading, EntryKind.NONE, None)
-        self._replication.broadcast(leading)
+        """Become the leader after a won election, and append an empty entry.
+
+        Committing that entry also commits the entries of earlier terms.
+        """
+        leader_state = self.state.become_leader()
+        self._replication.track_members(leader_state)
+        self._append(leader_state, EntryKind.NONE, None)
+        self._replication.broadcast(leader_state)
 
-    def _tick_leader(self, leading: LeaderState) -> None:
+    def _tick_leader(self, leader_state: LeaderState) -> None:
         state = self.state
-        if state.now < leading.heartbeat_due_s:
+        if state.now < leader_state.heartbeat_due_s:
             return
-        if not self._replication.has_quorum_contact(leading):
+        if not self._replication.has_quorum_contact(leader_state):
             state.become_follower(state.term, "")
             state.reset_election_timer()
             return
         if self._transfer.is_advisable() and self.accepts_proposals():
-            self._transfer.begin_transfer(leading)
-        self._replication.begin_heartbeat(leading)
-        self._change_members(leading)
+            self._transfer.begin_transfer(leader_state)
+        self._replication.begin_heartbeat(leader_state)
+        self._change_members(leader_state)
         state.heartbeat_sequence += 1
-        self._replication.heartbeat(leading)
+        self._replication.heartbeat(leader_state)
 
-    def _append(self, leading: LeaderState, kind: EntryKind, data: object) -> Entry:
-        entry = self._replication.append(leading, kind, data)
-        self._advance_commit(leading)
+    def _append(self, leader_state: LeaderState, kind: EntryKind, data: object) -> Entry:
+        entry = self._replication.append(leader_state, kind, data)
+        self._advance_commit(leader_state)
         return entry
 
-    def _advance_commit(self, leading: LeaderState) -> None:
-        """Commit what a quorum has; the next change of members may follow one that is committed by it."""
-        if self._replication.advance_commit(leading):
-            self._change_members(leading)
+    def _advance_commit(self, leader_state: LeaderState) -> None:
+        """Commit the entries that a quorum has; if that commits a membership change, start the next one."""
+        if self._replication.advance_commit(leader_state):
+            self._change_members(leader_state)
 
-    def _change_members(self, leading: LeaderState) -> None:
-        members = self._membership.next_members(leading)
+    def _change_members(self, leader_state: LeaderState) -> None:
+        members = self._membership.next_members(leader_state)
         if members is not None:
-            self._append(leading, EntryKind.MEMBERS, [member.as_json() for member in members])
-            self._replication.broadcast(leading)
+            self._append(leader_state, EntryKind.MEMBERS, [member.as_json() for member in members])
+            self._replication.broadcast(leader_state)
 
     def _leader_for_proposals(self) -> LeaderState | None:
-        """Return the leader's state where proposals are accepted: no transfer is on, the disk keeps up."""
+        """Return the leader state, or None if proposals are rejected because of a transfer or a slow disk."""
         state = self.state
-        leading = state.leader_state
-        if leading is None or self._transfer.is_in_progress(leading):
+        leader_state = state.leader_state
+        if leader_state is None or self._transfer.is_in_progress(leader_state):
             return None
         unsynced = state.log.last_index - state.durability.synced_index
-        return None if unsynced > UNSYNCED_MAX * 2 else leading
+        return None if unsynced > UNSYNCED_MAX * 2 else leader_state
--- a/brambleusher/controlplane/consensus/reads.py
+++ b/brambleusher/controlplane/consensus/reads.py
@@ -1,4 +1,4 @@
-"""Linearizable reads: a leader confirms with a quorum that it still leads before it answers.
+"""Linearizable reads: before a leader answers, a quorum confirms that it still leads.
 
 Source: Ongaro's dissertation, section 6.4 (read index).
 """
@@ -12,33 +12,33 @@
 
 
 class Reads:
-    """Reads of the leader's state."""
+    """Begins and confirms linearizable reads on the leader."""
 
     def __init__(self, state: ReplicaState) -> None:
         self._state = state
 
-    def begin_read(self, leading: LeaderState | None, done: Callable[[bool], None]) -> bool:
-        """Begin a read with the next heartbeat, which the caller sends; return whether it begins.
+    def begin_read(self, leader_state: LeaderState | None, done: Callable[[bool], None]) -> bool:
+        """Begin a read that the next heartbeat confirms, which the caller sends; return whether it has begun.
 
-        A leader that has committed nothing in its term may lack commits of the leader before; its read fails
-        at once, as does one of a replica that does not lead.
+        The read fails immediately if this replica does not lead, or has not committed an entry of its term
+        yet: such a leader may not know all entries that the previous leader committed.
         """
         state = self._state
-        if leading is None or state.log.term_at(state.commit_index) != state.term:
+        if leader_state is None or state.log.term_at(state.commit_index) != state.term:
             done(False)
             return False
         state.heartbeat_sequence += 1
-        leading.pending_reads.add(state.heartbeat_sequence, done)
+        leader_state.pending_reads.add(state.heartbeat_sequence, done)
         return True
 
-    def confirm_reads(self, leading: LeaderState) -> None:
-        """Answer the reads whose heartbeat a quorum has replied to."""
-        if not leading.pending_reads:
+    def confirm_reads(self, leader_state: LeaderState) -> None:
+        """Complete the reads whose heartbeat a quorum has replied to."""
+        if not leader_state.pending_reads:
             return
         state = self._state
         sequences = {
-            identity: known.heartbeat_sequence for identity, known in leading.progress.followers.items()
+            identity: known.heartbeat_sequence for identity, known in leader_state.progress.followers.items()
         }
-        leading.pending_reads.confirm(
+        leader_state.pending_reads.confirm(
             state.agreed_value({**sequences, state.identity.id: state.heartbeat_sequence})
         )
--- a/brambleusher/controlplane/consensus/snapshots.py
+++ b/brambleusher/controlplane/consensus/snapshots.py
@@ -1,6 +1,6 @@
-"""Snapshots: sent to followers whose next entries are gone from the leader's log, and taken from a leader.
+"""Snapshots: sent to followers whose next entries the leader has compacted, and installed by followers.
 
-Source: Raft, section 7.
+Source: Raft paper, section 7.
 """
 
 from __future__ import annotations
@@ -23,26 +23,26 @@
         self._state = state
 
     def make_snapshot(self, applied_index: int, machine_state: object) -> Restore:
-        """Return a snapshot of what is applied, with the term and the members that belong to it.
+        """Return a snapshot of the applied state, with the term and the members at that index.
 
         Args:
-            applied_index: The index up to which all entries are applied, and none beyond.
-            machine_state: The state machine's state as JSON.
+            applied_index: The index of the last applied entry.
+            machine_state: The state of the state machine as a JSON value.
 
         Raises:
-            InvariantViolationError: The index is not committed, or gone from the log.
+            InvariantViolationError: The index is not committed, or was compacted from the log.
         """
         state = self._state
         term = state.log.term_at(applied_index)
         if term is None or applied_index > state.commit_index:
             raise InvariantViolationError(
-                f"no snapshot can be made at index {applied_index}: the log has "
-                f"{state.log.base_index}..{state.commit_index} committed"
+                f"cannot make a snapshot at index {applied_index}: the committed entries in the log are "
+                f"{state.log.base_index}..{state.commit_index}"
             )
         return Restore(applied_index, term, state.log.members_at(applied_index), machine_state)
 
     def send_snapshot(self, member: Member, progress: FollowerProgress) -> None:
-        """Send a snapshot, or a heartbeat while an earlier one may still be on its way."""
+        """Send a snapshot, or only a heartbeat while an earlier snapshot may still be in transit."""
         state = self._state
         if state.now - progress.snapshot_sent_s < SNAPSHOT_EVERY_S:
             heartbeat = wire.AppendEntries(
@@ -51,7 +51,7 @@
             state.send(member, heartbeat)
             return
         progress.snapshot_sent_s = state.now
-        # The driver fills in what is applied when the message leaves: see `fill_snapshot`.
+        # The driver fills in the applied state just before the message is sent: see `fill_snapshot`.
         state.send(
             member,
             wire.InstallSnapshot(state.term, state.identity.id, 0, 0, [], None, state.heartbeat_sequence),
@@ -60,20 +60,25 @@
     def fill_snapshot(
         self, message: wire.InstallSnapshot, applied_index: int, machine_state: object
     ) -> wire.InstallSnapshot:
-        """Return the message with a snapshot; arguments as of `make_snapshot`."""
-        made = self.make_snapshot(applied_index, machine_state)
+        """Return the message with a snapshot; for the arguments see `make_snapshot`."""
+        snapshot = self.make_snapshot(applied_index, machine_state)
         return replace(
-            message, index=made.index, index_term=made.term, members=list(made.members), state=made.state
+            message,
+            index=snapshot.index,
+            index_term=snapshot.term,
+            members=list(snapshot.members),
+            state=snapshot.state,
         )
 
     def handle_install_snapshot(self, message: wire.InstallSnapshot) -> None:
-        """Take a snapshot of the leader."""
+        """Install a snapshot that the leader sent."""
         state = self._state
         state.record_leader_contact(message.sender)
         if state.log.term_at(message.index) == message.index_term:
-            # Log matching: the log goes on behind it, and what follows may be confirmed already: it stays.
+            # Log matching: the log already contains the snapshot's last entry. The entries after it may have
+            # been confirmed to the leader, so they are not deleted.
             state.commit_to(message.index)
         elif message.index > state.commit_index:
             state.restore(Restore(message.index, message.index_term, tuple(message.members), message.state))
-        state.become_passive()  # the snapshot's members may have given or taken this replica's vote
+        state.become_passive()  # the snapshot's members may have granted or revoked this replica's vote
         state.reply_to_leader(True, min(message.index, state.log.last_index), message.heartbeat_sequence)
--- a/brambleusher/controlplane/consensus/timing.py
+++ b/brambleusher/controlplane/consensus/timing.py
@@ -1,17 +1,21 @@
-"""Periods and limits of a replica group, in seconds where nothing else is said."""
+"""Intervals, timeouts and limits of a replica group; times are in seconds."""
 
 from __future__ import annotations
 
-HEARTBEAT_S = 0.12  # three of them fit into the shortest election timeout, with a round trip between regions
-ELECTION_MIN_S, ELECTION_MAX_S = 0.7, 1.2
-# Waits after a start, at least and at most: a leader that is there shows itself sooner, or votes are denied.
+# Interval between heartbeats: three heartbeats and a round trip between regions fit into the shortest
+# election timeout.
+HEARTBEAT_S = 0.12
+ELECTION_MIN_S, ELECTION_MAX_S = 0.7, 1.2  # bounds of the random election timeout
+# Bounds of the random election timeout after startup. It can be short: a running leader sends a heartbeat
+# before it expires, or the other voters deny their votes.
 FIRST_ELECTION_MIN_S, FIRST_ELECTION_S = 0.05, 0.35
-# How much longer than others a replica without a vote, or one that shuts down, waits before its election.
+# Additional election timeout of learners and of replicas that are shutting down.
 UNLIKELY_LEADER_DELAY_S = 0.6
-TRANSFER_S = 1.0  # for a planned successor to become leader, then proposals are accepted again
-REJOIN_AFTER_S = 1.5  # without a leader for so long, a replica asks whether it still is a member
-STABLE_S = 3.0  # of leading, before votes move for the sake of zones alone
-SNAPSHOT_EVERY_S = 1.0  # to one replica: a snapshot on a slow link takes a while
-# Entries of its own that a leader's disk has not synced: then it transfers leadership; at twice that it
-# accepts no proposals.
+TRANSFER_S = 1.0  # time for a chosen successor to become leader before proposals are accepted again
+REJOIN_AFTER_S = 1.5  # a replica without a leader for this time requests membership again
+STABLE_S = 3.0  # how long a leader must have led before voters are moved only to balance zones
+# Minimum interval between snapshots to one replica, since sending a snapshot over a slow link takes time.
+SNAPSHOT_EVERY_S = 1.0
+# A leader whose disk has more unsynced entries than this transfers leadership; above twice this number it
+# rejects proposals.
 UNSYNCED_MAX = 256
--- a/brambleusher/controlplane/disk_writer.py
+++ b/brambleusher/controlplane/disk_writer.py
@@ -106,7 +106,7 @@
     def _run_next(self) -> None:
         """Run the next job; consecutive record jobs are written and synced together."""
         with self._worker.lock:
-            job, taken = self._next_job()
+            job, job_count = self._next_job()
         try:
             if isinstance(job, SnapshotJob):
                 self._storage.write_snapshot(job.snapshot, self._identity, job.hard_state, job.entries)
@@ -119,7 +119,7 @@
             self._scheduler.call_soon(lambda: self._failed(reason))
             return
         with self._worker.lock:
-            for _ in range(taken):
+            for _ in range(job_count):
                 self._jobs.popleft()
         self._scheduler.call_soon(lambda: self._done(job))
 
@@ -128,14 +128,14 @@
         first = self._jobs[0]
         if isinstance(first, SnapshotJob):
             return first, 1
-        records, last_number, taken = list(first.records), first.last_number, 1
-        while taken < len(self._jobs):
-            following = self._jobs[taken]
+        records, last_number, job_count = list(first.records), first.last_number, 1
+        while job_count < len(self._jobs):
+            following = self._jobs[job_count]
             if isinstance(following, SnapshotJob):
                 break
             records += following.records
-            last_number, taken = following.last_number, taken + 1
-        return RecordsJob(records, last_number), taken
+            last_number, job_count = following.last_number, job_count + 1
+        return RecordsJob(records, last_number), job_count
 
     # --- on the serving thread -------------------------------------------------------------------
 
--- a/brambleusher/controlplane/registry/__init__.py
+++ b/brambleusher/controlplane/registry/__init__.py
@@ -1,1 +1,1 @@
-"""The list of instances, their load reports, and the resolver that clients ask."""
+"""The instance list, the gateways' load reports, and the resolver of gateway addresses for clients."""
--- a/brambleusher/controlplane/registry/instance_list.py
+++ b/brambleusher/controlplane/registry/instance_list.py
@@ -1,4 +1,4 @@
-"""Reads the platform's list of instances, which is paged, rate-limited, delayed and at times unavailable."""
+"""Reads the platform's instance list, which is paged, rate-limited, delayed and at times unavailable."""
 
 from __future__ import annotations
 
@@ -18,28 +18,37 @@
 
 log = logging.getLogger(__name__)
 
-# Times the number of controllers: one of them reads so often, and sends what is new to the others.
-# With the platform's own delay and the long poll that is well inside the shortest `drain_ms`.
+# Each controller reads the list at this interval times the number of controllers and sends changes to the
+# others, so that some controller reads it once per interval. Together with the platform's own delay and the
+# long poll this stays well below the shortest `drain_ms`.
 READ_INTERVAL_S = 0.35
-READ_INTERVAL_MAX_S = 2.2
-PAUSE_MIN_S = 0.1
-JITTER_MIN, JITTER_MAX = 0.9, 1.1  # factors of the pause: controllers that started together drift apart
+READ_INTERVAL_MAX_S = 2.2  # upper bound on the read interval of one controller
+PAUSE_MIN_S = 0.1  # minimum pause between two reads by one controller
+# Bounds of the random factor of the pause, which desynchronizes controllers that started at the same time.
+JITTER_MIN, JITTER_MAX = 0.9, 1.1
 REQUEST_TIMEOUT_S = 1.5
-RATE_FRACTION = 0.5  # of the platform's rate that all controllers together may use
+RATE_FRACTION = 0.5  # fraction of the platform's rate limit that all controllers together may use
 PAGES_MAX = 200
-LOGGED_FAILURES = frozenset({1, 10, 100})  # consecutive ones
+LOGGED_FAILURES = frozenset({1, 10, 100})  # numbers of consecutive failures that are logged
 LIST_PATH = "/instances"
 MS_PER_S = 1000
 
-RawInstance = dict[str, object]  # as the platform lists it; controllers pass it on unread
+RawInstance = dict[str, object]  # an instance as listed by the platform; controllers forward it unparsed
 
 
 class InstanceListError(Exception):
-    """The platform's list can't be read."""
+    """The platform's instance list could not be read."""
 
 
 class InstanceListReader:
-    """The latest complete reading, with a version that counts changes, and when the reading began."""
+    """Reads the instance list periodically.
+
+    Attributes:
+        instances: The latest complete list.
+        version: The number of times that the list has changed.
+        read_at_s: The time when reading the latest list began, in seconds of the scheduler's clock, or None
+            before the first complete read.
+    """
 
     def __init__(
         self,
@@ -49,14 +58,15 @@
         reader_count: Callable[[], int],
         on_changed: Callable[[bool], None],
     ) -> None:
-        """Start to read.
+        """Start reading the list periodically.
 
         Args:
-            scheduler: Of the serving thread.
-            settings: Name the platform and its rate.
-            rng: Source of the jitter.
-            reader_count: Returns how many controllers share the platform's rate.
-            on_changed: Called after a change, with whether it was read here and not by another controller.
+            scheduler: The scheduler of the serving thread.
+            settings: The settings with the platform's address and rate limit.
+            rng: The source of the random jitter.
+            reader_count: Returns how many controllers share the platform's rate limit.
+            on_changed: Called after the list has changed; the argument is True if this controller read the
+                list itself, and False if another controller sent it.
         """
         self._scheduler, self._rng = scheduler, rng
         self._reader_count, self._on_changed = reader_count, on_changed
@@ -105,36 +115,36 @@
             if not token:
                 self._page_count = page + 1
                 return instances
-        raise InstanceListError(f"the list has over {PAGES_MAX} pages")
+        raise InstanceListError(f"the instance list has more than {PAGES_MAX} pages")
 
     def _read_page(self, token: str) -> tuple[list[RawInstance], str]:
-        """Return the instances of a page and the token of the next one, empty on the last."""
+        """Return the instances of a page and the token of the next page, which is "" on the last page."""
         path = f"{LIST_PATH}?page_token={token}" if token else LIST_PATH
         status, body = self._client.get(path, REQUEST_TIMEOUT_S)
         if status != HTTPStatus.OK:
-            raise InstanceListError(f"status {status}")
+            raise InstanceListError(f"the platform responded with status {status}")
         try:
             data = orjson.loads(body)
             return list(data["instances"]), data["next_token"]
         except (orjson.JSONDecodeError, KeyError, TypeError) as error:
-            raise InstanceListError(f"the list can't be read: {error}") from error
+            raise InstanceListError(f"invalid page of the instance list: {error!r}") from error
 
     # --- exchange with other controllers ---------------------------------------------------------
 
     def to_message(self) -> dict[str, object]:
-        """Return the reading for another controller, with its age."""
+        """Return a message with the instance list and its age, for another controller."""
         age_s = self._scheduler.now() - (self.read_at_s or 0.0)
         return {"instances": self.instances, "age_ms": int(age_s * MS_PER_S)}
 
     def handle_reading(self, message: JsonObject) -> None:
-        """Apply another controller's reading if it is newer.
+        """Apply an instance list that another controller read, if it is newer than the current list.
 
         Raises:
-            InvalidMessageError: The message has no list or no age.
+            InvalidMessageError: The message has no list or no valid age.
         """
         instances, age_ms = message.get("instances"), message.get("age_ms")
         if not isinstance(instances, list) or not isinstance(age_ms, int) or age_ms < 0:
-            raise InvalidMessageError(f"a reading has no list or no age: age_ms is {age_ms!r}")
+            raise InvalidMessageError(f"invalid instance list message: no list, or age_ms is {age_ms!r}")
         self._apply(instances, self._scheduler.now() - age_ms / MS_PER_S, read_here=False)
 
     def _apply(self, instances: list[RawInstance], read_at_s: float, read_here: bool) -> None:
--- a/brambleusher/controlplane/registry/load_reports.py
+++ b/brambleusher/controlplane/registry/load_reports.py
@@ -1,8 +1,9 @@
-"""Sums of the metrics that gateways observed of instances: one gateway of many observes too few; pure.
+"""Aggregates the metrics of instances that gateways measure, since one gateway alone sees too few requests.
 
-Each gateway reports its own decaying metrics with its long poll; a controller adds up recent reports and
-answers with the sum of the others'.  What one gateway can add is bounded: neither one that is partitioned
-from an instance nor a faulty one moves the fleet alone.
+Each gateway reports its own decaying metrics with its long poll; a controller sums up the recent reports and
+responds with the sum of the other gateways' reports. The contribution of each gateway is bounded, so that a
+single gateway that is faulty, or partitioned from an instance, cannot dominate the sum. This module does no
+I/O.
 """
 
 from __future__ import annotations
@@ -12,52 +13,52 @@
 from brambleusher.wire.errors import InvalidMessageError
 
 REPORT_TTL_S = 2.5
-SUM_INTERVAL_S = 0.25  # reports are added up at most so often
-ATTEMPTS_MAX = 20.0  # of one gateway at one instance that count
-FAILURES_MAX = 4.0  # among them
-LATENCY_MAX_TARGETS = 4.0  # of one response
-REPORTED_LOAD_MAX = 2.0  # of one load that an instance reported, as a fraction of its slots
+SUM_INTERVAL_S = 0.25  # minimum interval between two aggregations of the reports
+ATTEMPTS_MAX = 20.0  # maximum number of attempts that count per gateway and instance
+FAILURES_MAX = 4.0  # maximum number of failed attempts that count per gateway and instance
+LATENCY_MAX_TARGETS = 4.0  # maximum mean latency of a gateway's responses that counts, in latency targets
+REPORTED_LOAD_MAX = 2.0  # maximum reported load of an instance that counts, as a fraction of its slots
 INSTANCES_MAX = 2000
-DECIMALS = 2  # of what is sent
+DECIMALS = 2  # precision of the numbers that are sent
 
 
 class InstanceMetrics(NamedTuple):
-    """What one gateway observed of one instance; on the wire a list in this order."""
+    """Metrics of one instance as measured by one gateway; sent on the wire as a list in this order."""
 
-    served: float  # attempts
-    failed: float  # attempts
-    in_flight: float  # attempts
-    responses: float  # whose latency was measured
-    latency_sum: float  # of these, in latency targets
+    served: float  # number of attempts that were served
+    failed: float  # number of attempts that failed
+    in_flight: float  # number of attempts in flight
+    responses: float  # number of responses whose latency was measured
+    latency_sum: float  # sum of the measured latencies, in latency targets
     requests_per_s: float
-    load_sum: float  # reported loads (fractions of the slots) times their weights
-    load_weight: float  # sum of these weights
+    load_sum: float  # sum of the reported loads (as fractions of the slots) times their weights
+    load_weight: float  # sum of the weights of the reported loads
 
 
 WIDTH = len(InstanceMetrics._fields)
-WIDTH_WITHOUT_LOAD = 6  # of gateways of versions before reported loads
+WIDTH_WITHOUT_LOAD = 6  # number of values sent by gateway versions that do not report load
 
-LoadReport = dict[str, InstanceMetrics]  # by instance
-MetricTotals = dict[str, list[float]]  # the same sums of several gateways, in their form on the wire
+LoadReport = dict[str, InstanceMetrics]  # metrics by name of the instance
+MetricTotals = dict[str, list[float]]  # summed metrics of several gateways by instance, in wire format
 
 
 def parse_report(report: object) -> LoadReport:
-    """Return a report from its form on the wire, within its bounds.
+    """Parse a report from its wire format, and limit its values to their bounds.
 
     Raises:
-        InvalidMessageError: It is no object of lists of numbers, or too large.
+        InvalidMessageError: The report is not an object of lists of numbers, or has too many instances.
     """
     if not isinstance(report, dict) or len(report) > INSTANCES_MAX:
-        raise InvalidMessageError(f"a load report is no object of up to {INSTANCES_MAX} instances")
+        raise InvalidMessageError(f"a load report must be an object with at most {INSTANCES_MAX} instances")
     return {str(name): _bounded(_parse_values(values)) for name, values in report.items()}
 
 
 def _parse_values(values: object) -> list[float]:
-    """Return the values of one instance, those that the gateway does not know as 0."""
+    """Return the metric values of one instance; values that an older gateway does not send are 0."""
     if not isinstance(values, list) or len(values) not in (WIDTH_WITHOUT_LOAD, WIDTH):
-        raise InvalidMessageError(f"metrics of an instance are no list of {WIDTH}")
+        raise InvalidMessageError(f"the metrics of an instance must be a list of {WIDTH} numbers")
     if not all(isinstance(value, int | float) and value >= 0 for value in values):
-        raise InvalidMessageError(f"metrics of an instance are no numbers: {values!r}")
+        raise InvalidMessageError(f"the metrics of an instance must be numbers of at least 0: {values!r}")
     return [float(value) for value in values] + [0.0] * (WIDTH - len(values))
 
 
@@ -88,16 +89,16 @@
     """The latest report of each gateway that polls this controller, and their sum."""
 
     def __init__(self) -> None:
-        self._reports: dict[str, tuple[float, LoadReport]] = {}  # by gateway, with the time
+        self._reports: dict[str, tuple[float, LoadReport]] = {}  # time of receipt and report, by gateway
         self._sum: MetricTotals = {}
         self._summed_at_s = -SUM_INTERVAL_S
 
     def record(self, gateway: str, report: LoadReport, now: float) -> None:
-        """Record what a gateway observed."""
+        """Record a gateway's load report."""
         self._reports[gateway] = (now, report)
 
     def sum_of_others(self, gateway: str, now: float) -> tuple[int, MetricTotals]:
-        """Return how many other gateways reported recently, and the sum of what they observed."""
+        """Return the number of other gateways that reported recently, and the sum of their reports."""
         if now - self._summed_at_s >= SUM_INTERVAL_S:
             self._add_up(now)
         own: LoadReport = self._reports.get(gateway, (0.0, {}))[1]
@@ -124,7 +125,7 @@
 
 
 def _without(total: list[float], own: InstanceMetrics | None) -> list[float]:
-    """Return a sum without what the asking gateway has added to it."""
+    """Return the sum without the contribution of the requesting gateway."""
     if own is None:
         return [round(value, DECIMALS) for value in total]
     return [round(max(0.0, value - own_value), DECIMALS) for value, own_value in zip(total, own, strict=True)]
--- a/brambleusher/controlplane/registry/resolver.py
+++ b/brambleusher/controlplane/registry/resolver.py
@@ -1,4 +1,4 @@
-"""Tells clients where to send requests: gateways that are ready, near ones first."""
+"""Resolves the service for clients: returns addresses of ready gateways, preferably near the client."""
 
 from __future__ import annotations
 
@@ -10,13 +10,15 @@
 from brambleusher.runtime.http_server import HttpRequest, HttpResponse, json_response
 
 PATH = "/api/resolution"
-ADDRESSES_MAX = 64  # in one response
-NEAR_ENOUGH = 2  # gateways of the client's zone, else of its region, that make farther ones needless
-TTL_S = 2.0  # for which clients may keep a response
+ADDRESSES_MAX = 64  # maximum number of addresses in one response
+# With at least this many ready gateways in the client's zone (or else region), farther gateways are not
+# returned.
+NEAR_ENOUGH = 2
+TTL_S = 2.0  # how long clients may cache a response
 
 
 def nearest_group(gateways: Sequence[Peer], zone: str, region: str) -> list[Peer]:
-    """Return the ready gateways of the nearest group that is large enough: zone, region or all."""
+    """Return the ready gateways in the client's zone or region if there are enough, else all ready ones."""
     ready = [peer for peer in gateways if peer.state is PeerState.READY]
     in_zone = [peer for peer in ready if peer.zone == zone]
     if len(in_zone) >= NEAR_ENOUGH:
@@ -26,7 +28,7 @@
 
 
 def choose_gateways(gateways: Sequence[Peer], zone: str, region: str, rng: random.Random) -> list[str]:
-    """Return addresses for a client of a zone, shuffled; empty where no gateway is known to be ready."""
+    """Return shuffled gateway addresses for a client, or an empty list if no gateway is known to be ready."""
     near = nearest_group(gateways, zone, region)
     return [peer.address for peer in rng.sample(near, min(ADDRESSES_MAX, len(near)))]
 
@@ -36,12 +38,12 @@
 ) -> HttpResponse:
     """Return the response to one request.
 
-    Without a gateway it is a failure, so that the client asks another registry.
+    If no gateway is ready, the response is an error, so that the client asks another registry.
 
     Args:
-        request: Names the client's zone and region.
-        find_gateways: Returns addresses of gateways for a zone and a region.
-        ttl_max_s: The longest time in seconds for which clients may keep a response.
+        request: The client's request, whose query has the client's zone and region.
+        find_gateways: Returns the addresses of gateways for a zone and a region.
+        ttl_max_s: The maximum time for which clients may cache a response, in seconds.
     """
     if request.path != PATH or request.method != "GET":
         reason = f"{request.method} {request.path} is no call of the registry"
--- a/brambleusher/controlplane/relay/__init__.py
+++ b/brambleusher/controlplane/relay/__init__.py
@@ -1,1 +1,1 @@
-"""Requests of observers to controllers."""
+"""Relay of requests from observers to controllers."""
--- a/brambleusher/controlplane/relay/client.py
+++ b/brambleusher/controlplane/relay/client.py
@@ -1,6 +1,6 @@
 """Relays requests from an observer, which has no disk and no vote, to controllers.
 
-An observer tries one controller after the other.  A request may arrive twice: commands are idempotent.
+An observer tries one controller after another. Commands are idempotent, since a request may arrive twice.
 """
 
 from __future__ import annotations
@@ -30,21 +30,21 @@
 from brambleusher.runtime.streams import parse_address
 from brambleusher.wire.errors import InvalidMessageError
 
-ATTEMPT_TIMEOUT_S = 0.55  # for a controller's reply, before another controller is tried
+ATTEMPT_TIMEOUT_S = 0.55  # how long to wait for a controller's reply before trying another controller
 RETRY_BACKOFF_S = 0.03
-IDLE_CONNECTIONS_MAX = 16  # kept to each controller
-CONNECTION_SLOT = 0  # an observer talks to one controller at a time
+IDLE_CONNECTIONS_MAX = 16  # maximum number of idle connections kept per controller
+CONNECTION_SLOT = 0  # an observer needs only one slot, since it uses one controller at a time
 
 
 class RelayClient:
-    """Calls controllers, near ones first; keeps connections between requests."""
+    """Sends requests to controllers, preferably near ones, over pooled connections."""
 
     def __init__(self, scheduler: Scheduler, controllers: Controllers) -> None:
         self._scheduler, self._controllers = scheduler, controllers
         self._idle: dict[str, list[LineClient]] = {}
 
     def request(self, request: RelayRequest, deadline: float) -> object:
-        """Return what a controller answered; None where none did before the deadline."""
+        """Return a controller's answer, or None if no controller answered before the deadline."""
         while (now := self._scheduler.now()) < deadline:
             address = self._controllers.acquire(CONNECTION_SLOT, now)
             answer = self._attempt(address, request, min(ATTEMPT_TIMEOUT_S, deadline - now))
@@ -72,12 +72,12 @@
         return reply.answer
 
     def resolve(self, zone: str, region: str, deadline: float) -> list[str] | None:
-        """Return addresses of gateways near a client; None where no controller answered."""
+        """Return the addresses of gateways near a client, or None if no controller answered."""
         answer = self.request(ResolveRequest(zone, region), deadline)
         return [str(address) for address in answer] if isinstance(answer, list) else None
 
     def refresh_controllers(self, deadline: float) -> bool:
-        """Ask which controllers there are; whether any answered."""
+        """Update the list of controllers; return whether a controller answered with a valid list."""
         try:
             controllers = controllers_from_json(self.request(ControllersRequest(), deadline))
         except InvalidMessageError:
@@ -93,26 +93,26 @@
 
 
 class RemoteState:
-    """The replicated state as an observer has it: every request goes to a controller."""
+    """The replicated state for an observer, which relays every request to a controller."""
 
     def __init__(self, relay: RelayClient) -> None:
         self._relay = relay
 
     def submit(self, command: Command, deadline: float) -> SubmitResult:
-        """Have a command committed and applied."""
+        """Commit and apply a command, and return its outcome."""
         answer = self._relay.request(SubmitRequest(command), deadline)
         return Ok(Verdict(answer)) if isinstance(answer, str) else Err(NoLeaderError())
 
     def read(self, deadline: float) -> ReadResult:
-        """Return the state as a majority has it at this moment."""
+        """Return the current state by a linearizable read."""
         answer = self._relay.request(ReadRequest(), deadline)
         return Ok(SharedState.from_json(answer)) if isinstance(answer, dict) else Err(NoLeaderError())
 
     def read_applied_index(self, deadline: float, /) -> IndexResult:
-        """Return the index that a controller had applied after this request was made."""
+        """Return the applied index of a controller, read after this call began."""
         answer = self._relay.request(AppliedIndexRequest(), deadline)
         return Ok(answer) if isinstance(answer, int) else Err(NoLeaderError())
 
     def status(self) -> dict[str, object]:
-        """Return the status of an observer, which holds no state itself."""
+        """Return the status of an observer, which has no replica of the state."""
         return {"role": "observer"}
--- a/brambleusher/controlplane/relay/messages.py
+++ b/brambleusher/controlplane/relay/messages.py
@@ -1,4 +1,4 @@
-"""Messages between observers and controllers, and their form on the wire."""
+"""Messages between observers and controllers, and their wire format."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from brambleusher.wire.errors import InvalidMessageError
 from brambleusher.wire.json_fields import JsonObject
 
-RELAY = "relay"  # kind of a request of an observer to a controller
-CONTROLLERS_ANNOUNCEMENT = "controllers"  # kind of a controller's message that names the controllers
+RELAY = "relay"  # value of the "kind" field in requests from an observer to a controller
+CONTROLLERS_ANNOUNCEMENT = "controllers"  # value of the "kind" field in messages that list the controllers
 
-# Address, zone and region of controllers, as they are announced.
+# The address, zone and region of each controller, as announced to other processes.
 ControllersJson = Sequence[tuple[str, str, str]]
 
 
 class RequestKind(Enum):
-    """What an observer asks for; the values are the form on the wire."""
+    """The kind of an observer's request; the values are sent on the wire."""
 
     SUBMIT = "submit"
     READ = "read"
@@ -30,51 +30,51 @@
 
 @dataclass(frozen=True, slots=True)
 class SubmitRequest:
-    """Have a command committed; the answer is the verdict."""
+    """Request to commit a command; the answer is the command's verdict."""
 
     command: Command
 
     def as_json(self) -> dict[str, object]:
-        """Return the form on the wire."""
+        """Return the request in its wire format."""
         return _request_to_json(RequestKind.SUBMIT, command=self.command.as_json())
 
 
 @dataclass(frozen=True, slots=True)
 class ReadRequest:
-    """Read the state as a majority has it; the answer is the state."""
+    """Request for a linearizable read; the answer is the state."""
 
     def as_json(self) -> dict[str, object]:
-        """Return the form on the wire."""
+        """Return the request in its wire format."""
         return _request_to_json(RequestKind.READ)
 
 
 @dataclass(frozen=True, slots=True)
 class AppliedIndexRequest:
-    """Ask for the index that the controller has applied."""
+    """Request for the index up to which the controller has applied the log."""
 
     def as_json(self) -> dict[str, object]:
-        """Return the form on the wire."""
+        """Return the request in its wire format."""
         return _request_to_json(RequestKind.APPLIED_INDEX)
 
 
 @dataclass(frozen=True, slots=True)
 class ResolveRequest:
-    """Ask for gateways near a client; the answer is a list of their addresses."""
+    """Request for gateways near a client; the answer is a list of their addresses."""
 
     zone: str
     region: str
 
     def as_json(self) -> dict[str, object]:
-        """Return the form on the wire."""
+        """Return the request in its wire format."""
         return _request_to_json(RequestKind.RESOLVE, zone=self.zone, region=self.region)
 
 
 @dataclass(frozen=True, slots=True)
 class ControllersRequest:
-    """Ask which controllers there are."""
+    """Request for the list of controllers."""
 
     def as_json(self) -> dict[str, object]:
-        """Return the form on the wire."""
+        """Return the request in its wire format."""
         return _request_to_json(RequestKind.CONTROLLERS)
 
 
@@ -86,10 +86,10 @@
 
 
 def request_from_json(data: JsonObject) -> RelayRequest:
-    """Return a request from its form on the wire.
+    """Parse a request from its wire format.
 
     Raises:
-        InvalidMessageError: It asks for nothing that is known, or its command can't be read.
+        InvalidMessageError: The kind of the request is unknown, or its command is invalid.
     """
     match data.get("what"):
         case RequestKind.SUBMIT.value:
@@ -103,28 +103,34 @@
         case RequestKind.CONTROLLERS.value:
             return ControllersRequest()
         case unknown:
-            raise InvalidMessageError(f"a relayed request asks for {unknown!r}")
+            raise InvalidMessageError(f"a relayed request has the unknown kind {unknown!r}")
 
 
 def reply_to_json(answer: object) -> dict[str, object]:
-    """Return a controller's reply; an answer of None means that it has none."""
+    """Return a controller's reply in its wire format; an `answer` of None means that the request failed."""
     return {"answer": answer}
 
 
 @dataclass(frozen=True, slots=True)
 class RelayReply:
-    """The reply to a request."""
+    """The reply to a relayed request.
 
-    answer: object  # its form goes by the request; None where there is none
+    Attributes:
+        answer: The answer, whose type depends on the request, or None if the request failed.
+        is_from_observer: Whether the reply comes from an observer instead of a controller.
+        controllers: The controllers known to the observer that replied; empty if a controller replied.
+    """
+
+    answer: object
     is_from_observer: bool
-    controllers: list[KnownController]  # that an observer knows
+    controllers: list[KnownController]
 
     @classmethod
     def from_json(cls, data: JsonObject) -> RelayReply:
-        """Return a reply from its form on the wire.
+        """Parse a reply from its wire format.
 
         Raises:
-            InvalidMessageError: An observer names no list of controllers.
+            InvalidMessageError: The reply comes from an observer and has no valid list of controllers.
         """
         is_from_observer = bool(data.get("observer"))
         controllers = controllers_from_json(data.get("controllers")) if is_from_observer else []
--- a/brambleusher/controlplane/relay/server.py
+++ b/brambleusher/controlplane/relay/server.py
@@ -1,4 +1,4 @@
-"""Serves observers on a controller: executes the requests that they relay."""
+"""Executes the requests that observers relay to this controller."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.wire.json_fields import JsonObject
 
-RESPONSE_TIMEOUT_S = 0.45  # for a controller to answer, one further hop to the leader included
+RESPONSE_TIMEOUT_S = 0.45  # time limit for a request, including forwarding it to the leader
 
 
 class RelayServer:
-    """Answers observers on a controller."""
+    """Handles relayed requests on a controller."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         """Return the reply to one request.
 
         Raises:
-            InvalidMessageError: The request can't be read.
+            InvalidMessageError: The request is invalid.
         """
         request = request_from_json(message)
         return reply_to_json(self._answer(request, self._scheduler.now() + RESPONSE_TIMEOUT_S))
--- a/brambleusher/controlplane/storage/errors.py
+++ b/brambleusher/controlplane/storage/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the durable log."""
+"""Exceptions of the durable log."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class StorageError(Exception):
-    """Base of the errors of this package."""
+    """Base class of the exceptions of this package."""
 
 
 @dataclass(eq=False)
 class CorruptStorageError(StorageError):
-    """Records that had been synced can't be read any more."""
+    """A file contains synced records that can no longer be read."""
 
     name: str
     reason: str
--- a/brambleusher/controlplane/storage/records.py
+++ b/brambleusher/controlplane/storage/records.py
@@ -1,6 +1,7 @@
-"""Records of the log on disk, and their stored form.
+"""Records of the log on disk, and their storage format.
 
-A record is a line: its CRC-32 as eight hexadecimal digits, a space, and a JSON object whose `t` is the kind.
+A record is a line with a CRC-32 checksum as eight hexadecimal digits, a space, and a JSON object whose field
+`t` is the kind of the record.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 class RecordKind(Enum):
-    """Kinds of records; the values are the stored form."""
+    """The kind of a record; the values are stored on disk."""
 
     IDENTITY = "identity"
     BOOTSTRAP_MEMBERS = "founders"
@@ -33,14 +34,14 @@
 
 @dataclass(frozen=True, slots=True)
 class IdentityRecord:
-    """Who the replica is: the first record of every segment."""
+    """Record of the replica's identity, which is the first record of every segment."""
 
     identity: str
 
 
 @dataclass(frozen=True, slots=True)
 class BootstrapMembersRecord:
-    """The members of the first group, which every bootstrap member knows from its settings."""
+    """Record of the initial members of the group, which bootstrap members know from their settings."""
 
     members: tuple[Member, ...]
 
@@ -50,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotFile:
-    """The content of a snapshot file: the state, and what the removed segments held besides."""
+    """The content of a snapshot file: a snapshot, and the identity, term and vote of the replica."""
 
     snapshot: Restore
     identity: str
@@ -58,16 +59,16 @@
 
 
 def encode_line(data: JsonObject) -> bytes:
-    """Return an object as a line with its checksum."""
+    """Encode a JSON object as a line with its checksum."""
     text = orjson.dumps(data)
     return b"%08x %s\n" % (zlib.crc32(text), text)
 
 
 def decode_line(line: bytes) -> dict[str, object]:
-    """Return the object of a line without its end.
+    """Decode the JSON object of a line, which is given without its newline.
 
     Raises:
-        InvalidMessageError: The line is torn, or holds no JSON object.
+        InvalidMessageError: The line is incomplete or corrupt, or does not contain a JSON object.
     """
     checksum, _, text = line.partition(b" ")
     try:
@@ -75,17 +76,17 @@
             raise InvalidMessageError("the checksum does not match")
         data = orjson.loads(text)
     except ValueError as error:
-        raise InvalidMessageError("a record can't be decoded") from error
+        raise InvalidMessageError("a record cannot be decoded") from error
     return as_object(data, "a record")
 
 
 def encode_records(records: Iterable[StoredRecord]) -> bytes:
-    """Return records as lines."""
+    """Encode records as lines."""
     return b"".join(encode_line(record_to_json(record)) for record in records)
 
 
 def record_to_json(record: StoredRecord) -> dict[str, object]:
-    """Return a record's stored form."""
+    """Return a record as the JSON object that is stored."""
     match record:
         case IdentityRecord():
             return {"t": RecordKind.IDENTITY.value, "id": record.identity}
@@ -102,7 +103,7 @@
 
 
 def record_from_json(data: JsonObject) -> StoredRecord | None:
-    """Return the record of its stored form; None for a kind that only a later version knows.
+    """Parse a record from the stored JSON object, or return None for the unknown kind of a later version.
 
     Raises:
         InvalidMessageError: A field is missing or of the wrong type.
@@ -113,7 +114,7 @@
 
 
 def snapshot_file_to_json(file: SnapshotFile) -> dict[str, object]:
-    """Return a snapshot file's stored form."""
+    """Return the content of a snapshot file as the JSON object that is stored."""
     return {
         **_snapshot_to_json(file.snapshot),
         "identity": file.identity,
@@ -123,7 +124,7 @@
 
 
 def snapshot_file_from_json(data: JsonObject) -> SnapshotFile:
-    """Return a snapshot file from its stored form.
+    """Parse the content of a snapshot file from the stored JSON object.
 
     Raises:
         InvalidMessageError: A field is missing or of the wrong type.
--- a/brambleusher/controlplane/storage/recovery.py
+++ b/brambleusher/controlplane/storage/recovery.py
@@ -1,4 +1,4 @@
-"""Recovery: the newest snapshot and the records after it become the state that a replica starts with."""
+"""Recovery of a replica's state from the newest snapshot and the log records after it."""
 
 from __future__ import annotations
 
@@ -25,26 +25,35 @@
 
 @dataclass(slots=True)
 class RecoveredState:
-    """What a disk holds, as far as its records have been applied."""
+    """The state recovered from the records that were applied so far.
+
+    Attributes:
+        identity: The identity of the replica, or "" if the disk is new.
+        term: The last stored term.
+        vote: The identity of the candidate that the replica voted for in that term, or "".
+        log: The log after the newest snapshot.
+        state: The state of the state machine as the snapshot stores it, or None if there is no snapshot.
+        record_count: The number of records read from segments, for reports to operators.
+    """
 
-    identity: str = ""  # empty on a new disk
+    identity: str = ""
     term: int = 0
     vote: str = ""
     log: Log = field(default_factory=Log)
-    state: object = None  # of the state machine, in its stored form; None before the first snapshot
-    record_count: int = 0  # of segments, for the report of a check
+    state: object = None
+    record_count: int = 0
 
     def load_snapshot(self, file: SnapshotFile) -> None:
-        """Begin with a snapshot."""
+        """Initialize the state from a snapshot."""
         self.identity = file.identity
         self.term, self.vote = file.hard_state.term, file.hard_state.vote
         self._restore(file.snapshot)
 
     def apply(self, record: StoredRecord | None) -> None:
-        """Apply the next record; None is one of a kind that this version does not know.
+        """Apply the next record; None stands for a record of a kind that this version does not know.
 
         Raises:
-            InvalidMessageError: An entry does not follow the last one.
+            InvalidMessageError: An entry does not follow the last entry.
         """
         self.record_count += 1
         match record:
@@ -74,7 +83,7 @@
     def _apply_entry(self, entry: Entry) -> None:
         if entry.index <= self.log.base_index:
             return
-        if entry.index <= self.log.last_index:  # repeated at the head of a segment
+        if entry.index <= self.log.last_index:  # the entry is repeated at the start of a segment
             if self.log.term_at(entry.index) == entry.term:
                 return
             self.log.truncate(entry.index)
@@ -85,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SegmentExtent:
-    """Bytes of a segment that are complete records, and all bytes: more where its end is torn."""
+    """The size of a segment's complete records, and its total size, including an incomplete record."""
 
     name: str
     complete_bytes: int
@@ -96,11 +105,11 @@
     """Read the newest snapshot and all segments.
 
     Args:
-        disk: What to read.
-        segment_read: Called after each segment, in order, before the next one is read.
+        disk: The disk to read.
+        segment_read: Called after each segment, in order, before the next segment is read.
 
     Raises:
-        CorruptStorageError: Records are unreadable where no write can have been torn.
+        CorruptStorageError: Records are unreadable at a place where an interrupted write cannot be the cause.
     """
     recovered = RecoveredState()
     names = disk.names()
@@ -114,7 +123,7 @@
 
 
 def _read_segment(disk: Disk, name: str, recovered: RecoveredState, is_last: bool) -> SegmentExtent:
-    """Apply the records of a segment; only the last segment may end with a torn one."""
+    """Apply the records of a segment; only the last segment may end with an incomplete record."""
     data = disk.read(name)
     complete_bytes = 0
     for line, end in _lines(data):
@@ -131,7 +140,7 @@
 
 
 def _lines(data: bytes) -> Iterator[tuple[bytes, int]]:
-    """Yield each complete line without its end, and the position after it."""
+    """Yield each complete line without its newline, and the offset after the newline."""
     begin = 0
     while (end := data.find(b"\n", begin)) >= 0:
         yield data[begin:end], end + 1
--- a/brambleusher/controlplane/storage/segments.py
+++ b/brambleusher/controlplane/storage/segments.py
@@ -1,4 +1,4 @@
-"""Segments of the log: files of records, of which only the last one is written to."""
+"""Segments of the log: files of records, of which only the last is appended to."""
 
 from __future__ import annotations
 
@@ -8,32 +8,33 @@
 from brambleusher.controlplane.storage.snapshots import publish_atomically
 from brambleusher.runtime.disk import Disk
 
-SEGMENT_BYTES = 4 * 1024 * 1024  # at this size a snapshot is due, and with it a new segment
-SEGMENT_PREFIX = "log-"  # followed by the segment's number
+SEGMENT_BYTES = 4 * 1024 * 1024  # at this size a snapshot is written and a new segment is started
+SEGMENT_PREFIX = "log-"  # file name prefix, followed by the segment's number
 
 
 class SegmentWriter:
-    """Appends records to the last segment; its calls block."""
+    """Appends records to the last segment; its methods block."""
 
     def __init__(self, disk: Disk) -> None:
         self._disk = disk
         self.name = ""
         self._number = 0
-        self._synced_bytes = 0  # of complete records
-        self._may_have_torn_end = False  # a failed write may have left bytes beyond those
+        self._synced_bytes = 0  # size of the complete records in the segment
+        # Whether a failed write may have left bytes after the complete records.
+        self._may_have_torn_end = False
 
     @property
     def is_full(self) -> bool:
-        """Whether the segment has grown enough for a snapshot."""
+        """Whether the segment is large enough for a snapshot."""
         return self._synced_bytes >= SEGMENT_BYTES
 
     def resume(self, name: str, size_bytes: int) -> None:
-        """Go on in a segment that recovery found with this many bytes of complete records."""
+        """Continue a segment that recovery found, with `size_bytes` bytes of complete records."""
         self.name, self._number = name, int(name.removeprefix(SEGMENT_PREFIX))
         self._synced_bytes = size_bytes
 
     def open_next(self, records: Sequence[StoredRecord]) -> None:
-        """Begin a segment with its first records."""
+        """Start a new segment with its first records."""
         number = self._number + 1
         name = f"{SEGMENT_PREFIX}{number:016d}"
         data = encode_records(records)
@@ -42,7 +43,7 @@
         self._synced_bytes, self._may_have_torn_end = len(data), False
 
     def append(self, records: Sequence[StoredRecord]) -> None:
-        """Append records and sync them; after an `OSError` the same call may be made again."""
+        """Append records and sync them; the call may be repeated after an `OSError`."""
         self.truncate_torn_end()
         data = encode_records(records)
         self._may_have_torn_end = True
@@ -52,7 +53,7 @@
         self._may_have_torn_end = False
 
     def truncate_torn_end(self) -> None:
-        """Remove what a failed write may have left behind."""
+        """Truncate the bytes that a failed write may have left at the end of the segment."""
         if self._may_have_torn_end:
             self._disk.truncate(self.name, self._synced_bytes)
             self._may_have_torn_end = False
--- a/brambleusher/controlplane/storage/snapshots.py
+++ b/brambleusher/controlplane/storage/snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshot files: each replaces the log up to an index, and appears on disk whole or not at all."""
+"""Snapshot files, which replace the log up to an index and are created atomically."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 log = logging.getLogger(__name__)
 
-SNAPSHOT_PREFIX = "snapshot-"  # followed by the index of the last entry that it holds
-UNFINISHED_PREFIX = "unfinished-"  # ahead of the name of a file that is still being written
+SNAPSHOT_PREFIX = "snapshot-"  # file name prefix, followed by the index of the last entry in the snapshot
+UNFINISHED_PREFIX = "unfinished-"  # file name prefix of a file that is still being written
 
 
 def publish_atomically(disk: Disk, name: str, data: bytes) -> None:
-    """Make a file appear whole: write it under another name, sync it, rename it, sync the folder."""
+    """Create a file atomically: write it under another name, sync it, rename it and sync the folder."""
     unfinished = UNFINISHED_PREFIX + name
     if unfinished in disk.names():
         disk.remove(unfinished)
@@ -46,7 +46,7 @@
 
 
 def read_newest_snapshot(disk: Disk, names: list[str]) -> SnapshotFile | None:
-    """Return the newest snapshot that can be read; None where there is none."""
+    """Return the newest readable snapshot, or None if there is none."""
     snapshots = [name for name in names if name.startswith(SNAPSHOT_PREFIX)]
     for name in sorted(snapshots, reverse=True):
         try:
--- a/brambleusher/controlplane/storage/storage.py
+++ b/brambleusher/controlplane/storage/storage.py
@@ -1,7 +1,7 @@
-"""The durable state of a replica: segments of checked records, with snapshots beside them.
+"""The durable state of a replica: log segments of records with checksums, and snapshots.
 
-A snapshot and a segment appear on disk whole (written under another name, synced, renamed).  Older files are
-removed once a newer segment repeats every entry that the snapshot does not hold.
+Snapshots and new segments are created atomically (written under another name, synced and renamed). Older
+files are removed once a newer segment repeats every entry that is not in the snapshot.
 """
 
 from __future__ import annotations
@@ -27,20 +27,20 @@
 
 
 class Storage:
-    """The files of one replica; its calls block and belong to the disk's worker once it runs."""
+    """The files of one replica; methods block, and only the disk worker may call them once it is running."""
 
     def __init__(self, disk: Disk) -> None:
         self._disk = disk
         self._writer = SegmentWriter(disk)
 
     def recover(self) -> RecoveredState:
-        """Read everything, remove a torn end and make what was read durable.
+        """Read all records, truncate an incomplete record at the end, and sync the files.
 
-        A killed process may have left bytes that were never synced: they are synced before anybody relies
-        on them.
+        A killed process may have left records that were written but not synced. They are synced here, before
+        any other part of the program relies on them.
 
         Raises:
-            CorruptStorageError: Records that had been synced can't be read.
+            CorruptStorageError: Synced records can no longer be read.
         """
         remove_unfinished(self._disk)
         recovered = read_disk(self._disk, self._repair)
@@ -54,19 +54,24 @@
         self._writer.resume(segment.name, segment.complete_bytes)
 
     def begin(self, identity: str, bootstrap_members: tuple[Member, ...] = ()) -> None:
-        """Write the first segment of a new disk: who this replica is, and the first group if it is in it."""
+        """Write the first segment of a new disk.
+
+        Args:
+            identity: The identity of the replica.
+            bootstrap_members: The initial members of the group; empty if this replica is not one of them.
+        """
         records: list[StoredRecord] = [IdentityRecord(identity)]
         if bootstrap_members:
             records.append(BootstrapMembersRecord(bootstrap_members))
         self._writer.open_next(records)
 
     def write(self, records: Sequence[Record]) -> None:
-        """Append records and sync them; after an `OSError` the same call may be made again."""
+        """Append records and sync them; the call may be repeated after an `OSError`."""
         self._writer.append(records)
 
     @property
     def is_snapshot_due(self) -> bool:
-        """Whether the segment has grown enough for a snapshot."""
+        """Whether the segment is large enough for a snapshot."""
         return self._writer.is_full
 
     def write_snapshot(
@@ -74,7 +79,7 @@
     ) -> None:
         """Write a snapshot and a segment with the entries after it, then remove older files.
 
-        After an `OSError` the same call may be made again.
+        The call may be repeated after an `OSError`.
         """
         self._writer.truncate_torn_end()
         name = write_snapshot_file(self._disk, SnapshotFile(snapshot, identity, hard_state))
@@ -87,19 +92,19 @@
 
 
 def read_only(disk: Disk) -> RecoveredState:
-    """Return what recovery would find, without changing the disk.
+    """Return the state that recovery would produce, without changing the disk.
 
     Raises:
-        CorruptStorageError: Records that had been synced can't be read.
+        CorruptStorageError: Synced records can no longer be read.
     """
     return read_disk(disk, lambda _: None)
 
 
 def inspect(disk: Disk) -> dict[str, object]:
-    """Return what a disk holds as a JSON object, for operators; changes nothing.
+    """Return a summary of a disk's content as a JSON object, for operators, without changing the disk.
 
     Raises:
-        CorruptStorageError: Records that had been synced can't be read.
+        CorruptStorageError: Synced records can no longer be read.
     """
     recovered = read_only(disk)
     state = recovered.state if isinstance(recovered.state, dict) else {}
--- a/tests/controlplane/consensus/test_consensus_mutations.py
+++ b/tests/controlplane/consensus/test_consensus_mutations.py
@@ -82,9 +82,9 @@
 
 
 class SkipsTheLastMatch(Replication):
-    def advance_commit(self, leading: LeaderState) -> bool:
+    def advance_commit(self, leader_state: LeaderState) -> bool:
         state = self._state
-        followers = leading.progress.followers.values()
+        followers = leader_state.progress.followers.values()
         matched = max([state.durability.synced_index, *(known.match_index for known in followers)])
         if matched > state.commit_index and state.log.term_at(matched) == state.term:
             state.commit_to(matched)
