--- a/brambleusher/controlplane/consensus/snapshots.py
+++ b/brambleusher/controlplane/consensus/snapshots.py
@@ -36,8 +36,8 @@
         term = state.log.term_at(applied_index)
         if term is None or applied_index > state.commit_index:
             raise InvariantViolationError(
-                f"cannot make a snapshot at index {applied_index}: the committed entries in the log are "
-                f"{state.log.base_index}..{state.commit_index}"
+                f"cannot make a snapshot at index {applied_index}: only entries "
+                f"{state.log.base_index}..{state.commit_index} are committed and in the log"
             )
         return Restore(applied_index, term, state.log.members_at(applied_index), machine_state)
 
--- a/brambleusher/controlplane/registry/instance_list.py
+++ b/brambleusher/controlplane/registry/instance_list.py
@@ -127,7 +127,7 @@
             data = orjson.loads(body)
             return list(data["instances"]), data["next_token"]
         except (orjson.JSONDecodeError, KeyError, TypeError) as error:
-            raise InstanceListError(f"invalid page of the instance list: {error!r}") from error
+            raise InstanceListError(f"invalid page of the instance list: {error}") from error
 
     # --- exchange with other controllers ---------------------------------------------------------
 
--- a/brambleusher/controlplane/registry/load_reports.py
+++ b/brambleusher/controlplane/registry/load_reports.py
@@ -56,7 +56,7 @@
 def _parse_values(values: object) -> list[float]:
     """Return the metric values of one instance; values that an older gateway does not send are 0."""
     if not isinstance(values, list) or len(values) not in (WIDTH_WITHOUT_LOAD, WIDTH):
-        raise InvalidMessageError(f"the metrics of an instance must be a list of {WIDTH} numbers")
+        raise InvalidMessageError(f"the metrics of an instance are not a list of length {WIDTH}")
     if not all(isinstance(value, int | float) and value >= 0 for value in values):
         raise InvalidMessageError(f"the metrics of an instance must be numbers of at least 0: {values!r}")
     return [float(value) for value in values] + [0.0] * (WIDTH - len(values))
