--- a/brambleusher/membership/__init__.py
+++ b/brambleusher/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who else is there: partial views, failure detection, size estimates."""
+"""Membership: peer sampling, known controllers, connections between processes, and settings reload."""
--- a/brambleusher/membership/controllers.py
+++ b/brambleusher/membership/controllers.py
@@ -1,4 +1,4 @@
-"""Which controllers a process calls, and how it leaves one that fails; pure."""
+"""Selection of the controllers that a process connects to, with backoff from failed ones; no I/O."""
 
 from __future__ import annotations
 
@@ -10,22 +10,23 @@
 from brambleusher.wire.errors import InvalidMessageError
 
 KNOWN_MAX = 32
-BACKOFF_MIN_S = 1.0  # for a controller that failed, before it is called again; doubled each time
+BACKOFF_MIN_S = 1.0  # first backoff from a controller that failed; doubled with each further failure
 BACKOFF_MAX_S = 4.0
-BACKOFF_JITTER_MIN, BACKOFF_JITTER_MAX = 0.7, 1.0  # factors of a backoff
+BACKOFF_JITTER_MIN, BACKOFF_JITTER_MAX = 0.7, 1.0  # bounds of the random factor of a backoff
 
-SAME_ZONE, SAME_REGION, OTHER_REGION = 0, 1, 2  # distances: the price of bytes goes by them
+# Distances between processes, in the order of the price of network traffic between them.
+SAME_ZONE, SAME_REGION, OTHER_REGION = 0, 1, 2
 
 
 @dataclass(frozen=True, slots=True)
 class Locality:
-    """Where a process is; empty where that is not known."""
+    """The zone and region of a process; "" if unknown."""
 
     zone: str = ""
     region: str = ""
 
     def distance(self, other: Locality) -> int:
-        """Return how far apart two processes are."""
+        """Return the distance class of two processes."""
         if self.zone == other.zone:
             return SAME_ZONE
         return SAME_REGION if self.region == other.region else OTHER_REGION
@@ -35,20 +36,20 @@
 
 
 class KnownController(NamedTuple):
-    """A controller's address, and where it is."""
+    """The address and the locality of a controller."""
 
     address: str
     locality: Locality
 
 
 def controllers_from_json(data: object) -> list[KnownController]:
-    """Return controllers from their form on the wire: address, zone and region of each.
+    """Parse controllers from their wire format, a list with the address, zone and region of each.
 
     Raises:
-        InvalidMessageError: It is no list of such triples.
+        InvalidMessageError: The value is not a list of such triples.
     """
     if not isinstance(data, list):
-        raise InvalidMessageError(f"controllers are no list: {data!r:.80}")
+        raise InvalidMessageError(f"controllers are not a list: {data!r:.80}")
     try:
         return [
             KnownController(str(address), Locality(str(zone), str(region))) for address, zone, region in data
@@ -58,7 +59,7 @@
 
 
 class Backoff(NamedTuple):
-    """A controller that failed is not called before a moment, unless there is no other."""
+    """A backoff from a controller, which is not used before `until_s` unless no other is available."""
 
     until_s: float
     duration_s: float
@@ -68,9 +69,10 @@
 
 
 class Controllers:
-    """Known controllers.
+    """The known controllers, and which of them each connection slot uses.
 
-    Each of the caller's connection slots acquires one, all different while there are enough, near ones first.
+    Each slot acquires one controller: one that no other slot uses, if there are enough, and preferably a near
+    one.
     """
 
     def __init__(self, seeds: tuple[str, ...], rng: random.Random, here: Locality) -> None:
@@ -80,28 +82,28 @@
         self._announced: dict[str, Locality] = {}
         self._observers: set[str] = set()
         self._backoffs: dict[str, Backoff] = {}
-        self._acquired: dict[int, str] = {}  # address by slot
+        self._acquired: dict[int, str] = {}  # address of the acquired controller, by slot
 
-    # --- which controllers there are -------------------------------------------------------------
+    # --- known controllers -----------------------------------------------------------------------
 
     def set_announced(self, controllers: Iterable[tuple[str, Locality]]) -> None:
-        """Replace what was known, except the seeds: a controller announced all controllers."""
+        """Replace the known controllers except the seeds by the list that a controller announced."""
         self._announced = dict(list(controllers)[:KNOWN_MAX])
         self._update_known()
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Replace the seeds: the settings have changed."""
+        """Replace the seeds after a change of the settings."""
         self._seeds = seeds
         self._update_known()
 
     def mark_observer(self, address: str, controllers: Iterable[tuple[str, Locality]]) -> None:
-        """Record that a process is no controller, and add the controllers that it knows."""
+        """Record that a process is an observer, not a controller, and add the controllers that it knows."""
         self._observers.add(address)
         self._announced = {**dict(list(controllers)[:KNOWN_MAX]), **self._announced}
         self._update_known()
 
     def _update_known(self) -> None:
-        """Keep seeds that are observers only while nobody else is known."""
+        """Recompute the known controllers; observers are used only if no controller is known."""
         known = {**dict.fromkeys(self._seeds, UNKNOWN_LOCALITY), **self._announced}
         controllers = {
             address: locality for address, locality in known.items() if address not in self._observers
@@ -114,13 +116,16 @@
         return list(self._announced)
 
     def announced_as_json(self) -> list[tuple[str, str, str]]:
-        """Return address, zone and region of the announced controllers, the form on the wire."""
+        """Return the address, zone and region of each announced controller, in wire format."""
         return [(address, locality.zone, locality.region) for address, locality in self._announced.items()]
 
-    # --- which one to call -----------------------------------------------------------------------
+    # --- selection of a controller ---------------------------------------------------------------
 
     def acquire(self, slot: int, now: float) -> str:
-        """Return a controller for a slot: one of the nearest of those that are not backing off."""
+        """Acquire a controller for a slot: a random one of the nearest without a backoff.
+
+        If all available controllers are in backoff, the one whose backoff ends first is acquired.
+        """
         others = self._acquired_by_others(slot)
         free = [address for address in self._known if address not in others]
         available = [address for address in free if self._backoff(address).until_s <= now]
@@ -146,14 +151,14 @@
         return self._backoffs.get(address, NO_BACKOFF)
 
     def holds_nearest(self, slot: int) -> bool:
-        """Whether a slot has the nearest of the acquired controllers; among equals the first slot has."""
+        """Return whether a slot has the nearest of the acquired controllers; ties go to the lowest slot."""
         ranks = [(self._distance(address), other) for other, address in self._acquired.items()]
         return min(ranks, default=(SAME_ZONE, slot))[1] == slot
 
     def is_nearer_available(self, slot: int, address: str, now: float) -> bool:
-        """Whether a slot could acquire a nearer controller than the one at `address`.
+        """Return whether a slot could acquire a nearer controller than the one at `address`.
 
-        At the start no locality is known, and all slots have seeds.
+        After startup the slots have seeds, whose localities are unknown until controllers are announced.
         """
         if address not in self._known:
             return False
@@ -166,7 +171,7 @@
         )
 
     def record_failure(self, address: str, now: float) -> None:
-        """Back off from a controller that timed out, or is out of contact with a majority."""
+        """Back off from a controller that timed out, or that has no contact with a majority."""
         duration_s = min(BACKOFF_MAX_S, max(BACKOFF_MIN_S, self._backoff(address).duration_s * 2))
         until_s = now + duration_s * self._rng.uniform(BACKOFF_JITTER_MIN, BACKOFF_JITTER_MAX)
         self._backoffs[address] = Backoff(until_s, duration_s)
@@ -174,5 +179,5 @@
             del self._backoffs[next(iter(self._backoffs))]
 
     def record_success(self, address: str) -> None:
-        """End the backoff from a controller that answered and is in contact with a majority."""
+        """Reset the backoff from a controller that answered and is in contact with a majority."""
         self._backoffs.pop(address, None)
--- a/brambleusher/membership/line_connection.py
+++ b/brambleusher/membership/line_connection.py
@@ -1,4 +1,4 @@
-"""JSON lines over TCP: a server, a one-way sender, and a client that keeps its connection."""
+"""JSON lines over TCP: a server, a one-way sender, and a client with a persistent connection."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from brambleusher.wire.json_fields import JsonObject
 
 CONNECT_TIMEOUT_S = 0.5
-UNACKNOWLEDGED_MAX_S = 1.0  # bytes that the peer's kernel has not acknowledged for longer end a connection
+UNACKNOWLEDGED_MAX_S = 1.0  # a connection fails if sent bytes are not acknowledged by TCP within this time
 IDLE_TIMEOUT_S = 30.0
 SEND_TIMEOUT_S = 3.0
 RECONNECT_BACKOFF_S = 0.1
@@ -25,7 +25,7 @@
 
 
 def _connect(scheduler: Scheduler, address: Address, deadline: float) -> Stream:
-    """Return a connection that fails soon once the peer is unreachable."""
+    """Open a connection that fails within `UNACKNOWLEDGED_MAX_S` of the peer becoming unreachable."""
     return Stream.connect(
         scheduler,
         address,
@@ -35,7 +35,7 @@
 
 
 class LineServer:
-    """Calls a handler with each message; what that returns is sent back on the same connection."""
+    """Calls a handler with each received message, and sends the returned reply on the same connection."""
 
     def __init__(
         self,
@@ -45,14 +45,16 @@
         on_invalid: Callable[[str, str], None],
         connections: int = CONNECTIONS_MAX,
     ) -> None:
-        """Listen.
+        """Start listening.
 
         Args:
-            scheduler: Of the serving thread.
-            address: Where to listen.
-            handler: Gets a message and the sender's host; may raise `InvalidMessageError`.
-            on_invalid: Gets the host and the reason where a message is invalid; its connection is closed.
-            connections: That are served at once.
+            scheduler: The scheduler of the serving thread.
+            address: The address to listen on.
+            handler: Called with a message and the sender's host; returns the reply, or None to send no reply,
+                and may raise `InvalidMessageError`.
+            on_invalid: Called with the sender's host and the reason when a message is invalid, before its
+                connection is closed.
+            connections: The maximum number of concurrent connections.
         """
         self._scheduler, self._handler, self._on_invalid = scheduler, handler, on_invalid
         self.acceptor = Acceptor(scheduler, address, self._serve, connections)
@@ -71,9 +73,9 @@
 
 
 class LineSender:
-    """Sends messages one way to one address, in order, over a connection that is renewed when it fails.
+    """Sends messages to one address, in order and without replies, and reconnects when the connection fails.
 
-    Messages that can't be sent are dropped: callers repeat what matters.
+    Messages that cannot be sent are dropped; callers repeat important messages.
     """
 
     def __init__(self, scheduler: Scheduler, address: Address) -> None:
@@ -84,7 +86,7 @@
         self._task = scheduler.spawn(self._run, name="sender")
 
     def send(self, message: JsonObject) -> None:
-        """Queue a message; the oldest are dropped where the peer does not read them."""
+        """Queue a message; the oldest messages are dropped if the queue exceeds `QUEUE_BYTES_MAX`."""
         line = lines.encode(message)
         self._queue.append(line)
         self._queued_bytes += len(line)
@@ -117,11 +119,11 @@
                 stream.close()
 
     def _send_queued(self, stream: Stream) -> None:
-        """Send what is queued until the peer closes the connection."""
+        """Send queued messages until the peer closes the connection."""
         while True:
             if not self._queue:
                 if self._scheduler.park(None, stream.sock, event=self._enqueued) is not Wakeup.EVENT:
-                    return  # it became readable: the peer never sends anything here, so it has closed
+                    return  # the socket is readable; the peer never sends data, so it closed the connection
                 continue
             line = self._queue.popleft()
             self._queued_bytes -= len(line)
@@ -129,7 +131,7 @@
 
 
 class LineClient:
-    """Calls over one connection: a message out, a message back."""
+    """Sends requests and receives replies over one connection."""
 
     def __init__(self, scheduler: Scheduler, address: Address) -> None:
         self._scheduler, self._address = scheduler, address
@@ -140,14 +142,14 @@
         """Send a message and return the reply.
 
         Raises:
-            OSError: The connection failed; like after every error it is closed.
-            TaskTimeoutError: There was no reply in time.
-            InvalidMessageError: The reply can't be read.
+            OSError: The connection failed; it is closed, as after every other error.
+            TaskTimeoutError: No reply arrived in time.
+            InvalidMessageError: The reply is invalid.
         """
         deadline = self._scheduler.now() + timeout_s
         try:
             return self._exchange(message, deadline)
-        except BaseException:  # a task that is cancelled, too, leaves no half-read connection behind
+        except BaseException:  # also on cancellation: a connection with a partly read reply is not reused
             self.close()
             raise
 
@@ -164,7 +166,7 @@
         raise ConnectionResetError("the connection ended before the reply")
 
     def close(self) -> None:
-        """End the connection."""
+        """Close the connection."""
         if self._stream is not None:
             self._stream.close()
             self._stream = None
--- a/brambleusher/membership/process.py
+++ b/brambleusher/membership/process.py
@@ -1,4 +1,4 @@
-"""The life of a process of the system as signals drive it."""
+"""Main loop of a process, and its handling of signals."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 def run_until_signalled(
     scheduler: Scheduler, begin_shutdown: Callable[[], None], settings: SettingsWatcher
 ) -> None:
-    """Run until the scheduler stops; SIGTERM and SIGINT begin the shutdown, SIGHUP checks the settings."""
+    """Run the scheduler until it stops; SIGTERM and SIGINT begin the shutdown, SIGHUP checks the settings."""
     system = scheduler.system
     for number in (signal.SIGTERM, signal.SIGINT):
         system.on_signal(number, lambda: scheduler.call_soon(begin_shutdown))
--- a/brambleusher/membership/settings_watch.py
+++ b/brambleusher/membership/settings_watch.py
@@ -1,4 +1,4 @@
-"""Notices a changed settings file, on a signal or periodically, and reads it again."""
+"""Detects changes of the settings file, periodically and on a signal, and reloads it."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class FileVersion(NamedTuple):
-    """What changes when a file is written or replaced."""
+    """File attributes that change when the file is written or replaced."""
 
     modified_ns: int
     size_bytes: int
@@ -26,17 +26,17 @@
 
 
 class SettingsWatcher:
-    """Calls back with new settings; a file that can't be used changes nothing."""
+    """Calls back with changed settings; an invalid file is logged and otherwise ignored."""
 
     def __init__(self, scheduler: Scheduler, path: str, on_changed: Callable[[Settings], None]) -> None:
-        """Watch the file at `path`; nothing where it is empty."""
+        """Watch the file at `path`, or no file if `path` is ""."""
         self._scheduler, self._path, self._on_changed = scheduler, path, on_changed
         self._version = self._current_version()
         if path:
             scheduler.spawn(self._run, name="settings")
 
     def check(self) -> None:
-        """Read the file again if it has changed."""
+        """Reload the file if it has changed."""
         version = self._current_version()
         if version is None or version == self._version:
             return
--- a/brambleusher/membership/views.py
+++ b/brambleusher/membership/views.py
@@ -1,7 +1,7 @@
-"""Peer sampling: who serves, as a partial view that processes shuffle among each other; pure.
+"""Peer sampling: each process has a partial view of the other processes and exchanges samples of it; no I/O.
 
-Each entry has an age.  A process refreshes its own entry where it calls, views are merged by the younger age,
-and a peer without any contact for a while is removed.
+Each entry has an age. A process refreshes its own entry at the processes that it contacts, merging two views
+keeps the entry with the lower age, and peers without contact for `CONTACT_TTL_S` are removed.
 
 Source: M. Jelasity et al., "Gossip-based peer sampling", ACM Transactions on Computer Systems 25(3), 2007.
 """
@@ -16,14 +16,14 @@
 from brambleusher.wire.errors import InvalidMessageError
 
 PEERS_MAX = 512
-SAMPLE_SIZE = 64  # entries in one shuffle
-CONTACT_TTL_S = 12.0  # a peer without a contact for so long is removed
-ALIVE_WITHIN_S = 3.0  # a peer with a contact so recent counts as alive
+SAMPLE_SIZE = 64  # maximum number of entries in one sample
+CONTACT_TTL_S = 12.0  # a peer without contact for this time is removed
+ALIVE_WITHIN_S = 3.0  # a peer with a contact within this time counts as alive
 MS_PER_S = 1000
 
 
 class PeerState(Enum):
-    """What a process says of itself; the values are the form on the wire."""
+    """The state that a process reports of itself; the values are sent on the wire."""
 
     STARTING = "starting"
     READY = "ready"
@@ -32,22 +32,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Peer:
-    """One process as it described itself."""
+    """The description that a process gives of itself.
+
+    Attributes:
+        name: The name of the process.
+        role: The role of the process, such as gateway or controller.
+        address: The address for clients (if the process is a gateway) or for peers (if it is a controller).
+        zone: The zone of the process.
+        region: The region of the process.
+        state: Whether the process is starting, ready or draining.
+        incarnation: The Unix time of the process's start in milliseconds; it orders overlapping processes
+            with the same name.
+    """
 
     name: str
     role: str
-    address: str  # where clients (of a gateway) or peers (of a controller) reach it
+    address: str
     zone: str
     region: str
     state: PeerState
-    incarnation: int  # Unix time of its start in ms; orders two starts of one name that overlap
+    incarnation: int
 
     def as_json(self) -> dict[str, object]:
-        """Return the form on the wire."""
+        """Return the peer in its wire format."""
         return dict(zip(PEER_KEYS, self.as_values(), strict=True))
 
     def as_values(self) -> list[object]:
-        """Return the values of the form on the wire, in the order of `PEER_KEYS`."""
+        """Return the values of the wire format, in the order of `PEER_KEYS`."""
         return [
             self.name,
             self.role,
@@ -63,13 +74,13 @@
 
 
 def peer_from_json(data: object) -> Peer:
-    """Return a peer from its form on the wire.
+    """Parse a peer from its wire format.
 
     Raises:
-        InvalidMessageError: A field is missing or can't be read.
+        InvalidMessageError: A field is missing or invalid.
     """
     if not isinstance(data, dict):
-        raise InvalidMessageError(f"a peer is no object: {data!r:.80}")
+        raise InvalidMessageError(f"a peer is not an object: {data!r:.80}")
     try:
         return Peer(
             str(data["name"]),
@@ -81,25 +92,28 @@
             int(data["incarnation"]),
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise InvalidMessageError(f"a peer can't be read: {error!r}") from error
+        raise InvalidMessageError(f"a peer is invalid: {error!r}") from error
 
 
 class Contact(NamedTuple):
-    """A peer, and when this process last heard of it, on the local clock."""
+    """A peer, and the time of the last direct or indirect contact, in seconds of the local clock."""
 
     peer: Peer
     at_s: float
 
 
 class PartialView:
-    """The peers that this process has heard of recently, itself or through others."""
+    """The peers with which this process recently had contact, either directly or through other processes."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
         self._contacts: dict[str, Contact] = {}
 
     def record_contact(self, peer: Peer, at_s: float) -> None:
-        """Record what a peer said of itself at a moment; an older incarnation never replaces a newer one."""
+        """Record a peer's description of itself at a time.
+
+        A description is ignored if a later one of the same or a newer incarnation is known.
+        """
         known = self._contacts.get(peer.name)
         if known is not None and (known.at_s >= at_s and known.peer.incarnation >= peer.incarnation):
             return
@@ -115,7 +129,7 @@
             del self._contacts[name]
 
     def sample(self, now: float) -> list[list[object]]:
-        """Return a random part of the view for another process: values of peers, each with its age in ms."""
+        """Return random entries for another process: the values of each peer and its age in milliseconds."""
         contacts = list(self._contacts.values())
         chosen = self._rng.sample(contacts, min(SAMPLE_SIZE, len(contacts)))
         return [[*peer.as_values(), int((now - at_s) * MS_PER_S)] for peer, at_s in chosen]
@@ -124,10 +138,10 @@
         """Merge another process's sample.
 
         Raises:
-            InvalidMessageError: An entry can't be read; those before it have been merged.
+            InvalidMessageError: An entry is invalid; the entries before it have been merged.
         """
         if not isinstance(sample, list):
-            raise InvalidMessageError(f"a sample is no list: {sample!r:.80}")
+            raise InvalidMessageError(f"a sample is not a list: {sample!r:.80}")
         for entry in sample[:SAMPLE_SIZE]:
             peer, age_ms = _entry_from_json(entry)
             if age_ms < CONTACT_TTL_S * MS_PER_S:
@@ -142,11 +156,11 @@
 
 
 def _entry_from_json(entry: object) -> tuple[Peer, int]:
-    """Return the peer of a sample's entry, and its age in ms."""
+    """Return the peer in an entry of a sample, and its age in milliseconds."""
     if not isinstance(entry, list) or len(entry) != len(PEER_KEYS) + 1:
-        raise InvalidMessageError(f"an entry of a sample is no list of {len(PEER_KEYS) + 1}: {entry!r:.80}")
+        raise InvalidMessageError(f"a sample entry is no list of length {len(PEER_KEYS) + 1}: {entry!r:.80}")
     *values, age_ms = entry
     peer = peer_from_json(dict(zip(PEER_KEYS, values, strict=True)))
     if not isinstance(age_ms, int) or age_ms < 0:
-        raise InvalidMessageError(f"an age is no count of ms: {age_ms!r}")
+        raise InvalidMessageError(f"an age is not a number of milliseconds: {age_ms!r}")
     return peer, age_ms
--- a/brambleusher/wire/__init__.py
+++ b/brambleusher/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Typed messages and their codecs, without I/O."""
+"""Typed messages, configuration and settings, and their codecs."""
--- a/brambleusher/wire/configuration.py
+++ b/brambleusher/wire/configuration.py
@@ -1,6 +1,6 @@
-"""The operator's configuration: routes, services and limits, read and validated with pydantic.
+"""The operator's configuration: routes, services and limits, parsed and validated with pydantic.
 
-Aliases are the operator's keys, which stay as they are; fields have the terms of the code.
+Aliases are the keys in the operator's JSON, which must not change; fields are named by the terms of the code.
 """
 
 from __future__ import annotations
@@ -13,20 +13,20 @@
 
 
 class _Section(BaseModel):
-    """Unknown keys are ignored: later versions of the operator's tools may send more."""
+    """Base of all sections; ignores unknown keys, which later versions of operators' tools may send."""
 
     model_config = ConfigDict(extra="ignore", frozen=True)
 
 
 class WeightedService(_Section):
-    """One of several services of a route; its weight sets its fraction of the requests."""
+    """One of several services of a route; the weight determines the service's fraction of the requests."""
 
     service: str
     weight: float = Field(ge=0, alias="gain")
 
 
 class Route(_Section):
-    """How requests of a host under a path prefix are served."""
+    """Rule for serving the requests to a host under a path prefix."""
 
     name: str = ""
     host: str
@@ -45,22 +45,22 @@
 
     @property
     def is_idempotent(self) -> bool:
-        """Whether a request may run more than once."""
+        """Whether a request may be executed more than once."""
         return self.kind == "idempotent" or (self.kind == "streaming" and self.is_resumable)
 
     @property
     def is_cancellable(self) -> bool:
-        """Whether a run may be broken off once nobody waits for its response."""
+        """Whether execution of a request may be cancelled once no client waits for the response."""
         return self.kind in {"idempotent", "streaming"}
 
     @property
     def weighted_services(self) -> tuple[WeightedService, ...]:
-        """Services and their weights; a single service has all requests."""
+        """The services and their weights; a single service gets all requests."""
         return self.split if self.service is None else (WeightedService(service=self.service, gain=1.0),)
 
 
 class Engine(_Section):
-    """What a model instance has capacity for."""
+    """Capacity of an instance that serves a machine learning model."""
 
     capacity: int = 1
     cache_tokens: int = 0
@@ -68,7 +68,7 @@
 
 
 class Service(_Section):
-    """One pool of instances, and how it may be used."""
+    """A pool of instances, and how to connect to and warm up its instances."""
 
     name: str
     health_check_path: str = Field(default="/", alias="probe_path")
@@ -79,7 +79,7 @@
 
 
 class Limits(_Section):
-    """Bounds on what clients may send, how long that may take, and how long they may be idle."""
+    """Limits on the size of requests in bytes, and on the times to send a header and to stay idle."""
 
     header_bytes: int = 16384
     body_bytes: int = 4194304
@@ -88,7 +88,7 @@
 
 
 class Configuration(_Section):
-    """A whole configuration of one revision."""
+    """A complete configuration of one revision."""
 
     revision: int = Field(ge=1)
     routes: tuple[Route, ...]
@@ -104,10 +104,10 @@
 
 
 def load(body: bytes) -> object:
-    """Return the JSON of an operator's request.
+    """Parse the JSON body of an operator's request.
 
     Raises:
-        InvalidConfigurationError: The body can't be read, or an object has a key twice.
+        InvalidConfigurationError: The body is not valid JSON, or an object contains a key twice.
     """
     try:
         return json.loads(body, object_pairs_hook=_reject_duplicate_keys)
@@ -116,17 +116,17 @@
 
 
 def invalid(error: ValidationError) -> InvalidConfigurationError:
-    """Return the first fault that pydantic found, with its key."""
+    """Convert a pydantic error to an exception with its first error and the key concerned."""
     first = error.errors()[0]
     key = ".".join(str(step) for step in first["loc"]) or "body"
     return InvalidConfigurationError(key, first["msg"])
 
 
 def read(body: bytes) -> Configuration:
-    """Return a configuration from the bytes sent, validated.
+    """Parse and validate a configuration that an operator sent.
 
     Raises:
-        InvalidConfigurationError: It must not come into force; the error names the faulty key.
+        InvalidConfigurationError: The configuration is invalid; the error names the key concerned.
     """
     try:
         configuration = Configuration.model_validate(load(body))
@@ -137,10 +137,10 @@
 
 
 def read_checked(body: bytes) -> Configuration:
-    """Return a configuration that a controller has validated before.
+    """Parse a configuration that a controller has already validated.
 
     Raises:
-        InvalidConfigurationError: It is no configuration.
+        InvalidConfigurationError: The body is not a configuration.
     """
     try:
         return Configuration.model_validate_json(body)
@@ -149,7 +149,7 @@
 
 
 def _check(configuration: Configuration) -> None:
-    """Check what concerns several parts: routes are distinct, their services exist."""
+    """Check constraints across sections: no two routes match the same requests, and their services exist."""
     services = {service.name for service in configuration.services}
     matches: set[tuple[str, str]] = set()
     for position, route in enumerate(configuration.routes):
--- a/brambleusher/wire/configuration_patch.py
+++ b/brambleusher/wire/configuration_patch.py
@@ -1,6 +1,7 @@
-"""A patch of the operator's configuration: items to add, to replace or to remove by name; pure.
+"""Patches of the operator's configuration: items to add, to replace or to remove by name; no I/O.
 
-The merge works on the configuration as it was sent, so that keys which this version does not know stay in it.
+Patches are merged into the configuration's JSON as the operator sent it, so that keys that are unknown to
+this version are preserved.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 SECTIONS = ("routes", "services")
 
-Item = dict[str, object]  # a route or a service, as it was sent
+Item = dict[str, object]  # a route or a service as the operator sent it
 
 
 class _Strict(BaseModel):
@@ -23,7 +24,7 @@
 
 
 class Upserts(_Strict):
-    """Items to add, or to replace by `name`, by section."""
+    """Items to add or to replace, by section; an item replaces the existing item with the same `name`."""
 
     routes: tuple[Item, ...] = ()
     services: tuple[Item, ...] = ()
@@ -45,7 +46,7 @@
 
 
 class Patch(_Strict):
-    """A change of named items that makes a configuration of a new revision."""
+    """A change of named items that results in a configuration of a new revision."""
 
     revision: int = Field(ge=1)
     upsert: Upserts = Upserts()
@@ -53,10 +54,10 @@
 
 
 def read(body: bytes) -> Patch:
-    """Return a patch from the bytes sent.
+    """Parse and validate a patch that an operator sent.
 
     Raises:
-        InvalidConfigurationError: It is no patch; the error names the faulty key.
+        InvalidConfigurationError: The patch is invalid; the error names the key concerned.
     """
     try:
         patch = Patch.model_validate(configuration.load(body))
@@ -86,10 +87,11 @@
 
 
 def merge(body: bytes, patch: Patch) -> bytes:
-    """Return the whole configuration that a patch makes of another.
+    """Return the complete configuration after applying a patch to the configuration in `body`.
 
     Raises:
-        InvalidConfigurationError: A removed item does not exist, or the result is no valid configuration.
+        InvalidConfigurationError: An item to remove does not exist, or the resulting configuration is
+            invalid.
     """
     merged = json.loads(body)
     for section in SECTIONS:
@@ -104,7 +106,10 @@
 def _merge_items(
     section: str, items: list[Item], upserts: Collection[Item], removals: Collection[str]
 ) -> list[Item]:
-    """Return the items of a section: remaining ones in their order, replaced ones in place, then new ones."""
+    """Return the merged items of a section: the remaining items in their order, then the new items.
+
+    A replaced item keeps its place.
+    """
     present = {item.get("name", "") for item in items}
     for position, name in enumerate(removals):
         if name not in present:
--- a/brambleusher/wire/consensus_messages.py
+++ b/brambleusher/wire/consensus_messages.py
@@ -1,6 +1,6 @@
-"""Messages between the replicas of a shard, and their form as JSON objects.
+"""Messages between the replicas of a group, and their encoding as JSON objects.
 
-Types and attributes have Raft's names; the keys on the wire are in the table of layouts at the end.
+Types and attributes are named as in Raft; the keys on the wire are in the table of layouts at the end.
 
 Source: D. Ongaro and J. Ousterhout, "In Search of an Understandable Consensus Algorithm", figures 2 and 13.
 """
@@ -18,7 +18,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One replica: its identity, drawn anew with every empty disk, and where it is reached."""
+    """A member of a replica group.
+
+    Attributes:
+        id: The identity of the replica; a replica that starts with an empty disk gets a new random identity.
+        address: The address (`host:port`) for messages of other replicas.
+        admin_address: The address (`host:port`) of the admin API.
+        zone: The zone of the replica, or "" if it is unknown.
+        is_voter: Whether the member has a vote; members without a vote are learners.
+    """
 
     id: str
     address: str
@@ -27,7 +35,7 @@
     is_voter: bool
 
     def as_json(self) -> dict[str, object]:
-        """Return the form for the wire and the disk."""
+        """Return the member as the JSON object that is sent and stored."""
         return {
             "id": self.id,
             "address": self.address,
@@ -38,30 +46,30 @@
 
     @classmethod
     def from_json(cls, data: object) -> Member:
-        """Return a member from its JSON form.
+        """Parse a member from its JSON object.
 
         Raises:
-            InvalidMessageError: It is no object, or lacks a key.
+            InvalidMessageError: The value is not an object, or a key is missing.
         """
         if not isinstance(data, dict):
-            raise InvalidMessageError("a member lacks a key")
+            raise InvalidMessageError("a member is not a JSON object")
         try:
             return cls(data["id"], data["address"], data["control"], data["zone"], bool(data["voter"]))
         except KeyError as error:
-            raise InvalidMessageError("a member lacks a key") from error
+            raise InvalidMessageError("a key of a member is missing") from error
 
 
 class EntryKind(Enum):
-    """What an entry of the log is for; the values are on the wire and the disk."""
+    """The kind of a log entry; the values are sent on the wire and stored on disk."""
 
-    NONE = "none"  # begins a leader's term
+    NONE = "none"  # the empty entry that a new leader appends
     COMMAND = "command"
     MEMBERS = "members"
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One entry of the log; `data` is a command, a list of members or None, as its kind says."""
+    """A log entry; depending on its kind, `data` is a command, a list of members or None."""
 
     index: int
     term: int
@@ -69,45 +77,45 @@
     data: object
 
     def members(self) -> tuple[Member, ...]:
-        """Return the members that an entry of the kind `MEMBERS` brings.
+        """Return the members in an entry of the kind `MEMBERS`.
 
         Raises:
-            InvalidMessageError: The data is no list of members.
+            InvalidMessageError: The data is not a list of members.
         """
         if not isinstance(self.data, list):
-            raise InvalidMessageError(f"the members of entry {self.index} are no list")
+            raise InvalidMessageError(f"the members of entry {self.index} are not a list")
         return tuple(Member.from_json(item) for item in self.data)
 
     def as_json(self) -> list[object]:
-        """Return the form for the wire and the disk."""
+        """Return the entry as the JSON list that is sent and stored."""
         return [self.index, self.term, self.kind.value, self.data]
 
     @classmethod
     def from_json(cls, data: object) -> Entry:
-        """Return an entry from its JSON form.
+        """Parse an entry from its JSON list.
 
         Raises:
-            InvalidMessageError: It is no list of an index, a term, a kind and data.
+            InvalidMessageError: The value is not a list of an index, a term, a kind and data.
         """
         if not isinstance(data, list) or len(data) != ENTRY_PARTS:
-            raise InvalidMessageError("an entry is no list of four")
+            raise InvalidMessageError("an entry is not a list of four elements")
         index, term, kind, content = data
         if not isinstance(index, int) or not isinstance(term, int):
-            raise InvalidMessageError("an entry has parts of the wrong kind")
+            raise InvalidMessageError("the index or term of an entry is not an integer")
         try:
             return cls(index, term, EntryKind(kind), content)
         except ValueError as error:
-            raise InvalidMessageError("an entry has parts of the wrong kind") from error
+            raise InvalidMessageError("an entry is of an unknown kind") from error
 
 
-ENTRY_PARTS = 4  # index, term, kind, data
+ENTRY_PARTS = 4  # number of elements of an encoded entry: index, term, kind and data
 
 
 @dataclass(frozen=True, slots=True)
 class VoteRequest:
-    """RequestVote: a candidate asks for a vote.
+    """RequestVote: a candidate requests a vote.
 
-    A pre-vote changes nothing and only asks whether a vote would be granted.
+    A pre-vote request does not change the receiver's state; it only asks whether the vote would be granted.
     """
 
     term: int
@@ -120,7 +128,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VoteReply:
-    """The reply to a request for a vote in `requested_term`."""
+    """The reply to a `VoteRequest` for the term `requested_term`."""
 
     term: int
     sender: str
@@ -131,9 +139,9 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendEntries:
-    """Entries after `previous_index`, or none (a heartbeat).
+    """AppendEntries: the leader sends entries after `previous_index`, or no entries as a heartbeat.
 
-    `heartbeat_sequence` numbers the leader's heartbeats.
+    `heartbeat_sequence` is the sequence number of the leader's latest heartbeat.
     """
 
     term: int
@@ -147,7 +155,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendEntriesReply:
-    """How far the log matches and is synced; on a rejection `match_index` is a hint where to try next."""
+    """The reply to a leader's message.
+
+    If it is accepted, `match_index` is the index up to which the logs match and are synced; if it is
+    rejected, `match_index` is a hint which index the leader should go back to.
+    """
 
     term: int
     sender: str
@@ -158,7 +170,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstallSnapshot:
-    """The state up to an index, for a replica whose next entries are gone from the leader's log."""
+    """InstallSnapshot: the state up to an index, for a replica that needs entries the leader compacted."""
 
     term: int
     sender: str
@@ -171,7 +183,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TransferLeadership:
-    """TimeoutNow: the leader asks its successor to start an election at once."""
+    """TimeoutNow: the leader asks its successor to start an election immediately."""
 
     term: int
     sender: str
@@ -179,7 +191,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JoinRequest:
-    """A process that is no member asks to become one."""
+    """A process that is not a member requests to become a member."""
 
     sender: str
     member: Member
@@ -187,7 +199,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownNotice:
-    """A member that is shutting down asks for another to get its vote."""
+    """A member that is shutting down asks the leader to give its vote to another member."""
 
     sender: str
 
@@ -199,9 +211,9 @@
 
 @dataclass(frozen=True, slots=True)
 class _Key:
-    """One key of a message on the wire, and the attribute that it is read into.
+    """A key of a message on the wire, and the attribute that holds its value.
 
-    `json_type` is the exact type of the value on the wire; None where any is taken.
+    `json_type` is the exact type of the value on the wire, or None if any type is accepted.
     """
 
     key: str
@@ -211,24 +223,29 @@
     decode: Callable[[Any], object] | None = None
 
     def read(self, kind: str, data: JsonObject) -> object:
-        """Return the attribute's value from a message's object; raise `InvalidMessageError`."""
+        """Return the attribute's value from a message's JSON object.
+
+        Raises:
+            InvalidMessageError: The key is missing, or its value is of the wrong type.
+        """
         if self.key not in data:
-            raise InvalidMessageError(f"{kind} lacks {self.key}")
+            raise InvalidMessageError(f"{kind} message without the key {self.key}")
         value = data[self.key]
-        # The exact type: a JSON boolean is no integer here.
+        # Compare the exact type, since Python's `bool` is a subclass of `int` and must not pass as an
+        # integer.
         if self.json_type is not None and type(value) is not self.json_type:
-            raise InvalidMessageError(f"{self.key} of {kind} is no {self.json_type.__name__}")
+            raise InvalidMessageError(f"{self.key} of {kind} message is not {self.json_type.__name__}")
         return value if self.decode is None else self.decode(value)
 
     def write(self, message: Message) -> object:
-        """Return the value on the wire."""
+        """Return the attribute's value as it is sent on the wire."""
         value: object = getattr(message, self.attribute)
         return value if self.encode is None else self.encode(value)
 
 
 @dataclass(frozen=True, slots=True)
 class _Layout:
-    """The form of one kind of message on the wire; keys are written in this order."""
+    """The wire format of one kind of message; keys are written in this order."""
 
     kind: str
     message_type: type[Any]
@@ -260,7 +277,7 @@
 _TERM = _number("term", "term")
 _SENDER = _text("sender", "sender")
 
-# Replicas of other versions read these keys: a renamed attribute must not change them.
+# Replicas of other versions read these kinds and keys, so they must not change when an attribute is renamed.
 _LAYOUTS = (
     _Layout(
         "vote",
@@ -335,20 +352,20 @@
 
 
 def encode_message(message: Message) -> dict[str, object]:
-    """Return a message as an object with its kind."""
+    """Encode a message as a JSON object with its kind."""
     layout = _LAYOUT_BY_TYPE[type(message)]
     return {"kind": layout.kind, **{key.key: key.write(message) for key in layout.keys}}
 
 
 def decode_message(data: JsonObject) -> Message:
-    """Return the message that an object has.
+    """Decode a message from its JSON object.
 
     Raises:
         InvalidMessageError: The kind is unknown, or a key is missing or of the wrong type.
     """
     layout = _LAYOUT_BY_KIND.get(str(data.get("kind")))
     if layout is None:
-        raise InvalidMessageError(f"kind {data.get('kind')!r} is unknown")
+        raise InvalidMessageError(f"message kind {data.get('kind')!r} is unknown")
     values = {key.attribute: key.read(layout.kind, data) for key in layout.keys}
     message: Message = layout.message_type(**values)
     return message
--- a/brambleusher/wire/errors.py
+++ b/brambleusher/wire/errors.py
@@ -1,4 +1,4 @@
-"""Errors of reading what came over the wire or from a file."""
+"""Exceptions for invalid messages, configurations and files."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class WireError(Exception):
-    """Base of the errors of this package: something that was read can't be used."""
+    """Base class of the exceptions of this package."""
 
 
 @dataclass(eq=False)
 class InvalidMessageError(WireError):
-    """A message between processes, or a record on disk, can't be read."""
+    """A message between processes, or a record on disk, is invalid."""
 
     reason: str
 
@@ -22,32 +22,32 @@
 
 @dataclass(eq=False)
 class InvalidConfigurationError(WireError):
-    """A configuration of the operator must not come into force; `key` names the faulty part."""
+    """A configuration from the operator is invalid; `key` is the key concerned."""
 
     key: str
     reason: str
 
     def __str__(self) -> str:
-        """Return key and reason, for logs and responses."""
+        """Return the key and the reason, for logs and responses."""
         return f"{self.key}: {self.reason}"
 
 
 @dataclass(eq=False)
 class InvalidFileError(WireError):
-    """A file can't be used; `path` names the file and `key` the faulty part of it."""
+    """A file is invalid; `path` is the path of the file, and `key` the key concerned."""
 
     path: str
     key: str
     reason: str
 
     def __str__(self) -> str:
-        """Return path, key and reason, for logs and responses."""
+        """Return the path, the key and the reason, for logs and responses."""
         return f"{self.path}: {self.key}: {self.reason}"
 
 
 class InvalidSettingsError(InvalidFileError):
-    """A settings file can't be used."""
+    """A settings file is invalid."""
 
 
 class InvalidPolicyError(InvalidFileError):
-    """A policy file can't be used."""
+    """A policy file is invalid."""
--- a/brambleusher/wire/instance_load.py
+++ b/brambleusher/wire/instance_load.py
@@ -1,4 +1,4 @@
-"""The load that some instances report with their responses (`X-Instance-Load`)."""
+"""The load that instances may report in the `X-Instance-Load` header of their responses."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceLoad:
-    """Requests that run, requests that are queued, and how many can run at once."""
+    """The numbers of running and queued requests, and the number of requests that can run concurrently."""
 
     running: int
     queued: int
@@ -19,7 +19,7 @@
 
 
 def read(value: bytes) -> InstanceLoad | None:
-    """Return the load in a header; None where it is malformed: the response counts all the same."""
+    """Parse the load in a header; a malformed header gives None and does not invalidate the response."""
     fields = [field.strip() for field in value.split(b",")]
     if len(fields) != FIELD_COUNT:
         return None
--- a/brambleusher/wire/json_fields.py
+++ b/brambleusher/wire/json_fields.py
@@ -1,4 +1,4 @@
-"""Typed access to the fields of JSON objects, for codecs at the border of the process."""
+"""Typed access to the fields of JSON objects, for codecs of messages and records."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
     """Return an integer field.
 
     Raises:
-        InvalidMessageError: The field is missing or no integer.
+        InvalidMessageError: The field is missing or is not an integer.
     """
     value = data.get(key)
     if not isinstance(value, int):
-        raise InvalidMessageError(f"{key} is no integer: {value!r}")
+        raise InvalidMessageError(f"{key} is not an integer: {value!r}")
     return value
 
 
 def require_str(data: JsonObject, key: str) -> str:
-    """Return a text field.
+    """Return a string field.
 
     Raises:
-        InvalidMessageError: The field is missing or no text.
+        InvalidMessageError: The field is missing or is not a string.
     """
     value = data.get(key)
     if not isinstance(value, str):
-        raise InvalidMessageError(f"{key} is no text: {value!r}")
+        raise InvalidMessageError(f"{key} is not a string: {value!r}")
     return value
 
 
@@ -37,11 +37,11 @@
     """Return a boolean field.
 
     Raises:
-        InvalidMessageError: The field is missing or no boolean.
+        InvalidMessageError: The field is missing or is not a boolean.
     """
     value = data.get(key)
     if not isinstance(value, bool):
-        raise InvalidMessageError(f"{key} is no boolean: {value!r}")
+        raise InvalidMessageError(f"{key} is not a boolean: {value!r}")
     return value
 
 
@@ -49,11 +49,11 @@
     """Return a list field.
 
     Raises:
-        InvalidMessageError: The field is missing or no list.
+        InvalidMessageError: The field is missing or is not a list.
     """
     value = data.get(key)
     if not isinstance(value, list):
-        raise InvalidMessageError(f"{key} is no list: {value!r:.80}")
+        raise InvalidMessageError(f"{key} is not a list: {value!r:.80}")
     return value
 
 
@@ -61,17 +61,17 @@
     """Return a field that is an object.
 
     Raises:
-        InvalidMessageError: The field is missing or no object.
+        InvalidMessageError: The field is missing or is not an object.
     """
     return as_object(data.get(key), key)
 
 
 def as_object(value: object, name: str) -> dict[str, object]:
-    """Return a value that has to be a JSON object; `name` tells the reader of the error which one.
+    """Return a value that must be a JSON object; error messages call it `name`.
 
     Raises:
-        InvalidMessageError: The value is no object.
+        InvalidMessageError: The value is not an object.
     """
     if not isinstance(value, dict):
-        raise InvalidMessageError(f"{name} is no object: {value!r:.80}")
+        raise InvalidMessageError(f"{name} is not an object: {value!r:.80}")
     return value
--- a/brambleusher/wire/lines.py
+++ b/brambleusher/wire/lines.py
@@ -1,4 +1,4 @@
-"""JSON lines: one object a line, the only form in which processes of the system send each other messages."""
+"""JSON lines: messages between processes are sent as one JSON object per line."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 from brambleusher.wire.errors import InvalidMessageError
 from brambleusher.wire.json_fields import JsonObject, as_object
 
-LINE_BYTES_MAX = 16 * 1024 * 1024  # a snapshot with the largest configuration fits twice
+LINE_BYTES_MAX = 16 * 1024 * 1024  # twice the size of a snapshot with the largest configuration
 
 
 def encode(message: JsonObject) -> bytes:
-    """Return one message as a line."""
+    """Encode a message as a line."""
     return orjson.dumps(message) + b"\n"
 
 
 def decode(line: bytes) -> dict[str, object]:
-    """Return the message of a line.
+    """Decode the message in a line.
 
     Raises:
-        InvalidMessageError: It is no JSON object.
+        InvalidMessageError: The line is not a JSON object.
     """
     try:
         message = orjson.loads(line)
     except orjson.JSONDecodeError as error:
-        raise InvalidMessageError(f"a line is no JSON: {error}") from error
+        raise InvalidMessageError(f"a line is not valid JSON: {error}") from error
     return as_object(message, "a line")
 
 
@@ -32,16 +32,16 @@
     """Splits a stream of bytes into lines."""
 
     def __init__(self, max_bytes: int = LINE_BYTES_MAX) -> None:
-        """Bound lines to `max_bytes`."""
+        """Create a buffer for lines of at most `max_bytes` bytes."""
         self._parts: list[bytes] = []
         self._buffered_bytes = 0
         self._max_bytes = max_bytes
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Return the lines that `data` completes, without their line ends.
+        """Return the lines that `data` completes, without their newlines.
 
         Raises:
-            InvalidMessageError: A line is over the bound.
+            InvalidMessageError: A line exceeds the size limit.
         """
         if b"\n" not in data:
             self._append(data)
@@ -57,4 +57,4 @@
             self._parts.append(data)
             self._buffered_bytes += len(data)
         if self._buffered_bytes > self._max_bytes:
-            raise InvalidMessageError(f"a line has over {self._max_bytes} bytes")
+            raise InvalidMessageError(f"a line is longer than {self._max_bytes} bytes")
--- a/brambleusher/wire/metrics_endpoint.py
+++ b/brambleusher/wire/metrics_endpoint.py
@@ -1,4 +1,4 @@
-"""Where the metrics of a process are scraped: PORT/PATH, as the deploy file has it in `metrics`."""
+"""The endpoint of a process's metrics, given as PORT/PATH in the key `metrics` of the deploy file."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
     text: str
 
     def __str__(self) -> str:
-        """Return what was found."""
+        """Return the invalid text with its key, for logs and responses."""
         return f"metrics: {self.text!r} is not PORT/PATH"
 
 
 @dataclass(frozen=True, slots=True)
 class MetricsEndpoint:
-    """A port on the machine's address, and a path that begins with a slash."""
+    """The port on the machine's address, and the path, which begins with a slash."""
 
     port: int
     path: str
 
     @classmethod
     def parse(cls, text: str) -> MetricsEndpoint:
-        """Return the endpoint that PORT/PATH names.
+        """Parse an endpoint from the form PORT/PATH.
 
         Raises:
-            InvalidMetricsEndpointError: It is not of that form.
+            InvalidMetricsEndpointError: The text is not of that form.
         """
         port, slash, path = text.partition("/")
         if not slash or not port.isascii() or not port.isdigit() or not 0 < int(port) <= PORT_MAX:
--- a/brambleusher/wire/packing.py
+++ b/brambleusher/wire/packing.py
@@ -1,7 +1,7 @@
-"""Large texts within JSON: compressed, as base 85.
+"""Packing of large byte strings in JSON: zlib compression and base 85 encoding.
 
-A configuration of 1,400 routes has 370 kB and packs into 35; it goes to every replica, to its disk and to
-every gateway.
+A configuration of 1,400 routes has 370 kB and is packed into 35 kB. It is sent to every replica and every
+gateway, and stored on each replica's disk.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 
 
 def pack(data: bytes) -> str:
-    """Return bytes as a short text."""
+    """Compress bytes and encode them as a string."""
     return base64.b85encode(zlib.compress(data, COMPRESSION_LEVEL)).decode()
 
 
 def unpack(text: str) -> bytes:
-    """Return the bytes that were packed.
+    """Return the bytes that were packed into a string.
 
     Raises:
-        InvalidMessageError: The text is no packed one, is truncated, or unpacks to too many bytes.
+        InvalidMessageError: The string was not packed by `pack`, is truncated, or unpacks to too many bytes.
     """
     try:
         decompressor = zlib.decompressobj()
         data = decompressor.decompress(base64.b85decode(text), UNPACKED_BYTES_MAX)
     except (ValueError, zlib.error) as error:
-        raise InvalidMessageError(f"a packed text can't be read: {error}") from error
+        raise InvalidMessageError(f"a packed string is invalid: {error}") from error
     if decompressor.unconsumed_tail or not decompressor.eof:
-        raise InvalidMessageError(f"a packed text is truncated, or has over {UNPACKED_BYTES_MAX} bytes")
+        raise InvalidMessageError(f"a packed string is truncated or has over {UNPACKED_BYTES_MAX} bytes")
     return data
--- a/brambleusher/wire/policy.py
+++ b/brambleusher/wire/policy.py
@@ -1,7 +1,7 @@
-"""The policy file of a gateway (TOML): one checked key for each mechanism that decides; all are optional.
+"""The policy file of a gateway (TOML): one optional boolean key for each load balancing mechanism.
 
-Keys exist so that each mechanism can be switched off by itself and measured.  In service all stay on.
-Aliases are the keys of the file; fields have the terms of the code.
+Each mechanism can be switched off individually in order to measure its effect; in production all are on.
+Aliases are the keys of the file; fields are named by the terms of the code.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Policy(BaseModel):
-    """Which mechanisms act at a gateway."""
+    """The mechanisms that are enabled at a gateway."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, strict=True)
 
@@ -37,12 +37,12 @@
     weighs_by_spare_capacity: bool = Field(
         default=True,
         alias="spare_weights",
-        description="weights go by spare capacity, else all begin alike",
+        description="weights are proportional to spare capacity; otherwise all weights start equal",
     )
     weighs_by_latency: bool = Field(
         default=True,
         alias="latency_index",
-        description="weights are cut by latency over its target",
+        description="weights are reduced when latency exceeds its target",
     )
     weighs_by_health: bool = Field(
         default=True,
@@ -52,37 +52,37 @@
     skips_unresponsive: bool = Field(
         default=True,
         alias="silence",
-        description="one without a response for most of a latency target is passed over",
+        description="an instance without a response for most of a latency target is skipped",
     )
     limits_to_quota_share: bool = Field(
         default=True,
         alias="room_above_share",
-        description="one with more attempts than its share is passed over",
+        description="an instance with more attempts than its quota share is skipped",
     )
     uses_fleet_metrics: bool = Field(
         default=True,
         alias="fleet_figures",
-        description="what other gateways observed of instances counts too",
+        description="metrics of instances measured by other gateways are used as well",
     )
     uses_reported_load: bool = Field(
         default=True,
         alias="reported_load",
-        description="the load that instances report counts, if it is fresh",
+        description="the load that instances report is used, if it is recent",
     )
     limits_warm_up: bool = Field(
         default=True,
         alias="cold_budget",
-        description="attempts at an instance that warms up are bounded",
+        description="the number of attempts at an instance that is warming up is limited",
     )
     limits_retries: bool = Field(
         default=True,
         alias="retry_budget",
-        description="attempts past the first of a request are bounded",
+        description="the number of retries is limited",
     )
     backs_off_after_failure: bool = Field(
         default=True,
         alias="rest_after_failure",
-        description="an instance that accepts no connection is left alone for a backoff",
+        description="an instance that does not accept connections is not used during a backoff",
     )
     backs_off_from_zones: bool = Field(
         default=True,
@@ -92,27 +92,27 @@
     resumes_streams: bool = Field(
         default=True,
         alias="resume",
-        description="a resumable stream that broke off goes on at another instance",
+        description="an interrupted resumable stream is resumed at another instance",
     )
     learns_idle_timeout: bool = Field(
         default=True,
         alias="idle_trust",
-        description="one lost idle connection shortens the time for which the others are kept",
+        description="a lost idle connection shortens the time for which other idle connections are kept",
     )
 
 
 def read(path: str) -> Policy:
-    """Return the policy in a file.
+    """Read the policy in a file.
 
     Raises:
-        InvalidPolicyError: It can't be used; the error names file and key.
+        InvalidPolicyError: The file cannot be read or is invalid; the error names the file and the key.
     """
     try:
         return Policy.model_validate(tomllib.loads(Path(path).read_text(encoding="utf-8")))
     except (OSError, UnicodeDecodeError) as error:
         raise InvalidPolicyError(path, "file", str(error)) from error
     except tomllib.TOMLDecodeError as error:
-        raise InvalidPolicyError(path, "file", f"no TOML: {error}") from error
+        raise InvalidPolicyError(path, "file", f"invalid TOML: {error}") from error
     except ValidationError as error:
         first = error.errors()[0]
         key = ".".join(str(step) for step in first["loc"]) or "file"
@@ -120,7 +120,7 @@
 
 
 def key_names() -> list[str]:
-    """Return the keys of the file."""
+    """Return the keys of the policy file."""
     return [field.alias or name for name, field in Policy.model_fields.items()]
 
 
@@ -131,7 +131,7 @@
 
 
 def described() -> list[tuple[str, str, str]]:
-    """Return each key with its default, as TOML has it, and its meaning."""
+    """Return the name, the default in TOML syntax and the description of each key."""
     return [
         (key, str(field.default).lower(), field.description or "")
         for key, field in zip(key_names(), Policy.model_fields.values(), strict=True)
--- a/brambleusher/wire/settings.py
+++ b/brambleusher/wire/settings.py
@@ -1,4 +1,4 @@
-"""The settings file of a process (TOML), checked; unknown keys are ignored."""
+"""The settings file of a process (TOML), parsed and validated; unknown keys are ignored."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Bind(_Section):
-    """Addresses (`host:port`) to listen on; which are set goes by the role."""
+    """Addresses (`host:port`) to listen on; the process's role determines which are set."""
 
     front: str = ""
     ready: str = ""
@@ -24,21 +24,21 @@
 
 
 class MachineLimits(_Section):
-    """Resources of the machine."""
+    """Limits on the resources of the machine."""
 
     memory_mb: int = 256
     fd_limit: int = 1024
 
 
 class Tolerance(_Section):
-    """What may be lost at once while every rule still holds."""
+    """The numbers of machines and zones whose simultaneous failure must be tolerated."""
 
     machines: int = 1
     zones: int = 1
 
 
 class Bounds(_Section):
-    """Values of the rules in force, under the keys of the settings file; times in the unit of the name."""
+    """Bounds on the behavior of the system; names ending in `_ms` are in milliseconds, in `_s` in seconds."""
 
     ack_ms: float = 5000
     drain_ms: float = 4000
@@ -54,7 +54,7 @@
 
 
 class Platform(_Section):
-    """Where the list of instances is, and how often all processes together may read it."""
+    """The platform API that serves the instance list: its address, and its rate limit for all processes."""
 
     address: str = ""
     rate_per_s: float = 10
@@ -83,19 +83,19 @@
 
     @property
     def peer_address(self) -> str:
-        """Where this process receives messages of others (`host:port`)."""
+        """The address (`host:port`) where this process receives messages from other processes."""
         return f"{self.ip}:{self.port_range[0]}"
 
     def seed_peers(self) -> tuple[str, ...]:
-        """Return the peer addresses of the seeds: their hosts, with the first port of the range."""
+        """Return the peer addresses of the seeds: the host of each, with the first port of the port range."""
         return tuple(f"{seed.rpartition(':')[0]}:{self.port_range[0]}" for seed in self.seeds)
 
 
 def read(path: str) -> Settings:
-    """Return the settings in a file.
+    """Read the settings in a file.
 
     Raises:
-        InvalidSettingsError: They can't be used; the error names file and key.
+        InvalidSettingsError: The file cannot be read or is invalid; the error names the file and the key.
     """
     try:
         return parse(Path(path).read_text(encoding="utf-8"), path)
@@ -104,11 +104,11 @@
 
 
 def parse(text: str, path: str) -> Settings:
-    """Return the settings in a text; `path` names the file in errors."""
+    """Parse settings from TOML text; errors name `path` as the file."""
     try:
         return Settings.model_validate(tomllib.loads(text))
     except tomllib.TOMLDecodeError as error:
-        raise InvalidSettingsError(path, "file", f"no TOML: {error}") from error
+        raise InvalidSettingsError(path, "file", f"invalid TOML: {error}") from error
     except ValidationError as error:
         first = error.errors()[0]
         key = ".".join(str(step) for step in first["loc"]) or "file"
--- a/tests/system/test_system_tools.py
+++ b/tests/system/test_system_tools.py
@@ -71,7 +71,7 @@
         (("[7720, 7735]", '"all"'), "port_range"),
         (('node_name = "core-1"', ""), "node_name"),
         (("machines = 1", 'machines = "one"'), "tolerance.machines"),
-        (("[bounds]", "[bounds"), "no TOML"),
+        (("[bounds]", "[bounds"), "invalid TOML"),
     ],
 )
 def test_wrong_settings_are_reported_by_file_and_key(
--- a/tests/wire/test_json_fields.py
+++ b/tests/wire/test_json_fields.py
@@ -40,5 +40,5 @@
 
 
 def test_a_value_that_is_no_object_is_named() -> None:
-    with pytest.raises(WireError, match="a command is no object"):
+    with pytest.raises(WireError, match="a command is not an object"):
         as_object([], "a command")
