--- a/tests/controlplane/configuration/test_state_machine.py
+++ b/tests/controlplane/configuration/test_state_machine.py
@@ -1,4 +1,4 @@
-"""The state machine of the configuration group: commands, verdicts, and the stored form of both."""
+"""The state machine of the configuration group: commands, verdicts, and the storage format of the state."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def test_a_command_without_a_body_never_comes_into_force() -> None:
-    """It only asks whether a patch was taken before: its base may become current meanwhile."""
+    """It only checks whether the patch was accepted before, since its base may become current meanwhile."""
     state = SharedState()
     assert state.apply(1, PutConfiguration.from_body(0, 4, BODY)) is Verdict.ACCEPTED
     question = PutConfiguration.from_patch(4, 5, b"patch", None)
@@ -57,7 +57,7 @@
 
 
 def test_a_state_with_an_unknown_key_is_rejected() -> None:
-    """A later version's key: its content would be lost with the next snapshot."""
+    """The content of a later version's key would be lost with the next snapshot."""
     with pytest.raises(InvalidMessageError, match="later"):
         SharedState.from_json({**SharedState().as_json(), "later": 1})
 
--- a/tests/controlplane/consensus/cluster.py
+++ b/tests/controlplane/consensus/cluster.py
@@ -1,6 +1,7 @@
-"""Replicas of one shard without sockets or disks: a test decides on each message and each sync.
+"""A simulated replica group without sockets or disks: a test controls the fate of each message and each sync.
 
-The checker reads what each replica applied and what was acknowledged; it uses none of the program's code.
+The checker is given the entries that each replica applied and that were acknowledged; it uses no code under
+test.
 """
 
 from __future__ import annotations
@@ -19,7 +20,8 @@
 from brambleusher.wire.consensus_messages import Entry, Member
 
 STEP_S = 0.02
-DELAY_STEPS = 40  # of a message that is held back: past the heartbeat and half an election
+# How many steps a message is delayed: longer than a heartbeat interval and half an election timeout.
+DELAY_STEPS = 40
 
 
 def member(name: str, voter: bool = True) -> Member:
@@ -27,28 +29,28 @@
 
 
 def machine_state(snapshot: Restore) -> dict[int, Any]:
-    """The applied entries by index, as a snapshot has them."""
+    """The applied entries by index, as stored in a snapshot."""
     assert isinstance(snapshot.state, dict)
     return dict(snapshot.state)
 
 
 class Fate(Enum):
-    """What becomes of one message on its way."""
+    """What the simulated network does with one message."""
 
     DELIVER = "deliver"
     DROP = "drop"
     DOUBLE = "double"
     DELAY = "delay"
-    FIRST = "first"  # ahead of all that is on its way
-    AGAIN = "again"  # now and once more, late
+    FIRST = "first"  # delivered before all messages in transit
+    AGAIN = "again"  # delivered now, and a second time after a delay
 
 
 class SafetyViolationError(AssertionError):
-    """The checker found that a promise was broken."""
+    """The checker found a violation of a safety property."""
 
 
 class Checker:
-    """Nothing acknowledged is lost, all replicas apply the same, one leader a term."""
+    """Checks that no acknowledged entry is lost, replicas apply the same, and each term has one leader."""
 
     def __init__(self) -> None:
         self.applied: dict[int, Any] = {}
@@ -57,7 +59,7 @@
 
     def saw_applied(self, index: int, content: Any) -> None:
         if self.applied.setdefault(index, content) != content:
-            raise SafetyViolationError(f"two contents at {index}")
+            raise SafetyViolationError(f"two different entries were applied at index {index}")
 
     def saw_leader(self, term: int, name: str) -> None:
         if self.leaders.setdefault(term, name) != name:
@@ -70,29 +72,29 @@
         for state in states:
             for index, content in self.acknowledged.items():
                 if state.get(index) != content:
-                    raise SafetyViolationError(f"what was acknowledged at {index} is lost")
+                    raise SafetyViolationError(f"the entry acknowledged at index {index} is lost")
 
 
 @dataclass
 class Node:
-    """A replica, and its disk as a list of records of which the first `synced` are durable."""
+    """A replica, and its disk as a list of records, of which the first `synced` records are durable."""
 
     name: str
     consensus: Consensus
     records: list[Any] = field(default_factory=list)
     synced: int = 0
     applied: int = 0  # index up to which all entries are applied
-    base: int = 0  # added to a position in `records` gives the number of the record
+    base: int = 0  # the number of a record is its position in `records` plus this
     unsent: deque[Outgoing] = field(default_factory=deque)
     state: dict[int, Any] = field(default_factory=dict)
     up: bool = True
-    is_bootstrap_member: bool = True  # part of the first group, as its disk says
+    is_bootstrap_member: bool = True  # whether its disk says that it is a member of the initial group
     slow_disk: bool = False
-    frozen_until: int = 0  # the step at which it runs again
+    frozen_until: int = 0  # the step at which the frozen replica resumes
 
 
 class Cluster:
-    """Replicas and the messages between them."""
+    """A group of replicas, and the messages in transit between them."""
 
     make: type[Consensus] = Consensus
 
@@ -121,7 +123,7 @@
         identity: str = "",
         is_bootstrap_member: bool | None = None,
     ) -> Node:
-        """Start a replica from its durable records; None: an empty disk and no part in the first group."""
+        """Start a replica from its durable records; None means an empty disk and no bootstrap member."""
         is_bootstrap_member = records is not None if is_bootstrap_member is None else is_bootstrap_member
         log = Log(0, 0, self.bootstrap_members) if is_bootstrap_member else Log()
         term, vote, state = 0, "", dict[int, Any]()
@@ -155,7 +157,7 @@
             is_bootstrap_member=is_bootstrap_member,
         )
         node.applied = log.base_index
-        node.base = -len(node.records)  # record numbers begin anew
+        node.base = -len(node.records)  # record numbers restart at 1
         self.nodes[name] = node
         return node
 
@@ -171,30 +173,30 @@
         self.start(name, node.records, node.consensus.identity.id, node.is_bootstrap_member)
 
     def wipe(self, name: str, identity: str) -> None:
-        """Come back with an empty disk, under another identity."""
+        """Restart a replica with an empty disk and another identity."""
         self.crash(name)
         self.start(name, None, identity)
 
     def compact(self, node: Node) -> None:
-        """Write a snapshot of what is applied, and drop from the disk and from memory what is in it."""
+        """Write a snapshot of the applied state, and compact the log on disk and in memory."""
         if node.synced < len(node.records):
-            return  # the snapshot waits for what is written before it
+            return  # a snapshot is written only after the records before it are synced
         consensus, log = node.consensus, node.consensus.log
         snapshot = consensus.make_snapshot(node.applied, dict(node.state))
-        rest = log.entries_after(node.applied, log.last_index - node.applied)
-        records = [snapshot, HardState(consensus.term, consensus.vote), *rest]
+        remaining = log.entries_after(node.applied, log.last_index - node.applied)
+        records = [snapshot, HardState(consensus.term, consensus.vote), *remaining]
         node.base += len(node.records) - len(records)
         node.records, node.synced = records, len(records)
         consensus.handle_snapshot_stored(node.applied)
 
     def leader(self) -> Node | None:
-        leading = [node for node in self.nodes.values() if node.up and node.consensus.is_leader]
-        return max(leading, key=lambda node: node.consensus.term, default=None)
+        leaders = [node for node in self.nodes.values() if node.up and node.consensus.is_leader]
+        return max(leaders, key=lambda node: node.consensus.term, default=None)
 
     # --- steps -----------------------------------------------------------------------------------
 
     def step(self, sync: bool = True) -> None:
-        """A little time passes: ticks, joins, syncs, and all messages that are due."""
+        """Advance time by `STEP_S`: run ticks, join requests and syncs, and deliver all due messages."""
         self.steps += 1
         self.now += STEP_S
         self._deliver_delayed()
@@ -210,7 +212,7 @@
             self.deliver(sender, to, message)
 
     def _deliver_delayed(self) -> None:
-        """Ahead of the ticks: a replica that was frozen finds old messages before it looks at the clock."""
+        """Deliver delayed messages before the ticks: a replica that was frozen gets old messages first."""
         due = [message for at, message in self.delayed if at <= self.steps]
         self.delayed = [(at, message) for at, message in self.delayed if at > self.steps]
         for sender, to, message in due:
@@ -294,14 +296,14 @@
             self.post(node.name, to, message)
 
     def sync(self, node: Node) -> None:
-        """All records handed out so far become durable."""
+        """Make all records that the replica has output durable."""
         node.synced = len(node.records)
         node.consensus.handle_records_synced(node.synced + node.base)
         while node.unsent and not self._waits(node, node.unsent[0]):
             self._post(node, node.unsent.popleft())
         self.pump(node)
 
-    # --- what tests do ---------------------------------------------------------------------------
+    # --- operations for tests --------------------------------------------------------------------
 
     def run(self, until: Callable[[], bool], steps: int = 600) -> bool:
         for _ in range(steps):
@@ -311,7 +313,7 @@
         return until()
 
     def propose(self, content: Any) -> LogPosition | None:
-        """Have the leader propose; index and term, where there is one."""
+        """Propose a command at the leader; return its position in the log, or None if there is no leader."""
         leader = self.leader()
         if leader is None:
             return None
@@ -320,7 +322,7 @@
         return position
 
     def commit(self, content: Any, steps: int = 600) -> bool:
-        """Propose until it is applied at a leader that proposed it, as a caller that repeats itself would."""
+        """Propose a command repeatedly, as clients do, until the leader that proposed it has applied it."""
         for _ in range(steps):
             leader, position = self.leader(), self.propose(content)
             if leader is not None and position is not None:
@@ -339,7 +341,7 @@
         return False
 
     def converges(self) -> bool:
-        """Whether all live members come to have the same entries."""
+        """Whether all live replicas converge to the same log."""
 
         def same() -> bool:
             live = [node for node in self.nodes.values() if node.up]
@@ -350,7 +352,7 @@
         return self.run(same)
 
     def check(self) -> None:
-        """Everything that was acknowledged is at every live replica."""
+        """Check that the replicas converge and every live replica has every acknowledged entry."""
         if not self.converges():
-            raise SafetyViolationError("the replicas do not come to agree")
+            raise SafetyViolationError("the replicas do not converge")
         self.checker.check_end([node.state for node in self.nodes.values() if node.up])
--- a/tests/controlplane/consensus/exploration.py
+++ b/tests/controlplane/consensus/exploration.py
@@ -1,4 +1,4 @@
-"""Days of faults for a replica group, drawn from a seed; a broken rule raises `SafetyViolationError`."""
+"""Randomized fault injection for a replica group, from a seed; violations raise `SafetyViolationError`."""
 
 from __future__ import annotations
 
@@ -12,29 +12,30 @@
 from tests.controlplane.consensus.cluster import Cluster, Fate, Node, SafetyViolationError
 
 MUTATIONS = (Fate.DROP, Fate.DOUBLE, Fate.DELAY, Fate.FIRST)
-# Large messages wait longest, and in more than one connection.
+# Snapshots are large messages, so they are the most likely to be delayed, or delivered twice over two
+# connections.
 SNAPSHOT_FATES = (Fate.DELIVER, Fate.DELAY, Fate.AGAIN)
 STEPS = 500
-RECOVERED_STEPS = 200  # 4 s: `sync_s`, after which a replica that came back counts again
-SHUTDOWN_STEPS = 150  # for another to get the vote of one that leaves, before it is stopped
+RECOVERED_STEPS = 200  # 4 s (`sync_s`), after which a replica that came back counts as recovered
+SHUTDOWN_STEPS = 150  # time to hand over the vote of a replica that shuts down before it is stopped
 
 
 @dataclass
 class Day:
-    """One day: a cluster, what happens to it, and what callers wait for."""
+    """One randomized run: a cluster, the faults injected into it, and the proposals that clients wait for."""
 
     cluster: Cluster
     rng: random.Random
     names: list[str]
     pending: list[tuple[str, int, int, Any]] = field(default_factory=list)
     disturbed_at: int = 0  # the last step at which a disk or a member was lost
-    shutting_down: dict[str, int] = field(default_factory=dict)  # when each asked to leave
-    started: int = 0  # identities given to empty disks
+    shutting_down: dict[str, int] = field(default_factory=dict)  # step at which each shutdown begins
+    started: int = 0  # the number of replicas started with an empty disk
 
     # --- faults that keep the disks --------------------------------------------------------------
 
     def plain_fault(self, roll: float) -> None:
-        """Cuts, crashes, slow disks and standstills, by the thresholds of a roll from 0 to 1."""
+        """Inject a partition, crash, slow disk or pause, or propose, depending on a random number."""
         cluster, rng = self.cluster, self.rng
         down = [node.name for node in cluster.nodes.values() if not node.up]
         if roll < 0.02:
@@ -58,7 +59,7 @@
             self.propose()
 
     def propose(self) -> None:
-        """A command at whoever believes to lead."""
+        """Propose a command at each replica that considers itself the leader."""
         for node in self.cluster.nodes.values():
             if node.up and node.consensus.is_leader:
                 content = self.cluster.steps
@@ -68,7 +69,7 @@
                     self.pending.append((node.name, position.index, position.term, content))
 
     def acknowledge(self) -> None:
-        """Notify callers whose command is applied at the replica that they wait at."""
+        """Record the proposals as acknowledged that were applied at the replica where they were made."""
         for waiting in list(self.pending):
             name, index, term, content = waiting
             node = self.cluster.nodes.get(name)
@@ -81,7 +82,7 @@
     # --- losses ----------------------------------------------------------------------------------
 
     def loss(self, roll: float) -> None:
-        """Snapshots, lost disks, members that shut down or are replaced, by the thresholds of a roll."""
+        """Write a snapshot, lose a disk, or replace or shut down a member, depending on a random number."""
         cluster, rng = self.cluster, self.rng
         up = [node for node in cluster.nodes.values() if node.up]
         if roll < 0.04 and up:
@@ -96,15 +97,15 @@
             self.start_shutdown(rng.choice(self.names))
 
     def shorten(self) -> None:
-        """The leader keeps no entries that others still lack: they need a snapshot."""
+        """Compact the leader's log up to its last applied entry, so that slower followers need a snapshot."""
         leader = self.cluster.leader()
         if leader is not None and leader.consensus.state.leader_state is not None:
             self.cluster.compact(leader)
-            for known in leader.consensus.state.leader_state.progress.followers.values():
-                known.snapshot_sent_s = -10.0
+            for progress in leader.consensus.state.leader_state.progress.followers.values():
+                progress.snapshot_sent_s = -10.0
 
     def recovered(self) -> bool:
-        """Whether all that was lost has had its time and all have their votes: one more loss is borne."""
+        """Whether the group has recovered from the last loss, so that it must tolerate one more."""
         leader = self.cluster.leader()
         if leader is None or self.cluster.steps - self.disturbed_at < RECOVERED_STEPS or self.shutting_down:
             return False
@@ -113,11 +114,11 @@
         all_there = all(
             node.up and node.frozen_until <= self.cluster.steps for node in self.cluster.nodes.values()
         )
-        held = {node.consensus.identity.id for node in self.cluster.nodes.values()}
-        return all_there and voters == held and consensus.log.members_index <= consensus.commit_index
+        identities = {node.consensus.identity.id for node in self.cluster.nodes.values()}
+        return all_there and voters == identities and consensus.log.members_index <= consensus.commit_index
 
     def lose_disk(self, name: str, power_of_all: bool) -> None:
-        """A replica comes back empty; the others may lose power at that moment."""
+        """Restart a replica with an empty disk; with `power_of_all`, the other replicas restart as well."""
         self.disturbed_at = self.cluster.steps
         self.started += 1
         self.cluster.wipe(name, f"{name}{self.started}")
@@ -127,7 +128,7 @@
                 self.cluster.restart(other)
 
     def replace(self, name: str) -> None:
-        """A machine is gone for good, an empty one comes at another address."""
+        """Remove a machine permanently, and add an empty machine at another address."""
         self.disturbed_at = self.cluster.steps
         self.cluster.crash(name)
         del self.cluster.nodes[name]
@@ -135,20 +136,20 @@
         self.add()
 
     def add(self) -> Node:
-        """One more machine, with an empty disk."""
+        """Add a machine with an empty disk."""
         self.started += 1
         name = f"new{self.started}"
         self.names.append(name)
         return self.cluster.start(name, None)
 
     def start_shutdown(self, name: str) -> None:
-        """The successor first, then SIGTERM; the one that leaves asks for another to get its vote."""
+        """Schedule a graceful shutdown, and start the replacement before it begins."""
         self.disturbed_at = self.cluster.steps
         self.shutting_down[name] = self.cluster.steps + self.rng.randrange(20, 100)
         self.add()
 
     def continue_shutdowns(self) -> None:
-        """Those that leave ask again and again, and end once they have no vote, or are stopped."""
+        """Let replicas that shut down repeat their notices, and end once they have no vote or time is up."""
         cluster = self.cluster
         for name, begin in list(self.shutting_down.items()):
             node = cluster.nodes[name]
@@ -175,7 +176,7 @@
                 self.cluster.post(node.name, other.name, request)
 
     def end(self) -> None:
-        """All faults are over: everything acknowledged has to be everywhere."""
+        """End all faults, and check that every replica has every acknowledged entry."""
         cluster = self.cluster
         cluster.partitioned = set()
         cluster.mutate = lambda *_: Fate.DELIVER
@@ -195,7 +196,7 @@
     cluster_type: type[Cluster] = Cluster,
     losses: bool = False,
 ) -> None:
-    """A day of crashes, cuts, slow syncs and lost messages, with `losses` also of disks and members."""
+    """Run random crashes, partitions, slow syncs and message faults, and losses of disks and members."""
     cluster = cluster_type(names, seed)
     cluster.make = make
     for name in names:
--- a/tests/controlplane/consensus/faulty_parts.py
+++ b/tests/controlplane/consensus/faulty_parts.py
@@ -1,4 +1,4 @@
-"""Faults that a test puts into one part of consensus: a subclass of the part in place of the right one."""
+"""Injection of faults into a component of consensus: a faulty subclass replaces the component."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @contextmanager
 def installed(fault: type) -> Iterator[None]:
-    """Let every replica that is made meanwhile have this part in place of the class that it derives from."""
+    """Replace a component by its faulty subclass in every replica that is created within the context."""
     part = next(base for base in fault.__mro__ if vars(raft).get(base.__name__) is base)
     with mock.patch.object(raft, part.__name__, fault):
         yield
--- a/tests/controlplane/consensus/test_consensus.py
+++ b/tests/controlplane/consensus/test_consensus.py
@@ -1,4 +1,4 @@
-"""Consensus: one message at a time is lost, doubled, delayed or overtakes; days of faults; single rules."""
+"""Consensus when any single message is lost, duplicated, delayed or reordered, and under random faults."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 def change(cluster: Cluster) -> None:
-    """An election and three commands."""
+    """Elect a leader and commit three commands."""
     for number in range(3):
         assert cluster.commit(number)
 
 
 def transfer(cluster: Cluster) -> None:
-    """The leader hands over, and commands go on."""
+    """Transfer leadership, then commit another command."""
     change(cluster)
     first = cluster.leader()
     assert first is not None
@@ -33,7 +33,7 @@
 
 
 def crash(cluster: Cluster) -> None:
-    """The leader loses power, another takes over, the first comes back."""
+    """Crash the leader, commit under its successor, and restart the first leader."""
     change(cluster)
     first = cluster.leader()
     assert first is not None
@@ -44,7 +44,7 @@
 
 
 def rejoin(cluster: Cluster) -> None:
-    """A replica loses its disk and comes back as a new member."""
+    """Wipe the disk of a replica, which rejoins as a new member."""
     change(cluster)
     lost = next(node for node in cluster.nodes.values() if not node.consensus.is_leader)
     cluster.wipe(lost.name, "again")
@@ -59,10 +59,10 @@
 
 
 def replace(cluster: Cluster) -> None:
-    """A replica is gone for good, and an empty one at another address takes its vote."""
+    """Remove a replica permanently; an empty replica at another address gets its vote."""
     change(cluster)
-    gone = next(node for node in cluster.nodes.values() if not node.consensus.is_leader)
-    cluster.crash(gone.name)
+    removed = next(node for node in cluster.nodes.values() if not node.consensus.is_leader)
+    cluster.crash(removed.name)
     cluster.start("d", None)
 
     def replaced() -> bool:
@@ -71,7 +71,7 @@
 
     assert cluster.run(replaced)
     assert cluster.commit("after")
-    del cluster.nodes[gone.name]
+    del cluster.nodes[removed.name]
 
 
 SCENARIOS: list[Callable[[Cluster], None]] = [change, transfer, crash, rejoin, replace]
@@ -83,9 +83,9 @@
     scenario(plain)
     plain.check()
     for at in range(1, plain.sent + 1):
-        for how in MUTATIONS:
+        for fate in MUTATIONS:
             cluster = Cluster("abc", seed=5)
-            cluster.mutate = lambda number, *_, at=at, how=how: how if number == at else Fate.DELIVER
+            cluster.mutate = lambda number, *_, at=at, fate=fate: fate if number == at else Fate.DELIVER
             scenario(cluster)
             cluster.check()
     record_property("mutations_of_one_message", plain.sent * len(MUTATIONS))
@@ -104,7 +104,10 @@
 
 
 def acknowledged_by_two() -> tuple[Cluster, str, str, str]:
-    """All are down; the leader and one other hold a command that the third lacks; names in that order."""
+    """Crash all replicas after a command was committed by the leader and one follower only.
+
+    Returns the cluster and the names of the leader, of that follower and of the replica without the command.
+    """
     cluster = Cluster("abc", seed=3)
     change(cluster)
     leader = cluster.leader()
@@ -118,9 +121,12 @@
 
 
 def test_a_wiped_replica_that_kept_its_identity_would_lose_what_was_acknowledged() -> None:
-    """The reason why a lost disk makes a new member: with the old identity two empty votes make a leader."""
+    """Shows why a replica with a lost disk needs a new identity.
+
+    With its old identity, its vote and that of the replica without the command elect a leader without it.
+    """
     cluster, _, one, two = acknowledged_by_two()
-    cluster.start(one, [])  # an empty disk, and the identity of the old one
+    cluster.start(one, [])  # the replica has an empty disk and keeps its old identity
     cluster.restart(two)
     assert cluster.run(lambda: cluster.leader() is not None)
     with pytest.raises(SafetyViolationError):
@@ -137,7 +143,7 @@
     cluster.check()
 
 
-# --- single rules ---------------------------------------------------------------------------------
+# --- individual properties ------------------------------------------------------------------------
 
 
 def test_a_leader_without_a_majority_steps_down_and_answers_no_read() -> None:
--- a/tests/controlplane/consensus/test_consensus_losses.py
+++ b/tests/controlplane/consensus/test_consensus_losses.py
@@ -1,6 +1,6 @@
-"""Consensus with snapshots, lost disks and members that shut down: days of faults, each crossing forced.
+"""Consensus with snapshots, lost disks and members that shut down: random faults, and specific interleavings.
 
-Where a test forces a crossing it also runs a replica with the fault put back in, and sees it break.
+Tests of a specific interleaving also run with the original fault injected, and check that it breaks them.
 """
 
 from __future__ import annotations
@@ -44,11 +44,11 @@
             explore(Consensus, seed, losses=True)
 
 
-# --- snapshots that come late --------------------------------------------------------------------
+# --- delayed snapshots ---------------------------------------------------------------------------
 
 
 class SnapshotReplacesEverything(Snapshots):
-    """As it was: a snapshot drops what follows it, confirmed or not."""
+    """Injects a former fault: installing a snapshot deletes the entries after it, even confirmed ones."""
 
     def handle_install_snapshot(self, message: wire.InstallSnapshot) -> None:
         state = self._state
@@ -64,7 +64,7 @@
 
 
 def follower_with_a_late_snapshot(make: type[Consensus]) -> tuple[Consensus, list[wire.Message], list[Entry]]:
-    """It holds and has confirmed 22 entries, knows 14 as committed, and gets a snapshot up to 15."""
+    """A follower with 22 confirmed entries, of which it knows 14 as committed, gets a snapshot up to 15."""
     log = Log(0, 0, BOOTSTRAP_MEMBERS)
     follower = make(member("b", voter=False), log, 1, "", 0.0, random.Random(1))
     follower.handle_message(wire.AppendEntries(1, "a", 0, 0, entries(1, 22), 14, 7), 0.1)
@@ -93,7 +93,7 @@
 
 
 def acknowledged_behind_a_late_snapshot(make: type[Consensus]) -> Cluster:
-    """The leader's disk is slow, so that its followers hold the only copies that count; then it is gone."""
+    """The leader's disk is slow, so that only its followers have synced an entry; then the leader crashes."""
     cluster = Cluster("abc", seed=11)
     cluster.make = make
     for name in "abc":
@@ -107,7 +107,7 @@
     asked = wire.InstallSnapshot(leader.consensus.term, leader.name, 0, 0, [], None, 0)
     snapshot = leader.consensus.fill_snapshot(asked, leader.applied, state)
     leader.slow_disk = True
-    late.consensus.state.commit_index -= 1  # it has not heard of the last commit yet
+    late.consensus.state.commit_index -= 1  # the follower does not know of the last commit yet
     late.applied -= 1
     del late.state[late.applied + 1]
     cluster.mutate = lambda number, sender, to, message: Fate.DROP if to == other.name else Fate.DELIVER
@@ -143,7 +143,7 @@
 
 
 def test_a_lost_disk_counts_for_nothing_while_members_change() -> None:
-    """A quorum of the members before the change need not meet one of those after it without the lost one."""
+    """A quorum of the old members need not intersect a quorum of the new members without the wiped one."""
     log = Log(0, 0, BOOTSTRAP_MEMBERS)
     replica = Consensus(member("a", voter=False), log, 1, "", 0.0, random.Random(1))
     four = [each.as_json() for each in (*BOOTSTRAP_MEMBERS, member("d"))]
@@ -158,11 +158,11 @@
     assert replica.state.wiped_members() == {"b"}
 
 
-# --- votes of replicas that do not know of them --------------------------------------------------
+# --- votes of replicas that do not know that they are voters -------------------------------------
 
 
 class OnlyMembersVote(Election):
-    """As it was: a replica that does not know yet of its own vote denies it."""
+    """Injects a former fault: a replica that does not know yet that it is a voter denies its vote."""
 
     def handle_vote_request(self, request: wire.VoteRequest) -> None:
         if self._state.is_voter or request.is_pre_vote:
@@ -170,7 +170,7 @@
 
 
 class OnlyVotersStartElections(Election):
-    """As it was: what only a replica without a vote holds keeps the others from leading."""
+    """Injects a former fault: learners start no elections, so a later entry at a learner blocks the group."""
 
     def start_election(self, *, is_pre_vote: bool, is_transfer: bool = False) -> bool:
         if not self._state.is_voter:
@@ -183,7 +183,7 @@
 
 
 def group_without_its_leader(make: type[Consensus], ends: dict[str, list[Entry]]) -> Cluster:
-    """Of the voters a, b and c the first is gone; d is a learner; each holds two entries and its own end."""
+    """Voters b and c and learner d without the leader a; each has two common entries and then its `ends`."""
     cluster = Cluster("abc", seed=4)
     cluster.make = make
     common = [
@@ -206,7 +206,7 @@
 
 
 def test_a_replica_without_a_vote_leads_where_the_others_lack_what_it_holds() -> None:
-    """b wants the vote of d, which denies it, since it holds the entries of a later leader."""
+    """Replica b needs the vote of d, which denies it because d has the entries of a later leader."""
     four = members_entry(3, 2, *BOOTSTRAP_MEMBERS, member("d"))
     later = [Entry(3, 3, EntryKind.NONE, None), Entry(4, 3, EntryKind.COMMAND, "of the later leader")]
     ends: dict[str, list[Entry]] = {"b": [four], "c": [], "d": later}
@@ -218,7 +218,7 @@
 
 
 class CountsItsVoteUnsynced(Election):
-    """As it was: a candidate counts its own vote before its disk has it."""
+    """Injects a former fault: a candidate counts its own vote before it is synced."""
 
     def start_election(self, *, is_pre_vote: bool, is_transfer: bool = False) -> bool:
         has_won = super().start_election(is_pre_vote=is_pre_vote, is_transfer=is_transfer)
@@ -228,7 +228,7 @@
 
 @pytest.mark.parametrize("election", [Election, CountsItsVoteUnsynced])
 def test_where_one_vote_is_enough_it_counts_once_it_is_synced(election: type[Election]) -> None:
-    """Else a loss of power lets it lead the same term again, and write other entries at the same place."""
+    """Otherwise it could lead the same term again after a power loss, and reuse its entries' indexes."""
     log = Log(0, 0, (member("a"),))
     with installed(election):
         alone = Consensus(member("a", voter=False), log, 1, "", 0.0, random.Random(1))
@@ -240,7 +240,7 @@
     assert alone.is_leader
 
 
-# --- members that leave --------------------------------------------------------------------------
+# --- members that shut down ----------------------------------------------------------------------
 
 
 def with_a_learner() -> Cluster:
@@ -263,22 +263,22 @@
     cluster = with_a_learner()
     leader = cluster.leader()
     assert leader is not None
-    leaving = next(name for name in "abc" if name != leader.name)
-    cluster.nodes[leaving].consensus.begin_graceful_shutdown()
-    assert cluster.nodes[leaving].consensus.has_vote()
-    cluster.post(leaving, leader.name, wire.ShutdownNotice(leaving))
-    assert cluster.run(lambda: not cluster.nodes[leaving].consensus.has_vote(), steps=8)
-    assert voters_of(cluster) == {*"abcd"} - {leaving}
-    cluster.crash(leaving)
-    del cluster.nodes[leaving]
-    second = next(name for name in "abc" if name not in (leaving, leader.name))
+    shutting_down = next(name for name in "abc" if name != leader.name)
+    cluster.nodes[shutting_down].consensus.begin_graceful_shutdown()
+    assert cluster.nodes[shutting_down].consensus.has_vote()
+    cluster.post(shutting_down, leader.name, wire.ShutdownNotice(shutting_down))
+    assert cluster.run(lambda: not cluster.nodes[shutting_down].consensus.has_vote(), steps=8)
+    assert voters_of(cluster) == {*"abcd"} - {shutting_down}
+    cluster.crash(shutting_down)
+    del cluster.nodes[shutting_down]
+    second = next(name for name in "abc" if name not in (shutting_down, leader.name))
     cluster.wipe(second, "again")
     assert cluster.commit("after")
     cluster.check()
 
 
 def test_a_replica_with_the_only_copy_leads_though_it_is_shutting_down() -> None:
-    """It and the one that lost its disk had confirmed; the third knows nothing of it."""
+    """The leader shuts down after the only other replica that confirmed its entry has lost its disk."""
     cluster = with_a_learner()
     first = cluster.leader()
     assert first is not None
--- a/tests/controlplane/consensus/test_consensus_mutations.py
+++ b/tests/controlplane/consensus/test_consensus_mutations.py
@@ -1,4 +1,4 @@
-"""Faults put into consensus on purpose: the days of faults have to find each of them."""
+"""Mutation tests: the randomized fault injection must detect each fault injected into consensus."""
 
 from __future__ import annotations
 
@@ -113,11 +113,11 @@
                 explore(Consensus, seed)
         except (SafetyViolationError, AssertionError, KeyError, IndexError):
             return
-    pytest.fail("no day of faults found it")
+    pytest.fail("no randomized run detected the injected fault")
 
 
 def old_leader_speaks(make: type[Consensus]) -> bool:
-    """Whether an old leader's late message leaves what a follower synced for its successor as it is."""
+    """Whether a delayed message of an old leader leaves its successor's entries at a follower unchanged."""
     cluster = Cluster("abc", seed=9)
     cluster.make = make
     for name in "abc":
--- a/tests/controlplane/consensus/test_election.py
+++ b/tests/controlplane/consensus/test_election.py
@@ -1,4 +1,4 @@
-"""Elections as scripts of events: what a replica sends and records for each."""
+"""Elections as sequences of events: the messages and records that a replica outputs for each event."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def replica() -> Consensus:
-    """Replica a of three, in term 3, with one entry of term 2."""
+    """Replica a of a group of three, in term 3, with one entry of term 2."""
     log = Log(0, 0, tuple(member(name) for name in "abc"))
     log.append(Entry(1, 2, EntryKind.COMMAND, "x"))
     return Consensus(member("a", voter=False), log, TERM, "", 0.0, random.Random(1))
--- a/tests/controlplane/consensus/test_membership_plan.py
+++ b/tests/controlplane/consensus/test_membership_plan.py
@@ -1,4 +1,4 @@
-"""Which change of its members a group makes next."""
+"""The decision on the next membership change of a group."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def votes_after(group: Group) -> str | None:
-    """The voters after the next change, in the order of their names; None where nothing changes."""
+    """The sorted names of the voters after the next change, or None if there is no change."""
     changed = next_members(group, [])
     return None if changed is None else "".join(sorted(each.id for each in changed if each.is_voter))
 
--- a/tests/controlplane/consensus/test_membership_requests.py
+++ b/tests/controlplane/consensus/test_membership_requests.py
@@ -1,4 +1,4 @@
-"""Requests to join, notices of shutdown, and when a disk is proven to be lost."""
+"""Join requests, shutdown notices, and the proof that a disk is lost."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def test_an_old_request_to_join_does_not_replace_the_process_that_is_there_now() -> None:
-    """A request of the process before, held back on its way, comes after the newer one became a member."""
+    """A delayed join request of a replaced process arrives after the newer process became a member."""
     newer = replace(member("b2"), address="at-b")
     old = replace(member("b", voter=False), address="at-b")
     members = (member("a"), newer, member("c"))
@@ -29,13 +29,13 @@
     empty = replace(member("b2", voter=False), address="at-b")
     requests = MembershipRequests("a")
     requests.record_join(empty, 1.0)
-    requests.record_contact("b", 1.1)  # a last word that was on its way
+    requests.record_contact("b", 1.1)  # the last message of the member was still in transit
     requests.record_join(empty, 1.3)
     assert requests.admissible(members, 1.3) == []
     requests.record_join(empty, 1.1 + DISK_LOSS_PROOF_S + 0.1)
     assert requests.admissible(members, 1.7) == [empty]
     assert requests.wiped_members(members, 1.7) == {"b"}
-    assert requests.wiped_members(members, 9.0) == set()  # it has long not been repeated
+    assert requests.wiped_members(members, 9.0) == set()  # the request has expired
 
 
 def test_requests_expire() -> None:
--- a/tests/controlplane/consensus/test_quorum.py
+++ b/tests/controlplane/consensus/test_quorum.py
@@ -1,4 +1,4 @@
-"""Quorums, with and without voters whose disks are lost."""
+"""Quorum sizes and agreed values, with and without wiped voters."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
     for count in range(1, 8):
         voters = [member(str(number)) for number in range(count)]
         names = [voter.id for voter in voters]
-        for lost_count in range(count):
-            lost = set(names[:lost_count])
-            rest = [name for name in names if name not in lost]
+        for wiped_count in range(count):
+            wiped = set(names[:wiped_count])
+            remaining = [name for name in names if name not in wiped]
             for size in range(count + 1):
-                for agreeing in combinations(rest, size):
-                    if not has_quorum(voters, agreeing, lost):
+                for agreeing in combinations(remaining, size):
+                    if not has_quorum(voters, agreeing, wiped):
                         continue
                     for holding in combinations(names, count // 2 + 1):
-                        survivors = set(holding) - lost
-                        # Where all that held it lost their disks, more was lost than is borne.
-                        assert not survivors or survivors & set(agreeing), (count, lost, agreeing, holding)
+                        survivors = set(holding) - wiped
+                        # If all voters that had the entry lost their disks, the loss exceeds the tolerance.
+                        assert not survivors or survivors & set(agreeing), (count, wiped, agreeing, holding)
 
 
 def test_one_lost_disk_of_four_costs_no_quorum_and_of_three_it_does() -> None:
--- a/tests/controlplane/consensus/test_replicated_log.py
+++ b/tests/controlplane/consensus/test_replicated_log.py
@@ -1,4 +1,4 @@
-"""The log in memory: which members it has as entries are appended, truncated and compacted."""
+"""The members according to the in-memory log, as entries are appended, truncated and compacted."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def log_with_two_changes() -> Log:
-    """Changes of members at 2 and 4 of five entries."""
+    """A log of five entries, of which entries 2 and 4 are membership changes."""
     log = Log(0, 0, ONE)
     log.append(Entry(1, 1, EntryKind.NONE, None))
     log.append(members_entry(2, *TWO))
--- a/tests/controlplane/registry/test_load_reports.py
+++ b/tests/controlplane/registry/test_load_reports.py
@@ -1,4 +1,4 @@
-"""Sums of what gateways observed: bounded, expiring, and without the asking gateway's own."""
+"""Sums of load reports: bounded, expiring, and without the requesting gateway's own report."""
 
 from __future__ import annotations
 
@@ -20,29 +20,29 @@
 
 
 def test_the_sum_excludes_the_gateway_that_asks() -> None:
-    figures = FleetLoadReports()
+    reports = FleetLoadReports()
     for name in ("g1", "g2", "g3"):
-        figures.record(name, parse_report({"a": ONE}), 0.0)
-    reporters, sums = figures.sum_of_others("g1", 0.1)
+        reports.record(name, parse_report({"a": ONE}), 0.0)
+    reporters, sums = reports.sum_of_others("g1", 0.1)
     assert reporters == 2
     assert sums["a"] == [4.0, 2.0, 1.0, 4.0, 1.6, 6.0, 1.0, 2.0]
-    assert figures.sum_of_others("other", 0.1)[0] == 3
+    assert reports.sum_of_others("other", 0.1)[0] == 3
 
 
 def test_old_reports_expire() -> None:
-    figures = FleetLoadReports()
-    figures.record("g1", parse_report({"a": ONE}), 0.0)
-    figures.record("g2", parse_report({"a": ONE}), REPORT_TTL_S)
-    assert figures.sum_of_others("x", REPORT_TTL_S + SUM_INTERVAL_S)[0] == 1
+    reports = FleetLoadReports()
+    reports.record("g1", parse_report({"a": ONE}), 0.0)
+    reports.record("g2", parse_report({"a": ONE}), REPORT_TTL_S)
+    assert reports.sum_of_others("x", REPORT_TTL_S + SUM_INTERVAL_S)[0] == 1
 
 
 def test_no_single_gateway_moves_the_fleet() -> None:
-    """Nineteen observed a healthy instance, one claims that everything failed."""
-    figures = FleetLoadReports()
+    """Nineteen gateways report a healthy instance, and one reports that every attempt failed."""
+    reports = FleetLoadReports()
     for number in range(19):
-        figures.record(f"g{number}", parse_report({"a": [5.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.2, 1.0]}), 0.0)
-    figures.record("liar", parse_report({"a": [0.0, 1e9, 0.0, 1e9, 1e18, 0.0, 1e9, 1e9]}), 0.0)
-    served, failed, _, answers, latency, _, load, weight = figures.sum_of_others("x", 0.1)[1]["a"]
+        reports.record(f"g{number}", parse_report({"a": [5.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.2, 1.0]}), 0.0)
+    reports.record("liar", parse_report({"a": [0.0, 1e9, 0.0, 1e9, 1e18, 0.0, 1e9, 1e9]}), 0.0)
+    served, failed, _, answers, latency, _, load, weight = reports.sum_of_others("x", 0.1)[1]["a"]
     assert failed <= FAILURES_MAX
     assert served / (served + failed) > 0.95
     assert answers <= ATTEMPTS_MAX
--- a/tests/controlplane/storage/test_storage.py
+++ b/tests/controlplane/storage/test_storage.py
@@ -1,4 +1,4 @@
-"""The durable log: torn ends, holes, full disks, and power losses at every change."""
+"""The durable log: incomplete records, corruption, full disks, and a power loss at every disk operation."""
 
 from __future__ import annotations
 
@@ -51,14 +51,14 @@
     storage = begun(disk)
     storage.write([entry(1)])
     name = disk.names()[-1]
-    whole = len(disk.files[name].data)
+    complete_bytes = len(disk.files[name].data)
     storage.write([entry(2)])
     full = bytes(disk.files[name].data)
-    for size in range(whole, len(full)):
+    for size in range(complete_bytes, len(full)):
         disk.files[name].data = bytearray(full[:size])
         found = Storage(disk).recover()
         assert found.log.last_index == 1
-        assert len(disk.files[name].data) == whole
+        assert len(disk.files[name].data) == complete_bytes
 
 
 def test_a_changed_byte_ends_the_log_before_it() -> None:
@@ -69,10 +69,10 @@
     before = len(disk.files[name].data)
     storage.write([entry(2)])
     for at in range(before, len(disk.files[name].data)):
-        kept = disk.files[name].data[at]
-        disk.files[name].data[at] = kept ^ 1
+        original = disk.files[name].data[at]
+        disk.files[name].data[at] = original ^ 1
         assert read_only(disk).log.last_index == 1
-        disk.files[name].data[at] = kept
+        disk.files[name].data[at] = original
 
 
 def test_corruption_before_the_last_segment_is_an_error() -> None:
@@ -117,7 +117,7 @@
 
 
 def play(disk: MemoryDisk, acknowledged: list[int]) -> None:
-    """Write with snapshots in between; record what was written and synced."""
+    """Write entries with snapshots in between, and add the indexes of synced entries to `acknowledged`."""
     storage = Storage(disk)
     found = storage.recover()
     if not found.identity:
@@ -133,7 +133,7 @@
 
 
 def play_until(disk: MemoryDisk, at: int, acknowledged: list[int]) -> None:
-    """Play up to a change of the disk, at which power is lost."""
+    """Run `play` until power is lost at change number `at` of the disk."""
 
     def lose(change: int, what: str) -> None:
         if change == at:
@@ -146,10 +146,10 @@
 
 
 def test_power_lost_at_every_change_loses_nothing_that_was_synced() -> None:
-    whole = MemoryDisk()
-    play(whole, [])
-    assert whole.changes > 60
-    for at in range(1, whole.changes + 1):
+    undisturbed = MemoryDisk()
+    play(undisturbed, [])
+    assert undisturbed.changes > 60
+    for at in range(1, undisturbed.changes + 1):
         for seed in range(12):
             disk, acknowledged = MemoryDisk(), list[int]()
             play_until(disk, at, acknowledged)
@@ -158,15 +158,15 @@
             assert found.log.last_index >= (acknowledged or [0])[-1], (at, seed)
             assert found.identity in ("", "a")
             assert found.identity or not acknowledged
-            play(disk, [])  # and it continues
+            play(disk, [])  # the recovered storage can be written again
 
 
 def test_a_forgotten_sync_of_the_folder_is_found() -> None:
-    """The check above can fail: without syncs of the folder some power loss loses a synced entry."""
+    """Without syncs of the folder, some power loss loses a synced entry, so the test above can detect it."""
     lost = 0
-    whole = MemoryDisk()
-    play(whole, [])
-    for at in range(1, whole.changes + 1):
+    undisturbed = MemoryDisk()
+    play(undisturbed, [])
+    for at in range(1, undisturbed.changes + 1):
         for seed in range(4):
             disk, acknowledged = MemoryDisk(), list[int]()
             disk.folder_syncs = False
--- a/tests/controlplane/test_disk_writer.py
+++ b/tests/controlplane/test_disk_writer.py
@@ -1,4 +1,4 @@
-"""The disk writer: records are written in order and together, a snapshot in its turn, a failed job again."""
+"""The disk writer: records are batched, snapshots are written in order, and failed jobs are retried."""
 
 from __future__ import annotations
 
@@ -19,27 +19,27 @@
 
 
 class ManualWorker:
-    """A worker whose turns the test takes itself."""
+    """A worker whose jobs the test runs explicitly."""
 
     lock: AbstractContextManager[None] = nullcontext()
 
-    def __init__(self, due: Callable[[], bool], turn: Callable[[], None]) -> None:
-        self._due, self._turn = due, turn
+    def __init__(self, due: Callable[[], bool], run_next: Callable[[], None]) -> None:
+        self._due, self._run_next = due, run_next
 
     def wake(self) -> None:
         pass
 
     def run(self) -> int:
-        """Take turns while something is due; how many."""
-        turns = 0
+        """Run jobs while any is due; return how many were run."""
+        runs = 0
         while self._due():
-            self._turn()
-            turns += 1
-        return turns
+            self._run_next()
+            runs += 1
+        return runs
 
 
 class ManualScheduler:
-    """A scheduler whose calls the test makes itself."""
+    """A scheduler whose callbacks the test runs explicitly."""
 
     def __init__(self) -> None:
         self.system = self
@@ -47,8 +47,8 @@
         self.timers: list[tuple[float, Callable[[], object]]] = []
         self.made_worker: ManualWorker | None = None
 
-    def worker(self, name: str, due: Callable[[], bool], turn: Callable[[], None]) -> ManualWorker:
-        self.made_worker = ManualWorker(due, turn)
+    def worker(self, name: str, due: Callable[[], bool], run_next: Callable[[], None]) -> ManualWorker:
+        self.made_worker = ManualWorker(due, run_next)
         return self.made_worker
 
     def now(self) -> float:
@@ -67,7 +67,7 @@
 
 
 class Rig:
-    """A disk writer, what it writes to, and what it reported."""
+    """A disk writer with its disk, worker and scheduler, and the callbacks that it made."""
 
     def __init__(self) -> None:
         self.disk = MemoryDisk()
@@ -105,7 +105,7 @@
     rig.writer.append(entries(3, 3))
     assert rig.writer.pending_jobs == 2
     assert rig.worker.run() == 1
-    assert rig.synced == []  # the serving thread has not heard of it yet
+    assert rig.synced == []  # the callback has not run on the serving thread yet
     rig.scheduler.run_calls()
     assert rig.synced == [3]
     assert rig.writer.pending_jobs == 0
@@ -135,7 +135,7 @@
     assert rig.worker.run() == 1
     rig.scheduler.run_calls()
     rig.writer.append(entries(2, 2))
-    assert rig.worker.run() == 0  # it backs off
+    assert rig.worker.run() == 0  # the writer is backing off
     assert rig.synced == []
     rig.disk.full = False
     [(when, retry)] = rig.scheduler.timers
--- a/tests/controlplane/test_outbox.py
+++ b/tests/controlplane/test_outbox.py
@@ -1,4 +1,4 @@
-"""Consensus messages leave once the records that they promise are durable, and in order."""
+"""Consensus messages are delivered in order, and only after their records are durable."""
 
 from __future__ import annotations
 
--- a/tests/controlplane/test_pending_proposals.py
+++ b/tests/controlplane/test_pending_proposals.py
@@ -1,4 +1,4 @@
-"""Tasks that wait for results of proposals, and replies to forwarded requests."""
+"""Results of pending proposals, and the wire format of forwarded requests and their replies."""
 
 from __future__ import annotations
 
