--- a/tests/membership/test_controllers.py
+++ b/tests/membership/test_controllers.py
@@ -1,4 +1,4 @@
-"""The controllers that a process follows: near ones first, those that fail later."""
+"""Selection of controllers: near ones are preferred, and failed ones are avoided during a backoff."""
 
 from __future__ import annotations
 
@@ -37,13 +37,13 @@
     assert known.acquire(0, 0.2) == "zone"
     assert not known.is_nearer_available(0, "zone", 0.2)
     assert known.acquire(1, 0.2) == "far"
-    assert not known.is_nearer_available(1, "far", 0.2)  # the nearer one is the other watcher's
+    assert not known.is_nearer_available(1, "far", 0.2)  # the nearer controller is acquired by slot 0
 
 
 def test_the_poller_with_the_nearest_controller_is_primary() -> None:
     known = Controllers(("far", "zone"), random.Random(3), HERE)
     known._acquired = {0: "far", 1: "zone"}
-    assert known.holds_nearest(0)  # nobody's place is known yet
+    assert known.holds_nearest(0)  # no locality is known yet
     assert not known.holds_nearest(1)
     known.set_announced([("far", Locality("s1", "south")), ("zone", Locality("n1", "north"))])
     assert known.holds_nearest(1)
--- a/tests/membership/test_partial_view.py
+++ b/tests/membership/test_partial_view.py
@@ -1,4 +1,4 @@
-"""Partial views: merged by the latest contact, shuffled, bounded."""
+"""Partial views: merging by the latest contact, exchanging samples, expiry and size limits."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 
 
 def view(*names: str, at: float = 0.0) -> PartialView:
-    made = PartialView(random.Random(1))
+    partial_view = PartialView(random.Random(1))
     for name in names:
-        made.record_contact(peer(name), at)
-    return made
+        partial_view.record_contact(peer(name), at)
+    return partial_view
 
 
 def test_a_sample_carries_the_age_of_each_contact() -> None:
@@ -40,35 +40,35 @@
 
 def test_the_latest_contact_wins_in_any_order() -> None:
     for order in (0, 1):
-        made = view()
+        partial_view = view()
         news = [(peer("a"), 1.0), (peer("a", PeerState.DRAINING), 2.0)]
         for each, at in news[::-1] if order else news:
-            made.record_contact(each, at)
-        assert made.alive("gateway", 2.0)[0].state is PeerState.DRAINING
+            partial_view.record_contact(each, at)
+        assert partial_view.alive("gateway", 2.0)[0].state is PeerState.DRAINING
 
 
 def test_a_newer_incarnation_wins_over_a_later_contact_of_the_older_one() -> None:
-    made = view()
-    made.record_contact(peer("a", PeerState.DRAINING, 1), 5.0)
-    made.record_contact(peer("a", PeerState.STARTING, 2), 4.9)
-    assert made.alive("gateway", 5.0)[0].incarnation == 2
+    partial_view = view()
+    partial_view.record_contact(peer("a", PeerState.DRAINING, 1), 5.0)
+    partial_view.record_contact(peer("a", PeerState.STARTING, 2), 4.9)
+    assert partial_view.alive("gateway", 5.0)[0].incarnation == 2
 
 
 def test_peers_without_contact_expire() -> None:
-    made = view("a")
-    made.record_contact(peer("b"), CONTACT_TTL_S)
-    made.expire(CONTACT_TTL_S + 1)
-    assert [part[0] for part in made.sample(CONTACT_TTL_S + 1)] == ["b"]
+    partial_view = view("a")
+    partial_view.record_contact(peer("b"), CONTACT_TTL_S)
+    partial_view.expire(CONTACT_TTL_S + 1)
+    assert [part[0] for part in partial_view.sample(CONTACT_TTL_S + 1)] == ["b"]
 
 
 def test_views_and_samples_are_bounded() -> None:
-    made = view(*(f"g{number}" for number in range(PEERS_MAX + 50)))
-    assert len(made.sample(0.0)) == SAMPLE_SIZE
-    assert len(made.alive("gateway", 0.0)) <= PEERS_MAX
+    partial_view = view(*(f"g{number}" for number in range(PEERS_MAX + 50)))
+    assert len(partial_view.sample(0.0)) == SAMPLE_SIZE
+    assert len(partial_view.alive("gateway", 0.0)) <= PEERS_MAX
 
 
 def test_shuffling_spreads_all_peers_to_all_views() -> None:
-    """Eight views that know one process each; in each step each sends a sample to another one."""
+    """Eight views know one process each; in each step each process sends a sample to a random other one."""
     rng = random.Random(7)
     views = {f"g{number}": view(f"g{number}") for number in range(8)}
     for step in range(12):
--- a/tests/system/control_plane_faults.py
+++ b/tests/system/control_plane_faults.py
@@ -1,8 +1,9 @@
-"""Random days of the control plane in virtual time: faults, partitions, operators that race and repeat.
+"""Randomized fault injection for the control plane in virtual time, with operators that race and repeat.
 
-The checker knows only what operators sent and received, and what gateways have in force.  Faults keep to the
-deployment's tolerance: one counted machine at a time, and the next no sooner than `sync_s` after the last
-is back, or its successor is there.  Beyond that all may lose power at once and keep their disks.
+The checker uses only the requests and responses of operators, and the configuration in force at gateways.
+Faults stay within the deployment's tolerance: by default one machine fails at a time, and the next fails at
+least `sync_s` after the last one or its successor is running. In addition, all machines may lose power at
+once and keep their disks.
 """
 
 from __future__ import annotations
@@ -22,14 +23,14 @@
 
 STEP_S = 0.05
 SYNC_S = 4.0
-ATTEMPT_TIMEOUT_S = 1.0  # an operator that hears nothing for so long calls another controller
+ATTEMPT_TIMEOUT_S = 1.0  # an operator without a response within this time retries at another controller
 REQUEST_TIMEOUT_S = 12.0
 APPLY_TIMEOUT_S = 2.5
 RECOVERY_TIMEOUT_S = 12.0
 CHANGE_METHODS = ("PUT", "PATCH")
 FINAL_STATUSES = (400, 409, 412, 413, 422)
 GRACE_S = 8.0
-SHORT_SEGMENT_BYTES = 6 * 1024  # bytes: a snapshot after some five changes
+SHORT_SEGMENT_BYTES = 6 * 1024  # at this segment size a snapshot is written after about five changes
 
 
 @dataclass
@@ -41,23 +42,23 @@
     base: int = 0
     revision: int = 0
     body: bytes = b""
-    content: str = ""  # of the whole configuration that it makes, keys in order
+    content: str = ""  # the resulting configuration as JSON with sorted keys
     started_at: float = 0.0
     reply: Reply | None = None
     send_at: float = 0.0
     attempts: int = 0
-    status: int = 0  # the clear answer; 0: none yet, -1: given up
+    status: int = 0  # the status of the definite response; 0 if there is none yet, -1 if the operator gave up
     answer: bytes = b""
     on_done: Callable[[OperatorRequest], None] | None = None
 
 
 def content_of(body: bytes) -> str:
-    """Return a configuration in a form that can be compared."""
+    """Return a configuration as JSON with sorted keys, for comparison."""
     return json.dumps(json.loads(body), sort_keys=True)
 
 
 def patched(content: str, revision: int, route: dict[str, Any], removed: str) -> str:
-    """Return what a patch with one route to add and one to remove has to make of a configuration."""
+    """Return the expected configuration after a patch that adds one route and removes another."""
     deployment = json.loads(content)
     deployment["revision"] = revision
     deployment["routes"] = [each for each in deployment["routes"] if each["name"] != removed] + [route]
@@ -66,16 +67,14 @@
 
 @dataclass
 class History:
-    """What operators received, and what may follow from it.  Configurations are compared by content."""
+    """The requests and responses of operators, with consistency checks of the configurations' content."""
 
-    sent: dict[str, int] = field(default_factory=dict)  # content: revision
+    sent: dict[str, int] = field(default_factory=dict)  # revision by content
     acknowledged: dict[int, str] = field(default_factory=dict)
-    content_by_revision: dict[int, str] = field(
-        default_factory=dict
-    )  # by revision, what was acknowledged or read
+    content_by_revision: dict[int, str] = field(default_factory=dict)  # acknowledged or read content
     rejected: set[str] = field(default_factory=set)
-    newest: int = 0  # that was acknowledged or read
-    accepted: list[OperatorRequest] = field(default_factory=list)  # acknowledged ones
+    newest: int = 0  # the newest revision that was acknowledged or read
+    accepted: list[OperatorRequest] = field(default_factory=list)  # the acknowledged change requests
 
     def ended(self, request: OperatorRequest, newest_at_start: int) -> None:
         """Check a request whose result is known."""
@@ -102,19 +101,19 @@
         content = content_of(request.answer)
         revision = self.sent.get(content)
         if revision is None:
-            raise SafetyViolationError("what was read is nothing that was sent")
+            raise SafetyViolationError("a configuration was read that no operator sent")
         if revision < newest_at_start:
-            raise SafetyViolationError(f"revision {revision} was read after {newest_at_start}")
+            raise SafetyViolationError(f"stale read of revision {revision} after revision {newest_at_start}")
         if content in self.rejected:
-            raise SafetyViolationError(f"revision {revision} is in force though it was rejected")
+            raise SafetyViolationError(f"revision {revision} is in force although it was rejected")
         if self.acknowledged.get(revision, content) != content:
-            raise SafetyViolationError(f"revision {revision} has another content than what was acknowledged")
+            raise SafetyViolationError(f"revision {revision} differs from the acknowledged content")
         self.content_by_revision[revision] = content
         self.newest = max(self.newest, revision)
 
 
 class Operators:
-    """Several operators at once: they change, race, evacuate, read, and repeat accepted requests."""
+    """Concurrent operators that change the configuration, evacuate zones, read, and repeat requests."""
 
     def __init__(
         self, deployment: VirtualDeployment, rng: random.Random, addresses: Callable[[], list[str]]
@@ -122,15 +121,16 @@
         self.deployment, self.rng, self._addresses = deployment, rng, addresses
         self.history = History()
         self.in_progress: list[tuple[OperatorRequest, int]] = []
-        self.zone_requests: dict[str, str] = {}  # zone: the last request that was begun, "" once given up
-        self.evacuated: dict[str, bool] = {}  # zone: as the last clear answer has it
+        # The method of the request in progress for each zone, or "" if there is none.
+        self.zone_requests: dict[str, str] = {}
+        self.evacuated: dict[str, bool] = {}  # whether the last definite response evacuated the zone, by zone
         self.done_at: dict[str, float] = {}
         self._count = 0
 
     def begin(
         self, request: OperatorRequest, on_done: Callable[[OperatorRequest], None] | None = None
     ) -> OperatorRequest:
-        """Send a request, and follow it at each step."""
+        """Register a request, which `step` sends and retries until its result is known."""
         request.started_at = self.deployment.now
         request.on_done = on_done
         if request.content:
@@ -139,26 +139,26 @@
         return request
 
     def change(self, base: int, revision: int) -> OperatorRequest:
-        """Return a request for a configuration of its own content."""
+        """Return a request for a configuration with unique content."""
         self._count += 1
         body = configuration(revision, route(), route(f"/n{self._count}/"))
         return OperatorRequest("PUT", "/api/config", base, revision, body, content_of(body))
 
     def patch(self, base: int, revision: int) -> OperatorRequest:
-        """Return a request for a patch that adds a route to its base, and at times removes another."""
+        """Return a request for a patch that adds a route to its base, and sometimes removes another."""
         self._count += 1
-        held = self.history.content_by_revision[base]
-        names = [each["name"] for each in json.loads(held)["routes"]]
+        base_content = self.history.content_by_revision[base]
+        names = [each["name"] for each in json.loads(base_content)["routes"]]
         removed = self.rng.choice(names[1:]) if len(names) > 1 and self.rng.random() < 0.5 else ""
         added = route(f"/p{self._count}/")
         body = {"revision": revision, "upsert": {"routes": [added]}}
         if removed:
             body["remove"] = {"routes": [removed]}
-        content = patched(held, revision, added, removed)
+        content = patched(base_content, revision, added, removed)
         return OperatorRequest("PATCH", "/api/config", base, revision, json.dumps(body).encode(), content)
 
     def random_change(self, base: int, revision: int) -> OperatorRequest:
-        """Return a request for a whole configuration or a patch."""
+        """Return a request for a complete configuration or a patch."""
         make = (
             self.patch
             if self.rng.random() < 0.5 and base in self.history.content_by_revision
@@ -170,14 +170,14 @@
         """Handle responses and retry requests."""
         for pair in list(self.in_progress):
             request, newest = pair
-            self._look(request)
+            self._poll_reply(request)
             if request.status:
                 self.in_progress.remove(pair)
                 self.history.ended(request, newest)
                 if request.on_done is not None:
                     request.on_done(request)
 
-    def _look(self, request: OperatorRequest) -> None:
+    def _poll_reply(self, request: OperatorRequest) -> None:
         reply = request.reply
         if reply is None:
             if self.deployment.now >= request.send_at:
@@ -191,7 +191,7 @@
         if clear and not lost:
             request.status, request.answer = reply.status, reply.body
         elif reply.is_complete and reply.status == 404 and request.method == "GET" and not lost:
-            raise SafetyViolationError("there is no configuration any more")
+            raise SafetyViolationError("the configuration is lost")
         elif self.deployment.now - request.started_at > REQUEST_TIMEOUT_S:
             request.status = -1
         else:
@@ -227,14 +227,21 @@
             for _ in range(2):
                 self.begin(self.random_change(base, revision))
         elif roll < 0.8 and self.history.accepted:
-            taken = self.rng.choice(self.history.accepted)
-            again = (taken.method, taken.target, taken.base, taken.revision, taken.body, taken.content)
-            self.begin(OperatorRequest(*again))
+            accepted = self.rng.choice(self.history.accepted)
+            arguments = (
+                accepted.method,
+                accepted.target,
+                accepted.base,
+                accepted.revision,
+                accepted.body,
+                accepted.content,
+            )
+            self.begin(OperatorRequest(*arguments))
         elif roll < 1.0:
             self._toggle_evacuation(self.rng.choice(["n1", "n2"]))
 
     def _toggle_evacuation(self, zone: str) -> None:
-        """Start or end the evacuation of a zone, one request after the other."""
+        """Start or end the evacuation of a zone, unless a request for it is in progress or just ended."""
         if (
             self.zone_requests.get(zone)
             or self.deployment.now - self.done_at.get(zone, 0.0) < APPLY_TIMEOUT_S
@@ -250,7 +257,7 @@
             if request.status == 200:
                 self.evacuated[zone] = method == "POST"
             else:
-                self.evacuated.pop(zone, None)  # it may have acted or not
+                self.evacuated.pop(zone, None)  # whether the request took effect is unknown
 
         self.begin(OperatorRequest(method, f"/api/evacuations/{zone}"), ended)
 
@@ -261,16 +268,16 @@
             return
         replica = self.deployment.controllers[leader].replica
         if replica.consensus.has_quorum_contact(self.deployment.now) and replica.consensus.commit_index > 0:
-            holds = zone in replica.state.evacuated_zones
+            is_evacuated = zone in replica.state.evacuated_zones
             newest = replica.consensus.log.term_at(replica.consensus.commit_index) == replica.consensus.term
-            if newest and holds is not self.evacuated[zone]:
+            if newest and is_evacuated is not self.evacuated[zone]:
                 raise SafetyViolationError(
-                    f"zone {zone}: acknowledged {self.evacuated[zone]}, in force {holds}"
+                    f"zone {zone}: acknowledged {self.evacuated[zone]}, in force {is_evacuated}"
                 )
 
 
 class Day:
-    """One day: the system, its operators, and one loss after the other."""
+    """One randomized run: the system, its operators, and a sequence of faults."""
 
     def __init__(
         self, seed: int, cores: int = 3, tolerated: int = 1, zones: dict[str, str] | None = None
@@ -282,26 +289,26 @@
         self.removed: list[str] = []
         self.log: list[str] = []
         self.operators = Operators(self.deployment, self.rng, self._addresses)
-        self.next_loss_at = 0.0  # when the next loss is borne
+        self.next_loss_at = 0.0  # the time from which the deployment must tolerate the next fault
         self._scheduled: list[tuple[float, Callable[[], None]]] = []
         self._added = cores
 
     def _addresses(self) -> list[str]:
-        """Return the operators' list of controllers, which lags: it has the one that was removed last."""
+        """Return the operators' list of controllers, which still contains the last removed controller."""
         return [self.deployment.world.machines[name].ip for name in [*self.names, *self.removed[-1:]]]
 
     def schedule(self, seconds: float, call: Callable[[], None]) -> None:
-        """Schedule a step of a fault."""
+        """Schedule a callback of a fault, after a delay in seconds."""
         self._scheduled.append((self.deployment.now + seconds, call))
 
-    def note(self, text: str) -> None:
-        """Log an event for the report of a day that violated something."""
+    def log_event(self, text: str) -> None:
+        """Log an event for the report of a run that violates a safety property."""
         self.log.append(f"{self.deployment.now:7.2f} {text} (leader {self.deployment.leader()})")
 
-    # --- a day -----------------------------------------------------------------------------------
+    # --- the run ---------------------------------------------------------------------------------
 
     def run(self, seconds: float = 45.0) -> None:
-        """Play the day; raises `SafetyViolationError`."""
+        """Execute the run; raises `SafetyViolationError`."""
         deployment = self.deployment
         body = configuration(1)
         history, content = self.operators.history, content_of(body)
@@ -309,7 +316,7 @@
         deployment.served(body)
         history.acknowledged[1] = history.content_by_revision[1] = content
         self.operators.history.newest = 1
-        self.defer_next_loss(0.0)  # machines that have just started count as lost
+        self.defer_next_loss(0.0)  # machines that have just started do not count as recovered yet
         end = deployment.now + seconds
         while deployment.now < end:
             if deployment.now >= self.next_loss_at:
@@ -328,22 +335,24 @@
         self.operators.step()
 
     def _finish(self) -> None:
-        """End all faults, and check that everything acknowledged is in force everywhere."""
-        closing = self.rng.random() < 0.6
-        while self._scheduled or self.deployment.now < self.next_loss_at - (0.0 if closing else SYNC_S):
+        """End all faults, and check that all acknowledged changes are in force everywhere."""
+        ends_with_disk_losses = self.rng.random() < 0.6
+        while self._scheduled or self.deployment.now < self.next_loss_at - (
+            0.0 if ends_with_disk_losses else SYNC_S
+        ):
             self._step()
-        if closing:
+        if ends_with_disk_losses:
             self._lose_disks_after_an_acknowledgement()
-        self.note("the end")
+        self.log_event("the end")
         back = self.deployment.now
         reads: list[OperatorRequest] = []
         while not any(read.status == 200 for read in reads):
             if self.deployment.now - back > RECOVERY_TIMEOUT_S + REQUEST_TIMEOUT_S:
-                raise SafetyViolationError("nothing can be read after all is back")
+                raise SafetyViolationError("reads fail after all faults have ended")
             if not reads or reads[-1].status:
                 reads.append(self.operators.begin(OperatorRequest("GET", "/api/config")))
             self._step()
-        self._check_orders_are_taken()
+        self._check_changes_are_accepted()
         while self.operators.in_progress:
             self._step()
         self.deployment.sleep(max(APPLY_TIMEOUT_S, back + SYNC_S - self.deployment.now))
@@ -352,25 +361,27 @@
         self._check_gateways()
 
     def _lose_disks_after_an_acknowledgement(self) -> None:
-        """Lose as many disks as are tolerated right after a response, at times with all power."""
+        """Lose the tolerated number of disks right after a response, sometimes with power lost everywhere."""
         base = self.operators.history.newest
         request = self.operators.begin(self.operators.random_change(base, base + 1))
         while not request.status:
             self.deployment.sleep(0.002)
             self.operators.step()
         lost = self.rng.sample(self.names, self.tolerated)
-        dark = self.names if self.rng.random() < 0.6 else lost
-        self.note(f"{request.status} for {request.revision}, then the disks of {lost}, power of {dark}")
-        for name in dark:
+        powered_off = self.names if self.rng.random() < 0.6 else lost
+        self.log_event(
+            f"{request.status} for {request.revision}, then the disks of {lost}, power of {powered_off}"
+        )
+        for name in powered_off:
             self._off(name)
         for name in lost:
             self.deployment.disks[name] = MemoryDisk()
-        for name in dark:
+        for name in powered_off:
             self.schedule(self.rng.uniform(0.05, 3.0), partial(self._on, name))
         while self._scheduled:
             self._step()
 
-    def _check_orders_are_taken(self) -> None:
+    def _check_changes_are_accepted(self) -> None:
         begun = self.deployment.now
         while True:
             base = self.operators.history.newest
@@ -380,28 +391,28 @@
             if request.status == 200:
                 return
             if self.deployment.now - begun > RECOVERY_TIMEOUT_S:
-                raise SafetyViolationError("no request is taken after all is back")
+                raise SafetyViolationError("change requests fail after all faults have ended")
 
     def _check_gateways(self) -> None:
         leader = self.deployment.leader()
         if leader is None:
-            raise SafetyViolationError("nobody leads in calm times")
+            raise SafetyViolationError("there is no leader after all faults have ended")
         state = self.deployment.controllers[leader].replica.state
         for name, gateway in self.deployment.gateways.items():
             table = gateway.routes
             if table is None or table.revision != state.revision:
-                raise SafetyViolationError(f"{name} has another configuration in calm times")
+                raise SafetyViolationError(f"{name} has another configuration after all faults have ended")
             if gateway.instances.evacuated_zones != frozenset(state.evacuated_zones):
-                raise SafetyViolationError(f"{name} has other zones evacuated in calm times")
+                raise SafetyViolationError(f"{name} has other evacuated zones after all faults have ended")
         for name in self.names:
             other = self.deployment.controllers[name].replica
             if other.state.index != state.index:
-                raise SafetyViolationError(f"{name} has not caught up in calm times")
+                raise SafetyViolationError(f"{name} has not caught up after all faults have ended")
 
     # --- faults ----------------------------------------------------------------------------------
 
     def inject_fault(self) -> None:
-        """Start a fault at a random machine, the leader more often; at times as many as are tolerated."""
+        """Inject a fault at one random machine or at the tolerated number of machines; prefer the leader."""
         leader = self.deployment.leader()
         names = self.rng.sample(self.names, self.tolerated if self.rng.random() < 0.5 else 1)
         if leader in self.names and leader not in names and self.rng.random() < 0.3:
@@ -413,11 +424,11 @@
         )
         for name in names:
             call = self.rng.choice(kinds)
-            self.note(f"{call.__name__} {name}")
+            self.log_event(f"{call.__name__} {name}")
             call(name)
 
     def faults_of_one_machine(self) -> list[Callable[[str], None]]:
-        """Return faults that two machines may have at once."""
+        """Return faults that several machines may have at once."""
         return [
             self.partition,
             self.one_way,
@@ -434,7 +445,7 @@
         ]
 
     def faults_of_all_machines(self) -> list[Callable[[str], None]]:
-        """Return faults that come alone."""
+        """Return faults that are not combined with other faults."""
         return [
             self.planned_replacement,
             self.power_off_all,
@@ -444,46 +455,46 @@
         ]
 
     def defer_next_loss(self, seconds: float) -> None:
-        """Allow no further loss for a time, and not before `sync_s` after it."""
+        """Allow no further fault for a time in seconds and for `sync_s` after it."""
         self.next_loss_at = max(self.next_loss_at, self.deployment.now + seconds + SYNC_S)
 
     def partition(self, name: str) -> None:
-        """Partition a controller from the others, or from all but operators, for up to twenty seconds."""
+        """Partition a controller from the others, or from all except operators, for at most 20 seconds."""
         seconds = self.rng.uniform(0.5, 20.0)
-        everyone = self.rng.random() < 0.3
+        includes_gateways = self.rng.random() < 0.3
         others = [each for each in self.deployment.world.machines if each not in (name, "caller")]
-        peers = others if everyone else [each for each in self.names if each != name]
+        peers = others if includes_gateways else [each for each in self.names if each != name]
         self._partition([(name, other) for other in peers], seconds)
 
     def _partition(self, pairs: list[tuple[str, str]], seconds: float, one_way: bool = False) -> None:
-        """Partition machines from each other for a time."""
+        """Partition pairs of machines from each other for a time in seconds."""
         network = self.deployment.world.network
         for one, other in pairs:
             network.cut(one, other, one_way)
 
-        def mend() -> None:
-            self.note("a cut ends")
+        def end_fault() -> None:
+            self.log_event("a partition ends")
             for one, other in pairs:
                 network.mend(one, other, one_way)
 
-        self.schedule(seconds, mend)
+        self.schedule(seconds, end_fault)
         self.defer_next_loss(seconds)
 
     def one_way(self, name: str) -> None:
-        """Have a controller send and not receive, or receive and not send."""
+        """Partition a controller in one direction: it can only send, or only receive."""
         seconds = self.rng.uniform(0.5, 10.0)
         outwards = self.rng.random() < 0.5
         pairs = [(name, each) if outwards else (each, name) for each in self.names if each != name]
         self._partition(pairs, seconds, one_way=True)
 
     def freeze(self, name: str) -> None:
-        """Freeze the process, which then continues where it was."""
+        """Freeze the process for a while; it then continues without a restart."""
         seconds = self.rng.uniform(0.2, 20.0)
         self.deployment.process(name).stall(int(seconds * SECOND))
         self.defer_next_loss(seconds)
 
     def power(self, name: str) -> None:
-        """Take the power for a while; the disk stays."""
+        """Power off the machine for a while; its disk is kept."""
         seconds = self.rng.uniform(0.1, 6.0)
         self._off(name)
         self.schedule(seconds, partial(self._on, name))
@@ -498,12 +509,12 @@
             self.deployment.power_on(name)
 
     def lose_disk(self, name: str) -> None:
-        """Lose the disk; at times all others lose power at that moment."""
+        """Lose the disk of a machine; sometimes all other machines lose power at the same time."""
         seconds = self.rng.uniform(0.1, 3.0)
         self._off(name)
         self.deployment.disks[name] = MemoryDisk()
-        alone = self.tolerated == 1 and self.rng.random() < 0.3
-        others = [each for each in self.names if each != name] if alone else []
+        others_lose_power = self.tolerated == 1 and self.rng.random() < 0.3
+        others = [each for each in self.names if each != name] if others_lose_power else []
         for other in others:
             self._off(other)
         for each in [name, *others]:
@@ -511,7 +522,7 @@
         self.defer_next_loss(seconds + 0.1)
 
     def fill_disk(self, name: str) -> None:
-        """Fill the disk for a while."""
+        """Make the disk full for a while."""
         seconds = self.rng.uniform(0.5, 8.0)
         disk = self.deployment.disks[name]
         disk.full = True
@@ -546,26 +557,27 @@
     def planned_replacement(self, name: str) -> None:
         """Add the successor first, then send SIGTERM; remove the machine once the process has ended.
 
-        It counts until the successor has had its time, and not after that: the next loss may come at once.
+        The machine counts as a fault only until the successor is synced; the next fault may follow
+        immediately.
         """
         self._add()
         begun = self.deployment.now
         seconds = self.rng.uniform(0.5, 6.0)
 
-        def leave() -> None:
-            self.note(f"{name} gets SIGTERM")
+        def send_sigterm() -> None:
+            self.log_event(f"{name} gets SIGTERM")
             if name in self.deployment.controllers and not self.deployment.process(name).dead:
                 self.deployment.process(name).signal(15)
             self.schedule(0.1, remove)
 
         def remove() -> None:
             if self.deployment.process(name).dead or self.deployment.now > begun + seconds + GRACE_S:
-                self.note(f"{name} is gone")
+                self.log_event(f"{name} is removed")
                 self._remove(name)
             else:
                 self.schedule(0.05, remove)
 
-        self.schedule(seconds, leave)
+        self.schedule(seconds, send_sigterm)
         self.next_loss_at = max(begun + SYNC_S, begun + seconds) + self.rng.uniform(0.02, 2.0)
 
     def _remove(self, name: str) -> None:
@@ -577,27 +589,27 @@
     def sudden_replacement(self, name: str) -> None:
         """Remove a machine without notice, and add a successor a second later."""
         self._remove(name)
-        self.schedule(1.0, lambda: self.note(f"{self._add()} is added"))
+        self.schedule(1.0, lambda: self.log_event(f"{self._add()} is added"))
         self.defer_next_loss(1.0)
 
     def slow_down_links(self, name: str) -> None:
-        """Delay messages, so that they arrive after later ones over new connections."""
+        """Delay messages, so that later messages over new connections overtake them."""
         seconds = self.rng.uniform(0.5, 8.0)
         network = self.deployment.world.network
         others = [each for each in self.names if each != name]
         for other in others:
             network.slow_link(name, other, int(self.rng.uniform(0.05, 1.5) * SECOND))
 
-        def mend() -> None:
+        def end_fault() -> None:
             for other in others:
                 network.slow_link(name, other, 0)
 
-        self.schedule(seconds, mend)
+        self.schedule(seconds, end_fault)
         self.reset_connections(name)
         self.defer_next_loss(seconds)
 
     def step_clock(self, name: str) -> None:
-        """Step the time of day, and back; the process is killed in between."""
+        """Step the wall clock and later step it back; the process is killed in between."""
         machine = self.deployment.world.machines[name]
         by_ns = int(self.rng.uniform(-8.0, 8.0) * SECOND)
         machine.shift_wall(by_ns)
@@ -611,14 +623,14 @@
             self.schedule(self.rng.uniform(0.1, 1.0), partial(self._start_again, name))
 
     def power_off_all(self, name: str) -> None:
-        """Take the power of all controllers at once, for a second or two."""
+        """Power off all controllers at once, for at most two seconds."""
         for each in self.names:
             self._off(each)
             self.schedule(self.rng.uniform(0.1, 2.0), partial(self._on, each))
         self.defer_next_loss(2.0)
 
     def reset_connections(self, name: str) -> None:
-        """Reset all connections of a machine, more than once."""
+        """Reset all connections of a machine, from one to four times."""
         machine = self.deployment.world.machines[name]
 
         def reset() -> None:
@@ -630,7 +642,7 @@
         self.defer_next_loss(2.0)
 
     def partition_operators(self, name: str) -> None:
-        """Delay what operators send to a machine until they have turned to others."""
+        """Delay operators' requests to a machine until the operators have retried at others."""
         seconds = self.rng.uniform(0.5, 6.0)
         network = self.deployment.world.network
         network.cut("caller", name)
@@ -638,7 +650,7 @@
         self.defer_next_loss(0.0)
 
     def partition_zone(self, name: str) -> None:
-        """Partition a controller and the gateways of its zone from all others; clients reach them."""
+        """Partition a controller and the gateways of its zone from all others, but not from clients."""
         seconds = self.rng.uniform(0.5, 12.0)
         zone = self.deployment.controllers[name].settings.zone
         inside = [
@@ -649,7 +661,7 @@
         self._partition([(one, other) for one in inside for other in outside], seconds)
 
     def kill_processes(self, name: str) -> None:
-        """Kill one controller or all, and start them again; the disk keeps what was written."""
+        """Kill and restart one or all controller processes; their disks keep all written data."""
         for each in self.names if self.rng.random() < 0.5 else [name]:
             self._kill(each)
         self.defer_next_loss(1.0)
@@ -671,21 +683,21 @@
 
 @contextmanager
 def short_segments(size: int) -> Iterator[None]:
-    """Have snapshots written after a few changes, as after hundreds of them in service."""
-    usual, segments.SEGMENT_BYTES = segments.SEGMENT_BYTES, size
+    """Reduce the segment size, so that snapshots are written after a few changes instead of hundreds."""
+    original_size, segments.SEGMENT_BYTES = segments.SEGMENT_BYTES, size
     try:
         yield
     finally:
-        segments.SEGMENT_BYTES = usual
+        segments.SEGMENT_BYTES = original_size
 
 
 def play(seed: int, cores: int = 3, tolerated: int = 1, zones: dict[str, str] | None = None) -> None:
-    """Play one day, every other one with short segments; raise `SafetyViolationError` with its history."""
+    """Execute one run, for odd seeds with short segments; raises `SafetyViolationError` with the log."""
     with short_segments(SHORT_SEGMENT_BYTES if seed % 2 else segments.SEGMENT_BYTES):
         day = Day(seed, cores, tolerated, zones)
         try:
             day.run()
         except SafetyViolationError as error:
-            raise SafetyViolationError(f"day {seed}: {error}\n" + "\n".join(day.log)) from error
+            raise SafetyViolationError(f"seed {seed}: {error}\n" + "\n".join(day.log)) from error
         finally:
             day.deployment.close()
--- a/tests/system/memory_disk.py
+++ b/tests/system/memory_disk.py
@@ -1,4 +1,4 @@
-"""A disk for tests: keeps only what was synced when power is lost, and fails on command."""
+"""A simulated disk for tests, which loses unsynced data in a power loss and can be full."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class PowerLossError(BaseException):
-    """Raised out of a disk call at which the machine lost power."""
+    """Raised by a disk operation during which the machine loses power."""
 
 
 class File:
@@ -18,7 +18,7 @@
 
 
 class MemoryDisk:
-    """`runtime.disk.Disk` with power losses; `before` is called ahead of every change."""
+    """Implements `runtime.disk.Disk` in memory, with power losses; `before` is called before every change."""
 
     def __init__(self) -> None:
         self.files: dict[str, File] = {}
@@ -26,7 +26,7 @@
         self.full = False
         self.changes = 0
         self.before: Callable[[int, str], None] | None = None
-        self.folder_syncs = True  # False: a mutation that forgets them
+        self.folder_syncs = True  # False injects the fault that folders are not synced
 
     def _change(self, what: str) -> None:
         self.changes += 1
@@ -43,7 +43,7 @@
         self._change("append")
         file = self.files.setdefault(name, File())
         if self.full:
-            file.data += data[: len(data) // 2]  # a short write, then the error
+            file.data += data[: len(data) // 2]  # a partial write precedes the error
             raise OSError(errno.ENOSPC, "No space left on device")
         file.data += data
 
@@ -55,7 +55,7 @@
         self._change("sync")
         file = self.files[name]
         file.durable = bytes(file.data)
-        if all(kept is not file for kept in self.durable_names.values()):
+        if all(other is not file for other in self.durable_names.values()):
             self.durable_names[name] = file
 
     def sync_folder(self) -> None:
@@ -72,14 +72,14 @@
         del self.files[name]
 
     def lose_power(self, rng: random.Random, nothing_unsynced: bool = False) -> None:
-        """Keep what is durable; each later change is kept, torn or lost, independently of the others."""
+        """Keep durable data; each change that was not synced is independently kept, torn or lost."""
         names: dict[str, File] = {}
         for name in {*self.files, *self.durable_names}:
             now, durable = self.files.get(name), self.durable_names.get(name)
-            kept = durable if now is durable or nothing_unsynced or rng.random() < 0.5 else now
-            if kept is not None:
-                names[name] = kept
-        # A file that was renamed may stand under the old name, the new one, or both directory entries.
+            survivor = durable if now is durable or nothing_unsynced or rng.random() < 0.5 else now
+            if survivor is not None:
+                names[name] = survivor
+        # A renamed file may have its old name, its new name or both after the power loss.
         for name, file in names.items():
             fresh = File()
             fresh.data = bytearray(self._survives(file, rng, nothing_unsynced))
--- a/tests/system/stub_instance.py
+++ b/tests/system/stub_instance.py
@@ -1,4 +1,4 @@
-"""A stand-in for an instance: records the requests that it gets, and responds or fails as a test says."""
+"""A stub instance that records its requests, and responds or fails as configured by the test."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
 
-STALL_S = 30.0  # that an instance stands still
+STALL_S = 30.0  # how long a stalled instance does not respond
 
 
 @dataclass
 class Arrival:
-    """A request as an instance saw it."""
+    """A request as received by an instance."""
 
     instance: str
     attempt: str
@@ -27,31 +27,29 @@
     headers: dict[str, str]
     body: bytes
     at: float
-    cancelled_at: float | None = (
-        None  # when its caller closed the connection before the response was complete
-    )
+    cancelled_at: float | None = None  # time when the client disconnected before the end of the response
 
 
 class StubInstance:
-    """Streams events, or responds with a body; its attributes say how it fails."""
+    """Streams events, or responds with a body; attributes configure its faults."""
 
     def __init__(self, machine: Machine, name: str, service: str, zone: str, ip: str) -> None:
         self.machine, self.name, self.service, self.zone, self.ip = machine, name, service, zone, ip
         self.state, self.is_listed, self.warmup_ms = "ready", True, 0
         self.events = 5
         self.pause_s = 0.02
-        self.event_bytes = 0  # added to each event
-        self.slows_after_events: int | None = None  # after so many, the next comes after `STALL_S`
-        self.head_delay_s = 0.0  # before anything of a response is sent
-        self.resets_after_events: int | None = None  # events, then a reset in the middle of the next
+        self.event_bytes = 0  # number of padding bytes in each event
+        self.slows_after_events: int | None = None  # events after this number are delayed by `STALL_S`
+        self.head_delay_s = 0.0  # delay before the head of a response is sent
+        self.resets_after_events: int | None = None  # a reset interrupts the event after this number
         self.status = 200
         self.rejects_requests = False
         self.is_unresponsive = False
-        self.stray_responses = 0  # answers to other requests ahead of the one that is due
-        self.stray_attempt_id = "other"  # that they name; empty: none
-        self.forgets_after_s: float | None = None  # of rest a connection is reset when anything comes
-        self.connections = 0  # taken so far
-        self.echoes_attempt_id = True  # whether its answers name the request that they are for
+        self.stray_responses = 0  # number of responses to other requests sent before the due response
+        self.stray_attempt_id = "other"  # attempt identifier in stray responses; empty to send none
+        self.forgets_after_s: float | None = None  # data on a connection idle for longer causes a reset
+        self.connections = 0  # number of accepted connections
+        self.echoes_attempt_id = True  # whether responses contain the identifier of their attempt
         self.arrivals: list[Arrival] = []
         self.scheduler: Scheduler | None = None
         self.start()
@@ -83,10 +81,10 @@
         while True:
             if answered_at is not None and self._forgotten(stream, answered_at):
                 return
-            got = read_message(self.scheduler, stream, connection)
-            if got is None:
+            message = read_message(self.scheduler, stream, connection)
+            if message is None:
                 return
-            head, body = got
+            head, body = message
             headers = {key.decode(): value.decode() for key, value in head.headers}
             attempt = headers.get("x-attempt-id", "")
             arrival = Arrival(
@@ -100,7 +98,7 @@
             answered_at = self.scheduler.now()
 
     def _forgotten(self, stream: Stream, answered_at: float) -> bool:
-        """Whether the connection was reset because something came after too long a rest."""
+        """Whether the connection was reset because data arrived after it was idle for too long."""
         assert self.scheduler is not None
         self.scheduler.park(None, stream.sock)
         rested = self.scheduler.now() - answered_at
@@ -110,7 +108,7 @@
         return True
 
     def _work(self, stream: Stream, arrival: Arrival, seconds: float) -> bool:
-        """Work for so long; false where the caller closed its connection meanwhile."""
+        """Wait for a time in seconds; return False if the client closes its connection meanwhile."""
         assert self.scheduler is not None
         try:
             self.scheduler.park(self.scheduler.now() + seconds, stream.sock)
@@ -119,7 +117,7 @@
         if stream.peek() == b"":
             arrival.cancelled_at = self.scheduler.now()
             return False
-        raise AssertionError("a caller sent something before its response was complete")
+        raise AssertionError("a client sent data before its response was complete")
 
     def _answer(self, stream: Stream, connection: h11.Connection, arrival: Arrival) -> bool:
         assert self.scheduler is not None
@@ -144,14 +142,14 @@
         for _ in range(self.stray_responses):
             name = f"X-Attempt-Id: {self.stray_attempt_id}\r\n" if self.stray_attempt_id else ""
             stream.send(f"HTTP/1.1 200 OK\r\n{name}Content-Length: 5\r\n\r\nother".encode(), deadline)
-        own = [
+        common_headers = [
             *([("X-Attempt-Id", attempt)] if self.echoes_attempt_id else []),
             ("X-Server-Seal", f"{self.name}.{attempt}"),
         ]
         if self.service == "desk" or self.status != 200:
             body = f"{self.name} ran {attempt}".encode()
             length = ("Content-Length", str(len(body)))
-            send(h11.Response(status_code=self.status, headers=[*own, length]))
+            send(h11.Response(status_code=self.status, headers=[*common_headers, length]))
             if self.resets_after_events is not None:
                 stream.send(body[:3], deadline)
                 self.scheduler.system.reset(stream.sock)
@@ -159,13 +157,15 @@
             send(h11.Data(data=body))
             send(h11.EndOfMessage())
             return True
-        return self._stream(stream, send, own, arrival)
+        return self._stream(stream, send, common_headers, arrival)
 
-    def _stream(self, stream: Stream, send: Callable[[Any], None], own: list[Any], arrival: Arrival) -> bool:
+    def _stream(
+        self, stream: Stream, send: Callable[[Any], None], common_headers: list[Any], arrival: Arrival
+    ) -> bool:
         assert self.scheduler is not None
         last = int(arrival.headers.get("last-event-id", "0"))
         kind = ("Content-Type", "text/event-stream")
-        send(h11.Response(status_code=200, headers=[*own, kind, ("Transfer-Encoding", "chunked")]))
+        send(h11.Response(status_code=200, headers=[*common_headers, kind, ("Transfer-Encoding", "chunked")]))
         for number in range(last + 1, self.events + 1):
             is_slow = self.slows_after_events is not None and number > self.slows_after_events
             if not self._work(stream, arrival, STALL_S if is_slow else self.pause_s):
@@ -184,7 +184,7 @@
 def read_message(
     scheduler: Scheduler, stream: Stream, connection: h11.Connection
 ) -> tuple[h11.Request, bytes] | None:
-    """A whole request at a stand-in's side."""
+    """Receive a complete request, or return None if the connection ends before that."""
     head, parts = None, []
     while True:
         event = connection.next_event()
--- a/tests/system/test_ablation.py
+++ b/tests/system/test_ablation.py
@@ -1,4 +1,4 @@
-"""The table of ablations: pairs by site, day and round; what stands is not played again."""
+"""The ablation table: results are paired by site, day and run number, and existing results are reused."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
 
 
 def test_a_plan_is_played_and_what_stands_is_kept(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A stand-in for the bench gives 0.4 less with a key off, and says that a rule broke."""
+    """A stub benchmark reports a value lower by 0.4, and a violated rule, when a key is switched off."""
     import subprocess
     import sys
 
--- a/tests/system/test_control_plane.py
+++ b/tests/system/test_control_plane.py
@@ -1,4 +1,4 @@
-"""The whole control plane in virtual time: change requests, leaders, losses, long polls, the registry."""
+"""The complete control plane in virtual time: change requests, failovers, long polls and the registry."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 @pytest.fixture
 def deployment() -> Iterator[VirtualDeployment]:
-    made = VirtualDeployment()
-    yield made
-    made.close()
+    deployment = VirtualDeployment()
+    yield deployment
+    deployment.close()
 
 
 def others(deployment: VirtualDeployment) -> list[str]:
@@ -355,7 +355,7 @@
 
 
 def test_an_idle_replica_ticks_rarely(deployment: VirtualDeployment) -> None:
-    """Guards against a task that wakes itself: some ten heartbeats a second, and their replies."""
+    """Guards against a task that wakes itself: about ten heartbeats and replies per second are expected."""
     deployment.served()
     deployment.sleep(1)
     steps = dict.fromkeys(deployment.controllers, 0)
@@ -372,7 +372,7 @@
 
 
 def test_a_large_configuration_is_sent_once_to_each_gateway(deployment: VirtualDeployment) -> None:
-    """Two controllers are polled; a large update comes from one of them."""
+    """Each gateway polls two controllers, but gets a large update from only one of them."""
     deployment.served()
     deployment.sleep(2)
     sent = dict.fromkeys(deployment.controllers, 0)
@@ -441,7 +441,7 @@
 
 
 def test_votes_are_spread_over_zones_and_move_back_when_a_zone_returns() -> None:
-    """Two of six controllers are in each zone: no zone may get three of five votes."""
+    """Each zone has two of the six controllers, and no zone may get three of the five votes."""
     deployment = VirtualDeployment(cores=6, tolerated=2)
 
     def votes_by_zone() -> list[int]:
@@ -470,7 +470,7 @@
 
 
 def test_gateways_move_to_controllers_of_their_own_zone() -> None:
-    """Seeds are known first, wherever they are: frequent long polls should not cross regions."""
+    """At first only the seeds are known, in any region; frequent long polls should not cross regions."""
     deployment = VirtualDeployment(cores=6, gateways=6, tolerated=2)
     deployment.served()
 
@@ -488,7 +488,7 @@
 
 
 def test_an_unchanged_instance_list_is_sent_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It seemed stale at gateways, which requested it from their second controller every two seconds."""
+    """Guards against gateways that consider an unchanged list stale, and request it every two seconds."""
     deployment = VirtualDeployment(gateways=2)
     deployment.add_instance("a")
     deployment.served()
--- a/tests/system/test_control_plane_faults.py
+++ b/tests/system/test_control_plane_faults.py
@@ -1,6 +1,6 @@
-"""The operators' five requirements of the control plane, each tried in the whole system.
+"""The five fault tolerance requirements of the control plane, tested in the complete system.
 
-Days drawn from seeds come last: one loss after the other, and operators that race and repeat.
+Randomized runs come last: sequences of faults, and operators that race and repeat requests.
 """
 
 from __future__ import annotations
@@ -26,9 +26,9 @@
 
 @pytest.fixture
 def deployment() -> Iterator[VirtualDeployment]:
-    made = VirtualDeployment(gateways=1)
-    yield made
-    made.close()
+    deployment = VirtualDeployment(gateways=1)
+    yield deployment
+    deployment.close()
 
 
 def leader_of(deployment: VirtualDeployment) -> str:
@@ -58,7 +58,7 @@
     deployment.wait(lambda: deployment.process(name).dead)
 
 
-# --- 1: a controller that is partitioned for some twenty seconds ---------------------------------
+# --- requirement 1: a controller that is partitioned for about 20 seconds ------------------------
 
 
 @pytest.mark.parametrize("leads", [True, False])
@@ -77,7 +77,8 @@
             deployment, others[accepted % 2], accepted, configuration(accepted + 1, route(f"/n{accepted}/"))
         )
         accepted += 1
-        # On the revision that it knows, and on newer, older and invalid ones: it can't distinguish them.
+        # A partitioned controller cannot tell whether a base revision is current, so it rejects none as
+        # outdated.
         assert deployment.put(partitioned, 1, configuration(2, route("/alone/"))).status == 503
         assert (
             deployment.put(partitioned, accepted, configuration(accepted + 1, route("/alone/"))).status == 503
@@ -100,17 +101,17 @@
 def test_a_controller_frozen_for_twenty_seconds_reads_no_stale_state_afterwards(
     deployment: VirtualDeployment,
 ) -> None:
-    """Requests that arrived meanwhile wait for it, and it still believes that it leads."""
+    """Requests that arrived meanwhile are pending, and the controller still considers itself the leader."""
     deployment.served()
-    stood = leader_of(deployment)
-    address = (deployment.world.machines[stood].ip, 8166)
-    deployment.process(stood).stall(20 * 10**9)
+    frozen = leader_of(deployment)
+    address = (deployment.world.machines[frozen].ip, 8166)
+    deployment.process(frozen).stall(20 * 10**9)
     deployment.sleep(0.1)
     read = deployment.start_call(address, "GET", "/api/config", timeout_s=40.0)
     change = deployment.start_call(
         address, "PUT", "/api/config", headers={"If-Match": "1"}, body=configuration(2), timeout_s=40.0
     )
-    other = next(name for name in CORES if name != stood)
+    other = next(name for name in CORES if name != frozen)
     put_until_taken(deployment, other, 1, configuration(3, route("/n/")))
     deployment.sleep(21.0)
     deployment.wait(lambda: bool(read.error) and bool(change.error))
@@ -122,7 +123,7 @@
 def test_a_starting_gateway_takes_no_stale_state_from_a_partitioned_controller(
     deployment: VirtualDeployment,
 ) -> None:
-    """It reaches all three; the one that is partitioned from the others has an old configuration."""
+    """The gateway reaches all controllers; the one that is partitioned has an old configuration."""
     deployment.served()
     partitioned = follower_of(deployment)
     others = [name for name in CORES if name != partitioned]
@@ -151,7 +152,7 @@
     deployment.wait(lambda: "g2" in deployment.gateways and deployment.gateways["g2"].is_ready, 6.0)
 
 
-# --- 2: one revision, one content; repeated change requests --------------------------------------
+# --- requirement 2: one content per revision; repeated change requests ---------------------------
 
 
 def test_a_revision_has_one_content_at_every_controller_after_every_loss(
@@ -160,15 +161,15 @@
     deployment.served()
     bodies = [configuration(5, route("/x/")), configuration(5, route("/y/"))]
     assert sorted(deployment.put("c2", 1, body).status for body in bodies) == [200, 412]
-    won, refused = bodies
+    accepted, rejected = bodies
     later = configuration(6, route("/z/"))
     assert deployment.put("c3", 5, later).status == 200
 
     def all_say_the_same() -> None:
         for core in CORES:
             read_until_answered(deployment, core)
-            assert deployment.put(core, 1, won).status == 200
-            assert deployment.put(core, 1, refused).status == 412
+            assert deployment.put(core, 1, accepted).status == 200
+            assert deployment.put(core, 1, rejected).status == 412
             assert deployment.control(core, "GET", "/api/config").body == later
 
     all_say_the_same()
@@ -200,7 +201,7 @@
         assert deployment.put(core, 2, configuration(2, route("/other/"))).status == 400
 
 
-# --- 2, 5: a delayed copy of a change request ----------------------------------------------------
+# --- requirements 2 and 5: delayed copies of change requests -------------------------------------
 
 
 def test_a_delayed_copy_of_a_change_request_does_not_act_after_a_later_one(
@@ -221,21 +222,21 @@
 
 
 def test_an_evacuation_whose_client_disconnected_is_not_proposed(deployment: VirtualDeployment) -> None:
-    """A partition delays the operator's request until it has sent it to another controller."""
+    """A partition delays an operator's request until the operator has retried at another controller."""
     deployment.served()
-    held, other = follower_of(deployment), leader_of(deployment)
-    deployment.world.network.cut("caller", held)
-    address = (deployment.world.machines[held].ip, 8166)
+    partitioned, other = follower_of(deployment), leader_of(deployment)
+    deployment.world.network.cut("caller", partitioned)
+    address = (deployment.world.machines[partitioned].ip, 8166)
     call = deployment.start_call(address, "POST", "/api/evacuations/n1", timeout_s=1.0)
     deployment.wait(lambda: bool(call.error))
     assert deployment.control(other, "POST", "/api/evacuations/n1").status == 200
     assert deployment.control(other, "DELETE", "/api/evacuations/n1").status == 200
-    deployment.world.network.mend("caller", held)
+    deployment.world.network.mend("caller", partitioned)
     deployment.sleep(3.0)
     assert replica_of(deployment, other).state.evacuated_zones == []
 
 
-# --- 3: a second loss right after a repair or a replacement --------------------------------------
+# --- requirement 3: a second loss right after a repair or a replacement --------------------------
 
 
 @pytest.mark.parametrize("after_s", [0.02, 0.1, 0.5, 1.0, 1.5, 2.0])
@@ -268,7 +269,7 @@
 def test_a_disk_is_lost_two_seconds_after_a_sudden_loss_of_a_controller(
     deployment: VirtualDeployment, leads: bool
 ) -> None:
-    """Its vote moves after a second without contact; sooner there is no majority: see the design note."""
+    """The vote of a lost controller moves after one second; a second loss before that costs the majority."""
     deployment.served()
     deployment.add_core("c4", "10.1.0.4")
     deployment.sleep(SYNC_S + 1.0)
@@ -284,7 +285,7 @@
 
 @pytest.mark.parametrize("seed", range(1, 9))
 def test_a_disk_is_lost_between_the_two_changes_of_a_replacement(seed: int) -> None:
-    """The successor has its vote, the draining one has its own still, and the leader's disk is lost."""
+    """The leader's disk is lost while both the successor and the draining controller have votes."""
     deployment = VirtualDeployment(seed=seed, gateways=1)
     deployment.served()
     deployment.add_core("c4", "10.1.0.4")
@@ -312,10 +313,10 @@
 def test_a_controller_that_just_ended_gets_no_vote_for_the_balance_of_zones(
     seed: int, after_s: float
 ) -> None:
-    """Its successor is in another zone, and the next leader had contact with it a moment ago."""
+    """The successor is in another zone, and the next leader had recent contact with the ended controller."""
     deployment = VirtualDeployment(seed=seed, gateways=1)
     deployment.served()
-    deployment.add_core("c4", "10.1.0.4")  # in the zone of c1
+    deployment.add_core("c4", "10.1.0.4")  # c4 is in the zone of c1
     deployment.sleep(SYNC_S + 1.0)
     deployment.process("c2").signal(15)
     deployment.sleep(after_s)
@@ -361,13 +362,13 @@
         assert deployment.control(name, "GET", "/api/config").body == configuration(7)
 
 
-# --- 4: hundreds of changes ----------------------------------------------------------------------
+# --- requirement 4: hundreds of changes ----------------------------------------------------------
 
 
 def test_controllers_that_missed_hundreds_of_changes_catch_up_and_can_lead(
     deployment: VirtualDeployment,
 ) -> None:
-    """One was without power, one lost its disk, one stayed: each of them leads in turn."""
+    """One controller was powered off, one lost its disk and one kept running; each must be able to lead."""
     with short_segments(SHORT_SEGMENT_BYTES):
         deployment.served()
         powered_off = follower_of(deployment)
@@ -395,30 +396,30 @@
             deployment.sleep(SYNC_S)
         assert (
             deployment.put(leader_of(deployment), 199, configuration(200)).status == 200
-        )  # accepted long ago
+        )  # a repeated request that was accepted before
 
 
-# --- 5: replies to the wrong caller --------------------------------------------------------------
+# --- requirement 5: replies to the wrong caller --------------------------------------------------
 
 
 def test_a_forwarded_reply_counts_only_from_the_replica_that_was_asked(deployment: VirtualDeployment) -> None:
     deployment.served()
-    asking = follower_of(deployment)
-    replica = replica_of(deployment, asking)
-    asked = deployment.controllers[leader_of(deployment)].settings.peer_address
-    pending = replica._forwarding.expect_reply(77, asked)
+    follower = follower_of(deployment)
+    replica = replica_of(deployment, follower)
+    leader_address = deployment.controllers[leader_of(deployment)].settings.peer_address
+    pending = replica._forwarding.expect_reply(77, leader_address)
     answer: dict[str, Any] = {"kind": "forwarded", "number": 77, "answer": "accepted"}
     replica.handle(answer, "10.1.0.99:7720")
-    replica.handle({**answer, "number": 78}, asked)
-    replica.handle({**answer, "number": "77"}, asked)
+    replica.handle({**answer, "number": 78}, leader_address)
+    replica.handle({**answer, "number": "77"}, leader_address)
     assert pending.result is None
     assert not pending.event.is_set
-    replica.handle(answer, asked)
+    replica.handle(answer, leader_address)
     assert pending.result == "accepted"
 
 
 def test_a_discarded_proposal_does_not_remove_a_later_one_at_its_index(deployment: VirtualDeployment) -> None:
-    """An entry of an earlier term was overwritten, and another caller's has its index."""
+    """The entry of a proposal was overwritten, and another caller's proposal has its index."""
     deployment.served()
     replica = replica_of(deployment, leader_of(deployment))
     index = replica.consensus.log.last_index + 1
@@ -440,7 +441,7 @@
     assert later.result is Verdict.ACCEPTED
 
 
-# --- random days ---------------------------------------------------------------------------------
+# --- randomized runs -----------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("block", range(6))
--- a/tests/system/test_fault_days_find_faults.py
+++ b/tests/system/test_fault_days_find_faults.py
@@ -1,4 +1,4 @@
-"""Mutations of the control plane: random days of faults have to find each."""
+"""Mutation tests: the randomized runs must detect each fault injected into the control plane."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def reads_are_not_confirmed(patch: Patch) -> None:
-    """A controller answers with its own state."""
+    """Inject a fault: a controller answers reads with its own state, without confirmation by a majority."""
 
     def read(self: Replica, deadline: float) -> ReadResult:
         return Ok(self.state)
@@ -35,7 +35,7 @@
 
 
 def orders_are_refused_by_what_is_held(patch: Patch) -> None:
-    """A controller compares the revision itself, before it asks the leader."""
+    """Inject a fault: a controller rejects changes by its own revision, without asking the leader."""
     submit = Replica.submit
 
     def refuse(self: Replica, command: Any, deadline: float) -> Any:
@@ -47,7 +47,7 @@
 
 
 def repeats_are_refused(patch: Patch) -> None:
-    """Accepted change requests are not remembered."""
+    """Inject a fault: accepted change requests are not remembered."""
     put = SharedState._put_configuration
 
     def forget(self: SharedState, index: int, command: PutConfiguration) -> Verdict:
@@ -58,7 +58,7 @@
 
 
 def numbers_are_taken_twice(patch: Patch) -> None:
-    """The base revision of a change is not compared."""
+    """Inject a fault: the base revision of a change is not checked."""
 
     def put(self: SharedState, index: int, command: PutConfiguration) -> Verdict:
         if command.digest in self.accepted_digests:
@@ -71,7 +71,7 @@
 
 
 def old_evacuations_act(patch: Patch) -> None:
-    """As it was: a command carries no applied index, and a client that hung up is not noticed."""
+    """Inject a former fault: commands have no applied index, and disconnected clients are not detected."""
     evacuate = AdminApi._set_evacuation
 
     def act(self: AdminApi, request: HttpRequest, zone: str) -> HttpResponse:
@@ -86,7 +86,7 @@
 
 
 def votes_stay_with_those_that_leave(patch: Patch) -> None:
-    """As it was: a controller that ends hands over leadership alone."""
+    """Inject a former fault: a controller that shuts down hands over its leadership but not its vote."""
 
     def begin_graceful_shutdown(self: Replica) -> None:
         self.consensus.transfer_leadership()
@@ -106,7 +106,7 @@
 ]
 
 
-# Rare ones: the search begins at a day shortly before one that finds it, which keeps this file short to run.
+# For faults that few seeds detect, the search begins shortly before such a seed, so that the test is fast.
 FIRST_DAY: dict[Callable[[Patch], None], int] = {votes_stay_with_those_that_leave: 60}
 DAYS = 160
 
--- a/tests/system/test_observer.py
+++ b/tests/system/test_observer.py
@@ -1,4 +1,4 @@
-"""Observers: they serve the control plane's callers without a disk, by relaying to controllers."""
+"""Observers, which have no disk and serve clients by relaying their requests to controllers."""
 
 from __future__ import annotations
 
@@ -84,7 +84,7 @@
 
 
 def test_an_idle_observer_only_refreshes_controllers(deployment: VirtualDeployment) -> None:
-    """It asks which controllers there are, every two seconds, and does nothing else."""
+    """An idle observer only requests the list of controllers, every two seconds."""
     calls: list[str] = []
     for controller in deployment.controllers.values():
         handle = controller._relay.handle
@@ -100,7 +100,7 @@
 
 
 def test_gateways_and_new_controllers_find_the_others_through_observers() -> None:
-    """All seeds are observers by now: a starting process gets the controllers from them."""
+    """If all seeds are observers, a starting process gets the list of controllers from them."""
     deployment = VirtualDeployment(gateways=2, observers=3)
     deployment.add_instance("a")
     deployment.served()
@@ -116,7 +116,7 @@
 
 
 def test_the_system_recovers_from_a_power_loss_of_all_while_the_seeds_are_observers() -> None:
-    """The settings name only observers by then: nobody but the controllers knows a controller."""
+    """The settings name only observers as seeds, so only the controllers know other controllers."""
     deployment = VirtualDeployment(gateways=3, observers=3)
     deployment.add_instance("a")
     deployment.served()
--- a/tests/system/test_system_tools.py
+++ b/tests/system/test_system_tools.py
@@ -1,4 +1,4 @@
-"""The command line of the whole system: checks that name what is wrong, and a state folder."""
+"""The command line tools of the system: checks of files that name the invalid key, and the state folder."""
 
 from __future__ import annotations
 
@@ -135,7 +135,7 @@
 
 
 def test_the_two_lists_of_packages_agree() -> None:
-    """What the build installs is what the tests run with."""
+    """The build installs the same packages that the tests use."""
     import tomllib
 
     listed = (ROOT / "deploy" / "requirements-system.txt").read_text().split()
--- a/tests/system/virtual_deployment.py
+++ b/tests/system/virtual_deployment.py
@@ -1,4 +1,4 @@
-"""The whole system in virtual time: real controllers and gateways, with stand-ins for all that is outside."""
+"""The complete system in virtual time: real controllers and gateways, with stubs for external systems."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
 
 def configuration(revision: int, *routes: dict[str, Any], **given: Any) -> bytes:
-    """A configuration of the operator; `llm` and `desk` are its services."""
+    """The body of an operator's configuration with the services `llm` and `desk`."""
     services = [
         {"name": "llm", "conn_limit": 100, "warmup_s": 3.0, "cold_per_s": 10.0},
         {"name": "desk", "conn_limit": 100},
@@ -73,7 +73,7 @@
 
 
 def route(prefix: str = "/s/", **given: Any) -> dict[str, Any]:
-    """A route of the operator."""
+    """A route of an operator's configuration."""
     return {
         "name": prefix,
         "host": "h",
@@ -91,7 +91,7 @@
 
 @dataclass
 class Reply:
-    """What a client got; `whole` is false where the connection ended within an answer."""
+    """The response to a client; `is_complete` is False if the connection ended before its end."""
 
     status: int = 0
     headers: dict[str, str] = field(default_factory=dict)
@@ -105,7 +105,7 @@
 
 
 class VirtualDeployment:
-    """Machines, processes, the platform's list, and calls from outside."""
+    """Machines, processes, the platform's instance list, and requests of external clients."""
 
     def __init__(
         self,
@@ -200,7 +200,7 @@
         return machine.start(main, name)
 
     def add_observer(self, name: str, ip: str) -> None:
-        """A machine that serves the control plane's callers without a disk."""
+        """Add a machine with an observer, which has no disk."""
         self.world.machine(name, ip)
         self.start_observer(name)
 
@@ -232,7 +232,7 @@
         return machine.start(main, name)
 
     def power_off(self, name: str, nothing_unsynced: bool = False) -> None:
-        """A machine loses power, and what it had not synced."""
+        """Power off a machine, which loses the data that it has not synced."""
         self.world.machines[name].vanish()
         if name in self.disks:
             self.disks[name].lose_power(self.rng, nothing_unsynced)
@@ -263,7 +263,7 @@
     def wait(self, until: Callable[[], bool], seconds: float = 20.0) -> None:
         end = self.world.now_ns + int(seconds * SECOND)
         while not until():
-            assert self.world.now_ns < end, f"it did not come about within {seconds} s"
+            assert self.world.now_ns < end, f"the condition was not met within {seconds} s"
             self.world.run(self.world.now_ns + SECOND // 50)
 
     def leader(self) -> str | None:
@@ -276,7 +276,7 @@
     def close(self) -> None:
         self.world.close()
 
-    # --- calls -----------------------------------------------------------------------------------
+    # --- requests --------------------------------------------------------------------------------
 
     def start_call(
         self,
@@ -287,7 +287,7 @@
         body: bytes = b"",
         timeout_s: float = 5.0,
     ) -> Reply:
-        """Begin a call from outside; the reply fills in as the world runs."""
+        """Send a request of an external client; the reply is filled in while virtual time advances."""
         reply = Reply()
 
         def run(scheduler: Scheduler) -> None:
@@ -340,25 +340,25 @@
             stream.close()
 
     def call(self, address: tuple[str, int], method: str, target: str, **given: Any) -> Reply:
-        """A call from outside, to its end."""
+        """Send a request of an external client, and wait for its end."""
         reply = self.start_call(address, method, target, **given)
         self.wait(lambda: bool(reply.error), 30.0)
         return reply
 
     def control(self, core: str, method: str, target: str, **given: Any) -> Reply:
-        """A call of the operator."""
+        """Send an operator's request to a controller or observer."""
         return self.call((self.world.machines[core].ip, CONTROL), method, target, **given)
 
     def put(self, core: str, base: int, body: bytes) -> Reply:
-        """A configuration on top of a revision."""
+        """Send a configuration that is based on a revision."""
         return self.control(core, "PUT", "/api/config", headers={"If-Match": str(base)}, body=body)
 
     def request(self, gateway: str, target: str = "/s/x", attempt: str = "a1", **given: Any) -> Reply:
-        """A client's request, to its end."""
+        """Send a client's request to a gateway, and wait for its end."""
         return self.call(*self._request(gateway, target, attempt, given), **given)
 
     def start_request(self, gateway: str, target: str = "/s/x", attempt: str = "a1", **given: Any) -> Reply:
-        """A client's request that goes on while the world runs."""
+        """Send a client's request to a gateway; it proceeds while virtual time advances."""
         return self.start_call(*self._request(gateway, target, attempt, given), **given)
 
     def _request(
@@ -373,18 +373,18 @@
         return (self.world.machines[gateway].ip, FRONT), "POST", target
 
     def metrics(self, gateway: str) -> dict[str, float]:
-        """The metrics of a gateway, as they are scraped: names with labels, and values."""
+        """Scrape the metrics of a gateway; return values by name with labels."""
         reply = self.call((self.world.machines[gateway].ip, METRICS.port), "GET", METRICS.path)
         lines = [line for line in reply.body.decode().splitlines() if not line.startswith("#")]
         return {name: float(value) for name, value in (line.rsplit(" ", 1) for line in lines)}
 
     def arrivals(self, attempt: str) -> list[Arrival]:
-        """What instances saw of a request."""
+        """The arrivals of a request at all instances, in the order of time."""
         seen = [arrival for instance in self.stub_instances.values() for arrival in instance.arrivals]
         return sorted((each for each in seen if each.attempt == attempt), key=lambda each: each.at)
 
     def served(self, body: bytes | None = None) -> VirtualDeployment:
-        """With a configuration in force at all gateways."""
+        """Put a configuration, and wait until all gateways are ready."""
         reply = self.put("c1", 0, body or configuration(1))
         assert reply.status == 200, reply
         self.wait(lambda: all(gateway.is_ready for gateway in self.gateways.values()))
--- a/tests/test_recorded_data_folder.py
+++ b/tests/test_recorded_data_folder.py
@@ -1,4 +1,4 @@
-"""Data folders written by the code of 49e18d4: read, continued, and written again to the same bytes."""
+"""Data folders written by commit 49e18d4 are still read, continued, and written to the same bytes."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 
 def files_of(name: str) -> dict[str, bytes]:
-    """The recorded files of a folder."""
+    """The recorded files of a data folder, by name."""
     return {path.name: path.read_bytes() for path in sorted((FOLDERS / name).iterdir())}
 
 
 def disk_of(files: dict[str, bytes]) -> MemoryDisk:
-    """A disk on which files are durable."""
+    """A disk with the given files, which are durable."""
     disk = MemoryDisk()
     for name, data in files.items():
         disk.append(name, data)
@@ -47,7 +47,7 @@
 
 
 def parsed(line: bytes) -> dict[str, Any]:
-    """The object of a stored line: checksum, space, JSON."""
+    """The JSON object of a stored line, which has a checksum and a space before it."""
     data: dict[str, Any] = orjson.loads(line[9:])
     return data
 
@@ -59,7 +59,7 @@
 
 
 def record_of(data: dict[str, Any]) -> Record:
-    """The record of a stored object, made here and not by the code under test."""
+    """The record of a stored JSON object, parsed without the code under test."""
     if data["t"] == "hard":
         return HardState(data["term"], data["vote"])
     if data["t"] == "cut":
@@ -77,7 +77,7 @@
     assert kinds == {"identity", "founders", "hard", "cut", "restore", "entry"}
     entries = {data["entry"][2] for data in stored if data.get("t") == "entry"}
     assert entries == {"none", "command", "members"}
-    assert any("t" not in data for data in stored)  # a snapshot
+    assert any("t" not in data for data in stored)  # a snapshot file has no record kind
 
 
 @pytest.mark.parametrize("name", NAMES)
@@ -119,7 +119,7 @@
     for entry in Storage(disk_of(files_of(name))).recover().log.entries:
         if entry.kind.value == "command":
             assert isinstance(entry.data, dict)
-            # A version before wrote no `seen`; since then it is written, if only as null.
+            # Earlier versions did not write the key `seen`; now it is always written, possibly as null.
             seen = {"seen": None} if entry.data["op"] == "evacuate" else {}
             expected = {**entry.data, **{key: entry.data.get(key) for key in seen}}
             assert orjson.dumps(command_from_json(entry.data).as_json()) == orjson.dumps(expected)
@@ -138,7 +138,7 @@
         founders = stored[1]["members"] if stored[1]["t"] == "founders" else []
         storage.begin(stored[0]["id"], members_of(founders))
         storage.write([record_of(data) for data in stored[1 + bool(founders) :]])
-    else:  # the snapshot, and a segment that begins with what followed it
+    else:  # a snapshot, and a segment that begins with the entries after it
         (snapshot,) = [parsed(data) for each, data in files.items() if each.startswith("snapshot-")]
         storage.begin("somebody")
         storage.write_snapshot(
@@ -165,7 +165,7 @@
 
 
 def test_controllers_start_from_the_recorded_folder() -> None:
-    """The group that wrote it had three members; two that hold its folder are a majority."""
+    """The recorded group had three members, each of which starts from the recorded folder."""
     system = VirtualDeployment(seed=11, cores=3, gateways=0)
     try:
         for name in ("c1", "c2", "c3"):
@@ -185,7 +185,7 @@
 
 
 def renamed(files: dict[str, bytes], identity: bytes) -> dict[str, bytes]:
-    """The same folder of another member of the group: its own identity, and the checksums that follow."""
+    """The same folder for another member of the group, with its identity and matching checksums."""
     forms = (b'{"t":"identity","id":"%b"}', b'"identity":"%b"')
     other: dict[str, bytes] = {}
     for name, data in files.items():
--- a/tests/test_recorded_messages.py
+++ b/tests/test_recorded_messages.py
@@ -1,4 +1,4 @@
-"""Lines between processes, recorded from the code of 49e18d4: read, answered and written alike."""
+"""Messages between processes recorded at commit 49e18d4 are still read, answered and written identically."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 CONSENSUS = (RECORDED / "consensus.jsonl").read_bytes().splitlines(keepends=True)
 ANSWERS: dict[str, str] = json.loads((RECORDED / "answers.json").read_bytes())
 SENT: dict[str, dict[str, Any]] = json.loads((RECORDED / "sent.json").read_bytes())
-# One process in each state; ages in ms.
+# A sample with one process in each state; the last value of each entry is its age in milliseconds.
 SAMPLE = (
     b'{"from":"10.1.0.9:7720","kind":"shuffle","sample":'
     b'[["c9","controller","10.1.0.0:7720","n1","north","starting",1790000000000,500],'
@@ -68,7 +68,7 @@
     expected = SENT[kind]
     assert expected["first"] in sent[kind]
     assert len(sent[kind]) == expected["count"]
-    # The order of lines sent at one moment to several processes is not fixed.
+    # The order of lines sent to several processes at the same time is not fixed, so the lines are sorted.
     assert hashlib.sha256("".join(sorted(sent[kind])).encode()).hexdigest() == expected["sha256"]
 
 
--- a/tests/wire/test_configuration_patch.py
+++ b/tests/wire/test_configuration_patch.py
@@ -1,4 +1,4 @@
-"""Patches of the configuration: what they make of it, and when they are accepted."""
+"""Patches of the configuration: the merged result, and when patches are accepted or rejected."""
 
 from __future__ import annotations
 
@@ -79,7 +79,7 @@
 
 
 def test_a_patch_of_a_lost_patch_is_rejected(deployment: VirtualDeployment) -> None:
-    """The operator believes that revision 2 was accepted; no controller has it."""
+    """The patch is based on revision 2, which the operator sent, but which no controller accepted."""
     assert patch(deployment, "c1", 2, patch_body(3, {"routes": [route("/d/")]})).status == 412
     assert held(deployment) == json.loads(BASE)
 
--- a/tests/wire/test_consensus_messages.py
+++ b/tests/wire/test_consensus_messages.py
@@ -1,4 +1,4 @@
-"""Messages between replicas on the wire."""
+"""Encoding and decoding of messages between replicas."""
 
 from __future__ import annotations
 
--- a/tests/wire/test_json_fields.py
+++ b/tests/wire/test_json_fields.py
@@ -1,4 +1,4 @@
-"""Fields of JSON objects: present and of their type, or an error that names the field."""
+"""Typed access to fields of JSON objects: errors name the field that is missing or of the wrong type."""
 
 from __future__ import annotations
 
--- a/tests/wire/test_packing.py
+++ b/tests/wire/test_packing.py
@@ -1,4 +1,4 @@
-"""Packed texts: complete, bounded, and rejected where they are malformed."""
+"""Packing of byte strings: round trips, size limits, and rejection of malformed strings."""
 
 from __future__ import annotations
 
