--- a/benchmarks/system_cost.py
+++ b/benchmarks/system_cost.py
@@ -237,9 +237,9 @@
 
     def ask() -> None:
         client = LineClient(scheduler, ("127.0.1.1", PEER))
-        full = client.call(question, 3.0)
+        full = client.send_request(question, 3.0)
         calm = {**question, "index": full["index"], "source": full["source"], "version": full["version"]}
-        rest = client.call(calm, 3.0)
+        rest = client.send_request(calm, 3.0)
         sizes.append((len(lines.encode(calm)), len(lines.encode(rest)), len(lines.encode(full))))
 
     scheduler.spawn(ask)
--- a/brambleusher/controlplane/relay/client.py
+++ b/brambleusher/controlplane/relay/client.py
@@ -59,7 +59,7 @@
         idle = self._idle.setdefault(address, [])
         client = idle.pop() if idle else LineClient(self._scheduler, parse_address(address))
         try:
-            reply = RelayReply.from_json(client.call(request.as_json(), timeout_s))
+            reply = RelayReply.from_json(client.send_request(request.as_json(), timeout_s))
         except (OSError, TaskTimeoutError, InvalidMessageError):
             client.close()
             return None
--- a/brambleusher/dataplane/configuration_client.py
+++ b/brambleusher/dataplane/configuration_client.py
@@ -78,7 +78,7 @@
         state = _PollState()
         try:
             while True:
-                answer = client.call(self._request(poller, state).as_json(), POLL_TIMEOUT_S)
+                answer = client.send_request(self._request(poller, state).as_json(), POLL_TIMEOUT_S)
                 if answer.get("observer"):
                     self._record_observer(address, answer)
                     return False
--- a/brambleusher/membership/line_connection.py
+++ b/brambleusher/membership/line_connection.py
@@ -138,7 +138,7 @@
         self._stream: Stream | None = None
         self._buffer = lines.LineBuffer()
 
-    def call(self, message: JsonObject, timeout_s: float) -> dict[str, object]:
+    def send_request(self, message: JsonObject, timeout_s: float) -> dict[str, object]:
         """Send a message and return the reply.
 
         Raises:
--- a/tests/system/test_control_plane.py
+++ b/tests/system/test_control_plane.py
@@ -494,15 +494,15 @@
     deployment.served()
     deployment.sleep(5.0)
     sent: list[str] = []
-    call = LineClient.call
+    send_request = LineClient.send_request
 
     def counted(self: LineClient, message: dict[str, Any], timeout_s: float) -> dict[str, Any]:
-        answer = call(self, message, timeout_s)
+        answer = send_request(self, message, timeout_s)
         if "instances" in answer:
             sent.append(str(answer["source"]))
         return answer
 
-    monkeypatch.setattr(LineClient, "call", counted)
+    monkeypatch.setattr(LineClient, "send_request", counted)
     deployment.sleep(10.0)
     assert not sent
     deployment.stub_instances["a"].state = "draining"
