--- a/brambleusher/controlplane/relay/client.py
+++ b/brambleusher/controlplane/relay/client.py
@@ -64,7 +64,7 @@
             client.close()
             return None
         if reply.is_from_observer:
-            self._controllers.mark_observer(address, reply.controllers)
+            self._controllers.record_observer(address, reply.controllers)
         if len(idle) < IDLE_CONNECTIONS_MAX:
             idle.append(client)
         else:
--- a/brambleusher/dataplane/configuration_client.py
+++ b/brambleusher/dataplane/configuration_client.py
@@ -101,7 +101,7 @@
             client.close()
 
     def _request(self, poller: int, state: _PollState) -> LongPollRequest:
-        is_primary = self._controllers.holds_nearest(poller)
+        is_primary = self._controllers.has_nearest_controller(poller)
         if is_primary and not state.is_primary:
             state.list_version = NO_LIST  # brief responses name a list version, but have no list
         state.is_primary = is_primary
@@ -120,7 +120,7 @@
         return self._instances.load_report()
 
     def _record_observer(self, address: str, answer: JsonObject) -> None:
-        self._controllers.mark_observer(address, controllers_from_json(answer.get("controllers")))
+        self._controllers.record_observer(address, controllers_from_json(answer.get("controllers")))
 
     def _is_useful(self, response: LongPollResponse) -> bool:
         """Whether a controller is in contact with a majority and its list is fresh."""
--- a/brambleusher/membership/controllers.py
+++ b/brambleusher/membership/controllers.py
@@ -96,7 +96,7 @@
         self._seeds = seeds
         self._update_known()
 
-    def mark_observer(self, address: str, controllers: Iterable[tuple[str, Locality]]) -> None:
+    def record_observer(self, address: str, controllers: Iterable[tuple[str, Locality]]) -> None:
         """Record that a process is an observer, not a controller, and add the controllers that it knows."""
         self._observers.add(address)
         self._announced = {**dict(list(controllers)[:KNOWN_MAX]), **self._announced}
@@ -150,7 +150,7 @@
     def _backoff(self, address: str) -> Backoff:
         return self._backoffs.get(address, NO_BACKOFF)
 
-    def holds_nearest(self, slot: int) -> bool:
+    def has_nearest_controller(self, slot: int) -> bool:
         """Return whether a slot has the nearest of the acquired controllers; ties go to the lowest slot."""
         ranks = [(self._distance(address), other) for other, address in self._acquired.items()]
         return min(ranks, default=(SAME_ZONE, slot))[1] == slot
--- a/tests/membership/test_controllers.py
+++ b/tests/membership/test_controllers.py
@@ -43,11 +43,11 @@
 def test_the_poller_with_the_nearest_controller_is_primary() -> None:
     known = Controllers(("far", "zone"), random.Random(3), HERE)
     known._acquired = {0: "far", 1: "zone"}
-    assert known.holds_nearest(0)  # no locality is known yet
-    assert not known.holds_nearest(1)
+    assert known.has_nearest_controller(0)  # no locality is known yet
+    assert not known.has_nearest_controller(1)
     known.set_announced([("far", Locality("s1", "south")), ("zone", Locality("n1", "north"))])
-    assert known.holds_nearest(1)
-    assert not known.holds_nearest(0)
+    assert known.has_nearest_controller(1)
+    assert not known.has_nearest_controller(0)
 
 
 def test_two_pollers_follow_two_controllers() -> None:
--- a/tests/system/test_observer.py
+++ b/tests/system/test_observer.py
@@ -150,9 +150,9 @@
 
 def test_seeds_that_are_observers_are_called_only_while_no_controller_is_known() -> None:
     known = Controllers(("seed",), random.Random(1), HERE)
-    known.mark_observer("seed", [])
+    known.record_observer("seed", [])
     assert known.acquire(0, 0.0) == "seed"
-    known.mark_observer("seed", [("c", HERE)])
+    known.record_observer("seed", [("c", HERE)])
     assert {known.acquire(0, float(at)) for at in range(20)} == {"c"}
     known.set_announced([])
     assert known.acquire(0, 0.0) == "seed"
