--- a/brambleusher/controlplane/consensus/membership_plan.py
+++ b/brambleusher/controlplane/consensus/membership_plan.py
@@ -18,7 +18,7 @@
 UNRESPONSIVE_LEARNER_S = 60.0  # a learner that has not replied for this time is removed from the group
 MEMBERS_MAX = 16
 # How many more voters than another a zone or region must have before a voter is moved to the other.
-CROWDED_BY = 2
+VOTE_IMBALANCE_MIN = 2
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,7 +71,7 @@
         """Return the number of voters in a zone that should stay voters."""
         return sum(member.zone == zone and not self.should_lose_vote(member) for member in self.voters)
 
-    def votes_nearby(self, zone: str) -> tuple[int, int]:
+    def votes_in_region_and_zone(self, zone: str) -> tuple[int, int]:
         """Return the numbers of voters that should stay voters in a zone's region, and in the zone itself."""
         region = self.region_by_zone.get(zone, "")
         zones = (
@@ -129,7 +129,7 @@
     ]
     if not learners:
         return None
-    chosen = min(learners, key=lambda member: (group.votes_nearby(member.zone), member.id))
+    chosen = min(learners, key=lambda member: (group.votes_in_region_and_zone(member.zone), member.id))
     is_voter_missing = len(group.voters) < group.required_voters
     if not is_voter_missing and not (_may_exceed(group) and _improves(group, chosen)):
         return None
@@ -164,13 +164,13 @@
 
     The result is never true in both directions, since voters would then move back and forth forever.
     """
-    in_region, in_zone = group.votes_nearby(zone)
-    in_other_region, in_other = group.votes_nearby(other)
-    if in_region >= in_other_region + CROWDED_BY:
+    in_region, in_zone = group.votes_in_region_and_zone(zone)
+    in_other_region, in_other = group.votes_in_region_and_zone(other)
+    if in_region >= in_other_region + VOTE_IMBALANCE_MIN:
         return True
     is_same_region = group.region_by_zone.get(zone) == group.region_by_zone.get(other)
     is_near = is_same_region or in_region == in_other_region + 1
-    return is_near and in_zone >= in_other + CROWDED_BY
+    return is_near and in_zone >= in_other + VOTE_IMBALANCE_MIN
 
 
 def _demote_voter(group: Group) -> tuple[Member, ...] | None:
@@ -184,7 +184,7 @@
         key=lambda member: (
             group.is_unresponsive(member),
             member.id in group.shutting_down,
-            group.votes_nearby(member.zone),
+            group.votes_in_region_and_zone(member.zone),
             member.id,
         ),
     )
