--- a/brambleusher/controlplane/consensus/replica_state.py
+++ b/brambleusher/controlplane/consensus/replica_state.py
@@ -21,8 +21,8 @@
     ELECTION_MAX_S,
     ELECTION_MIN_S,
     FIRST_ELECTION_MIN_S,
-    FIRST_ELECTION_S,
-    UNLIKELY_LEADER_DELAY_S,
+    FIRST_ELECTION_MAX_S,
+    DEFERRED_ELECTION_DELAY_S,
 )
 from brambleusher.wire import consensus_messages as wire
 from brambleusher.wire.consensus_messages import Entry, Member
@@ -55,7 +55,7 @@
         self.membership_requests = MembershipRequests(identity.id)
         self._output = Output()
         self._rng = rng
-        self.election_due_s = now + rng.uniform(FIRST_ELECTION_MIN_S, FIRST_ELECTION_S)
+        self.election_due_s = now + rng.uniform(FIRST_ELECTION_MIN_S, FIRST_ELECTION_MAX_S)
 
     # --- members and quorums ---------------------------------------------------------------------
 
@@ -155,7 +155,7 @@
         Learners wait longer than voters. They start elections too, since the voters may lack entries that a
         learner has.
         """
-        delay_s = UNLIKELY_LEADER_DELAY_S if self.is_shutting_down or not self.is_voter else 0.0
+        delay_s = DEFERRED_ELECTION_DELAY_S if self.is_shutting_down or not self.is_voter else 0.0
         self.election_due_s = self.now + (self._rng.uniform(ELECTION_MIN_S, ELECTION_MAX_S) + delay_s)
 
     # --- log -------------------------------------------------------------------------------------
--- a/brambleusher/controlplane/consensus/timing.py
+++ b/brambleusher/controlplane/consensus/timing.py
@@ -8,9 +8,9 @@
 ELECTION_MIN_S, ELECTION_MAX_S = 0.7, 1.2  # bounds of the random election timeout
 # Bounds of the random election timeout after startup. It can be short: a running leader sends a heartbeat
 # before it expires, or the other voters deny their votes.
-FIRST_ELECTION_MIN_S, FIRST_ELECTION_S = 0.05, 0.35
+FIRST_ELECTION_MIN_S, FIRST_ELECTION_MAX_S = 0.05, 0.35
 # Additional election timeout of learners and of replicas that are shutting down.
-UNLIKELY_LEADER_DELAY_S = 0.6
+DEFERRED_ELECTION_DELAY_S = 0.6
 TRANSFER_S = 1.0  # time for a chosen successor to become leader before proposals are accepted again
 REJOIN_AFTER_S = 1.5  # a replica without a leader for this time requests membership again
 STABLE_S = 3.0  # how long a leader must have led before voters are moved only to balance zones
--- a/tests/controlplane/consensus/test_election.py
+++ b/tests/controlplane/consensus/test_election.py
@@ -9,7 +9,7 @@
 from brambleusher.controlplane.consensus.outputs import HardState, Outgoing, Role
 from brambleusher.controlplane.consensus.raft import Consensus
 from brambleusher.controlplane.consensus.replicated_log import Log
-from brambleusher.controlplane.consensus.timing import ELECTION_MAX_S, ELECTION_MIN_S, FIRST_ELECTION_S
+from brambleusher.controlplane.consensus.timing import ELECTION_MAX_S, ELECTION_MIN_S, FIRST_ELECTION_MAX_S
 from brambleusher.wire import consensus_messages as wire
 from brambleusher.wire.consensus_messages import Entry, EntryKind
 from tests.controlplane.consensus.cluster import member
@@ -36,7 +36,7 @@
 
 
 def test_a_replica_without_a_leader_asks_in_a_pre_vote_and_records_nothing(replica: Consensus) -> None:
-    replica.tick(FIRST_ELECTION_S)
+    replica.tick(FIRST_ELECTION_MAX_S)
     output = replica.take_output()
     assert replica.state.role is Role.PRE_CANDIDATE
     assert messages_of(output.messages) == [wire.VoteRequest(TERM + 1, "a", 1, 2, True, False)] * 2
@@ -44,9 +44,9 @@
 
 
 def test_a_won_pre_vote_starts_an_election_whose_requests_wait_for_the_own_vote(replica: Consensus) -> None:
-    replica.tick(FIRST_ELECTION_S)
+    replica.tick(FIRST_ELECTION_MAX_S)
     replica.take_output()
-    replica.handle_message(wire.VoteReply(TERM, "b", TERM + 1, True, True), FIRST_ELECTION_S)
+    replica.handle_message(wire.VoteReply(TERM, "b", TERM + 1, True, True), FIRST_ELECTION_MAX_S)
     output = replica.take_output()
     assert output.records == [HardState(TERM + 1, "a")]
     assert [(out.message, out.after_record) for out in output.messages] == [
@@ -55,9 +55,9 @@
 
 
 def test_a_candidate_becomes_leader_with_another_vote_once_its_own_is_synced(replica: Consensus) -> None:
-    replica.tick(FIRST_ELECTION_S)
-    replica.handle_message(wire.VoteReply(TERM, "b", TERM + 1, True, True), FIRST_ELECTION_S)
-    replica.handle_message(wire.VoteReply(TERM + 1, "b", TERM + 1, False, True), FIRST_ELECTION_S)
+    replica.tick(FIRST_ELECTION_MAX_S)
+    replica.handle_message(wire.VoteReply(TERM, "b", TERM + 1, True, True), FIRST_ELECTION_MAX_S)
+    replica.handle_message(wire.VoteReply(TERM + 1, "b", TERM + 1, False, True), FIRST_ELECTION_MAX_S)
     assert replica.state.role is Role.CANDIDATE
     replica.handle_records_synced(1)
     assert replica.is_leader
@@ -65,8 +65,8 @@
 
 
 def test_votes_of_an_earlier_election_do_not_count(replica: Consensus) -> None:
-    replica.tick(FIRST_ELECTION_S)
-    replica.handle_message(wire.VoteReply(TERM, "b", TERM, True, True), FIRST_ELECTION_S)
+    replica.tick(FIRST_ELECTION_MAX_S)
+    replica.handle_message(wire.VoteReply(TERM, "b", TERM, True, True), FIRST_ELECTION_MAX_S)
     assert replica.state.role is Role.PRE_CANDIDATE
 
 
