--- a/brambleusher/controlplane/consensus/membership_change.py
+++ b/brambleusher/controlplane/consensus/membership_change.py
@@ -54,7 +54,9 @@
             self._is_stable(leader_state, responsive),
             self._region_by_zone,
         )
-        return next_members(group, state.membership_requests.admissible(state.log.members, state.now))
+        return next_members(
+            group, state.membership_requests.admissible_candidates(state.log.members, state.now)
+        )
 
     def _is_stable(self, leader_state: LeaderState, responsive: set[str]) -> bool:
         """Return whether this replica has led for at least `STABLE_S` and all voters are responsive."""
--- a/brambleusher/controlplane/consensus/membership_requests.py
+++ b/brambleusher/controlplane/consensus/membership_requests.py
@@ -79,7 +79,7 @@
         ]
         return {member.id for member in replaced if member is not None}
 
-    def admissible(self, members: Sequence[Member], now: float) -> list[Member]:
+    def admissible_candidates(self, members: Sequence[Member], now: float) -> list[Member]:
         """Return the processes that may join now: at unused addresses, or in place of a wiped member."""
         occupied = {member.address for member in members}
         return [
--- a/tests/controlplane/consensus/test_membership_requests.py
+++ b/tests/controlplane/consensus/test_membership_requests.py
@@ -21,7 +21,7 @@
         requests.record_contact("b2", now)
         requests.record_join(old, now)
         assert requests.wiped_members(members, now) == set()
-        assert requests.admissible(members, now) == []
+        assert requests.admissible_candidates(members, now) == []
 
 
 def test_a_repeated_request_from_the_address_of_a_silent_member_proves_that_its_disk_is_lost() -> None:
@@ -31,9 +31,9 @@
     requests.record_join(empty, 1.0)
     requests.record_contact("b", 1.1)  # the last message of the member was still in transit
     requests.record_join(empty, 1.3)
-    assert requests.admissible(members, 1.3) == []
+    assert requests.admissible_candidates(members, 1.3) == []
     requests.record_join(empty, 1.1 + DISK_LOSS_PROOF_S + 0.1)
-    assert requests.admissible(members, 1.7) == [empty]
+    assert requests.admissible_candidates(members, 1.7) == [empty]
     assert requests.wiped_members(members, 1.7) == {"b"}
     assert requests.wiped_members(members, 9.0) == set()  # the request has expired
 
@@ -45,4 +45,4 @@
     assert requests.members_shutting_down() == {"b"}
     requests.expire(BOOTSTRAP_MEMBERS, 10.0)
     assert requests.members_shutting_down() == set()
-    assert requests.admissible(BOOTSTRAP_MEMBERS, 10.0) == []
+    assert requests.admissible_candidates(BOOTSTRAP_MEMBERS, 10.0) == []
