--- a/brambleusher/controller/app.py
+++ b/brambleusher/controller/app.py
@@ -106,7 +106,7 @@
         if not isinstance(sender, str):
             raise InvalidMessageError(f"a message has no sender: kind {kind!r}")
         if kind == MessageKind.INSTANCE_LIST:
-            self.instances.handle_reading(message)
+            self.instances.handle_instance_list(message)
         elif kind == MessageKind.SHUFFLE:
             self.view.merge(message.get("sample"), self.scheduler.now())
         else:
--- a/brambleusher/controlplane/registry/instance_list.py
+++ b/brambleusher/controlplane/registry/instance_list.py
@@ -136,7 +136,7 @@
         age_s = self._scheduler.now() - (self.read_at_s or 0.0)
         return {"instances": self.instances, "age_ms": int(age_s * MS_PER_S)}
 
-    def handle_reading(self, message: JsonObject) -> None:
+    def handle_instance_list(self, message: JsonObject) -> None:
         """Apply an instance list that another controller read, if it is newer than the current list.
 
         Raises:
--- a/brambleusher/controlplane/registry/load_reports.py
+++ b/brambleusher/controlplane/registry/load_reports.py
@@ -35,8 +35,8 @@
     load_weight: float  # sum of the weights of the reported loads
 
 
-WIDTH = len(InstanceMetrics._fields)
-WIDTH_WITHOUT_LOAD = 6  # number of values sent by gateway versions that do not report load
+METRIC_COUNT = len(InstanceMetrics._fields)
+METRIC_COUNT_WITHOUT_LOAD = 6  # number of values sent by gateway versions that do not report load
 
 LoadReport = dict[str, InstanceMetrics]  # metrics by name of the instance
 MetricTotals = dict[str, list[float]]  # summed metrics of several gateways by instance, in wire format
@@ -55,11 +55,11 @@
 
 def _parse_values(values: object) -> list[float]:
     """Return the metric values of one instance; values that an older gateway does not send are 0."""
-    if not isinstance(values, list) or len(values) not in (WIDTH_WITHOUT_LOAD, WIDTH):
-        raise InvalidMessageError(f"the metrics of an instance are not a list of length {WIDTH}")
+    if not isinstance(values, list) or len(values) not in (METRIC_COUNT_WITHOUT_LOAD, METRIC_COUNT):
+        raise InvalidMessageError(f"the metrics of an instance are not a list of length {METRIC_COUNT}")
     if not all(isinstance(value, int | float) and value >= 0 for value in values):
         raise InvalidMessageError(f"the metrics of an instance must be numbers of at least 0: {values!r}")
-    return [float(value) for value in values] + [0.0] * (WIDTH - len(values))
+    return [float(value) for value in values] + [0.0] * (METRIC_COUNT - len(values))
 
 
 def _bounded(values: list[float]) -> InstanceMetrics:
--- a/brambleusher/controlplane/registry/resolver.py
+++ b/brambleusher/controlplane/registry/resolver.py
@@ -13,7 +13,7 @@
 ADDRESSES_MAX = 64  # maximum number of addresses in one response
 # With at least this many ready gateways in the client's zone (or else region), farther gateways are not
 # returned.
-NEAR_ENOUGH = 2
+NEARBY_GATEWAYS_MIN = 2
 TTL_S = 2.0  # how long clients may cache a response
 
 
@@ -21,10 +21,10 @@
     """Return the ready gateways in the client's zone or region if there are enough, else all ready ones."""
     ready = [peer for peer in gateways if peer.state is PeerState.READY]
     in_zone = [peer for peer in ready if peer.zone == zone]
-    if len(in_zone) >= NEAR_ENOUGH:
+    if len(in_zone) >= NEARBY_GATEWAYS_MIN:
         return in_zone
     in_region = [peer for peer in ready if peer.region == region]
-    return in_region if len(in_region) >= NEAR_ENOUGH else ready
+    return in_region if len(in_region) >= NEARBY_GATEWAYS_MIN else ready
 
 
 def choose_gateways(gateways: Sequence[Peer], zone: str, region: str, rng: random.Random) -> list[str]:
