--- a/brambleusher/dataplane/configuration_store.py
+++ b/brambleusher/dataplane/configuration_store.py
@@ -92,7 +92,7 @@
         if not response.has_quorum_contact and self.routes is None and not has_waited:
             return  # it may have lost contact long ago, and others have newer state
         packed = response.state.packed_configuration
-        routes = RouteTable(configuration.read_checked(unpack(packed))) if packed else None
+        routes = RouteTable(configuration.parse_validated(unpack(packed))) if packed else None
         self.state_index = response.state_index
         if routes is not None:
             self.routes = routes
--- a/brambleusher/system_tools.py
+++ b/brambleusher/system_tools.py
@@ -97,7 +97,7 @@
 def policy() -> str:
     """List the keys of a policy file with their defaults and meanings."""
     return "\n".join(
-        f"{name} = {default}  # {meaning}" for name, default, meaning in policy_reader.described()
+        f"{name} = {default}  # {meaning}" for name, default, meaning in policy_reader.key_descriptions()
     )
 
 
--- a/brambleusher/wire/configuration.py
+++ b/brambleusher/wire/configuration.py
@@ -115,7 +115,7 @@
         raise InvalidConfigurationError("body", f"it can't be read whole: {error}") from error
 
 
-def invalid(error: ValidationError) -> InvalidConfigurationError:
+def configuration_error(error: ValidationError) -> InvalidConfigurationError:
     """Convert a pydantic error to an exception with its first error and the key concerned."""
     first = error.errors()[0]
     key = ".".join(str(step) for step in first["loc"]) or "body"
@@ -131,12 +131,12 @@
     try:
         configuration = Configuration.model_validate(load(body))
     except ValidationError as error:
-        raise invalid(error) from error
+        raise configuration_error(error) from error
     _check(configuration)
     return configuration
 
 
-def read_checked(body: bytes) -> Configuration:
+def parse_validated(body: bytes) -> Configuration:
     """Parse a configuration that a controller has already validated.
 
     Raises:
--- a/brambleusher/wire/configuration_patch.py
+++ b/brambleusher/wire/configuration_patch.py
@@ -29,7 +29,7 @@
     routes: tuple[Item, ...] = ()
     services: tuple[Item, ...] = ()
 
-    def of(self, section: str) -> tuple[Item, ...]:
+    def in_section(self, section: str) -> tuple[Item, ...]:
         """Return the items of a section."""
         return self.routes if section == "routes" else self.services
 
@@ -40,7 +40,7 @@
     routes: tuple[str, ...] = ()
     services: tuple[str, ...] = ()
 
-    def of(self, section: str) -> tuple[str, ...]:
+    def in_section(self, section: str) -> tuple[str, ...]:
         """Return the names of a section."""
         return self.routes if section == "routes" else self.services
 
@@ -62,7 +62,7 @@
     try:
         patch = Patch.model_validate(configuration.load(body))
     except ValidationError as error:
-        raise configuration.invalid(error) from error
+        raise configuration.configuration_error(error) from error
     for section in SECTIONS:
         _check_names(section, patch)
     return patch
@@ -71,14 +71,14 @@
 def _check_names(section: str, patch: Patch) -> None:
     """Check that each item has a name, and that no name occurs twice."""
     names: set[str] = set()
-    for position, item in enumerate(patch.upsert.of(section)):
+    for position, item in enumerate(patch.upsert.in_section(section)):
         name = item.get("name")
         if not isinstance(name, str) or not name:
             raise InvalidConfigurationError(f"upsert.{section}.{position}.name", "it is missing or no text")
         if name in names:
             raise InvalidConfigurationError(f"upsert.{section}.{position}.name", f"{name} stands twice")
         names.add(name)
-    for position, name in enumerate(patch.remove.of(section)):
+    for position, name in enumerate(patch.remove.in_section(section)):
         if name in names:
             raise InvalidConfigurationError(
                 f"remove.{section}.{position}", f"{name} stands twice in the patch"
@@ -96,7 +96,9 @@
     merged = json.loads(body)
     for section in SECTIONS:
         items = merged.get(section, [])
-        merged[section] = _merge_items(section, items, patch.upsert.of(section), patch.remove.of(section))
+        merged[section] = _merge_items(
+            section, items, patch.upsert.in_section(section), patch.remove.in_section(section)
+        )
     merged["revision"] = patch.revision
     result = json.dumps(merged, ensure_ascii=False, separators=(",", ":")).encode()
     configuration.read(result)
--- a/brambleusher/wire/policy.py
+++ b/brambleusher/wire/policy.py
@@ -130,7 +130,7 @@
     return [key for key in key_names() if not values[key]]
 
 
-def described() -> list[tuple[str, str, str]]:
+def key_descriptions() -> list[tuple[str, str, str]]:
     """Return the name, the default in TOML syntax and the description of each key."""
     return [
         (key, str(field.default).lower(), field.description or "")
--- a/tests/test_recorded_files.py
+++ b/tests/test_recorded_files.py
@@ -104,7 +104,9 @@
         "room_above_share", "fleet_figures", "reported_load", "cold_budget", "retry_budget",
         "rest_after_failure", "zone_rests", "resume", "idle_trust",
     ]  # fmt: skip
-    assert [(key, default) for key, default, _ in policy.described()] == [(key, "true") for key in keys]
+    assert [(key, default) for key, default, _ in policy.key_descriptions()] == [
+        (key, "true") for key in keys
+    ]
 
 
 # --- the xDS service -------------------------------------------------------------------------------
