--- a/brambleusher/controlplane/outbox.py
+++ b/brambleusher/controlplane/outbox.py
@@ -46,7 +46,7 @@
         else:
             self._deliver(message)
 
-    def records_synced(self, synced_number: int) -> None:
+    def deliver_synced(self, synced_number: int) -> None:
         """Deliver, in order, the queued messages whose records are now durable."""
         while self._pending and self._pending[0].after_record <= synced_number:
             self._deliver(self._pending.popleft())
--- a/brambleusher/controlplane/pending_proposals.py
+++ b/brambleusher/controlplane/pending_proposals.py
@@ -50,14 +50,14 @@
         """Whether the limit on pending proposals is reached."""
         return len(self._by_index) >= PENDING_MAX
 
-    def at(self, index: int) -> PendingProposal | None:
+    def proposal_at(self, index: int) -> PendingProposal | None:
         """Return the proposal that is pending at a log index, or None."""
         pending = self._by_index.get(index)
         return pending[1] if pending is not None else None
 
     def add(self, index: int, term: int) -> PendingProposal:
         """Register a proposal that was appended to the log at an index."""
-        superseded = self.at(index)
+        superseded = self.proposal_at(index)
         if superseded is not None:
             # Proposed in an earlier term in which this replica was leader: its log entry was overwritten.
             superseded.resolve(None)
@@ -65,7 +65,7 @@
         self._by_index[index] = (term, pending)
         return pending
 
-    def applied(self, index: int, term: int, verdict: Verdict | None) -> None:
+    def resolve_applied(self, index: int, term: int, verdict: Verdict | None) -> None:
         """Resolve the proposal at an index after the entry there was applied.
 
         The proposal gets the verdict only if the applied entry is of the proposal's term; otherwise another
@@ -77,5 +77,5 @@
 
     def discard(self, index: int, pending: PendingProposal) -> None:
         """Remove a proposal, unless a later proposal has replaced it at the same index."""
-        if self.at(index) is pending:
+        if self.proposal_at(index) is pending:
             del self._by_index[index]
--- a/brambleusher/controlplane/replica.py
+++ b/brambleusher/controlplane/replica.py
@@ -318,7 +318,7 @@
         self._applied_index = entry.index
         if entry.kind is EntryKind.COMMAND:
             verdict = self.state.apply(entry.index, command_from_json(entry.data))
-        self._proposals.applied(entry.index, entry.term, verdict)
+        self._proposals.resolve_applied(entry.index, entry.term, verdict)
 
     def _deliver(self, outgoing: Outgoing) -> None:
         address = self._addresses.address_of(outgoing.recipient)
@@ -336,7 +336,7 @@
     def _records_synced(self) -> None:
         synced_number = self._disk_writer.synced_number
         self.consensus.handle_records_synced(synced_number)
-        self._outbox.records_synced(synced_number)
+        self._outbox.deliver_synced(synced_number)
         self._process_output()
         if self._disk_writer.is_snapshot_due:
             self._begin_snapshot()
--- a/tests/controlplane/test_outbox.py
+++ b/tests/controlplane/test_outbox.py
@@ -23,9 +23,9 @@
     for each in (first, second, third, at_once):
         outbox.post(each, synced_number=2)
     assert delivered == [at_once]
-    outbox.records_synced(5)
+    outbox.deliver_synced(5)
     assert delivered == [at_once, first, second]
-    outbox.records_synced(6)
+    outbox.deliver_synced(6)
     assert delivered == [at_once, first, second, third]
 
 
--- a/tests/controlplane/test_pending_proposals.py
+++ b/tests/controlplane/test_pending_proposals.py
@@ -15,18 +15,18 @@
 def test_a_proposal_gets_the_verdict_of_its_own_entry() -> None:
     proposals = PendingProposals()
     pending = proposals.add(index=7, term=2)
-    proposals.applied(6, 2, Verdict.STALE)
+    proposals.resolve_applied(6, 2, Verdict.STALE)
     assert not pending.event.is_set
-    proposals.applied(7, 2, Verdict.ACCEPTED)
+    proposals.resolve_applied(7, 2, Verdict.ACCEPTED)
     assert pending.event.is_set
     assert pending.result is Verdict.ACCEPTED
-    assert proposals.at(7) is None
+    assert proposals.proposal_at(7) is None
 
 
 def test_a_proposal_gets_no_verdict_of_an_entry_of_another_term() -> None:
     proposals = PendingProposals()
     pending = proposals.add(index=7, term=2)
-    proposals.applied(7, 3, Verdict.ACCEPTED)
+    proposals.resolve_applied(7, 3, Verdict.ACCEPTED)
     assert pending.event.is_set
     assert pending.result is None
 
@@ -38,9 +38,9 @@
     assert earlier.event.is_set
     assert earlier.result is None
     proposals.discard(7, earlier)
-    assert proposals.at(7) is later
+    assert proposals.proposal_at(7) is later
     proposals.discard(7, later)
-    assert proposals.at(7) is None
+    assert proposals.proposal_at(7) is None
 
 
 def test_pending_proposals_are_bounded() -> None:
--- a/tests/system/test_control_plane_faults.py
+++ b/tests/system/test_control_plane_faults.py
@@ -436,8 +436,8 @@
     assert earlier.result is None
     later = replica._proposals.add(index + 5, term=1)
     replica._proposals.discard(index + 5, earlier)
-    assert replica._proposals.at(index + 5) is later
-    replica._proposals.applied(index + 5, 1, Verdict.ACCEPTED)
+    assert replica._proposals.proposal_at(index + 5) is later
+    replica._proposals.resolve_applied(index + 5, 1, Verdict.ACCEPTED)
     assert later.result is Verdict.ACCEPTED
 
 
