--- a/brambleusher/controlplane/storage/storage.py
+++ b/brambleusher/controlplane/storage/storage.py
@@ -91,7 +91,7 @@
         self._disk.sync_folder()
 
 
-def read_only(disk: Disk) -> RecoveredState:
+def recover_read_only(disk: Disk) -> RecoveredState:
     """Return the state that recovery would produce, without changing the disk.
 
     Raises:
@@ -106,7 +106,7 @@
     Raises:
         CorruptStorageError: Synced records can no longer be read.
     """
-    recovered = read_only(disk)
+    recovered = recover_read_only(disk)
     state = recovered.state if isinstance(recovered.state, dict) else {}
     return {
         "identity": recovered.identity,
--- a/tests/controlplane/storage/test_storage.py
+++ b/tests/controlplane/storage/test_storage.py
@@ -8,7 +8,7 @@
 
 from brambleusher.controlplane.consensus.outputs import HardState, Record, Restore, Truncate
 from brambleusher.controlplane.storage.errors import CorruptStorageError
-from brambleusher.controlplane.storage.storage import Storage, inspect, read_only
+from brambleusher.controlplane.storage.storage import Storage, inspect, recover_read_only
 from brambleusher.wire.consensus_messages import Entry, EntryKind, Member
 from tests.system.memory_disk import MemoryDisk, PowerLossError
 
@@ -71,7 +71,7 @@
     for at in range(before, len(disk.files[name].data)):
         original = disk.files[name].data[at]
         disk.files[name].data[at] = original ^ 1
-        assert read_only(disk).log.last_index == 1
+        assert recover_read_only(disk).log.last_index == 1
         disk.files[name].data[at] = original
 
 
