--- a/tests/controlplane/consensus/cluster.py
+++ b/tests/controlplane/consensus/cluster.py
@@ -57,15 +57,15 @@
         self.leaders: dict[int, str] = {}
         self.acknowledged: dict[int, Any] = {}
 
-    def saw_applied(self, index: int, content: Any) -> None:
+    def record_applied(self, index: int, content: Any) -> None:
         if self.applied.setdefault(index, content) != content:
             raise SafetyViolationError(f"two different entries were applied at index {index}")
 
-    def saw_leader(self, term: int, name: str) -> None:
+    def record_leader(self, term: int, name: str) -> None:
         if self.leaders.setdefault(term, name) != name:
             raise SafetyViolationError(f"two leaders in term {term}")
 
-    def saw_acknowledged(self, index: int, content: Any) -> None:
+    def record_acknowledged(self, index: int, content: Any) -> None:
         self.acknowledged[index] = content
 
     def check_end(self, states: Sequence[dict[int, Any]]) -> None:
@@ -265,7 +265,7 @@
             else:
                 self._post(node, outgoing)
         if node.consensus.is_leader:
-            self.checker.saw_leader(node.consensus.term, node.consensus.identity.id)
+            self.checker.record_leader(node.consensus.term, node.consensus.identity.id)
 
     @staticmethod
     def _waits(node: Node, outgoing: Outgoing) -> bool:
@@ -276,7 +276,7 @@
         if entry.index != node.applied + 1:
             raise SafetyViolationError(f"entry {entry.index} is applied after {node.applied}")
         node.state[entry.index], node.applied = content, entry.index
-        self.checker.saw_applied(entry.index, content)
+        self.checker.record_applied(entry.index, content)
 
     def _post(self, node: Node, outgoing: Outgoing) -> None:
         message = outgoing.message
@@ -332,7 +332,7 @@
                     applied = leader.state.get(index)
                     if applied is not None:
                         if applied == (term, "command", content):
-                            self.checker.saw_acknowledged(index, applied)
+                            self.checker.record_acknowledged(index, applied)
                             return True
                         break
                     if not leader.up:
--- a/tests/controlplane/consensus/exploration.py
+++ b/tests/controlplane/consensus/exploration.py
@@ -77,7 +77,7 @@
             if node is not None and node.up and applied is not None:
                 self.pending.remove(waiting)
                 if applied == (term, "command", content):
-                    self.cluster.checker.saw_acknowledged(index, applied)
+                    self.cluster.checker.record_acknowledged(index, applied)
 
     # --- losses ----------------------------------------------------------------------------------
 
--- a/tests/controlplane/consensus/faulty_parts.py
+++ b/tests/controlplane/consensus/faulty_parts.py
@@ -10,7 +10,7 @@
 
 
 @contextmanager
-def installed(fault: type) -> Iterator[None]:
+def injected_fault(fault: type) -> Iterator[None]:
     """Replace a component by its faulty subclass in every replica that is created within the context."""
     part = next(base for base in fault.__mro__ if vars(raft).get(base.__name__) is base)
     with mock.patch.object(raft, part.__name__, fault):
--- a/tests/controlplane/consensus/test_consensus_losses.py
+++ b/tests/controlplane/consensus/test_consensus_losses.py
@@ -19,7 +19,7 @@
 from brambleusher.wire.consensus_messages import Entry, EntryKind, Member
 from tests.controlplane.consensus.cluster import Cluster, Fate, SafetyViolationError, member
 from tests.controlplane.consensus.exploration import explore
-from tests.controlplane.consensus.faulty_parts import installed
+from tests.controlplane.consensus.faulty_parts import injected_fault
 
 BOOTSTRAP_MEMBERS = tuple(member(name) for name in "abc")
 
@@ -39,7 +39,7 @@
 
 
 def test_days_with_losses_find_that_a_snapshot_is_ignored() -> None:
-    with installed(SnapshotIsIgnored), pytest.raises(SafetyViolationError):
+    with injected_fault(SnapshotIsIgnored), pytest.raises(SafetyViolationError):
         for seed in range(20):
             explore(Consensus, seed, losses=True)
 
@@ -85,7 +85,7 @@
 
 def test_with_the_whole_log_replaced_what_was_confirmed_is_gone() -> None:
     log = Log(0, 0, BOOTSTRAP_MEMBERS)
-    with installed(SnapshotReplacesEverything):
+    with injected_fault(SnapshotReplacesEverything):
         follower = Consensus(member("b", voter=False), log, 1, "", 0.0, random.Random(1))
     follower.handle_message(wire.AppendEntries(1, "a", 0, 0, entries(1, 22), 14, 7), 0.1)
     follower.handle_message(wire.InstallSnapshot(1, "a", 15, 1, list(BOOTSTRAP_MEMBERS), {}, 5), 0.2)
@@ -118,7 +118,7 @@
     cluster.deliver(leader.name, late.name, snapshot)
     cluster.mutate = lambda *_: Fate.DELIVER
     assert cluster.run(lambda: position.index in leader.state, steps=60)
-    cluster.checker.saw_acknowledged(position.index, leader.state[position.index])
+    cluster.checker.record_acknowledged(position.index, leader.state[position.index])
     cluster.crash(leader.name)
     return cluster
 
@@ -201,7 +201,7 @@
     four = members_entry(3, 2, *BOOTSTRAP_MEMBERS, member("d"))
     ends: dict[str, list[Entry]] = {"b": [four], "c": [], "d": []}
     assert group_without_its_leader(Consensus, ends).commit("after")
-    with installed(OnlyMembersVote):
+    with injected_fault(OnlyMembersVote):
         assert not group_without_its_leader(Consensus, ends).commit("after")
 
 
@@ -213,7 +213,7 @@
     cluster = group_without_its_leader(Consensus, ends)
     assert cluster.commit("after")
     assert cluster.run(lambda: (leader := cluster.leader()) is not None and leader.consensus.state.is_voter)
-    with installed(OnlyVotersStartElections):
+    with injected_fault(OnlyVotersStartElections):
         assert not group_without_its_leader(Consensus, ends).commit("after")
 
 
@@ -230,7 +230,7 @@
 def test_where_one_vote_is_enough_it_counts_once_it_is_synced(election: type[Election]) -> None:
     """Otherwise it could lead the same term again after a power loss, and reuse its entries' indexes."""
     log = Log(0, 0, (member("a"),))
-    with installed(election):
+    with injected_fault(election):
         alone = Consensus(member("a", voter=False), log, 1, "", 0.0, random.Random(1))
     alone.tick(2.0)
     records = alone.take_output().records
--- a/tests/controlplane/consensus/test_consensus_mutations.py
+++ b/tests/controlplane/consensus/test_consensus_mutations.py
@@ -18,7 +18,7 @@
 from brambleusher.wire.consensus_messages import EntryKind
 from tests.controlplane.consensus.cluster import Cluster, SafetyViolationError
 from tests.controlplane.consensus.exploration import explore
-from tests.controlplane.consensus.faulty_parts import installed
+from tests.controlplane.consensus.faulty_parts import injected_fault
 
 
 class VotesTwice(Election):
@@ -109,7 +109,7 @@
 def test_a_fault_put_in_on_purpose_is_found(fault: type) -> None:
     for seed in range(150):
         try:
-            with installed(fault):
+            with injected_fault(fault):
                 explore(Consensus, seed)
         except (SafetyViolationError, AssertionError, KeyError, IndexError):
             return
