--- a/brambleusher/controlplane/consensus/replica_state.py
+++ b/brambleusher/controlplane/consensus/replica_state.py
@@ -18,11 +18,11 @@
 from brambleusher.controlplane.consensus.quorum import agreed_value, has_quorum
 from brambleusher.controlplane.consensus.replicated_log import Log
 from brambleusher.controlplane.consensus.timing import (
+    DEFERRED_ELECTION_DELAY_S,
     ELECTION_MAX_S,
     ELECTION_MIN_S,
-    FIRST_ELECTION_MIN_S,
     FIRST_ELECTION_MAX_S,
-    DEFERRED_ELECTION_DELAY_S,
+    FIRST_ELECTION_MIN_S,
 )
 from brambleusher.wire import consensus_messages as wire
 from brambleusher.wire.consensus_messages import Entry, Member
