--- a/brambleusher/controlplane/consensus/membership_plan.py
+++ b/brambleusher/controlplane/consensus/membership_plan.py
@@ -137,7 +137,7 @@
 
 
 def _may_exceed(group: Group) -> bool:
-    """Return whether the group has all required voters, and its responsive voters can commit one more."""
+    """Return whether no voter is missing, and the responsive voters can commit the addition of another."""
     voters = group.voters
     if len(voters) != group.required_voters:
         return False
--- a/brambleusher/controlplane/consensus/raft.py
+++ b/brambleusher/controlplane/consensus/raft.py
@@ -152,7 +152,7 @@
         return self._leader_for_proposals() is not None
 
     def has_vote(self) -> bool:
-        """Return whether a quorum may need this replica: as a voter, or due to an uncommitted change."""
+        """Return whether a quorum may need this replica: it is a voter, or its demotion is uncommitted."""
         return self.state.is_voter or self.state.has_uncommitted_members
 
     def status(self) -> ConsensusStatus:
--- a/brambleusher/membership/views.py
+++ b/brambleusher/membership/views.py
@@ -158,7 +158,7 @@
 def _entry_from_json(entry: object) -> tuple[Peer, int]:
     """Return the peer in an entry of a sample, and its age in milliseconds."""
     if not isinstance(entry, list) or len(entry) != len(PEER_KEYS) + 1:
-        raise InvalidMessageError(f"a sample entry is no list of length {len(PEER_KEYS) + 1}: {entry!r:.80}")
+        raise InvalidMessageError(f"a sample entry is not a list of {len(PEER_KEYS) + 1}: {entry!r:.80}")
     *values, age_ms = entry
     peer = peer_from_json(dict(zip(PEER_KEYS, values, strict=True)))
     if not isinstance(age_ms, int) or age_ms < 0:
--- a/brambleusher/wire/consensus_messages.py
+++ b/brambleusher/wire/consensus_messages.py
@@ -234,7 +234,7 @@
         # Compare the exact type, since Python's `bool` is a subclass of `int` and must not pass as an
         # integer.
         if self.json_type is not None and type(value) is not self.json_type:
-            raise InvalidMessageError(f"{self.key} of {kind} message is not {self.json_type.__name__}")
+            raise InvalidMessageError(f"{self.key} of {kind} is not of type {self.json_type.__name__}")
         return value if self.decode is None else self.decode(value)
 
     def write(self, message: Message) -> object:
--- a/brambleusher/wire/lines.py
+++ b/brambleusher/wire/lines.py
@@ -7,7 +7,7 @@
 from brambleusher.wire.errors import InvalidMessageError
 from brambleusher.wire.json_fields import JsonObject, as_object
 
-LINE_BYTES_MAX = 16 * 1024 * 1024  # twice the size of a snapshot with the largest configuration
+LINE_BYTES_MAX = 16 * 1024 * 1024  # at least twice the size of a snapshot with the largest configuration
 
 
 def encode(message: JsonObject) -> bytes:
--- a/tests/controlplane/consensus/test_membership_plan.py
+++ b/tests/controlplane/consensus/test_membership_plan.py
@@ -65,9 +65,9 @@
 
 
 def test_votes_are_not_moved_for_zones_while_those_of_voters_are_unknown() -> None:
-    founders = tuple(replace_in(member(name), zone="") for name in "abc")
+    bootstrap_members = tuple(replace_in(member(name), zone="") for name in "abc")
     newcomer = replace_in(member("d", voter=False), zone="1")
-    group = Group((*founders, newcomer), "a", 3, {}, {"b", "c", "d"}, is_stable=True)
+    group = Group((*bootstrap_members, newcomer), "a", 3, {}, {"b", "c", "d"}, is_stable=True)
     assert votes_after(group) is None
 
 
--- a/tests/system/memory_disk.py
+++ b/tests/system/memory_disk.py
@@ -14,7 +14,7 @@
 class File:
     def __init__(self) -> None:
         self.data = bytearray()
-        self.durable: bytes | None = None  # None: never synced
+        self.durable: bytes | None = None  # synced content, or None if the file was never synced
 
 
 class MemoryDisk:
--- a/tests/system/test_control_plane.py
+++ b/tests/system/test_control_plane.py
@@ -474,7 +474,7 @@
     deployment = VirtualDeployment(cores=6, gateways=6, tolerated=2)
     deployment.served()
 
-    def held_near(gateway: Gateway) -> bool:
+    def polls_own_zone(gateway: Gateway) -> bool:
         zone = gateway.settings.zone
         near = {
             f"{deployment.world.machines[name].ip}:7720"
@@ -483,7 +483,9 @@
         }
         return set(gateway.controllers._acquired.values()) == near
 
-    deployment.wait(lambda: all(held_near(gateway) for gateway in deployment.gateways.values()), seconds=6.0)
+    deployment.wait(
+        lambda: all(polls_own_zone(gateway) for gateway in deployment.gateways.values()), seconds=6.0
+    )
     deployment.close()
 
 
--- a/tests/system/test_control_plane_faults.py
+++ b/tests/system/test_control_plane_faults.py
@@ -46,7 +46,7 @@
     return deployment.controllers[name].replica
 
 
-def put_until_taken(deployment: VirtualDeployment, core: str, base: int, body: bytes) -> None:
+def put_until_accepted(deployment: VirtualDeployment, core: str, base: int, body: bytes) -> None:
     deployment.wait(lambda: deployment.put(core, base, body).status == 200)
 
 
@@ -54,7 +54,7 @@
     deployment.wait(lambda: deployment.control(core, "GET", "/api/config").status == 200)
 
 
-def ended(deployment: VirtualDeployment, name: str) -> None:
+def wait_until_ended(deployment: VirtualDeployment, name: str) -> None:
     deployment.wait(lambda: deployment.process(name).dead)
 
 
@@ -73,7 +73,7 @@
     accepted = 1
     begun = deployment.now
     while deployment.now < begun + 20.0:
-        put_until_taken(
+        put_until_accepted(
             deployment, others[accepted % 2], accepted, configuration(accepted + 1, route(f"/n{accepted}/"))
         )
         accepted += 1
@@ -112,7 +112,7 @@
         address, "PUT", "/api/config", headers={"If-Match": "1"}, body=configuration(2), timeout_s=40.0
     )
     other = next(name for name in CORES if name != frozen)
-    put_until_taken(deployment, other, 1, configuration(3, route("/n/")))
+    put_until_accepted(deployment, other, 1, configuration(3, route("/n/")))
     deployment.sleep(21.0)
     deployment.wait(lambda: bool(read.error) and bool(change.error))
     assert (read.status, read.body) == (200, configuration(3, route("/n/"))) or read.status == 503
@@ -129,7 +129,7 @@
     others = [name for name in CORES if name != partitioned]
     for name in others:
         deployment.world.network.cut(partitioned, name)
-    put_until_taken(deployment, others[0], 1, configuration(2, route("/n/")))
+    put_until_accepted(deployment, others[0], 1, configuration(2, route("/n/")))
     deployment.sleep(1.0)
     for number in range(2, 8):
         name = f"g{number}"
@@ -197,7 +197,7 @@
     deployment.wait(lambda: replica_of(deployment, leader).state.revision == 2)
     deployment.power_off(leader, nothing_unsynced=True)
     for core in (name for name in CORES if name != leader):
-        put_until_taken(deployment, core, 1, body)
+        put_until_accepted(deployment, core, 1, body)
         assert deployment.put(core, 2, configuration(2, route("/other/"))).status == 400
 
 
@@ -260,7 +260,7 @@
     deployment.power_off(draining)
     deployment.power_on(lost)
     back = deployment.now
-    put_until_taken(deployment, "c4", 1, configuration(2, route("/n/")))
+    put_until_accepted(deployment, "c4", 1, configuration(2, route("/n/")))
     assert deployment.now - back < 6.0
     assert deployment.control("c4", "GET", "/api/config").body == configuration(2, route("/n/"))
 
@@ -280,7 +280,7 @@
     deployment.power_off(lost)
     deployment.disks[lost] = MemoryDisk()
     deployment.power_on(lost)
-    put_until_taken(deployment, "c4", 1, configuration(2, route("/n/")))
+    put_until_accepted(deployment, "c4", 1, configuration(2, route("/n/")))
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
@@ -297,14 +297,14 @@
     deployment.sleep(0.0005 * (seed % 4))
     deployment.power_off(lost)
     deployment.disks[lost] = MemoryDisk()
-    ended(deployment, draining)
+    wait_until_ended(deployment, draining)
     deployment.power_off(draining)
     for name in ("c4", next(name for name in CORES if name not in (lost, draining))):
         deployment.power_off(name)
         deployment.power_on(name)
     deployment.sleep(0.5)
     deployment.power_on(lost)
-    put_until_taken(deployment, "c4", 1, configuration(2, route("/n/")))
+    put_until_accepted(deployment, "c4", 1, configuration(2, route("/n/")))
     deployment.close()
 
 
@@ -322,11 +322,11 @@
     deployment.sleep(after_s)
     deployment.power_off("c1")
     deployment.disks["c1"] = MemoryDisk()
-    ended(deployment, "c2")
+    wait_until_ended(deployment, "c2")
     deployment.power_off("c2")
     deployment.sleep(0.5)
     deployment.power_on("c1")
-    put_until_taken(deployment, "c4", 1, configuration(2, route("/n/")))
+    put_until_accepted(deployment, "c4", 1, configuration(2, route("/n/")))
     deployment.close()
 
 
@@ -350,13 +350,13 @@
         draining = names.pop(0)
         names.append(f"c{number}")
         deployment.process(draining).signal(15)
-        ended(deployment, draining)
+        wait_until_ended(deployment, draining)
         deployment.power_off(draining)
         lost = names[number % 3]
         deployment.power_off(lost)
         deployment.disks[lost] = MemoryDisk()
         deployment.power_on(lost)
-        put_until_taken(deployment, names[0], number - 3, configuration(number - 2))
+        put_until_accepted(deployment, names[0], number - 3, configuration(number - 2))
         deployment.sleep(SYNC_S)
     for name in names:
         assert deployment.control(name, "GET", "/api/config").body == configuration(7)
@@ -376,7 +376,7 @@
         remaining = [name for name in CORES if name != powered_off]
         for revision in range(2, 302):
             if deployment.put(remaining[revision % 2], revision - 1, configuration(revision)).status != 200:
-                put_until_taken(deployment, remaining[0], revision - 1, configuration(revision))
+                put_until_accepted(deployment, remaining[0], revision - 1, configuration(revision))
         assert any(name.startswith("snapshot") for name in deployment.disks[remaining[0]].names())
         deployment.power_on(powered_off)
         deployment.wait(lambda: replica_of(deployment, powered_off).state.revision == 301, 3.0)
--- a/tests/test_recorded_data_folder.py
+++ b/tests/test_recorded_data_folder.py
@@ -92,11 +92,15 @@
 def test_recovery_finds_the_same(name: str) -> None:
     expected = expected_of(name)
     found = Storage(disk_of(files_of(name))).recover()
-    told = expected["inspect"]
-    assert (found.identity, found.term, found.vote) == (told["identity"], told["term"], told["vote"])
-    assert (found.log.base_index, found.log.base_term) == (told["snapshot_index"], expected["base_term"])
+    inspected = expected["inspect"]
+    assert (found.identity, found.term, found.vote) == (
+        inspected["identity"],
+        inspected["term"],
+        inspected["vote"],
+    )
+    assert (found.log.base_index, found.log.base_term) == (inspected["snapshot_index"], expected["base_term"])
     assert [entry.as_json() for entry in found.log.entries] == expected["entries"]
-    assert [member.as_json() for member in found.log.members] == told["members"]
+    assert [member.as_json() for member in found.log.members] == inspected["members"]
     assert found.log.members_index == expected["members_index"]
     assert found.state == expected["state"]
 
@@ -135,9 +139,9 @@
     storage.recover()
     assert stored[0]["t"] == "identity"
     if segments[-1] == "log-0000000000000001":
-        founders = stored[1]["members"] if stored[1]["t"] == "founders" else []
-        storage.begin(stored[0]["id"], members_of(founders))
-        storage.write([record_of(data) for data in stored[1 + bool(founders) :]])
+        bootstrap_members = stored[1]["members"] if stored[1]["t"] == "founders" else []
+        storage.begin(stored[0]["id"], members_of(bootstrap_members))
+        storage.write([record_of(data) for data in stored[1 + bool(bootstrap_members) :]])
     else:  # a snapshot, and a segment that begins with the entries after it
         (snapshot,) = [parsed(data) for each, data in files.items() if each.startswith("snapshot-")]
         storage.begin("somebody")
--- a/tests/wire/test_configuration_patch.py
+++ b/tests/wire/test_configuration_patch.py
@@ -34,7 +34,7 @@
     return deployment.control(core, "PATCH", "/api/config", headers={"If-Match": str(base)}, body=body)
 
 
-def held(deployment: VirtualDeployment, core: str = "c1") -> Any:
+def current_configuration(deployment: VirtualDeployment, core: str = "c1") -> Any:
     return json.loads(deployment.control(core, "GET", "/api/config").body)
 
 
@@ -46,7 +46,7 @@
     changed = route("/b/", deadline_ms=1234)
     body = patch_body(4, {"routes": [route("/d/"), changed]}, {"routes": ["/a/"]})
     assert patch(deployment, "c2", 1, body).status == 200
-    found = held(deployment)
+    found = current_configuration(deployment)
     assert found["revision"] == 4
     assert names(found) == ["/b/", "/c/", "/d/"]
     assert found["routes"][0] == changed
@@ -61,7 +61,7 @@
     body = patch_body(2, {"routes": [route("/d/", later={"x": [1]})], "services": [{"name": "new", "y": 2}]})
     assert patch(deployment, "c1", 1, body).status == 200
     assert patch(deployment, "c2", 2, patch_body(3, remove={"routes": ["/a/"]})).status == 200
-    found = held(deployment)
+    found = current_configuration(deployment)
     assert found["routes"][-1]["later"] == {"x": [1]}
     assert found["services"][-1] == {"name": "new", "y": 2}
 
@@ -74,14 +74,14 @@
     assert patch(deployment, "c2", 2, patch_body(5, remove={"routes": ["/d/"]})).status == 200
     for core in ("c1", "c2", "c3"):
         assert patch(deployment, core, 1, first).status == 200
-    assert held(deployment)["revision"] == 5
-    assert names(held(deployment)) == ["/a/", "/b/", "/c/"]
+    assert current_configuration(deployment)["revision"] == 5
+    assert names(current_configuration(deployment)) == ["/a/", "/b/", "/c/"]
 
 
 def test_a_patch_of_a_lost_patch_is_rejected(deployment: VirtualDeployment) -> None:
     """The patch is based on revision 2, which the operator sent, but which no controller accepted."""
     assert patch(deployment, "c1", 2, patch_body(3, {"routes": [route("/d/")]})).status == 412
-    assert held(deployment) == json.loads(BASE)
+    assert current_configuration(deployment) == json.loads(BASE)
 
 
 def test_a_patch_of_an_outdated_revision_is_rejected_even_if_it_no_longer_fits(
@@ -107,7 +107,7 @@
     deployment.wait(lambda: all(reply.error for reply in replies))
     assert sorted(reply.status for reply in replies) == [200, 412]
     added = ["/x/", "/y/"][[reply.status for reply in replies].index(200)]
-    assert names(held(deployment)) == ["/a/", "/b/", "/c/", added]
+    assert names(current_configuration(deployment)) == ["/a/", "/b/", "/c/", added]
 
 
 def test_an_acknowledged_patch_survives_a_power_loss_of_all(deployment: VirtualDeployment) -> None:
@@ -117,7 +117,7 @@
     for core in ("c1", "c2", "c3"):
         deployment.power_on(core)
     deployment.wait(lambda: deployment.control("c2", "GET", "/api/config").status == 200)
-    assert names(held(deployment, "c2")) == ["/a/", "/b/", "/c/", "/d/"]
+    assert names(current_configuration(deployment, "c2")) == ["/a/", "/b/", "/c/", "/d/"]
 
 
 def test_a_patch_without_any_configuration_is_rejected() -> None:
@@ -132,7 +132,7 @@
     body = patch_body(2, {"services": services})
     assert 2 * 2**20 < len(body) <= 4 * 2**20
     deployment.wait(lambda: patch(deployment, "c1", 1, body).status == 200)
-    assert len(held(deployment)["services"]) == 2402
+    assert len(current_configuration(deployment)["services"]) == 2402
 
 
 INVALID = [
@@ -166,7 +166,7 @@
     reply = patch(deployment, "c3", 1, body)
     assert reply.status == 400
     assert key in reply.json()["error"]
-    assert held(deployment) == json.loads(BASE)
+    assert current_configuration(deployment) == json.loads(BASE)
 
 
 def test_a_patch_without_its_base_is_rejected(deployment: VirtualDeployment) -> None:
