--- a/brambleusher/dataplane/__init__.py
+++ b/brambleusher/dataplane/__init__.py
@@ -1,1 +1,1 @@
-"""The data plane: what a gateway does with a request."""
+"""The data plane: routes, forwards and retries the requests that a gateway receives."""
--- a/brambleusher/dataplane/attempt_failure.py
+++ b/brambleusher/dataplane/attempt_failure.py
@@ -1,6 +1,6 @@
-"""Kinds of attempts that brought no response to pass on.
+"""Failures of an attempt that yielded no response to forward to the client.
 
-They are returned, not raised: each of them decides what may happen next to the request.
+Failures are returned, not raised: the kind of failure decides whether the request may be retried.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectFailed:
-    """No connection was established: the request never left this gateway."""
+    """No connection was established, so the request never left this gateway."""
 
     reason: ClassVar[RejectionReason] = RejectionReason.CONNECT_FAILED
 
-    has_timed_out: bool = False  # nothing answered; otherwise the connection was refused
+    has_timed_out: bool = False  # the connection attempt timed out; if false, it was refused
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptRejected:
-    """The instance promised that it did not run the request and never will."""
+    """The instance stated that it did not run the request and never will."""
 
     reason: ClassVar[RejectionReason] = RejectionReason.ATTEMPT_REJECTED
 
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptLost:
-    """At least a part of the request was sent and no complete response head came: it may have run."""
+    """At least part of the request was sent, but no complete response head arrived: it may have run."""
 
     reason: ClassVar[RejectionReason] = RejectionReason.ATTEMPT_LOST
 
--- a/brambleusher/dataplane/attempts.py
+++ b/brambleusher/dataplane/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of one request: choose an instance, send, and retry elsewhere while that is allowed."""
+"""The attempts of one request: choose an instance, send the request, retry elsewhere while allowed."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.wire.policy import Policy
 
-FAILED_ATTEMPTS_MAX = 4  # of one request, rejections and failed connections included
-ATTEMPT_MIN_S = 0.05  # with less time left an attempt is pointless
+FAILED_ATTEMPTS_MAX = 4  # per request, including rejected attempts and failed connections
+ATTEMPT_MIN_S = 0.05  # no attempt is started with less time than this left until the deadline
 PRIORITY_MAX = 9
 MS_PER_S = 1000
 REPLACED_HEADERS = frozenset({b"x-deadline-remaining", b"x-target-instance", b"priority", b"last-event-id"})
 
 
 class _WeightedAttempt:
-    """Records an attempt in the weights of its service."""
+    """Records the progress and outcome of one attempt in the instance weights of its service."""
 
     def __init__(
         self, scheduler: Scheduler, weights: InstanceWeights, context: RequestContext, instance_id: str
@@ -39,24 +39,24 @@
         self._number = weights.start_attempt(instance_id, route.priority, target_s, scheduler.now())
 
     def response_started(self) -> None:
-        """Record the first bytes of the body."""
+        """Record that the first bytes of the response body have arrived."""
         self._weights.record_first_byte(self._instance_id, self._number, self._scheduler.now())
 
     def attempt_finished(self, has_succeeded: bool) -> None:
-        """Record the end of the attempt."""
+        """Record that the attempt has ended, and whether it succeeded."""
         self._weights.finish_attempt(self._instance_id, self._number, has_succeeded)
 
     def attempt_abandoned(self) -> None:
-        """Record that the rest of the attempt is not wanted: its client has left."""
+        """Record that the attempt was abandoned, usually because its client disconnected."""
         self._weights.abandon_attempt(self._instance_id, self._number, self._scheduler.now())
 
     def attempt_not_started(self) -> None:
-        """Record that nothing was sent, so that the attempt says nothing of the instance."""
+        """Record that nothing was sent, so the attempt reveals nothing about the health of the instance."""
         self._weights.finish_attempt(self._instance_id, self._number, None)
 
 
 class AttemptRunner:
-    """Runs the attempts of requests."""
+    """Sends the attempts of requests to instances until one of them responds."""
 
     def __init__(
         self,
@@ -71,12 +71,14 @@
         self._upstream, self._counters, self._policy = upstream, counters, policy
 
     def run(self, context: RequestContext) -> UpstreamResponse | None:
-        """Try instances until one responds; None where none did and none may be tried any more.
+        """Try instances until one of them responds.
 
-        The reason is in the context then.
+        Returns:
+            The response; None if no instance responded and no further attempt is allowed.  The reason is
+            then in `context.rejection_reason`.
 
         Raises:
-            PeerDisconnectedError: The client has left.
+            PeerDisconnectedError: The client has disconnected.
         """
         failed_attempts = 0
         while failed_attempts < FAILED_ATTEMPTS_MAX:
@@ -112,7 +114,7 @@
         return None
 
     def resume(self, context: RequestContext, last_event_id: int | None) -> UpstreamResponse | None:
-        """Continue an event stream at another instance; None where that is not possible."""
+        """Continue an event stream at another instance; return None if that is not possible."""
         if last_event_id is not None:
             context.last_event_id = str(last_event_id).encode()
         response = self.run(context) if self._policy.resumes_streams else None
@@ -125,7 +127,7 @@
         return response
 
     def _takes_retry_budget(self, context: RequestContext, now_s: float) -> bool:
-        """Take of the retry budget for every attempt but the first that reaches an instance."""
+        """Take a retry from the budget unless no attempt was sent yet; return False if none is left."""
         if not context.attempts_sent or not self._policy.limits_retries:
             return True
         return context.retry_budget.take(now_s)
--- a/brambleusher/dataplane/client_connection.py
+++ b/brambleusher/dataplane/client_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a client, by h11: complete requests in, responses out."""
+"""One client connection, parsed with h11: reads complete requests and writes responses."""
 
 from __future__ import annotations
 
@@ -18,26 +18,26 @@
 from brambleusher.runtime.streams import RECEIVE_BYTES, Stream
 from brambleusher.wire.configuration import Limits
 
-SEND_TIMEOUT_S = 10.0  # for a client to take what is sent to it
+SEND_TIMEOUT_S = 10.0  # a client that does not read sent data for this long is disconnected
 BODY_TIMEOUT_S = 10.0
 HEAD_TIMEOUT_MIN_S = 1.0
 MS_PER_S = 1000
-HEADER_LINE_OVERHEAD_BYTES = 4  # colon, space and line end
-READ_AHEAD_MAX_BYTES = 1024 * 1024  # of the requests that follow, while one is served; the rest is discarded
+HEADER_LINE_OVERHEAD_BYTES = 4  # the colon, the space and the CRLF of a header line
+READ_AHEAD_MAX_BYTES = 1024 * 1024  # pipelined bytes kept while a request is served; more is discarded
 
 
 class ClientConnection:
-    """Reads requests and writes responses, one at a time."""
+    """Reads the requests of one client and writes the responses, one at a time."""
 
     def __init__(self, scheduler: Scheduler, stream: Stream, limits: Limits, body_memory: BodyMemory) -> None:
         self._scheduler, self.stream = scheduler, stream
         self._body_memory, self._body_bytes = body_memory, 0
         self.limits = limits
-        self.wake = Event()  # set to end an idle connection
+        self.wake = Event()  # set to interrupt the wait for the next request on an idle connection
         self.is_idle = True
         self.closes_after_response = False
         self.closes_when_idle = False
-        self.has_response_begun = False  # the head of a response was made
+        self.has_response_begun = False  # whether the head of the current response has been built
         self._unsent_head = b""
         self._protocol = h11.Connection(h11.SERVER, max_incomplete_event_size=limits.header_bytes)
         self._read_ahead = ReadAhead(self._protocol, body_memory)
@@ -47,17 +47,17 @@
 
     @property
     def must_close(self) -> bool:
-        """Whether the connection closes with its next response; part of a next request may be discarded."""
+        """Whether the connection closes after its next response, e.g. as pipelined bytes were discarded."""
         return self.closes_after_response or self.presence.discarded_bytes > 0
 
     # --- requests ---------------------------------------------------------------------------------
 
     def read(self) -> ClientRequest | None:
-        """Read the next request; None where the client disconnected or was idle, or the gateway ends.
+        """Read the next request; return None if the client disconnected, was idle, or the gateway shuts down.
 
         Raises:
             h11.RemoteProtocolError: The client does not speak HTTP/1.1.
-            RequestTooLargeError: The request exceeds a limit.
+            RequestTooLargeError: The request exceeds a size limit or the memory for request bodies.
         """
         self._release_body()
         self.is_idle, self.has_response_begun = not self._protocol.trailing_data[0], False
@@ -100,21 +100,21 @@
         if self._body_bytes + size_bytes > self.limits.body_bytes:
             raise RequestTooLargeError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "limits.body_bytes")
         if not self._body_memory.reserve(size_bytes):
-            raise RequestTooLargeError(HTTPStatus.SERVICE_UNAVAILABLE, "the memory for all request bodies")
+            raise RequestTooLargeError(HTTPStatus.SERVICE_UNAVAILABLE, "the limit of all bodies together")
         self._body_bytes += size_bytes
 
     def release_memory(self) -> None:
-        """Give all memory back: the connection is over."""
+        """Release all memory that this connection has reserved, when the connection ends."""
         self._release_body()
         self._read_ahead.release()
 
     def _release_body(self) -> None:
-        """Give the memory of the last request's body back."""
+        """Release the memory of the last request's body."""
         self._body_memory.release(self._body_bytes)
         self._body_bytes = 0
 
     def _feed(self, deadline_s: float) -> bool:
-        """Receive bytes for the parser; False where none will come."""
+        """Receive bytes and pass them to the parser; return False if none arrive in time."""
         send_continue(self._protocol, self.stream, SEND_TIMEOUT_S)
         data = self._receive(deadline_s)
         if data is None:
@@ -135,38 +135,38 @@
                 return data
 
     def begin_next_cycle(self) -> bool:
-        """Prepare for the next request; False where the connection can't carry one."""
+        """Prepare for the next request; return False if the connection can't carry another one."""
         if self._protocol.our_state is not h11.DONE or self._protocol.their_state is not h11.DONE:
             return False
         self._protocol.start_next_cycle()
         return True
 
     def has_departed(self) -> bool:
-        """Whether the client has closed its connection and everything that it sent has been read."""
+        """Whether the client has closed its connection and all bytes that it sent have been read."""
         return self.presence.has_left or self.stream.peek() == b""
 
     # --- responses --------------------------------------------------------------------------------
 
     def begin_response(self, status: int, headers: HeaderList) -> None:
-        """Begin a response whose body follows in chunks; its head is sent with the first of them."""
+        """Begin a chunked response; its head is sent together with the first chunk of the body."""
         self._unsent_head = self._protocol.send(self._head(status, headers, None)) or b""
 
     def send_data(self, data: bytes) -> None:
-        """Send a piece of the body."""
+        """Send one chunk of the response body."""
         self._write(self._protocol.send(h11.Data(data=data)) or b"")
 
     def end_response(self) -> None:
-        """Send the end of the body."""
+        """Send the last chunk, which ends the response body."""
         self._write(self._protocol.send(h11.EndOfMessage()) or b"")
 
     def send_response(self, status: int, headers: HeaderList, body: bytes) -> None:
-        """Send a complete response."""
+        """Send a complete response with a known body length."""
         self._write(encode_message(self._protocol, self._head(status, headers, len(body)), body))
 
     def send_error(
         self, status: int, reason: str, attempt_id: bytes = b"", retry_after_s: float | None = None
     ) -> None:
-        """Send a response of the gateway's own, `retry_after_s` where the request has not run."""
+        """Send an error response of the gateway itself, with `Retry-After` if `retry_after_s` is given."""
         headers = [(b"Content-Type", b"application/json")]
         if attempt_id:
             headers.append((b"X-Attempt-Id", attempt_id))
@@ -175,9 +175,9 @@
         self.send_response(status, headers, orjson.dumps({"error": reason}))
 
     def _head(self, status: int, headers: HeaderList, length_bytes: int | None) -> h11.Response:
-        """Build the head of a response, with a length or, where that is None, in chunks.
+        """Build the head of a response; the body is chunked if `length_bytes` is None.
 
-        Names of forwarded headers are in lower case; those of the gateway's own are never hop-by-hop.
+        Names of forwarded headers are in lower case; headers set by the gateway itself are never hop-by-hop.
         """
         framing = (
             (b"Transfer-Encoding", b"chunked")
@@ -192,7 +192,7 @@
         return h11.Response(status_code=status, headers=sent)
 
     def _write(self, data: bytes) -> None:
-        """Send bytes; raises `PeerDisconnectedError` where the client takes them no more."""
+        """Send bytes; raises `PeerDisconnectedError` if the client has disconnected or stopped reading."""
         if self._unsent_head:
             data, self._unsent_head = self._unsent_head + data, b""
         try:
--- a/brambleusher/dataplane/client_request.py
+++ b/brambleusher/dataplane/client_request.py
@@ -1,4 +1,4 @@
-"""One complete request of a client."""
+"""A client's complete request and its headers."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True, eq=False)
 class ClientRequest:
-    """Head and body of a request; header names are in lower case."""
+    """The head and body of a client's request; header names are in lower case."""
 
     method: bytes
     target: bytes
@@ -34,7 +34,7 @@
     received_at_s: float
 
     def header(self, name: bytes) -> bytes:
-        """Return a header's value, empty where it is missing."""
+        """Return a header's value, empty if the header is missing."""
         for key, value in self.headers:
             if key == name:
                 return value
@@ -43,7 +43,7 @@
     def end_to_end_headers(self) -> HeaderList:
         """Return the headers that are forwarded to the instance.
 
-        Hop-by-hop headers, and those that `Connection` names, are left out.
+        Hop-by-hop headers and the headers named by `Connection` are left out.
         """
         named_by_connection = {
             token.strip().lower()
--- a/brambleusher/dataplane/configuration_client.py
+++ b/brambleusher/dataplane/configuration_client.py
@@ -1,4 +1,4 @@
-"""The long poll's client: follows some controllers, and has a store apply what they respond."""
+"""The long-poll client: polls several controllers and passes their responses to the configuration store."""
 
 from __future__ import annotations
 
@@ -25,25 +25,25 @@
 
 log = logging.getLogger(__name__)
 
-POLLERS = 2  # controllers followed at once: one that freezes or is partitioned off delays nothing
-POLL_TIMEOUT_S = 1.1  # twice the time that a controller holds a poll, and a round trip between regions
+POLLERS = 2  # controllers polled at once, so that a frozen or partitioned controller delays no update
+POLL_TIMEOUT_S = 1.1  # twice the time that a controller holds a poll, plus a round trip between regions
 RETRY_PAUSE_S = 0.05
-BRIEF_WAIT_S = 0.25  # for the primary poller to get an update, before its content is requested here too
-LIST_STALE_S = 3.2  # a controller whose reading of the list is older is left for another
-REPORT_INTERVAL_S = 0.8  # at which load reports are exchanged with the other gateways
+BRIEF_WAIT_S = 0.25  # wait for the primary poller to get an update before another poller requests it as well
+LIST_STALE_S = 3.2  # if its instance list is older, a controller is abandoned for another one
+REPORT_INTERVAL_S = 0.8  # how often load reports are exchanged with the other gateways
 
 
 @dataclass(slots=True)
 class _PollState:
-    """What one poller knows of the controller that it follows."""
+    """What one poller knows about the controller that it polls."""
 
-    list_version: ListVersion = NO_LIST  # that this controller last named
-    is_primary: bool = False  # it has the nearest controller: it alone gets large updates and load reports
-    is_brief: bool = True  # where it is not primary: it asks only whether there are updates
+    list_version: ListVersion = NO_LIST  # the list version in the last response of this controller
+    is_primary: bool = False  # polls the nearest controller; only it gets large updates and load reports
+    is_brief: bool = True  # if not primary: only asks whether there are updates
 
 
 class ConfigurationClient:
-    """Polls controllers, each in a task of its own."""
+    """Polls several controllers at once, each in its own task."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
         store: ConfigurationStore,
         describe_self: Callable[[], Peer],
     ) -> None:
-        """Start to poll; `describe_self` gives this gateway's entry in the controllers' partial view."""
+        """Start polling; `describe_self` returns this gateway's entry for the controllers' partial view."""
         self._scheduler, self._controllers = scheduler, controllers
         self._instances, self._store, self._describe_self = instances, store, describe_self
         self._report_due_s = 0.0
@@ -73,7 +73,7 @@
             self._scheduler.sleep(RETRY_PAUSE_S)
 
     def _follow(self, address: str, poller: int) -> bool:
-        """Poll one controller until it is no use (False) or a nearer one is available (True)."""
+        """Poll one controller; return True if a nearer one is available, False if this one is not useful."""
         client = LineClient(self._scheduler, parse_address(address))
         state = _PollState()
         try:
@@ -86,7 +86,7 @@
                 confirms_list = state.is_primary and response.list_version == state.list_version
                 self._store.apply(response, confirms_list)
                 if not state.is_primary and state.is_brief and self._store.is_behind(response):
-                    # The primary poller should get it; if not, this controller is asked for it.
+                    # The primary poller should get the update; otherwise this poller requests its content.
                     self._scheduler.sleep(BRIEF_WAIT_S)
                     state.is_brief = not self._store.is_behind(response)
                     continue
@@ -103,7 +103,7 @@
     def _request(self, poller: int, state: _PollState) -> LongPollRequest:
         is_primary = self._controllers.holds_nearest(poller)
         if is_primary and not state.is_primary:
-            state.list_version = NO_LIST  # brief responses name a list version, but have no list
+            state.list_version = NO_LIST  # brief responses contain a list version but no list
         state.is_primary = is_primary
         gateway = self._describe_self()
         if is_primary:
@@ -123,7 +123,7 @@
         self._controllers.mark_observer(address, controllers_from_json(answer.get("controllers")))
 
     def _is_useful(self, response: LongPollResponse) -> bool:
-        """Whether a controller is in contact with a majority and its list is fresh."""
+        """Whether the controller is in contact with a majority and its instance list is fresh."""
         age_s = response.list_age_s
         has_fresh_list = not self._instances.has_list or (age_s is not None and age_s < LIST_STALE_S)
         return response.has_quorum_contact and has_fresh_list
--- a/brambleusher/dataplane/configuration_store.py
+++ b/brambleusher/dataplane/configuration_store.py
@@ -1,4 +1,4 @@
-"""The gateway's copy of the control plane's state: what is newer is applied, what is older never."""
+"""The gateway's copy of the control plane's state: newer data is applied, older data is ignored."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 from brambleusher.wire.errors import InvalidConfigurationError, InvalidMessageError
 from brambleusher.wire.packing import unpack
 
-LIST_LAG_S = 1.0  # behind another controller's reading, from which on that reading is requested
-QUORUM_WAIT_S = 2.0  # after the start, for a controller with a majority, before another's state is applied
-COUNT_WINDOW_S = 30.0  # the largest count of gateways within this time shares the budgets
-COUNT_SAMPLE_S = 1.0
+LIST_LAG_S = 1.0  # a list from another controller is requested if it is newer by more than this
+QUORUM_WAIT_S = 2.0  # after the start, how long to prefer state from a controller with a majority
+COUNT_WINDOW_S = 30.0  # budgets are divided by the largest count of gateways within this time
+COUNT_SAMPLE_S = 1.0  # an unchanged count is recorded again after this interval
 
 
 class GatewayCount:
-    """The largest recent count of gateways: budgets shared by too few would be exceeded."""
+    """Tracks the largest recent count of gateways: dividing by too small a count would exceed the budgets."""
 
     def __init__(self) -> None:
         self._samples: list[tuple[float, int]] = []
 
     def record(self, gateways: int, now_s: float) -> float:
-        """Record a count; return the largest of the window, at least 1."""
+        """Record a count; return the largest count within `COUNT_WINDOW_S`, at least 1."""
         self._samples = [(at_s, count) for at_s, count in self._samples if now_s - at_s < COUNT_WINDOW_S]
         samples = self._samples
         if not samples or samples[-1][1] != gateways or now_s - samples[-1][0] > COUNT_SAMPLE_S:
@@ -36,7 +36,7 @@
 
 
 class ConfigurationStore:
-    """Owns the routes in force, and keeps the instance table up to date."""
+    """Holds the routes in force and keeps the instance table up to date."""
 
     def __init__(
         self,
@@ -45,16 +45,16 @@
         instances: InstanceTable,
         on_unusable: Callable[[list[Instance]], None],
     ) -> None:
-        """Start without a configuration; `on_unusable` gets instances that drain or were removed."""
+        """Start without a configuration; `on_unusable` receives instances that drain or were removed."""
         self._scheduler, self._controllers = scheduler, controllers
         self._instances, self._on_unusable = instances, on_unusable
-        self.state_index = -1  # of the last applied command
+        self.state_index = -1  # log index of the last applied command; -1 before the first one
         self.routes: RouteTable | None = None
         self._started_at_s = scheduler.now()
         self._gateway_count = GatewayCount()
 
     def is_behind(self, response: LongPollResponse) -> bool:
-        """Whether a controller that answered briefly has what this gateway still lacks."""
+        """Whether a controller's brief response announces newer data than this gateway has."""
         has_newer_list = False
         if response.list_age_s is not None:
             read_at_s = self._scheduler.now() - response.list_age_s
@@ -62,14 +62,14 @@
         return response.state_index > self.state_index or has_newer_list
 
     def apply(self, response: LongPollResponse, confirms_list: bool) -> None:
-        """Apply what is newer, the state first: a list that can't be read does not delay a configuration.
+        """Apply newer state, then a newer list, so that a malformed list does not delay a configuration.
 
         Args:
-            response: Of any controller.
+            response: The response of any controller.
             confirms_list: Whether the list was taken from this controller and has not changed since.
 
         Raises:
-            InvalidMessageError: A part can't be read; what comes before it is applied.
+            InvalidMessageError: A part is malformed; the parts before it have been applied.
         """
         now_s = self._scheduler.now()
         try:
@@ -81,7 +81,7 @@
             if load is not None:
                 self._instances.apply_fleet_load(load.reporters, load.totals, now_s)
         except (TypeError, ValueError, InvalidConfigurationError) as error:
-            raise InvalidMessageError(f"a configuration can't be applied: {error!r}") from error
+            raise InvalidMessageError(f"cannot apply a configuration update: {error!r}") from error
         if response.controllers and response.has_quorum_contact:
             self._controllers.set_announced(response.controllers)
 
@@ -90,7 +90,7 @@
             return
         has_waited = now_s - self._started_at_s >= QUORUM_WAIT_S
         if not response.has_quorum_contact and self.routes is None and not has_waited:
-            return  # it may have lost contact long ago, and others have newer state
+            return  # this controller may have lost contact long ago, and others may have newer state
         packed = response.state.packed_configuration
         routes = RouteTable(configuration.read_checked(unpack(packed))) if packed else None
         self.state_index = response.state_index
@@ -107,5 +107,5 @@
         if instances is not None:
             self._on_unusable(self._instances.update(instances, read_at_s, now_s))
         elif confirms_list and self._instances.has_list:
-            # Otherwise a list that does not change would seem to grow old, and be requested again.
+            # Without this, an unchanged list would look stale and be requested again.
             self._instances.list_read_at_s = max(self._instances.list_read_at_s, read_at_s)
--- a/brambleusher/dataplane/connection_pool.py
+++ b/brambleusher/dataplane/connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to instances, kept idle between requests."""
+"""A pool of connections to instances, kept idle between requests."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 from brambleusher.runtime.streams import Stream
 from brambleusher.wire.policy import Policy
 
-CONNECT_TIMEOUT_S = 0.25  # two round trips between far regions; half the time left if that is less
-UNACKNOWLEDGED_MAX_S = 0.6  # for bytes or TCP probes: then the instance is unreachable
-IDLE_DEFAULT_S = 3.0  # for a connection whose `Keep-Alive` says nothing
-IDLE_MARGIN_S = 1.0  # a connection is not used any more so long before `Keep-Alive` ends it
-IDLE_MAX_S = 60.0
-IDLE_TRUSTED_S = 0.5  # an idle time that is always trusted
-TRUST_TARGET_S = 0.5  # the latency target in whose multiples trust comes back
-TRUST_WINDOW = 10.0  # latency targets for which resets are remembered
-CONNECTION_FRACTION = 0.8  # of the limit that gateways use together: they may be miscounted
+CONNECT_TIMEOUT_S = 0.25  # two round trips between far regions; capped at half of the remaining time
+UNACKNOWLEDGED_MAX_S = 0.6  # an instance is unreachable if bytes or TCP probes go unacknowledged for longer
+IDLE_DEFAULT_S = 3.0  # idle limit if the response has no `Keep-Alive` timeout
+IDLE_MARGIN_S = 1.0  # subtracted from the `Keep-Alive` timeout, so that no expiring connection is used
+IDLE_MAX_S = 60.0  # upper bound of the learned idle timeout
+IDLE_TRUSTED_S = 0.5  # connections idle for less than this are always reused
+TRUST_TARGET_S = 0.5  # unit of time, a latency target, in which the learned idle timeout recovers
+TRUST_WINDOW = 10.0  # time constant, in latency targets, with which past resets are forgotten
+CONNECTION_FRACTION = 0.8  # part of the limit used by all gateways together, as they may be miscounted
 RESPONSE_HEAD_MAX_BYTES = 64 * 1024
 NS_PER_S = 1e9
 
@@ -35,12 +35,12 @@
 
 
 def connection_quota(limit: int, gateways: float) -> int:
-    """Return how many connections to one instance a gateway may hold, given the limit for all of them."""
+    """Return how many connections to one instance a gateway may hold, given the limit of all gateways."""
     return max(1, int(limit * CONNECTION_FRACTION / max(gateways, 1.0)))
 
 
 class ConnectionPool:
-    """Opens, lends, takes back and closes connections, one pool an instance."""
+    """Opens, reuses and closes connections; the idle ones are kept with each instance."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         drops_idle_unseen: bool = False,
         policy: Policy | None = None,
     ) -> None:
-        """With `drops_idle_unseen` instances may drop idle connections at any time without closing them."""
+        """Create a pool; with `drops_idle_unseen` instances drop idle connections without closing them."""
         self._scheduler, self._instances = scheduler, instances
         self._idle_timeout = IdleTimeout(IDLE_MAX_S * NS_PER_S, IDLE_TRUSTED_S * NS_PER_S)
         self.drops_idle_unseen = drops_idle_unseen
@@ -57,24 +57,25 @@
 
     @property
     def trusted_idle_s(self) -> float:
-        """How long a connection may have been idle and is still reused."""
+        """The longest idle time in seconds after which a connection is still reused."""
         return self._idle_timeout.timeout_ns / NS_PER_S if self._policy.learns_idle_timeout else IDLE_MAX_S
 
     def has_capacity(self, instance: Instance) -> bool:
-        """Whether a connection is idle or may be opened."""
+        """Whether an idle connection exists or a new one may be opened."""
         if instance.idle_connections:
             return True
         service = self._instances.services.get(instance.service)
         limit = service.connection_limit if service is not None else 1
         return instance.connection_count < connection_quota(limit, self._instances.gateway_count)
 
-    # --- lending ----------------------------------------------------------------------------------
+    # --- acquire and release ----------------------------------------------------------------------
 
     def acquire_idle(self, instance: Instance, must_run_once: bool) -> UpstreamConnection | None:
-        """Take an idle connection that is still trusted; None where there is none.
+        """Take an idle connection whose idle time is within the limit; return None if there is none.
 
-        A request that must run once gets one only after a recent contact with the instance, which may have
-        lost power: a request over an idle connection would be lost, whereas a new connection only fails.
+        A request that must run once gets an idle connection only if the instance was in contact recently: if
+        the instance has lost power, a request on an idle connection is lost, while a new connection only
+        fails to open.
         """
         now_s = self._scheduler.now()
         is_stale = now_s - instance.last_contact_s > CONTACT_FRESH_S
@@ -91,7 +92,7 @@
         return None
 
     def connect(self, instance: Instance, deadline_s: float) -> Result[UpstreamConnection, ConnectFailed]:
-        """Open a connection, and record for the instance and its zone whether that succeeded."""
+        """Open a connection, and record the success or failure for the instance and its zone."""
         begin_s = self._scheduler.now()
         instance.connection_count += 1
         try:
@@ -128,7 +129,7 @@
         self._instances.zone_backoff.record_connected(instance.zone)
 
     def release(self, instance: Instance, connection: UpstreamConnection, headers: Headers) -> None:
-        """Put a connection back, or close it where its response does not allow another request."""
+        """Return a connection to the pool, or close it if its response does not allow another request."""
         protocol = connection.protocol
         is_clean = (
             protocol.our_state is h11.DONE
@@ -147,7 +148,7 @@
     # --- closing ----------------------------------------------------------------------------------
 
     def close(self, instance: Instance, connection: UpstreamConnection) -> None:
-        """Close a connection that is not idle."""
+        """Close a connection that is not among the idle ones."""
         connection.stream.close()
         instance.connection_count -= 1
 
@@ -159,7 +160,7 @@
                 self.close(instance, connection)
 
     def close_expired(self, instances: Sequence[Instance]) -> None:
-        """Close connections that were idle for too long."""
+        """Close connections whose `Keep-Alive` time has passed."""
         now_s = self._scheduler.now()
         for instance in instances:
             expired = [each for each in instance.idle_connections if each.idle_until_s <= now_s]
@@ -167,27 +168,27 @@
                 instance.idle_connections.remove(connection)
                 self.close(instance, connection)
 
-    # --- trust in idle connections ----------------------------------------------------------------
+    # --- learned idle timeout ---------------------------------------------------------------------
 
     def record_response(self, connection: UpstreamConnection) -> None:
-        """Record that a response came over a connection, reused after an idle time or new."""
+        """Record that a response arrived; if the connection was reused, its idle time was safe."""
         if connection.idle_s:
             self._idle_timeout.record_attempt(AttemptStatus.OK, int(connection.idle_s * NS_PER_S))
             connection.idle_s = 0.0
 
     def record_reset(self, connection: UpstreamConnection) -> None:
-        """Record that a connection was reset: reused after an idle time, it may have been forgotten."""
+        """Record a reset; if the connection was reused, the instance may have dropped it while idle."""
         if connection.idle_s:
             self._idle_timeout.record_attempt(AttemptStatus.RESET, int(connection.idle_s * NS_PER_S))
 
     def tick(self, elapsed_s: float) -> None:
-        """Let trust in idle connections come back as time passes."""
+        """Let the learned idle timeout recover as time passes."""
         targets = elapsed_s / TRUST_TARGET_S
         self._idle_timeout.recover(targets, math.exp(-targets / TRUST_WINDOW))
 
 
 def _keep_alive_s(headers: Headers) -> float:
-    """Return how long a connection may be idle, with a margin; 0 or less where it is to be closed."""
+    """Return how long a connection may stay idle in seconds, less a margin; at most 0 to close it now."""
     for name, value in headers:
         if name == b"connection" and b"close" in value.lower():
             return 0.0
--- a/brambleusher/dataplane/counters.py
+++ b/brambleusher/dataplane/counters.py
@@ -1,4 +1,4 @@
-"""Counters of request outcomes, for operators."""
+"""Counters of request outcomes, shown to operators on the status page."""
 
 from __future__ import annotations
 
@@ -14,35 +14,35 @@
     """Outcomes of requests; the values are the names on the status page."""
 
     SERVED = "served"
-    ERROR_FORWARDED = "passed_failure"  # an error response of an instance
-    RESUMED = "resumed"  # streams, at another instance
-    BROKEN = "broken"  # complete responses that broke off
-    FAILED = "failed"  # 502 and 504
+    ERROR_FORWARDED = "passed_failure"  # an error response of an instance was forwarded
+    RESUMED = "resumed"  # an event stream was resumed at another instance
+    BROKEN = "broken"  # a buffered (non-streaming) response broke off
+    FAILED = "failed"  # answered with status 502 or 504
     NO_ROUTE = "no_route"
-    NOT_SERVING = "not_serving"  # no configuration yet, or too late in a shutdown
+    NOT_SERVING = "not_serving"  # rejected as there is no configuration yet or a shutdown is too far advanced
     BAD_REQUEST = "bad_request"
     TOO_LARGE = "too_large"
     CLIENT_LEFT = "client_left"  # the client closed its connection before its response was complete
 
 
 class Counters:
-    """Counts requests by outcome, rejections and failed attempts by reason."""
+    """Counts requests by outcome, and rejections and failed attempts by reason."""
 
     def __init__(self) -> None:
         self._counts: Counter[str] = Counter()
 
     def add(self, counter: RequestCounter) -> None:
-        """Count a request."""
+        """Count a request with the given outcome."""
         self._counts[counter.value] += 1
 
     def add_rejection(self, reason: RejectionReason) -> None:
-        """Count a request that this gateway rejected."""
+        """Count a request that this gateway rejected, by reason."""
         self._counts[f"{REJECTION_PREFIX}{reason.value}"] += 1
 
     def add_failed_attempt(self, reason: RejectionReason) -> None:
-        """Count an attempt without a response."""
+        """Count an attempt that got no response, by reason."""
         self._counts[reason.value] += 1
 
     def as_json(self) -> dict[str, int]:
-        """Return all counters that were ever increased, by name."""
+        """Return all nonzero counters by name."""
         return dict(sorted(self._counts.items()))
--- a/brambleusher/dataplane/errors.py
+++ b/brambleusher/dataplane/errors.py
@@ -4,15 +4,15 @@
 
 
 class DataPlaneError(Exception):
-    """Base of all exceptions that the data plane raises itself."""
+    """Base class of the exceptions that the data plane defines."""
 
 
 class ResponseBrokenError(DataPlaneError):
-    """A response that had begun ended before it was complete."""
+    """An instance's response ended before it was complete."""
 
 
 class RequestTooLargeError(DataPlaneError):
-    """A client's request exceeds a limit; `status` is the HTTP status that says which one."""
+    """A client's request exceeds a limit; `status` is the HTTP status to respond with."""
 
     def __init__(self, status: int, limit: str) -> None:
         super().__init__(f"HTTP {status}: a request exceeds {limit}")
@@ -20,4 +20,4 @@
 
 
 class EventTooLongError(DataPlaneError):
-    """A `text/event-stream` holds an event beyond the size limit."""
+    """An event in a `text/event-stream` response exceeds the size limit."""
--- a/brambleusher/dataplane/event_stream.py
+++ b/brambleusher/dataplane/event_stream.py
@@ -1,4 +1,4 @@
-"""Splitting of server-sent events (`text/event-stream`) into complete events that can be passed on."""
+"""Splits a stream of server-sent events (`text/event-stream`) into complete events to forward."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 class EventSplitter:
     """Takes bytes and returns complete events; an incomplete event stays buffered.
 
-    The buffer of a broken stream is dropped with its splitter, so that a client never sees half an event.
+    When a stream breaks off, its splitter and buffer are discarded, so a client never gets half an event.
     """
 
     def __init__(self, after_id: int | None = None) -> None:
-        """Events with an id up to `after_id` were passed on before and are left out."""
+        """Create a splitter that skips events with an id up to `after_id`, which were forwarded before."""
         self._buffer = b""
         self._after_id = after_id
         self.last_id = after_id
 
     def feed(self, data: bytes) -> bytes:
-        """Return the events that `data` completes, joined, without those passed on before.
+        """Return the events that `data` completes, concatenated, without events forwarded before.
 
         Raises:
             EventTooLongError: The buffered event exceeds `EVENT_MAX_BYTES`.
@@ -55,7 +55,7 @@
 
 
 def _last_event_end(buffer: bytes) -> int:
-    """Return the position after the last complete event, negative where none is complete."""
+    """Return the position after the last complete event, negative if no event is complete."""
     lf, crlf = buffer.rfind(LF_END), buffer.rfind(CRLF_END)
     lf_end = lf + len(LF_END) if lf >= 0 else -1
     crlf_end = crlf + len(CRLF_END) if crlf >= 0 else -1
@@ -74,7 +74,7 @@
 
 
 def event_id(event: bytes) -> int | None:
-    """Return the numeric id of an event, None where it has none."""
+    """Return the numeric id of an event, None if it has none."""
     for line in event.splitlines():
         if line.startswith(ID_FIELD):
             number = line[len(ID_FIELD) :].strip()
--- a/brambleusher/dataplane/instance_entry.py
+++ b/brambleusher/dataplane/instance_entry.py
@@ -1,4 +1,4 @@
-"""One entry of the platform's instance list, parsed from its form on the wire."""
+"""One entry of the platform's instance list, parsed from its wire format."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 from brambleusher.wire.json_fields import JsonObject, require_str
 
 MS_PER_S = 1000
-DEFAULT_CAPACITY = 1  # of an instance whose entry says nothing, or 0
+DEFAULT_CAPACITY = 1  # capacity of an instance whose entry has none, or 0
 READY_STATE = "ready"
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceEntry:
-    """What the list says of one instance."""
+    """The instance list's data about one instance."""
 
     id: str
     service: str
     address: str  # host:port
     zone: str
-    capacity: float  # requests that it can serve at once
-    warm_up_s: float  # until it is warm; 0 where it is, or where the list does not say
+    capacity: float  # number of requests that the instance can serve at once
+    warm_up_s: float  # time in seconds until the instance is warm; 0 if it is, or if the entry has no time
     is_ready: bool
 
     @classmethod
     def from_json(cls, data: JsonObject) -> InstanceEntry:
-        """Return an entry from its form on the wire.
+        """Return an entry parsed from its wire format.
 
         Raises:
-            InvalidMessageError: A field is missing or can't be read.
+            InvalidMessageError: A field is missing or malformed.
         """
         return cls(
             id=require_str(data, "id"),
@@ -45,8 +45,8 @@
 def _number(data: JsonObject, key: str, default: float) -> float:
     value = data.get(key) or default
     if not isinstance(value, int | float | str):
-        raise InvalidMessageError(f"{key} is no number: {value!r:.80}")
+        raise InvalidMessageError(f"{key} is not a number: {value!r:.80}")
     try:
         return float(value)
     except ValueError as error:
-        raise InvalidMessageError(f"{key} is no number: {value!r:.80}") from error
+        raise InvalidMessageError(f"{key} is not a number: {value!r:.80}") from error
--- a/brambleusher/dataplane/instance_table.py
+++ b/brambleusher/dataplane/instance_table.py
@@ -1,4 +1,4 @@
-"""All instances that this gateway knows: what the list says, what attempts have shown, which may be used."""
+"""The table of all known instances: their list entries, observed load and failures, and usability."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from brambleusher.wire.instance_load import InstanceLoad
 from brambleusher.wire.policy import Policy
 
-WARM_UP_MARGIN_S = 1.5  # the list lags: an instance may have started later than it seems
-DEFAULT_GATEWAY_COUNT = 8.0  # until a controller has counted them
+WARM_UP_MARGIN_S = 1.5  # added since the list lags: an instance may have started later than it seems
+DEFAULT_GATEWAY_COUNT = 8.0  # assumed number of gateways until a controller reports a count
 
 
 class InstanceTable:
-    """Owns all instances, and the weights of each service."""
+    """Holds all instances, and the instance weights of each service."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         policy: Policy | None = None,
         gateway_name: str = "",
     ) -> None:
-        """Start without a list; `zones` gives the region of each zone."""
+        """Start without an instance list; `zones` maps each zone to its region."""
         self._zones, self._rng, self._gateway_name = zones, rng, gateway_name
         self._policy = policy or Policy()
         self._instances: dict[str, Instance] = {}
@@ -39,33 +39,33 @@
         self.evacuated_zones: frozenset[str] = frozenset()
         self.services: Mapping[str, Service] = {}
         self.gateway_count = DEFAULT_GATEWAY_COUNT
-        self.gateway_rank = 0  # of this gateway among them, in the order of their names
+        self.gateway_rank = 0  # position of this gateway among all gateways, sorted by name
         self.zone_backoff = ZoneBackoff()
-        self.list_read_at_s = -1.0  # when the platform gave the current list, on the local clock
+        self.list_read_at_s = -1.0  # local time at which the platform returned the list; -1 without a list
 
-    # --- the list ---------------------------------------------------------------------------------
+    # --- instance list ----------------------------------------------------------------------------
 
     @property
     def has_list(self) -> bool:
-        """Whether a list has been taken yet."""
+        """Whether an instance list has been applied yet."""
         return self.list_read_at_s >= 0
 
     def for_service(self, service: str) -> list[Instance]:
-        """Return the instances of a service that are on the list."""
+        """Return the listed instances of a service."""
         return self._by_service.get(service, [])
 
     @property
     def attempts_in_flight(self) -> int:
-        """How many connections to listed instances are in use."""
+        """The number of connections to listed instances that are in use."""
         return sum(each.connection_count - len(each.idle_connections) for each in self._instances.values())
 
     def update(self, entries: Iterable[InstanceEntry], read_at_s: float, now_s: float) -> list[Instance]:
-        """Apply a newer list; return the instances that drain or were removed.
+        """Apply a newer instance list; return the instances that drain or were removed.
 
         Args:
-            entries: The complete list.
-            read_at_s: When the platform gave it, on the local clock.
-            now_s: The time of the scheduler.
+            entries: All entries of the list.
+            read_at_s: When the platform returned the list, on the local clock, in seconds.
+            now_s: The current time of the scheduler in seconds.
         """
         is_first, self.list_read_at_s = not self.has_list, read_at_s
         listed: set[str] = set()
@@ -113,7 +113,7 @@
         return service.warm_up_s + WARM_UP_MARGIN_S if service is not None and service.warm_up_s > 0 else 0.0
 
     def set_evacuated_zones(self, zones: frozenset[str], now_s: float) -> None:
-        """Change the evacuated zones; instances of one that is taken back may have to warm up again."""
+        """Set the evacuated zones; instances of a zone that is restored have to warm up again."""
         restored = self.evacuated_zones - zones
         for instance in self._instances.values():
             if instance.zone in restored:
@@ -143,7 +143,7 @@
         )
 
     def tick(self, now_s: float) -> None:
-        """Recompute weights."""
+        """Recompute the weights of all instances."""
         for weights in self.weights.values():
             weights.recompute(now_s, self.gateway_count)
 
@@ -154,20 +154,20 @@
             weights.record_load(instance.id, load.running, load.queued, load.slots)
 
     def load_report(self) -> dict[str, list[float]]:
-        """Return what this gateway observed of each instance, for the other gateways."""
+        """Return this gateway's observations of each instance, to be sent to the other gateways."""
         report: dict[str, list[float]] = {}
         for weights in self.weights.values():
             report.update(weights.export_totals())
         return report
 
     def apply_fleet_load(self, reporters: int, totals: Mapping[str, Sequence[float]], now_s: float) -> None:
-        """Apply what so many other gateways observed of each instance, added up."""
+        """Apply the observations of `reporters` other gateways, summed up for each instance."""
         if not self._policy.uses_fleet_metrics:
             return
         for weights in self.weights.values():
             weights.import_totals(reporters, totals, now_s)
 
-    # --- which may be used ------------------------------------------------------------------------
+    # --- usable instances -------------------------------------------------------------------------
 
     def _in_service(self, service: str) -> list[Instance]:
         return [
@@ -177,7 +177,7 @@
         ]
 
     def usable(self, route: Route, service: str, now_s: float) -> list[Instance]:
-        """Return the instances that a request of a route may be sent to."""
+        """Return the instances of a service that a request of a route may be sent to."""
         homes = route.home_regions
         return [
             instance
@@ -187,7 +187,7 @@
         ]
 
     def admit(self, instance: Instance, now_s: float) -> bool:
-        """Take from the budget of an instance that warms up; whether one more attempt is within it."""
+        """Take an attempt from the budget of a warming instance; return whether the attempt is allowed."""
         service = self.services.get(instance.service)
         has_limit = service is not None and service.warm_up_requests_per_s > 0 and self._policy.limits_warm_up
         if not self.is_warming_up(instance, now_s) or service is None or not has_limit:
@@ -201,7 +201,7 @@
 
     @staticmethod
     def is_warming_up(instance: Instance, now_s: float) -> bool:
-        """Whether an instance is warming up."""
+        """Whether an instance is still in its warm-up (slow start)."""
         return instance.warming_until_s > now_s
 
 
--- a/brambleusher/dataplane/long_poll_messages.py
+++ b/brambleusher/dataplane/long_poll_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the long poll as a gateway sends and reads them, with their form on the wire."""
+"""The long-poll messages that a gateway sends and reads, with their wire format."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from brambleusher.wire.errors import InvalidMessageError
 from brambleusher.wire.json_fields import JsonObject, as_object, require_int, require_list, require_object
 
-LONG_POLL = "watch"  # kind of a gateway's message, on the wire
+LONG_POLL = "watch"  # the `kind` of a gateway's long-poll request on the wire
 NO_VERSION = -1
 
-LoadReport = Mapping[str, Sequence[float]]  # what gateways observed, by instance
+LoadReport = Mapping[str, Sequence[float]]  # metrics that gateways observed, by instance id
 
 
 @dataclass(frozen=True, slots=True)
 class ListVersion:
-    """The version of an instance list, as the controller that sent it counts."""
+    """The version of an instance list; each controller numbers its own versions."""
 
-    source: str = ""  # name of the controller
+    source: str = ""  # name of the controller that numbered this version
     number: int = NO_VERSION
 
 
@@ -30,16 +30,16 @@
 
 @dataclass(frozen=True, slots=True)
 class LongPollRequest:
-    """Says which versions the gateway has, and asks for newer ones."""
+    """Names the versions that the gateway has, and asks for newer ones."""
 
     gateway: Peer
     state_index: int
     list_version: ListVersion
-    is_brief: bool | None = None  # respond only that there is an update; None: not said
-    load_report: LoadReport | None = None  # of this gateway; None: no exchange is due
+    is_brief: bool | None = None  # asks only whether there is an update; None leaves the field out
+    load_report: LoadReport | None = None  # this gateway's report; None if no exchange is due
 
     def as_json(self) -> dict[str, object]:
-        """Return the form on the wire."""
+        """Return the request in its wire format."""
         data: dict[str, object] = {
             "kind": LONG_POLL,
             "me": self.gateway.as_json(),
@@ -56,15 +56,15 @@
 
 @dataclass(frozen=True, slots=True)
 class StateUpdate:
-    """The configuration in force, and the evacuated zones."""
+    """The configuration in force and the evacuated zones."""
 
-    packed_configuration: str  # empty where none is in force yet
+    packed_configuration: str  # empty if no configuration is in force yet
     evacuated_zones: frozenset[str]
 
 
 @dataclass(frozen=True, slots=True)
 class FleetLoad:
-    """What the other gateways observed of instances, added up."""
+    """The metrics that other gateways observed, summed up for each instance."""
 
     reporters: int
     totals: LoadReport
@@ -72,9 +72,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LongPollResponse:
-    """What a controller has; parts that the gateway has already, or did not ask for, are None.
+    """A controller's current data; parts that the gateway has already, or did not request, are None.
 
-    List and load are parsed when they are applied: one that can't be read does not delay a configuration.
+    The instance list and the load are parsed only when applied, so that a malformed list or load does not
+    delay a configuration.
     """
 
     state_index: int
@@ -83,16 +84,16 @@
     gateway_rank: int
     controllers: tuple[tuple[str, Locality], ...]
     list_version: ListVersion
-    list_age_s: float | None  # None: the controller has no list
+    list_age_s: float | None  # age of the controller's list in seconds; None if it has no list
     state: StateUpdate | None
     _data: JsonObject
 
     @classmethod
     def from_json(cls, data: JsonObject) -> LongPollResponse:
-        """Return a response from its form on the wire.
+        """Return a response parsed from its wire format.
 
         Raises:
-            InvalidMessageError: A field is missing or can't be read.
+            InvalidMessageError: A field is missing or malformed.
         """
         return cls(
             state_index=require_int(data, "index"),
@@ -107,10 +108,10 @@
         )
 
     def instances(self) -> list[InstanceEntry] | None:
-        """Return the instance list.
+        """Return the instance list, None if the response has none.
 
         Raises:
-            InvalidMessageError: An entry can't be read.
+            InvalidMessageError: An entry is malformed.
         """
         if "instances" not in self._data:
             return None
@@ -118,17 +119,17 @@
         return [InstanceEntry.from_json(as_object(entry, "an instance")) for entry in entries]
 
     def fleet_load(self) -> FleetLoad | None:
-        """Return what the other gateways observed.
+        """Return the load that the other gateways observed, None if the response has none.
 
         Raises:
-            InvalidMessageError: It can't be read.
+            InvalidMessageError: The load is malformed.
         """
         if "figures" not in self._data:
             return None
         totals: dict[str, Sequence[float]] = {}
         for instance_id, metrics in require_object(self._data, "figures").items():
             if not isinstance(metrics, list):
-                raise InvalidMessageError(f"the metrics of {instance_id} are no list: {metrics!r:.80}")
+                raise InvalidMessageError(f"the metrics of {instance_id} are not a list: {metrics!r:.80}")
             totals[instance_id] = metrics
         return FleetLoad(require_int(self._data, "reporters"), totals)
 
@@ -143,5 +144,5 @@
         return None
     packed = data["packed"] or ""
     if not isinstance(packed, str):
-        raise InvalidMessageError(f"a packed configuration is no text: {packed!r:.80}")
+        raise InvalidMessageError(f"a packed configuration is not a string: {packed!r:.80}")
     return StateUpdate(packed, frozenset(str(zone) for zone in require_list(data, "evacuated")))
--- a/brambleusher/dataplane/placement.py
+++ b/brambleusher/dataplane/placement.py
@@ -1,4 +1,4 @@
-"""Placement: which instance a request goes to, by home regions, evacuations, prefix affinity and weights."""
+"""Placement: chooses an instance by home regions, evacuations, prefix affinity and weights."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from brambleusher.wire.configuration import Route
 from brambleusher.wire.policy import Policy
 
-SUBSET_MIN = 4  # instances that a gateway uses at the least: one may be slow, one may be lost
-SUBSET_HEADROOM = 2.5  # all are used from a utilisation of 1 / 2.5 on
-CONTACT_FRESH_S = 0.5  # without a byte from an instance for so long, only a new connection proves it is there
+SUBSET_MIN = 4  # smallest number of instances in a subset, since one may be slow and another may fail
+SUBSET_HEADROOM = 2.5  # all instances are used from a utilisation of 1 / 2.5 on
+CONTACT_FRESH_S = 0.5  # only a new connection proves that an instance silent for longer is reachable
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementRequest:
-    """What placement has to know of a request."""
+    """The properties of a request that placement depends on."""
 
     route: Route
     service: str
@@ -30,7 +30,7 @@
 
 
 class Placement:
-    """Chooses among the instances of one gateway."""
+    """Chooses the instance for each attempt of this gateway."""
 
     def __init__(self, instances: InstanceTable, region: str, policy: Policy | None = None) -> None:
         self._instances, self._region = instances, region
@@ -43,9 +43,9 @@
         now_s: float,
         unresponsive_regions: Collection[str] = (),
     ) -> Instance | None:
-        """Choose the instance for the next attempt, none of those tried; None where none may be used now.
+        """Choose an untried instance for the next attempt; return None if no instance may be used now.
 
-        Regions in which a connection of this very request timed out, and zones in back-off, come last.
+        Regions in which a connection for the same request timed out, and zones in back-off, come last.
         """
         usable = [
             instance
@@ -72,7 +72,7 @@
     def _choose_from(
         self, request: PlacementRequest, usable: list[Instance], now_s: float
     ) -> Instance | None:
-        """Try the subset of this gateway, then healthy instances by distance, then all."""
+        """Try the subset of this gateway, then healthy instances by distance, then all usable instances."""
         weights = self._instances.weights.get(request.service)
         if weights is None:
             return None
@@ -92,11 +92,11 @@
     # --- candidates -------------------------------------------------------------------------------
 
     def _subset(self, usable: list[Instance], weights: InstanceWeights) -> list[Instance]:
-        """Return the instances that this gateway prefers, near ones if any, as many as the load asks for.
+        """Return the instances that this gateway prefers, from its own region if possible.
 
-        Few instances for each gateway mean that connections are reused, and that one which fails is
-        noticed by the few that use it after as many requests.  The fuller the instances are the more
-        evenly they have to be used.  Empty where all of them are needed.
+        With a small subset for each gateway, connections are reused more often, and a failing instance costs
+        few requests, since only few gateways use it.  The subset grows with the utilisation, because busy
+        instances have to be used more evenly.  It is empty if all instances are needed.
         """
         if not self._policy.uses_subset:
             return []
@@ -117,15 +117,15 @@
     # --- choice -----------------------------------------------------------------------------------
 
     def _has_affinity(self, request: PlacementRequest) -> bool:
-        """Whether a request's shared prefix is large enough for one instance to cache it."""
+        """Whether a request's shared prefix is large enough to be sent to the instance that caches it."""
         return self._policy.has_prefix_affinity and request.prefix_tokens >= LARGE_PREFIX_TOKENS
 
     def _choose_by_affinity(
         self, request: PlacementRequest, usable: list[Instance], weights: InstanceWeights, now_s: float
     ) -> Instance | None:
-        """Choose by the affinity of the prefix alone, over all regions: healthy instances, then all.
+        """Choose by prefix affinity alone, over all regions: healthy instances first, then all.
 
-        A prompt on its way to another region costs far less than another prefill of its prefix there.
+        Sending a prompt to another region costs far less than another prefill of its prefix.
         """
         return self._first_by_affinity(
             request, _healthy(usable, weights), weights, now_s
@@ -137,14 +137,14 @@
         by_id = {instance.id: instance for instance in group}
         for instance_id in rank_by_affinity(request.prefix_key, by_id):
             if self._instances.admit(by_id[instance_id], now_s):
-                weights.choose([instance_id], now_s)  # it takes a token like any other
+                weights.choose([instance_id], now_s)  # takes a round-robin token like any other attempt
                 return by_id[instance_id]
         return None
 
     def _choose_by_weight(
         self, group: list[Instance], weights: InstanceWeights, now_s: float, is_subset: bool = False
     ) -> Instance | None:
-        """Choose by weighted round robin; in a subset, instances with an idle connection come first."""
+        """Choose by weighted round robin; in a subset, instances with a fresh idle connection come first."""
         by_id = {instance.id: instance for instance in group}
         while by_id:
             connected = [
--- a/brambleusher/dataplane/prefix_affinity.py
+++ b/brambleusher/dataplane/prefix_affinity.py
@@ -1,17 +1,18 @@
-"""Prefix cache affinity: the shared prefix of a prompt, and which instances should cache it."""
+"""Prefix cache affinity: the shared prefix of a prompt and the instances that should cache it."""
 
 from __future__ import annotations
 
 import hashlib
 from collections.abc import Iterable
 
-LARGE_PREFIX_TOKENS = 1000  # below, another prefill costs less than a worse choice of instance
+LARGE_PREFIX_TOKENS = 1000  # for shorter prefixes another prefill costs less than a worse choice of instance
 
 
 def shared_prefix(header: str) -> tuple[str, int]:
-    """Return key and length in tokens of the segments that a prompt shares with others.
+    """Return the key and the length in tokens of the segments that a prompt shares with other prompts.
 
-    The header lists `name:tokens` segments; all but the last are shared.  Empty key and 0 where none are.
+    The header lists `name:tokens` segments; all but the last one are shared.  Without shared segments the
+    key is empty and the length is 0.
     """
     segments = [segment.strip() for segment in header.split(",") if segment.strip()]
     names: list[str] = []
@@ -26,7 +27,7 @@
 
 
 def rank_by_affinity(prefix_key: str, instance_ids: Iterable[str]) -> list[str]:
-    """Order instances by who should cache a prefix, the same on all gateways.
+    """Rank the instances that should cache a prefix; all gateways compute the same order.
 
     Source: rendezvous (highest random weight) hashing, Thaler and Ravishankar 1998.
     """
--- a/brambleusher/dataplane/read_ahead.py
+++ b/brambleusher/dataplane/read_ahead.py
@@ -1,4 +1,4 @@
-"""What a client sends ahead of its next request, kept within the memory of all clients' bodies."""
+"""Buffers pipelined bytes of a client within the memory limit of all request bodies."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from brambleusher.dataplane.body_memory import BodyMemory
 from brambleusher.runtime.h11_messages import ParserBuffer
 
-UNRESERVED_BYTES = 16 * 1024  # that each connection may keep; what is beyond is taken from the shared memory
+UNRESERVED_BYTES = 16 * 1024  # per connection; bytes beyond this count against the shared memory
 
 
 class ReadAhead(ParserBuffer):
-    """The bytes that a connection's parser keeps for the requests that follow."""
+    """The bytes that a connection's parser buffers for the requests that follow."""
 
     __slots__ = ("_memory", "_reserved_bytes")
 
@@ -21,24 +21,24 @@
         self._reserved_bytes = 0
 
     def reserve(self, size_bytes: int) -> bool:
-        """Reserve memory for bytes that have come; False where there is none, so that they are discarded."""
-        beyond_bytes = self.buffered + size_bytes - UNRESERVED_BYTES
-        missing_bytes = max(0, beyond_bytes - self._reserved_bytes)
+        """Reserve memory for received bytes; return False if none is left and the bytes must be discarded."""
+        excess_bytes = self.buffered + size_bytes - UNRESERVED_BYTES
+        missing_bytes = max(0, excess_bytes - self._reserved_bytes)
         if not self._memory.reserve(missing_bytes):
             return False
         self._reserved_bytes += missing_bytes
         return True
 
     def settle(self) -> None:
-        """Give back the memory of what the parser has taken since."""
+        """Release the memory of bytes that the parser has consumed."""
         if self._reserved_bytes:
             self._release_to(max(0, self.buffered - UNRESERVED_BYTES))
 
     def release(self) -> None:
-        """Give all memory back: the connection is over."""
+        """Release all reserved memory, when the connection ends."""
         self._release_to(0)
 
-    def _release_to(self, kept_bytes: int) -> None:
-        freed_bytes = max(0, self._reserved_bytes - kept_bytes)
+    def _release_to(self, still_reserved_bytes: int) -> None:
+        freed_bytes = max(0, self._reserved_bytes - still_reserved_bytes)
         self._memory.release(freed_bytes)
         self._reserved_bytes -= freed_bytes
--- a/brambleusher/dataplane/rejection_reason.py
+++ b/brambleusher/dataplane/rejection_reason.py
@@ -1,4 +1,4 @@
-"""Why a gateway made no further attempt for a request."""
+"""Reasons for which a gateway makes no further attempt for a request."""
 
 from __future__ import annotations
 
@@ -6,7 +6,10 @@
 
 
 class RejectionReason(StrEnum):
-    """The value is part of the counter `refused_*`; of the last three it is a counter of attempts, too."""
+    """Reasons of rejections; a value is the suffix of a `refused_*` counter.
+
+    The last three values are also names of counters of failed attempts.
+    """
 
     NONE = ""
     DEADLINE = "time"
--- a/brambleusher/dataplane/request_context.py
+++ b/brambleusher/dataplane/request_context.py
@@ -13,21 +13,21 @@
 
 
 class ClientWatch(Protocol):
-    """Ends the wait of a request's task once its client has left."""
+    """Interrupts the task of a request as soon as its client disconnects."""
 
     def raise_if_left(self) -> None:
-        """Look at the client's connection now; raises `PeerDisconnectedError` where it has left."""
+        """Check the client's connection now; raises `PeerDisconnectedError` if it is closed."""
 
     def suspend(self) -> None:
-        """Go on without the client."""
+        """Stop watching, so that the request continues even if the client disconnects."""
 
     def resume(self) -> None:
-        """Watch the client again."""
+        """Watch the client's connection again."""
 
 
 @dataclass(slots=True, eq=False)
 class RequestContext:
-    """A request, its route, and what its attempts have shown so far."""
+    """A request, its route, and the outcome of its attempts so far."""
 
     request: ClientRequest
     route: Route
@@ -38,36 +38,36 @@
     last_event_id: bytes
     client: ClientWatch
     tried: set[str] = field(default_factory=set)
-    unresponsive_regions: set[str] = field(
-        default_factory=set
-    )  # in which a connection for this request timed out
-    attempts_sent: int = 0  # that reached an instance
-    possible_runs: int = 0  # instances that may have run it
+    # Regions in which a connection for this request timed out.
+    unresponsive_regions: set[str] = field(default_factory=set)
+    attempts_sent: int = 0  # attempts that reached an instance
+    possible_runs: int = 0  # number of instances that may have run the request
     rejection_reason: RejectionReason = RejectionReason.NONE
 
     @property
     def may_have_run(self) -> bool:
-        """Whether any instance may have run it."""
+        """Whether any instance may have run the request."""
         return self.possible_runs > 0
 
     @property
     def may_run_again(self) -> bool:
-        """Whether its route allows one more instance to run it."""
+        """Whether the route allows one more instance to run the request."""
         return self.route.is_idempotent and self.possible_runs < max(self.route.max_attempts, 1)
 
     def begin_run(self) -> None:
-        """Prepare for an instance to run the request from now on.
+        """Mark the point from which an instance may run the request.
 
-        What a request that may run once does beside its response must not be left half done: from here on it
-        is finished without its client.  Streams and requests that may run again end with their client.
+        The side effects of a request that may run only once must not be left half done, so from here on it
+        is finished even if its client disconnects.  Streams and requests that may run again are cancelled
+        with their client.
 
         Raises:
-            PeerDisconnectedError: The client has left already.
+            PeerDisconnectedError: The client has disconnected already.
         """
         if not self.route.is_cancellable:
             self.client.raise_if_left()
             self.client.suspend()
 
     def remaining_s(self, now_s: float) -> float:
-        """Return the time left until the deadline."""
+        """Return the time left until the deadline in seconds."""
         return self.deadline_s - now_s
--- a/brambleusher/dataplane/request_handler.py
+++ b/brambleusher/dataplane/request_handler.py
@@ -1,4 +1,4 @@
-"""One request on a gateway: find its route, run its attempts, forward the response."""
+"""Handles one request on a gateway: finds its route, runs its attempts, forwards the response."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 from brambleusher.wire.configuration import Route
 from brambleusher.wire.settings import Bounds
 
-RETRY_AFTER_S = 0.25
-RETRY_AFTER_FRACTION = 0.25  # of the time left at most: clients honour up to a third of it
+RETRY_AFTER_S = 0.25  # upper bound of the `Retry-After` value
+RETRY_AFTER_FRACTION = 0.25  # at most this part of the remaining time: clients honour at most a third
 
 
 class RequestHandler:
-    """Serves the requests of clients."""
+    """Handles the requests of all clients of a gateway."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         rng: random.Random,
         can_finish: Callable[[float], bool],
     ) -> None:
-        """Build it; `can_finish` says whether the process stays until a deadline of the scheduler's clock."""
+        """Create a handler; `can_finish` tells whether the process keeps running until a given deadline."""
         self._scheduler, self._bounds, self._rng = scheduler, bounds, rng
         self._instances, self._attempts, self._counters = instances, attempts, counters
         self._can_finish = can_finish
@@ -51,7 +51,7 @@
         """Respond to one request.
 
         Raises:
-            PeerDisconnectedError: The client left before its response was complete.
+            PeerDisconnectedError: The client disconnected before its response was complete.
         """
         path = request.target.decode("latin-1")
         route = routes.find(request.header(b"host").decode("latin-1"), path)
@@ -120,7 +120,7 @@
     # --- responses --------------------------------------------------------------------------------
 
     def _reject(self, client: ClientConnection, context: RequestContext) -> None:
-        """Respond where no instance did, and say at once whether the request may have run."""
+        """Send an error response; its status tells whether an instance may have run the request."""
         remaining_s = context.remaining_s(self._scheduler.now())
         if context.may_have_run:
             self._counters.add(RequestCounter.FAILED)
@@ -144,14 +144,14 @@
         if StreamRelay(self._attempts, client, context).run(response):
             self._counters.add(RequestCounter.SERVED)
         elif client.has_response_begun:
-            client.stream.close()  # without its end, so that the client sees that it is incomplete
+            client.stream.close()  # no final chunk, so that the client sees that the response is incomplete
         else:
             self._reject(client, context)
 
     def _relay_complete(
         self, client: ClientConnection, context: RequestContext, response: UpstreamResponse
     ) -> None:
-        """Buffer a response until it is complete, so that one that breaks off can be retried."""
+        """Buffer a response until it is complete, so that a response that breaks off can be retried."""
         pending: UpstreamResponse | None = response
         while pending is not None:
             body: list[bytes] = []
--- a/brambleusher/dataplane/routing.py
+++ b/brambleusher/dataplane/routing.py
@@ -8,7 +8,7 @@
 
 
 class RouteTable:
-    """Finds a request's route by host and longest path prefix."""
+    """Finds the route of a request by its host and the longest path prefix."""
 
     def __init__(self, configuration: Configuration) -> None:
         self.revision = configuration.revision
@@ -19,9 +19,9 @@
             self._hosts.setdefault(route.host.lower(), {})[route.path_prefix] = route
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of the path, cut at slashes; None where there is none.
+        """Return the route with the longest matching path prefix that ends at a slash; None if none matches.
 
-        A host is looked up as it stands, then without its port.
+        The host is looked up unchanged first, then without its port.
         """
         host = host.lower()
         routes = self._hosts.get(host)
@@ -39,8 +39,8 @@
 
 
 def pick_service(route: Route, rng: random.Random) -> str:
-    """Return one of the route's services, at random by their weights."""
+    """Return one of the route's services, drawn at random by weight."""
     if route.service is not None:
         return route.service
-    shares = route.weighted_services
-    return rng.choices([share.service for share in shares], [share.weight for share in shares])[0]
+    weighted = route.weighted_services
+    return rng.choices([each.service for each in weighted], [each.weight for each in weighted])[0]
--- a/brambleusher/dataplane/streaming.py
+++ b/brambleusher/dataplane/streaming.py
@@ -1,4 +1,4 @@
-"""Relaying of an event stream to a client, event by event, across instances where the route allows."""
+"""Relays an event stream to a client event by event, across instances if the route allows it."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def is_event_stream(context: RequestContext, response: UpstreamResponse) -> bool:
-    """Whether a response is to be relayed event by event."""
+    """Whether a response has to be relayed event by event."""
     return (
         context.route.kind == STREAMING_KIND
         and response.status == HTTPStatus.OK
@@ -27,7 +27,7 @@
 
 
 class StreamRelay:
-    """Relays one stream."""
+    """Relays one event stream and resumes it at another instance if it breaks off."""
 
     def __init__(self, attempts: AttemptRunner, client: ClientConnection, context: RequestContext) -> None:
         self._attempts, self._client, self._context = attempts, client, context
@@ -36,7 +36,7 @@
         self._headers: HeaderList = []
 
     def run(self, response: UpstreamResponse) -> bool:
-        """Relay the stream until it is complete; False where it broke off and can't be resumed."""
+        """Relay the stream until it is complete; return False if it broke off and can't be resumed."""
         self._headers = response.headers
         while not self._relay(response):
             last_event_id = self._splitter.last_id
@@ -50,7 +50,7 @@
         return True
 
     def _relay(self, response: UpstreamResponse) -> bool:
-        """Relay the events of one instance; whether its stream came to its end."""
+        """Relay the events of one instance; return whether its stream was complete."""
         try:
             while data := response.read(self._context.deadline_s):
                 events = self._splitter.feed(data)
@@ -60,7 +60,7 @@
         except (ResponseBrokenError, TaskTimeoutError, EventTooLongError):
             response.fail()
             return False
-        except BaseException:  # the client left, or the task was cancelled: no fault of the instance
+        except BaseException:  # client disconnected or task cancelled; not a failure of the instance
             response.abandon()
             raise
         if self._splitter.has_partial_event:
--- a/brambleusher/dataplane/upstream_client.py
+++ b/brambleusher/dataplane/upstream_client.py
@@ -1,4 +1,4 @@
-"""One attempt: a request over a connection to one instance, up to the head of its response."""
+"""Sends one attempt of a request to one instance and reads the head of the response."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
 from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
 from brambleusher.wire import instance_load
 
-STRAY_RESPONSES_MAX = 4  # responses to other requests that are read before the one that is due
-UNCHECKED_IDLE_S = 0.05  # an idle time after which an instance may have forgotten a connection
-LIVENESS_MARGIN_S = 0.004  # added to the round trips: timers and small queues
-LIVENESS_ROUND_TRIPS = 1.5
-LIVENESS_MAX_S = 0.1
+STRAY_RESPONSES_MAX = 4  # how many responses are read in search of the one to this request
+UNCHECKED_IDLE_S = 0.05  # after this idle time an instance may have dropped a connection silently
+LIVENESS_MARGIN_S = 0.004  # added to the round trips for timer inaccuracy and short queues
+LIVENESS_ROUND_TRIPS = 1.5  # the liveness check waits for this many round trips
+LIVENESS_MAX_S = 0.1  # upper bound of the wait of the liveness check
 ATTEMPT_HEADER = b"x-attempt-id"
 NOT_EXECUTED_HEADER = b"x-not-executed"
-MISDIRECTED_REQUEST = 421  # of an instance that is not the one named in the request
+MISDIRECTED_REQUEST = 421  # sent by an instance that is not the one named in the request
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamRequest:
-    """What is sent to one instance."""
+    """A request as it is sent to one instance."""
 
     instance: Instance
     method: bytes
@@ -46,11 +46,11 @@
     body: bytes
     attempt_id: bytes
     deadline_s: float
-    must_run_once: bool  # it can't be sent again once it may have run
-    begin_run: Callable[[], None]  # called ahead of the byte with which it may run
+    must_run_once: bool  # the request must not be sent again once it may have run
+    begin_run: Callable[[], None]  # called before the last byte is sent, after which the request may run
 
     def head(self) -> h11.Request:
-        """Return the request line and headers."""
+        """Return the request line and headers as an h11 event."""
         return h11.Request(method=self.method, target=self.target, headers=list(self.headers))
 
 
@@ -76,7 +76,7 @@
     ) -> Result[UpstreamResponse, AttemptFailure]:
         """Send a request and wait for the head of its response.
 
-        The listener is notified only of an attempt that is returned with a response.
+        The listener is notified only if a response is returned.
         """
         prepared = self._prepare(request)
         if isinstance(prepared, Err):
@@ -91,12 +91,12 @@
             return Err(self._drain_rejection(request, connection, head))
         return Ok(UpstreamResponse(self._scheduler, self._pool, request.instance, connection, head, listener))
 
-    # --- the connection ---------------------------------------------------------------------------
+    # --- connection -------------------------------------------------------------------------------
 
     def _prepare(self, request: UpstreamRequest) -> Result[_PreparedAttempt, ConnectFailed]:
-        """Get a connection, an idle one if possible."""
-        head = request.head()  # before a connection is taken: it may raise
-        # Without an id the response can't be told from another's, unless the connection is new.
+        """Get a connection, reusing an idle one if possible, and serialize the request."""
+        head = request.head()  # may raise, therefore built before a connection is taken
+        # Without an attempt id, the response can be matched to the request only on a new connection.
         if request.attempt_id:
             reused = self._reuse_connection(request, head)
             if reused is not None:
@@ -122,10 +122,10 @@
         return None
 
     def _is_alive(self, request: UpstreamRequest, connection: UpstreamConnection, begin: bytes) -> bool:
-        """Send all but the last byte of a request; whether the connection is still there.
+        """Send all but the last byte of a request; return whether the connection is still alive.
 
-        An instance that has forgotten a connection resets it when anything comes.  An incomplete request
-        can't have run, so that it may go over another connection then.
+        An instance that has silently dropped a connection resets it when bytes arrive.  An incomplete
+        request can't have run, so it may then be sent over another connection.
         """
         timeout_s = min(connection.handshake_s * LIVENESS_ROUND_TRIPS + LIVENESS_MARGIN_S, LIVENESS_MAX_S)
         until_s = self._scheduler.now() + timeout_s
@@ -139,12 +139,12 @@
         except BaseException:
             self._pool.close(request.instance, connection)
             raise
-        return False  # something came where nothing was due: its end
+        return False  # nothing should arrive before the request is complete, except the end of the connection
 
-    # --- the response -----------------------------------------------------------------------------
+    # --- response ---------------------------------------------------------------------------------
 
     def _exchange(self, request: UpstreamRequest, prepared: _PreparedAttempt) -> ResponseHead | None:
-        """Send the rest of a request and read the response's head; None where the attempt is lost."""
+        """Send the rest of a request and read the head of its response; return None if no head arrives."""
         connection = prepared.connection
         head: ResponseHead | None = None
         try:
@@ -154,7 +154,7 @@
         except (OSError, h11.ProtocolError):
             self._pool.record_reset(connection)
         except TaskTimeoutError:
-            pass  # it says nothing of the connection: the instance may be slow
+            pass  # no evidence against the connection: the instance may be slow
         except BaseException:
             self._pool.close(request.instance, connection)
             raise
@@ -183,20 +183,20 @@
             while response.read(request.deadline_s):
                 pass
         except (ResponseBrokenError, TaskTimeoutError):
-            pass  # the promise stands in the head
+            pass  # the head already states that the request did not run
         return AttemptRejected(response.status)
 
 
 def _is_rejection(head: ResponseHead) -> bool:
-    """Whether an instance promises that it has not run the request and never will."""
+    """Whether an instance states that it has not run the request and never will."""
     return head.status == MISDIRECTED_REQUEST or NOT_EXECUTED_HEADER in head.values
 
 
 def _read_matching_head(connection: UpstreamConnection, request: UpstreamRequest) -> ResponseHead | None:
-    """Read the head of the response to this very request; responses to others are dropped.
+    """Read the head of the response to this request, and drop responses to other requests.
 
-    Instances echo the id of a request.  One that doesn't can be believed only on a new connection: on
-    a reused one a second response to the request before would look the same.
+    Instances echo the attempt id.  A response without the id is accepted only on a new connection: on a
+    reused one, a second response to the previous request would look the same.
     """
     for _ in range(STRAY_RESPONSES_MAX):
         head = _read_head(connection, request.deadline_s)
@@ -220,7 +220,7 @@
 
 
 def _drop_response(connection: UpstreamConnection, deadline_s: float) -> bool:
-    """Read a response that belongs to another request, and prepare for the one that is due."""
+    """Read a response to another request, and prepare the parser for the next response."""
     while True:
         event = receive_event(connection.protocol, connection.stream, deadline_s)
         if isinstance(event, h11.EndOfMessage):
@@ -229,7 +229,7 @@
             return False
     received = connection.protocol.trailing_data[0]
     connection.protocol = h11.Connection(h11.CLIENT, max_incomplete_event_size=RESPONSE_HEAD_MAX_BYTES)
-    # The parser has to have seen a request before it reads a response to one.
+    # The h11 parser reads a response only after it has sent a request.
     encode_message(connection.protocol, h11.Request(method=b"GET", target=b"/", headers=[(b"Host", b"-")]))
     if received:
         connection.protocol.receive_data(received)
--- a/brambleusher/dataplane/upstream_connection.py
+++ b/brambleusher/dataplane/upstream_connection.py
@@ -11,16 +11,16 @@
 
 @dataclass(slots=True, eq=False)
 class UpstreamConnection:
-    """A stream, the state of HTTP on it, and how long it was idle."""
+    """The stream, the HTTP parser state and the idle times of a connection to an instance."""
 
     stream: Stream
     protocol: h11.Connection
     idle_since_s: float = 0.0
     idle_until_s: float = 0.0
-    idle_s: float = 0.0  # before the attempt under way; 0 once a response has come
+    idle_s: float = 0.0  # idle time before the current attempt; 0 once a response has arrived
     handshake_s: float = 0.0
 
     @property
     def is_reused(self) -> bool:
-        """Whether it has carried a request before the one under way."""
+        """Whether the connection carried an earlier request before the current one."""
         return self.idle_since_s > 0.0
--- a/brambleusher/dataplane/upstream_response.py
+++ b/brambleusher/dataplane/upstream_response.py
@@ -1,4 +1,4 @@
-"""A response of an instance whose head has come; its body is read in pieces."""
+"""A response of an instance: its head is complete, its body is read piece by piece."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ResponseHead:
-    """Status and headers of a response, names in lower case; `values` has the last value of each name."""
+    """Status and headers of a response, names in lower case; `values` maps each name to its last value."""
 
     __slots__ = ("headers", "status", "values")
 
@@ -27,16 +27,16 @@
 
 
 class AttemptListener(Protocol):
-    """Is notified of the outcome of an attempt that has a response."""
+    """Receives the progress and outcome of an attempt that got a response."""
 
     def response_started(self) -> None:
-        """Record the first bytes of the body."""
+        """Handle the arrival of the first bytes of the response body."""
 
     def attempt_finished(self, has_succeeded: bool) -> None:
-        """Record the end of the attempt."""
+        """Handle the end of the attempt."""
 
     def attempt_abandoned(self) -> None:
-        """Record that the rest of the attempt is not wanted: its client has left."""
+        """Handle an abandoned attempt, usually because its client disconnected."""
 
 
 class OutcomeIgnored:
@@ -53,7 +53,7 @@
 
 
 class UpstreamResponse:
-    """Head and body of a response; owns its connection until the body ends."""
+    """The head and body of a response; owns its connection until the body ends."""
 
     def __init__(
         self,
@@ -71,11 +71,11 @@
         self._is_finished = self._has_body_begun = False
 
     def header(self, name: bytes) -> bytes:
-        """Return a header's value by its name in lower case, empty where it is missing."""
+        """Return a header's value by its lower-case name, empty if the header is missing."""
         return self._values.get(name, b"")
 
     def read(self, deadline_s: float) -> bytes:
-        """Read the next bytes of the body, empty at its end.
+        """Read the next bytes of the body; empty bytes mark its end.
 
         Raises:
             ResponseBrokenError: The connection ended before the body was complete.
@@ -89,7 +89,7 @@
         except TaskTimeoutError:
             self.fail()
             raise
-        except BaseException:  # the client left, or the task was cancelled: no fault of the instance
+        except BaseException:  # client disconnected or task cancelled; not a failure of the instance
             self.abandon()
             raise
         self._instance.last_contact_s = self._scheduler.now()
@@ -105,17 +105,17 @@
         raise ResponseBrokenError(f"{self._instance.id}: the connection ended within the response")
 
     def fail(self) -> None:
-        """Close the connection: the rest can't be had."""
+        """Close the connection and record a failure, as the rest of the response can't be read."""
         if self._close():
             self._listener.attempt_finished(False)
 
     def abandon(self) -> None:
-        """Close the connection: the rest is not wanted."""
+        """Close the connection without recording a failure, as the rest of the response is not needed."""
         if self._close():
             self._listener.attempt_abandoned()
 
     def _close(self) -> bool:
-        """Close the connection; false where the response was finished before."""
+        """Close the connection; return False if the response was already finished."""
         if self._is_finished:
             return False
         self._is_finished = True
--- a/brambleusher/dataplane/warm_up_budget.py
+++ b/brambleusher/dataplane/warm_up_budget.py
@@ -1,4 +1,4 @@
-"""The request budget of an instance that is warming up (slow start); pure, times in seconds."""
+"""The request budget of an instance that is warming up (slow start); no I/O, times in seconds."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 from brambleusher.dataplane.token_bucket import TokenBucket
 
-RATE_FRACTION = 0.7  # of the allowed rate that gateways use: they may be miscounted
-GATEWAYS_PER_RATE = 1 / 3  # gateways that use a warming instance, per request/s: each adds a burst of one
+RATE_FRACTION = 0.7  # part of the allowed rate that all gateways use together, as they may be miscounted
+GATEWAYS_PER_RATE = 1 / 3  # gateways per request/s that use a warming instance; each adds a burst of 1
 
 
 class WarmUpBudget:
-    """Bounds this gateway's attempts at one instance that is warming up."""
+    """Limits this gateway's attempts at one instance that is warming up."""
 
     def __init__(self, instance_id: str, now_s: float) -> None:
         digest = hashlib.blake2b(instance_id.encode(), digest_size=8).digest()
@@ -19,16 +19,17 @@
         self._bucket = TokenBucket(1.0, now_s)
 
     def take(self, rate_per_s: float, gateway_rank: int, gateways: int, now_s: float) -> bool:
-        """Take one attempt; whether it keeps within this gateway's fraction of the rate.
+        """Take one attempt; return whether it is within this gateway's fraction of the rate.
 
-        Each gateway may send one attempt at once; with as many gateways as the rate allows requests, that
-        alone would break the bound.  So only some gateways use a warming instance, others for each.
+        Each gateway may send one attempt at once.  With as many gateways as allowed requests per second,
+        these bursts alone would exceed the bound, so only some gateways use a warming instance, and each
+        instance has different ones.
 
         Args:
-            rate_per_s: The bound on all gateways together.
-            gateway_rank: The position of this gateway in the order of all gateways' names.
-            gateways: How many gateways there are.
-            now_s: The time of the scheduler.
+            rate_per_s: The bound on the requests per second of all gateways together.
+            gateway_rank: The position of this gateway among all gateways, sorted by name.
+            gateways: The number of gateways.
+            now_s: The current time of the scheduler in seconds.
         """
         users = min(gateways, max(1, int(rate_per_s * GATEWAYS_PER_RATE)))
         if (gateway_rank + self._rank_offset) % max(gateways, 1) >= users:
