--- a/brambleusher/admin/__init__.py
+++ b/brambleusher/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The admin endpoint: a second listener for calls that on-call staff and the platform make."""
+"""The admin endpoint: a second listener for requests of operators and the platform."""
--- a/brambleusher/admin/metrics_text.py
+++ b/brambleusher/admin/metrics_text.py
@@ -1,4 +1,4 @@
-"""The metrics that operators fetch, as text: one `name=value` a line."""
+"""The metrics that operators fetch as text, with one `name=value` per line."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 def render(request_counts: RequestCounts, listed: int, avoided: int) -> bytes:
-    """Render all metrics as they stand.
+    """Render the current values of all metrics.
 
     Args:
-        request_counts: Requests by class and outcome.
-        listed: Endpoints that the list names.
-        avoided: Endpoints that get no requests now.
+        request_counts: Counts of requests by class and outcome.
+        listed: The number of endpoints in the endpoint list.
+        avoided: The number of endpoints that currently get no requests.
     """
     lines = [
         f"edge_node.operations.{name}.{outcome}={count}"
--- a/brambleusher/admin/routes.py
+++ b/brambleusher/admin/routes.py
@@ -1,4 +1,4 @@
-"""The calls that operators can make: one table, and how a call is found in it.  No sockets here."""
+"""The route table of the admin endpoint and the lookup of routes in it; this module does no I/O."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class AdminCall(Enum):
-    """What can be asked for."""
+    """An operation of the admin endpoint."""
 
     READY = "ready"
     COUNTERS = "counters"
@@ -22,14 +22,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminRoute:
-    """A method and a path that make a call; what comes back is `AdminServer.respond`'s, call by call."""
+    """The method and path of an operation; `AdminServer.respond` runs the operation."""
 
     method: str
     path: tuple[str, ...]
     call: AdminCall
 
 
-ENDPOINT_ID = "ID"  # stands for the id of an endpoint
+ENDPOINT_ID = "ID"  # path segment that stands for any endpoint id
 ROUTES = (
     AdminRoute("GET", ("control", "ready"), AdminCall.READY),
     AdminRoute("GET", ("control", "counters"), AdminCall.COUNTERS),
@@ -45,17 +45,17 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminRequest:
-    """One call, and the endpoint it is about where it is about one."""
+    """A requested operation, and the endpoint that the operation applies to, empty if to none."""
 
     call: AdminCall
     endpoint: str = ""
 
 
 def find_route(method: str, target: str) -> AdminRequest:
-    """Find the call that is meant.
+    """Find the operation for a method and a request target.
 
     Raises:
-        HttpError: no call has the path (404), or it has another method (405).
+        HttpError: No route has the path (404), or only with another method (405).
     """
     parts = tuple(target.partition("?")[0].removeprefix("/").split("/"))
     matching = [route for route in ROUTES if _has_path(route, parts)]
@@ -76,7 +76,7 @@
 
 
 def _unquote(text: str) -> str:
-    """Decode a part of a path; raises `HttpError` where it makes no text."""
+    """Percent-decode a path segment; raises `HttpError` if it is malformed or not UTF-8."""
     raw = text.encode("latin-1")
     if _BROKEN_ESCAPE.search(raw):
         raise HttpError(400, "a percent sign is not followed by two hexadecimal digits")
--- a/brambleusher/admin/server.py
+++ b/brambleusher/admin/server.py
@@ -1,4 +1,4 @@
-"""The operators' listener: one call a connection, answered ahead of the requests that wait to be served."""
+"""The admin listener: one request per connection, handled with priority over client requests."""
 
 from __future__ import annotations
 
@@ -19,54 +19,54 @@
 
 log = logging.getLogger(__name__)
 
-MAX_CALLERS = 16  # connections at once; one more closes the oldest
-DESCRIPTORS = MAX_CALLERS + 2  # the listener, and the one that is accepted before the oldest is closed
+MAX_CALLERS = 16  # connections open at once; a new one beyond this closes the oldest
+DESCRIPTORS = MAX_CALLERS + 2  # plus the listener and a connection accepted before the oldest is closed
 BACKLOG = 64
-CALL_TIMEOUT_S = 1.5  # from the accept to the last byte of the call
+CALL_TIMEOUT_S = 1.5  # from accepting the connection to the last byte of the request
 WRITE_TIMEOUT_S = 1.0
-MAX_BODY_BYTES = 4096  # no call needs one
+MAX_BODY_BYTES = 4096  # no operation needs a body
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 class AdminService(Protocol):
-    """What calls are about."""
+    """The operations of the sidecar that the admin endpoint calls."""
 
     def is_serving(self) -> bool:
-        """Whether this process can serve."""
+        """Whether this process is ready to serve requests."""
 
     def metrics_text(self) -> bytes:
-        """Render the metrics as they stand."""
+        """Return the current metrics as text."""
 
     def take_endpoint_offline(self, name: str) -> bool:
-        """Ban an endpoint; false for one that was never listed."""
+        """Ban an endpoint; return False if the endpoint was never listed."""
 
     def put_endpoint_online(self, name: str) -> bool:
-        """End an endpoint's ban; false for one that was never listed."""
+        """End the ban of an endpoint; return False if the endpoint was never listed."""
 
     def take_out_of_service(self) -> None:
-        """Send clients away."""
+        """Take this process out of service, so that clients go elsewhere."""
 
     def put_in_service(self) -> None:
-        """Accept clients again."""
+        """Put this process back in service, so that clients may return."""
 
 
 class AdminServer:
-    """Serves operators' calls."""
+    """Accepts admin connections and serves their requests."""
 
     def __init__(self, scheduler: Scheduler, service: AdminService) -> None:
         self._scheduler, self._service = scheduler, service
         self._listener: Socket | None = None
         self._accepting: Task | None = None
-        self._callers: dict[Stream, Task] = {}  # those whose call is not complete, the oldest first
+        self._callers: dict[Stream, Task] = {}  # connections without a complete request, oldest first
 
     def listen(self, address: Address) -> Address:
-        """Bind, and start to take calls; returns the address it listens on, raises `OSError`."""
+        """Listen on an address and start accepting; return the bound address; raises `OSError`."""
         self._listener = listener = self._scheduler.system.listen(address, BACKLOG)
         self._accepting = self._scheduler.spawn(self._accept_all, listener, name="admin", urgent=True)
         return local_address(listener)
 
     def close(self) -> None:
-        """Take no more calls."""
+        """Stop listening and close the connections without a complete request."""
         if self._accepting is not None:
             self._accepting.cancel()
         if self._listener is not None:
@@ -87,7 +87,7 @@
                 self._scheduler.park(sock=listener)
                 continue
             if len(self._callers) >= MAX_CALLERS:
-                # Callers that say nothing must not keep out the next one.
+                # Silent connections must not block new ones.
                 self._drop(next(iter(self._callers)))
             stream = accepted.stream
             self._callers[stream] = self._scheduler.spawn(self._serve, stream, name="admin call", urgent=True)
@@ -101,7 +101,7 @@
     def _serve(self, stream: Stream) -> None:
         try:
             response = self._serve_call(stream)
-            # From here on a newer caller does not close this one.
+            # From here on, a newer connection does not close this one.
             self._callers.pop(stream, None)
             stream.send(response, self._scheduler.now() + WRITE_TIMEOUT_S)
             stream.finish()
@@ -112,7 +112,7 @@
             stream.close()
 
     def _serve_call(self, stream: Stream) -> bytes:
-        """Read a call and do what it asks for; raises `OSError` where the caller left."""
+        """Read a request and run its operation; raises `OSError` if the client disconnected."""
         try:
             status, body = self.respond(self._read(stream))
         except HttpError as error:
@@ -120,13 +120,13 @@
         except (OSError, TaskTimeoutError):
             raise
         except Exception:
-            # A fault of ours must not leave the call without a response.
+            # An unexpected error here must not leave the client without a response.
             log.exception("admin call failed")
             status, body = 500, b"failed\n"
         return write_response(status, [("Content-Type", "text/plain")], body, False)
 
     def _read(self, stream: Stream) -> AdminRequest:
-        """Read the call; raises `HttpError`, and `OSError` where the caller left."""
+        """Read the request; raises `HttpError`, or `OSError` if the client disconnected."""
         reader, deadline = MessageReader.requests(), self._scheduler.now() + CALL_TIMEOUT_S
         has_sent_continue = False
         while (message := self._take(reader)) is None:
@@ -136,9 +136,9 @@
             try:
                 data = stream.receive(deadline)
             except TaskTimeoutError:
-                raise HttpError(408, "the call did not come whole in time") from None
+                raise HttpError(408, "the request did not arrive in time") from None
             if not data:
-                raise ConnectionResetError("the caller has left")
+                raise ConnectionResetError("the client has disconnected")
             reader.feed(data)
         return find_route(*message.start)
 
@@ -146,11 +146,11 @@
     def _take(reader: MessageReader) -> Message | None:
         message = reader.take()
         if reader.size > MAX_BODY_BYTES:
-            raise HttpError(413, "no call has a body")
+            raise HttpError(413, "the request body is too large")
         return message
 
     def respond(self, request: AdminRequest) -> tuple[int, bytes]:
-        """Do what a call asks for; returns the status and the body of its response."""
+        """Run the requested operation; return the status and the body of the response."""
         service = self._service
         match request.call:
             case AdminCall.READY:
--- a/brambleusher/controller/__init__.py
+++ b/brambleusher/controller/__init__.py
@@ -1,1 +1,1 @@
-"""The controller and the observer: the processes of the control plane."""
+"""The processes of the control plane: controllers and observers."""
--- a/brambleusher/controller/app.py
+++ b/brambleusher/controller/app.py
@@ -1,4 +1,4 @@
-"""The controller: assembles the control plane of one core machine."""
+"""The controller process: assembles and runs the control plane of one core machine."""
 
 from __future__ import annotations
 
@@ -20,24 +20,25 @@
 from brambleusher.wire.settings import Settings
 
 SHUFFLE_INTERVAL_S = 0.6
-SHUFFLE_JITTER = (0.8, 1.2)  # of the interval: controllers do not shuffle in step
-SHUTDOWN_MIN_S = 1.2  # after SIGTERM: time to transfer leadership and to answer pending calls
+SHUFFLE_JITTER = (0.8, 1.2)  # random factor of the interval, so that controllers do not shuffle in step
+SHUTDOWN_MIN_S = 1.2  # minimum time after SIGTERM to transfer leadership and answer pending requests
 SHUTDOWN_POLL_S = 0.1
-KILL_MARGIN_S = 1.0  # before `grace_s` is over the process has ended
+KILL_MARGIN_S = 1.0  # the process ends this long before `grace_s` has passed
 NS_PER_MS = 1_000_000
 
 
 class Controller(ControlPlaneProcess):
-    """One process of the control plane."""
+    """A controller: one replica of the control plane."""
 
     role = CONTROLLER_ROLE
     peer_connections_max = 900
 
     def __init__(self, system: System, settings: Settings, disk: Disk, path: str = "") -> None:
-        """Recover the replica from `disk`, build all parts and listen."""
+        """Recover the replica from `disk`, create all components and listen."""
         super().__init__(system, settings)
         self._incarnation = system.wall_ns() // NS_PER_MS
-        self._publisher: ConfigurationPublisher | None = None  # the replica notifies while it is built
+        # None while the replica is created, as the replica sends notifications meanwhile.
+        self._publisher: ConfigurationPublisher | None = None
         self.view = PartialView(self._rng)
         self._directory = PeerDirectory(
             self.scheduler, self.view, settings.peer_address, self._member_addresses
@@ -73,19 +74,19 @@
         self.replica.begin_graceful_shutdown()
 
     def _await_shutdown(self) -> None:
-        """Wait until another has this one's vote or, where none can get it, pending calls are answered."""
+        """Wait until another controller has taken over the vote, or pending requests have been answered."""
         deadline_s = self.scheduler.now() + self.settings.bounds.grace_s - KILL_MARGIN_S
         self.scheduler.sleep(SHUTDOWN_MIN_S)
         while self.scheduler.now() < deadline_s and self._is_vote_needed():
             self.scheduler.sleep(SHUTDOWN_POLL_S)
 
     def _is_vote_needed(self) -> bool:
-        """Whether this vote may count while another can still get it, or just got one and this one stays."""
+        """Whether this controller's vote is still needed while its replacement by another one is possible."""
         is_being_replaced = len(self.replica.voters()) > self.replica.consensus.required_voters
         return self.replica.has_vote() and (is_being_replaced or bool(self._successors()))
 
     def _successors(self) -> list[str]:
-        """Return the controllers that are ready and have no vote yet."""
+        """Return the addresses of controllers that are ready and have no vote yet."""
         voters = self.replica.voters()
         peers = self.view.alive(CONTROLLER_ROLE, self.scheduler.now())
         ready = [peer.address for peer in peers if peer.state is not PeerState.DRAINING]
@@ -94,17 +95,17 @@
     # --- messages ---------------------------------------------------------------------------------
 
     def handle_message(self, message: dict[str, object]) -> dict[str, object] | None:
-        """Return the reply to a message of another process, None where it has none."""
+        """Return the reply to another process's message, None if the message gets no reply."""
         kind = message.get("kind")
         if kind == LONG_POLL and self._publisher is not None:
             return self._publisher.handle_long_poll(message)
         if kind == RELAY:
             return self._relay.handle(message)
         if kind == CONTROLLERS_ANNOUNCEMENT:
-            return None  # it was meant for an observer
+            return None  # the message is meant for observers
         sender = message.get("from")
         if not isinstance(sender, str):
-            raise InvalidMessageError(f"a message has no sender: kind {kind!r}")
+            raise InvalidMessageError(f"message of kind {kind!r} has no sender")
         if kind == MessageKind.INSTANCE_LIST:
             self.instances.handle_reading(message)
         elif kind == MessageKind.SHUFFLE:
@@ -121,7 +122,7 @@
             self._publisher.notify()
 
     def _publish_instances(self, is_own_reading: bool) -> None:
-        """Notify gateways of a newer list, and the other controllers of one that was read here."""
+        """Notify gateways of a newer list; send a list read by this controller to the other controllers."""
         self._notify_gateways()
         if is_own_reading:
             for address in self._directory.addresses():
@@ -148,7 +149,7 @@
         )
 
     def _shuffle(self) -> None:
-        """Exchange samples of the partial view with one other controller after the other."""
+        """Send a sample of the partial view to a random other controller, repeatedly."""
         while True:
             now_s = self.scheduler.now()
             self.view.record_contact(self._describe_self(), now_s)
@@ -165,9 +166,9 @@
             self.scheduler.sleep(SHUFFLE_INTERVAL_S * self._rng.uniform(*SHUFFLE_JITTER))
 
     def _announce_controllers(self) -> None:
-        """Send all controllers to seeds that are none.
+        """Send the list of controllers to the seeds that are not known as controllers.
 
-        They may be observers, which know no other process after a loss of power.
+        These seeds may be observers, which know no other process after a power loss.
         """
         known = {*self._directory.addresses(), self.settings.peer_address}
         for address in self.replica.seeds:
@@ -181,6 +182,6 @@
     # --- the registry -----------------------------------------------------------------------------
 
     def find_gateways(self, zone: str, region: str) -> list[str]:
-        """Return addresses of gateways for a client of a zone, empty where none is known to be ready."""
+        """Return addresses of gateways for a client in a zone, empty if no gateway is known to be ready."""
         gateways = self.view.alive(GATEWAY_ROLE, self.scheduler.now())
         return resolver.choose_gateways(gateways, zone, region, self._rng)
--- a/brambleusher/controller/gateway_lookup.py
+++ b/brambleusher/controller/gateway_lookup.py
@@ -1,4 +1,4 @@
-"""An observer's lookup of gateways: asks controllers, and caches their answers."""
+"""An observer's lookup of gateways: queries controllers and caches their answers."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 from brambleusher.controlplane.relay.client import RelayClient
 from brambleusher.runtime.scheduler import Scheduler
 
-RESOLVE_TIMEOUT_S = 0.7  # clients wait a second for the registry
-CACHE_FRESH_S = 0.4  # without asking again: many clients of a zone ask at once
-CACHE_STALE_S = 3.0  # while no controller answers; longer, clients would be sent to gateways that are gone
-CACHED_ZONES_MAX = 64
+RESOLVE_TIMEOUT_S = 0.7  # below the 1 s that clients wait for the registry
+CACHE_FRESH_S = 0.4  # cached answers are reused for this long, as many clients of a zone ask at once
+CACHE_STALE_S = 3.0  # limit without controllers; older answers may name stopped gateways
+CACHED_ZONES_MAX = 64  # entries in the cache; beyond this the oldest one is dropped
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,14 +20,14 @@
 
 
 class GatewayLookup:
-    """Finds gateways for the clients of a zone."""
+    """Finds gateways for the clients of a zone, with a cache for each zone."""
 
     def __init__(self, scheduler: Scheduler, relay: RelayClient) -> None:
         self._scheduler, self._relay = scheduler, relay
         self._cache: dict[tuple[str, str], _CachedAnswer] = {}
 
     def find(self, zone: str, region: str) -> list[str]:
-        """Return addresses of gateways, of a cached answer where no controller answers in time."""
+        """Return addresses of gateways; use a cached answer if no controller answers in time."""
         key = (zone, region)
         begin_s = self._scheduler.now()
         cached = self._cache.get(key, _CachedAnswer(-CACHE_STALE_S, []))
--- a/brambleusher/controller/messages.py
+++ b/brambleusher/controller/messages.py
@@ -1,4 +1,4 @@
-"""Kinds of messages between processes of the control plane that are not consensus; the wire's own names."""
+"""Kinds of messages between control plane processes, apart from consensus messages."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class MessageKind(StrEnum):
-    """The value of `kind` in a message."""
+    """The value of the `kind` field in a message; these values are part of the wire format."""
 
-    INSTANCE_LIST = "instances"  # a controller's reading of the platform's list
-    SHUFFLE = "shuffle"  # a sample of a partial view
+    INSTANCE_LIST = "instances"  # the platform's instance list as read by a controller
+    SHUFFLE = "shuffle"  # a random sample of a controller's partial view
--- a/brambleusher/controller/observer.py
+++ b/brambleusher/controller/observer.py
@@ -1,7 +1,8 @@
-"""The observer: serves the control plane's callers on a machine without a disk, by asking controllers.
+"""The observer process: serves clients of the control plane on a machine without a disk.
 
-It has no vote, no log and does not read the platform's list.  Its only state are the addresses of controllers
-and cached answers of the registry; it is idle while it has no callers.
+An observer relays requests to controllers.  It has no vote and no log, and does not read the platform's
+instance list.  Its only state is the addresses of controllers and cached registry answers; it is idle while
+it has no clients.
 """
 
 from __future__ import annotations
@@ -16,20 +17,20 @@
 from brambleusher.runtime.system import System
 from brambleusher.wire.settings import Settings
 
-REFRESH_INTERVAL_S = 2.0  # at which it asks who the controllers are
-REFRESH_JITTER = (0.8, 1.2)  # of the interval: observers do not ask in step
+REFRESH_INTERVAL_S = 2.0  # how often the list of controllers is refreshed
+REFRESH_JITTER = (0.8, 1.2)  # random factor of the interval, so that observers do not refresh in step
 REFRESH_TIMEOUT_S = 1.5
-SHUTDOWN_S = 0.6  # after SIGTERM: to answer pending calls
+SHUTDOWN_S = 0.6  # time after SIGTERM to answer pending requests
 
 
 class Observer(ControlPlaneProcess):
-    """One process that relays calls."""
+    """An observer: a process that relays requests to controllers."""
 
     role = "observer"
     peer_connections_max = 300
 
     def __init__(self, system: System, settings: Settings, path: str = "") -> None:
-        """Build all parts and listen; `path` names the settings file to watch, empty for none."""
+        """Create all components and listen; `path` is the settings file to watch, empty for none."""
         super().__init__(system, settings)
         locality = Locality(settings.zone, settings.region)
         self.controllers = Controllers(_other_seeds(settings), self._rng, locality)
@@ -42,7 +43,7 @@
     # --- lifecycle --------------------------------------------------------------------------------
 
     def _prepare_shutdown(self) -> None:
-        """Do nothing: an observer owns no state."""
+        """Do nothing, as an observer has no state to hand over."""
 
     def _await_shutdown(self) -> None:
         self.scheduler.sleep(SHUTDOWN_S)
@@ -50,9 +51,9 @@
     # --- messages ---------------------------------------------------------------------------------
 
     def handle_message(self, message: dict[str, object]) -> dict[str, object] | None:
-        """Return the reply to a message, None where it has none.
+        """Return the reply to a message, None if the message gets no reply.
 
-        The sender has this process among its seeds and knows no controller yet.
+        A sender reaches an observer through its seeds, while it knows no controller yet.
         """
         kind = message.get("kind")
         if kind in (LONG_POLL, RELAY):
@@ -65,7 +66,7 @@
         return None
 
     def _forward(self, message: dict[str, object]) -> None:
-        """Send a message to all controllers; it is marked, so that no observer forwards it again."""
+        """Send a message to all controllers; the caller marks it so that no observer forwards it again."""
         addresses = self.controllers.announced_addresses()
         self._senders.close_except(addresses)
         for address in addresses:
@@ -82,7 +83,7 @@
     # --- the registry -----------------------------------------------------------------------------
 
     def find_gateways(self, zone: str, region: str) -> list[str]:
-        """Return addresses of gateways for a client of a zone, empty where none is known to be ready."""
+        """Return addresses of gateways for a client in a zone, empty if no gateway is known to be ready."""
         return self._gateway_lookup.find(zone, region)
 
 
--- a/brambleusher/controller/peer_directory.py
+++ b/brambleusher/controller/peer_directory.py
@@ -1,4 +1,4 @@
-"""The other controllers that a controller knows of, as members of the group or by gossip."""
+"""The other controllers known to a controller, as members of the consensus group or by gossip."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class PeerDirectory:
-    """Joins the group's members with the partial view."""
+    """Combines the members of the consensus group with the controllers in the partial view."""
 
     def __init__(
         self,
@@ -25,19 +25,19 @@
         self._member_addresses = member_addresses
 
     def addresses(self) -> list[str]:
-        """Return the addresses of the other controllers: members, and those with recent contact."""
+        """Return the addresses of the other controllers: group members and recent contacts."""
         known = set(self._member_addresses())
         known |= {peer.address for peer in self._view.alive(CONTROLLER_ROLE, self._scheduler.now())}
         return sorted(known - {self._own_address, ""})
 
     def zones(self) -> dict[str, str]:
-        """Return the zones of the other controllers by address."""
+        """Return the zone of each other controller by its address."""
         return {address: peer.zone for address, peer in self._peers().items()}
 
     def as_json(self) -> list[tuple[str, str, str]]:
-        """Return address, zone and region of all controllers, this one included.
+        """Return the address, zone and region of all controllers, including this one.
 
-        Zone and region are empty for those without contact.
+        Zone and region are empty for controllers without recent contact.
         """
         peers = self._peers()
         return [
--- a/brambleusher/controller/peer_senders.py
+++ b/brambleusher/controller/peer_senders.py
@@ -1,4 +1,4 @@
-"""One-way messages to other processes of the control plane."""
+"""Sends one-way messages to other processes of the control plane."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from brambleusher.runtime.streams import parse_address
 from brambleusher.wire.json_fields import JsonObject
 
-SENDERS_MAX = 64
+SENDERS_MAX = 64  # connections open at once
 
 
 class PeerSenders:
-    """Keeps one connection for each address that messages are sent to."""
+    """Keeps one connection to each address that messages are sent to."""
 
     def __init__(self, scheduler: Scheduler) -> None:
         self._scheduler = scheduler
         self._senders: dict[str, LineSender] = {}
 
     def send(self, address: str, message: JsonObject) -> None:
-        """Queue a message; beyond `SENDERS_MAX` the oldest connection is closed for a new one."""
+        """Queue a message; a new connection beyond `SENDERS_MAX` replaces the oldest one."""
         sender = self._senders.get(address)
         if sender is None:
             if len(self._senders) >= SENDERS_MAX:
@@ -29,7 +29,7 @@
         sender.send(message)
 
     def close_except(self, addresses: Collection[str]) -> None:
-        """Close the connections to all other addresses."""
+        """Close the connections to all addresses except the given ones."""
         for address in [address for address in self._senders if address not in addresses]:
             self._close(address)
 
--- a/brambleusher/controller/process.py
+++ b/brambleusher/controller/process.py
@@ -1,4 +1,4 @@
-"""What a controller and an observer have in common: listeners, settings, start and graceful shutdown."""
+"""The base of controllers and observers: listeners, settings, startup and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class ControlPlaneProcess(ABC):
-    """A process that serves gateways, operators and clients of the registry."""
+    """A control plane process that serves gateways, operators and registry clients."""
 
     role: ClassVar[str]
     peer_connections_max: ClassVar[int]
@@ -39,7 +39,7 @@
         self._sparse_log = SparseLog(log, self.scheduler.now)
 
     def _listen(self, admin_api: AdminApi, settings_path: str) -> None:
-        """Open all listeners; `settings_path` names the settings file to watch, empty for none."""
+        """Open all listeners; `settings_path` is the settings file to watch, empty for none."""
         settings = self.settings
         self._line_server = LineServer(
             self.scheduler,
@@ -54,12 +54,12 @@
     # --- lifecycle --------------------------------------------------------------------------------
 
     def run(self) -> None:
-        """Serve until SIGTERM or SIGINT, then until the graceful shutdown is over."""
+        """Serve until SIGTERM or SIGINT, then until the graceful shutdown is complete."""
         log.info("process started", extra={"fields": {"role": self.role, "name": self.settings.node_name}})
         run_until_signalled(self.scheduler, self.begin_graceful_shutdown, self._settings_watcher)
 
     def begin_graceful_shutdown(self) -> None:
-        """Begin, once: connections of callers close with their responses, later the process ends."""
+        """Begin the shutdown once: close client connections after their responses, then end the process."""
         if self._is_shutting_down:
             return
         self._is_shutting_down = True
@@ -74,29 +74,29 @@
 
     @abstractmethod
     def _prepare_shutdown(self) -> None:
-        """Begin what has to be done before the process may end."""
+        """Start the actions that must complete before the process may end."""
 
     @abstractmethod
     def _await_shutdown(self) -> None:
-        """Wait until the process may end."""
+        """Wait until the shutdown actions are complete and the process may end."""
 
-    # --- callers ----------------------------------------------------------------------------------
+    # --- requests ---------------------------------------------------------------------------------
 
     @abstractmethod
     def handle_message(self, message: dict[str, object]) -> dict[str, object] | None:
-        """Return the reply to a message of another process, None where it has none.
+        """Return the reply to another process's message, None if the message gets no reply.
 
         Raises:
-            InvalidMessageError: The message can't be read.
+            InvalidMessageError: The message is malformed.
         """
 
     @abstractmethod
     def find_gateways(self, zone: str, region: str) -> list[str]:
-        """Return addresses of gateways for a client of a zone, empty where none is known to be ready."""
+        """Return addresses of gateways for a client in a zone, empty if no gateway is known to be ready."""
 
     @abstractmethod
     def _apply_seeds(self, settings: Settings) -> None:
-        """Use the seeds of changed settings."""
+        """Apply the seeds of changed settings."""
 
     def _resolve(self, request: HttpRequest) -> HttpResponse:
         return resolver.respond(request, self.find_gateways, self.settings.bounds.ttl_max_s)
--- a/brambleusher/gateway/__init__.py
+++ b/brambleusher/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway: the data plane of one edge machine."""
+"""The gateway process: runs the data plane on one edge machine."""
--- a/brambleusher/gateway/app.py
+++ b/brambleusher/gateway/app.py
@@ -1,4 +1,4 @@
-"""The gateway: assembles the data plane of one edge machine."""
+"""The gateway process: assembles and runs the data plane of one edge machine."""
 
 from __future__ import annotations
 
@@ -38,15 +38,15 @@
 ROLE = "gateway"
 BYTES_PER_MB = 1024 * 1024
 NS_PER_MS = 1_000_000
-BODY_MEMORY_DIVISOR = 4  # of the machine's memory, for the bodies of clients' requests
+BODY_MEMORY_DIVISOR = 4  # client request bodies may use 1/4 of the machine's memory
 MAINTENANCE_INTERVAL_S = 0.25
-DROPS_IDLE_UNSEEN = "pool"  # in `in_force`: instances may drop idle connections without closing them
+DROPS_IDLE_UNSEEN = "pool"  # value in `in_force`: instances may drop idle connections without closing them
 READY_PATH = "/api/readiness"
 STATUS_PATH = "/api/status"
 
 
 class Gateway:
-    """One process of the data plane."""
+    """A gateway: one process of the data plane."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
         policy: Policy | None = None,
         metrics_endpoint: MetricsEndpoint | None = None,
     ) -> None:
-        """Build all parts and listen; `path` names the settings file to watch, empty for none."""
+        """Create all components and listen; `path` is the settings file to watch, empty for none."""
         self.scheduler = Scheduler(system)
         self.settings = settings
         policy = policy or Policy()
@@ -120,18 +120,18 @@
     # --- lifecycle --------------------------------------------------------------------------------
 
     def run(self) -> None:
-        """Serve until SIGTERM or SIGINT, then until the graceful shutdown is over."""
+        """Serve until SIGTERM or SIGINT, then until the graceful shutdown is complete."""
         log.info("process started", extra={"fields": {"role": ROLE, "name": self.settings.node_name}})
         run_until_signalled(self.scheduler, self.begin_graceful_shutdown, self._settings_watcher)
         log.info("process stopped", extra={"fields": {"role": ROLE, **self.counters.as_json()}})
 
     def begin_graceful_shutdown(self) -> None:
-        """Become not ready; connections close with their responses, then the process ends."""
+        """Become not ready, close connections after their responses, then end the process."""
         self._shutdown.begin(self._clients)
 
     @property
     def is_ready(self) -> bool:
-        """Whether clients should come here."""
+        """Whether this gateway should receive requests from clients."""
         return self._has_configuration and not self._shutdown.has_begun
 
     @property
@@ -140,7 +140,7 @@
 
     @property
     def routes(self) -> RouteTable | None:
-        """The routes in force, None before a configuration came."""
+        """The routes in force, None before the first configuration arrives."""
         return self._configuration.routes
 
     def _accepts_requests(self) -> bool:
@@ -173,7 +173,7 @@
         return json_response(HTTPStatus.NOT_FOUND, {"error": reason})
 
     def status(self) -> dict[str, object]:
-        """Return the state as one JSON object."""
+        """Return the gateway's status as one JSON object."""
         routes = self.routes
         return {
             "ready": self.is_ready,
@@ -198,6 +198,6 @@
                     self.connection_pool.close_expired(self.instances.for_service(service))
 
     def _apply_settings(self, settings: Settings) -> None:
-        """Apply the seeds of changed settings; all else takes a restart."""
+        """Apply the seeds of changed settings; other changes require a restart."""
         self.controllers.set_seeds(settings.seed_peers())
         log.info("settings reloaded", extra={"fields": {"seeds": ",".join(settings.seeds)}})
--- a/brambleusher/gateway/client_server.py
+++ b/brambleusher/gateway/client_server.py
@@ -1,4 +1,4 @@
-"""The listener for clients: their connections, and the requests on each of them."""
+"""The listener for clients: accepts their connections and serves the requests on each connection."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 
 log = logging.getLogger(__name__)
 
-CONNECTIONS_MAX = 2500
-RETRY_AFTER_S = 0.3  # until a client should come back to a gateway that can't take its request
+CONNECTIONS_MAX = 2500  # client connections open at once
+RETRY_AFTER_S = 0.3  # `Retry-After` of a gateway that can't accept the request now
 
 
 class ClientServer:
@@ -41,7 +41,7 @@
         current_routes: Callable[[], RouteTable | None],
         accepts_requests: Callable[[], bool],
     ) -> None:
-        """Listen on `address`; `current_routes` gives the routes in force, None before there are any."""
+        """Listen on `address`; `current_routes` returns the routes in force, None before the first ones."""
         self._scheduler, self._handler, self._counters = scheduler, handler, counters
         self._body_memory = body_memory
         self._current_routes, self._accepts_requests = current_routes, accepts_requests
@@ -52,22 +52,22 @@
         self._acceptor = Acceptor(scheduler, address, self._serve, CONNECTIONS_MAX)
 
     def is_idle(self, idle_s: float) -> bool:
-        """Whether no request is under way and none came for so long."""
+        """Whether no request is being served and none has arrived for `idle_s` seconds."""
         return not self.active_requests and self._scheduler.now() - self._last_request_s > idle_s
 
     @property
     def departed_requests(self) -> int:
-        """How many requests are under way whose client has closed its connection."""
+        """The number of requests being served whose client has closed its connection."""
         return sum(not client.is_idle and client.has_departed() for client in self._connections)
 
     def close_after_responses(self) -> None:
-        """From now on close each connection with its next response."""
+        """Close each connection after its next response from now on."""
         self._closes_after_responses = True
         for connection in self._connections:
             connection.closes_after_response = True
 
     def close(self) -> None:
-        """Accept no more connections and close those that are idle; the others close when they are."""
+        """Stop accepting connections and close the idle ones; close the others as they become idle."""
         self._acceptor.close()
         for connection in list(self._connections):
             connection.closes_when_idle = True
@@ -84,7 +84,7 @@
             while self._serve_next(client):
                 pass
         except PeerDisconnectedError:
-            return  # while it was told that its request can't be read
+            return  # the client disconnected while an error response was sent for an invalid request
         except h11.LocalProtocolError:
             log.exception("response serialization failed")
         finally:
@@ -92,7 +92,7 @@
             self._connections.discard(client)
 
     def _serve_next(self, client: ClientConnection) -> bool:
-        """Serve one request; whether another may follow on the connection."""
+        """Serve one request; return whether another one may follow on the connection."""
         request = self._read(client)
         if request is None:
             return False
@@ -112,7 +112,7 @@
         return client.stream.open and client.begin_next_cycle()
 
     def _read(self, client: ClientConnection) -> ClientRequest | None:
-        """Read the next request; None where the connection is over, with an error response if one is due."""
+        """Read the next request; return None, after an error response if needed, to end the connection."""
         try:
             return client.read()
         except h11.RemoteProtocolError as error:
@@ -132,7 +132,10 @@
             self._counters.add(RequestCounter.NOT_SERVING)
             attempt_id = request.header(b"x-attempt-id")
             client.send_error(
-                HTTPStatus.SERVICE_UNAVAILABLE, "this gateway does not serve now", attempt_id, RETRY_AFTER_S
+                HTTPStatus.SERVICE_UNAVAILABLE,
+                "this gateway does not accept requests now",
+                attempt_id,
+                RETRY_AFTER_S,
             )
             return
         client.limits = routes.limits
--- a/brambleusher/gateway/gateway_metrics.py
+++ b/brambleusher/gateway/gateway_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a gateway, as operators and their monitoring read them."""
+"""The metrics of a gateway for operators and their monitoring."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class GatewayMetrics:
-    """Collects the metrics of one gateway at the moment they are asked for."""
+    """Collects the current metrics of one gateway for each scrape."""
 
     def __init__(
         self, scheduler: Scheduler, counters: Counters, clients: ClientServer, instances: InstanceTable
@@ -21,7 +21,7 @@
         self._clients, self._instances = clients, instances
 
     def collect(self) -> list[Metric]:
-        """Return all metrics."""
+        """Return all metrics with their current values."""
         return [
             counter(
                 f"{PREFIX}requests_total",
--- a/brambleusher/gateway/graceful_shutdown.py
+++ b/brambleusher/gateway/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown of a gateway: not ready, requests under way end, then the process does."""
+"""Graceful shutdown of a gateway: become not ready, finish active requests, end the process."""
 
 from __future__ import annotations
 
@@ -10,38 +10,38 @@
 
 log = logging.getLogger(__name__)
 
-CLIENTS_NOTICE_S = 2.6  # after SIGTERM: clients use the registry's last answer for so long
-IDLE_S = 0.6  # without a request for so long the gateway may end
-LAST_REQUESTS_S = 3.0  # before SIGKILL: requests that come later are rejected
-KILL_MARGIN_S = 0.3  # before SIGKILL the process has ended
+CLIENTS_NOTICE_S = 2.6  # how long after SIGTERM clients may still use the registry's previous answer
+IDLE_S = 0.6  # the gateway may end once it has had no request for this long
+LAST_REQUESTS_S = 3.0  # requests that arrive within this time before SIGKILL are rejected
+KILL_MARGIN_S = 0.3  # the process ends this long before SIGKILL
 POLL_INTERVAL_S = 0.05
 LAST_POLL_INTERVAL_S = 0.02
 
 
 class GracefulShutdown:
-    """Ends the gateway in time, and knows whether that has begun."""
+    """Runs the graceful shutdown of a gateway, which ends before SIGKILL."""
 
     def __init__(self, scheduler: Scheduler, grace_s: Callable[[], float]) -> None:
-        """`grace_s` gives the time between SIGTERM and SIGKILL."""
+        """Create the shutdown; `grace_s` returns the time between SIGTERM and SIGKILL in seconds."""
         self._scheduler, self._grace_s = scheduler, grace_s
         self._started_at_s: float | None = None
 
     @property
     def has_begun(self) -> bool:
-        """Whether the gateway is shutting down."""
+        """Whether the graceful shutdown has begun."""
         return self._started_at_s is not None
 
     @property
     def is_too_late_for_requests(self) -> bool:
-        """Whether a request that comes now could be cut off by SIGKILL."""
+        """Whether a request that arrives now could be interrupted by SIGKILL."""
         if self._started_at_s is None:
             return False
         return self._scheduler.now() > self._started_at_s + self._grace_s() - LAST_REQUESTS_S
 
     def can_finish(self, deadline_s: float) -> bool:
-        """Whether a request that comes now, and may take until its deadline, is answered before the end.
+        """Whether a request that arrives now and takes until its deadline would be answered in time.
 
-        Those that come while clients can't know of the shutdown yet are taken all the same.
+        Requests are accepted in any case while their clients can't know about the shutdown yet.
         """
         if self._started_at_s is None or self._scheduler.now() < self._started_at_s + CLIENTS_NOTICE_S:
             return True
@@ -51,7 +51,7 @@
         return started_at_s + self._grace_s() - KILL_MARGIN_S
 
     def begin(self, clients: ClientServer) -> None:
-        """Begin, once: client connections close with their responses, later the process ends."""
+        """Begin the shutdown once: close client connections after their responses, then end the process."""
         if self._started_at_s is not None:
             return
         self._started_at_s = self._scheduler.now()
--- a/brambleusher/gateway/metrics_server.py
+++ b/brambleusher/gateway/metrics_server.py
@@ -1,4 +1,4 @@
-"""The listener at which a gateway's metrics are scraped: a port and a path of the deploy file."""
+"""The HTTP listener for scrapes of a gateway's metrics; the deploy file sets its port and path."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 log = logging.getLogger(__name__)
 
-CONNECTIONS_MAX = 16
+CONNECTIONS_MAX = 16  # scrape connections open at once
 
 
 class MetricsServer:
-    """Answers scrapes; a gateway serves without it where its port can't be had."""
+    """Answers scrapes; if its port can't be bound, the gateway runs without metrics."""
 
     def __init__(
         self, scheduler: Scheduler, host: str, endpoint: MetricsEndpoint, metrics: GatewayMetrics
@@ -31,6 +31,6 @@
 
     def _handle(self, request: HttpRequest) -> HttpResponse:
         if request.method != "GET" or request.path != self._endpoint.path:
-            reason = f"{request.method} {request.path} is not where metrics are"
+            reason = f"{request.method} {request.path} is not the metrics endpoint"
             return json_response(HTTPStatus.NOT_FOUND, {"error": reason})
         return HttpResponse(HTTPStatus.OK, render(self._metrics.collect()), content_type=CONTENT_TYPE)
--- a/brambleusher/handover/__init__.py
+++ b/brambleusher/handover/__init__.py
@@ -1,5 +1,6 @@
-"""Handover: several processes of one sidecar, while a new version takes over from an old one.
+"""Handover between processes of one sidecar, when a new version takes over from an old one.
 
-The processes share a folder.  `process_registry` says who is there, `shared_settings` has what operators
-ordered, `state_transfer` what a new process starts with, and `limit_shares` how limits are divided.
+The processes share a folder.  `process_registry` tracks the running processes, `shared_settings` stores the
+settings that operators changed, `state_transfer` passes state to a new process, and `limit_shares` divides
+limits among the processes.
 """
--- a/brambleusher/handover/folder_watcher.py
+++ b/brambleusher/handover/folder_watcher.py
@@ -1,4 +1,4 @@
-"""The task that follows the shared folder: who comes and goes, and what operators order elsewhere."""
+"""The task that watches the shared folder for starting and ending processes and changed settings."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 log = logging.getLogger(__name__)
 
-SCAN_INTERVAL_S = 0.05  # between two looks at the folder's time of change
-LIVENESS_INTERVAL_S = 0.25  # between two looks at the others' locks, which change no file
-ERROR_BACKOFF_S = 1.0  # where the folder can't be read
+SCAN_INTERVAL_S = 0.05  # interval between checks of the folder's modification time
+LIVENESS_INTERVAL_S = 0.25  # interval between checks of the locks, whose release modifies no file
+ERROR_BACKOFF_S = 1.0  # pause after the folder could not be read
 
 
 class FolderWatcher:
-    """Follows the shared folder, and offers the state to new processes while this one serves."""
+    """Watches the shared folder, and transfers state to new processes while this process is serving."""
 
     def __init__(
         self,
@@ -33,10 +33,10 @@
         self._path, self._scheduler = path, scheduler
         self._registry, self._settings, self._transfer = registry, settings, transfer
         self._on_settings = on_settings
-        self._changed_ns = 0  # the folder's time of change at the last look
+        self._changed_ns = 0  # the folder's modification time at the last check
 
     def run(self) -> None:
-        """Follow the folder; a task's body, without end."""
+        """Watch the folder forever; this is the body of a task."""
         check_liveness_at = 0.0
         while True:
             try:
@@ -52,7 +52,7 @@
             self._scheduler.sleep(SCAN_INTERVAL_S)
 
     def poll(self, is_changed: bool) -> None:
-        """Scan the processes; where the folder has changed, read the settings and serve new processes.
+        """Scan the processes; if the folder changed, read the settings and send state to new processes.
 
         Raises:
             OSError: The folder can't be read.
--- a/brambleusher/handover/process_group.py
+++ b/brambleusher/handover/process_group.py
@@ -1,4 +1,4 @@
-"""This process among those of its sidecar: registry, limit shares, shared settings, state transfer."""
+"""The handover components of one process: registry, limit shares, shared settings, state transfer."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 class ProcessGroup:
-    """The parts of a handover over one shared folder.
+    """The handover components of a process, which use one shared folder.
 
     Args:
         path: The shared folder.
-        on_shares_changed: Called when this process's limit shares have changed.
+        on_shares_changed: Called when this process's fractions of the limits have changed.
         on_settings: Called with the shared settings after another process may have changed them.
-        export_state: Makes the state that a new process is offered.
+        export_state: Returns the state to transfer to a new process, None for no state.
     """
 
     def __init__(
@@ -39,7 +39,7 @@
         self._path, self._on_settings = path, on_settings
 
     def watch(self, scheduler: Scheduler) -> None:
-        """Spawn the task that follows the shared folder."""
+        """Spawn the task that watches the shared folder."""
         watcher = FolderWatcher(
             self._path, scheduler, self.registry, self.settings, self.transfer, self._on_settings
         )
--- a/brambleusher/handover/process_registry.py
+++ b/brambleusher/handover/process_registry.py
@@ -1,7 +1,7 @@
-"""The registry of the processes of one sidecar, kept by file locks.
+"""The registry of the running processes of one sidecar, based on file locks.
 
-Each process has a file in the shared folder, locked as long as the process lives, whose name says its stage.
-So who is there is known without trusting process ids: a process that was killed has lost its lock.
+Each process holds a lock on a file in the shared folder as long as it lives; the file name contains its
+stage.  Locks show which processes are alive without trusting process ids: a killed process loses its lock.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
 
 log = logging.getLogger(__name__)
 
-DESCRIPTORS = 3  # the own lock, the folder's lock, and a file that is read or written
+DESCRIPTORS = 3  # file descriptors: the process's lock, the folder's lock, and a file being read or written
 
 
 class ProcessStage(Enum):
-    """How far a process is."""
+    """The stage of a process in its life cycle."""
 
     STARTING = auto()
     SERVING = auto()
     DRAINING = auto()
 
 
-# The stages in file names, fixed apart from the names in the code: another version's processes read them.
+# Stage names in file names; these are fixed, as processes of other versions read them.
 STAGE_PREFIXES = {
     ProcessStage.STARTING: "starting",
     ProcessStage.SERVING: "serving",
@@ -40,36 +40,36 @@
 
 
 def stage_file(stage: ProcessStage, pid: int) -> str:
-    """Name the file of a process at a stage."""
+    """Return the name of a process's file at the given stage."""
     return f"{STAGE_PREFIXES[stage]}-{pid}"
 
 
 def joining_file(pid: int) -> str:
-    """Name the file of a process that does not hold its lock yet; no other process looks at it."""
+    """Return the file name of a process that does not hold its lock yet; other processes ignore it."""
     return f"joining-{pid}"
 
 
 def _ignore_change() -> None:
-    """Do nothing: the default of a callback."""
+    """Do nothing; the default for `on_shares_changed`."""
 
 
 def _is_alive(path: Path) -> bool:
-    """Return whether the process of a stage file holds its lock."""
+    """Return whether the process of a stage file still holds its lock."""
     try:
         with open_descriptor(path, os.O_RDWR) as descriptor:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except FileNotFoundError:
-        return False  # renamed since: the folder's change brings another scan
+        return False  # the file was renamed meanwhile; that change triggers another scan
     except BlockingIOError:
         return True
     return False
 
 
 class ProcessRegistry:
-    """This process among those of its sidecar.
+    """Registers this process and tracks the other processes of its sidecar.
 
-    `on_shares_changed` is called before this process publishes another stage of its own, and by whoever
-    calls `refresh` and finds other processes changed.
+    `on_shares_changed` is called before this process publishes a new stage, and from `refresh` if the other
+    processes have changed.
     """
 
     def __init__(self, folder: SharedFolder, on_shares_changed: Callable[[], None] = _ignore_change) -> None:
@@ -82,12 +82,12 @@
 
     @property
     def others(self) -> Mapping[int, ProcessStage]:
-        """The stages of the other processes by their ids, as of the last scan."""
+        """The stage of each other process by process id, as of the last scan."""
         return self._others
 
     @property
     def process_count(self) -> int:
-        """How many processes there are, this one too."""
+        """The number of processes, including this one."""
         return 1 + len(self._others)
 
     @property
@@ -96,22 +96,23 @@
         return ProcessStage.SERVING in self._others.values()
 
     def register(self) -> bool:
-        """Register this process; return whether another one is serving.
+        """Register this process; return whether another process is serving.
 
         Raises:
-            OSError: The folder can't be used.
+            OSError: The folder can't be created or written.
         """
         self._folder.create()
         joining = self._folder.path / joining_file(self._folder.pid)
         self._lock_fd = os.open(joining, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, FILE_MODE)
         fcntl.flock(self._lock_fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        # Guards against a process that scans between the two, and takes this one for one that was killed.
+        # The rename comes after locking: otherwise another process could scan in between, find no lock and
+        # remove the file as that of a killed process.
         self._stage_path = joining.rename(self._path_of(ProcessStage.STARTING))
         self._others = self._scan()
         return self.is_other_serving
 
     def set_stage(self, stage: ProcessStage) -> None:
-        """Publish this process's stage; without effect where it has not joined."""
+        """Publish this process's stage; has no effect if the process is not registered."""
         if self._stage_path is None:
             return
         self.stage = stage
@@ -132,7 +133,7 @@
             self._lock_fd = -1
 
     def has_successor(self) -> bool:
-        """Scan, and return whether another process is serving."""
+        """Scan the processes, and return whether another process is serving."""
         try:
             self._others = self._scan()
         except OSError:
@@ -140,7 +141,7 @@
         return self.is_other_serving
 
     def refresh(self) -> None:
-        """Scan, and call `on_shares_changed` where the other processes differ from the last scan.
+        """Scan the processes, and call `on_shares_changed` if others differ from the last scan.
 
         Raises:
             OSError: The folder can't be read.
@@ -155,7 +156,7 @@
         return self._folder.path / stage_file(stage, self._folder.pid)
 
     def _scan(self) -> dict[int, ProcessStage]:
-        """Return the other processes that live, and remove the files of those that don't."""
+        """Return the other live processes, and remove the files of dead ones."""
         found: dict[int, ProcessStage] = {}
         for path in self._folder.path.iterdir():
             match = _STAGE_FILE.match(path.name)
--- a/brambleusher/handover/shared_folder.py
+++ b/brambleusher/handover/shared_folder.py
@@ -1,7 +1,8 @@
-"""The folder that all processes of one sidecar share: its files' names, and how they are read and written.
+"""The folder shared by all processes of one sidecar: file names, and how files are read and written.
 
-Processes of two versions of the program read these files: names and forms are fixed by `FORMAT_VERSION`.
-A file that is torn, foreign, of another version or missing reads as None, with a warning.
+Processes of two versions of the program read these files; `FORMAT_VERSION` fixes their names and formats.
+A file that is truncated, foreign, of another version or missing is read as None; all but missing files are
+logged as warnings.
 """
 
 from __future__ import annotations
@@ -24,12 +25,12 @@
 VERSION_KEY = "v"
 LOCK_FILE = "lock"
 SHARED_SETTINGS_FILE = "shared.json"
-MAX_FILE_BYTES = 4 * 1024 * 1024  # of a file that is read
+MAX_FILE_BYTES = 4 * 1024 * 1024  # larger files are rejected
 FILE_MODE, FOLDER_MODE = 0o600, 0o700
 
 
 def state_file(pid: int) -> str:
-    """Name the file of the state that is transferred to a new process."""
+    """Return the name of the file with the state transferred to a new process."""
     return f"learnt-{pid}.json"
 
 
@@ -40,7 +41,7 @@
 
 @contextmanager
 def open_descriptor(path: Path, flags: int) -> Iterator[int]:
-    """Hold a descriptor of a file open.
+    """Open a file and close its descriptor at the end of the context.
 
     Raises:
         OSError: The file can't be opened.
@@ -60,25 +61,25 @@
         self.pid = os.getpid() if pid is None else pid
 
     def create(self) -> None:
-        """Make the folder unless it is there.
+        """Create the folder if it does not exist.
 
         Raises:
-            OSError: It can't be made.
+            OSError: The folder can't be created.
         """
         self.path.mkdir(mode=FOLDER_MODE, parents=True, exist_ok=True)
 
     @contextmanager
     def exclusive_lock(self) -> Iterator[None]:
-        """Hold the folder's lock.
+        """Hold the folder's lock during the context.
 
-        Guards against two processes that both read a file, and each overwrite what the other has written.
+        Prevents lost updates when two processes read, change and write the same file.
         """
         with open_descriptor(self.path / LOCK_FILE, os.O_RDWR | os.O_CREAT) as descriptor:
             fcntl.flock(descriptor, fcntl.LOCK_EX)
             yield
 
     def write(self, name: str, values: JsonObject) -> None:
-        """Replace a file as a whole, so that no reader sees half of it.
+        """Replace a file atomically, so that readers never see a partially written file.
 
         Raises:
             OSError: The file can't be written.
@@ -89,7 +90,7 @@
         temporary.replace(path)
 
     def read(self, name: str) -> JsonObject | None:
-        """Return a file's JSON object; None where it is missing or can't be used, which is logged."""
+        """Return a file's JSON object; None if it is missing, or if it is unusable, which is logged."""
         try:
             with (self.path / name).open("rb") as file:
                 raw = orjson.loads(file.read(MAX_FILE_BYTES + 1))
--- a/brambleusher/handover/shared_settings.py
+++ b/brambleusher/handover/shared_settings.py
@@ -1,6 +1,6 @@
-"""What operators ordered of any process of one sidecar: bans, and whether it is in service.
+"""Settings that operators changed at any process of one sidecar: bans, and whether it is in service.
 
-The processes keep it in one file, merged by the time of each order and replaced as a whole.
+The processes share one file.  Changes are merged by their time, and the file is replaced atomically.
 """
 
 from __future__ import annotations
@@ -14,24 +14,24 @@
 
 log = logging.getLogger(__name__)
 
-# The keys on disk.
+# Keys in the file.
 _BANS, _SERVICE, _CHANGED, _IN_SERVICE = "bans", "service", "said", "wanted"
 
 
 class SharedSettingsError(ValueError):
-    """Shared settings that can't be used; the message names the key."""
+    """Invalid shared settings; the message names the key."""
 
 
 @dataclass(frozen=True, slots=True)
 class SharedSettings:
-    """Orders of operators; `service_changed_ns` is the time of the last one about the service (0: none)."""
+    """Settings changed by operators; `service_changed_ns` is when `is_in_service` changed, 0 if never."""
 
     bans: Mapping[str, Ban]
     is_in_service: bool = True
     service_changed_ns: int = 0
 
     def encode(self) -> JsonObject:
-        """Return the form on disk."""
+        """Return the settings in their file format."""
         return {
             _BANS: {host: [ban.since_ns, ban.ended_ns] for host, ban in self.bans.items()},
             _SERVICE: {_CHANGED: self.service_changed_ns, _IN_SERVICE: self.is_in_service},
@@ -39,10 +39,10 @@
 
     @classmethod
     def decode(cls, raw: JsonObject) -> SharedSettings:
-        """Parse the form on disk; a key that is missing has its default.
+        """Parse the file format; missing keys have defaults.
 
         Raises:
-            SharedSettingsError: A value is not of its kind.
+            SharedSettingsError: A value has the wrong type or a required key is missing.
         """
         try:
             bans = HostBans.from_json(raw.get(_BANS, {}))
@@ -60,13 +60,13 @@
 
 
 class SharedSettingsStore:
-    """The file of the shared settings."""
+    """Reads and updates the file of the shared settings."""
 
     def __init__(self, folder: SharedFolder) -> None:
         self._folder = folder
 
     def read(self) -> SharedSettings | None:
-        """Return the shared settings; None where there are none that can be used, which is logged."""
+        """Return the shared settings; None if the file is missing, or if it is unusable, which is logged."""
         raw = self._folder.read(SHARED_SETTINGS_FILE)
         if raw is None:
             return None
@@ -77,7 +77,7 @@
             return None
 
     def update(self, merge: Callable[[SharedSettings | None], SharedSettings]) -> None:
-        """Replace the settings by what `merge` returns, under the folder's lock; a failure is logged."""
+        """Replace the settings with the result of `merge`, under the folder's lock; log a failure."""
         try:
             with self._folder.exclusive_lock():
                 self._folder.write(SHARED_SETTINGS_FILE, merge(self.read()).encode())
--- a/brambleusher/handover/state_transfer.py
+++ b/brambleusher/handover/state_transfer.py
@@ -1,6 +1,6 @@
-"""Transfer of state from the process that serves to one that starts: its endpoint list, its balancer's state.
+"""Transfer of the endpoint list and the balancer's state from the serving process to a starting one.
 
-The serving process writes one file for each new process, which waits for it for a short time.
+The serving process writes one file for each new process; the new process waits for its file for a short time.
 """
 
 from __future__ import annotations
@@ -13,25 +13,25 @@
 
 log = logging.getLogger(__name__)
 
-TRANSFER_TIMEOUT_S = 0.5  # that a new process waits for the state
-POLL_INTERVAL_S = 0.01  # between two looks for its file
+TRANSFER_TIMEOUT_S = 0.5  # how long a new process waits for the state
+POLL_INTERVAL_S = 0.01  # interval between checks for the file
 
-# The keys on disk.
+# Keys in the file.
 _ENDPOINT_LIST, _DISCOVERY, _BALANCER = "list", "discovery", "state"
 
 
 class TransferredStateError(ValueError):
-    """Transferred state that can't be used; the message names the key."""
+    """Invalid transferred state; the message names the key."""
 
 
 @dataclass(frozen=True, slots=True)
 class TransferredState:
-    """What a new process starts with.
+    """The state that a new process starts with.
 
     Attributes:
-        endpoint_list: The endpoint list, as discovery would word it.
-        discovery: The address, `host:port`, of the discovery that the list's version belongs to.
-        balancer: The balancer's exported state, which its import checks; None where it has none.
+        endpoint_list: The endpoint list in the format of the discovery service.
+        discovery: The address (`host:port`) of the discovery service that numbered the list's version.
+        balancer: The balancer's exported state, validated on import; None if there is none.
     """
 
     endpoint_list: JsonObject
@@ -39,15 +39,15 @@
     balancer: object = None
 
     def encode(self) -> JsonObject:
-        """Return the form on disk."""
+        """Return the state in its file format."""
         return {_ENDPOINT_LIST: self.endpoint_list, _DISCOVERY: self.discovery, _BALANCER: self.balancer}
 
     @classmethod
     def decode(cls, raw: JsonObject) -> TransferredState:
-        """Parse the form on disk; the list and the balancer's state are checked by those who use them.
+        """Parse the file format; the users of the list and of the balancer's state validate them.
 
         Raises:
-            TransferredStateError: A key is missing or not of its kind.
+            TransferredStateError: A key is missing or its value has the wrong type.
         """
         endpoint_list = raw.get(_ENDPOINT_LIST)
         if not isinstance(endpoint_list, dict):
@@ -58,21 +58,21 @@
 
 
 def _export_nothing() -> TransferredState | None:
-    """Offer no state: the default of a callback."""
+    """Return no state; the default for `export`."""
     return None
 
 
 class StateTransfer:
-    """Both ends of the transfer; `export` makes what a new process is offered, None for nothing."""
+    """Sends and receives transferred state; `export` returns the state to send, None for none."""
 
     def __init__(
         self, folder: SharedFolder, export: Callable[[], TransferredState | None] = _export_nothing
     ) -> None:
         self._folder, self._export = folder, export
-        self._sent: set[int] = set()  # ids of processes that have been offered the state
+        self._sent: set[int] = set()  # ids of the processes that the state was sent to
 
     def send(self, pid: int) -> None:
-        """Write the state for a new process, once."""
+        """Write the state for a new process, at most once per process."""
         if pid in self._sent:
             return
         self._sent.add(pid)
@@ -80,18 +80,18 @@
             if (state := self._export()) is not None:
                 self._folder.write(state_file(pid), state.encode())
         except Exception as error:
-            # Guards against a fault in what is only a help to the new process.
+            # A failure is only logged: the transferred state is optional for the new process.
             log.warning("state transfer failed", extra={"fields": {"error": error}}, exc_info=True)
 
     def receive(self, sleep: Callable[[float], None], now: Callable[[], float]) -> TransferredState | None:
-        """Wait for the state that the serving process offers.
+        """Wait for the state that the serving process sends.
 
         Args:
-            sleep: Lets a number of seconds pass.
-            now: Tells the time in seconds.
+            sleep: Sleeps for a number of seconds.
+            now: Returns the current time in seconds.
 
         Returns:
-            The state; None where it does not come in time or can't be used, which is logged.
+            The state; None if it does not arrive in time or is invalid, both of which are logged.
         """
         name = state_file(self._folder.pid)
         path, deadline = self._folder.path / name, now() + TRANSFER_TIMEOUT_S
--- a/brambleusher/observability/__init__.py
+++ b/brambleusher/observability/__init__.py
@@ -1,1 +1,1 @@
-"""Log lines, counters, and counts of requests for operators."""
+"""Log formats, counters, request counts and metrics for operators."""
--- a/brambleusher/observability/counters.py
+++ b/brambleusher/observability/counters.py
@@ -1,4 +1,4 @@
-"""Counters of what the sidecar accepts, sends and answers; operators read them by these names."""
+"""Counters of the sidecar's connections, requests and responses; operators read them by these names."""
 
 from __future__ import annotations
 
@@ -45,23 +45,23 @@
 
 
 class Counters:
-    """One count for each name; a name that is not registered is a fault in the program."""
+    """One counter for each registered name; using an unregistered name is a programming error."""
 
     def __init__(self) -> None:
         self._counts = dict.fromkeys(NAMES, 0)
 
     def register(self, name: str) -> None:
-        """Register one name more, for a feature that is on."""
+        """Register an additional counter, for an optional feature that is enabled."""
         self._counts[name] = 0
 
     def add(self, name: str, more: int = 1) -> None:
-        """Count one more, or several."""
+        """Add to a counter, 1 by default."""
         self._counts[name] += more
 
     def count(self, name: str) -> int:
-        """Return the count so far."""
+        """Return the current value of a counter."""
         return self._counts[name]
 
     def report(self, why: str) -> None:
-        """Log all counts on one line."""
+        """Log all counters on one line, with the reason for logging them."""
         log.info("counters", extra={"fields": {"why": why, **self._counts}})
--- a/brambleusher/observability/log_format.py
+++ b/brambleusher/observability/log_format.py
@@ -1,4 +1,4 @@
-"""Log lines as `key=value` or as JSON, through the standard `logging` module."""
+"""Formats log records as `key=value` lines or JSON, through the standard `logging` module."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 
 class LogStream(Protocol):
-    """What log lines are written to."""
+    """A stream that log lines are written to."""
 
     def write(self, text: str, /) -> object:
-        """Write one line, with its line end."""
+        """Write one line, including its newline."""
 
     def flush(self) -> object:
-        """Let it go out."""
+        """Flush buffered lines."""
 
 
 def quote(value: object) -> str:
-    """Return a value as it stands if that is unambiguous, else in quotes."""
+    """Return a value unchanged if that is unambiguous, otherwise quoted and escaped."""
     text = str(value)
     if text and all(char in _PLAIN for char in text):
         return text
@@ -33,7 +33,7 @@
 
 
 class KeyValueFormatter(logging.Formatter):
-    """`time=… level=… part=… msg=…`, then the record's `fields`, then a traceback if there is one."""
+    """Formats a record as `time=… level=… part=… msg=…`, its `fields`, and its traceback if there is one."""
 
     def format(self, record: logging.LogRecord) -> str:
         """Format a record as one line."""
@@ -57,7 +57,7 @@
 
 
 class JsonFormatter(KeyValueFormatter):
-    """The same as one JSON object a line; numbers stay numbers."""
+    """Formats the same fields as one JSON object per line; numbers stay numbers."""
 
     def format(self, record: logging.LogRecord) -> str:
         """Format a record as one line."""
@@ -65,7 +65,7 @@
 
 
 def configure(level: int = logging.INFO, stream: LogStream | None = None, form: str = "logfmt") -> None:
-    """Send the package's log lines to a stream, standard error unless another is given.
+    """Send the log lines of this package to a stream, by default standard error.
 
     `form` is `logfmt` or `json`.
     """
@@ -78,9 +78,9 @@
 
 
 class SparseLog:
-    """Warnings of one kind, limited to one in `seconds`; the next one says how many were left out.
+    """Limits one kind of warning to one per `seconds`; the next one contains the number left out.
 
-    Guards against a peer that sends invalid data at full speed, and a log that delays everything else.
+    Without the limit, a peer that sends invalid data at full speed would fill the log and slow the process.
     """
 
     def __init__(self, log: logging.Logger, now: Callable[[], float], seconds: float = 1.0) -> None:
@@ -89,7 +89,7 @@
         self._left_out = 0
 
     def warning(self, message: str, **fields: object) -> None:
-        """Log a warning, unless one was logged less than `seconds` ago."""
+        """Log a warning, unless the last one was logged less than `seconds` ago."""
         if self._now() < self._next_at:
             self._left_out += 1
             return
--- a/brambleusher/observability/prometheus_text.py
+++ b/brambleusher/observability/prometheus_text.py
@@ -1,4 +1,4 @@
-"""Metrics in the text format that Prometheus scrapes."""
+"""Metrics in the Prometheus text exposition format."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 
 class MetricKind(StrEnum):
-    """How a metric's value moves."""
+    """The type of a metric."""
 
-    COUNTER = "counter"  # only rises, from 0 at the start of the process
+    COUNTER = "counter"  # a counter starts at 0 with the process and only increases
     GAUGE = "gauge"
 
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """One value of a metric, told from its others by labels."""
+    """One value of a metric; labels distinguish the values of the same metric."""
 
     value: float
     labels: Mapping[str, str] = field(default_factory=dict)
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Metric:
-    """One metric: its name ends in its unit, or in `_total` where it counts."""
+    """One metric; its name ends in its unit, or in `_total` for a counter."""
 
     name: str
     kind: MetricKind
@@ -46,7 +46,7 @@
 
 
 def render(metrics: Iterable[Metric]) -> bytes:
-    """Return metrics as text, each with its description and kind ahead of its values."""
+    """Render metrics as text, each with its description and type before its values."""
     lines: list[str] = []
     for metric in metrics:
         lines.append(f"# HELP {metric.name} {metric.description}")
