--- a/brambleusher/controller/app.py
+++ b/brambleusher/controller/app.py
@@ -105,7 +105,7 @@
             return None  # the message is meant for observers
         sender = message.get("from")
         if not isinstance(sender, str):
-            raise InvalidMessageError(f"message of kind {kind!r} has no sender")
+            raise InvalidMessageError(f"message without a sender: kind {kind!r}")
         if kind == MessageKind.INSTANCE_LIST:
             self.instances.handle_reading(message)
         elif kind == MessageKind.SHUFFLE:
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -1,4 +1,4 @@
-"""The admin endpoint: the table of calls, and the calls on real sockets."""
+"""Tests of the admin endpoint: its route table, and requests over real sockets."""
 
 from __future__ import annotations
 
@@ -46,8 +46,8 @@
             self.assertEqual(caught.exception.status, status)
 
 
-class HeldDiscovery(Discovery):
-    """Takes the watch, and answers when it is told to."""
+class DelayedDiscovery(Discovery):
+    """A discovery service that answers a watch request only once `may_answer` is set."""
 
     def __init__(self, servers: list[dict[str, Any]]) -> None:
         self.may_answer = threading.Event()
@@ -81,10 +81,10 @@
         sock = self.connect(rig)
         sock.sendall(f"{method} /control/{path} HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n".encode())
         got = read(sock)
-        self.assertEqual(sock.recv(1), b"", "one call to a connection")
+        self.assertEqual(sock.recv(1), b"", "one request per connection")
         return got
 
-    def figures(self, rig: Rig) -> dict[str, int]:
+    def metrics(self, rig: Rig) -> dict[str, int]:
         lines = self.call(rig, "GET", "counters").body.decode().splitlines()
         return {name: int(value) for name, value in (line.split("=") for line in lines)}
 
@@ -99,13 +99,13 @@
         for n in range(20):
             self.assertEqual(rig.call(f"r{n}").status, 200)
         self.assertEqual((nodes[0].seen.qsize(), nodes[1].seen.qsize()), (0, 20))
-        self.assertEqual(self.figures(rig)["edge_node.out_of_rotation"], 1)
+        self.assertEqual(self.metrics(rig)["edge_node.out_of_rotation"], 1)
         self.assertEqual(self.call(rig, "POST", "registry-nodes/h0/online").status, 200)
         until = time.monotonic() + WAIT
-        while not nodes[0].seen.qsize():  # cold: a part of what it could take
+        while not nodes[0].seen.qsize():  # the endpoint is warming up and gets only part of its capacity
             rig.call(f"late{time.monotonic_ns()}")
             self.assertLess(time.monotonic(), until)
-        self.assertEqual(self.figures(rig)["edge_node.out_of_rotation"], 0)
+        self.assertEqual(self.metrics(rig)["edge_node.out_of_rotation"], 0)
 
     def test_the_last_node_can_be_banned(self) -> None:
         rig = self.rig(self.node())
@@ -125,7 +125,7 @@
         waiting = rig.send("held", "move")
         first = held.get(timeout=WAIT)
         self.assertEqual([rig.call("a").status, rig.call("bad", "move").status], [200, 502])
-        got = self.figures(rig)
+        got = self.metrics(rig)
         self.assertEqual(got["edge_node.operations.look.fulfilled"], 1)
         self.assertEqual(got["edge_node.operations.move.faulted"], 1)
         self.assertEqual(got["edge_node.operations.move.throttled"], 0)
@@ -133,15 +133,15 @@
         self.assertEqual((got["edge_node.registry_entries"], got["edge_node.out_of_rotation"]), (1, 0))
         answer(b"")(first, Message(("GET", "/"), 1, {}))
         self.assertEqual(read(waiting).status, 200)
-        rig.send("left").close()  # left before its answer: it ends, and is nothing else
+        rig.send("left").close()  # disconnects before the response: finished without an outcome
         until = time.monotonic() + WAIT
-        while (got := self.figures(rig))["edge_node.open_requests"]:
+        while (got := self.metrics(rig))["edge_node.open_requests"]:
             self.assertLess(time.monotonic(), until)
         self.assertEqual(got["edge_node.operations.move.fulfilled"], 1)
 
     def test_callers_that_say_nothing_or_half_a_call_hold_up_nobody(self) -> None:
         rig = self.rig(self.node())
-        rig.listed(1)  # until the list is in, the answer is 503: see the test below
+        rig.listed(1)  # until the list has arrived the answer is 503, as the next test checks
         silent = [self.connect(rig) for _ in range(MAX_CALLERS * 2)]
         for sock in silent[::2]:
             sock.sendall(b"GET /control/rea")
@@ -152,11 +152,12 @@
             sock = self.connect(rig)
             sock.sendall(text)
             self.assertEqual(read(sock).status, status)
-        self.assertEqual(read(silent[-2]).status, 408)  # in time, half a call is told so
+        # An incomplete request is answered with 408 after the timeout.
+        self.assertEqual(read(silent[-2]).status, 408)
 
     def test_it_is_not_ready_until_the_list_is_in(self) -> None:
-        """However busy the machine is: what a caller is told goes by the list alone."""
-        discovery = HeldDiscovery([self.node().entry("h0")])
+        """Readiness depends only on the endpoint list, not on timing or on the load of the machine."""
+        discovery = DelayedDiscovery([self.node().entry("h0")])
         rig = Rig([], admin=True, discovery=discovery)
         self.addCleanup(rig.end)
         got = self.call(rig, "GET", "ready")
@@ -167,19 +168,21 @@
 
     def test_out_of_service_sends_clients_away_and_back(self) -> None:
         rig = self.rig(self.node())
-        resting, idle = rig.connect(), rig.connect()
-        rig.send("a", sock=resting)
-        self.assertTrue(read(resting).keep_alive)
+        active, idle = rig.connect(), rig.connect()
+        rig.send("a", sock=active)
+        self.assertTrue(read(active).keep_alive)
         rig.send("b", sock=idle)
         read(idle)
         self.assertEqual(self.call(rig, "POST", "out-of-service").status, 200)
         self.assertEqual(self.ready(rig), 503)
-        self.assertEqual(self.call(rig, "GET", "ready").status, 200, "it can serve, and is not wanted")
-        rig.send("c", sock=resting)
-        got = read(resting)  # served, and told to leave
+        self.assertEqual(
+            self.call(rig, "GET", "ready").status, 200, "the process can serve, although it is out of service"
+        )
+        rig.send("c", sock=active)
+        got = read(active)  # served, with a response that closes the connection
         self.assertEqual((got.status, got.keep_alive), (200, False))
-        self.assertEqual((idle.recv(1), resting.recv(1)), (b"", b""))
-        self.assertEqual(rig.call("d").status, 200)  # the front's last ones
+        self.assertEqual((idle.recv(1), active.recv(1)), (b"", b""))
+        self.assertEqual(rig.call("d").status, 200)  # the load balancer in front may still send requests
         self.assertEqual(self.call(rig, "POST", "in-service").status, 200)
         self.assertEqual(self.ready(rig), 200)
         rig.send("e", sock=(again := rig.connect()))
--- a/tests/controller/test_peer_directory.py
+++ b/tests/controller/test_peer_directory.py
@@ -1,4 +1,4 @@
-"""The other controllers: members of the group, and those of the partial view."""
+"""Tests of the peer directory: consensus group members and controllers in the partial view."""
 
 from __future__ import annotations
 
--- a/tests/dataplane/dataplane_builders.py
+++ b/tests/dataplane/dataplane_builders.py
@@ -1,4 +1,4 @@
-"""Builders of routes, list entries and instance tables for tests of the data plane."""
+"""Builders of routes, instance list entries and instance tables for tests of the data plane."""
 
 from __future__ import annotations
 
--- a/tests/dataplane/test_body_memory.py
+++ b/tests/dataplane/test_body_memory.py
@@ -1,4 +1,4 @@
-"""The memory for request bodies: reservations stay within the limit."""
+"""Tests that reservations of memory for request bodies stay within the limit."""
 
 from __future__ import annotations
 
--- a/tests/dataplane/test_configuration_store.py
+++ b/tests/dataplane/test_configuration_store.py
@@ -1,4 +1,4 @@
-"""The gateway's copy of the control plane's state: the count of gateways that share budgets."""
+"""Tests of the configuration store: the count of gateways by which budgets are divided."""
 
 from __future__ import annotations
 
--- a/tests/dataplane/test_connection_pool.py
+++ b/tests/dataplane/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""The connection pool: gateways share the connections to an instance."""
+"""Tests of the connection pool: how gateways divide the connection limit of an instance."""
 
 from __future__ import annotations
 
--- a/tests/dataplane/test_counters.py
+++ b/tests/dataplane/test_counters.py
@@ -1,4 +1,4 @@
-"""Counters keep the names that operators read on the status page."""
+"""Tests that counters keep the names that operators read on the status page."""
 
 from __future__ import annotations
 
--- a/tests/dataplane/test_event_stream.py
+++ b/tests/dataplane/test_event_stream.py
@@ -1,4 +1,4 @@
-"""Event streams: only complete events are passed on, each once."""
+"""Tests of event streams: only complete events are forwarded, each exactly once."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 def test_events_are_complete_wherever_the_bytes_are_split() -> None:
     for at in range(len(STREAM) + 1):
         splitter = EventSplitter()
-        got = splitter.feed(STREAM[:at])
-        assert got == b"" or got.endswith((b"\n\n", b"\r\n\r\n"))
-        got += splitter.feed(STREAM[at:])
-        assert got == STREAM
+        forwarded = splitter.feed(STREAM[:at])
+        assert forwarded == b"" or forwarded.endswith((b"\n\n", b"\r\n\r\n"))
+        forwarded += splitter.feed(STREAM[at:])
+        assert forwarded == STREAM
         assert splitter.last_id == 4
         assert not splitter.has_partial_event
 
--- a/tests/dataplane/test_idle_connections.py
+++ b/tests/dataplane/test_idle_connections.py
@@ -1,4 +1,7 @@
-"""Connections to instances that forget them unseen: what may run once goes over them only if that is safe."""
+"""Tests of reused connections where instances silently drop idle connections.
+
+A request that may run only once must not be lost on a connection that the instance has dropped.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,7 @@
 from brambleusher.dataplane.upstream_client import UNCHECKED_IDLE_S
 from tests.system.virtual_deployment import StubInstance, VirtualDeployment, configuration, route
 
-WARM_S = 6.0  # after which the list is known and instances on it are warm
+WARM_S = 6.0  # time after which the instance list is known and its instances are warm
 ONCE = route("/d/", kind="mutating", service="desk", resumable=False, affine=False)
 
 
@@ -29,8 +32,8 @@
     return deployment.stub_instances["d1"]
 
 
-def ask(deployment: VirtualDeployment, attempt: str, rest_s: float = 0.0) -> int:
-    deployment.sleep(rest_s)
+def send_request(deployment: VirtualDeployment, attempt: str, idle_s: float = 0.0) -> int:
+    deployment.sleep(idle_s)
     status = deployment.request("g1", "/d/x", attempt=attempt, body=b"x" * 3000).status
     assert len(deployment.arrivals(attempt)) == 1
     assert deployment.arrivals(attempt)[0].body == b"x" * 3000
@@ -38,17 +41,17 @@
 
 
 def test_a_connection_is_reused_after_an_idle_time(deployment: VirtualDeployment) -> None:
-    assert ask(deployment, "a") == 200
-    assert ask(deployment, "b", rest_s=4 * UNCHECKED_IDLE_S) == 200
-    assert ask(deployment, "c", rest_s=4 * UNCHECKED_IDLE_S) == 200
+    assert send_request(deployment, "a") == 200
+    assert send_request(deployment, "b", idle_s=4 * UNCHECKED_IDLE_S) == 200
+    assert send_request(deployment, "c", idle_s=4 * UNCHECKED_IDLE_S) == 200
     assert desk(deployment).connections == 1
 
 
 def test_a_connection_that_the_instance_forgot_costs_no_request(deployment: VirtualDeployment) -> None:
-    """Without the check it would be lost: nothing would say whether it had run."""
-    assert ask(deployment, "a") == 200
+    """Without the liveness check the request would be lost, and nobody would know whether it ran."""
+    assert send_request(deployment, "a") == 200
     desk(deployment).forgets_after_s = 0.1
-    assert ask(deployment, "b", rest_s=0.2) == 200
+    assert send_request(deployment, "b", idle_s=0.2) == 200
     assert desk(deployment).connections == 2
 
 
@@ -64,14 +67,14 @@
     before_s = pool.trusted_idle_s
     deployment.sleep(0.5)
     gateway.instances.for_service("desk")[0].last_contact_s = deployment.now
-    assert ask(deployment, "c") == 200
+    assert send_request(deployment, "c") == 200
     assert pool.trusted_idle_s < before_s
 
 
 def test_an_instance_without_recent_contact_gets_a_new_connection(deployment: VirtualDeployment) -> None:
-    """It may have gone dark: a request over a kept connection would be lost then, a new connection is not."""
-    assert ask(deployment, "a") == 200
-    assert ask(deployment, "b", rest_s=CONTACT_FRESH_S * 1.5) == 200
+    """The instance may have lost power: a request on an idle connection would then be lost."""
+    assert send_request(deployment, "a") == 200
+    assert send_request(deployment, "b", idle_s=CONTACT_FRESH_S * 1.5) == 200
     assert desk(deployment).connections == 2
 
 
@@ -80,8 +83,8 @@
     deployment.add_instance("d1", "desk")
     deployment.served(configuration(1, ONCE))
     deployment.sleep(WARM_S)
-    assert ask(deployment, "a") == 200
-    assert ask(deployment, "b", rest_s=CONTACT_FRESH_S * 2) == 200
+    assert send_request(deployment, "a") == 200
+    assert send_request(deployment, "b", idle_s=CONTACT_FRESH_S * 2) == 200
     assert desk(deployment).connections == 1
     deployment.close()
 
@@ -90,7 +93,7 @@
     deployment: VirtualDeployment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(upstream_client, "UNCHECKED_IDLE_S", 60.0)
-    assert ask(deployment, "a") == 200
+    assert send_request(deployment, "a") == 200
     desk(deployment).forgets_after_s = 0.1
     deployment.sleep(0.2)
     assert deployment.request("g1", "/d/x", attempt="b").status == 502
--- a/tests/dataplane/test_instance_table.py
+++ b/tests/dataplane/test_instance_table.py
@@ -1,4 +1,4 @@
-"""The instance table: status, evacuations, warm-up and back-off."""
+"""Tests of the instance table: status, evacuations, warm-up and back-off."""
 
 from __future__ import annotations
 
--- a/tests/dataplane/test_long_poll_messages.py
+++ b/tests/dataplane/test_long_poll_messages.py
@@ -1,4 +1,4 @@
-"""The long poll as a gateway sends and reads it: the form on the wire, and what can't be read."""
+"""Tests of the long-poll messages of a gateway: their wire format, and malformed messages."""
 
 from __future__ import annotations
 
--- a/tests/dataplane/test_placement.py
+++ b/tests/dataplane/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement: nearness, subsets, prefix affinity and warm-up budgets."""
+"""Tests of placement: own region first, subsets, prefix affinity and warm-up budgets."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def used_by(gateway: str, known_zones: dict[str, str], **given: Any) -> set[str]:
-    """The instances that a gateway in the north prefers, at low use."""
+    """Return the instances that a gateway in region `north` uses at low utilisation."""
     known = InstanceTable(ZONES, random.Random(1), gateway_name=gateway)
     known.services = {"llm": Service(name="llm")}
     known.update(listed(*(entry(name, zone, capacity=100) for name, zone in known_zones.items())), 0.0, 0.0)
@@ -94,7 +94,7 @@
 
 
 def test_a_warming_instance_with_affinity_is_skipped_once_its_budget_is_spent() -> None:
-    """A region that comes back with full spare capacity gets no more than the warm-up rate allows."""
+    """The instances of a restored region have full spare capacity, but get no more than the warm-up rate."""
     known = instances(entry("a"))
     known.gateway_count = 1.0
     known.update(listed(entry("a"), entry("b")), 1.0, 1.0)
--- a/tests/dataplane/test_policy.py
+++ b/tests/dataplane/test_policy.py
@@ -1,4 +1,4 @@
-"""The policy file: keys, defaults, what a wrong one says, and that each key switches its mechanism off."""
+"""Tests of the policy file: keys, defaults, errors, and that each key switches its mechanism off."""
 
 from __future__ import annotations
 
@@ -36,9 +36,9 @@
 ) -> None:
     path = tmp_path / "policy.toml"
     path.write_text(text)
-    with pytest.raises(InvalidPolicyError) as told:
+    with pytest.raises(InvalidPolicyError) as raised:
         policy.read(str(path))
-    assert told.value.key == key
+    assert raised.value.key == key
     assert system_main.main(["check-policy", str(path)]) == 1
     assert key in capsys.readouterr().err
 
@@ -129,7 +129,7 @@
         assert {weights.choose(["a", "b"], now) for _ in range(2)} == expected
 
 
-# --- the load that instances tell ------------------------------------------------------------------
+# --- load reported by instances --------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
@@ -184,7 +184,7 @@
 
 
 def test_the_effect_of_one_false_load_report_is_bounded() -> None:
-    """One that claims to be idle gets no more than an idle one would; one that claims anything gets none."""
+    """A false claim to be idle attracts no more than an idle instance would; excessive loads are capped."""
     weights = weights_with()
     weights.record_load("a", 0, 0, 1)
     weights.record_load("b", 32, 0, 64)
--- a/tests/dataplane/test_prefix_affinity.py
+++ b/tests/dataplane/test_prefix_affinity.py
@@ -1,4 +1,4 @@
-"""Prefix affinity: the shared prefix of a prompt, and which instance caches it."""
+"""Tests of prefix affinity: the shared prefix of a prompt, and which instance caches the prefix."""
 
 from __future__ import annotations
 
--- a/tests/dataplane/test_read_ahead.py
+++ b/tests/dataplane/test_read_ahead.py
@@ -1,4 +1,4 @@
-"""The memory of what clients send ahead: taken from the bodies' memory, and given back."""
+"""Tests that pipelined bytes are accounted for in the memory of request bodies, and released."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def read_ahead(memory: BodyMemory) -> ReadAhead:
-    """Of a connection whose first request has come, so that all else is kept as it is."""
+    """Create a buffer for a connection that has received its first request, so later bytes stay buffered."""
     protocol = h11.Connection(h11.SERVER)
     protocol.receive_data(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
     assert isinstance(protocol.next_event(), h11.Request)
@@ -19,8 +19,8 @@
     return ReadAhead(protocol, memory)
 
 
-def keep(buffer: ReadAhead, size_bytes: int) -> bool:
-    """Offer bytes as they come; whether they were kept."""
+def buffer_bytes(buffer: ReadAhead, size_bytes: int) -> bool:
+    """Reserve memory for bytes and buffer them; return whether memory was available."""
     has_memory = buffer.reserve(size_bytes)
     if has_memory:
         buffer.feed(b"x" * size_bytes)
@@ -30,8 +30,8 @@
 def test_each_connection_keeps_a_little_without_shared_memory() -> None:
     memory = BodyMemory(0)
     buffer = read_ahead(memory)
-    assert keep(buffer, UNRESERVED_BYTES)
-    assert not keep(buffer, 1)
+    assert buffer_bytes(buffer, UNRESERVED_BYTES)
+    assert not buffer_bytes(buffer, 1)
     assert buffer.buffered == UNRESERVED_BYTES
 
 
@@ -39,11 +39,12 @@
     memory = BodyMemory(100 * KB)
     buffer = read_ahead(memory)
     for _ in range(4):
-        assert keep(buffer, 16 * KB)
+        assert buffer_bytes(buffer, 16 * KB)
     assert memory.reserved_bytes == 48 * KB
     buffer.settle()
-    assert memory.reserved_bytes == 48 * KB  # all of it is kept still
-    assert not keep(buffer, 64 * KB)
+    # The parser has consumed no bytes, so all of them are still buffered.
+    assert memory.reserved_bytes == 48 * KB
+    assert not buffer_bytes(buffer, 64 * KB)
     assert memory.reserved_bytes == 48 * KB
     buffer.release()
     assert memory.reserved_bytes == 0
--- a/tests/dataplane/test_request_context.py
+++ b/tests/dataplane/test_request_context.py
@@ -1,4 +1,4 @@
-"""The state of a request: how often its route lets it run."""
+"""Tests of the request context: how often a route allows a request to run, and the remaining time."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from tests.dataplane.dataplane_builders import placement_request, route
 
 
-class ClientStays:
-    """A client that never leaves."""
+class ConnectedClient:
+    """A client that never disconnects."""
 
     def raise_if_left(self) -> None:
         return
@@ -29,7 +29,7 @@
     request = ClientRequest(b"POST", b"/", [], b"", 0.0)
     budget = RetryBudget(0.2, 56, 10, 8, 0.0)
     return RequestContext(
-        request, route(**given), placement_request(**given), budget, b"a", 1.0, b"", ClientStays()
+        request, route(**given), placement_request(**given), budget, b"a", 1.0, b"", ConnectedClient()
     )
 
 
--- a/tests/dataplane/test_retry_budget.py
+++ b/tests/dataplane/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget: all gateways together stay within the bound."""
+"""Tests of the retry budget: all gateways together stay within the bound."""
 
 from __future__ import annotations
 
--- a/tests/dataplane/test_routing.py
+++ b/tests/dataplane/test_routing.py
@@ -1,4 +1,4 @@
-"""Routing: the longest prefix wins, services are drawn by their weights."""
+"""Tests of routing: the longest prefix wins, and services are drawn by weight."""
 
 from __future__ import annotations
 
--- a/tests/dataplane/test_token_bucket.py
+++ b/tests/dataplane/test_token_bucket.py
@@ -1,4 +1,4 @@
-"""The token bucket: a burst, then the rate; a smaller burst drops tokens."""
+"""Tests of the token bucket: a burst, then the steady rate; a smaller burst drops tokens."""
 
 from __future__ import annotations
 
--- a/tests/dataplane/test_warm_up_budget.py
+++ b/tests/dataplane/test_warm_up_budget.py
@@ -1,4 +1,4 @@
-"""The budget of an instance that warms up: all gateways together stay within its rate."""
+"""Tests of the warm-up budget: all gateways together stay within the rate of a warming instance."""
 
 from __future__ import annotations
 
--- a/tests/gateway/test_departed_clients.py
+++ b/tests/gateway/test_departed_clients.py
@@ -1,4 +1,4 @@
-"""Clients that leave before their response is complete: nothing goes on for them."""
+"""Tests that no work continues for clients that disconnect before their response is complete."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from brambleusher.runtime.streams import Stream
 from tests.system.virtual_deployment import FRONT, VirtualDeployment, configuration, route
 
-LEAVES_AFTER_S = 0.3  # a client, after its request
-NOTICE_MAX_S = 0.1  # from there until its instance has been told
+LEAVES_AFTER_S = 0.3  # seconds between the request and the disconnect of its client
+NOTICE_MAX_S = 0.1  # seconds from the disconnect until the instance is notified
 DEPARTED = "brambleusher_gateway_departed_requests"
 IN_FLIGHT = "brambleusher_gateway_attempts_in_flight"
 ACTIVE = "brambleusher_gateway_active_requests"
@@ -34,12 +34,12 @@
 
 
 def leaving_request(deployment: VirtualDeployment, target: str = "/s/x", *, attempt: str) -> None:
-    """A request whose client closes its connection after a moment."""
+    """Start a request whose client closes its connection after `LEAVES_AFTER_S`."""
     deployment.start_request("g1", target, attempt=attempt, timeout_s=LEAVES_AFTER_S)
 
 
 def cancelled_after_s(deployment: VirtualDeployment, attempt: str) -> float | None:
-    """How long after its client left the only run of a request was cancelled; None: it was not."""
+    """Return the seconds between the client's disconnect and the cancellation of the only run, if any."""
     (arrival,) = deployment.arrivals(attempt)
     if arrival.cancelled_at is None:
         return None
@@ -47,7 +47,7 @@
 
 
 def assert_runs_end_with_their_clients(deployment: VirtualDeployment) -> None:
-    """Requests that may run again, and streams that may run once."""
+    """Check a resumable stream and a stream that may run only once."""
     for target in ("/s/x", "/o/x"):
         leaving_request(deployment, target, attempt=target)
         deployment.sleep(LEAVES_AFTER_S + 0.5)
@@ -64,7 +64,7 @@
 
 def test_a_run_ends_when_its_client_leaves_between_events(deployment: VirtualDeployment) -> None:
     for instance in deployment.stub_instances.values():
-        instance.pause_s = 0.2  # the second event is due later than the client stays
+        instance.pause_s = 0.2  # the client disconnects before the second event
         instance.slows_after_events = 1
     assert_runs_end_with_their_clients(deployment)
 
@@ -72,7 +72,7 @@
 def test_instances_that_stand_still_do_not_run_on_for_clients_that_have_left(
     deployment: VirtualDeployment,
 ) -> None:
-    """The recorded incident in small: some instances stand still, and clients leave early."""
+    """Reproduces a recorded incident on a small scale: unresponsive instances and impatient clients."""
     for name in ("a", "b"):
         deployment.stub_instances[name].is_unresponsive = True
     attempts = [f"gone{number}" for number in range(20)]
@@ -90,7 +90,7 @@
 
 
 def assert_nothing_is_left(deployment: VirtualDeployment) -> None:
-    """Neither requests nor attempts are under way, and no connection is counted that is not there."""
+    """Check that no request or attempt is active and no connection is counted as in use."""
     metrics = deployment.metrics("g1")
     assert [metrics[name] for name in (ACTIVE, DEPARTED, IN_FLIGHT)] == [0, 0, 0]
     weights = deployment.gateways["g1"].instances.weights
@@ -119,7 +119,8 @@
     assert_nothing_is_left(deployment)
     deployment.stub_instances["d"].head_delay_s = 0.0
     assert deployment.request("g1", "/d/x", attempt="next").status == 200
-    assert deployment.stub_instances["d"].connections == connections + 1  # the connection was kept
+    # The connection of the abandoned request was reused.
+    assert deployment.stub_instances["d"].connections == connections + 1
 
 
 @pytest.mark.parametrize("target", ["/s/x", "/d/x"])
@@ -140,7 +141,7 @@
 def test_nothing_is_sent_for_clients_that_left_while_the_gateway_stood_still(
     deployment: VirtualDeployment,
 ) -> None:
-    assert deployment.request("g1", attempt="before").status == 200  # a connection is idle now
+    assert deployment.request("g1", attempt="before").status == 200  # leaves an idle connection
     deployment.world.machines["g1"].stall(1_000_000_000)
     for target in ("/s/x", "/o/x", "/p/x", "/d/x"):
         leaving_request(deployment, target, attempt=target)
@@ -153,10 +154,8 @@
     deployment: VirtualDeployment,
 ) -> None:
     for instance in deployment.stub_instances.values():
-        instance.pause_s, instance.resets_after_events = (
-            LEAVES_AFTER_S / 3,
-            2,
-        )  # it resets as the client leaves
+        # The instance resets the connection at the time when the client disconnects.
+        instance.pause_s, instance.resets_after_events = LEAVES_AFTER_S / 3, 2
     leaving_request(deployment, attempt="gone")
     deployment.sleep(2.0)
     assert len(deployment.arrivals("gone")) == 1
@@ -177,7 +176,7 @@
 
 
 def raw_client(deployment: VirtualDeployment, sent: bytes, stays_s: float, reads: bool = True) -> list[bytes]:
-    """Send bytes as they are, and close after a while; returns what is received, as the world runs."""
+    """Send raw bytes and close after `stays_s` seconds; the returned list fills as data is received."""
     received: list[bytes] = []
 
     def run(scheduler: Scheduler) -> None:
@@ -238,9 +237,9 @@
 ) -> None:
     deployment.stub_instances["d"].head_delay_s = 0.5
     memory = deployment.gateways["g1"].body_memory
-    left_bytes = 30_000
-    taken_bytes = memory.limit_bytes - left_bytes
-    assert memory.reserve(taken_bytes)
+    available_bytes = 30_000
+    reserved_bytes_before = memory.limit_bytes - available_bytes
+    assert memory.reserve(reserved_bytes_before)
     sent = encoded("/p/x", "first") + encoded("/p/x", "ahead", b"x" * 200_000)
     received = raw_client(deployment, sent, 3.0)
     deployment.sleep(2.0)
@@ -248,7 +247,7 @@
     assert response.count(b"HTTP/1.1 200") == 1
     assert b"connection: close" in response.lower()
     assert deployment.arrivals("ahead") == []
-    assert memory.reserved_bytes == taken_bytes
+    assert memory.reserved_bytes == reserved_bytes_before
 
 
 def test_a_client_that_takes_no_data_is_no_failure_of_its_instance(deployment: VirtualDeployment) -> None:
--- a/tests/gateway/test_end_of_client.py
+++ b/tests/gateway/test_end_of_client.py
@@ -1,4 +1,4 @@
-"""How a gateway learns that a client has gone, whatever the client sent ahead of its response."""
+"""Tests that a gateway detects a disconnected client, whatever bytes the client pipelined."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from brambleusher.runtime.system import SHUTDOWN_WRITE
 from tests.system.virtual_deployment import FRONT, VirtualDeployment, configuration, route
 
-LEAVES_AFTER_S = 0.3  # a client, after its request
-NOTICE_MAX_S = 0.1  # from there until its instance has been told
-DEADLINE_S = 4.0  # of the route
+LEAVES_AFTER_S = 0.3  # seconds between the request and the disconnect of its client
+NOTICE_MAX_S = 0.1  # seconds from the disconnect until the instance is notified
+DEADLINE_S = 4.0  # deadline of the route in seconds
 KB = 1024
 AHEAD = {"nothing": 0, "15 KB": 15 * KB, "17 KB": 17 * KB, "300 KB": 300 * KB}
 IN_FLIGHT = "brambleusher_gateway_attempts_in_flight"
@@ -35,7 +35,7 @@
 
 
 def encoded(attempt: str, body: bytes = b"", target: str = "/s/x") -> bytes:
-    """A request as bytes."""
+    """Return a request as bytes."""
     lines = (
         f"POST {target} HTTP/1.1",
         "Host: h",
@@ -48,7 +48,7 @@
 
 
 def leave(stream: Stream, how: str) -> None:
-    """End a connection as a client does."""
+    """End a connection in one of the ways in which clients do."""
     if how == "reset":
         stream.scheduler.system.reset(stream.sock)
         stream.open = False
@@ -61,12 +61,12 @@
 
 
 def start_client(deployment: VirtualDeployment, request: bytes, ahead: bytes, how: str) -> None:
-    """A client that sends a request and more bytes behind it, and goes away after a moment."""
+    """Start a client that sends a request and pipelined bytes, then disconnects after `LEAVES_AFTER_S`."""
 
     def run(scheduler: Scheduler) -> None:
         leaves_at = scheduler.now() + LEAVES_AFTER_S
         stream = Stream.connect(scheduler, (deployment.world.machines["g1"].ip, FRONT), leaves_at)
-        with suppress(TaskTimeoutError):  # where more is sent than the gateway reads
+        with suppress(TaskTimeoutError):  # the gateway may not read all pipelined bytes
             stream.send(request + ahead, leaves_at)
         scheduler.sleep(leaves_at - scheduler.now())
         leave(stream, how)
@@ -76,7 +76,7 @@
 
 
 def bytes_ahead(what: str) -> bytes:
-    """A next request: the start of one with a long body, or a complete one."""
+    """Return pipelined bytes: the start of a request with a long body, or a complete request."""
     if what == "pipelined request":
         return encoded("ahead")
     size = AHEAD[what]
@@ -110,13 +110,13 @@
 def test_the_run_of_a_client_without_power_ends_by_the_deadline(
     deployment: VirtualDeployment, what: str
 ) -> None:
-    """Its connection says nothing: the deadline is what is left."""
+    """Without power the client's connection is never closed, so only the deadline ends the run."""
     for instance in deployment.stub_instances.values():
         instance.is_unresponsive = True
     start_client(deployment, encoded("gone"), bytes_ahead(what), "closed")
     deployment.sleep(LEAVES_AFTER_S / 2)
     deployment.world.machines["caller"].vanish()
-    deployment.sleep(2 * DEADLINE_S + 0.5)  # a complete request behind it is served next, to its own deadline
+    deployment.sleep(2 * DEADLINE_S + 0.5)  # a pipelined request is served next, until its own deadline
     for attempt in ("gone", "ahead") if what == "pipelined request" else ("gone",):
         arrivals = deployment.arrivals(attempt)
         assert arrivals
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -1,4 +1,4 @@
-"""A gateway with a control plane and instances, in virtual time: what becomes of requests."""
+"""Tests of request handling by a gateway with a control plane and instances, in virtual time."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 DESK = route("/d/", service="desk", kind="mutating", resumable=False, affine=False, tries=1)
 ONCE = route("/o/", resumable=False, tries=1)
 HOME = route("/h/", home_regions=["north"])
-WARM_S = 6.0  # after which instances that came later are warm
+WARM_S = 6.0  # time after which instances added after the first list are warm
 
 
 @pytest.fixture
@@ -30,7 +30,7 @@
 
 
 def only(deployment: VirtualDeployment, *names: str) -> None:
-    """Leave just these instances on the list."""
+    """Remove all other instances from the instance list."""
     for name, server in deployment.stub_instances.items():
         server.is_listed = name in names
     deployment.sleep(2.0)
@@ -207,7 +207,7 @@
 
 
 def test_a_replaced_instance_is_tried_once(deployment: VirtualDeployment) -> None:
-    """After a region was lost its instances come back as others; the list still names the old ones."""
+    """After a region failure instances restart with new names while the list still has the old ones."""
     only(deployment, "d1", "d2")
     deployment.stub_instances["d1"].name = "reborn"
     for number in range(8):
@@ -262,9 +262,11 @@
     deployment.sleep(0.3)
     deployment.process("g1").signal(15)
     deployment.sleep(2.0)
-    known = deployment.start_request("g1", attempt="known-late")  # its client can't know of the shutdown yet
+    # The client of this request can't know about the shutdown yet.
+    known = deployment.start_request("g1", attempt="known-late")
     deployment.sleep(1.2)
-    late = deployment.start_request("g1", attempt="late")  # 4 s are left until its deadline, 4.5 s to the end
+    # The deadline of this request is in 4 s, and the process ends in 4.5 s.
+    late = deployment.start_request("g1", attempt="late")
     deployment.sleep(0.8)
     too_late = deployment.start_request("g1", attempt="too-late")
     deployment.wait(lambda: bool(reply.error and known.error and late.error and too_late.error))
@@ -308,7 +310,7 @@
 def test_a_response_without_an_id_on_a_reused_connection_is_dropped(
     deployment: VirtualDeployment,
 ) -> None:
-    """What may come late to the request before looks like the answer to the next one, and is dropped."""
+    """A late response to the previous request would look like the answer to the next one."""
     only(deployment, "d1")
     assert deployment.request("g1", "/d/x", attempt="first").status == 200
     deployment.stub_instances["d1"].stray_responses, deployment.stub_instances["d1"].stray_attempt_id = 1, ""
--- a/tests/gateway/test_gateway_metrics.py
+++ b/tests/gateway/test_gateway_metrics.py
@@ -1,4 +1,4 @@
-"""What a gateway's metrics show of requests whose client has left."""
+"""Tests of a gateway's metrics, also for requests whose client has disconnected."""
 
 from __future__ import annotations
 
--- a/tests/handover/test_handover.py
+++ b/tests/handover/test_handover.py
@@ -1,4 +1,7 @@
-"""A new version under load: what goes across, and two real processes on one listening socket."""
+"""Tests of the handover between versions: shared files, transferred state, and real processes.
+
+The real processes listen on one socket and serve requests throughout the handover.
+"""
 
 from __future__ import annotations
 
@@ -58,26 +61,26 @@
     def test_a_process_is_registered_as_long_as_it_lives(self) -> None:
         first, second = self.process(1), self.process(2)
         self.assertFalse(first.register())
-        self.assertFalse(second.register(), "the first is there and does not serve")
+        self.assertFalse(second.register(), "the first process is registered but not serving")
         self.assertEqual(second.process_count, 2)
         first.set_stage(ProcessStage.SERVING)
         self.assertTrue(second.has_successor())
         first.set_stage(ProcessStage.DRAINING)
-        self.assertFalse(second.has_successor(), "one that leaves takes over nothing")
-        os.close(first._lock_fd)  # as SIGKILL does: its file stays
+        self.assertFalse(second.has_successor(), "a draining process is not a successor")
+        os.close(first._lock_fd)  # like SIGKILL: the lock is released but the file stays
         first._lock_fd = -1
         self.assertFalse(second.has_successor())
         self.assertEqual((second.process_count, len(os.listdir(self.folder))), (1, 1))
 
     def test_a_process_that_registers_is_never_seen_without_its_lock(self) -> None:
-        """Guards against being taken for a process that was killed, whose file is removed."""
+        """Otherwise another process would take the new one for a killed process and remove its file."""
         old, new = self.process(1), self.process(2)
         old.register()
         real, seen = fcntl.flock, []
 
         def flock(fd: int, how: int) -> None:
             with mock.patch("fcntl.flock", real):
-                seen.append(old.has_successor())  # which looks round, and clears up
+                seen.append(old.has_successor())  # scans, and removes the files of dead processes
             real(fd, how)
 
         with mock.patch("fcntl.flock", flock):
@@ -110,7 +113,7 @@
         self.assertEqual(first.read(), SharedSettings({"a": Ban(1), "b": Ban(2)}))
 
     def test_the_files_keep_their_names_and_bytes(self) -> None:
-        """Guards against two versions of the program that don't understand each other in an upgrade."""
+        """Two versions of the program have to read each other's files during an upgrade."""
         process = self.process(7)
         process.register()
         names = {"starting-7": None, "serving-7": ProcessStage.SERVING, "leaving-7": ProcessStage.DRAINING}
@@ -142,7 +145,7 @@
             with self.subTest(text), self.assertLogs("brambleusher.handover.shared_settings", "WARNING"):
                 (self.folder / "shared.json").write_bytes(text)
                 self.assertIsNone(settings.read())
-        settings.update(lambda shared: SharedSettings({"a": Ban(1)}))  # and it is whole again
+        settings.update(lambda shared: SharedSettings({"a": Ban(1)}))  # an update replaces the unusable file
         self.assertEqual(settings.read(), SharedSettings({"a": Ban(1)}))
 
     def test_a_new_process_receives_the_state_of_the_serving_one(self) -> None:
@@ -162,7 +165,8 @@
         third.register()
         clock = iter(range(100))
         silent = StateTransfer(SharedFolder(self.folder, 3))
-        with self.assertLogs("brambleusher.handover.state_transfer", "WARNING"):  # it starts all the same
+        # Without the state the process logs a warning and starts nevertheless.
+        with self.assertLogs("brambleusher.handover.state_transfer", "WARNING"):
             self.assertIsNone(silent.receive(lambda s: None, lambda: float(next(clock))))
 
     def test_an_imported_balancer_goes_on_without_the_requests(self) -> None:
@@ -180,15 +184,15 @@
                 ended = api.AttemptEnded(f"r{n}", 0, send.host, api.AttemptStatus.OK, 10**7, True, report)
                 balancer.handle(ended, n)
         left = json.loads(json.dumps(export_state(balancer)))
-        heir = import_state(settings, 8, left)
-        heir.start(100)
+        successor = import_state(settings, 8, left)
+        successor.start(100)
         for name, host in balancer.host_table.hosts.items():
-            inherited = heir.host_table.hosts[name]
+            inherited = successor.host_table.hosts[name]
             self.assertEqual((inherited.utilisation, inherited.served), (host.utilisation, host.served))
             self.assertEqual(len(inherited.in_flight), 0)
-        self.assertEqual((heir.traffic.in_flight, heir.attempts.requests), (0, {}))
+        self.assertEqual((successor.traffic.in_flight, successor.attempts.requests), (0, {}))
         self.assertIsInstance(
-            heir.handle(api.RequestArrived("r5", "look", None, 10**9), 101)[0], api.StartAttempt
+            successor.handle(api.RequestArrived("r5", "look", None, 10**9), 101)[0], api.StartAttempt
         )
         for bad in (None, {}, {**left, "hosts": [[]]}, save(balancer)):
             with self.subTest(str(bad)[:40]), self.assertRaises(StateError):
@@ -220,7 +224,7 @@
 
 
 class HandoverOfProcessesTest(unittest.TestCase):
-    """`brambleusher` itself, started again beside itself."""
+    """Tests with two or more real `brambleusher` processes on one listening socket."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -264,7 +268,7 @@
         admin: tuple[str, int] | None = None
         while admin is None:
             line = process.stderr.readline()
-            assert line, "it ended"
+            assert line, "the process ended before its admin endpoint was open"
             if "admin endpoint" in line:
                 host, _, port = line.rpartition("address=")[2].strip().rpartition(":")
                 admin = host, int(port)
@@ -297,39 +301,39 @@
             return read(sock).status
 
     def test_the_new_process_takes_over_and_nothing_is_lost(self) -> None:
-        old, old_door = self.start()
-        resting, leaving = (socket.create_connection(self.address, WAIT) for _ in range(2))
-        for sock in (resting, leaving):
+        old, old_admin = self.start()
+        idle, leaving = (socket.create_connection(self.address, WAIT) for _ in range(2))
+        for sock in (idle, leaving):
             self.send("first", sock)
             self.assertTrue(read(sock).keep_alive)
-        owed = self.send("held")
+        pending = self.send("held")
         at_node = self.held.get(timeout=WAIT)
-        self.assertEqual(self.call(old_door, "POST", "registry-nodes/h0/offline").status, 200)
-        new, new_door = self.start()
-        self.assertEqual(self.call(new_door, "POST", "registry-nodes/h1/offline").status, 200)
+        self.assertEqual(self.call(old_admin, "POST", "registry-nodes/h0/offline").status, 200)
+        new, new_admin = self.start()
+        self.assertEqual(self.call(new_admin, "POST", "registry-nodes/h1/offline").status, 200)
         until = time.monotonic() + WAIT
-        while b"out_of_rotation=2" not in self.call(old_door, "GET", "counters").body:
-            self.assertLess(time.monotonic(), until)  # what is said to one binds the other
-        self.assertEqual(self.call(old_door, "POST", "registry-nodes/h1/online").status, 200)
-        while b"out_of_rotation=1" not in self.call(new_door, "GET", "counters").body:
+        while b"out_of_rotation=2" not in self.call(old_admin, "GET", "counters").body:
+            self.assertLess(time.monotonic(), until)  # a ban set at one process applies to the other
+        self.assertEqual(self.call(old_admin, "POST", "registry-nodes/h1/online").status, 200)
+        while b"out_of_rotation=1" not in self.call(new_admin, "GET", "counters").body:
             self.assertLess(time.monotonic(), until)
         old.send_signal(signal.SIGTERM)
         while (got := self.answer_on(leaving, "again")) is not None and got.keep_alive:
-            self.assertLess(time.monotonic(), until)  # until the signal has come
-        self.assertEqual(resting.recv(1), b"", "closed once it has rested for long enough")
+            self.assertLess(time.monotonic(), until)  # repeat until the process has handled the signal
+        self.assertEqual(idle.recv(1), b"", "an idle connection is closed after a while")
         before = self.nodes[0].seen.qsize()
         for n in range(10):
             self.assertEqual(self.ask(f"after{n}"), 200)
-        self.assertEqual(self.nodes[0].seen.qsize(), before, "a ban holds over an upgrade")
-        self.assertIsNone(old.poll(), "it still owes an answer")
+        self.assertEqual(self.nodes[0].seen.qsize(), before, "a ban stays in force across an upgrade")
+        self.assertIsNone(old.poll(), "the process still has a request to answer")
         answer(b"late but whole")(at_node, Message(("GET", "/"), 1, {}))
-        self.assertEqual(read(owed).body, b"late but whole")
+        self.assertEqual(read(pending).body, b"late but whole")
         self.assertEqual(old.wait(WAIT), 0)
         self.assertEqual(self.ask("last"), 200)
-        third, _ = self.start()  # two upgrades in a row, and the second old one is killed
+        third, _ = self.start()  # a second upgrade, in which the old process is killed
         new.kill()
         self.assertEqual([self.ask(f"x{n}") for n in range(5)], [200] * 5)
-        third.send_signal(signal.SIGTERM)  # nobody takes over: it ends as ever
+        third.send_signal(signal.SIGTERM)  # without a successor the process ends as usual
         self.assertEqual(third.wait(WAIT), 0)
 
     def answer_on(self, sock: socket.socket, name: str) -> Message | None:
--- a/tests/observability/test_prometheus_text.py
+++ b/tests/observability/test_prometheus_text.py
@@ -1,4 +1,4 @@
-"""Metrics as text: the exposition format, with labels escaped."""
+"""Tests of the Prometheus text format, including the escaping of labels."""
 
 from __future__ import annotations
 
--- a/tests/recorded/conversation.py
+++ b/tests/recorded/conversation.py
@@ -1,6 +1,7 @@
-"""A day of the control side whose lines are the same each time, and calls from outside to its inner port.
+"""A reproducible run of the control plane, with requests from outside to its peer ports.
 
-Three controllers and an observer; no gateway, so that a call here is the only one that waits at a long poll.
+The run has three controllers and an observer, but no gateway, so that a request made here is the only one
+that waits in a long poll.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 G3 = (ME % (b"g3", b"3")).replace(b'"n1","region":"north"', b'"s1","region":"south"')
 FIGURES = b'"figures":{"i1":[3.5,1.0,2.0,3.0,1.25,4.0,0.5,1.0],"i2":[1.0,0.0,1.0,1.0,0.5,2.0]}'
 WATCH = b'{"kind":"watch",%b,"index":%b,"source":"%b","version":%b%b}\n'
-# What is asked: the machine, and the line.
+# Requests by name: the machine that receives the request, and the request line.
 QUESTIONS: dict[str, tuple[str, bytes]] = {
     "watch: all": ("c1", WATCH % (G1, b"-1", b"", b"-1", b"")),
     "watch: brief": ("c1", WATCH % (G1, b"-1", b"", b"-1", b',"brief":true')),
@@ -80,24 +81,24 @@
 PACKED = re.compile(rb'"packed":"([^"\\]+)"')
 
 
-class Lines(Tap):
-    """All that was sent to inner ports or came from them, in order, and who sent it."""
+class PeerTraffic(Tap):
+    """Records all data sent to or from peer ports in order, with the name of the sending machine."""
 
     def __init__(self) -> None:
-        self.sent_by: list[tuple[str, bytes]] = []
+        self.sent_data: list[tuple[str, bytes]] = []
 
     def sent(self, now: int, conn: Connection, side: str, data: bytes) -> None:
-        """Bytes were sent."""
+        """Record sent bytes."""
         if conn.server.port == PEER and "caller" not in (conn.client.machine, conn.server.machine):
-            self.sent_by.append((conn.client.machine if side == "client" else conn.server.machine, data))
+            self.sent_data.append((conn.client.machine if side == "client" else conn.server.machine, data))
 
-    def all_of(self) -> list[bytes]:
-        """The lines, in the order in which they were sent."""
-        return [line + b"\n" for _, data in self.sent_by for line in data.split(b"\n") if line]
+    def all_lines(self) -> list[bytes]:
+        """Return all lines in the order in which they were sent."""
+        return [line + b"\n" for _, data in self.sent_data for line in data.split(b"\n") if line]
 
 
 def ask(deployment: VirtualDeployment, machine: str, line: bytes) -> bytes:
-    """What a process answers to one line on its inner port; empty where it ends the connection instead."""
+    """Send one line to a process's peer port; return its reply, empty if it closes the connection."""
     answer: list[bytes] = []
 
     def run(scheduler: Scheduler) -> None:
@@ -117,15 +118,15 @@
 
 
 def unpacked(line: bytes) -> bytes:
-    """A line with what is packed in it spelt out: what compression makes of it differs with its version."""
+    """Return a line with its packed part decompressed, as compressed bytes differ between zlib versions."""
     return PACKED.sub(lambda found: b'"packed":<' + unpack(found[1].decode()) + b">", line)
 
 
 def play() -> dict[str, Any]:
-    """The day: what was answered to each question, and the first line of each kind between processes."""
+    """Run the simulation; return the reply to each request, and all lines sent between processes."""
     deployment = VirtualDeployment(seed=47, cores=3, gateways=0, observers=1)
     try:
-        lines = Lines()
+        lines = PeerTraffic()
         deployment.world.taps.append(lines)
         for name, service, zone in (("i1", "llm", "n1"), ("i2", "desk", "s1")):
             deployment.add_instance(name, service, zone)
@@ -143,7 +144,7 @@
         deployment.sleep(1.0)
         deployment.process("c2").signal(15)
         deployment.sleep(8.0)
-        sent = [unpacked(line).decode() for line in lines.all_of()]
+        sent = [unpacked(line).decode() for line in lines.all_lines()]
     finally:
         deployment.close()
     return {"answers": answers, "sent": sent}
--- a/tests/recorded/gateway_day.py
+++ b/tests/recorded/gateway_day.py
@@ -1,25 +1,25 @@
-"""What a gateway answers where instances fail in each way, and how it counts that."""
+"""Failure scenarios of instances, with the responses and the status of a gateway in each of them."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import Any
 
-from tests.recorded.system_day import told
+from tests.recorded.system_day import reply_as_json
 from tests.system.virtual_deployment import FRONT, READY, Reply, VirtualDeployment, configuration, route
 
-Trouble = Callable[[VirtualDeployment], list[Reply]]
+FailureScenario = Callable[[VirtualDeployment], list[Reply]]
 
 
 def shed(deployment: VirtualDeployment) -> list[Reply]:
-    """Both instances reject."""
+    """All instances reject requests."""
     for instance in deployment.stub_instances.values():
         instance.rejects_requests = True
     return [deployment.request("g1", attempt=f"a{n}") for n in range(3)]
 
 
 def rejected_often(deployment: VirtualDeployment) -> list[Reply]:
-    """Retries of rejections use the budget up."""
+    """Retries of rejected requests exhaust the retry budget."""
     for instance in deployment.stub_instances.values():
         instance.rejects_requests = True
     waiting = [deployment.start_request("g1", attempt=f"a{n}") for n in range(90)]
@@ -28,7 +28,7 @@
 
 
 def silent(deployment: VirtualDeployment) -> list[Reply]:
-    """Instances take requests and answer nothing."""
+    """Instances accept requests but never respond."""
     for instance in deployment.stub_instances.values():
         instance.is_unresponsive = True
     short = {"X-Deadline-Remaining": "700"}
@@ -39,14 +39,14 @@
 
 
 def failing(deployment: VirtualDeployment) -> list[Reply]:
-    """Instances answer with a failure."""
+    """Instances respond with status 500."""
     for instance in deployment.stub_instances.values():
         instance.status = 500
     return [deployment.request("g1", target, f"a{n}") for n, target in enumerate(("/s/x", "/d/x", "/w/x"))]
 
 
 def cut(deployment: VirtualDeployment) -> list[Reply]:
-    """Answers break off."""
+    """Responses break off after two events."""
     for instance in deployment.stub_instances.values():
         instance.resets_after_events = 2
     targets = ("/s/x", "/o/x", "/d/x", "/w/x")
@@ -54,28 +54,28 @@
 
 
 def gone(deployment: VirtualDeployment) -> list[Reply]:
-    """Nobody listens at the addresses of the list."""
+    """Connections to the listed addresses are refused, as the instances are killed."""
     for instance in deployment.stub_instances.values():
         instance.machine.processes[0].kill()
     return [deployment.request("g1", target, f"a{n}") for n, target in enumerate(("/s/x", "/d/x", "/w/x"))]
 
 
 def dark(deployment: VirtualDeployment) -> list[Reply]:
-    """Machines have no power."""
+    """The machines of all instances lose power."""
     for instance in deployment.stub_instances.values():
         instance.machine.vanish()
     return [deployment.request("g1", target, f"a{n}") for n, target in enumerate(("/s/x", "/d/x", "/w/x"))]
 
 
 def crowded(deployment: VirtualDeployment) -> list[Reply]:
-    """One connection an instance, and many requests at once."""
+    """Several requests arrive at once for a service with one connection per instance."""
     waiting = [deployment.start_request("g1", "/n/x", f"a{n}") for n in range(5)]
     deployment.sleep(3.0)
     return waiting
 
 
 def no_requests(deployment: VirtualDeployment) -> list[Reply]:
-    """What is no request, or too large, or has no route."""
+    """Requests are too large, have no route or lack an attempt id."""
     address = (deployment.world.machines["g1"].ip, FRONT)
     return [
         deployment.call(address, "POST", "/s/x", headers={"X-Long": "x" * 40000}),
@@ -87,7 +87,7 @@
 
 
 def warming(deployment: VirtualDeployment) -> list[Reply]:
-    """All instances say that they warm up."""
+    """All instances report that they are warming up."""
     for instance in deployment.stub_instances.values():
         instance.warmup_ms = 3000
     deployment.sleep(2.0)
@@ -96,13 +96,13 @@
     return waiting
 
 
-TROUBLES: tuple[Trouble, ...] = (
+FAILURE_SCENARIOS: tuple[FailureScenario, ...] = (
     shed, rejected_often, silent, failing, cut, gone, dark, crowded, no_requests, warming,
 )  # fmt: skip
 
 
-def play(trouble: Trouble) -> dict[str, Any]:
-    """What was answered under one trouble, and the gateway's status after it."""
+def play(scenario: FailureScenario) -> dict[str, Any]:
+    """Run one failure scenario; return the responses and the gateway's status afterwards."""
     deployment = VirtualDeployment(seed=9, cores=3, gateways=1)
     try:
         for name, service, zone in (
@@ -126,8 +126,8 @@
         ]
         deployment.served(configuration(1, *routes, services=services))
         deployment.sleep(4.0)
-        replies = [told(reply) for reply in trouble(deployment)]
+        replies = [reply_as_json(reply) for reply in scenario(deployment)]
         address = (deployment.world.machines["g1"].ip, READY)
-        return {"replies": replies, "status": told(deployment.call(address, "GET", "/api/status"))}
+        return {"replies": replies, "status": reply_as_json(deployment.call(address, "GET", "/api/status"))}
     finally:
         deployment.close()
--- a/tests/recorded/sidecar_day.py
+++ b/tests/recorded/sidecar_day.py
@@ -1,4 +1,4 @@
-"""A day of a few sidecars with all features on, and what operators' tools read of them."""
+"""A simulated run of several sidecars with all features on, and the responses to operators' tools."""
 
 from __future__ import annotations
 
@@ -32,22 +32,22 @@
 PAGES = ("GET /status.json", "GET /", "POST /", "GET /none")
 
 
-class Noted(logging.Handler):
-    """Keeps the fields of log lines that have one of a name."""
+class FieldCapture(logging.Handler):
+    """Keeps the fields of log records that contain a field of a given name."""
 
     def __init__(self, name: str) -> None:
         super().__init__(logging.INFO)
         self.name_of_field, self.fields = name, list[dict[str, Any]]()
 
     def emit(self, record: logging.LogRecord) -> None:
-        """One record."""
+        """Keep the fields of a record if they include the given name."""
         fields: dict[str, Any] = getattr(record, "fields", {})
         if self.name_of_field in fields:
             self.fields.append(dict(fields))
 
 
 def play(figures_format: str) -> dict[str, Any]:
-    """The day: what each call was answered, the pages, the lines for a collector and all counters."""
+    """Run the simulation; return the responses, the metrics lines and all counters."""
     scenario = draw_scenario(11, "operators")
     operator = {
         **scenario.world.operator,
@@ -55,7 +55,7 @@
         "status": {"port": STATUS_PORT, "refresh_ms": 200},
         "zones": {"half_life_s": 2.0, "spill": 0.5},
     }
-    # Some clients name a tenant that is unknown, some none: metrics have a tag for each.
+    # Some requests name an unknown tenant and some no tenant: metrics have a tag for both cases.
     tenants = {0: "stranger", 1: ""}
     asks = tuple(
         msgspec.structs.replace(ask, tenant=tenants.get(number % 7, ask.tenant))
@@ -64,8 +64,8 @@
     world_figures = msgspec.structs.replace(scenario.world, operator=operator)
     scenario = msgspec.structs.replace(scenario, world=world_figures, asks=asks)
     answers: list[tuple[str, str]] = []
-    noted, log = Noted("connections_accepted"), logging.getLogger("brambleusher")
-    log.addHandler(noted)
+    captured, log = FieldCapture("connections_accepted"), logging.getLogger("brambleusher")
+    log.addHandler(captured)
     log.setLevel(logging.INFO)
     with world_of(scenario) as world:
         fleet = Fleet(scenario, world)
@@ -107,10 +107,10 @@
                 each.process.signal(15)
         world.run(world.now_ns + 5 * SECOND)
         written = [bytes(each.process.stderr).decode() for each in fleet.sidecars if each.process is not None]
-    log.removeHandler(noted)
+    log.removeHandler(captured)
     lines = [line for text in written for line in text.splitlines()]
     return {
         "answers": answers,
         "metrics": [line for line in lines if line.startswith("brambleusher.")],
-        "counters": noted.fields,
+        "counters": captured.fields,
     }
--- a/tests/recorded/system_day.py
+++ b/tests/recorded/system_day.py
@@ -1,4 +1,4 @@
-"""A day of the whole system, and what operators are answered by controllers, an observer and a gateway."""
+"""A simulated run of the whole system, with responses of controllers, an observer and a gateway."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     route,
 )
 
-# Method, target, `If-Match`, body.
+# Each request: method, target, value of `If-Match`, body.
 CALLS: tuple[tuple[str, str, str, bytes], ...] = (
     ("GET", "/api/config", "", b""),
     ("PUT", "/api/config", "7", configuration(9)),
@@ -36,8 +36,8 @@
 )
 
 
-def told(reply: Reply) -> dict[str, Any]:
-    """What a client sees of an answer."""
+def reply_as_json(reply: Reply) -> dict[str, Any]:
+    """Return the status, headers and body of a reply."""
     return {
         "status": reply.status,
         "headers": dict(sorted(reply.headers.items())),
@@ -46,7 +46,7 @@
 
 
 def play() -> dict[str, Any]:
-    """The day: each answer by who gave it and to what."""
+    """Run the simulation; return each response by its machine and request."""
     deployment = VirtualDeployment(seed=5, cores=3, gateways=1, observers=1)
     try:
         for number, (service, zone) in enumerate((("llm", "n1"), ("llm", "n2"), ("desk", "s1"))):
@@ -65,15 +65,17 @@
         deployment.sleep(1.0)
 
         def ask(machine: str, port: int, target: str) -> dict[str, Any]:
-            return told(deployment.call((deployment.world.machines[machine].ip, port), "GET", target))
+            return reply_as_json(
+                deployment.call((deployment.world.machines[machine].ip, port), "GET", target)
+            )
 
-        answers = {f"request {number}": told(reply) for number, reply in enumerate(requests)}
+        answers = {f"request {number}": reply_as_json(reply) for number, reply in enumerate(requests)}
         for machine, port in (("c1", CONTROL), ("c2", CONTROL), ("o1", CONTROL), ("g1", READY)):
             answers[f"{machine} status"] = ask(machine, port, "/api/status")
         for number, (method, target, match, body) in enumerate(CALLS):
             headers = {"If-Match": match} if match else {}
             reply = deployment.control("c1", method, target, headers=headers, body=body)
-            answers[f"c1 {number} {method} {target}"] = told(reply)
+            answers[f"c1 {number} {method} {target}"] = reply_as_json(reply)
         answers["o1 GET /api/config"] = ask("o1", CONTROL, "/api/config")
         for target in ("/api/resolution?zone=n1&region=north", "/api/resolution", "/none"):
             answers[f"c1 {target}"] = ask("c1", DIRECTORY, target)
--- a/tests/test_recorded_answers.py
+++ b/tests/test_recorded_answers.py
@@ -1,4 +1,7 @@
-"""What operators and their tools are answered, recorded from 49e18d4: endpoints, pages, counters, metrics."""
+"""Tests that responses to operators and their tools equal those recorded with commit 49e18d4.
+
+The recordings cover endpoints, pages, counters and metrics.
+"""
 
 from __future__ import annotations
 
@@ -34,7 +37,7 @@
 
 @pytest.mark.parametrize("form", ["statsd", "influx"])
 def test_a_sidecar_reports_the_same_metrics(form: str) -> None:
-    """Names, tags, values and times of all lines; the first of each name shows which differ."""
+    """Compares names, tags, values and times of all lines; first lines per name help to find differences."""
     day = sidecar_day.play(form)
     lines: list[str] = day["metrics"]
     first: dict[str, str] = {}
@@ -54,10 +57,10 @@
         assert list(counters.items()) == list(expected.items())
 
 
-@pytest.mark.parametrize("trouble", gateway_day.TROUBLES, ids=lambda trouble: trouble.__name__)
-def test_a_gateway_answers_and_counts_alike_in_trouble(trouble: gateway_day.Trouble) -> None:
-    assert gateway_day.play(trouble) == GATEWAY[trouble.__name__]
+@pytest.mark.parametrize("scenario", gateway_day.FAILURE_SCENARIOS, ids=lambda scenario: scenario.__name__)
+def test_a_gateway_answers_and_counts_alike_in_trouble(scenario: gateway_day.FailureScenario) -> None:
+    assert gateway_day.play(scenario) == GATEWAY[scenario.__name__]
 
 
 def test_every_trouble_is_recorded() -> None:
-    assert [trouble.__name__ for trouble in gateway_day.TROUBLES] == list(GATEWAY)
+    assert [scenario.__name__ for scenario in gateway_day.FAILURE_SCENARIOS] == list(GATEWAY)
--- a/tests/test_recorded_shared_folder.py
+++ b/tests/test_recorded_shared_folder.py
@@ -1,4 +1,4 @@
-"""The folder that a sidecar's processes share, written by 49e18d4: read and written alike."""
+"""Tests that the shared folder of a sidecar, written by commit 49e18d4, is read and written unchanged."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def folder(tmp_path: Path) -> Path:
-    """A copy of the recorded folder."""
+    """Return the path of a copy of the recorded folder."""
     return Path(shutil.copytree(RECORDED, tmp_path / "folder"))
 
 
@@ -48,7 +48,7 @@
 @pytest.mark.parametrize("pid", sorted(STATES))
 def test_a_state_is_received_and_offered_alike(folder: Path, pid: int) -> None:
     state = received_by(folder, pid)
-    assert not (folder / STATES[pid]).exists()  # read once
+    assert not (folder / STATES[pid]).exists()  # the file is removed after it was read
     StateTransfer(SharedFolder(folder, 1), lambda: state).send(pid)
     assert (folder / STATES[pid]).read_bytes() == (RECORDED / STATES[pid]).read_bytes()
 
@@ -71,7 +71,7 @@
 
 
 def test_files_of_processes_are_named_alike(tmp_path: Path) -> None:
-    """The names that 49e18d4 gives and looks for: its processes and ours find each other by them."""
+    """Processes of commit 49e18d4 and of the current version find each other by these file names."""
     assert folder_path("/tmp", "n/0") == Path("/tmp/brambleusher-n_0")
     registry = ProcessRegistry(SharedFolder(tmp_path, 7))
     seen = []
