--- a/brambleusher/admin/routes.py
+++ b/brambleusher/admin/routes.py
@@ -9,7 +9,7 @@
 from brambleusher.net.http import HttpError
 
 
-class AdminCall(Enum):
+class AdminOperation(Enum):
     """An operation of the admin endpoint."""
 
     READY = "ready"
@@ -26,17 +26,17 @@
 
     method: str
     path: tuple[str, ...]
-    call: AdminCall
+    operation: AdminOperation
 
 
 ENDPOINT_ID = "ID"  # path segment that stands for any endpoint id
 ROUTES = (
-    AdminRoute("GET", ("control", "ready"), AdminCall.READY),
-    AdminRoute("GET", ("control", "counters"), AdminCall.COUNTERS),
-    AdminRoute("POST", ("control", "registry-nodes", ENDPOINT_ID, "offline"), AdminCall.OFFLINE),
-    AdminRoute("POST", ("control", "registry-nodes", ENDPOINT_ID, "online"), AdminCall.ONLINE),
-    AdminRoute("POST", ("control", "out-of-service"), AdminCall.OUT_OF_SERVICE),
-    AdminRoute("POST", ("control", "in-service"), AdminCall.IN_SERVICE),
+    AdminRoute("GET", ("control", "ready"), AdminOperation.READY),
+    AdminRoute("GET", ("control", "counters"), AdminOperation.COUNTERS),
+    AdminRoute("POST", ("control", "registry-nodes", ENDPOINT_ID, "offline"), AdminOperation.OFFLINE),
+    AdminRoute("POST", ("control", "registry-nodes", ENDPOINT_ID, "online"), AdminOperation.ONLINE),
+    AdminRoute("POST", ("control", "out-of-service"), AdminOperation.OUT_OF_SERVICE),
+    AdminRoute("POST", ("control", "in-service"), AdminOperation.IN_SERVICE),
 )
 
 _PERCENT_ESCAPE = re.compile(rb"%([0-9A-Fa-f]{2})")
@@ -47,7 +47,7 @@
 class AdminRequest:
     """A requested operation, and the endpoint that the operation applies to, empty if to none."""
 
-    call: AdminCall
+    operation: AdminOperation
     endpoint: str = ""
 
 
@@ -63,7 +63,7 @@
         if route.method == method:
             is_about_endpoint = ENDPOINT_ID in route.path
             endpoint = _unquote(parts[route.path.index(ENDPOINT_ID)]) if is_about_endpoint else ""
-            return AdminRequest(route.call, endpoint)
+            return AdminRequest(route.operation, endpoint)
     if matching:
         raise HttpError(405, f"this call is made with {matching[0].method}")
     raise HttpError(404, "no such call")
--- a/brambleusher/admin/server.py
+++ b/brambleusher/admin/server.py
@@ -5,7 +5,7 @@
 import logging
 from typing import Protocol
 
-from brambleusher.admin.routes import AdminCall, AdminRequest, find_route
+from brambleusher.admin.routes import AdminOperation, AdminRequest, find_route
 from brambleusher.net.http import HttpError, Message, MessageReader, write_response
 from brambleusher.runtime.listening import (
     ACCEPT_RETRY_S,
@@ -152,23 +152,23 @@
     def respond(self, request: AdminRequest) -> tuple[int, bytes]:
         """Run the requested operation; return the status and the body of the response."""
         service = self._service
-        match request.call:
-            case AdminCall.READY:
+        match request.operation:
+            case AdminOperation.READY:
                 return (200, b"ready\n") if service.is_serving() else (503, b"starting\n")
-            case AdminCall.COUNTERS:
+            case AdminOperation.COUNTERS:
                 return 200, service.metrics_text()
-            case AdminCall.OFFLINE | AdminCall.ONLINE:
+            case AdminOperation.OFFLINE | AdminOperation.ONLINE:
                 if not self._set_endpoint(request):
                     return 404, b"no such registry node was ever listed\n"
-            case AdminCall.OUT_OF_SERVICE:
+            case AdminOperation.OUT_OF_SERVICE:
                 service.take_out_of_service()
-            case AdminCall.IN_SERVICE:
+            case AdminOperation.IN_SERVICE:
                 service.put_in_service()
-        fields = {"call": request.call.value, "registry_node": request.endpoint}
+        fields = {"call": request.operation.value, "registry_node": request.endpoint}
         log.info("admin call", extra={"fields": fields})
-        return 200, f"{request.call.value}\n".encode()
+        return 200, f"{request.operation.value}\n".encode()
 
     def _set_endpoint(self, request: AdminRequest) -> bool:
-        if request.call is AdminCall.OFFLINE:
+        if request.operation is AdminOperation.OFFLINE:
             return self._service.take_endpoint_offline(request.endpoint)
         return self._service.put_endpoint_online(request.endpoint)
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -9,7 +9,7 @@
 import unittest
 from typing import Any
 
-from brambleusher.admin.routes import AdminCall, find_route
+from brambleusher.admin.routes import AdminOperation, find_route
 from brambleusher.admin.server import MAX_CALLERS
 from brambleusher.net.http import HttpError, Message
 from tests.rig import WAIT, Discovery, Node, Rig, Script, answer, read
@@ -18,16 +18,16 @@
 class Calls(unittest.TestCase):
     def test_the_table(self) -> None:
         for method, target, call, node in (
-            ("GET", "/control/ready", AdminCall.READY, ""),
-            ("GET", "/control/counters?now", AdminCall.COUNTERS, ""),
-            ("POST", "/control/registry-nodes/s-5be2a07c/offline", AdminCall.OFFLINE, "s-5be2a07c"),
-            ("POST", "/control/registry-nodes/a%2Fb%C3%A9/online", AdminCall.ONLINE, "a/bé"),
-            ("POST", "/control/out-of-service", AdminCall.OUT_OF_SERVICE, ""),
-            ("POST", "/control/in-service", AdminCall.IN_SERVICE, ""),
+            ("GET", "/control/ready", AdminOperation.READY, ""),
+            ("GET", "/control/counters?now", AdminOperation.COUNTERS, ""),
+            ("POST", "/control/registry-nodes/s-5be2a07c/offline", AdminOperation.OFFLINE, "s-5be2a07c"),
+            ("POST", "/control/registry-nodes/a%2Fb%C3%A9/online", AdminOperation.ONLINE, "a/bé"),
+            ("POST", "/control/out-of-service", AdminOperation.OUT_OF_SERVICE, ""),
+            ("POST", "/control/in-service", AdminOperation.IN_SERVICE, ""),
         ):
             with self.subTest(target):
                 asked = find_route(method, target)
-                self.assertEqual((asked.call, asked.endpoint), (call, node))
+                self.assertEqual((asked.operation, asked.endpoint), (call, node))
 
     def test_what_is_no_call(self) -> None:
         for method, target, status in (
