--- a/brambleusher/admin/routes.py
+++ b/brambleusher/admin/routes.py
@@ -57,22 +57,24 @@
     Raises:
         HttpError: No route has the path (404), or only with another method (405).
     """
-    parts = tuple(target.partition("?")[0].removeprefix("/").split("/"))
-    matching = [route for route in ROUTES if _has_path(route, parts)]
+    segments = tuple(target.partition("?")[0].removeprefix("/").split("/"))
+    matching = [route for route in ROUTES if _has_path(route, segments)]
     for route in matching:
         if route.method == method:
             is_about_endpoint = ENDPOINT_ID in route.path
-            endpoint = _unquote(parts[route.path.index(ENDPOINT_ID)]) if is_about_endpoint else ""
+            endpoint = _unquote(segments[route.path.index(ENDPOINT_ID)]) if is_about_endpoint else ""
             return AdminRequest(route.operation, endpoint)
     if matching:
         raise HttpError(405, f"this call is made with {matching[0].method}")
     raise HttpError(404, "no such call")
 
 
-def _has_path(route: AdminRoute, parts: tuple[str, ...]) -> bool:
-    if len(route.path) != len(parts):
+def _has_path(route: AdminRoute, segments: tuple[str, ...]) -> bool:
+    if len(route.path) != len(segments):
         return False
-    return all(want in (ENDPOINT_ID, part) for want, part in zip(route.path, parts, strict=True))
+    return all(
+        expected in (ENDPOINT_ID, segment) for expected, segment in zip(route.path, segments, strict=True)
+    )
 
 
 def _unquote(text: str) -> str:
--- a/brambleusher/admin/server.py
+++ b/brambleusher/admin/server.py
@@ -19,10 +19,12 @@
 
 log = logging.getLogger(__name__)
 
-MAX_CALLERS = 16  # connections open at once; a new one beyond this closes the oldest
-DESCRIPTORS = MAX_CALLERS + 2  # plus the listener and a connection accepted before the oldest is closed
+MAX_ADMIN_CONNECTIONS = 16  # connections open at once; a new one beyond this closes the oldest
+DESCRIPTORS = (
+    MAX_ADMIN_CONNECTIONS + 2
+)  # plus the listener and a connection accepted before the oldest is closed
 BACKLOG = 64
-CALL_TIMEOUT_S = 1.5  # from accepting the connection to the last byte of the request
+ADMIN_REQUEST_TIMEOUT_S = 1.5  # from accepting the connection to the last byte of the request
 WRITE_TIMEOUT_S = 1.0
 MAX_BODY_BYTES = 4096  # no operation needs a body
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -57,7 +59,9 @@
         self._scheduler, self._service = scheduler, service
         self._listener: Socket | None = None
         self._accepting: Task | None = None
-        self._callers: dict[Stream, Task] = {}  # connections without a complete request, oldest first
+        self._pending_connections: dict[
+            Stream, Task
+        ] = {}  # connections without a complete request, oldest first
 
     def listen(self, address: Address) -> Address:
         """Listen on an address and start accepting; return the bound address; raises `OSError`."""
@@ -72,7 +76,7 @@
         if self._listener is not None:
             self._listener.close()
             self._listener = None
-        for stream in list(self._callers):
+        for stream in list(self._pending_connections):
             self._drop(stream)
 
     def _accept_all(self, listener: Socket) -> None:
@@ -86,32 +90,34 @@
             if accepted is None:
                 self._scheduler.park(sock=listener)
                 continue
-            if len(self._callers) >= MAX_CALLERS:
+            if len(self._pending_connections) >= MAX_ADMIN_CONNECTIONS:
                 # Silent connections must not block new ones.
-                self._drop(next(iter(self._callers)))
+                self._drop(next(iter(self._pending_connections)))
             stream = accepted.stream
-            self._callers[stream] = self._scheduler.spawn(self._serve, stream, name="admin call", urgent=True)
+            self._pending_connections[stream] = self._scheduler.spawn(
+                self._serve, stream, name="admin call", urgent=True
+            )
 
     def _drop(self, stream: Stream) -> None:
-        task = self._callers.pop(stream, None)
+        task = self._pending_connections.pop(stream, None)
         if task is not None:
             task.cancel()
         stream.close()
 
     def _serve(self, stream: Stream) -> None:
         try:
-            response = self._serve_call(stream)
+            response = self._serve_request(stream)
             # From here on, a newer connection does not close this one.
-            self._callers.pop(stream, None)
+            self._pending_connections.pop(stream, None)
             stream.send(response, self._scheduler.now() + WRITE_TIMEOUT_S)
             stream.finish()
         except (OSError, TaskTimeoutError):
             return
         finally:
-            self._callers.pop(stream, None)
+            self._pending_connections.pop(stream, None)
             stream.close()
 
-    def _serve_call(self, stream: Stream) -> bytes:
+    def _serve_request(self, stream: Stream) -> bytes:
         """Read a request and run its operation; raises `OSError` if the client disconnected."""
         try:
             status, body = self.respond(self._read(stream))
@@ -127,7 +133,7 @@
 
     def _read(self, stream: Stream) -> AdminRequest:
         """Read the request; raises `HttpError`, or `OSError` if the client disconnected."""
-        reader, deadline = MessageReader.requests(), self._scheduler.now() + CALL_TIMEOUT_S
+        reader, deadline = MessageReader.requests(), self._scheduler.now() + ADMIN_REQUEST_TIMEOUT_S
         has_sent_continue = False
         while (message := self._take(reader)) is None:
             if reader.expects_continue and not has_sent_continue:
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from brambleusher.admin.routes import AdminOperation, find_route
-from brambleusher.admin.server import MAX_CALLERS
+from brambleusher.admin.server import MAX_ADMIN_CONNECTIONS
 from brambleusher.net.http import HttpError, Message
 from tests.rig import WAIT, Discovery, Node, Rig, Script, answer, read
 
@@ -142,7 +142,7 @@
     def test_callers_that_say_nothing_or_half_a_call_hold_up_nobody(self) -> None:
         rig = self.rig(self.node())
         rig.listed(1)  # until the list has arrived the answer is 503, as the next test checks
-        silent = [self.connect(rig) for _ in range(MAX_CALLERS * 2)]
+        silent = [self.connect(rig) for _ in range(MAX_ADMIN_CONNECTIONS * 2)]
         for sock in silent[::2]:
             sock.sendall(b"GET /control/rea")
         begun = time.monotonic()
