--- a/brambleusher/dataplane/attempt_failure.py
+++ b/brambleusher/dataplane/attempt_failure.py
@@ -30,10 +30,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AttemptLost:
+class AttemptOutcomeUnknown:
     """At least part of the request was sent, but no complete response head arrived: it may have run."""
 
-    reason: ClassVar[RejectionReason] = RejectionReason.ATTEMPT_LOST
+    reason: ClassVar[RejectionReason] = RejectionReason.ATTEMPT_OUTCOME_UNKNOWN
 
 
-AttemptFailure = ConnectFailed | AttemptRejected | AttemptLost
+AttemptFailure = ConnectFailed | AttemptRejected | AttemptOutcomeUnknown
--- a/brambleusher/dataplane/attempts.py
+++ b/brambleusher/dataplane/attempts.py
@@ -6,7 +6,7 @@
 
 from result import Ok, Result
 
-from brambleusher.dataplane.attempt_failure import AttemptFailure, AttemptLost, ConnectFailed
+from brambleusher.dataplane.attempt_failure import AttemptFailure, AttemptOutcomeUnknown, ConnectFailed
 from brambleusher.dataplane.client_request import HeaderList
 from brambleusher.dataplane.counters import Counters, RequestCounter
 from brambleusher.dataplane.instance import Instance
@@ -190,7 +190,7 @@
                 context.unresponsive_regions.add(instance.region)
             return
         context.attempts_sent += 1
-        if isinstance(failure, AttemptLost):
+        if isinstance(failure, AttemptOutcomeUnknown):
             context.possible_runs += 1
         elif failure.status == MISDIRECTED_REQUEST:
             instance.record_replaced(self._scheduler.now())
--- a/brambleusher/dataplane/rejection_reason.py
+++ b/brambleusher/dataplane/rejection_reason.py
@@ -19,4 +19,4 @@
     RETRY_BUDGET = "retry_budget"
     CONNECT_FAILED = "notreached"
     ATTEMPT_REJECTED = "rejected"
-    ATTEMPT_LOST = "lost"
+    ATTEMPT_OUTCOME_UNKNOWN = "lost"
--- a/brambleusher/dataplane/upstream_client.py
+++ b/brambleusher/dataplane/upstream_client.py
@@ -8,7 +8,12 @@
 import h11
 from result import Err, Ok, Result
 
-from brambleusher.dataplane.attempt_failure import AttemptFailure, AttemptLost, AttemptRejected, ConnectFailed
+from brambleusher.dataplane.attempt_failure import (
+    AttemptFailure,
+    AttemptOutcomeUnknown,
+    AttemptRejected,
+    ConnectFailed,
+)
 from brambleusher.dataplane.client_request import HeaderList
 from brambleusher.dataplane.connection_pool import RESPONSE_HEAD_MAX_BYTES, ConnectionPool
 from brambleusher.dataplane.errors import ResponseBrokenError
@@ -84,7 +89,7 @@
         connection = prepared.ok_value.connection
         head = self._exchange(request, prepared.ok_value)
         if head is None:
-            return Err(AttemptLost())
+            return Err(AttemptOutcomeUnknown())
         self._pool.record_response(connection)
         self._record_load(request.instance, head)
         if _is_rejection(head):
