--- a/brambleusher/dataplane/client_connection.py
+++ b/brambleusher/dataplane/client_connection.py
@@ -83,7 +83,7 @@
                 self._reserve_body(len(event.data))
                 body.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage) and head is not None:
-                self._read_ahead.settle()
+                self._read_ahead.release_consumed()
                 now_s = self._scheduler.now()
                 return ClientRequest(head.method, head.target, headers, b"".join(body), now_s)
             else:
--- a/brambleusher/dataplane/read_ahead.py
+++ b/brambleusher/dataplane/read_ahead.py
@@ -29,7 +29,7 @@
         self._reserved_bytes += missing_bytes
         return True
 
-    def settle(self) -> None:
+    def release_consumed(self) -> None:
         """Release the memory of bytes that the parser has consumed."""
         if self._reserved_bytes:
             self._release_to(max(0, self.buffered - UNRESERVED_BYTES))
--- a/tests/dataplane/test_read_ahead.py
+++ b/tests/dataplane/test_read_ahead.py
@@ -41,7 +41,7 @@
     for _ in range(4):
         assert buffer_bytes(buffer, 16 * KB)
     assert memory.reserved_bytes == 48 * KB
-    buffer.settle()
+    buffer.release_consumed()
     # The parser has consumed no bytes, so all of them are still buffered.
     assert memory.reserved_bytes == 48 * KB
     assert not buffer_bytes(buffer, 64 * KB)
@@ -60,5 +60,5 @@
     assert memory.reserved_bytes == len(head) + 24 * KB
     while not isinstance(protocol.next_event(), h11.EndOfMessage):
         pass
-    buffer.settle()
+    buffer.release_consumed()
     assert memory.reserved_bytes == 0
