--- a/brambleusher/dataplane/upstream_client.py
+++ b/brambleusher/dataplane/upstream_client.py
@@ -22,7 +22,7 @@
 from brambleusher.dataplane.upstream_connection import UpstreamConnection
 from brambleusher.dataplane.upstream_response import (
     AttemptListener,
-    OutcomeIgnored,
+    NullAttemptListener,
     ResponseHead,
     UpstreamResponse,
 )
@@ -182,7 +182,7 @@
     ) -> AttemptRejected:
         """Read the body of a rejection, so that the connection can be reused."""
         response = UpstreamResponse(
-            self._scheduler, self._pool, request.instance, connection, head, OutcomeIgnored()
+            self._scheduler, self._pool, request.instance, connection, head, NullAttemptListener()
         )
         try:
             while response.read(request.deadline_s):
--- a/brambleusher/dataplane/upstream_response.py
+++ b/brambleusher/dataplane/upstream_response.py
@@ -39,7 +39,7 @@
         """Handle an abandoned attempt, usually because its client disconnected."""
 
 
-class OutcomeIgnored:
+class NullAttemptListener:
     """A listener for attempts whose outcome is recorded elsewhere."""
 
     def response_started(self) -> None:
