--- a/brambleusher/dataplane/connection_pool.py
+++ b/brambleusher/dataplane/connection_pool.py
@@ -46,13 +46,13 @@
         self,
         scheduler: Scheduler,
         instances: InstanceTable,
-        drops_idle_unseen: bool = False,
+        drops_idle_silently: bool = False,
         policy: Policy | None = None,
     ) -> None:
-        """Create a pool; with `drops_idle_unseen` instances drop idle connections without closing them."""
+        """Create a pool; with `drops_idle_silently` instances drop idle connections without closing them."""
         self._scheduler, self._instances = scheduler, instances
         self._idle_timeout = IdleTimeout(IDLE_MAX_S * NS_PER_S, IDLE_TRUSTED_S * NS_PER_S)
-        self.drops_idle_unseen = drops_idle_unseen
+        self.drops_idle_silently = drops_idle_silently
         self._policy = policy or Policy()
 
     @property
@@ -79,7 +79,7 @@
         """
         now_s = self._scheduler.now()
         is_stale = now_s - instance.last_contact_s > CONTACT_FRESH_S
-        if must_run_once and self.drops_idle_unseen and is_stale:
+        if must_run_once and self.drops_idle_silently and is_stale:
             return None
         trusted_s = self.trusted_idle_s
         while instance.idle_connections:
--- a/brambleusher/dataplane/upstream_client.py
+++ b/brambleusher/dataplane/upstream_client.py
@@ -117,7 +117,7 @@
         if connection is None:
             return None
         data = encode_message(connection.protocol, head, request.body)
-        needs_check = request.must_run_once and self._pool.drops_idle_unseen
+        needs_check = request.must_run_once and self._pool.drops_idle_silently
         if not needs_check or connection.idle_s <= UNCHECKED_IDLE_S:
             return _PreparedAttempt(connection, data)
         if self._is_alive(request, connection, data[:-1]):
--- a/brambleusher/gateway/app.py
+++ b/brambleusher/gateway/app.py
@@ -40,7 +40,7 @@
 NS_PER_MS = 1_000_000
 BODY_MEMORY_DIVISOR = 4  # client request bodies may use 1/4 of the machine's memory
 MAINTENANCE_INTERVAL_S = 0.25
-DROPS_IDLE_UNSEEN = "pool"  # value in `in_force`: instances may drop idle connections without closing them
+DROPS_IDLE_SILENTLY = "pool"  # value in `in_force`: instances may drop idle connections without closing them
 READY_PATH = "/api/readiness"
 STATUS_PATH = "/api/status"
 
@@ -65,8 +65,8 @@
         self._shutdown = GracefulShutdown(self.scheduler, lambda: self.settings.bounds.grace_s)
         self.counters = Counters()
         self.instances = InstanceTable(settings.zones, rng, policy, settings.node_name)
-        drops_idle_unseen = DROPS_IDLE_UNSEEN in settings.in_force
-        self.connection_pool = ConnectionPool(self.scheduler, self.instances, drops_idle_unseen, policy)
+        drops_idle_silently = DROPS_IDLE_SILENTLY in settings.in_force
+        self.connection_pool = ConnectionPool(self.scheduler, self.instances, drops_idle_silently, policy)
         self._upstream = UpstreamClient(self.scheduler, self.instances, self.connection_pool)
         locality = Locality(settings.zone, settings.region)
         self.controllers = Controllers(settings.seed_peers(), rng, locality)
