--- a/brambleusher/dataplane/connection_pool.py
+++ b/brambleusher/dataplane/connection_pool.py
@@ -23,10 +23,10 @@
 UNACKNOWLEDGED_MAX_S = 0.6  # an instance is unreachable if bytes or TCP probes go unacknowledged for longer
 IDLE_DEFAULT_S = 3.0  # idle limit if the response has no `Keep-Alive` timeout
 IDLE_MARGIN_S = 1.0  # subtracted from the `Keep-Alive` timeout, so that no expiring connection is used
-IDLE_MAX_S = 60.0  # upper bound of the learned idle timeout
-IDLE_TRUSTED_S = 0.5  # connections idle for less than this are always reused
-TRUST_TARGET_S = 0.5  # unit of time, a latency target, in which the learned idle timeout recovers
-TRUST_WINDOW = 10.0  # time constant, in latency targets, with which past resets are forgotten
+IDLE_TIMEOUT_MAX_S = 60.0  # upper bound of the learned idle timeout
+IDLE_TIMEOUT_MIN_S = 0.5  # connections idle for less than this are always reused
+IDLE_RECOVERY_TARGET_S = 0.5  # unit of time, a latency target, in which the learned idle timeout recovers
+RESET_WINDOW_TARGETS = 10.0  # time constant, in latency targets, with which past resets are forgotten
 CONNECTION_FRACTION = 0.8  # part of the limit used by all gateways together, as they may be miscounted
 RESPONSE_HEAD_MAX_BYTES = 64 * 1024
 NS_PER_S = 1e9
@@ -51,14 +51,18 @@
     ) -> None:
         """Create a pool; with `drops_idle_silently` instances drop idle connections without closing them."""
         self._scheduler, self._instances = scheduler, instances
-        self._idle_timeout = IdleTimeout(IDLE_MAX_S * NS_PER_S, IDLE_TRUSTED_S * NS_PER_S)
+        self._idle_timeout = IdleTimeout(IDLE_TIMEOUT_MAX_S * NS_PER_S, IDLE_TIMEOUT_MIN_S * NS_PER_S)
         self.drops_idle_silently = drops_idle_silently
         self._policy = policy or Policy()
 
     @property
-    def trusted_idle_s(self) -> float:
+    def learned_idle_timeout_s(self) -> float:
         """The longest idle time in seconds after which a connection is still reused."""
-        return self._idle_timeout.timeout_ns / NS_PER_S if self._policy.learns_idle_timeout else IDLE_MAX_S
+        return (
+            self._idle_timeout.timeout_ns / NS_PER_S
+            if self._policy.learns_idle_timeout
+            else IDLE_TIMEOUT_MAX_S
+        )
 
     def has_capacity(self, instance: Instance) -> bool:
         """Whether an idle connection exists or a new one may be opened."""
@@ -81,11 +85,11 @@
         is_stale = now_s - instance.last_contact_s > CONTACT_FRESH_S
         if must_run_once and self.drops_idle_silently and is_stale:
             return None
-        trusted_s = self.trusted_idle_s
+        timeout_s = self.learned_idle_timeout_s
         while instance.idle_connections:
             connection = instance.idle_connections.pop()
             idle_s = now_s - connection.idle_since_s
-            if connection.idle_until_s > now_s and idle_s <= trusted_s and connection.stream.is_idle():
+            if connection.idle_until_s > now_s and idle_s <= timeout_s and connection.stream.is_idle():
                 connection.idle_s = idle_s
                 return connection
             self.close(instance, connection)
@@ -183,8 +187,8 @@
 
     def tick(self, elapsed_s: float) -> None:
         """Let the learned idle timeout recover as time passes."""
-        targets = elapsed_s / TRUST_TARGET_S
-        self._idle_timeout.recover(targets, math.exp(-targets / TRUST_WINDOW))
+        targets = elapsed_s / IDLE_RECOVERY_TARGET_S
+        self._idle_timeout.recover(targets, math.exp(-targets / RESET_WINDOW_TARGETS))
 
 
 def _keep_alive_s(headers: Headers) -> float:
--- a/tests/dataplane/test_idle_connections.py
+++ b/tests/dataplane/test_idle_connections.py
@@ -64,11 +64,11 @@
     deployment.sleep(0.3)
     gateway = deployment.gateways["g1"]
     pool = gateway.connection_pool
-    before_s = pool.trusted_idle_s
+    before_s = pool.learned_idle_timeout_s
     deployment.sleep(0.5)
     gateway.instances.for_service("desk")[0].last_contact_s = deployment.now
     assert send_request(deployment, "c") == 200
-    assert pool.trusted_idle_s < before_s
+    assert pool.learned_idle_timeout_s < before_s
 
 
 def test_an_instance_without_recent_contact_gets_a_new_connection(deployment: VirtualDeployment) -> None:
