--- a/brambleusher/dataplane/client_connection.py
+++ b/brambleusher/dataplane/client_connection.py
@@ -141,7 +141,7 @@
         self._protocol.start_next_cycle()
         return True
 
-    def has_departed(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the client has closed its connection and all bytes that it sent have been read."""
         return self.presence.has_left or self.stream.peek() == b""
 
--- a/brambleusher/gateway/client_server.py
+++ b/brambleusher/gateway/client_server.py
@@ -58,7 +58,7 @@
     @property
     def departed_requests(self) -> int:
         """The number of requests being served whose client has closed its connection."""
-        return sum(not client.is_idle and client.has_departed() for client in self._connections)
+        return sum(not client.is_idle and client.has_disconnected() for client in self._connections)
 
     def close_after_responses(self) -> None:
         """Close each connection after its next response from now on."""
