--- a/brambleusher/handover/limit_shares.py
+++ b/brambleusher/handover/limit_shares.py
@@ -11,7 +11,7 @@
 SENDING_WEIGHTS = {ProcessStage.STARTING: 0, ProcessStage.SERVING: 4, ProcessStage.DRAINING: 1}
 
 
-def limit_share(
+def limit_fraction(
     weights: Mapping[ProcessStage, int], own: ProcessStage, others: Iterable[ProcessStage]
 ) -> float:
     """Return the fraction of a limit for one process, from 0 to 1; all fractions add up to at most 1."""
@@ -28,9 +28,9 @@
     @property
     def connections(self) -> float:
         """The fraction of the sidecar's connection and memory limits."""
-        return limit_share(CONNECTION_WEIGHTS, self._registry.stage, self._registry.others.values())
+        return limit_fraction(CONNECTION_WEIGHTS, self._registry.stage, self._registry.others.values())
 
     @property
     def sending(self) -> float:
         """The fraction of the requests that the sidecar may send to endpoints that are warming up."""
-        return limit_share(SENDING_WEIGHTS, self._registry.stage, self._registry.others.values())
+        return limit_fraction(SENDING_WEIGHTS, self._registry.stage, self._registry.others.values())
--- a/tests/handover/test_handover.py
+++ b/tests/handover/test_handover.py
@@ -24,7 +24,7 @@
 from unittest import mock
 
 from brambleusher.handover.folder_watcher import FolderWatcher
-from brambleusher.handover.limit_shares import CONNECTION_WEIGHTS, SENDING_WEIGHTS, limit_share
+from brambleusher.handover.limit_shares import CONNECTION_WEIGHTS, SENDING_WEIGHTS, limit_fraction
 from brambleusher.handover.process_registry import ProcessRegistry, ProcessStage
 from brambleusher.handover.shared_folder import SharedFolder, folder_path
 from brambleusher.handover.shared_settings import SharedSettings, SharedSettingsStore
@@ -94,12 +94,12 @@
             for parts in (CONNECTION_WEIGHTS, SENDING_WEIGHTS):
                 with self.subTest(stages):
                     taken = [
-                        limit_share(parts, own, stages[:at] + stages[at + 1 :])
+                        limit_fraction(parts, own, stages[:at] + stages[at + 1 :])
                         for at, own in enumerate(stages)
                         if parts[own]
                     ]  # fmt: skip
                     self.assertLessEqual(sum(taken), 1.0 + 1e-9)
-        self.assertEqual(limit_share(SENDING_WEIGHTS, ProcessStage.SERVING, [ProcessStage.STARTING]), 1.0)
+        self.assertEqual(limit_fraction(SENDING_WEIGHTS, ProcessStage.SERVING, [ProcessStage.STARTING]), 1.0)
 
     def test_settings_changed_by_both_are_merged(self) -> None:
         self.process(1).register(), self.process(2).register()
