--- a/brambleusher/controller/process.py
+++ b/brambleusher/controller/process.py
@@ -14,7 +14,7 @@
 from brambleusher.membership.line_connection import LineServer
 from brambleusher.membership.process import run_until_signalled
 from brambleusher.membership.settings_watch import SettingsWatcher
-from brambleusher.observability.log_format import SparseLog
+from brambleusher.observability.log_format import RateLimitedLog
 from brambleusher.runtime.http_server import HttpRequest, HttpResponse
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.streams import parse_address
@@ -36,7 +36,7 @@
         self._rng = random.Random(f"{settings.node_name} {system.wall_ns()}")
         self._senders = PeerSenders(self.scheduler)
         self._is_shutting_down = False
-        self._sparse_log = SparseLog(log, self.scheduler.now)
+        self._rate_limited_log = RateLimitedLog(log, self.scheduler.now)
 
     def _listen(self, admin_api: AdminApi, settings_path: str) -> None:
         """Open all listeners; `settings_path` is the settings file to watch, empty for none."""
@@ -102,7 +102,7 @@
         return resolver.respond(request, self.find_gateways, self.settings.bounds.ttl_max_s)
 
     def _log_invalid_message(self, host: str, reason: str) -> None:
-        self._sparse_log.warning("invalid peer message", host=host, reason=reason)
+        self._rate_limited_log.warning("invalid peer message", host=host, reason=reason)
 
     def _apply_settings(self, settings: Settings) -> None:
         self.settings = settings
--- a/brambleusher/net/client_connection_server.py
+++ b/brambleusher/net/client_connection_server.py
@@ -14,7 +14,7 @@
 from brambleusher.net.http import MAX_STREAMED_BODY_BYTES, HttpError, Message, MessageReader
 from brambleusher.net.streamed_bodies import request_body_stream
 from brambleusher.observability.counters import Counters
-from brambleusher.observability.log_format import SparseLog
+from brambleusher.observability.log_format import RateLimitedLog
 from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
 
 log = logging.getLogger(__name__)
@@ -41,7 +41,7 @@
         self._request_reader = ClientRequestReader(scheduler, connections)
         self._handler, self._writer = handler, writer
         self._counters, self._service = counters, service
-        self._bad_requests = SparseLog(log, scheduler.now)
+        self._bad_requests = RateLimitedLog(log, scheduler.now)
 
     def serve(self, connection: ClientConnection) -> None:
         """Serve request after request, until one side closes; the task of a connection."""
--- a/brambleusher/net/upstream_exchange.py
+++ b/brambleusher/net/upstream_exchange.py
@@ -21,7 +21,7 @@
 from brambleusher.net.upstream_response_reader import UpstreamResponseReader
 from brambleusher.net.upstream_responses import attempt_status_of, load_report_of
 from brambleusher.observability.counters import Counters
-from brambleusher.observability.log_format import SparseLog
+from brambleusher.observability.log_format import RateLimitedLog
 from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
 from brambleusher.runtime.streams import Stream, WaitInterruptedError
 
@@ -44,8 +44,8 @@
     ) -> None:
         self.scheduler, self.counters, self.connections = scheduler, counters, connections
         self.on_request_sent = on_request_sent
-        self.bad_responses = SparseLog(log, scheduler.now)
-        self.bad_reports = SparseLog(log, scheduler.now)
+        self.bad_responses = RateLimitedLog(log, scheduler.now)
+        self.bad_reports = RateLimitedLog(log, scheduler.now)
 
 
 class UpstreamExchange:
--- a/brambleusher/observability/log_format.py
+++ b/brambleusher/observability/log_format.py
@@ -77,7 +77,7 @@
     root.propagate = False
 
 
-class SparseLog:
+class RateLimitedLog:
     """Limits one kind of warning to one per `seconds`; the next one contains the number left out.
 
     Without the limit, a peer that sends invalid data at full speed would fill the log and slow the process.
