--- a/brambleusher/observability/counters.py
+++ b/brambleusher/observability/counters.py
@@ -62,6 +62,6 @@
         """Return the current value of a counter."""
         return self._counts[name]
 
-    def report(self, why: str) -> None:
+    def report(self, reason: str) -> None:
         """Log all counters on one line, with the reason for logging them."""
-        log.info("counters", extra={"fields": {"why": why, **self._counts}})
+        log.info("counters", extra={"fields": {"why": reason, **self._counts}})
