--- a/brambleusher/admin/server.py
+++ b/brambleusher/admin/server.py
@@ -20,9 +20,7 @@
 log = logging.getLogger(__name__)
 
 MAX_ADMIN_CONNECTIONS = 16  # connections open at once; a new one beyond this closes the oldest
-DESCRIPTORS = (
-    MAX_ADMIN_CONNECTIONS + 2
-)  # plus the listener and a connection accepted before the oldest is closed
+DESCRIPTORS = MAX_ADMIN_CONNECTIONS + 2  # plus the listener and a connection that replaces the oldest
 BACKLOG = 64
 ADMIN_REQUEST_TIMEOUT_S = 1.5  # from accepting the connection to the last byte of the request
 WRITE_TIMEOUT_S = 1.0
@@ -59,9 +57,8 @@
         self._scheduler, self._service = scheduler, service
         self._listener: Socket | None = None
         self._accepting: Task | None = None
-        self._pending_connections: dict[
-            Stream, Task
-        ] = {}  # connections without a complete request, oldest first
+        # Connections without a complete request, oldest first.
+        self._pending_connections: dict[Stream, Task] = {}
 
     def listen(self, address: Address) -> Address:
         """Listen on an address and start accepting; return the bound address; raises `OSError`."""
--- a/brambleusher/controller/gateway_lookup.py
+++ b/brambleusher/controller/gateway_lookup.py
@@ -9,7 +9,7 @@
 
 RESOLVE_TIMEOUT_S = 0.7  # below the 1 s that clients wait for the registry
 CACHE_FRESH_S = 0.4  # cached answers are reused for this long, as many clients of a zone ask at once
-CACHE_STALE_S = 3.0  # limit without controllers; older answers may name stopped gateways
+CACHE_STALE_S = 3.0  # cached answers older than this may name stopped gateways and are not used
 CACHED_ZONES_MAX = 64  # entries in the cache; beyond this the oldest one is dropped
 
 
--- a/brambleusher/dataplane/attempt_failure.py
+++ b/brambleusher/dataplane/attempt_failure.py
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptOutcomeUnknown:
-    """At least part of the request was sent, but no complete response head arrived: it may have run."""
+    """Part of the request was sent and no complete response head arrived, so the request may have run."""
 
     reason: ClassVar[RejectionReason] = RejectionReason.ATTEMPT_OUTCOME_UNKNOWN
 
--- a/brambleusher/dataplane/configuration_client.py
+++ b/brambleusher/dataplane/configuration_client.py
@@ -64,7 +64,7 @@
         while True:
             address = self._controllers.acquire(poller, self._scheduler.now())
             try:
-                if self._follow(address, poller):
+                if self._poll_controller(address, poller):
                     continue
             except (OSError, TaskTimeoutError, InvalidMessageError) as error:
                 fields = {"controller": address, "error": repr(error)}
@@ -72,7 +72,7 @@
             self._controllers.record_failure(address, self._scheduler.now())
             self._scheduler.sleep(RETRY_PAUSE_S)
 
-    def _follow(self, address: str, poller: int) -> bool:
+    def _poll_controller(self, address: str, poller: int) -> bool:
         """Poll one controller; return True if a nearer one is available, False if this one is not useful."""
         client = LineClient(self._scheduler, parse_address(address))
         state = _PollState()
--- a/brambleusher/dataplane/event_stream.py
+++ b/brambleusher/dataplane/event_stream.py
@@ -74,7 +74,7 @@
 
 
 def event_id(event: bytes) -> int | None:
-    """Return the numeric id of an event, None if it has none."""
+    """Return the numeric id of an event, None if the event has no numeric id."""
     for line in event.splitlines():
         if line.startswith(ID_FIELD):
             number = line[len(ID_FIELD) :].strip()
--- a/brambleusher/dataplane/instance.py
+++ b/brambleusher/dataplane/instance.py
@@ -15,7 +15,7 @@
 
 
 class InstanceStatus(IntEnum):
-    """The status of an instance by the latest instance list; it only ever increases."""
+    """The status of an instance by the latest instance list; the value never decreases."""
 
     READY = 0
     DRAINING = 1
--- a/brambleusher/dataplane/placement.py
+++ b/brambleusher/dataplane/placement.py
@@ -137,7 +137,7 @@
         by_id = {instance.id: instance for instance in group}
         for instance_id in rank_by_affinity(request.prefix_key, by_id):
             if self._instances.admit(by_id[instance_id], now_s):
-                weights.choose([instance_id], now_s)  # takes a round-robin token like any other attempt
+                weights.choose([instance_id], now_s)  # consumes a round-robin token, like every other choice
                 return by_id[instance_id]
         return None
 
--- a/brambleusher/dataplane/read_ahead.py
+++ b/brambleusher/dataplane/read_ahead.py
@@ -7,7 +7,7 @@
 from brambleusher.dataplane.body_memory import BodyMemory
 from brambleusher.runtime.h11_messages import ParserBuffer
 
-UNRESERVED_BYTES = 16 * 1024  # per connection; bytes beyond this count against the shared memory
+UNRESERVED_BYTES = 16 * 1024  # each connection may buffer this much outside the shared memory limit
 
 
 class ReadAhead(ParserBuffer):
--- a/brambleusher/dataplane/upstream_client.py
+++ b/brambleusher/dataplane/upstream_client.py
@@ -1,4 +1,4 @@
-"""Sends one attempt of a request to one instance and reads the head of the response."""
+"""The client side of one attempt: sends a request to an instance and reads the response head."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 LIVENESS_MAX_S = 0.1  # upper bound of the wait of the liveness check
 ATTEMPT_HEADER = b"x-attempt-id"
 NOT_EXECUTED_HEADER = b"x-not-executed"
-MISDIRECTED_REQUEST = 421  # sent by an instance that is not the one named in the request
+MISDIRECTED_REQUEST = 421  # HTTP status of an instance that is not the one named in the request
 
 
 @dataclass(frozen=True, slots=True)
--- a/brambleusher/handover/shared_settings.py
+++ b/brambleusher/handover/shared_settings.py
@@ -14,7 +14,7 @@
 
 log = logging.getLogger(__name__)
 
-# Keys in the file.
+# Keys of the JSON object in the file of the shared settings.
 _BANS, _SERVICE, _CHANGED, _IN_SERVICE = "bans", "service", "said", "wanted"
 
 
--- a/brambleusher/handover/state_transfer.py
+++ b/brambleusher/handover/state_transfer.py
@@ -14,9 +14,9 @@
 log = logging.getLogger(__name__)
 
 TRANSFER_TIMEOUT_S = 0.5  # how long a new process waits for the state
-POLL_INTERVAL_S = 0.01  # interval between checks for the file
+POLL_INTERVAL_S = 0.01  # interval between checks for the state file
 
-# Keys in the file.
+# Keys of the JSON object in the file of the transferred state.
 _ENDPOINT_LIST, _DISCOVERY, _BALANCER = "list", "discovery", "state"
 
 
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -133,7 +133,7 @@
         self.assertEqual((got["edge_node.registry_entries"], got["edge_node.out_of_rotation"]), (1, 0))
         answer(b"")(first, Message(("GET", "/"), 1, {}))
         self.assertEqual(read(waiting).status, 200)
-        rig.send("left").close()  # disconnects before the response: finished without an outcome
+        rig.send("left").close()  # a request without a client is finished and has no outcome
         until = time.monotonic() + WAIT
         while (got := self.metrics(rig))["edge_node.open_requests"]:
             self.assertLess(time.monotonic(), until)
@@ -179,7 +179,7 @@
             self.call(rig, "GET", "ready").status, 200, "the process can serve, although it is out of service"
         )
         rig.send("c", sock=active)
-        got = read(active)  # served, with a response that closes the connection
+        got = read(active)  # the request is served, and the response closes the connection
         self.assertEqual((got.status, got.keep_alive), (200, False))
         self.assertEqual((idle.recv(1), active.recv(1)), (b"", b""))
         self.assertEqual(rig.call("d").status, 200)  # the load balancer in front may still send requests
--- a/tests/gateway/test_departed_clients.py
+++ b/tests/gateway/test_departed_clients.py
@@ -28,7 +28,7 @@
         made.add_instance(name, zone=zone)
     made.add_instance("d", "desk", "n1")
     made.served(configuration(1, route(), ONCE, PLAIN, DESK))
-    made.sleep(6.0)  # until the instances are warm
+    made.sleep(6.0)  # wait until the instances are warm
     yield made
     made.close()
 
--- a/tests/gateway/test_end_of_client.py
+++ b/tests/gateway/test_end_of_client.py
@@ -29,7 +29,7 @@
     made.add_instance("d", "desk", "n1")
     desk = route("/d/", kind="idempotent", resumable=False, affine=False, tries=2, service="desk")
     made.served(configuration(1, route(), desk))
-    made.sleep(6.0)  # until the instances are warm
+    made.sleep(6.0)  # wait until the instances are warm
     yield made
     made.close()
 
