--- a/brambleusher/observability/counters.py
+++ b/brambleusher/observability/counters.py
@@ -54,9 +54,9 @@
         """Register an additional counter, for an optional feature that is enabled."""
         self._counts[name] = 0
 
-    def add(self, name: str, more: int = 1) -> None:
+    def add(self, name: str, amount: int = 1) -> None:
         """Add to a counter, 1 by default."""
-        self._counts[name] += more
+        self._counts[name] += amount
 
     def count(self, name: str) -> int:
         """Return the current value of a counter."""
