--- a/brambleusher/admin/routes.py
+++ b/brambleusher/admin/routes.py
@@ -1,4 +1,4 @@
-"""The calls that operators can make: one table, and how a call is found in it.  No sockets here."""
+"""The route table of the admin endpoint and the lookup of routes in it; this module does no I/O."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from brambleusher.net.http import HttpError
 
 
-class AdminCall(Enum):
-    """What can be asked for."""
+class AdminOperation(Enum):
+    """An operation of the admin endpoint."""
 
     READY = "ready"
     COUNTERS = "counters"
@@ -22,21 +22,21 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminRoute:
-    """A method and a path that make a call; what comes back is `AdminServer.respond`'s, call by call."""
+    """The method and path of an operation; `AdminServer.respond` runs the operation."""
 
     method: str
     path: tuple[str, ...]
-    call: AdminCall
+    operation: AdminOperation
 
 
-ENDPOINT_ID = "ID"  # stands for the id of an endpoint
+ENDPOINT_ID = "ID"  # path segment that stands for any endpoint id
 ROUTES = (
-    AdminRoute("GET", ("control", "ready"), AdminCall.READY),
-    AdminRoute("GET", ("control", "counters"), AdminCall.COUNTERS),
-    AdminRoute("POST", ("control", "registry-nodes", ENDPOINT_ID, "offline"), AdminCall.OFFLINE),
-    AdminRoute("POST", ("control", "registry-nodes", ENDPOINT_ID, "online"), AdminCall.ONLINE),
-    AdminRoute("POST", ("control", "out-of-service"), AdminCall.OUT_OF_SERVICE),
-    AdminRoute("POST", ("control", "in-service"), AdminCall.IN_SERVICE),
+    AdminRoute("GET", ("control", "ready"), AdminOperation.READY),
+    AdminRoute("GET", ("control", "counters"), AdminOperation.COUNTERS),
+    AdminRoute("POST", ("control", "registry-nodes", ENDPOINT_ID, "offline"), AdminOperation.OFFLINE),
+    AdminRoute("POST", ("control", "registry-nodes", ENDPOINT_ID, "online"), AdminOperation.ONLINE),
+    AdminRoute("POST", ("control", "out-of-service"), AdminOperation.OUT_OF_SERVICE),
+    AdminRoute("POST", ("control", "in-service"), AdminOperation.IN_SERVICE),
 )
 
 _PERCENT_ESCAPE = re.compile(rb"%([0-9A-Fa-f]{2})")
@@ -45,38 +45,40 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminRequest:
-    """One call, and the endpoint it is about where it is about one."""
+    """A requested operation, and the endpoint that the operation applies to, empty if to none."""
 
-    call: AdminCall
+    operation: AdminOperation
     endpoint: str = ""
 
 
 def find_route(method: str, target: str) -> AdminRequest:
-    """Find the call that is meant.
+    """Find the operation for a method and a request target.
 
     Raises:
-        HttpError: no call has the path (404), or it has another method (405).
+        HttpError: No route has the path (404), or only with another method (405).
     """
-    parts = tuple(target.partition("?")[0].removeprefix("/").split("/"))
-    matching = [route for route in ROUTES if _has_path(route, parts)]
+    segments = tuple(target.partition("?")[0].removeprefix("/").split("/"))
+    matching = [route for route in ROUTES if _has_path(route, segments)]
     for route in matching:
         if route.method == method:
             is_about_endpoint = ENDPOINT_ID in route.path
-            endpoint = _unquote(parts[route.path.index(ENDPOINT_ID)]) if is_about_endpoint else ""
-            return AdminRequest(route.call, endpoint)
+            endpoint = _unquote(segments[route.path.index(ENDPOINT_ID)]) if is_about_endpoint else ""
+            return AdminRequest(route.operation, endpoint)
     if matching:
         raise HttpError(405, f"this call is made with {matching[0].method}")
     raise HttpError(404, "no such call")
 
 
-def _has_path(route: AdminRoute, parts: tuple[str, ...]) -> bool:
-    if len(route.path) != len(parts):
+def _has_path(route: AdminRoute, segments: tuple[str, ...]) -> bool:
+    if len(route.path) != len(segments):
         return False
-    return all(want in (ENDPOINT_ID, part) for want, part in zip(route.path, parts, strict=True))
+    return all(
+        expected in (ENDPOINT_ID, segment) for expected, segment in zip(route.path, segments, strict=True)
+    )
 
 
 def _unquote(text: str) -> str:
-    """Decode a part of a path; raises `HttpError` where it makes no text."""
+    """Percent-decode a path segment; raises `HttpError` if it is malformed or not UTF-8."""
     raw = text.encode("latin-1")
     if _BROKEN_ESCAPE.search(raw):
         raise HttpError(400, "a percent sign is not followed by two hexadecimal digits")
