--- a/brambleusher/decisions/__init__.py
+++ b/brambleusher/decisions/__init__.py
@@ -1,5 +1,5 @@
-"""Drives the pure balancer: requests and time go in as events, its actions come out to whom they concern.
+"""Drives the pure balancer: passes events and the time in and routes its actions to their receivers.
 
-`requests` has the vocabulary of requests and attempts, `balancer_driver` the one caller of the balancer,
-`observers` those that follow its decisions, `clock` the time that it decides by.
+`requests` defines requests and attempts, `balancer_driver` is the only caller of the balancer, `observers`
+has the interfaces for following its decisions, and `clock` the time it uses.
 """
--- a/brambleusher/decisions/balancer_driver.py
+++ b/brambleusher/decisions/balancer_driver.py
@@ -1,6 +1,6 @@
-"""The one caller of the balancer: events go in by the clock, actions are routed to whom they concern.
+"""The only caller of the balancer: passes events in with the current time and routes its actions.
 
-Nothing here knows how requests, responses or lists travel.
+This module is independent of how requests, responses and endpoint lists are transported.
 """
 
 from __future__ import annotations
@@ -30,9 +30,9 @@
 
 log = logging.getLogger(__name__)
 
-RETRY_TIMER_NS = 250_000_000  # until a timer fires again that the balancer failed at
+RETRY_TIMER_NS = 250_000_000  # delay before a timer event that failed in the balancer is repeated
 
-# The counters' names, which operators read, apart from the names of statuses.
+# Counter names by status; they are read by operators and differ from the names of statuses.
 ATTEMPT_COUNTERS = {
     api.AttemptStatus.OK: "claims_served",
     api.AttemptStatus.CONNECT_FAILED: "claims_connect_failed",
@@ -46,24 +46,24 @@
 
 
 def _close_nothing(_endpoint: str) -> None:
-    """Close no connections: the default of a callback."""
+    """Do nothing, as the default of a callback that closes connections."""
 
 
 class BalancerDriver:
-    """Drives one balancer by the clock and by what happens.
+    """Drives one balancer with events and timers.
 
     Args:
-        settings: The settings of the decisions.
-        seed: The seed of the balancer's random draws.
+        settings: Settings of the balancer.
+        seed: Seed of the balancer's random generator.
         scheduler: Runs the balancer's timers.
-        clock: The time that the balancer decides by.
+        clock: Provides the time of events.
         counters: Counts attempts by their outcome.
-        observers: Follow requests.
-        recorder: Follows decisions.
-        make_balancer: Makes a balancer from settings and a seed.
-        state: What `export_state` of another process's driver made; the balancer goes on from it if it can.
+        observers: Observes requests.
+        recorder: Records decisions.
+        make_balancer: Creates a balancer from settings and a seed.
+        state: Output of `export_state` in another process, from which the balancer continues if possible.
         close_idle_connections: Closes the idle connections to an endpoint.
-        subscribe: Asks discovery for the endpoint list.
+        subscribe: Subscribes to the endpoint list at discovery.
     """
 
     def __init__(
@@ -91,16 +91,16 @@
 
     @property
     def unanswered_requests(self) -> int:
-        """How many requests have no final response yet."""
+        """Number of requests without a final response."""
         return sum(pending.is_open for pending in self._pending.values())
 
     @property
     def pending_requests(self) -> int:
-        """How many requests have no final response yet, or attempts in flight."""
+        """Number of requests without a final response or with attempts in flight."""
         return len(self._pending)
 
     def start(self, entries: Iterable[api.HostEntry]) -> None:
-        """Start the balancer, with the endpoint list that is known."""
+        """Start the balancer with a saved endpoint list."""
         now = self._clock.now_ns()
         actions = self._balancer.start(now)
         if self._recorder is not None:
@@ -111,10 +111,10 @@
     # --- events ---------------------------------------------------------------------------------
 
     def submit(self, request: ClientRequest) -> PendingRequest:
-        """Submit a request that has arrived; its first steps wait in the pending request.
+        """Submit a request that has arrived; its first steps are queued in the pending request.
 
         Raises:
-            DuplicateRequestError: Its id is that of a request in progress.
+            DuplicateRequestError: A request with the same id is in progress.
         """
         if request.request_id in self._pending:
             raise DuplicateRequestError(f"request {request.request_id} is in progress")
@@ -132,7 +132,7 @@
         return pending
 
     def finish_attempt(self, pending: PendingRequest, end: AttemptFinished, closed: bool) -> None:
-        """Note the end of an attempt; `closed`: the request has or gets its final response."""
+        """Record the end of an attempt; `closed` if the request has or is getting its final response."""
         pending.attempts_finished += 1
         outcome = end.outcome
         self._counters.add(ATTEMPT_COUNTERS[outcome.status])
@@ -150,19 +150,19 @@
         self._release(pending)
 
     def start_response(self, pending: PendingRequest, step: ResponseStarted) -> None:
-        """Note that an attempt's response has started: the request is closed, the attempt in flight."""
+        """Record that an attempt's response has started: the request is closed, the attempt in flight."""
         self._handle(api.StreamStarted(pending.request_id, step.attempt, step.endpoint, step.latency_ns))
 
     def abandon_request(self, pending: PendingRequest) -> None:
-        """Give a request up: its client has disconnected, or got a response the balancer did not choose."""
+        """Abandon a request whose client has disconnected or got a response not chosen by the balancer."""
         self._handle(api.ClientDisconnected(pending.request_id))
 
     def close_request(self, pending: PendingRequest) -> None:
-        """Close a request with its final response; its attempts' ends go to the balancer alone."""
+        """Close a request after its final response; only the balancer is told of later attempt ends."""
         pending.is_open = False
         while pending.steps:
             step = pending.steps.popleft()
-            if isinstance(step, AttemptRequested):  # the balancer is told the end of each one
+            if isinstance(step, AttemptRequested):  # the balancer must be told the end of each attempt
                 step = AttemptFinished(
                     step.attempt, step.endpoint, AttemptOutcome(api.AttemptStatus.NOT_STARTED, 0)
                 )
@@ -172,7 +172,7 @@
         self._release(pending)
 
     def deliver_attempt_finished(self, pending: PendingRequest, end: AttemptFinished) -> None:
-        """Deliver an attempt's end to the request's task if that still waits, else to the balancer."""
+        """Deliver an attempt's end to the request's task while the request is open, else to the balancer."""
         if pending.is_open:
             pending.add_step(end)
         else:
@@ -180,42 +180,42 @@
             end.outcome.discard()
 
     def report_body_progress(self, pending: PendingRequest, attempt: int, is_complete: bool) -> None:
-        """Note that the request's body is on its way, or (`is_complete`) forwarded: its time begins now."""
+        """Record that the request's body is being streamed, or (`is_complete`) has been forwarded."""
         self._handle(
             api.RequestBodyProgressed(pending.request_id, attempt, is_complete, pending.request.time_left_ns)
         )
-        pending.event.set()  # whoever waits has another deadline now
+        pending.event.set()  # wake the waiting task, since its deadline has changed
 
     def deliver_response_started(self, pending: PendingRequest, step: ResponseStarted) -> None:
-        """Deliver the start of an attempt's response to the request's task, if that still waits."""
+        """Deliver the start of an attempt's response to the request's task while the request is open."""
         if pending.is_open:
             pending.add_step(step)
 
     def update_endpoints(self, kind: api.ListKind, entries: Iterable[api.HostEntry]) -> None:
-        """Pass on an update of the endpoint list, or that discovery has failed."""
+        """Pass an update of the endpoint list, or a failure of discovery, to the balancer."""
         self._handle(api.HostListUpdated(kind, list(entries)))
 
     def change_zone_rules(self, rules: api.ZoneRules | None) -> bool:
-        """Follow changed rules on zones; return False where the balancer has started without rules."""
+        """Apply changed zone rules; return False if the balancer was started without zone rules."""
         if not self._balancer.accepts_zone_rules:
             return rules is None
         self._handle(api.ZoneRulesChanged(rules))
         return True
 
     def zone_status(self) -> dict[str, object] | None:
-        """Return the status of zones as plain values; None where the balancer has started without rules."""
+        """Return the status of zones as plain values, or None if started without zone rules."""
         return self._balancer.zone_status(self._clock.now_ns())
 
     def set_process_share(self, share: float) -> None:
-        """Set the share, from 0 to 1, of the sidecar's requests that this process sends."""
+        """Set the fraction of the sidecar's requests, from 0 to 1, that this process handles."""
         self._handle(api.ProcessShareChanged(share))
 
     def export_state(self) -> Mapping[str, object] | None:
-        """Return the balancer's state for another process of this sidecar; None where it has none to give."""
+        """Return the balancer's state for another process of this sidecar, or None if it is too large."""
         return export_state(self._balancer)
 
     def count_avoided_hosts(self) -> int:
-        """Return how many endpoints of the list are sent no requests now."""
+        """Return the number of listed endpoints that get no requests now."""
         return count_avoided_hosts(self._balancer, self._clock.now_ns())
 
     # --- actions --------------------------------------------------------------------------------
@@ -224,8 +224,8 @@
         try:
             self._dispatch(self._decide(event))
         except Exception:
-            # Guards against a request left without a response, or a balancer without its timer, for good
-            # after one fault in the balancer.
+            # A fault in the balancer must not leave a request without a response, or the balancer without its
+            # timer.
             self._counters.add("faults")
             log.exception("balancer failed", extra={"fields": {"event": type(event).__name__}})
             if pending is not None and pending.is_open:
@@ -234,7 +234,7 @@
                 self._set_timer(self._clock.now_ns() + RETRY_TIMER_NS, event.token)
 
     def _decide(self, event: api.Event) -> list[api.Action]:
-        """Return the balancer's actions for an event, and record them."""
+        """Let the balancer handle an event, record the decision, and return its actions."""
         now = self._clock.now_ns()
         if self._recorder is None:
             return self._balancer.handle(event, now)
@@ -249,7 +249,7 @@
         return actions
 
     def _dispatch(self, actions: list[api.Action]) -> None:
-        """Carry out the balancer's actions in order."""
+        """Execute the balancer's actions in order."""
         for action in actions:
             if isinstance(action, api.StartAttempt | api.RejectRequest | api.FailRequest | api.CancelAttempt):
                 self._dispatch_to_request(action)
@@ -261,13 +261,13 @@
                 self._subscribe()
             elif isinstance(action, api.WriteLog):
                 log.info(action.text)
-            else:  # a health check: this deployment forbids them
+            else:  # a health check, which this deployment does not permit
                 log.error("balancer action unsupported", extra={"fields": {"action": action}})
 
     def _dispatch_to_request(
         self, action: api.StartAttempt | api.RejectRequest | api.FailRequest | api.CancelAttempt
     ) -> None:
-        """Hand an action to the request that it is about."""
+        """Pass an action to its request."""
         pending = self._pending.get(action.request)
         if isinstance(action, api.CancelAttempt):
             if pending is not None:
@@ -291,7 +291,7 @@
 
 
 def _import_balancer(settings: api.Settings, seed: int, state: object) -> Balancer | None:
-    """Return a balancer that goes on from another's state; None where it can't be used, which is logged."""
+    """Return a balancer restored from a state; if the state is unusable, log the reason and return None."""
     try:
         return import_state(settings, seed, state)
     except StateError as error:
--- a/brambleusher/decisions/clock.py
+++ b/brambleusher/decisions/clock.py
@@ -1,4 +1,4 @@
-"""The time by which decisions are made."""
+"""Clock for the balancer's decisions."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class Clock:
-    """Unix time, read from the wall once and carried on by the monotonic clock.
+    """Unix time that advances with the monotonic clock; the wall clock is read only once.
 
-    Guards against a wall clock that is set while the sidecar runs, and against comparing monotonic
-    time with the start times in the endpoint list, which are Unix time.
+    Decisions are therefore unaffected when the wall clock is set while the sidecar runs, and times can still
+    be compared with the start times in the endpoint list, which are Unix times.
     """
 
     def __init__(self, system: System) -> None:
@@ -23,5 +23,5 @@
         return self._offset_ns + self._monotonic_ns()
 
     def seconds(self, at_ns: int) -> float:
-        """Return the scheduler's time, in seconds, at a moment of Unix time."""
+        """Return the scheduler's time in seconds for a Unix time in nanoseconds."""
         return (at_ns - self._offset_ns) / NS_PER_S
--- a/brambleusher/decisions/observers.py
+++ b/brambleusher/decisions/observers.py
@@ -1,4 +1,4 @@
-"""Those that follow requests and decisions: features of the operators, and the recorder of captures."""
+"""Interfaces for observing requests and for recording decisions in captures."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 
 class DecisionObserver:
-    """Follows requests as they pass; its methods are quick and never park the task."""
+    """Observes requests; its methods must return quickly and must not block the task."""
 
     def request_accepted(self, request: ClientRequest) -> None:
-        """Note a request that was accepted."""
+        """Handle the acceptance of a request."""
 
     def attempt_finished(self, request: ClientRequest, endpoint: str, outcome: AttemptOutcome) -> None:
-        """Note the end of an attempt, before the request's final response or after."""
+        """Handle the end of an attempt, before or after the request's final response."""
 
     def request_finished(self, request: ClientRequest, kind: str | None, took_ns: int) -> None:
-        """Note a request's final response by its kind; None: its client has disconnected."""
+        """Handle a request's final response by its kind; None if the client has disconnected."""
 
 
 class DecisionObservers(DecisionObserver):
-    """Several observers, in order; a fault in one is logged and harms neither the others nor the request."""
+    """Calls several observers in order; an exception in one is logged and does not affect the others."""
 
     def __init__(self, observers: Iterable[DecisionObserver] = ()) -> None:
         self._observers = tuple(observers)
@@ -63,14 +63,14 @@
 
 @dataclass(slots=True)
 class Decision:
-    """One step of the balancer.
+    """One call of the balancer.
 
     Attributes:
-        event: The event; None: its start.
-        now_ns: The time of the event.
-        actions: What it decided.
-        error: What it raised instead.
-        request: The request that the event is about.
+        event: The event; None for the start of the balancer.
+        now_ns: The time of the event in nanoseconds.
+        actions: The actions that the balancer returned.
+        error: The exception that the balancer raised instead, if any.
+        request: The request that the event refers to, if known.
     """
 
     event: api.Event | None
@@ -81,10 +81,10 @@
 
 
 class DecisionRecorder:
-    """Follows all that passes between the driver and the balancer."""
+    """Records all calls of the balancer by the driver."""
 
     def start(self, state: Callable[[], JsonObject], is_imported: bool = False) -> None:
-        """Begin with a balancer, new or imported; `state` returns its state between two events."""
+        """Start recording a new or imported balancer; `state` returns its state between two events."""
 
     def record(self, decision: Decision) -> None:
-        """Record a decision, whose actions are not carried out yet."""
+        """Record a decision before its actions are executed."""
--- a/brambleusher/decisions/requests.py
+++ b/brambleusher/decisions/requests.py
@@ -1,7 +1,7 @@
-"""Requests and attempts as the balancer's driver and the protocols see them.
+"""Requests and attempts as exchanged between the balancer's driver and the protocols.
 
-A client's request is pending from its arrival until it has its final response and all its attempts have
-finished.  Its task takes one step after another from the queue of its `PendingRequest`.
+A client's request is pending from its arrival until it has a final response and all its attempts have ended.
+Its task processes one step after another from the queue of its `PendingRequest`.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
     """A request of a client.
 
     Attributes:
-        request_id: The client's id of it.
-        request_class: The name of its class.
-        tenant: Whose it is; None where tenants are not told apart.
-        time_left_ns: The time from its arrival within which it must have its final response.
-        work_hint_ns: The client's estimate of the work; None where it gives none.
-        is_retry: Whether the client says that it sends the request again.
-        payload: What its protocol forwards; the driver does not look at it.
+        request_id: Id of the request, chosen by the client.
+        request_class: Name of the request class.
+        tenant: Name of the tenant; None if tenants are not distinguished.
+        time_left_ns: Nanoseconds from its arrival within which it must get its final response.
+        work_hint_ns: The client's estimate of the work in nanoseconds, or None.
+        is_retry: Whether the client has marked the request as a retry.
+        payload: Data forwarded by the protocol; the driver does not read it.
     """
 
     request_id: str
@@ -38,11 +38,11 @@
 
 
 class DuplicateRequestError(ValueError):
-    """A request whose id is that of one in progress."""
+    """A request with the same id is already in progress."""
 
 
 def do_nothing() -> None:
-    """Do nothing: what discarding most payloads takes."""
+    """Do nothing, as most payloads need no cleanup."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,11 +50,11 @@
     """How an attempt ended.
 
     Attributes:
-        status: Its status.
-        latency_ns: The time that it took.
-        report: The endpoint's load report, where it sent one.
-        payload: The response, where the endpoint served the request.
-        discard: Releases what the payload holds; called where nobody takes it.
+        status: Status of the attempt.
+        latency_ns: Duration of the attempt in nanoseconds.
+        report: The endpoint's load report, if it sent one.
+        payload: The response, if the endpoint served the request.
+        discard: Releases the resources of the payload; called if the payload is not used.
     """
 
     status: api.AttemptStatus
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptRequested:
-    """The balancer asks for an attempt; a request's attempts are numbered in the order of asking, from 0."""
+    """The balancer requests an attempt; the attempts of a request are numbered from 0 in this order."""
 
     attempt: int
     endpoint: str
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """An attempt's response has begun to reach the client, or its endpoint is reserved: no more retries."""
+    """An attempt's response has started, or its endpoint is reserved, so retries are no longer possible."""
 
     attempt: int
     endpoint: str
@@ -96,22 +96,22 @@
 
 
 def _cancel_nothing(_attempt: int) -> None:
-    """Cancel no attempt: none has been started."""
+    """Do nothing, as long as no attempt has been started."""
 
 
 class PendingRequest:
-    """A request without its final response or with attempts in flight, and the steps that wait for its task.
+    """A request without a final response or with attempts in flight, with the steps for its task.
 
     Attributes:
         request: The request.
-        request_id: Its id.
-        steps: The steps that its task has not taken yet.
+        request_id: Id of the request.
+        steps: Steps that the request's task has not processed yet.
         event: Set when a step is added.
-        is_open: Whether it has no final response yet.
-        attempts_requested: How many attempts the balancer has asked for.
-        attempts_finished: How many of them have ended.
-        cancel_attempt: Cancels an attempt by its number, also after the final response; set by whoever makes
-            the attempts.
+        is_open: Whether the request has no final response yet.
+        attempts_requested: Number of attempts that the balancer has requested.
+        attempts_finished: Number of these attempts that have ended.
+        cancel_attempt: Cancels an attempt by its number, also after the final response; set by the code that
+            makes the attempts.
     """
 
     __slots__ = (
@@ -135,10 +135,10 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether it has its final response and none of its attempts is in flight."""
+        """Whether the request has its final response and no attempt in flight."""
         return not self.is_open and self.attempts_finished >= self.attempts_requested
 
     def add_step(self, step: RequestStep) -> None:
-        """Add a step, and wake the task."""
+        """Add a step and wake the request's task."""
         self.steps.append(step)
         self.event.set()
--- a/brambleusher/loadbalancing/__init__.py
+++ b/brambleusher/loadbalancing/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions of a client-side load balancer: pure, without a clock or I/O."""
+"""Client-side load balancer without a clock or I/O: the caller passes in events and the time."""
 
 from brambleusher.loadbalancing import api
 from brambleusher.loadbalancing.balancer import Balancer
--- a/brambleusher/loadbalancing/admission_control.py
+++ b/brambleusher/loadbalancing/admission_control.py
@@ -1,9 +1,10 @@
-"""Admission control: how many own attempts may be in flight, and which requests are worth a slot.
+"""Admission control: limits the proxy's own attempts in flight and chooses which requests to admit.
 
-Little's law: the wait is what is in flight over the rate served.  A limit on what is in flight acts on the
-next request, where a fraction to reject acts a queue's length late: that is for small proxies.  Above a part
-of the limit slots go by value for each unit of work.  `docs/design/limits.md` says why the limit can't be
-stuck.
+By Little's law the waiting time is the number of requests in flight divided by the rate at which they are
+served. A limit on the number in flight takes effect on the next request, whereas a rejected fraction takes
+effect only after the existing queue has drained; that is why a limit is used, also by small proxies. Above a
+fraction of the limit, slots go to the requests with the highest value per unit of work.
+`docs/design/limits.md` explains why the limit can't get stuck.
 """
 
 from __future__ import annotations
@@ -31,37 +32,47 @@
     Decay,
 )
 
-MIN_OUTCOMES = 16.0  # admission rests on so many answers, as far as they come within the slow window
-ADMIT_ALL_FRACTION = 0.7  # of the limit; above, slots go by value, the last to the best
-OVER_QUOTA_FRACTION = 0.3  # of the slots above, for what is beyond a tenant's quota
-OVER_QUOTA_PENALTY = 1e9  # off the value of what is beyond a quota: it comes last, and to spare slots alone
-# Of the target, at most: a crowd's first answers come before its reports, and pass for usual ones.
+# Recent attempt outcomes that admission aims to rely on, as far as the slow window holds them.
+MIN_OUTCOMES = 16.0
+# Fraction of the limit; slots above it are granted by value, the last ones to the best requests.
+ADMIT_ALL_FRACTION = 0.7
+# Fraction of the slots above `ADMIT_ALL_FRACTION` that requests beyond a quota may use.
+OVER_QUOTA_FRACTION = 0.3
+# Subtracted from the value of a request beyond its tenant's quota: it ranks last and gets spare slots only.
+OVER_QUOTA_PENALTY = 1e9
+# Upper bound of the usual latency, as a fraction of the latency target: under overload the first answers
+# arrive before the load reports and would otherwise be taken for usual ones.
 USUAL_LATENCY_FRACTION = 0.35
-EXHAUSTED_FRACTION = 0.01  # of requests may find every attempt used up on hosts that reject
-BUSY_UTILISATION = 0.5  # a report of less use says little of the rate at full use
-MIN_INDEX = 0.1  # answers that are much earlier than the goal say no more
-MAX_INCREASE, MAX_DECREASE = 1.0, -0.5  # of the limit in one latency target
-MAX_HEADROOM = 2.0  # times what is due, while hosts are busy and answers early
-IDLE_HEADROOM = 2.0  # times what is due or in flight, while hosts are not busy
-CROWDED_FLOOR_DIVISOR = 3  # of what is due, where hosts are healthy: they work on what was given up
-MIN_FLEET_FRACTION = 0.1  # of an even share
-VALUE_JITTER = 0.01  # of a value: breaks ties between equal requests
+EXHAUSTED_FRACTION = 0.01  # fraction of requests that may have all their attempts rejected by hosts
+BUSY_UTILISATION = 0.5  # a report of lower utilisation says little about the rate at full utilisation
+# Performance indexes below this are treated alike: much earlier answers carry no more information.
+MIN_INDEX = 0.1
+MAX_INCREASE, MAX_DECREASE = 1.0, -0.5  # largest relative change of the limit within one latency target
+MAX_HEADROOM = 2.0  # largest multiple of the due attempts in flight while hosts are busy and answers early
+IDLE_HEADROOM = 2.0  # multiple of the due, or of the current, attempts in flight while hosts are not busy
+# Divides the due attempts in flight where hosts are healthy but overloaded: they still work on abandoned
+# requests.
+CROWDED_FLOOR_DIVISOR = 3
+# Lower bound of this proxy's share of the fleet's traffic, as a fraction of an even share.
+MIN_FLEET_FRACTION = 0.1
+VALUE_JITTER = 0.01  # random relative change of a value that breaks ties between equal requests
 REMEMBERED_DENSITIES = 128
-MIN_OFFERED = 1e-9  # stands for nothing, and can be divided by
-MIN_ANSWERS = 1e-9  # likewise
-CHANCE_DEVIATIONS = 2  # of what is in flight, that the mean may be left behind by
+MIN_OFFERED = 1e-9  # stands for zero offered load and can be a divisor
+MIN_ANSWERS = 1e-9  # stands for zero answers and can be a divisor
+# Standard deviations by which the mean number in flight may lag behind the current number.
+CHANCE_DEVIATIONS = 2
 
 
 class _LatencyBudget(NamedTuple):
-    """The latency to be held, of the classes as they are answered lately."""
+    """The latency to keep to, averaged over the request classes by their recent answers."""
 
     budget_ns: float
     target_ns: float
-    is_known: bool  # answers came lately
+    is_known: bool  # whether there were recent answers
 
 
 class AdmissionControl:
-    """The limit on attempts in flight, and the value that a request needs to be admitted."""
+    """Keeps the limit on attempts in flight and decides which requests are valuable enough to be admitted."""
 
     def __init__(
         self,
@@ -78,20 +89,23 @@
         self._traffic = traffic
         self._capacity = capacity
         self._host_table = host_table
-        # Of what is in flight at the moment, beside the mean: of many proxies each goes by the mean.
+        # Weight of the current number in flight against its mean: where there are many proxies, each relies
+        # on the mean.
         self._moment_weight = 1 / math.sqrt(settings.fleet_size)
         self.quotas = TenantQuotas(settings)
-        self.limit = math.inf  # attempts in flight
-        self.offered = MIN_OFFERED  # attempts in flight that would serve all that comes
-        self.is_late = False  # answers are later than the goal
-        self.is_overloaded = False  # and hosts are busy, or reject
-        # What ended lately, and rejections by hosts among it; rejections over a long time.
+        self.limit = math.inf  # maximum number of attempts in flight
+        self.offered = MIN_OFFERED  # attempts in flight that would be needed to serve all arriving requests
+        self.is_late = False  # whether answers are later than the goal
+        # Whether answers are late and, in addition, hosts are busy or reject attempts.
+        self.is_overloaded = False
+        # Decaying counts: attempts that ended, rejections by hosts among them, and rejections over a long
+        # time.
         self.outcomes = 0.0
         self.rejections = 0.0
         self.rejections_long = 0.0
-        self.best_rate = 0.0  # requests a second that a host reached
-        self.fleet_fraction = 1.0 / settings.fleet_size  # of what the fleet serves, that this proxy does
-        # Values by work of requests lately: as they came, and sorted.
+        self.best_rate = 0.0  # highest rate that a host reached, in requests per second
+        self.fleet_fraction = 1.0 / settings.fleet_size  # this proxy's fraction of the fleet's throughput
+        # Values per unit of work of recent requests, in order of arrival and sorted.
         self.densities: deque[float] = deque(maxlen=REMEMBERED_DENSITIES)
         self.sorted_densities: list[float] = []
         self.logged_ns = 0
@@ -105,30 +119,34 @@
         self.rejections_long += 1
 
     def decay(self, decay: Decay) -> None:
-        """Forget a part; few samples are kept for longer: two rejections in a row are no overload."""
+        """Decay the counts, more slowly if samples are few: two rejections are no sign of overload."""
         window = MIN_OUTCOMES * HEALTH_WINDOW / max(self._traffic.requests, 1.0)
         window = min(max(LATENCY_WINDOW, window), CAPACITY_WINDOW)
         retained = math.exp(-decay.gap / window)
         self.outcomes *= retained
         self.rejections *= retained
-        # Whether hosts reject is a property of the deployment.
+        # Whether hosts reject attempts at all is a property of the deployment, so the long count decays
+        # slowly.
         self.rejections_long *= math.exp(-decay.gap / BEST_RATE_WINDOW)
 
     def update_fleet_fraction(self, throughput: float) -> None:
-        """Relate what this proxy serves to the fleet's throughput."""
+        """Update this proxy's fraction of the fleet's throughput."""
         if throughput > 0 and self._traffic.served > 0 and not self._capacity.uses_sizes:
             own = self._traffic.served / self._traffic.observed_s
             least = MIN_FLEET_FRACTION / self._settings.fleet_size
             self.fleet_fraction = min(1.0, max(own / throughput, least))
 
     def effective_fleet_fraction(self) -> float:
-        """Return the fraction to go by: by its own only, a proxy that was cut down would stay so."""
+        """Return this proxy's fraction of the fleet, at least an even share.
+
+        Without that bound a proxy whose traffic was limited once would keep a low limit for ever.
+        """
         return max(self.fleet_fraction, 1 / self._settings.fleet_size)
 
     # --- the limit -------------------------------------------------------------------------------
 
     def update_limit(self, gap: float, now: int) -> api.WriteLog | None:
-        """Set the limit after `gap` latency targets; return a log line where overload begins."""
+        """Set the limit after `gap` latency targets have passed; return a log line if overload has begun."""
         hosts = self._host_table.in_use
         weighted_index = sum(host.weight * host.performance_index for host in hosts) / WEIGHT_TOTAL
         self.is_late = weighted_index > PI_GOAL
@@ -152,16 +170,17 @@
         return api.WriteLog(f"overload: fleet index {index:.2f}, at most {self.limit:.0f} out")
 
     def _rejection_index(self) -> float:
-        """Return what rejections by hosts count for in the index.
+        """Return the contribution of rejections by hosts to the performance index.
 
-        Hosts that reject guard themselves: rejections hold the limit down to the goal's, no more.
+        Hosts that reject attempts protect themselves, so rejections count at most as much as answers that
+        just meet the goal.
         """
         tolerated: float = EXHAUSTED_FRACTION ** (1 / self._settings.max_attempts)
         rejected = self.rejections / (self.outcomes + 1) / tolerated
         return min(rejected, PI_GOAL)
 
     def _latency_budget(self) -> _LatencyBudget:
-        """Return the time in which what is in flight is to be served."""
+        """Return the time within which the attempts in flight should be served."""
         traffic = self._traffic
         counts = traffic.answer_counts
         total = sum(counts) + MIN_ANSWERS
@@ -179,11 +198,12 @@
         return _LatencyBudget(budget_ns, target_ns, is_known=True)
 
     def _due_in_flight(self, hosts: Sequence[Host], gap: float, budget: _LatencyBudget) -> float:
-        """Return what this proxy's part of the fleet serves in the latency budget: the limit stays near it.
+        """Return the attempts in flight that this proxy's fraction of the fleet serves in the latency budget.
 
-        Hosts that are crowded serve less than they did, and go on so until the crowd has left: the part
-        falls with the rate they reach now and once more with what that is of their best (followed upwards
-        slowly: of a few noisy figures the highest is no measure).
+        The limit stays near this number. Overloaded hosts serve less than before until their queues have
+        drained. Therefore the result scales with the rate that hosts reach now and, in addition, with the
+        ratio of this rate to their best rate. The best rate rises slowly, since the maximum of a few noisy
+        measurements is no reliable estimate.
         """
         rates = [
             host.throughput / max(host.utilisation, BUSY_UTILISATION)
@@ -201,27 +221,28 @@
     def _steer(
         self, hosts: Sequence[Host], gap: float, due: float, goal_over_index: float, is_crowded: bool
     ) -> None:
-        """Move the limit towards the goal, between bounds around what is due."""
+        """Move the limit towards the goal, within bounds around the due number of attempts in flight."""
         in_flight = self._traffic.in_flight
         change = min(max(goal_over_index - 1, MAX_DECREASE), MAX_INCREASE)
         lower = due
         if is_crowded:
-            # Where little is served at all, hosts still work on what was given up: wait for them.
+            # Where hosts serve few attempts successfully they still work on abandoned ones, so the lower
+            # bound is reduced until those are done.
             health = sum(host.health for host in hosts) / max(len(hosts), 1)
             lower = due * (health / CROWDED_FLOOR_DIVISOR)
-        # But an attempt a host, of all proxies together, crowds nobody: a limit below that is held down by
-        # the little it lets through, and by the few of it that are never answered, while hosts are idle.
+        # One attempt per host, counted over all proxies, overloads no host. A limit below that would be kept
+        # low by the few attempts it admits, some of which are never answered, although hosts are idle.
         lower = max(lower, self.effective_fleet_fraction() * self._host_table.ready_count)
         if is_crowded:
-            # Busy hosts whose answers are far from late are no crowd yet: the limit has as much headroom as
-            # the goal.
+            # Hosts that are busy but answer early are not overloaded yet: the limit may exceed the due number
+            # by the ratio of the goal to the index.
             upper = due * min(max(goal_over_index, 1.0), MAX_HEADROOM)
         else:
             upper = max(due * IDLE_HEADROOM, IDLE_HEADROOM * in_flight, len(hosts))
         self.limit = max(min(self.limit * (1 + change * min(gap, 1.0)), upper), lower)
         if not in_flight and self.outcomes < 1:
-            # Guards against the first burst of a proxy that has been idle meeting the limit of an idle one: a
-            # few attempts, as many as the hosts in use.  No answer speaks for a limit yet.
+            # Without this exception the first burst at a proxy that has been idle would meet the limit of an
+            # idle proxy, which is about one attempt per host in use. No recent answer supports a limit yet.
             self.limit = math.inf
 
     def _update_offered(self, budget: _LatencyBudget) -> None:
@@ -233,11 +254,12 @@
     # --- requests --------------------------------------------------------------------------------
 
     def value_density(self, event: api.RequestArrived, class_index: int, waited_ns: float, now: int) -> float:
-        """Return the value of a request by its work; beyond a tenant's quota little is left."""
+        """Return the value of a request per unit of work, with a penalty if its tenant's quota is used up."""
         settings = self._settings
         request_class = settings.classes[class_index]
         value = request_class.value
-        if waited_ns >= request_class.latency_target_ns:  # its client has waited before
+        # The client has waited longer than the target in earlier requests.
+        if waited_ns >= request_class.latency_target_ns:
             value *= request_class.late_value
         is_over_quota = bool(settings.tenants) and self.quotas.is_over_quota(
             event.tenant, self.effective_fleet_fraction(), now
@@ -248,7 +270,10 @@
         return value - OVER_QUOTA_PENALTY if is_over_quota else value
 
     def admits(self, density: float) -> bool:
-        """Return whether to admit: the fuller, the higher a request must rank among late arrivals."""
+        """Return whether to admit a request.
+
+        The more slots are occupied, the higher the request's value must rank among those of recent requests.
+        """
         if math.isinf(self.limit):
             return True
         occupied = self._occupied_above()
@@ -259,11 +284,12 @@
         return density >= self.sorted_densities[int(occupied * len(self.sorted_densities))]
 
     def _occupied_above(self) -> float:
-        """Return what part of the slots is taken that go by value.
+        """Return the occupied fraction of the slots that are granted by value.
 
-        Of many proxies each has more in flight at one moment and less at the next, and over the fleet that
-        evens out: they go by the mean of what is in flight, as their arrivals see it, unless that is left far
-        behind.  A deviation by chance is added: a limit of one would reject half of all.
+        The number in flight at each of many proxies fluctuates, and over the fleet the fluctuations even out.
+        Proxies of a large fleet therefore use the mean number in flight as seen by arrivals, unless the
+        current number is far above the mean. One standard deviation is added to the slots: otherwise a limit
+        of one would reject half of all requests.
         """
         limit = self.limit
         traffic = self._traffic
@@ -273,8 +299,9 @@
         seen = max(seen, traffic.in_flight - CHANCE_DEVIATIONS * (1 - moment_weight) * chance)
         admit_all = limit * ADMIT_ALL_FRACTION
         occupied = (seen - admit_all) / (limit * (1 - ADMIT_ALL_FRACTION) + chance * moment_weight)
-        # Where less than a slot is due the count is no guide: the part of what comes that has none is, unless
-        # hosts reject.  With nothing in flight nothing would be learnt.
+        # A limit below one slot can't be compared with a count of attempts. The rejected fraction is then the
+        # fraction of the offered load that exceeds the limit, unless hosts reject attempts themselves. With
+        # nothing in flight a request is admitted, since nothing would be learned otherwise.
         has_guide = self.is_late or self.rejections_long < 1
         if has_guide and (traffic.in_flight or limit < 1):
             occupied = max(occupied, 1 - limit / self.offered)
--- a/brambleusher/loadbalancing/api.py
+++ b/brambleusher/loadbalancing/api.py
@@ -1,7 +1,7 @@
 """Interface of the balancer: settings, events and actions.
 
-Everything here is plain data.  Times are whole nanoseconds on the caller's clock; the balancer never reads a
-clock of its own.  Values of enums are stored in captures and counted under; they never change.
+All types here are plain data. Times are integer nanoseconds on the caller's clock; the balancer never reads a
+clock itself. Enum values are stored in captures and used as counter names, so they never change.
 """
 
 from __future__ import annotations
@@ -9,20 +9,20 @@
 from dataclasses import dataclass
 from enum import Enum
 
-# A connect may take this fraction of its attempt's time, and `connect_timeout_ns` at the most.
+# Fraction of an attempt's timeout that connecting may take, bounded by `connect_timeout_ns`.
 CONNECT_TIMEOUT_FRACTION = 0.2
 
 
 class Idempotency(Enum):
     """Whether a request may be executed twice."""
 
-    SAFE = "safe"  # it may
-    KEYED = "keyed"  # it has an idempotency key, by which hosts discard a repeat
-    UNSAFE = "unsafe"  # it may not
+    SAFE = "safe"  # may be executed twice
+    KEYED = "keyed"  # has an idempotency key by which hosts discard repeated requests
+    UNSAFE = "unsafe"  # must not be executed twice
 
 
 class DeduplicationScope(Enum):
-    """Which hosts discard a repeat of a keyed request: all, those of one zone, or of one cell."""
+    """Which hosts discard a repeated keyed request: all hosts, those of one zone, or those of one cell."""
 
     ALL = "all"
     ZONE = "zone"
@@ -40,10 +40,10 @@
 class ListKind(Enum):
     """How an endpoint list relates to the current one."""
 
-    SAVED = "saved"  # from the configuration, may be old
+    SAVED = "saved"  # list from the configuration, possibly outdated
     FULL = "full"
     DELTA = "delta"  # changed hosts only
-    FAILED = "failed"  # discovery could not be reached: no list
+    FAILED = "failed"  # no list, because discovery could not be reached
 
 
 class AttemptStatus(Enum):
@@ -51,7 +51,7 @@
 
     OK = "ok"
     ERROR = "error"
-    OVERLOADED = "full"  # the host rejected it without executing it
+    OVERLOADED = "full"  # the host rejected the attempt without executing it
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
@@ -66,8 +66,8 @@
     name: str
     latency_target_ns: int
     deadline_ns: int
-    value: float  # of a response within the target
-    late_value: float = 0.0  # of one after it, as a fraction of `value`
+    value: float  # value of a response within the latency target
+    late_value: float = 0.0  # value of a response after the latency target, as a fraction of `value`
     idempotency: Idempotency = Idempotency.SAFE
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
     deduplication_window_ns: int = 0
@@ -83,69 +83,73 @@
     quota_per_s: float
 
 
-Tier = tuple[tuple[str, float], ...]  # zones that are equally near, with weights
+Tier = tuple[tuple[str, float], ...]  # names of zones that are equally near, with their weights
 
 
 @dataclass(frozen=True)
 class ZoneRules:
-    """The operator's rules on zones.
+    """Zone rules set by the operator.
 
-    `neighbours` has, for a zone, the tiers after it, nearest first; without any they are learned.
-    `spill_rate` is the fraction of a zone's spare capacity that all proxies together may be granted anew in a
-    second, `max_utilisation` the use of a zone up to which there is spare capacity.
+    `neighbours` maps a zone to the tiers after it, nearest first; if it is empty, tiers are learned from
+    latencies. `spill_rate` is the fraction of a zone's spare capacity by which the grants of all proxies
+    together may grow per second. `max_utilisation` is the utilisation up to which a zone has spare capacity.
     """
 
     neighbours: tuple[tuple[str, tuple[Tier, ...]], ...] = ()
     spill_rate: float = 1.0
     max_utilisation: float = 0.95
-    panic_threshold: float = 0.5  # of all nodes: with fewer healthy ones the evidence is doubted; 0: never
+    # Fraction of all nodes; if fewer are healthy, all zones are used despite their states; 0 disables this.
+    panic_threshold: float = 0.5
     flap_penalty_half_life_ns: int = 20_000_000_000
-    # The longest that a zone which responds is kept out for flapping; 0: flaps cost nothing.
+    # Longest time that a responding zone is kept out because of flapping; 0 disables flap damping.
     max_flap_suppression_ns: int = 60_000_000_000
-    flap_exempt: tuple[str, ...] = ()  # zones that are not kept out for flapping
-    evacuated: tuple[str, ...] = ()  # zones to be sent less and less, and then nothing
+    flap_exempt: tuple[str, ...] = ()  # zones that are never kept out because of flapping
+    evacuated: tuple[str, ...] = ()  # zones whose traffic is reduced gradually to nothing
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Settings of a balancer, given at its start; prices are in values of a request."""
+    """Settings of a balancer; prices use the same unit as the values of requests."""
 
-    zone: str  # of this proxy
+    zone: str  # zone of this proxy
     classes: tuple[RequestClass, ...]
-    fleet_size: int  # proxies
+    fleet_size: int  # number of proxies
     tenants: tuple[Tenant, ...] = ()
-    subscribes_to_endpoints: bool = False  # else the caller keeps the list up
-    endpoint_poll_deadline_ns: int = 10_000_000_000  # discovery must be asked within
-    tick_ns: int = 1_000_000  # the shortest time between two timers
-    max_attempts: int = 1  # a request
+    subscribes_to_endpoints: bool = False  # if false, the caller keeps the endpoint list up to date
+    endpoint_poll_deadline_ns: int = 10_000_000_000  # longest time within which discovery must be asked
+    tick_ns: int = 1_000_000  # minimum time between two timers
+    max_attempts: int = 1  # maximum number of attempts of one request
     hedging_enabled: bool = False
     can_cancel_attempts: bool = False
-    can_check_health: bool = False  # part of the stored form; nothing goes by it
-    max_retry_after_ns: int = 0  # 0: a rejection has no such hint
+    can_check_health: bool = False  # part of the stored form; not used
+    max_retry_after_ns: int = 0  # upper bound of the retry-after hint in rejections; 0 omits the hint
     connect_timeout_ns: int = 250_000_000
-    cross_zone_price: float = 0.0  # of an attempt in another zone
-    connection_price: float = 0.0  # of opening one
-    late_price: float = 0.0  # this and the next two: part of the stored form, nothing goes by them
+    cross_zone_price: float = 0.0  # price of an attempt in another zone
+    connection_price: float = 0.0  # price of opening a connection
+    late_price: float = 0.0  # part of the stored form, like the next two fields; not used
     waste_price: float = 0.0
     over_quota_value: float = 1.0
-    is_value_by_work: bool = False  # a value is for a second of work, not for a request
-    worst_class_weight: float = 0.0  # part of the stored form; nothing goes by it
-    drain_grace_ns: int = 0  # attempts may go to a draining host for so long
-    drain_release_ns: int = 0  # idle connections to a draining host are closed within; 0: they need not be
-    connection_idle_timeout_ns: int = 0  # hosts close what is idle for so long; 0: never
-    warm_up_ns: int = 0  # after its start a host is warming up for so long
-    initial_capacity: float = 1.0  # of a host that has just started, as a fraction
-    overload_multiple: float = 1.0  # of its capacity within the window: a warming host fails under more
+    is_value_by_work: bool = False  # whether values are per second of work instead of per request
+    worst_class_weight: float = 0.0  # part of the stored form; not used
+    drain_grace_ns: int = 0  # time for which a draining host may still get attempts
+    # Time within which idle connections to a draining host are closed; 0 keeps them.
+    drain_release_ns: int = 0
+    connection_idle_timeout_ns: int = 0  # idle time after which hosts close a connection; 0 means never
+    warm_up_ns: int = 0  # time for which a host is warming up after its start
+    # Capacity of a host that has just started, as a fraction of its full capacity.
+    initial_capacity: float = 1.0
+    # Multiple of its capacity, within the overload window, above which a warming host fails.
+    overload_multiple: float = 1.0
     overload_window_ns: int = 1_000_000_000
-    report_fields: tuple[str, ...] = ()  # of load reports, in their order
-    # What `HostEntry.weight` is: `nominal` or `rough` sizes, `live` spare, or (`silent`) nothing.
+    report_fields: tuple[str, ...] = ()  # names of the fields of load reports, in their order
+    # Meaning of `HostEntry.weight`: `nominal` or `rough` sizes, `live` spare capacity, or (`silent`) none.
     weight_source: str = "silent"
     zone_rules: ZoneRules | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """A host's own metrics; None where it does not report them.  The throughput is in requests a second."""
+    """A host's own metrics, None for metrics it does not report; throughput is in requests per second."""
 
     utilisation: float | None = None
     throughput: float | None = None
@@ -153,7 +157,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HostEntry:
-    """A host as discovery lists it; `started_ns` of 0 means long ago."""
+    """A host as discovery lists it; a `started_ns` of 0 means that it started long ago."""
 
     host: str
     zone: str
@@ -169,7 +173,7 @@
 
 @dataclass(slots=True)
 class HostListUpdated:
-    """Discovery has sent a list, or changes of it."""
+    """Discovery has sent an endpoint list or changes to it, or could not be reached."""
 
     kind: ListKind
     entries: list[HostEntry]
@@ -177,7 +181,7 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A client's request; it must get one final answer within `left_ns`."""
+    """A client's request has arrived; it must get exactly one final answer within `left_ns`."""
 
     request: str
     request_class: str
@@ -189,7 +193,7 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """One attempt has ended; `request_ended` says that the request itself has ended."""
+    """An attempt has ended; `request_ended` tells whether its request has ended as well."""
 
     request: str
     attempt: int
@@ -202,7 +206,7 @@
 
 @dataclass(slots=True)
 class StreamStarted:
-    """A streamed response has begun on this attempt."""
+    """The streamed response to an attempt has begun."""
 
     request: str
     attempt: int
@@ -236,17 +240,18 @@
 
 @dataclass(slots=True)
 class ZoneRulesChanged:
-    """The operator has changed the rules on zones; None: there are none any more."""
+    """The operator has changed the zone rules; None if they were removed."""
 
     rules: ZoneRules | None
 
 
 @dataclass(slots=True)
 class RequestBodyProgressed:
-    """A request's body is being sent on an attempt as it comes, or has been sent (`is_complete`).
+    """The body of a request is being streamed on an attempt, or has been sent completely (`is_complete`).
 
-    Between the two the attempt is neither late nor in flight for admission; from the first on it can't be
-    repeated.  `left_ns` is the time that the request then has left.
+    Until the body is complete, the attempt counts neither as late nor as in flight for admission control.
+    From the start of streaming on, the request can't be retried. `left_ns` is the time that the request then
+    has left.
     """
 
     request: str
@@ -257,7 +262,7 @@
 
 @dataclass(slots=True)
 class ProcessShareChanged:
-    """This process has so much of its proxy's traffic; other processes of the same proxy have the rest."""
+    """This process's fraction of its proxy's traffic has changed; other processes handle the rest."""
 
     share: float
 
@@ -281,7 +286,7 @@
 
 @dataclass(slots=True)
 class StartAttempt:
-    """Start an attempt; `timeout_ns` of 0 leaves it the client's remaining time."""
+    """Start an attempt; with a `timeout_ns` of 0 it may use all of the client's remaining time."""
 
     request: str
     host: str
@@ -290,7 +295,7 @@
 
 @dataclass(slots=True)
 class RejectRequest:
-    """Final answer: not executed, so that a retry does no harm."""
+    """Answer the client that the request was not executed, so that a retry is harmless."""
 
     request: str
     retry_after_ns: int = 0
@@ -298,7 +303,7 @@
 
 @dataclass(slots=True)
 class FailRequest:
-    """Final answer: failed, it may have been executed."""
+    """Answer the client that the request failed and may have been executed."""
 
     request: str
 
@@ -327,7 +332,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a `TimerFired` at `at_ns`."""
+    """Request a `TimerFired` event at `at_ns`."""
 
     at_ns: int
     token: int
@@ -335,12 +340,12 @@
 
 @dataclass(slots=True)
 class SubscribeToEndpoints:
-    """Ask discovery for the list, and for changes from now on."""
+    """Subscribe at discovery to the endpoint list and its changes."""
 
 
 @dataclass(slots=True)
 class WriteLog:
-    """Write a rare line for the people on call."""
+    """Write an infrequent log line for the operators."""
 
     text: str
 
--- a/brambleusher/loadbalancing/attempt_timeout.py
+++ b/brambleusher/loadbalancing/attempt_timeout.py
@@ -1,4 +1,4 @@
-"""When an attempt is given up before its client's time is over, so that another can be made."""
+"""Attempt timeouts: when to give up an attempt before the client's deadline, so that another can be made."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from brambleusher.loadbalancing.performance_index import GOAL_PER_TARGET
 from brambleusher.loadbalancing.traffic import TrafficStatistics
 
-UNRESPONSIVE_TIMES = 6.0  # the usual answer's time: an attempt is given up where some are not answered
-IDLE_TIMES = 3  # the usual answer's time, on a connection that may have been dropped while idle
-NO_TIMEOUT = 0  # the attempt has its client's time
+UNRESPONSIVE_TIMES = 6.0  # attempt timeout, in mean latencies, while some attempts remain unanswered
+IDLE_TIMES = 3  # attempt timeout, in mean latencies, on a connection that may have been dropped while idle
+NO_TIMEOUT = 0  # the attempt may use all of the client's remaining time
 
 
 class AttemptTimeouts:
-    """Time-outs of attempts, from what became of attempts lately."""
+    """Chooses the timeouts of attempts from the outcomes of recent attempts."""
 
     def __init__(
         self,
@@ -36,10 +36,10 @@
         self._idle_timeout = idle_timeout
 
     def timeout_ns(self, request: Request, idle_ns: int, now: int) -> int:
-        """Return the time-out of the next attempt of a request, on a connection that was idle so long.
+        """Return the timeout of a request's next attempt on a connection that was idle for `idle_ns`.
 
-        Guards against connections dropped unseen, and against those that became unresponsive under a request
-        while there is capacity elsewhere.  Harm: answers that would have come.
+        A timeout helps if the connection was dropped unnoticed, or if the host stops responding while others
+        have capacity. The cost is that some late but valid answers are lost.
         """
         if len(request.attempts) + 1 >= self._settings.max_attempts:
             return NO_TIMEOUT
--- a/brambleusher/loadbalancing/attempt_tracker.py
+++ b/brambleusher/loadbalancing/attempt_tracker.py
@@ -1,7 +1,8 @@
-"""Requests that are owed an answer, and their attempts: in flight, written off, ended.
+"""Tracks unanswered requests and their attempts, which are in flight, written off or ended.
 
-An attempt in flight stands in its host's `in_flight` and is counted in the proxy's traffic.  One that is
-written off stands in `written_off` and counts no more: an answer may still come, and nobody waits for it.
+An attempt in flight is in its host's `in_flight` and counts in the proxy's traffic statistics. An attempt
+that is written off is in `written_off` and no longer counts: an answer may still arrive, but nothing waits
+for it.
 """
 
 from __future__ import annotations
@@ -12,12 +13,12 @@
 from brambleusher.loadbalancing.retry_policy import NEVER_RAN
 from brambleusher.loadbalancing.traffic import TrafficStatistics
 
-# The connection of an attempt that ended so is open.
+# Statuses after which the attempt's connection is still open.
 _KEEPS_CONNECTION = (AttemptStatus.OK, AttemptStatus.ERROR, AttemptStatus.OVERLOADED)
 
 
 class AttemptTracker:
-    """Owner of the requests and of the state of their attempts."""
+    """Owns the requests and the state of their attempts."""
 
     def __init__(self, class_count: int, traffic: TrafficStatistics) -> None:
         self._class_count = class_count
@@ -25,14 +26,14 @@
         self.requests: dict[str, Request] = {}
 
     def find(self, request_id: str, attempt_number: int) -> tuple[Request, Attempt] | None:
-        """Return a request and its attempt; None where it is known no more."""
+        """Return a request and one of its attempts, or None if it has been forgotten."""
         request = self.requests.get(request_id)
         if request is None or attempt_number >= len(request.attempts):
             return None
         return request, request.attempts[attempt_number]
 
     def start(self, request: Request, host: Host, now: int, idle_ns: int) -> None:
-        """Put one more attempt in flight."""
+        """Record that an attempt of a request was sent to a host."""
         host.begin_use(self._class_count)
         host.in_flight[(request.id, len(request.attempts))] = (request, now)
         request.attempts.append(Attempt(host, now, idle_ns))
@@ -43,10 +44,10 @@
         host.last_used_ns = now
 
     def end(self, request: Request, host: Host, event: api.AttemptEnded, now: int) -> bool | None:
-        """Take in an attempt's end.
+        """Record the end of an attempt.
 
         Returns:
-            Whether it was in flight, else it was written off; None where it had ended before.
+            True if the attempt was in flight, False if it was written off, None if it had ended before.
         """
         key = (event.request, event.attempt)
         was_in_flight = host.in_flight.pop(key, None) is not None
@@ -65,7 +66,7 @@
         return was_in_flight
 
     def write_off(self, host: Host, key: AttemptKey) -> Request:
-        """Count an attempt in flight no more; return its request."""
+        """Stop counting an attempt as in flight; return its request."""
         request, sent_ns = host.in_flight.pop(key)
         host.written_off[key] = (request, sent_ns)
         self._traffic.in_flight -= 1
@@ -73,7 +74,7 @@
         return request
 
     def apply_body_progress(self, event: api.RequestBodyProgressed, now: int) -> None:
-        """Write an attempt off while its body is on its way; once that is complete, its time begins."""
+        """Write off an attempt while its request body is streamed; restart its time when that is complete."""
         found = self.find(event.request, event.attempt)
         if found is None:
             return
@@ -101,24 +102,27 @@
         ]
 
     def close(self, request_id: str) -> None:
-        """Owe a request nothing any more: its client has left, or has its stream."""
+        """Mark a request as answered because its client has disconnected or receives a stream."""
         request = self.requests.get(request_id)
         if request is not None:
             request.is_answered = True
             self.forget_if_done(request)
 
     def forget_if_done(self, request: Request) -> None:
-        """Forget a request that is answered and has no attempt left."""
+        """Forget a request that is answered and has no unfinished attempt."""
         if request.is_answered and not request.unfinished:
             del self.requests[request.id]
 
 
 def record_run(request: Request, attempt: Attempt, status: AttemptStatus) -> None:
-    """Take in whether an attempt that has ended may have run: that binds a keyed request to its hosts."""
+    """Record whether an ended attempt may have been executed.
+
+    If so, a keyed request may only be retried at hosts of the same deduplication scope.
+    """
     if status is not AttemptStatus.OK and status not in NEVER_RAN:
         if not request.may_have_run or attempt.sent_ns < request.first_run_ns:
             request.first_run_host = attempt.host
             request.first_run_ns = attempt.sent_ns
         request.may_have_run = True
     elif not request.unfinished and not request.may_have_run:
-        request.first_run_host = None  # proof that nothing ran: the request is free again
+        request.first_run_host = None  # no attempt was executed, so the request may go to any host again
--- a/brambleusher/loadbalancing/backoff.py
+++ b/brambleusher/loadbalancing/backoff.py
@@ -1,23 +1,25 @@
-"""Backoff between two calls for a watch of the endpoint list.
+"""Backoff between two watch calls for the endpoint list.
 
-A sidecar must apply a change of the list within some seconds after discovery had it and could be reached,
-whatever became of the calls before, so waits are short; and a fleet that calls in one moment overloads
-discovery, so they are spread, by the fleet's size.  Pure: times are seconds.
+A sidecar must apply a change of the list within a few seconds after discovery knows it and is reachable,
+whatever happened to earlier calls, so waits are short. A fleet that calls at the same moment overloads
+discovery, so waits are randomised and grow with the size of the fleet. Pure functions of their arguments;
+times are in seconds.
 """
 
 from __future__ import annotations
 
 import random
 
-FIRST_INTERVAL_S = 0.1  # after a watch that brought something
-MAX_SMALL_FLEET_S = 0.5  # between two calls that brought nothing, where few sidecars call
-MAX_INTERVAL_S = 2.0  # and where many do
-FAILED_REQUESTS_PER_S = 100.0  # from a whole fleet: most are rejected at once
-JITTER_FRACTION = 0.5  # of an interval
+FIRST_INTERVAL_S = 0.1  # wait, in seconds, after a call that returned data
+MAX_SMALL_FLEET_S = 0.5  # longest wait, in seconds, between two calls without data in a small fleet
+MAX_INTERVAL_S = 2.0  # longest wait, in seconds, in a large fleet
+# Target rate of the whole fleet's calls per second while most of them are rejected at once.
+FAILED_REQUESTS_PER_S = 100.0
+JITTER_FRACTION = 0.5  # fraction of an interval that is drawn at random
 
 
 class Backoff:
-    """The waits of one sidecar: exponential, with jitter, and counted from the begin of the call before."""
+    """Exponential backoff with jitter for one sidecar; waits count from the start of the previous call."""
 
     def __init__(self, sidecars: int, rng: random.Random) -> None:
         self._rng = rng
@@ -25,9 +27,10 @@
         self._interval_s = FIRST_INTERVAL_S
 
     def wait_s(self, has_data: bool, took_s: float) -> float:
-        """Return how long to wait after a call that took so long; `has_data`: it brought something.
+        """Return how many seconds to wait after a call that took `took_s`; `has_data` if it returned data.
 
-        The time that a failed call took is part of the wait: one that timed out late is followed at once.
+        The duration of a failed call is part of the wait, so a call that timed out late is repeated almost at
+        once.
         """
         if has_data:
             self._interval_s = FIRST_INTERVAL_S
--- a/brambleusher/loadbalancing/balancer.py
+++ b/brambleusher/loadbalancing/balancer.py
@@ -1,11 +1,11 @@
-"""The balancer: events and a clock go in, actions come out.
-
-Its types are in `brambleusher/loadbalancing/api.py`.  The ordinary path is the WebSphere variant of "z/OS
-Workload Manager Sysplex Routing Services": reported spare capacity makes weights out of 64, a performance
-index (PI) and the served share (health) cut them, and requests spend them as tokens in round robin until all
-are spent.  Each mechanism has a module of its own, which owns its state; here events are dispatched to them,
-in an order that decisions depend on. `docs/design.md` says what was kept of the source, what was changed and
-when each departure acts.
+"""The balancer: takes events with their times and returns actions.
+
+Its types are in `brambleusher/loadbalancing/api.py`. Its basic algorithm is the WebSphere variant of "z/OS
+Workload Manager Sysplex Routing Services": reported spare capacity is turned into weights that add up to 64,
+a performance index (PI) and the served fraction (health) reduce them, and requests use them up as tokens in
+round-robin order until no token is left. Each mechanism has its own module, which owns its state; this module
+passes events to the mechanisms, in an order that affects decisions. `docs/design.md` describes what was kept
+of the source, what was changed, and when each change takes effect.
 """
 
 from __future__ import annotations
@@ -36,14 +36,15 @@
 from brambleusher.loadbalancing.weights import WeightCalculator
 from brambleusher.loadbalancing.windows import HEALTH_WINDOW, Decay
 
-# In shortest latency targets.
-MIN_TICK = 1 / 8  # weights are recomputed so often that news is acted on well inside one target
-MAX_TICK = 1 / 2  # a quiet proxy still looks twice a target: attempts in flight grow old, faults end
-IDLE_DOUBT = 1 / 4  # a connection used since is not lost for being idle
+# Times in units of the shortest latency target.
+MIN_TICK = 1 / 8  # weights are recomputed often enough to act on news well within one target
+# A proxy without traffic still ticks twice per target, since attempts in flight age and faults end.
+MAX_TICK = 1 / 2
+IDLE_DOUBT = 1 / 4  # idle times below this are never blamed for a lost connection
 
 
 class Balancer:
-    """One client proxy's decisions.
+    """Makes the decisions of one client proxy.
 
     Subclasses extend it by its handlers (`_on_...`) and by the methods under "extension points".
     """
@@ -73,7 +74,7 @@
         }
 
     def _make_estimators(self) -> None:
-        """Make what estimates the state of hosts and of traffic."""
+        """Create the estimators of host and traffic state."""
         settings = self.settings
         unit_ns = self._unit_ns
         self.traffic = TrafficStatistics(settings, unit_ns)
@@ -88,7 +89,7 @@
         self.idle_timeout = IdleTimeout(idle_limit_ns, unit_ns * IDLE_DOUBT)
 
     def _make_policies(self) -> None:
-        """Make what decides on requests and attempts."""
+        """Create the policies that decide on requests and attempts."""
         settings = self.settings
         unit_ns = self._unit_ns
         self.admission = AdmissionControl(
@@ -107,7 +108,7 @@
         self.subscription = EndpointSubscription(settings, self.rng)
 
     def start(self, now: int) -> list[api.Action]:
-        """Return the first actions of an instance that knows nothing yet."""
+        """Return the first actions, before any event."""
         self.ticked_ns = now
         self._actions = [api.SetTimer(now + self._tick_ns, 0)]
         if self.settings.subscribes_to_endpoints:
@@ -115,19 +116,19 @@
         return self._actions
 
     def handle(self, event: api.Event, now: int) -> list[api.Action]:
-        """Return the actions that one event leads to; `now` is in ns."""
+        """Handle an event and return the resulting actions; `now` is in nanoseconds."""
         self._actions = []
         self._handlers[type(event)](event, now)
         return self._actions
 
     def zone_status(self, _now: int, /) -> dict[str, object] | None:
-        """Return the state of zones for operators, as plain values; None where zones play no part."""
+        """Return the state of zones for operators as plain values, or None without zone rules."""
         return None
 
     # --- extension points ------------------------------------------------------------------------
 
     def _make_host_table(self) -> HostTable:
-        """Make the table of hosts, which chooses those in use."""
+        """Create the host table, which chooses the hosts in use."""
         return HostTable(self.settings, self.rng, self.round_robin, self.traffic)
 
     def _choose_hosts(self) -> None:
@@ -135,7 +136,7 @@
         self._close_idle_connections(self.host_table.choose_subset())
 
     def _recompute_weights(self, now: int, gap: float) -> None:
-        """Turn spare capacity into weights; read beside `docs/design.md`."""
+        """Turn spare capacity into weights; `docs/design.md` explains the steps."""
         hosts = self.round_robin.ring
         if not hosts:
             return
@@ -145,11 +146,11 @@
         self.round_robin.cut_tokens()
 
     def _update_cross_zone_spill(self, gap: float) -> None:
-        """Steer how much of their spare capacity remote hosts offer."""
+        """Update the fraction of spare capacity that remote hosts offer."""
         self.cross_zone_spill.update(self.round_robin.ring, gap)
 
     def _spill_fractions(self) -> Callable[[Host], float]:
-        """Return what tells the part of its spare capacity that a host offers."""
+        """Return a function that gives the fraction of its spare capacity that a host offers."""
         return self.cross_zone_spill.of_host
 
     def _update_admission_limit(self, gap: float) -> None:
@@ -159,7 +160,7 @@
             self._actions.append(log_line)
 
     def _admits(self, density: float) -> bool:
-        """Return whether a request of such value by its work is admitted."""
+        """Return whether to admit a request with this value per unit of work."""
         return self.admission.admits(density)
 
     def _eligibility(self, request: Request, now: int) -> Eligibility:
@@ -171,9 +172,9 @@
         return self.selector.pick(self._eligibility(request, now), now)
 
     def _start_attempt(self, request: Request, host: Host, now: int) -> None:
-        """Start an attempt; on a connection that was idle too long to be trusted, a new one is opened.
+        """Start an attempt; open a new connection if the existing one has been idle for too long.
 
-        Guards against connections dropped unseen.
+        This avoids connections that were dropped unnoticed.
         """
         if host.started_ns > 0:
             host.slow_start_credit -= 1
@@ -186,7 +187,7 @@
         self._actions.append(api.StartAttempt(request.id, host.name, timeout_ns))
 
     def _retry(self, request: Request, status: AttemptStatus, now: int, is_idle_loss: bool) -> None:
-        """Attempt again elsewhere while the rules, the time and the budget allow; else answer."""
+        """Retry at another host if rules, deadline and budget allow it; otherwise answer the request."""
         policy = self.retry_policy
         costs_work = status not in NEVER_RAN and not is_idle_loss
         if policy.can_afford_retry(status, costs_work) and policy.may_attempt_again(request, now):
@@ -207,12 +208,12 @@
         waited_ns, looks_like_retry = budget.detect_client_retry(class_index, event.left_ns)
         density = self.admission.value_density(event, class_index, waited_ns, now)
         self.admission.densities.append(density)
-        # One without time was over before it was seen.
+        # A request without time left has timed out already.
         is_admitted = self._admits(density) and event.left_ns > 0
         if not (event.is_retry or looks_like_retry):
             budget.deposit()
         elif not budget.withdraw_for_client_retry():
-            # What is only taken for a retry is held to the budget under overload.
+            # A request that merely looks like a retry has to fit into the budget only under overload.
             is_admitted = is_admitted and not (event.is_retry or self.admission.is_overloaded)
         request = Request(event.request, class_index, now, event.left_ns)
         host = self._pick_host(request, now) if is_admitted else None
@@ -225,14 +226,14 @@
         self._start_attempt(request, host, now)
 
     def _on_answer_not_owed(self, event: api.ClientDisconnected | api.StreamStarted, _now: int) -> None:
-        """Owe no answer: the client has left, or has its stream."""
+        """Close a request whose client has disconnected or receives a stream."""
         self.attempts.close(event.request)
 
     def _on_body_progress(self, event: api.RequestBodyProgressed, now: int) -> None:
         self.attempts.apply_body_progress(event, now)
 
     def _give_up(self, request: Request) -> None:
-        """Answer a request: a rejection where asking again does no harm, a failure otherwise."""
+        """Answer a request with a rejection if a retry is harmless, else with a failure."""
         request.is_answered = True
         if not (request.may_have_run or request.unfinished):
             self.retry_policy.budget.credit_unserved()
@@ -244,7 +245,7 @@
             self._actions.append(api.FailRequest(request.id))
 
     def _cancel_attempts(self, request: Request) -> None:
-        """Cancel what is still in flight for a request that is over: it is no use to anyone."""
+        """Cancel the unfinished attempts of a request that has ended, since their answers are not needed."""
         if request.unfinished and self.settings.can_cancel_attempts:
             self._actions.extend(
                 api.CancelAttempt(request.id, number) for number in self.attempts.unfinished_attempts(request)
@@ -276,13 +277,14 @@
     def _record_outcome(
         self, event: api.AttemptEnded, request: Request, attempt: Attempt, was_in_flight: bool, now: int
     ) -> bool:
-        """Learn from an attempt's end; return whether its connection's idle time is to blame."""
+        """Update the estimators from an attempt's end; return whether an idle connection caused a failure."""
         host, sent_ns, idle_ns = attempt
         status = event.status
         if event.report is not None:
             self.capacity.record_report(host, event.report, now)
         elif status is AttemptStatus.OK and host.reported_ns >= 0:
-            # It reported before and answers without: some hosts stop reporting just when they are busy.
+            # The host reported before and now answers without a report: some hosts stop reporting when they
+            # are busy.
             host.utilisation = max(host.utilisation, 1 - RESERVE)
             host.reported_ns = now
         is_idle_loss = idle_ns > self.idle_timeout.min_ns and self.idle_timeout.record_attempt(
@@ -290,16 +292,16 @@
         )
         if status is AttemptStatus.OK:
             record_answered(host, sent_ns)
-        # Of one that was written off, all that a time-out says is known.
+        # A timeout of an attempt that was written off adds no information.
         if not is_idle_loss and (was_in_flight or status is not AttemptStatus.TIMEOUT):
             self.outliers.record_outcome(host, request.class_index, status, event.latency_ns, now)
         return is_idle_loss
 
     def _write_off_overtaken_attempts(self, now: int) -> None:
-        """Count lost attempts no more, and hedge their requests elsewhere.
+        """Write off attempts that later ones have overtaken, and hedge their requests at other hosts.
 
-        Counted as in flight, a few hold every slot and make idle hosts look late.  Where hosts are busy,
-        heavy requests are overtaken too.
+        As long as lost attempts count as in flight, a few of them occupy every slot and make idle hosts look
+        late. While hosts are busy nothing is written off, since heavy requests are then overtaken as well.
         """
         if self.capacity.mean_utilisation < 1 - RESERVE:
             for host in self.round_robin.ring:
@@ -317,7 +319,7 @@
             self.outliers.timeouts += 1
 
     def _hedge(self, request: Request, now: int) -> None:
-        """Start another attempt of a request whose attempts are all written off."""
+        """Start another attempt for a request whose attempts are all written off."""
         if request.is_answered or request.has_live_attempt:
             return
         if not self.retry_policy.may_attempt_again(request, now):
@@ -353,7 +355,7 @@
     # --- the tick --------------------------------------------------------------------------------
 
     def _on_timer(self, _event: api.TimerFired, now: int) -> None:
-        """Do all work that costs time for each host: here, not on requests."""
+        """Do all work whose cost grows with the number of hosts, so that requests don't pay for it."""
         gap = max(0, now - self.ticked_ns) / self._unit_ns
         self.ticked_ns = now
         self._decay(gap)
@@ -374,7 +376,7 @@
         self._set_timer(now)
 
     def _decay(self, gap: float) -> None:
-        """Forget a little of everything; `gap` is the time since the last tick in targets."""
+        """Decay all estimators; `gap` is the time since the last tick, in latency targets."""
         decay = Decay.after(gap)
         decay_hosts(self.round_robin.ring, decay)
         self.outliers.decay(decay)
@@ -385,6 +387,6 @@
         self.traffic.decay(decay)
 
     def _set_timer(self, now: int) -> None:
-        """Ask for the next tick: about one a request, no oftener than there is news."""
+        """Schedule the next tick: about one per request, within the bounds on the tick interval."""
         pause_ns = self._unit_ns * min(HEALTH_WINDOW / max(self.traffic.requests, 1.0), MAX_TICK)
         self._actions.append(api.SetTimer(now + max(self._tick_ns, int(pause_ns)), 0))
--- a/brambleusher/loadbalancing/balancer_factory.py
+++ b/brambleusher/loadbalancing/balancer_factory.py
@@ -1,4 +1,4 @@
-"""Makes the balancer that settings ask for."""
+"""Creates the balancer that the settings require."""
 
 from __future__ import annotations
 
@@ -7,9 +7,10 @@
 
 
 def balancer_for(settings: api.Settings, seed: int) -> Balancer:
-    """Return the balancer that settings ask for: without rules on zones, the plain one.
+    """Return a plain balancer, or a zone-aware one if the settings have zone rules.
 
-    The modules of zones are imported here: a sidecar's start is charged, and few sidecars have rules.
+    The zone modules are imported only when needed, because they lengthen the start of a sidecar and few
+    sidecars have zone rules.
     """
     if settings.zone_rules is None:
         return Balancer(settings, seed)
--- a/brambleusher/loadbalancing/capacity_estimates.py
+++ b/brambleusher/loadbalancing/capacity_estimates.py
@@ -1,10 +1,12 @@
-"""Capacity where hosts report how busy they are and not how much they do: the list's sizes in its place.
+"""Capacity from listed host sizes, for hosts that report utilisation but not throughput.
 
-Weights need no more than what hosts can do beside each other, which their sizes tell.  Admission needs
-requests a second: those that came to this proxy, times the number of proxies, over what hosts report to be in
-use.  Those that came, not those served: a limit that is too low would see itself confirmed.
-A proxy with more traffic than the mean estimates hosts as larger by as much, and its even share of the fleet
-as smaller: in the product of the two, all that is used, the error cancels.
+Weights need only the hosts' relative capacities, which their sizes give. Admission control needs requests per
+second: the requests that arrived at this proxy, times the number of proxies, divided by the sizes that hosts
+report to be in use. Arrived requests are counted instead of served ones, because a limit that is too low
+would otherwise confirm itself.
+
+A proxy with more traffic than the average overestimates the hosts' capacity and underestimates its share of
+the fleet by the same factor. Only the product of the two is used, in which the errors cancel.
 """
 
 from __future__ import annotations
@@ -15,25 +17,26 @@
 from brambleusher.loadbalancing import api
 from brambleusher.loadbalancing.hosts import Host
 
-SIZE_SOURCES = frozenset({"nominal", "rough"})  # weights that are sizes; `live` ones are spare, and move
+# `HostEntry.weight` is a size here; `live` weights are changing spare capacity.
+SIZE_SOURCES = frozenset({"nominal", "rough"})
 UTILISATION_FIELDS = frozenset({"utilization", "util"})
 THROUGHPUT_FIELDS = frozenset({"throughput", "qps"})
 UNKNOWN_SIZE = 1.0
 
 
 def uses_sizes(settings: api.Settings) -> bool:
-    """Return whether sizes stand in for what this deployment's hosts do not report."""
+    """Return whether listed sizes replace the throughput that this deployment's hosts do not report."""
     reported = set(settings.report_fields)
     return bool(reported & UTILISATION_FIELDS) and not reported & THROUGHPUT_FIELDS
 
 
 def size_of(settings: api.Settings, entry: api.HostEntry) -> float:
-    """Return how much a listed host can do beside others; 1 where the list does not say."""
+    """Return the relative capacity of a listed host; 1 if the list does not give it."""
     is_size = settings.weight_source in SIZE_SOURCES and math.isfinite(entry.weight) and entry.weight > 0
     return entry.weight if is_size else UNKNOWN_SIZE
 
 
 def size_in_use(hosts: Sequence[Host], ready: int) -> float:
-    """Return the sizes in use of all `ready` hosts, as far as those of this proxy report it."""
+    """Return the total size in use of `ready` hosts, extrapolated from the reports of `hosts`."""
     reported = [host.throughput for host in hosts if host.reported_ns >= 0]
     return sum(reported) / len(reported) * ready if reported else 0.0
--- a/brambleusher/loadbalancing/client_draining.py
+++ b/brambleusher/loadbalancing/client_draining.py
@@ -1,14 +1,16 @@
-"""Whether a proxy is in service for its clients, and what becomes of their connections where it is not.
+"""Client draining: whether a proxy is in service and how long its client connections may stay open.
 
-Pure: times are seconds on the caller's clock.
+Pure functions of their arguments; times are in seconds on the caller's clock.
 """
 
 from __future__ import annotations
 
-# How long after the call idle connections may still bring a request, which is then told to go.
+# Seconds after the drain call during which idle connections may still bring a request; its response asks the
+# client to close the connection.
 DRAIN_GRACE_S = 1.0
-HANDOVER_GRACE_S = 0.65  # the same where another process takes over: a later request may be cut off
-FIRST_REQUEST_GRACE_S = 0.4  # that a connection which came after the call has for its first request
+# The same, in seconds, when another process takes over; a later request may be cut off.
+HANDOVER_GRACE_S = 0.65
+FIRST_REQUEST_GRACE_S = 0.4  # seconds that a connection accepted after the call has for its first request
 
 
 class ClientDraining:
@@ -16,17 +18,18 @@
 
     def __init__(self) -> None:
         self.draining_since_s: float | None = None
-        self.is_retired = False  # for good: another process takes over
-        self.is_ready = True  # what a load balancer in front is told: a successor is as good
+        self.is_retired = False  # another process has taken over permanently
+        # Readiness as shown to an upstream load balancer; stays true when a successor takes over.
+        self.is_ready = True
         self._grace_s = DRAIN_GRACE_S
 
     @property
     def accepts_clients(self) -> bool:
-        """Whether clients may stay."""
+        """Whether client connections may stay open."""
         return self.draining_since_s is None
 
     def start(self, now: float) -> None:
-        """Take the proxy out of service; calling it again changes nothing."""
+        """Take the proxy out of service; repeated calls have no effect."""
         self.is_ready = False
         if self.draining_since_s is None:
             self.draining_since_s = now
@@ -39,14 +42,14 @@
             self.draining_since_s = None
 
     def retire(self, now: float) -> None:
-        """Drain for good: another process takes over, and clients are to come to it in good time."""
+        """Drain permanently, so that clients move to the process that takes over."""
         if not self.is_retired:
             self.is_retired = True
             self.draining_since_s = now
             self._grace_s = HANDOVER_GRACE_S
 
     def may_stay_idle(self, now: float, since: float, asked: bool) -> bool:
-        """Return whether a connection that is idle since some moment may stay; `asked`: it had a request."""
+        """Return whether a connection idle since `since` may stay open; `asked` if it has had a request."""
         if self.draining_since_s is None:
             return True
         if not asked and since > self.draining_since_s:
--- a/brambleusher/loadbalancing/connection_admission.py
+++ b/brambleusher/loadbalancing/connection_admission.py
@@ -1,11 +1,10 @@
-"""Admission of clients' connections: which of them are kept where the sockets do not suffice for all.
+"""Admission of client connections: which ones to keep when sockets are scarce.
 
-A connection is worth what it does: how soon it brings a request, and whether it brings any at all
-(`wait_statistics`).  Where connections are plenty nothing of this acts.  Where they are not, those of the
-least value are closed: one that has just been answered with its response, which no request can cross, and
-only then one that waits.
+The value of a connection is how soon it is likely to bring a request, if any (`wait_statistics`). While
+sockets are plentiful, all connections are kept. Otherwise the least valuable ones are closed: first those
+that have just received a response, so that no request can be lost, and then waiting ones.
 
-Pure: times are seconds on the caller's clock, connections are whatever hashable thing the caller names.
+Pure: times are in seconds on the caller's clock, connections are any hashable objects.
 """
 
 from __future__ import annotations
@@ -19,38 +18,40 @@
 
 from brambleusher.loadbalancing.wait_statistics import AGES_S, WaitStatistics, add_wait, age_index
 
-# Connections that brought so many requests are a kind apart; 0 is a kind of its own, the silent.
+# Lower bounds of the classes of connections by their number of requests; connections without any request
+# (unused) form a class of their own.
 REQUEST_LEVELS = (1, 2, 4)
-MAX_TENANTS = 64  # told apart; further ones share a kind and a share
+MAX_TENANTS = 64  # number of tenants that are distinguished; the others are treated as one tenant
 OTHER_TENANTS = "other"
-FIRST_REQUEST_S = 0.25  # that a silent connection has, come what may, for its first request to arrive
-UPDATE_INTERVAL_S = 0.25  # between two looks at the waits that are still going on
-# New connections of so long find room at once: by then others have ended.
+# Seconds for which an unused connection is kept in any case, so that its first request can arrive.
+FIRST_REQUEST_S = 0.25
+UPDATE_INTERVAL_S = 0.25  # seconds between two updates of the values from the waits in progress
+# Room is kept for the connections expected within this many seconds; after that, others will have ended.
 FORECAST_S = 0.1
 PEAK_DECAY_S = 5.0
-MIN_PEAK = 0.5  # of arrivals; less counts as none
-FORECAST_DEVIATIONS = 2.0  # of a Poisson count, on top of the peak
-# Requests a second: a connection that does so much is closed only when there is no other left.
+MIN_PEAK = 0.5  # number of arrivals below which the peak counts as zero
+FORECAST_DEVIATIONS = 2.0  # standard deviations of a Poisson count that are added to the peak
+# A connection worth at least this many requests per second is closed only if there is no other one.
 PROTECTED_VALUE = 2.0
 UNKNOWN_TENANT = ""
 
 
 class _Owner(NamedTuple):
-    """Who has a connection; owners share out what there is evenly."""
+    """Peer and tenant of a connection; each owner is entitled to an equal number of connections."""
 
     peer: str
     tenant: str
 
 
 class _Kind(NamedTuple):
-    """Connections whose waits are alike."""
+    """Class of connections with similar waiting times."""
 
     tenant: str
-    level: int  # of requests so far
+    level: int  # index of the class by the number of requests so far
 
 
 class _Group(NamedTuple):
-    """Connections of one owner and kind that wait."""
+    """Waiting connections of one owner and kind."""
 
     owner: _Owner
     kind: _Kind
@@ -62,21 +63,21 @@
 class _Candidate(NamedTuple):
     """A waiting connection that may be closed."""
 
-    value: float  # requests a second
+    value: float  # requests per second
     conn: Hashable
 
 
 class ArrivalForecast:
-    """How many come in `FORECAST_S`: the recent peak, and as many as chance may add."""
+    """Forecasts the arrivals within `FORECAST_S`: the recent peak plus a margin for random variation."""
 
     __slots__ = ("_at", "_peak", "_recent", "most")
 
     def __init__(self) -> None:
         self._recent = self._peak = self._at = 0.0
-        self.most = 0  # `due` is no more, whatever the time
+        self.most = 0  # upper bound of `due` at any time
 
     def record(self, now: float) -> None:
-        """Take in one more."""
+        """Record an arrival."""
         gap = max(now - self._at, 0.0)
         self._recent = self._recent * math.exp(-gap / FORECAST_S) + 1.0
         self._peak = max(self._recent, self._peak * math.exp(-gap / PEAK_DECAY_S))
@@ -84,7 +85,7 @@
         self.most = self._bound(self._peak)
 
     def due(self, now: float) -> int:
-        """Return how many to keep room for."""
+        """Return the number of arrivals to keep room for."""
         peak = self._peak * math.exp(-max(now - self._at, 0.0) / PEAK_DECAY_S)
         return self._bound(peak) if peak >= MIN_PEAK else 0
 
@@ -95,13 +96,13 @@
 
 @dataclass(slots=True)
 class _Connection:
-    """One connection: whose it is, and since when it waits (None: a request of it is in work)."""
+    """A connection, its owner, and since when it waits (None while a request is being processed)."""
 
     peer: str
     tenant: str = UNKNOWN_TENANT
     requests: int = 0
     since: float | None = 0.0
-    group: _Group = _NO_GROUP  # while it waits
+    group: _Group = _NO_GROUP  # only meaningful while the connection waits
 
     @property
     def owner(self) -> _Owner:
@@ -113,35 +114,35 @@
 
 
 class ConnectionAdmission:
-    """Decides on all connections of clients to one proxy."""
+    """Decides which client connections of one proxy to keep."""
 
     def __init__(self, max_connections: int, max_active: int | None = None) -> None:
-        """Begin without connections.
+        """Initialize without connections.
 
         Args:
-            max_connections: All that may be open.
-            max_active: Of these, all that clients can ever keep for further requests; None for all.
+            max_connections: Maximum number of open connections.
+            max_active: Maximum number of connections kept for further requests; None for no extra limit.
         """
         self.max_connections = max_connections
         self.max_active = min(max_connections, max_active or max_connections)
         self._connections: dict[Hashable, _Connection] = {}
-        self._waiting: dict[_Group, dict[Hashable, float]] = {}  # since when, longest first
+        self._waiting: dict[_Group, dict[Hashable, float]] = {}  # start of each wait, longest wait first
         self._statistics: dict[_Kind, WaitStatistics] = {}
-        self._values: dict[_Kind, list[float]] = {}  # by age
+        self._values: dict[_Kind, list[float]] = {}  # value in requests per second by age interval
         self._updated_at = -math.inf
-        self._forecast = ArrivalForecast()  # of connections that bring a request
-        self.idle_count = 0  # that wait after a request
-        self.unused_count = 0  # that wait for their first request
+        self._forecast = ArrivalForecast()  # forecast of connections that bring a first request
+        self.idle_count = 0  # connections that wait after a request
+        self.unused_count = 0  # connections that wait for their first request
 
     # --- events -----------------------------------------------------------------------------------
 
     def record_open(self, conn: Hashable, peer: str, now: float) -> None:
-        """Take in that a connection was accepted; it has sent nothing yet."""
+        """Record that a connection was accepted; it has not sent anything yet."""
         connection = self._connections[conn] = _Connection(peer)
         self._begin_wait(conn, connection, now)
 
     def record_request(self, conn: Hashable, now: float) -> None:
-        """Take in that a request has begun to come: the wait is over."""
+        """Record that a request has begun to arrive, which ends the wait."""
         connection = self._connections.get(conn)
         if connection is None or connection.since is None:
             return
@@ -151,7 +152,7 @@
         connection.requests += 1
 
     def record_tenant(self, conn: Hashable, tenant: str) -> None:
-        """Take in whose request it was."""
+        """Record the tenant of a connection's request."""
         connection = self._connections.get(conn)
         if connection is None or connection.tenant == tenant:
             return
@@ -161,30 +162,30 @@
         connection.tenant = tenant
 
     def record_idle(self, conn: Hashable, now: float) -> None:
-        """Take in that a connection has its response and waits."""
+        """Record that a connection has received its response and waits."""
         connection = self._connections.get(conn)
         if connection is not None and connection.since is None:
             self._begin_wait(conn, connection, now)
 
     def record_close(self, conn: Hashable, now: float) -> None:
-        """Take in that a connection has ended."""
+        """Record that a connection has closed."""
         connection = self._connections.pop(conn, None)
         if connection is not None and connection.since is not None:
             self._end_wait(conn, connection, now, has_request=False)
 
-    # --- answers ----------------------------------------------------------------------------------
+    # --- queries ----------------------------------------------------------------------------------
 
     @property
     def connection_count(self) -> int:
-        """How many are open."""
+        """Number of open connections."""
         return len(self._connections)
 
     def idle_connections(self) -> list[Hashable]:
-        """Return all that have no request in work."""
+        """Return all connections without a request being processed."""
         return [conn for waiting in self._waiting.values() for conn in waiting]
 
     def may_keep_alive(self, conn: Hashable, now: float) -> bool:
-        """Return whether a connection that is about to get its response may be kept."""
+        """Return whether to keep a connection that is about to receive its response."""
         connection = self._connections.get(conn)
         if connection is None or not self.is_scarce(now):
             return True
@@ -195,13 +196,15 @@
             return True
         own_value = self._current_values(now)[kind][0]
         least = self._least_valuable(now, owner)
-        # One that soon brings a request takes room from no one: its client opens no further one for that.
+        # Closing a connection that soon brings a request saves nothing, since its client would open a new
+        # one.
         return own_value >= PROTECTED_VALUE or (least is not None and least.value < own_value)
 
     def surplus_connections(self, now: float) -> Iterator[Hashable]:
-        """Yield those that wait and are to be closed, least value first, until there is room again.
+        """Yield waiting connections to close, least valuable first, until there is room again.
 
-        The caller closes each before it asks for the next, or calls `record_request` for it.
+        The caller must close each connection, or call `record_request` for it, before it asks for the next
+        one.
         """
         passed: set[Hashable] = set()
         while self._shortage(now) > 0:
@@ -212,7 +215,7 @@
             yield least.conn
 
     def evictions_for_new(self, now: float, most: int | None = None) -> Iterator[Hashable]:
-        """Yield the same for a connection that waits to be accepted while `most` are open, or all."""
+        """Yield waiting connections to close for a new one while at least `most` connections are open."""
         most = self.max_connections if most is None else most
         passed: set[Hashable] = set()
         while len(self._connections) >= most:
@@ -223,12 +226,12 @@
             yield least.conn
 
     def is_scarce(self, now: float) -> bool:
-        """Return whether there is no room for those that will come; quick where there is plenty."""
-        # `most` is a bound that costs no exponential.
+        """Return whether there is no room for the expected arrivals; cheap while room is plentiful."""
+        # `most` bounds the forecast without computing an exponential.
         return len(self._connections) + self._forecast.most > self.max_active and self._shortage(now) > 0
 
     def _shortage(self, now: float) -> int:
-        """Return how many connections are too many for those that will come."""
+        """Return how many connections have to be closed to make room for the expected arrivals."""
         expected = len(self._connections) + self._forecast.due(now)
         return max(expected - self.unused_count - self.max_active, expected - self.max_connections)
 
@@ -238,7 +241,7 @@
     # --- choice -----------------------------------------------------------------------------------
 
     def _even_count(self, counts: Counter[_Owner], own: _Owner | None) -> float:
-        """Return an even share of those that wait between requests, one more of `own` included."""
+        """Return the mean number of idle connections per owner, counting one more for `own` if given."""
         owners = len(counts) + (own is not None and own not in counts)
         return (self.idle_count + (own is not None)) / max(owners, 1)
 
@@ -249,9 +252,9 @@
         passed: set[Hashable] | None = None,
         include_unused: bool = False,
     ) -> _Candidate | None:
-        """Return the waiting connection of least value among owners that have more than an even share.
+        """Return the least valuable waiting connection of the owners that have more than an even share.
 
-        A silent one is not among them before its first request had time to come.
+        Unused connections are considered only after their first request has had time to arrive.
         """
         values = self._current_values(now)
         counts = self._idle_per_owner()
@@ -316,7 +319,7 @@
         connection.since = None
 
     def _idle_per_owner(self) -> Counter[_Owner]:
-        """Return how many of those that brought a request wait, by owner."""
+        """Return by owner how many connections wait after a request."""
         counts: Counter[_Owner] = Counter()
         for group, waiting in self._waiting.items():
             if group.kind.level:
@@ -324,7 +327,7 @@
         return counts
 
     def _current_values(self, now: float) -> dict[_Kind, list[float]]:
-        """Return the value of every kind by age, learned anew now and then."""
+        """Return the value of every kind by age interval, recomputed every `UPDATE_INTERVAL_S`."""
         is_recent = now - self._updated_at < UPDATE_INTERVAL_S
         if is_recent and all(kind in self._values for kind in self._statistics):
             return self._values
--- a/brambleusher/loadbalancing/cross_zone_spill.py
+++ b/brambleusher/loadbalancing/cross_zone_spill.py
@@ -1,6 +1,6 @@
-"""Spill to other zones without rules on zones: the part of their spare capacity that remote hosts offer.
+"""Cross-zone spill without zone rules: the fraction of spare capacity that remote hosts offer.
 
-Crossing has a price; what it saves is lateness at home.
+An attempt in another zone has a price, which is worth paying if it avoids late answers in the own zone.
 """
 
 from __future__ import annotations
@@ -16,16 +16,17 @@
 
 INITIAL_SPILL = 0.5
 MIN_TARGET_UTILISATION = 0.2
-MAX_PRICE = 0.99  # lateness can't cost more than all there is
+MAX_PRICE = 0.99  # the price of a crossing is capped below the value of a request
 MIN_SPILL = 0.01
-# Below one late answer in so many nobody would notice: so cheap a crossing is always partly used.
+# Fewer than one late answer in this many are tolerable, so a crossing that costs less than that is always
+# used to some extent.
 UNNOTICED_ONE_IN = 20
-ADJUSTMENT = 0.5  # of the error goes into the spill in one latency target
-MIN_HEALTH = 0.5  # under it a host counts as missing its goal
+ADJUSTMENT = 0.5  # fraction of the error that is added to the spill per latency target
+MIN_HEALTH = 0.5  # a host with a lower health counts as missing its goal
 
 
 def min_spill(price: float) -> float:
-    """Return the part of its spare capacity that a remote host offers at the least."""
+    """Return the minimum fraction of its spare capacity that a remote host offers."""
     return max(MIN_SPILL, 1 - price * UNNOTICED_ONE_IN)
 
 
@@ -35,7 +36,7 @@
 
 
 class CrossZoneSpill:
-    """What of their spare capacity remote hosts take, steered by the use of the own zone."""
+    """Controls the fraction of spare capacity that remote hosts offer by the utilisation of the own zone."""
 
     def __init__(self, settings: api.Settings, unit_ns: int, capacity: FleetCapacity) -> None:
         self._price = settings.cross_zone_price
@@ -44,15 +45,15 @@
         self.fraction = INITIAL_SPILL
 
     def of_host(self, host: Host) -> float:
-        """Return the part of its spare capacity that a host offers."""
+        """Return the fraction of its spare capacity that a host offers."""
         return 1.0 if host.is_local else self.fraction
 
     def target_utilisation(self) -> float | None:
-        """Return the local use above which crossing pays.
+        """Return the local utilisation above which an attempt in another zone is worth its price.
 
-        None where it has no price, or capacity is not known.  With exponential answers a part
-        exp(-(1 - u) target / service) comes late at use u; crossing pays where that exceeds its price, so the
-        use to aim for is where the two are equal.
+        None if crossing has no price or the capacity is unknown. With exponentially distributed service
+        times, the fraction of late answers at utilisation u is exp(-(1 - u) target / service). Crossing is
+        worthwhile where that exceeds its price, so the target is the utilisation at which the two are equal.
         """
         rate = self._capacity.mean_capacity * self._capacity.rate_per_size
         if self._price <= 0 or not rate:
@@ -61,7 +62,7 @@
         return min(max(1 - late, MIN_TARGET_UTILISATION), 1 - RESERVE)
 
     def update(self, hosts: Sequence[Host], gap: float) -> None:
-        """Steer the spill after `gap` latency targets."""
+        """Adjust the spill after `gap` latency targets have passed."""
         local = [host for host in hosts if host.is_local]
         target = self.target_utilisation()
         if not local or target is None:
@@ -73,7 +74,7 @@
         if sum(1 for host in local if misses_goal(host)) * 2 > len(local):
             utilisation = 1.0
         if utilisation > target:
-            # Zones as busy as each other gain nothing by exchanging work.
+            # Exchanging work between equally busy zones gains nothing.
             error = min(utilisation - target, utilisation - remote_utilisation) / (1 - target)
         else:
             error = (utilisation - target) / target
--- a/brambleusher/loadbalancing/flap_damping.py
+++ b/brambleusher/loadbalancing/flap_damping.py
@@ -1,7 +1,8 @@
-"""Flap damping: a zone that is lost again and again is kept out until its penalty has decayed.
+"""Flap damping: keeps out a zone that is lost repeatedly until its penalty has decayed.
 
-Each loss adds a penalty that halves with time; above a limit it keeps the zone out though it responds.  The
-penalty is bounded, so that the longest suppression is the operator's `max_flap_suppression_ns`.
+Each loss adds a penalty that decays exponentially. While it is above a limit, the zone is kept out even
+though it responds. The penalty is bounded, so that the longest suppression is the operator's
+`max_flap_suppression_ns`.
 
 Source: RFC 2439, BGP Route Flap Damping.
 """
@@ -10,8 +11,9 @@
 
 from brambleusher.loadbalancing.zone_state import Zone, ZoneTable
 
-REUSE_PENALTY = 0.5  # a zone with less is used again; each loss adds 1
-# For the loss of a zone whose only node left the list: nodes are replaced every day.
+REUSE_PENALTY = 0.5  # penalty below which a zone is used again; each loss adds 1
+# Penalty for the loss of a zone whose only node left the list; it is lower, because nodes are replaced every
+# day.
 SINGLE_NODE_PENALTY = 0.4
 
 
--- a/brambleusher/loadbalancing/fleet_balancer.py
+++ b/brambleusher/loadbalancing/fleet_balancer.py
@@ -1,8 +1,8 @@
-"""A zone of proxies as one balancer: the rules of `Balancer`, fed with sums that others observed.
+"""Balances for all proxies of a zone at once, from aggregated outcomes that they report.
 
-A sidecar learns from its own attempts and uses a few of the nodes.  A zone of proxies uses all of them, and
-reports in sums what its attempts came to.  The estimators, the weights and who is left out are those of
-`brambleusher.loadbalancing.balancer`; nothing here weighs anything.
+A sidecar learns from its own attempts and uses a few of the nodes. The proxies of a zone use all nodes, and
+report aggregated outcomes of their attempts. Estimators, weights and exclusion of hosts are those of
+`brambleusher.loadbalancing.balancer`; this module adds no weighting of its own.
 """
 
 from __future__ import annotations
@@ -15,25 +15,27 @@
 from brambleusher.loadbalancing.host_table import HostTable
 from brambleusher.loadbalancing.hosts import Host
 
-# Attempts that one event counts for: evidence fades within a few latency targets, and more say no more.
+# Maximum number of attempts counted per event: evidence decays within a few latency targets, so more attempts
+# would add nothing.
 MAX_OUTCOMES_PER_EVENT = 64
 
 
 @dataclass(slots=True)
 class ReportedOutcomes:
-    """What attempts at a host came to since the last event: counts, the mean time in ns, its own figures."""
+    """Outcomes of attempts at a host since the last event, with their mean latency and its load report."""
 
     host: str
     request_class: str
     served: int
     failed: int
-    latency_ns: int | None = None  # of those served; None where nobody measured it
+    # Mean latency of the served attempts in nanoseconds; None if it was not measured.
+    latency_ns: int | None = None
     report: api.LoadReport | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class HostStatus:
-    """What a balancer makes of one host; the weights of all add up to 64."""
+    """A balancer's view of one host; the weights of all hosts add up to 64."""
 
     host: str
     zone: str
@@ -45,7 +47,7 @@
 
 
 def scale_counts(served: int, failed: int, most: int = MAX_OUTCOMES_PER_EVENT) -> tuple[int, int]:
-    """Return at most `most` attempts in the same proportion; few failures are not rounded away."""
+    """Scale the counts down to a total of at most `most`, rounding failures up."""
     total = served + failed
     if total <= most:
         return served, failed
@@ -54,10 +56,10 @@
 
 
 class AllHostsTable(HostTable):
-    """All ready hosts are in use: nothing is chosen, and there are no connections to close."""
+    """Host table in which all ready hosts are in use and no connections have to be closed."""
 
     def subset_size(self) -> int:
-        """Return the number of hosts: a subset made for one small proxy is not that of a zone."""
+        """Return the number of all hosts, since the proxies of a zone together use all of them."""
         return max(len(self.hosts), 1)
 
     def choose_subset(self) -> list[str]:
@@ -71,7 +73,7 @@
 
 
 class FleetBalancer(Balancer):
-    """One zone's decisions."""
+    """Makes the decisions for all proxies of one zone."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
@@ -81,7 +83,7 @@
         return AllHostsTable(self.settings, self.rng, self.round_robin, self.traffic)
 
     def record_outcomes(self, event: ReportedOutcomes, now: int) -> None:
-        """Take in one sum; a host or class that is not known is passed over."""
+        """Record aggregated outcomes; unknown hosts and classes are ignored."""
         host = self.host_table.hosts.get(event.host)
         class_index = self._class_index.get(event.request_class)
         if host is None or class_index is None:
@@ -90,7 +92,7 @@
             self.capacity.record_report(host, event.report, now)
         served, failed = scale_counts(max(event.served, 0), max(event.failed, 0))
         for _ in range(served):
-            if event.latency_ns is None:  # it counts for the health, and the index has nothing to go by
+            if event.latency_ns is None:  # count it for health only, since there is no latency for the index
                 host.served += 1
                 self.traffic.served += 1
             else:
@@ -99,12 +101,12 @@
             self.outliers.record_outcome(host, class_index, api.AttemptStatus.ERROR, 0, now)
 
     def next_timer_ns(self, actions: list[api.Action]) -> int | None:
-        """Return when the balancer wants its timer, out of the actions of an event."""
+        """Return the time of the timer that an event's actions request, or None."""
         return next((action.at_ns for action in actions if isinstance(action, api.SetTimer)), None)
 
 
 def host_statuses(balancer: Balancer) -> list[HostStatus]:
-    """Return all hosts as the balancer sees them now, in the order of their names."""
+    """Return the status of all hosts, sorted by name."""
     return [_status_of(host) for _, host in sorted(balancer.host_table.hosts.items())]
 
 
--- a/brambleusher/loadbalancing/fleet_capacity.py
+++ b/brambleusher/loadbalancing/fleet_capacity.py
@@ -1,7 +1,7 @@
-"""What hosts report of their load, and what that says of the capacity and use of the fleet.
+"""Estimates the capacity and utilisation of the fleet from the load reports of hosts.
 
-Source: z/OS Workload Manager Sysplex Routing Services, WebSphere variant.  Ours: capacity is reported
-requests a second over utilisation, in place of service units.
+Source: z/OS Workload Manager Sysplex Routing Services, WebSphere variant. Unlike there, capacity is the
+reported requests per second divided by utilisation, instead of service units.
 """
 
 from __future__ import annotations
@@ -14,7 +14,8 @@
 from brambleusher.loadbalancing.hosts import Host
 from brambleusher.loadbalancing.windows import CAPACITY_WINDOW, NS_PER_S, UTILISATION_WINDOW, Decay
 
-MIN_REPORT_WEIGHT = 0.05  # of a report in the smoothed figures, however soon it follows the one before
+# Minimum weight of a report in the smoothed metrics, however soon it follows the previous one.
+MIN_REPORT_WEIGHT = 0.05
 
 
 class FleetCapacity:
@@ -23,18 +24,18 @@
     def __init__(self, settings: api.Settings, unit_ns: int) -> None:
         self._unit_ns = unit_ns
         self._fleet_size = settings.fleet_size
-        self.mean_capacity = 0.0  # requests a second of a host
+        self.mean_capacity = 0.0  # mean capacity of a host in requests per second
         self.mean_utilisation = 0.0
         self.capacity_of_kind: dict[str, float] = {}
-        # Where the list's sizes are the capacities: size seconds in use lately and requests asked for in that
-        # time, and from them the requests a second of a size of one.
+        # If listed sizes replace reported capacities: the size-seconds in use and the requests that arrived,
+        # both decaying, and from them the requests per second of a host of size 1.
         self.uses_sizes = capacity_estimates.uses_sizes(settings)
         self.size_seconds_used = 0.0
         self.requests_asked = 0.0
         self.rate_per_size = 0.0 if self.uses_sizes else 1.0
 
     def record_report(self, host: Host, report: api.LoadReport, now: int) -> None:
-        """Take in a host's own figures; the same report may come with several answers."""
+        """Record a host's load report; the same report may arrive with several answers."""
         utilisation = report.utilisation
         throughput = report.throughput
         if self.uses_sizes and utilisation is not None:
@@ -58,14 +59,14 @@
         host.reported_ns = now
 
     def update(self, hosts: Sequence[Host], warm_fractions: Sequence[float]) -> None:
-        """Estimate the capacity of hosts and of their kinds, and the use of the fleet."""
+        """Estimate the mean capacity of hosts, the capacity of each kind, and the fleet's utilisation."""
         warm = [
             (host, capacity)
             for host, warm_fraction in zip(hosts, warm_fractions, strict=True)
             if warm_fraction >= 1 and (capacity := host.capacity)
         ]
-        # With no warm host left to go by, what those warming up carry is the guide, and less than the truth:
-        # else a fleet that starts as a whole would be let one request a host until it is warm.
+        # Without a warm host, the capacity of hosts that are warming up is used, although it is too low.
+        # Otherwise a fleet that starts all at once would get one request per host until it is warm.
         capacities = [capacity for _, capacity in warm]
         if not capacities:
             capacities = [capacity for host in hosts if (capacity := host.capacity)]
@@ -78,9 +79,10 @@
         self.mean_utilisation = used / available if warm else 0.0
 
     def faded_utilisations(self, hosts: Iterable[Host], now: int) -> list[float]:
-        """Return the utilisation of hosts; a report that is not renewed fades to the fleet's mean.
+        """Return the utilisation of hosts; an old report decays to the fleet's mean.
 
-        Silence is not spare capacity, and a host judged full long ago must be tried again.
+        A missing report does not indicate spare capacity, and a host that was full long ago must be tried
+        again.
         """
         window_ns = self._unit_ns * CAPACITY_WINDOW
         mean = self.mean_utilisation
@@ -92,15 +94,15 @@
         return utilisations
 
     def update_rate_per_size(self, sizes_in_use: float, gap: float) -> None:
-        """Relate the requests asked for to the sizes in use; call it before the admission limit is set.
+        """Update the request rate per size; must be called before the admission limit is set.
 
-        The limit takes a rate of 0 for no capacity.
+        The admission limit treats a rate of 0 as no capacity.
         """
         if self.uses_sizes and sizes_in_use > 0:
             self.size_seconds_used += sizes_in_use * gap * self._unit_ns / NS_PER_S
             self.rate_per_size = self.requests_asked * self._fleet_size / self.size_seconds_used
 
     def decay(self, decay: Decay) -> None:
-        """Forget a part of what sizes rest on."""
+        """Decay the counts behind the request rate per size."""
         self.size_seconds_used *= decay.capacity
         self.requests_asked *= decay.capacity
--- a/brambleusher/loadbalancing/host_bans.py
+++ b/brambleusher/loadbalancing/host_bans.py
@@ -1,11 +1,11 @@
-"""Hosts that operators ban: kept out of use by hand, over what discovery lists.
+"""Host bans: hosts that operators take out of use, independent of their listed state.
 
-A ban is laid over the listed state of a host: listed state and ban make the effective state, which is what
-the balancer and everyone else is given.  A banned host is a draining one, whatever the list says of it
-meanwhile; one call back ends the ban.  A call about a host that discovery has not listed is answered with
-no, and kept: this proxy may only not have received it yet, and the ban holds from the moment that it has.
+The listed state of a host and its ban are combined into the effective state, which the balancer and all
+others get. A banned host is draining, whatever the list says, until one call ends the ban. A ban of a host
+that discovery has not listed is rejected but remembered: this proxy may just not have received the entry yet,
+and the ban applies as soon as it does.
 
-Pure: times are nanoseconds on the caller's clock.
+Pure: times are in nanoseconds on the caller's clock.
 """
 
 from __future__ import annotations
@@ -15,59 +15,60 @@
 
 from brambleusher.loadbalancing.api import HostEntry, HostState
 
-MAX_REMEMBERED = 4096  # hosts that have left the list and can still be named
-MAX_PENDING_BANS = 256  # of hosts that were never listed; the oldest goes first
+MAX_REMEMBERED = 4096  # maximum number of delisted hosts that can still be banned by name
+MAX_PENDING_BANS = 256  # maximum number of bans of hosts that were never listed; the oldest is dropped first
 
 
 @dataclass(frozen=True, slots=True)
 class Ban:
-    """When operators took a host out of use, and when they took it back; 0: not yet."""
+    """Start and end of a host's ban; an end of 0 means that the ban is active."""
 
     since_ns: int
     ended_ns: int = 0
 
     @property
     def is_active(self) -> bool:
-        """Whether it holds."""
+        """Whether the ban is active."""
         return not self.ended_ns
 
     @property
     def changed_ns(self) -> int:
-        """When the last call about it was."""
+        """Time of the last change of the ban."""
         return max(self.since_ns, self.ended_ns)
 
 
 class HostBans:
-    """Bans of one proxy."""
+    """Keeps the host bans of one proxy."""
 
     def __init__(self) -> None:
-        self.bans: dict[str, Ban] = {}  # those that hold, and the last to have ended
-        self._listed: dict[str, HostEntry] = {}  # as discovery has them
-        self._delisted: dict[str, None] = {}  # listed once, the last to leave at the end
-        self._pending: dict[str, int] = {}  # bans of hosts that were not listed by then, and since when
+        self.bans: dict[str, Ban] = {}  # active bans and the most recently ended ones
+        self._listed: dict[str, HostEntry] = {}  # entries as listed by discovery
+        self._delisted: dict[str, None] = {}  # hosts that were listed once, in the order of leaving
+        self._pending: dict[str, int] = {}  # start of bans of hosts that were not listed at that time
 
     def is_known(self, host: str) -> bool:
-        """Return whether discovery has ever listed a host, as far as is remembered."""
+        """Return whether a host is listed, or remembered as listed or banned before."""
         return host in self._listed or host in self._delisted or host in self.bans
 
     def listed_entry(self, host: str) -> HostEntry | None:
-        """Return what discovery says of a host; None where it is not listed."""
+        """Return a host's entry as listed by discovery, or None."""
         return self._listed.get(host)
 
     def effective_entry(self, entry: HostEntry) -> HostEntry:
-        """Return a listed entry with the host's ban laid over it."""
+        """Return a listed entry with the host's ban applied."""
         ban = self.bans.get(entry.host)
         if ban is None or entry.state is HostState.REMOVED:
             return entry
         if ban.is_active:
             return replace(entry, state=HostState.DRAINING)
         if entry.started_ns < ban.since_ns:
-            # Guards against a host that is overloaded: it was restarted meanwhile, and discovery is late.
+            # The host may have been restarted during the ban without discovery listing the new start time
+            # yet. Treating it as started at the end of the ban avoids overloading it.
             return replace(entry, started_ns=ban.ended_ns)
         return entry
 
     def record_list(self, full: bool, entries: Iterable[HostEntry]) -> None:
-        """Take in an update from discovery, or a `full` list."""
+        """Record an incremental update from discovery, or a `full` list."""
         entries = list(entries)
         if full:
             named = {entry.host for entry in entries}
@@ -99,25 +100,25 @@
             del self._pending[next(iter(self._pending))]
 
     def cancel_ban_when_listed(self, host: str) -> None:
-        """Let a host be used once it is listed."""
+        """Cancel the ban of a host that has not been listed yet."""
         self._pending.pop(host, None)
 
     def ban(self, host: str, now: int) -> HostEntry | None:
-        """Ban a host; returns its effective entry, None where nothing changes."""
+        """Ban a host; return its effective entry, or None if nothing changes."""
         ban = self.bans.get(host)
         if ban is not None and ban.is_active:
             return None
         return self._set(host, Ban(now))
 
     def unban(self, host: str, now: int) -> HostEntry | None:
-        """End a ban; returns the host's effective entry, None where nothing changes."""
+        """End a ban; return the host's effective entry, or None if nothing changes."""
         ban = self.bans.get(host)
         if ban is None or not ban.is_active:
             return None
         return self._set(host, Ban(ban.since_ns, max(now, ban.since_ns + 1)))
 
     def merge(self, bans: Mapping[str, Ban]) -> list[HostEntry]:
-        """Take in bans of elsewhere, the last call about a host counts; returns the entries that change."""
+        """Merge bans from other proxies, the latest change of each host wins; return the changed entries."""
         newer = {
             host: ban
             for host, ban in bans.items()
@@ -132,10 +133,10 @@
 
     @staticmethod
     def from_json(raw: object) -> dict[str, Ban]:
-        """Return bans as `to_json` gave them.
+        """Return the bans from the output of `to_json`.
 
         Raises:
-            ValueError: They are not an object, or a ban is not two times.
+            ValueError: The value is not an object, or a ban is not a pair of times.
         """
         match raw:
             case dict():
@@ -147,7 +148,7 @@
         self.bans.pop(host, None)
         self.bans[host] = ban
         if len(self.bans) > MAX_REMEMBERED:
-            # Those that hold are never forgotten: there are no more than were ever listed.
+            # Active bans are never forgotten; their number is bounded by the number of hosts ever listed.
             ended = next((name for name, each in self.bans.items() if not each.is_active), None)
             if ended is not None:
                 del self.bans[ended]
--- a/brambleusher/loadbalancing/host_ranking.py
+++ b/brambleusher/loadbalancing/host_ranking.py
@@ -1,8 +1,9 @@
-"""The ready hosts in one proxy's order of preference, kept in order while hosts come and go.
+"""Ready hosts in one proxy's order of preference, updated incrementally.
 
-Each host has a rank, a seeded number; the subset that a proxy uses is the first so many by rank, part of
-them local.  Sorting all hosts for each change costs their number; here a change costs a search and a move
-within a list (`bisect`).  Equal ranks go by name, so that the order depends on the hosts alone.
+Each host has a seeded random rank; the subset that a proxy uses are the hosts with the lowest ranks, a part
+of them local. Sorting all hosts after each change would be proportional to their number; here a change costs
+a binary search and a move within a list (`bisect`). Hosts of equal rank are sorted by name, so that the order
+depends on nothing but the hosts.
 """
 
 from __future__ import annotations
@@ -13,11 +14,11 @@
 from collections.abc import Collection, Iterator
 from typing import Generic, NamedTuple, Protocol, TypeVar
 
-REBUILD_DIVISOR = 8  # with more than one in so many hosts changed at once, sorting anew is cheaper
+REBUILD_DIVISOR = 8  # if more than one host in this many has changed, sorting all of them is cheaper
 
 
 class Ranked(Protocol):
-    """What ranking needs of a host."""
+    """Host attributes required for ranking."""
 
     rank: float
     name: str
@@ -30,7 +31,7 @@
 
 
 class _Slot(NamedTuple, Generic[H]):
-    """Where a host stands, or would stand, in its list."""
+    """Position of a host in its list, or where it would be inserted."""
 
     hosts: list[H]
     position: int
@@ -42,33 +43,33 @@
 
 
 class HostRanking(Generic[H]):
-    """The ready hosts by rank: those of the own zone, and the others."""
+    """Ready hosts sorted by rank: those of the own zone, and the others."""
 
     __slots__ = ("local", "ready_per_zone", "remote")
 
     def __init__(self) -> None:
         self.local: list[H] = []
         self.remote: list[H] = []
-        self.ready_per_zone: Counter[str] = Counter()  # without zones that have none
+        self.ready_per_zone: Counter[str] = Counter()  # only zones with a ready host
 
     def __len__(self) -> int:
-        """Return how many are ready."""
+        """Return the number of ready hosts."""
         return len(self.local) + len(self.remote)
 
     def __iter__(self) -> Iterator[H]:
-        """Yield all by rank, merged as far as they are asked for."""
+        """Yield all ready hosts by rank, merging the two lists lazily."""
         return heapq.merge(self.local, self.remote, key=_key)
 
     def rebuild(self, hosts: Collection[H]) -> None:
-        """Begin anew with those of `hosts` that are ready."""
+        """Rebuild the order from the ready ones of `hosts`."""
         self.local = sorted((host for host in hosts if host.is_ready and host.is_local), key=_key)
         self.remote = sorted((host for host in hosts if host.is_ready and not host.is_local), key=_key)
         self.ready_per_zone = Counter(host.zone for host in hosts if host.is_ready)
 
     def update(self, hosts: Collection[H], changed: Collection[H]) -> None:
-        """Take in that `changed` became ready or ceased to be; ranks and zones are those they had.
+        """Update the order after the readiness of `changed` hosts; their ranks and zones must be unchanged.
 
-        `hosts` are all there are, from which the order is made anew where much has changed.
+        `hosts` are all hosts, from which the order is rebuilt if many have changed.
         """
         if len(changed) * REBUILD_DIVISOR > len(hosts):
             self.rebuild(hosts)
@@ -86,13 +87,13 @@
             self.ready_per_zone[host.zone] += 1
 
     def discard(self, host: H) -> None:
-        """Remove a host that is not ready any more, or gone; nothing happens where it was not there."""
+        """Remove a host that is no longer ready, if it is present."""
         slot = self._locate(host)
         if slot.is_occupied:
             del slot.hosts[slot.position]
             self.ready_per_zone[host.zone] -= 1
             if not self.ready_per_zone[host.zone]:
-                del self.ready_per_zone[host.zone]  # as it would be if they were sorted anew
+                del self.ready_per_zone[host.zone]  # keep the result equal to that of a rebuild
 
     def _locate(self, host: H) -> _Slot[H]:
         hosts = self.local if host.is_local else self.remote
@@ -100,6 +101,6 @@
         return _Slot(hosts, index, index < len(hosts) and hosts[index] is host)
 
     def subset(self, size: int) -> tuple[list[H], list[H]]:
-        """Return the subset of `size`: local and remote hosts, half each; what one lacks the other adds."""
+        """Return up to `size` hosts, half of them local; each half makes up for a shortage in the other."""
         local = self.local[: max(size // 2, size - len(self.remote))]
         return local, self.remote[: max(size - len(local), 0)]
--- a/brambleusher/loadbalancing/host_selection.py
+++ b/brambleusher/loadbalancing/host_selection.py
@@ -1,4 +1,4 @@
-"""Which host a request goes to: eligibility, then tokens in round robin, then any warm host."""
+"""Selects the host for an attempt: an eligible host by token round robin, else any warm host."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from brambleusher.loadbalancing.token_round_robin import TokenRoundRobin
 from brambleusher.loadbalancing.traffic import TrafficStatistics
 
-MAX_HOSTS_BEYOND_SUBSET = 1000  # that one request may look through: bounds its work
+MAX_HOSTS_BEYOND_SUBSET = 1000  # bound on the hosts outside the subset that are searched for one request
 
 Eligibility = Callable[[Host], bool]
 
@@ -39,9 +39,10 @@
         self._traffic = traffic
 
     def eligibility(self, request: Request, now: int) -> Eligibility:
-        """Return which hosts a request may go to.
+        """Return a predicate for the hosts that a request may go to.
 
-        Not where it has been, within the scope of its key, and within the budget of a host that warms up.
+        It excludes hosts already tried, hosts outside the scope of the request's key, and warming hosts
+        without slow-start budget.
         """
         tried = [host for host, _, _ in request.attempts] if request.attempts else ()
         bound_to = request.first_run_host
@@ -63,7 +64,7 @@
         return is_eligible
 
     def pick(self, is_eligible: Eligibility, now: int) -> Host | None:
-        """Return the host whose turn it is; where connections fail, a connected one; else any ready one."""
+        """Return the next host in turn, preferring connected ones while connects fail; else any warm host."""
         in_flight = self._traffic.in_flight
         host = None
         if self._outliers.connect_failures > 1:  # hosts take few connections, or the network is partitioned
@@ -74,7 +75,7 @@
             host = self._round_robin.spend(is_eligible, in_flight)
         if host is not None:
             return host
-        # None of those in use: any warm one, in this proxy's own order.
+        # No host in use is available, so take any warm host in this proxy's order of preference.
         for candidate in islice(self._host_table.ranking, MAX_HOSTS_BEYOND_SUBSET):
             if self._slow_start.warm_fraction(candidate, now) >= 1 and is_eligible(candidate):
                 return candidate
--- a/brambleusher/loadbalancing/host_table.py
+++ b/brambleusher/loadbalancing/host_table.py
@@ -12,15 +12,16 @@
 from brambleusher.loadbalancing.token_round_robin import TokenRoundRobin
 from brambleusher.loadbalancing.traffic import TrafficStatistics
 
-MIN_SUBSET = 4  # hosts a quiet proxy uses: choice enough to pass over a bad one, and few connections
-FREE_CONNECTIONS_TIMES = 3  # as many where connections have no price
-HOSTS_PER_ATTEMPT = 2.0  # in use for each own attempt at the peak: a turn seldom finds one occupied
+MIN_SUBSET = 4  # hosts that a proxy with little traffic uses: enough to avoid a bad one, with few connections
+FREE_CONNECTIONS_TIMES = 3  # factor on `MIN_SUBSET` where opening a connection has no price
+# Hosts in use per own attempt in flight at the peak, so that the next host in turn is usually idle.
+HOSTS_PER_ATTEMPT = 2.0
 
 
 class HostTable:
-    """Hosts by name, in this proxy's order of preference, and those in use.
+    """Hosts by name, their order of preference, and the subset in use.
 
-    What it returns are names of hosts whose idle connections are to be closed.
+    Methods that return host names return those whose idle connections should be closed.
     """
 
     def __init__(
@@ -36,21 +37,21 @@
         self._round_robin = round_robin
         self._traffic = traffic
         self.hosts: dict[str, Host] = {}
-        self.ranking: HostRanking[Host] = HostRanking()  # the ready hosts
+        self.ranking: HostRanking[Host] = HostRanking()  # the ready hosts by rank
         self.ready_count = 0
-        # How many hosts of the own zone and of others a proxy like this one uses.
+        # Numbers of local and of remote hosts that a proxy like this one uses.
         self.subset_counts = (0, 0)
         self.closing: dict[str, Host] = {}  # draining hosts whose connections are to be closed
 
     @property
     def in_use(self) -> list[Host]:
-        """The hosts in use, in the order of turns."""
+        """The hosts in use, in round-robin order."""
         return self._round_robin.ring
 
     # --- the endpoint list -----------------------------------------------------------------------
 
     def apply_list(self, event: api.HostListUpdated, now: int) -> list[str]:
-        """Take in an endpoint list, or changes of it; `choose_subset` has to follow."""
+        """Apply an endpoint list or changes to it; the caller must call `choose_subset` afterwards."""
         if event.kind is not ListKind.DELTA:
             listed = {entry.host for entry in event.entries}
             for name in [name for name in self.hosts if name not in listed]:
@@ -98,14 +99,14 @@
     # --- draining hosts --------------------------------------------------------------------------
 
     def begin_closing(self, host: Host, now: int) -> bool:
-        """Return whether to close idle connections to a host now, and go on until their time has passed.
+        """Return whether to close idle connections to a draining host, and continue for the release time.
 
-        They are closed at the notice, at each outcome and, since what was given up becomes idle without an
-        outcome, at each tick.
+        They are closed when the drain is announced, at each attempt outcome, and at each tick, because
+        connections of abandoned attempts become idle without an outcome.
         """
         if not host.is_draining or self._settings.drain_release_ns <= 0:
             return False
-        if host.in_flight is not NO_ATTEMPTS:  # one never used has no connections
+        if host.in_flight is not NO_ATTEMPTS:  # a host that was never used has no connections
             self.closing[host.name] = host
         host.close_until_ns = now + self._settings.drain_release_ns
         return True
@@ -121,14 +122,14 @@
     # --- the subset in use -----------------------------------------------------------------------
 
     def subset_size(self) -> int:
-        """Return how many hosts to use, by the traffic."""
+        """Return the number of hosts to use for the current traffic."""
         least = MIN_SUBSET
         if self._settings.connection_price <= 0:
             least *= FREE_CONNECTIONS_TIMES
         return max(least, math.ceil(self._traffic.peak_in_flight * HOSTS_PER_ATTEMPT))
 
     def has_outgrown_subset(self) -> bool:
-        """Return whether more hosts are needed than are in use, or half as many would do."""
+        """Return whether the subset in use is too small, or more than twice the size needed."""
         size = self.subset_size()
         used = len(self._round_robin.ring)
         return min(size, self.ready_count) > used or size * 2 < used
@@ -136,13 +137,13 @@
     def choose_subset(self) -> list[str]:
         """Choose the hosts in use: a seeded subset of the ready ones, sized by the traffic, half of it local.
 
-        Guards against hundreds of small proxies holding a connection each to every host, opened for one
-        request and idle until it is dropped, and against reports too rare to tell hosts apart.
-        Harm: a proxy whose few hosts are all bad is slow to find better ones.
+        Without a subset, hundreds of small proxies would each hold a connection to every host, opened for one
+        request and idle until it is dropped, and load reports would be too rare to compare hosts. The cost is
+        that a proxy whose few hosts are all bad is slow to find better ones.
         """
         self.ready_count = len(self.ranking)
         local, remote = self.ranking.subset(self.subset_size())
-        # A zone that has few hosts uses others in their place.
+        # A zone with too few hosts uses remote hosts instead.
         self.subset_counts = (max(len(local), len(remote)), len(remote))
         chosen = local + remote
         names = {host.name for host in chosen}
@@ -152,14 +153,14 @@
         for host in self._round_robin.ring:
             if host.name not in names:
                 host.withdraw_tokens()
-                if host.is_connected:  # each open one has a price and takes of the host's capacity
+                if host.is_connected:  # an open connection has a price and uses capacity of the host
                     host.is_connected = False
                     to_close.append(host.name)
         self.use(chosen)
         return to_close
 
     def use(self, hosts: list[Host]) -> None:
-        """Have tokens spent among these hosts."""
+        """Make these hosts the ones in use."""
         for host in hosts:
             host.begin_use(self._class_count)
         self._round_robin.set_hosts(hosts)
@@ -167,7 +168,7 @@
     # --- for operators ---------------------------------------------------------------------------
 
     def count_avoided(self, now: int) -> int:
-        """Return how many hosts get no attempt now: draining, ejected, or left without weight."""
+        """Return the number of hosts that get no attempts now: draining, ejected or without weight."""
         names = {host.name for host in self._round_robin.ring}
         return sum(
             not host.is_ready or host.ejected_until_ns > now or (host.name in names and host.weight <= 0)
--- a/brambleusher/loadbalancing/idle_timeout.py
+++ b/brambleusher/loadbalancing/idle_timeout.py
@@ -1,7 +1,7 @@
-"""Idle timeout, learned: how long a connection may have been idle and still be used for an attempt.
+"""Learned idle timeout: how long a connection may have been idle and still be used for an attempt.
 
-Guards against connections that are dropped unseen while idle: the next request on one is lost.  Pure: times
-are nanoseconds, gaps are latency targets.
+Connections may be dropped unnoticed while idle, and the next request on such a connection is lost. Pure:
+times are in nanoseconds, gaps in latency targets.
 """
 
 from __future__ import annotations
@@ -10,42 +10,45 @@
 
 from brambleusher.loadbalancing.api import AttemptStatus
 
-DECREASE_FACTOR = 0.7  # of the idle time at which one was lost: the next loss would teach little
-RECOVERY_TARGETS = 32.0  # the timeout grows back slowly, since each test costs a request
-CHANCE_RESETS = 0.05  # of those answered: so many resets, and one, say nothing of idle times
+DECREASE_FACTOR = 0.7  # the timeout is set to this fraction of the idle time of a lost connection
+# Recovery time constant in latency targets; slow, since each longer idle time may cost a request.
+RECOVERY_TARGETS = 32.0
+# Fraction of the answered attempts; up to one reset more than that is not blamed on idle times.
+CHANCE_RESETS = 0.05
 
 
 class IdleTimeout:
-    """One proxy's timeout of its idle connections, to all hosts alike."""
+    """Idle timeout of one proxy, common to its connections to all hosts."""
 
     def __init__(self, limit_ns: float = math.inf, min_ns: float = 0.0) -> None:
-        """Start at the limit.
+        """Initialize the timeout to the limit.
 
         Args:
-            limit_ns: Hosts close what was idle for so long.
-            min_ns: The timeout is never less.
+            limit_ns: Idle time after which hosts close a connection.
+            min_ns: Lower bound of the timeout.
         """
         self.limit_ns = limit_ns
         self.min_ns = min_ns
         self.timeout_ns = limit_ns
         # Decaying counts of attempts on connections that were idle for longer than `min_ns`.
         self.answered = self.timed_out = self.resets = 0.0
-        self.proven_idle_ns = 0.0  # the longest idle time lately after which a connection still worked
+        self.proven_idle_ns = 0.0  # longest recent idle time, decaying, after which a connection still worked
 
     @property
     def is_reduced(self) -> bool:
-        """Whether it is less than hosts allow."""
+        """Whether the timeout is below the limit set by hosts."""
         return self.timeout_ns < self.limit_ns
 
     def record_attempt(self, status: AttemptStatus, idle_ns: int) -> bool:
-        """Take in how an attempt on an idle connection ended.
+        """Record the outcome of an attempt on an idle connection.
 
-        A reset says that the connection was dropped, unless resets are rare and one that was idle for longer
-        has worked lately: where traffic is thin, one by chance would have most requests connect anew.  A
-        timeout, which may be a busy host's, says so where most attempts on idle connections timed out lately.
+        A reset indicates a dropped connection, unless resets are rare and a connection that was idle for
+        longer has worked recently: with little traffic, a single random reset would otherwise make most
+        requests open new connections. A timeout may be due to a busy host; it indicates a dropped connection
+        only if most recent attempts on idle connections timed out.
 
         Returns:
-            Whether it says more of idle connections than of its host.
+            Whether the failure is attributed to the idle connection rather than to its host.
         """
         if status is AttemptStatus.OK:
             self.answered += 1
@@ -67,7 +70,7 @@
         return not is_chance
 
     def recover(self, gap: float, retained: float) -> None:
-        """Let the timeout grow back over `gap` latency targets, and keep a fraction of the counts."""
+        """Let the timeout recover over `gap` latency targets, and scale the counts by `retained`."""
         self.timeout_ns = min(self.timeout_ns * math.exp(gap / RECOVERY_TARGETS), self.limit_ns)
         self.proven_idle_ns *= math.exp(-gap / RECOVERY_TARGETS)
         self.answered *= retained
--- a/brambleusher/loadbalancing/instance_metrics.py
+++ b/brambleusher/loadbalancing/instance_metrics.py
@@ -1,6 +1,6 @@
-"""What a gateway knows of one instance: its own traffic there, and sums that other gateways report.
+"""Metrics of one instance at a gateway: its own traffic, and totals reported by other gateways.
 
-Times are seconds.
+Times are in seconds.
 """
 
 from __future__ import annotations
@@ -13,36 +13,39 @@
 from brambleusher.loadbalancing.first_byte_survival import AbandonedWaits, FirstByteSurvival
 from brambleusher.loadbalancing.performance_index import MIN_COUNT, PI_GOAL, aggregate_pi
 
-TICK_S = 0.5  # weights are recomputed so often: news is acted on within the shortest target
-USE_WINDOW_S = 20.0  # of throughput and utilisation
+TICK_S = 0.5  # interval between weight updates in seconds; short enough to react within the shortest target
+USE_WINDOW_S = 20.0  # time constant of throughput and utilisation, in seconds
 LATENCY_WINDOW_S = 4.0
-HEALTH_WINDOW_S = 6.0  # of successes and failures
-HEALTH_POWER = 6  # of the served share: an instance that fails two in five is next to no use to anyone
-OWN_EVIDENCE = 2.0  # times as much as others': a gateway may be cut off from what they reach
-PRIOR_SUCCESSES = 1.0  # that an instance without a history is credited with
-MAX_AGE_RATIO = 4.0  # the most that one unanswered attempt says, in latency targets
+HEALTH_WINDOW_S = 6.0  # time constant of successes and failures, in seconds
+# Exponent of the served fraction; an instance that fails two attempts in five is nearly useless.
+HEALTH_POWER = 6
+# Weight of own evidence against that of other gateways, as this gateway may be cut off from an instance.
+OWN_EVIDENCE = 2.0
+PRIOR_SUCCESSES = 1.0  # prior count of successes for an instance without history
+MAX_AGE_RATIO = 4.0  # upper bound of an unanswered attempt's contribution, in latency targets
 PRIORITIES = 10
-SLOT_HEADROOM = 1.25  # times its share of the attempts in flight that an instance may hold
-LOAD_WINDOW_S = 3.0  # a reported load counts less and less; after so long about a third
-MIN_LOAD_WEIGHT = 0.3  # of one fresh report: with less the estimate from attempts is better
-MAX_LOAD = 2.0  # of the slots: what one report may claim
-UNLOADED_FAILURES = 0.5  # with more failures lately, latencies are not those of an unloaded spell
+SLOT_HEADROOM = 1.25  # factor by which an instance may exceed its share of the attempts in flight
+LOAD_WINDOW_S = 3.0  # time constant, in seconds, with which the weight of a reported load decays
+# Weight of reports below which the estimate from attempts is better; a fresh report has weight 1.
+MIN_LOAD_WEIGHT = 0.3
+MAX_LOAD = 2.0  # upper bound of a reported load, as a multiple of the slots
+UNLOADED_FAILURES = 0.5  # with more recent failures, latencies do not represent an unloaded instance
 MIN_LATENCY_TARGET_S = 0.01
-# Abandoned waits that a sound instance leaves unanswered once in a million times are those of a hung one: a
-# new chance is taken after each answer, some thousand times an hour.
+# An instance is hung if a healthy one would leave its abandoned waits unanswered only once in a million
+# times. The bound is that low because a test begins anew after each answer, some thousand times an hour.
 HUNG_LOG_SURVIVAL = math.log(1e-6)
 
 
 class ObservedTotals(NamedTuple):
-    """Sums over gateways, in the order in which they are exchanged."""
+    """Totals over gateways; the field order is the order of exchange."""
 
     served: float = 0.0
     failed: float = 0.0
     in_use: float = 0.0
     answers: float = 0.0
-    latency_ratios: float = 0.0  # latencies over their targets
+    latency_ratios: float = 0.0  # sum of latencies divided by their targets
     requests_per_s: float = 0.0
-    weighted_load: float = 0.0  # reported loads times their weights
+    weighted_load: float = 0.0  # sum of reported loads times their weights
     load_weight: float = 0.0
 
 
@@ -50,7 +53,7 @@
 
 
 def totals_from(reported: Sequence[float]) -> ObservedTotals:
-    """Return what other gateways sent: an older version sends no loads, a newer one may send more."""
+    """Return totals from other gateways; older versions send fewer values, newer ones may send more."""
     return ObservedTotals(*(*reported, *NO_TOTALS[len(reported) :])[: len(NO_TOTALS)])
 
 
@@ -59,11 +62,11 @@
 
     priority: int
     sent_s: float
-    target_s: float  # infinite once its answer has begun: its wait is over, its slot is not
+    target_s: float  # infinite once the answer has begun: the wait is over, but the slot is still in use
 
 
 class AbandonedWait(NamedTuple):
-    """A wait for the first byte of an answer that ended because the client left."""
+    """A wait for the first byte of an answer that ended because the client disconnected."""
 
     sent_s: float
     ended_s: float
@@ -71,7 +74,7 @@
 
     @property
     def ratio(self) -> float:
-        """How long it took, over the target."""
+        """Duration of the wait divided by the latency target."""
         return (self.ended_s - self.sent_s) / self.target_s
 
 
@@ -81,42 +84,42 @@
 
 @dataclass(slots=True)
 class InstanceMetrics:
-    """Estimators of one instance, its weight and its tokens."""
+    """Estimators, weight and tokens of one instance."""
 
     name: str
-    capacity: float  # slots
-    in_flight: dict[int, InFlight] = field(default_factory=dict)  # by the attempt's number
+    capacity: float  # number of slots
+    in_flight: dict[int, InFlight] = field(default_factory=dict)  # keyed by attempt number
     requests_per_s: float = 0.0
     mean_in_flight: float = 0.0
-    observed_s: float = 0.0  # history within the window
+    observed_s: float = 0.0  # length of the history, up to `USE_WINDOW_S`
     served_since_tick: int = 0
-    # By priority.
+    # Decaying counts of answers and sums of their latency ratios, by priority.
     latency_counts: list[float] = field(default_factory=_zeros)
     latency_ratio_totals: list[float] = field(default_factory=_zeros)
     served: float = PRIOR_SUCCESSES
     failed: float = 0.0
-    last_response_s: float = -math.inf  # when an answer began last
-    abandoned_wait: AbandonedWait | None = None  # the longest lately, over its target
+    last_response_s: float = -math.inf  # time at which the latest answer began
+    abandoned_wait: AbandonedWait | None = None  # recent abandoned wait with the largest ratio
     abandoned_waits: AbandonedWaits = field(default_factory=AbandonedWaits)
-    unloaded_index: float = 0.0  # of the last unloaded spell, which counts where nothing is recent
-    load: float = 0.0  # that the instance reported last, as a part of its slots
-    load_weight: float = 0.0  # 1 for a report of this moment, less for an older one
-    others: ObservedTotals = NO_TOTALS  # of the other gateways
+    unloaded_index: float = 0.0  # index of the last unloaded period, used if there is no recent one
+    load: float = 0.0  # load reported last, as a fraction of the slots
+    load_weight: float = 0.0  # 1 for a fresh report, decaying with its age
+    others: ObservedTotals = NO_TOTALS  # totals of the other gateways
     weight: float = 0.0
     tokens: int = 0
-    token_credit: float = 0.0  # the fraction of a token that a load carries over
+    token_credit: float = 0.0  # fraction of a token carried over to the next load
 
     def health(self) -> float:
-        """Return the served share of recent attempts, of all gateways, as what the instance is good for."""
+        """Return the served fraction of all gateways' recent attempts, raised to `HEALTH_POWER`."""
         served = self.served * OWN_EVIDENCE + self.others.served
         failed = self.failed * OWN_EVIDENCE + self.others.failed
         return float((served / (served + failed)) ** HEALTH_POWER)
 
     def performance_index(self, now: float) -> float:
-        """Return latency over target, with the age of attempts in flight: a hung instance sends no answers.
+        """Return the ratio of latency to target, including the age of attempts in flight.
 
-        Open case of the design: a hung instance with figures that are old and good.  Where nothing at all was
-        answered since an attempt was sent, its age over the target is the index, whatever the mean says.
+        A hung instance sends no answers, so its old metrics remain good. If nothing was answered since an
+        attempt was sent, the age of that attempt divided by its target is a lower bound of the index.
         """
         index, count = self._answered_index()
         total = index * count
@@ -129,7 +132,7 @@
         return max(total / seen, self.unresponsive_ratio(now))
 
     def _answered_index(self) -> tuple[float, float]:
-        """Return the index of answers, of all gateways, and the count it rests on."""
+        """Return the performance index of all gateways' answers and the count on which it is based."""
         means = [
             total / count if count > MIN_COUNT else 0.0
             for total, count in zip(self.latency_ratio_totals, self.latency_counts, strict=True)
@@ -144,7 +147,7 @@
         return index, count
 
     def unresponsive_ratio(self, now: float) -> float:
-        """Return the age over its target of the oldest attempt since which nothing at all was answered."""
+        """Return the largest age-to-target ratio of attempts since whose sending nothing was answered."""
         ages = [
             (now - sent_s) / target_s
             for _, sent_s, target_s in self.in_flight.values()
@@ -158,23 +161,25 @@
         return min(max(ages, default=0.0), MAX_AGE_RATIO)
 
     def _is_hung_by_abandoned_waits(self, now: float) -> bool:
-        """Return whether clients left too often, one after the other, without an answer to any of them.
+        """Return whether too many clients in sequence disconnected without receiving an answer.
 
-        It holds for a while after the last of them: then the next request shows whether it is still so.
+        The result stays true for `LATENCY_WINDOW_S` after the last of these waits; then the next request
+        shows whether the instance still hangs.
         """
         waits = self.abandoned_waits
         return waits.log_survival <= HUNG_LOG_SURVIVAL and now - waits.last_ended_s <= LATENCY_WINDOW_S
 
     def record_answer(self, now: float, first_bytes: FirstByteSurvival) -> None:
-        """Take in that an answer has begun: the instance does not hang, its abandoned waits were usual."""
+        """Record that an answer has begun: the instance does not hang, so its abandoned waits were normal."""
         self.last_response_s = now
         for ratio in self.abandoned_waits.clear():
             first_bytes.record_abandoned(ratio)
 
     def abandon(self, attempt: int, now: float, first_bytes: FirstByteSurvival) -> None:
-        """End an attempt whose client has left: what is known is that its answer had not begun.
+        """End an attempt whose client has disconnected before its answer began.
 
-        Race: a client that leaves takes the attempt with it that would have shown a hung instance.
+        The wait is kept as evidence, because otherwise a client that leaves would remove the very attempt
+        that shows a hung instance.
         """
         _, sent_s, target_s = self.in_flight.pop(attempt)
         if math.isinf(target_s):
@@ -187,22 +192,22 @@
             self.abandoned_wait = wait
 
     def _current_abandoned_wait(self, now: float) -> AbandonedWait | None:
-        """Return the longest abandoned wait, as long as nothing was answered since it began."""
+        """Return the longest recent abandoned wait if nothing was answered since it began."""
         wait = self.abandoned_wait
         if wait is None or wait.sent_s <= self.last_response_s or now - wait.ended_s > LATENCY_WINDOW_S:
             return None
         return wait
 
     def has_slot(self, in_flight: int, weight_sum: float) -> bool:
-        """Return whether its share of `in_flight` attempts is within its weight, out of `weight_sum`."""
+        """Return whether its fraction of `in_flight` attempts is within its fraction of `weight_sum`."""
         if weight_sum <= 0:
             return True
         return len(self.in_flight) < SLOT_HEADROOM * in_flight * self.weight / weight_sum + 1
 
     def utilisation(self, gateways: float, reporters: int) -> float | None:
-        """Return the part of its capacity in use: as it reports, else as its gateways' attempts say.
+        """Return the utilisation as reported, or else as estimated from the gateways' attempts.
 
-        All gateways count as like those that reported.  None without figures.
+        The estimate assumes that all gateways resemble those that reported. None if there is no data.
         """
         load_weight = self.load_weight + self.others.load_weight
         if load_weight >= MIN_LOAD_WEIGHT:
@@ -213,7 +218,7 @@
         return min(1.0, in_use / self.capacity)
 
     def observed(self) -> list[float]:
-        """Return what this gateway saw, for the others: the fields of `ObservedTotals`."""
+        """Return this gateway's totals for the other gateways, as the fields of `ObservedTotals`."""
         totals = ObservedTotals(
             served=self.served - PRIOR_SUCCESSES,
             failed=self.failed,
@@ -227,7 +232,7 @@
         return [round(max(0.0, each), 2) for each in totals]
 
     def decay(self, gap_s: float) -> None:
-        """Forget a part of everything, and take in what ended since the last tick."""
+        """Decay all estimators and include the attempts that ended since the last tick."""
         retained = math.exp(-gap_s / USE_WINDOW_S)
         self.requests_per_s = self.requests_per_s * retained + (self.served_since_tick / gap_s) * (
             1 - retained
--- a/brambleusher/loadbalancing/instance_weights.py
+++ b/brambleusher/loadbalancing/instance_weights.py
@@ -1,9 +1,9 @@
-"""Weights of a service's instances as one gateway sees them, on the design's path; pure.
+"""Weights of a service's instances as seen by one gateway; pure, with times in seconds.
 
-Some instances report their load with their answers, others report nothing.  For these a gateway derives
-utilisation from its own traffic and the capacity on the list: of so many slots, this gateway's share is used
-by its own attempts.  Spare capacity is throughput over utilisation times one minus utilisation.  From there
-on it is the path of `brambleusher/loadbalancing/weights.py`, with the same functions.  Times are seconds.
+Some instances report their load with their answers, others report nothing. For the latter a gateway estimates
+utilisation from its own attempts in flight and the listed capacity in slots. Spare capacity is throughput
+divided by utilisation, times one minus utilisation. From there on, weights are computed as in
+`brambleusher/loadbalancing/weights.py`, with the same functions.
 """
 
 from __future__ import annotations
@@ -28,14 +28,16 @@
 from brambleusher.loadbalancing.token_round_robin import WEIGHT_TOTAL
 from brambleusher.loadbalancing.weights import MIN_SPARE_FRACTION, final_weights
 
-OTHERS_FRESH_S = 3.0  # without news of the other gateways for so long, a gateway judges alone
-UNRESPONSIVE_RATIO = 0.6  # of a latency target: usual answers begin within a third
-FAIR_WEIGHT_DIVISOR = 4  # of an even weight: with less an instance is not worth going to for its cache
+# Seconds without totals from other gateways after which a gateway relies on its own alone.
+OTHERS_FRESH_S = 3.0
+UNRESPONSIVE_RATIO = 0.6  # fraction of a latency target; usual answers begin within a third of the target
+# An instance with less than an even weight divided by this is not chosen for its cache.
+FAIR_WEIGHT_DIVISOR = 4
 
 
 @dataclass(frozen=True, slots=True)
 class Mechanisms:
-    """Which parts of the path act; all of them in service."""
+    """Mechanisms of the weight computation that are enabled; by default all of them."""
 
     spare: bool = True
     latency_index: bool = True
@@ -46,24 +48,24 @@
 
 
 class InstanceWeights:
-    """Weights and tokens of one service's ready instances."""
+    """Keeps the weights and tokens of one service's ready instances."""
 
     def __init__(self, rng: random.Random, mechanisms: Mechanisms | None = None) -> None:
         self._rng = rng
         self._mechanisms = mechanisms or Mechanisms()
         self._instances: dict[str, InstanceMetrics] = {}
-        self._ring: list[InstanceMetrics] = []  # the ready ones, in the order of turns
+        self._ring: list[InstanceMetrics] = []  # ready instances in round-robin order
         self._next = 0
         self._attempts = 0
         self._first_bytes = FirstByteSurvival()
-        # Of the instances with figures; until there are any, as if all were full.
+        # Mean utilisation of the instances with data; 1 as long as there are none.
         self.mean_utilisation = 1.0
         self._ticked_s: float | None = None
         self._reporters = 0
-        self._reported_s = -math.inf  # when other gateways' totals came last
+        self._reported_s = -math.inf  # time of the latest totals of other gateways
 
     def set_instances(self, ready: Mapping[str, float]) -> None:
-        """Take the ready instances and their capacities; all others lose weight and tokens at once."""
+        """Set the ready instances and their capacities; all others lose weight and tokens at once."""
         for name, capacity in ready.items():
             if name in self._instances:
                 self._instances[name].capacity = capacity
@@ -86,10 +88,10 @@
     # --- own traffic -----------------------------------------------------------------------------
 
     def start_attempt(self, name: str, priority: int, target_s: float, now: float) -> int:
-        """Count an attempt that was sent.
+        """Record that an attempt was sent.
 
         Returns:
-            Its number, for `record_first_byte` and `finish_attempt`.
+            The attempt's number, for `record_first_byte` and `finish_attempt`.
         """
         self._attempts += 1
         instance = self._instances.get(name)
@@ -100,7 +102,7 @@
         return self._attempts
 
     def record_first_byte(self, name: str, attempt: int, now: float) -> None:
-        """Count the latency of an answer that has begun."""
+        """Record the latency of an answer that has begun."""
         instance = self._instances.get(name)
         if instance is None or attempt not in instance.in_flight:
             return
@@ -113,7 +115,7 @@
         instance.in_flight[attempt] = InFlight(priority, now, math.inf)
 
     def finish_attempt(self, name: str, attempt: int, has_succeeded: bool | None) -> None:
-        """End an attempt: with success, as a failure, or (None) with nothing to say of the instance."""
+        """Record the end of an attempt: success, failure, or (None) no evidence about the instance."""
         instance = self._instances.get(name)
         if instance is None or instance.in_flight.pop(attempt, None) is None:
             return
@@ -123,19 +125,19 @@
         instance.served_since_tick += bool(has_succeeded)
 
     def abandon_attempt(self, name: str, attempt: int, now: float) -> None:
-        """End an attempt because its client has left."""
+        """Record the end of an attempt whose client has disconnected."""
         instance = self._instances.get(name)
         if instance is not None and attempt in instance.in_flight:
             instance.abandon(attempt, now, self._first_bytes)
 
     def record_connect_failure(self, name: str) -> None:
-        """Count a connection to an instance that failed."""
+        """Record a failed connection to an instance."""
         instance = self._instances.get(name)
         if instance is not None:
             instance.failed += 1
 
     def record_load(self, name: str, running: float, waiting: float, slots: float) -> None:
-        """Take in the load that an instance reported with an answer."""
+        """Record the load that an instance reported with an answer."""
         instance = self._instances.get(name)
         if instance is not None and self._mechanisms.reported_load:
             instance.load = min(MAX_LOAD, (running + waiting) / max(slots, 1.0))
@@ -144,12 +146,12 @@
     # --- other gateways --------------------------------------------------------------------------
 
     def export_totals(self) -> dict[str, list[float]]:
-        """Return what this gateway saw lately, by instance."""
+        """Return this gateway's recent totals by instance."""
         totals = {instance.name: instance.observed() for instance in self._instances.values()}
         return {name: each for name, each in totals.items() if any(each)}
 
     def import_totals(self, reporters: int, totals: Mapping[str, Sequence[float]], now: float) -> None:
-        """Take in what `reporters` other gateways saw, added up."""
+        """Set the totals over `reporters` other gateways."""
         self._reporters = reporters
         self._reported_s = now
         for instance in self._instances.values():
@@ -163,7 +165,7 @@
     # --- weights ---------------------------------------------------------------------------------
 
     def recompute(self, now: float, gateways: float) -> None:
-        """Recompute the weights, where it is time to."""
+        """Recompute the weights if the last update is at least `TICK_S` old."""
         if self._ticked_s is None:
             self._ticked_s = now
         gap_s = now - self._ticked_s
@@ -196,17 +198,17 @@
             instance.tokens = min(instance.tokens, math.ceil(weight * tokens_per_weight))
 
     def _throughput_per_slot(self) -> float:
-        """Return requests a second that one slot serves, over all instances.
+        """Return the requests per second that one slot serves, over all instances.
 
-        An instance's own figure would say what kinds of requests it has got, rather than what it can do: one
-        that caches long prompts looks ten times as slow as its neighbours.
+        The throughput of a single instance depends on the kinds of its requests rather than on its capacity:
+        one that caches long prompts looks ten times as slow as the others.
         """
         in_use = sum(instance.mean_in_flight + instance.others.in_use for instance in self._ring)
         rate = sum(instance.requests_per_s + instance.others.requests_per_s for instance in self._ring)
         return rate / in_use if in_use > 0 and rate > 0 else 1.0
 
     def _spare(self, instance: InstanceMetrics, throughput: float, gateways: float) -> float | None:
-        """Return requests a second that an instance could take beside what it does; None without figures."""
+        """Return an instance's spare capacity in requests per second; None if its utilisation is unknown."""
         utilisation = instance.utilisation(gateways, self._reporters)
         if utilisation is None:
             return None
@@ -214,14 +216,14 @@
         return 0.0 if 1.0 - utilisation < MIN_SPARE_FRACTION else spare
 
     def has_fair_weight(self, name: str) -> bool:
-        """Return whether an instance has a fair part of the weight: its prefix cache is worth going to."""
+        """Return whether an instance has enough weight to be chosen for its prefix cache."""
         instance = self._instances.get(name)
         if instance is None:
             return False
         return instance.weight * len(self._ring) >= WEIGHT_TOTAL / FAIR_WEIGHT_DIVISOR
 
     def is_unresponsive(self, name: str, now: float) -> bool:
-        """Return whether an instance is passed over, since nothing has been answered there for long."""
+        """Return whether an instance is skipped because it has not answered anything for too long."""
         instance = self._instances.get(name)
         return instance is not None and self._is_unresponsive(instance, now)
 
@@ -231,7 +233,7 @@
         return len(instance.in_flight) if instance is not None else 0
 
     def weights(self) -> dict[str, float]:
-        """Return the weights, for operators."""
+        """Return the weights by instance for operators."""
         return {instance.name: round(instance.weight, 2) for instance in self._ring}
 
     # --- spending tokens -------------------------------------------------------------------------
@@ -239,17 +241,19 @@
     def choose(
         self, candidates: Sequence[str], now: float, among_few: bool = False, first: Collection[str] = ()
     ) -> str | None:
-        """Spend a token of a candidate, in round robin.
+        """Choose a candidate in round-robin order and spend one of its tokens.
 
-        With `among_few` the candidates are all that this gateway uses as a rule: their tokens are reloaded
-        once they are spent, whatever others hold.  The turn begins at those named `first`.
+        With `among_few`, the candidates are all instances that this gateway normally uses: their tokens are
+        reloaded once they are spent, even if other instances still have some. Instances named in `first` are
+        tried first.
 
-        Open case of the design: the candidates have no tokens while others have some.  Then the one that is
-        least occupied for its weight is borrowed from, and no token is reloaded: others keep their turn.
+        If the candidates have no tokens while other instances have some, the candidate with the fewest
+        attempts in flight relative to its weight is chosen without reloading tokens, so that the others keep
+        their turns.
 
-        An instance that holds more of the attempts in flight than its weight explains is passed over and
-        keeps its token: own attempts in flight show at once what figures show late, that it has slowed down
-        or hangs. So is one that has been unresponsive for most of a latency target.
+        An instance with more attempts in flight than its weight justifies is skipped and keeps its token: own
+        attempts in flight show at once that it has slowed down or hangs, whereas reported metrics show it
+        late. An instance that has been unresponsive for most of a latency target is skipped as well.
         """
         names = set(candidates)
         eligible = [instance for instance in self._ring if instance.name in names]
@@ -266,7 +270,7 @@
         return self._borrow(eligible, now)
 
     def _load(self, instances: Sequence[InstanceMetrics]) -> None:
-        """Give instances their latest weight in tokens; fractions are carried over."""
+        """Load the instances' tokens from their latest weights; fractions are carried over."""
         tokens_per_weight = len(self._ring) / WEIGHT_TOTAL
         for instance in instances:
             instance.token_credit += instance.weight * tokens_per_weight
@@ -275,7 +279,7 @@
             instance.tokens = max(instance.tokens, new_tokens)
 
     def _in_turn(self, names: Collection[str], in_flight: int, weight_sum: float, now: float) -> str | None:
-        """Take a token of the next of these in the ring that has one, a slot, and is not unresponsive."""
+        """Spend a token of the next named instance that has one, has a slot and is responsive."""
         for step in range(len(self._ring)):
             index = (self._next + step) % len(self._ring)
             instance = self._ring[index]
@@ -294,7 +298,7 @@
         return self._mechanisms.unresponsive and instance.unresponsive_ratio(now) >= UNRESPONSIVE_RATIO
 
     def _borrow(self, candidates: Iterable[InstanceMetrics], now: float) -> str | None:
-        """Return the least occupied; those without weight come last, and all-zero ones count as equal."""
+        """Return the candidate with the fewest attempts per weight; those without weight come last."""
         least = min(
             candidates,
             key=lambda instance: (
--- a/brambleusher/loadbalancing/json_values.py
+++ b/brambleusher/loadbalancing/json_values.py
@@ -1,24 +1,24 @@
-"""Plain values as JSON values and back: infinities and tuples, which JSON does not have, included."""
+"""Converts plain values to JSON values and back, including infinities and tuples, which JSON lacks."""
 
 from __future__ import annotations
 
 import math
 from typing import Final
 
-_FLOAT, _TUPLE = "f", "t"  # the only keys of the objects that stand for what JSON does not have
-# What reading a record that was cut or made up may lead to.
+_FLOAT, _TUPLE = "f", "t"  # single keys of the objects that encode values without a JSON equivalent
+# Exceptions that reading a truncated or forged record may raise.
 MALFORMED: Final = (ArithmeticError, AttributeError, LookupError, RuntimeError, TypeError, ValueError)
 
 
 class StateError(ValueError):
-    """A saved state, or saved settings, that this version cannot continue from."""
+    """A saved state, or saved settings, that this version cannot restore."""
 
 
 def plain(value: object) -> object:
-    """Return a JSON value for a value without references.
+    """Return the JSON value of a plain value, which must not contain hosts or requests.
 
     Raises:
-        StateError: The value, or one in it, is of a type that cannot be saved.
+        StateError: The value, or one nested in it, has a type that cannot be saved.
     """
     if value is None or type(value) in (str, int, bool):
         return value
@@ -32,10 +32,10 @@
 
 
 def unplain(value: object) -> object:
-    """Return the value that `plain` was given.
+    """Return the value that was passed to `plain`, from its result.
 
     Raises:
-        StateError: The value has an object of an unknown kind.
+        StateError: The value contains an object of an unknown kind.
     """
     if isinstance(value, list):
         return [unplain(item) for item in value]
--- a/brambleusher/loadbalancing/locality_weights.py
+++ b/brambleusher/loadbalancing/locality_weights.py
@@ -1,4 +1,4 @@
-"""Weights as proxies take them: whole numbers, in localities, in priorities without a gap."""
+"""Converts weights to the form that proxies accept: integers by locality, in contiguous priorities."""
 
 from __future__ import annotations
 
@@ -8,14 +8,15 @@
 from brambleusher.loadbalancing.api import HostState
 from brambleusher.loadbalancing.fleet_balancer import HostStatus
 
-MEAN_WEIGHT = 100  # of ready nodes: fine enough to tell a tenth, small enough to be few bytes
-MAX_WEIGHT = 10_000  # guards against one node's weight drowning the others' in the sums of 32 bits
-MIN_STEP = 0.05  # of the way to a weight: a zone in full use still follows
+MEAN_WEIGHT = 100  # mean weight of ready nodes: resolves differences of a tenth and still needs few bytes
+MAX_WEIGHT = 10_000  # upper bound, so that one node's weight does not dominate the 32-bit sums
+# Minimum fraction of the remaining difference per step, so that a fully used zone still adapts.
+MIN_STEP = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointWeight:
-    """One node's weight: 0 leaves it out though it is ready; one that drains has 0 as well."""
+    """Weight of one node; 0 excludes a ready node, and a draining node always has 0."""
 
     host: str
     zone: str
@@ -25,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LocalityWeights:
-    """A locality: the nodes of one zone in one priority, 0 first; `weight` is the sum of theirs."""
+    """The nodes of one zone with their priority (0 is the highest); `weight` is the sum of theirs."""
 
     priority: int
     zone: str
@@ -34,23 +35,23 @@
 
 
 class WeightDamper:
-    """Follows weights in steps, for those who go by weights alone.
+    """Damps changes of weights for proxies that rely on weights alone.
 
-    Weights go by the spare capacity of nodes.  A sidecar's own attempts in flight correct them at once;
-    proxies follow them blindly until the next ones come.  At a utilisation of u, a weight that is too high
-    by a fraction takes off u / (1 - u) times that fraction of the node's spare: above half use each step
-    would undo more than the last one did, and the whole zone would swing.  A step of 1 - u of the way lands
-    where it should; half of that leaves a margin for reports that are late.  A weight of 0 holds at once.
+    Weights depend on the spare capacity of nodes. A sidecar's own attempts in flight correct them at once,
+    but proxies follow them blindly until the next update. At a utilisation of u, a weight that is too high by
+    a fraction reduces the node's spare capacity by u / (1 - u) times that fraction: above u = 0.5 each step
+    would overcorrect the previous one and the whole zone would oscillate. A step of 1 - u of the difference
+    would be exact; half of that leaves a margin for late reports. A weight of 0 takes effect at once.
     """
 
     def __init__(self) -> None:
-        self._damped: dict[str, float] = {}  # by host, as fractions of the mean weight
+        self._damped: dict[str, float] = {}  # damped weight by host, as a multiple of the mean weight
 
     def follow(self, host_statuses: Iterable[HostStatus], step: bool) -> list[HostStatus]:
-        """Return the statuses with damped weights; without `step` only hosts that come and go matter."""
+        """Return the statuses with damped weights; without `step` only added and removed hosts change."""
         statuses = list(host_statuses)
         fraction = _step_fraction(statuses) if step else 0.0
-        # As fractions of the mean weight, which are the same however many nodes come and go.
+        # Relative to the mean weight, so that values don't depend on the number of nodes.
         ready = sum(each.state is HostState.READY for each in statuses)
         mean = sum(each.weight for each in statuses) / ready if ready else 1.0
         damped = {}
@@ -66,24 +67,24 @@
 
 
 def _step_fraction(statuses: Sequence[HostStatus]) -> float:
-    """Return how far of the way to the weights one step goes."""
+    """Return the fraction of the difference to the weights that one step covers."""
     reported = [each.utilisation for each in statuses if each.utilisation is not None]
     return max(MIN_STEP, (1 - sum(reported) / len(reported)) / 2) if reported else 1.0
 
 
 class WeightRounder:
-    """Rounds weights to whole numbers that stay where they are until the weight has really moved.
+    """Rounds weights to integers with hysteresis: a result changes only if the weight has moved enough.
 
-    Guards against a push to every proxy for each small change of the load.
+    Without hysteresis every small change of load would cause a push to all proxies.
     """
 
     def __init__(self, change: float) -> None:
-        """Start; `change` is the fraction of a weight by which it must have moved."""
+        """Initialize; `change` is the relative change of a weight below which the old value is kept."""
         self._change = change
         self._last: dict[str, int] = {}
 
     def round(self, host_statuses: Iterable[HostStatus]) -> list[EndpointWeight]:
-        """Return the nodes' weights, in the order given; `MEAN_WEIGHT` is the mean of the ready ones."""
+        """Return the nodes' weights in the given order; the mean of the ready nodes is `MEAN_WEIGHT`."""
         statuses = list(host_statuses)
         ready = [each for each in statuses if each.state is HostState.READY]
         total = sum(each.weight for each in ready)
@@ -109,10 +110,10 @@
 def group_by_locality(
     endpoints: Sequence[EndpointWeight], order: Sequence[Sequence[str]]
 ) -> list[LocalityWeights]:
-    """Return endpoints by zone; `order` names the zones of each priority, zones without one come last.
+    """Return endpoints grouped by zone; `order` lists the zones of each priority, other zones come last.
 
-    A priority in which no node may be used would leave a gap, which proxies reject: it is closed up, and its
-    nodes (those that drain) go along with the first one that is used.
+    A priority without usable nodes would leave a gap, which proxies reject. Priorities are therefore
+    renumbered, and the nodes of such a priority, which are all draining or excluded, are put into priority 0.
     """
     rank = {zone: number for number, zones in enumerate(order) for zone in zones}
     by_zone: dict[str, list[EndpointWeight]] = {}
--- a/brambleusher/loadbalancing/outlier_detection.py
+++ b/brambleusher/loadbalancing/outlier_detection.py
@@ -1,8 +1,8 @@
-"""Outlier detection: what the end of an attempt says of its host, and which attempts are lost.
+"""Outlier detection: updates the health of hosts from attempt outcomes and finds lost attempts.
 
-Source: z/OS Workload Manager Sysplex Routing Services: health is the served share of recent attempts, with
-rejections, errors, time-outs and failed connections counted as failures.  Ours: a host that can't be
-connected to, or rejects, is ejected for a while, and a rejection does not cost health.
+Source: z/OS Workload Manager Sysplex Routing Services: health is the served fraction of recent attempts, with
+rejections, errors, timeouts and failed connections counted as failures. Unlike there, a host that rejects
+attempts or connections is ejected for a while, and a rejection does not reduce health.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from brambleusher.loadbalancing.traffic import TrafficStatistics
 from brambleusher.loadbalancing.windows import Decay
 
-# Times the usual answer's time, of its class and of its host: an attempt so old and overtaken is lost.
+# An overtaken attempt older than this multiple of the mean latency, of its class and of its host, is lost.
 WRITE_OFF_TIMES = 2.5
-MIN_HOST_ANSWERS = 0.1  # under it a host's mean latency is noise
+MIN_HOST_ANSWERS = 0.1  # lower bound of the count of answers; below it a host's mean latency is noise
 
 
 class OutlierDetector:
-    """Health of hosts, and how many attempts met no host or no answer lately."""
+    """Updates the health of hosts and counts recent connect failures and timeouts."""
 
     def __init__(
         self,
@@ -39,21 +39,21 @@
         self.timeouts = 0.0
 
     def decay(self, decay: Decay) -> None:
-        """Forget a part of the counts."""
+        """Decay the counts."""
         self.connect_failures *= decay.health
         self.timeouts *= decay.health
 
     def record_outcome(
         self, host: Host, class_index: int, status: AttemptStatus, latency_ns: int, now: int
     ) -> None:
-        """Learn from an attempt's end; late answers of ended requests teach as well."""
+        """Record the outcome of an attempt, also if its request has ended before."""
         if status is AttemptStatus.OK:
             host.served += 1
             self._traffic.served += 1
             self.record_ratio(host, class_index, latency_ns / self._goals_ns[class_index])
             self._traffic.record_answer(class_index, latency_ns)
         elif status is AttemptStatus.TIMEOUT:
-            # A client that left before the goal says no more than that the answer took longer.
+            # If the client left before the goal, it is only known that the answer took longer.
             goal_ns = self._goals_ns[class_index]
             host.failed += latency_ns >= goal_ns
             self.record_ratio(host, class_index, latency_ns / goal_ns)
@@ -63,32 +63,33 @@
             host.failed += 1
             self.record_ratio(host, class_index, MISSED_RATIO)
             if status is AttemptStatus.CONNECT_FAILED:
-                # Down, cut off or out of connections: not over at once.  A host that fails fast has little in
-                # flight and would draw turns; one attempt a target is the trickle that finds it healthy
-                # again.
+                # The host is down, unreachable or out of connections, which takes a while to recover. A host
+                # that fails quickly has few attempts in flight and would get many turns. One attempt per
+                # latency target is enough to find out when it works again.
                 host.ejected_until_ns = now + self._unit_ns
                 self.connect_failures += 1
 
     def record_ratio(self, host: Host, class_index: int, ratio: float) -> None:
-        """Count one latency over its goal, to the host's index and to the fleet's."""
+        """Add the ratio of a latency to its goal to the host's index and to the fleet's count."""
         host.latency_counts[class_index] += 1
         host.latency_ratio_totals[class_index] += min(ratio, MAX_RATIO)
         self._admission.outcomes += 1
 
     def _record_rejection(self, host: Host, now: int) -> None:
-        """Eject a host that rejects for up to a target.
+        """Eject a rejecting host for up to one latency target.
 
-        No wait, but no capacity either: the admission limit sees it.  The health does not: a full host is
-        healthy, and cutting it fills the next one.
+        A rejection causes no wait but shows a lack of capacity, so admission control counts it. Health does
+        not count it: a full host is healthy, and sending it less would only fill the next one.
         """
         host.rejected += 1
         host.ejected_until_ns = now + int(self._unit_ns * (1 - host.acceptance))
         self._admission.record_rejection()
 
     def overtaken_attempts(self, host: Host, now: int) -> list[AttemptKey]:
-        """Return a host's attempts that later ones have overtaken, and that are older than usual answers.
+        """Return a host's attempts that later ones have overtaken and that are older than usual answers.
 
-        Guards against connections that fall silent: a queue answers in order.
+        Such attempts are lost, probably on a connection that was dropped silently, since a queue answers in
+        order.
         """
         overtaken = []
         overtaken_ns = host.newest_answered_ns[0]
@@ -106,7 +107,7 @@
 
 
 def record_answered(host: Host, sent_ns: int) -> None:
-    """Remember when an attempt was sent that was answered, if few were sent later."""
+    """Keep the send time of an answered attempt if it is among the latest ones."""
     if sent_ns > host.newest_answered_ns[0]:
         host.newest_answered_ns[0] = sent_ns
         host.newest_answered_ns.sort()
--- a/brambleusher/loadbalancing/performance_index.py
+++ b/brambleusher/loadbalancing/performance_index.py
@@ -1,7 +1,7 @@
-"""The performance index (PI): latency over its goal, by host.
+"""The performance index (PI) of a host: the ratio of latency to its goal.
 
-Source: z/OS Workload Manager Sysplex Routing Services: a server's aggregated PI is count-weighted over the
-most important classes until 75% of the counts are covered; importance here goes by a class's value.
+Source: z/OS Workload Manager Sysplex Routing Services: a server's aggregated PI is weighted by counts over
+the most important classes until 75% of the counts are covered. Here the importance of a class is its value.
 """
 
 from __future__ import annotations
@@ -11,24 +11,26 @@
 from brambleusher.loadbalancing import api
 from brambleusher.loadbalancing.hosts import Host
 
-PI_GOAL = 1.0  # above it a weight is cut
-PI_ZERO = 1.5  # above it a weight is nothing
-IMPORTANT_FRACTION = 0.75  # of the counts, that the most important classes have to cover
+PI_GOAL = 1.0  # PI above which a weight is reduced
+PI_ZERO = 1.5  # PI above which a weight is 0
+IMPORTANT_FRACTION = 0.75  # fraction of the counts that the most important classes have to cover
 
-# The index is a mean, and answers spread about as widely as their mean: a mean at half the latency target
-# already makes one answer in seven late (e^-2), so half the target is the goal of the index.
+# The index is a mean, and latencies are spread about as widely as their mean: with a mean at half the latency
+# target, already one answer in seven is late (e^-2). Therefore the goal of the index is half the target.
 GOAL_PER_TARGET = 0.5
-MAX_RATIO = 2 / GOAL_PER_TARGET  # the most that one attempt says; a few that are never answered are no crowd
-MISSED_RATIO = 1 / GOAL_PER_TARGET  # of an attempt that was not served: its target is missed
-MIN_COUNT = 0.01  # of answers: under it their mean is noise
-OLDEST_LOOKED_AT = 6  # attempts in flight at a host: bounds the work of a tick
+# Upper bound of one attempt's contribution, since a few attempts without an answer are no overload.
+MAX_RATIO = 2 / GOAL_PER_TARGET
+MISSED_RATIO = 1 / GOAL_PER_TARGET  # ratio of an attempt that was not served, which has missed its target
+MIN_COUNT = 0.01  # count of answers below which their mean is noise
+# Maximum number of attempts in flight examined per host, which bounds the cost of a tick.
+OLDEST_LOOKED_AT = 6
 
 
 def aggregate_pi(index: list[float], count: list[float], by_importance: Sequence[int]) -> tuple[float, float]:
     """Aggregate the PI of classes, the most important first in `by_importance`.
 
     Returns:
-        The PI and the count it rests on.
+        The PI and the count on which it is based.
     """
     total = sum(count)
     needed = total * IMPORTANT_FRACTION
@@ -43,21 +45,21 @@
 
 
 class PerformanceIndex:
-    """The index of hosts under the latency targets of the settings."""
+    """Computes the index of hosts from the latency targets in the settings."""
 
     def __init__(self, classes: Sequence[api.RequestClass]) -> None:
         self.goals_ns = [each.latency_target_ns * GOAL_PER_TARGET for each in classes]
         self._by_importance = sorted(range(len(classes)), key=lambda index: (-classes[index].value, index))
 
     def of_host(self, host: Host, now: int) -> float:
-        """Return the aggregated PI, with the age of attempts in flight: a hung host sends no answers."""
+        """Return the aggregated PI with the age of attempts in flight, since a hung host sends no answers."""
         means = [
             total / count if count > MIN_COUNT else 0.0
             for total, count in zip(host.latency_ratio_totals, host.latency_counts, strict=True)
         ]
         index, count = aggregate_pi(means, host.latency_counts, self._by_importance)
         total = index * count
-        seen = count + 1.0  # one sample of prior: evidence fades, the host comes back
+        seen = count + 1.0  # one prior sample, so that a host recovers as its evidence decays
         goals_ns = self.goals_ns
         for looked_at, (request, sent_ns) in enumerate(host.in_flight.values()):
             ratio = min((now - sent_ns) / goals_ns[request.class_index], MAX_RATIO)
--- a/brambleusher/loadbalancing/retry_policy.py
+++ b/brambleusher/loadbalancing/retry_policy.py
@@ -1,7 +1,7 @@
-"""Whether an attempt may follow another: retries, and hedged requests beside attempts in flight.
+"""Retry policy: whether to retry a request, or to hedge it beside attempts in flight.
 
-The rules come from the class of the request (idempotency, deduplication) and `max_attempts`; the budget for
-all work that is done again is in `retry_budget`.
+The rules depend on the class of the request (idempotency, deduplication) and on `max_attempts`;
+`retry_budget` keeps the budget for all repeated work.
 """
 
 from __future__ import annotations
@@ -13,13 +13,14 @@
 from brambleusher.loadbalancing.retry_budget import RetryBudget
 from brambleusher.loadbalancing.traffic import TrafficStatistics
 
-# An attempt that ended so was not begun by any host.
+# Statuses of attempts that no host has begun to execute.
 NEVER_RAN = frozenset({AttemptStatus.OVERLOADED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_STARTED})
-PROMPT_RETRY_DIVISOR = 4  # of the shortest latency target, in which a rejected client may ask again
+# Without overload a rejected client may retry after the shortest latency target divided by this.
+PROMPT_RETRY_DIVISOR = 4
 
 
 class RetryPolicy:
-    """The rules on further attempts of one request, and the budget for those of all."""
+    """Applies the rules for further attempts of a request and the retry budget of the balancer."""
 
     def __init__(
         self, settings: api.Settings, unit_ns: int, traffic: TrafficStatistics, admission: AdmissionControl
@@ -31,7 +32,7 @@
         self.budget = RetryBudget(len(settings.classes))
 
     def may_attempt_again(self, request: Request, now: int) -> bool:
-        """Return whether one more attempt keeps the rule on idempotency; any in flight may yet run."""
+        """Return whether the idempotency rules allow one more attempt; attempts in flight may still run."""
         if len(request.attempts) >= self._settings.max_attempts or request.deadline_ns <= now:
             return False
         if request.is_body_streamed:
@@ -42,14 +43,14 @@
         may_run = request.may_have_run or request.unfinished
         if request_class.idempotency is not Idempotency.KEYED or not may_run:
             return request_class.idempotency is Idempotency.SAFE or not may_run
-        # Keyed: the retry has to arrive, connection and all, while its group still remembers the key.
+        # A keyed retry, including its connect, has to arrive while the hosts still remember the key.
         if request.first_run_host is None:
             request.first_run_host, request.first_run_ns, _ = request.attempts[-1]
         arrives_ns = now + 2 * self._settings.connect_timeout_ns
         return arrives_ns < request.first_run_ns + request_class.deduplication_window_ns
 
     def can_afford_retry(self, status: AttemptStatus, costs_work: bool) -> bool:
-        """Return whether the budget allows a retry after an attempt that ended so."""
+        """Return whether the budget allows a retry after an attempt that ended with `status`."""
         if status is AttemptStatus.NOT_STARTED:
             return False
         if costs_work:
@@ -62,14 +63,15 @@
         return has_capacity and not self._admission.is_overloaded and self.budget.has_tokens
 
     def charge_retry(self, costs_work: bool) -> None:
-        """Take a retry from the budget; what no host worked on is free, unless there is overload."""
+        """Charge the budget for a retry, which is free if no host worked on it and there is no overload."""
         if costs_work or self._admission.is_overloaded:
             self.budget.withdraw()
 
     def is_too_late_to_connect(self, request: Request, now: int) -> bool:
-        """Return whether a connect that fails would end past half of the time of one that reached no host.
+        """Return whether a failing connect would end after half the time of a request that reached no host.
 
-        Guards against clients kept waiting for hosts that take no connection: they could ask elsewhere.
+        Such a request is given up early enough for its client to retry elsewhere, instead of waiting for
+        hosts that accept no connections.
         """
         if request.has_reached_host or now > request.half_time_ns:
             return False
@@ -80,7 +82,7 @@
         return request.half_time_ns < now + timeout_ns
 
     def is_rejection_harmless(self, request: Request) -> bool:
-        """Return whether its client may ask again for a request that was not answered."""
+        """Return whether the client may safely retry a request that was not answered."""
         request_class = self._settings.classes[request.class_index]
         if request_class.idempotency is Idempotency.SAFE or not (request.may_have_run or request.unfinished):
             return True
@@ -88,9 +90,9 @@
         return is_keyed and request_class.deduplication_scope is DeduplicationScope.ALL
 
     def retry_after_ns(self, is_crowded: bool) -> int:
-        """Return when a rejected client should come back: as late as can be said where there is a crowd.
+        """Return after how many nanoseconds a rejected client should retry: the maximum under overload.
 
-        Guards against clients that ask again at once for what was just given up.
+        Otherwise clients would repeat rejected requests at once.
         """
         most = self._settings.max_retry_after_ns
         return most if is_crowded else min(self._unit_ns // PROMPT_RETRY_DIVISOR, most)
--- a/brambleusher/loadbalancing/settings.py
+++ b/brambleusher/loadbalancing/settings.py
@@ -1,6 +1,6 @@
-"""The start-up object, checked and turned into `Settings`, for the simulator adapter and the sidecar.
+"""Parses and validates the settings object for the simulator adapter and the sidecar.
 
-The keys are those of the operators' pages; they keep their names whatever the attributes are called.
+The keys are documented for operators; they stay unchanged even if the attributes are renamed.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 
 
 class SettingsError(ValueError):
-    """A setting that cannot be used; the message names its key."""
+    """A setting is missing or invalid; the message names its key."""
 
 
 def parse_settings(raw: object) -> api.Settings:
-    """Return settings from the start-up object, decoded or still JSON text; unknown keys are skipped.
+    """Return the settings from a decoded object or from JSON text; unknown keys are ignored.
 
     Raises:
-        SettingsError: A setting is missing or cannot be used.
+        SettingsError: A setting is missing or invalid.
     """
     if isinstance(raw, str):
         try:
@@ -106,7 +106,7 @@
 
 
 def _section(raw: JsonObject, key: str) -> JsonObject:
-    """Return an object within the settings; absent ones count as empty."""
+    """Return a nested object of the settings; an absent one counts as empty."""
     value = raw.get(key)
     if value is not None and not isinstance(value, dict):
         raise SettingsError(f"setting {key} is not an object")
@@ -132,7 +132,7 @@
 
 
 def _connection_price(fees: JsonObject) -> float:
-    """Return what a new connection costs: its own price and that of its handshake."""
+    """Return the price of a new connection including its handshake."""
     return _default(fees, "connection", "fees.", 0.0) + _default(fees, "handshake", "fees.", 0.0)
 
 
