--- a/brambleusher/loadbalancing/settings_codec.py
+++ b/brambleusher/loadbalancing/settings_codec.py
@@ -1,6 +1,7 @@
-"""Settings of the balancer as JSON values and back, as captures and states handed to a successor have them.
+"""Encodes balancer settings as JSON values and decodes them, for captures and transferred states.
 
-The keys are a stored form: the tables below map them to the attributes, which may be renamed.
+The keys are a stored format that must not change; the tables below map them to attributes, which may be
+renamed.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 from brambleusher.loadbalancing import api
 from brambleusher.loadbalancing.json_values import MALFORMED, StateError, plain, unplain
 
-# Stored key -> attribute, in the order in which they are written.
+# Each table maps stored keys to attributes, in the order in which they are written.
 ZONE_RULES_KEYS: Final = {
     "neighbours": "neighbours",
     "spill": "spill_rate",
@@ -71,19 +72,19 @@
     "zones": "zone_rules",
 }
 
-_SECTIONS: Final = frozenset({"classes", "tenants", "zones"})  # keys whose values are records of their own
+_SECTIONS: Final = frozenset({"classes", "tenants", "zones"})  # keys whose values are nested records
 
 
 def save_rules(rules: api.ZoneRules | None) -> dict[str, Any] | None:
-    """Return rules on zones as JSON values."""
+    """Return zone rules as JSON values."""
     return None if rules is None else _record(rules, ZONE_RULES_KEYS)
 
 
 def restore_rules(raw: object) -> api.ZoneRules | None:
-    """Return the rules that `save_rules` was given.
+    """Return the zone rules from the output of `save_rules`.
 
     Raises:
-        StateError: They are not this version's, or cannot be read.
+        StateError: The rules have another version's fields, or cannot be read.
     """
     if raw is None:
         return None
@@ -115,10 +116,10 @@
 
 
 def restore_settings(raw: object) -> api.Settings:
-    """Return the settings that `save_settings` was given.
+    """Return the settings from the output of `save_settings`.
 
     Raises:
-        StateError: They are not this version's, or cannot be read.
+        StateError: The settings have another version's fields, or cannot be read.
     """
     if not isinstance(raw, Mapping):
         raise StateError(f"the settings are no object but a {type(raw).__name__}")
--- a/brambleusher/loadbalancing/simulator_adapter.py
+++ b/brambleusher/loadbalancing/simulator_adapter.py
@@ -1,7 +1,7 @@
-"""Simulator adapter: translates between the simulator's lines and the events and actions of the balancer.
+"""Simulator adapter: translates between the simulator's lines and the balancer's events and actions.
 
-It decides nothing.  Run it with ``python -m brambleusher.loadbalancing.simulator_adapter``: it reads batches
-on standard input, writes replies on standard output and exits when the input ends.
+It makes no decisions. Run it with ``python -m brambleusher.loadbalancing.simulator_adapter``: it reads
+batches from standard input, writes replies to standard output and exits at the end of the input.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 from brambleusher.loadbalancing.balancer import Balancer
 from brambleusher.loadbalancing.settings import parse_settings
 
-MAX_QUOTED_CHARS = 200  # of a line in an error message
-GC_THRESHOLDS = (100_000, 50, 50)  # records are acyclic and short-lived: rare collections suffice
+MAX_QUOTED_CHARS = 200  # maximum length of a quoted line in an error message
+GC_THRESHOLDS = (100_000, 50, 50)  # records are acyclic and short-lived, so infrequent collections suffice
 
 Fields = dict[str, str]
 
@@ -33,12 +33,12 @@
     "FAILED": api.ListKind.FAILED,
 }
 _ATTEMPT_STATUSES = {status.value: status for status in api.AttemptStatus}
-_IGNORED_EVENTS = frozenset({"peer_data"})  # they carry nothing that the balancer uses
+_IGNORED_EVENTS = frozenset({"peer_data"})  # events without data that the balancer uses
 _NO_TENANT = (None, "0")
 
 
 class SimulatorLineError(ValueError):
-    """A line that cannot be used; the message quotes it."""
+    """An invalid line; the message quotes it."""
 
 
 # --- lines ----------------------------------------------------------------------------------
@@ -53,7 +53,7 @@
 
 
 def parse_report(text: str | None, fields: tuple[str, ...]) -> api.LoadReport | None:
-    """Return a load report; values that make no sense are left out, never guessed."""
+    """Return a load report; invalid values become None."""
     if not text:
         return None
     values = dict(zip(fields, text.split(","), strict=False))
@@ -82,7 +82,7 @@
 
 
 def format_action(who: str, action: api.Action) -> str:
-    """Return one action as its line."""
+    """Return the output line of an action for one instance."""
     match action:
         case api.StartAttempt(request, host, timeout_ns):
             line = f"relay\twho={who}\top_id={request}\thost={host}"
@@ -109,10 +109,10 @@
 
 
 class Adapter:
-    """Hosts one `Balancer` per instance named by the simulator; the instances share nothing."""
+    """Runs one independent `Balancer` per instance named by the simulator."""
 
     def __init__(self, write_warning: Callable[[str], None]) -> None:
-        """Start without instances; `write_warning` takes lines for people, once for each unknown event."""
+        """Initialize without instances; `write_warning` gets one message per unknown event name."""
         self._write_warning = write_warning
         self._instances: dict[str, Balancer] = {}
         self._report_fields: dict[str, tuple[str, ...]] = {}  # by instance
@@ -182,7 +182,7 @@
     # --- lines ----------------------------------------------------------------------------------
 
     def _handle_line(self, line: str, lines: Iterator[str], now: int) -> list[str]:
-        """Return the replies to one line; an endpoint list takes further ones from `lines`."""
+        """Return the replies to one line; an endpoint list consumes further lines from `lines`."""
         name = line.split("\t", 1)[0]
         if name == "register":
             self._register_list(_fields(line), lines)
@@ -217,10 +217,10 @@
         return [format_action(who, action) for action in balancer.start(now)]
 
     def run(self, source: TextIO, sink: TextIO) -> None:
-        """Answer batch after batch until the input ends.
+        """Process batches until the input ends.
 
         Raises:
-            SimulatorLineError: A line, or the settings in it, cannot be used.
+            SimulatorLineError: A line, or the settings in it, are invalid.
         """
         lines = iter(source)
         for raw in lines:
@@ -250,7 +250,7 @@
 
 
 def main() -> int:
-    """Serve standard input; non-zero if a line could not be used."""
+    """Process standard input; return a non-zero exit status if a line is invalid."""
     gc.set_threshold(*GC_THRESHOLDS)
     sys.stdin.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     adapter = Adapter(lambda text: print(f"wirehost: {text}", file=sys.stderr))
--- a/brambleusher/loadbalancing/slow_start.py
+++ b/brambleusher/loadbalancing/slow_start.py
@@ -1,7 +1,8 @@
-"""Slow start: what may be sent to hosts that have just started; pure sums that all proxies make alike.
+"""Slow start: how many attempts may be sent to hosts that have just started; pure functions.
 
-A host that starts can do a fraction of what it will, and fails under a multiple of that.  The budget is
-divided by the number of proxies that have the host in their subset, which each works out from the list alone.
+A starting host has a fraction of its full capacity, and fails if it gets more than a certain multiple of
+that. The budget is divided by the number of proxies that have the host in their subset. All proxies compute
+this number independently from the endpoint list alone.
 """
 
 from __future__ import annotations
@@ -12,25 +13,27 @@
 from brambleusher.loadbalancing.hosts import Host
 
 NS_PER_S = 1e9
-MIN_REPORTED_USE = 0.5  # summed over reports: before that a host has reported too little of what it can do
-REPORTED_FRACTION = 0.8  # of what its reports make of it: they are noisy, and the mix of requests varies
+MIN_REPORTED_USE = 0.5  # sum of reported utilisation below which the reports are too few to estimate capacity
+# Safety factor on reported capacity, since reports are noisy and the mix of requests varies.
+REPORTED_FRACTION = 0.8
 
 
 def warm_fraction(age_ns: int, start: float, warm_up_ns: int, reported: float = 0.0) -> float:
-    """Return the least fraction of its capacity that a host can be counted on for, 1 once it is warm.
+    """Return a lower bound of a host's capacity as a fraction of its full capacity, 1 once it is warm.
 
-    Capacity rises evenly from `start` within `warm_up_ns`, or sooner with the work done: then reports show it
-    (`reported`, what it did at full use, as a fraction of what its kind does warm).
+    The capacity rises linearly from `start` within `warm_up_ns`. It may rise sooner with the work done; then
+    load reports show it (`reported`: reported capacity as a fraction of the capacity of warm hosts of its
+    kind).
     """
     if age_ns >= warm_up_ns:
         return 1.0
-    # At least 0: guards against a wall clock behind the host's, which made weights negative.
+    # The age is bounded by 0, since a wall clock behind the host's clock has led to negative weights.
     least = start + (1 - start) * max(age_ns, 0) / warm_up_ns
     return max(least, min(reported, 1.0) * REPORTED_FRACTION)
 
 
 def reported_fraction(host: Host, usual: float | None) -> float:
-    """Return the fraction of its kind's `usual` capacity that a host reports, 0 with too few reports."""
+    """Return a host's reported capacity as a fraction of `usual`; 0 if there are too few reports."""
     capacity = host.capacity if usual and host.utilisation_sum >= MIN_REPORTED_USE else None
     return capacity / usual if capacity and usual else 0.0
 
@@ -38,34 +41,36 @@
 def proxies_per_host(
     proxies: int, ready: Mapping[str, int], zone: str, near: int, away: int, share: float
 ) -> float:
-    """Return how many of all proxies have a host of `zone` in their subset, as far as this one can tell.
+    """Return an estimate of how many proxies have a host of `zone` in their subset.
 
-    Each uses about `near` hosts of its own zone and `away` of the others', as this one does; proxies stand in
-    zones as evenly as chance has it.  Guards against two errors: a host of the own zone is nobody's in most
-    other zones, and of a zone that has few hosts left, or back, each is everybody's there.
+    Each proxy is assumed to use about `near` hosts of its own zone and `away` hosts of other zones, as this
+    one does; proxies are assumed to be spread evenly over zones. A host is used by few proxies of most other
+    zones, but if a zone has few hosts left, each of them is used by all proxies of that zone; the estimate
+    covers both.
 
     Args:
-        proxies: The size of the fleet.
-        ready: The number of ready hosts by zone.
-        zone: That of the host.
-        near: Hosts of the own zone in this proxy's subset.
-        away: Hosts of other zones in it.
-        share: This process's share of its proxy.
+        proxies: Number of proxies in the fleet.
+        ready: Number of ready hosts by zone.
+        zone: Zone of the host.
+        near: Number of hosts of the own zone in this proxy's subset.
+        away: Number of hosts of other zones in this proxy's subset.
+        share: This process's fraction of its proxy's traffic.
     """
     total = sum(ready.values())
-    # The proxies of another zone have it as one of `total - hosts`.
+    # For the proxies of another zone, the host is one of `total - hosts` remote ones.
     fractions = [min(away / max(total - hosts, 1), 1.0) for other, hosts in ready.items() if other != zone]
     fractions.append(min(near / max(ready.get(zone, 1), 1), 1.0))
-    # `fsum` is exact: the same in whatever order zones came.
+    # `fsum` is exact, so that the result does not depend on the order of zones.
     count = proxies * math.fsum(fractions) / len(fractions)
     return max(count / share, 1.0)
 
 
 def has_credit(host: Host, now: int, rate: float, overload_window_ns: int) -> bool:
-    """Return whether a warming host's credit, which grows by `rate` sends a second, holds one more send.
+    """Return whether a warming host's credit, which grows by `rate` attempts per second, allows an attempt.
 
-    A credit too small for a burst lapses unused: hundreds of proxies would save up one send each and spend
-    them in one moment.  The phase is seeded, so that they come up spread in time.
+    A credit that is too small for a burst expires unused; otherwise hundreds of proxies would each save up
+    one attempt and spend them all at the same moment. The initial credit is seeded, which spreads the
+    attempts of different proxies over time.
     """
     burst = rate * overload_window_ns / NS_PER_S / 2
     host.slow_start_credit += rate * max(now - host.slow_start_seen_ns, 0) / NS_PER_S
--- a/brambleusher/loadbalancing/slow_start_budget.py
+++ b/brambleusher/loadbalancing/slow_start_budget.py
@@ -1,4 +1,4 @@
-"""What this proxy may send to hosts that are warming up, out of the budget of all proxies."""
+"""This proxy's share of the attempts that all proxies may send to hosts that are warming up."""
 
 from __future__ import annotations
 
@@ -8,12 +8,13 @@
 from brambleusher.loadbalancing.hosts import Host
 from brambleusher.loadbalancing.windows import NS_PER_S
 
-BUDGET_FRACTION = 0.5  # of what a host that warms up survives: the rest is for chance and unequal proxies
+# Safety factor on what a warming host survives, for random variation and unequal proxies.
+BUDGET_FRACTION = 0.5
 MIN_PROCESS_FRACTION = 0.01
 
 
 class SlowStartBudget:
-    """The slow start of hosts as this proxy has to keep it; see `slow_start`."""
+    """Limits this proxy's attempts to warming hosts; `slow_start` has the formulas."""
 
     def __init__(
         self, settings: api.Settings, unit_ns: int, capacity: FleetCapacity, host_table: HostTable
@@ -22,14 +23,15 @@
         self._unit_ns = unit_ns
         self._capacity = capacity
         self._host_table = host_table
-        self.process_fraction = 1.0  # of this proxy's work, while a new version of it takes over
+        # Fraction of this proxy's traffic; below 1 while a new version takes over.
+        self.process_fraction = 1.0
 
     def set_process_fraction(self, fraction: float) -> None:
-        """Take in what part of its proxy's work this process does."""
+        """Set this process's fraction of its proxy's traffic."""
         self.process_fraction = min(max(fraction, MIN_PROCESS_FRACTION), 1.0)
 
     def warm_fraction(self, host: Host, now: int) -> float:
-        """Return the least part of its capacity that a host started lately can be counted on for."""
+        """Return a lower bound of a host's capacity as a fraction of its full capacity, 1 once it is warm."""
         if host.started_ns <= 0:
             return 1.0
         settings = self._settings
@@ -43,13 +45,13 @@
         return slow_start.warm_fraction(age_ns, settings.initial_capacity, settings.warm_up_ns, reported)
 
     def admits(self, host: Host, now: int) -> bool:
-        """Return whether one more attempt keeps within this proxy's part of a host's budget."""
+        """Return whether one more attempt is within this proxy's share of a host's budget."""
         warm_fraction = self.warm_fraction(host, now)
         if warm_fraction >= 1:
             return True
         settings = self._settings
         local_used, remote_used = self._host_table.subset_counts
-        # Only the proxies that have the host among theirs send to it: as many as chance has it.
+        # Only proxies with the host in their subset send to it; their number is an expected value.
         proxies = slow_start.proxies_per_host(
             settings.fleet_size,
             self._host_table.ranking.ready_per_zone,
@@ -63,9 +65,9 @@
         return slow_start.has_credit(host, now, rate, settings.overload_window_ns)
 
     def _expected_capacity(self, host: Host) -> float:
-        """Return its kind's capacity, else the least of the kinds.
+        """Return the capacity of the host's kind in requests per second, or else the lowest of all kinds.
 
-        Before any report it is one request a latency target, which a host that keeps any goal can do.
+        Before any report it is one request per latency target, which any host that meets its goal can serve.
         """
         if self._capacity.uses_sizes:
             return NS_PER_S / self._unit_ns
--- a/brambleusher/loadbalancing/spill_grants.py
+++ b/brambleusher/loadbalancing/spill_grants.py
@@ -1,9 +1,9 @@
-"""Spill: how much of this proxy's requests each zone may be given, without the proxies talking to each other.
+"""Spill grants: how many of this proxy's requests each zone may get, without coordination of proxies.
 
-A zone other than one's own is sent no more than its grant, in requests a second.  All proxies together raise
-their grants by no more than a fraction of the zone's spare capacity a second: each raises by its share of the
-traffic of the zones in trouble, and those shares add up to one.  A returning zone comes back by slow start:
-its grant grows as it responds.
+A zone other than the own one gets at most its grant, in requests per second. All proxies together raise their
+grants per second by at most a fraction of the zone's spare capacity: each proxy raises its grant by its share
+of the traffic of the zones in trouble, and those shares add up to one. A returning zone goes through a slow
+start: its grant grows while it responds.
 """
 
 from __future__ import annotations
@@ -16,38 +16,40 @@
 from brambleusher.loadbalancing.zone_tiers import ZoneTiers
 
 # Spill.
-REPORT_LAG_TARGETS = 1.0  # half-life of what was granted and reports can't show yet
-UNUSED_LAPSE_S = 2.0  # a grant that is not used lapses over this time
-HEADROOM_S = 0.25  # of spill is granted ahead of use
-BURST_S = 0.3  # of a grant may come at once, or one request
-EXHAUSTED_FRACTION = 0.98  # of a limit is given out: the grant is too small
-# Requests that a zone in use is granted at least: one that is sent nothing tells nothing.
+REPORT_LAG_TARGETS = 1.0  # half-life, in latency targets, of grants that load reports can't reflect yet
+UNUSED_LAPSE_S = 2.0  # time constant, in seconds, with which an unused grant shrinks
+HEADROOM_S = 0.25  # seconds of spill that are granted in advance of use
+BURST_S = 0.3  # seconds of a grant that may be used at once, at least one request
+EXHAUSTED_FRACTION = 0.98  # used fraction of a limit from which the grant counts as exhausted
+# Minimum grant of a zone in use, in requests per latency target; without requests nothing is learned about a
+# zone.
 MIN_PER_TARGET = 0.25
-KEPT_FACTOR = 1.25  # times what is used stays granted
-TRAFFIC_SHARE_HALF_LIFE_TARGETS = 16.0
-STRAIN_DECREASE = 0.5  # of a grant a second where the zone is full, less as it is less over its maximum
-STRAINED_OVERLOAD = 0.5  # what a strained zone counts as over its maximum at least
-MIN_OVERLOAD_RANGE = 0.01  # guards against a division by 0 where the maximum utilisation is 1
-SUSPECT_FRACTION = 0.5  # of its spare capacity
-MIN_SPILL_SHARE = 0.25  # of an even share of the fleet
-TIER_GAIN = 0.5  # of the error a latency target
-EVACUATION_S = 10.0  # an evacuated zone is offered less over this time, down to nothing
-
-# The way back.
-NEED_FRACTION = 0.1  # of the demand unplaced: suppressed zones are needed soon
-NEEDED_TARGETS = 4.0  # so long after any demand was unplaced, returning zones are needed
-NEEDED_FACTOR = 2.0  # what a returning zone can do is then granted: nodes queue for a while
-NEEDED_DOUBLING_S = 0.15  # the grant of a returning zone doubles in this time where it is needed
-START_FRACTION = 0.1  # of what the zone can do is offered at first, by all proxies together
-DOUBLING_S = 0.6  # the grant of a returning zone doubles in this time, while it responds
-RESPONSE_FACTOR = 2.0  # and never exceeds so many times what it responds to
+KEPT_FACTOR = 1.25  # multiple of the used rate that stays granted
+TRAFFIC_SHARE_HALF_LIFE_TARGETS = 16.0  # half-life of the traffic share in latency targets
+# Fraction of a grant that is removed per second at a full zone, less at a smaller overload.
+STRAIN_DECREASE = 0.5
+STRAINED_OVERLOAD = 0.5  # minimum overload, from 0 to 1, that is assumed for a strained zone
+MIN_OVERLOAD_RANGE = 0.01  # avoids a division by 0 where the maximum utilisation is 1
+SUSPECT_FRACTION = 0.5  # fraction of its spare capacity that a suspect zone offers
+MIN_SPILL_SHARE = 0.25  # minimum share of the spill, as a fraction of an even share of the fleet
+TIER_GAIN = 0.5  # fraction of the error by which the offered fraction changes per latency target
+EVACUATION_S = 10.0  # seconds over which the limit of an evacuated zone falls to 0
+
+# Returning zones.
+NEED_FRACTION = 0.1  # unplaced fraction of the demand above which suppressed zones are needed
+NEEDED_TARGETS = 4.0  # latency targets after the last unplaced demand for which returning zones are needed
+NEEDED_FACTOR = 2.0  # maximum grant of a needed zone as a multiple of its capacity; nodes queue for a while
+NEEDED_DOUBLING_S = 0.15  # seconds in which the grant of a needed returning zone doubles
+START_FRACTION = 0.1  # fraction of a zone's capacity that all proxies together are granted at first
+DOUBLING_S = 0.6  # seconds in which the grant of a responding returning zone doubles
+RESPONSE_FACTOR = 2.0  # upper bound of a returning zone's grant as a multiple of its rate of responses
 
 UNLIMITED = -1.0
 
 
 @dataclass(slots=True)
 class _NearerTiers:
-    """Load of the tiers before one; rates are requests a second."""
+    """Total load of the tiers nearer than the current one; rates are in requests per second."""
 
     used: float = 0.0
     capacity: float = 0.0
@@ -62,10 +64,10 @@
 
 
 def fill(demand: float, weights: Mapping[str, float], limits: Mapping[str, float]) -> dict[str, float]:
-    """Share a demand out by weight, none over its limit (below 0: none); the excess goes to the others.
+    """Distribute a demand by weight within limits (a negative one is unlimited); others get the excess.
 
     Returns:
-        Requests a second by zone; their sum is less than the demand where all limits are reached.
+        Requests per second by zone; their sum is less than the demand if all limits are reached.
     """
     given: dict[str, float] = {}
     left, free = demand, {name: weight for name, weight in weights.items() if weight > 0}
@@ -88,14 +90,14 @@
     def __init__(self, table: ZoneTable, tiers: ZoneTiers) -> None:
         self._table = table
         self._tiers = tiers
-        # Fraction of its spare capacity that a tier offers, by the use of nearer tiers.
+        # Fraction of its spare capacity that each tier offers, controlled by the utilisation of nearer tiers.
         self.offered_by_tier: dict[int, float] = {}
         self.ticked_ns = 0
 
     # --- requests -------------------------------------------------------------------------------
 
     def admits(self, name: str, now: int, ahead: bool = False) -> bool:
-        """Return whether one more request may go to a zone now; `ahead`: or could soon, within a burst."""
+        """Return whether a request may go to a zone; `ahead` also allows a burst of requests in advance."""
         zone = self._table.zones.get(name)
         if self._table.rules is None or zone is None or zone.limit_per_s < 0:
             return True
@@ -103,7 +105,7 @@
         return zone.tokens >= (1.0 - max(1.0, zone.limit_per_s * BURST_S) if ahead else 1.0)
 
     def record_sent(self, name: str, now: int) -> None:
-        """Take in that one more request goes to a zone."""
+        """Record that a request is sent to a zone."""
         zone = self._table.zones.get(name)
         if zone is not None and zone.limit_per_s >= 0:
             self._refill(zone, now)
@@ -119,9 +121,9 @@
     # --- shares ---------------------------------------------------------------------------------
 
     def capacity_share(self, name: str) -> float:
-        """Return this proxy's share of what a zone can do: half by its share of traffic before, half evenly.
+        """Return this proxy's share of a zone's capacity: half by its earlier traffic share, half evenly.
 
-        Over all proxies both halves add up, and one that had no traffic there can still come.
+        The shares of all proxies add up to one, and a proxy without earlier traffic there gets a share too.
         """
         zone = self._table.zones.get(name)
         fleet_size = self._table.fleet_size
@@ -129,7 +131,7 @@
         return (share + 1.0 / fleet_size) / 2
 
     def _traffic_share(self, zone: Zone) -> float:
-        """Return this proxy's share of a zone's traffic; where it is unknown, as if all zones were alike."""
+        """Return this proxy's share of a zone's traffic; if unknown, assume that all zones are alike."""
         if zone.own_traffic_share >= 0:
             return zone.own_traffic_share
         if zone.name != self._table.own_zone:
@@ -137,9 +139,9 @@
         return min(1.0, max(len(self._table.zones), 1) / self._table.fleet_size)
 
     def _spill_share(self, loads: Mapping[str, ZoneLoad], target_utilisation: float) -> float:
-        """Return this proxy's share of what spills: its share of the traffic of the zones in trouble.
+        """Return this proxy's share of the spill: its mean traffic share of the zones in trouble.
 
-        Over all proxies these shares add up to one, whoever they are: each zone's traffic is all theirs.
+        The shares of all proxies add up to one, since each zone's traffic is distributed over all proxies.
         """
         table = self._table
         troubled = [zone for zone in table.zones.values() if zone.is_out or zone.state is ZoneState.RETURNING]
@@ -157,7 +159,7 @@
     def update_tiers(
         self, gap: float, loads: Mapping[str, ZoneLoad], target_utilisation: float, min_fraction: float
     ) -> None:
-        """Set the fraction of its spare capacity that each tier offers, by the use of the tiers before it."""
+        """Set the offered fraction of each tier's spare capacity from the utilisation of nearer tiers."""
         table = self._table
         nearer = _NearerTiers()
         for tier in sorted({zone.tier for zone in table.zones.values()}):
@@ -172,7 +174,8 @@
                 self._update_tier(
                     tier, [loads[name] for name in loaded], nearer, gap, target_utilisation, min_fraction
                 )
-            # One on its way back, or out, is at its limit, however little it is used.
+            # A zone that is returning or being evacuated is used up to its limit, so its utilisation is not
+            # counted.
             nearer.add([loads[name] for name in loaded if not table.zones[name].is_ramping])
 
     def _update_tier(
@@ -192,7 +195,7 @@
             utilisation = 1.0
         if utilisation > target_utilisation:
             error = (utilisation - target_utilisation) / (1 - target_utilisation)
-            # Tiers as busy as each other gain nothing by exchanging work.
+            # Exchanging work between equally busy tiers gains nothing.
             error = min(error, (utilisation - further) / (1 - target_utilisation))
         else:
             error = (utilisation - target_utilisation) / target_utilisation
@@ -200,7 +203,7 @@
         self.offered_by_tier[tier] = min(1.0, max(min_fraction, before + TIER_GAIN * error * gap))
 
     def _offered_by_tiers_up_to(self, tier: int) -> float:
-        """Return what a tier offers once those before it do."""
+        """Return the product of the offered fractions of a tier and all nearer ones."""
         offer = 1.0
         for number, fraction in self.offered_by_tier.items():
             if number <= tier:
@@ -210,25 +213,25 @@
     # --- grants ---------------------------------------------------------------------------------
 
     def decay(self, zone: Zone, gap: float) -> None:
-        """Let what reports can't show yet decay over `gap` latency targets."""
+        """Decay the part of the grant that reports can't reflect yet, over `gap` latency targets."""
         zone.unreported_grant_per_s *= 0.5 ** (gap / REPORT_LAG_TARGETS)
 
     def needs_returning_zones(self, now: int) -> bool:
-        """Return whether demand was unplaced lately, so that returning zones must take more."""
+        """Return whether some demand was unplaced recently, so that returning zones must take more."""
         last_ns = self._table.last_unplaced_ns
         return bool(last_ns) and now - last_ns <= NEEDED_TARGETS * self._table.target_ns
 
     def update(
         self, now: int, gap: float, loads: Mapping[str, ZoneLoad], demand: float, target_utilisation: float
     ) -> None:
-        """Set limits and offered fractions of all zones: the demand is shared out within the grants.
+        """Set limits and offered fractions of all zones, distributing the demand within the grants.
 
         Args:
-            now: In ns.
-            gap: Since the last tick, in latency targets.
-            loads: By zone.
-            demand: Requests a second that come to this proxy.
-            target_utilisation: Use of nearer hosts above which further ones help.
+            now: The current time in nanoseconds.
+            gap: Time since the last tick in latency targets.
+            loads: Load by zone.
+            demand: Requests per second that arrive at this proxy.
+            target_utilisation: Utilisation of nearer hosts above which farther ones help.
         """
         weights = self._update_limits(now, gap, loads, demand, target_utilisation)
         self.ticked_ns = now
@@ -243,11 +246,11 @@
     def _update_limits(
         self, now: int, gap: float, loads: Mapping[str, ZoneLoad], demand: float, target_utilisation: float
     ) -> dict[str, float]:
-        """Set the limit of each zone; returns the weights of those that take part."""
+        """Set the limit of each zone; return the weights of the zones that are not excluded."""
         table = self._table
         max_utilisation = table.active_rules.max_utilisation
         seconds = gap * table.target_ns / NS_PER_S
-        # Of a count that halves in `RESPONSE_HALF_LIFE_TARGETS`.
+        # Converts the decaying count of responses, with half-life `RESPONSE_HALF_LIFE_TARGETS`, to a rate.
         per_s = HALVING / (RESPONSE_HALF_LIFE_TARGETS * table.target_ns / NS_PER_S)
         spill_share = self._spill_share(loads, target_utilisation)
         weights: dict[str, float] = {}
@@ -278,7 +281,7 @@
     def _share_out(
         self, weights: Mapping[str, float], loads: Mapping[str, ZoneLoad], demand: float, now: int
     ) -> None:
-        """Set the offered fractions, and what of the demand fits nowhere."""
+        """Set the offered fractions of zones and the unplaced fraction of the demand."""
         table = self._table
         limits = {name: table.zones[name].limit_per_s for name, weight in weights.items() if weight > 0}
         given = fill(demand, weights, limits)
@@ -297,7 +300,7 @@
             zone.offered_fraction = (
                 fractions[name] / most if has_fraction else self._offered_by_tiers_up_to(zone.tier)
             )
-        # Only where each zone that could take it has a limit.
+        # Demand can only be unplaced if every participating zone has a limit.
         is_limited = demand > 0 and limits and all(table.zones[name].limit_per_s >= 0 for name in weights)
         table.unplaced_fraction = max(0.0, 1.0 - sum(given.values()) / demand) if is_limited else 0.0
         is_short = table.unplaced_fraction > NEED_FRACTION
@@ -308,8 +311,8 @@
     def _update_grant(
         self, zone: Zone, load: ZoneLoad, used: float, spare: float, seconds: float, now: int
     ) -> None:
-        """Let a grant grow while it is exhausted, fall where the zone is strained, lapse where unused."""
-        is_exhausted = zone.grant_exhausted_ns == self.ticked_ns  # at the last tick
+        """Raise an exhausted grant, reduce the grant of a strained zone, and let an unused grant shrink."""
+        is_exhausted = zone.grant_exhausted_ns == self.ticked_ns  # exhausted at the last tick
         if zone.state is ZoneState.RETURNING:
             self._update_returning_grant(zone, load, used, seconds, is_exhausted, now)
             return
@@ -332,11 +335,11 @@
     def _update_returning_grant(
         self, zone: Zone, load: ZoneLoad, used: float, seconds: float, is_exhausted: bool, now: int
     ) -> None:
-        """Slow start: the grant of a returning zone doubles while it is exhausted."""
+        """Apply slow start: the grant of a returning zone doubles repeatedly while it is exhausted."""
         start = START_FRACTION * load.capacity * self.capacity_share(zone.name)
         start = max(start, MIN_PER_TARGET * NS_PER_S / self._table.target_ns)
         if is_exhausted and self.needs_returning_zones(now):
-            # Up to its limit; that it can't do more shows in its silence.
+            # The grant rises to its limit; missing responses show if the zone can't handle more.
             zone.grant_per_s *= 2 ** (seconds / NEEDED_DOUBLING_S)
         elif is_exhausted:
             most = max(RESPONSE_FACTOR * used, start)
@@ -344,19 +347,19 @@
         zone.grant_per_s = max(zone.grant_per_s, start)
 
     def _limit(self, zone: Zone, load: ZoneLoad, demand: float, now: int) -> float:
-        """Return the requests a second that a zone may be sent by this proxy; below 0: any."""
+        """Return the requests per second that this proxy may send to a zone; negative means unlimited."""
         if zone.evacuation_began_ns:
             left = 1.0 - (now - zone.evacuation_began_ns) / (EVACUATION_S * NS_PER_S)
             return max(left, 0.0) * demand
         if zone.state is ZoneState.RETURNING:
             most = self._max_grant(zone, load, now)
             return min(zone.grant_per_s, most) if load.capacity else zone.grant_per_s
-        # Before any report there is nothing to go by.
+        # The own zone is never limited; nor is a zone of unknown capacity, before the first load report.
         is_unlimited = zone.name == self._table.own_zone or not load.capacity
         return UNLIMITED if is_unlimited else zone.grant_per_s
 
     def _max_grant(self, zone: Zone, load: ZoneLoad, now: int) -> float:
-        """Return the most that a returning zone is granted: this proxy's share of what it can do now."""
+        """Return the maximum grant of a returning zone: this proxy's share of the zone's capacity."""
         factor = self._table.active_rules.max_utilisation
         if self.needs_returning_zones(now):
             factor = NEEDED_FACTOR
--- a/brambleusher/loadbalancing/state_codec.py
+++ b/brambleusher/loadbalancing/state_codec.py
@@ -1,8 +1,9 @@
-"""A `Balancer`'s whole state as plain JSON values, and a `Balancer` that continues from them.
+"""Saves the complete state of a `Balancer` as plain JSON values and restores a `Balancer` from them.
 
-Captures that begin in mid-service need it: the same events after the same state lead to the same actions, in
-another process as well.  Hosts and requests refer to each other, so both are stored in tables and referred to
-by index.  Which attribute is stored under which key is in `state_tables`.  Nothing that is read is executed.
+Captures that begin while a balancer is running need this: the same events after the same state must lead to
+the same actions, also in another process. Hosts and requests refer to each other, so both are stored in
+tables and referred to by index. `state_tables` defines the stored key of each attribute. Restoring never
+executes anything from the stored state.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 Row = list[Any]
 
 _RANDOM_WORDS = struct.Struct(">624I")  # the state of the Mersenne Twister
-# The only keys of the objects that stand for what JSON does not have.
+# Single keys of the objects that encode values without a JSON equivalent.
 _FLOAT, _TUPLE, _DICT, _EMPTY_MAPPING = "f", "t", "d", "none"
 _DEQUE, _DEQUE_LENGTH = "q", "most"
 _HOST, _REQUEST, _ZONE_STATE, _ZONE_RULES = "h", "r", "state", "rules"
@@ -48,7 +49,7 @@
 
 
 def stored_form(balancer: Balancer) -> StoredForm:
-    """Return how a balancer is stored; with rules on zones, the modules of zones are loaded already."""
+    """Return how a balancer is stored; the zone modules are imported only for a zone-aware balancer."""
     if not balancer.accepts_zone_rules:
         return _PLAIN
     from brambleusher.loadbalancing.zone_state import ZoneState
@@ -58,18 +59,18 @@
 
 
 class _Saver:
-    """Walks from the balancer to all hosts and requests that it reaches."""
+    """Encodes values reachable from the balancer, collecting hosts and requests on the way."""
 
     def __init__(self, form: StoredForm) -> None:
         self._form = form
         self._hosts: list[Host] = []
         self._requests: list[Request] = []
-        self._index_of: dict[int, int] = {}  # by identity
+        self._index_of: dict[int, int] = {}  # index by object identity
 
     def value(self, value: object) -> object:
-        """Return a value as JSON; hosts and requests are numbered as they are met."""
+        """Return a value as JSON; hosts and requests are numbered in the order in which they are found."""
         kind = type(value)
-        if kind is float:  # most are
+        if kind is float:  # the most frequent type
             number = cast(float, value)
             return number if math.isfinite(number) else {_FLOAT: str(number)}
         if value is None or kind is str or kind is int or kind is bool:
@@ -90,7 +91,7 @@
     def _container(self, value: object) -> object:
         if type(value) is list:
             return [self.value(item) for item in value]
-        if isinstance(value, tuple):  # named ones too
+        if isinstance(value, tuple):  # includes named tuples
             return {_TUPLE: [self.value(item) for item in value]}
         if type(value) is dict:
             return {_DICT: [[self.value(key), self.value(item)] for key, item in value.items()]}
@@ -112,7 +113,7 @@
         return {key: self.value(attrgetter(path)(item)) for path, key in fields.items()}
 
     def rows(self) -> tuple[list[Row], list[Row]]:
-        """Return the rows of hosts and of requests; each row may lead to more of either."""
+        """Return the rows of hosts and of requests; encoding a row may add further hosts and requests."""
         hosts: list[Row] = []
         requests: list[Row] = []
         while True:
@@ -128,7 +129,7 @@
 
 
 def save(balancer: Balancer) -> JsonObject:
-    """Return all that decides what the balancer does next; call it between two events."""
+    """Return the complete state of a balancer; must be called between two events."""
     form = stored_form(balancer)
     saver = _Saver(form)
     own = saver.record(balancer, form.fields)
@@ -145,7 +146,7 @@
 
 
 class _Loader:
-    """Turns values back; a reference is an index into a table of empty records that are filled later."""
+    """Decodes values; a reference is an index into a table of empty records, which are filled later."""
 
     def __init__(self, form: StoredForm, rng: random.Random, hosts: int, requests: int) -> None:
         self._form = form
@@ -154,7 +155,7 @@
         self.requests = [Request.__new__(Request) for _ in range(requests)]
 
     def value(self, value: object) -> object:
-        """Return the value that the saver was given."""
+        """Return the value that the JSON value encodes."""
         if isinstance(value, list):
             return [self.value(item) for item in value]
         if not isinstance(value, dict):
@@ -187,7 +188,7 @@
         return readers
 
     def fill(self, item: object, fields: FieldTable, stored: JsonObject) -> None:
-        """Give an object its fields: exactly those of its table, so that another version is noticed."""
+        """Set all fields of an object; other keys than those of its table indicate another version."""
         if set(stored) != set(fields.values()):
             raise StateError(f"the state of a {type(item).__name__} is not this version's")
         for path, key in fields.items():
@@ -196,7 +197,7 @@
             self._set(owner, name, stored[key])
 
     def _set(self, owner: object, name: str, stored: object) -> None:
-        """Set an attribute; a record is filled in place, since others may refer to it."""
+        """Set an attribute; a record is filled in place, since other objects may refer to it."""
         record = self._form.records.get(self._form.key_of(type(getattr(owner, name))) or "")
         if record is None:
             setattr(owner, name, self.value(stored))
@@ -207,7 +208,7 @@
         self.fill(getattr(owner, name), record.fields, content)
 
     def fill_rows(self, items: list[Any], fields: FieldTable, names: list[str], rows: list[Row]) -> None:
-        """Give hosts, or requests, what their rows have under `names`."""
+        """Set the attributes of hosts or requests from rows whose columns are `names`."""
         if items and names != list(fields.values()):
             raise StateError(f"the state of a {type(items[0]).__name__} is not this version's")
         for item, row in zip(items, rows, strict=True):
@@ -216,10 +217,10 @@
 
 
 def restore(settings: api.Settings, seed: int, state: object) -> Balancer:
-    """Return a balancer that continues where `save` was called.
+    """Return a balancer restored from the output of `save`.
 
     Raises:
-        StateError: The state is not this version's, or was cut or made up.
+        StateError: The state is of another version, truncated or forged.
     """
     balancer = balancer_for(settings, seed)
     try:
@@ -227,7 +228,7 @@
     except StateError:
         raise
     except (*MALFORMED, struct.error) as error:
-        # Whatever a malformed state leads to, the caller gets one kind of error.
+        # Errors of all kinds that a malformed state can cause are reported as one type.
         raise StateError(f"the state can't be read: {type(error).__name__}: {error}") from None
     return balancer
 
@@ -247,16 +248,16 @@
 
 
 def known_hosts(balancer: Balancer) -> set[str]:
-    """Return the hosts of the list that it goes by."""
+    """Return the names of the hosts in the balancer's endpoint list."""
     return set(balancer.host_table.hosts)
 
 
 def attempted_hosts(balancer: Balancer) -> set[str]:
-    """Return the hosts that attempts may still come back from."""
+    """Return the names of all hosts with an attempt of an unfinished request."""
     requests = balancer.attempts.requests.values()
     return {attempt.host.name for request in requests for attempt in request.attempts}
 
 
 def count_avoided_hosts(balancer: Balancer, now: int) -> int:
-    """Return how many hosts get no attempt now: draining, ejected, or left without weight."""
+    """Return the number of hosts that get no attempts now: draining, ejected or without weight."""
     return balancer.host_table.count_avoided(now)
--- a/brambleusher/loadbalancing/state_tables.py
+++ b/brambleusher/loadbalancing/state_tables.py
@@ -1,15 +1,15 @@
-"""The stored form of a balancer's state: for each kind of record, its attributes and their stored keys.
+"""Stored form of a balancer's state: the attributes of each kind of record and their stored keys.
 
-Captures and state transfers outlive a version of the code, so that stored keys never change: an attribute
-that is renamed keeps its key here.  The order of a table is the order in which its record is written, and
-that in which hosts and requests are numbered; it does not change either.
+Captures and state transfers may be read by later versions of the code, so stored keys never change: a renamed
+attribute keeps its key here. The order of a table is the order in which its record is written and in which
+hosts and requests are numbered, so it does not change either.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 
-# Attribute -> stored key.  An attribute may be a dotted path to where the value lives now.
+# Maps attributes to stored keys. An attribute may be a dotted path to where the value is kept now.
 FieldTable = Mapping[str, str]
 
 
--- a/brambleusher/loadbalancing/state_transfer.py
+++ b/brambleusher/loadbalancing/state_transfer.py
@@ -1,7 +1,7 @@
-"""State transfer: what one process of a proxy hands to the next, all but the requests of its balancer.
+"""State transfer: the balancer state, without requests, that a proxy process hands to its successor.
 
-The successor continues from the same estimates of hosts, classes and limits, with a random generator of its
-own: two processes that draw the same numbers would march in step.
+The successor continues with the same estimates of hosts, classes and limits, but reseeds the random
+generator, since two processes that draw the same numbers would make the same choices.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 from brambleusher.loadbalancing.json_values import StateError
 from brambleusher.loadbalancing.state_codec import JsonObject, restore, save
 
-MOST_HOSTS = 512  # beyond, a successor starts from nothing: writing and reading it would take too long
-_ATTEMPT_KEYS = ("out", "lost")  # of a host, as they are stored
-_NO_ENTRIES: JsonObject = {"d": []}  # a stored dict
+MOST_HOSTS = 512  # with more hosts a successor starts without state, since the transfer would take too long
+_ATTEMPT_KEYS = ("out", "lost")  # stored keys of a host's attempts
+_NO_ENTRIES: JsonObject = {"d": []}  # an empty dict in its stored form
 
 
 def export_state(balancer: Balancer) -> JsonObject | None:
-    """Return the balancer's state without requests, as JSON values; None where it is too large."""
+    """Return the balancer's state without requests as JSON values, or None if it is too large."""
     if len(balancer.host_table.hosts) > MOST_HOSTS:
         return None
     state = save(balancer)
@@ -25,7 +25,7 @@
     for row in state["hosts"]:
         for key in _ATTEMPT_KEYS:
             index = names.index(key)
-            if "d" in row[index]:  # else it was never in use
+            if "d" in row[index]:  # the host has been in use
                 row[index] = dict(_NO_ENTRIES)
     state["requests"] = []
     state["own"] |= {"_requests": dict(_NO_ENTRIES), "_open": 0}
@@ -36,7 +36,7 @@
     """Return a balancer that continues from an exported state.
 
     Raises:
-        StateError: The state is not this version's, was cut, or has requests.
+        StateError: The state is of another version, is truncated, or contains requests.
     """
     balancer = restore(settings, seed, state)
     if balancer.attempts.requests:
--- a/brambleusher/loadbalancing/stored_records.py
+++ b/brambleusher/loadbalancing/stored_records.py
@@ -10,14 +10,14 @@
 
 
 class StoredRecord:
-    """A kind of object that is stored by its fields, and how to make one to be filled with them."""
+    """A type whose objects are stored field by field, with a factory for empty objects."""
 
     def __init__(self, kind: type, fields: FieldTable, make_empty: Callable[[random.Random], object]) -> None:
         self.kind, self.fields, self.make_empty = kind, fields, make_empty
 
 
 class StoredForm:
-    """How one kind of balancer is stored: its own fields, its records, and the enum of zones' states."""
+    """Stored form of one type of balancer: its own fields, its records, and the enum of zone states."""
 
     def __init__(
         self, fields: FieldTable, records: Mapping[str, StoredRecord], state_enum: type[Enum] | None = None
@@ -26,5 +26,5 @@
         self._keys = {record.kind: key for key, record in records.items()}
 
     def key_of(self, kind: type) -> str | None:
-        """Return the stored key of a kind of record; None for what is no record."""
+        """Return the stored key of a record type, or None if the type is not a record."""
         return self._keys.get(kind)
--- a/brambleusher/loadbalancing/subsetting.py
+++ b/brambleusher/loadbalancing/subsetting.py
@@ -1,11 +1,11 @@
-"""Subsetting: which hosts an instance uses, from its number and the list alone; three algorithms to compare.
+"""Subsetting: three algorithms that choose the hosts an instance uses from its number and the list.
 
-Instances share nothing, so how evenly hosts are used follows from how each picks its own.  All three are
-pure functions of the names: the same list gives the same subset, in whatever order it comes.  They return
-pairs of a name and the fraction, above 0 and up to 1, that the host has in the subset.
+Instances share no state, so how evenly hosts are used depends only on how each instance chooses. All three
+algorithms are pure functions of the names: the same list gives the same subset, in any order. They return
+pairs of a name and the fraction, above 0 and at most 1, of the host that belongs to the subset.
 
-`Balancer` draws ranks instead (`host_ranking`), which spreads as `rendezvous` does.
-`docs/design/scale.md` weighs them; `benchmarks/subsets.py` has the figures.
+`Balancer` uses random ranks instead (`host_ranking`), which distribute as evenly as `rendezvous`.
+`docs/design/scale.md` compares the algorithms; `benchmarks/subsets.py` measures them.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 Subset = list[tuple[str, float]]
 HASH_BYTES = 8
 _MASK = (1 << 64) - 1
-# Constants that set the hashes of instances and of rounds apart.
+# Constants that make the hashes of instances and of rounds independent.
 _INSTANCE_SALT, _ROUND_SALT = 0x9E3779B97F4A7C15, 0xD1B54A32D192ED03
 
 
 def hash_position(name: str) -> int:
-    """Return a name's position among 64-bit numbers, the same everywhere."""
+    """Return the 64-bit hash of a name, which is the same in every process."""
     return int.from_bytes(blake2b(name.encode(), digest_size=HASH_BYTES).digest(), "big")
 
 
 def _mixed(value: int) -> int:
-    """Return a number that looks random for each number.
+    """Return a pseudo-random 64-bit hash of a number.
 
     Source: the finalizer of splitmix64 (Steele, Lea and Flood, 2014).
     """
@@ -43,7 +43,7 @@
 
 
 class Ring:
-    """The hosts of a list at the hash positions of their names; made once for each list."""
+    """The hosts of a list sorted by the hashes of their names; created once per list."""
 
     def __init__(self, names: Iterable[str]) -> None:
         positions = {name: hash_position(name) for name in names}
@@ -51,9 +51,10 @@
         self.names: Sequence[str] = [name for name, _ in self.positions]
 
     def rendezvous(self, number: int, size: int) -> Subset:
-        """Return the hosts that rank highest for this instance.
+        """Return the hosts with the lowest hashes for this instance.
 
-        A host that comes or goes concerns only those who have it.  Hosts are used as if by chance.
+        Adding or removing a host affects only the instances that use it. The number of instances per host
+        varies as in a random choice.
 
         Source: Thaler and Ravishankar, rendezvous hashing (1996).
         """
@@ -65,8 +66,8 @@
     def rounds(self, number: int, size: int) -> Subset:
         """Return a deterministic subset: the instances of a round divide the hosts among them.
 
-        Each round has an order of its own.  The order is by hash, so that a host which goes moves those
-        behind it by one position, and no more.
+        Each round sorts the hosts by a different hash, so that a removed host moves only the hosts after it,
+        by one position.
 
         Source: Site Reliability Engineering (2016), chapter 20.
         """
@@ -78,11 +79,11 @@
         return [(name, 1.0) for _, name in order[index * size : (index + 1) * size]]
 
     def arc(self, number: int, size: int, instances: int) -> Subset:
-        """Return an arc of the ring, with fractions of the hosts at its two ends.
+        """Return an arc of the ring, which may contain only fractions of the two hosts at its ends.
 
-        Every host has the same length of the ring and every point of it is in the same number of arcs, so
-        that hosts are used evenly to the last fraction, whatever the numbers of both.  It takes numbers from
-        0 without a gap: `instances` is how many there are.
+        Each host covers the same length of the ring and each point is in the same number of arcs, so hosts
+        are used evenly for any numbers of hosts and instances. Instances must be numbered contiguously from 0
+        to `instances` - 1.
 
         Source: the deterministic aperture of Finagle.
         """
@@ -92,19 +93,22 @@
         count = len(self.names)
         if not count:
             return []
-        arcs = min(math.ceil(size * instances / count), instances)  # that meet at each point
-        # In units of 1 / (instances * count) of the ring, which makes all ends whole numbers.
+        arcs = min(math.ceil(size * instances / count), instances)  # number of arcs that contain each point
+        # Positions are in units of 1 / (instances * count) of the ring, so that all ends are integers.
         begin, end = number * count, (number + arcs) * count
         subset = []
         for index in range(begin // instances, -(-end // instances)):
             length = min(end, (index + 1) * instances) - max(begin, index * instances)
             subset.append((self.names[index % count], length / instances))
-        if len(subset) > count:  # all round: the two ends are fractions of one host
+        if len(subset) > count:  # the arc covers the whole ring, and its two ends are fractions of one host
             (name, first), (_, last) = subset[0], subset.pop()
             subset[0] = name, first + last
         return subset
 
 
 def size_for(instances: int, hosts: int, least: int) -> int:
-    """Return the least size at which each host is used by somebody: 2,000 used evenly by 3 take 667 each."""
+    """Return the smallest subset size, at least `least`, with which every host is used by an instance.
+
+    For example, 2,000 hosts used evenly by 3 instances need subsets of 667 hosts.
+    """
     return min(max(least, math.ceil(hosts / max(instances, 1))), hosts)
--- a/brambleusher/loadbalancing/tenant_quotas.py
+++ b/brambleusher/loadbalancing/tenant_quotas.py
@@ -1,25 +1,25 @@
-"""Which requests are beyond their tenant's quota: token buckets at this proxy's share of the rates."""
+"""Tenant quotas: token buckets with this proxy's share of each tenant's rate."""
 
 from __future__ import annotations
 
 from brambleusher.loadbalancing import api
 from brambleusher.loadbalancing.windows import NS_PER_S
 
-BURST = 2.0  # requests of a tenant that may come at once: a burst of one flags half of what is in its quota
+# Minimum bucket size in requests; with a burst of one, half of the requests within the quota are flagged.
+BURST = 2.0
 
 
 class TenantQuotas:
-    """The buckets of all tenants."""
+    """Keeps the token buckets of all tenants."""
 
     def __init__(self, settings: api.Settings) -> None:
         self._tenants = {tenant.name: tenant for tenant in settings.tenants}
-        self.levels = {
-            tenant.name: tenant.quota_per_s / settings.fleet_size for tenant in settings.tenants
-        }  # requests
+        # Level of each bucket in requests.
+        self.levels = {tenant.name: tenant.quota_per_s / settings.fleet_size for tenant in settings.tenants}
         self.last_seen_ns: dict[str, int] = {}
 
     def is_over_quota(self, tenant_name: str | None, fleet_fraction: float, now: int) -> bool:
-        """Take a request from its tenant's bucket; return whether there was none left."""
+        """Withdraw a request from its tenant's bucket; return whether the bucket was empty."""
         tenant = self._tenants.get(tenant_name or "")
         if tenant is None or tenant.quota_per_s <= 0:
             return False
--- a/brambleusher/loadbalancing/token_round_robin.py
+++ b/brambleusher/loadbalancing/token_round_robin.py
@@ -1,7 +1,7 @@
-"""Tokens spent in round robin over the hosts that have some left.
+"""Token round robin: hosts are used in turn as long as they have tokens.
 
-Source: z/OS Workload Manager Sysplex Routing Services, WebSphere variant: the weights are a number of tokens
-that requests spend in turn until all are spent; then the latest weights are loaded.
+Source: z/OS Workload Manager Sysplex Routing Services, WebSphere variant: weights are numbers of tokens,
+which requests spend in turn until none is left; then the latest weights are loaded.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 
 from brambleusher.loadbalancing.hosts import Host
 
-WEIGHT_TOTAL = 64.0  # the source's scale of weights
+WEIGHT_TOTAL = 64.0  # sum of all weights, as in the source
 
 
 class TokenRoundRobin:
-    """The hosts in use in a seeded order, and whose turn it is."""
+    """Keeps the hosts in use in a seeded order, their tokens, and the next position."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
@@ -25,11 +25,11 @@
         self._tokens_per_weight = 1.0
 
     def set_hosts(self, hosts: list[Host]) -> None:
-        """Take hosts in a seeded order, from a seeded start.
+        """Set the hosts, in a seeded order with a seeded starting position.
 
-        Proxies that see the same reports must not march in step.  Ours: a load holds one token a host on
-        average, so newer weights are in use sooner and the heaviest host gets no run of turns at the end of a
-        long load.
+        The seeds differ so that proxies with the same reports don't choose the same hosts simultaneously.
+        Unlike in the source, a load gives one token per host on average: newer weights take effect sooner,
+        and the heaviest host gets no long run of turns at the end of a load.
         """
         self.ring = hosts
         self._rng.shuffle(self.ring)
@@ -37,14 +37,15 @@
         self._tokens_per_weight = len(hosts) / WEIGHT_TOTAL
 
     def remove(self, host: Host) -> None:
-        """Leave a host out from now on."""
+        """Remove a host."""
         self.ring = [other for other in self.ring if other is not host]
 
     def cut_tokens(self) -> None:
-        """Cut what tokens are left to the new weights.
+        """Reduce the remaining tokens to the new weights, and update the fractions in flight.
 
-        A fast host needs no more in flight than a slow one while it only serves, and more in step with its
-        weight once it queues: its share of what is in flight goes by the root of the weight, between the two.
+        A fast host needs no more attempts in flight than a slow one while it does not queue, but a number
+        proportional to its weight once it queues. Its fraction of the attempts in flight is therefore
+        proportional to the square root of its weight, which lies between the two.
         """
         roots = sum(math.sqrt(host.weight) for host in self.ring) or 1.0
         for host in self.ring:
@@ -52,7 +53,7 @@
             host.tokens = min(host.tokens, math.ceil(host.weight * self._tokens_per_weight))
 
     def load(self) -> None:
-        """Give every host its latest weight; fractions are carried over."""
+        """Load all hosts' tokens from their latest weights; fractions are carried over."""
         for host in self.ring:
             host.token_credit += host.weight * self._tokens_per_weight
             new_tokens = int(host.token_credit)
@@ -60,12 +61,13 @@
             host.tokens = max(host.tokens, new_tokens)
 
     def spend(self, is_eligible: Callable[[Host], bool], in_flight: int) -> Host | None:
-        """Spend the token of the next eligible host in turn that has one; only if none has, load anew.
+        """Spend a token of the next eligible host that has one; if none has any, load tokens once.
 
-        Ours: a host that holds more of this proxy's `in_flight` attempts than its weight explains is passed
-        over and keeps its token.  Reports are late and the same for all; own attempts in flight show at once
-        that a host has slowed down, hangs, warms up, or was found by everyone at the same time.
-        Harm: a host that is rightly slow (heavy requests only) gets its tokens later than due.
+        Unlike in the source, a host with more of this proxy's `in_flight` attempts than its weight justifies
+        is skipped and keeps its token. Load reports are late and the same for all proxies, whereas own
+        attempts in flight show at once that a host has slowed down, hangs, is warming up, or was chosen by
+        many proxies simultaneously. The cost is that a host that is slow for a good reason, such as heavy
+        requests, gets its turns later than it should.
         """
         with_this_one = in_flight + 1
         for _ in range(2):
@@ -84,7 +86,7 @@
         return self._borrow(is_eligible)
 
     def _borrow(self, is_eligible: Callable[[Host], bool]) -> Host | None:
-        """Return the least occupied host that is eligible: those with tokens and capacity are not."""
+        """Return the eligible host with the fewest attempts in flight per weight, or None."""
         candidates = [host for host in self.ring if host.weight > 0 and is_eligible(host)]
         if not candidates:
             return None
--- a/brambleusher/loadbalancing/view_consistency.py
+++ b/brambleusher/loadbalancing/view_consistency.py
@@ -1,8 +1,8 @@
-"""View consistency: whether an instance of a control service may publish the view that it has.
+"""View consistency: whether an instance of a control service may publish its current view.
 
-A view's position is (epoch, version): the operator's epoch, and discovery's version within it.  An instance
-publishes only a view that is not behind anything it has reason to believe was acted on, and only while
-somebody who should know has lately confirmed that it is not behind.
+The position of a view is (epoch, version): the operator's epoch, and discovery's version within it. An
+instance publishes a view only if the view is not older than any that may have been acted on, and only while
+discovery or another instance has recently confirmed that the view is up to date.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 
 
 class ViewPosition(NamedTuple):
-    """Where a view stands among all views; a later one compares as greater."""
+    """Position of a view in the order of all views; later views compare as greater."""
 
     epoch: int
     version: int
 
 
 class WithheldReason(Enum):
-    """Why a view is withheld; the values are texts of log lines and of the admin endpoint."""
+    """Reason for withholding a view; the values appear in log lines and at the admin endpoint."""
 
     NO_DISCOVERY = "nothing was heard from discovery since the start"
     BEHIND = "the view held is older than one that was handed out"
@@ -31,26 +31,26 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerStatus:
-    """What an instance tells the others of itself."""
+    """Status that an instance sends to the other instances."""
 
-    position: ViewPosition | None  # of its view
-    floor: ViewPosition | None  # the latest that was acted on, as far as it knows
-    is_connected: bool  # to discovery
+    position: ViewPosition | None  # position of its view
+    floor: ViewPosition | None  # latest position known to have been acted on
+    is_connected: bool  # connected to discovery
 
 
 class ViewConsistency:
-    """One instance's knowledge of what was acted on, here and elsewhere."""
+    """Tracks which views were acted on, by this instance and others, as known to one instance."""
 
     def __init__(
         self, floor: ViewPosition | None, now: int, timeout_ns: int, subscribers_wait_ns: int
     ) -> None:
-        """Start.
+        """Initialize the tracker.
 
         Args:
-            floor: What durable storage says; None where it can't say: then subscribers are awaited.
-            now: In ns.
-            timeout_ns: After which a contact with discovery, or with another instance, is no longer recent.
-            subscribers_wait_ns: How long subscribers are awaited, which show the views that they have.
+            floor: Position read from durable storage; None if unknown, then subscribers are awaited.
+            now: The current time in nanoseconds.
+            timeout_ns: Age at which a contact with discovery or with another instance is no longer recent.
+            subscribers_wait_ns: How long to wait for subscribers, which report the views they have.
         """
         self.floor = floor
         self.written = floor
@@ -58,51 +58,51 @@
         self._timeout_ns = timeout_ns
         self._subscribers_awaited_until = now if floor is not None else now + subscribers_wait_ns
         self._last_discovery_contact: int | None = None
-        self._peers: dict[str, tuple[PeerStatus, int]] = {}  # with the time of the last status
+        self._peers: dict[str, tuple[PeerStatus, int]] = {}  # status and time of its arrival by peer
 
     # --- events ---------------------------------------------------------------------------------
 
     def record_discovery(self, position: ViewPosition | None, now: int) -> None:
-        """Take in an update of discovery; the view that follows from all of them is at `position`."""
+        """Record an update from discovery, which brings the view to `position`."""
         self.position = position
         self._last_discovery_contact = now
 
     def record_discovery_lost(self) -> None:
-        """Take in that the watch has ended: its last update says nothing of the present."""
+        """Record that the watch has ended, so that its last update no longer confirms the view."""
         self._last_discovery_contact = None
 
     def record_peer_status(self, peer: str, status: PeerStatus, now: int) -> None:
-        """Take in the status of another instance."""
+        """Record the status of another instance."""
         self._peers[peer] = (status, now)
         self._raise_floor(status.position if status.is_connected else None)
         self._raise_floor(status.floor)
 
     def record_subscriber_position(self, position: ViewPosition) -> None:
-        """Take in that a subscriber has shown that it was given the view at `position`."""
+        """Record that a subscriber reported having received the view at `position`."""
         self._raise_floor(position)
 
     def record_written(self, position: ViewPosition) -> None:
-        """Take in that `position` is on durable storage."""
+        """Record that `position` was written to durable storage."""
         self.written = max(position, self.written) if self.written is not None else position
         self._raise_floor(position)
 
     def record_published(self, position: ViewPosition) -> None:
-        """Take in that the view at `position` goes out."""
+        """Record that the view at `position` is published."""
         self._raise_floor(position)
 
     def _raise_floor(self, position: ViewPosition | None) -> None:
         if position is not None and (self.floor is None or position > self.floor):
             self.floor = position
 
-    # --- answers --------------------------------------------------------------------------------
+    # --- queries --------------------------------------------------------------------------------
 
     def is_discovery_connected(self, now: int) -> bool:
-        """Return whether there was a recent contact with discovery itself."""
+        """Return whether there was a recent contact with discovery."""
         contact = self._last_discovery_contact
         return contact is not None and now - contact <= self._timeout_ns
 
     def is_confirmed_by_peer(self, now: int) -> bool:
-        """Return whether a peer that is connected to discovery lately said that it is no further."""
+        """Return whether a peer connected to discovery recently reported a position that is not later."""
         if self.position is None:
             return False
         return any(
@@ -112,25 +112,25 @@
         )
 
     def is_any_peer_connected(self, now: int) -> bool:
-        """Return whether another instance lately said that it is connected to discovery."""
+        """Return whether another instance recently reported that it is connected to discovery."""
         return any(
             status.is_connected and now - at <= self._timeout_ns for status, at in self._peers.values()
         )
 
     def position_to_write(self) -> ViewPosition | None:
-        """Return the position that durable storage must hold before the view goes out; None where it does."""
+        """Return the position to write to durable storage before the view may be published, or None."""
         position = self.position
         if position is None or (self.floor is not None and position < self.floor):
             return None
         return position if self.written is None or position > self.written else None
 
     def withheld_reason(self, now: int, harmless: bool = False) -> WithheldReason | None:
-        """Return why the view is withheld; None where it may go out.
+        """Return why the view is withheld, or None if it may be published.
 
         Args:
-            now: In ns.
-            harmless: The view only takes nodes away from one that is on durable storage.  It does not wait
-                for a disk that fails, since a drain that is published too late is harm done for certain.
+            now: The current time in nanoseconds.
+            harmless: Whether the view only removes nodes from a view on durable storage. Such a view does not
+                wait for a failing disk, since publishing a drain too late is certain to do harm.
         """
         if self.position is None:
             return WithheldReason.NO_DISCOVERY
@@ -145,5 +145,5 @@
         return None
 
     def peer_status(self, now: int) -> PeerStatus:
-        """Return what this instance tells the others."""
+        """Return the status that this instance sends to the others."""
         return PeerStatus(self.position, self.floor, self.is_discovery_connected(now))
--- a/brambleusher/loadbalancing/weights.py
+++ b/brambleusher/loadbalancing/weights.py
@@ -1,8 +1,8 @@
-"""Weights of hosts: spare capacity, cut by the performance index and by health.
+"""Weights of hosts: spare capacity, reduced according to performance index and health.
 
 Source: z/OS Workload Manager Sysplex Routing Services, WebSphere variant: a server's weight is its spare
-capacity over that of all ready servers, times 64; cut by its PI and multiplied by its health.
-`docs/design.md` says what was kept, what was changed and when each departure acts.
+capacity divided by that of all ready servers, times 64; it is reduced according to its PI and multiplied by
+its health. `docs/design.md` describes what was kept, what was changed and when each change takes effect.
 """
 
 from __future__ import annotations
@@ -16,11 +16,14 @@
 from brambleusher.loadbalancing.slow_start_budget import SlowStartBudget
 from brambleusher.loadbalancing.token_round_robin import WEIGHT_TOTAL
 
-MIN_SPARE_FRACTION = 0.01  # a host with less than this part of its capacity free gets no weight
+MIN_SPARE_FRACTION = 0.01  # a host with a smaller fraction of its capacity free gets no weight
 
 
 def final_weights(base: list[float], index: list[float], health: list[float]) -> list[float]:
-    """Return weights out of 64: the share of the spare, cut by index and health; all-zero ones are equal."""
+    """Return weights with a sum of 64: shares of spare capacity, reduced by index and health.
+
+    If all weights would be 0, equal ones are returned.
+    """
     total = sum(base)
     reduced = []
     for spare, host_index, host_health in zip(base, index, health, strict=True):
@@ -47,21 +50,22 @@
         self._performance_index = performance_index
 
     def spare_capacities(self, hosts: Sequence[Host], now: int) -> list[float]:
-        """Return the spare capacity of hosts, after bringing the fleet's estimates up to date.
+        """Update the fleet's estimates and return the spare capacity of each host.
 
-        Ours: a host without figures counts as the median spare, as far as it is warm.
+        Unlike in the source, a host without data gets the median spare capacity, scaled by its warm fraction.
         """
         capacity = self._capacity
         warm_fraction_of = self._slow_start.warm_fraction
         warm_fractions = [warm_fraction_of(host, now) for host in hosts]
         capacity.update(hosts, warm_fractions)
-        # With little free, weights lean towards capacity.
+        # If little capacity is free, weights depend more on total capacity.
         lean = max(0.0, RESERVE - (1 - capacity.mean_utilisation))
         capacity_of_kind = capacity.capacity_of_kind
         utilisations = capacity.faded_utilisations(hosts, now)
         spares: list[float | None] = []
         for host, warm_fraction, utilisation in zip(hosts, warm_fractions, utilisations, strict=True):
-            # One that warms up, or has not reported: what others of its kind carry, as far as it is warm.
+            # A host that is warming up or has not reported gets the capacity of its kind, scaled by its warm
+            # fraction.
             known = host.capacity if warm_fraction >= 1 else None
             expected = known or capacity_of_kind.get(host.kind)
             free = 1 - utilisation
@@ -81,13 +85,13 @@
         spill_fraction: Callable[[Host], float],
         now: int,
     ) -> None:
-        """Give hosts their weights; `spill_fraction` is the part of its spare that a host may offer."""
+        """Set the weights of hosts; `spill_fraction` gives the fraction of spare capacity a host offers."""
         base = [spare * spill_fraction(host) for host, spare in zip(hosts, spares, strict=True)]
         index_of = self._performance_index.of_host
         for host in hosts:
             host.performance_index = index_of(host, now)
-        # When most of the fleet misses its goal the goal judges no host: the usual index does, or the few
-        # hosts under it would get everything and be the next to drop out.
+        # If most of the fleet misses the goal, hosts are compared with the median index instead. Otherwise
+        # the few hosts that meet the goal would get all requests and be the next to fail.
         yardstick = max(1.0, median(host.performance_index for host in hosts))
         weights = final_weights(
             base,
--- a/brambleusher/loadbalancing/windows.py
+++ b/brambleusher/loadbalancing/windows.py
@@ -1,7 +1,7 @@
-"""Windows of the estimators, and how they forget.
+"""Time windows of the estimators and their decay factors.
 
-The unit is the shortest latency target of the settings: the time in which a decision has to pay off.  All
-estimators are exponentially weighted: what is older than a window counts for less than 1/e.
+The unit is the shortest latency target of the settings, the time within which a decision should take effect.
+All estimators are exponentially weighted: a sample older than the window counts for less than 1/e.
 """
 
 from __future__ import annotations
@@ -14,21 +14,22 @@
 UTILISATION_WINDOW = 1.0
 LATENCY_WINDOW = 2.0
 HEALTH_WINDOW = 4.0
-CAPACITY_WINDOW = 10.0  # slow: capacity is a property of the host, and the quotient is noisy
-BEST_RATE_WINDOW = 64.0  # overload can last for tens of targets; also between two log lines
+CAPACITY_WINDOW = 10.0  # long, since capacity is a constant of the host and the quotient is noisy
+# Overload can last for tens of targets; also the minimum interval between two overload log lines.
+BEST_RATE_WINDOW = 64.0
 
 
 class Decay(NamedTuple):
-    """What is kept of counts after some time, by window."""
+    """Factors by which counts decay after some time, by window."""
 
-    gap: float  # the time, in targets
+    gap: float  # elapsed time in latency targets
     latency: float
     health: float
     capacity: float
 
     @classmethod
     def after(cls, gap: float) -> Decay:
-        """Return the factors for a time in targets."""
+        """Return the factors for an elapsed time in latency targets."""
         return cls(
             gap,
             math.exp(-gap / LATENCY_WINDOW),
--- a/brambleusher/loadbalancing/zone_aware_balancer.py
+++ b/brambleusher/loadbalancing/zone_aware_balancer.py
@@ -1,7 +1,8 @@
-"""The balancer with `zone_routing` asked: which zones take part, what each may get, what fits nowhere.
+"""Zone-aware balancer: `Balancer` extended by the zone decisions of `zone_routing`.
 
-All that is decided of a host, a request or a retry is decided by `Balancer`.  A zone that is out is to it as
-if discovery had left it out; what may go to a zone is one more thing that makes a host eligible.
+All decisions about hosts, requests and retries are made by `Balancer`. Hosts of an excluded zone are treated
+as if discovery had not listed them, and the limit of a zone is a further condition for the eligibility of its
+hosts.
 """
 
 from __future__ import annotations
@@ -21,13 +22,15 @@
 from brambleusher.loadbalancing.zone_loads import ZoneLoads
 from brambleusher.loadbalancing.zone_routing import ZoneRouter
 
-PAUSE_TARGETS = 0.25  # a timer that fires so many latency targets late: this proxy itself was paused
-PROBE_PATIENCE_TIMES = 2  # the patience with a probe has to be left: it can be sent again in time
-MIN_PROXIES_IN_ZONE = 0.25  # that share what a host warming up can do
+# A timer that fires this many latency targets late shows that this proxy itself was paused.
+PAUSE_TARGETS = 0.25
+# A probe needs at least this multiple of its timeout, so that its request can be retried in time.
+PROBE_PATIENCE_TIMES = 2
+MIN_PROXIES_IN_ZONE = 0.25  # lower bound of the number of proxies that share a warming host's capacity
 
 
 class ZoneAwareBalancer(Balancer):
-    """One client proxy's decisions, with rules on zones."""
+    """Makes the decisions of one client proxy with zone rules."""
 
     accepts_zone_rules = True
 
@@ -37,9 +40,9 @@
         self._zone_loads = ZoneLoads(
             self._unit_ns, self.zone_router, self.host_table, self.capacity, self.slow_start, self.traffic
         )
-        self.probing: list[str] = []  # requests whose last attempt is a probe
+        self.probing: list[str] = []  # ids of requests whose last attempt is a probe
         self.timer_due_ns = 0
-        self.uses_grants_ahead = False  # zones' grants may be used a burst ahead
+        self.uses_grants_ahead = False  # whether zone grants may be used a burst in advance
         self._handlers[api.ZoneRulesChanged] = self._on_zone_rules
 
     @property
@@ -47,7 +50,7 @@
         return self.zone_router.rules is not None
 
     def zone_status(self, now: int, /) -> dict[str, object]:
-        """Return the state of zones for operators, as plain values."""
+        """Return the state of zones for operators as plain values."""
         router = self.zone_router
         return {
             "panic": router.is_panic,
@@ -75,7 +78,7 @@
             self._recompute_weights(now, 0.0)
 
     def _choose_hosts(self) -> None:
-        """Leave out hosts of zones that are out; elsewhere nearer tiers come first."""
+        """Choose hosts outside excluded zones, those of nearer tiers first."""
         if self._has_rules:
             router = self.zone_router
             hosts = self.host_table.hosts.values()
@@ -103,7 +106,7 @@
         super()._recompute_weights(now, gap)
 
     def _judge_zones(self, now: int, gap: float) -> None:
-        """Have all zones judged by what their hosts report and owe; act on a change."""
+        """Update the state of all zones from reports and unanswered attempts; act on changes."""
         router = self.zone_router
         target, min_spill_fraction = self._target_utilisation()
         before = self._zones_out()
@@ -123,9 +126,10 @@
         return {name for name in router.zones if router.is_excluded(name)}
 
     def _target_utilisation(self) -> tuple[float, float]:
-        """Return the use of near hosts above which crossing pays, and the part that is always offered.
+        """Return the utilisation of near hosts above which crossing pays, and the minimum offered fraction.
 
-        As `CrossZoneSpill` has them, tier by tier in place of the own zone and the others.
+        The values are those of `CrossZoneSpill`, applied between tiers instead of between the own zone and
+        the others.
         """
         price = self.settings.cross_zone_price
         target = self.cross_zone_spill.target_utilisation()
@@ -134,7 +138,7 @@
         return target, min_spill(price)
 
     def _abandon_attempts(self, zone_name: str, now: int) -> None:
-        """Write off all attempts in a zone that is lost, and send them elsewhere too where that is safe."""
+        """Write off all attempts in a lost zone, and hedge their requests elsewhere if that is safe."""
         stuck: list[Request] = []
         for host in self.host_table.hosts.values():
             if host.zone == zone_name:
@@ -143,14 +147,14 @@
             self._hedge(request, now)
 
     def _take_back(self, zone_name: str, now: int) -> None:
-        """Forget what was held against hosts when their zone was lost: it says nothing of them now."""
+        """Reset the failure evidence of a returning zone's hosts, which is outdated."""
         for host in self.host_table.hosts.values():
             if host.zone == zone_name:
                 host.served = host.failed = host.rejected = 0.0
                 host.latency_counts = [0.0] * len(host.latency_counts)
                 host.latency_ratio_totals = [0.0] * len(host.latency_ratio_totals)
                 host.ejected_until_ns = 0
-                # Credit saved up while the zone was out is void.
+                # Slow-start credit accumulated while the zone was excluded must not be used at once.
                 host.slow_start_credit = host.rank % 1.0
                 host.slow_start_seen_ns = now
 
@@ -167,10 +171,10 @@
         return lambda host: offered_fraction(host.zone)
 
     def _update_admission_limit(self, gap: float) -> None:
-        """Raise the limit to the goal's where zones have faults, as long as answers keep to it.
+        """While zones are degraded, raise the limit to what meets the goal, unless answers are late.
 
-        Guards against rejecting what the zones that are left could carry: the plain limit holds answers near
-        what they take in quiet times, and full zones are not quiet.
+        Otherwise requests that the remaining zones could serve would be rejected: the plain limit aims at
+        unloaded latencies, which full zones can't reach.
         """
         super()._update_admission_limit(gap)
         counts = sum(self.traffic.answer_counts)
@@ -199,7 +203,7 @@
         self.admission.limit = max(self.admission.limit, due)
 
     def _admits(self, density: float) -> bool:
-        """Reject what fits nowhere, the cheapest first."""
+        """Reject the unplaced fraction of requests, lowest values first."""
         if not super()._admits(density):
             return False
         beyond = self.zone_router.unplaced_fraction if self._has_rules else 0.0
@@ -232,16 +236,16 @@
                 return to_probe
         host = super()._pick_host(request, now)
         if host is None and self._has_rules and self.zone_router.unplaced_fraction <= 0:
-            # What comes fits as a whole, and not at this moment: chance is no reason to reject.
+            # The demand fits overall but not at this moment; random bursts are no reason to reject a request.
             self.uses_grants_ahead = True
             host = super()._pick_host(request, now)
             self.uses_grants_ahead = False
         return host
 
     def _pick_probe(self, request: Request, now: int) -> Host | None:
-        """Return a host of a zone that is out, if it is due to be tried and this request may be the one.
+        """Return a host of an excluded zone if a probe is due and this request may serve as the probe.
 
-        It may where it can be sent again in time if nobody answers.
+        It may if it can be retried in time when the probe is not answered.
         """
         zone = self.zone_router.zone_to_probe(now)
         request_class = self.settings.classes[request.class_index]
@@ -257,7 +261,7 @@
             host = self.host_table.hosts.get(zone.ready_hosts[(zone.probe_turn + step) % count])
             if host is None or host.is_draining:
                 continue
-            # Its zone is out, which makes it unready: it is eligible if that is all.
+            # The host is not ready because its zone is excluded; check whether it is eligible otherwise.
             was_ready, host.is_ready = host.is_ready, True
             fits = is_eligible(host)
             host.is_ready = was_ready
@@ -278,8 +282,8 @@
         router = self.zone_router
         router.record_sent(host.zone, now)
         if host.started_ns > 0 and self.slow_start.warm_fraction(host, now) < 1:
-            # The rule's budget is more than a host warming up can do: here all proxies together keep to that,
-            # each by its share of the zone's traffic.
+            # The slow-start budget exceeds the capacity of a warming host. Here all proxies together stay
+            # within that capacity, each according to its share of the zone's traffic.
             proxies = router.capacity_share(host.zone) * self.settings.fleet_size
             cost = BUDGET_FRACTION * self.settings.overload_multiple / max(proxies, MIN_PROXIES_IN_ZONE)
             host.slow_start_credit -= 0.0 if router.needs_returning_zones(now) else max(0.0, cost - 1)
@@ -302,7 +306,7 @@
             self.probing.remove(event.request)
 
     def _retry(self, request: Request, status: AttemptStatus, now: int, is_idle_loss: bool) -> None:
-        """Send a request whose probe was not answered elsewhere at once: it cost the time and no more."""
+        """Retry a request with an unanswered probe elsewhere at once, since the probe has cost time only."""
         may_retry = status is not AttemptStatus.NOT_STARTED and request.id in self.probing
         if may_retry and self.retry_policy.may_attempt_again(request, now):
             self.probing.remove(request.id)
--- a/brambleusher/loadbalancing/zone_health.py
+++ b/brambleusher/loadbalancing/zone_health.py
@@ -1,11 +1,12 @@
-"""Health of zones: which are healthy, suspect, lost or returning, and when the evidence itself is doubted.
+"""Zone health: which zones are healthy, suspect, lost or returning, and when the evidence is doubted.
 
-A node is dark when what it was sent is not answered; a zone is lost when all of its nodes that were sent
-anything are.  A lost zone is probed with single requests and returns once one is answered, unless flap
-damping suppresses it.  With too few healthy nodes left the evidence is doubted (panic), since it may be this
-proxy that is unhealthy.
+A node is dark if the attempts sent to it are not answered; a zone is lost if all of its nodes that got
+attempts are dark. A lost zone is probed with single requests and returns once one is answered, unless flap
+damping suppresses it. If too few healthy nodes are left the evidence is doubted (panic), since this proxy
+itself may be faulty.
 
-The texts of reasons and log lines are part of recorded captures and of admin answers, and so do not change.
+The texts of reasons and log lines are part of recorded captures and of admin responses, so they do not
+change.
 """
 
 from __future__ import annotations
@@ -25,49 +26,53 @@
     ZoneTable,
 )
 
-# Evidence, in latency targets.
-LOST_TARGETS = (2.0, 1.0, 0.5)  # silence that loses a zone, by its dark nodes: several at once count for more
-SUSPECT_FRACTION = 0.5  # of that time: suspected
-MISSING_RESPONSES = 4.0  # that should have come by then, at the recent rate: silence by chance is shorter
-DARK_FAILURES = 2  # in a row without a response: the node is dark, whatever their age
-RESPONSIVE_TARGETS = 2.0  # a node that responded within these is responsive
-GREY_FRACTION = 0.15  # of recent ends failed, at two nodes or more: suspected
+# Evidence; times are in latency targets.
+# Silence after which a zone is lost, by its number of dark nodes: the more there are, the shorter.
+LOST_TARGETS = (2.0, 1.0, 0.5)
+SUSPECT_FRACTION = 0.5  # fraction of that time after which a zone is suspect
+MISSING_RESPONSES = 4.0  # expected responses that must be missing; random gaps are shorter
+DARK_FAILURES = 2  # consecutive failures without a response after which a node is dark, whatever their age
+RESPONSIVE_TARGETS = 2.0  # a node is responsive if it responded within this time
+# Fraction of recent attempts that failed, at two nodes or more, from which a zone is suspect.
+GREY_FRACTION = 0.15
 GREY_MIN_ENDS = 6.0
-GREY_NODE_FAILURES = 0.5  # recent ones, from which a node counts as one that fails
+GREY_NODE_FAILURES = 0.5  # decaying count of failures from which a node counts as failing
 GREY_HALF_LIFE_TARGETS = 8.0
 GREY_NODES = 2
-CLEAR_TARGETS = 2.0  # without a fault for so long: no longer suspected
-# What timed out sooner had no time to be answered, which says nothing of the node.
+CLEAR_TARGETS = 2.0  # time without a fault after which a zone is no longer suspect
+# An attempt with a shorter timeout could not have been answered and says nothing about the node.
 MIN_TIMEOUT_TARGETS = 0.25
 RESPONSE_HALF_LIFE_TARGETS = 1.0
 UNANSWERED = frozenset({AttemptStatus.CONNECT_FAILED, AttemptStatus.RESET, AttemptStatus.TIMEOUT})
 ANSWERED = frozenset({AttemptStatus.OK, AttemptStatus.OVERLOADED, AttemptStatus.ERROR})
 JUDGED = ANSWERED | UNANSWERED
 
-# Probes: single requests that may be repeated, to a zone that is out; intervals in latency targets.
-PROBE_TARGETS, MAX_PROBE_TARGETS = 1.0, 4.0  # doubled while they fail
-SUPPRESSED_PROBE_TARGETS = 8.0  # a suppressed zone responds: probes of many proxies are traffic too
-UNTRIED_TARGETS = 8.0  # without a request that may probe it, a zone returns unprobed, as gently as ever
-MISSED_PROBES = 2  # of a suppressed zone, in a row: it is lost again
+# Probes: single requests, safe to retry, to an excluded zone; intervals are in latency targets.
+PROBE_TARGETS, MAX_PROBE_TARGETS = 1.0, 4.0  # first and longest interval; doubled while probes fail
+# Longer, since a suppressed zone responds and the probes of many proxies are traffic too.
+SUPPRESSED_PROBE_TARGETS = 8.0
+# Time without a request that may be a probe, after which a zone returns unprobed, with a slow start.
+UNTRIED_TARGETS = 8.0
+MISSED_PROBES = 2  # consecutive unanswered probes after which a suppressed zone is lost again
 
-NEEDED_TARGETS = 1.0  # demand has been unplaced for so long: suppressed zones are used
-HEALTHY_TARGETS = 6.0  # a returning zone without shortage or fault for so long is healthy
-PANIC_HYSTERESIS = 0.1  # of use: once in panic, only clear relief ends it
+NEEDED_TARGETS = 1.0  # time for which demand must have been unplaced before suppressed zones are used
+HEALTHY_TARGETS = 6.0  # time without shortage or fault after which a returning zone is healthy
+PANIC_HYSTERESIS = 0.1  # utilisation must fall by this much below the maximum to end a panic
 
 
 @dataclass(frozen=True, slots=True)
 class _Evidence:
-    """What speaks against a zone that is in use."""
+    """Evidence of a fault in a zone that is in use."""
 
-    is_unresponsive: bool  # for long enough to be lost
-    is_failing: bool  # many ends failed, at several nodes
+    is_unresponsive: bool  # unresponsive for long enough to be lost
+    is_failing: bool  # many attempts failed, at several nodes
     is_suspect: bool
     unresponsive_text: str
     failing_text: str
 
 
 class ZoneHealth:
-    """Judges zones by the responses of their nodes."""
+    """Determines the states of zones from the responses of their nodes."""
 
     def __init__(self, table: ZoneTable, damping: FlapDamping) -> None:
         self._table = table
@@ -76,14 +81,14 @@
     # --- evidence -------------------------------------------------------------------------------
 
     def is_evidence(self, zone: Zone, host: str, status: AttemptStatus, latency_ns: int) -> bool:
-        """Return whether the end of an attempt says anything of its zone."""
+        """Return whether the outcome of an attempt is evidence about its zone."""
         if host not in zone.ready_hosts or status not in JUDGED:
             return False
         too_short = latency_ns < self._table.target_ns * MIN_TIMEOUT_TARGETS
         return not (status is AttemptStatus.TIMEOUT and too_short)
 
     def record_end(self, zone: Zone, host: str, status: AttemptStatus, sent_ns: int, now: int) -> None:
-        """Take in how an attempt at a host of the zone ended; it must be evidence."""
+        """Record the outcome of an attempt at a host of the zone; it must be evidence."""
         node = zone.nodes.setdefault(host, NodeHealth())
         zone.recent_ends += 1
         if status in ANSWERED:
@@ -110,7 +115,7 @@
         node.consecutive_failures += 1
         node.recent_failures += 1
         zone.consecutive_failures += 1
-        if zone.is_suppressed:  # probe again soon: is it lost again?
+        if zone.is_suppressed:  # probe again soon to find out whether it is lost again
             soon_ns = now + int(PROBE_TARGETS * self._table.target_ns)
             zone.next_probe_ns = min(zone.next_probe_ns, soon_ns)
             zone.probe_interval_ns = 0
@@ -120,7 +125,7 @@
             zone.consecutive_connect_failures = 0
 
     def decay(self, zone: Zone, gap: float) -> None:
-        """Let the evidence decay over `gap` latency targets."""
+        """Decay the evidence over `gap` latency targets."""
         retained = 0.5 ** (gap / GREY_HALF_LIFE_TARGETS)
         zone.recent_ends *= retained
         for node in zone.nodes.values():
@@ -130,16 +135,16 @@
     # --- probes ---------------------------------------------------------------------------------
 
     def zone_to_probe(self, now: int) -> Zone | None:
-        """Return a zone that is out and due to be probed with one request."""
+        """Return an excluded zone that is due to be probed, or None."""
         for zone in self._table.zones.values():
             if zone.ready_hosts and zone.next_probe_ns <= now and self._table.is_excluded(zone.name):
                 return zone
         return None
 
     def record_probe(self, zone: Zone, now: int) -> None:
-        """Take in that a zone is being probed; the next probe comes later while none is answered."""
+        """Record that a zone is probed; intervals grow while probes are not answered."""
         target_ns = self._table.target_ns
-        rarity = max(1.0, zone.flap_penalty)  # one that flaps is probed the less, the more it does
+        rarity = max(1.0, zone.flap_penalty)  # a flapping zone is probed less often
         interval_ns = min(
             max(2 * zone.probe_interval_ns, int(PROBE_TARGETS * target_ns)),
             int(MAX_PROBE_TARGETS * rarity * target_ns),
@@ -151,10 +156,10 @@
         zone.probe_turn += 1
         zone.last_probe_ns = now
 
-    # --- judgement ------------------------------------------------------------------------------
+    # --- states ---------------------------------------------------------------------------------
 
     def judge(self, zone: Zone, load: ZoneLoad, now: int) -> None:
-        """Set one zone's state, by what speaks for and against it now."""
+        """Update the state of a zone from the current evidence."""
         if zone.state is ZoneState.LOST:
             self._judge_lost(zone, now)
         elif zone.is_suppressed:
@@ -170,7 +175,8 @@
             for name, node in zone.nodes.items()
         )
         least = min(GREY_NODES, len(zone.ready_hosts))
-        # Since when nobody there has answered what was asked before: all dark nodes, and no other's response.
+        # The zone has been unresponsive since the first unanswered attempt at its dark nodes, or since the
+        # last response of any node if that is later.
         began_ns = max(zone.last_response_ns, self._table.stalled_until_ns, min(dark.values(), default=now))
         unresponsive_ns = now - began_ns
         all_dark = len(dark) >= max(least, 1) and len(dark) >= responsive
@@ -199,7 +205,7 @@
 
     @staticmethod
     def _dark_since(zone: Zone, load: ZoneLoad, now: int) -> dict[str, int]:
-        """Return the dark nodes of a zone, and since when."""
+        """Return the dark nodes of a zone and since when each has been dark."""
         dark = dict(load.unanswered_since_ns)
         for name, node in zone.nodes.items():
             if node.consecutive_failures >= DARK_FAILURES:
@@ -207,7 +213,7 @@
         return dark
 
     def _lost_after_ns(self, zone: Zone, dark_nodes: int) -> float:
-        """Return how long a zone must be silent to be lost, in ns."""
+        """Return the silence, in nanoseconds, after which a zone is lost."""
         target_ns = self._table.target_ns
         needed = LOST_TARGETS[min(dark_nodes, len(LOST_TARGETS)) - 1] * target_ns if dark_nodes else 0.0
         by_chance = (
@@ -233,7 +239,7 @@
             self.set_state(zone, ZoneState.HEALTHY, "nothing speaks against it any more", now)
 
     def _judge_lost(self, zone: Zone, now: int) -> None:
-        """Let a lost zone that has responded since return, once its penalty allows it."""
+        """Take back a lost zone that has responded since, or that could not be probed for long."""
         if not zone.ready_hosts:
             return
         untried_ns = now - max(zone.since_ns, zone.last_probe_ns)
@@ -259,7 +265,7 @@
     # --- transitions ----------------------------------------------------------------------------
 
     def lose(self, zone: Zone, reason: str, now: int, penalty: float = 1.0) -> None:
-        """Take a zone out of use."""
+        """Mark a zone as lost."""
         is_flapping = zone.is_suppressed
         zone.loss_count += 1
         zone.is_delisted = False
@@ -298,10 +304,10 @@
     # --- panic ----------------------------------------------------------------------------------
 
     def update_panic(self, loads: Mapping[str, ZoneLoad]) -> None:
-        """Decide whether the evidence is doubted.
+        """Update whether the evidence is doubted (panic).
 
-        Panic: few nodes seem healthy, and those are under load: it may be this proxy that is unhealthy.  A
-        zone that connects can't reach stays out: that is no matter of doubt.
+        In a panic few nodes seem healthy and those are overloaded, so the fault may be in this proxy. A zone
+        where connects fail stays excluded, since that evidence is certain.
         """
         table = self._table
         rules = table.active_rules
@@ -317,7 +323,7 @@
             is_pressed &= load.is_strained or load.used > max_utilisation * load.capacity
         table.is_panic = total > 0 and is_pressed and healthy < rules.panic_threshold * total
         if total and not any(zone.ready_hosts and not zone.is_out for zone in table.zones.values()):
-            table.is_panic = True  # whatever the rules say: nothing is left to go by
+            table.is_panic = True  # independent of the threshold, since no zone would be left
         if table.is_panic != was_panic:
             entered = f"panic: {healthy} of {total} nodes seem well: all zones are used"
             table.log_lines.append(f"zones: {entered if table.is_panic else 'panic is over'}")
--- a/brambleusher/loadbalancing/zone_loads.py
+++ b/brambleusher/loadbalancing/zone_loads.py
@@ -1,4 +1,4 @@
-"""What the ready hosts of each zone report together, and which of them leave attempts unanswered."""
+"""Zone loads: the combined load reports of each zone's ready hosts, and their unresponsive hosts."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 from brambleusher.loadbalancing.zone_routing import ZoneRouter
 from brambleusher.loadbalancing.zone_state import ZoneLoad
 
-MIN_UNRESPONSIVE = 0.5  # latency targets without an answer, though asked, before a host is unresponsive
-MAX_UNRESPONSIVE = 2.0  # latency targets, however slow usual answers are
-UNRESPONSIVE_TIMES = 3.0  # the usual answer's time
-MIN_FREE = 0.01  # of a host's capacity: a full one still counts a little
-STRAINED_FRACTION = 0.5  # of a zone's hosts miss the goal or fail: it is under strain
+MIN_UNRESPONSIVE = 0.5  # minimum time, in latency targets, without an answer before a host is unresponsive
+MAX_UNRESPONSIVE = 2.0  # maximum of that time in latency targets, however slow usual answers are
+UNRESPONSIVE_TIMES = 3.0  # the time as a multiple of the mean latency, within these bounds
+MIN_FREE = 0.01  # minimum free fraction of a host's capacity for weighting; a full host still counts a little
+STRAINED_FRACTION = 0.5  # a zone is strained if more than this fraction of its hosts miss their goal or fail
 
 
 @dataclass(slots=True)
 class _HostCounts:
-    """Hosts of a zone that its load is scaled by, and judged by."""
+    """Numbers of hosts of a zone that are not in use, and that miss their goal."""
 
     not_in_use: int = 0
     missing_goal: int = 0
 
 
 class ZoneLoads:
-    """Collects the load of zones from what is known of hosts."""
+    """Computes the load of zones from the records of their hosts."""
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
                 if unresponsive_since_ns > 0:
                     load.unanswered_since_ns[host.name] = unresponsive_since_ns
             if host.name not in in_use and host.is_ready:
-                # Not among this proxy's few: it counts as those that are.
+                # A host outside this proxy's subset is assumed to resemble those in use.
                 counts[host.zone].not_in_use += 1
             else:
                 counted.append(host)
@@ -79,9 +79,9 @@
         return loads
 
     def _add(self, load: ZoneLoad, host: Host, utilisation: float, now: int) -> None:
-        """Add a host to the load of its zone."""
+        """Add a host's load to that of its zone."""
         estimates = self._capacity
-        rate = estimates.rate_per_size or 1.0  # before it is known, hosts' capacities beside each other
+        rate = estimates.rate_per_size or 1.0  # before the rate is known, only relative capacities
         warm_fraction = self._slow_start.warm_fraction(host, now)
         usual = estimates.capacity_of_kind.get(host.kind, estimates.mean_capacity)
         known = host.capacity if warm_fraction >= 1 else None
@@ -96,7 +96,7 @@
         load.total_weight += capacity * max(1 - utilisation, MIN_FREE) * host.health * host.acceptance
 
     def _unresponsive_since_ns(self, host: Host, now: int) -> int:
-        """Return since when a host has left attempts unanswered for too long; 0 where it has not."""
+        """Return since when a host has been unresponsive, or 0 if it is responsive."""
         router = self._zone_router
         zone = router.zones.get(host.zone)
         node = zone.nodes.get(host.name) if zone is not None else None
@@ -116,7 +116,7 @@
 
 
 def _scale(load: ZoneLoad, counts: _HostCounts) -> None:
-    """Have the hosts in use stand for all of their zone."""
+    """Extrapolate the load of the hosts in use to all hosts of their zone."""
     if not load.host_count:
         return
     load.is_strained = counts.missing_goal > STRAINED_FRACTION * load.host_count
--- a/brambleusher/loadbalancing/zone_routing.py
+++ b/brambleusher/loadbalancing/zone_routing.py
@@ -1,11 +1,11 @@
-"""Routing over zones: how near each is, how healthy, and how much of this proxy's traffic it may be given.
+"""Zone routing: the nearness and health of zones, and how much of this proxy's traffic each may get.
 
-`ZoneRouter` takes in sent requests, their ends, the endpoint list and, at each tick, the load that each
-zone's hosts report.  It answers which zones take part, the fraction of its spare capacity that each may
-offer, and whether one more request may go to a zone now.  It is pure: no clock, no I/O, no random numbers.
+`ZoneRouter` processes sent requests, attempt outcomes, the endpoint list and, at each tick, the load of each
+zone. It determines which zones are excluded, the fraction of its spare capacity that each zone may offer, and
+whether a request may go to a zone now. It is pure: no clock, no I/O, no random numbers.
 
 `zone_state` has the records, `zone_health` the states, `flap_damping` the penalties, `zone_tiers` the
-nearness and `spill_grants` the limits.  `docs/design/zones.md` weighs the alternatives.
+nearness and `spill_grants` the limits. `docs/design/zones.md` compares alternatives.
 """
 
 from __future__ import annotations
@@ -21,16 +21,16 @@
 
 
 class ZoneRouter:
-    """All zones as one proxy sees them; without rules nothing is judged and all take part."""
+    """Zone decisions of one proxy; without rules no zone is judged or excluded."""
 
     def __init__(self, rules: ZoneRules | None, own_zone: str, target_ns: int, fleet_size: int) -> None:
-        """Start without zones.
+        """Initialize without zones.
 
         Args:
-            rules: The operator's; None while there are none.
+            rules: The operator's zone rules, or None.
             own_zone: The zone of this proxy.
             target_ns: The shortest latency target.
-            fleet_size: How many proxies there are.
+            fleet_size: The number of proxies.
         """
         self.table = ZoneTable(rules, own_zone, target_ns, fleet_size)
         self.damping = FlapDamping(self.table)
@@ -40,7 +40,7 @@
 
     @property
     def rules(self) -> ZoneRules | None:
-        """The operator's rules on zones."""
+        """The operator's zone rules."""
         return self.table.rules
 
     @property
@@ -79,7 +79,7 @@
             zone.flap_penalty = 0.0
 
     def _exempt(self, zone: Zone, now: int) -> None:
-        """Suppress a zone for flapping no more."""
+        """Stop suppressing a zone for flapping."""
         zone.flap_penalty = 0.0
         zone.next_probe_ns = now
         zone.probe_interval_ns = 0
@@ -96,8 +96,8 @@
     def record_list(
         self, ready: Mapping[str, list[str]], draining: Mapping[str, list[str]], now: int
     ) -> None:
-        """Take in the endpoint list as it stands: by zone, hosts that are ready and hosts that drain."""
-        for name in {**ready, **draining}:  # in their order, which no hash of a name changes
+        """Record the current endpoint list: ready and draining hosts by zone."""
+        for name in {**ready, **draining}:  # in a fixed order, independent of hashes
             if name not in self.zones:
                 self._add(name, now)
         for name, zone in self.zones.items():
@@ -116,7 +116,7 @@
             zone.evacuation_began_ns = max(now - int(EVACUATION_S * NS_PER_S), 1)
 
     def _handle_emptied(self, zone: Zone, hosts_before: int, is_draining: bool, now: int) -> None:
-        """Judge a zone whose last ready hosts have left the list."""
+        """Handle a zone whose last ready hosts have left the list."""
         if self.rules is None or zone.state is ZoneState.LOST:
             return
         if is_draining:
@@ -131,21 +131,22 @@
             zone.is_delisted = True
 
     def _handle_refilled(self, zone: Zone, now: int) -> None:
-        """Let a zone that is out be probed at once: it has hosts again."""
+        """Make an excluded zone that has hosts again due to be probed."""
         zone.next_probe_ns = now
         zone.probe_interval_ns = 0
         zone.consecutive_connect_failures = 0
-        if zone.is_delisted and self.rules is not None:  # the list ended it, and the list takes it back
+        # Only the list has excluded the zone, so the list takes it back.
+        if zone.is_delisted and self.rules is not None:
             self.health.take_back(zone, "it is listed again", now)
 
     def record_sent(self, name: str, now: int) -> None:
-        """Take in that one more request goes to a zone."""
+        """Record that a request is sent to a zone."""
         self.grants.record_sent(name, now)
 
     def record_end(
         self, name: str, host: str, cls: int, status: AttemptStatus, sent_ns: int, latency_ns: int, now: int
     ) -> None:
-        """Take in how an attempt at a host of a zone ended."""
+        """Record the outcome of an attempt at a host of a zone."""
         zone = self.zones.get(name)
         if zone is None or not self.health.is_evidence(zone, host, status, latency_ns):
             return
@@ -154,11 +155,11 @@
             self.tiers.record_latency(zone, cls, float(latency_ns))
 
     def record_stall(self, now: int) -> None:
-        """Take in that this proxy itself did not run: that nothing was answered meanwhile proves nothing."""
+        """Record that this proxy was paused, so that missing answers until now are no evidence."""
         self.table.stalled_until_ns = now
 
     def record_probe(self, zone: Zone, now: int) -> None:
-        """Take in that a zone that is out is being probed."""
+        """Record that an excluded zone is probed."""
         self.health.record_probe(zone, now)
 
     def tick(
@@ -170,18 +171,18 @@
         target_utilisation: float,
         min_fraction: float,
     ) -> bool:
-        """Judge all zones anew.
+        """Update the states, tiers and grants of all zones.
 
         Args:
-            now: In ns.
-            gap: Since the last tick, in latency targets.
-            loads: By zone.
-            demand: Requests a second that come to this proxy.
-            target_utilisation: Use of nearer hosts above which further ones help.
-            min_fraction: The fraction of their spare capacity that further ones always offer.
+            now: The current time in nanoseconds.
+            gap: Time since the last tick in latency targets.
+            loads: Load by zone.
+            demand: Requests per second that arrive at this proxy.
+            target_utilisation: Utilisation of nearer hosts above which farther ones help.
+            min_fraction: Fraction of their spare capacity that farther hosts always offer.
 
         Returns:
-            Whether a zone came to take part, or ceased to.
+            Whether a zone was excluded or taken back.
         """
         if self.rules is None:
             return False
@@ -197,62 +198,62 @@
         self.grants.update(now, gap, loads, demand, target_utilisation)
         return before != [self.is_excluded(name) for name in self.zones]
 
-    # --- answers --------------------------------------------------------------------------------
+    # --- queries --------------------------------------------------------------------------------
 
     @property
     def is_panic(self) -> bool:
-        """Whether the evidence is doubted, so that all zones take part."""
+        """Whether the evidence is doubted, so that zones are used whatever their states."""
         return self.table.is_panic
 
     @property
     def unplaced_fraction(self) -> float:
-        """The fraction of the demand that fits into no zone."""
+        """The fraction of the demand that exceeds the limits of all zones."""
         return self.table.unplaced_fraction
 
     @property
     def stalled_until_ns(self) -> int:
-        """Silence before this moment proves nothing."""
+        """Time in nanoseconds before which missing answers are no evidence."""
         return self.table.stalled_until_ns
 
     @property
     def is_any_degraded(self) -> bool:
-        """Whether any zone is out or on its way back, so that the others have more to carry."""
+        """Whether any zone is excluded, returning or evacuated, so that the others get more traffic."""
         return any(zone.is_out or zone.is_ramping for zone in self.zones.values())
 
     def is_excluded(self, name: str) -> bool:
-        """Return whether a zone takes no part."""
+        """Return whether a zone is excluded."""
         return self.table.is_excluded(name)
 
     def is_doubtful(self, name: str) -> bool:
-        """Return whether what must not run twice had better go elsewhere."""
+        """Return whether requests that must not be executed twice should avoid a zone."""
         zone = self.zones.get(name)
         if self.rules is None or zone is None:
             return False
         return zone.is_out or zone.state is ZoneState.SUSPECT
 
     def offered_fraction(self, name: str) -> float:
-        """Return the fraction of their spare capacity that a zone's hosts may offer."""
+        """Return the fraction of their spare capacity that a zone's hosts offer."""
         zone = self.zones.get(name)
         return 1.0 if zone is None else zone.offered_fraction
 
     def capacity_share(self, name: str) -> float:
-        """Return this proxy's share of what a zone can do."""
+        """Return this proxy's share of a zone's capacity."""
         return self.grants.capacity_share(name)
 
     def needs_returning_zones(self, now: int) -> bool:
-        """Return whether demand was unplaced lately, so that returning zones must take more."""
+        """Return whether some demand was unplaced recently, so that returning zones must take more."""
         return self.grants.needs_returning_zones(now)
 
     def admits(self, name: str, now: int, ahead: bool = False) -> bool:
-        """Return whether one more request may go to a zone now; `ahead`: or could soon, within a burst."""
+        """Return whether a request may go to a zone; `ahead` also allows a burst of requests in advance."""
         return self.grants.admits(name, now, ahead)
 
     def zone_to_probe(self, now: int) -> Zone | None:
-        """Return a zone that is out and due to be probed with one request."""
+        """Return an excluded zone that is due to be probed, or None."""
         return self.health.zone_to_probe(now)
 
     def take_log_lines(self) -> list[str]:
-        """Return the lines for the operator's log since the last call."""
+        """Return the log lines for operators since the last call."""
         lines, self.table.log_lines = self.table.log_lines, []
         return lines
 
--- a/brambleusher/loadbalancing/zone_stored_records.py
+++ b/brambleusher/loadbalancing/zone_stored_records.py
@@ -1,4 +1,4 @@
-"""Records of zones within a balancer's stored state."""
+"""Stored records of zones within a balancer's saved state."""
 
 from __future__ import annotations
 
--- a/brambleusher/loadbalancing/zone_tiers.py
+++ b/brambleusher/loadbalancing/zone_tiers.py
@@ -1,7 +1,7 @@
-"""Tiers of zones by nearness: from the operator's rules, or learned from the latencies of their responses.
+"""Tiers of zones by nearness: set by the operator's rules or learned from response latencies.
 
-The own zone is tier 0.  Learned tiers compare a low quantile of the latencies of each class, which says more
-of the way to a zone than of the work there.
+The own zone is tier 0. Learned tiers compare a low quantile of the latencies of each request class, which
+reflects network distance more than processing time.
 """
 
 from __future__ import annotations
@@ -11,16 +11,17 @@
 from brambleusher.loadbalancing.api import ZoneRules
 from brambleusher.loadbalancing.zone_state import Zone, ZoneTable
 
-SAME_TIER_TARGETS = 0.02  # zones whose latency differs by less of a target are equally near
+SAME_TIER_TARGETS = 0.02  # maximum latency difference within a tier, in latency targets
 LATENCY_QUANTILE = 0.2
-QUANTILE_STEP_TARGETS = 0.002  # the quantile moves so far at each response, up and down by its odds
-FAST_STEP_FACTOR = 4  # of the step, until there are `MIN_LATENCIES`
-MIN_LATENCIES = 40  # of a class before its quantile counts
+# Step of the quantile estimate per response, in latency targets, times the odds of the quantile.
+QUANTILE_STEP_TARGETS = 0.002
+FAST_STEP_FACTOR = 4  # factor on the step until there are `MIN_LATENCIES`
+MIN_LATENCIES = 40  # number of latencies of a class from which its quantile is used
 RANK_INTERVAL_TARGETS = 4.0
 
 
 def tiers_for(rules: ZoneRules, own_zone: str) -> list[list[tuple[str, float]]] | None:
-    """Return the operator's tiers after one's own zone, as zones with weights; None: they are learned."""
+    """Return the operator's tiers for `own_zone` as weighted zones, or None if tiers are learned."""
     if not rules.neighbours:
         return None
     return [list(tier) for zone, tiers in rules.neighbours if zone == own_zone for tier in tiers]
@@ -31,17 +32,17 @@
 
     def __init__(self, table: ZoneTable) -> None:
         self._table = table
-        self.weights: Mapping[str, float] = {}  # within a tier, by the rules
+        self.weights: Mapping[str, float] = {}  # weight of a zone within its tier, according to the rules
         self.ranked_ns = 0
 
     def rank_when_due(self, now: int) -> None:
-        """Rank zones anew where the last ranking is old."""
+        """Recompute the tiers if the last ranking is older than `RANK_INTERVAL_TARGETS`."""
         if now - self.ranked_ns > RANK_INTERVAL_TARGETS * self._table.target_ns:
             self.ranked_ns = now
             self.rank()
 
     def rank(self) -> None:
-        """Set each zone's tier: own 0, then the rules' or the learned ones, at last all that is not named."""
+        """Set each zone's tier: 0 for the own zone, others by the rules or latencies, unnamed ones last."""
         zones, own_zone = self._table.zones, self._table.own_zone
         tiers = None if self._table.rules is None else tiers_for(self._table.rules, own_zone)
         if tiers is None:
@@ -56,7 +57,7 @@
             zones[own_zone].tier = 0
 
     def _rank_by_latency(self) -> None:
-        """Put zones of about the same extra latency into one tier; one not known yet is in tier 1."""
+        """Group zones of similar extra latency into tiers; a zone without latencies is in tier 1."""
         known = self._extra_latencies()
         for zone in self._table.zones.values():
             zone.tier = 1
@@ -67,9 +68,9 @@
             self._table.zones[name].tier = tier
 
     def _extra_latencies(self) -> list[tuple[float, str]]:
-        """Return by how much further zones exceed the nearest, in ns: the mean over classes, sorted.
+        """Return the extra latency of other zones over the nearest one, in nanoseconds, sorted.
 
-        Classes are compared each with itself.
+        It is the mean over request classes, each of which is compared only with itself.
         """
         further = {name: zone for name, zone in self._table.zones.items() if name != self._table.own_zone}
         by_class: dict[int, list[float]] = {}
@@ -90,9 +91,9 @@
         return known
 
     def record_latency(self, zone: Zone, cls: int, latency_ns: float) -> None:
-        """Move the quantile of a zone's latencies towards one more of them.
+        """Update the quantile of a zone's latencies with one more latency.
 
-        Source: Robbins and Monro, stochastic approximation: up and down by the quantile's odds.
+        Source: Robbins and Monro, stochastic approximation; steps up and down have the odds of the quantile.
         """
         count = zone.latency_count.get(cls, 0)
         zone.latency_count[cls] = min(count + 1, MIN_LATENCIES)
--- a/brambleusher/operator_settings/__init__.py
+++ b/brambleusher/operator_settings/__init__.py
@@ -1,1 +1,1 @@
-"""The operator file: its settings, and how it is read and checked."""
+"""The operator file: its settings, and how it is parsed and validated."""
--- a/brambleusher/operator_settings/configuration.py
+++ b/brambleusher/operator_settings/configuration.py
@@ -1,6 +1,6 @@
-"""The operator file: its settings, and how they are read, checked and given defaults.
+"""The operator file: its settings, their parsing, validation and defaults.
 
-A section that is named is on, with its defaults where it says no more; what is not named is off.
+A feature is enabled if its section is present, with defaults for missing keys, and disabled otherwise.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MetricsTarget:
-    """Where metrics go: standard error, a file, or an address for datagrams, by `kind`."""
+    """Destination of metrics by `kind`: standard error, a file, or the address of a UDP receiver."""
 
     kind: str = "stderr"
     path: str = ""
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MetricsSettings:
-    """Metrics for a collector, in the form and at the interval that it wants."""
+    """Format, target and flush interval of exported metrics."""
 
     format: str = "statsd"
     target: MetricsTarget = MetricsTarget()
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusSettings:
-    """The status page; it has no usual port."""
+    """Settings of the status page; the port has no default."""
 
     port: int
     refresh_ms: int = 1000
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CaptureSettings:
-    """The capture of events and decisions: in memory and, with `dir`, in files."""
+    """Settings for captures of events and decisions: in memory and, if `dir` is set, in files."""
 
     ring_kb: int = 768
     dir: str | None = None
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorFile:
-    """The features' settings; None for one that is off."""
+    """Settings of all features; None for a disabled feature."""
 
     rewrites: tuple[RewriteRule, ...] | None = None
     metrics: MetricsSettings | None = None
@@ -124,16 +124,16 @@
 
 
 def _parse_mysql(raw: object) -> MysqlSettings:
-    from brambleusher.fronts.mysql.settings import parse_mysql  # here: a sidecar without it loads none of it
+    from brambleusher.fronts.mysql.settings import parse_mysql  # imported only where the feature is enabled
 
     return parse_mysql(raw)
 
 
 def parse_operator_file(text: bytes) -> OperatorFile:
-    """Parse an operator file; an empty one switches nothing on.
+    """Parse an operator file; an empty one enables no feature.
 
     Raises:
-        OperatorFileError: It can't be used; the message names the key.
+        OperatorFileError: The file is invalid; the message names the key.
     """
     if len(text) > MAX_FILE_BYTES:
         raise OperatorFileError(f"the file has more than {MAX_FILE_BYTES} bytes")
@@ -151,10 +151,10 @@
 
 
 def load_operator_file(path: str | None) -> OperatorFile:
-    """Load the file named on the command line; without one all features are off.
+    """Load the operator file at `path`; if it is None all features are disabled.
 
     Raises:
-        OperatorFileError: It can't be read or used.
+        OperatorFileError: The file can't be read or is invalid.
     """
     if path is None:
         return OperatorFile()
--- a/brambleusher/operator_settings/rewrite_rules.py
+++ b/brambleusher/operator_settings/rewrite_rules.py
@@ -1,4 +1,4 @@
-"""The operator file's section `rewrites`: rules for headers of requests and responses."""
+"""Section `rewrites` of the operator file: rewrite rules for request and response headers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from brambleusher.operator_settings.section import OperatorFileError, Section
 
 MAX_RULES, MAX_VALUE_CHARS = 256, 4096
-# What the sidecar writes anew on each connection.
+# Headers that the sidecar sets itself for each connection.
 FRAMING = HOP_BY_HOP | {"content-length", "host", "expect"}
 DIRECTIONS = ("in", "out")
 ACTIONS = ("add", "drop", "rename")
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RewriteRule:
-    """One rewrite: `name` is added with `value`, dropped, or renamed to `value`."""
+    """A rule that adds a header `name` with `value`, drops it, or renames it to `value`."""
 
     direction: str
     action: str
@@ -28,7 +28,7 @@
 
 
 def _parse_header_name(value: object, path: str) -> str:
-    """Return the name of a header that rules may change."""
+    """Return a header name after checking that rules may change the header."""
     if not isinstance(value, str) or not is_token(value):
         raise OperatorFileError(f"{path} is not the name of a header")
     if value.lower() in PROTECTED:
@@ -67,16 +67,16 @@
     if action == "rename":
         return RewriteRule(direction, action, name, _parse_header_name(value, where), prefix, request_class)
     if not isinstance(value, str) or not is_value(value) or len(value) > MAX_VALUE_CHARS:
-        # Guards against a line break that would smuggle in a header of its own, or a request.
+        # A line break in the value could inject a header or a whole request.
         raise OperatorFileError(f"{where}.{name} is not a text that fits in a header (numbers need quotes)")
     return RewriteRule(direction, action, name, value.strip(" \t"), prefix, request_class)
 
 
 def parse_rewrite_rules(raw: object) -> tuple[RewriteRule, ...]:
-    """Parse the section.
+    """Parse the section `rewrites`.
 
     Raises:
-        OperatorFileError: A rule can't be used; the message has its place.
+        OperatorFileError: A rule is invalid; the message gives its position.
     """
     if raw is None:
         return ()
--- a/brambleusher/operator_settings/section.py
+++ b/brambleusher/operator_settings/section.py
@@ -1,16 +1,17 @@
-"""Mappings of an operator file, read key by key, so that a fault names its key."""
+"""Typed access to the mappings of an operator file, with errors that name the key."""
 
 from __future__ import annotations
 
 
 class OperatorFileError(ValueError):
-    """An operator file that can't be used; the message names the key."""
+    """An operator file is invalid; the message names the key."""
 
 
 class Section:
-    """One mapping of the file.
+    """A mapping of the operator file, whose keys are removed as they are read.
 
-    Its methods raise `OperatorFileError` where a value is not of its kind.  `reject_unknown_keys` comes last.
+    Methods raise `OperatorFileError` if a value has the wrong type. After all known keys have been read, the
+    caller must call `reject_unknown_keys`.
     """
 
     def __init__(self, raw: object, path: str) -> None:
@@ -21,19 +22,19 @@
         self._left, self._path = dict(raw), path
 
     def name(self, key: str) -> str:
-        """Return the key with the path to it."""
+        """Return the full path of a key."""
         return f"{self._path}.{key}" if self._path else key
 
     def has(self, key: str) -> bool:
-        """Return whether a key stands in the mapping and has not been taken yet."""
+        """Return whether the mapping has a key that has not been read yet."""
         return key in self._left
 
     def take(self, key: str, default: object = None) -> object:
-        """Take a value as it stands."""
+        """Remove a key and return its value unchecked."""
         return self._left.pop(key, default)
 
     def text(self, key: str, default: str | None = None) -> str | None:
-        """Take a text, not empty."""
+        """Remove a key and return its value, a non-empty string."""
         if key not in self._left:
             return default
         value = self._left.pop(key)
@@ -42,28 +43,28 @@
         return value
 
     def choice(self, key: str, among: tuple[str, ...], default: str = "") -> str:
-        """Take one of a few texts."""
+        """Remove a key and return its value, one of the strings in `among`."""
         value = self.text(key, default) or ""
         if value not in among:
             raise OperatorFileError(f"{self.name(key)} is not one of {', '.join(among)}")
         return value
 
     def integer(self, key: str, default: int, low: int, high: int) -> int:
-        """Take a whole number within a range."""
+        """Remove a key and return its value, an integer from `low` to `high`."""
         value = self._left.pop(key, default)
         if isinstance(value, bool) or not isinstance(value, int) or not low <= value <= high:
             raise OperatorFileError(f"{self.name(key)} is not a whole number from {low} to {high}")
         return value
 
     def number(self, key: str, default: float, low: float, high: float) -> float:
-        """Take a number within a range."""
+        """Remove a key and return its value, a number from `low` to `high`."""
         value = self._left.pop(key, default)
         if isinstance(value, bool) or not isinstance(value, int | float) or not low <= value <= high:
             raise OperatorFileError(f"{self.name(key)} is not a number from {low:g} to {high:g}")
         return float(value)
 
     def name_list(self, key: str, most: int) -> tuple[str, ...]:
-        """Take a list of texts, none of them twice."""
+        """Remove a key and return its value, a list of at most `most` distinct non-empty strings."""
         value = self._left.pop(key, None)
         if value is None:
             return ()
@@ -77,6 +78,6 @@
         return tuple(value)
 
     def reject_unknown_keys(self) -> None:
-        """Reject keys that nobody has taken."""
+        """Raise an error if the mapping has a key that has not been read."""
         for key in self._left:
             raise OperatorFileError(f"{self.name(key)} is unknown")
--- a/brambleusher/operator_settings/yaml_codec.py
+++ b/brambleusher/operator_settings/yaml_codec.py
@@ -1,4 +1,4 @@
-"""YAML as files of operators have it."""
+"""YAML decoder for operator files."""
 
 from __future__ import annotations
 
@@ -8,15 +8,16 @@
 
 
 def decode_yaml(text: bytes) -> object:
-    """Decode YAML by the safe loader, with texts for keys and none of them twice.
+    """Decode YAML with the safe loader; keys must be distinct strings.
 
     Raises:
-        OperatorFileError: It is not YAML, or a key is no text or given twice; the message has the line.
+        OperatorFileError: The text is not YAML, or a key is duplicated or not a string; the message has
+            the line.
     """
-    import yaml  # here, so that a sidecar without an operator file doesn't pay for it
+    import yaml  # imported here, since a sidecar without an operator file does not need it
 
     class Loader(yaml.SafeLoader):
-        """The safe loader, less its way of letting the later of two keys win."""
+        """Safe loader that rejects duplicate keys instead of using the last one."""
 
     def mapping(loader: Loader, node: yaml.MappingNode) -> dict[str, object]:
         values: dict[str, object] = {}
@@ -31,7 +32,7 @@
 
     Loader.add_constructor("tag:yaml.org,2002:map", mapping)
     try:
-        return yaml.load(text, Loader)  # a subclass of the safe loader
+        return yaml.load(text, Loader)  # safe, since `Loader` is a subclass of the safe loader
     except OperatorFileError:
         raise
     except (yaml.YAMLError, ValueError, RecursionError) as error:
--- a/brambleusher/operator_settings/zone_rules.py
+++ b/brambleusher/operator_settings/zone_rules.py
@@ -1,4 +1,4 @@
-"""The operator file's section `zones`: which zones help which, and which are evacuated."""
+"""Section `zones` of the operator file: spill between zones, flap damping and evacuations."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def _parse_tier(raw: object, path: str) -> Tier:
-    """Parse zones that are equally near: one's name, a list of names, or names with weights."""
+    """Parse a tier of equally near zones: a zone name, a list of names, or a mapping to weights."""
     if isinstance(raw, str) and raw:
         return ((raw, 1.0),)
     if isinstance(raw, list) and raw:
@@ -36,7 +36,7 @@
 
 
 def _parse_tiers(raw: dict[str, object], zone: str, path: str) -> tuple[Tier, ...]:
-    """Parse the tiers after a zone: a list of them, one by weight, or another zone whose tiers follow."""
+    """Parse the tiers after a zone: a list, a weighted tier, or another zone whose own tiers follow."""
     visited, tiers = [zone], list[Tier]()
     while isinstance(following := raw.get(visited[-1]), str):
         if following in visited:
@@ -49,7 +49,7 @@
             raise OperatorFileError(f"{path}.{last} names no zone")
         return tuple(tiers)
     own = _parse_tier_list(remainder, f"{path}.{last}")
-    if len(visited) > 1:  # what the last one has may lead back: zones on the way have their tier already
+    if len(visited) > 1:  # the last zone's tiers may lead back to zones that already have a tier
         own = [tuple(weighted for weighted in tier if weighted[0] not in visited) for tier in own]
         return (*tiers, *(tier for tier in own if tier))
     _check_names([name for tier in own for name, _ in tier], zone, path)
@@ -64,7 +64,7 @@
 
 
 def _check_names(names: list[str], zone: str, path: str) -> None:
-    """Check that the tiers after a zone neither lead back to it nor name a zone twice."""
+    """Check that the tiers after a zone neither contain the zone itself nor any zone twice."""
     for name in names:
         if name == zone:
             raise OperatorFileError(f"{path}.{zone} goes in a circle: {zone} to {zone}")
@@ -82,10 +82,10 @@
 
 
 def parse_zone_rules(raw: object) -> ZoneRules:
-    """Parse the section.
+    """Parse the section `zones`.
 
     Raises:
-        OperatorFileError: A value can't be used; the message names its key.
+        OperatorFileError: A value is invalid; the message names its key.
     """
     section, usual = Section(raw, "zones"), ZoneRules()
     rules = ZoneRules(
