--- a/brambleusher/loadbalancing/admission_control.py
+++ b/brambleusher/loadbalancing/admission_control.py
@@ -46,7 +46,7 @@
 EXHAUSTED_FRACTION = 0.01  # fraction of requests that may have all their attempts rejected by hosts
 BUSY_UTILISATION = 0.5  # a report of lower utilisation says little about the rate at full utilisation
 # Performance indexes below this are treated alike: much earlier answers carry no more information.
-MIN_INDEX = 0.1
+MIN_PERFORMANCE_INDEX = 0.1
 MAX_INCREASE, MAX_DECREASE = 1.0, -0.5  # largest relative change of the limit within one latency target
 MAX_HEADROOM = 2.0  # largest multiple of the due attempts in flight while hosts are busy and answers early
 IDLE_HEADROOM = 2.0  # multiple of the due, or of the current, attempts in flight while hosts are not busy
@@ -77,21 +77,21 @@
     def __init__(
         self,
         settings: api.Settings,
-        unit_ns: int,
+        shortest_target_ns: int,
         rng: random.Random,
         traffic: TrafficStatistics,
         capacity: FleetCapacity,
         host_table: HostTable,
     ) -> None:
         self._settings = settings
-        self._unit_ns = unit_ns
+        self._shortest_target_ns = shortest_target_ns
         self._rng = rng
         self._traffic = traffic
         self._capacity = capacity
         self._host_table = host_table
         # Weight of the current number in flight against its mean: where there are many proxies, each relies
         # on the mean.
-        self._moment_weight = 1 / math.sqrt(settings.fleet_size)
+        self._current_weight = 1 / math.sqrt(settings.fleet_size)
         self.quotas = TenantQuotas(settings)
         self.limit = math.inf  # maximum number of attempts in flight
         self.offered = MIN_OFFERED  # attempts in flight that would be needed to serve all arriving requests
@@ -132,9 +132,9 @@
     def update_fleet_fraction(self, throughput: float) -> None:
         """Update this proxy's fraction of the fleet's throughput."""
         if throughput > 0 and self._traffic.served > 0 and not self._capacity.uses_sizes:
-            own = self._traffic.served / self._traffic.observed_s
-            least = MIN_FLEET_FRACTION / self._settings.fleet_size
-            self.fleet_fraction = min(1.0, max(own / throughput, least))
+            own_throughput = self._traffic.served / self._traffic.observed_s
+            min_fraction = MIN_FLEET_FRACTION / self._settings.fleet_size
+            self.fleet_fraction = min(1.0, max(own_throughput / throughput, min_fraction))
 
     def effective_fleet_fraction(self) -> float:
         """Return this proxy's fraction of the fleet, at least an even share.
@@ -159,12 +159,14 @@
         goal = PI_GOAL
         if budget.is_known:
             goal = budget.budget_ns / max(budget.target_ns * GOAL_PER_TARGET, 1.0)
-        self._steer(hosts, gap, due, goal / max(index, MIN_INDEX), is_busy or self.is_overloaded)
+        self._move_limit(
+            hosts, gap, due, goal / max(index, MIN_PERFORMANCE_INDEX), is_busy or self.is_overloaded
+        )
         self._update_offered(budget)
         self.sorted_densities = sorted(self.densities)
         if not self.is_overloaded or was_overloaded:
             return None
-        if now - self.logged_ns <= BEST_RATE_WINDOW * self._unit_ns:
+        if now - self.logged_ns <= BEST_RATE_WINDOW * self._shortest_target_ns:
             return None
         self.logged_ns = now
         return api.WriteLog(f"overload: fleet index {index:.2f}, at most {self.limit:.0f} out")
@@ -175,9 +177,9 @@
         Hosts that reject attempts protect themselves, so rejections count at most as much as answers that
         just meet the goal.
         """
-        tolerated: float = EXHAUSTED_FRACTION ** (1 / self._settings.max_attempts)
-        rejected = self.rejections / (self.outcomes + 1) / tolerated
-        return min(rejected, PI_GOAL)
+        tolerated_fraction: float = EXHAUSTED_FRACTION ** (1 / self._settings.max_attempts)
+        index = self.rejections / (self.outcomes + 1) / tolerated_fraction
+        return min(index, PI_GOAL)
 
     def _latency_budget(self) -> _LatencyBudget:
         """Return the time within which the attempts in flight should be served."""
@@ -189,12 +191,12 @@
         )
         target_ns = target_sum_ns / total
         if total < 1:
-            return _LatencyBudget(float(self._unit_ns), target_ns, is_known=False)
-        usual_sum_ns = sum(
-            n * usual_ns for n, usual_ns in zip(counts, traffic.unloaded_latency_ns, strict=True)
+            return _LatencyBudget(float(self._shortest_target_ns), target_ns, is_known=False)
+        unloaded_sum_ns = sum(
+            n * unloaded_ns for n, unloaded_ns in zip(counts, traffic.unloaded_latency_ns, strict=True)
         )
-        usual_ns = usual_sum_ns / total
-        budget_ns = min(usual_ns, target_ns * USUAL_LATENCY_FRACTION) + target_ns * QUEUEING_FRACTION
+        unloaded_ns = unloaded_sum_ns / total
+        budget_ns = min(unloaded_ns, target_ns * USUAL_LATENCY_FRACTION) + target_ns * QUEUEING_FRACTION
         return _LatencyBudget(budget_ns, target_ns, is_known=True)
 
     def _due_in_flight(self, hosts: Sequence[Host], gap: float, budget: _LatencyBudget) -> float:
@@ -211,35 +213,37 @@
             if host.reported_ns >= 0
         ]
         rate = sum(rates) / len(rates) if rates else self._capacity.mean_capacity
-        best = self.best_rate * math.exp(-gap / BEST_RATE_WINDOW) or max(rate, 1e-9)
-        self.best_rate = best + max(rate - best, 0.0) * min(gap / HEALTH_WINDOW, 1.0)
+        decayed_best_rate = self.best_rate * math.exp(-gap / BEST_RATE_WINDOW) or max(rate, 1e-9)
+        self.best_rate = decayed_best_rate + max(rate - decayed_best_rate, 0.0) * min(
+            gap / HEALTH_WINDOW, 1.0
+        )
         acceptance = sum(host.acceptance for host in hosts) / max(len(hosts), 1)
         rate *= min(rate / self.best_rate, 1.0) * self._capacity.rate_per_size
         fraction = self.effective_fleet_fraction()
         return fraction * rate * acceptance * self._host_table.ready_count * budget.budget_ns / NS_PER_S
 
-    def _steer(
+    def _move_limit(
         self, hosts: Sequence[Host], gap: float, due: float, goal_over_index: float, is_crowded: bool
     ) -> None:
         """Move the limit towards the goal, within bounds around the due number of attempts in flight."""
         in_flight = self._traffic.in_flight
-        change = min(max(goal_over_index - 1, MAX_DECREASE), MAX_INCREASE)
-        lower = due
+        relative_change = min(max(goal_over_index - 1, MAX_DECREASE), MAX_INCREASE)
+        lower_bound = due
         if is_crowded:
             # Where hosts serve few attempts successfully they still work on abandoned ones, so the lower
             # bound is reduced until those are done.
             health = sum(host.health for host in hosts) / max(len(hosts), 1)
-            lower = due * (health / CROWDED_FLOOR_DIVISOR)
+            lower_bound = due * (health / CROWDED_FLOOR_DIVISOR)
         # One attempt per host, counted over all proxies, overloads no host. A limit below that would be kept
         # low by the few attempts it admits, some of which are never answered, although hosts are idle.
-        lower = max(lower, self.effective_fleet_fraction() * self._host_table.ready_count)
+        lower_bound = max(lower_bound, self.effective_fleet_fraction() * self._host_table.ready_count)
         if is_crowded:
             # Hosts that are busy but answer early are not overloaded yet: the limit may exceed the due number
             # by the ratio of the goal to the index.
-            upper = due * min(max(goal_over_index, 1.0), MAX_HEADROOM)
+            upper_bound = due * min(max(goal_over_index, 1.0), MAX_HEADROOM)
         else:
-            upper = max(due * IDLE_HEADROOM, IDLE_HEADROOM * in_flight, len(hosts))
-        self.limit = max(min(self.limit * (1 + change * min(gap, 1.0)), upper), lower)
+            upper_bound = max(due * IDLE_HEADROOM, IDLE_HEADROOM * in_flight, len(hosts))
+        self.limit = max(min(self.limit * (1 + relative_change * min(gap, 1.0)), upper_bound), lower_bound)
         if not in_flight and self.outcomes < 1:
             # Without this exception the first burst at a proxy that has been idle would meet the limit of an
             # idle proxy, which is about one attempt per host in use. No recent answer supports a limit yet.
@@ -249,7 +253,7 @@
         traffic = self._traffic
         recent = traffic.recent_requests
         arrivals_in_target = min(traffic.requests / HEALTH_WINDOW, recent + math.sqrt(recent) + 1)
-        self.offered = max(arrivals_in_target * budget.budget_ns / self._unit_ns, MIN_OFFERED)
+        self.offered = max(arrivals_in_target * budget.budget_ns / self._shortest_target_ns, MIN_OFFERED)
 
     # --- requests --------------------------------------------------------------------------------
 
@@ -276,14 +280,14 @@
         """
         if math.isinf(self.limit):
             return True
-        occupied = self._occupied_above()
+        occupied = self._occupied_fraction()
         if occupied <= 0 or not self.sorted_densities or density < 0:
             return occupied <= OVER_QUOTA_FRACTION or density >= 0
         if occupied >= 1:
             return False
         return density >= self.sorted_densities[int(occupied * len(self.sorted_densities))]
 
-    def _occupied_above(self) -> float:
+    def _occupied_fraction(self) -> float:
         """Return the occupied fraction of the slots that are granted by value.
 
         The number in flight at each of many proxies fluctuates, and over the fleet the fluctuations even out.
@@ -293,16 +297,22 @@
         """
         limit = self.limit
         traffic = self._traffic
-        chance = math.sqrt(max(limit, 1.0))
-        moment_weight = self._moment_weight
-        seen = traffic.mean_in_flight + moment_weight * (traffic.in_flight - traffic.mean_in_flight)
-        seen = max(seen, traffic.in_flight - CHANCE_DEVIATIONS * (1 - moment_weight) * chance)
+        deviation = math.sqrt(max(limit, 1.0))
+        current_weight = self._current_weight
+        seen_in_flight = traffic.mean_in_flight + current_weight * (
+            traffic.in_flight - traffic.mean_in_flight
+        )
+        seen_in_flight = max(
+            seen_in_flight, traffic.in_flight - CHANCE_DEVIATIONS * (1 - current_weight) * deviation
+        )
         admit_all = limit * ADMIT_ALL_FRACTION
-        occupied = (seen - admit_all) / (limit * (1 - ADMIT_ALL_FRACTION) + chance * moment_weight)
+        occupied = (seen_in_flight - admit_all) / (
+            limit * (1 - ADMIT_ALL_FRACTION) + deviation * current_weight
+        )
         # A limit below one slot can't be compared with a count of attempts. The rejected fraction is then the
         # fraction of the offered load that exceeds the limit, unless hosts reject attempts themselves. With
         # nothing in flight a request is admitted, since nothing would be learned otherwise.
-        has_guide = self.is_late or self.rejections_long < 1
-        if has_guide and (traffic.in_flight or limit < 1):
+        uses_offered_load = self.is_late or self.rejections_long < 1
+        if uses_offered_load and (traffic.in_flight or limit < 1):
             occupied = max(occupied, 1 - limit / self.offered)
         return occupied
--- a/brambleusher/loadbalancing/attempt_timeout.py
+++ b/brambleusher/loadbalancing/attempt_timeout.py
@@ -13,8 +13,10 @@
 from brambleusher.loadbalancing.performance_index import GOAL_PER_TARGET
 from brambleusher.loadbalancing.traffic import TrafficStatistics
 
-UNRESPONSIVE_TIMES = 6.0  # attempt timeout, in mean latencies, while some attempts remain unanswered
-IDLE_TIMES = 3  # attempt timeout, in mean latencies, on a connection that may have been dropped while idle
+UNRESPONSIVE_TIMEOUT_FACTOR = 6.0  # attempt timeout, in mean latencies, while some attempts remain unanswered
+IDLE_TIMEOUT_FACTOR = (
+    3  # attempt timeout, in mean latencies, on a connection that may have been dropped while idle
+)
 NO_TIMEOUT = 0  # the attempt may use all of the client's remaining time
 
 
@@ -46,23 +48,26 @@
         request_class = self._settings.classes[request.class_index]
         timeout_ns = NO_TIMEOUT
         if idle_ns > self._idle_timeout.min_ns and self._idle_timeout.is_reduced:
-            timeout_ns = self._after_idling(request, request_class, now)
+            timeout_ns = self._idle_connection_timeout_ns(request, request_class, now)
         if timeout_ns or request_class.idempotency is not Idempotency.SAFE:
             return timeout_ns
         if self._outliers.timeouts > 1 and not self._admission.is_late:
-            usual_ns = self._traffic.mean_latency_ns(request.class_index)
-            patience = max(UNRESPONSIVE_TIMES * usual_ns, request_class.latency_target_ns * GOAL_PER_TARGET)
-            if now + 2 * patience < request.deadline_ns:
-                return int(patience)
+            mean_latency_ns = self._traffic.mean_latency_ns(request.class_index)
+            patience_ns = max(
+                UNRESPONSIVE_TIMEOUT_FACTOR * mean_latency_ns,
+                request_class.latency_target_ns * GOAL_PER_TARGET,
+            )
+            if now + 2 * patience_ns < request.deadline_ns:
+                return int(patience_ns)
         return NO_TIMEOUT
 
-    def _after_idling(self, request: Request, request_class: api.RequestClass, now: int) -> int:
+    def _idle_connection_timeout_ns(self, request: Request, request_class: api.RequestClass, now: int) -> int:
         if request_class.idempotency is Idempotency.UNSAFE:
             return NO_TIMEOUT
-        usual_ns = self._traffic.mean_latency_ns(request.class_index)
+        mean_latency_ns = self._traffic.mean_latency_ns(request.class_index)
         return int(
             min(
-                IDLE_TIMES * usual_ns or math.inf,
+                IDLE_TIMEOUT_FACTOR * mean_latency_ns or math.inf,
                 request_class.latency_target_ns / 2,
                 (request.deadline_ns - now) / 2,
             )
--- a/brambleusher/loadbalancing/balancer.py
+++ b/brambleusher/loadbalancing/balancer.py
@@ -40,7 +40,7 @@
 MIN_TICK = 1 / 8  # weights are recomputed often enough to act on news well within one target
 # A proxy without traffic still ticks twice per target, since attempts in flight age and faults end.
 MAX_TICK = 1 / 2
-IDLE_DOUBT = 1 / 4  # idle times below this are never blamed for a lost connection
+MIN_IDLE_TARGETS = 1 / 4  # idle times below this are never blamed for a lost connection
 
 
 class Balancer:
@@ -55,8 +55,8 @@
         self.settings = settings
         self.rng = random.Random(seed)
         self._class_index = {each.name: index for index, each in enumerate(settings.classes)}
-        self._unit_ns = min(each.latency_target_ns for each in settings.classes)
-        self._tick_ns = max(settings.tick_ns, int(self._unit_ns * MIN_TICK))
+        self._shortest_target_ns = min(each.latency_target_ns for each in settings.classes)
+        self._tick_ns = max(settings.tick_ns, int(self._shortest_target_ns * MIN_TICK))
         self._actions: list[api.Action] = []
         self.ticked_ns = 0
         self._make_estimators()
@@ -65,8 +65,8 @@
             api.AttemptEnded: self._on_attempt_ended,
             api.RequestArrived: self._on_request_arrived,
             api.TimerFired: self._on_timer,
-            api.ClientDisconnected: self._on_answer_not_owed,
-            api.StreamStarted: self._on_answer_not_owed,
+            api.ClientDisconnected: self._on_answer_not_needed,
+            api.StreamStarted: self._on_answer_not_needed,
             api.HostListUpdated: self._on_host_list,
             api.HealthCheckEnded: self._on_health_check_ended,
             api.ProcessShareChanged: self._on_process_share,
@@ -76,28 +76,28 @@
     def _make_estimators(self) -> None:
         """Create the estimators of host and traffic state."""
         settings = self.settings
-        unit_ns = self._unit_ns
-        self.traffic = TrafficStatistics(settings, unit_ns)
+        shortest_target_ns = self._shortest_target_ns
+        self.traffic = TrafficStatistics(settings, shortest_target_ns)
         self.round_robin = TokenRoundRobin(self.rng)
         self.host_table = self._make_host_table()
-        self.capacity = FleetCapacity(settings, unit_ns)
-        self.slow_start = SlowStartBudget(settings, unit_ns, self.capacity, self.host_table)
+        self.capacity = FleetCapacity(settings, shortest_target_ns)
+        self.slow_start = SlowStartBudget(settings, shortest_target_ns, self.capacity, self.host_table)
         self.performance_index = PerformanceIndex(settings.classes)
         self.weights = WeightCalculator(self.capacity, self.slow_start, self.performance_index)
-        self.cross_zone_spill = CrossZoneSpill(settings, unit_ns, self.capacity)
+        self.cross_zone_spill = CrossZoneSpill(settings, shortest_target_ns, self.capacity)
         idle_limit_ns = float(settings.connection_idle_timeout_ns or math.inf)
-        self.idle_timeout = IdleTimeout(idle_limit_ns, unit_ns * IDLE_DOUBT)
+        self.idle_timeout = IdleTimeout(idle_limit_ns, shortest_target_ns * MIN_IDLE_TARGETS)
 
     def _make_policies(self) -> None:
         """Create the policies that decide on requests and attempts."""
         settings = self.settings
-        unit_ns = self._unit_ns
+        shortest_target_ns = self._shortest_target_ns
         self.admission = AdmissionControl(
-            settings, unit_ns, self.rng, self.traffic, self.capacity, self.host_table
+            settings, shortest_target_ns, self.rng, self.traffic, self.capacity, self.host_table
         )
         goals_ns = self.performance_index.goals_ns
-        self.outliers = OutlierDetector(unit_ns, goals_ns, self.traffic, self.admission)
-        self.retry_policy = RetryPolicy(settings, unit_ns, self.traffic, self.admission)
+        self.outliers = OutlierDetector(shortest_target_ns, goals_ns, self.traffic, self.admission)
+        self.retry_policy = RetryPolicy(settings, shortest_target_ns, self.traffic, self.admission)
         self.attempts = AttemptTracker(len(settings.classes), self.traffic)
         self.timeouts = AttemptTimeouts(
             settings, self.traffic, self.outliers, self.admission, self.idle_timeout
@@ -140,9 +140,9 @@
         hosts = self.round_robin.ring
         if not hosts:
             return
-        spares = self.weights.spare_capacities(hosts, now)
+        spare_capacities = self.weights.spare_capacities(hosts, now)
         self._update_cross_zone_spill(gap)
-        self.weights.assign(hosts, spares, self._spill_fractions(), now)
+        self.weights.assign(hosts, spare_capacities, self._spill_fractions(), now)
         self.round_robin.cut_tokens()
 
     def _update_cross_zone_spill(self, gap: float) -> None:
@@ -225,7 +225,7 @@
         self.attempts.requests[request.id] = request
         self._start_attempt(request, host, now)
 
-    def _on_answer_not_owed(self, event: api.ClientDisconnected | api.StreamStarted, _now: int) -> None:
+    def _on_answer_not_needed(self, event: api.ClientDisconnected | api.StreamStarted, _now: int) -> None:
         """Close a request whose client has disconnected or receives a stream."""
         self.attempts.close(event.request)
 
@@ -356,7 +356,7 @@
 
     def _on_timer(self, _event: api.TimerFired, now: int) -> None:
         """Do all work whose cost grows with the number of hosts, so that requests don't pay for it."""
-        gap = max(0, now - self.ticked_ns) / self._unit_ns
+        gap = max(0, now - self.ticked_ns) / self._shortest_target_ns
         self.ticked_ns = now
         self._decay(gap)
         if self.host_table.has_outgrown_subset():
@@ -388,5 +388,5 @@
 
     def _set_timer(self, now: int) -> None:
         """Schedule the next tick: about one per request, within the bounds on the tick interval."""
-        pause_ns = self._unit_ns * min(HEALTH_WINDOW / max(self.traffic.requests, 1.0), MAX_TICK)
+        pause_ns = self._shortest_target_ns * min(HEALTH_WINDOW / max(self.traffic.requests, 1.0), MAX_TICK)
         self._actions.append(api.SetTimer(now + max(self._tick_ns, int(pause_ns)), 0))
--- a/brambleusher/loadbalancing/connection_admission.py
+++ b/brambleusher/loadbalancing/connection_admission.py
@@ -20,7 +20,7 @@
 
 # Lower bounds of the classes of connections by their number of requests; connections without any request
 # (unused) form a class of their own.
-REQUEST_LEVELS = (1, 2, 4)
+REQUEST_COUNT_BOUNDS = (1, 2, 4)
 MAX_TENANTS = 64  # number of tenants that are distinguished; the others are treated as one tenant
 OTHER_TENANTS = "other"
 # Seconds for which an unused connection is kept in any case, so that its first request can arrive.
@@ -110,7 +110,7 @@
 
     @property
     def kind(self) -> _Kind:
-        return _Kind(self.tenant, bisect_right(REQUEST_LEVELS, self.requests))
+        return _Kind(self.tenant, bisect_right(REQUEST_COUNT_BOUNDS, self.requests))
 
 
 class ConnectionAdmission:
@@ -157,7 +157,7 @@
         if connection is None or connection.tenant == tenant:
             return
         is_new = _Kind(tenant, 1) not in self._statistics
-        if is_new and len(self._statistics) >= MAX_TENANTS * len(REQUEST_LEVELS):
+        if is_new and len(self._statistics) >= MAX_TENANTS * len(REQUEST_COUNT_BOUNDS):
             tenant = OTHER_TENANTS
         connection.tenant = tenant
 
@@ -192,13 +192,15 @@
         kind, owner = connection.kind, connection.owner
         self._statistics.setdefault(kind, WaitStatistics())
         counts = self._idle_per_owner()
-        if counts[owner] + 1 < self._even_count(counts, owner):
+        if counts[owner] + 1 < self._even_share(counts, owner):
             return True
         own_value = self._current_values(now)[kind][0]
-        least = self._least_valuable(now, owner)
+        least_valuable = self._least_valuable(now, owner)
         # Closing a connection that soon brings a request saves nothing, since its client would open a new
         # one.
-        return own_value >= PROTECTED_VALUE or (least is not None and least.value < own_value)
+        return own_value >= PROTECTED_VALUE or (
+            least_valuable is not None and least_valuable.value < own_value
+        )
 
     def surplus_connections(self, now: float) -> Iterator[Hashable]:
         """Yield waiting connections to close, least valuable first, until there is room again.
@@ -206,24 +208,24 @@
         The caller must close each connection, or call `record_request` for it, before it asks for the next
         one.
         """
-        passed: set[Hashable] = set()
+        yielded: set[Hashable] = set()
         while self._shortage(now) > 0:
-            least = self._least_valuable(now, None, passed)
-            if least is None or least.value >= PROTECTED_VALUE:
+            least_valuable = self._least_valuable(now, None, yielded)
+            if least_valuable is None or least_valuable.value >= PROTECTED_VALUE:
                 return
-            passed.add(least.conn)
-            yield least.conn
-
-    def evictions_for_new(self, now: float, most: int | None = None) -> Iterator[Hashable]:
-        """Yield waiting connections to close for a new one while at least `most` connections are open."""
-        most = self.max_connections if most is None else most
-        passed: set[Hashable] = set()
-        while len(self._connections) >= most:
-            least = self._least_valuable(now, None, passed, include_unused=True)
-            if least is None:
+            yielded.add(least_valuable.conn)
+            yield least_valuable.conn
+
+    def evictions_for_new(self, now: float, max_connections: int | None = None) -> Iterator[Hashable]:
+        """Yield waiting connections to close for a new one until fewer than `max_connections` are open."""
+        max_connections = self.max_connections if max_connections is None else max_connections
+        yielded: set[Hashable] = set()
+        while len(self._connections) >= max_connections:
+            least_valuable = self._least_valuable(now, None, yielded, include_unused=True)
+            if least_valuable is None:
                 return
-            passed.add(least.conn)
-            yield least.conn
+            yielded.add(least_valuable.conn)
+            yield least_valuable.conn
 
     def is_scarce(self, now: float) -> bool:
         """Return whether there is no room for the expected arrivals; cheap while room is plentiful."""
@@ -240,16 +242,16 @@
 
     # --- choice -----------------------------------------------------------------------------------
 
-    def _even_count(self, counts: Counter[_Owner], own: _Owner | None) -> float:
-        """Return the mean number of idle connections per owner, counting one more for `own` if given."""
-        owners = len(counts) + (own is not None and own not in counts)
-        return (self.idle_count + (own is not None)) / max(owners, 1)
+    def _even_share(self, counts: Counter[_Owner], new_owner: _Owner | None) -> float:
+        """Return the mean number of idle connections per owner, counting one more for `new_owner`."""
+        owners = len(counts) + (new_owner is not None and new_owner not in counts)
+        return (self.idle_count + (new_owner is not None)) / max(owners, 1)
 
     def _least_valuable(
         self,
         now: float,
-        own: _Owner | None,
-        passed: set[Hashable] | None = None,
+        new_owner: _Owner | None,
+        excluded: set[Hashable] | None = None,
         include_unused: bool = False,
     ) -> _Candidate | None:
         """Return the least valuable waiting connection of the owners that have more than an even share.
@@ -258,29 +260,37 @@
         """
         values = self._current_values(now)
         counts = self._idle_per_owner()
-        share = self._even_count(counts, own)
+        even_share = self._even_share(counts, new_owner)
         include_unused |= self._is_full(now)
-        least: _Candidate | None = None
+        least_valuable: _Candidate | None = None
         for group, waiting in self._waiting.items():
             owner = group.owner
-            if group.kind.level and counts[owner] + (owner == own) < share:
+            if group.kind.level and counts[owner] + (owner == new_owner) < even_share:
                 continue
             if not group.kind.level and not include_unused:
                 continue
-            candidate = self._longest_waiting(group, waiting, values[group.kind], now, passed or set())
+            candidate = self._longest_waiting(group, waiting, values[group.kind], now, excluded or set())
             if candidate is None:
                 continue
-            is_tie = least is not None and candidate.value == least.value
-            if least is None or candidate.value < least.value or (is_tie and not group.kind.level):
-                least = candidate
-        return least
+            is_tie = least_valuable is not None and candidate.value == least_valuable.value
+            if (
+                least_valuable is None
+                or candidate.value < least_valuable.value
+                or (is_tie and not group.kind.level)
+            ):
+                least_valuable = candidate
+        return least_valuable
 
     @staticmethod
     def _longest_waiting(
-        group: _Group, waiting: dict[Hashable, float], values: list[float], now: float, passed: set[Hashable]
+        group: _Group,
+        waiting: dict[Hashable, float],
+        values: list[float],
+        now: float,
+        excluded: set[Hashable],
     ) -> _Candidate | None:
         for conn, since in waiting.items():
-            if conn in passed:
+            if conn in excluded:
                 continue
             age_s = now - since
             if not group.kind.level and age_s < FIRST_REQUEST_S:
@@ -353,7 +363,7 @@
             "sorts": [
                 {
                     "tenant": kind.tenant,
-                    "asked": REQUEST_LEVELS[kind.level - 1] if kind.level else 0,
+                    "asked": REQUEST_COUNT_BOUNDS[kind.level - 1] if kind.level else 0,
                     "waits": round(each.waits),
                     "ask_again": round(sum(each.requests) / each.waits, 3) if each.waits else None,
                 }
--- a/brambleusher/loadbalancing/connection_limits.py
+++ b/brambleusher/loadbalancing/connection_limits.py
@@ -86,8 +86,8 @@
             self._cap_at = max(self._cap_at, now)
         if self.open_count >= max(self.cap, 1.0):
             return math.inf
-        came = self._pacing.opens_per_s * max(now - self._token_at, 0.0)
-        self._tokens = min(self._tokens + came, self._pacing.burst)
+        refilled = self._pacing.opens_per_s * max(now - self._token_at, 0.0)
+        self._tokens = min(self._tokens + refilled, self._pacing.burst)
         self._token_at = max(self._token_at, now)
         return 0.0 if self._tokens >= 1.0 else (1.0 - self._tokens) / self._pacing.opens_per_s
 
--- a/brambleusher/loadbalancing/cross_zone_spill.py
+++ b/brambleusher/loadbalancing/cross_zone_spill.py
@@ -20,14 +20,14 @@
 MIN_SPILL = 0.01
 # Fewer than one late answer in this many are tolerable, so a crossing that costs less than that is always
 # used to some extent.
-UNNOTICED_ONE_IN = 20
+TOLERABLE_LATE_ONE_IN = 20
 ADJUSTMENT = 0.5  # fraction of the error that is added to the spill per latency target
 MIN_HEALTH = 0.5  # a host with a lower health counts as missing its goal
 
 
 def min_spill(price: float) -> float:
     """Return the minimum fraction of its spare capacity that a remote host offers."""
-    return max(MIN_SPILL, 1 - price * UNNOTICED_ONE_IN)
+    return max(MIN_SPILL, 1 - price * TOLERABLE_LATE_ONE_IN)
 
 
 def misses_goal(host: Host) -> bool:
@@ -38,9 +38,9 @@
 class CrossZoneSpill:
     """Controls the fraction of spare capacity that remote hosts offer by the utilisation of the own zone."""
 
-    def __init__(self, settings: api.Settings, unit_ns: int, capacity: FleetCapacity) -> None:
+    def __init__(self, settings: api.Settings, shortest_target_ns: int, capacity: FleetCapacity) -> None:
         self._price = settings.cross_zone_price
-        self._unit_ns = unit_ns
+        self._shortest_target_ns = shortest_target_ns
         self._capacity = capacity
         self.fraction = INITIAL_SPILL
 
@@ -58,8 +58,10 @@
         rate = self._capacity.mean_capacity * self._capacity.rate_per_size
         if self._price <= 0 or not rate:
             return None
-        late = math.log(1 / min(self._price, MAX_PRICE)) * (NS_PER_S / rate) / self._unit_ns
-        return min(max(1 - late, MIN_TARGET_UTILISATION), 1 - RESERVE)
+        free_fraction = (
+            math.log(1 / min(self._price, MAX_PRICE)) * (NS_PER_S / rate) / self._shortest_target_ns
+        )
+        return min(max(1 - free_fraction, MIN_TARGET_UTILISATION), 1 - RESERVE)
 
     def update(self, hosts: Sequence[Host], gap: float) -> None:
         """Adjust the spill after `gap` latency targets have passed."""
@@ -78,8 +80,8 @@
             error = min(utilisation - target, utilisation - remote_utilisation) / (1 - target)
         else:
             error = (utilisation - target) / target
-        steered = self.fraction + ADJUSTMENT * error * gap
-        self.fraction = min(1.0, max(min_spill(self._price), steered))
+        updated = self.fraction + ADJUSTMENT * error * gap
+        self.fraction = min(1.0, max(min_spill(self._price), updated))
 
 
 def _utilisation(hosts: Sequence[Host], without_capacity: float) -> float:
--- a/brambleusher/loadbalancing/first_byte_survival.py
+++ b/brambleusher/loadbalancing/first_byte_survival.py
@@ -33,10 +33,10 @@
 
     def record_answer(self, ratio: float) -> None:
         """Record an answer that began after `ratio` latency targets."""
-        at = min(bisect_left(ENDS, ratio), len(ENDS) - 1)
-        for index in range(at + 1):
+        reached = min(bisect_left(ENDS, ratio), len(ENDS) - 1)
+        for index in range(reached + 1):
             self.waiting[index] += 1.0
-        self.answered[at] += 1.0
+        self.answered[reached] += 1.0
         self.answers += 1.0
         self._count()
 
@@ -50,11 +50,11 @@
         """Return the fraction of answers that begin later than `ratio` targets, at least `MIN_SURVIVAL`."""
         if self.answers < MIN_ANSWERS:
             return 1.0
-        share = 1.0
+        fraction = 1.0
         for index in range(bisect_right(ENDS, ratio)):
             if self.waiting[index] > 0.0:
-                share *= 1.0 - self.answered[index] / self.waiting[index]
-        return max(share, MIN_SURVIVAL)
+                fraction *= 1.0 - self.answered[index] / self.waiting[index]
+        return max(fraction, MIN_SURVIVAL)
 
     def _count(self) -> None:
         self.waits += 1.0
--- a/brambleusher/loadbalancing/flap_damping.py
+++ b/brambleusher/loadbalancing/flap_damping.py
@@ -27,8 +27,10 @@
         """Add the penalty for a loss; with `max_flap_suppression_ns` of 0, flaps cost nothing."""
         rules = self._table.active_rules
         if rules.max_flap_suppression_ns > 0:
-            most = REUSE_PENALTY * 2.0 ** (rules.max_flap_suppression_ns / rules.flap_penalty_half_life_ns)
-            zone.flap_penalty = min(zone.flap_penalty + penalty, most)
+            max_penalty = REUSE_PENALTY * 2.0 ** (
+                rules.max_flap_suppression_ns / rules.flap_penalty_half_life_ns
+            )
+            zone.flap_penalty = min(zone.flap_penalty + penalty, max_penalty)
 
     def decay(self, zone: Zone, gap: float) -> None:
         """Let the penalty decay over `gap` latency targets."""
--- a/brambleusher/loadbalancing/fleet_balancer.py
+++ b/brambleusher/loadbalancing/fleet_balancer.py
@@ -46,13 +46,13 @@
     utilisation: float | None
 
 
-def scale_counts(served: int, failed: int, most: int = MAX_OUTCOMES_PER_EVENT) -> tuple[int, int]:
-    """Scale the counts down to a total of at most `most`, rounding failures up."""
+def scale_counts(served: int, failed: int, max_total: int = MAX_OUTCOMES_PER_EVENT) -> tuple[int, int]:
+    """Scale the counts down to a total of at most `max_total`, rounding failures up."""
     total = served + failed
-    if total <= most:
+    if total <= max_total:
         return served, failed
-    scaled_failed = min(most, math.ceil(failed * most / total))
-    return most - scaled_failed, scaled_failed
+    scaled_failed = min(max_total, math.ceil(failed * max_total / total))
+    return max_total - scaled_failed, scaled_failed
 
 
 class AllHostsTable(HostTable):
--- a/brambleusher/loadbalancing/fleet_capacity.py
+++ b/brambleusher/loadbalancing/fleet_capacity.py
@@ -21,8 +21,8 @@
 class FleetCapacity:
     """Estimates for the fleet, from the reports of this proxy's hosts."""
 
-    def __init__(self, settings: api.Settings, unit_ns: int) -> None:
-        self._unit_ns = unit_ns
+    def __init__(self, settings: api.Settings, shortest_target_ns: int) -> None:
+        self._shortest_target_ns = shortest_target_ns
         self._fleet_size = settings.fleet_size
         self.mean_capacity = 0.0  # mean capacity of a host in requests per second
         self.mean_utilisation = 0.0
@@ -53,7 +53,7 @@
             host.throughput = throughput
         else:
             gap_ns = now - host.reported_ns
-            weight = max(gap_ns / (gap_ns + self._unit_ns * UTILISATION_WINDOW), MIN_REPORT_WEIGHT)
+            weight = max(gap_ns / (gap_ns + self._shortest_target_ns * UTILISATION_WINDOW), MIN_REPORT_WEIGHT)
             host.utilisation += weight * (utilisation - host.utilisation)
             host.throughput += weight * (throughput - host.throughput)
         host.reported_ns = now
@@ -84,7 +84,7 @@
         A missing report does not indicate spare capacity, and a host that was full long ago must be tried
         again.
         """
-        window_ns = self._unit_ns * CAPACITY_WINDOW
+        window_ns = self._shortest_target_ns * CAPACITY_WINDOW
         mean = self.mean_utilisation
         utilisations = []
         for host in hosts:
@@ -99,7 +99,7 @@
         The admission limit treats a rate of 0 as no capacity.
         """
         if self.uses_sizes and sizes_in_use > 0:
-            self.size_seconds_used += sizes_in_use * gap * self._unit_ns / NS_PER_S
+            self.size_seconds_used += sizes_in_use * gap * self._shortest_target_ns / NS_PER_S
             self.rate_per_size = self.requests_asked * self._fleet_size / self.size_seconds_used
 
     def decay(self, decay: Decay) -> None:
--- a/brambleusher/loadbalancing/host_table.py
+++ b/brambleusher/loadbalancing/host_table.py
@@ -13,7 +13,7 @@
 from brambleusher.loadbalancing.traffic import TrafficStatistics
 
 MIN_SUBSET = 4  # hosts that a proxy with little traffic uses: enough to avoid a bad one, with few connections
-FREE_CONNECTIONS_TIMES = 3  # factor on `MIN_SUBSET` where opening a connection has no price
+FREE_CONNECTIONS_FACTOR = 3  # factor on `MIN_SUBSET` where opening a connection has no price
 # Hosts in use per own attempt in flight at the peak, so that the next host in turn is usually idle.
 HOSTS_PER_ATTEMPT = 2.0
 
@@ -123,10 +123,10 @@
 
     def subset_size(self) -> int:
         """Return the number of hosts to use for the current traffic."""
-        least = MIN_SUBSET
+        min_size = MIN_SUBSET
         if self._settings.connection_price <= 0:
-            least *= FREE_CONNECTIONS_TIMES
-        return max(least, math.ceil(self._traffic.peak_in_flight * HOSTS_PER_ATTEMPT))
+            min_size *= FREE_CONNECTIONS_FACTOR
+        return max(min_size, math.ceil(self._traffic.peak_in_flight * HOSTS_PER_ATTEMPT))
 
     def has_outgrown_subset(self) -> bool:
         """Return whether the subset in use is too small, or more than twice the size needed."""
--- a/brambleusher/loadbalancing/instance_metrics.py
+++ b/brambleusher/loadbalancing/instance_metrics.py
@@ -123,13 +123,13 @@
         """
         index, count = self._answered_index()
         total = index * count
-        seen = count
+        weighted_count = count
         for _, sent_s, target_s in self.in_flight.values():
             ratio = min((now - sent_s) / target_s, MAX_AGE_RATIO)
             if ratio > max(index, PI_GOAL):
                 total += ratio
-                seen += 1
-        return max(total / seen, self.unresponsive_ratio(now))
+                weighted_count += 1
+        return max(total / weighted_count, self.unresponsive_ratio(now))
 
     def _answered_index(self) -> tuple[float, float]:
         """Return the performance index of all gateways' answers and the count on which it is based."""
@@ -231,21 +231,21 @@
         )
         return [round(max(0.0, each), 2) for each in totals]
 
-    def decay(self, gap_s: float) -> None:
+    def decay(self, elapsed_s: float) -> None:
         """Decay all estimators and include the attempts that ended since the last tick."""
-        retained = math.exp(-gap_s / USE_WINDOW_S)
-        self.requests_per_s = self.requests_per_s * retained + (self.served_since_tick / gap_s) * (
+        retained = math.exp(-elapsed_s / USE_WINDOW_S)
+        self.requests_per_s = self.requests_per_s * retained + (self.served_since_tick / elapsed_s) * (
             1 - retained
         )
         self.mean_in_flight = self.mean_in_flight * retained + len(self.in_flight) * (1 - retained)
-        self.observed_s = min(USE_WINDOW_S, self.observed_s + gap_s)
+        self.observed_s = min(USE_WINDOW_S, self.observed_s + elapsed_s)
         self.served_since_tick = 0
-        self.load_weight *= math.exp(-gap_s / LOAD_WINDOW_S)
+        self.load_weight *= math.exp(-elapsed_s / LOAD_WINDOW_S)
         if sum(self.latency_counts) >= 1 and not self.failed > UNLOADED_FAILURES:
             self.unloaded_index = min(PI_GOAL, sum(self.latency_ratio_totals) / sum(self.latency_counts))
-        latency_retained = math.exp(-gap_s / LATENCY_WINDOW_S)
+        latency_retained = math.exp(-elapsed_s / LATENCY_WINDOW_S)
         self.latency_counts = [count * latency_retained for count in self.latency_counts]
         self.latency_ratio_totals = [total * latency_retained for total in self.latency_ratio_totals]
-        health_retained = math.exp(-gap_s / HEALTH_WINDOW_S)
+        health_retained = math.exp(-elapsed_s / HEALTH_WINDOW_S)
         self.served = max(PRIOR_SUCCESSES, self.served * health_retained)
         self.failed *= health_retained
--- a/brambleusher/loadbalancing/instance_weights.py
+++ b/brambleusher/loadbalancing/instance_weights.py
@@ -83,7 +83,7 @@
             self._ring = [self._instances[name] for name in ready]
             self._rng.shuffle(self._ring)
             self._next = self._rng.randrange(len(self._ring)) if self._ring else 0
-            self._weigh(self._ticked_s or 0.0, 1.0)
+            self._recompute_weights(self._ticked_s or 0.0, 1.0)
 
     # --- own traffic -----------------------------------------------------------------------------
 
@@ -168,29 +168,29 @@
         """Recompute the weights if the last update is at least `TICK_S` old."""
         if self._ticked_s is None:
             self._ticked_s = now
-        gap_s = now - self._ticked_s
-        if gap_s < TICK_S:
+        elapsed_s = now - self._ticked_s
+        if elapsed_s < TICK_S:
             return
         self._ticked_s = now
         self._forget_stale_totals(now)
         for instance in self._instances.values():
-            instance.decay(gap_s)
-        self._weigh(now, gateways)
+            instance.decay(elapsed_s)
+        self._recompute_weights(now, gateways)
 
-    def _weigh(self, now: float, gateways: float) -> None:
+    def _recompute_weights(self, now: float, gateways: float) -> None:
         throughput = self._throughput_per_slot()
         spares = [self._spare(instance, throughput, gateways) for instance in self._ring]
         utilisations = [instance.utilisation(gateways, self._reporters) for instance in self._ring]
         reported = [each for each in utilisations if each is not None]
         self.mean_utilisation = sum(reported) / len(reported) if reported else 1.0
         known = [spare for spare in spares if spare is not None]
-        usual = median(known) if known else 1.0
-        base = [usual if spare is None else spare for spare in spares]
-        acts = self._mechanisms
+        median_spare = median(known) if known else 1.0
+        base = [median_spare if spare is None else spare for spare in spares]
+        mechanisms = self._mechanisms
         weights = final_weights(
-            base if acts.spare else [1.0] * len(base),
-            [instance.performance_index(now) if acts.latency_index else 0.0 for instance in self._ring],
-            [instance.health() if acts.health else 1.0 for instance in self._ring],
+            base if mechanisms.spare else [1.0] * len(base),
+            [instance.performance_index(now) if mechanisms.latency_index else 0.0 for instance in self._ring],
+            [instance.health() if mechanisms.health else 1.0 for instance in self._ring],
         )
         tokens_per_weight = len(self._ring) / WEIGHT_TOTAL
         for instance, weight in zip(self._ring, weights, strict=True):
@@ -264,10 +264,10 @@
         elif among_few and not any(instance.tokens > 0 for instance in eligible):
             self._load(eligible)
         for among in (names.intersection(first), names):
-            chosen = self._in_turn(among, in_flight, weight_sum, now) if among else None
+            chosen = self._spend_next_token(among, in_flight, weight_sum, now) if among else None
             if chosen is not None:
                 return chosen
-        return self._borrow(eligible, now)
+        return self._least_loaded(eligible, now)
 
     def _load(self, instances: Sequence[InstanceMetrics]) -> None:
         """Load the instances' tokens from their latest weights; fractions are carried over."""
@@ -278,7 +278,9 @@
             instance.token_credit -= new_tokens
             instance.tokens = max(instance.tokens, new_tokens)
 
-    def _in_turn(self, names: Collection[str], in_flight: int, weight_sum: float, now: float) -> str | None:
+    def _spend_next_token(
+        self, names: Collection[str], in_flight: int, weight_sum: float, now: float
+    ) -> str | None:
         """Spend a token of the next named instance that has one, has a slot and is responsive."""
         for step in range(len(self._ring)):
             index = (self._next + step) % len(self._ring)
@@ -297,9 +299,9 @@
     def _is_unresponsive(self, instance: InstanceMetrics, now: float) -> bool:
         return self._mechanisms.unresponsive and instance.unresponsive_ratio(now) >= UNRESPONSIVE_RATIO
 
-    def _borrow(self, candidates: Iterable[InstanceMetrics], now: float) -> str | None:
+    def _least_loaded(self, candidates: Iterable[InstanceMetrics], now: float) -> str | None:
         """Return the candidate with the fewest attempts per weight; those without weight come last."""
-        least = min(
+        least_loaded = min(
             candidates,
             key=lambda instance: (
                 instance.weight <= 0,
@@ -309,4 +311,4 @@
             ),
             default=None,
         )
-        return least.name if least is not None else None
+        return least_loaded.name if least_loaded is not None else None
--- a/brambleusher/loadbalancing/locality_weights.py
+++ b/brambleusher/loadbalancing/locality_weights.py
@@ -56,12 +56,12 @@
         mean = sum(each.weight for each in statuses) / ready if ready else 1.0
         damped = {}
         for each in statuses:
-            goal = each.weight / mean if mean > 0 else 0.0
-            before = self._damped.get(each.host)
-            if before is None or goal <= 0:
-                damped[each.host] = goal
+            target = each.weight / mean if mean > 0 else 0.0
+            previous = self._damped.get(each.host)
+            if previous is None or target <= 0:
+                damped[each.host] = target
             else:
-                damped[each.host] = before + fraction * (goal - before)
+                damped[each.host] = previous + fraction * (target - previous)
         self._damped = damped
         return [replace(each, weight=damped[each.host]) for each in statuses]
 
@@ -108,20 +108,20 @@
 
 
 def group_by_locality(
-    endpoints: Sequence[EndpointWeight], order: Sequence[Sequence[str]]
+    endpoints: Sequence[EndpointWeight], zones_by_priority: Sequence[Sequence[str]]
 ) -> list[LocalityWeights]:
-    """Return endpoints grouped by zone; `order` lists the zones of each priority, other zones come last.
+    """Return endpoints grouped by zone; zones not in `zones_by_priority` come last.
 
     A priority without usable nodes would leave a gap, which proxies reject. Priorities are therefore
     renumbered, and the nodes of such a priority, which are all draining or excluded, are put into priority 0.
     """
-    rank = {zone: number for number, zones in enumerate(order) for zone in zones}
+    rank = {zone: number for number, zones in enumerate(zones_by_priority) for zone in zones}
     by_zone: dict[str, list[EndpointWeight]] = {}
     for endpoint in endpoints:
         by_zone.setdefault(endpoint.zone, []).append(endpoint)
     zones_by_rank: dict[int, list[str]] = {}
     for zone in sorted(by_zone):
-        zones_by_rank.setdefault(rank.get(zone, len(order)), []).append(zone)
+        zones_by_rank.setdefault(rank.get(zone, len(zones_by_priority)), []).append(zone)
     used = [
         number for number in sorted(zones_by_rank)
         if any(_total(by_zone[zone]) for zone in zones_by_rank[number])
--- a/brambleusher/loadbalancing/outlier_detection.py
+++ b/brambleusher/loadbalancing/outlier_detection.py
@@ -17,7 +17,7 @@
 from brambleusher.loadbalancing.windows import Decay
 
 # An overtaken attempt older than this multiple of the mean latency, of its class and of its host, is lost.
-WRITE_OFF_TIMES = 2.5
+WRITE_OFF_FACTOR = 2.5
 MIN_HOST_ANSWERS = 0.1  # lower bound of the count of answers; below it a host's mean latency is noise
 
 
@@ -26,12 +26,12 @@
 
     def __init__(
         self,
-        unit_ns: int,
+        shortest_target_ns: int,
         goals_ns: Sequence[float],
         traffic: TrafficStatistics,
         admission: AdmissionControl,
     ) -> None:
-        self._unit_ns = unit_ns
+        self._shortest_target_ns = shortest_target_ns
         self._goals_ns = goals_ns
         self._traffic = traffic
         self._admission = admission
@@ -66,7 +66,7 @@
                 # The host is down, unreachable or out of connections, which takes a while to recover. A host
                 # that fails quickly has few attempts in flight and would get many turns. One attempt per
                 # latency target is enough to find out when it works again.
-                host.ejected_until_ns = now + self._unit_ns
+                host.ejected_until_ns = now + self._shortest_target_ns
                 self.connect_failures += 1
 
     def record_ratio(self, host: Host, class_index: int, ratio: float) -> None:
@@ -82,7 +82,7 @@
         not count it: a full host is healthy, and sending it less would only fill the next one.
         """
         host.rejected += 1
-        host.ejected_until_ns = now + int(self._unit_ns * (1 - host.acceptance))
+        host.ejected_until_ns = now + int(self._shortest_target_ns * (1 - host.acceptance))
         self._admission.record_rejection()
 
     def overtaken_attempts(self, host: Host, now: int) -> list[AttemptKey]:
@@ -99,9 +99,9 @@
             class_index = request.class_index
             ratio_sum = host.latency_ratio_totals[class_index]
             count = max(host.latency_counts[class_index], MIN_HOST_ANSWERS)
-            usual_here_ns = ratio_sum / count * self._goals_ns[class_index]
-            usual_ns = max(self._traffic.mean_latency_ns(class_index), usual_here_ns)
-            if now - sent_ns > WRITE_OFF_TIMES * usual_ns:
+            host_mean_ns = ratio_sum / count * self._goals_ns[class_index]
+            mean_ns = max(self._traffic.mean_latency_ns(class_index), host_mean_ns)
+            if now - sent_ns > WRITE_OFF_FACTOR * mean_ns:
                 overtaken.append(key)
         return overtaken
 
--- a/brambleusher/loadbalancing/performance_index.py
+++ b/brambleusher/loadbalancing/performance_index.py
@@ -23,7 +23,7 @@
 MISSED_RATIO = 1 / GOAL_PER_TARGET  # ratio of an attempt that was not served, which has missed its target
 MIN_COUNT = 0.01  # count of answers below which their mean is noise
 # Maximum number of attempts in flight examined per host, which bounds the cost of a tick.
-OLDEST_LOOKED_AT = 6
+MAX_EXAMINED_ATTEMPTS = 6
 
 
 def aggregate_pi(index: list[float], count: list[float], by_importance: Sequence[int]) -> tuple[float, float]:
@@ -59,12 +59,12 @@
         ]
         index, count = aggregate_pi(means, host.latency_counts, self._by_importance)
         total = index * count
-        seen = count + 1.0  # one prior sample, so that a host recovers as its evidence decays
+        weighted_count = count + 1.0  # one prior sample, so that a host recovers as its evidence decays
         goals_ns = self.goals_ns
-        for looked_at, (request, sent_ns) in enumerate(host.in_flight.values()):
+        for examined, (request, sent_ns) in enumerate(host.in_flight.values()):
             ratio = min((now - sent_ns) / goals_ns[request.class_index], MAX_RATIO)
-            if ratio <= index or looked_at >= OLDEST_LOOKED_AT:
+            if ratio <= index or examined >= MAX_EXAMINED_ATTEMPTS:
                 break
             total += ratio
-            seen += 1
-        return total / seen
+            weighted_count += 1
+        return total / weighted_count
--- a/brambleusher/loadbalancing/retry_budget.py
+++ b/brambleusher/loadbalancing/retry_budget.py
@@ -43,7 +43,7 @@
         # Mean remaining time of first requests in nanoseconds, by class.
         self.first_attempt_left_ns = [0.0] * classes
 
-    def detect_client_retry(self, cls: int, left_ns: int) -> ClientWait:
+    def detect_client_retry(self, class_index: int, left_ns: int) -> ClientWait:
         """Return how long a client has waited before this request, and whether the request is a retry.
 
         Retries are detected whether or not they are marked. A retried request has less remaining time than
@@ -51,9 +51,11 @@
         retries have new ids. If clients give each try a deadline of its own, a retry can't be told from a
         first request.
         """
-        waited_ns = self.first_attempt_left_ns[cls] - left_ns
-        self.first_attempt_left_ns[cls] -= waited_ns * (FALL_FRACTION if waited_ns > 0 else RISE_FRACTION)
-        return ClientWait(waited_ns, waited_ns > RETRY_FRACTION * self.first_attempt_left_ns[cls])
+        waited_ns = self.first_attempt_left_ns[class_index] - left_ns
+        self.first_attempt_left_ns[class_index] -= waited_ns * (
+            FALL_FRACTION if waited_ns > 0 else RISE_FRACTION
+        )
+        return ClientWait(waited_ns, waited_ns > RETRY_FRACTION * self.first_attempt_left_ns[class_index])
 
     def deposit(self) -> None:
         """Add the deposit of a first request."""
--- a/brambleusher/loadbalancing/retry_policy.py
+++ b/brambleusher/loadbalancing/retry_policy.py
@@ -23,10 +23,14 @@
     """Applies the rules for further attempts of a request and the retry budget of the balancer."""
 
     def __init__(
-        self, settings: api.Settings, unit_ns: int, traffic: TrafficStatistics, admission: AdmissionControl
+        self,
+        settings: api.Settings,
+        shortest_target_ns: int,
+        traffic: TrafficStatistics,
+        admission: AdmissionControl,
     ) -> None:
         self._settings = settings
-        self._unit_ns = unit_ns
+        self._shortest_target_ns = shortest_target_ns
         self._traffic = traffic
         self._admission = admission
         self.budget = RetryBudget(len(settings.classes))
@@ -94,5 +98,9 @@
 
         Otherwise clients would repeat rejected requests at once.
         """
-        most = self._settings.max_retry_after_ns
-        return most if is_crowded else min(self._unit_ns // PROMPT_RETRY_DIVISOR, most)
+        max_retry_after_ns = self._settings.max_retry_after_ns
+        return (
+            max_retry_after_ns
+            if is_crowded
+            else min(self._shortest_target_ns // PROMPT_RETRY_DIVISOR, max_retry_after_ns)
+        )
--- a/brambleusher/loadbalancing/settings.py
+++ b/brambleusher/loadbalancing/settings.py
@@ -87,13 +87,13 @@
     )
 
 
-def _number(section: JsonObject, key: str, path: str, least: float = 0.0) -> float:
-    """Return a required number of at least `least`."""
+def _number(section: JsonObject, key: str, path: str, minimum: float = 0.0) -> float:
+    """Return a required number of at least `minimum`."""
     value = section.get(key)
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not math.isfinite(value):
         raise SettingsError(f"setting {path}{key} is missing or not a number")
-    if value < least:
-        raise SettingsError(f"setting {path}{key} is {value}, which is below {least:g}")
+    if value < minimum:
+        raise SettingsError(f"setting {path}{key} is {value}, which is below {minimum:g}")
     return value
 
 
--- a/brambleusher/loadbalancing/settings_codec.py
+++ b/brambleusher/loadbalancing/settings_codec.py
@@ -77,7 +77,7 @@
 
 def save_rules(rules: api.ZoneRules | None) -> dict[str, Any] | None:
     """Return zone rules as JSON values."""
-    return None if rules is None else _record(rules, ZONE_RULES_KEYS)
+    return None if rules is None else _encode_fields(rules, ZONE_RULES_KEYS)
 
 
 def restore_rules(raw: object) -> api.ZoneRules | None:
@@ -105,7 +105,7 @@
     """Return the settings as JSON values."""
     sections: dict[str, object] = {
         "classes": [_save_request_class(item) for item in settings.classes],
-        "tenants": [_record(item, TENANT_KEYS) for item in settings.tenants],
+        "tenants": [_encode_fields(item, TENANT_KEYS) for item in settings.tenants],
         "zones": save_rules(settings.zone_rules),
         "report_fields": list(settings.report_fields),
     }
@@ -138,21 +138,23 @@
         raise StateError(f"the settings can't be read: {type(error).__name__}: {error}") from None
 
 
-def _record(item: object, keys: Mapping[str, str]) -> dict[str, Any]:
+def _encode_fields(item: object, keys: Mapping[str, str]) -> dict[str, Any]:
     return {key: plain(getattr(item, attribute)) for key, attribute in keys.items()}
 
 
 def _save_request_class(item: api.RequestClass) -> dict[str, Any]:
-    words = {"effect": item.idempotency.value, "group": item.deduplication_scope.value}
+    enum_values = {"effect": item.idempotency.value, "group": item.deduplication_scope.value}
     return {
-        key: words[key] if key in words else plain(getattr(item, attribute))
+        key: enum_values[key] if key in enum_values else plain(getattr(item, attribute))
         for key, attribute in REQUEST_CLASS_KEYS.items()
     }
 
 
 def _request_class(raw: Mapping[str, Any]) -> api.RequestClass:
-    words = {"effect": api.Idempotency(raw["effect"]), "group": api.DeduplicationScope(raw["group"])}
-    return api.RequestClass(**{REQUEST_CLASS_KEYS[key]: words.get(key, value) for key, value in raw.items()})
+    enum_values = {"effect": api.Idempotency(raw["effect"]), "group": api.DeduplicationScope(raw["group"])}
+    return api.RequestClass(
+        **{REQUEST_CLASS_KEYS[key]: enum_values.get(key, value) for key, value in raw.items()}
+    )
 
 
 def _tenant(raw: Mapping[str, Any]) -> api.Tenant:
--- a/brambleusher/loadbalancing/simulator_adapter.py
+++ b/brambleusher/loadbalancing/simulator_adapter.py
@@ -81,28 +81,28 @@
     )
 
 
-def format_action(who: str, action: api.Action) -> str:
+def format_action(instance_id: str, action: api.Action) -> str:
     """Return the output line of an action for one instance."""
     match action:
         case api.StartAttempt(request, host, timeout_ns):
-            line = f"relay\twho={who}\top_id={request}\thost={host}"
+            line = f"relay\twho={instance_id}\top_id={request}\thost={host}"
             return f"{line}\tgive_up_after_ns={timeout_ns}" if timeout_ns else line
         case api.SetTimer(at_ns, token):
-            return f"wake_me\twho={who}\ttime_ns={at_ns}\tkey_back={token}"
+            return f"wake_me\twho={instance_id}\ttime_ns={at_ns}\tkey_back={token}"
         case api.RejectRequest(request, retry_after_ns):
-            return f"not_now\twho={who}\top_id={request}\tstay_away_ns={retry_after_ns}"
+            return f"not_now\twho={instance_id}\top_id={request}\tstay_away_ns={retry_after_ns}"
         case api.FailRequest(request):
-            return f"give_up\twho={who}\top_id={request}"
+            return f"give_up\twho={instance_id}\top_id={request}"
         case api.CancelAttempt(request, attempt):
-            return f"abort_attempt\twho={who}\top_id={request}\tcopy={attempt}"
+            return f"abort_attempt\twho={instance_id}\top_id={request}\tcopy={attempt}"
         case api.CloseIdleConnections(host):
-            return f"let_go\twho={who}\thost={host}"
+            return f"let_go\twho={instance_id}\thost={host}"
         case api.CheckHealth(host):
-            return f"health_check\twho={who}\thost={host}"
+            return f"health_check\twho={instance_id}\thost={host}"
         case api.SubscribeToEndpoints():
-            return f"observe\twho={who}\ton=1"
+            return f"observe\twho={instance_id}\ton=1"
         case api.WriteLog(text):
-            return f"debug\twho={who}\twords={text}"
+            return f"debug\twho={instance_id}\twords={text}"
 
 
 # --- the adapter ----------------------------------------------------------------------------
@@ -117,7 +117,7 @@
         self._instances: dict[str, Balancer] = {}
         self._report_fields: dict[str, tuple[str, ...]] = {}  # by instance
         self._lists: dict[int, list[api.HostEntry]] = {}
-        self._noted: set[str] = set()
+        self._warned_events: set[str] = set()
         self._readers: dict[str, Callable[[str, Fields], api.Event]] = {
             "outcome": self._attempt_ended,
             "demand": self._request_arrived,
@@ -130,7 +130,7 @@
 
     # --- events ---------------------------------------------------------------------------------
 
-    def _attempt_ended(self, who: str, fields: Fields) -> api.Event:
+    def _attempt_ended(self, instance_id: str, fields: Fields) -> api.Event:
         return api.AttemptEnded(
             fields["op_id"],
             int(fields["copy"]),
@@ -138,10 +138,10 @@
             _ATTEMPT_STATUSES[fields["status"]],
             int(fields.get("duration_ns", 0)),
             fields.get("last") == "1",
-            parse_report(fields.get("telemetry"), self._report_fields[who]),
+            parse_report(fields.get("telemetry"), self._report_fields[instance_id]),
         )
 
-    def _request_arrived(self, _who: str, fields: Fields) -> api.Event:
+    def _request_arrived(self, _instance_id: str, fields: Fields) -> api.Event:
         hint, tenant = fields.get("expected_ns"), fields.get("party")
         return api.RequestArrived(
             fields["op_id"],
@@ -152,30 +152,30 @@
             fields.get("is_retry") == "1",
         )
 
-    def _list_updated(self, _who: str, fields: Fields) -> api.Event:
+    def _list_updated(self, _instance_id: str, fields: Fields) -> api.Event:
         kind = _LIST_KINDS[fields["scope"]]
         has_failed = kind is api.ListKind.FAILED
         return api.HostListUpdated(kind, [] if has_failed else self._lists[int(fields["list"])])
 
-    def _health_check_ended(self, who: str, fields: Fields) -> api.Event:
+    def _health_check_ended(self, instance_id: str, fields: Fields) -> api.Event:
         return api.HealthCheckEnded(
             fields["host"],
             fields.get("status") == "ok",
             int(fields.get("duration_ns", 0)),
-            parse_report(fields.get("telemetry"), self._report_fields[who]),
+            parse_report(fields.get("telemetry"), self._report_fields[instance_id]),
         )
 
-    def _stream_started(self, _who: str, fields: Fields) -> api.Event:
+    def _stream_started(self, _instance_id: str, fields: Fields) -> api.Event:
         return api.StreamStarted(
             fields["op_id"], int(fields.get("copy", 0)), fields["host"], int(fields.get("duration_ns", 0))
         )
 
-    def _event(self, name: str, who: str, fields: Fields) -> api.Event | None:
+    def _event(self, name: str, instance_id: str, fields: Fields) -> api.Event | None:
         reader = self._readers.get(name)
         if reader is not None:
-            return reader(who, fields)
-        if name not in _IGNORED_EVENTS and name not in self._noted:
-            self._noted.add(name)
+            return reader(instance_id, fields)
+        if name not in _IGNORED_EVENTS and name not in self._warned_events:
+            self._warned_events.add(name)
             self._write_warning(f"unknown event {name!r} is skipped")
         return None
 
@@ -190,31 +190,33 @@
         if name == "init":
             return self._start_instance(line, now)
         fields = _fields(line)
-        who = fields["who"]
+        instance_id = fields["who"]
         if name == "halt":
-            self._instances.pop(who, None)
+            self._instances.pop(instance_id, None)
             return []
-        if who not in self._instances:
-            raise SimulatorLineError(f"instance {who} is unknown")
-        event = self._event(name, who, fields)
+        if instance_id not in self._instances:
+            raise SimulatorLineError(f"instance {instance_id} is unknown")
+        event = self._event(name, instance_id, fields)
         if event is None:
             return []
-        return [format_action(who, action) for action in self._instances[who].handle(event, now)]
+        return [
+            format_action(instance_id, action) for action in self._instances[instance_id].handle(event, now)
+        ]
 
     def _register_list(self, fields: Fields, lines: Iterator[str]) -> None:
         count = int(fields["elements"])
         self._lists[int(fields["list"])] = [_entry(next(lines).rstrip("\r\n")) for _ in range(count)]
 
     def _start_instance(self, line: str, now: int) -> list[str]:
-        head, found, setup = line.partition("\tsetup=")
+        header, found, setup = line.partition("\tsetup=")
         if not found:
             raise SimulatorLineError("init without setup")
-        fields = _fields(head)
-        who = fields["who"]
+        fields = _fields(header)
+        instance_id = fields["who"]
         settings = parse_settings(setup)
-        self._report_fields[who] = settings.report_fields
-        balancer = self._instances[who] = Balancer(settings, int(fields.get("salt", 0)))
-        return [format_action(who, action) for action in balancer.start(now)]
+        self._report_fields[instance_id] = settings.report_fields
+        balancer = self._instances[instance_id] = Balancer(settings, int(fields.get("salt", 0)))
+        return [format_action(instance_id, action) for action in balancer.start(now)]
 
     def run(self, source: TextIO, sink: TextIO) -> None:
         """Process batches until the input ends.
@@ -245,8 +247,8 @@
                     replies += self._handle_line(line, lines, now)
             raise SimulatorLineError("the input ended inside a batch")
         except (KeyError, ValueError, StopIteration) as error:
-            what = f"missing or unknown {error}" if isinstance(error, KeyError) else str(error)
-            raise SimulatorLineError(f"line {line[:MAX_QUOTED_CHARS]!r}: {what}") from error
+            reason = f"missing or unknown {error}" if isinstance(error, KeyError) else str(error)
+            raise SimulatorLineError(f"line {line[:MAX_QUOTED_CHARS]!r}: {reason}") from error
 
 
 def main() -> int:
--- a/brambleusher/loadbalancing/slow_start.py
+++ b/brambleusher/loadbalancing/slow_start.py
@@ -18,51 +18,60 @@
 REPORTED_FRACTION = 0.8
 
 
-def warm_fraction(age_ns: int, start: float, warm_up_ns: int, reported: float = 0.0) -> float:
+def warm_fraction(age_ns: int, initial_capacity: float, warm_up_ns: int, reported: float = 0.0) -> float:
     """Return a lower bound of a host's capacity as a fraction of its full capacity, 1 once it is warm.
 
-    The capacity rises linearly from `start` within `warm_up_ns`. It may rise sooner with the work done; then
-    load reports show it (`reported`: reported capacity as a fraction of the capacity of warm hosts of its
-    kind).
+    The capacity rises linearly from `initial_capacity` within `warm_up_ns`. It may rise sooner with the work
+    done; then load reports show it (`reported`: reported capacity as a fraction of the capacity of warm hosts
+    of its kind).
     """
     if age_ns >= warm_up_ns:
         return 1.0
     # The age is bounded by 0, since a wall clock behind the host's clock has led to negative weights.
-    least = start + (1 - start) * max(age_ns, 0) / warm_up_ns
-    return max(least, min(reported, 1.0) * REPORTED_FRACTION)
+    expected = initial_capacity + (1 - initial_capacity) * max(age_ns, 0) / warm_up_ns
+    return max(expected, min(reported, 1.0) * REPORTED_FRACTION)
 
 
-def reported_fraction(host: Host, usual: float | None) -> float:
-    """Return a host's reported capacity as a fraction of `usual`; 0 if there are too few reports."""
-    capacity = host.capacity if usual and host.utilisation_sum >= MIN_REPORTED_USE else None
-    return capacity / usual if capacity and usual else 0.0
+def reported_fraction(host: Host, kind_capacity: float | None) -> float:
+    """Return a host's reported capacity as a fraction of `kind_capacity`; 0 if there are too few reports."""
+    capacity = host.capacity if kind_capacity and host.utilisation_sum >= MIN_REPORTED_USE else None
+    return capacity / kind_capacity if capacity and kind_capacity else 0.0
 
 
 def proxies_per_host(
-    proxies: int, ready: Mapping[str, int], zone: str, near: int, away: int, share: float
+    fleet_size: int,
+    ready_per_zone: Mapping[str, int],
+    zone: str,
+    local_hosts: int,
+    remote_hosts: int,
+    process_fraction: float,
 ) -> float:
     """Return an estimate of how many proxies have a host of `zone` in their subset.
 
-    Each proxy is assumed to use about `near` hosts of its own zone and `away` hosts of other zones, as this
-    one does; proxies are assumed to be spread evenly over zones. A host is used by few proxies of most other
-    zones, but if a zone has few hosts left, each of them is used by all proxies of that zone; the estimate
-    covers both.
+    Each proxy is assumed to use about `local_hosts` hosts of its own zone and `remote_hosts` hosts of
+    other zones, as this one does; proxies are assumed to be spread evenly over zones. A host is used by
+    few proxies of most other zones, but if a zone has few hosts left, each of them is used by all proxies
+    of that zone; the estimate covers both.
 
     Args:
-        proxies: Number of proxies in the fleet.
-        ready: Number of ready hosts by zone.
+        fleet_size: Number of proxies in the fleet.
+        ready_per_zone: Number of ready hosts by zone.
         zone: Zone of the host.
-        near: Number of hosts of the own zone in this proxy's subset.
-        away: Number of hosts of other zones in this proxy's subset.
-        share: This process's fraction of its proxy's traffic.
+        local_hosts: Number of hosts of the own zone in this proxy's subset.
+        remote_hosts: Number of hosts of other zones in this proxy's subset.
+        process_fraction: This process's fraction of its proxy's traffic.
     """
-    total = sum(ready.values())
+    total = sum(ready_per_zone.values())
     # For the proxies of another zone, the host is one of `total - hosts` remote ones.
-    fractions = [min(away / max(total - hosts, 1), 1.0) for other, hosts in ready.items() if other != zone]
-    fractions.append(min(near / max(ready.get(zone, 1), 1), 1.0))
+    fractions = [
+        min(remote_hosts / max(total - hosts, 1), 1.0)
+        for other, hosts in ready_per_zone.items()
+        if other != zone
+    ]
+    fractions.append(min(local_hosts / max(ready_per_zone.get(zone, 1), 1), 1.0))
     # `fsum` is exact, so that the result does not depend on the order of zones.
-    count = proxies * math.fsum(fractions) / len(fractions)
-    return max(count / share, 1.0)
+    count = fleet_size * math.fsum(fractions) / len(fractions)
+    return max(count / process_fraction, 1.0)
 
 
 def has_credit(host: Host, now: int, rate: float, overload_window_ns: int) -> bool:
--- a/brambleusher/loadbalancing/slow_start_budget.py
+++ b/brambleusher/loadbalancing/slow_start_budget.py
@@ -17,10 +17,10 @@
     """Limits this proxy's attempts to warming hosts; `slow_start` has the formulas."""
 
     def __init__(
-        self, settings: api.Settings, unit_ns: int, capacity: FleetCapacity, host_table: HostTable
+        self, settings: api.Settings, shortest_target_ns: int, capacity: FleetCapacity, host_table: HostTable
     ) -> None:
         self._settings = settings
-        self._unit_ns = unit_ns
+        self._shortest_target_ns = shortest_target_ns
         self._capacity = capacity
         self._host_table = host_table
         # Fraction of this proxy's traffic; below 1 while a new version takes over.
@@ -40,8 +40,8 @@
             return 1.0
         reported = 0.0
         if not self._capacity.uses_sizes:
-            usual = self._capacity.capacity_of_kind.get(host.kind)
-            reported = slow_start.reported_fraction(host, usual)
+            kind_capacity = self._capacity.capacity_of_kind.get(host.kind)
+            reported = slow_start.reported_fraction(host, kind_capacity)
         return slow_start.warm_fraction(age_ns, settings.initial_capacity, settings.warm_up_ns, reported)
 
     def admits(self, host: Host, now: int) -> bool:
@@ -70,7 +70,7 @@
         Before any report it is one request per latency target, which any host that meets its goal can serve.
         """
         if self._capacity.uses_sizes:
-            return NS_PER_S / self._unit_ns
+            return NS_PER_S / self._shortest_target_ns
         of_kind = self._capacity.capacity_of_kind
-        default = self._capacity.mean_capacity or NS_PER_S / self._unit_ns
+        default = self._capacity.mean_capacity or NS_PER_S / self._shortest_target_ns
         return of_kind.get(host.kind, min(of_kind.values(), default=default))
--- a/brambleusher/loadbalancing/spill_grants.py
+++ b/brambleusher/loadbalancing/spill_grants.py
@@ -24,7 +24,7 @@
 # Minimum grant of a zone in use, in requests per latency target; without requests nothing is learned about a
 # zone.
 MIN_PER_TARGET = 0.25
-KEPT_FACTOR = 1.25  # multiple of the used rate that stays granted
+RETAINED_GRANT_FACTOR = 1.25  # multiple of the used rate that stays granted
 TRAFFIC_SHARE_HALF_LIFE_TARGETS = 16.0  # half-life of the traffic share in latency targets
 # Fraction of a grant that is removed per second at a full zone, less at a smaller overload.
 STRAIN_DECREASE = 0.5
@@ -69,19 +69,19 @@
     Returns:
         Requests per second by zone; their sum is less than the demand if all limits are reached.
     """
-    given: dict[str, float] = {}
-    left, free = demand, {name: weight for name, weight in weights.items() if weight > 0}
-    while free:
-        total = sum(free.values())
-        full = [name for name, weight in free.items() if 0 <= limits[name] <= left * weight / total]
+    distributed: dict[str, float] = {}
+    remaining, unfilled = demand, {name: weight for name, weight in weights.items() if weight > 0}
+    while unfilled:
+        total = sum(unfilled.values())
+        full = [name for name, weight in unfilled.items() if 0 <= limits[name] <= remaining * weight / total]
         if not full:
-            given.update({name: left * weight / total for name, weight in free.items()})
+            distributed.update({name: remaining * weight / total for name, weight in unfilled.items()})
             break
         for name in full:
-            given[name] = limits[name]
-            del free[name]
-        left = max(demand - sum(given.values()), 0.0)
-    return given
+            distributed[name] = limits[name]
+            del unfilled[name]
+        remaining = max(demand - sum(distributed.values()), 0.0)
+    return distributed
 
 
 class SpillGrants:
@@ -113,9 +113,9 @@
 
     @staticmethod
     def _refill(zone: Zone, now: int) -> None:
-        most = max(1.0, zone.limit_per_s * BURST_S)
-        came = zone.limit_per_s * max(now - zone.refilled_ns, 0) / NS_PER_S
-        zone.tokens = min(zone.tokens + came, most)
+        burst = max(1.0, zone.limit_per_s * BURST_S)
+        refilled = zone.limit_per_s * max(now - zone.refilled_ns, 0) / NS_PER_S
+        zone.tokens = min(zone.tokens + refilled, burst)
         zone.refilled_ns = now
 
     # --- shares ---------------------------------------------------------------------------------
@@ -127,8 +127,8 @@
         """
         zone = self._table.zones.get(name)
         fleet_size = self._table.fleet_size
-        share = 1.0 / fleet_size if zone is None else self._traffic_share(zone)
-        return (share + 1.0 / fleet_size) / 2
+        traffic_share = 1.0 / fleet_size if zone is None else self._traffic_share(zone)
+        return (traffic_share + 1.0 / fleet_size) / 2
 
     def _traffic_share(self, zone: Zone) -> float:
         """Return this proxy's share of a zone's traffic; if unknown, assume that all zones are alike."""
@@ -190,25 +190,25 @@
         used, capacity = sum(load.used for load in loads), sum(load.capacity for load in loads)
         if not capacity:
             return
-        utilisation, further = nearer.used / nearer.capacity, used / capacity
+        utilisation, farther_utilisation = nearer.used / nearer.capacity, used / capacity
         if nearer.strained_zones * 2 > nearer.zones:
             utilisation = 1.0
         if utilisation > target_utilisation:
             error = (utilisation - target_utilisation) / (1 - target_utilisation)
             # Exchanging work between equally busy tiers gains nothing.
-            error = min(error, (utilisation - further) / (1 - target_utilisation))
+            error = min(error, (utilisation - farther_utilisation) / (1 - target_utilisation))
         else:
             error = (utilisation - target_utilisation) / target_utilisation
-        before = self.offered_by_tier.get(tier, min_fraction)
-        self.offered_by_tier[tier] = min(1.0, max(min_fraction, before + TIER_GAIN * error * gap))
+        previous = self.offered_by_tier.get(tier, min_fraction)
+        self.offered_by_tier[tier] = min(1.0, max(min_fraction, previous + TIER_GAIN * error * gap))
 
     def _offered_by_tiers_up_to(self, tier: int) -> float:
         """Return the product of the offered fractions of a tier and all nearer ones."""
-        offer = 1.0
+        offered = 1.0
         for number, fraction in self.offered_by_tier.items():
             if number <= tier:
-                offer *= fraction
-        return offer
+                offered *= fraction
+        return offered
 
     # --- grants ---------------------------------------------------------------------------------
 
@@ -241,7 +241,7 @@
                 zone.limit_per_s = UNLIMITED
             self._table.unplaced_fraction = 0.0
             return
-        self._share_out(weights, loads, demand, now)
+        self._distribute_demand(weights, loads, demand, now)
 
     def _update_limits(
         self, now: int, gap: float, loads: Mapping[str, ZoneLoad], demand: float, target_utilisation: float
@@ -263,9 +263,9 @@
                 continue
             spare = max(max_utilisation * load.capacity - load.used, 0.0) * spill_share
             self._update_grant(zone, load, used, spare, seconds, now)
-            offer = self._offered_by_tiers_up_to(zone.tier) * self._tiers.weights.get(name, 1.0)
-            caution = SUSPECT_FRACTION if zone.state is ZoneState.SUSPECT else 1.0
-            weights[name] = load.total_weight * offer * caution
+            offered = self._offered_by_tiers_up_to(zone.tier) * self._tiers.weights.get(name, 1.0)
+            suspect_factor = SUSPECT_FRACTION if zone.state is ZoneState.SUSPECT else 1.0
+            weights[name] = load.total_weight * offered * suspect_factor
             zone.limit_per_s = self._limit(zone, load, demand, now)
         return weights
 
@@ -273,36 +273,36 @@
     def _update_traffic_share(zone: Zone, load: ZoneLoad, used: float, gap: float) -> None:
         if zone.state is not ZoneState.HEALTHY or load.throughput <= 0 or zone.evacuation_began_ns:
             return
-        share = min(1.0, used / load.throughput)
+        current_share = min(1.0, used / load.throughput)
         is_known = zone.own_traffic_share >= 0
         retained = 0.5 ** (gap / TRAFFIC_SHARE_HALF_LIFE_TARGETS) if is_known else 0.0
-        zone.own_traffic_share = zone.own_traffic_share * retained + share * (1 - retained)
+        zone.own_traffic_share = zone.own_traffic_share * retained + current_share * (1 - retained)
 
-    def _share_out(
+    def _distribute_demand(
         self, weights: Mapping[str, float], loads: Mapping[str, ZoneLoad], demand: float, now: int
     ) -> None:
         """Set the offered fractions of zones and the unplaced fraction of the demand."""
         table = self._table
         limits = {name: table.zones[name].limit_per_s for name, weight in weights.items() if weight > 0}
-        given = fill(demand, weights, limits)
+        distributed = fill(demand, weights, limits)
         for name, limit in limits.items():
             zone = table.zones[name]
             is_full = zone.state is ZoneState.RETURNING and zone.grant_per_s >= self._max_grant(
                 zone, loads[name], now
             )
-            if limit >= 0 and given[name] >= EXHAUSTED_FRACTION * limit and not is_full:
+            if limit >= 0 and distributed[name] >= EXHAUSTED_FRACTION * limit and not is_full:
                 zone.grant_exhausted_ns = now
-        fractions = {name: amount / loads[name].total_weight for name, amount in given.items()}
-        most = max(fractions.values(), default=0.0)
+        fractions = {name: amount / loads[name].total_weight for name, amount in distributed.items()}
+        max_fraction = max(fractions.values(), default=0.0)
         for name in weights:
             zone = table.zones[name]
-            has_fraction = most > 0 and name in fractions
+            has_fraction = max_fraction > 0 and name in fractions
             zone.offered_fraction = (
-                fractions[name] / most if has_fraction else self._offered_by_tiers_up_to(zone.tier)
+                fractions[name] / max_fraction if has_fraction else self._offered_by_tiers_up_to(zone.tier)
             )
         # Demand can only be unplaced if every participating zone has a limit.
         is_limited = demand > 0 and limits and all(table.zones[name].limit_per_s >= 0 for name in weights)
-        table.unplaced_fraction = max(0.0, 1.0 - sum(given.values()) / demand) if is_limited else 0.0
+        table.unplaced_fraction = max(0.0, 1.0 - sum(distributed.values()) / demand) if is_limited else 0.0
         is_short = table.unplaced_fraction > NEED_FRACTION
         table.short_since_ns = (table.short_since_ns or now) if is_short else 0
         if table.unplaced_fraction > 0:
@@ -317,50 +317,50 @@
             self._update_returning_grant(zone, load, used, seconds, is_exhausted, now)
             return
         rules = self._table.active_rules
-        over = load.used / load.capacity - rules.max_utilisation if load.capacity else 0.0
-        over = min(over / max(1 - rules.max_utilisation, MIN_OVERLOAD_RANGE), 1.0)
-        over = max(over, STRAINED_OVERLOAD) if load.is_strained else over
-        if over > 0:
-            zone.grant_per_s *= max(0.0, 1.0 - STRAIN_DECREASE * over * seconds)
+        overload = load.used / load.capacity - rules.max_utilisation if load.capacity else 0.0
+        overload = min(overload / max(1 - rules.max_utilisation, MIN_OVERLOAD_RANGE), 1.0)
+        overload = max(overload, STRAINED_OVERLOAD) if load.is_strained else overload
+        if overload > 0:
+            zone.grant_per_s *= max(0.0, 1.0 - STRAIN_DECREASE * overload * seconds)
         elif is_exhausted:
             step = max(min(rules.spill_rate * spare * seconds, spare - zone.unreported_grant_per_s), 0.0)
             zone.grant_per_s += step
             zone.unreported_grant_per_s += step
         else:
-            retained = KEPT_FACTOR * used + rules.spill_rate * spare * HEADROOM_S
+            retained = RETAINED_GRANT_FACTOR * used + rules.spill_rate * spare * HEADROOM_S
             zone.grant_per_s += (retained - zone.grant_per_s) * min(seconds / UNUSED_LAPSE_S, 1.0)
-        least = MIN_PER_TARGET * NS_PER_S / self._table.target_ns
-        zone.grant_per_s = max(zone.grant_per_s, used if over <= 0 else 0.0, least)
+        min_grant = MIN_PER_TARGET * NS_PER_S / self._table.target_ns
+        zone.grant_per_s = max(zone.grant_per_s, used if overload <= 0 else 0.0, min_grant)
 
     def _update_returning_grant(
         self, zone: Zone, load: ZoneLoad, used: float, seconds: float, is_exhausted: bool, now: int
     ) -> None:
         """Apply slow start: the grant of a returning zone doubles repeatedly while it is exhausted."""
-        start = START_FRACTION * load.capacity * self.capacity_share(zone.name)
-        start = max(start, MIN_PER_TARGET * NS_PER_S / self._table.target_ns)
+        initial_grant = START_FRACTION * load.capacity * self.capacity_share(zone.name)
+        initial_grant = max(initial_grant, MIN_PER_TARGET * NS_PER_S / self._table.target_ns)
         if is_exhausted and self.needs_returning_zones(now):
             # The grant rises to its limit; missing responses show if the zone can't handle more.
             zone.grant_per_s *= 2 ** (seconds / NEEDED_DOUBLING_S)
         elif is_exhausted:
-            most = max(RESPONSE_FACTOR * used, start)
-            zone.grant_per_s = min(zone.grant_per_s * 2 ** (seconds / DOUBLING_S), most)
-        zone.grant_per_s = max(zone.grant_per_s, start)
+            max_grant = max(RESPONSE_FACTOR * used, initial_grant)
+            zone.grant_per_s = min(zone.grant_per_s * 2 ** (seconds / DOUBLING_S), max_grant)
+        zone.grant_per_s = max(zone.grant_per_s, initial_grant)
 
     def _limit(self, zone: Zone, load: ZoneLoad, demand: float, now: int) -> float:
         """Return the requests per second that this proxy may send to a zone; negative means unlimited."""
         if zone.evacuation_began_ns:
-            left = 1.0 - (now - zone.evacuation_began_ns) / (EVACUATION_S * NS_PER_S)
-            return max(left, 0.0) * demand
+            remaining = 1.0 - (now - zone.evacuation_began_ns) / (EVACUATION_S * NS_PER_S)
+            return max(remaining, 0.0) * demand
         if zone.state is ZoneState.RETURNING:
-            most = self._max_grant(zone, load, now)
-            return min(zone.grant_per_s, most) if load.capacity else zone.grant_per_s
+            max_grant = self._max_grant(zone, load, now)
+            return min(zone.grant_per_s, max_grant) if load.capacity else zone.grant_per_s
         # The own zone is never limited; nor is a zone of unknown capacity, before the first load report.
         is_unlimited = zone.name == self._table.own_zone or not load.capacity
         return UNLIMITED if is_unlimited else zone.grant_per_s
 
     def _max_grant(self, zone: Zone, load: ZoneLoad, now: int) -> float:
         """Return the maximum grant of a returning zone: this proxy's share of the zone's capacity."""
-        factor = self._table.active_rules.max_utilisation
+        capacity_factor = self._table.active_rules.max_utilisation
         if self.needs_returning_zones(now):
-            factor = NEEDED_FACTOR
-        return self.capacity_share(zone.name) * factor * load.capacity
+            capacity_factor = NEEDED_FACTOR
+        return self.capacity_share(zone.name) * capacity_factor * load.capacity
--- a/brambleusher/loadbalancing/subsetting.py
+++ b/brambleusher/loadbalancing/subsetting.py
@@ -27,7 +27,7 @@
     return int.from_bytes(blake2b(name.encode(), digest_size=HASH_BYTES).digest(), "big")
 
 
-def _mixed(value: int) -> int:
+def _mix_bits(value: int) -> int:
     """Return a pseudo-random 64-bit hash of a number.
 
     Source: the finalizer of splitmix64 (Steele, Lea and Flood, 2014).
@@ -59,8 +59,8 @@
         Source: Thaler and Ravishankar, rendezvous hashing (1996).
         """
         _check(number, size)
-        salt = _mixed(number + _INSTANCE_SALT)
-        best = heapq.nsmallest(size, ((_mixed(at ^ salt), name) for name, at in self.positions))
+        salt = _mix_bits(number + _INSTANCE_SALT)
+        best = heapq.nsmallest(size, ((_mix_bits(at ^ salt), name) for name, at in self.positions))
         return [(name, 1.0) for _, name in best]
 
     def rounds(self, number: int, size: int) -> Subset:
@@ -74,9 +74,9 @@
         _check(number, size)
         count = max(len(self.names) // size, 1)
         round_number, index = divmod(number, count)
-        salt = _mixed(round_number + _ROUND_SALT)
-        order = sorted((_mixed(at ^ salt), name) for name, at in self.positions)
-        return [(name, 1.0) for _, name in order[index * size : (index + 1) * size]]
+        salt = _mix_bits(round_number + _ROUND_SALT)
+        ranked = sorted((_mix_bits(at ^ salt), name) for name, at in self.positions)
+        return [(name, 1.0) for _, name in ranked[index * size : (index + 1) * size]]
 
     def arc(self, number: int, size: int, instances: int) -> Subset:
         """Return an arc of the ring, which may contain only fractions of the two hosts at its ends.
@@ -106,9 +106,9 @@
         return subset
 
 
-def size_for(instances: int, hosts: int, least: int) -> int:
-    """Return the smallest subset size, at least `least`, with which every host is used by an instance.
+def size_for(instances: int, hosts: int, min_size: int) -> int:
+    """Return the smallest subset size, at least `min_size`, with which every host is used by an instance.
 
     For example, 2,000 hosts used evenly by 3 instances need subsets of 667 hosts.
     """
-    return min(max(least, math.ceil(hosts / max(instances, 1))), hosts)
+    return min(max(min_size, math.ceil(hosts / max(instances, 1))), hosts)
--- a/brambleusher/loadbalancing/token_round_robin.py
+++ b/brambleusher/loadbalancing/token_round_robin.py
@@ -69,23 +69,23 @@
         many proxies simultaneously. The cost is that a host that is slow for a good reason, such as heavy
         requests, gets its turns later than it should.
         """
-        with_this_one = in_flight + 1
+        in_flight_after = in_flight + 1
         for _ in range(2):
             for step in range(len(self.ring)):
                 index = (self._next + step) % len(self.ring)
                 host = self.ring[index]
                 if (
                     host.tokens > 0
-                    and len(host.in_flight) < host.in_flight_fraction * with_this_one
+                    and len(host.in_flight) < host.in_flight_fraction * in_flight_after
                     and is_eligible(host)
                 ):
                     host.tokens -= 1
                     self._next = index + 1
                     return host
             self.load()
-        return self._borrow(is_eligible)
+        return self._least_loaded(is_eligible)
 
-    def _borrow(self, is_eligible: Callable[[Host], bool]) -> Host | None:
+    def _least_loaded(self, is_eligible: Callable[[Host], bool]) -> Host | None:
         """Return the eligible host with the fewest attempts in flight per weight, or None."""
         candidates = [host for host in self.ring if host.weight > 0 and is_eligible(host)]
         if not candidates:
--- a/brambleusher/loadbalancing/traffic.py
+++ b/brambleusher/loadbalancing/traffic.py
@@ -15,9 +15,9 @@
 class TrafficStatistics:
     """Decaying counts; the windows in `windows` are multiples of the shortest latency target."""
 
-    def __init__(self, settings: api.Settings, unit_ns: int) -> None:
+    def __init__(self, settings: api.Settings, shortest_target_ns: int) -> None:
         class_count = len(settings.classes)
-        self._unit_ns = unit_ns
+        self._shortest_target_ns = shortest_target_ns
         self.requests = 0.0  # decaying count over the health window
         self.recent_requests = 0.0  # decaying count over one latency target
         self.in_flight = 0  # attempts in flight, without those written off
@@ -36,13 +36,13 @@
     @property
     def requests_per_s(self) -> float:
         """Recent rate of requests per second."""
-        return self.requests / HEALTH_WINDOW / self._unit_ns * NS_PER_S
+        return self.requests / HEALTH_WINDOW / self._shortest_target_ns * NS_PER_S
 
     def record_arrival(self, now: int) -> None:
         """Record the arrival of a request."""
         self.requests += 1
         self.recent_requests += 1
-        gap = max(now - self.last_arrival_ns, 0) / self._unit_ns
+        gap = max(now - self.last_arrival_ns, 0) / self._shortest_target_ns
         self.last_arrival_ns = now
         self.mean_in_flight += (self.in_flight - self.mean_in_flight) * -math.expm1(-gap / LATENCY_WINDOW)
 
@@ -61,7 +61,7 @@
         self.recent_requests *= math.exp(-decay.gap)
         self.peak_in_flight = max(float(self.in_flight), self.peak_in_flight * decay.capacity)
         self.served *= decay.capacity
-        self.observed_s = self.observed_s * decay.capacity + decay.gap * self._unit_ns / NS_PER_S
+        self.observed_s = self.observed_s * decay.capacity + decay.gap * self._shortest_target_ns / NS_PER_S
         self.answer_counts = [count * decay.capacity for count in self.answer_counts]
         self.latency_totals_ns = [total * decay.capacity for total in self.latency_totals_ns]
 
--- a/brambleusher/loadbalancing/wait_statistics.py
+++ b/brambleusher/loadbalancing/wait_statistics.py
@@ -70,12 +70,12 @@
         return [_best_rate(hazards, start) for start in range(len(AGES_S))]
 
     def _hazards(self, current_s: Sequence[float]) -> list[float]:
-        hazards, usual = [], MAX_ASSUMED_HAZARD
+        hazards, hazard = [], MAX_ASSUMED_HAZARD
         for index, length in enumerate(_LENGTHS_S):
-            assumed = PRIOR_S * length
-            requests = self.requests[index] + min(usual, MAX_ASSUMED_HAZARD) * assumed
-            usual = requests / (self.waited_s[index] + current_s[index] + assumed)
-            hazards.append(usual)
+            prior_s = PRIOR_S * length
+            requests = self.requests[index] + min(hazard, MAX_ASSUMED_HAZARD) * prior_s
+            hazard = requests / (self.waited_s[index] + current_s[index] + prior_s)
+            hazards.append(hazard)
         return hazards
 
 
--- a/brambleusher/loadbalancing/weights.py
+++ b/brambleusher/loadbalancing/weights.py
@@ -33,10 +33,10 @@
         elif host_index > PI_GOAL:
             weight *= 1 - (host_index - PI_GOAL)
         reduced.append(weight * host_health)
-    left = sum(reduced)
-    if left <= 0:
+    reduced_total = sum(reduced)
+    if reduced_total <= 0:
         return [WEIGHT_TOTAL / len(reduced)] * len(reduced) if reduced else []
-    return [weight * WEIGHT_TOTAL / left for weight in reduced]
+    return [weight * WEIGHT_TOTAL / reduced_total for weight in reduced]
 
 
 class WeightCalculator:
@@ -59,43 +59,45 @@
         warm_fractions = [warm_fraction_of(host, now) for host in hosts]
         capacity.update(hosts, warm_fractions)
         # If little capacity is free, weights depend more on total capacity.
-        lean = max(0.0, RESERVE - (1 - capacity.mean_utilisation))
+        capacity_bias = max(0.0, RESERVE - (1 - capacity.mean_utilisation))
         capacity_of_kind = capacity.capacity_of_kind
         utilisations = capacity.faded_utilisations(hosts, now)
-        spares: list[float | None] = []
+        spare_capacities: list[float | None] = []
         for host, warm_fraction, utilisation in zip(hosts, warm_fractions, utilisations, strict=True):
             # A host that is warming up or has not reported gets the capacity of its kind, scaled by its warm
             # fraction.
-            known = host.capacity if warm_fraction >= 1 else None
-            expected = known or capacity_of_kind.get(host.kind)
+            known_capacity = host.capacity if warm_fraction >= 1 else None
+            expected_capacity = known_capacity or capacity_of_kind.get(host.kind)
             free = 1 - utilisation
             usable = free if free >= MIN_SPARE_FRACTION else 0.0
-            spares.append(expected and expected * warm_fraction * (usable + lean))
-        reported = [spare for spare in spares if spare is not None]
-        usual = median(reported) if reported else 1.0
+            spare_capacities.append(
+                expected_capacity and expected_capacity * warm_fraction * (usable + capacity_bias)
+            )
+        reported = [spare for spare in spare_capacities if spare is not None]
+        median_spare = median(reported) if reported else 1.0
         return [
-            usual * warm_fraction if spare is None else spare
-            for spare, warm_fraction in zip(spares, warm_fractions, strict=True)
+            median_spare * warm_fraction if spare is None else spare
+            for spare, warm_fraction in zip(spare_capacities, warm_fractions, strict=True)
         ]
 
     def assign(
         self,
         hosts: Sequence[Host],
-        spares: Sequence[float],
+        spare_capacities: Sequence[float],
         spill_fraction: Callable[[Host], float],
         now: int,
     ) -> None:
         """Set the weights of hosts; `spill_fraction` gives the fraction of spare capacity a host offers."""
-        base = [spare * spill_fraction(host) for host, spare in zip(hosts, spares, strict=True)]
+        base = [spare * spill_fraction(host) for host, spare in zip(hosts, spare_capacities, strict=True)]
         index_of = self._performance_index.of_host
         for host in hosts:
             host.performance_index = index_of(host, now)
         # If most of the fleet misses the goal, hosts are compared with the median index instead. Otherwise
         # the few hosts that meet the goal would get all requests and be the next to fail.
-        yardstick = max(1.0, median(host.performance_index for host in hosts))
+        reference_index = max(1.0, median(host.performance_index for host in hosts))
         weights = final_weights(
             base,
-            [host.performance_index / yardstick for host in hosts],
+            [host.performance_index / reference_index for host in hosts],
             [host.health * host.acceptance for host in hosts],
         )
         for host, weight in zip(hosts, weights, strict=True):
--- a/brambleusher/loadbalancing/zone_aware_balancer.py
+++ b/brambleusher/loadbalancing/zone_aware_balancer.py
@@ -25,7 +25,7 @@
 # A timer that fires this many latency targets late shows that this proxy itself was paused.
 PAUSE_TARGETS = 0.25
 # A probe needs at least this multiple of its timeout, so that its request can be retried in time.
-PROBE_PATIENCE_TIMES = 2
+PROBE_DEADLINE_FACTOR = 2
 MIN_PROXIES_IN_ZONE = 0.25  # lower bound of the number of proxies that share a warming host's capacity
 
 
@@ -36,9 +36,16 @@
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.zone_router = ZoneRouter(settings.zone_rules, settings.zone, self._unit_ns, settings.fleet_size)
+        self.zone_router = ZoneRouter(
+            settings.zone_rules, settings.zone, self._shortest_target_ns, settings.fleet_size
+        )
         self._zone_loads = ZoneLoads(
-            self._unit_ns, self.zone_router, self.host_table, self.capacity, self.slow_start, self.traffic
+            self._shortest_target_ns,
+            self.zone_router,
+            self.host_table,
+            self.capacity,
+            self.slow_start,
+            self.traffic,
         )
         self.probing: list[str] = []  # ids of requests whose last attempt is a probe
         self.timer_due_ns = 0
@@ -92,7 +99,7 @@
     # --- the tick --------------------------------------------------------------------------------
 
     def _on_timer(self, _event: api.TimerFired, now: int) -> None:
-        is_late = self.timer_due_ns and now - self.timer_due_ns > PAUSE_TARGETS * self._unit_ns
+        is_late = self.timer_due_ns and now - self.timer_due_ns > PAUSE_TARGETS * self._shortest_target_ns
         if self._has_rules and is_late:
             self.zone_router.record_stall(now)
         super()._on_timer(_event, now)
@@ -102,26 +109,26 @@
 
     def _recompute_weights(self, now: int, gap: float) -> None:
         if self._has_rules:
-            self._judge_zones(now, gap)
+            self._update_zones(now, gap)
         super()._recompute_weights(now, gap)
 
-    def _judge_zones(self, now: int, gap: float) -> None:
+    def _update_zones(self, now: int, gap: float) -> None:
         """Update the state of all zones from reports and unanswered attempts; act on changes."""
         router = self.zone_router
         target, min_spill_fraction = self._target_utilisation()
-        before = self._zones_out()
+        excluded_before = self._excluded_zones()
         loads = self._zone_loads.collect(now)
         has_changed = router.tick(now, gap, loads, self.traffic.requests_per_s, target, min_spill_fraction)
         self._actions.extend(api.WriteLog(text) for text in router.take_log_lines())
         if has_changed:
-            after = self._zones_out()
+            excluded_after = self._excluded_zones()
             self._choose_hosts()
-            for name in sorted(before - after):
-                self._take_back(name, now)
-            for name in sorted(after - before):
+            for name in sorted(excluded_before - excluded_after):
+                self._readmit_hosts(name, now)
+            for name in sorted(excluded_after - excluded_before):
                 self._abandon_attempts(name, now)
 
-    def _zones_out(self) -> set[str]:
+    def _excluded_zones(self) -> set[str]:
         router = self.zone_router
         return {name for name in router.zones if router.is_excluded(name)}
 
@@ -139,14 +146,14 @@
 
     def _abandon_attempts(self, zone_name: str, now: int) -> None:
         """Write off all attempts in a lost zone, and hedge their requests elsewhere if that is safe."""
-        stuck: list[Request] = []
+        requests: list[Request] = []
         for host in self.host_table.hosts.values():
             if host.zone == zone_name:
-                stuck.extend(self.attempts.write_off(host, key) for key in list(host.in_flight))
-        for request in stuck:
+                requests.extend(self.attempts.write_off(host, key) for key in list(host.in_flight))
+        for request in requests:
             self._hedge(request, now)
 
-    def _take_back(self, zone_name: str, now: int) -> None:
+    def _readmit_hosts(self, zone_name: str, now: int) -> None:
         """Reset the failure evidence of a returning zone's hosts, which is outdated."""
         for host in self.host_table.hosts.values():
             if host.zone == zone_name:
@@ -199,41 +206,43 @@
         acceptance = sum(host.acceptance for host in hosts) / len(hosts)
         rate = sum(rates) / len(rates) * self.capacity.rate_per_size
         ready = self.host_table.ready_count
-        due = fraction * rate * acceptance * ready * target_ns * GOAL_PER_TARGET / NS_PER_S
-        self.admission.limit = max(self.admission.limit, due)
+        due_in_flight = fraction * rate * acceptance * ready * target_ns * GOAL_PER_TARGET / NS_PER_S
+        self.admission.limit = max(self.admission.limit, due_in_flight)
 
     def _admits(self, density: float) -> bool:
         """Reject the unplaced fraction of requests, lowest values first."""
         if not super()._admits(density):
             return False
-        beyond = self.zone_router.unplaced_fraction if self._has_rules else 0.0
+        unplaced_fraction = self.zone_router.unplaced_fraction if self._has_rules else 0.0
         densities = self.admission.sorted_densities
-        if beyond <= 0 or not densities:
+        if unplaced_fraction <= 0 or not densities:
             return True
-        return density >= densities[min(int(beyond * len(densities)), len(densities) - 1)]
+        return density >= densities[min(int(unplaced_fraction * len(densities)), len(densities) - 1)]
 
     # --- attempts --------------------------------------------------------------------------------
 
     def _eligibility(self, request: Request, now: int) -> Eligibility:
-        is_plainly_eligible = super()._eligibility(request, now)
+        is_eligible_without_rules = super()._eligibility(request, now)
         if not self._has_rules:
-            return is_plainly_eligible
+            return is_eligible_without_rules
         router = self.zone_router
         admits = {name: router.admits(name, now, self.uses_grants_ahead) for name in router.zones}
         if self.settings.classes[request.class_index].idempotency is Idempotency.UNSAFE:
-            beyond_doubt = {name: each and not router.is_doubtful(name) for name, each in admits.items()}
-            admits = beyond_doubt if any(beyond_doubt.values()) else admits
+            admits_unsuspected = {
+                name: each and not router.is_doubtful(name) for name, each in admits.items()
+            }
+            admits = admits_unsuspected if any(admits_unsuspected.values()) else admits
 
         def is_eligible(host: Host) -> bool:
-            return admits.get(host.zone, True) and is_plainly_eligible(host)
+            return admits.get(host.zone, True) and is_eligible_without_rules(host)
 
         return is_eligible
 
     def _pick_host(self, request: Request, now: int) -> Host | None:
         if self._has_rules and not request.attempts:
-            to_probe = self._pick_probe(request, now)
-            if to_probe is not None:
-                return to_probe
+            probe_host = self._pick_probe(request, now)
+            if probe_host is not None:
+                return probe_host
         host = super()._pick_host(request, now)
         if host is None and self._has_rules and self.zone_router.unplaced_fraction <= 0:
             # The demand fits overall but not at this moment; random bursts are no reason to reject a request.
@@ -253,7 +262,7 @@
             return None
         if self.settings.max_attempts <= 1:
             return None
-        if request.deadline_ns - now < PROBE_PATIENCE_TIMES * self._probe_timeout_ns(request):
+        if request.deadline_ns - now < PROBE_DEADLINE_FACTOR * self._probe_timeout_ns(request):
             return None
         is_eligible = super()._eligibility(request, now)
         count = len(zone.ready_hosts)
--- a/brambleusher/loadbalancing/zone_health.py
+++ b/brambleusher/loadbalancing/zone_health.py
@@ -45,14 +45,14 @@
 RESPONSE_HALF_LIFE_TARGETS = 1.0
 UNANSWERED = frozenset({AttemptStatus.CONNECT_FAILED, AttemptStatus.RESET, AttemptStatus.TIMEOUT})
 ANSWERED = frozenset({AttemptStatus.OK, AttemptStatus.OVERLOADED, AttemptStatus.ERROR})
-JUDGED = ANSWERED | UNANSWERED
+EVIDENCE_STATUSES = ANSWERED | UNANSWERED
 
 # Probes: single requests, safe to retry, to an excluded zone; intervals are in latency targets.
 PROBE_TARGETS, MAX_PROBE_TARGETS = 1.0, 4.0  # first and longest interval; doubled while probes fail
 # Longer, since a suppressed zone responds and the probes of many proxies are traffic too.
 SUPPRESSED_PROBE_TARGETS = 8.0
 # Time without a request that may be a probe, after which a zone returns unprobed, with a slow start.
-UNTRIED_TARGETS = 8.0
+UNPROBED_TARGETS = 8.0
 MISSED_PROBES = 2  # consecutive unanswered probes after which a suppressed zone is lost again
 
 NEEDED_TARGETS = 1.0  # time for which demand must have been unplaced before suppressed zones are used
@@ -82,7 +82,7 @@
 
     def is_evidence(self, zone: Zone, host: str, status: AttemptStatus, latency_ns: int) -> bool:
         """Return whether the outcome of an attempt is evidence about its zone."""
-        if host not in zone.ready_hosts or status not in JUDGED:
+        if host not in zone.ready_hosts or status not in EVIDENCE_STATUSES:
             return False
         too_short = latency_ns < self._table.target_ns * MIN_TIMEOUT_TARGETS
         return not (status is AttemptStatus.TIMEOUT and too_short)
@@ -144,13 +144,13 @@
     def record_probe(self, zone: Zone, now: int) -> None:
         """Record that a zone is probed; intervals grow while probes are not answered."""
         target_ns = self._table.target_ns
-        rarity = max(1.0, zone.flap_penalty)  # a flapping zone is probed less often
+        interval_factor = max(1.0, zone.flap_penalty)  # a flapping zone is probed less often
         interval_ns = min(
             max(2 * zone.probe_interval_ns, int(PROBE_TARGETS * target_ns)),
-            int(MAX_PROBE_TARGETS * rarity * target_ns),
+            int(MAX_PROBE_TARGETS * interval_factor * target_ns),
         )
         if zone.is_suppressed and not zone.consecutive_failures:
-            interval_ns = int(SUPPRESSED_PROBE_TARGETS * rarity * target_ns)
+            interval_ns = int(SUPPRESSED_PROBE_TARGETS * interval_factor * target_ns)
         zone.probe_interval_ns = interval_ns
         zone.next_probe_ns = now + interval_ns
         zone.probe_turn += 1
@@ -161,11 +161,11 @@
     def judge(self, zone: Zone, load: ZoneLoad, now: int) -> None:
         """Update the state of a zone from the current evidence."""
         if zone.state is ZoneState.LOST:
-            self._judge_lost(zone, now)
+            self._update_lost_zone(zone, now)
         elif zone.is_suppressed:
-            self._judge_suppressed(zone, now)
+            self._update_suppressed_zone(zone, now)
         else:
-            self._judge_in_use(zone, self._evidence(zone, load, now), now)
+            self._update_used_zone(zone, self._evidence(zone, load, now), now)
 
     def _evidence(self, zone: Zone, load: ZoneLoad, now: int) -> _Evidence:
         target_ns = self._table.target_ns
@@ -174,17 +174,19 @@
             name not in dark and now - node.last_response_ns <= RESPONSIVE_TARGETS * target_ns
             for name, node in zone.nodes.items()
         )
-        least = min(GREY_NODES, len(zone.ready_hosts))
+        min_nodes = min(GREY_NODES, len(zone.ready_hosts))
         # The zone has been unresponsive since the first unanswered attempt at its dark nodes, or since the
         # last response of any node if that is later.
-        began_ns = max(zone.last_response_ns, self._table.stalled_until_ns, min(dark.values(), default=now))
-        unresponsive_ns = now - began_ns
-        all_dark = len(dark) >= max(least, 1) and len(dark) >= responsive
-        needed_ns = self._lost_after_ns(zone, len(dark))
+        silent_since_ns = max(
+            zone.last_response_ns, self._table.stalled_until_ns, min(dark.values(), default=now)
+        )
+        unresponsive_ns = now - silent_since_ns
+        all_dark = len(dark) >= max(min_nodes, 1) and len(dark) >= responsive
+        needed_ns = self._max_silence_ns(zone, len(dark))
         failed = sum(node.recent_failures for node in zone.nodes.values())
         nodes_failing = sum(node.recent_failures >= GREY_NODE_FAILURES for node in zone.nodes.values())
         is_failing = (
-            nodes_failing >= least
+            nodes_failing >= min_nodes
             and zone.recent_ends >= GREY_MIN_ENDS
             and failed >= GREY_FRACTION * zone.recent_ends
         )
@@ -212,25 +214,25 @@
                 dark[name] = min(dark.get(name, now), node.failing_since_ns)
         return dark
 
-    def _lost_after_ns(self, zone: Zone, dark_nodes: int) -> float:
+    def _max_silence_ns(self, zone: Zone, dark_nodes: int) -> float:
         """Return the silence, in nanoseconds, after which a zone is lost."""
         target_ns = self._table.target_ns
         needed = LOST_TARGETS[min(dark_nodes, len(LOST_TARGETS)) - 1] * target_ns if dark_nodes else 0.0
-        by_chance = (
+        random_gap_ns = (
             MISSING_RESPONSES * target_ns * RESPONSE_HALF_LIFE_TARGETS
             / (HALVING * max(zone.recent_responses, 1e-9))
         )  # fmt: skip
-        return max(needed, min(by_chance, LOST_TARGETS[0] * target_ns))
+        return max(needed, min(random_gap_ns, LOST_TARGETS[0] * target_ns))
 
-    def _judge_in_use(self, zone: Zone, evidence: _Evidence, now: int) -> None:
+    def _update_used_zone(self, zone: Zone, evidence: _Evidence, now: int) -> None:
         target_ns = self._table.target_ns
         if evidence.is_suspect:
             zone.last_fault_ns = now
         if evidence.is_unresponsive:
             self.lose(zone, evidence.unresponsive_text, now)
         elif zone.state is ZoneState.RETURNING:
-            troubled_ns = max(zone.since_ns, zone.grant_exhausted_ns, zone.last_fault_ns)
-            if now - troubled_ns > HEALTHY_TARGETS * target_ns:
+            last_trouble_ns = max(zone.since_ns, zone.grant_exhausted_ns, zone.last_fault_ns)
+            if now - last_trouble_ns > HEALTHY_TARGETS * target_ns:
                 self.set_state(zone, ZoneState.HEALTHY, "it answers all that it is sent", now)
         elif evidence.is_suspect:
             text = evidence.failing_text if evidence.is_failing else evidence.unresponsive_text
@@ -238,17 +240,17 @@
         elif zone.state is ZoneState.SUSPECT and now - zone.last_fault_ns > CLEAR_TARGETS * target_ns:
             self.set_state(zone, ZoneState.HEALTHY, "nothing speaks against it any more", now)
 
-    def _judge_lost(self, zone: Zone, now: int) -> None:
+    def _update_lost_zone(self, zone: Zone, now: int) -> None:
         """Take back a lost zone that has responded since, or that could not be probed for long."""
         if not zone.ready_hosts:
             return
-        untried_ns = now - max(zone.since_ns, zone.last_probe_ns)
+        unprobed_ns = now - max(zone.since_ns, zone.last_probe_ns)
         if zone.last_response_ns > zone.since_ns:
             self.take_back(zone, "it answers again", now)
-        elif untried_ns > UNTRIED_TARGETS * self._table.target_ns:
+        elif unprobed_ns > UNPROBED_TARGETS * self._table.target_ns:
             self.take_back(zone, "no request came that may try it", now)
 
-    def _judge_suppressed(self, zone: Zone, now: int) -> None:
+    def _update_suppressed_zone(self, zone: Zone, now: int) -> None:
         short_since_ns = self._table.short_since_ns
         if zone.consecutive_failures >= MISSED_PROBES:
             self.lose(zone, f"{zone.consecutive_failures} probes in a row were not answered", now)
@@ -277,7 +279,7 @@
         zone.next_probe_ns = now + zone.probe_interval_ns
         for node in zone.nodes.values():
             node.consecutive_failures = 0
-        self.set_state(zone, ZoneState.LOST, reason, now, quiet=is_flapping)
+        self.set_state(zone, ZoneState.LOST, reason, now, suppress_log=is_flapping)
 
     def take_back(self, zone: Zone, reason: str, now: int) -> None:
         """Let a lost zone return; flap damping may suppress it for a while."""
@@ -285,10 +287,12 @@
         if zone.is_suppressed:
             reason += f", and is held after {zone.loss_count} losses"
         is_flapping = zone.is_suppressed and zone.loss_count > 1
-        self.set_state(zone, ZoneState.RETURNING, reason, now, quiet=is_flapping)
+        self.set_state(zone, ZoneState.RETURNING, reason, now, suppress_log=is_flapping)
 
-    def set_state(self, zone: Zone, state: ZoneState, reason: str, now: int, quiet: bool = False) -> None:
-        """Change a zone's state, and log it unless `quiet`."""
+    def set_state(
+        self, zone: Zone, state: ZoneState, reason: str, now: int, suppress_log: bool = False
+    ) -> None:
+        """Change a zone's state, and log it unless `suppress_log`."""
         if zone.state is state and state is ZoneState.SUSPECT:
             zone.reason = reason
             return
@@ -298,7 +302,7 @@
         if state is ZoneState.RETURNING:
             zone.grant_per_s = zone.tokens = 0.0
             zone.refilled_ns = zone.grant_exhausted_ns = now
-        if not quiet:
+        if not suppress_log:
             self._table.log(zone, f"is {state.value}: {reason}")
 
     # --- panic ----------------------------------------------------------------------------------
--- a/brambleusher/loadbalancing/zone_loads.py
+++ b/brambleusher/loadbalancing/zone_loads.py
@@ -8,7 +8,7 @@
 from brambleusher.loadbalancing.fleet_capacity import FleetCapacity
 from brambleusher.loadbalancing.host_table import HostTable
 from brambleusher.loadbalancing.hosts import Host
-from brambleusher.loadbalancing.performance_index import OLDEST_LOOKED_AT
+from brambleusher.loadbalancing.performance_index import MAX_EXAMINED_ATTEMPTS
 from brambleusher.loadbalancing.slow_start_budget import SlowStartBudget
 from brambleusher.loadbalancing.traffic import TrafficStatistics
 from brambleusher.loadbalancing.zone_routing import ZoneRouter
@@ -16,7 +16,7 @@
 
 MIN_UNRESPONSIVE = 0.5  # minimum time, in latency targets, without an answer before a host is unresponsive
 MAX_UNRESPONSIVE = 2.0  # maximum of that time in latency targets, however slow usual answers are
-UNRESPONSIVE_TIMES = 3.0  # the time as a multiple of the mean latency, within these bounds
+UNRESPONSIVE_FACTOR = 3.0  # the time as a multiple of the mean latency, within these bounds
 MIN_FREE = 0.01  # minimum free fraction of a host's capacity for weighting; a full host still counts a little
 STRAINED_FRACTION = 0.5  # a zone is strained if more than this fraction of its hosts miss their goal or fail
 
@@ -34,14 +34,14 @@
 
     def __init__(
         self,
-        unit_ns: int,
+        shortest_target_ns: int,
         zone_router: ZoneRouter,
         host_table: HostTable,
         capacity: FleetCapacity,
         slow_start: SlowStartBudget,
         traffic: TrafficStatistics,
     ) -> None:
-        self._unit_ns = unit_ns
+        self._shortest_target_ns = shortest_target_ns
         self._zone_router = zone_router
         self._host_table = host_table
         self._capacity = capacity
@@ -83,9 +83,9 @@
         estimates = self._capacity
         rate = estimates.rate_per_size or 1.0  # before the rate is known, only relative capacities
         warm_fraction = self._slow_start.warm_fraction(host, now)
-        usual = estimates.capacity_of_kind.get(host.kind, estimates.mean_capacity)
-        known = host.capacity if warm_fraction >= 1 else None
-        capacity = (known or usual) * warm_fraction * rate
+        kind_capacity = estimates.capacity_of_kind.get(host.kind, estimates.mean_capacity)
+        known_capacity = host.capacity if warm_fraction >= 1 else None
+        capacity = (known_capacity or kind_capacity) * warm_fraction * rate
         if host.reported_ns >= 0:
             load.throughput += host.throughput * rate
         else:
@@ -101,16 +101,16 @@
         zone = router.zones.get(host.zone)
         node = zone.nodes.get(host.name) if zone is not None else None
         last_contact_ns = max(node.last_response_ns if node is not None else 0, router.stalled_until_ns)
-        for looked_at, (request, sent_ns) in enumerate(host.in_flight.values()):
-            if looked_at >= OLDEST_LOOKED_AT:
+        for examined, (request, sent_ns) in enumerate(host.in_flight.values()):
+            if examined >= MAX_EXAMINED_ATTEMPTS:
                 break
-            usual_ns = self._traffic.mean_latency_ns(request.class_index)
-            patience_ns = max(
-                self._unit_ns * MIN_UNRESPONSIVE,
-                min(UNRESPONSIVE_TIMES * usual_ns, MAX_UNRESPONSIVE * self._unit_ns),
+            mean_ns = self._traffic.mean_latency_ns(request.class_index)
+            max_silence_ns = max(
+                self._shortest_target_ns * MIN_UNRESPONSIVE,
+                min(UNRESPONSIVE_FACTOR * mean_ns, MAX_UNRESPONSIVE * self._shortest_target_ns),
             )
             since_ns = max(sent_ns, last_contact_ns)
-            if now - since_ns > patience_ns:
+            if now - since_ns > max_silence_ns:
                 return since_ns
         return 0
 
--- a/brambleusher/loadbalancing/zone_routing.py
+++ b/brambleusher/loadbalancing/zone_routing.py
@@ -144,7 +144,14 @@
         self.grants.record_sent(name, now)
 
     def record_end(
-        self, name: str, host: str, cls: int, status: AttemptStatus, sent_ns: int, latency_ns: int, now: int
+        self,
+        name: str,
+        host: str,
+        class_index: int,
+        status: AttemptStatus,
+        sent_ns: int,
+        latency_ns: int,
+        now: int,
     ) -> None:
         """Record the outcome of an attempt at a host of a zone."""
         zone = self.zones.get(name)
@@ -152,7 +159,7 @@
             return
         self.health.record_end(zone, host, status, sent_ns, now)
         if status is AttemptStatus.OK and zone.is_calm:
-            self.tiers.record_latency(zone, cls, float(latency_ns))
+            self.tiers.record_latency(zone, class_index, float(latency_ns))
 
     def record_stall(self, now: int) -> None:
         """Record that this proxy was paused, so that missing answers until now are no evidence."""
--- a/brambleusher/loadbalancing/zone_tiers.py
+++ b/brambleusher/loadbalancing/zone_tiers.py
@@ -72,34 +72,34 @@
 
         It is the mean over request classes, each of which is compared only with itself.
         """
-        further = {name: zone for name, zone in self._table.zones.items() if name != self._table.own_zone}
+        other_zones = {name: zone for name, zone in self._table.zones.items() if name != self._table.own_zone}
         by_class: dict[int, list[float]] = {}
-        for zone in further.values():
-            for cls, count in zone.latency_count.items():
+        for zone in other_zones.values():
+            for class_index, count in zone.latency_count.items():
                 if count >= MIN_LATENCIES:
-                    by_class.setdefault(cls, []).append(zone.latency_quantile_ns[cls])
+                    by_class.setdefault(class_index, []).append(zone.latency_quantile_ns[class_index])
         known = []
-        for name, zone in further.items():
-            extra = [
-                zone.latency_quantile_ns[cls] - min(latencies)
-                for cls, latencies in by_class.items()
-                if len(latencies) > 1 and zone.latency_count.get(cls, 0) >= MIN_LATENCIES
+        for name, zone in other_zones.items():
+            extra_latencies = [
+                zone.latency_quantile_ns[class_index] - min(latencies)
+                for class_index, latencies in by_class.items()
+                if len(latencies) > 1 and zone.latency_count.get(class_index, 0) >= MIN_LATENCIES
             ]
-            if extra:
-                known.append((sum(extra) / len(extra), name))
+            if extra_latencies:
+                known.append((sum(extra_latencies) / len(extra_latencies), name))
         known.sort()
         return known
 
-    def record_latency(self, zone: Zone, cls: int, latency_ns: float) -> None:
+    def record_latency(self, zone: Zone, class_index: int, latency_ns: float) -> None:
         """Update the quantile of a zone's latencies with one more latency.
 
         Source: Robbins and Monro, stochastic approximation; steps up and down have the odds of the quantile.
         """
-        count = zone.latency_count.get(cls, 0)
-        zone.latency_count[cls] = min(count + 1, MIN_LATENCIES)
-        before = zone.latency_quantile_ns.get(cls, latency_ns)
+        count = zone.latency_count.get(class_index, 0)
+        zone.latency_count[class_index] = min(count + 1, MIN_LATENCIES)
+        previous = zone.latency_quantile_ns.get(class_index, latency_ns)
         step = QUANTILE_STEP_TARGETS * self._table.target_ns
         if count < MIN_LATENCIES:
             step *= FAST_STEP_FACTOR
-        odds = LATENCY_QUANTILE if latency_ns > before else LATENCY_QUANTILE - 1
-        zone.latency_quantile_ns[cls] = before + step * odds
+        odds = LATENCY_QUANTILE if latency_ns > previous else LATENCY_QUANTILE - 1
+        zone.latency_quantile_ns[class_index] = previous + step * odds
--- a/brambleusher/operator_settings/configuration.py
+++ b/brambleusher/operator_settings/configuration.py
@@ -88,34 +88,34 @@
 
 
 def _parse_metrics(raw: object) -> MetricsSettings:
-    section, usual = Section(raw, "figures"), MetricsSettings()
+    section, defaults = Section(raw, "figures"), MetricsSettings()
     settings = MetricsSettings(
-        format=section.choice("format", ("statsd", "influx"), usual.format),
+        format=section.choice("format", ("statsd", "influx"), defaults.format),
         target=_parse_target(section.text("target"), "figures.target"),
-        flush_ms=section.integer("flush_ms", usual.flush_ms, 10, MS_PER_HOUR),
-        buffer_kb=section.integer("buffer_kb", usual.buffer_kb, 4, 65_536),
+        flush_ms=section.integer("flush_ms", defaults.flush_ms, 10, MS_PER_HOUR),
+        buffer_kb=section.integer("buffer_kb", defaults.buffer_kb, 4, 65_536),
     )
     section.reject_unknown_keys()
     return settings
 
 
 def _parse_status(raw: object) -> StatusSettings | None:
-    section, usual = Section(raw, "status"), StatusSettings(0)
+    section, defaults = Section(raw, "status"), StatusSettings(0)
     is_on = section.has("port")
     settings = StatusSettings(
-        port=section.integer("port", usual.port, 0, MAX_PORT),
-        refresh_ms=section.integer("refresh_ms", usual.refresh_ms, 10, MS_PER_HOUR),
+        port=section.integer("port", defaults.port, 0, MAX_PORT),
+        refresh_ms=section.integer("refresh_ms", defaults.refresh_ms, 10, MS_PER_HOUR),
     )
     section.reject_unknown_keys()
     return settings if is_on else None
 
 
 def _parse_capture(raw: object) -> CaptureSettings:
-    section, usual = Section(raw, "capture"), CaptureSettings()
+    section, defaults = Section(raw, "capture"), CaptureSettings()
     settings = CaptureSettings(
-        ring_kb=section.integer("ring_kb", usual.ring_kb, 32, 1_048_576),
+        ring_kb=section.integer("ring_kb", defaults.ring_kb, 32, 1_048_576),
         dir=section.text("dir"),
-        files=section.integer("files", usual.files, 1, 1000),
+        files=section.integer("files", defaults.files, 1, 1000),
     )
     section.reject_unknown_keys()
     if settings.dir is not None and "\0" in settings.dir:
--- a/brambleusher/operator_settings/section.py
+++ b/brambleusher/operator_settings/section.py
@@ -19,7 +19,7 @@
             raw = {}
         if not isinstance(raw, dict):
             raise OperatorFileError(f"{path or 'the file'} is not a mapping")
-        self._left, self._path = dict(raw), path
+        self._remaining, self._path = dict(raw), path
 
     def name(self, key: str) -> str:
         """Return the full path of a key."""
@@ -27,49 +27,49 @@
 
     def has(self, key: str) -> bool:
         """Return whether the mapping has a key that has not been read yet."""
-        return key in self._left
+        return key in self._remaining
 
     def take(self, key: str, default: object = None) -> object:
         """Remove a key and return its value unchecked."""
-        return self._left.pop(key, default)
+        return self._remaining.pop(key, default)
 
     def text(self, key: str, default: str | None = None) -> str | None:
         """Remove a key and return its value, a non-empty string."""
-        if key not in self._left:
+        if key not in self._remaining:
             return default
-        value = self._left.pop(key)
+        value = self._remaining.pop(key)
         if not isinstance(value, str) or not value:
             raise OperatorFileError(f"{self.name(key)} is not a text")
         return value
 
-    def choice(self, key: str, among: tuple[str, ...], default: str = "") -> str:
-        """Remove a key and return its value, one of the strings in `among`."""
+    def choice(self, key: str, choices: tuple[str, ...], default: str = "") -> str:
+        """Remove a key and return its value, one of the strings in `choices`."""
         value = self.text(key, default) or ""
-        if value not in among:
-            raise OperatorFileError(f"{self.name(key)} is not one of {', '.join(among)}")
+        if value not in choices:
+            raise OperatorFileError(f"{self.name(key)} is not one of {', '.join(choices)}")
         return value
 
     def integer(self, key: str, default: int, low: int, high: int) -> int:
         """Remove a key and return its value, an integer from `low` to `high`."""
-        value = self._left.pop(key, default)
+        value = self._remaining.pop(key, default)
         if isinstance(value, bool) or not isinstance(value, int) or not low <= value <= high:
             raise OperatorFileError(f"{self.name(key)} is not a whole number from {low} to {high}")
         return value
 
     def number(self, key: str, default: float, low: float, high: float) -> float:
         """Remove a key and return its value, a number from `low` to `high`."""
-        value = self._left.pop(key, default)
+        value = self._remaining.pop(key, default)
         if isinstance(value, bool) or not isinstance(value, int | float) or not low <= value <= high:
             raise OperatorFileError(f"{self.name(key)} is not a number from {low:g} to {high:g}")
         return float(value)
 
-    def name_list(self, key: str, most: int) -> tuple[str, ...]:
-        """Remove a key and return its value, a list of at most `most` distinct non-empty strings."""
-        value = self._left.pop(key, None)
+    def name_list(self, key: str, max_items: int) -> tuple[str, ...]:
+        """Remove a key and return its value, a list of at most `max_items` distinct non-empty strings."""
+        value = self._remaining.pop(key, None)
         if value is None:
             return ()
-        if not isinstance(value, list) or len(value) > most:
-            raise OperatorFileError(f"{self.name(key)} is not a list of at most {most} names")
+        if not isinstance(value, list) or len(value) > max_items:
+            raise OperatorFileError(f"{self.name(key)} is not a list of at most {max_items} names")
         for index, name in enumerate(value):
             if not isinstance(name, str) or not name:
                 raise OperatorFileError(f"{self.name(key)}[{index}] is not a text")
@@ -79,5 +79,5 @@
 
     def reject_unknown_keys(self) -> None:
         """Raise an error if the mapping has a key that has not been read."""
-        for key in self._left:
+        for key in self._remaining:
             raise OperatorFileError(f"{self.name(key)} is unknown")
--- a/brambleusher/operator_settings/zone_rules.py
+++ b/brambleusher/operator_settings/zone_rules.py
@@ -87,17 +87,19 @@
     Raises:
         OperatorFileError: A value is invalid; the message names its key.
     """
-    section, usual = Section(raw, "zones"), ZoneRules()
+    section, defaults = Section(raw, "zones"), ZoneRules()
     rules = ZoneRules(
         neighbours=_parse_neighbours(section.take("neighbours")),
-        spill_rate=section.number("spill", usual.spill_rate, 0.01, 10.0),
-        max_utilisation=section.number("strain", usual.max_utilisation, 0.1, 1.0),
-        panic_threshold=section.number("panic", usual.panic_threshold, 0.0, 1.0),
+        spill_rate=section.number("spill", defaults.spill_rate, 0.01, 10.0),
+        max_utilisation=section.number("strain", defaults.max_utilisation, 0.1, 1.0),
+        panic_threshold=section.number("panic", defaults.panic_threshold, 0.0, 1.0),
         flap_penalty_half_life_ns=int(
-            section.number("half_life_s", usual.flap_penalty_half_life_ns / NS_PER_S, 1.0, 3600.0) * NS_PER_S
+            section.number("half_life_s", defaults.flap_penalty_half_life_ns / NS_PER_S, 1.0, 3600.0)
+            * NS_PER_S
         ),
         max_flap_suppression_ns=int(
-            section.number("hold_most_s", usual.max_flap_suppression_ns / NS_PER_S, 0.0, 86_400.0) * NS_PER_S
+            section.number("hold_most_s", defaults.max_flap_suppression_ns / NS_PER_S, 0.0, 86_400.0)
+            * NS_PER_S
         ),
         flap_exempt=section.name_list("trust", MAX_ZONES),
         evacuated=section.name_list("evacuate", MAX_ZONES),
