--- a/brambleusher/loadbalancing/admission_control.py
+++ b/brambleusher/loadbalancing/admission_control.py
@@ -178,8 +178,8 @@
         just meet the goal.
         """
         tolerated_fraction: float = EXHAUSTED_FRACTION ** (1 / self._settings.max_attempts)
-        index = self.rejections / (self.outcomes + 1) / tolerated_fraction
-        return min(index, PI_GOAL)
+        rejection_index = self.rejections / (self.outcomes + 1) / tolerated_fraction
+        return min(rejection_index, PI_GOAL)
 
     def _latency_budget(self) -> _LatencyBudget:
         """Return the time within which the attempts in flight should be served."""
--- a/brambleusher/loadbalancing/attempt_timeout.py
+++ b/brambleusher/loadbalancing/attempt_timeout.py
@@ -52,9 +52,9 @@
         if timeout_ns or request_class.idempotency is not Idempotency.SAFE:
             return timeout_ns
         if self._outliers.timeouts > 1 and not self._admission.is_late:
-            mean_latency_ns = self._traffic.mean_latency_ns(request.class_index)
+            mean_ns = self._traffic.mean_latency_ns(request.class_index)
             patience_ns = max(
-                UNRESPONSIVE_TIMEOUT_FACTOR * mean_latency_ns,
+                UNRESPONSIVE_TIMEOUT_FACTOR * mean_ns,
                 request_class.latency_target_ns * GOAL_PER_TARGET,
             )
             if now + 2 * patience_ns < request.deadline_ns:
--- a/brambleusher/loadbalancing/connection_admission.py
+++ b/brambleusher/loadbalancing/connection_admission.py
@@ -216,11 +216,11 @@
             yielded.add(least_valuable.conn)
             yield least_valuable.conn
 
-    def evictions_for_new(self, now: float, max_connections: int | None = None) -> Iterator[Hashable]:
-        """Yield waiting connections to close for a new one until fewer than `max_connections` are open."""
-        max_connections = self.max_connections if max_connections is None else max_connections
+    def evictions_for_new(self, now: float, open_limit: int | None = None) -> Iterator[Hashable]:
+        """Yield waiting connections to close for a new one until fewer than `open_limit` are open."""
+        open_limit = self.max_connections if open_limit is None else open_limit
         yielded: set[Hashable] = set()
-        while len(self._connections) >= max_connections:
+        while len(self._connections) >= open_limit:
             least_valuable = self._least_valuable(now, None, yielded, include_unused=True)
             if least_valuable is None:
                 return
--- a/brambleusher/loadbalancing/instance_weights.py
+++ b/brambleusher/loadbalancing/instance_weights.py
@@ -186,11 +186,11 @@
         known = [spare for spare in spares if spare is not None]
         median_spare = median(known) if known else 1.0
         base = [median_spare if spare is None else spare for spare in spares]
-        mechanisms = self._mechanisms
+        enabled = self._mechanisms
         weights = final_weights(
-            base if mechanisms.spare else [1.0] * len(base),
-            [instance.performance_index(now) if mechanisms.latency_index else 0.0 for instance in self._ring],
-            [instance.health() if mechanisms.health else 1.0 for instance in self._ring],
+            base if enabled.spare else [1.0] * len(base),
+            [instance.performance_index(now) if enabled.latency_index else 0.0 for instance in self._ring],
+            [instance.health() if enabled.health else 1.0 for instance in self._ring],
         )
         tokens_per_weight = len(self._ring) / WEIGHT_TOTAL
         for instance, weight in zip(self._ring, weights, strict=True):
--- a/brambleusher/loadbalancing/retry_policy.py
+++ b/brambleusher/loadbalancing/retry_policy.py
@@ -98,9 +98,9 @@
 
         Otherwise clients would repeat rejected requests at once.
         """
-        max_retry_after_ns = self._settings.max_retry_after_ns
+        max_delay_ns = self._settings.max_retry_after_ns
         return (
-            max_retry_after_ns
+            max_delay_ns
             if is_crowded
-            else min(self._shortest_target_ns // PROMPT_RETRY_DIVISOR, max_retry_after_ns)
+            else min(self._shortest_target_ns // PROMPT_RETRY_DIVISOR, max_delay_ns)
         )
--- a/brambleusher/loadbalancing/zone_aware_balancer.py
+++ b/brambleusher/loadbalancing/zone_aware_balancer.py
@@ -213,11 +213,11 @@
         """Reject the unplaced fraction of requests, lowest values first."""
         if not super()._admits(density):
             return False
-        unplaced_fraction = self.zone_router.unplaced_fraction if self._has_rules else 0.0
+        rejected_fraction = self.zone_router.unplaced_fraction if self._has_rules else 0.0
         densities = self.admission.sorted_densities
-        if unplaced_fraction <= 0 or not densities:
+        if rejected_fraction <= 0 or not densities:
             return True
-        return density >= densities[min(int(unplaced_fraction * len(densities)), len(densities) - 1)]
+        return density >= densities[min(int(rejected_fraction * len(densities)), len(densities) - 1)]
 
     # --- attempts --------------------------------------------------------------------------------
 
--- a/tests/loadbalancing/balancer_builders.py
+++ b/tests/loadbalancing/balancer_builders.py
@@ -1,4 +1,4 @@
-"""Builders of balancers and hosts for tests of the decisions."""
+"""Builders of balancers and hosts for tests."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 def host_entry(name: str, zone: str = "a", started_ns: int = 0) -> api.HostEntry:
-    """A ready host of an endpoint list."""
+    """Return the list entry of a ready host."""
     return api.HostEntry(name, zone, "k", 0, api.HostState.READY, 1.0, started_ns)
 
 
 def build_balancer(names: list[str], zone: str = "a", **changes: object) -> Balancer:
-    """A started balancer that was given these hosts."""
+    """Return a started balancer with the given hosts."""
     settings = api.Settings(zone=zone, classes=(REQUEST_CLASS,), fleet_size=1, max_attempts=3, **changes)  # type: ignore[arg-type]
     balancer = Balancer(settings, 3)
     balancer.start(0)
@@ -24,7 +24,7 @@
 
 
 def serve_with_reports(balancer: Balancer, reports: dict[str, tuple[float, float]], rounds: int = 60) -> None:
-    """Serve requests that come every 20 ms in 10 ms each, with the reports of their hosts."""
+    """Serve a request every 20 ms in 10 ms each, with load reports of the hosts."""
     now = 0
     for n in range(rounds):
         now += 20 * MS
--- a/tests/loadbalancing/test_admission_control.py
+++ b/tests/loadbalancing/test_admission_control.py
@@ -1,4 +1,4 @@
-"""The limit on attempts in flight, and which requests are worth a slot."""
+"""Admission control: the limit on attempts in flight, and the choice of requests by value."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def test_overload_rejects_the_least_valuable_first() -> None:
-    """Guards against queues in which every answer comes late: what is out is bounded."""
+    """The number in flight is bounded; without a bound queues grow until every answer is late."""
     low = api.RequestClass("low", 500 * MS, 2 * SECOND, 1.0)
     high = api.RequestClass("high", 500 * MS, 2 * SECOND, 10.0)
     balancer = Balancer(api.Settings(zone="a", classes=(low, high), fleet_size=1, is_value_by_work=True), 3)
@@ -37,7 +37,7 @@
 
 
 def test_a_fleet_warming_up_completely_is_admitted_by_what_it_carries() -> None:
-    """Guards against one request a host until all are warm, after every host was restarted."""
+    """After a restart of every host, each one used to get a single request until all were warm."""
     settings = api.Settings(
         zone="a",
         classes=(REQUEST_CLASS,),
@@ -71,18 +71,18 @@
 
 
 def test_a_small_proxy_rejects_the_part_that_has_no_slot() -> None:
-    """Guards against hundreds of proxies with one place each filling every queue together."""
+    """Hundreds of proxies with one slot each must not fill every queue together."""
     balancer = build_balancer(["h1"])
     balancer.admission.sorted_densities = [float(n) for n in range(100)]
     balancer.admission.limit, balancer.admission.offered, balancer.admission.is_late = 0.4, 1.0, True
     assert not balancer._admits(59.0) and balancer._admits(61.0)
     balancer.admission.is_late = False
-    balancer.admission.rejections_long = 2.0  # hosts that reject bound their own queues
+    balancer.admission.rejections_long = 2.0  # hosts that reject attempts bound their own queues
     assert balancer._admits(59.0)
 
 
 def test_a_proxy_that_was_idle_admits_its_first_burst() -> None:
-    """Guards against the limit of an idle proxy, as many as the hosts in use, meeting a burst after it."""
+    """A burst after an idle period must not meet the idle proxy's limit of one attempt per host."""
     balancer = build_balancer([f"h{n}" for n in range(12)])
     for n in range(8):
         balancer.handle(api.TimerFired(0), n * SECOND // 2)
@@ -92,7 +92,7 @@
 
 
 def test_the_limit_leaves_an_attempt_a_host() -> None:
-    """Guards against a limit held down by the little that it lets through, while hosts are idle."""
+    """A low limit must not keep itself low by the few attempts it admits while hosts are idle."""
     balancer = build_balancer(["h1", "h2", "h3", "h4"])
     for host in balancer.host_table.hosts.values():
         host.throughput_sum, host.utilisation_sum = 1000.0, 10.0
@@ -102,7 +102,7 @@
     balancer.traffic.unloaded_latency_ns, balancer.admission.limit = [100.0 * MS], 100.0
     balancer._recompute_weights(1, 0.0)
     for host in balancer.host_table.hosts.values():
-        host.performance_index = 2.0  # late: some answers never come
+        host.performance_index = 2.0  # late, since some attempts are never answered
     for _ in range(80):
         balancer._update_admission_limit(0.125)
     assert balancer.admission.limit == pytest.approx(4.0)
--- a/tests/loadbalancing/test_admission_with_little_traffic.py
+++ b/tests/loadbalancing/test_admission_with_little_traffic.py
@@ -1,4 +1,4 @@
-"""Admission of one sidecar among hundreds: a few attempts in flight, and hosts that all of them keep busy."""
+"""Admission at one of hundreds of sidecars, with few attempts in flight and hosts kept busy by all."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def rejected_fraction(requests_per_s: float, answer_s: float, seed: int, seconds: int = 30) -> float:
-    """The fraction that it rejects in the last two thirds; hosts are at 0.85, and answers take so long."""
+    """Return the rejected fraction in the last two thirds, with hosts at a utilisation of 0.85."""
     rng = random.Random(seed)
     settings = api.Settings(
         zone="a", fleet_size=SIDECARS, connection_price=0.1, is_value_by_work=True,
--- a/tests/loadbalancing/test_attempts.py
+++ b/tests/loadbalancing/test_attempts.py
@@ -1,4 +1,4 @@
-"""Which host an attempt goes to, when it is given up, and when its request is."""
+"""Attempts: host selection, attempt timeouts, and when a request is given up."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def test_where_connections_fail_a_connected_host_is_taken() -> None:
-    """Guards against hosts that take few connections: each try elsewhere costs one of few attempts."""
+    """While hosts accept few connections, each failed connect would use up one of few attempts."""
     balancer = build_balancer([f"h{n}" for n in range(4)])
     (sent,) = balancer.handle(api.RequestArrived("a", "c", None, 2 * SECOND), MS)
     assert isinstance(sent, api.StartAttempt)
@@ -26,14 +26,14 @@
     [
         (api.AttemptStatus.CONNECT_FAILED, 50, api.StartAttempt),
         (api.AttemptStatus.CONNECT_FAILED, 170, api.RejectRequest),
-        (api.AttemptStatus.OVERLOADED, 170, api.StartAttempt),  # it was written completely
-        (api.AttemptStatus.CONNECT_FAILED, 300, api.StartAttempt),  # too late to be given up early
+        (api.AttemptStatus.OVERLOADED, 170, api.StartAttempt),  # the request was sent completely
+        (api.AttemptStatus.CONNECT_FAILED, 300, api.StartAttempt),  # too late for giving up early
     ],
 )
 def test_a_request_that_reached_no_host_is_given_up_before_half_of_its_time(
     status: api.AttemptStatus, at_ms: int, expected: type
 ) -> None:
-    """Guards against clients kept waiting for hosts that take no connection."""
+    """Clients must not be kept waiting for hosts that accept no connections."""
     balancer = build_balancer(["h1", "h2"])
     actions = balancer.handle(api.RequestArrived("q", "c", None, 400 * MS), 0)
     (first,) = [action for action in actions if isinstance(action, api.StartAttempt)]
@@ -48,7 +48,7 @@
 def test_a_safe_attempt_is_given_up_early_only_where_some_are_never_answered(
     timeouts: float, is_late: bool, expected_ns: int
 ) -> None:
-    """Guards against connections that become unresponsive under a request until its time is up."""
+    """A connection may become unresponsive during a request and stay so until the deadline."""
     balancer = build_balancer(["h1", "h2"])
     balancer.outliers.timeouts = timeouts
     balancer.admission.is_late = is_late
--- a/tests/loadbalancing/test_balancer.py
+++ b/tests/loadbalancing/test_balancer.py
@@ -1,4 +1,4 @@
-"""The balancer as a whole: the example of the README, and its ticks."""
+"""The balancer as a whole: the example in the README, and the tick interval."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def test_ticks_are_no_oftener_than_traffic_warrants() -> None:
-    """Guards against a cost that goes by hosts times proxies."""
+    """Fixed tick intervals would cost CPU time in proportion to hosts times proxies."""
     balancer = build_balancer(["h1"])
     (timer,) = balancer.handle(api.TimerFired(0), SECOND)
     assert isinstance(timer, api.SetTimer) and timer.at_ns == SECOND + 250 * MS
--- a/tests/loadbalancing/test_capacity_estimates.py
+++ b/tests/loadbalancing/test_capacity_estimates.py
@@ -1,4 +1,4 @@
-"""Hosts that report how busy they are and not how much they do: the list's sizes in place of it."""
+"""Capacity estimates from listed sizes, for hosts that report utilisation but not throughput."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Served:
-    """One proxy beside hosts of the sizes given, all as busy as `use` says of them."""
+    """One proxy and hosts of the given sizes with the utilisations in `use`."""
 
     def __init__(self, nominal: dict[str, float], use: dict[str, float], **settings: object) -> None:
         told: dict[str, object] = {"report_fields": ("utilization",), "weight_source": "nominal"} | settings
@@ -64,7 +64,7 @@
 
 
 def test_weights_follow_the_spare_part_of_a_size() -> None:
-    """Without it hosts that report use alone were all sent the same, whatever they are and however busy."""
+    """Hosts that report only utilisation used to get equal traffic, whatever their size and load."""
     seen = Served({"large": 4.0, "busy": 4.0, "small": 1.0}, {"large": 0.5, "busy": 0.75, "small": 0.5})
     seen.run(60.0, 20)
     parts = {host.name: host.weight / 64 for host in seen.balancer.round_robin.ring}
@@ -81,17 +81,17 @@
 
 @pytest.mark.parametrize("asked", [10.0, 80.0])
 def test_admission_knows_requests_a_second_from_own_traffic_and_use(asked: float) -> None:
-    """The due is what is out at full use, for light and heavy alike: asked / use times the time held."""
+    """The due number in flight is that at full utilisation: arrival rate / utilisation * service time."""
     use = {f"h{at}": 0.9 for at in range(8)}
     seen = Served(dict.fromkeys(use, 2.0), use)
     seen.run(asked, 20)
     assert seen.balancer.capacity.rate_per_size * 8 * 2.0 * 0.9 / FLEET == pytest.approx(asked, rel=0.2)
-    assert seen.balancer.admission.limit > asked * ANSWER_NS / SECOND  # of what is out on average
+    assert seen.balancer.admission.limit > asked * ANSWER_NS / SECOND  # above the mean number in flight
     assert seen.refused < 0.03 * seen.sent.total()
 
 
 def test_sizes_say_nothing_of_how_warm_a_host_is() -> None:
-    """A cold host's capacity is its size at every moment: it would count as warm at its first reports."""
+    """With sizes as capacities, a cold host would count as warm after its first reports."""
     seen = Served({"a": 2.0, "b": 2.0}, {"a": 0.9, "b": 0.9})
     seen.run(40.0, 5)
     host = seen.balancer.host_table.hosts["a"]
--- a/tests/loadbalancing/test_client_draining.py
+++ b/tests/loadbalancing/test_client_draining.py
@@ -1,4 +1,4 @@
-"""Which connections may stay with a sidecar that is out of service."""
+"""Client draining: which connections may stay open while a sidecar is out of service."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 @pytest.mark.parametrize(
     ("now", "since", "asked", "may_stay"),
     [
-        (10.5, 9.0, True, True),  # its next request is served, and it leaves with the response
+        (10.5, 9.0, True, True),  # its next request is served, and the response closes the connection
         (DRAINING_SINCE_S + DRAIN_GRACE_S, 9.0, True, False),
         (DRAINING_SINCE_S + DRAIN_GRACE_S, 9.0, False, False),
-        (10.5, 10.4, False, True),  # new: the load balancer in front has not checked readiness yet
+        (10.5, 10.4, False, True),  # new, since the upstream load balancer has not checked readiness yet
         (10.4 + FIRST_REQUEST_GRACE_S, 10.4, False, False),
         (13.0, 12.9, False, True),
     ],
--- a/tests/loadbalancing/test_connection_admission.py
+++ b/tests/loadbalancing/test_connection_admission.py
@@ -1,4 +1,4 @@
-"""The budget of clients' connections, in a world of clients that behave as a table says."""
+"""Admission of client connections, with simulated groups of clients."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 
 from brambleusher.loadbalancing.connection_admission import FIRST_REQUEST_S, ConnectionAdmission
 
-SERVICE = 0.05  # seconds that a request is in work
+SERVICE = 0.05  # service time of a request in seconds
 
 
 @dataclass
 class Crowd:
-    """Clients that behave alike: so many first asks a second, and whether a connection asks again."""
+    """A group of clients with the same rate of new connections and the same reuse of connections."""
 
     peer: str
     rate: float
-    again: float | None = None  # seconds after which a connection asks again; None: never
+    again: float | None = None  # seconds after which a connection sends its next request; None for never
     silent: bool = False
     tenant: str = "t"
 
 
 @dataclass
 class World:
-    """Clients that may hold `cap` connections to ask on; what finds none counts as turned off."""
+    """Clients that may hold `cap` active connections in total; a request beyond that is rejected."""
 
     places: ConnectionAdmission
     cap: int
@@ -33,7 +33,8 @@
     seed: int = 1
     served: dict[str, int] = field(default_factory=dict)
     asked: dict[str, int] = field(default_factory=dict)
-    closed: dict[str, int] = field(default_factory=dict)  # of those that would have asked again
+    # Closed connections that would have sent another request.
+    closed: dict[str, int] = field(default_factory=dict)
 
     def run(self, until: float) -> None:
         rng, count, now = random.Random(self.seed), 0, 0.0
@@ -88,7 +89,7 @@
 
 class Scarce(unittest.TestCase):
     def test_connections_that_stay_after_one_request_are_not_kept(self) -> None:
-        """Guards against the recorded day: 128 connections that clients can hold, all of which asked once."""
+        """In recorded traffic, all 128 connections of the clients had sent one request each and stayed open."""
         world = World(
             ConnectionAdmission(212, 128), 128, [Crowd("app", 250.0), Crowd("rude", 40.0, silent=True)]
         )
@@ -96,7 +97,7 @@
         self.assertGreater(world.served["app"], 0.97 * world.asked["app"] - 40)
 
     def test_without_the_ceiling_of_the_clients_their_own_bounds_do(self) -> None:
-        """The same where only our own places bound it, and silent ones come by the hundred."""
+        """The same applies where only the proxy's own limit binds and hundreds of connections are unused."""
         world = World(
             ConnectionAdmission(120), 10_000, [Crowd("app", 250.0), Crowd("rude", 150.0, silent=True)]
         )
@@ -104,7 +105,7 @@
         self.assertGreater(world.served["app"], 0.97 * world.asked["app"] - 40)
 
     def test_connections_that_send_further_requests_are_kept(self) -> None:
-        """Guards against closing all alike: half of the load comes on connections that are used again."""
+        """Connections that are reused, which carry half of the load, must not be closed like the others."""
         pool = Crowd("pool", 4.0, again=0.2, tenant="a")
         world = World(ConnectionAdmission(212, 128), 128, [pool, Crowd("once", 200.0, tenant="b")])
         world.run(8.0)
@@ -113,7 +114,7 @@
         self.assertLess(world.closed.get("pool", 0), 0.01 * world.served["pool"])
 
     def test_a_peer_with_few_is_not_crowded_out_by_one_with_many(self) -> None:
-        """Even where the many ask sooner: below an even share nothing is taken away."""
+        """An owner below an even share loses no connection, even if other owners reuse theirs sooner."""
         few, many = Crowd("few", 2.0, again=1.5), Crowd("many", 40.0, again=0.3)
         world = World(ConnectionAdmission(100), 10_000, [few, many])
         world.run(10.0)
@@ -123,7 +124,7 @@
 
 class Plenty(unittest.TestCase):
     def test_nothing_acts(self) -> None:
-        """A property over random crowds that fit: nobody is told to close, and nobody is closed."""
+        """For random groups of clients that fit, no connection is closed (property test)."""
         for seed in range(20):
             rng = random.Random(seed)
             with self.subTest(seed=seed):
@@ -147,7 +148,7 @@
         self.assertEqual(next(places.evictions_for_new(1.0 + FIRST_REQUEST_S)), 0)
 
     def test_one_passed_over_is_not_yielded_again(self) -> None:
-        """Guards against a loop over one whose request has come and was not read yet."""
+        """A connection whose request has arrived but is still unread must not be yielded repeatedly."""
         places = ConnectionAdmission(3)
         for n in range(3):
             places.record_open(n, "p", 0.0)
--- a/tests/loadbalancing/test_connection_limits.py
+++ b/tests/loadbalancing/test_connection_limits.py
@@ -1,4 +1,4 @@
-"""The budget of connections to endpoints: pace, cap, and what is kept."""
+"""Connection limits per endpoint: pacing, cap, and idle connections to keep."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 class Pacing(unittest.TestCase):
     def test_a_storm_of_opens_stays_within_its_part_of_the_node(self) -> None:
-        """Guards against the next trouble after a reset: every sidecar opens all it had, at once."""
+        """After a reset of all connections, every sidecar would otherwise reopen all of them at once."""
         for sidecars in (1, 2, 5, 40):
             pace = ConnectPacing.for_fleet(sidecars)
             link, opened, now = ConnectionLimit(pace), 0, 0.0
@@ -33,7 +33,7 @@
             )
 
     def test_a_connection_idle_for_nearly_as_long_as_its_node_allows_is_not_reused(self) -> None:
-        """The node's clock starts with its last byte sent, ours with that byte read: later by the way."""
+        """The node's idle time starts when it sends its last byte, ours when that byte is read."""
         for allowed, trusted in ((30.0, 24.0), (2.0, 1.0), (1.0, 0.5), (0.2, 0.1), (math.inf, math.inf)):
             self.assertEqual(ConnectPacing.for_fleet(1, allowed).idle_timeout_s, trusted)
 
@@ -67,13 +67,13 @@
         for after, expected in ((0.1, 8.0), (RECENT_RESPONSE_S * 2, math.inf)):
             link = self.answered(10, 1.0)
             link.record_open()
-            link.record_rejection(1.0 + after)  # of 10 others
+            link.record_rejection(1.0 + after)  # 10 other connections are open
             link.record_close()
             self.assertEqual(link.cap, expected)
         lone = self.answered(0, 1.0)
         lone.record_open()
         lone.record_rejection(1.1)
-        self.assertEqual(lone.cap, math.inf)  # the node is down, for all that is known
+        self.assertEqual(lone.cap, math.inf)  # the node may be down, so nothing is learned
 
     def test_it_holds_further_opens_until_one_comes_back_or_it_has_grown(self) -> None:
         link = self.answered(10, 1.0)
@@ -86,10 +86,10 @@
         self.assertEqual(link.wait_s(1.1), 0.0)
         for _ in range(3):
             link.record_open()
-        self.assertEqual(link.wait_s(5.0), 0.0)  # one more a second
+        self.assertEqual(link.wait_s(5.0), 0.0)  # the cap has grown by one connection per second
 
     def test_sidecars_that_cannot_talk_converge_to_even_shares_of_a_table(self) -> None:
-        """One began with nearly all of it; over the next minutes both hold a fair part on average."""
+        """One sidecar starts with most of the table; within minutes both hold a fair share on average."""
         for seed in range(5):
             rng, table, means = random.Random(seed), 60, [0.0, 0.0]
             links = [ConnectionLimit(ConnectPacing.for_fleet(2)) for _ in range(2)]
--- a/tests/loadbalancing/test_crossings_fleet.py
+++ b/tests/loadbalancing/test_crossings_fleet.py
@@ -1,4 +1,4 @@
-"""What many sidecars send a cold node in sum, with a few processes and with hundreds, also after restarts."""
+"""Total attempts of all sidecars at a cold host, for small and large fleets, also after restarts."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from brambleusher.loadbalancing import Balancer, api
 
 SECOND = 10**9
-CAPACITY = 20.0  # requests a second of a warm host
-USE = 1.3  # of the fleet: more than there is, so that all that may be sent is
+CAPACITY = 20.0  # capacity of a warm host in requests per second
+USE = 1.3  # demand as a multiple of the fleet's capacity, so that every allowed attempt is made
 WORK_S = 0.05
 ZONES = ("a", "b", "c")
 START, COLD_S, MULTIPLE, FALL_S = 0.17, 21.0, 4.0, 3.0
@@ -21,7 +21,7 @@
 
 
 class Fleet:
-    """Balancers that share nothing, hosts that only report, and the sends to those that are cold."""
+    """Independent balancers and simulated hosts, with a record of attempts at cold hosts."""
 
     def __init__(self, sidecars: int, hosts: int, cold: int, told: int, seed: int) -> None:
         self.rng, self.told = random.Random(seed), told
@@ -80,7 +80,7 @@
 
     @staticmethod
     def part(age_s: float) -> float:
-        """Of its capacity, that a host which started so long ago has."""
+        """Return the fraction of its capacity that a host has `age_s` seconds after its start."""
         return min(1.0, START + (1 - START) * age_s / COLD_S)
 
     def play(self, seconds: float, restarts: int = 0) -> None:
@@ -102,7 +102,7 @@
             self.act(number, self.fleet[number].handle(arrived, at))
 
     def worst(self) -> float:
-        """The most that any cold host got in a window, over what it may get: N, and chance beside it."""
+        """Return the highest ratio of attempts to the allowed number plus a margin, over hosts and windows."""
         most = 0.0
         for times in self.sent.values():
             first = 0
@@ -121,7 +121,8 @@
         (5, 9, 7, 5, 5),
         (30, 18, 16, 30, 0),
         (30, 18, 16, 30, 30),
-        (30, 18, 16, 20, 30),  # told of two thirds of the fleet: the slices leave so much
+        # Sidecars are configured with two thirds of the fleet size, which the safety factor covers.
+        (30, 18, 16, 20, 30),
         (200, 60, 36, 200, 200),
     ],
 )
@@ -136,7 +137,7 @@
 
 
 def test_the_budget_is_passed_where_the_fleet_is_told_to_be_a_sixth_of_what_it_is() -> None:
-    """What the test above can see; nothing in one sidecar can, since none hears of the others."""
+    """The test above can detect a violation; a single sidecar can't, as it does not know the others."""
     fleet = Fleet(30, 18, 16, 5, 1)
     fleet.play(8.0)
     assert fleet.worst() > 1.0
--- a/tests/loadbalancing/test_first_byte_survival.py
+++ b/tests/loadbalancing/test_first_byte_survival.py
@@ -1,4 +1,4 @@
-"""Waits that clients ended: what they say of an instance, and what they do not."""
+"""Abandoned waits for the first byte as evidence about an instance."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def test_waits_that_were_ended_early_do_not_make_answers_look_quick() -> None:
-    """Half of all take long, and clients leave nearly all of these at 0.3: without them all look quick."""
+    """Half of all answers are slow, and most of their clients leave at 0.3; these waits must count."""
     seen = survival_of([0.12] * 50 + [0.45] * 5, [0.3] * 45)
     assert seen.survival(0.3) == pytest.approx(0.5)
 
@@ -59,7 +59,7 @@
 
 
 def judged(waits: int, answer_after: int | None = None) -> InstanceWeights:
-    """Two instances with a history; then so many clients leave `b`, one after the other."""
+    """Create two instances with a history, then let clients abandon requests at `b` one after another."""
     weights = InstanceWeights(random.Random(1))
     weights.set_instances({"a": 8.0, "b": 8.0})
     now = 0.0
@@ -75,12 +75,12 @@
             weights.record_first_byte("b", attempt, now + 0.1)
         weights.abandon_attempt("b", attempt, now + 0.15)
         now += 0.2
-    for at in (now - 1.0, now):  # weights follow at the second of two ticks
+    for at in (now - 1.0, now):  # weights are updated at the second of two ticks
         weights.recompute(at, 1.0)
     return weights
 
 
-NOW_S = 12.0  # when the clients begin to leave
+NOW_S = 12.0  # time in seconds when the clients begin to leave
 
 
 def test_clients_that_all_leave_early_do_not_hide_a_hung_instance() -> None:
@@ -89,7 +89,7 @@
     assert weights.is_unresponsive("b", NOW_S + 1.0)
     assert weights.weights()["b"] == 0.0
     assert not weights.is_unresponsive("a", NOW_S + 1.0)
-    assert not weights.is_unresponsive("b", NOW_S + 6.0)  # the next request shows whether it still is
+    assert not weights.is_unresponsive("b", NOW_S + 6.0)  # the next request shows whether it still hangs
 
 
 def test_an_answer_in_between_clears_it() -> None:
@@ -99,7 +99,7 @@
 @pytest.mark.parametrize("leaves_at", [0.3, 0.5])
 def test_a_hung_instance_gets_a_fraction_of_its_share(leaves_at: float) -> None:
     play = Play(1, 20.0, leaves_at, 20.0, 50.0).run()
-    assert len(play.sent_to_hung) < 25  # 100 are an even share
+    assert len(play.sent_to_hung) < 25  # an even share would be 100
 
 
 @pytest.mark.parametrize("leaves_at", [0.3, 0.5])
--- a/tests/loadbalancing/test_host_bans.py
+++ b/tests/loadbalancing/test_host_bans.py
@@ -1,4 +1,4 @@
-"""Bans of hosts, laid over what discovery lists."""
+"""Host bans and their combination with the endpoint list."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
         for news in ([entry("a")], [entry("a", DRAINING)], [entry("a", started_ns=150)]):
             bans.record_list(False, news)
             self.assertIs(bans.effective_entry(news[0]).state, DRAINING)
-        bans.record_list(True, [entry("b")])  # gone, and back under the same id
+        bans.record_list(True, [entry("b")])  # host a leaves the list and returns under the same name
         bans.record_list(True, [entry("a"), entry("b")])
         self.assertIs(bans.effective_entry(entry("a")).state, DRAINING)
         self.assertIs(bans.effective_entry(entry("a", GONE)).state, GONE)
         self.assertIs(bans.effective_entry(entry("b")).state, READY)
 
     def test_a_ban_of_a_host_not_listed_yet_holds_from_when_it_is(self) -> None:
-        # A proxy that has just started, or hears late, says no: the caller's time runs all the same.
+        # A proxy that lacks the list entry rejects the ban, but applies it as soon as the host is listed.
         bans = self.bans()
         for host in ("c", "d", "e"):
             bans.ban_when_listed(host, 100)
@@ -86,7 +86,7 @@
         self.assertFalse(bans.is_known("c"))
         bans.record_list(False, [entry("a", GONE)])
         self.assertTrue(bans.is_known("a"))
-        self.assertIsNone(bans.ban("a", 100))  # nothing to tell, and banned when it comes back
+        self.assertIsNone(bans.ban("a", 100))  # the host is not listed, so no entry changes until it returns
         self.assertIs(bans.effective_entry(entry("a")).state, DRAINING)
         for n in range(MAX_REMEMBERED + 1):
             bans.record_list(False, [entry(f"x{n}"), entry(f"x{n}", GONE)])
@@ -98,7 +98,7 @@
         bans = self.bans()
         bans.ban("a", 100)
         self.assertEqual(bans.merge({"a": Ban(90, 95)}), [])
-        (told,) = bans.merge({"a": Ban(100, 120), "x": Ban(110)})  # x is not listed here yet
+        (told,) = bans.merge({"a": Ban(100, 120), "x": Ban(110)})  # host x is not listed here yet
         self.assertEqual((told.host, told.state, told.started_ns), ("a", READY, 120))
         self.assertIs(bans.effective_entry(entry("x")).state, DRAINING)
         self.assertEqual(bans.merge(dict(bans.bans)), [])
--- a/tests/loadbalancing/test_host_table.py
+++ b/tests/loadbalancing/test_host_table.py
@@ -1,4 +1,4 @@
-"""The subset of hosts in use."""
+"""Host table: the subset of hosts in use."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def test_a_quiet_proxy_uses_few_hosts_and_more_with_its_traffic() -> None:
-    """Guards against hundreds of proxies holding a connection each to every host."""
+    """Hundreds of proxies must not each hold a connection to every host."""
     balancer = build_balancer([f"h{n}" for n in range(40)], connection_price=0.1)
     serve_with_reports(balancer, {})
     assert len(balancer.round_robin.ring) <= 4
--- a/tests/loadbalancing/test_idle_timeout.py
+++ b/tests/loadbalancing/test_idle_timeout.py
@@ -1,4 +1,4 @@
-"""How long an idle connection is still used."""
+"""Learned idle timeout: how long an idle connection is still used."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def test_a_reset_on_an_idle_connection_shortens_the_idle_timeout() -> None:
-    """Guards against connections dropped unseen while idle; the host is not to blame."""
+    """Connections may be dropped unnoticed while idle, which is not a failure of the host."""
     balancer, host, now = used_once(SECOND)
     balancer.handle(api.RequestArrived("b", "c", None, 2 * SECOND), now)
     balancer.handle(api.AttemptEnded("b", 0, host, api.AttemptStatus.RESET, MS, False), now + MS)
@@ -32,18 +32,19 @@
 
 @pytest.mark.parametrize(("kept_ms", "trusted"), [(1200, True), (800, False)])
 def test_a_reset_leaves_the_idle_timeout_where_longer_idle_ones_answered(kept_ms: int, trusted: bool) -> None:
-    """Guards against resets by chance: most requests of thin traffic would open a connection anew."""
+    """After a random reset, most requests of a proxy with little traffic would open new connections."""
     balancer, host, now = used_once(kept_ms * MS)
     for name, status in (("b", api.AttemptStatus.OK), ("c", api.AttemptStatus.RESET)):
         balancer.handle(api.RequestArrived(name, "c", None, 2 * SECOND), now)
         balancer.handle(api.AttemptEnded(name, 0, host, status, MS, False), now + MS)
         now += SECOND
     assert (balancer.idle_timeout.timeout_ns == 60 * SECOND) is trusted
-    assert (balancer.host_table.hosts[host].health < 1.0) is trusted  # else its idle time is to blame
+    # Otherwise the idle time caused the reset.
+    assert (balancer.host_table.hosts[host].health < 1.0) is trusted
 
 
 def test_a_single_timeout_leaves_the_idle_timeout() -> None:
-    """Guards against impatient clients and busy hosts: closing for them costs a handshake a request."""
+    """Timeouts due to impatient clients or busy hosts must not cost a handshake per request."""
     balancer, host, now = used_once(SECOND)
     balancer.handle(api.RequestArrived("b", "c", None, 100 * MS), now)
     balancer.handle(
--- a/tests/loadbalancing/test_instance_weights.py
+++ b/tests/loadbalancing/test_instance_weights.py
@@ -1,4 +1,4 @@
-"""The design's path at a gateway: weights, tokens, and the open cases."""
+"""Instance weights and tokens at a gateway, including cases that the source leaves open."""
 
 from __future__ import annotations
 
@@ -87,7 +87,7 @@
 
 
 def test_an_instance_that_hangs_loses_weight_though_its_figures_are_old() -> None:
-    """Open case: a hung instance with stale figures.  The age of its unanswered attempts counts."""
+    """A hung instance keeps good but outdated metrics, so the age of its unanswered attempts counts."""
     weights = weights_of("a", "b")
     for _ in range(20):
         send(weights, "a", 0.0)
@@ -105,7 +105,7 @@
 
 
 def test_candidates_without_tokens_borrow_and_reload_nothing() -> None:
-    """Open case: placement leaves only candidates without tokens while others still hold some."""
+    """Placement may leave only candidates without tokens while other instances still have some."""
     weights = weights_of("a", "b", "c")
     assert weights.choose(["a"], 0.0) == "a"
     for _ in range(5):
@@ -167,7 +167,7 @@
 
 
 def test_own_failures_count_against_good_news_of_others() -> None:
-    """A gateway that is cut off from an instance sees what others do not."""
+    """A gateway that is cut off from an instance sees failures that others do not."""
     weights = weights_of("a", "b")
     weights.import_totals(20, {"a": GOOD, "b": GOOD}, 0.0)
     for _ in range(12):
--- a/tests/loadbalancing/test_limits.py
+++ b/tests/loadbalancing/test_limits.py
@@ -1,4 +1,4 @@
-"""What holds in a crowd and lets go after it: written-off attempts, hosts that turn away, one budget."""
+"""Overload protection: written-off attempts, hosts that reject, and the retry budget."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Drive:
-    """Requests that are answered within 20 ms, but for some that never are."""
+    """Sends requests, most of which are answered within 20 ms while some are never answered."""
 
     def __init__(self, balancer: Balancer) -> None:
         self.balancer, self.now, self.count = balancer, 0, 0
@@ -60,7 +60,7 @@
 
 class WrittenOff(unittest.TestCase):
     def silent(self, cls: str, util: float = 0.2) -> tuple[Drive, str]:
-        """One that is never answered, among rounds of eight that are."""
+        """Send one request that is never answered, among rounds of eight answered ones."""
         drive = Drive(build())
 
         def rounds(count: int) -> None:
@@ -81,9 +81,9 @@
         drive, name = self.silent("safe")
         first, second = drive.sent[name]
         self.assertNotEqual(first, second)
-        self.assertEqual(drive.balancer.traffic.in_flight, 1)  # the copy
+        self.assertEqual(drive.balancer.traffic.in_flight, 1)  # the hedged attempt
         actions = drive.end(name, 1, api.AttemptStatus.OK)
-        self.assertIn(api.CancelAttempt(name, 0), actions)  # what is out for it is called off
+        self.assertIn(api.CancelAttempt(name, 0), actions)  # the other attempt is cancelled
         drive.end(name, 0, api.AttemptStatus.CANCELLED)
         self.assertEqual((drive.balancer.traffic.in_flight, drive.balancer.attempts.requests), (0, {}))
 
@@ -91,18 +91,18 @@
         drive, name = self.silent("once")
         self.assertEqual(len(drive.sent[name]), 1)
         self.assertEqual(drive.balancer.traffic.in_flight, 0)
-        late = drive.end(name, 0, api.AttemptStatus.OK)  # it was answered after all
+        late = drive.end(name, 0, api.AttemptStatus.OK)  # the answer arrives late
         self.assertEqual([action for action in late if isinstance(action, api.CancelAttempt)], [])
         self.assertEqual((drive.balancer.traffic.in_flight, drive.balancer.attempts.requests), (0, {}))
 
     def test_where_hosts_are_busy_nothing_is_written_off(self) -> None:
-        """Guards against a heavy request on a busy host being taken for a silent connection."""
+        """A heavy request on a busy host must not be mistaken for one on a dropped connection."""
         drive, name = self.silent("safe", util=0.95)
         self.assertEqual(len(drive.sent[name]), 1)
         self.assertEqual(drive.balancer.traffic.in_flight, 1)
 
     def test_a_copy_that_fails_ends_the_request_at_once(self) -> None:
-        """Guards against a client kept waiting for a silent connection after its copy has failed."""
+        """A client must not be kept waiting for a dropped connection after the hedged attempt has failed."""
         drive, name = self.silent("safe")
         drive.balancer.retry_policy.budget.tokens = 0.0
         actions = drive.end(name, 1, api.AttemptStatus.ERROR)
@@ -110,7 +110,7 @@
         self.assertIn(api.CancelAttempt(name, 0), actions)
 
     def test_in_a_queue_nothing_is_overtaken(self) -> None:
-        """Guards against a crowd taken for silence: answers in the order of the sends, late as they are."""
+        """Late answers in sending order indicate a queue, not dropped connections."""
         drive = Drive(build(1))
         names = [drive.ask(answered=False) for _ in range(40)]
         for name in names:
@@ -123,7 +123,7 @@
 
 class TurnedAway(unittest.TestCase):
     def test_a_host_that_turns_away_with_room_left_draws_few_turns(self) -> None:
-        """Guards against the recorded day: five of twelve turned away and reported that they were idle."""
+        """In recorded traffic, five of twelve hosts rejected attempts while reporting that they were idle."""
         for util, expected in ((0.1, True), (0.95, False)):
             with self.subTest(util=util):
                 drive = Drive(build(4))
@@ -147,7 +147,7 @@
 
 class Budget(unittest.TestCase):
     def test_work_stays_within_the_share_over_random_histories(self) -> None:
-        """The bound is on what was worked on: first work for a repeat of what was never worked on is free."""
+        """Only repeated work is bounded: a retry of a request that no host worked on is free."""
         for seed in range(50):
             rng, retries = random.Random(seed), RetryBudget()
             firsts, work, refused = 0, 0, 0
@@ -179,4 +179,4 @@
         ]
         self.assertEqual(
             [type(actions[0]) for actions in asked], [api.StartAttempt, api.RejectRequest, api.StartAttempt]
-        )  # the third is the repeat of the second, which nobody worked on
+        )  # the third one is a retry of the second one, which no host worked on
--- a/tests/loadbalancing/test_outlier_detection.py
+++ b/tests/loadbalancing/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt says of its host."""
+"""Outlier detection from attempt outcomes."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def test_a_host_that_takes_no_connection_is_ejected_for_a_while() -> None:
-    """Guards against hosts that are down: they fail fast, hold little, and so look free."""
+    """Hosts that are down fail quickly, have few attempts in flight, and therefore look idle."""
     balancer = build_balancer(["h1", "h2"])
     balancer.handle(api.RequestArrived("q0", "c", None, 2 * SECOND), 1)
     first = next(a for a in balancer._actions if isinstance(a, api.StartAttempt)).host
@@ -23,7 +23,7 @@
 
 
 def test_rejections_do_not_cost_health() -> None:
-    """Guards against one full host's turns filling the next."""
+    """If rejections reduced health, the turns of a full host would fill up the next one."""
     balancer = build_balancer(["h1", "h2"])
     host = balancer.host_table.hosts["h1"]
     balancer.outliers.record_outcome(host, 0, api.AttemptStatus.OVERLOADED, 0, 1)
--- a/tests/loadbalancing/test_performance_index.py
+++ b/tests/loadbalancing/test_performance_index.py
@@ -17,7 +17,7 @@
 
 
 def test_a_hung_host_loses_its_weight_before_any_time_out() -> None:
-    """Guards against a host that stops answering: it also stops reporting."""
+    """A host that stops answering also stops reporting its load."""
     balancer = build_balancer(["h1", "h2"])
     now = 0
     for n in range(12):
@@ -34,7 +34,7 @@
 
 
 def test_the_index_is_relative_when_most_miss_the_goal() -> None:
-    """Guards against the few hosts under the limit getting everything and dropping out in turn."""
+    """The few hosts that meet the goal must not get all traffic and fail in turn."""
     balancer = build_balancer(["h1", "h2", "h3"])
     for name, index in (("h1", 2.0), ("h2", 2.0), ("h3", 1.4)):
         host = balancer.host_table.hosts[name]
@@ -44,7 +44,7 @@
 
 
 def test_one_attempt_that_is_never_answered_is_no_overload() -> None:
-    """Guards against a few connections that fell silent: they made whole fleets look late."""
+    """A few dropped connections used to make whole fleets look late."""
     balancer = build_balancer(["h1"])
     host = balancer.host_table.hosts["h1"]
     for n in range(20):
--- a/tests/loadbalancing/test_recovery.py
+++ b/tests/loadbalancing/test_recovery.py
@@ -1,4 +1,4 @@
-"""The limit comes back, from whatever state: a property over random states of all balancers at once."""
+"""The admission limit recovers from any state: property test over random states of all balancers."""
 
 from __future__ import annotations
 
@@ -9,12 +9,13 @@
 from benchmarks.overload import RATE, SECOND, Demand, World
 from brambleusher.loadbalancing import Balancer
 
-AT, WITHIN, AFTER = 3.0, 2.0, 3.0  # seconds: the states are drawn, service is whole, the run ends
+# Seconds until the states are randomised, until service recovers, and until the end.
+AT, WITHIN, AFTER = 3.0, 2.0, 3.0
 LOAD = 0.5
 
 
 def scramble(balancer: Balancer, rng: random.Random) -> None:
-    """Draw what the limit goes by, within what it can come to be."""
+    """Randomise the state that determines the limit, within its possible values."""
     admission, traffic, budget = balancer.admission, balancer.traffic, balancer.retry_policy.budget
     admission.limit = 10 ** rng.uniform(-2, 3)
     admission.fleet_fraction = rng.uniform(0.1 / balancer.settings.fleet_size, 1.0)
@@ -40,7 +41,7 @@
 
 
 class Scrambled(World):
-    """Draws the states of its balancers at a moment."""
+    """Randomises the states of all balancers at one point in time."""
 
     def prepared(self) -> None:
         rng = random.Random(self.seed)
--- a/tests/loadbalancing/test_rules.py
+++ b/tests/loadbalancing/test_rules.py
@@ -1,4 +1,4 @@
-"""The five rules under seeded random event streams, and the checker under planted breaches."""
+"""The balancer's five rules under random event sequences, and the checker with planted violations."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
         for _ in range(250):
             world.step()
         world.finish()
-        # Nothing is kept of what has ended.
+        # No ended request or attempt is kept.
         assert not world.balancer.attempts.requests
         assert not any(host.in_flight for host in world.balancer.host_table.hosts.values())
     assert worlds[0].actions == worlds[1].actions
@@ -131,7 +131,7 @@
 
 
 def test_a_host_warming_up_gets_no_more_than_its_budget() -> None:
-    """Even when it is the only host left: the rest is rejected."""
+    """If a warming host is the only one left, requests beyond its budget are rejected."""
     world = World(replace(BASE, classes=(SAFE,)), 5)
     world.start(3)
     world.checker.full_rate = 20.0
@@ -186,13 +186,13 @@
         late.closes(400 * MS)
     after.action(api.CloseIdleConnections("h0"), 10 * MS)
     after.closes(500 * MS)
-    after.used["h0"] = 600 * MS  # an outcome after the close opens it again
+    after.used["h0"] = 600 * MS  # an outcome after the close makes its connection idle again
     with pytest.raises(Breach, match="rule 5"):
         after.closes(901 * MS)
 
 
 def test_connections_are_closed_on_drain_and_at_each_later_outcome() -> None:
-    """Guards against idle connections kept to a draining host; without the setting nothing is closed."""
+    """Idle connections to a draining host are closed if the setting requires it."""
     for release in (0, 300 * MS):
         world = World(replace(BASE, drain_release_ns=release), 5)
         world.start(2)
@@ -215,7 +215,7 @@
 
 
 def test_hundreds_of_proxies_together_spare_a_host_warming_up() -> None:
-    """Guards against a first send from every proxy at once: all see one fresh host in the same moment."""
+    """All proxies learn of a new host simultaneously and must not each send it an attempt at once."""
     count, hosts, full_rate = 300, 10, 12.0
     chosen = replace(
         BASE,
@@ -251,7 +251,7 @@
                         now,
                     )
             balancer.handle(api.TimerFired(0), now)
-    assert sends  # it is let in at all
+    assert sends  # the host gets some attempts
     for start in range(10 * SECOND, 20 * SECOND, SECOND // 4):
         age = (start + 2 * SECOND - 10 * SECOND) / (18 * SECOND)
         budget = 2.0 * (0.13 + 0.87 * age) * full_rate * 2
@@ -259,7 +259,7 @@
 
 
 def test_a_host_started_ahead_of_the_clock_counts_as_just_started() -> None:
-    """Guards against a wall clock behind the host's: its warm fraction, so its weight, was negative."""
+    """A wall clock behind the host's clock used to make its warm fraction and its weight negative."""
     world = World(replace(BASE, classes=(SAFE,)), 5)
     world.start(2)
     ahead = api.HostEntry("new", "z0", "k0", 0, api.HostState.READY, 1.0, world.now + 100 * SECOND)
--- a/tests/loadbalancing/test_simulator_adapter.py
+++ b/tests/loadbalancing/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: lines to events and actions to lines."""
+"""Simulator adapter: translation of lines to events and of actions to lines."""
 
 from __future__ import annotations
 
--- a/tests/loadbalancing/test_slow_start.py
+++ b/tests/loadbalancing/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start in a large fleet: what all proxies may send in sum, and what hosts report they can do."""
+"""Slow start in a large fleet: total budgets of all proxies, and reported capacities."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def entries(counts: dict[str, int], started_ns: int = 0) -> list[api.HostEntry]:
-    """So many ready hosts in each zone."""
+    """Return list entries with the given number of ready hosts per zone."""
     return [
         api.HostEntry(f"{zone}{number}", zone, "k", 0, api.HostState.READY, 1.0, started_ns)
         for zone, count in counts.items()
@@ -26,15 +26,15 @@
 @pytest.mark.parametrize(
     ("counts", "subset_size"),
     [
-        (dict.fromkeys(ZONES, 25), 10),  # a list as it usually is
+        (dict.fromkeys(ZONES, 25), 10),  # an ordinary endpoint list
         (dict.fromkeys(ZONES, 25), 4),
-        ({"a": 2, "b": 25, "c": 25, "d": 25}, 8),  # a zone of which two hosts are back
+        ({"a": 2, "b": 25, "c": 25, "d": 25}, 8),  # a zone in which two hosts have returned
         ({"a": 50, "b": 10, "c": 10, "d": 10}, 6),
     ],
     ids=["even", "few each", "a zone coming back", "a large zone"],
 )
 def test_budgets_of_all_proxies_add_up_to_one(counts: dict[str, int], subset_size: int) -> None:
-    """Drawn subsets of 200 proxies: the budgets of those that have a host add up to about one."""
+    """For 200 proxies with random subsets, the budget shares of each host add up to about one."""
     rng, shares_of_host = random.Random(5), dict.fromkeys((entry.host for entry in entries(counts)), 0.0)
     for number in range(200):
         own = ZONES[number % len(ZONES)]
@@ -49,7 +49,8 @@
     for zone in counts:
         mean = sum(value for name, value in shares_of_host.items() if name[0] == zone) / counts[zone]
         assert 0.8 < mean < 1.2, (zone, mean)
-    assert max(shares_of_host.values()) < 2.5  # by chance; the rule allows twice, and few use all of theirs
+    # Random variation; the rule allows 2, and few proxies use their whole share.
+    assert max(shares_of_host.values()) < 2.5
 
 
 def test_zones_are_counted_as_hosts_come_and_go() -> None:
@@ -67,7 +68,7 @@
 
 
 def attempts_at_a_host_warming_up(reported: api.LoadReport) -> int:
-    """How many of 600 requests within 6 s go to a host that started 2 s before, and reports so much."""
+    """Return how many of 600 requests within 6 s go to a host that started 2 s ago."""
     settings = api.Settings(
         zone="a", fleet_size=10, warm_up_ns=20 * SECOND, initial_capacity=0.2, overload_multiple=4.0,
         classes=(api.RequestClass("r", SECOND, 2 * SECOND, 1.0),),
@@ -95,7 +96,7 @@
 
 
 def test_a_host_warming_up_gets_what_it_reports_it_can_do() -> None:
-    # Warm sooner by the work it does: at full use 25 a second as others do, and 6, as its age alone has it.
+    # The host reports the capacity of a warm one, 25 requests per second, or 6, which its age implies.
     warmed, as_old = api.LoadReport(0.2, 5.0), api.LoadReport(0.5, 3.0)
     assert attempts_at_a_host_warming_up(warmed) > 1.4 * attempts_at_a_host_warming_up(as_old)
 
@@ -104,9 +105,9 @@
     host = Host(entries({"a": 1}, 1)[0], True, 1)
     assert slow_start.reported_fraction(host, 20.0) == 0.0
     host.utilisation_sum, host.throughput_sum = 0.4, 40.0
-    assert slow_start.reported_fraction(host, 20.0) == 0.0  # too few reports
+    assert slow_start.reported_fraction(host, 20.0) == 0.0  # there are too few reports
     host.utilisation_sum, host.throughput_sum = 1.0, 100.0
-    assert slow_start.reported_fraction(host, None) == 0.0  # nothing to compare with
+    assert slow_start.reported_fraction(host, None) == 0.0  # the capacity of its kind is unknown
     assert (
         slow_start.warm_fraction(SECOND, 0.2, 20 * SECOND, slow_start.reported_fraction(host, 20.0))
         == slow_start.REPORTED_FRACTION
--- a/tests/loadbalancing/test_state_codec.py
+++ b/tests/loadbalancing/test_state_codec.py
@@ -1,4 +1,4 @@
-"""The stored form of a balancer's state: complete, and with the keys that earlier versions wrote."""
+"""Stored form of a balancer's state: completeness and compatibility of its keys."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from brambleusher.loadbalancing.zone_routing import ZoneRouter
 from brambleusher.loadbalancing.zone_state import NodeHealth, Zone
 
-# Public attributes that are made anew from the settings and the stored ones.
+# Public attributes that are derived from the settings and the stored attributes.
 DERIVED = {
-    "rng",  # stored beside the balancer's own fields
+    "rng",  # stored separately from the balancer's own fields
     "settings",
     "performance_index.goals_ns",
     "host_table.ranking",
 }
-# As captures and state transfers of earlier versions have them, in their order.
+# Keys in the order in which captures and state transfers of earlier versions have them.
 OWN_KEYS = (
     "_hosts _requests _turn _unlinked _peak _rate _lately _silent _trust _open _ready _part _closing "
     "_ticked_ns _mean_capacity _mean_util _remote _kind_capacity _sized _size_used _size_asked "
@@ -42,7 +42,7 @@
 REQUEST_KEYS = "id cls deadline_ns half_ns reached attempts out lost closed ran passing origin first_ran_ns"
 
 
-# Stored by tables of their own, or settings.
+# Types that have tables of their own, and settings.
 RECORD_TYPES = {TokenRoundRobin, HostRanking, RetryBudget, IdleTimeout, ZoneRouter, api.Settings}
 
 
@@ -64,7 +64,7 @@
 
 
 def public_state(owner: object, prefix: str = "") -> Iterator[str]:
-    """The paths of all public attributes, through the mechanisms; records and plain values are ends."""
+    """Yield the paths of all public attributes, descending into mechanisms but not into records."""
     for name, value in vars(owner).items():
         path = prefix + name
         if name.startswith("_") or path in DERIVED:
@@ -85,7 +85,7 @@
 
 
 def private_values(owner: object, prefix: str = "") -> dict[str, str]:
-    """The private attributes of a balancer and its mechanisms, with their values as text."""
+    """Return the private attributes of a balancer and its mechanisms with their values as text."""
     found: dict[str, str] = {}
     for name, value in vars(owner).items():
         is_mechanism = type(value).__module__.startswith("brambleusher.loadbalancing.")
@@ -98,7 +98,7 @@
 
 
 def test_private_attributes_of_a_balancer_do_not_change_between_events() -> None:
-    """What no table has would be lost with a capture: private attributes are references and settings."""
+    """Private attributes are not stored, so they may only be references and settings that don't change."""
     balancer = make_balancer(api.ZoneRules())
     before = private_values(balancer)
     entries = [api.HostEntry(f"h{n}", "a", "k", 0, api.HostState.READY) for n in range(4)]
@@ -122,7 +122,7 @@
 
 
 def attributes_of(record: object) -> set[str]:
-    """All attributes; of a router, those of its parts, but for their references to each other."""
+    """Return all attributes; for a router those of its parts, without references between parts."""
     if not isinstance(record, ZoneRouter):
         return set(vars(record))
     parts = vars(record)
--- a/tests/loadbalancing/test_subsetting.py
+++ b/tests/loadbalancing/test_subsetting.py
@@ -1,4 +1,4 @@
-"""Subsets from an instance's number and the list alone."""
+"""Subsetting from an instance's number and the list."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
         concerned += "n99" in before
         assert len(after.keys() - before.keys()) == ("n99" in before)
         assert before.keys() - after.keys() <= {"n99"}
-    assert 10 < concerned < 70  # 36 by chance
+    assert 10 < concerned < 70  # the expected value is 36
 
 
 def test_rounds_use_each_host_once_a_round_and_a_host_that_goes_moves_one_at_most() -> None:
@@ -51,7 +51,7 @@
         assert sorted(round_of) == sorted(ring.names)
     orders = {tuple(name for name, _ in ring.rounds(turn * 10, 12)) for turn in range(5)}
     assert len(orders) == 5
-    for number in range(9):  # the last of the round has no whole subset left
+    for number in range(9):  # the last instance of the round has no complete subset left
         before, after = dict(ring.rounds(number, 12)), dict(less.rounds(number, 12))
         assert len(after.keys() - before.keys()) <= 1
 
--- a/tests/loadbalancing/test_token_round_robin.py
+++ b/tests/loadbalancing/test_token_round_robin.py
@@ -1,4 +1,4 @@
-"""Tokens in round robin."""
+"""Token round robin: order of turns and skipping of slow hosts."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def test_a_host_with_more_in_flight_than_its_weight_explains_is_passed_over() -> None:
-    """Guards against hosts that slowed down, or that all proxies found at once, between two reports."""
+    """Hosts may slow down, or be chosen by all proxies at once, between two load reports."""
     turn = TokenRoundRobin(random.Random(1))
     hosts = [Host(host_entry(name), True, 1) for name in ("1", "2")]
     turn.set_hosts(list(hosts))
--- a/tests/loadbalancing/test_weights.py
+++ b/tests/loadbalancing/test_weights.py
@@ -57,7 +57,7 @@
 
 
 def test_an_answer_without_its_report_counts_as_busy() -> None:
-    """Guards against hosts that fall silent just when they are busy: their last report is not spare."""
+    """Hosts may stop reporting when they are busy; the last report is then no sign of spare capacity."""
     balancer = build_balancer(["h1"])
     for n, report in enumerate((api.LoadReport(0.2, 10.0), None)):
         balancer.handle(api.RequestArrived(f"q{n}", "c", None, 2 * SECOND), n * SECOND)
@@ -67,7 +67,7 @@
 
 
 def test_spill_waits_for_local_use_and_for_idler_zones() -> None:
-    """Guards against paying to exchange work between zones that are as busy as each other."""
+    """Equally busy zones gain nothing by exchanging work, so no price should be paid for it."""
     settings = api.Settings(zone="a", classes=(REQUEST_CLASS,), fleet_size=1, cross_zone_price=0.2)
     balancer = Balancer(settings, 3)
     balancer.handle(api.HostListUpdated(api.ListKind.SAVED, [host_entry("h1"), host_entry("h2", "b")]), 0)
--- a/tests/loadbalancing/test_zone_routing.py
+++ b/tests/loadbalancing/test_zone_routing.py
@@ -1,4 +1,4 @@
-"""Zones: tiers, evidence, spill, the way back, flaps, panic; and that without rules nothing is different."""
+"""Zone routing: tiers, evidence, spill, return, flap damping, panic, and no effect without rules."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 class Seen:
-    """Zones of four hosts each, as one proxy in zone `a` sees them, ticked in steps."""
+    """Zones of four hosts each, as seen by one proxy in zone `a`, with simulated ticks."""
 
     def __init__(self, rules: ZoneRules = RULES, names: str = "abcd", hosts: int = 4, fleet: int = 8) -> None:
         self.zones, self.now = ZoneRouter(rules, "a", UNIT, fleet), 10 * SECOND
@@ -72,7 +72,7 @@
             self.end(host, AttemptStatus.CONNECT_FAILED if host in self.dead else AttemptStatus.OK)
 
     def tick(self, seconds: float = TICK / SECOND, dark: tuple[str, ...] = ()) -> None:
-        """Time passes; all live hosts answer; `dark` ones have owed answers since the first of it."""
+        """Advance the time; all live hosts answer, `dark` ones have been silent since its start."""
         begin, until = self.now, self.now + int(seconds * SECOND)
         while self.now < until:
             self.now += TICK
@@ -109,7 +109,8 @@
     read = dict(rules_of("{neighbours: {a: [b, [c, d]], b: {a: 3, c: 1}, c: d, d: a}}").neighbours)
     assert read["a"] == ((("b", 1.0),), (("c", 1.0), ("d", 1.0)))
     assert read["b"] == ((("a", 3.0), ("c", 1.0)),)
-    assert read["c"] == ((("d", 1.0),), (("a", 1.0),), (("b", 1.0),))  # d, and then as d has it
+    # The tiers of c are d, followed by those of d.
+    assert read["c"] == ((("d", 1.0),), (("a", 1.0),), (("b", 1.0),))
     seen = Seen(rules_of("{neighbours: {a: [c]}}"))
     assert {name: zone.tier for name, zone in seen.zones.zones.items()} == {"a": 0, "c": 1, "b": 2, "d": 2}
 
@@ -144,7 +145,7 @@
 
 def test_tiers_are_learned_from_what_quick_answers_take() -> None:
     seen, rng = Seen(), random.Random(5)
-    extra = {"a": 0, "b": 1, "c": 25, "d": 26}  # ms
+    extra = {"a": 0, "b": 1, "c": 25, "d": 26}  # milliseconds
     for _ in range(400):
         for name, more in extra.items():
             work = 40 * math.exp(0.5 * rng.gauss(0, 1))
@@ -194,7 +195,7 @@
     seen = Seen()
     for _ in range(20):
         for host in seen.ready["b"]:
-            seen.end(host, AttemptStatus.TIMEOUT, after=UNIT // 10)  # its client had no time
+            seen.end(host, AttemptStatus.TIMEOUT, after=UNIT // 10)  # the timeout was too short for an answer
             seen.end(host, AttemptStatus.CANCELLED)
             seen.end(host, AttemptStatus.NOT_STARTED)
     seen.dead.update(seen.ready["b"])
@@ -246,7 +247,7 @@
     assert seen.zones.is_excluded("b") and zone.flap_penalty < 0.5
     tried = zone.probe_turn
     seen.tick(10.0)
-    assert 4 <= zone.probe_turn - tried <= 6  # a request each four aims: the pause has grown
+    assert 4 <= zone.probe_turn - tried <= 6  # one probe per four latency targets, the longest interval
     seen.regain()
     seen.tick(2.5)
     assert seen.state("b") is ZoneState.RETURNING and not seen.zones.is_excluded("b")
@@ -347,7 +348,7 @@
 def test_all_proxies_together_are_granted_no_more_than_the_limit_on_spill(
     parts: list[float], spill: float
 ) -> None:
-    """Each knows its own part of the lost zone's traffic alone; whatever the parts are, they add up."""
+    """Each proxy knows only its own share of the lost zone's traffic; the shares add up to one."""
     total, rules = sum(parts), replace(RULES, spill_rate=spill)
     proxies = [Seen(rules, fleet=len(parts)) for _ in parts]
     for proxy, part in zip(proxies, parts, strict=True):
@@ -356,10 +357,12 @@
             proxy.zones.zones[name].grant_per_s = proxy.zones.zones[name].recent_responses = 0.0
         proxy.zones.zones["a"].own_traffic_share = part / total
         proxy.rate = 48.0 * part / total
-        proxy.dead.update(host for hosts in proxy.ready.values() for host in hosts)  # what is sent is out yet
+        proxy.dead.update(
+            host for hosts in proxy.ready.values() for host in hosts
+        )  # attempts are still unanswered
         proxy.zones.health.lose(proxy.zones.zones["a"], "told so", proxy.now)
     spare = 0.95 * 80.0 - 48.0
-    before = 0.5 * len(parts)  # each has that little always
+    before = 0.5 * len(parts)  # the minimum grant of each proxy
     for _ in range(24):
         for proxy in proxies:
             proxy.tick()
@@ -376,7 +379,7 @@
     seen.zones.health.lose(seen.zones.zones["a"], "told so", seen.now)
     seen.tick(3.0)
     assert seen.zones.unplaced_fraction < 0.2 and seen.zones.zones["b"].grant_per_s > 1
-    seen.dead.update(host for hosts in seen.ready.values() for host in hosts)  # nothing is used there
+    seen.dead.update(host for hosts in seen.ready.values() for host in hosts)  # no attempt is answered there
     for name in "bcd":
         seen.loads[name].used = seen.loads[name].capacity
     before = {name: seen.zones.zones[name].grant_per_s for name in "bcd"}
@@ -393,7 +396,7 @@
         seen.lose(name, 0.0)
     seen.tick(2.0, dark=tuple(host for name in lost for host in seen.ready[name]))
     assert all(seen.state(name) is ZoneState.LOST for name in lost)
-    assert not seen.zones.is_panic and seen.zones.is_excluded("b")  # the zone that is left has room
+    assert not seen.zones.is_panic and seen.zones.is_excluded("b")  # the remaining zone has spare capacity
     for host in seen.ready["b"]:
         seen.end(host, AttemptStatus.CONNECT_FAILED)
     seen.loads["a"].used = seen.loads["a"].capacity
@@ -428,7 +431,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_without_rules_two_balancers_act_alike(seed: int) -> None:
-    """Guards against the module changing anything for those who have not asked for it."""
+    """Without zone rules the zone-aware balancer must act exactly like the plain one."""
     told = replace(BASE, cross_zone_price=0.1, subscribes_to_endpoints=True)
     assert type(balancer_for(told, seed)) is Balancer
     plain, off = drive(Balancer(told, seed), seed), drive(ZoneAwareBalancer(told, seed), seed)
@@ -546,7 +549,7 @@
 
 @pytest.mark.parametrize("block", range(BLOCKS))
 def test_drawn_faults_of_zones_break_no_rule(block: int) -> None:
-    """Rules on zones under faults of zones; captures are rerun. `recovery` is looked at over many seeds."""
+    """Random zone faults violate no rule and captures replay; `recovery` needs more seeds than these."""
     first = 7000 + block * SEEDS
     broken = [
         f"brambleusher explore --replay {result.seed} --profile zones-ruled: {breach}"
@@ -558,7 +561,7 @@
 
 
 def test_zones_stand_in_the_order_in_which_the_list_names_them() -> None:
-    # A set of names goes by their hashes, which differ from process to process: so would sums over zones.
+    # The order of a set depends on hashes, which differ between processes, and would affect sums over zones.
     names = [f"zone-{at}" for at in range(24)]
     zones = ZoneRouter(RULES, "zone-0", UNIT, 8)
     zones.record_list(
--- a/tests/rules.py
+++ b/tests/rules.py
@@ -1,6 +1,6 @@
-"""An independent checker of the five rules, and a world of legal events to drive a balancer.
+"""Independent checker of the balancer's five rules, and a generator of valid event sequences.
 
-The checker keeps its own books from events and actions alone; it shares no code with the module.
+The checker derives its state from events and actions only and shares no code with the balancer.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 
 
 class Breach(AssertionError):
-    """A rule was broken."""
+    """A rule was violated."""
 
 
 @dataclass
 class Attempt:
-    """One attempt, as the checker saw it."""
+    """One attempt, as observed by the checker."""
 
     host: str
     sent: int
@@ -31,7 +31,7 @@
 
 @dataclass
 class OwedRequest:
-    """One request, as the checker saw it."""
+    """One request, as observed by the checker."""
 
     cls: api.RequestClass
     deadline: int
@@ -40,18 +40,19 @@
 
 
 class Checker:
-    """Judges the actions of one instance."""
+    """Checks the actions of one instance against the rules."""
 
     def __init__(self, settings: api.Settings) -> None:
         self.settings = settings
         self.requests: dict[str, OwedRequest] = {}
         self.listed_hosts: dict[str, api.HostEntry] = {}
-        self.unavailable_since: dict[str, int] = {}  # host -> when told that it drains or is gone
+        # Time at which each host was listed as draining or removed.
+        self.unavailable_since: dict[str, int] = {}
         self.sends_while_warming_up: dict[str, list[int]] = {}
-        self.used: dict[str, int] = {}  # host -> last send or outcome
-        self.draining: dict[str, int] = {}  # host -> when told that it drains
+        self.used: dict[str, int] = {}  # time of the last attempt or outcome by host
+        self.draining: dict[str, int] = {}  # time at which each host was listed as draining
         self.closed: dict[str, int] = {}
-        self.full_rate = 0.0  # requests a second of a warm host; 0 leaves rule 4 unchecked
+        self.full_rate = 0.0  # capacity of a warm host in requests per second; 0 disables the check of rule 4
 
     def listed(self, kind: api.ListKind, entries: list[api.HostEntry], now: int) -> None:
         if kind is api.ListKind.FAILED:
@@ -91,7 +92,7 @@
             self.closed[action.host] = now
 
     def closes(self, now: int) -> None:
-        """Rule 5: nothing idle is held to a draining host for longer than allowed."""
+        """Check rule 5: idle connections to a draining host are closed within the allowed time."""
         release = self.settings.drain_release_ns
         for host, told in self.draining.items():
             since = max(told, self.used.get(host, told))
@@ -128,7 +129,7 @@
         owed.attempts.append(Attempt(action.host, now, ends))
 
     def _slow_start(self, host: str, now: int) -> None:
-        """Rule 4, this instance's even slice of the budget of each window."""
+        """Check rule 4: attempts at a warming host stay within an even share of its budget per window."""
         entry, settings = self.listed_hosts[host], self.settings
         age = now - entry.started_ns
         if not self.full_rate or entry.started_ns <= 0 or age >= settings.warm_up_ns:
@@ -142,14 +143,14 @@
             raise Breach("rule 4: a host that warms up was flooded")
 
     def close(self) -> None:
-        """At the end nothing may be owed."""
+        """Check that every request has been answered."""
         for name, owed in self.requests.items():
             if not owed.answered:
                 raise Breach(f"rule 1: {name} was never answered")
 
 
 class World:
-    """Drives one balancer with a seeded stream of legal events."""
+    """Drives one balancer with a seeded sequence of valid events."""
 
     def __init__(self, settings: api.Settings, seed: int, balancer: Balancer | None = None) -> None:
         self.settings = settings
@@ -205,7 +206,7 @@
         )
 
     def pass_time(self, gap: int) -> None:
-        """Let the clock run; timers and time-outs come due in order."""
+        """Advance the clock; timers and attempt timeouts fire in order."""
         until = self.now + gap
         while True:
             due = [(at, 0, token) for at, token in self.timers]
@@ -240,7 +241,7 @@
         return entry
 
     def membership(self) -> None:
-        """One legal piece of news from discovery."""
+        """Send one valid update from discovery."""
         roll = self.rng.random()
         if roll < 0.2 and self.settings.subscribes_to_endpoints:
             self.list_hosts(api.ListKind.FAILED, [])
@@ -291,7 +292,7 @@
             self.pass_time(self.rng.randrange(300 * MS))
 
     def finish(self) -> None:
-        """Let everything come to its end and judge it."""
+        """Let all requests end, then run the final checks."""
         self.pass_time(20 * SECOND)
         assert not self.out
         self.checker.close()
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -1,4 +1,4 @@
-"""Captures, states and settings of the decisions, written by 49e18d4: rerun, and written alike."""
+"""Captures, states and settings recorded by commit 49e18d4 are replayed and written identically."""
 
 from __future__ import annotations
 
@@ -35,11 +35,12 @@
 
 RECORDED = Path(__file__).parent / "recorded" / "decisions"
 CAPTURES = ["plain", "plain-successor", "zones", "zones-successor"]
-MIDWAY = ["plain-midway", "zones-midway"]  # rings that have wrapped: they begin with requests under way
+# Ring buffers that have wrapped, so they begin with requests in progress.
+MIDWAY = ["plain-midway", "zones-midway"]
 STATES = ["plain", "zones"]
-FRESH = ["plain-fresh", "zones-fresh"]  # of twenty hosts some are out of use
+FRESH = ["plain-fresh", "zones-fresh"]  # states with twenty hosts, some of which were never used
 CODEC = json.loads((RECORDED / "codec.json").read_bytes())
-# Names of actions in captures, with their fields in order.
+# One example of each action, with its fields in order.
 ACTIONS: list[api.Action] = [
     api.StartAttempt("r1", "h1", 5),
     api.RejectRequest("r1", 6),
@@ -54,12 +55,12 @@
 
 
 def captured(name: str) -> bytes:
-    """A recorded capture."""
+    """Return a recorded capture."""
     return gzip.decompress((RECORDED / f"{name}.jsonl.gz").read_bytes())
 
 
 def state_of(name: str) -> dict[str, Any]:
-    """Recorded settings, and a state with requests under way."""
+    """Return recorded settings with a state that has requests in progress."""
     recorded: dict[str, Any] = orjson.loads(
         gzip.decompress((RECORDED / f"{name}-state.json.gz").read_bytes())
     )
@@ -91,13 +92,13 @@
     assert events == {
         "begin", "request", "attempt", "stream", "gone", "timer", "list", "rules", "body", "part",
     }  # fmt: skip
-    # Nothing in the module asks for a probe; what one would look like stands in codec.json.
+    # The balancer never requests a health check; codec.json has the form of that action.
     assert actions == {"send", "refuse", "fail", "cancel", "let_go", "timer", "subscribe", "log"}
 
 
 @pytest.mark.parametrize("name", CAPTURES)
 def test_the_same_events_make_the_same_capture(name: str, queue: OutputQueue) -> None:
-    """Settings, seed, list and state from the header; what is decided, and each line, made anew."""
+    """Replaying the events, with settings, seed, list and state from the header, gives the same lines."""
     recorded = captured(name)
     head, *records = (orjson.loads(line) for line in recorded.splitlines())
     settings, seed = restore_settings(head["settings"]), int(head["seed"], 16)
@@ -116,7 +117,7 @@
         actions: list[api.Action] = []
         try:
             actions = balancer.start(now) if event is None else balancer.handle(event, now)
-        except KeyError as error:  # a class that is unknown
+        except KeyError as error:  # an unknown request class
             raised = error
         capture.record(Decision(event, now, actions, raised, requests.get(record["id"] or "")))
     capture.dump()
@@ -161,7 +162,7 @@
     successor = import_state(restore_settings(recorded["settings"]), 2, file["state"])
     again = export_state(successor)
     assert again is not None
-    # The random generator is the successor's own, and it has no requests whose fields could be named.
+    # The successor has a random generator of its own, and no requests whose fields would be listed.
     own = {"random": 0, "request_names": []}
     assert orjson.dumps({**again, **own}) == orjson.dumps({**file["state"], **own})
 
