--- a/tests/loadbalancing/test_connection_admission.py
+++ b/tests/loadbalancing/test_connection_admission.py
@@ -89,7 +89,7 @@
 
 class Scarce(unittest.TestCase):
     def test_connections_that_stay_after_one_request_are_not_kept(self) -> None:
-        """In recorded traffic, all 128 connections of the clients had sent one request each and stayed open."""
+        """In recorded traffic, all 128 connections of the clients stayed open after one request each."""
         world = World(
             ConnectionAdmission(212, 128), 128, [Crowd("app", 250.0), Crowd("rude", 40.0, silent=True)]
         )
--- a/tests/loadbalancing/test_crossings_fleet.py
+++ b/tests/loadbalancing/test_crossings_fleet.py
@@ -102,7 +102,7 @@
             self.act(number, self.fleet[number].handle(arrived, at))
 
     def worst(self) -> float:
-        """Return the highest ratio of attempts to the allowed number plus a margin, over hosts and windows."""
+        """Return the highest ratio, over hosts and windows, of attempts to the allowed number and margin."""
         most = 0.0
         for times in self.sent.values():
             first = 0
