--- a/brambleusher/loadbalancing/zone_aware_balancer.py
+++ b/brambleusher/loadbalancing/zone_aware_balancer.py
@@ -229,7 +229,7 @@
         admits = {name: router.admits(name, now, self.uses_grants_ahead) for name in router.zones}
         if self.settings.classes[request.class_index].idempotency is Idempotency.UNSAFE:
             admits_unsuspected = {
-                name: each and not router.is_doubtful(name) for name, each in admits.items()
+                name: each and not router.is_unreliable(name) for name, each in admits.items()
             }
             admits = admits_unsuspected if any(admits_unsuspected.values()) else admits
 
@@ -307,7 +307,7 @@
             request, (host, sent_ns, _) = found
             key = (event.request, event.attempt)
             if key in host.in_flight or key in host.written_off:
-                self.zone_router.record_end(
+                self.zone_router.record_attempt_end(
                     host.zone, host.name, request.class_index, event.status, sent_ns, event.latency_ns, now
                 )
         super()._on_attempt_ended(event, now)
--- a/brambleusher/loadbalancing/zone_health.py
+++ b/brambleusher/loadbalancing/zone_health.py
@@ -87,7 +87,9 @@
         too_short = latency_ns < self._table.target_ns * MIN_TIMEOUT_TARGETS
         return not (status is AttemptStatus.TIMEOUT and too_short)
 
-    def record_end(self, zone: Zone, host: str, status: AttemptStatus, sent_ns: int, now: int) -> None:
+    def record_attempt_end(
+        self, zone: Zone, host: str, status: AttemptStatus, sent_ns: int, now: int
+    ) -> None:
         """Record the outcome of an attempt at a host of the zone; it must be evidence."""
         node = zone.nodes.setdefault(host, NodeHealth())
         zone.recent_ends += 1
@@ -158,7 +160,7 @@
 
     # --- states ---------------------------------------------------------------------------------
 
-    def judge(self, zone: Zone, load: ZoneLoad, now: int) -> None:
+    def update_zone(self, zone: Zone, load: ZoneLoad, now: int) -> None:
         """Update the state of a zone from the current evidence."""
         if zone.state is ZoneState.LOST:
             self._update_lost_zone(zone, now)
@@ -229,7 +231,7 @@
         if evidence.is_suspect:
             zone.last_fault_ns = now
         if evidence.is_unresponsive:
-            self.lose(zone, evidence.unresponsive_text, now)
+            self.mark_lost(zone, evidence.unresponsive_text, now)
         elif zone.state is ZoneState.RETURNING:
             last_trouble_ns = max(zone.since_ns, zone.grant_exhausted_ns, zone.last_fault_ns)
             if now - last_trouble_ns > HEALTHY_TARGETS * target_ns:
@@ -246,16 +248,16 @@
             return
         unprobed_ns = now - max(zone.since_ns, zone.last_probe_ns)
         if zone.last_response_ns > zone.since_ns:
-            self.take_back(zone, "it answers again", now)
+            self.readmit(zone, "it answers again", now)
         elif unprobed_ns > UNPROBED_TARGETS * self._table.target_ns:
-            self.take_back(zone, "no request came that may try it", now)
+            self.readmit(zone, "no request came that may try it", now)
 
     def _update_suppressed_zone(self, zone: Zone, now: int) -> None:
         short_since_ns = self._table.short_since_ns
         if zone.consecutive_failures >= MISSED_PROBES:
-            self.lose(zone, f"{zone.consecutive_failures} probes in a row were not answered", now)
+            self.mark_lost(zone, f"{zone.consecutive_failures} probes in a row were not answered", now)
         elif not zone.ready_hosts:
-            self.lose(zone, "its nodes left the list", now, SINGLE_NODE_PENALTY)
+            self.mark_lost(zone, "its nodes left the list", now, SINGLE_NODE_PENALTY)
             zone.is_delisted = True
         elif not self._damping.must_suppress(zone):
             zone.is_suppressed = False
@@ -266,7 +268,7 @@
 
     # --- transitions ----------------------------------------------------------------------------
 
-    def lose(self, zone: Zone, reason: str, now: int, penalty: float = 1.0) -> None:
+    def mark_lost(self, zone: Zone, reason: str, now: int, penalty: float = 1.0) -> None:
         """Mark a zone as lost."""
         is_flapping = zone.is_suppressed
         zone.loss_count += 1
@@ -281,7 +283,7 @@
             node.consecutive_failures = 0
         self.set_state(zone, ZoneState.LOST, reason, now, suppress_log=is_flapping)
 
-    def take_back(self, zone: Zone, reason: str, now: int) -> None:
+    def readmit(self, zone: Zone, reason: str, now: int) -> None:
         """Let a lost zone return; flap damping may suppress it for a while."""
         zone.is_suppressed = self._damping.must_suppress(zone)
         if zone.is_suppressed:
--- a/brambleusher/loadbalancing/zone_routing.py
+++ b/brambleusher/loadbalancing/zone_routing.py
@@ -123,11 +123,11 @@
             zone.reason = "drained in order"
         elif hosts_before > 1:
             reason = f"all its {hosts_before} nodes left the list without a drain"
-            self.health.lose(zone, reason, now)
+            self.health.mark_lost(zone, reason, now)
             zone.is_delisted = True
         else:
             reason = "its only node left the list without a drain"
-            self.health.lose(zone, reason, now, SINGLE_NODE_PENALTY)
+            self.health.mark_lost(zone, reason, now, SINGLE_NODE_PENALTY)
             zone.is_delisted = True
 
     def _handle_refilled(self, zone: Zone, now: int) -> None:
@@ -137,13 +137,13 @@
         zone.consecutive_connect_failures = 0
         # Only the list has excluded the zone, so the list takes it back.
         if zone.is_delisted and self.rules is not None:
-            self.health.take_back(zone, "it is listed again", now)
+            self.health.readmit(zone, "it is listed again", now)
 
     def record_sent(self, name: str, now: int) -> None:
         """Record that a request is sent to a zone."""
         self.grants.record_sent(name, now)
 
-    def record_end(
+    def record_attempt_end(
         self,
         name: str,
         host: str,
@@ -157,7 +157,7 @@
         zone = self.zones.get(name)
         if zone is None or not self.health.is_evidence(zone, host, status, latency_ns):
             return
-        self.health.record_end(zone, host, status, sent_ns, now)
+        self.health.record_attempt_end(zone, host, status, sent_ns, now)
         if status is AttemptStatus.OK and zone.is_calm:
             self.tiers.record_latency(zone, class_index, float(latency_ns))
 
@@ -198,7 +198,7 @@
             self.health.decay(zone, gap)
             self.grants.decay(zone, gap)
             self.damping.decay(zone, gap)
-            self.health.judge(zone, loads.get(name) or ZoneLoad(), now)
+            self.health.update_zone(zone, loads.get(name) or ZoneLoad(), now)
         self.health.update_panic(loads)
         self.tiers.rank_when_due(now)
         self.grants.update_tiers(gap, loads, target_utilisation, min_fraction)
@@ -231,7 +231,7 @@
         """Return whether a zone is excluded."""
         return self.table.is_excluded(name)
 
-    def is_doubtful(self, name: str) -> bool:
+    def is_unreliable(self, name: str) -> bool:
         """Return whether requests that must not be executed twice should avoid a zone."""
         zone = self.zones.get(name)
         if self.rules is None or zone is None:
--- a/tests/loadbalancing/test_zone_routing.py
+++ b/tests/loadbalancing/test_zone_routing.py
@@ -60,7 +60,7 @@
     def end(
         self, host: str, status: AttemptStatus = AttemptStatus.OK, after: int = 60 * MS, cls: int = 0
     ) -> None:
-        self.zones.record_end(host[0], host, cls, status, self.now - after, after, self.now)
+        self.zones.record_attempt_end(host[0], host, cls, status, self.now - after, after, self.now)
 
     def answers(self, *hosts: str) -> None:
         for host in hosts or [each for hosts in self.ready.values() for each in hosts]:
@@ -221,7 +221,11 @@
         seen.end(f"b{at % 4}", AttemptStatus.RESET if at % 3 == 0 else AttemptStatus.OK)
     seen.tick()
     assert seen.state("b") is ZoneState.SUSPECT and "went wrong" in seen.zones.zones["b"].reason
-    assert seen.zones.is_doubtful("b") and not seen.zones.is_doubtful("a") and not seen.zones.is_excluded("b")
+    assert (
+        seen.zones.is_unreliable("b")
+        and not seen.zones.is_unreliable("a")
+        and not seen.zones.is_excluded("b")
+    )
     seen.tick(15.0)
     assert seen.state("b") is ZoneState.HEALTHY
 
@@ -360,7 +364,7 @@
         proxy.dead.update(
             host for hosts in proxy.ready.values() for host in hosts
         )  # attempts are still unanswered
-        proxy.zones.health.lose(proxy.zones.zones["a"], "told so", proxy.now)
+        proxy.zones.health.mark_lost(proxy.zones.zones["a"], "told so", proxy.now)
     spare = 0.95 * 80.0 - 48.0
     before = 0.5 * len(parts)  # the minimum grant of each proxy
     for _ in range(24):
@@ -376,7 +380,7 @@
     seen = Seen()
     seen.tick(3.0)
     seen.dead.update(seen.ready["a"])
-    seen.zones.health.lose(seen.zones.zones["a"], "told so", seen.now)
+    seen.zones.health.mark_lost(seen.zones.zones["a"], "told so", seen.now)
     seen.tick(3.0)
     assert seen.zones.unplaced_fraction < 0.2 and seen.zones.zones["b"].grant_per_s > 1
     seen.dead.update(host for hosts in seen.ready.values() for host in hosts)  # no attempt is answered there
@@ -403,7 +407,7 @@
     seen.tick()
     assert seen.zones.is_panic
     assert [seen.zones.is_excluded(name) for name in "abcd"] == [False, True, False, False]
-    assert seen.zones.is_doubtful("c")
+    assert seen.zones.is_unreliable("c")
     seen.loads["a"].used = 0.5 * seen.loads["a"].capacity
     seen.tick()
     assert not seen.zones.is_panic and seen.zones.is_excluded("c")
