--- a/brambleusher/loadbalancing/spill_grants.py
+++ b/brambleusher/loadbalancing/spill_grants.py
@@ -144,7 +144,9 @@
         The shares of all proxies add up to one, since each zone's traffic is distributed over all proxies.
         """
         table = self._table
-        troubled = [zone for zone in table.zones.values() if zone.is_out or zone.state is ZoneState.RETURNING]
+        troubled = [
+            zone for zone in table.zones.values() if zone.is_out_of_use or zone.state is ZoneState.RETURNING
+        ]
         own = table.zones.get(table.own_zone)
         if own is not None and own not in troubled:
             load = loads.get(table.own_zone) or ZoneLoad()
--- a/brambleusher/loadbalancing/zone_health.py
+++ b/brambleusher/loadbalancing/zone_health.py
@@ -322,13 +322,13 @@
         max_utilisation = rules.max_utilisation - (PANIC_HYSTERESIS if was_panic else 0.0)
         healthy, is_pressed = 0, True
         for name, zone in table.zones.items():
-            if zone.is_out or not zone.ready_hosts:
+            if zone.is_out_of_use or not zone.ready_hosts:
                 continue
             load = loads.get(name) or ZoneLoad()
             healthy += len(zone.ready_hosts) - len(load.unanswered_since_ns)
             is_pressed &= load.is_strained or load.used > max_utilisation * load.capacity
         table.is_panic = total > 0 and is_pressed and healthy < rules.panic_threshold * total
-        if total and not any(zone.ready_hosts and not zone.is_out for zone in table.zones.values()):
+        if total and not any(zone.ready_hosts and not zone.is_out_of_use for zone in table.zones.values()):
             table.is_panic = True  # independent of the threshold, since no zone would be left
         if table.is_panic != was_panic:
             entered = f"panic: {healthy} of {total} nodes seem well: all zones are used"
--- a/brambleusher/loadbalancing/zone_routing.py
+++ b/brambleusher/loadbalancing/zone_routing.py
@@ -106,7 +106,7 @@
             zone.nodes = {host: node for host, node in zone.nodes.items() if host in listed}
             if before and not zone.ready_hosts:
                 self._handle_emptied(zone, len(before), bool(draining.get(name)), now)
-            elif zone.ready_hosts and not before and zone.is_out:
+            elif zone.ready_hosts and not before and zone.is_out_of_use:
                 self._handle_refilled(zone, now)
         self.tiers.rank()
 
@@ -225,7 +225,7 @@
     @property
     def is_any_degraded(self) -> bool:
         """Whether any zone is excluded, returning or evacuated, so that the others get more traffic."""
-        return any(zone.is_out or zone.is_ramping for zone in self.zones.values())
+        return any(zone.is_out_of_use or zone.is_ramping for zone in self.zones.values())
 
     def is_excluded(self, name: str) -> bool:
         """Return whether a zone is excluded."""
@@ -236,7 +236,7 @@
         zone = self.zones.get(name)
         if self.rules is None or zone is None:
             return False
-        return zone.is_out or zone.state is ZoneState.SUSPECT
+        return zone.is_out_of_use or zone.state is ZoneState.SUSPECT
 
     def offered_fraction(self, name: str) -> float:
         """Return the fraction of their spare capacity that a zone's hosts offer."""
--- a/brambleusher/loadbalancing/zone_state.py
+++ b/brambleusher/loadbalancing/zone_state.py
@@ -91,7 +91,7 @@
     tier: int = 0
 
     @property
-    def is_out(self) -> bool:
+    def is_out_of_use(self) -> bool:
         """Whether the zone is excluded, unless the evidence is doubted."""
         return self.state is ZoneState.LOST or self.is_suppressed
 
@@ -133,7 +133,7 @@
     def is_excluded(self, name: str) -> bool:
         """Return whether a zone is excluded."""
         zone = self.zones.get(name)
-        if self.rules is None or zone is None or not zone.is_out:
+        if self.rules is None or zone is None or not zone.is_out_of_use:
             return False
         if not self.is_panic:
             return True
--- a/tests/loadbalancing/test_zone_routing.py
+++ b/tests/loadbalancing/test_zone_routing.py
@@ -280,12 +280,12 @@
         until = seen.now + int(period * SECOND)
         while seen.now < until:
             seen.tick()
-            ups, used = ups + 1, used + (not zone.is_out)
+            ups, used = ups + 1, used + (not zone.is_out_of_use)
     assert zone.loss_count >= 3 and used <= 0.1 * ups
     seen.lose(seconds=period)
     seen.regain()
     begin = seen.now
-    while zone.is_out:
+    while zone.is_out_of_use:
         seen.tick(0.5)
         assert seen.now - begin <= RULES.max_flap_suppression_ns + 10 * UNIT
     assert seen.now - begin > 3 * SECOND and seen.state("b") is ZoneState.RETURNING
