--- a/brambleusher/loadbalancing/balancer.py
+++ b/brambleusher/loadbalancing/balancer.py
@@ -143,7 +143,7 @@
         spare_capacities = self.weights.spare_capacities(hosts, now)
         self._update_cross_zone_spill(gap)
         self.weights.assign(hosts, spare_capacities, self._spill_fractions(), now)
-        self.round_robin.cut_tokens()
+        self.round_robin.trim_tokens()
 
     def _update_cross_zone_spill(self, gap: float) -> None:
         """Update the fraction of spare capacity that remote hosts offer."""
--- a/brambleusher/loadbalancing/token_round_robin.py
+++ b/brambleusher/loadbalancing/token_round_robin.py
@@ -40,7 +40,7 @@
         """Remove a host."""
         self.ring = [other for other in self.ring if other is not host]
 
-    def cut_tokens(self) -> None:
+    def trim_tokens(self) -> None:
         """Reduce the remaining tokens to the new weights, and update the fractions in flight.
 
         A fast host needs no more attempts in flight than a slow one while it does not queue, but a number
--- a/tests/loadbalancing/test_token_round_robin.py
+++ b/tests/loadbalancing/test_token_round_robin.py
@@ -31,7 +31,7 @@
     turn.set_hosts(list(hosts))
     for host in hosts:
         host.weight = 32.0
-    turn.cut_tokens()
+    turn.trim_tokens()
     for n in range(3):
         hosts[0].in_flight[(str(n), 0)] = None  # type: ignore[assignment]
     picked = [turn.spend(lambda host: True, 3) for _ in range(4)]
@@ -43,7 +43,7 @@
     turn = TokenRoundRobin(random.Random(1))
     host = Host(host_entry("1"), True, 1)
     turn.ring, turn._tokens_per_weight, host.weight, host.tokens = [host], 1.0, 3.0, 20
-    turn.cut_tokens()
+    turn.trim_tokens()
     assert host.tokens == 3
 
 
