--- a/brambleusher/loadbalancing/spill_grants.py
+++ b/brambleusher/loadbalancing/spill_grants.py
@@ -63,7 +63,9 @@
         self.zones += len(loads)
 
 
-def fill(demand: float, weights: Mapping[str, float], limits: Mapping[str, float]) -> dict[str, float]:
+def allocate_within_limits(
+    demand: float, weights: Mapping[str, float], limits: Mapping[str, float]
+) -> dict[str, float]:
     """Distribute a demand by weight within limits (a negative one is unlimited); others get the excess.
 
     Returns:
@@ -96,13 +98,13 @@
 
     # --- requests -------------------------------------------------------------------------------
 
-    def admits(self, name: str, now: int, ahead: bool = False) -> bool:
-        """Return whether a request may go to a zone; `ahead` also allows a burst of requests in advance."""
+    def admits(self, name: str, now: int, allow_burst: bool = False) -> bool:
+        """Return whether a request may go to a zone; with `allow_burst` up to a burst in advance."""
         zone = self._table.zones.get(name)
         if self._table.rules is None or zone is None or zone.limit_per_s < 0:
             return True
         self._refill(zone, now)
-        return zone.tokens >= (1.0 - max(1.0, zone.limit_per_s * BURST_S) if ahead else 1.0)
+        return zone.tokens >= (1.0 - max(1.0, zone.limit_per_s * BURST_S) if allow_burst else 1.0)
 
     def record_sent(self, name: str, now: int) -> None:
         """Record that a request is sent to a zone."""
@@ -286,7 +288,7 @@
         """Set the offered fractions of zones and the unplaced fraction of the demand."""
         table = self._table
         limits = {name: table.zones[name].limit_per_s for name, weight in weights.items() if weight > 0}
-        distributed = fill(demand, weights, limits)
+        distributed = allocate_within_limits(demand, weights, limits)
         for name, limit in limits.items():
             zone = table.zones[name]
             is_full = zone.state is ZoneState.RETURNING and zone.grant_per_s >= self._max_grant(
--- a/brambleusher/loadbalancing/zone_routing.py
+++ b/brambleusher/loadbalancing/zone_routing.py
@@ -251,9 +251,9 @@
         """Return whether some demand was unplaced recently, so that returning zones must take more."""
         return self.grants.needs_returning_zones(now)
 
-    def admits(self, name: str, now: int, ahead: bool = False) -> bool:
-        """Return whether a request may go to a zone; `ahead` also allows a burst of requests in advance."""
-        return self.grants.admits(name, now, ahead)
+    def admits(self, name: str, now: int, allow_burst: bool = False) -> bool:
+        """Return whether a request may go to a zone; with `allow_burst` up to a burst in advance."""
+        return self.grants.admits(name, now, allow_burst)
 
     def zone_to_probe(self, now: int) -> Zone | None:
         """Return an excluded zone that is due to be probed, or None."""
--- a/tests/loadbalancing/test_zone_routing.py
+++ b/tests/loadbalancing/test_zone_routing.py
@@ -28,7 +28,7 @@
 from brambleusher.loadbalancing.balancer_factory import balancer_for
 from brambleusher.loadbalancing.json_values import StateError
 from brambleusher.loadbalancing.settings_codec import restore_settings, save_settings
-from brambleusher.loadbalancing.spill_grants import fill
+from brambleusher.loadbalancing.spill_grants import allocate_within_limits
 from brambleusher.loadbalancing.state_codec import restore, save
 from brambleusher.loadbalancing.zone_aware_balancer import ZoneAwareBalancer
 from brambleusher.loadbalancing.zone_routing import ZoneRouter
@@ -339,7 +339,7 @@
 def test_a_demand_is_shared_out_within_the_limits(demand: float, zones: list[tuple[float, float]]) -> None:
     masses = {f"z{at}": mass for at, (mass, _) in enumerate(zones)}
     limits = {f"z{at}": limit for at, (_, limit) in enumerate(zones)}
-    given_ = fill(demand, masses, limits)
+    given_ = allocate_within_limits(demand, masses, limits)
     assert set(given_) == {name for name, mass in masses.items() if mass > 0}
     for name, amount in given_.items():
         assert amount >= 0 and (limits[name] < 0 or amount <= limits[name] * (1 + 1e-9))
