--- a/brambleusher/loadbalancing/state_transfer.py
+++ b/brambleusher/loadbalancing/state_transfer.py
@@ -11,14 +11,16 @@
 from brambleusher.loadbalancing.json_values import StateError
 from brambleusher.loadbalancing.state_codec import JsonObject, restore, save
 
-MOST_HOSTS = 512  # with more hosts a successor starts without state, since the transfer would take too long
+MAX_TRANSFERRED_HOSTS = (
+    512  # with more hosts a successor starts without state, since the transfer would take too long
+)
 _ATTEMPT_KEYS = ("out", "lost")  # stored keys of a host's attempts
 _NO_ENTRIES: JsonObject = {"d": []}  # an empty dict in its stored form
 
 
 def export_state(balancer: Balancer) -> JsonObject | None:
     """Return the balancer's state without requests as JSON values, or None if it is too large."""
-    if len(balancer.host_table.hosts) > MOST_HOSTS:
+    if len(balancer.host_table.hosts) > MAX_TRANSFERRED_HOSTS:
         return None
     state = save(balancer)
     names = state["host_names"]
--- a/brambleusher/sidecar/state_exchange.py
+++ b/brambleusher/sidecar/state_exchange.py
@@ -9,7 +9,7 @@
 from brambleusher.features.records import encode_entry
 from brambleusher.handover.state_transfer import TransferredState
 from brambleusher.loadbalancing.host_bans import HostBans
-from brambleusher.loadbalancing.state_transfer import MOST_HOSTS
+from brambleusher.loadbalancing.state_transfer import MAX_TRANSFERRED_HOSTS
 from brambleusher.net.endpoint_list import EndpointListError, decode_update
 from brambleusher.net.upstream_pool import UpstreamPool
 from brambleusher.runtime.system import Address
@@ -39,7 +39,7 @@
     bans: HostBans, upstream_pool: UpstreamPool, driver: BalancerDriver, list_version: int, discovery: Address
 ) -> TransferredState | None:
     """Return the state for a successor; None where the endpoint list is too long for it."""
-    if len(upstream_pool.listed) > MOST_HOSTS:
+    if len(upstream_pool.listed) > MAX_TRANSFERRED_HOSTS:
         return None
     servers = [
         encode_entry(bans.listed_entry(name) or endpoint.entry, address_text(endpoint.address))
