--- a/brambleusher/loadbalancing/connection_admission.py
+++ b/brambleusher/loadbalancing/connection_admission.py
@@ -70,11 +70,11 @@
 class ArrivalForecast:
     """Forecasts the arrivals within `FORECAST_S`: the recent peak plus a margin for random variation."""
 
-    __slots__ = ("_at", "_peak", "_recent", "most")
+    __slots__ = ("_at", "_peak", "_recent", "upper_bound")
 
     def __init__(self) -> None:
         self._recent = self._peak = self._at = 0.0
-        self.most = 0  # upper bound of `due` at any time
+        self.upper_bound = 0  # upper bound of `expected_arrivals` at any time
 
     def record(self, now: float) -> None:
         """Record an arrival."""
@@ -82,9 +82,9 @@
         self._recent = self._recent * math.exp(-gap / FORECAST_S) + 1.0
         self._peak = max(self._recent, self._peak * math.exp(-gap / PEAK_DECAY_S))
         self._at = now
-        self.most = self._bound(self._peak)
+        self.upper_bound = self._bound(self._peak)
 
-    def due(self, now: float) -> int:
+    def expected_arrivals(self, now: float) -> int:
         """Return the number of arrivals to keep room for."""
         peak = self._peak * math.exp(-max(now - self._at, 0.0) / PEAK_DECAY_S)
         return self._bound(peak) if peak >= MIN_PEAK else 0
@@ -229,16 +229,18 @@
 
     def is_scarce(self, now: float) -> bool:
         """Return whether there is no room for the expected arrivals; cheap while room is plentiful."""
-        # `most` bounds the forecast without computing an exponential.
-        return len(self._connections) + self._forecast.most > self.max_active and self._shortage(now) > 0
+        # `upper_bound` bounds the forecast without computing an exponential.
+        return (
+            len(self._connections) + self._forecast.upper_bound > self.max_active and self._shortage(now) > 0
+        )
 
     def _shortage(self, now: float) -> int:
         """Return how many connections have to be closed to make room for the expected arrivals."""
-        expected = len(self._connections) + self._forecast.due(now)
+        expected = len(self._connections) + self._forecast.expected_arrivals(now)
         return max(expected - self.unused_count - self.max_active, expected - self.max_connections)
 
     def _is_full(self, now: float) -> bool:
-        return len(self._connections) + self._forecast.due(now) > self.max_connections
+        return len(self._connections) + self._forecast.expected_arrivals(now) > self.max_connections
 
     # --- choice -----------------------------------------------------------------------------------
 
@@ -358,7 +360,7 @@
             "taken": len(self._connections),
             "idle": self.idle_count,
             "silent": self.unused_count,
-            "kept_free": self._forecast.due(now),
+            "kept_free": self._forecast.expected_arrivals(now),
             "short_by": max(self._shortage(now), 0),
             "sorts": [
                 {
