--- a/brambleusher/loadbalancing/attempt_tracker.py
+++ b/brambleusher/loadbalancing/attempt_tracker.py
@@ -10,7 +10,7 @@
 from brambleusher.loadbalancing import api
 from brambleusher.loadbalancing.api import AttemptStatus
 from brambleusher.loadbalancing.hosts import Attempt, AttemptKey, Host, Request
-from brambleusher.loadbalancing.retry_policy import NEVER_RAN
+from brambleusher.loadbalancing.retry_policy import NOT_EXECUTED_STATUSES
 from brambleusher.loadbalancing.traffic import TrafficStatistics
 
 # Statuses after which the attempt's connection is still open.
@@ -114,12 +114,12 @@
             del self.requests[request.id]
 
 
-def record_run(request: Request, attempt: Attempt, status: AttemptStatus) -> None:
+def record_possible_execution(request: Request, attempt: Attempt, status: AttemptStatus) -> None:
     """Record whether an ended attempt may have been executed.
 
     If so, a keyed request may only be retried at hosts of the same deduplication scope.
     """
-    if status is not AttemptStatus.OK and status not in NEVER_RAN:
+    if status is not AttemptStatus.OK and status not in NOT_EXECUTED_STATUSES:
         if not request.may_have_run or attempt.sent_ns < request.first_run_ns:
             request.first_run_host = attempt.host
             request.first_run_ns = attempt.sent_ns
--- a/brambleusher/loadbalancing/balancer.py
+++ b/brambleusher/loadbalancing/balancer.py
@@ -19,7 +19,7 @@
 from brambleusher.loadbalancing.admission_control import AdmissionControl
 from brambleusher.loadbalancing.api import AttemptStatus, ListKind
 from brambleusher.loadbalancing.attempt_timeout import AttemptTimeouts
-from brambleusher.loadbalancing.attempt_tracker import AttemptTracker, record_run
+from brambleusher.loadbalancing.attempt_tracker import AttemptTracker, record_possible_execution
 from brambleusher.loadbalancing.cross_zone_spill import CrossZoneSpill
 from brambleusher.loadbalancing.endpoint_subscription import EndpointSubscription
 from brambleusher.loadbalancing.fleet_capacity import FleetCapacity
@@ -29,7 +29,7 @@
 from brambleusher.loadbalancing.idle_timeout import IdleTimeout
 from brambleusher.loadbalancing.outlier_detection import OutlierDetector, record_answered
 from brambleusher.loadbalancing.performance_index import PerformanceIndex
-from brambleusher.loadbalancing.retry_policy import NEVER_RAN, RetryPolicy
+from brambleusher.loadbalancing.retry_policy import NOT_EXECUTED_STATUSES, RetryPolicy
 from brambleusher.loadbalancing.slow_start_budget import SlowStartBudget
 from brambleusher.loadbalancing.token_round_robin import TokenRoundRobin
 from brambleusher.loadbalancing.traffic import TrafficStatistics
@@ -189,7 +189,7 @@
     def _retry(self, request: Request, status: AttemptStatus, now: int, is_idle_loss: bool) -> None:
         """Retry at another host if rules, deadline and budget allow it; otherwise answer the request."""
         policy = self.retry_policy
-        costs_work = status not in NEVER_RAN and not is_idle_loss
+        costs_work = status not in NOT_EXECUTED_STATUSES and not is_idle_loss
         if policy.can_afford_retry(status, costs_work) and policy.may_attempt_again(request, now):
             host = self._pick_host(request, now)
             if host is not None and (host.is_connected or not policy.is_too_late_to_connect(request, now)):
@@ -269,7 +269,7 @@
         if event.request_ended:
             request.is_answered = True
             self._cancel_attempts(request)
-        record_run(request, attempt, event.status)
+        record_possible_execution(request, attempt, event.status)
         if not request.is_answered and not request.has_live_attempt:
             self._retry(request, event.status, now, is_idle_loss)
         self.attempts.forget_if_done(request)
--- a/brambleusher/loadbalancing/retry_policy.py
+++ b/brambleusher/loadbalancing/retry_policy.py
@@ -14,7 +14,9 @@
 from brambleusher.loadbalancing.traffic import TrafficStatistics
 
 # Statuses of attempts that no host has begun to execute.
-NEVER_RAN = frozenset({AttemptStatus.OVERLOADED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_STARTED})
+NOT_EXECUTED_STATUSES = frozenset(
+    {AttemptStatus.OVERLOADED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_STARTED}
+)
 # Without overload a rejected client may retry after the shortest latency target divided by this.
 PROMPT_RETRY_DIVISOR = 4
 
