--- a/brambleusher/loadbalancing/admission_control.py
+++ b/brambleusher/loadbalancing/admission_control.py
@@ -94,7 +94,9 @@
         self._current_weight = 1 / math.sqrt(settings.fleet_size)
         self.quotas = TenantQuotas(settings)
         self.limit = math.inf  # maximum number of attempts in flight
-        self.offered = MIN_OFFERED  # attempts in flight that would be needed to serve all arriving requests
+        self.offered_load = (
+            MIN_OFFERED  # attempts in flight that would be needed to serve all arriving requests
+        )
         self.is_late = False  # whether answers are later than the goal
         # Whether answers are late and, in addition, hosts are busy or reject attempts.
         self.is_overloaded = False
@@ -253,7 +255,7 @@
         traffic = self._traffic
         recent = traffic.recent_requests
         arrivals_in_target = min(traffic.requests / HEALTH_WINDOW, recent + math.sqrt(recent) + 1)
-        self.offered = max(arrivals_in_target * budget.budget_ns / self._shortest_target_ns, MIN_OFFERED)
+        self.offered_load = max(arrivals_in_target * budget.budget_ns / self._shortest_target_ns, MIN_OFFERED)
 
     # --- requests --------------------------------------------------------------------------------
 
@@ -314,5 +316,5 @@
         # nothing in flight a request is admitted, since nothing would be learned otherwise.
         uses_offered_load = self.is_late or self.rejections_long < 1
         if uses_offered_load and (traffic.in_flight or limit < 1):
-            occupied = max(occupied, 1 - limit / self.offered)
+            occupied = max(occupied, 1 - limit / self.offered_load)
         return occupied
--- a/brambleusher/loadbalancing/state_tables.py
+++ b/brambleusher/loadbalancing/state_tables.py
@@ -48,7 +48,7 @@
     "traffic.observed_s": "_span",
     "retry_policy.budget": "_retries",
     "admission.limit": "_limit",
-    "admission.offered": "_offered",
+    "admission.offered_load": "_offered",
     "admission.logged_ns": "_logged_ns",
     "admission.rejections": "_full_sum",
     "admission.rejections_long": "_turned",
--- a/tests/loadbalancing/test_admission_control.py
+++ b/tests/loadbalancing/test_admission_control.py
@@ -74,7 +74,7 @@
     """Hundreds of proxies with one slot each must not fill every queue together."""
     balancer = build_balancer(["h1"])
     balancer.admission.sorted_densities = [float(n) for n in range(100)]
-    balancer.admission.limit, balancer.admission.offered, balancer.admission.is_late = 0.4, 1.0, True
+    balancer.admission.limit, balancer.admission.offered_load, balancer.admission.is_late = 0.4, 1.0, True
     assert not balancer._admits(59.0) and balancer._admits(61.0)
     balancer.admission.is_late = False
     balancer.admission.rejections_long = 2.0  # hosts that reject attempts bound their own queues
