--- a/brambleusher/loadbalancing/performance_index.py
+++ b/brambleusher/loadbalancing/performance_index.py
@@ -12,7 +12,7 @@
 from brambleusher.loadbalancing.hosts import Host
 
 PI_GOAL = 1.0  # PI above which a weight is reduced
-PI_ZERO = 1.5  # PI above which a weight is 0
+PI_CUTOFF = 1.5  # PI above which a weight is 0
 IMPORTANT_FRACTION = 0.75  # fraction of the counts that the most important classes have to cover
 
 # The index is a mean, and latencies are spread about as widely as their mean: with a mean at half the latency
--- a/brambleusher/loadbalancing/weights.py
+++ b/brambleusher/loadbalancing/weights.py
@@ -12,7 +12,7 @@
 
 from brambleusher.loadbalancing.fleet_capacity import FleetCapacity
 from brambleusher.loadbalancing.hosts import RESERVE, Host
-from brambleusher.loadbalancing.performance_index import PI_GOAL, PI_ZERO, PerformanceIndex
+from brambleusher.loadbalancing.performance_index import PI_CUTOFF, PI_GOAL, PerformanceIndex
 from brambleusher.loadbalancing.slow_start_budget import SlowStartBudget
 from brambleusher.loadbalancing.token_round_robin import WEIGHT_TOTAL
 
@@ -28,7 +28,7 @@
     reduced = []
     for spare, host_index, host_health in zip(base, index, health, strict=True):
         weight = WEIGHT_TOTAL * spare / total if total > 0 else 0.0
-        if host_index > PI_ZERO:
+        if host_index > PI_CUTOFF:
             weight = 0.0
         elif host_index > PI_GOAL:
             weight *= 1 - (host_index - PI_GOAL)
