--- a/brambleusher/features/records.py
+++ b/brambleusher/features/records.py
@@ -12,7 +12,7 @@
 import orjson
 
 from brambleusher.loadbalancing import api
-from brambleusher.loadbalancing.json_values import plain, unplain
+from brambleusher.loadbalancing.json_values import decode_plain, encode_plain
 from brambleusher.loadbalancing.settings_codec import restore_rules, save_rules
 from brambleusher.net.endpoint_list import state_of, state_word
 
@@ -39,7 +39,7 @@
         "kind": entry.kind,
         "cell": entry.cell,
         "state": state_word(entry.state),
-        "weight": plain(entry.weight),
+        "weight": encode_plain(entry.weight),
         "started_ms": entry.started_ns // NS_PER_MS,
     }
 
@@ -52,7 +52,7 @@
         raw["kind"],
         raw["cell"],
         state_of(raw["state"]),
-        cast(float, unplain(raw["weight"])),
+        cast(float, decode_plain(raw["weight"])),
         raw["started_ns"],
     )
 
@@ -83,7 +83,7 @@
         "status": event.status.value,
         "latency_ns": event.latency_ns,
         "closed": event.request_ended,
-        "report": report and [plain(report.utilisation), plain(report.throughput)],
+        "report": report and [encode_plain(report.utilisation), encode_plain(report.throughput)],
     }
 
 
@@ -100,7 +100,7 @@
 
 
 def _decode_report(values: Sequence[object] | None) -> api.LoadReport | None:
-    return api.LoadReport(*(cast(float | None, unplain(value)) for value in values)) if values else None
+    return api.LoadReport(*(cast(float | None, decode_plain(value)) for value in values)) if values else None
 
 
 def _encode_stream(event: api.StreamStarted) -> JsonObject:
--- a/brambleusher/loadbalancing/json_values.py
+++ b/brambleusher/loadbalancing/json_values.py
@@ -14,7 +14,7 @@
     """A saved state, or saved settings, that this version cannot restore."""
 
 
-def plain(value: object) -> object:
+def encode_plain(value: object) -> object:
     """Return the JSON value of a plain value, which must not contain hosts or requests.
 
     Raises:
@@ -25,25 +25,25 @@
     if type(value) is float:
         return value if math.isfinite(value) else {_FLOAT: str(value)}
     if type(value) is list:
-        return [plain(item) for item in value]
+        return [encode_plain(item) for item in value]
     if type(value) is tuple:
-        return {_TUPLE: [plain(item) for item in value]}
+        return {_TUPLE: [encode_plain(item) for item in value]}
     raise StateError(f"a {type(value).__name__} can't be saved: {value!r:.100}")
 
 
-def unplain(value: object) -> object:
-    """Return the value that was passed to `plain`, from its result.
+def decode_plain(value: object) -> object:
+    """Return the value that was passed to `encode_plain`, from its result.
 
     Raises:
         StateError: The value contains an object of an unknown kind.
     """
     if isinstance(value, list):
-        return [unplain(item) for item in value]
+        return [decode_plain(item) for item in value]
     if not isinstance(value, dict):
         return value
     ((key, content),) = value.items()
     if key == _FLOAT:
         return float(content)
     if key == _TUPLE:
-        return tuple(unplain(item) for item in content)
+        return tuple(decode_plain(item) for item in content)
     raise StateError(f"a value of kind {key} is unknown")
--- a/brambleusher/loadbalancing/settings_codec.py
+++ b/brambleusher/loadbalancing/settings_codec.py
@@ -10,7 +10,7 @@
 from typing import Any, Final
 
 from brambleusher.loadbalancing import api
-from brambleusher.loadbalancing.json_values import MALFORMED, StateError, plain, unplain
+from brambleusher.loadbalancing.json_values import MALFORMED, StateError, decode_plain, encode_plain
 
 # Each table maps stored keys to attributes, in the order in which they are written.
 ZONE_RULES_KEYS: Final = {
@@ -93,7 +93,7 @@
     try:
         if set(raw) != set(ZONE_RULES_KEYS):
             raise StateError("the rules on zones are not this version's")
-        values: dict[str, Any] = {ZONE_RULES_KEYS[key]: unplain(value) for key, value in raw.items()}
+        values: dict[str, Any] = {ZONE_RULES_KEYS[key]: decode_plain(value) for key, value in raw.items()}
         return api.ZoneRules(**values)
     except StateError:
         raise
@@ -110,7 +110,7 @@
         "report_fields": list(settings.report_fields),
     }
     return {
-        key: sections[key] if key in sections else plain(getattr(settings, attribute))
+        key: sections[key] if key in sections else encode_plain(getattr(settings, attribute))
         for key, attribute in SETTINGS_KEYS.items()
     }
 
@@ -124,7 +124,9 @@
     if not isinstance(raw, Mapping):
         raise StateError(f"the settings are no object but a {type(raw).__name__}")
     try:
-        values: dict[str, Any] = {key: unplain(value) for key, value in raw.items() if key not in _SECTIONS}
+        values: dict[str, Any] = {
+            key: decode_plain(value) for key, value in raw.items() if key not in _SECTIONS
+        }
         values["classes"] = tuple(_request_class(item) for item in raw["classes"])
         values["tenants"] = tuple(_tenant(item) for item in raw["tenants"])
         values["zones"] = restore_rules(raw["zones"])
@@ -139,13 +141,13 @@
 
 
 def _encode_fields(item: object, keys: Mapping[str, str]) -> dict[str, Any]:
-    return {key: plain(getattr(item, attribute)) for key, attribute in keys.items()}
+    return {key: encode_plain(getattr(item, attribute)) for key, attribute in keys.items()}
 
 
 def _save_request_class(item: api.RequestClass) -> dict[str, Any]:
     enum_values = {"effect": item.idempotency.value, "group": item.deduplication_scope.value}
     return {
-        key: enum_values[key] if key in enum_values else plain(getattr(item, attribute))
+        key: enum_values[key] if key in enum_values else encode_plain(getattr(item, attribute))
         for key, attribute in REQUEST_CLASS_KEYS.items()
     }
 
