--- a/brambleusher/loadbalancing/admission_control.py
+++ b/brambleusher/loadbalancing/admission_control.py
@@ -124,12 +124,12 @@
         """Decay the counts, more slowly if samples are few: two rejections are no sign of overload."""
         window = MIN_OUTCOMES * HEALTH_WINDOW / max(self._traffic.requests, 1.0)
         window = min(max(LATENCY_WINDOW, window), CAPACITY_WINDOW)
-        retained = math.exp(-decay.gap / window)
+        retained = math.exp(-decay.elapsed / window)
         self.outcomes *= retained
         self.rejections *= retained
         # Whether hosts reject attempts at all is a property of the deployment, so the long count decays
         # slowly.
-        self.rejections_long *= math.exp(-decay.gap / BEST_RATE_WINDOW)
+        self.rejections_long *= math.exp(-decay.elapsed / BEST_RATE_WINDOW)
 
     def update_fleet_fraction(self, throughput: float) -> None:
         """Update this proxy's fraction of the fleet's throughput."""
@@ -147,8 +147,8 @@
 
     # --- the limit -------------------------------------------------------------------------------
 
-    def update_limit(self, gap: float, now: int) -> api.WriteLog | None:
-        """Set the limit after `gap` latency targets have passed; return a log line if overload has begun."""
+    def update_limit(self, elapsed: float, now: int) -> api.WriteLog | None:
+        """Set the limit after `elapsed` latency targets have passed; return a log line if overload began."""
         hosts = self._host_table.in_use
         weighted_index = sum(host.weight * host.performance_index for host in hosts) / WEIGHT_TOTAL
         self.is_late = weighted_index > PI_GOAL
@@ -157,12 +157,12 @@
         is_busy = self._capacity.mean_utilisation > 1 - RESERVE
         self.is_overloaded = self.is_late and (is_busy or self.rejections > 1)
         budget = self._latency_budget()
-        due = self._due_in_flight(hosts, gap, budget)
+        due = self._due_in_flight(hosts, elapsed, budget)
         goal = PI_GOAL
         if budget.is_known:
             goal = budget.budget_ns / max(budget.target_ns * GOAL_PER_TARGET, 1.0)
         self._move_limit(
-            hosts, gap, due, goal / max(index, MIN_PERFORMANCE_INDEX), is_busy or self.is_overloaded
+            hosts, elapsed, due, goal / max(index, MIN_PERFORMANCE_INDEX), is_busy or self.is_overloaded
         )
         self._update_offered(budget)
         self.sorted_densities = sorted(self.densities)
@@ -201,7 +201,7 @@
         budget_ns = min(unloaded_ns, target_ns * USUAL_LATENCY_FRACTION) + target_ns * QUEUEING_FRACTION
         return _LatencyBudget(budget_ns, target_ns, is_known=True)
 
-    def _due_in_flight(self, hosts: Sequence[Host], gap: float, budget: _LatencyBudget) -> float:
+    def _due_in_flight(self, hosts: Sequence[Host], elapsed: float, budget: _LatencyBudget) -> float:
         """Return the attempts in flight that this proxy's fraction of the fleet serves in the latency budget.
 
         The limit stays near this number. Overloaded hosts serve less than before until their queues have
@@ -215,9 +215,9 @@
             if host.reported_ns >= 0
         ]
         rate = sum(rates) / len(rates) if rates else self._capacity.mean_capacity
-        decayed_best_rate = self.best_rate * math.exp(-gap / BEST_RATE_WINDOW) or max(rate, 1e-9)
+        decayed_best_rate = self.best_rate * math.exp(-elapsed / BEST_RATE_WINDOW) or max(rate, 1e-9)
         self.best_rate = decayed_best_rate + max(rate - decayed_best_rate, 0.0) * min(
-            gap / HEALTH_WINDOW, 1.0
+            elapsed / HEALTH_WINDOW, 1.0
         )
         acceptance = sum(host.acceptance for host in hosts) / max(len(hosts), 1)
         rate *= min(rate / self.best_rate, 1.0) * self._capacity.rate_per_size
@@ -225,7 +225,7 @@
         return fraction * rate * acceptance * self._host_table.ready_count * budget.budget_ns / NS_PER_S
 
     def _move_limit(
-        self, hosts: Sequence[Host], gap: float, due: float, goal_over_index: float, is_crowded: bool
+        self, hosts: Sequence[Host], elapsed: float, due: float, goal_over_index: float, is_crowded: bool
     ) -> None:
         """Move the limit towards the goal, within bounds around the due number of attempts in flight."""
         in_flight = self._traffic.in_flight
@@ -245,7 +245,9 @@
             upper_bound = due * min(max(goal_over_index, 1.0), MAX_HEADROOM)
         else:
             upper_bound = max(due * IDLE_HEADROOM, IDLE_HEADROOM * in_flight, len(hosts))
-        self.limit = max(min(self.limit * (1 + relative_change * min(gap, 1.0)), upper_bound), lower_bound)
+        self.limit = max(
+            min(self.limit * (1 + relative_change * min(elapsed, 1.0)), upper_bound), lower_bound
+        )
         if not in_flight and self.outcomes < 1:
             # Without this exception the first burst at a proxy that has been idle would meet the limit of an
             # idle proxy, which is about one attempt per host in use. No recent answer supports a limit yet.
--- a/brambleusher/loadbalancing/balancer.py
+++ b/brambleusher/loadbalancing/balancer.py
@@ -135,27 +135,27 @@
         """Choose the hosts in use."""
         self._close_idle_connections(self.host_table.choose_subset())
 
-    def _recompute_weights(self, now: int, gap: float) -> None:
+    def _recompute_weights(self, now: int, elapsed: float) -> None:
         """Turn spare capacity into weights; `docs/design.md` explains the steps."""
         hosts = self.round_robin.ring
         if not hosts:
             return
         spare_capacities = self.weights.spare_capacities(hosts, now)
-        self._update_cross_zone_spill(gap)
+        self._update_cross_zone_spill(elapsed)
         self.weights.assign(hosts, spare_capacities, self._spill_fractions(), now)
         self.round_robin.trim_tokens()
 
-    def _update_cross_zone_spill(self, gap: float) -> None:
+    def _update_cross_zone_spill(self, elapsed: float) -> None:
         """Update the fraction of spare capacity that remote hosts offer."""
-        self.cross_zone_spill.update(self.round_robin.ring, gap)
+        self.cross_zone_spill.update(self.round_robin.ring, elapsed)
 
     def _spill_fractions(self) -> Callable[[Host], float]:
         """Return a function that gives the fraction of its spare capacity that a host offers."""
         return self.cross_zone_spill.of_host
 
-    def _update_admission_limit(self, gap: float) -> None:
+    def _update_admission_limit(self, elapsed: float) -> None:
         """Set the limit on attempts in flight."""
-        log_line = self.admission.update_limit(gap, self.ticked_ns)
+        log_line = self.admission.update_limit(elapsed, self.ticked_ns)
         if log_line is not None:
             self._actions.append(log_line)
 
@@ -356,16 +356,16 @@
 
     def _on_timer(self, _event: api.TimerFired, now: int) -> None:
         """Do all work whose cost grows with the number of hosts, so that requests don't pay for it."""
-        gap = max(0, now - self.ticked_ns) / self._shortest_target_ns
+        elapsed = max(0, now - self.ticked_ns) / self._shortest_target_ns
         self.ticked_ns = now
-        self._decay(gap)
+        self._decay(elapsed)
         if self.host_table.has_outgrown_subset():
             self._choose_hosts()
         self._write_off_overtaken_attempts(now)
         throughput = capacity_estimates.size_in_use(self.round_robin.ring, self.host_table.ready_count)
-        self.capacity.update_rate_per_size(throughput, gap)
-        self._recompute_weights(now, gap)
-        self._update_admission_limit(gap)
+        self.capacity.update_rate_per_size(throughput, elapsed)
+        self._recompute_weights(now, elapsed)
+        self._update_admission_limit(elapsed)
         self.admission.update_fleet_fraction(throughput)
         if not self.admission.is_overloaded and self.capacity.mean_utilisation < 1 - RESERVE:
             self.traffic.update_unloaded_latencies()
@@ -375,13 +375,13 @@
             self._close_idle_connections(self.host_table.continue_closing(now))
         self._set_timer(now)
 
-    def _decay(self, gap: float) -> None:
-        """Decay all estimators; `gap` is the time since the last tick, in latency targets."""
-        decay = Decay.after(gap)
+    def _decay(self, elapsed: float) -> None:
+        """Decay all estimators; `elapsed` is the time since the last tick, in latency targets."""
+        decay = Decay.after(elapsed)
         decay_hosts(self.round_robin.ring, decay)
         self.outliers.decay(decay)
         self.retry_policy.budget.decay(decay.health)
-        self.idle_timeout.recover(gap, decay.capacity)
+        self.idle_timeout.recover(elapsed, decay.capacity)
         self.admission.decay(decay)
         self.capacity.decay(decay)
         self.traffic.decay(decay)
--- a/brambleusher/loadbalancing/connection_admission.py
+++ b/brambleusher/loadbalancing/connection_admission.py
@@ -78,9 +78,9 @@
 
     def record(self, now: float) -> None:
         """Record an arrival."""
-        gap = max(now - self._at, 0.0)
-        self._recent = self._recent * math.exp(-gap / FORECAST_S) + 1.0
-        self._peak = max(self._recent, self._peak * math.exp(-gap / PEAK_DECAY_S))
+        elapsed = max(now - self._at, 0.0)
+        self._recent = self._recent * math.exp(-elapsed / FORECAST_S) + 1.0
+        self._peak = max(self._recent, self._peak * math.exp(-elapsed / PEAK_DECAY_S))
         self._at = now
         self.upper_bound = self._bound(self._peak)
 
--- a/brambleusher/loadbalancing/cross_zone_spill.py
+++ b/brambleusher/loadbalancing/cross_zone_spill.py
@@ -63,8 +63,8 @@
         )
         return min(max(1 - free_fraction, MIN_TARGET_UTILISATION), 1 - RESERVE)
 
-    def update(self, hosts: Sequence[Host], gap: float) -> None:
-        """Adjust the spill after `gap` latency targets have passed."""
+    def update(self, hosts: Sequence[Host], elapsed: float) -> None:
+        """Adjust the spill after `elapsed` latency targets have passed."""
         local = [host for host in hosts if host.is_local]
         target = self.target_utilisation()
         if not local or target is None:
@@ -80,7 +80,7 @@
             error = min(utilisation - target, utilisation - remote_utilisation) / (1 - target)
         else:
             error = (utilisation - target) / target
-        updated = self.fraction + ADJUSTMENT * error * gap
+        updated = self.fraction + ADJUSTMENT * error * elapsed
         self.fraction = min(1.0, max(min_spill(self._price), updated))
 
 
--- a/brambleusher/loadbalancing/flap_damping.py
+++ b/brambleusher/loadbalancing/flap_damping.py
@@ -32,10 +32,10 @@
             )
             zone.flap_penalty = min(zone.flap_penalty + penalty, max_penalty)
 
-    def decay(self, zone: Zone, gap: float) -> None:
-        """Let the penalty decay over `gap` latency targets."""
+    def decay(self, zone: Zone, elapsed: float) -> None:
+        """Let the penalty decay over `elapsed` latency targets."""
         rules = self._table.active_rules
-        zone.flap_penalty *= 0.5 ** (gap * self._table.target_ns / rules.flap_penalty_half_life_ns)
+        zone.flap_penalty *= 0.5 ** (elapsed * self._table.target_ns / rules.flap_penalty_half_life_ns)
 
     def must_suppress(self, zone: Zone) -> bool:
         """Return whether the penalty keeps the zone out."""
--- a/brambleusher/loadbalancing/fleet_capacity.py
+++ b/brambleusher/loadbalancing/fleet_capacity.py
@@ -52,8 +52,10 @@
             host.utilisation = utilisation
             host.throughput = throughput
         else:
-            gap_ns = now - host.reported_ns
-            weight = max(gap_ns / (gap_ns + self._shortest_target_ns * UTILISATION_WINDOW), MIN_REPORT_WEIGHT)
+            elapsed_ns = now - host.reported_ns
+            weight = max(
+                elapsed_ns / (elapsed_ns + self._shortest_target_ns * UTILISATION_WINDOW), MIN_REPORT_WEIGHT
+            )
             host.utilisation += weight * (utilisation - host.utilisation)
             host.throughput += weight * (throughput - host.throughput)
         host.reported_ns = now
@@ -93,13 +95,13 @@
             utilisations.append(host.utilisation + faded * (mean - host.utilisation))
         return utilisations
 
-    def update_rate_per_size(self, sizes_in_use: float, gap: float) -> None:
+    def update_rate_per_size(self, sizes_in_use: float, elapsed: float) -> None:
         """Update the request rate per size; must be called before the admission limit is set.
 
         The admission limit treats a rate of 0 as no capacity.
         """
         if self.uses_sizes and sizes_in_use > 0:
-            self.size_seconds_used += sizes_in_use * gap * self._shortest_target_ns / NS_PER_S
+            self.size_seconds_used += sizes_in_use * elapsed * self._shortest_target_ns / NS_PER_S
             self.rate_per_size = self.requests_asked * self._fleet_size / self.size_seconds_used
 
     def decay(self, decay: Decay) -> None:
--- a/brambleusher/loadbalancing/idle_timeout.py
+++ b/brambleusher/loadbalancing/idle_timeout.py
@@ -1,7 +1,7 @@
 """Learned idle timeout: how long a connection may have been idle and still be used for an attempt.
 
 Connections may be dropped unnoticed while idle, and the next request on such a connection is lost. Pure:
-times are in nanoseconds, gaps in latency targets.
+times are in nanoseconds, elapsed times in latency targets.
 """
 
 from __future__ import annotations
@@ -69,10 +69,10 @@
         is_chance = idle_ns < self.proven_idle_ns and self.resets <= 1 + self.answered * CHANCE_RESETS
         return not is_chance
 
-    def recover(self, gap: float, retained: float) -> None:
-        """Let the timeout recover over `gap` latency targets, and scale the counts by `retained`."""
-        self.timeout_ns = min(self.timeout_ns * math.exp(gap / RECOVERY_TARGETS), self.limit_ns)
-        self.proven_idle_ns *= math.exp(-gap / RECOVERY_TARGETS)
+    def recover(self, elapsed: float, retained: float) -> None:
+        """Let the timeout recover over `elapsed` latency targets, and scale the counts by `retained`."""
+        self.timeout_ns = min(self.timeout_ns * math.exp(elapsed / RECOVERY_TARGETS), self.limit_ns)
+        self.proven_idle_ns *= math.exp(-elapsed / RECOVERY_TARGETS)
         self.answered *= retained
         self.timed_out *= retained
         self.resets *= retained
--- a/brambleusher/loadbalancing/spill_grants.py
+++ b/brambleusher/loadbalancing/spill_grants.py
@@ -161,7 +161,7 @@
     # --- tiers ----------------------------------------------------------------------------------
 
     def update_tiers(
-        self, gap: float, loads: Mapping[str, ZoneLoad], target_utilisation: float, min_fraction: float
+        self, elapsed: float, loads: Mapping[str, ZoneLoad], target_utilisation: float, min_fraction: float
     ) -> None:
         """Set the offered fraction of each tier's spare capacity from the utilisation of nearer tiers."""
         table = self._table
@@ -176,7 +176,7 @@
                 self.offered_by_tier[tier] = 1.0
             else:
                 self._update_tier(
-                    tier, [loads[name] for name in loaded], nearer, gap, target_utilisation, min_fraction
+                    tier, [loads[name] for name in loaded], nearer, elapsed, target_utilisation, min_fraction
                 )
             # A zone that is returning or being evacuated is used up to its limit, so its utilisation is not
             # counted.
@@ -187,7 +187,7 @@
         tier: int,
         loads: list[ZoneLoad],
         nearer: _NearerTiers,
-        gap: float,
+        elapsed: float,
         target_utilisation: float,
         min_fraction: float,
     ) -> None:
@@ -204,7 +204,7 @@
         else:
             error = (utilisation - target_utilisation) / target_utilisation
         previous = self.offered_by_tier.get(tier, min_fraction)
-        self.offered_by_tier[tier] = min(1.0, max(min_fraction, previous + TIER_GAIN * error * gap))
+        self.offered_by_tier[tier] = min(1.0, max(min_fraction, previous + TIER_GAIN * error * elapsed))
 
     def _offered_by_tiers_up_to(self, tier: int) -> float:
         """Return the product of the offered fractions of a tier and all nearer ones."""
@@ -216,9 +216,9 @@
 
     # --- grants ---------------------------------------------------------------------------------
 
-    def decay(self, zone: Zone, gap: float) -> None:
-        """Decay the part of the grant that reports can't reflect yet, over `gap` latency targets."""
-        zone.unreported_grant_per_s *= 0.5 ** (gap / REPORT_LAG_TARGETS)
+    def decay(self, zone: Zone, elapsed: float) -> None:
+        """Decay the part of the grant that reports can't reflect yet, over `elapsed` latency targets."""
+        zone.unreported_grant_per_s *= 0.5 ** (elapsed / REPORT_LAG_TARGETS)
 
     def needs_returning_zones(self, now: int) -> bool:
         """Return whether some demand was unplaced recently, so that returning zones must take more."""
@@ -226,18 +226,23 @@
         return bool(last_ns) and now - last_ns <= NEEDED_TARGETS * self._table.target_ns
 
     def update(
-        self, now: int, gap: float, loads: Mapping[str, ZoneLoad], demand: float, target_utilisation: float
+        self,
+        now: int,
+        elapsed: float,
+        loads: Mapping[str, ZoneLoad],
+        demand: float,
+        target_utilisation: float,
     ) -> None:
         """Set limits and offered fractions of all zones, distributing the demand within the grants.
 
         Args:
             now: The current time in nanoseconds.
-            gap: Time since the last tick in latency targets.
+            elapsed: Time since the last tick in latency targets.
             loads: Load by zone.
             demand: Requests per second that arrive at this proxy.
             target_utilisation: Utilisation of nearer hosts above which farther ones help.
         """
-        weights = self._update_limits(now, gap, loads, demand, target_utilisation)
+        weights = self._update_limits(now, elapsed, loads, demand, target_utilisation)
         self.ticked_ns = now
         if self._table.is_panic:
             for zone in self._table.zones.values():
@@ -248,19 +253,24 @@
         self._distribute_demand(weights, loads, demand, now)
 
     def _update_limits(
-        self, now: int, gap: float, loads: Mapping[str, ZoneLoad], demand: float, target_utilisation: float
+        self,
+        now: int,
+        elapsed: float,
+        loads: Mapping[str, ZoneLoad],
+        demand: float,
+        target_utilisation: float,
     ) -> dict[str, float]:
         """Set the limit of each zone; return the weights of the zones that are not excluded."""
         table = self._table
         max_utilisation = table.active_rules.max_utilisation
-        seconds = gap * table.target_ns / NS_PER_S
+        seconds = elapsed * table.target_ns / NS_PER_S
         # Converts the decaying count of responses, with half-life `RESPONSE_HALF_LIFE_TARGETS`, to a rate.
         per_s = HALVING / (RESPONSE_HALF_LIFE_TARGETS * table.target_ns / NS_PER_S)
         spill_share = self._spill_share(loads, target_utilisation)
         weights: dict[str, float] = {}
         for name, zone in table.zones.items():
             load, used = loads.get(name) or ZoneLoad(), zone.recent_responses * per_s
-            self._update_traffic_share(zone, load, used, gap)
+            self._update_traffic_share(zone, load, used, elapsed)
             zone.is_calm = zone.state is ZoneState.HEALTHY and load.used < target_utilisation * load.capacity
             if not load.host_count or table.is_excluded(name):
                 zone.limit_per_s = UNLIMITED
@@ -274,12 +284,12 @@
         return weights
 
     @staticmethod
-    def _update_traffic_share(zone: Zone, load: ZoneLoad, used: float, gap: float) -> None:
+    def _update_traffic_share(zone: Zone, load: ZoneLoad, used: float, elapsed: float) -> None:
         if zone.state is not ZoneState.HEALTHY or load.throughput <= 0 or zone.evacuation_began_ns:
             return
         current_share = min(1.0, used / load.throughput)
         is_known = zone.own_traffic_share >= 0
-        retained = 0.5 ** (gap / TRAFFIC_SHARE_HALF_LIFE_TARGETS) if is_known else 0.0
+        retained = 0.5 ** (elapsed / TRAFFIC_SHARE_HALF_LIFE_TARGETS) if is_known else 0.0
         zone.own_traffic_share = zone.own_traffic_share * retained + current_share * (1 - retained)
 
     def _distribute_demand(
--- a/brambleusher/loadbalancing/traffic.py
+++ b/brambleusher/loadbalancing/traffic.py
@@ -42,9 +42,9 @@
         """Record the arrival of a request."""
         self.requests += 1
         self.recent_requests += 1
-        gap = max(now - self.last_arrival_ns, 0) / self._shortest_target_ns
+        elapsed = max(now - self.last_arrival_ns, 0) / self._shortest_target_ns
         self.last_arrival_ns = now
-        self.mean_in_flight += (self.in_flight - self.mean_in_flight) * -math.expm1(-gap / LATENCY_WINDOW)
+        self.mean_in_flight += (self.in_flight - self.mean_in_flight) * -math.expm1(-elapsed / LATENCY_WINDOW)
 
     def record_answer(self, class_index: int, latency_ns: int) -> None:
         """Record the latency of an answer."""
@@ -58,10 +58,12 @@
     def decay(self, decay: Decay) -> None:
         """Decay all statistics."""
         self.requests *= decay.health
-        self.recent_requests *= math.exp(-decay.gap)
+        self.recent_requests *= math.exp(-decay.elapsed)
         self.peak_in_flight = max(float(self.in_flight), self.peak_in_flight * decay.capacity)
         self.served *= decay.capacity
-        self.observed_s = self.observed_s * decay.capacity + decay.gap * self._shortest_target_ns / NS_PER_S
+        self.observed_s = (
+            self.observed_s * decay.capacity + decay.elapsed * self._shortest_target_ns / NS_PER_S
+        )
         self.answer_counts = [count * decay.capacity for count in self.answer_counts]
         self.latency_totals_ns = [total * decay.capacity for total in self.latency_totals_ns]
 
--- a/brambleusher/loadbalancing/windows.py
+++ b/brambleusher/loadbalancing/windows.py
@@ -22,17 +22,17 @@
 class Decay(NamedTuple):
     """Factors by which counts decay after some time, by window."""
 
-    gap: float  # elapsed time in latency targets
+    elapsed: float  # elapsed time in latency targets
     latency: float
     health: float
     capacity: float
 
     @classmethod
-    def after(cls, gap: float) -> Decay:
+    def after(cls, elapsed: float) -> Decay:
         """Return the factors for an elapsed time in latency targets."""
         return cls(
-            gap,
-            math.exp(-gap / LATENCY_WINDOW),
-            math.exp(-gap / HEALTH_WINDOW),
-            math.exp(-gap / CAPACITY_WINDOW),
+            elapsed,
+            math.exp(-elapsed / LATENCY_WINDOW),
+            math.exp(-elapsed / HEALTH_WINDOW),
+            math.exp(-elapsed / CAPACITY_WINDOW),
         )
--- a/brambleusher/loadbalancing/zone_aware_balancer.py
+++ b/brambleusher/loadbalancing/zone_aware_balancer.py
@@ -107,18 +107,20 @@
             (action.at_ns for action in self._actions if isinstance(action, api.SetTimer)), default=0
         )
 
-    def _recompute_weights(self, now: int, gap: float) -> None:
+    def _recompute_weights(self, now: int, elapsed: float) -> None:
         if self._has_rules:
-            self._update_zones(now, gap)
-        super()._recompute_weights(now, gap)
+            self._update_zones(now, elapsed)
+        super()._recompute_weights(now, elapsed)
 
-    def _update_zones(self, now: int, gap: float) -> None:
+    def _update_zones(self, now: int, elapsed: float) -> None:
         """Update the state of all zones from reports and unanswered attempts; act on changes."""
         router = self.zone_router
         target, min_spill_fraction = self._target_utilisation()
         excluded_before = self._excluded_zones()
         loads = self._zone_loads.collect(now)
-        has_changed = router.tick(now, gap, loads, self.traffic.requests_per_s, target, min_spill_fraction)
+        has_changed = router.tick(
+            now, elapsed, loads, self.traffic.requests_per_s, target, min_spill_fraction
+        )
         self._actions.extend(api.WriteLog(text) for text in router.take_log_lines())
         if has_changed:
             excluded_after = self._excluded_zones()
@@ -167,9 +169,9 @@
 
     # --- weights and admission -------------------------------------------------------------------
 
-    def _update_cross_zone_spill(self, gap: float) -> None:
+    def _update_cross_zone_spill(self, elapsed: float) -> None:
         if not self._has_rules:
-            super()._update_cross_zone_spill(gap)
+            super()._update_cross_zone_spill(elapsed)
 
     def _spill_fractions(self) -> Callable[[Host], float]:
         if not self._has_rules:
@@ -177,13 +179,13 @@
         offered_fraction = self.zone_router.offered_fraction
         return lambda host: offered_fraction(host.zone)
 
-    def _update_admission_limit(self, gap: float) -> None:
+    def _update_admission_limit(self, elapsed: float) -> None:
         """While zones are degraded, raise the limit to what meets the goal, unless answers are late.
 
         Otherwise requests that the remaining zones could serve would be rejected: the plain limit aims at
         unloaded latencies, which full zones can't reach.
         """
-        super()._update_admission_limit(gap)
+        super()._update_admission_limit(elapsed)
         counts = sum(self.traffic.answer_counts)
         if (
             not self._has_rules
--- a/brambleusher/loadbalancing/zone_health.py
+++ b/brambleusher/loadbalancing/zone_health.py
@@ -126,13 +126,13 @@
         else:
             zone.consecutive_connect_failures = 0
 
-    def decay(self, zone: Zone, gap: float) -> None:
-        """Decay the evidence over `gap` latency targets."""
-        retained = 0.5 ** (gap / GREY_HALF_LIFE_TARGETS)
+    def decay(self, zone: Zone, elapsed: float) -> None:
+        """Decay the evidence over `elapsed` latency targets."""
+        retained = 0.5 ** (elapsed / GREY_HALF_LIFE_TARGETS)
         zone.recent_ends *= retained
         for node in zone.nodes.values():
             node.recent_failures *= retained
-        zone.recent_responses *= 0.5 ** (gap / RESPONSE_HALF_LIFE_TARGETS)
+        zone.recent_responses *= 0.5 ** (elapsed / RESPONSE_HALF_LIFE_TARGETS)
 
     # --- probes ---------------------------------------------------------------------------------
 
--- a/brambleusher/loadbalancing/zone_routing.py
+++ b/brambleusher/loadbalancing/zone_routing.py
@@ -172,7 +172,7 @@
     def tick(
         self,
         now: int,
-        gap: float,
+        elapsed: float,
         loads: Mapping[str, ZoneLoad],
         demand: float,
         target_utilisation: float,
@@ -182,7 +182,7 @@
 
         Args:
             now: The current time in nanoseconds.
-            gap: Time since the last tick in latency targets.
+            elapsed: Time since the last tick in latency targets.
             loads: Load by zone.
             demand: Requests per second that arrive at this proxy.
             target_utilisation: Utilisation of nearer hosts above which farther ones help.
@@ -195,14 +195,14 @@
             return False
         before = [self.is_excluded(name) for name in self.zones]
         for name, zone in self.zones.items():
-            self.health.decay(zone, gap)
-            self.grants.decay(zone, gap)
-            self.damping.decay(zone, gap)
+            self.health.decay(zone, elapsed)
+            self.grants.decay(zone, elapsed)
+            self.damping.decay(zone, elapsed)
             self.health.update_zone(zone, loads.get(name) or ZoneLoad(), now)
         self.health.update_panic(loads)
         self.tiers.rank_when_due(now)
-        self.grants.update_tiers(gap, loads, target_utilisation, min_fraction)
-        self.grants.update(now, gap, loads, demand, target_utilisation)
+        self.grants.update_tiers(elapsed, loads, target_utilisation, min_fraction)
+        self.grants.update(now, elapsed, loads, demand, target_utilisation)
         return before != [self.is_excluded(name) for name in self.zones]
 
     # --- queries --------------------------------------------------------------------------------
