--- a/brambleusher/loadbalancing/view_consistency.py
+++ b/brambleusher/loadbalancing/view_consistency.py
@@ -67,7 +67,7 @@
         self.position = position
         self._last_discovery_contact = now
 
-    def record_discovery_lost(self) -> None:
+    def record_discovery_disconnect(self) -> None:
         """Record that the watch has ended, so that its last update no longer confirms the view."""
         self._last_discovery_contact = None
 
--- a/brambleusher/xds/core.py
+++ b/brambleusher/xds/core.py
@@ -210,9 +210,9 @@
         self.view_consistency.record_discovery(ViewPosition(self.config.epoch, version), now_ns)
         self._update_view(now_ns)
 
-    def record_discovery_lost(self) -> None:
+    def record_discovery_disconnect(self) -> None:
         """Note that the watch of discovery has ended."""
-        self.view_consistency.record_discovery_lost()
+        self.view_consistency.record_discovery_disconnect()
 
     # --- durable storage --------------------------------------------------------------------------
 
--- a/brambleusher/xds/service.py
+++ b/brambleusher/xds/service.py
@@ -168,7 +168,7 @@
         self._write_requested.set()
 
     def _on_discovery_lost(self) -> None:
-        self.core.record_discovery_lost()
+        self.core.record_discovery_disconnect()
 
     async def _run_ticks(self) -> None:
         """Let time pass in the core, supervise streams, and log whether views are published."""
--- a/tests/xds/test_control.py
+++ b/tests/xds/test_control.py
@@ -348,7 +348,7 @@
     held = handout()
     held.record_discovery(ViewPosition(1, 6), 0)
     held.record_written(ViewPosition(1, 6))
-    held.record_discovery_lost()
+    held.record_discovery_disconnect()
     assert held.withheld_reason(0) is WithheldReason.ISOLATED
     held.record_peer_status("b", PeerStatus(ViewPosition(1, 6), ViewPosition(1, 5), is_connected=False), 0)
     assert held.withheld_reason(0) is WithheldReason.ISOLATED  # it is as cut off
@@ -488,7 +488,7 @@
         core.record_discovery_contact(now)
         feed(core, stream, proxy, [], now)
         assert proxy.responses == before + more * renewed
-    core.record_discovery_lost()
+    core.record_discovery_disconnect()
     feed(core, stream, proxy, [], 9 * SECOND)  # out of touch: what it has is left to go stale
     assert proxy.responses == before + 2 * renewed
 
@@ -505,7 +505,7 @@
 def test_discovery_down_for_a_minute_and_back_with_an_older_list(tmp_path: Path) -> None:
     core = core_with(tmp_path, endpoint("n1"), endpoint("n2"), version=9)
     stream, proxy = join(core)
-    core.record_discovery_lost()
+    core.record_discovery_disconnect()
     minute = 60 * SECOND
     core.tick(minute)
     assert core.withheld_reason(minute) is WithheldReason.ISOLATED
