--- a/brambleusher/loadbalancing/first_byte_survival.py
+++ b/brambleusher/loadbalancing/first_byte_survival.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 
 # Upper bounds of the intervals, in latency targets.
-ENDS = (0.05, 0.1, 0.15, 0.2, 0.25, 0.3, 0.4, 0.5, 0.6, 0.8, 1.0, 1.5, 2.0, 3.0, 4.0)
+INTERVAL_ENDS = (0.05, 0.1, 0.15, 0.2, 0.25, 0.3, 0.4, 0.5, 0.6, 0.8, 1.0, 1.5, 2.0, 3.0, 4.0)
 MIN_ANSWERS = 10.0  # with fewer answers nothing is known and the survival function is 1
 MAX_WAITS = 256.0  # number of waits at which the counts are halved
 MIN_SURVIVAL = 0.05  # lower bound of the estimate, since rarer answers have hardly been observed
@@ -25,15 +25,15 @@
     """Estimates the fraction of answers that begin later than a given wait."""
 
     # Waits that reached each interval.
-    waiting: list[float] = field(default_factory=lambda: [0.0] * len(ENDS))
+    waiting: list[float] = field(default_factory=lambda: [0.0] * len(INTERVAL_ENDS))
     # Waits that ended by an answer in each interval.
-    answered: list[float] = field(default_factory=lambda: [0.0] * len(ENDS))
+    answered: list[float] = field(default_factory=lambda: [0.0] * len(INTERVAL_ENDS))
     waits: float = 0.0
     answers: float = 0.0
 
     def record_answer(self, ratio: float) -> None:
         """Record an answer that began after `ratio` latency targets."""
-        reached = min(bisect_left(ENDS, ratio), len(ENDS) - 1)
+        reached = min(bisect_left(INTERVAL_ENDS, ratio), len(INTERVAL_ENDS) - 1)
         for index in range(reached + 1):
             self.waiting[index] += 1.0
         self.answered[reached] += 1.0
@@ -42,7 +42,7 @@
 
     def record_abandoned(self, ratio: float) -> None:
         """Record a wait that its client ended after `ratio` latency targets."""
-        for index in range(bisect_right(ENDS, ratio)):
+        for index in range(bisect_right(INTERVAL_ENDS, ratio)):
             self.waiting[index] += 1.0
         self._count()
 
@@ -51,7 +51,7 @@
         if self.answers < MIN_ANSWERS:
             return 1.0
         fraction = 1.0
-        for index in range(bisect_right(ENDS, ratio)):
+        for index in range(bisect_right(INTERVAL_ENDS, ratio)):
             if self.waiting[index] > 0.0:
                 fraction *= 1.0 - self.answered[index] / self.waiting[index]
         return max(fraction, MIN_SURVIVAL)
--- a/brambleusher/loadbalancing/hosts.py
+++ b/brambleusher/loadbalancing/hosts.py
@@ -19,9 +19,9 @@
 # Lower bound of the summed utilisation of reports; below it the capacity quotient is noise.
 MIN_UTILISATION_SUM = 0.01
 # Attempts sent later but answered earlier by the same host; a first-in-first-out queue has none.
-OVERTAKEN_BY = 2
+MIN_OVERTAKING_ATTEMPTS = 2
 # Shared placeholders for hosts that were never in use, which are most of thousands.
-NO_ANSWERS: Any = (-1,) * OVERTAKEN_BY
+NO_ANSWERS: Any = (-1,) * MIN_OVERTAKING_ATTEMPTS
 NO_ATTEMPTS: Any = MappingProxyType({})
 NO_CLASSES: Any = ()
 
--- a/brambleusher/loadbalancing/idle_timeout.py
+++ b/brambleusher/loadbalancing/idle_timeout.py
@@ -14,7 +14,7 @@
 # Recovery time constant in latency targets; slow, since each longer idle time may cost a request.
 RECOVERY_TARGETS = 32.0
 # Fraction of the answered attempts; up to one reset more than that is not blamed on idle times.
-CHANCE_RESETS = 0.05
+RANDOM_RESET_FRACTION = 0.05
 
 
 class IdleTimeout:
@@ -66,7 +66,7 @@
             return self.timed_out > max(1.0, self.answered)
         if status is not AttemptStatus.RESET:
             return False
-        is_chance = idle_ns < self.proven_idle_ns and self.resets <= 1 + self.answered * CHANCE_RESETS
+        is_chance = idle_ns < self.proven_idle_ns and self.resets <= 1 + self.answered * RANDOM_RESET_FRACTION
         return not is_chance
 
     def recover(self, elapsed: float, retained: float) -> None:
--- a/brambleusher/loadbalancing/spill_grants.py
+++ b/brambleusher/loadbalancing/spill_grants.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from brambleusher.loadbalancing.zone_health import RESPONSE_HALF_LIFE_TARGETS
-from brambleusher.loadbalancing.zone_state import HALVING, NS_PER_S, Zone, ZoneLoad, ZoneState, ZoneTable
+from brambleusher.loadbalancing.zone_state import LN_2, NS_PER_S, Zone, ZoneLoad, ZoneState, ZoneTable
 from brambleusher.loadbalancing.zone_tiers import ZoneTiers
 
 # Spill.
@@ -265,7 +265,7 @@
         max_utilisation = table.active_rules.max_utilisation
         seconds = elapsed * table.target_ns / NS_PER_S
         # Converts the decaying count of responses, with half-life `RESPONSE_HALF_LIFE_TARGETS`, to a rate.
-        per_s = HALVING / (RESPONSE_HALF_LIFE_TARGETS * table.target_ns / NS_PER_S)
+        per_s = LN_2 / (RESPONSE_HALF_LIFE_TARGETS * table.target_ns / NS_PER_S)
         spill_share = self._spill_share(loads, target_utilisation)
         weights: dict[str, float] = {}
         for name, zone in table.zones.items():
--- a/brambleusher/loadbalancing/zone_health.py
+++ b/brambleusher/loadbalancing/zone_health.py
@@ -17,7 +17,7 @@
 from brambleusher.loadbalancing.api import AttemptStatus
 from brambleusher.loadbalancing.flap_damping import SINGLE_NODE_PENALTY, FlapDamping
 from brambleusher.loadbalancing.zone_state import (
-    HALVING,
+    LN_2,
     NS_PER_S,
     NodeHealth,
     Zone,
@@ -222,7 +222,7 @@
         needed = LOST_TARGETS[min(dark_nodes, len(LOST_TARGETS)) - 1] * target_ns if dark_nodes else 0.0
         random_gap_ns = (
             MISSING_RESPONSES * target_ns * RESPONSE_HALF_LIFE_TARGETS
-            / (HALVING * max(zone.recent_responses, 1e-9))
+            / (LN_2 * max(zone.recent_responses, 1e-9))
         )  # fmt: skip
         return max(needed, min(random_gap_ns, LOST_TARGETS[0] * target_ns))
 
--- a/brambleusher/loadbalancing/zone_state.py
+++ b/brambleusher/loadbalancing/zone_state.py
@@ -13,7 +13,7 @@
 
 NS_PER_S = 1e9
 # ln 2: a decaying count with half-life T is, for a constant rate, the rate times T divided by ln 2.
-HALVING = 0.693
+LN_2 = 0.693
 UNREACHABLE_CONNECTS = 3  # consecutive failed connects to a zone after which it is certainly unreachable
 
 
