--- a/brambleusher/loadbalancing/fleet_balancer.py
+++ b/brambleusher/loadbalancing/fleet_balancer.py
@@ -68,7 +68,7 @@
         self.ready_count = len(ready)
         self.subset_counts = (len(ready), len(ready))
         if {host.name for host in ready} != {host.name for host in self.in_use}:
-            self.use(ready)
+            self.set_in_use(ready)
         return []
 
 
--- a/brambleusher/loadbalancing/host_table.py
+++ b/brambleusher/loadbalancing/host_table.py
@@ -76,7 +76,7 @@
             self.hosts[entry.host] = host
             changed.append(host)
         elif entry.started_ns > host.started_ns:
-            host.forget(entry.started_ns, len(host.latency_counts))
+            host.reset_history(entry.started_ns, len(host.latency_counts))
         is_ready = entry.state is HostState.READY
         if host.is_ready is not is_ready:
             host.is_ready = is_ready
@@ -156,10 +156,10 @@
                 if host.is_connected:  # an open connection has a price and uses capacity of the host
                     host.is_connected = False
                     to_close.append(host.name)
-        self.use(chosen)
+        self.set_in_use(chosen)
         return to_close
 
-    def use(self, hosts: list[Host]) -> None:
+    def set_in_use(self, hosts: list[Host]) -> None:
         """Make these hosts the ones in use."""
         for host in hosts:
             host.begin_use(self._class_count)
--- a/brambleusher/loadbalancing/hosts.py
+++ b/brambleusher/loadbalancing/hosts.py
@@ -106,12 +106,12 @@
         self.in_flight_fraction = 0.0
         self.token_credit = 0.0  # fraction of a token carried over to the next load
         self.tokens = 0
-        self.forget(entry.started_ns, 0)
+        self.reset_history(entry.started_ns, 0)
         if class_count:
             self.begin_use(class_count)
 
     def begin_use(self, class_count: int) -> None:
-        """Create the containers that only a host in use needs; before this only `forget` may be called."""
+        """Create the containers of a host in use; before this only `reset_history` may be called."""
         if self.in_flight is NO_ATTEMPTS:
             self.in_flight = {}
             self.written_off = {}
@@ -119,7 +119,7 @@
             self.latency_ratio_totals = [0.0] * class_count
             self.newest_answered_ns = list(NO_ANSWERS)
 
-    def forget(self, started_ns: int, class_count: int) -> None:
+    def reset_history(self, started_ns: int, class_count: int) -> None:
         """Reset all estimators, since a restarted process has nothing in common with the previous one."""
         self.started_ns = started_ns
         self.throughput_sum = self.utilisation_sum = 0.0  # decaying sums over reports
