--- a/brambleusher/loadbalancing/instance_weights.py
+++ b/brambleusher/loadbalancing/instance_weights.py
@@ -239,13 +239,17 @@
     # --- spending tokens -------------------------------------------------------------------------
 
     def choose(
-        self, candidates: Sequence[str], now: float, among_few: bool = False, first: Collection[str] = ()
+        self,
+        candidates: Sequence[str],
+        now: float,
+        reload_candidates: bool = False,
+        preferred: Collection[str] = (),
     ) -> str | None:
         """Choose a candidate in round-robin order and spend one of its tokens.
 
-        With `among_few`, the candidates are all instances that this gateway normally uses: their tokens are
-        reloaded once they are spent, even if other instances still have some. Instances named in `first` are
-        tried first.
+        With `reload_candidates`, the candidates' tokens are reloaded
+        once they are spent, even if other instances still have some; it is meant for gateways that normally
+        use only these instances. Instances named in `preferred` are tried before the others.
 
         If the candidates have no tokens while other instances have some, the candidate with the fewest
         attempts in flight relative to its weight is chosen without reloading tokens, so that the others keep
@@ -261,9 +265,9 @@
         weight_sum = sum(instance.weight for instance in eligible)
         if not any(instance.tokens > 0 for instance in self._ring):
             self._load(self._ring)
-        elif among_few and not any(instance.tokens > 0 for instance in eligible):
+        elif reload_candidates and not any(instance.tokens > 0 for instance in eligible):
             self._load(eligible)
-        for among in (names.intersection(first), names):
+        for among in (names.intersection(preferred), names):
             chosen = self._spend_next_token(among, in_flight, weight_sum, now) if among else None
             if chosen is not None:
                 return chosen
--- a/tests/dataplane/test_placement.py
+++ b/tests/dataplane/test_placement.py
@@ -66,7 +66,9 @@
 def test_round_robin_begins_at_an_instance_with_an_idle_connection() -> None:
     known = instances(*(entry(f"i{number}") for number in range(3)))
     weights = known.weights["llm"]
-    chosen = [weights.choose(["i0", "i1", "i2"], 0.0, among_few=True, first=["i2"]) for _ in range(3)]
+    chosen = [
+        weights.choose(["i0", "i1", "i2"], 0.0, reload_candidates=True, preferred=["i2"]) for _ in range(3)
+    ]
     assert chosen[0] == "i2"
     assert set(chosen) == {"i0", "i1", "i2"}
 
