--- a/brambleusher/loadbalancing/zone_health.py
+++ b/brambleusher/loadbalancing/zone_health.py
@@ -179,12 +179,12 @@
         min_nodes = min(GREY_NODES, len(zone.ready_hosts))
         # The zone has been unresponsive since the first unanswered attempt at its dark nodes, or since the
         # last response of any node if that is later.
-        silent_since_ns = max(
+        unresponsive_since_ns = max(
             zone.last_response_ns, self._table.stalled_until_ns, min(dark.values(), default=now)
         )
-        unresponsive_ns = now - silent_since_ns
+        unresponsive_ns = now - unresponsive_since_ns
         all_dark = len(dark) >= max(min_nodes, 1) and len(dark) >= responsive
-        needed_ns = self._max_silence_ns(zone, len(dark))
+        needed_ns = self._unresponsive_timeout_ns(zone, len(dark))
         failed = sum(node.recent_failures for node in zone.nodes.values())
         nodes_failing = sum(node.recent_failures >= GREY_NODE_FAILURES for node in zone.nodes.values())
         is_failing = (
@@ -216,7 +216,7 @@
                 dark[name] = min(dark.get(name, now), node.failing_since_ns)
         return dark
 
-    def _max_silence_ns(self, zone: Zone, dark_nodes: int) -> float:
+    def _unresponsive_timeout_ns(self, zone: Zone, dark_nodes: int) -> float:
         """Return the silence, in nanoseconds, after which a zone is lost."""
         target_ns = self._table.target_ns
         needed = LOST_TARGETS[min(dark_nodes, len(LOST_TARGETS)) - 1] * target_ns if dark_nodes else 0.0
@@ -231,10 +231,10 @@
         if evidence.is_suspect:
             zone.last_fault_ns = now
         if evidence.is_unresponsive:
-            self.mark_lost(zone, evidence.unresponsive_text, now)
+            self.set_lost(zone, evidence.unresponsive_text, now)
         elif zone.state is ZoneState.RETURNING:
-            last_trouble_ns = max(zone.since_ns, zone.grant_exhausted_ns, zone.last_fault_ns)
-            if now - last_trouble_ns > HEALTHY_TARGETS * target_ns:
+            last_problem_ns = max(zone.since_ns, zone.grant_exhausted_ns, zone.last_fault_ns)
+            if now - last_problem_ns > HEALTHY_TARGETS * target_ns:
                 self.set_state(zone, ZoneState.HEALTHY, "it answers all that it is sent", now)
         elif evidence.is_suspect:
             text = evidence.failing_text if evidence.is_failing else evidence.unresponsive_text
@@ -255,9 +255,9 @@
     def _update_suppressed_zone(self, zone: Zone, now: int) -> None:
         short_since_ns = self._table.short_since_ns
         if zone.consecutive_failures >= MISSED_PROBES:
-            self.mark_lost(zone, f"{zone.consecutive_failures} probes in a row were not answered", now)
+            self.set_lost(zone, f"{zone.consecutive_failures} probes in a row were not answered", now)
         elif not zone.ready_hosts:
-            self.mark_lost(zone, "its nodes left the list", now, SINGLE_NODE_PENALTY)
+            self.set_lost(zone, "its nodes left the list", now, SINGLE_NODE_PENALTY)
             zone.is_delisted = True
         elif not self._damping.must_suppress(zone):
             zone.is_suppressed = False
@@ -268,7 +268,7 @@
 
     # --- transitions ----------------------------------------------------------------------------
 
-    def mark_lost(self, zone: Zone, reason: str, now: int, penalty: float = 1.0) -> None:
+    def set_lost(self, zone: Zone, reason: str, now: int, penalty: float = 1.0) -> None:
         """Mark a zone as lost."""
         is_flapping = zone.is_suppressed
         zone.loss_count += 1
--- a/brambleusher/loadbalancing/zone_loads.py
+++ b/brambleusher/loadbalancing/zone_loads.py
@@ -105,12 +105,12 @@
             if examined >= MAX_EXAMINED_ATTEMPTS:
                 break
             mean_ns = self._traffic.mean_latency_ns(request.class_index)
-            max_silence_ns = max(
+            response_timeout_ns = max(
                 self._shortest_target_ns * MIN_UNRESPONSIVE,
                 min(UNRESPONSIVE_FACTOR * mean_ns, MAX_UNRESPONSIVE * self._shortest_target_ns),
             )
             since_ns = max(sent_ns, last_contact_ns)
-            if now - since_ns > max_silence_ns:
+            if now - since_ns > response_timeout_ns:
                 return since_ns
         return 0
 
--- a/brambleusher/loadbalancing/zone_routing.py
+++ b/brambleusher/loadbalancing/zone_routing.py
@@ -123,11 +123,11 @@
             zone.reason = "drained in order"
         elif hosts_before > 1:
             reason = f"all its {hosts_before} nodes left the list without a drain"
-            self.health.mark_lost(zone, reason, now)
+            self.health.set_lost(zone, reason, now)
             zone.is_delisted = True
         else:
             reason = "its only node left the list without a drain"
-            self.health.mark_lost(zone, reason, now, SINGLE_NODE_PENALTY)
+            self.health.set_lost(zone, reason, now, SINGLE_NODE_PENALTY)
             zone.is_delisted = True
 
     def _handle_refilled(self, zone: Zone, now: int) -> None:
--- a/tests/loadbalancing/test_zone_routing.py
+++ b/tests/loadbalancing/test_zone_routing.py
@@ -364,7 +364,7 @@
         proxy.dead.update(
             host for hosts in proxy.ready.values() for host in hosts
         )  # attempts are still unanswered
-        proxy.zones.health.mark_lost(proxy.zones.zones["a"], "told so", proxy.now)
+        proxy.zones.health.set_lost(proxy.zones.zones["a"], "told so", proxy.now)
     spare = 0.95 * 80.0 - 48.0
     before = 0.5 * len(parts)  # the minimum grant of each proxy
     for _ in range(24):
@@ -380,7 +380,7 @@
     seen = Seen()
     seen.tick(3.0)
     seen.dead.update(seen.ready["a"])
-    seen.zones.health.mark_lost(seen.zones.zones["a"], "told so", seen.now)
+    seen.zones.health.set_lost(seen.zones.zones["a"], "told so", seen.now)
     seen.tick(3.0)
     assert seen.zones.unplaced_fraction < 0.2 and seen.zones.zones["b"].grant_per_s > 1
     seen.dead.update(host for hosts in seen.ready.values() for host in hosts)  # no attempt is answered there
