--- a/brambleusher/loadbalancing/view_consistency.py
+++ b/brambleusher/loadbalancing/view_consistency.py
@@ -124,12 +124,12 @@
             return None
         return position if self.written is None or position > self.written else None
 
-    def withheld_reason(self, now: int, harmless: bool = False) -> WithheldReason | None:
+    def withheld_reason(self, now: int, has_only_removals: bool = False) -> WithheldReason | None:
         """Return why the view is withheld, or None if it may be published.
 
         Args:
             now: The current time in nanoseconds.
-            harmless: Whether the view only removes nodes from a view on durable storage. Such a view does not
+            has_only_removals: Whether the view only removes nodes from a durable one. Such a view does not
                 wait for a failing disk, since publishing a drain too late is certain to do harm.
         """
         if self.position is None:
@@ -140,7 +140,7 @@
             return WithheldReason.ISOLATED
         if now < self._subscribers_awaited_until:
             return WithheldReason.AWAITING_SUBSCRIBERS
-        if self.position_to_write() is not None and not harmless:
+        if self.position_to_write() is not None and not has_only_removals:
             return WithheldReason.NOT_DURABLE
         return None
 
--- a/brambleusher/xds/core.py
+++ b/brambleusher/xds/core.py
@@ -437,7 +437,7 @@
             return consistency.withheld_reason(now_ns) or WithheldReason.NOT_DURABLE
         is_unwritten = consistency.position_to_write() is not None
         has_only_removals = is_unwritten and self._has_write_failed and self._position == consistency.position
-        return consistency.withheld_reason(now_ns, harmless=has_only_removals)
+        return consistency.withheld_reason(now_ns, has_only_removals=has_only_removals)
 
     def next_response(self, stream: Stream, now_ns: int) -> Response | None:
         """Return a stream's next response; None as long as there is none or it is withheld."""
--- a/tests/xds/test_control.py
+++ b/tests/xds/test_control.py
@@ -332,7 +332,7 @@
     held.record_discovery(ViewPosition(1, 6), 0)
     assert (
         held.withheld_reason(0) is WithheldReason.NOT_DURABLE
-        and held.withheld_reason(0, harmless=True) is None
+        and held.withheld_reason(0, has_only_removals=True) is None
     )
     held.record_written(ViewPosition(1, 6))
     assert held.withheld_reason(0) is None
