--- a/brambleusher/loadbalancing/host_bans.py
+++ b/brambleusher/loadbalancing/host_bans.py
@@ -142,7 +142,7 @@
             case dict():
                 return {host: _ban_from_json(host, times) for host, times in raw.items()}
             case _:
-                raise ValueError("bans are not an object")
+                raise ValueError("bans must be an object")
 
     def _set(self, host: str, ban: Ban) -> HostEntry | None:
         self.bans.pop(host, None)
@@ -161,4 +161,4 @@
         case [since_ns, ended_ns] if type(since_ns) is int and type(ended_ns) is int:
             return Ban(since_ns, ended_ns)
         case _:
-            raise ValueError(f"the ban of {host} is not two times")
+            raise ValueError(f"the ban of {host} must be a pair of integer times")
--- a/brambleusher/loadbalancing/json_values.py
+++ b/brambleusher/loadbalancing/json_values.py
@@ -28,7 +28,7 @@
         return [encode_plain(item) for item in value]
     if type(value) is tuple:
         return {_TUPLE: [encode_plain(item) for item in value]}
-    raise StateError(f"a {type(value).__name__} can't be saved: {value!r:.100}")
+    raise StateError(f"cannot encode a value of type {type(value).__name__}: {value!r:.100}")
 
 
 def decode_plain(value: object) -> object:
@@ -46,4 +46,4 @@
         return float(content)
     if key == _TUPLE:
         return tuple(decode_plain(item) for item in content)
-    raise StateError(f"a value of kind {key} is unknown")
+    raise StateError(f"unknown kind of encoded value: {key!r}")
--- a/brambleusher/loadbalancing/settings_codec.py
+++ b/brambleusher/loadbalancing/settings_codec.py
@@ -89,16 +89,16 @@
     if raw is None:
         return None
     if not isinstance(raw, Mapping):
-        raise StateError(f"the rules on zones are no object but a {type(raw).__name__}")
+        raise StateError(f"the zone rules must be an object, not a {type(raw).__name__}")
     try:
         if set(raw) != set(ZONE_RULES_KEYS):
-            raise StateError("the rules on zones are not this version's")
+            raise StateError("the fields of the zone rules (key zones) are those of another version")
         values: dict[str, Any] = {ZONE_RULES_KEYS[key]: decode_plain(value) for key, value in raw.items()}
         return api.ZoneRules(**values)
     except StateError:
         raise
     except MALFORMED as error:
-        raise StateError(f"the rules on zones can't be read: {type(error).__name__}: {error}") from None
+        raise StateError(f"cannot decode the zone rules: {type(error).__name__}: {error}") from None
 
 
 def save_settings(settings: api.Settings) -> dict[str, Any]:
@@ -122,7 +122,7 @@
         StateError: The settings have another version's fields, or cannot be read.
     """
     if not isinstance(raw, Mapping):
-        raise StateError(f"the settings are no object but a {type(raw).__name__}")
+        raise StateError(f"the settings must be an object, not a {type(raw).__name__}")
     try:
         values: dict[str, Any] = {
             key: decode_plain(value) for key, value in raw.items() if key not in _SECTIONS
@@ -132,12 +132,12 @@
         values["zones"] = restore_rules(raw["zones"])
         values["report_fields"] = tuple(values["report_fields"])
         if set(values) != set(SETTINGS_KEYS):
-            raise StateError("the settings are not this version's")
+            raise StateError("the fields of the settings are those of another version")
         return api.Settings(**{SETTINGS_KEYS[key]: value for key, value in values.items()})
     except StateError:
         raise
     except MALFORMED as error:
-        raise StateError(f"the settings can't be read: {type(error).__name__}: {error}") from None
+        raise StateError(f"cannot decode the settings: {type(error).__name__}: {error}") from None
 
 
 def _encode_fields(item: object, keys: Mapping[str, str]) -> dict[str, Any]:
--- a/brambleusher/loadbalancing/state_codec.py
+++ b/brambleusher/loadbalancing/state_codec.py
@@ -106,7 +106,7 @@
             return {_ZONE_RULES: save_rules(value)}
         if isinstance(value, Enum) and type(value) is self._form.state_enum:
             return {_ZONE_STATE: value.value}
-        raise StateError(f"a {type(value).__name__} can't be saved: {value!r:.100}")
+        raise StateError(f"cannot encode a value of type {type(value).__name__}: {value!r:.100}")
 
     def record(self, item: object, fields: FieldTable) -> JsonObject:
         """Return the stored fields of an object under their keys."""
@@ -170,7 +170,7 @@
             return deque((self.value(item) for item in content), maxlen=dict(more)[_DEQUE_LENGTH])
         read = self._readers().get(key)
         if read is None:
-            raise StateError(f"a value of kind {key} is unknown")
+            raise StateError(f"unknown kind of encoded value: {key!r}")
         return read(content)
 
     def _readers(self) -> dict[str, Callable[[Any], object]]:
@@ -190,7 +190,7 @@
     def fill(self, item: object, fields: FieldTable, stored: JsonObject) -> None:
         """Set all fields of an object; other keys than those of its table indicate another version."""
         if set(stored) != set(fields.values()):
-            raise StateError(f"the state of a {type(item).__name__} is not this version's")
+            raise StateError(f"the stored fields of a {type(item).__name__} are those of another version")
         for path, key in fields.items():
             owner_path, _, name = path.rpartition(".")
             owner = attrgetter(owner_path)(item) if owner_path else item
@@ -210,7 +210,7 @@
     def fill_rows(self, items: list[Any], fields: FieldTable, names: list[str], rows: list[Row]) -> None:
         """Set the attributes of hosts or requests from rows whose columns are `names`."""
         if items and names != list(fields.values()):
-            raise StateError(f"the state of a {type(items[0]).__name__} is not this version's")
+            raise StateError(f"the stored fields of a {type(items[0]).__name__} are those of another version")
         for item, row in zip(items, rows, strict=True):
             for attribute, value in zip(fields, row, strict=True):
                 setattr(item, attribute, self.value(value))
@@ -229,7 +229,7 @@
         raise
     except (*MALFORMED, struct.error) as error:
         # Errors of all kinds that a malformed state can cause are reported as one type.
-        raise StateError(f"the state can't be read: {type(error).__name__}: {error}") from None
+        raise StateError(f"cannot decode the state: {type(error).__name__}: {error}") from None
     return balancer
 
 
--- a/brambleusher/loadbalancing/zone_state.py
+++ b/brambleusher/loadbalancing/zone_state.py
@@ -127,7 +127,7 @@
     def active_rules(self) -> ZoneRules:
         """The zone rules; raises an error if there are none."""
         if self.rules is None:
-            raise RuntimeError("zones are judged without rules on zones")
+            raise RuntimeError("zone rules are required but not set")
         return self.rules
 
     def is_excluded(self, name: str) -> bool:
