--- a/brambleusher/loadbalancing/json_values.py
+++ b/brambleusher/loadbalancing/json_values.py
@@ -46,4 +46,4 @@
         return float(content)
     if key == _TUPLE:
         return tuple(decode_plain(item) for item in content)
-    raise StateError(f"unknown kind of encoded value: {key!r}")
+    raise StateError(f"an encoded value of kind {key} is unknown")
--- a/brambleusher/loadbalancing/state_codec.py
+++ b/brambleusher/loadbalancing/state_codec.py
@@ -170,7 +170,7 @@
             return deque((self.value(item) for item in content), maxlen=dict(more)[_DEQUE_LENGTH])
         read = self._readers().get(key)
         if read is None:
-            raise StateError(f"unknown kind of encoded value: {key!r}")
+            raise StateError(f"an encoded value of kind {key} is unknown")
         return read(content)
 
     def _readers(self) -> dict[str, Callable[[Any], object]]:
--- a/brambleusher/loadbalancing/state_transfer.py
+++ b/brambleusher/loadbalancing/state_transfer.py
@@ -43,7 +43,7 @@
     balancer = restore(settings, seed, state)
     if balancer.attempts.requests:
         raise StateError(
-            f"a transferred state must not contain requests, but has {len(balancer.attempts.requests)}"
+            f"{len(balancer.attempts.requests)} requests in a transferred state, which must not contain any"
         )
     balancer.rng.seed(seed)
     return balancer
--- a/brambleusher/loadbalancing/subsetting.py
+++ b/brambleusher/loadbalancing/subsetting.py
@@ -39,7 +39,7 @@
 
 def _check(number: int, size: int) -> None:
     if number < 0 or size < 1:
-        raise ValueError(f"invalid instance number {number} or subset size {size}")
+        raise ValueError(f"invalid subset of {size} hosts for instance number {number}")
 
 
 class Ring:
@@ -89,7 +89,7 @@
         """
         _check(number, size)
         if number >= instances:
-            raise ValueError(f"instance number {number} is out of range for {instances} instances")
+            raise ValueError(f"instance number {number} is out of range; number of instances: {instances}")
         count = len(self.names)
         if not count:
             return []
