--- a/tests/dataplane/test_policy.py
+++ b/tests/dataplane/test_policy.py
@@ -19,7 +19,7 @@
 from brambleusher.wire.instance_load import InstanceLoad
 from brambleusher.wire.policy import Policy
 from tests.dataplane.dataplane_builders import ZONES, entry, listed, placement_request
-from tests.loadbalancing.test_instance_weights import AIM_S, send, ticks
+from tests.loadbalancing.test_instance_weights import LATENCY_TARGET_S, send, ticks
 
 
 @pytest.mark.parametrize(
@@ -106,7 +106,7 @@
     for off, differs in (({}, True), ({"health": False}, False)):
         weights = weights_with(**off, latency_index=False, spare=False)
         for at in range(8):
-            send(weights, "a", at / 100, well=False)
+            send(weights, "a", at / 100, succeeds=False)
             send(weights, "b", at / 100)
         ticks(weights, 0.0, 2)
         current = weights.weights()
@@ -114,7 +114,7 @@
     for off, differs in (({}, True), ({"latency_index": False}, False)):
         weights = weights_with(**off, spare=False)
         for at in range(8):
-            send(weights, "a", at / 100, latency=AIM_S * 1.3)
+            send(weights, "a", at / 100, latency=LATENCY_TARGET_S * 1.3)
             send(weights, "b", at / 100)
         ticks(weights, 0.0, 1)
         current = weights.weights()
@@ -124,8 +124,8 @@
 def test_skipping_unresponsive_instances_can_be_switched_off() -> None:
     for off, expected in (({}, {"b"}), ({"unresponsive": False}, {"a", "b"})):
         weights = weights_with(**off, slot_limit=False)
-        weights.start_attempt("a", 0, AIM_S, 0.0)
-        now = AIM_S * (UNRESPONSIVE_RATIO + 0.1)
+        weights.start_attempt("a", 0, LATENCY_TARGET_S, 0.0)
+        now = LATENCY_TARGET_S * (UNRESPONSIVE_RATIO + 0.1)
         assert {weights.choose(["a", "b"], now) for _ in range(2)} == expected
 
 
--- a/tests/loadbalancing/test_crossings_fleet.py
+++ b/tests/loadbalancing/test_crossings_fleet.py
@@ -13,7 +13,7 @@
 
 SECOND = 10**9
 CAPACITY = 20.0  # capacity of a warm host in requests per second
-USE = 1.3  # demand as a multiple of the fleet's capacity, so that every allowed attempt is made
+DEMAND_FRACTION = 1.3  # demand as a multiple of the fleet's capacity, so that every allowed attempt is made
 WORK_S = 0.05
 ZONES = ("a", "b", "c")
 START, COLD_S, MULTIPLE, FALL_S = 0.17, 21.0, 4.0, 3.0
@@ -23,8 +23,8 @@
 class Fleet:
     """Independent balancers and simulated hosts, with a record of attempts at cold hosts."""
 
-    def __init__(self, sidecars: int, hosts: int, cold: int, told: int, seed: int) -> None:
-        self.rng, self.told = random.Random(seed), told
+    def __init__(self, sidecars: int, hosts: int, cold: int, configured_fleet_size: int, seed: int) -> None:
+        self.rng, self.configured_fleet_size = random.Random(seed), configured_fleet_size
         self.now, self.order = BEGIN, count()
         self.names = [f"h{n}" for n in range(hosts)]
         self.new = set(self.names[:cold])
@@ -39,11 +39,11 @@
         self.fleet = [self.balancer(number) for number in range(sidecars)]
         for number in range(sidecars):
             self.begin(number)
-        self.rate = USE * CAPACITY * hosts
+        self.rate = DEMAND_FRACTION * CAPACITY * hosts
 
     def balancer(self, number: int) -> Balancer:
         settings = api.Settings(
-            zone=ZONES[number % 3], fleet_size=self.told, warm_up_ns=int(COLD_S * SECOND),
+            zone=ZONES[number % 3], fleet_size=self.configured_fleet_size, warm_up_ns=int(COLD_S * SECOND),
             initial_capacity=START, overload_multiple=MULTIPLE, overload_window_ns=int(FALL_S * SECOND),
             classes=(api.RequestClass("r", SECOND, 2 * SECOND, 1.0),),
         )  # fmt: skip
@@ -75,11 +75,11 @@
                 self.push(action.at_ns, number, api.TimerFired(action.token))
 
     def report(self, host: str) -> api.LoadReport:
-        part = self.part((self.now - BEGIN) / SECOND) if host in self.new else 1.0
-        return api.LoadReport(0.9, 0.9 * CAPACITY * part)
+        warm_fraction = self.warm_fraction((self.now - BEGIN) / SECOND) if host in self.new else 1.0
+        return api.LoadReport(0.9, 0.9 * CAPACITY * warm_fraction)
 
     @staticmethod
-    def part(age_s: float) -> float:
+    def warm_fraction(age_s: float) -> float:
         """Return the fraction of its capacity that a host has `age_s` seconds after its start."""
         return min(1.0, START + (1 - START) * age_s / COLD_S)
 
@@ -101,21 +101,21 @@
             arrived = api.RequestArrived(f"r{next(requests)}", "r", None, 2 * SECOND)
             self.act(number, self.fleet[number].handle(arrived, at))
 
-    def worst(self) -> float:
+    def max_budget_ratio(self) -> float:
         """Return the highest ratio, over hosts and windows, of attempts to the allowed number and margin."""
-        most = 0.0
+        max_ratio = 0.0
         for times in self.sent.values():
             first = 0
             for last, at in enumerate(times):
                 while times[first] <= at - FALL_S:
                     first += 1
-                allowed = MULTIPLE * CAPACITY * self.part(times[first]) * FALL_S
-                most = max(most, (last - first + 1) / (allowed + 2 * math.sqrt(allowed) + 2))
-        return most
+                allowed = MULTIPLE * CAPACITY * self.warm_fraction(times[first]) * FALL_S
+                max_ratio = max(max_ratio, (last - first + 1) / (allowed + 2 * math.sqrt(allowed) + 2))
+        return max_ratio
 
 
 @pytest.mark.parametrize(
-    ("sidecars", "hosts", "cold", "told", "restarts"),
+    ("sidecars", "hosts", "cold", "configured_fleet_size", "restarts"),
     [
         (5, 9, 1, 5, 0),
         (5, 9, 7, 5, 5),
@@ -127,17 +127,17 @@
     ],
 )
 def test_a_cold_host_stays_within_its_budget_of_the_whole_fleet(
-    sidecars: int, hosts: int, cold: int, told: int, restarts: int
+    sidecars: int, hosts: int, cold: int, configured_fleet_size: int, restarts: int
 ) -> None:
     for seed in range(2):
-        fleet = Fleet(sidecars, hosts, cold, told, seed)
+        fleet = Fleet(sidecars, hosts, cold, configured_fleet_size, seed)
         fleet.play(8.0, restarts)
         assert any(fleet.sent.values()), "it is let in"
-        assert fleet.worst() <= 1.0, f"seed {seed}: {fleet.worst():.2f}"
+        assert fleet.max_budget_ratio() <= 1.0, f"seed {seed}: {fleet.max_budget_ratio():.2f}"
 
 
 def test_the_budget_is_passed_where_the_fleet_is_told_to_be_a_sixth_of_what_it_is() -> None:
     """The test above can detect a violation; a single sidecar can't, as it does not know the others."""
     fleet = Fleet(30, 18, 16, 5, 1)
     fleet.play(8.0)
-    assert fleet.worst() > 1.0
+    assert fleet.max_budget_ratio() > 1.0
--- a/tests/loadbalancing/test_first_byte_survival.py
+++ b/tests/loadbalancing/test_first_byte_survival.py
@@ -58,7 +58,7 @@
     assert (waits.log_survival, waits.ratios) == (0.0, [])
 
 
-def judged(waits: int, answer_after: int | None = None) -> InstanceWeights:
+def is_unresponsive_after(waits: int, answer_after: int | None = None) -> InstanceWeights:
     """Create two instances with a history, then let clients abandon requests at `b` one after another."""
     weights = InstanceWeights(random.Random(1))
     weights.set_instances({"a": 8.0, "b": 8.0})
@@ -84,8 +84,8 @@
 
 
 def test_clients_that_all_leave_early_do_not_hide_a_hung_instance() -> None:
-    assert not judged(4).is_unresponsive("b", NOW_S + 0.8)
-    weights = judged(5)
+    assert not is_unresponsive_after(4).is_unresponsive("b", NOW_S + 0.8)
+    weights = is_unresponsive_after(5)
     assert weights.is_unresponsive("b", NOW_S + 1.0)
     assert weights.weights()["b"] == 0.0
     assert not weights.is_unresponsive("a", NOW_S + 1.0)
@@ -93,7 +93,7 @@
 
 
 def test_an_answer_in_between_clears_it() -> None:
-    assert not judged(8, answer_after=4).is_unresponsive("b", NOW_S + 1.6)
+    assert not is_unresponsive_after(8, answer_after=4).is_unresponsive("b", NOW_S + 1.6)
 
 
 @pytest.mark.parametrize("leaves_at", [0.3, 0.5])
--- a/tests/loadbalancing/test_instance_weights.py
+++ b/tests/loadbalancing/test_instance_weights.py
@@ -9,7 +9,7 @@
 from brambleusher.loadbalancing.instance_metrics import HEALTH_POWER, TICK_S
 from brambleusher.loadbalancing.instance_weights import OTHERS_FRESH_S, InstanceWeights
 
-AIM_S = 0.5
+LATENCY_TARGET_S = 0.5
 
 
 def weights_of(*names: str, capacity: float = 64.0) -> InstanceWeights:
@@ -19,11 +19,13 @@
     return weights
 
 
-def send(weights: InstanceWeights, name: str, now: float, latency: float = 0.05, well: bool = True) -> None:
-    attempt = weights.start_attempt(name, 0, AIM_S, now)
-    if well:
+def send(
+    weights: InstanceWeights, name: str, now: float, latency: float = 0.05, succeeds: bool = True
+) -> None:
+    attempt = weights.start_attempt(name, 0, LATENCY_TARGET_S, now)
+    if succeeds:
         weights.record_first_byte(name, attempt, now + latency)
-    weights.finish_attempt(name, attempt, well)
+    weights.finish_attempt(name, attempt, succeeds)
 
 
 def ticks(weights: InstanceWeights, begin: float, count: int) -> float:
@@ -55,13 +57,14 @@
 
 
 @pytest.mark.parametrize(
-    ("latency", "factor"), [(0.4 * AIM_S, 1.0), (1.25 * AIM_S, 0.75), (1.6 * AIM_S, 0.0)]
+    ("latency", "factor"),
+    [(0.4 * LATENCY_TARGET_S, 1.0), (1.25 * LATENCY_TARGET_S, 0.75), (1.6 * LATENCY_TARGET_S, 0.0)],
 )
 def test_the_index_cuts(latency: float, factor: float) -> None:
     weights = weights_of("a", "b")
     for _ in range(200):
         send(weights, "a", 0.0, latency)
-        send(weights, "b", 0.0, 0.1 * AIM_S)
+        send(weights, "b", 0.0, 0.1 * LATENCY_TARGET_S)
     ticks(weights, 0.0, 1)
     shares = weights.weights()
     assert shares["a"] / shares["b"] == pytest.approx(factor, abs=0.02)
@@ -70,7 +73,7 @@
 def test_health_scales() -> None:
     weights = weights_of("a", "b")
     for turn in range(100):
-        send(weights, "a", 0.0, well=turn % 2 == 0)
+        send(weights, "a", 0.0, succeeds=turn % 2 == 0)
         send(weights, "b", 0.0)
     ticks(weights, 0.0, 1)
     shares = weights.weights()
@@ -81,7 +84,7 @@
     weights = weights_of("a", "b")
     for name in "ab":
         for _ in range(50):
-            send(weights, name, 0.0, 3 * AIM_S)
+            send(weights, name, 0.0, 3 * LATENCY_TARGET_S)
     ticks(weights, 0.0, 1)
     assert weights.weights() == {"a": 32.0, "b": 32.0} or set(weights.weights().values()) == {32.0}
 
@@ -93,7 +96,7 @@
         send(weights, "a", 0.0)
         send(weights, "b", 0.0)
     for _ in range(5):
-        weights.start_attempt("a", 0, AIM_S, 0.1)
+        weights.start_attempt("a", 0, LATENCY_TARGET_S, 0.1)
     ticks(weights, 0.0, 2)
     assert weights.weights()["a"] == 0.0
 
@@ -121,13 +124,13 @@
 def test_an_instance_that_holds_more_than_its_share_is_passed_over() -> None:
     weights = weights_of("a", "b", "c", "d")
     for _ in range(8):
-        weights.start_attempt("a", 0, AIM_S, 0.0)
+        weights.start_attempt("a", 0, LATENCY_TARGET_S, 0.0)
     assert "a" not in {weights.choose(["a", "b", "c", "d"], 0.0) for _ in range(3)}
 
 
 def test_those_that_leave_lose_weight_and_tokens_at_once() -> None:
     weights = weights_of("a", "b")
-    attempt = weights.start_attempt("a", 0, AIM_S, 0.0)
+    attempt = weights.start_attempt("a", 0, LATENCY_TARGET_S, 0.0)
     weights.set_instances({"b": 64.0})
     assert weights.weights() == {"b": 64.0}
     assert weights.choose(["a", "b"], 0.0) == "b"
@@ -141,10 +144,10 @@
     weights = weights_of("a", "b", "c", "d")
     weights.choose(["a"], 0.0)
     for _ in range(30):
-        send(weights, "b", 0.0, well=False)
+        send(weights, "b", 0.0, succeeds=False)
     ticks(weights, 0.0, 1)
-    rest = [weights.choose(["a", "b", "c", "d"], 0.0) for _ in range(16)]
-    assert rest.count("b") <= 2
+    chosen_names = [weights.choose(["a", "b", "c", "d"], 0.0) for _ in range(16)]
+    assert chosen_names.count("b") <= 2
 
 
 BAD = [10.0, 8.0, 0.0, 0.0, 0.0, 0.0]
@@ -171,7 +174,7 @@
     weights = weights_of("a", "b")
     weights.import_totals(20, {"a": GOOD, "b": GOOD}, 0.0)
     for _ in range(12):
-        send(weights, "a", 0.0, well=False)
+        send(weights, "a", 0.0, succeeds=False)
     weights.import_totals(20, {"a": GOOD, "b": GOOD}, 0.4)
     weights.recompute(0.5, 21.0)
     assert weights.weights()["a"] < weights.weights()["b"] / 4
@@ -180,7 +183,7 @@
 def test_a_report_says_what_was_seen_and_nothing_of_the_rest() -> None:
     weights = weights_of("a", "b")
     send(weights, "a", 0.0, 0.1)
-    send(weights, "a", 0.0, well=False)
+    send(weights, "a", 0.0, succeeds=False)
     ticks(weights, 0.0, 1)
     report = weights.export_totals()
     assert set(report) == {"a"}
@@ -193,15 +196,15 @@
     weights = weights_of("a", "b", "c")
     for name in "bc":
         send(weights, name, 0.0)
-    weights.start_attempt("a", 0, AIM_S, 0.1)
-    chosen = {weights.choose(["a", "b", "c"], 0.1 + 0.7 * AIM_S) for _ in range(6)}
+    weights.start_attempt("a", 0, LATENCY_TARGET_S, 0.1)
+    chosen = {weights.choose(["a", "b", "c"], 0.1 + 0.7 * LATENCY_TARGET_S) for _ in range(6)}
     assert chosen == {"b", "c"}
 
 
 def test_a_hung_instance_is_known_though_its_clients_leave() -> None:
     weights = weights_of("a", "b")
-    attempt = weights.start_attempt("a", 0, AIM_S, 1.0)
-    weights.abandon_attempt("a", attempt, 1.0 + 2 * AIM_S)
+    attempt = weights.start_attempt("a", 0, LATENCY_TARGET_S, 1.0)
+    weights.abandon_attempt("a", attempt, 1.0 + 2 * LATENCY_TARGET_S)
     assert weights.attempts_in_flight("a") == 0
     assert {weights.choose(["a", "b"], 2.1) for _ in range(10)} == {"b"}
 
@@ -209,24 +212,28 @@
 def test_a_client_that_leaves_early_says_nothing_against_its_instance() -> None:
     weights = weights_of("a", "b")
     for _ in range(5):
-        weights.abandon_attempt("a", weights.start_attempt("a", 0, AIM_S, 1.0), 1.0 + AIM_S / 2)
+        weights.abandon_attempt(
+            "a", weights.start_attempt("a", 0, LATENCY_TARGET_S, 1.0), 1.0 + LATENCY_TARGET_S / 2
+        )
     assert {weights.choose(["a", "b"], 2.1) for _ in range(10)} == {"a", "b"}
 
 
 def test_an_answer_ends_what_an_abandoned_wait_says_and_so_does_time() -> None:
     weights = weights_of("a", "b")
     for now in (1.0, 10.0):
-        weights.abandon_attempt("a", weights.start_attempt("a", 0, AIM_S, now), now + 4 * AIM_S)
+        weights.abandon_attempt(
+            "a", weights.start_attempt("a", 0, LATENCY_TARGET_S, now), now + 4 * LATENCY_TARGET_S
+        )
     assert {weights.choose(["a", "b"], 12.1) for _ in range(10)} == {"b"}
     assert {weights.choose(["a", "b"], 16.5) for _ in range(10)} == {"a", "b"}
-    weights.abandon_attempt("a", weights.start_attempt("a", 0, AIM_S, 20.0), 22.0)
+    weights.abandon_attempt("a", weights.start_attempt("a", 0, LATENCY_TARGET_S, 20.0), 22.0)
     send(weights, "a", 22.0)
     assert {weights.choose(["a", "b"], 22.2) for _ in range(10)} == {"a", "b"}
 
 
 def test_a_wait_that_ends_after_the_first_byte_says_nothing() -> None:
     weights = weights_of("a", "b")
-    attempt = weights.start_attempt("a", 0, AIM_S, 1.0)
+    attempt = weights.start_attempt("a", 0, LATENCY_TARGET_S, 1.0)
     weights.record_first_byte("a", attempt, 1.1)
     weights.abandon_attempt("a", attempt, 9.0)
     assert weights.attempts_in_flight("a") == 0
--- a/tests/loadbalancing/test_limits.py
+++ b/tests/loadbalancing/test_limits.py
@@ -25,7 +25,7 @@
     return balancer
 
 
-class Drive:
+class RequestDriver:
     """Sends requests, most of which are answered within 20 ms while some are never answered."""
 
     def __init__(self, balancer: Balancer) -> None:
@@ -59,66 +59,66 @@
 
 
 class WrittenOff(unittest.TestCase):
-    def silent(self, cls: str, util: float = 0.2) -> tuple[Drive, str]:
+    def silent(self, cls: str, util: float = 0.2) -> tuple[RequestDriver, str]:
         """Send one request that is never answered, among rounds of eight answered ones."""
-        drive = Drive(build())
+        driver = RequestDriver(build())
 
         def rounds(count: int) -> None:
             for _ in range(count):
-                names = [drive.ask(answered=False) for _ in range(8)]
+                names = [driver.ask(answered=False) for _ in range(8)]
                 for each in names:
-                    drive.end(each, 0, api.AttemptStatus.OK, util)
-                drive.tick()
+                    driver.end(each, 0, api.AttemptStatus.OK, util)
+                driver.tick()
 
         rounds(2)
-        name = drive.ask(cls, answered=False)
+        name = driver.ask(cls, answered=False)
         for _ in range(4):
-            if len(drive.sent[name]) == 1:
+            if len(driver.sent[name]) == 1:
                 rounds(1)
-        return drive, name
+        return driver, name
 
     def test_one_that_was_overtaken_is_sent_elsewhere_and_counted_no_more(self) -> None:
-        drive, name = self.silent("safe")
-        first, second = drive.sent[name]
+        driver, name = self.silent("safe")
+        first, second = driver.sent[name]
         self.assertNotEqual(first, second)
-        self.assertEqual(drive.balancer.traffic.in_flight, 1)  # the hedged attempt
-        actions = drive.end(name, 1, api.AttemptStatus.OK)
+        self.assertEqual(driver.balancer.traffic.in_flight, 1)  # the hedged attempt
+        actions = driver.end(name, 1, api.AttemptStatus.OK)
         self.assertIn(api.CancelAttempt(name, 0), actions)  # the other attempt is cancelled
-        drive.end(name, 0, api.AttemptStatus.CANCELLED)
-        self.assertEqual((drive.balancer.traffic.in_flight, drive.balancer.attempts.requests), (0, {}))
+        driver.end(name, 0, api.AttemptStatus.CANCELLED)
+        self.assertEqual((driver.balancer.traffic.in_flight, driver.balancer.attempts.requests), (0, {}))
 
     def test_one_that_must_not_run_twice_is_not_copied_and_holds_no_place(self) -> None:
-        drive, name = self.silent("once")
-        self.assertEqual(len(drive.sent[name]), 1)
-        self.assertEqual(drive.balancer.traffic.in_flight, 0)
-        late = drive.end(name, 0, api.AttemptStatus.OK)  # the answer arrives late
+        driver, name = self.silent("once")
+        self.assertEqual(len(driver.sent[name]), 1)
+        self.assertEqual(driver.balancer.traffic.in_flight, 0)
+        late = driver.end(name, 0, api.AttemptStatus.OK)  # the answer arrives late
         self.assertEqual([action for action in late if isinstance(action, api.CancelAttempt)], [])
-        self.assertEqual((drive.balancer.traffic.in_flight, drive.balancer.attempts.requests), (0, {}))
+        self.assertEqual((driver.balancer.traffic.in_flight, driver.balancer.attempts.requests), (0, {}))
 
     def test_where_hosts_are_busy_nothing_is_written_off(self) -> None:
         """A heavy request on a busy host must not be mistaken for one on a dropped connection."""
-        drive, name = self.silent("safe", util=0.95)
-        self.assertEqual(len(drive.sent[name]), 1)
-        self.assertEqual(drive.balancer.traffic.in_flight, 1)
+        driver, name = self.silent("safe", util=0.95)
+        self.assertEqual(len(driver.sent[name]), 1)
+        self.assertEqual(driver.balancer.traffic.in_flight, 1)
 
     def test_a_copy_that_fails_ends_the_request_at_once(self) -> None:
         """A client must not be kept waiting for a dropped connection after the hedged attempt has failed."""
-        drive, name = self.silent("safe")
-        drive.balancer.retry_policy.budget.tokens = 0.0
-        actions = drive.end(name, 1, api.AttemptStatus.ERROR)
+        driver, name = self.silent("safe")
+        driver.balancer.retry_policy.budget.tokens = 0.0
+        actions = driver.end(name, 1, api.AttemptStatus.ERROR)
         self.assertIn(api.RejectRequest, [type(action) for action in actions])
         self.assertIn(api.CancelAttempt(name, 0), actions)
 
     def test_in_a_queue_nothing_is_overtaken(self) -> None:
         """Late answers in sending order indicate a queue, not dropped connections."""
-        drive = Drive(build(1))
-        names = [drive.ask(answered=False) for _ in range(40)]
+        driver = RequestDriver(build(1))
+        names = [driver.ask(answered=False) for _ in range(40)]
         for name in names:
-            drive.now += 30 * MS
-            if name in drive.sent:
-                drive.end(name, 0, api.AttemptStatus.OK)
-            drive.tick()
-        self.assertTrue(all(len(sent) == 1 for sent in drive.sent.values()))
+            driver.now += 30 * MS
+            if name in driver.sent:
+                driver.end(name, 0, api.AttemptStatus.OK)
+            driver.tick()
+        self.assertTrue(all(len(sent) == 1 for sent in driver.sent.values()))
 
 
 class TurnedAway(unittest.TestCase):
@@ -126,21 +126,21 @@
         """In recorded traffic, five of twelve hosts rejected attempts while reporting that they were idle."""
         for util, expected in ((0.1, True), (0.95, False)):
             with self.subTest(util=util):
-                drive = Drive(build(4))
+                driver = RequestDriver(build(4))
                 for _ in range(240):
-                    name = drive.ask(answered=False)
+                    name = driver.ask(answered=False)
                     for attempt in range(4):
-                        if len(drive.sent[name]) > attempt:
-                            bad = drive.sent[name][attempt] == "h0"
-                            drive.end(
+                        if len(driver.sent[name]) > attempt:
+                            bad = driver.sent[name][attempt] == "h0"
+                            driver.end(
                                 name,
                                 attempt,
                                 api.AttemptStatus.OVERLOADED if bad else api.AttemptStatus.OK,
                                 util,
                             )
-                    drive.tick()
-                weights = {host.name: host.weight for host in drive.balancer.host_table.hosts.values()}
-                asked = sum(sent.count("h0") for sent in drive.sent.values())
+                    driver.tick()
+                weights = {host.name: host.weight for host in driver.balancer.host_table.hosts.values()}
+                asked = sum(sent.count("h0") for sent in driver.sent.values())
                 self.assertEqual(asked < 24, expected, f"{asked} of 240")
                 self.assertEqual(weights["h0"] < 8.0, expected)
 
@@ -171,10 +171,10 @@
             self.assertGreater(refused, 0)
 
     def test_a_client_that_asks_again_draws_on_it(self) -> None:
-        drive = Drive(build(3))
-        drive.balancer.retry_policy.budget.tokens = 1.0
+        driver = RequestDriver(build(3))
+        driver.balancer.retry_policy.budget.tokens = 1.0
         asked = [
-            drive.balancer.handle(api.RequestArrived(f"r{n}", "safe", None, SECOND, is_retry=True), 1)
+            driver.balancer.handle(api.RequestArrived(f"r{n}", "safe", None, SECOND, is_retry=True), 1)
             for n in range(3)
         ]
         self.assertEqual(
--- a/tests/loadbalancing/test_zone_routing.py
+++ b/tests/loadbalancing/test_zone_routing.py
@@ -38,16 +38,16 @@
 from tests.loadbalancing.test_rules import BASE
 from tests.rules import MS, SECOND, World
 
-UNIT = 500 * MS
+LATENCY_TARGET_NS = 500 * MS
 RULES = ZoneRules()
-TICK = UNIT // 8
+TICK = LATENCY_TARGET_NS // 8
 
 
-class Seen:
+class RouterHarness:
     """Zones of four hosts each, as seen by one proxy in zone `a`, with simulated ticks."""
 
     def __init__(self, rules: ZoneRules = RULES, names: str = "abcd", hosts: int = 4, fleet: int = 8) -> None:
-        self.zones, self.now = ZoneRouter(rules, "a", UNIT, fleet), 10 * SECOND
+        self.zones, self.now = ZoneRouter(rules, "a", LATENCY_TARGET_NS, fleet), 10 * SECOND
         self.ready = {name: [f"{name}{at}" for at in range(hosts)] for name in names}
         self.loads = {
             name: ZoneLoad(hosts, 20.0 * hosts, 12.0 * hosts, 12.0 * hosts, 8.0 * hosts) for name in names
@@ -79,9 +79,11 @@
             self.answers()
             for name, load in self.loads.items():
                 load.unanswered_since_ns = {
-                    host: begin for host in dark if host[0] == name and self.now - begin > UNIT // 2
+                    host: begin
+                    for host in dark
+                    if host[0] == name and self.now - begin > LATENCY_TARGET_NS // 2
                 }
-            self.zones.tick(self.now, TICK / UNIT, self.loads, self.rate, 0.7, 0.01)
+            self.zones.tick(self.now, TICK / LATENCY_TARGET_NS, self.loads, self.rate, 0.7, 0.01)
 
     def state(self, name: str) -> ZoneState:
         return self.zones.zones[name].state
@@ -111,8 +113,8 @@
     assert read["b"] == ((("a", 3.0), ("c", 1.0)),)
     # The tiers of c are d, followed by those of d.
     assert read["c"] == ((("d", 1.0),), (("a", 1.0),), (("b", 1.0),))
-    seen = Seen(rules_of("{neighbours: {a: [c]}}"))
-    assert {name: zone.tier for name, zone in seen.zones.zones.items()} == {"a": 0, "c": 1, "b": 2, "d": 2}
+    harness = RouterHarness(rules_of("{neighbours: {a: [c]}}"))
+    assert {name: zone.tier for name, zone in harness.zones.zones.items()} == {"a": 0, "c": 1, "b": 2, "d": 2}
 
 
 @pytest.mark.parametrize(
@@ -144,14 +146,14 @@
 
 
 def test_tiers_are_learned_from_what_quick_answers_take() -> None:
-    seen, rng = Seen(), random.Random(5)
+    harness, rng = RouterHarness(), random.Random(5)
     extra = {"a": 0, "b": 1, "c": 25, "d": 26}  # milliseconds
     for _ in range(400):
         for name, more in extra.items():
             work = 40 * math.exp(0.5 * rng.gauss(0, 1))
-            seen.end(f"{name}{rng.randrange(4)}", after=int((work + more) * MS))
-    seen.zones.tiers.rank()
-    assert {name: zone.tier for name, zone in seen.zones.zones.items()} == {"a": 0, "b": 1, "c": 2, "d": 2}
+            harness.end(f"{name}{rng.randrange(4)}", after=int((work + more) * MS))
+    harness.zones.tiers.rank()
+    assert {name: zone.tier for name, zone in harness.zones.zones.items()} == {"a": 0, "b": 1, "c": 2, "d": 2}
 
 
 # --- evidence -------------------------------------------------------------------------------------
@@ -160,83 +162,89 @@
 def test_several_dark_nodes_lose_a_zone_sooner_than_few() -> None:
     took: dict[int, int] = {}
     for count in (1, 2, 4):
-        seen = Seen(hosts=count)
-        seen.tick(3.0)
-        seen.dead.update(seen.ready["b"])
-        begin = seen.now
+        harness = RouterHarness(hosts=count)
+        harness.tick(3.0)
+        harness.dead.update(harness.ready["b"])
+        begin = harness.now
         for _ in range(100):
-            seen.tick(dark=())
-            dark = dict.fromkeys(seen.ready["b"], begin) if seen.now - begin > UNIT // 4 else {}
-            seen.loads["b"].unanswered_since_ns = dark
-            seen.zones.tick(seen.now, 0.0, seen.loads, 25.0, 0.7, 0.01)
-            if seen.state("b") is ZoneState.LOST:
+            harness.tick(dark=())
+            dark = (
+                dict.fromkeys(harness.ready["b"], begin)
+                if harness.now - begin > LATENCY_TARGET_NS // 4
+                else {}
+            )
+            harness.loads["b"].unanswered_since_ns = dark
+            harness.zones.tick(harness.now, 0.0, harness.loads, 25.0, 0.7, 0.01)
+            if harness.state("b") is ZoneState.LOST:
                 break
-        assert seen.state("b") is ZoneState.LOST
-        assert f"{count} of {count} nodes dark" in seen.zones.zones["b"].reason
-        took[count] = seen.now - begin
-    assert took[4] < took[2] < took[1] <= 3 * UNIT
+        assert harness.state("b") is ZoneState.LOST
+        assert f"{count} of {count} nodes dark" in harness.zones.zones["b"].reason
+        took[count] = harness.now - begin
+    assert took[4] < took[2] < took[1] <= 3 * LATENCY_TARGET_NS
 
 
 def test_one_dark_node_among_others_is_no_lost_zone() -> None:
-    seen = Seen()
-    seen.dead.add("b0")
-    seen.tick(5.0, dark=("b0",))
-    assert seen.state("b") is ZoneState.HEALTHY
+    harness = RouterHarness()
+    harness.dead.add("b0")
+    harness.tick(5.0, dark=("b0",))
+    assert harness.state("b") is ZoneState.HEALTHY
 
 
 def test_a_zone_where_one_node_answers_is_not_lost() -> None:
-    seen = Seen()
-    seen.dead.update(("b0", "b1", "b2"))
-    seen.tick(5.0, dark=("b0", "b1", "b2"))
-    assert seen.state("b") is not ZoneState.LOST
+    harness = RouterHarness()
+    harness.dead.update(("b0", "b1", "b2"))
+    harness.tick(5.0, dark=("b0", "b1", "b2"))
+    assert harness.state("b") is not ZoneState.LOST
 
 
 def test_ends_that_say_nothing_of_a_node_don_t_count() -> None:
-    seen = Seen()
+    harness = RouterHarness()
     for _ in range(20):
-        for host in seen.ready["b"]:
-            seen.end(host, AttemptStatus.TIMEOUT, after=UNIT // 10)  # the timeout was too short for an answer
-            seen.end(host, AttemptStatus.CANCELLED)
-            seen.end(host, AttemptStatus.NOT_STARTED)
-    seen.dead.update(seen.ready["b"])
-    seen.tick(1.0)
-    assert seen.state("b") is ZoneState.HEALTHY
+        for host in harness.ready["b"]:
+            harness.end(
+                host, AttemptStatus.TIMEOUT, after=LATENCY_TARGET_NS // 10
+            )  # the timeout was too short for an answer
+            harness.end(host, AttemptStatus.CANCELLED)
+            harness.end(host, AttemptStatus.NOT_STARTED)
+    harness.dead.update(harness.ready["b"])
+    harness.tick(1.0)
+    assert harness.state("b") is ZoneState.HEALTHY
 
 
 def test_silence_while_this_proxy_was_stalled_proves_nothing() -> None:
-    seen = Seen()
-    seen.tick(2.0)
-    before = seen.now
-    seen.now += 3 * SECOND
-    seen.zones.record_stall(seen.now)
+    harness = RouterHarness()
+    harness.tick(2.0)
+    before = harness.now
+    harness.now += 3 * SECOND
+    harness.zones.record_stall(harness.now)
     for name in "abcd":
-        seen.loads[name].unanswered_since_ns = dict.fromkeys(seen.ready[name], before)
-    seen.zones.tick(seen.now, 6.0, seen.loads, 25.0, 0.7, 0.01)
-    assert {seen.state(name) for name in "abcd"} == {ZoneState.HEALTHY}
+        harness.loads[name].unanswered_since_ns = dict.fromkeys(harness.ready[name], before)
+    harness.zones.tick(harness.now, 6.0, harness.loads, 25.0, 0.7, 0.01)
+    assert {harness.state(name) for name in "abcd"} == {ZoneState.HEALTHY}
 
 
 def test_a_grey_zone_is_suspected_and_what_must_not_run_twice_goes_elsewhere() -> None:
-    seen = Seen()
+    harness = RouterHarness()
     for at in range(24):
-        seen.end(f"b{at % 4}", AttemptStatus.RESET if at % 3 == 0 else AttemptStatus.OK)
-    seen.tick()
-    assert seen.state("b") is ZoneState.SUSPECT and "went wrong" in seen.zones.zones["b"].reason
+        harness.end(f"b{at % 4}", AttemptStatus.RESET if at % 3 == 0 else AttemptStatus.OK)
+    harness.tick()
+    assert harness.state("b") is ZoneState.SUSPECT and "went wrong" in harness.zones.zones["b"].reason
     assert (
-        seen.zones.is_unreliable("b")
-        and not seen.zones.is_unreliable("a")
-        and not seen.zones.is_excluded("b")
+        harness.zones.is_unreliable("b")
+        and not harness.zones.is_unreliable("a")
+        and not harness.zones.is_excluded("b")
     )
-    seen.tick(15.0)
-    assert seen.state("b") is ZoneState.HEALTHY
+    harness.tick(15.0)
+    assert harness.state("b") is ZoneState.HEALTHY
 
 
 def test_a_zone_drained_in_order_is_not_lost_and_one_that_left_the_list_is() -> None:
-    seen = Seen()
-    drained, gone = Seen(), Seen()
-    drained.zones.record_list({**seen.ready, "b": []}, {"b": seen.ready["b"]}, seen.now)
-    drained.zones.record_list({**seen.ready, "b": []}, {}, seen.now)
+    harness = RouterHarness()
+    drained, gone = RouterHarness(), RouterHarness()
+    drained.zones.record_list({**harness.ready, "b": []}, {"b": harness.ready["b"]}, harness.now)
+    drained.zones.record_list({**harness.ready, "b": []}, {}, harness.now)
     assert drained.state("b") is ZoneState.HEALTHY and drained.zones.zones["b"].reason == "drained in order"
-    gone.zones.record_list({**seen.ready, "b": []}, {}, seen.now)
+    gone.zones.record_list({**harness.ready, "b": []}, {}, harness.now)
     assert gone.state("b") is ZoneState.LOST and gone.zones.zones["b"].flap_penalty == 1.0
 
 
@@ -244,89 +252,92 @@
 
 
 def test_a_lost_zone_is_probed_comes_back_by_what_it_answers_and_is_healthy_at_last() -> None:
-    seen = Seen()
-    seen.tick(5.0)
-    seen.lose(seconds=25.0)
-    zone = seen.zones.zones["b"]
-    assert seen.zones.is_excluded("b") and zone.flap_penalty < 0.5
+    harness = RouterHarness()
+    harness.tick(5.0)
+    harness.lose(seconds=25.0)
+    zone = harness.zones.zones["b"]
+    assert harness.zones.is_excluded("b") and zone.flap_penalty < 0.5
     tried = zone.probe_turn
-    seen.tick(10.0)
+    harness.tick(10.0)
     assert 4 <= zone.probe_turn - tried <= 6  # one probe per four latency targets, the longest interval
-    seen.regain()
-    seen.tick(2.5)
-    assert seen.state("b") is ZoneState.RETURNING and not seen.zones.is_excluded("b")
+    harness.regain()
+    harness.tick(2.5)
+    assert harness.state("b") is ZoneState.RETURNING and not harness.zones.is_excluded("b")
     grants: list[float] = []
-    while seen.state("b") is ZoneState.RETURNING and len(grants) < 400:
-        used = zone.recent_responses * 0.693 / (UNIT / SECOND)
-        seen.tick()
+    while harness.state("b") is ZoneState.RETURNING and len(grants) < 400:
+        used = zone.recent_responses * 0.693 / (LATENCY_TARGET_NS / SECOND)
+        harness.tick()
         grants.append(zone.grant_per_s)
         start = 0.1 * 80.0 * zone.own_traffic_share
         assert (
             zone.grant_per_s
-            <= max(2.0 * max(used, zone.recent_responses * 0.693 / (UNIT / SECOND)), start) + 1e-6
+            <= max(2.0 * max(used, zone.recent_responses * 0.693 / (LATENCY_TARGET_NS / SECOND)), start)
+            + 1e-6
         )
-    assert seen.state("b") is ZoneState.HEALTHY and grants == sorted(grants)
+    assert harness.state("b") is ZoneState.HEALTHY and grants == sorted(grants)
 
 
 @pytest.mark.parametrize("period", [2.0, 5.0, 10.0])
 def test_flaps_suppress_a_zone_longer_each_time_up_to_a_bound(period: float) -> None:
-    seen = Seen()
-    seen.tick(5.0)
-    zone = seen.zones.zones["b"]
+    harness = RouterHarness()
+    harness.tick(5.0)
+    zone = harness.zones.zones["b"]
     ups = used = 0
     for _ in range(12):
-        seen.lose(seconds=period)
-        seen.regain()
-        until = seen.now + int(period * SECOND)
-        while seen.now < until:
-            seen.tick()
+        harness.lose(seconds=period)
+        harness.regain()
+        until = harness.now + int(period * SECOND)
+        while harness.now < until:
+            harness.tick()
             ups, used = ups + 1, used + (not zone.is_out_of_use)
     assert zone.loss_count >= 3 and used <= 0.1 * ups
-    seen.lose(seconds=period)
-    seen.regain()
-    begin = seen.now
+    harness.lose(seconds=period)
+    harness.regain()
+    begin = harness.now
     while zone.is_out_of_use:
-        seen.tick(0.5)
-        assert seen.now - begin <= RULES.max_flap_suppression_ns + 10 * UNIT
-    assert seen.now - begin > 3 * SECOND and seen.state("b") is ZoneState.RETURNING
+        harness.tick(0.5)
+        assert harness.now - begin <= RULES.max_flap_suppression_ns + 10 * LATENCY_TARGET_NS
+    assert harness.now - begin > 3 * SECOND and harness.state("b") is ZoneState.RETURNING
 
 
 def test_a_zone_that_the_operator_exempts_is_suppressed_no_more() -> None:
-    seen = Seen()
-    seen.tick(5.0)
+    harness = RouterHarness()
+    harness.tick(5.0)
     for _ in range(3):
-        seen.lose()
-        seen.regain()
-        seen.tick(1.0)
-    assert seen.zones.zones["b"].is_suppressed
-    seen.zones.set_rules(replace(RULES, flap_exempt=("b",)), seen.now)
-    seen.tick()
-    assert seen.state("b") is ZoneState.RETURNING and not seen.zones.is_excluded("b")
+        harness.lose()
+        harness.regain()
+        harness.tick(1.0)
+    assert harness.zones.zones["b"].is_suppressed
+    harness.zones.set_rules(replace(RULES, flap_exempt=("b",)), harness.now)
+    harness.tick()
+    assert harness.state("b") is ZoneState.RETURNING and not harness.zones.is_excluded("b")
 
 
 def test_without_a_suppression_time_flaps_cost_nothing() -> None:
-    seen = Seen(replace(RULES, max_flap_suppression_ns=0))
+    harness = RouterHarness(replace(RULES, max_flap_suppression_ns=0))
     for _ in range(3):
-        seen.lose()
-        assert seen.zones.is_excluded("b")
-        seen.regain()
-        seen.tick(2.5)
-        assert not seen.zones.is_excluded("b")
+        harness.lose()
+        assert harness.zones.is_excluded("b")
+        harness.regain()
+        harness.tick(2.5)
+        assert not harness.zones.is_excluded("b")
 
 
 def test_an_evacuated_zone_is_offered_less_and_less_and_comes_back_gently() -> None:
-    seen = Seen()
-    seen.tick(3.0)
-    seen.zones.set_rules(replace(RULES, evacuated=("a",)), seen.now)
-    seen.tick(5.0)
-    half = seen.zones.zones["a"].limit_per_s
-    seen.tick(5.5)
-    assert 0 < half < 0.75 * seen.rate and seen.zones.zones["a"].limit_per_s == 0
-    assert not seen.zones.admits("a", seen.now + SECOND) or seen.zones.zones["a"].tokens < 2
-    assert seen.state("a") is ZoneState.HEALTHY
-    seen.zones.set_rules(RULES, seen.now)
-    seen.tick()
-    assert seen.state("a") is ZoneState.RETURNING and 0 < seen.zones.zones["a"].limit_per_s < seen.rate
+    harness = RouterHarness()
+    harness.tick(3.0)
+    harness.zones.set_rules(replace(RULES, evacuated=("a",)), harness.now)
+    harness.tick(5.0)
+    half = harness.zones.zones["a"].limit_per_s
+    harness.tick(5.5)
+    assert 0 < half < 0.75 * harness.rate and harness.zones.zones["a"].limit_per_s == 0
+    assert not harness.zones.admits("a", harness.now + SECOND) or harness.zones.zones["a"].tokens < 2
+    assert harness.state("a") is ZoneState.HEALTHY
+    harness.zones.set_rules(RULES, harness.now)
+    harness.tick()
+    assert (
+        harness.state("a") is ZoneState.RETURNING and 0 < harness.zones.zones["a"].limit_per_s < harness.rate
+    )
 
 
 # --- spill ----------------------------------------------------------------------------------------
@@ -354,7 +365,7 @@
 ) -> None:
     """Each proxy knows only its own share of the lost zone's traffic; the shares add up to one."""
     total, rules = sum(parts), replace(RULES, spill_rate=spill)
-    proxies = [Seen(rules, fleet=len(parts)) for _ in parts]
+    proxies = [RouterHarness(rules, fleet=len(parts)) for _ in parts]
     for proxy, part in zip(proxies, parts, strict=True):
         proxy.tick(1.0)
         for name in "bcd":
@@ -377,49 +388,53 @@
 
 
 def test_a_strained_zone_is_granted_less_and_what_fits_nowhere_is_said() -> None:
-    seen = Seen()
-    seen.tick(3.0)
-    seen.dead.update(seen.ready["a"])
-    seen.zones.health.set_lost(seen.zones.zones["a"], "told so", seen.now)
-    seen.tick(3.0)
-    assert seen.zones.unplaced_fraction < 0.2 and seen.zones.zones["b"].grant_per_s > 1
-    seen.dead.update(host for hosts in seen.ready.values() for host in hosts)  # no attempt is answered there
+    harness = RouterHarness()
+    harness.tick(3.0)
+    harness.dead.update(harness.ready["a"])
+    harness.zones.health.set_lost(harness.zones.zones["a"], "told so", harness.now)
+    harness.tick(3.0)
+    assert harness.zones.unplaced_fraction < 0.2 and harness.zones.zones["b"].grant_per_s > 1
+    harness.dead.update(
+        host for hosts in harness.ready.values() for host in hosts
+    )  # no attempt is answered there
     for name in "bcd":
-        seen.loads[name].used = seen.loads[name].capacity
-    before = {name: seen.zones.zones[name].grant_per_s for name in "bcd"}
-    seen.tick(10.0)
-    assert all(seen.zones.zones[name].grant_per_s < before[name] for name in "bcd")
-    assert seen.zones.unplaced_fraction > 0.2
+        harness.loads[name].used = harness.loads[name].capacity
+    before = {name: harness.zones.zones[name].grant_per_s for name in "bcd"}
+    harness.tick(10.0)
+    assert all(harness.zones.zones[name].grant_per_s < before[name] for name in "bcd")
+    assert harness.zones.unplaced_fraction > 0.2
 
 
 def test_few_healthy_nodes_under_load_are_panic_and_an_unreachable_zone_stays_out() -> None:
-    seen = Seen()
-    seen.tick(2.0)
+    harness = RouterHarness()
+    harness.tick(2.0)
     lost = ("b", "c", "d")
     for name in lost:
-        seen.lose(name, 0.0)
-    seen.tick(2.0, dark=tuple(host for name in lost for host in seen.ready[name]))
-    assert all(seen.state(name) is ZoneState.LOST for name in lost)
-    assert not seen.zones.is_panic and seen.zones.is_excluded("b")  # the remaining zone has spare capacity
-    for host in seen.ready["b"]:
-        seen.end(host, AttemptStatus.CONNECT_FAILED)
-    seen.loads["a"].used = seen.loads["a"].capacity
-    seen.tick()
-    assert seen.zones.is_panic
-    assert [seen.zones.is_excluded(name) for name in "abcd"] == [False, True, False, False]
-    assert seen.zones.is_unreliable("c")
-    seen.loads["a"].used = 0.5 * seen.loads["a"].capacity
-    seen.tick()
-    assert not seen.zones.is_panic and seen.zones.is_excluded("c")
+        harness.lose(name, 0.0)
+    harness.tick(2.0, dark=tuple(host for name in lost for host in harness.ready[name]))
+    assert all(harness.state(name) is ZoneState.LOST for name in lost)
+    assert not harness.zones.is_panic and harness.zones.is_excluded(
+        "b"
+    )  # the remaining zone has spare capacity
+    for host in harness.ready["b"]:
+        harness.end(host, AttemptStatus.CONNECT_FAILED)
+    harness.loads["a"].used = harness.loads["a"].capacity
+    harness.tick()
+    assert harness.zones.is_panic
+    assert [harness.zones.is_excluded(name) for name in "abcd"] == [False, True, False, False]
+    assert harness.zones.is_unreliable("c")
+    harness.loads["a"].used = 0.5 * harness.loads["a"].capacity
+    harness.tick()
+    assert not harness.zones.is_panic and harness.zones.is_excluded("c")
 
 
 def test_when_every_zone_is_out_all_take_part() -> None:
-    seen = Seen(replace(RULES, panic_threshold=0.0))
-    seen.tick(2.0)
-    seen.dead.update(host for hosts in seen.ready.values() for host in hosts)
-    seen.tick(3.0, dark=tuple(seen.dead))
-    assert all(seen.state(name) is ZoneState.LOST for name in "abcd")
-    assert not any(seen.zones.is_excluded(name) for name in "abcd")
+    harness = RouterHarness(replace(RULES, panic_threshold=0.0))
+    harness.tick(2.0)
+    harness.dead.update(host for hosts in harness.ready.values() for host in hosts)
+    harness.tick(3.0, dark=tuple(harness.dead))
+    assert all(harness.state(name) is ZoneState.LOST for name in "abcd")
+    assert not any(harness.zones.is_excluded(name) for name in "abcd")
 
 
 # --- the balancer ---------------------------------------------------------------------------------
@@ -436,53 +451,56 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_without_rules_two_balancers_act_alike(seed: int) -> None:
     """Without zone rules the zone-aware balancer must act exactly like the plain one."""
-    told = replace(BASE, cross_zone_price=0.1, subscribes_to_endpoints=True)
-    assert type(balancer_for(told, seed)) is Balancer
-    plain, off = drive(Balancer(told, seed), seed), drive(ZoneAwareBalancer(told, seed), seed)
+    zone_settings = replace(BASE, cross_zone_price=0.1, subscribes_to_endpoints=True)
+    assert type(balancer_for(zone_settings, seed)) is Balancer
+    plain, off = (
+        drive(Balancer(zone_settings, seed), seed),
+        drive(ZoneAwareBalancer(zone_settings, seed), seed),
+    )
     assert plain.actions == off.actions and plain.sends > 50
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_with_rules_the_rules_of_the_module_hold(seed: int) -> None:
-    told = replace(BASE, cross_zone_price=0.1, subscribes_to_endpoints=True, zone_rules=RULES)
-    world = drive(balancer_for(told, seed), seed, 400)
+    zone_settings = replace(BASE, cross_zone_price=0.1, subscribes_to_endpoints=True, zone_rules=RULES)
+    world = drive(balancer_for(zone_settings, seed), seed, 400)
     world.finish()
     assert world.sends > 20
 
 
 def test_a_state_with_zones_is_kept_whole() -> None:
-    told = replace(
+    zone_settings = replace(
         BASE,
         cross_zone_price=0.1,
         subscribes_to_endpoints=True,
         zone_rules=replace(RULES, neighbours=(("z0", ()),)),
     )
-    world = drive(balancer_for(told, 4), 4)
+    world = drive(balancer_for(zone_settings, 4), 4)
     kept = json.loads(json.dumps(save(world.balancer)))
-    settings_kept = restore_settings(json.loads(json.dumps(save_settings(told))))
-    assert settings_kept == told
+    settings_kept = restore_settings(json.loads(json.dumps(save_settings(zone_settings))))
+    assert settings_kept == zone_settings
     again = restore(settings_kept, 4, kept)
     assert isinstance(again, ZoneAwareBalancer) and save(again) == save(world.balancer)
     for at in range(1, 30):
-        event = api.RequestArrived(f"again{at}", told.classes[0].name, None, SECOND)
+        event = api.RequestArrived(f"again{at}", zone_settings.classes[0].name, None, SECOND)
         now = world.now + at * 40 * MS
         assert again.handle(event, now) == world.balancer.handle(event, now)
         timer = api.TimerFired(0)
         assert again.handle(timer, now) == world.balancer.handle(timer, now)
     with pytest.raises(StateError, match="zones"):
-        restore_settings({**save_settings(told), "zones": {"spill": 1.0}})
+        restore_settings({**save_settings(zone_settings), "zones": {"spill": 1.0}})
 
 
 def test_a_change_of_rules_is_recorded_and_read_back() -> None:
     for rules in (None, replace(RULES, flap_exempt=("b",), neighbours=(("a", ((("b", 2.0),),)),))):
-        name, told = encode_event(api.ZoneRulesChanged(rules))
-        record = json.loads(json.dumps({"ev": name, "in": told}))
+        name, event_body = encode_event(api.ZoneRulesChanged(rules))
+        record = json.loads(json.dumps({"ev": name, "in": event_body}))
         assert decode_event(record) == api.ZoneRulesChanged(rules)
 
 
 def test_rules_that_go_leave_a_plain_balancer() -> None:
-    told = replace(BASE, cross_zone_price=0.1, zone_rules=RULES)
-    world = drive(balancer_for(told, 3), 3)
+    zone_settings = replace(BASE, cross_zone_price=0.1, zone_rules=RULES)
+    world = drive(balancer_for(zone_settings, 3), 3)
     world.give(api.ZoneRulesChanged(None))
     balancer = world.balancer
     assert isinstance(balancer, ZoneAwareBalancer)
@@ -567,7 +585,7 @@
 def test_zones_stand_in_the_order_in_which_the_list_names_them() -> None:
     # The order of a set depends on hashes, which differ between processes, and would affect sums over zones.
     names = [f"zone-{at}" for at in range(24)]
-    zones = ZoneRouter(RULES, "zone-0", UNIT, 8)
+    zones = ZoneRouter(RULES, "zone-0", LATENCY_TARGET_NS, 8)
     zones.record_list(
         {name: [f"{name}-host"] for name in names[:16]}, {name: [] for name in names[8:]}, SECOND
     )
