--- a/brambleusher/loadbalancing/client_draining.py
+++ b/brambleusher/loadbalancing/client_draining.py
@@ -8,7 +8,7 @@
 # Seconds after the drain call during which idle connections may still bring a request; its response asks the
 # client to close the connection.
 DRAIN_GRACE_S = 1.0
-# The same, in seconds, when another process takes over; a later request may be cut off.
+# Drain grace in seconds when another process takes over; later requests may be cut off.
 HANDOVER_GRACE_S = 0.65
 FIRST_REQUEST_GRACE_S = 0.4  # seconds that a connection accepted after the call has for its first request
 
--- a/brambleusher/loadbalancing/hosts.py
+++ b/brambleusher/loadbalancing/hosts.py
@@ -176,7 +176,7 @@
         self.attempts: list[Attempt] = []
         self.unfinished = 0  # attempts that have not ended, including those written off
         self.written_off = 0
-        self.is_answered = False  # whether no answer is owed any more
+        self.is_answered = False  # whether the request needs no answer any more
         self.may_have_run = False
         self.is_body_streamed = False  # the body is streamed while it arrives, so it can be sent only once
         # Host of the first attempt that may have been executed; restricts retries to its deduplication scope.
--- a/brambleusher/loadbalancing/retry_budget.py
+++ b/brambleusher/loadbalancing/retry_budget.py
@@ -18,7 +18,7 @@
 
 from typing import NamedTuple
 
-DEPOSIT_PER_REQUEST = 0.2  # fraction of a token
+DEPOSIT_PER_REQUEST = 0.2  # tokens that each first request adds to the budget
 MAX_TOKENS = 5.0
 # Smoothing factors, for increases and decreases, of the mean remaining time of first requests.
 RISE_FRACTION, FALL_FRACTION = 0.25, 0.002
--- a/brambleusher/loadbalancing/zone_aware_balancer.py
+++ b/brambleusher/loadbalancing/zone_aware_balancer.py
@@ -24,7 +24,7 @@
 
 # A timer that fires this many latency targets late shows that this proxy itself was paused.
 PAUSE_TARGETS = 0.25
-# A probe needs at least this multiple of its timeout, so that its request can be retried in time.
+# Minimum remaining time of a probing request, in probe timeouts, so that it can be retried in time.
 PROBE_DEADLINE_FACTOR = 2
 MIN_PROXIES_IN_ZONE = 0.25  # lower bound of the number of proxies that share a warming host's capacity
 
--- a/brambleusher/loadbalancing/zone_health.py
+++ b/brambleusher/loadbalancing/zone_health.py
@@ -27,19 +27,21 @@
 )
 
 # Evidence; times are in latency targets.
-# Silence after which a zone is lost, by its number of dark nodes: the more there are, the shorter.
+
+# Unresponsive time after which a zone is lost, by its number of dark nodes: the more there are, the shorter.
 LOST_TARGETS = (2.0, 1.0, 0.5)
-SUSPECT_FRACTION = 0.5  # fraction of that time after which a zone is suspect
-MISSING_RESPONSES = 4.0  # expected responses that must be missing; random gaps are shorter
+SUSPECT_FRACTION = 0.5  # fraction of the unresponsive timeout after which a zone is suspect
+# Number of expected responses that must be missing to lose a zone; random gaps are shorter.
+MISSING_RESPONSES = 4.0
 DARK_FAILURES = 2  # consecutive failures without a response after which a node is dark, whatever their age
-RESPONSIVE_TARGETS = 2.0  # a node is responsive if it responded within this time
+RESPONSIVE_TARGETS = 2.0  # a node is responsive if its last response is at most this old
 # Fraction of recent attempts that failed, at two nodes or more, from which a zone is suspect.
 GREY_FRACTION = 0.15
 GREY_MIN_ENDS = 6.0
 GREY_NODE_FAILURES = 0.5  # decaying count of failures from which a node counts as failing
 GREY_HALF_LIFE_TARGETS = 8.0
 GREY_NODES = 2
-CLEAR_TARGETS = 2.0  # time without a fault after which a zone is no longer suspect
+CLEAR_TARGETS = 2.0  # time without a fault after which a suspect zone is healthy again
 # An attempt with a shorter timeout could not have been answered and says nothing about the node.
 MIN_TIMEOUT_TARGETS = 0.25
 RESPONSE_HALF_LIFE_TARGETS = 1.0
@@ -217,7 +219,7 @@
         return dark
 
     def _unresponsive_timeout_ns(self, zone: Zone, dark_nodes: int) -> float:
-        """Return the silence, in nanoseconds, after which a zone is lost."""
+        """Return the unresponsive time, in nanoseconds, after which a zone is lost."""
         target_ns = self._table.target_ns
         needed = LOST_TARGETS[min(dark_nodes, len(LOST_TARGETS)) - 1] * target_ns if dark_nodes else 0.0
         random_gap_ns = (
--- a/brambleusher/loadbalancing/zone_loads.py
+++ b/brambleusher/loadbalancing/zone_loads.py
@@ -15,8 +15,9 @@
 from brambleusher.loadbalancing.zone_state import ZoneLoad
 
 MIN_UNRESPONSIVE = 0.5  # minimum time, in latency targets, without an answer before a host is unresponsive
-MAX_UNRESPONSIVE = 2.0  # maximum of that time in latency targets, however slow usual answers are
-UNRESPONSIVE_FACTOR = 3.0  # the time as a multiple of the mean latency, within these bounds
+MAX_UNRESPONSIVE = 2.0  # maximum time, in latency targets, without an answer before a host is unresponsive
+# Time without an answer before a host is unresponsive, in mean latencies, within the two bounds.
+UNRESPONSIVE_FACTOR = 3.0
 MIN_FREE = 0.01  # minimum free fraction of a host's capacity for weighting; a full host still counts a little
 STRAINED_FRACTION = 0.5  # a zone is strained if more than this fraction of its hosts miss their goal or fail
 
--- a/brambleusher/loadbalancing/zone_state.py
+++ b/brambleusher/loadbalancing/zone_state.py
@@ -45,8 +45,8 @@
     """Response statistics of one host."""
 
     last_response_ns: int = 0  # time of the last response of any kind
-    consecutive_failures: int = 0  # attempts that ended without a response since then
-    failing_since_ns: int = 0  # send time of the first of these attempts
+    consecutive_failures: int = 0  # attempts without a response since the last response
+    failing_since_ns: int = 0  # send time of the first attempt since the last response that failed
     recent_failures: float = 0.0  # decaying count of failed attempts, error responses included
 
 
@@ -64,7 +64,7 @@
     last_fault_ns: int = 0  # time of the last evidence of a fault
     last_response_ns: int = 0  # time of the last response of any of its hosts
     consecutive_failures: int = 0  # attempts without a response in a row, over all its hosts
-    consecutive_connect_failures: int = 0  # failed connects in a row
+    consecutive_connect_failures: int = 0  # consecutive failed connects, over all hosts of the zone
     # Return of a lost zone.
     flap_penalty: float = 0.0
     loss_count: int = 0
