--- a/brambleusher/loadbalancing/attempt_timeout.py
+++ b/brambleusher/loadbalancing/attempt_timeout.py
@@ -1,4 +1,4 @@
-"""When an attempt is given up before its client's time is over, so that another can be made."""
+"""Attempt timeouts: when to give up an attempt before the client's deadline, so that another can be made."""
 
 from __future__ import annotations
 
@@ -13,13 +13,15 @@
 from brambleusher.loadbalancing.performance_index import GOAL_PER_TARGET
 from brambleusher.loadbalancing.traffic import TrafficStatistics
 
-UNRESPONSIVE_TIMES = 6.0  # the usual answer's time: an attempt is given up where some are not answered
-IDLE_TIMES = 3  # the usual answer's time, on a connection that may have been dropped while idle
-NO_TIMEOUT = 0  # the attempt has its client's time
+UNRESPONSIVE_TIMEOUT_FACTOR = 6.0  # attempt timeout, in mean latencies, while some attempts remain unanswered
+IDLE_TIMEOUT_FACTOR = (
+    3  # attempt timeout, in mean latencies, on a connection that may have been dropped while idle
+)
+NO_TIMEOUT = 0  # the attempt may use all of the client's remaining time
 
 
 class AttemptTimeouts:
-    """Time-outs of attempts, from what became of attempts lately."""
+    """Chooses the timeouts of attempts from the outcomes of recent attempts."""
 
     def __init__(
         self,
@@ -36,33 +38,36 @@
         self._idle_timeout = idle_timeout
 
     def timeout_ns(self, request: Request, idle_ns: int, now: int) -> int:
-        """Return the time-out of the next attempt of a request, on a connection that was idle so long.
+        """Return the timeout of a request's next attempt on a connection that was idle for `idle_ns`.
 
-        Guards against connections dropped unseen, and against those that became unresponsive under a request
-        while there is capacity elsewhere.  Harm: answers that would have come.
+        A timeout helps if the connection was dropped unnoticed, or if the host stops responding while others
+        have capacity. The cost is that some late but valid answers are lost.
         """
         if len(request.attempts) + 1 >= self._settings.max_attempts:
             return NO_TIMEOUT
         request_class = self._settings.classes[request.class_index]
         timeout_ns = NO_TIMEOUT
         if idle_ns > self._idle_timeout.min_ns and self._idle_timeout.is_reduced:
-            timeout_ns = self._after_idling(request, request_class, now)
+            timeout_ns = self._idle_connection_timeout_ns(request, request_class, now)
         if timeout_ns or request_class.idempotency is not Idempotency.SAFE:
             return timeout_ns
         if self._outliers.timeouts > 1 and not self._admission.is_late:
-            usual_ns = self._traffic.mean_latency_ns(request.class_index)
-            patience = max(UNRESPONSIVE_TIMES * usual_ns, request_class.latency_target_ns * GOAL_PER_TARGET)
-            if now + 2 * patience < request.deadline_ns:
-                return int(patience)
+            mean_ns = self._traffic.mean_latency_ns(request.class_index)
+            patience_ns = max(
+                UNRESPONSIVE_TIMEOUT_FACTOR * mean_ns,
+                request_class.latency_target_ns * GOAL_PER_TARGET,
+            )
+            if now + 2 * patience_ns < request.deadline_ns:
+                return int(patience_ns)
         return NO_TIMEOUT
 
-    def _after_idling(self, request: Request, request_class: api.RequestClass, now: int) -> int:
+    def _idle_connection_timeout_ns(self, request: Request, request_class: api.RequestClass, now: int) -> int:
         if request_class.idempotency is Idempotency.UNSAFE:
             return NO_TIMEOUT
-        usual_ns = self._traffic.mean_latency_ns(request.class_index)
+        mean_latency_ns = self._traffic.mean_latency_ns(request.class_index)
         return int(
             min(
-                IDLE_TIMES * usual_ns or math.inf,
+                IDLE_TIMEOUT_FACTOR * mean_latency_ns or math.inf,
                 request_class.latency_target_ns / 2,
                 (request.deadline_ns - now) / 2,
             )
--- a/brambleusher/loadbalancing/settings_codec.py
+++ b/brambleusher/loadbalancing/settings_codec.py
@@ -1,6 +1,7 @@
-"""Settings of the balancer as JSON values and back, as captures and states handed to a successor have them.
+"""Encodes balancer settings as JSON values and decodes them, for captures and transferred states.
 
-The keys are a stored form: the tables below map them to the attributes, which may be renamed.
+The keys are a stored format that must not change; the tables below map them to attributes, which may be
+renamed.
 """
 
 from __future__ import annotations
@@ -9,9 +10,9 @@
 from typing import Any, Final
 
 from brambleusher.loadbalancing import api
-from brambleusher.loadbalancing.json_values import MALFORMED, StateError, plain, unplain
+from brambleusher.loadbalancing.json_values import MALFORMED, StateError, decode_plain, encode_plain
 
-# Stored key -> attribute, in the order in which they are written.
+# Each table maps stored keys to attributes, in the order in which they are written.
 ZONE_RULES_KEYS: Final = {
     "neighbours": "neighbours",
     "spill": "spill_rate",
@@ -71,87 +72,91 @@
     "zones": "zone_rules",
 }
 
-_SECTIONS: Final = frozenset({"classes", "tenants", "zones"})  # keys whose values are records of their own
+_SECTIONS: Final = frozenset({"classes", "tenants", "zones"})  # keys whose values are nested records
 
 
 def save_rules(rules: api.ZoneRules | None) -> dict[str, Any] | None:
-    """Return rules on zones as JSON values."""
-    return None if rules is None else _record(rules, ZONE_RULES_KEYS)
+    """Return zone rules as JSON values."""
+    return None if rules is None else _encode_fields(rules, ZONE_RULES_KEYS)
 
 
 def restore_rules(raw: object) -> api.ZoneRules | None:
-    """Return the rules that `save_rules` was given.
+    """Return the zone rules from the output of `save_rules`.
 
     Raises:
-        StateError: They are not this version's, or cannot be read.
+        StateError: The rules have another version's fields, or cannot be read.
     """
     if raw is None:
         return None
     if not isinstance(raw, Mapping):
-        raise StateError(f"the rules on zones are no object but a {type(raw).__name__}")
+        raise StateError(f"the zone rules must be an object, not a {type(raw).__name__}")
     try:
         if set(raw) != set(ZONE_RULES_KEYS):
-            raise StateError("the rules on zones are not this version's")
-        values: dict[str, Any] = {ZONE_RULES_KEYS[key]: unplain(value) for key, value in raw.items()}
+            raise StateError("the fields of the zone rules (key zones) are those of another version")
+        values: dict[str, Any] = {ZONE_RULES_KEYS[key]: decode_plain(value) for key, value in raw.items()}
         return api.ZoneRules(**values)
     except StateError:
         raise
     except MALFORMED as error:
-        raise StateError(f"the rules on zones can't be read: {type(error).__name__}: {error}") from None
+        raise StateError(f"cannot decode the zone rules: {type(error).__name__}: {error}") from None
 
 
 def save_settings(settings: api.Settings) -> dict[str, Any]:
     """Return the settings as JSON values."""
     sections: dict[str, object] = {
         "classes": [_save_request_class(item) for item in settings.classes],
-        "tenants": [_record(item, TENANT_KEYS) for item in settings.tenants],
+        "tenants": [_encode_fields(item, TENANT_KEYS) for item in settings.tenants],
         "zones": save_rules(settings.zone_rules),
         "report_fields": list(settings.report_fields),
     }
     return {
-        key: sections[key] if key in sections else plain(getattr(settings, attribute))
+        key: sections[key] if key in sections else encode_plain(getattr(settings, attribute))
         for key, attribute in SETTINGS_KEYS.items()
     }
 
 
 def restore_settings(raw: object) -> api.Settings:
-    """Return the settings that `save_settings` was given.
+    """Return the settings from the output of `save_settings`.
 
     Raises:
-        StateError: They are not this version's, or cannot be read.
+        StateError: The settings have another version's fields, or cannot be read.
     """
     if not isinstance(raw, Mapping):
-        raise StateError(f"the settings are no object but a {type(raw).__name__}")
+        raise StateError(f"the settings must be an object, not a {type(raw).__name__}")
     try:
-        values: dict[str, Any] = {key: unplain(value) for key, value in raw.items() if key not in _SECTIONS}
+        values: dict[str, Any] = {
+            key: decode_plain(value) for key, value in raw.items() if key not in _SECTIONS
+        }
         values["classes"] = tuple(_request_class(item) for item in raw["classes"])
         values["tenants"] = tuple(_tenant(item) for item in raw["tenants"])
         values["zones"] = restore_rules(raw["zones"])
         values["report_fields"] = tuple(values["report_fields"])
         if set(values) != set(SETTINGS_KEYS):
-            raise StateError("the settings are not this version's")
+            raise StateError("the fields of the settings are those of another version")
         return api.Settings(**{SETTINGS_KEYS[key]: value for key, value in values.items()})
     except StateError:
         raise
     except MALFORMED as error:
-        raise StateError(f"the settings can't be read: {type(error).__name__}: {error}") from None
+        raise StateError(f"cannot decode the settings: {type(error).__name__}: {error}") from None
 
 
-def _record(item: object, keys: Mapping[str, str]) -> dict[str, Any]:
-    return {key: plain(getattr(item, attribute)) for key, attribute in keys.items()}
+def _encode_fields(item: object, keys: Mapping[str, str]) -> dict[str, Any]:
+    return {key: encode_plain(getattr(item, attribute)) for key, attribute in keys.items()}
 
 
 def _save_request_class(item: api.RequestClass) -> dict[str, Any]:
-    words = {"effect": item.idempotency.value, "group": item.deduplication_scope.value}
+    enum_values = {"effect": item.idempotency.value, "group": item.deduplication_scope.value}
     return {
-        key: words[key] if key in words else plain(getattr(item, attribute))
+        key: enum_values[key] if key in enum_values else encode_plain(getattr(item, attribute))
         for key, attribute in REQUEST_CLASS_KEYS.items()
     }
 
 
 def _request_class(raw: Mapping[str, Any]) -> api.RequestClass:
-    words = {"effect": api.Idempotency(raw["effect"]), "group": api.DeduplicationScope(raw["group"])}
-    return api.RequestClass(**{REQUEST_CLASS_KEYS[key]: words.get(key, value) for key, value in raw.items()})
+    enum_values = {"effect": api.Idempotency(raw["effect"]), "group": api.DeduplicationScope(raw["group"])}
+    return api.RequestClass(
+        **{REQUEST_CLASS_KEYS[key]: enum_values.get(key, value) for key, value in raw.items()}
+    )
 
 
 def _tenant(raw: Mapping[str, Any]) -> api.Tenant:
--- a/brambleusher/operator_settings/section.py
+++ b/brambleusher/operator_settings/section.py
@@ -1,16 +1,17 @@
-"""Mappings of an operator file, read key by key, so that a fault names its key."""
+"""Typed access to the mappings of an operator file, with errors that name the key."""
 
 from __future__ import annotations
 
 
 class OperatorFileError(ValueError):
-    """An operator file that can't be used; the message names the key."""
+    """An operator file is invalid; the message names the key."""
 
 
 class Section:
-    """One mapping of the file.
+    """A mapping of the operator file, whose keys are removed as they are read.
 
-    Its methods raise `OperatorFileError` where a value is not of its kind.  `reject_unknown_keys` comes last.
+    Methods raise `OperatorFileError` if a value has the wrong type. After all known keys have been read, the
+    caller must call `reject_unknown_keys`.
     """
 
     def __init__(self, raw: object, path: str) -> None:
@@ -18,57 +19,57 @@
             raw = {}
         if not isinstance(raw, dict):
             raise OperatorFileError(f"{path or 'the file'} is not a mapping")
-        self._left, self._path = dict(raw), path
+        self._remaining, self._path = dict(raw), path
 
     def name(self, key: str) -> str:
-        """Return the key with the path to it."""
+        """Return the full path of a key."""
         return f"{self._path}.{key}" if self._path else key
 
     def has(self, key: str) -> bool:
-        """Return whether a key stands in the mapping and has not been taken yet."""
-        return key in self._left
+        """Return whether the mapping has a key that has not been read yet."""
+        return key in self._remaining
 
     def take(self, key: str, default: object = None) -> object:
-        """Take a value as it stands."""
-        return self._left.pop(key, default)
+        """Remove a key and return its value unchecked."""
+        return self._remaining.pop(key, default)
 
     def text(self, key: str, default: str | None = None) -> str | None:
-        """Take a text, not empty."""
-        if key not in self._left:
+        """Remove a key and return its value, a non-empty string."""
+        if key not in self._remaining:
             return default
-        value = self._left.pop(key)
+        value = self._remaining.pop(key)
         if not isinstance(value, str) or not value:
             raise OperatorFileError(f"{self.name(key)} is not a text")
         return value
 
-    def choice(self, key: str, among: tuple[str, ...], default: str = "") -> str:
-        """Take one of a few texts."""
+    def choice(self, key: str, choices: tuple[str, ...], default: str = "") -> str:
+        """Remove a key and return its value, one of the strings in `choices`."""
         value = self.text(key, default) or ""
-        if value not in among:
-            raise OperatorFileError(f"{self.name(key)} is not one of {', '.join(among)}")
+        if value not in choices:
+            raise OperatorFileError(f"{self.name(key)} is not one of {', '.join(choices)}")
         return value
 
     def integer(self, key: str, default: int, low: int, high: int) -> int:
-        """Take a whole number within a range."""
-        value = self._left.pop(key, default)
+        """Remove a key and return its value, an integer from `low` to `high`."""
+        value = self._remaining.pop(key, default)
         if isinstance(value, bool) or not isinstance(value, int) or not low <= value <= high:
             raise OperatorFileError(f"{self.name(key)} is not a whole number from {low} to {high}")
         return value
 
     def number(self, key: str, default: float, low: float, high: float) -> float:
-        """Take a number within a range."""
-        value = self._left.pop(key, default)
+        """Remove a key and return its value, a number from `low` to `high`."""
+        value = self._remaining.pop(key, default)
         if isinstance(value, bool) or not isinstance(value, int | float) or not low <= value <= high:
             raise OperatorFileError(f"{self.name(key)} is not a number from {low:g} to {high:g}")
         return float(value)
 
-    def name_list(self, key: str, most: int) -> tuple[str, ...]:
-        """Take a list of texts, none of them twice."""
-        value = self._left.pop(key, None)
+    def name_list(self, key: str, max_items: int) -> tuple[str, ...]:
+        """Remove a key and return its value, a list of at most `max_items` distinct non-empty strings."""
+        value = self._remaining.pop(key, None)
         if value is None:
             return ()
-        if not isinstance(value, list) or len(value) > most:
-            raise OperatorFileError(f"{self.name(key)} is not a list of at most {most} names")
+        if not isinstance(value, list) or len(value) > max_items:
+            raise OperatorFileError(f"{self.name(key)} is not a list of at most {max_items} names")
         for index, name in enumerate(value):
             if not isinstance(name, str) or not name:
                 raise OperatorFileError(f"{self.name(key)}[{index}] is not a text")
@@ -77,6 +78,6 @@
         return tuple(value)
 
     def reject_unknown_keys(self) -> None:
-        """Reject keys that nobody has taken."""
-        for key in self._left:
+        """Raise an error if the mapping has a key that has not been read."""
+        for key in self._remaining:
             raise OperatorFileError(f"{self.name(key)} is unknown")
--- a/brambleusher/xds/core.py
+++ b/brambleusher/xds/core.py
@@ -210,9 +210,9 @@
         self.view_consistency.record_discovery(ViewPosition(self.config.epoch, version), now_ns)
         self._update_view(now_ns)
 
-    def record_discovery_lost(self) -> None:
+    def record_discovery_disconnect(self) -> None:
         """Note that the watch of discovery has ended."""
-        self.view_consistency.record_discovery_lost()
+        self.view_consistency.record_discovery_disconnect()
 
     # --- durable storage --------------------------------------------------------------------------
 
@@ -437,7 +437,7 @@
             return consistency.withheld_reason(now_ns) or WithheldReason.NOT_DURABLE
         is_unwritten = consistency.position_to_write() is not None
         has_only_removals = is_unwritten and self._has_write_failed and self._position == consistency.position
-        return consistency.withheld_reason(now_ns, harmless=has_only_removals)
+        return consistency.withheld_reason(now_ns, has_only_removals=has_only_removals)
 
     def next_response(self, stream: Stream, now_ns: int) -> Response | None:
         """Return a stream's next response; None as long as there is none or it is withheld."""
--- a/tests/loadbalancing/test_limits.py
+++ b/tests/loadbalancing/test_limits.py
@@ -1,4 +1,4 @@
-"""What holds in a crowd and lets go after it: written-off attempts, hosts that turn away, one budget."""
+"""Overload protection: written-off attempts, hosts that reject, and the retry budget."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
     return balancer
 
 
-class Drive:
-    """Requests that are answered within 20 ms, but for some that never are."""
+class RequestDriver:
+    """Sends requests, most of which are answered within 20 ms while some are never answered."""
 
     def __init__(self, balancer: Balancer) -> None:
         self.balancer, self.now, self.count = balancer, 0, 0
@@ -59,95 +59,95 @@
 
 
 class WrittenOff(unittest.TestCase):
-    def silent(self, cls: str, util: float = 0.2) -> tuple[Drive, str]:
-        """One that is never answered, among rounds of eight that are."""
-        drive = Drive(build())
+    def silent(self, cls: str, util: float = 0.2) -> tuple[RequestDriver, str]:
+        """Send one request that is never answered, among rounds of eight answered ones."""
+        driver = RequestDriver(build())
 
         def rounds(count: int) -> None:
             for _ in range(count):
-                names = [drive.ask(answered=False) for _ in range(8)]
+                names = [driver.ask(answered=False) for _ in range(8)]
                 for each in names:
-                    drive.end(each, 0, api.AttemptStatus.OK, util)
-                drive.tick()
+                    driver.end(each, 0, api.AttemptStatus.OK, util)
+                driver.tick()
 
         rounds(2)
-        name = drive.ask(cls, answered=False)
+        name = driver.ask(cls, answered=False)
         for _ in range(4):
-            if len(drive.sent[name]) == 1:
+            if len(driver.sent[name]) == 1:
                 rounds(1)
-        return drive, name
+        return driver, name
 
     def test_one_that_was_overtaken_is_sent_elsewhere_and_counted_no_more(self) -> None:
-        drive, name = self.silent("safe")
-        first, second = drive.sent[name]
+        driver, name = self.silent("safe")
+        first, second = driver.sent[name]
         self.assertNotEqual(first, second)
-        self.assertEqual(drive.balancer.traffic.in_flight, 1)  # the copy
-        actions = drive.end(name, 1, api.AttemptStatus.OK)
-        self.assertIn(api.CancelAttempt(name, 0), actions)  # what is out for it is called off
-        drive.end(name, 0, api.AttemptStatus.CANCELLED)
-        self.assertEqual((drive.balancer.traffic.in_flight, drive.balancer.attempts.requests), (0, {}))
+        self.assertEqual(driver.balancer.traffic.in_flight, 1)  # the hedged attempt
+        actions = driver.end(name, 1, api.AttemptStatus.OK)
+        self.assertIn(api.CancelAttempt(name, 0), actions)  # the other attempt is cancelled
+        driver.end(name, 0, api.AttemptStatus.CANCELLED)
+        self.assertEqual((driver.balancer.traffic.in_flight, driver.balancer.attempts.requests), (0, {}))
 
     def test_one_that_must_not_run_twice_is_not_copied_and_holds_no_place(self) -> None:
-        drive, name = self.silent("once")
-        self.assertEqual(len(drive.sent[name]), 1)
-        self.assertEqual(drive.balancer.traffic.in_flight, 0)
-        late = drive.end(name, 0, api.AttemptStatus.OK)  # it was answered after all
+        driver, name = self.silent("once")
+        self.assertEqual(len(driver.sent[name]), 1)
+        self.assertEqual(driver.balancer.traffic.in_flight, 0)
+        late = driver.end(name, 0, api.AttemptStatus.OK)  # the answer arrives late
         self.assertEqual([action for action in late if isinstance(action, api.CancelAttempt)], [])
-        self.assertEqual((drive.balancer.traffic.in_flight, drive.balancer.attempts.requests), (0, {}))
+        self.assertEqual((driver.balancer.traffic.in_flight, driver.balancer.attempts.requests), (0, {}))
 
     def test_where_hosts_are_busy_nothing_is_written_off(self) -> None:
-        """Guards against a heavy request on a busy host being taken for a silent connection."""
-        drive, name = self.silent("safe", util=0.95)
-        self.assertEqual(len(drive.sent[name]), 1)
-        self.assertEqual(drive.balancer.traffic.in_flight, 1)
+        """A heavy request on a busy host must not be mistaken for one on a dropped connection."""
+        driver, name = self.silent("safe", util=0.95)
+        self.assertEqual(len(driver.sent[name]), 1)
+        self.assertEqual(driver.balancer.traffic.in_flight, 1)
 
     def test_a_copy_that_fails_ends_the_request_at_once(self) -> None:
-        """Guards against a client kept waiting for a silent connection after its copy has failed."""
-        drive, name = self.silent("safe")
-        drive.balancer.retry_policy.budget.tokens = 0.0
-        actions = drive.end(name, 1, api.AttemptStatus.ERROR)
+        """A client must not be kept waiting for a dropped connection after the hedged attempt has failed."""
+        driver, name = self.silent("safe")
+        driver.balancer.retry_policy.budget.tokens = 0.0
+        actions = driver.end(name, 1, api.AttemptStatus.ERROR)
         self.assertIn(api.RejectRequest, [type(action) for action in actions])
         self.assertIn(api.CancelAttempt(name, 0), actions)
 
     def test_in_a_queue_nothing_is_overtaken(self) -> None:
-        """Guards against a crowd taken for silence: answers in the order of the sends, late as they are."""
-        drive = Drive(build(1))
-        names = [drive.ask(answered=False) for _ in range(40)]
+        """Late answers in sending order indicate a queue, not dropped connections."""
+        driver = RequestDriver(build(1))
+        names = [driver.ask(answered=False) for _ in range(40)]
         for name in names:
-            drive.now += 30 * MS
-            if name in drive.sent:
-                drive.end(name, 0, api.AttemptStatus.OK)
-            drive.tick()
-        self.assertTrue(all(len(sent) == 1 for sent in drive.sent.values()))
+            driver.now += 30 * MS
+            if name in driver.sent:
+                driver.end(name, 0, api.AttemptStatus.OK)
+            driver.tick()
+        self.assertTrue(all(len(sent) == 1 for sent in driver.sent.values()))
 
 
 class TurnedAway(unittest.TestCase):
     def test_a_host_that_turns_away_with_room_left_draws_few_turns(self) -> None:
-        """Guards against the recorded day: five of twelve turned away and reported that they were idle."""
+        """In recorded traffic, five of twelve hosts rejected attempts while reporting that they were idle."""
         for util, expected in ((0.1, True), (0.95, False)):
             with self.subTest(util=util):
-                drive = Drive(build(4))
+                driver = RequestDriver(build(4))
                 for _ in range(240):
-                    name = drive.ask(answered=False)
+                    name = driver.ask(answered=False)
                     for attempt in range(4):
-                        if len(drive.sent[name]) > attempt:
-                            bad = drive.sent[name][attempt] == "h0"
-                            drive.end(
+                        if len(driver.sent[name]) > attempt:
+                            bad = driver.sent[name][attempt] == "h0"
+                            driver.end(
                                 name,
                                 attempt,
                                 api.AttemptStatus.OVERLOADED if bad else api.AttemptStatus.OK,
                                 util,
                             )
-                    drive.tick()
-                weights = {host.name: host.weight for host in drive.balancer.host_table.hosts.values()}
-                asked = sum(sent.count("h0") for sent in drive.sent.values())
+                    driver.tick()
+                weights = {host.name: host.weight for host in driver.balancer.host_table.hosts.values()}
+                asked = sum(sent.count("h0") for sent in driver.sent.values())
                 self.assertEqual(asked < 24, expected, f"{asked} of 240")
                 self.assertEqual(weights["h0"] < 8.0, expected)
 
 
 class Budget(unittest.TestCase):
     def test_work_stays_within_the_share_over_random_histories(self) -> None:
-        """The bound is on what was worked on: first work for a repeat of what was never worked on is free."""
+        """Only repeated work is bounded: a retry of a request that no host worked on is free."""
         for seed in range(50):
             rng, retries = random.Random(seed), RetryBudget()
             firsts, work, refused = 0, 0, 0
@@ -171,12 +171,12 @@
             self.assertGreater(refused, 0)
 
     def test_a_client_that_asks_again_draws_on_it(self) -> None:
-        drive = Drive(build(3))
-        drive.balancer.retry_policy.budget.tokens = 1.0
+        driver = RequestDriver(build(3))
+        driver.balancer.retry_policy.budget.tokens = 1.0
         asked = [
-            drive.balancer.handle(api.RequestArrived(f"r{n}", "safe", None, SECOND, is_retry=True), 1)
+            driver.balancer.handle(api.RequestArrived(f"r{n}", "safe", None, SECOND, is_retry=True), 1)
             for n in range(3)
         ]
         self.assertEqual(
             [type(actions[0]) for actions in asked], [api.StartAttempt, api.RejectRequest, api.StartAttempt]
-        )  # the third is the repeat of the second, which nobody worked on
+        )  # the third one is a retry of the second one, which no host worked on
