--- a/brambleusher/net/endpoint_list.py
+++ b/brambleusher/net/endpoint_list.py
@@ -1,7 +1,7 @@
-"""The endpoint list: what discovery says of the endpoints, kept up by a watch.
+"""Keeps the endpoint list up to date by watching service discovery.
 
-How a watch travels is the feed's affair: it yields one JSON text a change, and an empty one as
-long as nothing changes.
+The feed hides the transport of a watch: it yields one JSON text for each change, and empty texts as
+heartbeats while nothing changes.
 """
 
 from __future__ import annotations
@@ -38,10 +38,10 @@
 
 log = logging.getLogger(__name__)
 
-SMALL_LIST = 128  # endpoints; a list of no more is applied at once
-SLICE_SIZE = 40  # endpoints of a longer list that are applied at once: 0.3 ms
+SMALL_LIST = 128  # a list of at most this many endpoints is applied in one step
+SLICE_SIZE = 40  # endpoints of a longer list applied in one step, which takes 0.3 ms
 
-# Takes the version held (None for the whole list) and yields texts until the watch ends.
+# A feed takes the last known version (None requests the full list) and yields texts until the watch ends.
 Feed = Callable[[int | None], Generator[bytes, None, None]]
 
 T = TypeVar("T")
@@ -52,13 +52,13 @@
 
 
 class EndpointList:
-    """Follows discovery, and says when it can't.
+    """Watches service discovery, applies endpoint updates and reports failed watches.
 
     Attributes:
-        on_step: Called after each step of a long list.
-        is_watching: A watch is open, or being opened.
-        has_discovery_answered: Discovery has answered since the start.
-        has_watch_failed: A watch has failed since the start: another may be long in coming.
+        on_step: Called after each step of applying a long list.
+        is_watching: Whether a watch is open or being opened.
+        has_discovery_answered: Whether discovery has answered since the start.
+        has_watch_failed: Whether a watch has failed since the start; backoff may delay the next watch.
     """
 
     def __init__(
@@ -72,54 +72,55 @@
         slices: bool = False,
         sidecars: int = 1,
     ) -> None:
-        """Make a list that follows nothing yet.
+        """Create an endpoint list that does not watch discovery yet.
 
         Args:
-            scheduler: Runs its tasks.
-            feed: One watch at discovery.
+            scheduler: Runs the tasks of the list.
+            feed: Opens one watch at discovery.
             rng: Draws the pauses between watches.
             counters: Count watches and lists.
-            on_update: Called with each change.
+            on_update: Called with each update.
             on_broken: Called when a watch has failed or ended.
-            slices: Apply a long list as updates of some endpoints each, drains and removals first.
-            sidecars: How many call discovery.
+            slices: Whether to apply a long list in slices of a few endpoints, drains and removals first.
+            sidecars: The number of sidecars that watch the same discovery.
         """
         self._scheduler, self._feed, self._rng, self._counters = scheduler, feed, rng, counters
         self._on_update, self._on_broken = on_update, on_broken
         self._sidecars = sidecars
         self._slices = EndpointListSlices(SMALL_LIST, SLICE_SIZE) if slices else None
-        self._sliced_version = 0  # of the list that slices come of
+        self._sliced_version = 0  # version of the list whose slices are being applied
         self._slices_waiting = Event()
         self._applying: Task | None = None
         self._version: int | None = None
         self._watch_requested = Event()
         self._following: Task | None = None
-        self._switch: Timer | None = None  # to another discovery, at its moment
+        self._switch: Timer | None = None  # fires when it is time to switch to another discovery
         self.on_step: Callable[[], None] = _do_nothing
         self.is_watching = self.has_discovery_answered = self.has_watch_failed = False
 
     def set_known(self, known: EndpointListUpdate) -> None:
-        """Take over the list of the configuration, which was applied; its version is 0 where it has none."""
+        """Record the configured list, which is already applied; a version of 0 means that it has none."""
         self._version = known.version or None
         if self._slices is not None:
             self._slices.mark_applied(known)
 
     def request_watch(self) -> None:
-        """Watch now, unless a watch is open."""
+        """Open a watch immediately unless a watch is open."""
         if not self.is_watching:
             self._watch_requested.set()
 
     def start(self) -> None:
-        """Start the task; its first watch waits until it is requested."""
+        """Start the watch task, which opens its first watch when one is requested."""
         self._following = self._scheduler.spawn(self._follow, name="endpoint list")
         if self._slices is not None and self._applying is None:
             self._applying = self._scheduler.spawn(self._apply_slices, self._slices, name="list slices")
 
     def switch_discovery(self, feed: Feed, within_s: float = 0.0) -> None:
-        """Follow another discovery; the list held stays until the new one has sent its own.
+        """Switch to another discovery, keeping the current list until the new discovery has sent its own.
 
-        A fleet that is told of it in one moment must not call for the whole list in one: each switches at a
-        moment of its own within so many seconds, and follows the old one until then.
+        All sidecars of a fleet may be told to switch at once and must not request the full list at once. Each
+        sidecar therefore switches at a random time within `within_s` seconds, and watches the old discovery
+        until then.
         """
         if self._switch is not None:
             self._switch.cancel()
@@ -127,10 +128,10 @@
         self._switch = self._scheduler.call_at(moment, lambda: self._switch_now(feed))
 
     def _switch_now(self, feed: Feed) -> None:
-        """Ask for the whole list, as versions of the new discovery need not be those of the old one."""
+        """Request the full list, as the two discoveries may number their versions differently."""
         self._switch = None
         if self._following is not None:
-            self._following.cancel()  # which ends its watch
+            self._following.cancel()  # cancelling the task ends its watch
         self._feed, self._version, self.is_watching = feed, None, False
         self.start()
         self.request_watch()
@@ -138,7 +139,7 @@
     # --- watches --------------------------------------------------------------------------------
 
     def _follow(self) -> None:
-        """Open watch after watch, with a pause after each that grows while they bring nothing."""
+        """Open watches repeatedly, with an increasing pause while the watches deliver nothing."""
         self._scheduler.park(event=self._watch_requested)
         backoff = Backoff(self._sidecars, self._rng)
         while True:
@@ -158,7 +159,7 @@
                 continue
 
     def _watch(self) -> tuple[bool, str]:
-        """Follow one watch until it ends; returns whether it brought anything, and why it ended."""
+        """Follow one watch until it ends; return whether it delivered anything, and why it ended."""
         has_received, self.is_watching = False, True
         try:
             with closing(self._feed(self._version)) as texts:
@@ -167,19 +168,21 @@
                         self._apply(text)
                     has_received = True
         except Exception as error:
-            # Whatever discovery sends must not end the watch for good.
+            # No input from discovery may stop the watch task permanently.
             return has_received, f"{type(error).__name__}: {error}"
         return has_received, "ended"
 
     # --- updates --------------------------------------------------------------------------------
 
     def _apply(self, text: bytes) -> None:
-        # Until it is applied, what is held is of no one version: after a break, all of it is asked for.
+        # While an update is being applied, the list matches no single version. If the watch breaks
+        # meanwhile, the next watch requests the full list.
         self._version = None
         try:
             update = self._run_steps(decode_steps(text))
         except ValueError as error:
-            # The last good list stays.  What this one changed is unknown now: ask for all of it.
+            # Keep the last valid list. The changes of the rejected list are unknown, so the next watch
+            # requests the full list.
             self._counters.add("lists_rejected")
             raise EndpointListError(f"bad endpoint list: {error}") from None
         if self._slices is None:
@@ -202,30 +205,30 @@
         self._run_steps(slices.add(update))
         self._version = update.version
         self._counters.add("lists_taken")
-        if not slices.waiting:  # that discovery answered is news even where nothing has changed
+        if not slices.waiting:  # report that discovery has answered, even if no endpoint changed
             self._on_update(EndpointListUpdate(update.version, False, ()))
         self._slices_waiting.set()
 
     def _run_steps(self, steps: Generator[None, None, T]) -> T:
-        """Go through steps, and let others run between them."""
+        """Run the steps and return their result, yielding to other tasks between them."""
         while True:
             try:
                 next(steps)
             except StopIteration as end:
                 return end.value  # type: ignore[no-any-return]
             self.on_step()
-            self._slices_waiting.set()  # what is urgent need not wait for the last step
+            self._slices_waiting.set()  # urgent changes are applied before the last step
             self._scheduler.yield_until_idle()
 
     def _apply_slices(self, slices: EndpointListSlices) -> None:
-        """Apply slice after slice, as long as any wait; a task."""
+        """Apply the waiting slices one after another; runs as a task."""
         while True:
             self._scheduler.park(event=self._slices_waiting)
             while endpoints := slices.next():
                 try:
                     self._on_update(EndpointListUpdate(self._sliced_version, False, endpoints))
                 except Exception:
-                    # One fault must not hold up all that is still to be applied.
+                    # One failed slice must not block the remaining slices.
                     self._counters.add("faults")
                     log.exception("endpoint list slice failed")
                 self.on_step()
--- a/brambleusher/net/endpoint_list_slices.py
+++ b/brambleusher/net/endpoint_list_slices.py
@@ -1,8 +1,8 @@
-"""An endpoint list in steps: read a piece at a time, applied a slice at a time, what is urgent first.
+"""Parses and applies a long endpoint list in small steps, urgent changes first.
 
-Reading a list of 20,000 endpoints and applying it in one go takes a quarter of a second, in which no request
-is served.  Both are therefore generators or calls that do a little; whoever drives them lets others run
-between.  Nothing here waits or knows a clock.
+Parsing a list of 20,000 endpoints and applying it in one step takes a quarter of a second, in which no
+request is served. Parsing is therefore a generator and applying a series of short calls, and the caller
+yields to other tasks in between. This module neither blocks nor reads a clock.
 """
 
 from __future__ import annotations
@@ -23,30 +23,30 @@
     decode_version,
 )
 
-STEP_BYTES = 16 * 1024  # of text read in one step: about 100 endpoints, a third of a millisecond
-STEP_ENDPOINTS = 512  # compared with those held in one step: as long
-SINGLE_STEP_BYTES = 2 * STEP_BYTES  # a text up to here is read in one step
-MAX_CUT_ATTEMPTS = 8  # ends of an entry that are looked at in one step
-NEW_DIVISOR = 4  # of a slice, one in so many are endpoints that only came, while urgent ones wait
+STEP_BYTES = 16 * 1024  # bytes of text parsed in one step, about 100 endpoints and 0.33 ms
+STEP_ENDPOINTS = 512  # endpoints compared with the current list in one step, which also takes about 0.33 ms
+SINGLE_STEP_BYTES = 2 * STEP_BYTES  # a text of at most this many bytes is parsed in one step
+MAX_CUT_ATTEMPTS = 8  # possible ends of an entry that are tried in one step
+NEW_DIVISOR = 4  # one in this many endpoints of a slice is a new endpoint while urgent changes wait
 _SERVERS = re.compile(rb'"servers"\s*:\s*\[')
 
 Steps = Generator[None, None, EndpointListUpdate]
 
 
 def decode_steps(text: bytes) -> Steps:
-    """Do the work of `decode_update` on a text in steps; the result is the generator's value.
+    """Decode a text as `decode_update` does, but in steps; the generator returns the update.
 
-    The array of endpoints is cut where an entry seems to end.  What lies before the cut is read by itself:
-    if that is an array, the cut was between two entries and within nothing, since JSON is read from left to
-    right.  A text in which no cut can be found is read in one step.
+    The array of endpoints is split where an entry seems to end, and the part before the split is parsed by
+    itself. If that part is a valid array, the split was between two entries and not inside an entry, since
+    JSON is parsed from left to right. A text without a valid split is parsed in one step.
 
     Raises:
-        ValueError: the text is no list.
+        ValueError: The text is not a valid endpoint list.
     """
     found = _SERVERS.search(text) if len(text) > SINGLE_STEP_BYTES else None
     if found is None or text.count(b'"servers"') != 1:
         return decode_update(orjson.loads(text))
-    head = orjson.loads(text[: found.end()] + b"]}")  # fails where the array is within something else
+    head = orjson.loads(text[: found.end()] + b"]}")  # fails if the array is nested inside another value
     position, endpoints = found.end(), []
     while len(text) - position > STEP_BYTES:
         entries, position = _decode_entries(text, position)
@@ -60,7 +60,7 @@
     entries = tail["servers"]
     if not isinstance(entries, list) or len(endpoints) + len(entries) > MAX_SERVERS:
         raise EndpointListError("servers is missing or too long")
-    if endpoints and not entries:  # a comma that nothing follows
+    if endpoints and not entries:  # a trailing comma at the end of the array
         raise EndpointListError("servers is not a list")
     whole = {**head, **tail}
     endpoints += [decode_endpoint(entry) for entry in entries]
@@ -68,10 +68,10 @@
 
 
 def _decode_entries(text: bytes, position: int) -> tuple[list[object] | None, int]:
-    """Decode about a step of entries; None where no cut is found.
+    """Decode the entries of about one step.
 
     Returns:
-        The entries, and the position of the next one.
+        The entries, or None if no valid split is found, and the position of the next entry.
     """
     cut = position + STEP_BYTES
     for _ in range(MAX_CUT_ATTEMPTS):
@@ -86,15 +86,16 @@
 
 
 class EndpointListSlices:
-    """What has been applied of the list, and what is still to be applied.
+    """Tracks which entries of the endpoint list are applied and which still wait.
 
-    Urgent is what takes an endpoint away that was applied as ready: it drains, is removed, or another process
-    took its place.  While such wait, a part of each slice is for endpoints that are new: a list in which
-    nothing stays would otherwise leave none for a while.
+    A change is urgent if it takes away an endpoint that was applied as ready: the endpoint drains, is
+    removed or was replaced by another process. While urgent changes wait, part of each slice is still
+    reserved for new endpoints, as a list that replaces every endpoint would otherwise leave none usable for
+    a while.
     """
 
     def __init__(self, small: int, slice_size: int) -> None:
-        """Up to `small` endpoints are applied at once, of more at most `slice_size` in a slice."""
+        """Create an empty list; updates of more than `small` endpoints use slices of `slice_size`."""
         self._small, self._slice_size = small, slice_size
         self.applied: dict[str, Endpoint] = {}
         self._urgent: dict[str, Endpoint] = {}
@@ -103,25 +104,25 @@
 
     @property
     def waiting(self) -> int:
-        """Endpoints that are still to be applied."""
+        """The number of endpoint changes that still wait to be applied."""
         return len(self._urgent) + len(self._new)
 
     def is_small(self, update: EndpointListUpdate) -> bool:
-        """Whether an update may be applied at once; it is to be passed to `mark_applied` then."""
+        """Return whether an update may be applied in one step and then passed to `mark_applied`."""
         applied = len(self.applied) if update.full else 0
         return not self.waiting and max(applied, len(update.endpoints)) <= self._small
 
     def mark_applied(self, update: EndpointListUpdate) -> None:
-        """Record an update that was applied at once."""
+        """Record an update that was applied in one step."""
         if update.full:
             self.applied.clear()
         for endpoint in update.endpoints:
             self._record(endpoint)
 
     def add(self, update: EndpointListUpdate) -> Generator[None, None, None]:
-        """Have an update applied in slices; it may overtake parts of earlier ones.  In steps as well.
+        """Queue an update to be applied in slices; runs in steps and may overtake parts of earlier updates.
 
-        What is urgent may be applied between two steps; the rest waits for the last one.
+        Urgent changes may be applied between two steps; all other changes wait until the last step.
         """
         self._is_adding = True
         try:
@@ -145,7 +146,7 @@
                 yield
 
     def next(self) -> tuple[Endpoint, ...]:
-        """Take the next slice, which counts as applied; empty where nothing is to be applied now."""
+        """Take the next slice and record it as applied; it is empty if nothing can be applied now."""
         if self._is_adding and not self._urgent:
             return ()
         new_limit = self._slice_size // NEW_DIVISOR if self._urgent else self._slice_size
@@ -173,7 +174,7 @@
             self._urgent[name] = endpoint
 
     def _remove(self, name: str) -> None:
-        """Handle an endpoint that a full list does not name."""
+        """Queue the removal of an endpoint that is missing from a full list."""
         self._forget(name)
         if name in self.applied:
             before = self.applied[name].entry
--- a/brambleusher/net/endpoint_watch.py
+++ b/brambleusher/net/endpoint_watch.py
@@ -1,4 +1,4 @@
-"""Discovery's watch over HTTP: a chunked answer with one JSON object a line."""
+"""Watches discovery over HTTP; the response is chunked and has one JSON object per line."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 from brambleusher.runtime.streams import Stream
 
 CONNECT_SECONDS = 1.0
-ANSWER_SECONDS = 4.0  # a call may wait its turn for 3 s before discovery fails it
-SILENT_SECONDS = 3.0  # without a whole line: an empty one is due every 2 s; pieces of one are no sign of life
-TEXT_SECONDS = 1.0  # from the first line of an indented text to its last
+ANSWER_SECONDS = 4.0  # response timeout in seconds; discovery may queue a request for 3 s before rejecting it
+SILENT_SECONDS = 3.0  # at most this many seconds without a complete line; a heartbeat line is due every 2 s
+TEXT_SECONDS = 1.0  # at most this many seconds from the first to the last line of an indented text
 MAX_LINE = 6 * 1024 * 1024
-LONG_LINE = 64 * 1024  # past it, others run after each piece of one
+LONG_LINE = 64 * 1024  # bytes of an incomplete line from which other tasks run after each read
 
 
 class WatchError(OSError):
-    """Discovery did not answer with a watch."""
+    """Raised when discovery does not open a watch or breaks it off."""
 
 
 class HttpWatch:
-    """The feed of the endpoint list."""
+    """Feeds the endpoint list from a discovery watch over HTTP."""
 
     def __init__(self, scheduler: Scheduler, address: tuple[str, int]) -> None:
         self._scheduler, self._address = scheduler, address
 
     def __call__(self, since: int | None) -> Generator[bytes, None, None]:
-        """Lines as they come; ends with the watch, raises `TaskTimeoutError` when it has gone silent."""
+        """Yield texts as they arrive until the watch ends; raise `TaskTimeoutError` if it times out."""
         now = self._scheduler.now
         stream = Stream.connect(self._scheduler, self._address, now() + CONNECT_SECONDS)
         try:
@@ -41,10 +41,10 @@
             while (head := reader.head()) is None:
                 data = stream.receive(deadline)
                 if not data:
-                    raise WatchError("discovery closed the connection")
+                    raise WatchError("discovery closed the connection before its response")
                 reader.feed(data)
             if head.status != HTTPStatus.OK:
-                raise WatchError(f"discovery answered {head.status}")
+                raise WatchError(f"discovery responded with status {head.status}")
             yield from self._lines(stream, reader)
         finally:
             stream.close()
@@ -52,7 +52,7 @@
     def _lines(self, stream: Stream, reader: MessageReader) -> Iterator[bytes]:
         now = self._scheduler.now
         pending, texts = bytearray(), TextAssembler()
-        heard_at = now()  # when the last whole line had been dealt with
+        heard_at = now()  # time at which the last complete line had been processed
         while True:
             part, done = reader.drain()
             looked = len(pending)
@@ -66,11 +66,12 @@
             if done:
                 return
             if len(pending) + texts.size > MAX_LINE:
-                raise WatchError("a line is too long")
+                raise WatchError(f"a line of the watch is longer than {MAX_LINE} bytes")
             if len(pending) > LONG_LINE:
                 self._scheduler.yield_until_idle()
             patience = TEXT_SECONDS if texts.incomplete else SILENT_SECONDS
-            # Guards against a watch that trickles: a long line has as much longer as its bytes take.
+            # Guards against a watch that sends a line very slowly. The timeout of a long line is extended
+            # only by the time that its bytes take at the minimum rate.
             try:
                 data = stream.receive(heard_at + patience + len(pending) / MIN_BYTES_PER_S)
             except TaskTimeoutError:
@@ -79,5 +80,5 @@
                 yield texts.give_up()
                 raise
             if not data:
-                raise WatchError("the watch was cut")
+                raise WatchError("discovery closed the connection in the middle of the watch")
             reader.feed(data)
--- a/brambleusher/net/header_forwarding.py
+++ b/brambleusher/net/header_forwarding.py
@@ -1,4 +1,4 @@
-"""Header fields that are forwarded: which are, and what a feature may make of them."""
+"""Selects the header fields to forward, and defines the protocol for rewriting them."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from brambleusher.net.http import HOP_BY_HOP, HeaderField, Message
 
-# What the balancer, the endpoints and the counters of both rely on.
+# Header fields that the balancer, the endpoints and their counters depend on.
 PROTECTED = frozenset(
     {
         "request-id", "request-class", "tenant", "request-timeout-ms", "client-retry",
@@ -17,21 +17,21 @@
 
 
 class HeaderRewriter(Protocol):
-    """Rewrites requests and responses on their way; `features.rewrites` is one."""
+    """Rewrites the headers of forwarded requests and responses; implemented in `features.rewrites`."""
 
     def inward(self, request: Message, path: str, request_class: str, client: str) -> Message:
-        """Rewrite a request as the endpoint is to get it."""
+        """Rewrite a client request before it is sent to an endpoint."""
 
     def outward(self, fields: list[HeaderField], path: str, request_class: str) -> list[HeaderField]:
-        """Rewrite the fields of a response as the client is to get them."""
+        """Rewrite the header fields of a response before it is sent to the client."""
 
 
 def end_to_end(message: Message) -> list[HeaderField]:
-    """Select the fields to forward, repeated ones kept.
+    """Select the header fields to forward, including repeated fields.
 
-    Source: RFC 9110, section 7.6.1.
+    See RFC 9110, section 7.6.1.
     """
-    # A `Connection: Request-Id` must not take off what the endpoint relies on.
+    # A client's `Connection: Request-Id` must not remove a field that the endpoint depends on.
     removed = (message.connection_options - PROTECTED - {"host"}) | _OWN_FRAMING
     fields: list[HeaderField] = []
     seen: set[str] = set()
@@ -40,7 +40,8 @@
         if low in removed:
             continue
         if low in PROTECTED:
-            # Once, as the sidecar itself has read it: the endpoint could read a repeat differently.
+            # Forward the field once, with the value the sidecar has parsed, as the endpoint could
+            # interpret a repeated field differently.
             if low in seen:
                 continue
             seen.add(low)
--- a/brambleusher/net/http/__init__.py
+++ b/brambleusher/net/http/__init__.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 messages: a parser that is fed bytes and holds no socket, and the writers beside it.
+"""A push parser for HTTP/1.1 messages that does no I/O, and functions that encode messages.
 
-Limits are strict, and what could be read in two ways is an error: a message framed wrongly would
-hand the rest of its bytes to the next one on the connection.
+Limits are strict and ambiguous input is an error, as the remaining bytes of a wrongly framed message would
+be parsed as the next message on the connection.
 """
 
 from brambleusher.net.http.chunked import ChunkedDecoder, chunk
--- a/brambleusher/net/http/chunked.py
+++ b/brambleusher/net/http/chunked.py
@@ -1,4 +1,4 @@
-"""The chunked transfer coding: a decoder that is fed bytes, and the encoder of one chunk."""
+"""An incremental decoder and an encoder for the chunked transfer coding."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 _HEX = re.compile(rb"[0-9A-Fa-f]{1,8}\Z")
 _LINE_END = b"\r\n"
 
-# What comes next, where it is not so many bytes of a chunk.
+# Parser states; a state of at least 0 is the number of chunk bytes still to read.
 _SIZE_LINE, _TRAILER, _CHUNK_END = -1, -2, -3
 
 
 def chunk(data: bytes) -> bytes:
-    """Encode one chunk; the last one is empty."""
+    """Encode one chunk; empty data encodes the last chunk."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
 class ChunkedDecoder:
-    """Takes the framing off a chunked body, as its bytes come."""
+    """Decodes a chunked body incrementally as its bytes arrive."""
 
     __slots__ = ("_buffer", "_next", "done")
 
@@ -29,12 +29,12 @@
         self.done = False
 
     def feed(self, data: bytes) -> bytes:
-        """Take in bytes, and return those of the body that have become readable.
+        """Decode received bytes and return the body bytes that became available.
 
-        What follows the body's end is in `rest`.
+        Bytes after the end of the body are available as `rest`.
 
         Raises:
-            HttpError: the framing is malformed.
+            HttpError: The framing is malformed.
         """
         self._buffer += data
         out = bytearray()
@@ -51,7 +51,7 @@
 
     @property
     def rest(self) -> bytes:
-        """What came after the body's end."""
+        """The bytes received after the end of the body."""
         return bytes(self._buffer)
 
     def _take_data(self, out: bytearray) -> bool:
@@ -73,7 +73,7 @@
         return True
 
     def _take_line(self) -> bool:
-        """Take a size line, or a line of the trailer."""
+        """Parse a chunk size line or a trailer line."""
         end = self._buffer.find(_LINE_END)
         if end < 0 or end > MAX_CHUNK_LINE_BYTES:
             if max(end, len(self._buffer)) > MAX_CHUNK_LINE_BYTES:
--- a/brambleusher/net/http/heads.py
+++ b/brambleusher/net/http/heads.py
@@ -1,4 +1,4 @@
-"""Parses the head of a message: the start line and the header lines."""
+"""Parses the start line and the header lines of a message."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
 
 
 def is_token(text: str) -> bool:
-    """Whether a text may name a header."""
+    """Return whether a text is a valid header name."""
     return _TOKEN.match(text) is not None
 
 
 def is_value(text: str) -> bool:
-    """Whether a text may be a header's value."""
+    """Return whether a text is a valid header value."""
     return _VALUE.match(text) is not None
 
 
 def parse_request_head(lines: list[str]) -> Message:
-    """Parse a request line and its headers; raises `HttpError`."""
+    """Parse a request line and its headers; raise `HttpError` if they are malformed."""
     parts = lines[0].split(" ")
     if len(parts) != _REQUEST_LINE_PARTS or not _TOKEN.match(parts[0]) or not _TARGET.match(parts[1]):
         raise HttpError(400, "bad request line")
     version = _VERSION.match(parts[2])
     target = parts[1]
     if not target.startswith("/") and (absolute := _ABSOLUTE_FORM.match(target)) is not None:
-        # As sent to proxies: what it names is all here.
+        # Strip the scheme and host of an absolute URI, the form sent to proxies.
         target = target[absolute.end() :]
         target = target if target.startswith("/") else f"/{target}"
     if version is None or not target.startswith("/"):
@@ -45,21 +45,21 @@
 
 
 def parse_response_head(lines: list[str]) -> Message:
-    """Parse a status line and its headers; raises `HttpError`."""
+    """Parse a status line and its headers; raise `HttpError` if they are malformed."""
     version, _, rest = lines[0].partition(" ")
     status, _, reason = rest.partition(" ")
     found = _VERSION.match(version)
     if found is None or not _STATUS.match(status):
         raise HttpError(502, "bad status line")
-    # A good response must not be lost to a load report that can't be read.
+    # A malformed load report header must not invalidate an otherwise valid response.
     headers, fields = _parse_headers(lines[1:], lenient=True)
     return Message((status, reason), int(found[1]), headers, fields=fields)
 
 
 def _parse_headers(lines: list[str], lenient: bool = False) -> tuple[dict[str, str], list[HeaderField]]:
-    """Parse header lines: joined by name, and line by line.
+    """Parse header lines into values joined by name and into a list of separate fields.
 
-    Where `lenient`, a value that can't be read is empty unless the framing needs it.
+    If `lenient`, a malformed value is replaced by an empty value unless it affects the framing.
     """
     if len(lines) > MAX_HEADERS:
         raise HttpError(431, "too many headers")
@@ -83,7 +83,7 @@
 
 
 def _join_repeated(name: str, before: str, value: str) -> str:
-    # Another reader could take the framing from the other of the two lines.
+    # Another HTTP implementation could use the other of the two lines for the framing.
     if name in _FRAMING_HEADERS or (name == "host" and before != value):
         raise HttpError(400, f"{name} is given twice")
     return value if before == value else f"{before}, {value}"
--- a/brambleusher/net/http/message.py
+++ b/brambleusher/net/http/message.py
@@ -1,4 +1,4 @@
-"""The parsed message, the error for what can't be used, and the limits on sizes."""
+"""The parsed HTTP message, the error for invalid messages, and the size limits."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 MAX_HEADERS = 100
 MAX_BUFFERED_BODY_BYTES = 64 * 1024
 MAX_STREAMED_BODY_BYTES = 32 * 1024 * 1024
-MAX_BUFFERED_RESPONSE_BYTES = 1024 * 1024  # where a response can't be streamed
+MAX_BUFFERED_RESPONSE_BYTES = 1024 * 1024  # maximum body size of responses that can't be streamed
 MAX_CHUNK_LINE_BYTES = 256
 
-HeaderField = tuple[str, str]  # a header's name as it was written, and its value
+HeaderField = tuple[str, str]  # a header's name in its original spelling, and its value
 
-# Headers that speak of one connection, or are written anew for the next.
+# Headers that apply to a single connection or are rewritten for the next connection.
 HOP_BY_HOP = frozenset(
     {"connection", "keep-alive", "proxy-connection", "te", "trailer", "transfer-encoding", "upgrade"}
 )
@@ -24,7 +24,7 @@
 
 
 class HttpError(Exception):
-    """A message that can't be used; `status` is what its sender is answered with."""
+    """Raised for an invalid message; `status` is the status of the error response."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -33,32 +33,32 @@
 
 @dataclass(slots=True)
 class Message:
-    """A request or a response; header names are in lower case."""
+    """An HTTP request or response; the header names in `headers` are lowercase."""
 
     start: tuple[str, str]  # method and target, or status and reason
     minor: int
     headers: dict[str, str]
     body: bytes = b""
-    fields: list[HeaderField] = field(default_factory=list)  # the headers line by line, repeated ones apart
-    forwarded_fields: list[HeaderField] | None = None  # where rewrites are on; None: the usual ones
-    body_stream: object = None  # of a body too large to be buffered, in place of `body`
+    fields: list[HeaderField] = field(default_factory=list)  # the header fields in order, including repeats
+    forwarded_fields: list[HeaderField] | None = None  # rewritten headers, or None without rewrites
+    body_stream: object = None  # a body too large to buffer, used in place of `body`
 
     @property
     def status(self) -> int:
-        """The status of a response."""
+        """The status code of a response."""
         return int(self.start[0])
 
     @property
     def keep_alive(self) -> bool:
-        """Whether the sender lets the connection serve another message."""
-        if "connection" not in self.headers:  # on the way of each message
+        """Whether the sender allows the connection to be reused for another message."""
+        if "connection" not in self.headers:  # fast path for most messages
             return self.minor == 1
         options = self.connection_options
         return "close" not in options and (self.minor == 1 or "keep-alive" in options)
 
     @property
     def connection_options(self) -> Set[str]:
-        """What the `Connection` header names, in lower case: options, and headers of this connection only."""
+        """The lowercase options and hop-by-hop header names in the `Connection` header."""
         connection = self.headers.get("connection")
         if connection is None:
             return _NO_OPTIONS
--- a/brambleusher/net/http/reader.py
+++ b/brambleusher/net/http/reader.py
@@ -1,4 +1,4 @@
-"""Splits a stream of bytes into messages."""
+"""An incremental parser that splits a byte stream into HTTP messages."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 _LENGTH = re.compile(r"[0-9]{1,12}\Z")
 _HEAD_END = b"\r\n\r\n"
 _CARRIAGE_RETURN = 0x0D
-# In place of a body's length.
+# Special values of `_length` for bodies without a known length.
 _CHUNKED, _UNTIL_CLOSE = -1, -2
-# Plain numbers: each access to a member of an enum costs a call, and these are on the way of each request.
+# Plain integers, as each access to an enum member costs a function call on the hot path of every request.
 _BODILESS_STATUSES = frozenset({HTTPStatus.NO_CONTENT.value, HTTPStatus.NOT_MODIFIED.value})
 _FIRST_FINAL_STATUS = HTTPStatus.OK.value
 
 
 class MessageReader:
-    """Splits a stream of bytes into messages."""
+    """Parses a byte stream into HTTP messages incrementally."""
 
     def __init__(
         self, parse: Callable[[list[str]], Message], is_for_responses: bool, is_streaming: bool
@@ -37,41 +37,41 @@
         self._max_body_bytes = MAX_BUFFERED_RESPONSE_BYTES if is_for_responses else MAX_BUFFERED_BODY_BYTES
         if is_streaming:
             self._max_body_bytes = MAX_STREAMED_BODY_BYTES
-        self._drained_bytes = 0  # of a body that is streamed
+        self._drained_bytes = 0  # bytes of a streamed body returned by `drain`
         self._buffer = bytearray()
         self._message: Message | None = None
-        self._length = 0  # of the body, or `_CHUNKED` or `_UNTIL_CLOSE`
+        self._length = 0  # bytes of the body, or `_CHUNKED` or `_UNTIL_CLOSE`
         self._chunked = ChunkedDecoder()
-        self._searched_bytes = 0  # in which no end of a head was found
+        self._searched_bytes = 0  # bytes already searched for the end of a head
 
     @classmethod
     def requests(cls, streaming: bool = False) -> MessageReader:
-        """Make a reader of requests; with `streaming`, of those too whose bodies are not buffered."""
+        """Create a request reader; with `streaming`, it also accepts bodies too large to buffer."""
         return cls(parse_request_head, False, streaming)
 
     @classmethod
     def responses(cls, streaming: bool = False) -> MessageReader:
-        """Make a reader of responses; with `streaming`, of those too whose bodies are not buffered."""
+        """Create a response reader; with `streaming`, it also accepts bodies too large to buffer."""
         return cls(parse_response_head, True, streaming)
 
     @property
     def has_begun(self) -> bool:
-        """Whether part of a message has come."""
+        """Whether part of a message has arrived."""
         return self._message is not None or bool(self._buffer)
 
     @property
     def ends_with_connection(self) -> bool:
-        """Whether a head has come of a response that only the connection's end would end."""
+        """Whether a response head has arrived whose body ends only when the connection closes."""
         return self._message is not None and self._length == _UNTIL_CLOSE
 
     @property
     def length(self) -> int | None:
-        """The length of the body as its head has it; None where it has none."""
+        """The body length given in the head, or None if the head gives none."""
         return self._length if self._length >= 0 else None
 
     @property
     def is_large(self) -> bool:
-        """Whether a body is known to be larger than can be buffered; it is to be read by `drain`."""
+        """Whether a body is known to be too large to buffer, and must be read with `drain`."""
         message = self._message
         if not self._is_streaming or message is None:
             return False
@@ -80,33 +80,33 @@
 
     @property
     def buffered(self) -> int:
-        """How many bytes wait for the next message."""
+        """The number of buffered bytes that belong to the next message."""
         return len(self._buffer)
 
     @property
     def size(self) -> int:
-        """How many bytes of a body are known to come or have come."""
+        """The number of body bytes that are announced or have arrived."""
         body = len(self._message.body) if self._message is not None else 0
         return max(self._length, body) if self._message is not None else 0
 
     @property
     def size_so_far(self) -> int:
-        """How many bytes of a body have come."""
+        """The number of body bytes that have arrived."""
         message = self._message
         return 0 if message is None else len(self._buffer) + len(message.body)
 
     @property
     def expects_continue(self) -> bool:
-        """Whether a request's head is complete and its sender waits for leave to send the body."""
+        """Whether a request's head is complete and its sender waits for a 100 Continue response."""
         message = self._message
         return message is not None and message.headers.get("expect", "").lower() == "100-continue"
 
     def feed(self, data: bytes) -> None:
-        """Take in what the connection brought."""
+        """Add bytes received from the connection to the buffer."""
         self._buffer += data
 
     def head(self) -> Message | None:
-        """Take the next message's head, once it is complete; its body is read by `take`."""
+        """Return the head of the next message once it is complete; its body is read by `take`."""
         if self._message is None:
             self._message = self._read_head()
             if self._message is not None:
@@ -116,10 +116,10 @@
         return self._message
 
     def take(self) -> Message | None:
-        """Take the next message once all of it is here.
+        """Take the next message once it is complete.
 
         Raises:
-            HttpError: the message is malformed or too large.
+            HttpError: The message is malformed or too large.
         """
         message = self.head()
         if message is None:
@@ -154,18 +154,18 @@
         return True
 
     def drain(self) -> tuple[bytes, bool]:
-        """Take what has come of a body that is streamed; the body may be without end.
+        """Take the available bytes of a streamed body, whose length may be unknown.
 
         Returns:
-            The bytes, and whether that was the end of the body.
+            The bytes, and whether they include the end of the body.
 
         Raises:
-            HttpError: the body is malformed or too large.
+            HttpError: The body is malformed or too large.
         """
         data, message, is_done = bytes(self._buffer), self._message, False
         self._buffer.clear()
         buffered = b""
-        if message is not None and message.body:  # read by `take` before it was seen to be large
+        if message is not None and message.body:  # bytes read by `take` before the body was known to be large
             buffered, message.body = message.body, b""
         if self._length == _CHUNKED:
             data = buffered + self._chunked.feed(data)
@@ -184,7 +184,7 @@
         return data, is_done
 
     def end(self) -> Message | None:
-        """Take the message that ends with the connection, which has ended; None where none does."""
+        """Take the message that the end of the connection completes, or return None if there is none."""
         message = self._message
         if message is None or self._length != _UNTIL_CLOSE:
             return None
@@ -198,7 +198,7 @@
 
     def _read_head(self) -> Message | None:
         buffer = self._buffer
-        while not self._is_for_responses and buffer[:2] == b"\r\n":  # empty lines before a request
+        while not self._is_for_responses and buffer[:2] == b"\r\n":  # skip empty lines before a request
             del buffer[:2]
         end = buffer.find(_HEAD_END, max(0, self._searched_bytes - len(_HEAD_END) + 1))
         if end < 0 or end > MAX_HEAD_BYTES:
@@ -211,7 +211,7 @@
         return self._parse(text.split("\r\n"))
 
     def _check_incomplete_head(self) -> None:
-        """Raise `HttpError` for a bad first line at once, not when its sender gives up."""
+        """Raise `HttpError` for a malformed first line before the head is complete."""
         buffer = self._buffer
         if len(buffer) > MAX_HEAD_BYTES:
             raise HttpError(431, "the head is too large")
@@ -222,7 +222,7 @@
             self._parse([buffer[: line_end - 1].decode("latin-1")])
 
     def _framing(self, message: Message) -> int:
-        """How the end of a body is found: its length, `_CHUNKED` or `_UNTIL_CLOSE`."""
+        """Return how the end of a body is found: its length, `_CHUNKED` or `_UNTIL_CLOSE`."""
         coding, length = message.headers.get("transfer-encoding"), message.headers.get("content-length")
         if coding is not None:
             if length is not None or coding.lower() != "chunked" or message.minor == 0:
--- a/brambleusher/net/http/writer.py
+++ b/brambleusher/net/http/writer.py
@@ -1,4 +1,4 @@
-"""Writes heads of messages, with their bodies where these are at hand."""
+"""Encodes the heads of messages, together with bodies that are available."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class Framing(Enum):
-    """How the end of a message is marked."""
+    """The way the end of a message body is marked."""
 
     LENGTH = "length"
     CHUNKS = "chunks"
-    END = "end"  # by the close of the connection
+    END = "end"  # the end of the body is marked by closing the connection
 
 
-# A look-up by number costs `HTTPStatus` two calls, and this is on the way of each response.
+# Cached phrases, as a lookup in `HTTPStatus` costs two calls on the hot path of every response.
 _PHRASES = {status.value: status.phrase for status in HTTPStatus}
 
 
@@ -29,7 +29,7 @@
     length: int | None = None,
     framing: Framing = Framing.LENGTH,
 ) -> bytes:
-    """Write a request; `length` is that of a body of which the rest is sent apart."""
+    """Encode a request; `length` is the complete length of a body whose rest is sent separately."""
     lines = [f"{method} {target} HTTP/1.1"]
     lines += [f"{name}: {value}" for name, value in headers]
     if framing is Framing.CHUNKS:
@@ -47,7 +47,7 @@
     length: int | None = None,
     framing: Framing = Framing.LENGTH,
 ) -> bytes:
-    """Write a response; `length` is that of a body of which the rest is sent apart."""
+    """Encode a response; `length` is the complete length of a body whose rest is sent separately."""
     lines = [f"HTTP/1.1 {status} {_PHRASES[status]}"]
     lines += [f"{name}: {value}" for name, value in headers]
     if framing is Framing.LENGTH:
--- a/brambleusher/net/json_text_assembler.py
+++ b/brambleusher/net/json_text_assembler.py
@@ -1,14 +1,14 @@
-"""Cuts a watch's lines into JSON texts: one a line, or one over several lines where it comes indented."""
+"""Assembles the lines of a watch into JSON texts of one line, or of several lines if indented."""
 
 from __future__ import annotations
 
 import orjson
 
-TRIES = 64  # ends of a text that are looked at: bounds the work that a text without an end makes
+TRIES = 64  # possible ends of a text that are tried, to bound the work for a text without an end
 
 
 class TextAssembler:
-    """Puts lines together; what can't be a text is passed on as it is, for the reader to reject."""
+    """Joins lines into JSON texts, and passes on lines that can't be JSON for the parser to reject."""
 
     def __init__(self) -> None:
         self._held: list[bytes] = []
@@ -16,23 +16,23 @@
 
     @property
     def incomplete(self) -> bool:
-        """Whether part of a text has come and its end has not."""
+        """Whether part of a text has arrived but its end has not."""
         return bool(self._held)
 
     @property
     def size(self) -> int:
-        """Bytes held."""
+        """The number of bytes of the incomplete text."""
         return sum(map(len, self._held))
 
     def add(self, line: bytes) -> list[bytes]:
-        """Add a line; returns the texts that are complete with it, of which an empty one is a heartbeat."""
+        """Add a line and return the texts that it completes; an empty text is a heartbeat."""
         bare = line.strip()
         if not self._held:
             if bare.startswith(b"{") and not bare.endswith(b"}"):
                 self._held.append(line)
                 return []
             return [bare]
-        if not bare:  # no text holds an empty line: what is held was cut off
+        if not bare:  # JSON texts contain no empty line, so the pending text was truncated
             return [self.give_up(), bare]
         self._held.append(line)
         if not bare.endswith(b"}"):
@@ -43,7 +43,7 @@
         return [self.give_up()]
 
     def give_up(self) -> bytes:
-        """Take what is held, complete or not."""
+        """Return the pending text, complete or not, and clear it."""
         text = b"\n".join(self._held)
         self._held.clear()
         self._tries = 0
--- a/brambleusher/net/request_lifecycle.py
+++ b/brambleusher/net/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""The lifecycle of one request: from its arrival to its final response, in whatever protocol it came."""
+"""The protocol-independent lifecycle of a request, from its arrival to its final response."""
 
 from __future__ import annotations
 
@@ -23,22 +23,22 @@
 
 log = logging.getLogger(__name__)
 
-DECISION_GRACE_S = 0.005  # past the deadline: the balancer had its chance to answer
+DECISION_GRACE_S = 0.005  # in seconds past the deadline, in which the balancer may still decide
 _NS_PER_S = 1e9
 _SOCKET = Wakeup.SOCKET
 
 
 class ResponseKind(Enum):
-    """What became of a request."""
+    """The outcome of a request."""
 
     SERVED = "served"
-    REJECTED = "refused"  # the spelling that counters and metrics have
+    REJECTED = "refused"  # spelled as in counters and metrics
     FAILED = "failed"
 
 
 @dataclass(slots=True)
 class FinalResponse:
-    """A final response, before it is worded in any protocol."""
+    """The final response to a request, before it is encoded for a protocol."""
 
     kind: ResponseKind
     retry_after_ns: int = 0
@@ -47,26 +47,27 @@
 
 @dataclass(slots=True)
 class ClientHandle:
-    """The client of a request: `watched_socket` has its socket as long as it can be seen to leave."""
+    """The client of a request; `watched_socket` returns the socket on which a disconnect can be detected."""
 
     watched_socket: Callable[[], Socket | None]
     has_left: Callable[[], bool]
 
 
-@dataclass(slots=True)  # not frozen: that would cost four times as much to make, for each request
+@dataclass(slots=True)  # not frozen, as creating a frozen instance for each request costs four times as much
 class AttemptOrder:
-    """An attempt that is to be made, and whom to call as it proceeds.
+    """Parameters and callbacks of one attempt to send a request to an endpoint.
 
     Attributes:
         endpoint: The name of the endpoint.
-        payload: The request in its protocol.
-        timeout_ns: From its start; 0 for none but the deadline.
-        deadline: When the response has to leave, in seconds on the scheduler's clock.
-        on_finished: Called once, whatever happens.
-        on_response_started: May be called once before, with a payload: the response is on its way out.
-        on_body_progress: Called with false when a streamed body begins to go out, with true when it is
-            complete.
-        is_wanted: Asked right before the first byte is sent: where it says no, nothing is.
+        payload: The request as a message of its protocol.
+        timeout_ns: Timeout from the start of the attempt, in nanoseconds; 0 if only the deadline applies.
+        deadline: Latest time to send the response, in seconds on the scheduler's clock.
+        on_finished: Called exactly once, on success and on failure.
+        on_response_started: Called at most once before `on_finished`, with the payload of a response that
+            has started.
+        on_body_progress: Called with false when sending a streamed body starts, and with true when the body
+            is complete.
+        is_wanted: Called right before the first byte is sent; nothing is sent if it returns false.
     """
 
     endpoint: str
@@ -80,21 +81,21 @@
 
 
 class RunningAttempt(Protocol):
-    """An attempt, as the request it was made for sees it."""
+    """A running attempt that its request can cancel."""
 
     def cancel(self) -> None:
-        """Cancel it; its end is reported all the same."""
+        """Cancel the attempt; `on_finished` is still called."""
 
 
 class AttemptStarter(Protocol):
-    """The endpoints, in some protocol."""
+    """Starts attempts on endpoints over a particular protocol."""
 
     def start_attempt(self, order: AttemptOrder, /) -> RunningAttempt:
-        """Start an attempt."""
+        """Start an attempt on an endpoint."""
 
 
 class RequestLifecycle:
-    """Takes requests from their arrival to their final response, in whatever protocol they came."""
+    """Runs requests of any protocol from their arrival to their final response."""
 
     def __init__(self, decisions: BalancerDriver, upstream: AttemptStarter, scheduler: Scheduler) -> None:
         self._decisions, self._upstream, self._scheduler = decisions, upstream, scheduler
@@ -102,26 +103,26 @@
     def run(
         self, request: ClientRequest, deadline: Callable[[], float], client: ClientHandle
     ) -> FinalResponse | None:
-        """Run one request; the balancer decides when it comes and whenever an attempt has ended.
+        """Run one request; the balancer decides on its arrival and after the end of each attempt.
 
         Args:
             request: The request.
-            deadline: When the response must leave, in seconds on the scheduler's clock; it comes nearer
-                where a streamed body is complete.
-            client: The client.
+            deadline: Returns the latest time to send the response, in seconds on the scheduler's clock; the
+                deadline moves closer when a streamed body completes.
+            client: The client that sent the request.
 
         Returns:
-            The final response; None if the client left before.
+            The final response, or None if the client disconnected first.
         """
         pending = self._decisions.submit(request)
         return _RequestRun(self._decisions, self._upstream, self._scheduler, pending, deadline, client).run()
 
 
 def _canceller(attempts: dict[int, RunningAttempt]) -> Callable[[int], None]:
-    """Make the callback that cancels an attempt.
+    """Create the callback that cancels an attempt.
 
-    It holds the attempts alone: a pending request that led back to its run would be a reference cycle, and
-    keep what its request held until the collector comes by.
+    The callback references only the attempts. If the pending request referenced its run, this would be a
+    reference cycle, and the request's memory would be kept until the next garbage collection.
     """
 
     def cancel(number: int) -> None:
@@ -132,7 +133,7 @@
 
 
 class _RequestRun:
-    """One request on its way."""
+    """The state of one request between its arrival and its final response."""
 
     __slots__ = (
         "_attempts", "_client", "_deadline", "_decisions", "_pending", "_scheduler", "_started_at",
@@ -155,17 +156,17 @@
         pending.cancel_attempt = _canceller(self._attempts)
 
     def run(self) -> FinalResponse | None:
-        """Run it; None if its client left before its final response."""
+        """Run the request; return None if its client disconnected before the final response."""
         pending = self._pending
         try:
             return self._process_steps()
         except TaskTimeoutError:
-            # The balancer owes a response and did not give it.
+            # The balancer has not decided on a final response in time.
             self._log_no_decision()
             self._decisions.abandon_request(pending)
             return FinalResponse(ResponseKind.FAILED)
         except Exception:
-            # A fault of ours must not leave the request without a response.
+            # An internal error must not leave the request without a response.
             log.exception("request failed", extra={"fields": {"request": pending.request_id}})
             self._decisions.abandon_request(pending)
             return FinalResponse(ResponseKind.FAILED)
@@ -185,13 +186,14 @@
                     return None
             step = pending.steps.popleft()
             if isinstance(step, AttemptRequested | RejectRequest | FailRequest) and client.has_left():
-                pending.steps.appendleft(step)  # `close_request` tells the balancer that it is not made
+                # `close_request` reports to the balancer that the attempt was not made.
+                pending.steps.appendleft(step)
                 self._abandon()
                 return None
             if isinstance(step, AttemptRequested):
                 self._attempts[step.attempt] = self._upstream.start_attempt(self._order_for(step))
             elif isinstance(step, AttemptFinished):
-                # The first attempt that served answers the request.
+                # The first successful attempt provides the response to the request.
                 is_served = step.outcome.status is AttemptStatus.OK
                 self._decisions.finish_attempt(pending, step, closed=is_served)
                 if is_served:
@@ -201,7 +203,7 @@
 
     def _final_response(self, step: ResponseStarted | RejectRequest | FailRequest) -> FinalResponse:
         if isinstance(step, ResponseStarted):
-            # From here on the response is its protocol's, and no other attempt is wanted.
+            # From here on the protocol layer sends the response, and no other attempt is needed.
             self._decisions.start_response(self._pending, step)
             for number, attempt in self._attempts.items():
                 if number != step.attempt:
@@ -236,18 +238,18 @@
         return not self._client.has_left()
 
     def _abandon(self) -> None:
-        """Send nothing more for a client that has left, and cancel open attempts."""
+        """Stop processing a request whose client has disconnected, and cancel its open attempts."""
         self._decisions.abandon_request(self._pending)
         for attempt in self._attempts.values():
             attempt.cancel()
 
     def _wait(self) -> bool:
-        """Wait for the next step; true if the client is to be looked at."""
+        """Wait for the next step; return true if the client's presence should be checked."""
         deadline, sock = self._deadline() + DECISION_GRACE_S, self._client.watched_socket()
         try:
             return self._scheduler.park(deadline, sock, event=self._pending.event) is _SOCKET
         except TaskTimeoutError:
-            # Race: a step may have come in the same moment, after a late wake-up.
+            # After a late wake-up, a step may have arrived at the same time as the timeout.
             if not self._pending.steps:
                 raise
             return False
--- a/brambleusher/net/streamed_bodies.py
+++ b/brambleusher/net/streamed_bodies.py
@@ -1,6 +1,7 @@
-"""Bodies too large to be buffered: they are streamed in pieces, pulled by the task at the receiving end.
+"""Streams bodies too large to buffer in chunks, pulled by the task that writes to the receiver.
 
-A piece is read from the sending side only when the last one is gone, so a body costs one piece of memory.
+A chunk is read from the sender only after the previous chunk was sent, so a body needs the memory of one
+chunk.
 """
 
 from __future__ import annotations
@@ -12,44 +13,44 @@
 from brambleusher.runtime.scheduler import Event, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
 
-PIECE_BYTES = 32 * 1024  # one of them and what is made of it is what a body costs
-RESPONSE_PIECE_TIMEOUT_S = 5.0  # without a byte of a response that is streamed
-CHECK_INTERVAL_S = 0.2  # between two looks at the other end, while nothing comes
-MAX_BODY_DURATION_S = 900.0  # that a body of the largest size may take
-MIN_BYTES_PER_S = 48_000  # that a request's body comes with, on the whole
+PIECE_BYTES = 32 * 1024  # bytes per read; a streamed body uses the memory of one read and its encoding
+RESPONSE_PIECE_TIMEOUT_S = 5.0  # in seconds without a byte of a streamed response
+CHECK_INTERVAL_S = 0.2  # in seconds, between checks of the receiver while no data arrives
+MAX_BODY_DURATION_S = 900.0  # in seconds, at most, for a body of the maximum size
+MIN_BYTES_PER_S = 48_000  # minimum average rate of a request body
 
 
 def never() -> float:
-    """Return a moment that does not come, in seconds on any clock."""
+    """Return infinity, for a time limit that never passes."""
     return math.inf
 
 
 class EarlyResponseError(Exception):
-    """The endpoint has said something, or left, before the request it was sent was complete."""
+    """Raised when the endpoint responds or closes before the request was sent completely."""
 
 
 class ResponseBodyStream:
-    """The rest of a response whose first bytes have come; its attempt waits for `closed_event`."""
+    """The streamed body of a response; the attempt stays open until `closed_event` is set."""
 
     __slots__ = ("_reader", "_stream", "closed_event", "is_complete", "length")
 
     def __init__(self, stream: Stream, reader: MessageReader) -> None:
         self._stream, self._reader = stream, reader
-        self.length = reader.length  # of the whole body; None: it is not known
+        self.length = reader.length  # bytes of the complete body, or None if unknown
         self.closed_event = Event()
         self.is_complete = False
 
     def next_piece(self, latest_at: Callable[[], float] = never) -> bytes:
-        """Take the next bytes, empty at the end.
+        """Return the next bytes, which are empty at the end of the body.
 
         Args:
-            latest_at: Returns when responses should have left, in seconds on the scheduler's clock: from then
-                on a body is waited for only as long as its pieces come.
+            latest_at: Returns the latest time to send responses, in seconds on the scheduler's clock; after
+                this time a wait of `CHECK_INTERVAL_S` seconds without data ends the body.
 
         Raises:
-            HttpError: the body is malformed or too large.
-            OSError: the connection was lost.
-            TaskTimeoutError: no byte came for too long.
+            HttpError: The body is malformed or too large.
+            OSError: The connection was lost.
+            TaskTimeoutError: No byte arrived before the timeout.
         """
         while not self.is_complete:
             data, self.is_complete = self._reader.drain()
@@ -61,7 +62,7 @@
             data = self._receive(latest_at)
             if not data:
                 if not self._reader.ends_with_connection:
-                    raise ConnectionResetError("the connection ended before its answer")
+                    raise ConnectionResetError("the endpoint closed before completing its response")
                 self.is_complete = True
             self._reader.feed(data)
         return b""
@@ -69,7 +70,8 @@
     def _receive(self, latest_at: Callable[[], float]) -> bytes:
         """Wait for the next bytes.
 
-        Race: a shutdown may begin while this waits; in steps it is seen before the process has to end.
+        A shutdown may begin during the wait. The wait is split into short intervals so that the shutdown is
+        noticed before the process has to exit.
         """
         now = self._stream.scheduler.now
         waits_since = now()
@@ -84,11 +86,11 @@
 
     @property
     def is_connection_reusable(self) -> bool:
-        """Whether the connection can serve another attempt."""
+        """Whether the endpoint connection can be reused for another attempt."""
         return self.is_complete and not self._reader.ends_with_connection and not self._reader.buffered
 
     def close(self) -> None:
-        """Let its attempt end: no more of it is wanted."""
+        """Stop reading the body and let its attempt end."""
         self.closed_event.set()
 
 
@@ -97,21 +99,22 @@
 
 
 class RequestBodyStream:
-    """A request's body that is streamed before it is complete.
+    """A request body that is forwarded while it is still being received.
 
-    What has come of it is buffered until more is read, so that an attempt that never began to send can be
-    made again.
+    Received bytes are buffered until more are read, so that an attempt that has not started sending can be
+    retried.
 
     Attributes:
-        length: Of the whole body in bytes; None: it comes in chunks.
-        size: Bytes that have come.
-        is_complete: Its last byte was read.
-        is_consumed: Part of it has left for an endpoint: it can't be sent again.
-        has_client_left: The client closed its connection.
-        error: What the client is to be answered, where its body was spoilt.
-        due: When the response has to leave, in seconds on the scheduler's clock; sooner once it is complete.
-        client_timeout_ms: How long the client waits from the last byte on.
-        on_complete: Called when its last byte was read.
+        length: Bytes of the complete body, or None if the body is chunked.
+        size: Bytes received so far.
+        is_complete: Whether the last byte was read.
+        is_consumed: Whether part of the body was sent to an endpoint, after which it can't be sent again.
+        has_client_left: Whether the client closed its connection.
+        error: The error response to the client if its body was malformed or late.
+        due: Latest time to send the response, in seconds on the scheduler's clock; reduced when the body
+            completes.
+        client_timeout_ms: Milliseconds that the client waits after sending the last byte.
+        on_complete: Called when the last byte was read.
     """
 
     __slots__ = (
@@ -120,7 +123,7 @@
     )  # fmt: skip
 
     def __init__(self, stream: Stream, reader: MessageReader, started_at: float, timeout_s: float) -> None:
-        """`timeout_s` is what a body of no length has from `started_at` on; each byte adds to it."""
+        """Create the body stream; its time limit is `timeout_s` from `started_at` plus time for each byte."""
         self._stream, self._reader = stream, reader
         self._started_at, self._timeout_s = started_at, timeout_s
         self.length = reader.length
@@ -133,18 +136,19 @@
         self.on_complete: Callable[[], None] = _ignore_completion
 
     def take_buffered(self) -> bytes:
-        """Take what is buffered, with which the body can't be sent again."""
+        """Take the buffered bytes, after which the body can't be sent again."""
         buffered, self._buffered, self.is_consumed = self._buffered, b"", True
         return buffered
 
     def next_piece(self, cancel_event: Event, check: Callable[[], None]) -> bytes | None:
-        """Take the next bytes, empty at the end, None where the event was set.
+        """Return the next bytes, which are empty at the end of the body, or None if the event was set.
 
-        `check` is called ahead of each piece and now and then while none comes; what it raises ends the wait.
+        `check` is called before each chunk and periodically while none arrives; an exception from it ends the
+        wait.
 
         Raises:
-            HttpError: the rest is malformed, late or too large.
-            OSError: the client left.
+            HttpError: The rest of the body is malformed, late or too large.
+            OSError: The client disconnected.
         """
         try:
             return self._next_piece(cancel_event, check)
@@ -177,7 +181,7 @@
         return b""
 
     def _receive(self, cancel_event: Event) -> bytes | None:
-        """Wait for the next bytes; empty where none came for a moment, None where the event was set."""
+        """Wait briefly for the next bytes; return empty bytes if none arrived, None if the event was set."""
         now = self._stream.scheduler.now
         due = self._started_at + self._timeout_s + self.size / MIN_BYTES_PER_S
         try:
@@ -193,10 +197,10 @@
 
 
 def request_body_stream(message: Message) -> RequestBodyStream | None:
-    """Return the streamed body of a request; None where it is buffered."""
+    """Return the streamed body of a request, or None if the body is buffered."""
     return message.body_stream if isinstance(message.body_stream, RequestBodyStream) else None
 
 
 def response_body_stream(message: Message) -> ResponseBodyStream | None:
-    """Return the streamed body of a response; None where it is buffered."""
+    """Return the streamed body of a response, or None if the body is buffered."""
     return message.body_stream if isinstance(message.body_stream, ResponseBodyStream) else None
--- a/brambleusher/net/upstream_connections.py
+++ b/brambleusher/net/upstream_connections.py
@@ -1,4 +1,4 @@
-"""The connections to endpoints: reused where one is idle, opened within limits, closed when unused."""
+"""Pools connections to endpoints: reuses idle connections, limits new ones and closes unused ones."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
 from brambleusher.runtime.streams import Stream, WaitInterruptedError
 
-# After a response, before its connection is used again: a second response to the same request, some
-# milliseconds late, would be taken for that of the next one.
+# Seconds between a response and the reuse of its connection. A duplicate response to the same request that
+# arrives a few milliseconds late would otherwise be taken for the response to the next request.
 REUSE_DELAY_S = 0.02
 
 
 class UpstreamConnections:
-    """Hands out connections to attempts, one attempt at a time on each."""
+    """Assigns connections to attempts; each connection serves one attempt at a time."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         connect_timeout_s: float,
         max_connections: int,
     ) -> None:
-        """`endpoints` are those in use, kept by the caller; `max_connections` is the limit over all."""
+        """Create a pool for `endpoints`, which the caller updates; `max_connections` limits their total."""
         self._scheduler, self._counters = scheduler, counters
         self._endpoints, self._pacing = endpoints, pacing
         self._connect_timeout_s = connect_timeout_s
@@ -36,18 +36,18 @@
         self.open_count = 0
 
     def acquire(self, endpoint: UpstreamEndpoint, attempt: UpstreamAttempt, deadline: float) -> Stream | None:
-        """Take the most recently used idle connection that can be trusted, else open one, in its turn.
+        """Take the most recently used healthy idle connection, or open a new one when the limits allow it.
 
         Returns:
-            The connection; None where the limit over all endpoints leaves none.
+            The connection, or None if the limit over all endpoints is reached.
 
         Raises:
-            OSError: the connection could not be opened.
-            TaskTimeoutError: none was opened, or may be opened, in time.
-            WaitInterruptedError: the attempt was cancelled.
+            OSError: The connection could not be opened.
+            TaskTimeoutError: No connection became available in time.
+            WaitInterruptedError: The attempt was cancelled.
         """
         now = self._scheduler.now()
-        # A fraction of the time only, so that one endpoint that takes no connection leaves time for another.
+        # Use only a fraction of the time, so that an unreachable endpoint leaves time to try another.
         until = now + min(self._connect_timeout_s, (deadline - now) * CONNECT_TIMEOUT_FRACTION)
         while True:
             if (stream := self._take_idle(endpoint, now)) is not None:
@@ -68,7 +68,7 @@
         return stream
 
     def release(self, endpoint: UpstreamEndpoint, stream: Stream, keep: bool) -> None:
-        """Give a connection back, and wake the attempt that has waited for one the longest."""
+        """Return a connection to the pool and wake the attempt that has waited longest for a connection."""
         if not keep or endpoint.is_draining or not stream.open:
             self._discard(endpoint, stream)
         else:
@@ -83,10 +83,10 @@
             self._discard(endpoint, endpoint.idle.pop())
 
     def close_expired(self, endpoint: UpstreamEndpoint, now: float) -> None:
-        """Close what has been idle for too long, was closed from the other side or is too much."""
+        """Close idle connections that have expired, were closed by the endpoint or exceed the idle limit."""
         oldest_use = now - self._pacing.idle_timeout_s
         kept = [stream for stream in endpoint.idle if stream.used_at > oldest_use and stream.is_idle()]
-        kept = kept[max(0, len(kept) - max(endpoint.limit.idle_to_keep(now), 1)) :]  # the last used
+        kept = kept[max(0, len(kept) - max(endpoint.limit.idle_to_keep(now), 1)) :]  # the most recent ones
         for stream in endpoint.idle:
             if stream not in kept:
                 self._discard(endpoint, stream)
@@ -98,7 +98,7 @@
             if now < stream.used_at + REUSE_DELAY_S:
                 continue
             del endpoint.idle[at]
-            # Race: a request written to a connection that its endpoint is about to close, or has closed.
+            # Avoids sending a request on a connection that its endpoint has closed or is about to close.
             if now - stream.used_at < self._pacing.idle_timeout_s and stream.is_idle():
                 return stream
             self._discard(endpoint, stream)
@@ -106,7 +106,7 @@
 
     @staticmethod
     def _reuse_delay_left_s(endpoint: UpstreamEndpoint, now: float) -> float:
-        """Seconds until the first of the idle connections may be reused; 0 where none is idle."""
+        """Return the seconds until an idle connection may be reused, or 0 if no connection is idle."""
         return endpoint.idle[0].used_at + REUSE_DELAY_S - now if endpoint.idle else 0.0
 
     def _connect(self, endpoint: UpstreamEndpoint, attempt: UpstreamAttempt, until: float) -> Stream:
@@ -125,7 +125,7 @@
         return stream
 
     def _await_turn(self, endpoint: UpstreamEndpoint, attempt: UpstreamAttempt, until: float) -> None:
-        """Wait for a connection to come back, or for the moment when one may be opened."""
+        """Wait until a connection is released or `until` is reached, when a new one may be opened."""
         endpoint.waiting.append(attempt)
         try:
             self._scheduler.park(until, event=attempt.cancel_event)
@@ -144,7 +144,7 @@
             stream.close()
 
     def _close_longest_idle(self) -> bool:
-        """Close the idle connection unused for longest; false where none is idle."""
+        """Close the least recently used idle connection; return false if no connection is idle."""
         with_idle = [endpoint for endpoint in self._endpoints.values() if endpoint.idle]
         if not with_idle:
             return False
--- a/brambleusher/net/upstream_endpoint.py
+++ b/brambleusher/net/upstream_endpoint.py
@@ -1,4 +1,4 @@
-"""An endpoint in use and the attempts made on it: the state that the upstream modules share."""
+"""State of an endpoint and its attempts that the upstream modules share."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 
 @dataclass(slots=True)
 class UpstreamEndpoint:
-    """One endpoint: its address, its idle connections (the last used at the end), its open attempts."""
+    """An endpoint with its address, open attempts and idle connections, the most recently used last."""
 
     name: str
     address: Address
-    started_ns: int  # Unix time
+    started_ns: int  # start of the endpoint's process, Unix time in nanoseconds
     limit: ConnectionLimit
     idle: list[Stream] = field(default_factory=list)
-    attempts: dict[UpstreamAttempt, None] = field(default_factory=dict)  # in the order they began
-    waiting: deque[UpstreamAttempt] = field(default_factory=deque)  # for a connection
+    attempts: dict[UpstreamAttempt, None] = field(default_factory=dict)  # open attempts, oldest first
+    waiting: deque[UpstreamAttempt] = field(default_factory=deque)  # attempts that wait for a connection
     is_draining: bool = False
 
 
 class UpstreamAttempt:
-    """One attempt: how far it has come, and whether it was cancelled."""
+    """The progress of one attempt and whether it was cancelled."""
 
     __slots__ = (
         "cancel_event", "cancelled_as", "has_new_connection", "has_started_sending", "is_request_sent",
@@ -36,32 +36,32 @@
     )  # fmt: skip
 
     def __init__(self, started_at: float) -> None:
-        self.started_at = started_at  # its latency counts from here; seconds on the scheduler's clock
+        self.started_at = started_at  # start of its latency, in seconds on the scheduler's clock
         self.cancel_event = Event()
-        self.cancelled_as: AttemptStatus | None = None  # the status it was cancelled with
+        self.cancelled_as: AttemptStatus | None = None  # status passed to the first `cancel`
         self.stream: Stream | None = None
-        self.has_new_connection = False  # its connection was opened for it
-        self.has_started_sending = False  # its first byte is on its way
-        self.is_request_sent = False  # its last byte has been handed over: from here on it may have run
+        self.has_new_connection = False  # whether the attempt opened its connection
+        self.has_started_sending = False  # whether the first request byte was sent
+        self.is_request_sent = False  # whether the last byte was sent, so the request may have run
         self.is_response_streaming = False
 
     def cancel(self, status: AttemptStatus = AttemptStatus.CANCELLED) -> None:
-        """Close its connection, which cancels it at the endpoint too."""
+        """Cancel the attempt by closing its connection, which also cancels the request at the endpoint."""
         if self.cancelled_as is None and not self.is_response_streaming:
             self.cancelled_as = status
             self.cancel_event.set()
 
     @property
     def status_if_cancelled(self) -> AttemptStatus:
-        """How it ends where it was cancelled: what may have run counts as cancelled and nothing else."""
+        """The final status of a cancelled attempt; an attempt that may have run always ends as cancelled."""
         if self.cancelled_as is not None and not self.is_request_sent:
             return self.cancelled_as
         return AttemptStatus.CANCELLED
 
 
-@dataclass(slots=True)  # not frozen: that would cost four times as much to make, for each request
+@dataclass(slots=True)  # not frozen, as creating a frozen instance for each request costs four times as much
 class AttemptResult:
-    """How an attempt ended."""
+    """The result of an attempt, with the endpoint's load report and response if there are any."""
 
     status: AttemptStatus
     report: LoadReport | None = None
--- a/brambleusher/net/upstream_exchange.py
+++ b/brambleusher/net/upstream_exchange.py
@@ -1,4 +1,4 @@
-"""One attempt on one endpoint: connection, request, response, and what each failure proves."""
+"""Runs one attempt on an endpoint and maps each failure to an attempt status."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 
 log = logging.getLogger(__name__)
 
-EARLY_RESPONSE_TIMEOUT_S = 0.5  # for the response of an endpoint that answers an incomplete request
+EARLY_RESPONSE_TIMEOUT_S = 0.5  # in seconds, for a response to an incomplete request
 
 
 class UpstreamExchangeContext:
-    """What all attempts share."""
+    """Dependencies and log limiters shared by all attempts."""
 
     __slots__ = ("bad_reports", "bad_responses", "connections", "counters", "on_request_sent", "scheduler")
 
@@ -63,21 +63,21 @@
         deadline: float,
         report_streaming: Callable[[AttemptResult], None],
     ) -> None:
-        """`report_streaming` is called when the response is streamed, in place of a result of `run`."""
+        """Create an exchange; a streamed response is passed to `report_streaming`, not returned by `run`."""
         self._context, self._endpoint, self._attempt = context, endpoint, attempt
         self._order, self._request, self._deadline = order, request, deadline
         self._report_streaming = report_streaming
 
     @property
     def attempt(self) -> UpstreamAttempt:
-        """The attempt."""
+        """The attempt that this exchange runs."""
         return self._attempt
 
     def run(self) -> AttemptResult | None:
-        """Make the attempt.
+        """Run the attempt.
 
         Returns:
-            How it ended; None where that was reported already and the rest of its response was streamed.
+            The result, or None if it was already reported and the rest of the response was streamed.
         """
         attempt, keep = self._attempt, False
         try:
@@ -86,14 +86,15 @@
             if isinstance(stream, AttemptResult):
                 return stream
             time_left_ms = self._time_left_ms(body)
-            if time_left_ms < 1 or not self._order.is_wanted():  # its request may be over by now
+            # The request may have ended while the attempt waited for a connection.
+            if time_left_ms < 1 or not self._order.is_wanted():
                 return AttemptResult(AttemptStatus.NOT_STARTED)
             deadline = self._send_request(stream, body, time_left_ms)
             response, keep = UpstreamResponseReader(stream, attempt.cancel_event, deadline).read()
             status = attempt_status_of(response)
             if status is AttemptStatus.OVERLOADED and attempt.has_new_connection:
                 self._endpoint.limit.record_rejection(self._context.scheduler.now())
-                keep = False  # it would hold a slot of a full table
+                keep = False  # the connection would occupy a slot at the overloaded endpoint
             response_body = response_body_stream(response)
             if response_body is None:
                 return AttemptResult(status, self._load_report(response), response)
@@ -110,15 +111,15 @@
                 self._context.connections.release(self._endpoint, attempt.stream, keep)
 
     def _prepare(self, body: RequestBodyStream | None) -> Stream | AttemptResult:
-        """Acquire a connection; a result where the request is not to be sent."""
+        """Acquire a connection, or return the attempt's result if the request must not be sent."""
         attempt, context = self._attempt, self._context
         if body is not None and body.is_consumed:
-            return AttemptResult(AttemptStatus.NOT_STARTED)  # part of the body is gone
+            return AttemptResult(AttemptStatus.NOT_STARTED)  # an earlier attempt sent part of the body
         stream = context.connections.acquire(self._endpoint, attempt, self._deadline)
         attempt.stream = stream
         if stream is None:
-            # Not the endpoint's doing: told as overloaded, a sidecar short of connections took its
-            # endpoints for overloaded and rejected nearly everything.
+            # The endpoint is not at fault. When this was reported as overloaded, a sidecar short of
+            # connections considered all endpoints overloaded and rejected nearly every request.
             context.counters.add("connections_lacking")
             return AttemptResult(AttemptStatus.NOT_STARTED)
         if attempt.cancelled_as is not None:
@@ -126,7 +127,7 @@
         return stream
 
     def _send_request(self, stream: Stream, body: RequestBodyStream | None, time_left_ms: int) -> float:
-        """Send the request; returns the deadline of its response."""
+        """Send the request and return the deadline of its response."""
         attempt, context, deadline = self._attempt, self._context, self._deadline
         context.counters.add("claims_sent")
         attempt.has_started_sending = True
@@ -148,14 +149,14 @@
         return int((self._deadline - self._context.scheduler.now()) * 1000)
 
     def _stream_response(self, status: AttemptStatus, response: Message, body: ResponseBodyStream) -> bool:
-        """Wait until the response was relayed; returns whether its connection may be kept."""
+        """Wait until the response was relayed, and return whether its connection may be reused."""
         self._attempt.is_response_streaming = True
         self._report_streaming(AttemptResult(status, self._load_report(response), response))
         self._context.scheduler.park(event=body.closed_event)
         return response.keep_alive and body.is_connection_reusable
 
     def _result_of(self, error: Exception) -> AttemptResult:
-        """Say what a failure proves: nothing has run where the request's last byte was not handed over."""
+        """Map a failure to a result; a request whose last byte was not sent has not run."""
         attempt = self._attempt
         if isinstance(error, EarlyResponseError):
             return self._result_of_early_response()
@@ -171,7 +172,7 @@
         return AttemptResult(AttemptStatus.TIMEOUT if is_timeout else AttemptStatus.RESET)
 
     def _result_of_early_response(self) -> AttemptResult:
-        """Read what the endpoint says of an incomplete request, which has not run but may be rejected."""
+        """Read an endpoint's response to an incomplete request, which has not run but may be rejected."""
         attempt, deadline = self._attempt, self._context.scheduler.now() + EARLY_RESPONSE_TIMEOUT_S
         assert attempt.stream is not None
         try:
--- a/brambleusher/net/upstream_pool.py
+++ b/brambleusher/net/upstream_pool.py
@@ -1,4 +1,4 @@
-"""The endpoints of the endpoint list that are in use, and the attempts made on them."""
+"""Manages the endpoints in use, their connections and the attempts made on them."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class UpstreamPool:
-    """Makes attempts on the endpoints that the endpoint list names."""
+    """Runs attempts on the endpoints of the endpoint list."""
 
     def __init__(
         self,
@@ -36,10 +36,10 @@
         max_connections: int,
         on_request_sent: Callable[[], None] = do_nothing,
     ) -> None:
-        """`on_request_sent` is called for each attempt whose last byte has been handed over."""
+        """Create a pool; `on_request_sent` is called for each attempt that has sent its last byte."""
         self._scheduler, self._counters = scheduler, counters
         self.listed: dict[str, Endpoint] = {}
-        # Those of them in use, and no others: a list may have thousands.
+        # Only the endpoints in use, as an endpoint list may have thousands of entries.
         self._endpoints: dict[str, UpstreamEndpoint] = {}
         idle_timeout_s = settings.connection_idle_timeout_ns / _NS_PER_S or math.inf
         self._pacing = ConnectPacing.for_fleet(settings.fleet_size, idle_timeout_s)
@@ -50,13 +50,13 @@
         self._context = UpstreamExchangeContext(scheduler, counters, self.connections, on_request_sent)
 
     def resize(self, max_connections: int) -> None:
-        """Change the limit on connections; those that are open stay."""
+        """Change the limit on connections without closing open connections."""
         self.connections.max_connections = max_connections
 
     # --- the endpoint list -----------------------------------------------------------------------
 
     def update(self, update: EndpointListUpdate) -> None:
-        """Follow the list: from now on no attempt starts on an endpoint that drains or is removed."""
+        """Apply an endpoint list update; no new attempt starts on a draining or removed endpoint."""
         if update.full:
             named = {endpoint.entry.host for endpoint in update.endpoints}
             for name in [name for name in self.listed if name not in named]:
@@ -79,8 +79,8 @@
         if endpoint is None:
             return
         if (endpoint.address, endpoint.started_ns) != (listed.address, entry.started_ns):
-            # A connection to a process that is not the one listed now, be it idle or still in use, must
-            # not come back to the record that the next attempt makes.
+            # Connections to the endpoint's previous process, idle or in use, must not be returned to the
+            # record that the next attempt creates.
             self._drain(self._endpoints.pop(entry.host))
         elif entry.state is HostState.DRAINING:
             self._drain(endpoint)
@@ -88,7 +88,7 @@
             endpoint.is_draining = False
 
     def _endpoint_for_attempt(self, name: str) -> UpstreamEndpoint | None:
-        """Find or make the record of an endpoint; None where no attempt may be made on it."""
+        """Return the record of an endpoint, creating it if needed; None if attempts are not allowed."""
         endpoint = self._endpoints.get(name)
         if endpoint is not None:
             return None if endpoint.is_draining else endpoint
@@ -104,7 +104,7 @@
         endpoint.is_draining = True
         self.connections.close_idle(endpoint)
         for attempt in list(endpoint.attempts):
-            if not attempt.has_started_sending:  # race: it waits for a connect, and would be sent after this
+            if not attempt.has_started_sending:  # a pending connect would otherwise send the request later
                 attempt.cancel(AttemptStatus.OVERLOADED)
 
     # --- connections ----------------------------------------------------------------------------
@@ -122,21 +122,21 @@
 
     @property
     def open_connections(self) -> int:
-        """Open connections, idle ones among them."""
+        """The number of open connections, including idle connections."""
         return self.connections.open_count
 
     @property
     def idle_connections(self) -> int:
-        """Connections kept for later."""
+        """The number of idle connections kept for reuse."""
         return sum(len(endpoint.idle) for endpoint in self._endpoints.values())
 
     @property
     def open_attempts(self) -> int:
-        """Attempts that have not ended."""
+        """The number of attempts that have not ended."""
         return sum(len(endpoint.attempts) for endpoint in self._endpoints.values())
 
     def close_expired_connections(self) -> None:
-        """Close idle connections in time and forget endpoints that are not used; a task runs this forever."""
+        """Close expired idle connections and drop unused endpoints; runs forever in a task."""
         while True:
             self._scheduler.sleep(CLOSE_EXPIRED_INTERVAL_S)
             now = self._scheduler.now()
@@ -149,17 +149,17 @@
     # --- attempts -------------------------------------------------------------------------------
 
     def start_attempt(self, order: AttemptOrder) -> UpstreamAttempt:
-        """Start an attempt; its end is reported once, whatever happens.
+        """Start an attempt; its end is reported exactly once, on success and on failure.
 
-        The end of one whose response is not buffered is reported when the first bytes of that have come: the
-        payload's `body_stream` is a `ResponseBodyStream` then, and whoever takes it closes it.
-        `on_response_started` is never called, as the end says it.
+        The end of an attempt with a streamed response is reported when the first bytes of the body have
+        arrived. The payload's `body_stream` is then a `ResponseBodyStream`, which the receiver has to close.
+        `on_response_started` is never called, as the reported end takes its place.
 
         Raises:
-            TypeError: the payload is no HTTP message.
+            TypeError: The payload is not an HTTP message.
         """
         if not isinstance(order.payload, Message):
-            raise TypeError("endpoints are spoken to in HTTP alone")
+            raise TypeError(f"payload must be an HTTP message, not {type(order.payload).__name__}")
         started_at = self._scheduler.now()
         deadline = order.deadline
         if order.timeout_ns:
@@ -187,7 +187,7 @@
                 )
                 result = exchange.run()
         except Exception:
-            # An attempt without an end would leave its request waiting until the deadline.
+            # If the end were not reported, the request would wait until its deadline.
             self._counters.add("faults")
             log.exception("attempt failed", extra={"fields": {"node": order.endpoint}})
         finally:
--- a/brambleusher/net/upstream_request_writer.py
+++ b/brambleusher/net/upstream_request_writer.py
@@ -1,4 +1,4 @@
-"""Writes an attempt's request to an endpoint: encoded whole, or with its body streamed as it comes."""
+"""Writes an attempt's request to an endpoint, with a buffered or a streamed body."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from brambleusher.runtime.streams import Stream, WaitInterruptedError
 from brambleusher.runtime.system import Address
 
-PIECE_TIMEOUT_S = 10.0  # for an endpoint that takes a piece of a body slowly
+PIECE_TIMEOUT_S = 10.0  # in seconds, for a slow endpoint to take one chunk of a body
 _REWRITTEN = HOP_BY_HOP | {"content-length", "request-timeout-ms", "expect"}
 
 
 def encode_request(
     request: Message, address: Address, time_left_ms: int, body_stream: RequestBodyStream | None
 ) -> bytes:
-    """Encode a request for an endpoint; of one whose body is streamed only the head."""
+    """Encode a request for an endpoint; only the head is encoded if the body is streamed."""
     headers = _forwarded_headers(request)
     if "host" not in request.headers:
         headers.insert(0, ("Host", f"{address[0]}:{address[1]}"))
@@ -48,13 +48,13 @@
     head: bytes,
     on_progress: Callable[[bool], None],
 ) -> None:
-    """Send a request whose body is streamed piece by piece as it comes from the client.
+    """Send a request whose body is streamed in chunks as they arrive from the client.
 
     Raises:
-        EarlyResponseError: the endpoint has said something, or left, before the request was complete.
-        WaitInterruptedError: the attempt was cancelled, or the rest of the body does not come.
-        OSError: the connection was lost.
-        TaskTimeoutError: the endpoint did not take a piece in time.
+        EarlyResponseError: The endpoint responded or closed before the request was complete.
+        WaitInterruptedError: The attempt was cancelled, or the client did not send the rest of the body.
+        OSError: The connection was lost.
+        TaskTimeoutError: The endpoint did not take a chunk in time.
     """
     now, is_chunked = stream.scheduler.now, body.length is None
     on_progress(False)
@@ -70,7 +70,7 @@
         try:
             piece = body.next_piece(attempt.cancel_event, check_for_response)
         except (HttpError, OSError):
-            # Its client's doing, and no last byte was written: the endpoint has not run it.
+            # The client caused the failure, and the endpoint has not run the incomplete request.
             attempt.cancel(AttemptStatus.NOT_STARTED)
             raise WaitInterruptedError from None
         if piece is None:
--- a/brambleusher/net/upstream_response_reader.py
+++ b/brambleusher/net/upstream_response_reader.py
@@ -1,4 +1,4 @@
-"""Reads an endpoint's response: complete where it is small, its head and a stream of the rest otherwise."""
+"""Reads an endpoint's response, buffering small bodies and streaming all others."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from brambleusher.runtime.scheduler import Event, TaskTimeoutError
 from brambleusher.runtime.streams import Stream, WaitInterruptedError
 
-MAX_INTERIM_RESPONSES = 16  # 1xx responses ahead of one attempt's final response
-RESPONSE_IDLE_TIMEOUT_S = 0.5  # without a byte of a response that has begun, and is buffered
-RESPONSE_BUFFER_TIMEOUT_S = 0.3  # that the begin of a response of unknown length is buffered
-# Plain numbers: each access to a member of an enum costs a call, and these are on the way of each request.
+MAX_INTERIM_RESPONSES = 16  # at most this many 1xx responses before the final response of an attempt
+RESPONSE_IDLE_TIMEOUT_S = 0.5  # in seconds without a byte of a buffered response that has started
+RESPONSE_BUFFER_TIMEOUT_S = 0.3  # in seconds; later, a body of unknown length is streamed
+# Plain integers, as each access to an enum member costs a function call on the hot path of every request.
 _FIRST_FINAL_STATUS = HTTPStatus.OK.value
 _SWITCHING_PROTOCOLS = HTTPStatus.SWITCHING_PROTOCOLS.value
 
 
 class UpstreamResponseReader:
-    """Reads the response to one attempt."""
+    """Reads the endpoint's response to one attempt."""
 
     __slots__ = (
         "_buffer_until", "_cancel_event", "_deadline", "_due", "_interim_count", "_now", "_reader", "_stream",
@@ -29,30 +29,30 @@
         self._stream, self._cancel_event, self._deadline = stream, cancel_event, deadline
         self._reader, self._now = MessageReader.responses(streaming=True), stream.scheduler.now
         self._interim_count, self._due = 0, deadline
-        self._buffer_until: float | None = None  # of a response of unknown length, from its head on
+        self._buffer_until: float | None = None  # when to start streaming a body of unknown length
 
     def read(self) -> tuple[Message, bool]:
         """Read the response.
 
-        One that is not buffered has a `ResponseBodyStream` as its `body_stream`.  What comes behind a
-        response spoils the connection, not the response.
+        A response that is not buffered has a `ResponseBodyStream` as its `body_stream`. Extra bytes after a
+        response make the connection unusable but not the response.
 
         Returns:
-            The response, and whether its connection can serve another attempt.
+            The response, and whether its connection can be reused for another attempt.
 
         Raises:
-            HttpError: the response can't be used.
-            OSError: the connection was lost.
-            TaskTimeoutError: the deadline has passed.
-            WaitInterruptedError: the attempt was cancelled.
+            HttpError: The response is invalid.
+            OSError: The connection was lost.
+            TaskTimeoutError: The deadline has passed.
+            WaitInterruptedError: The attempt was cancelled.
         """
         reader = self._reader
         while True:
             data = self._receive()
-            if data is None:  # buffered for long enough
+            if data is None:  # `RESPONSE_BUFFER_TIMEOUT_S` has passed
                 if reader.size:
                     return self._streamed_response()
-                self._buffer_until = math.inf  # it is relayed with its first byte
+                self._buffer_until = math.inf  # start streaming with the first byte of the body
                 continue
             if not data:
                 return self._response_ended_by_close(), False
@@ -64,7 +64,7 @@
             self._update_deadlines()
 
     def _receive(self) -> bytes | None:
-        """Wait for the next bytes, empty at the end; None once a response was buffered for long enough."""
+        """Return the next bytes, empty at the end, or None once the buffering time has passed."""
         buffer_until = self._buffer_until
         wait_until = self._due if buffer_until is None else min(self._due, buffer_until)
         try:
@@ -74,22 +74,22 @@
                 return None
             if self._due >= self._deadline:
                 raise
-            # A length that does not fit would otherwise keep the attempt waiting until its deadline.
-            raise HttpError(502, "the rest of the answer did not come") from None
+            # A body shorter than its announced length would otherwise block the attempt until its deadline.
+            raise HttpError(502, "the rest of the response did not arrive in time") from None
         if data is None:
             raise WaitInterruptedError
         return data
 
     def _take_final(self) -> Message | None:
-        """Take the final response once it is complete; interim ones are skipped."""
+        """Take the final response once it is complete, skipping interim responses."""
         while (response := self._reader.take()) is not None:
             if response.status >= _FIRST_FINAL_STATUS:
                 return response
             self._interim_count, self._due = self._interim_count + 1, self._deadline
             is_upgrade = response.status == _SWITCHING_PROTOCOLS
             if self._interim_count > MAX_INTERIM_RESPONSES or is_upgrade:
-                # 1xx responses without end, at full speed, would keep others from running.
-                raise HttpError(502, "interim answers without end")
+                # An endless series of 1xx responses at full speed would starve other tasks.
+                raise HttpError(502, "too many interim responses, or a protocol switch")
         return None
 
     def _update_deadlines(self) -> None:
@@ -102,7 +102,7 @@
     def _response_ended_by_close(self) -> Message:
         response = self._reader.end()
         if response is None:
-            raise ConnectionResetError("the connection ended before its answer")
+            raise ConnectionResetError("the endpoint closed before completing its response")
         return response
 
     def _streamed_response(self) -> tuple[Message, bool]:
--- a/brambleusher/net/upstream_responses.py
+++ b/brambleusher/net/upstream_responses.py
@@ -1,4 +1,4 @@
-"""What an endpoint's response says: the status of its attempt, and the load report in its header."""
+"""Derives the attempt status and the load report from an endpoint's response."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 LOAD_REPORT_HEADER = "server-load"
 NOT_STARTED_HEADER = "not-started"
-# Names of a report's two figures, the older spelling first.
+# Accepted names of the load report's two values, the older spelling first.
 UTILISATION_KEYS = ("util", "utilization")
 THROUGHPUT_KEYS = ("qps", "throughput")
 
-# Plain numbers: each access to a member of an enum costs a call, and these are on the way of each request.
+# Plain integers, as each access to an enum member costs a function call on the hot path of every request.
 _OK = HTTPStatus.OK.value
 _UNAVAILABLE_STATUSES = frozenset({HTTPStatus.SERVICE_UNAVAILABLE.value, HTTPStatus.GATEWAY_TIMEOUT.value})
 
-FaultHandler = Callable[[str], object]  # takes a description of what makes no sense
+FaultHandler = Callable[[str], object]  # takes a description of an invalid value
 
 
 def _ignore_fault(fault: str) -> None:
@@ -29,7 +29,7 @@
 
 
 def parse_load_report(text: str | None, on_fault: FaultHandler = _ignore_fault) -> LoadReport | None:
-    """Parse a load report; what makes no sense is left out, never guessed, and reported to `on_fault`."""
+    """Parse a load report; invalid values are omitted, never guessed, and reported to `on_fault`."""
     if not text:
         return None
     try:
@@ -55,16 +55,17 @@
 
 
 def load_report_of(response: Message, on_fault: FaultHandler = _ignore_fault) -> LoadReport | None:
-    """Parse a response's load report; None where it has none, without figures where they can't be read.
+    """Parse a response's load report, or return None if the response has none.
 
-    An endpoint whose report was spoilt must not be taken for one that reports nothing any more.
+    A report that can't be parsed is returned without values, so that its endpoint is not taken for an
+    endpoint that has stopped reporting.
     """
     text = response.headers.get(LOAD_REPORT_HEADER)
     return parse_load_report(text, on_fault) or (None if text is None else LoadReport(None, None))
 
 
 def attempt_status_of(response: Message) -> AttemptStatus:
-    """Say what a response proves; a 503 that does not say so does not prove that nothing was started."""
+    """Map a response to an attempt status; only a 503 that says so proves that nothing was started."""
     status = response.status
     if status == _OK:
         return AttemptStatus.OK
