--- a/brambleusher/net/endpoint_watch.py
+++ b/brambleusher/net/endpoint_watch.py
@@ -66,7 +66,7 @@
             if done:
                 return
             if len(pending) + texts.size > MAX_LINE:
-                raise WatchError(f"a line of the watch is longer than {MAX_LINE} bytes")
+                raise WatchError("a line of the watch is too long")
             if len(pending) > LONG_LINE:
                 self._scheduler.yield_until_idle()
             patience = TEXT_SECONDS if texts.incomplete else SILENT_SECONDS
--- a/brambleusher/net/upstream_pool.py
+++ b/brambleusher/net/upstream_pool.py
@@ -159,7 +159,7 @@
             TypeError: The payload is not an HTTP message.
         """
         if not isinstance(order.payload, Message):
-            raise TypeError(f"payload must be an HTTP message, not {type(order.payload).__name__}")
+            raise TypeError("the payload is not an HTTP message")
         started_at = self._scheduler.now()
         deadline = order.deadline
         if order.timeout_ns:
--- a/brambleusher/runtime/__init__.py
+++ b/brambleusher/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What tasks run on: scheduler, streams and, below them, the seam to the machine, real or virtual."""
+"""Task scheduler, streams, and the interface to the real or simulated machine."""
--- a/brambleusher/runtime/acceptor.py
+++ b/brambleusher/runtime/acceptor.py
@@ -1,4 +1,4 @@
-"""Accepts connections on one address and gives each a task, within a limit on how many are open."""
+"""Accepts connections on one address and serves each in a task, up to a limit of open connections."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
         self.closed = False
 
     def close(self) -> None:
-        """Stop accepting; connections that are open stay."""
+        """Stop accepting connections; open connections are not closed."""
         if not self.closed:
             self.closed = True
             self._task.cancel()
--- a/brambleusher/runtime/disconnect_watch.py
+++ b/brambleusher/runtime/disconnect_watch.py
@@ -1,4 +1,4 @@
-"""Ends a task's wait, whatever it waits for, once the peer that it works for has disconnected."""
+"""Interrupts any wait of a task when the peer that the task serves disconnects."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 class PeerDisconnectedError(Exception):
-    """The peer that a task works for has closed its connection.
+    """Raised when the peer that a task serves has closed its connection.
 
-    Not an `OSError`: handlers of the connections that the task itself uses must not take it for theirs.
+    It is not an `OSError`, so that error handlers for the task's other connections do not catch it.
     """
 
 
 class DisconnectWatch:
-    """Raises `PeerDisconnectedError` in the task that made it, wherever that waits, once its peer has left.
+    """Raises `PeerDisconnectedError` in any wait of the task that created it once the peer disconnects.
 
-    The task must not receive from the peer's connection meanwhile; it may send.
+    While the watch is active, the task must not receive from the peer's connection, but it may send.
     """
 
     __slots__ = ("_fd", "_presence", "_scheduler", "_task")
@@ -38,7 +38,7 @@
         self.suspend()
 
     def resume(self) -> None:
-        """Watch, from the start or after `suspend`."""
+        """Start watching, or continue after `suspend`."""
         if self._fd >= 0:
             return
         sock = self._presence.socket()
@@ -48,16 +48,16 @@
             self._scheduler.watch_readable(fd, self._on_readable)
 
     def suspend(self) -> None:
-        """Let the task go on without its peer, for work that must not be broken off."""
+        """Stop watching during work that must complete even if the peer disconnects."""
         if self._fd >= 0:
             self._scheduler.unwatch_readable(self._fd)
             self._fd = -1
 
     def raise_if_left(self) -> None:
-        """Look at the connection now, before something is begun that nobody may want.
+        """Check the connection now, before starting work that the peer may no longer need.
 
         Raises:
-            PeerDisconnectedError: The peer has left.
+            PeerDisconnectedError: The peer has disconnected.
         """
         if self._presence.check_left():
             raise PeerDisconnectedError
--- a/brambleusher/runtime/http_client.py
+++ b/brambleusher/runtime/http_client.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 client for calls with short answers, by h11; one connection, kept between calls."""
+"""A small HTTP/1.1 client based on h11 for short responses; it reuses a single connection."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 @dataclass(eq=False)
 class HttpCallError(Exception):
-    """A call had no whole answer."""
+    """Raised when a request gets no complete response."""
 
     reason: str
 
     def __str__(self) -> str:
-        """For logs and answers."""
+        """Return the reason as a text for logs and error responses."""
         return self.reason
 
 
 class HttpClient:
-    """Calls to one server."""
+    """Sends requests to one server over a reused connection."""
 
     def __init__(self, scheduler: Scheduler, address: Address) -> None:
         self._scheduler, self._address = scheduler, address
@@ -34,7 +34,7 @@
         self._connection = h11.Connection(h11.CLIENT)
 
     def get(self, target: str, timeout_s: float) -> tuple[int, bytes]:
-        """Status and body of a GET; raises `HttpCallError`."""
+        """Send a GET request and return status and body; raise `HttpCallError` if it fails."""
         deadline = self._scheduler.now() + timeout_s
         reused = self._stream is not None
         try:
@@ -43,14 +43,14 @@
             self.close()
             if not reused or self._scheduler.now() >= deadline:
                 raise HttpCallError(f"{type(error).__name__}: {error}") from error
-        try:  # the kept connection had ended
+        try:  # the server had closed the reused connection
             return self._get(target, deadline)
         except (OSError, TaskTimeoutError, h11.ProtocolError) as error:
             self.close()
             raise HttpCallError(f"{type(error).__name__}: {error}") from error
 
     def close(self) -> None:
-        """End the connection that is kept."""
+        """Close the reused connection."""
         if self._stream is not None:
             self._stream.close()
             self._stream = None
@@ -72,11 +72,11 @@
                 parts.append(bytes(event.data))
                 held += len(event.data)
                 if held > BODY_BYTES_MAX:
-                    raise OSError("an answer is too long")
+                    raise OSError("the response is too long")
             elif isinstance(event, h11.EndOfMessage):
                 break
             else:
-                raise OSError("the connection ended before the answer")
+                raise OSError("the server closed the connection before its response")
         if connection.our_state is h11.DONE and connection.their_state is h11.DONE:
             connection.start_next_cycle()
         else:
--- a/brambleusher/runtime/http_server.py
+++ b/brambleusher/runtime/http_server.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 server for calls with short bodies, by h11: one handler, one answer a request."""
+"""A small HTTP/1.1 server based on h11, for requests with short bodies and a single handler."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 from brambleusher.runtime.system import Address
 
 IDLE_S = 60.0
-REQUEST_S = 10.0  # from the first byte of a request to its last
+REQUEST_S = 10.0  # in seconds, from the first to the last byte of a request
 SEND_S = 5.0
-READ_METHODS = frozenset({"GET", "HEAD"})  # they change nothing, and are not worth finishing for nobody
-READ_AHEAD_MAX_BYTES = 16 * 1024  # of the requests that follow, while one is handled; the rest is discarded
+READ_METHODS = frozenset({"GET", "HEAD"})  # safe methods, abandoned if the client disconnects
+READ_AHEAD_MAX_BYTES = 16 * 1024  # of pipelined requests while one is handled; further bytes are discarded
 JSON_TYPE = b"application/json"
 
 
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """One request, whole; `hung_up` says whether its caller has ended the connection meanwhile."""
+    """A complete request; `hung_up` returns whether its client has closed the connection."""
 
     method: str
     path: str
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpResponse:
-    """One answer."""
+    """An HTTP response with status, headers and body."""
 
     status: int
     body: bytes = b""
@@ -52,16 +52,16 @@
 
 
 def json_response(status: int, data: object, *headers: tuple[bytes, bytes]) -> HttpResponse:
-    """Make a response of data."""
+    """Create a response with data encoded as JSON."""
     return HttpResponse(status, orjson.dumps(data), headers)
 
 
 class BodyTooLargeError(Exception):
-    """A request's body is over the server's bound."""
+    """Raised when a request body is larger than the server's limit."""
 
 
 class HttpServer:
-    """Listens on one address and calls the handler, which may wait, for each request."""
+    """Listens on one address and calls a handler, which may block its task, for each request."""
 
     def __init__(
         self,
@@ -102,7 +102,7 @@
             connection.start_next_cycle()
 
     def _handle(self, presence: PeerPresence, request: HttpRequest) -> HttpResponse | None:
-        """Have a request handled; None where it was a read whose caller has left."""
+        """Call the handler; return None if the client of a safe request has disconnected."""
         if request.method not in READ_METHODS:
             return self._handler(request)
         try:
--- a/brambleusher/runtime/listening.py
+++ b/brambleusher/runtime/listening.py
@@ -1,4 +1,4 @@
-"""What all listeners have in common: their address, and the accept of one connection."""
+"""Functions shared by all listeners: finding the bound address and accepting a connection."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from brambleusher.runtime.streams import Stream
 from brambleusher.runtime.system import RESOURCE_EXHAUSTION_ERRNOS, Address, Socket
 
-ACCEPT_RETRY_S = 0.05  # between two tries while no descriptor is free; without it, a loop at full speed
+ACCEPT_RETRY_S = 0.05  # in seconds between retries while no descriptor is free, to avoid a busy loop
 
 
 class OutOfDescriptorsError(OSError):
-    """This process, or the machine, has no descriptor or memory for another connection."""
+    """Raised when the process or the machine lacks descriptors or memory for another connection."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,7 +20,7 @@
     """A connection that was just accepted."""
 
     stream: Stream
-    peer: str  # its host
+    peer: str  # host of the remote end
 
 
 def local_address(listener: Socket) -> Address:
@@ -30,12 +30,12 @@
 
 
 def accept_connection(scheduler: Scheduler, listener: Socket) -> AcceptedConnection | None:
-    """Accept the next connection from the backlog; None if it is empty.
+    """Accept the next connection from the backlog, or return None if the backlog is empty.
 
     Connections that were lost before they could be accepted are skipped.
 
     Raises:
-        OutOfDescriptorsError: no descriptor is free; the connection stays in the backlog.
+        OutOfDescriptorsError: No descriptor is free; the connection stays in the backlog.
     """
     while True:
         try:
--- a/brambleusher/runtime/operating_system.py
+++ b/brambleusher/runtime/operating_system.py
@@ -1,4 +1,4 @@
-"""The operating system, as `runtime/system.py` words it."""
+"""Implements the `System` interface of `runtime/system.py` on the operating system."""
 
 from __future__ import annotations
 
@@ -18,11 +18,12 @@
 from brambleusher.runtime.sinks import DescriptorSink, FileSink, UdpSink
 from brambleusher.runtime.system import Address, Poller, Sink, Socket, Waker, Worker
 
-TCP_INFO_BYTES, LAST_DATA_RECEIVED = 104, 52  # tcp(7), linux/tcp.h: tcpi_last_data_recv, in ms
+# From linux/tcp.h and tcp(7): the bytes of tcp_info, and the offset of tcpi_last_data_recv in milliseconds.
+TCP_INFO_BYTES, LAST_DATA_RECEIVED = 104, 52
 
 
 class PairWaker:
-    """Two connected sockets: what is written to one makes the other readable."""
+    """A waker made of two connected sockets; a write to one makes the other readable."""
 
     def __init__(self) -> None:
         self._in, self._out = socket.socketpair()
@@ -34,27 +35,27 @@
         return self._in.fileno()
 
     def wake(self) -> None:
-        """Make it readable; safe in a signal handler."""
+        """Make the waker's descriptor readable; safe in a signal handler."""
         try:
             self._out.send(b"x")
         except OSError:
             return
 
     def clear(self) -> None:
-        """Make it unreadable again."""
+        """Reset the waker's descriptor to not readable."""
         try:
             self._in.recv(4096)
         except BlockingIOError:
             return
 
     def close(self) -> None:
-        """Close both."""
+        """Close both sockets."""
         self._in.close()
         self._out.close()
 
 
 class ThreadWorker:
-    """A daemon thread; it touches no greenlet and nothing of the scheduler's."""
+    """A worker on a daemon thread, which must not use greenlets or the scheduler."""
 
     def __init__(self, name: str, due: Callable[[], bool], turn: Callable[[], None]) -> None:
         self._due, self._turn = due, turn
@@ -65,11 +66,11 @@
         self._thread.start()
 
     def wake(self) -> None:
-        """Something may be due; the lock is held."""
+        """Make the thread check `due`; the caller holds the lock."""
         self._wake.notify()
 
     def end(self, seconds: float) -> None:
-        """Have what is due done and stop; waits no longer than that."""
+        """Finish the due work and stop, waiting at most `seconds`."""
         with self._wake:
             self._ending = True
             self._wake.notify()
@@ -86,9 +87,9 @@
 
 
 class RealSystem:
-    """This process on its machine."""
+    """The `System` of the operating system that this process runs on."""
 
-    # Builtins as they are: no call of ours stands between a task and the clock.
+    # Builtins are used directly, without a wrapper call, as tasks read the clock often.
     monotonic = staticmethod(time.monotonic)
     monotonic_ns = staticmethod(time.monotonic_ns)
     wall_ns = staticmethod(time.time_ns)
@@ -96,15 +97,15 @@
     greenlet = staticmethod(greenlet.greenlet)
 
     def poller(self) -> Poller:
-        """Make a new set of descriptors."""
+        """Create an empty poll set of descriptors."""
         return select.poll()
 
     def waker(self) -> Waker:
-        """Make a new pair of sockets."""
+        """Create a waker from a pair of sockets."""
         return PairWaker()
 
     def listen(self, address: Address, backlog: int) -> Socket:
-        """Make a socket that listens; raises `OSError`."""
+        """Create a listening socket; raise `OSError` if the address can't be bound."""
         listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -117,31 +118,31 @@
         return listener
 
     def adopt(self, fd: int) -> Socket:
-        """Take over a listening socket that this process was given; raises `OSError` where it is none."""
+        """Adopt an inherited listening socket; raise `OSError` if the descriptor is not one."""
         listener = socket.socket(fileno=fd)
         try:
             if not listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-                raise OSError(errno.EINVAL, "it does not listen")
+                raise OSError(errno.EINVAL, "the socket does not listen")
             listener.setblocking(False)
             listener.set_inheritable(False)
         except BaseException:
-            listener.detach()  # not ours after all
+            listener.detach()  # leave the descriptor open, as it was not adopted
             raise
         return listener
 
     def accept(self, listener: Socket) -> tuple[Socket, str]:
-        """Accept a connection that waits, with its peer's host; raises `BlockingIOError` and `OSError`."""
+        """Accept a pending connection with its peer's host; raise `BlockingIOError` or `OSError`."""
         assert isinstance(listener, socket.socket)
         sock, peer = listener.accept()
         try:
             self._prepare(sock)
-        except OSError:  # reset before it was looked at
+        except OSError:  # the connection was reset in the meantime
             sock.close()
             raise
         return sock, str(peer[0])
 
     def connection(self) -> Socket:
-        """Make a socket that is not connected yet; raises `OSError`."""
+        """Create an unconnected socket; raise `OSError` if no descriptor is free."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self._prepare(sock)
         return sock
@@ -152,7 +153,7 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def reset(self, sock: Socket) -> None:
-        """Close a connection so that its other end sees a reset."""
+        """Close a connection with a TCP reset."""
         assert isinstance(sock, socket.socket)
         try:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -160,12 +161,12 @@
             sock.close()
 
     def error_of(self, sock: Socket) -> int:
-        """Take the error that waits on a socket; 0 for none."""
+        """Return and clear the pending error of a socket; 0 means no error."""
         assert isinstance(sock, socket.socket)
         return sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
 
     def seconds_since_data(self, sock: Socket) -> float:
-        """Seconds since bytes last came on a connection, read or not; 0 where the machine does not tell."""
+        """Return the seconds since data last arrived on a connection, read or unread; 0 if unknown."""
         assert isinstance(sock, socket.socket)
         try:
             info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
@@ -175,7 +176,7 @@
         return float(milliseconds) / 1000
 
     def set_unacknowledged_timeout(self, sock: Socket, seconds: float) -> None:
-        """Have a connection fail once bytes sent, or probes, stay unacknowledged for so long."""
+        """Make a connection fail when sent bytes or probes stay unacknowledged for `seconds`."""
         assert isinstance(sock, socket.socket)
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(seconds * 1000))
@@ -184,10 +185,10 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2)
         except OSError:
-            return  # the machine has no such bound: deadlines are left
+            return  # unsupported by this operating system; only the deadlines apply
 
     def on_signal(self, number: int, call: Callable[[], None]) -> None:
-        """Have a signal handled."""
+        """Call a function whenever a signal arrives."""
 
         def handler(_number: int, _frame: FrameType | None) -> None:
             call()
@@ -197,17 +198,17 @@
             call()
 
     def worker(self, name: str, due: Callable[[], bool], turn: Callable[[], None]) -> Worker:
-        """Start a thread."""
+        """Start a worker on a daemon thread."""
         return ThreadWorker(name, due, turn)
 
     def descriptor_sink(self, fd: int) -> Sink:
-        """Make a sink of an open descriptor, such as standard error."""
+        """Create a sink that writes to an open descriptor, such as standard error."""
         return DescriptorSink(fd)
 
     def file_sink(self, path: str) -> Sink:
-        """Make a sink of a file that is opened anew for each write."""
+        """Create a sink that reopens a file for each write."""
         return FileSink(path)
 
     def datagram_sink(self, address: Address) -> Sink:
-        """Datagrams of whole lines to one address."""
+        """Create a sink that sends datagrams of complete lines to one address."""
         return UdpSink(address)
--- a/brambleusher/runtime/peer_presence.py
+++ b/brambleusher/runtime/peer_presence.py
@@ -1,4 +1,4 @@
-"""Whether a client whose request is in progress is still there, and what it sends before its response."""
+"""Detects a client disconnect while a request is in progress, and buffers pipelined requests."""
 
 from __future__ import annotations
 
@@ -8,29 +8,29 @@
 from brambleusher.runtime.streams import Stream
 from brambleusher.runtime.system import Socket
 
-MAX_READ_AHEAD_BYTES = 128 * 1024  # the next requests; what comes beyond is discarded
-MAX_DISCARDED_BYTES = 16 * 1024 * 1024  # past so much the connection is read no further
+MAX_READ_AHEAD_BYTES = 128 * 1024  # of pipelined requests; further bytes are discarded
+MAX_DISCARDED_BYTES = 16 * 1024 * 1024  # after discarding this much, the connection is no longer read
 READ_BYTES = 64 * 1024
-MAX_READS = 4  # in one check: bytes without end must not hold up other tasks
+MAX_READS = 4  # reads per check, so that an endless stream does not block other tasks
 
 
 class ReadAheadBuffer(Protocol):
-    """The parser of a connection: it keeps what is read ahead of the next request."""
+    """The part of a connection's parser that buffers pipelined requests."""
 
     @property
     def buffered(self) -> int:
-        """How many bytes wait for the next message."""
+        """The number of bytes buffered for the next message."""
 
     def feed(self, data: bytes) -> None:
-        """Keep bytes for the next message."""
+        """Buffer received bytes for the next message."""
 
 
 class PeerPresence:
-    """One client's connection while a request of it is in progress.
+    """Detects whether a client disconnects while one of its requests is in progress.
 
-    A client that closes its connection, or its sending side, has left, also where bytes lie ahead of the
-    close: they are read, and kept for the next request within a limit.  What was discarded makes the rest of
-    the connection unusable, since part of a request may be missing from it.
+    A client that closes its connection or its sending side counts as disconnected, even if unread bytes
+    precede the close. Such bytes are read and kept for the next request within a limit. Once bytes were
+    discarded, the connection can't be reused, since part of a request may be missing.
     """
 
     __slots__ = (
@@ -51,9 +51,9 @@
         max_discarded: int = MAX_DISCARDED_BYTES,
         reserve: Callable[[int], bool] | None = None,
     ) -> None:
-        """Watch a connection within limits in bytes.
+        """Watch a connection with limits in bytes for read-ahead and for discarded data.
 
-        `reserve` is asked for memory for bytes that are to be kept; they are discarded where it has none.
+        `reserve` is called to reserve memory for bytes to keep; the bytes are discarded if it returns false.
         """
         self._stream, self._buffer = stream, buffer
         self._max_read_ahead, self._max_discarded = max_read_ahead, max_discarded
@@ -62,18 +62,18 @@
         self.discarded_bytes = 0
 
     def socket(self) -> Socket | None:
-        """Return what to watch for the client's leaving; None once it has sent ahead more than is read."""
+        """Return the socket to watch for a disconnect, or None once the client has exceeded the limits."""
         return self._stream.sock if self._reads_on else None
 
     def check_left(self) -> bool:
-        """Read what has come, without waiting; true once the client has left."""
+        """Read available bytes without waiting, and return whether the client has disconnected."""
         for _ in range(MAX_READS):
             if self.has_left or not self._read():
                 break
         return self.has_left
 
     def _read(self) -> bool:
-        """Read once; false where nothing has come, or where what may have come stays unread."""
+        """Read once; return false if nothing has arrived or no further bytes may be read."""
         if not self._reads_on:
             return False
         try:
--- a/brambleusher/runtime/scheduler.py
+++ b/brambleusher/runtime/scheduler.py
@@ -1,7 +1,7 @@
-"""Greenlet tasks over a poll set: one thread, one poller, one heap of timers.
+"""A single-threaded scheduler of greenlet tasks with one poll set and one timer heap.
 
-A task runs until it parks.  It may park on a socket, on an `Event`, or on both, always with the
-choice of a deadline; whichever comes first wakes it.  Deadlines are in seconds on `Scheduler.now`.
+A task runs until it parks. It may park on a socket, on an `Event` or on both, with an optional deadline,
+and the first of them wakes it. Deadlines are in seconds on the clock `Scheduler.now`.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 
 log = logging.getLogger(__name__)
 
-LATENESS_MIN_S = 0.05  # by which a timer has to be late for the process to be behind
-YIELD_MAX_S = 0.0005  # that others may have between two steps of long work, where always one is ready
+LATENESS_MIN_S = 0.05  # in seconds; a timer later than this means that the process has fallen behind
+YIELD_MAX_S = 0.0005  # at most this many seconds for other tasks between two steps of long work
 POLL_TIMEOUT_MAX_MS = 1000
-CANCELLED_TIMERS_MIN = 512  # in the heap, before it is cleared of them
+CANCELLED_TIMERS_MIN = 512  # cancelled timers in the heap before it is compacted
 _MS_PER_S = 1000
 
 __all__ = [
@@ -39,29 +39,29 @@
 
 
 class Wakeup(Enum):
-    """What has woken a task that parked."""
+    """The reason for which a parked task was woken."""
 
     SOCKET = "socket"
     EVENT = "event"
 
 
-# Each access to a member of an enum costs a call, and these are on the way of each request.
+# Local copies, as each access to an enum member costs a function call on the hot path of every request.
 _SOCKET, _EVENT = Wakeup.SOCKET, Wakeup.EVENT
 
 
 class TaskTimeoutError(Exception):
-    """The deadline passed before what was waited for came."""
+    """Raised when a deadline passes before the awaited event occurs."""
 
 
 class TaskCancelledError(BaseException):
-    """Raised inside a task that was cancelled; not an `Exception`, so that handlers let it pass."""
+    """Raised inside a cancelled task; not an `Exception`, so that general error handlers do not catch it."""
 
 
-WakeReason = Wakeup | BaseException | None  # None: its first step, or its turn after it has yielded
+WakeReason = Wakeup | BaseException | None  # None for a task's first step and after a yield
 
 
 class Timer:
-    """A callback due at some moment; a cancelled one stays in the heap, and does nothing."""
+    """A callback that is due at a set time; a cancelled timer stays in the heap without effect."""
 
     __slots__ = ("_scheduler", "callback")
 
@@ -70,14 +70,14 @@
         self.callback: Callable[[], object] | None = callback
 
     def cancel(self) -> None:
-        """Make it do nothing."""
+        """Cancel the timer, so that its callback is not called."""
         if self.callback is not None:
             self.callback = None
             self._scheduler.timer_cancelled()
 
 
 class Event:
-    """A flag that one parked task waits on; set while nobody waits, it stays set."""
+    """A flag that one parked task can wait on; if no task waits, the flag stays set until the next wait."""
 
     __slots__ = ("is_set", "task")
 
@@ -86,14 +86,14 @@
         self.task: Task | None = None
 
     def set(self) -> None:
-        """Wake the task that waits, or let the next wait return at once."""
+        """Wake the waiting task, or make the next wait return immediately."""
         self.is_set = True
         if self.task is not None:
             self.task.scheduler.wake(self.task, _EVENT)
 
 
 class Task:
-    """One greenlet and what it waits for."""
+    """A greenlet with the socket, event and timer that it waits for."""
 
     __slots__ = ("event", "done", "glet", "name", "parked", "scheduler", "sock_fd", "timer", "urgent")
 
@@ -108,61 +108,61 @@
         self.timer: Timer | None = None
 
     def cancel(self) -> None:
-        """Raise `TaskCancelledError` where the task is parked; a task that has ended is left alone."""
+        """Raise `TaskCancelledError` in the parked task; a finished task is not affected."""
         if not self.done:
             self.scheduler.wake(self, TaskCancelledError())
 
 
 class Scheduler:
-    """The hub: runs ready tasks, then polls until a socket or a timer is due."""
+    """Runs ready tasks in the hub greenlet, then polls until a socket or a timer is ready."""
 
     def __init__(self, system: System) -> None:
         self.system = system
-        # Seconds on a clock that only advances.
+        # Returns the time in seconds on a monotonic clock.
         self.now: Callable[[], float] = system.monotonic
         self.hub = greenlet.getcurrent()
         self._poll = system.poller()
         self._ready: deque[tuple[Task, WakeReason]] = deque()
         self._timers: list[tuple[float, int, Timer]] = []
         self._timer_count = self._cancelled_timers = 0
-        self._waiting: dict[int, Task] = {}  # by the descriptor that they wait on
-        self._readable_callbacks: dict[int, Callable[[], object]] = {}  # by the descriptor that they watch
+        self._waiting: dict[int, Task] = {}  # waiting tasks by file descriptor
+        self._readable_callbacks: dict[int, Callable[[], object]] = {}  # by watched file descriptor
         self._soon: deque[Callable[[], object]] = deque()
-        self._yielding: deque[Event] = deque()  # of tasks with long work, in turn
+        self._yielding: deque[Event] = deque()  # events of tasks in `yield_until_idle`, resumed in turn
         self._lateness_s, self._late_until = 0.0, 0.0
-        self._last_step_at: float | None = 0.0  # when the last step of one ended; None: it is under way
+        self._last_step_at: float | None = 0.0  # end of the last step of long work; None during a step
         self._running: Task | None = None
         self._stopped = False
-        # Signal handlers write here, so that a poll in progress ends.
+        # Signal handlers use the waker to end a poll in progress.
         self._waker = system.waker()
         self._poll.register(self._waker.fileno(), READ)
 
-    # --- what tasks call ------------------------------------------------------------------------
+    # --- called by tasks ------------------------------------------------------------------------
 
     @property
     def timers(self) -> int:
-        """How many timers are pending."""
+        """The number of pending timers."""
         return len(self._timers) - self._cancelled_timers
 
     @property
     def lateness_s(self) -> float:
-        """Seconds for which what comes to light now may have waited unseen, 0 where no timer was late.
+        """The seconds for which events handled now may have been delayed; 0 if no timer was late.
 
-        A process that was stopped, or is short of processor time, is behind for as long again as it was late.
+        A process that was stopped or lacks processor time counts as behind for as long again as it was late.
         """
         return self._lateness_s if self.now() < self._late_until else 0.0
 
     @property
     def current_task(self) -> Task:
-        """The task that runs; raises `RuntimeError` outside one."""
+        """The running task; raises `RuntimeError` outside a task."""
         return self._current()
 
     def spawn(
         self, function: Callable[..., object], *args: object, name: str = "", urgent: bool = False
     ) -> Task:
-        """Start a task; it runs for the first time in the hub's next round.
+        """Start a task, which runs for the first time in the hub's next iteration.
 
-        One that is `urgent` goes ahead of all that is ready whenever it is.
+        Whenever an `urgent` task is ready, it runs before all other ready tasks.
         """
 
         def run(reason: WakeReason) -> None:
@@ -189,11 +189,11 @@
         """Wait for `events` (`READ` or `WRITE`) on a socket, for an event, or for both.
 
         Returns:
-            Which of the two came; the event is cleared.
+            Which of the two occurred; the event is cleared.
 
         Raises:
-            TaskTimeoutError: neither came before the deadline, in seconds on `now`.
-            TaskCancelledError: the task was cancelled.
+            TaskTimeoutError: Neither occurred before the deadline, in seconds on the clock `now`.
+            TaskCancelledError: The task was cancelled.
         """
         if event is not None and event.is_set:
             event.is_set = False
@@ -213,8 +213,8 @@
             try:
                 raise reason
             finally:
-                # The exception holds this frame, and this the exception: a cycle for each deadline that
-                # passes would keep what its task held until the collector comes by.
+                # The exception references this frame and the frame the exception. Such a reference cycle
+                # for every passed deadline would keep the task's objects until the next garbage collection.
                 del reason
         assert isinstance(reason, Wakeup)
         return reason
@@ -232,31 +232,31 @@
         self._poll.register(fd, events)
 
     def watch_readable(self, fd: int, callback: Callable[[], object]) -> None:
-        """Have the hub call a short function whenever a descriptor is readable; it must not park.
+        """Make the hub call a short function, which must not park, whenever a descriptor is readable.
 
-        A task may wait to send on the same descriptor, not to receive.  The watch has to end before the
-        descriptor is polled closed.
+        A task may wait to send on the same descriptor, but not to receive. The watch must end before the hub
+        polls a closed descriptor.
         """
         if fd in self._readable_callbacks or fd in self._waiting:
-            raise RuntimeError("the socket is watched or waited for already")
+            raise RuntimeError("the socket is already watched or waited for")
         self._readable_callbacks[fd] = callback
         self._poll.register(fd, READ)
 
     def unwatch_readable(self, fd: int) -> None:
-        """End the watch of a descriptor."""
+        """Stop watching a descriptor."""
         del self._readable_callbacks[fd]
         if fd not in self._waiting:
             self._poll.unregister(fd)
 
     def sleep(self, seconds: float) -> None:
-        """Let others run for a while."""
+        """Park the task for a number of seconds while other tasks run."""
         try:
             self.park(self.now() + seconds)
         except TaskTimeoutError:
             return
 
     def yield_now(self) -> None:
-        """Let all run that are ready: a task that always finds something to do must not keep them waiting."""
+        """Let all ready tasks run, so that a task that always has work does not starve them."""
         task = self._current()
         self._queue(task, None)
         task.parked = True
@@ -265,25 +265,26 @@
             raise reason
 
     def yield_until_idle(self) -> None:
-        """Let others run until nobody is ready to, or for a moment where somebody always is.
+        """Let other tasks run until none is ready, or for `YIELD_MAX_S` seconds if some task always is.
 
-        For long work in steps: it has the time that is left, and a part of it where none is.
+        Long work in steps calls this between steps, and so uses idle time, or a share of the time under load.
         """
         event = Event()
         self._yielding.append(event)
         self.park(event=event)
 
     def call_at(self, when: float, callback: Callable[[], object]) -> Timer:
-        """Have the hub call a short function at a moment; it must not park."""
+        """Make the hub call a short function, which must not park, at a set time."""
         timer = Timer(self, callback)
         self._timer_count += 1
         heapq.heappush(self._timers, (when, self._timer_count, timer))
         return timer
 
     def timer_cancelled(self) -> None:
-        """Clear the heap of cancelled timers once most are.
+        """Remove cancelled timers from the heap once they are the majority.
 
-        Each request that was answered in milliseconds would otherwise leave its deadline for minutes.
+        Otherwise, each request that was answered in milliseconds would leave its deadline timer in the heap
+        for minutes.
         """
         self._cancelled_timers += 1
         if self._cancelled_timers > CANCELLED_TIMERS_MIN and self._cancelled_timers * 2 > len(self._timers):
@@ -292,18 +293,18 @@
             self._cancelled_timers = 0
 
     def call_soon(self, callback: Callable[[], object]) -> None:
-        """Have the hub call a short function in its next round; safe in a signal handler."""
+        """Make the hub call a short function in its next iteration; safe in a signal handler."""
         self._soon.append(callback)
         self.interrupt_poll()
 
     def wake(self, task: Task, reason: WakeReason) -> None:
-        """Queue a parked task to run again; the first reason to wake it counts."""
+        """Queue a parked task to run again; only the first wake reason takes effect."""
         if not task.parked:
             return
         if task.sock_fd < 0 and task.event is None and task.timer is None:
             if not isinstance(reason, TaskCancelledError):
-                return  # queued already
-            # Race: a cancel must not be lost to a reason that came a moment earlier.
+                return  # the task is already queued
+            # A cancellation replaces an earlier wake reason that the task has not seen yet.
             for at, (queued, _) in enumerate(self._ready):
                 if queued is task:
                     self._ready[at] = (task, reason)
@@ -314,7 +315,7 @@
     # --- the hub --------------------------------------------------------------------------------
 
     def run(self, until: Callable[[], bool] | None = None) -> None:
-        """Serve until `stop` is called or `until` says so."""
+        """Run tasks until `stop` is called or `until` returns true."""
         self._stopped = False
         while not self._stopped and not (until is not None and until()):
             self._fire(self.now())
@@ -338,7 +339,7 @@
             self._last_step_at = None
 
     def stop(self) -> None:
-        """End `run` after this round; safe in a signal handler."""
+        """Make `run` return after the current iteration; safe in a signal handler."""
         self._stopped = True
         self.interrupt_poll()
 
@@ -356,11 +357,11 @@
             self._cancelled_timers -= 1
         if not self._timers:
             return POLL_TIMEOUT_MAX_MS
-        left_ms = int((self._timers[0][0] - self.now()) * _MS_PER_S + 0.999)  # rounded up
+        left_ms = int((self._timers[0][0] - self.now()) * _MS_PER_S + 0.999)  # milliseconds, rounded up
         return max(0, min(POLL_TIMEOUT_MAX_MS, left_ms))
 
     def _fire(self, now: float) -> None:
-        """Call what is due."""
+        """Call the callbacks that are due."""
         callbacks = [self._soon.popleft() for _ in range(len(self._soon))]
         while self._timers and self._timers[0][0] <= now:
             due, _, timer = heapq.heappop(self._timers)
@@ -391,14 +392,14 @@
                 self.wake(task, _SOCKET)
             elif fd == self._waker.fileno():
                 self._waker.clear()
-            else:  # nobody waits for this socket: it would end every poll at once
+            else:  # an unwaited socket would end every poll immediately
                 self._unregister_unwaited(fd)
 
     def _unregister_unwaited(self, fd: int) -> None:
-        """Stop polling a descriptor that nobody waits for.
+        """Stop polling a descriptor that no task waits for.
 
-        Race: the callback of a watched descriptor may have woken the task that waited for this one, and have
-        unregistered it, in the same round.
+        In the same iteration, the callback of a watched descriptor may have woken the task that waited for this
+        descriptor and so have unregistered it already.
         """
         with suppress(KeyError):
             self._poll.unregister(fd)
@@ -434,13 +435,13 @@
         self, task: Task, function: Callable[..., object], args: tuple[object, ...], reason: WakeReason
     ) -> None:
         try:
-            if isinstance(reason, TaskCancelledError):  # cancelled before its first step
+            if isinstance(reason, TaskCancelledError):  # the task was cancelled before its first step
                 return
             function(*args)
         except TaskCancelledError:
             return
         except Exception:
-            # One task's fault must not end the program.
+            # An error in one task must not end the process.
             log.exception("task failed", extra={"fields": {"task": task.name}})
         finally:
             task.done = True
--- a/brambleusher/runtime/signal_holding.py
+++ b/brambleusher/runtime/signal_holding.py
@@ -1,7 +1,7 @@
-"""Signals that come while a process starts, when nothing handles them yet, or ends, when nothing does more.
+"""Holds signals that arrive while a process starts, and ignores signals while it exits.
 
-Their default action ends the process at once: a reload that crosses a start or an end would take it down.
-The state is the process's own, as signal handlers are.
+Outside the time in which its handlers are installed, the default action of a signal ends the process, so a
+reload signal during start or exit would kill it. The state is global to the process, like signal handlers.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
 
 
 def hold_signals(*numbers: int) -> None:
-    """From now on remember these signals until their handlers are installed."""
+    """Record these signals from now on until their handlers are installed."""
     for number in numbers:
         signal.signal(number, _hold)
 
 
 def take_held_signal(number: int) -> bool:
-    """Return, once, whether a signal came while it was held."""
+    """Return whether a signal arrived while it was held, and clear its record."""
     was_held = number in _held
     _held.discard(number)
     return was_held
 
 
 def ignore_signals(*numbers: int) -> None:
-    """From now on ignore these signals: the process ends anyway, with the status that it has."""
+    """Ignore these signals from now on, so that an exiting process keeps its exit status."""
     for number in numbers:
         signal.signal(number, signal.SIG_IGN)
 
@@ -39,8 +39,8 @@
 def run_holding_reload(program: Callable[[], int]) -> int:
     """Run a program that handles SIGHUP, SIGTERM and SIGINT once it serves; return its exit status.
 
-    Race: a reload that comes earlier is held until there is a handler, and signals that come while the
-    process ends are ignored.
+    A reload signal that arrives earlier is held until its handler is installed, and signals that arrive
+    while the process exits are ignored.
     """
     hold_signals(signal.SIGHUP)
     try:
--- a/brambleusher/runtime/sinks.py
+++ b/brambleusher/runtime/sinks.py
@@ -1,4 +1,4 @@
-"""Sinks on the operating system: descriptors, files and datagrams.  They may block; a worker calls them."""
+"""Sinks for descriptors, files and datagrams; they may block and are called by a worker."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 from brambleusher.runtime.system import Address, Item
 
-PIPE_BUF = select.PIPE_BUF  # a pipe takes so much in one piece: a line is not split by another writer's
-MAX_DATAGRAM = 1400  # fits an MTU of 1,500 with room for tunnels
-PATIENCE_MS = 1000  # for a FIFO whose reader has fallen behind
+PIPE_BUF = select.PIPE_BUF  # bytes that a pipe writes atomically, so that lines of several writers do not mix
+MAX_DATAGRAM = 1400  # bytes; fits an MTU of 1,500 with room for tunnel headers
+PATIENCE_MS = 1000  # timeout in milliseconds for a FIFO with a slow reader
 
 
 def count_lines(items: Iterable[Item]) -> int:
-    """How many lines the items have."""
+    """Return the number of lines in the items."""
     return sum(item.count(b"\n") for item in items)
 
 
 def pieces(items: Iterable[Item], most: int) -> Iterator[bytes]:
-    """Cut the items' lines into pieces of whole lines, of at most so many bytes unless one line has more."""
+    """Split the items into chunks of complete lines, each at most `most` bytes unless one line is longer."""
     piece = bytearray()
     for item in items:
         for line in (item,) if item.count(b"\n") == 1 else item.splitlines(keepends=True):
@@ -34,13 +34,13 @@
 
 
 class DescriptorSink:
-    """An open descriptor, such as standard error; waits for as long as it must."""
+    """Writes to an open descriptor such as standard error, waiting as long as necessary."""
 
     def __init__(self, fd: int) -> None:
         self._fd = fd
 
     def write(self, items: list[Item]) -> int:
-        """Write piece after piece; one that fails is lost."""
+        """Write the lines chunk by chunk; a chunk that fails is lost."""
         lost = 0
         for piece in pieces(items, PIPE_BUF):
             try:
@@ -50,21 +50,21 @@
         return lost
 
     def close(self) -> None:
-        """Do nothing: the descriptor is the process's, not ours."""
+        """Do nothing, as the descriptor is not owned by this sink."""
 
 
 class FileSink:
-    """A file, opened anew for each write.
+    """Appends to a file that is reopened for each write.
 
-    An open descriptor would go on taking lines for a file that was removed or became unwritable.
+    A descriptor that stays open would accept lines for a file that was removed or became unwritable.
     """
 
     def __init__(self, path: str) -> None:
         self._path = path
 
     def write(self, items: list[Item]) -> int:
-        """Append; what does not fit, or finds no file to go to, is lost."""
-        # Guards against opening a FIFO that nobody reads, which would wait for a reader.
+        """Append lines to the file; lines that can't be written are lost."""
+        # With `O_NONBLOCK`, opening a FIFO without a reader fails immediately instead of blocking.
         flags = os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_NONBLOCK | os.O_CLOEXEC
         try:
             fd = os.open(self._path, flags, 0o644)
@@ -82,18 +82,18 @@
         return lost
 
     def close(self) -> None:
-        """Nothing is held between writes."""
+        """Do nothing, as no descriptor stays open between writes."""
 
 
 class UdpSink:
-    """Datagrams of whole lines to one collector."""
+    """Sends datagrams of complete lines to one collector."""
 
     def __init__(self, address: Address) -> None:
         self._address = address
         self._socket: socket.socket | None = None
 
     def write(self, items: list[Item]) -> int:
-        """Send; a datagram that is refused is lost, and the next one finds a new socket."""
+        """Send the lines; a rejected datagram is lost, and the next one uses a new socket."""
         lost = 0
         for piece in pieces(items, MAX_DATAGRAM):
             try:
@@ -129,16 +129,16 @@
             waiter = select.poll()
             waiter.register(fd, select.POLLOUT)
             if not waiter.poll(patience_ms):
-                raise TimeoutError("the reader has fallen behind") from None
+                raise TimeoutError("the reader is too slow") from None
 
 
 def append_whole(fd: int, data: bytes) -> None:
-    """Append all of the data to a file, or nothing of it where the disk is full; raises `OSError`."""
+    """Append all of the data to a file, or nothing if the disk is full; raise `OSError` on failure."""
     before = os.fstat(fd)
     try:
         _write_all(fd, data, PATIENCE_MS)
     except OSError:
-        # Guards against half a line with the next one stuck to it.
+        # Remove a partial line, which would otherwise be joined to the next line.
         part = os.fstat(fd).st_size - before.st_size
         if stat.S_ISREG(before.st_mode) and 0 < part < len(data):
             os.ftruncate(fd, before.st_size)
--- a/brambleusher/runtime/streams.py
+++ b/brambleusher/runtime/streams.py
@@ -18,11 +18,11 @@
 
 
 class WaitInterruptedError(Exception):
-    """The event was set first: the wait was interrupted."""
+    """Raised when a wait is interrupted because its event was set."""
 
 
 def parse_address(text: str) -> Address:
-    """`host:port` as a pair; raises `ValueError` where it is not one."""
+    """Parse `host:port` into a pair; raise `ValueError` for any other form."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isascii() or not port.isdigit() or not 0 <= int(port) <= MAX_PORT:
         raise ValueError(f"{text!r} is not host:port")
@@ -30,14 +30,14 @@
 
 
 class Stream:
-    """One connection; a task at a time waits on it."""
+    """A TCP connection on which at most one task waits at a time."""
 
     __slots__ = ("finished", "open", "scheduler", "sock", "used_at")
 
     def __init__(self, scheduler: Scheduler, sock: Socket) -> None:
         self.scheduler, self.sock = scheduler, sock
         self.open = True
-        self.finished = False  # its sending side was ended
+        self.finished = False  # whether `finish` has shut down the sending side
         self.used_at = scheduler.now()
 
     @classmethod
@@ -52,9 +52,9 @@
         """Open a connection to `address`; `prepare` is called with the socket before it connects.
 
         Raises:
-            OSError: the connection could not be made.
-            TaskTimeoutError: the deadline has passed.
-            WaitInterruptedError: the event was set first.
+            OSError: The connection could not be opened.
+            TaskTimeoutError: The deadline has passed.
+            WaitInterruptedError: The event was set first.
         """
         sock = scheduler.system.connection()
         stream = cls(scheduler, sock)
@@ -76,7 +76,7 @@
     def receive(
         self, deadline: float | None, event: Event | None = None, size: int = RECEIVE_BYTES
     ) -> bytes | None:
-        """Wait for the next bytes, at most so many, empty at the end; None where the event was set first."""
+        """Wait for at most `size` bytes; return empty bytes at the end, None if the event was set first."""
         while True:
             try:
                 return self.sock.recv(size)
@@ -85,7 +85,7 @@
                     return None
 
     def send(self, data: bytes, deadline: float | None) -> None:
-        """All of `data`; returns once the last byte has been handed to the system."""
+        """Send all of `data`; return once the last byte was passed to the operating system."""
         view = memoryview(data)
         while view:
             try:
@@ -94,7 +94,7 @@
                 self.scheduler.park(deadline, self.sock, WRITE)
 
     def peek(self) -> bytes | None:
-        """Look at the first byte that waits to be read, empty at the end, None where neither has come."""
+        """Return the first unread byte without consuming it; empty at the end, None if nothing arrived."""
         try:
             return self.sock.recv(1, PEEK)
         except BlockingIOError:
@@ -103,13 +103,14 @@
             return b""
 
     def is_idle(self) -> bool:
-        """Whether the connection is open and nothing, not even its end, waits to be read."""
+        """Return whether the connection is open with no unread data and no pending end of stream."""
         return self.peek() is None
 
     def finish(self, seconds: float = LINGER_SECONDS, most: int = LINGER_BYTES) -> None:
-        """End the sending side and read what is still on its way, within bounds.
+        """Shut down the sending side and discard incoming bytes, within limits of time and size.
 
-        Guards against a reset that overtakes the answer: closing with bytes unread sends one.
+        Closing a socket with unread bytes sends a TCP reset, which can discard the response before the peer
+        has read it.
         """
         self.finished = True
         self.sock.shutdown(SHUTDOWN_WRITE)
@@ -121,7 +122,7 @@
             return
 
     def close(self) -> None:
-        """Close it, once."""
+        """Close the connection; closing it again has no effect."""
         if self.open:
             self.open = False
             self.sock.close()
--- a/brambleusher/runtime/system.py
+++ b/brambleusher/runtime/system.py
@@ -1,9 +1,9 @@
-"""The seam: all that the program gets from the machine it runs on.
+"""The interface between the program and the machine it runs on.
 
-The scheduler, the streams and the features reach clocks, sockets, signals, writer threads and standard
-error through a `System` alone.  `runtime/operating_system.py` is the operating system's; another one may be a
-machine in a virtual world.  Sockets are used as the operating system's are, so that a real one is the
-very `socket.socket` and costs nothing more.
+The scheduler, the streams and the features access clocks, sockets, signals, writer threads and standard
+error only through a `System`. `runtime/operating_system.py` implements it for the operating system; tests and
+the simulator use implementations for a simulated machine. The `Socket` protocol matches `socket.socket`, so
+that a real socket is used directly without overhead.
 """
 
 from __future__ import annotations
@@ -15,53 +15,53 @@
 
 from greenlet import greenlet
 
-READ, WRITE = 1, 4  # poll(2)'s POLLIN and POLLOUT
-POLL_FAILURE_EVENTS = 8 | 16 | 32  # POLLERR, POLLHUP and POLLNVAL, which come unasked
-PEEK = 2  # recv(2)'s MSG_PEEK
-SHUTDOWN_WRITE = 1  # shutdown(2)'s SHUT_WR
-# Errors of accept that concern this process; others concern the connection, which is gone then.
+READ, WRITE = 1, 4  # POLLIN and POLLOUT of poll(2)
+POLL_FAILURE_EVENTS = 8 | 16 | 32  # POLLERR, POLLHUP and POLLNVAL, which are always reported
+PEEK = 2  # MSG_PEEK of recv(2)
+SHUTDOWN_WRITE = 1  # SHUT_WR of shutdown(2)
+# Errors of accept(2) that concern the whole process; any other error means that the connection was lost.
 RESOURCE_EXHAUSTION_ERRNOS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 
 Address = tuple[str, int]
-Item = bytes  # whole lines, each with its line end; one item may hold several
+Item = bytes  # one or more complete lines, each with its line ending
 
 
 class Socket(Protocol):
-    """A TCP socket that never blocks; what would block raises `BlockingIOError`, faults `OSError`."""
+    """A non-blocking TCP socket; an operation that would block raises `BlockingIOError`."""
 
     def fileno(self) -> int:
-        """Its descriptor; -1 once it is closed."""
+        """Return the file descriptor, or -1 if the socket is closed."""
 
     def connect_ex(self, address: Address, /) -> int:
-        """Begin to connect; 0, `EINPROGRESS` or what went wrong."""
+        """Start connecting; return 0, `EINPROGRESS` or the error number."""
 
     def recv(self, size: int, flags: int = 0, /) -> bytes:
-        """Up to so many bytes, empty at the end; with `PEEK` they stay."""
+        """Receive at most `size` bytes, empty at the end; with `PEEK`, the bytes stay unread."""
 
     def send(self, data: bytes | memoryview, /) -> int:
-        """Hand over bytes; says how many were taken."""
+        """Send bytes and return how many were accepted."""
 
     def shutdown(self, how: int, /) -> None:
-        """`SHUTDOWN_WRITE`."""
+        """Shut down one direction of the connection; `how` is `SHUTDOWN_WRITE`."""
 
     def getsockname(self) -> Address:
-        """Return the address it is bound to: host and port first."""
+        """Return the local address, which starts with host and port."""
 
     def close(self) -> None:
-        """Close it; bytes unread make that a reset."""
+        """Close the socket; with unread bytes, the peer receives a TCP reset."""
 
 
 class Poller(Protocol):
-    """A set of descriptors to wait on, as `select.poll` has it."""
+    """A set of descriptors to wait on, with the interface of `select.poll`."""
 
     def register(self, fd: int, events: int, /) -> object:
-        """Watch a descriptor for `READ` or `WRITE`; faults are always told."""
+        """Watch a descriptor for `READ` or `WRITE`; errors are always reported."""
 
     def unregister(self, fd: int, /) -> None:
-        """Watch it no more; `KeyError` where it is not watched."""
+        """Stop watching a descriptor; raise `KeyError` if it is not watched."""
 
     def poll(self, pause_ms: int, /) -> list[tuple[int, int]]:
-        """Descriptors and their events, at once if there are any, else after so many ms at the latest."""
+        """Wait at most `pause_ms` milliseconds for events, and return pairs of descriptor and events."""
 
 
 class Waker(Protocol):
@@ -71,105 +71,105 @@
         """Return the descriptor to watch for `READ`."""
 
     def wake(self) -> None:
-        """Make it readable."""
+        """Make the waker's descriptor readable."""
 
     def clear(self) -> None:
-        """Make it unreadable again."""
+        """Reset the waker's descriptor to not readable."""
 
     def close(self) -> None:
         """Let go of what it holds."""
 
 
 class Sink(Protocol):
-    """Where lines end up; called by its worker alone, and allowed to block."""
+    """A destination for lines; only its worker calls it, and it may block."""
 
     def write(self, items: list[Item]) -> int:
-        """Write what can be written; says how many lines were lost."""
+        """Write as many lines as possible and return how many lines were lost."""
 
     def close(self) -> None:
         """Let go of what it holds."""
 
 
 class Worker(Protocol):
-    """Calls `turn` beside the serving thread as long as `due` says so."""
+    """Calls `turn` outside the serving thread whenever `due` returns true."""
 
     @property
     def lock(self) -> AbstractContextManager[object]:
-        """Guards what both threads touch; `due` is called with it held, `turn` without."""
+        """Return the lock for data shared with the worker; held during `due`, not during `turn`."""
 
     def wake(self) -> None:
-        """Something may be due; the lock is held."""
+        """Make the worker check `due`; the caller holds the lock."""
 
     def end(self, seconds: float) -> None:
-        """Have what is due done and stop; waits no longer than that.  Calling it again does nothing."""
+        """Finish the due work and stop, waiting at most `seconds`; calling this again has no effect."""
 
 
 class System(Protocol):
-    """One machine, as a process on it sees it."""
+    """The clocks, sockets, signals and threads that a machine offers to a process."""
 
     def monotonic(self) -> float:
-        """Seconds on a clock that only advances."""
+        """Return the seconds of a monotonic clock."""
 
     def monotonic_ns(self) -> int:
-        """Read the same clock, in nanoseconds."""
+        """Return the time of the monotonic clock in nanoseconds."""
 
     def wall_ns(self) -> int:
-        """Unix time in nanoseconds; it may be set, forward or back."""
+        """Return the Unix time in nanoseconds; this clock may be set forward or back."""
 
     def sleep(self, seconds: float) -> None:
-        """Stand still, all of this process; only before it serves."""
+        """Block the whole process; allowed only before it serves requests."""
 
     def greenlet(self, run: Callable[..., object], parent: greenlet) -> greenlet:
-        """Make a greenlet for a task; it is over with the process."""
+        """Create a greenlet for a task; the greenlet ends with the process."""
 
     def poller(self) -> Poller:
-        """Make a new set of descriptors."""
+        """Create an empty poll set of descriptors."""
 
     def waker(self) -> Waker:
-        """Make a new waker."""
+        """Create a waker that ends a poll in progress."""
 
     def listen(self, address: Address, backlog: int) -> Socket:
-        """Make a socket that listens; raises `OSError`."""
+        """Create a listening socket; raise `OSError` if the address can't be bound."""
 
     def adopt(self, fd: int) -> Socket:
-        """Take over a listening socket that this process was given; raises `OSError` where it is none."""
+        """Adopt an inherited listening socket; raise `OSError` if the descriptor is not one."""
 
     def accept(self, listener: Socket) -> tuple[Socket, str]:
-        """Accept a connection that waits; returns it and its peer's host.
+        """Accept a pending connection and return it with its peer's host.
 
-        Raises `BlockingIOError` where none does, and `OSError`: out of descriptors or memory, or the
-        connection was gone before it could be taken.
+        Raise `BlockingIOError` if no connection is pending, and `OSError` if descriptors or memory are
+        exhausted or the connection was lost before it was accepted.
         """
 
     def connection(self) -> Socket:
-        """Make a socket that is not connected yet; raises `OSError` where no descriptor is free."""
+        """Create an unconnected socket; raise `OSError` if no descriptor is free."""
 
     def reset(self, sock: Socket) -> None:
-        """Close a connection so that its other end sees a reset."""
+        """Close a connection with a TCP reset."""
 
     def error_of(self, sock: Socket) -> int:
-        """Take the error that waits on a socket; 0 for none."""
+        """Return and clear the pending error of a socket; 0 means no error."""
 
     def seconds_since_data(self, sock: Socket) -> float:
-        """Seconds since bytes last came on a connection, read or not; 0 where the machine does not tell."""
+        """Return the seconds since data last arrived on a connection, read or unread; 0 if unknown."""
 
     def set_unacknowledged_timeout(self, sock: Socket, seconds: float) -> None:
-        """Have a connection fail once sent bytes, or probes on an idle one, stay unacknowledged so long.
+        """Make a connection fail when sent bytes or keep-alive probes stay unacknowledged for `seconds`.
 
-        Guards against a peer without power, or behind a cut: it says nothing, and waits would never end.
+        A peer that lost power or network sends nothing, and waits on its connection would never end.
         """
 
     def on_signal(self, number: int, call: Callable[[], None]) -> None:
-        """Have a signal handled."""
+        """Call a function whenever a signal arrives."""
 
     def worker(self, name: str, due: Callable[[], bool], turn: Callable[[], None]) -> Worker:
-        """Start a worker."""
+        """Start a worker with a name."""
 
     def descriptor_sink(self, fd: int) -> Sink:
-        """Make a sink of an open descriptor, such as standard error."""
+        """Create a sink that writes to an open descriptor, such as standard error."""
 
     def file_sink(self, path: str) -> Sink:
-        """Make a sink of a file that is opened anew for each write."""
+        """Create a sink that reopens a file for each write."""
 
     def datagram_sink(self, address: Address) -> Sink:
-        """Datagrams of whole lines to one address."""
+        """Create a sink that sends datagrams of complete lines to one address."""
--- a/brambleusher/sidecar/__init__.py
+++ b/brambleusher/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""The sidecar in service: assembly, configuration and lifecycle."""
+"""Assembly, configuration and lifecycle of the sidecar process."""
--- a/brambleusher/sidecar/app.py
+++ b/brambleusher/sidecar/app.py
@@ -1,6 +1,6 @@
-"""A sidecar put together from its parts.
+"""Assembles a sidecar from its parts.
 
-What the parts do over time is in `lifecycle`, `reload`, `operator_actions` and `endpoint_updates`.
+The runtime behaviour of the parts is in `lifecycle`, `reload`, `operator_actions` and `endpoint_updates`.
 """
 
 from __future__ import annotations
@@ -55,22 +55,22 @@
 
 log = logging.getLogger(__name__)
 
-FRESH_LIST_TIMEOUT_S = 1.0  # that a sidecar waits for a fresh list before it serves with the one it had
+FRESH_LIST_TIMEOUT_S = 1.0  # in seconds; then the sidecar serves with the list it has
 
 
 class Sidecar:
-    """One sidecar; `start` it, then `run` serves until `begin_graceful_shutdown`, then `close` it.
+    """A sidecar: `start` starts it, `run` serves until `begin_graceful_shutdown`, `close` releases it.
 
     Args:
-        config: The configuration.
-        load: Reads the configuration again; None: it never changes.
-        operator: The operator file; None: all features are off.
-        system: Clock, sockets and processes; None: those of this machine.
-        load_operator: Reads the operator file again; None: it never changes.
-        make_balancer: Makes a balancer from settings and a seed.
+        config: The configuration of the sidecar.
+        load: Reloads the configuration; None if it never changes.
+        operator: The operator file; None disables all features.
+        system: The clocks, sockets and threads to use; None selects the operating system.
+        load_operator: Reloads the operator file; None if it never changes.
+        make_balancer: Creates a balancer from settings and a seed.
 
     Raises:
-        OperatorFileError: A feature that is on can't be built, or doesn't fit in the limits.
+        OperatorFileError: An enabled feature can't be built or exceeds the limits.
     """
 
     def __init__(
@@ -105,7 +105,7 @@
     def _build_serving_parts(
         self, make_balancer: Callable[[Settings, int], Balancer], balancer_state: object
     ) -> None:
-        """Build what a request passes, from its acceptance to its endpoint."""
+        """Build the parts on the path of a request, from accepting its connection to its endpoint."""
         config, scheduler = self.config, self.scheduler
         budgets = self._connection_budgets()
         self.request_counts = RequestCounts(cls.name for cls in config.settings.classes)
@@ -143,7 +143,7 @@
         self.mysql = self._build_mysql()
 
     def _build_control_parts(self) -> None:
-        """Build what changes how requests are served: the endpoint list, operators' calls."""
+        """Build the parts that control serving, such as the endpoint list and operator commands."""
         self.endpoint_updates = EndpointUpdates(
             self.bans, self.upstream_pool, self.balancer_driver, self.status, self.capture, self.mysql
         )
@@ -170,7 +170,7 @@
         )
         has_admin = self.config.admin is not None
         self.admin_server = AdminServer(self.scheduler, self.operator_actions) if has_admin else None
-        self.admin_address: tuple[str, int] | None = None  # where it listens
+        self.admin_address: tuple[str, int] | None = None  # address of the admin endpoint once it listens
 
     def _build_metrics_reporter(self) -> MetricsReporter | None:
         if self.operator.metrics is None:
@@ -221,7 +221,7 @@
     # --- handover -------------------------------------------------------------------------------
 
     def _join_process_group(self) -> ProcessGroup | None:
-        """Register as one of this sidecar's processes, where the platform lets it be several."""
+        """Register as one of this sidecar's processes if the platform allows several processes."""
         config = self.config
         if config.listener_fd is None or config.shared_dir is None:
             return None
@@ -230,13 +230,13 @@
         try:
             self._has_predecessor = group.registry.register()
         except OSError:
-            # Guards against a sidecar that doesn't serve for want of what is a help in an upgrade alone.
+            # The process registry is needed only for upgrades, so the sidecar serves without it.
             log.exception("process registry unavailable", extra={"fields": {"folder": path}})
             return None
         return group
 
     def _import_state(self) -> object:
-        """Take over the endpoint list of the process that serves; return its balancer's state."""
+        """Import the endpoint list of the currently serving process; return its balancer's state."""
         if self.process_group is None or self.process_group.registry.process_count == 1:
             return None
         state = self.process_group.transfer.receive(self.system.sleep, self.system.monotonic)
@@ -259,7 +259,7 @@
         self.operator_actions.apply_shared(settings)
 
     def _apply_limit_shares(self) -> None:
-        """Follow other processes that came, went or changed their stage."""
+        """Update the limits after other processes have started, ended or changed their stage."""
         if self.process_group is None:
             return
         budgets = self._connection_budgets()
@@ -268,7 +268,7 @@
         self.connection_admission.max_active = budgets.requesting_clients
         self.balancer_driver.set_process_share(self.process_group.shares.sending)
 
-    # --- what the parts ask of each other -------------------------------------------------------
+    # --- callbacks between the parts ------------------------------------------------------------
 
     def _close_idle_connections(self, endpoint: str) -> None:
         self.upstream_pool.close_idle_connections(endpoint)
@@ -282,36 +282,36 @@
         avoided = self.balancer_driver.count_avoided_hosts()
         return metrics_text.render(self.request_counts, len(self.upstream_pool.listed), avoided)
 
-    # --- what a process asks of it --------------------------------------------------------------
+    # --- interface to the main program ----------------------------------------------------------
 
     def is_ready(self) -> bool:
-        """Return whether clients may come: the endpoint list is fresh, or none has come in time."""
+        """Return whether to accept clients, which needs a fresh endpoint list or the end of a timeout."""
         has_waited = self.scheduler.now() - self._started_at >= FRESH_LIST_TIMEOUT_S
         has_waited = has_waited or self.endpoint_list.has_watch_failed
         return self.endpoint_list.has_discovery_answered or (has_waited and bool(self.config.known.endpoints))
 
     def start(self) -> tuple[str, int]:
-        """Start all parts; return the address of the clients' listener."""
+        """Start all parts; return the address of the client listener."""
         return self.lifecycle.start()
 
     def run(self) -> None:
-        """Serve until a graceful shutdown has ended."""
+        """Serve until the graceful shutdown is complete."""
         self.lifecycle.run()
 
     def close(self) -> None:
-        """Release all that is held."""
+        """Release all resources of the sidecar."""
         self.lifecycle.close()
 
     def begin_graceful_shutdown(self) -> None:
-        """Begin to drain, soon; safe in a signal handler."""
+        """Schedule a graceful shutdown; safe in a signal handler."""
         self.lifecycle.begin_graceful_shutdown()
 
     def reload_configuration(self) -> None:
-        """Read the configuration again, soon; safe in a signal handler."""
+        """Schedule a reload of the configuration; safe in a signal handler."""
         self.scheduler.call_soon(self.reloader.reload)
 
     def report(self) -> None:
-        """Log the counters, and dump the capture where it is on, soon; safe in a signal handler."""
+        """Schedule logging the counters and dumping an enabled capture; safe in a signal handler."""
         self.scheduler.call_soon(self._report)
 
     def _report(self) -> None:
@@ -320,7 +320,7 @@
             self.capture.dump()
 
     def install_signal_handlers(self) -> None:
-        """Shut down at SIGTERM and SIGINT, reload at SIGHUP, report at SIGUSR1."""
+        """Install handlers that shut down on SIGTERM and SIGINT, reload on SIGHUP and report on SIGUSR1."""
         signals.install_signal_handlers(
             self.system, self.begin_graceful_shutdown, self.reload_configuration, self.report
         )
--- a/brambleusher/sidecar/configuration.py
+++ b/brambleusher/sidecar/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration of a sidecar: its settings, and how they are read, checked and given defaults."""
+"""Reads and validates the configuration of a sidecar and fills in defaults."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from brambleusher.runtime.streams import parse_address
 
 HEXADECIMAL = 16
-FIRST_FREE_DESCRIPTOR, MAX_DESCRIPTOR = 3, 2**20  # below are standard input, output and error
+FIRST_FREE_DESCRIPTOR, MAX_DESCRIPTOR = 3, 2**20  # descriptors below 3 are the standard streams
 
 
 class ConfigError(ValueError):
-    """Configuration that can't be used; the message names the key."""
+    """Raised for an invalid configuration; the message names the key."""
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the platform gives one sidecar."""
+    """The resource limits that the platform sets for a sidecar."""
 
     cores: float = 1.0
     memory_mb: int = 192
@@ -32,19 +32,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """The configuration of one sidecar.
+    """The configuration of a sidecar.
 
     Attributes:
-        name: Its name in the fleet.
-        listen: Where clients connect.
-        discovery: Where the endpoint list comes from.
-        seed: The seed of its random draws.
-        limits: What the platform gives it.
-        known: The endpoint list that it starts with.
-        settings: The settings of the decisions.
-        admin: Where operators call; None: nowhere.
-        listener_fd: A socket that listens on `listen` already; None: there is none.
-        shared_dir: What all processes of this sidecar can write; None: nothing.
+        name: The name of the sidecar in the fleet.
+        listen: The address on which clients connect.
+        discovery: The address of the discovery service that provides the endpoint list.
+        seed: The seed of the random number generators.
+        limits: The resource limits that the platform sets.
+        known: The initial endpoint list.
+        settings: The settings of the load balancer.
+        admin: The address of the admin endpoint, or None if there is no admin endpoint.
+        listener_fd: The descriptor of an inherited socket that listens on `listen`, or None.
+        shared_dir: The folder shared by all processes of this sidecar, or None.
     """
 
     name: str
@@ -100,19 +100,19 @@
         if isinstance(value, str):
             return int(value, HEXADECIMAL)
     except ValueError:
-        pass  # the message is the same as for a value that is no text
+        pass  # raise the same error as for a value that is not a string
     raise ConfigError("seed is missing or not a hexadecimal number")
 
 
 def _admin(raw: Mapping[str, object], env: Mapping[str, str]) -> tuple[str, int] | None:
-    """Return where operators call; an error names the key of the text or the variable, whichever has it."""
+    """Return the admin address; an error names the configuration key or variable that sets it."""
     if "admin_addr" in raw:
         return _address(raw, "admin_addr", None)
     return _address(env, "NODE_ADMIN_ADDR", None) if env.get("NODE_ADMIN_ADDR") else None
 
 
 def _descriptor(env: Mapping[str, str]) -> int | None:
-    """Return the descriptor of the listening socket that the platform holds, where it holds one."""
+    """Return the descriptor of the listening socket inherited from the platform, or None."""
     if not (text := env.get("NODE_FD")):
         return None
     if not text.isascii() or not text.isdigit() or not FIRST_FREE_DESCRIPTOR <= int(text) < MAX_DESCRIPTOR:
@@ -121,10 +121,10 @@
 
 
 def parse_config(text: bytes, env: Mapping[str, str]) -> Config:
-    """Parse a configuration; the environment has the name and the addresses that the text has not.
+    """Parse a configuration; the environment provides a name and addresses missing from the text.
 
     Raises:
-        ConfigError: It can't be used; the message names the key.
+        ConfigError: The configuration is invalid; the message names the key.
     """
     try:
         raw = orjson.loads(text)
@@ -155,7 +155,7 @@
 
 
 def fixed_keys_changed(old: Config, new: Config) -> list[str]:
-    """Return the keys that differ and that a running sidecar can't follow; `discovery` is the one it can."""
+    """Return the changed keys that need a restart; a running sidecar can only change `discovery`."""
     keys = {"admin_addr": "admin"} | {
         name: name for name in ("name", "listen", "seed", "limits", "known", "settings")
     }
@@ -163,10 +163,10 @@
 
 
 def load_config(env: Mapping[str, str]) -> Config:
-    """Load the configuration that the environment points at.
+    """Load the configuration file named by the environment.
 
     Raises:
-        ConfigError: It can't be read or used.
+        ConfigError: The configuration can't be read or is invalid.
     """
     path = env.get("NODE_CONFIG")
     if not path:
--- a/brambleusher/sidecar/connection_budgets.py
+++ b/brambleusher/sidecar/connection_budgets.py
@@ -1,6 +1,6 @@
-"""How many connections one process may hold, from the limits that the platform gives the sidecar.
+"""Computes how many connections a process may hold from the platform's resource limits.
 
-Limits of memory and of descriptors are divided among the runtime, the features that are on, and connections.
+The limits of memory and descriptors are divided among the runtime, the enabled features and connections.
 """
 
 from __future__ import annotations
@@ -21,32 +21,32 @@
 KIB = 1024
 MIB = 1024 * KIB
 
-BASE_DESCRIPTORS = 32  # the watch, the listener, the log, files that the runtime opens
-# Of the descriptors: clients never hold more connections to send requests on, says the platform.
+BASE_DESCRIPTORS = 32  # for the discovery watch, listener, log and runtime files
+# Fraction of the descriptors; the platform guarantees that clients send requests on no more connections.
 REQUESTING_CLIENTS_FRACTION = 1 / 3
-UPSTREAM_FRACTION = 0.4  # of the connections: those to endpoints; the rest is for clients
-MIN_CONNECTIONS = 8  # to endpoints, and of clients
-MIN_SHARED_CONNECTIONS = 32  # of one of several processes, however little memory there is
-FEATURE_FRACTION_DIVISOR = 2  # features may take one half of what is left, no more
+UPSTREAM_FRACTION = 0.4  # fraction of connections for endpoints; the rest is for clients
+MIN_CONNECTIONS = 8  # minimum for endpoints and for clients
+MIN_SHARED_CONNECTIONS = 32  # minimum for each of several processes, even with little memory
+FEATURE_FRACTION_DIVISOR = 2  # features may use at most half of the remaining resources
 
-# Measured: 11 MB at the start, 17 MB after a minute with 60 connections in use.  A figure too high leaves
-# too few connections on a small endpoint, and attempts find none: that looks like endpoints that are full.
+# Measured memory use is 11 MB at start and 17 MB after a minute with 60 connections in use. Too high a value
+# leaves too few connections on a small machine, and failed attempts then look like overloaded endpoints.
 RUNTIME_MEMORY_BYTES = 20 * MIB
-# Of the runtime's memory, for features; 16 MB measured with the usual ones on.
+# Part of the runtime's memory for features; 16 MB were measured with the usual features enabled.
 FEATURE_BUFFERS_MEMORY_BYTES = 2 * MIB
-MYSQL_MEMORY_BYTES = 48 * MIB  # its libraries and what it remembers of statements
-MYSQL_SESSION_MEMORY_BYTES = 48 * KIB  # one that is idle has less than half of it
-CONNECTION_MEMORY_BYTES = 64 * KIB  # the largest body that is buffered, or a piece of one that is streamed
+MYSQL_MEMORY_BYTES = 48 * MIB  # for its libraries and its cache of statements
+MYSQL_SESSION_MEMORY_BYTES = 48 * KIB  # an idle session uses less than half of this
+CONNECTION_MEMORY_BYTES = 64 * KIB  # the largest buffered body, or one chunk of a streamed body
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionBudgets:
-    """How many connections one process may hold.
+    """The maximum numbers of connections of one process.
 
     Attributes:
-        upstream: Connections to endpoints.
-        clients: Connections of clients.
-        requesting_clients: Of the clients' connections, those that can ever send requests.
+        upstream: Maximum number of connections to endpoints.
+        clients: Maximum number of client connections.
+        requesting_clients: Maximum number of client connections that send requests.
     """
 
     upstream: int
@@ -55,19 +55,19 @@
 
 
 def feature_buffers_memory(operator: OperatorFile, max_bytes: int) -> int:
-    """Return the bytes that the features' buffers may take beyond their usual sizes.
+    """Return the bytes that feature buffers may use beyond their default sizes.
 
     Raises:
-        OperatorFileError: They are more than `max_bytes`.
+        OperatorFileError: The buffers need more than `max_bytes`.
     """
     buffers_kib = 0
     if operator.metrics is not None:
         buffers_kib += operator.metrics.buffer_kb
     if (capture := operator.capture) is not None:
-        buffers_kib += capture.ring_kb * (2 if capture.dir is None else 3)  # one in flight to each reader
+        buffers_kib += capture.ring_kb * (2 if capture.dir is None else 3)  # one copy per reader
     excess = max(0, buffers_kib * KIB - FEATURE_BUFFERS_MEMORY_BYTES)
     if excess > max_bytes:
-        # Guards against a sidecar killed for its memory once the ring is full.
+        # Without this check, the sidecar would be killed for its memory use once the ring is full.
         raise OperatorFileError("capture.ring_kb and figures.buffer_kb don't fit in limits.memory_mb")
     return excess
 
@@ -76,7 +76,7 @@
     sessions = settings.sessions * MYSQL_SESSION_MEMORY_BYTES
     required = MYSQL_MEMORY_BYTES + sessions + settings.memory_mb * MIB
     if required > max_bytes:
-        # Guards against a sidecar killed for its memory once its sessions are all there.
+        # Without this check, the sidecar would be killed for its memory use once all sessions are open.
         raise OperatorFileError("mysql.sessions and mysql.memory_mb don't fit in limits.memory_mb")
     return required
 
@@ -91,13 +91,13 @@
 def connection_budgets(
     config: Config, operator: OperatorFile, *, process_share: float, has_process_group: bool
 ) -> ConnectionBudgets:
-    """Return what a process may hold that has a share, from 0 to 1, of the sidecar's limits.
+    """Return the budgets of a process with a share, from 0 to 1, of the sidecar's limits.
 
     Raises:
-        OperatorFileError: Features that are on need more than the limits leave.
+        OperatorFileError: The enabled features need more resources than the limits allow.
     """
     limits = config.limits
-    memory = limits.memory_mb * MIB - RUNTIME_MEMORY_BYTES  # the least allowed is 32 MB
+    memory = limits.memory_mb * MIB - RUNTIME_MEMORY_BYTES  # `memory_mb` is at least 32
     memory -= feature_buffers_memory(operator, memory // FEATURE_FRACTION_DIVISOR)
     descriptors = BASE_DESCRIPTORS + (STATUS_DESCRIPTORS if operator.status is not None else 0)
     if config.admin is not None:
@@ -109,7 +109,7 @@
         available = (limits.sockets - descriptors) // FEATURE_FRACTION_DIVISOR
         descriptors += _mysql_descriptors(operator.mysql, available)
     if process_share < 1:
-        memory = int((memory - RUNTIME_MEMORY_BYTES) * process_share)  # another process has its own runtime
+        memory = int((memory - RUNTIME_MEMORY_BYTES) * process_share)  # each process has its own runtime
         memory = max(memory, MIN_SHARED_CONNECTIONS * CONNECTION_MEMORY_BYTES)
     connections = min(int(limits.sockets * process_share) - descriptors, memory // CONNECTION_MEMORY_BYTES)
     upstream = max(int(connections * UPSTREAM_FRACTION), MIN_CONNECTIONS)
--- a/brambleusher/sidecar/endpoint_updates.py
+++ b/brambleusher/sidecar/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""The way of an endpoint list's update: operators' bans are laid over it, then all that go by it have it."""
+"""Applies operator bans to endpoint list updates and passes them to the parts that depend on the list."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class EndpointUpdates:
-    """Passes updates of the endpoint list, and operators' bans, to the parts that go by them."""
+    """Distributes endpoint list updates and operator bans to the parts that depend on them."""
 
     def __init__(
         self,
@@ -31,14 +31,14 @@
     ) -> None:
         self._bans, self._upstream_pool, self._driver = bans, upstream_pool, driver
         self._status, self._capture, self._mysql = status, capture, mysql
-        self.version = 0  # of the last update from discovery
+        self.version = 0  # version of the last update from discovery
 
     def receive(self, update: EndpointListUpdate) -> None:
-        """Take an update from discovery."""
+        """Handle an endpoint list update from discovery."""
         self.publish(self.apply_bans(update))
 
     def apply_bans(self, update: EndpointListUpdate) -> EndpointListUpdate:
-        """Return an update from discovery as bans change it, and remember what it lists."""
+        """Return an update from discovery with bans applied, and record its entries."""
         self.version = update.version
         self._bans.record_list(update.full, (endpoint.entry for endpoint in update.endpoints))
         endpoints = tuple(
@@ -50,12 +50,12 @@
         return replace(update, endpoints=endpoints)
 
     def publish(self, update: EndpointListUpdate) -> None:
-        """Pass an update on as it stands."""
+        """Distribute an update without applying bans to it."""
         if self._status is not None:
             self._status.update_endpoints(update)
         if self._capture is not None:
             self._capture.update_endpoints(update)
-        # The connections first: what the balancer sends from here on goes by the same list.
+        # Update the connections first, so that the balancer's next attempts use the same list.
         self._upstream_pool.update(update)
         if self._mysql is not None:
             self._mysql.nodes.update(update)
@@ -63,7 +63,7 @@
         self._driver.update_endpoints(kind, [endpoint.entry for endpoint in update.endpoints])
 
     def publish_ban(self, entry: HostEntry | None) -> None:
-        """Pass on what a ban makes of an endpoint; nothing where it makes no difference or is not listed."""
+        """Distribute an endpoint entry changed by a ban; do nothing if the ban has no effect."""
         if entry is None or (endpoint := self._upstream_pool.listed.get(entry.host)) is None:
             return
         self.publish(EndpointListUpdate(self.version, False, (replace(endpoint, entry=entry),)))
--- a/brambleusher/sidecar/feature_assembly.py
+++ b/brambleusher/sidecar/feature_assembly.py
@@ -1,4 +1,4 @@
-"""The features that an operator file switches on, built from its sections."""
+"""Builds the features that an operator file enables from the sections of the file."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     outputs: Outputs,
     system: System,
 ) -> MetricsReporter:
-    """Return the reporter of metrics, with a queue to its target."""
+    """Return the metrics reporter, with an output queue to its target."""
     counters.register(DROPPED)
     target = settings.target
     if target.kind == "stderr":
@@ -51,7 +51,7 @@
 
 
 def build_capture(settings: CaptureSettings, config: Config, outputs: Outputs) -> Capture:
-    """Return the capture, with queues to standard error for dumps and to its files."""
+    """Return the capture, with output queues for dumps to standard error and for its files."""
     ring_bytes = settings.ring_kb * KIB
     dumps, files = outputs.stderr().lane(2 * ring_bytes), None
     if settings.dir is not None:
@@ -61,8 +61,8 @@
 
 
 def build_rewrites(rules: tuple[RewriteRule, ...], served: Settings) -> Rewrites:
-    """Return the rewrites of headers; rules for classes that are not served are logged."""
-    from brambleusher.features.rewrites import Rewrites  # here: a start without rewrites is charged less
+    """Return the header rewriter, and log rules for request classes that are not served."""
+    from brambleusher.features.rewrites import Rewrites  # imported only when needed, to make starts cheaper
 
     rewrites = Rewrites(rules)
     for name in sorted(rewrites.classes - {cls.name for cls in served.classes}):
@@ -76,8 +76,8 @@
     scheduler: Scheduler,
     zone_status: Callable[[], dict[str, object] | None],
 ) -> StatusPage:
-    """Return the status page."""
-    from brambleusher.features.status import StatusPage  # here: a start without the page is charged less
+    """Return the status page feature."""
+    from brambleusher.features.status import StatusPage  # imported only when needed, to make starts cheaper
 
     return StatusPage(settings, served, scheduler, zone_status)
 
@@ -90,11 +90,11 @@
     clock: Clock,
     counters: Counters,
 ) -> MysqlService:
-    """Return the MySQL front.
+    """Return the MySQL front end.
 
     Raises:
-        OperatorFileError: Its section, a file or a library can't be used.
+        OperatorFileError: The MySQL section, a file or a library is invalid or missing.
     """
-    from brambleusher.fronts.mysql.service import MysqlService  # here: it loads what an extra brings
+    from brambleusher.fronts.mysql.service import MysqlService  # needs packages of an optional extra
 
     return MysqlService(settings, config.settings, config.seed, scheduler, driver, clock, counters)
--- a/brambleusher/sidecar/garbage_collection.py
+++ b/brambleusher/sidecar/garbage_collection.py
@@ -1,20 +1,21 @@
-"""When this process collects garbage."""
+"""Configures garbage collection for short pauses."""
 
 from __future__ import annotations
 
 import gc
 
-STEPS_PER_COLLECTION = 4  # of a long endpoint list: each leaves some hundred records
-THRESHOLDS = (50_000, 1_000, 50)  # allocations, and collections of the generation below
+STEPS_PER_COLLECTION = 4  # each step of applying a long endpoint list allocates hundreds of objects
+THRESHOLDS = (50_000, 1_000, 50)  # allocations, then collections of the next younger generation
 
 
 class GarbageCollectionPolicy:
-    """Keeps collections short.
+    """Keeps garbage collection pauses short.
 
-    Records are short-lived and seldom cyclic: reference counts free them, rare collections suffice.  But a
-    long list leaves records by the ten thousand that stay, and a collection that comes upon all of them, or
-    upon all that were ever kept, holds everything up for 10 to 40 ms.  So what is young is looked through
-    every few steps of such a list, and what is old hardly ever.
+    Most objects are short-lived and rarely part of reference cycles, so reference counting frees them and
+    rare collections suffice. A long endpoint list, however, allocates tens of thousands of objects that stay,
+    and a collection that scans all of them, or all long-lived objects, blocks the process for 10 to 40 ms.
+    The young generation is therefore collected every few steps of applying such a list, and old generations
+    almost never.
     """
 
     def __init__(self) -> None:
@@ -22,13 +23,13 @@
         gc.set_threshold(*THRESHOLDS)
 
     def step(self) -> None:
-        """Count a step of a long list, and collect the young generation every few of them."""
+        """Count a step of applying a long list, and collect the young generation every few steps."""
         self._steps += 1
         if self._steps % STEPS_PER_COLLECTION == 0:
             gc.collect(0)
 
 
 def freeze_current_objects() -> None:
-    """Collect, and exempt what is there now from all later collections."""
+    """Run a full collection, and exempt all current objects from later collections."""
     gc.collect()
     gc.freeze()
--- a/brambleusher/sidecar/lifecycle.py
+++ b/brambleusher/sidecar/lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a sidecar's process: start, handover from a predecessor, serving, graceful shutdown, exit."""
+"""Start, handover from a predecessor, graceful shutdown and exit of a sidecar process."""
 
 from __future__ import annotations
 
@@ -15,33 +15,34 @@
 log = logging.getLogger(__name__)
 
 READINESS_POLL_INTERVAL_S = 0.02
-# After SIGTERM new connections keep coming for 0.2 to 0.4 s, and clients send on those they have until they
-# are closed.  SIGKILL comes no sooner than the longest deadline, 3 s where that is longer, and 0.7 s more.
+# In seconds. After SIGTERM, new connections arrive for another 0.2 to 0.4 s, and clients keep using open
+# connections until they are closed. SIGKILL follows after the longest deadline, or 3 s if that is longer,
+# plus at least 0.7 s.
 SERVE_AFTER_SIGTERM_S = 0.45
 MAX_GRACE_DEADLINE_S, GRACE_MARGIN_S = 3.0, 0.7
-CLOSE_BEFORE_SIGKILL_S = 0.75  # idle connections are closed so long ahead of it
-RESPOND_BEFORE_SIGKILL_S = 0.25  # requests that came after SIGTERM have their responses so long ahead of it
+CLOSE_BEFORE_SIGKILL_S = 0.75  # in seconds, how long before SIGKILL idle connections are closed
+RESPOND_BEFORE_SIGKILL_S = 0.25  # in seconds, how long before SIGKILL the last responses are sent
 DRAIN_POLL_INTERVAL_S = 0.02
 NS_PER_S = 1e9
 
 
 class Lifecycle:
-    """Starts, drains and ends one sidecar's process."""
+    """Starts, drains and ends a sidecar process."""
 
     def __init__(self, sidecar: Sidecar, has_predecessor: bool) -> None:
         self._sidecar = sidecar
-        self._has_predecessor = has_predecessor  # another process of this sidecar was serving at the start
+        self._has_predecessor = has_predecessor  # whether another process of this sidecar served at the start
         self.is_shutting_down = False
-        self.is_drained = False  # no request is accepted any more
+        self.is_drained = False  # whether the process has stopped accepting requests
 
     # --- start ----------------------------------------------------------------------------------
 
     def start(self) -> tuple[str, int]:
-        """Start all parts; return the address of the clients' listener.
+        """Start all parts; return the address of the client listener.
 
         Raises:
-            ConfigError: The admin address or the descriptor of the listener can't be used.
-            OSError: The clients' address can't be listened on.
+            ConfigError: The admin address or the listener descriptor is invalid.
+            OSError: The client address can't be listened on.
         """
         sidecar = self._sidecar
         self._start_endpoints()
@@ -57,18 +58,19 @@
         return address
 
     def _start_endpoints(self) -> None:
-        """Start from the endpoint list that is known, follow discovery, and start what goes by the list."""
+        """Apply the configured endpoint list, watch discovery and start the parts that depend on the list."""
         sidecar = self._sidecar
         known = sidecar.config.known
         settings = None if sidecar.process_group is None else sidecar.process_group.settings.read()
         if settings is not None:
-            sidecar.operator_actions.apply_shared(settings)  # ordered before this process began
+            sidecar.operator_actions.apply_shared(settings)  # commands given before this process started
         sidecar.endpoint_list.set_known(known)
         known = sidecar.endpoint_updates.apply_bans(known)
         sidecar.upstream_pool.update(known)
         sidecar.balancer_driver.start(endpoint.entry for endpoint in known.endpoints)
         sidecar.endpoint_list.start()
-        if not sidecar.config.settings.subscribes_to_endpoints:  # the balancer leaves the list to the sidecar
+        # Without a subscription by the balancer, the sidecar has to request the watch of the endpoint list.
+        if not sidecar.config.settings.subscribes_to_endpoints:
             sidecar.endpoint_list.request_watch()
         sidecar.scheduler.spawn(sidecar.upstream_pool.close_expired_connections, name="reap")
         if sidecar.metrics_reporter is not None:
@@ -89,7 +91,7 @@
         log.info("admin endpoint", extra={"fields": {"address": address_text(sidecar.admin_address)}})
 
     def _listen(self) -> tuple[str, int]:
-        """Listen; on a listener that the platform holds, accept once this process is ready."""
+        """Start listening; with an inherited listener, accept only when this process is ready."""
         sidecar = self._sidecar
         if sidecar.config.listener_fd is None:
             return sidecar.client_listener.listen(sidecar.config.listen)
@@ -103,7 +105,7 @@
         return address
 
     def _serve_once_ready(self) -> None:
-        """Accept once this process can serve: until then its predecessor does.  A task's body."""
+        """Accept clients once this process is ready, as its predecessor serves until then; runs in a task."""
         sidecar = self._sidecar
         while not sidecar.is_ready():
             sidecar.scheduler.sleep(READINESS_POLL_INTERVAL_S)
@@ -117,7 +119,7 @@
     # --- run and exit ---------------------------------------------------------------------------
 
     def run(self) -> None:
-        """Serve until a graceful shutdown has ended, then write what the features hold."""
+        """Serve until the graceful shutdown is complete, then flush the features' buffered data."""
         sidecar = self._sidecar
         sidecar.scheduler.run(self.is_finished)
         if sidecar.capture is not None:
@@ -130,13 +132,13 @@
         sidecar.counters.report("exit")
 
     def is_finished(self) -> bool:
-        """Return whether the process is drained and no connection of a client is open."""
+        """Return whether the process is drained and no client connection is open."""
         sidecar = self._sidecar
         open_sessions = 0 if sidecar.mysql is None else sidecar.mysql.front.connections
         return self.is_drained and not sidecar.client_listener.connections and not open_sessions
 
     def close(self) -> None:
-        """Leave the process group, release what the scheduler holds, write what waits to be written."""
+        """Leave the process group, close the scheduler and flush pending output."""
         sidecar = self._sidecar
         if sidecar.admin_server is not None:
             sidecar.admin_server.close()
@@ -148,13 +150,13 @@
     # --- graceful shutdown ----------------------------------------------------------------------
 
     def begin_graceful_shutdown(self) -> None:
-        """Begin to drain, soon; safe in a signal handler, and without effect the second time."""
+        """Schedule the graceful shutdown; safe in a signal handler, and repeated calls have no effect."""
         if not self.is_shutting_down:
             self.is_shutting_down = True
             self._sidecar.scheduler.call_soon(self._hand_over_or_drain)
 
     def _hand_over_or_drain(self) -> None:
-        """Leave new connections to a successor where there is one, else drain."""
+        """Hand new connections over to a successor if there is one, otherwise drain."""
         sidecar = self._sidecar
         group = sidecar.process_group
         is_handed_over = group is not None and group.registry.has_successor()
@@ -171,7 +173,7 @@
         sidecar.scheduler.spawn(self._drain, name="drain")
 
     def _drain(self) -> None:
-        """Serve as long as clients may send and be answered, then close idle connections.  A task's body."""
+        """Serve while requests can still be answered in time, then close idle connections; runs in a task."""
         sidecar = self._sidecar
         sigkill_at = sidecar.scheduler.now() + self._grace_period_s()
         sidecar.client_listener.latest_response_at = sigkill_at - RESPOND_BEFORE_SIGKILL_S
@@ -188,6 +190,6 @@
         self.is_drained = True
 
     def _grace_period_s(self) -> float:
-        """Return the least seconds from SIGTERM to SIGKILL."""
+        """Return the minimum time in seconds between SIGTERM and SIGKILL."""
         longest_deadline_s = max(cls.deadline_ns for cls in self._sidecar.config.settings.classes) / NS_PER_S
         return min(longest_deadline_s, MAX_GRACE_DEADLINE_S) + GRACE_MARGIN_S
--- a/brambleusher/sidecar/main.py
+++ b/brambleusher/sidecar/main.py
@@ -1,4 +1,4 @@
-"""A sidecar as a process's main program."""
+"""Runs a sidecar as the main program of a process."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from brambleusher.sidecar.configuration import Config, ConfigError, load_config
 from brambleusher.sidecar.garbage_collection import GarbageCollectionPolicy, freeze_current_objects
 
-LOG_QUEUE_BYTES = 64 * 1024  # of log lines that wait for standard error, where features write to it too
-EXIT_CONFIGURATION = 2  # the exit status where the configuration can't be used
+LOG_QUEUE_BYTES = 64 * 1024  # of log lines queued for standard error when features also write to it
+EXIT_CONFIGURATION = 2  # exit status for an invalid configuration
 
 
 def serve(
@@ -26,17 +26,17 @@
     load_operator: Callable[[], OperatorFile] | None = None,
     system: System | None = None,
 ) -> None:
-    """Run one sidecar until it is told to shut down.
+    """Run a sidecar until it is told to shut down.
 
     Raises:
-        ConfigError: The configuration can't be used.
-        OperatorFileError: The operator file can't be used.
+        ConfigError: The configuration is invalid.
+        OperatorFileError: The operator file is invalid.
     """
     garbage_collection = GarbageCollectionPolicy()
     sidecar = Sidecar(load(), load, operator, system, load_operator)
     sidecar.endpoint_list.on_step = garbage_collection.step
     if sidecar.outputs.has_stderr:
-        # Guards against a log line that waits, and requests with it, where a feature has filled the pipe.
+        # A queue keeps log calls, and thus requests, from blocking when a feature has filled the pipe.
         queue = sidecar.outputs.stderr().lane(LOG_QUEUE_BYTES)
         configure(stream=OutputQueueStream(queue), form=log_format)
     sidecar.install_signal_handlers()
@@ -53,7 +53,7 @@
 
 
 def run(operator_path: str | None, log_format: str, system: System | None = None) -> int:
-    """Run one sidecar by the environment's configuration; return the exit status."""
+    """Run a sidecar with the configuration from the environment; return the exit status."""
     configure(form=log_format)
     try:
         operator = load_operator_file(operator_path)
--- a/brambleusher/sidecar/operator_actions.py
+++ b/brambleusher/sidecar/operator_actions.py
@@ -1,6 +1,6 @@
-"""What operators call: bans of endpoints, and taking the sidecar out of service.
+"""Operator commands that ban endpoints and take the sidecar out of service.
 
-All processes of one sidecar share what operators ordered; the last order counts.
+All processes of a sidecar share the operators' commands, and the latest command takes effect.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class OperatorActions:
-    """Carries out the calls at the admin endpoint (`admin.server.AdminService`)."""
+    """Executes the commands of the admin endpoint (`admin.server.AdminService`)."""
 
     def __init__(
         self,
@@ -33,44 +33,45 @@
         render_metrics: Callable[[], bytes],
     ) -> None:
         self.bans, self._client_draining = bans, client_draining
-        self._service_changed_ns = 0  # when the last order about the service was given
+        # Unix time in nanoseconds of the last command that changed whether the sidecar is in service.
+        self._service_changed_ns = 0
         self._scheduler, self._clock = scheduler, clock
         self._client_listener, self._endpoint_updates = client_listener, endpoint_updates
         self._shared_settings = shared_settings
         self._is_ready, self._render_metrics = is_ready, render_metrics
 
     def is_serving(self) -> bool:
-        """Return whether this process can serve, in service or not."""
+        """Return whether this process is able to serve, whether or not it is in service."""
         return self._client_listener.is_accepting and self._is_ready()
 
     def metrics_text(self) -> bytes:
-        """Return the metrics as they stand."""
+        """Return the current metrics in text format."""
         return self._render_metrics()
 
     def take_endpoint_offline(self, node: str) -> bool:
-        """Ban an endpoint; return False for one that was never listed, which is banned once it is."""
+        """Ban an endpoint; return False if it was never listed, and ban it once it is listed."""
         if self._change_ban(node, self.bans.ban):
             return True
         self.bans.ban_when_listed(node, self._clock.now_ns())
         return False
 
     def put_endpoint_online(self, node: str) -> bool:
-        """End an endpoint's ban; return False for one that was never listed."""
+        """Lift an endpoint's ban; return False if the endpoint was never listed."""
         self.bans.cancel_ban_when_listed(node)
         return self._change_ban(node, self.bans.unban)
 
     def take_out_of_service(self) -> None:
-        """Send clients away; this process runs on."""
+        """Take the sidecar out of service and close client connections; the process keeps running."""
         self._set_service(False, self._clock.now_ns())
         self._publish()
 
     def put_in_service(self) -> None:
-        """Take clients again."""
+        """Put the sidecar back in service, so that it accepts clients again."""
         self._set_service(True, self._clock.now_ns())
         self._publish()
 
     def apply_shared(self, settings: SharedSettings) -> None:
-        """Take in what operators ordered of another process, now or before this one began."""
+        """Apply operator commands that were given to another process of this sidecar."""
         for entry in self.bans.merge(settings.bans):
             self._endpoint_updates.publish_ban(entry)
         if settings.service_changed_ns > self._service_changed_ns:
@@ -92,7 +93,7 @@
             self._client_listener.start_closing_idle()
 
     def _publish(self) -> None:
-        """Merge the orders of this process with those of the others."""
+        """Merge this process's operator commands into the settings shared with other processes."""
         if self._shared_settings is not None:
             self._shared_settings.update(self._merge)
 
--- a/brambleusher/sidecar/reload.py
+++ b/brambleusher/sidecar/reload.py
@@ -1,4 +1,4 @@
-"""Reading the configuration again in a running sidecar, at SIGHUP."""
+"""Reloads the configuration of a running sidecar on SIGHUP."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 log = logging.getLogger(__name__)
 
-LISTS_PER_SECOND = 50.0  # that a discovery may answer where it is new to a whole fleet
-# Of the time within which a sidecar must have asked for a list: by then it has called the new discovery.
+LISTS_PER_SECOND = 50.0  # lists per second that a new discovery can send to a fleet
+# Fraction of the time limit for requesting a list in which a sidecar has to contact the new discovery.
 CHANGE_OVER_FRACTION = 0.2
 NS_PER_S = 1e9
 
 
 class ConfigurationReloader:
-    """Follows what can change in a running sidecar: the discovery, and the rules on zones.
+    """Applies configuration changes that need no restart: the discovery address and the zone rules.
 
-    `load_configuration` and `load_operator_file` read the files again; None: there is nothing to read.
+    `load_configuration` and `load_operator_file` reload the two files; None means that there is no such file.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
         self.load_operator_file = load_operator_file
 
     def reload(self) -> None:
-        """Read both files; one that can't be used leaves the running configuration as it is."""
+        """Reload both files; an invalid file does not change the running configuration."""
         is_shutting_down = self._sidecar.lifecycle.is_shutting_down
         if self.load_configuration is None or is_shutting_down:
             fields = {"is_shutting_down": is_shutting_down}
@@ -51,7 +51,7 @@
         try:
             config = self.load_configuration()
         except ConfigError as error:
-            # A file half written must not take a serving sidecar down.
+            # A partially written file must not stop a running sidecar.
             _reject("configuration", error)
             return
         self._apply(config)
@@ -76,7 +76,7 @@
         sidecar.endpoint_list.switch_discovery(HttpWatch(sidecar.scheduler, discovery), within_s)
 
     def _reload_zone_rules(self) -> None:
-        """Take the operator file's section on zones; a file with a fault anywhere changes nothing."""
+        """Apply the zone section of the operator file; any error in the file rejects the whole file."""
         if self.load_operator_file is None:
             return
         try:
--- a/brambleusher/sidecar/signals.py
+++ b/brambleusher/sidecar/signals.py
@@ -1,4 +1,4 @@
-"""The signals that a sidecar handles."""
+"""Installs the signal handlers of a sidecar."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
     on_reload: Callable[[], None],
     on_report: Callable[[], None],
 ) -> None:
-    """Handle SIGTERM and SIGINT by a shutdown, SIGHUP by a reload, SIGUSR1 by a report."""
-    # Guards against SIGHUP ending the process, which is what it does where nobody handles it.
+    """Shut down on SIGTERM and SIGINT, reload on SIGHUP and report on SIGUSR1."""
+    # Without a handler, SIGHUP would end the process.
     system.on_signal(signal.SIGHUP, on_reload)
     system.on_signal(signal.SIGTERM, on_shutdown)
     system.on_signal(signal.SIGINT, on_shutdown)
--- a/brambleusher/sidecar/state_exchange.py
+++ b/brambleusher/sidecar/state_exchange.py
@@ -1,4 +1,4 @@
-"""What a process of the sidecar hands to its successor, and what it makes of what it is handed."""
+"""Exports a sidecar process's state to its successor and imports the state of its predecessor."""
 
 from __future__ import annotations
 
@@ -19,26 +19,26 @@
 
 
 def address_text(address: Address) -> str:
-    """Word an address as `host:port`."""
+    """Format an address as `host:port`."""
     return "{}:{}".format(*address)
 
 
 def import_endpoint_list(config: Config, state: TransferredState) -> Config | None:
-    """Return the configuration with the serving process's endpoint list; None if that can't be used."""
+    """Return the configuration with the serving process's endpoint list, or None if the list is invalid."""
     try:
         update = decode_update(state.endpoint_list)
     except EndpointListError as error:
         log.warning("transferred state rejected", extra={"fields": {"error": error}})
         return None
     if state.discovery != address_text(config.discovery):
-        update = replace(update, version=0)  # another discovery's version means nothing to this one
+        update = replace(update, version=0)  # versions of another discovery are not comparable
     return replace(config, known=update)
 
 
 def export_state(
     bans: HostBans, upstream_pool: UpstreamPool, driver: BalancerDriver, list_version: int, discovery: Address
 ) -> TransferredState | None:
-    """Return the state for a successor; None where the endpoint list is too long for it."""
+    """Return the state for a successor, or None if the endpoint list is too long to transfer."""
     if len(upstream_pool.listed) > MOST_HOSTS:
         return None
     servers = [
