--- a/brambleusher/__init__.py
+++ b/brambleusher/__init__.py
@@ -1,6 +1,7 @@
-"""brambleusher: a sidecar load balancer on real sockets, around the decisions of `loadbalancing`.
+"""brambleusher is a sidecar load balancer that implements the decisions of `loadbalancing` on sockets.
 
-Importing it does no work.  To embed one: `Sidecar(parse_config(text, env))`, `start()`, `run()`.
+Importing the package has no side effects. To embed a sidecar, create `Sidecar(parse_config(text, env))` and
+call `start()` and `run()`.
 """
 
 import sys
@@ -11,7 +12,7 @@
 
 
 def python_version_error(version: "tuple[int, ...]") -> "str | None":
-    """Return why an interpreter's version won't do; None where it does."""
+    """Return the error for an unsupported Python version, or None for a supported version."""
     if tuple(version[:2]) >= OLDEST_PYTHON:
         return None
     oldest, found = (".".join(str(part) for part in each[:2]) for each in (OLDEST_PYTHON, version))
@@ -19,10 +20,10 @@
 
 
 def _check_python() -> None:
-    """Refuse an interpreter that is too old before it reads syntax that it does not know.
+    """Reject an interpreter that is too old before it parses unsupported syntax.
 
     Raises:
-        SystemExit: `python -m` looks for a program; its message is one line.
+        SystemExit: The program was started by `python -m`; the message is one line.
         ImportError: The package is imported as a library.
     """
     error = python_version_error(sys.version_info[:2])
--- a/brambleusher/__main__.py
+++ b/brambleusher/__main__.py
@@ -1,4 +1,4 @@
-"""The program's entry: serving starts from here, without what it does not need; all else is `cli`'s."""
+"""The program's entry point, which serves with minimal imports and passes other commands to `cli`."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def parse_serving_options(arguments: Sequence[str]) -> dict[str, str] | None:
-    """Return the options of a command line that says to serve; None for any other, which `cli` parses."""
+    """Return the options of a command line for serving, or None if `cli` has to parse it."""
     options: dict[str, str] = {}
     remaining = iter(arguments)
     for argument in remaining:
@@ -21,7 +21,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run one command; return the exit status."""
+    """Serve or run one command; return the exit status."""
     arguments = sys.argv[1:] if arguments is None else list(arguments)
     options = parse_serving_options(arguments)
     if options is not None:
@@ -34,7 +34,7 @@
 
 
 def _main_process() -> int:
-    """Run as a process of its own; return the exit status."""
+    """Run as the main program of a process; return the exit status."""
     if parse_serving_options(sys.argv[1:]) is None:
         return main()
     from brambleusher.runtime.signal_holding import run_holding_reload
--- a/brambleusher/cli/__init__.py
+++ b/brambleusher/cli/__init__.py
@@ -1,8 +1,8 @@
-"""The command line: a file a command, imported when it is called and not before.
+"""The command line, with one module for each command that is imported only when the command runs.
 
-To add a command, add a line to `COMMANDS` and a file of that name here, whose `command` is a Click
-command.  Its imports may be whatever the command needs; what comes from an extra of pyproject.toml
-needs no guard of its own: `run_command` says which package is missing.
+To add a command, add a line to `COMMANDS` and a module of that name in this package whose `command` is a
+Click command. The module may import packages of any extra of pyproject.toml without handling import errors,
+as `run_command` reports which package is missing.
 """
 
 from __future__ import annotations
@@ -12,23 +12,23 @@
 
 EXIT_USAGE = 2
 
-# Command: what it does, in a line, and the extra that brings what it needs.
+# Each command with its one-line description and the extra that provides its packages.
 COMMANDS: dict[str, tuple[str, str]] = {
     "capture": ("Captures of a running sidecar.", "lab"),
-    "explore": ("Play seeded days with faults in virtual time, and check every rule.", "lab"),
+    "explore": ("Simulate seeded scenarios with faults in virtual time, and check all invariants.", "lab"),
     "control": ("Serve the decisions to other proxies over xDS.", "control"),
-    "lab": ("A stand-in fleet to try things on, and experiments with reports.", "lab"),
-    "load": ("Demand from HAR files, access logs, JSON lines and captures.", "lab"),
-    "soak-mutations": ("Count the seeds that a soak takes to find each planted fault.", "all"),
-    "soak": ("Play the whole system as real processes, under series of signals and changes.", "all"),
+    "lab": ("Run a simulated fleet, and experiments with reports.", "lab"),
+    "load": ("Build and replay load from HAR files, access logs, JSON lines and captures.", "lab"),
+    "soak-mutations": ("Count the seeds that a soak test needs to find each injected fault.", "all"),
+    "soak": ("Run the whole system as real processes under overlapping signals and changes.", "all"),
     "replay": ("Rerun the decisions of a capture and print those that differ.", "lab"),
 }
 
 
 def run_without_click(arguments: Sequence[str]) -> int | None:
-    """Run a command that has no options and needs no Click; return its exit status, None for any other.
+    """Run `replay` or `capture dump` without Click; return the exit status, or None for other commands.
 
-    The platform installs what serving needs and no more, and these two are for use there.
+    The platform installs only the packages needed for serving, and these two commands must work there.
     """
     match arguments:
         case ["replay", path] if not path.startswith("-"):
@@ -45,7 +45,7 @@
 def run_command(arguments: Sequence[str]) -> int:
     """Run one command; return its exit status.
 
-    The status is 2 where the arguments are wrong or a package that the command needs is not installed.
+    The status is 2 if the arguments are invalid or a package that the command needs is not installed.
     """
     status = run_without_click(arguments)
     if status is not None:
--- a/brambleusher/cli/capture.py
+++ b/brambleusher/cli/capture.py
@@ -7,9 +7,9 @@
 from brambleusher.features import dump as signal
 
 
-@click.group(help="Captures of a running sidecar.")
+@click.group(help="Control captures of a running sidecar.")
 def command() -> None:
-    """Group the commands on captures."""
+    """Group the commands that control captures."""
 
 
 @command.command(help="Have a sidecar write its capture to its standard error.")
--- a/brambleusher/cli/control.py
+++ b/brambleusher/cli/control.py
@@ -11,13 +11,16 @@
 
 import click
 
-STATUS_TIMEOUT_S = 5  # a person waits for the response
+STATUS_TIMEOUT_S = 5  # in seconds, short because a user waits for the response
 
 
 @click.group(invoke_without_command=True, help="Serve the decisions to other proxies over xDS.")
 @click.option("--config", "path", metavar="FILE", help="The control service's file, in YAML.")
 @click.option(
-    "--json", "should_print_addresses", is_flag=True, help="Print one line with its addresses once it serves."
+    "--json",
+    "should_print_addresses",
+    is_flag=True,
+    help="Print one line with the service's addresses once it serves.",
 )
 @click.pass_context
 def command(ctx: click.Context, path: str | None, should_print_addresses: bool) -> int | None:
@@ -31,17 +34,17 @@
     return serve(path, should_print_addresses)
 
 
-@command.command(help="Show what one subscriber has against the newest.")
+@command.command(help="Compare a subscriber's resources with the newest versions.")
 @click.argument("subscriber")
 @click.option(
     "--status", "address", required=True, metavar="HOST:PORT", help="The instance's status address."
 )
-@click.option("--json", "as_json", is_flag=True, help="As JSON.")
+@click.option("--json", "as_json", is_flag=True, help="Print the result as JSON.")
 def diff(subscriber: str, address: str, as_json: bool) -> int:
-    """Compare the resources that a subscriber has with the newest.
+    """Compare a subscriber's resources with the newest versions.
 
     Returns:
-        Exit status 0 when it has the newest of all, 1 when not, 2 when that is unknown.
+        Exit status 0 if all resources are the newest, 1 if some differ, 2 if the comparison failed.
     """
     try:
         url = f"http://{address}/diff/{quote(subscriber, safe='')}"
@@ -62,7 +65,7 @@
 
 
 def _print_resource(resource: dict[str, Any], *, is_newest: bool) -> None:
-    """Print a resource, and where the subscriber's version differs from the newest."""
+    """Print a resource and the differences between the subscriber's version and the newest."""
     print(f"{resource['kind']} {resource['name']}: {'newest' if is_newest else 'differs'}")
     if is_newest:
         return
--- a/brambleusher/cli/explore.py
+++ b/brambleusher/cli/explore.py
@@ -1,4 +1,4 @@
-"""`brambleusher explore`: the program in virtual time, seed after seed, every rule checked."""
+"""`brambleusher explore`: simulate scenarios in virtual time and check all invariants."""
 
 from __future__ import annotations
 
@@ -31,32 +31,32 @@
 from brambleusher.lab.virtual.mass import DAYS, draw_mass
 
 STATUS_PASSED, STATUS_BREACHED, STATUS_USAGE = 0, 1, 2
-CHUNK_SEEDS = 16  # that a process takes at once
-PROGRESS_SEEDS = 200  # between two updates of the progress line
-MAX_SHOWN_SEEDS = 20  # whose breaches a summary describes
-MAX_SHOWN_BREACHES = 3  # of a seed
+CHUNK_SEEDS = 16  # seeds that a worker process takes per task
+PROGRESS_SEEDS = 200  # seeds between two updates of the progress line
+MAX_SHOWN_SEEDS = 20  # broken seeds described in a summary
+MAX_SHOWN_BREACHES = 3  # violations shown per seed
 MAX_SEEDS = 10_000_000
 SEED_END = 10**18  # seeds have up to 18 digits
-SEED_CPU_S = 30.0  # processor time that one run may take; a usual one takes a tenth of a second
-FLEET_DAY_CPU_S = 1800.0  # the same for a day of a whole fleet
-REPEAT_CPU_S = 1.0  # after the limit the exception is raised again at this interval, until it ends the run
+SEED_CPU_S = 30.0  # CPU time limit of one run in seconds; a typical run takes 0.1 s
+FLEET_DAY_CPU_S = 1800.0  # CPU time limit in seconds for a simulated day of a large fleet
+REPEAT_CPU_S = 1.0  # in seconds; interval at which the exception is raised again until the run ends
 MAX_FILE_BYTES = 8 * 1024 * 1024
 
 
 class ExploreUsageError(click.ClickException):
-    """The arguments are invalid: one line, status 2."""
+    """Raised for invalid arguments; reported as one line with exit status 2."""
 
     exit_code = STATUS_USAGE
 
     def show(self, file: object = None) -> None:
         """Print the message as one line on standard error."""
-        del file  # part of Click's interface
+        del file  # parameter of Click's interface
         print(f"brambleusher: {self.message}", file=sys.stderr)
 
 
 @dataclass
 class RunTotals:
-    """Counts over many runs."""
+    """Totals over the results of many runs."""
 
     seeds: int = 0
     asked: int = 0
@@ -70,11 +70,11 @@
     kinds_fewest: int = -1
     shortest_s: float = -1.0
     faults: Counter[str] = field(default_factory=Counter)
-    rules: Counter[str] = field(default_factory=Counter)  # seeds that broke each
+    rules: Counter[str] = field(default_factory=Counter)  # number of seeds that violated each invariant
     broken: list[Result] = field(default_factory=list)
 
     def add(self, result: Result) -> None:
-        """Add the result of one run."""
+        """Add the result of one run to the totals."""
         first = not self.seeds
         self.seeds += 1
         self.asked += result.asked
@@ -108,23 +108,23 @@
 
 
 def parse_seeds(text: str) -> range:
-    """Parse `FIRST:END`, of which END is excluded.
+    """Parse `FIRST:END` into a range that excludes END.
 
     Raises:
-        ExploreUsageError: the text has another form, or the range is empty or too large.
+        ExploreUsageError: The text has another form, or the range is empty or too large.
     """
     found = re.fullmatch(r"(\d{1,18}):(\d{1,18})", text)
     if found is None:
-        raise ExploreUsageError(f"--seeds {text}: not FIRST:END, two whole numbers")
+        raise ExploreUsageError(f"--seeds {text}: must be FIRST:END, two whole numbers")
     first, end = int(found[1]), int(found[2])
     if not 0 < end - first <= MAX_SEEDS:
-        raise ExploreUsageError(f"--seeds {text}: END must be past FIRST, by {MAX_SEEDS} at most")
+        raise ExploreUsageError(f"--seeds {text}: END must exceed FIRST by at most {MAX_SEEDS}")
     return range(first, end)
 
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """The options that several ways of running share."""
+    """The options shared by exploring, replaying and shrinking."""
 
     jobs: int
     profile: str
@@ -136,49 +136,52 @@
         """Reject unknown names and a number of jobs below 1.
 
         Raises:
-            ExploreUsageError: an option has an invalid value.
+            ExploreUsageError: An option has an invalid value.
         """
         if self.mutation is not None and self.mutation not in BREAKAGES:
             raise ExploreUsageError(
-                f"--breakage {self.mutation}: there is none of that name; --list-breakages names them"
+                f"--breakage {self.mutation}: unknown fault; --list-breakages prints the names"
             )
         profiles = [*PROFILES, *DAYS]
         if self.profile not in profiles:
             raise ExploreUsageError(
-                f"--profile {self.profile}: there is none of that name; there are {', '.join(profiles)}"
+                f"--profile {self.profile}: unknown profile; the profiles are {', '.join(profiles)}"
             )
         if self.jobs < 1:
-            raise ExploreUsageError(f"--jobs {self.jobs}: at least 1")
+            raise ExploreUsageError(f"--jobs {self.jobs}: must be at least 1")
 
     def draw(self, seed: int) -> Scenario:
-        """Draw the scenario of a seed.
+        """Generate the scenario of a seed.
 
         Raises:
-            ExploreUsageError: the seed is out of range.
+            ExploreUsageError: The seed is out of range.
         """
         if not 0 <= seed < SEED_END:
-            raise ExploreUsageError(f"seed {seed}: a whole number from 0 on")
+            raise ExploreUsageError(
+                f"seed {seed}: must be a whole number of at least 0 and at most 18 digits"
+            )
         return draw_profile_scenario(seed, self.profile)
 
     @property
     def mutation_argument(self) -> str:
-        """The argument that puts the same mutation into a replay, with a space before it."""
+        """The command-line argument that repeats the mutation in a replay, preceded by a space."""
         return "" if self.mutation is None else f" --breakage {self.mutation}"
 
     def replay_command(self, seed: int, profile: str) -> str:
-        """Format the command that replays a seed."""
+        """Return the command line that replays a seed."""
         return f"brambleusher explore --replay {seed} --profile {profile}{self.mutation_argument}"
 
 
 def _activate(mutation_name: str | None) -> AbstractContextManager[object] | None:
-    """Look up a mutation by name, ready to be put into a run; None without a name."""
+    """Return the context manager that applies a mutation during a run, or None without a name."""
     return None if mutation_name is None else BREAKAGES[mutation_name].on()
 
 
 def play_chunk(task: tuple[range, str, str | None]) -> list[Result]:
-    """Play a few seeds in this process.
+    """Run a few seeds in this process.
 
-    The garbage collector is disabled during a run: a world is full of cycles that live as long as it does.
+    The garbage collector is disabled during a run, as a simulated world has many reference cycles that live
+    until the end of the run.
     """
     seeds, profile, mutation_name = task
     results = []
@@ -193,24 +196,24 @@
 
 
 def draw_profile_scenario(seed: int, profile: str) -> Scenario:
-    """Draw the scenario of a seed in a profile: faults on a small fleet, or a day of a large one."""
+    """Generate a seed's scenario, either faults in a small fleet or a day of a large fleet."""
     return draw_mass(seed, profile) if profile in DAYS else draw_scenario(seed, profile)
 
 
 def cpu_limit_s(scenario: Scenario) -> float:
-    """Return the seconds of processor time that a run may take."""
+    """Return the CPU time limit of a run in seconds."""
     return FLEET_DAY_CPU_S if scenario.profile in DAYS else SEED_CPU_S
 
 
 @contextmanager
 def bounded(cpu_s: float = SEED_CPU_S) -> Iterator[None]:
-    """Raise `Endless` in a block that takes more processor time than `cpu_s` seconds.
+    """Raise `Endless` in a block that uses more than `cpu_s` seconds of CPU time.
 
-    Without it one run without end would hold up a whole range, and would not be found.
+    Without this limit, an endless run would block a whole range of seeds and would not be reported.
     """
 
     def end(_number: int, _frame: FrameType | None) -> None:
-        raise Endless(f"no end after {cpu_s:g} s of processor time")
+        raise Endless(f"no end after {cpu_s:g} s of CPU time")
 
     before = signal.signal(signal.SIGVTALRM, end)
     signal.setitimer(signal.ITIMER_VIRTUAL, cpu_s, REPEAT_CPU_S)
@@ -222,13 +225,13 @@
 
 
 def _ignore_interrupts() -> None:
-    """Ignore SIGINT: a terminal's Ctrl-C reaches every process, and the parent ends them all."""
+    """Ignore SIGINT, as a terminal sends Ctrl-C to every process and the parent ends its workers."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
 
 
 @contextmanager
 def _reporting_interrupt() -> Iterator[None]:
-    """Turn Ctrl-C into Click's `Abort`, which is reported as one line."""
+    """Convert Ctrl-C into Click's `Abort`, which is reported as one line."""
     try:
         yield
     except KeyboardInterrupt:
@@ -250,7 +253,7 @@
 def play_seeds(
     seeds: range, profile: str, mutation_name: str | None, jobs: int
 ) -> Generator[Result, None, None]:
-    """Yield the results in the order of the seeds, whatever the number of processes."""
+    """Yield the results in the order of the seeds for any number of processes."""
     tasks = [
         (seeds[at : at + CHUNK_SEEDS], profile, mutation_name) for at in range(0, len(seeds), CHUNK_SEEDS)
     ]
@@ -260,7 +263,7 @@
         return
     gc.collect()
     gc.freeze()
-    # A Ctrl-C amid the forks would leave processes behind that the pool does not know yet.
+    # A Ctrl-C during the forks would leave processes behind that the pool does not know yet.
     before = signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGINT})
     pool = multiprocessing.get_context("fork").Pool(min(jobs, len(tasks)), _ignore_interrupts)
     with pool:
@@ -270,7 +273,7 @@
 
 
 def _load(path: str) -> Scenario:
-    """Read a scenario file."""
+    """Load and parse a scenario file."""
     try:
         text = Path(path).read_bytes()
     except OSError as error:
@@ -284,7 +287,7 @@
 
 
 def _describe_breaches(result: Result, replay_command: str) -> list[str]:
-    """Format the breaches of a result, a line each, and the command that replays them."""
+    """Format one line for each violation of a result, and the command that replays them."""
     lines = [
         f"seed {result.seed}: {breach.rule} at {breach.at_ns / 1e9:.9f}: {breach.who}: {breach.what}"
         for breach in result.breaches[:MAX_SHOWN_BREACHES]
@@ -295,7 +298,7 @@
 
 
 def _explore(seeds: range, options: Options) -> int:
-    """Play a range of seeds and print the summary and the breaches."""
+    """Run a range of seeds and print the summary and the violations."""
     should_print_progress = sys.stderr.isatty() and not options.is_quiet
     began, totals = time.monotonic(), RunTotals()
     with closing(play_seeds(seeds, options.profile, options.mutation, options.jobs)) as results:
@@ -321,7 +324,7 @@
 
 
 def _print_breaches(totals: RunTotals, options: Options) -> None:
-    """Print the rules that were broken, and the first seeds that broke them."""
+    """Print the violated invariants and the first seeds that violated them."""
     for rule, count in sorted(totals.rules.items()):
         print(f"broken in {count} seeds: {rule}")
     for result in totals.broken[:MAX_SHOWN_SEEDS]:
@@ -333,7 +336,7 @@
 
 
 def _replay(scenario: Scenario, options: Options, replay_command: str) -> int:
-    """Play one scenario in this process, with its time line unless quiet, and the sums over its fleet."""
+    """Run one scenario in this process and print its time line and fleet totals as the options say."""
     mutation = _activate(options.mutation)
     with garbage_collection_disabled(), bounded(cpu_limit_s(scenario)):
         result = play(scenario, mutation, None if options.is_quiet else print, sums=options.has_sums)
@@ -353,7 +356,7 @@
 
 
 def _shrink(scenario: Scenario, mutation_name: str | None, out: str | None) -> int:
-    """Make a scenario smaller while its first breach stays, and write it."""
+    """Shrink a scenario while its first violation still occurs, and write the result."""
 
     def run(each: Scenario) -> Result:
         mutation = _activate(mutation_name)
@@ -364,11 +367,13 @@
 
     path = Path(out or f"scenario-{scenario.seed}.yaml")
     if path.is_dir() or not os.access(path if path.exists() else path.parent, os.W_OK):
-        raise ExploreUsageError(f"{path}: can't be written")
+        raise ExploreUsageError(f"{path}: not writable")
     with garbage_collection_disabled():
         first = run(scenario)
         if not first.breaches:
-            raise ExploreUsageError(f"seed {scenario.seed} breaks no rule: there is nothing to shrink")
+            raise ExploreUsageError(
+                f"seed {scenario.seed} violates no invariant, so there is nothing to shrink"
+            )
         rule = first.breaches[0].rule
         small = shrink(
             scenario, rule, lambda each: rule in run(each).rules, lambda text: print(text, file=sys.stderr)
@@ -384,33 +389,35 @@
 
 
 def _print_mutations() -> int:
-    """Print the name, meaning and rules of every mutation."""
+    """Print the name, description and violated invariants of every mutation."""
     for name, mutation in BREAKAGES.items():
         print(f"{name}: {mutation.text} ({', '.join(mutation.rules)})")
     return STATUS_PASSED
 
 
 def _print_profiles() -> int:
-    """Print the names of the profiles."""
+    """Print the names of all profiles."""
     for name in (*PROFILES, *DAYS):
         print(name)
     return STATUS_PASSED
 
 
-@click.command(help="Play seeded days with faults in virtual time, and check every rule.")
+@click.command(help="Simulate seeded scenarios with faults in virtual time, and check all invariants.")
 @click.argument("file", required=False)
-@click.option("--seeds", metavar="FIRST:END", help="A range of seeds; END is left out.")
-@click.option("--jobs", type=int, default=lambda: os.cpu_count() or 1, help="Processes; all cores.")
-@click.option("--profile", default="default", help="Which kinds of faults are drawn.", show_default=True)
-@click.option("--replay", type=int, metavar="SEED", help="Print the time line of one seed, and its digest.")
-@click.option("--shrink", "to_shrink", type=int, metavar="SEED", help="Find a smaller scenario that breaks.")
-@click.option("-o", "--out", metavar="FILE", help="Where --shrink writes the scenario.")
-@click.option("--write", "to_write", type=int, metavar="SEED", help="Print the scenario of a seed as a file.")
-@click.option("--breakage", "mutation", metavar="NAME", help="Put a deliberate fault into the program.")
-@click.option("--list-breakages", "should_list_mutations", is_flag=True, help="Name the deliberate faults.")
-@click.option("--list-profiles", "should_list_profiles", is_flag=True, help="Name the profiles.")
-@click.option("--quiet", "is_quiet", is_flag=True, help="No time line, no progress.")
-@click.option("--sums", "has_sums", is_flag=True, help="Print the sums over the fleet of FILE or --replay.")
+@click.option("--seeds", metavar="FIRST:END", help="The seeds to run, excluding END.")
+@click.option(
+    "--jobs", type=int, default=lambda: os.cpu_count() or 1, help="Worker processes.  [default: one per core]"
+)
+@click.option("--profile", default="default", help="The kinds of faults to generate.", show_default=True)
+@click.option("--replay", type=int, metavar="SEED", help="Print the time line and the digest of one seed.")
+@click.option("--shrink", "to_shrink", type=int, metavar="SEED", help="Find a smaller failing scenario.")
+@click.option("-o", "--out", metavar="FILE", help="The file to which --shrink writes the scenario.")
+@click.option("--write", "to_write", type=int, metavar="SEED", help="Print a seed's scenario as a file.")
+@click.option("--breakage", "mutation", metavar="NAME", help="Inject a deliberate fault into the program.")
+@click.option("--list-breakages", "should_list_mutations", is_flag=True, help="List the deliberate faults.")
+@click.option("--list-profiles", "should_list_profiles", is_flag=True, help="List the profiles.")
+@click.option("--quiet", "is_quiet", is_flag=True, help="Print no time line and no progress.")
+@click.option("--sums", "has_sums", is_flag=True, help="Print totals over the fleet of FILE or --replay.")
 def command(
     file: str | None, seeds: str | None, jobs: int, profile: str, replay: int | None, to_shrink: int | None,
     out: str | None, to_write: int | None, mutation: str | None, should_list_mutations: bool,
@@ -419,7 +426,7 @@
     """Explore seeds, or replay, shrink or print one scenario.
 
     Returns:
-        Exit status 0 without a breach, 1 with one, 2 for a usage error.
+        Exit status 0 without a violation, 1 with at least one, 2 for a usage error.
     """
     options = Options(jobs, profile, mutation, is_quiet, has_sums)
     options.check()
@@ -428,9 +435,9 @@
     if should_list_profiles:
         return _print_profiles()
     if sum(each is not None for each in (file, seeds, replay, to_shrink, to_write)) != 1:
-        raise ExploreUsageError("say one of FILE, --seeds, --replay, --shrink, --write")
+        raise ExploreUsageError("give exactly one of FILE, --seeds, --replay, --shrink, --write")
     if has_sums and file is None and replay is None:
-        raise ExploreUsageError("--sums goes with FILE or --replay: sums are of one run")
+        raise ExploreUsageError("--sums needs FILE or --replay, as totals are for one run")
     with _reporting_interrupt():
         if file is not None:
             return _replay(_load(file), options, f"brambleusher explore {file}{options.mutation_argument}")
--- a/brambleusher/cli/group.py
+++ b/brambleusher/cli/group.py
@@ -1,4 +1,4 @@
-"""All commands under one name, through Click."""
+"""The Click group that contains all commands."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 from brambleusher.cli import COMMANDS
 
-EXIT_INTERRUPTED = 130  # as shells have it: 128 and SIGINT
+EXIT_INTERRUPTED = 130  # shell convention: 128 plus the number of SIGINT
 
 
 class Commands(click.Group):
-    """Commands by name, each imported when it is called for; help is worded from the table alone."""
+    """A group that imports each command on first use, and builds its help from `COMMANDS` alone."""
 
     def list_commands(self, _ctx: click.Context) -> list[str]:
-        """List the commands in the table's order."""
+        """Return the command names in the order of `COMMANDS`."""
         return list(COMMANDS)
 
     def get_command(self, _ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Return the command of a name, importing it; None where there is none."""
+        """Import and return a command by name, or return None for an unknown name."""
         if cmd_name not in COMMANDS:
             return None
         command = importlib.import_module(f"brambleusher.cli.{cmd_name.replace('-', '_')}").command
@@ -29,7 +29,7 @@
         return command
 
     def format_commands(self, _ctx: click.Context, formatter: click.HelpFormatter) -> None:
-        """Write the table, without importing what it names."""
+        """Write the command descriptions without importing the commands."""
         with formatter.section("Commands"):
             formatter.write_dl([(name, text) for name, (text, _) in COMMANDS.items()])
 
@@ -39,13 +39,13 @@
     invoke_without_command=True,
     help="A sidecar load balancer; without a command it serves.",
 )
-@click.option("--operator", metavar="FILE", help="The operator file, in YAML: features to switch on.")
+@click.option("--operator", metavar="FILE", help="The operator file in YAML, which enables features.")
 @click.option(
-    "--log-format", type=click.Choice(["logfmt", "json"]), default="logfmt", help="How log lines are written."
+    "--log-format", type=click.Choice(["logfmt", "json"]), default="logfmt", help="The format of log lines."
 )
 @click.pass_context
 def everything(ctx: click.Context, operator: str | None, log_format: str) -> int | None:
-    """Serve where no command is given."""
+    """Serve as a sidecar if no command is given."""
     if ctx.invoked_subcommand is not None:
         from brambleusher.observability.log_format import configure
 
@@ -57,7 +57,7 @@
 
 
 def run(arguments: Sequence[str]) -> int:
-    """Run one command; return the exit status, 2 where the arguments are wrong."""
+    """Run one command; return the exit status, which is 2 for invalid arguments."""
     try:
         status = everything.main(list(arguments), prog_name="brambleusher", standalone_mode=False)
     except click.UsageError as error:
--- a/brambleusher/cli/lab.py
+++ b/brambleusher/cli/lab.py
@@ -1,4 +1,4 @@
-"""`brambleusher lab`: a stand-in fleet to try things on, and experiments with reports."""
+"""`brambleusher lab`: run a simulated fleet on loopback, and experiments with reports."""
 
 from __future__ import annotations
 
@@ -12,18 +12,20 @@
 FILE_PATH = click.Path(path_type=Path)
 
 
-@click.group(help="A stand-in fleet to try things on, and experiments with reports.")
+@click.group(help="Run a simulated fleet, and experiments with reports.")
 def command() -> None:
     """Group the commands of the test bed."""
 
 
-@command.command("up", help="A fleet on loopback: stand-in nodes, discovery, real sidecars.  Ctrl-C ends it.")
+@command.command(
+    "up", help="Run a fleet on loopback: simulated nodes, discovery, real sidecars.  Ctrl-C stops it."
+)
 @click.argument("world", required=False, type=FILE_PATH)
-@click.option("--for", "seconds", type=DURATION_S, metavar="SECONDS", help="End it by itself.")
-@click.option("--json", "as_json", is_flag=True, help="One line with all addresses, once all is ready.")
+@click.option("--for", "seconds", type=DURATION_S, metavar="SECONDS", help="Stop after this many seconds.")
+@click.option("--json", "as_json", is_flag=True, help="Print one line with all addresses once all is ready.")
 @click.option("--logs", type=FILE_PATH, metavar="DIR", help="Keep the sidecars' files and logs here.")
 def up_command(world: Path | None, seconds: float | None, as_json: bool, logs: Path | None) -> int:
-    """Run a fleet on loopback, as a file in YAML describes it or the default one."""
+    """Run a fleet on loopback, either the default one or one described by a YAML file."""
     from brambleusher.lab.fleets.worlds import WorldError, read_world
     from brambleusher.lab.processes.up import up
 
@@ -36,14 +38,16 @@
 
 @command.command("run", help="Run an experiment: a matrix of worlds, demands, settings and seeds.")
 @click.argument("experiment", type=FILE_PATH)
-@click.option("-o", "--out", type=FILE_PATH, metavar="FILE", help="Results.  [default: beside it, .sqlite]")
-@click.option("--jobs", type=click.IntRange(1, 256), metavar="N", help="Processes.  [default: one a core]")
-@click.option("--json", "as_json", is_flag=True, help="The figures of every cell as JSON at the end.")
+@click.option(
+    "-o", "--out", type=FILE_PATH, metavar="FILE", help="The results file.  [default: EXPERIMENT.sqlite]"
+)
+@click.option("--jobs", type=click.IntRange(1, 256), metavar="N", help="Processes.  [default: one per core]")
+@click.option("--json", "as_json", is_flag=True, help="Print the metrics of every cell as JSON at the end.")
 def run_command(experiment: Path, out: Path | None, jobs: int | None, as_json: bool) -> int:
-    """Run the cells that the results lack.
+    """Run the cells of the experiment that are missing from the results file.
 
     Returns:
-        Exit status 0, or 1 when a cell failed or a rule was broken.
+        Exit status 0, or 1 if a cell failed or an invariant was violated.
     """
     import json
 
@@ -68,10 +72,10 @@
     return 1 if failed or any(each.get("breaches") for each in metrics.values()) else 0
 
 
-@command.command("compare", help="Paired differences of A and B, each a results file or FILE:SETTINGS.")
+@command.command("compare", help="Print paired differences of A and B, each a results file or FILE:SETTINGS.")
 @click.argument("first", metavar="A")
 @click.argument("second", metavar="B")
-@click.option("--all", "has_node_loads", is_flag=True, help="Each node's load, too.")
+@click.option("--all", "has_node_loads", is_flag=True, help="Include the load of each node.")
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
 def compare_command(first: str, second: str, has_node_loads: bool, as_json: bool) -> int:
     """Compare pairs of cells with the same world, demand, seed and position."""
@@ -93,11 +97,11 @@
     return 0
 
 
-@command.command("report", help="One page on an experiment, with everything in it.")
+@command.command("report", help="Write a self-contained HTML report on an experiment.")
 @click.argument("results", type=FILE_PATH)
-@click.option("-o", "--out", type=FILE_PATH, metavar="FILE", help="The page.  [default: beside it, .html]")
+@click.option("-o", "--out", type=FILE_PATH, metavar="FILE", help="The report.  [default: RESULTS.html]")
 def report_command(results: Path, out: Path | None) -> int:
-    """Write one HTML page."""
+    """Write the report on an experiment as an HTML page."""
     from brambleusher.lab.experiments.report import page
     from brambleusher.lab.experiments.store import Store, StoreError
 
@@ -115,29 +119,34 @@
     return 0
 
 
-@command.command("drill", help="Play drills: real processes with faults between them, checked.")
+@command.command("drill", help="Run drills: real processes with faults between them, and checks.")
 @click.argument("drills", nargs=-1, required=True, type=FILE_PATH, metavar="FILE...")
-@click.option("--processes", "where", flag_value="processes", default=True, help="Real processes (usual).")
-@click.option("--virtual", "where", flag_value="virtual", help="In virtual time.")
-@click.option("--both", "where", flag_value="both", help="In both worlds, side by side.")
+@click.option(
+    "--processes", "where", flag_value="processes", default=True, help="Use real processes (default)."
+)
+@click.option("--virtual", "where", flag_value="virtual", help="Simulate the drill in virtual time.")
+@click.option("--both", "where", flag_value="both", help="Run both and compare them.")
 @click.option("--logs", type=FILE_PATH, metavar="DIR", help="Keep the sidecars' files and logs here.")
 @click.option(
-    "--breakage", "mutation", default="", metavar="NAME", help="Put a deliberate fault into every sidecar."
+    "--breakage", "mutation", default="", metavar="NAME", help="Inject a deliberate fault into every sidecar."
 )
 @click.option(
     "--sums",
     "has_sums",
     is_flag=True,
-    help="Print the sums over the fleet, memory and descriptors by second.",
+    help="Print totals over the fleet, memory and descriptors for each second.",
+)
+@click.option(
+    "--json", "as_json", is_flag=True, help="Print one line of JSON per run, including its time series."
 )
-@click.option("--json", "as_json", is_flag=True, help="One line of JSON a play, its curves with it.")
 def drill_command(
     drills: tuple[Path, ...], where: str, logs: Path | None, mutation: str, has_sums: bool, as_json: bool
 ) -> int:
     """Run drills and print one line for each.
 
     Returns:
-        Exit status 0, 1 when a drill failed, 2 when a file is invalid, 3 when a rig was too late to judge.
+        Exit status 0, 1 if a drill failed, 2 if a file is invalid, 3 if the test machine was too slow for a
+        valid result.
     """
     from brambleusher.lab.processes.drill import DrillError, read_drill
     from brambleusher.lab.processes.told import play_all
--- a/brambleusher/cli/load.py
+++ b/brambleusher/cli/load.py
@@ -1,4 +1,4 @@
-"""`brambleusher load`: build, inspect, reshape and play demand files."""
+"""`brambleusher load`: build, inspect, transform and play demand files."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 OUT_OPTION = click.option(
     "-o", "--out", type=FILE_PATH, required=True, metavar="FILE", help="The file to write."
 )
-SEED_OPTION = click.option("--seed", default=1, show_default=True, help="For all that is drawn at random.")
+SEED_OPTION = click.option("--seed", default=1, show_default=True, help="The seed of all random choices.")
 Parameters = ParamSpec("Parameters")
 
 
@@ -56,14 +56,14 @@
     return run_reporting_errors
 
 
-@click.group(help="Demand from HAR files, access logs, JSON lines and captures.")
+@click.group(help="Build and replay load from HAR files, access logs, JSON lines and captures.")
 def command() -> None:
-    """Group the commands on demand."""
+    """Group the commands on demand files."""
 
 
 @contextmanager
 def progress_bar(total: int) -> Iterator[Progress | None]:
-    """Show a progress bar where standard error is a terminal; `total` is in bytes or in requests."""
+    """Show a progress bar if standard error is a terminal; `total` is in bytes or in requests."""
     if not sys.stderr.isatty():
         yield None
         return
@@ -80,37 +80,55 @@
     """Reject an output file that is one of its own sources.
 
     Raises:
-        SourceError: the output is one of the sources.
+        SourceError: The output is one of the sources.
     """
     for source in sources:
         try:
             if source.samefile(out):
-                raise SourceError(f"{out}: the output would take the place of what it is made of")
+                raise SourceError(f"{out}: the output would overwrite one of its sources")
         except OSError:
-            continue  # one of them does not exist; opening a missing source reports it
+            continue  # one file does not exist; opening a missing source reports it later
 
 
-@command.command("build", help="Make a demand file of sources, which are put together by their times.")
+@command.command("build", help="Build a demand file from sources, merged by time.")
 @click.argument("sources", nargs=-1, required=True, type=FILE_PATH, metavar="SOURCE...")
 @OUT_OPTION
-@click.option("--form", type=click.Choice(FORMS), help="What the sources are.  [default: by how each begins]")
+@click.option("--form", type=click.Choice(FORMS), help="The format of the sources.  [default: detected]")
 @click.option(
-    "--log-format", metavar="FORMAT", help="Of access logs: a LogFormat, common, combined, platform."
+    "--log-format",
+    metavar="FORMAT",
+    help="The format of access logs: a LogFormat, common, combined, platform.",
 )
-@click.option("--mapping", type=FILE_PATH, metavar="FILE", help="What rows mean, in YAML.")
-@click.option("--window", type=DURATION_S, default=5.0, show_default=True, help="Seconds to put in order.")
+@click.option("--mapping", type=FILE_PATH, metavar="FILE", help="The meaning of rows, in YAML.")
 @click.option(
-    "--spread", type=click.Choice(SPREADS), default="none", show_default=True, help="Of whole seconds."
+    "--window",
+    type=DURATION_S,
+    default=5.0,
+    show_default=True,
+    help="The seconds over which rows are sorted.",
+)
+@click.option(
+    "--spread",
+    type=click.Choice(SPREADS),
+    default="none",
+    show_default=True,
+    help="How to spread times in whole seconds.",
+)
+@click.option(
+    "--processes",
+    type=click.IntRange(1, 64),
+    default=2,
+    show_default=True,
+    help="The processes that parse lines.",
 )
-@click.option("--processes", type=click.IntRange(1, 64), default=2, show_default=True, help="To parse lines.")
 @SEED_OPTION
-@click.option("--json", "as_json", is_flag=True, help="The report as JSON.")
+@click.option("--json", "as_json", is_flag=True, help="Print the report as JSON.")
 @reports_errors
 def build_command(
     sources: tuple[Path, ...], out: Path, form: str | None, log_format: str | None, mapping: Path | None,
     window: float, spread: str, processes: int, seed: int, as_json: bool,
 ) -> int:  # fmt: skip
-    """Build a demand file; status 1 when a source is invalid, and then no file is left."""
+    """Build a demand file; return status 1 and leave no file if a source is invalid."""
     check_not_overwritten(out, *sources, *([mapping] if mapping else []))
     rules = RowMapping() if mapping is None else read_mapping(mapping)
     plan = Plan(
@@ -129,7 +147,7 @@
     return 0
 
 
-@command.command("inspect", help="Rate, mix, bursts and tenants of a demand file.")
+@command.command("inspect", help="Print rate, mix, bursts and tenants of a demand file.")
 @click.argument("file", type=FILE_PATH)
 @click.option(
     "--plot", "plot_path", type=FILE_PATH, metavar="FILE", help="Draw the rate by class (.svg, .png, .pdf)."
@@ -137,7 +155,7 @@
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
 @reports_errors
 def inspect_command(file: Path, plot_path: Path | None, as_json: bool) -> int:
-    """Print metrics of a demand file, which is read completely and verified."""
+    """Read and verify a complete demand file, and print its metrics."""
     if plot_path is not None and plot_path.suffix.lower() not in PLOT_SUFFIXES:
         raise click.BadParameter(
             f"{str(plot_path)!r} ends in none of {', '.join(PLOT_SUFFIXES)}", param_hint="--plot"
@@ -161,7 +179,7 @@
 
 
 def original_provenance(made: dict[str, Any]) -> dict[str, Any]:
-    """Find how demand was made at first, before it was cut, scaled or mixed."""
+    """Return how demand was originally built, before it was cut, scaled or mixed."""
     while isinstance(made.get("made"), dict):
         made = made["made"]
     return made
@@ -170,7 +188,7 @@
 def write_derived(
     source: DemandFile, out: Path, requests: Iterator[Request], by: str, parameters: Mapping[str, object]
 ) -> int:
-    """Write demand that was derived from a file, and print the number of requests."""
+    """Write demand derived from a file, and print the number of requests."""
     check_not_overwritten(out, source.path)
     made = {"by": by, "of": source.path.name, **parameters, "made": source.header.made}
     count = demand.write(out, requests, made, source.footer.report)
@@ -178,16 +196,16 @@
     return 0
 
 
-@command.command("cut", help="A span of time of a demand file.")
+@command.command("cut", help="Extract a time span of a demand file.")
 @click.argument("file", type=FILE_PATH)
 @OUT_OPTION
 @click.option(
     "--from", "start", metavar="TIME", help="Seconds from the start, or ISO 8601.  [default: the start]"
 )
-@click.option("--to", "end", metavar="TIME", help="The same; it is not in the span.  [default: the end]")
+@click.option("--to", "end", metavar="TIME", help="The end, in the same form, excluded.  [default: the end]")
 @reports_errors
 def extract_span(file: Path, out: Path, start: str | None, end: str | None) -> int:
-    """Extract a span of time of a demand file."""
+    """Extract a time span of a demand file."""
     with DemandFile(file) as source:
         first_ns = source.span_ns[0]
         start_ns = None if start is None else shape.moment(start, first_ns)
@@ -199,7 +217,7 @@
 
 
 def parse_factors(pairs: tuple[str, ...], option: str) -> dict[str, float]:
-    """Parse `NAME=FACTOR` pairs."""
+    """Parse `NAME=FACTOR` pairs into a mapping."""
     found: dict[str, float] = {}
     for pair in pairs:
         name, equals, text = pair.rpartition("=")
@@ -214,12 +232,12 @@
     except ValueError:
         value = -1.0
     if not 0 <= value < MAX_FACTOR:
-        raise click.BadParameter(f"{text!r} is no factor", param_hint=option)
+        raise click.BadParameter(f"{text!r} is not a number of at least 0", param_hint=option)
     return value
 
 
 def parse_bursts(texts: tuple[str, ...], start_ns: int) -> tuple[shape.Burst, ...]:
-    """Parse `FROM..TO=FACTOR` spans."""
+    """Parse `FROM..TO=FACTOR` texts into bursts."""
     found = []
     for burst in texts:
         span, _, text = burst.rpartition("=")
@@ -228,27 +246,39 @@
             raise click.BadParameter(f"{burst!r} is not FROM..TO=FACTOR", param_hint="--burst")
         edges = [shape.moment(each, start_ns) - start_ns for each in (first, last)]
         if edges[1] <= edges[0]:
-            raise click.BadParameter(f"{burst!r} ends before it begins", param_hint="--burst")
+            raise click.BadParameter(f"{burst!r} ends before it starts", param_hint="--burst")
         found.append(shape.Burst(edges[0], edges[1], parse_factor(text, "--burst")))
     return tuple(found)
 
 
-@command.command("scale", help="Faster, more, another mix, one burst multiplied.")
+@command.command("scale", help="Change speed, rate, mix or bursts.")
 @click.argument("file", type=FILE_PATH)
 @OUT_OPTION
-@click.option("--speed", type=SPEED, default=1.0, help="Times as fast.")
-@click.option("--rate", type=FACTOR, default=1.0, help="Times as many.")
-@click.option("--class", "classes", multiple=True, metavar="NAME=FACTOR", help="Times as many of a class.")
-@click.option("--tenant", "tenants", multiple=True, metavar="NAME=FACTOR", help="Times as many of a tenant.")
-@click.option("--burst", "spans", multiple=True, metavar="FROM..TO=FACTOR", help="Times as many in a span.")
-@click.option("--jitter", type=DURATION_S, default=1.0, show_default=True, help="Seconds, of copies.")
+@click.option("--speed", type=SPEED, default=1.0, help="Factor on the speed.")
+@click.option("--rate", type=FACTOR, default=1.0, help="Factor on the rate.")
+@click.option(
+    "--class", "classes", multiple=True, metavar="NAME=FACTOR", help="Factor on the rate of a class."
+)
+@click.option(
+    "--tenant", "tenants", multiple=True, metavar="NAME=FACTOR", help="Factor on the rate of a tenant."
+)
+@click.option(
+    "--burst", "spans", multiple=True, metavar="FROM..TO=FACTOR", help="Factor on the rate in a span."
+)
+@click.option(
+    "--jitter",
+    type=DURATION_S,
+    default=1.0,
+    show_default=True,
+    help="Time offset of copied requests in seconds.",
+)
 @SEED_OPTION
 @reports_errors
 def scale_command(
     file: Path, out: Path, speed: float, rate: float, classes: tuple[str, ...], tenants: tuple[str, ...],
     spans: tuple[str, ...], jitter: float, seed: int,
 ) -> int:  # fmt: skip
-    """Reshape demand: its speed, rate, mix and bursts."""
+    """Change the speed, rate, mix and bursts of demand."""
     with DemandFile(file) as source:
         start_ns = source.span_ns[0]
         scale = shape.Scale(
@@ -263,11 +293,11 @@
         return write_derived(source, out, requests, "scale", parameters)
 
 
-@command.command("mix", help="Several demand files as one.")
+@command.command("mix", help="Merge several demand files.")
 @click.argument("files", nargs=-1, required=True, type=FILE_PATH, metavar="FILE...")
 @OUT_OPTION
 @click.option("--align", type=click.Choice(["start", "clock"]), default="start", show_default=True,
-              help="All begin with the first file, or each when it did.")  # fmt: skip
+              help="All start with the first file, or each at its own time.")  # fmt: skip
 @reports_errors
 def mix_command(files: tuple[Path, ...], out: Path, align: str) -> int:
     """Merge several demand files into one."""
@@ -288,7 +318,7 @@
     return 0
 
 
-@command.command("export", help="A demand file as a HAR file.")
+@command.command("export", help="Export a demand file as a HAR file.")
 @click.argument("file", type=FILE_PATH)
 @OUT_OPTION
 @reports_errors
@@ -302,19 +332,19 @@
     return 0
 
 
-@command.command("make", help="Demand of the project's own making: marketplaces, an on-sale burst, retries.")
+@command.command("make", help="Generate synthetic demand: marketplaces, an on-sale burst, retries.")
 @click.argument("recipe", required=False, type=FILE_PATH)
 @OUT_OPTION
 @click.option(
     "--form", type=click.Choice(["demand", "har", "access", "json"]), default="demand", show_default=True
 )
 @click.option(
-    "--whole-seconds", "has_full_seconds", is_flag=True, help="An access log without parts of a second."
+    "--whole-seconds", "has_full_seconds", is_flag=True, help="Write access log times in whole seconds."
 )
 @SEED_OPTION
 @reports_errors
 def make_command(recipe: Path | None, out: Path, form: str, has_full_seconds: bool, seed: int) -> int:
-    """Make demand by a recipe in YAML, or by the default one."""
+    """Generate demand from a YAML recipe, or from the default recipe."""
     if recipe is not None:
         check_not_overwritten(out, recipe)
     plan = synthetic.Recipe() if recipe is None else synthetic.read_recipe(recipe)
@@ -340,14 +370,14 @@
 
 
 def resolve_addresses(targets: tuple[str, ...]) -> list[tuple[str, int]]:
-    """Parse and resolve `host:port` addresses, several of which a comma separates."""
+    """Parse and resolve comma-separated `host:port` addresses."""
     from brambleusher.runtime.streams import parse_address
 
     try:
         found = [parse_address(address) for target in targets for address in target.split(",")]
     except ValueError as error:
         raise click.BadParameter(str(error), param_hint="--target") from None
-    # A name is looked up once: looked up for each connection, it would hold up all that is due meanwhile.
+    # Each name is resolved once, as resolving it for every connection would delay all other requests.
     try:
         return [(socket.gethostbyname(host), port) for host, port in found]
     except (OSError, UnicodeError) as error:
@@ -355,25 +385,36 @@
         raise click.BadParameter(f"{names}: {error}", param_hint="--target") from None
 
 
-@command.command("play", help="Play a demand file, each request at its time whatever the answers do.")
+@command.command("play", help="Play a demand file, sending each request on time regardless of responses.")
 @click.argument("file", type=FILE_PATH)
 @click.option(
-    "--target", "targets", multiple=True, required=True, metavar="HOST:PORT,...", help="Asked in turn."
+    "--target",
+    "targets",
+    multiple=True,
+    required=True,
+    metavar="HOST:PORT,...",
+    help="The targets, used in turn.",
+)
+@click.option("--speed", type=SPEED, default=1.0, help="Factor on the speed.")
+@click.option(
+    "--processes",
+    type=click.IntRange(1, 64),
+    default=2,
+    show_default=True,
+    help="The processes that send requests.",
 )
-@click.option("--speed", type=SPEED, default=1.0, help="Times as fast.")
-@click.option("--processes", type=click.IntRange(1, 64), default=2, show_default=True, help="That play.")
 @click.option("--timeout-ms", type=click.IntRange(min=1), default=2000, show_default=True,
-              help="Of requests that have none.")  # fmt: skip
+              help="The timeout of requests that have none.")  # fmt: skip
 @click.option("--most-open", type=click.IntRange(min=1), default=4096, show_default=True,
-              help="Requests open at once in a process; beyond, they are counted as unsent.")  # fmt: skip
-@click.option("--seed", type=int, help="Of the requests' ids.  [default: a new one]")
-@click.option("--json", "as_json", is_flag=True, help="The results as JSON.")
+              help="Open requests per process; requests beyond this are counted as unsent.")  # fmt: skip
+@click.option("--seed", type=int, help="The seed of the request ids.  [default: random]")
+@click.option("--json", "as_json", is_flag=True, help="Print the results as JSON.")
 @reports_errors
 def play_command(
     file: Path, targets: tuple[str, ...], speed: float, processes: int, timeout_ms: int, most_open: int,
     seed: int | None, as_json: bool,
 ) -> int:  # fmt: skip
-    """Play on sockets; status 1 when the generator itself was late or left requests unsent."""
+    """Send requests on sockets; return status 1 if the generator was late or left requests unsent."""
     from brambleusher.load.pacing import Pace
     from brambleusher.load.player import Play
     from brambleusher.load.processes import PlayError, play
@@ -382,8 +423,8 @@
         source.verify()
         total, start_ns = len(source), source.span_ns[0]
     if not total:
-        raise SourceError(f"{file}: there are no requests")
-    # Two plays at once must not have the same ids.
+        raise SourceError(f"{file}: the file has no requests")
+    # Two concurrent runs must not use the same request ids.
     ids = random.SystemRandom().getrandbits(63) if seed is None else seed
     plan = Play(resolve_addresses(targets), Pace(start_ns, speed), timeout_ms, most_open, seed=ids)
     try:
--- a/brambleusher/cli/ranges.py
+++ b/brambleusher/cli/ranges.py
@@ -1,4 +1,4 @@
-"""Types of numeric options: finite, and bounded so that what is computed from them is finite, too."""
+"""Types of numeric options with bounds that keep values computed from them finite."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 import click
 
-MAX_S = 1e9  # some thirty years; nanoseconds of it fit into 64 bits
+MAX_S = 1e9  # about thirty years; the same time in nanoseconds fits into 64 bits
 MAX_FACTOR = 1e6
 
 
 class FiniteRange(click.FloatRange):
-    """A range of floats without NaN, which passes every comparison with a bound."""
+    """A range of floats that rejects NaN, which a range check with comparisons would accept."""
 
     def convert(self, value: float, param: click.Parameter | None, ctx: click.Context | None) -> float:
-        """Convert the value of an option; fails with a message that names it."""
+        """Convert the value of an option; fail with a message that names the option."""
         number = super().convert(value, param, ctx)
         if not math.isfinite(number):
-            self.fail(f"{value!r} is no finite number", param, ctx)
+            self.fail(f"{value!r} is not a finite number", param, ctx)
         return number
 
 
--- a/brambleusher/cli/soak.py
+++ b/brambleusher/cli/soak.py
@@ -1,4 +1,4 @@
-"""`brambleusher soak`: the whole system as real processes, under overlapping signals and changes."""
+"""`brambleusher soak`: run the whole system as real processes under overlapping signals and changes."""
 
 from __future__ import annotations
 
@@ -17,28 +17,34 @@
 
 
 def seeds_of(text: str) -> range:
-    """Return the seeds that FROM:TO names, or the single one; raises `click.BadParameter`."""
+    """Parse FROM:TO or a single seed into a range; raise `click.BadParameter` for any other text."""
     first, colon, last = text.partition(":")
     if not first.isdigit() or (colon and not last.isdigit()):
         raise click.BadParameter(f"{text!r} is not FROM:TO", param_hint="--seeds")
     return range(int(first), int(last) if colon else int(first) + 1)
 
 
-@click.command(help="Play seeded soaks of the whole system with real processes, and check every rule.")
-@click.option("--seeds", default="1:2", metavar="FROM:TO", help="Which seeds, the last one not included.")
-@click.option("--seconds", default=30.0, show_default=True, help="How long actions go on, each.")
-@click.option("--gateways", default=4, show_default=True, help="Gateways.")
-@click.option("--clients", default=24, show_default=True, help="Clients.")
-@click.option("--instances", default=6, show_default=True, help="Instances, of two services.")
-@click.option("--sidecars", default=2, show_default=True, help="Sidecars, with endpoints of their own.")
+@click.command(
+    help="Run seeded soak tests of the whole system with real processes, and check all invariants."
+)
+@click.option("--seeds", default="1:2", metavar="FROM:TO", help="The seeds to run, excluding TO.")
+@click.option("--seconds", default=30.0, show_default=True, help="The duration of each soak test.")
+@click.option("--gateways", default=4, show_default=True, help="Number of gateways.")
+@click.option("--clients", default=24, show_default=True, help="Number of clients.")
+@click.option("--instances", default=6, show_default=True, help="Number of instances of the two services.")
+@click.option(
+    "--sidecars", default=2, show_default=True, help="Number of sidecars, each with its own endpoints."
+)
 @click.option(
     "--departed",
     default=DEPARTED_S,
     show_default=True,
-    help="Seconds that a run may go on after its client left, beyond the soak's own lateness.",
+    help="Seconds that a request may run after its client has left, beyond the delay of the test itself.",
+)
+@click.option("--mutation", default="", metavar="NAME", help="Inject a fault into all processes.")
+@click.option(
+    "--logs", "folder", metavar="FOLDER", help="Keep settings and logs of all processes in this folder."
 )
-@click.option("--mutation", default="", metavar="NAME", help="Plant a fault in all processes.")
-@click.option("--logs", "folder", metavar="FOLDER", help="Keep settings and logs of all processes there.")
 def command(
     seeds: str,
     seconds: float,
@@ -50,10 +56,10 @@
     mutation: str,
     folder: str | None,
 ) -> int:
-    """Play soaks one after the other, then print how soon departures ended and what overlapped.
+    """Run soak tests one after the other, then print departure times and which events overlapped.
 
     Returns:
-        Exit status 0 where no rule was broken, 1 where one was, 2 where a soak could not be played.
+        Exit status 0 if all invariants held, 1 if one was violated, 2 if a soak test could not run.
     """
     is_broken = False
     times, coincidences = DepartureTimes(), Coincidences()
--- a/brambleusher/cli/soak_mutations.py
+++ b/brambleusher/cli/soak_mutations.py
@@ -1,4 +1,4 @@
-"""`brambleusher soak-mutations`: how many seeds a soak takes to find each planted fault."""
+"""`brambleusher soak-mutations`: count the seeds that a soak test needs to find each injected fault."""
 
 from __future__ import annotations
 
@@ -15,21 +15,25 @@
 JOBS_MAX = 16
 
 
-@click.command(help="Play soaks against planted faults, and count the seeds until each is found.")
+@click.command(help="Run soak tests with injected faults, and count the seeds until each fault is found.")
 @click.argument("names", nargs=-1)
 @click.option(
-    "--seeds", default=SEEDS, show_default=True, metavar="FROM:TO", help="Seeds, the last not included."
+    "--seeds", default=SEEDS, show_default=True, metavar="FROM:TO", help="The seeds to run, excluding TO."
 )
-@click.option("--seconds", default=20.0, show_default=True, help="How long actions go on, each.")
+@click.option("--seconds", default=20.0, show_default=True, help="The duration of each soak test.")
 @click.option(
-    "--jobs", default=2, show_default=True, type=click.IntRange(1, JOBS_MAX), help="Soaks at a time."
+    "--jobs",
+    default=2,
+    show_default=True,
+    type=click.IntRange(1, JOBS_MAX),
+    help="Soak tests to run at the same time.",
 )
-@click.option("--list", "is_list", is_flag=True, help="Name the planted faults, and play none.")
+@click.option("--list", "is_list", is_flag=True, help="List the faults without running a test.")
 def command(names: tuple[str, ...], seeds: str, seconds: float, jobs: int, is_list: bool) -> int:
-    """Play soaks, and print a row for each planted fault.
+    """Run soak tests, and print a row for each injected fault.
 
     Returns:
-        Exit status 0 where all were found, 1 where one was not, 2 where a name or an option is wrong.
+        Exit status 0 if all faults were found, 1 if one was missed, 2 if a name or an option is invalid.
     """
     if is_list:
         for mutation in MUTATIONS.values():
--- a/brambleusher/runtime/scheduler.py
+++ b/brambleusher/runtime/scheduler.py
@@ -392,7 +392,7 @@
                 self.wake(task, _SOCKET)
             elif fd == self._waker.fileno():
                 self._waker.clear()
-            else:  # an unwaited socket would end every poll immediately
+            else:  # a stale descriptor, which would end every poll immediately
                 self._unregister_unwaited(fd)
 
     def _unregister_unwaited(self, fd: int) -> None:
--- a/brambleusher/system_main.py
+++ b/brambleusher/system_main.py
@@ -1,4 +1,4 @@
-"""Starts one role of the whole serving system; everything else on its command line is `fire`'s."""
+"""Starts one role of the whole serving system, and passes other command lines to `fire`."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from itertools import zip_longest
 from typing import TYPE_CHECKING
 
-if TYPE_CHECKING:  # imported late: signals are held before anything that takes time
+if TYPE_CHECKING:  # imported late at run time, so that signals are held before slow imports
     from brambleusher.system_roles import GatewayOptions
 
 SETTINGS_VARIABLE = "BRAMBLEUSHER_SETTINGS"
@@ -19,8 +19,8 @@
 def main(arguments: Sequence[str] | None = None) -> int:
     """Run `gateway`, `controller`, `member`, or one of the tools; return the exit status.
 
-    A gateway takes `--policy FILE` and `--metrics PORT/PATH` too.  A `member` of the control plane is a
-    controller where its machine has a disk, and else an observer.
+    A gateway also takes `--policy FILE` and `--metrics PORT/PATH`. A `member` of the control plane runs a
+    controller if its machine has a disk, otherwise an observer.
     """
     words = sys.argv[1:] if arguments is None else list(arguments)
     match words:
@@ -40,7 +40,7 @@
     values = {"--policy": "", "--metrics": ""}
     for name, value in zip_longest(words[::2], words[1::2]):
         if name not in values or value is None:
-            print(f"brambleusher: gateway: {name!r} is no option with a value", file=sys.stderr)
+            print(f"brambleusher: gateway: {name!r} is not an option with a value", file=sys.stderr)
             return USAGE_EXIT_STATUS
         values[name] = value
     return _start_from_environment("gateway", GatewayOptions(values["--policy"], values["--metrics"]))
@@ -50,7 +50,7 @@
     """Run a role with the settings file that the environment names; return the exit status."""
     path = os.environ.get(SETTINGS_VARIABLE, "")
     if not path:
-        print(f"brambleusher: {SETTINGS_VARIABLE} names no settings file", file=sys.stderr)
+        print(f"brambleusher: {SETTINGS_VARIABLE} does not name a settings file", file=sys.stderr)
         return USAGE_EXIT_STATUS
     from brambleusher.system_roles import start
 
@@ -58,7 +58,7 @@
 
 
 def _main_process() -> int:
-    """Run as a process of its own; return the exit status."""
+    """Run as the main program of a process; return the exit status."""
     if not set(sys.argv[1:2]) & set(ROLES):
         return main()
     from brambleusher.runtime.signal_holding import run_holding_reload
--- a/brambleusher/system_roles.py
+++ b/brambleusher/system_roles.py
@@ -1,4 +1,4 @@
-"""Starts the roles of the whole serving system; imported once it is clear that one is to run."""
+"""Starts the roles of the whole serving system; imported only when a role is started."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayOptions:
-    """What the command line of a gateway may say; empty: nothing."""
+    """The command-line options of a gateway; an empty string means that the option is not given."""
 
     policy_path: str = ""
-    metrics: str = ""  # PORT/PATH
+    metrics: str = ""  # the metrics endpoint as PORT/PATH
 
 
 def start(role: str, path: str, options: GatewayOptions | None = None) -> int:
@@ -45,7 +45,7 @@
 
 
 def _start_gateway(settings: reader.Settings, path: str, options: GatewayOptions) -> int:
-    """Run a gateway; raises `InvalidFileError` and `InvalidMetricsEndpointError`."""
+    """Run a gateway; raise `InvalidFileError` or `InvalidMetricsEndpointError` for invalid options."""
     from brambleusher.gateway.app import Gateway
 
     policy = policy_reader.read(options.policy_path) if options.policy_path else Policy()
@@ -55,7 +55,7 @@
 
 
 def _start_without_disk(role: str, settings: reader.Settings, path: str) -> int:
-    """Run an observer on a machine without a disk, where a controller may run on any machine of a class."""
+    """Run an observer on a machine without a disk; reject other roles, which need a data folder."""
     if role != MEMBER:
         print(f"brambleusher: {path}: data_dir: a controller needs a folder", file=sys.stderr)
         return USAGE_EXIT_STATUS
--- a/brambleusher/system_tools.py
+++ b/brambleusher/system_tools.py
@@ -1,4 +1,4 @@
-"""Tools of the whole serving system on the command line, by `fire`: checks, a data folder, a status."""
+"""Command-line tools of the whole serving system, which check files and show state and status."""
 
 from __future__ import annotations
 
@@ -27,15 +27,15 @@
 CALL_TIMEOUT_S = 3.0
 SERVED_PARTIES = frozenset({"edge", "controller", "registry"})
 FAULT_EXIT_STATUS = 1
-PACKAGE_NAME = re.compile(r"[a-z0-9][a-z0-9+.-]+")  # of Debian (policy, 5.6.1)
+PACKAGE_NAME = re.compile(r"[a-z0-9][a-z0-9+.-]+")  # a Debian package name (Debian Policy, section 5.6.1)
 
 
 class ToolError(Exception):
-    """What a tool found wrong, in one line."""
+    """Raised when a tool finds an error; the message is one line."""
 
 
 def check_settings(path: str) -> str:
-    """Read a settings file as a process would at its start."""
+    """Validate a settings file in the same way as a starting process."""
     try:
         settings = settings_reader.read(path)
     except InvalidSettingsError as error:
@@ -44,7 +44,7 @@
 
 
 def check_configuration(path: str) -> str:
-    """Read a configuration as a controller would."""
+    """Validate a configuration in the same way as a controller."""
     try:
         checked = configuration.read(Path(path).read_bytes())
     except (OSError, InvalidConfigurationError) as error:
@@ -53,39 +53,39 @@
 
 
 def check_deploy(path: str = "deploy/system.toml") -> str:
-    """Check a deploy file: a build line, and roles that serve clients, operators and the registry."""
+    """Validate a deploy file, which needs a build line and roles for clients, operators and the registry."""
     try:
         data = tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except (OSError, tomllib.TOMLDecodeError) as error:
         raise ToolError(f"{path}: {error}") from error
     if not isinstance(data.get("build"), str):
-        raise ToolError(f"{path}: build: it is missing")
+        raise ToolError(f"{path}: build: the key is missing")
     _check_packages(path, data.get("packages"))
     served: set[str] = set()
     for name, role in data.get("roles", {}).items():
         for key in ("run", "on"):
             if not isinstance(role.get(key), str):
-                raise ToolError(f"{path}: roles.{name}.{key}: it is missing")
+                raise ToolError(f"{path}: roles.{name}.{key}: the key is missing")
         unknown = set(role.get("serves", [])) - SERVED_PARTIES
         if unknown:
             raise ToolError(f"{path}: roles.{name}.serves: {', '.join(sorted(unknown))} is unknown")
         served |= set(role.get("serves", []))
     if served != SERVED_PARTIES:
-        raise ToolError(f"{path}: roles: nobody serves {', '.join(sorted(SERVED_PARTIES - served))}")
+        raise ToolError(f"{path}: roles: no role serves {', '.join(sorted(SERVED_PARTIES - served))}")
     return f"{path}: {len(data['roles'])} roles"
 
 
 def _check_packages(path: str, packages: object) -> None:
-    """Check a list of system packages; raises `ToolError`."""
+    """Validate a list of system packages; raise `ToolError` if it is invalid."""
     if not isinstance(packages, list) or not packages:
-        raise ToolError(f"{path}: packages: it lists no system package, and a clean machine has none")
+        raise ToolError(f"{path}: packages: the list is empty, but a clean machine needs system packages")
     for package in packages:
         if not isinstance(package, str) or not PACKAGE_NAME.fullmatch(package):
-            raise ToolError(f"{path}: packages: {package!r} is no package name")
+            raise ToolError(f"{path}: packages: {package!r} is not a package name")
 
 
 def check_policy(path: str) -> str:
-    """Read a policy file as a gateway would at its start."""
+    """Validate a policy file in the same way as a starting gateway."""
     try:
         checked = policy_reader.read(path)
     except InvalidPolicyError as error:
@@ -102,9 +102,9 @@
 
 
 def state(folder: str) -> str:
-    """Verify a controller's data folder, changing nothing, and show its content as one JSON object."""
+    """Verify a controller's data folder without changing it, and return its content as a JSON object."""
     if not Path(folder).is_dir():
-        raise ToolError(f"{folder}: it is no folder")
+        raise ToolError(f"{folder}: not a folder")
     try:
         found = inspect(FolderDisk(folder))
     except CorruptStorageError as error:
@@ -113,18 +113,18 @@
 
 
 def status(address: str) -> str:
-    """Ask a running gateway (its `ready` address) or controller (its `control` address) for its state."""
+    """Return the status of a gateway (at its `ready` address) or controller (at its `control` address)."""
     try:
         status_code, body = _get(address, "/api/status")
     except (HttpCallError, ValueError) as error:
         raise ToolError(f"{address}: {error}") from error
     if status_code != HTTPStatus.OK:
-        raise ToolError(f"{address}: it answers {status_code}")
+        raise ToolError(f"{address}: the response status is {status_code}")
     return json.dumps(json.loads(body), indent=2)
 
 
 def _get(address: str, path: str) -> tuple[int, bytes]:
-    """Return status and body of a call; raises `HttpCallError`, and `ValueError` for a wrong address."""
+    """Return status and body of a GET; raise `HttpCallError`, or `ValueError` for an invalid address."""
     server = parse_address(address)
     scheduler = Scheduler(RealSystem())
     outcomes: list[Result[tuple[int, bytes], HttpCallError]] = []
@@ -156,7 +156,7 @@
 
 
 def run(words: Sequence[str]) -> int:
-    """Run one tool; return 0 where it found nothing wrong, 1 for a fault, 2 for a wrong call."""
+    """Run one tool; return 0 if it found no error, 1 if it found one, 2 for invalid arguments."""
     import fire
 
     try:
