--- a/brambleusher/cli/explore.py
+++ b/brambleusher/cli/explore.py
@@ -118,7 +118,7 @@
         raise ExploreUsageError(f"--seeds {text}: must be FIRST:END, two whole numbers")
     first, end = int(found[1]), int(found[2])
     if not 0 < end - first <= MAX_SEEDS:
-        raise ExploreUsageError(f"--seeds {text}: END must exceed FIRST by at most {MAX_SEEDS}")
+        raise ExploreUsageError(f"--seeds {text}: END must exceed FIRST, by {MAX_SEEDS} at most")
     return range(first, end)
 
 
--- a/brambleusher/cli/load.py
+++ b/brambleusher/cli/load.py
@@ -85,7 +85,7 @@
     for source in sources:
         try:
             if source.samefile(out):
-                raise SourceError(f"{out}: the output would overwrite one of its sources")
+                raise SourceError(f"{out}: the output would take the place of what it is made of")
         except OSError:
             continue  # one file does not exist; opening a missing source reports it later
 
--- a/brambleusher/cli/ranges.py
+++ b/brambleusher/cli/ranges.py
@@ -17,7 +17,7 @@
         """Convert the value of an option; fail with a message that names the option."""
         number = super().convert(value, param, ctx)
         if not math.isfinite(number):
-            self.fail(f"{value!r} is not a finite number", param, ctx)
+            self.fail(f"{value!r} is no finite number", param, ctx)
         return number
 
 
--- a/brambleusher/runtime/scheduler.py
+++ b/brambleusher/runtime/scheduler.py
@@ -398,8 +398,8 @@
     def _unregister_unwaited(self, fd: int) -> None:
         """Stop polling a descriptor that no task waits for.
 
-        In the same iteration, the callback of a watched descriptor may have woken the task that waited for this
-        descriptor and so have unregistered it already.
+        In the same iteration, the callback of a watched descriptor may have woken the task waiting for this
+        descriptor, and so may have unregistered it already.
         """
         with suppress(KeyError):
             self._poll.unregister(fd)
