--- a/brambleusher/cli/load.py
+++ b/brambleusher/cli/load.py
@@ -246,7 +246,7 @@
             raise click.BadParameter(f"{burst!r} is not FROM..TO=FACTOR", param_hint="--burst")
         edges = [shape.moment(each, start_ns) - start_ns for each in (first, last)]
         if edges[1] <= edges[0]:
-            raise click.BadParameter(f"{burst!r} ends before it starts", param_hint="--burst")
+            raise click.BadParameter(f"{burst!r} ends before it begins", param_hint="--burst")
         found.append(shape.Burst(edges[0], edges[1], parse_factor(text, "--burst")))
     return tuple(found)
 
--- a/tests/cli/test_command_line.py
+++ b/tests/cli/test_command_line.py
@@ -1,4 +1,4 @@
-"""The command line: what serving loads, exit statuses, what a missing extra says."""
+"""Tests of the command line: imports when serving, exit statuses, errors for a missing extra."""
 
 from __future__ import annotations
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Tests listed in KNOWN-RED.txt have to fail, and are printed; so is how many messages were mutated."""
+"""Expects the tests listed in KNOWN-RED.txt to fail, and prints them and the number of mutated messages."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @pytest.fixture(autouse=True)
 def log_as_it_was() -> Iterator[None]:
-    """A test that starts a program configures the log; its stream is closed once that test is over."""
+    """Restore the log configuration, as a program started by a test logs to a stream that is closed later."""
     log = logging.getLogger("brambleusher")
     handlers, level, propagate = list(log.handlers), log.level, log.propagate
     yield
@@ -21,7 +21,7 @@
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Mark them, strictly: one that passes fails the run; so does, in a whole run, one that is not there."""
+    """Mark the listed tests as strict expected failures; in a full run, a missing test is an error."""
     try:
         entries = known_red()
     except KnownRedError as error:
@@ -36,7 +36,7 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print them, and the sum that tests recorded as `mutations_of_one_message`."""
+    """Print the listed tests, and the sum that tests recorded as `mutations_of_one_message`."""
     passed = terminalreporter.stats.get("passed", [])
     counts = [dict(report.user_properties).get("mutations_of_one_message", 0) for report in passed]
     if any(counts):
--- a/tests/crossing.py
+++ b/tests/crossing.py
@@ -1,7 +1,7 @@
-"""Means to force two events to cross: hooks before calls of the sidecar's sockets, and its hub held still.
+"""Helpers to force race conditions with hooks before socket calls and by holding the scheduler.
 
-A hook runs in the sidecar's thread right before the call that it is named for, so what a test does in it has
-happened when the call is made, and not a moment before.
+A hook runs in the sidecar's thread immediately before the socket call that it is registered for, so the
+actions of a test in a hook are complete when the call is made.
 """
 
 from __future__ import annotations
@@ -23,15 +23,15 @@
 
 
 class Hooks:
-    """Calls to make before calls of sockets, each once; by the kind of socket and the method's name."""
+    """One-time hooks before socket calls, by the kind of socket and the method name."""
 
     def __init__(self) -> None:
         self._hooks: dict[tuple[str, str], Hook] = {}
-        self.made: list[tuple[str, str]] = []  # calls that had a hook
-        self.open = 0  # sockets
+        self.made: list[tuple[str, str]] = []  # socket calls whose hook has run
+        self.open = 0  # number of open sockets
 
     def before(self, kind: str, *methods: str, do: Hook) -> None:
-        """Once, before the first of these methods on a socket of this kind."""
+        """Run a hook once, before the first call of one of these methods on a socket of this kind."""
         for method in methods:
             self._hooks[kind, method] = do
 
@@ -45,7 +45,7 @@
 
 
 class HookedSocket(socket.socket):
-    """A socket with hooks before the calls that end or begin something."""
+    """A socket that runs hooks before `shutdown`, `close` and `send`."""
 
     hooks: Hooks
     kind: str
@@ -75,11 +75,11 @@
 
 
 class HookedSystem(RealSystem):
-    """The machine, with hooks on the sockets of clients ("client"), of nodes and discovery ("upstream")."""
+    """The operating system with hooks on "client" sockets and "upstream" sockets to nodes and discovery."""
 
     def __init__(self) -> None:
         self.hooks = Hooks()
-        self.most_sockets = 1 << 30  # more of them are refused as the system refuses descriptors
+        self.most_sockets = 1 << 30  # limit of open sockets; above it, opening fails with EMFILE
         self.most_seen = 0
 
     def _need_one(self) -> None:
@@ -100,13 +100,13 @@
         return HookedSocket.of(super().connection(), "upstream", self.hooks)
 
     def error_of(self, sock: Socket) -> int:
-        """Called when a connect has come up, before anything is sent on it."""
+        """Run the "connected" hook when a connection is established, before anything is sent on it."""
         self.hooks.run("upstream", "connected")
         return super().error_of(sock)
 
 
 class Patient(unittest.TestCase):
-    """A test case that waits for what has to come."""
+    """A test case with a helper that waits for a condition."""
 
     def until(self, what: Callable[[], bool], why: str = "") -> None:
         end = time.monotonic() + WAIT
@@ -117,7 +117,7 @@
 
 @contextmanager
 def held_still(rig: Rig) -> Iterator[None]:
-    """The sidecar's hub stands still: what happens here has all happened when it looks again."""
+    """Hold the sidecar's scheduler, so that all events in this block have occurred when it continues."""
     still, go_on = threading.Event(), threading.Event()
 
     def hold() -> None:
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,8 +1,8 @@
-"""KNOWN-RED.txt: tests that fail for a real fault which is not mended yet, a line each.
+"""Reads KNOWN-RED.txt, which lists tests that fail because of a bug that is not fixed yet, one per line.
 
     tests/test_x.py::test_y, what is wrong, issue 12
 
-CI passes over these alone and prints them.  An entry whose test passes, or that names none, fails CI.
+CI tolerates only these failures and prints them. An entry whose test passes or does not exist fails CI.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 
 
 class KnownRedError(ValueError):
-    """KNOWN-RED.txt can't be used; the message names the line."""
+    """Raised for an invalid KNOWN-RED.txt; the message names the line."""
 
 
 @dataclass(frozen=True, slots=True)
 class KnownRed:
-    """One test that is known to fail."""
+    """An entry of KNOWN-RED.txt for a test that is known to fail."""
 
     test: str
     cause: str
@@ -28,7 +28,7 @@
 
 
 def read_known_red(text: str) -> list[KnownRed]:
-    """The entries of a file; raises `KnownRedError`."""
+    """Parse the entries of a file; raise `KnownRedError` if the file is invalid."""
     entries = []
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip():
@@ -43,5 +43,5 @@
 
 
 def known_red() -> list[KnownRed]:
-    """The entries of this repository."""
+    """Return the entries of this repository's KNOWN-RED.txt."""
     return read_known_red(FILE.read_text(encoding="utf-8")) if FILE.exists() else []
--- a/tests/net/test_bodies.py
+++ b/tests/net/test_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies that are not held: both ways, in pieces cut anywhere, slow ones, spoilt ones."""
+"""Tests of streamed request and response bodies with any chunk boundaries, slow peers and malformed data."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 OK = b"HTTP/1.1 200 OK\r\n"
 CHUNKED = b"Transfer-Encoding: chunked\r\n\r\n"
-LARGE = bytes(range(256)) * 1200  # 300 KB
+LARGE = bytes(range(256)) * 1200  # 300 KB, larger than a buffered body
 
 
 def chunks(body: bytes, size: int) -> bytes:
@@ -28,7 +28,7 @@
 
 
 def whole(sock: socket.socket) -> tuple[dict[str, str], bytes, bool]:
-    """Headers and body of an answer that passes on, and whether it came to its end."""
+    """Return headers and body of a streamed response, and whether the body is complete."""
     reader, body, done = MessageReader.responses(streaming=True), b"", False
     while not done:
         data = sock.recv(65536)
@@ -113,7 +113,7 @@
 
 
 def settled(rig: Rig) -> None:
-    """Wait until the sidecar has done with all it was asked."""
+    """Wait until the sidecar has no pending requests or open attempts."""
     until = time.monotonic() + WAIT
     while (
         rig.sidecar.upstream_pool.open_attempts
@@ -174,9 +174,11 @@
                     first = sock.recv(65536)
                     self.assertTrue(first.startswith(OK))
                     self.assertEqual(
-                        rig.sidecar.balancer_driver.pending_requests, 0, "for the module it is over"
+                        rig.sidecar.balancer_driver.pending_requests, 0, "finished for the balancer"
+                    )
+                    self.assertEqual(
+                        rig.sidecar.request_counts.in_flight, 1, "still in flight for the client"
                     )
-                    self.assertEqual(rig.sidecar.request_counts.in_flight, 1, "for its client it is not")
                     go.put(1)
                     reader, body, done = MessageReader.responses(streaming=True), b"", False
                     reader.feed(first)
@@ -198,7 +200,7 @@
             self.assertTrue(sock.recv(65536).startswith(OK))
         left_at = time.monotonic()
         node.left.get(timeout=WAIT)
-        self.assertLess(time.monotonic() - left_at, 1.0)  # a piece of the body has 5 s
+        self.assertLess(time.monotonic() - left_at, 1.0)  # the timeout for a chunk of the body is 5 s
         settled(rig)
         self.assertEqual(rig.sidecar.counters.count("answers_cut"), 0)
 
@@ -259,7 +261,7 @@
             self.assertEqual(rig.call("small").body, b"mine")
             self.assertLess(sent.qsize(), MAX_STREAMED_BODY_BYTES >> 20)
             self.assertEqual(rig.sidecar.upstream_pool.open_attempts, 1)
-        settled(rig)  # it left: so does the claim
+        settled(rig)  # the client has left, so the attempt ends too
 
 
 class Uploads(Case):
@@ -270,7 +272,7 @@
         ]).encode()  # fmt: skip
 
     def taking(self) -> tuple[Node, queue.Queue[tuple[Message, bytes]]]:
-        """A node that takes bodies of any size."""
+        """Return a node that accepts bodies of any size, and a queue of the requests it received."""
         got: queue.Queue[tuple[Message, bytes]] = queue.Queue()
 
         class Taking(Node):
@@ -302,7 +304,7 @@
             ("asks first", (length, "Expect: 100-continue"), LARGE),
         ):
             with self.subTest(name), rig.connect() as sock:
-                for turn in range(2):  # the connection is kept
+                for turn in range(2):  # the second request reuses the connection
                     sock.sendall(self.head(f"{name.replace(' ', '')}{turn}", *lines))
                     if len(lines) > 1:
                         self.assertTrue(sock.recv(100).startswith(b"HTTP/1.1 100"))
@@ -332,12 +334,13 @@
 
     def test_one_that_breaks_at_its_node_is_refused_and_goes_nowhere_else(self) -> None:
         def breaking(sock: socket.socket, request: Message) -> None:
-            """Never called: its requests never come whole."""
+            """Do nothing; never called, as no request arrives completely."""
 
         class Breaking(Node):
             def serve(self, sock: socket.socket) -> None:
                 sock.recv(65536)
-                self.left.put(1)  # before the sidecar can answer: what is counted after the answer is whole
+                # Recorded before the sidecar can respond, so that the final count is complete.
+                self.left.put(1)
                 sock.close()
 
         class Turning(Breaking):
@@ -359,7 +362,7 @@
         with rig.connect() as sock:
             sock.sendall(self.head("a", "Content-Length: 3000000") + LARGE)
             reader = MessageReader.responses()
-            while (got := reader.take()) is None:  # the rest is still to come, and the answer is there
+            while (got := reader.take()) is None:  # the response arrives before the request body is complete
                 reader.feed(sock.recv(65536))
         self.assertEqual((got.status, got.keep_alive), (503, False))
         self.assertEqual(sum(node.left.qsize() for node in bad), 1)
--- a/tests/net/test_crossings_client.py
+++ b/tests/net/test_crossings_client.py
@@ -1,4 +1,4 @@
-"""Events that cross on a client's connection, forced on real sockets."""
+"""Tests of race conditions on client connections, forced on real sockets."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def drain(sock: socket.socket) -> bytes:
-    """All that comes up to the connection's end."""
+    """Return all bytes received until the connection ends."""
     got = bytearray()
     while data := sock.recv(65536):
         got += data
@@ -41,12 +41,12 @@
     reader.feed(data)
     while (message := reader.take()) is not None:
         found.append(message)
-    assert not reader.has_begun, "a part of an answer"
+    assert not reader.has_begun, "the connection ended within a response"
     return found
 
 
 class Holding(Node):
-    """A node that answers when a test says so."""
+    """A node that responds only when the test tells it to."""
 
     def __init__(self, backlog: int = 64) -> None:
         self.held: queue.Queue[tuple[socket.socket, Message]] = queue.Queue()
@@ -57,7 +57,7 @@
         script(sock, message)
 
     def reset(self, sock: socket.socket) -> None:
-        """Reset a connection; done when this returns, since the thread that reads it has left."""
+        """Reset a connection; the reset is complete on return, as the reading thread has ended."""
         sock.shutdown(socket.SHUT_RD)
         self.left.get(timeout=WAIT)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -66,7 +66,7 @@
 
 class Case(Patient):
     def setUp(self) -> None:
-        # What rests is closed 0.55 s after the end began, and not as late as the platform lets it be.
+        # Idle connections are closed 0.55 s after the shutdown begins, not as late as the platform allows.
         short = mock.patch.object(lifecycle, "MAX_GRACE_DEADLINE_S", 0.6)
         short.start()
         self.addCleanup(short.stop)
@@ -98,7 +98,7 @@
 
 class Closes(Case):
     def test_an_answer_is_whole_where_its_client_sent_more_before_the_close(self) -> None:
-        """Guards against a reset, sent by a close over unread bytes, that overtakes the answer."""
+        """A close with unread bytes sends a TCP reset, which could discard the response."""
         node = self.holding()
         rig = self.rig(node)
         sock = self.connect(rig, receive_bytes=4096)
@@ -125,22 +125,22 @@
         self.addCleanup(readers.shutdown)
 
         def end(other: socket.socket) -> None:
-            """Wake the reader, where no response has come, before its socket is closed."""
+            """Wake a reader that has received no response before its socket is closed."""
             with contextlib.suppress(OSError):
                 other.shutdown(socket.SHUT_RDWR)
 
         def cross() -> None:
             sock.sendall(request("r2"))
-            other = self.connect(rig)  # what a client does whose request crossed the end
+            other = self.connect(rig)  # a client reconnects when its request crossed the close
             self.addCleanup(end, other)
             other.sendall(request("r2b"))
             anew.put(readers.submit(read, other))
 
         self.hooks.before("client", "shutdown", "close", do=cross)
         rig.sidecar.begin_graceful_shutdown()
-        self.assertEqual(drain(sock), b"", "an end, and no reset")
+        self.assertEqual(drain(sock), b"", "the connection must end without a reset")
         response = anew.get(timeout=WAIT).result(timeout=WAIT)
-        self.assertEqual(response.status, 200, "the listener is open a moment longer")
+        self.assertEqual(response.status, 200, "the listener must still accept for a short time")
         rig.thread.join(WAIT)
         seen = [node.seen.get(timeout=WAIT)[0].headers["request-id"] for _ in range(node.seen.qsize())]
         self.assertEqual(seen, ["r1", "r2b"])
@@ -158,7 +158,7 @@
 
     @staticmethod
     def send_at_the_end_of_the_wait(rig: Rig, sock: socket.socket) -> None:
-        """Send when the timer of the wait has fired, before the task that waited runs."""
+        """Send after the timer of the wait has fired but before the waiting task runs."""
         scheduler = rig.sidecar.scheduler
         (connection,) = rig.sidecar.connection_admission.idle_connections()
         assert isinstance(connection, client_connection.ClientConnection) and connection.task is not None
@@ -188,7 +188,7 @@
         self.assertEqual([message.body for message in answers(drain(sock))], [b"one", b"two"])
 
     def test_a_connection_that_is_given_up_carries_no_further_request(self) -> None:
-        """Guards against a request read ahead that is sent on, and whose connection is closed already."""
+        """A request read ahead must not be forwarded when its connection is already closed."""
         node = self.holding()
         rig = self.rig(node)
         sock = self.connect(rig)
@@ -208,12 +208,12 @@
             while (message := first.take()) is None:
                 first.feed(sock.recv(65536))
             self.assertEqual(message.body, b"one")
-            # Either it is answered, or it was never sent on.
+            # The request must either be answered or not be forwarded.
             with contextlib.suppress(queue.Empty):
                 node.let_go(answer(b"two"))
                 while (message := first.take()) is None:
                     data = sock.recv(65536)
-                    self.assertTrue(data, "sent on, and then cut off")
+                    self.assertTrue(data, "the request was forwarded but its connection was closed")
                     first.feed(data)
                 self.assertEqual(message.body, b"two")
 
--- a/tests/net/test_crossings_lists.py
+++ b/tests/net/test_crossings_lists.py
@@ -1,4 +1,4 @@
-"""The endpoint list where its source falls silent, ends, moves or says something that crosses a request."""
+"""Tests of the endpoint list when discovery stops sending, closes, moves or updates during a request."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class Scripted(Discovery):
-    """The first watches go by scripts, all further ones are as usual."""
+    """A discovery whose first watches follow scripts; all further watches behave normally."""
 
     def __init__(self, servers: list[dict[str, Any]], *scripts: Watch) -> None:
         self.scripts = list(scripts)
@@ -60,21 +60,21 @@
 
 
 class Silence(Case):
-    """In each case the sidecar has to call again by itself, and to learn what it has missed."""
+    """The sidecar must open a new watch by itself and receive the changes it has missed."""
 
     def heals(self, script: Watch) -> None:
         old, new = self.node(b"old"), self.node(b"new")
         with self.quick("SILENT_SECONDS"), self.quick("ANSWER_SECONDS"):
             rig = self.rig([old.entry("h0")], script)
             rig.discovery.first = Discovery.text([new.entry("h1")], True, version=9)
-            rig.discovery.asked.get(timeout=WAIT)  # the second call
+            rig.discovery.asked.get(timeout=WAIT)  # the second watch
             self.until(lambda: rig.sidecar.counters.count("lists_taken") >= 1)
             self.until(lambda: list(rig.sidecar.upstream_pool.listed) == ["h1"])
             self.assertEqual(rig.call("r1").body, b"new")
 
     @staticmethod
     def quick(name: str) -> AbstractContextManager[object]:
-        """A short wait; one that a test of guards has made endless stays so."""
+        """Patch a timeout to a short value unless test_guards has made it infinite."""
         seconds = 0.3 if getattr(endpoint_watch, name) < math.inf else math.inf
         return mock.patch.object(endpoint_watch, name, seconds)
 
@@ -88,7 +88,7 @@
         self.heals(lambda sock: sock.sendall(HEAD + chunk(b'{"version": 8, "full": false, "serv')))
 
     def test_pieces_of_a_line_without_end(self) -> None:
-        """Guards against a watch that trickles: it would count as alive for ever."""
+        """A watch that sends single bytes without completing a line must not count as alive forever."""
 
         def trickle(sock: socket.socket) -> None:
             sock.sendall(HEAD)
@@ -139,7 +139,7 @@
                 text = {"version": version, "servers": servers}
                 wanted.append(text)
                 laid = json.dumps(text, indent=rng.choice([None, 0, 1, 4])).encode()
-                if rng.random() < 0.3:  # an entry a line, as in the page's example
+                if rng.random() < 0.3:  # one entry per line, as in the documentation
                     entries = ",\n  ".join(json.dumps(entry) for entry in servers)
                     laid = f'{{"version": {version}, "servers": [\n  {entries}]}}'.encode()
                 lines += [*laid.split(b"\n"), *[b""] * rng.randint(0, 2)]
@@ -168,7 +168,8 @@
         old, new = self.node(b"old"), self.node(b"new")
         rig = self.rig([old.entry("h0")])
         self.assertEqual(rig.call("r1").body, b"old")
-        with held_still(rig):  # gone and back in one go, with a connection to the old one resting
+        # Removed and added in one update, while a connection to the old process is idle.
+        with held_still(rig):
             rig.discovery.push(Discovery.text([old.entry("h0", "Gone")], version=8))
             rig.discovery.push(Discovery.text([new.entry("h0")], version=9))
         self.until(lambda: rig.sidecar.counters.count("lists_taken") >= 3)
@@ -176,14 +177,14 @@
         old.left.get(timeout=WAIT)
 
     def test_a_drain_in_the_moment_of_the_first_byte(self) -> None:
-        """The news and the connect come in one round of the hub: nothing is sent to the draining node."""
+        """The update and the connect arrive in one scheduler iteration; the draining node gets no request."""
         old, new = self.node(b"old"), self.node(b"new")
         rig = self.rig([old.entry("h0")])
         with held_still(rig):
             sock = rig.send("r1")
             rig.discovery.push(Discovery.text([old.entry("h0", "Terminating"), new.entry("h1")], version=8))
         self.assertEqual(read(sock).status, 200)
-        until = time.monotonic() + 0.5  # told by then, whatever came first
+        until = time.monotonic() + 0.5  # by then the update has arrived in any order
         while time.monotonic() < until:
             rig.call(f"x{time.monotonic_ns()}")
         self.assertLessEqual(old.seen.qsize(), 1)
@@ -194,14 +195,15 @@
         rig = self.rig([old.entry("h0")])
         other = Discovery([new.entry("h1")])
         self.addCleanup(other.close)
-        other.first = Discovery.text([new.entry("h1")], True, version=3)  # its versions are its own
+        # The new discovery numbers its versions independently.
+        other.first = Discovery.text([new.entry("h1")], True, version=3)
         host, port = other.address.split(":")
         moved = replace(rig.sidecar.config, discovery=(host, int(port)))
         rig.sidecar.reloader.load_configuration = lambda: moved
         rig.sidecar.reload_configuration()
         other.asked.get(timeout=WAIT)
         self.until(lambda: list(rig.sidecar.upstream_pool.listed) == ["h1"])
-        with contextlib.suppress(OSError):  # it may have hung up already
+        with contextlib.suppress(OSError):  # the sidecar may have closed the connection already
             rig.discovery.push(Discovery.text([stale.entry("h0")], True, version=99))
         self.assertEqual([rig.call(f"r{n}").body for n in range(8)], [b"new"] * 8)
         self.assertEqual(stale.seen.qsize(), 0)
@@ -216,7 +218,7 @@
 
 @pytest.mark.parametrize("sidecars", [1, 6, 30, 200, 2000])
 def test_waits_between_calls_leave_time_to_be_told(sidecars: int) -> None:
-    """After a wait, a connect and an answer there is time left of the 6 s that a change may take."""
+    """The pause, the connect and the response together must take less than the 6 s allowed for a change."""
     for seed in range(50):
         rng = random.Random(seed)
         backoff = Backoff(sidecars, rng)
--- a/tests/net/test_crossings_upstream.py
+++ b/tests/net/test_crossings_upstream.py
@@ -1,4 +1,4 @@
-"""Events that cross on a connection to a node, forced on real sockets."""
+"""Tests of race conditions on connections to endpoints, forced on real sockets."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 
 class Answers(Case):
     def test_a_second_answer_that_comes_late_reaches_no_other_request(self) -> None:
-        """It comes after the first one was passed on, and before the next request's answer."""
-        rest = 2.0 if upstream_connections.REUSE_DELAY_S else 0.0  # a test of guards has taken it away
+        """The duplicate arrives after the first response was relayed and before the next response."""
+        rest = 2.0 if upstream_connections.REUSE_DELAY_S else 0.0  # 0 when test_guards disables the delay
         with mock.patch.object(upstream_connections, "REUSE_DELAY_S", rest):
             node = self.holding()
             rig = self.rig(node)
@@ -30,10 +30,11 @@
             upstream.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none")
             self.assertEqual(read(client).body, b"one")
             rig.send("r2", sock=client, wait_ms=60_000)
-            with contextlib.suppress(queue.Empty):  # at once, were the connection used again at once
+            # Arrives immediately only if the connection is reused immediately.
+            with contextlib.suppress(queue.Empty):
                 node.held.put(node.held.get(timeout=0.3))
             upstream.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale")
-            with contextlib.suppress(OSError):  # the connection of the first may be closed by now
+            with contextlib.suppress(OSError):  # the first connection may already be closed
                 node.let_go(answer(b"two"))
             self.assertEqual(read(client).body, b"two")
 
@@ -69,7 +70,7 @@
         self.assertNotEqual(read(client).status, 200)
 
     def test_a_first_byte_that_comes_after_the_hold_is_no_broken_answer(self) -> None:
-        """Guards against a cut where a node sends its head, and thinks before its first byte."""
+        """A response must not be truncated when the node pauses between its head and its first body byte."""
         with (
             mock.patch.object(upstream_response_reader, "RESPONSE_BUFFER_TIMEOUT_S", 0.01),
             mock.patch.object(upstream_response_reader, "RESPONSE_IDLE_TIMEOUT_S", WAIT),
@@ -79,7 +80,7 @@
             client = rig.send("r1")
             upstream, _ = node.held.get(timeout=WAIT)
             upstream.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            select.select([client], [], [], 0.2)  # were it cut, its client would be told by now
+            select.select([client], [], [], 0.2)  # a truncated response would have reached the client by now
             upstream.sendall(b"5\r\nfirst\r\n0\r\n\r\n")
             got = read(client)
             self.assertEqual((got.status, got.body), (200, b"first"))
@@ -95,10 +96,10 @@
 
 
 class Idle(Case):
-    """A resting connection on which something happens right before the next request is written to it."""
+    """Events on an idle connection right before the next request is written to it."""
 
     def reused(self, rig: Rig, node: Holding) -> socket.socket:
-        """A connection to the node that rests, and its node's end."""
+        """Return the node's end of an idle connection between sidecar and node."""
         client = self.connect(rig)
         rig.send("r1", sock=client)
         upstream, message = node.held.get(timeout=WAIT)
@@ -107,7 +108,7 @@
         return upstream
 
     def test_its_end_comes_as_it_is_taken_up(self) -> None:
-        """Nothing was written: it has not run, whatever its class, and may be asked for again."""
+        """Nothing was written, so the request has not run and may be retried in any class."""
         for cls in ("look", "move"):
             with self.subTest(cls):
                 node = self.holding()
@@ -156,7 +157,7 @@
         self.assertLess(told[1], told[0] + 1)
 
     def test_a_connect_that_comes_up_for_nobody_carries_nothing(self) -> None:
-        """The node's queue is full, so that the connect stays pending until its client has left."""
+        """The node's backlog is full, so that the connect stays pending until the client has left."""
         node = Holding(backlog=0)
         self.addCleanup(node.close)
         fill = [socket.socket() for _ in range(8)]
@@ -176,7 +177,7 @@
         self.assertEqual(node.seen.qsize(), 0)
 
     def test_no_repeat_begins_that_could_end_past_its_window(self) -> None:
-        """The module's last moment for a repeat leaves time for two connects, and a claim takes one."""
+        """The balancer's last time for a retry leaves time for two connects, and an attempt needs one."""
         connect, window = 250_000_000, 2_000_000_000
         kind = api.RequestClass(
             "k",
@@ -206,7 +207,7 @@
         self.assertGreater(last + 3 * connect, window)
 
     def test_a_reset_before_the_last_byte_has_not_run(self) -> None:
-        """The connect comes up and is reset before anything is sent: a move is sent to the other node."""
+        """The connection is reset before anything is sent, so the request is sent to the other node."""
         nodes = [self.holding(), self.holding()]
         rig = self.rig(*nodes)
 
--- a/tests/net/test_end_of_client.py
+++ b/tests/net/test_end_of_client.py
@@ -1,4 +1,4 @@
-"""How a sidecar learns that a client has gone, whatever it sent ahead of its response; on real sockets."""
+"""Tests on real sockets that a client disconnect is detected behind any data the client sent ahead."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 KB = 1024
 AHEAD = {"nothing": 0, "15 KB": 15 * KB, "17 KB": 17 * KB, "300 KB": 300 * KB}
 DEADLINE_MS = 5000
-NOTICE_MAX_S = 2.0  # well under the deadline, and generous to a busy machine
+NOTICE_MAX_S = 2.0  # in seconds; far below the deadline, but enough on a busy machine
 STREAM_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n"
 
 
 def request(name: str, body_bytes: int = 0) -> bytes:
-    """A request as bytes; with a body it is followed by it."""
+    """Encode a request with an optional body."""
     lines = (
         "GET /look?q=1 HTTP/1.1",
         "Host: api.internal",
@@ -37,7 +37,7 @@
 
 
 def bytes_ahead(what: str) -> bytes:
-    """A next request: the start of one with a long body, or a complete one."""
+    """Return a complete pipelined request, or the start of one with a long body."""
     if what == "pipelined request":
         return request("ahead")
     size = AHEAD[what]
@@ -45,18 +45,18 @@
 
 
 def close(sock: socket.socket) -> None:
-    """Close as a client that has gone."""
+    """Close the socket like a client that disconnects."""
     sock.close()
 
 
 def reset(sock: socket.socket) -> None:
-    """Close with a reset."""
+    """Close the socket with a TCP reset."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
 
 def half_close(sock: socket.socket) -> None:
-    """End the sending side alone."""
+    """Shut down only the sending side."""
     sock.shutdown(socket.SHUT_WR)
 
 
@@ -68,12 +68,12 @@
 
 
 def begin_stream(sock: socket.socket, _request: Message) -> None:
-    """Send the start of a response, and nothing more."""
+    """Send only the start of a response."""
     sock.sendall(STREAM_HEAD)
 
 
 def stand_still(_sock: socket.socket, _request: Message) -> None:
-    """Send nothing."""
+    """Send no response."""
 
 
 SCRIPTS: dict[str, Script] = {"waiting for a head": stand_still, "streaming": begin_stream}
@@ -107,4 +107,4 @@
     assert time.monotonic() - left_at < NOTICE_MAX_S
     with contextlib.suppress(queue.Empty):
         message, _ = node.seen.get_nowait()
-        raise AssertionError(f"sent on for nobody: {message.start}")
+        raise AssertionError(f"request forwarded although its client had left: {message.start}")
--- a/tests/net/test_guards.py
+++ b/tests/net/test_guards.py
@@ -1,7 +1,7 @@
-"""Guards taken out one at a time: the test that forces the crossing has to fail without its guard.
+"""Disables the protections against race conditions one at a time and checks that a test then fails.
 
-Each row names what is patched and the test that must tell.  A test that passes without its guard holds
-nothing, and fails here.
+Each row names the patch that disables a protection and the test that must fail. A test that passes without
+its protection does not check it, and fails here.
 """
 
 from __future__ import annotations
@@ -30,12 +30,12 @@
 from tests.net import test_crossings_client, test_crossings_lists, test_crossings_upstream
 from tests.sidecar import test_crossings_shutdown
 
-PATIENCE = 3.0  # seconds: what must come, and does not without the guard, is waited for no longer
+PATIENCE = 3.0  # seconds to wait for an event that does not occur without the protection
 Patch = tuple[Any, str, Any]
 
 
 def no_half_close(stream: Stream, *bounds: Any) -> None:
-    """The connection is closed at once."""
+    """Skip the half-close, so that the connection is closed immediately."""
 
 
 def never_gone(presence: PeerPresence) -> bool:
@@ -48,7 +48,7 @@
 
 
 def gone_only_ahead_of_bytes(presence: PeerPresence) -> bool:
-    """As before floods were read: no more is looked at once enough has been sent ahead."""
+    """Stop reading after 128 KiB of read-ahead, so that a later disconnect is not seen."""
     if presence._buffer.buffered >= 128 * 1024:
         return False
     presence._read()
@@ -56,7 +56,7 @@
 
 
 def no_last_connects(clients: ClientListener) -> None:
-    """The listener is closed without waiting for those who come at once."""
+    """Close the listener without waiting for the last connections."""
 
 
 def no_more(connection: ClientConnection, reader: Any) -> bool:
@@ -64,7 +64,7 @@
 
 
 def rests_always(connections: ClientConnections, connection: ClientConnection, reader: Any) -> None:
-    """A connection rests after its answer, whatever was sent ahead on it, and goes on when given up."""
+    """Mark a connection idle even if the client has sent more, and keep serving it after its release."""
     now = connections._scheduler.now()
     connections._admission.record_idle(connection, now)
     if connections._admission.is_scarce(now):
@@ -75,7 +75,7 @@
 def any_byte_counts(
     feed: endpoint_watch.HttpWatch, stream: Stream, reader: Any
 ) -> Generator[bytes, None, None]:
-    """The clock of silence starts anew with each byte."""
+    """Restart the watch timeout with each byte instead of each line."""
     pending = bytearray()
     while True:
         part, done = reader.drain()
@@ -101,7 +101,7 @@
 
 
 def leaves_claims_alone(nodes: UpstreamPool, node: Any) -> None:
-    """A node that leaves keeps the attempts that wait for a connection to it."""
+    """Keep the attempts that wait for a connection to a node that is removed."""
     node.is_draining = True
     nodes.connections.close_idle(node)
 
@@ -111,7 +111,7 @@
 
 
 def reset_is_an_end(response_reader: UpstreamResponseReader) -> Any:
-    """An answer without length that is reset counts as whole."""
+    """Treat a response without length as complete when its connection is reset."""
     reader = MessageReader.responses(streaming=True)
     stream, deadline = response_reader._stream, response_reader._deadline
     while True:
@@ -127,7 +127,7 @@
 
 
 def closes_when_the_wait_ends(stream: Stream) -> bool:
-    """Nothing is seen of what came in the moment in which a wait ended."""
+    """Ignore data that arrived at the moment when a wait ended."""
     return True
 
 
@@ -247,4 +247,4 @@
             patch.setattr(owner, name, value)
         case(test).run(result)
     assert result.testsRun == 1
-    assert result.failures or result.errors, "it passes without the guard that it is there for"
+    assert result.failures or result.errors, "the test passes without the protection that it should check"
--- a/tests/net/test_http.py
+++ b/tests/net/test_http.py
@@ -1,4 +1,4 @@
-"""Tables of cases for the parsers."""
+"""Table-driven tests of the HTTP parsers and writers."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def fed(reader: MessageReader, data: bytes, step: int) -> list[Message]:
-    """All whole messages, with the bytes coming `step` at a time."""
+    """Feed the data in chunks of `step` bytes and return all complete messages."""
     out = []
     for at in range(0, len(data), step):
         reader.feed(data[at : at + step])
--- a/tests/net/test_lists.py
+++ b/tests/net/test_lists.py
@@ -1,4 +1,4 @@
-"""Lists of thousands: the order kept, the text read in steps, the slices told, the page in blocks."""
+"""Tests of long endpoint lists: host order, parsing in steps, applying in slices, the status page."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def end_of(steps: Generator[None, None, Any]) -> tuple[Any, int]:
-    """A generator's value, and how often it let others run."""
+    """Return a generator's value and how often it yielded."""
     count = 0
     while True:
         try:
@@ -45,7 +45,7 @@
 
 
 def sorted_anew(hosts: dict[str, Host], size: int) -> tuple[list[Host], list[Host]]:
-    """The subset as it was chosen before the order was kept: all ready hosts sorted for each change."""
+    """Compute the subset by sorting all ready hosts, as a reference for the incremental order."""
     ready = sorted((host for host in hosts.values() if host.is_ready), key=lambda host: host.rank)
     local = [host for host in ready if host.is_local]
     near = local[: max(size // 2, size - len(ready) + len(local))]
@@ -80,7 +80,7 @@
 
 
 def settings() -> api.Settings:
-    """A proxy that uses a few of its hosts."""
+    """Return settings with a subset of the hosts."""
     return api.Settings(
         zone="z0", classes=(api.RequestClass("a", 100 * MS, 1000 * MS, 1.0),), fleet_size=5, max_attempts=3,
         drain_release_ns=500 * MS, connection_price=0.1,
@@ -117,13 +117,13 @@
     assert second is not None and len(out) > 3
 
 
-# --- reading in steps -----------------------------------------------------------------------------
+# --- parsing in steps -----------------------------------------------------------------------------
 
 ODD = ('a"},{"b', "},", '"servers": [', "\\", "é😀", "]}", "{", "plain")
 
 
 def raw_list(rng: random.Random, count: int) -> dict[str, Any]:
-    """A list as discovery has it, with what might be taken for an entry's end within entries."""
+    """Return a discovery list whose entries contain text that looks like the end of an entry."""
     servers: list[dict[str, Any]] = []
     for at in range(count):
         entry: dict[str, Any] = {"id": f"n{at}", "addr": f"127.0.0.1:{at % 60000 + 1}", "state": "Ready"}
@@ -167,16 +167,16 @@
         end_of(decode_steps(many))
 
 
-# --- telling in slices ----------------------------------------------------------------------------
+# --- applying in slices ---------------------------------------------------------------------------
 
 
 def machine(name: str, state: api.HostState = READY, started: int = 0) -> Endpoint:
-    """A machine as listed."""
+    """Return an endpoint entry of the list."""
     return Endpoint(api.HostEntry(name, "z", "k", 0, state, 1.0, started), ("127.0.0.1", 1))
 
 
 def applied(held: dict[str, Endpoint], update: EndpointListUpdate) -> None:
-    """Hold what an update says."""
+    """Apply an update to a dict of endpoints."""
     if update.full:
         held.clear()
     for each in update.endpoints:
@@ -230,7 +230,7 @@
         assert any(each.entry.state is READY for each in slices.applied.values())
     assert slices.waiting == 1000 - len(slice_of) * 4 and len(slice_of) <= 1000 / 12 + 1
     end_of(slices.add(EndpointListUpdate(3, False, (machine("m3", DRAINING), machine("m999", GONE)))))
-    first = slices.next()  # at once, though others have waited for longer
+    first = slices.next()  # urgent changes precede changes that have waited longer
     assert first[0] == machine("m3", DRAINING)
     while slices.waiting:
         assert all(each.entry.host != "m999" for each in slices.next())
@@ -252,7 +252,8 @@
         assert rig.sidecar.upstream_pool.listed["h5"].entry.state is DRAINING
         assert rig.call("last").status == 200
         rig.discovery.push(Discovery.text([*others[:200], {"id": "bad", "state": "Ready"}], True, 9))
-        rig.discovery.asked.get(timeout=20.0)  # it asks for the whole list again, and gets the first one
+        # The sidecar requests the full list again and gets the first list.
+        rig.discovery.asked.get(timeout=20.0)
         rig.listed(4)
         assert rig.sidecar.counters.count("lists_rejected") == 1
         until(lambda: set(rig.sidecar.upstream_pool.listed) == {entry["id"] for entry in many})
@@ -292,7 +293,7 @@
     assert seen == ["step"] * 3 and len(alone) == 33
 
 
-# --- the page, and records of nodes -----------------------------------------------------------------
+# --- the status page and endpoint records -----------------------------------------------------------
 
 
 def test_only_blocks_with_a_change_are_made_anew() -> None:
@@ -337,7 +338,8 @@
     link.record_rejection(1.1)
     for _ in range(2):
         link.record_close()
-    assert not link.is_forgettable(1.2) and not link.is_forgettable(600.0)  # it believes in a cap
+    # The limit has found a maximum, which must not be forgotten.
+    assert not link.is_forgettable(1.2) and not link.is_forgettable(600.0)
     other = ConnectionLimit(ConnectPacing.for_fleet(100, 30.0))
     other.record_open()
     other.record_acquire(1.0)
@@ -348,7 +350,7 @@
 
 
 class Moments:
-    """A scheduler's clock and timers, so far as a move to another discovery needs them."""
+    """A fake scheduler with the clock and timers that a switch to another discovery needs."""
 
     def __init__(self) -> None:
         self.due: list[tuple[float, Any]] = []
@@ -367,7 +369,7 @@
 
 
 def test_a_fleet_goes_over_to_another_discovery_at_moments_of_its_own() -> None:
-    """Guards against hundreds of calls for the whole list in the moment in which all are told of the move."""
+    """A whole fleet must not request the full list at the moment it is told to switch discovery."""
     moments = Moments()
 
     def old(version: int | None) -> Generator[bytes, None, None]:
@@ -382,7 +384,7 @@
     ]
     for each in lists:
         each.switch_discovery(old, 2.0)
-        each.switch_discovery(new, 2.0)  # told again before its moment: the last one counts
+        each.switch_discovery(new, 2.0)  # a second switch before the first one takes place replaces it
     assert len(moments.due) == 40 and not moments.spawned
     whens = [when - 100 for when, _ in moments.due]
     assert all(0 <= when < 2 for when in whens)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,4 +1,4 @@
-"""A sidecar in a thread, with endpoints and a discovery that do as a test says.  No load is made."""
+"""A test rig with a sidecar in a thread, and scripted endpoints and discovery."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from brambleusher.sidecar.app import Sidecar
 from brambleusher.sidecar.configuration import parse_config
 
-WAIT = 20.0  # a bound on what must come, not a time anything should take
+WAIT = 20.0  # timeout in seconds for expected events, not an expected duration
 Script = Callable[[socket.socket, Message], None]
 
 
 def answer(body: bytes = b"ok", status: str = "200 OK", *lines: str) -> Script:
-    """A script that sends one answer."""
+    """Return a script that sends one response."""
     head = "\r\n".join([f"HTTP/1.1 {status}", *lines, f"Content-Length: {len(body)}"])
     return lambda sock, request: sock.sendall(head.encode() + b"\r\n\r\n" + body)
 
@@ -33,11 +33,11 @@
 
 
 def hang(sock: socket.socket, request: Message) -> None:
-    """Say nothing."""
+    """Send no response."""
 
 
 class Server:
-    """Threads round one listener on a port of the system's choice."""
+    """A threaded server that listens on a port chosen by the operating system."""
 
     def __init__(self, backlog: int = 64) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=backlog)
@@ -72,7 +72,7 @@
 
 
 class Node(Server):
-    """An endpoint; `seen` has each request that came whole, `left` each connection that ended."""
+    """An endpoint; `seen` queues each complete request and `left` an item per closed connection."""
 
     def __init__(self, script: Script | None = None, backlog: int = 64) -> None:
         super().__init__(backlog)
@@ -101,7 +101,7 @@
 
 
 class Discovery(Server):
-    """Writes `first` to each new watch, and what a test pushes; `asked` has each target."""
+    """A discovery that sends `first` on each new watch; `asked` queues the target of each request."""
 
     def __init__(self, servers: list[dict[str, Any]]) -> None:
         super().__init__()
@@ -146,7 +146,7 @@
 
 
 class Rig:
-    """A running sidecar."""
+    """A sidecar that runs in a thread with a scripted discovery."""
 
     def __init__(
         self,
@@ -187,7 +187,7 @@
         assert not self.thread.is_alive()
 
     def listed(self, taken: int) -> None:
-        """Wait until so many lists were taken in or rejected."""
+        """Wait until `taken` lists were accepted or rejected."""
         until = time.monotonic() + WAIT
         counters = self.sidecar.counters
         while counters.count("lists_taken") + counters.count("lists_rejected") < taken:
@@ -215,7 +215,7 @@
 
 
 def read(sock: socket.socket) -> Message:
-    """The one answer on a connection; a second, or a part of one, is a failure."""
+    """Return the only response on a connection; fail on a second or a partial response."""
     reader = MessageReader.responses()
     while True:
         message = reader.take()
@@ -223,5 +223,5 @@
             assert not reader.buffered
             return message
         data = sock.recv(65536)
-        assert data, "the connection ended before the answer"
+        assert data, "the connection ended before the response"
         reader.feed(data)
--- a/tests/runtime/test_disconnect_watch.py
+++ b/tests/runtime/test_disconnect_watch.py
@@ -1,4 +1,4 @@
-"""A task's waits end once the peer that it works for has left, whatever they wait for."""
+"""Tests that any wait of a task ends when the peer that the task serves disconnects."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from brambleusher.runtime.scheduler import Event, Scheduler, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
 
-WAIT_S = 2.0  # an end that does not come fails a test after so long
+WAIT_S = 2.0  # seconds after which a test without the expected end fails
 SOON_S = 0.05
 
 
 class Buffer:
-    """Keeps what is read ahead."""
+    """A buffer for bytes that are read ahead."""
 
     def __init__(self) -> None:
         self.data = b""
@@ -32,7 +32,7 @@
 
 
 class Pair:
-    """A scheduler, a stream of its, and the socket of the peer."""
+    """A scheduler, a stream on it, and the socket of the stream's peer."""
 
     def __init__(self) -> None:
         self.scheduler = Scheduler(RealSystem())
@@ -43,7 +43,7 @@
         self.outcome: str = ""
 
     def run(self, work: Callable[[DisconnectWatch], None], max_discarded: int = 1 << 20) -> str:
-        """Run work under a watch; how it ended."""
+        """Run work under a watch and return how it ended."""
 
         def task() -> None:
             presence = PeerPresence(self.stream, self.buffer, 1000, max_discarded)
@@ -131,7 +131,7 @@
 
 
 def test_the_task_may_send_to_its_peer_meanwhile(pair: Pair) -> None:
-    data = b"y" * 4_000_000  # more than the system buffers: the send has to wait
+    data = b"y" * 4_000_000  # exceeds the socket buffers, so that the send blocks
     got = bytearray()
 
     def read() -> None:
@@ -170,7 +170,7 @@
 
 
 def test_a_peer_leaves_in_the_round_in_which_another_socket_has_what_the_task_waits_for(pair: Pair) -> None:
-    """Race: the watch's wake-up unregisters a descriptor whose event is in the same list."""
+    """The watch's wake-up unregisters a descriptor whose event is in the same list of poll results."""
     mine, other = socket.socketpair()
     mine.setblocking(False)
     upstream = Stream(pair.scheduler, mine)
--- a/tests/runtime/test_signal_holding.py
+++ b/tests/runtime/test_signal_holding.py
@@ -1,4 +1,4 @@
-"""A reload that crosses the start of a process is neither lost nor the end of it."""
+"""Tests that a reload signal during the start of a process is neither lost nor ends the process."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize("module", ["brambleusher.system_main", "brambleusher"])
 def test_programs_hold_a_reload_from_their_first_line(module: str, tmp_path: Path) -> None:
-    """Each is started with a settings file that never comes: it waits, in its start, for the pipe."""
+    """Each program blocks during its start, as its settings file is a pipe without a writer."""
     pipe = tmp_path / "settings"
     os.mkfifo(pipe)
     words = [module, "gateway"] if module.endswith("system_main") else [module]
@@ -45,10 +45,10 @@
         [sys.executable, "-m", *words], cwd=ROOT, env=environment, stderr=subprocess.PIPE, text=True
     )
     try:
-        with pipe.open("w") as writer:  # opens once the program reads
+        with pipe.open("w") as writer:  # opening the pipe blocks until the program reads it
             program.send_signal(signal.SIGHUP)
             writer.write("nonsense")
         _, errors = program.communicate(timeout=60)
     finally:
         program.kill()
-    assert program.returncode == 2, errors  # the file is wrong, and that is what ends it
+    assert program.returncode == 2, errors  # the invalid file ends the program, not the signal
--- a/tests/sidecar/test_config.py
+++ b/tests/sidecar/test_config.py
@@ -1,4 +1,4 @@
-"""Configuration, the endpoint list's texts, log lines, and the scheduler's corners."""
+"""Tests of configuration, endpoint list parsing, log lines and scheduler edge cases."""
 
 from __future__ import annotations
 
@@ -119,7 +119,7 @@
         scheduler.call_soon(event.set)
         scheduler.run(lambda: len(seen) == 2)
         task.cancel()
-        event.set()  # a ring in the same moment does not undo the cancel
+        event.set()  # setting the event at the same time must not undo the cancellation
         scheduler.run(lambda: task.done)
         self.assertEqual(seen, ["event", "timeout", "cancelled"])
 
--- a/tests/sidecar/test_crossings_shutdown.py
+++ b/tests/sidecar/test_crossings_shutdown.py
@@ -1,4 +1,4 @@
-"""The end of a sidecar crossing with what is under way, forced on real sockets."""
+"""Tests of race conditions between a sidecar's shutdown and requests in progress, on real sockets."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 class Ends(Case):
     def winding_down(self, rig: Rig) -> None:
-        """End it, and wait until it has closed what rests, and its listener."""
+        """Shut the sidecar down, and wait until idle connections and the listener are closed."""
         rig.sidecar.begin_graceful_shutdown()
         self.until(lambda: rig.sidecar.lifecycle.is_drained)
 
@@ -34,21 +34,21 @@
         self.assertFalse(rig.thread.is_alive())
 
     def held(self, *nodes: Holding) -> tuple[Holding, socket.socket, Any]:
-        """The node that has been sent a request, its connection, and the request."""
+        """Return the node that received a request, its connection and the request."""
         self.until(lambda: any(node.held.qsize() for node in nodes))
         node = next(node for node in nodes if node.held.qsize())
         return node, *node.held.get(timeout=WAIT)
 
     @staticmethod
     def reads_one(rig: Rig) -> bool:
-        """Whether the one client's request has begun to come."""
+        """Return whether the only client's request has started to arrive."""
         return (
             rig.sidecar.connection_admission.connection_count == 1
             and not rig.sidecar.connection_admission.unused_count
         )
 
     def test_before_it_is_ready(self) -> None:
-        """No list, and a discovery that says nothing: what comes is refused, and the process ends."""
+        """Without a list or a response from discovery, requests are rejected and the process ends."""
         rig = Rig([], discovery=Scripted([], lambda sock: None), system=self.system)
         self.addCleanup(rig.end)
         sock = self.connect(rig)
@@ -76,7 +76,7 @@
                 self.ended(rig)
 
     def streaming(self, script: Callable[[socket.socket], None]) -> tuple[Rig, socket.socket, bytes]:
-        """A sidecar that relays a response without a length; its client, and what that has got so far."""
+        """Return a sidecar that relays a response without a length, its client, and the data received."""
 
         def begin(sock: socket.socket, _request: object) -> None:
             sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n")
@@ -96,9 +96,10 @@
         rig, sock, _ = self.streaming(lambda sock: None)
         begun = time.monotonic()
         rig.sidecar.begin_graceful_shutdown()
-        self.assertFalse(drain(sock).endswith(b"0\r\n\r\n"))  # the client can tell that it is not whole
+        # The client can tell that the response is truncated.
+        self.assertFalse(drain(sock).endswith(b"0\r\n\r\n"))
         self.ended(rig)
-        # SIGKILL may come 1.3 s after SIGTERM, as this class has it.
+        # With the settings of this class, SIGKILL may follow 1.3 s after SIGTERM.
         self.assertLess(time.monotonic() - begun, 2.5)
 
     def test_a_streamed_response_that_goes_on_is_finished_whatever_the_grace_period(self) -> None:
@@ -144,7 +145,7 @@
         self.ended(rig)
 
     def test_with_connections_in_the_queue_of_the_listener(self) -> None:
-        """They come while the hub stands still, in the round in which the sidecar begins to close."""
+        """The connections arrive while the scheduler is held, in the iteration in which closing begins."""
         node = Node(answer(b"yes"))
         self.addCleanup(node.close)
         rig = self.rig(node)
@@ -154,12 +155,12 @@
             socks = [self.connect(rig) for _ in range(40)]
             for number, sock in enumerate(socks):
                 sock.sendall(request(f"q{number}"))
-            time.sleep(0.6)  # past the moment in which it begins to close
+            time.sleep(0.6)  # until after the sidecar starts closing
         self.assertEqual([read(sock).body for sock in socks], [b"yes"] * 40)
         self.ended(rig)
 
     def test_clients_that_send_on_as_long_as_their_connection_is_open(self) -> None:
-        """Each request is answered, or not sent on by the sidecar: it crossed the end."""
+        """Each request is either answered or, if it crossed the shutdown, not forwarded."""
         node = Node(answer(b"yes"))
         self.addCleanup(node.close)
         rig = self.rig(node)
@@ -207,7 +208,7 @@
             self.ended(rig)
 
     def test_what_comes_after_the_end_began_is_answered_before_sigkill(self) -> None:
-        """Its node never answers and its client would wait for long: the process is killed before that."""
+        """The node never responds, and the process would be killed before the client's timeout."""
         node = self.holding()
         rig = self.rig(node)
         sock = self.connect(rig)
@@ -219,7 +220,8 @@
             .replace(b"GET /look", b"POST /move")
             .replace(b"Class: look", b"Class: move")
         )
-        with self.assertNoLogs("brambleusher.net.request_lifecycle"):  # the balancer decides before that
+        # The balancer decides before the deadline.
+        with self.assertNoLogs("brambleusher.net.request_lifecycle"):
             _, _, message = self.held(node)
             self.assertLess(int(message.headers["request-timeout-ms"]), 1100)
             self.assertEqual(read(sock).status, 502)
@@ -229,7 +231,7 @@
         self.ended(rig)
 
     def test_the_balancer_knows_how_little_time_is_left_after_the_end_began(self) -> None:
-        """Otherwise it owes a decision at a deadline at which the request has been failed long ago."""
+        """Otherwise the balancer would decide at a deadline that is long after the request has failed."""
         node = Node(answer(b"ok"))
         self.addCleanup(node.close)
         rig = self.rig(node)
@@ -245,7 +247,7 @@
             return submit(driver, submitted)
 
         with mock.patch.object(BalancerDriver, "submit", recorded):
-            sock.sendall(request("r1"))  # its client would wait for 5 s
+            sock.sendall(request("r1"))  # the client's timeout is 5 s
             self.assertEqual(read(sock).status, 200)
         self.assertLess(times_left_ns[0], 1_100_000_000)
         self.ended(rig)
@@ -294,7 +296,7 @@
 
 class Descriptors(Case):
     def test_the_watch_and_the_nodes_find_theirs_where_idle_clients_fill_the_rest(self) -> None:
-        """The list is cut off while clients hold all there is: it is called for again, and told."""
+        """The watch ends while clients use all descriptors, and must still be opened again."""
         old, new = Node(answer(b"old")), Node(answer(b"new"))
         for node in (old, new):
             self.addCleanup(node.close)
--- a/tests/sidecar/test_making_room.py
+++ b/tests/sidecar/test_making_room.py
@@ -1,4 +1,4 @@
-"""Submitters' connections where places are scarce and the process is behind with reading."""
+"""Tests of evicting client connections when slots are scarce and requests wait unread."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Waiting(Stream):
-    """A stream on which `waits` can be read, that counts the looks at it."""
+    """A stream with `waits` as its unread data, which counts the calls of `peek`."""
 
     def __init__(self, scheduler: Scheduler, waits: bytes | None) -> None:
         super().__init__(scheduler, RealSystem().connection())
@@ -59,13 +59,13 @@
         return streams
 
     def test_a_request_that_has_come_is_looked_at_once(self) -> None:
-        """Guards against each answer looking at every request that waits: being behind kept itself up."""
+        """If every response checked each waiting request again, an overloaded process could not recover."""
         streams = self.rest(30, b"G")
         for _ in range(25):
             self.assertFalse(self.connections.close_least_valuable())
             self.assertFalse(self.connections.make_room_for_one())
         self.assertLessEqual(sum(stream.looks for stream in streams), 30)
-        self.assertEqual(self.places.connection_count, 30, "none of them is turned back unheard")
+        self.assertEqual(self.places.connection_count, 30, "a connection with an unread request was closed")
 
     def test_one_whose_other_end_has_left_goes(self) -> None:
         streams = self.rest(30, b"")
--- a/tests/sidecar/test_sidecar.py
+++ b/tests/sidecar/test_sidecar.py
@@ -1,4 +1,4 @@
-"""The four rules, and failures that were guarded against, on real sockets."""
+"""Tests on real sockets of the four basic rules and of known failures."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
         before = rig.send("before")
         first = held.get(timeout=WAIT)
         rig.sidecar.begin_graceful_shutdown()
-        after = rig.send("after")  # new connections keep coming for a while
+        after = rig.send("after")  # new connections still arrive shortly after SIGTERM
         second = held.get(timeout=WAIT)
         for sock in (first, second):
             answer(b"late but whole")(sock, node.seen.get(timeout=WAIT)[0])
@@ -82,12 +82,13 @@
                 nodes = self.node(script), self.node(script)
                 status = self.rig(*nodes).call("m1", "move", 1000).status
                 self.assertEqual(sum(node.seen.qsize() for node in nodes), runs)
-                self.assertEqual(status in (429, 503), runs == 2)  # a refusal only if nothing ran
+                # The request may be rejected only if it has not run.
+                self.assertEqual(status in (429, 503), runs == 2)
 
     def test_no_claim_starts_after_the_notice_not_even_one_that_waits_for_its_connect(self) -> None:
         stuck = self.node(backlog=0)
         fill = [socket.socket() for _ in range(8)]
-        for sock in fill:  # a full queue of connections: the next connect stays pending
+        for sock in fill:  # the full backlog keeps the next connect pending
             self.addCleanup(sock.close)
             sock.setblocking(False)
             sock.connect_ex(stuck.listener.getsockname())
@@ -112,13 +113,14 @@
         self.assertEqual(warm, 40)
         self.assertLess(cold, 10)
         until = time.monotonic() + WAIT
-        while rigs[1].call(f"late{time.monotonic_ns()}").status != 200:  # but it is let in
+        # The endpoint does get requests eventually.
+        while rigs[1].call(f"late{time.monotonic_ns()}").status != 200:
             self.assertLess(time.monotonic(), until)
 
 
 class Failures(Case):
     def test_a_connection_with_its_end_pending_is_not_reused(self) -> None:
-        """Guards against a move written to a connection that its node has closed."""
+        """A request must not be written to a connection that its node has closed."""
         node = self.node()
         rig = self.rig(node)
         self.assertEqual(rig.call("a").status, 200)
@@ -143,11 +145,12 @@
         sock.close()
         node.left.get(timeout=WAIT)
         node.script = answer(b"mine")
-        self.assertEqual(rig.call("b").body, b"mine")  # and no late answer reaches another request
+        self.assertEqual(rig.call("b").body, b"mine")  # a late response must not reach another request
 
     def test_a_silent_watch_is_dead(self) -> None:
         rig = self.rig(self.node())
-        self.assertIn("since=7", rig.discovery.asked.get(timeout=WAIT))  # nothing was written: asked again
+        # The sidecar opens a new watch from the same version.
+        self.assertIn("since=7", rig.discovery.asked.get(timeout=WAIT))
 
     def test_a_bad_list_is_passed_over(self) -> None:
         node = self.node()
@@ -156,7 +159,7 @@
         rig.discovery.push(b'{"version":8,"full":true,"servers":[{"id":"h9"}]}')
         rig.listed(2)
         self.assertEqual(rig.call().status, 200)
-        self.assertNotIn("since", rig.discovery.asked.get(timeout=WAIT))  # the whole list is asked for
+        self.assertNotIn("since", rig.discovery.asked.get(timeout=WAIT))  # the sidecar requests the full list
 
     def test_the_list_is_kept_while_another_discovery_has_not_answered(self) -> None:
         old, new = self.node(answer(b"old")), self.node(answer(b"new"))
@@ -166,7 +169,7 @@
         rig.sidecar.reloader.load_configuration = lambda: parse_config(
             json.dumps({**rig.config, "discovery": mute.address}).encode(), {}
         )
-        for _ in range(3):  # once more does no harm
+        for _ in range(3):  # repeating the switch must have no effect
             rig.sidecar.reload_configuration()
         target = mute.seen.get(timeout=WAIT)[0].start[1]
         self.assertNotIn("since", target)
@@ -177,7 +180,7 @@
         self.assertEqual(rig.call("b").body, b"new")
 
     def test_a_discovery_that_talks_nonsense_is_asked_again(self) -> None:
-        """Guards against a watch that ends for good: the first version of the task died of it."""
+        """Invalid data must not stop the watch task, as happened in its first version."""
         rig = self.rig(self.node())
         rig.listed(1)
         rig.discovery.conns[-1].sendall(b"no chunk at all\r\n")
@@ -224,7 +227,7 @@
         first.close()
 
     def test_a_small_machine_has_connections_for_its_load(self) -> None:
-        """Guards against 20 connections to endpoints where 256 descriptors and 64 MB are there."""
+        """The budgets once allowed only 20 endpoint connections with 256 descriptors and 64 MB."""
         config = self.rig(self.node()).config
         for memory_mb, sockets, claims, clients in ((64, 256, 80, 120), (32, 256, 70, 100)):
             limits = {"cores": 1.0, "memory_mb": memory_mb, "sockets": sockets}
@@ -242,7 +245,7 @@
         rig = self.rig(self.node())
         rig.sidecar.connection_admission.max_connections = 2
         idle = [rig.connect() for _ in range(6)]
-        self.assertEqual(rig.call().status, 200)  # one that is idle makes room
+        self.assertEqual(rig.call().status, 200)  # an idle connection is closed to free a descriptor
         for sock in idle:
             sock.close()
 
@@ -273,7 +276,7 @@
             self.assertEqual(read(sock).status, 503)
 
     def test_one_that_does_not_ask_is_closed_and_one_that_has_asked_is_not(self) -> None:
-        """Guards against silent connections held for minutes and half requests for ten seconds."""
+        """Connections without a request were once kept for minutes, and partial requests for 10 s."""
         rig = self.rig(self.node())
         idle = mock.patch("brambleusher.net.client_request_reader.IDLE_TIMEOUT_S", 60.0)
         with idle, rig.connect() as asked, rig.connect() as silent, rig.connect() as half:
@@ -376,7 +379,7 @@
         self.assertEqual(program.returncode, 0)
 
     def test_sighup_has_the_configuration_read_again(self) -> None:
-        """Guards against SIGHUP ending the process, as it did, and against a bad file doing so."""
+        """Neither SIGHUP, as happened before, nor an invalid file may end the process."""
         node = self.node()
         rig, other = self.rig(node), Discovery([node.entry("h0")])
         self.addCleanup(other.close)
@@ -391,7 +394,7 @@
 
         def logged(text: str) -> None:
             while text not in (line := lines.get(timeout=WAIT)):
-                print(line, end="")  # shown if the one waited for never comes
+                print(line, end="")  # printed for diagnosis if the expected line never appears
 
         logged("msg=listening")
         for change, line in (
--- a/tests/test_network_differential.py
+++ b/tests/test_network_differential.py
@@ -1,9 +1,9 @@
-"""The same scripts of socket calls on the loopback interface and on virtual sockets, compared errno by errno.
+"""Runs the same socket scripts on the loopback interface and on virtual sockets and compares the results.
 
-Bytes are compared exactly, poll bits too.  How much fits into a buffer is Linux's affair (it depends on
-the sizes of its segments), so where a script fills one, what is compared is that it blocks, that nothing
-is lost and that it goes on afterwards.  Nothing is timed: after each call the real player waits until a
-byte sent behind everything else on the same core has come.
+Error numbers, bytes and poll events are compared exactly. The capacity of a socket buffer depends on Linux
+segment sizes, so a script that fills a buffer only checks that the socket blocks, that no data is lost and
+that sending continues afterwards. Nothing depends on timing: after each call, the player on the loopback
+interface waits for a byte sent after everything else on the same core.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 Step = tuple[Any, ...]
 Result = Any
-AWAIT_MS = 20_000  # a bound on what must come
+AWAIT_MS = 20_000  # timeout in milliseconds for expected events
 EXACT = WorldSettings(split=0.0, short_send=0.0, short_receive=0.0, send_buffer=32768, receive_buffer=32768)
 CHUNK = 3000
 
@@ -36,7 +36,7 @@
 
 
 class Player:
-    """Plays scripts; what differs between the worlds is in the subclasses."""
+    """Runs scripts; subclasses contain the differences between real and virtual sockets."""
 
     system: System
 
@@ -45,7 +45,7 @@
         self.ports: dict[str, int] = {"nobody": 0}
         self.sent: dict[str, int] = {}
         self.received: dict[str, int] = {}
-        self.filled: dict[str, int] = {}  # what was sent up to the end of filling: it differs
+        self.filled: dict[str, int] = {}  # bytes sent to fill a buffer, which differ between systems
 
     def settle(self) -> None:
         raise NotImplementedError
@@ -58,15 +58,15 @@
         return found[0][1] if found else 0
 
     def shape(self, sock: Socket) -> None:
-        """Small buffers, where that has to be asked for."""
+        """Set small socket buffers if the system needs this."""
 
     def nobody(self) -> int:
-        """A port on which nobody listens."""
+        """Return a port on which no socket listens."""
         raise NotImplementedError
 
     @contextmanager
     def starved(self) -> Iterator[None]:
-        """No descriptor is free."""
+        """Make all further descriptor allocations fail."""
         raise NotImplementedError
         yield
 
@@ -79,7 +79,7 @@
                 result = word(error)
             except ValueError:
                 result = "ValueError"
-            except KeyError:  # an accept before it gave nothing
+            except KeyError:  # an earlier accept returned no connection
                 result = "no such socket"
             results.append(((what, name, *args), result))
             self.settle()
@@ -162,7 +162,7 @@
         return self.socks[name].fileno() >= 0
 
     def do_fill(self, name: str) -> Result:
-        """Send until nothing is taken any more, however long one waits."""
+        """Send until the socket accepts no more data after any wait."""
         blocked = 0
         for _ in range(1000):
             try:
@@ -177,7 +177,7 @@
         return "never blocked"
 
     def do_drain(self, name: str, from_: str) -> Result:
-        """Receive all that the other end handed over."""
+        """Receive all data that the other end has sent."""
         while self.received.get(name, 0) < self.sent[from_]:
             if not self.wait(self.socks[name], READ, AWAIT_MS):
                 return "lost"
@@ -195,7 +195,7 @@
 
 
 class Loopback(Player):
-    """The operating system's sockets."""
+    """Runs scripts on the sockets of the operating system."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -208,8 +208,8 @@
             self._nobody: int = gone.getsockname()[1]
 
     def settle(self) -> None:
-        # Packets of the loopback interface queue by core; this thread keeps to one.  Three times: for
-        # what was sent, the answer to it, and the answer to that.
+        # The loopback interface queues packets per core, and this thread is pinned to one core. Three
+        # passes cover sent data, the reaction of the peer, and the reaction to that.
         for _ in range(3):
             self._out.send(b"x")
             self._in.recv(1)
@@ -237,7 +237,7 @@
 
 
 class Virtual(Player):
-    """Virtual sockets, on one machine of a world."""
+    """Runs scripts on virtual sockets of one simulated machine."""
 
     def __init__(self, system: VirtualSystem) -> None:
         super().__init__()
@@ -246,7 +246,7 @@
         self._still = system.poller()
 
     def settle(self) -> None:
-        self._still.poll(5)  # well under the second after which connects are tried again
+        self._still.poll(5)  # well below the 1 s after which connects are retried
 
     def nobody(self) -> int:
         return 9
@@ -291,7 +291,7 @@
     return results
 
 
-# All that can be seen of a socket; it may clear its error.
+# Steps that inspect all visible state of a socket, which may clear its pending error.
 LOOK = (
     "poll x RW; poll x R; poll x 0; peek x 10; recv x 10; recv x 10; recv x 10; send x 3; send x 3; error x; "
     "poll x RW; shutdown x; poll x RW; recv x 5; error x"
@@ -301,7 +301,7 @@
 
 
 def steps(script: str) -> list[Step]:
-    """A script's steps; `up` and `look` stand for several."""
+    """Parse a script into steps; `up` and `look` each expand to several steps."""
     made: list[Step] = []
     for text in script.split("; "):
         what, *args = text.split()
@@ -400,13 +400,13 @@
     accept s L
 no descriptor to connect with: listen L 4; starved c new; starved M listen 4; new c
 """
-# By name; a line that begins with spaces goes on with the one before it.
+# Scripts by name; an indented line continues the previous line.
 SCRIPTS = {
     name: script
     for line in SCRIPTS_TEXT.strip().replace("\n   ", "").splitlines()
     for name, script in [line.split(": ")]
 }
-assert len(SCRIPTS) >= 40, "the issue asks for so many"
+assert len(SCRIPTS) >= 40, "at least 40 scripts are required"
 
 
 @pytest.mark.parametrize("name", SCRIPTS)
