--- a/brambleusher/cli/explore.py
+++ b/brambleusher/cli/explore.py
@@ -435,7 +435,7 @@
     if should_list_profiles:
         return _print_profiles()
     if sum(each is not None for each in (file, seeds, replay, to_shrink, to_write)) != 1:
-        raise ExploreUsageError("give exactly one of FILE, --seeds, --replay, --shrink, --write")
+        raise ExploreUsageError("say one of FILE, --seeds, --replay, --shrink, --write")
     if has_sums and file is None and replay is None:
         raise ExploreUsageError("--sums needs FILE or --replay, as totals are for one run")
     with _reporting_interrupt():
--- a/brambleusher/cli/soak.py
+++ b/brambleusher/cli/soak.py
@@ -29,8 +29,8 @@
 )
 @click.option("--seeds", default="1:2", metavar="FROM:TO", help="The seeds to run, excluding TO.")
 @click.option("--seconds", default=30.0, show_default=True, help="The duration of each soak test.")
-@click.option("--gateways", default=4, show_default=True, help="Number of gateways.")
-@click.option("--clients", default=24, show_default=True, help="Number of clients.")
+@click.option("--gateways", default=4, show_default=True, help="Gateways.")
+@click.option("--clients", default=24, show_default=True, help="Clients.")
 @click.option("--instances", default=6, show_default=True, help="Number of instances of the two services.")
 @click.option(
     "--sidecars", default=2, show_default=True, help="Number of sidecars, each with its own endpoints."
--- a/brambleusher/net/__init__.py
+++ b/brambleusher/net/__init__.py
@@ -1,1 +1,1 @@
-"""The network side: tasks, parsers, connections and the life of a request."""
+"""Client and endpoint connections, HTTP parsing, the endpoint list and the request lifecycle."""
--- a/brambleusher/net/client_connection_server.py
+++ b/brambleusher/net/client_connection_server.py
@@ -1,4 +1,4 @@
-"""Serves one client connection after another: request, response, and whether there may be a next one."""
+"""Serves client connections: reads each request, sends its response and decides on keep-alive."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 log = logging.getLogger(__name__)
 
-BODY_LINGER_S = 2.0  # that a body whose request was answered early may still come
-# A request that is there when the one before it is answered is still taken so long after the drain began:
-# 0.7 s after SIGTERM, what comes later may be cut off unanswered.
+BODY_LINGER_S = 2.0  # in seconds, for receiving the rest of a request body after an early response
+# Seconds after the start of draining in which a connection's next request is still served if it has already
+# arrived. A request that arrives 0.7 s or more after SIGTERM may be cut off without a response.
 LAST_REQUESTS_S = 0.2
 
 
 class ClientConnectionServer:
-    """Serves the requests of a connection, one at a time."""
+    """Serves the requests of each client connection one at a time."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         self._bad_requests = SparseLog(log, scheduler.now)
 
     def serve(self, connection: ClientConnection) -> None:
-        """Serve request after request, until one side closes; the task of a connection."""
+        """Serve requests until one side closes the connection; runs as the connection's task."""
         reader = MessageReader.requests(streaming=True)
         try:
             while self._exchange(connection, reader):
@@ -62,7 +62,7 @@
                 connection.stream.close()
 
     def _exchange(self, connection: ClientConnection, reader: MessageReader) -> bool:
-        """Serve one request; false when the connection is to be closed."""
+        """Serve one request and return whether the connection stays open."""
         try:
             message = self._request_reader.read(connection, reader)
         except HttpError as error:
@@ -80,7 +80,7 @@
     def _respond(
         self, connection: ClientConnection, reader: MessageReader, message: Message
     ) -> ClientResponse | None:
-        """Make the response to a request; None where the connection is to be closed without a further one."""
+        """Build the response to a request, or return None to close the connection without a response."""
         try:
             return self._handler.handle(connection, reader, message)
         except HttpError as error:
@@ -91,7 +91,7 @@
                 return None
             return ClientResponse(error.status, [], f"{error}\n".encode())
         except Exception:
-            # A fault of ours must not leave the request without a response.
+            # An internal error must not leave the request without a response.
             self._counters.add("faults")
             self._counters.add("answers_failed")
             log.exception("request failed")
@@ -100,7 +100,7 @@
     def _send(
         self, connection: ClientConnection, reader: MessageReader, message: Message, response: ClientResponse
     ) -> bool:
-        """Send a response; returns whether the connection stays open."""
+        """Send a response and return whether the connection stays open."""
         stream = connection.stream
         body_stream = request_body_stream(message)
         keep_alive = message.keep_alive and not response.must_close
@@ -109,7 +109,7 @@
         try:
             keep_alive = self._writer.write(stream, response, keep_alive, message.minor)
             if body_stream is not None and not body_stream.is_complete:
-                # A close with bytes of the body unread would send a reset, which overtakes the response.
+                # Closing a socket with unread body bytes sends a TCP reset, which can discard the response.
                 stream.finish(BODY_LINGER_S, MAX_STREAMED_BODY_BYTES)
         except (OSError, TaskTimeoutError):
             self._counters.add("answers_unsent")
@@ -117,14 +117,14 @@
         return keep_alive
 
     def _may_keep(self, connection: ClientConnection, reader: MessageReader) -> bool:
-        """Whether a connection that is about to get its response may have another request after it."""
+        """Return whether a connection may serve another request after the response about to be sent."""
         now = self._scheduler.now()
         is_ending = self._connections.is_draining or not self._service.accepts_clients
         if not is_ending and self._connections.may_keep(connection, now):
             return True
         is_drain_recent = now < self._connections.draining_since + LAST_REQUESTS_S
         if is_drain_recent and self._has_next_request(connection, reader):
-            return True  # what has come already is taken, and owed a response
+            return True  # a request that has already arrived is served
         if not is_ending:
             self._counters.add("submitters_told_to_close")
         return False
--- a/brambleusher/net/client_connections.py
+++ b/brambleusher/net/client_connections.py
@@ -1,4 +1,4 @@
-"""The open connections of clients: which keep their slots, and how each is closed."""
+"""Tracks open client connections and closes them on eviction, out of service and on shutdown."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from brambleusher.observability.counters import Counters
 from brambleusher.runtime.scheduler import Scheduler, Task
 
-IDLE_CHECK_INTERVAL_S = 0.05  # between two looks at connections that are to close while out of service
+IDLE_CHECK_INTERVAL_S = 0.05  # in seconds, between checks for idle connections while out of service
 
 
 class ClientConnections:
-    """Keeps track of the open connections and closes those that may not stay."""
+    """Tracks the open client connections and closes those that must give up their slots."""
 
     def __init__(
         self,
@@ -29,33 +29,33 @@
         self._admission, self._service = admission, service
         self._open: set[ClientConnection] = set()
         self._closing_idle: Task | None = None
-        self.is_draining = False  # for good: the process ends
-        self.draining_since = math.inf  # in seconds on the scheduler's clock
+        self.is_draining = False  # never reset, as the process exits after draining
+        self.draining_since = math.inf  # start of draining, in seconds on the scheduler's clock
 
     def __len__(self) -> int:
-        """Count the open connections."""
+        """Return the number of open client connections."""
         return len(self._open)
 
     def add(self, connection: ClientConnection) -> None:
-        """Take in a connection that was just accepted."""
+        """Register a connection that was just accepted."""
         self._open.add(connection)
         self._admission.record_open(connection, connection.peer, connection.accepted_at)
 
     def forget(self, connection: ClientConnection) -> None:
-        """Give back the slot of a connection that is closed, or is about to be."""
+        """Free the slot of a connection that is closed or about to be closed."""
         self._open.discard(connection)
         self._admission.record_close(connection, self._scheduler.now())
 
     def mark_asked(self, connection: ClientConnection) -> None:
-        """Record that a request, or part of one, has come."""
+        """Record that a request, or part of a request, has arrived on a connection."""
         self._admission.record_request(connection, self._scheduler.now())
 
     def mark_tenant(self, connection: ClientConnection, tenant: str) -> None:
-        """Record whose request has come."""
+        """Record the tenant of the request that a connection is serving."""
         self._admission.record_tenant(connection, tenant)
 
     def mark_idle(self, connection: ClientConnection, reader: MessageReader) -> None:
-        """Record that a response is out; its connection is idle, unless the next request has come already."""
+        """Record a sent response, and mark the connection idle unless its next request has arrived."""
         now = connection.stream.used_at = self._scheduler.now()
         if reader.buffered:
             return
@@ -65,27 +65,27 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether every slot is taken."""
+        """Whether every client connection slot is in use."""
         return self._admission.connection_count >= self._admission.max_connections
 
     def may_keep(self, connection: ClientConnection, now: float) -> bool:
-        """Whether a connection may stay open after its response, as far as slots go."""
+        """Return whether the connection budget lets a connection stay open after its response."""
         return self._admission.may_keep_alive(connection, now)
 
     # --- closing --------------------------------------------------------------------------------
 
     def make_room_for_one(self) -> bool:
-        """Close idle connections until one more can be accepted; false if none was closed."""
+        """Close idle connections until one more can be accepted; return whether any was closed."""
         now = self._scheduler.now()
         return self._close_idle(self._admission.evictions_for_new(now, self._admission.max_connections), now)
 
     def make_room_below_current(self) -> bool:
-        """Close one idle connection, as no descriptor is left for the next; false if none was closed."""
+        """Close an idle connection to free a file descriptor; return whether any was closed."""
         now = self._scheduler.now()
         return self._close_idle(self._admission.evictions_for_new(now, self._admission.connection_count), now)
 
     def close_least_valuable(self) -> bool:
-        """Close the idle connections that the budget gives up; false if none was closed."""
+        """Close the idle connections that exceed the connection budget; return whether any was closed."""
         now = self._scheduler.now()
         return self._close_idle(self._admission.surplus_connections(now), now)
 
@@ -94,8 +94,8 @@
         for connection in candidates:
             assert isinstance(connection, ClientConnection)
             if connection.stream.peek():
-                # Its request has come and was not read yet.  Record that, else each response would look at
-                # it again: where most have asked and are not read, that is what keeps them unread.
+                # The connection has an unread request and is not idle. If this were not recorded, every
+                # response would check the connection again, and under load that keeps requests unread.
                 self._admission.record_request(connection, now)
             else:
                 silent = "" if connection.was_served else "_silent"
@@ -105,14 +105,14 @@
         return has_closed
 
     def close_now(self, connection: ClientConnection) -> None:
-        """Close an idle connection at once: its slot is needed."""
+        """Close an idle connection immediately to free its slot."""
         self._release(connection)
         self._open.discard(connection)
-        # A task cancelled before its first step closes nothing, so this closes the connection.
+        # A task that is cancelled before its first step does not close the stream, so it is closed here.
         connection.stream.close()
 
     def close_gracefully(self, connection: ClientConnection) -> None:
-        """Half-close it, and close it once its client has, so that no reset overtakes what was sent."""
+        """Half-close a connection and close it after its client does, so that no reset discards sent data."""
         self._release(connection)
         self._scheduler.spawn(self._half_close, connection, name="close client connection")
 
@@ -123,7 +123,10 @@
             connection.task.cancel()
 
     def _half_close(self, connection: ClientConnection) -> None:
-        """Read for a bounded time what crossed the half-close: it is not served, but asked for anew."""
+        """Discard for a bounded time the requests sent before the client saw the half-close.
+
+        These requests are not served; the client retries them on a new connection.
+        """
         try:
             connection.stream.finish()
         except OSError:
@@ -135,7 +138,7 @@
     # --- out of service, and shutdown -----------------------------------------------------------
 
     def start_closing_idle(self) -> None:
-        """Out of service: close idle connections until the sidecar is back in service."""
+        """Start closing idle connections until the sidecar is back in service."""
         if self._closing_idle is None:
             self._closing_idle = self._scheduler.spawn(self._close_while_out_of_service, name="close idle")
 
@@ -151,7 +154,7 @@
         self._closing_idle = None
 
     def start_draining(self) -> None:
-        """Close what is idle now; every other connection is closed with its response."""
+        """Close all idle connections; every other connection is closed after its response."""
         self.is_draining, self.draining_since = True, self._scheduler.now()
         for connection in self._idle_connections():
             if connection.stream.is_idle():
--- a/brambleusher/net/client_listener.py
+++ b/brambleusher/net/client_listener.py
@@ -1,4 +1,4 @@
-"""The listener for clients: binds or adopts its socket, accepts connections, and stops accepting."""
+"""The client listener: binds or adopts its socket, accepts connections and stops accepting on drain."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 log = logging.getLogger(__name__)
 
 BACKLOG = 512
-LAST_CONNECTS_S = 0.2  # that the listener stays open at the most once the sidecar drains
-LAST_CONNECTS_PAUSE_S = 0.05  # without a new connection that ends it sooner
+LAST_CONNECTS_S = 0.2  # in seconds, at most how long the listener stays open after draining starts
+LAST_CONNECTS_PAUSE_S = 0.05  # in seconds; the listener closes early after a pause without new connections
 
 
 class ClientListener:
-    """Accepts clients and has their requests served, one at a time on each connection."""
+    """Accepts client connections and spawns a task that serves each of them."""
 
     def __init__(
         self,
@@ -67,39 +67,40 @@
         )
         self._listener: Socket | None = None
         self._accepting: Task | None = None
-        self._accepts_delayed_since: float | None = None  # while connections wait in the backlog
-        self._accepted_count = 0  # connections, since the start
+        # When accepting was suspended, in seconds on the scheduler's clock; None while it is not suspended.
+        self._accepts_delayed_since: float | None = None
+        self._accepted_count = 0  # connections accepted since the start
 
     @property
     def connections(self) -> int:
-        """Open connections."""
+        """The number of open client connections."""
         return len(self._connections)
 
     # --- the socket -----------------------------------------------------------------------------
 
     def listen(self, address: Address) -> Address:
-        """Bind, and start to accept.
+        """Bind the listening socket and start accepting connections.
 
         Returns:
-            The address it listens on.
+            The address of the listening socket.
 
         Raises:
-            OSError: the address can't be bound.
+            OSError: The address can't be bound.
         """
         self._listener = self._scheduler.system.listen(address, BACKLOG)
         self.start_accepting()
         return local_address(self._listener)
 
     def adopt(self, fd: int) -> Address:
-        """Take over a socket that listens already, and don't accept yet.
+        """Adopt an inherited listening socket without accepting connections yet.
 
-        Other processes hold it too: it is never bound, never shut down, and outlives this process.
+        Other processes share the socket, so it is never bound or shut down here and outlives this process.
 
         Returns:
-            The address it listens on.
+            The address of the listening socket.
 
         Raises:
-            OSError: the descriptor is no listening socket.
+            OSError: The descriptor is not a listening socket.
         """
         self._listener = self._scheduler.system.adopt(fd)
         return local_address(self._listener)
@@ -108,11 +109,11 @@
 
     @property
     def is_accepting(self) -> bool:
-        """Whether connections are accepted."""
+        """Whether the listener is accepting connections."""
         return self._accepting is not None and self._listener is not None
 
     def start_accepting(self) -> None:
-        """Start to accept."""
+        """Start accepting connections from the backlog."""
         if self._accepting is None and self._listener is not None:
             self._accepting = self._scheduler.spawn(self._accept_all, self._listener, name="accept")
 
@@ -126,13 +127,13 @@
                 self._scheduler.park(sock=listener)
 
     def _delay_accepts(self) -> None:
-        """Leave those in the backlog waiting for a moment."""
+        """Leave pending connections in the backlog for `ACCEPT_RETRY_S` seconds."""
         if self._accepts_delayed_since is None:
             self._accepts_delayed_since = self._scheduler.now()
         self._scheduler.sleep(ACCEPT_RETRY_S)
 
     def _accept_one(self, listener: Socket) -> bool:
-        """Accept one connection from the backlog; false if it is empty."""
+        """Accept one connection from the backlog; return false if the backlog is empty."""
         try:
             accepted = accept_connection(self._scheduler, listener)
         except OutOfDescriptorsError as error:
@@ -155,7 +156,10 @@
     # --- handover, out of service, shutdown -----------------------------------------------------
 
     def hand_over(self) -> None:
-        """Accept no more: another process does, from the same backlog.  What was accepted is served."""
+        """Stop accepting, as another process now accepts from the same backlog.
+
+        Connections that are already accepted are still served.
+        """
         self._stop_accepting()
         self._close_listener()
         self.start_closing_idle()
@@ -166,7 +170,7 @@
 
     @property
     def latest_response_at(self) -> float:
-        """When responses leave at the latest, as a kill follows; in seconds on the scheduler's clock."""
+        """Latest time to send responses before the process is killed, in seconds on the scheduler's clock."""
         return self._handler.latest_response_at
 
     @latest_response_at.setter
@@ -174,21 +178,23 @@
         self._handler.latest_response_at = at
 
     def drain(self) -> None:
-        """Close each connection once nothing is owed on it, and stop accepting; a task calls this."""
+        """Stop accepting and close each connection after its last response; must run in a task."""
         self._connections.start_draining()
         self._await_last_connects()
         self._stop_accepting()
         if self._listener is not None:
-            for _ in range(BACKLOG):  # what the system accepted for us is ours to serve
+            # The kernel has already completed the handshakes of the connections in the backlog.
+            for _ in range(BACKLOG):
                 if not self._accept_one(self._listener):
                     break
             self._close_listener()
 
     def _await_last_connects(self) -> None:
-        """Accept until no connection has come for a moment.
+        """Accept connections until none has arrived for `LAST_CONNECTS_PAUSE_S` seconds.
 
-        Race: the system may accept between our last accept and the close of the listener, and would reset
-        that connection.  And clients whose request crossed the end of an idle connection connect anew.
+        The kernel may complete a handshake between the last accept and the close of the listener, and would
+        then reset that connection. Clients whose request crossed the close of an idle connection also
+        reconnect.
         """
         until = self._scheduler.now() + LAST_CONNECTS_S
         before = -1
--- a/brambleusher/net/client_request_handler.py
+++ b/brambleusher/net/client_request_handler.py
@@ -1,4 +1,4 @@
-"""Takes one complete (or streamed) request of a client to its response."""
+"""Handles one client request, buffered or streamed, and builds its response."""
 
 from __future__ import annotations
 
@@ -29,41 +29,44 @@
 
 @dataclass(slots=True)
 class _Exchange:
-    """A request in progress: whose it is, when its response is due, and what is known of its client."""
+    """A request in progress with its connection, response deadline and client presence."""
 
     connection: ClientConnection
     path: str
     request: ClientRequest
     body_stream: RequestBodyStream | None
-    arrived_ns: int  # Unix time; earlier than its read where it waited unseen
-    due: float  # seconds on the scheduler's clock; a streamed body has a deadline of its own
-    unseen_s: float  # for which it may have waited unseen
+    arrived_ns: int  # Unix time in nanoseconds, earlier than the read if the request waited unread
+    due: float  # response deadline in seconds on the scheduler's clock, unless the body is streamed
+    unseen_s: float  # at most how many seconds the request waited before it was read
     presence: PeerPresence
 
     def deadline(self) -> float:
-        """When the response has to leave."""
+        """Return the latest time to send the response, in seconds on the scheduler's clock."""
         return self.due if self.body_stream is None else self.body_stream.due
 
     @property
     def is_body_complete(self) -> bool:
-        """Whether the last byte of the request has come."""
+        """Whether the last byte of the request body has arrived."""
         return self.body_stream is None or self.body_stream.is_complete
 
     def watched_socket(self) -> Socket | None:
-        """Return what to watch for the client's leaving; a streamed body is read by its attempt."""
+        """Return the socket to watch for a client disconnect.
+
+        The result is None while the attempt still reads a streamed body from this socket.
+        """
         if self.body_stream is not None and not self.body_stream.is_complete:
             return None
         return self.presence.socket()
 
     def has_client_left(self) -> bool:
-        """Whether the client has closed its connection."""
+        """Return whether the client has closed its connection."""
         if self.body_stream is not None and not self.body_stream.is_complete:
             return self.body_stream.has_client_left
         return self.presence.check_left()
 
 
 class ClientRequestHandler:
-    """Answers requests: `/ready` by itself, all others through the balancer."""
+    """Answers `/ready` directly and passes all other requests to the load balancer."""
 
     def __init__(
         self,
@@ -83,16 +86,16 @@
         self._lifecycle, self._parser, self._connections = lifecycle, parser, connections
         self._counters, self._request_counts = counters, request_counts
         self._service, self._is_ready, self._rewriter = service, is_ready, rewriter
-        # Seconds on the scheduler's clock: responses leave before the process is killed.
+        # Latest time to send responses before the process is killed, in seconds on the scheduler's clock.
         self.latest_response_at = math.inf
 
     def handle(
         self, connection: ClientConnection, reader: MessageReader, message: Message
     ) -> ClientResponse | None:
-        """Handle a request; None if its client has left.
+        """Handle a request and return its response, or None if the client has disconnected.
 
         Raises:
-            HttpError: the request makes no sense, or its streamed body was spoilt.
+            HttpError: The request is invalid, or its streamed body was malformed.
         """
         method, target = message.start
         path = target.split("?", 1)[0]
@@ -100,8 +103,8 @@
             return self._answer_readiness()
         exchange = self._begin(connection, reader, message, path)
         if exchange.unseen_s and exchange.has_client_left():
-            # A process that was stopped, or is behind, finds its queues full of requests given up long ago,
-            # oldest first: work for nobody, which would take the capacity of those who still wait.
+            # A process that was stopped or fell behind reads its oldest requests first, and their clients
+            # have long given up. Serving them would take capacity from clients that still wait.
             self._counters.add("requests_gone_unread")
             return None
         self._counters.add("requests_taken")
@@ -114,7 +117,7 @@
         except DuplicateRequestError as error:
             raise HttpError(400, str(error)) from None
         finally:
-            # Otherwise it ends with the last byte of its response.
+            # Any other request stays in flight until the last byte of its response.
             self._request_counts.in_flight -= response is None and exchange.is_body_complete
 
     def _answer_readiness(self) -> ClientResponse:
@@ -132,7 +135,8 @@
         request = self._parser.parse(message, path)
         unseen_s = 0.0 if body_stream is not None else self._unseen_s(connection)
         if unseen_s:
-            # Its time began when it came: else its response would come when nobody waits any more.
+            # Count the timeout from the request's arrival; otherwise its response could come after the
+            # client has given up.
             waited_s = min(self._scheduler.system.seconds_since_data(connection.stream.sock), unseen_s)
             waited_ns = int(waited_s * _NS_PER_S)
             arrived_ns -= waited_ns
@@ -150,7 +154,7 @@
         return _Exchange(connection, path, request, body_stream, arrived_ns, due, unseen_s, presence)
 
     def _limit_to_shutdown(self, request: ClientRequest, now_ns: int) -> ClientRequest:
-        """Give a request no more time than the process has: the balancer has to decide before that."""
+        """Shorten a request's timeout so that the balancer decides before the process shuts down."""
         if self.latest_response_at == math.inf:
             return request
         left_ns = int((self.latest_response_at - self._clock.seconds(now_ns)) * _NS_PER_S)
@@ -160,11 +164,11 @@
         return self.latest_response_at
 
     def _unseen_s(self, connection: ClientConnection) -> float:
-        """Seconds for which a request that was read now may have waited unseen."""
+        """Return at most how many seconds a request that is read now has waited in the socket."""
         return max(self._scheduler.lateness_s, 0.0 if connection.was_served else connection.accept_delay_s)
 
     def _start_time_with_last_byte(self, body_stream: RequestBodyStream, time_left_ns: int) -> None:
-        """Start a streamed request's time, and count it as accepted, when its last byte has come."""
+        """Start a streamed request's timeout and count it as accepted once its last byte has arrived."""
         time_left_s = time_left_ns / 1e9
         body_stream.client_timeout_ms = int(time_left_s * 1000)
 
@@ -177,7 +181,7 @@
             on_complete()
 
     def _respond(self, exchange: _Exchange) -> ClientResponse | None:
-        """Have the balancer decide on the request, and word the outcome; None if its client has left."""
+        """Run the request through the balancer; return its response, or None if the client has left."""
         request, body_stream = exchange.request, exchange.body_stream
         client = ClientHandle(exchange.watched_socket, exchange.has_client_left)
         final = self._lifecycle.run(request, exchange.deadline, client)
--- a/brambleusher/net/client_request_parser.py
+++ b/brambleusher/net/client_request_parser.py
@@ -1,4 +1,4 @@
-"""What a client's HTTP request says to the load balancer: class, tenant, time left, work hint."""
+"""Extracts class, tenant, timeout and work hint from a client's HTTP request."""
 
 from __future__ import annotations
 
@@ -8,7 +8,8 @@
 from brambleusher.loadbalancing.api import Idempotency, Settings
 from brambleusher.net.http import HttpError, Message
 
-# A response leaves so long before its client stops waiting; a tenth of the time left, if that is less.
+# Responses are sent this many nanoseconds, or a tenth of the remaining time if that is less, before the
+# client's timeout.
 RESPONSE_MARGIN_NS = 10_000_000
 _NS_PER_MS = 1_000_000
 
@@ -18,7 +19,7 @@
 
 
 class ClientRequestParser:
-    """Parses requests by the classes and tenants of the settings."""
+    """Parses client requests against the configured request classes and tenants."""
 
     def __init__(self, settings: Settings) -> None:
         self._methods = {
@@ -29,14 +30,14 @@
 
     @property
     def class_names(self) -> list[str]:
-        """The classes that there are, in the order of the settings."""
+        """The names of the configured request classes, in the order of the settings."""
         return list(self._methods)
 
     def parse(self, message: Message, path: str) -> ClientRequest:
-        """Parse a request.
+        """Parse a client request.
 
         Raises:
-            HttpError: the path or the class is unknown (404), the method is not that of the class (405), or
+            HttpError: The path or the class is unknown (404), the class does not allow the method (405), or
                 a header field is missing or malformed (400).
         """
         headers = message.headers
--- a/brambleusher/net/client_request_reader.py
+++ b/brambleusher/net/client_request_reader.py
@@ -1,4 +1,4 @@
-"""Reads one request from a client's connection, with the deadlines that apply at each stage of it."""
+"""Reads one request from a client connection and enforces the timeout of each stage."""
 
 from __future__ import annotations
 
@@ -8,30 +8,30 @@
 from brambleusher.net.streamed_bodies import MIN_BYTES_PER_S, RequestBodyStream
 from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
 
-REQUEST_TIMEOUT_S = 2.4  # from the first byte of a later request to its last
-IDLE_TIMEOUT_S = 2.2  # of a connection between requests; many clients ask once and never come back
-CONTINUE_TIMEOUT_S = 10.0  # for a client to take the interim response that asks for a streamed body
+REQUEST_TIMEOUT_S = 2.4  # in seconds, from the first to the last byte of a request after the first request
+IDLE_TIMEOUT_S = 2.2  # in seconds between requests; many clients never reuse a connection
+CONTINUE_TIMEOUT_S = 10.0  # in seconds, for writing the 100 Continue response to a slow client
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 class ClientRequestReader:
-    """Reads requests; one serves all connections, as each call keeps its own state."""
+    """Reads client requests; all connections share one instance, as each call keeps its own state."""
 
     def __init__(self, scheduler: Scheduler, connections: ClientConnections) -> None:
         self._scheduler, self._connections = scheduler, connections
 
     def read(self, connection: ClientConnection, reader: MessageReader) -> Message | None:
-        """Read the next request; None if the client closed instead, or may send no further one.
+        """Read the next request, or return None if the client closed or the idle timeout has passed.
 
         Raises:
-            HttpError: the request can't be used, or did not come completely in time (408).
-            OSError: the connection was lost.
+            HttpError: The request is invalid or did not arrive completely in time (408).
+            OSError: The connection was lost.
         """
         return _RequestRead(self._scheduler, self._connections, connection, reader).run()
 
 
 class _RequestRead:
-    """The read of one request."""
+    """The state of reading one client request."""
 
     __slots__ = (
         "_connection", "_connections", "_deadline", "_has_begun", "_has_sent_continue", "_reader",
@@ -47,8 +47,8 @@
     ) -> None:
         self._scheduler, self._connections = scheduler, connections
         self._connection, self._reader, self._stream = connection, reader, connection.stream
-        # A first request is timed from the accept on, not from its first byte: else connections could be
-        # held with half a request, or with nothing.
+        # The timeout of a first request starts at accept, not at its first byte. Otherwise clients could
+        # hold connections open with a partial request, or without sending anything.
         self._deadline = (
             scheduler.now() + IDLE_TIMEOUT_S if connection.was_served else connection.first_request_deadline
         )
@@ -73,7 +73,7 @@
         return request
 
     def _begin(self) -> None:
-        """Part of a request has come."""
+        """Record that part of a request has arrived, and set its deadline."""
         self._has_begun = True
         self._connections.mark_asked(self._connection)
         self._started_at = self._scheduler.now()
@@ -81,7 +81,7 @@
             self._deadline = self._started_at + REQUEST_TIMEOUT_S
 
     def _receive(self) -> bool:
-        """Wait for the next bytes; false once the request will not come any more."""
+        """Wait for the next bytes; return false once no request can arrive any more."""
         reader, deadline = self._reader, self._deadline
         if self._has_begun:
             deadline += reader.size_so_far / MIN_BYTES_PER_S
@@ -90,17 +90,17 @@
         except TaskTimeoutError:
             if reader.has_begun:
                 raise HttpError(408, "the request did not come whole in time") from None
-            return not self._stream.is_idle()  # it may have come in the moment in which the wait ended
+            return not self._stream.is_idle()  # bytes may have arrived just as the wait ended
         if not data:
             return False
         reader.feed(data)
         return True
 
     def _streamed_request(self) -> Message:
-        """Begin to stream a body too large to be buffered; raises `HttpError` where its method has none."""
+        """Start streaming a body too large to buffer; raise `HttpError` unless the method is POST."""
         request, now = self._reader.head(), self._scheduler.now()
         assert request is not None
-        if request.start[0] != "POST":  # what is safe to repeat has no body
+        if request.start[0] != "POST":  # requests that are safe to retry have no body
             raise HttpError(413, "the body is too large")
         if self._reader.expects_continue and not self._reader.size_so_far:
             self._stream.send(CONTINUE, now + CONTINUE_TIMEOUT_S)
--- a/brambleusher/net/client_response.py
+++ b/brambleusher/net/client_response.py
@@ -1,4 +1,4 @@
-"""Responses to clients: how a request's outcome is worded in HTTP, and how the response is written."""
+"""Encodes request outcomes as HTTP responses and writes them to clients."""
 
 from __future__ import annotations
 
@@ -19,36 +19,36 @@
 
 log = logging.getLogger(__name__)
 
-WRITE_TIMEOUT_S = 10.0  # for a client that reads its response, or a piece of it, slowly
-LAST_WRITE_TIMEOUT_S = 1.0  # the same for a piece, once responses should have left
+WRITE_TIMEOUT_S = 10.0  # in seconds, for a slow client to take a response or one chunk of it
+LAST_WRITE_TIMEOUT_S = 1.0  # in seconds, write timeout of one chunk after `latest_at` has passed
 
 COUNTED_AS = {ResponseKind.SERVED: SERVED, ResponseKind.REJECTED: REJECTED, ResponseKind.FAILED: FAILED}
 
 
 class ResponseTruncatedError(Exception):
-    """The rest of a streamed response does not come from its endpoint."""
+    """Raised when an endpoint fails to send the rest of a streamed response."""
 
 
 @dataclass(slots=True)
 class ClientResponse:
-    """A response as it is worded for HTTP; `counted_as` is its outcome for the class of its request."""
+    """An HTTP response to a client; `counted_as` is the outcome counted for its request class."""
 
     status: int
     headers: list[HeaderField]
     body: bytes
-    request_class: str | None = None  # None: it answers nothing that was accepted as a request
+    request_class: str | None = None  # None if the response answers no accepted request
     counted_as: str = FAILED
     is_request_complete: bool = True
-    body_stream: ResponseBodyStream | None = None  # in place of `body`
-    presence: PeerPresence | None = None  # of the client, where the body is streamed
-    latest_at: Callable[[], float] = never  # when it should have left, on the scheduler's clock
-    must_close: bool = False  # its connection can't carry another request
+    body_stream: ResponseBodyStream | None = None  # the streamed body, used in place of `body`
+    presence: PeerPresence | None = None  # detects a client disconnect while the body is streamed
+    latest_at: Callable[[], float] = never  # latest time to send the response, in seconds
+    must_close: bool = False  # whether the connection can't serve another request
 
 
 def word_response(
     response: FinalResponse, rewriter: HeaderRewriter | None
 ) -> tuple[int, list[HeaderField], bytes]:
-    """Word a final response as status, header fields and body."""
+    """Encode a final response as status, header fields and body."""
     if response.kind is ResponseKind.REJECTED:
         retry_after_s = f"{response.retry_after_ns / 1e9:.3f}"
         return 503, [("Retry-After", retry_after_s)] if response.retry_after_ns > 0 else [], b""
@@ -61,20 +61,20 @@
 
 
 class ClientResponseWriter:
-    """Writes responses, and counts how their requests ended."""
+    """Writes responses to clients and counts the outcomes of their requests."""
 
     def __init__(self, scheduler: Scheduler, counters: Counters, request_counts: RequestCounts) -> None:
         self._scheduler, self._counters, self._request_counts = scheduler, counters, request_counts
 
     def write(self, stream: Stream, response: ClientResponse, keep_alive: bool, http_minor: int) -> bool:
-        """Write a response to its last byte, with which its request ends.
+        """Write a complete response; its request is finished with the last byte.
 
         Returns:
-            Whether the connection may be kept.
+            Whether the connection may stay open.
 
         Raises:
-            OSError: the connection was lost.
-            TaskTimeoutError: the client did not take the response in time.
+            OSError: The connection was lost.
+            TaskTimeoutError: The client did not read the response in time.
         """
         try:
             counted_as = response.counted_as
@@ -96,17 +96,18 @@
             self._request_counts.in_flight -= is_open
 
     def write_error(self, stream: Stream, error: HttpError) -> None:
-        """Answer a request that can't be used, and end the connection."""
+        """Send an error response to an invalid request and half-close the connection."""
         data = write_response(error.status, [], f"{error}\n".encode(), False)
         stream.send(data, self._scheduler.now() + WRITE_TIMEOUT_S)
         stream.finish()
 
     def _relay_body(self, relay: _BodyRelay) -> bool:
-        """Relay a body piece by piece; false where the rest of it does not come."""
+        """Relay a body chunk by chunk; return false if the endpoint fails to send the rest."""
         try:
             self._run_relay(relay)
         except ResponseTruncatedError as error:
-            # Once, and so that the client can tell: short of its length, or without its last chunk.
+            # The client can tell that the body is truncated: it is shorter than its length, or the last
+            # chunk is missing.
             self._counters.add("answers_cut")
             log.warning("response truncated by endpoint", extra={"fields": {"reason": error}})
             relay.abort()
@@ -115,7 +116,7 @@
         return True
 
     def _run_relay(self, relay: _BodyRelay) -> None:
-        """Relay all pieces; raises `OSError` where the client leaves, also while no piece comes."""
+        """Relay all chunks; raise `OSError` if the client disconnects, even while no chunk arrives."""
         presence = relay.presence
         if presence is None:
             relay.run()
@@ -128,7 +129,7 @@
 
 
 class _BodyRelay:
-    """One response whose body is relayed piece by piece as it comes."""
+    """Relays the body of one response to the client chunk by chunk as it arrives."""
 
     __slots__ = ("_body", "_framing", "_head", "_response", "_scheduler", "_stream")
 
@@ -141,14 +142,14 @@
 
     @property
     def presence(self) -> PeerPresence | None:
-        """Whether the client is still there; None: it is not watched."""
+        """The detector of a client disconnect; None if the client is not watched."""
         return self._response.presence
 
     def choose_framing(self, keep_alive: bool, http_minor: int) -> bool:
-        """Choose how the body's end is marked; returns whether the connection may be kept."""
+        """Choose how the body's end is marked; return whether the connection may stay open."""
         body, response = self._body, self._response
         if body.length is None:
-            self._framing = Framing.CHUNKS if http_minor else Framing.END  # HTTP/1.0 has no chunks
+            self._framing = Framing.CHUNKS if http_minor else Framing.END  # HTTP/1.0 lacks chunks
         keep_alive = keep_alive and self._framing is not Framing.END
         self._head = write_response(
             response.status, response.headers, b"", keep_alive, body.length, self._framing
@@ -156,7 +157,7 @@
         return keep_alive
 
     def run(self) -> None:
-        """Send the head and every piece; raises `ResponseTruncatedError` where the rest does not come."""
+        """Send the head and every chunk; raise `ResponseTruncatedError` if the endpoint stops sending."""
         head, piece = self._head, self._next_piece()
         while piece or head:
             data = chunk(piece) if self._framing is Framing.CHUNKS and piece else piece
@@ -165,12 +166,12 @@
             piece = self._next_piece()
 
     def finish(self) -> None:
-        """Mark the end of a body that has come completely."""
+        """Send the end-of-body marker after the complete body was relayed."""
         if self._framing is Framing.CHUNKS:
             self._send(chunk(b""))
 
     def abort(self) -> None:
-        """Reset a connection whose end would otherwise be taken for the end of the body."""
+        """Reset the connection if a normal close would be mistaken for the end of the body."""
         if self._framing is Framing.END:
             self._scheduler.system.reset(self._stream.sock)
             self._stream.open = False
--- a/brambleusher/net/endpoint_entries.py
+++ b/brambleusher/net/endpoint_entries.py
@@ -1,4 +1,4 @@
-"""Entries of the endpoint list: what discovery says of an endpoint, checked and decoded."""
+"""Validates and decodes the entries of the endpoint list that service discovery sends."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 
 class EndpointListError(ValueError):
-    """An endpoint list that makes no sense."""
+    """Raised when an endpoint list is invalid."""
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """An endpoint as listed: what the balancer is told, and where it listens."""
+    """An entry of the endpoint list with the balancer's settings and the endpoint's address."""
 
     entry: HostEntry
     address: tuple[str, int]
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
-    """A whole list, or the entries that changed."""
+    """A complete endpoint list, or the entries that changed since the previous version."""
 
     version: int
     full: bool
@@ -41,20 +41,22 @@
 
 
 def state_word(state: HostState) -> str:
-    """Return discovery's word for a state."""
+    """Return the name of a state in the endpoint list."""
     return next(word for word, meant in _STATES.items() if meant is state)
 
 
 def state_of(word: str) -> HostState:
-    """Return the state that one of discovery's words means; raises `KeyError` where it means none."""
+    """Return the state with a name in the endpoint list; raise `KeyError` for an unknown name."""
     return _STATES[word]
 
 
 def decode_update(raw: object) -> EndpointListUpdate:
-    """Decode one object from discovery, checked completely before any of it is used.
+    """Validate and decode one endpoint list object from discovery.
+
+    The object is validated completely before any part of it is used.
 
     Raises:
-        EndpointListError: it makes no sense.
+        EndpointListError: The object is invalid.
     """
     if not isinstance(raw, dict):
         raise EndpointListError("the list is not an object")
@@ -66,12 +68,12 @@
 
 
 def decode_version(raw: Mapping[str, object]) -> int:
-    """Decode the version of a list; raises `EndpointListError` where it is no number."""
+    """Decode the version of a list; raise `EndpointListError` if it is not a number."""
     return _decode_count(raw, "version", 0)
 
 
 def decode_endpoint(raw: object) -> Endpoint:
-    """Decode one entry; raises `EndpointListError` where it makes no sense."""
+    """Decode one entry of the endpoint list; raise `EndpointListError` if it is invalid."""
     if not isinstance(raw, dict):
         raise EndpointListError("an entry is not an object")
     name, state = raw.get("id"), _STATES.get(str(raw.get("state")))
@@ -85,7 +87,7 @@
     address = _decode_address(name, raw.get("addr"), state)
     entry = HostEntry(
         host=name,
-        # The few words that thousands of entries share are kept once.
+        # Thousands of entries share a few strings, which are interned to save memory.
         zone=sys.intern(str(raw.get("zone", ""))),
         kind=sys.intern(str(raw.get("kind", ""))),
         cell=_decode_count(raw, "cell", 0),
