--- a/brambleusher/net/client_connections.py
+++ b/brambleusher/net/client_connections.py
@@ -98,8 +98,8 @@
                 # response would check the connection again, and under load that keeps requests unread.
                 self._admission.record_request(connection, now)
             else:
-                silent = "" if connection.was_served else "_silent"
-                self._counters.add(f"submitters_closed{silent}")
+                suffix = "" if connection.was_served else "_silent"
+                self._counters.add(f"submitters_closed{suffix}")
                 self.close_now(connection)
                 has_closed = True
         return has_closed
--- a/brambleusher/net/client_listener.py
+++ b/brambleusher/net/client_listener.py
@@ -46,7 +46,7 @@
         nodes: UpstreamPool,
         clock: Clock,
         counters: Counters,
-        places: ConnectionAdmission,
+        admission: ConnectionAdmission,
         is_ready: Callable[[], bool],
         rewrites: HeaderRewriter | None = None,
         request_counts: RequestCounts | None = None,
@@ -56,7 +56,7 @@
         service = service or ClientDraining()
         self.request_counts = request_counts or RequestCounts(parser.class_names)
         self._scheduler, self._counters = scheduler, counters
-        self._connections = ClientConnections(scheduler, counters, places, service)
+        self._connections = ClientConnections(scheduler, counters, admission, service)
         self._handler = ClientRequestHandler(
             scheduler, decisions, RequestLifecycle(decisions, nodes, scheduler), parser, self._connections,
             clock, counters, self.request_counts, service, is_ready, rewrites,
--- a/brambleusher/net/client_request_handler.py
+++ b/brambleusher/net/client_request_handler.py
@@ -196,9 +196,9 @@
         if body_stream is not None and body_stream.error is not None:
             raise body_stream.error
         self._counters.add(f"answers_{kind}")
-        return self._word(exchange, final)
+        return self._client_response(exchange, final)
 
-    def _word(self, exchange: _Exchange, final: FinalResponse) -> ClientResponse:
+    def _client_response(self, exchange: _Exchange, final: FinalResponse) -> ClientResponse:
         request_class = exchange.request.request_class
         status, headers, body = word_response(final, self._rewriter)
         if self._rewriter is not None:
--- a/brambleusher/net/client_response.py
+++ b/brambleusher/net/client_response.py
@@ -158,12 +158,12 @@
 
     def run(self) -> None:
         """Send the head and every chunk; raise `ResponseTruncatedError` if the endpoint stops sending."""
-        head, piece = self._head, self._next_piece()
-        while piece or head:
-            data = chunk(piece) if self._framing is Framing.CHUNKS and piece else piece
+        head, body_data = self._head, self._receive_chunk()
+        while body_data or head:
+            data = chunk(body_data) if self._framing is Framing.CHUNKS and body_data else body_data
             self._send(head + data)
             head = b""
-            piece = self._next_piece()
+            body_data = self._receive_chunk()
 
     def finish(self) -> None:
         """Send the end-of-body marker after the complete body was relayed."""
@@ -181,7 +181,7 @@
         latest_at = max(self._response.latest_at(), now + LAST_WRITE_TIMEOUT_S)
         self._stream.send(data, min(now + WRITE_TIMEOUT_S, latest_at))
 
-    def _next_piece(self) -> bytes:
+    def _receive_chunk(self) -> bytes:
         try:
             return self._body.next_piece(self._response.latest_at)
         except (HttpError, OSError, TaskTimeoutError) as error:
--- a/brambleusher/net/endpoint_list_slices.py
+++ b/brambleusher/net/endpoint_list_slices.py
@@ -26,7 +26,7 @@
 STEP_BYTES = 16 * 1024  # bytes of text parsed in one step, about 100 endpoints and 0.33 ms
 STEP_ENDPOINTS = 512  # endpoints compared with the current list in one step, which also takes about 0.33 ms
 SINGLE_STEP_BYTES = 2 * STEP_BYTES  # a text of at most this many bytes is parsed in one step
-MAX_CUT_ATTEMPTS = 8  # possible ends of an entry that are tried in one step
+MAX_SPLIT_ATTEMPTS = 8  # possible ends of an entry that are tried in one step
 NEW_DIVISOR = 4  # one in this many endpoints of a slice is a new endpoint while urgent changes wait
 _SERVERS = re.compile(rb'"servers"\s*:\s*\[')
 
@@ -62,9 +62,9 @@
         raise EndpointListError("servers is missing or too long")
     if endpoints and not entries:  # a trailing comma at the end of the array
         raise EndpointListError("servers is not a list")
-    whole = {**head, **tail}
+    decoded = {**head, **tail}
     endpoints += [decode_endpoint(entry) for entry in entries]
-    return EndpointListUpdate(decode_version(whole), whole.get("full") is True, tuple(endpoints))
+    return EndpointListUpdate(decode_version(decoded), decoded.get("full") is True, tuple(endpoints))
 
 
 def _decode_entries(text: bytes, position: int) -> tuple[list[object] | None, int]:
@@ -73,13 +73,13 @@
     Returns:
         The entries, or None if no valid split is found, and the position of the next entry.
     """
-    cut = position + STEP_BYTES
-    for _ in range(MAX_CUT_ATTEMPTS):
-        cut = text.find(b"},", cut) + 1
-        if cut == 0:
+    split_at = position + STEP_BYTES
+    for _ in range(MAX_SPLIT_ATTEMPTS):
+        split_at = text.find(b"},", split_at) + 1
+        if split_at == 0:
             break
         try:
-            return orjson.loads(b"[" + text[position:cut] + b"]"), cut + 1
+            return orjson.loads(b"[" + text[position:split_at] + b"]"), split_at + 1
         except ValueError:
             continue
     return None, position
--- a/brambleusher/net/endpoint_watch.py
+++ b/brambleusher/net/endpoint_watch.py
@@ -52,28 +52,28 @@
     def _lines(self, stream: Stream, reader: MessageReader) -> Iterator[bytes]:
         now = self._scheduler.now
         pending, texts = bytearray(), TextAssembler()
-        heard_at = now()  # time at which the last complete line had been processed
+        last_line_at = now()  # time at which the last complete line had been processed
         while True:
-            part, done = reader.drain()
-            looked = len(pending)
-            pending += part
-            while (end := pending.find(b"\n", looked)) >= 0:
+            received, done = reader.drain()
+            searched = len(pending)
+            pending += received
+            while (end := pending.find(b"\n", searched)) >= 0:
                 line = bytes(pending[:end])
                 del pending[: end + 1]
-                looked = 0
+                searched = 0
                 yield from texts.add(line)
-                heard_at = now()
+                last_line_at = now()
             if done:
                 return
             if len(pending) + texts.size > MAX_LINE:
                 raise WatchError("a line of the watch is too long")
             if len(pending) > LONG_LINE:
                 self._scheduler.yield_until_idle()
-            patience = TEXT_SECONDS if texts.incomplete else SILENT_SECONDS
+            timeout_s = TEXT_SECONDS if texts.incomplete else SILENT_SECONDS
             # Guards against a watch that sends a line very slowly. The timeout of a long line is extended
             # only by the time that its bytes take at the minimum rate.
             try:
-                data = stream.receive(heard_at + patience + len(pending) / MIN_BYTES_PER_S)
+                data = stream.receive(last_line_at + timeout_s + len(pending) / MIN_BYTES_PER_S)
             except TaskTimeoutError:
                 if not texts.incomplete:
                     raise
--- a/brambleusher/net/http/heads.py
+++ b/brambleusher/net/http/heads.py
@@ -46,8 +46,8 @@
 
 def parse_response_head(lines: list[str]) -> Message:
     """Parse a status line and its headers; raise `HttpError` if they are malformed."""
-    version, _, rest = lines[0].partition(" ")
-    status, _, reason = rest.partition(" ")
+    version, _, remainder = lines[0].partition(" ")
+    status, _, reason = remainder.partition(" ")
     found = _VERSION.match(version)
     if found is None or not _STATUS.match(status):
         raise HttpError(502, "bad status line")
--- a/brambleusher/net/http/message.py
+++ b/brambleusher/net/http/message.py
@@ -62,4 +62,4 @@
         connection = self.headers.get("connection")
         if connection is None:
             return _NO_OPTIONS
-        return {word.strip().lower() for word in connection.split(",")}
+        return {option.strip().lower() for option in connection.split(",")}
--- a/brambleusher/net/streamed_bodies.py
+++ b/brambleusher/net/streamed_bodies.py
@@ -13,8 +13,8 @@
 from brambleusher.runtime.scheduler import Event, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
 
-PIECE_BYTES = 32 * 1024  # bytes per read; a streamed body uses the memory of one read and its encoding
-RESPONSE_PIECE_TIMEOUT_S = 5.0  # in seconds without a byte of a streamed response
+READ_BYTES = 32 * 1024  # bytes per read; a streamed body uses the memory of one read and its encoding
+RESPONSE_READ_TIMEOUT_S = 5.0  # in seconds without a byte of a streamed response
 CHECK_INTERVAL_S = 0.2  # in seconds, between checks of the receiver while no data arrives
 MAX_BODY_DURATION_S = 900.0  # in seconds, at most, for a body of the maximum size
 MIN_BYTES_PER_S = 48_000  # minimum average rate of a request body
@@ -76,10 +76,10 @@
         now = self._stream.scheduler.now
         waits_since = now()
         while True:
-            until = waits_since + RESPONSE_PIECE_TIMEOUT_S
+            until = waits_since + RESPONSE_READ_TIMEOUT_S
             step_until = min(until, now() + CHECK_INTERVAL_S)
             try:
-                return self._stream.receive(step_until, size=PIECE_BYTES) or b""
+                return self._stream.receive(step_until, size=READ_BYTES) or b""
             except TaskTimeoutError:
                 if now() >= min(until, latest_at()):
                     raise
@@ -151,7 +151,7 @@
             OSError: The client disconnected.
         """
         try:
-            return self._next_piece(cancel_event, check)
+            return self._read_chunk(cancel_event, check)
         except HttpError as error:
             self.error = error
             raise
@@ -162,7 +162,7 @@
             self.has_client_left = True
             raise
 
-    def _next_piece(self, cancel_event: Event, check: Callable[[], None]) -> bytes | None:
+    def _read_chunk(self, cancel_event: Event, check: Callable[[], None]) -> bytes | None:
         while not self.is_complete:
             data, self.is_complete = self._reader.drain()
             if self.is_complete:
@@ -185,7 +185,7 @@
         now = self._stream.scheduler.now
         due = self._started_at + self._timeout_s + self.size / MIN_BYTES_PER_S
         try:
-            received = self._stream.receive(min(due, now() + CHECK_INTERVAL_S), cancel_event, PIECE_BYTES)
+            received = self._stream.receive(min(due, now() + CHECK_INTERVAL_S), cancel_event, READ_BYTES)
         except TaskTimeoutError:
             if now() < due:
                 return b""
--- a/brambleusher/net/upstream_connections.py
+++ b/brambleusher/net/upstream_connections.py
@@ -85,12 +85,13 @@
     def close_expired(self, endpoint: UpstreamEndpoint, now: float) -> None:
         """Close idle connections that have expired, were closed by the endpoint or exceed the idle limit."""
         oldest_use = now - self._pacing.idle_timeout_s
-        kept = [stream for stream in endpoint.idle if stream.used_at > oldest_use and stream.is_idle()]
-        kept = kept[max(0, len(kept) - max(endpoint.limit.idle_to_keep(now), 1)) :]  # the most recent ones
+        retained = [stream for stream in endpoint.idle if stream.used_at > oldest_use and stream.is_idle()]
+        # Keep the most recently used connections, which are at the end of the list.
+        retained = retained[max(0, len(retained) - max(endpoint.limit.idle_to_keep(now), 1)) :]
         for stream in endpoint.idle:
-            if stream not in kept:
+            if stream not in retained:
                 self._discard(endpoint, stream)
-        endpoint.idle[:] = kept
+        endpoint.idle[:] = retained
 
     def _take_idle(self, endpoint: UpstreamEndpoint, now: float) -> Stream | None:
         for at in range(len(endpoint.idle) - 1, -1, -1):
--- a/brambleusher/net/upstream_request_writer.py
+++ b/brambleusher/net/upstream_request_writer.py
@@ -11,7 +11,7 @@
 from brambleusher.runtime.streams import Stream, WaitInterruptedError
 from brambleusher.runtime.system import Address
 
-PIECE_TIMEOUT_S = 10.0  # in seconds, for a slow endpoint to take one chunk of a body
+CHUNK_TIMEOUT_S = 10.0  # in seconds, for a slow endpoint to take one chunk of a body
 _REWRITTEN = HOP_BY_HOP | {"content-length", "request-timeout-ms", "expect"}
 
 
@@ -64,20 +64,20 @@
         if not stream.is_idle():
             raise EarlyResponseError
 
-    first = chunk(buffered) if is_chunked and buffered else buffered
-    stream.send(head + first, now() + PIECE_TIMEOUT_S)
+    first_data = chunk(buffered) if is_chunked and buffered else buffered
+    stream.send(head + first_data, now() + CHUNK_TIMEOUT_S)
     while True:
         try:
-            piece = body.next_piece(attempt.cancel_event, check_for_response)
+            body_data = body.next_piece(attempt.cancel_event, check_for_response)
         except (HttpError, OSError):
             # The client caused the failure, and the endpoint has not run the incomplete request.
             attempt.cancel(AttemptStatus.NOT_STARTED)
             raise WaitInterruptedError from None
-        if piece is None:
+        if body_data is None:
             raise WaitInterruptedError
-        if not piece:
+        if not body_data:
             break
-        data = chunk(piece) if is_chunked else piece
-        stream.send(data, min(now() + PIECE_TIMEOUT_S, body.due))
+        data = chunk(body_data) if is_chunked else body_data
+        stream.send(data, min(now() + CHUNK_TIMEOUT_S, body.due))
     if is_chunked:
-        stream.send(chunk(b""), min(now() + PIECE_TIMEOUT_S, body.due))
+        stream.send(chunk(b""), min(now() + CHUNK_TIMEOUT_S, body.due))
--- a/brambleusher/net/upstream_responses.py
+++ b/brambleusher/net/upstream_responses.py
@@ -40,11 +40,11 @@
     if not isinstance(raw, dict):
         on_fault("not an object")
         return None
-    figures = [_parse_figure(raw, keys, on_fault) for keys in (UTILISATION_KEYS, THROUGHPUT_KEYS)]
-    return None if figures == [None, None] else LoadReport(*figures)
+    values = [_parse_load_value(raw, keys, on_fault) for keys in (UTILISATION_KEYS, THROUGHPUT_KEYS)]
+    return None if values == [None, None] else LoadReport(*values)
 
 
-def _parse_figure(raw: dict[str, object], keys: tuple[str, str], on_fault: FaultHandler) -> float | None:
+def _parse_load_value(raw: dict[str, object], keys: tuple[str, str], on_fault: FaultHandler) -> float | None:
     key = keys[0] if keys[0] in raw else keys[1]
     value = raw.get(key)
     if isinstance(value, int | float) and not isinstance(value, bool) and 0 <= value < math.inf:
--- a/brambleusher/runtime/http_client.py
+++ b/brambleusher/runtime/http_client.py
@@ -63,15 +63,15 @@
         host = f"{self._address[0]}:{self._address[1]}".encode()
         request = h11.Request(method=b"GET", target=target.encode(), headers=[(b"Host", host)])
         stream.send(encode_message(connection, request), deadline)
-        status, parts, held = 0, [], 0
+        status, parts, received_bytes = 0, [], 0
         while True:
             event = receive_event(connection, stream, deadline)
             if isinstance(event, h11.Response):
                 status = event.status_code
             elif isinstance(event, h11.Data):
                 parts.append(bytes(event.data))
-                held += len(event.data)
-                if held > BODY_BYTES_MAX:
+                received_bytes += len(event.data)
+                if received_bytes > BODY_BYTES_MAX:
                     raise OSError("the response is too long")
             elif isinstance(event, h11.EndOfMessage):
                 break
--- a/brambleusher/runtime/http_server.py
+++ b/brambleusher/runtime/http_server.py
@@ -114,7 +114,7 @@
     def _read(self, stream: Stream, connection: h11.Connection) -> HttpRequest | None:
         head: h11.Request | None = None
         parts: list[bytes] = []
-        held = 0
+        received_bytes = 0
         deadline = self._scheduler.now() + IDLE_S
         while True:
             event = receive_event(connection, stream, deadline)
@@ -122,16 +122,16 @@
                 head, deadline = event, self._scheduler.now() + REQUEST_S
             elif isinstance(event, h11.Data):
                 parts.append(bytes(event.data))
-                held += len(event.data)
-                if held > self._body_bytes:
+                received_bytes += len(event.data)
+                if received_bytes > self._body_bytes:
                     raise BodyTooLargeError
             elif isinstance(event, h11.EndOfMessage) and head is not None:
-                return self._whole(head, b"".join(parts), stream)
+                return self._complete_request(head, b"".join(parts), stream)
             else:
                 return None
 
     @staticmethod
-    def _whole(head: h11.Request, body: bytes, stream: Stream) -> HttpRequest:
+    def _complete_request(head: h11.Request, body: bytes, stream: Stream) -> HttpRequest:
         target = urlsplit(head.target.decode("latin-1"))
         query = dict(parse_qsl(target.query))
         method = head.method.decode("latin-1")
--- a/brambleusher/runtime/operating_system.py
+++ b/brambleusher/runtime/operating_system.py
@@ -187,15 +187,15 @@
         except OSError:
             return  # unsupported by this operating system; only the deadlines apply
 
-    def on_signal(self, number: int, call: Callable[[], None]) -> None:
+    def on_signal(self, number: int, callback: Callable[[], None]) -> None:
         """Call a function whenever a signal arrives."""
 
         def handler(_number: int, _frame: FrameType | None) -> None:
-            call()
+            callback()
 
         signal.signal(number, handler)
         if take_held_signal(number):
-            call()
+            callback()
 
     def worker(self, name: str, due: Callable[[], bool], turn: Callable[[], None]) -> Worker:
         """Start a worker on a daemon thread."""
--- a/brambleusher/runtime/peer_presence.py
+++ b/brambleusher/runtime/peer_presence.py
@@ -91,12 +91,12 @@
         return True
 
     @property
-    def _has_room(self) -> bool:
+    def _has_capacity(self) -> bool:
         return not self.discarded_bytes and self._buffer.buffered < self._max_read_ahead
 
     @property
     def _reads_on(self) -> bool:
-        return self.discarded_bytes < self._max_discarded or self._has_room
+        return self.discarded_bytes < self._max_discarded or self._has_capacity
 
     def _may_keep(self, size: int) -> bool:
-        return self._has_room and (self._reserve is None or self._reserve(size))
+        return self._has_capacity and (self._reserve is None or self._reserve(size))
--- a/brambleusher/runtime/sinks.py
+++ b/brambleusher/runtime/sinks.py
@@ -22,15 +22,15 @@
 
 def pieces(items: Iterable[Item], most: int) -> Iterator[bytes]:
     """Split the items into chunks of complete lines, each at most `most` bytes unless one line is longer."""
-    piece = bytearray()
+    chunk = bytearray()
     for item in items:
         for line in (item,) if item.count(b"\n") == 1 else item.splitlines(keepends=True):
-            if piece and len(piece) + len(line) > most:
-                yield bytes(piece)
-                piece.clear()
-            piece += line
-    if piece:
-        yield bytes(piece)
+            if chunk and len(chunk) + len(line) > most:
+                yield bytes(chunk)
+                chunk.clear()
+            chunk += line
+    if chunk:
+        yield bytes(chunk)
 
 
 class DescriptorSink:
@@ -41,13 +41,13 @@
 
     def write(self, items: list[Item]) -> int:
         """Write the lines chunk by chunk; a chunk that fails is lost."""
-        lost = 0
-        for piece in pieces(items, PIPE_BUF):
+        lost_lines = 0
+        for chunk in pieces(items, PIPE_BUF):
             try:
-                _write_all(self._fd, piece, None)
+                _write_all(self._fd, chunk, None)
             except OSError:
-                lost += piece.count(b"\n")
-        return lost
+                lost_lines += chunk.count(b"\n")
+        return lost_lines
 
     def close(self) -> None:
         """Do nothing, as the descriptor is not owned by this sink."""
@@ -70,16 +70,16 @@
             fd = os.open(self._path, flags, 0o644)
         except OSError:
             return count_lines(items)
-        lost = 0
+        lost_lines = 0
         try:
-            for piece in pieces(items, PIPE_BUF):
+            for chunk in pieces(items, PIPE_BUF):
                 try:
-                    append_whole(fd, piece)
+                    append_whole(fd, chunk)
                 except OSError:
-                    lost += piece.count(b"\n")
+                    lost_lines += chunk.count(b"\n")
         finally:
             os.close(fd)
-        return lost
+        return lost_lines
 
     def close(self) -> None:
         """Do nothing, as no descriptor stays open between writes."""
@@ -94,16 +94,16 @@
 
     def write(self, items: list[Item]) -> int:
         """Send the lines; a rejected datagram is lost, and the next one uses a new socket."""
-        lost = 0
-        for piece in pieces(items, MAX_DATAGRAM):
+        lost_lines = 0
+        for chunk in pieces(items, MAX_DATAGRAM):
             try:
-                if len(piece) > MAX_DATAGRAM:
+                if len(chunk) > MAX_DATAGRAM:
                     raise OSError("the line is too long for a datagram")
-                self._connected().send(piece)
+                self._connected().send(chunk)
             except OSError:
-                lost += piece.count(b"\n")
+                lost_lines += chunk.count(b"\n")
                 self.close()
-        return lost
+        return lost_lines
 
     def _connected(self) -> socket.socket:
         if self._socket is None:
@@ -139,7 +139,7 @@
         _write_all(fd, data, PATIENCE_MS)
     except OSError:
         # Remove a partial line, which would otherwise be joined to the next line.
-        part = os.fstat(fd).st_size - before.st_size
-        if stat.S_ISREG(before.st_mode) and 0 < part < len(data):
+        written_bytes = os.fstat(fd).st_size - before.st_size
+        if stat.S_ISREG(before.st_mode) and 0 < written_bytes < len(data):
             os.ftruncate(fd, before.st_size)
         raise
--- a/brambleusher/runtime/system.py
+++ b/brambleusher/runtime/system.py
@@ -159,7 +159,7 @@
         A peer that lost power or network sends nothing, and waits on its connection would never end.
         """
 
-    def on_signal(self, number: int, call: Callable[[], None]) -> None:
+    def on_signal(self, number: int, callback: Callable[[], None]) -> None:
         """Call a function whenever a signal arrives."""
 
     def worker(self, name: str, due: Callable[[], bool], turn: Callable[[], None]) -> Worker:
--- a/brambleusher/sidecar/app.py
+++ b/brambleusher/sidecar/app.py
@@ -214,7 +214,7 @@
         return connection_budgets(
             self.config,
             self.operator,
-            process_share=1.0 if group is None else group.shares.connections,
+            limit_fraction=1.0 if group is None else group.shares.connections,
             has_process_group=group is not None,
         )
 
--- a/brambleusher/sidecar/connection_budgets.py
+++ b/brambleusher/sidecar/connection_budgets.py
@@ -89,7 +89,7 @@
 
 
 def connection_budgets(
-    config: Config, operator: OperatorFile, *, process_share: float, has_process_group: bool
+    config: Config, operator: OperatorFile, *, limit_fraction: float, has_process_group: bool
 ) -> ConnectionBudgets:
     """Return the budgets of a process with a share, from 0 to 1, of the sidecar's limits.
 
@@ -108,10 +108,10 @@
         memory -= _mysql_memory(operator.mysql, memory // FEATURE_FRACTION_DIVISOR)
         available = (limits.sockets - descriptors) // FEATURE_FRACTION_DIVISOR
         descriptors += _mysql_descriptors(operator.mysql, available)
-    if process_share < 1:
-        memory = int((memory - RUNTIME_MEMORY_BYTES) * process_share)  # each process has its own runtime
+    if limit_fraction < 1:
+        memory = int((memory - RUNTIME_MEMORY_BYTES) * limit_fraction)  # each process has its own runtime
         memory = max(memory, MIN_SHARED_CONNECTIONS * CONNECTION_MEMORY_BYTES)
-    connections = min(int(limits.sockets * process_share) - descriptors, memory // CONNECTION_MEMORY_BYTES)
+    connections = min(int(limits.sockets * limit_fraction) - descriptors, memory // CONNECTION_MEMORY_BYTES)
     upstream = max(int(connections * UPSTREAM_FRACTION), MIN_CONNECTIONS)
     clients = max(connections - upstream, MIN_CONNECTIONS)
     requesting = max(int(limits.sockets * REQUESTING_CLIENTS_FRACTION), MIN_CONNECTIONS)
