--- a/brambleusher/net/endpoint_entries.py
+++ b/brambleusher/net/endpoint_entries.py
@@ -42,12 +42,12 @@
 
 def state_word(state: HostState) -> str:
     """Return the name of a state in the endpoint list."""
-    return next(name for name, meant in _STATES.items() if meant is state)
+    return next(key for key, meant in _STATES.items() if meant is state)
 
 
-def state_of(name: str) -> HostState:
+def state_of(state_key: str) -> HostState:
     """Return the state with a name in the endpoint list; raise `KeyError` for an unknown name."""
-    return _STATES[name]
+    return _STATES[state_key]
 
 
 def decode_update(raw: object) -> EndpointListUpdate:
