--- a/brambleusher/lab/faults/breakages.py
+++ b/brambleusher/lab/faults/breakages.py
@@ -352,12 +352,12 @@
 
 @breakage("silent-fault", "an exception while a failure is worded ends the connection", "answer")
 def _silent_fault(patches: Patches) -> None:
-    def word_response(response: FinalResponse, *more: Any) -> Any:
+    def encode_final_response(response: FinalResponse, *more: Any) -> Any:
         if response.kind is ResponseKind.FAILED:
             raise TaskCancelledError  # which no guard against exceptions holds up
         return old(response, *more)
 
-    old = patches.set(client_request_handler, "word_response", word_response)
+    old = patches.set(client_request_handler, "encode_final_response", encode_final_response)
 
 
 @breakage("answer-late", "requests are held for 100 ms more than their time", "answer")
--- a/brambleusher/net/client_request_handler.py
+++ b/brambleusher/net/client_request_handler.py
@@ -13,7 +13,7 @@
 from brambleusher.net.client_connection import ClientConnection
 from brambleusher.net.client_connections import ClientConnections
 from brambleusher.net.client_request_parser import ClientRequestParser
-from brambleusher.net.client_response import COUNTED_AS, ClientResponse, word_response
+from brambleusher.net.client_response import COUNTED_AS, ClientResponse, encode_final_response
 from brambleusher.net.header_forwarding import HeaderRewriter
 from brambleusher.net.http import HttpError, Message, MessageReader
 from brambleusher.net.request_lifecycle import ClientHandle, FinalResponse, RequestLifecycle
@@ -200,7 +200,7 @@
 
     def _client_response(self, exchange: _Exchange, final: FinalResponse) -> ClientResponse:
         request_class = exchange.request.request_class
-        status, headers, body = word_response(final, self._rewriter)
+        status, headers, body = encode_final_response(final, self._rewriter)
         if self._rewriter is not None:
             headers = self._rewriter.outward(headers, exchange.path, request_class)
         response = ClientResponse(status, headers, body, request_class, COUNTED_AS[final.kind])
--- a/brambleusher/net/client_response.py
+++ b/brambleusher/net/client_response.py
@@ -45,7 +45,7 @@
     must_close: bool = False  # whether the connection can't serve another request
 
 
-def word_response(
+def encode_final_response(
     response: FinalResponse, rewriter: HeaderRewriter | None
 ) -> tuple[int, list[HeaderField], bytes]:
     """Encode a final response as status, header fields and body."""
