--- a/brambleusher/features/records.py
+++ b/brambleusher/features/records.py
@@ -14,7 +14,7 @@
 from brambleusher.loadbalancing import api
 from brambleusher.loadbalancing.json_values import plain, unplain
 from brambleusher.loadbalancing.settings_codec import restore_rules, save_rules
-from brambleusher.net.endpoint_list import state_of, state_word
+from brambleusher.net.endpoint_list import state_of, state_name
 
 VERSION = 1
 BEGIN = "begin"  # the balancer's start, which is no event
@@ -38,7 +38,7 @@
         "zone": entry.zone,
         "kind": entry.kind,
         "cell": entry.cell,
-        "state": state_word(entry.state),
+        "state": state_name(entry.state),
         "weight": plain(entry.weight),
         "started_ms": entry.started_ns // NS_PER_MS,
     }
--- a/brambleusher/features/status.py
+++ b/brambleusher/features/status.py
@@ -25,7 +25,7 @@
 )
 from brambleusher.features.status_server import DESCRIPTORS, MAX_VIEWERS, StatusServer
 from brambleusher.loadbalancing.api import AttemptStatus, HostState, Settings
-from brambleusher.net.endpoint_list import Endpoint, EndpointListUpdate, state_word
+from brambleusher.net.endpoint_list import Endpoint, EndpointListUpdate, state_name
 from brambleusher.net.http import write_response
 from brambleusher.operator_settings.configuration import StatusSettings
 from brambleusher.runtime.scheduler import Scheduler, Task
@@ -186,7 +186,7 @@
             {
                 "id": name,
                 "addr": f"{endpoint.address[0]}:{endpoint.address[1]}",
-                "state": state_word(endpoint.entry.state),
+                "state": state_name(endpoint.entry.state),
                 "errors": [{"t_ms": at_ms, "error": error} for at_ms, error in errors],
             }
         )
--- a/brambleusher/net/endpoint_entries.py
+++ b/brambleusher/net/endpoint_entries.py
@@ -40,7 +40,7 @@
     endpoints: tuple[Endpoint, ...]
 
 
-def state_word(state: HostState) -> str:
+def state_name(state: HostState) -> str:
     """Return the name of a state in the endpoint list."""
     return next(key for key, meant in _STATES.items() if meant is state)
 
--- a/brambleusher/net/endpoint_list.py
+++ b/brambleusher/net/endpoint_list.py
@@ -19,7 +19,7 @@
     EndpointListUpdate,
     decode_update,
     state_of,
-    state_word,
+    state_name,
 )
 from brambleusher.net.endpoint_list_slices import EndpointListSlices, decode_steps
 from brambleusher.observability.counters import Counters
@@ -33,7 +33,7 @@
     "Feed",
     "decode_update",
     "state_of",
-    "state_word",
+    "state_name",
 ]  # fmt: skip
 
 log = logging.getLogger(__name__)
