--- a/brambleusher/net/client_connection_server.py
+++ b/brambleusher/net/client_connection_server.py
@@ -49,7 +49,7 @@
         try:
             while self._exchange(connection, reader):
                 connection.was_served = True
-                self._connections.mark_idle(connection, reader)
+                self._connections.record_response_sent(connection, reader)
                 if connection.is_released:
                     return
             if connection.stream.open and not connection.stream.finished:
@@ -66,7 +66,7 @@
         try:
             message = self._request_reader.read(connection, reader)
         except HttpError as error:
-            self._connections.mark_asked(connection)
+            self._connections.record_request_start(connection)
             self._count_bad_request(connection, error)
             self._writer.write_error(connection.stream, error)
             return False
--- a/brambleusher/net/client_connections.py
+++ b/brambleusher/net/client_connections.py
@@ -46,15 +46,15 @@
         self._open.discard(connection)
         self._admission.record_close(connection, self._scheduler.now())
 
-    def mark_asked(self, connection: ClientConnection) -> None:
+    def record_request_start(self, connection: ClientConnection) -> None:
         """Record that a request, or part of a request, has arrived on a connection."""
         self._admission.record_request(connection, self._scheduler.now())
 
-    def mark_tenant(self, connection: ClientConnection, tenant: str) -> None:
+    def record_request_tenant(self, connection: ClientConnection, tenant: str) -> None:
         """Record the tenant of the request that a connection is serving."""
         self._admission.record_tenant(connection, tenant)
 
-    def mark_idle(self, connection: ClientConnection, reader: MessageReader) -> None:
+    def record_response_sent(self, connection: ClientConnection, reader: MessageReader) -> None:
         """Record a sent response, and mark the connection idle unless its next request has arrived."""
         now = connection.stream.used_at = self._scheduler.now()
         if reader.buffered:
--- a/brambleusher/net/client_request_handler.py
+++ b/brambleusher/net/client_request_handler.py
@@ -142,7 +142,7 @@
             arrived_ns -= waited_ns
             request = replace(request, time_left_ns=max(request.time_left_ns - waited_ns, 0))
             self._counters.add("requests_read_late")
-        self._connections.mark_tenant(connection, request.tenant or "")
+        self._connections.record_request_tenant(connection, request.tenant or "")
         if self._rewriter is not None:
             forwarded = self._rewriter.inward(message, path, request.request_class, connection.peer)
             request = replace(request, payload=forwarded)
--- a/brambleusher/net/client_request_reader.py
+++ b/brambleusher/net/client_request_reader.py
@@ -69,13 +69,13 @@
                 return None
             if not self._receive():
                 return None
-        self._connections.mark_asked(self._connection)
+        self._connections.record_request_start(self._connection)
         return request
 
     def _begin(self) -> None:
         """Record that part of a request has arrived, and set its deadline."""
         self._has_begun = True
-        self._connections.mark_asked(self._connection)
+        self._connections.record_request_start(self._connection)
         self._started_at = self._scheduler.now()
         if self._connection.was_served:
             self._deadline = self._started_at + REQUEST_TIMEOUT_S
--- a/tests/net/test_guards.py
+++ b/tests/net/test_guards.py
@@ -165,7 +165,7 @@
     (
         "requests sent ahead where room is made",
         [
-            (ClientConnections, "mark_idle", rests_always),
+            (ClientConnections, "record_response_sent", rests_always),
             (PeerPresence, "check_left", reads_and_sees_no_end),
         ],
         test_crossings_client.Closes,
