--- a/brambleusher/net/client_connections.py
+++ b/brambleusher/net/client_connections.py
@@ -74,12 +74,12 @@
 
     # --- closing --------------------------------------------------------------------------------
 
-    def make_room_for_one(self) -> bool:
+    def evict_for_next_connection(self) -> bool:
         """Close idle connections until one more can be accepted; return whether any was closed."""
         now = self._scheduler.now()
         return self._close_idle(self._admission.evictions_for_new(now, self._admission.max_connections), now)
 
-    def make_room_below_current(self) -> bool:
+    def evict_for_descriptor(self) -> bool:
         """Close an idle connection to free a file descriptor; return whether any was closed."""
         now = self._scheduler.now()
         return self._close_idle(self._admission.evictions_for_new(now, self._admission.connection_count), now)
--- a/brambleusher/net/client_listener.py
+++ b/brambleusher/net/client_listener.py
@@ -119,7 +119,7 @@
 
     def _accept_all(self, listener: Socket) -> None:
         while True:
-            if self._connections.is_full and not self._connections.make_room_for_one():
+            if self._connections.is_full and not self._connections.evict_for_next_connection():
                 self._counters.add("accepts_put_off")
                 self._delay_accepts()
             elif not self._accept_one(listener):
@@ -138,7 +138,7 @@
             accepted = accept_connection(self._scheduler, listener)
         except OutOfDescriptorsError as error:
             log.warning("accept failed", extra={"fields": {"listener": "clients", "error": error.strerror}})
-            self._connections.make_room_below_current()
+            self._connections.evict_for_descriptor()
             self._delay_accepts()
             return True
         if accepted is None:
--- a/tests/sidecar/test_making_room.py
+++ b/tests/sidecar/test_making_room.py
@@ -63,7 +63,7 @@
         streams = self.rest(30, b"G")
         for _ in range(25):
             self.assertFalse(self.connections.close_least_valuable())
-            self.assertFalse(self.connections.make_room_for_one())
+            self.assertFalse(self.connections.evict_for_next_connection())
         self.assertLessEqual(sum(stream.looks for stream in streams), 30)
         self.assertEqual(self.places.connection_count, 30, "a connection with an unread request was closed")
 
