--- a/brambleusher/net/endpoint_list.py
+++ b/brambleusher/net/endpoint_list.py
@@ -102,7 +102,7 @@
         """Record the configured list, which is already applied; a version of 0 means that it has none."""
         self._version = known.version or None
         if self._slices is not None:
-            self._slices.mark_applied(known)
+            self._slices.record_applied(known)
 
     def request_watch(self) -> None:
         """Open a watch immediately unless a watch is open."""
@@ -188,7 +188,7 @@
         if self._slices is None:
             self._apply_at_once(update)
         elif self._slices.is_small(update):
-            self._slices.mark_applied(update)
+            self._slices.record_applied(update)
             self._apply_at_once(update)
         else:
             self._apply_in_slices(self._slices, update)
--- a/brambleusher/net/endpoint_list_slices.py
+++ b/brambleusher/net/endpoint_list_slices.py
@@ -108,11 +108,11 @@
         return len(self._urgent) + len(self._new)
 
     def is_small(self, update: EndpointListUpdate) -> bool:
-        """Return whether an update may be applied in one step and then passed to `mark_applied`."""
+        """Return whether an update may be applied in one step and then passed to `record_applied`."""
         applied = len(self.applied) if update.full else 0
         return not self.waiting and max(applied, len(update.endpoints)) <= self._small
 
-    def mark_applied(self, update: EndpointListUpdate) -> None:
+    def record_applied(self, update: EndpointListUpdate) -> None:
         """Record an update that was applied in one step."""
         if update.full:
             self.applied.clear()
--- a/tests/net/test_lists.py
+++ b/tests/net/test_lists.py
@@ -205,7 +205,7 @@
         update = EndpointListUpdate(version, full, machines)
         applied(said, update)
         if slices.is_small(update):
-            slices.mark_applied(update)
+            slices.record_applied(update)
             applied(heard, update)
             continue
         for _ in slices.add(update):
