--- a/brambleusher/features/records.py
+++ b/brambleusher/features/records.py
@@ -14,7 +14,7 @@
 from brambleusher.loadbalancing import api
 from brambleusher.loadbalancing.json_values import plain, unplain
 from brambleusher.loadbalancing.settings_codec import restore_rules, save_rules
-from brambleusher.net.endpoint_list import state_of, state_name
+from brambleusher.net.endpoint_list import state_name, state_of
 
 VERSION = 1
 BEGIN = "begin"  # the balancer's start, which is no event
--- a/brambleusher/net/endpoint_entries.py
+++ b/brambleusher/net/endpoint_entries.py
@@ -42,7 +42,7 @@
 
 def state_name(state: HostState) -> str:
     """Return the name of a state in the endpoint list."""
-    return next(key for key, meant in _STATES.items() if meant is state)
+    return next(state_key for state_key, meant in _STATES.items() if meant is state)
 
 
 def state_of(state_key: str) -> HostState:
--- a/brambleusher/net/endpoint_list.py
+++ b/brambleusher/net/endpoint_list.py
@@ -18,8 +18,8 @@
     EndpointListError,
     EndpointListUpdate,
     decode_update,
-    state_of,
     state_name,
+    state_of,
 )
 from brambleusher.net.endpoint_list_slices import EndpointListSlices, decode_steps
 from brambleusher.observability.counters import Counters
@@ -32,8 +32,8 @@
     "EndpointListUpdate",
     "Feed",
     "decode_update",
-    "state_of",
     "state_name",
+    "state_of",
 ]  # fmt: skip
 
 log = logging.getLogger(__name__)
