--- a/brambleusher/net/endpoint_watch.py
+++ b/brambleusher/net/endpoint_watch.py
@@ -11,12 +11,14 @@
 from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
 
-CONNECT_SECONDS = 1.0
-ANSWER_SECONDS = 4.0  # response timeout in seconds; discovery may queue a request for 3 s before rejecting it
-SILENT_SECONDS = 3.0  # at most this many seconds without a complete line; a heartbeat line is due every 2 s
-TEXT_SECONDS = 1.0  # at most this many seconds from the first to the last line of an indented text
-MAX_LINE = 6 * 1024 * 1024
-LONG_LINE = 64 * 1024  # bytes of an incomplete line from which other tasks run after each read
+CONNECT_TIMEOUT_S = 1.0
+RESPONSE_TIMEOUT_S = (
+    4.0  # response timeout in seconds; discovery may queue a request for 3 s before rejecting it
+)
+LINE_TIMEOUT_S = 3.0  # at most this many seconds without a complete line; a heartbeat line is due every 2 s
+TEXT_TIMEOUT_S = 1.0  # at most this many seconds from the first to the last line of an indented text
+MAX_LINE_BYTES = 6 * 1024 * 1024
+YIELD_LINE_BYTES = 64 * 1024  # bytes of an incomplete line from which other tasks run after each read
 
 
 class WatchError(OSError):
@@ -32,12 +34,12 @@
     def __call__(self, since: int | None) -> Generator[bytes, None, None]:
         """Yield texts as they arrive until the watch ends; raise `TaskTimeoutError` if it times out."""
         now = self._scheduler.now
-        stream = Stream.connect(self._scheduler, self._address, now() + CONNECT_SECONDS)
+        stream = Stream.connect(self._scheduler, self._address, now() + CONNECT_TIMEOUT_S)
         try:
             target = "/v1/endpoints?follow=1" + ("" if since is None else f"&since={since}")
             host = f"{self._address[0]}:{self._address[1]}"
-            stream.send(write_request("GET", target, [("Host", host)]), now() + CONNECT_SECONDS)
-            reader, deadline = MessageReader.responses(), now() + ANSWER_SECONDS
+            stream.send(write_request("GET", target, [("Host", host)]), now() + CONNECT_TIMEOUT_S)
+            reader, deadline = MessageReader.responses(), now() + RESPONSE_TIMEOUT_S
             while (head := reader.head()) is None:
                 data = stream.receive(deadline)
                 if not data:
@@ -65,11 +67,11 @@
                 last_line_at = now()
             if done:
                 return
-            if len(pending) + texts.size > MAX_LINE:
+            if len(pending) + texts.size > MAX_LINE_BYTES:
                 raise WatchError("a line of the watch is too long")
-            if len(pending) > LONG_LINE:
+            if len(pending) > YIELD_LINE_BYTES:
                 self._scheduler.yield_until_idle()
-            timeout_s = TEXT_SECONDS if texts.incomplete else SILENT_SECONDS
+            timeout_s = TEXT_TIMEOUT_S if texts.incomplete else LINE_TIMEOUT_S
             # Guards against a watch that sends a line very slowly. The timeout of a long line is extended
             # only by the time that its bytes take at the minimum rate.
             try:
--- a/tests/net/test_crossings_lists.py
+++ b/tests/net/test_crossings_lists.py
@@ -64,7 +64,7 @@
 
     def heals(self, script: Watch) -> None:
         old, new = self.node(b"old"), self.node(b"new")
-        with self.quick("SILENT_SECONDS"), self.quick("ANSWER_SECONDS"):
+        with self.quick("LINE_TIMEOUT_S"), self.quick("RESPONSE_TIMEOUT_S"):
             rig = self.rig([old.entry("h0")], script)
             rig.discovery.first = Discovery.text([new.entry("h1")], True, version=9)
             rig.discovery.asked.get(timeout=WAIT)  # the second watch
@@ -223,10 +223,12 @@
         rng = random.Random(seed)
         backoff = Backoff(sidecars, rng)
         for _ in range(200):
-            took = rng.choice([0.0, 0.01, endpoint_watch.CONNECT_SECONDS, endpoint_watch.ANSWER_SECONDS])
+            took = rng.choice(
+                [0.0, 0.01, endpoint_watch.CONNECT_TIMEOUT_S, endpoint_watch.RESPONSE_TIMEOUT_S]
+            )
             wait = backoff.wait_s(False, took)
             assert 0.05 <= wait <= MAX_INTERVAL_S
-            assert took + wait + endpoint_watch.CONNECT_SECONDS < 6.0, f"seed {seed}"
+            assert took + wait + endpoint_watch.CONNECT_TIMEOUT_S < 6.0, f"seed {seed}"
             if sidecars <= 30:
                 assert wait <= MAX_SMALL_FLEET_S
         assert backoff.wait_s(True, 0.0) <= 0.1
--- a/tests/net/test_guards.py
+++ b/tests/net/test_guards.py
@@ -86,7 +86,7 @@
             yield line
         if done:
             return
-        data = stream.receive(feed._scheduler.now() + endpoint_watch.SILENT_SECONDS)
+        data = stream.receive(feed._scheduler.now() + endpoint_watch.LINE_TIMEOUT_S)
         if not data:
             raise endpoint_watch.WatchError("the watch was cut")
         reader.feed(data)
@@ -191,13 +191,13 @@
     ),
     (
         "the clock of silence",
-        [(endpoint_watch, "SILENT_SECONDS", math.inf)],
+        [(endpoint_watch, "LINE_TIMEOUT_S", math.inf)],
         test_crossings_lists.Silence,
         "test_a_head_and_nothing_more",
     ),
     (
         "the wait for a head",
-        [(endpoint_watch, "ANSWER_SECONDS", math.inf)],
+        [(endpoint_watch, "RESPONSE_TIMEOUT_S", math.inf)],
         test_crossings_lists.Silence,
         "test_no_head",
     ),
