--- a/brambleusher/fronts/mysql/nodes.py
+++ b/brambleusher/fronts/mysql/nodes.py
@@ -33,7 +33,7 @@
     Settings,
 )
 from brambleusher.net.endpoint_list import Endpoint, EndpointListUpdate
-from brambleusher.net.request_lifecycle import AttemptOrder
+from brambleusher.net.request_lifecycle import AttemptSpec
 from brambleusher.observability.counters import Counters
 from brambleusher.runtime.scheduler import Event, Scheduler, TaskTimeoutError
 from brambleusher.runtime.streams import Stream, WaitInterruptedError
@@ -410,11 +410,11 @@
 
     # --- claims ---------------------------------------------------------------------------------
 
-    def start_attempt(self, order: AttemptOrder) -> Claim:
+    def start_attempt(self, order: AttemptSpec) -> Claim:
         """Start an attempt; `on_response_started` is called where the answer goes on or the session holds
         the connection."""
         name, payload, timeout_ns, deadline = order.endpoint, order.payload, order.timeout_ns, order.deadline
-        ended, begun, wanted = order.on_finished, order.on_response_started, order.is_wanted
+        ended, begun, wanted = order.on_finished, order.on_response_started, order.is_still_needed
         if not isinstance(payload, Work):
             raise TypeError("these nodes are spoken to in MySQL alone")
         claim, start = Claim(payload.session.flavour), self._scheduler.now()
--- a/brambleusher/net/request_lifecycle.py
+++ b/brambleusher/net/request_lifecycle.py
@@ -54,7 +54,7 @@
 
 
 @dataclass(slots=True)  # not frozen, as creating a frozen instance for each request costs four times as much
-class AttemptOrder:
+class AttemptSpec:
     """Parameters and callbacks of one attempt to send a request to an endpoint.
 
     Attributes:
@@ -77,7 +77,7 @@
     on_finished: Callable[[AttemptOutcome], None]
     on_response_started: Callable[[object], None]
     on_body_progress: Callable[[bool], None]
-    is_wanted: Callable[[], bool]
+    is_still_needed: Callable[[], bool]
 
 
 class RunningAttempt(Protocol):
@@ -90,7 +90,7 @@
 class AttemptStarter(Protocol):
     """Starts attempts on endpoints over a particular protocol."""
 
-    def start_attempt(self, order: AttemptOrder, /) -> RunningAttempt:
+    def start_attempt(self, order: AttemptSpec, /) -> RunningAttempt:
         """Start an attempt on an endpoint."""
 
 
@@ -191,7 +191,7 @@
                 self._abandon()
                 return None
             if isinstance(step, AttemptRequested):
-                self._attempts[step.attempt] = self._upstream.start_attempt(self._order_for(step))
+                self._attempts[step.attempt] = self._upstream.start_attempt(self._spec_for(step))
             elif isinstance(step, AttemptFinished):
                 # The first successful attempt provides the response to the request.
                 is_served = step.outcome.status is AttemptStatus.OK
@@ -214,7 +214,7 @@
             return FinalResponse(ResponseKind.REJECTED, min(step.retry_after_ns, longest_ns))
         return FinalResponse(ResponseKind.FAILED)
 
-    def _order_for(self, step: AttemptRequested) -> AttemptOrder:
+    def _spec_for(self, step: AttemptRequested) -> AttemptSpec:
         pending, decisions = self._pending, self._decisions
 
         def on_finished(outcome: AttemptOutcome) -> None:
@@ -229,7 +229,7 @@
         def on_body_progress(is_complete: bool) -> None:
             decisions.report_body_progress(pending, step.attempt, is_complete)
 
-        return AttemptOrder(
+        return AttemptSpec(
             step.endpoint, pending.request.payload, step.timeout_ns, self._deadline(), on_finished,
             on_response_started, on_body_progress, self._is_client_there,
         )  # fmt: skip
--- a/brambleusher/net/upstream_exchange.py
+++ b/brambleusher/net/upstream_exchange.py
@@ -7,7 +7,7 @@
 
 from brambleusher.loadbalancing.api import AttemptStatus, LoadReport
 from brambleusher.net.http import HttpError, Message
-from brambleusher.net.request_lifecycle import AttemptOrder
+from brambleusher.net.request_lifecycle import AttemptSpec
 from brambleusher.net.streamed_bodies import (
     EarlyResponseError,
     RequestBodyStream,
@@ -58,7 +58,7 @@
         context: UpstreamExchangeContext,
         endpoint: UpstreamEndpoint,
         attempt: UpstreamAttempt,
-        order: AttemptOrder,
+        order: AttemptSpec,
         request: Message,
         deadline: float,
         report_streaming: Callable[[AttemptResult], None],
@@ -87,7 +87,7 @@
                 return stream
             time_left_ms = self._time_left_ms(body)
             # The request may have ended while the attempt waited for a connection.
-            if time_left_ms < 1 or not self._order.is_wanted():
+            if time_left_ms < 1 or not self._order.is_still_needed():
                 return AttemptResult(AttemptStatus.NOT_STARTED)
             deadline = self._send_request(stream, body, time_left_ms)
             response, keep = UpstreamResponseReader(stream, attempt.cancel_event, deadline).read()
--- a/brambleusher/net/upstream_pool.py
+++ b/brambleusher/net/upstream_pool.py
@@ -11,7 +11,7 @@
 from brambleusher.loadbalancing.connection_limits import ConnectionLimit, ConnectPacing
 from brambleusher.net.endpoint_list import Endpoint, EndpointListUpdate
 from brambleusher.net.http import Message
-from brambleusher.net.request_lifecycle import AttemptOrder
+from brambleusher.net.request_lifecycle import AttemptSpec
 from brambleusher.net.streamed_bodies import response_body_stream
 from brambleusher.net.upstream_connections import UpstreamConnections
 from brambleusher.net.upstream_endpoint import AttemptResult, UpstreamAttempt, UpstreamEndpoint
@@ -148,7 +148,7 @@
 
     # --- attempts -------------------------------------------------------------------------------
 
-    def start_attempt(self, order: AttemptOrder) -> UpstreamAttempt:
+    def start_attempt(self, order: AttemptSpec) -> UpstreamAttempt:
         """Start an attempt; its end is reported exactly once, on success and on failure.
 
         The end of an attempt with a streamed response is reported when the first bytes of the body have
@@ -170,7 +170,7 @@
         return attempt
 
     def _run_attempt(
-        self, attempt: UpstreamAttempt, order: AttemptOrder, request: Message, deadline: float
+        self, attempt: UpstreamAttempt, order: AttemptSpec, request: Message, deadline: float
     ) -> None:
         def report(result: AttemptResult) -> None:
             self._report(attempt, order, result)
@@ -196,7 +196,7 @@
             if result is not None and not attempt.is_response_streaming:
                 report(result)
 
-    def _report(self, attempt: UpstreamAttempt, order: AttemptOrder, result: AttemptResult) -> None:
+    def _report(self, attempt: UpstreamAttempt, order: AttemptSpec, result: AttemptResult) -> None:
         latency_ns = int((self._scheduler.now() - attempt.started_at) * _NS_PER_S)
         response = result.response
         body_stream = None if response is None else response_body_stream(response)
