--- a/brambleusher/net/request_lifecycle.py
+++ b/brambleusher/net/request_lifecycle.py
@@ -90,7 +90,7 @@
 class AttemptStarter(Protocol):
     """Starts attempts on endpoints over a particular protocol."""
 
-    def start_attempt(self, order: AttemptSpec, /) -> RunningAttempt:
+    def start_attempt(self, spec: AttemptSpec, /) -> RunningAttempt:
         """Start an attempt on an endpoint."""
 
 
--- a/brambleusher/net/upstream_exchange.py
+++ b/brambleusher/net/upstream_exchange.py
@@ -51,21 +51,21 @@
 class UpstreamExchange:
     """The exchange of one request and its response on a connection to an endpoint."""
 
-    __slots__ = ("_attempt", "_context", "_deadline", "_endpoint", "_order", "_report_streaming", "_request")
+    __slots__ = ("_attempt", "_context", "_deadline", "_endpoint", "_spec", "_report_streaming", "_request")
 
     def __init__(
         self,
         context: UpstreamExchangeContext,
         endpoint: UpstreamEndpoint,
         attempt: UpstreamAttempt,
-        order: AttemptSpec,
+        spec: AttemptSpec,
         request: Message,
         deadline: float,
         report_streaming: Callable[[AttemptResult], None],
     ) -> None:
         """Create an exchange; a streamed response is passed to `report_streaming`, not returned by `run`."""
         self._context, self._endpoint, self._attempt = context, endpoint, attempt
-        self._order, self._request, self._deadline = order, request, deadline
+        self._spec, self._request, self._deadline = spec, request, deadline
         self._report_streaming = report_streaming
 
     @property
@@ -87,7 +87,7 @@
                 return stream
             time_left_ms = self._time_left_ms(body)
             # The request may have ended while the attempt waited for a connection.
-            if time_left_ms < 1 or not self._order.is_still_needed():
+            if time_left_ms < 1 or not self._spec.is_still_needed():
                 return AttemptResult(AttemptStatus.NOT_STARTED)
             deadline = self._send_request(stream, body, time_left_ms)
             response, keep = UpstreamResponseReader(stream, attempt.cancel_event, deadline).read()
@@ -135,12 +135,12 @@
         if body is None:
             stream.send(data, deadline)
         else:
-            stream_request(stream, attempt, body, data, self._order.on_body_progress)
+            stream_request(stream, attempt, body, data, self._spec.on_body_progress)
             attempt.started_at, deadline = context.scheduler.now(), body.due
         attempt.is_request_sent = True
         context.on_request_sent()
         if body is not None:
-            self._order.on_body_progress(True)
+            self._spec.on_body_progress(True)
         return deadline
 
     def _time_left_ms(self, body: RequestBodyStream | None) -> int:
--- a/brambleusher/net/upstream_pool.py
+++ b/brambleusher/net/upstream_pool.py
@@ -148,7 +148,7 @@
 
     # --- attempts -------------------------------------------------------------------------------
 
-    def start_attempt(self, order: AttemptSpec) -> UpstreamAttempt:
+    def start_attempt(self, spec: AttemptSpec) -> UpstreamAttempt:
         """Start an attempt; its end is reported exactly once, on success and on failure.
 
         The end of an attempt with a streamed response is reported when the first bytes of the body have
@@ -158,47 +158,45 @@
         Raises:
             TypeError: The payload is not an HTTP message.
         """
-        if not isinstance(order.payload, Message):
+        if not isinstance(spec.payload, Message):
             raise TypeError("the payload is not an HTTP message")
         started_at = self._scheduler.now()
-        deadline = order.deadline
-        if order.timeout_ns:
-            deadline = min(deadline, started_at + order.timeout_ns / _NS_PER_S)
+        deadline = spec.deadline
+        if spec.timeout_ns:
+            deadline = min(deadline, started_at + spec.timeout_ns / _NS_PER_S)
         attempt = UpstreamAttempt(started_at)
-        task_name = f"attempt {order.endpoint}"
-        self._scheduler.spawn(self._run_attempt, attempt, order, order.payload, deadline, name=task_name)
+        task_name = f"attempt {spec.endpoint}"
+        self._scheduler.spawn(self._run_attempt, attempt, spec, spec.payload, deadline, name=task_name)
         return attempt
 
     def _run_attempt(
-        self, attempt: UpstreamAttempt, order: AttemptSpec, request: Message, deadline: float
+        self, attempt: UpstreamAttempt, spec: AttemptSpec, request: Message, deadline: float
     ) -> None:
         def report(result: AttemptResult) -> None:
-            self._report(attempt, order, result)
+            self._report(attempt, spec, result)
 
         result: AttemptResult | None = AttemptResult(AttemptStatus.ERROR)
-        endpoint = self._endpoint_for_attempt(order.endpoint)
+        endpoint = self._endpoint_for_attempt(spec.endpoint)
         try:
             if endpoint is None:
                 result = AttemptResult(AttemptStatus.OVERLOADED)
             else:
                 endpoint.attempts[attempt] = None
-                exchange = UpstreamExchange(
-                    self._context, endpoint, attempt, order, request, deadline, report
-                )
+                exchange = UpstreamExchange(self._context, endpoint, attempt, spec, request, deadline, report)
                 result = exchange.run()
         except Exception:
             # If the end were not reported, the request would wait until its deadline.
             self._counters.add("faults")
-            log.exception("attempt failed", extra={"fields": {"node": order.endpoint}})
+            log.exception("attempt failed", extra={"fields": {"node": spec.endpoint}})
         finally:
             if endpoint is not None:
                 endpoint.attempts.pop(attempt, None)
             if result is not None and not attempt.is_response_streaming:
                 report(result)
 
-    def _report(self, attempt: UpstreamAttempt, order: AttemptSpec, result: AttemptResult) -> None:
+    def _report(self, attempt: UpstreamAttempt, spec: AttemptSpec, result: AttemptResult) -> None:
         latency_ns = int((self._scheduler.now() - attempt.started_at) * _NS_PER_S)
         response = result.response
         body_stream = None if response is None else response_body_stream(response)
         discard = do_nothing if body_stream is None else body_stream.close
-        order.on_finished(AttemptOutcome(result.status, latency_ns, result.report, response, discard))
+        spec.on_finished(AttemptOutcome(result.status, latency_ns, result.report, response, discard))
