--- a/brambleusher/net/client_response.py
+++ b/brambleusher/net/client_response.py
@@ -183,6 +183,6 @@
 
     def _receive_chunk(self) -> bytes:
         try:
-            return self._body.next_piece(self._response.latest_at)
+            return self._body.read_chunk(self._response.latest_at)
         except (HttpError, OSError, TaskTimeoutError) as error:
             raise ResponseTruncatedError(f"{type(error).__name__}: {error}") from None
--- a/brambleusher/net/streamed_bodies.py
+++ b/brambleusher/net/streamed_bodies.py
@@ -40,7 +40,7 @@
         self.closed_event = Event()
         self.is_complete = False
 
-    def next_piece(self, latest_at: Callable[[], float] = never) -> bytes:
+    def read_chunk(self, latest_at: Callable[[], float] = never) -> bytes:
         """Return the next bytes, which are empty at the end of the body.
 
         Args:
@@ -140,7 +140,7 @@
         buffered, self._buffered, self.is_consumed = self._buffered, b"", True
         return buffered
 
-    def next_piece(self, cancel_event: Event, check: Callable[[], None]) -> bytes | None:
+    def read_chunk(self, cancel_event: Event, check: Callable[[], None]) -> bytes | None:
         """Return the next bytes, which are empty at the end of the body, or None if the event was set.
 
         `check` is called before each chunk and periodically while none arrives; an exception from it ends the
--- a/brambleusher/net/upstream_request_writer.py
+++ b/brambleusher/net/upstream_request_writer.py
@@ -68,7 +68,7 @@
     stream.send(head + first_data, now() + CHUNK_TIMEOUT_S)
     while True:
         try:
-            body_data = body.next_piece(attempt.cancel_event, check_for_response)
+            body_data = body.read_chunk(attempt.cancel_event, check_for_response)
         except (HttpError, OSError):
             # The client caused the failure, and the endpoint has not run the incomplete request.
             attempt.cancel(AttemptStatus.NOT_STARTED)
