--- a/brambleusher/controlplane/registry/instance_list.py
+++ b/brambleusher/controlplane/registry/instance_list.py
@@ -9,7 +9,7 @@
 
 import orjson
 
-from brambleusher.runtime.http_client import HttpCallError, HttpClient
+from brambleusher.runtime.http_client import HttpClient, HttpRequestError
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.streams import parse_address
 from brambleusher.wire.errors import InvalidMessageError
@@ -82,7 +82,7 @@
     def _read(self, begun_s: float) -> None:
         try:
             instances = self._read_pages()
-        except (HttpCallError, InstanceListError) as error:
+        except (HttpRequestError, InstanceListError) as error:
             self._failures += 1
             if self._failures in LOGGED_FAILURES:
                 fields = {"reason": str(error), "failures": self._failures}
--- a/brambleusher/lab/soak/clients.py
+++ b/brambleusher/lab/soak/clients.py
@@ -13,7 +13,7 @@
 from brambleusher.lab.soak.settings import DIRECTORY_PORT
 from brambleusher.lab.soak.wires import DEADLINE_S, HOST, GatewayWire, Wire
 from brambleusher.runtime.h11_messages import encode_message, receive_event
-from brambleusher.runtime.http_client import HttpCallError, HttpClient
+from brambleusher.runtime.http_client import HttpClient, HttpRequestError
 from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
 from brambleusher.runtime.streams import Stream, parse_address
 from brambleusher.runtime.system import SHUTDOWN_WRITE, Address
@@ -115,7 +115,7 @@
             client = HttpClient(self._scheduler, parse_address(registry))
             try:
                 status, body = client.get(f"/api/resolution?name={HOST}&region=north&zone=n1", RESOLUTION_S)
-            except HttpCallError:
+            except HttpRequestError:
                 continue
             finally:
                 client.close()
--- a/brambleusher/lab/soak/run.py
+++ b/brambleusher/lab/soak/run.py
@@ -37,7 +37,7 @@
 )
 from brambleusher.lab.soak.sidecars import SidecarDiscovery
 from brambleusher.lab.soak.wires import GatewayWire, SidecarWire
-from brambleusher.runtime.http_client import HttpCallError, HttpClient
+from brambleusher.runtime.http_client import HttpClient, HttpRequestError
 from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.runtime.scheduler import Scheduler, Task
 from brambleusher.runtime.system import Address
@@ -285,7 +285,7 @@
         client = HttpClient(self._scheduler, address)
         try:
             return client.get(path, REQUEST_TIMEOUT_S)
-        except HttpCallError:
+        except HttpRequestError:
             return 0, b""
         finally:
             client.close()
--- a/brambleusher/runtime/http_client.py
+++ b/brambleusher/runtime/http_client.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(eq=False)
-class HttpCallError(Exception):
+class HttpRequestError(Exception):
     """Raised when a request gets no complete response."""
 
     reason: str
@@ -34,7 +34,7 @@
         self._connection = h11.Connection(h11.CLIENT)
 
     def get(self, target: str, timeout_s: float) -> tuple[int, bytes]:
-        """Send a GET request and return status and body; raise `HttpCallError` if it fails."""
+        """Send a GET request and return status and body; raise `HttpRequestError` if it fails."""
         deadline = self._scheduler.now() + timeout_s
         reused = self._stream is not None
         try:
@@ -42,12 +42,12 @@
         except (OSError, TaskTimeoutError, h11.ProtocolError) as error:
             self.close()
             if not reused or self._scheduler.now() >= deadline:
-                raise HttpCallError(f"{type(error).__name__}: {error}") from error
+                raise HttpRequestError(f"{type(error).__name__}: {error}") from error
         try:  # the server had closed the reused connection
             return self._get(target, deadline)
         except (OSError, TaskTimeoutError, h11.ProtocolError) as error:
             self.close()
-            raise HttpCallError(f"{type(error).__name__}: {error}") from error
+            raise HttpRequestError(f"{type(error).__name__}: {error}") from error
 
     def close(self) -> None:
         """Close the reused connection."""
--- a/brambleusher/system_tools.py
+++ b/brambleusher/system_tools.py
@@ -15,7 +15,7 @@
 from brambleusher.controlplane.storage.errors import CorruptStorageError
 from brambleusher.controlplane.storage.storage import inspect
 from brambleusher.runtime.disk import FolderDisk
-from brambleusher.runtime.http_client import HttpCallError, HttpClient
+from brambleusher.runtime.http_client import HttpClient, HttpRequestError
 from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.streams import parse_address
@@ -116,7 +116,7 @@
     """Return the status of a gateway (at its `ready` address) or controller (at its `control` address)."""
     try:
         status_code, body = _get(address, "/api/status")
-    except (HttpCallError, ValueError) as error:
+    except (HttpRequestError, ValueError) as error:
         raise ToolError(f"{address}: {error}") from error
     if status_code != HTTPStatus.OK:
         raise ToolError(f"{address}: the response status is {status_code}")
@@ -124,15 +124,15 @@
 
 
 def _get(address: str, path: str) -> tuple[int, bytes]:
-    """Return status and body of a GET; raise `HttpCallError`, or `ValueError` for an invalid address."""
+    """Return status and body of a GET; raise `HttpRequestError`, or `ValueError` for an invalid address."""
     server = parse_address(address)
     scheduler = Scheduler(RealSystem())
-    outcomes: list[Result[tuple[int, bytes], HttpCallError]] = []
+    outcomes: list[Result[tuple[int, bytes], HttpRequestError]] = []
 
     def call() -> None:
         try:
             outcomes.append(Ok(HttpClient(scheduler, server).get(path, CALL_TIMEOUT_S)))
-        except HttpCallError as error:
+        except HttpRequestError as error:
             outcomes.append(Err(error))
 
     scheduler.spawn(call, name="status")
