--- a/brambleusher/features/capture.py
+++ b/brambleusher/features/capture.py
@@ -32,7 +32,7 @@
 from brambleusher.loadbalancing.settings_codec import save_settings
 from brambleusher.net.endpoint_list import EndpointListUpdate
 from brambleusher.operator_settings.configuration import CaptureSettings
-from brambleusher.runtime.sinks import append_whole
+from brambleusher.runtime.sinks import append_atomically
 from brambleusher.runtime.system import Item
 
 log = logging.getLogger(__name__)
@@ -292,7 +292,7 @@
                 raise
             return False
         try:
-            append_whole(fd, data)
+            append_atomically(fd, data)
         finally:
             os.close(fd)
         return True
--- a/brambleusher/runtime/sinks.py
+++ b/brambleusher/runtime/sinks.py
@@ -74,7 +74,7 @@
         try:
             for chunk in pieces(items, PIPE_BUF):
                 try:
-                    append_whole(fd, chunk)
+                    append_atomically(fd, chunk)
                 except OSError:
                     lost_lines += chunk.count(b"\n")
         finally:
@@ -132,7 +132,7 @@
                 raise TimeoutError("the reader is too slow") from None
 
 
-def append_whole(fd: int, data: bytes) -> None:
+def append_atomically(fd: int, data: bytes) -> None:
     """Append all of the data to a file, or nothing if the disk is full; raise `OSError` on failure."""
     before = os.fstat(fd)
     try:
--- a/tests/features/test_capture.py
+++ b/tests/features/test_capture.py
@@ -444,7 +444,7 @@
         sink.write(items[:4])
         before = sorted(self.folder.iterdir())
         with (
-            mock.patch.object(capture_module, "append_whole", side_effect=OSError(28, "full")),
+            mock.patch.object(capture_module, "append_atomically", side_effect=OSError(28, "full")),
             self.assertLogs("brambleusher.features.capture", "ERROR") as logged,
         ):
             self.assertEqual(sink.write(items[4:8]), sum(item.count(b"\n") for item in items[4:8]))
--- a/tests/features/test_figures.py
+++ b/tests/features/test_figures.py
@@ -25,7 +25,7 @@
 from brambleusher.operator_settings.section import OperatorFileError
 from brambleusher.runtime import sinks
 from brambleusher.runtime.operating_system import RealSystem
-from brambleusher.runtime.sinks import DescriptorSink, FileSink, append_whole, pieces
+from brambleusher.runtime.sinks import DescriptorSink, FileSink, append_atomically, pieces
 from brambleusher.runtime.system import Item
 from tests.rig import WAIT, Node, Rig, answer, reset
 
@@ -142,7 +142,7 @@
                 return real(fd, data[:2]) if len(data) == 5 else real(-1, b"")
 
             with mock.patch.object(os, "write", full), self.assertRaises(OSError):
-                append_whole(file.fileno(), b"half\n")
+                append_atomically(file.fileno(), b"half\n")
             self.assertEqual(os.pread(file.fileno(), 99, 0), b"whole\n")
 
     def test_what_can_not_be_written_to_is_lost_and_never_waited_for(self) -> None:
