--- a/brambleusher/runtime/sinks.py
+++ b/brambleusher/runtime/sinks.py
@@ -20,7 +20,7 @@
     return sum(item.count(b"\n") for item in items)
 
 
-def pieces(items: Iterable[Item], most: int) -> Iterator[bytes]:
+def line_chunks(items: Iterable[Item], most: int) -> Iterator[bytes]:
     """Split the items into chunks of complete lines, each at most `most` bytes unless one line is longer."""
     chunk = bytearray()
     for item in items:
@@ -42,7 +42,7 @@
     def write(self, items: list[Item]) -> int:
         """Write the lines chunk by chunk; a chunk that fails is lost."""
         lost_lines = 0
-        for chunk in pieces(items, PIPE_BUF):
+        for chunk in line_chunks(items, PIPE_BUF):
             try:
                 _write_all(self._fd, chunk, None)
             except OSError:
@@ -72,7 +72,7 @@
             return count_lines(items)
         lost_lines = 0
         try:
-            for chunk in pieces(items, PIPE_BUF):
+            for chunk in line_chunks(items, PIPE_BUF):
                 try:
                     append_atomically(fd, chunk)
                 except OSError:
@@ -95,7 +95,7 @@
     def write(self, items: list[Item]) -> int:
         """Send the lines; a rejected datagram is lost, and the next one uses a new socket."""
         lost_lines = 0
-        for chunk in pieces(items, MAX_DATAGRAM):
+        for chunk in line_chunks(items, MAX_DATAGRAM):
             try:
                 if len(chunk) > MAX_DATAGRAM:
                     raise OSError("the line is too long for a datagram")
--- a/tests/features/test_figures.py
+++ b/tests/features/test_figures.py
@@ -25,7 +25,7 @@
 from brambleusher.operator_settings.section import OperatorFileError
 from brambleusher.runtime import sinks
 from brambleusher.runtime.operating_system import RealSystem
-from brambleusher.runtime.sinks import DescriptorSink, FileSink, append_atomically, pieces
+from brambleusher.runtime.sinks import DescriptorSink, FileSink, append_atomically, line_chunks
 from brambleusher.runtime.system import Item
 from tests.rig import WAIT, Node, Rig, answer, reset
 
@@ -130,7 +130,7 @@
 
     def test_pieces_are_of_whole_lines(self) -> None:
         items = [b"a\n", b"bb\ncc\n", b"d" * 9 + b"\n", b"e\n"]
-        self.assertEqual(list(pieces(items, 6)), [b"a\nbb\n", b"cc\n", b"d" * 9 + b"\n", b"e\n"])
+        self.assertEqual(list(line_chunks(items, 6)), [b"a\nbb\n", b"cc\n", b"d" * 9 + b"\n", b"e\n"])
 
     def test_a_full_disk_leaves_no_half_line(self) -> None:
         with tempfile.TemporaryFile() as file:
