--- a/brambleusher/net/endpoint_watch.py
+++ b/brambleusher/net/endpoint_watch.py
@@ -79,7 +79,7 @@
             except TaskTimeoutError:
                 if not texts.incomplete:
                     raise
-                yield texts.give_up()
+                yield texts.take_pending()
                 raise
             if not data:
                 raise WatchError("discovery closed the connection in the middle of the watch")
--- a/brambleusher/net/json_text_assembler.py
+++ b/brambleusher/net/json_text_assembler.py
@@ -33,16 +33,16 @@
                 return []
             return [stripped]
         if not stripped:  # JSON texts contain no empty line, so the pending text was truncated
-            return [self.give_up(), stripped]
+            return [self.take_pending(), stripped]
         self._pending_lines.append(line)
         if not stripped.endswith(b"}"):
             return []
         self._parse_attempts += 1
         if self._parse_attempts < MAX_PARSE_ATTEMPTS and not self._is_complete():
             return []
-        return [self.give_up()]
+        return [self.take_pending()]
 
-    def give_up(self) -> bytes:
+    def take_pending(self) -> bytes:
         """Return the pending text, complete or not, and clear it."""
         text = b"\n".join(self._pending_lines)
         self._pending_lines.clear()
