--- a/brambleusher/net/http/chunked.py
+++ b/brambleusher/net/http/chunked.py
@@ -31,7 +31,7 @@
     def feed(self, data: bytes) -> bytes:
         """Decode received bytes and return the body bytes that became available.
 
-        Bytes after the end of the body are available as `rest`.
+        Bytes after the end of the body are available as `remainder`.
 
         Raises:
             HttpError: The framing is malformed.
@@ -50,7 +50,7 @@
         return bytes(out)
 
     @property
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """The bytes received after the end of the body."""
         return bytes(self._buffer)
 
--- a/brambleusher/net/http/reader.py
+++ b/brambleusher/net/http/reader.py
@@ -142,7 +142,7 @@
         self._check_size(len(message.body))
         if self.is_large or not self._chunked.done:
             return False
-        self._buffer += self._chunked.rest
+        self._buffer += self._chunked.remainder
         return True
 
     def _take_sized(self, message: Message) -> bool:
@@ -170,11 +170,11 @@
         if self._length == _CHUNKED:
             data = buffered + self._chunked.feed(data)
             if is_done := self._chunked.done:
-                self._buffer += self._chunked.rest
+                self._buffer += self._chunked.remainder
         elif self._length >= 0:
-            data, rest = data[: self._length], data[self._length :]
+            data, remainder = data[: self._length], data[self._length :]
             self._length -= len(data)
-            self._buffer += rest
+            self._buffer += remainder
             is_done = self._length == 0
         self._drained_bytes += len(data)
         if self._is_streaming:
