--- a/brambleusher/controlplane/configuration/admin_api.py
+++ b/brambleusher/controlplane/configuration/admin_api.py
@@ -133,7 +133,7 @@
         applied_index = self._state.read_applied_index(deadline)
         if isinstance(applied_index, Err):
             return _error(HTTPStatus.SERVICE_UNAVAILABLE, "no controller answered in time")
-        if request.hung_up():
+        if request.has_disconnected():
             # It was delayed on its way, and its caller has sent it again elsewhere or given it up: a delayed
             # copy must not act after a later request.
             return _error(HTTPStatus.SERVICE_UNAVAILABLE, "the caller has gone")
--- a/brambleusher/runtime/http_server.py
+++ b/brambleusher/runtime/http_server.py
@@ -31,14 +31,14 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """A complete request; `hung_up` returns whether its client has closed the connection."""
+    """A complete request; `has_disconnected` returns whether its client has closed the connection."""
 
     method: str
     path: str
     query: dict[str, str]
     headers: dict[bytes, bytes]
     body: bytes
-    hung_up: Callable[[], bool] = _never
+    has_disconnected: Callable[[], bool] = _never
 
 
 @dataclass(frozen=True, slots=True)
