--- a/brambleusher/runtime/h11_messages.py
+++ b/brambleusher/runtime/h11_messages.py
@@ -9,7 +9,7 @@
 
 from brambleusher.runtime.streams import RECEIVE_BYTES, Stream
 
-SEND_S = 5.0  # in seconds, for a peer to take a 100 Continue response
+SEND_TIMEOUT_S = 5.0  # in seconds, for a peer to take a 100 Continue response
 
 
 class ParserBuffer:
@@ -47,7 +47,7 @@
     return event
 
 
-def send_continue(connection: h11.Connection, stream: Stream, seconds: float = SEND_S) -> None:
+def send_continue(connection: h11.Connection, stream: Stream, seconds: float = SEND_TIMEOUT_S) -> None:
     """Send a 100 Continue response if the client waits for it."""
     if connection.they_are_waiting_for_100_continue:
         informational = h11.InformationalResponse(status_code=100, headers=[])
--- a/brambleusher/runtime/http_server.py
+++ b/brambleusher/runtime/http_server.py
@@ -17,9 +17,9 @@
 from brambleusher.runtime.streams import Stream
 from brambleusher.runtime.system import Address
 
-IDLE_S = 60.0
-REQUEST_S = 10.0  # in seconds, from the first to the last byte of a request
-SEND_S = 5.0
+IDLE_TIMEOUT_S = 60.0
+REQUEST_TIMEOUT_S = 10.0  # in seconds, from the first to the last byte of a request
+SEND_TIMEOUT_S = 5.0
 READ_METHODS = frozenset({"GET", "HEAD"})  # safe methods, abandoned if the client disconnects
 READ_AHEAD_MAX_BYTES = 16 * 1024  # of pipelined requests while one is handled; further bytes are discarded
 JSON_TYPE = b"application/json"
@@ -115,11 +115,11 @@
         head: h11.Request | None = None
         parts: list[bytes] = []
         received_bytes = 0
-        deadline = self._scheduler.now() + IDLE_S
+        deadline = self._scheduler.now() + IDLE_TIMEOUT_S
         while True:
             event = receive_event(connection, stream, deadline)
             if isinstance(event, h11.Request):
-                head, deadline = event, self._scheduler.now() + REQUEST_S
+                head, deadline = event, self._scheduler.now() + REQUEST_TIMEOUT_S
             elif isinstance(event, h11.Data):
                 parts.append(bytes(event.data))
                 received_bytes += len(event.data)
@@ -147,4 +147,4 @@
         if self.closing:
             headers.append((b"Connection", b"close"))
         head = h11.Response(status_code=response.status, headers=headers)
-        stream.send(encode_message(connection, head, response.body), self._scheduler.now() + SEND_S)
+        stream.send(encode_message(connection, head, response.body), self._scheduler.now() + SEND_TIMEOUT_S)
