--- a/brambleusher/features/rewrites.py
+++ b/brambleusher/features/rewrites.py
@@ -65,12 +65,12 @@
         every = [rule.request_class for rules in self._rules.values() for rule in rules]
         return {name for name in every if name is not None}
 
-    def inward(self, request: Message, path: str, request_class: str, client: str) -> Message:
+    def rewrite_request(self, request: Message, path: str, request_class: str, client: str) -> Message:
         """Rewrite a request as the endpoint is to get it."""
         fields = self._apply("in", end_to_end(request), path, request_class)
         return replace(request, forwarded_fields=forward(fields, client))
 
-    def outward(self, fields: list[HeaderField], path: str, request_class: str) -> list[HeaderField]:
+    def rewrite_response(self, fields: list[HeaderField], path: str, request_class: str) -> list[HeaderField]:
         """Rewrite the fields of a response as the client is to get them."""
         return self._apply("out", fields, path, request_class)
 
--- a/brambleusher/net/client_request_handler.py
+++ b/brambleusher/net/client_request_handler.py
@@ -144,7 +144,7 @@
             self._counters.add("requests_read_late")
         self._connections.record_request_tenant(connection, request.tenant or "")
         if self._rewriter is not None:
-            forwarded = self._rewriter.inward(message, path, request.request_class, connection.peer)
+            forwarded = self._rewriter.rewrite_request(message, path, request.request_class, connection.peer)
             request = replace(request, payload=forwarded)
         request = self._limit_to_shutdown(request, now_ns)
         due = self._clock.seconds(now_ns + request.time_left_ns)
@@ -202,7 +202,7 @@
         request_class = exchange.request.request_class
         status, headers, body = encode_final_response(final, self._rewriter)
         if self._rewriter is not None:
-            headers = self._rewriter.outward(headers, exchange.path, request_class)
+            headers = self._rewriter.rewrite_response(headers, exchange.path, request_class)
         response = ClientResponse(status, headers, body, request_class, COUNTED_AS[final.kind])
         response.is_request_complete = exchange.is_body_complete
         response.must_close = exchange.presence.discarded_bytes > 0
--- a/brambleusher/net/header_forwarding.py
+++ b/brambleusher/net/header_forwarding.py
@@ -19,10 +19,10 @@
 class HeaderRewriter(Protocol):
     """Rewrites the headers of forwarded requests and responses; implemented in `features.rewrites`."""
 
-    def inward(self, request: Message, path: str, request_class: str, client: str) -> Message:
+    def rewrite_request(self, request: Message, path: str, request_class: str, client: str) -> Message:
         """Rewrite a client request before it is sent to an endpoint."""
 
-    def outward(self, fields: list[HeaderField], path: str, request_class: str) -> list[HeaderField]:
+    def rewrite_response(self, fields: list[HeaderField], path: str, request_class: str) -> list[HeaderField]:
         """Rewrite the header fields of a response before it is sent to the client."""
 
 
--- a/tests/features/test_rewrites.py
+++ b/tests/features/test_rewrites.py
@@ -121,7 +121,7 @@
             with self.subTest(actions):
                 text = rules(*(f"{{match: {{}}, direction: out, {action}}}" for action in actions))
                 made = Rewrites(parse_operator_file(text).rewrites or ())
-                self.assertEqual(made.outward(came, "/p", "look"), left)
+                self.assertEqual(made.rewrite_response(came, "/p", "look"), left)
 
     def test_a_rule_acts_where_all_of_its_match_fits(self) -> None:
         for match, path, cls, acts in (
@@ -135,8 +135,8 @@
             with self.subTest(match):
                 text = rules(f"{{match: {match}, direction: out, add: {{X: y}}}}")
                 made = Rewrites(parse_operator_file(text).rewrites or ())
-                self.assertEqual(bool(made.outward([], path, cls)), acts)
-                self.assertFalse(Rewrites(()).outward([], path, cls))
+                self.assertEqual(bool(made.rewrite_response([], path, cls)), acts)
+                self.assertFalse(Rewrites(()).rewrite_response([], path, cls))
 
     def test_hop_by_hop_fields_go_and_the_others_stay_as_they_were(self) -> None:
         reader = MessageReader.requests()
