--- a/brambleusher/net/request_lifecycle.py
+++ b/brambleusher/net/request_lifecycle.py
@@ -67,7 +67,7 @@
             has started.
         on_body_progress: Called with false when sending a streamed body starts, and with true when the body
             is complete.
-        is_wanted: Called right before the first byte is sent; nothing is sent if it returns false.
+        is_still_needed: Called right before the first byte is sent; nothing is sent if it returns false.
     """
 
     endpoint: str
