--- a/brambleusher/net/client_connections.py
+++ b/brambleusher/net/client_connections.py
@@ -75,17 +75,17 @@
     # --- closing --------------------------------------------------------------------------------
 
     def evict_for_next_connection(self) -> bool:
-        """Close idle connections until one more can be accepted; return whether any was closed."""
+        """Close idle connections until one more can be accepted; return whether any connection was closed."""
         now = self._scheduler.now()
         return self._close_idle(self._admission.evictions_for_new(now, self._admission.max_connections), now)
 
     def evict_for_descriptor(self) -> bool:
-        """Close an idle connection to free a file descriptor; return whether any was closed."""
+        """Close an idle connection to free a file descriptor; return whether a connection was closed."""
         now = self._scheduler.now()
         return self._close_idle(self._admission.evictions_for_new(now, self._admission.connection_count), now)
 
     def close_least_valuable(self) -> bool:
-        """Close the idle connections that exceed the connection budget; return whether any was closed."""
+        """Close the idle connections above the connection budget; return whether any connection was closed."""
         now = self._scheduler.now()
         return self._close_idle(self._admission.surplus_connections(now), now)
 
--- a/brambleusher/net/endpoint_watch.py
+++ b/brambleusher/net/endpoint_watch.py
@@ -20,7 +20,7 @@
 
 
 class WatchError(OSError):
-    """Raised when discovery does not open a watch or breaks it off."""
+    """Raised when discovery does not open a watch or closes it unexpectedly."""
 
 
 class HttpWatch:
--- a/brambleusher/runtime/system.py
+++ b/brambleusher/runtime/system.py
@@ -77,7 +77,7 @@
         """Reset the waker's descriptor to not readable."""
 
     def close(self) -> None:
-        """Let go of what it holds."""
+        """Release the resources of this object."""
 
 
 class Sink(Protocol):
@@ -87,7 +87,7 @@
         """Write as many lines as possible and return how many lines were lost."""
 
     def close(self) -> None:
-        """Let go of what it holds."""
+        """Release the resources of this object."""
 
 
 class Worker(Protocol):
