--- a/brambleusher/net/client_connections.py
+++ b/brambleusher/net/client_connections.py
@@ -75,7 +75,7 @@
     # --- closing --------------------------------------------------------------------------------
 
     def evict_for_next_connection(self) -> bool:
-        """Close idle connections until one more can be accepted; return whether any connection was closed."""
+        """Close idle connections until one more can be accepted; return whether any of them was closed."""
         now = self._scheduler.now()
         return self._close_idle(self._admission.evictions_for_new(now, self._admission.max_connections), now)
 
