--- a/tests/crossing.py
+++ b/tests/crossing.py
@@ -79,11 +79,11 @@
 
     def __init__(self) -> None:
         self.hooks = Hooks()
-        self.most_sockets = 1 << 30  # limit of open sockets; above it, opening fails with EMFILE
+        self.max_sockets = 1 << 30  # limit of open sockets; above it, opening fails with EMFILE
         self.most_seen = 0
 
-    def _need_one(self) -> None:
-        if self.hooks.open >= self.most_sockets:
+    def _check_socket_limit(self) -> None:
+        if self.hooks.open >= self.max_sockets:
             raise OSError(errno.EMFILE, os.strerror(errno.EMFILE))
         self.most_seen = max(self.most_seen, self.hooks.open + 1)
 
@@ -91,12 +91,12 @@
         return HookedSocket.of(super().listen(address, backlog), "listener", self.hooks)
 
     def accept(self, listener: Socket) -> tuple[Socket, str]:
-        self._need_one()
+        self._check_socket_limit()
         sock, peer = super().accept(listener)
         return HookedSocket.of(sock, "client", self.hooks), peer
 
     def connection(self) -> Socket:
-        self._need_one()
+        self._check_socket_limit()
         return HookedSocket.of(super().connection(), "upstream", self.hooks)
 
     def error_of(self, sock: Socket) -> int:
@@ -105,7 +105,7 @@
         return super().error_of(sock)
 
 
-class Patient(unittest.TestCase):
+class PollingTestCase(unittest.TestCase):
     """A test case with a helper that waits for a condition."""
 
     def until(self, what: Callable[[], bool], why: str = "") -> None:
@@ -116,7 +116,7 @@
 
 
 @contextmanager
-def held_still(rig: Rig) -> Iterator[None]:
+def scheduler_held(rig: Rig) -> Iterator[None]:
     """Hold the sidecar's scheduler, so that all events in this block have occurred when it continues."""
     still, go_on = threading.Event(), threading.Event()
 
--- a/tests/net/test_crossings_client.py
+++ b/tests/net/test_crossings_client.py
@@ -14,7 +14,7 @@
 from brambleusher.net import client_connection, client_request_reader
 from brambleusher.net.http import Message, MessageReader
 from brambleusher.sidecar import lifecycle
-from tests.crossing import HookedSystem, Patient, held_still
+from tests.crossing import HookedSystem, PollingTestCase, scheduler_held
 from tests.rig import WAIT, Node, Rig, Script, answer, read
 
 NOT_STARTED = answer(b"", "503 Service Unavailable", "Not-Started: 1")
@@ -45,14 +45,14 @@
     return found
 
 
-class Holding(Node):
+class HeldNode(Node):
     """A node that responds only when the test tells it to."""
 
     def __init__(self, backlog: int = 64) -> None:
         self.held: queue.Queue[tuple[socket.socket, Message]] = queue.Queue()
         super().__init__(lambda sock, request: self.held.put((sock, request)), backlog)
 
-    def let_go(self, script: Script) -> None:
+    def respond_with(self, script: Script) -> None:
         sock, message = self.held.get(timeout=WAIT)
         script(sock, message)
 
@@ -64,7 +64,7 @@
         sock.close()
 
 
-class Case(Patient):
+class Case(PollingTestCase):
     def setUp(self) -> None:
         # Idle connections are closed 0.55 s after the shutdown begins, not as late as the platform allows.
         short = mock.patch.object(lifecycle, "MAX_GRACE_DEADLINE_S", 0.6)
@@ -73,8 +73,8 @@
         self.system = HookedSystem()
         self.hooks = self.system.hooks
 
-    def holding(self) -> Holding:
-        node = Holding()
+    def holding(self) -> HeldNode:
+        node = HeldNode()
         self.addCleanup(node.close)
         return node
 
@@ -184,7 +184,7 @@
             self.assertTrue(has_drain_begun.wait(WAIT))
         sock.sendall(request("r2"))
         answer(b"one")(*held)
-        node.let_go(answer(b"two"))
+        node.respond_with(answer(b"two"))
         self.assertEqual([message.body for message in answers(drain(sock))], [b"one", b"two"])
 
     def test_a_connection_that_is_given_up_carries_no_further_request(self) -> None:
@@ -210,7 +210,7 @@
             self.assertEqual(message.body, b"one")
             # The request must either be answered or not be forwarded.
             with contextlib.suppress(queue.Empty):
-                node.let_go(answer(b"two"))
+                node.respond_with(answer(b"two"))
                 while (message := first.take()) is None:
                     data = sock.recv(65536)
                     self.assertTrue(data, "the request was forwarded but its connection was closed")
@@ -268,8 +268,8 @@
         sock.sendall(request("r1"))
         self.until(lambda: any(node.held.qsize() for node in nodes))
         taken = [node for node in nodes if node.held.qsize()]
-        with held_still(rig):
-            taken[0].let_go(NOT_STARTED)
+        with scheduler_held(rig):
+            taken[0].respond_with(NOT_STARTED)
             sock.close()
         self.counted(rig, "requests_gone")
         rig.sidecar.begin_graceful_shutdown()
--- a/tests/net/test_crossings_lists.py
+++ b/tests/net/test_crossings_lists.py
@@ -20,7 +20,7 @@
 from brambleusher.loadbalancing.backoff import MAX_INTERVAL_S, MAX_SMALL_FLEET_S, Backoff
 from brambleusher.net import endpoint_watch
 from brambleusher.net.json_text_assembler import TextAssembler
-from tests.crossing import Patient, held_still
+from tests.crossing import PollingTestCase, scheduler_held
 from tests.rig import WAIT, Discovery, Node, Rig, answer, read
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -47,7 +47,7 @@
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
-class Case(Patient):
+class Case(PollingTestCase):
     def node(self, body: bytes = b"ok") -> Node:
         node = Node(answer(body))
         self.addCleanup(node.close)
@@ -169,7 +169,7 @@
         rig = self.rig([old.entry("h0")])
         self.assertEqual(rig.call("r1").body, b"old")
         # Removed and added in one update, while a connection to the old process is idle.
-        with held_still(rig):
+        with scheduler_held(rig):
             rig.discovery.push(Discovery.text([old.entry("h0", "Gone")], version=8))
             rig.discovery.push(Discovery.text([new.entry("h0")], version=9))
         self.until(lambda: rig.sidecar.counters.count("lists_taken") >= 3)
@@ -180,7 +180,7 @@
         """The update and the connect arrive in one scheduler iteration; the draining node gets no request."""
         old, new = self.node(b"old"), self.node(b"new")
         rig = self.rig([old.entry("h0")])
-        with held_still(rig):
+        with scheduler_held(rig):
             sock = rig.send("r1")
             rig.discovery.push(Discovery.text([old.entry("h0", "Terminating"), new.entry("h1")], version=8))
         self.assertEqual(read(sock).status, 200)
--- a/tests/net/test_crossings_upstream.py
+++ b/tests/net/test_crossings_upstream.py
@@ -13,7 +13,7 @@
 from brambleusher.loadbalancing import Balancer, api
 from brambleusher.net import upstream_connections, upstream_response_reader
 from brambleusher.net.http import Message
-from tests.net.test_crossings_client import Case, Holding
+from tests.net.test_crossings_client import Case, HeldNode
 from tests.rig import WAIT, Rig, answer, read
 
 
@@ -35,7 +35,7 @@
                 node.held.put(node.held.get(timeout=0.3))
             upstream.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale")
             with contextlib.suppress(OSError):  # the first connection may already be closed
-                node.let_go(answer(b"two"))
+                node.respond_with(answer(b"two"))
             self.assertEqual(read(client).body, b"two")
 
     def test_a_connection_with_more_behind_its_answer_is_not_used_again(self) -> None:
@@ -46,11 +46,11 @@
         answer(b"one")(*self.doubled(node))
         self.assertEqual(read(client).body, b"one")
         rig.send("r2", sock=client)
-        node.let_go(answer(b"two"))
+        node.respond_with(answer(b"two"))
         self.assertEqual(read(client).body, b"two")
 
     @staticmethod
-    def doubled(node: Holding) -> tuple[socket.socket, Message]:
+    def doubled(node: HeldNode) -> tuple[socket.socket, Message]:
         sock, message = node.held.get(timeout=WAIT)
 
         class Twice:
@@ -98,7 +98,7 @@
 class Idle(Case):
     """Events on an idle connection right before the next request is written to it."""
 
-    def reused(self, rig: Rig, node: Holding) -> socket.socket:
+    def reused(self, rig: Rig, node: HeldNode) -> socket.socket:
         """Return the node's end of an idle connection between sidecar and node."""
         client = self.connect(rig)
         rig.send("r1", sock=client)
@@ -125,7 +125,7 @@
         upstream = self.reused(rig, node)
         upstream.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale")
         client = rig.send("r2")
-        node.let_go(answer(b"two"))
+        node.respond_with(answer(b"two"))
         self.assertEqual(read(client).body, b"two")
 
     def test_its_end_while_it_rested_costs_no_attempt(self) -> None:
@@ -133,7 +133,7 @@
         rig = self.rig(node)
         node.reset(self.reused(rig, node))
         client = rig.send("m2", "move")
-        node.let_go(answer(b"two"))
+        node.respond_with(answer(b"two"))
         self.assertEqual(read(client).body, b"two")
 
 
@@ -158,7 +158,7 @@
 
     def test_a_connect_that_comes_up_for_nobody_carries_nothing(self) -> None:
         """The node's backlog is full, so that the connect stays pending until the client has left."""
-        node = Holding(backlog=0)
+        node = HeldNode(backlog=0)
         self.addCleanup(node.close)
         fill = [socket.socket() for _ in range(8)]
         for sock in fill:
@@ -221,7 +221,7 @@
         client = rig.send("m1", "move")
         self.until(lambda: any(node.held.qsize() for node in nodes))
         node = next(node for node in nodes if node.held.qsize())
-        node.let_go(answer(b"done"))
+        node.respond_with(answer(b"done"))
         self.assertEqual(read(client).body, b"done")
         self.assertEqual(sum(node.seen.qsize() for node in nodes), 1)
 
--- a/tests/sidecar/test_crossings_shutdown.py
+++ b/tests/sidecar/test_crossings_shutdown.py
@@ -17,8 +17,8 @@
 from brambleusher.decisions.requests import ClientRequest, PendingRequest
 from brambleusher.sidecar import lifecycle
 from brambleusher.sidecar.configuration import ConfigError
-from tests.crossing import held_still
-from tests.net.test_crossings_client import NOT_STARTED, Case, Holding, answers, drain, request
+from tests.crossing import scheduler_held
+from tests.net.test_crossings_client import NOT_STARTED, Case, HeldNode, answers, drain, request
 from tests.net.test_crossings_lists import Scripted
 from tests.rig import WAIT, Discovery, Node, Rig, answer, read
 
@@ -33,7 +33,7 @@
         rig.thread.join(WAIT)
         self.assertFalse(rig.thread.is_alive())
 
-    def held(self, *nodes: Holding) -> tuple[Holding, socket.socket, Any]:
+    def held(self, *nodes: HeldNode) -> tuple[HeldNode, socket.socket, Any]:
         """Return the node that received a request, its connection and the request."""
         self.until(lambda: any(node.held.qsize() for node in nodes))
         node = next(node for node in nodes if node.held.qsize())
@@ -150,7 +150,7 @@
         self.addCleanup(node.close)
         rig = self.rig(node)
         rig.sidecar.begin_graceful_shutdown()
-        with held_still(rig):
+        with scheduler_held(rig):
             self.assertFalse(rig.sidecar.client_listener._connections.is_draining)
             socks = [self.connect(rig) for _ in range(40)]
             for number, sock in enumerate(socks):
@@ -212,7 +212,7 @@
         node = self.holding()
         rig = self.rig(node)
         sock = self.connect(rig)
-        with held_still(rig):
+        with scheduler_held(rig):
             rig.sidecar.begin_graceful_shutdown()
         self.until(lambda: rig.sidecar.client_listener.latest_response_at < math.inf)
         sock.sendall(
@@ -236,7 +236,7 @@
         self.addCleanup(node.close)
         rig = self.rig(node)
         sock = self.connect(rig)
-        with held_still(rig):
+        with scheduler_held(rig):
             rig.sidecar.begin_graceful_shutdown()
         self.until(lambda: rig.sidecar.client_listener.latest_response_at < math.inf)
         times_left_ns: list[int] = []
@@ -269,7 +269,7 @@
                     rig.sidecar.begin_graceful_shutdown,
                     rig.sidecar.begin_graceful_shutdown,
                 ]
-                with held_still(rig):
+                with scheduler_held(rig):
                     for call in calls if order == "reload first" else [*calls[1:], calls[0]]:
                         call()
                 answer(b"whole")(upstream, message)
@@ -286,7 +286,7 @@
         rig.sidecar.reloader.load_configuration = load
         sock = rig.send("r1")
         _, upstream, message = self.held(node)
-        with held_still(rig):
+        with scheduler_held(rig):
             rig.sidecar.reload_configuration()
             rig.sidecar.begin_graceful_shutdown()
         answer(b"whole")(upstream, message)
@@ -300,7 +300,7 @@
         old, new = Node(answer(b"old")), Node(answer(b"new"))
         for node in (old, new):
             self.addCleanup(node.close)
-        self.system.most_sockets = 64
+        self.system.max_sockets = 64
         rig = Rig([old.entry("h0")], system=self.system, sockets=64)
         self.addCleanup(rig.end)
         idle = [self.connect(rig) for _ in range(100)]
