--- a/brambleusher/net/client_connections.py
+++ b/brambleusher/net/client_connections.py
@@ -85,7 +85,7 @@
         return self._close_idle(self._admission.evictions_for_new(now, self._admission.connection_count), now)
 
     def close_least_valuable(self) -> bool:
-        """Close the idle connections above the connection budget; return whether any connection was closed."""
+        """Close the idle connections above the connection budget; return whether any was closed."""
         now = self._scheduler.now()
         return self._close_idle(self._admission.surplus_connections(now), now)
 
