--- a/tests/net/test_bodies.py
+++ b/tests/net/test_bodies.py
@@ -27,7 +27,7 @@
     return b"".join([*parts, b"0;last\r\nTrailer: x\r\n\r\n"])
 
 
-def whole(sock: socket.socket) -> tuple[dict[str, str], bytes, bool]:
+def receive_streamed(sock: socket.socket) -> tuple[dict[str, str], bytes, bool]:
     """Return headers and body of a streamed response, and whether the body is complete."""
     reader, body, done = MessageReader.responses(streaming=True), b"", False
     while not done:
@@ -112,7 +112,7 @@
         return rig
 
 
-def settled(rig: Rig) -> None:
+def wait_until_settled(rig: Rig) -> None:
     """Wait until the sidecar has no pending requests or open attempts."""
     until = time.monotonic() + WAIT
     while (
@@ -143,9 +143,9 @@
             rig = self.rig(self.node(script))
             for cls in ("look", "move"):
                 with self.subTest(name, cls=cls), rig.send(f"{cls}1", cls) as sock:
-                    _, body, done = whole(sock)
+                    _, body, done = receive_streamed(sock)
                     self.assertEqual((len(body), body == LARGE, done), (len(LARGE), True, True))
-            settled(rig)
+            wait_until_settled(rig)
             self.assertEqual(rig.sidecar.request_counts.finished["look"]["fulfilled"], 1)
 
     def test_a_small_answer_that_the_connection_ends_is_served(self) -> None:
@@ -201,7 +201,7 @@
         left_at = time.monotonic()
         node.left.get(timeout=WAIT)
         self.assertLess(time.monotonic() - left_at, 1.0)  # the timeout for a chunk of the body is 5 s
-        settled(rig)
+        wait_until_settled(rig)
         self.assertEqual(rig.sidecar.counters.count("answers_cut"), 0)
 
     def test_one_that_breaks_ends_where_it_is_and_counts_as_failed(self) -> None:
@@ -220,7 +220,7 @@
             with self.subTest(name):
                 rig = self.rig(self.node(cut(data)))
                 with rig.send("a", "move") as sock:
-                    _, body, done = whole(sock)
+                    _, body, done = receive_streamed(sock)
                 self.assertTrue(
                     LARGE[:200_000].startswith(body) and len(body) > MAX_BUFFERED_BODY_BYTES and not done
                 )
@@ -239,7 +239,7 @@
         node = self.node(script)
         rig = self.rig(node)
         with rig.send("a", wait_ms=60_000) as sock:
-            _, body, done = whole(sock)
+            _, body, done = receive_streamed(sock)
         self.assertFalse(done)
         self.assertLessEqual(len(body), MAX_STREAMED_BODY_BYTES)
         node.left.get(timeout=WAIT)
@@ -261,7 +261,7 @@
             self.assertEqual(rig.call("small").body, b"mine")
             self.assertLess(sent.qsize(), MAX_STREAMED_BODY_BYTES >> 20)
             self.assertEqual(rig.sidecar.upstream_pool.open_attempts, 1)
-        settled(rig)  # the client has left, so the attempt ends too
+        wait_until_settled(rig)  # the client has left, so the attempt ends too
 
 
 class Uploads(Case):
@@ -271,11 +271,11 @@
             "Request-Timeout-Ms: 5000", *lines, "", "",
         ]).encode()  # fmt: skip
 
-    def taking(self) -> tuple[Node, queue.Queue[tuple[Message, bytes]]]:
+    def accepting_node(self) -> tuple[Node, queue.Queue[tuple[Message, bytes]]]:
         """Return a node that accepts bodies of any size, and a queue of the requests it received."""
         got: queue.Queue[tuple[Message, bytes]] = queue.Queue()
 
-        class Taking(Node):
+        class AcceptingNode(Node):
             def serve(self, sock: socket.socket) -> None:
                 reader, body, message = MessageReader.requests(streaming=True), b"", None
                 while data := sock.recv(65536):
@@ -290,12 +290,12 @@
                             body, message = b"", None
                 self.left.put(len(body))
 
-        node = Taking()
+        node = AcceptingNode()
         self.addCleanup(node.close)
         return node, got
 
     def test_every_form_of_a_large_body_passes_on_whole(self) -> None:
-        node, got = self.taking()
+        node, got = self.accepting_node()
         rig = self.rig(node)
         length = f"Content-Length: {len(LARGE)}"
         for name, lines, text in (
@@ -314,19 +314,19 @@
                     message, body = got.get(timeout=WAIT)
                     self.assertEqual((len(body), body == LARGE), (len(LARGE), True))
                     self.assertEqual(message.headers["request-timeout-ms"], "4990")
-        settled(rig)
+        wait_until_settled(rig)
         self.assertEqual(rig.sidecar.request_counts.finished["move"]["fulfilled"], 6)
         self.assertEqual(
             (rig.sidecar.request_counts.attempts_sent, rig.sidecar.request_counts.in_flight), (6, 0)
         )
 
     def test_a_client_that_leaves_half_way_leaves_a_node_that_has_not_run_it(self) -> None:
-        node, got = self.taking()
+        node, got = self.accepting_node()
         rig = self.rig(node)
         with rig.connect() as sock:
             sock.sendall(self.head("half", "Content-Length: 300000") + LARGE[:200_000])
         node.left.get(timeout=WAIT)
-        settled(rig)
+        wait_until_settled(rig)
         self.assertEqual(
             (got.qsize(), rig.sidecar.request_counts.attempts_sent, rig.sidecar.request_counts.in_flight),
             (0, 0, 0),
@@ -336,14 +336,14 @@
         def breaking(sock: socket.socket, request: Message) -> None:
             """Do nothing; never called, as no request arrives completely."""
 
-        class Breaking(Node):
+        class ClosingNode(Node):
             def serve(self, sock: socket.socket) -> None:
                 sock.recv(65536)
                 # Recorded before the sidecar can respond, so that the final count is complete.
                 self.left.put(1)
                 sock.close()
 
-        class Turning(Breaking):
+        class RejectingNode(ClosingNode):
             def serve(self, sock: socket.socket) -> None:
                 sock.recv(65536)
                 self.left.put(1)
@@ -351,11 +351,11 @@
                 while sock.recv(65536):
                     pass
 
-        for kind in (Breaking, Turning):
+        for kind in (ClosingNode, RejectingNode):
             with self.subTest(kind.__name__):
-                self.breaks([kind(breaking), kind(breaking)])
+                self.check_rejected_once([kind(breaking), kind(breaking)])
 
-    def breaks(self, bad: list[Node]) -> None:
+    def check_rejected_once(self, bad: list[Node]) -> None:
         for node in bad:
             self.addCleanup(node.close)
         rig = self.rig(*bad)
@@ -368,7 +368,7 @@
         self.assertEqual(sum(node.left.qsize() for node in bad), 1)
 
     def test_more_than_passes_is_413_and_what_is_safe_has_no_body_of_such_size(self) -> None:
-        node, _ = self.taking()
+        node, _ = self.accepting_node()
         rig = self.rig(node)
         get = self.head("b", "Content-Length: 100000").replace(b"POST /move", b"GET /look")
         for text in (
