--- a/tests/net/test_lists.py
+++ b/tests/net/test_lists.py
@@ -30,7 +30,7 @@
 MS = 1_000_000
 
 
-def end_of(steps: Generator[None, None, Any]) -> tuple[Any, int]:
+def run_steps(steps: Generator[None, None, Any]) -> tuple[Any, int]:
     """Return a generator's value and how often it yielded."""
     count = 0
     while True:
@@ -44,7 +44,7 @@
 # --- the order of hosts ---------------------------------------------------------------------------
 
 
-def sorted_anew(hosts: dict[str, Host], size: int) -> tuple[list[Host], list[Host]]:
+def reference_subset(hosts: dict[str, Host], size: int) -> tuple[list[Host], list[Host]]:
     """Compute the subset by sorting all ready hosts, as a reference for the incremental order."""
     ready = sorted((host for host in hosts.values() if host.is_ready), key=lambda host: host.rank)
     local = [host for host in ready if host.is_local]
@@ -74,7 +74,7 @@
             changed.append(host)
         ranks.update(hosts.values(), [host for host in changed if host.name in hosts])
         for size in (4, 12, 50, 200):
-            assert ranks.subset(size) == sorted_anew(hosts, size), f"seed {seed}"
+            assert ranks.subset(size) == reference_subset(hosts, size), f"seed {seed}"
         assert list(ranks) == sorted((h for h in hosts.values() if h.is_ready), key=lambda host: host.rank)
         assert len(ranks) == sum(host.is_ready for host in hosts.values())
 
@@ -141,7 +141,7 @@
     if seed % 2:
         raw = {"full": False, "more": '"servers"' * (seed % 4), **{"servers": raw["servers"]}, "version": 3}
     text = orjson.dumps(raw, option=orjson.OPT_INDENT_2 if seed % 3 == 0 else 0)
-    update, steps = end_of(decode_steps(text))
+    update, steps = run_steps(decode_steps(text))
     assert update == decode_update(orjson.loads(text)), f"seed {seed}"
     assert steps > 3 or text.count(b'"servers"') > 1, f"seed {seed}"
 
@@ -149,7 +149,7 @@
 def test_a_bad_entry_anywhere_spoils_the_whole_list() -> None:
     rng = random.Random(3)
     good = orjson.dumps(raw_list(rng, 900))
-    assert end_of(decode_steps(good))[1] > 3
+    assert run_steps(decode_steps(good))[1] > 3
     cut = good.index(b'{"id":"n500"')
     for bad in (
         good[:-1], good[:-2] + b",]}", good[:cut] + b"," + good[cut:], good[:cut] + b"]" + good[cut:],
@@ -161,21 +161,21 @@
         with pytest.raises(ValueError):
             decode_update(orjson.loads(bad))
         with pytest.raises(ValueError):
-            end_of(decode_steps(bad))
+            run_steps(decode_steps(bad))
     many = orjson.dumps({"version": 1, "full": True, "servers": raw_list(rng, 1)["servers"] * 25_001})
     with pytest.raises(EndpointListError):
-        end_of(decode_steps(many))
+        run_steps(decode_steps(many))
 
 
 # --- applying in slices ---------------------------------------------------------------------------
 
 
-def machine(name: str, state: api.HostState = READY, started: int = 0) -> Endpoint:
+def endpoint_entry(name: str, state: api.HostState = READY, started: int = 0) -> Endpoint:
     """Return an endpoint entry of the list."""
     return Endpoint(api.HostEntry(name, "z", "k", 0, state, 1.0, started), ("127.0.0.1", 1))
 
 
-def applied(held: dict[str, Endpoint], update: EndpointListUpdate) -> None:
+def apply_update(held: dict[str, Endpoint], update: EndpointListUpdate) -> None:
     """Apply an update to a dict of endpoints."""
     if update.full:
         held.clear()
@@ -189,39 +189,45 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_slices_come_to_what_the_lists_say_whatever_overtakes_what(seed: int) -> None:
     rng = random.Random(seed)
-    slices, said, heard = EndpointListSlices(8, 16), dict[str, Endpoint](), dict[str, Endpoint]()
+    slices, said, endpoints_applied = EndpointListSlices(8, 16), dict[str, Endpoint](), dict[str, Endpoint]()
 
-    def hear(count: int) -> None:
+    def apply_slices(count: int) -> None:
         for _ in range(count):
             some = slices.next()
             assert len(some) <= 16
-            applied(heard, EndpointListUpdate(0, False, some))
+            apply_update(endpoints_applied, EndpointListUpdate(0, False, some))
 
     for version in range(25):
         full = rng.random() < 0.3
         names = rng.sample(range(1500), rng.choice((1, 5, 40, 900)))
         states = (READY, READY, DRAINING) if full else (READY, DRAINING, GONE)
-        machines = tuple(machine(f"n{at}", rng.choice(states), rng.choice((0, 0, 5))) for at in names)
+        machines = tuple(endpoint_entry(f"n{at}", rng.choice(states), rng.choice((0, 0, 5))) for at in names)
         update = EndpointListUpdate(version, full, machines)
-        applied(said, update)
+        apply_update(said, update)
         if slices.is_small(update):
             slices.record_applied(update)
-            applied(heard, update)
+            apply_update(endpoints_applied, update)
             continue
         for _ in slices.add(update):
-            hear(rng.randrange(3))
-        hear(rng.randrange(60))
-    hear(200)
-    assert not slices.waiting and heard == said == slices.applied, f"seed {seed}"
+            apply_slices(rng.randrange(3))
+        apply_slices(rng.randrange(60))
+    apply_slices(200)
+    assert not slices.waiting and endpoints_applied == said == slices.applied, f"seed {seed}"
 
 
 def test_what_leaves_goes_first_and_never_all_at_once() -> None:
     slices = EndpointListSlices(8, 16)
-    end_of(slices.add(EndpointListUpdate(1, True, tuple(machine(f"n{at}") for at in range(1000)))))
+    run_steps(slices.add(EndpointListUpdate(1, True, tuple(endpoint_entry(f"n{at}") for at in range(1000)))))
     while slices.waiting:
         slices.next()
-    new = tuple(machine(f"m{at}") for at in range(1000))
-    end_of(slices.add(EndpointListUpdate(2, True, (*new, machine("n7", DRAINING), machine("n8", READY, 5)))))
+    new = tuple(endpoint_entry(f"m{at}") for at in range(1000))
+    run_steps(
+        slices.add(
+            EndpointListUpdate(
+                2, True, (*new, endpoint_entry("n7", DRAINING), endpoint_entry("n8", READY, 5))
+            )
+        )
+    )
     leave, slice_of = {f"n{at}" for at in range(1000)}, list[int]()
     while leave:
         some = slices.next()
@@ -229,9 +235,13 @@
         leave -= {each.entry.host for each in some}
         assert any(each.entry.state is READY for each in slices.applied.values())
     assert slices.waiting == 1000 - len(slice_of) * 4 and len(slice_of) <= 1000 / 12 + 1
-    end_of(slices.add(EndpointListUpdate(3, False, (machine("m3", DRAINING), machine("m999", GONE)))))
+    run_steps(
+        slices.add(
+            EndpointListUpdate(3, False, (endpoint_entry("m3", DRAINING), endpoint_entry("m999", GONE)))
+        )
+    )
     first = slices.next()  # urgent changes precede changes that have waited longer
-    assert first[0] == machine("m3", DRAINING)
+    assert first[0] == endpoint_entry("m3", DRAINING)
     while slices.waiting:
         assert all(each.entry.host != "m999" for each in slices.next())
 
@@ -349,7 +359,7 @@
     assert not other.is_forgettable(1.5) and other.is_forgettable(200.0)
 
 
-class Moments:
+class FakeScheduler:
     """A fake scheduler with the clock and timers that a switch to another discovery needs."""
 
     def __init__(self) -> None:
@@ -370,7 +380,7 @@
 
 def test_a_fleet_goes_over_to_another_discovery_at_moments_of_its_own() -> None:
     """A whole fleet must not request the full list at the moment it is told to switch discovery."""
-    moments = Moments()
+    moments = FakeScheduler()
 
     def old(version: int | None) -> Generator[bytes, None, None]:
         yield from ()
