--- a/tests/net/test_guards.py
+++ b/tests/net/test_guards.py
@@ -30,7 +30,7 @@
 from tests.net import test_crossings_client, test_crossings_lists, test_crossings_upstream
 from tests.sidecar import test_crossings_shutdown
 
-PATIENCE = 3.0  # seconds to wait for an event that does not occur without the protection
+WAIT_WITHOUT_GUARD_S = 3.0  # seconds to wait for an event that does not occur without the protection
 Patch = tuple[Any, str, Any]
 
 
@@ -38,7 +38,7 @@
     """Skip the half-close, so that the connection is closed immediately."""
 
 
-def never_gone(presence: PeerPresence) -> bool:
+def never_disconnected(presence: PeerPresence) -> bool:
     return False
 
 
@@ -47,7 +47,7 @@
     return False
 
 
-def gone_only_ahead_of_bytes(presence: PeerPresence) -> bool:
+def stops_reading_at_limit(presence: PeerPresence) -> bool:
     """Stop reading after 128 KiB of read-ahead, so that a later disconnect is not seen."""
     if presence._buffer.buffered >= 128 * 1024:
         return False
@@ -59,11 +59,11 @@
     """Close the listener without waiting for the last connections."""
 
 
-def no_more(connection: ClientConnection, reader: Any) -> bool:
+def has_no_next_request(connection: ClientConnection, reader: Any) -> bool:
     return False
 
 
-def rests_always(connections: ClientConnections, connection: ClientConnection, reader: Any) -> None:
+def always_marks_idle(connections: ClientConnections, connection: ClientConnection, reader: Any) -> None:
     """Mark a connection idle even if the client has sent more, and keep serving it after its release."""
     now = connections._scheduler.now()
     connections._admission.record_idle(connection, now)
@@ -72,7 +72,7 @@
     connection.is_released = False
 
 
-def any_byte_counts(
+def any_byte_restarts_timeout(
     feed: endpoint_watch.HttpWatch, stream: Stream, reader: Any
 ) -> Generator[bytes, None, None]:
     """Restart the watch timeout with each byte instead of each line."""
@@ -96,11 +96,11 @@
     return [line.strip()]
 
 
-def takes_whatever_is_idle(connections: UpstreamConnections, node: Any, now: float) -> Stream | None:
+def takes_any_idle_connection(connections: UpstreamConnections, node: Any, now: float) -> Stream | None:
     return node.idle.pop() if node.idle else None
 
 
-def leaves_claims_alone(nodes: UpstreamPool, node: Any) -> None:
+def keeps_waiting_attempts(nodes: UpstreamPool, node: Any) -> None:
     """Keep the attempts that wait for a connection to a node that is removed."""
     node.is_draining = True
     nodes.connections.close_idle(node)
@@ -158,14 +158,14 @@
     ),
     (
         "requests sent ahead at the end",
-        [(ClientConnectionServer, "_has_next_request", staticmethod(no_more))],
+        [(ClientConnectionServer, "_has_next_request", staticmethod(has_no_next_request))],
         test_crossings_client.Closes,
         "test_what_was_sent_ahead_is_answered_while_the_sidecar_ends",
     ),
     (
         "requests sent ahead where room is made",
         [
-            (ClientConnections, "record_response_sent", rests_always),
+            (ClientConnections, "record_response_sent", always_marks_idle),
             (PeerPresence, "check_left", reads_and_sees_no_end),
         ],
         test_crossings_client.Closes,
@@ -173,19 +173,19 @@
     ),
     (
         "look before the first byte",
-        [(PeerPresence, "check_left", never_gone)],
+        [(PeerPresence, "check_left", never_disconnected)],
         test_crossings_client.Leaves,
         "test_nothing_is_sent_for_a_client_that_leaves_while_its_node_is_connected",
     ),
     (
         "floods are read",
-        [(PeerPresence, "check_left", gone_only_ahead_of_bytes)],
+        [(PeerPresence, "check_left", stops_reading_at_limit)],
         test_crossings_client.Leaves,
         "test_a_flood_that_leaves_is_seen_to_leave_and_gets_no_further_attempt",
     ),
     (
         "whole lines alone are signs of life",
-        [(endpoint_watch.HttpWatch, "_lines", any_byte_counts)],
+        [(endpoint_watch.HttpWatch, "_lines", any_byte_restarts_timeout)],
         test_crossings_lists.Silence,
         "test_pieces_of_a_line_without_end",
     ),
@@ -215,7 +215,7 @@
     ),
     (
         "look before reuse",
-        [(UpstreamConnections, "_take_idle", takes_whatever_is_idle)],
+        [(UpstreamConnections, "_take_idle", takes_any_idle_connection)],
         test_crossings_upstream.Idle,
         "test_bytes_that_came_while_it_rested_spoil_it",
     ),
@@ -242,7 +242,7 @@
     with pytest.MonkeyPatch.context() as patch:
         for module in modules:
             if hasattr(module, "WAIT"):
-                patch.setattr(module, "WAIT", PATIENCE)
+                patch.setattr(module, "WAIT", WAIT_WITHOUT_GUARD_S)
         for owner, name, value in patches:
             patch.setattr(owner, name, value)
         case(test).run(result)
