--- a/tests/net/test_http.py
+++ b/tests/net/test_http.py
@@ -18,7 +18,7 @@
 from brambleusher.net.upstream_responses import attempt_status_of, parse_load_report
 
 
-def fed(reader: MessageReader, data: bytes, step: int) -> list[Message]:
+def feed_in_steps(reader: MessageReader, data: bytes, step: int) -> list[Message]:
     """Feed the data in chunks of `step` bytes and return all complete messages."""
     out = []
     for at in range(0, len(data), step):
@@ -39,7 +39,7 @@
         )
         for step in (1, 2, 7, len(data)):
             with self.subTest(step=step):
-                one, two, three, four = fed(MessageReader.requests(), data, step)
+                one, two, three, four = feed_in_steps(MessageReader.requests(), data, step)
                 self.assertEqual((one.start, one.headers["x"], one.body), (("GET", "/a?x=1"), "1, 2", b""))
                 self.assertEqual((two.body, two.keep_alive), (b"abc", False))
                 self.assertEqual((three.body, three.keep_alive), (b"def", True))
@@ -78,7 +78,7 @@
             ("too many headers", line + b"A: b\r\n" * 101 + b"\r\n", 431),
         ):
             with self.subTest(name), self.assertRaises(HttpError) as caught:
-                fed(MessageReader.requests(), data, 4096)
+                feed_in_steps(MessageReader.requests(), data, 4096)
             self.assertEqual(caught.exception.status, status, name)
 
     def test_the_largest_body_passes(self) -> None:
@@ -86,7 +86,7 @@
             b"POST / HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % MAX_BUFFERED_BODY_BYTES
             + b"a" * MAX_BUFFERED_BODY_BYTES
         )
-        (message,) = fed(MessageReader.requests(), data, 8192)
+        (message,) = feed_in_steps(MessageReader.requests(), data, 8192)
         self.assertEqual(len(message.body), MAX_BUFFERED_BODY_BYTES)
 
 
@@ -106,7 +106,7 @@
         ):
             with self.subTest(name):
                 reader = MessageReader.responses()
-                got = fed(reader, data, 3)
+                got = feed_in_steps(reader, data, 3)
                 self.assertEqual([message.body for message in got], [] if ends else [body])
                 last = reader.end()
                 self.assertEqual(last.body if last else None, body if ends else None)
@@ -119,7 +119,7 @@
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n",
         ):
             reader = MessageReader.responses()
-            self.assertEqual(fed(reader, data, 5), [])
+            self.assertEqual(feed_in_steps(reader, data, 5), [])
             self.assertIsNone(reader.end())
 
     def test_what_an_answer_proves(self) -> None:
@@ -153,9 +153,11 @@
 
 class Writers(unittest.TestCase):
     def test_what_is_written_reads_back(self) -> None:
-        (request,) = fed(MessageReader.requests(), write_request("POST", "/a", [("A", "b")], b"xy"), 9)
+        (request,) = feed_in_steps(
+            MessageReader.requests(), write_request("POST", "/a", [("A", "b")], b"xy"), 9
+        )
         self.assertEqual((request.start, request.headers["a"], request.body), (("POST", "/a"), "b", b"xy"))
-        (answer,) = fed(MessageReader.responses(), write_response(503, [("A", "b")], b"", False), 9)
+        (answer,) = feed_in_steps(MessageReader.responses(), write_response(503, [("A", "b")], b"", False), 9)
         self.assertEqual((answer.status, answer.headers["a"], answer.keep_alive), (503, "b", False))
 
     def test_chunks_of_a_stream_come_as_they_are(self) -> None:
