--- a/tests/test_network_differential.py
+++ b/tests/test_network_differential.py
@@ -31,7 +31,7 @@
 CHUNK = 3000
 
 
-def word(error: OSError) -> str:
+def error_name(error: OSError) -> str:
     return errno.errorcode[error.errno or 0]
 
 
@@ -42,12 +42,12 @@
 
     def __init__(self) -> None:
         self.socks: dict[str, Socket] = {}
-        self.ports: dict[str, int] = {"nobody": 0}
+        self.ports: dict[str, int] = {"unused_port": 0}
         self.sent: dict[str, int] = {}
         self.received: dict[str, int] = {}
         self.filled: dict[str, int] = {}  # bytes sent to fill a buffer, which differ between systems
 
-    def settle(self) -> None:
+    def wait_until_settled(self) -> None:
         raise NotImplementedError
 
     def wait(self, sock: Socket, events: int, pause_ms: int) -> int:
@@ -57,15 +57,15 @@
         poller.unregister(sock.fileno())
         return found[0][1] if found else 0
 
-    def shape(self, sock: Socket) -> None:
+    def shrink_buffers(self, sock: Socket) -> None:
         """Set small socket buffers if the system needs this."""
 
-    def nobody(self) -> int:
+    def unused_port(self) -> int:
         """Return a port on which no socket listens."""
         raise NotImplementedError
 
     @contextmanager
-    def starved(self) -> Iterator[None]:
+    def descriptors_exhausted(self) -> Iterator[None]:
         """Make all further descriptor allocations fail."""
         raise NotImplementedError
         yield
@@ -76,20 +76,20 @@
             try:
                 result: Result = getattr(self, "do_" + what)(name, *args)
             except OSError as error:
-                result = word(error)
+                result = error_name(error)
             except ValueError:
                 result = "ValueError"
             except KeyError:  # an earlier accept returned no connection
                 result = "no such socket"
             results.append(((what, name, *args), result))
-            self.settle()
+            self.wait_until_settled()
         for sock in self.socks.values():
             sock.close()
         return results
 
     def do_listen(self, name: str, backlog: int) -> Result:
         self.socks[name] = listener = self.system.listen(("127.0.0.1", 0), backlog)
-        self.shape(listener)
+        self.shrink_buffers(listener)
         self.ports[name] = listener.getsockname()[1]
         return listener.getsockname()[0]
 
@@ -102,13 +102,13 @@
         if name in self.socks:
             self.socks[name].close()
         self.socks[name] = sock = self.system.connection()
-        self.shape(sock)
+        self.shrink_buffers(sock)
         return sock.getsockname()
 
     def do_connect(self, name: str, to: str, host: str = "127.0.0.1") -> Result:
         if name not in self.socks:
             self.do_new(name)
-        port = self.nobody() if to == "nobody" else self.ports[to]
+        port = self.unused_port() if to == "unused_port" else self.ports[to]
         code = self.socks[name].connect_ex((host, port))
         return errno.errorcode[code] if code else 0
 
@@ -170,7 +170,7 @@
                     blocked = 0
             except BlockingIOError:
                 blocked += 1
-                self.settle()
+                self.wait_until_settled()
             if blocked == 3:
                 self.filled[name] = self.sent[name]
                 return "blocked"
@@ -190,7 +190,7 @@
         return "whole"
 
     def do_starved(self, name: str, what: str, *args: Any) -> Result:
-        with self.starved():
+        with self.descriptors_exhausted():
             return getattr(self, "do_" + what)(name, *args)
 
 
@@ -207,23 +207,23 @@
         with socket.create_server(("127.0.0.1", 0)) as gone:
             self._nobody: int = gone.getsockname()[1]
 
-    def settle(self) -> None:
+    def wait_until_settled(self) -> None:
         # The loopback interface queues packets per core, and this thread is pinned to one core. Three
         # passes cover sent data, the reaction of the peer, and the reaction to that.
         for _ in range(3):
             self._out.send(b"x")
             self._in.recv(1)
 
-    def shape(self, sock: Socket) -> None:
+    def shrink_buffers(self, sock: Socket) -> None:
         assert isinstance(sock, socket.socket)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 16384)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 16384)
 
-    def nobody(self) -> int:
+    def unused_port(self) -> int:
         return self._nobody
 
     @contextmanager
-    def starved(self) -> Iterator[None]:
+    def descriptors_exhausted(self) -> Iterator[None]:
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         resource.setrlimit(resource.RLIMIT_NOFILE, (3, hard))
         try:
@@ -245,14 +245,14 @@
         self._process = system.process
         self._still = system.poller()
 
-    def settle(self) -> None:
+    def wait_until_settled(self) -> None:
         self._still.poll(5)  # well below the 1 s after which connects are retried
 
-    def nobody(self) -> int:
+    def unused_port(self) -> int:
         return 9
 
     @contextmanager
-    def starved(self) -> Iterator[None]:
+    def descriptors_exhausted(self) -> Iterator[None]:
         limit, self._process.limit = self._process.limit, 3
         try:
             yield
@@ -419,7 +419,7 @@
 ENDS = [*CLIENTS, *SERVERS]
 DRAWN: st.SearchStrategy[Step] = st.one_of(
     st.tuples(st.just("new"), st.sampled_from(CLIENTS)),
-    st.tuples(st.just("connect"), st.sampled_from(CLIENTS), st.sampled_from(["L", "L", "nobody"])),
+    st.tuples(st.just("connect"), st.sampled_from(CLIENTS), st.sampled_from(["L", "L", "unused_port"])),
     st.tuples(st.just("connect"), st.sampled_from([*SERVERS, "L"]), st.just("L")),
     st.tuples(st.just("accept"), st.sampled_from(SERVERS), st.sampled_from(["L", "L", "L", "c"])),
     st.tuples(st.just("send"), st.sampled_from(ENDS), st.integers(0, 60)),
@@ -428,7 +428,7 @@
     st.tuples(st.sampled_from(["shutdown", "close", "abort", "error", "name"]), st.sampled_from(ENDS)),
     st.tuples(st.just("poll"), st.sampled_from(["L", *ENDS]), st.sampled_from([0, *EVENTS.values()])),
     st.tuples(st.sampled_from(["close", "shutdown", "listen_again"]), st.just("L")),
-    st.tuples(st.just("starved"), st.sampled_from(SERVERS), st.just("accept"), st.just("L")),
+    st.tuples(st.just("descriptors_exhausted"), st.sampled_from(SERVERS), st.just("accept"), st.just("L")),
 )
 
 
