--- a/tests/sidecar/test_making_room.py
+++ b/tests/sidecar/test_making_room.py
@@ -14,16 +14,16 @@
 from tests.rig import SETTINGS
 
 
-class Waiting(Stream):
-    """A stream with `waits` as its unread data, which counts the calls of `peek`."""
+class UnreadStream(Stream):
+    """A stream with `unread` as its unread data, which counts the calls of `peek`."""
 
-    def __init__(self, scheduler: Scheduler, waits: bytes | None) -> None:
+    def __init__(self, scheduler: Scheduler, unread: bytes | None) -> None:
         super().__init__(scheduler, RealSystem().connection())
-        self.waits, self.looks = waits, 0
+        self.unread, self.looks = unread, 0
 
     def peek(self) -> bytes | None:
         self.looks += 1
-        return self.waits
+        return self.unread
 
     def is_idle(self) -> bool:
         return self.peek() is None
@@ -44,10 +44,10 @@
         )
         self.places.max_connections = self.places.max_active = 20
 
-    def rest(self, count: int, waits: bytes | None) -> list[Waiting]:
+    def add_idle_connections(self, count: int, unread: bytes | None) -> list[UnreadStream]:
         streams = []
         for _ in range(count):
-            stream = Waiting(self.sidecar.scheduler, waits)
+            stream = UnreadStream(self.sidecar.scheduler, unread)
             self.addCleanup(stream.close)
             connection = ClientConnection(stream, "p")
             connection.was_served = True
@@ -60,7 +60,7 @@
 
     def test_a_request_that_has_come_is_looked_at_once(self) -> None:
         """If every response checked each waiting request again, an overloaded process could not recover."""
-        streams = self.rest(30, b"G")
+        streams = self.add_idle_connections(30, b"G")
         for _ in range(25):
             self.assertFalse(self.connections.close_least_valuable())
             self.assertFalse(self.connections.evict_for_next_connection())
@@ -68,13 +68,13 @@
         self.assertEqual(self.places.connection_count, 30, "a connection with an unread request was closed")
 
     def test_one_whose_other_end_has_left_goes(self) -> None:
-        streams = self.rest(30, b"")
+        streams = self.add_idle_connections(30, b"")
         self.assertTrue(self.connections.close_least_valuable())
         self.assertLessEqual(self.places.connection_count, 20)
         self.assertEqual(sum(not stream.open for stream in streams), 30 - self.places.connection_count)
 
     def test_what_is_quiet_goes_as_ever(self) -> None:
-        self.rest(15, b"G"), self.rest(15, None)
+        self.add_idle_connections(15, b"G"), self.add_idle_connections(15, None)
         self.assertTrue(self.connections.close_least_valuable())
         self.assertGreaterEqual(self.places.connection_count, 15)
         self.assertLess(self.places.connection_count, 30)
