--- a/tests/test_network_differential.py
+++ b/tests/test_network_differential.py
@@ -42,7 +42,7 @@
 
     def __init__(self) -> None:
         self.socks: dict[str, Socket] = {}
-        self.ports: dict[str, int] = {"unused_port": 0}
+        self.ports: dict[str, int] = {"nobody": 0}
         self.sent: dict[str, int] = {}
         self.received: dict[str, int] = {}
         self.filled: dict[str, int] = {}  # bytes sent to fill a buffer, which differ between systems
@@ -108,7 +108,7 @@
     def do_connect(self, name: str, to: str, host: str = "127.0.0.1") -> Result:
         if name not in self.socks:
             self.do_new(name)
-        port = self.unused_port() if to == "unused_port" else self.ports[to]
+        port = self.unused_port() if to == "nobody" else self.ports[to]
         code = self.socks[name].connect_ex((host, port))
         return errno.errorcode[code] if code else 0
 
@@ -419,7 +419,7 @@
 ENDS = [*CLIENTS, *SERVERS]
 DRAWN: st.SearchStrategy[Step] = st.one_of(
     st.tuples(st.just("new"), st.sampled_from(CLIENTS)),
-    st.tuples(st.just("connect"), st.sampled_from(CLIENTS), st.sampled_from(["L", "L", "unused_port"])),
+    st.tuples(st.just("connect"), st.sampled_from(CLIENTS), st.sampled_from(["L", "L", "nobody"])),
     st.tuples(st.just("connect"), st.sampled_from([*SERVERS, "L"]), st.just("L")),
     st.tuples(st.just("accept"), st.sampled_from(SERVERS), st.sampled_from(["L", "L", "L", "c"])),
     st.tuples(st.just("send"), st.sampled_from(ENDS), st.integers(0, 60)),
@@ -428,7 +428,7 @@
     st.tuples(st.sampled_from(["shutdown", "close", "abort", "error", "name"]), st.sampled_from(ENDS)),
     st.tuples(st.just("poll"), st.sampled_from(["L", *ENDS]), st.sampled_from([0, *EVENTS.values()])),
     st.tuples(st.sampled_from(["close", "shutdown", "listen_again"]), st.just("L")),
-    st.tuples(st.just("descriptors_exhausted"), st.sampled_from(SERVERS), st.just("accept"), st.just("L")),
+    st.tuples(st.just("starved"), st.sampled_from(SERVERS), st.just("accept"), st.just("L")),
 )
 
 
