--- a/brambleusher/net/client_connections.py
+++ b/brambleusher/net/client_connections.py
@@ -29,7 +29,7 @@
         self._admission, self._service = admission, service
         self._open: set[ClientConnection] = set()
         self._closing_idle: Task | None = None
-        self.is_draining = False  # never reset, as the process exits after draining
+        self.is_draining = False  # whether the process drains before it exits, which is never undone
         self.draining_since = math.inf  # start of draining, in seconds on the scheduler's clock
 
     def __len__(self) -> int:
--- a/brambleusher/net/client_response.py
+++ b/brambleusher/net/client_response.py
@@ -41,7 +41,7 @@
     is_request_complete: bool = True
     body_stream: ResponseBodyStream | None = None  # the streamed body, used in place of `body`
     presence: PeerPresence | None = None  # detects a client disconnect while the body is streamed
-    latest_at: Callable[[], float] = never  # latest time to send the response, in seconds
+    latest_at: Callable[[], float] = never  # latest time to send, on the scheduler's clock
     must_close: bool = False  # whether the connection can't serve another request
 
 
--- a/brambleusher/net/http/heads.py
+++ b/brambleusher/net/http/heads.py
@@ -13,7 +13,7 @@
 _VERSION = re.compile(r"HTTP/1\.([01])\Z")
 _STATUS = re.compile(r"[0-9]{3}\Z")
 
-_REQUEST_LINE_PARTS = 3  # method, target, version
+_REQUEST_LINE_PARTS = 3  # the method, the target and the version
 _FRAMING_HEADERS = frozenset({"content-length", "transfer-encoding"})
 
 
--- a/brambleusher/net/request_lifecycle.py
+++ b/brambleusher/net/request_lifecycle.py
@@ -32,7 +32,7 @@
     """The outcome of a request."""
 
     SERVED = "served"
-    REJECTED = "refused"  # spelled as in counters and metrics
+    REJECTED = "refused"  # the value is spelled as in counters and metrics
     FAILED = "failed"
 
 
--- a/brambleusher/net/streamed_bodies.py
+++ b/brambleusher/net/streamed_bodies.py
@@ -17,7 +17,7 @@
 RESPONSE_READ_TIMEOUT_S = 5.0  # in seconds without a byte of a streamed response
 CHECK_INTERVAL_S = 0.2  # in seconds, between checks of the receiver while no data arrives
 MAX_BODY_DURATION_S = 900.0  # in seconds, at most, for a body of the maximum size
-MIN_BYTES_PER_S = 48_000  # minimum average rate of a request body
+MIN_BYTES_PER_S = 48_000  # minimum average rate in bytes per second of a request body
 
 
 def never() -> float:
--- a/brambleusher/net/upstream_response_reader.py
+++ b/brambleusher/net/upstream_response_reader.py
@@ -12,7 +12,7 @@
 
 MAX_INTERIM_RESPONSES = 16  # at most this many 1xx responses before the final response of an attempt
 RESPONSE_IDLE_TIMEOUT_S = 0.5  # in seconds without a byte of a buffered response that has started
-RESPONSE_BUFFER_TIMEOUT_S = 0.3  # in seconds; later, a body of unknown length is streamed
+RESPONSE_BUFFER_TIMEOUT_S = 0.3  # in seconds, after which a body of unknown length is streamed
 # Plain integers, as each access to an enum member costs a function call on the hot path of every request.
 _FIRST_FINAL_STATUS = HTTPStatus.OK.value
 _SWITCHING_PROTOCOLS = HTTPStatus.SWITCHING_PROTOCOLS.value
--- a/brambleusher/runtime/http_client.py
+++ b/brambleusher/runtime/http_client.py
@@ -43,7 +43,7 @@
             self.close()
             if not reused or self._scheduler.now() >= deadline:
                 raise HttpRequestError(f"{type(error).__name__}: {error}") from error
-        try:  # the server had closed the reused connection
+        try:  # retry on a new connection, as the server had closed the old one
             return self._get(target, deadline)
         except (OSError, TaskTimeoutError, h11.ProtocolError) as error:
             self.close()
--- a/brambleusher/runtime/http_server.py
+++ b/brambleusher/runtime/http_server.py
@@ -21,7 +21,7 @@
 REQUEST_TIMEOUT_S = 10.0  # in seconds, from the first to the last byte of a request
 SEND_TIMEOUT_S = 5.0
 READ_METHODS = frozenset({"GET", "HEAD"})  # safe methods, abandoned if the client disconnects
-READ_AHEAD_MAX_BYTES = 16 * 1024  # of pipelined requests while one is handled; further bytes are discarded
+READ_AHEAD_MAX_BYTES = 16 * 1024  # bytes of pipelined requests kept while one request is handled
 JSON_TYPE = b"application/json"
 
 
--- a/brambleusher/runtime/peer_presence.py
+++ b/brambleusher/runtime/peer_presence.py
@@ -8,7 +8,7 @@
 from brambleusher.runtime.streams import Stream
 from brambleusher.runtime.system import Socket
 
-MAX_READ_AHEAD_BYTES = 128 * 1024  # of pipelined requests; further bytes are discarded
+MAX_READ_AHEAD_BYTES = 128 * 1024  # bytes of pipelined requests to keep; further bytes are discarded
 MAX_DISCARDED_BYTES = 16 * 1024 * 1024  # after discarding this much, the connection is no longer read
 READ_BYTES = 64 * 1024
 MAX_READS = 4  # reads per check, so that an endless stream does not block other tasks
--- a/brambleusher/runtime/scheduler.py
+++ b/brambleusher/runtime/scheduler.py
@@ -126,7 +126,7 @@
         self._timers: list[tuple[float, int, Timer]] = []
         self._timer_count = self._cancelled_timers = 0
         self._waiting: dict[int, Task] = {}  # waiting tasks by file descriptor
-        self._readable_callbacks: dict[int, Callable[[], object]] = {}  # by watched file descriptor
+        self._readable_callbacks: dict[int, Callable[[], object]] = {}  # callbacks by watched file descriptor
         self._soon: deque[Callable[[], object]] = deque()
         self._yielding: deque[Event] = deque()  # events of tasks in `yield_until_idle`, resumed in turn
         self._lateness_s, self._late_until = 0.0, 0.0
--- a/brambleusher/sidecar/connection_budgets.py
+++ b/brambleusher/sidecar/connection_budgets.py
@@ -21,12 +21,12 @@
 KIB = 1024
 MIB = 1024 * KIB
 
-BASE_DESCRIPTORS = 32  # for the discovery watch, listener, log and runtime files
+BASE_DESCRIPTORS = 32  # descriptors for the discovery watch, listener, log and runtime files
 # Fraction of the descriptors; the platform guarantees that clients send requests on no more connections.
 REQUESTING_CLIENTS_FRACTION = 1 / 3
 UPSTREAM_FRACTION = 0.4  # fraction of connections for endpoints; the rest is for clients
-MIN_CONNECTIONS = 8  # minimum for endpoints and for clients
-MIN_SHARED_CONNECTIONS = 32  # minimum for each of several processes, even with little memory
+MIN_CONNECTIONS = 8  # minimum number of connections to endpoints, and of client connections
+MIN_SHARED_CONNECTIONS = 32  # minimum per process if there are several, even with little memory
 FEATURE_FRACTION_DIVISOR = 2  # features may use at most half of the remaining resources
 
 # Measured memory use is 11 MB at start and 17 MB after a minute with 60 connections in use. Too high a value
@@ -34,7 +34,7 @@
 RUNTIME_MEMORY_BYTES = 20 * MIB
 # Part of the runtime's memory for features; 16 MB were measured with the usual features enabled.
 FEATURE_BUFFERS_MEMORY_BYTES = 2 * MIB
-MYSQL_MEMORY_BYTES = 48 * MIB  # for its libraries and its cache of statements
+MYSQL_MEMORY_BYTES = 48 * MIB  # memory of the MySQL libraries and the statement cache
 MYSQL_SESSION_MEMORY_BYTES = 48 * KIB  # an idle session uses less than half of this
 CONNECTION_MEMORY_BYTES = 64 * KIB  # the largest buffered body, or one chunk of a streamed body
 
@@ -64,7 +64,8 @@
     if operator.metrics is not None:
         buffers_kib += operator.metrics.buffer_kb
     if (capture := operator.capture) is not None:
-        buffers_kib += capture.ring_kb * (2 if capture.dir is None else 3)  # one copy per reader
+        # The ring itself and one copy in flight to each of its readers.
+        buffers_kib += capture.ring_kb * (2 if capture.dir is None else 3)
     excess = max(0, buffers_kib * KIB - FEATURE_BUFFERS_MEMORY_BYTES)
     if excess > max_bytes:
         # Without this check, the sidecar would be killed for its memory use once the ring is full.
--- a/brambleusher/sidecar/main.py
+++ b/brambleusher/sidecar/main.py
@@ -15,7 +15,7 @@
 from brambleusher.sidecar.configuration import Config, ConfigError, load_config
 from brambleusher.sidecar.garbage_collection import GarbageCollectionPolicy, freeze_current_objects
 
-LOG_QUEUE_BYTES = 64 * 1024  # of log lines queued for standard error when features also write to it
+LOG_QUEUE_BYTES = 64 * 1024  # bytes of log lines queued while features also write to standard error
 EXIT_CONFIGURATION = 2  # exit status for an invalid configuration
 
 
