--- a/brambleusher/sidecar/connection_budgets.py
+++ b/brambleusher/sidecar/connection_budgets.py
@@ -64,11 +64,11 @@
     if operator.metrics is not None:
         buffers_kib += operator.metrics.buffer_kb
     if (capture := operator.capture) is not None:
-        # The ring itself and one copy in flight to each of its readers.
+        # The ring buffer itself and one copy in flight to each of its readers.
         buffers_kib += capture.ring_kb * (2 if capture.dir is None else 3)
     excess = max(0, buffers_kib * KIB - FEATURE_BUFFERS_MEMORY_BYTES)
     if excess > max_bytes:
-        # Without this check, the sidecar would be killed for its memory use once the ring is full.
+        # Without this check, the sidecar would be killed for its memory use once the ring buffer is full.
         raise OperatorFileError("capture.ring_kb and figures.buffer_kb don't fit in limits.memory_mb")
     return excess
 
