--- a/brambleusher/controlplane/configuration/admin_api.py
+++ b/brambleusher/controlplane/configuration/admin_api.py
@@ -141,7 +141,7 @@
         applied_index = self._state.read_applied_index(deadline)
         if isinstance(applied_index, Err):
             return _error(HTTPStatus.SERVICE_UNAVAILABLE, "no controller answered in time")
-        if request.hung_up():
+        if request.has_disconnected():
             # The client disconnected: it has retried elsewhere or given up. A delayed copy of its request
             # must not take effect after a later request.
             return _error(HTTPStatus.SERVICE_UNAVAILABLE, "the caller has gone")
--- a/brambleusher/net/endpoint_watch.py
+++ b/brambleusher/net/endpoint_watch.py
@@ -1,4 +1,4 @@
-"""Discovery's watch over HTTP: a chunked answer with one JSON object a line."""
+"""Watches discovery over HTTP; the response is chunked and has one JSON object per line."""
 
 from __future__ import annotations
 
@@ -11,40 +11,40 @@
 from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
 
-CONNECT_SECONDS = 1.0
-ANSWER_SECONDS = 4.0  # a call may wait its turn for 3 s before discovery fails it
-SILENT_SECONDS = 3.0  # without a whole line: an empty one is due every 2 s; pieces of one are no sign of life
-TEXT_SECONDS = 1.0  # from the first line of an indented text to its last
-MAX_LINE = 6 * 1024 * 1024
-LONG_LINE = 64 * 1024  # past it, others run after each piece of one
+CONNECT_TIMEOUT_S = 1.0  # in seconds, for the connect and for sending the request
+RESPONSE_TIMEOUT_S = 4.0  # in seconds; discovery may queue a request for 3 s before rejecting it
+LINE_TIMEOUT_S = 3.0  # at most this many seconds without a complete line; a heartbeat line is due every 2 s
+TEXT_TIMEOUT_S = 1.0  # at most this many seconds from the first to the last line of an indented text
+MAX_LINE_BYTES = 6 * 1024 * 1024
+YIELD_LINE_BYTES = 64 * 1024  # bytes of an incomplete line from which other tasks run after each read
 
 
 class WatchError(OSError):
-    """Discovery did not answer with a watch."""
+    """Raised when discovery does not open a watch or closes it unexpectedly."""
 
 
 class HttpWatch:
-    """The feed of the endpoint list."""
+    """Feeds the endpoint list from a discovery watch over HTTP."""
 
     def __init__(self, scheduler: Scheduler, address: tuple[str, int]) -> None:
         self._scheduler, self._address = scheduler, address
 
     def __call__(self, since: int | None) -> Generator[bytes, None, None]:
-        """Lines as they come; ends with the watch, raises `TaskTimeoutError` when it has gone silent."""
+        """Yield texts as they arrive until the watch ends; raise `TaskTimeoutError` if it times out."""
         now = self._scheduler.now
-        stream = Stream.connect(self._scheduler, self._address, now() + CONNECT_SECONDS)
+        stream = Stream.connect(self._scheduler, self._address, now() + CONNECT_TIMEOUT_S)
         try:
             target = "/v1/endpoints?follow=1" + ("" if since is None else f"&since={since}")
             host = f"{self._address[0]}:{self._address[1]}"
-            stream.send(write_request("GET", target, [("Host", host)]), now() + CONNECT_SECONDS)
-            reader, deadline = MessageReader.responses(), now() + ANSWER_SECONDS
+            stream.send(write_request("GET", target, [("Host", host)]), now() + CONNECT_TIMEOUT_S)
+            reader, deadline = MessageReader.responses(), now() + RESPONSE_TIMEOUT_S
             while (head := reader.head()) is None:
                 data = stream.receive(deadline)
                 if not data:
-                    raise WatchError("discovery closed the connection")
+                    raise WatchError("discovery closed the connection before its response")
                 reader.feed(data)
             if head.status != HTTPStatus.OK:
-                raise WatchError(f"discovery answered {head.status}")
+                raise WatchError(f"discovery responded with status {head.status}")
             yield from self._lines(stream, reader)
         finally:
             stream.close()
@@ -52,32 +52,33 @@
     def _lines(self, stream: Stream, reader: MessageReader) -> Iterator[bytes]:
         now = self._scheduler.now
         pending, texts = bytearray(), TextAssembler()
-        heard_at = now()  # when the last whole line had been dealt with
+        last_line_at = now()  # time at which the last complete line had been processed
         while True:
-            part, done = reader.drain()
-            looked = len(pending)
-            pending += part
-            while (end := pending.find(b"\n", looked)) >= 0:
+            received, done = reader.drain()
+            searched = len(pending)
+            pending += received
+            while (end := pending.find(b"\n", searched)) >= 0:
                 line = bytes(pending[:end])
                 del pending[: end + 1]
-                looked = 0
+                searched = 0
                 yield from texts.add(line)
-                heard_at = now()
+                last_line_at = now()
             if done:
                 return
-            if len(pending) + texts.size > MAX_LINE:
-                raise WatchError("a line is too long")
-            if len(pending) > LONG_LINE:
+            if len(pending) + texts.size > MAX_LINE_BYTES:
+                raise WatchError("a line of the watch is too long")
+            if len(pending) > YIELD_LINE_BYTES:
                 self._scheduler.yield_until_idle()
-            patience = TEXT_SECONDS if texts.incomplete else SILENT_SECONDS
-            # Guards against a watch that trickles: a long line has as much longer as its bytes take.
+            timeout_s = TEXT_TIMEOUT_S if texts.incomplete else LINE_TIMEOUT_S
+            # Guards against a watch that sends a line very slowly. The timeout of a long line is extended
+            # only by the time that its bytes take at the minimum rate.
             try:
-                data = stream.receive(heard_at + patience + len(pending) / MIN_BYTES_PER_S)
+                data = stream.receive(last_line_at + timeout_s + len(pending) / MIN_BYTES_PER_S)
             except TaskTimeoutError:
                 if not texts.incomplete:
                     raise
-                yield texts.give_up()
+                yield texts.take_pending()
                 raise
             if not data:
-                raise WatchError("the watch was cut")
+                raise WatchError("discovery closed the connection in the middle of the watch")
             reader.feed(data)
--- a/brambleusher/runtime/http_server.py
+++ b/brambleusher/runtime/http_server.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 server for calls with short bodies, by h11: one handler, one answer a request."""
+"""A small HTTP/1.1 server based on h11, for requests with short bodies and a single handler."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from brambleusher.runtime.streams import Stream
 from brambleusher.runtime.system import Address
 
-IDLE_S = 60.0
-REQUEST_S = 10.0  # from the first byte of a request to its last
-SEND_S = 5.0
-READ_METHODS = frozenset({"GET", "HEAD"})  # they change nothing, and are not worth finishing for nobody
-READ_AHEAD_MAX_BYTES = 16 * 1024  # of the requests that follow, while one is handled; the rest is discarded
+IDLE_TIMEOUT_S = 60.0
+REQUEST_TIMEOUT_S = 10.0  # in seconds, from the first to the last byte of a request
+SEND_TIMEOUT_S = 5.0
+READ_METHODS = frozenset({"GET", "HEAD"})  # safe methods, abandoned if the client disconnects
+READ_AHEAD_MAX_BYTES = 16 * 1024  # bytes of pipelined requests kept while one request is handled
 JSON_TYPE = b"application/json"
 
 
@@ -31,19 +31,19 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """One request, whole; `hung_up` says whether its caller has ended the connection meanwhile."""
+    """A complete request; `has_disconnected` returns whether its client has closed the connection."""
 
     method: str
     path: str
     query: dict[str, str]
     headers: dict[bytes, bytes]
     body: bytes
-    hung_up: Callable[[], bool] = _never
+    has_disconnected: Callable[[], bool] = _never
 
 
 @dataclass(frozen=True, slots=True)
 class HttpResponse:
-    """One answer."""
+    """An HTTP response with status, headers and body."""
 
     status: int
     body: bytes = b""
@@ -52,16 +52,16 @@
 
 
 def json_response(status: int, data: object, *headers: tuple[bytes, bytes]) -> HttpResponse:
-    """Make a response of data."""
+    """Create a response with data encoded as JSON."""
     return HttpResponse(status, orjson.dumps(data), headers)
 
 
 class BodyTooLargeError(Exception):
-    """A request's body is over the server's bound."""
+    """Raised when a request body is larger than the server's limit."""
 
 
 class HttpServer:
-    """Listens on one address and calls the handler, which may wait, for each request."""
+    """Listens on one address and calls a handler, which may block its task, for each request."""
 
     def __init__(
         self,
@@ -102,7 +102,7 @@
             connection.start_next_cycle()
 
     def _handle(self, presence: PeerPresence, request: HttpRequest) -> HttpResponse | None:
-        """Have a request handled; None where it was a read whose caller has left."""
+        """Call the handler; return None if the client of a safe request has disconnected."""
         if request.method not in READ_METHODS:
             return self._handler(request)
         try:
@@ -114,24 +114,24 @@
     def _read(self, stream: Stream, connection: h11.Connection) -> HttpRequest | None:
         head: h11.Request | None = None
         parts: list[bytes] = []
-        held = 0
-        deadline = self._scheduler.now() + IDLE_S
+        received_bytes = 0
+        deadline = self._scheduler.now() + IDLE_TIMEOUT_S
         while True:
             event = receive_event(connection, stream, deadline)
             if isinstance(event, h11.Request):
-                head, deadline = event, self._scheduler.now() + REQUEST_S
+                head, deadline = event, self._scheduler.now() + REQUEST_TIMEOUT_S
             elif isinstance(event, h11.Data):
                 parts.append(bytes(event.data))
-                held += len(event.data)
-                if held > self._body_bytes:
+                received_bytes += len(event.data)
+                if received_bytes > self._body_bytes:
                     raise BodyTooLargeError
             elif isinstance(event, h11.EndOfMessage) and head is not None:
-                return self._whole(head, b"".join(parts), stream)
+                return self._complete_request(head, b"".join(parts), stream)
             else:
                 return None
 
     @staticmethod
-    def _whole(head: h11.Request, body: bytes, stream: Stream) -> HttpRequest:
+    def _complete_request(head: h11.Request, body: bytes, stream: Stream) -> HttpRequest:
         target = urlsplit(head.target.decode("latin-1"))
         query = dict(parse_qsl(target.query))
         method = head.method.decode("latin-1")
@@ -147,4 +147,4 @@
         if self.closing:
             headers.append((b"Connection", b"close"))
         head = h11.Response(status_code=response.status, headers=headers)
-        stream.send(encode_message(connection, head, response.body), self._scheduler.now() + SEND_S)
+        stream.send(encode_message(connection, head, response.body), self._scheduler.now() + SEND_TIMEOUT_S)
--- a/tests/net/test_guards.py
+++ b/tests/net/test_guards.py
@@ -1,7 +1,7 @@
-"""Guards taken out one at a time: the test that forces the crossing has to fail without its guard.
+"""Disables the protections against race conditions one at a time and checks that a test then fails.
 
-Each row names what is patched and the test that must tell.  A test that passes without its guard holds
-nothing, and fails here.
+Each row names the patch that disables a protection and the test that must fail. A test that passes without
+its protection does not check it, and fails here.
 """
 
 from __future__ import annotations
@@ -30,15 +30,15 @@
 from tests.net import test_crossings_client, test_crossings_lists, test_crossings_upstream
 from tests.sidecar import test_crossings_shutdown
 
-PATIENCE = 3.0  # seconds: what must come, and does not without the guard, is waited for no longer
+WAIT_WITHOUT_GUARD_S = 3.0  # seconds to wait for an event that does not occur without the protection
 Patch = tuple[Any, str, Any]
 
 
 def no_half_close(stream: Stream, *bounds: Any) -> None:
-    """The connection is closed at once."""
+    """Skip the half-close, so that the connection is closed immediately."""
 
 
-def never_gone(presence: PeerPresence) -> bool:
+def never_disconnected(presence: PeerPresence) -> bool:
     return False
 
 
@@ -47,8 +47,8 @@
     return False
 
 
-def gone_only_ahead_of_bytes(presence: PeerPresence) -> bool:
-    """As before floods were read: no more is looked at once enough has been sent ahead."""
+def stops_reading_at_limit(presence: PeerPresence) -> bool:
+    """Stop reading after 128 KiB of read-ahead, so that a later disconnect is not seen."""
     if presence._buffer.buffered >= 128 * 1024:
         return False
     presence._read()
@@ -56,15 +56,15 @@
 
 
 def no_last_connects(clients: ClientListener) -> None:
-    """The listener is closed without waiting for those who come at once."""
+    """Close the listener without waiting for the last connections."""
 
 
-def no_more(connection: ClientConnection, reader: Any) -> bool:
+def has_no_next_request(connection: ClientConnection, reader: Any) -> bool:
     return False
 
 
-def rests_always(connections: ClientConnections, connection: ClientConnection, reader: Any) -> None:
-    """A connection rests after its answer, whatever was sent ahead on it, and goes on when given up."""
+def always_marks_idle(connections: ClientConnections, connection: ClientConnection, reader: Any) -> None:
+    """Mark a connection idle even if the client has sent more, and keep serving it after its release."""
     now = connections._scheduler.now()
     connections._admission.record_idle(connection, now)
     if connections._admission.is_scarce(now):
@@ -72,10 +72,10 @@
     connection.is_released = False
 
 
-def any_byte_counts(
+def any_byte_restarts_timeout(
     feed: endpoint_watch.HttpWatch, stream: Stream, reader: Any
 ) -> Generator[bytes, None, None]:
-    """The clock of silence starts anew with each byte."""
+    """Restart the watch timeout with each byte instead of each line."""
     pending = bytearray()
     while True:
         part, done = reader.drain()
@@ -86,7 +86,7 @@
             yield line
         if done:
             return
-        data = stream.receive(feed._scheduler.now() + endpoint_watch.SILENT_SECONDS)
+        data = stream.receive(feed._scheduler.now() + endpoint_watch.LINE_TIMEOUT_S)
         if not data:
             raise endpoint_watch.WatchError("the watch was cut")
         reader.feed(data)
@@ -96,12 +96,12 @@
     return [line.strip()]
 
 
-def takes_whatever_is_idle(connections: UpstreamConnections, node: Any, now: float) -> Stream | None:
+def takes_any_idle_connection(connections: UpstreamConnections, node: Any, now: float) -> Stream | None:
     return node.idle.pop() if node.idle else None
 
 
-def leaves_claims_alone(nodes: UpstreamPool, node: Any) -> None:
-    """A node that leaves keeps the attempts that wait for a connection to it."""
+def keeps_waiting_attempts(nodes: UpstreamPool, node: Any) -> None:
+    """Keep the attempts that wait for a connection to a node that is removed."""
     node.is_draining = True
     nodes.connections.close_idle(node)
 
@@ -111,7 +111,7 @@
 
 
 def reset_is_an_end(response_reader: UpstreamResponseReader) -> Any:
-    """An answer without length that is reset counts as whole."""
+    """Treat a response without length as complete when its connection is reset."""
     reader = MessageReader.responses(streaming=True)
     stream, deadline = response_reader._stream, response_reader._deadline
     while True:
@@ -127,7 +127,7 @@
 
 
 def closes_when_the_wait_ends(stream: Stream) -> bool:
-    """Nothing is seen of what came in the moment in which a wait ended."""
+    """Ignore data that arrived at the moment when a wait ended."""
     return True
 
 
@@ -158,14 +158,14 @@
     ),
     (
         "requests sent ahead at the end",
-        [(ClientConnectionServer, "_has_next_request", staticmethod(no_more))],
+        [(ClientConnectionServer, "_has_next_request", staticmethod(has_no_next_request))],
         test_crossings_client.Closes,
         "test_what_was_sent_ahead_is_answered_while_the_sidecar_ends",
     ),
     (
         "requests sent ahead where room is made",
         [
-            (ClientConnections, "mark_idle", rests_always),
+            (ClientConnections, "record_response_sent", always_marks_idle),
             (PeerPresence, "check_left", reads_and_sees_no_end),
         ],
         test_crossings_client.Closes,
@@ -173,31 +173,31 @@
     ),
     (
         "look before the first byte",
-        [(PeerPresence, "check_left", never_gone)],
+        [(PeerPresence, "check_left", never_disconnected)],
         test_crossings_client.Leaves,
         "test_nothing_is_sent_for_a_client_that_leaves_while_its_node_is_connected",
     ),
     (
         "floods are read",
-        [(PeerPresence, "check_left", gone_only_ahead_of_bytes)],
+        [(PeerPresence, "check_left", stops_reading_at_limit)],
         test_crossings_client.Leaves,
         "test_a_flood_that_leaves_is_seen_to_leave_and_gets_no_further_attempt",
     ),
     (
         "whole lines alone are signs of life",
-        [(endpoint_watch.HttpWatch, "_lines", any_byte_counts)],
+        [(endpoint_watch.HttpWatch, "_lines", any_byte_restarts_timeout)],
         test_crossings_lists.Silence,
         "test_pieces_of_a_line_without_end",
     ),
     (
         "the clock of silence",
-        [(endpoint_watch, "SILENT_SECONDS", math.inf)],
+        [(endpoint_watch, "LINE_TIMEOUT_S", math.inf)],
         test_crossings_lists.Silence,
         "test_a_head_and_nothing_more",
     ),
     (
         "the wait for a head",
-        [(endpoint_watch, "ANSWER_SECONDS", math.inf)],
+        [(endpoint_watch, "RESPONSE_TIMEOUT_S", math.inf)],
         test_crossings_lists.Silence,
         "test_no_head",
     ),
@@ -215,7 +215,7 @@
     ),
     (
         "look before reuse",
-        [(UpstreamConnections, "_take_idle", takes_whatever_is_idle)],
+        [(UpstreamConnections, "_take_idle", takes_any_idle_connection)],
         test_crossings_upstream.Idle,
         "test_bytes_that_came_while_it_rested_spoil_it",
     ),
@@ -242,9 +242,9 @@
     with pytest.MonkeyPatch.context() as patch:
         for module in modules:
             if hasattr(module, "WAIT"):
-                patch.setattr(module, "WAIT", PATIENCE)
+                patch.setattr(module, "WAIT", WAIT_WITHOUT_GUARD_S)
         for owner, name, value in patches:
             patch.setattr(owner, name, value)
         case(test).run(result)
     assert result.testsRun == 1
-    assert result.failures or result.errors, "it passes without the guard that it is there for"
+    assert result.failures or result.errors, "the test passes without the protection that it should check"
