--- a/brambleusher/xds/__init__.py
+++ b/brambleusher/xds/__init__.py
@@ -1,1 +1,1 @@
-"""The control service: the decisions handed out to other proxies over xDS, a program of its own."""
+"""The control service: a separate program that publishes load-balancing decisions to proxies over xDS."""
--- a/brambleusher/xds/config.py
+++ b/brambleusher/xds/config.py
@@ -1,4 +1,7 @@
-"""Read the control service's file, check it and fill in defaults; its keys are an interface."""
+"""Read and validate the control service's configuration file, and fill in defaults.
+
+The keys of the file are a public interface.
+"""
 
 from __future__ import annotations
 
@@ -16,18 +19,18 @@
 from brambleusher.xds.errors import ControlError
 from brambleusher.xds.versions import MIN_SECRET_BYTES
 
-MAX_ITEMS = 256  # of one list
+MAX_ITEMS = 256  # items in one list of the file
 MAX_RETRIES = 10
-MAX_CONCURRENCY = 1_000_000  # of connections or requests of one proxy
+MAX_CONCURRENCY = 1_000_000  # upper bound for the configured connections or requests of one proxy
 MAX_STREAMS = 100_000
 MAX_EPOCH = 10**9
 HOUR_MS = 3_600_000
 NS_PER_MS = 1_000_000
 
 Address = tuple[str, int]
-Priorities = dict[str, tuple[tuple[str, ...], ...]]  # by a subscriber's zone: zones by priority
+Priorities = dict[str, tuple[tuple[str, ...], ...]]  # subscriber's zone -> one tuple of zones per priority
 
-# Keys that a running instance does not change.
+# Configuration keys that take effect only at a restart, not at a reload.
 _FIXED_KEYS = (
     "name", "listen", "discovery", "epoch", "secret", "store", "settings", "zones", "tls", "peers", "status",
     "silence_ms", "new_store_ms",
@@ -36,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TlsFiles:
-    """The files of certificate, key and the subscribers' authority; all of them PEM."""
+    """Paths of the PEM files with the certificate, its key and the CA that signed clients' certificates."""
 
     certificate: str
     key: str
@@ -45,25 +48,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Group:
-    """Subscribers alike: their identity, the zone whose view they get, and what they may subscribe to."""
+    """Subscribers with the same rights: the zone whose view they get, and what they may subscribe to."""
 
-    identity: str  # a pattern for the name in the certificate; in plain text for the node's id
-    zone: str | None = None  # None: the zone that the subscriber says it is in
-    may: tuple[str, ...] = ("*",)  # patterns for names of resources
-    form: str | None = None  # how endpoints are grouped; None: by the kind of client
+    identity: str  # a pattern for the name in the certificate or, without TLS, for the node's id
+    zone: str | None = None  # None: the zone named in the subscriber's first request
+    may: tuple[str, ...] = ("*",)  # patterns for the names of allowed resources
+    form: str | None = None  # how endpoints are grouped into localities; None: chosen by the kind of client
 
     def matches(self, identity: str) -> bool:
-        """Return whether a subscriber of that name belongs to the group."""
+        """Return whether a subscriber with that identity belongs to the group."""
         return fnmatch.fnmatchcase(identity, self.identity)
 
     def may_subscribe_to(self, name: str) -> bool:
-        """Return whether the subscribers may have the resource of that name."""
+        """Return whether the group's subscribers may subscribe to the resource with that name."""
         return any(fnmatch.fnmatchcase(name, pattern) for pattern in self.may)
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Bounds of one stream, and of all together."""
+    """Limits for each stream, and for the number of streams."""
 
     streams: int = 2000
     streams_per_identity: int = 2000
@@ -71,12 +74,12 @@
     names: int = 1000
     name_bytes: int = 512
     requests_per_s: int = 100
-    stall_ms: int = 30_000  # a stream that makes no progress for so long is ended
+    stall_ms: int = 30_000  # a stream without progress for longer than this is ended
 
 
 @dataclass(frozen=True, slots=True)
 class ClassPlan:
-    """A class of requests: its paths, and the limits of one proxy."""
+    """A class of requests: its path prefixes, timeout and retries, and the limits for one proxy."""
 
     name: str
     prefixes: tuple[str, ...]
@@ -89,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outlier:
-    """When a proxy ejects an endpoint by itself, between two updates."""
+    """Settings for a proxy's own outlier detection, which ejects failing endpoints between updates."""
 
     consecutive: int = 5
     interval_ms: int = 10_000
@@ -99,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListenerPlan:
-    """A listener: with an address one for HTTP, without one gRPC's API listener."""
+    """A listener: an HTTP listener if it has an address, else an API listener for gRPC clients."""
 
     name: str
     address: Address | None
@@ -107,16 +110,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Spread:
-    """How weights are published."""
+    """How endpoints are assigned to priorities, and when a changed weight is published."""
 
-    priorities: Priorities | None = None  # None: all endpoints in one priority
+    priorities: Priorities | None = None  # None: all endpoints have the same priority
     weights_every_ms: int = 2000
     change_percent: int = 10
 
 
 @dataclass(frozen=True, slots=True)
 class Peer:
-    """Another instance."""
+    """Another instance of the control service in the same installation."""
 
     name: str
     address: Address
@@ -124,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlConfig:
-    """The file's content, checked."""
+    """The validated content of the configuration file."""
 
     name: str
     listen: Address
@@ -150,12 +153,12 @@
     status: Address | None = None
 
     def group_of(self, identity: str) -> Group | None:
-        """Return the first group that a subscriber belongs to; None where there is none."""
+        """Return the first group that a subscriber belongs to, or None if no group matches."""
         return next((group for group in self.groups if group.matches(identity)), None)
 
 
 def is_loopback(host: str) -> bool:
-    """Return whether an address can be reached from this machine only."""
+    """Return whether an address can be reached only from this machine."""
     try:
         return ipaddress.ip_address(host.removeprefix("[").removesuffix("]")).is_loopback
     except ValueError:
@@ -178,7 +181,7 @@
 
 
 def _list(section: Section, key: str, required: bool = False) -> list[tuple[object, str]]:
-    """Take a list; each item comes with its path."""
+    """Return the items of a list, each with its path in the file for error messages."""
     raw = section.take(key)
     if raw is None and not required:
         return []
@@ -193,7 +196,7 @@
     texts = []
     for item, path in _list(section, key, required=True):
         if not isinstance(item, str) or not item:
-            raise ControlError(f"{path} is not a text")
+            raise ControlError(f"{path} is not a non-empty string")
         texts.append(item)
     return tuple(texts)
 
@@ -226,7 +229,7 @@
         except ValueError as error:
             raise ControlError(f"settings_file: {path} is not JSON: {error}") from None
         if isinstance(raw, dict) and isinstance(raw.get("settings"), dict):
-            raw = raw["settings"]  # a sidecar's configuration does as well
+            raw = raw["settings"]  # the file may also be a sidecar's configuration, which nests the settings
     try:
         return parse_settings(raw)
     except SettingsError as error:
@@ -366,14 +369,14 @@
 
 
 def parse_control(text: bytes, base: Path) -> ControlConfig:
-    """Parse and check the file's content.
+    """Parse and validate the content of the configuration file.
 
     Args:
-        text: The file's content, YAML.
-        base: The directory that names of files in it are relative to.
+        text: The file's content in YAML.
+        base: The directory that relative paths in the file are resolved against.
 
     Raises:
-        ControlError: It can't be used; the message names the key.
+        ControlError: The content is not valid; the message names the key.
     """
     try:
         config = _parse(text, base)
@@ -452,24 +455,24 @@
 
 
 def load_control(path: str) -> ControlConfig:
-    """Read the file at `path`.
+    """Read and validate the configuration file at `path`.
 
     Raises:
-        ControlError: It can't be used; the message names the key.
+        ControlError: The file can't be read or is not valid; the message names the key.
     """
     file = Path(path)
     return parse_control(_read_file(file, "the file"), file.parent)
 
 
 def reload_control(current: ControlConfig, path: str) -> tuple[ControlConfig, list[str]]:
-    """Read the file again for a running instance.
+    """Read the configuration file again for a running instance.
 
     Returns:
-        The current configuration with what may change taken from the file, and the keys that differ but
-        may not change.
+        The new configuration, in which keys that need a restart keep their current values, and a list of
+        those keys whose value in the file differs.
 
     Raises:
-        ControlError: The file can't be used; the message names the key.
+        ControlError: The file can't be read or is not valid; the message names the key.
     """
     new = load_control(path)
     differing = [key for key in _FIXED_KEYS if getattr(current, key) != getattr(new, key)]
--- a/brambleusher/xds/core.py
+++ b/brambleusher/xds/core.py
@@ -1,8 +1,9 @@
-"""Decide what each subscriber gets, without sockets, files or threads.
+"""Decide which response each subscriber gets next, without sockets, files or threads.
 
-The owner records events of discovery, subscribers, load reports, other instances, the store and the
-time; asks `position_to_write` for the position that must be on durable storage next; and asks for
-the next response of each stream.  Nothing here waits.  All times are in ns of the owner's clock.
+The owner records events from discovery, subscribers, load reports, other instances and the store, and
+calls `tick` as time passes.  It asks `position_to_write` for the position that must be on durable storage
+next, and `next_response` for the next response of each stream.  No call blocks.  All times are in
+nanoseconds of the owner's clock.
 """
 
 from __future__ import annotations
@@ -41,18 +42,21 @@
 
 NS_PER_MS = 1_000_000
 FORMS = ("zones", "nodes")
-REFRESHES_PER_STALE_TIME = 3  # Envoy drops endpoints that were not renewed for `stale_after_ms`
-SEED_BITS = 32  # of a zone's balancer
-MAX_SHOWN_CHARS = 100  # of text that a subscriber sent, in a message
+REFRESHES_PER_STALE_TIME = 3  # Envoy drops endpoints that were not sent again within `stale_after_ms`
+SEED_BITS = 32  # length of the random seed of a zone's balancer
+MAX_SHOWN_CHARS = 100  # an error message quotes at most this much of a text that a subscriber sent
 
 
 def form_of(group: Group, node: NodeIdentity) -> str:
-    """Return how a subscriber's endpoints are grouped: as its group says, else by its kind."""
+    """Return how a subscriber's endpoints are grouped.
+
+    The form set for its group takes precedence; otherwise gRPC clients get "nodes" and others "zones".
+    """
     return group.form or ("nodes" if node.agent.lower().startswith("grpc") else "zones")
 
 
 def without_additions(before: Mapping[str, Endpoint], newest: Mapping[str, Endpoint]) -> dict[str, Endpoint]:
-    """Return `before` less what `newest` takes away: no endpoint is added or comes back into use."""
+    """Apply only the removals of `newest` to `before`: no endpoint is added or becomes ready again."""
     remaining = {}
     for name, endpoint in before.items():
         current = newest.get(name)
@@ -60,7 +64,7 @@
             continue
         is_ready = current.entry.state is HostState.READY
         if is_ready and _process_of(current) != _process_of(endpoint):
-            continue  # the endpoint listed now is another process
+            continue  # the address or start time differs, so the newest list names another process
         remaining[name] = endpoint if is_ready else current
     return remaining
 
@@ -70,7 +74,7 @@
 
 
 class Zone:
-    """One zone of subscribers: its balancer, and the weights as published last."""
+    """The subscribers' view of one zone: its balancer, and the endpoint weights published last."""
 
     def __init__(
         self, name: str, settings: Settings, seed: int, change_threshold: float, now_ns: int
@@ -84,7 +88,7 @@
         self._endpoints: Mapping[str, Endpoint] = {}
 
     def update_endpoints(self, endpoints: Mapping[str, Endpoint], now_ns: int) -> bool:
-        """Hand the list to the balancer; False where it has it already."""
+        """Pass the endpoint list to the balancer, and return whether it differs from the last one."""
         before, self._endpoints = self._endpoints, endpoints
         if before is endpoints:
             return False
@@ -98,7 +102,7 @@
         return True
 
     def tick(self, now_ns: int) -> None:
-        """Hand the gathered load reports to the balancer, and its timer when it is due."""
+        """Pass the collected load reports to the balancer, and fire its timer if it is due."""
         for outcomes in self.load_reports.drain():
             self.balancer.record_outcomes(outcomes, now_ns)
         if now_ns >= self._timer_ns:
@@ -106,14 +110,14 @@
             self._timer_ns = self.balancer.next_timer_ns(actions) or now_ns
 
     def set_change_threshold(self, change_threshold: float) -> None:
-        """Change the fraction by which a weight must have moved to be published."""
+        """Set the fraction by which a weight must change before it is published."""
         self._rounder = WeightRounder(change_threshold)
 
     def update_weights(self, priorities: Iterable[tuple[str, ...]], step: bool) -> bool:
-        """Read the balancer's weights and, with `step`, go a step towards them.
+        """Read the balancer's weights and, with `step`, move the published weights one step towards them.
 
         Returns:
-            Whether any has moved enough to be published.
+            Whether any weight has changed enough to be published.
         """
         before = self.tiers
         followed = self._damper.follow(host_statuses(self.balancer), step)
@@ -123,7 +127,7 @@
 
 @dataclass(slots=True)
 class Stream:
-    """One subscriber on one stream."""
+    """The state of one subscriber's xDS stream."""
 
     id: int
     identity: str
@@ -134,12 +138,12 @@
     zone: str = ""
     form: str = ""
     responses: int = 0
-    lag_ns: int | None = None  # from a change to the acknowledgement of the view with it
+    lag_ns: int | None = None  # time from the last acknowledged change to its acknowledgement
     refreshed_ns: int = 0
 
 
 class Core:
-    """The state of one instance: the list, the weights, the views and the streams."""
+    """The state of one instance: endpoint list, weights, views and streams."""
 
     def __init__(
         self,
@@ -149,14 +153,15 @@
         seed: int = 0,
         is_floor_certain: bool = False,
     ) -> None:
-        """Start without a list.
+        """Start without an endpoint list.
 
         Args:
             config: The configuration.
-            floor: The position on durable storage; None where the store is new or was lost.
-            now_ns: The time.
-            seed: Seeds the balancers.
-            is_floor_certain: Do not wait for positions that subscribers prove, as a new store has to.
+            floor: The position on durable storage; None if the store is new or its content was lost.
+            now_ns: The current time.
+            seed: The seed for the balancers' random numbers.
+            is_floor_certain: Whether to publish without the wait that a new store requires.  During that
+                wait subscribers may prove positions that were published earlier.
         """
         self.config, self.seal = config, Seal(config.secret)
         self.discovered = DiscoveredEndpoints()
@@ -165,14 +170,14 @@
         self.zones = _create_zones(config, seed, now_ns)
         self.streams: dict[int, Stream] = {}
         self._library = Library(self.seal)
-        self._snapshots: dict[tuple[str, str, int], Snapshot] = {}  # by zone, form, index of the group
+        self._snapshots: dict[tuple[str, str, int], Snapshot] = {}  # by zone, form and index of the group
         self._assignment_builders = self._new_assignment_builders()
         self._assignments: dict[tuple[str, str], Draft] = {}  # by zone and form
-        self._static_resources: dict[int, dict[str, list[Draft]]] = {}  # by index of the group, kind
-        self._durable_endpoints: dict[str, Endpoint] | None = None  # of the position written last
-        self.endpoints: dict[str, Endpoint] = {}  # the list that views are made of
+        self._static_resources: dict[int, dict[str, list[Draft]]] = {}  # by index of the group and by kind
+        self._durable_endpoints: dict[str, Endpoint] | None = None  # the list at the position written last
+        self.endpoints: dict[str, Endpoint] = {}  # the endpoint list that views are built from
         self._host_by_address: dict[tuple[str, int], str] = {}
-        self._position: ViewPosition | None = None  # of that list
+        self._position: ViewPosition | None = None  # the position of `endpoints`
         self._changed_ns = now_ns
         self._has_write_failed = False
         self._weighed_ns = now_ns
@@ -189,7 +194,7 @@
     # --- discovery --------------------------------------------------------------------------------
 
     def record_endpoint_list(self, update: EndpointListUpdate, now_ns: int) -> None:
-        """Take in an update from discovery."""
+        """Apply an endpoint list update from discovery."""
         was_behind = self.discovered.is_behind
         changed = self.discovered.update(update)
         if self.discovered.is_behind and not was_behind:
@@ -203,7 +208,7 @@
         self.record_discovery_contact(now_ns)
 
     def record_discovery_contact(self, now_ns: int) -> None:
-        """Note a message from discovery, if only that nothing has changed."""
+        """Record that discovery sent a message, even one that reports no change."""
         version = self.discovered.version
         if version is None:
             return
@@ -211,30 +216,30 @@
         self._update_view(now_ns)
 
     def record_discovery_lost(self) -> None:
-        """Note that the watch of discovery has ended."""
+        """Record that the watch on discovery has ended."""
         self.view_consistency.record_discovery_lost()
 
     # --- durable storage --------------------------------------------------------------------------
 
     def position_to_write(self) -> ViewPosition | None:
-        """Return what must be on durable storage before the newest list may be published."""
+        """Return the position that must be on durable storage before the newest list may be published."""
         return self.view_consistency.position_to_write()
 
     def record_written(self, position: ViewPosition, now_ns: int) -> None:
-        """Note that a position is on durable storage."""
+        """Record that a position is on durable storage."""
         self._has_write_failed = False
         self.view_consistency.record_written(position)
         self._update_view(now_ns)
 
     def record_write_failure(self, now_ns: int) -> None:
-        """Note that a write failed or takes too long: removals are published all the same."""
+        """Record that a write failed or takes too long; removals are published nevertheless."""
         self._has_write_failed = True
         self._update_view(now_ns)
 
     # --- other instances --------------------------------------------------------------------------
 
     def record_peer_status(self, peer: str, status: PeerStatus, now_ns: int) -> None:
-        """Take in the status of another instance."""
+        """Record the status of another instance."""
         self.view_consistency.record_peer_status(peer, status, now_ns)
         self.on_change()
 
@@ -245,7 +250,7 @@
     # --- the view ---------------------------------------------------------------------------------
 
     def _publishable_endpoints(self, position: ViewPosition) -> dict[str, Endpoint] | None:
-        """Return the newest list as far as it may be published; None where the view has to stay."""
+        """Return the part of the newest list that may be published, or None to keep the current view."""
         if self.view_consistency.position_to_write() is None:
             floor = self.view_consistency.floor
             if floor is not None and position < floor:
@@ -257,7 +262,7 @@
         return None
 
     def _update_view(self, now_ns: int) -> None:
-        """Make views of the newest list as far as it may be published."""
+        """Replace the view with the part of the newest list that may be published."""
         position = self.view_consistency.position
         if position is None:
             return
@@ -270,13 +275,13 @@
             self._host_by_address = {endpoint.address: name for name, endpoint in endpoints.items()}
             served = {stream.zone for stream in self.streams.values()}
             for zone in self.zones.values():
-                if zone.name in served:  # the others at the first subscriber or the next tick
+                if zone.name in served:  # other zones are updated at their first subscriber or the next tick
                     self._update_zone_endpoints(zone, now_ns)
         self._snapshots.clear()
         self.on_change()
 
     def _update_zone_endpoints(self, zone: Zone, now_ns: int) -> None:
-        """Hand the list to a zone; between two steps of the weights only this changes them."""
+        """Pass the endpoint list to a zone; its weights change only here and in the periodic weight step."""
         if zone.update_endpoints(self.endpoints, now_ns):
             self._update_zone_weights(zone, step=False)
 
@@ -284,13 +289,13 @@
         by_zone = self.config.spread.priorities
         priorities = () if by_zone is None else by_zone.get(zone.name, ((zone.name,),))
         has_moved = zone.update_weights(priorities, step)
-        # Addresses may have changed where the weights have not.
+        # The assignments are rebuilt even with unchanged weights, since addresses may have changed.
         for form in FORMS:
             self._assignments.pop((zone.name, form), None)
         return has_moved
 
     def tick(self, now_ns: int) -> None:
-        """Let time pass: load reports reach the balancers, weights move."""
+        """Pass load reports to the balancers, and update the weights when their interval has elapsed."""
         for zone in self.zones.values():
             self._update_zone_endpoints(zone, now_ns)
             zone.tick(now_ns)
@@ -304,7 +309,7 @@
                 self.on_change()
 
     def reconfigure(self, config: ControlConfig, now_ns: int) -> None:
-        """Take in another configuration; listeners, routes, clusters, groups and bounds follow it."""
+        """Apply a new configuration to listeners, routes, clusters, groups and limits."""
         self.config = config
         self._static_resources.clear()
         self._snapshots.clear()
@@ -319,7 +324,7 @@
         self.on_change()
 
     def snapshot(self, zone: str, form: str, group: Group, now_ns: int) -> Snapshot:
-        """Return what a group's subscribers in a zone may have now; a list must have been published."""
+        """Return the resources for a group's subscribers in a zone; requires a published endpoint list."""
         group_index = self.config.groups.index(group)
         cached = self._snapshots.get((zone, form, group_index))
         if cached is not None:
@@ -333,7 +338,7 @@
             kind: self._library.shelf(f"group {group_index}", kind, drafts[kind], self._position)
             for kind in (CDS, LDS, RDS)
         }
-        # One assignment for all groups of a zone: the same bytes, and the same object.
+        # All groups of a zone share one assignment: the same bytes, and the same object.
         has_clusters = bool(drafts[CDS])
         kinds[EDS] = (
             self._library.shelf(f"{zone}/{form}", EDS, [assignment], self._position) if has_clusters else {}
@@ -354,12 +359,12 @@
     # --- subscribers ------------------------------------------------------------------------------
 
     def open_stream(self, identity: str | None, incremental: bool, now_ns: int) -> Stream:
-        """Begin a stream.
+        """Open a subscriber's stream.
 
         Args:
-            identity: The name in the certificate; None where the first request gives it.
-            incremental: Whether it is of the incremental variant of the protocol.
-            now_ns: The time.
+            identity: The name in the subscriber's certificate; None if the first request names the node.
+            incremental: Whether the stream uses the incremental variant of the protocol.
+            now_ns: The current time.
 
         Raises:
             ProtocolError: The subscriber may not subscribe, or there are too many streams.
@@ -385,14 +390,14 @@
         return group
 
     def close_stream(self, stream: Stream) -> None:
-        """Forget a stream that has ended."""
+        """Remove a stream that has ended."""
         self.streams.pop(stream.id, None)
 
     def handle_request(self, stream: Stream, request: Request, node: NodeIdentity, now_ns: int) -> None:
-        """Take in a subscriber's request.
+        """Process a subscriber's request.
 
         Raises:
-            ProtocolError: The request breaks a rule, and the stream has to end.
+            ProtocolError: The request breaks a rule of the protocol, and the stream must end.
         """
         if stream.group is None:
             self._identify(stream, node)
@@ -424,14 +429,14 @@
             raise ProtocolError(f"zone {node.zone[:MAX_SHOWN_CHARS]!r} is not served")
 
     def _assign_group(self, stream: Stream, group: Group | None) -> None:
-        """Give a stream its group, and with it zone and form; none where it may not subscribe any more."""
+        """Set a stream's group, zone and form; the group is None if the stream may no longer subscribe."""
         zone = (group.zone or stream.node.zone) if group is not None else ""
         stream.group = group if zone in self.zones else None
         if group is not None and stream.group is not None:
             stream.zone, stream.form = zone, form_of(group, stream.node)
 
     def withheld_reason(self, now_ns: int) -> WithheldReason | None:
-        """Return why nothing may be published now; None where it may."""
+        """Return why nothing may be published now, or None if publishing is allowed."""
         consistency = self.view_consistency
         if self._position is None and consistency.position is not None:
             return consistency.withheld_reason(now_ns) or WithheldReason.NOT_DURABLE
@@ -440,7 +445,7 @@
         return consistency.withheld_reason(now_ns, harmless=has_only_removals)
 
     def next_response(self, stream: Stream, now_ns: int) -> Response | None:
-        """Return a stream's next response; None as long as there is none or it is withheld."""
+        """Return a stream's next response, or None if nothing is due or publishing is withheld."""
         if stream.group is None:
             return None
         if self.withheld_reason(now_ns) is not None:
@@ -466,7 +471,7 @@
             stream.subscriber.refresh(EDS)
 
     def record_load_report(self, zone: str, samples: list[LoadSample]) -> None:
-        """Take in a proxy's load report."""
+        """Add a proxy's load report to the totals of its zone."""
         self.zones[zone].load_reports.add(samples, self._host_by_address, self.endpoints)
 
 
--- a/brambleusher/xds/discovered_endpoints.py
+++ b/brambleusher/xds/discovered_endpoints.py
@@ -1,7 +1,7 @@
-"""Keep the newest endpoint list of discovery.
+"""Keep the newest endpoint list reported by the discovery service.
 
-The list never goes back: a discovery that comes up with an older version is followed aside until
-it has caught up, and its updates until then change nothing.
+The list never goes back to an older version.  If discovery reports an older version, for instance after a
+restart, its updates are tracked separately and take effect once it has caught up.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class DiscoveredEndpoints:
-    """The newest list of discovery, by host."""
+    """The newest endpoint list that discovery reported, by host."""
 
     def __init__(self) -> None:
         self.version: int | None = None
@@ -23,12 +23,12 @@
 
     @property
     def reported_version(self) -> int | None:
-        """The version that discovery reported last; below `version` where it has gone back."""
+        """The version that discovery reported last; lower than `version` if discovery has gone back."""
         return self._reported_version
 
     @property
     def is_behind(self) -> bool:
-        """Whether the version that discovery reports is older than that of the list."""
+        """Whether the version that discovery reports is older than the version of the list."""
         return (
             self.version is not None
             and self._reported_version is not None
@@ -36,10 +36,10 @@
         )
 
     def update(self, update: EndpointListUpdate) -> Mapping[str, Endpoint | None] | None:
-        """Take in an update.
+        """Apply an update from discovery.
 
         Returns:
-            The endpoints that have changed by host (None: removed); None where discovery is behind.
+            The changed endpoints by host, with None for a removed endpoint; None if discovery is behind.
         """
         if update.full:
             self._reported = {}
@@ -61,7 +61,7 @@
 
 
 def has_only_removals(changed: Mapping[str, Endpoint | None]) -> bool:
-    """Return whether a change does no more than take endpoints out of use."""
+    """Return whether a change only removes endpoints or makes them not ready."""
     return bool(changed) and all(
         endpoint is None or endpoint.entry.state is not HostState.READY for endpoint in changed.values()
     )
--- a/brambleusher/xds/discovery.py
+++ b/brambleusher/xds/discovery.py
@@ -1,4 +1,4 @@
-"""Watch discovery with the sidecar's own endpoint list, in a thread with its own scheduler."""
+"""Watch the discovery service with the sidecar's endpoint list code, in a thread with its own scheduler."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Discovery:
-    """The thread that watches; it calls back in the event loop, in the order of the updates."""
+    """A thread that watches discovery and passes updates, in order, to callbacks in the event loop."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop the thread; it ends at its next event."""
+        """Ask the thread to stop; it ends at its next event."""
         self._is_stopped = True
         if self._scheduler is not None:
             self._scheduler.stop()
@@ -56,7 +56,7 @@
         watch = HttpWatch(scheduler, self._address)
 
         def updates(since: int | None) -> Generator[bytes, None, None]:
-            """Yield the updates of the watch; an empty line says that nothing has changed."""
+            """Yield the updates of the watch; an empty line means that nothing has changed."""
             for text in watch(since):
                 if text.strip():
                     yield text
--- a/brambleusher/xds/errors.py
+++ b/brambleusher/xds/errors.py
@@ -4,12 +4,12 @@
 
 
 class ControlError(ValueError):
-    """A configuration, file or answer that can't be used; the message names the key or the file."""
+    """A configuration or file is not valid; the message names the key or the file."""
 
 
 class ProtocolError(ValueError):
-    """A subscriber broke a rule of the protocol or a bound; its stream ends, and nothing else."""
+    """A peer broke a rule of the protocol or exceeded a limit; only its own stream or call ends."""
 
 
 class SubscriptionDeniedError(ProtocolError):
-    """No group is for the subscriber; it may not subscribe."""
+    """The subscriber matches no configured group and may not subscribe."""
--- a/brambleusher/xds/loads.py
+++ b/brambleusher/xds/loads.py
@@ -1,7 +1,7 @@
-"""Gather the load reports of proxies until the balancer of their zone takes them.
+"""Aggregate the load reports of proxies until the balancer of their zone collects them.
 
-Samples are added up over a period and handed over once: a balancer gets as many events from a thousand
-proxies as from one, and never more often than it takes them.
+Samples are summed by host and cluster between two collections.  A balancer therefore gets as many events
+from a thousand proxies as from one, and only when it asks for them.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from brambleusher.xds.resources import LATENCY_MS, THROUGHPUT, UTILISATION
 from brambleusher.xds.wire import LoadSample
 
-MAX_MEAN = 1e9  # of a metric in its own unit; more is an error of the sender
+MAX_MEAN = 1e9  # a metric's mean is capped at this value in its own unit; more is an error of the sender
 NS_PER_MS = 1e6
 
 
@@ -46,13 +46,13 @@
 
 
 class LoadReports:
-    """The load reports of one zone since the balancer took them last."""
+    """The load reports of one zone since the last call of `drain`."""
 
     def __init__(self, classes: Iterable[str]) -> None:
-        """Start empty; `classes` are the clusters that are reported on."""
+        """Start without samples; `classes` are the names of the clusters whose reports are accepted."""
         self._classes = frozenset(classes)
         self._totals: dict[tuple[str, str], _Totals] = {}  # by host and cluster
-        self.accepted = self.unknown = 0  # samples, and those of hosts or clusters that are not listed
+        self.accepted = self.unknown = 0  # `unknown` counts the samples of unlisted hosts or clusters
 
     def add(
         self,
@@ -60,7 +60,7 @@
         host_by_address: Mapping[tuple[str, int], str],
         hosts: Container[str],
     ) -> None:
-        """Add the samples of one report; those of unknown hosts or clusters are only counted."""
+        """Add the samples of one report; samples of unknown hosts or clusters are only counted."""
         for sample in samples:
             host = sample.host if sample.host in hosts else host_by_address.get(sample.address)
             if host is None or sample.cluster not in self._classes:
@@ -70,6 +70,6 @@
             self._totals.setdefault((host, sample.cluster), _Totals()).add(sample)
 
     def drain(self) -> list[ReportedOutcomes]:
-        """Return all that was gathered as events for the balancer, and start again."""
+        """Return the collected totals as events for the balancer, and reset them."""
         totals, self._totals = self._totals, {}
         return [totals[key].outcomes(*key) for key in sorted(totals)]
--- a/brambleusher/xds/peer_messages.py
+++ b/brambleusher/xds/peer_messages.py
@@ -1,6 +1,8 @@
-"""The messages between instances: a status a call, sealed, with the caller's own random number in it.
+"""Encode and decode the messages between instances of the control service.
 
-The keys in the JSON objects are the wire form and stay.
+Each call requests the status of another instance.  Both messages carry a MAC, and the response repeats a
+random number from the request, so that an old response can't be replayed.  The keys of the JSON objects
+are part of the wire format and must not change.
 """
 
 from __future__ import annotations
@@ -14,7 +16,7 @@
 from brambleusher.xds.versions import Seal
 
 SERVICE, METHOD = "brambleusher.xds.v1.Instances", "Tell"
-MAX_BYTES = 4096  # of a message
+MAX_BYTES = 4096  # of a received message; longer input is cut off before it is parsed
 MAX_NUMBER_CHARS = 64
 NUMBER_BYTES = 16
 _POSITION_LENGTH = len(ViewPosition._fields)
@@ -51,16 +53,16 @@
 
 
 def encode_request(seal: Seal, name: str) -> tuple[bytes, str]:
-    """Encode a request for the status, and return the number that its response must repeat."""
+    """Encode a status request, and return it with the random number that its response must repeat."""
     number = secrets.token_hex(NUMBER_BYTES)
     return _pack(seal, {"from": name, "number": number}), number
 
 
 def encode_response(seal: Seal, data: bytes, name: str, status: PeerStatus) -> bytes:
-    """Encode the response to a request.
+    """Encode the response to the status request in `data`.
 
     Raises:
-        ProtocolError: The caller does not know the secret.
+        ProtocolError: The request has no valid MAC, so the caller does not know the secret.
     """
     request = _unpack(seal, data)
     return _pack(
@@ -74,7 +76,7 @@
     """Decode the status in a response.
 
     Raises:
-        ProtocolError: It is not a response to the request with that number.
+        ProtocolError: The message is not the response to the request with that number.
     """
     body = _unpack(seal, data)
     if body.get("number") != number:
--- a/brambleusher/xds/resources.py
+++ b/brambleusher/xds/resources.py
@@ -1,7 +1,8 @@
 """Build listeners, routes, clusters and endpoint assignments for Envoy and gRPC.
 
-The first three follow from the configuration and are built with the published protos.  Assignments
-are joined from cached bytes, since every change of a weight or a state needs a new one.
+Listeners, routes and clusters depend only on the configuration and are built with the published protobuf
+classes.  Assignments are joined from cached bytes, since every change of a weight or a state needs a new
+assignment.
 """
 
 from __future__ import annotations
@@ -29,14 +30,14 @@
 ROUTES, ENDPOINTS = "routes", "execute-nodes"
 RETRY_ON = "connect-failure,refused-stream,unavailable,retriable-status-codes"
 RETRY_STATUSES = (503, 504)
-# Metrics of a host's own load report, named as in ORCA.
+# Names of the metrics in a host's load report, as defined by ORCA (Open Request Cost Aggregation).
 UTILISATION, THROUGHPUT, LATENCY_MS = "cpu_utilization", "rps_fractional", "latency_ms"
 REPORTED_METRICS = (UTILISATION, THROUGHPUT, f"named_metrics.{THROUGHPUT}", f"named_metrics.{LATENCY_MS}")
-_UNHEALTHY, _DRAINING = 2, 3  # envoy.config.core.v3.HealthStatus
-HOST_SELECTION_ATTEMPTS = 5  # a retry draws so often for a host that had no attempt yet
-ACTIVE_RETRIES_PER_RETRY = 3  # of one proxy to a cluster, for each retry that a request may have
+_UNHEALTHY, _DRAINING = 2, 3  # values of the enum envoy.config.core.v3.HealthStatus
+HOST_SELECTION_ATTEMPTS = 5  # a retry picks a host up to this many times to find one without an attempt
+ACTIVE_RETRIES_PER_RETRY = 3  # concurrent retries of one proxy to a cluster, per retry allowed for a request
 MS_PER_S, NS_PER_MS = 1000, 1_000_000
-# Encoded tags of varint fields.
+# Encoded tags of protobuf varint fields.
 _VALUE_TAG = b"\x08"  # UInt32Value.value
 _HEALTH_STATUS_TAG = b"\x10"  # LbEndpoint.health_status
 _PRIORITY_TAG = b"\x28"  # LocalityLbEndpoints.priority
@@ -69,7 +70,7 @@
 
 
 def listener(plan: ListenerPlan) -> listener_pb2.Listener:
-    """Build a listener: HTTP on an address, or gRPC's API listener."""
+    """Build a listener: an HTTP listener if the plan has an address, else an API listener for gRPC."""
     manager = hcm_pb2.HttpConnectionManager(
         stat_prefix=plan.name,
         rds=hcm_pb2.Rds(config_source=_ads(), route_config_name=ROUTES),
@@ -128,17 +129,17 @@
 
 
 def routes(plans: Iterable[ClassPlan], non_repeatable: Iterable[str] = ()) -> route_pb2.RouteConfiguration:
-    """Build the route table: classes by prefix of the path, the longest first.
+    """Build the route configuration: a route per path prefix of a class, the longest prefix first.
 
     Args:
-        plans: The classes with a route.
-        non_repeatable: Prefixes that have no route here and must not be sent twice.
+        plans: The classes that get routes.
+        non_repeatable: Prefixes of other classes, whose requests must not be sent twice.
     """
     pairs = [(prefix, plan) for plan in plans for prefix in plan.prefixes]
     explicit = list(pairs)
     for path in sorted(set(non_repeatable)):
         covering = [pair for pair in explicit if path.startswith(pair[0]) and path != pair[0]]
-        if covering:  # without a route of its own it would get the retries of the class that covers it
+        if covering:  # without its own route the path would get the retries of the class that covers it
             _, nearest = max(covering, key=lambda pair: len(pair[0]))
             pairs.append((path, replace(nearest, retries=0)))
     pairs.sort(key=lambda pair: (-len(pair[0]), pair[0]))
@@ -149,7 +150,7 @@
 
 
 def cluster(plan: ClassPlan, config: ControlConfig) -> cluster_pb2.Cluster:
-    """Build the cluster of a class; all clusters have the same endpoints."""
+    """Build the cluster for a class; all clusters have the same endpoints."""
     outlier = config.outlier
     limits = circuit_breaker_pb2.CircuitBreakers.Thresholds(
         max_connections=_uint32(plan.connections),
@@ -158,7 +159,7 @@
         max_retries=_uint32(max(plan.retries, 1) * ACTIVE_RETRIES_PER_RETRY),
     )
     common = cluster_pb2.Cluster.CommonLbConfig(
-        # Else a proxy sends to draining endpoints when too few others are left.
+        # With a panic threshold above 0 a proxy sends to draining endpoints when too few others are left.
         healthy_panic_threshold=percent_pb2.Percent(value=0),
         locality_weighted_lb_config=cluster_pb2.Cluster.CommonLbConfig.LocalityWeightedLbConfig(),
     )
@@ -175,7 +176,7 @@
             interval=_ms(outlier.interval_ms),
             base_ejection_time=_ms(outlier.ejection_ms),
             max_ejection_percent=_uint32(outlier.most_percent),
-            # gRPC ejects by success rate or failure percentage alone; both stay at their defaults off.
+            # gRPC ejects only by success rate or failure percentage, and both are off by default.
             enforcing_success_rate=_uint32(0),
             enforcing_failure_percentage=_uint32(0),
         ),
@@ -188,36 +189,36 @@
 
 
 def _non_repeatable_prefixes(config: ControlConfig, plans: Sequence[ClassPlan]) -> list[str]:
-    """Return prefixes of classes that are not among `plans` and must not be sent twice."""
-    given = {plan.name for plan in config.classes}
-    usual = [
+    """Return the prefixes of classes that are not in `plans` and whose requests must not be sent twice."""
+    configured = {plan.name for plan in config.classes}
+    default_prefixes = [
         f"/{cls.name}"
         for cls in config.settings.classes
-        if cls.idempotency is not Idempotency.SAFE and cls.name not in given
+        if cls.idempotency is not Idempotency.SAFE and cls.name not in configured
     ]
-    hidden = [plan for plan in config.classes if plan not in plans and not plan.retries]
-    return usual + [prefix for plan in hidden for prefix in plan.prefixes]
+    excluded = [plan for plan in config.classes if plan not in plans and not plan.retries]
+    return default_prefixes + [prefix for plan in excluded for prefix in plan.prefixes]
 
 
 def static_resources(config: ControlConfig, group: Group) -> dict[str, list[Draft]]:
-    """Build the listeners, routes and clusters that a group may have, by kind."""
+    """Build the listeners, routes and clusters that a group may subscribe to, by kind."""
     plans = [plan for plan in config.classes if group.may_subscribe_to(plan.name)]
     listeners = [plan for plan in config.listeners if group.may_subscribe_to(plan.name)]
-    named = frozenset(plan.name for plan in plans)
+    cluster_names = frozenset(plan.name for plan in plans)
     return {
         CDS: [Draft(plan.name, _bytes(cluster(plan, config)), frozenset({ENDPOINTS})) for plan in plans],
         LDS: [Draft(plan.name, _bytes(listener(plan)), frozenset({ROUTES})) for plan in listeners],
-        RDS: [Draft(ROUTES, _bytes(routes(plans, _non_repeatable_prefixes(config, plans))), named)]
+        RDS: [Draft(ROUTES, _bytes(routes(plans, _non_repeatable_prefixes(config, plans))), cluster_names)]
         if plans and listeners
         else [],
     }
 
 
 class AssignmentBuilder:
-    """Builds the endpoint assignment of one zone of subscribers in one form.
+    """Builds the endpoint assignment for the subscribers of one zone that use the same form.
 
-    `zones`: a locality for each zone, with weights on the endpoints.  `nodes`: a locality for each
-    node, for clients (gRPC's) that weigh and report by locality alone.
+    The form "zones" has one locality for each zone, with weights on the endpoints.  The form "nodes" has
+    one locality for each node, for gRPC clients, which support weights and load reports only by locality.
     """
 
     def __init__(self, form: str, stale_after_ms: int) -> None:
@@ -229,24 +230,26 @@
         self._tail = sized(4, _bytes(policy)) if policy.ByteSize() else b""
 
     def draft(self, tiers: Sequence[LocalityWeights], addresses: Addresses) -> Draft:
-        """Build the assignment for the present weights and states."""
-        fresh: dict[tuple[str, int, int, int], bytes] = {}
+        """Build the assignment for the given weights and states."""
+        new_cache: dict[tuple[str, int, int, int], bytes] = {}
         parts = [sized(1, ENDPOINTS.encode())]
         for tier in tiers:
             if self._form == "zones":
-                parts.append(sized(2, self._zone(tier, addresses, fresh)))
+                parts.append(sized(2, self._zone(tier, addresses, new_cache)))
             else:
-                parts += self._nodes(tier, addresses, fresh)
-        self._cache = fresh  # entries that were not used this time are dropped
+                parts += self._nodes(tier, addresses, new_cache)
+        self._cache = new_cache  # cached entries that this assignment did not use are dropped
         return Draft(ENDPOINTS, b"".join([*parts, self._tail]))
 
     def _zone(
-        self, tier: LocalityWeights, addresses: Addresses, fresh: dict[tuple[str, int, int, int], bytes]
+        self, tier: LocalityWeights, addresses: Addresses, new_cache: dict[tuple[str, int, int, int], bytes]
     ) -> bytes:
         parts = [sized(1, sized(2, tier.zone.encode()) if tier.zone else b"")]
         for host_weight in tier.endpoints:
             health = _DRAINING if host_weight.is_draining else 0 if host_weight.weight else _UNHEALTHY
-            parts.append(self._endpoint(addresses[host_weight.host], health, host_weight.weight or 1, fresh))
+            parts.append(
+                self._endpoint(addresses[host_weight.host], health, host_weight.weight or 1, new_cache)
+            )
         if tier.weight:
             parts.append(sized(3, _VALUE_TAG + varint(tier.weight)))
         if tier.priority:
@@ -254,17 +257,17 @@
         return b"".join(parts)
 
     def _nodes(
-        self, tier: LocalityWeights, addresses: Addresses, fresh: dict[tuple[str, int, int, int], bytes]
+        self, tier: LocalityWeights, addresses: Addresses, new_cache: dict[tuple[str, int, int, int], bytes]
     ) -> list[bytes]:
-        end = _PRIORITY_TAG + varint(tier.priority) if tier.priority else b""
+        encoded_priority = _PRIORITY_TAG + varint(tier.priority) if tier.priority else b""
         zone = sized(2, tier.zone.encode())
         return [
             sized(
                 2,
                 sized(1, zone + sized(3, host_weight.host.encode()))
-                + self._endpoint(addresses[host_weight.host], 0, 1, fresh)
+                + self._endpoint(addresses[host_weight.host], 0, 1, new_cache)
                 + sized(3, _VALUE_TAG + varint(host_weight.weight))
-                + end,
+                + encoded_priority,
             )
             for host_weight in tier.endpoints
             if host_weight.weight
@@ -275,14 +278,14 @@
         address: tuple[str, int],
         health: int,
         weight: int,
-        fresh: dict[tuple[str, int, int, int], bytes],
+        new_cache: dict[tuple[str, int, int, int], bytes],
     ) -> bytes:
         key = (*address, health, weight)
-        made = self._cache.get(key)
-        if made is None:
-            made = sized(1, sized(1, _bytes(_address(*address))))
+        encoded = self._cache.get(key)
+        if encoded is None:
+            encoded = sized(1, sized(1, _bytes(_address(*address))))
             if health:
-                made += _HEALTH_STATUS_TAG + varint(health)
-            made = sized(2, made + sized(4, _VALUE_TAG + varint(weight)))
-        fresh[key] = made
-        return made
+                encoded += _HEALTH_STATUS_TAG + varint(health)
+            encoded = sized(2, encoded + sized(4, _VALUE_TAG + varint(weight)))
+        new_cache[key] = encoded
+        return encoded
--- a/brambleusher/xds/server.py
+++ b/brambleusher/xds/server.py
@@ -1,8 +1,8 @@
 """Serve xDS subscribers, load reports and the calls between instances over gRPC.
 
-Messages pass as bytes.  A stream has a task that reads and one that writes; the writer takes the
-newest response whenever the one before has been handed to gRPC, so that a slow stream holds one
-response and nothing else.
+Messages are passed to gRPC as bytes.  Each stream has one task that reads and one that writes.  The writer
+takes the newest response when gRPC has accepted the previous one, so a slow stream holds at most one
+response in memory.
 """
 
 from __future__ import annotations
@@ -25,13 +25,15 @@
 
 log = logging.getLogger(__name__)
 
-MAX_WITHHELD_S = 5.0  # then streams are ended, so that proxies move to an instance that may publish
-MAX_LOAD_REPORTS_PER_S = 20  # of one stream; proxies are asked for one a second
+MAX_WITHHELD_S = (
+    5.0  # after this time streams are ended, so that proxies move to an instance that may publish
+)
+MAX_LOAD_REPORTS_PER_S = 20  # limit for one stream; proxies are asked for one report per second by default
 STOP_GRACE_S = 0.2
 PEER_POLL_INTERVAL_S = 0.5
 PEER_TIMEOUT_S = 1.0
 MAX_METADATA_BYTES = 16 * 1024
-KEEPALIVE_MS = 10_000  # a subscriber whose connection is cut is noticed within twice this
+KEEPALIVE_MS = 10_000  # a broken connection to a subscriber is detected within twice this time
 MIN_PING_INTERVAL_MS = 5_000
 
 UNAVAILABLE, INVALID = grpc.StatusCode.UNAVAILABLE, grpc.StatusCode.INVALID_ARGUMENT
@@ -39,19 +41,19 @@
 
 
 class ServicerContext(Protocol):
-    """The part of `grpc.aio.ServicerContext` in use; gRPC ships no types of its own."""
+    """The methods of `grpc.aio.ServicerContext` that this module uses; gRPC ships no type annotations."""
 
     def peer(self) -> str:
-        """Return the address of the other end."""
+        """Return the client's address."""
 
     def auth_context(self) -> Mapping[str, Iterable[bytes]]:
         """Return the properties of the client's certificate."""
 
     async def read(self) -> bytes:
-        """Return the next message, `grpc.aio.EOF` at the end."""
+        """Return the next message, or `grpc.aio.EOF` at the end of the stream."""
 
     async def write(self, message: bytes) -> None:
-        """Send a message."""
+        """Send a message to the client."""
 
     async def abort(self, code: grpc.StatusCode, details: str) -> NoReturn:
         """End the call with a status; raises `grpc.aio.AbortError`."""
@@ -65,14 +67,14 @@
 
 
 class RateLimiter:
-    """A token bucket: so many requests a second, and a burst of as many."""
+    """A token bucket that allows `per_second` requests per second, and a burst of the same size."""
 
     def __init__(self, per_second: int) -> None:
         self._per_second = self._tokens = float(per_second)
         self._updated_s = time.monotonic()
 
     def acquire(self) -> bool:
-        """Take a token; False where there was none."""
+        """Take a token, and return whether one was available."""
         now_s = time.monotonic()
         self._tokens = min(self._tokens + (now_s - self._updated_s) * self._per_second, self._per_second)
         self._updated_s = now_s
@@ -81,7 +83,7 @@
 
 
 class _OpenStream:
-    """A stream of a subscriber with its tasks; created in the task that reads."""
+    """A subscriber's open stream and its state; must be created in the task that reads requests."""
 
     def __init__(self, stream: Stream, peer: str) -> None:
         self.stream, self.peer = stream, peer
@@ -92,13 +94,13 @@
         self.end_status: tuple[grpc.StatusCode, str] | None = None
 
     def stop(self, code: grpc.StatusCode, reason: str) -> None:
-        """End this stream, and nothing else."""
+        """End only this stream, with a gRPC status."""
         if self.end_status is None and self.task is not None:
             self.end_status = (code, reason)
             self.task.cancel()
 
     def check_progress(self, now_s: float, max_stall_s: float) -> None:
-        """End the stream when its subscriber may not subscribe, reads nothing or acknowledges nothing."""
+        """End the stream if its subscriber lost its permission, or stopped reading or acknowledging."""
         if self.stream.group is None and self.stream.responses:
             self.stop(DENIED, "it may not subscribe any more")
         if self.writing_since_s is not None and now_s - self.writing_since_s > max_stall_s:
@@ -112,7 +114,7 @@
 
 
 class XdsServer:
-    """The gRPC server of one core."""
+    """The gRPC server of one instance."""
 
     def __init__(self, core: Core, now_ns: Callable[[], int], certificates: Certificates | None) -> None:
         self._core, self._now_ns, self._certificates = core, now_ns, certificates
@@ -123,13 +125,13 @@
         core.on_change = self.wake
 
     async def start(self, address: tuple[str, int]) -> int:
-        """Listen on an address.
+        """Start the server and listen on an address.
 
         Returns:
             The port in use.
 
         Raises:
-            OSError: The address can't be listened on.
+            OSError: The server can't listen on the address.
         """
         server = grpc.aio.server(options=self._server_options())
         for service, methods in self._method_handlers().items():
@@ -180,7 +182,7 @@
         }
 
     async def stop(self) -> None:
-        """End all streams and the listener."""
+        """End all streams and stop listening."""
         for open_stream in list(self._streams.values()):
             open_stream.stop(UNAVAILABLE, "this instance is ending")
         if self._server is not None:
@@ -189,12 +191,12 @@
     # --- wake-ups and supervision -----------------------------------------------------------------
 
     def wake(self) -> None:
-        """Have every stream look for its next response."""
+        """Make every stream check for its next response."""
         for open_stream in self._streams.values():
             open_stream.changed.set()
 
     def supervise(self) -> None:
-        """End streams that make no progress, and all of them once nothing could be published for long."""
+        """End streams without progress, and all streams if publishing has been withheld for too long."""
         now_s = time.monotonic()
         max_stall_s = self._core.config.bounds.stall_ms / 1000
         for open_stream in list(self._streams.values()):
@@ -217,7 +219,7 @@
     # --- subscribers ------------------------------------------------------------------------------
 
     def _identity(self, context: ServicerContext) -> str | None:
-        """Return the name in the subscriber's certificate: the first with a group; None in plain text."""
+        """Return the first name in the subscriber's certificate that has a group; None without TLS."""
         if self._certificates is None:
             return None
         properties = context.auth_context()
@@ -237,7 +239,7 @@
         await self._contain_errors(context, lambda: self._serve_subscriber(context, incremental=True))
 
     async def _contain_errors(self, context: ServicerContext, serve: Callable[[], Awaitable[None]]) -> None:
-        """Serve a stream, and end it alone when it breaks a rule or an internal error occurs."""
+        """Serve a stream; on a protocol or internal error end only this stream."""
         try:
             await serve()
         except ProtocolError as error:
@@ -284,7 +286,7 @@
         while (data := await context.read()) is not grpc.aio.EOF:
             if not limiter.acquire():
                 open_stream.stop(EXHAUSTED, "too many requests a second")
-                await asyncio.sleep(0)  # here the cancellation arrives
+                await asyncio.sleep(0)  # the cancellation by `stop` is raised here
             request, node = decode_request(data, incremental)
             core.handle_request(open_stream.stream, request, node, self._now_ns())
             open_stream.changed.set()
@@ -299,7 +301,7 @@
                 try:
                     await context.write(response.data)
                 except (grpc.aio.UsageError, grpc.aio.InternalError, grpc.RpcError):
-                    return  # the stream is over: its reader ends it
+                    return  # the stream has ended, and the reading task cleans it up
                 open_stream.writing_since_s = None
 
     # --- load reports -----------------------------------------------------------------------------
@@ -319,7 +321,7 @@
                     raise ProtocolError("too many load reports a second")
                 samples, node = decode_loads(data)
                 identity = identity or node.id
-                group = core.config.group_of(identity)  # each time: the file may have been reloaded
+                group = core.config.group_of(identity)  # looked up each time, since a reload may change it
                 if group is None:
                     raise SubscriptionDeniedError(f"{identity[:100]!r} may not subscribe")
                 if zone is None:
@@ -344,7 +346,7 @@
 
 
 class PeerPoller:
-    """Polls the status of each other instance."""
+    """Polls the status of the other instances."""
 
     def __init__(self, core: Core, now_ns: Callable[[], int], certificates: Certificates | None) -> None:
         self._core, self._now_ns, self._certificates = core, now_ns, certificates
@@ -353,7 +355,7 @@
     async def poll(
         self, name: str, address: tuple[str, int], interval_s: float = PEER_POLL_INTERVAL_S
     ) -> None:
-        """Poll one instance until cancelled, over a new channel whenever the certificates change."""
+        """Poll one instance until cancelled, and open a new channel whenever the certificates change."""
         target = f"{address[0]}:{address[1]}"
         while True:
             if self._certificates is None:
@@ -370,7 +372,7 @@
     async def _request_status(self, name: str, call: UnaryCall) -> None:
         core = self._core
         request, number = peer_messages.encode_request(core.seal, core.config.name)
-        asked_ns = self._now_ns()  # the status in the response may be as old as this
+        request_sent_ns = self._now_ns()  # the status in the response may have been valid at this time only
         try:
             status = peer_messages.decode_response(
                 core.seal, await call(request, timeout=PEER_TIMEOUT_S), number
@@ -384,7 +386,7 @@
             self.problems[name] = reason
             return
         self.problems.pop(name, None)
-        core.record_peer_status(name, status, asked_ns)
+        core.record_peer_status(name, status, request_sent_ns)
 
 
 async def cancel_all(tasks: Iterable[asyncio.Task[None]]) -> None:
--- a/brambleusher/xds/service.py
+++ b/brambleusher/xds/service.py
@@ -1,4 +1,4 @@
-"""The control service as a program: assemble, start, reload and stop its parts."""
+"""Run the control service as a program: assemble, start, reload and stop its components."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 log = logging.getLogger(__name__)
 
 TICK_INTERVAL_S = 0.25
-MAX_WRITE_WAIT_S = 0.1  # so long a drain waits for the disk; the rest of its 500 ms is the proxies'
+MAX_WRITE_WAIT_S = 0.1  # longest wait of a drain for the disk; the rest of its 500 ms is left to the proxies
 WRITE_RETRY_S = 0.5
 CERTIFICATE_POLL_INTERVAL_S = 1.0
 SEED_BITS = 64
-# Most objects live for one push, and reference counts free them; a full collection takes as long as a push
-# and would delay one.
+# Most objects live for one push and are freed by reference counting.  A full garbage collection takes as
+# long as a push and would delay it, so collections are made rare.
 GC_THRESHOLDS = (50_000, 20, 50)
-EXIT_UNUSABLE = 2  # the file can't be used, or an address not listened on
+EXIT_UNUSABLE = 2  # exit status if the configuration is not valid or an address can't be listened on
 
 
 class Service:
@@ -44,14 +44,15 @@
         """Open the store and read the certificates.
 
         Raises:
-            ControlError: One of them can't be used, or the epoch is lower than that of a published view.
+            ControlError: The store or a certificate can't be used, or the configured epoch is lower than
+                that of a published view.
         """
         self.config, self._path = config, path
         self.store = Store(config.store, Seal(config.secret))
         floor = self.store.floor
         if floor is not None and floor.epoch > config.epoch:
             self.store.close()
-            raise ControlError(f"epoch is {config.epoch}, and views of epoch {floor.epoch} were handed out")
+            raise ControlError(f"epoch is {config.epoch}, but views of epoch {floor.epoch} were published")
         self.certificates = None if config.tls is None else Certificates(config.tls)
         self._seed = random.SystemRandom().getrandbits(SEED_BITS) if seed is None else seed
         self._stop_requested = asyncio.Event()
@@ -63,13 +64,13 @@
         self._status_listener: asyncio.Server | None = None
 
     async def start(self) -> dict[str, str]:
-        """Start all parts.
+        """Start all components.
 
         Returns:
             The instance's name and the addresses in use.
 
         Raises:
-            OSError: An address can't be listened on.
+            OSError: The service can't listen on one of its addresses.
         """
         config, loop = self.config, asyncio.get_running_loop()
         self._assemble(loop)
@@ -84,7 +85,7 @@
             host, status_port = self._status_listener.sockets[0].getsockname()[:2]
             addresses["status"] = f"{host}:{status_port}"
         loops = (self._run_ticks(), self._run_writes(), self._run_certificate_checks())
-        self._tasks = [loop.create_task(each) for each in loops]
+        self._tasks = [loop.create_task(coroutine) for coroutine in loops]
         self._tasks += [loop.create_task(self.peers.poll(peer.name, peer.address)) for peer in config.peers]
         self.discovery.start()
         fields = {**addresses, "floor": self.store.floor, "starts": self.store.starts}
@@ -108,7 +109,7 @@
         self.status = StatusServer(self.core, self.now_ns, self._extra_status)
 
     async def stop(self) -> None:
-        """Stop all parts and close the store."""
+        """Stop all components and close the store."""
         self.discovery.stop()
         await cancel_all(self._tasks)
         await self.server.stop()
@@ -118,19 +119,19 @@
         self.store.close()
 
     def request_stop(self) -> None:
-        """Have `run` stop the service."""
+        """Make `run` stop the service and return."""
         self._stop_requested.set()
 
     def reload(self) -> None:
-        """Read the file again; one that can't be used changes nothing."""
+        """Read the configuration file again; if it is not valid, keep the current configuration."""
         if self._path is None:
             return
         try:
-            config, unchangeable = reload_control(self.config, self._path)
+            config, keys_needing_restart = reload_control(self.config, self._path)
         except ControlError as error:
             self._report_reload_failure(error)
             return
-        for key in unchangeable:
+        for key in keys_needing_restart:
             log.warning("configuration key needs a restart", extra={"fields": {"key": key}})
         self.config = config
         self.core.reconfigure(config, self.now_ns())
@@ -141,7 +142,7 @@
         log.error("configuration reload failed", extra={"fields": {"reason": error}})
 
     async def run(self, print_addresses: bool) -> None:
-        """Serve until SIGTERM or SIGINT; SIGHUP reloads the file."""
+        """Serve until SIGTERM or SIGINT; SIGHUP reloads the configuration file."""
         loop = asyncio.get_running_loop()
         for signal_number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(signal_number, self.request_stop)
@@ -171,7 +172,7 @@
         self.core.record_discovery_lost()
 
     async def _run_ticks(self) -> None:
-        """Let time pass in the core, supervise streams, and log whether views are published."""
+        """Advance the core's timers, supervise streams, and log when publishing is withheld or resumes."""
         last_reason = None
         while True:
             await asyncio.sleep(TICK_INTERVAL_S)
@@ -195,7 +196,7 @@
         return reason
 
     async def _run_writes(self) -> None:
-        """Write each position that the core needs on durable storage; retry until it is there."""
+        """Write each position that the core needs to durable storage, and retry until the write succeeds."""
         loop = asyncio.get_running_loop()
         while True:
             await self._write_requested.wait()
@@ -211,7 +212,8 @@
             try:
                 await asyncio.wait_for(asyncio.shield(write), MAX_WRITE_WAIT_S)
             except TimeoutError:
-                # A disk that hangs must not delay a drain.
+                # Reporting the slow write as failed lets removals be published: a slow disk must not delay a
+                # drain.
                 self.core.record_write_failure(self.now_ns())
                 await write
         except StoreError as error:
@@ -236,7 +238,7 @@
             await loop.run_in_executor(None, self.certificates.reload_if_changed)
 
     def _extra_status(self) -> Mapping[str, object]:
-        """Return the fields of the status that the core does not know."""
+        """Return the status fields that come from the service rather than from the core."""
         return {
             "store": {
                 "starts": self.store.starts,
@@ -258,7 +260,7 @@
     """Run one instance as this process's main program.
 
     Returns:
-        The exit status: 2 where the file can't be used or an address not listened on.
+        The exit status: 2 if the configuration is not valid or an address can't be listened on, else 0.
     """
     gc.set_threshold(*GC_THRESHOLDS)
     try:
--- a/brambleusher/xds/snapshot.py
+++ b/brambleusher/xds/snapshot.py
@@ -1,7 +1,7 @@
-"""Views in the form of the protocol: named resources of four kinds, each with its version and bytes.
+"""Snapshots of xDS resources: named resources of four kinds, each with a version and its encoded bytes.
 
-A resource is made once for each content and shared by all subscribers; what goes on the wire is
-put together from these bytes and never built twice.
+A resource is encoded once for each content and shared by all subscribers.  Responses are joined from
+these bytes, so no resource is encoded twice.
 """
 
 from __future__ import annotations
@@ -17,18 +17,19 @@
 EDS = _TYPES + "endpoint.v3.ClusterLoadAssignment"
 LDS = _TYPES + "listener.v3.Listener"
 RDS = _TYPES + "route.v3.RouteConfiguration"
-# Make before break: a resource is sent before those that refer to it.
+# The order in which kinds are sent ("make before break"): a resource precedes those that refer to it.
 SEND_ORDER = (CDS, EDS, LDS, RDS)
-# An empty subscription to these is one to all, and a state-of-the-world response lists all of them.
+# Kinds for which an empty subscription means all resources, and for which a state-of-the-world response
+# lists all resources subscribed to.
 COMPLETE_KINDS = frozenset({CDS, LDS})
 _VARINT_BITS, _VARINT_MASK, _VARINT_CONTINUES = 7, 0x7F, 0x80
-_LENGTH_DELIMITED = 2  # wire type
+_LENGTH_DELIMITED = 2  # protobuf wire type
 
 SHORT = {CDS: "CDS", EDS: "EDS", LDS: "LDS", RDS: "RDS"}
 
 
 def varint(value: int) -> bytes:
-    """Encode a number as a varint of protocol buffers."""
+    """Encode a number as a protobuf varint."""
     out = bytearray()
     while value > _VARINT_MASK:
         out.append(value & _VARINT_MASK | _VARINT_CONTINUES)
@@ -38,28 +39,28 @@
 
 
 def sized(number: int, data: bytes) -> bytes:
-    """Encode a field of bytes, text or a message."""
+    """Encode a length-delimited protobuf field (bytes, a string or a message) with the given number."""
     return varint(number << 3 | _LENGTH_DELIMITED) + varint(len(data)) + data
 
 
 @dataclass(frozen=True, slots=True)
 class Resource:
-    """One resource; `refers` names the resources of the next kind that it can't be used without."""
+    """One versioned resource; `refers` names the resources of another kind that it depends on."""
 
     kind: str
     name: str
     version: str
     digest: str
-    body: bytes  # the message itself
-    state_entry: bytes = field(repr=False)  # as one of `resources` in a whole-state response
-    delta_entry: bytes = field(repr=False)  # the same in an incremental one
+    body: bytes  # the encoded protobuf message of the resource
+    state_entry: bytes = field(repr=False)  # the encoded `resources` entry for a state-of-the-world response
+    delta_entry: bytes = field(repr=False)  # the encoded `resources` entry for an incremental response
     refers: frozenset[str] = frozenset()
 
     @classmethod
     def make(
         cls, kind: str, name: str, body: bytes, seal: Seal, position: ViewPosition, refers: Iterable[str] = ()
     ) -> Resource:
-        """Create a resource that first appears in the view at `position`."""
+        """Create a resource whose content first appears in the view at `position`."""
         content_digest = digest(body)
         version = seal.version(position, content_digest)
         any_ = sized(1, kind.encode()) + sized(2, body)
@@ -71,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Draft:
-    """A resource before it has a version."""
+    """A resource without a version: its name, its encoded message and the names it refers to."""
 
     name: str
     body: bytes
@@ -79,9 +80,9 @@
 
 
 class Library:
-    """Makes resources, and gives the same one again for the same content.
+    """Creates versioned resources, and reuses the existing resource while the content is unchanged.
 
-    A version that changes while the content does not would be sent to every subscriber.
+    If the version changed without the content, the resource would be sent to every subscriber again.
     """
 
     def __init__(self, seal: Seal) -> None:
@@ -91,9 +92,10 @@
     def shelf(
         self, scope: str, kind: str, drafts: Iterable[Draft], position: ViewPosition
     ) -> Mapping[str, Resource]:
-        """Return the resources of one kind in one scope (of subscribers that get the same), by name.
+        """Return the resources of one kind by name, for the subscribers of one scope.
 
-        As long as nothing changes it is the same object: a subscriber need not look into it again.
+        All subscribers of a scope get the same resources.  The mapping is the same object until a resource
+        changes, so that a subscriber can skip an unchanged mapping by identity.
         """
         before = self._shelves.get((scope, kind), {})
         resources = {}
@@ -113,18 +115,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """All that subscribers alike may have, as of one position."""
+    """All resources that subscribers with the same zone, form and group may get, at one view position."""
 
     position: ViewPosition
     kinds: Mapping[str, Mapping[str, Resource]]
-    made_ns: int = 0  # when the change that led to it arrived
-    # Responses as far as they are the same for all subscribers: their version and their bytes.
+    made_ns: int = 0  # when the change that led to this snapshot arrived, in nanoseconds of the owner's clock
+    # Cache of the part of each response that is the same for all subscribers: its version and its bytes.
     heads: dict[tuple[object, ...], tuple[str, bytes]] = field(default_factory=dict, repr=False)
 
     def get(self, kind: str, name: str) -> Resource | None:
-        """Return one resource; None where there is none."""
+        """Return the resource with that kind and name, or None if it does not exist."""
         return self.kinds[kind].get(name)
 
     def names(self, kind: str) -> Iterable[str]:
-        """Return all names of one kind."""
+        """Return the names of all resources of one kind."""
         return self.kinds[kind]
--- a/brambleusher/xds/status.py
+++ b/brambleusher/xds/status.py
@@ -1,4 +1,4 @@
-"""The status of an instance: JSON, a page, and one subscriber's resources against the newest."""
+"""Serve the status of an instance as JSON and HTML, and compare a subscriber's resources with the newest."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 REQUEST_TIMEOUT_S = 5.0
 READ_BYTES = 4096
 MAX_DIFF_LINES = 2000
-MAX_LISTED_NAMES, MAX_LISTED_HOSTS = 20, 100  # in the status; the rest is cut off
+MAX_LISTED_NAMES, MAX_LISTED_HOSTS = 20, 100  # longer lists are cut off in the status
 NS_PER_MS = 1e6
 _HEALTH = {health_check_pb2.UNHEALTHY: "left out", health_check_pb2.DRAINING: "draining"}
 _PAGE_COLUMNS = ("subscriber", "zone", "variant", "acknowledged", "lag ms", "rejected")
@@ -45,14 +45,14 @@
 
 
 class RejectionStatus(TypedDict):
-    """A rejected resource in the status."""
+    """A resource version that a subscriber rejected, as shown in the status."""
 
     version: str
     reason: str
 
 
 class KindStatus(TypedDict):
-    """A subscription to one kind in the status."""
+    """A subscription to one kind of resource, as shown in the status."""
 
     wants: list[str]
     sent: str
@@ -62,7 +62,7 @@
 
 
 class SubscriberStatus(TypedDict):
-    """A subscriber in the status."""
+    """A subscriber and its stream, as shown in the status."""
 
     stream: int
     subscriber: str
@@ -77,7 +77,7 @@
 
 
 class ResourceDifference(TypedDict):
-    """A subscriber's resource against the newest; without `changes` they are the same."""
+    """The difference between a subscriber's resource and the newest; `changes` is empty if they are equal."""
 
     kind: str
     name: str
@@ -88,7 +88,10 @@
 
 
 def describe_assignment(body: bytes) -> dict[str, str]:
-    """Return the endpoints of an assignment by address, each with its state, weight and place in words."""
+    """Return a text for each endpoint of an assignment, with its state, weight, zone and priority.
+
+    The texts are keyed by the endpoint's address.
+    """
     assignment = endpoint_pb2.ClusterLoadAssignment.FromString(body)
     return {
         _address_of(endpoint): _describe(endpoint, locality)
@@ -113,7 +116,7 @@
 
 
 def resource_lines(kind: str, body: bytes | None) -> list[str]:
-    """Return a resource as lines that can be compared; none where there is no resource."""
+    """Return a resource as lines of text for a diff; an empty list if there is no resource."""
     if body is None:
         return []
     if kind == EDS:
@@ -123,7 +126,7 @@
 
 
 def difference(kind: str, name: str, has: Resource | None, newest: Resource | None) -> ResourceDifference:
-    """Compare a subscriber's resource with the newest."""
+    """Compare a subscriber's resource with the newest resource of the same name."""
     is_same = has is not None and newest is not None and has.digest == newest.digest
     before = resource_lines(kind, has.body if has else None)
     after = resource_lines(kind, newest.body if newest else None)
@@ -200,7 +203,7 @@
 
 
 def _page_position(position: ViewPosition | None) -> str:
-    """Return a position in the form that the page has always had, whatever the class is called."""
+    """Return a position in the fixed text form of the status page, independent of the class name."""
     return "None" if position is None else f"Place(epoch={position.epoch}, version={position.version})"
 
 
@@ -210,11 +213,11 @@
     def __init__(
         self, core: Core, now_ns: Callable[[], int], extra_fields: Callable[[], Mapping[str, object]]
     ) -> None:
-        """Read from `core`; `extra_fields` gives what the core does not know."""
+        """Serve the status of `core`; `extra_fields` returns status fields from outside the core."""
         self._core, self._now_ns, self._extra_fields = core, now_ns, extra_fields
 
     def status(self) -> dict[str, object]:
-        """Return the content of `/status.json`; its keys are an interface."""
+        """Return the content of `/status.json`, whose keys are a public interface."""
         core, now_ns = self._core, self._now_ns()
         reason = core.withheld_reason(now_ns)
         consistency = core.view_consistency
@@ -244,13 +247,13 @@
         ]
 
     def diff(self, name: str) -> list[ResourceDifference] | None:
-        """Compare all resources of a subscriber with the newest.
+        """Compare all resources of a subscriber with the newest resources.
 
         Args:
             name: The subscriber's identity, node id or stream number.
 
         Returns:
-            The differences; None where there is no such subscriber.
+            The differences, or None if there is no subscriber with that name.
         """
         core = self._core
         streams = [
@@ -272,10 +275,13 @@
                 continue
             has = stream.subscriber.acknowledged(kind)
             names = set(has) | {
-                each for each in newest.names(kind) if WILDCARD in subscribed or each in subscribed
+                resource_name
+                for resource_name in newest.names(kind)
+                if WILDCARD in subscribed or resource_name in subscribed
             }
             differences += [
-                difference(kind, each, has.get(each), newest.get(kind, each)) for each in sorted(names)
+                difference(kind, resource_name, has.get(resource_name), newest.get(kind, resource_name))
+                for resource_name in sorted(names)
             ]
         return differences
 
@@ -294,7 +300,7 @@
             f"<table border=1><tr>{heads}</tr>{''.join(rows)}</table>"
         )
 
-    # --- over HTTP --------------------------------------------------------------------------------
+    # --- HTTP -------------------------------------------------------------------------------------
 
     async def serve(self, address: tuple[str, int]) -> asyncio.Server:
         """Listen for HTTP requests."""
--- a/brambleusher/xds/store.py
+++ b/brambleusher/xds/store.py
@@ -1,7 +1,7 @@
-"""Durable storage for the position of the newest published view: one sealed row in SQLite.
+"""Durable storage for the position of the newest published view: one row with a MAC in SQLite.
 
-The journal is kept and written over, and the row has a fixed size, so that once the files exist a
-write needs no further space.  A file that can't be read, or whose row is not sealed by this
+The rollback journal is kept and overwritten, and the row has a fixed size, so that once the files exist a
+write needs no additional disk space.  A file that can't be read, or whose row has no valid MAC of this
 installation, is renamed, and its content counts as lost.
 """
 
@@ -19,28 +19,28 @@
 log = logging.getLogger(__name__)
 
 _SCHEMA = "CREATE TABLE IF NOT EXISTS place (id INTEGER PRIMARY KEY CHECK (id = 1), row BLOB NOT NULL)"
-_ROW = "{:018d}.{:018d}.{:018d}"  # epoch, version, starts: always as many bytes
+_ROW = "{:018d}.{:018d}.{:018d}"  # epoch, version and starts, padded to a fixed number of bytes
 _SIDE_FILES = ("-journal", "-wal", "-shm")
-BUSY_TIMEOUT_S = 0.2  # for a lock that another process holds
+BUSY_TIMEOUT_S = 0.2  # how long to wait for a lock that another process holds
 
 
 class StoreError(OSError):
-    """A position could not be written; an earlier one is still on storage, complete."""
+    """A position could not be written; the position stored before is still intact."""
 
 
 class Store:
-    """The open file; one thread at a time uses it."""
+    """The open store file; not safe for concurrent use by several threads."""
 
     def __init__(self, path: str, seal: Seal) -> None:
-        """Open or create the file.
+        """Open or create the store file.
 
         Raises:
             ControlError: The file can't be opened or created.
         """
         self._path, self._seal = path, seal
-        self.floor: ViewPosition | None = None  # the position written last; None: none, or it was lost
+        self.floor: ViewPosition | None = None  # the position written last; None if the file is new or lost
         self.starts = 0
-        self.was_lost = False  # there was a file, and it could not be read
+        self.was_lost = False  # whether a file existed and could not be read
         try:
             self._db = self._open()
             self._read()
@@ -76,7 +76,7 @@
             return
         text, _, seal = bytes(row[0]).decode("ascii").rpartition(".")
         if not self._seal.verify(text, seal):
-            raise ValueError("the row has no good seal")
+            raise ValueError("the row has no valid seal")
         epoch, version, starts = (int(field) for field in text.split("."))
         self.starts = starts
         if epoch:
@@ -97,19 +97,19 @@
             raise ControlError(f"store.file: {self._path}: {error.strerror}") from None
 
     def record_start(self) -> None:
-        """Count a start of the service.
+        """Increment and write the number of times that the service was started.
 
         Raises:
-            StoreError: It could not be written.
+            StoreError: The number could not be written.
         """
         self.starts += 1
         self._write(self.floor or ViewPosition(0, 0))
 
     def write(self, position: ViewPosition) -> None:
-        """Put a position on durable storage, unless a later one is there.
+        """Write a position to durable storage, unless a later position is already stored.
 
         Raises:
-            StoreError: It could not be written.
+            StoreError: The position could not be written.
         """
         if self.floor is None or position > self.floor:
             self._write(position)
@@ -128,7 +128,7 @@
             raise StoreError(f"{self._path}: {error}") from None
 
     def close(self) -> None:
-        """Close the file."""
+        """Close the store file."""
         self._db.close()
 
 
--- a/brambleusher/xds/subscriber.py
+++ b/brambleusher/xds/subscriber.py
@@ -1,9 +1,10 @@
-"""Serve one stream of one subscriber: the aggregated discovery protocol in both variants, without I/O.
+"""Serve one subscriber's stream: the aggregated discovery protocol in both variants, without I/O.
 
-Decoded requests go in, and `offer` sets the snapshot to serve.  `take` gives the next response, made
-against the newest snapshot at that moment: nothing is queued, so a slow subscriber skips what was
-superseded.  Kinds are served in the order CDS, EDS, LDS, RDS (make before break): a kind that refers to
-another waits until that one is acknowledged, and resources still referred to are not removed.
+`receive` processes a decoded request, and `offer` sets the snapshot to serve.  `take` returns the next
+response, computed from the newest snapshot at that moment.  Nothing is queued, so a slow subscriber skips
+resource versions that were superseded.  Kinds are served in the order CDS, EDS, LDS, RDS ("make before
+break"): a kind that refers to another waits until that other kind is acknowledged, and resources that are
+still referred to are not removed.
 
 Source: the xDS REST and gRPC protocol, in the documentation of Envoy.
 """
@@ -29,36 +30,37 @@
 from brambleusher.xds.versions import ProvenVersion, Seal, digest
 
 WILDCARD = "*"
-MAX_UNACKNOWLEDGED = 2  # responses of a kind: a change can overtake a long list
+MAX_UNACKNOWLEDGED = 2  # responses of a kind; a change can be sent while a long list is unacknowledged
 MAX_REASON_CHARS = 500
-MAX_NAMES_CHARS = 200  # of the names of rejected resources in a log line
+MAX_NAMES_CHARS = 200  # the names of rejected resources are cut off after this many characters in a log line
 MAX_SHOWN_CHARS = 100
 MAX_NONCE_DIGITS = 18
-MAX_CACHED_HEADS = 64  # of a snapshot: subscribers may ask for as many selections of names as they like
-NAME_LISTS = 3  # of one request, each of up to the bound: subscribed, unsubscribed, initial versions
-# Fields of DiscoveryResponse and DeltaDiscoveryResponse.
+MAX_CACHED_HEADS = 64  # limit for a snapshot, since subscribers may ask for any number of name selections
+NAME_LISTS = (
+    3  # lists of names in a request, each within the limit: subscribed, unsubscribed, initial versions
+)
+# Field numbers in DiscoveryResponse and DeltaDiscoveryResponse.
 _VERSION_FIELD, _TYPE_URL_FIELD, _NONCE_FIELD, _REMOVED_FIELD = 1, 4, 5, 6
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A request of either variant, decoded; `error` is the reason of a rejection (None: none)."""
+    """A decoded request of either variant; `error` is the reason if it rejects a response, else None."""
 
     kind: str
     nonce: str = ""
     error: str | None = None
-    version: str = ""  # state of the world: the last version accepted
-    names: tuple[str, ...] = ()  # state of the world: all names subscribed to
-    subscribe: tuple[str, ...] = ()  # incremental
-    unsubscribe: tuple[str, ...] = ()
-    initial_versions: Mapping[str, str] = field(
-        default_factory=dict
-    )  # incremental: versions by name, at the start
+    version: str = ""  # only state of the world: the last version that the subscriber accepted
+    names: tuple[str, ...] = ()  # only state of the world: all names subscribed to
+    subscribe: tuple[str, ...] = ()  # only incremental: names to add to the subscription
+    unsubscribe: tuple[str, ...] = ()  # only incremental: names to remove from the subscription
+    # Only incremental: the versions, by name, of the resources that the subscriber has when it connects.
+    initial_versions: Mapping[str, str] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """A response: the encoded message, and what it is made of."""
+    """A response: the encoded message in `data`, and the values encoded in it."""
 
     kind: str
     nonce: str
@@ -72,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """A version that the subscriber rejected, and why."""
+    """A version that the subscriber rejected, and the reason it gave."""
 
     version: str
     reason: str
@@ -80,7 +82,7 @@
 
 @dataclass(slots=True)
 class _SentResponse:
-    """A response that waits for its acknowledgement."""
+    """A sent response that is not acknowledged yet."""
 
     resources: tuple[Resource, ...]
     removed: tuple[str, ...]
@@ -89,23 +91,24 @@
 
 
 class _Subscription:
-    """The subscription to one kind, and what was sent and acknowledged."""
+    """The subscription to one kind of resource, and the resources sent and acknowledged."""
 
     def __init__(self) -> None:
         self.names: set[str] = set()
-        self.is_wildcard = False  # all resources are subscribed to
-        self.has_named = False  # names, or the wildcard, were given once
-        self.sent: dict[str, Resource] = {}  # by name, the last one sent; acknowledged or rejected
-        self.acked: dict[str, Resource] = {}  # by name, the last one acknowledged
-        self.proven_digests: dict[str, str] = {}  # by name, of what it had when it connected
-        self.removed: set[str] = set()  # names of which it was sent that they don't exist
+        self.is_wildcard = False  # whether all resources are subscribed to
+        self.has_named = False  # whether any request so far gave names or the wildcard
+        self.sent: dict[str, Resource] = {}  # by name, the version sent last, whether or not acknowledged
+        self.acked: dict[str, Resource] = {}  # by name, the version acknowledged last
+        self.proven_digests: dict[str, str] = {}  # by name, digests of the resources held at connecting
+        self.removed: set[str] = set()  # names that the subscriber was told do not exist
         self.rejected: dict[str, Rejection] = {}
         self.unacknowledged: dict[str, _SentResponse] = {}  # by nonce, oldest first
         self.has_responded = False
-        self.is_response_due = False  # names were added: a response is due though nothing changed
+        self.is_response_due = False  # names were added, so a response is due even without a change
         self.version = self.acked_version = ""
         self.last_nonce = 0
-        self.served: object = None  # the resources of a snapshot of which it has all, until it asks again
+        # The resources of a snapshot if all of them were sent; reset when the subscriber sends a request.
+        self.served: object = None
 
     def includes(self, name: str) -> bool:
         return self.is_wildcard or name in self.names
@@ -135,25 +138,25 @@
         self._seal, self._max_names, self._max_name_bytes = seal, max_names, max_name_bytes
         self._subscriptions: dict[str, _Subscription] = {}  # by kind
         self._snapshot: Snapshot | None = None
-        # The owner takes what is in these three, and clears them.
-        self.proven_positions: list[ViewPosition] = []  # of versions that it had when it connected
-        self.rejections: list[tuple[str, str, Rejection]] = []  # kind, names, version and reason
-        self.acked_ns: list[int] = []  # times of the views acknowledged just now
+        # The owner reads the next three lists after each request, and clears them.
+        self.proven_positions: list[ViewPosition] = []  # positions in valid version strings at connecting
+        self.rejections: list[tuple[str, str, Rejection]] = []  # kind, names, and version with reason
+        self.acked_ns: list[int] = []  # change times of the snapshots that the request acknowledged
 
     # --- requests -------------------------------------------------------------------------------
 
     def receive(self, request: Request) -> None:
-        """Take in one request.
+        """Process one request.
 
         Raises:
-            ProtocolError: It breaks a rule or a bound.
+            ProtocolError: The request breaks a rule of the protocol or exceeds a limit.
         """
         self._check_bounds(request)
         is_first = request.kind not in self._subscriptions
         subscription = _Subscription() if is_first else self._subscriptions[request.kind]
         subscription.check_nonce(request.nonce)
         self._subscriptions[request.kind] = subscription
-        # What is kept for a subscriber depends on its routes and clusters.
+        # Clusters and endpoints are retained for a subscriber depending on its routes and clusters.
         for kind, other in self._subscriptions.items():
             if kind == request.kind or (kind in (CDS, EDS) and request.kind in (CDS, RDS)):
                 other.served = None
@@ -177,15 +180,18 @@
 
     @staticmethod
     def _is_stale(request: Request, subscription: _Subscription) -> bool:
-        """Return whether a request was sent before the last response was read; it is ignored then."""
+        """Return whether a request predates the subscriber's reading of the last response.
+
+        A stale request is ignored.
+        """
         return subscription.has_responded and request.nonce != str(subscription.last_nonce)
 
     def _handle_acknowledgement(self, request: Request, subscription: _Subscription) -> None:
-        """Take in an acknowledgement or a rejection; one of an older response is ignored."""
+        """Process an acknowledgement or rejection; ignore it if its response is no longer tracked."""
         sent = subscription.unacknowledged.get(request.nonce)
         if sent is None:
             return
-        for nonce in list(subscription.unacknowledged):  # it covers the responses before as well
+        for nonce in list(subscription.unacknowledged):  # an acknowledgement covers earlier responses as well
             if int(nonce) <= int(request.nonce):
                 del subscription.unacknowledged[nonce]
         if request.error is None:
@@ -211,7 +217,7 @@
     def _update_state_of_the_world(
         self, request: Request, subscription: _Subscription, is_first: bool
     ) -> None:
-        """Take in the names of a request: they are all that is subscribed to."""
+        """Replace the subscription with the names in a state-of-the-world request."""
         names = set(request.names)
         is_wildcard = WILDCARD in names
         names.discard(WILDCARD)
@@ -222,23 +228,23 @@
             if proven is not None:
                 self.proven_positions.append(proven.position)
         elif not request.names and subscription.is_wildcard and not subscription.has_named:
-            is_wildcard = True  # nothing was ever named: still all
+            is_wildcard = True  # no request has named a resource, so the subscription is still to all
         subscription.has_named |= bool(request.names)
         added = names - subscription.names or (is_wildcard and not subscription.is_wildcard)
         for name in subscription.names - names:
-            if is_wildcard:  # else the set grows with every name that was ever asked for
+            if is_wildcard:  # without the discard the set would grow with every name ever subscribed to
                 subscription.removed.discard(name)
             else:
                 subscription.forget(name)
         subscription.names, subscription.is_wildcard = names, is_wildcard
         if added:
             subscription.is_response_due = True
-            for name in names:  # a name added again is sent again
+            for name in names:  # a resource is sent again if its name is added again
                 if name not in subscription.sent:
                     subscription.removed.discard(name)
 
     def _update_incremental(self, request: Request, subscription: _Subscription, is_first: bool) -> None:
-        """Take in the names that a request adds and removes."""
+        """Apply the names that an incremental request adds to and removes from the subscription."""
         if is_first:
             if not request.subscribe and request.kind in COMPLETE_KINDS:
                 subscription.is_wildcard = True
@@ -252,13 +258,13 @@
                 continue
             subscription.names.add(name)
             subscription.removed.discard(name)
-            if not is_first:  # a name that is asked for again is sent again
+            if not is_first:  # a resource is sent again if the subscriber asks for its name again
                 subscription.sent.pop(name, None)
 
     def _record_initial_version(
         self, subscription: _Subscription, name: str, proven: ProvenVersion | None
     ) -> None:
-        """Note a resource that a subscriber connects with; one that is not proven gets superseded."""
+        """Record a resource that the subscriber had at connecting; without proof it is sent again."""
         if proven is not None:
             self.proven_positions.append(proven.position)
         subscription.proven_digests[name] = proven.digest if proven is not None else ""
@@ -267,8 +273,10 @@
     def _unsubscribe(subscription: _Subscription, name: str) -> None:
         if name == WILDCARD:
             subscription.is_wildcard = False
-            for sent in [sent for sent in subscription.sent if sent not in subscription.names]:
-                subscription.forget(sent)
+            for sent_name in [
+                sent_name for sent_name in subscription.sent if sent_name not in subscription.names
+            ]:
+                subscription.forget(sent_name)
             return
         subscription.names.discard(name)
         if subscription.is_wildcard:
@@ -279,11 +287,11 @@
     # --- responses ------------------------------------------------------------------------------
 
     def offer(self, snapshot: Snapshot) -> None:
-        """Set the snapshot to serve; one offered before and not taken is forgotten."""
+        """Set the snapshot to serve; it replaces the one set before."""
         self._snapshot = snapshot
 
     def refresh(self, kind: str) -> None:
-        """Have resources of a kind sent again that expire at the subscriber; not rejected ones."""
+        """Send the resources of a kind again, except rejected ones, before they expire at the subscriber."""
         subscription = self._subscriptions.get(kind)
         if subscription is None:
             return
@@ -298,7 +306,7 @@
         return self._snapshot
 
     def take(self) -> Response | None:
-        """Return the next response, or None as long as there is nothing to send."""
+        """Return the next response, or None if there is nothing to send."""
         snapshot = self._snapshot
         if snapshot is None:
             return None
@@ -316,12 +324,15 @@
         return None
 
     def _is_in_turn(self, kind: str, snapshot: Snapshot) -> bool:
-        """Return whether a subscriber to all clusters has acknowledged all that this kind refers to."""
+        """Return whether a kind may be sent now.
+
+        A subscriber to all clusters must first acknowledge the resources that this kind refers to.
+        """
         if kind not in (LDS, RDS):
             return True
         clusters = self._subscriptions.get(CDS)
         if clusters is None or not clusters.is_wildcard:
-            return True  # it asks for what it finds referred to, in its own order
+            return True  # such a subscriber asks for referenced resources by itself, in its own order
         routes = self._subscriptions.get(RDS)
         for route in snapshot.kinds[RDS].values():
             if kind == RDS and not (routes is not None and routes.includes(route.name)):
@@ -343,7 +354,7 @@
         )
 
     def _view(self, kind: str, subscription: _Subscription, snapshot: Snapshot) -> Mapping[str, Resource]:
-        """Return the resources of a kind: the newest, and those that the subscriber still refers to."""
+        """Return the newest resources of a kind, and removed ones that the subscriber still refers to."""
         newest = snapshot.kinds[kind]
         if kind not in (CDS, EDS):
             return newest
@@ -355,9 +366,9 @@
         return {**newest, **retained} if retained else newest
 
     def _referred_to(self, kind: str, snapshot: Snapshot) -> dict[str, Resource]:
-        """Return clusters, or their endpoints, of acknowledged routes that newer ones have not replaced.
+        """Return the clusters, or their endpoints, that acknowledged but outdated routes refer to.
 
-        Without them requests would find their cluster gone while the new routes are on their way.
+        If these were removed, requests would find no cluster until the subscriber applies the new routes.
         """
         routes, clusters = self._subscriptions.get(RDS), self._subscriptions.get(CDS)
         if routes is None or clusters is None:
@@ -365,7 +376,7 @@
         used: set[str] = set()
         for route in routes.acked.values():
             newest = snapshot.get(RDS, route.name)
-            if newest is not None and newest is not route:  # in use until the newest replaces it
+            if newest is not None and newest is not route:  # the old route is in use until it is replaced
                 used |= route.refers
         retained = {name: clusters.acked[name] for name in used if name in clusters.acked}
         if kind == CDS:
@@ -382,7 +393,7 @@
 
     @staticmethod
     def _due(subscription: _Subscription, view: Mapping[str, Resource]) -> tuple[list[Resource], list[str]]:
-        """Return the resources not sent in this version, and the names that exist no more."""
+        """Return the resources whose current version was not sent, and the names that no longer exist."""
         names = view.keys() if subscription.is_wildcard else view.keys() & subscription.names
         due = []
         for name in sorted(names):
@@ -403,7 +414,7 @@
         view = self._view(kind, subscription, snapshot)
         due, missing = self._due(subscription, view)
         if kind in COMPLETE_KINDS:
-            # Such a response lists all resources: one that it leaves out is removed.
+            # A response of this kind lists all resources; the subscriber removes those not in the list.
             is_due = due or missing or subscription.is_response_due or not subscription.has_responded
             if not is_due or (not subscription.is_wildcard and not subscription.names):
                 subscription.is_response_due = False
@@ -424,7 +435,7 @@
         for name, proven_digest in subscription.proven_digests.items():
             resource = view.get(name)
             if resource is not None and proven_digest == resource.digest and name not in subscription.sent:
-                # It has proven to hold this very content: as good as sent and acknowledged.
+                # The subscriber proved that it holds the same content, so count it as acknowledged.
                 subscription.sent[name] = subscription.acked[name] = resource
         if not due and not missing and (subscription.has_responded or not subscription.is_wildcard):
             return None
@@ -434,7 +445,7 @@
         self, kind: str, snapshot: Snapshot, view: Mapping[str, Resource],
         due: list[Resource], missing: list[str],
     ) -> tuple[str, bytes]:  # fmt: skip
-        """Return a response's version and its bytes without the nonce; encoded once for all subscribers."""
+        """Return a response's version and its bytes without the nonce, cached for other subscribers."""
         key = (self.incremental, kind, *(resource.name for resource in due), None, *missing)
         is_shared = view is snapshot.kinds[kind]
         if is_shared and (cached := snapshot.heads.get(key)) is not None:
@@ -476,7 +487,7 @@
 
     @property
     def is_blocked(self) -> bool:
-        """Whether a kind has as many unacknowledged responses as it may, and waits for one."""
+        """Whether a kind has reached its limit of unacknowledged responses and waits for the subscriber."""
         return any(
             len(subscription.unacknowledged) >= MAX_UNACKNOWLEDGED
             for subscription in self._subscriptions.values()
@@ -485,24 +496,24 @@
     # --- status ---------------------------------------------------------------------------------
 
     def acknowledged(self, kind: str) -> Mapping[str, Resource]:
-        """Return the resources acknowledged last, by name."""
+        """Return the resources of a kind that the subscriber acknowledged last, by name."""
         subscription = self._subscriptions.get(kind)
         return subscription.acked if subscription is not None else {}
 
     def rejected(self, kind: str) -> Mapping[str, Rejection]:
-        """Return the rejections in force, by name."""
+        """Return the current rejections of a kind, by resource name."""
         subscription = self._subscriptions.get(kind)
         return subscription.rejected if subscription is not None else {}
 
     def subscribed_names(self, kind: str) -> list[str] | None:
-        """Return the names subscribed to, `*` for all; None where it never asked."""
+        """Return the names subscribed to, with `*` for all, or None without a subscription to the kind."""
         subscription = self._subscriptions.get(kind)
         if subscription is None:
             return None
         return ([WILDCARD] if subscription.is_wildcard else []) + sorted(subscription.names)
 
     def versions(self, kind: str) -> tuple[str, str, int]:
-        """Return the version sent last, the one acknowledged last, and how many are unacknowledged."""
+        """Return the versions sent and acknowledged last, and the number of unacknowledged responses."""
         subscription = self._subscriptions.get(kind)
         if subscription is None:
             return "", "", 0
--- a/brambleusher/xds/tls.py
+++ b/brambleusher/xds/tls.py
@@ -1,4 +1,4 @@
-"""Certificates and keys from files: checked together, and reloaded when they change."""
+"""Load certificates and keys from files, validate them together, and reload them when they change."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Material:
-    """A certificate chain with its key, and the authority whose certificates subscribers show."""
+    """A certificate chain with its key, and the CA certificates that subscribers are verified against."""
 
     certificate: bytes
     key: bytes
@@ -42,7 +42,7 @@
 
 
 def _certificates(data: bytes, what: str) -> list[x509.Certificate]:
-    """Return the certificates of a file; one that ends within a certificate is half written."""
+    """Return the certificates in a PEM file, and reject a partly written file."""
     try:
         certificates = x509.load_pem_x509_certificates(data)
     except ValueError:
@@ -55,10 +55,11 @@
 
 
 def check(certificate: bytes, key: bytes, client_ca: bytes, now: dt.datetime) -> Material:
-    """Check the three together.
+    """Validate a certificate chain, its key and the client CA together.
 
     Raises:
-        ControlError: One is not in PEM, not valid at `now`, or the key is another certificate's.
+        ControlError: One of them is not in PEM format or not valid at `now`, or the key does not belong to
+            the certificate.
     """
     chain = _certificates(certificate, "certificate")
     try:
@@ -66,34 +67,37 @@
     except (ValueError, TypeError, UnsupportedAlgorithm):
         raise ControlError("tls.key is not a private key in PEM without a password") from None
     authorities = _certificates(client_ca, "client_ca")
-    for what, each in (("certificate", chain[0]), *(("client_ca", one) for one in authorities)):
-        if not each.not_valid_before_utc <= now <= each.not_valid_after_utc:
+    for what, checked in (
+        ("certificate", chain[0]),
+        *(("client_ca", authority) for authority in authorities),
+    ):
+        if not checked.not_valid_before_utc <= now <= checked.not_valid_after_utc:
             raise ControlError(
-                f"tls.{what} is valid from {each.not_valid_before_utc} to {each.not_valid_after_utc}"
+                f"tls.{what} is valid from {checked.not_valid_before_utc} to {checked.not_valid_after_utc}"
             )
     form = (Encoding.DER, PublicFormat.SubjectPublicKeyInfo)
     try:
         public = chain[0].public_key()
     except (ValueError, UnsupportedAlgorithm):
-        raise ControlError("tls.certificate has a key of a kind that is not known") from None
+        raise ControlError("tls.certificate has a key of an unsupported type") from None
     if public.public_bytes(*form) != private.public_key().public_bytes(*form):
         raise ControlError("tls.key is not the key of tls.certificate")
     return Material(certificate, key, client_ca, chain[0].not_valid_after_utc)
 
 
 class Certificates:
-    """The material in use; `reload_if_changed` takes in changed files."""
+    """The certificates and key in use; `reload_if_changed` replaces them when the files change."""
 
     def __init__(self, files: TlsFiles) -> None:
-        """Read the files.
+        """Read and validate the files.
 
         Raises:
-            ControlError: One of them can't be used.
+            ControlError: A file can't be read or is not valid.
         """
         self._files = files
         self.material = self._load()
         self.problem: str | None = None
-        self.loads = 1  # sets that were taken into use
+        self.loads = 1  # how many sets of certificates were loaded, including the first
 
     def _bytes(self) -> tuple[bytes, bytes, bytes]:
         files = self._files
@@ -107,10 +111,10 @@
         return check(*self._bytes(), dt.datetime.now(dt.UTC))
 
     def reload_if_changed(self) -> bool:
-        """Read the files again; a set that can't be used is logged once.
+        """Read the files again, and use them if they are valid; log each distinct failure once.
 
         Returns:
-            Whether another set is in use now.
+            Whether the certificates or the key were replaced.
         """
         current = self.material
         try:
@@ -118,15 +122,17 @@
             if files == (current.certificate, current.key, current.client_ca):
                 self.problem = None
                 return False
-            fresh = check(*files, dt.datetime.now(dt.UTC))
+            new_material = check(*files, dt.datetime.now(dt.UTC))
         except ControlError as error:
             if self.problem != str(error):
                 self.problem = str(error)
                 log.warning("certificate reload failed", extra={"fields": {"reason": error}})
             return False
-        self.material, self.problem = fresh, None
+        self.material, self.problem = new_material, None
         self.loads += 1
-        log.info("certificates reloaded", extra={"fields": {"valid_until": fresh.not_after.isoformat()}})
+        log.info(
+            "certificates reloaded", extra={"fields": {"valid_until": new_material.not_after.isoformat()}}
+        )
         return True
 
     def expires_soon(self) -> bool:
@@ -150,7 +156,7 @@
         return grpc.ssl_server_certificate_configuration([pair], material.client_ca)
 
     def server_credentials(self) -> grpc.ServerCredentials:
-        """Return credentials that ask for the newest material at each handshake."""
+        """Return server credentials that use the newest certificates at each TLS handshake."""
         in_use = [self.material]
 
         def fetch() -> grpc.ServerCertificateConfiguration | None:
@@ -164,6 +170,6 @@
         )
 
     def channel_credentials(self) -> grpc.ChannelCredentials:
-        """Return credentials for calls to other instances, whose certificates are of the same authority."""
+        """Return credentials for calls to other instances, which use certificates of the same CA."""
         material = self.material
         return grpc.ssl_channel_credentials(material.client_ca, material.key, material.certificate)
--- a/brambleusher/xds/versions.py
+++ b/brambleusher/xds/versions.py
@@ -1,10 +1,10 @@
-"""Version strings that prove themselves: a view's position, a digest of the content, and a MAC over both.
+"""Authenticated version strings: a view's position, a digest of the content, and a MAC over both.
 
     EPOCH.VERSION.DIGEST.SEAL        e.g. 3.41.9f86d081884c7d65.c1a5e2b0d7f3a901
 
-Instances of one installation share the secret.  A subscriber hands the string back when it
-reconnects, to whichever instance; a string with a valid seal proves that a view at that position was
-published, and any other proves nothing.
+The seal is the MAC, keyed with a secret that all instances of an installation share.  A subscriber sends
+its version strings when it reconnects, to any instance.  A string with a valid seal proves that a view at
+that position was published; a string without one is ignored.
 """
 
 from __future__ import annotations
@@ -17,38 +17,38 @@
 from brambleusher.loadbalancing.view_consistency import ViewPosition
 
 _FORM = re.compile(r"(\d{1,18})\.(\d{1,18})\.([0-9a-f]{16})\.([0-9a-f]{16})", re.ASCII)
-DIGEST_BYTES = 8  # of content and of a seal, as the form above has them
+DIGEST_BYTES = 8  # length of a content digest and of a seal: 16 hex digits each in the version string
 KEY_BYTES = 32
 MIN_SECRET_BYTES = 16
 
 
 def digest(data: bytes) -> str:
-    """Return a digest of content; the same in every instance and after a restart."""
+    """Return a digest of the data that is the same in every instance and after a restart."""
     return hashlib.blake2b(data, digest_size=DIGEST_BYTES).hexdigest()
 
 
 @dataclass(frozen=True, slots=True)
 class ProvenVersion:
-    """The content of a version string with a valid seal."""
+    """The view position and content digest in a version string with a valid seal."""
 
     position: ViewPosition
     digest: str
 
 
 class Seal:
-    """Makes and verifies version strings."""
+    """Creates and verifies version strings with a keyed MAC."""
 
     def __init__(self, secret: bytes) -> None:
         """Derive the key from a secret of at least `MIN_SECRET_BYTES`, the same in every instance."""
         self._key = hashlib.blake2b(secret, digest_size=KEY_BYTES, person=b"control seal").digest()
 
     def sign(self, text: str) -> str:
-        """Return the seal over a text."""
+        """Return the seal (MAC) of a text, in hex."""
         mac = hashlib.blake2b(text.encode(), digest_size=DIGEST_BYTES, key=self._key)
         return mac.hexdigest()
 
     def verify(self, text: str, seal: str) -> bool:
-        """Return whether `seal` is the one over `text`."""
+        """Return whether `seal` is the valid seal of `text`."""
         return hmac.compare_digest(self.sign(text).encode(), seal.encode("utf-8", "replace"))
 
     def version(self, position: ViewPosition, content_digest: str) -> str:
@@ -57,7 +57,7 @@
         return f"{text}.{self.sign(text)}"
 
     def parse(self, version: str) -> ProvenVersion | None:
-        """Return what a version string proves; None where this installation did not make it."""
+        """Return the content of a version string, or None if this installation did not create the string."""
         match = _FORM.fullmatch(version)
         if match is None or not self.verify(version[: match.start(4) - 1], match[4]):
             return None
--- a/brambleusher/xds/wire.py
+++ b/brambleusher/xds/wire.py
@@ -1,6 +1,6 @@
-"""Decode requests and load reports, and encode the settings of load reports.
+"""Decode discovery requests and load reports, and encode the settings for load reports.
 
-Everything that a subscriber may put into a message is bounded here or by its reader.
+Every value from a subscriber's message is limited in size here or where it is used.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 ADS = "envoy.service.discovery.v3.AggregatedDiscoveryService"
 LRS = "envoy.service.load_stats.v3.LoadReportingService"
-MAX_COUNT = 1_000_000_000  # of requests in one report
+MAX_COUNT = 1_000_000_000  # a request count in a load report is capped at this value
 MAX_NODE_CHARS = 256
 MAX_AGENT_CHARS = 100
 _METRICS = {
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeIdentity:
-    """How a subscriber identifies itself in its first request."""
+    """The id, zone and user agent that a subscriber sends in its first request."""
 
     id: str = ""
     zone: str = ""
@@ -41,10 +41,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadSample:
-    """Requests to one host since the last report, and the host's own metrics as (count, total) by name."""
+    """The requests to one host since the last load report, and the host's metrics as (count, total)."""
 
     cluster: str
-    host: str  # its name where the locality has it, else empty
+    host: str  # the host's name if the locality contains it, else empty
     address: tuple[str, int]
     successes: int
     errors: int
@@ -64,10 +64,10 @@
 
 
 def decode_request(data: bytes, incremental: bool) -> tuple[Request, NodeIdentity]:
-    """Decode a request of either variant, and the node it names.
+    """Decode a discovery request of either variant, and the node that it names.
 
     Raises:
-        ProtocolError: The bytes are no such message.
+        ProtocolError: The data can't be decoded as a discovery request.
     """
     try:
         if incremental:
@@ -99,7 +99,10 @@
 
 
 def _named_metrics(stats: Iterable[load_report_pb2.EndpointLoadMetricStats]) -> list[tuple[str, int, float]]:
-    return [(s.metric_name, s.num_requests_finished_with_metric, s.total_metric_value) for s in stats]
+    return [
+        (metric.metric_name, metric.num_requests_finished_with_metric, metric.total_metric_value)
+        for metric in stats
+    ]
 
 
 def _count(value: int) -> int:
@@ -107,10 +110,10 @@
 
 
 def decode_loads(data: bytes) -> tuple[list[LoadSample], NodeIdentity]:
-    """Decode a load report into samples by host, and the node that sends it.
+    """Decode a load report into one sample for each host and cluster, and the node that sent the report.
 
     Raises:
-        ProtocolError: The bytes are no such message.
+        ProtocolError: The data can't be decoded as a load report.
     """
     try:
         message = lrs_pb2.LoadStatsRequest.FromString(data)
@@ -138,7 +141,7 @@
 
 
 def _locality_sample(cluster: str, stats: load_report_pb2.UpstreamLocalityStats) -> LoadSample:
-    """Read the report of a client that reports by locality; a locality is one host then."""
+    """Decode the statistics of a client that reports by locality, where each locality is one host."""
     cpu = stats.cpu_utilization
     metrics = [(UTILISATION, cpu.num_requests_finished_with_metric, cpu.total_metric_value)]
     return LoadSample(
@@ -149,7 +152,7 @@
 
 
 def ask_for_loads(interval_ms: int) -> bytes:
-    """Encode the response to the first load report: report on all clusters, by endpoint, so often."""
+    """Encode the response that asks for reports on all clusters by endpoint, at the given interval."""
     response = lrs_pb2.LoadStatsResponse(send_all_clusters=True, report_endpoint_granularity=True)
     response.load_reporting_interval.FromMilliseconds(interval_ms)
     return bytes(response.SerializeToString())
