--- a/brambleusher/features/__init__.py
+++ b/brambleusher/features/__init__.py
@@ -1,1 +1,1 @@
-"""What operators may switch on: a module for each feature, wired in `sidecar.py`."""
+"""Optional features that operators can enable, one module each; the sidecar package wires them together."""
--- a/brambleusher/features/capture.py
+++ b/brambleusher/features/capture.py
@@ -1,9 +1,9 @@
-"""Captures: what the module was told and what it decided, kept in a bounded ring and, if asked, in files.
+"""Captures: the balancer's events and actions, kept in a bounded ring buffer and optionally in files.
 
-The module learns and draws random numbers, so its decisions can be rerun only from its state at the
-oldest record that is left.  The ring is therefore made of segments: each begins with a header that
-holds the endpoint list and the module's state as they stood before its first record, and only whole
-segments are dropped.  The header in front of the oldest segment is the ring's.
+The balancer keeps state and draws random numbers, so its decisions can be rerun only from its state before
+the oldest remaining record.  The ring therefore consists of segments.  Each segment begins with a header,
+which contains the endpoint list and the balancer's state before the segment's first record, and only whole
+segments are dropped.  A dump begins with the header of the oldest segment.
 """
 
 from __future__ import annotations
@@ -37,15 +37,15 @@
 
 log = logging.getLogger(__name__)
 
-SEGMENTS = 4  # in a ring, where headers are small; each more is one more header to make and to hold
-NODE_BYTES = 250  # of a header, for each node at the least
-HEAD_MOST = 0.75  # of the ring; past that nothing is kept
-SEAL_NS = 5_000_000_000  # where there are files, a segment goes to them after so long at the latest
-AGAIN_NS = 10_000_000_000  # after a header that did not fit the ring, or a fault
+SEGMENTS = 4  # in a ring with small headers; each further segment needs memory and time for its header
+NODE_BYTES = 250  # the least size of one node in a header, in bytes
+HEAD_MOST = 0.75  # largest fraction of the ring that a header may fill; capture pauses if it is larger
+SEAL_NS = 5_000_000_000  # with files, a segment is written after at most this many nanoseconds
+AGAIN_NS = 10_000_000_000  # capture pauses this many nanoseconds if a header is too large or recording fails
 
 
 class Segment:
-    """A header, and the records that follow it."""
+    """A part of the ring: a header, and the encoded records that follow it."""
 
     __slots__ = ("due", "head", "lines", "opened_ns", "size")
 
@@ -53,16 +53,16 @@
         self.head, self.opened_ns = head, now_ns
         self.lines: list[bytes] = []
         self.size = len(head) + ITEM_BYTES
-        self.due = self.size + due  # at this size it is sealed
+        self.due = self.size + due  # the segment is sealed when its size reaches this many bytes
 
     def join(self) -> None:
-        """No more records come."""
+        """Join the records into one bytes object, which saves memory; no record may be added afterwards."""
         self.lines = [b"".join(self.lines)] if self.lines else []
         self.size = len(self.head) + sum(map(len, self.lines)) + 2 * ITEM_BYTES
 
 
 class Capture(DecisionRecorder):
-    """The ring, as the decisions fill it."""
+    """Records the balancer's decisions in the ring, and writes the ring to its outputs."""
 
     def __init__(
         self,
@@ -80,40 +80,43 @@
         self._state: Callable[[], dict[str, Any]] = dict
         self._addresses: dict[str, str] = {}
         self._servers: dict[str, dict[str, Any]] = {}
-        self._version = self._told = 0
+        self._version = self._next_version = 0
         self.update_endpoints(known)
-        self._fold(api.ListKind.FULL, [endpoint.entry for endpoint in known.endpoints])
-        self._count = 0  # of records so far: the number of the next one
+        self._apply_host_list(api.ListKind.FULL, [endpoint.entry for endpoint in known.endpoints])
+        self._count = 0  # the number of records so far, which is also the number of the next record
         self._sealed: deque[Segment] = deque()
         self._sealed_size = 0
-        self._open: Segment | None = Segment(head := self._head(None), 0, self._due(len(head)))
-        self._again_ns = 0
+        self._open: Segment | None = Segment(head := self._encode_header(None), 0, self._due(len(head)))
+        self._resume_ns = 0
 
     def start(self, state: Callable[[], dict[str, Any]], is_imported: bool = False) -> None:
-        """From here on `state` tells the module's; one that was inherited stands in the first header."""
+        """Set the function that returns the balancer's state.
+
+        If the balancer imported its state from an earlier process, the first header contains that state.
+        """
         self._state = state
         if is_imported:
-            head = self._head(state())
+            head = self._encode_header(state())
             self._open = Segment(head, 0, self._due(len(head)))
 
     def update_endpoints(self, update: EndpointListUpdate) -> None:
-        """Record the list that the balancer gets next, with what only this side knows of it."""
-        self._told = update.version
+        """Keep the version and addresses of the list passed to the balancer next, which its event lacks."""
+        self._next_version = update.version
         for endpoint in update.endpoints:
             host, port = endpoint.address
             self._addresses[endpoint.entry.host] = f"{host}:{port}" if host else ""
 
     def record(self, decision: Decision) -> None:
-        """One event and what the module decided."""
+        """Record one event and the balancer's actions; a failure here is logged and never raised."""
         try:
             self._record(decision)
         except Exception:
-            # Guards against a fault here harming a request.  What is kept so far has a hole from now on.
+            # A fault in the capture must not affect a request.  The records kept so far now have a gap.
             log.exception("capture failed")
-            self._open, self._again_ns = None, decision.now_ns + AGAIN_NS
+            self._open, self._resume_ns = None, decision.now_ns + AGAIN_NS
 
     def dump(self) -> None:
-        """Send the ring to standard error."""
+        """Write the content of the ring to standard error."""
         if not self._dumps.idle:
             log.warning("capture dump already running")
             return
@@ -124,7 +127,7 @@
         self._dumps.put([segments[0].head, *(line for segment in segments for line in segment.lines)])
 
     def close(self) -> None:
-        """Send what is left to the files."""
+        """Write the records that are not in the files yet."""
         if self._open is not None:
             self._seal(self._open)
             self._open = None
@@ -133,11 +136,11 @@
 
     def _record(self, decision: Decision) -> None:
         event, now_ns, call = decision.event, decision.now_ns, decision.request
-        name, told = encode_event(event)
+        name, fields = encode_event(event)
         if isinstance(event, api.HostListUpdated):
-            told["version"] = self._told
-            # Exact beside discovery's form: the module counts in nanoseconds.
-            told["servers"] = [
+            fields["version"] = self._next_version
+            # Discovery's form has milliseconds only, but the balancer uses the exact start in nanoseconds.
+            fields["servers"] = [
                 {**encode_entry(entry, self._addresses.get(entry.host, "")), "started_ns": entry.started_ns}
                 for entry in event.entries
             ]
@@ -148,8 +151,8 @@
                 "id": getattr(event, "request", None),
                 "class": request.request_class if request else call and call.request_class,
                 "tenant": request.tenant if request else call and call.tenant,
-                "server": recorded_server(event, decision.actions), "in": told,
-                "out": [encode_action(each) for each in decision.actions],
+                "server": recorded_server(event, decision.actions), "in": fields,
+                "out": [encode_action(action) for action in decision.actions],
             }  # fmt: skip
             if decision.error is not None:
                 record["raised"] = type(decision.error).__name__
@@ -158,29 +161,32 @@
             self._open.size += len(line) + ITEM_BYTES
         self._count += 1
         if isinstance(event, api.HostListUpdated):
-            self._fold(event.kind, event.entries)
+            self._apply_host_list(event.kind, event.entries)
         if self._open is not None:
             self._rotate(self._open, now_ns)
-        elif now_ns >= self._again_ns:
-            self._sealed.clear()  # records are missing between them and what follows
+        elif now_ns >= self._resume_ns:
+            self._sealed.clear()  # records are missing between the sealed segments and the next one
             self._sealed_size = 0
-            self._begin(now_ns)
+            self._begin_segment(now_ns)
 
     def _rotate(self, segment: Segment, now_ns: int) -> None:
         if not segment.opened_ns:
             segment.opened_ns = now_ns
         while self._sealed and self._sealed_size + segment.size > self._limit:
             self._sealed_size -= self._sealed.popleft().size
-        old = self._files is not None and now_ns - segment.opened_ns >= SEAL_NS
-        if segment.size >= segment.due or old:
+        is_old = self._files is not None and now_ns - segment.opened_ns >= SEAL_NS
+        if segment.size >= segment.due or is_old:
             self._seal(segment)
-            self._begin(now_ns)
+            self._begin_segment(now_ns)
 
     def _due(self, head: int) -> int:
-        """How large a segment's records grow: twice its header, but so that two segments have room."""
-        least = self._limit // SEGMENTS
-        due = min(max(least, 2 * head), self._limit // 2 - head)
-        return due if due >= least else self._limit - head  # one alone: better than hardly any records
+        """Return how many bytes of records a segment may have, given the size of its header.
+
+        The limit is twice the header's size, but small enough for two segments to fit in the ring.
+        """
+        minimum = self._limit // SEGMENTS
+        due = min(max(minimum, 2 * head), self._limit // 2 - head)
+        return due if due >= minimum else self._limit - head  # a single segment has room for more records
 
     def _seal(self, segment: Segment) -> None:
         segment.join()
@@ -189,30 +195,30 @@
         if self._files is not None and segment.lines:
             self._files.put([segment.head + segment.lines[0]])
 
-    def _begin(self, now_ns: int) -> None:
-        """Open a segment at the state of this moment, and drop the oldest ones that it leaves no room for."""
+    def _begin_segment(self, now_ns: int) -> None:
+        """Open a segment with the current state, and drop the oldest segments that no longer fit."""
         size = len(self._servers) * NODE_BYTES
-        if size <= self._limit * HEAD_MOST:  # guards against making one of megabytes that can't fit
-            head = self._head(self._state())
+        if size <= self._limit * HEAD_MOST:  # avoids encoding a header of megabytes that can't fit
+            head = self._encode_header(self._state())
             size = len(head)
             self._open = Segment(head, now_ns, self._due(size))
         if size > self._limit * HEAD_MOST:
-            # Guards against a ring of hardly anything but headers, and against making them again and again.
+            # Pausing avoids a ring that holds hardly anything but headers, and encoding them repeatedly.
             log.warning("capture header exceeds the ring", extra={"fields": {"bytes": size}})
-            self._open, self._again_ns = None, now_ns + AGAIN_NS
-        taken = 0 if self._open is None else self._open.size
-        while self._sealed and self._sealed_size + taken > self._limit:
+            self._open, self._resume_ns = None, now_ns + AGAIN_NS
+        open_size = 0 if self._open is None else self._open.size
+        while self._sealed and self._sealed_size + open_size > self._limit:
             self._sealed_size -= self._sealed.popleft().size
 
-    def _head(self, state: dict[str, Any] | None) -> bytes:
+    def _encode_header(self, state: dict[str, Any] | None) -> bytes:
         servers = {"version": self._version, "servers": list(self._servers.values())}
         head = {**self._start, "list": servers, "settings": self._settings, "n": self._count}
         if state is not None:
             head["state"] = state
         return orjson.dumps(head) + b"\n"
 
-    def _fold(self, kind: api.ListKind, entries: Sequence[api.HostEntry]) -> None:
-        """Keep the list as the module holds it."""
+    def _apply_host_list(self, kind: api.ListKind, entries: Sequence[api.HostEntry]) -> None:
+        """Apply an update to the copy of the balancer's endpoint list, which the next header contains."""
         if kind is api.ListKind.FAILED:
             return
         if kind is not api.ListKind.DELTA:
@@ -224,67 +230,71 @@
                 self._addresses.pop(entry.host, None)
             else:
                 self._servers[entry.host] = encode_entry(entry, self._addresses.get(entry.host, ""))
-        self._version = self._told
+        self._version = self._next_version
 
 
 class DirSink:
-    """Capture files in a directory: numbered on from those that are there, the oldest removed.
+    """Writes segments to numbered capture files in a directory, and removes the oldest files.
 
-    An item is a segment.  One that follows the last goes on in its file, without its header, until the
-    file is full; after a gap or a failure a new file begins.
+    Numbers continue after those of existing files.  A segment that directly follows the previous one is
+    appended to the same file without its header until the file is full; after a gap or a failure a new
+    file begins.
     """
 
     def __init__(self, folder: str, name: str, files: int, file_bytes: int) -> None:
         self._folder, self._files, self._bytes = Path(folder), files, file_bytes
-        # Several sidecars may share the directory; each looks after its own files.
+        # Several sidecars may share the directory; each removes only files with its own name.
         self._stem = "capture-" + re.sub(r"[^A-Za-z0-9_.]", "_", name)
         self._pattern = re.compile(re.escape(self._stem) + r"-(\d{8,})\.jsonl\Z")
         self._path: Path | None = None
-        self._size = self._next = 0
-        self._failing = False
+        self._size = self._next_record = 0
+        self._is_failing = False
 
     def write(self, items: list[Item]) -> int:
-        """Write segments; says how many lines were lost."""
-        lost = 0
+        """Write segments, and return how many lines could not be written."""
+        lost_lines = 0
         for item in items:
             try:
                 self._write(item)
-                self._failing = False
+                self._is_failing = False
             except OSError as error:
-                lost += item.count(b"\n")
+                lost_lines += item.count(b"\n")
                 self._path = None
                 self._report_failure(error)
-        return lost
+        return lost_lines
 
     def _report_failure(self, error: OSError) -> None:
-        """Log once for each series of failures."""
-        if not self._failing:
-            self._failing = True
+        """Log only the first of several consecutive failures."""
+        if not self._is_failing:
+            self._is_failing = True
             log.error("capture write failed", extra={"fields": {"dir": self._folder, "error": error}})
 
     def close(self) -> None:
-        """Nothing is held between writes."""
+        """Do nothing, since no file is kept open between writes."""
 
     def _write(self, item: Item) -> None:
-        at = item.index(b"\n") + 1
-        found = re.compile(rb'\{"n":(\d+),').match(item, at)
-        first = int(found[1]) if found else -1
-        records = item[at:]
-        follows = first == self._next and self._size + len(records) <= self._bytes
-        if self._path is not None and follows and self._append(self._path, records, 0):
+        header_end = item.index(b"\n") + 1
+        match = re.compile(rb'\{"n":(\d+),').match(item, header_end)
+        first_record = int(match[1]) if match else -1
+        records = item[header_end:]
+        can_append = first_record == self._next_record and self._size + len(records) <= self._bytes
+        if self._path is not None and can_append and self._append(self._path, records, 0):
             self._size += len(records)
         else:
-            self._path, self._size = self._new(), len(item)
+            self._path, self._size = self._new_path(), len(item)
             try:
                 self._append(self._path, item, os.O_CREAT | os.O_EXCL)
             except OSError:
-                # Guards against a full disk on which each try would leave an empty file and cost an old one.
+                # On a full disk each attempt would otherwise leave an empty file and remove an old one.
                 self._path.unlink(missing_ok=True)
                 raise
-        self._next = first + records.count(b"\n")
+        self._next_record = first_record + records.count(b"\n")
 
     def _append(self, path: Path, data: bytes, flags: int) -> bool:
-        """Append; false where the file has gone, which must not come back without its header."""
+        """Append data to a file, and return whether the file exists.
+
+        A deleted file is not created again, because it would have no header.
+        """
         try:
             fd = os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC | os.O_NONBLOCK | flags, 0o600)
         except FileNotFoundError:
@@ -297,14 +307,15 @@
             os.close(fd)
         return True
 
-    def _new(self) -> Path:
+    def _new_path(self) -> Path:
+        """Return the path for the next file, and remove the oldest files beyond the limit."""
         self._folder.mkdir(parents=True, exist_ok=True)
-        there = sorted(
-            (int(found[1]), path)
+        existing = sorted(
+            (int(match[1]), path)
             for path in self._folder.iterdir()
-            if (found := self._pattern.match(path.name))
+            if (match := self._pattern.match(path.name))
         )
-        for _, path in there[: max(0, len(there) - self._files + 1)]:
+        for _, path in existing[: max(0, len(existing) - self._files + 1)]:
             path.unlink(missing_ok=True)
-        number = there[-1][0] + 1 if there else 1
+        number = existing[-1][0] + 1 if existing else 1
         return self._folder / f"{self._stem}-{number:08d}.jsonl"
--- a/brambleusher/features/dump.py
+++ b/brambleusher/features/dump.py
@@ -1,4 +1,4 @@
-"""Asks a running sidecar for its capture, from outside its process."""
+"""Ask a running sidecar process to dump its capture."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def handles_usr1(pid: int) -> bool:
-    """Whether a process handles SIGUSR1; where the system does not tell, it is taken to."""
+    """Return whether a process handles SIGUSR1; assume so if the system gives no information."""
     try:
         status = Path(f"/proc/{pid}/status").read_text()
     except OSError:
@@ -20,13 +20,13 @@
 
 
 def dump(pid: int) -> int:
-    """Ask a sidecar for its capture; 1 if that can't be done."""
+    """Send the signal for a capture dump to a sidecar, and return the exit status: 0, or 1 on failure."""
     try:
-        if pid < 1:  # which would be a group of processes
+        if pid < 1:  # `os.kill` would signal a group of processes
             raise ProcessLookupError
-        # Guards against ending a process that has no handler for the signal.
+        # SIGUSR1 would terminate a process that has no handler for it.
         if not handles_usr1(pid):
-            print(f"brambleusher: process {pid} takes no SIGUSR1: no sidecar", file=sys.stderr)
+            print(f"brambleusher: process {pid} does not handle SIGUSR1: not a sidecar", file=sys.stderr)
             return 1
         os.kill(pid, signal.SIGUSR1)
     except (OSError, OverflowError) as error:
--- a/brambleusher/features/metrics_reporter.py
+++ b/brambleusher/features/metrics_reporter.py
@@ -1,6 +1,6 @@
-"""Metrics for a collector: counters, a gauge and a timer by class and tenant, as statsd or influx lines.
+"""Report counters, a gauge and a timer by class and tenant to a collector, as statsd or influx lines.
 
-Lines wait in a queue (`features/output_queue.py`) until the next flush; a full one drops the oldest.
+Lines wait in a queue (`features/output_queue.py`) until the next flush; a full queue drops its oldest lines.
 """
 
 from __future__ import annotations
@@ -19,46 +19,50 @@
 
 PREFIX = "brambleusher."
 DROPPED = "figures_dropped"
-# Characters with a meaning of their own, in statsd and its tags; influx has a backslash for its own.
+# Characters with a special meaning are replaced in statsd lines and tags; influx can escape them with a
+# backslash, except for control characters and the backslash itself.
 _STATSD_SPECIAL = re.compile(r"[\s\x00-\x1f\x7f|,#:@\\]")
 _INFLUX_UNFIT = re.compile(r"[\x00-\x1f\x7f\\]")
 _INFLUX_SPECIAL = re.compile(r"([,= ])")
 
-Tags = tuple[str, str]  # class and tenant
+Tags = tuple[str, str]  # request class and tenant
 
 
 class StatsdFormat:
-    """Lines as DogStatsD extends them: `name:value|kind|#tag:value,…`."""
+    """The statsd line format with the tags of DogStatsD: `name:value|kind|#tag:value,…`."""
 
     def tags(self, tags: Tags) -> str:
-        """Write the part of a line that names class and tenant."""
-        words = (_STATSD_SPECIAL.sub("_", word) for word in tags)
-        return "|#class:{},tenant:{}".format(*words)
+        """Return the part of a line that contains class and tenant."""
+        values = (_STATSD_SPECIAL.sub("_", tag) for tag in tags)
+        return "|#class:{},tenant:{}".format(*values)
 
     def line(self, name: str, kind: str, value: int, tags: str, at_ns: int) -> bytes:
-        """One line."""
+        """Return the line for one value."""
         return f"{PREFIX}{name}:{value}|{kind}{tags}\n".encode()
 
 
 class InfluxFormat:
-    """Line protocol: `name,tag=value,… value=1i time`."""
+    """The InfluxDB line protocol: `name,tag=value,… value=1i time`."""
 
     def __init__(self) -> None:
         self._last_ns = 0
 
     def tags(self, tags: Tags) -> str:
-        """Write the part of a line that names class and tenant."""
-        words = (_INFLUX_SPECIAL.sub(r"\\\1", _INFLUX_UNFIT.sub("_", word)) for word in tags)
-        return ",class={},tenant={}".format(*words)
+        """Return the part of a line that contains class and tenant."""
+        values = (_INFLUX_SPECIAL.sub(r"\\\1", _INFLUX_UNFIT.sub("_", tag)) for tag in tags)
+        return ",class={},tenant={}".format(*values)
 
     def line(self, name: str, kind: str, value: int, tags: str, at_ns: int) -> bytes:
-        """One line; times always differ, since of two points with one time and tags the later replaces."""
+        """Return the line for one value, with a time later than that of any line before.
+
+        InfluxDB keeps only the last of several points with the same time and tags.
+        """
         self._last_ns = max(at_ns, self._last_ns + 1)
         return f"{PREFIX}{name}{tags} value={value}i {self._last_ns}\n".encode()
 
 
 class MetricsReporter(DecisionObserver):
-    """Counts and times what passes."""
+    """Counts requests and measures attempts, and writes the metrics at regular intervals."""
 
     def __init__(
         self,
@@ -73,22 +77,22 @@
         self._format: StatsdFormat | InfluxFormat = (
             StatsdFormat() if settings.format == "statsd" else InfluxFormat()
         )
-        self._aims = {cls.name: cls.latency_target_ns for cls in served.classes}
+        self._latency_targets_ns = {cls.name: cls.latency_target_ns for cls in served.classes}
         self._tenants = {tenant.name for tenant in served.tenants}
         self._tags: dict[Tags, str] = {}
         self._inflight: dict[Tags, int] = {}
         self._counts: Counter[tuple[str, Tags]] = Counter()
 
     def start(self, scheduler: Scheduler) -> None:
-        """Flush from now on."""
+        """Start to flush the metrics at regular intervals."""
 
-        def again() -> None:
-            scheduler.call_at(scheduler.now() + self._flush_seconds, again)
+        def flush_and_reschedule() -> None:
+            scheduler.call_at(scheduler.now() + self._flush_seconds, flush_and_reschedule)
             self.flush()
 
-        scheduler.call_at(scheduler.now() + self._flush_seconds, again)
+        scheduler.call_at(scheduler.now() + self._flush_seconds, flush_and_reschedule)
 
-    # --- what passes ----------------------------------------------------------------------------
+    # --- observed events ------------------------------------------------------------------------
 
     def request_accepted(self, request: ClientRequest) -> None:
         """Count a request that was accepted."""
@@ -97,13 +101,13 @@
         self._inflight[tags] = self._inflight.get(tags, 0) + 1
 
     def attempt_finished(self, request: ClientRequest, _endpoint: str, outcome: AttemptOutcome) -> None:
-        """Record the time of an attempt; one that was never started has none."""
+        """Record the latency of an attempt, unless the attempt was never started."""
         if outcome.status is not api.AttemptStatus.NOT_STARTED:
             ms = round(outcome.latency_ns / 1e6)
             self._put("attempt_ms", "ms", ms, self._tags_of(request))
 
     def request_finished(self, request: ClientRequest, kind: str | None, took_ns: int) -> None:
-        """Count a request that is over."""
+        """Count a request that has ended."""
         tags = self._tags_of(request)
         self._inflight[tags] -= 1
         if kind is None:
@@ -111,13 +115,13 @@
             return
         self._counts["answers", tags] += 1
         self._counts[f"answers_{kind}", tags] += 1
-        if kind == "served" and took_ns > self._aims[request.request_class]:
+        if kind == "served" and took_ns > self._latency_targets_ns[request.request_class]:
             self._counts["answers_late", tags] += 1
 
-    # --- lines ----------------------------------------------------------------------------------
+    # --- output ---------------------------------------------------------------------------------
 
     def flush(self) -> None:
-        """Word the counts since the last time, and have all lines written."""
+        """Add lines for the counts since the last flush, and wake the writer for all queued lines."""
         for (name, tags), count in self._counts.items():
             self._put(name, "c", count, tags)
         self._counts.clear()
@@ -127,19 +131,19 @@
         self._lane.flush()
 
     def count_lost(self) -> None:
-        """Lines lost since the last time go to the counters, and to the collector in the next flush."""
+        """Count the lines lost since the last call, and report them to the collector in the next flush."""
         if lost := self._lane.lost():
             self._counters.add(DROPPED, lost)
             self._lane.hold(self._format.line(DROPPED, "c", lost, "", self._clock.now_ns()))
 
     def _put(self, name: str, kind: str, value: int, tags: Tags) -> None:
-        words = self._tags.get(tags)
-        if words is None:
-            words = self._tags[tags] = self._format.tags(tags)
-        self._lane.hold(self._format.line(name, kind, value, words, self._clock.now_ns()))
+        formatted_tags = self._tags.get(tags)
+        if formatted_tags is None:
+            formatted_tags = self._tags[tags] = self._format.tags(tags)
+        self._lane.hold(self._format.line(name, kind, value, formatted_tags, self._clock.now_ns()))
 
     def _tags_of(self, request: ClientRequest) -> Tags:
-        # Guards against a tag for each text that clients think up.
-        known = request.tenant in self._tenants
-        tenant = request.tenant if known and request.tenant else "other" if request.tenant else "none"
+        # Tenants that are not configured share one tag, so that clients can't create any number of tags.
+        is_known = request.tenant in self._tenants
+        tenant = request.tenant if is_known and request.tenant else "other" if request.tenant else "none"
         return request.request_class, tenant
--- a/brambleusher/features/output_queue.py
+++ b/brambleusher/features/output_queue.py
@@ -1,8 +1,8 @@
-"""The one way out for figures, captures and, beside them, the log: lines, written beside the serving thread.
+"""Queues for output lines (metrics, captures and the log) that a worker thread writes.
 
-Pipes, disks and FIFOs block, whatever they are asked, and requests must not wait for them.  So the
-serving thread only appends to a lane, which is bounded, and a worker writes.  The worker touches no
-greenlet and nothing of the scheduler's.
+Pipes, disks and FIFOs can block even in non-blocking mode, and requests must not wait for them.  The
+serving thread therefore only appends to a bounded queue, and a worker thread writes.  The worker uses no
+greenlets and no state of the scheduler.
 """
 
 from __future__ import annotations
@@ -18,65 +18,68 @@
 
 TAKEN_AT_ONCE = 16 * 1024
 EXIT_SECONDS = 1.0
-ITEM_BYTES = 41  # what Python holds for a line beside its text
+ITEM_BYTES = 41  # memory that Python needs for a line in addition to its text, in bytes
 
 
 class OutputQueue:
-    """Lines on their way to a writer; the oldest are dropped once they outgrow `limit` bytes."""
+    """A queue of lines for a writer; it drops the oldest lines when it exceeds `limit` bytes."""
 
     def __init__(self, worker: Worker, limit: int) -> None:
         self._lock, self._worker, self._limit = worker.lock, worker, limit
         self._items: deque[Item] = deque()
-        self._size = self._taken = self._lost = 0
-        self.due = False  # the writer may take
+        self._size = self._taken = self._lost_lines = 0
+        self.due = False  # whether the writer should take lines from this queue
 
     def put(self, items: Iterable[Item]) -> None:
-        """Append, and wake the writer."""
+        """Append items, and wake the writer."""
         with self._lock:
             for item in items:
                 self._items.append(item)
                 self._size += len(item) + ITEM_BYTES
             self._trim()
-            self._call()
+            self._wake_writer()
 
     def hold(self, item: Item) -> None:
-        """Append; the writer is woken at the next flush, or once the lane is half full."""
+        """Append an item without waking the writer until the next flush or until the queue is half full."""
         with self._lock:
             self._items.append(item)
             self._size += len(item) + ITEM_BYTES
             self._trim()
             if self._size * 2 > self._limit:
-                self._call()
+                self._wake_writer()
 
     def _trim(self) -> None:
         while self._size + self._taken > self._limit and self._items:
             dropped = self._items.popleft()
             self._size -= len(dropped) + ITEM_BYTES
-            self._lost += dropped.count(b"\n")
+            self._lost_lines += dropped.count(b"\n")
 
-    def _call(self) -> None:
+    def _wake_writer(self) -> None:
         if self._items and not self.due:
             self.due = True
             self._worker.wake()
 
     def flush(self) -> None:
-        """Have the writer take what there is."""
+        """Wake the writer to write all queued lines."""
         self.put(())
 
     def lost(self) -> int:
-        """How many lines were lost since this was asked last."""
+        """Return how many lines were lost since the last call."""
         with self._lock:
-            lost, self._lost = self._lost, 0
-        return lost
+            lost_lines, self._lost_lines = self._lost_lines, 0
+        return lost_lines
 
     @property
     def idle(self) -> bool:
-        """Whether nothing waits and nothing is being written."""
+        """Whether no line is queued and none is being written."""
         with self._lock:
             return not self._items and not self._taken
 
     def take(self) -> list[Item]:
-        """For the writer, which holds the lock: the oldest lines; they count until `written`."""
+        """Remove and return the oldest lines; the caller must be the writer and hold the lock.
+
+        The lines count towards the queue's limit until the writer calls `written`.
+        """
         items: list[Item] = []
         while self._items and (not items or self._taken < TAKEN_AT_ONCE):
             item = self._items.popleft()
@@ -86,68 +89,71 @@
         self.due = bool(self._items)
         return items
 
-    def written(self, lost: int) -> None:
-        """For the writer, which holds the lock: what was taken has been written, but for so many lines."""
-        self._taken, self._lost = 0, self._lost + lost
+    def written(self, lost_lines: int) -> None:
+        """Record that the taken lines were written, except `lost_lines` of them.
+
+        The caller must be the writer and hold the lock.
+        """
+        self._taken, self._lost_lines = 0, self._lost_lines + lost_lines
 
 
 class OutputWriter:
-    """A sink, the worker that writes to it, and the lanes that lead there."""
+    """Writes the lines of one or more queues to a sink, in a worker thread."""
 
     def __init__(self, sink: Sink, name: str, system: System) -> None:
         self._sink, self._name = sink, name
-        self._lanes: list[OutputQueue] = []
+        self._queues: list[OutputQueue] = []
         self._closing = self._closed = False
-        self._worker = system.worker(name, self._due, self._write)
+        self._worker = system.worker(name, self._has_work, self._write)
 
     def lane(self, limit: int) -> OutputQueue:
-        """One more lane, for the serving thread."""
-        lane = OutputQueue(self._worker, limit)
+        """Add a queue of at most `limit` bytes for the serving thread, and return it."""
+        queue = OutputQueue(self._worker, limit)
         with self._worker.lock:
-            self._lanes.append(lane)
-        return lane
+            self._queues.append(queue)
+        return queue
 
     def close(self, seconds: float = EXIT_SECONDS) -> None:
-        """Write what waits; a reader that has fallen behind is not waited for any longer than that."""
+        """Write the queued lines and close the sink, but wait at most `seconds` for a slow reader."""
         with self._worker.lock:
-            for lane in self._lanes:
-                lane.due = True
+            for queue in self._queues:
+                queue.due = True
             self._closing = True
             self._worker.wake()
         self._worker.end(seconds)
 
-    def _due(self) -> bool:
-        return any(lane.due for lane in self._lanes) or (self._closing and not self._closed)
+    def _has_work(self) -> bool:
+        return any(queue.due for queue in self._queues) or (self._closing and not self._closed)
 
     def _write(self) -> None:
-        """One turn of the worker: what is due is taken and written."""
+        """Take one batch of lines from each queue that is due, and write the batches to the sink."""
         with self._worker.lock:
-            taken = [(lane, lane.take()) for lane in self._lanes if lane.due]
-            last = self._closing and not any(lane.due for lane in self._lanes)
-        for lane, items in taken:
+            batches = [(queue, queue.take()) for queue in self._queues if queue.due]
+            is_last = self._closing and not any(queue.due for queue in self._queues)
+        for queue, items in batches:
             try:
-                lost = self._sink.write(items) if items else 0
+                lost_lines = self._sink.write(items) if items else 0
             except Exception:
-                # Guards against one fault ending the worker, and with it all that goes this way.
+                # One fault must not end the worker, because no more lines would be written to this sink.
                 log.exception("output failed", extra={"fields": {"output": self._name}})
-                lost = count_lines(items)
+                lost_lines = count_lines(items)
             with self._worker.lock:
-                lane.written(lost)
-        if last and not self._closed:
+                queue.written(lost_lines)
+        if is_last and not self._closed:
             self._closed = True
             self._sink.close()
 
 
 class OutputQueueStream:
-    """A stream for the log handler, so that a log line never waits for standard error either."""
+    """A stream for the log handler that puts lines into a queue, so that logging never blocks."""
 
-    def __init__(self, lane: OutputQueue) -> None:
-        self._lane = lane
+    def __init__(self, queue: OutputQueue) -> None:
+        self._queue = queue
 
     def write(self, text: str) -> int:
-        """One log line, with its line end."""
-        self._lane.put((text.encode("utf-8", "backslashreplace"),))
+        """Queue one log line, which must include its line end."""
+        self._queue.put((text.encode("utf-8", "backslashreplace"),))
         return len(text)
 
     def flush(self) -> None:
-        """Each line is on its way already."""
+        """Do nothing, since `write` wakes the writer for each line."""
--- a/brambleusher/features/records.py
+++ b/brambleusher/features/records.py
@@ -1,6 +1,6 @@
-"""Records of a capture: events and actions of the balancer as JSON values, and back.
+"""Encode the balancer's events and actions as the JSON records of a capture, and decode them.
 
-The names and keys here are a stored form that captures of earlier versions have; they never change.
+The names and keys are a stored format that existing captures use, so they must not change.
 """
 
 from __future__ import annotations
@@ -17,21 +17,21 @@
 from brambleusher.net.endpoint_list import state_of, state_word
 
 VERSION = 1
-BEGIN = "begin"  # the balancer's start, which is no event
+BEGIN = "begin"  # event name in the record of the balancer's start, which has no event
 NS_PER_MS = 1_000_000
 
 JsonObject = dict[str, Any]
 
 
 class RecordError(ValueError):
-    """A record that can't be read."""
+    """A record that can't be decoded."""
 
 
 # --- entries --------------------------------------------------------------------------------
 
 
 def encode_entry(entry: api.HostEntry, address: str) -> JsonObject:
-    """Return an entry of the endpoint list in discovery's form."""
+    """Return an endpoint list entry as a JSON object in the format of the discovery service."""
     return {
         "id": entry.host,
         "addr": address,
@@ -45,7 +45,7 @@
 
 
 def decode_entry(raw: Mapping[str, Any]) -> api.HostEntry:
-    """Return the entry of the endpoint list that the balancer was given."""
+    """Return the endpoint list entry that the balancer received, from its JSON object."""
     return api.HostEntry(
         raw["id"],
         raw["zone"],
@@ -127,7 +127,7 @@
     return {}
 
 
-# An event's name, and what the balancer was given with it beside the request's id, class and tenant.
+# By event type: the recorded name, and the encoder for the fields other than request id, class and tenant.
 _ENCODERS: dict[type, tuple[str, Callable[[Any], JsonObject]]] = {
     api.RequestArrived: ("request", _encode_request),
     api.AttemptEnded: ("attempt", _encode_attempt),
@@ -155,16 +155,16 @@
 
 
 def encode_event(event: api.Event | None) -> tuple[str, JsonObject]:
-    """Return an event's name and its fields."""
+    """Return the recorded name of an event, and its fields."""
     name, encode = _ENCODERS[type(event)]
     return name, encode(event)
 
 
 def decode_event(record: JsonObject) -> api.Event | None:
-    """Return the event of a record, as the balancer was given it; None for its start.
+    """Return the event that the balancer received, from its record; None for the balancer's start.
 
     Raises:
-        RecordError: The event is of no known kind.
+        RecordError: The event's name is unknown.
     """
     name, fields = record["ev"], record["in"]
     decode = _DECODERS.get(name)
@@ -175,7 +175,7 @@
 
 # --- actions --------------------------------------------------------------------------------
 
-# An action's name and its fields in order; they are texts and whole numbers.
+# By action type: the encoder to a list of the action's name and its fields, which are strings and integers.
 _ACTIONS: dict[type, Callable[[Any], list[Any]]] = {
     api.StartAttempt: lambda action: ["send", action.request, action.host, action.timeout_ns],
     api.RejectRequest: lambda action: ["refuse", action.request, action.retry_after_ns],
@@ -190,7 +190,7 @@
 
 
 def encode_action(action: api.Action) -> list[Any]:
-    """Return an action as a list."""
+    """Return an action as a list of its name and its fields."""
     return _ACTIONS[type(action)](action)
 
 
@@ -198,7 +198,7 @@
 
 
 def recorded_server(event: api.Event | None, actions: Sequence[api.Action]) -> str | None:
-    """Return the server a record is about: that of the new attempt, else that of the ended one."""
+    """Return the server of the attempt that a record starts, or else of the attempt that it ends."""
     for action in actions:
         if isinstance(action, api.StartAttempt):
             return action.host
@@ -206,12 +206,15 @@
 
 
 def encode_record(record: JsonObject) -> bytes:
-    """Return a record as a line, with a checksum that shows a change which leads to no other decision."""
+    """Return a record as a line of JSON with a checksum.
+
+    The checksum reveals changes to the record that do not change the rerun decisions.
+    """
     text = orjson.dumps(record)
     return b'%s,"crc":%d}\n' % (text[:-1], zlib.crc32(text))
 
 
 def has_valid_checksum(record: JsonObject) -> bool:
-    """Return whether a record's checksum, which is taken out of it, fits."""
+    """Remove the checksum from a record, and return whether the checksum is valid."""
     checksum = record.pop("crc", None)
     return type(checksum) is int and checksum == zlib.crc32(orjson.dumps(record))
--- a/brambleusher/features/replay.py
+++ b/brambleusher/features/replay.py
@@ -1,4 +1,4 @@
-"""Reruns the decisions of a capture, and prints those that differ.  No sockets, no clock."""
+"""Rerun the decisions in a capture without sockets or a clock, and print those that differ."""
 
 from __future__ import annotations
 
@@ -27,20 +27,20 @@
 
 
 class CaptureError(ValueError):
-    """A file that is no capture, or not one that can be rerun here."""
+    """A file is not a capture, or this version can't rerun it."""
 
 
 @dataclass
 class ReplaySummary:
-    """What was found so far."""
+    """The numbers of records, differences and other lines found so far."""
 
     records: int = 0
     differing: int = 0
-    other: int = 0  # lines that are no records
+    other: int = 0  # lines that are not records, such as log lines
 
 
 class Rerun:
-    """The decisions from one header on."""
+    """Reruns the decisions that follow one header."""
 
     def __init__(self, head: dict[str, Any]) -> None:
         version = head.get("v")
@@ -63,38 +63,38 @@
             raise CaptureError(str(error)) from None
         if state is not None and self._listed != known_hosts(self._balancer):
             raise CaptureError("the header's list is not the one its state was taken with")
-        # An attempt may end on a server that has left the list.
-        self._ever = self._listed | attempted_hosts(self._balancer)
-        next_one = head.get("n", 0)
-        self.next = next_one if isinstance(next_one, int) else 0
+        # An attempt may end on a server that is no longer in the list.
+        self._ever_listed = self._listed | attempted_hosts(self._balancer)
+        next_record = head.get("n", 0)
+        self.next = next_record if isinstance(next_record, int) else 0
 
     def check(self, record: dict[str, Any]) -> list[str]:
-        """Find what differs in one record."""
-        found = [] if has_valid_checksum(record) else ["the record was changed: its checksum does not fit"]
+        """Rerun one record, and return descriptions of the differences."""
+        differences = [] if has_valid_checksum(record) else ["the record was changed: its checksum is wrong"]
         try:
             event, now = decode_event(record), record["t_ns"]
-            told, server = record["out"], record["server"]
+            recorded_actions, server = record["out"], record["server"]
         except Exception as error:
-            return [*found, f"the record can't be read: {type(error).__name__}: {error}"]
+            return [*differences, f"the record can't be read: {type(error).__name__}: {error}"]
         raised, actions = None, []
         try:
             actions = self._balancer.start(now) if event is None else self._balancer.handle(event, now)
         except Exception as error:
             raised = type(error).__name__
         if isinstance(event, api.HostListUpdated):
-            self._follow(event)
+            self._update_listed(event)
         if raised != record.get("raised"):
-            found.append(f"recorded failure {record.get('raised')}, rerun failure {raised}")
-        again = [encode_action(action) for action in actions]
-        if again != told:
-            found.append(f"recorded {_text(told)}, rerun {_text(again)}")
+            differences.append(f"recorded failure {record.get('raised')}, rerun failure {raised}")
+        rerun_actions = [encode_action(action) for action in actions]
+        if rerun_actions != recorded_actions:
+            differences.append(f"recorded {_text(recorded_actions)}, rerun {_text(rerun_actions)}")
         if recorded_server(event, actions) != server:
-            found.append(
+            differences.append(
                 f"recorded server {_text(server)}, rerun server {_text(recorded_server(event, actions))}"
             )
-        return found + self._unknown(event, server, told)
+        return differences + self._unknown_servers(event, server, recorded_actions)
 
-    def _follow(self, event: api.HostListUpdated) -> None:
+    def _update_listed(self, event: api.HostListUpdated) -> None:
         if event.kind is api.ListKind.FAILED:
             return
         if event.kind is not api.ListKind.DELTA:
@@ -104,16 +104,20 @@
                 self._listed.discard(entry.host)
             else:
                 self._listed.add(entry.host)
-        self._ever |= self._listed
-
-    def _unknown(self, event: api.Event | None, server: str | None, told: Sequence[object]) -> list[str]:
-        """Find servers that the record names and the list does not."""
-        sent = {action[2] for action in told if isinstance(action, list) and action[:1] == ["send"]}
+        self._ever_listed |= self._listed
+
+    def _unknown_servers(
+        self, event: api.Event | None, server: str | None, recorded_actions: Sequence[object]
+    ) -> list[str]:
+        """Return a message for each server in the record that was never in the endpoint list."""
+        sent = {
+            action[2] for action in recorded_actions if isinstance(action, list) and action[:1] == ["send"]
+        }
         ended = {event.host} if isinstance(event, api.AttemptEnded) else set()
         if server is not None and server not in ended:
             sent.add(server)
         unknown = [name for name in sent if name not in self._listed]
-        unknown += [name for name in ended if name not in self._ever]
+        unknown += [name for name in ended if name not in self._ever_listed]
         return [f"the server {_text(name)} is unknown" for name in unknown]
 
 
@@ -122,18 +126,18 @@
 
 
 def _lines(file: BinaryIO) -> Iterator[tuple[bytes, bool]]:
-    """Each line, and whether it is the last."""
-    before: bytes | None = None
+    """Yield each line of a file, and whether it is the last line."""
+    previous: bytes | None = None
     for line in file:
-        if before is not None:
-            yield before, False
-        before = line
-    if before is not None:
-        yield before, True
+        if previous is not None:
+            yield previous, False
+        previous = line
+    if previous is not None:
+        yield previous, True
 
 
 class _Replay:
-    """One pass over a capture."""
+    """Processes the lines of a capture, and counts and prints the differences."""
 
     def __init__(self, out: TextIO) -> None:
         self._out = out
@@ -141,8 +145,8 @@
         self.summary = ReplaySummary()
 
     def process(self, number: int, line: bytes, is_last: bool) -> None:
-        """Process a line; raises `CaptureError` where nothing can be rerun from it."""
-        if not line.startswith(b"{"):  # the sidecar's log and its metrics go the same way as a dump
+        """Process one line; raises `CaptureError` if the records that follow can't be rerun."""
+        if not line.startswith(b"{"):  # the sidecar writes its log and metrics to the same stream as a dump
             self.summary.other += 1
             return
         try:
@@ -156,7 +160,7 @@
             self._check(number, record)
 
     def finish(self) -> ReplaySummary:
-        """Return what was found; raises `CaptureError` where there was no header."""
+        """Return the summary; raises `CaptureError` if there was no header."""
         if self._current is None:
             raise CaptureError("there is no header")
         return self.summary
@@ -174,11 +178,13 @@
         self.summary.records += 1
         where = f"line {number}, record {_text(record.get('n'))}"
         if record.get("n") != current.next:
-            self._report_difference(where, f"record {current.next} should stand here")
+            self._report_difference(where, f"record {current.next} was expected here")
         current.next = record["n"] + 1 if isinstance(record.get("n"), int) else current.next + 1
-        words = " ".join(f"{key}={_text(record.get(key))}" for key in ("t_ms", "ev", "id", "class", "tenant"))
+        event_fields = " ".join(
+            f"{key}={_text(record.get(key))}" for key in ("t_ms", "ev", "id", "class", "tenant")
+        )
         if differences := current.check(record):
-            self._report_difference(f"{where} {words}", "; ".join(differences))
+            self._report_difference(f"{where} {event_fields}", "; ".join(differences))
 
     def _report_difference(self, where: str, what: str) -> None:
         self.summary.differing += 1
@@ -186,19 +192,23 @@
 
 
 def rerun(file: BinaryIO, out: TextIO) -> ReplaySummary:
-    """Rerun a capture, or the log of a sidecar with dumps in it; prints as it goes.
+    """Rerun a capture, or a sidecar's log that contains dumps, and print each difference when it is found.
 
     Raises:
-        CaptureError: it has no header, or one that can't be rerun here.
+        CaptureError: The file has no header, or a header that this version can't use.
     """
-    pass_over = _Replay(out)
+    current_replay = _Replay(out)
     for number, (line, is_last) in enumerate(_lines(file), 1):
-        pass_over.process(number, line, is_last)
-    return pass_over.finish()
+        current_replay.process(number, line, is_last)
+    return current_replay.finish()
 
 
 def replay(path: str, out: TextIO, errors: TextIO) -> int:
-    """Rerun the capture in a file: 0 if no decision differs, 1 if some do, 2 if the file is refused."""
+    """Rerun the capture in a file.
+
+    Returns:
+        The exit status: 0 if no decision differs, 1 if some do, 2 if the file can't be rerun.
+    """
     try:
         with Path(path).open("rb") as file:
             summary = rerun(file, out)
--- a/brambleusher/features/rewrites.py
+++ b/brambleusher/features/rewrites.py
@@ -1,7 +1,8 @@
-"""Header rewrites: fields forwarded to endpoints and to clients, changed by the operator's rules.
+"""Rewrite the header fields forwarded to endpoints and clients by the operator's rules, without I/O.
 
-No sockets here.  Hop-by-hop fields go first, then the rules act in file order, and `Forwarded` is
-written last, so that a rule can drop what came of it but not what this sidecar says.
+Hop-by-hop fields are removed first, then the rules are applied in file order, and the sidecar's own
+`Forwarded` field is added last.  A rule can therefore drop received `Forwarded` fields, but not the
+sidecar's own.
 """
 
 from __future__ import annotations
@@ -15,27 +16,27 @@
 from brambleusher.net.http import HeaderField, Message
 from brambleusher.operator_settings.rewrite_rules import RewriteRule
 
-# A list whose quotes are balanced; in any other, what is appended could land inside a quote.
+# Matches a list with balanced quotes; in any other list, an appended value could become part of a quote.
 _QUOTES_CLOSED = re.compile(r'(?:[^"]|"(?:[^"\\]|\\.)*")*\Z')
 
 
 def forwarded_for(client: str) -> str:
-    """Write a `for=` parameter (RFC 7239): IPv6 in brackets and quotes."""
+    """Return a `for=` parameter (RFC 7239) for an address; IPv6 addresses get brackets and quotes."""
     address = ipaddress.ip_address(client.partition("%")[0])
     is_ipv4 = isinstance(address, ipaddress.IPv4Address)
     return f"for={address}" if is_ipv4 else f'for="[{address}]"'
 
 
 def forward(fields: list[HeaderField], client: str) -> list[HeaderField]:
-    """Add the client's address to what `Forwarded` already has."""
-    came = [value for name, value in fields if name.lower() == "forwarded"]
-    chain = [value for value in came if value and _QUOTES_CLOSED.match(value)]
-    kept = [field for field in fields if field[0].lower() != "forwarded"]
-    return [*kept, ("Forwarded", ", ".join([*chain, forwarded_for(client)]))]
+    """Merge all `Forwarded` fields into one, and append the client's address to it."""
+    received = [value for name, value in fields if name.lower() == "forwarded"]
+    chain = [value for value in received if value and _QUOTES_CLOSED.match(value)]
+    others = [field for field in fields if field[0].lower() != "forwarded"]
+    return [*others, ("Forwarded", ", ".join([*chain, forwarded_for(client)]))]
 
 
 def apply(rule: RewriteRule, fields: list[HeaderField]) -> list[HeaderField]:
-    """Apply one rule; names compare without regard to case."""
+    """Apply one rule to header fields; names are compared case-insensitively."""
     name = rule.name.lower()
     if rule.action == "add":
         return [*fields, (rule.name, rule.value)]
@@ -43,16 +44,16 @@
         return [field for field in fields if field[0].lower() != name]
     if all(field[0].lower() != name for field in fields):
         return fields
-    # Renamed onto a header that is there, it replaces that one.
+    # A renamed field replaces existing fields with the new name.
     return [
-        (rule.value, value) if given.lower() == name else (given, value)
-        for given, value in fields
-        if given.lower() == name or given.lower() != rule.value.lower()
+        (rule.value, value) if field_name.lower() == name else (field_name, value)
+        for field_name, value in fields
+        if field_name.lower() == name or field_name.lower() != rule.value.lower()
     ]
 
 
 class Rewrites:
-    """The rules of one sidecar."""
+    """Applies the header rewrite rules of one sidecar."""
 
     def __init__(self, rules: Iterable[RewriteRule]) -> None:
         self._rules: dict[str, list[RewriteRule]] = {"in": [], "out": []}
@@ -61,17 +62,17 @@
 
     @property
     def classes(self) -> set[str]:
-        """The classes that rules name."""
-        every = [rule.request_class for rules in self._rules.values() for rule in rules]
-        return {name for name in every if name is not None}
+        """The request classes that the rules are limited to."""
+        names = [rule.request_class for rules in self._rules.values() for rule in rules]
+        return {name for name in names if name is not None}
 
     def inward(self, request: Message, path: str, request_class: str, client: str) -> Message:
-        """Rewrite a request as the endpoint is to get it."""
+        """Return a request with the header fields that are forwarded to the endpoint."""
         fields = self._apply("in", end_to_end(request), path, request_class)
         return replace(request, forwarded_fields=forward(fields, client))
 
     def outward(self, fields: list[HeaderField], path: str, request_class: str) -> list[HeaderField]:
-        """Rewrite the fields of a response as the client is to get them."""
+        """Return the header fields of a response as they are forwarded to the client."""
         return self._apply("out", fields, path, request_class)
 
     def _apply(
--- a/brambleusher/features/status.py
+++ b/brambleusher/features/status.py
@@ -1,7 +1,7 @@
-"""The status page: what this sidecar knows of its endpoints, on a port of its own.
+"""The status page with this sidecar's endpoints and requests, served on a separate port.
 
-Everything it serves is built beforehand, by a timer.  Whoever looks, and however slowly, only has
-ready bytes sent to him by one of a few tasks.
+A timer builds the page in advance.  A request for it, even from a slow client, only sends prepared bytes in
+one of a few tasks.
 """
 
 from __future__ import annotations
@@ -35,8 +35,8 @@
 log = logging.getLogger(__name__)
 
 MINUTE_S = 60
-ERRORS_KEPT = 3  # of each endpoint
-MAX_JOINED_PIECES = 8  # a page of no more pieces is put together
+ERRORS_KEPT = 3  # the number of recent errors shown for each endpoint
+MAX_JOINED_PIECES = 8  # a response with at most this many chunks is joined into one
 _NO_ERROR = frozenset({AttemptStatus.OK, AttemptStatus.CANCELLED, AttemptStatus.NOT_STARTED})
 
 
@@ -45,7 +45,7 @@
 
 
 class StatusPage(DecisionObserver):
-    """Keeps what the page shows, and builds it."""
+    """Collects the data of the status page, and builds the page at regular intervals."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
         scheduler: Scheduler,
         zone_status: Callable[[], dict[str, object] | None] = _no_zones,
     ) -> None:
-        """`zone_status` says what the balancer makes of zones, where there are rules on them."""
+        """Create the page; `zone_status` returns the balancer's zone status, or None without zone rules."""
         self._zone_status = zone_status
         self._port, self._refresh_interval_s = settings.port, settings.refresh_ms / 1000
         self._scheduler, self._classes = scheduler, [cls.name for cls in served.classes]
@@ -63,14 +63,14 @@
         self._rows = RowBlocks(self._render_endpoint)
         self._errors: dict[str, deque[tuple[int, str]]] = {}
         self._inflight = dict.fromkeys(self._classes, 0)
-        self._answers: deque[tuple[int, Counter[str]]] = deque()  # by second, the last minute's
-        self._pages: dict[str, list[bytes]] = {}  # in pieces, which several pages share
+        self._answers: deque[tuple[int, Counter[str]]] = deque()  # counts per second of the last minute
+        self._pages: dict[str, list[bytes]] = {}  # by path, responses as chunks, which pages may share
         self._server = StatusServer(scheduler, self._pages)
         self._refreshing: Task | None = None
-        self.address: tuple[str, int] | None = None  # where it listens
+        self.address: tuple[str, int] | None = None  # the address that the page listens on
 
     def start(self, host: str) -> None:
-        """Listen on the host the sidecar itself listens on; where that can't be, it is logged."""
+        """Listen on `host`, the sidecar's own; a failure to listen is only logged."""
         try:
             self.address = self._server.listen((host, self._port))
         except OSError as error:
@@ -89,19 +89,19 @@
 
     @property
     def viewers(self) -> int:
-        """Connections being served."""
+        """The number of connections being served."""
         return self._server.viewers
 
     def stop(self) -> None:
-        """Close the listener and the viewers' connections."""
+        """Close the listener and all connections."""
         if self._refreshing is not None:
             self._refreshing.cancel()
         self._server.stop()
 
-    # --- what is shown --------------------------------------------------------------------------
+    # --- observed events ------------------------------------------------------------------------
 
     def update_endpoints(self, update: EndpointListUpdate) -> None:
-        """Follow the endpoint list; shown at the next refresh."""
+        """Apply an endpoint list update, which is shown after the next refresh."""
         if update.full:
             self._endpoints.clear()
             self._rows = RowBlocks(self._render_endpoint)
@@ -115,44 +115,44 @@
                 self._endpoints[name] = endpoint
                 self._rows.changed(name)
         if update.full:
-            self._errors = {name: kept for name, kept in self._errors.items() if name in self._endpoints}
+            self._errors = {name: recent for name, recent in self._errors.items() if name in self._endpoints}
 
     def request_accepted(self, request: ClientRequest) -> None:
         """Count a request that was accepted."""
         self._inflight[request.request_class] += 1
 
     def attempt_finished(self, _request: ClientRequest, endpoint: str, outcome: AttemptOutcome) -> None:
-        """Keep the error of an attempt with its endpoint."""
+        """Record the error of a failed attempt for its endpoint."""
         if outcome.status not in _NO_ERROR and endpoint in self._endpoints:
             errors = self._errors.setdefault(endpoint, deque(maxlen=ERRORS_KEPT))
             errors.append((int(self._age_s() * 1000), outcome.status.value))
             self._rows.changed(endpoint)
 
     def request_finished(self, request: ClientRequest, kind: str | None, _took_ns: int) -> None:
-        """Count a request that is over."""
+        """Count a request that has ended."""
         self._inflight[request.request_class] -= 1
         if kind is None:
             return
         second = int(self._age_s())
         if not self._answers or self._answers[-1][0] != second:
-            self._forget_before_last_minute(second)
+            self._drop_before_last_minute(second)
             self._answers.append((second, Counter()))
         self._answers[-1][1][request.request_class] += 1
 
     def _age_s(self) -> float:
         return self._scheduler.now() - self._started
 
-    def _forget_before_last_minute(self, second: int) -> None:
+    def _drop_before_last_minute(self, second: int) -> None:
         while self._answers and self._answers[0][0] <= second - MINUTE_S:
             self._answers.popleft()
 
     # --- building the page ----------------------------------------------------------------------
 
     def _refresh(self) -> None:
-        """Build the page now and then; of thousands of rows only those that changed, block by block."""
+        """Build the page at regular intervals; render only blocks with changed rows, one block at a time."""
         while True:
             self._scheduler.sleep(self._refresh_interval_s)
-            for _ in range(len(self._rows)):  # at the most: rows may change all the time
+            for _ in range(len(self._rows)):  # bounded, since rows may change while blocks are rendered
                 if not self._rows.step():
                     break
                 self._scheduler.yield_until_idle()
@@ -165,8 +165,8 @@
         self._pages["/status.json"] = _response("application/json", json)
 
     def snapshot(self) -> StatusSnapshot:
-        """Take all that is shown but the servers, as of now."""
-        self._forget_before_last_minute(int(self._age_s()))
+        """Return the current status, except for the servers."""
+        self._drop_before_last_minute(int(self._age_s()))
         minute: Counter[str] = Counter()
         for _, answers in self._answers:
             minute.update(answers)
@@ -193,7 +193,7 @@
 
 
 def _response(content_type: str, body: list[bytes]) -> list[bytes]:
-    """Make a whole response in pieces."""
+    """Return a complete HTTP response as chunks."""
     headers = [("Content-Type", content_type), ("Cache-Control", "no-store")]
     head = write_response(200, headers, b"", keep_alive=False, length=sum(map(len, body)))
     return [head, *body] if len(body) > MAX_JOINED_PIECES else [head + b"".join(body)]
--- a/brambleusher/features/status_rendering.py
+++ b/brambleusher/features/status_rendering.py
@@ -1,4 +1,4 @@
-"""The status page as HTML and JSON; whatever came from outside is escaped."""
+"""Render the status page as HTML and JSON; texts from outside are escaped."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class ServerError(TypedDict):
-    """One failed attempt on a server; `t_ms` is since the start of the sidecar."""
+    """One failed attempt on a server; `t_ms` is the time since the sidecar's start, in milliseconds."""
 
     t_ms: int
     error: str
 
 
 class ServerStatus(TypedDict):
-    """What is shown of one server."""
+    """The status of one server, as shown on the page."""
 
     id: str
     addr: str
@@ -30,15 +30,15 @@
 
 
 class ZonesStatus(TypedDict):
-    """What is shown of zones, where there are rules on them."""
+    """The status of the zones, shown only if there are zone rules."""
 
     zones: list[dict[str, object]]
     panic: object
-    beyond: object  # requests that fit in no zone
+    beyond: object  # the requests that exceed the capacity of all zones
 
 
 class StatusSnapshot(TypedDict):
-    """All that is shown but the servers."""
+    """The content of the status page, except for the servers."""
 
     zones: NotRequired[ZonesStatus]
     version: str
@@ -48,14 +48,14 @@
 
 
 def render_server(server: ServerStatus) -> tuple[bytes, bytes]:
-    """Render a server as the page's row and as JSON."""
+    """Render a server as an HTML table row and as JSON."""
     errors = ", ".join(f"{error['error']} at {error['t_ms']} ms" for error in server["errors"])
     row = _row([server["id"], server["addr"], server["state"], errors])
     return row.encode() + b"\n", orjson.dumps(server)
 
 
 def render_page(snapshot: StatusSnapshot, server_rows: Iterable[bytes]) -> list[bytes]:
-    """Render a snapshot as plain HTML round the servers' rows, in pieces."""
+    """Render a snapshot and the given server rows as HTML, and return the page as chunks."""
     before = [
         f'<!DOCTYPE html>\n<html lang="en"><head><meta charset="utf-8"><title>brambleusher</title>'
         f"<style>{_STYLE}</style></head><body>",
--- a/brambleusher/features/status_server.py
+++ b/brambleusher/features/status_server.py
@@ -1,4 +1,4 @@
-"""Serves the status page: ready bytes to a few viewers at once, one request a connection."""
+"""Serve the status page: prepared bytes to a few clients at a time, with one request per connection."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 from brambleusher.runtime.streams import Stream
 from brambleusher.runtime.system import Address, Socket
 
-MAX_VIEWERS = 8  # connections served at once; others wait in the backlog
+MAX_VIEWERS = 8  # connections served at the same time; others wait in the listen backlog
 DESCRIPTORS = MAX_VIEWERS + 1
 BACKLOG = 16
-VIEW_TIMEOUT_S = 2.0  # from the accept to the last byte that a viewer takes
+VIEW_TIMEOUT_S = 2.0  # limit for the time from accepting a connection to sending the last byte
 
 
 class StatusServer:
-    """Serves pages that someone else keeps up to date."""
+    """Serves prepared pages, which the owner of the `pages` mapping replaces."""
 
     def __init__(self, scheduler: Scheduler, pages: Mapping[str, list[bytes]]) -> None:
-        """`pages` are whole responses in pieces, by path."""
+        """Serve `pages`, which maps a path to a complete HTTP response as chunks."""
         self._scheduler, self._pages = scheduler, pages
         self._listener: Socket | None = None
         self._accepting: Task | None = None
@@ -35,21 +35,21 @@
 
     @property
     def viewers(self) -> int:
-        """Connections being served."""
+        """The number of connections being served."""
         return len(self._viewers)
 
     def listen(self, address: Address) -> Address:
-        """Bind; returns the address it listens on, raises `OSError`."""
+        """Bind the listener and return its address; raises `OSError` if that fails."""
         self._listener = self._scheduler.system.listen(address, BACKLOG)
         return local_address(self._listener)
 
     def start(self) -> None:
-        """Start to accept viewers."""
+        """Start to accept connections."""
         if self._listener is not None:
             self._accepting = self._scheduler.spawn(self._accept_all, self._listener, name="status")
 
     def stop(self) -> None:
-        """Close the listener and the viewers' connections."""
+        """Close the listener and all connections."""
         if self._accepting is not None:
             self._accepting.cancel()
         if self._listener is not None:
@@ -89,7 +89,7 @@
         self._viewers[task] = stream
 
     def _serve(self, stream: Stream) -> None:
-        """Serve one request, and end the connection."""
+        """Serve one request, then end the connection."""
         reader, deadline = MessageReader.requests(), self._scheduler.now() + VIEW_TIMEOUT_S
         try:
             while (request := reader.take()) is None:
@@ -100,8 +100,8 @@
             response = self._response(request)
         except HttpError as error:
             response = [write_response(error.status, [], f"{error}\n".encode(), keep_alive=False)]
-        for piece in response:
-            stream.send(piece, deadline)
+        for chunk in response:
+            stream.send(chunk, deadline)
         stream.finish()
 
     def _response(self, request: Message) -> list[bytes]:
--- a/brambleusher/xds/subscriber.py
+++ b/brambleusher/xds/subscriber.py
@@ -36,9 +36,8 @@
 MAX_SHOWN_CHARS = 100
 MAX_NONCE_DIGITS = 18
 MAX_CACHED_HEADS = 64  # limit for a snapshot, since subscribers may ask for any number of name selections
-NAME_LISTS = (
-    3  # lists of names in a request, each within the limit: subscribed, unsubscribed, initial versions
-)
+# A request has three lists of names, each with its own limit: subscribed, unsubscribed and initial versions.
+NAME_LISTS = 3
 # Field numbers in DiscoveryResponse and DeltaDiscoveryResponse.
 _VERSION_FIELD, _TYPE_URL_FIELD, _NONCE_FIELD, _REMOVED_FIELD = 1, 4, 5, 6
 
@@ -273,10 +272,8 @@
     def _unsubscribe(subscription: _Subscription, name: str) -> None:
         if name == WILDCARD:
             subscription.is_wildcard = False
-            for sent_name in [
-                sent_name for sent_name in subscription.sent if sent_name not in subscription.names
-            ]:
-                subscription.forget(sent_name)
+            for dropped in [dropped for dropped in subscription.sent if dropped not in subscription.names]:
+                subscription.forget(dropped)
             return
         subscription.names.discard(name)
         if subscription.is_wildcard:
--- a/brambleusher/xds/tls.py
+++ b/brambleusher/xds/tls.py
@@ -67,10 +67,7 @@
     except (ValueError, TypeError, UnsupportedAlgorithm):
         raise ControlError("tls.key is not a private key in PEM without a password") from None
     authorities = _certificates(client_ca, "client_ca")
-    for what, checked in (
-        ("certificate", chain[0]),
-        *(("client_ca", authority) for authority in authorities),
-    ):
+    for what, checked in (("certificate", chain[0]), *(("client_ca", issuer) for issuer in authorities)):
         if not checked.not_valid_before_utc <= now <= checked.not_valid_after_utc:
             raise ControlError(
                 f"tls.{what} is valid from {checked.not_valid_before_utc} to {checked.not_valid_after_utc}"
--- a/tests/features/test_figures.py
+++ b/tests/features/test_figures.py
@@ -195,7 +195,7 @@
         rig = self.rig(f"figures: {{target: 'file:{self.file}', flush_ms: 10, format: influx}}")
         figures = rig.sidecar.metrics_reporter
         assert figures is not None
-        with mock.patch.dict(figures._aims, {"look": 0}):  # every answer takes longer than that
+        with mock.patch.dict(figures._latency_targets_ns, {"look": 0}):  # every answer takes longer
             rig.call("a")
         until(lambda: self.file.exists() and "answers_late,class=look" in self.file.read_text())
         self.assertRegex(
