--- a/brambleusher/features/capture.py
+++ b/brambleusher/features/capture.py
@@ -252,16 +252,16 @@
 
     def write(self, items: list[Item]) -> int:
         """Write segments, and return how many lines could not be written."""
-        lost_lines = 0
+        unwritten_lines = 0
         for item in items:
             try:
                 self._write(item)
                 self._is_failing = False
             except OSError as error:
-                lost_lines += item.count(b"\n")
+                unwritten_lines += item.count(b"\n")
                 self._path = None
                 self._report_failure(error)
-        return lost_lines
+        return unwritten_lines
 
     def _report_failure(self, error: OSError) -> None:
         """Log only the first of several consecutive failures."""
--- a/brambleusher/features/output_queue.py
+++ b/brambleusher/features/output_queue.py
@@ -27,7 +27,7 @@
     def __init__(self, worker: Worker, limit: int) -> None:
         self._lock, self._worker, self._limit = worker.lock, worker, limit
         self._items: deque[Item] = deque()
-        self._size = self._taken = self._lost_lines = 0
+        self._size = self._taken = self._dropped_lines = 0
         self.due = False  # whether the writer should take lines from this queue
 
     def put(self, items: Iterable[Item]) -> None:
@@ -52,7 +52,7 @@
         while self._size + self._taken > self._limit and self._items:
             dropped = self._items.popleft()
             self._size -= len(dropped) + ITEM_BYTES
-            self._lost_lines += dropped.count(b"\n")
+            self._dropped_lines += dropped.count(b"\n")
 
     def _wake_writer(self) -> None:
         if self._items and not self.due:
@@ -66,8 +66,8 @@
     def lost(self) -> int:
         """Return how many lines were lost since the last call."""
         with self._lock:
-            lost_lines, self._lost_lines = self._lost_lines, 0
-        return lost_lines
+            dropped_lines, self._dropped_lines = self._dropped_lines, 0
+        return dropped_lines
 
     @property
     def idle(self) -> bool:
@@ -89,12 +89,12 @@
         self.due = bool(self._items)
         return items
 
-    def written(self, lost_lines: int) -> None:
-        """Record that the taken lines were written, except `lost_lines` of them.
+    def written(self, dropped_lines: int) -> None:
+        """Record that the taken lines were written, except `dropped_lines` of them.
 
         The caller must be the writer and hold the lock.
         """
-        self._taken, self._lost_lines = 0, self._lost_lines + lost_lines
+        self._taken, self._dropped_lines = 0, self._dropped_lines + dropped_lines
 
 
 class OutputWriter:
@@ -132,13 +132,13 @@
             is_last = self._closing and not any(queue.due for queue in self._queues)
         for queue, items in batches:
             try:
-                lost_lines = self._sink.write(items) if items else 0
+                dropped_lines = self._sink.write(items) if items else 0
             except Exception:
                 # One fault must not end the worker, because no more lines would be written to this sink.
                 log.exception("output failed", extra={"fields": {"output": self._name}})
-                lost_lines = count_lines(items)
+                dropped_lines = count_lines(items)
             with self._worker.lock:
-                queue.written(lost_lines)
+                queue.written(dropped_lines)
         if is_last and not self._closed:
             self._closed = True
             self._sink.close()
--- a/brambleusher/features/status_rendering.py
+++ b/brambleusher/features/status_rendering.py
@@ -34,7 +34,7 @@
 
     zones: list[dict[str, object]]
     panic: object
-    beyond: object  # the requests that exceed the capacity of all zones
+    beyond: object  # the fraction of requests that could not be placed in any zone
 
 
 class StatusSnapshot(TypedDict):
--- a/tests/features/test_capture.py
+++ b/tests/features/test_capture.py
@@ -1,4 +1,4 @@
-"""Captures: the module's state, the ring, the files, and the rerun of what they hold."""
+"""Test captures: the balancer's state, the ring, the files, and rerunning recorded decisions."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 class Recorded(Balancer):
-    """A balancer that records what passes, as `BalancerDriver` does; an event that it fails at is left."""
+    """A balancer that records its events and actions as `BalancerDriver` does, and skips failing events."""
 
     def __init__(self, settings: api.Settings, capture: Capture) -> None:
         super().__init__(settings, SEED)
@@ -53,7 +53,7 @@
         capture.start(lambda: {**save(self.bare())})
 
     def bare(self) -> Balancer:
-        """Itself, without what this class adds."""
+        """Return a plain `Balancer` with the same state, without the attributes of this class."""
         bare = Balancer.__new__(Balancer)
         vars(bare).update({name: v for name, v in vars(self).items() if name not in ("capture", "calls")})
         return bare
@@ -83,7 +83,7 @@
 
 
 def taken(lane: OutputQueue) -> bytes:
-    """All that has been put."""
+    """Return all items in a queue as bytes, and empty the queue."""
     out = b""
     while items := lane.take():
         lane.written(0)
@@ -92,17 +92,17 @@
 
 
 class Kept:
-    """A world of legal events, recorded."""
+    """A simulated world of valid events whose decisions are captured."""
 
     def __init__(self, ring_kb: int = 64, seed: int = 1, files: OutputQueue | None = None) -> None:
         self.dumps = lane()
         self.capture = Capture(CaptureSettings(ring_kb), ASKS, SEED, EMPTY, self.dumps, files)
         self.world = World(ASKS, seed, Recorded(ASKS, self.capture))
-        self.world.now = 1_700_000_000 * SECOND + 123_456_789  # what floats of milliseconds would lose
+        self.world.now = 1_700_000_000 * SECOND + 123_456_789  # a float of milliseconds would lose digits
 
     def live(self, steps: int, then: Callable[[], None] = lambda: None) -> None:
         for step in range(steps):
-            if step % 50 == 49:  # the module fails at it, and goes on
+            if step % 50 == 49:  # the balancer raises an error for an unknown class, and continues
                 self.world.give(api.RequestArrived(f"bad{step}", "unknown", None, SECOND))
             self.world.step()
             then()
@@ -121,13 +121,13 @@
                 for _ in range(60):
                     world.step()
                 text = json.dumps(save(world.balancer))
-                json.loads(text, parse_constant=self.fail)  # NaN and infinity are no JSON
+                json.loads(text, parse_constant=self.fail)  # NaN and infinity are not valid JSON
                 twin = restore(
                     restore_settings(json.loads(json.dumps(save_settings(ASKS)))), 0, json.loads(text)
                 )
                 self.assertEqual(json.dumps(save(twin)), text)
                 self.assertEqual(twin.settings, ASKS)
-                # Objects that were one are one again: what changes a host by one way shows by the other.
+                # References to one host must be one object again, so that a change is visible by all of them.
                 reached = [attempt.host for r in twin.attempts.requests.values() for attempt in r.attempts]
                 for host in reached:
                     self.assertIs(host, twin.host_table.hosts.get(host.name, host))
@@ -198,7 +198,7 @@
         return replay(str(path), out, errors), out.getvalue(), errors.getvalue()
 
     def elsewhere(self, data: bytes, hash_seed: int) -> tuple[int, str]:
-        """In another process, whose sets have another order."""
+        """Replay a capture in another process, whose sets have a different iteration order."""
         path = self.folder / "elsewhere.jsonl"
         path.write_bytes(data)
         done = subprocess.run(
@@ -223,7 +223,7 @@
                 heads.add(ring._sealed[0].opened_ns if ring._sealed else 0)
 
             kept.live(4000, note)
-            self.assertGreater(len(heads), 20)  # so often has the oldest segment been dropped
+            self.assertGreater(len(heads), 20)  # the oldest segment was dropped at least 20 times
             data = kept.dump()
             head = json.loads(data.split(b"\n", 1)[0])
             self.assertEqual((head["ev"], head["v"], head["seed"]), ("start", 1, "8c1f30d27a5be964"))
@@ -235,7 +235,7 @@
 
     def test_the_list_in_the_header_is_the_one_before_the_oldest_record(self) -> None:
         kept = Kept()
-        lists: dict[int, set[str]] = {}  # by the number of the next record
+        lists: dict[int, set[str]] = {}  # the balancer's hosts by the number of the next record
         ring, real = kept.capture, kept.capture.record
 
         def note(decision: Decision) -> None:
@@ -250,7 +250,7 @@
         self.assertEqual({server["id"] for server in head["list"]["servers"]}, lists[head["n"]])
 
     def change(self, data: bytes, ev: str, change: Callable[[dict[str, Any]], object]) -> bytes:
-        """The capture with one record of a kind changed, checksum and all as they were."""
+        """Return the capture with its last record of an event changed but the checksum left as it is."""
         lines = data.splitlines(keepends=True)
         at = [n for n, line in enumerate(lines) if f'"ev":"{ev}"'.encode() in line][-1]
         record = json.loads(lines[at])
@@ -290,12 +290,12 @@
             with self.subTest(name):
                 code, text, _ = self.replay(b"".join(changed))
                 self.assertEqual(code, DIFFERENT, text)
-        # What decides is found out even where the checksum was made to fit.
+        # A changed server is reported by the rerun itself, in addition to the checksum.
         changed_data = self.change(data, "request", lambda r: r.update(server="s-nowhere"))
         _, text, _ = self.replay(changed_data)
         self.assertIn('the server "s-nowhere" is unknown', text)
         self.assertIn('recorded server "s-nowhere", rerun server', text)
-        self.assertEqual(text.count("\n"), 2)  # that one record, and the count
+        self.assertEqual(text.count("\n"), 2)  # one line for the changed record, and one for the totals
 
     def test_what_is_no_capture_is_refused(self) -> None:
         kept = Kept()
@@ -333,9 +333,9 @@
             kept.live(500)
             first, rest = kept.dump().split(b"\n", 1)
             head = json.loads(first)
-            if head["list"]["servers"]:  # now and then all of them are gone
+            if head["list"]["servers"]:  # the simulated list is sometimes empty
                 break
-        head["list"]["servers"].pop()  # the list no longer fits the state
+        head["list"]["servers"].pop()  # the list no longer matches the state
         self.assertEqual(self.replay(headed())[0], REFUSED)
 
     def test_a_cut_last_line_is_reported_and_lines_of_a_log_are_passed_over(self) -> None:
@@ -349,12 +349,12 @@
         self.assertEqual(code, SAME)
         self.assertIn("the last line is cut off and was skipped", text)
         self.assertIn(f"{len(lines) - 2} records, 0 differ", text)
-        self.assertEqual(self.replay(mixed + kept.dump())[0], SAME)  # a second dump begins anew
+        self.assertEqual(self.replay(mixed + kept.dump())[0], SAME)  # a second dump has its own header
 
 
 class Bounds(unittest.TestCase):
     def test_a_header_too_large_for_the_ring_pauses_the_capture(self) -> None:
-        """Guards against a ring of nothing but headers, and against memory without bound."""
+        """Guards against a ring that contains only headers, and against unbounded memory use."""
         kept = Kept()
         with self.assertLogs("brambleusher.features.capture", "WARNING") as logged:
             kept.world.start(400)
@@ -383,7 +383,7 @@
 
 
 def segments(count: int, steps: int = 150) -> list[bytes]:
-    """A few segments in a row, as they go to the files."""
+    """Return up to `count` consecutive segments as they are written to files."""
     files = lane()
     kept = Kept(files=files)
     kept.world.start(4)
@@ -401,7 +401,7 @@
         self.folder = Path(folder.name) / "captures"
 
     def check(self, paths: Sequence[Path]) -> int:
-        """Each file alone can be rerun; says how many records there are."""
+        """Check that each file can be rerun by itself, and return the total number of records."""
         records = 0
         for path in paths:
             out = io.StringIO()
@@ -433,7 +433,7 @@
         self.assertEqual(len(list(self.folder.iterdir())), 2)
         one.unlink()
         newest = max(self.folder.iterdir())
-        newest.unlink()  # under the sink's hands: it comes back with a header, or not at all
+        newest.unlink()  # the sink still has this path and must not create the file without a header
         sink.write(items[8:10])
         self.check(list(self.folder.iterdir()))
         self.assertEqual(len(list(self.folder.iterdir())), 1)
@@ -515,7 +515,7 @@
                 rig.call(f"r{n}", "look" if n % 5 else "move")
         self.assertEqual(self.run_command("capture", "dump", str(program.pid)), (0, ""))
         data = b""
-        # The last request's record, and the counters: two lanes to one pipe, in either order.
+        # The last request's record and the counters come from two queues to one pipe, in either order.
         while b'"id":"r399"' not in data or b"msg=counters why=asked" not in data:
             data += lines.get(timeout=WAIT)
         program.send_signal(signal.SIGTERM)
--- a/tests/features/test_figures.py
+++ b/tests/features/test_figures.py
@@ -1,4 +1,4 @@
-"""Figures, and the output that they share with captures and the log."""
+"""Test metrics, and the output queues that metrics share with captures and the log."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def until(true: Callable[[], bool]) -> None:
-    """Wait for what must come."""
+    """Wait until a condition is true; fail after `WAIT` seconds."""
     end = time.monotonic() + WAIT
     while not true():
         assert time.monotonic() < end
@@ -81,7 +81,7 @@
 
 
 class Gate:
-    """A sink that writes nothing until it is opened."""
+    """A sink whose writes block until its `open` event is set."""
 
     def __init__(self) -> None:
         self.open, self.taken = threading.Event(), threading.Event()
@@ -104,8 +104,8 @@
         lane = out.lane(10 * (ITEM_BYTES + 4))
         lane.put([b"bad\n"])
         self.assertTrue(gate.taken.wait(WAIT))
-        lane.put([b"%03d\n" % n for n in range(30)])  # one is being written and counts: nine stay
-        lane.hold(b"x" * 10_000 + b"\n")  # which no lane of this size can hold
+        lane.put([b"%03d\n" % n for n in range(30)])  # nine lines fit beside the one being written
+        lane.hold(b"x" * 10_000 + b"\n")  # this line exceeds the limit of the whole queue
         self.assertEqual(lane.lost(), 31)
         lane.put([b"%03d\n" % n for n in range(30)])
         gate.open.set()
@@ -231,16 +231,16 @@
             self.assertLessEqual(len(data), sinks.MAX_DATAGRAM)
             self.assertRegex(data.decode(), r"\A(brambleusher\.\w+:\d+\|\w+(\|#[\w:,-]+)?\n)+\Z")
             seen += data.count(b"attempt_ms")
-        collector.close()  # from here on nobody listens
+        collector.close()  # datagrams sent from now on are lost
         rig.call("after")
         until(lambda: rig.sidecar.counters.count("figures_dropped") > 0)
         self.assertEqual(rig.call("last").status, 200)
 
     def test_standard_error_that_nobody_reads_blocks_no_request(self) -> None:
-        """Guards against a log line that waits for a pipe which figures have filled."""
+        """Guards against a log line that blocks on a pipe that metrics have filled."""
         node = Node(answer(b"yes"))
         self.addCleanup(node.close)
-        rig = Rig([node.entry("h0")])  # for its discovery and its configuration
+        rig = Rig([node.entry("h0")])  # only its discovery service and its configuration are used
         self.addCleanup(rig.end)
         (self.folder / "config.json").write_text(json.dumps(rig.config))
         (self.folder / "operator.yaml").write_text("figures: {buffer_kb: 4, flush_ms: 10}")
@@ -259,9 +259,9 @@
         assert found, listening
         until(lambda: ready(f"http://{found[1]}:{found[2]}/ready"))
         with mock.patch.object(rig, "address", (found[1], int(found[2]))):
-            for n in range(200):  # some 70 bytes each: many times what pipe and buffer hold
+            for n in range(200):  # 70 bytes per request are many times what the pipe and the queue hold
                 if n % 10 == 0:
-                    program.send_signal(signal.SIGUSR1)  # a log line
+                    program.send_signal(signal.SIGUSR1)  # makes the sidecar write a log line
                 self.assertEqual(rig.call(f"r{n}").status, 200)
         program.send_signal(signal.SIGTERM)
         lines = log.read().decode().splitlines()
--- a/tests/features/test_rewrites.py
+++ b/tests/features/test_rewrites.py
@@ -1,4 +1,4 @@
-"""The operator file and header rewrites."""
+"""Test the operator file and header rewrites."""
 
 from __future__ import annotations
 
@@ -108,11 +108,11 @@
     def test_rules_run_in_file_order(self) -> None:
         a, b, c = ("A", "1"), ("B", "2"), ("C", "3")
         for actions, came, left in (
-            (["add: {B: x}"], [a, b], [a, b, ("B", "x")]),  # beside what is there
+            (["add: {B: x}"], [a, b], [a, b, ("B", "x")]),  # keeps existing fields of that name
             (["drop: b"], [a, b, ("b", "4")], [a]),
             (["drop: x"], [a, b], [a, b]),
             (["rename: {a: X}"], [a, b, ("a", "4")], [("X", "1"), b, ("X", "4")]),
-            (["rename: {a: b}"], [c, b, a], [c, ("b", "1")]),  # replaces what is there
+            (["rename: {a: b}"], [c, b, a], [c, ("b", "1")]),  # a renamed field replaces the existing one
             (["rename: {x: b}"], [a, b], [a, b]),
             (["rename: {a: A}"], [("a", "1"), b], [a, b]),
             (["rename: {A: X}", "add: {A: new}", "drop: X"], [a, b], [b, ("A", "new")]),
@@ -163,7 +163,7 @@
             ([], mine),
             ([("forwarded", "for=a;by=b")], f"for=a;by=b, {mine}"),
             ([("Forwarded", "for=a"), ("Forwarded", 'for="[::1]"')], f'for=a, for="[::1]", {mine}'),
-            ([("Forwarded", 'for="a')], mine),  # its open quote would take ours in
+            ([("Forwarded", 'for="a')], mine),  # the open quote would swallow the sidecar's own value
         ]
         for came, left in cases:
             with self.subTest(came):
@@ -174,7 +174,7 @@
     def exchange(
         self, operator: str, node: Node, cls: str, *lines: str
     ) -> tuple[list[HeaderField], list[HeaderField]]:
-        """One request with such lines: what the endpoint got, and what the client got."""
+        """Send a request with extra header lines, and return the fields the endpoint and the client got."""
         rig = Rig([node.entry("h0")], operator)
         self.addCleanup(rig.end)
         with rig.connect() as sock:
--- a/tests/features/test_status.py
+++ b/tests/features/test_status.py
@@ -1,4 +1,4 @@
-"""The status page on real sockets."""
+"""Test the status page on real sockets."""
 
 from __future__ import annotations
 
@@ -62,11 +62,11 @@
         for n in range(4):
             rig.call(f"m{n}", "move")
         self.node.script = answer()
-        until(lambda: rig.call("good").status == 200)  # it is let be for a moment after resets
+        until(lambda: rig.call("good").status == 200)  # the balancer avoids a node after resets
         self.node.script = lambda sock, request: held.put(sock)
         waiting = rig.send("waits")
         sock = held.get(timeout=WAIT)
-        # Guards against a page built while the request before it was still in flight.
+        # The page may have been built while the previous request was still in flight, so wait for it.
         until(lambda: self.shown(rig)["answers_per_minute"] != {"look": 0, "move": 4})
         until(lambda: self.shown(rig)["inflight"] == {"look": 1, "move": 0})
         now = json.loads(self.ask(rig).body)
--- a/tests/test_recorded_files.py
+++ b/tests/test_recorded_files.py
@@ -1,4 +1,8 @@
-"""Files that operators write, as 49e18d4 read them: the same values, and the same key named in a refusal."""
+"""Check that recorded files are read as commit 49e18d4 read them.
+
+Guards against changes in the format of operator files, the xDS store and xDS resources: the same values must
+result, and an error message must name the same key.
+"""
 
 from __future__ import annotations
 
@@ -30,7 +34,7 @@
 FILES, XDS = RECORDED / "files", RECORDED / "xds"
 VALUES: dict[str, Any] = json.loads((FILES / "values.json").read_bytes())
 RESOURCES: dict[str, Any] = json.loads((XDS / "resources.json").read_bytes())
-# What a refusal has to name: the key, or the file where that is all there is to say.
+# By invalid file: the key that the error message must name, with the file's name where the reader adds it.
 REFUSED = {
     "configuration-lacks.json": "routes.0.path_prefix",
     "configuration-twice.json": "body",
@@ -58,7 +62,7 @@
 
 
 def values_of(item: Any) -> Any:
-    """Values in the order of their declaration, as JSON has them."""
+    """Return a configuration object as nested JSON values, with fields in the order of their declaration."""
     if isinstance(item, Enum):
         return item.value
     if isinstance(item, BaseModel):
@@ -74,13 +78,13 @@
 
 @pytest.fixture
 def folder(monkeypatch: pytest.MonkeyPatch) -> Path:
-    """The recorded files, as the working directory: messages name files as they were called."""
+    """Make the directory of recorded files the working directory, since messages contain relative paths."""
     monkeypatch.chdir(FILES)
     return FILES
 
 
 def read(path: Path) -> Any:
-    """A file's values."""
+    """Return the values of a recorded file, read by the reader for the prefix of its name."""
     return values_of(READERS[path.stem.split("-")[0]](path))
 
 
--- a/tests/xds/test_control.py
+++ b/tests/xds/test_control.py
@@ -1,4 +1,8 @@
-"""The control service without I/O: the protocol, views, who may hand out, weights, reports, the file."""
+"""Test the control service without sockets.
+
+The tests cover the protocol, views, when publishing is allowed, weights, load reports, the store and the
+configuration file.
+"""
 
 from __future__ import annotations
 
@@ -70,7 +74,7 @@
 
 
 class Views:
-    """Snapshots out of short descriptions: name to content, or to (content, what it refers to)."""
+    """Builds snapshots from mappings of a name to its content, or to a pair of content and references."""
 
     def __init__(self) -> None:
         self.library, self.version = Library(SEAL), 0
@@ -115,7 +119,7 @@
     held.offer(views.make(cds={"a": "1", "b": "1"}))
     assert held.take() is None
     held.offer(views.make(cds={"a": "1", "b": "2"}))
-    assert had(held.take()) == (CDS, {"a": b"1", "b": b"2"}, ())  # whole, as the kind demands
+    assert had(held.take()) == (CDS, {"a": b"1", "b": b"2"}, ())  # CDS responses list all resources
     held.offer(views.make(cds={"b": "2"}))
     assert had(held.take()) == (CDS, {"b": b"2"}, ("a",))
 
@@ -135,10 +139,10 @@
     assert held.rejected(EDS)["e"].reason == "no such thing"
     held.offer(views.make(eds={"e": "bad", "other": "2"}))
     assert had(held.take()) == (EDS, {"other": b"2"}, ())
-    held.refresh(EDS)  # what was refused is not refreshed either
+    held.refresh(EDS)  # a refresh does not send rejected resources again
     assert had(held.take()) == (EDS, {"other": b"2"}, ())
     held.offer(views.make(eds={"e": "mended", "other": "2"}))
-    response = held.take()  # it waited for its turn: two are out
+    response = held.take()  # withheld, since two responses are not acknowledged yet
     assert response is None
     held.receive(Request(EDS, "4", None, names=("e", "other")))
     response = held.take()
@@ -154,7 +158,7 @@
         held.offer(views.make(eds={"e": str(at)}))
     assert had(held.take()) == (EDS, {"e": b"49"}, ())
     held.offer(views.make(eds={"e": "50"}))
-    assert had(held.take()) == (EDS, {"e": b"50"}, ())  # it overtakes an acknowledgement
+    assert had(held.take()) == (EDS, {"e": b"50"}, ())  # sent before the first acknowledgement
     for at in range(51, 90):
         held.offer(views.make(eds={"e": str(at)}))
         assert held.take() is None
@@ -171,12 +175,12 @@
     assert had(held.take()) == (EDS, {"b": b"1"}, ())
     held.receive(Request(EDS, "2", names=("b",)))
     held.receive(Request(EDS, "2", names=("a", "b")))
-    assert had(held.take()) == (EDS, {"a": b"1"}, ())  # dropped, and named anew
+    assert had(held.take()) == (EDS, {"a": b"1"}, ())  # a name dropped and added again is sent again
     held.receive(Request(CDS, names=("a",)))
     assert had(held.take()) == (CDS, {"a": b"1"}, ())
     held.receive(Request(CDS, "1", names=("a", "b", "none")))
     assert had(held.take()) == (CDS, {"a": b"1", "b": b"1"}, ("none",))
-    held.receive(Request(CDS, "2", names=()))  # no names, where there were some: nothing is wanted
+    held.receive(Request(CDS, "2", names=()))  # an empty list after a list of names means no subscription
     held.offer(views.make(cds={"a": "2"}))
     assert held.take() is None
 
@@ -200,7 +204,7 @@
     views, held = Views(), subscriber()
     held.offer(views.make(eds={"a": "1", "b": "1"}))
     held.receive(Request(EDS, names=("a",)))
-    held.receive(Request(EDS, names=("a", "b")))  # before any response: counts
+    held.receive(Request(EDS, names=("a", "b")))  # applied, since no response was sent yet
     assert had(held.take()) == (EDS, {"a": b"1", "b": b"1"}, ())
     held.receive(Request(EDS, names=("b",)))
     assert held.subscribed_names(EDS) == ["a", "b"]
@@ -227,7 +231,7 @@
     assert had(held.take()) == (CDS, {"a": b"2", "c": b"1"}, ("b",))
     held.receive(Request(EDS, subscribe=("e", "none")))
     assert had(held.take()) == (EDS, {"e": b"1"}, ("none",))
-    held.receive(Request(EDS, "1", subscribe=("e",)))  # asked for again: sent again
+    held.receive(Request(EDS, "1", subscribe=("e",)))  # a name subscribed to again is sent again
     assert had(held.take()) == (EDS, {"e": b"1"}, ())
     held.receive(Request(EDS, "2", unsubscribe=("e",)))
     held.offer(views.make(cds={"a": "2", "c": "1"}, eds={"e": "2", "none": "1"}))
@@ -257,7 +261,7 @@
     held.receive(Request(EDS, subscribe=("e",), initial_versions={} if version is None else {"e": version}))
     assert bool(held.proven_positions) == claims
     assert (held.take() is not None) == sent
-    if not sent:  # what it has proven to hold counts as accepted
+    if not sent:  # content that the subscriber proved to hold counts as acknowledged
         assert held.acknowledged(EDS)["e"] is resource
 
 
@@ -285,13 +289,13 @@
     for pair in (((CDS, ()), (EDS, ("eo",))), ((LDS, ()), (RDS, ("r",)))):
         responses = [held.take() for _ in pair]
         assert [each and each.kind for each in responses] == [kind for kind, _ in pair]
-        assert held.take() is None  # nothing that points to it before it is there
+        assert held.take() is None  # resources that refer to these wait for the acknowledgements
         for response, (_, names) in zip(responses, pair, strict=True):
             assert held.take() is None
             held.receive(ack(response, *names))
     held.offer(views.make(**new))
     response = held.take()
-    assert had(response) == (CDS, {"new": b"1", "old": b"1"}, ())  # the old one is still pointed to
+    assert had(response) == (CDS, {"new": b"1", "old": b"1"}, ())  # the old route refers to the old cluster
     assert held.take() is None
     held.receive(ack(response))
     held.receive(Request(EDS, "1", names=("eo", "en")))
@@ -302,7 +306,7 @@
     listener, routes = held.take(), held.take()
     assert had(listener) == (LDS, {"l": b"2"}, ()) and had(routes) == (RDS, {"r": b"to new"}, ())
     held.receive(ack(listener))
-    assert held.take() is None  # the routes are not accepted yet: the old cluster stays
+    assert held.take() is None  # the old cluster stays until the new routes are acknowledged
     held.receive(ack(routes, "r"))
     assert had(held.take()) == (CDS, {"new": b"1"}, ("old",))
 
@@ -316,7 +320,7 @@
     assert Seal(b"another secret, as long").parse(version) is None
 
 
-# --- who may hand out ---------------------------------------------------------------------------
+# --- when publishing is allowed -----------------------------------------------------------------
 
 
 def handout(floor: ViewPosition | None = AT_FIVE) -> ViewConsistency:
@@ -328,7 +332,7 @@
     assert held.withheld_reason(0) is WithheldReason.NO_DISCOVERY
     held.record_discovery(ViewPosition(1, 4), 0)
     assert held.withheld_reason(0) is WithheldReason.BEHIND
-    assert held.position_to_write() is None  # an older place is never written
+    assert held.position_to_write() is None  # a position older than the floor is never written
     held.record_discovery(ViewPosition(1, 6), 0)
     assert (
         held.withheld_reason(0) is WithheldReason.NOT_DURABLE
@@ -339,7 +343,7 @@
     assert held.withheld_reason(3 * SECOND + 1) is WithheldReason.ISOLATED
     held.record_subscriber_position(ViewPosition(1, 7))
     assert held.withheld_reason(0) is WithheldReason.BEHIND
-    held.record_discovery(ViewPosition(2, 1), 0)  # the operator's epoch comes first
+    held.record_discovery(ViewPosition(2, 1), 0)  # a higher epoch precedes any version
     held.record_written(ViewPosition(2, 1))
     assert held.withheld_reason(0) is None
 
@@ -351,7 +355,7 @@
     held.record_discovery_lost()
     assert held.withheld_reason(0) is WithheldReason.ISOLATED
     held.record_peer_status("b", PeerStatus(ViewPosition(1, 6), ViewPosition(1, 5), is_connected=False), 0)
-    assert held.withheld_reason(0) is WithheldReason.ISOLATED  # it is as cut off
+    assert held.withheld_reason(0) is WithheldReason.ISOLATED  # the peer is disconnected from discovery too
     held.record_peer_status("b", PeerStatus(ViewPosition(1, 6), ViewPosition(1, 6), is_connected=True), 0)
     assert held.withheld_reason(0) is None and held.withheld_reason(3 * SECOND + 1) is WithheldReason.ISOLATED
     held.record_peer_status("b", PeerStatus(ViewPosition(1, 7), ViewPosition(1, 6), is_connected=True), 0)
@@ -409,7 +413,7 @@
 
 
 def written(folder: Path, **more: Any) -> bytes:
-    """A configuration as JSON, which is YAML too."""
+    """Return a configuration file as JSON, which is valid YAML, and write the secret file it refers to."""
     (folder / "secret").write_bytes(SECRET)
     raw = {
         "name": "c1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "secret_file": "secret",
@@ -443,7 +447,7 @@
 
 
 def feed(core: Core, stream: Stream, proxy: ProxyStandIn, requests: list[bytes], now: int = 0) -> None:
-    """Pass requests and responses to and fro until both are silent."""
+    """Exchange requests and responses until no more are due."""
     for data in requests:
         core.handle_request(stream, *decode_request(data, proxy.incremental), now)
     while (response := core.next_response(stream, now)) is not None:
@@ -458,7 +462,7 @@
     assert proxy.complete() and set(proxy.usable()) == {"10.0.0.1:9001", "10.0.0.1:9002"}
     core.record_endpoint_list(update(2, endpoint("n1", api.HostState.DRAINING), full=False), 1)
     feed(core, stream, proxy, [], 1)
-    assert len(proxy.usable()) == 2  # it is not written yet
+    assert len(proxy.usable()) == 2  # the new position is not on durable storage yet
     core.record_written(ViewPosition(1, 2), 2)
     feed(core, stream, proxy, [], 2)
     assert set(proxy.usable()) == {"10.0.0.1:9002"}
@@ -489,7 +493,7 @@
         feed(core, stream, proxy, [], now)
         assert proxy.responses == before + more * renewed
     core.record_discovery_lost()
-    feed(core, stream, proxy, [], 9 * SECOND)  # out of touch: what it has is left to go stale
+    feed(core, stream, proxy, [], 9 * SECOND)  # without discovery the endpoints are not refreshed
     assert proxy.responses == before + 2 * renewed
 
 
@@ -512,7 +516,7 @@
     later = core.open_stream(None, True, minute)
     newcomer = ProxyStandIn("q", "z", True)
     feed(core, later, newcomer, newcomer.connect(), minute)
-    assert not newcomer.responses and len(proxy.usable()) == 2  # the last good view stays
+    assert not newcomer.responses and len(proxy.usable()) == 2  # the connected proxy keeps its last view
     core.record_endpoint_list(update(7, endpoint("n1")), minute)
     feed(core, stream, proxy, [], minute)
     feed(core, later, newcomer, [], minute)
@@ -579,7 +583,7 @@
 
     proxy.verdict = verdict
     feed(core, stream, proxy, [], 1)
-    assert seen == [CDS, RDS, CDS]  # the cluster that is no more goes last
+    assert seen == [CDS, RDS, CDS]  # the deleted cluster is removed after the routes to it
     assert proxy.complete() and set(proxy.kinds[CDS].resources) == {"look"}
     assert not stream.subscriber.rejected(RDS)
 
@@ -611,7 +615,7 @@
     assert found == [("/look", "look"), ("/move", "move"), ("/l", "look")]
     by_class = {route.route.cluster: route.route for route in table.virtual_hosts[0].routes}
     assert by_class["look"].retry_policy.num_retries.value == 2
-    assert not by_class["move"].HasField("retry_policy")  # what must not run twice is never repeated
+    assert not by_class["move"].HasField("retry_policy")  # requests that are not idempotent get no retries
     assert by_class["move"].timeout.seconds == 5
 
 
@@ -619,7 +623,10 @@
 def test_a_wide_prefix_does_not_take_what_must_not_run_twice_into_its_retries(
     tmp_path: Path, classes: tuple[str, ...]
 ) -> None:
-    """The class that must not is one that the group may not have, or not one of the file's at all."""
+    """Guards against retries for "move", which is not idempotent, by way of the route for the prefix "/".
+
+    The class "move" has no route if the group may not subscribe to it or the file does not configure it.
+    """
     plans: list[dict[str, Any]] = [{"name": "look", "prefixes": ["/"], "retries": 2}, {"name": "move"}]
     config = control(
         tmp_path,
@@ -715,7 +722,7 @@
         each.start(0)
         each.handle(
             api.HostListUpdated(api.ListKind.FULL, entries(12)), 0
-        )  # a sidecar uses so many at the least
+        )  # twelve hosts are the minimum that a sidecar uses
         each.handle(api.TimerFired(0), SECOND)
     mine, theirs = ([standing.weight for standing in host_statuses(each)] for each in (fleet, sidecar))
     assert mine == pytest.approx(theirs) and min(mine) > 0
@@ -738,8 +745,8 @@
         fleet.handle(api.TimerFired(0), now)
     weights = {each.host: each.weight for each in host_statuses(fleet)}
     usual = weights["n10"]
-    assert usual > 0 and weights["n00"] < usual / 2  # busy
-    assert weights["n01"] < usual / 2 and weights["n02"] < usual / 2  # failing, late
+    assert usual > 0 and weights["n00"] < usual / 2  # n00 reports a high load
+    assert weights["n01"] < usual / 2 and weights["n02"] < usual / 2  # n01 fails, and n02 is slow
     fleet.record_outcomes(ReportedOutcomes("nobody", "look", 1, 1), now)
     fleet.record_outcomes(ReportedOutcomes("n03", "no class", 1, 1), now)
 
@@ -774,7 +781,7 @@
 
 @pytest.mark.parametrize("use", [0.3, 0.6, 0.8, 0.9])
 def test_weights_that_are_followed_blindly_settle(use: float) -> None:
-    """Nodes of unlike capacity, whose use follows from the weights of a period ago."""
+    """Guards against oscillating weights: nodes differ in capacity, and their load follows old weights."""
     capacity = {"a": 60.0, "b": 100.0, "c": 140.0, "d": 100.0}
     offered = use * sum(capacity.values())
     damper = WeightDamper()
@@ -861,7 +868,7 @@
 
 
 def test_a_disk_that_is_full_fails_the_write_and_keeps_what_was_there(tmp_path: Path) -> None:
-    """In a process of its own that may write no file past a size."""
+    """Runs in a separate process whose file size is limited, so that writes fail as on a full disk."""
     script = textwrap.dedent("""
         import resource, signal, sys
         from brambleusher.xds.store import Store, StoreError
@@ -901,7 +908,7 @@
         store.write(ViewPosition(1, 2))
 
 
-# --- the file ---------------------------------------------------------------------------------------
+# --- the configuration file -------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
@@ -966,7 +973,7 @@
 
 @pytest.fixture
 def quiet() -> Iterator[None]:
-    """Thousands of warnings are what these schedules are about."""
+    """Disable logging, since these schedules cause thousands of expected warnings."""
     logging.disable(logging.CRITICAL)
     yield
     logging.disable(logging.NOTSET)
@@ -982,7 +989,7 @@
 @pytest.mark.parametrize(("breakage", "first"), [("store", 29), ("claims", 41), ("silence", 8), ("floor", 0)])
 def test_the_checker_catches_what_would_break_that(tmp_path: Path, breakage: str, first: int) -> None:
     assert breakage in control_history.BREAKAGES
-    for seed in range(first, first + 200):  # where it has been caught at first, to save time
+    for seed in range(first, first + 200):  # `first` is the first seed that caught the breakage
         try:
             control_history.run(seed, tmp_path, breakage)
         except control_history.Violation:
--- a/tests/xds/test_control_live.py
+++ b/tests/xds/test_control_live.py
@@ -1,4 +1,4 @@
-"""The control service on real sockets: the program, its clients, TLS, faults in mid-service."""
+"""Test the control service on real sockets: the program, its clients, TLS, and faults while it serves."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 WAIT = 30.0
-IN_A_ROW = 100  # calls of each client to other nodes: with four nodes in turn one of them would be due
+IN_A_ROW = 100  # consecutive calls without the drained node; round robin would pick it once in four calls
 
 
 def run(main: Coroutine[Any, Any, None]) -> None:
@@ -74,14 +74,14 @@
 
 
 def look(address: str) -> dict[str, Any]:
-    """The service's status."""
+    """Return the service's status as JSON."""
     with urllib.request.urlopen(f"http://{address}/status.json", timeout=WAIT) as answer:
         found: dict[str, Any] = json.load(answer)
         return found
 
 
 async def until(what: Callable[[], bool]) -> None:
-    """Wait for something that nothing announces."""
+    """Poll a condition until it is true; fail after `WAIT` seconds."""
     async with asyncio.timeout(WAIT):
         while not what():
             await asyncio.sleep(0.005)
@@ -90,7 +90,7 @@
 async def serving(
     folder: Path, discovery: LiveDiscovery, proxies: Callable[[Service, str], Awaitable[None]], **more: Any
 ) -> None:
-    """A service in this process for as long as `proxies` runs."""
+    """Run a service in this process while `proxies` runs."""
     config = parse_control(written(folder, discovery=discovery.address, **more), folder)
     service = Service(config, seed=1)
     addresses = await service.start()
@@ -102,7 +102,7 @@
 
 
 def bootstraps() -> dict[str, Any]:
-    """The bootstraps in the operator's page, by their language."""
+    """Return the bootstrap configurations in the operator's page, by format (yaml or json)."""
     page = (ROOT / "docs" / "operate" / "control.md").read_text()
     found = re.findall(r"```(yaml|json)\n(.*?)```", page, re.S)
     out = {}
@@ -114,7 +114,8 @@
 
 
 def test_the_bootstraps_in_the_page_are_what_the_protos_say() -> None:
-    assert tls_pb2.DESCRIPTOR and http_protocol_options_pb2.DESCRIPTOR  # what is packed in it must be known
+    # The types of messages packed in the bootstrap must be imported before parsing.
+    assert tls_pb2.DESCRIPTOR and http_protocol_options_pb2.DESCRIPTOR
     envoy = ParseDict(bootstraps()["yaml"], bootstrap_pb2.Bootstrap())
     assert not list(faults(envoy))
     assert envoy.dynamic_resources.HasField("ads_config")
@@ -126,7 +127,7 @@
 
 
 def test_a_drained_node_gets_no_new_call_from_any_kind_of_client(tmp_path: Path) -> None:
-    """The program, gRPC's own two clients, and stand-ins of both variants."""
+    """Runs the program with the two gRPC clients and a simulated proxy for each protocol variant."""
     seen: queue.Queue[tuple[str, str, float]] = queue.Queue()
     nodes = [Backend(f"n{at}", seen) for at in range(4)]
     discovery = LiveDiscovery([entry(node.name, node.port) for node in nodes])
@@ -158,14 +159,15 @@
         discovery.change(entry("n2", nodes[2].port, "Terminating"))
         for each in live:
             await each.until(partial(without, each, drained))
-        others: Counter[str] = Counter()  # how the time is kept is for benchmarks/control.py to say
+        others: Counter[str] = Counter()  # benchmarks/control.py measures how long a drain takes
         while any(others[name] < IN_A_ROW for name in commands):
             check()
             caller, served, _ = await asyncio.to_thread(seen.get, timeout=WAIT)
             others[caller] = 0 if served == "n2" else others[caller] + 1
         for each in live:
             await each.stop()
-        await until(lambda: look(program.addresses["status"])["zones"]["z"]["reports"] > 0)  # gRPC's clients'
+        # The load reports come from the gRPC clients.
+        await until(lambda: look(program.addresses["status"])["zones"]["z"]["reports"] > 0)
 
     try:
         with callers(commands, environment) as check:
@@ -204,10 +206,10 @@
         before = stalled.proxy.responses
         stalled.reading.set()
         await stalled.until(lambda: len(stalled.proxy.usable()) == 400)
-        assert stalled.proxy.responses - before <= 3  # two that it had not answered, and the newest
+        assert stalled.proxy.responses - before <= 3  # two unacknowledged responses, and the newest
         stalled.reading.clear()
         service.core.config = replace(service.core.config, bounds=Bounds(stall_ms=300))
-        # It does not read on: its stream is ended, and the other's is not.
+        # The stalled proxy does not continue to read, so only its own stream is ended.
         discovery.change(entry("n499", 10_499, "Terminating"))
         await reading.until(lambda: len(reading.proxy.usable()) == 399)
         discovery.change(entry("n499", 10_499))
@@ -231,7 +233,7 @@
         for data, codes in (
             ([b"\xff\xff\xff"], {grpc.StatusCode.INVALID_ARGUMENT}),
             ([b"x" * 300_000], {grpc.StatusCode.RESOURCE_EXHAUSTED}),
-            # Or what gRPC makes of a write to a stream that has ended.
+            # gRPC may report INTERNAL instead for a write to a stream that has already ended.
             ([first] * 300, {grpc.StatusCode.RESOURCE_EXHAUSTED, grpc.StatusCode.INTERNAL}),
         ):
             bad = LiveProxy(ProxyStandIn("bad", "z", False), target)
@@ -240,13 +242,13 @@
             await bad.until(partial(over, bad))
             assert bad.ended in codes, bad.why
             await bad.stop()
-        assert service.server.ended_for_cause == 2  # the long message was refused before it got here
+        assert service.server.ended_for_cause == 2  # gRPC itself rejected the long message
         discovery.change(entry("n2", 10_002))
         await good.until(lambda: len(good.proxy.usable()) == 2)
         assert good.ended is None
         await good.stop()
 
-    # Race: at 100 a second a busy machine sends 300 requests too slowly to exceed the limit.
+    # With the default of 100 per second, a busy machine could send 300 requests too slowly for the limit.
     run(serving(tmp_path, discovery, main, bounds={"requests_per_s": 20}))
 
 
@@ -270,7 +272,7 @@
 
 
 def test_killed_in_a_push_and_started_again_it_hands_out_nothing_older(tmp_path: Path) -> None:
-    """The program is killed; discovery comes back with an older list, then with the newest."""
+    """Kills the program during a push; discovery then reports an older list, and later the newest."""
 
     def listed(*names: str) -> list[dict[str, Any]]:
         return [entry(name, 10_000 + int(name[1:])) for name in names]
@@ -290,14 +292,14 @@
             await each.until(each.proxy.complete)
         discovery.change(*listed("n3"))
         await proxies[0].until(lambda: len(proxies[0].proxy.usable()) == 3)
-        program.kill()  # the others are being told
+        program.kill()  # the update to the other proxies is still in progress
         for each in proxies:
             await each.until(partial(over, each))
             await each.stop()
         discovery.cut(39, listed("n1"))
         program = ControlProgram(config)
         again = LiveProxy(proxies[0].proxy, program.addresses["xds"])
-        again.start(forget=True)  # it does not even remember what it was told
+        again.start(forget=True)  # the proxy also loses the versions that it had received
         await until(lambda: "withheld" in (tmp_path / "control.log").read_text())
         assert not again.proxy.kinds["type.googleapis.com/envoy.config.cluster.v3.Cluster"].resources
         discovery.cut(42, listed("n1", "n2", "n3", "n4"))
@@ -313,7 +315,10 @@
 
 
 def test_two_instances_watch_each_other(tmp_path: Path) -> None:
-    """One is cut off from discovery: the other's word lets it hand out, and shows that it is behind."""
+    """Cuts one instance off from discovery.
+
+    The peer's status lets the instance publish while its view is current, and stops it once it is behind.
+    """
     (tmp_path / "a").mkdir()
     (tmp_path / "b").mkdir()
     one, other = (
@@ -328,13 +333,15 @@
             await until(lambda: second.core.withheld_reason(second.now_ns()) is None)
             other.close()
             await until(lambda: not second.core.view_consistency.is_discovery_connected(second.now_ns()))
-            await until(lambda: second.core.withheld_reason(second.now_ns()) is None)  # the first one vouches
+            # The first instance confirms that the second one's view is current.
+            await until(lambda: second.core.withheld_reason(second.now_ns()) is None)
             proxy = LiveProxy(ProxyStandIn("p", "z", True), target)
             proxy.start()
             await proxy.until(proxy.proxy.complete)
             one.change(entry("n2", 10_002))
             await until(lambda: second.core.withheld_reason(second.now_ns()) is not None)
-            await proxy.until(lambda: proxy.ended is grpc.StatusCode.UNAVAILABLE)  # and moves its subscribers
+            # The instance that is behind ends its streams, so that subscribers move to another instance.
+            await proxy.until(lambda: proxy.ended is grpc.StatusCode.UNAVAILABLE)
             await proxy.stop()
 
         await serving(tmp_path / "b", other, both, peers=peers, silence_ms=1500)
@@ -343,7 +350,7 @@
 
 
 class Authority:
-    """Makes certificates."""
+    """A certificate authority that issues certificates."""
 
     def __init__(self) -> None:
         self.key = ec.generate_private_key(ec.SECP256R1())
@@ -412,7 +419,7 @@
         fresh = proxy(target, "q.market")
         fresh.start()
         await fresh.until(fresh.proxy.complete)
-        assert good.ended is None  # what is up stays up
+        assert good.ended is None  # open streams are not affected by a reload
         for each in (good, fresh):
             await each.stop()
 
