--- a/brambleusher/xds/core.py
+++ b/brambleusher/xds/core.py
@@ -33,7 +33,16 @@
 from brambleusher.xds.errors import ProtocolError, SubscriptionDeniedError
 from brambleusher.xds.loads import LoadReports
 from brambleusher.xds.resources import AssignmentBuilder, static_resources
-from brambleusher.xds.snapshot import CDS, EDS, LDS, RDS, SHORT, Draft, Library, Snapshot
+from brambleusher.xds.snapshot import (
+    CDS,
+    EDS,
+    KIND_ABBREVIATIONS,
+    LDS,
+    RDS,
+    ResourceCache,
+    Snapshot,
+    UnversionedResource,
+)
 from brambleusher.xds.subscriber import Request, Response, Subscriber
 from brambleusher.xds.versions import Seal
 from brambleusher.xds.wire import LoadSample, NodeIdentity
@@ -169,11 +178,12 @@
         self.view_consistency = ViewConsistency(floor, now_ns, config.silence_ms * NS_PER_MS, floor_wait_ns)
         self.zones = _create_zones(config, seed, now_ns)
         self.streams: dict[int, Stream] = {}
-        self._library = Library(self.seal)
+        self._resource_cache = ResourceCache(self.seal)
         self._snapshots: dict[tuple[str, str, int], Snapshot] = {}  # by zone, form and index of the group
         self._assignment_builders = self._new_assignment_builders()
-        self._assignments: dict[tuple[str, str], Draft] = {}  # by zone and form
-        self._static_resources: dict[int, dict[str, list[Draft]]] = {}  # by index of the group and by kind
+        self._assignments: dict[tuple[str, str], UnversionedResource] = {}  # by zone and form
+        # Listeners, routes and clusters, by index of the group and by kind.
+        self._static_resources: dict[int, dict[str, list[UnversionedResource]]] = {}
         self._durable_endpoints: dict[str, Endpoint] | None = None  # the list at the position written last
         self.endpoints: dict[str, Endpoint] = {}  # the endpoint list that views are built from
         self._host_by_address: dict[tuple[str, int], str] = {}
@@ -335,19 +345,23 @@
             drafts = self._static_resources[group_index] = static_resources(self.config, group)
         assignment = self._assignment(zone, form, now_ns)
         kinds = {
-            kind: self._library.shelf(f"group {group_index}", kind, drafts[kind], self._position)
+            kind: self._resource_cache.update_resources(
+                f"group {group_index}", kind, drafts[kind], self._position
+            )
             for kind in (CDS, LDS, RDS)
         }
         # All groups of a zone share one assignment: the same bytes, and the same object.
         has_clusters = bool(drafts[CDS])
         kinds[EDS] = (
-            self._library.shelf(f"{zone}/{form}", EDS, [assignment], self._position) if has_clusters else {}
+            self._resource_cache.update_resources(f"{zone}/{form}", EDS, [assignment], self._position)
+            if has_clusters
+            else {}
         )
         snapshot = Snapshot(self._position, kinds, self._changed_ns)
         self._snapshots[zone, form, group_index] = snapshot
         return snapshot
 
-    def _assignment(self, zone: str, form: str, now_ns: int) -> Draft:
+    def _assignment(self, zone: str, form: str, now_ns: int) -> UnversionedResource:
         assignment = self._assignments.get((zone, form))
         if assignment is None:
             self._update_zone_endpoints(self.zones[zone], now_ns)
@@ -410,8 +424,9 @@
             self.nacks += 1
             log.warning(
                 "resource rejected",
-                extra={"fields": {"subscriber": stream.identity, "kind": SHORT[kind], "names": names,
-                                  "version": rejection.version, "reason": rejection.reason}},
+                extra={"fields": {"subscriber": stream.identity, "kind": KIND_ABBREVIATIONS[kind],
+                                  "names": names, "version": rejection.version,
+                                  "reason": rejection.reason}},
             )  # fmt: skip
         subscriber.rejections.clear()
         if subscriber.acked_ns:
--- a/brambleusher/xds/resources.py
+++ b/brambleusher/xds/resources.py
@@ -25,7 +25,7 @@
 from brambleusher.loadbalancing.api import Idempotency
 from brambleusher.loadbalancing.locality_weights import LocalityWeights
 from brambleusher.xds.config import ClassPlan, ControlConfig, Group, ListenerPlan
-from brambleusher.xds.snapshot import CDS, LDS, RDS, Draft, sized, varint
+from brambleusher.xds.snapshot import CDS, LDS, RDS, UnversionedResource, length_delimited, varint
 
 ROUTES, ENDPOINTS = "routes", "execute-nodes"
 RETRY_ON = "connect-failure,refused-stream,unavailable,retriable-status-codes"
@@ -200,15 +200,24 @@
     return default_prefixes + [prefix for plan in excluded for prefix in plan.prefixes]
 
 
-def static_resources(config: ControlConfig, group: Group) -> dict[str, list[Draft]]:
+def static_resources(config: ControlConfig, group: Group) -> dict[str, list[UnversionedResource]]:
     """Build the listeners, routes and clusters that a group may subscribe to, by kind."""
     plans = [plan for plan in config.classes if group.may_subscribe_to(plan.name)]
     listeners = [plan for plan in config.listeners if group.may_subscribe_to(plan.name)]
     cluster_names = frozenset(plan.name for plan in plans)
     return {
-        CDS: [Draft(plan.name, _bytes(cluster(plan, config)), frozenset({ENDPOINTS})) for plan in plans],
-        LDS: [Draft(plan.name, _bytes(listener(plan)), frozenset({ROUTES})) for plan in listeners],
-        RDS: [Draft(ROUTES, _bytes(routes(plans, _non_repeatable_prefixes(config, plans))), cluster_names)]
+        CDS: [
+            UnversionedResource(plan.name, _bytes(cluster(plan, config)), frozenset({ENDPOINTS}))
+            for plan in plans
+        ],
+        LDS: [
+            UnversionedResource(plan.name, _bytes(listener(plan)), frozenset({ROUTES})) for plan in listeners
+        ],
+        RDS: [
+            UnversionedResource(
+                ROUTES, _bytes(routes(plans, _non_repeatable_prefixes(config, plans))), cluster_names
+            )
+        ]
         if plans and listeners
         else [],
     }
@@ -227,31 +236,31 @@
         policy = endpoint_pb2.ClusterLoadAssignment.Policy()
         if stale_after_ms and form == "zones":
             policy.endpoint_stale_after.CopyFrom(_ms(stale_after_ms))
-        self._tail = sized(4, _bytes(policy)) if policy.ByteSize() else b""
+        self._tail = length_delimited(4, _bytes(policy)) if policy.ByteSize() else b""
 
-    def draft(self, tiers: Sequence[LocalityWeights], addresses: Addresses) -> Draft:
+    def draft(self, tiers: Sequence[LocalityWeights], addresses: Addresses) -> UnversionedResource:
         """Build the assignment for the given weights and states."""
         new_cache: dict[tuple[str, int, int, int], bytes] = {}
-        parts = [sized(1, ENDPOINTS.encode())]
+        parts = [length_delimited(1, ENDPOINTS.encode())]
         for tier in tiers:
             if self._form == "zones":
-                parts.append(sized(2, self._zone(tier, addresses, new_cache)))
+                parts.append(length_delimited(2, self._zone(tier, addresses, new_cache)))
             else:
                 parts += self._nodes(tier, addresses, new_cache)
         self._cache = new_cache  # cached entries that this assignment did not use are dropped
-        return Draft(ENDPOINTS, b"".join([*parts, self._tail]))
+        return UnversionedResource(ENDPOINTS, b"".join([*parts, self._tail]))
 
     def _zone(
         self, tier: LocalityWeights, addresses: Addresses, new_cache: dict[tuple[str, int, int, int], bytes]
     ) -> bytes:
-        parts = [sized(1, sized(2, tier.zone.encode()) if tier.zone else b"")]
+        parts = [length_delimited(1, length_delimited(2, tier.zone.encode()) if tier.zone else b"")]
         for host_weight in tier.endpoints:
             health = _DRAINING if host_weight.is_draining else 0 if host_weight.weight else _UNHEALTHY
             parts.append(
                 self._endpoint(addresses[host_weight.host], health, host_weight.weight or 1, new_cache)
             )
         if tier.weight:
-            parts.append(sized(3, _VALUE_TAG + varint(tier.weight)))
+            parts.append(length_delimited(3, _VALUE_TAG + varint(tier.weight)))
         if tier.priority:
             parts.append(_PRIORITY_TAG + varint(tier.priority))
         return b"".join(parts)
@@ -260,13 +269,13 @@
         self, tier: LocalityWeights, addresses: Addresses, new_cache: dict[tuple[str, int, int, int], bytes]
     ) -> list[bytes]:
         encoded_priority = _PRIORITY_TAG + varint(tier.priority) if tier.priority else b""
-        zone = sized(2, tier.zone.encode())
+        zone = length_delimited(2, tier.zone.encode())
         return [
-            sized(
+            length_delimited(
                 2,
-                sized(1, zone + sized(3, host_weight.host.encode()))
+                length_delimited(1, zone + length_delimited(3, host_weight.host.encode()))
                 + self._endpoint(addresses[host_weight.host], 0, 1, new_cache)
-                + sized(3, _VALUE_TAG + varint(host_weight.weight))
+                + length_delimited(3, _VALUE_TAG + varint(host_weight.weight))
                 + encoded_priority,
             )
             for host_weight in tier.endpoints
@@ -283,9 +292,9 @@
         key = (*address, health, weight)
         encoded = self._cache.get(key)
         if encoded is None:
-            encoded = sized(1, sized(1, _bytes(_address(*address))))
+            encoded = length_delimited(1, length_delimited(1, _bytes(_address(*address))))
             if health:
                 encoded += _HEALTH_STATUS_TAG + varint(health)
-            encoded = sized(2, encoded + sized(4, _VALUE_TAG + varint(weight)))
+            encoded = length_delimited(2, encoded + length_delimited(4, _VALUE_TAG + varint(weight)))
         new_cache[key] = encoded
         return encoded
--- a/brambleusher/xds/snapshot.py
+++ b/brambleusher/xds/snapshot.py
@@ -25,7 +25,7 @@
 _VARINT_BITS, _VARINT_MASK, _VARINT_CONTINUES = 7, 0x7F, 0x80
 _LENGTH_DELIMITED = 2  # protobuf wire type
 
-SHORT = {CDS: "CDS", EDS: "EDS", LDS: "LDS", RDS: "RDS"}
+KIND_ABBREVIATIONS = {CDS: "CDS", EDS: "EDS", LDS: "LDS", RDS: "RDS"}
 
 
 def varint(value: int) -> bytes:
@@ -38,7 +38,7 @@
     return bytes(out)
 
 
-def sized(number: int, data: bytes) -> bytes:
+def length_delimited(number: int, data: bytes) -> bytes:
     """Encode a length-delimited protobuf field (bytes, a string or a message) with the given number."""
     return varint(number << 3 | _LENGTH_DELIMITED) + varint(len(data)) + data
 
@@ -63,15 +63,26 @@
         """Create a resource whose content first appears in the view at `position`."""
         content_digest = digest(body)
         version = seal.version(position, content_digest)
-        any_ = sized(1, kind.encode()) + sized(2, body)
-        wrapped = sized(1, version.encode()) + sized(2, any_) + sized(3, name.encode())
+        any_ = length_delimited(1, kind.encode()) + length_delimited(2, body)
+        wrapped = (
+            length_delimited(1, version.encode())
+            + length_delimited(2, any_)
+            + length_delimited(3, name.encode())
+        )
         return cls(
-            kind, name, version, content_digest, body, sized(2, any_), sized(2, wrapped), frozenset(refers)
+            kind,
+            name,
+            version,
+            content_digest,
+            body,
+            length_delimited(2, any_),
+            length_delimited(2, wrapped),
+            frozenset(refers),
         )
 
 
 @dataclass(frozen=True, slots=True)
-class Draft:
+class UnversionedResource:
     """A resource without a version: its name, its encoded message and the names it refers to."""
 
     name: str
@@ -79,7 +90,7 @@
     refers: frozenset[str] = frozenset()
 
 
-class Library:
+class ResourceCache:
     """Creates versioned resources, and reuses the existing resource while the content is unchanged.
 
     If the version changed without the content, the resource would be sent to every subscriber again.
@@ -87,17 +98,17 @@
 
     def __init__(self, seal: Seal) -> None:
         self._seal = seal
-        self._shelves: dict[tuple[str, str], dict[str, Resource]] = {}
+        self._resources: dict[tuple[str, str], dict[str, Resource]] = {}
 
-    def shelf(
-        self, scope: str, kind: str, drafts: Iterable[Draft], position: ViewPosition
+    def update_resources(
+        self, scope: str, kind: str, drafts: Iterable[UnversionedResource], position: ViewPosition
     ) -> Mapping[str, Resource]:
         """Return the resources of one kind by name, for the subscribers of one scope.
 
         All subscribers of a scope get the same resources.  The mapping is the same object until a resource
         changes, so that a subscriber can skip an unchanged mapping by identity.
         """
-        before = self._shelves.get((scope, kind), {})
+        before = self._resources.get((scope, kind), {})
         resources = {}
         for draft in drafts:
             resource = before.get(draft.name)
@@ -107,9 +118,9 @@
         is_same = len(resources) == len(before) and all(
             before.get(name) is resource for name, resource in resources.items()
         )
-        if is_same and (scope, kind) in self._shelves:
+        if is_same and (scope, kind) in self._resources:
             return before
-        self._shelves[scope, kind] = resources
+        self._resources[scope, kind] = resources
         return resources
 
 
@@ -119,9 +130,9 @@
 
     position: ViewPosition
     kinds: Mapping[str, Mapping[str, Resource]]
-    made_ns: int = 0  # when the change that led to this snapshot arrived, in nanoseconds of the owner's clock
+    change_received_ns: int = 0  # arrival time of the change that led to this snapshot, in nanoseconds
     # Cache of the part of each response that is the same for all subscribers: its version and its bytes.
-    heads: dict[tuple[object, ...], tuple[str, bytes]] = field(default_factory=dict, repr=False)
+    cached_heads: dict[tuple[object, ...], tuple[str, bytes]] = field(default_factory=dict, repr=False)
 
     def get(self, kind: str, name: str) -> Resource | None:
         """Return the resource with that kind and name, or None if it does not exist."""
--- a/brambleusher/xds/status.py
+++ b/brambleusher/xds/status.py
@@ -24,7 +24,7 @@
 from brambleusher.loadbalancing.view_consistency import ViewPosition
 from brambleusher.net.http import MessageReader
 from brambleusher.xds.core import Core, Stream, Zone
-from brambleusher.xds.snapshot import CDS, EDS, LDS, RDS, SEND_ORDER, SHORT, Resource
+from brambleusher.xds.snapshot import CDS, EDS, KIND_ABBREVIATIONS, LDS, RDS, SEND_ORDER, Resource
 from brambleusher.xds.subscriber import WILDCARD
 
 log = logging.getLogger(__name__)
@@ -133,7 +133,7 @@
     diff = [] if is_same else difflib.unified_diff(before, after, lineterm="", n=0)
     changes = [line for line in diff if not line.startswith(("---", "+++", "@@"))]
     return {
-        "kind": SHORT[kind],
+        "kind": KIND_ABBREVIATIONS[kind],
         "name": name,
         "has": has.version if has else None,
         "newest": newest.version if newest else None,
@@ -150,7 +150,7 @@
         if names is None:
             continue
         sent, acknowledged, unacknowledged = subscriber.versions(kind)
-        kinds[SHORT[kind]] = {
+        kinds[KIND_ABBREVIATIONS[kind]] = {
             "wants": names[:MAX_LISTED_NAMES],
             "sent": sent,
             "acknowledged": acknowledged,
--- a/brambleusher/xds/subscriber.py
+++ b/brambleusher/xds/subscriber.py
@@ -25,7 +25,7 @@
     SEND_ORDER,
     Resource,
     Snapshot,
-    sized,
+    length_delimited,
 )
 from brambleusher.xds.versions import ProvenVersion, Seal, digest
 
@@ -67,7 +67,7 @@
     resources: tuple[Resource, ...]
     removed: tuple[str, ...]
     position: ViewPosition
-    made_ns: int
+    change_received_ns: int
     data: bytes = field(repr=False)
 
 
@@ -86,7 +86,7 @@
     resources: tuple[Resource, ...]
     removed: tuple[str, ...]
     version: str
-    made_ns: int
+    change_received_ns: int
 
 
 class _Subscription:
@@ -211,7 +211,7 @@
         if not self.incremental and kind in COMPLETE_KINDS:
             subscription.acked = {resource.name: resource for resource in sent.resources}
         subscription.acked_version = sent.version
-        self.acked_ns.append(sent.made_ns)
+        self.acked_ns.append(sent.change_received_ns)
 
     def _update_state_of_the_world(
         self, request: Request, subscription: _Subscription, is_first: bool
@@ -445,15 +445,20 @@
         """Return a response's version and its bytes without the nonce, cached for other subscribers."""
         key = (self.incremental, kind, *(resource.name for resource in due), None, *missing)
         is_shared = view is snapshot.kinds[kind]
-        if is_shared and (cached := snapshot.heads.get(key)) is not None:
+        if is_shared and (cached := snapshot.cached_heads.get(key)) is not None:
             return cached
         version = self._seal.version(snapshot.position, _digest_of(view.values()))
         entries = [each.delta_entry if self.incremental else each.state_entry for each in due]
-        removed = [sized(_REMOVED_FIELD, name.encode()) for name in missing] if self.incremental else []
-        type_url = sized(_TYPE_URL_FIELD, kind.encode())
-        head = version, b"".join([sized(_VERSION_FIELD, version.encode()), *entries, type_url, *removed])
-        if is_shared and len(snapshot.heads) < MAX_CACHED_HEADS:
-            snapshot.heads[key] = head
+        removed = (
+            [length_delimited(_REMOVED_FIELD, name.encode()) for name in missing] if self.incremental else []
+        )
+        type_url = length_delimited(_TYPE_URL_FIELD, kind.encode())
+        head = (
+            version,
+            b"".join([length_delimited(_VERSION_FIELD, version.encode()), *entries, type_url, *removed]),
+        )
+        if is_shared and len(snapshot.cached_heads) < MAX_CACHED_HEADS:
+            snapshot.cached_heads[key] = head
         return head
 
     def _respond(
@@ -476,10 +481,12 @@
             subscription.removed.add(name)
         subscription.has_responded, subscription.version = True, version
         resources, removed = tuple(due), tuple(missing)
-        subscription.unacknowledged[nonce] = _SentResponse(resources, removed, version, snapshot.made_ns)
+        subscription.unacknowledged[nonce] = _SentResponse(
+            resources, removed, version, snapshot.change_received_ns
+        )
         return Response(
-            kind, nonce, version, resources, removed, snapshot.position, snapshot.made_ns,
-            head + sized(_NONCE_FIELD, nonce.encode()),
+            kind, nonce, version, resources, removed, snapshot.position, snapshot.change_received_ns,
+            head + length_delimited(_NONCE_FIELD, nonce.encode()),
         )  # fmt: skip
 
     @property
--- a/tests/xds/test_control.py
+++ b/tests/xds/test_control.py
@@ -56,7 +56,7 @@
 from brambleusher.xds.discovered_endpoints import DiscoveredEndpoints
 from brambleusher.xds.errors import ControlError, ProtocolError
 from brambleusher.xds.resources import ENDPOINTS, AssignmentBuilder, static_resources
-from brambleusher.xds.snapshot import CDS, EDS, LDS, RDS, Draft, Library, Snapshot
+from brambleusher.xds.snapshot import CDS, EDS, LDS, RDS, ResourceCache, Snapshot, UnversionedResource
 from brambleusher.xds.status import MESSAGES
 from brambleusher.xds.store import Store, StoreError
 from brambleusher.xds.subscriber import Request, Response, Subscriber
@@ -77,19 +77,19 @@
     """Builds snapshots from mappings of a name to its content, or to a pair of content and references."""
 
     def __init__(self) -> None:
-        self.library, self.version = Library(SEAL), 0
+        self.resource_cache, self.version = ResourceCache(SEAL), 0
 
     def make(self, **kinds: dict[str, Any]) -> Snapshot:
         self.version += 1
         place = ViewPosition(1, self.version)
-        shelves = {}
+        resources_by_kind = {}
         for kind, word in ((CDS, "cds"), (EDS, "eds"), (LDS, "lds"), (RDS, "rds")):
             drafts = []
             for name, held in kinds.get(word, {}).items():
                 body, refers = held if isinstance(held, tuple) else (held, ())
-                drafts.append(Draft(name, body.encode(), frozenset(refers)))
-            shelves[kind] = self.library.shelf("", kind, drafts, place)
-        return Snapshot(place, shelves)
+                drafts.append(UnversionedResource(name, body.encode(), frozenset(refers)))
+            resources_by_kind[kind] = self.resource_cache.update_resources("", kind, drafts, place)
+        return Snapshot(place, resources_by_kind)
 
 
 def had(response: Response | None) -> tuple[str, dict[str, bytes], tuple[str, ...]] | None:
