--- a/brambleusher/xds/core.py
+++ b/brambleusher/xds/core.py
@@ -44,7 +44,7 @@
     UnversionedResource,
 )
 from brambleusher.xds.subscriber import Request, Response, Subscriber
-from brambleusher.xds.versions import Seal
+from brambleusher.xds.versions import MacSigner
 from brambleusher.xds.wire import LoadSample, NodeIdentity
 
 log = logging.getLogger(__name__)
@@ -172,13 +172,13 @@
             is_floor_certain: Whether to publish without the wait that a new store requires.  During that
                 wait subscribers may prove positions that were published earlier.
         """
-        self.config, self.seal = config, Seal(config.secret)
+        self.config, self.signer = config, MacSigner(config.secret)
         self.discovered = DiscoveredEndpoints()
         floor_wait_ns = 0 if is_floor_certain else config.new_store_ms * NS_PER_MS
         self.view_consistency = ViewConsistency(floor, now_ns, config.silence_ms * NS_PER_MS, floor_wait_ns)
         self.zones = _create_zones(config, seed, now_ns)
         self.streams: dict[int, Stream] = {}
-        self._resource_cache = ResourceCache(self.seal)
+        self._resource_cache = ResourceCache(self.signer)
         self._snapshots: dict[tuple[str, str, int], Snapshot] = {}  # by zone, form and index of the group
         self._assignment_builders = self._new_assignment_builders()
         self._assignments: dict[tuple[str, str], UnversionedResource] = {}  # by zone and form
@@ -389,7 +389,7 @@
         if identity is not None:
             self._admit(identity)
         self._last_stream_id += 1
-        subscriber = Subscriber(self.seal, incremental, bounds.names, bounds.name_bytes)
+        subscriber = Subscriber(self.signer, incremental, bounds.names, bounds.name_bytes)
         stream = Stream(self._last_stream_id, identity or "", subscriber, now_ns, refreshed_ns=now_ns)
         self.streams[stream.id] = stream
         return stream
--- a/brambleusher/xds/peer_messages.py
+++ b/brambleusher/xds/peer_messages.py
@@ -13,7 +13,7 @@
 
 from brambleusher.loadbalancing.view_consistency import PeerStatus, ViewPosition
 from brambleusher.xds.errors import ProtocolError
-from brambleusher.xds.versions import Seal
+from brambleusher.xds.versions import MacSigner
 
 SERVICE, METHOD = "brambleusher.xds.v1.Instances", "Tell"
 MAX_BYTES = 4096  # of a received message; longer input is cut off before it is parsed
@@ -22,16 +22,16 @@
 _POSITION_LENGTH = len(ViewPosition._fields)
 
 
-def _pack(seal: Seal, body: Mapping[str, object]) -> bytes:
+def _pack(signer: MacSigner, body: Mapping[str, object]) -> bytes:
     text = json.dumps(body, sort_keys=True)
-    return json.dumps({"body": text, "mark": seal.sign(text)}).encode()
+    return json.dumps({"body": text, "mark": signer.sign(text)}).encode()
 
 
-def _unpack(seal: Seal, data: bytes) -> Mapping[str, object]:
+def _unpack(signer: MacSigner, data: bytes) -> Mapping[str, object]:
     try:
         outer = json.loads(data[:MAX_BYTES])
         body, signature = outer["body"], outer["mark"]
-        if not isinstance(body, str) or not isinstance(signature, str) or not seal.verify(body, signature):
+        if not isinstance(body, str) or not isinstance(signature, str) or not signer.verify(body, signature):
             raise ProtocolError("a peer message without a valid seal")
         inner = json.loads(body)
     except (ValueError, KeyError, TypeError) as error:
@@ -52,33 +52,33 @@
     raise ProtocolError("a peer message that can't be read")
 
 
-def encode_request(seal: Seal, name: str) -> tuple[bytes, str]:
+def encode_request(signer: MacSigner, name: str) -> tuple[bytes, str]:
     """Encode a status request, and return it with the random number that its response must repeat."""
     number = secrets.token_hex(NUMBER_BYTES)
-    return _pack(seal, {"from": name, "number": number}), number
+    return _pack(signer, {"from": name, "number": number}), number
 
 
-def encode_response(seal: Seal, data: bytes, name: str, status: PeerStatus) -> bytes:
+def encode_response(signer: MacSigner, data: bytes, name: str, status: PeerStatus) -> bytes:
     """Encode the response to the status request in `data`.
 
     Raises:
         ProtocolError: The request has no valid MAC, so the caller does not know the secret.
     """
-    request = _unpack(seal, data)
+    request = _unpack(signer, data)
     return _pack(
-        seal,
+        signer,
         {"name": name, "number": str(request.get("number", ""))[:MAX_NUMBER_CHARS],
          "place": status.position, "floor": status.floor, "in_touch": status.is_connected},
     )  # fmt: skip
 
 
-def decode_response(seal: Seal, data: bytes, number: str) -> PeerStatus:
+def decode_response(signer: MacSigner, data: bytes, number: str) -> PeerStatus:
     """Decode the status in a response.
 
     Raises:
         ProtocolError: The message is not the response to the request with that number.
     """
-    body = _unpack(seal, data)
+    body = _unpack(signer, data)
     if body.get("number") != number:
         raise ProtocolError("a response to another request")
     position, floor = _parse_position(body.get("place")), _parse_position(body.get("floor"))
--- a/brambleusher/xds/server.py
+++ b/brambleusher/xds/server.py
@@ -337,7 +337,7 @@
         core = self._core
         try:
             return peer_messages.encode_response(
-                core.seal, data, core.config.name, core.peer_status(self._now_ns())
+                core.signer, data, core.config.name, core.peer_status(self._now_ns())
             )
         except ProtocolError as error:
             await context.abort(DENIED, str(error))
@@ -369,11 +369,11 @@
 
     async def _request_status(self, name: str, call: UnaryCall) -> None:
         core = self._core
-        request, number = peer_messages.encode_request(core.seal, core.config.name)
+        request, number = peer_messages.encode_request(core.signer, core.config.name)
         request_sent_ns = self._now_ns()  # the status in the response may have been valid at this time only
         try:
             status = peer_messages.decode_response(
-                core.seal, await call(request, timeout=PEER_TIMEOUT_S), number
+                core.signer, await call(request, timeout=PEER_TIMEOUT_S), number
             )
         except (grpc.RpcError, ProtocolError) as error:
             reason = error.code().name if isinstance(error, grpc.aio.AioRpcError) else str(error)
--- a/brambleusher/xds/service.py
+++ b/brambleusher/xds/service.py
@@ -22,7 +22,7 @@
 from brambleusher.xds.status import StatusServer
 from brambleusher.xds.store import Store, StoreError
 from brambleusher.xds.tls import Certificates
-from brambleusher.xds.versions import Seal
+from brambleusher.xds.versions import MacSigner
 
 log = logging.getLogger(__name__)
 
@@ -48,7 +48,7 @@
                 that of a published view.
         """
         self.config, self._path = config, path
-        self.store = Store(config.store, Seal(config.secret))
+        self.store = Store(config.store, MacSigner(config.secret))
         floor = self.store.floor
         if floor is not None and floor.epoch > config.epoch:
             self.store.close()
--- a/brambleusher/xds/snapshot.py
+++ b/brambleusher/xds/snapshot.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from brambleusher.loadbalancing.view_consistency import ViewPosition
-from brambleusher.xds.versions import Seal, digest
+from brambleusher.xds.versions import MacSigner, digest
 
 _TYPES = "type.googleapis.com/envoy.config."
 CDS = _TYPES + "cluster.v3.Cluster"
@@ -58,11 +58,17 @@
 
     @classmethod
     def make(
-        cls, kind: str, name: str, body: bytes, seal: Seal, position: ViewPosition, refers: Iterable[str] = ()
+        cls,
+        kind: str,
+        name: str,
+        body: bytes,
+        signer: MacSigner,
+        position: ViewPosition,
+        refers: Iterable[str] = (),
     ) -> Resource:
         """Create a resource whose content first appears in the view at `position`."""
         content_digest = digest(body)
-        version = seal.version(position, content_digest)
+        version = signer.version(position, content_digest)
         any_ = length_delimited(1, kind.encode()) + length_delimited(2, body)
         wrapped = (
             length_delimited(1, version.encode())
@@ -96,8 +102,8 @@
     If the version changed without the content, the resource would be sent to every subscriber again.
     """
 
-    def __init__(self, seal: Seal) -> None:
-        self._seal = seal
+    def __init__(self, signer: MacSigner) -> None:
+        self._signer = signer
         self._resources: dict[tuple[str, str], dict[str, Resource]] = {}
 
     def update_resources(
@@ -113,7 +119,7 @@
         for draft in drafts:
             resource = before.get(draft.name)
             if resource is None or resource.body != draft.body:
-                resource = Resource.make(kind, draft.name, draft.body, self._seal, position, draft.refers)
+                resource = Resource.make(kind, draft.name, draft.body, self._signer, position, draft.refers)
             resources[draft.name] = resource
         is_same = len(resources) == len(before) and all(
             before.get(name) is resource for name, resource in resources.items()
--- a/brambleusher/xds/store.py
+++ b/brambleusher/xds/store.py
@@ -14,7 +14,7 @@
 
 from brambleusher.loadbalancing.view_consistency import ViewPosition
 from brambleusher.xds.errors import ControlError
-from brambleusher.xds.versions import Seal
+from brambleusher.xds.versions import MacSigner
 
 log = logging.getLogger(__name__)
 
@@ -31,13 +31,13 @@
 class Store:
     """The open store file; not safe for concurrent use by several threads."""
 
-    def __init__(self, path: str, seal: Seal) -> None:
+    def __init__(self, path: str, signer: MacSigner) -> None:
         """Open or create the store file.
 
         Raises:
             ControlError: The file can't be opened or created.
         """
-        self._path, self._seal = path, seal
+        self._path, self._signer = path, signer
         self.floor: ViewPosition | None = None  # the position written last; None if the file is new or lost
         self.starts = 0
         self.was_lost = False  # whether a file existed and could not be read
@@ -74,9 +74,9 @@
         row = self._db.execute("SELECT row FROM place WHERE id = 1").fetchone()
         if row is None:
             return
-        text, _, seal = bytes(row[0]).decode("ascii").rpartition(".")
-        if not self._seal.verify(text, seal):
-            raise ValueError("the row has no valid seal")
+        text, _, mac = bytes(row[0]).decode("ascii").rpartition(".")
+        if not self._signer.verify(text, mac):
+            raise ValueError("the row has no valid MAC")
         epoch, version, starts = (int(field) for field in text.split("."))
         self.starts = starts
         if epoch:
@@ -117,7 +117,7 @@
 
     def _write(self, position: ViewPosition) -> None:
         text = _ROW.format(position.epoch, position.version, self.starts)
-        row = f"{text}.{self._seal.sign(text)}".encode()
+        row = f"{text}.{self._signer.sign(text)}".encode()
         try:
             self._db.execute(
                 "INSERT INTO place VALUES (1, ?) ON CONFLICT (id) DO UPDATE SET row = excluded.row", (row,)
--- a/brambleusher/xds/subscriber.py
+++ b/brambleusher/xds/subscriber.py
@@ -27,7 +27,7 @@
     Snapshot,
     length_delimited,
 )
-from brambleusher.xds.versions import ProvenVersion, Seal, digest
+from brambleusher.xds.versions import MacSigner, ProvenVersion, digest
 
 WILDCARD = "*"
 MAX_UNACKNOWLEDGED = 2  # responses of a kind; a change can be sent while a long list is unacknowledged
@@ -131,10 +131,10 @@
     """The protocol's state machine for one stream."""
 
     def __init__(
-        self, seal: Seal, incremental: bool, max_names: int = 1000, max_name_bytes: int = 512
+        self, signer: MacSigner, incremental: bool, max_names: int = 1000, max_name_bytes: int = 512
     ) -> None:
         self.incremental = incremental
-        self._seal, self._max_names, self._max_name_bytes = seal, max_names, max_name_bytes
+        self._signer, self._max_names, self._max_name_bytes = signer, max_names, max_name_bytes
         self._subscriptions: dict[str, _Subscription] = {}  # by kind
         self._snapshot: Snapshot | None = None
         # The owner reads the next three lists after each request, and clears them.
@@ -223,7 +223,7 @@
         if is_first:
             if not request.names and request.kind in COMPLETE_KINDS:
                 is_wildcard = True
-            proven = self._seal.parse(request.version) if request.version else None
+            proven = self._signer.parse(request.version) if request.version else None
             if proven is not None:
                 self.proven_positions.append(proven.position)
         elif not request.names and subscription.is_wildcard and not subscription.has_named:
@@ -248,7 +248,7 @@
             if not request.subscribe and request.kind in COMPLETE_KINDS:
                 subscription.is_wildcard = True
             for name, version in request.initial_versions.items():
-                self._record_initial_version(subscription, name, self._seal.parse(version))
+                self._record_initial_version(subscription, name, self._signer.parse(version))
         for name in request.unsubscribe:
             self._unsubscribe(subscription, name)
         for name in request.subscribe:
@@ -447,7 +447,7 @@
         is_shared = view is snapshot.kinds[kind]
         if is_shared and (cached := snapshot.cached_heads.get(key)) is not None:
             return cached
-        version = self._seal.version(snapshot.position, _digest_of(view.values()))
+        version = self._signer.version(snapshot.position, _digest_of(view.values()))
         entries = [each.delta_entry if self.incremental else each.state_entry for each in due]
         removed = (
             [length_delimited(_REMOVED_FIELD, name.encode()) for name in missing] if self.incremental else []
--- a/brambleusher/xds/versions.py
+++ b/brambleusher/xds/versions.py
@@ -1,10 +1,10 @@
 """Authenticated version strings: a view's position, a digest of the content, and a MAC over both.
 
-    EPOCH.VERSION.DIGEST.SEAL        e.g. 3.41.9f86d081884c7d65.c1a5e2b0d7f3a901
+    EPOCH.VERSION.DIGEST.MAC         e.g. 3.41.9f86d081884c7d65.c1a5e2b0d7f3a901
 
-The seal is the MAC, keyed with a secret that all instances of an installation share.  A subscriber sends
-its version strings when it reconnects, to any instance.  A string with a valid seal proves that a view at
-that position was published; a string without one is ignored.
+The MAC is keyed with a secret that all instances of an installation share.  A subscriber sends its version
+strings when it reconnects, to any instance.  A string with a valid MAC proves that a view at that position
+was published; a string without a valid MAC proves nothing.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from brambleusher.loadbalancing.view_consistency import ViewPosition
 
 _FORM = re.compile(r"(\d{1,18})\.(\d{1,18})\.([0-9a-f]{16})\.([0-9a-f]{16})", re.ASCII)
-DIGEST_BYTES = 8  # length of a content digest and of a seal: 16 hex digits each in the version string
+DIGEST_BYTES = 8  # length of a content digest and of a MAC: 16 hex digits each in the version string
 KEY_BYTES = 32
 MIN_SECRET_BYTES = 16
 
@@ -29,27 +29,27 @@
 
 @dataclass(frozen=True, slots=True)
 class ProvenVersion:
-    """The view position and content digest in a version string with a valid seal."""
+    """The view position and content digest in a version string with a valid MAC."""
 
     position: ViewPosition
     digest: str
 
 
-class Seal:
-    """Creates and verifies version strings with a keyed MAC."""
+class MacSigner:
+    """Creates and verifies version strings, and signs other texts, with a keyed MAC."""
 
     def __init__(self, secret: bytes) -> None:
         """Derive the key from a secret of at least `MIN_SECRET_BYTES`, the same in every instance."""
         self._key = hashlib.blake2b(secret, digest_size=KEY_BYTES, person=b"control seal").digest()
 
     def sign(self, text: str) -> str:
-        """Return the seal (MAC) of a text, in hex."""
-        mac = hashlib.blake2b(text.encode(), digest_size=DIGEST_BYTES, key=self._key)
-        return mac.hexdigest()
+        """Return the MAC of a text, in hex."""
+        keyed_hash = hashlib.blake2b(text.encode(), digest_size=DIGEST_BYTES, key=self._key)
+        return keyed_hash.hexdigest()
 
-    def verify(self, text: str, seal: str) -> bool:
-        """Return whether `seal` is the valid seal of `text`."""
-        return hmac.compare_digest(self.sign(text).encode(), seal.encode("utf-8", "replace"))
+    def verify(self, text: str, mac: str) -> bool:
+        """Return whether `mac` is the valid MAC of `text`."""
+        return hmac.compare_digest(self.sign(text).encode(), mac.encode("utf-8", "replace"))
 
     def version(self, position: ViewPosition, content_digest: str) -> str:
         """Return the version string of content in the view at `position`."""
--- a/tests/test_recorded_files.py
+++ b/tests/test_recorded_files.py
@@ -28,7 +28,7 @@
 from brambleusher.xds.resources import static_resources
 from brambleusher.xds.snapshot import Resource
 from brambleusher.xds.store import Store
-from brambleusher.xds.versions import Seal
+from brambleusher.xds.versions import MacSigner
 
 RECORDED = Path(__file__).parent / "recorded"
 FILES, XDS = RECORDED / "files", RECORDED / "xds"
@@ -113,7 +113,7 @@
 
 # --- the xDS service -------------------------------------------------------------------------------
 
-SEAL = Seal((FILES / "control.secret").read_bytes())
+SIGNER = MacSigner((FILES / "control.secret").read_bytes())
 
 
 def row_of(path: Path) -> bytes:
@@ -124,13 +124,13 @@
 def test_the_store_is_read_and_written_alike(tmp_path: Path) -> None:
     for name in ("control.db", "control.db-journal"):
         shutil.copy(XDS / name, tmp_path)
-    with closing(Store(str(tmp_path / "control.db"), SEAL)) as old:
+    with closing(Store(str(tmp_path / "control.db"), SIGNER)) as old:
         assert (old.floor, old.starts, old.was_lost) == (ViewPosition(3, 41), 2, False)
         old.record_start()
         old.write(ViewPosition(3, 42))
-    with closing(Store(str(tmp_path / "control.db"), SEAL)) as again:
+    with closing(Store(str(tmp_path / "control.db"), SIGNER)) as again:
         assert (again.floor, again.starts, again.was_lost) == (ViewPosition(3, 42), 3, False)
-    with closing(Store(str(tmp_path / "new.db"), SEAL)) as new:
+    with closing(Store(str(tmp_path / "new.db"), SIGNER)) as new:
         new.record_start()
         new.write(ViewPosition(3, 41))
         new.record_start()
@@ -138,8 +138,8 @@
 
 
 def test_versions_and_resources_have_the_recorded_bytes(folder: Path) -> None:
-    assert SEAL.version(ViewPosition(3, 41), "0123456789abcdef") == RESOURCES["version"]
-    claim = SEAL.parse(RESOURCES["version"])
+    assert SIGNER.version(ViewPosition(3, 41), "0123456789abcdef") == RESOURCES["version"]
+    claim = SIGNER.parse(RESOURCES["version"])
     assert claim is not None and (claim.position, claim.digest) == (ViewPosition(3, 41), "0123456789abcdef")
     config = load_control("control.yaml")
     made: dict[str, list[Any]] = {}
@@ -147,7 +147,7 @@
         for kind, drafts in static_resources(config, group).items():
             for draft in drafts:
                 resource = Resource.make(
-                    kind, draft.name, draft.body, SEAL, ViewPosition(3, 41), draft.refers
+                    kind, draft.name, draft.body, SIGNER, ViewPosition(3, 41), draft.refers
                 )
                 entries = hashlib.sha256(resource.state_entry + resource.delta_entry).hexdigest()
                 name = f"{group.identity} {kind} {draft.name}"
--- a/tests/xds/test_control.py
+++ b/tests/xds/test_control.py
@@ -60,13 +60,13 @@
 from brambleusher.xds.status import MESSAGES
 from brambleusher.xds.store import Store, StoreError
 from brambleusher.xds.subscriber import Request, Response, Subscriber
-from brambleusher.xds.versions import Seal
+from brambleusher.xds.versions import MacSigner
 from brambleusher.xds.wire import NodeIdentity, decode_loads, decode_request
 from tests.rig import SETTINGS
 
 MS, SECOND = 1_000_000, 1_000_000_000
 SECRET = b"a secret for the tests"
-SEAL = Seal(SECRET)
+SIGNER = MacSigner(SECRET)
 AT_FIVE = ViewPosition(1, 5)
 
 
@@ -77,7 +77,7 @@
     """Builds snapshots from mappings of a name to its content, or to a pair of content and references."""
 
     def __init__(self) -> None:
-        self.resource_cache, self.version = ResourceCache(SEAL), 0
+        self.resource_cache, self.version = ResourceCache(SIGNER), 0
 
     def make(self, **kinds: dict[str, Any]) -> Snapshot:
         self.version += 1
@@ -104,7 +104,7 @@
 
 
 def subscriber(incremental: bool = False) -> Subscriber:
-    return Subscriber(SEAL, incremental, max_names=10, max_name_bytes=50)
+    return Subscriber(SIGNER, incremental, max_names=10, max_name_bytes=50)
 
 
 def test_whole_state_is_sent_acknowledged_and_not_sent_again() -> None:
@@ -252,9 +252,9 @@
     resource = now.kinds[EDS]["e"]
     version = {
         "present": resource.version,
-        "other place, same content": SEAL.version(ViewPosition(0, 3), resource.digest),
-        "older content": SEAL.version(ViewPosition(1, 1), "0" * 16),
-        "of the future": SEAL.version(ViewPosition(9, 99), "1" * 16),
+        "other place, same content": SIGNER.version(ViewPosition(0, 3), resource.digest),
+        "older content": SIGNER.version(ViewPosition(1, 1), "0" * 16),
+        "of the future": SIGNER.version(ViewPosition(9, 99), "1" * 16),
         "made up": f"9.99.{resource.digest}.{'0' * 16}",
     }.get(claim)
     held.offer(now)
@@ -268,7 +268,7 @@
 def test_whole_state_is_sent_anew_on_a_new_stream_and_its_claim_is_kept() -> None:
     views, held = Views(), subscriber()
     held.offer(views.make(eds={"e": "now"}))
-    held.receive(Request(EDS, version=SEAL.version(ViewPosition(4, 2), "0" * 16), names=("e",)))
+    held.receive(Request(EDS, version=SIGNER.version(ViewPosition(4, 2), "0" * 16), names=("e",)))
     assert held.proven_positions == [ViewPosition(4, 2)]
     assert had(held.take()) == (EDS, {"e": b"now"}, ())
 
@@ -312,12 +312,12 @@
 
 
 def test_a_seal_is_only_good_over_what_it_was_put_on() -> None:
-    version = SEAL.version(ViewPosition(3, 41), "0123456789abcdef")
-    claim = SEAL.parse(version)
+    version = SIGNER.version(ViewPosition(3, 41), "0123456789abcdef")
+    claim = SIGNER.parse(version)
     assert claim is not None and claim.position == ViewPosition(3, 41)
     for other in (version.replace("41", "42"), version[:-1] + "0", version + "0", "", "3.41", "²" + version):
-        assert SEAL.parse(other) is None or other == version
-    assert Seal(b"another secret, as long").parse(version) is None
+        assert SIGNER.parse(other) is None or other == version
+    assert MacSigner(b"another secret, as long").parse(version) is None
 
 
 # --- when publishing is allowed -----------------------------------------------------------------
@@ -533,7 +533,7 @@
     core = core_with(tmp_path, endpoint("n1"))
     for version, why in (
         (f"9.9.{'0' * 16}.{'0' * 16}", None),
-        (SEAL.version(ViewPosition(1, 2), "0" * 16), WithheldReason.BEHIND),
+        (SIGNER.version(ViewPosition(1, 2), "0" * 16), WithheldReason.BEHIND),
     ):
         stream = core.open_stream(None, False, 0)
         core.handle_request(stream, Request(EDS, version=version, names=(ENDPOINTS,)), NodeIdentity("p"), 0)
@@ -839,7 +839,7 @@
 def test_the_store_keeps_the_highest_place_and_counts_starts(tmp_path: Path) -> None:
     path = str(tmp_path / "s.db")
     for start in (1, 2, 3):
-        store = Store(path, SEAL)
+        store = Store(path, SIGNER)
         store.record_start()
         assert store.starts == start and store.floor == (None if start == 1 else ViewPosition(1, start + 5))
         store.write(ViewPosition(1, 6 + start))
@@ -850,7 +850,7 @@
 @pytest.mark.parametrize("harm", ["torn", "not a database", "another's row", "empty"])
 def test_a_store_that_cannot_be_read_is_put_aside(tmp_path: Path, harm: str) -> None:
     path = tmp_path / "s.db"
-    store = Store(str(path), SEAL if harm != "another's row" else Seal(b"another secret, as long"))
+    store = Store(str(path), SIGNER if harm != "another's row" else MacSigner(b"another secret, as long"))
     store.write(ViewPosition(1, 9))
     store.close()
     whole = path.read_bytes()
@@ -860,11 +860,11 @@
         path.write_bytes(b"\0" * 100 + whole[::-1])
     elif harm == "empty":
         path.write_bytes(b"")
-    store = Store(str(path), SEAL)
+    store = Store(str(path), SIGNER)
     assert store.floor is None and store.was_lost == (harm != "empty")
     store.write(ViewPosition(1, 10))
     store.close()
-    assert Store(str(path), SEAL).floor == ViewPosition(1, 10)
+    assert Store(str(path), SIGNER).floor == ViewPosition(1, 10)
 
 
 def test_a_disk_that_is_full_fails_the_write_and_keeps_what_was_there(tmp_path: Path) -> None:
@@ -872,11 +872,11 @@
     script = textwrap.dedent("""
         import resource, signal, sys
         from brambleusher.xds.store import Store, StoreError
-        from brambleusher.xds.versions import Seal
+        from brambleusher.xds.versions import MacSigner
         from brambleusher.loadbalancing.view_consistency import ViewPosition
         signal.signal(signal.SIGXFSZ, signal.SIG_IGN)
-        path, seal = sys.argv[1], Seal(b"a secret for the tests")
-        store = Store(path, seal)
+        path, signer = sys.argv[1], MacSigner(b"a secret for the tests")
+        store = Store(path, signer)
         store.record_start()
         store.write(ViewPosition(1, 1))
         resource.setrlimit(resource.RLIMIT_FSIZE, (100, resource.RLIM_INFINITY))
@@ -897,11 +897,11 @@
         check=True,
     )
     assert done.stdout.split("\n")[:3] == ["failed", "(1, 1)", "(1, 3)"]
-    assert Store(str(tmp_path / "s.db"), SEAL).floor == ViewPosition(1, 3)
+    assert Store(str(tmp_path / "s.db"), SIGNER).floor == ViewPosition(1, 3)
 
 
 def test_writes_fail_alone(tmp_path: Path) -> None:
-    store = Store(str(tmp_path / "s.db"), SEAL)
+    store = Store(str(tmp_path / "s.db"), SIGNER)
     store.write(ViewPosition(1, 1))
     store.close()
     with pytest.raises(StoreError):
