--- a/brambleusher/xds/core.py
+++ b/brambleusher/xds/core.py
@@ -467,10 +467,10 @@
             return None
         subscriber = stream.subscriber
         snapshot = self.snapshot(stream.zone, stream.form, stream.group, now_ns)
-        if subscriber.offered is not snapshot:
-            subscriber.offer(snapshot)
+        if subscriber.current_snapshot is not snapshot:
+            subscriber.set_snapshot(snapshot)
         self._refresh_stale_endpoints(stream, now_ns)
-        response = subscriber.take()
+        response = subscriber.take_response()
         if response is not None:
             self.view_consistency.record_published(response.position)
             stream.responses += 1
--- a/brambleusher/xds/subscriber.py
+++ b/brambleusher/xds/subscriber.py
@@ -1,8 +1,8 @@
 """Serve one subscriber's stream: the aggregated discovery protocol in both variants, without I/O.
 
-`receive` processes a decoded request, and `offer` sets the snapshot to serve.  `take` returns the next
-response, computed from the newest snapshot at that moment.  Nothing is queued, so a slow subscriber skips
-resource versions that were superseded.  Kinds are served in the order CDS, EDS, LDS, RDS ("make before
+`receive` processes a decoded request, and `set_snapshot` sets the snapshot to serve.  `take_response` returns
+the next response, computed from the newest snapshot at that moment.  Nothing is queued, so a slow subscriber
+skips resource versions that were superseded.  Kinds are served in the order CDS, EDS, LDS, RDS ("make before
 break"): a kind that refers to another waits until that other kind is acknowledged, and resources that are
 still referred to are not removed.
 
@@ -283,7 +283,7 @@
 
     # --- responses ------------------------------------------------------------------------------
 
-    def offer(self, snapshot: Snapshot) -> None:
+    def set_snapshot(self, snapshot: Snapshot) -> None:
         """Set the snapshot to serve; it replaces the one set before."""
         self._snapshot = snapshot
 
@@ -298,11 +298,11 @@
         subscription.served = None
 
     @property
-    def offered(self) -> Snapshot | None:
+    def current_snapshot(self) -> Snapshot | None:
         """The snapshot to serve."""
         return self._snapshot
 
-    def take(self) -> Response | None:
+    def take_response(self) -> Response | None:
         """Return the next response, or None if there is nothing to send."""
         snapshot = self._snapshot
         if snapshot is None:
--- a/tests/xds/test_control.py
+++ b/tests/xds/test_control.py
@@ -109,19 +109,19 @@
 
 def test_whole_state_is_sent_acknowledged_and_not_sent_again() -> None:
     views, held = Views(), subscriber()
-    held.offer(views.make(cds={"a": "1", "b": "1"}))
-    assert held.take() is None
+    held.set_snapshot(views.make(cds={"a": "1", "b": "1"}))
+    assert held.take_response() is None
     held.receive(Request(CDS))
-    first = held.take()
+    first = held.take_response()
     assert had(first) == (CDS, {"a": b"1", "b": b"1"}, ())
-    assert held.take() is None
+    assert held.take_response() is None
     held.receive(ack(first))
-    held.offer(views.make(cds={"a": "1", "b": "1"}))
-    assert held.take() is None
-    held.offer(views.make(cds={"a": "1", "b": "2"}))
-    assert had(held.take()) == (CDS, {"a": b"1", "b": b"2"}, ())  # CDS responses list all resources
-    held.offer(views.make(cds={"b": "2"}))
-    assert had(held.take()) == (CDS, {"b": b"2"}, ("a",))
+    held.set_snapshot(views.make(cds={"a": "1", "b": "1"}))
+    assert held.take_response() is None
+    held.set_snapshot(views.make(cds={"a": "1", "b": "2"}))
+    assert had(held.take_response()) == (CDS, {"a": b"1", "b": b"2"}, ())  # CDS responses list all resources
+    held.set_snapshot(views.make(cds={"b": "2"}))
+    assert had(held.take_response()) == (CDS, {"b": b"2"}, ("a",))
 
 
 @pytest.mark.parametrize("incremental", [False, True])
@@ -129,23 +129,23 @@
     incremental: bool,
 ) -> None:
     views, held = Views(), subscriber(incremental)
-    held.offer(views.make(eds={"e": "good", "other": "1"}))
+    held.set_snapshot(views.make(eds={"e": "good", "other": "1"}))
     held.receive(Request(EDS, names=("e", "other"), subscribe=("e", "other")))
-    held.receive(ack(held.take(), "e", "other"))
+    held.receive(ack(held.take_response(), "e", "other"))
     good = held.acknowledged(EDS)["e"].version
-    held.offer(views.make(eds={"e": "bad", "other": "1"}))
-    held.receive(ack(held.take(), "e", "other", error="no such thing"))
+    held.set_snapshot(views.make(eds={"e": "bad", "other": "1"}))
+    held.receive(ack(held.take_response(), "e", "other", error="no such thing"))
     assert held.acknowledged(EDS)["e"].version == good
     assert held.rejected(EDS)["e"].reason == "no such thing"
-    held.offer(views.make(eds={"e": "bad", "other": "2"}))
-    assert had(held.take()) == (EDS, {"other": b"2"}, ())
+    held.set_snapshot(views.make(eds={"e": "bad", "other": "2"}))
+    assert had(held.take_response()) == (EDS, {"other": b"2"}, ())
     held.refresh(EDS)  # a refresh does not send rejected resources again
-    assert had(held.take()) == (EDS, {"other": b"2"}, ())
-    held.offer(views.make(eds={"e": "mended", "other": "2"}))
-    response = held.take()  # withheld, since two responses are not acknowledged yet
+    assert had(held.take_response()) == (EDS, {"other": b"2"}, ())
+    held.set_snapshot(views.make(eds={"e": "mended", "other": "2"}))
+    response = held.take_response()  # withheld, since two responses are not acknowledged yet
     assert response is None
     held.receive(Request(EDS, "4", None, names=("e", "other")))
-    response = held.take()
+    response = held.take_response()
     assert had(response) == (EDS, {"e": b"mended"}, ())
     held.receive(ack(response, "e", "other"))
     assert not held.rejected(EDS) and held.acknowledged(EDS)["e"].body == b"mended"
@@ -155,44 +155,44 @@
     views, held = Views(), subscriber()
     held.receive(Request(EDS, names=("e",)))
     for at in range(50):
-        held.offer(views.make(eds={"e": str(at)}))
-    assert had(held.take()) == (EDS, {"e": b"49"}, ())
-    held.offer(views.make(eds={"e": "50"}))
-    assert had(held.take()) == (EDS, {"e": b"50"}, ())  # sent before the first acknowledgement
+        held.set_snapshot(views.make(eds={"e": str(at)}))
+    assert had(held.take_response()) == (EDS, {"e": b"49"}, ())
+    held.set_snapshot(views.make(eds={"e": "50"}))
+    assert had(held.take_response()) == (EDS, {"e": b"50"}, ())  # sent before the first acknowledgement
     for at in range(51, 90):
-        held.offer(views.make(eds={"e": str(at)}))
-        assert held.take() is None
+        held.set_snapshot(views.make(eds={"e": str(at)}))
+        assert held.take_response() is None
     held.receive(Request(EDS, "2", names=("e",)))
-    assert had(held.take()) == (EDS, {"e": b"89"}, ())
+    assert had(held.take_response()) == (EDS, {"e": b"89"}, ())
 
 
 def test_names_are_added_and_dropped_in_whole_state() -> None:
     views, held = Views(), subscriber()
-    held.offer(views.make(eds={"a": "1", "b": "1"}, cds={"a": "1", "b": "1"}))
+    held.set_snapshot(views.make(eds={"a": "1", "b": "1"}, cds={"a": "1", "b": "1"}))
     held.receive(Request(EDS, names=("a",)))
-    first = held.take()
+    first = held.take_response()
     held.receive(ack(first, "a", "b"))
-    assert had(held.take()) == (EDS, {"b": b"1"}, ())
+    assert had(held.take_response()) == (EDS, {"b": b"1"}, ())
     held.receive(Request(EDS, "2", names=("b",)))
     held.receive(Request(EDS, "2", names=("a", "b")))
-    assert had(held.take()) == (EDS, {"a": b"1"}, ())  # a name dropped and added again is sent again
+    assert had(held.take_response()) == (EDS, {"a": b"1"}, ())  # a name dropped and added again is sent again
     held.receive(Request(CDS, names=("a",)))
-    assert had(held.take()) == (CDS, {"a": b"1"}, ())
+    assert had(held.take_response()) == (CDS, {"a": b"1"}, ())
     held.receive(Request(CDS, "1", names=("a", "b", "none")))
-    assert had(held.take()) == (CDS, {"a": b"1", "b": b"1"}, ("none",))
+    assert had(held.take_response()) == (CDS, {"a": b"1", "b": b"1"}, ("none",))
     held.receive(Request(CDS, "2", names=()))  # an empty list after a list of names means no subscription
-    held.offer(views.make(cds={"a": "2"}))
-    assert held.take() is None
+    held.set_snapshot(views.make(cds={"a": "2"}))
+    assert held.take_response() is None
 
 
 @pytest.mark.parametrize("incremental", [False, True])
 def test_names_that_come_and_go_beside_the_star_leave_nothing_behind(incremental: bool) -> None:
     views, held = Views(), subscriber(incremental)
-    held.offer(views.make(cds={"a": "1"}))
+    held.set_snapshot(views.make(cds={"a": "1"}))
     held.receive(Request(CDS, names=("*",), subscribe=("*",)))
     nonce = ""
     for at in range(50):
-        if (response := held.take()) is not None:
+        if (response := held.take_response()) is not None:
             nonce = response.nonce
         now = (f"{at}-1", f"{at}-2")
         was = (f"{at - 1}-1", f"{at - 1}-2")
@@ -202,10 +202,10 @@
 
 def test_requests_written_before_the_last_response_was_read_change_no_names() -> None:
     views, held = Views(), subscriber()
-    held.offer(views.make(eds={"a": "1", "b": "1"}))
+    held.set_snapshot(views.make(eds={"a": "1", "b": "1"}))
     held.receive(Request(EDS, names=("a",)))
     held.receive(Request(EDS, names=("a", "b")))  # applied, since no response was sent yet
-    assert had(held.take()) == (EDS, {"a": b"1", "b": b"1"}, ())
+    assert had(held.take_response()) == (EDS, {"a": b"1", "b": b"1"}, ())
     held.receive(Request(EDS, names=("b",)))
     assert held.subscribed_names(EDS) == ["a", "b"]
 
@@ -224,18 +224,18 @@
 
 def test_incremental_sends_what_changed_and_names_what_is_gone() -> None:
     views, held = Views(), subscriber(True)
-    held.offer(views.make(cds={"a": "1", "b": "1"}, eds={"e": "1"}))
+    held.set_snapshot(views.make(cds={"a": "1", "b": "1"}, eds={"e": "1"}))
     held.receive(Request(CDS))
-    held.receive(ack(held.take()))
-    held.offer(views.make(cds={"a": "2", "c": "1"}, eds={"e": "1"}))
-    assert had(held.take()) == (CDS, {"a": b"2", "c": b"1"}, ("b",))
+    held.receive(ack(held.take_response()))
+    held.set_snapshot(views.make(cds={"a": "2", "c": "1"}, eds={"e": "1"}))
+    assert had(held.take_response()) == (CDS, {"a": b"2", "c": b"1"}, ("b",))
     held.receive(Request(EDS, subscribe=("e", "none")))
-    assert had(held.take()) == (EDS, {"e": b"1"}, ("none",))
+    assert had(held.take_response()) == (EDS, {"e": b"1"}, ("none",))
     held.receive(Request(EDS, "1", subscribe=("e",)))  # a name subscribed to again is sent again
-    assert had(held.take()) == (EDS, {"e": b"1"}, ())
+    assert had(held.take_response()) == (EDS, {"e": b"1"}, ())
     held.receive(Request(EDS, "2", unsubscribe=("e",)))
-    held.offer(views.make(cds={"a": "2", "c": "1"}, eds={"e": "2", "none": "1"}))
-    assert had(held.take()) == (EDS, {"none": b"1"}, ())
+    held.set_snapshot(views.make(cds={"a": "2", "c": "1"}, eds={"e": "2", "none": "1"}))
+    assert had(held.take_response()) == (EDS, {"none": b"1"}, ())
 
 
 @pytest.mark.parametrize(
@@ -257,20 +257,20 @@
         "of the future": SIGNER.version(ViewPosition(9, 99), "1" * 16),
         "made up": f"9.99.{resource.digest}.{'0' * 16}",
     }.get(claim)
-    held.offer(now)
+    held.set_snapshot(now)
     held.receive(Request(EDS, subscribe=("e",), initial_versions={} if version is None else {"e": version}))
     assert bool(held.proven_positions) == claims
-    assert (held.take() is not None) == sent
+    assert (held.take_response() is not None) == sent
     if not sent:  # content that the subscriber proved to hold counts as acknowledged
         assert held.acknowledged(EDS)["e"] is resource
 
 
 def test_whole_state_is_sent_anew_on_a_new_stream_and_its_claim_is_kept() -> None:
     views, held = Views(), subscriber()
-    held.offer(views.make(eds={"e": "now"}))
+    held.set_snapshot(views.make(eds={"e": "now"}))
     held.receive(Request(EDS, version=SIGNER.version(ViewPosition(4, 2), "0" * 16), names=("e",)))
     assert held.proven_positions == [ViewPosition(4, 2)]
-    assert had(held.take()) == (EDS, {"e": b"now"}, ())
+    assert had(held.take_response()) == (EDS, {"e": b"now"}, ())
 
 
 def test_make_before_break() -> None:
@@ -283,32 +283,32 @@
         "lds": {"l": ("2", ("r",))}, "rds": {"r": ("to new", ("new",))},
     }  # fmt: skip
     views, held = Views(), subscriber()
-    held.offer(views.make(**old))
+    held.set_snapshot(views.make(**old))
     for request in (Request(CDS), Request(EDS, names=("eo",)), Request(LDS), Request(RDS, names=("r",))):
         held.receive(request)
     for pair in (((CDS, ()), (EDS, ("eo",))), ((LDS, ()), (RDS, ("r",)))):
-        responses = [held.take() for _ in pair]
+        responses = [held.take_response() for _ in pair]
         assert [each and each.kind for each in responses] == [kind for kind, _ in pair]
-        assert held.take() is None  # resources that refer to these wait for the acknowledgements
+        assert held.take_response() is None  # resources that refer to these wait for the acknowledgements
         for response, (_, names) in zip(responses, pair, strict=True):
-            assert held.take() is None
+            assert held.take_response() is None
             held.receive(ack(response, *names))
-    held.offer(views.make(**new))
-    response = held.take()
+    held.set_snapshot(views.make(**new))
+    response = held.take_response()
     assert had(response) == (CDS, {"new": b"1", "old": b"1"}, ())  # the old route refers to the old cluster
-    assert held.take() is None
+    assert held.take_response() is None
     held.receive(ack(response))
     held.receive(Request(EDS, "1", names=("eo", "en")))
-    response = held.take()
+    response = held.take_response()
     assert had(response) == (EDS, {"en": b"1"}, ())
-    assert held.take() is None
+    assert held.take_response() is None
     held.receive(ack(response, "eo", "en"))
-    listener, routes = held.take(), held.take()
+    listener, routes = held.take_response(), held.take_response()
     assert had(listener) == (LDS, {"l": b"2"}, ()) and had(routes) == (RDS, {"r": b"to new"}, ())
     held.receive(ack(listener))
-    assert held.take() is None  # the old cluster stays until the new routes are acknowledged
+    assert held.take_response() is None  # the old cluster stays until the new routes are acknowledged
     held.receive(ack(routes, "r"))
-    assert had(held.take()) == (CDS, {"new": b"1"}, ("old",))
+    assert had(held.take_response()) == (CDS, {"new": b"1"}, ("old",))
 
 
 def test_a_seal_is_only_good_over_what_it_was_put_on() -> None:
