--- a/brambleusher/xds/server.py
+++ b/brambleusher/xds/server.py
@@ -21,7 +21,7 @@
 from brambleusher.xds.core import Core, Stream
 from brambleusher.xds.errors import ProtocolError, SubscriptionDeniedError
 from brambleusher.xds.tls import Certificates
-from brambleusher.xds.wire import ADS, LRS, ask_for_loads, decode_loads, decode_request
+from brambleusher.xds.wire import ADS, LRS, decode_load_report, decode_request, encode_load_report_settings
 
 log = logging.getLogger(__name__)
 
@@ -317,7 +317,7 @@
             while (data := await context.read()) is not grpc.aio.EOF:
                 if not limiter.acquire():
                     raise ProtocolError("too many load reports a second")
-                samples, node = decode_loads(data)
+                samples, node = decode_load_report(data)
                 identity = identity or node.id
                 group = core.config.group_of(identity)  # looked up each time, since a reload may change it
                 if group is None:
@@ -326,7 +326,7 @@
                     zone = group.zone or node.zone
                     if zone not in core.zones:
                         raise ProtocolError(f"zone {zone[:100]!r} is not served")
-                    await context.write(ask_for_loads(core.config.reports_ms))
+                    await context.write(encode_load_report_settings(core.config.reports_ms))
                 core.record_load_report(zone, samples)
         finally:
             self.load_streams -= 1
--- a/brambleusher/xds/service.py
+++ b/brambleusher/xds/service.py
@@ -242,7 +242,7 @@
         return {
             "store": {
                 "starts": self.store.starts,
-                "lost_at_start": self.store.was_lost,
+                "lost_at_start": self.store.had_corrupt_file,
                 "problem": self.store_problem,
                 "last_write_ms": round(self.last_write_ms, 2),
             },
--- a/brambleusher/xds/store.py
+++ b/brambleusher/xds/store.py
@@ -40,7 +40,7 @@
         self._path, self._signer = path, signer
         self.floor: ViewPosition | None = None  # the position written last; None if the file is new or lost
         self.starts = 0
-        self.was_lost = False  # whether a file existed and could not be read
+        self.had_corrupt_file = False  # whether a file existed and could not be read
         try:
             self._db = self._open()
             self._read()
@@ -52,7 +52,7 @@
                 self._db = self._open()
             except sqlite3.Error as retry_error:
                 raise ControlError(f"store.file: {path}: {retry_error}") from None
-            self.was_lost = True
+            self.had_corrupt_file = True
 
     def _open(self) -> sqlite3.Connection:
         db = sqlite3.connect(
--- a/brambleusher/xds/tls.py
+++ b/brambleusher/xds/tls.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Material:
+class CertificateMaterial:
     """A certificate chain with its key, and the CA certificates that subscribers are verified against."""
 
     certificate: bytes
@@ -54,7 +54,9 @@
     return certificates
 
 
-def check(certificate: bytes, key: bytes, client_ca: bytes, now: dt.datetime) -> Material:
+def validate_material(
+    certificate: bytes, key: bytes, client_ca: bytes, now: dt.datetime
+) -> CertificateMaterial:
     """Validate a certificate chain, its key and the client CA together.
 
     Raises:
@@ -79,7 +81,7 @@
         raise ControlError("tls.certificate has a key of an unsupported type") from None
     if public.public_bytes(*form) != private.public_key().public_bytes(*form):
         raise ControlError("tls.key is not the key of tls.certificate")
-    return Material(certificate, key, client_ca, chain[0].not_valid_after_utc)
+    return CertificateMaterial(certificate, key, client_ca, chain[0].not_valid_after_utc)
 
 
 class Certificates:
@@ -94,7 +96,7 @@
         self._files = files
         self.material = self._load()
         self.problem: str | None = None
-        self.loads = 1  # how many sets of certificates were loaded, including the first
+        self.load_count = 1  # how many sets of certificates were loaded, including the first
 
     def _bytes(self) -> tuple[bytes, bytes, bytes]:
         files = self._files
@@ -104,8 +106,8 @@
             _read(files.client_ca, "client_ca"),
         )
 
-    def _load(self) -> Material:
-        return check(*self._bytes(), dt.datetime.now(dt.UTC))
+    def _load(self) -> CertificateMaterial:
+        return validate_material(*self._bytes(), dt.datetime.now(dt.UTC))
 
     def reload_if_changed(self) -> bool:
         """Read the files again, and use them if they are valid; log each distinct failure once.
@@ -119,14 +121,14 @@
             if files == (current.certificate, current.key, current.client_ca):
                 self.problem = None
                 return False
-            new_material = check(*files, dt.datetime.now(dt.UTC))
+            new_material = validate_material(*files, dt.datetime.now(dt.UTC))
         except ControlError as error:
             if self.problem != str(error):
                 self.problem = str(error)
                 log.warning("certificate reload failed", extra={"fields": {"reason": error}})
             return False
         self.material, self.problem = new_material, None
-        self.loads += 1
+        self.load_count += 1
         log.info(
             "certificates reloaded", extra={"fields": {"valid_until": new_material.not_after.isoformat()}}
         )
@@ -142,7 +144,7 @@
             "valid_until": self.material.not_after.isoformat(),
             "problem": self.problem,
             "expires_soon": self.expires_soon(),
-            "taken": self.loads,
+            "taken": self.load_count,
         }
 
     # --- for gRPC -------------------------------------------------------------------------------
--- a/brambleusher/xds/wire.py
+++ b/brambleusher/xds/wire.py
@@ -109,7 +109,7 @@
     return min(int(value), MAX_COUNT)
 
 
-def decode_loads(data: bytes) -> tuple[list[LoadSample], NodeIdentity]:
+def decode_load_report(data: bytes) -> tuple[list[LoadSample], NodeIdentity]:
     """Decode a load report into one sample for each host and cluster, and the node that sent the report.
 
     Raises:
@@ -151,7 +151,7 @@
     )  # fmt: skip
 
 
-def ask_for_loads(interval_ms: int) -> bytes:
+def encode_load_report_settings(interval_ms: int) -> bytes:
     """Encode the response that asks for reports on all clusters by endpoint, at the given interval."""
     response = lrs_pb2.LoadStatsResponse(send_all_clusters=True, report_endpoint_granularity=True)
     response.load_reporting_interval.FromMilliseconds(interval_ms)
--- a/tests/test_recorded_files.py
+++ b/tests/test_recorded_files.py
@@ -125,11 +125,11 @@
     for name in ("control.db", "control.db-journal"):
         shutil.copy(XDS / name, tmp_path)
     with closing(Store(str(tmp_path / "control.db"), SIGNER)) as old:
-        assert (old.floor, old.starts, old.was_lost) == (ViewPosition(3, 41), 2, False)
+        assert (old.floor, old.starts, old.had_corrupt_file) == (ViewPosition(3, 41), 2, False)
         old.record_start()
         old.write(ViewPosition(3, 42))
     with closing(Store(str(tmp_path / "control.db"), SIGNER)) as again:
-        assert (again.floor, again.starts, again.was_lost) == (ViewPosition(3, 42), 3, False)
+        assert (again.floor, again.starts, again.had_corrupt_file) == (ViewPosition(3, 42), 3, False)
     with closing(Store(str(tmp_path / "new.db"), SIGNER)) as new:
         new.record_start()
         new.write(ViewPosition(3, 41))
--- a/tests/xds/test_control.py
+++ b/tests/xds/test_control.py
@@ -61,7 +61,7 @@
 from brambleusher.xds.store import Store, StoreError
 from brambleusher.xds.subscriber import Request, Response, Subscriber
 from brambleusher.xds.versions import MacSigner
-from brambleusher.xds.wire import NodeIdentity, decode_loads, decode_request
+from brambleusher.xds.wire import NodeIdentity, decode_load_report, decode_request
 from tests.rig import SETTINGS
 
 MS, SECOND = 1_000_000, 1_000_000_000
@@ -821,7 +821,7 @@
     part.cpu_utilization.num_requests_finished_with_metric, part.cpu_utilization.total_metric_value = 5, 1.0
     stranger = cluster.upstream_locality_stats.add(total_successful_requests=5)
     stranger.locality.sub_zone = "n9"
-    sums, who = decode_loads(report.SerializeToString())
+    sums, who = decode_load_report(report.SerializeToString())
     assert who.id == "p"
     core = core_with(tmp_path, endpoint("n1"), endpoint("n2"))
     core.record_load_report("z", sums)
@@ -830,7 +830,7 @@
     assert told["n1"].report == api.LoadReport(0.5, 100.0) and told["n1"].latency_ns is None
     assert (told["n1"].served, told["n1"].failed, told["n2"].served) == (9, 1, 5)
     with pytest.raises(ProtocolError):
-        decode_loads(b"\xff\xff")
+        decode_load_report(b"\xff\xff")
 
 
 # --- storage --------------------------------------------------------------------------------------
@@ -861,7 +861,7 @@
     elif harm == "empty":
         path.write_bytes(b"")
     store = Store(str(path), SIGNER)
-    assert store.floor is None and store.was_lost == (harm != "empty")
+    assert store.floor is None and store.had_corrupt_file == (harm != "empty")
     store.write(ViewPosition(1, 10))
     store.close()
     assert Store(str(path), SIGNER).floor == ViewPosition(1, 10)
