--- a/brambleusher/lab/control/history.py
+++ b/brambleusher/lab/control/history.py
@@ -322,7 +322,7 @@
                 continue
             if instance.watching and self.now - instance.heard > SILENCE:
                 instance.watching = 0
-                core.record_discovery_lost()
+                core.record_discovery_disconnect()
             core.tick(self.now)
             self._after(instance)
 
@@ -490,7 +490,7 @@
         for instance in self.instances:
             if instance.watching and instance.core is not None:
                 instance.watching = 0
-                instance.core.record_discovery_lost()
+                instance.core.record_discovery_disconnect()
 
         def back() -> None:
             self.down = False
--- a/brambleusher/xds/config.py
+++ b/brambleusher/xds/config.py
@@ -53,7 +53,7 @@
     identity: str  # a pattern for the name in the certificate or, without TLS, for the node's id
     zone: str | None = None  # None: the zone named in the subscriber's first request
     may: tuple[str, ...] = ("*",)  # patterns for the names of allowed resources
-    form: str | None = None  # how endpoints are grouped into localities; None: chosen by the kind of client
+    locality_level: str | None = None  # "zones" or "nodes"; None: chosen by the kind of client
 
     def matches(self, identity: str) -> bool:
         """Return whether a subscriber with that identity belongs to the group."""
--- a/brambleusher/xds/core.py
+++ b/brambleusher/xds/core.py
@@ -50,21 +50,23 @@
 log = logging.getLogger(__name__)
 
 NS_PER_MS = 1_000_000
-FORMS = ("zones", "nodes")
+LOCALITY_LEVELS = ("zones", "nodes")
 REFRESHES_PER_STALE_TIME = 3  # Envoy drops endpoints that were not sent again within `stale_after_ms`
 SEED_BITS = 32  # length of the random seed of a zone's balancer
 MAX_SHOWN_CHARS = 100  # an error message quotes at most this much of a text that a subscriber sent
 
 
-def form_of(group: Group, node: NodeIdentity) -> str:
+def locality_level_of(group: Group, node: NodeIdentity) -> str:
     """Return how a subscriber's endpoints are grouped.
 
-    The form set for its group takes precedence; otherwise gRPC clients get "nodes" and others "zones".
+    The level set for its group takes precedence; otherwise gRPC clients get "nodes" and others "zones".
     """
-    return group.form or ("nodes" if node.agent.lower().startswith("grpc") else "zones")
+    return group.locality_level or ("nodes" if node.agent.lower().startswith("grpc") else "zones")
 
 
-def without_additions(before: Mapping[str, Endpoint], newest: Mapping[str, Endpoint]) -> dict[str, Endpoint]:
+def apply_removals_only(
+    before: Mapping[str, Endpoint], newest: Mapping[str, Endpoint]
+) -> dict[str, Endpoint]:
     """Apply only the removals of `newest` to `before`: no endpoint is added or becomes ready again."""
     remaining = {}
     for name, endpoint in before.items():
@@ -145,7 +147,7 @@
     group: Group | None = None
     node: NodeIdentity = field(default_factory=NodeIdentity)
     zone: str = ""
-    form: str = ""
+    locality_level: str = ""
     responses: int = 0
     lag_ns: int | None = None  # time from the last acknowledged change to its acknowledgement
     refreshed_ns: int = 0
@@ -179,9 +181,10 @@
         self.zones = _create_zones(config, seed, now_ns)
         self.streams: dict[int, Stream] = {}
         self._resource_cache = ResourceCache(self.signer)
-        self._snapshots: dict[tuple[str, str, int], Snapshot] = {}  # by zone, form and index of the group
+        # By zone, locality level and index of the group.
+        self._snapshots: dict[tuple[str, str, int], Snapshot] = {}
         self._assignment_builders = self._new_assignment_builders()
-        self._assignments: dict[tuple[str, str], UnversionedResource] = {}  # by zone and form
+        self._assignments: dict[tuple[str, str], UnversionedResource] = {}  # by zone and locality level
         # Listeners, routes and clusters, by index of the group and by kind.
         self._static_resources: dict[int, dict[str, list[UnversionedResource]]] = {}
         self._durable_endpoints: dict[str, Endpoint] | None = None  # the list at the position written last
@@ -198,7 +201,9 @@
     def _new_assignment_builders(self) -> dict[tuple[str, str], AssignmentBuilder]:
         stale_ms = self.config.stale_after_ms
         return {
-            (zone, form): AssignmentBuilder(form, stale_ms) for zone in self.config.zones for form in FORMS
+            (zone, locality_level): AssignmentBuilder(locality_level, stale_ms)
+            for zone in self.config.zones
+            for locality_level in LOCALITY_LEVELS
         }
 
     # --- discovery --------------------------------------------------------------------------------
@@ -225,7 +230,7 @@
         self.view_consistency.record_discovery(ViewPosition(self.config.epoch, version), now_ns)
         self._update_view(now_ns)
 
-    def record_discovery_lost(self) -> None:
+    def record_discovery_disconnect(self) -> None:
         """Record that the watch on discovery has ended."""
         self.view_consistency.record_discovery_lost()
 
@@ -268,7 +273,7 @@
             self._durable_endpoints = self.discovered.endpoints
             return self._durable_endpoints
         if self._has_write_failed and self._durable_endpoints is not None:
-            return without_additions(self._durable_endpoints, self.discovered.endpoints)
+            return apply_removals_only(self._durable_endpoints, self.discovered.endpoints)
         return None
 
     def _update_view(self, now_ns: int) -> None:
@@ -300,8 +305,8 @@
         priorities = () if by_zone is None else by_zone.get(zone.name, ((zone.name,),))
         has_moved = zone.update_weights(priorities, step)
         # The assignments are rebuilt even with unchanged weights, since addresses may have changed.
-        for form in FORMS:
-            self._assignments.pop((zone.name, form), None)
+        for locality_level in LOCALITY_LEVELS:
+            self._assignments.pop((zone.name, locality_level), None)
         return has_moved
 
     def tick(self, now_ns: int) -> None:
@@ -333,17 +338,17 @@
                 self._assign_group(stream, config.group_of(stream.identity))
         self.on_change()
 
-    def snapshot(self, zone: str, form: str, group: Group, now_ns: int) -> Snapshot:
+    def snapshot(self, zone: str, locality_level: str, group: Group, now_ns: int) -> Snapshot:
         """Return the resources for a group's subscribers in a zone; requires a published endpoint list."""
         group_index = self.config.groups.index(group)
-        cached = self._snapshots.get((zone, form, group_index))
+        cached = self._snapshots.get((zone, locality_level, group_index))
         if cached is not None:
             return cached
         assert self._position is not None
         drafts = self._static_resources.get(group_index)
         if drafts is None:
             drafts = self._static_resources[group_index] = static_resources(self.config, group)
-        assignment = self._assignment(zone, form, now_ns)
+        assignment = self._assignment(zone, locality_level, now_ns)
         kinds = {
             kind: self._resource_cache.update_resources(
                 f"group {group_index}", kind, drafts[kind], self._position
@@ -353,21 +358,25 @@
         # All groups of a zone share one assignment: the same bytes, and the same object.
         has_clusters = bool(drafts[CDS])
         kinds[EDS] = (
-            self._resource_cache.update_resources(f"{zone}/{form}", EDS, [assignment], self._position)
+            self._resource_cache.update_resources(
+                f"{zone}/{locality_level}", EDS, [assignment], self._position
+            )
             if has_clusters
             else {}
         )
         snapshot = Snapshot(self._position, kinds, self._changed_ns)
-        self._snapshots[zone, form, group_index] = snapshot
+        self._snapshots[zone, locality_level, group_index] = snapshot
         return snapshot
 
-    def _assignment(self, zone: str, form: str, now_ns: int) -> UnversionedResource:
-        assignment = self._assignments.get((zone, form))
+    def _assignment(self, zone: str, locality_level: str, now_ns: int) -> UnversionedResource:
+        assignment = self._assignments.get((zone, locality_level))
         if assignment is None:
             self._update_zone_endpoints(self.zones[zone], now_ns)
             addresses = {name: endpoint.address for name, endpoint in self.endpoints.items()}
-            assignment = self._assignment_builders[zone, form].draft(self.zones[zone].tiers, addresses)
-            self._assignments[zone, form] = assignment
+            assignment = self._assignment_builders[zone, locality_level].draft(
+                self.zones[zone].tiers, addresses
+            )
+            self._assignments[zone, locality_level] = assignment
         return assignment
 
     # --- subscribers ------------------------------------------------------------------------------
@@ -444,11 +453,11 @@
             raise ProtocolError(f"zone {node.zone[:MAX_SHOWN_CHARS]!r} is not served")
 
     def _assign_group(self, stream: Stream, group: Group | None) -> None:
-        """Set a stream's group, zone and form; the group is None if the stream may no longer subscribe."""
+        """Set a stream's group, zone and locality level; without permission the group is None."""
         zone = (group.zone or stream.node.zone) if group is not None else ""
         stream.group = group if zone in self.zones else None
         if group is not None and stream.group is not None:
-            stream.zone, stream.form = zone, form_of(group, stream.node)
+            stream.zone, stream.locality_level = zone, locality_level_of(group, stream.node)
 
     def withheld_reason(self, now_ns: int) -> WithheldReason | None:
         """Return why nothing may be published now, or None if publishing is allowed."""
@@ -466,7 +475,7 @@
         if self.withheld_reason(now_ns) is not None:
             return None
         subscriber = stream.subscriber
-        snapshot = self.snapshot(stream.zone, stream.form, stream.group, now_ns)
+        snapshot = self.snapshot(stream.zone, stream.locality_level, stream.group, now_ns)
         if subscriber.current_snapshot is not snapshot:
             subscriber.set_snapshot(snapshot)
         self._refresh_stale_endpoints(stream, now_ns)
@@ -481,7 +490,7 @@
     def _refresh_stale_endpoints(self, stream: Stream, now_ns: int) -> None:
         stale_ns = self.config.stale_after_ms * NS_PER_MS
         is_due = now_ns - stream.refreshed_ns > stale_ns // REFRESHES_PER_STALE_TIME
-        if stale_ns and stream.form == "zones" and is_due:
+        if stale_ns and stream.locality_level == "zones" and is_due:
             stream.refreshed_ns = now_ns
             stream.subscriber.refresh(EDS)
 
--- a/brambleusher/xds/resources.py
+++ b/brambleusher/xds/resources.py
@@ -224,17 +224,17 @@
 
 
 class AssignmentBuilder:
-    """Builds the endpoint assignment for the subscribers of one zone that use the same form.
+    """Builds the endpoint assignment for the subscribers of one zone with the same locality level.
 
-    The form "zones" has one locality for each zone, with weights on the endpoints.  The form "nodes" has
+    The level "zones" has one locality for each zone, with weights on the endpoints.  The level "nodes" has
     one locality for each node, for gRPC clients, which support weights and load reports only by locality.
     """
 
-    def __init__(self, form: str, stale_after_ms: int) -> None:
-        self._form = form
+    def __init__(self, locality_level: str, stale_after_ms: int) -> None:
+        self._locality_level = locality_level
         self._cache: dict[tuple[str, int, int, int], bytes] = {}
         policy = endpoint_pb2.ClusterLoadAssignment.Policy()
-        if stale_after_ms and form == "zones":
+        if stale_after_ms and locality_level == "zones":
             policy.endpoint_stale_after.CopyFrom(_ms(stale_after_ms))
         self._tail = length_delimited(4, _bytes(policy)) if policy.ByteSize() else b""
 
@@ -243,7 +243,7 @@
         new_cache: dict[tuple[str, int, int, int], bytes] = {}
         parts = [length_delimited(1, ENDPOINTS.encode())]
         for tier in tiers:
-            if self._form == "zones":
+            if self._locality_level == "zones":
                 parts.append(length_delimited(2, self._zone(tier, addresses, new_cache)))
             else:
                 parts += self._nodes(tier, addresses, new_cache)
--- a/brambleusher/xds/service.py
+++ b/brambleusher/xds/service.py
@@ -100,7 +100,7 @@
             loop,
             on_update=self._on_endpoint_list,
             on_contact=self._on_discovery_contact,
-            on_disconnect=self._on_discovery_lost,
+            on_disconnect=self._on_discovery_disconnect,
         )
         self.now_ns = self.discovery.clock.now_ns
         self.core = Core(config, self.store.floor, self.now_ns(), self._seed)
@@ -168,8 +168,8 @@
         self.server.wake()
         self._write_requested.set()
 
-    def _on_discovery_lost(self) -> None:
-        self.core.record_discovery_lost()
+    def _on_discovery_disconnect(self) -> None:
+        self.core.record_discovery_disconnect()
 
     async def _run_ticks(self) -> None:
         """Advance the core's timers, supervise streams, and log when publishing is withheld or resumes."""
--- a/brambleusher/xds/snapshot.py
+++ b/brambleusher/xds/snapshot.py
@@ -132,7 +132,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """All resources that subscribers with the same zone, form and group may get, at one view position."""
+    """All resources that subscribers of one zone, locality level and group may get, at one view position."""
 
     position: ViewPosition
     kinds: Mapping[str, Mapping[str, Resource]]
--- a/brambleusher/xds/status.py
+++ b/brambleusher/xds/status.py
@@ -165,7 +165,7 @@
         "subscriber": stream.identity,
         "node": stream.node.id,
         "zone": stream.zone,
-        "endpoints": stream.form,
+        "endpoints": stream.locality_level,
         "agent": stream.node.agent,
         "variant": "incremental" if subscriber.incremental else "whole state",
         "responses": stream.responses,
@@ -267,7 +267,7 @@
             return []
         stream = streams[-1]
         assert stream.group is not None
-        newest = core.snapshot(stream.zone, stream.form, stream.group, self._now_ns())
+        newest = core.snapshot(stream.zone, stream.locality_level, stream.group, self._now_ns())
         differences = []
         for kind in SEND_ORDER:
             subscribed = stream.subscriber.subscribed_names(kind)
--- a/brambleusher/xds/tls.py
+++ b/brambleusher/xds/tls.py
@@ -74,12 +74,12 @@
             raise ControlError(
                 f"tls.{what} is valid from {checked.not_valid_before_utc} to {checked.not_valid_after_utc}"
             )
-    form = (Encoding.DER, PublicFormat.SubjectPublicKeyInfo)
+    key_format = (Encoding.DER, PublicFormat.SubjectPublicKeyInfo)
     try:
         public = chain[0].public_key()
     except (ValueError, UnsupportedAlgorithm):
         raise ControlError("tls.certificate has a key of an unsupported type") from None
-    if public.public_bytes(*form) != private.public_key().public_bytes(*form):
+    if public.public_bytes(*key_format) != private.public_key().public_bytes(*key_format):
         raise ControlError("tls.key is not the key of tls.certificate")
     return CertificateMaterial(certificate, key, client_ca, chain[0].not_valid_after_utc)
 
--- a/tests/xds/test_control.py
+++ b/tests/xds/test_control.py
@@ -52,7 +52,7 @@
 )
 from brambleusher.net.endpoint_list import Endpoint, EndpointListUpdate
 from brambleusher.xds.config import ControlConfig, Group, load_control, parse_control
-from brambleusher.xds.core import Core, Stream, without_additions
+from brambleusher.xds.core import Core, Stream, apply_removals_only
 from brambleusher.xds.discovered_endpoints import DiscoveredEndpoints
 from brambleusher.xds.errors import ControlError, ProtocolError
 from brambleusher.xds.resources import ENDPOINTS, AssignmentBuilder, static_resources
@@ -404,7 +404,7 @@
     }
     newest = {each.entry.host: each for each in (
         endpoint("n1", drain), endpoint("n3"), endpoint("n4", port=1), endpoint("n5"))}  # fmt: skip
-    kept = without_additions(before, newest)
+    kept = apply_removals_only(before, newest)
     assert {name: each.entry.state for name, each in kept.items()} == {"n1": drain, "n3": drain}
 
 
@@ -492,7 +492,7 @@
         core.record_discovery_contact(now)
         feed(core, stream, proxy, [], now)
         assert proxy.responses == before + more * renewed
-    core.record_discovery_lost()
+    core.record_discovery_disconnect()
     feed(core, stream, proxy, [], 9 * SECOND)  # without discovery the endpoints are not refreshed
     assert proxy.responses == before + 2 * renewed
 
@@ -509,7 +509,7 @@
 def test_discovery_down_for_a_minute_and_back_with_an_older_list(tmp_path: Path) -> None:
     core = core_with(tmp_path, endpoint("n1"), endpoint("n2"), version=9)
     stream, proxy = join(core)
-    core.record_discovery_lost()
+    core.record_discovery_disconnect()
     minute = 60 * SECOND
     core.tick(minute)
     assert core.withheld_reason(minute) is WithheldReason.ISOLATED
@@ -643,8 +643,8 @@
     core = core_with(
         tmp_path, endpoint("n1"), endpoint("n2", api.HostState.DRAINING), endpoint("n3", zone="y")
     )
-    for name, form in (("a", "zones"), ("b", "nodes")):
-        snapshot = core.snapshot("z", form, core.config.groups[0], 0)
+    for name, locality_level in (("a", "zones"), ("b", "nodes")):
+        snapshot = core.snapshot("z", locality_level, core.config.groups[0], 0)
         for kind, message in MESSAGES.items():
             for resource in snapshot.kinds[kind].values():
                 assert not list(faults(message.FromString(resource.body))), name
