--- a/brambleusher/lab/control/history.py
+++ b/brambleusher/lab/control/history.py
@@ -29,7 +29,7 @@
 from brambleusher.loadbalancing.api import HostEntry, HostState
 from brambleusher.loadbalancing.view_consistency import ViewPosition
 from brambleusher.net.endpoint_list import Endpoint, EndpointListUpdate
-from brambleusher.xds.config import ControlConfig, parse_control
+from brambleusher.xds.config import ControlConfig, parse_control_config
 from brambleusher.xds.core import Core, Stream
 from brambleusher.xds.discovered_endpoints import DiscoveredEndpoints
 from brambleusher.xds.errors import ProtocolError
@@ -54,7 +54,7 @@
 def configuration(name: str, folder: Path, **more: Any) -> ControlConfig:
     """An instance's configuration."""
     (folder / "secret").write_text("a secret of the schedules")
-    return parse_control(
+    return parse_control_config(
         orjson.dumps({
             "name": name, "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "secret_file": "secret",
             "store": {"file": "unused", "new_ms": 5000}, "settings": SETTINGS,
--- a/brambleusher/xds/config.py
+++ b/brambleusher/xds/config.py
@@ -47,12 +47,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Group:
+class SubscriberGroup:
     """Subscribers with the same rights: the zone whose view they get, and what they may subscribe to."""
 
     identity: str  # a pattern for the name in the certificate or, without TLS, for the node's id
     zone: str | None = None  # None: the zone named in the subscriber's first request
-    may: tuple[str, ...] = ("*",)  # patterns for the names of allowed resources
+    resource_patterns: tuple[str, ...] = ("*",)  # patterns for the names of allowed resources
     locality_level: str | None = None  # "zones" or "nodes"; None: chosen by the kind of client
 
     def matches(self, identity: str) -> bool:
@@ -61,11 +61,11 @@
 
     def may_subscribe_to(self, name: str) -> bool:
         """Return whether the group's subscribers may subscribe to the resource with that name."""
-        return any(fnmatch.fnmatchcase(name, pattern) for pattern in self.may)
+        return any(fnmatch.fnmatchcase(name, pattern) for pattern in self.resource_patterns)
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class StreamLimits:
     """Limits for each stream, and for the number of streams."""
 
     streams: int = 2000
@@ -78,7 +78,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ClassPlan:
+class ClassConfig:
     """A class of requests: its path prefixes, timeout and retries, and the limits for one proxy."""
 
     name: str
@@ -91,17 +91,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outlier:
+class OutlierDetectionConfig:
     """Settings for a proxy's own outlier detection, which ejects failing endpoints between updates."""
 
-    consecutive: int = 5
+    consecutive_errors: int = 5
     interval_ms: int = 10_000
     ejection_ms: int = 30_000
-    most_percent: int = 10
+    max_ejected_percent: int = 10
 
 
 @dataclass(frozen=True, slots=True)
-class ListenerPlan:
+class ListenerConfig:
     """A listener: an HTTP listener if it has an address, else an API listener for gRPC clients."""
 
     name: str
@@ -109,7 +109,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Spread:
+class WeightPublication:
     """How endpoints are assigned to priorities, and when a changed weight is published."""
 
     priorities: Priorities | None = None  # None: all endpoints have the same priority
@@ -118,7 +118,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Peer:
+class PeerConfig:
     """Another instance of the control service in the same installation."""
 
     name: str
@@ -138,21 +138,21 @@
     new_store_ms: int
     settings: Settings
     zones: tuple[str, ...]
-    groups: tuple[Group, ...]
-    listeners: tuple[ListenerPlan, ...]
-    classes: tuple[ClassPlan, ...]
+    groups: tuple[SubscriberGroup, ...]
+    listeners: tuple[ListenerConfig, ...]
+    classes: tuple[ClassConfig, ...]
     tls: TlsFiles | None = None
-    spread: Spread = Spread()
-    bounds: Bounds = Bounds()
-    outlier: Outlier = Outlier()
+    spread: WeightPublication = WeightPublication()
+    bounds: StreamLimits = StreamLimits()
+    outlier: OutlierDetectionConfig = OutlierDetectionConfig()
     connect_timeout_ms: int = 250
     stale_after_ms: int = 600_000
     silence_ms: int = 3500
     reports_ms: int = 1000
-    peers: tuple[Peer, ...] = ()
+    peers: tuple[PeerConfig, ...] = ()
     status: Address | None = None
 
-    def group_of(self, identity: str) -> Group | None:
+    def group_of(self, identity: str) -> SubscriberGroup | None:
         """Return the first group that a subscriber belongs to, or None if no group matches."""
         return next((group for group in self.groups if group.matches(identity)), None)
 
@@ -236,15 +236,15 @@
         raise ControlError(f"settings: {error}") from None
 
 
-def _class(raw: object, path: str, settings: Settings) -> ClassPlan:
+def _class(raw: object, path: str, settings: Settings) -> ClassConfig:
     section = Section(raw, path)
     name = _required_text(section, "name")
     request_class = next((cls for cls in settings.classes if cls.name == name), None)
     if request_class is None:
         raise ControlError(f"{path}.name: the settings have no class {name}")
-    default = ClassPlan(name, (f"/{name}",), max(1, request_class.deadline_ns // NS_PER_MS), 0)
+    default = ClassConfig(name, (f"/{name}",), max(1, request_class.deadline_ns // NS_PER_MS), 0)
     retries = _retries(section, path, request_class, settings)
-    plan = ClassPlan(
+    class_config = ClassConfig(
         name,
         _texts(section, "prefixes", default.prefixes),
         section.integer("timeout_ms", default.timeout_ms, 1, HOUR_MS),
@@ -254,10 +254,10 @@
         section.integer("requests", default.requests, 1, MAX_CONCURRENCY),
     )
     section.reject_unknown_keys()
-    for prefix in plan.prefixes:
+    for prefix in class_config.prefixes:
         if not prefix.startswith("/"):
             raise ControlError(f"{path}.prefixes: {prefix} does not begin with /")
-    return plan
+    return class_config
 
 
 def _retries(section: Section, path: str, request_class: RequestClass, settings: Settings) -> int:
@@ -271,9 +271,9 @@
     return retries
 
 
-def _group(raw: object, path: str, zones: tuple[str, ...]) -> Group:
+def _group(raw: object, path: str, zones: tuple[str, ...]) -> SubscriberGroup:
     section = Section(raw, path)
-    group = Group(
+    group = SubscriberGroup(
         _required_text(section, "identity"),
         section.text("zone"),
         _texts(section, "may", ("*",)),
@@ -285,17 +285,17 @@
     return group
 
 
-def _listener(raw: object, path: str) -> ListenerPlan:
+def _listener(raw: object, path: str) -> ListenerConfig:
     section = Section(raw, path)
     name, address = _required_text(section, "name"), section.text("address")
-    plan = ListenerPlan(name, None if address is None else _address(section, "address", address))
+    listener_config = ListenerConfig(name, None if address is None else _address(section, "address", address))
     section.reject_unknown_keys()
-    return plan
+    return listener_config
 
 
-def _spread(raw: object, zones: tuple[str, ...]) -> Spread:
-    section, default = Section(raw, "spread"), Spread()
-    spread = Spread(
+def _spread(raw: object, zones: tuple[str, ...]) -> WeightPublication:
+    section, default = Section(raw, "spread"), WeightPublication()
+    spread = WeightPublication(
         _priorities(section.take("priorities", "none"), zones),
         section.integer("weights_every_ms", default.weights_every_ms, 100, HOUR_MS),
         section.integer("change_percent", default.change_percent, 0, 100),
@@ -325,9 +325,9 @@
     return isinstance(raw, list) and all(isinstance(item, str) for item in raw)
 
 
-def _bounds(raw: object) -> Bounds:
-    section, default = Section(raw, "bounds"), Bounds()
-    bounds = Bounds(
+def _bounds(raw: object) -> StreamLimits:
+    section, default = Section(raw, "bounds"), StreamLimits()
+    bounds = StreamLimits(
         section.integer("streams", default.streams, 1, MAX_STREAMS),
         section.integer("streams_per_identity", default.streams_per_identity, 1, MAX_STREAMS),
         section.integer("message_kb", default.message_kb, 1, 16_384),
@@ -340,13 +340,13 @@
     return bounds
 
 
-def _outlier(raw: object) -> Outlier:
-    section, default = Section(raw, "outlier"), Outlier()
-    outlier = Outlier(
-        section.integer("consecutive", default.consecutive, 1, 1000),
+def _outlier(raw: object) -> OutlierDetectionConfig:
+    section, default = Section(raw, "outlier"), OutlierDetectionConfig()
+    outlier = OutlierDetectionConfig(
+        section.integer("consecutive", default.consecutive_errors, 1, 1000),
         section.integer("interval_ms", default.interval_ms, 10, HOUR_MS),
         section.integer("ejection_ms", default.ejection_ms, 10, HOUR_MS),
-        section.integer("most_percent", default.most_percent, 0, 100),
+        section.integer("most_percent", default.max_ejected_percent, 0, 100),
     )
     section.reject_unknown_keys()
     return outlier
@@ -361,14 +361,14 @@
     return files
 
 
-def _peer(raw: object, path: str) -> Peer:
+def _peer(raw: object, path: str) -> PeerConfig:
     section = Section(raw, path)
-    peer = Peer(_required_text(section, "name"), _address(section, "address"))
+    peer = PeerConfig(_required_text(section, "name"), _address(section, "address"))
     section.reject_unknown_keys()
     return peer
 
 
-def parse_control(text: bytes, base: Path) -> ControlConfig:
+def parse_control_config(text: bytes, base: Path) -> ControlConfig:
     """Parse and validate the content of the configuration file.
 
     Args:
@@ -439,8 +439,10 @@
 
 
 def _check_names(config: ControlConfig) -> None:
-    _reject_duplicates([plan.name for plan in config.classes], "the class")
-    _reject_duplicates([prefix for plan in config.classes for prefix in plan.prefixes], "the prefix")
+    _reject_duplicates([class_config.name for class_config in config.classes], "the class")
+    _reject_duplicates(
+        [prefix for class_config in config.classes for prefix in class_config.prefixes], "the prefix"
+    )
     _reject_duplicates([listener.name for listener in config.listeners], "the listener")
     _reject_duplicates([peer.name for peer in config.peers], "the peer")
 
@@ -454,17 +456,17 @@
         raise ControlError("peers: without tls only loopback addresses are spoken to")
 
 
-def load_control(path: str) -> ControlConfig:
+def load_control_config(path: str) -> ControlConfig:
     """Read and validate the configuration file at `path`.
 
     Raises:
         ControlError: The file can't be read or is not valid; the message names the key.
     """
     file = Path(path)
-    return parse_control(_read_file(file, "the file"), file.parent)
+    return parse_control_config(_read_file(file, "the file"), file.parent)
 
 
-def reload_control(current: ControlConfig, path: str) -> tuple[ControlConfig, list[str]]:
+def reload_control_config(current: ControlConfig, path: str) -> tuple[ControlConfig, list[str]]:
     """Read the configuration file again for a running instance.
 
     Returns:
@@ -474,6 +476,6 @@
     Raises:
         ControlError: The file can't be read or is not valid; the message names the key.
     """
-    new = load_control(path)
+    new = load_control_config(path)
     differing = [key for key in _FIXED_KEYS if getattr(current, key) != getattr(new, key)]
     return replace(new, **{key: getattr(current, key) for key in _FIXED_KEYS}), differing
--- a/brambleusher/xds/core.py
+++ b/brambleusher/xds/core.py
@@ -28,7 +28,7 @@
     WithheldReason,
 )
 from brambleusher.net.endpoint_list import Endpoint, EndpointListUpdate
-from brambleusher.xds.config import ControlConfig, Group
+from brambleusher.xds.config import ControlConfig, SubscriberGroup
 from brambleusher.xds.discovered_endpoints import DiscoveredEndpoints
 from brambleusher.xds.errors import ProtocolError, SubscriptionDeniedError
 from brambleusher.xds.loads import LoadReports
@@ -56,7 +56,7 @@
 MAX_SHOWN_CHARS = 100  # an error message quotes at most this much of a text that a subscriber sent
 
 
-def locality_level_of(group: Group, node: NodeIdentity) -> str:
+def locality_level_of(group: SubscriberGroup, node: NodeIdentity) -> str:
     """Return how a subscriber's endpoints are grouped.
 
     The level set for its group takes precedence; otherwise gRPC clients get "nodes" and others "zones".
@@ -144,7 +144,7 @@
     identity: str
     subscriber: Subscriber
     opened_ns: int
-    group: Group | None = None
+    group: SubscriberGroup | None = None
     node: NodeIdentity = field(default_factory=NodeIdentity)
     zone: str = ""
     locality_level: str = ""
@@ -181,11 +181,11 @@
         self.zones = _create_zones(config, seed, now_ns)
         self.streams: dict[int, Stream] = {}
         self._resource_cache = ResourceCache(self.signer)
-        # By zone, locality level and index of the group.
+        # Caches the newest snapshots by zone, locality level and index of the group.
         self._snapshots: dict[tuple[str, str, int], Snapshot] = {}
         self._assignment_builders = self._new_assignment_builders()
         self._assignments: dict[tuple[str, str], UnversionedResource] = {}  # by zone and locality level
-        # Listeners, routes and clusters, by index of the group and by kind.
+        # Caches listeners, routes and clusters by index of the group and by kind.
         self._static_resources: dict[int, dict[str, list[UnversionedResource]]] = {}
         self._durable_endpoints: dict[str, Endpoint] | None = None  # the list at the position written last
         self.endpoints: dict[str, Endpoint] = {}  # the endpoint list that views are built from
@@ -338,7 +338,7 @@
                 self._assign_group(stream, config.group_of(stream.identity))
         self.on_change()
 
-    def snapshot(self, zone: str, locality_level: str, group: Group, now_ns: int) -> Snapshot:
+    def snapshot(self, zone: str, locality_level: str, group: SubscriberGroup, now_ns: int) -> Snapshot:
         """Return the resources for a group's subscribers in a zone; requires a published endpoint list."""
         group_index = self.config.groups.index(group)
         cached = self._snapshots.get((zone, locality_level, group_index))
@@ -403,7 +403,7 @@
         self.streams[stream.id] = stream
         return stream
 
-    def _admit(self, identity: str) -> Group:
+    def _admit(self, identity: str) -> SubscriberGroup:
         group = self.config.group_of(identity)
         if group is None:
             raise SubscriptionDeniedError(f"{identity[:MAX_SHOWN_CHARS]!r} may not subscribe")
@@ -452,7 +452,7 @@
         if stream.group is None:
             raise ProtocolError(f"zone {node.zone[:MAX_SHOWN_CHARS]!r} is not served")
 
-    def _assign_group(self, stream: Stream, group: Group | None) -> None:
+    def _assign_group(self, stream: Stream, group: SubscriberGroup | None) -> None:
         """Set a stream's group, zone and locality level; without permission the group is None."""
         zone = (group.zone or stream.node.zone) if group is not None else ""
         stream.group = group if zone in self.zones else None
--- a/brambleusher/xds/resources.py
+++ b/brambleusher/xds/resources.py
@@ -24,7 +24,7 @@
 
 from brambleusher.loadbalancing.api import Idempotency
 from brambleusher.loadbalancing.locality_weights import LocalityWeights
-from brambleusher.xds.config import ClassPlan, ControlConfig, Group, ListenerPlan
+from brambleusher.xds.config import ClassConfig, ControlConfig, ListenerConfig, SubscriberGroup
 from brambleusher.xds.snapshot import CDS, LDS, RDS, UnversionedResource, length_delimited, varint
 
 ROUTES, ENDPOINTS = "routes", "execute-nodes"
@@ -69,20 +69,20 @@
     return bytes(message.SerializeToString(deterministic=True))
 
 
-def listener(plan: ListenerPlan) -> listener_pb2.Listener:
-    """Build a listener: an HTTP listener if the plan has an address, else an API listener for gRPC."""
+def listener(listener_config: ListenerConfig) -> listener_pb2.Listener:
+    """Build a listener: an HTTP listener if one is configured, else an API listener for gRPC."""
     manager = hcm_pb2.HttpConnectionManager(
-        stat_prefix=plan.name,
+        stat_prefix=listener_config.name,
         rds=hcm_pb2.Rds(config_source=_ads(), route_config_name=ROUTES),
         http_filters=[
             hcm_pb2.HttpFilter(name="envoy.filters.http.router", typed_config=_any(router_pb2.Router()))
         ],
     )
-    if plan.address is None:
+    if listener_config.address is None:
         return listener_pb2.Listener(
-            name=plan.name, api_listener=api_listener_pb2.ApiListener(api_listener=_any(manager))
+            name=listener_config.name, api_listener=api_listener_pb2.ApiListener(api_listener=_any(manager))
         )
-    host, port = plan.address
+    host, port = listener_config.address
     chain = listener_components_pb2.FilterChain(
         filters=[
             listener_components_pb2.Filter(
@@ -90,7 +90,9 @@
             )
         ]
     )
-    return listener_pb2.Listener(name=plan.name, address=_address(host, port), filter_chains=[chain])
+    return listener_pb2.Listener(
+        name=listener_config.name, address=_address(host, port), filter_chains=[chain]
+    )
 
 
 def _address(host: str, port: int) -> address_pb2.Address:
@@ -99,20 +101,20 @@
     )
 
 
-def _route(plan: ClassPlan, prefix: str) -> route_components_pb2.Route:
-    deadline = _ms(plan.timeout_ms)
+def _route(class_config: ClassConfig, prefix: str) -> route_components_pb2.Route:
+    deadline = _ms(class_config.timeout_ms)
     action = route_components_pb2.RouteAction(
-        cluster=plan.name,
+        cluster=class_config.name,
         timeout=deadline,
         max_stream_duration=route_components_pb2.RouteAction.MaxStreamDuration(
             max_stream_duration=deadline, grpc_timeout_header_max=deadline
         ),
     )
-    if plan.retries:
+    if class_config.retries:
         action.retry_policy.CopyFrom(
             route_components_pb2.RetryPolicy(
                 retry_on=RETRY_ON,
-                num_retries=_uint32(plan.retries),
+                num_retries=_uint32(class_config.retries),
                 retriable_status_codes=RETRY_STATUSES,
                 host_selection_retry_max_attempts=HOST_SELECTION_ATTEMPTS,
                 retry_host_predicate=[
@@ -124,18 +126,20 @@
             )
         )
     return route_components_pb2.Route(
-        name=plan.name, match=route_components_pb2.RouteMatch(prefix=prefix), route=action
+        name=class_config.name, match=route_components_pb2.RouteMatch(prefix=prefix), route=action
     )
 
 
-def routes(plans: Iterable[ClassPlan], non_repeatable: Iterable[str] = ()) -> route_pb2.RouteConfiguration:
+def routes(
+    class_configs: Iterable[ClassConfig], non_repeatable: Iterable[str] = ()
+) -> route_pb2.RouteConfiguration:
     """Build the route configuration: a route per path prefix of a class, the longest prefix first.
 
     Args:
-        plans: The classes that get routes.
+        class_configs: The classes that get routes.
         non_repeatable: Prefixes of other classes, whose requests must not be sent twice.
     """
-    pairs = [(prefix, plan) for plan in plans for prefix in plan.prefixes]
+    pairs = [(prefix, class_config) for class_config in class_configs for prefix in class_config.prefixes]
     explicit = list(pairs)
     for path in sorted(set(non_repeatable)):
         covering = [pair for pair in explicit if path.startswith(pair[0]) and path != pair[0]]
@@ -144,19 +148,19 @@
             pairs.append((path, replace(nearest, retries=0)))
     pairs.sort(key=lambda pair: (-len(pair[0]), pair[0]))
     host = route_components_pb2.VirtualHost(
-        name=ROUTES, domains=["*"], routes=[_route(plan, prefix) for prefix, plan in pairs]
+        name=ROUTES, domains=["*"], routes=[_route(class_config, prefix) for prefix, class_config in pairs]
     )
     return route_pb2.RouteConfiguration(name=ROUTES, virtual_hosts=[host])
 
 
-def cluster(plan: ClassPlan, config: ControlConfig) -> cluster_pb2.Cluster:
+def cluster(class_config: ClassConfig, config: ControlConfig) -> cluster_pb2.Cluster:
     """Build the cluster for a class; all clusters have the same endpoints."""
     outlier = config.outlier
     limits = circuit_breaker_pb2.CircuitBreakers.Thresholds(
-        max_connections=_uint32(plan.connections),
-        max_pending_requests=_uint32(plan.pending),
-        max_requests=_uint32(plan.requests),
-        max_retries=_uint32(max(plan.retries, 1) * ACTIVE_RETRIES_PER_RETRY),
+        max_connections=_uint32(class_config.connections),
+        max_pending_requests=_uint32(class_config.pending),
+        max_requests=_uint32(class_config.requests),
+        max_retries=_uint32(max(class_config.retries, 1) * ACTIVE_RETRIES_PER_RETRY),
     )
     common = cluster_pb2.Cluster.CommonLbConfig(
         # With a panic threshold above 0 a proxy sends to draining endpoints when too few others are left.
@@ -164,18 +168,18 @@
         locality_weighted_lb_config=cluster_pb2.Cluster.CommonLbConfig.LocalityWeightedLbConfig(),
     )
     return cluster_pb2.Cluster(
-        name=plan.name,
+        name=class_config.name,
         type=cluster_pb2.Cluster.EDS,
         eds_cluster_config=cluster_pb2.Cluster.EdsClusterConfig(eds_config=_ads(), service_name=ENDPOINTS),
         connect_timeout=_ms(config.connect_timeout_ms),
         lb_policy=cluster_pb2.Cluster.ROUND_ROBIN,
         circuit_breakers=circuit_breaker_pb2.CircuitBreakers(thresholds=[limits]),
         outlier_detection=outlier_detection_pb2.OutlierDetection(
-            consecutive_5xx=_uint32(outlier.consecutive),
-            consecutive_gateway_failure=_uint32(outlier.consecutive),
+            consecutive_5xx=_uint32(outlier.consecutive_errors),
+            consecutive_gateway_failure=_uint32(outlier.consecutive_errors),
             interval=_ms(outlier.interval_ms),
             base_ejection_time=_ms(outlier.ejection_ms),
-            max_ejection_percent=_uint32(outlier.most_percent),
+            max_ejection_percent=_uint32(outlier.max_ejected_percent),
             # gRPC ejects only by success rate or failure percentage, and both are off by default.
             enforcing_success_rate=_uint32(0),
             enforcing_failure_percentage=_uint32(0),
@@ -188,37 +192,47 @@
     )
 
 
-def _non_repeatable_prefixes(config: ControlConfig, plans: Sequence[ClassPlan]) -> list[str]:
-    """Return the prefixes of classes that are not in `plans` and whose requests must not be sent twice."""
-    configured = {plan.name for plan in config.classes}
+def _non_repeatable_prefixes(config: ControlConfig, class_configs: Sequence[ClassConfig]) -> list[str]:
+    """Return the prefixes of classes outside `class_configs` whose requests must not be sent twice."""
+    configured = {class_config.name for class_config in config.classes}
     default_prefixes = [
         f"/{cls.name}"
         for cls in config.settings.classes
         if cls.idempotency is not Idempotency.SAFE and cls.name not in configured
     ]
-    excluded = [plan for plan in config.classes if plan not in plans and not plan.retries]
-    return default_prefixes + [prefix for plan in excluded for prefix in plan.prefixes]
+    excluded = [
+        class_config
+        for class_config in config.classes
+        if class_config not in class_configs and not class_config.retries
+    ]
+    return default_prefixes + [prefix for class_config in excluded for prefix in class_config.prefixes]
 
 
-def static_resources(config: ControlConfig, group: Group) -> dict[str, list[UnversionedResource]]:
+def static_resources(config: ControlConfig, group: SubscriberGroup) -> dict[str, list[UnversionedResource]]:
     """Build the listeners, routes and clusters that a group may subscribe to, by kind."""
-    plans = [plan for plan in config.classes if group.may_subscribe_to(plan.name)]
-    listeners = [plan for plan in config.listeners if group.may_subscribe_to(plan.name)]
-    cluster_names = frozenset(plan.name for plan in plans)
+    class_configs = [
+        class_config for class_config in config.classes if group.may_subscribe_to(class_config.name)
+    ]
+    listeners = [each for each in config.listeners if group.may_subscribe_to(each.name)]
+    cluster_names = frozenset(class_config.name for class_config in class_configs)
     return {
         CDS: [
-            UnversionedResource(plan.name, _bytes(cluster(plan, config)), frozenset({ENDPOINTS}))
-            for plan in plans
+            UnversionedResource(
+                class_config.name, _bytes(cluster(class_config, config)), frozenset({ENDPOINTS})
+            )
+            for class_config in class_configs
         ],
         LDS: [
-            UnversionedResource(plan.name, _bytes(listener(plan)), frozenset({ROUTES})) for plan in listeners
+            UnversionedResource(each.name, _bytes(listener(each)), frozenset({ROUTES})) for each in listeners
         ],
         RDS: [
             UnversionedResource(
-                ROUTES, _bytes(routes(plans, _non_repeatable_prefixes(config, plans))), cluster_names
+                ROUTES,
+                _bytes(routes(class_configs, _non_repeatable_prefixes(config, class_configs))),
+                cluster_names,
             )
         ]
-        if plans and listeners
+        if class_configs and listeners
         else [],
     }
 
--- a/brambleusher/xds/service.py
+++ b/brambleusher/xds/service.py
@@ -14,7 +14,7 @@
 
 from brambleusher.loadbalancing.view_consistency import ViewPosition, WithheldReason
 from brambleusher.net.endpoint_list import EndpointListUpdate
-from brambleusher.xds.config import ControlConfig, load_control, reload_control
+from brambleusher.xds.config import ControlConfig, load_control_config, reload_control_config
 from brambleusher.xds.core import Core
 from brambleusher.xds.discovery import Discovery
 from brambleusher.xds.errors import ControlError
@@ -127,7 +127,7 @@
         if self._path is None:
             return
         try:
-            config, keys_needing_restart = reload_control(self.config, self._path)
+            config, keys_needing_restart = reload_control_config(self.config, self._path)
         except ControlError as error:
             self._report_reload_failure(error)
             return
@@ -275,4 +275,4 @@
 
 
 async def _serve(path: str, print_addresses: bool) -> None:
-    await Service(load_control(path), path).run(print_addresses)
+    await Service(load_control_config(path), path).run(print_addresses)
--- a/tests/test_recorded_files.py
+++ b/tests/test_recorded_files.py
@@ -24,7 +24,7 @@
 from brambleusher.operator_settings.configuration import parse_operator_file
 from brambleusher.sidecar.configuration import parse_config
 from brambleusher.wire import configuration, policy, settings
-from brambleusher.xds.config import load_control
+from brambleusher.xds.config import load_control_config
 from brambleusher.xds.resources import static_resources
 from brambleusher.xds.snapshot import Resource
 from brambleusher.xds.store import Store
@@ -57,7 +57,7 @@
     "configuration": lambda path: configuration.read(path.read_bytes()),
     "operator": lambda path: parse_operator_file(path.read_bytes()),
     "sidecar": lambda path: parse_config(path.read_bytes(), {"NODE_FD": "7", "TMPDIR": "/tmp"}),
-    "control": lambda path: load_control(path.name),
+    "control": lambda path: load_control_config(path.name),
 }
 
 
@@ -141,7 +141,7 @@
     assert SIGNER.version(ViewPosition(3, 41), "0123456789abcdef") == RESOURCES["version"]
     claim = SIGNER.parse(RESOURCES["version"])
     assert claim is not None and (claim.position, claim.digest) == (ViewPosition(3, 41), "0123456789abcdef")
-    config = load_control("control.yaml")
+    config = load_control_config("control.yaml")
     made: dict[str, list[Any]] = {}
     for group in config.groups:
         for kind, drafts in static_resources(config, group).items():
--- a/tests/xds/test_control.py
+++ b/tests/xds/test_control.py
@@ -51,7 +51,7 @@
     WithheldReason,
 )
 from brambleusher.net.endpoint_list import Endpoint, EndpointListUpdate
-from brambleusher.xds.config import ControlConfig, Group, load_control, parse_control
+from brambleusher.xds.config import ControlConfig, SubscriberGroup, load_control_config, parse_control_config
 from brambleusher.xds.core import Core, Stream, apply_removals_only
 from brambleusher.xds.discovered_endpoints import DiscoveredEndpoints
 from brambleusher.xds.errors import ControlError, ProtocolError
@@ -409,7 +409,7 @@
 
 
 def control(folder: Path, **more: Any) -> ControlConfig:
-    return parse_control(written(folder, **more), folder)
+    return parse_control_config(written(folder, **more), folder)
 
 
 def written(folder: Path, **more: Any) -> bytes:
@@ -946,9 +946,9 @@
     (tmp_path / "sidecar.json").write_text(json.dumps({"settings": SETTINGS}))
     path = tmp_path / "control.yaml"
     path.write_bytes(written(tmp_path, settings=None, settings_file="sidecar.json"))
-    config = load_control(str(path))
+    config = load_control_config(str(path))
     assert [cls.name for cls in config.settings.classes] == ["look", "move"]
-    assert config.group_of("x") == Group("*", "z")
+    assert config.group_of("x") == SubscriberGroup("*", "z")
 
 
 def test_the_example_is_one_that_can_be_used(tmp_path: Path) -> None:
@@ -961,8 +961,8 @@
     classes = [SETTINGS["classes"][0] | {"name": name, "effect": effect} for name, effect in names]
     (tmp_path / "config.json").write_text(json.dumps({"settings": SETTINGS | {"classes": classes}}))
     (tmp_path / "control.secret").write_bytes(SECRET)
-    config = parse_control(example.read_bytes(), tmp_path)
-    assert [plan.retries for plan in config.classes] == [2, 2, 0]
+    config = parse_control_config(example.read_bytes(), tmp_path)
+    assert [class_config.retries for class_config in config.classes] == [2, 2, 0]
     assert config.group_of("market-one-3") == config.groups[0] and not config.groups[0].may_subscribe_to(
         "transfer-record"
     )
--- a/tests/xds/test_control_live.py
+++ b/tests/xds/test_control_live.py
@@ -47,7 +47,7 @@
     modules,
 )
 from brambleusher.lab.control.xds_rules import faults
-from brambleusher.xds.config import Bounds, parse_control
+from brambleusher.xds.config import StreamLimits, parse_control_config
 from brambleusher.xds.service import Service
 from brambleusher.xds.wire import LRS
 from tests.xds.test_control import control, written
@@ -91,7 +91,7 @@
     folder: Path, discovery: LiveDiscovery, proxies: Callable[[Service, str], Awaitable[None]], **more: Any
 ) -> None:
     """Run a service in this process while `proxies` runs."""
-    config = parse_control(written(folder, discovery=discovery.address, **more), folder)
+    config = parse_control_config(written(folder, discovery=discovery.address, **more), folder)
     service = Service(config, seed=1)
     addresses = await service.start()
     try:
@@ -208,7 +208,7 @@
         await stalled.until(lambda: len(stalled.proxy.usable()) == 400)
         assert stalled.proxy.responses - before <= 3  # two unacknowledged responses, and the newest
         stalled.reading.clear()
-        service.core.config = replace(service.core.config, bounds=Bounds(stall_ms=300))
+        service.core.config = replace(service.core.config, bounds=StreamLimits(stall_ms=300))
         # The stalled proxy does not continue to read, so only its own stream is ended.
         discovery.change(entry("n499", 10_499, "Terminating"))
         await reading.until(lambda: len(reading.proxy.usable()) == 399)
