--- a/brambleusher/xds/core.py
+++ b/brambleusher/xds/core.py
@@ -32,7 +32,7 @@
 from brambleusher.xds.discovered_endpoints import DiscoveredEndpoints
 from brambleusher.xds.errors import ProtocolError, SubscriptionDeniedError
 from brambleusher.xds.loads import LoadReports
-from brambleusher.xds.resources import AssignmentBuilder, static_resources
+from brambleusher.xds.resources import AssignmentBuilder, build_static_resources
 from brambleusher.xds.snapshot import (
     CDS,
     EDS,
@@ -347,7 +347,7 @@
         assert self._position is not None
         drafts = self._static_resources.get(group_index)
         if drafts is None:
-            drafts = self._static_resources[group_index] = static_resources(self.config, group)
+            drafts = self._static_resources[group_index] = build_static_resources(self.config, group)
         assignment = self._assignment(zone, locality_level, now_ns)
         kinds = {
             kind: self._resource_cache.update_resources(
@@ -373,7 +373,7 @@
         if assignment is None:
             self._update_zone_endpoints(self.zones[zone], now_ns)
             addresses = {name: endpoint.address for name, endpoint in self.endpoints.items()}
-            assignment = self._assignment_builders[zone, locality_level].draft(
+            assignment = self._assignment_builders[zone, locality_level].build(
                 self.zones[zone].tiers, addresses
             )
             self._assignments[zone, locality_level] = assignment
--- a/brambleusher/xds/discovery.py
+++ b/brambleusher/xds/discovery.py
@@ -15,7 +15,7 @@
 from brambleusher.runtime.scheduler import Scheduler
 
 
-class Discovery:
+class DiscoveryWatcher:
     """A thread that watches discovery and passes updates, in order, to callbacks in the event loop."""
 
     def __init__(
@@ -47,7 +47,7 @@
         if self._scheduler is not None:
             self._scheduler.stop()
 
-    def _call_in_loop(self, callback: Callable[..., None], *args: object) -> None:
+    def _schedule_callback(self, callback: Callable[..., None], *args: object) -> None:
         if not self._is_stopped and not self._loop.is_closed():
             self._loop.call_soon_threadsafe(callback, *args)
 
@@ -61,12 +61,12 @@
                 if text.strip():
                     yield text
                 else:
-                    self._call_in_loop(self._on_contact, self.clock.now_ns())
+                    self._schedule_callback(self._on_contact, self.clock.now_ns())
 
         endpoint_list = EndpointList(
             scheduler, updates, random.Random(self._seed), self.counters,
-            lambda update: self._call_in_loop(self._on_update, update, self.clock.now_ns()),
-            lambda: self._call_in_loop(self._on_disconnect),
+            lambda update: self._schedule_callback(self._on_update, update, self.clock.now_ns()),
+            lambda: self._schedule_callback(self._on_disconnect),
         )  # fmt: skip
         endpoint_list.start()
         endpoint_list.request_watch()
--- a/brambleusher/xds/resources.py
+++ b/brambleusher/xds/resources.py
@@ -69,7 +69,7 @@
     return bytes(message.SerializeToString(deterministic=True))
 
 
-def listener(listener_config: ListenerConfig) -> listener_pb2.Listener:
+def build_listener(listener_config: ListenerConfig) -> listener_pb2.Listener:
     """Build a listener: an HTTP listener if one is configured, else an API listener for gRPC."""
     manager = hcm_pb2.HttpConnectionManager(
         stat_prefix=listener_config.name,
@@ -101,7 +101,7 @@
     )
 
 
-def _route(class_config: ClassConfig, prefix: str) -> route_components_pb2.Route:
+def _build_route(class_config: ClassConfig, prefix: str) -> route_components_pb2.Route:
     deadline = _ms(class_config.timeout_ms)
     action = route_components_pb2.RouteAction(
         cluster=class_config.name,
@@ -130,7 +130,7 @@
     )
 
 
-def routes(
+def build_route_configuration(
     class_configs: Iterable[ClassConfig], non_repeatable: Iterable[str] = ()
 ) -> route_pb2.RouteConfiguration:
     """Build the route configuration: a route per path prefix of a class, the longest prefix first.
@@ -148,12 +148,14 @@
             pairs.append((path, replace(nearest, retries=0)))
     pairs.sort(key=lambda pair: (-len(pair[0]), pair[0]))
     host = route_components_pb2.VirtualHost(
-        name=ROUTES, domains=["*"], routes=[_route(class_config, prefix) for prefix, class_config in pairs]
+        name=ROUTES,
+        domains=["*"],
+        routes=[_build_route(class_config, prefix) for prefix, class_config in pairs],
     )
     return route_pb2.RouteConfiguration(name=ROUTES, virtual_hosts=[host])
 
 
-def cluster(class_config: ClassConfig, config: ControlConfig) -> cluster_pb2.Cluster:
+def build_cluster(class_config: ClassConfig, config: ControlConfig) -> cluster_pb2.Cluster:
     """Build the cluster for a class; all clusters have the same endpoints."""
     outlier = config.outlier
     limits = circuit_breaker_pb2.CircuitBreakers.Thresholds(
@@ -208,7 +210,9 @@
     return default_prefixes + [prefix for class_config in excluded for prefix in class_config.prefixes]
 
 
-def static_resources(config: ControlConfig, group: SubscriberGroup) -> dict[str, list[UnversionedResource]]:
+def build_static_resources(
+    config: ControlConfig, group: SubscriberGroup
+) -> dict[str, list[UnversionedResource]]:
     """Build the listeners, routes and clusters that a group may subscribe to, by kind."""
     class_configs = [
         class_config for class_config in config.classes if group.may_subscribe_to(class_config.name)
@@ -218,17 +222,20 @@
     return {
         CDS: [
             UnversionedResource(
-                class_config.name, _bytes(cluster(class_config, config)), frozenset({ENDPOINTS})
+                class_config.name, _bytes(build_cluster(class_config, config)), frozenset({ENDPOINTS})
             )
             for class_config in class_configs
         ],
         LDS: [
-            UnversionedResource(each.name, _bytes(listener(each)), frozenset({ROUTES})) for each in listeners
+            UnversionedResource(each.name, _bytes(build_listener(each)), frozenset({ROUTES}))
+            for each in listeners
         ],
         RDS: [
             UnversionedResource(
                 ROUTES,
-                _bytes(routes(class_configs, _non_repeatable_prefixes(config, class_configs))),
+                _bytes(
+                    build_route_configuration(class_configs, _non_repeatable_prefixes(config, class_configs))
+                ),
                 cluster_names,
             )
         ]
@@ -252,7 +259,7 @@
             policy.endpoint_stale_after.CopyFrom(_ms(stale_after_ms))
         self._tail = length_delimited(4, _bytes(policy)) if policy.ByteSize() else b""
 
-    def draft(self, tiers: Sequence[LocalityWeights], addresses: Addresses) -> UnversionedResource:
+    def build(self, tiers: Sequence[LocalityWeights], addresses: Addresses) -> UnversionedResource:
         """Build the assignment for the given weights and states."""
         new_cache: dict[tuple[str, int, int, int], bytes] = {}
         parts = [length_delimited(1, ENDPOINTS.encode())]
--- a/brambleusher/xds/server.py
+++ b/brambleusher/xds/server.py
@@ -57,7 +57,7 @@
         """End the call with a status; raises `grpc.aio.AbortError`."""
 
 
-class UnaryCall(Protocol):
+class UnaryMethod(Protocol):
     """A gRPC method with one request and one response."""
 
     def __call__(self, request: bytes, *, timeout: float) -> Awaitable[bytes]:
@@ -362,18 +362,18 @@
                 channel = grpc.aio.secure_channel(target, self._certificates.channel_credentials())
             material = self._certificates.material if self._certificates is not None else None
             async with channel:
-                call = channel.unary_unary(f"/{peer_messages.SERVICE}/{peer_messages.METHOD}")
+                status_method = channel.unary_unary(f"/{peer_messages.SERVICE}/{peer_messages.METHOD}")
                 while self._certificates is None or self._certificates.material is material:
-                    await self._request_status(name, call)
+                    await self._request_status(name, status_method)
                     await asyncio.sleep(interval_s)
 
-    async def _request_status(self, name: str, call: UnaryCall) -> None:
+    async def _request_status(self, name: str, status_method: UnaryMethod) -> None:
         core = self._core
         request, number = peer_messages.encode_request(core.signer, core.config.name)
         request_sent_ns = self._now_ns()  # the status in the response may have been valid at this time only
         try:
             status = peer_messages.decode_response(
-                core.signer, await call(request, timeout=PEER_TIMEOUT_S), number
+                core.signer, await status_method(request, timeout=PEER_TIMEOUT_S), number
             )
         except (grpc.RpcError, ProtocolError) as error:
             reason = error.code().name if isinstance(error, grpc.aio.AioRpcError) else str(error)
@@ -387,7 +387,7 @@
         core.record_peer_status(name, status, request_sent_ns)
 
 
-async def cancel_all(tasks: Iterable[asyncio.Task[None]]) -> None:
+async def cancel_and_wait(tasks: Iterable[asyncio.Task[None]]) -> None:
     """Cancel tasks and wait until they have ended."""
     for task in tasks:
         task.cancel()
--- a/brambleusher/xds/service.py
+++ b/brambleusher/xds/service.py
@@ -16,9 +16,9 @@
 from brambleusher.net.endpoint_list import EndpointListUpdate
 from brambleusher.xds.config import ControlConfig, load_control_config, reload_control_config
 from brambleusher.xds.core import Core
-from brambleusher.xds.discovery import Discovery
+from brambleusher.xds.discovery import DiscoveryWatcher
 from brambleusher.xds.errors import ControlError
-from brambleusher.xds.server import PeerPoller, XdsServer, cancel_all
+from brambleusher.xds.server import PeerPoller, XdsServer, cancel_and_wait
 from brambleusher.xds.status import StatusServer
 from brambleusher.xds.store import Store, StoreError
 from brambleusher.xds.tls import Certificates
@@ -94,7 +94,7 @@
 
     def _assemble(self, loop: asyncio.AbstractEventLoop) -> None:
         config = self.config
-        self.discovery = Discovery(
+        self.discovery = DiscoveryWatcher(
             config.discovery,
             self._seed,
             loop,
@@ -111,7 +111,7 @@
     async def stop(self) -> None:
         """Stop all components and close the store."""
         self.discovery.stop()
-        await cancel_all(self._tasks)
+        await cancel_and_wait(self._tasks)
         await self.server.stop()
         if self._status_listener is not None:
             self._status_listener.close()
--- a/brambleusher/xds/status.py
+++ b/brambleusher/xds/status.py
@@ -38,7 +38,7 @@
 _HEALTH = {health_check_pb2.UNHEALTHY: "left out", health_check_pb2.DRAINING: "draining"}
 _PAGE_COLUMNS = ("subscriber", "zone", "variant", "acknowledged", "lag ms", "rejected")
 
-MESSAGES: dict[str, type[Message]] = {
+MESSAGE_TYPES: dict[str, type[Message]] = {
     CDS: cluster_pb2.Cluster, EDS: endpoint_pb2.ClusterLoadAssignment,
     LDS: listener_pb2.Listener, RDS: route_pb2.RouteConfiguration,
 }  # fmt: skip
@@ -121,11 +121,13 @@
         return []
     if kind == EDS:
         return [f"{address} {state}" for address, state in sorted(describe_assignment(body).items())]
-    message = MESSAGES[kind].FromString(body)
+    message = MESSAGE_TYPES[kind].FromString(body)
     return json.dumps(MessageToDict(message), indent=1, sort_keys=True).splitlines()
 
 
-def difference(kind: str, name: str, has: Resource | None, newest: Resource | None) -> ResourceDifference:
+def compare_resource(
+    kind: str, name: str, has: Resource | None, newest: Resource | None
+) -> ResourceDifference:
     """Compare a subscriber's resource with the newest resource of the same name."""
     is_same = has is not None and newest is not None and has.digest == newest.digest
     before = resource_lines(kind, has.body if has else None)
@@ -280,7 +282,7 @@
                 if WILDCARD in subscribed or resource_name in subscribed
             }
             differences += [
-                difference(kind, resource_name, has.get(resource_name), newest.get(kind, resource_name))
+                compare_resource(kind, resource_name, has.get(resource_name), newest.get(kind, resource_name))
                 for resource_name in sorted(names)
             ]
         return differences
--- a/tests/test_recorded_files.py
+++ b/tests/test_recorded_files.py
@@ -25,7 +25,7 @@
 from brambleusher.sidecar.configuration import parse_config
 from brambleusher.wire import configuration, policy, settings
 from brambleusher.xds.config import load_control_config
-from brambleusher.xds.resources import static_resources
+from brambleusher.xds.resources import build_static_resources
 from brambleusher.xds.snapshot import Resource
 from brambleusher.xds.store import Store
 from brambleusher.xds.versions import MacSigner
@@ -144,7 +144,7 @@
     config = load_control_config("control.yaml")
     made: dict[str, list[Any]] = {}
     for group in config.groups:
-        for kind, drafts in static_resources(config, group).items():
+        for kind, drafts in build_static_resources(config, group).items():
             for draft in drafts:
                 resource = Resource.make(
                     kind, draft.name, draft.body, SIGNER, ViewPosition(3, 41), draft.refers
--- a/tests/xds/test_control.py
+++ b/tests/xds/test_control.py
@@ -55,9 +55,9 @@
 from brambleusher.xds.core import Core, Stream, apply_removals_only
 from brambleusher.xds.discovered_endpoints import DiscoveredEndpoints
 from brambleusher.xds.errors import ControlError, ProtocolError
-from brambleusher.xds.resources import ENDPOINTS, AssignmentBuilder, static_resources
+from brambleusher.xds.resources import ENDPOINTS, AssignmentBuilder, build_static_resources
 from brambleusher.xds.snapshot import CDS, EDS, LDS, RDS, ResourceCache, Snapshot, UnversionedResource
-from brambleusher.xds.status import MESSAGES
+from brambleusher.xds.status import MESSAGE_TYPES
 from brambleusher.xds.store import Store, StoreError
 from brambleusher.xds.subscriber import Request, Response, Subscriber
 from brambleusher.xds.versions import MacSigner
@@ -604,7 +604,7 @@
 
 def test_resources_are_what_the_published_protos_say(tmp_path: Path) -> None:
     config = control(tmp_path)
-    drafts = static_resources(config, config.groups[0])
+    drafts = build_static_resources(config, config.groups[0])
     clusters = {draft.name: cluster_pb2.Cluster.FromString(draft.body) for draft in drafts[CDS]}
     assert clusters["look"].eds_cluster_config.service_name == ENDPOINTS
     assert clusters["look"].common_lb_config.healthy_panic_threshold.value == 0
@@ -633,7 +633,7 @@
         classes=[each for each in plans if each["name"] in classes],
         subscribers=[{"identity": "*", "zone": "z", "may": ["web", "look"]}],
     )
-    (draft,) = static_resources(config, config.groups[0])[RDS]
+    (draft,) = build_static_resources(config, config.groups[0])[RDS]
     table = route_pb2.RouteConfiguration.FromString(draft.body).virtual_hosts[0].routes
     found = [(route.match.prefix, route.route.retry_policy.num_retries.value) for route in table]
     assert found == [("/move", 0), ("/", 2)]
@@ -645,7 +645,7 @@
     )
     for name, locality_level in (("a", "zones"), ("b", "nodes")):
         snapshot = core.snapshot("z", locality_level, core.config.groups[0], 0)
-        for kind, message in MESSAGES.items():
+        for kind, message in MESSAGE_TYPES.items():
             for resource in snapshot.kinds[kind].values():
                 assert not list(faults(message.FromString(resource.body))), name
     bad = cluster_pb2.Cluster()
@@ -670,7 +670,7 @@
     addresses = {f"n{at}": ("10.0.0.1", at) for at in range(1, 5)}
     parts = group_by_locality(shares, (("z",), ("y",)))
     made = endpoint_pb2.ClusterLoadAssignment.FromString(
-        AssignmentBuilder("zones", 60_000).draft(parts, addresses).body
+        AssignmentBuilder("zones", 60_000).build(parts, addresses).body
     )
     parts_ = made.endpoints
     assert [(part.locality.zone, part.priority, part.load_balancing_weight.value) for part in parts_] == [
@@ -679,7 +679,7 @@
     assert [each.health_status for each in made.endpoints[0].lb_endpoints] == [0, 2, 3]
     assert made.policy.endpoint_stale_after.seconds == 60
     made = endpoint_pb2.ClusterLoadAssignment.FromString(
-        AssignmentBuilder("nodes", 60_000).draft(parts, addresses).body
+        AssignmentBuilder("nodes", 60_000).build(parts, addresses).body
     )
     parts_ = made.endpoints
     assert [(part.locality.sub_zone, part.priority, part.load_balancing_weight.value) for part in parts_] == [
