--- a/brambleusher/features/capture.py
+++ b/brambleusher/features/capture.py
@@ -117,7 +117,7 @@
 
     def dump(self) -> None:
         """Write the content of the ring to standard error."""
-        if not self._dumps.idle:
+        if not self._dumps.is_drained:
             log.warning("capture dump already running")
             return
         segments = [*self._sealed, *([self._open] if self._open is not None else [])]
--- a/brambleusher/features/metrics_reporter.py
+++ b/brambleusher/features/metrics_reporter.py
@@ -18,7 +18,7 @@
 from brambleusher.runtime.scheduler import Scheduler
 
 PREFIX = "brambleusher."
-DROPPED = "figures_dropped"
+DROPPED_LINES = "figures_dropped"
 # Characters with a special meaning are replaced in statsd lines and tags; influx can escape them with a
 # backslash, except for control characters and the backslash itself.
 _STATSD_SPECIAL = re.compile(r"[\s\x00-\x1f\x7f|,#:@\\]")
@@ -70,9 +70,9 @@
         served: api.Settings,
         clock: Clock,
         counters: Counters,
-        lane: OutputQueue,
+        output_queue: OutputQueue,
     ) -> None:
-        self._clock, self._counters, self._lane = clock, counters, lane
+        self._clock, self._counters, self._output_queue = clock, counters, output_queue
         self._flush_seconds = settings.flush_ms / 1000
         self._format: StatsdFormat | InfluxFormat = (
             StatsdFormat() if settings.format == "statsd" else InfluxFormat()
@@ -127,20 +127,24 @@
         self._counts.clear()
         for tags, inflight in self._inflight.items():
             self._put("inflight", "g", inflight, tags)
-        self.count_lost()
-        self._lane.flush()
+        self.count_lost_lines()
+        self._output_queue.flush()
 
-    def count_lost(self) -> None:
+    def count_lost_lines(self) -> None:
         """Count the lines lost since the last call, and report them to the collector in the next flush."""
-        if lost := self._lane.lost():
-            self._counters.add(DROPPED, lost)
-            self._lane.hold(self._format.line(DROPPED, "c", lost, "", self._clock.now_ns()))
+        if lost_lines := self._output_queue.take_lost_count():
+            self._counters.add(DROPPED_LINES, lost_lines)
+            self._output_queue.put_without_wake(
+                self._format.line(DROPPED_LINES, "c", lost_lines, "", self._clock.now_ns())
+            )
 
     def _put(self, name: str, kind: str, value: int, tags: Tags) -> None:
         formatted_tags = self._tags.get(tags)
         if formatted_tags is None:
             formatted_tags = self._tags[tags] = self._format.tags(tags)
-        self._lane.hold(self._format.line(name, kind, value, formatted_tags, self._clock.now_ns()))
+        self._output_queue.put_without_wake(
+            self._format.line(name, kind, value, formatted_tags, self._clock.now_ns())
+        )
 
     def _tags_of(self, request: ClientRequest) -> Tags:
         # Tenants that are not configured share one tag, so that clients can't create any number of tags.
--- a/brambleusher/features/output_queue.py
+++ b/brambleusher/features/output_queue.py
@@ -16,8 +16,8 @@
 
 log = logging.getLogger(__name__)
 
-TAKEN_AT_ONCE = 16 * 1024
-EXIT_SECONDS = 1.0
+MAX_BATCH_BYTES = 16 * 1024
+CLOSE_TIMEOUT_S = 1.0
 ITEM_BYTES = 41  # memory that Python needs for a line in addition to its text, in bytes
 
 
@@ -28,7 +28,7 @@
         self._lock, self._worker, self._limit = worker.lock, worker, limit
         self._items: deque[Item] = deque()
         self._size = self._taken = self._dropped_lines = 0
-        self.due = False  # whether the writer should take lines from this queue
+        self.is_flush_due = False  # whether the writer should take lines from this queue
 
     def put(self, items: Iterable[Item]) -> None:
         """Append items, and wake the writer."""
@@ -39,7 +39,7 @@
             self._trim()
             self._wake_writer()
 
-    def hold(self, item: Item) -> None:
+    def put_without_wake(self, item: Item) -> None:
         """Append an item without waking the writer until the next flush or until the queue is half full."""
         with self._lock:
             self._items.append(item)
@@ -55,41 +55,41 @@
             self._dropped_lines += dropped.count(b"\n")
 
     def _wake_writer(self) -> None:
-        if self._items and not self.due:
-            self.due = True
+        if self._items and not self.is_flush_due:
+            self.is_flush_due = True
             self._worker.wake()
 
     def flush(self) -> None:
         """Wake the writer to write all queued lines."""
         self.put(())
 
-    def lost(self) -> int:
+    def take_lost_count(self) -> int:
         """Return how many lines were lost since the last call."""
         with self._lock:
             dropped_lines, self._dropped_lines = self._dropped_lines, 0
         return dropped_lines
 
     @property
-    def idle(self) -> bool:
+    def is_drained(self) -> bool:
         """Whether no line is queued and none is being written."""
         with self._lock:
             return not self._items and not self._taken
 
-    def take(self) -> list[Item]:
+    def take_batch(self) -> list[Item]:
         """Remove and return the oldest lines; the caller must be the writer and hold the lock.
 
-        The lines count towards the queue's limit until the writer calls `written`.
+        The lines count towards the queue's limit until the writer calls `finish_batch`.
         """
         items: list[Item] = []
-        while self._items and (not items or self._taken < TAKEN_AT_ONCE):
+        while self._items and (not items or self._taken < MAX_BATCH_BYTES):
             item = self._items.popleft()
             items.append(item)
             self._taken += len(item) + ITEM_BYTES
         self._size -= self._taken
-        self.due = bool(self._items)
+        self.is_flush_due = bool(self._items)
         return items
 
-    def written(self, dropped_lines: int) -> None:
+    def finish_batch(self, dropped_lines: int) -> None:
         """Record that the taken lines were written, except `dropped_lines` of them.
 
         The caller must be the writer and hold the lock.
@@ -106,30 +106,30 @@
         self._closing = self._closed = False
         self._worker = system.worker(name, self._has_work, self._write)
 
-    def lane(self, limit: int) -> OutputQueue:
+    def add_queue(self, limit: int) -> OutputQueue:
         """Add a queue of at most `limit` bytes for the serving thread, and return it."""
         queue = OutputQueue(self._worker, limit)
         with self._worker.lock:
             self._queues.append(queue)
         return queue
 
-    def close(self, seconds: float = EXIT_SECONDS) -> None:
+    def close(self, seconds: float = CLOSE_TIMEOUT_S) -> None:
         """Write the queued lines and close the sink, but wait at most `seconds` for a slow reader."""
         with self._worker.lock:
             for queue in self._queues:
-                queue.due = True
+                queue.is_flush_due = True
             self._closing = True
             self._worker.wake()
         self._worker.end(seconds)
 
     def _has_work(self) -> bool:
-        return any(queue.due for queue in self._queues) or (self._closing and not self._closed)
+        return any(queue.is_flush_due for queue in self._queues) or (self._closing and not self._closed)
 
     def _write(self) -> None:
         """Take one batch of lines from each queue that is due, and write the batches to the sink."""
         with self._worker.lock:
-            batches = [(queue, queue.take()) for queue in self._queues if queue.due]
-            is_last = self._closing and not any(queue.due for queue in self._queues)
+            batches = [(queue, queue.take_batch()) for queue in self._queues if queue.is_flush_due]
+            is_last = self._closing and not any(queue.is_flush_due for queue in self._queues)
         for queue, items in batches:
             try:
                 dropped_lines = self._sink.write(items) if items else 0
@@ -138,7 +138,7 @@
                 log.exception("output failed", extra={"fields": {"output": self._name}})
                 dropped_lines = count_lines(items)
             with self._worker.lock:
-                queue.written(dropped_lines)
+                queue.finish_batch(dropped_lines)
         if is_last and not self._closed:
             self._closed = True
             self._sink.close()
--- a/brambleusher/sidecar/feature_assembly.py
+++ b/brambleusher/sidecar/feature_assembly.py
@@ -9,7 +9,7 @@
 from brambleusher.decisions.balancer_driver import BalancerDriver
 from brambleusher.decisions.clock import Clock
 from brambleusher.features.capture import Capture, DirSink
-from brambleusher.features.metrics_reporter import DROPPED, MetricsReporter
+from brambleusher.features.metrics_reporter import DROPPED_LINES, MetricsReporter
 from brambleusher.loadbalancing.api import Settings
 from brambleusher.observability.counters import Counters
 from brambleusher.operator_settings.configuration import CaptureSettings, MetricsSettings, StatusSettings
@@ -39,7 +39,7 @@
     system: System,
 ) -> MetricsReporter:
     """Return the reporter of metrics, with a queue to its target."""
-    counters.register(DROPPED)
+    counters.register(DROPPED_LINES)
     target = settings.target
     if target.kind == "stderr":
         output = outputs.stderr()
@@ -47,16 +47,16 @@
         output = outputs.writer("figures", lambda: system.file_sink(target.path))
     else:
         output = outputs.writer("figures", lambda: system.datagram_sink(target.address))
-    return MetricsReporter(settings, served, clock, counters, output.lane(settings.buffer_kb * KIB))
+    return MetricsReporter(settings, served, clock, counters, output.add_queue(settings.buffer_kb * KIB))
 
 
 def build_capture(settings: CaptureSettings, config: Config, outputs: Outputs) -> Capture:
     """Return the capture, with queues to standard error for dumps and to its files."""
     ring_bytes = settings.ring_kb * KIB
-    dumps, files = outputs.stderr().lane(2 * ring_bytes), None
+    dumps, files = outputs.stderr().add_queue(2 * ring_bytes), None
     if settings.dir is not None:
         sink = DirSink(settings.dir, config.name, settings.files, ring_bytes)
-        files = outputs.writer("capture", lambda: sink).lane(ring_bytes)
+        files = outputs.writer("capture", lambda: sink).add_queue(ring_bytes)
     return Capture(settings, config.settings, config.seed, config.known, dumps, files)
 
 
--- a/brambleusher/sidecar/lifecycle.py
+++ b/brambleusher/sidecar/lifecycle.py
@@ -126,7 +126,7 @@
             sidecar.metrics_reporter.flush()
         sidecar.outputs.close_all_but_stderr()
         if sidecar.metrics_reporter is not None:
-            sidecar.metrics_reporter.count_lost()
+            sidecar.metrics_reporter.count_lost_lines()
         sidecar.counters.report("exit")
 
     def is_finished(self) -> bool:
--- a/brambleusher/sidecar/main.py
+++ b/brambleusher/sidecar/main.py
@@ -37,7 +37,7 @@
     sidecar.endpoint_list.on_step = garbage_collection.step
     if sidecar.outputs.has_stderr:
         # Guards against a log line that waits, and requests with it, where a feature has filled the pipe.
-        queue = sidecar.outputs.stderr().lane(LOG_QUEUE_BYTES)
+        queue = sidecar.outputs.stderr().add_queue(LOG_QUEUE_BYTES)
         configure(stream=OutputQueueStream(queue), form=log_format)
     sidecar.install_signal_handlers()
     try:
--- a/tests/features/test_capture.py
+++ b/tests/features/test_capture.py
@@ -78,15 +78,15 @@
         return actions
 
 
-def lane() -> OutputQueue:
+def output_queue() -> OutputQueue:
     return OutputQueue(RealSystem().worker("lane", lambda: False, lambda: None), 1 << 30)
 
 
-def taken(lane: OutputQueue) -> bytes:
+def taken(output_queue: OutputQueue) -> bytes:
     """Return all items in a queue as bytes, and empty the queue."""
     out = b""
-    while items := lane.take():
-        lane.written(0)
+    while items := output_queue.take_batch():
+        output_queue.finish_batch(0)
         out += b"".join(items)
     return out
 
@@ -95,7 +95,7 @@
     """A simulated world of valid events whose decisions are captured."""
 
     def __init__(self, ring_kb: int = 64, seed: int = 1, files: OutputQueue | None = None) -> None:
-        self.dumps = lane()
+        self.dumps = output_queue()
         self.capture = Capture(CaptureSettings(ring_kb), ASKS, SEED, EMPTY, self.dumps, files)
         self.world = World(ASKS, seed, Recorded(ASKS, self.capture))
         self.world.now = 1_700_000_000 * SECOND + 123_456_789  # a float of milliseconds would lose digits
@@ -384,7 +384,7 @@
 
 def segments(count: int, steps: int = 150) -> list[bytes]:
     """Return up to `count` consecutive segments as they are written to files."""
-    files = lane()
+    files = output_queue()
     kept = Kept(files=files)
     kept.world.start(4)
     with mock.patch.object(capture_module, "SEAL_NS", 0):
--- a/tests/features/test_figures.py
+++ b/tests/features/test_figures.py
@@ -101,31 +101,31 @@
     def test_a_full_lane_drops_its_oldest_lines_and_counts_them(self) -> None:
         gate = Gate()
         out = OutputWriter(gate, "gate", RealSystem())
-        lane = out.lane(10 * (ITEM_BYTES + 4))
-        lane.put([b"bad\n"])
+        output_queue = out.add_queue(10 * (ITEM_BYTES + 4))
+        output_queue.put([b"bad\n"])
         self.assertTrue(gate.taken.wait(WAIT))
-        lane.put([b"%03d\n" % n for n in range(30)])  # nine lines fit beside the one being written
-        lane.hold(b"x" * 10_000 + b"\n")  # this line exceeds the limit of the whole queue
-        self.assertEqual(lane.lost(), 31)
-        lane.put([b"%03d\n" % n for n in range(30)])
+        output_queue.put([b"%03d\n" % n for n in range(30)])  # nine lines fit beside the one being written
+        output_queue.put_without_wake(b"x" * 10_000 + b"\n")  # this line exceeds the limit of the whole queue
+        self.assertEqual(output_queue.take_lost_count(), 31)
+        output_queue.put([b"%03d\n" % n for n in range(30)])
         gate.open.set()
         out.close(WAIT)
         self.assertEqual(gate.got, [b"bad\n", *(b"%03d\n" % n for n in range(21, 30)), b"closed"])
-        self.assertEqual(lane.lost(), 22)
+        self.assertEqual(output_queue.take_lost_count(), 22)
 
     def test_lines_wait_for_the_flush_or_for_half_a_lane(self) -> None:
         gate = Gate()
         gate.open.set()
         out = OutputWriter(gate, "gate", RealSystem())
         self.addCleanup(out.close)
-        lane = out.lane(10 * (ITEM_BYTES + 4))
-        lane.hold(b"000\n")
-        self.assertFalse(lane.due)
+        output_queue = out.add_queue(10 * (ITEM_BYTES + 4))
+        output_queue.put_without_wake(b"000\n")
+        self.assertFalse(output_queue.is_flush_due)
         for _ in range(5):
-            lane.hold(b"000\n")
+            output_queue.put_without_wake(b"000\n")
         until(lambda: len(gate.got) == 6)
-        lane.hold(b"111\n")
-        lane.flush()
+        output_queue.put_without_wake(b"111\n")
+        output_queue.flush()
         until(lambda: len(gate.got) == 7)
 
     def test_pieces_are_of_whole_lines(self) -> None:
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -121,8 +121,8 @@
         capture.record(Decision(event, now, actions, raised, requests.get(record["id"] or "")))
     capture.dump()
     written = b""
-    while items := queue.take():
-        queue.written(0)
+    while items := queue.take_batch():
+        queue.finish_batch(0)
         written += b"".join(items)
     assert written.splitlines() == recorded.splitlines()
     assert written == recorded
