--- a/brambleusher/features/capture.py
+++ b/brambleusher/features/capture.py
@@ -37,28 +37,29 @@
 
 log = logging.getLogger(__name__)
 
-SEGMENTS = 4  # in a ring with small headers; each further segment needs memory and time for its header
-NODE_BYTES = 250  # the least size of one node in a header, in bytes
-HEAD_MOST = 0.75  # largest fraction of the ring that a header may fill; capture pauses if it is larger
-SEAL_NS = 5_000_000_000  # with files, a segment is written after at most this many nanoseconds
-AGAIN_NS = 10_000_000_000  # capture pauses this many nanoseconds if a header is too large or recording fails
+# The number of segments in a ring with small headers; more segments need more memory and time for headers.
+SEGMENTS_PER_RING = 4
+MIN_NODE_BYTES = 250  # the least size of one node in a header, in bytes
+MAX_HEADER_FRACTION = 0.75  # largest part of the ring for one header; capture pauses if more is needed
+MAX_SEGMENT_AGE_NS = 5_000_000_000  # with files, a segment is written after at most this many nanoseconds
+PAUSE_NS = 10_000_000_000  # capture pauses this many nanoseconds if a header is too large or recording fails
 
 
 class Segment:
     """A part of the ring: a header, and the encoded records that follow it."""
 
-    __slots__ = ("due", "head", "lines", "opened_ns", "size")
+    __slots__ = ("seal_size", "header", "lines", "opened_ns", "size")
 
-    def __init__(self, head: bytes, now_ns: int, due: int) -> None:
-        self.head, self.opened_ns = head, now_ns
+    def __init__(self, header: bytes, now_ns: int, record_capacity: int) -> None:
+        self.header, self.opened_ns = header, now_ns
         self.lines: list[bytes] = []
-        self.size = len(head) + ITEM_BYTES
-        self.due = self.size + due  # the segment is sealed when its size reaches this many bytes
+        self.size = len(header) + ITEM_BYTES
+        self.seal_size = self.size + record_capacity  # the size in bytes at which the segment is sealed
 
-    def join(self) -> None:
+    def join_records(self) -> None:
         """Join the records into one bytes object, which saves memory; no record may be added afterwards."""
         self.lines = [b"".join(self.lines)] if self.lines else []
-        self.size = len(self.head) + sum(map(len, self.lines)) + 2 * ITEM_BYTES
+        self.size = len(self.header) + sum(map(len, self.lines)) + 2 * ITEM_BYTES
 
 
 class Capture(DecisionRecorder):
@@ -86,7 +87,9 @@
         self._count = 0  # the number of records so far, which is also the number of the next record
         self._sealed: deque[Segment] = deque()
         self._sealed_size = 0
-        self._open: Segment | None = Segment(head := self._encode_header(None), 0, self._due(len(head)))
+        self._open: Segment | None = Segment(
+            header := self._encode_header(None), 0, self._record_capacity(len(header))
+        )
         self._resume_ns = 0
 
     def start(self, state: Callable[[], dict[str, Any]], is_imported: bool = False) -> None:
@@ -96,8 +99,8 @@
         """
         self._state = state
         if is_imported:
-            head = self._encode_header(state())
-            self._open = Segment(head, 0, self._due(len(head)))
+            header = self._encode_header(state())
+            self._open = Segment(header, 0, self._record_capacity(len(header)))
 
     def update_endpoints(self, update: EndpointListUpdate) -> None:
         """Keep the version and addresses of the list passed to the balancer next, which its event lacks."""
@@ -113,7 +116,7 @@
         except Exception:
             # A fault in the capture must not affect a request.  The records kept so far now have a gap.
             log.exception("capture failed")
-            self._open, self._resume_ns = None, decision.now_ns + AGAIN_NS
+            self._open, self._resume_ns = None, decision.now_ns + PAUSE_NS
 
     def dump(self) -> None:
         """Write the content of the ring to standard error."""
@@ -124,7 +127,7 @@
         if not segments:
             log.warning("capture header exceeds the ring", extra={"fields": {"limit": self._limit}})
             return
-        self._dumps.put([segments[0].head, *(line for segment in segments for line in segment.lines)])
+        self._dumps.put([segments[0].header, *(line for segment in segments for line in segment.lines)])
 
     def close(self) -> None:
         """Write the records that are not in the files yet."""
@@ -174,48 +177,49 @@
             segment.opened_ns = now_ns
         while self._sealed and self._sealed_size + segment.size > self._limit:
             self._sealed_size -= self._sealed.popleft().size
-        is_old = self._files is not None and now_ns - segment.opened_ns >= SEAL_NS
-        if segment.size >= segment.due or is_old:
+        is_old = self._files is not None and now_ns - segment.opened_ns >= MAX_SEGMENT_AGE_NS
+        if segment.size >= segment.seal_size or is_old:
             self._seal(segment)
             self._begin_segment(now_ns)
 
-    def _due(self, head: int) -> int:
-        """Return how many bytes of records a segment may have, given the size of its header.
+    def _record_capacity(self, header_size: int) -> int:
+        """Return how many bytes of records a segment may have, given the size of its header in bytes.
 
         The limit is twice the header's size, but small enough for two segments to fit in the ring.
         """
-        minimum = self._limit // SEGMENTS
-        due = min(max(minimum, 2 * head), self._limit // 2 - head)
-        return due if due >= minimum else self._limit - head  # a single segment has room for more records
+        minimum = self._limit // SEGMENTS_PER_RING
+        capacity = min(max(minimum, 2 * header_size), self._limit // 2 - header_size)
+        # Below the minimum, a single segment that fills the ring leaves room for more records.
+        return capacity if capacity >= minimum else self._limit - header_size
 
     def _seal(self, segment: Segment) -> None:
-        segment.join()
+        segment.join_records()
         self._sealed.append(segment)
         self._sealed_size += segment.size
         if self._files is not None and segment.lines:
-            self._files.put([segment.head + segment.lines[0]])
+            self._files.put([segment.header + segment.lines[0]])
 
     def _begin_segment(self, now_ns: int) -> None:
         """Open a segment with the current state, and drop the oldest segments that no longer fit."""
-        size = len(self._servers) * NODE_BYTES
-        if size <= self._limit * HEAD_MOST:  # avoids encoding a header of megabytes that can't fit
-            head = self._encode_header(self._state())
-            size = len(head)
-            self._open = Segment(head, now_ns, self._due(size))
-        if size > self._limit * HEAD_MOST:
+        size = len(self._servers) * MIN_NODE_BYTES
+        if size <= self._limit * MAX_HEADER_FRACTION:  # avoids encoding a header of megabytes that can't fit
+            header = self._encode_header(self._state())
+            size = len(header)
+            self._open = Segment(header, now_ns, self._record_capacity(size))
+        if size > self._limit * MAX_HEADER_FRACTION:
             # Pausing avoids a ring that holds hardly anything but headers, and encoding them repeatedly.
             log.warning("capture header exceeds the ring", extra={"fields": {"bytes": size}})
-            self._open, self._resume_ns = None, now_ns + AGAIN_NS
+            self._open, self._resume_ns = None, now_ns + PAUSE_NS
         open_size = 0 if self._open is None else self._open.size
         while self._sealed and self._sealed_size + open_size > self._limit:
             self._sealed_size -= self._sealed.popleft().size
 
     def _encode_header(self, state: dict[str, Any] | None) -> bytes:
         servers = {"version": self._version, "servers": list(self._servers.values())}
-        head = {**self._start, "list": servers, "settings": self._settings, "n": self._count}
+        header = {**self._start, "list": servers, "settings": self._settings, "n": self._count}
         if state is not None:
-            head["state"] = state
-        return orjson.dumps(head) + b"\n"
+            header["state"] = state
+        return orjson.dumps(header) + b"\n"
 
     def _apply_host_list(self, kind: api.ListKind, entries: Sequence[api.HostEntry]) -> None:
         """Apply an update to the copy of the balancer's endpoint list, which the next header contains."""
@@ -233,7 +237,7 @@
         self._version = self._next_version
 
 
-class DirSink:
+class CaptureDirectorySink:
     """Writes segments to numbered capture files in a directory, and removes the oldest files.
 
     Numbers continue after those of existing files.  A segment that directly follows the previous one is
--- a/brambleusher/features/replay.py
+++ b/brambleusher/features/replay.py
@@ -23,7 +23,7 @@
 from brambleusher.loadbalancing.settings_codec import restore_settings
 from brambleusher.loadbalancing.state_codec import attempted_hosts, known_hosts, restore
 
-SAME, DIFFERENT, REFUSED = 0, 1, 2
+SAME, DIFFERENT, REJECTED = 0, 1, 2
 
 
 class CaptureError(ValueError):
@@ -66,7 +66,7 @@
         # An attempt may end on a server that is no longer in the list.
         self._ever_listed = self._listed | attempted_hosts(self._balancer)
         next_record = head.get("n", 0)
-        self.next = next_record if isinstance(next_record, int) else 0
+        self.next_number = next_record if isinstance(next_record, int) else 0
 
     def check(self, record: dict[str, Any]) -> list[str]:
         """Rerun one record, and return descriptions of the differences."""
@@ -177,9 +177,9 @@
             raise CaptureError("records come before any header")
         self.summary.records += 1
         where = f"line {number}, record {_text(record.get('n'))}"
-        if record.get("n") != current.next:
-            self._report_difference(where, f"record {current.next} was expected here")
-        current.next = record["n"] + 1 if isinstance(record.get("n"), int) else current.next + 1
+        if record.get("n") != current.next_number:
+            self._report_difference(where, f"record {current.next_number} was expected here")
+        current.next_number = record["n"] + 1 if isinstance(record.get("n"), int) else current.next_number + 1
         event_fields = " ".join(
             f"{key}={_text(record.get(key))}" for key in ("t_ms", "ev", "id", "class", "tenant")
         )
@@ -215,6 +215,6 @@
     except (OSError, CaptureError) as error:
         reason = error.strerror if isinstance(error, OSError) else error
         print(f"brambleusher: {path} is refused: {reason}", file=errors)
-        return REFUSED
+        return REJECTED
     print(f"{summary.records} records, {summary.differing} differ", file=out)
     return DIFFERENT if summary.differing else SAME
--- a/brambleusher/features/rewrites.py
+++ b/brambleusher/features/rewrites.py
@@ -27,7 +27,7 @@
     return f"for={address}" if is_ipv4 else f'for="[{address}]"'
 
 
-def forward(fields: list[HeaderField], client: str) -> list[HeaderField]:
+def append_forwarded(fields: list[HeaderField], client: str) -> list[HeaderField]:
     """Merge all `Forwarded` fields into one, and append the client's address to it."""
     received = [value for name, value in fields if name.lower() == "forwarded"]
     chain = [value for value in received if value and _QUOTES_CLOSED.match(value)]
@@ -35,7 +35,7 @@
     return [*others, ("Forwarded", ", ".join([*chain, forwarded_for(client)]))]
 
 
-def apply(rule: RewriteRule, fields: list[HeaderField]) -> list[HeaderField]:
+def apply_rule(rule: RewriteRule, fields: list[HeaderField]) -> list[HeaderField]:
     """Apply one rule to header fields; names are compared case-insensitively."""
     name = rule.name.lower()
     if rule.action == "add":
@@ -52,7 +52,7 @@
     ]
 
 
-class Rewrites:
+class RuleRewriter:
     """Applies the header rewrite rules of one sidecar."""
 
     def __init__(self, rules: Iterable[RewriteRule]) -> None:
@@ -69,7 +69,7 @@
     def inward(self, request: Message, path: str, request_class: str, client: str) -> Message:
         """Return a request with the header fields that are forwarded to the endpoint."""
         fields = self._apply("in", end_to_end(request), path, request_class)
-        return replace(request, forwarded_fields=forward(fields, client))
+        return replace(request, forwarded_fields=append_forwarded(fields, client))
 
     def outward(self, fields: list[HeaderField], path: str, request_class: str) -> list[HeaderField]:
         """Return the header fields of a response as they are forwarded to the client."""
@@ -82,5 +82,5 @@
             if rule.request_class not in (None, request_class):
                 continue
             if rule.path_prefix is None or path.startswith(rule.path_prefix):
-                fields = apply(rule, fields)
+                fields = apply_rule(rule, fields)
         return fields
--- a/brambleusher/features/row_blocks.py
+++ b/brambleusher/features/row_blocks.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-BLOCK = 64  # rows per block, which take about half a millisecond to render
+ROWS_PER_BLOCK = 64  # rows per block, which take about half a millisecond to render
 
 Row = tuple[bytes, bytes]  # one row as HTML and as JSON
 
@@ -18,13 +18,13 @@
         self._names: list[dict[str, None]] = []
         self._rendered: list[Row] = []
         self._stale: dict[int, None] = {}  # blocks to be rendered again, the longest waiting first
-        self._not_full: dict[int, None] = {}  # blocks with fewer than `BLOCK` rows
+        self._not_full: dict[int, None] = {}  # blocks with fewer than `ROWS_PER_BLOCK` rows
 
     def __len__(self) -> int:
         """Return the number of blocks."""
         return len(self._names)
 
-    def changed(self, name: str) -> None:
+    def mark_changed(self, name: str) -> None:
         """Record that a row is new or has changed."""
         block = self._block_of.get(name)
         if block is None:
@@ -36,18 +36,18 @@
                 self._not_full[block] = None
             self._block_of[name] = block
             self._names[block][name] = None
-            if len(self._names[block]) >= BLOCK:
+            if len(self._names[block]) >= ROWS_PER_BLOCK:
                 del self._not_full[block]
         self._stale[block] = None
 
-    def removed(self, name: str) -> None:
+    def remove_row(self, name: str) -> None:
         """Remove a row."""
         block = self._block_of.pop(name, None)
         if block is not None:
             del self._names[block][name]
             self._not_full[block] = self._stale[block] = None
 
-    def step(self) -> bool:
+    def render_next(self) -> bool:
         """Render one changed block, and return whether more blocks have changed."""
         block = next(iter(self._stale), None)
         if block is not None:
@@ -56,7 +56,7 @@
             self._rendered[block] = b"".join(row[0] for row in rows), b",".join(row[1] for row in rows)
         return bool(self._stale)
 
-    def made(self) -> tuple[list[bytes], list[bytes]]:
+    def rendered_chunks(self) -> tuple[list[bytes], list[bytes]]:
         """Return the rendered rows as two lists of chunks: HTML, and JSON with the commas between rows.
 
         The chunks are not copied.
--- a/brambleusher/features/status.py
+++ b/brambleusher/features/status.py
@@ -35,8 +35,8 @@
 log = logging.getLogger(__name__)
 
 MINUTE_S = 60
-ERRORS_KEPT = 3  # the number of recent errors shown for each endpoint
-MAX_JOINED_PIECES = 8  # a response with at most this many chunks is joined into one
+MAX_ERRORS_PER_ENDPOINT = 3  # the number of recent errors shown for each endpoint
+MAX_JOINED_CHUNKS = 8  # a response with at most this many chunks is joined into one
 _NO_ERROR = frozenset({AttemptStatus.OK, AttemptStatus.CANCELLED, AttemptStatus.NOT_STARTED})
 
 
@@ -77,7 +77,7 @@
             self._log_listen_failed(error)
             return
         log.info("status page listening", extra={"fields": {"address": "{}:{}".format(*self.address)}})
-        while self._rows.step():
+        while self._rows.render_next():
             pass
         self._build()
         self._refreshing = self._scheduler.spawn(self._refresh, name="status page")
@@ -110,10 +110,10 @@
             if endpoint.entry.state is HostState.REMOVED:
                 self._endpoints.pop(name, None)
                 self._errors.pop(name, None)
-                self._rows.removed(name)
+                self._rows.remove_row(name)
             else:
                 self._endpoints[name] = endpoint
-                self._rows.changed(name)
+                self._rows.mark_changed(name)
         if update.full:
             self._errors = {name: recent for name, recent in self._errors.items() if name in self._endpoints}
 
@@ -124,9 +124,9 @@
     def attempt_finished(self, _request: ClientRequest, endpoint: str, outcome: AttemptOutcome) -> None:
         """Record the error of a failed attempt for its endpoint."""
         if outcome.status not in _NO_ERROR and endpoint in self._endpoints:
-            errors = self._errors.setdefault(endpoint, deque(maxlen=ERRORS_KEPT))
+            errors = self._errors.setdefault(endpoint, deque(maxlen=MAX_ERRORS_PER_ENDPOINT))
             errors.append((int(self._age_s() * 1000), outcome.status.value))
-            self._rows.changed(endpoint)
+            self._rows.mark_changed(endpoint)
 
     def request_finished(self, request: ClientRequest, kind: str | None, _took_ns: int) -> None:
         """Count a request that has ended."""
@@ -153,13 +153,13 @@
         while True:
             self._scheduler.sleep(self._refresh_interval_s)
             for _ in range(len(self._rows)):  # bounded, since rows may change while blocks are rendered
-                if not self._rows.step():
+                if not self._rows.render_next():
                     break
                 self._scheduler.yield_until_idle()
             self._build()
 
     def _build(self) -> None:
-        snapshot, (rows, servers) = self.snapshot(), self._rows.made()
+        snapshot, (rows, servers) = self.snapshot(), self._rows.rendered_chunks()
         json = [orjson.dumps(snapshot)[:-1], b',"servers":[', *servers, b"]}"]
         self._pages["/"] = _response("text/html; charset=utf-8", render_page(snapshot, rows))
         self._pages["/status.json"] = _response("application/json", json)
@@ -196,4 +196,4 @@
     """Return a complete HTTP response as chunks."""
     headers = [("Content-Type", content_type), ("Cache-Control", "no-store")]
     head = write_response(200, headers, b"", keep_alive=False, length=sum(map(len, body)))
-    return [head, *body] if len(body) > MAX_JOINED_PIECES else [head + b"".join(body)]
+    return [head, *body] if len(body) > MAX_JOINED_CHUNKS else [head + b"".join(body)]
--- a/brambleusher/sidecar/app.py
+++ b/brambleusher/sidecar/app.py
@@ -49,7 +49,7 @@
 if TYPE_CHECKING:
     from brambleusher.features.capture import Capture
     from brambleusher.features.metrics_reporter import MetricsReporter
-    from brambleusher.features.rewrites import Rewrites
+    from brambleusher.features.rewrites import RuleRewriter
     from brambleusher.features.status import StatusPage
     from brambleusher.fronts.mysql.service import MysqlService
 
@@ -191,7 +191,7 @@
             self.operator.status, self.config.settings, self.scheduler, self._zone_status
         )
 
-    def _build_rewrites(self) -> Rewrites | None:
+    def _build_rewrites(self) -> RuleRewriter | None:
         if self.operator.rewrites is None:
             return None
         return feature_assembly.build_rewrites(self.operator.rewrites, self.config.settings)
--- a/brambleusher/sidecar/feature_assembly.py
+++ b/brambleusher/sidecar/feature_assembly.py
@@ -8,7 +8,7 @@
 
 from brambleusher.decisions.balancer_driver import BalancerDriver
 from brambleusher.decisions.clock import Clock
-from brambleusher.features.capture import Capture, DirSink
+from brambleusher.features.capture import Capture, CaptureDirectorySink
 from brambleusher.features.metrics_reporter import DROPPED_LINES, MetricsReporter
 from brambleusher.loadbalancing.api import Settings
 from brambleusher.observability.counters import Counters
@@ -20,7 +20,7 @@
 from brambleusher.sidecar.outputs import Outputs
 
 if TYPE_CHECKING:
-    from brambleusher.features.rewrites import Rewrites
+    from brambleusher.features.rewrites import RuleRewriter
     from brambleusher.features.status import StatusPage
     from brambleusher.fronts.mysql.service import MysqlService
     from brambleusher.fronts.mysql.settings import MysqlSettings
@@ -55,16 +55,16 @@
     ring_bytes = settings.ring_kb * KIB
     dumps, files = outputs.stderr().add_queue(2 * ring_bytes), None
     if settings.dir is not None:
-        sink = DirSink(settings.dir, config.name, settings.files, ring_bytes)
+        sink = CaptureDirectorySink(settings.dir, config.name, settings.files, ring_bytes)
         files = outputs.writer("capture", lambda: sink).add_queue(ring_bytes)
     return Capture(settings, config.settings, config.seed, config.known, dumps, files)
 
 
-def build_rewrites(rules: tuple[RewriteRule, ...], served: Settings) -> Rewrites:
+def build_rewrites(rules: tuple[RewriteRule, ...], served: Settings) -> RuleRewriter:
     """Return the rewrites of headers; rules for classes that are not served are logged."""
-    from brambleusher.features.rewrites import Rewrites  # here: a start without rewrites is charged less
+    from brambleusher.features.rewrites import RuleRewriter  # here: a start without rewrites is charged less
 
-    rewrites = Rewrites(rules)
+    rewrites = RuleRewriter(rules)
     for name in sorted(rewrites.classes - {cls.name for cls in served.classes}):
         log.warning("rewrite rule names unknown class", extra={"fields": {"class": name}})
     return rewrites
--- a/tests/features/test_capture.py
+++ b/tests/features/test_capture.py
@@ -22,9 +22,9 @@
 from brambleusher.decisions.observers import Decision
 from brambleusher.decisions.requests import ClientRequest
 from brambleusher.features import capture as capture_module
-from brambleusher.features.capture import Capture, DirSink
+from brambleusher.features.capture import Capture, CaptureDirectorySink
 from brambleusher.features.output_queue import OutputQueue
-from brambleusher.features.replay import DIFFERENT, REFUSED, SAME, replay
+from brambleusher.features.replay import DIFFERENT, REJECTED, SAME, replay
 from brambleusher.loadbalancing import Balancer, api
 from brambleusher.loadbalancing.json_values import StateError
 from brambleusher.loadbalancing.settings_codec import restore_settings, save_settings
@@ -218,7 +218,7 @@
 
             def note(kept: Kept = kept, heads: set[int] = heads) -> None:
                 ring = kept.capture
-                held = sum(len(s.head) + sum(map(len, s.lines)) for s in (*ring._sealed, ring._open) if s)
+                held = sum(len(s.header) + sum(map(len, s.lines)) for s in (*ring._sealed, ring._open) if s)
                 self.assertLessEqual(held, 64 * 1024)
                 heads.add(ring._sealed[0].opened_ns if ring._sealed else 0)
 
@@ -326,9 +326,9 @@
         ):
             with self.subTest(name):
                 code, _, errors = self.replay(text)
-                self.assertEqual(code, REFUSED)
+                self.assertEqual(code, REJECTED)
                 self.assertIn(said, errors)
-        self.assertEqual(replay(str(self.folder / "absent"), io.StringIO(), io.StringIO()), REFUSED)
+        self.assertEqual(replay(str(self.folder / "absent"), io.StringIO(), io.StringIO()), REJECTED)
         for _ in range(20):
             kept.live(500)
             first, rest = kept.dump().split(b"\n", 1)
@@ -336,7 +336,7 @@
             if head["list"]["servers"]:  # the simulated list is sometimes empty
                 break
         head["list"]["servers"].pop()  # the list no longer matches the state
-        self.assertEqual(self.replay(headed())[0], REFUSED)
+        self.assertEqual(self.replay(headed())[0], REJECTED)
 
     def test_a_cut_last_line_is_reported_and_lines_of_a_log_are_passed_over(self) -> None:
         kept = Kept()
@@ -363,7 +363,7 @@
         self.assertIn("capture header exceeds the ring", logged.output[0])
         kept.world.entries = dict(list(kept.world.entries.items())[:5])
         kept.world.list_hosts(api.ListKind.FULL, list(kept.world.entries.values()))
-        kept.world.pass_time(2 * capture_module.AGAIN_NS)
+        kept.world.pass_time(2 * capture_module.PAUSE_NS)
         kept.live(200)
         with tempfile.NamedTemporaryFile() as file:
             file.write(kept.dump())
@@ -387,7 +387,7 @@
     files = output_queue()
     kept = Kept(files=files)
     kept.world.start(4)
-    with mock.patch.object(capture_module, "SEAL_NS", 0):
+    with mock.patch.object(capture_module, "MAX_SEGMENT_AGE_NS", 0):
         kept.live(steps)
     data = taken(files)
     cut = [found.start() for found in re.finditer(rb'(?m)^\{"ev":"start"', data)]
@@ -415,7 +415,7 @@
         self.folder.mkdir()
         other.write_text("another sidecar's")
         for start in range(4):
-            sink = DirSink(str(self.folder), "n/0", 3, 3 * max(map(len, items)))
+            sink = CaptureDirectorySink(str(self.folder), "n/0", 3, 3 * max(map(len, items)))
             self.assertEqual(sink.write(items[start * 15 : start * 15 + 15]), 0)
             mine = sorted(self.folder.glob("capture-n_0-*.jsonl"))
             self.assertLessEqual(len(mine), 3)
@@ -425,7 +425,7 @@
 
     def test_segments_in_a_row_share_a_file_and_a_gap_begins_one(self) -> None:
         items = segments(12)
-        sink = DirSink(str(self.folder), "n0", 9, 1 << 30)
+        sink = CaptureDirectorySink(str(self.folder), "n0", 9, 1 << 30)
         sink.write(items[:4])
         (one,) = self.folder.iterdir()
         self.assertEqual(one.read_bytes().count(b'"ev":"start"'), 1)
@@ -440,7 +440,7 @@
 
     def test_a_full_disk_costs_one_old_file_at_most(self) -> None:
         items = segments(12)
-        sink = DirSink(str(self.folder), "n0", 3, 1)
+        sink = CaptureDirectorySink(str(self.folder), "n0", 3, 1)
         sink.write(items[:4])
         before = sorted(self.folder.iterdir())
         with (
--- a/tests/features/test_rewrites.py
+++ b/tests/features/test_rewrites.py
@@ -10,7 +10,7 @@
 import unittest
 from pathlib import Path
 
-from brambleusher.features.rewrites import Rewrites, forward, forwarded_for
+from brambleusher.features.rewrites import RuleRewriter, append_forwarded, forwarded_for
 from brambleusher.net.header_forwarding import PROTECTED, end_to_end
 from brambleusher.net.http import HeaderField, MessageReader
 from brambleusher.operator_settings.configuration import (
@@ -120,7 +120,7 @@
         ):
             with self.subTest(actions):
                 text = rules(*(f"{{match: {{}}, direction: out, {action}}}" for action in actions))
-                made = Rewrites(parse_operator_file(text).rewrites or ())
+                made = RuleRewriter(parse_operator_file(text).rewrites or ())
                 self.assertEqual(made.outward(came, "/p", "look"), left)
 
     def test_a_rule_acts_where_all_of_its_match_fits(self) -> None:
@@ -134,9 +134,9 @@
         ):
             with self.subTest(match):
                 text = rules(f"{{match: {match}, direction: out, add: {{X: y}}}}")
-                made = Rewrites(parse_operator_file(text).rewrites or ())
+                made = RuleRewriter(parse_operator_file(text).rewrites or ())
                 self.assertEqual(bool(made.outward([], path, cls)), acts)
-                self.assertFalse(Rewrites(()).outward([], path, cls))
+                self.assertFalse(RuleRewriter(()).outward([], path, cls))
 
     def test_hop_by_hop_fields_go_and_the_others_stay_as_they_were(self) -> None:
         reader = MessageReader.requests()
@@ -167,7 +167,7 @@
         ]
         for came, left in cases:
             with self.subTest(came):
-                self.assertEqual(forward([*came], "192.0.2.1"), [("Forwarded", left)])
+                self.assertEqual(append_forwarded([*came], "192.0.2.1"), [("Forwarded", left)])
 
 
 class OnSockets(unittest.TestCase):
--- a/tests/net/test_lists.py
+++ b/tests/net/test_lists.py
@@ -11,7 +11,7 @@
 import orjson
 import pytest
 
-from brambleusher.features.row_blocks import BLOCK, RowBlocks
+from brambleusher.features.row_blocks import ROWS_PER_BLOCK, RowBlocks
 from brambleusher.loadbalancing import Balancer, api
 from brambleusher.loadbalancing.connection_limits import ConnectionLimit, ConnectPacing
 from brambleusher.loadbalancing.host_ranking import HostRanking
@@ -303,26 +303,26 @@
         return name.encode() + b"\n", f'"{name}"'.encode()
 
     def all_made() -> list[str]:
-        while blocks.step():
+        while blocks.render_next():
             pass
-        rows, parts = blocks.made()
+        rows, parts = blocks.rendered_chunks()
         names = b"".join(rows).decode().split()
         assert orjson.loads(b"[" + b"".join(parts) + b"]") == names
         return names
 
-    blocks, names = RowBlocks(render), [f"n{at}" for at in range(3 * BLOCK)]
+    blocks, names = RowBlocks(render), [f"n{at}" for at in range(3 * ROWS_PER_BLOCK)]
     assert all_made() == []
     for name in names:
-        blocks.changed(name)
-    assert all_made() == names and len(made) == 3 * BLOCK
+        blocks.mark_changed(name)
+    assert all_made() == names and len(made) == 3 * ROWS_PER_BLOCK
     made.clear()
-    blocks.changed(names[BLOCK + 1])
-    assert all_made() == names and made == names[BLOCK : 2 * BLOCK]
-    for name in names[:BLOCK]:
-        blocks.removed(name)
-    assert all_made() == names[BLOCK:]
-    blocks.changed("new")
-    assert all_made() == ["new", *names[BLOCK:]] and len(blocks) == 3
+    blocks.mark_changed(names[ROWS_PER_BLOCK + 1])
+    assert all_made() == names and made == names[ROWS_PER_BLOCK : 2 * ROWS_PER_BLOCK]
+    for name in names[:ROWS_PER_BLOCK]:
+        blocks.remove_row(name)
+    assert all_made() == names[ROWS_PER_BLOCK:]
+    blocks.mark_changed("new")
+    assert all_made() == ["new", *names[ROWS_PER_BLOCK:]] and len(blocks) == 3
 
 
 def test_a_link_rests_once_nothing_is_left_of_its_use() -> None:
