--- a/brambleusher/features/capture.py
+++ b/brambleusher/features/capture.py
@@ -138,22 +138,22 @@
     # --- the ring -------------------------------------------------------------------------------
 
     def _record(self, decision: Decision) -> None:
-        event, now_ns, call = decision.event, decision.now_ns, decision.request
+        event, now_ns, request = decision.event, decision.now_ns, decision.request
         name, fields = encode_event(event)
         if isinstance(event, api.HostListUpdated):
             fields["version"] = self._next_version
-            # Discovery's form has milliseconds only, but the balancer uses the exact start in nanoseconds.
+            # The discovery format has only milliseconds, but the balancer uses the start time in nanoseconds.
             fields["servers"] = [
                 {**encode_entry(entry, self._addresses.get(entry.host, "")), "started_ns": entry.started_ns}
                 for entry in event.entries
             ]
         if self._open is not None:
-            request = event if isinstance(event, api.RequestArrived) else None
+            arrival = event if isinstance(event, api.RequestArrived) else None
             record: dict[str, Any] = {
                 "n": self._count, "t_ms": now_ns // 1_000_000, "t_ns": now_ns, "ev": name,
                 "id": getattr(event, "request", None),
-                "class": request.request_class if request else call and call.request_class,
-                "tenant": request.tenant if request else call and call.tenant,
+                "class": arrival.request_class if arrival else request and request.request_class,
+                "tenant": arrival.tenant if arrival else request and request.tenant,
                 "server": recorded_server(event, decision.actions), "in": fields,
                 "out": [encode_action(action) for action in decision.actions],
             }  # fmt: skip
--- a/brambleusher/features/replay.py
+++ b/brambleusher/features/replay.py
@@ -42,30 +42,30 @@
 class Rerun:
     """Reruns the decisions that follow one header."""
 
-    def __init__(self, head: dict[str, Any]) -> None:
-        version = head.get("v")
+    def __init__(self, header: dict[str, Any]) -> None:
+        version = header.get("v")
         if type(version) is not int or version != VERSION:
             raise CaptureError(f"the header's v is {json.dumps(version)}; only {VERSION} can be read")
-        listed = head.get("list")
+        listed = header.get("list")
         if not isinstance(listed, dict) or not isinstance(listed.get("servers"), list):
             raise CaptureError("the header has no list")
-        if "settings" not in head:
+        if "settings" not in header:
             raise CaptureError("the header has no settings")
         try:
-            seed = int(head.get("seed", ""), 16)
+            seed = int(header.get("seed", ""), 16)
             self._listed = {server["id"] for server in listed["servers"]}
         except (TypeError, ValueError, KeyError):
             raise CaptureError("the header's seed or list can't be read") from None
         try:
-            settings, state = restore_settings(head["settings"]), head.get("state")
+            settings, state = restore_settings(header["settings"]), header.get("state")
             self._balancer = balancer_for(settings, seed) if state is None else restore(settings, seed, state)
         except StateError as error:
             raise CaptureError(str(error)) from None
         if state is not None and self._listed != known_hosts(self._balancer):
-            raise CaptureError("the header's list is not the one its state was taken with")
+            raise CaptureError("the header's list does not match its state")
         # An attempt may end on a server that is no longer in the list.
         self._ever_listed = self._listed | attempted_hosts(self._balancer)
-        next_record = head.get("n", 0)
+        next_record = header.get("n", 0)
         self.next_number = next_record if isinstance(next_record, int) else 0
 
     def check(self, record: dict[str, Any]) -> list[str]:
@@ -176,19 +176,19 @@
         if current is None:
             raise CaptureError("records come before any header")
         self.summary.records += 1
-        where = f"line {number}, record {_text(record.get('n'))}"
+        location = f"line {number}, record {_text(record.get('n'))}"
         if record.get("n") != current.next_number:
-            self._report_difference(where, f"record {current.next_number} was expected here")
+            self._report_difference(location, f"record {current.next_number} was expected here")
         current.next_number = record["n"] + 1 if isinstance(record.get("n"), int) else current.next_number + 1
         event_fields = " ".join(
             f"{key}={_text(record.get(key))}" for key in ("t_ms", "ev", "id", "class", "tenant")
         )
         if differences := current.check(record):
-            self._report_difference(f"{where} {event_fields}", "; ".join(differences))
+            self._report_difference(f"{location} {event_fields}", "; ".join(differences))
 
-    def _report_difference(self, where: str, what: str) -> None:
+    def _report_difference(self, location: str, description: str) -> None:
         self.summary.differing += 1
-        print(f"{where}: {what}", file=self._out)
+        print(f"{location}: {description}", file=self._out)
 
 
 def rerun(file: BinaryIO, out: TextIO) -> ReplaySummary:
--- a/brambleusher/features/status.py
+++ b/brambleusher/features/status.py
@@ -63,7 +63,7 @@
         self._rows = RowBlocks(self._render_endpoint)
         self._errors: dict[str, deque[tuple[int, str]]] = {}
         self._inflight = dict.fromkeys(self._classes, 0)
-        self._answers: deque[tuple[int, Counter[str]]] = deque()  # counts per second of the last minute
+        self._answers: deque[tuple[int, Counter[str]]] = deque()  # responses by class, per second
         self._pages: dict[str, list[bytes]] = {}  # by path, responses as chunks, which pages may share
         self._server = StatusServer(scheduler, self._pages)
         self._refreshing: Task | None = None
--- a/brambleusher/features/status_rendering.py
+++ b/brambleusher/features/status_rendering.py
@@ -43,8 +43,8 @@
     zones: NotRequired[ZonesStatus]
     version: str
     uptime_s: int
-    inflight: dict[str, int]  # by request class
-    answers_per_minute: dict[str, int]  # by request class
+    inflight: dict[str, int]  # the number of requests in flight, by request class
+    answers_per_minute: dict[str, int]  # the number of responses in the last minute, by request class
 
 
 def render_server(server: ServerStatus) -> tuple[bytes, bytes]:
--- a/brambleusher/xds/config.py
+++ b/brambleusher/xds/config.py
@@ -19,7 +19,7 @@
 from brambleusher.xds.errors import ControlError
 from brambleusher.xds.versions import MIN_SECRET_BYTES
 
-MAX_ITEMS = 256  # items in one list of the file
+MAX_ITEMS = 256  # limit for the items of each list in the configuration file
 MAX_RETRIES = 10
 MAX_CONCURRENCY = 1_000_000  # upper bound for the configured connections or requests of one proxy
 MAX_STREAMS = 100_000
@@ -51,7 +51,7 @@
     """Subscribers with the same rights: the zone whose view they get, and what they may subscribe to."""
 
     identity: str  # a pattern for the name in the certificate or, without TLS, for the node's id
-    zone: str | None = None  # None: the zone named in the subscriber's first request
+    zone: str | None = None  # the zone whose view the group gets; None: the zone in the first request
     resource_patterns: tuple[str, ...] = ("*",)  # patterns for the names of allowed resources
     locality_level: str | None = None  # "zones" or "nodes"; None: chosen by the kind of client
 
@@ -201,20 +201,20 @@
     return tuple(texts)
 
 
-def _reject_duplicates(names: list[str], what: str) -> None:
+def _reject_duplicates(names: list[str], label: str) -> None:
     for name in names:
         if names.count(name) > 1:
-            raise ControlError(f"{what} {name} is given twice")
+            raise ControlError(f"{label} {name} is given twice")
 
 
-def _read_file(path: Path, what: str) -> bytes:
+def _read_file(path: Path, label: str) -> bytes:
     try:
         with path.open("rb") as file:
             data = file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
-        raise ControlError(f"{what}: {path} can't be read: {error.strerror}") from None
+        raise ControlError(f"{label}: {path} can't be read: {error.strerror}") from None
     if len(data) > MAX_FILE_BYTES:
-        raise ControlError(f"{what}: {path} has more than {MAX_FILE_BYTES} bytes")
+        raise ControlError(f"{label}: {path} has more than {MAX_FILE_BYTES} bytes")
     return data
 
 
@@ -449,11 +449,11 @@
 
 def _check_addresses(config: ControlConfig) -> None:
     if config.tls is None and not is_loopback(config.listen[0]):
-        raise ControlError("listen: without tls only a loopback address is served")
+        raise ControlError("listen: without tls only a loopback address is allowed")
     if config.status is not None and not is_loopback(config.status[0]):
-        raise ControlError("status: only a loopback address is served")
+        raise ControlError("status: only a loopback address is allowed")
     if config.tls is None and not all(is_loopback(peer.address[0]) for peer in config.peers):
-        raise ControlError("peers: without tls only loopback addresses are spoken to")
+        raise ControlError("peers: without tls only loopback addresses are allowed")
 
 
 def load_control_config(path: str) -> ControlConfig:
--- a/brambleusher/xds/core.py
+++ b/brambleusher/xds/core.py
@@ -184,7 +184,8 @@
         # Caches the newest snapshots by zone, locality level and index of the group.
         self._snapshots: dict[tuple[str, str, int], Snapshot] = {}
         self._assignment_builders = self._new_assignment_builders()
-        self._assignments: dict[tuple[str, str], UnversionedResource] = {}  # by zone and locality level
+        # Caches endpoint assignments by zone and locality level.
+        self._assignments: dict[tuple[str, str], UnversionedResource] = {}
         # Caches listeners, routes and clusters by index of the group and by kind.
         self._static_resources: dict[int, dict[str, list[UnversionedResource]]] = {}
         self._durable_endpoints: dict[str, Endpoint] | None = None  # the list at the position written last
--- a/brambleusher/xds/loads.py
+++ b/brambleusher/xds/loads.py
@@ -22,7 +22,7 @@
 class _Totals:
     successes: int = 0
     errors: int = 0
-    metrics: dict[str, tuple[int, float]] = field(default_factory=dict)  # count and total by name
+    metrics: dict[str, tuple[int, float]] = field(default_factory=dict)  # (count, total) by metric
 
     def add(self, sample: LoadSample) -> None:
         self.successes += sample.successes
@@ -51,7 +51,7 @@
     def __init__(self, classes: Iterable[str]) -> None:
         """Start without samples; `classes` are the names of the clusters whose reports are accepted."""
         self._classes = frozenset(classes)
-        self._totals: dict[tuple[str, str], _Totals] = {}  # by host and cluster
+        self._totals: dict[tuple[str, str], _Totals] = {}  # totals by host and cluster
         self.accepted = self.unknown = 0  # `unknown` counts the samples of unlisted hosts or clusters
 
     def add(
--- a/brambleusher/xds/peer_messages.py
+++ b/brambleusher/xds/peer_messages.py
@@ -16,7 +16,7 @@
 from brambleusher.xds.versions import MacSigner
 
 SERVICE, METHOD = "brambleusher.xds.v1.Instances", "Tell"
-MAX_BYTES = 4096  # of a received message; longer input is cut off before it is parsed
+MAX_BYTES = 4096  # a received message is cut off after this many bytes before it is parsed
 MAX_NUMBER_CHARS = 64
 NUMBER_BYTES = 16
 _POSITION_LENGTH = len(ViewPosition._fields)
--- a/brambleusher/xds/resources.py
+++ b/brambleusher/xds/resources.py
@@ -38,9 +38,9 @@
 ACTIVE_RETRIES_PER_RETRY = 3  # concurrent retries of one proxy to a cluster, per retry allowed for a request
 MS_PER_S, NS_PER_MS = 1000, 1_000_000
 # Encoded tags of protobuf varint fields.
-_VALUE_TAG = b"\x08"  # UInt32Value.value
-_HEALTH_STATUS_TAG = b"\x10"  # LbEndpoint.health_status
-_PRIORITY_TAG = b"\x28"  # LocalityLbEndpoints.priority
+_VALUE_TAG = b"\x08"  # tag of the field UInt32Value.value
+_HEALTH_STATUS_TAG = b"\x10"  # tag of the field LbEndpoint.health_status
+_PRIORITY_TAG = b"\x28"  # tag of the field LocalityLbEndpoints.priority
 
 Addresses = Mapping[str, tuple[str, int]]
 
--- a/brambleusher/xds/service.py
+++ b/brambleusher/xds/service.py
@@ -212,8 +212,8 @@
             try:
                 await asyncio.wait_for(asyncio.shield(write), MAX_WRITE_WAIT_S)
             except TimeoutError:
-                # Reporting the slow write as failed lets removals be published: a slow disk must not delay a
-                # drain.
+                # Removals are published after a failed write, so report a slow write as failed: a slow disk
+                # must not delay a drain.
                 self.core.record_write_failure(self.now_ns())
                 await write
         except StoreError as error:
--- a/brambleusher/xds/subscriber.py
+++ b/brambleusher/xds/subscriber.py
@@ -30,7 +30,7 @@
 from brambleusher.xds.versions import MacSigner, ProvenVersion, digest
 
 WILDCARD = "*"
-MAX_UNACKNOWLEDGED = 2  # responses of a kind; a change can be sent while a long list is unacknowledged
+MAX_UNACKNOWLEDGED = 2  # responses per kind; a change can follow while a long list is unacknowledged
 MAX_REASON_CHARS = 500
 MAX_NAMES_CHARS = 200  # the names of rejected resources are cut off after this many characters in a log line
 MAX_SHOWN_CHARS = 100
@@ -49,11 +49,11 @@
     kind: str
     nonce: str = ""
     error: str | None = None
-    version: str = ""  # only state of the world: the last version that the subscriber accepted
-    names: tuple[str, ...] = ()  # only state of the world: all names subscribed to
-    subscribe: tuple[str, ...] = ()  # only incremental: names to add to the subscription
-    unsubscribe: tuple[str, ...] = ()  # only incremental: names to remove from the subscription
-    # Only incremental: the versions, by name, of the resources that the subscriber has when it connects.
+    version: str = ""  # state-of-the-world variant: the last version that the subscriber accepted
+    names: tuple[str, ...] = ()  # state-of-the-world variant: all names subscribed to
+    subscribe: tuple[str, ...] = ()  # incremental variant: names to add to the subscription
+    unsubscribe: tuple[str, ...] = ()  # incremental variant: names to remove from the subscription
+    # Incremental variant: the versions, by name, of the resources that the subscriber has when it connects.
     initial_versions: Mapping[str, str] = field(default_factory=dict)
 
 
@@ -96,12 +96,12 @@
         self.names: set[str] = set()
         self.is_wildcard = False  # whether all resources are subscribed to
         self.has_named = False  # whether any request so far gave names or the wildcard
-        self.sent: dict[str, Resource] = {}  # by name, the version sent last, whether or not acknowledged
-        self.acked: dict[str, Resource] = {}  # by name, the version acknowledged last
-        self.proven_digests: dict[str, str] = {}  # by name, digests of the resources held at connecting
+        self.sent: dict[str, Resource] = {}  # the last sent resources by name, acknowledged or not
+        self.acked: dict[str, Resource] = {}  # the last acknowledged resources by name
+        self.proven_digests: dict[str, str] = {}  # digests of the resources held at connecting, by name
         self.removed: set[str] = set()  # names that the subscriber was told do not exist
         self.rejected: dict[str, Rejection] = {}
-        self.unacknowledged: dict[str, _SentResponse] = {}  # by nonce, oldest first
+        self.unacknowledged: dict[str, _SentResponse] = {}  # sent responses by nonce, oldest first
         self.has_responded = False
         self.is_response_due = False  # names were added, so a response is due even without a change
         self.version = self.acked_version = ""
@@ -135,7 +135,7 @@
     ) -> None:
         self.incremental = incremental
         self._signer, self._max_names, self._max_name_bytes = signer, max_names, max_name_bytes
-        self._subscriptions: dict[str, _Subscription] = {}  # by kind
+        self._subscriptions: dict[str, _Subscription] = {}  # subscriptions by kind
         self._snapshot: Snapshot | None = None
         # The owner reads the next three lists after each request, and clears them.
         self.proven_positions: list[ViewPosition] = []  # positions in valid version strings at connecting
@@ -329,7 +329,7 @@
             return True
         clusters = self._subscriptions.get(CDS)
         if clusters is None or not clusters.is_wildcard:
-            return True  # such a subscriber asks for referenced resources by itself, in its own order
+            return True  # without a wildcard, the subscriber itself decides the order of its requests
         routes = self._subscriptions.get(RDS)
         for route in snapshot.kinds[RDS].values():
             if kind == RDS and not (routes is not None and routes.includes(route.name)):
@@ -411,7 +411,7 @@
         view = self._view(kind, subscription, snapshot)
         due, missing = self._due(subscription, view)
         if kind in COMPLETE_KINDS:
-            # A response of this kind lists all resources; the subscriber removes those not in the list.
+            # A CDS or LDS response lists all resources, and the subscriber removes those not in the list.
             is_due = due or missing or subscription.is_response_due or not subscription.has_responded
             if not is_due or (not subscription.is_wildcard and not subscription.names):
                 subscription.is_response_due = False
--- a/brambleusher/xds/tls.py
+++ b/brambleusher/xds/tls.py
@@ -33,24 +33,24 @@
     not_after: dt.datetime
 
 
-def _read(path: str, what: str) -> bytes:
+def _read(path: str, name: str) -> bytes:
     try:
         with Path(path).open("rb") as file:
             return file.read(MAX_PEM_BYTES)
     except OSError as error:
-        raise ControlError(f"tls.{what}: {path}: {error.strerror}") from None
+        raise ControlError(f"tls.{name}: {path}: {error.strerror}") from None
 
 
-def _certificates(data: bytes, what: str) -> list[x509.Certificate]:
+def _certificates(data: bytes, name: str) -> list[x509.Certificate]:
     """Return the certificates in a PEM file, and reject a partly written file."""
     try:
         certificates = x509.load_pem_x509_certificates(data)
     except ValueError:
         certificates = []
     if not certificates:
-        raise ControlError(f"tls.{what} is not a certificate in PEM")
+        raise ControlError(f"tls.{name} is not a certificate in PEM")
     if data.count(b"-----BEGIN ") != len(_END.findall(data)):
-        raise ControlError(f"tls.{what} ends within a certificate")
+        raise ControlError(f"tls.{name} ends within a certificate")
     return certificates
 
 
@@ -69,10 +69,10 @@
     except (ValueError, TypeError, UnsupportedAlgorithm):
         raise ControlError("tls.key is not a private key in PEM without a password") from None
     authorities = _certificates(client_ca, "client_ca")
-    for what, checked in (("certificate", chain[0]), *(("client_ca", issuer) for issuer in authorities)):
+    for name, checked in (("certificate", chain[0]), *(("client_ca", issuer) for issuer in authorities)):
         if not checked.not_valid_before_utc <= now <= checked.not_valid_after_utc:
             raise ControlError(
-                f"tls.{what} is valid from {checked.not_valid_before_utc} to {checked.not_valid_after_utc}"
+                f"tls.{name} is valid from {checked.not_valid_before_utc} to {checked.not_valid_after_utc}"
             )
     key_format = (Encoding.DER, PublicFormat.SubjectPublicKeyInfo)
     try:
