--- a/tests/features/test_capture.py
+++ b/tests/features/test_capture.py
@@ -50,9 +50,9 @@
     def __init__(self, settings: api.Settings, capture: Capture) -> None:
         super().__init__(settings, SEED)
         self.capture, self.calls = capture, dict[str, ClientRequest]()
-        capture.start(lambda: {**save(self.bare())})
+        capture.start(lambda: {**save(self.plain_balancer())})
 
-    def bare(self) -> Balancer:
+    def plain_balancer(self) -> Balancer:
         """Return a plain `Balancer` with the same state, without the attributes of this class."""
         bare = Balancer.__new__(Balancer)
         vars(bare).update({name: v for name, v in vars(self).items() if name not in ("capture", "calls")})
@@ -82,7 +82,7 @@
     return OutputQueue(RealSystem().worker("lane", lambda: False, lambda: None), 1 << 30)
 
 
-def taken(output_queue: OutputQueue) -> bytes:
+def drain(output_queue: OutputQueue) -> bytes:
     """Return all items in a queue as bytes, and empty the queue."""
     out = b""
     while items := output_queue.take_batch():
@@ -91,7 +91,7 @@
     return out
 
 
-class Kept:
+class RecordedWorld:
     """A simulated world of valid events whose decisions are captured."""
 
     def __init__(self, ring_kb: int = 64, seed: int = 1, files: OutputQueue | None = None) -> None:
@@ -100,7 +100,7 @@
         self.world = World(ASKS, seed, Recorded(ASKS, self.capture))
         self.world.now = 1_700_000_000 * SECOND + 123_456_789  # a float of milliseconds would lose digits
 
-    def live(self, steps: int, then: Callable[[], None] = lambda: None) -> None:
+    def run_steps(self, steps: int, then: Callable[[], None] = lambda: None) -> None:
         for step in range(steps):
             if step % 50 == 49:  # the balancer raises an error for an unknown class, and continues
                 self.world.give(api.RequestArrived(f"bad{step}", "unknown", None, SECOND))
@@ -109,7 +109,7 @@
 
     def dump(self) -> bytes:
         self.capture.dump()
-        return taken(self.dumps)
+        return drain(self.dumps)
 
 
 class State(unittest.TestCase):
@@ -197,7 +197,7 @@
         out, errors = io.StringIO(), io.StringIO()
         return replay(str(path), out, errors), out.getvalue(), errors.getvalue()
 
-    def elsewhere(self, data: bytes, hash_seed: int) -> tuple[int, str]:
+    def replay_in_subprocess(self, data: bytes, hash_seed: int) -> tuple[int, str]:
         """Replay a capture in another process, whose sets have a different iteration order."""
         path = self.folder / "elsewhere.jsonl"
         path.write_bytes(data)
@@ -209,43 +209,43 @@
 
     def test_wrapped_many_times_nothing_differs_in_any_process(self) -> None:
         for seed in (1, 2):
-            kept = Kept(seed=seed)
-            kept.world.start(6)
-            first = kept.dump()
+            recorded = RecordedWorld(seed=seed)
+            recorded.world.start(6)
+            first = recorded.dump()
             self.assertNotIn(b'"state":{', first)
             self.assertEqual(self.replay(first), (SAME, "2 records, 0 differ\n", ""))
             heads: set[int] = set()
 
-            def note(kept: Kept = kept, heads: set[int] = heads) -> None:
-                ring = kept.capture
+            def note(recorded: RecordedWorld = recorded, heads: set[int] = heads) -> None:
+                ring = recorded.capture
                 held = sum(len(s.header) + sum(map(len, s.lines)) for s in (*ring._sealed, ring._open) if s)
                 self.assertLessEqual(held, 64 * 1024)
                 heads.add(ring._sealed[0].opened_ns if ring._sealed else 0)
 
-            kept.live(4000, note)
+            recorded.run_steps(4000, note)
             self.assertGreater(len(heads), 20)  # the oldest segment was dropped at least 20 times
-            data = kept.dump()
+            data = recorded.dump()
             head = json.loads(data.split(b"\n", 1)[0])
             self.assertEqual((head["ev"], head["v"], head["seed"]), ("start", 1, "8c1f30d27a5be964"))
             self.assertIn(b'"raised":"KeyError"', data)
             for hash_seed in (1, 2):
-                code, text = self.elsewhere(data, hash_seed)
+                code, text = self.replay_in_subprocess(data, hash_seed)
                 self.assertEqual(code, SAME, text)
                 self.assertRegex(text, r"\A[1-9]\d+ records, 0 differ\n\Z")
 
     def test_the_list_in_the_header_is_the_one_before_the_oldest_record(self) -> None:
-        kept = Kept()
+        recorded = RecordedWorld()
         lists: dict[int, set[str]] = {}  # the balancer's hosts by the number of the next record
-        ring, real = kept.capture, kept.capture.record
+        ring, real = recorded.capture, recorded.capture.record
 
         def note(decision: Decision) -> None:
             real(decision)
-            lists[ring._count] = set(kept.world.balancer.host_table.hosts)
+            lists[ring._count] = set(recorded.world.balancer.host_table.hosts)
 
         with mock.patch.object(ring, "record", note):
-            kept.world.start(4)
-            kept.live(3000)
-        head = json.loads(kept.dump().split(b"\n", 1)[0])
+            recorded.world.start(4)
+            recorded.run_steps(3000)
+        head = json.loads(recorded.dump().split(b"\n", 1)[0])
         self.assertGreater(head["n"], 1000)
         self.assertEqual({server["id"] for server in head["list"]["servers"]}, lists[head["n"]])
 
@@ -259,10 +259,10 @@
         return b"".join(lines)
 
     def test_one_changed_record_shows(self) -> None:
-        kept = Kept(ring_kb=256)
-        kept.world.start(6)
-        kept.live(600)
-        data = kept.dump()
+        recorded = RecordedWorld(ring_kb=256)
+        recorded.world.start(6)
+        recorded.run_steps(600)
+        data = recorded.dump()
         changes: list[tuple[str, str, Callable[[dict[str, Any]], object]]] = [
             ("a server", "request", lambda r: r.update(server="h1" if r["server"] != "h1" else "h2")),
             ("a server that is unknown", "request", lambda r: r.update(server="s-nowhere")),
@@ -298,9 +298,9 @@
         self.assertEqual(text.count("\n"), 2)  # one line for the changed record, and one for the totals
 
     def test_what_is_no_capture_is_refused(self) -> None:
-        kept = Kept()
-        kept.world.start(3)
-        data = kept.dump()
+        recorded = RecordedWorld()
+        recorded.world.start(3)
+        data = recorded.dump()
         first, rest = data.split(b"\n", 1)
         head = json.loads(first)
 
@@ -330,8 +330,8 @@
                 self.assertIn(said, errors)
         self.assertEqual(replay(str(self.folder / "absent"), io.StringIO(), io.StringIO()), REJECTED)
         for _ in range(20):
-            kept.live(500)
-            first, rest = kept.dump().split(b"\n", 1)
+            recorded.run_steps(500)
+            first, rest = recorded.dump().split(b"\n", 1)
             head = json.loads(first)
             if head["list"]["servers"]:  # the simulated list is sometimes empty
                 break
@@ -339,57 +339,57 @@
         self.assertEqual(self.replay(headed())[0], REJECTED)
 
     def test_a_cut_last_line_is_reported_and_lines_of_a_log_are_passed_over(self) -> None:
-        kept = Kept()
-        kept.world.start(3)
-        kept.live(300)
-        lines = kept.dump().splitlines(keepends=True)
+        recorded = RecordedWorld()
+        recorded.world.start(3)
+        recorded.run_steps(300)
+        lines = recorded.dump().splitlines(keepends=True)
         mixed = b"time=1 level=info msg=x\n" + b"brambleusher.inflight:0|g\n".join(lines)
         self.assertEqual(self.replay(mixed)[0], SAME)
         code, text, _ = self.replay(mixed[:-20])
         self.assertEqual(code, SAME)
         self.assertIn("the last line is cut off and was skipped", text)
         self.assertIn(f"{len(lines) - 2} records, 0 differ", text)
-        self.assertEqual(self.replay(mixed + kept.dump())[0], SAME)  # a second dump has its own header
+        self.assertEqual(self.replay(mixed + recorded.dump())[0], SAME)  # a second dump has its own header
 
 
 class Bounds(unittest.TestCase):
     def test_a_header_too_large_for_the_ring_pauses_the_capture(self) -> None:
         """Guards against a ring that contains only headers, and against unbounded memory use."""
-        kept = Kept()
+        recorded = RecordedWorld()
         with self.assertLogs("brambleusher.features.capture", "WARNING") as logged:
-            kept.world.start(400)
-            kept.live(300)
+            recorded.world.start(400)
+            recorded.run_steps(300)
         self.assertLess(len(logged.output), 10)
         self.assertIn("capture header exceeds the ring", logged.output[0])
-        kept.world.entries = dict(list(kept.world.entries.items())[:5])
-        kept.world.list_hosts(api.ListKind.FULL, list(kept.world.entries.values()))
-        kept.world.pass_time(2 * capture_module.PAUSE_NS)
-        kept.live(200)
+        recorded.world.entries = dict(list(recorded.world.entries.items())[:5])
+        recorded.world.list_hosts(api.ListKind.FULL, list(recorded.world.entries.values()))
+        recorded.world.pass_time(2 * capture_module.PAUSE_NS)
+        recorded.run_steps(200)
         with tempfile.NamedTemporaryFile() as file:
-            file.write(kept.dump())
+            file.write(recorded.dump())
             file.flush()
             out = io.StringIO()
             self.assertEqual(replay(file.name, out, io.StringIO()), SAME, out.getvalue())
 
     def test_a_fault_here_harms_no_decision(self) -> None:
-        kept = Kept()
-        kept.world.start(3)
+        recorded = RecordedWorld()
+        recorded.world.start(3)
         with (
             mock.patch.object(capture_module, "encode_record", side_effect=ValueError("made up")),
             self.assertLogs("brambleusher.features.capture", "ERROR"),
         ):
-            kept.live(5)
-        self.assertGreater(len(kept.world.actions), 3)
+            recorded.run_steps(5)
+        self.assertGreater(len(recorded.world.actions), 3)
 
 
 def segments(count: int, steps: int = 150) -> list[bytes]:
     """Return up to `count` consecutive segments as they are written to files."""
     files = output_queue()
-    kept = Kept(files=files)
-    kept.world.start(4)
+    recorded = RecordedWorld(files=files)
+    recorded.world.start(4)
     with mock.patch.object(capture_module, "MAX_SEGMENT_AGE_NS", 0):
-        kept.live(steps)
-    data = taken(files)
+        recorded.run_steps(steps)
+    data = drain(files)
     cut = [found.start() for found in re.finditer(rb'(?m)^\{"ev":"start"', data)]
     return [data[a:b] for a, b in zip(cut, [*cut[1:], len(data)], strict=True)][:count]
 
--- a/tests/features/test_figures.py
+++ b/tests/features/test_figures.py
@@ -80,7 +80,7 @@
         self.assertEqual([line.decode() for line in lines], [f"{start}{at}\n" for at in (7, 8, 9, 20)])
 
 
-class Gate:
+class BlockingSink:
     """A sink whose writes block until its `open` event is set."""
 
     def __init__(self) -> None:
@@ -99,34 +99,34 @@
 
 class Lanes(unittest.TestCase):
     def test_a_full_lane_drops_its_oldest_lines_and_counts_them(self) -> None:
-        gate = Gate()
-        out = OutputWriter(gate, "gate", RealSystem())
+        blocking_sink = BlockingSink()
+        out = OutputWriter(blocking_sink, "gate", RealSystem())
         output_queue = out.add_queue(10 * (ITEM_BYTES + 4))
         output_queue.put([b"bad\n"])
-        self.assertTrue(gate.taken.wait(WAIT))
+        self.assertTrue(blocking_sink.taken.wait(WAIT))
         output_queue.put([b"%03d\n" % n for n in range(30)])  # nine lines fit beside the one being written
         output_queue.put_without_wake(b"x" * 10_000 + b"\n")  # this line exceeds the limit of the whole queue
         self.assertEqual(output_queue.take_lost_count(), 31)
         output_queue.put([b"%03d\n" % n for n in range(30)])
-        gate.open.set()
+        blocking_sink.open.set()
         out.close(WAIT)
-        self.assertEqual(gate.got, [b"bad\n", *(b"%03d\n" % n for n in range(21, 30)), b"closed"])
+        self.assertEqual(blocking_sink.got, [b"bad\n", *(b"%03d\n" % n for n in range(21, 30)), b"closed"])
         self.assertEqual(output_queue.take_lost_count(), 22)
 
     def test_lines_wait_for_the_flush_or_for_half_a_lane(self) -> None:
-        gate = Gate()
-        gate.open.set()
-        out = OutputWriter(gate, "gate", RealSystem())
+        blocking_sink = BlockingSink()
+        blocking_sink.open.set()
+        out = OutputWriter(blocking_sink, "gate", RealSystem())
         self.addCleanup(out.close)
         output_queue = out.add_queue(10 * (ITEM_BYTES + 4))
         output_queue.put_without_wake(b"000\n")
         self.assertFalse(output_queue.is_flush_due)
         for _ in range(5):
             output_queue.put_without_wake(b"000\n")
-        until(lambda: len(gate.got) == 6)
+        until(lambda: len(blocking_sink.got) == 6)
         output_queue.put_without_wake(b"111\n")
         output_queue.flush()
-        until(lambda: len(gate.got) == 7)
+        until(lambda: len(blocking_sink.got) == 7)
 
     def test_pieces_are_of_whole_lines(self) -> None:
         items = [b"a\n", b"bb\ncc\n", b"d" * 9 + b"\n", b"e\n"]
--- a/tests/features/test_rewrites.py
+++ b/tests/features/test_rewrites.py
@@ -107,7 +107,7 @@
 class Fields(unittest.TestCase):
     def test_rules_run_in_file_order(self) -> None:
         a, b, c = ("A", "1"), ("B", "2"), ("C", "3")
-        for actions, came, left in (
+        for actions, received, left in (
             (["add: {B: x}"], [a, b], [a, b, ("B", "x")]),  # keeps existing fields of that name
             (["drop: b"], [a, b, ("b", "4")], [a]),
             (["drop: x"], [a, b], [a, b]),
@@ -121,7 +121,7 @@
             with self.subTest(actions):
                 text = rules(*(f"{{match: {{}}, direction: out, {action}}}" for action in actions))
                 made = RuleRewriter(parse_operator_file(text).rewrites or ())
-                self.assertEqual(made.outward(came, "/p", "look"), left)
+                self.assertEqual(made.outward(received, "/p", "look"), left)
 
     def test_a_rule_acts_where_all_of_its_match_fits(self) -> None:
         for match, path, cls, acts in (
@@ -165,9 +165,9 @@
             ([("Forwarded", "for=a"), ("Forwarded", 'for="[::1]"')], f'for=a, for="[::1]", {mine}'),
             ([("Forwarded", 'for="a')], mine),  # the open quote would swallow the sidecar's own value
         ]
-        for came, left in cases:
-            with self.subTest(came):
-                self.assertEqual(append_forwarded([*came], "192.0.2.1"), [("Forwarded", left)])
+        for received, left in cases:
+            with self.subTest(received):
+                self.assertEqual(append_forwarded([*received], "192.0.2.1"), [("Forwarded", left)])
 
 
 class OnSockets(unittest.TestCase):
--- a/tests/xds/test_control.py
+++ b/tests/xds/test_control.py
@@ -73,7 +73,7 @@
 # --- the protocol -------------------------------------------------------------------------------
 
 
-class Views:
+class SnapshotBuilder:
     """Builds snapshots from mappings of a name to its content, or to a pair of content and references."""
 
     def __init__(self) -> None:
@@ -81,18 +81,18 @@
 
     def make(self, **kinds: dict[str, Any]) -> Snapshot:
         self.version += 1
-        place = ViewPosition(1, self.version)
+        position = ViewPosition(1, self.version)
         resources_by_kind = {}
         for kind, word in ((CDS, "cds"), (EDS, "eds"), (LDS, "lds"), (RDS, "rds")):
             drafts = []
-            for name, held in kinds.get(word, {}).items():
-                body, refers = held if isinstance(held, tuple) else (held, ())
+            for name, content in kinds.get(word, {}).items():
+                body, refers = content if isinstance(content, tuple) else (content, ())
                 drafts.append(UnversionedResource(name, body.encode(), frozenset(refers)))
-            resources_by_kind[kind] = self.resource_cache.update_resources("", kind, drafts, place)
-        return Snapshot(place, resources_by_kind)
+            resources_by_kind[kind] = self.resource_cache.update_resources("", kind, drafts, position)
+        return Snapshot(position, resources_by_kind)
 
 
-def had(response: Response | None) -> tuple[str, dict[str, bytes], tuple[str, ...]] | None:
+def content_of(response: Response | None) -> tuple[str, dict[str, bytes], tuple[str, ...]] | None:
     if response is None:
         return None
     return response.kind, {each.name: each.body for each in response.resources}, response.removed
@@ -103,111 +103,126 @@
     return Request(response.kind, response.nonce, error, version, names)
 
 
-def subscriber(incremental: bool = False) -> Subscriber:
+def new_subscriber(incremental: bool = False) -> Subscriber:
     return Subscriber(SIGNER, incremental, max_names=10, max_name_bytes=50)
 
 
 def test_whole_state_is_sent_acknowledged_and_not_sent_again() -> None:
-    views, held = Views(), subscriber()
-    held.set_snapshot(views.make(cds={"a": "1", "b": "1"}))
-    assert held.take_response() is None
-    held.receive(Request(CDS))
-    first = held.take_response()
-    assert had(first) == (CDS, {"a": b"1", "b": b"1"}, ())
-    assert held.take_response() is None
-    held.receive(ack(first))
-    held.set_snapshot(views.make(cds={"a": "1", "b": "1"}))
-    assert held.take_response() is None
-    held.set_snapshot(views.make(cds={"a": "1", "b": "2"}))
-    assert had(held.take_response()) == (CDS, {"a": b"1", "b": b"2"}, ())  # CDS responses list all resources
-    held.set_snapshot(views.make(cds={"b": "2"}))
-    assert had(held.take_response()) == (CDS, {"b": b"2"}, ("a",))
+    snapshots, client = SnapshotBuilder(), new_subscriber()
+    client.set_snapshot(snapshots.make(cds={"a": "1", "b": "1"}))
+    assert client.take_response() is None
+    client.receive(Request(CDS))
+    first = client.take_response()
+    assert content_of(first) == (CDS, {"a": b"1", "b": b"1"}, ())
+    assert client.take_response() is None
+    client.receive(ack(first))
+    client.set_snapshot(snapshots.make(cds={"a": "1", "b": "1"}))
+    assert client.take_response() is None
+    client.set_snapshot(snapshots.make(cds={"a": "1", "b": "2"}))
+    # CDS responses list all resources.
+    assert content_of(client.take_response()) == (
+        CDS,
+        {"a": b"1", "b": b"2"},
+        (),
+    )
+    client.set_snapshot(snapshots.make(cds={"b": "2"}))
+    assert content_of(client.take_response()) == (CDS, {"b": b"2"}, ("a",))
 
 
 @pytest.mark.parametrize("incremental", [False, True])
 def test_a_refusal_keeps_the_last_good_version_and_is_not_answered_until_the_resource_changes(
     incremental: bool,
 ) -> None:
-    views, held = Views(), subscriber(incremental)
-    held.set_snapshot(views.make(eds={"e": "good", "other": "1"}))
-    held.receive(Request(EDS, names=("e", "other"), subscribe=("e", "other")))
-    held.receive(ack(held.take_response(), "e", "other"))
-    good = held.acknowledged(EDS)["e"].version
-    held.set_snapshot(views.make(eds={"e": "bad", "other": "1"}))
-    held.receive(ack(held.take_response(), "e", "other", error="no such thing"))
-    assert held.acknowledged(EDS)["e"].version == good
-    assert held.rejected(EDS)["e"].reason == "no such thing"
-    held.set_snapshot(views.make(eds={"e": "bad", "other": "2"}))
-    assert had(held.take_response()) == (EDS, {"other": b"2"}, ())
-    held.refresh(EDS)  # a refresh does not send rejected resources again
-    assert had(held.take_response()) == (EDS, {"other": b"2"}, ())
-    held.set_snapshot(views.make(eds={"e": "mended", "other": "2"}))
-    response = held.take_response()  # withheld, since two responses are not acknowledged yet
+    snapshots, client = SnapshotBuilder(), new_subscriber(incremental)
+    client.set_snapshot(snapshots.make(eds={"e": "good", "other": "1"}))
+    client.receive(Request(EDS, names=("e", "other"), subscribe=("e", "other")))
+    client.receive(ack(client.take_response(), "e", "other"))
+    good = client.acknowledged(EDS)["e"].version
+    client.set_snapshot(snapshots.make(eds={"e": "bad", "other": "1"}))
+    client.receive(ack(client.take_response(), "e", "other", error="no such thing"))
+    assert client.acknowledged(EDS)["e"].version == good
+    assert client.rejected(EDS)["e"].reason == "no such thing"
+    client.set_snapshot(snapshots.make(eds={"e": "bad", "other": "2"}))
+    assert content_of(client.take_response()) == (EDS, {"other": b"2"}, ())
+    client.refresh(EDS)  # a refresh does not send rejected resources again
+    assert content_of(client.take_response()) == (EDS, {"other": b"2"}, ())
+    client.set_snapshot(snapshots.make(eds={"e": "mended", "other": "2"}))
+    response = client.take_response()  # withheld, since two responses are not acknowledged yet
     assert response is None
-    held.receive(Request(EDS, "4", None, names=("e", "other")))
-    response = held.take_response()
-    assert had(response) == (EDS, {"e": b"mended"}, ())
-    held.receive(ack(response, "e", "other"))
-    assert not held.rejected(EDS) and held.acknowledged(EDS)["e"].body == b"mended"
+    client.receive(Request(EDS, "4", None, names=("e", "other")))
+    response = client.take_response()
+    assert content_of(response) == (EDS, {"e": b"mended"}, ())
+    client.receive(ack(response, "e", "other"))
+    assert not client.rejected(EDS) and client.acknowledged(EDS)["e"].body == b"mended"
 
 
 def test_one_that_is_slow_gets_the_newest_and_nothing_in_between() -> None:
-    views, held = Views(), subscriber()
-    held.receive(Request(EDS, names=("e",)))
+    snapshots, client = SnapshotBuilder(), new_subscriber()
+    client.receive(Request(EDS, names=("e",)))
     for at in range(50):
-        held.set_snapshot(views.make(eds={"e": str(at)}))
-    assert had(held.take_response()) == (EDS, {"e": b"49"}, ())
-    held.set_snapshot(views.make(eds={"e": "50"}))
-    assert had(held.take_response()) == (EDS, {"e": b"50"}, ())  # sent before the first acknowledgement
+        client.set_snapshot(snapshots.make(eds={"e": str(at)}))
+    assert content_of(client.take_response()) == (EDS, {"e": b"49"}, ())
+    client.set_snapshot(snapshots.make(eds={"e": "50"}))
+    # The response is sent before the first acknowledgement.
+    assert content_of(client.take_response()) == (
+        EDS,
+        {"e": b"50"},
+        (),
+    )
     for at in range(51, 90):
-        held.set_snapshot(views.make(eds={"e": str(at)}))
-        assert held.take_response() is None
-    held.receive(Request(EDS, "2", names=("e",)))
-    assert had(held.take_response()) == (EDS, {"e": b"89"}, ())
+        client.set_snapshot(snapshots.make(eds={"e": str(at)}))
+        assert client.take_response() is None
+    client.receive(Request(EDS, "2", names=("e",)))
+    assert content_of(client.take_response()) == (EDS, {"e": b"89"}, ())
 
 
 def test_names_are_added_and_dropped_in_whole_state() -> None:
-    views, held = Views(), subscriber()
-    held.set_snapshot(views.make(eds={"a": "1", "b": "1"}, cds={"a": "1", "b": "1"}))
-    held.receive(Request(EDS, names=("a",)))
-    first = held.take_response()
-    held.receive(ack(first, "a", "b"))
-    assert had(held.take_response()) == (EDS, {"b": b"1"}, ())
-    held.receive(Request(EDS, "2", names=("b",)))
-    held.receive(Request(EDS, "2", names=("a", "b")))
-    assert had(held.take_response()) == (EDS, {"a": b"1"}, ())  # a name dropped and added again is sent again
-    held.receive(Request(CDS, names=("a",)))
-    assert had(held.take_response()) == (CDS, {"a": b"1"}, ())
-    held.receive(Request(CDS, "1", names=("a", "b", "none")))
-    assert had(held.take_response()) == (CDS, {"a": b"1", "b": b"1"}, ("none",))
-    held.receive(Request(CDS, "2", names=()))  # an empty list after a list of names means no subscription
-    held.set_snapshot(views.make(cds={"a": "2"}))
-    assert held.take_response() is None
+    snapshots, client = SnapshotBuilder(), new_subscriber()
+    client.set_snapshot(snapshots.make(eds={"a": "1", "b": "1"}, cds={"a": "1", "b": "1"}))
+    client.receive(Request(EDS, names=("a",)))
+    first = client.take_response()
+    client.receive(ack(first, "a", "b"))
+    assert content_of(client.take_response()) == (EDS, {"b": b"1"}, ())
+    client.receive(Request(EDS, "2", names=("b",)))
+    client.receive(Request(EDS, "2", names=("a", "b")))
+    # A resource is sent again if its name was dropped and added again.
+    assert content_of(client.take_response()) == (
+        EDS,
+        {"a": b"1"},
+        (),
+    )
+    client.receive(Request(CDS, names=("a",)))
+    assert content_of(client.take_response()) == (CDS, {"a": b"1"}, ())
+    client.receive(Request(CDS, "1", names=("a", "b", "none")))
+    assert content_of(client.take_response()) == (CDS, {"a": b"1", "b": b"1"}, ("none",))
+    client.receive(Request(CDS, "2", names=()))  # an empty list after a list of names means no subscription
+    client.set_snapshot(snapshots.make(cds={"a": "2"}))
+    assert client.take_response() is None
 
 
 @pytest.mark.parametrize("incremental", [False, True])
 def test_names_that_come_and_go_beside_the_star_leave_nothing_behind(incremental: bool) -> None:
-    views, held = Views(), subscriber(incremental)
-    held.set_snapshot(views.make(cds={"a": "1"}))
-    held.receive(Request(CDS, names=("*",), subscribe=("*",)))
+    snapshots, client = SnapshotBuilder(), new_subscriber(incremental)
+    client.set_snapshot(snapshots.make(cds={"a": "1"}))
+    client.receive(Request(CDS, names=("*",), subscribe=("*",)))
     nonce = ""
     for at in range(50):
-        if (response := held.take_response()) is not None:
+        if (response := client.take_response()) is not None:
             nonce = response.nonce
         now = (f"{at}-1", f"{at}-2")
         was = (f"{at - 1}-1", f"{at - 1}-2")
-        held.receive(Request(CDS, nonce, names=("*", *now), subscribe=now, unsubscribe=was))
-    assert len(held._subscriptions[CDS].removed) <= 4
+        client.receive(Request(CDS, nonce, names=("*", *now), subscribe=now, unsubscribe=was))
+    assert len(client._subscriptions[CDS].removed) <= 4
 
 
 def test_requests_written_before_the_last_response_was_read_change_no_names() -> None:
-    views, held = Views(), subscriber()
-    held.set_snapshot(views.make(eds={"a": "1", "b": "1"}))
-    held.receive(Request(EDS, names=("a",)))
-    held.receive(Request(EDS, names=("a", "b")))  # applied, since no response was sent yet
-    assert had(held.take_response()) == (EDS, {"a": b"1", "b": b"1"}, ())
-    held.receive(Request(EDS, names=("b",)))
-    assert held.subscribed_names(EDS) == ["a", "b"]
+    snapshots, client = SnapshotBuilder(), new_subscriber()
+    client.set_snapshot(snapshots.make(eds={"a": "1", "b": "1"}))
+    client.receive(Request(EDS, names=("a",)))
+    client.receive(Request(EDS, names=("a", "b")))  # applied, since no response was sent yet
+    assert content_of(client.take_response()) == (EDS, {"a": b"1", "b": b"1"}, ())
+    client.receive(Request(EDS, names=("b",)))
+    assert client.subscribed_names(EDS) == ["a", "b"]
 
 
 @pytest.mark.parametrize(
@@ -219,23 +234,23 @@
 )  # fmt: skip
 def test_nonsense_is_a_fault_of_the_protocol(request_: Request) -> None:
     with pytest.raises(ProtocolError):
-        subscriber().receive(request_)
+        new_subscriber().receive(request_)
 
 
 def test_incremental_sends_what_changed_and_names_what_is_gone() -> None:
-    views, held = Views(), subscriber(True)
-    held.set_snapshot(views.make(cds={"a": "1", "b": "1"}, eds={"e": "1"}))
-    held.receive(Request(CDS))
-    held.receive(ack(held.take_response()))
-    held.set_snapshot(views.make(cds={"a": "2", "c": "1"}, eds={"e": "1"}))
-    assert had(held.take_response()) == (CDS, {"a": b"2", "c": b"1"}, ("b",))
-    held.receive(Request(EDS, subscribe=("e", "none")))
-    assert had(held.take_response()) == (EDS, {"e": b"1"}, ("none",))
-    held.receive(Request(EDS, "1", subscribe=("e",)))  # a name subscribed to again is sent again
-    assert had(held.take_response()) == (EDS, {"e": b"1"}, ())
-    held.receive(Request(EDS, "2", unsubscribe=("e",)))
-    held.set_snapshot(views.make(cds={"a": "2", "c": "1"}, eds={"e": "2", "none": "1"}))
-    assert had(held.take_response()) == (EDS, {"none": b"1"}, ())
+    snapshots, client = SnapshotBuilder(), new_subscriber(True)
+    client.set_snapshot(snapshots.make(cds={"a": "1", "b": "1"}, eds={"e": "1"}))
+    client.receive(Request(CDS))
+    client.receive(ack(client.take_response()))
+    client.set_snapshot(snapshots.make(cds={"a": "2", "c": "1"}, eds={"e": "1"}))
+    assert content_of(client.take_response()) == (CDS, {"a": b"2", "c": b"1"}, ("b",))
+    client.receive(Request(EDS, subscribe=("e", "none")))
+    assert content_of(client.take_response()) == (EDS, {"e": b"1"}, ("none",))
+    client.receive(Request(EDS, "1", subscribe=("e",)))  # a name subscribed to again is sent again
+    assert content_of(client.take_response()) == (EDS, {"e": b"1"}, ())
+    client.receive(Request(EDS, "2", unsubscribe=("e",)))
+    client.set_snapshot(snapshots.make(cds={"a": "2", "c": "1"}, eds={"e": "2", "none": "1"}))
+    assert content_of(client.take_response()) == (EDS, {"none": b"1"}, ())
 
 
 @pytest.mark.parametrize(
@@ -247,8 +262,8 @@
 def test_one_that_reconnects_is_brought_to_the_present_whatever_it_claims(
     claim: str, sent: bool, claims: bool
 ) -> None:
-    views, held = Views(), subscriber(True)
-    now = views.make(eds={"e": "now"})
+    snapshots, client = SnapshotBuilder(), new_subscriber(True)
+    now = snapshots.make(eds={"e": "now"})
     resource = now.kinds[EDS]["e"]
     version = {
         "present": resource.version,
@@ -257,20 +272,20 @@
         "of the future": SIGNER.version(ViewPosition(9, 99), "1" * 16),
         "made up": f"9.99.{resource.digest}.{'0' * 16}",
     }.get(claim)
-    held.set_snapshot(now)
-    held.receive(Request(EDS, subscribe=("e",), initial_versions={} if version is None else {"e": version}))
-    assert bool(held.proven_positions) == claims
-    assert (held.take_response() is not None) == sent
+    client.set_snapshot(now)
+    client.receive(Request(EDS, subscribe=("e",), initial_versions={} if version is None else {"e": version}))
+    assert bool(client.proven_positions) == claims
+    assert (client.take_response() is not None) == sent
     if not sent:  # content that the subscriber proved to hold counts as acknowledged
-        assert held.acknowledged(EDS)["e"] is resource
+        assert client.acknowledged(EDS)["e"] is resource
 
 
 def test_whole_state_is_sent_anew_on_a_new_stream_and_its_claim_is_kept() -> None:
-    views, held = Views(), subscriber()
-    held.set_snapshot(views.make(eds={"e": "now"}))
-    held.receive(Request(EDS, version=SIGNER.version(ViewPosition(4, 2), "0" * 16), names=("e",)))
-    assert held.proven_positions == [ViewPosition(4, 2)]
-    assert had(held.take_response()) == (EDS, {"e": b"now"}, ())
+    snapshots, client = SnapshotBuilder(), new_subscriber()
+    client.set_snapshot(snapshots.make(eds={"e": "now"}))
+    client.receive(Request(EDS, version=SIGNER.version(ViewPosition(4, 2), "0" * 16), names=("e",)))
+    assert client.proven_positions == [ViewPosition(4, 2)]
+    assert content_of(client.take_response()) == (EDS, {"e": b"now"}, ())
 
 
 def test_make_before_break() -> None:
@@ -282,33 +297,42 @@
         "cds": {"new": ("1", ("en",))}, "eds": {"en": "1"},
         "lds": {"l": ("2", ("r",))}, "rds": {"r": ("to new", ("new",))},
     }  # fmt: skip
-    views, held = Views(), subscriber()
-    held.set_snapshot(views.make(**old))
+    snapshots, client = SnapshotBuilder(), new_subscriber()
+    client.set_snapshot(snapshots.make(**old))
     for request in (Request(CDS), Request(EDS, names=("eo",)), Request(LDS), Request(RDS, names=("r",))):
-        held.receive(request)
+        client.receive(request)
     for pair in (((CDS, ()), (EDS, ("eo",))), ((LDS, ()), (RDS, ("r",)))):
-        responses = [held.take_response() for _ in pair]
+        responses = [client.take_response() for _ in pair]
         assert [each and each.kind for each in responses] == [kind for kind, _ in pair]
-        assert held.take_response() is None  # resources that refer to these wait for the acknowledgements
+        assert client.take_response() is None  # resources that refer to these wait for the acknowledgements
         for response, (_, names) in zip(responses, pair, strict=True):
-            assert held.take_response() is None
-            held.receive(ack(response, *names))
-    held.set_snapshot(views.make(**new))
-    response = held.take_response()
-    assert had(response) == (CDS, {"new": b"1", "old": b"1"}, ())  # the old route refers to the old cluster
-    assert held.take_response() is None
-    held.receive(ack(response))
-    held.receive(Request(EDS, "1", names=("eo", "en")))
-    response = held.take_response()
-    assert had(response) == (EDS, {"en": b"1"}, ())
-    assert held.take_response() is None
-    held.receive(ack(response, "eo", "en"))
-    listener, routes = held.take_response(), held.take_response()
-    assert had(listener) == (LDS, {"l": b"2"}, ()) and had(routes) == (RDS, {"r": b"to new"}, ())
-    held.receive(ack(listener))
-    assert held.take_response() is None  # the old cluster stays until the new routes are acknowledged
-    held.receive(ack(routes, "r"))
-    assert had(held.take_response()) == (CDS, {"new": b"1"}, ("old",))
+            assert client.take_response() is None
+            client.receive(ack(response, *names))
+    client.set_snapshot(snapshots.make(**new))
+    response = client.take_response()
+    # The old route refers to the old cluster.
+    assert content_of(response) == (
+        CDS,
+        {"new": b"1", "old": b"1"},
+        (),
+    )
+    assert client.take_response() is None
+    client.receive(ack(response))
+    client.receive(Request(EDS, "1", names=("eo", "en")))
+    response = client.take_response()
+    assert content_of(response) == (EDS, {"en": b"1"}, ())
+    assert client.take_response() is None
+    client.receive(ack(response, "eo", "en"))
+    listener, routes = client.take_response(), client.take_response()
+    assert content_of(listener) == (LDS, {"l": b"2"}, ()) and content_of(routes) == (
+        RDS,
+        {"r": b"to new"},
+        (),
+    )
+    client.receive(ack(listener))
+    assert client.take_response() is None  # the old cluster stays until the new routes are acknowledged
+    client.receive(ack(routes, "r"))
+    assert content_of(client.take_response()) == (CDS, {"new": b"1"}, ("old",))
 
 
 def test_a_seal_is_only_good_over_what_it_was_put_on() -> None:
@@ -323,51 +347,61 @@
 # --- when publishing is allowed -----------------------------------------------------------------
 
 
-def handout(floor: ViewPosition | None = AT_FIVE) -> ViewConsistency:
+def new_consistency(floor: ViewPosition | None = AT_FIVE) -> ViewConsistency:
     return ViewConsistency(floor, 0, timeout_ns=3 * SECOND, subscribers_wait_ns=2 * SECOND)
 
 
 def test_nothing_goes_out_before_it_is_known_to_be_the_present_and_written() -> None:
-    held = handout()
-    assert held.withheld_reason(0) is WithheldReason.NO_DISCOVERY
-    held.record_discovery(ViewPosition(1, 4), 0)
-    assert held.withheld_reason(0) is WithheldReason.BEHIND
-    assert held.position_to_write() is None  # a position older than the floor is never written
-    held.record_discovery(ViewPosition(1, 6), 0)
+    consistency = new_consistency()
+    assert consistency.withheld_reason(0) is WithheldReason.NO_DISCOVERY
+    consistency.record_discovery(ViewPosition(1, 4), 0)
+    assert consistency.withheld_reason(0) is WithheldReason.BEHIND
+    assert consistency.position_to_write() is None  # a position older than the floor is never written
+    consistency.record_discovery(ViewPosition(1, 6), 0)
     assert (
-        held.withheld_reason(0) is WithheldReason.NOT_DURABLE
-        and held.withheld_reason(0, harmless=True) is None
+        consistency.withheld_reason(0) is WithheldReason.NOT_DURABLE
+        and consistency.withheld_reason(0, harmless=True) is None
     )
-    held.record_written(ViewPosition(1, 6))
-    assert held.withheld_reason(0) is None
-    assert held.withheld_reason(3 * SECOND + 1) is WithheldReason.ISOLATED
-    held.record_subscriber_position(ViewPosition(1, 7))
-    assert held.withheld_reason(0) is WithheldReason.BEHIND
-    held.record_discovery(ViewPosition(2, 1), 0)  # a higher epoch precedes any version
-    held.record_written(ViewPosition(2, 1))
-    assert held.withheld_reason(0) is None
+    consistency.record_written(ViewPosition(1, 6))
+    assert consistency.withheld_reason(0) is None
+    assert consistency.withheld_reason(3 * SECOND + 1) is WithheldReason.ISOLATED
+    consistency.record_subscriber_position(ViewPosition(1, 7))
+    assert consistency.withheld_reason(0) is WithheldReason.BEHIND
+    consistency.record_discovery(ViewPosition(2, 1), 0)  # a higher epoch precedes any version
+    consistency.record_written(ViewPosition(2, 1))
+    assert consistency.withheld_reason(0) is None
 
 
 def test_another_instance_vouches_or_shows_that_this_one_is_behind() -> None:
-    held = handout()
-    held.record_discovery(ViewPosition(1, 6), 0)
-    held.record_written(ViewPosition(1, 6))
-    held.record_discovery_lost()
-    assert held.withheld_reason(0) is WithheldReason.ISOLATED
-    held.record_peer_status("b", PeerStatus(ViewPosition(1, 6), ViewPosition(1, 5), is_connected=False), 0)
-    assert held.withheld_reason(0) is WithheldReason.ISOLATED  # the peer is disconnected from discovery too
-    held.record_peer_status("b", PeerStatus(ViewPosition(1, 6), ViewPosition(1, 6), is_connected=True), 0)
-    assert held.withheld_reason(0) is None and held.withheld_reason(3 * SECOND + 1) is WithheldReason.ISOLATED
-    held.record_peer_status("b", PeerStatus(ViewPosition(1, 7), ViewPosition(1, 6), is_connected=True), 0)
-    assert held.withheld_reason(0) is WithheldReason.BEHIND
+    consistency = new_consistency()
+    consistency.record_discovery(ViewPosition(1, 6), 0)
+    consistency.record_written(ViewPosition(1, 6))
+    consistency.record_discovery_lost()
+    assert consistency.withheld_reason(0) is WithheldReason.ISOLATED
+    consistency.record_peer_status(
+        "b", PeerStatus(ViewPosition(1, 6), ViewPosition(1, 5), is_connected=False), 0
+    )
+    # The peer is disconnected from discovery too.
+    assert consistency.withheld_reason(0) is WithheldReason.ISOLATED
+    consistency.record_peer_status(
+        "b", PeerStatus(ViewPosition(1, 6), ViewPosition(1, 6), is_connected=True), 0
+    )
+    assert (
+        consistency.withheld_reason(0) is None
+        and consistency.withheld_reason(3 * SECOND + 1) is WithheldReason.ISOLATED
+    )
+    consistency.record_peer_status(
+        "b", PeerStatus(ViewPosition(1, 7), ViewPosition(1, 6), is_connected=True), 0
+    )
+    assert consistency.withheld_reason(0) is WithheldReason.BEHIND
 
 
 def test_with_a_store_that_was_lost_claims_are_awaited() -> None:
-    held = handout(None)
-    held.record_discovery(ViewPosition(1, 6), 0)
-    held.record_written(ViewPosition(1, 6))
-    assert held.withheld_reason(SECOND) is WithheldReason.AWAITING_SUBSCRIBERS
-    assert held.withheld_reason(2 * SECOND) is None
+    consistency = new_consistency(None)
+    consistency.record_discovery(ViewPosition(1, 6), 0)
+    consistency.record_written(ViewPosition(1, 6))
+    assert consistency.withheld_reason(SECOND) is WithheldReason.AWAITING_SUBSCRIBERS
+    assert consistency.withheld_reason(2 * SECOND) is None
 
 
 # --- the list and the views -----------------------------------------------------------------------
@@ -379,21 +413,25 @@
     return Endpoint(api.HostEntry(name, zone, "k", 0, state), ("10.0.0.1", port or 9000 + int(name[1:])))
 
 
-def update(version: int, *machines: Endpoint, full: bool = True) -> EndpointListUpdate:
-    return EndpointListUpdate(version, full, machines)
+def update(version: int, *listed: Endpoint, full: bool = True) -> EndpointListUpdate:
+    return EndpointListUpdate(version, full, listed)
 
 
 def test_the_list_held_never_goes_back() -> None:
-    roster = DiscoveredEndpoints()
-    assert set(roster.update(update(5, endpoint("n1"), endpoint("n2"))) or ()) == {"n1", "n2"}
-    assert set(roster.update(update(6, endpoint("n2", api.HostState.REMOVED), full=False)) or ()) == {"n2"}
-    assert roster.update(update(3, endpoint("n1"), endpoint("n2"))) is None and roster.is_behind
-    assert roster.update(update(5, endpoint("n3"), full=False)) is None
-    assert set(roster.endpoints) == {"n1"} and roster.version == 6
-    changed = roster.update(update(7, endpoint("n1", api.HostState.DRAINING), full=False))
-    assert not roster.is_behind and set(roster.endpoints) == {"n1", "n2", "n3"} and set(changed or ()) == {
-        "n1", "n2", "n3"
-    }  # fmt: skip
+    discovered = DiscoveredEndpoints()
+    assert set(discovered.update(update(5, endpoint("n1"), endpoint("n2"))) or ()) == {"n1", "n2"}
+    assert set(discovered.update(update(6, endpoint("n2", api.HostState.REMOVED), full=False)) or ()) == {
+        "n2"
+    }
+    assert discovered.update(update(3, endpoint("n1"), endpoint("n2"))) is None and discovered.is_behind
+    assert discovered.update(update(5, endpoint("n3"), full=False)) is None
+    assert set(discovered.endpoints) == {"n1"} and discovered.version == 6
+    changed = discovered.update(update(7, endpoint("n1", api.HostState.DRAINING), full=False))
+    assert (
+        not discovered.is_behind
+        and set(discovered.endpoints) == {"n1", "n2", "n3"}
+        and set(changed or ()) == {"n1", "n2", "n3"}
+    )
 
 
 def test_restrained_lists_only_take_away() -> None:
@@ -408,11 +446,11 @@
     assert {name: each.entry.state for name, each in kept.items()} == {"n1": drain, "n3": drain}
 
 
-def control(folder: Path, **more: Any) -> ControlConfig:
-    return parse_control_config(written(folder, **more), folder)
+def control_config(folder: Path, **more: Any) -> ControlConfig:
+    return parse_control_config(config_text(folder, **more), folder)
 
 
-def written(folder: Path, **more: Any) -> bytes:
+def config_text(folder: Path, **more: Any) -> bytes:
     """Return a configuration file as JSON, which is valid YAML, and write the secret file it refers to."""
     (folder / "secret").write_bytes(SECRET)
     raw = {
@@ -427,26 +465,26 @@
 
 
 def core_with(
-    folder: Path, *machines: Endpoint, version: int = 1, floor: ViewPosition | None = None, **more: Any
+    folder: Path, *listed: Endpoint, version: int = 1, floor: ViewPosition | None = None, **more: Any
 ) -> Core:
-    core = Core(control(folder, **more), floor, 0, is_floor_certain=True)
-    core.record_endpoint_list(update(version, *machines), 0)
-    place = core.position_to_write()
-    if place is not None:
-        core.record_written(place, 0)
+    core = Core(control_config(folder, **more), floor, 0, is_floor_certain=True)
+    core.record_endpoint_list(update(version, *listed), 0)
+    position = core.position_to_write()
+    if position is not None:
+        core.record_written(position, 0)
     return core
 
 
-def join(
+def connect_proxy(
     core: Core, name: str = "p", incremental: bool = False, agent: str = "stand-in"
 ) -> tuple[Stream, ProxyStandIn]:
     proxy = ProxyStandIn(name, "z", incremental, agent)
     stream = core.open_stream(None, incremental, 0)
-    feed(core, stream, proxy, proxy.connect())
+    exchange(core, stream, proxy, proxy.connect())
     return stream, proxy
 
 
-def feed(core: Core, stream: Stream, proxy: ProxyStandIn, requests: list[bytes], now: int = 0) -> None:
+def exchange(core: Core, stream: Stream, proxy: ProxyStandIn, requests: list[bytes], now: int = 0) -> None:
     """Exchange requests and responses until no more are due."""
     for data in requests:
         core.handle_request(stream, *decode_request(data, proxy.incremental), now)
@@ -458,74 +496,74 @@
 @pytest.mark.parametrize("incremental", [False, True])
 def test_a_proxy_gets_all_and_a_drain_at_once(tmp_path: Path, incremental: bool) -> None:
     core = core_with(tmp_path, endpoint("n1"), endpoint("n2"))
-    stream, proxy = join(core, incremental=incremental)
+    stream, proxy = connect_proxy(core, incremental=incremental)
     assert proxy.complete() and set(proxy.usable()) == {"10.0.0.1:9001", "10.0.0.1:9002"}
     core.record_endpoint_list(update(2, endpoint("n1", api.HostState.DRAINING), full=False), 1)
-    feed(core, stream, proxy, [], 1)
+    exchange(core, stream, proxy, [], 1)
     assert len(proxy.usable()) == 2  # the new position is not on durable storage yet
     core.record_written(ViewPosition(1, 2), 2)
-    feed(core, stream, proxy, [], 2)
+    exchange(core, stream, proxy, [], 2)
     assert set(proxy.usable()) == {"10.0.0.1:9002"}
     assert [each.address for each in proxy.endpoints() if each.draining] == ["10.0.0.1:9001"]
 
 
 def test_while_the_disk_is_full_drains_go_out_and_nothing_is_added(tmp_path: Path) -> None:
     core = core_with(tmp_path, endpoint("n1"), endpoint("n2"))
-    stream, proxy = join(core)
+    stream, proxy = connect_proxy(core)
     core.record_endpoint_list(
         update(2, endpoint("n2", api.HostState.DRAINING), endpoint("n3"), full=False), 1
     )
     core.record_write_failure(1)
-    feed(core, stream, proxy, [], 1)
+    exchange(core, stream, proxy, [], 1)
     assert set(proxy.usable()) == {"10.0.0.1:9001"} and len(proxy.endpoints()) == 2
     core.record_written(ViewPosition(1, 2), 2)
-    feed(core, stream, proxy, [], 2)
+    exchange(core, stream, proxy, [], 2)
     assert set(proxy.usable()) == {"10.0.0.1:9001", "10.0.0.1:9003"}
 
 
 @pytest.mark.parametrize(("agent", "renewed"), [("stand-in", True), ("gRPC C++", False)])
 def test_what_a_proxy_would_let_go_stale_is_renewed(tmp_path: Path, agent: str, renewed: bool) -> None:
     core = core_with(tmp_path, endpoint("n1"), stale_after_ms=3000)
-    stream, proxy = join(core, agent=agent)
+    stream, proxy = connect_proxy(core, agent=agent)
     before = proxy.responses
     for now, more in ((900 * MS, 0), (1100 * MS, 1), (1200 * MS, 1), (2200 * MS, 2)):
         core.record_discovery_contact(now)
-        feed(core, stream, proxy, [], now)
+        exchange(core, stream, proxy, [], now)
         assert proxy.responses == before + more * renewed
     core.record_discovery_disconnect()
-    feed(core, stream, proxy, [], 9 * SECOND)  # without discovery the endpoints are not refreshed
+    exchange(core, stream, proxy, [], 9 * SECOND)  # without discovery the endpoints are not refreshed
     assert proxy.responses == before + 2 * renewed
 
 
 def test_a_restarted_instance_withholds_until_discovery_has_caught_up(tmp_path: Path) -> None:
     core = core_with(tmp_path, endpoint("n1"), version=4, floor=ViewPosition(1, 9))
-    stream, proxy = join(core)
+    stream, proxy = connect_proxy(core)
     assert core.withheld_reason(0) is WithheldReason.BEHIND and not proxy.responses
     core.record_endpoint_list(update(9, endpoint("n2")), 1)
-    feed(core, stream, proxy, [], 1)
+    exchange(core, stream, proxy, [], 1)
     assert set(proxy.usable()) == {"10.0.0.1:9002"}
 
 
 def test_discovery_down_for_a_minute_and_back_with_an_older_list(tmp_path: Path) -> None:
     core = core_with(tmp_path, endpoint("n1"), endpoint("n2"), version=9)
-    stream, proxy = join(core)
+    stream, proxy = connect_proxy(core)
     core.record_discovery_disconnect()
     minute = 60 * SECOND
     core.tick(minute)
     assert core.withheld_reason(minute) is WithheldReason.ISOLATED
     later = core.open_stream(None, True, minute)
     newcomer = ProxyStandIn("q", "z", True)
-    feed(core, later, newcomer, newcomer.connect(), minute)
+    exchange(core, later, newcomer, newcomer.connect(), minute)
     assert not newcomer.responses and len(proxy.usable()) == 2  # the connected proxy keeps its last view
     core.record_endpoint_list(update(7, endpoint("n1")), minute)
-    feed(core, stream, proxy, [], minute)
-    feed(core, later, newcomer, [], minute)
+    exchange(core, stream, proxy, [], minute)
+    exchange(core, later, newcomer, [], minute)
     assert set(newcomer.usable()) == set(proxy.usable()) == {"10.0.0.1:9001", "10.0.0.1:9002"}
     core.record_endpoint_list(update(8, endpoint("n2", api.HostState.DRAINING), full=False), minute)
     assert core.position_to_write() is None and core.discovered.is_behind
     core.record_endpoint_list(update(10, endpoint("n3"), full=False), minute)
     core.record_written(ViewPosition(1, 10), minute)
-    feed(core, stream, proxy, [], minute)
+    exchange(core, stream, proxy, [], minute)
     assert set(proxy.usable()) == {"10.0.0.1:9001", "10.0.0.1:9003"}
 
 
@@ -547,7 +585,7 @@
         {"identity": "b-*", "may": ["move"], "endpoints": "nodes"},
     ]
     core = core_with(tmp_path, endpoint("n1"), subscribers=groups)
-    _, proxy = join(core, "a-1")
+    _, proxy = connect_proxy(core, "a-1")
     assert [kind.rpartition(".")[2] for kind in proxy.kinds] == [
         "Cluster", "ClusterLoadAssignment", "Listener", "RouteConfiguration"
     ]  # fmt: skip
@@ -555,7 +593,7 @@
     (table,) = proxy.kinds[RDS].resources.values()
     assert {route.route.cluster for route in table.virtual_hosts[0].routes} == {"look"}
     with pytest.raises(ProtocolError, match="may not subscribe"):
-        join(core, "c-1")
+        connect_proxy(core, "c-1")
     stream = core.open_stream(None, False, 0)
     with pytest.raises(ProtocolError, match="zone"):
         core.handle_request(stream, Request(CDS), NodeIdentity("b-1", zone="elsewhere"), 0)
@@ -563,18 +601,18 @@
 
 def test_streams_are_bounded(tmp_path: Path) -> None:
     core = core_with(tmp_path, endpoint("n1"), bounds={"streams": 3, "streams_per_identity": 1})
-    join(core, "p")
+    connect_proxy(core, "p")
     with pytest.raises(ProtocolError, match="one subscriber"):
-        join(core, "p")
-    join(core, "q")
+        connect_proxy(core, "p")
+    connect_proxy(core, "q")
     with pytest.raises(ProtocolError, match="too many streams"):
-        join(core, "r")
+        connect_proxy(core, "r")
 
 
 def test_another_configuration_reaches_subscribers_in_order(tmp_path: Path) -> None:
     core = core_with(tmp_path, endpoint("n1"))
-    stream, proxy = join(core)
-    core.reconfigure(control(tmp_path, classes=[{"name": "look", "timeout_ms": 77}]), 1)
+    stream, proxy = connect_proxy(core)
+    core.reconfigure(control_config(tmp_path, classes=[{"name": "look", "timeout_ms": 77}]), 1)
     seen: list[str] = []
 
     def verdict(kind: str, resources: list[Any]) -> str | None:
@@ -582,7 +620,7 @@
         return None if proxy.complete() else "a route leads nowhere"
 
     proxy.verdict = verdict
-    feed(core, stream, proxy, [], 1)
+    exchange(core, stream, proxy, [], 1)
     assert seen == [CDS, RDS, CDS]  # the deleted cluster is removed after the routes to it
     assert proxy.complete() and set(proxy.kinds[CDS].resources) == {"look"}
     assert not stream.subscriber.rejected(RDS)
@@ -590,11 +628,13 @@
 
 def test_another_configuration_moves_subscribers_and_turns_some_away(tmp_path: Path) -> None:
     core = core_with(tmp_path, endpoint("n1"))
-    stays, proxy = join(core, "stays")
-    goes, _ = join(core, "goes")
-    core.reconfigure(control(tmp_path, subscribers=[{"identity": "stays", "zone": "y"}], stale_after_ms=0), 1)
+    stays, proxy = connect_proxy(core, "stays")
+    goes, _ = connect_proxy(core, "goes")
+    core.reconfigure(
+        control_config(tmp_path, subscribers=[{"identity": "stays", "zone": "y"}], stale_after_ms=0), 1
+    )
     assert (stays.zone, goes.group) == ("y", None) and core.next_response(goes, 1) is None
-    feed(core, stays, proxy, [], 1)
+    exchange(core, stays, proxy, [], 1)
     (made,) = proxy.kinds[EDS].resources.values()
     assert not made.policy.HasField("endpoint_stale_after")
 
@@ -603,7 +643,7 @@
 
 
 def test_resources_are_what_the_published_protos_say(tmp_path: Path) -> None:
-    config = control(tmp_path)
+    config = control_config(tmp_path)
     drafts = build_static_resources(config, config.groups[0])
     clusters = {draft.name: cluster_pb2.Cluster.FromString(draft.body) for draft in drafts[CDS]}
     assert clusters["look"].eds_cluster_config.service_name == ENDPOINTS
@@ -628,7 +668,7 @@
     The class "move" has no route if the group may not subscribe to it or the file does not configure it.
     """
     plans: list[dict[str, Any]] = [{"name": "look", "prefixes": ["/"], "retries": 2}, {"name": "move"}]
-    config = control(
+    config = control_config(
         tmp_path,
         classes=[each for each in plans if each["name"] in classes],
         subscribers=[{"identity": "*", "zone": "z", "may": ["web", "look"]}],
@@ -720,11 +760,10 @@
     fleet, sidecar = FleetBalancer(parsed, 1), Balancer(parsed, 1)
     for each in (fleet, sidecar):
         each.start(0)
-        each.handle(
-            api.HostListUpdated(api.ListKind.FULL, entries(12)), 0
-        )  # twelve hosts are the minimum that a sidecar uses
+        # Twelve hosts are the minimum that a sidecar uses.
+        each.handle(api.HostListUpdated(api.ListKind.FULL, entries(12)), 0)
         each.handle(api.TimerFired(0), SECOND)
-    mine, theirs = ([standing.weight for standing in host_statuses(each)] for each in (fleet, sidecar))
+    mine, theirs = ([host_status.weight for host_status in host_statuses(each)] for each in (fleet, sidecar))
     assert mine == pytest.approx(theirs) and min(mine) > 0
 
 
@@ -761,19 +800,21 @@
 def test_rounding_stays_until_a_weight_has_moved() -> None:
     rounder = WeightRounder(0.1)
 
-    def standing(name: str, weight: float, state: api.HostState = api.HostState.READY) -> HostStatus:
+    def host_status(name: str, weight: float, state: api.HostState = api.HostState.READY) -> HostStatus:
         return HostStatus(name, "z", state, weight, 0.0, 1.0, None)
 
-    first = rounder.round([standing("a", 32), standing("b", 32), standing("c", 0, api.HostState.DRAINING)])
+    first = rounder.round(
+        [host_status("a", 32), host_status("b", 32), host_status("c", 0, api.HostState.DRAINING)]
+    )
     assert [(share.weight, share.is_draining) for share in first] == [
         (MEAN_WEIGHT, False),
         (MEAN_WEIGHT, False),
         (0, True),
     ]
-    assert rounder.round([standing("a", 33), standing("b", 31)]) == first[:2]
-    moved = rounder.round([standing("a", 64), standing("b", 0.001)])
+    assert rounder.round([host_status("a", 33), host_status("b", 31)]) == first[:2]
+    moved = rounder.round([host_status("a", 64), host_status("b", 0.001)])
     assert [share.weight for share in moved] == [2 * MEAN_WEIGHT, 1]
-    assert [share.weight for share in rounder.round([standing("a", 64), standing("b", 0.0)])] == [
+    assert [share.weight for share in rounder.round([host_status("a", 64), host_status("b", 0.0)])] == [
         2 * MEAN_WEIGHT,
         0,
     ]
@@ -821,14 +862,14 @@
     part.cpu_utilization.num_requests_finished_with_metric, part.cpu_utilization.total_metric_value = 5, 1.0
     stranger = cluster.upstream_locality_stats.add(total_successful_requests=5)
     stranger.locality.sub_zone = "n9"
-    sums, who = decode_load_report(report.SerializeToString())
-    assert who.id == "p"
+    samples, node = decode_load_report(report.SerializeToString())
+    assert node.id == "p"
     core = core_with(tmp_path, endpoint("n1"), endpoint("n2"))
-    core.record_load_report("z", sums)
+    core.record_load_report("z", samples)
     assert core.zones["z"].load_reports.unknown == 1
-    told = {each.host: each for each in core.zones["z"].load_reports.drain()}
-    assert told["n1"].report == api.LoadReport(0.5, 100.0) and told["n1"].latency_ns is None
-    assert (told["n1"].served, told["n1"].failed, told["n2"].served) == (9, 1, 5)
+    outcomes = {each.host: each for each in core.zones["z"].load_reports.drain()}
+    assert outcomes["n1"].report == api.LoadReport(0.5, 100.0) and outcomes["n1"].latency_ns is None
+    assert (outcomes["n1"].served, outcomes["n1"].failed, outcomes["n2"].served) == (9, 1, 5)
     with pytest.raises(ProtocolError):
         decode_load_report(b"\xff\xff")
 
@@ -847,21 +888,21 @@
         store.close()
 
 
-@pytest.mark.parametrize("harm", ["torn", "not a database", "another's row", "empty"])
-def test_a_store_that_cannot_be_read_is_put_aside(tmp_path: Path, harm: str) -> None:
+@pytest.mark.parametrize("damage", ["torn", "not a database", "another's row", "empty"])
+def test_a_store_that_cannot_be_read_is_put_aside(tmp_path: Path, damage: str) -> None:
     path = tmp_path / "s.db"
-    store = Store(str(path), SIGNER if harm != "another's row" else MacSigner(b"another secret, as long"))
+    store = Store(str(path), SIGNER if damage != "another's row" else MacSigner(b"another secret, as long"))
     store.write(ViewPosition(1, 9))
     store.close()
     whole = path.read_bytes()
-    if harm == "torn":
+    if damage == "torn":
         path.write_bytes(whole[: len(whole) // 2 + 100])
-    elif harm == "not a database":
+    elif damage == "not a database":
         path.write_bytes(b"\0" * 100 + whole[::-1])
-    elif harm == "empty":
+    elif damage == "empty":
         path.write_bytes(b"")
     store = Store(str(path), SIGNER)
-    assert store.floor is None and store.had_corrupt_file == (harm != "empty")
+    assert store.floor is None and store.had_corrupt_file == (damage != "empty")
     store.write(ViewPosition(1, 10))
     store.close()
     assert Store(str(path), SIGNER).floor == ViewPosition(1, 10)
@@ -939,13 +980,13 @@
 )
 def test_faults_in_the_file_name_the_key(tmp_path: Path, change: dict[str, Any], names: str) -> None:
     with pytest.raises(ControlError, match=names):
-        control(tmp_path, **change)
+        control_config(tmp_path, **change)
 
 
 def test_the_file_is_read_from_disk_with_a_sidecars_settings(tmp_path: Path) -> None:
     (tmp_path / "sidecar.json").write_text(json.dumps({"settings": SETTINGS}))
     path = tmp_path / "control.yaml"
-    path.write_bytes(written(tmp_path, settings=None, settings_file="sidecar.json"))
+    path.write_bytes(config_text(tmp_path, settings=None, settings_file="sidecar.json"))
     config = load_control_config(str(path))
     assert [cls.name for cls in config.settings.classes] == ["look", "move"]
     assert config.group_of("x") == SubscriberGroup("*", "z")
--- a/tests/xds/test_control_live.py
+++ b/tests/xds/test_control_live.py
@@ -50,7 +50,7 @@
 from brambleusher.xds.config import StreamLimits, parse_control_config
 from brambleusher.xds.service import Service
 from brambleusher.xds.wire import LRS
-from tests.xds.test_control import control, written
+from tests.xds.test_control import config_text, control_config
 
 ROOT = Path(__file__).resolve().parents[2]
 WAIT = 30.0
@@ -61,19 +61,19 @@
     asyncio.run(asyncio.wait_for(main, 3 * WAIT))
 
 
-def without(live: LiveProxy, address: str) -> bool:
+def lacks_endpoint(live: LiveProxy, address: str) -> bool:
     return address not in live.proxy.usable()
 
 
-def over(live: LiveProxy) -> bool:
+def has_ended(live: LiveProxy) -> bool:
     return live.ended is not None
 
 
-def sends(data: list[bytes], forget: bool = False) -> list[bytes]:
+def fixed_requests(data: list[bytes], forget: bool = False) -> list[bytes]:
     return data
 
 
-def look(address: str) -> dict[str, Any]:
+def fetch_status(address: str) -> dict[str, Any]:
     """Return the service's status as JSON."""
     with urllib.request.urlopen(f"http://{address}/status.json", timeout=WAIT) as answer:
         found: dict[str, Any] = json.load(answer)
@@ -91,7 +91,7 @@
     folder: Path, discovery: LiveDiscovery, proxies: Callable[[Service, str], Awaitable[None]], **more: Any
 ) -> None:
     """Run a service in this process while `proxies` runs."""
-    config = parse_control_config(written(folder, discovery=discovery.address, **more), folder)
+    config = parse_control_config(config_text(folder, discovery=discovery.address, **more), folder)
     service = Service(config, seed=1)
     addresses = await service.start()
     try:
@@ -132,7 +132,7 @@
     nodes = [Backend(f"n{at}", seen) for at in range(4)]
     discovery = LiveDiscovery([entry(node.name, node.port) for node in nodes])
     config = tmp_path / "control.yaml"
-    config.write_bytes(written(tmp_path, discovery=discovery.address))
+    config.write_bytes(config_text(tmp_path, discovery=discovery.address))
     program = ControlProgram(config)
     bootstrap = bootstraps()["json"]
     bootstrap["xds_servers"][0] |= {
@@ -158,7 +158,7 @@
         drained = f"127.0.0.1:{nodes[2].port}"
         discovery.change(entry("n2", nodes[2].port, "Terminating"))
         for each in live:
-            await each.until(partial(without, each, drained))
+            await each.until(partial(lacks_endpoint, each, drained))
         others: Counter[str] = Counter()  # benchmarks/control.py measures how long a drain takes
         while any(others[name] < IN_A_ROW for name in commands):
             check()
@@ -167,12 +167,12 @@
         for each in live:
             await each.stop()
         # The load reports come from the gRPC clients.
-        await until(lambda: look(program.addresses["status"])["zones"]["z"]["reports"] > 0)
+        await until(lambda: fetch_status(program.addresses["status"])["zones"]["z"]["reports"] > 0)
 
     try:
         with callers(commands, environment) as check:
             run(main(check))
-        status = look(program.addresses["status"])
+        status = fetch_status(program.addresses["status"])
         assert status["handing_out"] and status["zones"]["z"]["draining"] == ["n2"]
         assert program.end() == 0
     finally:
@@ -202,7 +202,7 @@
         for at in range(100):
             discovery.change(entry(f"n{at}", 10_000 + at, "Terminating"))
             drained = f"127.0.0.1:{10_000 + at}"
-            await reading.until(partial(without, reading, drained))
+            await reading.until(partial(lacks_endpoint, reading, drained))
         before = stalled.proxy.responses
         stalled.reading.set()
         await stalled.until(lambda: len(stalled.proxy.usable()) == 400)
@@ -237,9 +237,9 @@
             ([first] * 300, {grpc.StatusCode.RESOURCE_EXHAUSTED, grpc.StatusCode.INTERNAL}),
         ):
             bad = LiveProxy(ProxyStandIn("bad", "z", False), target)
-            bad.proxy.connect = partial(sends, data)  # type: ignore[method-assign]
+            bad.proxy.connect = partial(fixed_requests, data)  # type: ignore[method-assign]
             bad.start()
-            await bad.until(partial(over, bad))
+            await bad.until(partial(has_ended, bad))
             assert bad.ended in codes, bad.why
             await bad.stop()
         assert service.server.ended_for_cause == 2  # gRPC itself rejected the long message
@@ -262,7 +262,9 @@
             call = channel.stream_stream(f"/{LRS}/StreamLoadStats")()
             await call.write(report.SerializeToString())
             assert await call.read() is not grpc.aio.EOF
-            service.core.reconfigure(control(tmp_path, subscribers=[{"identity": "q"}]), service.now_ns())
+            service.core.reconfigure(
+                control_config(tmp_path, subscribers=[{"identity": "q"}]), service.now_ns()
+            )
             await call.write(report.SerializeToString())
             with pytest.raises(grpc.aio.AioRpcError) as ended:
                 await call.read()
@@ -279,7 +281,7 @@
 
     discovery = LiveDiscovery(listed("n1", "n2"), version=40)
     config = tmp_path / "control.yaml"
-    config.write_bytes(written(tmp_path, discovery=discovery.address))
+    config.write_bytes(config_text(tmp_path, discovery=discovery.address))
     program = ControlProgram(config)
 
     async def main() -> None:
@@ -294,7 +296,7 @@
         await proxies[0].until(lambda: len(proxies[0].proxy.usable()) == 3)
         program.kill()  # the update to the other proxies is still in progress
         for each in proxies:
-            await each.until(partial(over, each))
+            await each.until(partial(has_ended, each))
             await each.stop()
         discovery.cut(39, listed("n1"))
         program = ControlProgram(config)
@@ -399,7 +401,7 @@
             (proxy(target, "p.market", theirs), grpc.StatusCode.UNAVAILABLE),
         ):
             stranger.start()
-            await stranger.until(partial(over, stranger))
+            await stranger.until(partial(has_ended, stranger))
             assert stranger.ended is code and not stranger.proxy.responses, stranger.why
             await stranger.stop()
         held = service.certificates.material
@@ -433,7 +435,7 @@
 def test_the_command_line_and_the_page(tmp_path: Path) -> None:
     discovery = LiveDiscovery([entry("n1", 10_001), entry("n2", 10_002)])
     config = tmp_path / "control.yaml"
-    config.write_bytes(written(tmp_path, discovery=discovery.address))
+    config.write_bytes(config_text(tmp_path, discovery=discovery.address))
     program = ControlProgram(config)
     status = program.addresses["status"]
 
@@ -468,10 +470,10 @@
         run(main())
         assert diff("nobody")[0] == 2
         log = tmp_path / "control.log"
-        config.write_bytes(written(tmp_path, discovery=discovery.address, classes=[{"name": "none"}]))
+        config.write_bytes(config_text(tmp_path, discovery=discovery.address, classes=[{"name": "none"}]))
         program.process.send_signal(signal.SIGHUP)
         run(until(lambda: "configuration reload failed" in log.read_text()))
-        config.write_bytes(written(tmp_path, discovery="127.0.0.1:1", classes=[{"name": "look"}]))
+        config.write_bytes(config_text(tmp_path, discovery="127.0.0.1:1", classes=[{"name": "look"}]))
         program.process.send_signal(signal.SIGHUP)
         run(until(lambda: "configuration reloaded" in log.read_text()))
         assert "key=discovery" in log.read_text()
@@ -480,8 +482,8 @@
             busy = f"127.0.0.1:{taken.getsockname()[1]}"
             for text, says in (
                 (b"name: [", "bad control configuration: not YAML"),
-                (written(tmp_path, listen=busy), f"{busy} can't be listened on"),
-                (written(tmp_path, status=busy), "address already in use"),
+                (config_text(tmp_path, listen=busy), f"{busy} can't be listened on"),
+                (config_text(tmp_path, status=busy), "address already in use"),
             ):
                 config.write_bytes(text)
                 done = subprocess.run(
