--- a/brambleusher/features/replay.py
+++ b/brambleusher/features/replay.py
@@ -109,7 +109,10 @@
     def _unknown_servers(
         self, event: api.Event | None, server: str | None, recorded_actions: Sequence[object]
     ) -> list[str]:
-        """Return a message for each server in the record that was never in the endpoint list."""
+        """Return a message for each recorded server that is missing from the endpoint list.
+
+        The server of a new attempt must be listed now; that of an ended attempt must have been listed once.
+        """
         sent = {
             action[2] for action in recorded_actions if isinstance(action, list) and action[:1] == ["send"]
         }
--- a/brambleusher/xds/status.py
+++ b/brambleusher/xds/status.py
@@ -77,7 +77,7 @@
 
 
 class ResourceDifference(TypedDict):
-    """The difference between a subscriber's resource and the newest; `changes` is empty if they are equal."""
+    """The difference between a subscriber's resource and the newest; `changes` is empty if there is none."""
 
     kind: str
     name: str
@@ -126,18 +126,18 @@
 
 
 def compare_resource(
-    kind: str, name: str, has: Resource | None, newest: Resource | None
+    kind: str, name: str, acknowledged: Resource | None, newest: Resource | None
 ) -> ResourceDifference:
     """Compare a subscriber's resource with the newest resource of the same name."""
-    is_same = has is not None and newest is not None and has.digest == newest.digest
-    before = resource_lines(kind, has.body if has else None)
+    is_same = acknowledged is not None and newest is not None and acknowledged.digest == newest.digest
+    before = resource_lines(kind, acknowledged.body if acknowledged else None)
     after = resource_lines(kind, newest.body if newest else None)
     diff = [] if is_same else difflib.unified_diff(before, after, lineterm="", n=0)
     changes = [line for line in diff if not line.startswith(("---", "+++", "@@"))]
     return {
         "kind": KIND_ABBREVIATIONS[kind],
         "name": name,
-        "has": has.version if has else None,
+        "has": acknowledged.version if acknowledged else None,
         "newest": newest.version if newest else None,
         "changes": changes[:MAX_DIFF_LINES],
         "more": max(0, len(changes) - MAX_DIFF_LINES),
@@ -275,14 +275,16 @@
             subscribed = stream.subscriber.subscribed_names(kind)
             if subscribed is None:
                 continue
-            has = stream.subscriber.acknowledged(kind)
-            names = set(has) | {
+            acknowledged = stream.subscriber.acknowledged(kind)
+            names = set(acknowledged) | {
                 resource_name
                 for resource_name in newest.names(kind)
                 if WILDCARD in subscribed or resource_name in subscribed
             }
             differences += [
-                compare_resource(kind, resource_name, has.get(resource_name), newest.get(kind, resource_name))
+                compare_resource(
+                    kind, resource_name, acknowledged.get(resource_name), newest.get(kind, resource_name)
+                )
                 for resource_name in sorted(names)
             ]
         return differences
