--- a/brambleusher/xds/config.py
+++ b/brambleusher/xds/config.py
@@ -1,4 +1,7 @@
-"""Read the control service's file, check it and fill in defaults; its keys are an interface."""
+"""Read and validate the control service's configuration file, and fill in defaults.
+
+The keys of the file are a public interface.
+"""
 
 from __future__ import annotations
 
@@ -16,18 +19,18 @@
 from brambleusher.xds.errors import ControlError
 from brambleusher.xds.versions import MIN_SECRET_BYTES
 
-MAX_ITEMS = 256  # of one list
+MAX_ITEMS = 256  # limit for the items of each list in the configuration file
 MAX_RETRIES = 10
-MAX_CONCURRENCY = 1_000_000  # of connections or requests of one proxy
+MAX_CONCURRENCY = 1_000_000  # upper bound for the configured connections or requests of one proxy
 MAX_STREAMS = 100_000
 MAX_EPOCH = 10**9
 HOUR_MS = 3_600_000
 NS_PER_MS = 1_000_000
 
 Address = tuple[str, int]
-Priorities = dict[str, tuple[tuple[str, ...], ...]]  # by a subscriber's zone: zones by priority
+Priorities = dict[str, tuple[tuple[str, ...], ...]]  # subscriber's zone -> one tuple of zones per priority
 
-# Keys that a running instance does not change.
+# Configuration keys that take effect only at a restart, not at a reload.
 _FIXED_KEYS = (
     "name", "listen", "discovery", "epoch", "secret", "store", "settings", "zones", "tls", "peers", "status",
     "silence_ms", "new_store_ms",
@@ -36,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TlsFiles:
-    """The files of certificate, key and the subscribers' authority; all of them PEM."""
+    """Paths of the PEM files with the certificate, its key and the CA that signed clients' certificates."""
 
     certificate: str
     key: str
@@ -44,26 +47,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Group:
-    """Subscribers alike: their identity, the zone whose view they get, and what they may subscribe to."""
+class SubscriberGroup:
+    """Subscribers with the same rights: the zone whose view they get, and what they may subscribe to."""
 
-    identity: str  # a pattern for the name in the certificate; in plain text for the node's id
-    zone: str | None = None  # None: the zone that the subscriber says it is in
-    may: tuple[str, ...] = ("*",)  # patterns for names of resources
-    form: str | None = None  # how endpoints are grouped; None: by the kind of client
+    identity: str  # a pattern for the name in the certificate or, without TLS, for the node's id
+    zone: str | None = None  # the zone whose view the group gets; None: the zone in the first request
+    resource_patterns: tuple[str, ...] = ("*",)  # patterns for the names of allowed resources
+    locality_level: str | None = None  # "zones" or "nodes"; None: chosen by the kind of client
 
     def matches(self, identity: str) -> bool:
-        """Return whether a subscriber of that name belongs to the group."""
+        """Return whether a subscriber with that identity belongs to the group."""
         return fnmatch.fnmatchcase(identity, self.identity)
 
     def may_subscribe_to(self, name: str) -> bool:
-        """Return whether the subscribers may have the resource of that name."""
-        return any(fnmatch.fnmatchcase(name, pattern) for pattern in self.may)
+        """Return whether the group's subscribers may subscribe to the resource with that name."""
+        return any(fnmatch.fnmatchcase(name, pattern) for pattern in self.resource_patterns)
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
-    """Bounds of one stream, and of all together."""
+class StreamLimits:
+    """Limits for each stream, and for the number of streams."""
 
     streams: int = 2000
     streams_per_identity: int = 2000
@@ -71,12 +74,12 @@
     names: int = 1000
     name_bytes: int = 512
     requests_per_s: int = 100
-    stall_ms: int = 30_000  # a stream that makes no progress for so long is ended
+    stall_ms: int = 30_000  # a stream without progress for longer than this is ended
 
 
 @dataclass(frozen=True, slots=True)
-class ClassPlan:
-    """A class of requests: its paths, and the limits of one proxy."""
+class ClassConfig:
+    """A class of requests: its path prefixes, timeout and retries, and the limits for one proxy."""
 
     name: str
     prefixes: tuple[str, ...]
@@ -88,35 +91,35 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outlier:
-    """When a proxy ejects an endpoint by itself, between two updates."""
+class OutlierDetectionConfig:
+    """Settings for a proxy's own outlier detection, which ejects failing endpoints between updates."""
 
-    consecutive: int = 5
+    consecutive_errors: int = 5
     interval_ms: int = 10_000
     ejection_ms: int = 30_000
-    most_percent: int = 10
+    max_ejected_percent: int = 10
 
 
 @dataclass(frozen=True, slots=True)
-class ListenerPlan:
-    """A listener: with an address one for HTTP, without one gRPC's API listener."""
+class ListenerConfig:
+    """A listener: an HTTP listener if it has an address, else an API listener for gRPC clients."""
 
     name: str
     address: Address | None
 
 
 @dataclass(frozen=True, slots=True)
-class Spread:
-    """How weights are published."""
+class WeightPublication:
+    """How endpoints are assigned to priorities, and when a changed weight is published."""
 
-    priorities: Priorities | None = None  # None: all endpoints in one priority
+    priorities: Priorities | None = None  # None: all endpoints have the same priority
     weights_every_ms: int = 2000
     change_percent: int = 10
 
 
 @dataclass(frozen=True, slots=True)
-class Peer:
-    """Another instance."""
+class PeerConfig:
+    """Another instance of the control service in the same installation."""
 
     name: str
     address: Address
@@ -124,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlConfig:
-    """The file's content, checked."""
+    """The validated content of the configuration file."""
 
     name: str
     listen: Address
@@ -135,27 +138,27 @@
     new_store_ms: int
     settings: Settings
     zones: tuple[str, ...]
-    groups: tuple[Group, ...]
-    listeners: tuple[ListenerPlan, ...]
-    classes: tuple[ClassPlan, ...]
+    groups: tuple[SubscriberGroup, ...]
+    listeners: tuple[ListenerConfig, ...]
+    classes: tuple[ClassConfig, ...]
     tls: TlsFiles | None = None
-    spread: Spread = Spread()
-    bounds: Bounds = Bounds()
-    outlier: Outlier = Outlier()
+    spread: WeightPublication = WeightPublication()
+    bounds: StreamLimits = StreamLimits()
+    outlier: OutlierDetectionConfig = OutlierDetectionConfig()
     connect_timeout_ms: int = 250
     stale_after_ms: int = 600_000
     silence_ms: int = 3500
     reports_ms: int = 1000
-    peers: tuple[Peer, ...] = ()
+    peers: tuple[PeerConfig, ...] = ()
     status: Address | None = None
 
-    def group_of(self, identity: str) -> Group | None:
-        """Return the first group that a subscriber belongs to; None where there is none."""
+    def group_of(self, identity: str) -> SubscriberGroup | None:
+        """Return the first group that a subscriber belongs to, or None if no group matches."""
         return next((group for group in self.groups if group.matches(identity)), None)
 
 
 def is_loopback(host: str) -> bool:
-    """Return whether an address can be reached from this machine only."""
+    """Return whether an address can be reached only from this machine."""
     try:
         return ipaddress.ip_address(host.removeprefix("[").removesuffix("]")).is_loopback
     except ValueError:
@@ -178,7 +181,7 @@
 
 
 def _list(section: Section, key: str, required: bool = False) -> list[tuple[object, str]]:
-    """Take a list; each item comes with its path."""
+    """Return the items of a list, each with its path in the file for error messages."""
     raw = section.take(key)
     if raw is None and not required:
         return []
@@ -193,25 +196,25 @@
     texts = []
     for item, path in _list(section, key, required=True):
         if not isinstance(item, str) or not item:
-            raise ControlError(f"{path} is not a text")
+            raise ControlError(f"{path} is not a non-empty string")
         texts.append(item)
     return tuple(texts)
 
 
-def _reject_duplicates(names: list[str], what: str) -> None:
+def _reject_duplicates(names: list[str], label: str) -> None:
     for name in names:
         if names.count(name) > 1:
-            raise ControlError(f"{what} {name} is given twice")
+            raise ControlError(f"{label} {name} is given twice")
 
 
-def _read_file(path: Path, what: str) -> bytes:
+def _read_file(path: Path, label: str) -> bytes:
     try:
         with path.open("rb") as file:
             data = file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
-        raise ControlError(f"{what}: {path} can't be read: {error.strerror}") from None
+        raise ControlError(f"{label}: {path} can't be read: {error.strerror}") from None
     if len(data) > MAX_FILE_BYTES:
-        raise ControlError(f"{what}: {path} has more than {MAX_FILE_BYTES} bytes")
+        raise ControlError(f"{label}: {path} has more than {MAX_FILE_BYTES} bytes")
     return data
 
 
@@ -226,22 +229,22 @@
         except ValueError as error:
             raise ControlError(f"settings_file: {path} is not JSON: {error}") from None
         if isinstance(raw, dict) and isinstance(raw.get("settings"), dict):
-            raw = raw["settings"]  # a sidecar's configuration does as well
+            raw = raw["settings"]  # the file may also be a sidecar's configuration, which nests the settings
     try:
         return parse_settings(raw)
     except SettingsError as error:
         raise ControlError(f"settings: {error}") from None
 
 
-def _class(raw: object, path: str, settings: Settings) -> ClassPlan:
+def _class(raw: object, path: str, settings: Settings) -> ClassConfig:
     section = Section(raw, path)
     name = _required_text(section, "name")
     request_class = next((cls for cls in settings.classes if cls.name == name), None)
     if request_class is None:
         raise ControlError(f"{path}.name: the settings have no class {name}")
-    default = ClassPlan(name, (f"/{name}",), max(1, request_class.deadline_ns // NS_PER_MS), 0)
+    default = ClassConfig(name, (f"/{name}",), max(1, request_class.deadline_ns // NS_PER_MS), 0)
     retries = _retries(section, path, request_class, settings)
-    plan = ClassPlan(
+    class_config = ClassConfig(
         name,
         _texts(section, "prefixes", default.prefixes),
         section.integer("timeout_ms", default.timeout_ms, 1, HOUR_MS),
@@ -251,10 +254,10 @@
         section.integer("requests", default.requests, 1, MAX_CONCURRENCY),
     )
     section.reject_unknown_keys()
-    for prefix in plan.prefixes:
+    for prefix in class_config.prefixes:
         if not prefix.startswith("/"):
             raise ControlError(f"{path}.prefixes: {prefix} does not begin with /")
-    return plan
+    return class_config
 
 
 def _retries(section: Section, path: str, request_class: RequestClass, settings: Settings) -> int:
@@ -268,9 +271,9 @@
     return retries
 
 
-def _group(raw: object, path: str, zones: tuple[str, ...]) -> Group:
+def _group(raw: object, path: str, zones: tuple[str, ...]) -> SubscriberGroup:
     section = Section(raw, path)
-    group = Group(
+    group = SubscriberGroup(
         _required_text(section, "identity"),
         section.text("zone"),
         _texts(section, "may", ("*",)),
@@ -282,17 +285,17 @@
     return group
 
 
-def _listener(raw: object, path: str) -> ListenerPlan:
+def _listener(raw: object, path: str) -> ListenerConfig:
     section = Section(raw, path)
     name, address = _required_text(section, "name"), section.text("address")
-    plan = ListenerPlan(name, None if address is None else _address(section, "address", address))
+    listener_config = ListenerConfig(name, None if address is None else _address(section, "address", address))
     section.reject_unknown_keys()
-    return plan
+    return listener_config
 
 
-def _spread(raw: object, zones: tuple[str, ...]) -> Spread:
-    section, default = Section(raw, "spread"), Spread()
-    spread = Spread(
+def _spread(raw: object, zones: tuple[str, ...]) -> WeightPublication:
+    section, default = Section(raw, "spread"), WeightPublication()
+    spread = WeightPublication(
         _priorities(section.take("priorities", "none"), zones),
         section.integer("weights_every_ms", default.weights_every_ms, 100, HOUR_MS),
         section.integer("change_percent", default.change_percent, 0, 100),
@@ -322,9 +325,9 @@
     return isinstance(raw, list) and all(isinstance(item, str) for item in raw)
 
 
-def _bounds(raw: object) -> Bounds:
-    section, default = Section(raw, "bounds"), Bounds()
-    bounds = Bounds(
+def _bounds(raw: object) -> StreamLimits:
+    section, default = Section(raw, "bounds"), StreamLimits()
+    bounds = StreamLimits(
         section.integer("streams", default.streams, 1, MAX_STREAMS),
         section.integer("streams_per_identity", default.streams_per_identity, 1, MAX_STREAMS),
         section.integer("message_kb", default.message_kb, 1, 16_384),
@@ -337,13 +340,13 @@
     return bounds
 
 
-def _outlier(raw: object) -> Outlier:
-    section, default = Section(raw, "outlier"), Outlier()
-    outlier = Outlier(
-        section.integer("consecutive", default.consecutive, 1, 1000),
+def _outlier(raw: object) -> OutlierDetectionConfig:
+    section, default = Section(raw, "outlier"), OutlierDetectionConfig()
+    outlier = OutlierDetectionConfig(
+        section.integer("consecutive", default.consecutive_errors, 1, 1000),
         section.integer("interval_ms", default.interval_ms, 10, HOUR_MS),
         section.integer("ejection_ms", default.ejection_ms, 10, HOUR_MS),
-        section.integer("most_percent", default.most_percent, 0, 100),
+        section.integer("most_percent", default.max_ejected_percent, 0, 100),
     )
     section.reject_unknown_keys()
     return outlier
@@ -358,22 +361,22 @@
     return files
 
 
-def _peer(raw: object, path: str) -> Peer:
+def _peer(raw: object, path: str) -> PeerConfig:
     section = Section(raw, path)
-    peer = Peer(_required_text(section, "name"), _address(section, "address"))
+    peer = PeerConfig(_required_text(section, "name"), _address(section, "address"))
     section.reject_unknown_keys()
     return peer
 
 
-def parse_control(text: bytes, base: Path) -> ControlConfig:
-    """Parse and check the file's content.
+def parse_control_config(text: bytes, base: Path) -> ControlConfig:
+    """Parse and validate the content of the configuration file.
 
     Args:
-        text: The file's content, YAML.
-        base: The directory that names of files in it are relative to.
+        text: The file's content in YAML.
+        base: The directory that relative paths in the file are resolved against.
 
     Raises:
-        ControlError: It can't be used; the message names the key.
+        ControlError: The content is not valid; the message names the key.
     """
     try:
         config = _parse(text, base)
@@ -436,41 +439,43 @@
 
 
 def _check_names(config: ControlConfig) -> None:
-    _reject_duplicates([plan.name for plan in config.classes], "the class")
-    _reject_duplicates([prefix for plan in config.classes for prefix in plan.prefixes], "the prefix")
+    _reject_duplicates([class_config.name for class_config in config.classes], "the class")
+    _reject_duplicates(
+        [prefix for class_config in config.classes for prefix in class_config.prefixes], "the prefix"
+    )
     _reject_duplicates([listener.name for listener in config.listeners], "the listener")
     _reject_duplicates([peer.name for peer in config.peers], "the peer")
 
 
 def _check_addresses(config: ControlConfig) -> None:
     if config.tls is None and not is_loopback(config.listen[0]):
-        raise ControlError("listen: without tls only a loopback address is served")
+        raise ControlError("listen: without tls only a loopback address is allowed")
     if config.status is not None and not is_loopback(config.status[0]):
-        raise ControlError("status: only a loopback address is served")
+        raise ControlError("status: only a loopback address is allowed")
     if config.tls is None and not all(is_loopback(peer.address[0]) for peer in config.peers):
-        raise ControlError("peers: without tls only loopback addresses are spoken to")
+        raise ControlError("peers: without tls only loopback addresses are allowed")
 
 
-def load_control(path: str) -> ControlConfig:
-    """Read the file at `path`.
+def load_control_config(path: str) -> ControlConfig:
+    """Read and validate the configuration file at `path`.
 
     Raises:
-        ControlError: It can't be used; the message names the key.
+        ControlError: The file can't be read or is not valid; the message names the key.
     """
     file = Path(path)
-    return parse_control(_read_file(file, "the file"), file.parent)
+    return parse_control_config(_read_file(file, "the file"), file.parent)
 
 
-def reload_control(current: ControlConfig, path: str) -> tuple[ControlConfig, list[str]]:
-    """Read the file again for a running instance.
+def reload_control_config(current: ControlConfig, path: str) -> tuple[ControlConfig, list[str]]:
+    """Read the configuration file again for a running instance.
 
     Returns:
-        The current configuration with what may change taken from the file, and the keys that differ but
-        may not change.
+        The new configuration, in which keys that need a restart keep their current values, and a list of
+        those keys whose value in the file differs.
 
     Raises:
-        ControlError: The file can't be used; the message names the key.
+        ControlError: The file can't be read or is not valid; the message names the key.
     """
-    new = load_control(path)
+    new = load_control_config(path)
     differing = [key for key in _FIXED_KEYS if getattr(current, key) != getattr(new, key)]
     return replace(new, **{key: getattr(current, key) for key in _FIXED_KEYS}), differing
--- a/brambleusher/xds/core.py
+++ b/brambleusher/xds/core.py
@@ -1,8 +1,9 @@
-"""Decide what each subscriber gets, without sockets, files or threads.
+"""Decide which response each subscriber gets next, without sockets, files or threads.
 
-The owner records events of discovery, subscribers, load reports, other instances, the store and the
-time; asks `position_to_write` for the position that must be on durable storage next; and asks for
-the next response of each stream.  Nothing here waits.  All times are in ns of the owner's clock.
+The owner records events from discovery, subscribers, load reports, other instances and the store, and
+calls `tick` as time passes.  It asks `position_to_write` for the position that must be on durable storage
+next, and `next_response` for the next response of each stream.  No call blocks.  All times are in
+nanoseconds of the owner's clock.
 """
 
 from __future__ import annotations
@@ -27,32 +28,46 @@
     WithheldReason,
 )
 from brambleusher.net.endpoint_list import Endpoint, EndpointListUpdate
-from brambleusher.xds.config import ControlConfig, Group
+from brambleusher.xds.config import ControlConfig, SubscriberGroup
 from brambleusher.xds.discovered_endpoints import DiscoveredEndpoints
 from brambleusher.xds.errors import ProtocolError, SubscriptionDeniedError
 from brambleusher.xds.loads import LoadReports
-from brambleusher.xds.resources import AssignmentBuilder, static_resources
-from brambleusher.xds.snapshot import CDS, EDS, LDS, RDS, SHORT, Draft, Library, Snapshot
+from brambleusher.xds.resources import AssignmentBuilder, build_static_resources
+from brambleusher.xds.snapshot import (
+    CDS,
+    EDS,
+    KIND_ABBREVIATIONS,
+    LDS,
+    RDS,
+    ResourceCache,
+    Snapshot,
+    UnversionedResource,
+)
 from brambleusher.xds.subscriber import Request, Response, Subscriber
-from brambleusher.xds.versions import Seal
+from brambleusher.xds.versions import MacSigner
 from brambleusher.xds.wire import LoadSample, NodeIdentity
 
 log = logging.getLogger(__name__)
 
 NS_PER_MS = 1_000_000
-FORMS = ("zones", "nodes")
-REFRESHES_PER_STALE_TIME = 3  # Envoy drops endpoints that were not renewed for `stale_after_ms`
-SEED_BITS = 32  # of a zone's balancer
-MAX_SHOWN_CHARS = 100  # of text that a subscriber sent, in a message
+LOCALITY_LEVELS = ("zones", "nodes")
+REFRESHES_PER_STALE_TIME = 3  # Envoy drops endpoints that were not sent again within `stale_after_ms`
+SEED_BITS = 32  # length of the random seed of a zone's balancer
+MAX_SHOWN_CHARS = 100  # an error message quotes at most this much of a text that a subscriber sent
+
 
+def locality_level_of(group: SubscriberGroup, node: NodeIdentity) -> str:
+    """Return how a subscriber's endpoints are grouped.
 
-def form_of(group: Group, node: NodeIdentity) -> str:
-    """Return how a subscriber's endpoints are grouped: as its group says, else by its kind."""
-    return group.form or ("nodes" if node.agent.lower().startswith("grpc") else "zones")
+    The level set for its group takes precedence; otherwise gRPC clients get "nodes" and others "zones".
+    """
+    return group.locality_level or ("nodes" if node.agent.lower().startswith("grpc") else "zones")
 
 
-def without_additions(before: Mapping[str, Endpoint], newest: Mapping[str, Endpoint]) -> dict[str, Endpoint]:
-    """Return `before` less what `newest` takes away: no endpoint is added or comes back into use."""
+def apply_removals_only(
+    before: Mapping[str, Endpoint], newest: Mapping[str, Endpoint]
+) -> dict[str, Endpoint]:
+    """Apply only the removals of `newest` to `before`: no endpoint is added or becomes ready again."""
     remaining = {}
     for name, endpoint in before.items():
         current = newest.get(name)
@@ -60,7 +75,7 @@
             continue
         is_ready = current.entry.state is HostState.READY
         if is_ready and _process_of(current) != _process_of(endpoint):
-            continue  # the endpoint listed now is another process
+            continue  # the address or start time differs, so the newest list names another process
         remaining[name] = endpoint if is_ready else current
     return remaining
 
@@ -70,7 +85,7 @@
 
 
 class Zone:
-    """One zone of subscribers: its balancer, and the weights as published last."""
+    """The subscribers' view of one zone: its balancer, and the endpoint weights published last."""
 
     def __init__(
         self, name: str, settings: Settings, seed: int, change_threshold: float, now_ns: int
@@ -84,7 +99,7 @@
         self._endpoints: Mapping[str, Endpoint] = {}
 
     def update_endpoints(self, endpoints: Mapping[str, Endpoint], now_ns: int) -> bool:
-        """Hand the list to the balancer; False where it has it already."""
+        """Pass the endpoint list to the balancer, and return whether it differs from the last one."""
         before, self._endpoints = self._endpoints, endpoints
         if before is endpoints:
             return False
@@ -98,7 +113,7 @@
         return True
 
     def tick(self, now_ns: int) -> None:
-        """Hand the gathered load reports to the balancer, and its timer when it is due."""
+        """Pass the collected load reports to the balancer, and fire its timer if it is due."""
         for outcomes in self.load_reports.drain():
             self.balancer.record_outcomes(outcomes, now_ns)
         if now_ns >= self._timer_ns:
@@ -106,14 +121,14 @@
             self._timer_ns = self.balancer.next_timer_ns(actions) or now_ns
 
     def set_change_threshold(self, change_threshold: float) -> None:
-        """Change the fraction by which a weight must have moved to be published."""
+        """Set the fraction by which a weight must change before it is published."""
         self._rounder = WeightRounder(change_threshold)
 
     def update_weights(self, priorities: Iterable[tuple[str, ...]], step: bool) -> bool:
-        """Read the balancer's weights and, with `step`, go a step towards them.
+        """Read the balancer's weights and, with `step`, move the published weights one step towards them.
 
         Returns:
-            Whether any has moved enough to be published.
+            Whether any weight has changed enough to be published.
         """
         before = self.tiers
         followed = self._damper.follow(host_statuses(self.balancer), step)
@@ -123,23 +138,23 @@
 
 @dataclass(slots=True)
 class Stream:
-    """One subscriber on one stream."""
+    """The state of one subscriber's xDS stream."""
 
     id: int
     identity: str
     subscriber: Subscriber
     opened_ns: int
-    group: Group | None = None
+    group: SubscriberGroup | None = None
     node: NodeIdentity = field(default_factory=NodeIdentity)
     zone: str = ""
-    form: str = ""
+    locality_level: str = ""
     responses: int = 0
-    lag_ns: int | None = None  # from a change to the acknowledgement of the view with it
+    lag_ns: int | None = None  # time from the last acknowledged change to its acknowledgement
     refreshed_ns: int = 0
 
 
 class Core:
-    """The state of one instance: the list, the weights, the views and the streams."""
+    """The state of one instance: endpoint list, weights, views and streams."""
 
     def __init__(
         self,
@@ -149,30 +164,34 @@
         seed: int = 0,
         is_floor_certain: bool = False,
     ) -> None:
-        """Start without a list.
+        """Start without an endpoint list.
 
         Args:
             config: The configuration.
-            floor: The position on durable storage; None where the store is new or was lost.
-            now_ns: The time.
-            seed: Seeds the balancers.
-            is_floor_certain: Do not wait for positions that subscribers prove, as a new store has to.
+            floor: The position on durable storage; None if the store is new or its content was lost.
+            now_ns: The current time.
+            seed: The seed for the balancers' random numbers.
+            is_floor_certain: Whether to publish without the wait that a new store requires.  During that
+                wait subscribers may prove positions that were published earlier.
         """
-        self.config, self.seal = config, Seal(config.secret)
+        self.config, self.signer = config, MacSigner(config.secret)
         self.discovered = DiscoveredEndpoints()
         floor_wait_ns = 0 if is_floor_certain else config.new_store_ms * NS_PER_MS
         self.view_consistency = ViewConsistency(floor, now_ns, config.silence_ms * NS_PER_MS, floor_wait_ns)
         self.zones = _create_zones(config, seed, now_ns)
         self.streams: dict[int, Stream] = {}
-        self._library = Library(self.seal)
-        self._snapshots: dict[tuple[str, str, int], Snapshot] = {}  # by zone, form, index of the group
+        self._resource_cache = ResourceCache(self.signer)
+        # Caches the newest snapshots by zone, locality level and index of the group.
+        self._snapshots: dict[tuple[str, str, int], Snapshot] = {}
         self._assignment_builders = self._new_assignment_builders()
-        self._assignments: dict[tuple[str, str], Draft] = {}  # by zone and form
-        self._static_resources: dict[int, dict[str, list[Draft]]] = {}  # by index of the group, kind
-        self._durable_endpoints: dict[str, Endpoint] | None = None  # of the position written last
-        self.endpoints: dict[str, Endpoint] = {}  # the list that views are made of
+        # Caches endpoint assignments by zone and locality level.
+        self._assignments: dict[tuple[str, str], UnversionedResource] = {}
+        # Caches listeners, routes and clusters by index of the group and by kind.
+        self._static_resources: dict[int, dict[str, list[UnversionedResource]]] = {}
+        self._durable_endpoints: dict[str, Endpoint] | None = None  # the list at the position written last
+        self.endpoints: dict[str, Endpoint] = {}  # the endpoint list that views are built from
         self._host_by_address: dict[tuple[str, int], str] = {}
-        self._position: ViewPosition | None = None  # of that list
+        self._position: ViewPosition | None = None  # the position of `endpoints`
         self._changed_ns = now_ns
         self._has_write_failed = False
         self._weighed_ns = now_ns
@@ -183,13 +202,15 @@
     def _new_assignment_builders(self) -> dict[tuple[str, str], AssignmentBuilder]:
         stale_ms = self.config.stale_after_ms
         return {
-            (zone, form): AssignmentBuilder(form, stale_ms) for zone in self.config.zones for form in FORMS
+            (zone, locality_level): AssignmentBuilder(locality_level, stale_ms)
+            for zone in self.config.zones
+            for locality_level in LOCALITY_LEVELS
         }
 
     # --- discovery --------------------------------------------------------------------------------
 
     def record_endpoint_list(self, update: EndpointListUpdate, now_ns: int) -> None:
-        """Take in an update from discovery."""
+        """Apply an endpoint list update from discovery."""
         was_behind = self.discovered.is_behind
         changed = self.discovered.update(update)
         if self.discovered.is_behind and not was_behind:
@@ -203,7 +224,7 @@
         self.record_discovery_contact(now_ns)
 
     def record_discovery_contact(self, now_ns: int) -> None:
-        """Note a message from discovery, if only that nothing has changed."""
+        """Record that discovery sent a message, even one that reports no change."""
         version = self.discovered.version
         if version is None:
             return
@@ -211,30 +232,30 @@
         self._update_view(now_ns)
 
     def record_discovery_disconnect(self) -> None:
-        """Note that the watch of discovery has ended."""
+        """Record that the watch on discovery has ended."""
         self.view_consistency.record_discovery_disconnect()
 
     # --- durable storage --------------------------------------------------------------------------
 
     def position_to_write(self) -> ViewPosition | None:
-        """Return what must be on durable storage before the newest list may be published."""
+        """Return the position that must be on durable storage before the newest list may be published."""
         return self.view_consistency.position_to_write()
 
     def record_written(self, position: ViewPosition, now_ns: int) -> None:
-        """Note that a position is on durable storage."""
+        """Record that a position is on durable storage."""
         self._has_write_failed = False
         self.view_consistency.record_written(position)
         self._update_view(now_ns)
 
     def record_write_failure(self, now_ns: int) -> None:
-        """Note that a write failed or takes too long: removals are published all the same."""
+        """Record that a write failed or takes too long; removals are published nevertheless."""
         self._has_write_failed = True
         self._update_view(now_ns)
 
     # --- other instances --------------------------------------------------------------------------
 
     def record_peer_status(self, peer: str, status: PeerStatus, now_ns: int) -> None:
-        """Take in the status of another instance."""
+        """Record the status of another instance."""
         self.view_consistency.record_peer_status(peer, status, now_ns)
         self.on_change()
 
@@ -245,7 +266,7 @@
     # --- the view ---------------------------------------------------------------------------------
 
     def _publishable_endpoints(self, position: ViewPosition) -> dict[str, Endpoint] | None:
-        """Return the newest list as far as it may be published; None where the view has to stay."""
+        """Return the part of the newest list that may be published, or None to keep the current view."""
         if self.view_consistency.position_to_write() is None:
             floor = self.view_consistency.floor
             if floor is not None and position < floor:
@@ -253,11 +274,11 @@
             self._durable_endpoints = self.discovered.endpoints
             return self._durable_endpoints
         if self._has_write_failed and self._durable_endpoints is not None:
-            return without_additions(self._durable_endpoints, self.discovered.endpoints)
+            return apply_removals_only(self._durable_endpoints, self.discovered.endpoints)
         return None
 
     def _update_view(self, now_ns: int) -> None:
-        """Make views of the newest list as far as it may be published."""
+        """Replace the view with the part of the newest list that may be published."""
         position = self.view_consistency.position
         if position is None:
             return
@@ -270,13 +291,13 @@
             self._host_by_address = {endpoint.address: name for name, endpoint in endpoints.items()}
             served = {stream.zone for stream in self.streams.values()}
             for zone in self.zones.values():
-                if zone.name in served:  # the others at the first subscriber or the next tick
+                if zone.name in served:  # other zones are updated at their first subscriber or the next tick
                     self._update_zone_endpoints(zone, now_ns)
         self._snapshots.clear()
         self.on_change()
 
     def _update_zone_endpoints(self, zone: Zone, now_ns: int) -> None:
-        """Hand the list to a zone; between two steps of the weights only this changes them."""
+        """Pass the endpoint list to a zone; its weights change only here and in the periodic weight step."""
         if zone.update_endpoints(self.endpoints, now_ns):
             self._update_zone_weights(zone, step=False)
 
@@ -284,13 +305,13 @@
         by_zone = self.config.spread.priorities
         priorities = () if by_zone is None else by_zone.get(zone.name, ((zone.name,),))
         has_moved = zone.update_weights(priorities, step)
-        # Addresses may have changed where the weights have not.
-        for form in FORMS:
-            self._assignments.pop((zone.name, form), None)
+        # The assignments are rebuilt even with unchanged weights, since addresses may have changed.
+        for locality_level in LOCALITY_LEVELS:
+            self._assignments.pop((zone.name, locality_level), None)
         return has_moved
 
     def tick(self, now_ns: int) -> None:
-        """Let time pass: load reports reach the balancers, weights move."""
+        """Pass load reports to the balancers, and update the weights when their interval has elapsed."""
         for zone in self.zones.values():
             self._update_zone_endpoints(zone, now_ns)
             zone.tick(now_ns)
@@ -304,7 +325,7 @@
                 self.on_change()
 
     def reconfigure(self, config: ControlConfig, now_ns: int) -> None:
-        """Take in another configuration; listeners, routes, clusters, groups and bounds follow it."""
+        """Apply a new configuration to listeners, routes, clusters, groups and limits."""
         self.config = config
         self._static_resources.clear()
         self._snapshots.clear()
@@ -318,48 +339,56 @@
                 self._assign_group(stream, config.group_of(stream.identity))
         self.on_change()
 
-    def snapshot(self, zone: str, form: str, group: Group, now_ns: int) -> Snapshot:
-        """Return what a group's subscribers in a zone may have now; a list must have been published."""
+    def snapshot(self, zone: str, locality_level: str, group: SubscriberGroup, now_ns: int) -> Snapshot:
+        """Return the resources for a group's subscribers in a zone; requires a published endpoint list."""
         group_index = self.config.groups.index(group)
-        cached = self._snapshots.get((zone, form, group_index))
+        cached = self._snapshots.get((zone, locality_level, group_index))
         if cached is not None:
             return cached
         assert self._position is not None
         drafts = self._static_resources.get(group_index)
         if drafts is None:
-            drafts = self._static_resources[group_index] = static_resources(self.config, group)
-        assignment = self._assignment(zone, form, now_ns)
+            drafts = self._static_resources[group_index] = build_static_resources(self.config, group)
+        assignment = self._assignment(zone, locality_level, now_ns)
         kinds = {
-            kind: self._library.shelf(f"group {group_index}", kind, drafts[kind], self._position)
+            kind: self._resource_cache.update_resources(
+                f"group {group_index}", kind, drafts[kind], self._position
+            )
             for kind in (CDS, LDS, RDS)
         }
-        # One assignment for all groups of a zone: the same bytes, and the same object.
+        # All groups of a zone share one assignment: the same bytes, and the same object.
         has_clusters = bool(drafts[CDS])
         kinds[EDS] = (
-            self._library.shelf(f"{zone}/{form}", EDS, [assignment], self._position) if has_clusters else {}
+            self._resource_cache.update_resources(
+                f"{zone}/{locality_level}", EDS, [assignment], self._position
+            )
+            if has_clusters
+            else {}
         )
         snapshot = Snapshot(self._position, kinds, self._changed_ns)
-        self._snapshots[zone, form, group_index] = snapshot
+        self._snapshots[zone, locality_level, group_index] = snapshot
         return snapshot
 
-    def _assignment(self, zone: str, form: str, now_ns: int) -> Draft:
-        assignment = self._assignments.get((zone, form))
+    def _assignment(self, zone: str, locality_level: str, now_ns: int) -> UnversionedResource:
+        assignment = self._assignments.get((zone, locality_level))
         if assignment is None:
             self._update_zone_endpoints(self.zones[zone], now_ns)
             addresses = {name: endpoint.address for name, endpoint in self.endpoints.items()}
-            assignment = self._assignment_builders[zone, form].draft(self.zones[zone].tiers, addresses)
-            self._assignments[zone, form] = assignment
+            assignment = self._assignment_builders[zone, locality_level].build(
+                self.zones[zone].tiers, addresses
+            )
+            self._assignments[zone, locality_level] = assignment
         return assignment
 
     # --- subscribers ------------------------------------------------------------------------------
 
     def open_stream(self, identity: str | None, incremental: bool, now_ns: int) -> Stream:
-        """Begin a stream.
+        """Open a subscriber's stream.
 
         Args:
-            identity: The name in the certificate; None where the first request gives it.
-            incremental: Whether it is of the incremental variant of the protocol.
-            now_ns: The time.
+            identity: The name in the subscriber's certificate; None if the first request names the node.
+            incremental: Whether the stream uses the incremental variant of the protocol.
+            now_ns: The current time.
 
         Raises:
             ProtocolError: The subscriber may not subscribe, or there are too many streams.
@@ -370,12 +399,12 @@
         if identity is not None:
             self._admit(identity)
         self._last_stream_id += 1
-        subscriber = Subscriber(self.seal, incremental, bounds.names, bounds.name_bytes)
+        subscriber = Subscriber(self.signer, incremental, bounds.names, bounds.name_bytes)
         stream = Stream(self._last_stream_id, identity or "", subscriber, now_ns, refreshed_ns=now_ns)
         self.streams[stream.id] = stream
         return stream
 
-    def _admit(self, identity: str) -> Group:
+    def _admit(self, identity: str) -> SubscriberGroup:
         group = self.config.group_of(identity)
         if group is None:
             raise SubscriptionDeniedError(f"{identity[:MAX_SHOWN_CHARS]!r} may not subscribe")
@@ -385,14 +414,14 @@
         return group
 
     def close_stream(self, stream: Stream) -> None:
-        """Forget a stream that has ended."""
+        """Remove a stream that has ended."""
         self.streams.pop(stream.id, None)
 
     def handle_request(self, stream: Stream, request: Request, node: NodeIdentity, now_ns: int) -> None:
-        """Take in a subscriber's request.
+        """Process a subscriber's request.
 
         Raises:
-            ProtocolError: The request breaks a rule, and the stream has to end.
+            ProtocolError: The request breaks a rule of the protocol, and the stream must end.
         """
         if stream.group is None:
             self._identify(stream, node)
@@ -405,8 +434,9 @@
             self.nacks += 1
             log.warning(
                 "resource rejected",
-                extra={"fields": {"subscriber": stream.identity, "kind": SHORT[kind], "names": names,
-                                  "version": rejection.version, "reason": rejection.reason}},
+                extra={"fields": {"subscriber": stream.identity, "kind": KIND_ABBREVIATIONS[kind],
+                                  "names": names, "version": rejection.version,
+                                  "reason": rejection.reason}},
             )  # fmt: skip
         subscriber.rejections.clear()
         if subscriber.acked_ns:
@@ -423,15 +453,15 @@
         if stream.group is None:
             raise ProtocolError(f"zone {node.zone[:MAX_SHOWN_CHARS]!r} is not served")
 
-    def _assign_group(self, stream: Stream, group: Group | None) -> None:
-        """Give a stream its group, and with it zone and form; none where it may not subscribe any more."""
+    def _assign_group(self, stream: Stream, group: SubscriberGroup | None) -> None:
+        """Set a stream's group, zone and locality level; without permission the group is None."""
         zone = (group.zone or stream.node.zone) if group is not None else ""
         stream.group = group if zone in self.zones else None
         if group is not None and stream.group is not None:
-            stream.zone, stream.form = zone, form_of(group, stream.node)
+            stream.zone, stream.locality_level = zone, locality_level_of(group, stream.node)
 
     def withheld_reason(self, now_ns: int) -> WithheldReason | None:
-        """Return why nothing may be published now; None where it may."""
+        """Return why nothing may be published now, or None if publishing is allowed."""
         consistency = self.view_consistency
         if self._position is None and consistency.position is not None:
             return consistency.withheld_reason(now_ns) or WithheldReason.NOT_DURABLE
@@ -440,17 +470,17 @@
         return consistency.withheld_reason(now_ns, has_only_removals=has_only_removals)
 
     def next_response(self, stream: Stream, now_ns: int) -> Response | None:
-        """Return a stream's next response; None as long as there is none or it is withheld."""
+        """Return a stream's next response, or None if nothing is due or publishing is withheld."""
         if stream.group is None:
             return None
         if self.withheld_reason(now_ns) is not None:
             return None
         subscriber = stream.subscriber
-        snapshot = self.snapshot(stream.zone, stream.form, stream.group, now_ns)
-        if subscriber.offered is not snapshot:
-            subscriber.offer(snapshot)
+        snapshot = self.snapshot(stream.zone, stream.locality_level, stream.group, now_ns)
+        if subscriber.current_snapshot is not snapshot:
+            subscriber.set_snapshot(snapshot)
         self._refresh_stale_endpoints(stream, now_ns)
-        response = subscriber.take()
+        response = subscriber.take_response()
         if response is not None:
             self.view_consistency.record_published(response.position)
             stream.responses += 1
@@ -461,12 +491,12 @@
     def _refresh_stale_endpoints(self, stream: Stream, now_ns: int) -> None:
         stale_ns = self.config.stale_after_ms * NS_PER_MS
         is_due = now_ns - stream.refreshed_ns > stale_ns // REFRESHES_PER_STALE_TIME
-        if stale_ns and stream.form == "zones" and is_due:
+        if stale_ns and stream.locality_level == "zones" and is_due:
             stream.refreshed_ns = now_ns
             stream.subscriber.refresh(EDS)
 
     def record_load_report(self, zone: str, samples: list[LoadSample]) -> None:
-        """Take in a proxy's load report."""
+        """Add a proxy's load report to the totals of its zone."""
         self.zones[zone].load_reports.add(samples, self._host_by_address, self.endpoints)
 
 
--- a/brambleusher/xds/discovery.py
+++ b/brambleusher/xds/discovery.py
@@ -1,4 +1,4 @@
-"""Watch discovery with the sidecar's own endpoint list, in a thread with its own scheduler."""
+"""Watch the discovery service with the sidecar's endpoint list code, in a thread with its own scheduler."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from brambleusher.runtime.scheduler import Scheduler
 
 
-class Discovery:
-    """The thread that watches; it calls back in the event loop, in the order of the updates."""
+class DiscoveryWatcher:
+    """A thread that watches discovery and passes updates, in order, to callbacks in the event loop."""
 
     def __init__(
         self,
@@ -42,12 +42,12 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop the thread; it ends at its next event."""
+        """Ask the thread to stop; it ends at its next event."""
         self._is_stopped = True
         if self._scheduler is not None:
             self._scheduler.stop()
 
-    def _call_in_loop(self, callback: Callable[..., None], *args: object) -> None:
+    def _schedule_callback(self, callback: Callable[..., None], *args: object) -> None:
         if not self._is_stopped and not self._loop.is_closed():
             self._loop.call_soon_threadsafe(callback, *args)
 
@@ -56,17 +56,17 @@
         watch = HttpWatch(scheduler, self._address)
 
         def updates(since: int | None) -> Generator[bytes, None, None]:
-            """Yield the updates of the watch; an empty line says that nothing has changed."""
+            """Yield the updates of the watch; an empty line means that nothing has changed."""
             for text in watch(since):
                 if text.strip():
                     yield text
                 else:
-                    self._call_in_loop(self._on_contact, self.clock.now_ns())
+                    self._schedule_callback(self._on_contact, self.clock.now_ns())
 
         endpoint_list = EndpointList(
             scheduler, updates, random.Random(self._seed), self.counters,
-            lambda update: self._call_in_loop(self._on_update, update, self.clock.now_ns()),
-            lambda: self._call_in_loop(self._on_disconnect),
+            lambda update: self._schedule_callback(self._on_update, update, self.clock.now_ns()),
+            lambda: self._schedule_callback(self._on_disconnect),
         )  # fmt: skip
         endpoint_list.start()
         endpoint_list.request_watch()
--- a/brambleusher/xds/snapshot.py
+++ b/brambleusher/xds/snapshot.py
@@ -1,7 +1,7 @@
-"""Views in the form of the protocol: named resources of four kinds, each with its version and bytes.
+"""Snapshots of xDS resources: named resources of four kinds, each with a version and its encoded bytes.
 
-A resource is made once for each content and shared by all subscribers; what goes on the wire is
-put together from these bytes and never built twice.
+A resource is encoded once for each content and shared by all subscribers.  Responses are joined from
+these bytes, so no resource is encoded twice.
 """
 
 from __future__ import annotations
@@ -10,25 +10,26 @@
 from dataclasses import dataclass, field
 
 from brambleusher.loadbalancing.view_consistency import ViewPosition
-from brambleusher.xds.versions import Seal, digest
+from brambleusher.xds.versions import MacSigner, digest
 
 _TYPES = "type.googleapis.com/envoy.config."
 CDS = _TYPES + "cluster.v3.Cluster"
 EDS = _TYPES + "endpoint.v3.ClusterLoadAssignment"
 LDS = _TYPES + "listener.v3.Listener"
 RDS = _TYPES + "route.v3.RouteConfiguration"
-# Make before break: a resource is sent before those that refer to it.
+# The order in which kinds are sent ("make before break"): a resource precedes those that refer to it.
 SEND_ORDER = (CDS, EDS, LDS, RDS)
-# An empty subscription to these is one to all, and a state-of-the-world response lists all of them.
+# Kinds for which an empty subscription means all resources, and for which a state-of-the-world response
+# lists all resources subscribed to.
 COMPLETE_KINDS = frozenset({CDS, LDS})
 _VARINT_BITS, _VARINT_MASK, _VARINT_CONTINUES = 7, 0x7F, 0x80
-_LENGTH_DELIMITED = 2  # wire type
+_LENGTH_DELIMITED = 2  # protobuf wire type
 
-SHORT = {CDS: "CDS", EDS: "EDS", LDS: "LDS", RDS: "RDS"}
+KIND_ABBREVIATIONS = {CDS: "CDS", EDS: "EDS", LDS: "LDS", RDS: "RDS"}
 
 
 def varint(value: int) -> bytes:
-    """Encode a number as a varint of protocol buffers."""
+    """Encode a number as a protobuf varint."""
     out = bytearray()
     while value > _VARINT_MASK:
         out.append(value & _VARINT_MASK | _VARINT_CONTINUES)
@@ -37,94 +38,112 @@
     return bytes(out)
 
 
-def sized(number: int, data: bytes) -> bytes:
-    """Encode a field of bytes, text or a message."""
+def length_delimited(number: int, data: bytes) -> bytes:
+    """Encode a length-delimited protobuf field (bytes, a string or a message) with the given number."""
     return varint(number << 3 | _LENGTH_DELIMITED) + varint(len(data)) + data
 
 
 @dataclass(frozen=True, slots=True)
 class Resource:
-    """One resource; `refers` names the resources of the next kind that it can't be used without."""
+    """One versioned resource; `refers` names the resources of another kind that it depends on."""
 
     kind: str
     name: str
     version: str
     digest: str
-    body: bytes  # the message itself
-    state_entry: bytes = field(repr=False)  # as one of `resources` in a whole-state response
-    delta_entry: bytes = field(repr=False)  # the same in an incremental one
+    body: bytes  # the encoded protobuf message of the resource
+    state_entry: bytes = field(repr=False)  # the encoded `resources` entry for a state-of-the-world response
+    delta_entry: bytes = field(repr=False)  # the encoded `resources` entry for an incremental response
     refers: frozenset[str] = frozenset()
 
     @classmethod
     def make(
-        cls, kind: str, name: str, body: bytes, seal: Seal, position: ViewPosition, refers: Iterable[str] = ()
+        cls,
+        kind: str,
+        name: str,
+        body: bytes,
+        signer: MacSigner,
+        position: ViewPosition,
+        refers: Iterable[str] = (),
     ) -> Resource:
-        """Create a resource that first appears in the view at `position`."""
+        """Create a resource whose content first appears in the view at `position`."""
         content_digest = digest(body)
-        version = seal.version(position, content_digest)
-        any_ = sized(1, kind.encode()) + sized(2, body)
-        wrapped = sized(1, version.encode()) + sized(2, any_) + sized(3, name.encode())
+        version = signer.version(position, content_digest)
+        any_ = length_delimited(1, kind.encode()) + length_delimited(2, body)
+        wrapped = (
+            length_delimited(1, version.encode())
+            + length_delimited(2, any_)
+            + length_delimited(3, name.encode())
+        )
         return cls(
-            kind, name, version, content_digest, body, sized(2, any_), sized(2, wrapped), frozenset(refers)
+            kind,
+            name,
+            version,
+            content_digest,
+            body,
+            length_delimited(2, any_),
+            length_delimited(2, wrapped),
+            frozenset(refers),
         )
 
 
 @dataclass(frozen=True, slots=True)
-class Draft:
-    """A resource before it has a version."""
+class UnversionedResource:
+    """A resource without a version: its name, its encoded message and the names it refers to."""
 
     name: str
     body: bytes
     refers: frozenset[str] = frozenset()
 
 
-class Library:
-    """Makes resources, and gives the same one again for the same content.
+class ResourceCache:
+    """Creates versioned resources, and reuses the existing resource while the content is unchanged.
 
-    A version that changes while the content does not would be sent to every subscriber.
+    If the version changed without the content, the resource would be sent to every subscriber again.
     """
 
-    def __init__(self, seal: Seal) -> None:
-        self._seal = seal
-        self._shelves: dict[tuple[str, str], dict[str, Resource]] = {}
+    def __init__(self, signer: MacSigner) -> None:
+        self._signer = signer
+        self._resources: dict[tuple[str, str], dict[str, Resource]] = {}
 
-    def shelf(
-        self, scope: str, kind: str, drafts: Iterable[Draft], position: ViewPosition
+    def update_resources(
+        self, scope: str, kind: str, drafts: Iterable[UnversionedResource], position: ViewPosition
     ) -> Mapping[str, Resource]:
-        """Return the resources of one kind in one scope (of subscribers that get the same), by name.
+        """Return the resources of one kind by name, for the subscribers of one scope.
 
-        As long as nothing changes it is the same object: a subscriber need not look into it again.
+        All subscribers of a scope get the same resources.  The mapping is the same object until a resource
+        changes, so that a subscriber can skip an unchanged mapping by identity.
         """
-        before = self._shelves.get((scope, kind), {})
+        before = self._resources.get((scope, kind), {})
         resources = {}
         for draft in drafts:
             resource = before.get(draft.name)
             if resource is None or resource.body != draft.body:
-                resource = Resource.make(kind, draft.name, draft.body, self._seal, position, draft.refers)
+                resource = Resource.make(kind, draft.name, draft.body, self._signer, position, draft.refers)
             resources[draft.name] = resource
         is_same = len(resources) == len(before) and all(
             before.get(name) is resource for name, resource in resources.items()
         )
-        if is_same and (scope, kind) in self._shelves:
+        if is_same and (scope, kind) in self._resources:
             return before
-        self._shelves[scope, kind] = resources
+        self._resources[scope, kind] = resources
         return resources
 
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """All that subscribers alike may have, as of one position."""
+    """All resources that subscribers of one zone, locality level and group may get, at one view position."""
 
     position: ViewPosition
     kinds: Mapping[str, Mapping[str, Resource]]
-    made_ns: int = 0  # when the change that led to it arrived
-    # Responses as far as they are the same for all subscribers: their version and their bytes.
-    heads: dict[tuple[object, ...], tuple[str, bytes]] = field(default_factory=dict, repr=False)
+    change_received_ns: int = 0  # arrival time of the change that led to this snapshot, in nanoseconds
+    # Cache of the part of each response that is the same for all subscribers: its version and its bytes.
+    cached_heads: dict[tuple[object, ...], tuple[str, bytes]] = field(default_factory=dict, repr=False)
 
     def get(self, kind: str, name: str) -> Resource | None:
-        """Return one resource; None where there is none."""
+        """Return the resource with that kind and name, or None if it does not exist."""
         return self.kinds[kind].get(name)
 
     def names(self, kind: str) -> Iterable[str]:
-        """Return all names of one kind."""
+        """Return the names of all resources of one kind."""
         return self.kinds[kind]
--- a/brambleusher/xds/status.py
+++ b/brambleusher/xds/status.py
@@ -1,4 +1,4 @@
-"""The status of an instance: JSON, a page, and one subscriber's resources against the newest."""
+"""Serve the status of an instance as JSON and HTML, and compare a subscriber's resources with the newest."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from brambleusher.loadbalancing.view_consistency import ViewPosition
 from brambleusher.net.http import MessageReader
 from brambleusher.xds.core import Core, Stream, Zone
-from brambleusher.xds.snapshot import CDS, EDS, LDS, RDS, SEND_ORDER, SHORT, Resource
+from brambleusher.xds.snapshot import CDS, EDS, KIND_ABBREVIATIONS, LDS, RDS, SEND_ORDER, Resource
 from brambleusher.xds.subscriber import WILDCARD
 
 log = logging.getLogger(__name__)
@@ -33,26 +33,26 @@
 REQUEST_TIMEOUT_S = 5.0
 READ_BYTES = 4096
 MAX_DIFF_LINES = 2000
-MAX_LISTED_NAMES, MAX_LISTED_HOSTS = 20, 100  # in the status; the rest is cut off
+MAX_LISTED_NAMES, MAX_LISTED_HOSTS = 20, 100  # longer lists are cut off in the status
 NS_PER_MS = 1e6
 _HEALTH = {health_check_pb2.UNHEALTHY: "left out", health_check_pb2.DRAINING: "draining"}
 _PAGE_COLUMNS = ("subscriber", "zone", "variant", "acknowledged", "lag ms", "rejected")
 
-MESSAGES: dict[str, type[Message]] = {
+MESSAGE_TYPES: dict[str, type[Message]] = {
     CDS: cluster_pb2.Cluster, EDS: endpoint_pb2.ClusterLoadAssignment,
     LDS: listener_pb2.Listener, RDS: route_pb2.RouteConfiguration,
 }  # fmt: skip
 
 
 class RejectionStatus(TypedDict):
-    """A rejected resource in the status."""
+    """A resource version that a subscriber rejected, as shown in the status."""
 
     version: str
     reason: str
 
 
 class KindStatus(TypedDict):
-    """A subscription to one kind in the status."""
+    """A subscription to one kind of resource, as shown in the status."""
 
     wants: list[str]
     sent: str
@@ -62,7 +62,7 @@
 
 
 class SubscriberStatus(TypedDict):
-    """A subscriber in the status."""
+    """A subscriber and its stream, as shown in the status."""
 
     stream: int
     subscriber: str
@@ -77,7 +77,7 @@
 
 
 class ResourceDifference(TypedDict):
-    """A subscriber's resource against the newest; without `changes` they are the same."""
+    """The difference between a subscriber's resource and the newest; `changes` is empty if there is none."""
 
     kind: str
     name: str
@@ -88,7 +88,10 @@
 
 
 def describe_assignment(body: bytes) -> dict[str, str]:
-    """Return the endpoints of an assignment by address, each with its state, weight and place in words."""
+    """Return a text for each endpoint of an assignment, with its state, weight, zone and priority.
+
+    The texts are keyed by the endpoint's address.
+    """
     assignment = endpoint_pb2.ClusterLoadAssignment.FromString(body)
     return {
         _address_of(endpoint): _describe(endpoint, locality)
@@ -113,26 +116,28 @@
 
 
 def resource_lines(kind: str, body: bytes | None) -> list[str]:
-    """Return a resource as lines that can be compared; none where there is no resource."""
+    """Return a resource as lines of text for a diff; an empty list if there is no resource."""
     if body is None:
         return []
     if kind == EDS:
         return [f"{address} {state}" for address, state in sorted(describe_assignment(body).items())]
-    message = MESSAGES[kind].FromString(body)
+    message = MESSAGE_TYPES[kind].FromString(body)
     return json.dumps(MessageToDict(message), indent=1, sort_keys=True).splitlines()
 
 
-def difference(kind: str, name: str, has: Resource | None, newest: Resource | None) -> ResourceDifference:
-    """Compare a subscriber's resource with the newest."""
-    is_same = has is not None and newest is not None and has.digest == newest.digest
-    before = resource_lines(kind, has.body if has else None)
+def compare_resource(
+    kind: str, name: str, acknowledged: Resource | None, newest: Resource | None
+) -> ResourceDifference:
+    """Compare a subscriber's resource with the newest resource of the same name."""
+    is_same = acknowledged is not None and newest is not None and acknowledged.digest == newest.digest
+    before = resource_lines(kind, acknowledged.body if acknowledged else None)
     after = resource_lines(kind, newest.body if newest else None)
     diff = [] if is_same else difflib.unified_diff(before, after, lineterm="", n=0)
     changes = [line for line in diff if not line.startswith(("---", "+++", "@@"))]
     return {
-        "kind": SHORT[kind],
+        "kind": KIND_ABBREVIATIONS[kind],
         "name": name,
-        "has": has.version if has else None,
+        "has": acknowledged.version if acknowledged else None,
         "newest": newest.version if newest else None,
         "changes": changes[:MAX_DIFF_LINES],
         "more": max(0, len(changes) - MAX_DIFF_LINES),
@@ -147,7 +152,7 @@
         if names is None:
             continue
         sent, acknowledged, unacknowledged = subscriber.versions(kind)
-        kinds[SHORT[kind]] = {
+        kinds[KIND_ABBREVIATIONS[kind]] = {
             "wants": names[:MAX_LISTED_NAMES],
             "sent": sent,
             "acknowledged": acknowledged,
@@ -162,7 +167,7 @@
         "subscriber": stream.identity,
         "node": stream.node.id,
         "zone": stream.zone,
-        "endpoints": stream.form,
+        "endpoints": stream.locality_level,
         "agent": stream.node.agent,
         "variant": "incremental" if subscriber.incremental else "whole state",
         "responses": stream.responses,
@@ -200,7 +205,7 @@
 
 
 def _page_position(position: ViewPosition | None) -> str:
-    """Return a position in the form that the page has always had, whatever the class is called."""
+    """Return a position in the fixed text form of the status page, independent of the class name."""
     return "None" if position is None else f"Place(epoch={position.epoch}, version={position.version})"
 
 
@@ -210,11 +215,11 @@
     def __init__(
         self, core: Core, now_ns: Callable[[], int], extra_fields: Callable[[], Mapping[str, object]]
     ) -> None:
-        """Read from `core`; `extra_fields` gives what the core does not know."""
+        """Serve the status of `core`; `extra_fields` returns status fields from outside the core."""
         self._core, self._now_ns, self._extra_fields = core, now_ns, extra_fields
 
     def status(self) -> dict[str, object]:
-        """Return the content of `/status.json`; its keys are an interface."""
+        """Return the content of `/status.json`, whose keys are a public interface."""
         core, now_ns = self._core, self._now_ns()
         reason = core.withheld_reason(now_ns)
         consistency = core.view_consistency
@@ -244,13 +249,13 @@
         ]
 
     def diff(self, name: str) -> list[ResourceDifference] | None:
-        """Compare all resources of a subscriber with the newest.
+        """Compare all resources of a subscriber with the newest resources.
 
         Args:
             name: The subscriber's identity, node id or stream number.
 
         Returns:
-            The differences; None where there is no such subscriber.
+            The differences, or None if there is no subscriber with that name.
         """
         core = self._core
         streams = [
@@ -264,18 +269,23 @@
             return []
         stream = streams[-1]
         assert stream.group is not None
-        newest = core.snapshot(stream.zone, stream.form, stream.group, self._now_ns())
+        newest = core.snapshot(stream.zone, stream.locality_level, stream.group, self._now_ns())
         differences = []
         for kind in SEND_ORDER:
             subscribed = stream.subscriber.subscribed_names(kind)
             if subscribed is None:
                 continue
-            has = stream.subscriber.acknowledged(kind)
-            names = set(has) | {
-                each for each in newest.names(kind) if WILDCARD in subscribed or each in subscribed
+            acknowledged = stream.subscriber.acknowledged(kind)
+            names = set(acknowledged) | {
+                resource_name
+                for resource_name in newest.names(kind)
+                if WILDCARD in subscribed or resource_name in subscribed
             }
             differences += [
-                difference(kind, each, has.get(each), newest.get(kind, each)) for each in sorted(names)
+                compare_resource(
+                    kind, resource_name, acknowledged.get(resource_name), newest.get(kind, resource_name)
+                )
+                for resource_name in sorted(names)
             ]
         return differences
 
@@ -294,7 +304,7 @@
             f"<table border=1><tr>{heads}</tr>{''.join(rows)}</table>"
         )
 
-    # --- over HTTP --------------------------------------------------------------------------------
+    # --- HTTP -------------------------------------------------------------------------------------
 
     async def serve(self, address: tuple[str, int]) -> asyncio.Server:
         """Listen for HTTP requests."""
--- a/tests/features/test_capture.py
+++ b/tests/features/test_capture.py
@@ -1,4 +1,4 @@
-"""Captures: the module's state, the ring, the files, and the rerun of what they hold."""
+"""Test captures: the balancer's state, the ring, the files, and rerunning recorded decisions."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 from brambleusher.decisions.observers import Decision
 from brambleusher.decisions.requests import ClientRequest
 from brambleusher.features import capture as capture_module
-from brambleusher.features.capture import Capture, DirSink
+from brambleusher.features.capture import Capture, CaptureDirectorySink
 from brambleusher.features.output_queue import OutputQueue
-from brambleusher.features.replay import DIFFERENT, REFUSED, SAME, replay
+from brambleusher.features.replay import DIFFERENT, REJECTED, SAME, replay
 from brambleusher.loadbalancing import Balancer, api
 from brambleusher.loadbalancing.json_values import StateError
 from brambleusher.loadbalancing.settings_codec import restore_settings, save_settings
@@ -45,15 +45,15 @@
 
 
 class Recorded(Balancer):
-    """A balancer that records what passes, as `BalancerDriver` does; an event that it fails at is left."""
+    """A balancer that records its events and actions as `BalancerDriver` does, and skips failing events."""
 
     def __init__(self, settings: api.Settings, capture: Capture) -> None:
         super().__init__(settings, SEED)
         self.capture, self.calls = capture, dict[str, ClientRequest]()
-        capture.start(lambda: {**save(self.bare())})
+        capture.start(lambda: {**save(self.plain_balancer())})
 
-    def bare(self) -> Balancer:
-        """Itself, without what this class adds."""
+    def plain_balancer(self) -> Balancer:
+        """Return a plain `Balancer` with the same state, without the attributes of this class."""
         bare = Balancer.__new__(Balancer)
         vars(bare).update({name: v for name, v in vars(self).items() if name not in ("capture", "calls")})
         return bare
@@ -78,38 +78,38 @@
         return actions
 
 
-def lane() -> OutputQueue:
+def output_queue() -> OutputQueue:
     return OutputQueue(RealSystem().worker("lane", lambda: False, lambda: None), 1 << 30)
 
 
-def taken(lane: OutputQueue) -> bytes:
-    """All that has been put."""
+def drain(output_queue: OutputQueue) -> bytes:
+    """Return all items in a queue as bytes, and empty the queue."""
     out = b""
-    while items := lane.take():
-        lane.written(0)
+    while items := output_queue.take_batch():
+        output_queue.finish_batch(0)
         out += b"".join(items)
     return out
 
 
-class Kept:
-    """A world of legal events, recorded."""
+class RecordedWorld:
+    """A simulated world of valid events whose decisions are captured."""
 
     def __init__(self, ring_kb: int = 64, seed: int = 1, files: OutputQueue | None = None) -> None:
-        self.dumps = lane()
+        self.dumps = output_queue()
         self.capture = Capture(CaptureSettings(ring_kb), ASKS, SEED, EMPTY, self.dumps, files)
         self.world = World(ASKS, seed, Recorded(ASKS, self.capture))
-        self.world.now = 1_700_000_000 * SECOND + 123_456_789  # what floats of milliseconds would lose
+        self.world.now = 1_700_000_000 * SECOND + 123_456_789  # a float of milliseconds would lose digits
 
-    def live(self, steps: int, then: Callable[[], None] = lambda: None) -> None:
+    def run_steps(self, steps: int, then: Callable[[], None] = lambda: None) -> None:
         for step in range(steps):
-            if step % 50 == 49:  # the module fails at it, and goes on
+            if step % 50 == 49:  # the balancer raises an error for an unknown class, and continues
                 self.world.give(api.RequestArrived(f"bad{step}", "unknown", None, SECOND))
             self.world.step()
             then()
 
     def dump(self) -> bytes:
         self.capture.dump()
-        return taken(self.dumps)
+        return drain(self.dumps)
 
 
 class State(unittest.TestCase):
@@ -121,13 +121,13 @@
                 for _ in range(60):
                     world.step()
                 text = json.dumps(save(world.balancer))
-                json.loads(text, parse_constant=self.fail)  # NaN and infinity are no JSON
+                json.loads(text, parse_constant=self.fail)  # NaN and infinity are not valid JSON
                 twin = restore(
                     restore_settings(json.loads(json.dumps(save_settings(ASKS)))), 0, json.loads(text)
                 )
                 self.assertEqual(json.dumps(save(twin)), text)
                 self.assertEqual(twin.settings, ASKS)
-                # Objects that were one are one again: what changes a host by one way shows by the other.
+                # References to one host must be one object again, so that a change is visible by all of them.
                 reached = [attempt.host for r in twin.attempts.requests.values() for attempt in r.attempts]
                 for host in reached:
                     self.assertIs(host, twin.host_table.hosts.get(host.name, host))
@@ -197,8 +197,8 @@
         out, errors = io.StringIO(), io.StringIO()
         return replay(str(path), out, errors), out.getvalue(), errors.getvalue()
 
-    def elsewhere(self, data: bytes, hash_seed: int) -> tuple[int, str]:
-        """In another process, whose sets have another order."""
+    def replay_in_subprocess(self, data: bytes, hash_seed: int) -> tuple[int, str]:
+        """Replay a capture in another process, whose sets have a different iteration order."""
         path = self.folder / "elsewhere.jsonl"
         path.write_bytes(data)
         done = subprocess.run(
@@ -209,48 +209,48 @@
 
     def test_wrapped_many_times_nothing_differs_in_any_process(self) -> None:
         for seed in (1, 2):
-            kept = Kept(seed=seed)
-            kept.world.start(6)
-            first = kept.dump()
+            recorded = RecordedWorld(seed=seed)
+            recorded.world.start(6)
+            first = recorded.dump()
             self.assertNotIn(b'"state":{', first)
             self.assertEqual(self.replay(first), (SAME, "2 records, 0 differ\n", ""))
             heads: set[int] = set()
 
-            def note(kept: Kept = kept, heads: set[int] = heads) -> None:
-                ring = kept.capture
-                held = sum(len(s.head) + sum(map(len, s.lines)) for s in (*ring._sealed, ring._open) if s)
+            def note(recorded: RecordedWorld = recorded, heads: set[int] = heads) -> None:
+                ring = recorded.capture
+                held = sum(len(s.header) + sum(map(len, s.lines)) for s in (*ring._sealed, ring._open) if s)
                 self.assertLessEqual(held, 64 * 1024)
                 heads.add(ring._sealed[0].opened_ns if ring._sealed else 0)
 
-            kept.live(4000, note)
-            self.assertGreater(len(heads), 20)  # so often has the oldest segment been dropped
-            data = kept.dump()
+            recorded.run_steps(4000, note)
+            self.assertGreater(len(heads), 20)  # the oldest segment was dropped at least 20 times
+            data = recorded.dump()
             head = json.loads(data.split(b"\n", 1)[0])
             self.assertEqual((head["ev"], head["v"], head["seed"]), ("start", 1, "8c1f30d27a5be964"))
             self.assertIn(b'"raised":"KeyError"', data)
             for hash_seed in (1, 2):
-                code, text = self.elsewhere(data, hash_seed)
+                code, text = self.replay_in_subprocess(data, hash_seed)
                 self.assertEqual(code, SAME, text)
                 self.assertRegex(text, r"\A[1-9]\d+ records, 0 differ\n\Z")
 
     def test_the_list_in_the_header_is_the_one_before_the_oldest_record(self) -> None:
-        kept = Kept()
-        lists: dict[int, set[str]] = {}  # by the number of the next record
-        ring, real = kept.capture, kept.capture.record
+        recorded = RecordedWorld()
+        lists: dict[int, set[str]] = {}  # the balancer's hosts by the number of the next record
+        ring, real = recorded.capture, recorded.capture.record
 
         def note(decision: Decision) -> None:
             real(decision)
-            lists[ring._count] = set(kept.world.balancer.host_table.hosts)
+            lists[ring._count] = set(recorded.world.balancer.host_table.hosts)
 
         with mock.patch.object(ring, "record", note):
-            kept.world.start(4)
-            kept.live(3000)
-        head = json.loads(kept.dump().split(b"\n", 1)[0])
+            recorded.world.start(4)
+            recorded.run_steps(3000)
+        head = json.loads(recorded.dump().split(b"\n", 1)[0])
         self.assertGreater(head["n"], 1000)
         self.assertEqual({server["id"] for server in head["list"]["servers"]}, lists[head["n"]])
 
     def change(self, data: bytes, ev: str, change: Callable[[dict[str, Any]], object]) -> bytes:
-        """The capture with one record of a kind changed, checksum and all as they were."""
+        """Return the capture with its last record of an event changed but the checksum left as it is."""
         lines = data.splitlines(keepends=True)
         at = [n for n, line in enumerate(lines) if f'"ev":"{ev}"'.encode() in line][-1]
         record = json.loads(lines[at])
@@ -259,10 +259,10 @@
         return b"".join(lines)
 
     def test_one_changed_record_shows(self) -> None:
-        kept = Kept(ring_kb=256)
-        kept.world.start(6)
-        kept.live(600)
-        data = kept.dump()
+        recorded = RecordedWorld(ring_kb=256)
+        recorded.world.start(6)
+        recorded.run_steps(600)
+        data = recorded.dump()
         changes: list[tuple[str, str, Callable[[dict[str, Any]], object]]] = [
             ("a server", "request", lambda r: r.update(server="h1" if r["server"] != "h1" else "h2")),
             ("a server that is unknown", "request", lambda r: r.update(server="s-nowhere")),
@@ -290,17 +290,17 @@
             with self.subTest(name):
                 code, text, _ = self.replay(b"".join(changed))
                 self.assertEqual(code, DIFFERENT, text)
-        # What decides is found out even where the checksum was made to fit.
+        # A changed server is reported by the rerun itself, in addition to the checksum.
         changed_data = self.change(data, "request", lambda r: r.update(server="s-nowhere"))
         _, text, _ = self.replay(changed_data)
         self.assertIn('the server "s-nowhere" is unknown', text)
         self.assertIn('recorded server "s-nowhere", rerun server', text)
-        self.assertEqual(text.count("\n"), 2)  # that one record, and the count
+        self.assertEqual(text.count("\n"), 2)  # one line for the changed record, and one for the totals
 
     def test_what_is_no_capture_is_refused(self) -> None:
-        kept = Kept()
-        kept.world.start(3)
-        data = kept.dump()
+        recorded = RecordedWorld()
+        recorded.world.start(3)
+        data = recorded.dump()
         first, rest = data.split(b"\n", 1)
         head = json.loads(first)
 
@@ -326,70 +326,70 @@
         ):
             with self.subTest(name):
                 code, _, errors = self.replay(text)
-                self.assertEqual(code, REFUSED)
+                self.assertEqual(code, REJECTED)
                 self.assertIn(said, errors)
-        self.assertEqual(replay(str(self.folder / "absent"), io.StringIO(), io.StringIO()), REFUSED)
+        self.assertEqual(replay(str(self.folder / "absent"), io.StringIO(), io.StringIO()), REJECTED)
         for _ in range(20):
-            kept.live(500)
-            first, rest = kept.dump().split(b"\n", 1)
+            recorded.run_steps(500)
+            first, rest = recorded.dump().split(b"\n", 1)
             head = json.loads(first)
-            if head["list"]["servers"]:  # now and then all of them are gone
+            if head["list"]["servers"]:  # the simulated list is sometimes empty
                 break
-        head["list"]["servers"].pop()  # the list no longer fits the state
-        self.assertEqual(self.replay(headed())[0], REFUSED)
+        head["list"]["servers"].pop()  # the list no longer matches the state
+        self.assertEqual(self.replay(headed())[0], REJECTED)
 
     def test_a_cut_last_line_is_reported_and_lines_of_a_log_are_passed_over(self) -> None:
-        kept = Kept()
-        kept.world.start(3)
-        kept.live(300)
-        lines = kept.dump().splitlines(keepends=True)
+        recorded = RecordedWorld()
+        recorded.world.start(3)
+        recorded.run_steps(300)
+        lines = recorded.dump().splitlines(keepends=True)
         mixed = b"time=1 level=info msg=x\n" + b"brambleusher.inflight:0|g\n".join(lines)
         self.assertEqual(self.replay(mixed)[0], SAME)
         code, text, _ = self.replay(mixed[:-20])
         self.assertEqual(code, SAME)
         self.assertIn("the last line is cut off and was skipped", text)
         self.assertIn(f"{len(lines) - 2} records, 0 differ", text)
-        self.assertEqual(self.replay(mixed + kept.dump())[0], SAME)  # a second dump begins anew
+        self.assertEqual(self.replay(mixed + recorded.dump())[0], SAME)  # a second dump has its own header
 
 
 class Bounds(unittest.TestCase):
     def test_a_header_too_large_for_the_ring_pauses_the_capture(self) -> None:
-        """Guards against a ring of nothing but headers, and against memory without bound."""
-        kept = Kept()
+        """Guards against a ring that contains only headers, and against unbounded memory use."""
+        recorded = RecordedWorld()
         with self.assertLogs("brambleusher.features.capture", "WARNING") as logged:
-            kept.world.start(400)
-            kept.live(300)
+            recorded.world.start(400)
+            recorded.run_steps(300)
         self.assertLess(len(logged.output), 10)
         self.assertIn("capture header exceeds the ring", logged.output[0])
-        kept.world.entries = dict(list(kept.world.entries.items())[:5])
-        kept.world.list_hosts(api.ListKind.FULL, list(kept.world.entries.values()))
-        kept.world.pass_time(2 * capture_module.AGAIN_NS)
-        kept.live(200)
+        recorded.world.entries = dict(list(recorded.world.entries.items())[:5])
+        recorded.world.list_hosts(api.ListKind.FULL, list(recorded.world.entries.values()))
+        recorded.world.pass_time(2 * capture_module.PAUSE_NS)
+        recorded.run_steps(200)
         with tempfile.NamedTemporaryFile() as file:
-            file.write(kept.dump())
+            file.write(recorded.dump())
             file.flush()
             out = io.StringIO()
             self.assertEqual(replay(file.name, out, io.StringIO()), SAME, out.getvalue())
 
     def test_a_fault_here_harms_no_decision(self) -> None:
-        kept = Kept()
-        kept.world.start(3)
+        recorded = RecordedWorld()
+        recorded.world.start(3)
         with (
             mock.patch.object(capture_module, "encode_record", side_effect=ValueError("made up")),
             self.assertLogs("brambleusher.features.capture", "ERROR"),
         ):
-            kept.live(5)
-        self.assertGreater(len(kept.world.actions), 3)
+            recorded.run_steps(5)
+        self.assertGreater(len(recorded.world.actions), 3)
 
 
 def segments(count: int, steps: int = 150) -> list[bytes]:
-    """A few segments in a row, as they go to the files."""
-    files = lane()
-    kept = Kept(files=files)
-    kept.world.start(4)
-    with mock.patch.object(capture_module, "SEAL_NS", 0):
-        kept.live(steps)
-    data = taken(files)
+    """Return up to `count` consecutive segments as they are written to files."""
+    files = output_queue()
+    recorded = RecordedWorld(files=files)
+    recorded.world.start(4)
+    with mock.patch.object(capture_module, "MAX_SEGMENT_AGE_NS", 0):
+        recorded.run_steps(steps)
+    data = drain(files)
     cut = [found.start() for found in re.finditer(rb'(?m)^\{"ev":"start"', data)]
     return [data[a:b] for a, b in zip(cut, [*cut[1:], len(data)], strict=True)][:count]
 
@@ -401,7 +401,7 @@
         self.folder = Path(folder.name) / "captures"
 
     def check(self, paths: Sequence[Path]) -> int:
-        """Each file alone can be rerun; says how many records there are."""
+        """Check that each file can be rerun by itself, and return the total number of records."""
         records = 0
         for path in paths:
             out = io.StringIO()
@@ -415,7 +415,7 @@
         self.folder.mkdir()
         other.write_text("another sidecar's")
         for start in range(4):
-            sink = DirSink(str(self.folder), "n/0", 3, 3 * max(map(len, items)))
+            sink = CaptureDirectorySink(str(self.folder), "n/0", 3, 3 * max(map(len, items)))
             self.assertEqual(sink.write(items[start * 15 : start * 15 + 15]), 0)
             mine = sorted(self.folder.glob("capture-n_0-*.jsonl"))
             self.assertLessEqual(len(mine), 3)
@@ -425,7 +425,7 @@
 
     def test_segments_in_a_row_share_a_file_and_a_gap_begins_one(self) -> None:
         items = segments(12)
-        sink = DirSink(str(self.folder), "n0", 9, 1 << 30)
+        sink = CaptureDirectorySink(str(self.folder), "n0", 9, 1 << 30)
         sink.write(items[:4])
         (one,) = self.folder.iterdir()
         self.assertEqual(one.read_bytes().count(b'"ev":"start"'), 1)
@@ -433,14 +433,14 @@
         self.assertEqual(len(list(self.folder.iterdir())), 2)
         one.unlink()
         newest = max(self.folder.iterdir())
-        newest.unlink()  # under the sink's hands: it comes back with a header, or not at all
+        newest.unlink()  # the sink still has this path and must not create the file without a header
         sink.write(items[8:10])
         self.check(list(self.folder.iterdir()))
         self.assertEqual(len(list(self.folder.iterdir())), 1)
 
     def test_a_full_disk_costs_one_old_file_at_most(self) -> None:
         items = segments(12)
-        sink = DirSink(str(self.folder), "n0", 3, 1)
+        sink = CaptureDirectorySink(str(self.folder), "n0", 3, 1)
         sink.write(items[:4])
         before = sorted(self.folder.iterdir())
         with (
@@ -515,7 +515,7 @@
                 rig.call(f"r{n}", "look" if n % 5 else "move")
         self.assertEqual(self.run_command("capture", "dump", str(program.pid)), (0, ""))
         data = b""
-        # The last request's record, and the counters: two lanes to one pipe, in either order.
+        # The last request's record and the counters come from two queues to one pipe, in either order.
         while b'"id":"r399"' not in data or b"msg=counters why=asked" not in data:
             data += lines.get(timeout=WAIT)
         program.send_signal(signal.SIGTERM)
--- a/tests/features/test_figures.py
+++ b/tests/features/test_figures.py
@@ -1,4 +1,4 @@
-"""Figures, and the output that they share with captures and the log."""
+"""Test metrics, and the output queues that metrics share with captures and the log."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def until(true: Callable[[], bool]) -> None:
-    """Wait for what must come."""
+    """Wait until a condition is true; fail after `WAIT` seconds."""
     end = time.monotonic() + WAIT
     while not true():
         assert time.monotonic() < end
@@ -80,8 +80,8 @@
         self.assertEqual([line.decode() for line in lines], [f"{start}{at}\n" for at in (7, 8, 9, 20)])
 
 
-class Gate:
-    """A sink that writes nothing until it is opened."""
+class BlockingSink:
+    """A sink whose writes block until its `open` event is set."""
 
     def __init__(self) -> None:
         self.open, self.taken = threading.Event(), threading.Event()
@@ -99,34 +99,34 @@
 
 class Lanes(unittest.TestCase):
     def test_a_full_lane_drops_its_oldest_lines_and_counts_them(self) -> None:
-        gate = Gate()
-        out = OutputWriter(gate, "gate", RealSystem())
-        lane = out.lane(10 * (ITEM_BYTES + 4))
-        lane.put([b"bad\n"])
-        self.assertTrue(gate.taken.wait(WAIT))
-        lane.put([b"%03d\n" % n for n in range(30)])  # one is being written and counts: nine stay
-        lane.hold(b"x" * 10_000 + b"\n")  # which no lane of this size can hold
-        self.assertEqual(lane.lost(), 31)
-        lane.put([b"%03d\n" % n for n in range(30)])
-        gate.open.set()
+        blocking_sink = BlockingSink()
+        out = OutputWriter(blocking_sink, "gate", RealSystem())
+        output_queue = out.add_queue(10 * (ITEM_BYTES + 4))
+        output_queue.put([b"bad\n"])
+        self.assertTrue(blocking_sink.taken.wait(WAIT))
+        output_queue.put([b"%03d\n" % n for n in range(30)])  # nine lines fit beside the one being written
+        output_queue.put_without_wake(b"x" * 10_000 + b"\n")  # this line exceeds the limit of the whole queue
+        self.assertEqual(output_queue.take_lost_count(), 31)
+        output_queue.put([b"%03d\n" % n for n in range(30)])
+        blocking_sink.open.set()
         out.close(WAIT)
-        self.assertEqual(gate.got, [b"bad\n", *(b"%03d\n" % n for n in range(21, 30)), b"closed"])
-        self.assertEqual(lane.lost(), 22)
+        self.assertEqual(blocking_sink.got, [b"bad\n", *(b"%03d\n" % n for n in range(21, 30)), b"closed"])
+        self.assertEqual(output_queue.take_lost_count(), 22)
 
     def test_lines_wait_for_the_flush_or_for_half_a_lane(self) -> None:
-        gate = Gate()
-        gate.open.set()
-        out = OutputWriter(gate, "gate", RealSystem())
+        blocking_sink = BlockingSink()
+        blocking_sink.open.set()
+        out = OutputWriter(blocking_sink, "gate", RealSystem())
         self.addCleanup(out.close)
-        lane = out.lane(10 * (ITEM_BYTES + 4))
-        lane.hold(b"000\n")
-        self.assertFalse(lane.due)
+        output_queue = out.add_queue(10 * (ITEM_BYTES + 4))
+        output_queue.put_without_wake(b"000\n")
+        self.assertFalse(output_queue.is_flush_due)
         for _ in range(5):
-            lane.hold(b"000\n")
-        until(lambda: len(gate.got) == 6)
-        lane.hold(b"111\n")
-        lane.flush()
-        until(lambda: len(gate.got) == 7)
+            output_queue.put_without_wake(b"000\n")
+        until(lambda: len(blocking_sink.got) == 6)
+        output_queue.put_without_wake(b"111\n")
+        output_queue.flush()
+        until(lambda: len(blocking_sink.got) == 7)
 
     def test_pieces_are_of_whole_lines(self) -> None:
         items = [b"a\n", b"bb\ncc\n", b"d" * 9 + b"\n", b"e\n"]
@@ -195,7 +195,7 @@
         rig = self.rig(f"figures: {{target: 'file:{self.file}', flush_ms: 10, format: influx}}")
         figures = rig.sidecar.metrics_reporter
         assert figures is not None
-        with mock.patch.dict(figures._aims, {"look": 0}):  # every answer takes longer than that
+        with mock.patch.dict(figures._latency_targets_ns, {"look": 0}):  # every answer takes longer
             rig.call("a")
         until(lambda: self.file.exists() and "answers_late,class=look" in self.file.read_text())
         self.assertRegex(
@@ -231,16 +231,16 @@
             self.assertLessEqual(len(data), sinks.MAX_DATAGRAM)
             self.assertRegex(data.decode(), r"\A(brambleusher\.\w+:\d+\|\w+(\|#[\w:,-]+)?\n)+\Z")
             seen += data.count(b"attempt_ms")
-        collector.close()  # from here on nobody listens
+        collector.close()  # datagrams sent from now on are lost
         rig.call("after")
         until(lambda: rig.sidecar.counters.count("figures_dropped") > 0)
         self.assertEqual(rig.call("last").status, 200)
 
     def test_standard_error_that_nobody_reads_blocks_no_request(self) -> None:
-        """Guards against a log line that waits for a pipe which figures have filled."""
+        """Guards against a log line that blocks on a pipe that metrics have filled."""
         node = Node(answer(b"yes"))
         self.addCleanup(node.close)
-        rig = Rig([node.entry("h0")])  # for its discovery and its configuration
+        rig = Rig([node.entry("h0")])  # only its discovery service and its configuration are used
         self.addCleanup(rig.end)
         (self.folder / "config.json").write_text(json.dumps(rig.config))
         (self.folder / "operator.yaml").write_text("figures: {buffer_kb: 4, flush_ms: 10}")
@@ -259,9 +259,9 @@
         assert found, listening
         until(lambda: ready(f"http://{found[1]}:{found[2]}/ready"))
         with mock.patch.object(rig, "address", (found[1], int(found[2]))):
-            for n in range(200):  # some 70 bytes each: many times what pipe and buffer hold
+            for n in range(200):  # 70 bytes per request are many times what the pipe and the queue hold
                 if n % 10 == 0:
-                    program.send_signal(signal.SIGUSR1)  # a log line
+                    program.send_signal(signal.SIGUSR1)  # makes the sidecar write a log line
                 self.assertEqual(rig.call(f"r{n}").status, 200)
         program.send_signal(signal.SIGTERM)
         lines = log.read().decode().splitlines()
--- a/tests/features/test_rewrites.py
+++ b/tests/features/test_rewrites.py
@@ -1,4 +1,4 @@
-"""The operator file and header rewrites."""
+"""Test the operator file and header rewrites."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import unittest
 from pathlib import Path
 
-from brambleusher.features.rewrites import Rewrites, forward, forwarded_for
+from brambleusher.features.rewrites import RuleRewriter, append_forwarded, forwarded_for
 from brambleusher.net.header_forwarding import PROTECTED, end_to_end
 from brambleusher.net.http import HeaderField, MessageReader
 from brambleusher.operator_settings.configuration import (
@@ -107,12 +107,12 @@
 class Fields(unittest.TestCase):
     def test_rules_run_in_file_order(self) -> None:
         a, b, c = ("A", "1"), ("B", "2"), ("C", "3")
-        for actions, came, left in (
-            (["add: {B: x}"], [a, b], [a, b, ("B", "x")]),  # beside what is there
+        for actions, received, left in (
+            (["add: {B: x}"], [a, b], [a, b, ("B", "x")]),  # keeps existing fields of that name
             (["drop: b"], [a, b, ("b", "4")], [a]),
             (["drop: x"], [a, b], [a, b]),
             (["rename: {a: X}"], [a, b, ("a", "4")], [("X", "1"), b, ("X", "4")]),
-            (["rename: {a: b}"], [c, b, a], [c, ("b", "1")]),  # replaces what is there
+            (["rename: {a: b}"], [c, b, a], [c, ("b", "1")]),  # a renamed field replaces the existing one
             (["rename: {x: b}"], [a, b], [a, b]),
             (["rename: {a: A}"], [("a", "1"), b], [a, b]),
             (["rename: {A: X}", "add: {A: new}", "drop: X"], [a, b], [b, ("A", "new")]),
@@ -120,8 +120,8 @@
         ):
             with self.subTest(actions):
                 text = rules(*(f"{{match: {{}}, direction: out, {action}}}" for action in actions))
-                made = Rewrites(parse_operator_file(text).rewrites or ())
-                self.assertEqual(made.rewrite_response(came, "/p", "look"), left)
+                made = RuleRewriter(parse_operator_file(text).rewrites or ())
+                self.assertEqual(made.rewrite_response(received, "/p", "look"), left)
 
     def test_a_rule_acts_where_all_of_its_match_fits(self) -> None:
         for match, path, cls, acts in (
@@ -134,9 +134,9 @@
         ):
             with self.subTest(match):
                 text = rules(f"{{match: {match}, direction: out, add: {{X: y}}}}")
-                made = Rewrites(parse_operator_file(text).rewrites or ())
+                made = RuleRewriter(parse_operator_file(text).rewrites or ())
                 self.assertEqual(bool(made.rewrite_response([], path, cls)), acts)
-                self.assertFalse(Rewrites(()).rewrite_response([], path, cls))
+                self.assertFalse(RuleRewriter(()).rewrite_response([], path, cls))
 
     def test_hop_by_hop_fields_go_and_the_others_stay_as_they_were(self) -> None:
         reader = MessageReader.requests()
@@ -163,18 +163,18 @@
             ([], mine),
             ([("forwarded", "for=a;by=b")], f"for=a;by=b, {mine}"),
             ([("Forwarded", "for=a"), ("Forwarded", 'for="[::1]"')], f'for=a, for="[::1]", {mine}'),
-            ([("Forwarded", 'for="a')], mine),  # its open quote would take ours in
+            ([("Forwarded", 'for="a')], mine),  # the open quote would swallow the sidecar's own value
         ]
-        for came, left in cases:
-            with self.subTest(came):
-                self.assertEqual(forward([*came], "192.0.2.1"), [("Forwarded", left)])
+        for received, left in cases:
+            with self.subTest(received):
+                self.assertEqual(append_forwarded([*received], "192.0.2.1"), [("Forwarded", left)])
 
 
 class OnSockets(unittest.TestCase):
     def exchange(
         self, operator: str, node: Node, cls: str, *lines: str
     ) -> tuple[list[HeaderField], list[HeaderField]]:
-        """One request with such lines: what the endpoint got, and what the client got."""
+        """Send a request with extra header lines, and return the fields the endpoint and the client got."""
         rig = Rig([node.entry("h0")], operator)
         self.addCleanup(rig.end)
         with rig.connect() as sock:
--- a/tests/test_recorded_files.py
+++ b/tests/test_recorded_files.py
@@ -1,4 +1,8 @@
-"""Files that operators write, as 49e18d4 read them: the same values, and the same key named in a refusal."""
+"""Check that recorded files are read as commit 49e18d4 read them.
+
+Guards against changes in the format of operator files, the xDS store and xDS resources: the same values must
+result, and an error message must name the same key.
+"""
 
 from __future__ import annotations
 
@@ -20,17 +24,17 @@
 from brambleusher.operator_settings.configuration import parse_operator_file
 from brambleusher.sidecar.configuration import parse_config
 from brambleusher.wire import configuration, policy, settings
-from brambleusher.xds.config import load_control
-from brambleusher.xds.resources import static_resources
+from brambleusher.xds.config import load_control_config
+from brambleusher.xds.resources import build_static_resources
 from brambleusher.xds.snapshot import Resource
 from brambleusher.xds.store import Store
-from brambleusher.xds.versions import Seal
+from brambleusher.xds.versions import MacSigner
 
 RECORDED = Path(__file__).parent / "recorded"
 FILES, XDS = RECORDED / "files", RECORDED / "xds"
 VALUES: dict[str, Any] = json.loads((FILES / "values.json").read_bytes())
 RESOURCES: dict[str, Any] = json.loads((XDS / "resources.json").read_bytes())
-# What a refusal has to name: the key, or the file where that is all there is to say.
+# By invalid file: the key that the error message must name, with the file's name where the reader adds it.
 REFUSED = {
     "configuration-lacks.json": "routes.0.path_prefix",
     "configuration-twice.json": "body",
@@ -53,12 +57,12 @@
     "configuration": lambda path: configuration.read(path.read_bytes()),
     "operator": lambda path: parse_operator_file(path.read_bytes()),
     "sidecar": lambda path: parse_config(path.read_bytes(), {"NODE_FD": "7", "TMPDIR": "/tmp"}),
-    "control": lambda path: load_control(path.name),
+    "control": lambda path: load_control_config(path.name),
 }
 
 
 def values_of(item: Any) -> Any:
-    """Values in the order of their declaration, as JSON has them."""
+    """Return a configuration object as nested JSON values, with fields in the order of their declaration."""
     if isinstance(item, Enum):
         return item.value
     if isinstance(item, BaseModel):
@@ -74,13 +78,13 @@
 
 @pytest.fixture
 def folder(monkeypatch: pytest.MonkeyPatch) -> Path:
-    """The recorded files, as the working directory: messages name files as they were called."""
+    """Make the directory of recorded files the working directory, since messages contain relative paths."""
     monkeypatch.chdir(FILES)
     return FILES
 
 
 def read(path: Path) -> Any:
-    """A file's values."""
+    """Return the values of a recorded file, read by the reader for the prefix of its name."""
     return values_of(READERS[path.stem.split("-")[0]](path))
 
 
@@ -111,7 +115,7 @@
 
 # --- the xDS service -------------------------------------------------------------------------------
 
-SEAL = Seal((FILES / "control.secret").read_bytes())
+SIGNER = MacSigner((FILES / "control.secret").read_bytes())
 
 
 def row_of(path: Path) -> bytes:
@@ -122,13 +126,13 @@
 def test_the_store_is_read_and_written_alike(tmp_path: Path) -> None:
     for name in ("control.db", "control.db-journal"):
         shutil.copy(XDS / name, tmp_path)
-    with closing(Store(str(tmp_path / "control.db"), SEAL)) as old:
-        assert (old.floor, old.starts, old.was_lost) == (ViewPosition(3, 41), 2, False)
+    with closing(Store(str(tmp_path / "control.db"), SIGNER)) as old:
+        assert (old.floor, old.starts, old.had_corrupt_file) == (ViewPosition(3, 41), 2, False)
         old.record_start()
         old.write(ViewPosition(3, 42))
-    with closing(Store(str(tmp_path / "control.db"), SEAL)) as again:
-        assert (again.floor, again.starts, again.was_lost) == (ViewPosition(3, 42), 3, False)
-    with closing(Store(str(tmp_path / "new.db"), SEAL)) as new:
+    with closing(Store(str(tmp_path / "control.db"), SIGNER)) as again:
+        assert (again.floor, again.starts, again.had_corrupt_file) == (ViewPosition(3, 42), 3, False)
+    with closing(Store(str(tmp_path / "new.db"), SIGNER)) as new:
         new.record_start()
         new.write(ViewPosition(3, 41))
         new.record_start()
@@ -136,16 +140,16 @@
 
 
 def test_versions_and_resources_have_the_recorded_bytes(folder: Path) -> None:
-    assert SEAL.version(ViewPosition(3, 41), "0123456789abcdef") == RESOURCES["version"]
-    claim = SEAL.parse(RESOURCES["version"])
+    assert SIGNER.version(ViewPosition(3, 41), "0123456789abcdef") == RESOURCES["version"]
+    claim = SIGNER.parse(RESOURCES["version"])
     assert claim is not None and (claim.position, claim.digest) == (ViewPosition(3, 41), "0123456789abcdef")
-    config = load_control("control.yaml")
+    config = load_control_config("control.yaml")
     made: dict[str, list[Any]] = {}
     for group in config.groups:
-        for kind, drafts in static_resources(config, group).items():
+        for kind, drafts in build_static_resources(config, group).items():
             for draft in drafts:
                 resource = Resource.make(
-                    kind, draft.name, draft.body, SEAL, ViewPosition(3, 41), draft.refers
+                    kind, draft.name, draft.body, SIGNER, ViewPosition(3, 41), draft.refers
                 )
                 entries = hashlib.sha256(resource.state_entry + resource.delta_entry).hexdigest()
                 name = f"{group.identity} {kind} {draft.name}"
--- a/tests/xds/test_control.py
+++ b/tests/xds/test_control.py
@@ -1,4 +1,8 @@
-"""The control service without I/O: the protocol, views, who may hand out, weights, reports, the file."""
+"""Test the control service without sockets.
+
+The tests cover the protocol, views, when publishing is allowed, weights, load reports, the store and the
+configuration file.
+"""
 
 from __future__ import annotations
 
@@ -47,48 +51,48 @@
     WithheldReason,
 )
 from brambleusher.net.endpoint_list import Endpoint, EndpointListUpdate
-from brambleusher.xds.config import ControlConfig, Group, load_control, parse_control
-from brambleusher.xds.core import Core, Stream, without_additions
+from brambleusher.xds.config import ControlConfig, SubscriberGroup, load_control_config, parse_control_config
+from brambleusher.xds.core import Core, Stream, apply_removals_only
 from brambleusher.xds.discovered_endpoints import DiscoveredEndpoints
 from brambleusher.xds.errors import ControlError, ProtocolError
-from brambleusher.xds.resources import ENDPOINTS, AssignmentBuilder, static_resources
-from brambleusher.xds.snapshot import CDS, EDS, LDS, RDS, Draft, Library, Snapshot
-from brambleusher.xds.status import MESSAGES
+from brambleusher.xds.resources import ENDPOINTS, AssignmentBuilder, build_static_resources
+from brambleusher.xds.snapshot import CDS, EDS, LDS, RDS, ResourceCache, Snapshot, UnversionedResource
+from brambleusher.xds.status import MESSAGE_TYPES
 from brambleusher.xds.store import Store, StoreError
 from brambleusher.xds.subscriber import Request, Response, Subscriber
-from brambleusher.xds.versions import Seal
-from brambleusher.xds.wire import NodeIdentity, decode_loads, decode_request
+from brambleusher.xds.versions import MacSigner
+from brambleusher.xds.wire import NodeIdentity, decode_load_report, decode_request
 from tests.rig import SETTINGS
 
 MS, SECOND = 1_000_000, 1_000_000_000
 SECRET = b"a secret for the tests"
-SEAL = Seal(SECRET)
+SIGNER = MacSigner(SECRET)
 AT_FIVE = ViewPosition(1, 5)
 
 
 # --- the protocol -------------------------------------------------------------------------------
 
 
-class Views:
-    """Snapshots out of short descriptions: name to content, or to (content, what it refers to)."""
+class SnapshotBuilder:
+    """Builds snapshots from mappings of a name to its content, or to a pair of content and references."""
 
     def __init__(self) -> None:
-        self.library, self.version = Library(SEAL), 0
+        self.resource_cache, self.version = ResourceCache(SIGNER), 0
 
     def make(self, **kinds: dict[str, Any]) -> Snapshot:
         self.version += 1
-        place = ViewPosition(1, self.version)
-        shelves = {}
+        position = ViewPosition(1, self.version)
+        resources_by_kind = {}
         for kind, word in ((CDS, "cds"), (EDS, "eds"), (LDS, "lds"), (RDS, "rds")):
             drafts = []
-            for name, held in kinds.get(word, {}).items():
-                body, refers = held if isinstance(held, tuple) else (held, ())
-                drafts.append(Draft(name, body.encode(), frozenset(refers)))
-            shelves[kind] = self.library.shelf("", kind, drafts, place)
-        return Snapshot(place, shelves)
+            for name, content in kinds.get(word, {}).items():
+                body, refers = content if isinstance(content, tuple) else (content, ())
+                drafts.append(UnversionedResource(name, body.encode(), frozenset(refers)))
+            resources_by_kind[kind] = self.resource_cache.update_resources("", kind, drafts, position)
+        return Snapshot(position, resources_by_kind)
 
 
-def had(response: Response | None) -> tuple[str, dict[str, bytes], tuple[str, ...]] | None:
+def content_of(response: Response | None) -> tuple[str, dict[str, bytes], tuple[str, ...]] | None:
     if response is None:
         return None
     return response.kind, {each.name: each.body for each in response.resources}, response.removed
@@ -99,111 +103,126 @@
     return Request(response.kind, response.nonce, error, version, names)
 
 
-def subscriber(incremental: bool = False) -> Subscriber:
-    return Subscriber(SEAL, incremental, max_names=10, max_name_bytes=50)
+def new_subscriber(incremental: bool = False) -> Subscriber:
+    return Subscriber(SIGNER, incremental, max_names=10, max_name_bytes=50)
 
 
 def test_whole_state_is_sent_acknowledged_and_not_sent_again() -> None:
-    views, held = Views(), subscriber()
-    held.offer(views.make(cds={"a": "1", "b": "1"}))
-    assert held.take() is None
-    held.receive(Request(CDS))
-    first = held.take()
-    assert had(first) == (CDS, {"a": b"1", "b": b"1"}, ())
-    assert held.take() is None
-    held.receive(ack(first))
-    held.offer(views.make(cds={"a": "1", "b": "1"}))
-    assert held.take() is None
-    held.offer(views.make(cds={"a": "1", "b": "2"}))
-    assert had(held.take()) == (CDS, {"a": b"1", "b": b"2"}, ())  # whole, as the kind demands
-    held.offer(views.make(cds={"b": "2"}))
-    assert had(held.take()) == (CDS, {"b": b"2"}, ("a",))
+    snapshots, client = SnapshotBuilder(), new_subscriber()
+    client.set_snapshot(snapshots.make(cds={"a": "1", "b": "1"}))
+    assert client.take_response() is None
+    client.receive(Request(CDS))
+    first = client.take_response()
+    assert content_of(first) == (CDS, {"a": b"1", "b": b"1"}, ())
+    assert client.take_response() is None
+    client.receive(ack(first))
+    client.set_snapshot(snapshots.make(cds={"a": "1", "b": "1"}))
+    assert client.take_response() is None
+    client.set_snapshot(snapshots.make(cds={"a": "1", "b": "2"}))
+    # CDS responses list all resources.
+    assert content_of(client.take_response()) == (
+        CDS,
+        {"a": b"1", "b": b"2"},
+        (),
+    )
+    client.set_snapshot(snapshots.make(cds={"b": "2"}))
+    assert content_of(client.take_response()) == (CDS, {"b": b"2"}, ("a",))
 
 
 @pytest.mark.parametrize("incremental", [False, True])
 def test_a_refusal_keeps_the_last_good_version_and_is_not_answered_until_the_resource_changes(
     incremental: bool,
 ) -> None:
-    views, held = Views(), subscriber(incremental)
-    held.offer(views.make(eds={"e": "good", "other": "1"}))
-    held.receive(Request(EDS, names=("e", "other"), subscribe=("e", "other")))
-    held.receive(ack(held.take(), "e", "other"))
-    good = held.acknowledged(EDS)["e"].version
-    held.offer(views.make(eds={"e": "bad", "other": "1"}))
-    held.receive(ack(held.take(), "e", "other", error="no such thing"))
-    assert held.acknowledged(EDS)["e"].version == good
-    assert held.rejected(EDS)["e"].reason == "no such thing"
-    held.offer(views.make(eds={"e": "bad", "other": "2"}))
-    assert had(held.take()) == (EDS, {"other": b"2"}, ())
-    held.refresh(EDS)  # what was refused is not refreshed either
-    assert had(held.take()) == (EDS, {"other": b"2"}, ())
-    held.offer(views.make(eds={"e": "mended", "other": "2"}))
-    response = held.take()  # it waited for its turn: two are out
+    snapshots, client = SnapshotBuilder(), new_subscriber(incremental)
+    client.set_snapshot(snapshots.make(eds={"e": "good", "other": "1"}))
+    client.receive(Request(EDS, names=("e", "other"), subscribe=("e", "other")))
+    client.receive(ack(client.take_response(), "e", "other"))
+    good = client.acknowledged(EDS)["e"].version
+    client.set_snapshot(snapshots.make(eds={"e": "bad", "other": "1"}))
+    client.receive(ack(client.take_response(), "e", "other", error="no such thing"))
+    assert client.acknowledged(EDS)["e"].version == good
+    assert client.rejected(EDS)["e"].reason == "no such thing"
+    client.set_snapshot(snapshots.make(eds={"e": "bad", "other": "2"}))
+    assert content_of(client.take_response()) == (EDS, {"other": b"2"}, ())
+    client.refresh(EDS)  # a refresh does not send rejected resources again
+    assert content_of(client.take_response()) == (EDS, {"other": b"2"}, ())
+    client.set_snapshot(snapshots.make(eds={"e": "mended", "other": "2"}))
+    response = client.take_response()  # withheld, since two responses are not acknowledged yet
     assert response is None
-    held.receive(Request(EDS, "4", None, names=("e", "other")))
-    response = held.take()
-    assert had(response) == (EDS, {"e": b"mended"}, ())
-    held.receive(ack(response, "e", "other"))
-    assert not held.rejected(EDS) and held.acknowledged(EDS)["e"].body == b"mended"
+    client.receive(Request(EDS, "4", None, names=("e", "other")))
+    response = client.take_response()
+    assert content_of(response) == (EDS, {"e": b"mended"}, ())
+    client.receive(ack(response, "e", "other"))
+    assert not client.rejected(EDS) and client.acknowledged(EDS)["e"].body == b"mended"
 
 
 def test_one_that_is_slow_gets_the_newest_and_nothing_in_between() -> None:
-    views, held = Views(), subscriber()
-    held.receive(Request(EDS, names=("e",)))
+    snapshots, client = SnapshotBuilder(), new_subscriber()
+    client.receive(Request(EDS, names=("e",)))
     for at in range(50):
-        held.offer(views.make(eds={"e": str(at)}))
-    assert had(held.take()) == (EDS, {"e": b"49"}, ())
-    held.offer(views.make(eds={"e": "50"}))
-    assert had(held.take()) == (EDS, {"e": b"50"}, ())  # it overtakes an acknowledgement
+        client.set_snapshot(snapshots.make(eds={"e": str(at)}))
+    assert content_of(client.take_response()) == (EDS, {"e": b"49"}, ())
+    client.set_snapshot(snapshots.make(eds={"e": "50"}))
+    # The response is sent before the first acknowledgement.
+    assert content_of(client.take_response()) == (
+        EDS,
+        {"e": b"50"},
+        (),
+    )
     for at in range(51, 90):
-        held.offer(views.make(eds={"e": str(at)}))
-        assert held.take() is None
-    held.receive(Request(EDS, "2", names=("e",)))
-    assert had(held.take()) == (EDS, {"e": b"89"}, ())
+        client.set_snapshot(snapshots.make(eds={"e": str(at)}))
+        assert client.take_response() is None
+    client.receive(Request(EDS, "2", names=("e",)))
+    assert content_of(client.take_response()) == (EDS, {"e": b"89"}, ())
 
 
 def test_names_are_added_and_dropped_in_whole_state() -> None:
-    views, held = Views(), subscriber()
-    held.offer(views.make(eds={"a": "1", "b": "1"}, cds={"a": "1", "b": "1"}))
-    held.receive(Request(EDS, names=("a",)))
-    first = held.take()
-    held.receive(ack(first, "a", "b"))
-    assert had(held.take()) == (EDS, {"b": b"1"}, ())
-    held.receive(Request(EDS, "2", names=("b",)))
-    held.receive(Request(EDS, "2", names=("a", "b")))
-    assert had(held.take()) == (EDS, {"a": b"1"}, ())  # dropped, and named anew
-    held.receive(Request(CDS, names=("a",)))
-    assert had(held.take()) == (CDS, {"a": b"1"}, ())
-    held.receive(Request(CDS, "1", names=("a", "b", "none")))
-    assert had(held.take()) == (CDS, {"a": b"1", "b": b"1"}, ("none",))
-    held.receive(Request(CDS, "2", names=()))  # no names, where there were some: nothing is wanted
-    held.offer(views.make(cds={"a": "2"}))
-    assert held.take() is None
+    snapshots, client = SnapshotBuilder(), new_subscriber()
+    client.set_snapshot(snapshots.make(eds={"a": "1", "b": "1"}, cds={"a": "1", "b": "1"}))
+    client.receive(Request(EDS, names=("a",)))
+    first = client.take_response()
+    client.receive(ack(first, "a", "b"))
+    assert content_of(client.take_response()) == (EDS, {"b": b"1"}, ())
+    client.receive(Request(EDS, "2", names=("b",)))
+    client.receive(Request(EDS, "2", names=("a", "b")))
+    # A resource is sent again if its name was dropped and added again.
+    assert content_of(client.take_response()) == (
+        EDS,
+        {"a": b"1"},
+        (),
+    )
+    client.receive(Request(CDS, names=("a",)))
+    assert content_of(client.take_response()) == (CDS, {"a": b"1"}, ())
+    client.receive(Request(CDS, "1", names=("a", "b", "none")))
+    assert content_of(client.take_response()) == (CDS, {"a": b"1", "b": b"1"}, ("none",))
+    client.receive(Request(CDS, "2", names=()))  # an empty list after a list of names means no subscription
+    client.set_snapshot(snapshots.make(cds={"a": "2"}))
+    assert client.take_response() is None
 
 
 @pytest.mark.parametrize("incremental", [False, True])
 def test_names_that_come_and_go_beside_the_star_leave_nothing_behind(incremental: bool) -> None:
-    views, held = Views(), subscriber(incremental)
-    held.offer(views.make(cds={"a": "1"}))
-    held.receive(Request(CDS, names=("*",), subscribe=("*",)))
+    snapshots, client = SnapshotBuilder(), new_subscriber(incremental)
+    client.set_snapshot(snapshots.make(cds={"a": "1"}))
+    client.receive(Request(CDS, names=("*",), subscribe=("*",)))
     nonce = ""
     for at in range(50):
-        if (response := held.take()) is not None:
+        if (response := client.take_response()) is not None:
             nonce = response.nonce
         now = (f"{at}-1", f"{at}-2")
         was = (f"{at - 1}-1", f"{at - 1}-2")
-        held.receive(Request(CDS, nonce, names=("*", *now), subscribe=now, unsubscribe=was))
-    assert len(held._subscriptions[CDS].removed) <= 4
+        client.receive(Request(CDS, nonce, names=("*", *now), subscribe=now, unsubscribe=was))
+    assert len(client._subscriptions[CDS].removed) <= 4
 
 
 def test_requests_written_before_the_last_response_was_read_change_no_names() -> None:
-    views, held = Views(), subscriber()
-    held.offer(views.make(eds={"a": "1", "b": "1"}))
-    held.receive(Request(EDS, names=("a",)))
-    held.receive(Request(EDS, names=("a", "b")))  # before any response: counts
-    assert had(held.take()) == (EDS, {"a": b"1", "b": b"1"}, ())
-    held.receive(Request(EDS, names=("b",)))
-    assert held.subscribed_names(EDS) == ["a", "b"]
+    snapshots, client = SnapshotBuilder(), new_subscriber()
+    client.set_snapshot(snapshots.make(eds={"a": "1", "b": "1"}))
+    client.receive(Request(EDS, names=("a",)))
+    client.receive(Request(EDS, names=("a", "b")))  # applied, since no response was sent yet
+    assert content_of(client.take_response()) == (EDS, {"a": b"1", "b": b"1"}, ())
+    client.receive(Request(EDS, names=("b",)))
+    assert client.subscribed_names(EDS) == ["a", "b"]
 
 
 @pytest.mark.parametrize(
@@ -215,23 +234,23 @@
 )  # fmt: skip
 def test_nonsense_is_a_fault_of_the_protocol(request_: Request) -> None:
     with pytest.raises(ProtocolError):
-        subscriber().receive(request_)
+        new_subscriber().receive(request_)
 
 
 def test_incremental_sends_what_changed_and_names_what_is_gone() -> None:
-    views, held = Views(), subscriber(True)
-    held.offer(views.make(cds={"a": "1", "b": "1"}, eds={"e": "1"}))
-    held.receive(Request(CDS))
-    held.receive(ack(held.take()))
-    held.offer(views.make(cds={"a": "2", "c": "1"}, eds={"e": "1"}))
-    assert had(held.take()) == (CDS, {"a": b"2", "c": b"1"}, ("b",))
-    held.receive(Request(EDS, subscribe=("e", "none")))
-    assert had(held.take()) == (EDS, {"e": b"1"}, ("none",))
-    held.receive(Request(EDS, "1", subscribe=("e",)))  # asked for again: sent again
-    assert had(held.take()) == (EDS, {"e": b"1"}, ())
-    held.receive(Request(EDS, "2", unsubscribe=("e",)))
-    held.offer(views.make(cds={"a": "2", "c": "1"}, eds={"e": "2", "none": "1"}))
-    assert had(held.take()) == (EDS, {"none": b"1"}, ())
+    snapshots, client = SnapshotBuilder(), new_subscriber(True)
+    client.set_snapshot(snapshots.make(cds={"a": "1", "b": "1"}, eds={"e": "1"}))
+    client.receive(Request(CDS))
+    client.receive(ack(client.take_response()))
+    client.set_snapshot(snapshots.make(cds={"a": "2", "c": "1"}, eds={"e": "1"}))
+    assert content_of(client.take_response()) == (CDS, {"a": b"2", "c": b"1"}, ("b",))
+    client.receive(Request(EDS, subscribe=("e", "none")))
+    assert content_of(client.take_response()) == (EDS, {"e": b"1"}, ("none",))
+    client.receive(Request(EDS, "1", subscribe=("e",)))  # a name subscribed to again is sent again
+    assert content_of(client.take_response()) == (EDS, {"e": b"1"}, ())
+    client.receive(Request(EDS, "2", unsubscribe=("e",)))
+    client.set_snapshot(snapshots.make(cds={"a": "2", "c": "1"}, eds={"e": "2", "none": "1"}))
+    assert content_of(client.take_response()) == (EDS, {"none": b"1"}, ())
 
 
 @pytest.mark.parametrize(
@@ -243,30 +262,30 @@
 def test_one_that_reconnects_is_brought_to_the_present_whatever_it_claims(
     claim: str, sent: bool, claims: bool
 ) -> None:
-    views, held = Views(), subscriber(True)
-    now = views.make(eds={"e": "now"})
+    snapshots, client = SnapshotBuilder(), new_subscriber(True)
+    now = snapshots.make(eds={"e": "now"})
     resource = now.kinds[EDS]["e"]
     version = {
         "present": resource.version,
-        "other place, same content": SEAL.version(ViewPosition(0, 3), resource.digest),
-        "older content": SEAL.version(ViewPosition(1, 1), "0" * 16),
-        "of the future": SEAL.version(ViewPosition(9, 99), "1" * 16),
+        "other place, same content": SIGNER.version(ViewPosition(0, 3), resource.digest),
+        "older content": SIGNER.version(ViewPosition(1, 1), "0" * 16),
+        "of the future": SIGNER.version(ViewPosition(9, 99), "1" * 16),
         "made up": f"9.99.{resource.digest}.{'0' * 16}",
     }.get(claim)
-    held.offer(now)
-    held.receive(Request(EDS, subscribe=("e",), initial_versions={} if version is None else {"e": version}))
-    assert bool(held.proven_positions) == claims
-    assert (held.take() is not None) == sent
-    if not sent:  # what it has proven to hold counts as accepted
-        assert held.acknowledged(EDS)["e"] is resource
+    client.set_snapshot(now)
+    client.receive(Request(EDS, subscribe=("e",), initial_versions={} if version is None else {"e": version}))
+    assert bool(client.proven_positions) == claims
+    assert (client.take_response() is not None) == sent
+    if not sent:  # content that the subscriber proved to hold counts as acknowledged
+        assert client.acknowledged(EDS)["e"] is resource
 
 
 def test_whole_state_is_sent_anew_on_a_new_stream_and_its_claim_is_kept() -> None:
-    views, held = Views(), subscriber()
-    held.offer(views.make(eds={"e": "now"}))
-    held.receive(Request(EDS, version=SEAL.version(ViewPosition(4, 2), "0" * 16), names=("e",)))
-    assert held.proven_positions == [ViewPosition(4, 2)]
-    assert had(held.take()) == (EDS, {"e": b"now"}, ())
+    snapshots, client = SnapshotBuilder(), new_subscriber()
+    client.set_snapshot(snapshots.make(eds={"e": "now"}))
+    client.receive(Request(EDS, version=SIGNER.version(ViewPosition(4, 2), "0" * 16), names=("e",)))
+    assert client.proven_positions == [ViewPosition(4, 2)]
+    assert content_of(client.take_response()) == (EDS, {"e": b"now"}, ())
 
 
 def test_make_before_break() -> None:
@@ -278,92 +297,111 @@
         "cds": {"new": ("1", ("en",))}, "eds": {"en": "1"},
         "lds": {"l": ("2", ("r",))}, "rds": {"r": ("to new", ("new",))},
     }  # fmt: skip
-    views, held = Views(), subscriber()
-    held.offer(views.make(**old))
+    snapshots, client = SnapshotBuilder(), new_subscriber()
+    client.set_snapshot(snapshots.make(**old))
     for request in (Request(CDS), Request(EDS, names=("eo",)), Request(LDS), Request(RDS, names=("r",))):
-        held.receive(request)
+        client.receive(request)
     for pair in (((CDS, ()), (EDS, ("eo",))), ((LDS, ()), (RDS, ("r",)))):
-        responses = [held.take() for _ in pair]
+        responses = [client.take_response() for _ in pair]
         assert [each and each.kind for each in responses] == [kind for kind, _ in pair]
-        assert held.take() is None  # nothing that points to it before it is there
+        assert client.take_response() is None  # resources that refer to these wait for the acknowledgements
         for response, (_, names) in zip(responses, pair, strict=True):
-            assert held.take() is None
-            held.receive(ack(response, *names))
-    held.offer(views.make(**new))
-    response = held.take()
-    assert had(response) == (CDS, {"new": b"1", "old": b"1"}, ())  # the old one is still pointed to
-    assert held.take() is None
-    held.receive(ack(response))
-    held.receive(Request(EDS, "1", names=("eo", "en")))
-    response = held.take()
-    assert had(response) == (EDS, {"en": b"1"}, ())
-    assert held.take() is None
-    held.receive(ack(response, "eo", "en"))
-    listener, routes = held.take(), held.take()
-    assert had(listener) == (LDS, {"l": b"2"}, ()) and had(routes) == (RDS, {"r": b"to new"}, ())
-    held.receive(ack(listener))
-    assert held.take() is None  # the routes are not accepted yet: the old cluster stays
-    held.receive(ack(routes, "r"))
-    assert had(held.take()) == (CDS, {"new": b"1"}, ("old",))
+            assert client.take_response() is None
+            client.receive(ack(response, *names))
+    client.set_snapshot(snapshots.make(**new))
+    response = client.take_response()
+    # The old route refers to the old cluster.
+    assert content_of(response) == (
+        CDS,
+        {"new": b"1", "old": b"1"},
+        (),
+    )
+    assert client.take_response() is None
+    client.receive(ack(response))
+    client.receive(Request(EDS, "1", names=("eo", "en")))
+    response = client.take_response()
+    assert content_of(response) == (EDS, {"en": b"1"}, ())
+    assert client.take_response() is None
+    client.receive(ack(response, "eo", "en"))
+    listener, routes = client.take_response(), client.take_response()
+    assert content_of(listener) == (LDS, {"l": b"2"}, ()) and content_of(routes) == (
+        RDS,
+        {"r": b"to new"},
+        (),
+    )
+    client.receive(ack(listener))
+    assert client.take_response() is None  # the old cluster stays until the new routes are acknowledged
+    client.receive(ack(routes, "r"))
+    assert content_of(client.take_response()) == (CDS, {"new": b"1"}, ("old",))
 
 
 def test_a_seal_is_only_good_over_what_it_was_put_on() -> None:
-    version = SEAL.version(ViewPosition(3, 41), "0123456789abcdef")
-    claim = SEAL.parse(version)
+    version = SIGNER.version(ViewPosition(3, 41), "0123456789abcdef")
+    claim = SIGNER.parse(version)
     assert claim is not None and claim.position == ViewPosition(3, 41)
     for other in (version.replace("41", "42"), version[:-1] + "0", version + "0", "", "3.41", "²" + version):
-        assert SEAL.parse(other) is None or other == version
-    assert Seal(b"another secret, as long").parse(version) is None
+        assert SIGNER.parse(other) is None or other == version
+    assert MacSigner(b"another secret, as long").parse(version) is None
 
 
-# --- who may hand out ---------------------------------------------------------------------------
+# --- when publishing is allowed -----------------------------------------------------------------
 
 
-def handout(floor: ViewPosition | None = AT_FIVE) -> ViewConsistency:
+def new_consistency(floor: ViewPosition | None = AT_FIVE) -> ViewConsistency:
     return ViewConsistency(floor, 0, timeout_ns=3 * SECOND, subscribers_wait_ns=2 * SECOND)
 
 
 def test_nothing_goes_out_before_it_is_known_to_be_the_present_and_written() -> None:
-    held = handout()
-    assert held.withheld_reason(0) is WithheldReason.NO_DISCOVERY
-    held.record_discovery(ViewPosition(1, 4), 0)
-    assert held.withheld_reason(0) is WithheldReason.BEHIND
-    assert held.position_to_write() is None  # an older place is never written
-    held.record_discovery(ViewPosition(1, 6), 0)
+    consistency = new_consistency()
+    assert consistency.withheld_reason(0) is WithheldReason.NO_DISCOVERY
+    consistency.record_discovery(ViewPosition(1, 4), 0)
+    assert consistency.withheld_reason(0) is WithheldReason.BEHIND
+    assert consistency.position_to_write() is None  # a position older than the floor is never written
+    consistency.record_discovery(ViewPosition(1, 6), 0)
     assert (
-        held.withheld_reason(0) is WithheldReason.NOT_DURABLE
-        and held.withheld_reason(0, has_only_removals=True) is None
+        consistency.withheld_reason(0) is WithheldReason.NOT_DURABLE
+        and consistency.withheld_reason(0, has_only_removals=True) is None
     )
-    held.record_written(ViewPosition(1, 6))
-    assert held.withheld_reason(0) is None
-    assert held.withheld_reason(3 * SECOND + 1) is WithheldReason.ISOLATED
-    held.record_subscriber_position(ViewPosition(1, 7))
-    assert held.withheld_reason(0) is WithheldReason.BEHIND
-    held.record_discovery(ViewPosition(2, 1), 0)  # the operator's epoch comes first
-    held.record_written(ViewPosition(2, 1))
-    assert held.withheld_reason(0) is None
+    consistency.record_written(ViewPosition(1, 6))
+    assert consistency.withheld_reason(0) is None
+    assert consistency.withheld_reason(3 * SECOND + 1) is WithheldReason.ISOLATED
+    consistency.record_subscriber_position(ViewPosition(1, 7))
+    assert consistency.withheld_reason(0) is WithheldReason.BEHIND
+    consistency.record_discovery(ViewPosition(2, 1), 0)  # a higher epoch precedes any version
+    consistency.record_written(ViewPosition(2, 1))
+    assert consistency.withheld_reason(0) is None
 
 
 def test_another_instance_vouches_or_shows_that_this_one_is_behind() -> None:
-    held = handout()
-    held.record_discovery(ViewPosition(1, 6), 0)
-    held.record_written(ViewPosition(1, 6))
-    held.record_discovery_disconnect()
-    assert held.withheld_reason(0) is WithheldReason.ISOLATED
-    held.record_peer_status("b", PeerStatus(ViewPosition(1, 6), ViewPosition(1, 5), is_connected=False), 0)
-    assert held.withheld_reason(0) is WithheldReason.ISOLATED  # it is as cut off
-    held.record_peer_status("b", PeerStatus(ViewPosition(1, 6), ViewPosition(1, 6), is_connected=True), 0)
-    assert held.withheld_reason(0) is None and held.withheld_reason(3 * SECOND + 1) is WithheldReason.ISOLATED
-    held.record_peer_status("b", PeerStatus(ViewPosition(1, 7), ViewPosition(1, 6), is_connected=True), 0)
-    assert held.withheld_reason(0) is WithheldReason.BEHIND
+    consistency = new_consistency()
+    consistency.record_discovery(ViewPosition(1, 6), 0)
+    consistency.record_written(ViewPosition(1, 6))
+    consistency.record_discovery_disconnect()
+    assert consistency.withheld_reason(0) is WithheldReason.ISOLATED
+    consistency.record_peer_status(
+        "b", PeerStatus(ViewPosition(1, 6), ViewPosition(1, 5), is_connected=False), 0
+    )
+    # The peer is disconnected from discovery too.
+    assert consistency.withheld_reason(0) is WithheldReason.ISOLATED
+    consistency.record_peer_status(
+        "b", PeerStatus(ViewPosition(1, 6), ViewPosition(1, 6), is_connected=True), 0
+    )
+    assert (
+        consistency.withheld_reason(0) is None
+        and consistency.withheld_reason(3 * SECOND + 1) is WithheldReason.ISOLATED
+    )
+    consistency.record_peer_status(
+        "b", PeerStatus(ViewPosition(1, 7), ViewPosition(1, 6), is_connected=True), 0
+    )
+    assert consistency.withheld_reason(0) is WithheldReason.BEHIND
 
 
 def test_with_a_store_that_was_lost_claims_are_awaited() -> None:
-    held = handout(None)
-    held.record_discovery(ViewPosition(1, 6), 0)
-    held.record_written(ViewPosition(1, 6))
-    assert held.withheld_reason(SECOND) is WithheldReason.AWAITING_SUBSCRIBERS
-    assert held.withheld_reason(2 * SECOND) is None
+    consistency = new_consistency(None)
+    consistency.record_discovery(ViewPosition(1, 6), 0)
+    consistency.record_written(ViewPosition(1, 6))
+    assert consistency.withheld_reason(SECOND) is WithheldReason.AWAITING_SUBSCRIBERS
+    assert consistency.withheld_reason(2 * SECOND) is None
 
 
 # --- the list and the views -----------------------------------------------------------------------
@@ -375,21 +413,25 @@
     return Endpoint(api.HostEntry(name, zone, "k", 0, state), ("10.0.0.1", port or 9000 + int(name[1:])))
 
 
-def update(version: int, *machines: Endpoint, full: bool = True) -> EndpointListUpdate:
-    return EndpointListUpdate(version, full, machines)
+def update(version: int, *listed: Endpoint, full: bool = True) -> EndpointListUpdate:
+    return EndpointListUpdate(version, full, listed)
 
 
 def test_the_list_held_never_goes_back() -> None:
-    roster = DiscoveredEndpoints()
-    assert set(roster.update(update(5, endpoint("n1"), endpoint("n2"))) or ()) == {"n1", "n2"}
-    assert set(roster.update(update(6, endpoint("n2", api.HostState.REMOVED), full=False)) or ()) == {"n2"}
-    assert roster.update(update(3, endpoint("n1"), endpoint("n2"))) is None and roster.is_behind
-    assert roster.update(update(5, endpoint("n3"), full=False)) is None
-    assert set(roster.endpoints) == {"n1"} and roster.version == 6
-    changed = roster.update(update(7, endpoint("n1", api.HostState.DRAINING), full=False))
-    assert not roster.is_behind and set(roster.endpoints) == {"n1", "n2", "n3"} and set(changed or ()) == {
-        "n1", "n2", "n3"
-    }  # fmt: skip
+    discovered = DiscoveredEndpoints()
+    assert set(discovered.update(update(5, endpoint("n1"), endpoint("n2"))) or ()) == {"n1", "n2"}
+    assert set(discovered.update(update(6, endpoint("n2", api.HostState.REMOVED), full=False)) or ()) == {
+        "n2"
+    }
+    assert discovered.update(update(3, endpoint("n1"), endpoint("n2"))) is None and discovered.is_behind
+    assert discovered.update(update(5, endpoint("n3"), full=False)) is None
+    assert set(discovered.endpoints) == {"n1"} and discovered.version == 6
+    changed = discovered.update(update(7, endpoint("n1", api.HostState.DRAINING), full=False))
+    assert (
+        not discovered.is_behind
+        and set(discovered.endpoints) == {"n1", "n2", "n3"}
+        and set(changed or ()) == {"n1", "n2", "n3"}
+    )
 
 
 def test_restrained_lists_only_take_away() -> None:
@@ -400,16 +442,16 @@
     }
     newest = {each.entry.host: each for each in (
         endpoint("n1", drain), endpoint("n3"), endpoint("n4", port=1), endpoint("n5"))}  # fmt: skip
-    kept = without_additions(before, newest)
+    kept = apply_removals_only(before, newest)
     assert {name: each.entry.state for name, each in kept.items()} == {"n1": drain, "n3": drain}
 
 
-def control(folder: Path, **more: Any) -> ControlConfig:
-    return parse_control(written(folder, **more), folder)
+def control_config(folder: Path, **more: Any) -> ControlConfig:
+    return parse_control_config(config_text(folder, **more), folder)
 
 
-def written(folder: Path, **more: Any) -> bytes:
-    """A configuration as JSON, which is YAML too."""
+def config_text(folder: Path, **more: Any) -> bytes:
+    """Return a configuration file as JSON, which is valid YAML, and write the secret file it refers to."""
     (folder / "secret").write_bytes(SECRET)
     raw = {
         "name": "c1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "secret_file": "secret",
@@ -423,27 +465,27 @@
 
 
 def core_with(
-    folder: Path, *machines: Endpoint, version: int = 1, floor: ViewPosition | None = None, **more: Any
+    folder: Path, *listed: Endpoint, version: int = 1, floor: ViewPosition | None = None, **more: Any
 ) -> Core:
-    core = Core(control(folder, **more), floor, 0, is_floor_certain=True)
-    core.record_endpoint_list(update(version, *machines), 0)
-    place = core.position_to_write()
-    if place is not None:
-        core.record_written(place, 0)
+    core = Core(control_config(folder, **more), floor, 0, is_floor_certain=True)
+    core.record_endpoint_list(update(version, *listed), 0)
+    position = core.position_to_write()
+    if position is not None:
+        core.record_written(position, 0)
     return core
 
 
-def join(
+def connect_proxy(
     core: Core, name: str = "p", incremental: bool = False, agent: str = "stand-in"
 ) -> tuple[Stream, ProxyStandIn]:
     proxy = ProxyStandIn(name, "z", incremental, agent)
     stream = core.open_stream(None, incremental, 0)
-    feed(core, stream, proxy, proxy.connect())
+    exchange(core, stream, proxy, proxy.connect())
     return stream, proxy
 
 
-def feed(core: Core, stream: Stream, proxy: ProxyStandIn, requests: list[bytes], now: int = 0) -> None:
-    """Pass requests and responses to and fro until both are silent."""
+def exchange(core: Core, stream: Stream, proxy: ProxyStandIn, requests: list[bytes], now: int = 0) -> None:
+    """Exchange requests and responses until no more are due."""
     for data in requests:
         core.handle_request(stream, *decode_request(data, proxy.incremental), now)
     while (response := core.next_response(stream, now)) is not None:
@@ -454,74 +496,74 @@
 @pytest.mark.parametrize("incremental", [False, True])
 def test_a_proxy_gets_all_and_a_drain_at_once(tmp_path: Path, incremental: bool) -> None:
     core = core_with(tmp_path, endpoint("n1"), endpoint("n2"))
-    stream, proxy = join(core, incremental=incremental)
+    stream, proxy = connect_proxy(core, incremental=incremental)
     assert proxy.complete() and set(proxy.usable()) == {"10.0.0.1:9001", "10.0.0.1:9002"}
     core.record_endpoint_list(update(2, endpoint("n1", api.HostState.DRAINING), full=False), 1)
-    feed(core, stream, proxy, [], 1)
-    assert len(proxy.usable()) == 2  # it is not written yet
+    exchange(core, stream, proxy, [], 1)
+    assert len(proxy.usable()) == 2  # the new position is not on durable storage yet
     core.record_written(ViewPosition(1, 2), 2)
-    feed(core, stream, proxy, [], 2)
+    exchange(core, stream, proxy, [], 2)
     assert set(proxy.usable()) == {"10.0.0.1:9002"}
     assert [each.address for each in proxy.endpoints() if each.draining] == ["10.0.0.1:9001"]
 
 
 def test_while_the_disk_is_full_drains_go_out_and_nothing_is_added(tmp_path: Path) -> None:
     core = core_with(tmp_path, endpoint("n1"), endpoint("n2"))
-    stream, proxy = join(core)
+    stream, proxy = connect_proxy(core)
     core.record_endpoint_list(
         update(2, endpoint("n2", api.HostState.DRAINING), endpoint("n3"), full=False), 1
     )
     core.record_write_failure(1)
-    feed(core, stream, proxy, [], 1)
+    exchange(core, stream, proxy, [], 1)
     assert set(proxy.usable()) == {"10.0.0.1:9001"} and len(proxy.endpoints()) == 2
     core.record_written(ViewPosition(1, 2), 2)
-    feed(core, stream, proxy, [], 2)
+    exchange(core, stream, proxy, [], 2)
     assert set(proxy.usable()) == {"10.0.0.1:9001", "10.0.0.1:9003"}
 
 
 @pytest.mark.parametrize(("agent", "renewed"), [("stand-in", True), ("gRPC C++", False)])
 def test_what_a_proxy_would_let_go_stale_is_renewed(tmp_path: Path, agent: str, renewed: bool) -> None:
     core = core_with(tmp_path, endpoint("n1"), stale_after_ms=3000)
-    stream, proxy = join(core, agent=agent)
+    stream, proxy = connect_proxy(core, agent=agent)
     before = proxy.responses
     for now, more in ((900 * MS, 0), (1100 * MS, 1), (1200 * MS, 1), (2200 * MS, 2)):
         core.record_discovery_contact(now)
-        feed(core, stream, proxy, [], now)
+        exchange(core, stream, proxy, [], now)
         assert proxy.responses == before + more * renewed
     core.record_discovery_disconnect()
-    feed(core, stream, proxy, [], 9 * SECOND)  # out of touch: what it has is left to go stale
+    exchange(core, stream, proxy, [], 9 * SECOND)  # without discovery the endpoints are not refreshed
     assert proxy.responses == before + 2 * renewed
 
 
 def test_a_restarted_instance_withholds_until_discovery_has_caught_up(tmp_path: Path) -> None:
     core = core_with(tmp_path, endpoint("n1"), version=4, floor=ViewPosition(1, 9))
-    stream, proxy = join(core)
+    stream, proxy = connect_proxy(core)
     assert core.withheld_reason(0) is WithheldReason.BEHIND and not proxy.responses
     core.record_endpoint_list(update(9, endpoint("n2")), 1)
-    feed(core, stream, proxy, [], 1)
+    exchange(core, stream, proxy, [], 1)
     assert set(proxy.usable()) == {"10.0.0.1:9002"}
 
 
 def test_discovery_down_for_a_minute_and_back_with_an_older_list(tmp_path: Path) -> None:
     core = core_with(tmp_path, endpoint("n1"), endpoint("n2"), version=9)
-    stream, proxy = join(core)
+    stream, proxy = connect_proxy(core)
     core.record_discovery_disconnect()
     minute = 60 * SECOND
     core.tick(minute)
     assert core.withheld_reason(minute) is WithheldReason.ISOLATED
     later = core.open_stream(None, True, minute)
     newcomer = ProxyStandIn("q", "z", True)
-    feed(core, later, newcomer, newcomer.connect(), minute)
-    assert not newcomer.responses and len(proxy.usable()) == 2  # the last good view stays
+    exchange(core, later, newcomer, newcomer.connect(), minute)
+    assert not newcomer.responses and len(proxy.usable()) == 2  # the connected proxy keeps its last view
     core.record_endpoint_list(update(7, endpoint("n1")), minute)
-    feed(core, stream, proxy, [], minute)
-    feed(core, later, newcomer, [], minute)
+    exchange(core, stream, proxy, [], minute)
+    exchange(core, later, newcomer, [], minute)
     assert set(newcomer.usable()) == set(proxy.usable()) == {"10.0.0.1:9001", "10.0.0.1:9002"}
     core.record_endpoint_list(update(8, endpoint("n2", api.HostState.DRAINING), full=False), minute)
     assert core.position_to_write() is None and core.discovered.is_behind
     core.record_endpoint_list(update(10, endpoint("n3"), full=False), minute)
     core.record_written(ViewPosition(1, 10), minute)
-    feed(core, stream, proxy, [], minute)
+    exchange(core, stream, proxy, [], minute)
     assert set(proxy.usable()) == {"10.0.0.1:9001", "10.0.0.1:9003"}
 
 
@@ -529,7 +571,7 @@
     core = core_with(tmp_path, endpoint("n1"))
     for version, why in (
         (f"9.9.{'0' * 16}.{'0' * 16}", None),
-        (SEAL.version(ViewPosition(1, 2), "0" * 16), WithheldReason.BEHIND),
+        (SIGNER.version(ViewPosition(1, 2), "0" * 16), WithheldReason.BEHIND),
     ):
         stream = core.open_stream(None, False, 0)
         core.handle_request(stream, Request(EDS, version=version, names=(ENDPOINTS,)), NodeIdentity("p"), 0)
@@ -543,7 +585,7 @@
         {"identity": "b-*", "may": ["move"], "endpoints": "nodes"},
     ]
     core = core_with(tmp_path, endpoint("n1"), subscribers=groups)
-    _, proxy = join(core, "a-1")
+    _, proxy = connect_proxy(core, "a-1")
     assert [kind.rpartition(".")[2] for kind in proxy.kinds] == [
         "Cluster", "ClusterLoadAssignment", "Listener", "RouteConfiguration"
     ]  # fmt: skip
@@ -551,7 +593,7 @@
     (table,) = proxy.kinds[RDS].resources.values()
     assert {route.route.cluster for route in table.virtual_hosts[0].routes} == {"look"}
     with pytest.raises(ProtocolError, match="may not subscribe"):
-        join(core, "c-1")
+        connect_proxy(core, "c-1")
     stream = core.open_stream(None, False, 0)
     with pytest.raises(ProtocolError, match="zone"):
         core.handle_request(stream, Request(CDS), NodeIdentity("b-1", zone="elsewhere"), 0)
@@ -559,18 +601,18 @@
 
 def test_streams_are_bounded(tmp_path: Path) -> None:
     core = core_with(tmp_path, endpoint("n1"), bounds={"streams": 3, "streams_per_identity": 1})
-    join(core, "p")
+    connect_proxy(core, "p")
     with pytest.raises(ProtocolError, match="one subscriber"):
-        join(core, "p")
-    join(core, "q")
+        connect_proxy(core, "p")
+    connect_proxy(core, "q")
     with pytest.raises(ProtocolError, match="too many streams"):
-        join(core, "r")
+        connect_proxy(core, "r")
 
 
 def test_another_configuration_reaches_subscribers_in_order(tmp_path: Path) -> None:
     core = core_with(tmp_path, endpoint("n1"))
-    stream, proxy = join(core)
-    core.reconfigure(control(tmp_path, classes=[{"name": "look", "timeout_ms": 77}]), 1)
+    stream, proxy = connect_proxy(core)
+    core.reconfigure(control_config(tmp_path, classes=[{"name": "look", "timeout_ms": 77}]), 1)
     seen: list[str] = []
 
     def verdict(kind: str, resources: list[Any]) -> str | None:
@@ -578,19 +620,21 @@
         return None if proxy.complete() else "a route leads nowhere"
 
     proxy.verdict = verdict
-    feed(core, stream, proxy, [], 1)
-    assert seen == [CDS, RDS, CDS]  # the cluster that is no more goes last
+    exchange(core, stream, proxy, [], 1)
+    assert seen == [CDS, RDS, CDS]  # the deleted cluster is removed after the routes to it
     assert proxy.complete() and set(proxy.kinds[CDS].resources) == {"look"}
     assert not stream.subscriber.rejected(RDS)
 
 
 def test_another_configuration_moves_subscribers_and_turns_some_away(tmp_path: Path) -> None:
     core = core_with(tmp_path, endpoint("n1"))
-    stays, proxy = join(core, "stays")
-    goes, _ = join(core, "goes")
-    core.reconfigure(control(tmp_path, subscribers=[{"identity": "stays", "zone": "y"}], stale_after_ms=0), 1)
+    stays, proxy = connect_proxy(core, "stays")
+    goes, _ = connect_proxy(core, "goes")
+    core.reconfigure(
+        control_config(tmp_path, subscribers=[{"identity": "stays", "zone": "y"}], stale_after_ms=0), 1
+    )
     assert (stays.zone, goes.group) == ("y", None) and core.next_response(goes, 1) is None
-    feed(core, stays, proxy, [], 1)
+    exchange(core, stays, proxy, [], 1)
     (made,) = proxy.kinds[EDS].resources.values()
     assert not made.policy.HasField("endpoint_stale_after")
 
@@ -599,8 +643,8 @@
 
 
 def test_resources_are_what_the_published_protos_say(tmp_path: Path) -> None:
-    config = control(tmp_path)
-    drafts = static_resources(config, config.groups[0])
+    config = control_config(tmp_path)
+    drafts = build_static_resources(config, config.groups[0])
     clusters = {draft.name: cluster_pb2.Cluster.FromString(draft.body) for draft in drafts[CDS]}
     assert clusters["look"].eds_cluster_config.service_name == ENDPOINTS
     assert clusters["look"].common_lb_config.healthy_panic_threshold.value == 0
@@ -611,7 +655,7 @@
     assert found == [("/look", "look"), ("/move", "move"), ("/l", "look")]
     by_class = {route.route.cluster: route.route for route in table.virtual_hosts[0].routes}
     assert by_class["look"].retry_policy.num_retries.value == 2
-    assert not by_class["move"].HasField("retry_policy")  # what must not run twice is never repeated
+    assert not by_class["move"].HasField("retry_policy")  # requests that are not idempotent get no retries
     assert by_class["move"].timeout.seconds == 5
 
 
@@ -619,14 +663,17 @@
 def test_a_wide_prefix_does_not_take_what_must_not_run_twice_into_its_retries(
     tmp_path: Path, classes: tuple[str, ...]
 ) -> None:
-    """The class that must not is one that the group may not have, or not one of the file's at all."""
+    """Guards against retries for "move", which is not idempotent, by way of the route for the prefix "/".
+
+    The class "move" has no route if the group may not subscribe to it or the file does not configure it.
+    """
     plans: list[dict[str, Any]] = [{"name": "look", "prefixes": ["/"], "retries": 2}, {"name": "move"}]
-    config = control(
+    config = control_config(
         tmp_path,
         classes=[each for each in plans if each["name"] in classes],
         subscribers=[{"identity": "*", "zone": "z", "may": ["web", "look"]}],
     )
-    (draft,) = static_resources(config, config.groups[0])[RDS]
+    (draft,) = build_static_resources(config, config.groups[0])[RDS]
     table = route_pb2.RouteConfiguration.FromString(draft.body).virtual_hosts[0].routes
     found = [(route.match.prefix, route.route.retry_policy.num_retries.value) for route in table]
     assert found == [("/move", 0), ("/", 2)]
@@ -636,9 +683,9 @@
     core = core_with(
         tmp_path, endpoint("n1"), endpoint("n2", api.HostState.DRAINING), endpoint("n3", zone="y")
     )
-    for name, form in (("a", "zones"), ("b", "nodes")):
-        snapshot = core.snapshot("z", form, core.config.groups[0], 0)
-        for kind, message in MESSAGES.items():
+    for name, locality_level in (("a", "zones"), ("b", "nodes")):
+        snapshot = core.snapshot("z", locality_level, core.config.groups[0], 0)
+        for kind, message in MESSAGE_TYPES.items():
             for resource in snapshot.kinds[kind].values():
                 assert not list(faults(message.FromString(resource.body))), name
     bad = cluster_pb2.Cluster()
@@ -663,7 +710,7 @@
     addresses = {f"n{at}": ("10.0.0.1", at) for at in range(1, 5)}
     parts = group_by_locality(shares, (("z",), ("y",)))
     made = endpoint_pb2.ClusterLoadAssignment.FromString(
-        AssignmentBuilder("zones", 60_000).draft(parts, addresses).body
+        AssignmentBuilder("zones", 60_000).build(parts, addresses).body
     )
     parts_ = made.endpoints
     assert [(part.locality.zone, part.priority, part.load_balancing_weight.value) for part in parts_] == [
@@ -672,7 +719,7 @@
     assert [each.health_status for each in made.endpoints[0].lb_endpoints] == [0, 2, 3]
     assert made.policy.endpoint_stale_after.seconds == 60
     made = endpoint_pb2.ClusterLoadAssignment.FromString(
-        AssignmentBuilder("nodes", 60_000).draft(parts, addresses).body
+        AssignmentBuilder("nodes", 60_000).build(parts, addresses).body
     )
     parts_ = made.endpoints
     assert [(part.locality.sub_zone, part.priority, part.load_balancing_weight.value) for part in parts_] == [
@@ -713,11 +760,10 @@
     fleet, sidecar = FleetBalancer(parsed, 1), Balancer(parsed, 1)
     for each in (fleet, sidecar):
         each.start(0)
-        each.handle(
-            api.HostListUpdated(api.ListKind.FULL, entries(12)), 0
-        )  # a sidecar uses so many at the least
+        # Twelve hosts are the minimum that a sidecar uses.
+        each.handle(api.HostListUpdated(api.ListKind.FULL, entries(12)), 0)
         each.handle(api.TimerFired(0), SECOND)
-    mine, theirs = ([standing.weight for standing in host_statuses(each)] for each in (fleet, sidecar))
+    mine, theirs = ([host_status.weight for host_status in host_statuses(each)] for each in (fleet, sidecar))
     assert mine == pytest.approx(theirs) and min(mine) > 0
 
 
@@ -738,8 +784,8 @@
         fleet.handle(api.TimerFired(0), now)
     weights = {each.host: each.weight for each in host_statuses(fleet)}
     usual = weights["n10"]
-    assert usual > 0 and weights["n00"] < usual / 2  # busy
-    assert weights["n01"] < usual / 2 and weights["n02"] < usual / 2  # failing, late
+    assert usual > 0 and weights["n00"] < usual / 2  # n00 reports a high load
+    assert weights["n01"] < usual / 2 and weights["n02"] < usual / 2  # n01 fails, and n02 is slow
     fleet.record_outcomes(ReportedOutcomes("nobody", "look", 1, 1), now)
     fleet.record_outcomes(ReportedOutcomes("n03", "no class", 1, 1), now)
 
@@ -754,19 +800,21 @@
 def test_rounding_stays_until_a_weight_has_moved() -> None:
     rounder = WeightRounder(0.1)
 
-    def standing(name: str, weight: float, state: api.HostState = api.HostState.READY) -> HostStatus:
+    def host_status(name: str, weight: float, state: api.HostState = api.HostState.READY) -> HostStatus:
         return HostStatus(name, "z", state, weight, 0.0, 1.0, None)
 
-    first = rounder.round([standing("a", 32), standing("b", 32), standing("c", 0, api.HostState.DRAINING)])
+    first = rounder.round(
+        [host_status("a", 32), host_status("b", 32), host_status("c", 0, api.HostState.DRAINING)]
+    )
     assert [(share.weight, share.is_draining) for share in first] == [
         (MEAN_WEIGHT, False),
         (MEAN_WEIGHT, False),
         (0, True),
     ]
-    assert rounder.round([standing("a", 33), standing("b", 31)]) == first[:2]
-    moved = rounder.round([standing("a", 64), standing("b", 0.001)])
+    assert rounder.round([host_status("a", 33), host_status("b", 31)]) == first[:2]
+    moved = rounder.round([host_status("a", 64), host_status("b", 0.001)])
     assert [share.weight for share in moved] == [2 * MEAN_WEIGHT, 1]
-    assert [share.weight for share in rounder.round([standing("a", 64), standing("b", 0.0)])] == [
+    assert [share.weight for share in rounder.round([host_status("a", 64), host_status("b", 0.0)])] == [
         2 * MEAN_WEIGHT,
         0,
     ]
@@ -774,7 +822,7 @@
 
 @pytest.mark.parametrize("use", [0.3, 0.6, 0.8, 0.9])
 def test_weights_that_are_followed_blindly_settle(use: float) -> None:
-    """Nodes of unlike capacity, whose use follows from the weights of a period ago."""
+    """Guards against oscillating weights: nodes differ in capacity, and their load follows old weights."""
     capacity = {"a": 60.0, "b": 100.0, "c": 140.0, "d": 100.0}
     offered = use * sum(capacity.values())
     damper = WeightDamper()
@@ -814,16 +862,16 @@
     part.cpu_utilization.num_requests_finished_with_metric, part.cpu_utilization.total_metric_value = 5, 1.0
     stranger = cluster.upstream_locality_stats.add(total_successful_requests=5)
     stranger.locality.sub_zone = "n9"
-    sums, who = decode_loads(report.SerializeToString())
-    assert who.id == "p"
+    samples, node = decode_load_report(report.SerializeToString())
+    assert node.id == "p"
     core = core_with(tmp_path, endpoint("n1"), endpoint("n2"))
-    core.record_load_report("z", sums)
+    core.record_load_report("z", samples)
     assert core.zones["z"].load_reports.unknown == 1
-    told = {each.host: each for each in core.zones["z"].load_reports.drain()}
-    assert told["n1"].report == api.LoadReport(0.5, 100.0) and told["n1"].latency_ns is None
-    assert (told["n1"].served, told["n1"].failed, told["n2"].served) == (9, 1, 5)
+    outcomes = {each.host: each for each in core.zones["z"].load_reports.drain()}
+    assert outcomes["n1"].report == api.LoadReport(0.5, 100.0) and outcomes["n1"].latency_ns is None
+    assert (outcomes["n1"].served, outcomes["n1"].failed, outcomes["n2"].served) == (9, 1, 5)
     with pytest.raises(ProtocolError):
-        decode_loads(b"\xff\xff")
+        decode_load_report(b"\xff\xff")
 
 
 # --- storage --------------------------------------------------------------------------------------
@@ -832,7 +880,7 @@
 def test_the_store_keeps_the_highest_place_and_counts_starts(tmp_path: Path) -> None:
     path = str(tmp_path / "s.db")
     for start in (1, 2, 3):
-        store = Store(path, SEAL)
+        store = Store(path, SIGNER)
         store.record_start()
         assert store.starts == start and store.floor == (None if start == 1 else ViewPosition(1, start + 5))
         store.write(ViewPosition(1, 6 + start))
@@ -840,36 +888,36 @@
         store.close()
 
 
-@pytest.mark.parametrize("harm", ["torn", "not a database", "another's row", "empty"])
-def test_a_store_that_cannot_be_read_is_put_aside(tmp_path: Path, harm: str) -> None:
+@pytest.mark.parametrize("damage", ["torn", "not a database", "another's row", "empty"])
+def test_a_store_that_cannot_be_read_is_put_aside(tmp_path: Path, damage: str) -> None:
     path = tmp_path / "s.db"
-    store = Store(str(path), SEAL if harm != "another's row" else Seal(b"another secret, as long"))
+    store = Store(str(path), SIGNER if damage != "another's row" else MacSigner(b"another secret, as long"))
     store.write(ViewPosition(1, 9))
     store.close()
     whole = path.read_bytes()
-    if harm == "torn":
+    if damage == "torn":
         path.write_bytes(whole[: len(whole) // 2 + 100])
-    elif harm == "not a database":
+    elif damage == "not a database":
         path.write_bytes(b"\0" * 100 + whole[::-1])
-    elif harm == "empty":
+    elif damage == "empty":
         path.write_bytes(b"")
-    store = Store(str(path), SEAL)
-    assert store.floor is None and store.was_lost == (harm != "empty")
+    store = Store(str(path), SIGNER)
+    assert store.floor is None and store.had_corrupt_file == (damage != "empty")
     store.write(ViewPosition(1, 10))
     store.close()
-    assert Store(str(path), SEAL).floor == ViewPosition(1, 10)
+    assert Store(str(path), SIGNER).floor == ViewPosition(1, 10)
 
 
 def test_a_disk_that_is_full_fails_the_write_and_keeps_what_was_there(tmp_path: Path) -> None:
-    """In a process of its own that may write no file past a size."""
+    """Runs in a separate process whose file size is limited, so that writes fail as on a full disk."""
     script = textwrap.dedent("""
         import resource, signal, sys
         from brambleusher.xds.store import Store, StoreError
-        from brambleusher.xds.versions import Seal
+        from brambleusher.xds.versions import MacSigner
         from brambleusher.loadbalancing.view_consistency import ViewPosition
         signal.signal(signal.SIGXFSZ, signal.SIG_IGN)
-        path, seal = sys.argv[1], Seal(b"a secret for the tests")
-        store = Store(path, seal)
+        path, signer = sys.argv[1], MacSigner(b"a secret for the tests")
+        store = Store(path, signer)
         store.record_start()
         store.write(ViewPosition(1, 1))
         resource.setrlimit(resource.RLIMIT_FSIZE, (100, resource.RLIM_INFINITY))
@@ -890,18 +938,18 @@
         check=True,
     )
     assert done.stdout.split("\n")[:3] == ["failed", "(1, 1)", "(1, 3)"]
-    assert Store(str(tmp_path / "s.db"), SEAL).floor == ViewPosition(1, 3)
+    assert Store(str(tmp_path / "s.db"), SIGNER).floor == ViewPosition(1, 3)
 
 
 def test_writes_fail_alone(tmp_path: Path) -> None:
-    store = Store(str(tmp_path / "s.db"), SEAL)
+    store = Store(str(tmp_path / "s.db"), SIGNER)
     store.write(ViewPosition(1, 1))
     store.close()
     with pytest.raises(StoreError):
         store.write(ViewPosition(1, 2))
 
 
-# --- the file ---------------------------------------------------------------------------------------
+# --- the configuration file -------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
@@ -932,16 +980,16 @@
 )
 def test_faults_in_the_file_name_the_key(tmp_path: Path, change: dict[str, Any], names: str) -> None:
     with pytest.raises(ControlError, match=names):
-        control(tmp_path, **change)
+        control_config(tmp_path, **change)
 
 
 def test_the_file_is_read_from_disk_with_a_sidecars_settings(tmp_path: Path) -> None:
     (tmp_path / "sidecar.json").write_text(json.dumps({"settings": SETTINGS}))
     path = tmp_path / "control.yaml"
-    path.write_bytes(written(tmp_path, settings=None, settings_file="sidecar.json"))
-    config = load_control(str(path))
+    path.write_bytes(config_text(tmp_path, settings=None, settings_file="sidecar.json"))
+    config = load_control_config(str(path))
     assert [cls.name for cls in config.settings.classes] == ["look", "move"]
-    assert config.group_of("x") == Group("*", "z")
+    assert config.group_of("x") == SubscriberGroup("*", "z")
 
 
 def test_the_example_is_one_that_can_be_used(tmp_path: Path) -> None:
@@ -954,8 +1002,8 @@
     classes = [SETTINGS["classes"][0] | {"name": name, "effect": effect} for name, effect in names]
     (tmp_path / "config.json").write_text(json.dumps({"settings": SETTINGS | {"classes": classes}}))
     (tmp_path / "control.secret").write_bytes(SECRET)
-    config = parse_control(example.read_bytes(), tmp_path)
-    assert [plan.retries for plan in config.classes] == [2, 2, 0]
+    config = parse_control_config(example.read_bytes(), tmp_path)
+    assert [class_config.retries for class_config in config.classes] == [2, 2, 0]
     assert config.group_of("market-one-3") == config.groups[0] and not config.groups[0].may_subscribe_to(
         "transfer-record"
     )
@@ -966,7 +1014,7 @@
 
 @pytest.fixture
 def quiet() -> Iterator[None]:
-    """Thousands of warnings are what these schedules are about."""
+    """Disable logging, since these schedules cause thousands of expected warnings."""
     logging.disable(logging.CRITICAL)
     yield
     logging.disable(logging.NOTSET)
@@ -982,7 +1030,7 @@
 @pytest.mark.parametrize(("breakage", "first"), [("store", 29), ("claims", 41), ("silence", 8), ("floor", 0)])
 def test_the_checker_catches_what_would_break_that(tmp_path: Path, breakage: str, first: int) -> None:
     assert breakage in control_history.BREAKAGES
-    for seed in range(first, first + 200):  # where it has been caught at first, to save time
+    for seed in range(first, first + 200):  # `first` is the first seed that caught the breakage
         try:
             control_history.run(seed, tmp_path, breakage)
         except control_history.Violation:
