--- a/brambleusher/load/__init__.py
+++ b/brambleusher/load/__init__.py
@@ -1,5 +1,5 @@
-"""Demand: from HAR files, access logs, JSON lines and captures to a demand file, and from there to load.
+"""Build demand files from HAR files, access logs, JSON lines and captures, and replay them as load.
 
-It knows nothing of the sidecar; the player alone stands on `runtime`, so that it plays on sockets and
-in virtual time.
+The package does not depend on the sidecar.  Only the player uses `runtime`, so that a demand file can be
+replayed both on sockets and in virtual time.
 """
--- a/brambleusher/load/access_log.py
+++ b/brambleusher/load/access_log.py
@@ -1,4 +1,4 @@
-"""Access logs in any of Apache's `LogFormat`s, by the apachelogs library."""
+"""Parse access logs in any Apache `LogFormat`, with the apachelogs library."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from brambleusher.load.request import LeftOut, Row
 from brambleusher.load.times import SECOND, from_datetime
 
-# The combined format, and the same with the platform's headers and the time taken.
+# `platform` is the combined format with the response time and the platform's headers added.
 FORMATS = {
     "common": apachelogs.COMMON,
     "combined": apachelogs.COMBINED,
@@ -23,18 +23,18 @@
     + ' %D "%{Request-Class}i" "%{Tenant}i" "%{Work-Hint}i" "%{Request-Timeout-Ms}i" "%{Request-Id}i"'
     ' "%{Client-Retry}i" "%{Content-Length}i"',
 }
-KNOWN = 2000  # texts of one directive that are remembered
+MAX_CACHED_VALUES = 2000  # cached values of one directive
 _LEAP = re.compile(r"(:\d\d):60(?=[ \]])")
 _HTTP = re.compile(r"HTTP/\d(\.\d)?\Z")
-_PARTS_OF_SECOND = ("milliepoch", "microepoch", "msec_frac", "usec_frac")
+_SUBSECOND_FIELDS = ("milliepoch", "microepoch", "msec_frac", "usec_frac")
 
 
 class Line:
-    """Reads lines of one `LogFormat` as the library does, but for its objects.
+    """Parses lines of one `LogFormat` as the library does, but without building its entry objects.
 
-    The library's entries make a case-blind dictionary for every header of every line, which takes twice
-    as long as all else.  Here the values of a format go into plain dictionaries, and what a directive's
-    text comes to is remembered while it is repeated.
+    The library builds a case-insensitive dictionary of headers for every line, which takes twice as long as
+    the rest of the parsing.  This class stores the values in plain dictionaries, and caches the converted
+    value of each text of a directive.
     """
 
     def __init__(self, log_format: str) -> None:
@@ -42,89 +42,89 @@
         self._fullmatch = re.compile(pattern).fullmatch
         self._directives = tuple(directive for _, directive, _ in groups)
         names = [name if isinstance(name, tuple) else ("", name) for name, _, _ in groups]
-        self._places = tuple((name[0], name[-1]) for name in names)
+        self._value_paths = tuple((name[0], name[-1]) for name in names)
         self._converters = tuple(converter for _, _, converter in groups)
-        self._known: tuple[dict[str, Any], ...] = tuple({} for _ in groups)
+        self._caches: tuple[dict[str, Any], ...] = tuple({} for _ in groups)
 
     def parse(self, text: str) -> tuple[dict[str, Any], dict[str, Any]]:
-        """Values by the library's names for them, and by directive; raises `ValueError`, `LeftOut`."""
-        found = self._fullmatch(text)
-        if found is None:
+        """Parse a line to values by library name and by directive; raises `ValueError`, `LeftOut`."""
+        match = self._fullmatch(text)
+        if match is None:
             raise LeftOut("unreadable", text[:80])
         values = []
-        for text, known, converter in zip(found.groups(), self._known, self._converters, strict=True):
+        for text, cache, converter in zip(match.groups(), self._caches, self._converters, strict=True):
             try:
-                value = known[text]
+                value = cache[text]
             except KeyError:
                 value = converter(text)
                 if isinstance(value, bytes):
                     value = value.decode("latin-1")
-                if len(known) >= KNOWN:
-                    known.clear()
-                known[text] = value
+                if len(cache) >= MAX_CACHED_VALUES:
+                    cache.clear()
+                cache[text] = value
             values.append(value)
-        had: dict[str, Any] = {"headers_in": {}}
-        for (part, name), value in zip(self._places, values, strict=True):
-            if part:
-                inner = had.setdefault(part, {})
+        entry: dict[str, Any] = {"headers_in": {}}
+        for (group, name), value in zip(self._value_paths, values, strict=True):
+            if group:
+                inner = entry.setdefault(group, {})
                 if inner.get(name) is None:
                     inner[name] = value
-            elif had.get(name) is None:
-                had[name] = value
-        for part in [part for part in had if part.endswith("request_time_fields")]:
-            had[part.removesuffix("_fields")] = assemble_datetime(had[part])
-        return had, dict(zip(self._directives, values, strict=True))
+            elif entry.get(name) is None:
+                entry[name] = value
+        for group in [group for group in entry if group.endswith("request_time_fields")]:
+            entry[group.removesuffix("_fields")] = assemble_datetime(entry[group])
+        return entry, dict(zip(self._directives, values, strict=True))
 
 
 class AccessLog:
-    """Lines of one `LogFormat` to rows."""
+    """Converts lines of one `LogFormat` to rows."""
 
     def __init__(self, log_format: str, zone: tzinfo | None = None) -> None:
-        """Raises `ValueError` where the format is none."""
+        """Compile the format; raises `ValueError` if it is invalid."""
         try:
             self._parse = Line(FORMATS.get(log_format, log_format)).parse
         except (apachelogs.InvalidDirectiveError, apachelogs.UnknownDirectiveError) as error:
-            raise ValueError(f"the LogFormat can't be used: {error}") from None
+            raise ValueError(f"invalid LogFormat: {error}") from None
         except re.error as error:
-            raise ValueError(f"the LogFormat can't be used: {error}") from None
+            raise ValueError(f"invalid LogFormat: {error}") from None
         self._zone = zone
 
     def row(self, number: int, line: bytes) -> Row:
-        """One line; raises `LeftOut`."""
-        text = line.decode("latin-1")  # as headers are; what is no text comes back as the same bytes
+        """Convert one line to a row; raises `LeftOut`."""
+        text = line.decode("latin-1")  # Latin-1, as in HTTP headers, maps every byte back to itself
         leap = False
         try:
-            had, named = self._parse(text)
+            entry, directives = self._parse(text)
         except (ValueError, OverflowError):
-            # A directive's value is of the right form and makes no sense, such as the 32nd of a month.
+            # A value matches the pattern of its directive but is out of range, such as the 32nd of a month.
             text, count = _LEAP.subn(r"\1:59", text, count=1)
             try:
                 if not count:
                     raise ValueError
-                (had, named), leap = self._parse(text), True
+                (entry, directives), leap = self._parse(text), True
             except (ValueError, OverflowError):
                 raise LeftOut("bad-time", text[:80]) from None
-        at_ns, whole = self._time(had)
-        method, origin, target = _asked(had)
-        fields = tuple((name, value) for name, value in had["headers_in"].items() if value is not None)
+        at_ns, has_full_seconds = self._time(entry)
+        method, origin, target = _request_line(entry)
+        fields = tuple((name, value) for name, value in entry["headers_in"].items() if value is not None)
         return Row(
-            number, at_ns + (SECOND if leap else 0), whole, method, target,
+            number, at_ns + (SECOND if leap else 0), has_full_seconds, method, target,
             {name.lower(): value for name, value in fields}, fields,
-            origin=origin, status=_first(had, "final_status", "status", "original_status"),
-            took_ns=_took(had), named=named, leap=leap,
+            origin=origin, status=_first(entry, "final_status", "status", "original_status"),
+            took_ns=_response_time_ns(entry), named=directives, leap=leap,
         )  # fmt: skip
 
-    def _time(self, had: Mapping[str, Any]) -> tuple[int, bool]:
-        """When the request came; where the log has only when it ended, the time taken is subtracted."""
+    def _time(self, entry: Mapping[str, Any]) -> tuple[int, bool]:
+        """Compute when the request arrived, from its end and duration if only the end is logged."""
         for prefix in ("", "begin_", "final_", "original_"):
-            moment = had.get(f"{prefix}request_time")
+            moment = entry.get(f"{prefix}request_time")
             if moment is not None:
-                return self._moment(moment, had[f"{prefix}request_time_fields"])
-        moment, took = had.get("end_request_time"), _took(had)
-        if moment is None or took is None:
+                return self._moment(moment, entry[f"{prefix}request_time_fields"])
+        moment, took_ns = entry.get("end_request_time"), _response_time_ns(entry)
+        if moment is None or took_ns is None:
             raise LeftOut("no-time")
-        ended, whole = self._moment(moment, had["end_request_time_fields"])
-        return ended - took, whole
+        ended, has_full_seconds = self._moment(moment, entry["end_request_time_fields"])
+        return ended - took_ns, has_full_seconds
 
     def _moment(self, moment: datetime, fields: Mapping[str, Any]) -> tuple[int, bool]:
         at_ns = from_datetime(moment, self._zone)
@@ -135,51 +135,51 @@
                 at_ns += fields["msec_frac"] * 1_000_000
         if at_ns < 0:
             raise LeftOut("bad-time", moment.isoformat())
-        return at_ns, not any(fields.get(name) is not None for name in _PARTS_OF_SECOND)
+        return at_ns, not any(fields.get(name) is not None for name in _SUBSECOND_FIELDS)
 
 
-def _first(had: Mapping[str, Any], *names: str) -> Any:
+def _first(entry: Mapping[str, Any], *names: str) -> Any:
     for name in names:
-        if had.get(name) is not None:
-            return had[name]
+        if entry.get(name) is not None:
+            return entry[name]
     return None
 
 
-def _took(had: Mapping[str, Any]) -> int | None:
-    """The time taken, where the log has it finer than in seconds."""
+def _response_time_ns(entry: Mapping[str, Any]) -> int | None:
+    """Return the response time in nanoseconds, or None if it is logged in whole seconds or not at all."""
     for name, scale in (
         ("request_duration_microseconds", 1_000),
         ("request_duration_milliseconds", 1_000_000),
     ):
-        if had.get(name) is not None:
-            return int(had[name]) * scale
+        if entry.get(name) is not None:
+            return int(entry[name]) * scale
     return None
 
 
-def _asked(had: Mapping[str, Any]) -> tuple[str, str | None, str]:
-    """Method, origin and target, from the request line or its parts."""
-    line = _first(had, "request_line", "original_request_line", "final_request_line")
+def _request_line(entry: Mapping[str, Any]) -> tuple[str, str | None, str]:
+    """Return method, origin and target, from the request line or its parts."""
+    line = _first(entry, "request_line", "original_request_line", "final_request_line")
     if line is not None:
         words = line.split(" ")
         if len(words) != 3 or not _HTTP.match(words[2]):
             raise LeftOut("no-request", line[:80])
         method, target = words[0], words[1]
     else:
-        method, path = had.get("request_method"), _first(had, "request_uri", "original_request_uri")
+        method, path = entry.get("request_method"), _first(entry, "request_uri", "original_request_uri")
         if method is None or path is None:
             raise LeftOut("no-request")
-        target = path + (had.get("request_query") or "")
+        target = path + (entry.get("request_query") or "")
     return method, *split_url(target, fragments=False)
 
 
 def split_url(url: str, fragments: bool = True) -> tuple[str | None, str]:
-    """Origin and target; what follows a URL's `#` is never sent.  Raises `LeftOut`."""
+    """Split a URL into origin and target without its fragment, which is never sent; raises `LeftOut`."""
     if fragments:
         url = url.partition("#")[0]
     if url.startswith("/"):
         return None, url
-    found = re.match(r"(https?://[^/?]+)(.*)\Z", url, re.I | re.S)
-    if found is None:
+    match = re.match(r"(https?://[^/?]+)(.*)\Z", url, re.I | re.S)
+    if match is None:
         raise LeftOut("bad-target", url[:80])
-    rest = found[2]
-    return found[1], rest if rest.startswith("/") else f"/{rest}"
+    path = match[2]
+    return match[1], path if path.startswith("/") else f"/{path}"
--- a/brambleusher/load/build.py
+++ b/brambleusher/load/build.py
@@ -1,4 +1,4 @@
-"""Build a demand file: read sources, map and sort their rows, spread times, write; memory is bounded."""
+"""Build a demand file: read, map and sort the rows of sources, and spread their times, in bounded memory."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from brambleusher.load.sources import How, form_of, requests
 from brambleusher.load.times import SECOND
 
-MAX_WINDOW_ROWS = 40_000  # in the windows of all sources together, which bounds memory
-MIN_WINDOW_ROWS = 1000  # of one source, however many there are
+MAX_WINDOW_ROWS = 40_000  # limit over the windows of all sources, to bound memory
+MIN_WINDOW_ROWS = 1000  # lower limit for the window of one source
 
 
 @dataclass(frozen=True)
 class Plan:
-    """What a build reads and how."""
+    """Sources and options of a build."""
 
     sources: Sequence[Path]
     how: How = field(default_factory=How)
@@ -49,7 +49,7 @@
     """Write the demand file.
 
     Raises:
-        SourceError: a source is invalid; no file is left then.
+        SourceError: a source is invalid; no file is written then.
     """
     report = Report()
     forms = [plan.how.form or form_of(path) for path in plan.sources]
@@ -67,7 +67,7 @@
 
 
 def _read(plan: Plan, path: Path, form: str, report: Report, progress: Progress | None) -> Iterator[Timed]:
-    """Read the requests of a source, in several processes if that is wanted and possible."""
+    """Read the requests of a source, with several processes if requested and supported by the format."""
     if plan.processes > 1 and form in ("access", "json"):
         from brambleusher.load.parallel import requests as parallel_requests
 
@@ -76,7 +76,7 @@
 
 
 def _sort(stream: Iterator[Timed], window: Window, report: Report) -> Iterator[Timed]:
-    """Sort the requests of a source, and report those that are left out or were moved."""
+    """Sort the requests of a source, and report those that were rejected or reordered."""
     for timed in stream:
         yield from window.add(timed)
         if window.late:
--- a/brambleusher/load/fidelity.py
+++ b/brambleusher/load/fidelity.py
@@ -1,4 +1,4 @@
-"""How true a play was: what came against what stands in the demand, by window and by request."""
+"""Compare the requests that a server received with the demand file, by time window and by request."""
 
 from __future__ import annotations
 
@@ -11,34 +11,34 @@
 
 
 class Heard(NamedTuple):
-    """A request as it came to a server; `at_ns` is after the play's start."""
+    """A request as a server received it; `at_ns` counts nanoseconds from the start of the replay."""
 
     at_ns: int
-    name: str  # its id
+    name: str  # value of Request-Id
     request_class: str
     tenant: str | None
     hint: str | None
     retry: bool
     target: str
-    size: int  # of its body
+    size: int  # size of the body in bytes
 
 
 @dataclass
 class Window:
-    """So many requests of each class, due and come."""
+    """Counts of due and of received requests by class in one time window."""
 
     due: dict[str, int] = field(default_factory=dict)
     came: dict[str, int] = field(default_factory=dict)
 
     @property
     def rate_off(self) -> float:
-        """By how much the count differs, as a part of what was due."""
+        """Difference between received and due requests, as a fraction of the due requests."""
         due, came = sum(self.due.values()), sum(self.came.values())
         return abs(came - due) / due if due else float(came > 0)
 
     @property
     def mix_off(self) -> float:
-        """By how much the share of any class differs at most."""
+        """Largest difference between the due and the received share of any class."""
         due, came = sum(self.due.values()), sum(self.came.values())
         if not due or not came:
             return float(due != came)
@@ -50,34 +50,34 @@
 
 @dataclass
 class Fidelity:
-    """The windows in order, and what came otherwise than it stood."""
+    """Time windows in order, with counts of missing, duplicate, unknown and altered requests."""
 
     window_ns: int
     windows: list[Window]
     requests: int = 0
     missing: int = 0
     twice: int = 0
-    strange: int = 0  # that nobody sent
-    other: dict[str, int] = field(default_factory=dict)  # by what differs
-    first: list[str] = field(default_factory=list)  # a few of these, in words
+    strange: int = 0  # received requests that are not in the demand file
+    other: dict[str, int] = field(default_factory=dict)  # altered requests by differing attribute
+    first: list[str] = field(default_factory=list)  # descriptions of the first few altered requests
 
     @property
     def rate_off(self) -> float:
-        """Of the worst window."""
+        """Largest `rate_off` of any window."""
         return max((window.rate_off for window in self.windows), default=0.0)
 
     @property
     def mix_off(self) -> float:
-        """Of the worst window."""
+        """Largest `mix_off` of any window."""
         return max((window.mix_off for window in self.windows), default=0.0)
 
     @property
     def exact(self) -> bool:
-        """Whether every request came once and as it stood."""
+        """Whether every request was received exactly once and unaltered."""
         return not (self.missing or self.twice or self.strange or self.other)
 
     def plain(self) -> dict[str, Any]:
-        """As JSON values."""
+        """Return the comparison as JSON values."""
         return {
             "requests": self.requests, "rate_off": self.rate_off, "mix_off": self.mix_off,
             "exact": self.exact, "missing": self.missing, "twice": self.twice, "strange": self.strange,
@@ -87,7 +87,7 @@
 
     @classmethod
     def restored(cls, raw: dict[str, Any]) -> Fidelity:
-        """What `plain` made."""
+        """Restore a comparison from the result of `plain`."""
         return cls(
             round(raw["window_s"] * SECOND), [Window(each["due"], each["came"]) for each in raw["windows"]],
             raw["requests"], raw["missing"], raw["twice"], raw["strange"], raw["other"], raw["first"],
@@ -96,17 +96,26 @@
 
 def compared(
     requests: Iterable[Request],
-    heard: Iterable[Heard],
+    received: Iterable[Heard],
     name: Callable[[int], str],
     target: Callable[[Request], str],
     speed: float = 1.0,
     window_ns: int = 10 * SECOND,
 ) -> Fidelity:
-    """Hold what came against the demand; `name` tells a request's id by its number, `target` its target."""
+    """Compare received requests with the demand.
+
+    Args:
+        requests: the requests of the demand, in order.
+        received: the received requests.
+        name: returns the id of a request by its number.
+        target: returns the target of a request as it is sent.
+        speed: the speed factor of the replay.
+        window_ns: the width of a window in nanoseconds of demand time.
+    """
     fidelity = Fidelity(window_ns, [])
     windows = fidelity.windows
     came: dict[str, Heard] = {}
-    for each in heard:
+    for each in received:
         if each.name in came:
             fidelity.twice += 1
         came[each.name] = each
@@ -118,30 +127,32 @@
         fidelity.requests += 1
         window = _window(windows, (request.at_ns - start_ns) // window_ns)
         window.due[request.request_class] = window.due.get(request.request_class, 0) + 1
-        got = came.pop(name(number), None)
-        if got is None:
+        actual = came.pop(name(number), None)
+        if actual is None:
             fidelity.missing += 1
             continue
         hint = None if request.hint_us is None else str(request.hint_us)
-        for what, stood, is_now in (
-            ("class", request.request_class, got.request_class), ("tenant", request.tenant, got.tenant),
-            ("hint", hint, got.hint), ("retry", request.retry, got.retry),
-            ("target", target(request), got.target), ("size", request.size, got.size),
+        for attribute, expected, found in (
+            ("class", request.request_class, actual.request_class), ("tenant", request.tenant, actual.tenant),
+            ("hint", hint, actual.hint), ("retry", request.retry, actual.retry),
+            ("target", target(request), actual.target), ("size", request.size, actual.size),
         ):  # fmt: skip
-            if stood != is_now:
-                fidelity.other[what] = fidelity.other.get(what, 0) + 1
+            if expected != found:
+                fidelity.other[attribute] = fidelity.other.get(attribute, 0) + 1
                 if len(fidelity.first) < 5:
-                    fidelity.first.append(f"request {number}: {what} is {is_now!r} in place of {stood!r}")
+                    fidelity.first.append(
+                        f"request {number}: {attribute} is {found!r}, expected {expected!r}"
+                    )
     fidelity.strange = len(came)
-    _close_last(windows)
+    _merge_trailing_window(windows)
     return fidelity
 
 
-def _close_last(windows: list[Window]) -> None:
-    """Count what came within a window after the demand's end in the last one that has demand.
+def _merge_trailing_window(windows: list[Window]) -> None:
+    """Merge the window that directly follows the end of the demand into the last window with demand.
 
-    Guards against a last request that is milliseconds late: alone in a window of its own it would be off by
-    all of nothing.  What comes later still keeps its windows.
+    Otherwise a last request that arrives milliseconds late would be alone in a window without due requests,
+    whose deviation would be 100%.  Requests that arrive later keep their own windows.
     """
     if len(windows) > 1 and not windows[-1].due and windows[-2].due:
         for name, count in windows.pop().came.items():
--- a/brambleusher/load/har.py
+++ b/brambleusher/load/har.py
@@ -1,4 +1,4 @@
-"""HAR 1.2: entries to rows, one entry in memory at a time, and requests back to HAR."""
+"""Convert HAR 1.2 entries to rows, with one entry in memory at a time, and requests back to HAR."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 from brambleusher.load.request import LeftOut, Request, Row, SourceError
 from brambleusher.load.times import from_text, to_text
 
-MOST_ENTRY = 64 * 1024 * 1024  # bytes of one entry, its answer's content included
-CHUNK = 1024 * 1024
+MAX_ENTRY_BYTES = 64 * 1024 * 1024  # limit in bytes for one entry including the response content
+READ_CHUNK_BYTES = 1024 * 1024
 _STRING = rb'"[^"\\]*+(?:\\.[^"\\]*+)*+"'
-# The next bracket outside strings, however much stands before it.
+# Matches up to the next bracket outside strings.
 _BRACKET = re.compile(rb'(?:[^"{}\[\]]++|' + _STRING + rb")*+([{}\[\]])", re.S)
 _TOKEN = re.compile(rb"\s*+(?:(" + _STRING + rb')\s*+(:?)|([{}\[\],:])|([^\s"{}\[\],:]++))', re.S)
 _SPACE = re.compile(rb"\s*+")
@@ -28,14 +28,14 @@
 
 
 class Pair(msgspec.Struct):
-    """A header or a parameter."""
+    """A header or a form parameter."""
 
     name: str
     value: str = ""
 
 
 class PostData(msgspec.Struct):
-    """A request's body; `encoding` is an extension that some exporters write."""
+    """Body of a request; `encoding` is an extension that some exporters write."""
 
     mimeType: str = ""
     text: str | None = None
@@ -45,7 +45,7 @@
 
 
 class Asked(msgspec.Struct):
-    """The request of an entry."""
+    """Request of a HAR entry."""
 
     method: str
     url: str
@@ -55,13 +55,13 @@
 
 
 class Answered(msgspec.Struct):
-    """What is needed of an entry's response."""
+    """Response of a HAR entry, limited to the status."""
 
     status: Any = 0
 
 
 class Entry(msgspec.Struct):
-    """One of `log.entries`."""
+    """An element of `log.entries`."""
 
     request: Asked
     response: Answered | None = None
@@ -72,77 +72,75 @@
 
 
 class Entries:
-    """Cuts `log.entries` out of a JSON text that is read piece by piece.
+    """Extracts the elements of `log.entries` from a JSON text that is read in chunks.
 
-    Only brackets and strings are looked at; an entry's own text is read by the JSON library, so one that
-    is faulty is left out alone.
+    The extraction looks only at brackets and strings.  The JSON library parses each entry separately, so an
+    invalid entry is rejected without affecting the others.
     """
 
     def __init__(self, file: io.BufferedReader, name: str) -> None:
         self._file, self._name = file, name
         self._buffer = bytearray()
-        self._at = 0  # in the buffer
-        self._base = 0  # of the buffer, in the file
-        self._entry = -1  # where the one under way begins in the file; it stays in the buffer
+        self._at = 0  # read position in the buffer
+        self._base = 0  # file offset of the start of the buffer
+        self._entry = -1  # file offset of the current entry, which stays in the buffer; -1: none
         self._number = 0
         self._ended = False
 
     def __iter__(self) -> Iterator[bytes]:
-        """The text of each entry; raises `SourceError` where the file is no HAR file, or ends too early."""
-        self._open()
-        while self._next() != b"]":
+        """Yield the text of each entry; raises `SourceError` if the file is no HAR file or is truncated."""
+        self._skip_to_entries()
+        while self._peek_byte() != b"]":
             if self._number:
-                if self._next() != b",":
-                    raise self._error(
-                        f"neither a comma nor the list's end stands behind entry {self._number}"
-                    )
+                if self._peek_byte() != b",":
+                    raise self._error(f"expected a comma or the end of the list after entry {self._number}")
                 self._at += 1
-                self._next()
+                self._peek_byte()
             self._number += 1
-            yield self._value()
+            yield self._entry_text()
         self._at += 1
-        self._close()
+        self._check_ending()
 
     def _error(self, text: str) -> SourceError:
         return SourceError(f"{self._name}: byte {self._base + self._at}: {text}")
 
-    def _more(self) -> bool:
+    def _read_more(self) -> bool:
         if not self._ended:
-            done = self._at if self._entry < 0 else self._entry - self._base
-            if len(self._buffer) - done > MOST_ENTRY:
-                raise self._error("there are more than 64 MiB in one entry or text here")
-            del self._buffer[:done]
-            self._base += done
-            self._at -= done
-            data = self._file.read(CHUNK)
+            consumed = self._at if self._entry < 0 else self._entry - self._base
+            if len(self._buffer) - consumed > MAX_ENTRY_BYTES:
+                raise self._error("an entry or a string is longer than 64 MiB")
+            del self._buffer[:consumed]
+            self._base += consumed
+            self._at -= consumed
+            data = self._file.read(READ_CHUNK_BYTES)
             self._ended = not data
             self._buffer += data
         return not self._ended
 
     def _match(self, pattern: re.Pattern[bytes]) -> re.Match[bytes] | None:
-        """A match here that more of the file would not change."""
+        """Match at the current position, reading more of the file while that could change the match."""
         while True:
-            found = pattern.match(self._buffer, self._at)
-            if found is not None and found.end() < len(self._buffer):
-                return found
-            if not self._more():
+            match = pattern.match(self._buffer, self._at)
+            if match is not None and match.end() < len(self._buffer):
+                return match
+            if not self._read_more():
                 return pattern.match(self._buffer, self._at)
 
-    def _next(self) -> bytes:
-        """The next byte that is not white space; empty at the end."""
-        found = self._match(_SPACE)
-        self._at = found.end() if found is not None else self._at
+    def _peek_byte(self) -> bytes:
+        """Skip white space and return the next byte, or an empty value at the end of the file."""
+        match = self._match(_SPACE)
+        self._at = match.end() if match is not None else self._at
         return bytes(self._buffer[self._at : self._at + 1])
 
     def _tokens(self) -> Iterator[tuple[bytes, bool]]:
-        """Brackets, commas, texts and the rest, and whether it is a key."""
-        while (found := self._match(_TOKEN)) is not None:
-            self._at = found.end()
-            yield found[1] or found[3] or found[4], bool(found[2])
-
-    def _open(self) -> None:
-        """Go to behind the bracket that begins the list."""
-        self._more()
+        """Yield JSON tokens, each with whether the token is an object key."""
+        while (match := self._match(_TOKEN)) is not None:
+            self._at = match.end()
+            yield match[1] or match[3] or match[4], bool(match[2])
+
+    def _skip_to_entries(self) -> None:
+        """Advance past the bracket that opens `log.entries`."""
+        self._read_more()
         if self._buffer.startswith(b"\xef\xbb\xbf"):
             self._at = 3
         stack: list[bytes] = []
@@ -161,34 +159,34 @@
                 stack.pop()
         raise self._error("this is no HAR file: it has no log.entries")
 
-    def _value(self) -> bytes:
+    def _entry_text(self) -> bytes:
         self._entry, depth = self._base + self._at, 0
         while True:
-            opens = depth or self._next() in (b"{", b"[")
-            found = self._match(_BRACKET) if opens else self._match(_SCALAR)
-            if found is None:
+            is_container = depth or self._peek_byte() in (b"{", b"[")
+            match = self._match(_BRACKET) if is_container else self._match(_SCALAR)
+            if match is None:
                 self._at = self._entry - self._base
                 raise self._error(f"entry {self._number} has no end")
-            self._at = found.end()
-            if opens:
-                depth += 1 if found[1] in (b"{", b"[") else -1
+            self._at = match.end()
+            if is_container:
+                depth += 1 if match[1] in (b"{", b"[") else -1
             if not depth:
                 text = bytes(self._buffer[self._entry - self._base : self._at])
                 self._entry = -1
                 return text
 
-    def _close(self) -> None:
+    def _check_ending(self) -> None:
         depth = 2
         for token, _ in self._tokens():
             depth += (token in (b"{", b"[")) - (token in (b"}", b"]"))
             if depth < 0 or (depth == 0 and token != b"}"):
-                raise self._error("something stands behind the end of the JSON text")
+                raise self._error("unexpected data after the end of the JSON text")
         if depth:
             raise self._error("the file ends before the JSON text does")
 
 
 def rows(file: io.BufferedReader, name: str) -> Iterator[Row | tuple[int, LeftOut]]:
-    """Each entry as a row, or as what kept it from being one; raises `SourceError`."""
+    """Yield each entry as a row, or its number with the reason for its rejection; raises `SourceError`."""
     decode = msgspec.json.Decoder(Entry).decode
     for number, text in enumerate(Entries(file, name), 1):
         try:
@@ -202,7 +200,7 @@
 
 
 def row(number: int, entry: Entry) -> Row:
-    """One entry; raises `LeftOut`."""
+    """Convert one entry to a row; raises `LeftOut`."""
     if entry.from_cache or entry.served_from_cache:
         raise LeftOut("from-cache")
     status = entry.response.status if entry.response is not None else 0
@@ -210,7 +208,7 @@
         raise LeftOut("aborted", f"status {status}"[:40])
     if not entry.startedDateTime:
         raise LeftOut("no-time")
-    at_ns, whole, leap = from_text(entry.startedDateTime)
+    at_ns, in_seconds, leap = from_text(entry.startedDateTime)
     origin, target = split_url(entry.request.url)
     fields = tuple((pair.name, pair.value) for pair in entry.request.headers)
     headers = joined(fields)
@@ -218,36 +216,36 @@
     took = entry.time
     took_ns = round(took * 1e6) if type(took) in (int, float) and 0 <= took < 1e12 else None
     return Row(
-        number, at_ns, whole, entry.request.method, target, headers, fields, body, size, origin, status,
+        number, at_ns, in_seconds, entry.request.method, target, headers, fields, body, size, origin, status,
         took_ns, leap=leap,
     )  # fmt: skip
 
 
-def _body(asked: Asked, headers: dict[str, str]) -> tuple[bytes | None, int | None]:
-    """The body and its size; None where the entry does not say."""
-    stated = asked.bodySize
-    size = int(stated) if type(stated) in (int, float) and 0 <= stated < 2**53 else None
+def _body(request: Asked, headers: dict[str, str]) -> tuple[bytes | None, int | None]:
+    """Return the body and its size, each None if the entry does not give it."""
+    stated_size = request.bodySize
+    size = int(stated_size) if type(stated_size) in (int, float) and 0 <= stated_size < 2**53 else None
     length = headers.get("content-length")
     if length is not None and length.isascii() and length.isdecimal() and len(length) < 16:
         size = int(length)
-    post = asked.postData
-    if post is None:
+    post_data = request.postData
+    if post_data is None:
         return None, size
-    if post.text:
-        encoding = post.encoding or post.other_encoding
+    if post_data.text:
+        encoding = post_data.encoding or post_data.other_encoding
         if encoding == "base64":
             try:
-                body = base64.b64decode(post.text, validate=True)
+                body = base64.b64decode(post_data.text, validate=True)
             except (binascii.Error, ValueError):
                 raise LeftOut("body-not-kept", "postData is not base64") from None
         elif encoding:
             raise LeftOut("body-not-kept", f"postData is encoded as {encoding[:40]}")
         else:
-            body = encoded(post.text)
-    elif post.params:
-        if not post.mimeType.startswith("application/x-www-form-urlencoded") or size is None:
+            body = encoded(post_data.text)
+    elif post_data.params:
+        if not post_data.mimeType.startswith("application/x-www-form-urlencoded") or size is None:
             raise LeftOut("body-not-kept", "postData has parameters and no text")
-        body = urlencode([(pair.name, pair.value) for pair in post.params]).encode()
+        body = urlencode([(pair.name, pair.value) for pair in post_data.params]).encode()
     elif size:
         return None, size
     else:
@@ -258,7 +256,7 @@
 
 
 def write(requests: Iterable[Request], file: TextIO, version: str) -> int:
-    """Requests as a HAR file; says how many.  A body that is no text is written as base64."""
+    """Write requests as a HAR file and return their number; a body that is not UTF-8 becomes base64."""
     file.write(
         '{"log":{"version":"1.2","creator":{"name":"brambleusher","version":"' + version + '"},"entries":['
     )
@@ -272,23 +270,23 @@
 
 
 def entry_of(request: Request) -> dict[str, Any]:
-    """One request as an entry of a HAR file."""
+    """Convert one request to a HAR entry."""
     took_ms = (request.took_ns or 0) / 1e6
-    asked: dict[str, Any] = {
+    request_object: dict[str, Any] = {
         "method": request.method, "url": f"{request.origin or 'http://localhost'}{request.target}",
         "httpVersion": "HTTP/1.1", "cookies": [], "queryString": [], "headersSize": -1,
         "bodySize": request.size,
         "headers": [{"name": name, "value": value} for name, value in request.headers],
     }  # fmt: skip
     if request.body:
-        kind = next((value for name, value in request.headers if name.lower() == "content-type"), "")
+        content_type = next((value for name, value in request.headers if name.lower() == "content-type"), "")
         try:
-            asked["postData"] = {"mimeType": kind, "text": request.body.decode()}
+            request_object["postData"] = {"mimeType": content_type, "text": request.body.decode()}
         except UnicodeDecodeError:
             text = base64.b64encode(request.body).decode()
-            asked["postData"] = {"mimeType": kind, "text": text, "encoding": "base64"}
+            request_object["postData"] = {"mimeType": content_type, "text": text, "encoding": "base64"}
     return {
-        "startedDateTime": to_text(request.at_ns), "time": took_ms, "request": asked, "cache": {},
+        "startedDateTime": to_text(request.at_ns), "time": took_ms, "request": request_object, "cache": {},
         "response": {
             "status": request.status or 200, "statusText": "", "httpVersion": "HTTP/1.1", "cookies": [],
             "headers": [], "content": {"size": 0, "mimeType": ""}, "redirectURL": "", "headersSize": -1,
--- a/brambleusher/load/json_lines.py
+++ b/brambleusher/load/json_lines.py
@@ -1,4 +1,4 @@
-"""Logs of one JSON object a line, with named fields."""
+"""Parse logs with one JSON object per line and configurable field names."""
 
 from __future__ import annotations
 
@@ -13,40 +13,40 @@
 
 
 class Names(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """Which field says what; a dot leads into an object.  A name that is not there says nothing."""
+    """Names of the log fields; a dot separates the keys of nested objects.  A missing field has no value."""
 
     time: str = "time"
     method: str = "method"
-    url: str = "url"  # whole, or a path with its query; or else path and query apart
+    url: str = "url"  # absolute URL or path with query; `path` and `query` replace a missing URL
     path: str = "path"
     query: str = "query"
     status: str = "status"
     took_ms: str = "took_ms"
-    headers: str = "headers"  # an object, or a list of pairs
-    body: str = "body"  # text
-    size: str = "size"  # of the request's body
+    headers: str = "headers"  # an object or a list of pairs
+    body: str = "body"  # name of the body, which must be a string
+    size: str = "size"  # size of the request body in bytes
 
 
 def found(record: Any, name: str) -> Any:
-    """A field's value, None where it is not there; a name with dots is tried as it stands first."""
+    """Return a field or None; a dotted name is looked up as one key first, then as a path."""
     if isinstance(record, dict) and name in record:
         return record[name]
-    for part in name.split("."):
+    for key in name.split("."):
         if not isinstance(record, dict):
             return None
-        record = record.get(part)
+        record = record.get(key)
     return record
 
 
 class JsonLines:
-    """Lines to rows.  `unit` is that of times which are numbers: `s`, `ms`, `us` or `ns`."""
+    """Converts lines to rows; `unit` is the unit of numeric times: `s`, `ms`, `us` or `ns`."""
 
     def __init__(self, names: Names | None = None, unit: str = "s", zone: tzinfo | None = None) -> None:
         self._names, self._unit, self._zone = names or Names(), unit, zone
         self._decode = msgspec.json.Decoder().decode
 
     def row(self, number: int, line: bytes) -> Row:
-        """One line; raises `LeftOut`."""
+        """Convert one line to a row; raises `LeftOut`."""
         try:
             record = self._decode(line)
         except (msgspec.DecodeError, RecursionError, ValueError) as error:
@@ -54,30 +54,30 @@
         if not isinstance(record, dict):
             raise LeftOut("unreadable", "not an object")
         names = self._names
-        at_ns, whole, leap = self._time(found(record, names.time))
+        at_ns, has_full_seconds, leap = self._time(found(record, names.time))
         method = found(record, names.method)
         if not isinstance(method, str):
-            raise LeftOut("no-request", f"{names.method} is missing or no text")
+            raise LeftOut("no-request", f"{names.method} is missing or no string")
         url = found(record, names.url)
         if url is None:
             url, query = found(record, names.path), found(record, names.query)
             if isinstance(url, str) and isinstance(query, str) and query:
                 url = f"{url}{query}" if query.startswith("?") else f"{url}?{query}"
         if not isinstance(url, str):
-            raise LeftOut("no-request", f"{names.url} or {names.path} is missing or no text")
+            raise LeftOut("no-request", f"{names.url} or {names.path} is missing or no string")
         origin, target = split_url(url)
         fields = _headers(found(record, names.headers))
         body, size = found(record, names.body), found(record, names.size)
         if body is not None and not isinstance(body, str):
-            raise LeftOut("body-not-kept", f"{names.body} is no text")
+            raise LeftOut("body-not-kept", f"{names.body} is no string")
         if size is not None and (type(size) is not int or size < 0):
             raise LeftOut("bad-size", f"{names.size} is {size!r}")
-        status, took = found(record, names.status), found(record, names.took_ms)
+        status, took_ms = found(record, names.status), found(record, names.took_ms)
         return Row(
-            number, at_ns, whole, method, target, joined(fields), fields,
+            number, at_ns, has_full_seconds, method, target, joined(fields), fields,
             None if body is None else encoded(body), size, origin,
             status if type(status) is int else _status(status),
-            round(took * 1e6) if isinstance(took, int | float) and 0 <= took < 1e12 else None,
+            round(took_ms * 1e6) if isinstance(took_ms, int | float) and 0 <= took_ms < 1e12 else None,
             record, leap=leap,
         )  # fmt: skip
 
@@ -92,7 +92,7 @@
 
 
 def encoded(text: str) -> bytes:
-    """A text's bytes; raises `LeftOut` where it has half a character."""
+    """Encode a string as UTF-8; raises `LeftOut` if it has a lone surrogate."""
     try:
         return text.encode()
     except UnicodeEncodeError:
@@ -100,7 +100,7 @@
 
 
 def joined(fields: tuple[tuple[str, str], ...]) -> dict[str, str]:
-    """Headers by name in lower case, repeated ones joined."""
+    """Return headers by lower-case name, with the values of repeated headers joined."""
     headers: dict[str, str] = {}
     for name, value in fields:
         name = name.lower()
@@ -109,7 +109,7 @@
 
 
 def not_text(line: bytes) -> bool:
-    """Whether bytes are no UTF-8."""
+    """Return whether the bytes are not valid UTF-8."""
     try:
         line.decode()
     except UnicodeDecodeError:
@@ -134,6 +134,6 @@
         name, value = pair
         for each in value if isinstance(value, list) else [value]:
             if isinstance(each, bool) or not isinstance(each, str | int | float):
-                raise LeftOut("bad-header", f"{name} is neither text nor number")
+                raise LeftOut("bad-header", f"{name} is neither a string nor a number")
             fields.append((name, str(each)))
     return tuple(fields)
--- a/brambleusher/load/mapping.py
+++ b/brambleusher/load/mapping.py
@@ -1,4 +1,4 @@
-"""What a row means: class, tenant, hint and the rest, by a mapping file or by the platform's headers."""
+"""Convert rows to requests, with a mapping file or by the headers of the platform."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 from brambleusher.load.times import zone_of
 
 MAX_HEAD = 64 * 1024
-KNOWN = 1000  # names of headers that are remembered
+MAX_CACHED_NAMES = 1000  # limit of the cache of valid header names
 _STATUS = re.compile(r"(\d)xx\Z|(\d{3})(?:-(\d{3}))?\Z")
 _NUMBER = re.compile(r"[0-9]{1,15}(\.[0-9]{1,9})?\Z", re.A)
 _DIGITS = re.compile(r"[0-9]{1,12}\Z", re.A)
@@ -35,49 +35,47 @@
 
 
 class MappingError(ValueError):
-    """A mapping that can't be used; the message names the key."""
+    """A mapping is invalid; the message names the key."""
 
 
 class Times(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """How times are meant where the source leaves it open."""
+    """Zone and unit of times for which the source states neither."""
 
     zone: str | None = None
     unit: str = "s"
 
 
 class Take(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """Where a value comes from: exactly one of the first four.  None of them: `default` alone."""
+    """Origin of a value: `header`, `query`, `path` or `field`, or only a `default`."""
 
     header: str | None = None
     query: str | None = None
-    path: str | None = None  # a regular expression; its first group, or all of it
-    field: str | None = None  # a JSON field, or a directive of the LogFormat such as %v
-    pattern: str | None = None  # a regular expression on the value; its first group, or all of it
-    values: dict[str, Scalar] | None = (
-        None  # the value by what it stands for; one not there counts as missing
-    )
-    scale: float = 1.0  # of a number
+    path: str | None = None  # regular expression on the path; the value is its first group or the whole match
+    field: str | None = None  # a JSON field or a LogFormat directive such as %v
+    pattern: str | None = None  # regular expression on the value; selects its first group or the whole match
+    values: dict[str, Scalar] | None = None  # translation table; a value without entry counts as missing
+    scale: float = 1.0  # factor for a numeric value
     default: Scalar | None = None
 
 
 class Retry(Take, forbid_unknown_fields=True, frozen=True):
-    """Where a retry is marked: any value, or one of these."""
+    """Origin of the retry flag, which is set by any value or only by the values in `equals`."""
 
     equals: list[Scalar] | None = None
 
 
 class Send(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """How requests of a rule are to be sent."""
+    """Method and path that replace those of the requests that match a rule."""
 
     method: str | None = None
     path: str | None = None
 
 
 class Rule(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """A class, or what is left out, by what must hold of a row; all that is given must."""
+    """A rule that assigns a class to matching rows or rejects them; all given conditions must hold."""
 
     name: str | None = msgspec.field(default=None, name="class")
-    leave_out: str | None = None  # why
+    leave_out: str | None = None  # reason for the rejection of matching rows
     method: str | list[str] | None = None
     path: str | None = None
     query: dict[str, str] = {}
@@ -87,7 +85,7 @@
 
 
 class Mapping(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """A mapping file."""
+    """Content of a mapping file."""
 
     version: int = 1
     time: Times = Times()
@@ -100,11 +98,11 @@
     retry: Retry | None = None
     size: Take | None = None
     tenants: list[str] | None = None
-    only: list[str] | None = None  # classes; others are left out
+    only: list[str] | None = None  # accepted classes; rows of other classes are rejected
 
 
 def read_mapping(path: str | Path) -> Mapping:
-    """A mapping file; raises `MappingError`."""
+    """Read and validate a mapping file; raises `MappingError`."""
     try:
         text = Path(path).read_bytes()
     except OSError as error:
@@ -116,53 +114,53 @@
 
 
 def parse_mapping(text: bytes) -> Mapping:
-    """A mapping in YAML; raises `MappingError`."""
+    """Parse and validate a mapping in YAML; raises `MappingError`."""
     try:
         raw = yaml.safe_load(text)
     except (yaml.YAMLError, UnicodeDecodeError, ValueError, RecursionError) as error:
-        mark = getattr(error, "problem_mark", None)
-        where = f"line {mark.line + 1}, column {mark.column + 1}: " if mark else ""
+        position = getattr(error, "problem_mark", None)
+        where = f"line {position.line + 1}, column {position.column + 1}: " if position else ""
         raise MappingError(f"{where}not YAML: {getattr(error, 'problem', None) or error}") from None
     try:
         mapping = msgspec.convert({} if raw is None else raw, Mapping)
     except (msgspec.ValidationError, RecursionError) as error:
         raise MappingError(str(error)) from None
-    Reader(mapping)  # checks what the types don't
+    Reader(mapping)  # validates the constraints that the types do not express
     return mapping
 
 
 class Reader:
-    """Rows to requests, as one mapping says."""
+    """Converts rows to requests according to a mapping."""
 
     def __init__(self, mapping: Mapping | None = None) -> None:
-        """Raises `MappingError`."""
+        """Compile the mapping; raises `MappingError`."""
         self.mapping = mapping = mapping or Mapping()
         if mapping.version != 1:
             raise MappingError(f"version is {mapping.version}; only 1 can be read")
         if mapping.time.unit not in ("s", "ms", "us", "ns"):
-            raise MappingError("time.unit is none of s, ms, us, ns")
+            raise MappingError("time.unit must be s, ms, us or ns")
         try:
             self.zone: tzinfo | None = None if mapping.time.zone is None else zone_of(mapping.time.zone)
         except ValueError as error:
             raise MappingError(f"time.zone: {error}") from None
         if mapping.classes is not None and not mapping.classes:
             raise MappingError("classes is empty")
-        self._rules = [_Rule(rule, f"classes[{at}]") for at, rule in enumerate(mapping.classes or [])]
-        self._tenant = _taker(mapping.tenant, "tenant", Take(header="Tenant"))
-        self._hint = _taker(mapping.hint_us, "hint_us", Take(header="Work-Hint"))
-        self._timeout = _taker(mapping.timeout_ms, "timeout_ms", Take(header="Request-Timeout-Ms"))
-        self._key = _taker(mapping.key, "key", Take(header="Request-Id"))
+        self._rules = [_CompiledRule(rule, f"classes[{at}]") for at, rule in enumerate(mapping.classes or [])]
+        self._tenant = _value_extractor(mapping.tenant, "tenant", Take(header="Tenant"))
+        self._hint = _value_extractor(mapping.hint_us, "hint_us", Take(header="Work-Hint"))
+        self._timeout = _value_extractor(mapping.timeout_ms, "timeout_ms", Take(header="Request-Timeout-Ms"))
+        self._key = _value_extractor(mapping.key, "key", Take(header="Request-Id"))
         retry = mapping.retry or Retry(header="Client-Retry", equals=["1"])
-        self._retry = _taker(retry, "retry", retry)
-        self._marks = None if retry.equals is None else {_text(each) for each in retry.equals}
-        self._size = _taker(mapping.size, "size", Take(header="Content-Length"))
-        self._names: set[str] = set()  # of headers, that can be sent
+        self._retry = _value_extractor(retry, "retry", retry)
+        self._retry_values = None if retry.equals is None else {_text(each) for each in retry.equals}
+        self._size = _value_extractor(mapping.size, "size", Take(header="Content-Length"))
+        self._valid_names: set[str] = set()  # cache of valid header names
         self._stated_size = mapping.size is not None
         self._tenants = None if mapping.tenants is None else frozenset(mapping.tenants)
         self._only = None if mapping.only is None else frozenset(mapping.only)
 
     def request(self, row: Row) -> Request:
-        """One row as a request; raises `LeftOut`."""
+        """Convert a row to a request; raises `LeftOut`."""
         if not TOKEN.match(row.method):
             raise LeftOut("bad-method", row.method[:40])
         if not TARGET.match(row.target):
@@ -172,7 +170,7 @@
         method, target = row.method, row.target
         path, _, query = target.partition("?")
         if self._rules:
-            name, send = self._ruled(row, path, query)
+            name, send = self._match_rule(row, path, query)
             method = send.method or method
             if send.path is not None:
                 target = f"{send.path}?{query}" if query else send.path
@@ -185,26 +183,26 @@
             raise LeftOut("bad-tenant", str(tenant)[:40])
         if tenant is not None and not VALUE.match(tenant):
             raise LeftOut("bad-tenant", tenant[:40])
-        mark = self._retry(row, path, query)
-        self._check(row.fields)
-        body, size = row.body, self._sized(row, method, path, query)
+        retry_value = self._retry(row, path, query)
+        self._check_headers(row.fields)
+        body, size = row.body, self._body_size(row, method, path, query)
         return Request(
             row.at_ns, name, method, target, tenant, _number(self._hint(row, path, query), "bad-hint"),
             _millis(self._timeout(row, path, query)), self._key(row, path, query),
-            mark is not None and (self._marks is None or mark in self._marks),
+            retry_value is not None and (self._retry_values is None or retry_value in self._retry_values),
             row.fields, body, size, row.origin, row.status, row.took_ns,
         )  # fmt: skip
 
-    def _check(self, fields: Fields) -> None:
-        """That headers can be sent."""
-        names = self._names
+    def _check_headers(self, fields: Fields) -> None:
+        """Check that the headers can be sent; raises `LeftOut`."""
+        valid_names = self._valid_names
         for name, _ in fields:
-            if name not in names:
-                # A name that begins with a colon is HTTP/2's; it is kept and never sent.
+            if name not in valid_names:
+                # Pseudo-headers of HTTP/2 begin with a colon; they are recorded but never sent.
                 if not TOKEN.match(name.removeprefix(":")):
                     raise LeftOut("bad-header", name[:40])
-                if len(names) < KNOWN:
-                    names.add(name)
+                if len(valid_names) < MAX_CACHED_NAMES:
+                    valid_names.add(name)
         values = "".join([value for _, value in fields])
         if not VALUE.match(values):
             bad = next(name for name, value in fields if not VALUE.match(value))
@@ -213,15 +211,15 @@
         if head > MAX_HEAD:
             raise LeftOut("bad-header", f"{head} bytes of headers")
 
-    def _ruled(self, row: Row, path: str, query: str) -> tuple[str, Send]:
+    def _match_rule(self, row: Row, path: str, query: str) -> tuple[str, Send]:
         for rule in self._rules:
-            if rule.fits(row, path, query):
+            if rule.matches(row, path, query):
                 if rule.leave_out is not None:
                     raise LeftOut("by-mapping", rule.leave_out)
                 return rule.name, rule.send
         raise LeftOut("no-class", f"{row.method} {path[:60]}")
 
-    def _sized(self, row: Row, method: str, path: str, query: str) -> int:
+    def _body_size(self, row: Row, method: str, path: str, query: str) -> int:
         if row.body is not None:
             size = len(row.body)
         else:
@@ -241,14 +239,14 @@
         return size
 
 
-class _Rule:
-    """A rule, ready to be asked."""
+class _CompiledRule:
+    """A rule with compiled patterns."""
 
     def __init__(self, rule: Rule, where: str) -> None:
         if (rule.name is None) == (rule.leave_out is None):
             raise MappingError(f"{where} has neither or both of class and leave_out")
         if rule.name is not None and not TOKEN.match(rule.name):
-            raise MappingError(f"{where}.class: {rule.name!r} can't stand in a path")
+            raise MappingError(f"{where}.class: {rule.name!r} can't be used in a path")
         self.name, self.leave_out, self.send = rule.name or "", rule.leave_out, rule.send
         if rule.send.method is not None and not TOKEN.match(rule.send.method):
             raise MappingError(f"{where}.send.method: {rule.send.method!r} is no method")
@@ -264,16 +262,16 @@
         statuses = (
             rule.status if isinstance(rule.status, list) else [] if rule.status is None else [rule.status]
         )
-        self._statuses = [_statuses(each, f"{where}.status") for each in statuses]
+        self._status_ranges = [_status_ranges(each, f"{where}.status") for each in statuses]
 
-    def fits(self, row: Row, path: str, query: str) -> bool:
-        """Whether all that the rule asks for holds."""
+    def matches(self, row: Row, path: str, query: str) -> bool:
+        """Return whether a row meets all conditions of the rule."""
         if self._methods is not None and row.method.upper() not in self._methods:
             return False
         if self._path is not None and not self._path.search(path):
             return False
-        if self._statuses and not any(
-            row.status is not None and low <= row.status <= high for low, high in self._statuses
+        if self._status_ranges and not any(
+            row.status is not None and low <= row.status <= high for low, high in self._status_ranges
         ):
             return False
         for name, pattern in self._headers:
@@ -281,18 +279,18 @@
             if value is None or not pattern.search(value):
                 return False
         if self._query:
-            asked = parse_qs(query, keep_blank_values=True)
+            parameters = parse_qs(query, keep_blank_values=True)
             for name, pattern in self._query:
-                if not any(pattern.search(value) for value in asked.get(name, ())):
+                if not any(pattern.search(value) for value in parameters.get(name, ())):
                     return False
         return True
 
 
-def _taker(take: Take | None, where: str, usual: Take) -> Callable[[Row, str, str], str | None]:
-    """A function that takes a value from a row as text; None where it is missing."""
-    take = take or usual
-    given = [name for name in ("header", "query", "path", "field") if getattr(take, name) is not None]
-    if len(given) > 1 or (not given and take.default is None):
+def _value_extractor(take: Take | None, where: str, fallback: Take) -> Callable[[Row, str, str], str | None]:
+    """Return a function that extracts a value from a row as text, or None if the value is missing."""
+    take = take or fallback
+    origins = [name for name in ("header", "query", "path", "field") if getattr(take, name) is not None]
+    if len(origins) > 1 or (not origins and take.default is None):
         raise MappingError(f"{where} must have one of header, query, path, field, or a default")
     default = None if take.default is None else _text(take.default)
     values = None if take.values is None else {key: _text(value) for key, value in take.values.items()}
@@ -300,57 +298,57 @@
     if not take.scale > 0:
         raise MappingError(f"{where}.scale is not above 0")
     scale = take.scale
-    fetch = _fetcher(take, where)
+    fetch = _raw_value_getter(take, where)
     if values is None and pattern is None and scale == 1 and default is None:
         return fetch
 
-    def taken(row: Row, path: str, query: str) -> str | None:
+    def extract(row: Row, path: str, query: str) -> str | None:
         value = fetch(row, path, query)
         if value is not None and pattern is not None:
-            hit = pattern.search(value)
-            value = None if hit is None else _group(hit)
+            match = pattern.search(value)
+            value = None if match is None else _matched_text(match)
         if value is not None and values is not None:
             value = values.get(value)
         if value is None:
             return default
         return _scaled(value, scale) if scale != 1 else value
 
-    return taken
+    return extract
 
 
-def _fetcher(take: Take, where: str) -> Callable[[Row, str, str], str | None]:
+def _raw_value_getter(take: Take, where: str) -> Callable[[Row, str, str], str | None]:
     if take.header is not None:
         name = take.header.lower()
         return lambda row, path, query: row.headers.get(name)
     if take.query is not None:
-        word = take.query
+        parameter = take.query
 
-        def asked(row: Row, path: str, query: str) -> str | None:
-            values = parse_qs(query, keep_blank_values=True).get(word)
+        def from_query(row: Row, path: str, query: str) -> str | None:
+            values = parse_qs(query, keep_blank_values=True).get(parameter)
             return values[0] if values else None
 
-        return asked
+        return from_query
     if take.path is not None:
         pattern = _pattern(take.path, f"{where}.path")
 
-        def on_path(row: Row, path: str, query: str) -> str | None:
-            hit = pattern.search(path)
-            return None if hit is None else _group(hit)
+        def from_path(row: Row, path: str, query: str) -> str | None:
+            match = pattern.search(path)
+            return None if match is None else _matched_text(match)
 
-        return on_path
+        return from_path
     if take.field is not None:
         field = take.field
 
-        def named(row: Row, path: str, query: str) -> str | None:
+        def from_field(row: Row, path: str, query: str) -> str | None:
             value = row.named.get(field) if field.startswith("%") else found(row.named, field)
             return None if value is None or isinstance(value, dict | list) else _text(value)
 
-        return named
+        return from_field
     return lambda row, path, query: None
 
 
-def _group(hit: re.Match[str]) -> str | None:
-    return hit[1] if hit.re.groups else hit[0]
+def _matched_text(match: re.Match[str]) -> str | None:
+    return match[1] if match.re.groups else match[0]
 
 
 def _pattern(text: str, where: str) -> re.Pattern[str]:
@@ -360,13 +358,13 @@
         raise MappingError(f"{where}: {text!r} is no regular expression: {error}") from None
 
 
-def _statuses(value: Scalar, where: str) -> tuple[int, int]:
-    hit = _STATUS.match(str(value))
-    if hit is None:
+def _status_ranges(value: Scalar, where: str) -> tuple[int, int]:
+    match = _STATUS.match(str(value))
+    if match is None:
         raise MappingError(f"{where}: {value!r} is no status, such as 404, 2xx or 200-299")
-    if hit[1]:
-        return int(hit[1]) * 100, int(hit[1]) * 100 + 99
-    return int(hit[2]), int(hit[3] or hit[2])
+    if match[1]:
+        return int(match[1]) * 100, int(match[1]) * 100 + 99
+    return int(match[2]), int(match[3] or match[2])
 
 
 def _text(value: Any) -> str:
@@ -376,7 +374,7 @@
 
 
 def _scaled(text: str, scale: float) -> str:
-    """A number times a scale; what is no number stays as it is, to be found out later."""
+    """Multiply a numeric text by a scale; returns other text unchanged, for a later check to reject."""
     if not _NUMBER.match(text):
         return text
     value = float(text) * scale
@@ -400,13 +398,13 @@
 
 
 def _platform_class(row: Row, path: str) -> str:
-    """The class as the platform's requests name it: in the path's first part, and in a header."""
-    named = path[1:].split("/", 1)[0]
-    stated = row.headers.get("request-class")
-    if named == "ready" and row.method == "GET" and stated is None:
+    """Return the class from the first path segment, which must agree with the Request-Class header."""
+    path_class = path[1:].split("/", 1)[0]
+    header_class = row.headers.get("request-class")
+    if path_class == "ready" and row.method == "GET" and header_class is None:
         raise LeftOut("ready")
-    if not named or not TOKEN.match(named):
+    if not path_class or not TOKEN.match(path_class):
         raise LeftOut("no-class", path[:60])
-    if stated is not None and stated != named:
-        raise LeftOut("class-differs", f"{stated[:40]} and {named[:40]}")
-    return named
+    if header_class is not None and header_class != path_class:
+        raise LeftOut("class-differs", f"{header_class[:40]} and {path_class[:40]}")
+    return path_class
--- a/brambleusher/load/opening.py
+++ b/brambleusher/load/opening.py
@@ -1,4 +1,4 @@
-"""Source files opened: plain, gzip or zstd by their first bytes, read as a stream, with progress."""
+"""Open source files as streams, with progress; plain, gzip and zstd are detected by the first bytes."""
 
 from __future__ import annotations
 
@@ -12,31 +12,32 @@
 from brambleusher.load.request import SourceError
 
 GZIP, ZSTD = b"\x1f\x8b", b"\x28\xb5\x2f\xfd"
-# Of the file at a time: what it unpacks to is held whole, and may be thirty thousand times as much.
-INPUT = 2 * 1024
-MOST_WINDOW = 128 * 1024 * 1024  # bytes that a zstd stream may look back over
+# Compressed bytes per read; the decompressed bytes of one read, at most about 30,000 times as many, are
+# held in memory.
+COMPRESSED_READ_BYTES = 2 * 1024
+MAX_ZSTD_WINDOW_BYTES = 128 * 1024 * 1024  # limit in bytes for the window of a zstd stream
 MAX_LINE = 1024 * 1024
-Progress = Callable[[int], None]  # told how many more bytes of the file have been read
+Progress = Callable[[int], None]  # receives the number of bytes that the last read returned
 
 
 class Unpacked(io.RawIOBase):
-    """The plain bytes of a gzip or zstd file, member after member; its end must be one of the format's."""
+    """Decompresses a gzip or zstd file of any number of members; truncation is an error."""
 
     def __init__(self, file: BinaryIO, name: str, new: Callable[[], Any]) -> None:
-        self._file, self._name, self._new = file, name, new
-        self._part: Any = None  # decompresses the member under way
-        self._pending = b""  # of the file, not yet looked at
+        self._file, self._name, self._new_decompressor = file, name, new
+        self._decompressor: Any = None  # decompressor of the current member; None between members
+        self._pending = b""  # compressed bytes of the next member
         self._plain = memoryview(b"")
         self._read = 0
 
     def readable(self) -> bool:
-        """It is."""
+        """Return True."""
         return True
 
     def readinto(self, buffer: Any, /) -> int:
-        """Fill a buffer; 0 at the end.  Raises `SourceError` where the file is damaged or cut."""
+        """Read into a buffer; returns 0 at the end.  Raises `SourceError` if the file is damaged."""
         while not self._plain:
-            if not self._more():
+            if not self._read_more():
                 return 0
         view = memoryview(buffer).cast("B")
         size = min(len(view), len(self._plain))
@@ -44,61 +45,61 @@
         self._plain = self._plain[size:]
         return size
 
-    def _more(self) -> bool:
-        data = self._pending or self._file.read(INPUT)
+    def _read_more(self) -> bool:
+        data = self._pending or self._file.read(COMPRESSED_READ_BYTES)
         self._pending = b""
         if not data:
-            if self._part is not None:
-                raise SourceError(f"{self._name}: byte {self._read}: the compressed file is cut off here")
+            if self._decompressor is not None:
+                raise SourceError(f"{self._name}: byte {self._read}: the compressed file is truncated")
             return False
         self._read += len(data)
-        if self._part is None:
-            self._part = self._new()
+        if self._decompressor is None:
+            self._decompressor = self._new_decompressor()
         try:
-            plain = self._part.decompress(data)
-        except Exception as error:  # zlib's and zstandard's have no common base
+            plain = self._decompressor.decompress(data)
+        except Exception as error:  # the exceptions of zlib and zstandard have no common base
             raise SourceError(
                 f"{self._name}: by byte {self._read}: the compressed file is damaged: {error}"
             ) from None
-        if self._part.eof:
-            self._pending = self._part.unused_data
+        if self._decompressor.eof:
+            self._pending = self._decompressor.unused_data
             self._read -= len(self._pending)
-            self._part = None
+            self._decompressor = None
         self._plain = memoryview(plain)
         return True
 
 
-def _zstd() -> Any:
+def _new_zstd_decompressor() -> Any:
     import zstandard
 
-    return zstandard.ZstdDecompressor(max_window_size=MOST_WINDOW).decompressobj()
+    return zstandard.ZstdDecompressor(max_window_size=MAX_ZSTD_WINDOW_BYTES).decompressobj()
 
 
 class Counted(io.RawIOBase):
-    """A file whose reading is told to `progress`."""
+    """A file that reports each read to a `progress` callback."""
 
     def __init__(self, file: BinaryIO, progress: Progress) -> None:
         self._file, self._progress = file, progress
 
     def readable(self) -> bool:
-        """It is."""
+        """Return True."""
         return True
 
     def readinto(self, buffer: Any, /) -> int:
-        """Fill a buffer; 0 at the end."""
+        """Read into a buffer; returns 0 at the end."""
         data = self._file.read(len(buffer))
         buffer[: len(data)] = data
         self._progress(len(data))
         return len(data)
 
     def close(self) -> None:
-        """Close the file below."""
+        """Close the underlying file."""
         self._file.close()
         super().close()
 
 
 def open_source(path: Path, progress: Progress | None = None) -> io.BufferedReader:
-    """The plain bytes of a source; raises `SourceError`."""
+    """Open a source as a stream of decompressed bytes; raises `SourceError`."""
     try:
         file: Any = open(path, "rb")  # noqa: SIM115
         first = file.peek(4)[:4]
@@ -111,12 +112,12 @@
     if first[:2] == GZIP:
         return io.BufferedReader(Unpacked(counted, str(path), lambda: zlib.decompressobj(31)), 1 << 16)
     if first == ZSTD or (len(first) == 4 and 0x50 <= first[0] <= 0x5F and first[1:] == b"\x2a\x4d\x18"):
-        return io.BufferedReader(Unpacked(counted, str(path), _zstd), 1 << 16)
+        return io.BufferedReader(Unpacked(counted, str(path), _new_zstd_decompressor), 1 << 16)
     return counted if isinstance(counted, io.BufferedReader) else io.BufferedReader(counted)
 
 
 def size_of(path: Path) -> int:
-    """Bytes of a file, for progress; 0 where that can't be told."""
+    """Return the size of a file in bytes for a progress bar, or 0 if the size is unknown."""
     try:
         return os.stat(path).st_size
     except OSError:
@@ -124,7 +125,7 @@
 
 
 def lines(file: io.BufferedReader) -> Iterator[tuple[int, bytes | None, bool]]:
-    """Lines without their ends, numbered from 1, and whether the end was there; None: it was too long."""
+    """Yield lines as number from 1, content (None if too long), and whether a line ending was present."""
     number = 0
     while line := file.readline(MAX_LINE + 1):
         number += 1
@@ -133,6 +134,6 @@
         elif len(line) <= MAX_LINE:
             yield number, line, False
         else:
-            while (rest := file.readline(MAX_LINE)) and not rest.endswith(b"\n"):
+            while (remainder := file.readline(MAX_LINE)) and not remainder.endswith(b"\n"):
                 pass
             yield number, None, True
--- a/brambleusher/load/ordering.py
+++ b/brambleusher/load/ordering.py
@@ -14,23 +14,23 @@
 from brambleusher.load.times import SECOND
 
 SPREADS = ("none", "even", "poisson")
-MAX_REQUESTS_PER_SECOND = 200_000  # that a spread holds in memory for one second
+MAX_REQUESTS_PER_SECOND = 200_000  # limit for the requests of one second, which are held in memory
 
 
 class Timed(NamedTuple):
-    """A request on its way into the file."""
+    """A request of a source, before it is written to the demand file."""
 
     request: Request
-    has_full_seconds: bool  # its time has no fraction of a second
-    position: str  # in its source, for messages
+    has_full_seconds: bool  # whether the time has no fraction of a second
+    position: str  # position in the source, used in messages
 
 
 class Window:
-    """Sorts the rows of one source.  `add` yields the rows that are in order now; `late` has those left out.
+    """Sorts the rows of one source; `add` yields the rows whose order is final, `late` holds rejected rows.
 
-    A row may be at most the window earlier than the latest before it.  One that is more than the window
-    later than all before it is accepted once the next row confirms it, so that a single wrong time does
-    not leave out all rows after it.
+    A row may be earlier than the latest preceding row by at most the window.  A row that is later than all
+    preceding rows by more than the window is accepted only after the next row confirms its time, so that a
+    single wrong time does not cause the rejection of all following rows.
     """
 
     def __init__(self, window_ns: int, max_rows: int) -> None:
@@ -47,7 +47,7 @@
         """Add the next row of the source.
 
         Returns:
-            The rows that are in order now.
+            The rows whose order is final.
         """
         at = timed.request.at_ns
         unconfirmed = self._unconfirmed
@@ -97,7 +97,7 @@
 
 
 def merge(streams: list[Iterator[Timed]]) -> Iterator[Timed]:
-    """Merge streams that are in order."""
+    """Merge streams that are sorted by time."""
     if len(streams) == 1:
         return streams[0]
     return heapq.merge(*streams, key=lambda timed: timed.request.at_ns)
@@ -129,7 +129,7 @@
 
 
 def _spread(group: list[Timed], second: int, how: str, rng: random.Random) -> list[Request]:
-    """Spread the requests of one second, of which some may have exact times."""
+    """Spread the requests of one second; requests with exact times keep their times."""
     count = sum(timed.has_full_seconds for timed in group)
     if how == "even":
         times = iter([second * SECOND + (2 * at + 1) * SECOND // (2 * count) for at in range(count)])
--- a/brambleusher/load/pacing.py
+++ b/brambleusher/load/pacing.py
@@ -1,4 +1,4 @@
-"""When each request is due, and whose it is: no clock, no I/O."""
+"""Compute when each request is due and which partition sends it, without a clock and without I/O."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 class Due(NamedTuple):
     """A request and when it is to be sent, in nanoseconds after the start."""
 
-    number: int  # in the whole demand, from 0
+    number: int  # index in the whole demand, from 0
     at_ns: int
     request: Request
 
 
 @dataclass(frozen=True)
 class Pace:
-    """How fast demand is played, and which requests: every `partitions`th from number `partition` on."""
+    """Speed of a replay, and its partition: every `partitions`th request from number `partition` on."""
 
-    start_ns: int  # the demand's own time at the start
+    start_ns: int  # Unix time in nanoseconds of the first request of the demand
     speed: float = 1.0
     partition: int = 0
     partitions: int = 1
--- a/brambleusher/load/parallel.py
+++ b/brambleusher/load/parallel.py
@@ -1,4 +1,4 @@
-"""Lines read by one process and parsed by several, in order and with few lines on their way at a time."""
+"""Read lines in one process and parse them in several, in order and with few batches in flight."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Parsed(msgspec.Struct, array_like=True):
-    """What a batch came to."""
+    """Result of parsing a batch of lines."""
 
     rows: int = 0
     requests: list[tuple[int, bool, Request]] = []
@@ -30,21 +30,21 @@
     notes: dict[str, int] = {}
 
     def note(self, what: str) -> None:
-        """As a report has it."""
+        """Count a note, as `Report.note` does."""
         self.notes[what] = self.notes.get(what, 0) + 1
 
 
 class Worker:
-    """Parses batches in a process of its own."""
+    """Parses batches of lines in a child process."""
 
     def __init__(self, how: How, form: str) -> None:
         self._reader: LineReader = how.line_reader(form)
         self._request = Reader(how.mapping).request
 
     def parse(self, batch: Batch) -> bytes:
-        """A batch, parsed, as MessagePack."""
+        """Parse a batch and return the result as MessagePack."""
         parsed = Parsed()
-        for number, line, whole in batch:
+        for number, line, has_line_ending in batch:
             try:
                 if line is None:
                     raise LeftOut("too-long")
@@ -52,9 +52,9 @@
                 if row is None:
                     continue
                 request = self._request(row)
-            except LeftOut as why:
-                cut = not whole and why.reason in ("unreadable", "encoding")
-                parsed.left.append((number, "cut-line" if cut else why.reason, why.detail))
+            except LeftOut as rejection:
+                truncated = not has_line_ending and rejection.reason in ("unreadable", "encoding")
+                parsed.left.append((number, "cut-line" if truncated else rejection.reason, rejection.detail))
                 continue
             noted(parsed.note, request, row.whole, row.leap)
             parsed.requests.append((number, row.whole, request))
@@ -63,8 +63,8 @@
 
 
 def _serve(how: How, form: str, pipe: Connection) -> None:
-    """A process: batch by batch, until the pipe is closed."""
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the process that reads ends this one
+    """Run a child process that parses batches until the pipe is closed."""
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the parent process ends this process
     worker, decode = Worker(how, form), msgspec.msgpack.Decoder(Batch).decode
     try:
         while True:
@@ -76,8 +76,8 @@
 def requests(
     path: Path, form: str, how: How, report: Report, processes: int, progress: Progress | None = None
 ) -> Iterator[Timed]:
-    """The requests of a file of lines in its own order, as `sources.requests` has them."""
-    how.line_reader(form)  # a fault in it is told here, not by each process
+    """Yield the requests of a file in file order, like `sources.requests`, parsed by several processes."""
+    how.line_reader(form)  # reports invalid options once, before processes start
     context = multiprocessing.get_context("spawn")
     encode, decode = msgspec.msgpack.Encoder().encode, msgspec.msgpack.Decoder(Parsed).decode
     pipes: list[Connection] = []
@@ -87,21 +87,21 @@
             sent = 0
             for batch in _batches(lines(file)):
                 if len(pipes) < processes:
-                    mine, theirs = context.Pipe()
-                    child = context.Process(target=_serve, args=(how, form, theirs), daemon=True)
+                    parent_end, child_end = context.Pipe()
+                    child = context.Process(target=_serve, args=(how, form, child_end), daemon=True)
                     child.start()
-                    theirs.close()
-                    pipes.append(mine)
+                    child_end.close()
+                    pipes.append(parent_end)
                     children.append(child)
                 elif sent >= processes:
-                    # What a process has made is taken before it gets more: else both could wait to write.
-                    yield from _taken(decode(pipes[sent % processes].recv_bytes()), path, report)
+                    # Receive before sending the next batch; otherwise both sides could block on a write.
+                    yield from _add_to_report(decode(pipes[sent % processes].recv_bytes()), path, report)
                 pipes[sent % processes].send_bytes(encode(batch))
                 sent += 1
             for number in range(max(0, sent - processes), sent):
-                yield from _taken(decode(pipes[number % processes].recv_bytes()), path, report)
+                yield from _add_to_report(decode(pipes[number % processes].recv_bytes()), path, report)
     except (EOFError, ConnectionError):
-        raise SourceError(f"{path}: a process that parses it has ended") from None
+        raise SourceError(f"{path}: a parser process ended unexpectedly") from None
     finally:
         for pipe in pipes:
             pipe.close()
@@ -109,14 +109,14 @@
             child.join()
 
 
-def _taken(parsed: Parsed, path: Path, report: Report) -> Iterator[Timed]:
+def _add_to_report(parsed: Parsed, path: Path, report: Report) -> Iterator[Timed]:
     report.rows += parsed.rows
     for number, reason, detail in parsed.left:
         report.leave(reason, f"{path}: line {number}", detail)
-    for what, count in parsed.notes.items():
-        report.note(what, count)
-    for number, whole, request in parsed.requests:
-        yield Timed(request, whole, f"{path}: line {number}")
+    for note, count in parsed.notes.items():
+        report.note(note, count)
+    for number, has_full_seconds, request in parsed.requests:
+        yield Timed(request, has_full_seconds, f"{path}: line {number}")
 
 
 def _batches(numbered: Iterator[tuple[int, bytes | None, bool]]) -> Iterator[Batch]:
--- a/brambleusher/load/processes.py
+++ b/brambleusher/load/processes.py
@@ -1,4 +1,4 @@
-"""A play in several processes, which begin together; their results come out as one."""
+"""Run a replay in several processes that start together, and merge their results."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.runtime.scheduler import Scheduler
 
-LEAD_NS = 200_000_000
-BEAT_SECONDS = 0.5
-READY_SECONDS = 60.0
-Progress = Callable[[int], None]  # told how many requests have been sent so far
+START_DELAY_NS = 200_000_000
+PROGRESS_INTERVAL_SECONDS = 0.5
+READY_TIMEOUT_SECONDS = 60.0
+Progress = Callable[[int], None]  # receives the number of requests sent so far
 
 
 class PlayError(RuntimeError):
-    """A process that played has come to a bad end."""
+    """A player process failed."""
 
 
 def play(path: Path, plan: Play, processes: int, progress: Progress | None = None) -> Results:
-    """Play a demand file against real sockets; SIGINT ends it early, with what there is by then."""
+    """Replay a demand file over real sockets; SIGINT ends the replay early and returns partial results."""
     context = multiprocessing.get_context("spawn")
     pipes: list[Connection] = []
     children = []
@@ -38,25 +38,25 @@
         nonlocal stopping
         stopping = True
 
-    before = signal.signal(signal.SIGINT, stop)
+    previous_handler = signal.signal(signal.SIGINT, stop)
     try:
-        for part in range(processes):
-            mine, theirs = context.Pipe()
-            share = replace(plan, pace=replace(plan.pace, partition=part, partitions=processes))
-            child = context.Process(target=_child, args=(str(path), share, theirs), daemon=True)
+        for partition in range(processes):
+            parent_end, child_end = context.Pipe()
+            partition_plan = replace(plan, pace=replace(plan.pace, partition=partition, partitions=processes))
+            child = context.Process(target=_child, args=(str(path), partition_plan, child_end), daemon=True)
             child.start()
-            theirs.close()
-            pipes.append(mine)
+            child_end.close()
+            pipes.append(parent_end)
             children.append(child)
         for pipe in pipes:
-            if not pipe.poll(READY_SECONDS) or _received(pipe) != b"ready":
-                raise PlayError("a process that plays did not start")
-        start_ns = time.monotonic_ns() + LEAD_NS
+            if not pipe.poll(READY_TIMEOUT_SECONDS) or _received(pipe) != b"ready":
+                raise PlayError("a player process did not start")
+        start_ns = time.monotonic_ns() + START_DELAY_NS
         for pipe in pipes:
             pipe.send_bytes(str(start_ns).encode())
         return _collect(pipes, plan, lambda: stopping, progress)
     finally:
-        signal.signal(signal.SIGINT, before)
+        signal.signal(signal.SIGINT, previous_handler)
         for pipe in pipes:
             pipe.close()
         for child in children:
@@ -69,7 +69,7 @@
     try:
         return pipe.recv_bytes()
     except (EOFError, OSError):
-        raise PlayError("a process that plays has ended") from None
+        raise PlayError("a player process ended unexpectedly") from None
 
 
 def _collect(
@@ -78,13 +78,13 @@
     total = Results(speed=plan.pace.speed)
     sent = dict.fromkeys(range(len(pipes)), 0)
     open_pipes = {pipe: number for number, pipe in enumerate(pipes)}
-    told = False
+    stop_sent = False
     while open_pipes:
-        if stopping() and not told:
-            told = True
+        if stopping() and not stop_sent:
+            stop_sent = True
             for pipe in open_pipes:
                 pipe.send_bytes(b"stop")
-        for ready in wait(list(open_pipes), timeout=BEAT_SECONDS):
+        for ready in wait(list(open_pipes), timeout=PROGRESS_INTERVAL_SECONDS):
             assert isinstance(ready, Connection)
             data = _received(ready)
             if data.startswith(b"sent "):
@@ -98,7 +98,7 @@
 
 
 def _child(path: str, plan: Play, pipe: Connection) -> None:
-    """One process; it ends without a word where the one that started it has ended."""
+    """Run a player process; ends silently if the parent process is gone."""
     try:
         _play(path, plan, pipe)
     except (EOFError, BrokenPipeError, ConnectionResetError):
@@ -106,32 +106,32 @@
 
 
 def _play(path: str, plan: Play, pipe: Connection) -> None:
-    """Says that it is ready, is told when to begin, says how far it is, sends its results."""
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the parent has it, and tells
+    """Report readiness, receive the start time, replay with progress reports, and send the results."""
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the parent handles SIGINT and sends "stop"
     system = RealSystem()
     scheduler = Scheduler(system)
     results = Results(speed=plan.pace.speed)
     with DemandFile(path) as file:
         player = Player(scheduler, plan, file.requests(), results.add)
-        # Guards against pauses of the collector: what a request leaves behind is freed by reference counts.
+        # Collector pauses would delay requests; reference counting alone frees the objects of a request.
         gc.collect()
         gc.freeze()
         gc.set_threshold(100_000, 50, 1000)
         pipe.send_bytes(b"ready")
         results.start_ns = int(pipe.recv_bytes())
         player.start(results.start_ns)
-        beat = scheduler.now()
+        last_progress = scheduler.now()
 
-        def over() -> bool:
-            nonlocal beat
-            if scheduler.now() - beat > BEAT_SECONDS:
-                beat = scheduler.now()
+        def is_over() -> bool:
+            nonlocal last_progress
+            if scheduler.now() - last_progress > PROGRESS_INTERVAL_SECONDS:
+                last_progress = scheduler.now()
                 pipe.send_bytes(b"sent %d" % player.sent)
                 if pipe.poll() and pipe.recv_bytes() == b"stop":
                     player.stop()
             return player.done
 
-        scheduler.run(over)
+        scheduler.run(is_over)
         player.close()
     results.connects = player.connects
     pipe.send_bytes(results.encode())
--- a/brambleusher/load/report.py
+++ b/brambleusher/load/report.py
@@ -1,4 +1,4 @@
-"""What became of the rows of the sources: how many, what was left out and why, what was noted."""
+"""Count the rows of the sources, the rejected rows by reason, and notes on accepted rows."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 from brambleusher.load.request import REASONS
 
-FIRST = 5  # places named for each reason
+MAX_LISTED_POSITIONS = 5  # number of positions listed per reason
 
 
 @dataclass
 class Left:
-    """Rows left out for one reason."""
+    """Rows rejected for one reason."""
 
     count: int = 0
     first: list[str] = field(default_factory=list)
@@ -20,27 +20,27 @@
 
 @dataclass
 class Report:
-    """The tally of a build."""
+    """Counts of a build."""
 
     rows: int = 0
     requests: int = 0
     left_out: dict[str, Left] = field(default_factory=dict)
     notes: dict[str, int] = field(default_factory=dict)
 
-    def leave(self, reason: str, place: str, detail: str = "") -> None:
-        """One row more that is left out."""
+    def leave(self, reason: str, position: str, detail: str = "") -> None:
+        """Count a rejected row."""
         assert reason in REASONS, reason
         left = self.left_out.setdefault(reason, Left())
         left.count += 1
-        if len(left.first) < FIRST:
-            left.first.append(f"{place}: {detail}" if detail else place)
+        if len(left.first) < MAX_LISTED_POSITIONS:
+            left.first.append(f"{position}: {detail}" if detail else position)
 
-    def note(self, what: str, count: int = 1) -> None:
-        """Something that leaves the row in."""
-        self.notes[what] = self.notes.get(what, 0) + count
+    def note(self, name: str, count: int = 1) -> None:
+        """Count a note on an accepted row."""
+        self.notes[name] = self.notes.get(name, 0) + count
 
     def plain(self) -> dict[str, Any]:
-        """As JSON values."""
+        """Return the report as JSON values."""
         return {
             "rows": self.rows,
             "requests": self.requests,
@@ -54,20 +54,20 @@
 
 NOTES: dict[str, str] = {
     "whole-seconds": "times in whole seconds",
-    "reordered": "put in order within the window",
-    "window-full": "times the window held all it may, and let its earliest go",
-    "leap-second": "in a leap second, counted as the first instant of the next minute",
-    "redirect": "answered by a redirect; each request was sent, and stays",
+    "reordered": "reordered within the window",
+    "window-full": "times the window was full and released its earliest row",
+    "leap-second": "in a leap second, treated as the first instant of the next minute",
+    "redirect": "answered by a redirect; the request is kept",
     "body-not-known": "with a body of which only the size is known",
 }
 
 
 def texts(plain: dict[str, Any]) -> list[str]:
-    """A report as lines."""
+    """Format a report as lines of text."""
     lines = [f"{plain.get('rows', 0):,} rows, {plain.get('requests', 0):,} requests"]
     for name, left in plain.get("left_out", {}).items():
         lines.append(f"left out, {name}: {left['count']:,} ({REASONS.get(name, 'an older reason')})")
-        lines += [f"    {place}" for place in left["first"]]
+        lines += [f"    {position}" for position in left["first"]]
     for name, count in plain.get("notes", {}).items():
         lines.append(f"noted, {name}: {count:,} ({NOTES.get(name, 'an older note')})")
     return lines
--- a/brambleusher/load/request.py
+++ b/brambleusher/load/request.py
@@ -1,4 +1,4 @@
-"""What demand is made of: one request as it was asked, and what a source says before that is known."""
+"""Define requests of a demand file, rows of sources, and the reasons for rejecting a row."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import msgspec
 
-MAX_BODY = 64 * 1024  # bytes of a request's body that the protocol takes
+MAX_BODY = 64 * 1024  # limit of the protocol for a request body, in bytes
 TOKEN = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+\Z")
 TARGET = re.compile(r"/[\x21-\x7e]*\Z")
 VALUE = re.compile(r"[\t\x20-\x7e\x80-\xff]*\Z")
@@ -17,46 +17,46 @@
 
 
 class Request(msgspec.Struct, array_like=True, gc=False, frozen=True):
-    """One request.  Times are Unix nanoseconds; `size` is the body's, also where the body is not kept."""
+    """One request, with times in Unix nanoseconds; `size` is the body size even if `body` is not stored."""
 
     at_ns: int
     request_class: str
     method: str
-    target: str  # path and query, as it stands in a request line
+    target: str  # path and query as in a request line
     tenant: str | None = None
     hint_us: int | float | None = None
     timeout_ms: int | None = None
-    key: str | None = None  # what the source knew it by
+    key: str | None = None  # id of the request in the source
     retry: bool = False
     headers: Fields = ()
     body: bytes | None = None
     size: int = 0
-    origin: str | None = None  # scheme://authority, where the source has it
-    status: int | None = None  # what was answered, and after how long
-    took_ns: int | None = None
+    origin: str | None = None  # scheme://authority, if the source states one
+    status: int | None = None  # status of the recorded response
+    took_ns: int | None = None  # duration until the recorded response, in nanoseconds
 
 
 class Row(msgspec.Struct, gc=False):
-    """One row of a source, before it is known what it means.  None: the source does not say."""
+    """One row of a source before the mapping is applied; None marks a value missing in the source."""
 
-    place: int  # the line, or for a HAR file the entry, counted from 1
+    place: int  # number of the line, or of the entry in a HAR file, from 1
     at_ns: int
-    whole: bool  # the time is in whole seconds
+    whole: bool  # whether the time has no fraction of a second
     method: str
     target: str
-    headers: dict[str, str] = {}  # by name in lower case, repeated ones joined
-    fields: Fields = ()  # the headers as they came
+    headers: dict[str, str] = {}  # values by lower-case name, joined for repeated headers
+    fields: Fields = ()  # headers in original order and case
     body: bytes | None = None
     size: int | None = None
     origin: str | None = None
     status: int | None = None
     took_ns: int | None = None
-    named: Mapping[str, Any] = {}  # what else the source names: log directives, JSON fields
+    named: Mapping[str, Any] = {}  # further values by log directive or JSON field
     leap: bool = False
 
 
 class LeftOut(Exception):
-    """A row that is no request, or not clearly one; `reason` is one of `REASONS`."""
+    """A row was rejected because it is not clearly a request; `reason` is one of `REASONS`."""
 
     def __init__(self, reason: str, detail: str = "") -> None:
         super().__init__(f"{reason}: {detail}" if detail else reason)
@@ -64,37 +64,37 @@
 
 
 class SourceError(ValueError):
-    """A source that can't be used as a whole; the message names it and the place."""
+    """A source is unusable as a whole; the message names the source and the position."""
 
 
 REASONS: dict[str, str] = {
     "unreadable": "the line or entry can't be parsed",
-    "cut-line": "the last line of a file has no end and can't be parsed",
+    "cut-line": "the last line of the file has no line ending and can't be parsed",
     "too-long": "the line is longer than 1 MiB",
     "encoding": "the text is not UTF-8",
-    "no-time": "there is no time, or not when it was sent",
+    "no-time": "the time when the request was sent is missing",
     "bad-time": "the time can't be read",
-    "no-zone": "the time has no zone, and none is stated",
-    "ambiguous-time": "the local time came twice that day, when the clocks went back",
-    "no-such-time": "the local time was passed over when the clocks went forward",
-    "out-of-order": "it is earlier than the window allows",
+    "no-zone": "the time has no zone, and the mapping states none",
+    "ambiguous-time": "the local time occurred twice because clocks were set back",
+    "no-such-time": "the local time was skipped because clocks were set forward",
+    "out-of-order": "the time is earlier than the window allows",
     "no-request": "there is no request line",
     "bad-method": "the method is not a token",
-    "bad-target": "the target is no path that can stand in a request line",
+    "bad-target": "the target is not a valid path of a request line",
     "bad-header": "a header can't be sent",
-    "no-class": "nothing says its class",
+    "no-class": "no rule or path states the class",
     "class-differs": "Request-Class and the path name different classes",
-    "other-class": "its class is not among those asked for",
-    "ready": "it asks whether the server is ready",
-    "no-size": "it has a body, and nothing says how large",
-    "bad-size": "the body's size can't be read",
+    "other-class": "the class is not in the mapping's list of classes",
+    "ready": "the request is a readiness check",
+    "no-size": "the method implies a body, and its size is unknown",
+    "bad-size": "the size of the body is invalid",
     "body-too-large": "the body is over 64 KiB",
-    "body-not-kept": "the body was kept in a form that does not give its bytes back",
-    "bad-hint": "the work hint is no number",
-    "bad-timeout": "the time-out is no whole number of milliseconds above 0",
-    "bad-tenant": "the tenant is not in the mapping's list",
-    "from-cache": "it was answered from a cache and reached no server",
-    "aborted": "it has no answer's status: whether it was sent is not known",
-    "upgraded": "it became another protocol",
-    "by-mapping": "the mapping leaves it out",
+    "body-not-kept": "the bytes of the body can't be recovered from the source",
+    "bad-hint": "the work hint is not a number",
+    "bad-timeout": "the time-out is not a positive whole number of milliseconds",
+    "bad-tenant": "the tenant is not in the mapping's list of tenants, or can't be sent",
+    "from-cache": "the response came from a cache; no server was asked",
+    "aborted": "there is no response status, so the request may not have been sent",
+    "upgraded": "the connection was upgraded to another protocol",
+    "by-mapping": "a rule of the mapping rejects the row",
 }
--- a/brambleusher/load/results.py
+++ b/brambleusher/load/results.py
@@ -1,4 +1,4 @@
-"""What came of a play: counts, HDR histograms, windows; from several processes, one result."""
+"""Collect the results of a replay as counts, HDR histograms and windows, and merge those of processes."""
 
 from __future__ import annotations
 
@@ -11,84 +11,86 @@
 from brambleusher.load.request import Request
 from brambleusher.load.times import SECOND
 
-# What a request may come to.  `unsent`: the player had too many open itself, and says so.
+# Outcomes of a request; `unsent` requests were dropped at the player's limit of open requests.
 ENDS = ("served", "refused", "failed", "broken", "timed out", "unreachable", "unsent")
-LATE_NS = 5_000_000  # of the player's own lateness, at its 99th percentile: above it, it was late
-MOST_CLASSES = 100  # each has a histogram
-OTHERS = "(others)"  # classes beyond that, together
-MOST_US = 3_600_000_000
+# A replay counts as late if the 99th percentile of the player's lateness exceeds this, in nanoseconds.
+MAX_P99_LATENESS_NS = 5_000_000
+MAX_CLASSES = 100  # limit of classes with a histogram of their own
+OTHERS = "(others)"  # name under which further classes are counted together
+MAX_RECORDED_US = 3_600_000_000
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 
 
 class Outcome(NamedTuple):
-    """One request and what came of it.  Times are nanoseconds after the start."""
+    """Outcome of one request, with times in nanoseconds since the start of the replay."""
 
     number: int
     request: Request
     due_ns: int
-    begun_ns: int  # the player got to it: what this is after `due_ns` is its own lateness
-    ended_ns: int  # the answer's last byte, or when it was given up
+    begun_ns: int  # start of sending; the delay after `due_ns` is the lateness of the player
+    ended_ns: int  # arrival of the last response byte, or time of giving up
     end: str
-    status: int  # 0: none
+    status: int  # HTTP status; 0 without a response
 
 
 def histogram() -> HdrHistogram:
-    """One for microseconds up to an hour, with three digits."""
-    return HdrHistogram(1, MOST_US, 3)
+    """Return a histogram for microseconds up to one hour, with three significant digits."""
+    return HdrHistogram(1, MAX_RECORDED_US, 3)
 
 
 def shown(hist: HdrHistogram) -> dict[str, float]:
-    """A histogram of microseconds in milliseconds."""
+    """Return count, percentiles, maximum and mean of a histogram of microseconds, in milliseconds."""
     if not hist.total_count:
         return {"count": 0}
-    figures = {f"p{each:g}": hist.get_value_at_percentile(each) / 1000 for each in PERCENTILES}
+    percentiles = {f"p{each:g}": hist.get_value_at_percentile(each) / 1000 for each in PERCENTILES}
     return {
-        "count": hist.total_count, **figures, "max": hist.get_max_value() / 1000,
+        "count": hist.total_count, **percentiles, "max": hist.get_max_value() / 1000,
         "mean": hist.get_mean_value() / 1000,
     }  # fmt: skip
 
 
 @dataclass
 class Results:
-    """The tally of one process, or of all.  Windows are of the demand's own time."""
+    """Results of one process or of all processes; windows are in demand time."""
 
     window_ns: int = 10 * SECOND
     speed: float = 1.0
-    ends: dict[str, dict[str, int]] = field(default_factory=dict)  # by class
+    ends: dict[str, dict[str, int]] = field(default_factory=dict)  # counts by class and outcome
     statuses: dict[str, int] = field(default_factory=dict)
-    latency: dict[str, HdrHistogram] = field(default_factory=dict)  # by class, of what was served
+    latency: dict[str, HdrHistogram] = field(default_factory=dict)  # histograms of served requests by class
     lateness: HdrHistogram = field(default_factory=histogram)
-    windows: dict[int, dict[str, list[int]]] = field(default_factory=dict)  # class: sent, then by end
+    # By window and class: the number of requests, then their counts in the order of `ENDS`.
+    windows: dict[int, dict[str, list[int]]] = field(default_factory=dict)
     connects: int = 0
-    start_ns: int = 0  # when the play began, on the system's monotonic clock
+    start_ns: int = 0  # start of the replay on the monotonic clock, in nanoseconds
 
     def add(self, outcome: Outcome) -> None:
-        """One request that is over."""
+        """Record a finished request."""
         name, end = outcome.request.request_class, outcome.end
-        if name not in self.ends and len(self.ends) >= MOST_CLASSES:
+        if name not in self.ends and len(self.ends) >= MAX_CLASSES:
             name = OTHERS
         ends = self.ends.setdefault(name, {})
         ends[end] = ends.get(end, 0) + 1
         if outcome.status:
             status = str(outcome.status)
             self.statuses[status] = self.statuses.get(status, 0) + 1
-        self.lateness.record_value(min(MOST_US, max(0, outcome.begun_ns - outcome.due_ns) // 1000))
+        self.lateness.record_value(min(MAX_RECORDED_US, max(0, outcome.begun_ns - outcome.due_ns) // 1000))
         if end == "served":
             hist = self.latency.get(name)
             if hist is None:
                 hist = self.latency[name] = histogram()
-            hist.record_value(min(MOST_US, max(1, (outcome.ended_ns - outcome.due_ns) // 1000)))
+            hist.record_value(min(MAX_RECORDED_US, max(1, (outcome.ended_ns - outcome.due_ns) // 1000)))
         at = int(outcome.due_ns * self.speed) // self.window_ns
         row = self.windows.setdefault(at, {}).setdefault(name, [0] * (len(ENDS) + 1))
         row[0] += 1
         row[1 + ENDS.index(end)] += 1
 
     def merge(self, other: Results) -> None:
-        """Take in another process's."""
+        """Merge the results of another process."""
         for name, ends in other.ends.items():
-            mine = self.ends.setdefault(name, {})
+            own_ends = self.ends.setdefault(name, {})
             for end, count in ends.items():
-                mine[end] = mine.get(end, 0) + count
+                own_ends[end] = own_ends.get(end, 0) + count
         for status, count in other.statuses.items():
             self.statuses[status] = self.statuses.get(status, 0) + count
         for name, hist in other.latency.items():
@@ -100,13 +102,13 @@
         for at, classes in other.windows.items():
             window = self.windows.setdefault(at, {})
             for name, row in classes.items():
-                had = window.setdefault(name, [0] * len(row))
-                window[name] = [a + b for a, b in zip(had, row, strict=True)]
+                counts = window.setdefault(name, [0] * len(row))
+                window[name] = [a + b for a, b in zip(counts, row, strict=True)]
         self.connects += other.connects
         self.start_ns = self.start_ns or other.start_ns
 
     def encode(self) -> bytes:
-        """For the way to another process."""
+        """Encode the results for transfer to another process."""
         return msgspec.msgpack.encode(
             {
                 "window_ns": self.window_ns, "speed": self.speed, "ends": self.ends,
@@ -119,7 +121,7 @@
 
     @classmethod
     def decode(cls, data: bytes) -> Results:
-        """What `encode` made."""
+        """Decode the output of `encode`."""
         raw = msgspec.msgpack.decode(data, strict=False)
         return cls(
             raw["window_ns"], raw["speed"], raw["ends"], raw["statuses"],
@@ -130,20 +132,20 @@
 
     @property
     def sent(self) -> int:
-        """Requests that are over."""
+        """Number of finished requests."""
         return sum(sum(ends.values()) for ends in self.ends.values())
 
     @property
     def late(self) -> bool:
-        """Whether the player itself was late: then latencies are in part its own."""
-        return bool(self.lateness.get_value_at_percentile(99.0) * 1000 > LATE_NS)
+        """Whether the player was late, so that latencies partly measure the player itself."""
+        return bool(self.lateness.get_value_at_percentile(99.0) * 1000 > MAX_P99_LATENESS_NS)
 
     def total(self, end: str) -> int:
-        """How many ended so."""
+        """Return the number of requests with an outcome."""
         return sum(ends.get(end, 0) for ends in self.ends.values())
 
     def plain(self) -> dict[str, Any]:
-        """As JSON values; times in milliseconds."""
+        """Return the results as JSON values, with times in milliseconds."""
         everything = histogram()
         for hist in self.latency.values():
             everything.add(hist)
@@ -170,7 +172,7 @@
         }
 
     def texts(self) -> list[str]:
-        """As lines for a reader."""
+        """Format the results as lines of text."""
         plain = self.plain()
         lines = [
             f"{plain['requests']:,} requests: "
@@ -178,7 +180,7 @@
                 f"{count:,} {end} ({count / plain['requests']:.2%})" for end, count in plain["ends"].items()
             )
         ]
-        lines += ["", f"{'latency in ms, from when it was due':<38}{'count':>9}" + "".join(
+        lines += ["", f"{'latency in ms, from the due time':<38}{'count':>9}" + "".join(
             f"{title:>10}" for title in ("p50", "p90", "p99", "p99.9", "max")
         )]  # fmt: skip
         for name, row in plain["latency_ms"].items():
@@ -191,10 +193,8 @@
         if late["count"]:
             lines.append("")
             lines.append(
-                f"own lateness: p50 {late['p50']:.2f} ms, p99 {late['p99']:.2f} ms, most {late['max']:.1f} ms"
+                f"own lateness: p50 {late['p50']:.2f} ms, p99 {late['p99']:.2f} ms, max {late['max']:.1f} ms"
             )
         if plain["was_late"]:
-            lines.append(
-                "THE GENERATOR WAS LATE: its 99th percentile is over 5 ms, and latencies are in part its own"
-            )
+            lines.append("THE GENERATOR WAS LATE: its 99th percentile exceeds 5 ms, which latencies include")
         return lines
--- a/brambleusher/load/shape.py
+++ b/brambleusher/load/shape.py
@@ -1,4 +1,4 @@
-"""Demand made from demand: a span of it, more or less of it, another mix, several at once."""
+"""Transform demand: select a time span, scale the rate or the mix, and merge several demands."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class ShapeError(ValueError):
-    """Words that make no sense."""
+    """A parameter of a transformation is invalid."""
 
 
 def moment(text: str, start_ns: int) -> int:
-    """Seconds from the start, or a time in ISO 8601 with a zone, as Unix nanoseconds."""
+    """Parse seconds from the start, or an ISO 8601 time with a zone, to Unix nanoseconds."""
     if _SECONDS.match(text):
         return start_ns + round(float(text) * SECOND)
     try:
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class Burst:
-    """A span, in nanoseconds from the start, and how many times as much is asked in it."""
+    """A time span in nanoseconds from the start, with the factor by which its rate is multiplied."""
 
     start_ns: int
     end_ns: int
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True)
 class Scale:
-    """How demand is changed.  Spans are those of the demand as it was."""
+    """Scaling of a demand; time spans refer to the original demand."""
 
     speed: float = 1.0
     rate: float = 1.0
@@ -54,7 +54,7 @@
     seed: int = 1
 
     def times(self, request: Request, passed_ns: int) -> float:
-        """How often a request stands in the new demand, on average."""
+        """Return the mean number of copies of a request in the scaled demand."""
         times = self.rate * self.classes.get(request.request_class, 1.0)
         times *= self.tenants.get(request.tenant or "", 1.0)
         for burst in self.bursts:
@@ -63,53 +63,53 @@
         return times
 
     def until(self, passed_ns: int) -> int:
-        """Where a copy of a request must stay before: the next edge of a burst."""
+        """Return the next edge of a burst, before which copies of a request must stay."""
         edges = [edge for burst in self.bursts for edge in (burst.start_ns, burst.end_ns) if edge > passed_ns]
         return min(edges, default=1 << 62)
 
 
 def scaled(requests: Iterable[Request], start_ns: int, scale: Scale) -> Iterator[Request]:
-    """Demand as `scale` says.
+    """Scale a demand.
 
-    A request that is to stand 2.3 times stands twice, or with a chance of 0.3 three times.  It stays where
-    it is; its copies follow it at random within the jitter, but not across a burst's edge.  Raises
-    `ShapeError` at the end where a factor is for a class or tenant that none of its requests has.
+    A request with a factor of 2.3 appears twice, or three times with probability 0.3.  The original keeps its
+    time; the copies follow at random times within the jitter, but not across the edge of a burst.  Raises
+    `ShapeError` at the end if a factor names a class or tenant without requests.
     """
     rng = random.Random(scale.seed)
-    held: list[tuple[int, int, Request]] = []
-    count, asked = 0, False
-    classes, tenants = set(scale.classes), set(scale.tenants)  # that no request has had yet
+    pending_copies: list[tuple[int, int, Request]] = []
+    count, has_requests = 0, False
+    classes, tenants = set(scale.classes), set(scale.tenants)  # names without a request so far
     for request in requests:
-        asked = True
+        has_requests = True
         classes.discard(request.request_class)
         tenants.discard(request.tenant or "")
-        while held and held[0][0] <= request.at_ns:
-            yield _sped(heapq.heappop(held)[2], start_ns, scale.speed)
+        while pending_copies and pending_copies[0][0] <= request.at_ns:
+            yield _apply_speed(heapq.heappop(pending_copies)[2], start_ns, scale.speed)
         passed_ns = request.at_ns - start_ns
         times = scale.times(request, passed_ns)
         copies = int(times) + (rng.random() < times - int(times))
         if copies:
-            yield _sped(request, start_ns, scale.speed)
-        room = min(scale.jitter_ns, scale.until(passed_ns) - passed_ns - 1)
+            yield _apply_speed(request, start_ns, scale.speed)
+        max_delay_ns = min(scale.jitter_ns, scale.until(passed_ns) - passed_ns - 1)
         for _ in range(copies - 1):
             count += 1
-            at_ns = request.at_ns + rng.randint(0, max(0, room))
-            heapq.heappush(held, (at_ns, count, msgspec.structs.replace(request, at_ns=at_ns)))
-    while held:
-        yield _sped(heapq.heappop(held)[2], start_ns, scale.speed)
+            at_ns = request.at_ns + rng.randint(0, max(0, max_delay_ns))
+            heapq.heappush(pending_copies, (at_ns, count, msgspec.structs.replace(request, at_ns=at_ns)))
+    while pending_copies:
+        yield _apply_speed(heapq.heappop(pending_copies)[2], start_ns, scale.speed)
     for kind, names in (("class", classes), ("tenant", tenants)):
-        if names and asked:
+        if names and has_requests:
             raise ShapeError(f"no request is of the {kind} {', '.join(sorted(names))}")
 
 
-def _sped(request: Request, start_ns: int, speed: float) -> Request:
+def _apply_speed(request: Request, start_ns: int, speed: float) -> Request:
     if speed == 1.0:
         return request
     return msgspec.structs.replace(request, at_ns=start_ns + round((request.at_ns - start_ns) / speed))
 
 
 def mixed(streams: list[Iterable[Request]], shifts_ns: list[int]) -> Iterator[Request]:
-    """Several demands as one, each shifted by so much."""
+    """Merge several demands, each shifted in time."""
 
     def shifted(stream: Iterable[Request], by_ns: int) -> Iterator[Request]:
         for request in stream:
--- a/brambleusher/load/sources.py
+++ b/brambleusher/load/sources.py
@@ -1,4 +1,4 @@
-"""Sources by their form: which one a file is, and its requests one by one."""
+"""Detect the format of a source file and read its requests."""
 
 from __future__ import annotations
 
@@ -15,27 +15,27 @@
 from brambleusher.load.request import LeftOut, Request, Row, SourceError
 
 FORMS = ("har", "access", "json", "capture")
-LOOK = 256 * 1024
+DETECTION_BYTES = 256 * 1024
 _HAR = re.compile(rb'\{\s*"log"\s*:\s*\{')
 
 
 class LineReader(Protocol):
-    """Lines of one form to rows."""
+    """Converts lines of one format to rows."""
 
     def row(self, number: int, line: bytes) -> Row | None:
-        """One line; None where it is none of demand's.  Raises `LeftOut`."""
+        """Convert one line to a row, or to None if the line is no request; raises `LeftOut`."""
 
 
 @dataclass(frozen=True)
 class How:
-    """How sources are to be read."""
+    """Options for reading sources."""
 
     mapping: Mapping = field(default_factory=Mapping)
-    form: str | None = None  # one of `FORMS`; None: by the file
-    log_format: str | None = None  # of access logs
+    form: str | None = None  # one of `FORMS`; None to detect the format
+    log_format: str | None = None  # LogFormat of access logs
 
     def line_reader(self, form: str) -> LineReader:
-        """The reader of a form's lines; raises `SourceError`."""
+        """Return the line reader of a format; raises `SourceError`."""
         reader = Reader(self.mapping)
         if form == "access":
             from brambleusher.load.access_log import FORMATS, AccessLog
@@ -58,20 +58,20 @@
 
 
 def form_of(path: Path) -> str:
-    """Which form a file is of, by how it begins; raises `SourceError`."""
+    """Detect the format of a file from its beginning; raises `SourceError`."""
     with open_source(path) as file:
-        head = file.read(LOOK)
+        head = file.read(DETECTION_BYTES)
     head = head.removeprefix(b"\xef\xbb\xbf").lstrip()
     if head.startswith(b'{"ev":"start"') or b'\n{"ev":"start"' in head:
         return "capture"
     if not head.startswith(b"{"):
         return "access"
-    # A HAR file is one object with one key; a log's line has others before such a one, or beside it.
+    # A HAR file begins with a `log` key that has an object as value; the lines of a JSON log do not.
     return "har" if _HAR.match(head) else "json"
 
 
 def rows(path: Path, form: str, how: How, progress: Progress | None) -> Iterator[Row | tuple[int, LeftOut]]:
-    """The rows of a file, and what is left out of it; raises `SourceError`."""
+    """Yield the rows of a file, and rejections with their number; raises `SourceError`."""
     with open_source(path, progress) as file:
         if form == "har":
             from brambleusher.load.har import rows as entries
@@ -79,22 +79,22 @@
             yield from entries(file, str(path))
             return
         reader = how.line_reader(form)
-        for number, line, whole in lines(file):
+        for number, line, has_line_ending in lines(file):
             try:
                 if line is None:
                     raise LeftOut("too-long")
                 row = line_row(reader, number, line)
                 if row is not None:
                     yield row
-            except LeftOut as why:
-                cut = not whole and why.reason in ("unreadable", "encoding")
-                yield number, LeftOut("cut-line", why.detail) if cut else why
-            except ValueError as error:  # a capture's header
+            except LeftOut as rejection:
+                truncated = not has_line_ending and rejection.reason in ("unreadable", "encoding")
+                yield number, LeftOut("cut-line", rejection.detail) if truncated else rejection
+            except ValueError as error:  # the header of a capture is invalid
                 raise SourceError(f"{path}: line {number}: {error}") from None
 
 
 def line_row(reader: LineReader, number: int, line: bytes) -> Row | None:
-    """One line; empty ones are passed over.  Raises `LeftOut`."""
+    """Convert one line to a row, or to None if the line is blank or no request; raises `LeftOut`."""
     if number == 1:
         line = line.removeprefix(b"\xef\xbb\xbf")
     return reader.row(number, line) if line.strip() else None
@@ -103,26 +103,26 @@
 def requests(
     path: Path, form: str, how: How, report: Report, progress: Progress | None = None
 ) -> Iterator[Timed]:
-    """The requests of a file in its own order; what is left out goes to the report."""
-    read = Reader(how.mapping).request
+    """Yield the requests of a file in file order; rejected rows go to the report."""
+    convert = Reader(how.mapping).request
     unit = "entry" if form == "har" else "line"
     for row in rows(path, form, how, progress):
         report.rows += 1
         if isinstance(row, tuple):
             report.leave(row[1].reason, f"{path}: {unit} {row[0]}", row[1].detail)
             continue
-        place = f"{path}: {unit} {row.place}"
+        position = f"{path}: {unit} {row.place}"
         try:
-            request = read(row)
-        except LeftOut as why:
-            report.leave(why.reason, place, why.detail)
+            request = convert(row)
+        except LeftOut as rejection:
+            report.leave(rejection.reason, position, rejection.detail)
             continue
         noted(report.note, request, row.whole, row.leap)
-        yield Timed(request, row.whole, place)
+        yield Timed(request, row.whole, position)
 
 
 def noted(note: Callable[[str], None], request: Request, whole: bool, leap: bool) -> None:
-    """Say what is to be known of a request that stays."""
+    """Report notable properties of an accepted request."""
     if whole:
         note("whole-seconds")
     if leap:
--- a/brambleusher/load/summary.py
+++ b/brambleusher/load/summary.py
@@ -1,4 +1,4 @@
-"""What a demand file holds in numbers: rate, mix, bursts, tenants; as JSON values, as a table, as a plot."""
+"""Summarize a demand file (rate, mix, bursts, tenants) as JSON values, as a table or as a plot."""
 
 from __future__ import annotations
 
@@ -12,38 +12,39 @@
 from brambleusher.load.times import SECOND, to_text
 
 MOST_BINS = 4096
-MOST_ROWS, MOST_NAMES = 100, 10_000  # classes with bins; classes and tenants with a count
+# Limits of the classes with bins, and of the classes or tenants with a count.
+MAX_BINNED_CLASSES, MAX_COUNTED_NAMES = 100, 10_000
 OTHERS = "(others)"
-BURST = 2.5  # times the median of the windows: that and more is a burst
+MIN_BURST_RATIO = 2.5  # minimum ratio of a window to the median window that counts as a burst
 BLOCKS = " ▁▂▃▄▅▆▇█"
 
 
-def _bounded(known: Mapping[str, object], name: str, most: int = MOST_NAMES) -> str:
-    """A name, or the one that those beyond a bound share: a mapping may take anything for a tenant."""
-    return name if name in known or len(known) < most else OTHERS
+def _bounded(counts: Mapping[str, object], name: str, limit: int = MAX_COUNTED_NAMES) -> str:
+    """Return `name`, or `OTHERS` if there are too many names; a mapping may yield any number of tenants."""
+    return name if name in counts or len(counts) < limit else OTHERS
 
 
 class Bins:
-    """Counts by class over time.  Bins begin at one second; twice as wide each time they are too many."""
+    """Counts by class over time; bins are one second wide at first and double when there are too many."""
 
     def __init__(self, start_ns: int) -> None:
         self.start_ns, self.width_ns = start_ns, SECOND
         self.counts: dict[str, list[int]] = {}
 
     def add(self, request: Request) -> None:
-        """One request, no earlier than the start."""
+        """Count a request, which must not be earlier than the start."""
         at = (request.at_ns - self.start_ns) // self.width_ns
         while at >= MOST_BINS:
             self.width_ns *= 2
             self.counts = {name: _halved(row) for name, row in self.counts.items()}
             at //= 2
-        row = self.counts.setdefault(_bounded(self.counts, request.request_class, MOST_ROWS), [])
+        row = self.counts.setdefault(_bounded(self.counts, request.request_class, MAX_BINNED_CLASSES), [])
         if len(row) <= at:
             row.extend([0] * (at + 1 - len(row)))
         row[at] += 1
 
     def totals(self) -> list[int]:
-        """Counts of all classes together."""
+        """Return the counts by bin summed over all classes."""
         length = max(map(len, self.counts.values()), default=0)
         out = [0] * length
         for row in self.counts.values():
@@ -57,7 +58,7 @@
 
 
 class Summary:
-    """The figures of a stream of requests."""
+    """Statistics of a stream of requests."""
 
     def __init__(self, requests: Iterable[Request] = ()) -> None:
         self.requests = self.hinted = self.retries = self.body_bytes = self.largest_body = 0
@@ -70,7 +71,7 @@
             self.add(request)
 
     def add(self, request: Request) -> None:
-        """One more request, in order."""
+        """Count a request; requests must be added in order."""
         if self.bins is None:
             self.first_ns = request.at_ns
             self.bins = Bins(request.at_ns)
@@ -88,11 +89,11 @@
 
     @property
     def span_s(self) -> float:
-        """Seconds from the first request to the last."""
+        """Time from the first to the last request, in seconds."""
         return (self.last_ns - self.first_ns) / SECOND
 
     def windows(self, seconds: int = 10) -> list[int]:
-        """Requests in windows of so many seconds, or of the bins' width where that is more."""
+        """Return request counts in windows of `seconds`, or of the bin width if that is larger."""
         if self.bins is None:
             return []
         totals, width = self.bins.totals(), max(1, seconds * SECOND // self.bins.width_ns)
@@ -100,32 +101,32 @@
 
     @property
     def window_s(self) -> float:
-        """The width of `windows`."""
+        """Width of the windows in seconds."""
         width = self.bins.width_ns / SECOND if self.bins is not None else 1.0
         return max(10.0, width)
 
     def bursts(self) -> list[dict[str, float]]:
-        """Stretches of windows with `BURST` times the median window's requests and more."""
+        """Return spans of windows with at least `BURST` times the requests of the median window."""
         windows = self.windows()
         if len(windows) < 4:
             return []
-        usual = median(windows)
-        if not usual:
+        typical = median(windows)
+        if not typical:
             return []
-        high = [False, *(count >= BURST * usual for count in windows), False]
+        high = [False, *(count >= MIN_BURST_RATIO * typical for count in windows), False]
         edges = [at for at, (before, now) in enumerate(pairwise(high)) if before != now]
         return [
             {
                 "start_s": start * self.window_s,
                 "seconds": (end - start) * self.window_s,
                 "peak_rate": max(windows[start:end]) / self.window_s,
-                "times": max(windows[start:end]) / usual,
+                "times": max(windows[start:end]) / typical,
             }
             for start, end in zip(edges[::2], edges[1::2], strict=True)
         ]
 
     def plain(self, report: dict[str, Any] | None = None) -> dict[str, Any]:
-        """As JSON values; `report` is what the file says was left out."""
+        """Return the summary as JSON values; `report` is the build report of the demand file."""
         totals = self.bins.totals() if self.bins is not None else []
         width_s = self.bins.width_ns / SECOND if self.bins is not None else 1.0
         left = (report or {}).get("left_out", {})
@@ -148,7 +149,7 @@
         }
 
     def texts(self) -> list[str]:
-        """As lines for a reader."""
+        """Format the summary as lines of text."""
         if not self.requests:
             return ["no requests"]
         plain = self.plain()
@@ -182,14 +183,14 @@
 
 
 def sparks(values: list[int], width: int = 100) -> list[str]:
-    """Values as rows of block characters, the highest a full block."""
-    most = max(values, default=0) or 1
-    text = "".join(BLOCKS[-(-value * (len(BLOCKS) - 1) // most)] for value in values)
+    """Draw values as rows of block characters scaled to the maximum."""
+    maximum = max(values, default=0) or 1
+    text = "".join(BLOCKS[-(-value * (len(BLOCKS) - 1) // maximum)] for value in values)
     return [text[at : at + width] for at in range(0, len(text), width)]
 
 
 def plot(summary: Summary, path: str, title: str) -> None:
-    """Requests a second by class over time, as a picture of the kind that the file's name says."""
+    """Plot requests per second by class over time; the file name extension selects the image format."""
     from matplotlib.figure import Figure
 
     figure = Figure(figsize=(10, 4), layout="constrained")
--- a/brambleusher/load/synthetic.py
+++ b/brambleusher/load/synthetic.py
@@ -1,6 +1,6 @@
-"""Demand that the project makes: several marketplaces, an on-sale burst, refusals and their retries.
+"""Generate synthetic demand with several marketplaces, an on-sale burst, refusals and retries.
 
-Requests come as a Poisson stream whose rate is a base with one burst; marketplaces, classes, hints and
+Requests form a Poisson process with a base rate and one burst.  Marketplaces, classes, work hints and
 time-outs are drawn by the shares of a recipe.  The same recipe and seed give the same requests.
 """
 
@@ -23,35 +23,35 @@
 
 
 class RecipeError(ValueError):
-    """A recipe that can't be used; the message names the key."""
+    """A recipe is invalid; the message names the key."""
 
 
 class Kind(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """A class of requests."""
+    """Parameters of a request class."""
 
     share: float = 1.0
     safe: bool = True
     timeout_ms: int = 2000
-    hint_us: float = 20_000.0  # median; hints are lognormal
-    spread: float = 0.5  # sigma of their logarithm
-    hinted: float = 1.0  # the share that has a hint
-    body: int = 200  # bytes, where it is not safe
+    hint_us: float = 20_000.0  # median work hint in microseconds; hints are lognormal
+    spread: float = 0.5  # sigma of the logarithm of the hints
+    hinted: float = 1.0  # share of requests with a hint
+    body: int = 200  # body size in bytes of unsafe requests
 
 
 class Burst(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """A time when more is asked: up at once, down over its last third."""
+    """A burst: the rate rises at once and falls linearly over the last third."""
 
     start_s: float = 240.0
     seconds: float = 90.0
     times: float = 8.0
-    share: dict[str, float] = {}  # of classes, where the burst has its own
+    share: dict[str, float] = {}  # class shares that replace those of the recipe during the burst
 
 
 class Recipe(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """A day's picture in numbers."""
+    """Parameters of a synthetic demand."""
 
     seconds: float = 600.0
-    rate: float = 40.0  # requests a second outside the burst
+    rate: float = 40.0  # requests per second outside the burst
     start_ns: int = NOON_NS
     marketplaces: dict[str, float] = msgspec.field(
         default_factory=lambda: {
@@ -66,14 +66,14 @@
         }
     )
     burst: Burst | None = Burst()
-    refused: float = 0.02  # share of requests that were refused, and tried again
+    refused: float = 0.02  # share of requests that are refused and retried
     refused_in_burst: float = 0.12
-    retry_after_s: float = 0.8  # mean pause before a retry
-    retries: int = 2  # of one request at most
+    retry_after_s: float = 0.8  # mean pause before a retry, in seconds
+    retries: int = 2  # limit of retries per request
 
 
 def read_recipe(path: str | Path) -> Recipe:
-    """A recipe in YAML; raises `RecipeError`."""
+    """Read and validate a recipe in YAML; raises `RecipeError`."""
     try:
         raw = yaml.safe_load(Path(path).read_bytes())
         return checked(msgspec.convert({} if raw is None else raw, Recipe))
@@ -94,7 +94,7 @@
 
 
 def checked(recipe: Recipe) -> Recipe:
-    """The recipe, if its figures make sense; raises `RecipeError`."""
+    """Return the recipe if its values are valid; raises `RecipeError`."""
     _finite(msgspec.to_builtins(recipe), "")
     for name, value, low in (
         ("seconds", recipe.seconds, 0.001), ("rate", recipe.rate, 0.0), ("refused", recipe.refused, 0.0),
@@ -115,7 +115,7 @@
 
 
 def factor(recipe: Recipe, at_s: float) -> float:
-    """How many times the base rate is asked at a moment."""
+    """Return the ratio of the rate to the base rate at a time in seconds from the start."""
     burst = recipe.burst
     if burst is None or not burst.start_s <= at_s < burst.start_s + burst.seconds:
         return 1.0
@@ -124,58 +124,58 @@
 
 
 def requests(recipe: Recipe, seed: int) -> Iterator[Request]:
-    """The recipe's requests, in order."""
+    """Generate the requests of a recipe, in order."""
     rng = random.Random(seed)
     retries: list[tuple[int, int, Request, int]] = []
     end_ns = recipe.start_ns + int(recipe.seconds * SECOND)
     for at_ns in _times(recipe, rng):
         while retries and retries[0][0] <= at_ns:
-            yield from _sent(recipe, rng, retries, *_due(retries))
-        request = _drawn(recipe, rng, at_ns)
-        yield from _sent(recipe, rng, retries, request, 0)
+            yield from _with_response(recipe, rng, retries, *_pop_retry(retries))
+        request = _draw_request(recipe, rng, at_ns)
+        yield from _with_response(recipe, rng, retries, request, 0)
     while retries and retries[0][0] < end_ns:
-        yield from _sent(recipe, rng, retries, *_due(retries))
+        yield from _with_response(recipe, rng, retries, *_pop_retry(retries))
 
 
-def _due(retries: list[tuple[int, int, Request, int]]) -> tuple[Request, int]:
+def _pop_retry(retries: list[tuple[int, int, Request, int]]) -> tuple[Request, int]:
     _, _, request, tries = heapq.heappop(retries)
     return request, tries
 
 
 def _times(recipe: Recipe, rng: random.Random) -> Iterator[int]:
-    """A Poisson stream of a changing rate, by thinning one of the highest (Lewis and Shedler, 1979)."""
-    most = max(1.0, recipe.burst.times if recipe.burst is not None else 1.0)
+    """Generate a Poisson process of varying rate by thinning (Lewis and Shedler, 1979)."""
+    max_factor = max(1.0, recipe.burst.times if recipe.burst is not None else 1.0)
     if recipe.rate <= 0:
         return
-    at_s = rng.expovariate(recipe.rate * most)
+    at_s = rng.expovariate(recipe.rate * max_factor)
     while at_s < recipe.seconds:
-        if rng.random() * most < factor(recipe, at_s):
+        if rng.random() * max_factor < factor(recipe, at_s):
             yield recipe.start_ns + int(at_s * SECOND) // 1_000_000 * 1_000_000
-        at_s += rng.expovariate(recipe.rate * most)
+        at_s += rng.expovariate(recipe.rate * max_factor)
 
 
-def _drawn(recipe: Recipe, rng: random.Random, at_ns: int) -> Request:
+def _draw_request(recipe: Recipe, rng: random.Random, at_ns: int) -> Request:
     at_s = (at_ns - recipe.start_ns) / SECOND
-    shares = {name: kind.share for name, kind in recipe.classes.items()}
+    shares = {name: class_parameters.share for name, class_parameters in recipe.classes.items()}
     if recipe.burst is not None and recipe.burst.share and factor(recipe, at_s) > 1.0:
         shares |= recipe.burst.share
     name = rng.choices(list(shares), list(shares.values()))[0]
-    kind = recipe.classes[name]
-    shop = rng.choices(list(recipe.marketplaces), list(recipe.marketplaces.values()))[0]
-    hint = max(1, round(kind.hint_us * rng.lognormvariate(0.0, kind.spread)))
-    hint_us = hint if rng.random() < kind.hinted else None
+    class_parameters = recipe.classes[name]
+    tenant = rng.choices(list(recipe.marketplaces), list(recipe.marketplaces.values()))[0]
+    hint = max(1, round(class_parameters.hint_us * rng.lognormvariate(0.0, class_parameters.spread)))
+    hint_us = hint if rng.random() < class_parameters.hinted else None
     game = rng.randrange(400)
-    target = f"/{name}?game={game}" + (f"&section={rng.randrange(30)}" if kind.safe else "")
-    body = None if kind.safe else rng.randbytes(kind.body // 2).hex().encode()
+    target = f"/{name}?game={game}" + (f"&section={rng.randrange(30)}" if class_parameters.safe else "")
+    body = None if class_parameters.safe else rng.randbytes(class_parameters.body // 2).hex().encode()
     key = f"{rng.getrandbits(64):016x}"
-    return _worded(at_ns, name, target, shop, hint_us, kind.timeout_ms, key, False, body)
+    return _make_request(at_ns, name, target, tenant, hint_us, class_parameters.timeout_ms, key, False, body)
 
 
-def _worded(
-    at_ns: int, name: str, target: str, shop: str, hint_us: int | float | None, timeout_ms: int | None,
+def _make_request(
+    at_ns: int, name: str, target: str, tenant: str, hint_us: int | float | None, timeout_ms: int | None,
     key: str, retry: bool, body: bytes | None,
 ) -> Request:  # fmt: skip
-    headers = [("Request-Id", key), ("Request-Class", name), ("Tenant", shop)]
+    headers = [("Request-Id", key), ("Request-Class", name), ("Tenant", tenant)]
     if timeout_ms is not None:
         headers.append(("Request-Timeout-Ms", str(timeout_ms)))
     if hint_us is not None:
@@ -185,19 +185,19 @@
     if body is not None:
         headers += [("Content-Type", "text/plain"), ("Content-Length", str(len(body)))]
     return Request(
-        at_ns, name, "GET" if body is None else "POST", target, shop, hint_us, timeout_ms, key, retry,
+        at_ns, name, "GET" if body is None else "POST", target, tenant, hint_us, timeout_ms, key, retry,
         tuple(headers), body, len(body or b""), "http://api.internal",
     )  # fmt: skip
 
 
-def _sent(
+def _with_response(
     recipe: Recipe,
     rng: random.Random,
     retries: list[tuple[int, int, Request, int]],
     request: Request,
     tries: int,
 ) -> Iterator[Request]:
-    """A request with its answer; a refused one comes again after a pause, with an id of its own."""
+    """Yield a request with its response; schedule a retry with a new id after a pause if it is refused."""
     at_s = (request.at_ns - recipe.start_ns) / SECOND
     share = recipe.refused_in_burst if factor(recipe, at_s) > 1.0 else recipe.refused
     refused = rng.random() < share
@@ -207,11 +207,11 @@
     )
     if refused and tries < recipe.retries:
         pause_ns = int((0.1 + rng.expovariate(1.0 / recipe.retry_after_s)) * 1000) * 1_000_000
-        again = _worded(
+        retry = _make_request(
             request.at_ns + pause_ns, request.request_class, request.target, request.tenant or "",
             request.hint_us, request.timeout_ms, f"{rng.getrandbits(64):016x}", True, request.body,
         )  # fmt: skip
-        heapq.heappush(retries, (again.at_ns, rng.getrandbits(32), again, tries + 1))
+        heapq.heappush(retries, (retry.at_ns, rng.getrandbits(32), retry, tries + 1))
 
 
 LOGGED = (
@@ -221,20 +221,20 @@
 
 
 def log_line(request: Request, whole_seconds: bool = False) -> bytes:
-    """A request as a line of an access log; see `access_log.FORMATS`, `platform`."""
+    """Format a request as an access log line in the format `platform` of `access_log.FORMATS`."""
     headers = {name.lower(): value for name, value in request.headers}
-    seconds, rest = divmod(request.at_ns, SECOND)
+    seconds, nanos = divmod(request.at_ns, SECOND)
     when = EPOCH.fromtimestamp(seconds, EPOCH.tzinfo).strftime("%d/%b/%Y:%H:%M:%S +0000")
-    named = " ".join(f'"{escaped(headers.get(name, "-"))}"' for name in LOGGED)
-    stamp = f"[{when}]" if whole_seconds else f"{seconds}.{rest // 1000:06d}"
+    header_texts = " ".join(f'"{escaped(headers.get(name, "-"))}"' for name in LOGGED)
+    stamp = f"[{when}]" if whole_seconds else f"{seconds}.{nanos // 1000:06d}"
     line = (
         f'192.0.2.7 - - {stamp} "{escaped(request.method)} {escaped(request.target)} HTTP/1.1" '
-        f'{request.status or 200} 512 "-" "market/1.0" {(request.took_ns or 0) // 1000} {named}\n'
+        f'{request.status or 200} 512 "-" "market/1.0" {(request.took_ns or 0) // 1000} {header_texts}\n'
     )
     return line.encode("latin-1")
 
 
-# As the format `platform`, but with microseconds.
+# LogFormat that equals `platform` but has times in microseconds.
 EXACT = (
     '%h %l %u %{sec}t.%{usec_frac}t "%r" %>s %b "%{Referer}i" "%{User-Agent}i" %D "%{Request-Class}i" '
     '"%{Tenant}i" "%{Work-Hint}i" "%{Request-Timeout-Ms}i" "%{Request-Id}i" "%{Client-Retry}i" '
@@ -243,7 +243,7 @@
 
 
 def escaped(text: str) -> str:
-    """Text as the server writes it into its log: what is not printable, quotes and backslashes escaped."""
+    """Escape unprintable characters, quotes and backslashes as the server does in its log."""
     out = []
     for char in text:
         if char in '"\\':
@@ -256,11 +256,11 @@
 
 
 def json_record(request: Request) -> dict[str, Any]:
-    """A request as a line of a JSON log, with the names that are read without a mapping."""
-    seconds, rest = divmod(request.at_ns, SECOND)
+    """Convert a request to a JSON log record with the default field names."""
+    seconds, nanos = divmod(request.at_ns, SECOND)
     when = EPOCH.fromtimestamp(seconds, EPOCH.tzinfo).strftime("%Y-%m-%dT%H:%M:%S")
     record: dict[str, Any] = {
-        "time": f"{when}.{rest:09d}Z", "method": request.method,
+        "time": f"{when}.{nanos:09d}Z", "method": request.method,
         "url": f"{request.origin or ''}{request.target}",
         "headers": [list(field) for field in request.headers], "size": request.size,
     }  # fmt: skip
--- a/brambleusher/load/times.py
+++ b/brambleusher/load/times.py
@@ -1,4 +1,4 @@
-"""Times as sources write them, to Unix nanoseconds.  What can be read in two ways is left out."""
+"""Convert times of sources to Unix nanoseconds; ambiguous times are rejected."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 SECOND = 1_000_000_000
 EPOCH = datetime(1970, 1, 1, tzinfo=UTC)
 UNITS = {"s": SECOND, "ms": 1_000_000, "us": 1_000, "ns": 1}
-LATEST = 253_402_300_800 * SECOND  # the year 10000
+END_NS = 253_402_300_800 * SECOND  # start of the year 10000, in Unix nanoseconds
 
 _ISO = re.compile(
     r"(\d{4})-(\d\d)-(\d\d)[Tt ](\d\d):(\d\d):(\d\d)(?:[.,](\d{1,18}))?\s*(?:([Zz])|([+-])(\d\d):?(\d\d))?\Z",
@@ -21,7 +21,7 @@
 
 
 def zone_of(name: str) -> tzinfo:
-    """A zone by its IANA name; raises `ValueError` where there is none."""
+    """Return the time zone with an IANA name; raises `ValueError` if there is none."""
     try:
         return ZoneInfo(name)
     except (ZoneInfoNotFoundError, ValueError, OSError):
@@ -29,74 +29,74 @@
 
 
 def from_datetime(moment: datetime, zone: tzinfo | None = None) -> int:
-    """Unix nanoseconds; a moment without a zone is taken to be in `zone`, raises `LeftOut`."""
+    """Convert to Unix nanoseconds; a time without a zone is taken to be in `zone`.  Raises `LeftOut`."""
     if moment.tzinfo is None:
         if zone is None:
             raise LeftOut("no-zone", moment.isoformat())
         moment = in_zone(moment, zone)
-    passed = moment - EPOCH
-    return (passed.days * 86_400 + passed.seconds) * SECOND + passed.microseconds * 1_000
+    since_epoch = moment - EPOCH
+    return (since_epoch.days * 86_400 + since_epoch.seconds) * SECOND + since_epoch.microseconds * 1_000
 
 
 def in_zone(moment: datetime, zone: tzinfo) -> datetime:
-    """A local time as a moment; raises `LeftOut` where the zone had it twice or never that day."""
+    """Attach a zone to a local time; raises `LeftOut` if the zone has that time twice or not at all."""
     first, second = (moment.replace(tzinfo=zone, fold=fold) for fold in (0, 1))
     if first.utcoffset() == second.utcoffset():
         return first
-    back = first.astimezone(UTC).astimezone(zone).replace(tzinfo=None)
-    raise LeftOut("ambiguous-time" if back == moment else "no-such-time", moment.isoformat())
+    round_trip = first.astimezone(UTC).astimezone(zone).replace(tzinfo=None)
+    raise LeftOut("ambiguous-time" if round_trip == moment else "no-such-time", moment.isoformat())
 
 
 def from_text(text: str, zone: tzinfo | None = None) -> tuple[int, bool, bool]:
-    """ISO 8601 with date and time: Unix nanoseconds, whether in whole seconds, whether a leap second.
+    """Parse an ISO 8601 time to Unix nanoseconds, with flags for whole seconds and for a leap second.
 
-    A leap second is the first instant of the next minute, as Unix time has it.  Raises `LeftOut`.
+    A leap second maps to the first instant of the next minute, as in Unix time.  Raises `LeftOut`.
     """
-    found = _ISO.match(text.strip())
-    if found is None:
+    match = _ISO.match(text.strip())
+    if match is None:
         raise LeftOut("bad-time", text[:60])
-    year, month, day, hour, minute, second = (int(part) for part in found.groups()[:6])
-    fraction, utc, sign, hours, minutes = found.groups()[6:]
+    year, month, day, hour, minute, second = (int(part) for part in match.groups()[:6])
+    fraction, utc, sign, hours, minutes = match.groups()[6:]
     leap = second == 60
-    own: tzinfo | None = None
+    own_zone: tzinfo | None = None
     try:
         if utc:
-            own = UTC
+            own_zone = UTC
         elif sign:
             offset = timedelta(hours=int(hours), minutes=int(minutes))
-            own = timezone(-offset if sign == "-" else offset)
-        moment = datetime(year, month, day, hour, minute, 59 if leap else second, tzinfo=own)
+            own_zone = timezone(-offset if sign == "-" else offset)
+        moment = datetime(year, month, day, hour, minute, 59 if leap else second, tzinfo=own_zone)
         at_ns = from_datetime(moment, zone)
     except (ValueError, OverflowError):
         raise LeftOut("bad-time", text[:60]) from None
     at_ns += int((fraction or "").ljust(9, "0")[:9]) + (SECOND if leap else 0)
-    if not 0 <= at_ns < LATEST:
+    if not 0 <= at_ns < END_NS:
         raise LeftOut("bad-time", text[:60])
     return at_ns, fraction is None, leap
 
 
 def from_number(value: int | float | str, unit: str) -> tuple[int, bool]:
-    """Unix time in a unit: nanoseconds, and whether it is in whole seconds.  Raises `LeftOut`."""
+    """Convert a Unix time in `unit` to nanoseconds, with a flag for whole seconds; raises `LeftOut`."""
     text = format(value, ".9f") if isinstance(value, float) else str(value)
-    found = _NUMBER.match(text.strip())
-    if found is None:
+    match = _NUMBER.match(text.strip())
+    if match is None:
         raise LeftOut("bad-time", text[:60])
     scale = UNITS[unit]
-    whole, fraction = found.groups()
-    at_ns = int(whole) * scale + int((fraction or "").ljust(9, "0")[:9]) * scale // SECOND
-    if at_ns >= LATEST:
+    integer, fraction = match.groups()
+    at_ns = int(integer) * scale + int((fraction or "").ljust(9, "0")[:9]) * scale // SECOND
+    if at_ns >= END_NS:
         raise LeftOut("bad-time", text[:60])
     return at_ns, unit == "s" and (fraction is None or not int(fraction))
 
 
 def to_text(at_ns: int) -> str:
-    """ISO 8601 in UTC, with all nine digits of the second only where they are needed."""
-    seconds, rest = divmod(at_ns, SECOND)
+    """Format as ISO 8601 in UTC, with milliseconds, or with nanoseconds where needed."""
+    seconds, nanos = divmod(at_ns, SECOND)
     stamp = (EPOCH + timedelta(seconds=seconds)).strftime("%Y-%m-%dT%H:%M:%S")
-    digits = f"{rest:09d}"
+    digits = f"{nanos:09d}"
     return f"{stamp}.{digits[:3] if digits.endswith('000000') else digits}Z"
 
 
 def day_of(at_ns: int) -> date:
-    """The day in UTC."""
+    """Return the day in UTC."""
     return (EPOCH + timedelta(seconds=at_ns // SECOND)).date()
--- a/brambleusher/load/wording.py
+++ b/brambleusher/load/wording.py
@@ -1,4 +1,4 @@
-"""Requests as the platform's protocol words them, and as much of an answer as a player needs."""
+"""Encode requests in the platform's protocol, and parse responses as far as the player needs."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 from brambleusher.load.request import BODILESS, Request
 
-# Worded here, or speaking of a connection that is not this one.
-OWN = frozenset(
+# Headers that are not copied: the encoder writes them, or they concern the original connection.
+GENERATED_HEADERS = frozenset(
     {
         "host", "request-id", "request-class", "tenant", "work-hint", "request-timeout-ms", "client-retry",
         "content-length", "transfer-encoding", "connection", "keep-alive", "proxy-connection", "te",
@@ -19,24 +19,24 @@
 
 
 def target_of(request: Request) -> str:
-    """The target, put below the class where it is not: the protocol has the class first in the path."""
+    """Return the target, prefixed with the class if it lacks one: the first path segment is the class."""
     target, name = request.target, f"/{request.request_class}"
-    rest = target[len(name) :]
-    return target if target.startswith(name) and rest[:1] in ("", "/", "?") else name + target
+    remainder = target[len(name) :]
+    return target if target.startswith(name) and remainder[:1] in ("", "/", "?") else name + target
 
 
 def body_of(request: Request) -> bytes:
-    """The body, or as many bytes of filler as it had."""
+    """Return the body, or filler of the recorded size if the body was not stored."""
     if request.body is not None or not request.size:
         return request.body or b""
     return (FILLER * (request.size // len(FILLER) + 1))[: request.size]
 
 
 def worded(request: Request, name: str, timeout_ms: int, methods: Mapping[str, str] | None = None) -> bytes:
-    """A request as bytes.
+    """Encode a request as bytes.
 
-    `name` is its id, which must be a fresh one.  `methods` says the method of a class where that is known;
-    else it is the request's own if it is one of the two that the protocol has.
+    `name` is the request id, which must be unique.  `methods` gives the method by class; for a class without
+    an entry, bodiless methods become GET and all others become POST.
     """
     method = (methods or {}).get(request.request_class)
     if method is None:
@@ -54,11 +54,11 @@
         lines.append("Client-Retry: 1")
     if body or method != "GET":
         lines.append(f"Content-Length: {len(body)}")
-    room = MAX_HEAD - sum(map(len, lines)) - 512
+    remaining = MAX_HEAD - sum(map(len, lines)) - 512
     for field, value in request.headers:
-        if field[:1] != ":" and field.lower() not in OWN:
-            room -= len(field) + len(value) + 4
-            if room < 0:  # guards against a head that no sidecar takes: cookies of many kilobytes
+        if field[:1] != ":" and field.lower() not in GENERATED_HEADERS:
+            remaining -= len(field) + len(value) + 4
+            if remaining < 0:  # long cookies would make a head that the sidecar rejects
                 break
             lines.append(f"{field}: {value}")
     lines += ["", ""]
@@ -66,41 +66,41 @@
 
 
 class AnswerError(ValueError):
-    """An answer that can't be read."""
+    """A response can't be parsed."""
 
 
 class AnswerReader:
-    """Finds the end of one answer after another, and keeps no more than the status of each."""
+    """Finds the end of each response on a connection; stores only the status."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
         self.status = 0
         self.keep = True
-        self._left = -1  # of the body; -1: the head comes; -2: a chunk's size line comes; -3: up to the end
+        self._remaining = -1  # body bytes; -1: in the head, -2: in chunks, -3: until the end
 
     def feed(self, data: bytes) -> bool:
-        """Take in bytes; true once an answer is whole.  Raises `AnswerError`."""
+        """Process received bytes; returns True once a response is complete.  Raises `AnswerError`."""
         self._buffer += data
         buffer = self._buffer
-        if self._left == -1 and not self._head():
+        if self._remaining == -1 and not self._read_head():
             return False
-        if self._left == -3:
+        if self._remaining == -3:
             buffer.clear()
             return False
-        if self._left == -2:
-            return self._chunks()
-        if len(buffer) < self._left:
+        if self._remaining == -2:
+            return self._read_chunks()
+        if len(buffer) < self._remaining:
             return False
-        del buffer[: self._left]
-        self._left = -1
+        del buffer[: self._remaining]
+        self._remaining = -1
         return True
 
     def end(self) -> bool:
-        """The connection has ended: whether that ends an answer that is whole."""
+        """Handle the end of the connection; returns True if that completes a response."""
         self.keep = False
-        return self._left == -3
+        return self._remaining == -3
 
-    def _head(self) -> bool:
+    def _read_head(self) -> bool:
         while True:
             end = self._buffer.find(b"\r\n\r\n")
             if end < 0:
@@ -115,23 +115,23 @@
             self.status = int(start[1])
             if self.status >= 200:
                 break
-        self._left, self.keep = -3, start[0] != b"HTTP/1.0"
+        self._remaining, self.keep = -3, start[0] != b"HTTP/1.0"
         for line in lines[1:]:
             name, _, value = line.partition(b":")
-            word = name.lower()
-            if word == b"content-length":
+            lower_name = name.lower()
+            if lower_name == b"content-length":
                 if not value.strip().isdigit():
                     raise AnswerError("bad content length")
-                self._left = int(value)
-            elif word == b"transfer-encoding" and value.strip().lower() == b"chunked":
-                self._left = -2
-            elif word == b"connection" and b"close" in value.lower():
+                self._remaining = int(value)
+            elif lower_name == b"transfer-encoding" and value.strip().lower() == b"chunked":
+                self._remaining = -2
+            elif lower_name == b"connection" and b"close" in value.lower():
                 self.keep = False
         if self.status in (204, 304):
-            self._left = 0
+            self._remaining = 0
         return True
 
-    def _chunks(self) -> bool:
+    def _read_chunks(self) -> bool:
         buffer = self._buffer
         while (end := buffer.find(b"\r\n")) >= 0:
             try:
@@ -142,6 +142,6 @@
                 return False
             del buffer[: end + 2 + size + 2]
             if not size:
-                self._left = -1
+                self._remaining = -1
                 return True
         return False
