--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""What measures: each prints a table and keeps nothing."""
+"""Benchmarks; each module prints a table and stores nothing."""
--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -1,8 +1,9 @@
-"""What each mechanism of a gateway's policy is worth: the standard days of sites with one key off at a time.
+"""Measure the value of each mechanism of a gateway's policy, by standard days with one key switched off.
 
-Each variant is a copy of this repository's newest commit with its own `deploy/policy.toml`; a bench plays the
-standard days of a site on it, each with the seed of the day, so that two variants are paired by day.
-Results go to a file of JSON lines, one play a line: what stands there is not played again.
+Each variant is a copy of the newest commit of this repository with its own `deploy/policy.toml`.  A bench
+program replays the standard days of a site on the copy, with the seed of the day, so that two variants are
+compared day by day.  Results are appended to a file of JSON lines, one per site and variant; replays that
+are already in the file are skipped.
 Run: python -m benchmarks.ablation plan --bench PATH --sites A.toml,B.toml --out FOLDER [--keys health]
 Then: python -m benchmarks.ablation table --out FOLDER
 """
@@ -25,17 +26,17 @@
 ROOT = Path(__file__).resolve().parent.parent
 RESULTS = "plays.jsonl"
 DEFAULT = "all on"
-PLAY_S = 1500.0  # one site with one variant
-NOISE = 0.03  # of a score: below it a difference says nothing
+PLAY_S = 1500.0  # time of one site with one variant, in seconds
+NOISE = 0.03  # score differences below this value are not significant
 
 
 class AblationError(Exception):
-    """A wrong call, or a bench that could not play."""
+    """The arguments are invalid, or the bench failed."""
 
 
 @dataclass(frozen=True)
 class Play:
-    """One day as one variant played it; `worth` is the bench's, less prices, not cut to 0 and 1."""
+    """Result of a day with a variant; `worth` is the bench's value minus prices, not clamped to [0, 1]."""
 
     variant: str
     site: str
@@ -47,12 +48,12 @@
 
     @property
     def key(self) -> tuple[str, str, int]:
-        """Which plays of two variants belong together."""
+        """Key that matches the plays of two variants."""
         return self.site, self.day, self.round
 
 
 def _listed(given: object) -> list[str]:
-    """Words separated by commas; `fire` makes tuples of them."""
+    """Split comma-separated words; the `fire` library passes such words as a tuple."""
     if isinstance(given, list | tuple):
         return [str(each) for each in given]
     return [word for word in str(given).split(",") if word]
@@ -66,7 +67,7 @@
 
 
 def read_plays(folder: Path) -> list[Play]:
-    """Return the plays of a folder, in the order in which they were made."""
+    """Return the plays of a folder, in the order in which they ran."""
     path = folder / RESULTS
     if not path.exists():
         return []
@@ -74,7 +75,7 @@
 
 
 def _copy(folder: Path, variant: str) -> Path:
-    """Check out the repository's newest commit, with one key off."""
+    """Check out the newest commit of the repository with one key switched off."""
     copy = folder / f"copy-{variant.replace(' ', '-')}"
     if copy.exists():
         shutil.rmtree(copy)
@@ -85,7 +86,7 @@
 
 
 def _play(bench: Path, copy: Path, site: Path, jobs: int, small: bool, why: str) -> dict[str, object]:
-    """Score a site on a copy; the journal's entry."""
+    """Score a site on a copy and return the journal entry."""
     journal = copy / "journal"
     before = set(journal.glob("*.json"))
     call = [
@@ -113,7 +114,7 @@
     assert isinstance(days, list)
     for day in days:
         if str(day["name"]).startswith("fresh"):
-            continue  # drawn anew in each score: it has no pair
+            continue  # drawn anew for each score, so the day has no counterpart
         broken = ", ".join(day["rules"] or ())
         yield Play(variant, str(entry["site"]), day["name"], number, day["G"], broken, str(entry["id"]))
 
@@ -127,7 +128,7 @@
     jobs: int = 4,
     small: bool = False,
 ) -> str:
-    """Play every variant on every site, as many rounds as asked, one bench at a time."""
+    """Play every variant on every site for `rounds` rounds, one bench at a time."""
     variants = _variants(_listed(keys))
     folder = Path(out).resolve()
     folder.mkdir(parents=True, exist_ok=True)
@@ -155,7 +156,7 @@
 
 
 def differences(plays: list[Play], variant: str, site: str) -> list[float]:
-    """Worth without the mechanism less worth with all, by pairs."""
+    """Return the worth without the mechanism minus the worth with all mechanisms, by pair."""
     base = {play.key: play.worth for play in plays if play.variant == DEFAULT and play.site == site}
     mine = [play for play in plays if play.variant == variant and play.site == site]
     return [play.worth - base[play.key] for play in mine if play.key in base]
@@ -171,7 +172,7 @@
 
 
 def table(out: str) -> str:
-    """Return the paired differences, as a table in Markdown."""
+    """Return the paired differences as a Markdown table."""
     plays = read_plays(Path(out))
     sites = sorted({play.site for play in plays})
     variants = [name for name in policy.key_names() if any(play.variant == name for play in plays)]
@@ -184,7 +185,7 @@
 
 
 def plot(out: str, path: str) -> str:
-    """Draw the paired differences as a picture: a point a pair, a row a mechanism."""
+    """Plot the paired differences, with one point per pair and one row per mechanism."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -210,7 +211,7 @@
 
 
 def main() -> int:
-    """`plan`, `table` or `plot`; 2 for a wrong call."""
+    """Run `plan`, `table` or `plot`; returns 2 for invalid arguments."""
     import fire
 
     try:
--- a/benchmarks/bodies.py
+++ b/benchmarks/bodies.py
@@ -1,9 +1,9 @@
-"""What large bodies and an upgrade cost in memory: the sidecar as deployed, on loopback.
+"""Measure the memory cost of large bodies and of an upgrade, with the deployed sidecar on loopback.
 
-`answers` clients ask for bodies of 32 MB at once and read them slowly, all together many times the memory
-limit; then, while half of them still read, a second process takes over from the first.  Memory is the
-processes' proportional set size (what they share counts once), sampled every 50 ms.  Prints a table and
-keeps nothing.
+`answers` clients request bodies of 32 MB at once and read them slowly; the bodies together exceed the memory
+limit many times over.  While half of the clients still read, a second process takes over from the first.
+Memory is the proportional set size of the processes (shared pages count once), sampled every 50 ms.  Prints
+a table and stores nothing.
 
     python -m benchmarks.bodies [--answers 100] [--seconds 4] [--body-mb 32]
 """
@@ -33,7 +33,7 @@
 
 
 def serve(listener: socket.socket, body: bytes) -> None:
-    """Run an endpoint that answers everything with one body, as fast as it is taken."""
+    """Run an endpoint that answers every request with one body, as fast as the client reads."""
     head = b'HTTP/1.1 200 OK\r\nServer-Load: {"qps":9,"util":0.3}\r\nContent-Length: %d\r\n\r\n' % len(body)
 
     def one(sock: socket.socket) -> None:
@@ -54,19 +54,19 @@
 
 
 def memory_kb(processes: list[subprocess.Popen[bytes]]) -> int:
-    """Return what these processes hold together."""
+    """Return the proportional set size of the processes together, in KB."""
     total = 0
     for process in processes:
         try:
             text = Path(f"/proc/{process.pid}/smaps_rollup").read_text()
-        except OSError:  # it has ended
+        except OSError:  # the process has ended
             continue
         total += next((int(line.split()[1]) for line in text.splitlines() if line.startswith("Pss:")), 0)
     return total
 
 
 class Bench:
-    """The sidecar's processes, and what they talk to."""
+    """The processes of the sidecar, with their endpoint and clients."""
 
     def __init__(self, folder: Path, body: bytes) -> None:
         self.folder, self.processes = folder, list[subprocess.Popen[bytes]]()
@@ -88,7 +88,7 @@
         (folder / "config.json").write_text(json.dumps(config))
 
     def start(self) -> None:
-        """One more process; returns once it serves."""
+        """Start another sidecar process; returns once it serves."""
         log = self.folder / f"log{len(self.processes)}"
         environment = {
             **os.environ, "NODE_CONFIG": str(self.folder / "config.json"), "TMPDIR": str(self.folder),
@@ -106,7 +106,7 @@
             time.sleep(0.02)
 
     def ask(self, at: int) -> socket.socket:
-        """One request, which is not answered yet."""
+        """Send one request without reading the response."""
         sock = socket.create_connection(self.address, WAIT)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 64 * 1024)
         sock.sendall(
@@ -118,7 +118,7 @@
     def read(
         self, readers: list[socket.socket], taken: dict[socket.socket, int], seconds: float, pause: float
     ) -> int:
-        """Read from all, a piece each and a pause; what the processes held at the most."""
+        """Read from all connections in turn, a chunk each; returns the peak memory of the processes in KB."""
         until, most = time.monotonic() + seconds, 0
         sampled = 0.0
         while readers and time.monotonic() < until:
@@ -135,7 +135,7 @@
 
 
 def main() -> None:
-    """Measure, and print the table."""
+    """Run the measurement and print the table."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--answers", type=int, default=100)
     parser.add_argument("--seconds", type=float, default=4.0)
--- a/benchmarks/breakages.py
+++ b/benchmarks/breakages.py
@@ -1,8 +1,8 @@
-"""How many seeds each deliberate breakage needs until the lab finds it, and under which rule.
+"""Count how many seeds the lab needs to detect each deliberate breakage, and by which rule.
 
     python -m benchmarks.breakages [--most 2000] [--share 100] [--jobs N] [NAME ...]
 
-A seed counts where a rule that the breakage must be found under is broken with it, and not without it.
+A seed counts if the run with the breakage violates a rule expected for it, and the run without it does not.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 def rules_broken(
     seed: int, profile: str, breakage: AbstractContextManager[object] | None = None
 ) -> frozenset[str]:
-    """Return what one run breaks."""
+    """Return the rules that one run violates."""
     return frozenset(play(draw_scenario(seed, profile), breakage).rules)
 
 
 def measure(task: tuple[str, int, int]) -> tuple[str, int | None, int, Counter[str]]:
-    """Return a breakage's first seed, how many of the first `share` seeds tell, and the rules that told."""
+    """Return the first detecting seed, the number of detecting ones among `share` seeds, and their rules."""
     name, most, share = task
     breakage = BREAKAGES[name]
     first, told, rules = None, 0, Counter[str]()
@@ -43,7 +43,7 @@
 
 
 def main(words: Sequence[str] | None = None) -> int:
-    """Print the table; 1 if a breakage was not found."""
+    """Print the table; returns 1 if a breakage was not detected."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--most", type=int, default=2000, help="seeds that are tried for each")
     parser.add_argument("--share", type=int, default=100, help="seeds over which the share is counted")
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,14 +1,14 @@
-"""Slopes for docs/CAPACITY.md: what a sidecar's memory and processor time grow with.
+"""Measure the slopes for docs/CAPACITY.md: how the memory and processor time of a sidecar grow.
 
-Each figure is measured at four sizes or more and fitted by a straight line; the table has the slope, the
-value at size 0, and the largest residual as a part of the largest value.  A sidecar is a process of its own
-on loopback, with a discovery and a node in this one; its processor time and resident memory are read from
-the operating system.  Figures of the decision library alone are taken in this process, with `tracemalloc`
-for memory and the processor time of the thread.
+Each figure is measured at four or more sizes and fitted by a straight line.  The table has the slope, the
+value at size 0, and the largest residual as a fraction of the largest value.  A sidecar runs as a separate
+process on loopback, with a discovery server and a node in this process; the operating system reports its
+processor time and resident memory.  The decision library alone is measured in this process, with
+`tracemalloc` for memory and the processor time of the thread.
 
     python -m benchmarks.capacity [--quick] [--only NAME[,NAME]]
 
-`--quick` takes smaller sizes and less than a minute.  Ends with 1 where a process can't be measured.
+`--quick` uses smaller sizes and takes less than a minute.  Exits with 1 if a process can't be measured.
 """
 
 from __future__ import annotations
@@ -37,9 +37,9 @@
 from brambleusher.net.http import MessageReader
 
 ROOT = Path(__file__).resolve().parent.parent
-WAIT = 30.0  # seconds, for what has to come
-SETTLE_SECONDS = 1.0  # after which what began has ended
-IDLE_SECONDS = 2.0  # over which the processor time of a sidecar without clients is read
+WAIT = 30.0  # time-out for an expected event, in seconds
+SETTLE_SECONDS = 1.0  # pause after which work in progress has ended, in seconds
+IDLE_SECONDS = 2.0  # time over which the processor time of an idle sidecar is read, in seconds
 SECOND = 10**9
 PIECE = b"token-" * 4
 ANSWER = (
@@ -53,15 +53,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Fit:
-    """A straight line through measured values."""
+    """A straight line fitted to measured values."""
 
     slope: float
     at_zero: float
-    residual: float  # the largest, as a part of the largest value
+    residual: float  # largest residual, as a fraction of the largest value
 
 
 def fit(points: list[tuple[float, float]]) -> Fit:
-    """Least squares."""
+    """Fit a straight line by least squares."""
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
@@ -72,11 +72,11 @@
     return Fit(slope, at_zero, max(abs(y - at_zero - slope * x) for x, y in points) / largest)
 
 
-# --- a discovery and a node in this process -------------------------------------------------------
+# --- a discovery server and a node in this process ------------------------------------------------
 
 
 def entry(number: int, address: str, state: str = "Ready") -> dict[str, Any]:
-    """One endpoint, as discovery says it."""
+    """Return an endpoint entry in the format of discovery."""
     return {
         "id": f"s-{number:08x}", "addr": address, "zone": f"zone-{number % 86}", "kind": "m2",
         "cell": number % 7, "state": state, "weight": 1.0, "started_ms": 0,
@@ -84,7 +84,7 @@
 
 
 class Server:
-    """A listener on loopback, a thread for each connection."""
+    """A listener on loopback with a thread per connection."""
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=512)
@@ -106,16 +106,16 @@
             return
 
     def serve(self, sock: socket.socket) -> None:
-        """Deal with one connection."""
+        """Serve one connection."""
         raise NotImplementedError
 
     def close(self) -> None:
-        """Accept no more."""
+        """Stop accepting connections."""
         self.listener.close()
 
 
 class Discovery(Server):
-    """Tells each watch the whole list, then what it is given."""
+    """A discovery server that sends each watch the whole list, then changes."""
 
     def __init__(self, servers: list[dict[str, Any]]) -> None:
         self.whole = json.dumps({"version": 1, "full": True, "servers": servers}).encode()
@@ -123,7 +123,7 @@
         super().__init__()
 
     def serve(self, sock: socket.socket) -> None:
-        """One watch; a heartbeat every second."""
+        """Serve one watch, with a heartbeat every second."""
         sock.recv(65536)
         sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + self.chunk(self.whole))
         self.watches.append(sock)
@@ -133,21 +133,21 @@
 
     @staticmethod
     def chunk(line: bytes) -> bytes:
-        """Return a line as a chunk."""
+        """Return a line as an HTTP chunk."""
         return b"%x\r\n%s\n\r\n" % (len(line) + 1, line)
 
     def change(self, version: int, changed: dict[str, Any]) -> int:
-        """Tell of one endpoint; says how many bytes that took."""
+        """Send a change of one endpoint to all watches; returns its size in bytes."""
         text = self.chunk(json.dumps({"version": version, "full": False, "servers": [changed]}).encode())
         self.watches[-1].sendall(text)
         return len(text)
 
 
 class Node(Server):
-    """Answers at once; `/stream` in so many pieces as the query says."""
+    """A node that responds at once; `/stream` responds in as many chunks as the query states."""
 
     def serve(self, sock: socket.socket) -> None:
-        """Request after request."""
+        """Serve the requests of a connection in turn."""
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         reader = MessageReader.requests()
         while data := sock.recv(65536):
@@ -163,10 +163,10 @@
     def _stream(sock: socket.socket, pieces: int) -> None:
         piece = b"%x\r\n%s\r\n" % (len(PIECE), PIECE)
         sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + piece)
-        time.sleep(0.4)  # an answer of unknown length is held for 0.3 s before it passes on
+        time.sleep(0.4)  # the sidecar holds a response of unknown length for 0.3 s before forwarding
         for _ in range(pieces - 1):
             sock.sendall(piece)
-            time.sleep(0.0005)  # apart, as tokens come
+            time.sleep(0.0005)  # pause between chunks, as between the tokens of a model
         sock.sendall(b"0\r\n\r\n")
 
 
@@ -190,7 +190,7 @@
 
 
 class Sidecar:
-    """One sidecar, and what the operating system says of its process."""
+    """A sidecar process, with the operating system's figures for it."""
 
     def __init__(self, endpoints: int) -> None:
         self.node = Node()
@@ -229,16 +229,16 @@
             time.sleep(0.02)
 
     def cpu_s(self) -> float:
-        """Processor seconds used so far, to the nanosecond."""
+        """Processor time used so far, in seconds with nanosecond resolution."""
         return int(Path(f"/proc/{self.process.pid}/schedstat").read_text("ascii").split()[0]) / SECOND
 
     def memory_mb(self) -> float:
-        """Resident memory."""
+        """Return the resident memory in MB."""
         pages = int(Path(f"/proc/{self.process.pid}/statm").read_text("ascii").split()[1])
         return pages * os.sysconf("SC_PAGE_SIZE") / 1e6
 
     def call(self, sock: socket.socket, name: str, query: str = "") -> None:
-        """One request and its whole answer."""
+        """Send one request and read the whole response."""
         text = (
             f"GET /ask{query} HTTP/1.1\r\nHost: x\r\nRequest-Id: {name}\r\nRequest-Class: ask\r\n"
             "Request-Timeout-Ms: 20000\r\n\r\n"
@@ -252,13 +252,13 @@
             reader.feed(data)
 
     def connect(self) -> socket.socket:
-        """Open a client's connection."""
+        """Open a client connection."""
         sock = socket.create_connection(self.address, WAIT)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         return sock
 
     def close(self) -> None:
-        """End it."""
+        """End the process."""
         self.process.send_signal(signal.SIGKILL)
         self.process.wait(WAIT)
         self.node.close()
@@ -268,7 +268,7 @@
 
 @contextmanager
 def sidecar(endpoints: int) -> Iterator[Sidecar]:
-    """Start a sidecar, and return it once it is ready."""
+    """Start a sidecar and yield it once it is ready."""
     made = Sidecar(endpoints)
     try:
         yield made
@@ -276,12 +276,12 @@
         made.close()
 
 
-# --- what is measured -----------------------------------------------------------------------------
+# --- measurements ---------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One figure: what it grows with, at which sizes, and its unit for one more."""
+    """One figure: its independent variable, the sizes, and the unit of its slope."""
 
     name: str
     unit: str
@@ -289,7 +289,7 @@
 
 
 def list_held(sizes: list[int]) -> list[Row]:
-    """Memory, idle processor time and bytes of a list of so many endpoints."""
+    """Measure memory, idle processor time and bytes by the number of endpoints in the list."""
     memory, idle, text = [], [], []
     for size in sizes:
         with sidecar(size) as one:
@@ -307,7 +307,7 @@
 
 
 def changes(sizes: list[int], endpoints: int) -> list[Row]:
-    """Processor time and bytes of so many changes of one endpoint each."""
+    """Measure processor time and bytes by the number of changes of one endpoint each."""
     points, sent = [], []
     with sidecar(endpoints) as one:
         time.sleep(SETTLE_SECONDS)
@@ -337,7 +337,7 @@
 
 
 def connections(sizes: list[int]) -> list[Row]:
-    """Memory of so many clients' connections that rest after one request."""
+    """Measure memory by the number of client connections that are idle after one request."""
     points = []
     with sidecar(12) as one:
         for size in sizes:
@@ -351,7 +351,7 @@
 
 
 def requests(sizes: list[int], endpoints: int) -> list[Row]:
-    """Processor time of so many small requests, one after another."""
+    """Measure processor time by the number of small requests, sent one after another."""
     points = []
     with sidecar(endpoints) as one, one.connect() as sock:
         for size in sizes:
@@ -363,7 +363,7 @@
 
 
 def pieces(sizes: list[int]) -> list[Row]:
-    """Processor time of answers that come in so many small pieces."""
+    """Measure processor time by the number of small chunks of a response."""
     points = []
     with sidecar(12) as one:
         for size in sizes:
@@ -375,7 +375,7 @@
 
 
 def decisions(what: str, sizes: list[int], count: int) -> list[Row]:
-    """Memory and processor time of the decision library alone, by classes, tenants or zones."""
+    """Measure memory and processor time of the decision library by classes, tenants or zones."""
     memory, cost = [], []
     for size in sizes:
         gc.collect()
@@ -433,7 +433,7 @@
 
 
 def measures(quick: bool) -> dict[str, Callable[[], list[Row]]]:
-    """All of them, by the name that `--only` takes."""
+    """Return all measurements by the name that `--only` accepts."""
     small = quick
     return {
         "lists": lambda: list_held([12, 1000, 2500, 5000] if small else [12, 1000, 2750, 5500, 11000, 20000]),
@@ -448,14 +448,14 @@
 
 
 def show(row: Row) -> None:
-    """Return a row of the table, and what was measured below it."""
+    """Format a row of the table, followed by the measured values."""
     line = fit(row.points)
     print(f"| {row.name} | {line.slope:.4g} {row.unit} | {line.at_zero:.4g} | {line.residual:.1%} |")
     print("|   " + ", ".join(f"{x:g}: {y:.4g}" for x, y in row.points) + " | | | |", flush=True)
 
 
 def main() -> int:
-    """Measure, and print the table."""
+    """Run the measurements and print the table."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.capacity")
     parser.add_argument("--quick", action="store_true", help="smaller sizes, less than a minute")
     parser.add_argument("--only", default="", help="names, with commas: " + ", ".join(measures(True)))
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -1,7 +1,7 @@
-"""The control service under load: drains to many subscribers, clients of three kinds, weights in use.
+"""Measure the control service under load: drains with many subscribers, three kinds of client, and weights.
 
 python benchmarks/control.py             # all tables
-python benchmarks/control.py --quick     # 100 subscribers, under 50 s; 1 where a figure is missed
+python benchmarks/control.py --quick     # 100 subscribers, under 50 s; exits with 1 if a limit is exceeded
 python benchmarks/control.py --part drains|growth|clients|weights
 """
 
@@ -56,7 +56,7 @@
 PROCESSES = 4
 _VERSION = re.compile(rb"\x0a.[0-9]+\.([0-9]+)\.", re.S)  # a response begins with its version
 _NONCE = re.compile(rb"\x2a[\x01-\x0a]([0-9]{1,10})\Z")
-KB_A_SUBSCRIBER = 250.0  # the most that one may cost, with the bytes that are on their way to it
+KB_A_SUBSCRIBER = 250.0  # memory limit per subscriber in KB, including the bytes in flight to it
 SETTINGS: dict[str, Any] = {
     "zone": "z", "fleet_size": 1,
     "classes": [
@@ -72,7 +72,7 @@
 
 
 def configuration(folder: Path, discovery: str) -> Path:
-    """Return the service's file."""
+    """Write the configuration file of the service and return its path."""
     (folder / "secret").write_text("a secret of the benchmark")
     path = folder / "control.yaml"
     path.write_text(
@@ -89,7 +89,7 @@
 
 @contextlib.contextmanager
 def service(nodes: list[dict[str, Any]]) -> Iterator[tuple[ControlProgram, LiveDiscovery]]:
-    """Start the program and its discovery."""
+    """Start the control service and its discovery server."""
     with tempfile.TemporaryDirectory() as folder:
         discovery = LiveDiscovery(nodes)
         program = ControlProgram(configuration(Path(folder), discovery.address))
@@ -101,7 +101,7 @@
 
 
 def usage(pid: int) -> tuple[float, float]:
-    """Return a process's processor seconds so far, and its memory in MB."""
+    """Return the processor time in seconds and the memory in MB of a process."""
     stat = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
     return (int(stat[11]) + int(stat[12])) / os.sysconf("SC_CLK_TCK"), pages * os.sysconf(
@@ -110,24 +110,25 @@
 
 
 def share(values: list[float], part: float) -> float:
-    """Return the value that `part` of all do not exceed."""
+    """Return the quantile of `values` at the fraction `part`."""
     held = sorted(values)
     return held[min(len(held) - 1, math.ceil(part * len(held)) - 1)]
 
 
-# --- drains to many subscribers --------------------------------------------------------------------
+# --- drains with many subscribers ------------------------------------------------------------------
 
 
 class _Light:
-    """A subscriber that acknowledges and notes when each response came, and parses none but the first.
+    """A subscriber that acknowledges and timestamps each response, and parses only the first.
 
-    It keeps to the protocol by the fields it needs; the machine's cores are for the service, not for a
-    thousand proxies' parsing.
+    The subscriber handles only the few protocol fields that it needs, so that the cores of the machine serve
+    the control service and are not spent on parsing for a thousand proxies.
     """
 
     def __init__(self, name: str, incremental: bool, target: str) -> None:
         self.proxy, self.target = ProxyStandIn(name, "z", incremental), target
-        self.came: list[tuple[float, int, int]] = []  # when, of which list's version, and how many bytes
+        # Arrival time, list version and size in bytes of each response.
+        self.came: list[tuple[float, int, int]] = []
         self.complete = asyncio.Event()
 
     async def run(self, stalls: bool) -> None:
@@ -154,7 +155,7 @@
 
 
 def _acknowledge(proxy: ProxyStandIn, data: bytes) -> bytes:
-    """Return the answer to an assignment, read from the response's end alone, where its nonce is."""
+    """Return the acknowledgement of an assignment, found at the end of the response, where the nonce is."""
     found = _NONCE.search(data[-16:])
     if found is None:
         raise ValueError("the response does not end in its nonce")
@@ -162,7 +163,7 @@
 
 
 def subscribers(target: str, names: list[str], pipe: Connection, stalls: int) -> None:
-    """Run a process full of subscribers; say when all have all, then at each ask what came since."""
+    """Run a process of subscribers; report when all have the list, then new responses at each query."""
     asyncio.run(_subscribers(target, names, pipe, stalls))
 
 
@@ -184,17 +185,17 @@
 
 @dataclass
 class Drains:
-    """What a run with so many subscribers and nodes came to."""
+    """Results of a run with a number of subscribers and nodes."""
 
     subscribers: int
     nodes: int
-    last_ms: list[float]  # for each drain: to the last receipt
+    last_ms: list[float]  # time from each drain to the last receipt, in milliseconds
     kb_each: float
-    cpu_ms: float  # a drain
+    cpu_ms: float  # processor time per drain, in milliseconds
     bytes_each: int
 
     def row(self) -> tuple[str, ...]:
-        """For the table."""
+        """Format the results as a table row."""
         last = self.last_ms
         return (
             str(self.subscribers), str(self.nodes), f"{share(last, 0.5):.0f}", f"{share(last, 0.99):.0f}",
@@ -206,7 +207,7 @@
 
 
 def drains(count: int, nodes: int, rounds: int) -> Drains:
-    """Drain nodes one after another; one subscriber stalls, a whole list goes just before every tenth."""
+    """Drain nodes one after another; one subscriber stalls, and a whole list precedes every tenth drain."""
     listed = [entry(f"n{at:05}", 10_000 + at) for at in range(nodes)]
     with service(listed) as (program, discovery):
         context = mp.get_context("spawn")
@@ -219,7 +220,7 @@
             running[-1].start()
             pipes.append(ours)
 
-        begin(["first"], 0)  # has the views made, which all share
+        begin(["first"], 0)  # creates the views, which all subscribers share
         assert pipes[0].recv() == "complete"
         before = usage(program.process.pid)
         names = [f"p{at}" for at in range(count)]
@@ -230,7 +231,7 @@
             assert pipe.recv() == "complete"
         connected = usage(program.process.pid)
         last, cpu, sizes = [], [], []
-        reading = count  # with the first, and without the one that stalls
+        reading = count  # includes the first subscriber, excludes the stalled one
         for at in range(rounds):
             victim = listed[at % nodes]
             victim = victim | {"state": "Terminating" if victim["state"] == "Ready" else "Ready"}
@@ -311,7 +312,7 @@
                     calls[caller] += after > LIMIT_MS
                 discovery.change(entry(victim.name, victim.port))
         for name in commands:
-            slowest.setdefault(name, 0.0)  # none of its calls came after a notice
+            slowest.setdefault(name, 0.0)  # no call of this kind came after a notice
         for each in live.values():
             await each.stop()
     for backend in backends:
@@ -332,7 +333,7 @@
 
 
 class Fleet:
-    """Endpoints in virtual time: places to work in, a queue, a speed; no two alike."""
+    """Endpoints in virtual time, each with its own number of slots, queue and speed."""
 
     def __init__(self, rng: random.Random, count: int) -> None:
         self.rng = rng
@@ -344,11 +345,11 @@
         self.recent: dict[str, list[tuple[float, float, float]]] = {name: [] for name in self.names}
 
     def capacity(self, mean: float) -> float:
-        """Return requests a second of all nodes together, at a mean of so many seconds' work."""
+        """Return the capacity of all nodes in requests per second, for a mean work in seconds."""
         return sum(self.places[name] * self.speed[name] / mean for name in self.names)
 
     def serve(self, name: str, now: float, work: float) -> tuple[float, api.LoadReport]:
-        """When a request that arrives now is answered, and the node's own figures then."""
+        """Return when a request that arrives now is answered, and the node's load report at that time."""
         if not self.free[name]:
             self.free[name] = [0.0]
         begins = max(now, self.free[name][0])
@@ -359,7 +360,7 @@
         return ends, self.report(name, ends)
 
     def report(self, name: str, now: float, window: float = 1.0) -> api.LoadReport:
-        """Return a node's share of slots in use, and its answers a second, over the last `window` seconds."""
+        """Return the slot usage and responses per second of a node over the last `window` seconds."""
         held = [each for each in self.recent[name] if each[2] > now - 2 * window]
         self.recent[name] = held
         busy = sum(max(0.0, min(end, now) - max(begin, now - window)) for _, begin, end in held)
@@ -369,7 +370,7 @@
 
 @dataclass
 class Day:
-    """What a day came to."""
+    """Results of a day."""
 
     served: float
     worst: float
@@ -385,11 +386,12 @@
     senders: int = 16,
     seconds: float = 60.0,
 ) -> Day:
-    """Play the same arrivals, work and slow spells, sent by sidecars or by weighted proxies.
+    """Replay the same arrivals, work and slow periods, sent by sidecars or by weighted proxies.
 
-    A proxy with a `limit` (the cluster's `requests`) refuses what would be out beyond it.
+    A proxy with a `limit` (the `requests` circuit breaker of the cluster) rejects requests beyond the limit.
 
-    A third of the way through a node slows to a fifth for a third of the day; at half of it one drains.
+    After a third of the day, one node slows to a fifth of its speed for a third of the day; at half of the
+    day another node drains.
     """
     rng = random.Random(seed)
     fleet = Fleet(rng, nodes)
@@ -418,7 +420,7 @@
     weights: dict[str, int] = {}
     current = [
         dict.fromkeys(fleet.names, 0.0) for _ in range(senders)
-    ]  # smooth weighted round robin, as proxies do
+    ]  # smooth weighted round robin, as in proxies
     gathered: dict[str, list[Any]] = {}
     out = [0] * senders
 
@@ -501,7 +503,7 @@
             gathered.clear()
             zone.handle(api.TimerFired(0), ns(now))
             turn += 1
-            if turn % 2 == 0:  # weights go out every two seconds
+            if turn % 2 == 0:  # weights are sent every two seconds
                 reweigh(True)
             if now < seconds + 5:
                 at(now + 1.0, "report")
@@ -531,10 +533,10 @@
 
 
 def weights(seeds: int, nodes: int, seconds: float) -> list[tuple[str, ...]]:
-    """Days of three kinds of sender at three levels of use."""
+    """Run days with three kinds of sender at three levels of utilization."""
     senders = 16
     rows: list[tuple[str, ...]] = []
-    limit = nodes * 4 * 2 / senders  # what is out is twice the places that nodes work in
+    limit = nodes * 4 * 2 / senders  # allows twice as many open requests as the nodes have slots
     for use in (0.5, 0.7, 0.85):
         for name, proxies, most in (
             ("sidecars", False, math.inf),
@@ -552,7 +554,7 @@
 
 
 def table(title: str, head: tuple[str, ...], rows: list[tuple[str, ...]]) -> None:
-    """Print one."""
+    """Print a table."""
     widths = [max(len(row[at]) for row in [head, *rows]) for at in range(len(head))]
     print(f"\n{title}", flush=True)
     for row in [head, *rows]:
@@ -564,7 +566,7 @@
 
 
 def main() -> int:
-    """Print the tables; 1 where a figure is missed."""
+    """Print the tables; returns 1 if a limit is exceeded."""
     words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     words.add_argument("--quick", action="store_true")
     words.add_argument("--part", choices=("drains", "growth", "clients", "weights"))
--- a/benchmarks/gateway_calls.py
+++ b/benchmarks/gateway_calls.py
@@ -1,7 +1,7 @@
-"""What one request costs a gateway in function calls: a figure that a busy machine does not change much.
+"""Count the function calls of a gateway per request, a figure that hardly depends on the load of the machine.
 
-Runs a gateway under the profiler beside three controllers, as `benchmarks.system_cost` does, with two numbers
-of requests; what the larger number adds is divided by the requests that it has more.
+Runs a gateway under the profiler with three controllers, like `benchmarks.system_cost`, with two numbers of
+requests.  The result is the difference in calls divided by the difference in requests.
 
     python -m benchmarks.gateway_calls [--against DIR] [--requests 1500]
 """
@@ -18,13 +18,13 @@
 from benchmarks.request_calls import calls, print_comparison, write_runner
 from benchmarks.system_cost import ROOT, Deployment, StandIns, requests
 
-FEW = 100  # of the smaller number
-EVENTS = 1  # of each answer
+FEW = 100  # requests of the smaller run
+EVENTS = 1  # events per response
 END_S = 10.0
 
 
 class ProfiledDeployment(Deployment):
-    """One whose gateway runs under the profiler."""
+    """A deployment whose gateway runs under the profiler."""
 
     def __init__(self, folder: Path, root: Path) -> None:
         super().__init__(folder, root)
@@ -33,11 +33,11 @@
         write_runner(self._runner, root, self.output, "brambleusher.system_main", ["brambleusher", "gateway"])
 
     def command(self, name: str, role: str) -> list[str]:
-        """Return how a process is started."""
+        """Return the command that starts a process."""
         return [sys.executable, str(self._runner)] if role == "gateway" else super().command(name, role)
 
     def end_gateway(self) -> Counter[str]:
-        """End the gateway, and return its calls."""
+        """End the gateway and return its calls by function."""
         gateway = self.processes["gateway-0"]
         gateway.send_signal(signal.SIGTERM)
         gateway.wait(END_S)
@@ -45,7 +45,7 @@
 
 
 def profiled(root: Path, count: int) -> Counter[str]:
-    """Return how often each function is called for so many requests, by its name."""
+    """Return the number of calls by function name for `count` requests."""
     few, many = (_calls_of(root, each) for each in (FEW, FEW + count))
     return Counter({name: many[name] - few[name] for name in many if many[name] > few[name]})
 
--- a/benchmarks/hung_instance.py
+++ b/benchmarks/hung_instance.py
@@ -1,10 +1,10 @@
-"""How soon a gateway leaves an instance that hangs, where all its clients leave before their latency target.
+"""Measure how soon a gateway avoids a hung instance if all clients leave before their latency target.
 
     python -m benchmarks.hung_instance [--seeds N]
 
-The weights of one gateway in virtual time: six instances, of which one answers nothing from a moment on.
-Every client leaves at the same fraction of its latency target, whoever serves it.  Also an hour without any
-fault, in which long answers are common, to count instances that were passed over for nothing.
+Runs the weights of one gateway in virtual time with six instances, of which one hangs from a certain time.
+Every client leaves at the same fraction of its latency target, whichever instance serves it.  Also runs one
+hour without faults, in which long responses are common, to count healthy instances avoided by mistake.
 """
 
 from __future__ import annotations
@@ -23,12 +23,13 @@
 HUNG = "a"
 HANGS_AT_S, ENDS_AT_S = 20.0, 50.0
 HOUR_S = 3600.0
-MEDIAN_RATIO = 0.15  # of a latency target, until the first byte
-SPREAD = 0.6  # of its logarithm
-LONG_SHARE, LONG_RATIO = 0.05, 0.5  # long prompts: this many, and how late they begin
-STREAM_S = 0.4  # from the first byte to the last
-LEAVING = (0.3, 0.5, 0.9, 9.0)  # 9: nobody leaves before the deadline
-RATES = (2.0, 20.0)  # requests a second
+MEDIAN_RATIO = 0.15  # median time to the first byte, as a fraction of the latency target
+SPREAD = 0.6  # sigma of the logarithm of the time to the first byte
+# Share of long prompts, and their time to the first byte as a fraction of the latency target.
+LONG_SHARE, LONG_RATIO = 0.05, 0.5
+STREAM_S = 0.4  # time from the first byte to the last, in seconds
+LEAVING = (0.3, 0.5, 0.9, 9.0)  # fraction of the target at which clients leave; 9: none before the deadline
+RATES = (2.0, 20.0)  # requests per second
 
 
 @dataclass
@@ -40,12 +41,13 @@
     leaves_at: float
     hangs_at_s: float
     ends_at_s: float
-    sent_to_hung: list[float] = field(default_factory=list)  # seconds after it hung
-    passed_over_s: float | None = None  # after it hung, for the first time
-    false_alarms: int = 0  # ticks at which a sound instance was passed over
+    # Times of sends to the hung instance, in seconds after it hung.
+    sent_to_hung: list[float] = field(default_factory=list)
+    passed_over_s: float | None = None  # time until the instance was first avoided, in seconds after it hung
+    false_alarms: int = 0  # ticks at which a healthy instance was avoided
 
     def run(self) -> Play:
-        """Play it to its end."""
+        """Run the simulation to its end."""
         rng = random.Random(self.seed)
         weights = InstanceWeights(random.Random(self.seed + 1))
         weights.set_instances(dict.fromkeys(NAMES, 64.0))
@@ -80,7 +82,7 @@
         return self
 
     def _course(self, rng: random.Random, hangs: bool) -> list[tuple[float, str]]:
-        """Draw what becomes of an attempt, and after how many seconds."""
+        """Draw the events of an attempt, each with its time in seconds after the start."""
         first = MEDIAN_RATIO * rng.lognormvariate(0.0, SPREAD)
         if rng.random() < LONG_SHARE:
             first = LONG_RATIO * rng.lognormvariate(0.0, SPREAD / 2)
@@ -101,7 +103,7 @@
 
 
 def main() -> None:
-    """Print a row for each rate and moment of leaving."""
+    """Print a row for each rate and leaving time."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=20)
     seeds = parser.parse_args().seeds
--- a/benchmarks/lists.py
+++ b/benchmarks/lists.py
@@ -1,18 +1,18 @@
-"""What a list of thousands costs: one change, a whole list, the worst tick, memory a node.
+"""Measure the cost of lists of thousands of nodes: a change, a whole list, the worst tick, memory per node.
 
-Two tables.  The first has the decisions alone: a `Balancer` with traffic, and what the handling of one
-event takes.  The second has a whole sidecar on loopback (status page on) with discovery, a node behind all
-addresses and a client: what one change costs from its text on, how long a whole list takes, and by how
-much it holds up a request.  Both go by processor time of the one thread that does the work, so that a busy
-machine counts for nothing; "told" alone is wall time.  Client and node run in the sidecar's own hub, and a
-request's time is what the thread worked between its first byte and its answer, less that of the usual
-request without a list: what is left is work on the list.
+Prints two tables.  The first measures the decisions alone: a `Balancer` with traffic, by the time that the
+handling of one event takes.  The second measures a whole sidecar on loopback (status page on) with a
+discovery server, a node behind all addresses and a client: the cost of one change including parsing, the
+time of a whole list, and the delay that the list causes to a request.  Both use the processor time of the
+one working thread, so that other load on the machine has no effect; only "told" is wall time.  Client and
+node run in the hub of the sidecar.  The time of a request is the processor time of the thread between its
+first byte and its response, minus that of a typical request without a list, so that the rest is list work.
 
     python -m benchmarks.lists [--nodes 12,200,2000,20000] [--quick]
 
-Ends with 1 where at the most nodes one change costs the decisions 0.3 ms or more (95 of 100), the worst
-tick takes 3 ms or more, a request is held up for more than 5 ms, or a drain in a whole list is told later
-than after 500 ms.
+Exits with 1 if, at the largest number of nodes, a change costs the decisions 0.3 ms or more (95th
+percentile), the worst tick takes 3 ms or more, a request is delayed by more than 5 ms, or a drain within a
+whole list takes effect after more than 500 ms.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 CHANGE_MS, TICK_MS, HELD_MS, TOLD_MS = 0.3, 3.0, 5.0, 500.0
 ZONES = ("a", "b", "c", "d")
 WAIT = 30.0
-QUICK_RULES = 2000  # nodes: with rules on zones all are looked through, which takes long
+QUICK_RULES = 2000  # node limit of a quick run with zone rules, which examine all nodes and are slow
 SETTINGS: dict[str, Any] = {
     "zone": "a", "fleet_size": 50, "membership_mode": "subscribe", "worth_by": "work",
     "classes": [
@@ -67,14 +67,14 @@
 
 
 def spent(call: Callable[[], object]) -> float:
-    """Milliseconds of this thread's processor time that a call takes."""
+    """Return the processor time of a call in this thread, in milliseconds."""
     began = time.thread_time_ns()
     call()
     return (time.thread_time_ns() - began) / MS
 
 
 def high(figures: Iterable[float], part: float = 0.95) -> float:
-    """Return the figure that this part of all do not exceed."""
+    """Return the quantile of `figures` at the fraction `part`."""
     held = sorted(figures)
     return held[min(int(len(held) * part), len(held) - 1)]
 
@@ -83,7 +83,7 @@
 
 
 class Decided:
-    """A balancer with traffic in virtual time; each list, change and tick is timed."""
+    """A balancer with traffic in virtual time; times each list, change and tick."""
 
     def __init__(self, nodes: int, seed: int, rules: bool) -> None:
         self.rng, self.now, self.count = random.Random(seed), 0, nodes
@@ -100,21 +100,21 @@
         self.due: list[tuple[int, str, str]] = []
 
     def entry(self, at: int, state: api.HostState = api.HostState.READY, started: int = 0) -> api.HostEntry:
-        """Return the host of a number."""
+        """Return the list entry of a host by number."""
         return api.HostEntry(f"node-{at:05d}", ZONES[at % 4], f"kind-{at % 3}", at % 50, state, 1.0, started)
 
     def whole(self) -> float:
-        """Milliseconds that a whole list takes."""
+        """Apply a whole list and return the time in milliseconds."""
         event = api.HostListUpdated(api.ListKind.FULL, [self.entry(at) for at in range(self.count)])
         return spent(lambda: self.balancer.handle(event, self.now))
 
     def change(self, state: api.HostState, at: int) -> float:
-        """Milliseconds that one change takes."""
+        """Apply one change and return the time in milliseconds."""
         event = api.HostListUpdated(api.ListKind.DELTA, [self.entry(at, state)])
         return spent(lambda: self.balancer.handle(event, self.now))
 
     def traffic(self, seconds: float, rate: float) -> None:
-        """Send requests at a rate, answered after 20 ms on average, and a tick each 12 ms."""
+        """Send requests at a rate, with a mean response time of 20 ms and a tick every 12 ms."""
         end, tick = self.now + int(seconds * 1e9), self.now
         while self.now < end:
             self.now += int(self.rng.expovariate(rate) * 1e9)
@@ -138,7 +138,7 @@
 
 
 def decisions(nodes: int, rounds: int, rules: bool = False) -> list[float]:
-    """Milliseconds: one change (mean, 95 of 100, worst), a whole list, the worst tick."""
+    """Return milliseconds for a change (mean, 95th percentile, worst), a whole list and the worst tick."""
     changes: list[float] = []
     wholes, worst = [], []
     for seed in range(rounds):
@@ -152,11 +152,11 @@
             states = (api.HostState.DRAINING, api.HostState.REMOVED, api.HostState.READY)
             mine += [run.change(state, at) for state in states]
             run.traffic(0.02, 200)
-        run.traffic(0.5, 1500)  # a burst: more hosts come into use
+        run.traffic(0.5, 1500)  # a burst brings more hosts into use
         run.traffic(0.5, 50)
         changes += mine
         worst.append(max(run.ticks))
-    # The worst tick of a run, in the run in which it was the least: what is left out is the machine's.
+    # The smallest worst tick over the runs, since any excess comes from other load on the machine.
     return [statistics.mean(changes), high(changes), max(changes), min(wholes), min(worst)]
 
 
@@ -164,7 +164,7 @@
 
 
 class Discovery:
-    """A thread with one watch at a time: writes the texts that it is given."""
+    """A discovery thread that serves one watch at a time and writes given texts."""
 
     def __init__(self, first: bytes) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -195,12 +195,12 @@
 
 
 def text_of(entries: list[dict[str, Any]], version: int, full: bool) -> bytes:
-    """Return a list as discovery words it."""
+    """Return a list as discovery encodes it."""
     return json.dumps({"version": version, "full": full, "servers": entries}).encode()
 
 
 def entries_of(nodes: int, address: str, names: str = "node") -> list[dict[str, Any]]:
-    """So many nodes, all of them behind one address."""
+    """Return list entries that share one address."""
     return [
         {"id": f"{names}-{at:05d}", "addr": address, "zone": ZONES[at % 4], "kind": f"kind-{at % 3}",
          "cell": at % 50, "state": "Ready", "weight": 1.0, "started_ms": 0}
@@ -210,7 +210,7 @@
 
 @dataclass
 class Taken:
-    """What a list came to, in ms: the longest that it held up a request; until all, and a drain, was told."""
+    """Milliseconds of a list: longest request delay, and times until all nodes and a drain took effect."""
 
     held_ms: float
     told_ms: float
@@ -218,7 +218,7 @@
 
 
 class Run:
-    """One sidecar with what surrounds it, driven by a task in its own hub."""
+    """A sidecar with its surroundings, driven by a task in its own hub."""
 
     def __init__(self, nodes: int, quick: bool, collector: GarbageCollectionPolicy) -> None:
         self.nodes, self.requests, self.usual = nodes, 500 if quick else 1500, 0.0
@@ -244,7 +244,7 @@
         self.failed: BaseException | None = None
 
     def run(self) -> None:
-        """All of it; raises what the driver did."""
+        """Run everything; re-raises the exception of the driver."""
         address = self.sidecar.start()
         self.hub.spawn(self._accept)
         self.hub.spawn(self._guarded, address)
@@ -280,7 +280,7 @@
                 stream.send(answer, None)
 
     def _request(self, stream: Stream) -> float:
-        """Milliseconds that the thread worked from a request's first byte to its answer."""
+        """Return the milliseconds of processor time from the first byte of a request to its response."""
         self.asked += 1
         began = time.thread_time_ns()
         stream.send(
@@ -331,10 +331,10 @@
         self._one_change(others)
 
     def _listed(self, stream: Stream, entries: list[dict[str, Any]]) -> Taken:
-        """Apply a whole list, while requests go on."""
+        """Apply a whole list while requests continue."""
         self.version += 1
         text, count, last = text_of(entries, self.version, True), self.sidecar.counters, entries[-1]
-        gc.collect()  # what was made here for the list is none of the sidecar's work
+        gc.collect()  # collects garbage of the preparation, which is not work of the sidecar
         lists, times, told = count.count("lists_taken") + 1, [], [0.0, 0.0]
         began = self.hub.now()
         self.discovery.texts.put(text)
@@ -355,7 +355,7 @@
         while not told[0] and self.hub.now() - began < WAIT:
             times.append(self._request(stream))
             self.hub.sleep(0.0005)
-        until = self.hub.now() + 1.5  # the status page is made anew after the list was told
+        until = self.hub.now() + 1.5  # includes the new status page, built after the list was applied
         while self.hub.now() < until:
             times.append(self._request(stream))
             self.hub.sleep(0.0005)
@@ -374,7 +374,7 @@
 
 
 def memory(nodes: int, operator: bytes) -> float:
-    """Bytes a node that a sidecar holds once it has taken its list."""
+    """Return the memory of a sidecar per node, in bytes, after applying its list."""
     text = json.dumps({"version": 1, "full": True, "servers": entries_of(nodes, "127.0.0.1:9")}).encode()
     config = {
         "name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "2a",
@@ -410,11 +410,11 @@
     return held / nodes
 
 
-# --- the tables -----------------------------------------------------------------------------------
+# --- tables ---------------------------------------------------------------------------------------
 
 
 def main() -> int:
-    """Print the tables; 1 where a figure is missed."""
+    """Print the tables; returns 1 if a limit is exceeded."""
     parser = argparse.ArgumentParser(description="What lists of thousands cost.")
     parser.add_argument("--nodes", default="12,200,2000,20000")
     parser.add_argument("--quick", action="store_true", help="fewer rounds: under 50 s")
--- a/benchmarks/load_build.py
+++ b/benchmarks/load_build.py
@@ -1,9 +1,9 @@
-"""Builds a demand file from a large access log or HAR file: lines a second, memory of all its processes.
+"""Build a demand file from a large access log or HAR file, and measure lines per second and total memory.
 
     .venv/bin/python -m benchmarks.load_build [--form access] [--mb 1000] [--processes 3]
 
-The source is made first, in a directory that goes at the end.  Memory is the sum of the resident sets of the
-building process and its children, looked at ten times a second; what they share is counted for each.
+The source is generated first, in a temporary directory.  Memory is the sum of the resident sets of the
+building process and its children, sampled ten times per second; shared pages count once per process.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 def make(path: Path, size: int, seed: int = 1) -> int:
-    """Write a log in the format `platform`, of lines a little out of order; return how many."""
+    """Write a slightly unordered log in the format `platform`; returns the number of lines."""
     rng = random.Random(seed)
     recipe = synthetic.Recipe(seconds=60, rate=200, burst=None)
     samples = [synthetic.log_line(each, True).decode() for each in synthetic.requests(recipe, seed)]
@@ -52,7 +52,7 @@
 
 
 def make_har(path: Path, size: int) -> int:
-    """Write a HAR file whose entries are mostly what was answered; return how many."""
+    """Write a HAR file that consists mostly of response content; returns the number of entries."""
     answer = {"size": 24_000, "mimeType": "text/html", "text": '<p class="x">\u00e9\n</p>' * 1200}
     count = 0
     with path.open("wb") as out:
@@ -72,7 +72,7 @@
 
 
 def resident(root: int) -> int:
-    """Bytes of a process and its children."""
+    """Return the resident memory of a process and its children, in bytes."""
     total, pids = 0, [root]
     while pids:
         pid = pids.pop()
--- a/benchmarks/load_lateness.py
+++ b/benchmarks/load_lateness.py
@@ -1,8 +1,8 @@
-"""How late the generator itself is, at a rate: several processes play on stand-in nodes in further processes.
+"""Measure the lateness of the load generator at a rate, with several player and stand-in node processes.
 
     .venv/bin/python -m benchmarks.load_lateness [--rate 3000] [--seconds 20] [--processes 3] [--nodes 2]
 
-Demand is a Poisson stream; nodes take a request's work at a hundred times the usual speed.
+Demand is a Poisson process; nodes work at a hundred times the usual speed.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 
 
 class Nobody(list[object]):
-    """A book that keeps nothing."""
+    """A list that discards appended items."""
 
     def append(self, each: object) -> None:
-        """Forget it."""
+        """Discard the item."""
 
 
 def serve(pipe: Connection) -> None:
-    """One node, until it is ended."""
+    """Run one node until the process is ended."""
     scheduler = Scheduler(RealSystem())
     settings = NodeSettings(cores=16, speed=100.0, report_fields=())
     node = Node(scheduler, settings, "node", executions=Nobody())  # type: ignore[arg-type]
--- a/benchmarks/mysql.py
+++ b/benchmarks/mysql.py
@@ -1,9 +1,9 @@
-"""The MySQL front in figures: cost, sharing, memory, a slow node, start-up, promises.
+"""Measure the MySQL front: cost, connection sharing, memory, a slow node, start-up and latency promises.
 
     python -m benchmarks.mysql [--quick] [--only PART]
 
-`--quick` takes under 50 s; the exit status is 1 where a promise is broken.  Latencies and processor time
-are compared within this run: the same client direct and through the sidecar, in turn.
+`--quick` takes less than 50 s.  Exits with 1 if a promise is broken.  Latencies and processor time are
+compared within a run: the same client connects directly and through the sidecar, in turn.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
 
 
 def settings(promise_s: float, give_up_s: float = 60.0) -> dict[str, Any]:
-    """Return the platform's settings with these aims."""
+    """Return the platform's settings with the given latency promise and deadline."""
     times = {"promise_ns": int(promise_s * SECOND), "give_up_ns": int(give_up_s * SECOND)}
     return {
         "zone": "z", "fleet_size": 1, "membership_mode": "subscribe",
@@ -73,7 +73,8 @@
 def serve_stand_ins(count: int, report_file: Path) -> None:
     """Run stand-in servers in a child process.
 
-    Their addresses go to standard output, the most connections that any had to a file, five times a second.
+    The addresses go to standard output.  The largest number of connections to any server goes to a file, five
+    times per second.
     """
     scheduler = Scheduler(RealSystem())
     servers = []
@@ -99,7 +100,7 @@
 
 @contextmanager
 def child(*arguments: str, env: dict[str, str] | None = None) -> Iterator[subprocess.Popen[str]]:
-    """Start a child process, ended with the block."""
+    """Start a child process that ends with the block."""
     process = subprocess.Popen(
         [sys.executable, *arguments], stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True,
         env={**os.environ, **(env or {})},
@@ -112,7 +113,7 @@
 
 
 class Rig:
-    """Stand-in servers and a sidecar, each in a process of its own."""
+    """Stand-in servers and a sidecar, in separate processes."""
 
     def __init__(self, folder: Path, stand_ins: subprocess.Popen[str], more: str = "") -> None:
         self.folder, self._stand_ins = folder, stand_ins
@@ -123,7 +124,7 @@
         self.more, self.promise_s = more, 1.0
 
     def operator(self) -> Path:
-        """Return the operator file."""
+        """Write the operator file and return its path."""
         (self.folder / "users").write_text(f"web {NATIVE} {Secret.of(NATIVE, b'f').stored()}\n")
         (self.folder / "accounts").write_text("registry s\n")
         addresses = ", ".join(f"h{at}: '{host}:{port}'" for at, (host, port) in enumerate(self.servers))
@@ -136,7 +137,7 @@
         return path
 
     def config(self) -> Path:
-        """Return the platform's configuration."""
+        """Write the platform configuration and return its path."""
         entries = [
             {"id": f"h{at}", "addr": "127.0.0.1:9", "zone": "z", "kind": "k", "state": "Ready"}
             for at in range(len(self.servers))
@@ -151,7 +152,7 @@
 
     @contextmanager
     def sidecar(self, mysql: bool = True) -> Iterator[tuple[subprocess.Popen[str], tuple[str, int], float]]:
-        """Start a sidecar; return its process, where the front listens, and the seconds until it did."""
+        """Start a sidecar; yields its process, the address of the front, and the start-up time in seconds."""
         arguments = ["-m", "brambleusher", *(["--operator", str(self.operator())] if mysql else [])]
         begun = time.monotonic()
         with child(*arguments, env={"NODE_CONFIG": str(self.config())}) as process:
@@ -171,19 +172,19 @@
             yield process, where, took
 
     def most_open(self) -> int:
-        """Return the most connections that any server ever had."""
-        time.sleep(0.5)  # it is told five times a second
+        """Return the largest number of connections that any server has had."""
+        time.sleep(0.5)  # the file is updated five times per second
         return int((self.folder / "most").read_text())
 
 
 def cpu_us(pid: int) -> float:
-    """Processor time of a process so far, in microseconds."""
+    """Return the processor time of a process so far, in microseconds."""
     fields = Path(f"/proc/{pid}/schedstat").read_text().split()
     return int(fields[0]) / 1000
 
 
 def rss_kb(pid: int, key: str = "VmRSS") -> int:
-    """Resident memory of a process."""
+    """Return the resident memory of a process in KB."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith(key + ":"):
             return int(line.split()[1])
@@ -191,11 +192,11 @@
 
 
 class RejectedError(Exception):
-    """Not run, and may be asked again."""
+    """A statement was rejected before execution and may be retried."""
 
 
 class Client:
-    """A blocking client that costs little, so that what it measures is not itself."""
+    """A minimal blocking client, so that measurements contain little of its own cost."""
 
     def __init__(self, address: tuple[str, int], user: str, password: bytes) -> None:
         self.turned_away = 0
@@ -212,11 +213,11 @@
             login.feed(data)
 
     def send(self, text: str) -> None:
-        """Ask."""
+        """Send a statement."""
         self.sock.sendall(frame(b"\x03" + text.encode(), 0))
 
     def take(self) -> int:
-        """Read a whole answer; says how many bytes."""
+        """Read a whole response and return its size in bytes."""
         buffer, at, size, first = bytearray(), 0, 0, True
         while True:
             while len(buffer) - at >= 5:
@@ -241,7 +242,7 @@
             size += len(data)
 
     def ask(self, text: str) -> float:
-        """One statement; its seconds.  It is asked again where it was turned away, and that is counted."""
+        """Run one statement and return its time in seconds; counts and retries rejections."""
         while True:
             begun = time.perf_counter()
             try:
@@ -254,17 +255,17 @@
             return time.perf_counter() - begun
 
     def close(self) -> None:
-        """End it."""
+        """Close the connection."""
         self.sock.close()
 
 
-# --- the parts ----------------------------------------------------------------------------------
+# --- measurements ---------------------------------------------------------------------------------
 
 Broken = list[str]
 
 
 def cost(rig: Rig, quick: bool) -> Broken:
-    """Latency and processor time of one statement, direct and through, in turn."""
+    """Measure latency and processor time of a statement, directly and through the sidecar in turn."""
     print("## cost of a statement, one client, in turn with direct\n")
     print("| statement | direct p50 us | through p50 us | added p50 us | added p99 us | sidecar CPU us |")
     print("| --- | --- | --- | --- | --- | --- |")
@@ -305,10 +306,10 @@
 
 
 def sharing(rig: Rig, quick: bool) -> Broken:
-    """1,000 sessions over 50 connections, and what a session takes."""
+    """Measure 1,000 sessions over 50 connections, and the cost of a session."""
     sessions, rounds = 1000, 3 if quick else 15
     rig.more = "  sessions: 1100\n  connections: 25\n  connections_total: 50\n  pool_wait_ms: 30000\n"
-    rig.promise_s = 20.0  # the wait for one of the connections is no overload here
+    rig.promise_s = 20.0  # a wait for one of the 50 connections must not count as overload
     with rig.sidecar() as (process, where, _):
         first = Client(where, "web", b"f")
         first.ask(POINT.format(1))
@@ -342,14 +343,14 @@
 
 
 def memory(rig: Rig, _quick: bool) -> Broken:
-    """Measure what the sidecar holds of a result of 100 MB that its client reads slowly."""
-    rows = 100_000  # of 1,000 bytes
+    """Measure the memory of the sidecar for a result of 100 MB that its client reads slowly."""
+    rows = 100_000  # rows of 1,000 bytes each
     with rig.sidecar() as (process, where, _):
         client = Client(where, "web", b"f")
         client.ask("select id, pad from generated where n = 10000 and width = 1000")
         before = rss_kb(process.pid)
         client.send(f"select id, pad from generated where n = {rows} and width = 1000")
-        time.sleep(0.5)  # it does not read yet: what comes piles up where it may
+        time.sleep(0.5)  # lets data accumulate before the client reads
         held = rss_kb(process.pid) - before
         begun, spent = time.monotonic(), cpu_us(process.pid)
         size = client.take()
@@ -368,7 +369,7 @@
 
 
 def start_up(rig: Rig, quick: bool) -> Broken:
-    """Start-up and memory, with the front off and with it on and idle."""
+    """Measure start-up time and memory without the front and with an idle front."""
     print("## start-up and memory, front off and on and idle\n")
     print("| front | ms until it listens, at best | MB resident |")
     print("| --- | --- | --- |")
@@ -379,7 +380,7 @@
             with rig.sidecar(on) as (process, where, took):
                 time.sleep(0.2)
                 name = "on, idle" if on else "off"
-                if at:  # the first round warms the files up
+                if at:  # the first round only fills the file cache
                     figures.setdefault(name, []).append((took * 1000, rss_kb(process.pid) / 1024))
                 if on and at:
                     client = Client(where, "web", b"f")
@@ -400,7 +401,7 @@
 
 
 def sale(seed: int, pinned: bool) -> tuple[int, int, int]:
-    """Play an opening of sales on six nodes, one of which turns slow: statements asked, in time, failed."""
+    """Play an opening of sales on six nodes, one of them slow; returns statements due, in time, failed."""
     world = World(seed)
     counts = [0, 0, 0]
     servers: list[MysqlServer] = []
@@ -463,8 +464,8 @@
                 while due < begin + SALE_S:
                     due += rng.expovariate(9.0 if due > begin + OPENING_S else 3.0)
                     dues.append(due)
-                # All that are meant to be asked count, those too that are never asked because the client
-                # still waits for an answer when the sale is over.
+                # Counts all due statements, including those that are never sent because the client
+                # still waits for a response when the sale is over.
                 counts[0] += sum(due > begin + OPENING_S for due in dues)
                 scheduler.sleep(0.5 + rng.random() * 0.5)
                 client = MysqlClient(scheduler)
@@ -494,7 +495,7 @@
 
 
 def slow_node(_rig: Rig, quick: bool) -> Broken:
-    """Measure the share in time, with the sidecar and with clients that are pinned to nodes at random."""
+    """Measure the share in time, with the sidecar and with clients pinned to random nodes."""
     print(f"## an opening of sales, one of {SALE_NODES} nodes turns 12 times slower (virtual time)\n")
     print(f"| clients | statements | within {IN_TIME_S * 1000:.0f} ms | failed |")
     print("| --- | --- | --- | --- |")
@@ -510,7 +511,7 @@
 
 
 def promises(_rig: Rig, quick: bool) -> Broken:
-    """Fault schedules in virtual time: a few of those of `brambleusher.lab.mysql.replay`."""
+    """Run fault schedules in virtual time: a few of those of `brambleusher.lab.mysql.replay`."""
     count = 30 if quick else 200
     begun = time.monotonic()
     broken = []
@@ -537,7 +538,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Print the tables; 1 where a promise is broken."""
+    """Print the tables; returns 1 if a promise is broken."""
     words = argparse.ArgumentParser(prog="benchmarks.mysql", description=__doc__)
     words.add_argument("--quick", action="store_true")
     words.add_argument("--only", choices=sorted(PARTS))
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -1,18 +1,18 @@
-"""What ways of limiting make of overload: served worth by load, a pulse, a failing third, a greedy tenant.
+"""Compare limiters under overload: served worth by load, a pulse, a failing third, a greedy tenant.
 
-Virtual time: the balancers' own code and the lab's machines, driven by one queue of events, without
-sockets.  Clients come in an open loop and ask again when they are refused or fail.  All ways choose their
-nodes by the same code and differ in what they let in alone:
+Runs in virtual time: the code of the balancers and the machines of the lab, driven by one event queue,
+without sockets.  Clients form an open loop and retry after a rejection or failure.  All variants choose nodes
+with the same code and differ only in admission:
 
 - `ours`: the balancer as deployed;
-- `none`: no limit, and no budget for what is done again;
-- `fixed`: a fixed number of attempts out, tuned for this fleet by hand;
-- `gradient`: Gradient2 of Netflix's concurrency-limits, with its usual settings;
+- `none`: no limit and no retry budget;
+- `fixed`: a fixed number of concurrent attempts, tuned for this fleet by hand;
+- `gradient`: Gradient2 of Netflix's concurrency-limits, with its default settings;
 - `throttle`: client-side adaptive throttling of Google's SRE book, K = 2.
 
-Served worth is the worth answered within its aim (late answers count for what the settings say), as a
-part of what the fleet can serve at full use.  Worth is even by work here, so that what is best does not
-move with the load.  Exits with 1 where a figure in `misses` is not reached.
+Served worth is the worth answered within its latency target (late responses count as the settings state), as
+a fraction of what the fleet can serve at full utilization.  Here worth is proportional to work, so that the
+optimum does not depend on the load.  Exits with 1 if a limit in `misses` is not met.
 
     python -m benchmarks.overload [--quick] [--seed 1] [--jobs 4]
 """
@@ -35,16 +35,17 @@
 from brambleusher.loadbalancing import Balancer, api
 
 SECOND, MS = 10**9, 10**6
-LATENCY = 0.0004  # one way, seconds
+LATENCY = 0.0004  # one-way network latency in seconds
 SIDECARS = 3
 TRIES, BACKOFF, HONOUR = 3, (0.05, 0.15), 0.6
-CALM, CALM_SECONDS = 0.5, 3.0  # the load from which each run starts
+CALM, CALM_SECONDS = 0.5, 3.0  # load at the start of each run, and its duration in seconds
 WARM_UP, MEASURED = 6.0, 8.0
 PULSE_LOAD, PULSE_AT, PULSE_SECONDS, PULSE_TIMES = 0.6, 5.0, 10.0, 10.0
 WINDOW = 1.0
-WHOLE = 0.9  # of the part answered within its aim before the pulse
+WHOLE = 0.9  # fraction of the earlier on-time share at which service counts as recovered
 GREEDY_TIMES = 20.0
-BEST_KEPT, PULSE_OVER, WORK_MOST, MODEST_LEAST = 0.9, 2.0, 1.2, 0.95  # what is asked of `ours`
+# Requirements for `ours`, checked by `misses`.
+BEST_KEPT, PULSE_OVER, WORK_MOST, MODEST_LEAST = 0.9, 2.0, 1.2, 0.95
 NODES = tuple(
     NodeSettings(
         cores=cores, speed=speed, queue_per_core=300, thrash=0.08, thrash_at=10.0, report_period_s=0.3,
@@ -56,7 +57,7 @@
 
 @dataclass(frozen=True)
 class Class:
-    """A class: its mean work in seconds of a standard core, and the rest as the settings have it."""
+    """A request class: its mean work in seconds of a standard core, and its settings."""
 
     name: str
     share: float
@@ -72,12 +73,12 @@
     Class("transfer-record", 0.27, 0.054, 0.43, 1.7, api.Idempotency.UNSAFE),
 )
 MEAN_WORK = sum(each.share * each.work for each in CLASSES)
-CAPACITY = sum(node.cores * node.speed for node in NODES)  # seconds of a standard core a second
-RATE = CAPACITY / MEAN_WORK  # requests a second at full use
+CAPACITY = sum(node.cores * node.speed for node in NODES)  # seconds of standard-core work per second
+RATE = CAPACITY / MEAN_WORK  # requests per second at full utilization
 
 
 def settings(tenants: tuple[api.Tenant, ...] = ()) -> api.Settings:
-    """Return what each sidecar is told."""
+    """Return the settings of each sidecar."""
     return api.Settings(
         zone="z0", fleet_size=SIDECARS, tenants=tenants, tick_ns=5 * MS, max_attempts=6,
         classes=tuple(
@@ -92,14 +93,14 @@
     )  # fmt: skip
 
 
-# --- other ways ------------------------------------------------------------------------------------
+# --- alternative limiters --------------------------------------------------------------------------
 
 
 class Way:
-    """What lets requests in: asked for each, and told how each attempt ended."""
+    """A limiter that decides on each request and observes the end of each attempt."""
 
     def admits(self, out: int, now: float) -> bool:
-        """Whether one more may go out, with so many attempts out already."""
+        """Return whether a request may be sent, with `out` attempts in flight."""
         raise NotImplementedError
 
     def ended(self, status: api.AttemptStatus, seconds: float, out: int, now: float) -> None:
@@ -107,7 +108,7 @@
 
 
 class NoLimit(Way):
-    """Everything."""
+    """A limiter that admits everything."""
 
     def admits(self, out: int, now: float) -> bool:
         """Admit everything."""
@@ -115,18 +116,18 @@
 
 
 class FixedLimit(Way):
-    """So many attempts out."""
+    """A limiter with a fixed number of attempts in flight."""
 
     def __init__(self, most: float) -> None:
         self.most = most
 
     def admits(self, out: int, now: float) -> bool:
-        """Below the limit."""
+        """Admit a request below the limit."""
         return out < self.most
 
 
 class GradientLimit(Way):
-    """Gradient2: the limit follows the long-term round trip over the present one, and a queue's allowance."""
+    """Gradient2: the limit follows the ratio of long-term to current round trip, plus a queue allowance."""
 
     def __init__(self) -> None:
         self.limit, self.least, self.most = 20.0, 4.0, 200.0
@@ -135,11 +136,11 @@
         self.count = 0
 
     def admits(self, out: int, now: float) -> bool:
-        """Below the limit."""
+        """Admit a request below the limit."""
         return out < self.limit
 
     def ended(self, status: api.AttemptStatus, seconds: float, out: int, now: float) -> None:
-        """Count a round trip more, if there was one."""
+        """Record the round trip of an attempt that has one."""
         if status not in (api.AttemptStatus.OK, api.AttemptStatus.TIMEOUT) or seconds <= 0:
             return
         self.count += 1
@@ -162,7 +163,7 @@
 
 
 class AdaptiveThrottle(Way):
-    """Turns away by chance once backends accept less than half of what is asked for, over two minutes."""
+    """Rejects at random once backends accept less than half of the requests of the last two minutes."""
 
     K, SECONDS = 2.0, 120.0
 
@@ -174,27 +175,27 @@
         self._requests, self._accepts, self._at = self._requests * kept, self._accepts * kept, now
 
     def admits(self, out: int, now: float) -> bool:
-        """By the odds of the book."""
+        """Admit a request with the probability of the SRE book."""
         self._fade(now)
         odds = max(0.0, (self._requests - self.K * self._accepts) / (self._requests + 1.0))
         self._requests += 1.0
         return self._rng.random() >= odds
 
     def ended(self, status: api.AttemptStatus, seconds: float, out: int, now: float) -> None:
-        """Count an answer as accepted, and nothing that is rejected or not answered."""
+        """Count a response as accepted; a rejection or a missing response is not counted."""
         self._fade(now)
         self._accepts += status in (api.AttemptStatus.OK, api.AttemptStatus.ERROR)
 
 
 class Guarded(Balancer):
-    """The balancer with another way in place of its own limit."""
+    """The balancer with a limiter in place of its own limit."""
 
     def __init__(self, told: api.Settings, seed: int, way: Way, budget: bool = True) -> None:
         super().__init__(told, seed)
         self._way, self._budget, self._now = way, budget, 0
 
     def handle(self, event: api.Event, now: int) -> list[api.Action]:
-        """As ever; the way hears of what ends."""
+        """Handle an event and report ended attempts to the limiter."""
         self._now = now
         if not self._budget:
             self.retry_policy.budget.tokens = 5.0
@@ -209,7 +210,7 @@
 
 
 def build(way: str, told: api.Settings, seed: int) -> Balancer:
-    """One sidecar's balancer."""
+    """Build the balancer of one sidecar."""
     if way == "ours":
         return Balancer(told, seed)
     if way == "none":
@@ -225,12 +226,12 @@
 WAYS = ("ours", "none", "fixed", "gradient", "throttle")
 
 
-# --- the world -------------------------------------------------------------------------------------
+# --- simulation ------------------------------------------------------------------------------------
 
 
 @dataclass(eq=False, slots=True)
 class Asked:
-    """What somebody asks for, over all its tries."""
+    """A request of a client, with all its tries."""
 
     cls: int
     tenant: str | None
@@ -242,20 +243,20 @@
 
     @property
     def worth(self) -> float:
-        """What its answer was worth, in seconds of work."""
+        """Worth of the response, in seconds of work."""
         if self.answered is None:
             return 0.0
         return CLASSES[self.cls].work * (1.0 if self.answered - self.at <= CLASSES[self.cls].aim else 0.3)
 
     @property
     def in_time(self) -> bool:
-        """Whether it was answered within its aim."""
+        """Whether the response arrived within its latency target."""
         return self.answered is not None and self.answered - self.at <= CLASSES[self.cls].aim
 
 
 @dataclass(eq=False, slots=True)
 class Attempt:
-    """One attempt on its way."""
+    """An attempt in flight."""
 
     request: str
     number: int
@@ -267,13 +268,14 @@
 
 @dataclass
 class Demand:
-    """Requests a second over time, by tenant, and faults of nodes."""
+    """Requests per second over time, by tenant, and faults of nodes."""
 
     seconds: float
     rate: Callable[[float], float]
     peak: float
-    tenants: Callable[[float], dict[str | None, float]] = lambda _at: {None: 1.0}  # parts of the rate
-    fails: frozenset[int] = frozenset()  # nodes that answer 500 to everything
+    # Shares of the rate by tenant, as a function of time.
+    tenants: Callable[[float], dict[str | None, float]] = lambda _at: {None: 1.0}
+    fails: frozenset[int] = frozenset()  # nodes that answer every request with 500
 
 
 @dataclass
@@ -285,10 +287,10 @@
     told: api.Settings = field(default_factory=settings)
     marks: bool = False
     asked: list[Asked] = field(default_factory=list)
-    attempts: int = 0  # that nodes worked on, or failed
+    attempts: int = 0  # number of attempts that nodes processed or failed
 
     def run(self, demand: Demand) -> World:
-        """All that is asked within `demand.seconds`, and what comes of it."""
+        """Play all requests within `demand.seconds` to their end."""
         self.rng, self.now, self._count = random.Random(self.seed), 0.0, 0
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.demand = demand
@@ -313,7 +315,7 @@
         return self
 
     def prepared(self) -> None:
-        """Nothing has come yet: for those who want more to happen."""
+        """Schedule nothing; subclasses override this hook to add events before the run."""
 
     def _at(self, when: float, call: Callable[[], None]) -> None:
         self._count += 1
@@ -322,7 +324,7 @@
     # --- clients ---
 
     def _arrive(self) -> None:
-        """Schedule the next first request: a Poisson stream, thinned to the rate of the moment."""
+        """Schedule the next first request of a Poisson process, thinned to the current rate."""
         rng, demand = self.rng, self.demand
         at = self.now
         while True:
@@ -358,7 +360,7 @@
         )  # fmt: skip
 
     def _answered(self, name: str, refused: bool, wait: float) -> None:
-        """Handle a rejection or a failure: the client may ask again."""
+        """Handle a rejection or a failure, after which the client may retry."""
         asked = self.open[name][0]
         cls = CLASSES[asked.cls]
         if asked.tries >= TRIES or (cls.effect is api.Idempotency.UNSAFE and not refused):
@@ -462,7 +464,7 @@
 
 
 def steady(way: str, load: float, seed: int, calm: bool = True) -> float:
-    """Return served worth at a load, over what the fleet can serve; from a calm start, or from nothing."""
+    """Return served worth at a load, relative to capacity; starts calm, or with full load if not `calm`."""
     rate, before = load * RATE, (min(load, CALM) if calm else load) * RATE
     demand = Demand(WARM_UP + MEASURED, lambda at: rate if at >= CALM_SECONDS else before, max(rate, before))
     world = World(way, seed).run(demand)
@@ -471,9 +473,10 @@
 
 
 def pulse(way: str, seed: int) -> tuple[float, float]:
-    """Seconds after a pulse until service is whole again for good, and worth served during the pulse.
+    """Return the seconds from a pulse to lasting recovery, and the worth served during the pulse.
 
-    Whole is a window in which the part answered within its aim is `WHOLE` of what it was before the pulse.
+    A window has recovered if the fraction answered within its latency target is at least `WHOLE` times that
+    before the pulse.
     """
     usual, until = PULSE_LOAD * RATE, PULSE_AT + PULSE_SECONDS
 
@@ -495,7 +498,7 @@
 
 
 def failing(way: str, seed: int, marks: bool) -> tuple[float, float]:
-    """Work that reaches nodes over what is first asked, and the part served, with a third failing."""
+    """Return the work at nodes per work first requested, and the served fraction, with a third failing."""
     rate = 0.4 * RATE
     world = World(way, seed, marks=marks)
     world.run(Demand(10.0, lambda _at: rate, rate, fails=frozenset({1, 4})))
@@ -504,8 +507,8 @@
 
 
 def greedy(way: str, seed: int) -> tuple[float, float]:
-    """Return the parts served of a marketplace within its share, and of one that sends 20 times its own."""
-    shares = {"modest": 0.3, "greedy": 0.5}  # of what the fleet can serve
+    """Return the served fractions of a tenant within its share and of one that sends 20 times its share."""
+    shares = {"modest": 0.3, "greedy": 0.5}  # fractions of capacity
     told = settings(tuple(api.Tenant(name, share, share * RATE) for name, share in shares.items()))
 
     def rates(at: float) -> dict[str | None, float]:
@@ -523,7 +526,7 @@
     return sum(modest) / len(modest), sum(many) / len(many)
 
 
-# --- the table -------------------------------------------------------------------------------------
+# --- table -----------------------------------------------------------------------------------------
 
 LOADS = (0.2, 0.5, 0.8, 1.0, 1.5, 2.0, 5.0, 10.0)
 SEEDS = 3
@@ -532,7 +535,7 @@
 
 
 def play(job: Run) -> tuple[float, ...]:
-    """One run, in whichever process."""
+    """Run one job in any process."""
     what, way, load, seed = job
     if what == "steady":
         return (steady(way, load, seed),)
@@ -544,7 +547,7 @@
 
 
 def jobs_of(loads: Sequence[float], seeds: Sequence[int], others: int) -> list[Run]:
-    """All runs; the long ones first."""
+    """Return all runs, with the longest first."""
     jobs: list[Run] = []
     for way in WAYS:
         for seed in seeds if way == WAYS[0] else seeds[:others]:
@@ -555,7 +558,7 @@
 
 
 def main(args: Sequence[str] | None = None) -> int:
-    """Run it all, print the tables, say what is missed."""
+    """Run all jobs, print the tables and report missed limits."""
     parser = argparse.ArgumentParser(description="Overload: served worth under several ways of limiting.")
     parser.add_argument("--quick", action="store_true", help="fewer loads, one seed for other ways")
     parser.add_argument("--seed", type=int, default=1)
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -1,7 +1,7 @@
-"""A bare relay: bytes from each client's connection to one server's and back, and nothing else.
+"""Run a bare relay that copies bytes between each client connection and a connection to one server.
 
-It is the floor that the sidecar's cost of a request is compared with: the same language, the same poll,
-the same four system calls a request, no parsing and no decisions.
+The relay is the lower bound for the cost of a request through the sidecar: the same language, the same poll
+and the same four system calls per request, without parsing and decisions.
 
     python -m benchmarks.relay LISTEN_PORT SERVER_PORT
 """
@@ -14,7 +14,7 @@
 
 
 def main(listen_port: int, server_port: int) -> None:
-    """Relay until killed; the listener's port is printed once it listens."""
+    """Relay until killed; prints the port of the listener once it listens."""
     listener = socket.create_server(("127.0.0.1", listen_port), backlog=128)
     listener.setblocking(False)
     print(listener.getsockname()[1], flush=True)
--- a/benchmarks/request_calls.py
+++ b/benchmarks/request_calls.py
@@ -1,8 +1,8 @@
-"""What one request costs a sidecar in function calls: a figure that a busy machine does not change much.
+"""Count the function calls of a sidecar per request, a figure that hardly depends on the load of the machine.
 
 Runs the bare sidecar under the profiler between the same server and client as `benchmarks.request_cost`, and
-prints calls a request; with `--against DIR` also those of another checkout, and which functions were called
-more or less often.  Waits of the poll merge under load, so a few calls in a hundred are chance.
+prints calls per request.  With `--against DIR` also prints those of another checkout and the functions whose
+call counts differ.  Poll waits merge under load, so a few percent of the calls vary at random.
 
     python -m benchmarks.request_calls [--against DIR] [--requests 3000]
 """
@@ -25,7 +25,7 @@
 
 from benchmarks.request_cost import ROOT, SETTINGS, WAIT, Answerer, drive, listed
 
-DIFFERENCES = 25  # functions that are printed, of those called more often and of those called less
+DIFFERENCES = 25  # number of printed functions, each for more and for fewer calls
 LISTENING = re.compile(r"msg=listening .*address=\S+:(\d+)")
 RUNNER = """
 import cProfile, runpy, sys
@@ -44,7 +44,7 @@
 
 
 def profiled(root: Path, requests: int) -> Counter[str]:
-    """Return how often each function is called, over so many requests, by its name."""
+    """Return the number of calls by function name over `requests` requests."""
     everything = set(range(os.cpu_count() or 1))
     server = Answerer(everything)
     try:
@@ -63,7 +63,7 @@
 
 
 def run_sidecar(root: Path, folder: Path, output: Path, server: int, requests: int) -> None:
-    """Run a sidecar under the profiler, send it requests, and end it."""
+    """Run a sidecar under the profiler, send requests to it, and end it."""
     config: dict[str, Any] = {
         "name": "n0",
         "listen": "127.0.0.1:0",
@@ -91,7 +91,7 @@
 
 
 def listening_port(process: subprocess.Popen[bytes], log_path: Path) -> int:
-    """Wait until a sidecar says where it listens."""
+    """Wait until a sidecar logs the port on which it listens."""
     until = time.monotonic() + WAIT
     while (found := LISTENING.search(log_path.read_text(encoding="utf-8"))) is None:
         if process.poll() is not None or time.monotonic() > until:
@@ -101,7 +101,7 @@
 
 
 def calls(output: Path) -> Counter[str]:
-    """Return the calls of a profile by the name of the function."""
+    """Return the calls in a profile by function name."""
     counts: Counter[str] = Counter()
     stats: Any = pstats.Stats(str(output))
     for (_file, _line, function), (_primitive, called, *_rest) in stats.stats.items():
@@ -121,7 +121,7 @@
 
 
 def print_comparison(here: Counter[str], other: Counter[str] | None, requests: int) -> None:
-    """Print calls a request, and which functions another checkout calls more or less often."""
+    """Print calls per request, and the functions that another checkout calls more or less often."""
     print(f"calls a request: {here.total() / requests:.1f}")
     if other is None:
         return
--- a/benchmarks/request_cost.py
+++ b/benchmarks/request_cost.py
@@ -1,10 +1,10 @@
-"""What one request costs a sidecar: processor time read from the operating system, not wall time.
+"""Measure the cost of a request in a sidecar as processor time reported by the operating system.
 
-Starts a server that answers at once, and in turn each subject between it and one client with a few kept
-connections: the sidecar as deployed (figures and capture on), the sidecar bare, a bare relay, and with
-`--against DIR` the sidecar of another checkout.  A subject is a process pinned to one core; server and
-client share another.  Prints microseconds of processor time a request (user and system) for each
-round, the medians and their ratios.
+Starts a server that responds at once, and in turn places each subject between the server and a client with a
+few kept connections: the sidecar as deployed (metrics and capture on), the bare sidecar, a bare relay, and
+with `--against DIR` the sidecar of another checkout.  A subject is a process pinned to one core; server and
+client share another.  Prints microseconds of processor time per request (user and system) for each round,
+with the medians and their ratios.
 
     python -m benchmarks.request_cost [--against DIR] [--rounds 5] [--requests 4000] [--cores 3,4]
 """
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True)
 class Subject:
-    """What stands between client and server."""
+    """A program between client and server."""
 
     name: str
     root: Path
@@ -68,7 +68,7 @@
 
 
 def listed(port: int) -> dict[str, Any]:
-    """Return the endpoint list: names enough for the connections, all of them the one server."""
+    """Return an endpoint list with a name for each connection, all for the one server."""
     return {
         "version": 1, "full": True,
         "servers": [
@@ -80,7 +80,7 @@
 
 
 class Answerer:
-    """The server's and discovery's side, in a process of its own; discovery lists this one server."""
+    """The process of the server and of discovery, which lists that server."""
 
     def __init__(self, cores: set[int]) -> None:
         self._process = subprocess.Popen(
@@ -92,13 +92,13 @@
         self.port = int(self._process.stdout.readline())
 
     def close(self) -> None:
-        """End it."""
+        """End the process."""
         self._process.kill()
         self._process.wait(WAIT)
 
 
 def answer() -> None:
-    """Answer every request on every connection at once; a watch gets the list and stays open."""
+    """Respond to every request at once; a watch receives the list and stays open."""
     listener = socket.create_server(("127.0.0.1", 0), backlog=256)
     listener.setblocking(False)
     port = listener.getsockname()[1]
@@ -112,7 +112,7 @@
     fed = time.monotonic()
     while True:
         ready = poll.poll(500)
-        if time.monotonic() - fed > 1.0:  # a watch is dead where nothing comes for some seconds
+        if time.monotonic() - fed > 1.0:  # a watch without data for some seconds counts as dead
             fed = time.monotonic()
             for sock in watchers:
                 try:
@@ -143,16 +143,16 @@
 
 
 def spent_us(pid: int) -> float:
-    """Processor time of a process so far, all its threads, user and system, in microseconds.
+    """Return the processor time of a process so far (all threads, user and system), in microseconds.
 
-    From the kernel's clock of that process, as clock_getcpuclockid(3) names it: exact to the nanosecond,
-    where /proc counts in hundredths of a second.
+    Reads the kernel clock of the process, as clock_getcpuclockid(3) identifies it.  That clock has nanosecond
+    resolution, while /proc counts in hundredths of a second.
     """
     return time.clock_gettime_ns((~pid << 3) | 2) / 1e3
 
 
 def drive(port: int, requests: int, first: int) -> None:
-    """So many requests over a few kept connections, each asking again once it is answered."""
+    """Send requests over a few kept connections, the next on each after the response."""
     poll = select.poll()
     socks: dict[int, socket.socket] = {}
     pending: dict[int, bytes] = {}
@@ -195,7 +195,7 @@
 
 
 class Running:
-    """A subject as a process."""
+    """A running subject."""
 
     def __init__(self, subject: Subject, server: int, cores: set[int], folder: str) -> None:
         if subject.relay:
@@ -229,20 +229,20 @@
         return int(found[1])
 
     def cost(self, requests: int) -> float:
-        """Microseconds a request, after a tenth of them to warm up."""
+        """Return microseconds per request, after a warm-up with a tenth of the requests."""
         drive(self.port, max(requests // 10, CONNECTIONS), 1 << 40)
         before = spent_us(self.process.pid)
         drive(self.port, requests, 1)
         return (spent_us(self.process.pid) - before) / requests
 
     def close(self) -> None:
-        """End it."""
+        """End the process."""
         self.process.send_signal(signal.SIGKILL)
         self.process.wait(WAIT)
 
 
 def main() -> None:
-    """Measure in turn, print a table."""
+    """Measure the subjects in turn and print a table."""
     words = argparse.ArgumentParser(description="Processor time a request, in turn.")
     words.add_argument("--against", type=Path, help="another checkout, with the same interpreter")
     words.add_argument("--rounds", type=int, default=5)
--- a/benchmarks/ring.py
+++ b/benchmarks/ring.py
@@ -1,4 +1,4 @@
-"""Which nodes each sidecar has in use, as a part of the ticks, and what load they get, of the zone's.
+"""Measure which nodes each sidecar uses, as a fraction of ticks, and the share of the zone's load on them.
 
 .venv/bin/python -m benchmarks.ring [--seeds 1 2 3]
 """
@@ -18,7 +18,7 @@
 
 
 def cell_of(seed: int) -> Cell:
-    """Play a minute with a burst on the usual world, in virtual time."""
+    """Play a minute with a burst on the standard scenario in virtual time."""
     return Cell(
         world="usual", demand="on-sale", settings="usual", seed=seed, where="virtual", through="sidecars",
         speed=1.0, timeout_ms=2000, check=False, figures=WorldFile(), spec=DemandSpec(recipe=RECIPE),
@@ -30,7 +30,7 @@
     words = argparse.ArgumentParser(description=__doc__)
     words.add_argument("--seeds", type=int, nargs="*", default=[1, 2, 3])
     timer = Balancer._on_timer
-    used: dict[str, Counter[str]] = defaultdict(Counter)  # by the sidecar's zone
+    used: dict[str, Counter[str]] = defaultdict(Counter)  # counts by zone of the sidecar
     ticks: Counter[str] = Counter()
 
     def counted(self: Balancer, event: api.TimerFired, now: int) -> None:
--- a/benchmarks/start_cost.py
+++ b/benchmarks/start_cost.py
@@ -1,10 +1,10 @@
-"""What a sidecar's start costs, beside another checkout's: milliseconds to listening, and memory then.
+"""Measure the start-up time and memory of a sidecar, compared with another checkout.
 
     python -m benchmarks.start_cost [--against DIR] [--rounds 9]
 
-Each start is a process of its own, as the platform starts it (deploy/operator.yaml), the checkouts in
-turn.  Prints medians, and their differences: milliseconds of wall time from the start of the process to
-its line that it listens, and resident memory in KB at that moment.
+Each start is a separate process, started as on the platform (deploy/operator.yaml), with the checkouts in
+turn.  Prints medians and their differences: wall time in milliseconds from the start of the process to its
+log line `listening`, and resident memory in KB at that time.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 def start(root: Path, folder: str) -> tuple[float, int]:
-    """One start: milliseconds until it listens, and its memory in KB."""
+    """Start a sidecar once; returns milliseconds until it listens and its memory in KB."""
     config = {
         "name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "1",
         "known": listed(9), "settings": SETTINGS,
@@ -54,7 +54,7 @@
 
 
 def main() -> None:
-    """Start in turn, print a table."""
+    """Start the checkouts in turn and print a table."""
     words = argparse.ArgumentParser(description="What a sidecar's start costs.")
     words.add_argument("--against", type=Path, help="another checkout, with the same interpreter")
     words.add_argument("--rounds", type=int, default=9)
--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -1,12 +1,12 @@
-"""How evenly instances that share nothing use the hosts, and what moves when one host goes.
+"""Measure how evenly independent instances use the hosts, and how subsets change when a host leaves.
 
-For each way of `subsetting`: the least and the most that a host is used, of the mean, where each
-instance spreads one unit over its subset; and how many hosts an instance has to take up, on average, when
-one host goes, and when one instance joins.  "drawn" is what the balancer does today.
+For each method of `subsetting`: the least and the largest use of a host relative to the mean, if each
+instance spreads one unit over its subset; and the mean number of hosts that an instance has to add when one
+host leaves and when one instance joins.  "drawn" is the method of the current balancer.
 
     python -m benchmarks.subsets [--quick]
 
-Ends with 1 where a host's use by `arc` is more than 10% off the mean.
+Exits with 1 if the use of a host by `arc` deviates from the mean by more than 10%.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 LEAST = 12
 INSTANCES, HOSTS = (3, 10, 100, 1000, 5000), (14, 200, 2000)
-SAMPLE = 200  # instances that are looked at for what moves
+SAMPLE = 200  # number of instances sampled for subset changes
 Way = Callable[[Ring, int, int, int], Subset]
 WAYS: dict[str, Way] = {
     "drawn": lambda ring, number, size, _: drawn(ring, number, size),
@@ -34,9 +34,9 @@
 
 
 def drawn(ring: Ring, number: int, size: int) -> Subset:
-    """As the balancer picks: by ranks drawn from the instance's seed, in the order of the list."""
+    """Pick a subset as the balancer does, by ranks drawn from the instance's seed in list order."""
     rng = random.Random(number)
-    # A host keeps its rank while others go: one is drawn for those that are missing too.
+    # Ranks are also drawn for missing hosts, so that a host keeps its rank while others leave.
     rank = {f"node-{at:04d}": rng.random() for at in range(int(max(ring.names)[5:]) + 1)}
     ranks: HostRanking[Host] = HostRanking()
     ranks.rebuild([Host(HostEntry(n, "", "", 0, HostState.READY), True, 0, rank[n]) for n in ring.names])
@@ -44,7 +44,7 @@
 
 
 def spread(way: Way, ring: Ring, instances: int, size: int) -> tuple[float, float]:
-    """Return the least and the most use of a host, of the mean."""
+    """Return the least and the largest use of a host, relative to the mean."""
     used = dict.fromkeys(ring.names, 0.0)
     for number in range(instances):
         subset = way(ring, number, size, instances)
@@ -56,7 +56,7 @@
 
 
 def moved(way: Way, ring: Ring, instances: int, size: int) -> tuple[float, float]:
-    """Hosts that an instance takes up when one goes, and when an instance joins; the mean of a sample."""
+    """Return mean numbers of hosts that an instance adds when a host leaves, and when an instance joins."""
     less = Ring([name for name in ring.names if name != ring.names[len(ring.names) // 2]])
     numbers = range(0, instances, max(instances // SAMPLE, 1))
     gone = joined = 0
@@ -68,7 +68,7 @@
 
 
 def main() -> int:
-    """Print the table; 1 where the arcs are not even."""
+    """Print the table; returns 1 if the arcs are uneven."""
     parser = argparse.ArgumentParser(description="How evenly subsets use the hosts.")
     parser.add_argument("--quick", action="store_true", help="no more than 1,000 instances")
     args = parser.parse_args()
@@ -85,7 +85,7 @@
             size = size_for(instances, hosts, LEAST)
             for name, way in WAYS.items():
                 if name == "drawn" and instances * hosts > 400_000:
-                    continue  # as rendezvous, and slow to draw
+                    continue  # results are like those of rendezvous hashing, and drawing is slow
                 least, most = spread(way, ring, instances, size)
                 gone, joined = moved(way, ring, instances, size)
                 print(
--- a/benchmarks/system_cost.py
+++ b/benchmarks/system_cost.py
@@ -1,8 +1,8 @@
-"""What the whole system costs as real processes on loopback: a request, an event, a gateway, a change.
+"""Measure the cost of the whole system as processes on loopback: per request, event, gateway and change.
 
-Three controllers and some gateways run as they are deployed; the platform's list and one instance are
-stand-ins in this process.  Processor time is read from /proc (user and system, in clock ticks of 10 ms),
-so each figure is the slope between two sizes, and the sizes are large.
+Three controllers and some gateways run as deployed; the list of the platform and one instance are simulated
+in this process.  Processor time is read from /proc (user and system, in clock ticks of 10 ms), so each
+figure is the slope between two large sizes.
 Run: python -m benchmarks.system_cost [--quick]
 """
 
@@ -49,13 +49,13 @@
 
 
 class StandIns:
-    """The platform and one instance that streams as many events as a path says; a thread."""
+    """A thread that simulates the platform and an instance that streams as many events as a path states."""
 
     def __init__(self) -> None:
         threading.Thread(target=self._run, daemon=True).start()
 
     def _run(self) -> None:
-        self.scheduler = Scheduler(RealSystem())  # its hub belongs to the thread that makes it
+        self.scheduler = Scheduler(RealSystem())  # the hub of the scheduler belongs to the creating thread
         HttpServer(self.scheduler, PLATFORM, self._list)
         Acceptor(self.scheduler, INSTANCE, self._serve)
         self.scheduler.run()
@@ -80,7 +80,7 @@
                 return
 
     def _answer(self, stream: Stream, connection: h11.Connection, head: h11.Request) -> None:
-        attempt = dict(head.headers).get(b"x-attempt-id", b"")  # without it no kept connection is used
+        attempt = dict(head.headers).get(b"x-attempt-id", b"")  # required for reuse of the connection
         headers = [
             ("Content-Type", "text/event-stream"),
             ("Transfer-Encoding", "chunked"),
@@ -92,24 +92,24 @@
             event = h11.Data(data=b"id: %d\ndata: %b\n\n" % (number, b"x" * 50))
             stream.send(connection.send(event) or b"", deadline)
             self.scheduler.yield_now()
-            time.sleep(0.0005)  # so that events do not run together on their way
+            time.sleep(0.0005)  # keeps events from merging in transit
         stream.send(connection.send(h11.EndOfMessage()) or b"", deadline)
 
 
 def toml(values: dict[str, Any]) -> str:
-    """Keys and plain values as TOML; JSON writes these alike."""
+    """Format keys and plain values as TOML; JSON has the same syntax for such values."""
     return "".join(f"{key} = {json.dumps(value)}\n" for key, value in values.items())
 
 
 class Deployment:
-    """The processes, each with its settings file and address."""
+    """The processes of the system, each with its settings file and address."""
 
     def __init__(self, folder: Path, root: Path = ROOT) -> None:
         self._folder, self.root = folder, root
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
 
     def command(self, _name: str, role: str) -> list[str]:
-        """Return how a process is started."""
+        """Return the command that starts a process."""
         return [sys.executable, "-m", "brambleusher.system_main", role]
 
     def start(self, name: str, ip: str, role: str) -> None:
@@ -142,7 +142,7 @@
         )
 
     def cpu_s(self, prefix: str) -> float:
-        """Processor seconds so far of the processes whose names begin so."""
+        """Return the processor time so far of all processes whose names begin with `prefix`, in seconds."""
         total = 0.0
         for name, process in self.processes.items():
             if name.startswith(prefix):
@@ -167,7 +167,7 @@
 
 
 def call(ip: str, port: int, method: str, path: str, body: bytes = b"", **headers: str) -> tuple[int, bytes]:
-    """One call over a connection of its own."""
+    """Send one call over a new connection."""
     connection = HTTPConnection(ip, port, timeout=5)
     try:
         connection.request(
@@ -180,7 +180,7 @@
 
 
 def configuration(revision: int, routes: int) -> bytes:
-    """Return a configuration with so many routes beside the one that is used."""
+    """Return a configuration with `routes` routes besides the route in use."""
     listed = [
         {
             "name": f"r-{number}",
@@ -199,7 +199,7 @@
 
 
 def wait_until(done: Callable[[], object], seconds: float = 20.0) -> None:
-    """Ask again and again, within a bound."""
+    """Poll until `done` returns true, with a time-out."""
     end = time.monotonic() + seconds
     while True:
         try:
@@ -213,7 +213,7 @@
 
 
 def requests(count: int, events: int) -> None:
-    """So many requests in turn over one connection."""
+    """Send requests one after another over one connection."""
     connection = HTTPConnection("127.0.2.1", FRONT, timeout=5)
     for number in range(count):
         headers = {"Host": "h", "X-Attempt-Id": f"{events}-{number}", "X-Deadline-Remaining": "4000"}
@@ -226,7 +226,7 @@
 
 
 def poll_bytes() -> tuple[int, int, int]:
-    """Bytes of a question, of an answer without news, and of one with everything."""
+    """Return the bytes of a poll request, of a response without changes, and of a full response."""
     scheduler = Scheduler(RealSystem())
     sizes: list[tuple[int, int, int]] = []
     me = {"name": "measure", "role": "gateway", "address": "127.0.2.9:1", "zone": "z", "region": "r"}
--- a/benchmarks/world.py
+++ b/benchmarks/world.py
@@ -1,8 +1,8 @@
-"""What the virtual world costs: exchanges on virtual sockets, and whole drawn fleets with sidecars in them.
+"""Measure the cost of the virtual world: exchanges on virtual sockets, and random fleets with sidecars.
 
-The first part is the world alone: one process sends 100 bytes, another sends them back.  The second plays
-drawn scenarios to their end and says how the processor time is shared between the world, the program and
-the stand-ins, by a profile of some of them.
+The first part measures the world alone: one process sends 100 bytes, and another sends them back.  The second
+part plays random scenarios to their end, and profiles some of them to show how the processor time is split
+between the world, the program and the stand-ins.
 
     python -m benchmarks.world [--exchanges 20000] [--seeds 0:100] [--profiled 10]
 """
@@ -31,7 +31,7 @@
 
 
 def echo(system: VirtualSystem) -> None:
-    """Send back what comes, on every connection."""
+    """Send received bytes back, on every connection."""
     scheduler = Scheduler(system)
     listener = system.listen(("0.0.0.0", 7), 64)
 
@@ -54,7 +54,7 @@
 
 
 def exchanges(count: int) -> tuple[float, int, float]:
-    """Processor seconds, events and virtual seconds for so many exchanges on ten connections."""
+    """Return processor seconds, events and virtual seconds for exchanges on ten connections."""
     left = [count]
 
     def asks(system: VirtualSystem) -> None:
@@ -84,7 +84,7 @@
 
 
 def play(seed: int) -> tuple[int, float]:
-    """One drawn scenario: events and virtual seconds."""
+    """Play a random scenario; returns its events and virtual seconds."""
     fleet = Fleet(draw_scenario(seed))
     try:
         fleet.play()
@@ -94,7 +94,7 @@
 
 
 def shares(seeds: range) -> dict[str, float]:
-    """Parts of the time, by whose code it was spent in; built-in functions count with their callers."""
+    """Return the fractions of time by owner of the code; built-in functions count with their callers."""
     profile = cProfile.Profile()
     profile.enable()
     for seed in seeds:
@@ -116,14 +116,14 @@
 
 
 def main() -> None:
-    """Print both."""
+    """Print both parts."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--exchanges", type=int, default=20_000)
     parser.add_argument("--seeds", default="0:100")
     parser.add_argument("--profiled", type=int, default=10)
     given = parser.parse_args()
     logging.disable(logging.CRITICAL)
-    exchanges(1000)  # warm
+    exchanges(1000)  # warm-up
     seconds, events, virtual = exchanges(given.exchanges)
     print(f"{given.exchanges} exchanges: {seconds / given.exchanges * 1e6:.1f} us each, "
           f"{events / given.exchanges:.1f} events each, {events / seconds:,.0f} events/s, "
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -1,22 +1,23 @@
-"""What becomes of service when zones are lost, flap and return, by ways of preferring zones.
+"""Compare zone preferences when zones are lost, flap and return.
 
-Virtual time: the program's own sidecars, eight in four zones, with 16 stand-in nodes and some 200 requests a
-second at 70% use (`brambleusher/lab/virtual/zone_days.py`).  The same seeds for all ways:
+Runs in virtual time: eight sidecars of the program in four zones, with 16 stand-in nodes and about 200
+requests per second at 70% utilization (`brambleusher/lab/virtual/zone_days.py`).  All variants use the same
+seeds:
 
 - `none`: no zones, all nodes alike;
 - `strict`: own zone alone;
 - `envoy`: priority levels, own zone and then all others, overprovisioning factor 1.4, panic threshold 50%,
   outlier ejection after five failures in a row;
-- `plain`: the balancer without rules on zones;
-- `rules`: this, with the rules' usual values.
+- `plain`: the balancer without zone rules;
+- `rules`: the balancer with zone rules at their default values.
 
-The choice within a zone, admission and repeats are the same code for all.  What the rest can carry when a
-zone is dark is not reckoned but measured: `rest` is a fleet that never had that zone, under the plain
-balancer, asked for the same.  Clients ask once.
+The choice within a zone, admission and retries use the same code in all variants.  The capacity without a
+lost zone is measured, not computed: `rest` is a fleet that never had that zone, with the plain balancer and
+the same demand.  Clients do not retry.
 
     python -m benchmarks.zones [--quick] [--jobs 5] [--only dark,flaps,others] [--seeds 3]
 
-Exits with 1 where a figure in `misses` is not reached.
+Exits with 1 if a limit in `misses` is not met.
 """
 
 from __future__ import annotations
@@ -49,11 +50,11 @@
 WHOLE = 0.95
 SECOND = 10**9
 
-# --- other ways -----------------------------------------------------------------------------------
+# --- alternative balancers -------------------------------------------------------------------------
 
 
 class StrictZone(Balancer):
-    """Own zone alone."""
+    """A balancer that uses only its own zone."""
 
     def _eligibility(self, request: Request, now: int) -> Callable[[Host], bool]:
         plain = super()._eligibility(request, now)
@@ -61,11 +62,11 @@
 
 
 class PriorityLevels(Balancer):
-    """Envoy's priority levels with its usual figures, and its outlier ejection.
+    """Envoy's priority levels with default parameters, and its outlier ejection.
 
-    Level 0 is the own zone, level 1 all others.  A level's health is its healthy part times 1.4; level 0
-    has that part of the traffic, level 1 what is left; where all health together is under 100% it is scaled
-    up, and a level less than half healthy then uses all its hosts.
+    Level 0 is the own zone, and level 1 is all others.  The health of a level is its healthy fraction times
+    1.4.  Level 0 receives that fraction of the traffic, and level 1 the remainder.  If the total health is
+    below 100%, both are scaled up, and a level with less than half of its hosts healthy uses all its hosts.
     """
 
     OVERPROVISIONING, PANIC, FAILURES, EJECTED_S, EJECTED_MOST_S = 1.4, 0.5, 5, 30.0, 300.0
@@ -73,12 +74,12 @@
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
         self._failed: dict[str, int] = {}
-        self._ejected: dict[str, tuple[int, int]] = {}  # how often, and until when
+        self._ejected: dict[str, tuple[int, int]] = {}  # ejections, and end of the last
         self._offered: dict[str, float] = {}
         self._now = 0
 
     def handle(self, event: api.Event, now: int) -> list[api.Action]:
-        """As ever, and failures in a row are counted."""
+        """Handle an event, and count consecutive failures."""
         self._now = now
         if isinstance(event, api.AttemptEnded):
             bad = event.status in (
@@ -132,7 +133,7 @@
 
 
 def no_zones(settings: api.Settings, seed: int) -> Balancer:
-    """All hosts alike."""
+    """Return a balancer that ignores zones."""
     return Balancer(replace(settings, cross_zone_price=0.0), seed)
 
 
@@ -146,7 +147,7 @@
 
 @dataclass(frozen=True)
 class Job:
-    """One run."""
+    """A run of one day with one variant and seed."""
 
     day: Day
     way: str
@@ -154,7 +155,7 @@
     returns: tuple[str, float] | None = None
 
     def run(self) -> Books:
-        """Play it; quiet."""
+        """Run the day without output."""
         logging.getLogger("brambleusher").setLevel(logging.CRITICAL + 1)
         gc.collect()
         gc.disable()
@@ -173,7 +174,7 @@
 
 
 def run_all(jobs: Sequence[Job], processes: int) -> Results:
-    """All runs, by day and way."""
+    """Run all jobs; returns the results by day and variant."""
     found: dict[tuple[str, str], dict[int, Books]] = {}
     longest = sorted(jobs, key=lambda job: -job.day.length_s)
     if processes == 1:
@@ -182,17 +183,17 @@
         pool = multiprocessing.get_context("fork").Pool(processes, maxtasksperchild=4)
         done = pool.imap_unordered(_run, longest)
     for job, books in done:
-        if books.service(1, len(books.went)) < 0.2:  # a program that does not serve has no figures
+        if books.service(1, len(books.went)) < 0.2:  # a program that does not serve has no valid results
             raise RuntimeError(f"{job.day.name}, {job.way}, seed {job.seed}: next to nothing was served")
         found.setdefault((job.day.name, job.way), {})[job.seed] = books
     return {key: [books for _, books in sorted(by.items())] for key, by in found.items()}
 
 
-# --- figures --------------------------------------------------------------------------------------
+# --- metrics --------------------------------------------------------------------------------------
 
 
 def mean(values: Iterable[float]) -> float:
-    """Of some figures."""
+    """Return the mean of values."""
     there = list(values)
     return sum(there) / max(len(there), 1)
 
@@ -200,9 +201,9 @@
 def worst(
     runs: Sequence[Books], begin: int, end: int, rest: Sequence[Books] = (), window: int = 2
 ) -> tuple[float, int, str]:
-    """Return the least part served by class and window over all seeds, of what `rest` served where given.
+    """Return the least served fraction by class and window over all seeds, relative to `rest` if given.
 
-    Says also when, and of which class.
+    Also returns the window and the class.
     """
     least = (9.0, 0, "")
     for at in range(begin, end - window + 1):
@@ -219,10 +220,10 @@
 
 
 def moving(runs: Sequence[Books], begin: int, end: int, period: int, zone: str = ZONE) -> float:
-    """Return the part of all requests that changes between a zone and the others, a second.
+    """Return the fraction of all requests that moves between a zone and the others, per second.
 
-    The zone's share of each phase of the flaps (and of as long before the first) is compared with that of
-    the next; what moved is spread over the phase.  Shares are of all seeds together.
+    Compares the share of the zone in each phase of the flaps (and in an equal time before the first) with
+    that of the next phase, and spreads the difference over the phase.  Shares are over all seeds.
     """
     shares = []
     for at in range(begin - period, end - period + 1, period):
@@ -232,7 +233,7 @@
 
 
 def back_after(runs: Sequence[Books], since: int, usual: tuple[int, int], part: float = 0.8) -> float:
-    """Seconds until the first three in which a zone has that part of what it usually had."""
+    """Return the seconds until three in a row with at least `part` of the usual requests of a zone."""
     had = mean(books.share(ZONE, *usual) for books in runs)
     end = len(runs[0].went) - 1
     for at in range(since, end - 2):
@@ -242,7 +243,7 @@
 
 
 def table(title: str, heads: Sequence[str], rows: Sequence[Sequence[object]]) -> None:
-    """Print one."""
+    """Print a table."""
     texts = [[f"{cell:.3f}" if isinstance(cell, float) else str(cell) for cell in row] for row in rows]
     widths = [max(len(row[at]) for row in [list(heads), *texts]) for at in range(len(heads))]
     print(f"\n{title}\n")
@@ -260,7 +261,7 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """How much of it is run."""
+    """Extent of the experiments."""
 
     quick: bool
     seeds: tuple[int, ...]
@@ -268,7 +269,7 @@
 
 
 def dark_day(plan: Plan) -> Day:
-    """One zone of four without power, and back."""
+    """Return a day in which one of four zones loses power and returns."""
     for_s, after_s = (8, 11) if plan.quick else (30, 26)
     return Day(
         "dark", LOST_AT + for_s + after_s, (ZoneLost(at_s=LOST_AT, for_s=for_s, target=ZONE),),
@@ -277,7 +278,7 @@
 
 
 def dark(plan: Plan) -> list[str]:
-    """Play the first two demands, and the comparison."""
+    """Play the power loss of a zone, and compare the variants."""
     day = dark_day(plan)
     back = LOST_AT + int(day.faults[0].for_s)
     end = int(day.length_s) - 2
@@ -288,7 +289,7 @@
     rest = runs["dark", "rest"]
     rows: list[list[object]] = []
     found: dict[str, Any] = {}
-    # Windows of a quick run are longer: it has one seed, and chance would speak.
+    # A quick run has a single seed, so it uses longer windows to reduce the noise.
     window = 2 if len(plan.seeds) > 2 else 4
     for way in ways:
         books = runs["dark", way]
@@ -336,7 +337,7 @@
 
 
 def flaps(plan: Plan) -> list[str]:
-    """Play a zone that comes and goes."""
+    """Play a flapping zone."""
     periods = (2.0,) if plan.quick else (2.0, 5.0, 10.0)
     length = 60 if plan.quick else 120
     after = 2 if plan.quick else 70
@@ -441,7 +442,7 @@
 
 
 def main() -> int:
-    """All tables."""
+    """Print all tables."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--quick", action="store_true")
     parser.add_argument("--only", default=",".join(PARTS))
