--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -52,7 +52,7 @@
         return self.site, self.day, self.round
 
 
-def _listed(given: object) -> list[str]:
+def _split_words(given: object) -> list[str]:
     """Split comma-separated words; the `fire` library passes such words as a tuple."""
     if isinstance(given, list | tuple):
         return [str(each) for each in given]
@@ -85,11 +85,11 @@
     return copy
 
 
-def _play(bench: Path, copy: Path, site: Path, jobs: int, small: bool, why: str) -> dict[str, object]:
+def _score(bench: Path, copy: Path, site: Path, jobs: int, small: bool, why: str) -> dict[str, object]:
     """Score a site on a copy and return the journal entry."""
     journal = copy / "journal"
     before = set(journal.glob("*.json"))
-    call = [
+    command = [
         str(bench),
         "score",
         str(site),
@@ -99,13 +99,13 @@
         why,
         *(["--small"] if small else []),
     ]
-    done = subprocess.run(call, cwd=copy, capture_output=True, text=True, timeout=PLAY_S, check=False)
+    done = subprocess.run(command, cwd=copy, capture_output=True, text=True, timeout=PLAY_S, check=False)
     made = sorted(set(journal.glob("*.json")) - before)
     if not made:
         raise AblationError(f"{site.name}: the bench left no entry: {done.stdout[-300:]}{done.stderr[-300:]}")
     entry: dict[str, object] = json.loads(made[-1].read_text(encoding="utf-8"))
-    kept = ROOT / "journal" / made[-1].name
-    shutil.copy(made[-1], kept)
+    entry_path = ROOT / "journal" / made[-1].name
+    shutil.copy(made[-1], entry_path)
     return entry
 
 
@@ -129,25 +129,25 @@
     small: bool = False,
 ) -> str:
     """Play every variant on every site for `rounds` rounds, one bench at a time."""
-    variants = _variants(_listed(keys))
+    variants = _variants(_split_words(keys))
     folder = Path(out).resolve()
     folder.mkdir(parents=True, exist_ok=True)
-    paths = [Path(site).resolve() for site in _listed(sites)]
+    paths = [Path(site).resolve() for site in _split_words(sites)]
     for path in [Path(bench), *paths]:
         if not path.is_file():
             raise AblationError(f"{path}: no such file")
-    held = {(play.variant, play.site, play.round) for play in read_plays(folder)}
+    finished = {(play.variant, play.site, play.round) for play in read_plays(folder)}
     with Progress() as progress:
         bar = progress.add_task("plays", total=rounds * len(variants) * len(paths))
         for number in range(1, rounds + 1):
             for variant in variants:
                 for site in paths:
                     progress.update(bar, advance=1, description=f"{variant}, {site.stem}")
-                    if (variant, site.stem, number) in held:
+                    if (variant, site.stem, number) in finished:
                         continue
                     copy = _copy(folder, variant)
                     why = f"Ablation, round {number}: {variant} {'' if variant == DEFAULT else 'off'}".strip()
-                    entry = _play(Path(bench).resolve(), copy, site, jobs, small, why)
+                    entry = _score(Path(bench).resolve(), copy, site, jobs, small, why)
                     with (folder / RESULTS).open("a", encoding="utf-8") as results:
                         for play in _plays_of(entry, variant, number):
                             results.write(json.dumps(asdict(play)) + "\n")
--- a/benchmarks/bodies.py
+++ b/benchmarks/bodies.py
@@ -29,7 +29,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 WAIT = 30.0
 NODES = 4
-PIECE = 16 * 1024
+READ_BYTES = 16 * 1024
 
 
 def serve(listener: socket.socket, body: bytes) -> None:
@@ -123,7 +123,7 @@
         sampled = 0.0
         while readers and time.monotonic() < until:
             for sock in select.select(readers, [], [], 0.05)[0]:
-                data = sock.recv(PIECE if pause else 1 << 18)
+                data = sock.recv(READ_BYTES if pause else 1 << 18)
                 taken[sock] += len(data)
                 if not data:
                     readers.remove(sock)
@@ -158,8 +158,8 @@
             bench.processes[0].send_signal(signal.SIGTERM)
             rows.append(("both processes, still read", bench.read(readers, taken, options.seconds, 0.01)))
             bench.read(readers, taken, 120.0, 0.0)
-            whole = sum(count > len(body) for count in taken.values())
-            rows.append(("answers whole", whole))
+            finished = sum(count > len(body) for count in taken.values())
+            rows.append(("answers whole", finished))
             rows.append(("the old process ended with", bench.processes[0].wait(WAIT)))
         finally:
             for process in bench.processes:
--- a/benchmarks/breakages.py
+++ b/benchmarks/breakages.py
@@ -28,18 +28,18 @@
 
 def measure(task: tuple[str, int, int]) -> tuple[str, int | None, int, Counter[str]]:
     """Return the first detecting seed, the number of detecting ones among `share` seeds, and their rules."""
-    name, most, share = task
+    name, most, sample_size = task
     breakage = BREAKAGES[name]
-    first, told, rules = None, 0, Counter[str]()
+    first, detected, rules = None, 0, Counter[str]()
     for seed in range(most):
-        if first is not None and seed >= share:
+        if first is not None and seed >= sample_size:
             break
         found = rules_broken(seed, breakage.profile, breakage.on()) & set(breakage.rules)
         if found and not rules_broken(seed, breakage.profile) & found:
             first = seed if first is None else first
-            told += seed < share
+            detected += seed < sample_size
             rules.update(found)
-    return name, first, told, rules
+    return name, first, detected, rules
 
 
 def main(words: Sequence[str] | None = None) -> int:
@@ -58,11 +58,11 @@
     print(f"| breakage | what is wrong | found under | first seed | of {given.share} seeds |")
     print("| --- | --- | --- | --- | --- |")
     for name in names:
-        _, first, told, rules = found[name]
+        _, first, detected, rules = found[name]
         missed += first is None
         under = ", ".join(f"`{rule}`" for rule, _ in rules.most_common())
         text = BREAKAGES[name].text
-        print(f"| `{name}` | {text} | {under or '-'} | {'-' if first is None else first} | {told} |")
+        print(f"| `{name}` | {text} | {under or '-'} | {'-' if first is None else first} | {detected} |")
     return 1 if missed else 0
 
 
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -37,11 +37,11 @@
 from brambleusher.net.http import MessageReader
 
 ROOT = Path(__file__).resolve().parent.parent
-WAIT = 30.0  # time-out for an expected event, in seconds
+EVENT_TIMEOUT_S = 30.0  # time-out for an expected event, in seconds
 SETTLE_SECONDS = 1.0  # pause after which work in progress has ended, in seconds
 IDLE_SECONDS = 2.0  # time over which the processor time of an idle sidecar is read, in seconds
 SECOND = 10**9
-PIECE = b"token-" * 4
+STREAM_CHUNK = b"token-" * 4
 ANSWER = (
     b'HTTP/1.1 200 OK\r\nServer-Load: {"qps":41.2,"util":0.31}\r\nContent-Length: 16\r\n\r\n0123456789abcdef'
 )
@@ -118,14 +118,14 @@
     """A discovery server that sends each watch the whole list, then changes."""
 
     def __init__(self, servers: list[dict[str, Any]]) -> None:
-        self.whole = json.dumps({"version": 1, "full": True, "servers": servers}).encode()
+        self.list_line = json.dumps({"version": 1, "full": True, "servers": servers}).encode()
         self.watches: list[socket.socket] = []
         super().__init__()
 
     def serve(self, sock: socket.socket) -> None:
         """Serve one watch, with a heartbeat every second."""
         sock.recv(65536)
-        sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + self.chunk(self.whole))
+        sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + self.chunk(self.list_line))
         self.watches.append(sock)
         while True:
             time.sleep(1.0)
@@ -161,11 +161,11 @@
 
     @staticmethod
     def _stream(sock: socket.socket, pieces: int) -> None:
-        piece = b"%x\r\n%s\r\n" % (len(PIECE), PIECE)
-        sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + piece)
+        encoded_chunk = b"%x\r\n%s\r\n" % (len(STREAM_CHUNK), STREAM_CHUNK)
+        sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + encoded_chunk)
         time.sleep(0.4)  # the sidecar holds a response of unknown length for 0.3 s before forwarding
         for _ in range(pieces - 1):
-            sock.sendall(piece)
+            sock.sendall(encoded_chunk)
             time.sleep(0.0005)  # pause between chunks, as between the tokens of a model
         sock.sendall(b"0\r\n\r\n")
 
@@ -218,14 +218,14 @@
         }  # fmt: skip
 
     def _await_ready(self) -> None:
-        until = time.monotonic() + WAIT
+        until = time.monotonic() + EVENT_TIMEOUT_S
         while True:
-            with socket.create_connection(self.address, WAIT) as sock:
+            with socket.create_connection(self.address, EVENT_TIMEOUT_S) as sock:
                 sock.sendall(b"GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
                 if sock.recv(4096).startswith(b"HTTP/1.1 200"):
                     return
             if time.monotonic() > until:
-                raise MeasureError(f"not ready within {WAIT:g} s")
+                raise MeasureError(f"not ready within {EVENT_TIMEOUT_S:g} s")
             time.sleep(0.02)
 
     def cpu_s(self) -> float:
@@ -253,14 +253,14 @@
 
     def connect(self) -> socket.socket:
         """Open a client connection."""
-        sock = socket.create_connection(self.address, WAIT)
+        sock = socket.create_connection(self.address, EVENT_TIMEOUT_S)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         return sock
 
     def close(self) -> None:
         """End the process."""
         self.process.send_signal(signal.SIGKILL)
-        self.process.wait(WAIT)
+        self.process.wait(EVENT_TIMEOUT_S)
         self.node.close()
         self.discovery.close()
         self.folder.cleanup()
@@ -288,7 +288,7 @@
     points: list[tuple[float, float]]
 
 
-def list_held(sizes: list[int]) -> list[Row]:
+def list_costs(sizes: list[int]) -> list[Row]:
     """Measure memory, idle processor time and bytes by the number of endpoints in the list."""
     memory, idle, text = [], [], []
     for size in sizes:
@@ -298,7 +298,7 @@
             before = one.cpu_s()
             time.sleep(IDLE_SECONDS)
             idle.append((float(size), (one.cpu_s() - before) / IDLE_SECONDS * 1e6))
-            text.append((float(size), float(len(one.discovery.whole))))
+            text.append((float(size), float(len(one.discovery.list_line))))
     return [
         Row("memory, by endpoints of the list", "bytes", memory),
         Row("idle processor time, by endpoints", "us a second", idle),
@@ -314,16 +314,18 @@
         idle = _idle_rate(one)
         version = 1
         for size in sizes:
-            begun, before, told = time.monotonic(), one.cpu_s(), 0
+            started, before, sent_bytes = time.monotonic(), one.cpu_s(), 0
             for number in range(size):
                 version += 1
                 state = "Terminating" if number % 2 else "Ready"
-                told += one.discovery.change(version, entry(number % endpoints, one.node.address, state))
+                sent_bytes += one.discovery.change(
+                    version, entry(number % endpoints, one.node.address, state)
+                )
                 time.sleep(0.002)
             time.sleep(0.2)
-            passed = time.monotonic() - begun
+            passed = time.monotonic() - started
             points.append((float(size), (one.cpu_s() - before - idle * passed) * 1e6))
-            sent.append((float(size), float(told)))
+            sent.append((float(size), float(sent_bytes)))
     return [
         Row(f"processor time, by changes of one endpoint of {endpoints}", "us", points),
         Row("bytes received, by changes of one endpoint", "bytes", sent),
@@ -436,7 +438,9 @@
     """Return all measurements by the name that `--only` accepts."""
     small = quick
     return {
-        "lists": lambda: list_held([12, 1000, 2500, 5000] if small else [12, 1000, 2750, 5500, 11000, 20000]),
+        "lists": lambda: list_costs(
+            [12, 1000, 2500, 5000] if small else [12, 1000, 2750, 5500, 11000, 20000]
+        ),
         "changes": lambda: changes([100, 200, 400, 800] if small else [250, 500, 1000, 2000, 4000], 5000),
         "connections": lambda: connections([50, 100, 150, 200] if small else [50, 100, 200, 400, 600]),
         "requests": lambda: requests([500, 1000, 1500, 2000] if small else [1000, 2000, 4000, 8000], 5000),
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -109,16 +109,16 @@
     ) / 2**20
 
 
-def share(values: list[float], part: float) -> float:
+def quantile(values: list[float], fraction: float) -> float:
     """Return the quantile of `values` at the fraction `part`."""
-    held = sorted(values)
-    return held[min(len(held) - 1, math.ceil(part * len(held)) - 1)]
+    ordered = sorted(values)
+    return ordered[min(len(ordered) - 1, math.ceil(fraction * len(ordered)) - 1)]
 
 
 # --- drains with many subscribers ------------------------------------------------------------------
 
 
-class _Light:
+class _LightSubscriber:
     """A subscriber that acknowledges and timestamps each response, and parses only the first.
 
     The subscriber handles only the few protocol fields that it needs, so that the cores of the machine serve
@@ -168,15 +168,15 @@
 
 
 async def _subscribers(target: str, names: list[str], pipe: Connection, stalls: int) -> None:
-    held = [_Light(name, bool(at % 2), target) for at, name in enumerate(names)]
-    tasks = [asyncio.create_task(each.run(at < stalls)) for at, each in enumerate(held)]
-    for each in held:
+    proxies = [_LightSubscriber(name, bool(at % 2), target) for at, name in enumerate(names)]
+    tasks = [asyncio.create_task(each.run(at < stalls)) for at, each in enumerate(proxies)]
+    for each in proxies:
         await each.complete.wait()
     pipe.send("complete")
     loop = asyncio.get_running_loop()
     while await loop.run_in_executor(None, pipe.recv) != "end":
-        pipe.send([each.came for each in held[stalls:]])
-        for each in held:
+        pipe.send([each.came for each in proxies[stalls:]])
+        for each in proxies:
             each.came = []
     for task in tasks:
         task.cancel()
@@ -198,8 +198,9 @@
         """Format the results as a table row."""
         last = self.last_ms
         return (
-            str(self.subscribers), str(self.nodes), f"{share(last, 0.5):.0f}", f"{share(last, 0.99):.0f}",
-            f"{max(last):.0f}", f"{self.kb_each:.0f}", f"{self.cpu_ms:.0f}", f"{self.bytes_each / 1024:.0f}",
+            str(self.subscribers), str(self.nodes),
+            f"{quantile(last, 0.5):.0f}", f"{quantile(last, 0.99):.0f}", f"{max(last):.0f}",
+            f"{self.kb_each:.0f}", f"{self.cpu_ms:.0f}", f"{self.bytes_each / 1024:.0f}",
         )  # fmt: skip
 
 
@@ -208,8 +209,8 @@
 
 def drains(count: int, nodes: int, rounds: int) -> Drains:
     """Drain nodes one after another; one subscriber stalls, and a whole list precedes every tenth drain."""
-    listed = [entry(f"n{at:05}", 10_000 + at) for at in range(nodes)]
-    with service(listed) as (program, discovery):
+    entries = [entry(f"n{at:05}", 10_000 + at) for at in range(nodes)]
+    with service(entries) as (program, discovery):
         context = mp.get_context("spawn")
         pipes, running = [], []
 
@@ -224,38 +225,40 @@
         assert pipes[0].recv() == "complete"
         before = usage(program.process.pid)
         names = [f"p{at}" for at in range(count)]
-        parts = [part for part in (names[at::PROCESSES] for at in range(PROCESSES)) if part]
-        for at, part in enumerate(parts):
-            begin(part, int(at == 0))
+        groups = [group for group in (names[at::PROCESSES] for at in range(PROCESSES)) if group]
+        for at, group in enumerate(groups):
+            begin(group, int(at == 0))
         for pipe in pipes[1:]:
             assert pipe.recv() == "complete"
         connected = usage(program.process.pid)
         last, cpu, sizes = [], [], []
         reading = count  # includes the first subscriber, excludes the stalled one
         for at in range(rounds):
-            victim = listed[at % nodes]
+            victim = entries[at % nodes]
             victim = victim | {"state": "Terminating" if victim["state"] == "Ready" else "Ready"}
-            listed[at % nodes] = victim
+            entries[at % nodes] = victim
             if at % 10 == 9:
-                discovery.whole(listed[: at % nodes] + listed[at % nodes + 1 :])
-                listed[at % nodes] = victim = victim | {"state": "Terminating"}
-            began = usage(program.process.pid)[0]
-            told = discovery.change(victim)
+                discovery.whole(entries[: at % nodes] + entries[at % nodes + 1 :])
+                entries[at % nodes] = victim = victim | {"state": "Terminating"}
+            cpu_before = usage(program.process.pid)[0]
+            changed_at = discovery.change(victim)
             until = time.monotonic() + 10
-            came: dict[tuple[int, int], float] = {}
-            while len(came) < reading and time.monotonic() < until:
+            arrivals: dict[tuple[int, int], float] = {}
+            while len(arrivals) < reading and time.monotonic() < until:
                 time.sleep(0.02)
-                for part_at, pipe in enumerate(pipes):
+                for group_at, pipe in enumerate(pipes):
                     pipe.send("what came")
-                    for one, events in enumerate(pipe.recv()):
+                    for index, events in enumerate(pipe.recv()):
                         for moment, version, size in events:
                             sizes.append(size)
                             if version >= discovery.version:
-                                came.setdefault((part_at, one), moment)
-            if len(came) < reading:
-                raise RuntimeError(f"{reading - len(came)} of {reading} subscribers heard nothing for 10 s")
-            last.append((max(came.values()) - told) * 1000)
-            cpu.append((usage(program.process.pid)[0] - began) * 1000)
+                                arrivals.setdefault((group_at, index), moment)
+            if len(arrivals) < reading:
+                raise RuntimeError(
+                    f"{reading - len(arrivals)} of {reading} subscribers heard nothing for 10 s"
+                )
+            last.append((max(arrivals.values()) - changed_at) * 1000)
+            cpu.append((usage(program.process.pid)[0] - cpu_before) * 1000)
         after = usage(program.process.pid)
         for pipe in pipes:
             pipe.send("end")
@@ -338,7 +341,7 @@
     def __init__(self, rng: random.Random, count: int) -> None:
         self.rng = rng
         self.names = [f"n{at:02}" for at in range(count)]
-        self.places = dict.fromkeys(self.names, 4)
+        self.slots = dict.fromkeys(self.names, 4)
         self.speed = {name: rng.choice((0.6, 1.0, 1.0, 1.4)) for name in self.names}
         self.free: dict[str, list[float]] = {name: [0.0] * 4 for name in self.names}
         self.busy_s: dict[str, float] = dict.fromkeys(self.names, 0.0)
@@ -346,7 +349,7 @@
 
     def capacity(self, mean: float) -> float:
         """Return the capacity of all nodes in requests per second, for a mean work in seconds."""
-        return sum(self.places[name] * self.speed[name] / mean for name in self.names)
+        return sum(self.slots[name] * self.speed[name] / mean for name in self.names)
 
     def serve(self, name: str, now: float, work: float) -> tuple[float, api.LoadReport]:
         """Return when a request that arrives now is answered, and the node's load report at that time."""
@@ -361,11 +364,11 @@
 
     def report(self, name: str, now: float, window: float = 1.0) -> api.LoadReport:
         """Return the slot usage and responses per second of a node over the last `window` seconds."""
-        held = [each for each in self.recent[name] if each[2] > now - 2 * window]
-        self.recent[name] = held
-        busy = sum(max(0.0, min(end, now) - max(begin, now - window)) for _, begin, end in held)
-        done = sum(now - window < end <= now for _, _, end in held)
-        return api.LoadReport(min(1.0, busy / window / self.places[name]), done / window)
+        recent = [each for each in self.recent[name] if each[2] > now - 2 * window]
+        self.recent[name] = recent
+        busy = sum(max(0.0, min(end, now) - max(begin, now - window)) for _, begin, end in recent)
+        done = sum(now - window < end <= now for _, _, end in recent)
+        return api.LoadReport(min(1.0, busy / window / self.slots[name]), done / window)
 
 
 @dataclass
@@ -396,10 +399,10 @@
     rng = random.Random(seed)
     fleet = Fleet(rng, nodes)
     mean, settings = 0.05, parse_settings(SETTINGS | {"fleet_size": senders})
-    aim, deadline = 0.4, 2.0
+    latency_target, deadline = 0.4, 2.0
     rate = fleet.capacity(mean) * use
     slow, drained = fleet.names[1], fleet.names[2]
-    usual = fleet.speed[slow]
+    usual_speed = fleet.speed[slow]
     listed = [api.HostEntry(name, "z", "k", 0, api.HostState.READY) for name in fleet.names]
     served = judged = 0
     events: list[tuple[float, int, str, Any]] = []
@@ -464,20 +467,20 @@
             if now > seconds:
                 continue
             at(now + rng.expovariate(rate), "arrival", what + 1)
-            name, needs, sender = f"r{what}", rng.expovariate(1 / mean), rng.randrange(senders)
+            name, work_s, sender = f"r{what}", rng.expovariate(1 / mean), rng.randrange(senders)
             judged += 1
-            arrived[name], work[name], tries[name] = now, needs, 0
+            arrived[name], work[name], tries[name] = now, work_s, 0
             if proxies:
                 if out[sender] >= limit:
                     continue
                 out[sender] += 1
-                held = current[sender]
+                current_weights = current[sender]
                 total = sum(weights.values())
                 for host, weight in weights.items():
-                    held[host] += weight
-                host = max(weights, key=lambda host: (held[host], host))
-                held[host] -= total
-                ends, report = fleet.serve(host, now, needs)
+                    current_weights[host] += weight
+                host = max(weights, key=lambda host: (current_weights[host], host))
+                current_weights[host] -= total
+                ends, report = fleet.serve(host, now, work_s)
                 at(ends, "answered", (sender, host, now, report))
             else:
                 route(
@@ -488,12 +491,12 @@
         elif kind == "answered":
             sender, host, began, report = what
             out[sender] -= 1
-            served += now - began <= aim
-            sums = gathered.setdefault(host, [0, 0.0, 0.0, 0.0])
-            sums[0] += 1
-            sums[1] += now - began
-            sums[2] += report.utilisation
-            sums[3] += report.throughput
+            served += now - began <= latency_target
+            totals = gathered.setdefault(host, [0, 0.0, 0.0, 0.0])
+            totals[0] += 1
+            totals[1] += now - began
+            totals[2] += report.utilisation
+            totals[3] += report.throughput
         elif kind == "report":
             for host, (n, took, util, rps) in sorted(gathered.items()):
                 outcomes = ReportedOutcomes(
@@ -513,22 +516,24 @@
         elif kind == "answer":
             sender, name, attempt, host, began, report = what
             if name in arrived:
-                served += now - arrived.pop(name) <= aim
+                served += now - arrived.pop(name) <= latency_target
             event = api.AttemptEnded(name, attempt, host, api.AttemptStatus.OK, ns(now - began), True, report)
             route(sender, sidecars[sender].handle(event, ns(now)), now)
         elif kind in ("slow", "well"):
-            fleet.speed[slow] = usual / 5 if kind == "slow" else usual
+            fleet.speed[slow] = usual_speed / 5 if kind == "slow" else usual_speed
         elif kind == "drain":
-            gone = [api.HostEntry(drained, "z", "k", 0, api.HostState.DRAINING)]
+            changed_entries = [api.HostEntry(drained, "z", "k", 0, api.HostState.DRAINING)]
             if proxies:
-                zone.handle(api.HostListUpdated(api.ListKind.DELTA, gone), ns(now))
+                zone.handle(api.HostListUpdated(api.ListKind.DELTA, changed_entries), ns(now))
                 reweigh(False)
             else:
                 for sender, each in enumerate(sidecars):
                     route(
-                        sender, each.handle(api.HostListUpdated(api.ListKind.DELTA, list(gone)), ns(now)), now
+                        sender,
+                        each.handle(api.HostListUpdated(api.ListKind.DELTA, list(changed_entries)), ns(now)),
+                        now,
                     )
-    loads = [fleet.busy_s[name] / fleet.places[name] / seconds for name in fleet.names if name != drained]
+    loads = [fleet.busy_s[name] / fleet.slots[name] / seconds for name in fleet.names if name != drained]
     return Day(served / max(judged, 1), max(loads), sum(loads) / len(loads))
 
 
--- a/benchmarks/hung_instance.py
+++ b/benchmarks/hung_instance.py
@@ -26,7 +26,7 @@
 MEDIAN_RATIO = 0.15  # median time to the first byte, as a fraction of the latency target
 SPREAD = 0.6  # sigma of the logarithm of the time to the first byte
 # Share of long prompts, and their time to the first byte as a fraction of the latency target.
-LONG_SHARE, LONG_RATIO = 0.05, 0.5
+LONG_FRACTION, LONG_RATIO = 0.05, 0.5
 STREAM_S = 0.4  # time from the first byte to the last, in seconds
 LEAVING = (0.3, 0.5, 0.9, 9.0)  # fraction of the target at which clients leave; 9: none before the deadline
 RATES = (2.0, 20.0)  # requests per second
@@ -66,7 +66,7 @@
                     weights.finish_attempt(name, attempt, True)
             elif next_tick <= now:
                 weights.recompute(now, 1.0)
-                self._look_at_hung(weights, now)
+                self._check_hung_instance(weights, now)
                 self._count_false_alarms(weights, now)
                 next_tick += TICK_S
             else:
@@ -84,13 +84,13 @@
     def _course(self, rng: random.Random, hangs: bool) -> list[tuple[float, str]]:
         """Draw the events of an attempt, each with its time in seconds after the start."""
         first = MEDIAN_RATIO * rng.lognormvariate(0.0, SPREAD)
-        if rng.random() < LONG_SHARE:
+        if rng.random() < LONG_FRACTION:
             first = LONG_RATIO * rng.lognormvariate(0.0, SPREAD / 2)
         if hangs or first > self.leaves_at:
             return [(min(self.leaves_at, 8.0) * TARGET_S, "left")]
         return [(first * TARGET_S, "first byte"), (first * TARGET_S + STREAM_S, "done")]
 
-    def _look_at_hung(self, weights: InstanceWeights, now: float) -> None:
+    def _check_hung_instance(self, weights: InstanceWeights, now: float) -> None:
         is_judged = now >= self.hangs_at_s and self.passed_over_s is None
         if is_judged and weights.is_unresponsive(HUNG, now):
             self.passed_over_s = now - self.hangs_at_s
--- a/benchmarks/lists.py
+++ b/benchmarks/lists.py
@@ -66,23 +66,23 @@
 }  # fmt: skip
 
 
-def spent(call: Callable[[], object]) -> float:
+def cpu_ms(call: Callable[[], object]) -> float:
     """Return the processor time of a call in this thread, in milliseconds."""
     began = time.thread_time_ns()
     call()
     return (time.thread_time_ns() - began) / MS
 
 
-def high(figures: Iterable[float], part: float = 0.95) -> float:
+def quantile(values: Iterable[float], fraction: float = 0.95) -> float:
     """Return the quantile of `figures` at the fraction `part`."""
-    held = sorted(figures)
-    return held[min(int(len(held) * part), len(held) - 1)]
+    ordered = sorted(values)
+    return ordered[min(int(len(ordered) * fraction), len(ordered) - 1)]
 
 
 # --- the decisions alone --------------------------------------------------------------------------
 
 
-class Decided:
+class DecisionBench:
     """A balancer with traffic in virtual time; times each list, change and tick."""
 
     def __init__(self, nodes: int, seed: int, rules: bool) -> None:
@@ -106,12 +106,12 @@
     def whole(self) -> float:
         """Apply a whole list and return the time in milliseconds."""
         event = api.HostListUpdated(api.ListKind.FULL, [self.entry(at) for at in range(self.count)])
-        return spent(lambda: self.balancer.handle(event, self.now))
+        return cpu_ms(lambda: self.balancer.handle(event, self.now))
 
     def change(self, state: api.HostState, at: int) -> float:
         """Apply one change and return the time in milliseconds."""
         event = api.HostListUpdated(api.ListKind.DELTA, [self.entry(at, state)])
-        return spent(lambda: self.balancer.handle(event, self.now))
+        return cpu_ms(lambda: self.balancer.handle(event, self.now))
 
     def traffic(self, seconds: float, rate: float) -> None:
         """Send requests at a rate, with a mean response time of 20 ms and a tick every 12 ms."""
@@ -119,7 +119,7 @@
         while self.now < end:
             self.now += int(self.rng.expovariate(rate) * 1e9)
             while tick <= self.now:
-                took = spent(lambda: self.balancer.handle(api.TimerFired(0), self.now))
+                took = cpu_ms(lambda: self.balancer.handle(api.TimerFired(0), self.now))
                 self.ticks.append(took)
                 tick += 12 * MS
             self.requests += 1
@@ -142,7 +142,7 @@
     changes: list[float] = []
     wholes, worst = [], []
     for seed in range(rounds):
-        run = Decided(nodes, seed, rules)
+        run = DecisionBench(nodes, seed, rules)
         wholes.append(run.whole())
         gc.collect()
         run.traffic(0.5, 200)
@@ -157,7 +157,7 @@
         changes += mine
         worst.append(max(run.ticks))
     # The smallest worst tick over the runs, since any excess comes from other load on the machine.
-    return [statistics.mean(changes), high(changes), max(changes), min(wholes), min(worst)]
+    return [statistics.mean(changes), quantile(changes), max(changes), min(wholes), min(worst)]
 
 
 # --- a whole sidecar ------------------------------------------------------------------------------
@@ -209,11 +209,11 @@
 
 
 @dataclass
-class Taken:
+class ListDelays:
     """Milliseconds of a list: longest request delay, and times until all nodes and a drain took effect."""
 
-    held_ms: float
-    told_ms: float
+    request_delay_ms: float
+    all_ms: float
     drain_ms: float
 
 
@@ -240,7 +240,7 @@
         self.version, self.asked = 1, 0
         self.times: list[float] = []
         self.changes: list[float] = []
-        self.lists: dict[str, Taken] = {}
+        self.lists: dict[str, ListDelays] = {}
         self.failed: BaseException | None = None
 
     def run(self) -> None:
@@ -305,70 +305,70 @@
                 raise RuntimeError("a list was not taken in time")
             self.hub.sleep(0.001)
 
-    def _all_told(self, lists: int) -> bool:
+    def _is_all_applied(self, lists: int) -> bool:
         taken = self.sidecar.counters.count("lists_taken")
         slices = self.sidecar.endpoint_list._slices
         return taken >= lists and (slices is None or not slices.waiting)
 
     def _drive(self, address: tuple[str, int]) -> None:
-        self._wait(lambda: self._all_told(1))
+        self._wait(lambda: self._is_all_applied(1))
         gc.collect()
         stream = Stream.connect(self.hub, address, self.hub.now() + WAIT)
         for _ in range(100):
             self._request(stream)
-        quiet = []
+        baseline = []
         for _ in range(self.requests):
-            quiet.append(self._request(stream))
+            baseline.append(self._request(stream))
             self.hub.sleep(0.0005)
-        self.usual = statistics.median(quiet)
-        self.lists["none"] = Taken(max(quiet) - self.usual, 0.0, 0.0)
+        self.usual = statistics.median(baseline)
+        self.lists["none"] = ListDelays(max(baseline) - self.usual, 0.0, 0.0)
         drains = entries_of(self.nodes, self.where)
         drains[-1]["state"] = "Terminating"
-        self.lists["the same, one drains"] = self._listed(stream, drains)
+        self.lists["the same, one drains"] = self._apply_list(stream, drains)
         others = [*entries_of(self.nodes - 1, self.where, "other"), drains[-1]]
         others[-1] = {**others[-1], "state": "Terminating", "started_ms": 1}
-        self.lists["all others"] = self._listed(stream, others)
-        self._one_change(others)
+        self.lists["all others"] = self._apply_list(stream, others)
+        self._measure_changes(others)
 
-    def _listed(self, stream: Stream, entries: list[dict[str, Any]]) -> Taken:
+    def _apply_list(self, stream: Stream, entries: list[dict[str, Any]]) -> ListDelays:
         """Apply a whole list while requests continue."""
         self.version += 1
         text, count, last = text_of(entries, self.version, True), self.sidecar.counters, entries[-1]
         gc.collect()  # collects garbage of the preparation, which is not work of the sidecar
-        lists, times, told = count.count("lists_taken") + 1, [], [0.0, 0.0]
+        lists, times, effect_ms = count.count("lists_taken") + 1, [], [0.0, 0.0]
         began = self.hub.now()
         self.discovery.texts.put(text)
 
-        def notice() -> None:
-            def is_told() -> bool:
+        def watch() -> None:
+            def has_drain_applied() -> bool:
                 machine = self.sidecar.upstream_pool.listed.get(last["id"])
                 return machine is not None and machine.entry.started_ns == last["started_ms"] * MS and (
                     machine.entry.state is api.HostState.DRAINING
                 )  # fmt: skip
 
-            self._wait(is_told)
-            told[1] = (self.hub.now() - began) * 1000
-            self._wait(lambda: self._all_told(lists))
-            told[0] = (self.hub.now() - began) * 1000
+            self._wait(has_drain_applied)
+            effect_ms[1] = (self.hub.now() - began) * 1000
+            self._wait(lambda: self._is_all_applied(lists))
+            effect_ms[0] = (self.hub.now() - began) * 1000
 
-        self.hub.spawn(notice)
-        while not told[0] and self.hub.now() - began < WAIT:
+        self.hub.spawn(watch)
+        while not effect_ms[0] and self.hub.now() - began < WAIT:
             times.append(self._request(stream))
             self.hub.sleep(0.0005)
         until = self.hub.now() + 1.5  # includes the new status page, built after the list was applied
         while self.hub.now() < until:
             times.append(self._request(stream))
             self.hub.sleep(0.0005)
-        return Taken(max(times) - self.usual, *told)
+        return ListDelays(max(times) - self.usual, *effect_ms)
 
-    def _one_change(self, entries: list[dict[str, Any]]) -> None:
+    def _measure_changes(self, entries: list[dict[str, Any]]) -> None:
         rng = random.Random(7)
         for at in range(200):
             self.version += 1
             entry = rng.choice(entries)
             entry["state"] = ("Terminating", "Ready")[at % 2]
             text = text_of([entry], self.version, False)
-            self.changes.append(spent(lambda text=text: self.sidecar.endpoint_list._apply(text)))  # type: ignore[misc]
+            self.changes.append(cpu_ms(lambda text=text: self.sidecar.endpoint_list._apply(text)))  # type: ignore[misc]
             if at % 10 == 0:
                 self.hub.sleep(0.001)
 
@@ -448,13 +448,15 @@
     for nodes in sizes:
         run = Run(nodes, args.quick, collector)
         run.run()
-        front = f"{nodes:7} {statistics.mean(run.changes):8.3f} {high(run.changes):10.3f}"
-        for name, taken in run.lists.items():
-            print(f"{front}  {name:22} {taken.held_ms:8.2f} {taken.drain_ms:11.0f} {taken.told_ms:9.0f}")
+        front = f"{nodes:7} {statistics.mean(run.changes):8.3f} {quantile(run.changes):10.3f}"
+        for name, delay in run.lists.items():
+            print(
+                f"{front}  {name:22} {delay.request_delay_ms:8.2f} {delay.drain_ms:11.0f} {delay.all_ms:9.0f}"
+            )
             front = " " * len(front)
             if nodes == max(sizes) and name != "none":
-                gate(f"held up by a list ({name})", taken.held_ms, HELD_MS)
-                gate(f"a drain told ({name})", taken.drain_ms, TOLD_MS)
+                gate(f"held up by a list ({name})", delay.request_delay_ms, HELD_MS)
+                gate(f"a drain told ({name})", delay.drain_ms, TOLD_MS)
     most = max(sizes)
     print(f"\nMemory at {most} nodes, bytes a node (traced)")
     for name, operator in (("no features", b"{}"), ("status page", b"status: {port: 0, refresh_ms: 1000}")):
--- a/benchmarks/mysql.py
+++ b/benchmarks/mysql.py
@@ -45,7 +45,7 @@
 )  # fmt: skip
 NAMES = [f"n{at}" for at in range(100)]
 POINT = "select name, money from accounts where name = 'n{}'"
-LOOK = {"name": "look", "give_up_ns": 60 * SECOND, "effect": "read_like", "worth": 1.0}
+QUERY_CLASS = {"name": "look", "give_up_ns": 60 * SECOND, "effect": "read_like", "worth": 1.0}
 MOVE = {"name": "move", "give_up_ns": 60 * SECOND, "effect": "non_idempotent", "worth": 3.0}
 
 
@@ -54,7 +54,7 @@
     times = {"promise_ns": int(promise_s * SECOND), "give_up_ns": int(give_up_s * SECOND)}
     return {
         "zone": "z", "fleet_size": 1, "membership_mode": "subscribe",
-        "classes": [{**LOOK, **times}, {**MOVE, **times}],
+        "classes": [{**QUERY_CLASS, **times}, {**MOVE, **times}],
         "limits": {
             "max_attempts": 3, "max_retry_after_ns": SECOND, "retry_after": True,
             "connect_timeout_ns": SECOND,
@@ -199,7 +199,7 @@
     """A minimal blocking client, so that measurements contain little of its own cost."""
 
     def __init__(self, address: tuple[str, int], user: str, password: bytes) -> None:
-        self.turned_away = 0
+        self.rejections = 0
         self.sock = socket.create_connection(address, WAIT)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         login = ClientLogin(user, password, CAPS, 45, database="shop")
@@ -249,7 +249,7 @@
                 self.send(text)
                 self.take()
             except RejectedError:
-                self.turned_away += 1
+                self.rejections += 1
                 time.sleep(0.05)
                 continue
             return time.perf_counter() - begun
@@ -298,7 +298,7 @@
                 f"| {name} | {median(one):.0f} | {median(other):.0f} | {median(other) - median(one):.0f} "
                 f"| {tail:.0f} | {spent / len(other):.0f} |"
             )
-        print(f"\nStatements turned away and asked again: {through.turned_away}")
+        print(f"\nStatements turned away and asked again: {through.rejections}")
         direct.close()
         through.close()
     print()
@@ -337,8 +337,8 @@
     print("| sessions | most connections to a node | logins a second | statements a second | CPU us each "
           "| KB a session idle | KB a session after use |")  # fmt: skip
     print("| --- | --- | --- | --- | --- | --- | --- |")
-    figures = f"{sessions} | {most} | {sessions / logins:.0f} | {count / took:.0f} | {spent:.0f}"
-    print(f"| {figures} | {idle:.1f} | {busy:.1f} |\n")
+    columns = f"{sessions} | {most} | {sessions / logins:.0f} | {count / took:.0f} | {spent:.0f}"
+    print(f"| {columns} | {idle:.1f} | {busy:.1f} |\n")
     return [f"{most} connections to a node, 25 allowed"] if most > 25 else []
 
 
@@ -351,7 +351,7 @@
         before = rss_kb(process.pid)
         client.send(f"select id, pad from generated where n = {rows} and width = 1000")
         time.sleep(0.5)  # lets data accumulate before the client reads
-        held = rss_kb(process.pid) - before
+        memory_kb = rss_kb(process.pid) - before
         begun, spent = time.monotonic(), cpu_us(process.pid)
         size = client.take()
         took = time.monotonic() - begun
@@ -364,7 +364,7 @@
     )
     print("| --- | --- | --- | --- | --- | --- |")
     mb = size / 1e6
-    print(f"| {mb:.0f} | {took:.1f} | {mb / took:.0f} | {spent / 1000 / mb:.2f} | {held} | {peak} |\n")
+    print(f"| {mb:.0f} | {took:.1f} | {mb / took:.0f} | {spent / 1000 / mb:.2f} | {memory_kb} | {peak} |\n")
     return [f"{peak} KB held for one result"] if peak > 4096 else []
 
 
@@ -374,22 +374,22 @@
     print("| front | ms until it listens, at best | MB resident |")
     print("| --- | --- | --- |")
     rounds = 2 if quick else 7
-    figures: dict[str, list[tuple[float, float]]] = {}
+    measurements: dict[str, list[tuple[float, float]]] = {}
     for at in range(rounds + 1):
         for on in (False, True):
             with rig.sidecar(on) as (process, where, took):
                 time.sleep(0.2)
                 name = "on, idle" if on else "off"
                 if at:  # the first round only fills the file cache
-                    figures.setdefault(name, []).append((took * 1000, rss_kb(process.pid) / 1024))
+                    measurements.setdefault(name, []).append((took * 1000, rss_kb(process.pid) / 1024))
                 if on and at:
                     client = Client(where, "web", b"f")
                     client.ask(POINT.format(1))
-                    figures.setdefault("on, after one statement", []).append(
+                    measurements.setdefault("on, after one statement", []).append(
                         (took * 1000, rss_kb(process.pid) / 1024)
                     )
                     client.close()
-    for name, each in figures.items():
+    for name, each in measurements.items():
         print(f"| {name} | {min(ms for ms, _ in each):.0f} | {median(mb for _, mb in each):.1f} |")
     print()
     return []
@@ -414,11 +414,11 @@
             def main(system: VirtualSystem) -> None:
                 scheduler, database = Scheduler(system), Database()
                 accounts(NAMES, database)
-                figures = MysqlSettings(
+                sale_settings = MysqlSettings(
                     users={"web": Secret.of(NATIVE, b"s")}, plugin=NATIVE, max_connections=2000,
                     work_seconds=0.02, slots=4,
                 )  # fmt: skip
-                server = MysqlServer(scheduler, f"h{at}", database, figures, at)
+                server = MysqlServer(scheduler, f"h{at}", database, sale_settings, at)
                 servers.append(server)
                 server.listen(("0.0.0.0", 3306))
                 scheduler.run()
@@ -472,11 +472,11 @@
                 client.connect(where, "web", b"s", "shop", 10.0)
                 for due in dues:
                     scheduler.sleep(max(0.0, due - scheduler.now()))
-                    told = client.query(POINT.format(rng.randrange(100)), 10.0)
+                    result = client.query(POINT.format(rng.randrange(100)), 10.0)
                     if due > begin + OPENING_S:
-                        counts[1] += told.ok and scheduler.now() - due <= IN_TIME_S
-                        counts[2] += not told.ok
-                    if told.gone or told.late:
+                        counts[1] += result.ok and scheduler.now() - due <= IN_TIME_S
+                        counts[2] += not result.ok
+                    if result.gone or result.late:
                         client.close()
                         client = MysqlClient(scheduler)
                         client.connect(where, "web", b"s", "shop", 10.0)
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -38,14 +38,14 @@
 LATENCY = 0.0004  # one-way network latency in seconds
 SIDECARS = 3
 TRIES, BACKOFF, HONOUR = 3, (0.05, 0.15), 0.6
-CALM, CALM_SECONDS = 0.5, 3.0  # load at the start of each run, and its duration in seconds
+CALM_LOAD, CALM_SECONDS = 0.5, 3.0  # load at the start of each run, and its duration in seconds
 WARM_UP, MEASURED = 6.0, 8.0
 PULSE_LOAD, PULSE_AT, PULSE_SECONDS, PULSE_TIMES = 0.6, 5.0, 10.0, 10.0
 WINDOW = 1.0
-WHOLE = 0.9  # fraction of the earlier on-time share at which service counts as recovered
+RECOVERED_FRACTION = 0.9  # fraction of the earlier on-time share at which service counts as recovered
 GREEDY_TIMES = 20.0
 # Requirements for `ours`, checked by `misses`.
-BEST_KEPT, PULSE_OVER, WORK_MOST, MODEST_LEAST = 0.9, 2.0, 1.2, 0.95
+MIN_OF_BEST, MAX_RECOVERY_S, MAX_ATTEMPTS_PER_REQUEST, MIN_MODEST_SERVED = 0.9, 2.0, 1.2, 0.95
 NODES = tuple(
     NodeSettings(
         cores=cores, speed=speed, queue_per_core=300, thrash=0.08, thrash_at=10.0, report_period_s=0.3,
@@ -62,7 +62,7 @@
     name: str
     share: float
     work: float
-    aim: float
+    latency_target: float
     deadline: float
     effect: api.Idempotency = api.Idempotency.SAFE
 
@@ -83,9 +83,9 @@
         zone="z0", fleet_size=SIDECARS, tenants=tenants, tick_ns=5 * MS, max_attempts=6,
         classes=tuple(
             api.RequestClass(
-                each.name, int(each.aim * SECOND), int(each.deadline * SECOND), 1.0, 0.3, each.effect
+                cls.name, int(cls.latency_target * SECOND), int(cls.deadline * SECOND), 1.0, 0.3, cls.effect
             )
-            for each in CLASSES
+            for cls in CLASSES
         ),
         hedging_enabled=True, can_cancel_attempts=True, max_retry_after_ns=570 * MS, over_quota_value=0.05,
         is_value_by_work=True, connection_idle_timeout_ns=30 * SECOND, cross_zone_price=0.1,
@@ -96,7 +96,7 @@
 # --- alternative limiters --------------------------------------------------------------------------
 
 
-class Way:
+class Limiter:
     """A limiter that decides on each request and observes the end of each attempt."""
 
     def admits(self, out: int, now: float) -> bool:
@@ -107,7 +107,7 @@
         """Record that an attempt has ended."""
 
 
-class NoLimit(Way):
+class NoLimit(Limiter):
     """A limiter that admits everything."""
 
     def admits(self, out: int, now: float) -> bool:
@@ -115,7 +115,7 @@
         return True
 
 
-class FixedLimit(Way):
+class FixedLimit(Limiter):
     """A limiter with a fixed number of attempts in flight."""
 
     def __init__(self, most: float) -> None:
@@ -126,7 +126,7 @@
         return out < self.most
 
 
-class GradientLimit(Way):
+class GradientLimit(Limiter):
     """Gradient2: the limit follows the ratio of long-term to current round trip, plus a queue allowance."""
 
     def __init__(self) -> None:
@@ -162,7 +162,7 @@
         )
 
 
-class AdaptiveThrottle(Way):
+class AdaptiveThrottle(Limiter):
     """Rejects at random once backends accept less than half of the requests of the last two minutes."""
 
     K, SECONDS = 2.0, 120.0
@@ -170,27 +170,27 @@
     def __init__(self, rng: random.Random) -> None:
         self._rng, self._requests, self._accepts, self._at = rng, 0.0, 0.0, 0.0
 
-    def _fade(self, now: float) -> None:
-        kept = math.exp((self._at - now) / self.SECONDS)
-        self._requests, self._accepts, self._at = self._requests * kept, self._accepts * kept, now
+    def _decay_counts(self, now: float) -> None:
+        decay = math.exp((self._at - now) / self.SECONDS)
+        self._requests, self._accepts, self._at = self._requests * decay, self._accepts * decay, now
 
     def admits(self, out: int, now: float) -> bool:
         """Admit a request with the probability of the SRE book."""
-        self._fade(now)
+        self._decay_counts(now)
         odds = max(0.0, (self._requests - self.K * self._accepts) / (self._requests + 1.0))
         self._requests += 1.0
         return self._rng.random() >= odds
 
     def ended(self, status: api.AttemptStatus, seconds: float, out: int, now: float) -> None:
         """Count a response as accepted; a rejection or a missing response is not counted."""
-        self._fade(now)
+        self._decay_counts(now)
         self._accepts += status in (api.AttemptStatus.OK, api.AttemptStatus.ERROR)
 
 
-class Guarded(Balancer):
+class LimitedBalancer(Balancer):
     """The balancer with a limiter in place of its own limit."""
 
-    def __init__(self, told: api.Settings, seed: int, way: Way, budget: bool = True) -> None:
+    def __init__(self, told: api.Settings, seed: int, way: Limiter, budget: bool = True) -> None:
         super().__init__(told, seed)
         self._way, self._budget, self._now = way, budget, 0
 
@@ -214,13 +214,13 @@
     if way == "ours":
         return Balancer(told, seed)
     if way == "none":
-        return Guarded(told, seed, NoLimit(), budget=False)
+        return LimitedBalancer(told, seed, NoLimit(), budget=False)
     if way == "fixed":
         cores = sum(node.cores for node in NODES)
-        return Guarded(told, seed, FixedLimit(3.0 * cores / SIDECARS))
+        return LimitedBalancer(told, seed, FixedLimit(3.0 * cores / SIDECARS))
     if way == "gradient":
-        return Guarded(told, seed, GradientLimit())
-    return Guarded(told, seed, AdaptiveThrottle(random.Random(seed)))
+        return LimitedBalancer(told, seed, GradientLimit())
+    return LimitedBalancer(told, seed, AdaptiveThrottle(random.Random(seed)))
 
 
 WAYS = ("ours", "none", "fixed", "gradient", "throttle")
@@ -230,7 +230,7 @@
 
 
 @dataclass(eq=False, slots=True)
-class Asked:
+class ClientRequest:
     """A request of a client, with all its tries."""
 
     cls: int
@@ -246,12 +246,14 @@
         """Worth of the response, in seconds of work."""
         if self.answered is None:
             return 0.0
-        return CLASSES[self.cls].work * (1.0 if self.answered - self.at <= CLASSES[self.cls].aim else 0.3)
+        return CLASSES[self.cls].work * (
+            1.0 if self.answered - self.at <= CLASSES[self.cls].latency_target else 0.3
+        )
 
     @property
     def in_time(self) -> bool:
         """Whether the response arrived within its latency target."""
-        return self.answered is not None and self.answered - self.at <= CLASSES[self.cls].aim
+        return self.answered is not None and self.answered - self.at <= CLASSES[self.cls].latency_target
 
 
 @dataclass(eq=False, slots=True)
@@ -285,8 +287,8 @@
     way: str
     seed: int
     told: api.Settings = field(default_factory=settings)
-    marks: bool = False
-    asked: list[Asked] = field(default_factory=list)
+    marks_retries: bool = False
+    asked: list[ClientRequest] = field(default_factory=list)
     attempts: int = 0  # number of attempts that nodes processed or failed
 
     def run(self, demand: Demand) -> World:
@@ -298,14 +300,14 @@
                          for n, node in enumerate(NODES)]  # fmt: skip
         self.timers = [math.inf] * len(NODES)
         self.balancers = [build(self.way, self.told, self.seed * 100 + n) for n in range(SIDECARS)]
-        self.open: dict[str, tuple[Asked, int, list[Attempt]]] = {}
+        self.open: dict[str, tuple[ClientRequest, int, list[Attempt]]] = {}
         entries = [
             api.HostEntry(f"h{n}", f"z{n % 3}", f"k{node.cores}", 0, api.HostState.READY)
             for n, node in enumerate(NODES)
         ]
         for number, balancer in enumerate(self.balancers):
-            self._act(number, balancer.start(0))
-            self._give(number, api.HostListUpdated(api.ListKind.SAVED, entries))
+            self._run_actions(number, balancer.start(0))
+            self._deliver(number, api.HostListUpdated(api.ListKind.SAVED, entries))
         self.prepared()
         self._arrive()
         end = demand.seconds + 2.0
@@ -334,59 +336,59 @@
             if rng.random() * demand.peak <= demand.rate(at):
                 break
 
-        def come() -> None:
+        def arrive() -> None:
             cls = rng.choices(range(len(CLASSES)), [each.share for each in CLASSES])[0]
             parts = demand.tenants(self.now)
             tenant = rng.choices(list(parts), list(parts.values()))[0]
             work = CLASSES[cls].work * rng.lognormvariate(-0.32, 0.8)
-            asked = Asked(cls, tenant, self.now, work, rng.randrange(SIDECARS))
+            asked = ClientRequest(cls, tenant, self.now, work, rng.randrange(SIDECARS))
             self.asked.append(asked)
             self._try(asked)
             self._arrive()
 
-        self._at(at, come)
+        self._at(at, arrive)
 
-    def _try(self, asked: Asked) -> None:
+    def _try(self, asked: ClientRequest) -> None:
         cls = CLASSES[asked.cls]
-        left = asked.at + cls.deadline - self.now
+        remaining = asked.at + cls.deadline - self.now
         asked.tries += 1
         self._count += 1
         name = f"q{self._count}"
         self.open[name] = asked, 0, []
-        self._give(
+        self._deliver(
             asked.sidecar,
-            api.RequestArrived(name, cls.name, asked.tenant, int(left * SECOND), None,
-                               self.marks and asked.tries > 1),
+            api.RequestArrived(name, cls.name, asked.tenant, int(remaining * SECOND), None,
+                               self.marks_retries and asked.tries > 1),
         )  # fmt: skip
 
-    def _answered(self, name: str, refused: bool, wait: float) -> None:
+    def _retry_later(self, name: str, rejected: bool, retry_after_s: float) -> None:
         """Handle a rejection or a failure, after which the client may retry."""
         asked = self.open[name][0]
         cls = CLASSES[asked.cls]
-        if asked.tries >= TRIES or (cls.effect is api.Idempotency.UNSAFE and not refused):
+        if asked.tries >= TRIES or (cls.effect is api.Idempotency.UNSAFE and not rejected):
             return
         pause = self.rng.uniform(*BACKOFF)
-        if wait and self.rng.random() < HONOUR:
-            pause = max(pause, wait)
+        if retry_after_s and self.rng.random() < HONOUR:
+            pause = max(pause, retry_after_s)
         if self.now + pause < asked.at + cls.deadline - 0.02:
             self._at(self.now + pause, lambda: self._try(asked))
 
     # --- sidecars ---
 
-    def _give(self, number: int, event: api.Event) -> None:
-        self._act(number, self.balancers[number].handle(event, int(self.now * SECOND)))
+    def _deliver(self, number: int, event: api.Event) -> None:
+        self._run_actions(number, self.balancers[number].handle(event, int(self.now * SECOND)))
 
-    def _act(self, number: int, actions: list[api.Action]) -> None:
+    def _run_actions(self, number: int, actions: list[api.Action]) -> None:
         for action in list(actions):
             if isinstance(action, api.SetTimer):
                 when = max(action.at_ns / SECOND, self.now)
-                self._at(when, partial(self._give, number, api.TimerFired(action.token)))
+                self._at(when, partial(self._deliver, number, api.TimerFired(action.token)))
             elif isinstance(action, api.StartAttempt):
                 self._send(number, action)
             elif isinstance(action, api.RejectRequest):
-                self._answered(action.request, True, action.retry_after_ns / SECOND)
+                self._retry_later(action.request, True, action.retry_after_ns / SECOND)
             elif isinstance(action, api.FailRequest):
-                self._answered(action.request, False, 0.0)
+                self._retry_later(action.request, False, 0.0)
             elif isinstance(action, api.CancelAttempt):
                 attempt = self.open[action.request][2][action.attempt]
                 self._end(number, attempt, api.AttemptStatus.CANCELLED)
@@ -398,7 +400,7 @@
         due = asked.at + CLASSES[asked.cls].deadline
         if action.timeout_ns:
             due = min(due, self.now + action.timeout_ns / SECOND)
-        self._at(self.now + LATENCY, lambda: self._reach(number, attempt, asked))
+        self._at(self.now + LATENCY, lambda: self._receive(number, attempt, asked))
         self._at(due, lambda: self._end(number, attempt, api.AttemptStatus.TIMEOUT))
 
     def _end(self, number: int, attempt: Attempt, status: api.AttemptStatus,
@@ -416,12 +418,12 @@
             asked.answered = self.now
         closed = served or self.now >= asked.at + CLASSES[asked.cls].deadline + 0.01
         latency = int((self.now - attempt.sent) * SECOND)
-        self._give(number, api.AttemptEnded(attempt.request, attempt.number, f"h{attempt.node}", status,
+        self._deliver(number, api.AttemptEnded(attempt.request, attempt.number, f"h{attempt.node}", status,
                                             latency, closed, report))  # fmt: skip
 
     # --- nodes ---
 
-    def _reach(self, number: int, attempt: Attempt, asked: Asked) -> None:
+    def _receive(self, number: int, attempt: Attempt, asked: ClientRequest) -> None:
         node, machine = attempt.node, self.machines[attempt.node]
         if attempt.over:
             return
@@ -451,13 +453,13 @@
             return
         self.timers[node] = at
 
-        def turn() -> None:
+        def advance() -> None:
             if self.timers[node] == at:
                 self.timers[node] = math.inf
             self.machines[node].advance(self.now)
             self._wake(node)
 
-        self._at(max(at, self.now), turn)
+        self._at(max(at, self.now), advance)
 
 
 # --- experiments -----------------------------------------------------------------------------------
@@ -465,7 +467,7 @@
 
 def steady(way: str, load: float, seed: int, calm: bool = True) -> float:
     """Return served worth at a load, relative to capacity; starts calm, or with full load if not `calm`."""
-    rate, before = load * RATE, (min(load, CALM) if calm else load) * RATE
+    rate, before = load * RATE, (min(load, CALM_LOAD) if calm else load) * RATE
     demand = Demand(WARM_UP + MEASURED, lambda at: rate if at >= CALM_SECONDS else before, max(rate, before))
     world = World(way, seed).run(demand)
     worth = sum(asked.worth for asked in world.asked if asked.at >= WARM_UP)
@@ -478,29 +480,29 @@
     A window has recovered if the fraction answered within its latency target is at least `WHOLE` times that
     before the pulse.
     """
-    usual, until = PULSE_LOAD * RATE, PULSE_AT + PULSE_SECONDS
+    base_rate, until = PULSE_LOAD * RATE, PULSE_AT + PULSE_SECONDS
 
     def rate(at: float) -> float:
-        return usual * (PULSE_TIMES if PULSE_AT <= at < until else 1.0)
+        return base_rate * (PULSE_TIMES if PULSE_AT <= at < until else 1.0)
 
-    world = World(way, seed).run(Demand(until + 8.0, rate, usual * PULSE_TIMES))
+    world = World(way, seed).run(Demand(until + 8.0, rate, base_rate * PULSE_TIMES))
     before = [asked.in_time for asked in world.asked if 1.0 <= asked.at < PULSE_AT]
-    least = WHOLE * sum(before) / len(before)
+    required_share = RECOVERED_FRACTION * sum(before) / len(before)
     step, after = WINDOW / 4, [asked for asked in world.asked if asked.at >= until]
-    over = 0.0
+    recovered_after = 0.0
     for number in range(round((8.0 - WINDOW) / step)):
         begin = until + number * step
-        seen = [asked.in_time for asked in after if begin <= asked.at < begin + WINDOW]
-        if sum(seen) < least * len(seen):
-            over = (number + 1) * step
+        on_time = [asked.in_time for asked in after if begin <= asked.at < begin + WINDOW]
+        if sum(on_time) < required_share * len(on_time):
+            recovered_after = (number + 1) * step
     worth = sum(asked.worth for asked in world.asked if PULSE_AT <= asked.at < until)
-    return over, worth / (CAPACITY * PULSE_SECONDS)
+    return recovered_after, worth / (CAPACITY * PULSE_SECONDS)
 
 
-def failing(way: str, seed: int, marks: bool) -> tuple[float, float]:
-    """Return the work at nodes per work first requested, and the served fraction, with a third failing."""
+def failing(way: str, seed: int, marks_retries: bool) -> tuple[float, float]:
+    """Return the attempts at nodes per request and the served fraction, if a third of the nodes fail."""
     rate = 0.4 * RATE
-    world = World(way, seed, marks=marks)
+    world = World(way, seed, marks_retries=marks_retries)
     world.run(Demand(10.0, lambda _at: rate, rate, fails=frozenset({1, 4})))
     served = sum(asked.answered is not None for asked in world.asked)
     return world.attempts / len(world.asked), served / len(world.asked)
@@ -515,9 +517,9 @@
         times = GREEDY_TIMES if at >= CALM_SECONDS else 0.5
         return {"modest": 0.9 * shares["modest"] * RATE, "greedy": times * shares["greedy"] * RATE}
 
-    most = sum(rates(CALM_SECONDS).values())
+    peak = sum(rates(CALM_SECONDS).values())
     world = World(way, seed, told)
-    world.run(Demand(CALM_SECONDS + 6.0, lambda at: sum(rates(at).values()), most, rates))
+    world.run(Demand(CALM_SECONDS + 6.0, lambda at: sum(rates(at).values()), peak, rates))
     modest, many = (
         [asked.answered is not None for asked in world.asked
          if asked.tenant == name and asked.at >= CALM_SECONDS]
@@ -553,7 +555,7 @@
         for seed in seeds if way == WAYS[0] else seeds[:others]:
             jobs += [("steady", way, load, seed) for load in loads]
             jobs += [("from nothing", way, 10.0, seed), ("pulse", way, 0.0, seed), ("greedy", way, 0.0, seed)]
-            jobs += [("failing", way, marks, seed) for marks in (0.0, 1.0)]
+            jobs += [("failing", way, marks_retries, seed) for marks_retries in (0.0, 1.0)]
     return sorted(jobs, key=lambda job: (-job[2], job[0]))
 
 
@@ -569,12 +571,12 @@
     with ProcessPoolExecutor(given.jobs) as pool:
         results = dict(zip(jobs, pool.map(play, jobs), strict=True))
 
-    def mean(what: str, way: str, load: float, part: int = 0) -> float:
-        found = [results[key][part] for seed in seeds if (key := (what, way, load, seed)) in results]
+    def mean(what: str, way: str, load: float, column: int = 0) -> float:
+        found = [results[key][column] for seed in seeds if (key := (what, way, load, seed)) in results]
         return sum(found) / len(found)
 
-    def worst(what: str, way: str, load: float, part: int = 0) -> float:
-        found = [results[key][part] for seed in seeds if (key := (what, way, load, seed)) in results]
+    def worst(what: str, way: str, load: float, column: int = 0) -> float:
+        found = [results[key][column] for seed in seeds if (key := (what, way, load, seed)) in results]
         return max(found)
 
     print(f"{RATE:.0f} requests a second at full use, {SIDECARS} sidecars, {len(NODES)} nodes, seeds {seeds}")
@@ -598,13 +600,15 @@
     misses = [
         f"served worth at {load:g} times is {mean('steady', 'ours', load) / best:.2f} of its best"
         for load in (2.0, 5.0, 10.0)
-        if mean("steady", "ours", load) < BEST_KEPT * best
+        if mean("steady", "ours", load) < MIN_OF_BEST * best
     ]
-    if (over := worst("pulse", "ours", 0.0)) > PULSE_OVER:
+    if (over := worst("pulse", "ours", 0.0)) > MAX_RECOVERY_S:
         misses.append(f"whole {over:.2f} s after the pulse")
-    if (work := max(worst("failing", "ours", marks) for marks in (0.0, 1.0))) > WORK_MOST:
+    if (
+        work := max(worst("failing", "ours", marks_retries) for marks_retries in (0.0, 1.0))
+    ) > MAX_ATTEMPTS_PER_REQUEST:
         misses.append(f"{work:.2f} times the work that was first asked for")
-    if (modest := mean("greedy", "ours", 0.0)) < MODEST_LEAST:
+    if (modest := mean("greedy", "ours", 0.0)) < MIN_MODEST_SERVED:
         misses.append(f"{modest:.2f} of a marketplace within its share is served")
     for miss in misses:
         print(f"missed: {miss}")
--- a/benchmarks/request_cost.py
+++ b/benchmarks/request_cost.py
@@ -250,7 +250,7 @@
     words.add_argument("--cores", default="", help="one for the subject, the others for the rest: 3,4")
     given = words.parse_args()
     cores = [int(core) for core in given.cores.split(",") if core] or sorted(os.sched_getaffinity(0))[:2]
-    subject_cores, rest = {cores[0]}, set(cores[1:]) or {cores[0]}
+    subject_cores, other_cores = {cores[0]}, set(cores[1:]) or {cores[0]}
     deployed = ("--operator", "deploy/operator.yaml")
     subjects = [
         Subject("deployed", ROOT, deployed),
@@ -261,13 +261,13 @@
         other = given.against.resolve()
         subjects[1:1] = [Subject("deployed-other", other, deployed)]
         subjects[3:3] = [Subject("bare-other", other, ())]
-    os.sched_setaffinity(0, rest)
+    os.sched_setaffinity(0, other_cores)
     costs: dict[str, list[float]] = {subject.name: [] for subject in subjects}
     with tempfile.TemporaryDirectory() as folder:
         for number in range(given.rounds):
             for subject in subjects if number % 2 == 0 else reversed(subjects):
                 with ExitStack() as stack:
-                    server = Answerer(rest)
+                    server = Answerer(other_cores)
                     stack.callback(server.close)
                     running = Running(subject, server.port, subject_cores, folder)
                     stack.callback(running.close)
--- a/benchmarks/ring.py
+++ b/benchmarks/ring.py
@@ -48,8 +48,8 @@
         for zone in ticks:
             loads = {node.id: figures[f"load.node.{node.id}"] for node in nodes if node.zone == zone}
             for name, load in loads.items():
-                part = used[zone][name] / ticks[zone]
-                print(f"{seed:<6}{zone:<12}{name:<12}{part:>28.0%}{load / sum(loads.values()):>20.1%}")
+                fraction = used[zone][name] / ticks[zone]
+                print(f"{seed:<6}{zone:<12}{name:<12}{fraction:>28.0%}{load / sum(loads.values()):>20.1%}")
 
 
 if __name__ == "__main__":
--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -48,21 +48,21 @@
     used = dict.fromkeys(ring.names, 0.0)
     for number in range(instances):
         subset = way(ring, number, size, instances)
-        whole = sum(part for _, part in subset)
-        for name, part in subset:
-            used[name] += part / whole
+        total = sum(fraction for _, fraction in subset)
+        for name, fraction in subset:
+            used[name] += fraction / total
     mean = instances / len(used)
     return min(used.values()) / mean, max(used.values()) / mean
 
 
 def moved(way: Way, ring: Ring, instances: int, size: int) -> tuple[float, float]:
     """Return mean numbers of hosts that an instance adds when a host leaves, and when an instance joins."""
-    less = Ring([name for name in ring.names if name != ring.names[len(ring.names) // 2]])
+    smaller = Ring([name for name in ring.names if name != ring.names[len(ring.names) // 2]])
     numbers = range(0, instances, max(instances // SAMPLE, 1))
     gone = joined = 0
     for number in numbers:
         before = {name for name, _ in way(ring, number, size, instances)}
-        gone += len({name for name, _ in way(less, number, size, instances)} - before)
+        gone += len({name for name, _ in way(smaller, number, size, instances)} - before)
         joined += len({name for name, _ in way(ring, number, size, instances + 1)} - before)
     return gone / len(numbers), joined / len(numbers)
 
--- a/benchmarks/system_cost.py
+++ b/benchmarks/system_cost.py
@@ -249,7 +249,7 @@
 
 def measure(quick: bool) -> None:
     """Print the table."""
-    rest_s, count, changes = (4.0, 400, 20) if quick else (20.0, 2000, 60)
+    idle_s, count, changes = (4.0, 400, 20) if quick else (20.0, 2000, 60)
     with tempfile.TemporaryDirectory() as folder:
         deployment = Deployment(Path(folder))
         try:
@@ -258,8 +258,8 @@
 
             def resting(prefix: str) -> float:
                 begun = deployment.cpu_s(prefix)
-                time.sleep(rest_s)
-                return (deployment.cpu_s(prefix) - begun) / rest_s
+                time.sleep(idle_s)
+                return (deployment.cpu_s(prefix) - begun) / idle_s
 
             one = resting("core")
             spent = []
--- a/benchmarks/world.py
+++ b/benchmarks/world.py
@@ -102,15 +102,15 @@
     profile.disable()
     spent: defaultdict[str, float] = defaultdict(float)
 
-    def part(file: str) -> str:
+    def owner(file: str) -> str:
         return next((name for path, name in PARTS.items() if path in file), "libraries")
 
     for (file, _, _), (_, _, own, _, callers) in pstats.Stats(profile).stats.items():  # type: ignore[attr-defined]
         if file.startswith(("~", "<")) and callers:
             for (caller, _, _), (_, _, by, _) in callers.items():
-                spent[part(caller)] += by
+                spent[owner(caller)] += by
         else:
-            spent[part(file)] += own
+            spent[owner(file)] += own
     total = sum(spent.values())
     return {name: seconds / total for name, seconds in sorted(spent.items(), key=lambda each: -each[1])}
 
@@ -137,7 +137,7 @@
           f"{events / len(runs):,.0f} events each, {virtual / len(runs):.1f} virtual s each, "
           f"{virtual / seconds:.0f} virtual s/s")  # fmt: skip
     parts = shares(range(first, min(last, first + given.profiled)))
-    print("shares: " + ", ".join(f"{name} {share:.0%}" for name, share in parts.items()))
+    print("shares: " + ", ".join(f"{name} {fraction:.0%}" for name, fraction in parts.items()))
 
 
 if __name__ == "__main__":
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -47,7 +47,7 @@
 from brambleusher.loadbalancing.hosts import Host, Request
 
 ZONE = "macon"
-WHOLE = 0.95
+RECOVERED_FRACTION = 0.95
 SECOND = 10**9
 
 # --- alternative balancers -------------------------------------------------------------------------
@@ -103,19 +103,19 @@
         levels: list[list[Host]] = [[], []]
         for host in self.round_robin.ring:
             levels[not host.is_local].append(host)
-        well = [[host for host in level if not self._is_out(host.name)] for level in levels]
+        healthy = [[host for host in level if not self._is_out(host.name)] for level in levels]
         health = [
-            min(1.0, self.OVERPROVISIONING * len(good) / len(level)) if level else 0.0
-            for level, good in zip(levels, well, strict=True)
+            min(1.0, self.OVERPROVISIONING * len(healthy_hosts) / len(level)) if level else 0.0
+            for level, healthy_hosts in zip(levels, healthy, strict=True)
         ]
         total = sum(health)
         if 0 < total < 1:
             health = [each / total for each in health]
         loads = [health[0], min(health[1], 1 - health[0])]
         self._offered = {}
-        for level, good, load in zip(levels, well, loads, strict=True):
-            panics = bool(level) and total < 1 and len(good) < self.PANIC * len(level)
-            used = level if panics or not total else good
+        for level, healthy_hosts, load in zip(levels, healthy, loads, strict=True):
+            panics = bool(level) and total < 1 and len(healthy_hosts) < self.PANIC * len(level)
+            used = level if panics or not total else healthy_hosts
             spare = sum(self._spare(host) for host in used)
             for host in used:
                 self._offered[host.name] = load / max(spare, 1e-9)
@@ -199,7 +199,7 @@
 
 
 def worst(
-    runs: Sequence[Books], begin: int, end: int, rest: Sequence[Books] = (), window: int = 2
+    runs: Sequence[Books], begin: int, end: int, reference: Sequence[Books] = (), window: int = 2
 ) -> tuple[float, int, str]:
     """Return the least served fraction by class and window over all seeds, relative to `rest` if given.
 
@@ -210,8 +210,8 @@
         for name in runs[0].asked:
             served = sum(sum(books.served[name][at : at + window]) for books in runs)
             of = (
-                sum(sum(books.served[name][at : at + window]) for books in rest)
-                if rest
+                sum(sum(books.served[name][at : at + window]) for books in reference)
+                if reference
                 else sum(sum(books.asked[name][at : at + window]) for books in runs)
             )
             if of >= 20:
@@ -232,12 +232,12 @@
     return mean(abs(one - two) for one, two in pairwise(shares)) / period
 
 
-def back_after(runs: Sequence[Books], since: int, usual: tuple[int, int], part: float = 0.8) -> float:
+def back_after(runs: Sequence[Books], since: int, usual: tuple[int, int], fraction: float = 0.8) -> float:
     """Return the seconds until three in a row with at least `part` of the usual requests of a zone."""
-    had = mean(books.share(ZONE, *usual) for books in runs)
+    usual_share = mean(books.share(ZONE, *usual) for books in runs)
     end = len(runs[0].went) - 1
     for at in range(since, end - 2):
-        if mean(books.share(ZONE, at, at + 3) for books in runs) >= part * had:
+        if mean(books.share(ZONE, at, at + 3) for books in runs) >= fraction * usual_share:
             return float(at - since)
     return float(end - since)
 
@@ -286,7 +286,7 @@
     runs = run_all(
         [Job(day, way, seed, (ZONE, float(back))) for way in ways for seed in plan.seeds], plan.jobs
     )
-    rest = runs["dark", "rest"]
+    reference = runs["dark", "rest"]
     rows: list[list[object]] = []
     found: dict[str, Any] = {}
     # A quick run has a single seed, so it uses longer windows to reduce the noise.
@@ -294,8 +294,8 @@
     for way in ways:
         books = runs["dark", way]
         during, after = (
-            worst(books, LOST_AT + FIRST_S, back, rest, window),
-            worst(books, back, end, rest, window),
+            worst(books, LOST_AT + FIRST_S, back, reference, window),
+            worst(books, back, end, reference, window),
         )
         over = max(each.over_slots(LOST_AT, back, (ZONE,)) for each in books)
         sent = max((value for each in books for value in each.pushed.values()), default=0.0)
@@ -321,9 +321,9 @@
     )  # fmt: skip
     during, after, over, sent, books = found["rules"]
     misses = []
-    if during[0] < WHOLE:
+    if during[0] < RECOVERED_FRACTION:
         misses.append(f"dark: {during[2]} at {during[0]:.1%} of what the rest carry, {during[1]} s")
-    if after[0] < WHOLE:
+    if after[0] < RECOVERED_FRACTION:
         misses.append(f"return: {after[2]} at {after[0]:.1%} of what the rest carry, {after[1]} s")
     if over > 1.0:
         misses.append(f"dark: a node of another zone was over its slots for {over:.2f} s")
@@ -350,28 +350,31 @@
             jobs.append(Job(days[period], "rules", seed))
             short = replace(days[period], length_s=10 + length + 2)
             jobs.append(Job(short, "undamped", seed))
-    quiet = Day("quiet", 10 + min(length, 40), ())
-    jobs += [Job(quiet, "rules", seed) for seed in plan.seeds]
+    quiet_day = Day("quiet", 10 + min(length, 40), ())
+    jobs += [Job(quiet_day, "rules", seed) for seed in plan.seeds]
     runs = run_all(jobs, plan.jobs)
     rows: list[list[object]] = []
     misses = []
     for period, day in days.items():
-        damped, free = (runs[day.name, way] for way in ("rules", "undamped"))
-        a, b = (moving(each, 10, 10 + length, int(period)) for each in (damped, free))
-        chance = moving(runs["quiet", "rules"], 10, int(quiet.length_s), int(period))
-        down = 1 - max(a - chance, 0.0) / max(b - chance, 1e-9)
-        hold = back_after(damped, 10 + length, (2, 10), 0.5)
+        damped, undamped = (runs[day.name, way] for way in ("rules", "undamped"))
+        damped_rate, undamped_rate = (
+            moving(each, 10, 10 + length, int(period)) for each in (damped, undamped)
+        )
+        chance = moving(runs["quiet", "rules"], 10, int(quiet_day.length_s), int(period))
+        reduction = 1 - max(damped_rate - chance, 0.0) / max(undamped_rate - chance, 1e-9)
+        recovery_s = back_after(damped, 10 + length, (2, 10), 0.5)
         rows.append(
             [
-                f"{period:g} s", f"{chance:.4f}", f"{b:.4f}", f"{a:.4f}", f"{down:.0%}",
-                mean(each.service(10, 10 + length) for each in free),
-                mean(each.service(10, 10 + length) for each in damped), hold if not plan.quick else "-",
+                f"{period:g} s", f"{chance:.4f}", f"{undamped_rate:.4f}", f"{damped_rate:.4f}",
+                f"{reduction:.0%}",
+                mean(each.service(10, 10 + length) for each in undamped),
+                mean(each.service(10, 10 + length) for each in damped), recovery_s if not plan.quick else "-",
             ]
         )  # fmt: skip
-        if down < 0.8:
-            misses.append(f"flaps of {period:g} s: traffic that changes zone is down by {down:.0%}")
-        if not plan.quick and hold > 60 + 15:
-            misses.append(f"flaps of {period:g} s: trusted again after {hold:.0f} s")
+        if reduction < 0.8:
+            misses.append(f"flaps of {period:g} s: traffic that changes zone is down by {reduction:.0%}")
+        if not plan.quick and recovery_s > 60 + 15:
+            misses.append(f"flaps of {period:g} s: trusted again after {recovery_s:.0f} s")
     table(
         f"A zone that flaps for {length} s: the part of requests that changes zone a second, "
         f"{len(plan.seeds)} seeds ('quiet': without flaps, by chance; 'down' has that taken off both)",
