--- a/.ci/build_system.py
+++ b/.ci/build_system.py
@@ -1,4 +1,4 @@
-"""Run `build` of deploy/system.toml the way a clean machine does: by a shell, with an empty home folder."""
+"""Run `build` of deploy/system.toml in a shell with an empty home directory, as on a clean machine."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 ROOT = Path(__file__).resolve().parent.parent
 TIMEOUT_S = 300
 
-deploy = tomllib.loads((ROOT / "deploy" / "system.toml").read_text(encoding="utf-8"))
+deploy_settings = tomllib.loads((ROOT / "deploy" / "system.toml").read_text(encoding="utf-8"))
 with tempfile.TemporaryDirectory() as home:
     environment = {**os.environ, "HOME": home}
-    done = subprocess.run(
-        ["/bin/sh", "-c", deploy["build"]], cwd=ROOT, env=environment, timeout=TIMEOUT_S, check=False
+    completed = subprocess.run(
+        ["/bin/sh", "-c", deploy_settings["build"]], cwd=ROOT, env=environment, timeout=TIMEOUT_S, check=False
     )
-if done.returncode:
-    sys.exit(f"deploy/system.toml: build ended with {done.returncode}")
+if completed.returncode:
+    sys.exit(f"deploy/system.toml: build ended with {completed.returncode}")
 print("the system is built")
--- a/.ci/pins.py
+++ b/.ci/pins.py
@@ -1,4 +1,4 @@
-"""Print every requirement of every extra in pyproject.toml, one a line."""
+"""Print each requirement of all extras in pyproject.toml on a line of its own."""
 
 import tomllib
 from pathlib import Path
@@ -8,6 +8,11 @@
 )
 extras = project["project"]["optional-dependencies"]
 for name in sorted(
-    {each for named in extras.values() for each in named if not each.startswith("brambleusher")}
+    {
+        requirement
+        for requirements in extras.values()
+        for requirement in requirements
+        if not requirement.startswith("brambleusher")
+    }
 ):
     print(name)
--- a/.ci/start.py
+++ b/.ci/start.py
@@ -1,4 +1,4 @@
-"""Start `run` and `sim` of deploy/balancer.toml once each, the way the platform does."""
+"""Start `run` and `sim` of deploy/balancer.toml once each, as the platform does."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-WAIT = 60.0
+TIMEOUT_S = 60.0
 sys.path.insert(0, str(ROOT))
 
 
 def start_run(command: str) -> None:
-    """The sidecar listens, says that it is ready, and ends on SIGTERM."""
+    """Check that the sidecar listens, reports readiness, and exits with 0 on SIGTERM."""
     from tests.rig import SETTINGS
 
     entry = {"id": "h0", "addr": "127.0.0.1:9", "zone": "z", "kind": "k", "state": "Ready"}
@@ -37,31 +37,31 @@
         )  # fmt: skip
         try:
             assert program.stderr is not None
-            found = re.search(r"msg=listening .*address=(\S+)", program.stderr.readline())
-            assert found, "run did not listen"
-            until = time.monotonic() + WAIT
+            listening = re.search(r"msg=listening .*address=(\S+)", program.stderr.readline())
+            assert listening, "run did not listen"
+            give_up_at = time.monotonic() + TIMEOUT_S
             while True:
                 try:
-                    urllib.request.urlopen(f"http://{found[1]}/ready", timeout=WAIT).close()
+                    urllib.request.urlopen(f"http://{listening[1]}/ready", timeout=TIMEOUT_S).close()
                     break
                 except OSError:
-                    if time.monotonic() > until:
+                    if time.monotonic() > give_up_at:
                         raise
                     time.sleep(0.05)
             program.send_signal(signal.SIGTERM)
-            program.communicate(timeout=WAIT)
+            program.communicate(timeout=TIMEOUT_S)
             assert program.returncode == 0, f"run ended with {program.returncode}"
         finally:
             program.kill()
 
 
 def start_sim(command: str) -> None:
-    """The adapter answers an empty batch and ends with its input."""
-    done = subprocess.run(
+    """Check that the adapter answers an empty batch and exits at the end of its input."""
+    completed = subprocess.run(
         ["/bin/sh", "-c", command], cwd=ROOT, input="batch\tclock_ns=1\nend\n",
-        capture_output=True, text=True, timeout=WAIT, check=True,
+        capture_output=True, text=True, timeout=TIMEOUT_S, check=True,
     )  # fmt: skip
-    assert done.stdout == "ready\n", done.stdout
+    assert completed.stdout == "ready\n", completed.stdout
 
 
 deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))
--- a/.ci/system_packages.py
+++ b/.ci/system_packages.py
@@ -2,10 +2,10 @@
 
     python .ci/system_packages.py [FILE ...]
 
-Needed are the programs that `build`, `run` and `sim` name, the modules that they have the system's
-interpreter run, certificates where something is fetched, and every shared library that an installed extension
-module loads.  The build has to have run.  A package that every Debian system has (essential, or what an
-essential one depends on) need not be listed.
+The required packages provide the programs that `build`, `run` and `sim` name, the modules that these run with
+the interpreter of the system, certificates for downloads, and every shared library that an installed
+extension module loads.  The build must have run before.  Packages that every Debian system has (essential
+packages and their dependencies) need not be listed.
 """
 
 from __future__ import annotations
@@ -23,52 +23,52 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 DEPLOY_FILES = ("deploy/system.toml", "deploy/balancer.toml")
-# Machines of the system also run the checks and the sidecar, which are built in a virtual environment.
+# Machines of the system also run the checks and the sidecar, which a virtual environment contains.
 ALSO_BUILT_BY = {"deploy/system.toml": ("deploy/balancer.toml",)}
 LINE_KEYS = ("build", "run", "sim")
-PACKAGE_NAME = re.compile(r"[a-z0-9][a-z0-9+.-]+")  # Debian policy, 5.6.1
+PACKAGE_NAME = re.compile(r"[a-z0-9][a-z0-9+.-]+")  # package names by Debian policy, section 5.6.1
 
-# Their programs and modules are split over packages; these are the ones that bring all of them.
+# Packages that provide programs and modules whose files are spread over several packages.
 PROGRAM_PACKAGES = {"python3": "python3"}
 MODULE_PACKAGES = {"pip": "python3-pip", "venv": "python3-venv"}
 FETCHING_MODULES = frozenset({"pip"})
 CERTIFICATES = "ca-certificates"
 
-SHELL_WORDS = frozenset({"{", "}", "(", ")", "exec", "!"})  # a program may follow
+SHELL_WORDS = frozenset({"{", "}", "(", ")", "exec", "!"})  # words that a program may follow
 SHELL_SEPARATORS = frozenset({"&&", "||", ";", "|", "&"})
 
 
 class PackageError(Exception):
-    """What is wrong, in one line that names file, key and value."""
+    """A deploy file or an installation is wrong; the message names file, key and value in one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Need:
-    """A package, and what needs it."""
+    """A required package, with the reason."""
 
     package: str
     reason: str
 
 
 class PackageDatabase(Protocol):
-    """Which package has what, on this machine."""
+    """Package database of this machine."""
 
     def owner(self, path: str) -> str | None:
         """Return the package that a file belongs to."""
 
     def essential(self) -> frozenset[str]:
-        """Return the packages that every system has."""
+        """Return the packages that every Debian system has."""
 
 
 class Dpkg:
-    """The packages of this Debian machine."""
+    """Package database of a Debian machine."""
 
     def owner(self, path: str) -> str | None:
         """Return the package that a file belongs to; files of /usr/lib may be registered under /lib."""
         moved = path.removeprefix("/usr") if path.startswith("/usr/") else f"/usr{path}"
         for candidate in (path, moved):
-            done = subprocess.run(["dpkg", "-S", candidate], capture_output=True, text=True, check=False)
-            for line in done.stdout.splitlines():
+            completed = subprocess.run(["dpkg", "-S", candidate], capture_output=True, text=True, check=False)
+            for line in completed.stdout.splitlines():
                 if not line.startswith("diversion by"):
                     return line.partition(":")[0]
         return None
@@ -76,17 +76,19 @@
     def essential(self) -> frozenset[str]:
         """Return the essential packages and all that they depend on."""
         form = "${Package}\t${Essential}\t${Pre-Depends}, ${Depends}\n"
-        done = subprocess.run(["dpkg-query", "-W", "-f", form], capture_output=True, text=True, check=True)
-        rows = [line.split("\t") for line in done.stdout.splitlines()]
+        completed = subprocess.run(
+            ["dpkg-query", "-W", "-f", form], capture_output=True, text=True, check=True
+        )
+        rows = [line.split("\t") for line in completed.stdout.splitlines()]
         depends = {
             name: set(re.findall(r"(?:^|[,|]\s*)([a-z0-9][a-z0-9+.-]+)", rest)) for name, _, rest in rows
         }
         found = {name for name, is_essential, _ in rows if is_essential == "yes"}
         pending = list(found)
         while pending:
-            fresh = depends.get(pending.pop(), set()) - found
-            found |= fresh
-            pending += fresh
+            new_packages = depends.get(pending.pop(), set()) - found
+            found |= new_packages
+            pending += new_packages
         return frozenset(found)
 
 
@@ -111,7 +113,7 @@
 
 
 def needs_of_line(line: str, database: PackageDatabase) -> Iterator[Need]:
-    """Yield what the commands of a line need; programs of the checkout need nothing by themselves."""
+    """Yield the packages that the commands of a line need; programs of the checkout need none."""
     for command in commands(line):
         program = command[0]
         module = command[command.index("-m") + 1] if "-m" in command else ""
@@ -136,16 +138,16 @@
 
 def loaded_libraries(extension: Path) -> Iterator[str]:
     """Yield the shared libraries of the system that an extension module loads."""
-    done = subprocess.run(["ldd", str(extension)], capture_output=True, text=True, check=False)
-    for name, path in re.findall(r"^\s*(\S+) => (\S+)", done.stdout, re.MULTILINE):
-        if path == "not":  # "not found"
+    completed = subprocess.run(["ldd", str(extension)], capture_output=True, text=True, check=False)
+    for name, path in re.findall(r"^\s*(\S+) => (\S+)", completed.stdout, re.MULTILINE):
+        if path == "not":  # ldd prints "=> not found"
             raise PackageError(f"{extension}: {name} is on this machine in no package")
         if not Path(path).resolve().is_relative_to(ROOT):
             yield path
 
 
 def needs_of_libraries(extensions: Iterable[Path], database: PackageDatabase) -> Iterator[Need]:
-    """Yield what extension modules load."""
+    """Yield the packages of the libraries that extension modules load."""
     seen: set[str] = set()
     for extension in extensions:
         for library in loaded_libraries(extension):
@@ -159,7 +161,7 @@
 
 
 def installed_extensions(line: str) -> Iterator[Path]:
-    """Yield the extension modules of all that the `pip install` of a build line has installed."""
+    """Yield the extension modules of all distributions that `pip install` in a build line installs."""
     for command in commands(line):
         if "install" not in command:
             continue
@@ -177,9 +179,9 @@
 
 
 def normalized(requirement: str) -> str:
-    """Return the name in a requirement, as distributions are compared."""
-    name = re.match(r"[A-Za-z0-9._-]+", requirement.strip())
-    return re.sub(r"[-_.]+", "-", name[0]).lower() if name else ""
+    """Return the normalized distribution name of a requirement."""
+    match = re.match(r"[A-Za-z0-9._-]+", requirement.strip())
+    return re.sub(r"[-_.]+", "-", match[0]).lower() if match else ""
 
 
 def _site_packages() -> Path:
@@ -188,7 +190,7 @@
 
 
 def listed_packages(name: str, deploy: dict[str, Any]) -> list[str]:
-    """Return the packages that a deploy file lists; raises `PackageError` where they make no sense."""
+    """Return the packages that a deploy file lists; raises `PackageError` if the list is invalid."""
     packages = deploy.get("packages")
     if not isinstance(packages, list):
         raise PackageError(f"{name}: packages: it is no list")
@@ -199,7 +201,7 @@
 
 
 def faults(name: str, listed: Sequence[str], needs: Iterable[Need], essential: frozenset[str]) -> list[str]:
-    """Return a line for each package that is missing, or listed for nothing."""
+    """Return a message for each missing and each superfluous package."""
     wanted = [need for need in needs if need.package not in essential]
     found = [
         f"{name}: packages: {need.package} is missing ({need.reason})"
@@ -214,7 +216,7 @@
 
 
 def check(name: str, database: PackageDatabase) -> list[str]:
-    """Return what is wrong with a deploy file of this checkout, whose build has run."""
+    """Return the faults of a deploy file of this checkout, whose build must have run."""
     path = ROOT / name
     deploy = tomllib.loads(path.read_text(encoding="utf-8"))
     listed = listed_packages(name, deploy)
@@ -228,7 +230,7 @@
 
 
 def main(names: Sequence[str]) -> int:
-    """Check deploy files; return 1 where one is wrong."""
+    """Check deploy files; return 1 if one has a fault."""
     database = Dpkg()
     try:
         found = [fault for name in names or DEPLOY_FILES for fault in check(name, database)]
--- a/tests/load/test_load_faults.py
+++ b/tests/load/test_load_faults.py
@@ -1,4 +1,4 @@
-"""Words and files that make no sense: one message that names them, no traceback, nothing lost."""
+"""Invalid arguments and files produce one message that names them, no traceback and no data loss."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 @pytest.fixture
-def made(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
+def folder(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
     monkeypatch.chdir(tmp_path)
     demand.write("d", synthetic.requests(synthetic.Recipe(seconds=5, rate=10, burst=None), 1))
     Path("log").write_bytes(b"".join(map(synthetic.log_line, DemandFile("d").requests())))
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "status", "said"),
+    ("line", "status", "message"),
     [
         ("load build log --log-format platform -o o --window nan", 2, "--window': 'nan' is no finite number"),
         ("load build log --log-format platform -o o --window inf", 2, "--window': inf is not in the range"),
@@ -58,26 +58,26 @@
     ],
 )
 def test_what_makes_no_sense_is_told_and_nothing_is_lost(
-    line: str, status: int, said: str, made: Path, capsys: pytest.CaptureFixture[str]
+    line: str, status: int, message: str, folder: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    before = {path: path.read_bytes() for path in made.iterdir()}
+    before = {path: path.read_bytes() for path in folder.iterdir()}
     assert main(line.split()) == status
-    assert said in capsys.readouterr().err
-    assert {path: path.read_bytes() for path in made.iterdir()} == before
+    assert message in capsys.readouterr().err
+    assert {path: path.read_bytes() for path in folder.iterdir()} == before
 
 
-def test_an_export_that_fails_half_way_leaves_the_file_that_was_there(made: Path) -> None:
-    data = bytearray((made / "d").read_bytes())
-    data[400] ^= 1  # in the only block of requests
-    (made / "d").write_bytes(data)
-    (made / "o.har").write_text("from before")
+def test_an_export_that_fails_half_way_leaves_the_file_that_was_there(folder: Path) -> None:
+    data = bytearray((folder / "d").read_bytes())
+    data[400] ^= 1  # offset 400 is inside the only block of requests
+    (folder / "d").write_bytes(data)
+    (folder / "o.har").write_text("from before")
     assert main(["load", "export", "d", "-o", "o.har"]) == 1
-    assert (made / "o.har").read_text() == "from before"
-    assert not list(made.glob(".*"))
+    assert (folder / "o.har").read_text() == "from before"
+    assert not list(folder.glob(".*"))
 
 
 def test_a_play_that_stops_early_is_no_success(
-    made: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
+    folder: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(processes, "play", lambda *given: Results())
     total = len(DemandFile("d"))
@@ -85,10 +85,10 @@
     assert f"brambleusher: 0 of {total} requests were played" in capsys.readouterr().err
 
 
-def test_a_process_that_plays_ends_without_a_word_where_nobody_listens_any_more(made: Path) -> None:
-    mine, theirs = multiprocessing.Pipe()
-    mine.close()
-    processes._child(str(made / "d"), Play([("127.0.0.1", 1)], Pace(0)), theirs)
+def test_a_process_that_plays_ends_without_a_word_where_nobody_listens_any_more(folder: Path) -> None:
+    parent_end, child_end = multiprocessing.Pipe()
+    parent_end.close()
+    processes._child(str(folder / "d"), Play([("127.0.0.1", 1)], Pace(0)), child_end)
 
 
 def test_demand_without_requests_can_be_scaled() -> None:
--- a/tests/load/test_load_play.py
+++ b/tests/load/test_load_play.py
@@ -1,4 +1,4 @@
-"""Playing demand: pacing, wording, answers, the player in virtual time, merged results, reshaping."""
+"""Tests of replaying demand: pacing, request encoding, responses, the player, results and transformations."""
 
 from __future__ import annotations
 
@@ -31,16 +31,16 @@
     return msgspec.structs.replace(Request(NOON + round(at_s * SECOND), "look", "GET", "/look?a=1"), **words)
 
 
-# --- pieces ---------------------------------------------------------------------------------------
+# --- components ------------------------------------------------------------------------------------
 
 
 def test_every_request_is_due_in_one_part_and_at_its_time() -> None:
     requests = [look(at) for at in (0, 1, 1, 2.5)]
-    parts = [list(Pace(NOON, 2.0, part, 3).due(requests)) for part in range(3)]
-    assert sorted((due.number, due.at_ns) for part in parts for due in part) == [
+    partitions = [list(Pace(NOON, 2.0, partition, 3).due(requests)) for partition in range(3)]
+    assert sorted((due.number, due.at_ns) for partition in partitions for due in partition) == [
         (0, 0), (1, SECOND // 2), (2, SECOND // 2), (3, SECOND * 5 // 4),
     ]  # fmt: skip
-    assert [[due.number for due in part] for part in parts] == [[0, 3], [1], [2]]
+    assert [[due.number for due in partition] for partition in partitions] == [[0, 3], [1], [2]]
 
 
 @pytest.mark.parametrize(
@@ -86,7 +86,7 @@
 def test_answers_are_found_however_they_are_cut(step: int) -> None:
     for data, status, keep in ANSWERS:
         reader = AnswerReader()
-        for _ in range(2):  # the second one on the same connection
+        for _ in range(2):  # the second response arrives on the same connection
             ends = [reader.feed(data[at : at + step]) for at in range(0, len(data), step)]
             assert ends == [False] * (len(ends) - 1) + [True]
             assert (reader.status, reader.keep) == (status, keep)
@@ -104,14 +104,14 @@
         due_ns = n * SECOND
         request = look(n, request_class="ab"[n % 2])
         outcomes.append(Outcome(n, request, due_ns, due_ns + n * 100_000, due_ns + 10**7, end, status))
-    whole, parts = Results(speed=2.0), [Results(speed=2.0) for _ in range(3)]
+    total, partitions = Results(speed=2.0), [Results(speed=2.0) for _ in range(3)]
     for outcome in outcomes:
-        whole.add(outcome)
-        parts[outcome.number % 3].add(outcome)
+        total.add(outcome)
+        partitions[outcome.number % 3].add(outcome)
     merged = Results(speed=2.0)
-    for part in parts:
-        merged.merge(Results.decode(part.encode()))
-    assert merged.plain() == whole.plain()
+    for partition in partitions:
+        merged.merge(Results.decode(partition.encode()))
+    assert merged.plain() == total.plain()
     assert merged.windows[3] == {"a": [2, 2, 0, 0, 0, 0, 0, 0], "b": [3, 2, 1, 0, 0, 0, 0, 0]}
     assert (merged.late, merged.sent, merged.total("refused")) == (False, 40, 8)
     merged.add(outcomes[0]._replace(begun_ns=8 * 10**6))
@@ -122,14 +122,14 @@
 # --- the player -----------------------------------------------------------------------------------
 
 
-class Ground:
-    """A server in virtual time that does with each request as `answer` says, and a player's machine."""
+class PlayerHarness:
+    """A server in virtual time that calls `answer` for each request, and a machine for the player."""
 
     def __init__(self, answer: Callable[[Scheduler, Stream, bytes], bool]) -> None:
         self.world = World(1, WorldSettings(latency_ns=(50_000, 50_000), split=0.3, short_send=0.1))
         self.answer = answer
         self.outcomes: list[Outcome] = []
-        self.came: list[tuple[int, bytes]] = []
+        self.received: list[tuple[int, bytes]] = []
         self.player: Player | None = None
         self.begins_ns = self.world.now_ns + SECOND
         self.world.machine("server", "10.0.0.1").start(self._serve)
@@ -141,16 +141,16 @@
         def accept() -> None:
             while True:
                 try:
-                    scheduler.spawn(talk, Stream(scheduler, system.accept(listener)[0]))
+                    scheduler.spawn(serve_connection, Stream(scheduler, system.accept(listener)[0]))
                 except BlockingIOError:
                     scheduler.park(sock=listener)
 
-        def talk(stream: Stream) -> None:
+        def serve_connection(stream: Stream) -> None:
             try:
                 while data := stream.receive(None):
                     while not data.endswith(b"\r\n\r\n"):
                         data += stream.receive(None) or b""
-                    self.came.append((system.monotonic_ns() - self.begins_ns, data))
+                    self.received.append((system.monotonic_ns() - self.begins_ns, data))
                     if not self.answer(scheduler, stream, data):
                         return
             finally:
@@ -169,39 +169,39 @@
             scheduler.run()
 
         self.world.machine("player", "10.0.0.2").start(main)
-        over = self.world.run(
+        is_done = self.world.run(
             self.world.now_ns + 60 * SECOND, lambda: self.player is not None and self.player.done
         )
-        assert over
+        assert is_done
         self.outcomes.sort()
 
 
-def good(scheduler: Scheduler, stream: Stream, data: bytes) -> bool:
+def respond_ok(scheduler: Scheduler, stream: Stream, data: bytes) -> bool:
     stream.send(write_response(200, [], b"ok"), None)
     return True
 
 
 def test_requests_go_out_at_their_times_on_few_connections() -> None:
-    ground = Ground(good)
-    ground.play([look(at / 10) for at in range(50)], speed=2.0)
-    assert [outcome.end for outcome in ground.outcomes] == ["served"] * 50
-    assert [outcome.due_ns for outcome in ground.outcomes] == [at * SECOND // 20 for at in range(50)]
-    assert all(0 <= each.begun_ns - each.due_ns < 2_000_000 for each in ground.outcomes)
-    assert len({data.split(b"Request-Id: ")[1][:16] for _, data in ground.came}) == 50
-    assert ground.player is not None and ground.player.connects == 1
+    harness = PlayerHarness(respond_ok)
+    harness.play([look(at / 10) for at in range(50)], speed=2.0)
+    assert [outcome.end for outcome in harness.outcomes] == ["served"] * 50
+    assert [outcome.due_ns for outcome in harness.outcomes] == [at * SECOND // 20 for at in range(50)]
+    assert all(0 <= each.begun_ns - each.due_ns < 2_000_000 for each in harness.outcomes)
+    assert len({data.split(b"Request-Id: ")[1][:16] for _, data in harness.received}) == 50
+    assert harness.player is not None and harness.player.connects == 1
 
 
 def test_a_server_that_hangs_holds_up_nothing_and_latency_counts_from_the_due_time() -> None:
     def slow(scheduler: Scheduler, stream: Stream, data: bytes) -> bool:
         scheduler.sleep(0.3)
-        return good(scheduler, stream, data)
+        return respond_ok(scheduler, stream, data)
 
-    ground = Ground(slow)
-    ground.play([look(at / 100) for at in range(40)])
-    sent = [at_ns for at_ns, _ in sorted(ground.came)]
+    harness = PlayerHarness(slow)
+    harness.play([look(at / 100) for at in range(40)])
+    sent = [at_ns for at_ns, _ in sorted(harness.received)]
     assert all(0 <= at - n * SECOND // 100 < 3_000_000 for n, at in enumerate(sent))
-    assert {outcome.end for outcome in ground.outcomes} == {"served"}
-    assert all(0.3 <= (each.ended_ns - each.due_ns) / SECOND < 0.31 for each in ground.outcomes)
+    assert {outcome.end for outcome in harness.outcomes} == {"served"}
+    assert all(0.3 <= (each.ended_ns - each.due_ns) / SECOND < 0.31 for each in harness.outcomes)
 
 
 def test_every_end_is_told_and_a_full_player_says_so() -> None:
@@ -220,28 +220,28 @@
         return True
 
     targets = ["/refuse", "/fail", "/break", "/noise", "/hang", "/hang", "/hang"]
-    ground = Ground(by_name)
-    ground.play([look(n / 10, target=target) for n, target in enumerate(targets)], most_open=2)
-    assert [(each.end, each.status) for each in ground.outcomes] == [
+    harness = PlayerHarness(by_name)
+    harness.play([look(n / 10, target=target) for n, target in enumerate(targets)], most_open=2)
+    assert [(each.end, each.status) for each in harness.outcomes] == [
         ("refused", 503), ("failed", 500), ("broken", 0), ("failed", 0), ("timed out", 0), ("timed out", 0),
         ("unsent", 0),
     ]  # fmt: skip
-    timed_out = ground.outcomes[4]
+    timed_out = harness.outcomes[4]
     assert 0.5 <= (timed_out.ended_ns - timed_out.due_ns) / SECOND < 0.51
-    lost = Ground(good)
-    lost.world.machines["server"].vanish()
-    lost.play([look(0)])
-    assert lost.outcomes[0].end == "timed out"
+    unreachable = PlayerHarness(respond_ok)
+    unreachable.world.machines["server"].vanish()
+    unreachable.play([look(0)])
+    assert unreachable.outcomes[0].end == "timed out"
 
 
 def test_a_close_that_crosses_a_request_has_it_sent_once_more() -> None:
     def closes_before_the_second(scheduler: Scheduler, stream: Stream, data: bytes) -> bool:
-        return len(ground.came) != 2 and good(scheduler, stream, data)
+        return len(harness.received) != 2 and respond_ok(scheduler, stream, data)
 
-    ground = Ground(closes_before_the_second)
-    ground.play([look(0), look(0.1)])
-    assert [outcome.end for outcome in ground.outcomes] == ["served", "served"]
-    assert len(ground.came) == 3 and ground.came[1][1] == ground.came[2][1]
+    harness = PlayerHarness(closes_before_the_second)
+    harness.play([look(0), look(0.1)])
+    assert [outcome.end for outcome in harness.outcomes] == ["served", "served"]
+    assert len(harness.received) == 3 and harness.received[1][1] == harness.received[2][1]
 
 
 # --- fidelity, summary, reshaping -----------------------------------------------------------------
@@ -249,26 +249,26 @@
 
 def test_fidelity_tells_what_came_otherwise() -> None:
     requests = [look(n, tenant="peach", hint_us=n) for n in range(25)]
-    heard = [Heard(n * SECOND, str(n), "look", "peach", str(n), False, "/look?a=1", 0) for n in range(25)]
-    true = compared(requests, heard, str, target_of)
-    assert true.exact and true.rate_off == true.mix_off == 0.0 and len(true.windows) == 3
-    heard[3] = heard[3]._replace(tenant="plum")
-    heard[4] = heard[4]._replace(name="other")
-    heard[5] = heard[5]._replace(at_ns=heard[5].at_ns + 10 * SECOND, request_class="move")
-    false = compared(requests, [*heard, heard[6]], str, target_of)
-    assert (false.missing, false.strange, false.twice) == (1, 1, 1)
-    assert false.other == {"tenant": 1, "class": 1} and not false.exact
-    assert false.rate_off == pytest.approx(0.1) and false.mix_off == pytest.approx(1 / 11)
-    assert type(false).restored(msgspec.json.decode(msgspec.json.encode(false.plain()))) == false
+    received = [Heard(n * SECOND, str(n), "look", "peach", str(n), False, "/look?a=1", 0) for n in range(25)]
+    unaltered = compared(requests, received, str, target_of)
+    assert unaltered.exact and unaltered.rate_off == unaltered.mix_off == 0.0 and len(unaltered.windows) == 3
+    received[3] = received[3]._replace(tenant="plum")
+    received[4] = received[4]._replace(name="other")
+    received[5] = received[5]._replace(at_ns=received[5].at_ns + 10 * SECOND, request_class="move")
+    altered = compared(requests, [*received, received[6]], str, target_of)
+    assert (altered.missing, altered.strange, altered.twice) == (1, 1, 1)
+    assert altered.other == {"tenant": 1, "class": 1} and not altered.exact
+    assert altered.rate_off == pytest.approx(0.1) and altered.mix_off == pytest.approx(1 / 11)
+    assert type(altered).restored(msgspec.json.decode(msgspec.json.encode(altered.plain()))) == altered
 
 
 def test_the_last_window_takes_what_is_a_little_late_and_no_more() -> None:
     requests = [look(n) for n in range(20)]
-    heard = [Heard(n * SECOND, str(n), "look", None, None, False, "/look?a=1", 0) for n in range(20)]
+    received = [Heard(n * SECOND, str(n), "look", None, None, False, "/look?a=1", 0) for n in range(20)]
     for late_s, windows, off in ((0.5, 2, 0.0), (1.5, 2, 0.0), (11.5, 4, 1.0)):
-        heard[19] = heard[19]._replace(at_ns=int((19 + late_s) * SECOND))
-        found = compared(requests, heard, str, target_of)
-        assert (len(found.windows), found.rate_off) == (windows, off)
+        received[19] = received[19]._replace(at_ns=int((19 + late_s) * SECOND))
+        fidelity = compared(requests, received, str, target_of)
+        assert (len(fidelity.windows), fidelity.rate_off) == (windows, off)
 
 
 def test_bursts_are_found_and_long_spans_take_no_more_room() -> None:
@@ -292,13 +292,13 @@
     requests = [look(at / 10) for at in tenths]
     burst = shape.Burst(3 * SECOND, 5 * SECOND, 3.0)
     scale = shape.Scale(2.0, rate, {"look": 1.0}, bursts=(burst,), seed=seed)
-    made = list(shape.scaled(requests, NOON, scale))
-    assert [each.at_ns for each in made] == sorted(each.at_ns for each in made)
+    copies = list(shape.scaled(requests, NOON, scale))
+    assert [each.at_ns for each in copies] == sorted(each.at_ns for each in copies)
     for low, high, times in ((0, 30, rate), (30, 50, 3 * rate), (50, 101, rate)):
-        had = sum(low <= at < high for at in tenths)
+        original = sum(low <= at < high for at in tenths)
         edges = NOON + low * SECOND // 20, NOON + high * SECOND // 20 + (SECOND if high == 101 else 0)
-        got = sum(edges[0] <= each.at_ns < edges[1] for each in made)
-        assert int(times) * had <= got <= (int(times) + (times % 1 > 0)) * had
+        scaled_count = sum(edges[0] <= each.at_ns < edges[1] for each in copies)
+        assert int(times) * original <= scaled_count <= (int(times) + (times % 1 > 0)) * original
 
 
 def test_names_without_end_take_no_more_room() -> None:
@@ -313,10 +313,10 @@
 
 
 def test_a_recipe_that_makes_no_sense_is_refused_by_name(tmp_path: Path) -> None:
-    for text, said in (
+    for text, message in (
         ("rate: -1", "rate is not at least 0"), ("burst: {share: {x: 1}}", "burst.share.x is no class"),
         ("rats: 1", "unknown field `rats`"), ("classes: {}", "classes have no share"), ("[", "not YAML"),
     ):  # fmt: skip
         (tmp_path / "recipe").write_text(text)
-        with pytest.raises(synthetic.RecipeError, match=said):
+        with pytest.raises(synthetic.RecipeError, match=message):
             synthetic.read_recipe(tmp_path / "recipe")
--- a/tests/load/test_load_sources.py
+++ b/tests/load/test_load_sources.py
@@ -1,4 +1,4 @@
-"""Sources of demand: a table of cases, round trips, order, damaged inputs."""
+"""Tests of demand sources: a table of cases, round trips, ordering and damaged inputs."""
 
 from __future__ import annotations
 
@@ -36,34 +36,36 @@
 )
 
 
-def log(**words: Any) -> str:
-    usual = {
+def log(**overrides: Any) -> str:
+    defaults = {
         "time": "01/Dec/2025:12:00:00 +0000",
         "line": "GET /look?a=1 HTTP/1.1",
         "status": 200,
         "cls": "look",
     }
-    return LOG.format(**{**usual, "hint": "-", "wait": "900", "size": "-", **words})
+    return LOG.format(**{**defaults, "hint": "-", "wait": "900", "size": "-", **overrides})
 
 
-def entry(**words: Any) -> dict[str, Any]:
-    """A HAR entry; `request` and `response` are laid over the usual ones."""
-    asked = {"method": "GET", "url": "http://h/look?a=1", "headers": [], "bodySize": 0}
+def entry(**overrides: Any) -> dict[str, Any]:
+    """Build a HAR entry with default values; `request` and `response` override theirs."""
+    request = {"method": "GET", "url": "http://h/look?a=1", "headers": [], "bodySize": 0}
     return {
         "startedDateTime": "2025-12-01T12:00:00.000Z",
         "time": 1.5,
-        **words,
-        "request": {**asked, **words.get("request", {})},
-        "response": {"status": 200, **words.get("response", {})},
+        **overrides,
+        "request": {**request, **overrides.get("request", {})},
+        "response": {"status": 200, **overrides.get("response", {})},
     }
 
 
-def post(text: str | None = None, size: int = -1, **words: Any) -> dict[str, Any]:
-    data = {"mimeType": "text/plain", **({} if text is None else {"text": text}), **words}
+def post(text: str | None = None, size: int = -1, **overrides: Any) -> dict[str, Any]:
+    data = {"mimeType": "text/plain", **({} if text is None else {"text": text}), **overrides}
     return {"method": "POST", "url": "http://h/move", "bodySize": size, "postData": data}
 
 
-def built(folder: Path, data: bytes, how: How | None = None, **plan: Any) -> tuple[list[Request], Report]:
+def build_demand(
+    folder: Path, data: bytes, how: How | None = None, **plan: Any
+) -> tuple[list[Request], Report]:
     source, out = folder / "source", folder / "out.demand"
     source.write_bytes(data)
     report = build(Plan([source], how or How(), **plan), out)
@@ -72,7 +74,7 @@
         return list(file.requests()), report
 
 
-def hared(*entries: Any) -> bytes:
+def har_of(*entries: Any) -> bytes:
     return json.dumps({"log": {"version": "1.2", "entries": list(entries)}}).encode()
 
 
@@ -83,7 +85,7 @@
 OK: dict[str, Any] = {"target": "/look?a=1", "request_class": "look"}
 BIG = "x" * 65537
 
-# A name, the source, how it is read, then the reason it is left out for or what the request has.
+# Each case has a name, the source, the options, and the rejection reason or the expected attributes.
 CASES: list[tuple[str, bytes | str, How, str | dict[str, Any]]] = [
     ("log", log(hint="1200"), PLATFORM,
      {**OK, "hint_us": 1200, "timeout_ms": 900, "tenant": "peach", "key": "k1"}),
@@ -139,43 +141,43 @@
      How(), "bad-header"),
     ("json-size-is-text", '{"time":1,"method":"POST","url":"/look","size":"7"}', How(), "bad-size"),
     ("json-path-and-query", '{"time":1764590400,"method":"GET","path":"/look","query":"a=1"}', How(), OK),
-    ("har", hared(entry()), How(), {**OK, "origin": "http://h", "took_ns": 1_500_000, "status": 200}),
-    ("har-fragment", hared(entry(request={"url": "http://h/look?a=1#top"})), How(), OK),
-    ("har-zone", hared(entry(startedDateTime="2025-12-01T17:30:00.000+05:30")), How(), {"at_ns": NOON}),
-    ("har-no-time", hared(entry(startedDateTime=None)), How(), "no-time"),
-    ("har-local-time", hared(entry(startedDateTime="2025-12-01T12:00:00")), How(), "no-zone"),
-    ("har-cache", hared(entry(_fromCache="disk")), How(), "from-cache"),
-    ("har-aborted", hared(entry(response={"status": 0})), How(), "aborted"),
-    ("har-redirect", hared(entry(response={"status": 301})), How(), {"status": 301}),
-    ("har-not-modified", hared(entry(response={"status": 304})), How(), {"status": 304}),
-    ("har-websocket", hared(entry(response={"status": 101})), How(), "upgraded"),
-    ("har-data-url", hared(entry(request={"url": "data:text/plain,x"})), How(), "bad-target"),
-    ("har-body", hared(entry(request=post("päy", 4))), How(), {"body": "päy".encode(), "size": 4}),
-    ("har-body-cut", hared(entry(request=post("pa", 3))), How(), "body-not-kept"),
-    ("har-base64", hared(entry(request=post("//8=", 2, encoding="base64"))), How(), {"body": b"\xff\xff"}),
-    ("har-not-base64", hared(entry(request=post("/?/8=", 2, encoding="base64"))), How(), "body-not-kept"),
-    ("har-half-character", hared(entry(request=post("\ud800"))), How(), "unreadable"),
-    ("har-form", hared(entry(request=post(size=7, mimeType="application/x-www-form-urlencoded",
+    ("har", har_of(entry()), How(), {**OK, "origin": "http://h", "took_ns": 1_500_000, "status": 200}),
+    ("har-fragment", har_of(entry(request={"url": "http://h/look?a=1#top"})), How(), OK),
+    ("har-zone", har_of(entry(startedDateTime="2025-12-01T17:30:00.000+05:30")), How(), {"at_ns": NOON}),
+    ("har-no-time", har_of(entry(startedDateTime=None)), How(), "no-time"),
+    ("har-local-time", har_of(entry(startedDateTime="2025-12-01T12:00:00")), How(), "no-zone"),
+    ("har-cache", har_of(entry(_fromCache="disk")), How(), "from-cache"),
+    ("har-aborted", har_of(entry(response={"status": 0})), How(), "aborted"),
+    ("har-redirect", har_of(entry(response={"status": 301})), How(), {"status": 301}),
+    ("har-not-modified", har_of(entry(response={"status": 304})), How(), {"status": 304}),
+    ("har-websocket", har_of(entry(response={"status": 101})), How(), "upgraded"),
+    ("har-data-url", har_of(entry(request={"url": "data:text/plain,x"})), How(), "bad-target"),
+    ("har-body", har_of(entry(request=post("päy", 4))), How(), {"body": "päy".encode(), "size": 4}),
+    ("har-body-cut", har_of(entry(request=post("pa", 3))), How(), "body-not-kept"),
+    ("har-base64", har_of(entry(request=post("//8=", 2, encoding="base64"))), How(), {"body": b"\xff\xff"}),
+    ("har-not-base64", har_of(entry(request=post("/?/8=", 2, encoding="base64"))), How(), "body-not-kept"),
+    ("har-half-character", har_of(entry(request=post("\ud800"))), How(), "unreadable"),
+    ("har-form", har_of(entry(request=post(size=7, mimeType="application/x-www-form-urlencoded",
                                           params=[{"name": "a", "value": "b c"}]) | {"bodySize": 5})), How(),
      {"body": b"a=b+c"}),
-    ("har-upload", hared(entry(request=post(mimeType="multipart/form-data", params=[{"name": "a"}]))), How(),
+    ("har-upload", har_of(entry(request=post(mimeType="multipart/form-data", params=[{"name": "a"}]))), How(),
      "body-not-kept"),
-    ("har-body-not-there", hared(entry(request=post(size=77))), How(), {"body": None, "size": 77}),
-    ("har-no-size", hared(entry(request={"method": "POST", "url": "http://h/move", "bodySize": -1})), How(),
+    ("har-body-not-there", har_of(entry(request=post(size=77))), How(), {"body": None, "size": 77}),
+    ("har-no-size", har_of(entry(request={"method": "POST", "url": "http://h/move", "bodySize": -1})), How(),
      "no-size"),
-    ("har-large", hared(entry(request=post(BIG))), How(), "body-too-large"),
-    ("har-wrong-type", hared(entry(request={"method": 7})), How(), "unreadable"),
-    ("har-null", hared(None), How(), "unreadable"),
-    ("har-http2", hared(entry(request={"headers": [{"name": ":path", "value": "/look"}]})), How(),
+    ("har-large", har_of(entry(request=post(BIG))), How(), "body-too-large"),
+    ("har-wrong-type", har_of(entry(request={"method": 7})), How(), "unreadable"),
+    ("har-null", har_of(None), How(), "unreadable"),
+    ("har-http2", har_of(entry(request={"headers": [{"name": ":path", "value": "/look"}]})), How(),
      {"headers": ((":path", "/look"),)}),
-    ("har-retry", hared(entry(request={"headers": [{"name": "client-retry", "value": "1"}]})), How(),
+    ("har-retry", har_of(entry(request={"headers": [{"name": "client-retry", "value": "1"}]})), How(),
      {"retry": True}),
 ]  # fmt: skip
 
 
 @pytest.mark.parametrize(("name", "data", "how", "wanted"), CASES, ids=[case[0] for case in CASES])
 def test_case(name: str, data: bytes | str, how: How, wanted: str | dict[str, Any], tmp_path: Path) -> None:
-    requests, report = built(tmp_path, data if isinstance(data, bytes) else data.encode(), how)
+    requests, report = build_demand(tmp_path, data if isinstance(data, bytes) else data.encode(), how)
     assert report.rows == len(requests) + sum(left.count for left in report.left_out.values())
     if isinstance(wanted, str):
         left = report.left_out.pop(wanted)
@@ -192,23 +194,23 @@
     lines = [log(hint="7").rstrip(), "v:80 ::1 01/Dec/2025 12:00:00.000250 - 200 17 1.2.3.4"]
     lines += [line.decode().rstrip() for line in map(synthetic.log_line, synthetic.requests(SHORT, 3))]
     lines += [line.replace('"-"', '"\\x09\\"\\\\"', 1) for line in lines]
-    both = 0
+    compared = 0
     for log_format in formats:
-        library, own = apachelogs.LogParser(log_format), Line(log_format)
+        library, parser = apachelogs.LogParser(log_format), Line(log_format)
         for text in lines * 2:
             try:
                 entry = library.parse(text)
             except apachelogs.InvalidEntryError:
                 with pytest.raises(LeftOut):
-                    own.parse(text)
+                    parser.parse(text)
                 continue
-            had, named = own.parse(text)
-            assert named == entry.directives
+            values, directives = parser.parse(text)
+            assert directives == entry.directives
             wanted = {name: value for name, value in vars(entry).items() if name not in ("entry", "format")}
             wanted["headers_in"] = dict(wanted.get("headers_in", {}))
-            assert had == {name: value for name, value in wanted.items() if name != "directives"}
-            both += 1
-    assert both > 100
+            assert values == {name: value for name, value in wanted.items() if name != "directives"}
+            compared += 1
+    assert compared > 100
 
 
 def test_every_reason_has_a_case_here_or_a_test_of_its_own() -> None:
@@ -231,15 +233,15 @@
 
 
 def test_a_capture_has_what_the_module_was_told_and_no_sizes(tmp_path: Path) -> None:
-    requests, report = built(tmp_path, CAPTURE)
+    requests, report = build_demand(tmp_path, CAPTURE)
     (look,) = requests
     assert (look.method, look.target, look.tenant, look.hint_us) == ("GET", "/look", "p", 1.5)
     assert (look.timeout_ms, look.key, look.retry, look.at_ns) == (91, "ab", True, NOON + 1)
     assert report.left_out["no-size"].first == [f"{tmp_path / 'source'}: line 4: POST /move"]
-    sized, _ = built(tmp_path, CAPTURE, How(parse_mapping(b"size: {default: 30}")))
+    sized, _ = build_demand(tmp_path, CAPTURE, How(parse_mapping(b"size: {default: 30}")))
     assert [request.size for request in sized] == [30, 30]
     with pytest.raises(SourceError, match="line 1: the header's v is 2"):
-        built(tmp_path, b'{"ev":"start","v":2}')
+        build_demand(tmp_path, b'{"ev":"start","v":2}')
 
 
 def test_a_running_sidecars_capture_is_demand(tmp_path: Path) -> None:
@@ -252,7 +254,7 @@
         rig.end()
         node.close()
     (path,) = (tmp_path / "captures").iterdir()
-    requests, report = built(tmp_path, path.read_bytes())
+    requests, report = build_demand(tmp_path, path.read_bytes())
     assert [(each.key, each.request_class, each.method, each.timeout_ms) for each in requests] == [
         (f"r{number}", "look", "GET", 890) for number in range(3)
     ]
@@ -291,7 +293,7 @@
         + line("/api/v1/price/a?kind=no")
         + line("/x?b=1", "PUT", **{"X-App": "web", "X-Size": "9"})
     )  # fmt: skip
-    requests, report = built(tmp_path, data.encode(), How(parse_mapping(MAPPING)))
+    requests, report = build_demand(tmp_path, data.encode(), How(parse_mapping(MAPPING)))
     assert [(each.request_class, each.method, each.target, each.tenant) for each in requests] == [
         ("price-check", "GET", "/price-check?kind=full&ms=2.5", "peach"),
         ("price-check", "GET", "/price-check?kind=part", "none"),
@@ -303,12 +305,12 @@
     assert {name: left.count for name, left in report.left_out.items()} == {
         "by-mapping": 1, "bad-tenant": 1, "no-class": 1,
     }  # fmt: skip
-    _, report = built(tmp_path, data.encode(), How(Mapping(only=["api"])))
+    _, report = build_demand(tmp_path, data.encode(), How(Mapping(only=["api"])))
     assert set(report.left_out) == {"other-class"}
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "message"),
     [
         (b"tenat: {header: a}", "unknown field `tenat`"),
         (b"classes: [{class: a, pth: /}]", r"unknown field `pth` - at `\$.classes\[0\]`"),
@@ -324,8 +326,8 @@
         (b"version: 2", "only 1 can be read"),
     ],
 )
-def test_a_mapping_that_can_not_be_used_is_refused_by_name(text: bytes, said: str) -> None:
-    with pytest.raises(MappingError, match=said):
+def test_a_mapping_that_can_not_be_used_is_refused_by_name(text: bytes, message: str) -> None:
+    with pytest.raises(MappingError, match=message):
         parse_mapping(text)
 
 
@@ -334,27 +336,27 @@
 
 
 def test_times_are_put_in_order_within_the_window_and_left_out_beyond_it(tmp_path: Path) -> None:
-    requests, report = built(
+    requests, report = build_demand(
         tmp_path, json_lines([100, 103, 101, 106, 110, 104.5, 107, 111]), window_ns=5 * SECOND
     )
     assert [request.at_ns // SECOND for request in requests] == [100, 101, 103, 106, 107, 110, 111]
     assert report.left_out["out-of-order"].first == [f"{tmp_path / 'source'}: line 6"]
     assert report.notes["reordered"] == 2
-    # A time far ahead of all others, and one at the start, cost their own rows alone.
-    requests, report = built(tmp_path, json_lines([9e9, 100, 101, 8e9, 102, 103, 250, 251]))
+    # A time far ahead of all others, also in the first row, causes the rejection of its own row only.
+    requests, report = build_demand(tmp_path, json_lines([9e9, 100, 101, 8e9, 102, 103, 250, 251]))
     assert [request.at_ns // SECOND for request in requests] == [100, 101, 102, 103, 250, 251]
     assert report.left_out["out-of-order"].count == 2
 
 
 def test_whole_seconds_stay_bunched_unless_a_spread_is_asked_for(tmp_path: Path) -> None:
     data = json_lines([100, 100, 100.25, 100, 100, 101])
-    bunched, report = built(tmp_path, data)
+    bunched, report = build_demand(tmp_path, data)
     assert [each.at_ns for each in bunched] == [100 * SECOND] * 4 + [100 * SECOND + SECOND // 4, 101 * SECOND]
     assert report.notes["whole-seconds"] == 5
-    even, _ = built(tmp_path, data, spread="even")
+    even, _ = build_demand(tmp_path, data, spread="even")
     assert [each.at_ns * 8 // SECOND for each in even] == [801, 802, 803, 805, 807, 812]
-    poisson, _ = built(tmp_path, data, spread="poisson", seed=3)
-    assert poisson == built(tmp_path, data, spread="poisson", seed=3)[0] != even
+    poisson, _ = build_demand(tmp_path, data, spread="poisson", seed=3)
+    assert poisson == build_demand(tmp_path, data, spread="poisson", seed=3)[0] != even
     assert [each.at_ns // SECOND for each in poisson] == [100] * 5 + [101]
 
 
@@ -375,7 +377,7 @@
 # --- round trips ----------------------------------------------------------------------------------
 
 token = st.text(string.ascii_letters + string.digits + "!#$%&'*+-.^_`|~", min_size=1, max_size=8).filter(
-    lambda text: text != "-"  # which is how a log says that there is nothing
+    lambda text: text != "-"  # an access log writes "-" for a missing value
 )
 value = st.text(st.characters(min_codepoint=32, max_codepoint=255, exclude_categories=["Cc"]), max_size=12)
 path = st.text(string.ascii_letters + string.digits + "/?&=%.;,:@!$'()*+~_-[]|^{}\"\\<>`", max_size=20)
@@ -383,11 +385,11 @@
 
 
 @st.composite
-def a_request(draw: st.DrawFn, kept: bool = True) -> Request:
+def request_strategy(draw: st.DrawFn, in_har: bool = True) -> Request:
     name, rest = draw(token), draw(path)
-    if kept:  # a URL has no `#`
+    if in_har:  # a URL must not contain `#`, which begins the fragment
         name = name.replace("#", "-")
-    body = draw(st.one_of(st.none(), st.binary(max_size=40))) if kept else None
+    body = draw(st.one_of(st.none(), st.binary(max_size=40))) if in_har else None
     size = len(body) if body is not None else draw(st.integers(0, 60_000))
     tenant, key = draw(st.one_of(st.none(), token)), draw(st.one_of(st.none(), token))
     hint = draw(
@@ -399,26 +401,26 @@
         ("Client-Retry", "1" if retry else None), ("Content-Length", size), ("Request-Class", name),
     )  # fmt: skip
     headers = [(field, str(each)) for field, each in stated if each is not None]
-    if kept:
+    if in_har:
         headers += draw(st.lists(plain_header, max_size=3))
     return Request(
         draw(st.integers(NOON, NOON + 3 * SECOND)), name, "POST", f"/{name}/{rest}", tenant, hint, timeout,
-        key, retry, tuple(headers), body or None, size, "https://a.example:8443" if kept else None,
+        key, retry, tuple(headers), body or None, size, "https://a.example:8443" if in_har else None,
         draw(st.sampled_from([200, 302, 429, 503])), draw(st.integers(0, 10**9)) * 1000,
     )  # fmt: skip
 
 
-def in_order(requests: list[Request]) -> list[Request]:
+def sort_by_time(requests: list[Request]) -> list[Request]:
     return sorted(requests, key=lambda request: request.at_ns)
 
 
 @settings(max_examples=80, deadline=None, suppress_health_check=[HealthCheck.function_scoped_fixture])
-@given(st.lists(a_request(), max_size=5))
+@given(st.lists(request_strategy(), max_size=5))
 def test_har_to_demand_file_to_har_changes_no_request(tmp_path: Path, requests: list[Request]) -> None:
-    requests = in_order(requests)
+    requests = sort_by_time(requests)
     first = io.StringIO()
     har.write(requests, first, "0")
-    again, report = built(tmp_path, first.getvalue().encode())
+    again, report = build_demand(tmp_path, first.getvalue().encode())
     assert again == requests
     assert not report.left_out
     second = io.StringIO()
@@ -427,26 +429,28 @@
 
 
 @settings(max_examples=80, deadline=None, suppress_health_check=[HealthCheck.function_scoped_fixture])
-@given(st.lists(a_request(kept=False), max_size=5))
+@given(st.lists(request_strategy(in_har=False), max_size=5))
 def test_access_log_to_demand_file_changes_no_request(tmp_path: Path, requests: list[Request]) -> None:
-    requests = [msgspec.structs.replace(each, at_ns=each.at_ns // 1000 * 1000) for each in in_order(requests)]
+    requests = [
+        msgspec.structs.replace(each, at_ns=each.at_ns // 1000 * 1000) for each in sort_by_time(requests)
+    ]
     data = b"".join(map(synthetic.log_line, requests))
-    again, report = built(tmp_path, data, How(log_format=synthetic.EXACT))
+    again, report = build_demand(tmp_path, data, How(log_format=synthetic.EXACT))
     assert not report.left_out
     order = ("user-agent", *synthetic.LOGGED)
     for each, read in zip(requests, again, strict=True):
-        had = sorted(
+        headers = sorted(
             (("User-Agent", "market/1.0"), *each.headers), key=lambda pair: order.index(pair[0].lower())
         )
-        assert read == msgspec.structs.replace(each, headers=tuple(had))
+        assert read == msgspec.structs.replace(each, headers=tuple(headers))
 
 
 @settings(max_examples=60, deadline=None, suppress_health_check=[HealthCheck.function_scoped_fixture])
-@given(st.lists(a_request(), max_size=6), st.randoms(use_true_random=False))
+@given(st.lists(request_strategy(), max_size=6), st.randoms(use_true_random=False))
 def test_a_demand_file_gives_back_what_was_written_and_any_span(
     tmp_path: Path, requests: list[Request], rng: random.Random
 ) -> None:
-    requests = in_order(requests)
+    requests = sort_by_time(requests)
     write(tmp_path / "d", requests, {"by": "test"}, {"rows": 1})
     with DemandFile(tmp_path / "d") as file:
         file.verify()
@@ -462,8 +466,8 @@
 # --- damage ---------------------------------------------------------------------------------------
 
 
-def damaged(rng: random.Random, data: bytes) -> bytes:
-    """Data cut, with bits flipped, with a stretch in another encoding or of another type."""
+def damage(rng: random.Random, data: bytes) -> bytes:
+    """Truncate data, flip bits, or insert bytes of another encoding or type."""
     out = bytearray(data)
     match rng.randrange(5):
         case 0:
@@ -508,41 +512,43 @@
 def test_damaged_sources_give_a_message_with_a_place_and_no_request_that_was_not_there(
     kind: str, tmp_path: Path
 ) -> None:
-    """150 of each of six kinds; with mappings and demand files below, 1,100.
+    """Damage each of six formats with 150 seeds; the tests below bring the total to 1,100 inputs.
 
-    Plain text has no checksum: a line that was changed may say something else now.  So each request
-    must be one that was there, or that of a line which is not as it was.
+    Plain text has no checksum, so a damaged line may parse as another request.  Each request must therefore be
+    an original request or come from a changed line.
     """
     data, how = kinds()[kind]
-    sound, _ = built(tmp_path, data, how)
+    original, _ = build_demand(tmp_path, data, how)
     plain = not data.startswith((b"\x1f", b"\x28"))
-    was = set(data.split(b"\n"))
-    told = 0
+    original_lines = set(data.split(b"\n"))
+    reported = 0
     for seed in range(150):
-        hurt = damaged(random.Random(f"{kind} {seed}"), data)
+        damaged_data = damage(random.Random(f"{kind} {seed}"), data)
         (tmp_path / "out.demand").unlink(missing_ok=True)
         try:
-            requests, report = built(tmp_path, hurt, how)
+            requests, report = build_demand(tmp_path, damaged_data, how)
         except SourceError as error:
-            told += 1
+            reported += 1
             assert str(error).startswith(f"{tmp_path / 'source'}: "), seed
             assert any(word in str(error) for word in ("byte ", "line ")), (seed, str(error))
             assert [each.name for each in tmp_path.iterdir()] == ["source"], seed
             continue
         assert report.rows == len(requests) + sum(left.count for left in report.left_out.values())
         for left in report.left_out.values():
-            told += left.count
+            reported += left.count
             assert all(": line " in place or ": entry " in place for place in left.first)
-        others = sum(request not in sound for request in requests)
-        assert others <= (sum(line not in was for line in hurt.split(b"\n")) if plain else 0), seed
-    assert told > 40
+        others = sum(request not in original for request in requests)
+        assert others <= (
+            sum(line not in original_lines for line in damaged_data.split(b"\n")) if plain else 0
+        ), seed
+    assert reported > 40
 
 
 def test_damaged_mappings_give_a_message_that_names_the_place() -> None:
     refused = 0
     for seed in range(100):
         try:
-            parse_mapping(damaged(random.Random(f"mapping {seed}"), MAPPING))
+            parse_mapping(damage(random.Random(f"mapping {seed}"), MAPPING))
         except MappingError as error:
             refused += 1
             assert str(error), seed
@@ -554,17 +560,17 @@
     write(path, synthetic.requests(synthetic.Recipe(seconds=120, burst=None), 5))
     data = path.read_bytes()
     with DemandFile(path) as file:
-        sound = list(file.requests())
+        original = list(file.requests())
         assert len(file.footer.index) > 1
     for seed in range(100):
-        hurt = damaged(random.Random(f"demand {seed}"), data)
-        path.write_bytes(hurt)
-        got: list[Request] = []
+        damaged_data = damage(random.Random(f"demand {seed}"), data)
+        path.write_bytes(damaged_data)
+        read_requests: list[Request] = []
         try:
             with DemandFile(path) as file:
-                got.extend(file.requests())
+                read_requests.extend(file.requests())
                 file.verify()
-            assert hurt == data, f"seed {seed}: damage was not told"
+            assert damaged_data == data, f"seed {seed}: damage was not told"
         except DemandError as error:
             assert str(error).startswith(f"{path}: byte "), seed
-        assert got == sound[: len(got)], seed
+        assert read_requests == original[: len(read_requests)], seed
--- a/tests/project/test_crossings_page.py
+++ b/tests/project/test_crossings_page.py
@@ -1,4 +1,4 @@
-"""docs/design/crossings.md names tests: each of them is there, and each test of crossings has a row."""
+"""Tests that docs/design/crossings.md names only existing tests, and lists every crossing test."""
 
 from __future__ import annotations
 
--- a/tests/project/test_docs.py
+++ b/tests/project/test_docs.py
@@ -1,4 +1,4 @@
-"""Pages name files that exist and log events that the program writes."""
+"""Tests that pages name only existing files and log events that the program writes."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 PAGES = sorted(
     page
     for page in (ROOT / "README.md", *(ROOT / "docs").rglob("*.md"))
-    if "incidents" not in page.parts  # these describe the code of their day
+    if "incidents" not in page.parts  # incident reports describe the code at their time
 )
 PATH = re.compile(r"`((?:brambleusher|tests|benchmarks|deploy|docs|drills)/[\w./-]+)`")
-# A path within the package, as pages of the design name it; `*` stands for several files.
+# Matches paths within the package, as in the design pages; `*` stands for several files.
 PACKAGES = sorted(path.parent.name for path in (ROOT / "brambleusher").glob("*/__init__.py"))
 INNER_PATH = re.compile(rf"`((?:{'|'.join(PACKAGES)})/[\w./*-]+)`")
 EVENT = re.compile(r'msg=(?:"([^"]+)"|([\w-]+))')
 
 
-def title(page: Path) -> str:
+def page_id(page: Path) -> str:
     return page.relative_to(ROOT).as_posix()
 
 
 @cache
 def texts_in_program() -> frozenset[str]:
-    """All string constants of the program."""
+    """Return all string constants of the program."""
     found: set[str] = set()
     for path in (ROOT / "brambleusher").rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
@@ -37,7 +37,7 @@
     return frozenset(found)
 
 
-@pytest.mark.parametrize("page", PAGES, ids=title)
+@pytest.mark.parametrize("page", PAGES, ids=page_id)
 def test_paths_named_in_a_page_exist(page: Path) -> None:
     named = PATH.findall(page.read_text(encoding="utf-8"))
     missing = [path for path in named if not (ROOT / path).exists()]
@@ -46,7 +46,7 @@
     assert not missing
 
 
-@pytest.mark.parametrize("page", PAGES, ids=title)
+@pytest.mark.parametrize("page", PAGES, ids=page_id)
 def test_log_events_named_in_a_page_are_written_by_the_program(page: Path) -> None:
     named = [quoted or bare for quoted, bare in EVENT.findall(page.read_text(encoding="utf-8"))]
     unknown = [event for event in named if event not in texts_in_program()]
--- a/tests/project/test_failures_page.py
+++ b/tests/project/test_failures_page.py
@@ -1,4 +1,4 @@
-"""docs/design/control-plane-failures.md names tests: each of them is there."""
+"""Tests that docs/design/control-plane-failures.md names only existing tests."""
 
 from __future__ import annotations
 
--- a/tests/project/test_known_red.py
+++ b/tests/project/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail is held to: none passes, none is missing, three at most."""
+"""Tests of the list of known failures: each listed test exists and fails, and at most three are listed."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize(
-    ("entry", "passes", "said"),
+    ("entry", "passes", "message"),
     [
         (
             "tests/test_it.py::test_red, a fault, issue 9",
@@ -43,7 +43,7 @@
         ("", False, "1 failed"),
     ],
 )
-def test_a_run_with_an_entry(tmp_path: Path, entry: str, passes: bool, said: str) -> None:
+def test_a_run_with_an_entry(tmp_path: Path, entry: str, passes: bool, message: str) -> None:
     tests = tmp_path / "tests"
     tests.mkdir()
     for name in ("conftest.py", "known_red.py", "__init__.py"):
@@ -56,4 +56,4 @@
         cwd=tmp_path, capture_output=True, text=True, timeout=60,
     )  # fmt: skip
     assert (done.returncode == 0) is passes, done.stdout
-    assert said in done.stdout + done.stderr
+    assert message in done.stdout + done.stderr
--- a/tests/project/test_layers.py
+++ b/tests/project/test_layers.py
@@ -1,4 +1,4 @@
-"""Layers of the whole system: an import points down only."""
+"""Tests that each layer imports only from lower layers."""
 
 from __future__ import annotations
 
@@ -45,8 +45,8 @@
 }
 
 
-def imported(path: Path) -> set[str]:
-    """Modules of this project that a file imports, at its head or within a function."""
+def imported_modules(path: Path) -> set[str]:
+    """Return the modules of this project that a file imports, also within functions."""
     names: set[str] = set()
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.Import):
@@ -58,16 +58,16 @@
 
 @pytest.mark.parametrize("layer", ALLOWED)
 def test_imports_point_down(layer: str) -> None:
-    where = ROOT / layer
-    files = sorted(where.rglob("*.py")) if where.is_dir() else [where]
+    layer_path = ROOT / layer
+    files = sorted(layer_path.rglob("*.py")) if layer_path.is_dir() else [layer_path]
     assert files
     for path in files:
-        for name in imported(path):
-            fits = any(name == allowed or name.startswith(f"{allowed}.") for allowed in ALLOWED[layer])
-            assert fits, f"{path.relative_to(ROOT)} imports {name}"
+        for name in imported_modules(path):
+            is_allowed = any(name == allowed or name.startswith(f"{allowed}.") for allowed in ALLOWED[layer])
+            assert is_allowed, f"{path.relative_to(ROOT)} imports {name}"
 
 
 def test_the_check_sees_an_import_that_points_up(tmp_path: Path) -> None:
     path = tmp_path / "module.py"
     path.write_text("def late():\n    from brambleusher.gateway.app import Gateway\n    return Gateway\n")
-    assert imported(path) == {"brambleusher.gateway.app"}
+    assert imported_modules(path) == {"brambleusher.gateway.app"}
--- a/tests/project/test_log_of_tests.py
+++ b/tests/project/test_log_of_tests.py
@@ -1,4 +1,4 @@
-"""A test that configures the log leaves no trace for the tests after it."""
+"""Tests that a test which configures logging does not affect later tests."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 def test_the_log_is_put_back() -> None:
     log = logging.getLogger("brambleusher")
     before = (list(log.handlers), log.level, log.propagate)
-    around = conftest.log_as_it_was.__wrapped__()  # type: ignore[attr-defined]
-    next(around)
+    fixture = conftest.log_as_it_was.__wrapped__()  # type: ignore[attr-defined]
+    next(fixture)
     logs.configure(level=logging.DEBUG)
     assert (list(log.handlers), log.level, log.propagate) != before
-    next(around, None)
+    next(fixture, None)
     assert (list(log.handlers), log.level, log.propagate) == before
--- a/tests/project/test_names.py
+++ b/tests/project/test_names.py
@@ -1,4 +1,4 @@
-"""House terms that were withdrawn stay off the serving path; those still to be renamed are not listed yet."""
+"""Tests that withdrawn terms do not occur in the listed sources."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
     "brambleusher/controller",
 )
 WITHDRAWN = ("submitter", "execute.?node", "machine.?list", "requeue.?notice", r"\bbells?\b", r"\bdoors?\b")
-# Counters keep the names that operators read, and a message of the simulator's wire has its own.
-KEPT = ("submitters_closed_silent", "submitters_closed", "submitters_told_to_close", '"bell"')
+# Counters keep the names that operators use, and `bell` is a message name of the simulator protocol.
+EXEMPT_NAMES = ("submitters_closed_silent", "submitters_closed", "submitters_told_to_close", '"bell"')
 
 
 def sources() -> list[Path]:
@@ -41,7 +41,7 @@
     assert len(files) > 30
     for path in files:
         text = path.read_text(encoding="utf-8")
-        for name in KEPT:
+        for name in EXEMPT_NAMES:
             text = text.replace(name, "")
         found = re.search(term, text, re.IGNORECASE)
         assert found is None, f"{path.relative_to(ROOT)}: {found and found[0]}"
--- a/tests/project/test_python_version.py
+++ b/tests/project/test_python_version.py
@@ -1,4 +1,4 @@
-"""An interpreter that is too old is refused with one line."""
+"""Tests that an unsupported interpreter is rejected with a one-line message."""
 
 from __future__ import annotations
 
--- a/tests/project/test_seam.py
+++ b/tests/project/test_seam.py
@@ -1,4 +1,4 @@
-"""Nothing reaches the machine but through the seam: a call past it would be real in a virtual world."""
+"""Tests that only the operating system layer uses real time, sockets and threads."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 ROOT = Path(brambleusher.__file__).parent
 FORBIDDEN = {"time", "select", "selectors", "socket", "threading", "subprocess", "asyncio"}
-# The real implementation, and programs of their own that never run in a virtual world.
+# The real implementation, and programs that never run in a virtual world.
 OUTSIDE = (
     "runtime/operating_system.py", "runtime/sinks.py", "xds/", "cli/", "lab/control/xds_", "lab/processes/",
     "lab/soak/", "load/processes.py",
@@ -19,11 +19,11 @@
     "lab/processes/parent.py",
     "lab/soak/plan.py",
     "lab/soak/checks.py",
-)  # all the same
+)  # exceptions within `OUTSIDE`, which are checked too
 
 
-def imported(source: str) -> set[str]:
-    """The top-level modules that a source imports, wherever it does."""
+def imported_modules(source: str) -> set[str]:
+    """Return the top-level modules that a source imports, also within functions."""
     names: set[str] = set()
     for node in ast.walk(ast.parse(source)):
         if isinstance(node, ast.Import):
@@ -34,17 +34,20 @@
 
 
 def test_only_the_real_implementation_touches_the_machine() -> None:
-    seen, breaches = 0, []
+    seen, violations = 0, []
     for path in sorted(ROOT.rglob("*.py")):
-        where = path.relative_to(ROOT).as_posix()
-        if where.startswith(OUTSIDE) and where not in INSIDE:
+        relative_path = path.relative_to(ROOT).as_posix()
+        if relative_path.startswith(OUTSIDE) and relative_path not in INSIDE:
             continue
         seen += 1
-        breaches += [f"{where} imports {name}" for name in sorted(imported(path.read_text()) & FORBIDDEN)]
+        violations += [
+            f"{relative_path} imports {name}"
+            for name in sorted(imported_modules(path.read_text()) & FORBIDDEN)
+        ]
     assert seen > 20
-    assert not breaches
+    assert not violations
 
 
 def test_the_scan_sees_an_import_within_a_function() -> None:
-    assert "time" in imported("def f():\n    from time import monotonic\n    return monotonic()\n")
-    assert "socket" in imported("import socket as s\n")
+    assert "time" in imported_modules("def f():\n    from time import monotonic\n    return monotonic()\n")
+    assert "socket" in imported_modules("import socket as s\n")
--- a/tests/project/test_system_packages.py
+++ b/tests/project/test_system_packages.py
@@ -1,4 +1,4 @@
-"""The check of the system packages that the deploy files list, with a package database of its own."""
+"""Tests of .ci/system_packages.py with a simulated package database."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def load() -> ModuleType:
-    """Import the check, which stands beside the package."""
+    """Import the check, which is not part of the package."""
     spec = importlib.util.spec_from_file_location("system_packages", ROOT / ".ci" / "system_packages.py")
     assert spec is not None
     assert spec.loader is not None
@@ -27,7 +27,7 @@
 
 
 class Database:
-    """Files and their packages."""
+    """A package database with fixed contents."""
 
     def owner(self, path: str) -> str | None:
         return {"/usr/bin/git": "git", "/usr/bin/test": "coreutils", "/lib/libz.so": "zlib1g"}.get(path)
--- a/tests/project/test_waits_page.py
+++ b/tests/project/test_waits_page.py
@@ -1,4 +1,4 @@
-"""docs/design/waits.md lists every place where a task waits."""
+"""Tests that docs/design/waits.md lists every place where a task waits."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
     "http_server",
     "streams",
     "disconnect_watch",
-)  # of `runtime`
+)  # modules of `runtime` whose waits are listed
 WAITS = frozenset({"park", "receive", "sleep", "yield_now", "yield_until_idle"})
 ROW = re.compile(r"^\| `([\w/]+\.py)` `([\w.]+)` \|", re.MULTILINE)
 
 
 def is_wait(call: ast.Call) -> bool:
-    """Whether a call may park a task: the scheduler's and the streams' methods, by name."""
+    """Return whether a call may park a task, by the method names of scheduler and streams."""
     called = call.func
     if not isinstance(called, ast.Attribute):
         return False
@@ -46,7 +46,7 @@
 
 
 def waits_of(path: Path) -> set[tuple[str, str]]:
-    """Where a module waits: its path and the function."""
+    """Return the waits of a module, each as its path and the qualified function name."""
     found: set[tuple[str, str]] = set()
 
     def visit(node: ast.AST, names: list[str]) -> None:
@@ -63,7 +63,7 @@
 
 
 def sources() -> Iterator[Path]:
-    """The modules whose waits are listed."""
+    """Yield the modules whose waits are listed."""
     for package in PACKAGES:
         yield from sorted((ROOT / "brambleusher" / package).rglob("*.py"))
     for module in MODULES:
