--- a/tests/load/test_load_sources.py
+++ b/tests/load/test_load_sources.py
@@ -514,8 +514,8 @@
 ) -> None:
     """Damage each of six formats with 150 seeds; the tests below bring the total to 1,100 inputs.
 
-    Plain text has no checksum, so a damaged line may parse as another request.  Each request must therefore be
-    an original request or come from a changed line.
+    Plain text has no checksum, so a damaged line may parse as another request.  Each request must therefore
+    be an original request or come from a changed line.
     """
     data, how = kinds()[kind]
     original, _ = build_demand(tmp_path, data, how)
