--- a/brambleusher/load/access_log.py
+++ b/brambleusher/load/access_log.py
@@ -29,7 +29,7 @@
 _SUBSECOND_FIELDS = ("milliepoch", "microepoch", "msec_frac", "usec_frac")
 
 
-class Line:
+class LogLineParser:
     """Parses lines of one `LogFormat` as the library does, but without building its entry objects.
 
     The library builds a case-insensitive dictionary of headers for every line, which takes twice as long as
@@ -82,7 +82,7 @@
     def __init__(self, log_format: str, zone: tzinfo | None = None) -> None:
         """Compile the format; raises `ValueError` if it is invalid."""
         try:
-            self._parse = Line(FORMATS.get(log_format, log_format)).parse
+            self._parse = LogLineParser(FORMATS.get(log_format, log_format)).parse
         except (apachelogs.InvalidDirectiveError, apachelogs.UnknownDirectiveError) as error:
             raise ValueError(f"invalid LogFormat: {error}") from None
         except re.error as error:
--- a/tests/load/test_load_sources.py
+++ b/tests/load/test_load_sources.py
@@ -19,7 +19,7 @@
 from hypothesis import strategies as st
 
 from brambleusher.load import har, synthetic
-from brambleusher.load.access_log import FORMATS, Line
+from brambleusher.load.access_log import FORMATS, LogLineParser
 from brambleusher.load.build import Plan, build
 from brambleusher.load.demand import DemandError, DemandFile, write
 from brambleusher.load.mapping import Mapping, MappingError, parse_mapping
@@ -196,7 +196,7 @@
     lines += [line.replace('"-"', '"\\x09\\"\\\\"', 1) for line in lines]
     compared = 0
     for log_format in formats:
-        library, parser = apachelogs.LogParser(log_format), Line(log_format)
+        library, parser = apachelogs.LogParser(log_format), LogLineParser(log_format)
         for text in lines * 2:
             try:
                 entry = library.parse(text)
