--- a/brambleusher/load/player.py
+++ b/brambleusher/load/player.py
@@ -11,7 +11,7 @@
 
 from brambleusher.load.pacing import Due, Pace
 from brambleusher.load.results import Outcome
-from brambleusher.load.wording import AnswerError, AnswerReader, worded
+from brambleusher.load.wording import ResponseFormatError, ResponseReader, encode_replayed_request
 from brambleusher.runtime.scheduler import Scheduler, Task, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
 from brambleusher.runtime.system import Address
@@ -39,7 +39,7 @@
     __slots__ = ("reader", "stream")
 
     def __init__(self, stream: Stream) -> None:
-        self.stream, self.reader = stream, AnswerReader()
+        self.stream, self.reader = stream, ResponseReader()
 
 
 class Player:
@@ -116,7 +116,7 @@
         # The deadline counts from the due time: a late player must not extend the time-out of the client.
         deadline = (self._start_ns + due.at_ns) / 1e9 + timeout_ms / 1e3
         target = play.targets[due.number % len(play.targets)]
-        data = worded(request, self.name_of(play.seed, due.number), timeout_ms, play.methods)
+        data = encode_replayed_request(request, self.name_of(play.seed, due.number), timeout_ms, play.methods)
         try:
             end, status = self._exchange(target, data, deadline)
         finally:
@@ -152,7 +152,7 @@
                         return self._end_of_status(reader.status)
             except TaskTimeoutError:
                 return "timed out", 0
-            except AnswerError:
+            except ResponseFormatError:
                 return "failed", reader.status
             except OSError:
                 # The server closed the idle connection as the request was sent; the protocol sends it again.
--- a/brambleusher/load/wording.py
+++ b/brambleusher/load/wording.py
@@ -32,7 +32,9 @@
     return (FILLER * (request.size // len(FILLER) + 1))[: request.size]
 
 
-def worded(request: Request, name: str, timeout_ms: int, methods: Mapping[str, str] | None = None) -> bytes:
+def encode_replayed_request(
+    request: Request, name: str, timeout_ms: int, methods: Mapping[str, str] | None = None
+) -> bytes:
     """Encode a request as bytes.
 
     `name` is the request id, which must be unique.  `methods` gives the method by class; for a class without
@@ -65,11 +67,11 @@
     return "\r\n".join(lines).encode("latin-1") + body
 
 
-class AnswerError(ValueError):
+class ResponseFormatError(ValueError):
     """A response can't be parsed."""
 
 
-class AnswerReader:
+class ResponseReader:
     """Finds the end of each response on a connection; stores only the status."""
 
     def __init__(self) -> None:
@@ -79,7 +81,7 @@
         self._remaining = -1  # body bytes; -1: in the head, -2: in chunks, -3: until the end
 
     def feed(self, data: bytes) -> bool:
-        """Process received bytes; returns True once a response is complete.  Raises `AnswerError`."""
+        """Process received bytes; returns True once a response is complete.  Raises `ResponseFormatError`."""
         self._buffer += data
         buffer = self._buffer
         if self._remaining == -1 and not self._read_head():
@@ -105,13 +107,13 @@
             end = self._buffer.find(b"\r\n\r\n")
             if end < 0:
                 if len(self._buffer) > 4 * MAX_HEAD:
-                    raise AnswerError("the head is too long")
+                    raise ResponseFormatError("the head is too long")
                 return False
             lines = bytes(self._buffer[:end]).split(b"\r\n")
             del self._buffer[: end + 4]
             start = lines[0].split(b" ", 2)
             if len(start) < 2 or not start[0].startswith(b"HTTP/1.") or not start[1].isdigit():
-                raise AnswerError("bad status line")
+                raise ResponseFormatError("bad status line")
             self.status = int(start[1])
             if self.status >= 200:
                 break
@@ -121,7 +123,7 @@
             lower_name = name.lower()
             if lower_name == b"content-length":
                 if not value.strip().isdigit():
-                    raise AnswerError("bad content length")
+                    raise ResponseFormatError("bad content length")
                 self._remaining = int(value)
             elif lower_name == b"transfer-encoding" and value.strip().lower() == b"chunked":
                 self._remaining = -2
@@ -137,7 +139,7 @@
             try:
                 size = int(bytes(buffer[:end]).split(b";")[0], 16)
             except ValueError:
-                raise AnswerError("bad chunk size") from None
+                raise ResponseFormatError("bad chunk size") from None
             if len(buffer) < end + 2 + size + 2:
                 return False
             del buffer[: end + 2 + size + 2]
--- a/tests/load/test_load_play.py
+++ b/tests/load/test_load_play.py
@@ -19,7 +19,7 @@
 from brambleusher.load.results import Outcome, Results
 from brambleusher.load.summary import MOST_BINS, Summary
 from brambleusher.load.times import SECOND
-from brambleusher.load.wording import AnswerError, AnswerReader, target_of, worded
+from brambleusher.load.wording import ResponseFormatError, ResponseReader, encode_replayed_request, target_of
 from brambleusher.net.http import MessageReader, write_response
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.streams import Stream
@@ -63,7 +63,7 @@
         headers=(("Host", "old"), (":path", "/"), ("X-A", "b"), ("Request-Id", "old"), ("Big", "x" * 99_999)),
     )  # fmt: skip
     reader = MessageReader.requests()
-    reader.feed(worded(request, "id1", 900))
+    reader.feed(encode_replayed_request(request, "id1", 900))
     message = reader.take()
     assert message is not None and not reader.buffered
     assert message.start == ("POST", "/look?a=1") and message.body == b"bra"
@@ -71,7 +71,9 @@
         "host": "api.internal", "request-id": "id1", "request-class": "look", "request-timeout-ms": "900",
         "tenant": "peach", "work-hint": "7", "client-retry": "1", "content-length": "3", "x-a": "b",
     }  # fmt: skip
-    assert worded(request, "id1", 900, {"look": "GET"}).startswith(b"GET /look?a=1 HTTP/1.1\r\n")
+    assert encode_replayed_request(request, "id1", 900, {"look": "GET"}).startswith(
+        b"GET /look?a=1 HTTP/1.1\r\n"
+    )
 
 
 ANSWERS = [
@@ -85,16 +87,16 @@
 @pytest.mark.parametrize("step", [1, 7, 4096])
 def test_answers_are_found_however_they_are_cut(step: int) -> None:
     for data, status, keep in ANSWERS:
-        reader = AnswerReader()
+        reader = ResponseReader()
         for _ in range(2):  # the second response arrives on the same connection
             ends = [reader.feed(data[at : at + step]) for at in range(0, len(data), step)]
             assert ends == [False] * (len(ends) - 1) + [True]
             assert (reader.status, reader.keep) == (status, keep)
-    reader = AnswerReader()
+    reader = ResponseReader()
     assert not reader.feed(b"HTTP/1.1 200 OK\r\n\r\nwithout end") and reader.end()
     for bad in (b"nonsense\r\n\r\n", b"HTTP/1.1 200\r\nContent-Length: -1\r\n\r\n", b"x" * 99_999):
-        with pytest.raises(AnswerError):
-            AnswerReader().feed(bad)
+        with pytest.raises(ResponseFormatError):
+            ResponseReader().feed(bad)
 
 
 def test_results_of_processes_come_out_as_one() -> None:
