--- a/brambleusher/cli/load.py
+++ b/brambleusher/cli/load.py
@@ -18,7 +18,7 @@
 from brambleusher.cli.ranges import DURATION_S, FACTOR, MAX_FACTOR, SPEED
 from brambleusher.load import demand, shape, synthetic
 from brambleusher.load.build import Plan, build
-from brambleusher.load.demand import DemandError, DemandFile, beside
+from brambleusher.load.demand import DemandError, DemandFile, atomic_write
 from brambleusher.load.mapping import Mapping as RowMapping
 from brambleusher.load.mapping import MappingError, read_mapping
 from brambleusher.load.opening import Progress, size_of
@@ -297,7 +297,11 @@
     from brambleusher.load.har import write
 
     check_not_overwritten(out, file)
-    with DemandFile(file) as source, beside(out) as unfinished, unfinished.open("w", encoding="utf-8") as har:
+    with (
+        DemandFile(file) as source,
+        atomic_write(out) as unfinished,
+        unfinished.open("w", encoding="utf-8") as har,
+    ):
         print(f"{write(source.requests(), har, __version__):,} requests")
     return 0
 
@@ -324,11 +328,11 @@
     elif form == "har":
         from brambleusher.load.har import write
 
-        with beside(out) as unfinished, unfinished.open("w", encoding="utf-8") as har:
+        with atomic_write(out) as unfinished, unfinished.open("w", encoding="utf-8") as har:
             count = write(made, har, __version__)
     else:
         count = 0
-        with beside(out) as unfinished, unfinished.open("wb") as log:
+        with atomic_write(out) as unfinished, unfinished.open("wb") as log:
             for request in made:
                 if form == "access":
                     log.write(synthetic.log_line(request, has_full_seconds))
--- a/brambleusher/load/demand.py
+++ b/brambleusher/load/demand.py
@@ -69,7 +69,7 @@
     report: dict[str, Any] = {}  # counts of rejected rows by reason, and of notes
 
 
-def part_of(path: Path) -> Path:
+def temporary_path_for(path: Path) -> Path:
     """Return the path of a temporary file next to `path`; raises `DemandError` without a directory."""
     if path.is_dir():
         raise DemandError(f"{path}: Is a directory")
@@ -79,9 +79,9 @@
 
 
 @contextmanager
-def beside(path: Path) -> Iterator[Path]:
+def atomic_write(path: Path) -> Iterator[Path]:
     """Yield a temporary path that replaces `path` on success and is deleted on failure."""
-    temporary = part_of(path)
+    temporary = temporary_path_for(path)
     try:
         yield temporary
         os.replace(temporary, path)
@@ -94,7 +94,7 @@
 
     def __init__(self, path: str | Path, made: dict[str, Any] | None = None) -> None:
         self.path, self._made = Path(path), made or {}
-        self._temporary_path = part_of(self.path)
+        self._temporary_path = temporary_path_for(self.path)
         try:
             self._file = open(self._temporary_path, "wb")  # noqa: SIM115
         except OSError as error:
