--- a/brambleusher/load/har.py
+++ b/brambleusher/load/har.py
@@ -44,7 +44,7 @@
     other_encoding: str | None = msgspec.field(default=None, name="_encoding")
 
 
-class Asked(msgspec.Struct):
+class EntryRequest(msgspec.Struct):
     """Request of a HAR entry."""
 
     method: str
@@ -54,7 +54,7 @@
     bodySize: Any = -1
 
 
-class Answered(msgspec.Struct):
+class EntryResponse(msgspec.Struct):
     """Response of a HAR entry, limited to the status."""
 
     status: Any = 0
@@ -63,15 +63,15 @@
 class Entry(msgspec.Struct):
     """An element of `log.entries`."""
 
-    request: Asked
-    response: Answered | None = None
+    request: EntryRequest
+    response: EntryResponse | None = None
     startedDateTime: str | None = None
     time: Any = None
     from_cache: Any = msgspec.field(default=None, name="_fromCache")
     served_from_cache: Any = msgspec.field(default=None, name="_servedFromCache")
 
 
-class Entries:
+class EntryScanner:
     """Extracts the elements of `log.entries` from a JSON text that is read in chunks.
 
     The extraction looks only at brackets and strings.  The JSON library parses each entry separately, so an
@@ -188,7 +188,7 @@
 def rows(file: io.BufferedReader, name: str) -> Iterator[Row | tuple[int, LeftOut]]:
     """Yield each entry as a row, or its number with the reason for its rejection; raises `SourceError`."""
     decode = msgspec.json.Decoder(Entry).decode
-    for number, text in enumerate(Entries(file, name), 1):
+    for number, text in enumerate(EntryScanner(file, name), 1):
         try:
             try:
                 entry = decode(text)
@@ -221,7 +221,7 @@
     )  # fmt: skip
 
 
-def _body(request: Asked, headers: dict[str, str]) -> tuple[bytes | None, int | None]:
+def _body(request: EntryRequest, headers: dict[str, str]) -> tuple[bytes | None, int | None]:
     """Return the body and its size, each None if the entry does not give it."""
     stated_size = request.bodySize
     size = int(stated_size) if type(stated_size) in (int, float) and 0 <= stated_size < 2**53 else None
