--- a/brambleusher/load/har.py
+++ b/brambleusher/load/har.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from brambleusher.load.access_log import split_url
-from brambleusher.load.json_lines import encoded, joined, not_text
+from brambleusher.load.json_lines import encode_text, is_invalid_utf8, join_headers
 from brambleusher.load.request import LeftOut, Request, Row, SourceError
 from brambleusher.load.times import from_text, to_text
 
@@ -193,7 +193,7 @@
             try:
                 entry = decode(text)
             except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-                raise LeftOut("encoding" if not_text(text) else "unreadable", str(error)) from None
+                raise LeftOut("encoding" if is_invalid_utf8(text) else "unreadable", str(error)) from None
             yield row(number, entry)
         except LeftOut as why:
             yield number, why
@@ -211,7 +211,7 @@
     at_ns, in_seconds, leap = from_text(entry.startedDateTime)
     origin, target = split_url(entry.request.url)
     fields = tuple((pair.name, pair.value) for pair in entry.request.headers)
-    headers = joined(fields)
+    headers = join_headers(fields)
     body, size = _body(entry.request, headers)
     took = entry.time
     took_ns = round(took * 1e6) if type(took) in (int, float) and 0 <= took < 1e12 else None
@@ -241,7 +241,7 @@
         elif encoding:
             raise LeftOut("body-not-kept", f"postData is encoded as {encoding[:40]}")
         else:
-            body = encoded(post_data.text)
+            body = encode_text(post_data.text)
     elif post_data.params:
         if not post_data.mimeType.startswith("application/x-www-form-urlencoded") or size is None:
             raise LeftOut("body-not-kept", "postData has parameters and no text")
--- a/brambleusher/load/json_lines.py
+++ b/brambleusher/load/json_lines.py
@@ -12,7 +12,7 @@
 from brambleusher.load.times import from_number, from_text
 
 
-class Names(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class FieldNames(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """Names of the log fields; a dot separates the keys of nested objects.  A missing field has no value."""
 
     time: str = "time"
@@ -27,7 +27,7 @@
     size: str = "size"  # size of the request body in bytes
 
 
-def found(record: Any, name: str) -> Any:
+def lookup_field(record: Any, name: str) -> Any:
     """Return a field or None; a dotted name is looked up as one key first, then as a path."""
     if isinstance(record, dict) and name in record:
         return record[name]
@@ -41,8 +41,8 @@
 class JsonLines:
     """Converts lines to rows; `unit` is the unit of numeric times: `s`, `ms`, `us` or `ns`."""
 
-    def __init__(self, names: Names | None = None, unit: str = "s", zone: tzinfo | None = None) -> None:
-        self._names, self._unit, self._zone = names or Names(), unit, zone
+    def __init__(self, names: FieldNames | None = None, unit: str = "s", zone: tzinfo | None = None) -> None:
+        self._names, self._unit, self._zone = names or FieldNames(), unit, zone
         self._decode = msgspec.json.Decoder().decode
 
     def row(self, number: int, line: bytes) -> Row:
@@ -50,32 +50,32 @@
         try:
             record = self._decode(line)
         except (msgspec.DecodeError, RecursionError, ValueError) as error:
-            raise LeftOut("encoding" if not_text(line) else "unreadable", str(error)) from None
+            raise LeftOut("encoding" if is_invalid_utf8(line) else "unreadable", str(error)) from None
         if not isinstance(record, dict):
             raise LeftOut("unreadable", "not an object")
         names = self._names
-        at_ns, has_full_seconds, leap = self._time(found(record, names.time))
-        method = found(record, names.method)
+        at_ns, has_full_seconds, leap = self._time(lookup_field(record, names.time))
+        method = lookup_field(record, names.method)
         if not isinstance(method, str):
             raise LeftOut("no-request", f"{names.method} is missing or no string")
-        url = found(record, names.url)
+        url = lookup_field(record, names.url)
         if url is None:
-            url, query = found(record, names.path), found(record, names.query)
+            url, query = lookup_field(record, names.path), lookup_field(record, names.query)
             if isinstance(url, str) and isinstance(query, str) and query:
                 url = f"{url}{query}" if query.startswith("?") else f"{url}?{query}"
         if not isinstance(url, str):
             raise LeftOut("no-request", f"{names.url} or {names.path} is missing or no string")
         origin, target = split_url(url)
-        fields = _headers(found(record, names.headers))
-        body, size = found(record, names.body), found(record, names.size)
+        fields = _headers(lookup_field(record, names.headers))
+        body, size = lookup_field(record, names.body), lookup_field(record, names.size)
         if body is not None and not isinstance(body, str):
             raise LeftOut("body-not-kept", f"{names.body} is no string")
         if size is not None and (type(size) is not int or size < 0):
             raise LeftOut("bad-size", f"{names.size} is {size!r}")
-        status, took_ms = found(record, names.status), found(record, names.took_ms)
+        status, took_ms = lookup_field(record, names.status), lookup_field(record, names.took_ms)
         return Row(
-            number, at_ns, has_full_seconds, method, target, joined(fields), fields,
-            None if body is None else encoded(body), size, origin,
+            number, at_ns, has_full_seconds, method, target, join_headers(fields), fields,
+            None if body is None else encode_text(body), size, origin,
             status if type(status) is int else _status(status),
             round(took_ms * 1e6) if isinstance(took_ms, int | float) and 0 <= took_ms < 1e12 else None,
             record, leap=leap,
@@ -91,7 +91,7 @@
         return *from_number(value, self._unit), False
 
 
-def encoded(text: str) -> bytes:
+def encode_text(text: str) -> bytes:
     """Encode a string as UTF-8; raises `LeftOut` if it has a lone surrogate."""
     try:
         return text.encode()
@@ -99,7 +99,7 @@
         raise LeftOut("encoding") from None
 
 
-def joined(fields: tuple[tuple[str, str], ...]) -> dict[str, str]:
+def join_headers(fields: tuple[tuple[str, str], ...]) -> dict[str, str]:
     """Return headers by lower-case name, with the values of repeated headers joined."""
     headers: dict[str, str] = {}
     for name, value in fields:
@@ -108,7 +108,7 @@
     return headers
 
 
-def not_text(line: bytes) -> bool:
+def is_invalid_utf8(line: bytes) -> bool:
     """Return whether the bytes are not valid UTF-8."""
     try:
         line.decode()
--- a/brambleusher/load/mapping.py
+++ b/brambleusher/load/mapping.py
@@ -12,7 +12,7 @@
 import msgspec
 import yaml
 
-from brambleusher.load.json_lines import Names, found
+from brambleusher.load.json_lines import FieldNames, lookup_field
 from brambleusher.load.request import (
     BODILESS,
     MAX_BODY,
@@ -89,7 +89,7 @@
 
     version: int = 1
     time: Times = Times()
-    fields: Names = Names()
+    fields: FieldNames = FieldNames()
     classes: list[Rule] | None = None
     tenant: Take | None = None
     hint_us: Take | None = None
@@ -340,7 +340,7 @@
         field = take.field
 
         def from_field(row: Row, path: str, query: str) -> str | None:
-            value = row.named.get(field) if field.startswith("%") else found(row.named, field)
+            value = row.named.get(field) if field.startswith("%") else lookup_field(row.named, field)
             return None if value is None or isinstance(value, dict | list) else _text(value)
 
         return from_field
