--- a/brambleusher/load/mapping.py
+++ b/brambleusher/load/mapping.py
@@ -38,14 +38,14 @@
     """A mapping is invalid; the message names the key."""
 
 
-class Times(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class TimeSettings(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """Zone and unit of times for which the source states neither."""
 
     zone: str | None = None
     unit: str = "s"
 
 
-class Take(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class ValueSource(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """Origin of a value: `header`, `query`, `path` or `field`, or only a `default`."""
 
     header: str | None = None
@@ -58,20 +58,20 @@
     default: Scalar | None = None
 
 
-class Retry(Take, forbid_unknown_fields=True, frozen=True):
+class RetrySource(ValueSource, forbid_unknown_fields=True, frozen=True):
     """Origin of the retry flag, which is set by any value or only by the values in `equals`."""
 
     equals: list[Scalar] | None = None
 
 
-class Send(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class SendOverrides(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """Method and path that replace those of the requests that match a rule."""
 
     method: str | None = None
     path: str | None = None
 
 
-class Rule(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class ClassRule(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """A rule that assigns a class to matching rows or rejects them; all given conditions must hold."""
 
     name: str | None = msgspec.field(default=None, name="class")
@@ -81,22 +81,22 @@
     query: dict[str, str] = {}
     headers: dict[str, str] = {}
     status: Scalar | list[Scalar] | None = None
-    send: Send = Send()
+    send: SendOverrides = SendOverrides()
 
 
 class Mapping(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """Content of a mapping file."""
 
     version: int = 1
-    time: Times = Times()
+    time: TimeSettings = TimeSettings()
     fields: FieldNames = FieldNames()
-    classes: list[Rule] | None = None
-    tenant: Take | None = None
-    hint_us: Take | None = None
-    timeout_ms: Take | None = None
-    key: Take | None = None
-    retry: Retry | None = None
-    size: Take | None = None
+    classes: list[ClassRule] | None = None
+    tenant: ValueSource | None = None
+    hint_us: ValueSource | None = None
+    timeout_ms: ValueSource | None = None
+    key: ValueSource | None = None
+    retry: RetrySource | None = None
+    size: ValueSource | None = None
     tenants: list[str] | None = None
     only: list[str] | None = None  # accepted classes; rows of other classes are rejected
 
@@ -125,11 +125,11 @@
         mapping = msgspec.convert({} if raw is None else raw, Mapping)
     except (msgspec.ValidationError, RecursionError) as error:
         raise MappingError(str(error)) from None
-    Reader(mapping)  # validates the constraints that the types do not express
+    RowConverter(mapping)  # validates the constraints that the types do not express
     return mapping
 
 
-class Reader:
+class RowConverter:
     """Converts rows to requests according to a mapping."""
 
     def __init__(self, mapping: Mapping | None = None) -> None:
@@ -146,14 +146,16 @@
         if mapping.classes is not None and not mapping.classes:
             raise MappingError("classes is empty")
         self._rules = [_CompiledRule(rule, f"classes[{at}]") for at, rule in enumerate(mapping.classes or [])]
-        self._tenant = _value_extractor(mapping.tenant, "tenant", Take(header="Tenant"))
-        self._hint = _value_extractor(mapping.hint_us, "hint_us", Take(header="Work-Hint"))
-        self._timeout = _value_extractor(mapping.timeout_ms, "timeout_ms", Take(header="Request-Timeout-Ms"))
-        self._key = _value_extractor(mapping.key, "key", Take(header="Request-Id"))
-        retry = mapping.retry or Retry(header="Client-Retry", equals=["1"])
+        self._tenant = _value_extractor(mapping.tenant, "tenant", ValueSource(header="Tenant"))
+        self._hint = _value_extractor(mapping.hint_us, "hint_us", ValueSource(header="Work-Hint"))
+        self._timeout = _value_extractor(
+            mapping.timeout_ms, "timeout_ms", ValueSource(header="Request-Timeout-Ms")
+        )
+        self._key = _value_extractor(mapping.key, "key", ValueSource(header="Request-Id"))
+        retry = mapping.retry or RetrySource(header="Client-Retry", equals=["1"])
         self._retry = _value_extractor(retry, "retry", retry)
         self._retry_values = None if retry.equals is None else {_text(each) for each in retry.equals}
-        self._size = _value_extractor(mapping.size, "size", Take(header="Content-Length"))
+        self._size = _value_extractor(mapping.size, "size", ValueSource(header="Content-Length"))
         self._valid_names: set[str] = set()  # cache of valid header names
         self._stated_size = mapping.size is not None
         self._tenants = None if mapping.tenants is None else frozenset(mapping.tenants)
@@ -211,7 +213,7 @@
         if head > MAX_HEAD:
             raise LeftOut("bad-header", f"{head} bytes of headers")
 
-    def _match_rule(self, row: Row, path: str, query: str) -> tuple[str, Send]:
+    def _match_rule(self, row: Row, path: str, query: str) -> tuple[str, SendOverrides]:
         for rule in self._rules:
             if rule.matches(row, path, query):
                 if rule.leave_out is not None:
@@ -242,7 +244,7 @@
 class _CompiledRule:
     """A rule with compiled patterns."""
 
-    def __init__(self, rule: Rule, where: str) -> None:
+    def __init__(self, rule: ClassRule, where: str) -> None:
         if (rule.name is None) == (rule.leave_out is None):
             raise MappingError(f"{where} has neither or both of class and leave_out")
         if rule.name is not None and not TOKEN.match(rule.name):
@@ -286,7 +288,9 @@
         return True
 
 
-def _value_extractor(take: Take | None, where: str, fallback: Take) -> Callable[[Row, str, str], str | None]:
+def _value_extractor(
+    take: ValueSource | None, where: str, fallback: ValueSource
+) -> Callable[[Row, str, str], str | None]:
     """Return a function that extracts a value from a row as text, or None if the value is missing."""
     take = take or fallback
     origins = [name for name in ("header", "query", "path", "field") if getattr(take, name) is not None]
@@ -316,7 +320,7 @@
     return extract
 
 
-def _raw_value_getter(take: Take, where: str) -> Callable[[Row, str, str], str | None]:
+def _raw_value_getter(take: ValueSource, where: str) -> Callable[[Row, str, str], str | None]:
     if take.header is not None:
         name = take.header.lower()
         return lambda row, path, query: row.headers.get(name)
--- a/brambleusher/load/parallel.py
+++ b/brambleusher/load/parallel.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from brambleusher.load.mapping import Reader
+from brambleusher.load.mapping import RowConverter
 from brambleusher.load.opening import Progress, lines, open_source
 from brambleusher.load.ordering import Timed
 from brambleusher.load.report import Report
@@ -39,7 +39,7 @@
 
     def __init__(self, how: How, form: str) -> None:
         self._reader: LineReader = how.line_reader(form)
-        self._request = Reader(how.mapping).request
+        self._request = RowConverter(how.mapping).request
 
     def parse(self, batch: Batch) -> bytes:
         """Parse a batch and return the result as MessagePack."""
--- a/brambleusher/load/sources.py
+++ b/brambleusher/load/sources.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Protocol
 
-from brambleusher.load.mapping import Mapping, Reader
+from brambleusher.load.mapping import Mapping, RowConverter
 from brambleusher.load.opening import Progress, lines, open_source
 from brambleusher.load.ordering import Timed
 from brambleusher.load.report import Report
@@ -36,7 +36,7 @@
 
     def line_reader(self, form: str) -> LineReader:
         """Return the line reader of a format; raises `SourceError`."""
-        reader = Reader(self.mapping)
+        reader = RowConverter(self.mapping)
         if form == "access":
             from brambleusher.load.access_log import FORMATS, AccessLog
 
@@ -104,7 +104,7 @@
     path: Path, form: str, how: How, report: Report, progress: Progress | None = None
 ) -> Iterator[Timed]:
     """Yield the requests of a file in file order; rejected rows go to the report."""
-    convert = Reader(how.mapping).request
+    convert = RowConverter(how.mapping).request
     unit = "entry" if form == "har" else "line"
     for row in rows(path, form, how, progress):
         report.rows += 1
