--- a/brambleusher/cli/load.py
+++ b/brambleusher/cli/load.py
@@ -21,7 +21,7 @@
 from brambleusher.load.demand import DemandError, DemandFile, atomic_write
 from brambleusher.load.mapping import Mapping as RowMapping
 from brambleusher.load.mapping import MappingError, read_mapping
-from brambleusher.load.opening import Progress, size_of
+from brambleusher.load.opening import Progress, file_size
 from brambleusher.load.ordering import SPREADS
 from brambleusher.load.report import texts
 from brambleusher.load.request import Request, SourceError
@@ -116,7 +116,7 @@
     plan = Plan(
         sources, How(rules, form, log_format), round(window * SECOND), spread, seed, processes,
     )  # fmt: skip
-    with progress_bar(sum(map(size_of, sources))) as progress:
+    with progress_bar(sum(map(file_size, sources))) as progress:
         report = build(plan, out, progress)
     plain = report.plain()
     if as_json:
--- a/brambleusher/load/opening.py
+++ b/brambleusher/load/opening.py
@@ -20,7 +20,7 @@
 Progress = Callable[[int], None]  # receives the number of bytes that the last read returned
 
 
-class Unpacked(io.RawIOBase):
+class DecompressedFile(io.RawIOBase):
     """Decompresses a gzip or zstd file of any number of members; truncation is an error."""
 
     def __init__(self, file: BinaryIO, name: str, new: Callable[[], Any]) -> None:
@@ -75,7 +75,7 @@
     return zstandard.ZstdDecompressor(max_window_size=MAX_ZSTD_WINDOW_BYTES).decompressobj()
 
 
-class Counted(io.RawIOBase):
+class ProgressFile(io.RawIOBase):
     """A file that reports each read to a `progress` callback."""
 
     def __init__(self, file: BinaryIO, progress: Progress) -> None:
@@ -108,15 +108,17 @@
     if first[:2] in (b"\xff\xfe", b"\xfe\xff"):
         file.close()
         raise SourceError(f"{path}: byte 0: the text is UTF-16; it must be UTF-8")
-    counted: Any = file if progress is None else io.BufferedReader(Counted(file, progress), 1 << 16)
+    counted: Any = file if progress is None else io.BufferedReader(ProgressFile(file, progress), 1 << 16)
     if first[:2] == GZIP:
-        return io.BufferedReader(Unpacked(counted, str(path), lambda: zlib.decompressobj(31)), 1 << 16)
+        return io.BufferedReader(
+            DecompressedFile(counted, str(path), lambda: zlib.decompressobj(31)), 1 << 16
+        )
     if first == ZSTD or (len(first) == 4 and 0x50 <= first[0] <= 0x5F and first[1:] == b"\x2a\x4d\x18"):
-        return io.BufferedReader(Unpacked(counted, str(path), _new_zstd_decompressor), 1 << 16)
+        return io.BufferedReader(DecompressedFile(counted, str(path), _new_zstd_decompressor), 1 << 16)
     return counted if isinstance(counted, io.BufferedReader) else io.BufferedReader(counted)
 
 
-def size_of(path: Path) -> int:
+def file_size(path: Path) -> int:
     """Return the size of a file in bytes for a progress bar, or 0 if the size is unknown."""
     try:
         return os.stat(path).st_size
