--- a/brambleusher/cli/load.py
+++ b/brambleusher/cli/load.py
@@ -25,7 +25,7 @@
 from brambleusher.load.ordering import SPREADS
 from brambleusher.load.report import texts
 from brambleusher.load.request import Request, SourceError
-from brambleusher.load.sources import FORMS, How
+from brambleusher.load.sources import FORMS, ReadOptions
 from brambleusher.load.summary import Summary, plot
 from brambleusher.load.times import SECOND
 
@@ -114,7 +114,7 @@
     check_not_overwritten(out, *sources, *([mapping] if mapping else []))
     rules = RowMapping() if mapping is None else read_mapping(mapping)
     plan = Plan(
-        sources, How(rules, form, log_format), round(window * SECOND), spread, seed, processes,
+        sources, ReadOptions(rules, form, log_format), round(window * SECOND), spread, seed, processes,
     )  # fmt: skip
     with progress_bar(sum(map(file_size, sources))) as progress:
         report = build(plan, out, progress)
--- a/brambleusher/load/build.py
+++ b/brambleusher/load/build.py
@@ -12,7 +12,7 @@
 from brambleusher.load.opening import Progress
 from brambleusher.load.ordering import Timed, Window, merge, spread
 from brambleusher.load.report import Report
-from brambleusher.load.sources import How, form_of, requests
+from brambleusher.load.sources import ReadOptions, detect_format, requests
 from brambleusher.load.times import SECOND
 
 MAX_WINDOW_ROWS = 40_000  # limit over the windows of all sources, to bound memory
@@ -24,7 +24,7 @@
     """Sources and options of a build."""
 
     sources: Sequence[Path]
-    how: How = field(default_factory=How)
+    options: ReadOptions = field(default_factory=ReadOptions)
     window_ns: int = 5 * SECOND
     spread: str = "none"
     seed: int = 1
@@ -37,8 +37,8 @@
             "sources": [
                 {"name": path.name, "form": form} for path, form in zip(self.sources, forms, strict=True)
             ],
-            "mapping": msgspec.to_builtins(self.how.mapping),
-            "log_format": self.how.log_format,
+            "mapping": msgspec.to_builtins(self.options.mapping),
+            "log_format": self.options.log_format,
             "window_s": self.window_ns / SECOND,
             "spread": self.spread,
             "seed": self.seed,
@@ -52,7 +52,7 @@
         SourceError: a source is invalid; no file is written then.
     """
     report = Report()
-    forms = [plan.how.form or form_of(path) for path in plan.sources]
+    forms = [plan.options.form or detect_format(path) for path in plan.sources]
     max_rows = max(MIN_WINDOW_ROWS, MAX_WINDOW_ROWS // max(1, len(plan.sources)))
     streams = [
         _sort(_read(plan, path, form, report, progress), Window(plan.window_ns, max_rows), report)
@@ -71,8 +71,8 @@
     if plan.processes > 1 and form in ("access", "json"):
         from brambleusher.load.parallel import requests as parallel_requests
 
-        return parallel_requests(path, form, plan.how, report, plan.processes, progress)
-    return requests(path, form, plan.how, report, progress)
+        return parallel_requests(path, form, plan.options, report, plan.processes, progress)
+    return requests(path, form, plan.options, report, progress)
 
 
 def _sort(stream: Iterator[Timed], window: Window, report: Report) -> Iterator[Timed]:
--- a/brambleusher/load/parallel.py
+++ b/brambleusher/load/parallel.py
@@ -15,7 +15,7 @@
 from brambleusher.load.ordering import Timed
 from brambleusher.load.report import Report
 from brambleusher.load.request import LeftOut, Request, SourceError
-from brambleusher.load.sources import How, LineReader, line_row, noted
+from brambleusher.load.sources import LineReader, ReadOptions, line_row, record_notes
 
 BATCH_LINES, BATCH_BYTES = 1000, 256 * 1024
 Batch = list[tuple[int, bytes | None, bool]]
@@ -37,9 +37,9 @@
 class Worker:
     """Parses batches of lines in a child process."""
 
-    def __init__(self, how: How, form: str) -> None:
-        self._reader: LineReader = how.line_reader(form)
-        self._request = RowConverter(how.mapping).request
+    def __init__(self, options: ReadOptions, form: str) -> None:
+        self._reader: LineReader = options.line_reader(form)
+        self._request = RowConverter(options.mapping).request
 
     def parse(self, batch: Batch) -> bytes:
         """Parse a batch and return the result as MessagePack."""
@@ -56,16 +56,16 @@
                 truncated = not has_line_ending and rejection.reason in ("unreadable", "encoding")
                 parsed.left.append((number, "cut-line" if truncated else rejection.reason, rejection.detail))
                 continue
-            noted(parsed.note, request, row.whole, row.leap)
+            record_notes(parsed.note, request, row.whole, row.leap)
             parsed.requests.append((number, row.whole, request))
         parsed.rows = len(parsed.requests) + len(parsed.left)
         return msgspec.msgpack.encode(parsed)
 
 
-def _serve(how: How, form: str, pipe: Connection) -> None:
+def _serve(options: ReadOptions, form: str, pipe: Connection) -> None:
     """Run a child process that parses batches until the pipe is closed."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)  # the parent process ends this process
-    worker, decode = Worker(how, form), msgspec.msgpack.Decoder(Batch).decode
+    worker, decode = Worker(options, form), msgspec.msgpack.Decoder(Batch).decode
     try:
         while True:
             pipe.send_bytes(worker.parse(decode(pipe.recv_bytes())))
@@ -74,10 +74,15 @@
 
 
 def requests(
-    path: Path, form: str, how: How, report: Report, processes: int, progress: Progress | None = None
+    path: Path,
+    form: str,
+    options: ReadOptions,
+    report: Report,
+    processes: int,
+    progress: Progress | None = None,
 ) -> Iterator[Timed]:
     """Yield the requests of a file in file order, like `sources.requests`, parsed by several processes."""
-    how.line_reader(form)  # reports invalid options once, before processes start
+    options.line_reader(form)  # reports invalid options once, before processes start
     context = multiprocessing.get_context("spawn")
     encode, decode = msgspec.msgpack.Encoder().encode, msgspec.msgpack.Decoder(Parsed).decode
     pipes: list[Connection] = []
@@ -88,7 +93,7 @@
             for batch in _batches(lines(file)):
                 if len(pipes) < processes:
                     parent_end, child_end = context.Pipe()
-                    child = context.Process(target=_serve, args=(how, form, child_end), daemon=True)
+                    child = context.Process(target=_serve, args=(options, form, child_end), daemon=True)
                     child.start()
                     child_end.close()
                     pipes.append(parent_end)
--- a/brambleusher/load/sources.py
+++ b/brambleusher/load/sources.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True)
-class How:
+class ReadOptions:
     """Options for reading sources."""
 
     mapping: Mapping = field(default_factory=Mapping)
@@ -57,7 +57,7 @@
         return Captures()
 
 
-def form_of(path: Path) -> str:
+def detect_format(path: Path) -> str:
     """Detect the format of a file from its beginning; raises `SourceError`."""
     with open_source(path) as file:
         head = file.read(DETECTION_BYTES)
@@ -70,7 +70,9 @@
     return "har" if _HAR.match(head) else "json"
 
 
-def rows(path: Path, form: str, how: How, progress: Progress | None) -> Iterator[Row | tuple[int, LeftOut]]:
+def rows(
+    path: Path, form: str, options: ReadOptions, progress: Progress | None
+) -> Iterator[Row | tuple[int, LeftOut]]:
     """Yield the rows of a file, and rejections with their number; raises `SourceError`."""
     with open_source(path, progress) as file:
         if form == "har":
@@ -78,7 +80,7 @@
 
             yield from entries(file, str(path))
             return
-        reader = how.line_reader(form)
+        reader = options.line_reader(form)
         for number, line, has_line_ending in lines(file):
             try:
                 if line is None:
@@ -101,12 +103,12 @@
 
 
 def requests(
-    path: Path, form: str, how: How, report: Report, progress: Progress | None = None
+    path: Path, form: str, options: ReadOptions, report: Report, progress: Progress | None = None
 ) -> Iterator[Timed]:
     """Yield the requests of a file in file order; rejected rows go to the report."""
-    convert = RowConverter(how.mapping).request
+    convert = RowConverter(options.mapping).request
     unit = "entry" if form == "har" else "line"
-    for row in rows(path, form, how, progress):
+    for row in rows(path, form, options, progress):
         report.rows += 1
         if isinstance(row, tuple):
             report.leave(row[1].reason, f"{path}: {unit} {row[0]}", row[1].detail)
@@ -117,11 +119,11 @@
         except LeftOut as rejection:
             report.leave(rejection.reason, position, rejection.detail)
             continue
-        noted(report.note, request, row.whole, row.leap)
+        record_notes(report.note, request, row.whole, row.leap)
         yield Timed(request, row.whole, position)
 
 
-def noted(note: Callable[[str], None], request: Request, whole: bool, leap: bool) -> None:
+def record_notes(note: Callable[[str], None], request: Request, whole: bool, leap: bool) -> None:
     """Report notable properties of an accepted request."""
     if whole:
         note("whole-seconds")
--- a/tests/load/test_load_sources.py
+++ b/tests/load/test_load_sources.py
@@ -25,7 +25,7 @@
 from brambleusher.load.mapping import Mapping, MappingError, parse_mapping
 from brambleusher.load.report import Report
 from brambleusher.load.request import REASONS, LeftOut, Request, SourceError
-from brambleusher.load.sources import How, form_of
+from brambleusher.load.sources import ReadOptions, detect_format
 from brambleusher.load.times import SECOND
 from tests.rig import Node, Rig
 
@@ -64,11 +64,11 @@
 
 
 def build_demand(
-    folder: Path, data: bytes, how: How | None = None, **plan: Any
+    folder: Path, data: bytes, options: ReadOptions | None = None, **plan: Any
 ) -> tuple[list[Request], Report]:
     source, out = folder / "source", folder / "out.demand"
     source.write_bytes(data)
-    report = build(Plan([source], how or How(), **plan), out)
+    report = build(Plan([source], options or ReadOptions(), **plan), out)
     with DemandFile(out) as file:
         file.verify()
         return list(file.requests()), report
@@ -78,15 +78,15 @@
     return json.dumps({"log": {"version": "1.2", "entries": list(entries)}}).encode()
 
 
-PLATFORM = How(log_format="platform")
-PARIS = How(parse_mapping(b"time: {zone: Europe/Paris}"))
+PLATFORM = ReadOptions(log_format="platform")
+PARIS = ReadOptions(parse_mapping(b"time: {zone: Europe/Paris}"))
 LOOK = '{{"time":{},"method":"GET","url":"/look"}}'
 SHORT = synthetic.Recipe(seconds=1, burst=None)
 OK: dict[str, Any] = {"target": "/look?a=1", "request_class": "look"}
 BIG = "x" * 65537
 
 # Each case has a name, the source, the options, and the rejection reason or the expected attributes.
-CASES: list[tuple[str, bytes | str, How, str | dict[str, Any]]] = [
+CASES: list[tuple[str, bytes | str, ReadOptions, str | dict[str, Any]]] = [
     ("log", log(hint="1200"), PLATFORM,
      {**OK, "hint_us": 1200, "timeout_ms": 900, "tenant": "peach", "key": "k1"}),
     ("log-zone", log(time="01/Dec/2025:07:00:00 -0500"), PLATFORM, {"at_ns": NOON}),
@@ -114,70 +114,80 @@
     ("log-upgraded", log(status=101), PLATFORM, "upgraded"),
     ("log-redirect", log(status=302), PLATFORM, {"status": 302}),
     ("log-no-zone", "2025-12-01 12:00:00 GET /look HTTP/1.1",
-     How(log_format="%{%Y-%m-%d %T}t %r"), "no-zone"),
+     ReadOptions(log_format="%{%Y-%m-%d %T}t %r"), "no-zone"),
     ("log-zone-stated", "2025-12-01 13:00:00 GET /look HTTP/1.1",
-     How(PARIS.mapping, log_format="%{%Y-%m-%d %T}t %r"), {"at_ns": NOON}),
-    ("log-msec", "1764590400.250 GET /look HTTP/1.1", How(log_format="%{sec}t.%{msec_frac}t %r"),
+     ReadOptions(PARIS.mapping, log_format="%{%Y-%m-%d %T}t %r"), {"at_ns": NOON}),
+    ("log-msec", "1764590400.250 GET /look HTTP/1.1", ReadOptions(log_format="%{sec}t.%{msec_frac}t %r"),
      {"at_ns": NOON + SECOND // 4}),
-    ("log-end-and-took", "1764590401 1000000 GET /look HTTP/1.1", How(log_format="%{end:sec}t %D %r"),
+    ("log-end-and-took", "1764590401 1000000 GET /look HTTP/1.1", ReadOptions(log_format="%{end:sec}t %D %r"),
      {"at_ns": NOON}),
-    ("log-end-alone", "1764590401 GET /look HTTP/1.1", How(log_format="%{end:sec}t %r"), "no-time"),
-    ("log-parts", "[01/Dec/2025:12:00:00 +0000] GET /look ?a=1", How(log_format="%t %m %U %q"), OK),
+    ("log-end-alone", "1764590401 GET /look HTTP/1.1", ReadOptions(log_format="%{end:sec}t %r"), "no-time"),
+    ("log-parts", "[01/Dec/2025:12:00:00 +0000] GET /look ?a=1", ReadOptions(log_format="%t %m %U %q"), OK),
     ("log-long-line", b"x" * 2**20 + b"yz\n" + log().encode(), PLATFORM, "too-long"),
-    ("json", LOOK.format("1764590400"), How(), {"at_ns": NOON}),
-    ("json-no-time", '{"method":"GET","url":"/look"}', How(), "no-time"),
-    ("json-bad-time", LOOK.format('"noon"'), How(), "bad-time"),
-    ("json-true-time", LOOK.format("true"), How(), "bad-time"),
-    ("json-no-zone", LOOK.format('"2025-12-01T12:00:00"'), How(), "no-zone"),
+    ("json", LOOK.format("1764590400"), ReadOptions(), {"at_ns": NOON}),
+    ("json-no-time", '{"method":"GET","url":"/look"}', ReadOptions(), "no-time"),
+    ("json-bad-time", LOOK.format('"noon"'), ReadOptions(), "bad-time"),
+    ("json-true-time", LOOK.format("true"), ReadOptions(), "bad-time"),
+    ("json-no-zone", LOOK.format('"2025-12-01T12:00:00"'), ReadOptions(), "no-zone"),
     ("json-clock-back", LOOK.format('"2025-10-26T02:30:00"'), PARIS, "ambiguous-time"),
     ("json-clock-forward", LOOK.format('"2025-03-30T02:30:00"'), PARIS, "no-such-time"),
     ("json-summer", LOOK.format('"2025-07-01T14:00:00.5"'), PARIS,
      {"at_ns": 1_751_371_200 * SECOND + SECOND // 2}),
-    ("json-leap", LOOK.format('"2016-12-31T23:59:60Z"'), How(), {"at_ns": 1_483_228_800 * SECOND}),
-    ("json-not-utf8", b'{"time":1,"method":"GET","url":"/look\xff"}\n', How(form="json"), "encoding"),
-    ("json-list", "[1]\n", How(form="json"), "unreadable"),
-    ("json-non-ascii-path", '{"time":1,"method":"GET","url":"/loök"}', How(), "bad-target"),
+    ("json-leap", LOOK.format('"2016-12-31T23:59:60Z"'), ReadOptions(), {"at_ns": 1_483_228_800 * SECOND}),
+    ("json-not-utf8", b'{"time":1,"method":"GET","url":"/look\xff"}\n', ReadOptions(form="json"), "encoding"),
+    ("json-list", "[1]\n", ReadOptions(form="json"), "unreadable"),
+    ("json-non-ascii-path", '{"time":1,"method":"GET","url":"/loök"}', ReadOptions(), "bad-target"),
     ("json-line-break-in-header", '{"time":1,"method":"GET","url":"/look","headers":{"A":"b\\r\\nC: d"}}',
-     How(), "bad-header"),
-    ("json-size-is-text", '{"time":1,"method":"POST","url":"/look","size":"7"}', How(), "bad-size"),
-    ("json-path-and-query", '{"time":1764590400,"method":"GET","path":"/look","query":"a=1"}', How(), OK),
-    ("har", har_of(entry()), How(), {**OK, "origin": "http://h", "took_ns": 1_500_000, "status": 200}),
-    ("har-fragment", har_of(entry(request={"url": "http://h/look?a=1#top"})), How(), OK),
-    ("har-zone", har_of(entry(startedDateTime="2025-12-01T17:30:00.000+05:30")), How(), {"at_ns": NOON}),
-    ("har-no-time", har_of(entry(startedDateTime=None)), How(), "no-time"),
-    ("har-local-time", har_of(entry(startedDateTime="2025-12-01T12:00:00")), How(), "no-zone"),
-    ("har-cache", har_of(entry(_fromCache="disk")), How(), "from-cache"),
-    ("har-aborted", har_of(entry(response={"status": 0})), How(), "aborted"),
-    ("har-redirect", har_of(entry(response={"status": 301})), How(), {"status": 301}),
-    ("har-not-modified", har_of(entry(response={"status": 304})), How(), {"status": 304}),
-    ("har-websocket", har_of(entry(response={"status": 101})), How(), "upgraded"),
-    ("har-data-url", har_of(entry(request={"url": "data:text/plain,x"})), How(), "bad-target"),
-    ("har-body", har_of(entry(request=post("päy", 4))), How(), {"body": "päy".encode(), "size": 4}),
-    ("har-body-cut", har_of(entry(request=post("pa", 3))), How(), "body-not-kept"),
-    ("har-base64", har_of(entry(request=post("//8=", 2, encoding="base64"))), How(), {"body": b"\xff\xff"}),
-    ("har-not-base64", har_of(entry(request=post("/?/8=", 2, encoding="base64"))), How(), "body-not-kept"),
-    ("har-half-character", har_of(entry(request=post("\ud800"))), How(), "unreadable"),
+     ReadOptions(), "bad-header"),
+    ("json-size-is-text", '{"time":1,"method":"POST","url":"/look","size":"7"}', ReadOptions(), "bad-size"),
+    ("json-path-and-query", '{"time":1764590400,"method":"GET","path":"/look","query":"a=1"}',
+     ReadOptions(), OK),
+    ("har", har_of(entry()),
+     ReadOptions(), {**OK, "origin": "http://h", "took_ns": 1_500_000, "status": 200}),
+    ("har-fragment", har_of(entry(request={"url": "http://h/look?a=1#top"})), ReadOptions(), OK),
+    ("har-zone", har_of(entry(startedDateTime="2025-12-01T17:30:00.000+05:30")),
+     ReadOptions(), {"at_ns": NOON}),
+    ("har-no-time", har_of(entry(startedDateTime=None)), ReadOptions(), "no-time"),
+    ("har-local-time", har_of(entry(startedDateTime="2025-12-01T12:00:00")), ReadOptions(), "no-zone"),
+    ("har-cache", har_of(entry(_fromCache="disk")), ReadOptions(), "from-cache"),
+    ("har-aborted", har_of(entry(response={"status": 0})), ReadOptions(), "aborted"),
+    ("har-redirect", har_of(entry(response={"status": 301})), ReadOptions(), {"status": 301}),
+    ("har-not-modified", har_of(entry(response={"status": 304})), ReadOptions(), {"status": 304}),
+    ("har-websocket", har_of(entry(response={"status": 101})), ReadOptions(), "upgraded"),
+    ("har-data-url", har_of(entry(request={"url": "data:text/plain,x"})), ReadOptions(), "bad-target"),
+    ("har-body", har_of(entry(request=post("päy", 4))), ReadOptions(), {"body": "päy".encode(), "size": 4}),
+    ("har-body-cut", har_of(entry(request=post("pa", 3))), ReadOptions(), "body-not-kept"),
+    ("har-base64", har_of(entry(request=post("//8=", 2, encoding="base64"))),
+     ReadOptions(), {"body": b"\xff\xff"}),
+    ("har-not-base64", har_of(entry(request=post("/?/8=", 2, encoding="base64"))),
+     ReadOptions(), "body-not-kept"),
+    ("har-half-character", har_of(entry(request=post("\ud800"))), ReadOptions(), "unreadable"),
     ("har-form", har_of(entry(request=post(size=7, mimeType="application/x-www-form-urlencoded",
-                                          params=[{"name": "a", "value": "b c"}]) | {"bodySize": 5})), How(),
+                                          params=[{"name": "a", "value": "b c"}]) | {"bodySize": 5})),
+     ReadOptions(),
      {"body": b"a=b+c"}),
-    ("har-upload", har_of(entry(request=post(mimeType="multipart/form-data", params=[{"name": "a"}]))), How(),
+    ("har-upload", har_of(entry(request=post(mimeType="multipart/form-data", params=[{"name": "a"}]))),
+     ReadOptions(),
      "body-not-kept"),
-    ("har-body-not-there", har_of(entry(request=post(size=77))), How(), {"body": None, "size": 77}),
-    ("har-no-size", har_of(entry(request={"method": "POST", "url": "http://h/move", "bodySize": -1})), How(),
+    ("har-body-not-there", har_of(entry(request=post(size=77))), ReadOptions(), {"body": None, "size": 77}),
+    ("har-no-size", har_of(entry(request={"method": "POST", "url": "http://h/move", "bodySize": -1})),
+     ReadOptions(),
      "no-size"),
-    ("har-large", har_of(entry(request=post(BIG))), How(), "body-too-large"),
-    ("har-wrong-type", har_of(entry(request={"method": 7})), How(), "unreadable"),
-    ("har-null", har_of(None), How(), "unreadable"),
-    ("har-http2", har_of(entry(request={"headers": [{"name": ":path", "value": "/look"}]})), How(),
+    ("har-large", har_of(entry(request=post(BIG))), ReadOptions(), "body-too-large"),
+    ("har-wrong-type", har_of(entry(request={"method": 7})), ReadOptions(), "unreadable"),
+    ("har-null", har_of(None), ReadOptions(), "unreadable"),
+    ("har-http2", har_of(entry(request={"headers": [{"name": ":path", "value": "/look"}]})), ReadOptions(),
      {"headers": ((":path", "/look"),)}),
-    ("har-retry", har_of(entry(request={"headers": [{"name": "client-retry", "value": "1"}]})), How(),
+    ("har-retry", har_of(entry(request={"headers": [{"name": "client-retry", "value": "1"}]})), ReadOptions(),
      {"retry": True}),
 ]  # fmt: skip
 
 
-@pytest.mark.parametrize(("name", "data", "how", "wanted"), CASES, ids=[case[0] for case in CASES])
-def test_case(name: str, data: bytes | str, how: How, wanted: str | dict[str, Any], tmp_path: Path) -> None:
-    requests, report = build_demand(tmp_path, data if isinstance(data, bytes) else data.encode(), how)
+@pytest.mark.parametrize(("name", "data", "options", "wanted"), CASES, ids=[case[0] for case in CASES])
+def test_case(
+    name: str, data: bytes | str, options: ReadOptions, wanted: str | dict[str, Any], tmp_path: Path
+) -> None:
+    requests, report = build_demand(tmp_path, data if isinstance(data, bytes) else data.encode(), options)
     assert report.rows == len(requests) + sum(left.count for left in report.left_out.values())
     if isinstance(wanted, str):
         left = report.left_out.pop(wanted)
@@ -238,7 +248,7 @@
     assert (look.method, look.target, look.tenant, look.hint_us) == ("GET", "/look", "p", 1.5)
     assert (look.timeout_ms, look.key, look.retry, look.at_ns) == (91, "ab", True, NOON + 1)
     assert report.left_out["no-size"].first == [f"{tmp_path / 'source'}: line 4: POST /move"]
-    sized, _ = build_demand(tmp_path, CAPTURE, How(parse_mapping(b"size: {default: 30}")))
+    sized, _ = build_demand(tmp_path, CAPTURE, ReadOptions(parse_mapping(b"size: {default: 30}")))
     assert [request.size for request in sized] == [30, 30]
     with pytest.raises(SourceError, match="line 1: the header's v is 2"):
         build_demand(tmp_path, b'{"ev":"start","v":2}')
@@ -258,7 +268,7 @@
     assert [(each.key, each.request_class, each.method, each.timeout_ms) for each in requests] == [
         (f"r{number}", "look", "GET", 890) for number in range(3)
     ]
-    assert not report.left_out and form_of(path) == "capture"
+    assert not report.left_out and detect_format(path) == "capture"
 
 
 MAPPING = b"""
@@ -293,7 +303,7 @@
         + line("/api/v1/price/a?kind=no")
         + line("/x?b=1", "PUT", **{"X-App": "web", "X-Size": "9"})
     )  # fmt: skip
-    requests, report = build_demand(tmp_path, data.encode(), How(parse_mapping(MAPPING)))
+    requests, report = build_demand(tmp_path, data.encode(), ReadOptions(parse_mapping(MAPPING)))
     assert [(each.request_class, each.method, each.target, each.tenant) for each in requests] == [
         ("price-check", "GET", "/price-check?kind=full&ms=2.5", "peach"),
         ("price-check", "GET", "/price-check?kind=part", "none"),
@@ -305,7 +315,7 @@
     assert {name: left.count for name, left in report.left_out.items()} == {
         "by-mapping": 1, "bad-tenant": 1, "no-class": 1,
     }  # fmt: skip
-    _, report = build_demand(tmp_path, data.encode(), How(Mapping(only=["api"])))
+    _, report = build_demand(tmp_path, data.encode(), ReadOptions(Mapping(only=["api"])))
     assert set(report.left_out) == {"other-class"}
 
 
@@ -435,7 +445,7 @@
         msgspec.structs.replace(each, at_ns=each.at_ns // 1000 * 1000) for each in sort_by_time(requests)
     ]
     data = b"".join(map(synthetic.log_line, requests))
-    again, report = build_demand(tmp_path, data, How(log_format=synthetic.EXACT))
+    again, report = build_demand(tmp_path, data, ReadOptions(log_format=synthetic.EXACT))
     assert not report.left_out
     order = ("user-agent", *synthetic.LOGGED)
     for each, read in zip(requests, again, strict=True):
@@ -491,18 +501,18 @@
     return bytes(out)
 
 
-def kinds() -> dict[str, tuple[bytes, How]]:
+def kinds() -> dict[str, tuple[bytes, ReadOptions]]:
     made = list(synthetic.requests(synthetic.Recipe(seconds=0.5, burst=None), 5))
     text = io.StringIO()
     har.write(made, text, "0")
     lines = b"".join(map(synthetic.log_line, made))
     records = b"".join(msgspec.json.encode(synthetic.json_record(each)) + b"\n" for each in made)
-    exact = How(form="access", log_format=synthetic.EXACT)
+    exact = ReadOptions(form="access", log_format=synthetic.EXACT)
     return {
-        "har": (text.getvalue().encode(), How(form="har")),
+        "har": (text.getvalue().encode(), ReadOptions(form="har")),
         "access": (lines, exact),
-        "json": (records, How(form="json")),
-        "capture": (CAPTURE, How(form="capture")),
+        "json": (records, ReadOptions(form="json")),
+        "capture": (CAPTURE, ReadOptions(form="capture")),
         "gzip": (gzip.compress(lines), exact),
         "zstd": (zstandard.ZstdCompressor(write_checksum=True).compress(lines), exact),
     }
@@ -517,8 +527,8 @@
     Plain text has no checksum, so a damaged line may parse as another request.  Each request must therefore
     be an original request or come from a changed line.
     """
-    data, how = kinds()[kind]
-    original, _ = build_demand(tmp_path, data, how)
+    data, options = kinds()[kind]
+    original, _ = build_demand(tmp_path, data, options)
     plain = not data.startswith((b"\x1f", b"\x28"))
     original_lines = set(data.split(b"\n"))
     reported = 0
@@ -526,7 +536,7 @@
         damaged_data = damage(random.Random(f"{kind} {seed}"), data)
         (tmp_path / "out.demand").unlink(missing_ok=True)
         try:
-            requests, report = build_demand(tmp_path, damaged_data, how)
+            requests, report = build_demand(tmp_path, damaged_data, options)
         except SourceError as error:
             reported += 1
             assert str(error).startswith(f"{tmp_path / 'source'}: "), seed
