--- a/brambleusher/load/access_log.py
+++ b/brambleusher/load/access_log.py
@@ -111,7 +111,7 @@
             number, at_ns + (SECOND if leap else 0), has_full_seconds, method, target,
             {name.lower(): value for name, value in fields}, fields,
             origin=origin, status=_first(entry, "final_status", "status", "original_status"),
-            took_ns=_response_time_ns(entry), named=directives, leap=leap,
+            took_ns=_response_time_ns(entry), extra_values=directives, leap=leap,
         )  # fmt: skip
 
     def _time(self, entry: Mapping[str, Any]) -> tuple[int, bool]:
--- a/brambleusher/load/captures.py
+++ b/brambleusher/load/captures.py
@@ -65,7 +65,7 @@
             fields.append(("Client-Retry", "1"))
         headers = {field.lower(): value for field, value in fields}
         method = "GET" if self._safe_classes[name] else "POST"
-        return Row(number, at_ns, False, method, f"/{name}", headers, tuple(fields), named=record)
+        return Row(number, at_ns, False, method, f"/{name}", headers, tuple(fields), extra_values=record)
 
     def _begin(self, record: dict[str, Any]) -> None:
         if record.get("v") != VERSION:
--- a/brambleusher/load/mapping.py
+++ b/brambleusher/load/mapping.py
@@ -344,7 +344,11 @@
         field = take.field
 
         def from_field(row: Row, path: str, query: str) -> str | None:
-            value = row.named.get(field) if field.startswith("%") else lookup_field(row.named, field)
+            value = (
+                row.extra_values.get(field)
+                if field.startswith("%")
+                else lookup_field(row.extra_values, field)
+            )
             return None if value is None or isinstance(value, dict | list) else _text(value)
 
         return from_field
--- a/brambleusher/load/parallel.py
+++ b/brambleusher/load/parallel.py
@@ -56,8 +56,8 @@
                 truncated = not has_line_ending and rejection.reason in ("unreadable", "encoding")
                 parsed.left.append((number, "cut-line" if truncated else rejection.reason, rejection.detail))
                 continue
-            record_notes(parsed.note, request, row.whole, row.leap)
-            parsed.requests.append((number, row.whole, request))
+            record_notes(parsed.note, request, row.has_full_seconds, row.leap)
+            parsed.requests.append((number, row.has_full_seconds, request))
         parsed.rows = len(parsed.requests) + len(parsed.left)
         return msgspec.msgpack.encode(parsed)
 
--- a/brambleusher/load/request.py
+++ b/brambleusher/load/request.py
@@ -39,9 +39,9 @@
 class Row(msgspec.Struct, gc=False):
     """One row of a source before the mapping is applied; None marks a value missing in the source."""
 
-    place: int  # number of the line, or of the entry in a HAR file, from 1
+    number: int  # number of the line, or of the entry in a HAR file, from 1
     at_ns: int
-    whole: bool  # whether the time has no fraction of a second
+    has_full_seconds: bool  # whether the time has no fraction of a second
     method: str
     target: str
     headers: dict[str, str] = {}  # values by lower-case name, joined for repeated headers
@@ -51,7 +51,7 @@
     origin: str | None = None
     status: int | None = None
     took_ns: int | None = None
-    named: Mapping[str, Any] = {}  # further values by log directive or JSON field
+    extra_values: Mapping[str, Any] = {}  # further values by log directive or JSON field
     leap: bool = False
 
 
--- a/brambleusher/load/sources.py
+++ b/brambleusher/load/sources.py
@@ -113,19 +113,19 @@
         if isinstance(row, tuple):
             report.leave(row[1].reason, f"{path}: {unit} {row[0]}", row[1].detail)
             continue
-        position = f"{path}: {unit} {row.place}"
+        position = f"{path}: {unit} {row.number}"
         try:
             request = convert(row)
         except LeftOut as rejection:
             report.leave(rejection.reason, position, rejection.detail)
             continue
-        record_notes(report.note, request, row.whole, row.leap)
-        yield Timed(request, row.whole, position)
+        record_notes(report.note, request, row.has_full_seconds, row.leap)
+        yield Timed(request, row.has_full_seconds, position)
 
 
-def record_notes(note: Callable[[str], None], request: Request, whole: bool, leap: bool) -> None:
+def record_notes(note: Callable[[str], None], request: Request, has_full_seconds: bool, leap: bool) -> None:
     """Report notable properties of an accepted request."""
-    if whole:
+    if has_full_seconds:
         note("whole-seconds")
     if leap:
         note("leap-second")
