--- a/brambleusher/load/access_log.py
+++ b/brambleusher/load/access_log.py
@@ -11,7 +11,7 @@
 from apachelogs.directives import format2regex
 from apachelogs.timeutil import assemble_datetime
 
-from brambleusher.load.request import LeftOut, Row
+from brambleusher.load.request import RejectedRow, Row
 from brambleusher.load.times import SECOND, from_datetime
 
 # `platform` is the combined format with the response time and the platform's headers added.
@@ -47,10 +47,10 @@
         self._caches: tuple[dict[str, Any], ...] = tuple({} for _ in groups)
 
     def parse(self, text: str) -> tuple[dict[str, Any], dict[str, Any]]:
-        """Parse a line to values by library name and by directive; raises `ValueError`, `LeftOut`."""
+        """Parse a line to values by library name and by directive; raises `ValueError`, `RejectedRow`."""
         match = self._fullmatch(text)
         if match is None:
-            raise LeftOut("unreadable", text[:80])
+            raise RejectedRow("unreadable", text[:80])
         values = []
         for text, cache, converter in zip(match.groups(), self._caches, self._converters, strict=True):
             try:
@@ -90,7 +90,7 @@
         self._zone = zone
 
     def row(self, number: int, line: bytes) -> Row:
-        """Convert one line to a row; raises `LeftOut`."""
+        """Convert one line to a row; raises `RejectedRow`."""
         text = line.decode("latin-1")  # Latin-1, as in HTTP headers, maps every byte back to itself
         leap = False
         try:
@@ -103,7 +103,7 @@
                     raise ValueError
                 (entry, directives), leap = self._parse(text), True
             except (ValueError, OverflowError):
-                raise LeftOut("bad-time", text[:80]) from None
+                raise RejectedRow("bad-time", text[:80]) from None
         at_ns, has_full_seconds = self._time(entry)
         method, origin, target = _request_line(entry)
         fields = tuple((name, value) for name, value in entry["headers_in"].items() if value is not None)
@@ -122,7 +122,7 @@
                 return self._moment(moment, entry[f"{prefix}request_time_fields"])
         moment, took_ns = entry.get("end_request_time"), _response_time_ns(entry)
         if moment is None or took_ns is None:
-            raise LeftOut("no-time")
+            raise RejectedRow("no-time")
         ended, has_full_seconds = self._moment(moment, entry["end_request_time_fields"])
         return ended - took_ns, has_full_seconds
 
@@ -134,7 +134,7 @@
             elif fields.get("msec_frac") is not None:
                 at_ns += fields["msec_frac"] * 1_000_000
         if at_ns < 0:
-            raise LeftOut("bad-time", moment.isoformat())
+            raise RejectedRow("bad-time", moment.isoformat())
         return at_ns, not any(fields.get(name) is not None for name in _SUBSECOND_FIELDS)
 
 
@@ -162,24 +162,24 @@
     if line is not None:
         words = line.split(" ")
         if len(words) != 3 or not _HTTP.match(words[2]):
-            raise LeftOut("no-request", line[:80])
+            raise RejectedRow("no-request", line[:80])
         method, target = words[0], words[1]
     else:
         method, path = entry.get("request_method"), _first(entry, "request_uri", "original_request_uri")
         if method is None or path is None:
-            raise LeftOut("no-request")
+            raise RejectedRow("no-request")
         target = path + (entry.get("request_query") or "")
     return method, *split_url(target, fragments=False)
 
 
 def split_url(url: str, fragments: bool = True) -> tuple[str | None, str]:
-    """Split a URL into origin and target without its fragment, which is never sent; raises `LeftOut`."""
+    """Split a URL into origin and target without its fragment, which is never sent; raises `RejectedRow`."""
     if fragments:
         url = url.partition("#")[0]
     if url.startswith("/"):
         return None, url
     match = re.match(r"(https?://[^/?]+)(.*)\Z", url, re.I | re.S)
     if match is None:
-        raise LeftOut("bad-target", url[:80])
+        raise RejectedRow("bad-target", url[:80])
     path = match[2]
     return match[1], path if path.startswith("/") else f"/{path}"
--- a/brambleusher/load/captures.py
+++ b/brambleusher/load/captures.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from brambleusher.load.request import LeftOut, Row
+from brambleusher.load.request import RejectedRow, Row
 
 VERSION = 1
 
@@ -27,13 +27,13 @@
         self._safe_classes: dict[str, bool] | None = None
 
     def row(self, number: int, line: bytes) -> Row | None:
-        """Convert a line to a row, or to None if it is no request; raises `LeftOut`, `CaptureError`."""
+        """Convert a line to a row, or to None if it is no request; raises `RejectedRow`, `CaptureError`."""
         if not line.startswith(b"{"):  # log lines and metrics share the output stream of a capture
             return None
         try:
             record: Any = self._decode(line)
         except (msgspec.DecodeError, RecursionError, ValueError) as error:
-            raise LeftOut("unreadable", str(error)) from None
+            raise RejectedRow("unreadable", str(error)) from None
         kind = record.get("ev")
         if kind == "start":
             self._begin(record)
@@ -44,14 +44,14 @@
             raise CaptureError("records come before any header")
         inputs, name = record.get("in"), record.get("class")
         if not isinstance(inputs, dict) or not isinstance(name, str):
-            raise LeftOut("unreadable", "a request record without 'class' or 'in'")
+            raise RejectedRow("unreadable", "a request record without 'class' or 'in'")
         if name not in self._safe_classes:
-            raise LeftOut("no-class", f"the header does not define class {name[:40]}")
+            raise RejectedRow("no-class", f"the header does not define class {name[:40]}")
         at_ns, remaining_ns, hint_ns = record.get("t_ns"), inputs.get("left_ns"), inputs.get("work_hint_ns")
         if type(at_ns) is not int or at_ns < 0:
-            raise LeftOut("no-time")
+            raise RejectedRow("no-time")
         if type(remaining_ns) is not int or remaining_ns <= 0:
-            raise LeftOut("bad-timeout")
+            raise RejectedRow("bad-timeout")
         fields = [
             ("Request-Id", str(record.get("id"))), ("Request-Class", name),
             ("Request-Timeout-Ms", str(-(-remaining_ns // 1_000_000))),
--- a/brambleusher/load/har.py
+++ b/brambleusher/load/har.py
@@ -14,7 +14,7 @@
 
 from brambleusher.load.access_log import split_url
 from brambleusher.load.json_lines import encode_text, is_invalid_utf8, join_headers
-from brambleusher.load.request import LeftOut, Request, Row, SourceError
+from brambleusher.load.request import RejectedRow, Request, Row, SourceError
 from brambleusher.load.times import from_text, to_text
 
 MAX_ENTRY_BYTES = 64 * 1024 * 1024  # limit in bytes for one entry including the response content
@@ -185,7 +185,7 @@
             raise self._error("the file ends before the JSON text does")
 
 
-def rows(file: io.BufferedReader, name: str) -> Iterator[Row | tuple[int, LeftOut]]:
+def rows(file: io.BufferedReader, name: str) -> Iterator[Row | tuple[int, RejectedRow]]:
     """Yield each entry as a row, or its number with the reason for its rejection; raises `SourceError`."""
     decode = msgspec.json.Decoder(Entry).decode
     for number, text in enumerate(EntryScanner(file, name), 1):
@@ -193,21 +193,21 @@
             try:
                 entry = decode(text)
             except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-                raise LeftOut("encoding" if is_invalid_utf8(text) else "unreadable", str(error)) from None
+                raise RejectedRow("encoding" if is_invalid_utf8(text) else "unreadable", str(error)) from None
             yield row(number, entry)
-        except LeftOut as why:
+        except RejectedRow as why:
             yield number, why
 
 
 def row(number: int, entry: Entry) -> Row:
-    """Convert one entry to a row; raises `LeftOut`."""
+    """Convert one entry to a row; raises `RejectedRow`."""
     if entry.from_cache or entry.served_from_cache:
-        raise LeftOut("from-cache")
+        raise RejectedRow("from-cache")
     status = entry.response.status if entry.response is not None else 0
     if type(status) is not int or not 100 <= status <= 599:
-        raise LeftOut("aborted", f"status {status}"[:40])
+        raise RejectedRow("aborted", f"status {status}"[:40])
     if not entry.startedDateTime:
-        raise LeftOut("no-time")
+        raise RejectedRow("no-time")
     at_ns, in_seconds, leap = from_text(entry.startedDateTime)
     origin, target = split_url(entry.request.url)
     fields = tuple((pair.name, pair.value) for pair in entry.request.headers)
@@ -237,21 +237,21 @@
             try:
                 body = base64.b64decode(post_data.text, validate=True)
             except (binascii.Error, ValueError):
-                raise LeftOut("body-not-kept", "postData is not base64") from None
+                raise RejectedRow("body-not-kept", "postData is not base64") from None
         elif encoding:
-            raise LeftOut("body-not-kept", f"postData is encoded as {encoding[:40]}")
+            raise RejectedRow("body-not-kept", f"postData is encoded as {encoding[:40]}")
         else:
             body = encode_text(post_data.text)
     elif post_data.params:
         if not post_data.mimeType.startswith("application/x-www-form-urlencoded") or size is None:
-            raise LeftOut("body-not-kept", "postData has parameters and no text")
+            raise RejectedRow("body-not-kept", "postData has parameters and no text")
         body = urlencode([(pair.name, pair.value) for pair in post_data.params]).encode()
     elif size:
         return None, size
     else:
         body = b""
     if size is not None and size != len(body):
-        raise LeftOut("body-not-kept", f"{len(body)} bytes were kept of {size}")
+        raise RejectedRow("body-not-kept", f"{len(body)} bytes were kept of {size}")
     return body, len(body)
 
 
--- a/brambleusher/load/json_lines.py
+++ b/brambleusher/load/json_lines.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from brambleusher.load.access_log import split_url
-from brambleusher.load.request import LeftOut, Row
+from brambleusher.load.request import RejectedRow, Row
 from brambleusher.load.times import from_number, from_text
 
 
@@ -46,32 +46,32 @@
         self._decode = msgspec.json.Decoder().decode
 
     def row(self, number: int, line: bytes) -> Row:
-        """Convert one line to a row; raises `LeftOut`."""
+        """Convert one line to a row; raises `RejectedRow`."""
         try:
             record = self._decode(line)
         except (msgspec.DecodeError, RecursionError, ValueError) as error:
-            raise LeftOut("encoding" if is_invalid_utf8(line) else "unreadable", str(error)) from None
+            raise RejectedRow("encoding" if is_invalid_utf8(line) else "unreadable", str(error)) from None
         if not isinstance(record, dict):
-            raise LeftOut("unreadable", "not an object")
+            raise RejectedRow("unreadable", "not an object")
         names = self._names
         at_ns, has_full_seconds, leap = self._time(lookup_field(record, names.time))
         method = lookup_field(record, names.method)
         if not isinstance(method, str):
-            raise LeftOut("no-request", f"{names.method} is missing or no string")
+            raise RejectedRow("no-request", f"{names.method} is missing or no string")
         url = lookup_field(record, names.url)
         if url is None:
             url, query = lookup_field(record, names.path), lookup_field(record, names.query)
             if isinstance(url, str) and isinstance(query, str) and query:
                 url = f"{url}{query}" if query.startswith("?") else f"{url}?{query}"
         if not isinstance(url, str):
-            raise LeftOut("no-request", f"{names.url} or {names.path} is missing or no string")
+            raise RejectedRow("no-request", f"{names.url} or {names.path} is missing or no string")
         origin, target = split_url(url)
         fields = _headers(lookup_field(record, names.headers))
         body, size = lookup_field(record, names.body), lookup_field(record, names.size)
         if body is not None and not isinstance(body, str):
-            raise LeftOut("body-not-kept", f"{names.body} is no string")
+            raise RejectedRow("body-not-kept", f"{names.body} is no string")
         if size is not None and (type(size) is not int or size < 0):
-            raise LeftOut("bad-size", f"{names.size} is {size!r}")
+            raise RejectedRow("bad-size", f"{names.size} is {size!r}")
         status, took_ms = lookup_field(record, names.status), lookup_field(record, names.took_ms)
         return Row(
             number, at_ns, has_full_seconds, method, target, join_headers(fields), fields,
@@ -83,20 +83,20 @@
 
     def _time(self, value: Any) -> tuple[int, bool, bool]:
         if value is None or value == "":
-            raise LeftOut("no-time")
+            raise RejectedRow("no-time")
         if isinstance(value, bool) or not isinstance(value, int | float | str):
-            raise LeftOut("bad-time", repr(value)[:60])
+            raise RejectedRow("bad-time", repr(value)[:60])
         if isinstance(value, str) and not value.replace(".", "", 1).strip().isdecimal():
             return from_text(value, self._zone)
         return *from_number(value, self._unit), False
 
 
 def encode_text(text: str) -> bytes:
-    """Encode a string as UTF-8; raises `LeftOut` if it has a lone surrogate."""
+    """Encode a string as UTF-8; raises `RejectedRow` if it has a lone surrogate."""
     try:
         return text.encode()
     except UnicodeEncodeError:
-        raise LeftOut("encoding") from None
+        raise RejectedRow("encoding") from None
 
 
 def join_headers(fields: tuple[tuple[str, str], ...]) -> dict[str, str]:
@@ -127,13 +127,13 @@
     pairs = list(value.items()) if isinstance(value, dict) else value
     fields: list[tuple[str, str]] = []
     if not isinstance(pairs, list):
-        raise LeftOut("bad-header", "headers are neither an object nor a list of pairs")
+        raise RejectedRow("bad-header", "headers are neither an object nor a list of pairs")
     for pair in pairs:
         if not isinstance(pair, list | tuple) or len(pair) != 2 or not isinstance(pair[0], str):
-            raise LeftOut("bad-header", repr(pair)[:60])
+            raise RejectedRow("bad-header", repr(pair)[:60])
         name, value = pair
         for each in value if isinstance(value, list) else [value]:
             if isinstance(each, bool) or not isinstance(each, str | int | float):
-                raise LeftOut("bad-header", f"{name} is neither a string nor a number")
+                raise RejectedRow("bad-header", f"{name} is neither a string nor a number")
             fields.append((name, str(each)))
     return tuple(fields)
--- a/brambleusher/load/mapping.py
+++ b/brambleusher/load/mapping.py
@@ -20,7 +20,7 @@
     TOKEN,
     VALUE,
     Fields,
-    LeftOut,
+    RejectedRow,
     Request,
     Row,
 )
@@ -162,13 +162,13 @@
         self._only = None if mapping.only is None else frozenset(mapping.only)
 
     def request(self, row: Row) -> Request:
-        """Convert a row to a request; raises `LeftOut`."""
+        """Convert a row to a request; raises `RejectedRow`."""
         if not TOKEN.match(row.method):
-            raise LeftOut("bad-method", row.method[:40])
+            raise RejectedRow("bad-method", row.method[:40])
         if not TARGET.match(row.target):
-            raise LeftOut("bad-target", row.target[:80])
+            raise RejectedRow("bad-target", row.target[:80])
         if row.status == 101:
-            raise LeftOut("upgraded")
+            raise RejectedRow("upgraded")
         method, target = row.method, row.target
         path, _, query = target.partition("?")
         if self._rules:
@@ -179,12 +179,12 @@
         else:
             name = _platform_class(row, path)
         if self._only is not None and name not in self._only:
-            raise LeftOut("other-class", name[:40])
+            raise RejectedRow("other-class", name[:40])
         tenant = self._tenant(row, path, query)
         if self._tenants is not None and tenant not in self._tenants:
-            raise LeftOut("bad-tenant", str(tenant)[:40])
+            raise RejectedRow("bad-tenant", str(tenant)[:40])
         if tenant is not None and not VALUE.match(tenant):
-            raise LeftOut("bad-tenant", tenant[:40])
+            raise RejectedRow("bad-tenant", tenant[:40])
         retry_value = self._retry(row, path, query)
         self._check_headers(row.fields)
         body, size = row.body, self._body_size(row, method, path, query)
@@ -196,30 +196,30 @@
         )  # fmt: skip
 
     def _check_headers(self, fields: Fields) -> None:
-        """Check that the headers can be sent; raises `LeftOut`."""
+        """Check that the headers can be sent; raises `RejectedRow`."""
         valid_names = self._valid_names
         for name, _ in fields:
             if name not in valid_names:
                 # Pseudo-headers of HTTP/2 begin with a colon; they are recorded but never sent.
                 if not TOKEN.match(name.removeprefix(":")):
-                    raise LeftOut("bad-header", name[:40])
+                    raise RejectedRow("bad-header", name[:40])
                 if len(valid_names) < MAX_CACHED_NAMES:
                     valid_names.add(name)
         values = "".join([value for _, value in fields])
         if not VALUE.match(values):
             bad = next(name for name, value in fields if not VALUE.match(value))
-            raise LeftOut("bad-header", bad[:40])
+            raise RejectedRow("bad-header", bad[:40])
         head = len(values) + sum([len(name) for name, _ in fields])
         if head > MAX_HEAD:
-            raise LeftOut("bad-header", f"{head} bytes of headers")
+            raise RejectedRow("bad-header", f"{head} bytes of headers")
 
     def _match_rule(self, row: Row, path: str, query: str) -> tuple[str, SendOverrides]:
         for rule in self._rules:
             if rule.matches(row, path, query):
                 if rule.leave_out is not None:
-                    raise LeftOut("by-mapping", rule.leave_out)
+                    raise RejectedRow("by-mapping", rule.leave_out)
                 return rule.name, rule.send
-        raise LeftOut("no-class", f"{row.method} {path[:60]}")
+        raise RejectedRow("no-class", f"{row.method} {path[:60]}")
 
     def _body_size(self, row: Row, method: str, path: str, query: str) -> int:
         if row.body is not None:
@@ -230,14 +230,14 @@
                 text = self._size(row, path, query)
                 if text is not None:
                     if not _DIGITS.match(text):
-                        raise LeftOut("bad-size", text[:40])
+                        raise RejectedRow("bad-size", text[:40])
                     size = int(text)
             if size < 0:
                 if method not in BODILESS:
-                    raise LeftOut("no-size", f"{method} {path[:60]}")
+                    raise RejectedRow("no-size", f"{method} {path[:60]}")
                 size = 0
         if size > MAX_BODY:
-            raise LeftOut("body-too-large", f"{size} bytes")
+            raise RejectedRow("body-too-large", f"{size} bytes")
         return size
 
 
@@ -393,7 +393,7 @@
     if text is None:
         return None
     if not _NUMBER.match(text):
-        raise LeftOut(reason, text[:40])
+        raise RejectedRow(reason, text[:40])
     return float(text) if "." in text else int(text)
 
 
@@ -401,7 +401,7 @@
     if text is None:
         return None
     if not _DIGITS.match(text) or not int(text):
-        raise LeftOut("bad-timeout", text[:40])
+        raise RejectedRow("bad-timeout", text[:40])
     return int(text)
 
 
@@ -410,9 +410,9 @@
     path_class = path[1:].split("/", 1)[0]
     header_class = row.headers.get("request-class")
     if path_class == "ready" and row.method == "GET" and header_class is None:
-        raise LeftOut("ready")
+        raise RejectedRow("ready")
     if not path_class or not TOKEN.match(path_class):
-        raise LeftOut("no-class", path[:60])
+        raise RejectedRow("no-class", path[:60])
     if header_class is not None and header_class != path_class:
-        raise LeftOut("class-differs", f"{header_class[:40]} and {path_class[:40]}")
+        raise RejectedRow("class-differs", f"{header_class[:40]} and {path_class[:40]}")
     return path_class
--- a/brambleusher/load/parallel.py
+++ b/brambleusher/load/parallel.py
@@ -14,7 +14,7 @@
 from brambleusher.load.opening import Progress, lines, open_source
 from brambleusher.load.ordering import Timed
 from brambleusher.load.report import Report
-from brambleusher.load.request import LeftOut, Request, SourceError
+from brambleusher.load.request import RejectedRow, Request, SourceError
 from brambleusher.load.sources import LineReader, ReadOptions, line_row, record_notes
 
 BATCH_LINES, BATCH_BYTES = 1000, 256 * 1024
@@ -47,12 +47,12 @@
         for number, line, has_line_ending in batch:
             try:
                 if line is None:
-                    raise LeftOut("too-long")
+                    raise RejectedRow("too-long")
                 row = line_row(self._reader, number, line)
                 if row is None:
                     continue
                 request = self._request(row)
-            except LeftOut as rejection:
+            except RejectedRow as rejection:
                 truncated = not has_line_ending and rejection.reason in ("unreadable", "encoding")
                 parsed.left.append((number, "cut-line" if truncated else rejection.reason, rejection.detail))
                 continue
--- a/brambleusher/load/request.py
+++ b/brambleusher/load/request.py
@@ -55,7 +55,7 @@
     leap: bool = False
 
 
-class LeftOut(Exception):
+class RejectedRow(Exception):
     """A row was rejected because it is not clearly a request; `reason` is one of `REASONS`."""
 
     def __init__(self, reason: str, detail: str = "") -> None:
--- a/brambleusher/load/sources.py
+++ b/brambleusher/load/sources.py
@@ -12,7 +12,7 @@
 from brambleusher.load.opening import Progress, lines, open_source
 from brambleusher.load.ordering import Timed
 from brambleusher.load.report import Report
-from brambleusher.load.request import LeftOut, Request, Row, SourceError
+from brambleusher.load.request import RejectedRow, Request, Row, SourceError
 
 FORMS = ("har", "access", "json", "capture")
 DETECTION_BYTES = 256 * 1024
@@ -23,7 +23,7 @@
     """Converts lines of one format to rows."""
 
     def row(self, number: int, line: bytes) -> Row | None:
-        """Convert one line to a row, or to None if the line is no request; raises `LeftOut`."""
+        """Convert one line to a row, or to None if the line is no request; raises `RejectedRow`."""
 
 
 @dataclass(frozen=True)
@@ -72,7 +72,7 @@
 
 def rows(
     path: Path, form: str, options: ReadOptions, progress: Progress | None
-) -> Iterator[Row | tuple[int, LeftOut]]:
+) -> Iterator[Row | tuple[int, RejectedRow]]:
     """Yield the rows of a file, and rejections with their number; raises `SourceError`."""
     with open_source(path, progress) as file:
         if form == "har":
@@ -84,19 +84,19 @@
         for number, line, has_line_ending in lines(file):
             try:
                 if line is None:
-                    raise LeftOut("too-long")
+                    raise RejectedRow("too-long")
                 row = line_row(reader, number, line)
                 if row is not None:
                     yield row
-            except LeftOut as rejection:
+            except RejectedRow as rejection:
                 truncated = not has_line_ending and rejection.reason in ("unreadable", "encoding")
-                yield number, LeftOut("cut-line", rejection.detail) if truncated else rejection
+                yield number, RejectedRow("cut-line", rejection.detail) if truncated else rejection
             except ValueError as error:  # the header of a capture is invalid
                 raise SourceError(f"{path}: line {number}: {error}") from None
 
 
 def line_row(reader: LineReader, number: int, line: bytes) -> Row | None:
-    """Convert one line to a row, or to None if the line is blank or no request; raises `LeftOut`."""
+    """Convert one line to a row, or to None if the line is blank or no request; raises `RejectedRow`."""
     if number == 1:
         line = line.removeprefix(b"\xef\xbb\xbf")
     return reader.row(number, line) if line.strip() else None
@@ -116,7 +116,7 @@
         position = f"{path}: {unit} {row.number}"
         try:
             request = convert(row)
-        except LeftOut as rejection:
+        except RejectedRow as rejection:
             report.leave(rejection.reason, position, rejection.detail)
             continue
         record_notes(report.note, request, row.has_full_seconds, row.leap)
--- a/brambleusher/load/times.py
+++ b/brambleusher/load/times.py
@@ -6,7 +6,7 @@
 from datetime import UTC, date, datetime, timedelta, timezone, tzinfo
 from zoneinfo import ZoneInfo, ZoneInfoNotFoundError
 
-from brambleusher.load.request import LeftOut
+from brambleusher.load.request import RejectedRow
 
 SECOND = 1_000_000_000
 EPOCH = datetime(1970, 1, 1, tzinfo=UTC)
@@ -29,32 +29,32 @@
 
 
 def from_datetime(moment: datetime, zone: tzinfo | None = None) -> int:
-    """Convert to Unix nanoseconds; a time without a zone is taken to be in `zone`.  Raises `LeftOut`."""
+    """Convert to Unix nanoseconds; a time without a zone is taken to be in `zone`.  Raises `RejectedRow`."""
     if moment.tzinfo is None:
         if zone is None:
-            raise LeftOut("no-zone", moment.isoformat())
+            raise RejectedRow("no-zone", moment.isoformat())
         moment = in_zone(moment, zone)
     since_epoch = moment - EPOCH
     return (since_epoch.days * 86_400 + since_epoch.seconds) * SECOND + since_epoch.microseconds * 1_000
 
 
 def in_zone(moment: datetime, zone: tzinfo) -> datetime:
-    """Attach a zone to a local time; raises `LeftOut` if the zone has that time twice or not at all."""
+    """Attach a zone to a local time; raises `RejectedRow` if the zone has that time twice or not at all."""
     first, second = (moment.replace(tzinfo=zone, fold=fold) for fold in (0, 1))
     if first.utcoffset() == second.utcoffset():
         return first
     round_trip = first.astimezone(UTC).astimezone(zone).replace(tzinfo=None)
-    raise LeftOut("ambiguous-time" if round_trip == moment else "no-such-time", moment.isoformat())
+    raise RejectedRow("ambiguous-time" if round_trip == moment else "no-such-time", moment.isoformat())
 
 
 def from_text(text: str, zone: tzinfo | None = None) -> tuple[int, bool, bool]:
     """Parse an ISO 8601 time to Unix nanoseconds, with flags for whole seconds and for a leap second.
 
-    A leap second maps to the first instant of the next minute, as in Unix time.  Raises `LeftOut`.
+    A leap second maps to the first instant of the next minute, as in Unix time.  Raises `RejectedRow`.
     """
     match = _ISO.match(text.strip())
     if match is None:
-        raise LeftOut("bad-time", text[:60])
+        raise RejectedRow("bad-time", text[:60])
     year, month, day, hour, minute, second = (int(part) for part in match.groups()[:6])
     fraction, utc, sign, hours, minutes = match.groups()[6:]
     leap = second == 60
@@ -68,24 +68,24 @@
         moment = datetime(year, month, day, hour, minute, 59 if leap else second, tzinfo=own_zone)
         at_ns = from_datetime(moment, zone)
     except (ValueError, OverflowError):
-        raise LeftOut("bad-time", text[:60]) from None
+        raise RejectedRow("bad-time", text[:60]) from None
     at_ns += int((fraction or "").ljust(9, "0")[:9]) + (SECOND if leap else 0)
     if not 0 <= at_ns < END_NS:
-        raise LeftOut("bad-time", text[:60])
+        raise RejectedRow("bad-time", text[:60])
     return at_ns, fraction is None, leap
 
 
 def from_number(value: int | float | str, unit: str) -> tuple[int, bool]:
-    """Convert a Unix time in `unit` to nanoseconds, with a flag for whole seconds; raises `LeftOut`."""
+    """Convert a Unix time in `unit` to nanoseconds, with a flag for whole seconds; raises `RejectedRow`."""
     text = format(value, ".9f") if isinstance(value, float) else str(value)
     match = _NUMBER.match(text.strip())
     if match is None:
-        raise LeftOut("bad-time", text[:60])
+        raise RejectedRow("bad-time", text[:60])
     scale = UNITS[unit]
     integer, fraction = match.groups()
     at_ns = int(integer) * scale + int((fraction or "").ljust(9, "0")[:9]) * scale // SECOND
     if at_ns >= END_NS:
-        raise LeftOut("bad-time", text[:60])
+        raise RejectedRow("bad-time", text[:60])
     return at_ns, unit == "s" and (fraction is None or not int(fraction))
 
 
--- a/tests/load/test_load_sources.py
+++ b/tests/load/test_load_sources.py
@@ -24,7 +24,7 @@
 from brambleusher.load.demand import DemandError, DemandFile, write
 from brambleusher.load.mapping import Mapping, MappingError, parse_mapping
 from brambleusher.load.report import Report
-from brambleusher.load.request import REASONS, LeftOut, Request, SourceError
+from brambleusher.load.request import REASONS, RejectedRow, Request, SourceError
 from brambleusher.load.sources import ReadOptions, detect_format
 from brambleusher.load.times import SECOND
 from tests.rig import Node, Rig
@@ -211,7 +211,7 @@
             try:
                 entry = library.parse(text)
             except apachelogs.InvalidEntryError:
-                with pytest.raises(LeftOut):
+                with pytest.raises(RejectedRow):
                     parser.parse(text)
                 continue
             values, directives = parser.parse(text)
