--- a/brambleusher/lab/experiments/direct.py
+++ b/brambleusher/lab/experiments/direct.py
@@ -14,7 +14,7 @@
 from brambleusher.lab.fleets.figures import NodeFigures
 from brambleusher.lab.stand_ins.node import Execution
 from brambleusher.load import demand
-from brambleusher.load.fidelity import Heard
+from brambleusher.load.fidelity import ReceivedRequest
 from brambleusher.load.player import Play
 from brambleusher.load.processes import play
 from brambleusher.load.request import Request
@@ -29,7 +29,7 @@
 
 def run_direct(
     cell: Cell, requests: list[Request], plan: Play, span_s: float
-) -> tuple[Tally, list[Heard], list[Execution], int]:
+) -> tuple[Tally, list[ReceivedRequest], list[Execution], int]:
     """Play; gives the tally, what the nodes noted, what they ran, and when it began."""
     world = cell.figures.figures(span_s)
     nodes = [node for node in world.nodes if not node.spare]
@@ -57,7 +57,7 @@
                 Play(addresses, plan.pace, plan.timeout_ms, methods=plan.methods, seed=plan.seed),
                 PLAYERS,
             )
-        heard: list[Heard] = []
+        heard: list[ReceivedRequest] = []
         executions: list[Execution] = []
         for pipe in pipes:
             pipe.send(results.start_ns)
@@ -78,7 +78,7 @@
     """Some nodes in one process, until it is asked for what they noted."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     scheduler = Scheduler(RealSystem())
-    notes: list[Heard] = []
+    notes: list[ReceivedRequest] = []
     executions: list[Execution] = []
     addresses = []
     for figures in nodes:
--- a/brambleusher/lab/experiments/run.py
+++ b/brambleusher/lab/experiments/run.py
@@ -27,7 +27,7 @@
 from brambleusher.lab.stand_ins.node import Execution
 from brambleusher.lab.stand_ins.settings import Ask
 from brambleusher.lab.virtual.world import START_NS, WALL_NS, Tap
-from brambleusher.load.fidelity import Heard, compared
+from brambleusher.load.fidelity import ReceivedRequest, compare_with_demand
 from brambleusher.load.pacing import Pace
 from brambleusher.load.player import Play, Player
 from brambleusher.load.request import Request
@@ -93,7 +93,7 @@
         world = msgspec.structs.replace(world, sidecars=())
     sample = Ask(id="sample", at_s=0.0, request_class=world.classes[0].name)
     scenario = Scenario(seed=cell.seed, world=world, asks=(sample,), faults=cell.figures.faults)
-    tally, notes = Tally(world, cell.speed, span_s), list[Heard]()
+    tally, notes = Tally(world, cell.speed, span_s), list[ReceivedRequest]()
 
     def new_player(scheduler: Scheduler, targets: list[Address]) -> Player:
         return Player(scheduler, play_of(cell, requests, targets), requests, tally.add)
@@ -144,11 +144,13 @@
 
 
 def _fidelity(
-    cell: Cell, requests: list[Request], notes: list[Heard]
+    cell: Cell, requests: list[Request], notes: list[ReceivedRequest]
 ) -> tuple[dict[str, Any], dict[str, float]]:
     play = play_of(cell, requests, [])
     namer = Player.name_of
-    fidelity = compared(requests, notes, lambda number: namer(play.seed, number), target_of, cell.speed)
+    fidelity = compare_with_demand(
+        requests, notes, lambda number: namer(play.seed, number), target_of, cell.speed
+    )
     return fidelity.plain(), {
         "fidelity.rate_off": fidelity.rate_off, "fidelity.mix_off": fidelity.mix_off,
         "fidelity.exact": float(fidelity.exact),
--- a/brambleusher/load/fidelity.py
+++ b/brambleusher/load/fidelity.py
@@ -10,7 +10,7 @@
 from brambleusher.load.times import SECOND
 
 
-class Heard(NamedTuple):
+class ReceivedRequest(NamedTuple):
     """A request as a server received it; `at_ns` counts nanoseconds from the start of the replay."""
 
     at_ns: int
@@ -94,9 +94,9 @@
         )  # fmt: skip
 
 
-def compared(
+def compare_with_demand(
     requests: Iterable[Request],
-    received: Iterable[Heard],
+    received: Iterable[ReceivedRequest],
     name: Callable[[int], str],
     target: Callable[[Request], str],
     speed: float = 1.0,
@@ -114,7 +114,7 @@
     """
     fidelity = Fidelity(window_ns, [])
     windows = fidelity.windows
-    came: dict[str, Heard] = {}
+    came: dict[str, ReceivedRequest] = {}
     for each in received:
         if each.name in came:
             fidelity.twice += 1
--- a/tests/load/test_load_play.py
+++ b/tests/load/test_load_play.py
@@ -12,7 +12,7 @@
 
 from brambleusher.lab.virtual.world import VirtualSystem, World, WorldSettings
 from brambleusher.load import shape, synthetic
-from brambleusher.load.fidelity import Heard, compared
+from brambleusher.load.fidelity import ReceivedRequest, compare_with_demand
 from brambleusher.load.pacing import Pace
 from brambleusher.load.player import Play, Player
 from brambleusher.load.request import Request
@@ -251,13 +251,15 @@
 
 def test_fidelity_tells_what_came_otherwise() -> None:
     requests = [look(n, tenant="peach", hint_us=n) for n in range(25)]
-    received = [Heard(n * SECOND, str(n), "look", "peach", str(n), False, "/look?a=1", 0) for n in range(25)]
-    unaltered = compared(requests, received, str, target_of)
+    received = [
+        ReceivedRequest(n * SECOND, str(n), "look", "peach", str(n), False, "/look?a=1", 0) for n in range(25)
+    ]
+    unaltered = compare_with_demand(requests, received, str, target_of)
     assert unaltered.exact and unaltered.rate_off == unaltered.mix_off == 0.0 and len(unaltered.windows) == 3
     received[3] = received[3]._replace(tenant="plum")
     received[4] = received[4]._replace(name="other")
     received[5] = received[5]._replace(at_ns=received[5].at_ns + 10 * SECOND, request_class="move")
-    altered = compared(requests, [*received, received[6]], str, target_of)
+    altered = compare_with_demand(requests, [*received, received[6]], str, target_of)
     assert (altered.missing, altered.strange, altered.twice) == (1, 1, 1)
     assert altered.other == {"tenant": 1, "class": 1} and not altered.exact
     assert altered.rate_off == pytest.approx(0.1) and altered.mix_off == pytest.approx(1 / 11)
@@ -266,10 +268,12 @@
 
 def test_the_last_window_takes_what_is_a_little_late_and_no_more() -> None:
     requests = [look(n) for n in range(20)]
-    received = [Heard(n * SECOND, str(n), "look", None, None, False, "/look?a=1", 0) for n in range(20)]
+    received = [
+        ReceivedRequest(n * SECOND, str(n), "look", None, None, False, "/look?a=1", 0) for n in range(20)
+    ]
     for late_s, windows, off in ((0.5, 2, 0.0), (1.5, 2, 0.0), (11.5, 4, 1.0)):
         received[19] = received[19]._replace(at_ns=int((19 + late_s) * SECOND))
-        fidelity = compared(requests, received, str, target_of)
+        fidelity = compare_with_demand(requests, received, str, target_of)
         assert (len(fidelity.windows), fidelity.rate_off) == (windows, off)
 
 
