--- a/brambleusher/load/parallel.py
+++ b/brambleusher/load/parallel.py
@@ -21,7 +21,7 @@
 Batch = list[tuple[int, bytes | None, bool]]
 
 
-class Parsed(msgspec.Struct, array_like=True):
+class ParsedBatch(msgspec.Struct, array_like=True):
     """Result of parsing a batch of lines."""
 
     rows: int = 0
@@ -43,7 +43,7 @@
 
     def parse(self, batch: Batch) -> bytes:
         """Parse a batch and return the result as MessagePack."""
-        parsed = Parsed()
+        parsed = ParsedBatch()
         for number, line, has_line_ending in batch:
             try:
                 if line is None:
@@ -84,7 +84,7 @@
     """Yield the requests of a file in file order, like `sources.requests`, parsed by several processes."""
     options.line_reader(form)  # reports invalid options once, before processes start
     context = multiprocessing.get_context("spawn")
-    encode, decode = msgspec.msgpack.Encoder().encode, msgspec.msgpack.Decoder(Parsed).decode
+    encode, decode = msgspec.msgpack.Encoder().encode, msgspec.msgpack.Decoder(ParsedBatch).decode
     pipes: list[Connection] = []
     children = []
     try:
@@ -114,7 +114,7 @@
             child.join()
 
 
-def _add_to_report(parsed: Parsed, path: Path, report: Report) -> Iterator[Timed]:
+def _add_to_report(parsed: ParsedBatch, path: Path, report: Report) -> Iterator[Timed]:
     report.rows += parsed.rows
     for number, reason, detail in parsed.left:
         report.leave(reason, f"{path}: line {number}", detail)
