--- a/brambleusher/cli/load.py
+++ b/brambleusher/cli/load.py
@@ -23,7 +23,7 @@
 from brambleusher.load.mapping import MappingError, read_mapping
 from brambleusher.load.opening import Progress, file_size
 from brambleusher.load.ordering import SPREADS
-from brambleusher.load.report import texts
+from brambleusher.load.report import format_report
 from brambleusher.load.request import Request, SourceError
 from brambleusher.load.sources import FORMS, ReadOptions
 from brambleusher.load.summary import Summary, plot
@@ -122,7 +122,7 @@
     if as_json:
         print(msgspec.json.encode({**plain, "spread": spread, "window_s": window}).decode())
         return 0
-    print("\n".join(texts(plain)))
+    print("\n".join(format_report(plain)))
     if plain["notes"].get("whole-seconds"):
         how = "left bunched as they are" if spread == "none" else f"spread over their second: {spread}"
         print(f"times in whole seconds were {how}")
@@ -154,7 +154,7 @@
     print("\n".join(summary.texts()))
     if report:
         print("\nwhen it was built:")
-        print("\n".join(texts(report)))
+        print("\n".join(format_report(report)))
         if report.get("notes", {}).get("whole-seconds"):
             print(f"times in whole seconds: spread {original_provenance(made).get('spread', 'none')}")
     return 0
--- a/brambleusher/load/build.py
+++ b/brambleusher/load/build.py
@@ -81,7 +81,7 @@
         yield from window.add(timed)
         if window.late:
             for late in window.late:
-                report.leave("out-of-order", late.position)
+                report.reject("out-of-order", late.position)
             window.late.clear()
     yield from window.end()
     if window.reordered:
--- a/brambleusher/load/parallel.py
+++ b/brambleusher/load/parallel.py
@@ -117,7 +117,7 @@
 def _add_to_report(parsed: ParsedBatch, path: Path, report: Report) -> Iterator[Timed]:
     report.rows += parsed.rows
     for number, reason, detail in parsed.left:
-        report.leave(reason, f"{path}: line {number}", detail)
+        report.reject(reason, f"{path}: line {number}", detail)
     for note, count in parsed.notes.items():
         report.note(note, count)
     for number, has_full_seconds, request in parsed.requests:
--- a/brambleusher/load/report.py
+++ b/brambleusher/load/report.py
@@ -11,7 +11,7 @@
 
 
 @dataclass
-class Left:
+class RejectionCount:
     """Rows rejected for one reason."""
 
     count: int = 0
@@ -24,13 +24,13 @@
 
     rows: int = 0
     requests: int = 0
-    left_out: dict[str, Left] = field(default_factory=dict)
+    left_out: dict[str, RejectionCount] = field(default_factory=dict)
     notes: dict[str, int] = field(default_factory=dict)
 
-    def leave(self, reason: str, position: str, detail: str = "") -> None:
+    def reject(self, reason: str, position: str, detail: str = "") -> None:
         """Count a rejected row."""
         assert reason in REASONS, reason
-        left = self.left_out.setdefault(reason, Left())
+        left = self.left_out.setdefault(reason, RejectionCount())
         left.count += 1
         if len(left.first) < MAX_LISTED_POSITIONS:
             left.first.append(f"{position}: {detail}" if detail else position)
@@ -62,7 +62,7 @@
 }
 
 
-def texts(plain: dict[str, Any]) -> list[str]:
+def format_report(plain: dict[str, Any]) -> list[str]:
     """Format a report as lines of text."""
     lines = [f"{plain.get('rows', 0):,} rows, {plain.get('requests', 0):,} requests"]
     for name, left in plain.get("left_out", {}).items():
--- a/brambleusher/load/sources.py
+++ b/brambleusher/load/sources.py
@@ -111,13 +111,13 @@
     for row in rows(path, form, options, progress):
         report.rows += 1
         if isinstance(row, tuple):
-            report.leave(row[1].reason, f"{path}: {unit} {row[0]}", row[1].detail)
+            report.reject(row[1].reason, f"{path}: {unit} {row[0]}", row[1].detail)
             continue
         position = f"{path}: {unit} {row.number}"
         try:
             request = convert(row)
         except RejectedRow as rejection:
-            report.leave(rejection.reason, position, rejection.detail)
+            report.reject(rejection.reason, position, rejection.detail)
             continue
         record_notes(report.note, request, row.has_full_seconds, row.leap)
         yield Timed(request, row.has_full_seconds, position)
