--- a/brambleusher/load/results.py
+++ b/brambleusher/load/results.py
@@ -38,7 +38,7 @@
     return HdrHistogram(1, MAX_RECORDED_US, 3)
 
 
-def shown(hist: HdrHistogram) -> dict[str, float]:
+def summarize_histogram(hist: HdrHistogram) -> dict[str, float]:
     """Return count, percentiles, maximum and mean of a histogram of microseconds, in milliseconds."""
     if not hist.total_count:
         return {"count": 0}
@@ -155,10 +155,10 @@
             "by_class": {name: dict(sorted(ends.items())) for name, ends in sorted(self.ends.items())},
             "statuses": dict(sorted(self.statuses.items())),
             "latency_ms": {
-                "all": shown(everything),
-                **{name: shown(hist) for name, hist in sorted(self.latency.items())},
+                "all": summarize_histogram(everything),
+                **{name: summarize_histogram(hist) for name, hist in sorted(self.latency.items())},
             },
-            "lateness_ms": shown(self.lateness),
+            "lateness_ms": summarize_histogram(self.lateness),
             "was_late": self.late,
             "connects": self.connects,
             "window_s": self.window_ns / SECOND,
