--- a/benchmarks/load_lateness.py
+++ b/benchmarks/load_lateness.py
@@ -17,7 +17,7 @@
 from brambleusher.lab.stand_ins.settings import NodeSettings
 from brambleusher.load import demand, synthetic
 from brambleusher.load.pacing import Pace
-from brambleusher.load.player import Play
+from brambleusher.load.player import PlayOptions
 from brambleusher.load.processes import play
 from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.runtime.scheduler import Scheduler
@@ -60,7 +60,7 @@
             path = Path(folder) / "demand"
             recipe = synthetic.Recipe(seconds=given.seconds, rate=given.rate, burst=None, refused=0.0)
             demand.write(path, synthetic.requests(recipe, 1))
-            plan = Play(targets, Pace(recipe.start_ns))
+            plan = PlayOptions(targets, Pace(recipe.start_ns))
             results = play(path, plan, given.processes)
         print("\n".join(results.texts()))
     finally:
--- a/brambleusher/cli/load.py
+++ b/brambleusher/cli/load.py
@@ -379,7 +379,7 @@
 ) -> int:  # fmt: skip
     """Play on sockets; status 1 when the generator itself was late or left requests unsent."""
     from brambleusher.load.pacing import Pace
-    from brambleusher.load.player import Play
+    from brambleusher.load.player import PlayOptions
     from brambleusher.load.processes import PlayError, play
 
     with DemandFile(file) as source:
@@ -389,7 +389,7 @@
         raise SourceError(f"{file}: there are no requests")
     # Two plays at once must not have the same ids.
     ids = random.SystemRandom().getrandbits(63) if seed is None else seed
-    plan = Play(resolve_addresses(targets), Pace(start_ns, speed), timeout_ms, most_open, seed=ids)
+    plan = PlayOptions(resolve_addresses(targets), Pace(start_ns, speed), timeout_ms, most_open, seed=ids)
     try:
         with progress_bar(total) as advance:
             before = 0
--- a/brambleusher/lab/experiments/direct.py
+++ b/brambleusher/lab/experiments/direct.py
@@ -15,7 +15,7 @@
 from brambleusher.lab.stand_ins.node import Execution
 from brambleusher.load import demand
 from brambleusher.load.fidelity import ReceivedRequest
-from brambleusher.load.player import Play
+from brambleusher.load.player import PlayOptions
 from brambleusher.load.processes import play
 from brambleusher.load.request import Request
 from brambleusher.runtime.operating_system import RealSystem
@@ -28,7 +28,7 @@
 
 
 def run_direct(
-    cell: Cell, requests: list[Request], plan: Play, span_s: float
+    cell: Cell, requests: list[Request], plan: PlayOptions, span_s: float
 ) -> tuple[Tally, list[ReceivedRequest], list[Execution], int]:
     """Play; gives the tally, what the nodes noted, what they ran, and when it began."""
     world = cell.figures.figures(span_s)
@@ -54,7 +54,7 @@
             demand.write(path, requests)
             results = play(
                 path,
-                Play(addresses, plan.pace, plan.timeout_ms, methods=plan.methods, seed=plan.seed),
+                PlayOptions(addresses, plan.pace, plan.timeout_ms, methods=plan.methods, seed=plan.seed),
                 PLAYERS,
             )
         heard: list[ReceivedRequest] = []
--- a/brambleusher/lab/experiments/run.py
+++ b/brambleusher/lab/experiments/run.py
@@ -29,7 +29,7 @@
 from brambleusher.lab.virtual.world import START_NS, WALL_NS, Tap
 from brambleusher.load.fidelity import ReceivedRequest, compare_with_demand
 from brambleusher.load.pacing import Pace
-from brambleusher.load.player import Play, Player
+from brambleusher.load.player import Player, PlayOptions
 from brambleusher.load.request import Request
 from brambleusher.load.wording import target_of
 from brambleusher.runtime.operating_system import RealSystem
@@ -79,10 +79,10 @@
     return max(0.001, (requests[-1].at_ns - requests[0].at_ns) / SECOND / cell.speed)
 
 
-def play_of(cell: Cell, requests: list[Request], targets: list[Address]) -> Play:
+def play_of(cell: Cell, requests: list[Request], targets: list[Address]) -> PlayOptions:
     """How the player is to play."""
     pace = Pace(requests[0].at_ns, cell.speed)
-    return Play(targets, pace, cell.timeout_ms, methods=cell.figures.methods, seed=cell.seed)
+    return PlayOptions(targets, pace, cell.timeout_ms, methods=cell.figures.methods, seed=cell.seed)
 
 
 def virtual(cell: Cell, requests: list[Request]) -> CellResult:
--- a/brambleusher/load/pacing.py
+++ b/brambleusher/load/pacing.py
@@ -9,7 +9,7 @@
 from brambleusher.load.request import Request
 
 
-class Due(NamedTuple):
+class DueRequest(NamedTuple):
     """A request and when it is to be sent, in nanoseconds after the start."""
 
     number: int  # index in the whole demand, from 0
@@ -26,11 +26,11 @@
     partition: int = 0
     partitions: int = 1
 
-    def due(self, requests: Iterable[Request]) -> Iterator[Due]:
+    def due(self, requests: Iterable[Request]) -> Iterator[DueRequest]:
         """Yield the requests of the partition, each with the time when it is due."""
         for number, request in enumerate(requests):
             if number % self.partitions == self.partition:
-                yield Due(number, self.due_ns(request.at_ns), request)
+                yield DueRequest(number, self.due_ns(request.at_ns), request)
 
     def due_ns(self, at_ns: int) -> int:
         """Convert a time of the demand into nanoseconds after the start of the play."""
--- a/brambleusher/load/player.py
+++ b/brambleusher/load/player.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from dataclasses import dataclass, field
 
-from brambleusher.load.pacing import Due, Pace
+from brambleusher.load.pacing import DueRequest, Pace
 from brambleusher.load.results import Outcome
 from brambleusher.load.wording import ResponseFormatError, ResponseReader, encode_replayed_request
 from brambleusher.runtime.scheduler import Scheduler, Task, TaskTimeoutError
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True)
-class Play:
+class PlayOptions:
     """Options of a replay."""
 
     targets: Sequence[Address]  # request number modulo length selects the target
@@ -48,7 +48,7 @@
     def __init__(
         self,
         scheduler: Scheduler,
-        play: Play,
+        play: PlayOptions,
         requests: Iterable[object],
         on_outcome: Callable[[Outcome], object],
     ) -> None:
@@ -108,7 +108,7 @@
         """Return the id of a request, which is a function of the seed and the request number."""
         return hashlib.blake2b(f"{seed}/{number}".encode(), digest_size=8).hexdigest()
 
-    def _play_request(self, due: Due) -> None:
+    def _play_request(self, due: DueRequest) -> None:
         """Send one request and report its outcome."""
         begun_ns, end, status = self._now(), "failed", 0
         play, request = self.play, due.request
--- a/brambleusher/load/processes.py
+++ b/brambleusher/load/processes.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from brambleusher.load.demand import DemandFile
-from brambleusher.load.player import Play, Player
+from brambleusher.load.player import Player, PlayOptions
 from brambleusher.load.results import Results
 from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.runtime.scheduler import Scheduler
@@ -27,7 +27,7 @@
     """A player process failed."""
 
 
-def play(path: Path, plan: Play, processes: int, progress: Progress | None = None) -> Results:
+def play(path: Path, plan: PlayOptions, processes: int, progress: Progress | None = None) -> Results:
     """Replay a demand file over real sockets; SIGINT ends the replay early and returns partial results."""
     context = multiprocessing.get_context("spawn")
     pipes: list[Connection] = []
@@ -73,7 +73,7 @@
 
 
 def _collect(
-    pipes: list[Connection], plan: Play, stopping: Callable[[], bool], progress: Progress | None
+    pipes: list[Connection], plan: PlayOptions, stopping: Callable[[], bool], progress: Progress | None
 ) -> Results:
     total = Results(speed=plan.pace.speed)
     sent = dict.fromkeys(range(len(pipes)), 0)
@@ -97,7 +97,7 @@
     return total
 
 
-def _child(path: str, plan: Play, pipe: Connection) -> None:
+def _child(path: str, plan: PlayOptions, pipe: Connection) -> None:
     """Run a player process; ends silently if the parent process is gone."""
     try:
         _play(path, plan, pipe)
@@ -105,7 +105,7 @@
         return
 
 
-def _play(path: str, plan: Play, pipe: Connection) -> None:
+def _play(path: str, plan: PlayOptions, pipe: Connection) -> None:
     """Report readiness, receive the start time, replay with progress reports, and send the results."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)  # the parent handles SIGINT and sends "stop"
     system = RealSystem()
--- a/tests/load/test_load_faults.py
+++ b/tests/load/test_load_faults.py
@@ -11,7 +11,7 @@
 from brambleusher.load import demand, processes, shape, synthetic
 from brambleusher.load.demand import DemandFile
 from brambleusher.load.pacing import Pace
-from brambleusher.load.player import Play
+from brambleusher.load.player import PlayOptions
 from brambleusher.load.results import Results
 
 
@@ -88,7 +88,7 @@
 def test_a_process_that_plays_ends_without_a_word_where_nobody_listens_any_more(folder: Path) -> None:
     parent_end, child_end = multiprocessing.Pipe()
     parent_end.close()
-    processes._child(str(folder / "d"), Play([("127.0.0.1", 1)], Pace(0)), child_end)
+    processes._child(str(folder / "d"), PlayOptions([("127.0.0.1", 1)], Pace(0)), child_end)
 
 
 def test_demand_without_requests_can_be_scaled() -> None:
--- a/tests/load/test_load_play.py
+++ b/tests/load/test_load_play.py
@@ -14,7 +14,7 @@
 from brambleusher.load import shape, synthetic
 from brambleusher.load.fidelity import ReceivedRequest, compare_with_demand
 from brambleusher.load.pacing import Pace
-from brambleusher.load.player import Play, Player
+from brambleusher.load.player import Player, PlayOptions
 from brambleusher.load.request import Request
 from brambleusher.load.results import Outcome, Results
 from brambleusher.load.summary import MOST_BINS, Summary
@@ -162,7 +162,7 @@
         scheduler.run()
 
     def play(self, requests: list[Request], speed: float = 1.0, most_open: int = 100) -> None:
-        play = Play([("10.0.0.1", 80)], Pace(NOON, speed), timeout_ms=500, most_open=most_open)
+        play = PlayOptions([("10.0.0.1", 80)], Pace(NOON, speed), timeout_ms=500, most_open=most_open)
 
         def main(system: VirtualSystem) -> None:
             scheduler = Scheduler(system)
