--- a/brambleusher/cli/load.py
+++ b/brambleusher/cli/load.py
@@ -190,8 +190,8 @@
     """Extract a span of time of a demand file."""
     with DemandFile(file) as source:
         first_ns = source.span_ns[0]
-        start_ns = None if start is None else shape.moment(start, first_ns)
-        end_ns = None if end is None else shape.moment(end, first_ns)
+        start_ns = None if start is None else shape.parse_demand_time(start, first_ns)
+        end_ns = None if end is None else shape.parse_demand_time(end, first_ns)
         if start_ns is not None and end_ns is not None and end_ns <= start_ns:
             raise shape.ShapeError(f"the span ends at {end}, which is not after its start at {start}")
         requests = source.requests(start_ns, end_ns)
@@ -226,7 +226,7 @@
         first, dots, last = span.partition("..")
         if not dots:
             raise click.BadParameter(f"{burst!r} is not FROM..TO=FACTOR", param_hint="--burst")
-        edges = [shape.moment(each, start_ns) - start_ns for each in (first, last)]
+        edges = [shape.parse_demand_time(each, start_ns) - start_ns for each in (first, last)]
         if edges[1] <= edges[0]:
             raise click.BadParameter(f"{burst!r} ends before it begins", param_hint="--burst")
         found.append(shape.Burst(edges[0], edges[1], parse_factor(text, "--burst")))
@@ -259,7 +259,7 @@
             "speed": speed, "rate": rate, "classes": dict(scale.classes), "tenants": dict(scale.tenants),
             "bursts": [[burst.start_ns, burst.end_ns, burst.times] for burst in scale.bursts], "seed": seed,
         }  # fmt: skip
-        requests = shape.scaled(source.requests(), start_ns, scale)
+        requests = shape.scale_demand(source.requests(), start_ns, scale)
         return write_derived(source, out, requests, "scale", parameters)
 
 
@@ -276,7 +276,7 @@
     try:
         starts = [source.span_ns[0] for source in sources]
         shifts = [starts[0] - start if align == "start" else 0 for start in starts]
-        requests = shape.mixed([source.requests() for source in sources], shifts)
+        requests = shape.merge_demands([source.requests() for source in sources], shifts)
         made = {
             "by": "mix", "align": align,
             "of": [{"name": source.path.name, "made": source.header.made} for source in sources],
--- a/brambleusher/lab/experiments/plan.py
+++ b/brambleusher/lab/experiments/plan.py
@@ -98,7 +98,7 @@
             yield first
             yield from made
 
-        yield from shape.scaled(all_of(), first.at_ns, scale)
+        yield from shape.scale_demand(all_of(), first.at_ns, scale)
 
     @staticmethod
     def _file(path: str) -> Iterator[Request]:
--- a/brambleusher/load/shape.py
+++ b/brambleusher/load/shape.py
@@ -20,7 +20,7 @@
     """A parameter of a transformation is invalid."""
 
 
-def moment(text: str, start_ns: int) -> int:
+def parse_demand_time(text: str, start_ns: int) -> int:
     """Parse seconds from the start, or an ISO 8601 time with a zone, to Unix nanoseconds."""
     if _SECONDS.match(text):
         return start_ns + round(float(text) * SECOND)
@@ -53,7 +53,7 @@
     jitter_ns: int = SECOND
     seed: int = 1
 
-    def times(self, request: Request, passed_ns: int) -> float:
+    def mean_copies(self, request: Request, passed_ns: int) -> float:
         """Return the mean number of copies of a request in the scaled demand."""
         times = self.rate * self.classes.get(request.request_class, 1.0)
         times *= self.tenants.get(request.tenant or "", 1.0)
@@ -62,13 +62,13 @@
                 times *= burst.times
         return times
 
-    def until(self, passed_ns: int) -> int:
+    def next_burst_edge(self, passed_ns: int) -> int:
         """Return the next edge of a burst, before which copies of a request must stay."""
         edges = [edge for burst in self.bursts for edge in (burst.start_ns, burst.end_ns) if edge > passed_ns]
         return min(edges, default=1 << 62)
 
 
-def scaled(requests: Iterable[Request], start_ns: int, scale: Scale) -> Iterator[Request]:
+def scale_demand(requests: Iterable[Request], start_ns: int, scale: Scale) -> Iterator[Request]:
     """Scale a demand.
 
     A request with a factor of 2.3 appears twice, or three times with probability 0.3.  The original keeps its
@@ -86,11 +86,11 @@
         while pending_copies and pending_copies[0][0] <= request.at_ns:
             yield _apply_speed(heapq.heappop(pending_copies)[2], start_ns, scale.speed)
         passed_ns = request.at_ns - start_ns
-        times = scale.times(request, passed_ns)
+        times = scale.mean_copies(request, passed_ns)
         copies = int(times) + (rng.random() < times - int(times))
         if copies:
             yield _apply_speed(request, start_ns, scale.speed)
-        max_delay_ns = min(scale.jitter_ns, scale.until(passed_ns) - passed_ns - 1)
+        max_delay_ns = min(scale.jitter_ns, scale.next_burst_edge(passed_ns) - passed_ns - 1)
         for _ in range(copies - 1):
             count += 1
             at_ns = request.at_ns + rng.randint(0, max(0, max_delay_ns))
@@ -108,7 +108,7 @@
     return msgspec.structs.replace(request, at_ns=start_ns + round((request.at_ns - start_ns) / speed))
 
 
-def mixed(streams: list[Iterable[Request]], shifts_ns: list[int]) -> Iterator[Request]:
+def merge_demands(streams: list[Iterable[Request]], shifts_ns: list[int]) -> Iterator[Request]:
     """Merge several demands, each shifted in time."""
 
     def shifted(stream: Iterable[Request], by_ns: int) -> Iterator[Request]:
--- a/tests/load/test_load_faults.py
+++ b/tests/load/test_load_faults.py
@@ -92,4 +92,4 @@
 
 
 def test_demand_without_requests_can_be_scaled() -> None:
-    assert list(shape.scaled([], 0, shape.Scale(classes={"x": 2.0}))) == []
+    assert list(shape.scale_demand([], 0, shape.Scale(classes={"x": 2.0}))) == []
--- a/tests/load/test_load_play.py
+++ b/tests/load/test_load_play.py
@@ -298,7 +298,7 @@
     requests = [look(at / 10) for at in tenths]
     burst = shape.Burst(3 * SECOND, 5 * SECOND, 3.0)
     scale = shape.Scale(2.0, rate, {"look": 1.0}, bursts=(burst,), seed=seed)
-    copies = list(shape.scaled(requests, NOON, scale))
+    copies = list(shape.scale_demand(requests, NOON, scale))
     assert [each.at_ns for each in copies] == sorted(each.at_ns for each in copies)
     for low, high, times in ((0, 30, rate), (30, 50, 3 * rate), (50, 101, rate)):
         original = sum(low <= at < high for at in tenths)
