--- a/brambleusher/lab/experiments/plan.py
+++ b/brambleusher/lab/experiments/plan.py
@@ -112,7 +112,7 @@
 def recipe_of(raw: dict[str, Any]) -> synthetic.Recipe:
     """A recipe from plain values; raises `RecipeError`."""
     try:
-        return synthetic.checked(msgspec.convert(raw, synthetic.Recipe))
+        return synthetic.validate_recipe(msgspec.convert(raw, synthetic.Recipe))
     except msgspec.ValidationError as error:
         raise synthetic.RecipeError(str(error)) from None
 
--- a/brambleusher/load/synthetic.py
+++ b/brambleusher/load/synthetic.py
@@ -26,7 +26,7 @@
     """A recipe is invalid; the message names the key."""
 
 
-class Kind(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class ClassParameters(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """Parameters of a request class."""
 
     share: float = 1.0
@@ -58,11 +58,11 @@
             "peach-seats": 5.0, "midtown-tickets": 3.0, "river-resale": 1.5, "box-office": 0.5,
         }
     )  # fmt: skip
-    classes: dict[str, Kind] = msgspec.field(
+    classes: dict[str, ClassParameters] = msgspec.field(
         default_factory=lambda: {
-            "listing-lookup": Kind(share=6.0, timeout_ms=1500, hint_us=24_000.0),
-            "price-check": Kind(share=3.0, timeout_ms=2000, hint_us=45_000.0, hinted=0.9),
-            "transfer-record": Kind(share=1.0, safe=False, timeout_ms=4000, hint_us=90_000.0),
+            "listing-lookup": ClassParameters(share=6.0, timeout_ms=1500, hint_us=24_000.0),
+            "price-check": ClassParameters(share=3.0, timeout_ms=2000, hint_us=45_000.0, hinted=0.9),
+            "transfer-record": ClassParameters(share=1.0, safe=False, timeout_ms=4000, hint_us=90_000.0),
         }
     )
     burst: Burst | None = Burst()
@@ -76,7 +76,7 @@
     """Read and validate a recipe in YAML; raises `RecipeError`."""
     try:
         raw = yaml.safe_load(Path(path).read_bytes())
-        return checked(msgspec.convert({} if raw is None else raw, Recipe))
+        return validate_recipe(msgspec.convert({} if raw is None else raw, Recipe))
     except OSError as error:
         raise RecipeError(f"{path}: {error.strerror}") from None
     except (yaml.YAMLError, UnicodeDecodeError) as error:
@@ -93,7 +93,7 @@
             _finite(each, f"{name}.{key}" if name else str(key))
 
 
-def checked(recipe: Recipe) -> Recipe:
+def validate_recipe(recipe: Recipe) -> Recipe:
     """Return the recipe if its values are valid; raises `RecipeError`."""
     _finite(msgspec.to_builtins(recipe), "")
     for name, value, low in (
@@ -114,7 +114,7 @@
     return recipe
 
 
-def factor(recipe: Recipe, at_s: float) -> float:
+def rate_factor(recipe: Recipe, at_s: float) -> float:
     """Return the ratio of the rate to the base rate at a time in seconds from the start."""
     burst = recipe.burst
     if burst is None or not burst.start_s <= at_s < burst.start_s + burst.seconds:
@@ -149,7 +149,7 @@
         return
     at_s = rng.expovariate(recipe.rate * max_factor)
     while at_s < recipe.seconds:
-        if rng.random() * max_factor < factor(recipe, at_s):
+        if rng.random() * max_factor < rate_factor(recipe, at_s):
             yield recipe.start_ns + int(at_s * SECOND) // 1_000_000 * 1_000_000
         at_s += rng.expovariate(recipe.rate * max_factor)
 
@@ -157,7 +157,7 @@
 def _draw_request(recipe: Recipe, rng: random.Random, at_ns: int) -> Request:
     at_s = (at_ns - recipe.start_ns) / SECOND
     shares = {name: class_parameters.share for name, class_parameters in recipe.classes.items()}
-    if recipe.burst is not None and recipe.burst.share and factor(recipe, at_s) > 1.0:
+    if recipe.burst is not None and recipe.burst.share and rate_factor(recipe, at_s) > 1.0:
         shares |= recipe.burst.share
     name = rng.choices(list(shares), list(shares.values()))[0]
     class_parameters = recipe.classes[name]
@@ -199,7 +199,7 @@
 ) -> Iterator[Request]:
     """Yield a request with its response; schedule a retry with a new id after a pause if it is refused."""
     at_s = (request.at_ns - recipe.start_ns) / SECOND
-    share = recipe.refused_in_burst if factor(recipe, at_s) > 1.0 else recipe.refused
+    share = recipe.refused_in_burst if rate_factor(recipe, at_s) > 1.0 else recipe.refused
     refused = rng.random() < share
     took = int((request.hint_us or 10_000) * 1_000 * (1.0 + rng.expovariate(2.0)))
     yield msgspec.structs.replace(
@@ -214,7 +214,7 @@
         heapq.heappush(retries, (retry.at_ns, rng.getrandbits(32), retry, tries + 1))
 
 
-LOGGED = (
+LOGGED_HEADERS = (
     "request-class", "tenant", "work-hint", "request-timeout-ms", "request-id", "client-retry",
     "content-length",
 )  # fmt: skip
@@ -225,24 +225,24 @@
     headers = {name.lower(): value for name, value in request.headers}
     seconds, nanos = divmod(request.at_ns, SECOND)
     when = EPOCH.fromtimestamp(seconds, EPOCH.tzinfo).strftime("%d/%b/%Y:%H:%M:%S +0000")
-    header_texts = " ".join(f'"{escaped(headers.get(name, "-"))}"' for name in LOGGED)
+    header_texts = " ".join(f'"{log_escaped(headers.get(name, "-"))}"' for name in LOGGED_HEADERS)
     stamp = f"[{when}]" if whole_seconds else f"{seconds}.{nanos // 1000:06d}"
     line = (
-        f'192.0.2.7 - - {stamp} "{escaped(request.method)} {escaped(request.target)} HTTP/1.1" '
+        f'192.0.2.7 - - {stamp} "{log_escaped(request.method)} {log_escaped(request.target)} HTTP/1.1" '
         f'{request.status or 200} 512 "-" "market/1.0" {(request.took_ns or 0) // 1000} {header_texts}\n'
     )
     return line.encode("latin-1")
 
 
 # LogFormat that equals `platform` but has times in microseconds.
-EXACT = (
+EXACT_LOG_FORMAT = (
     '%h %l %u %{sec}t.%{usec_frac}t "%r" %>s %b "%{Referer}i" "%{User-Agent}i" %D "%{Request-Class}i" '
     '"%{Tenant}i" "%{Work-Hint}i" "%{Request-Timeout-Ms}i" "%{Request-Id}i" "%{Client-Retry}i" '
     '"%{Content-Length}i"'
 )
 
 
-def escaped(text: str) -> str:
+def log_escaped(text: str) -> str:
     """Escape unprintable characters, quotes and backslashes as the server does in its log."""
     out = []
     for char in text:
--- a/tests/load/test_load_sources.py
+++ b/tests/load/test_load_sources.py
@@ -200,7 +200,11 @@
 
 
 def test_lines_are_read_as_the_library_reads_them() -> None:
-    formats = [*FORMATS.values(), synthetic.EXACT, "%v:%p %h %{%d/%b/%Y %T}t.%{usec_frac}t %>s %s %I %{c}a"]
+    formats = [
+        *FORMATS.values(),
+        synthetic.EXACT_LOG_FORMAT,
+        "%v:%p %h %{%d/%b/%Y %T}t.%{usec_frac}t %>s %s %I %{c}a",
+    ]
     lines = [log(hint="7").rstrip(), "v:80 ::1 01/Dec/2025 12:00:00.000250 - 200 17 1.2.3.4"]
     lines += [line.decode().rstrip() for line in map(synthetic.log_line, synthetic.requests(SHORT, 3))]
     lines += [line.replace('"-"', '"\\x09\\"\\\\"', 1) for line in lines]
@@ -445,9 +449,9 @@
         msgspec.structs.replace(each, at_ns=each.at_ns // 1000 * 1000) for each in sort_by_time(requests)
     ]
     data = b"".join(map(synthetic.log_line, requests))
-    again, report = build_demand(tmp_path, data, ReadOptions(log_format=synthetic.EXACT))
+    again, report = build_demand(tmp_path, data, ReadOptions(log_format=synthetic.EXACT_LOG_FORMAT))
     assert not report.left_out
-    order = ("user-agent", *synthetic.LOGGED)
+    order = ("user-agent", *synthetic.LOGGED_HEADERS)
     for each, read in zip(requests, again, strict=True):
         headers = sorted(
             (("User-Agent", "market/1.0"), *each.headers), key=lambda pair: order.index(pair[0].lower())
@@ -507,7 +511,7 @@
     har.write(made, text, "0")
     lines = b"".join(map(synthetic.log_line, made))
     records = b"".join(msgspec.json.encode(synthetic.json_record(each)) + b"\n" for each in made)
-    exact = ReadOptions(form="access", log_format=synthetic.EXACT)
+    exact = ReadOptions(form="access", log_format=synthetic.EXACT_LOG_FORMAT)
     return {
         "har": (text.getvalue().encode(), ReadOptions(form="har")),
         "access": (lines, exact),
