--- a/brambleusher/load/summary.py
+++ b/brambleusher/load/summary.py
@@ -11,7 +11,7 @@
 from brambleusher.load.request import Request
 from brambleusher.load.times import SECOND, to_text
 
-MOST_BINS = 4096
+MAX_BINS = 4096
 # Limits of the classes with bins, and of the classes or tenants with a count.
 MAX_BINNED_CLASSES, MAX_COUNTED_NAMES = 100, 10_000
 OTHERS = "(others)"
@@ -34,7 +34,7 @@
     def add(self, request: Request) -> None:
         """Count a request, which must not be earlier than the start."""
         at = (request.at_ns - self.start_ns) // self.width_ns
-        while at >= MOST_BINS:
+        while at >= MAX_BINS:
             self.width_ns *= 2
             self.counts = {name: _halved(row) for name, row in self.counts.items()}
             at //= 2
@@ -172,7 +172,7 @@
                 if len(counts) > 20:
                     lines.append(f"and {len(counts) - 20} more")
         lines += ["", f"requests in windows of {self.window_s:g} s, from 0 to {max(self.windows()):,}"]
-        lines += sparks(self.windows())
+        lines += sparkline_rows(self.windows())
         for burst in plain["bursts"]:
             lines.append(
                 f"burst at {burst['start_s']:g} s for {burst['seconds']:g} s: "
@@ -182,7 +182,7 @@
         return lines
 
 
-def sparks(values: list[int], width: int = 100) -> list[str]:
+def sparkline_rows(values: list[int], width: int = 100) -> list[str]:
     """Draw values as rows of block characters scaled to the maximum."""
     maximum = max(values, default=0) or 1
     text = "".join(BLOCKS[-(-value * (len(BLOCKS) - 1) // maximum)] for value in values)
--- a/tests/load/test_load_play.py
+++ b/tests/load/test_load_play.py
@@ -17,7 +17,7 @@
 from brambleusher.load.player import Player, PlayOptions
 from brambleusher.load.request import Request
 from brambleusher.load.results import Outcome, Results
-from brambleusher.load.summary import MOST_BINS, Summary
+from brambleusher.load.summary import MAX_BINS, Summary
 from brambleusher.load.times import SECOND
 from brambleusher.load.wording import ResponseFormatError, ResponseReader, encode_replayed_request, target_of
 from brambleusher.net.http import MessageReader, write_response
@@ -283,7 +283,7 @@
     assert (burst["start_s"], burst["seconds"]) == (240.0, 80.0) and 7 < burst["times"] < 10
     assert sum(summary.windows()) == summary.requests == sum(summary.by_tenant.values())
     years = Summary(look(day * 86_400.0) for day in range(900))
-    assert years.bins is not None and max(map(len, years.bins.counts.values())) <= MOST_BINS
+    assert years.bins is not None and max(map(len, years.bins.counts.values())) <= MAX_BINS
     assert sum(years.windows()) == 900
 
 
