--- a/brambleusher/load/mapping.py
+++ b/brambleusher/load/mapping.py
@@ -24,7 +24,7 @@
     Request,
     Row,
 )
-from brambleusher.load.times import zone_of
+from brambleusher.load.times import find_time_zone
 
 MAX_HEAD = 64 * 1024
 MAX_CACHED_NAMES = 1000  # limit of the cache of valid header names
@@ -140,7 +140,9 @@
         if mapping.time.unit not in ("s", "ms", "us", "ns"):
             raise MappingError("time.unit must be s, ms, us or ns")
         try:
-            self.zone: tzinfo | None = None if mapping.time.zone is None else zone_of(mapping.time.zone)
+            self.zone: tzinfo | None = (
+                None if mapping.time.zone is None else find_time_zone(mapping.time.zone)
+            )
         except ValueError as error:
             raise MappingError(f"time.zone: {error}") from None
         if mapping.classes is not None and not mapping.classes:
--- a/brambleusher/load/times.py
+++ b/brambleusher/load/times.py
@@ -20,7 +20,7 @@
 _NUMBER = re.compile(r"(\d{1,19})(?:\.(\d{1,18}))?\Z", re.A)
 
 
-def zone_of(name: str) -> tzinfo:
+def find_time_zone(name: str) -> tzinfo:
     """Return the time zone with an IANA name; raises `ValueError` if there is none."""
     try:
         return ZoneInfo(name)
@@ -33,12 +33,12 @@
     if moment.tzinfo is None:
         if zone is None:
             raise RejectedRow("no-zone", moment.isoformat())
-        moment = in_zone(moment, zone)
+        moment = attach_zone(moment, zone)
     since_epoch = moment - EPOCH
     return (since_epoch.days * 86_400 + since_epoch.seconds) * SECOND + since_epoch.microseconds * 1_000
 
 
-def in_zone(moment: datetime, zone: tzinfo) -> datetime:
+def attach_zone(moment: datetime, zone: tzinfo) -> datetime:
     """Attach a zone to a local time; raises `RejectedRow` if the zone has that time twice or not at all."""
     first, second = (moment.replace(tzinfo=zone, fold=fold) for fold in (0, 1))
     if first.utcoffset() == second.utcoffset():
@@ -97,6 +97,6 @@
     return f"{stamp}.{digits[:3] if digits.endswith('000000') else digits}Z"
 
 
-def day_of(at_ns: int) -> date:
+def utc_day(at_ns: int) -> date:
     """Return the day in UTC."""
     return (EPOCH + timedelta(seconds=at_ns // SECOND)).date()
