--- a/brambleusher/lab/experiments/report.py
+++ b/brambleusher/lab/experiments/report.py
@@ -253,13 +253,13 @@
     classes = sorted({name for window in fidelity.windows for name in window.due})
     rows = []
     for at, window in enumerate(fidelity.windows):
-        due, came = sum(window.due.values()), sum(window.came.values())
+        due, came = sum(window.due.values()), sum(window.received.values())
         rows.append(
             [
                 f"{at * fidelity.window_ns / 1e9:g} s", f"{due:,}", f"{came:,}", _share(window.rate_off),
                 *(
                     f"{_share(window.due.get(name, 0) / due if due else 0)} / "
-                    f"{_share(window.came.get(name, 0) / came if came else 0)}"
+                    f"{_share(window.received.get(name, 0) / came if came else 0)}"
                     for name in classes
                 ),
                 _share(window.mix_off),
@@ -269,8 +269,8 @@
         f'<span class="good">all {fidelity.requests:,} requests came once, each with its class, tenant, '
         "hint, retry mark, target and size</span>"
         if fidelity.exact
-        else f'<span class="bad">{fidelity.missing:,} missing, {fidelity.twice:,} twice, '
-        f"{fidelity.strange:,} strange, {escape(str(fidelity.other))} otherwise than they stood</span>"
+        else f'<span class="bad">{fidelity.missing:,} missing, {fidelity.duplicates:,} twice, '
+        f"{fidelity.unknown:,} strange, {escape(str(fidelity.altered))} otherwise than they stood</span>"
     )
     head = [
         "window",
--- a/brambleusher/load/fidelity.py
+++ b/brambleusher/load/fidelity.py
@@ -28,23 +28,23 @@
     """Counts of due and of received requests by class in one time window."""
 
     due: dict[str, int] = field(default_factory=dict)
-    came: dict[str, int] = field(default_factory=dict)
+    received: dict[str, int] = field(default_factory=dict)
 
     @property
     def rate_off(self) -> float:
         """Difference between received and due requests, as a fraction of the due requests."""
-        due, came = sum(self.due.values()), sum(self.came.values())
-        return abs(came - due) / due if due else float(came > 0)
+        due, received = sum(self.due.values()), sum(self.received.values())
+        return abs(received - due) / due if due else float(received > 0)
 
     @property
     def mix_off(self) -> float:
         """Largest difference between the due and the received share of any class."""
-        due, came = sum(self.due.values()), sum(self.came.values())
-        if not due or not came:
-            return float(due != came)
+        due, received = sum(self.due.values()), sum(self.received.values())
+        if not due or not received:
+            return float(due != received)
         return max(
-            abs(self.due.get(name, 0) / due - self.came.get(name, 0) / came)
-            for name in self.due.keys() | self.came.keys()
+            abs(self.due.get(name, 0) / due - self.received.get(name, 0) / received)
+            for name in self.due.keys() | self.received.keys()
         )
 
 
@@ -56,10 +56,10 @@
     windows: list[Window]
     requests: int = 0
     missing: int = 0
-    twice: int = 0
-    strange: int = 0  # received requests that are not in the demand file
-    other: dict[str, int] = field(default_factory=dict)  # altered requests by differing attribute
-    first: list[str] = field(default_factory=list)  # descriptions of the first few altered requests
+    duplicates: int = 0
+    unknown: int = 0  # received requests that are not in the demand file
+    altered: dict[str, int] = field(default_factory=dict)  # altered requests by differing attribute
+    examples: list[str] = field(default_factory=list)  # descriptions of the first few altered requests
 
     @property
     def rate_off(self) -> float:
@@ -74,15 +74,15 @@
     @property
     def exact(self) -> bool:
         """Whether every request was received exactly once and unaltered."""
-        return not (self.missing or self.twice or self.strange or self.other)
+        return not (self.missing or self.duplicates or self.unknown or self.altered)
 
     def plain(self) -> dict[str, Any]:
         """Return the comparison as JSON values."""
         return {
             "requests": self.requests, "rate_off": self.rate_off, "mix_off": self.mix_off,
-            "exact": self.exact, "missing": self.missing, "twice": self.twice, "strange": self.strange,
-            "other": self.other, "first": self.first, "window_s": self.window_ns / SECOND,
-            "windows": [{"due": window.due, "came": window.came} for window in self.windows],
+            "exact": self.exact, "missing": self.missing, "twice": self.duplicates, "strange": self.unknown,
+            "other": self.altered, "first": self.examples, "window_s": self.window_ns / SECOND,
+            "windows": [{"due": window.due, "came": window.received} for window in self.windows],
         }  # fmt: skip
 
     @classmethod
@@ -114,20 +114,20 @@
     """
     fidelity = Fidelity(window_ns, [])
     windows = fidelity.windows
-    came: dict[str, ReceivedRequest] = {}
+    received_by_id: dict[str, ReceivedRequest] = {}
     for each in received:
-        if each.name in came:
-            fidelity.twice += 1
-        came[each.name] = each
+        if each.name in received_by_id:
+            fidelity.duplicates += 1
+        received_by_id[each.name] = each
         window = _window(windows, int(each.at_ns * speed) // window_ns)
-        window.came[each.request_class] = window.came.get(each.request_class, 0) + 1
+        window.received[each.request_class] = window.received.get(each.request_class, 0) + 1
     start_ns: int | None = None
     for number, request in enumerate(requests):
         start_ns = request.at_ns if start_ns is None else start_ns
         fidelity.requests += 1
         window = _window(windows, (request.at_ns - start_ns) // window_ns)
         window.due[request.request_class] = window.due.get(request.request_class, 0) + 1
-        actual = came.pop(name(number), None)
+        actual = received_by_id.pop(name(number), None)
         if actual is None:
             fidelity.missing += 1
             continue
@@ -138,12 +138,12 @@
             ("target", target(request), actual.target), ("size", request.size, actual.size),
         ):  # fmt: skip
             if expected != found:
-                fidelity.other[attribute] = fidelity.other.get(attribute, 0) + 1
-                if len(fidelity.first) < 5:
-                    fidelity.first.append(
+                fidelity.altered[attribute] = fidelity.altered.get(attribute, 0) + 1
+                if len(fidelity.examples) < 5:
+                    fidelity.examples.append(
                         f"request {number}: {attribute} is {found!r}, expected {expected!r}"
                     )
-    fidelity.strange = len(came)
+    fidelity.unknown = len(received_by_id)
     _merge_trailing_window(windows)
     return fidelity
 
@@ -155,8 +155,8 @@
     whose deviation would be 100%.  Requests that arrive later keep their own windows.
     """
     if len(windows) > 1 and not windows[-1].due and windows[-2].due:
-        for name, count in windows.pop().came.items():
-            windows[-1].came[name] = windows[-1].came.get(name, 0) + count
+        for name, count in windows.pop().received.items():
+            windows[-1].received[name] = windows[-1].received.get(name, 0) + count
 
 
 def _window(windows: list[Window], at: int) -> Window:
--- a/tests/load/test_load_play.py
+++ b/tests/load/test_load_play.py
@@ -260,8 +260,8 @@
     received[4] = received[4]._replace(name="other")
     received[5] = received[5]._replace(at_ns=received[5].at_ns + 10 * SECOND, request_class="move")
     altered = compare_with_demand(requests, [*received, received[6]], str, target_of)
-    assert (altered.missing, altered.strange, altered.twice) == (1, 1, 1)
-    assert altered.other == {"tenant": 1, "class": 1} and not altered.exact
+    assert (altered.missing, altered.unknown, altered.duplicates) == (1, 1, 1)
+    assert altered.altered == {"tenant": 1, "class": 1} and not altered.exact
     assert altered.rate_off == pytest.approx(0.1) and altered.mix_off == pytest.approx(1 / 11)
     assert type(altered).restored(msgspec.json.decode(msgspec.json.encode(altered.plain()))) == altered
 
