--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -38,7 +38,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 EVENT_TIMEOUT_S = 30.0  # time-out for an expected event, in seconds
-SETTLE_SECONDS = 1.0  # pause after which work in progress has ended, in seconds
+QUIESCE_SECONDS = 1.0  # pause after which work in progress has ended, in seconds
 IDLE_SECONDS = 2.0  # time over which the processor time of an idle sidecar is read, in seconds
 SECOND = 10**9
 STREAM_CHUNK = b"token-" * 4
@@ -237,7 +237,7 @@
         pages = int(Path(f"/proc/{self.process.pid}/statm").read_text("ascii").split()[1])
         return pages * os.sysconf("SC_PAGE_SIZE") / 1e6
 
-    def call(self, sock: socket.socket, name: str, query: str = "") -> None:
+    def send_request(self, sock: socket.socket, name: str, query: str = "") -> None:
         """Send one request and read the whole response."""
         text = (
             f"GET /ask{query} HTTP/1.1\r\nHost: x\r\nRequest-Id: {name}\r\nRequest-Class: ask\r\n"
@@ -293,7 +293,7 @@
     memory, idle, text = [], [], []
     for size in sizes:
         with sidecar(size) as one:
-            time.sleep(SETTLE_SECONDS)
+            time.sleep(QUIESCE_SECONDS)
             memory.append((float(size), one.memory_mb() * 1e6))
             before = one.cpu_s()
             time.sleep(IDLE_SECONDS)
@@ -310,7 +310,7 @@
     """Measure processor time and bytes by the number of changes of one endpoint each."""
     points, sent = [], []
     with sidecar(endpoints) as one:
-        time.sleep(SETTLE_SECONDS)
+        time.sleep(QUIESCE_SECONDS)
         idle = _idle_rate(one)
         version = 1
         for size in sizes:
@@ -345,7 +345,7 @@
         for size in sizes:
             socks = [one.connect() for _ in range(size)]
             for number, sock in enumerate(socks):
-                one.call(sock, f"c{size}-{number}")
+                one.send_request(sock, f"c{size}-{number}")
             points.append((float(size), one.memory_mb() * 1e6))
             for sock in socks:
                 sock.close()
@@ -359,7 +359,7 @@
         for size in sizes:
             before = one.cpu_s()
             for number in range(size):
-                one.call(sock, f"r{size}-{number}")
+                one.send_request(sock, f"r{size}-{number}")
             points.append((float(size), (one.cpu_s() - before) * 1e6))
     return [Row(f"processor time, by requests, {endpoints} endpoints", "us", points)]
 
@@ -371,7 +371,7 @@
         for size in sizes:
             with one.connect() as sock:
                 before = one.cpu_s()
-                one.call(sock, f"p{size}", f"?pieces={size}")
+                one.send_request(sock, f"p{size}", f"?pieces={size}")
                 points.append((float(size), (one.cpu_s() - before) * 1e6))
     return [Row("processor time, by pieces of a streamed answer", "us", points)]
 
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -301,15 +301,15 @@
                 victim = backends[at % len(backends)]
                 await _called(seen, victim.name, set(commands))
                 check()
-                told = discovery.change(entry(victim.name, victim.port, "Terminating"))
+                changed_at = discovery.change(entry(victim.name, victim.port, "Terminating"))
                 for name, each in live.items():
                     await each.until(partial(_without, each, f"127.0.0.1:{victim.port}"))
-                    slowest[name] = max(slowest.get(name, 0.0), (each.heard_at - told) * 1000)
+                    slowest[name] = max(slowest.get(name, 0.0), (each.heard_at - changed_at) * 1000)
                 calls: Counter[str] = Counter()
                 while any(calls[name] < 20 for name in commands):
                     check()
                     caller, served, moment = await asyncio.to_thread(seen.get, timeout=30)
-                    after = (moment - told) * 1000
+                    after = (moment - changed_at) * 1000
                     if served == victim.name and after > 0:
                         slowest[caller] = max(slowest.get(caller, 0.0), after)
                     calls[caller] += after > LIMIT_MS
--- a/benchmarks/gateway_calls.py
+++ b/benchmarks/gateway_calls.py
@@ -15,7 +15,7 @@
 from collections import Counter
 from pathlib import Path
 
-from benchmarks.request_calls import calls, print_comparison, write_runner
+from benchmarks.request_calls import print_comparison, read_call_counts, write_runner
 from benchmarks.system_cost import ROOT, Deployment, StandIns, requests
 
 FEW = 100  # requests of the smaller run
@@ -41,7 +41,7 @@
         gateway = self.processes["gateway-0"]
         gateway.send_signal(signal.SIGTERM)
         gateway.wait(END_S)
-        return calls(self.output)
+        return read_call_counts(self.output)
 
 
 def profiled(root: Path, count: int) -> Counter[str]:
--- a/benchmarks/hung_instance.py
+++ b/benchmarks/hung_instance.py
@@ -28,7 +28,12 @@
 # Share of long prompts, and their time to the first byte as a fraction of the latency target.
 LONG_FRACTION, LONG_RATIO = 0.05, 0.5
 STREAM_S = 0.4  # time from the first byte to the last, in seconds
-LEAVING = (0.3, 0.5, 0.9, 9.0)  # fraction of the target at which clients leave; 9: none before the deadline
+ABANDON_FRACTIONS = (
+    0.3,
+    0.5,
+    0.9,
+    9.0,
+)  # fraction of the target at which clients leave; 9: none before the deadline
 RATES = (2.0, 20.0)  # requests per second
 
 
@@ -38,7 +43,7 @@
 
     seed: int
     rate: float
-    leaves_at: float
+    abandons_at: float
     hangs_at_s: float
     ends_at_s: float
     # Times of sends to the hung instance, in seconds after it hung.
@@ -86,8 +91,8 @@
         first = MEDIAN_RATIO * rng.lognormvariate(0.0, SPREAD)
         if rng.random() < LONG_FRACTION:
             first = LONG_RATIO * rng.lognormvariate(0.0, SPREAD / 2)
-        if hangs or first > self.leaves_at:
-            return [(min(self.leaves_at, 8.0) * TARGET_S, "left")]
+        if hangs or first > self.abandons_at:
+            return [(min(self.abandons_at, 8.0) * TARGET_S, "left")]
         return [(first * TARGET_S, "first byte"), (first * TARGET_S + STREAM_S, "done")]
 
     def _check_hung_instance(self, weights: InstanceWeights, now: float) -> None:
@@ -110,17 +115,17 @@
     print(f"unresponsive from {UNRESPONSIVE_RATIO} of a target; {seeds} seeds, medians and most")
     print("rate/s  clients leave at  requests to it in 30 s, most (even)  in 10 s, most  passed over after s")
     for rate in RATES:
-        for leaves_at in LEAVING:
-            plays = [Play(seed, rate, leaves_at, HANGS_AT_S, ENDS_AT_S).run() for seed in range(seeds)]
+        for fraction in ABANDON_FRACTIONS:
+            plays = [Play(seed, rate, fraction, HANGS_AT_S, ENDS_AT_S).run() for seed in range(seeds)]
             sent = [len(play.sent_to_hung) for play in plays]
             even = rate * (ENDS_AT_S - HANGS_AT_S) / len(NAMES)
             early = [sum(at < 10.0 for at in play.sent_to_hung) for play in plays]
-            hour = Play(1, rate, leaves_at, HOUR_S, HOUR_S).run().false_alarms
+            hour = Play(1, rate, fraction, HOUR_S, HOUR_S).run().false_alarms
             after = [
                 ENDS_AT_S - HANGS_AT_S if each is None else each for each in (p.passed_over_s for p in plays)
             ]
             print(
-                f"{rate:6.0f}  {leaves_at:16.1f}  {statistics.median(sent):8.0f} {max(sent):5d} ({even:.0f})"
+                f"{rate:6.0f}  {fraction:16.1f}  {statistics.median(sent):8.0f} {max(sent):5d} ({even:.0f})"
                 f"  {statistics.median(early):8.0f} {max(early):5d}"
                 f"  {statistics.median(after):8.1f} {max(after):5.1f}  false alarms, ticks an hour: {hour}"
             )
--- a/benchmarks/lists.py
+++ b/benchmarks/lists.py
@@ -45,7 +45,7 @@
 from brambleusher.sidecar.garbage_collection import GarbageCollectionPolicy
 
 MS = 1_000_000
-CHANGE_MS, TICK_MS, HELD_MS, TOLD_MS = 0.3, 3.0, 5.0, 500.0
+MAX_CHANGE_MS, MAX_TICK_MS, MAX_DELAY_MS, MAX_EFFECT_MS = 0.3, 3.0, 5.0, 500.0
 ZONES = ("a", "b", "c", "d")
 WAIT = 30.0
 QUICK_RULES = 2000  # node limit of a quick run with zone rules, which examine all nodes and are slow
@@ -66,10 +66,10 @@
 }  # fmt: skip
 
 
-def cpu_ms(call: Callable[[], object]) -> float:
+def cpu_ms(action: Callable[[], object]) -> float:
     """Return the processor time of a call in this thread, in milliseconds."""
     began = time.thread_time_ns()
-    call()
+    action()
     return (time.thread_time_ns() - began) / MS
 
 
@@ -103,7 +103,7 @@
         """Return the list entry of a host by number."""
         return api.HostEntry(f"node-{at:05d}", ZONES[at % 4], f"kind-{at % 3}", at % 50, state, 1.0, started)
 
-    def whole(self) -> float:
+    def apply_full_list(self) -> float:
         """Apply a whole list and return the time in milliseconds."""
         event = api.HostListUpdated(api.ListKind.FULL, [self.entry(at) for at in range(self.count)])
         return cpu_ms(lambda: self.balancer.handle(event, self.now))
@@ -143,7 +143,7 @@
     wholes, worst = [], []
     for seed in range(rounds):
         run = DecisionBench(nodes, seed, rules)
-        wholes.append(run.whole())
+        wholes.append(run.apply_full_list())
         gc.collect()
         run.traffic(0.5, 200)
         mine = []
@@ -402,12 +402,12 @@
 
     sidecar.scheduler.spawn(take)
     sidecar.run()
-    held, _ = tracemalloc.get_traced_memory()
+    used_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     sidecar.close()
     if failed:
         raise failed[0]
-    return held / nodes
+    return used_bytes / nodes
 
 
 # --- tables ---------------------------------------------------------------------------------------
@@ -419,7 +419,7 @@
     parser.add_argument("--nodes", default="12,200,2000,20000")
     parser.add_argument("--quick", action="store_true", help="fewer rounds: under 50 s")
     args = parser.parse_args()
-    sizes = [int(part) for part in args.nodes.split(",")]
+    sizes = [int(count) for count in args.nodes.split(",")]
     configure(stream=io.StringIO())
     collector = GarbageCollectionPolicy()
     missed: list[str] = []
@@ -438,8 +438,8 @@
                 f"{row[3]:8.1f} {row[4]:8.2f}"
             )
             if nodes == max(sizes) and not rules:
-                gate("one change", row[1], CHANGE_MS)
-                gate("the worst tick", row[4], TICK_MS)
+                gate("one change", row[1], MAX_CHANGE_MS)
+                gate("the worst tick", row[4], MAX_TICK_MS)
     print("\nA sidecar, ms: a change from its text on; a whole list beside requests")
     print(
         f"{'nodes':>7} {'change':>8} {'95 of 100':>10}  {'list':22} "
@@ -455,8 +455,8 @@
             )
             front = " " * len(front)
             if nodes == max(sizes) and name != "none":
-                gate(f"held up by a list ({name})", delay.request_delay_ms, HELD_MS)
-                gate(f"a drain told ({name})", delay.drain_ms, TOLD_MS)
+                gate(f"held up by a list ({name})", delay.request_delay_ms, MAX_DELAY_MS)
+                gate(f"a drain told ({name})", delay.drain_ms, MAX_EFFECT_MS)
     most = max(sizes)
     print(f"\nMemory at {most} nodes, bytes a node (traced)")
     for name, operator in (("no features", b"{}"), ("status page", b"status: {port: 0, refresh_ms: 1000}")):
--- a/benchmarks/mysql.py
+++ b/benchmarks/mysql.py
@@ -549,7 +549,7 @@
         serve_stand_ins(given.stand_ins, given.report)
         return 0
     broken: Broken = []
-    for name, part in PARTS.items():
+    for name, measurement in PARTS.items():
         if given.only in (None, name):
             with (
                 tempfile.TemporaryDirectory() as folder,
@@ -557,7 +557,7 @@
                     "-m", "benchmarks.mysql", "--stand-ins", "2", "--report", f"{folder}/most"
                 ) as stand_ins,  # fmt: skip
             ):
-                broken += part(Rig(Path(folder), stand_ins), given.quick)
+                broken += measurement(Rig(Path(folder), stand_ins), given.quick)
     for line in broken:
         print(f"BROKEN {line}")
     return 1 if broken else 0
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -190,8 +190,8 @@
 class LimitedBalancer(Balancer):
     """The balancer with a limiter in place of its own limit."""
 
-    def __init__(self, told: api.Settings, seed: int, way: Limiter, budget: bool = True) -> None:
-        super().__init__(told, seed)
+    def __init__(self, balancer_settings: api.Settings, seed: int, way: Limiter, budget: bool = True) -> None:
+        super().__init__(balancer_settings, seed)
         self._way, self._budget, self._now = way, budget, 0
 
     def handle(self, event: api.Event, now: int) -> list[api.Action]:
@@ -209,18 +209,18 @@
         return self._way.admits(self.traffic.in_flight, self._now / SECOND)
 
 
-def build(way: str, told: api.Settings, seed: int) -> Balancer:
+def build(way: str, balancer_settings: api.Settings, seed: int) -> Balancer:
     """Build the balancer of one sidecar."""
     if way == "ours":
-        return Balancer(told, seed)
+        return Balancer(balancer_settings, seed)
     if way == "none":
-        return LimitedBalancer(told, seed, NoLimit(), budget=False)
+        return LimitedBalancer(balancer_settings, seed, NoLimit(), budget=False)
     if way == "fixed":
         cores = sum(node.cores for node in NODES)
-        return LimitedBalancer(told, seed, FixedLimit(3.0 * cores / SIDECARS))
+        return LimitedBalancer(balancer_settings, seed, FixedLimit(3.0 * cores / SIDECARS))
     if way == "gradient":
-        return LimitedBalancer(told, seed, GradientLimit())
-    return LimitedBalancer(told, seed, AdaptiveThrottle(random.Random(seed)))
+        return LimitedBalancer(balancer_settings, seed, GradientLimit())
+    return LimitedBalancer(balancer_settings, seed, AdaptiveThrottle(random.Random(seed)))
 
 
 WAYS = ("ours", "none", "fixed", "gradient", "throttle")
@@ -286,7 +286,7 @@
 
     way: str
     seed: int
-    told: api.Settings = field(default_factory=settings)
+    balancer_settings: api.Settings = field(default_factory=settings)
     marks_retries: bool = False
     asked: list[ClientRequest] = field(default_factory=list)
     attempts: int = 0  # number of attempts that nodes processed or failed
@@ -299,7 +299,9 @@
         self.machines = [Machine(node, random.Random(f"{self.seed}/{n}"), 0.0, False)
                          for n, node in enumerate(NODES)]  # fmt: skip
         self.timers = [math.inf] * len(NODES)
-        self.balancers = [build(self.way, self.told, self.seed * 100 + n) for n in range(SIDECARS)]
+        self.balancers = [
+            build(self.way, self.balancer_settings, self.seed * 100 + n) for n in range(SIDECARS)
+        ]
         self.open: dict[str, tuple[ClientRequest, int, list[Attempt]]] = {}
         entries = [
             api.HostEntry(f"h{n}", f"z{n % 3}", f"k{node.cores}", 0, api.HostState.READY)
@@ -312,16 +314,16 @@
         self._arrive()
         end = demand.seconds + 2.0
         while self.events and self.events[0][0] <= end:
-            self.now, _, call = heapq.heappop(self.events)
-            call()
+            self.now, _, action = heapq.heappop(self.events)
+            action()
         return self
 
     def prepared(self) -> None:
         """Schedule nothing; subclasses override this hook to add events before the run."""
 
-    def _at(self, when: float, call: Callable[[], None]) -> None:
+    def _at(self, when: float, action: Callable[[], None]) -> None:
         self._count += 1
-        heapq.heappush(self.events, (when, self._count, call))
+        heapq.heappush(self.events, (when, self._count, action))
 
     # --- clients ---
 
@@ -487,13 +489,13 @@
 
     world = World(way, seed).run(Demand(until + 8.0, rate, base_rate * PULSE_TIMES))
     before = [asked.in_time for asked in world.asked if 1.0 <= asked.at < PULSE_AT]
-    required_share = RECOVERED_FRACTION * sum(before) / len(before)
+    required_on_time = RECOVERED_FRACTION * sum(before) / len(before)
     step, after = WINDOW / 4, [asked for asked in world.asked if asked.at >= until]
     recovered_after = 0.0
     for number in range(round((8.0 - WINDOW) / step)):
         begin = until + number * step
         on_time = [asked.in_time for asked in after if begin <= asked.at < begin + WINDOW]
-        if sum(on_time) < required_share * len(on_time):
+        if sum(on_time) < required_on_time * len(on_time):
             recovered_after = (number + 1) * step
     worth = sum(asked.worth for asked in world.asked if PULSE_AT <= asked.at < until)
     return recovered_after, worth / (CAPACITY * PULSE_SECONDS)
@@ -511,14 +513,16 @@
 def greedy(way: str, seed: int) -> tuple[float, float]:
     """Return the served fractions of a tenant within its share and of one that sends 20 times its share."""
     shares = {"modest": 0.3, "greedy": 0.5}  # fractions of capacity
-    told = settings(tuple(api.Tenant(name, share, share * RATE) for name, share in shares.items()))
+    balancer_settings = settings(
+        tuple(api.Tenant(name, share, share * RATE) for name, share in shares.items())
+    )
 
     def rates(at: float) -> dict[str | None, float]:
         times = GREEDY_TIMES if at >= CALM_SECONDS else 0.5
         return {"modest": 0.9 * shares["modest"] * RATE, "greedy": times * shares["greedy"] * RATE}
 
     peak = sum(rates(CALM_SECONDS).values())
-    world = World(way, seed, told)
+    world = World(way, seed, balancer_settings)
     world.run(Demand(CALM_SECONDS + 6.0, lambda at: sum(rates(at).values()), peak, rates))
     modest, many = (
         [asked.answered is not None for asked in world.asked
--- a/benchmarks/request_calls.py
+++ b/benchmarks/request_calls.py
@@ -51,7 +51,7 @@
         with tempfile.TemporaryDirectory() as folder:
             output = Path(folder) / "profile"
             run_sidecar(root, Path(folder), output, server.port, requests)
-            return calls(output)
+            return read_call_counts(output)
     finally:
         server.close()
 
@@ -100,11 +100,11 @@
     return int(found[1])
 
 
-def calls(output: Path) -> Counter[str]:
+def read_call_counts(output: Path) -> Counter[str]:
     """Return the calls in a profile by function name."""
     counts: Counter[str] = Counter()
     stats: Any = pstats.Stats(str(output))
-    for (_file, _line, function), (_primitive, called, *_rest) in stats.stats.items():
+    for (_file, _line, function), (_primitive, called, *_ignored) in stats.stats.items():
         counts[function] += called
     return counts
 
--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -59,12 +59,12 @@
     """Return mean numbers of hosts that an instance adds when a host leaves, and when an instance joins."""
     smaller = Ring([name for name in ring.names if name != ring.names[len(ring.names) // 2]])
     numbers = range(0, instances, max(instances // SAMPLE, 1))
-    gone = joined = 0
+    left = joined = 0
     for number in numbers:
         before = {name for name, _ in way(ring, number, size, instances)}
-        gone += len({name for name, _ in way(smaller, number, size, instances)} - before)
+        left += len({name for name, _ in way(smaller, number, size, instances)} - before)
         joined += len({name for name, _ in way(ring, number, size, instances + 1)} - before)
-    return gone / len(numbers), joined / len(numbers)
+    return left / len(numbers), joined / len(numbers)
 
 
 def main() -> int:
@@ -87,9 +87,9 @@
                 if name == "drawn" and instances * hosts > 400_000:
                     continue  # results are like those of rendezvous hashing, and drawing is slow
                 least, most = spread(way, ring, instances, size)
-                gone, joined = moved(way, ring, instances, size)
+                left, joined = moved(way, ring, instances, size)
                 print(
-                    f"{hosts:6} {instances:9} {size:5}  {name:11} {least:6.2f} {most:6.2f} {gone:10.3f} "
+                    f"{hosts:6} {instances:9} {size:5}  {name:11} {least:6.2f} {most:6.2f} {left:10.3f} "
                     f"{joined:7.2f}"
                 )
                 uneven |= name == "arc" and (least < 0.9 or most > 1.1)
--- a/benchmarks/system_cost.py
+++ b/benchmarks/system_cost.py
@@ -156,8 +156,10 @@
             self.start(f"core-{at}", f"127.0.1.{at + 1}", "controller")
         self.start("gateway-0", "127.0.2.1", "gateway")
         body = configuration(1, 50)
-        wait_until(lambda: call("127.0.1.1", CONTROL, "PUT", "/api/config", body, If_Match="0")[0] == 200)
-        wait_until(lambda: call("127.0.2.1", READY, "GET", "/api/readiness")[0] == 200)
+        wait_until(
+            lambda: http_call("127.0.1.1", CONTROL, "PUT", "/api/config", body, If_Match="0")[0] == 200
+        )
+        wait_until(lambda: http_call("127.0.2.1", READY, "GET", "/api/readiness")[0] == 200)
 
     def close(self) -> None:
         """End all processes."""
@@ -166,7 +168,9 @@
             process.wait()
 
 
-def call(ip: str, port: int, method: str, path: str, body: bytes = b"", **headers: str) -> tuple[int, bytes]:
+def http_call(
+    ip: str, port: int, method: str, path: str, body: bytes = b"", **headers: str
+) -> tuple[int, bytes]:
     """Send one call over a new connection."""
     connection = HTTPConnection(ip, port, timeout=5)
     try:
@@ -271,7 +275,7 @@
                 deployment.start(f"gateway-{at}", f"127.0.2.{at + 1}", "gateway")
             wait_until(
                 lambda: all(
-                    call(f"127.0.2.{at + 1}", READY, "GET", "/api/readiness")[0] == 200
+                    http_call(f"127.0.2.{at + 1}", READY, "GET", "/api/readiness")[0] == 200
                     for at in range(GATEWAYS)
                 )
             )
@@ -281,7 +285,9 @@
             started = time.monotonic()
             for revision in range(2, 2 + changes):
                 body = configuration(revision, 50)
-                status, _ = call("127.0.1.2", CONTROL, "PUT", "/api/config", body, If_Match=str(revision - 1))
+                status, _ = http_call(
+                    "127.0.1.2", CONTROL, "PUT", "/api/config", body, If_Match=str(revision - 1)
+                )
                 if status != 200:
                     raise RuntimeError(f"change {revision}: {status}")
             took = time.monotonic() - started
--- a/brambleusher/load/times.py
+++ b/brambleusher/load/times.py
@@ -55,7 +55,7 @@
     match = _ISO.match(text.strip())
     if match is None:
         raise RejectedRow("bad-time", text[:60])
-    year, month, day, hour, minute, second = (int(part) for part in match.groups()[:6])
+    year, month, day, hour, minute, second = (int(digits) for digits in match.groups()[:6])
     fraction, utc, sign, hours, minutes = match.groups()[6:]
     leap = second == 60
     own_zone: tzinfo | None = None
