--- a/benchmarks/hung_instance.py
+++ b/benchmarks/hung_instance.py
@@ -33,7 +33,7 @@
     0.5,
     0.9,
     9.0,
-)  # fraction of the target at which clients leave; 9: none before the deadline
+)  # fractions of the target at which clients leave; with 9, none leaves before the deadline
 RATES = (2.0, 20.0)  # requests per second
 
 
--- a/brambleusher/load/access_log.py
+++ b/brambleusher/load/access_log.py
@@ -14,7 +14,7 @@
 from brambleusher.load.request import RejectedRow, Row
 from brambleusher.load.times import SECOND, from_datetime
 
-# `platform` is the combined format with the response time and the platform's headers added.
+# `platform` is the combined format with the response time and the headers of the platform added.
 FORMATS = {
     "common": apachelogs.COMMON,
     "combined": apachelogs.COMBINED,
--- a/brambleusher/load/har.py
+++ b/brambleusher/load/har.py
@@ -83,7 +83,7 @@
         self._buffer = bytearray()
         self._at = 0  # read position in the buffer
         self._base = 0  # file offset of the start of the buffer
-        self._entry = -1  # file offset of the current entry, which stays in the buffer; -1: none
+        self._entry = -1  # file offset of the current entry, which stays in the buffer, or -1 for none
         self._number = 0
         self._ended = False
 
--- a/brambleusher/load/ordering.py
+++ b/brambleusher/load/ordering.py
@@ -1,4 +1,4 @@
-"""Sort rows by time within a window, and spread times in whole seconds where that is asked for."""
+"""Sort rows by time within a window, and optionally spread times in whole seconds over their second."""
 
 from __future__ import annotations
 
@@ -103,13 +103,13 @@
     return heapq.merge(*streams, key=lambda timed: timed.request.at_ns)
 
 
-def spread(stream: Iterator[Timed], how: str, seed: int) -> Iterator[Request]:
+def spread(stream: Iterator[Timed], method: str, seed: int) -> Iterator[Request]:
     """Spread requests with times in whole seconds over their second: evenly, or as a Poisson stream.
 
     Raises:
         SourceError: there are more requests in a second than a spread holds in memory.
     """
-    if how == "none":
+    if method == "none":
         for timed in stream:
             yield timed.request
         return
@@ -118,20 +118,20 @@
     for timed in stream:
         at = timed.request.at_ns // SECOND
         if at != second:
-            yield from _spread(group, second, how, rng)
+            yield from _spread(group, second, method, rng)
             second, group = at, []
         group.append(timed)
         if len(group) > MAX_REQUESTS_PER_SECOND:
             raise SourceError(
                 f"{timed.position}: more than {MAX_REQUESTS_PER_SECOND:,} requests in one second to spread"
             )
-    yield from _spread(group, second, how, rng)
+    yield from _spread(group, second, method, rng)
 
 
-def _spread(group: list[Timed], second: int, how: str, rng: random.Random) -> list[Request]:
+def _spread(group: list[Timed], second: int, method: str, rng: random.Random) -> list[Request]:
     """Spread the requests of one second; requests with exact times keep their times."""
     count = sum(timed.has_full_seconds for timed in group)
-    if how == "even":
+    if method == "even":
         times = iter([second * SECOND + (2 * at + 1) * SECOND // (2 * count) for at in range(count)])
     else:
         # Given their count, the times of a Poisson stream are uniform and independent.
--- a/brambleusher/load/player.py
+++ b/brambleusher/load/player.py
@@ -16,7 +16,7 @@
 from brambleusher.runtime.streams import Stream
 from brambleusher.runtime.system import Address
 
-CLOSE_RACE_SECONDS = 0.02  # time within which a close that crossed a request is noticed
+CLOSE_RACE_SECONDS = 0.02  # time in seconds within which a close that crossed a request is noticed
 ENDS_BY_STATUS = {200: "served", 429: "refused", 503: "refused"}
 
 
--- a/brambleusher/load/summary.py
+++ b/brambleusher/load/summary.py
@@ -106,7 +106,7 @@
         return max(10.0, width)
 
     def bursts(self) -> list[dict[str, float]]:
-        """Return spans of windows with at least `BURST` times the requests of the median window."""
+        """Return spans of windows with at least `MIN_BURST_RATIO` times the requests of the median window."""
         windows = self.windows()
         if len(windows) < 4:
             return []
--- a/brambleusher/load/wording.py
+++ b/brambleusher/load/wording.py
@@ -78,7 +78,7 @@
         self._buffer = bytearray()
         self.status = 0
         self.keep = True
-        self._remaining = -1  # body bytes; -1: in the head, -2: in chunks, -3: until the end
+        self._remaining = -1  # body bytes left, or -1 in the head, -2 in chunks, -3 until close
 
     def feed(self, data: bytes) -> bool:
         """Process received bytes; returns True once a response is complete.  Raises `ResponseFormatError`."""
