--- a/benchmarks/hung_instance.py
+++ b/benchmarks/hung_instance.py
@@ -28,12 +28,8 @@
 # Share of long prompts, and their time to the first byte as a fraction of the latency target.
 LONG_FRACTION, LONG_RATIO = 0.05, 0.5
 STREAM_S = 0.4  # time from the first byte to the last, in seconds
-ABANDON_FRACTIONS = (
-    0.3,
-    0.5,
-    0.9,
-    9.0,
-)  # fractions of the target at which clients leave; with 9, none leaves before the deadline
+# Fractions of the target at which clients leave; with 9, none leaves before the deadline.
+ABANDON_FRACTIONS = (0.3, 0.5, 0.9, 9.0)
 RATES = (2.0, 20.0)  # requests per second
 
 
