--- a/benchmarks/breakages.py
+++ b/benchmarks/breakages.py
@@ -1,8 +1,8 @@
-"""How many seeds each deliberate breakage needs until the lab finds it, and under which rule.
+"""Count how many seeds the lab needs to detect each deliberate breakage, and by which rule.
 
     python -m benchmarks.breakages [--most 2000] [--share 100] [--jobs N] [NAME ...]
 
-A seed counts where a rule that the breakage must be found under is broken with it, and not without it.
+A seed counts if the run with the breakage violates a rule expected for it, and the run without it does not.
 """
 
 from __future__ import annotations
@@ -22,28 +22,28 @@
 def rules_broken(
     seed: int, profile: str, breakage: AbstractContextManager[object] | None = None
 ) -> frozenset[str]:
-    """Return what one run breaks."""
+    """Return the rules that one run violates."""
     return frozenset(play(draw_scenario(seed, profile), breakage).rules)
 
 
 def measure(task: tuple[str, int, int]) -> tuple[str, int | None, int, Counter[str]]:
-    """Return a breakage's first seed, how many of the first `share` seeds tell, and the rules that told."""
-    name, most, share = task
+    """Return the first detecting seed, the number of detecting ones among `share` seeds, and their rules."""
+    name, most, sample_size = task
     breakage = BREAKAGES[name]
-    first, told, rules = None, 0, Counter[str]()
+    first, detected, rules = None, 0, Counter[str]()
     for seed in range(most):
-        if first is not None and seed >= share:
+        if first is not None and seed >= sample_size:
             break
         found = rules_broken(seed, breakage.profile, breakage.on()) & set(breakage.rules)
         if found and not rules_broken(seed, breakage.profile) & found:
             first = seed if first is None else first
-            told += seed < share
+            detected += seed < sample_size
             rules.update(found)
-    return name, first, told, rules
+    return name, first, detected, rules
 
 
 def main(words: Sequence[str] | None = None) -> int:
-    """Print the table; 1 if a breakage was not found."""
+    """Print the table; returns 1 if a breakage was not detected."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--most", type=int, default=2000, help="seeds that are tried for each")
     parser.add_argument("--share", type=int, default=100, help="seeds over which the share is counted")
@@ -58,11 +58,11 @@
     print(f"| breakage | what is wrong | found under | first seed | of {given.share} seeds |")
     print("| --- | --- | --- | --- | --- |")
     for name in names:
-        _, first, told, rules = found[name]
+        _, first, detected, rules = found[name]
         missed += first is None
         under = ", ".join(f"`{rule}`" for rule, _ in rules.most_common())
         text = BREAKAGES[name].text
-        print(f"| `{name}` | {text} | {under or '-'} | {'-' if first is None else first} | {told} |")
+        print(f"| `{name}` | {text} | {under or '-'} | {'-' if first is None else first} | {detected} |")
     return 1 if missed else 0
 
 
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -1,7 +1,7 @@
-"""The control service under load: drains to many subscribers, clients of three kinds, weights in use.
+"""Measure the control service under load: drains with many subscribers, three kinds of client, and weights.
 
 python benchmarks/control.py             # all tables
-python benchmarks/control.py --quick     # 100 subscribers, under 50 s; 1 where a figure is missed
+python benchmarks/control.py --quick     # 100 subscribers, under 50 s; exits with 1 if a limit is exceeded
 python benchmarks/control.py --part drains|growth|clients|weights
 """
 
@@ -56,7 +56,7 @@
 PROCESSES = 4
 _VERSION = re.compile(rb"\x0a.[0-9]+\.([0-9]+)\.", re.S)  # a response begins with its version
 _NONCE = re.compile(rb"\x2a[\x01-\x0a]([0-9]{1,10})\Z")
-KB_A_SUBSCRIBER = 250.0  # the most that one may cost, with the bytes that are on their way to it
+KB_A_SUBSCRIBER = 250.0  # memory limit per subscriber in KB, including the bytes in flight to it
 SETTINGS: dict[str, Any] = {
     "zone": "z", "fleet_size": 1,
     "classes": [
@@ -72,7 +72,7 @@
 
 
 def configuration(folder: Path, discovery: str) -> Path:
-    """Return the service's file."""
+    """Write the configuration file of the service and return its path."""
     (folder / "secret").write_text("a secret of the benchmark")
     path = folder / "control.yaml"
     path.write_text(
@@ -89,7 +89,7 @@
 
 @contextlib.contextmanager
 def service(nodes: list[dict[str, Any]]) -> Iterator[tuple[ControlProgram, LiveDiscovery]]:
-    """Start the program and its discovery."""
+    """Start the control service and its discovery server."""
     with tempfile.TemporaryDirectory() as folder:
         discovery = LiveDiscovery(nodes)
         program = ControlProgram(configuration(Path(folder), discovery.address))
@@ -101,7 +101,7 @@
 
 
 def usage(pid: int) -> tuple[float, float]:
-    """Return a process's processor seconds so far, and its memory in MB."""
+    """Return the processor time in seconds and the memory in MB of a process."""
     stat = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
     return (int(stat[11]) + int(stat[12])) / os.sysconf("SC_CLK_TCK"), pages * os.sysconf(
@@ -109,25 +109,26 @@
     ) / 2**20
 
 
-def share(values: list[float], part: float) -> float:
-    """Return the value that `part` of all do not exceed."""
-    held = sorted(values)
-    return held[min(len(held) - 1, math.ceil(part * len(held)) - 1)]
+def quantile(values: list[float], fraction: float) -> float:
+    """Return the quantile of `values` at the fraction `part`."""
+    ordered = sorted(values)
+    return ordered[min(len(ordered) - 1, math.ceil(fraction * len(ordered)) - 1)]
 
 
-# --- drains to many subscribers --------------------------------------------------------------------
+# --- drains with many subscribers ------------------------------------------------------------------
 
 
-class _Light:
-    """A subscriber that acknowledges and notes when each response came, and parses none but the first.
+class _LightSubscriber:
+    """A subscriber that acknowledges and timestamps each response, and parses only the first.
 
-    It keeps to the protocol by the fields it needs; the machine's cores are for the service, not for a
-    thousand proxies' parsing.
+    The subscriber handles only the few protocol fields that it needs, so that the cores of the machine serve
+    the control service and are not spent on parsing for a thousand proxies.
     """
 
     def __init__(self, name: str, incremental: bool, target: str) -> None:
         self.proxy, self.target = ProxyStandIn(name, "z", incremental), target
-        self.came: list[tuple[float, int, int]] = []  # when, of which list's version, and how many bytes
+        # Arrival time, list version and size in bytes of each response.
+        self.came: list[tuple[float, int, int]] = []
         self.complete = asyncio.Event()
 
     async def run(self, stalls: bool) -> None:
@@ -154,7 +155,7 @@
 
 
 def _acknowledge(proxy: ProxyStandIn, data: bytes) -> bytes:
-    """Return the answer to an assignment, read from the response's end alone, where its nonce is."""
+    """Return the acknowledgement of an assignment, found at the end of the response, where the nonce is."""
     found = _NONCE.search(data[-16:])
     if found is None:
         raise ValueError("the response does not end in its nonce")
@@ -162,20 +163,20 @@
 
 
 def subscribers(target: str, names: list[str], pipe: Connection, stalls: int) -> None:
-    """Run a process full of subscribers; say when all have all, then at each ask what came since."""
+    """Run a process of subscribers; report when all have the list, then new responses at each query."""
     asyncio.run(_subscribers(target, names, pipe, stalls))
 
 
 async def _subscribers(target: str, names: list[str], pipe: Connection, stalls: int) -> None:
-    held = [_Light(name, bool(at % 2), target) for at, name in enumerate(names)]
-    tasks = [asyncio.create_task(each.run(at < stalls)) for at, each in enumerate(held)]
-    for each in held:
+    proxies = [_LightSubscriber(name, bool(at % 2), target) for at, name in enumerate(names)]
+    tasks = [asyncio.create_task(each.run(at < stalls)) for at, each in enumerate(proxies)]
+    for each in proxies:
         await each.complete.wait()
     pipe.send("complete")
     loop = asyncio.get_running_loop()
     while await loop.run_in_executor(None, pipe.recv) != "end":
-        pipe.send([each.came for each in held[stalls:]])
-        for each in held:
+        pipe.send([each.came for each in proxies[stalls:]])
+        for each in proxies:
             each.came = []
     for task in tasks:
         task.cancel()
@@ -184,21 +185,22 @@
 
 @dataclass
 class Drains:
-    """What a run with so many subscribers and nodes came to."""
+    """Results of a run with a number of subscribers and nodes."""
 
     subscribers: int
     nodes: int
-    last_ms: list[float]  # for each drain: to the last receipt
+    last_ms: list[float]  # time from each drain to the last receipt, in milliseconds
     kb_each: float
-    cpu_ms: float  # a drain
+    cpu_ms: float  # processor time per drain, in milliseconds
     bytes_each: int
 
     def row(self) -> tuple[str, ...]:
-        """For the table."""
+        """Format the results as a table row."""
         last = self.last_ms
         return (
-            str(self.subscribers), str(self.nodes), f"{share(last, 0.5):.0f}", f"{share(last, 0.99):.0f}",
-            f"{max(last):.0f}", f"{self.kb_each:.0f}", f"{self.cpu_ms:.0f}", f"{self.bytes_each / 1024:.0f}",
+            str(self.subscribers), str(self.nodes),
+            f"{quantile(last, 0.5):.0f}", f"{quantile(last, 0.99):.0f}", f"{max(last):.0f}",
+            f"{self.kb_each:.0f}", f"{self.cpu_ms:.0f}", f"{self.bytes_each / 1024:.0f}",
         )  # fmt: skip
 
 
@@ -206,9 +208,9 @@
 
 
 def drains(count: int, nodes: int, rounds: int) -> Drains:
-    """Drain nodes one after another; one subscriber stalls, a whole list goes just before every tenth."""
-    listed = [entry(f"n{at:05}", 10_000 + at) for at in range(nodes)]
-    with service(listed) as (program, discovery):
+    """Drain nodes one after another; one subscriber stalls, and a whole list precedes every tenth drain."""
+    entries = [entry(f"n{at:05}", 10_000 + at) for at in range(nodes)]
+    with service(entries) as (program, discovery):
         context = mp.get_context("spawn")
         pipes, running = [], []
 
@@ -219,42 +221,44 @@
             running[-1].start()
             pipes.append(ours)
 
-        begin(["first"], 0)  # has the views made, which all share
+        begin(["first"], 0)  # creates the views, which all subscribers share
         assert pipes[0].recv() == "complete"
         before = usage(program.process.pid)
         names = [f"p{at}" for at in range(count)]
-        parts = [part for part in (names[at::PROCESSES] for at in range(PROCESSES)) if part]
-        for at, part in enumerate(parts):
-            begin(part, int(at == 0))
+        groups = [group for group in (names[at::PROCESSES] for at in range(PROCESSES)) if group]
+        for at, group in enumerate(groups):
+            begin(group, int(at == 0))
         for pipe in pipes[1:]:
             assert pipe.recv() == "complete"
         connected = usage(program.process.pid)
         last, cpu, sizes = [], [], []
-        reading = count  # with the first, and without the one that stalls
+        reading = count  # includes the first subscriber, excludes the stalled one
         for at in range(rounds):
-            victim = listed[at % nodes]
+            victim = entries[at % nodes]
             victim = victim | {"state": "Terminating" if victim["state"] == "Ready" else "Ready"}
-            listed[at % nodes] = victim
+            entries[at % nodes] = victim
             if at % 10 == 9:
-                discovery.whole(listed[: at % nodes] + listed[at % nodes + 1 :])
-                listed[at % nodes] = victim = victim | {"state": "Terminating"}
-            began = usage(program.process.pid)[0]
-            told = discovery.change(victim)
+                discovery.whole(entries[: at % nodes] + entries[at % nodes + 1 :])
+                entries[at % nodes] = victim = victim | {"state": "Terminating"}
+            cpu_before = usage(program.process.pid)[0]
+            changed_at = discovery.change(victim)
             until = time.monotonic() + 10
-            came: dict[tuple[int, int], float] = {}
-            while len(came) < reading and time.monotonic() < until:
+            arrivals: dict[tuple[int, int], float] = {}
+            while len(arrivals) < reading and time.monotonic() < until:
                 time.sleep(0.02)
-                for part_at, pipe in enumerate(pipes):
+                for group_at, pipe in enumerate(pipes):
                     pipe.send("what came")
-                    for one, events in enumerate(pipe.recv()):
+                    for index, events in enumerate(pipe.recv()):
                         for moment, version, size in events:
                             sizes.append(size)
                             if version >= discovery.version:
-                                came.setdefault((part_at, one), moment)
-            if len(came) < reading:
-                raise RuntimeError(f"{reading - len(came)} of {reading} subscribers heard nothing for 10 s")
-            last.append((max(came.values()) - told) * 1000)
-            cpu.append((usage(program.process.pid)[0] - began) * 1000)
+                                arrivals.setdefault((group_at, index), moment)
+            if len(arrivals) < reading:
+                raise RuntimeError(
+                    f"{reading - len(arrivals)} of {reading} subscribers heard nothing for 10 s"
+                )
+            last.append((max(arrivals.values()) - changed_at) * 1000)
+            cpu.append((usage(program.process.pid)[0] - cpu_before) * 1000)
         after = usage(program.process.pid)
         for pipe in pipes:
             pipe.send("end")
@@ -297,21 +301,21 @@
                 victim = backends[at % len(backends)]
                 await _called(seen, victim.name, set(commands))
                 check()
-                told = discovery.change(entry(victim.name, victim.port, "Terminating"))
+                changed_at = discovery.change(entry(victim.name, victim.port, "Terminating"))
                 for name, each in live.items():
                     await each.until(partial(_without, each, f"127.0.0.1:{victim.port}"))
-                    slowest[name] = max(slowest.get(name, 0.0), (each.heard_at - told) * 1000)
+                    slowest[name] = max(slowest.get(name, 0.0), (each.heard_at - changed_at) * 1000)
                 calls: Counter[str] = Counter()
                 while any(calls[name] < 20 for name in commands):
                     check()
                     caller, served, moment = await asyncio.to_thread(seen.get, timeout=30)
-                    after = (moment - told) * 1000
+                    after = (moment - changed_at) * 1000
                     if served == victim.name and after > 0:
                         slowest[caller] = max(slowest.get(caller, 0.0), after)
                     calls[caller] += after > LIMIT_MS
                 discovery.change(entry(victim.name, victim.port))
         for name in commands:
-            slowest.setdefault(name, 0.0)  # none of its calls came after a notice
+            slowest.setdefault(name, 0.0)  # no call of this kind came after a notice
         for each in live.values():
             await each.stop()
     for backend in backends:
@@ -332,23 +336,23 @@
 
 
 class Fleet:
-    """Endpoints in virtual time: places to work in, a queue, a speed; no two alike."""
+    """Endpoints in virtual time, each with its own number of slots, queue and speed."""
 
     def __init__(self, rng: random.Random, count: int) -> None:
         self.rng = rng
         self.names = [f"n{at:02}" for at in range(count)]
-        self.places = dict.fromkeys(self.names, 4)
+        self.slots = dict.fromkeys(self.names, 4)
         self.speed = {name: rng.choice((0.6, 1.0, 1.0, 1.4)) for name in self.names}
         self.free: dict[str, list[float]] = {name: [0.0] * 4 for name in self.names}
         self.busy_s: dict[str, float] = dict.fromkeys(self.names, 0.0)
         self.recent: dict[str, list[tuple[float, float, float]]] = {name: [] for name in self.names}
 
     def capacity(self, mean: float) -> float:
-        """Return requests a second of all nodes together, at a mean of so many seconds' work."""
-        return sum(self.places[name] * self.speed[name] / mean for name in self.names)
+        """Return the capacity of all nodes in requests per second, for a mean work in seconds."""
+        return sum(self.slots[name] * self.speed[name] / mean for name in self.names)
 
     def serve(self, name: str, now: float, work: float) -> tuple[float, api.LoadReport]:
-        """When a request that arrives now is answered, and the node's own figures then."""
+        """Return when a request that arrives now is answered, and the node's load report at that time."""
         if not self.free[name]:
             self.free[name] = [0.0]
         begins = max(now, self.free[name][0])
@@ -359,17 +363,17 @@
         return ends, self.report(name, ends)
 
     def report(self, name: str, now: float, window: float = 1.0) -> api.LoadReport:
-        """Return a node's share of slots in use, and its answers a second, over the last `window` seconds."""
-        held = [each for each in self.recent[name] if each[2] > now - 2 * window]
-        self.recent[name] = held
-        busy = sum(max(0.0, min(end, now) - max(begin, now - window)) for _, begin, end in held)
-        done = sum(now - window < end <= now for _, _, end in held)
-        return api.LoadReport(min(1.0, busy / window / self.places[name]), done / window)
+        """Return the slot usage and responses per second of a node over the last `window` seconds."""
+        recent = [each for each in self.recent[name] if each[2] > now - 2 * window]
+        self.recent[name] = recent
+        busy = sum(max(0.0, min(end, now) - max(begin, now - window)) for _, begin, end in recent)
+        done = sum(now - window < end <= now for _, _, end in recent)
+        return api.LoadReport(min(1.0, busy / window / self.slots[name]), done / window)
 
 
 @dataclass
 class Day:
-    """What a day came to."""
+    """Results of a day."""
 
     served: float
     worst: float
@@ -385,19 +389,20 @@
     senders: int = 16,
     seconds: float = 60.0,
 ) -> Day:
-    """Play the same arrivals, work and slow spells, sent by sidecars or by weighted proxies.
+    """Replay the same arrivals, work and slow periods, sent by sidecars or by weighted proxies.
 
-    A proxy with a `limit` (the cluster's `requests`) refuses what would be out beyond it.
+    A proxy with a `limit` (the `requests` circuit breaker of the cluster) rejects requests beyond the limit.
 
-    A third of the way through a node slows to a fifth for a third of the day; at half of it one drains.
+    After a third of the day, one node slows to a fifth of its speed for a third of the day; at half of the
+    day another node drains.
     """
     rng = random.Random(seed)
     fleet = Fleet(rng, nodes)
     mean, settings = 0.05, parse_settings(SETTINGS | {"fleet_size": senders})
-    aim, deadline = 0.4, 2.0
+    latency_target, deadline = 0.4, 2.0
     rate = fleet.capacity(mean) * use
     slow, drained = fleet.names[1], fleet.names[2]
-    usual = fleet.speed[slow]
+    usual_speed = fleet.speed[slow]
     listed = [api.HostEntry(name, "z", "k", 0, api.HostState.READY) for name in fleet.names]
     served = judged = 0
     events: list[tuple[float, int, str, Any]] = []
@@ -418,7 +423,7 @@
     weights: dict[str, int] = {}
     current = [
         dict.fromkeys(fleet.names, 0.0) for _ in range(senders)
-    ]  # smooth weighted round robin, as proxies do
+    ]  # smooth weighted round robin, as in proxies
     gathered: dict[str, list[Any]] = {}
     out = [0] * senders
 
@@ -462,20 +467,20 @@
             if now > seconds:
                 continue
             at(now + rng.expovariate(rate), "arrival", what + 1)
-            name, needs, sender = f"r{what}", rng.expovariate(1 / mean), rng.randrange(senders)
+            name, work_s, sender = f"r{what}", rng.expovariate(1 / mean), rng.randrange(senders)
             judged += 1
-            arrived[name], work[name], tries[name] = now, needs, 0
+            arrived[name], work[name], tries[name] = now, work_s, 0
             if proxies:
                 if out[sender] >= limit:
                     continue
                 out[sender] += 1
-                held = current[sender]
+                current_weights = current[sender]
                 total = sum(weights.values())
                 for host, weight in weights.items():
-                    held[host] += weight
-                host = max(weights, key=lambda host: (held[host], host))
-                held[host] -= total
-                ends, report = fleet.serve(host, now, needs)
+                    current_weights[host] += weight
+                host = max(weights, key=lambda host: (current_weights[host], host))
+                current_weights[host] -= total
+                ends, report = fleet.serve(host, now, work_s)
                 at(ends, "answered", (sender, host, now, report))
             else:
                 route(
@@ -486,12 +491,12 @@
         elif kind == "answered":
             sender, host, began, report = what
             out[sender] -= 1
-            served += now - began <= aim
-            sums = gathered.setdefault(host, [0, 0.0, 0.0, 0.0])
-            sums[0] += 1
-            sums[1] += now - began
-            sums[2] += report.utilisation
-            sums[3] += report.throughput
+            served += now - began <= latency_target
+            totals = gathered.setdefault(host, [0, 0.0, 0.0, 0.0])
+            totals[0] += 1
+            totals[1] += now - began
+            totals[2] += report.utilisation
+            totals[3] += report.throughput
         elif kind == "report":
             for host, (n, took, util, rps) in sorted(gathered.items()):
                 outcomes = ReportedOutcomes(
@@ -501,7 +506,7 @@
             gathered.clear()
             zone.handle(api.TimerFired(0), ns(now))
             turn += 1
-            if turn % 2 == 0:  # weights go out every two seconds
+            if turn % 2 == 0:  # weights are sent every two seconds
                 reweigh(True)
             if now < seconds + 5:
                 at(now + 1.0, "report")
@@ -511,30 +516,32 @@
         elif kind == "answer":
             sender, name, attempt, host, began, report = what
             if name in arrived:
-                served += now - arrived.pop(name) <= aim
+                served += now - arrived.pop(name) <= latency_target
             event = api.AttemptEnded(name, attempt, host, api.AttemptStatus.OK, ns(now - began), True, report)
             route(sender, sidecars[sender].handle(event, ns(now)), now)
         elif kind in ("slow", "well"):
-            fleet.speed[slow] = usual / 5 if kind == "slow" else usual
+            fleet.speed[slow] = usual_speed / 5 if kind == "slow" else usual_speed
         elif kind == "drain":
-            gone = [api.HostEntry(drained, "z", "k", 0, api.HostState.DRAINING)]
+            changed_entries = [api.HostEntry(drained, "z", "k", 0, api.HostState.DRAINING)]
             if proxies:
-                zone.handle(api.HostListUpdated(api.ListKind.DELTA, gone), ns(now))
+                zone.handle(api.HostListUpdated(api.ListKind.DELTA, changed_entries), ns(now))
                 reweigh(False)
             else:
                 for sender, each in enumerate(sidecars):
                     route(
-                        sender, each.handle(api.HostListUpdated(api.ListKind.DELTA, list(gone)), ns(now)), now
+                        sender,
+                        each.handle(api.HostListUpdated(api.ListKind.DELTA, list(changed_entries)), ns(now)),
+                        now,
                     )
-    loads = [fleet.busy_s[name] / fleet.places[name] / seconds for name in fleet.names if name != drained]
+    loads = [fleet.busy_s[name] / fleet.slots[name] / seconds for name in fleet.names if name != drained]
     return Day(served / max(judged, 1), max(loads), sum(loads) / len(loads))
 
 
 def weights(seeds: int, nodes: int, seconds: float) -> list[tuple[str, ...]]:
-    """Days of three kinds of sender at three levels of use."""
+    """Run days with three kinds of sender at three levels of utilization."""
     senders = 16
     rows: list[tuple[str, ...]] = []
-    limit = nodes * 4 * 2 / senders  # what is out is twice the places that nodes work in
+    limit = nodes * 4 * 2 / senders  # allows twice as many open requests as the nodes have slots
     for use in (0.5, 0.7, 0.85):
         for name, proxies, most in (
             ("sidecars", False, math.inf),
@@ -552,7 +559,7 @@
 
 
 def table(title: str, head: tuple[str, ...], rows: list[tuple[str, ...]]) -> None:
-    """Print one."""
+    """Print a table."""
     widths = [max(len(row[at]) for row in [head, *rows]) for at in range(len(head))]
     print(f"\n{title}", flush=True)
     for row in [head, *rows]:
@@ -564,7 +571,7 @@
 
 
 def main() -> int:
-    """Print the tables; 1 where a figure is missed."""
+    """Print the tables; returns 1 if a limit is exceeded."""
     words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     words.add_argument("--quick", action="store_true")
     words.add_argument("--part", choices=("drains", "growth", "clients", "weights"))
--- a/benchmarks/lists.py
+++ b/benchmarks/lists.py
@@ -1,18 +1,18 @@
-"""What a list of thousands costs: one change, a whole list, the worst tick, memory a node.
+"""Measure the cost of lists of thousands of nodes: a change, a whole list, the worst tick, memory per node.
 
-Two tables.  The first has the decisions alone: a `Balancer` with traffic, and what the handling of one
-event takes.  The second has a whole sidecar on loopback (status page on) with discovery, a node behind all
-addresses and a client: what one change costs from its text on, how long a whole list takes, and by how
-much it holds up a request.  Both go by processor time of the one thread that does the work, so that a busy
-machine counts for nothing; "told" alone is wall time.  Client and node run in the sidecar's own hub, and a
-request's time is what the thread worked between its first byte and its answer, less that of the usual
-request without a list: what is left is work on the list.
+Prints two tables.  The first measures the decisions alone: a `Balancer` with traffic, by the time that the
+handling of one event takes.  The second measures a whole sidecar on loopback (status page on) with a
+discovery server, a node behind all addresses and a client: the cost of one change including parsing, the
+time of a whole list, and the delay that the list causes to a request.  Both use the processor time of the
+one working thread, so that other load on the machine has no effect; only "told" is wall time.  Client and
+node run in the hub of the sidecar.  The time of a request is the processor time of the thread between its
+first byte and its response, minus that of a typical request without a list, so that the rest is list work.
 
     python -m benchmarks.lists [--nodes 12,200,2000,20000] [--quick]
 
-Ends with 1 where at the most nodes one change costs the decisions 0.3 ms or more (95 of 100), the worst
-tick takes 3 ms or more, a request is held up for more than 5 ms, or a drain in a whole list is told later
-than after 500 ms.
+Exits with 1 if, at the largest number of nodes, a change costs the decisions 0.3 ms or more (95th
+percentile), the worst tick takes 3 ms or more, a request is delayed by more than 5 ms, or a drain within a
+whole list takes effect after more than 500 ms.
 """
 
 from __future__ import annotations
@@ -45,10 +45,10 @@
 from brambleusher.sidecar.garbage_collection import GarbageCollectionPolicy
 
 MS = 1_000_000
-CHANGE_MS, TICK_MS, HELD_MS, TOLD_MS = 0.3, 3.0, 5.0, 500.0
+MAX_CHANGE_MS, MAX_TICK_MS, MAX_DELAY_MS, MAX_EFFECT_MS = 0.3, 3.0, 5.0, 500.0
 ZONES = ("a", "b", "c", "d")
 WAIT = 30.0
-QUICK_RULES = 2000  # nodes: with rules on zones all are looked through, which takes long
+QUICK_RULES = 2000  # node limit of a quick run with zone rules, which examine all nodes and are slow
 SETTINGS: dict[str, Any] = {
     "zone": "a", "fleet_size": 50, "membership_mode": "subscribe", "worth_by": "work",
     "classes": [
@@ -66,24 +66,24 @@
 }  # fmt: skip
 
 
-def spent(call: Callable[[], object]) -> float:
-    """Milliseconds of this thread's processor time that a call takes."""
+def cpu_ms(action: Callable[[], object]) -> float:
+    """Return the processor time of a call in this thread, in milliseconds."""
     began = time.thread_time_ns()
-    call()
+    action()
     return (time.thread_time_ns() - began) / MS
 
 
-def high(figures: Iterable[float], part: float = 0.95) -> float:
-    """Return the figure that this part of all do not exceed."""
-    held = sorted(figures)
-    return held[min(int(len(held) * part), len(held) - 1)]
+def quantile(values: Iterable[float], fraction: float = 0.95) -> float:
+    """Return the quantile of `figures` at the fraction `part`."""
+    ordered = sorted(values)
+    return ordered[min(int(len(ordered) * fraction), len(ordered) - 1)]
 
 
 # --- the decisions alone --------------------------------------------------------------------------
 
 
-class Decided:
-    """A balancer with traffic in virtual time; each list, change and tick is timed."""
+class DecisionBench:
+    """A balancer with traffic in virtual time; times each list, change and tick."""
 
     def __init__(self, nodes: int, seed: int, rules: bool) -> None:
         self.rng, self.now, self.count = random.Random(seed), 0, nodes
@@ -100,26 +100,26 @@
         self.due: list[tuple[int, str, str]] = []
 
     def entry(self, at: int, state: api.HostState = api.HostState.READY, started: int = 0) -> api.HostEntry:
-        """Return the host of a number."""
+        """Return the list entry of a host by number."""
         return api.HostEntry(f"node-{at:05d}", ZONES[at % 4], f"kind-{at % 3}", at % 50, state, 1.0, started)
 
-    def whole(self) -> float:
-        """Milliseconds that a whole list takes."""
+    def apply_full_list(self) -> float:
+        """Apply a whole list and return the time in milliseconds."""
         event = api.HostListUpdated(api.ListKind.FULL, [self.entry(at) for at in range(self.count)])
-        return spent(lambda: self.balancer.handle(event, self.now))
+        return cpu_ms(lambda: self.balancer.handle(event, self.now))
 
     def change(self, state: api.HostState, at: int) -> float:
-        """Milliseconds that one change takes."""
+        """Apply one change and return the time in milliseconds."""
         event = api.HostListUpdated(api.ListKind.DELTA, [self.entry(at, state)])
-        return spent(lambda: self.balancer.handle(event, self.now))
+        return cpu_ms(lambda: self.balancer.handle(event, self.now))
 
     def traffic(self, seconds: float, rate: float) -> None:
-        """Send requests at a rate, answered after 20 ms on average, and a tick each 12 ms."""
+        """Send requests at a rate, with a mean response time of 20 ms and a tick every 12 ms."""
         end, tick = self.now + int(seconds * 1e9), self.now
         while self.now < end:
             self.now += int(self.rng.expovariate(rate) * 1e9)
             while tick <= self.now:
-                took = spent(lambda: self.balancer.handle(api.TimerFired(0), self.now))
+                took = cpu_ms(lambda: self.balancer.handle(api.TimerFired(0), self.now))
                 self.ticks.append(took)
                 tick += 12 * MS
             self.requests += 1
@@ -138,12 +138,12 @@
 
 
 def decisions(nodes: int, rounds: int, rules: bool = False) -> list[float]:
-    """Milliseconds: one change (mean, 95 of 100, worst), a whole list, the worst tick."""
+    """Return milliseconds for a change (mean, 95th percentile, worst), a whole list and the worst tick."""
     changes: list[float] = []
     wholes, worst = [], []
     for seed in range(rounds):
-        run = Decided(nodes, seed, rules)
-        wholes.append(run.whole())
+        run = DecisionBench(nodes, seed, rules)
+        wholes.append(run.apply_full_list())
         gc.collect()
         run.traffic(0.5, 200)
         mine = []
@@ -152,19 +152,19 @@
             states = (api.HostState.DRAINING, api.HostState.REMOVED, api.HostState.READY)
             mine += [run.change(state, at) for state in states]
             run.traffic(0.02, 200)
-        run.traffic(0.5, 1500)  # a burst: more hosts come into use
+        run.traffic(0.5, 1500)  # a burst brings more hosts into use
         run.traffic(0.5, 50)
         changes += mine
         worst.append(max(run.ticks))
-    # The worst tick of a run, in the run in which it was the least: what is left out is the machine's.
-    return [statistics.mean(changes), high(changes), max(changes), min(wholes), min(worst)]
+    # The smallest worst tick over the runs, since any excess comes from other load on the machine.
+    return [statistics.mean(changes), quantile(changes), max(changes), min(wholes), min(worst)]
 
 
 # --- a whole sidecar ------------------------------------------------------------------------------
 
 
 class Discovery:
-    """A thread with one watch at a time: writes the texts that it is given."""
+    """A discovery thread that serves one watch at a time and writes given texts."""
 
     def __init__(self, first: bytes) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -195,12 +195,12 @@
 
 
 def text_of(entries: list[dict[str, Any]], version: int, full: bool) -> bytes:
-    """Return a list as discovery words it."""
+    """Return a list as discovery encodes it."""
     return json.dumps({"version": version, "full": full, "servers": entries}).encode()
 
 
 def entries_of(nodes: int, address: str, names: str = "node") -> list[dict[str, Any]]:
-    """So many nodes, all of them behind one address."""
+    """Return list entries that share one address."""
     return [
         {"id": f"{names}-{at:05d}", "addr": address, "zone": ZONES[at % 4], "kind": f"kind-{at % 3}",
          "cell": at % 50, "state": "Ready", "weight": 1.0, "started_ms": 0}
@@ -209,16 +209,16 @@
 
 
 @dataclass
-class Taken:
-    """What a list came to, in ms: the longest that it held up a request; until all, and a drain, was told."""
+class ListDelays:
+    """Milliseconds of a list: longest request delay, and times until all nodes and a drain took effect."""
 
-    held_ms: float
-    told_ms: float
+    request_delay_ms: float
+    all_ms: float
     drain_ms: float
 
 
 class Run:
-    """One sidecar with what surrounds it, driven by a task in its own hub."""
+    """A sidecar with its surroundings, driven by a task in its own hub."""
 
     def __init__(self, nodes: int, quick: bool, collector: GarbageCollectionPolicy) -> None:
         self.nodes, self.requests, self.usual = nodes, 500 if quick else 1500, 0.0
@@ -240,11 +240,11 @@
         self.version, self.asked = 1, 0
         self.times: list[float] = []
         self.changes: list[float] = []
-        self.lists: dict[str, Taken] = {}
+        self.lists: dict[str, ListDelays] = {}
         self.failed: BaseException | None = None
 
     def run(self) -> None:
-        """All of it; raises what the driver did."""
+        """Run everything; re-raises the exception of the driver."""
         address = self.sidecar.start()
         self.hub.spawn(self._accept)
         self.hub.spawn(self._guarded, address)
@@ -280,7 +280,7 @@
                 stream.send(answer, None)
 
     def _request(self, stream: Stream) -> float:
-        """Milliseconds that the thread worked from a request's first byte to its answer."""
+        """Return the milliseconds of processor time from the first byte of a request to its response."""
         self.asked += 1
         began = time.thread_time_ns()
         stream.send(
@@ -305,76 +305,76 @@
                 raise RuntimeError("a list was not taken in time")
             self.hub.sleep(0.001)
 
-    def _all_told(self, lists: int) -> bool:
+    def _is_all_applied(self, lists: int) -> bool:
         taken = self.sidecar.counters.count("lists_taken")
         slices = self.sidecar.endpoint_list._slices
         return taken >= lists and (slices is None or not slices.waiting)
 
     def _drive(self, address: tuple[str, int]) -> None:
-        self._wait(lambda: self._all_told(1))
+        self._wait(lambda: self._is_all_applied(1))
         gc.collect()
         stream = Stream.connect(self.hub, address, self.hub.now() + WAIT)
         for _ in range(100):
             self._request(stream)
-        quiet = []
+        baseline = []
         for _ in range(self.requests):
-            quiet.append(self._request(stream))
+            baseline.append(self._request(stream))
             self.hub.sleep(0.0005)
-        self.usual = statistics.median(quiet)
-        self.lists["none"] = Taken(max(quiet) - self.usual, 0.0, 0.0)
+        self.usual = statistics.median(baseline)
+        self.lists["none"] = ListDelays(max(baseline) - self.usual, 0.0, 0.0)
         drains = entries_of(self.nodes, self.where)
         drains[-1]["state"] = "Terminating"
-        self.lists["the same, one drains"] = self._listed(stream, drains)
+        self.lists["the same, one drains"] = self._apply_list(stream, drains)
         others = [*entries_of(self.nodes - 1, self.where, "other"), drains[-1]]
         others[-1] = {**others[-1], "state": "Terminating", "started_ms": 1}
-        self.lists["all others"] = self._listed(stream, others)
-        self._one_change(others)
+        self.lists["all others"] = self._apply_list(stream, others)
+        self._measure_changes(others)
 
-    def _listed(self, stream: Stream, entries: list[dict[str, Any]]) -> Taken:
-        """Apply a whole list, while requests go on."""
+    def _apply_list(self, stream: Stream, entries: list[dict[str, Any]]) -> ListDelays:
+        """Apply a whole list while requests continue."""
         self.version += 1
         text, count, last = text_of(entries, self.version, True), self.sidecar.counters, entries[-1]
-        gc.collect()  # what was made here for the list is none of the sidecar's work
-        lists, times, told = count.count("lists_taken") + 1, [], [0.0, 0.0]
+        gc.collect()  # collects garbage of the preparation, which is not work of the sidecar
+        lists, times, effect_ms = count.count("lists_taken") + 1, [], [0.0, 0.0]
         began = self.hub.now()
         self.discovery.texts.put(text)
 
-        def notice() -> None:
-            def is_told() -> bool:
+        def watch() -> None:
+            def has_drain_applied() -> bool:
                 machine = self.sidecar.upstream_pool.listed.get(last["id"])
                 return machine is not None and machine.entry.started_ns == last["started_ms"] * MS and (
                     machine.entry.state is api.HostState.DRAINING
                 )  # fmt: skip
 
-            self._wait(is_told)
-            told[1] = (self.hub.now() - began) * 1000
-            self._wait(lambda: self._all_told(lists))
-            told[0] = (self.hub.now() - began) * 1000
+            self._wait(has_drain_applied)
+            effect_ms[1] = (self.hub.now() - began) * 1000
+            self._wait(lambda: self._is_all_applied(lists))
+            effect_ms[0] = (self.hub.now() - began) * 1000
 
-        self.hub.spawn(notice)
-        while not told[0] and self.hub.now() - began < WAIT:
+        self.hub.spawn(watch)
+        while not effect_ms[0] and self.hub.now() - began < WAIT:
             times.append(self._request(stream))
             self.hub.sleep(0.0005)
-        until = self.hub.now() + 1.5  # the status page is made anew after the list was told
+        until = self.hub.now() + 1.5  # includes the new status page, built after the list was applied
         while self.hub.now() < until:
             times.append(self._request(stream))
             self.hub.sleep(0.0005)
-        return Taken(max(times) - self.usual, *told)
+        return ListDelays(max(times) - self.usual, *effect_ms)
 
-    def _one_change(self, entries: list[dict[str, Any]]) -> None:
+    def _measure_changes(self, entries: list[dict[str, Any]]) -> None:
         rng = random.Random(7)
         for at in range(200):
             self.version += 1
             entry = rng.choice(entries)
             entry["state"] = ("Terminating", "Ready")[at % 2]
             text = text_of([entry], self.version, False)
-            self.changes.append(spent(lambda text=text: self.sidecar.endpoint_list._apply(text)))  # type: ignore[misc]
+            self.changes.append(cpu_ms(lambda text=text: self.sidecar.endpoint_list._apply(text)))  # type: ignore[misc]
             if at % 10 == 0:
                 self.hub.sleep(0.001)
 
 
 def memory(nodes: int, operator: bytes) -> float:
-    """Bytes a node that a sidecar holds once it has taken its list."""
+    """Return the memory of a sidecar per node, in bytes, after applying its list."""
     text = json.dumps({"version": 1, "full": True, "servers": entries_of(nodes, "127.0.0.1:9")}).encode()
     config = {
         "name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "2a",
@@ -402,24 +402,24 @@
 
     sidecar.scheduler.spawn(take)
     sidecar.run()
-    held, _ = tracemalloc.get_traced_memory()
+    used_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     sidecar.close()
     if failed:
         raise failed[0]
-    return held / nodes
+    return used_bytes / nodes
 
 
-# --- the tables -----------------------------------------------------------------------------------
+# --- tables ---------------------------------------------------------------------------------------
 
 
 def main() -> int:
-    """Print the tables; 1 where a figure is missed."""
+    """Print the tables; returns 1 if a limit is exceeded."""
     parser = argparse.ArgumentParser(description="What lists of thousands cost.")
     parser.add_argument("--nodes", default="12,200,2000,20000")
     parser.add_argument("--quick", action="store_true", help="fewer rounds: under 50 s")
     args = parser.parse_args()
-    sizes = [int(part) for part in args.nodes.split(",")]
+    sizes = [int(count) for count in args.nodes.split(",")]
     configure(stream=io.StringIO())
     collector = GarbageCollectionPolicy()
     missed: list[str] = []
@@ -438,8 +438,8 @@
                 f"{row[3]:8.1f} {row[4]:8.2f}"
             )
             if nodes == max(sizes) and not rules:
-                gate("one change", row[1], CHANGE_MS)
-                gate("the worst tick", row[4], TICK_MS)
+                gate("one change", row[1], MAX_CHANGE_MS)
+                gate("the worst tick", row[4], MAX_TICK_MS)
     print("\nA sidecar, ms: a change from its text on; a whole list beside requests")
     print(
         f"{'nodes':>7} {'change':>8} {'95 of 100':>10}  {'list':22} "
@@ -448,13 +448,15 @@
     for nodes in sizes:
         run = Run(nodes, args.quick, collector)
         run.run()
-        front = f"{nodes:7} {statistics.mean(run.changes):8.3f} {high(run.changes):10.3f}"
-        for name, taken in run.lists.items():
-            print(f"{front}  {name:22} {taken.held_ms:8.2f} {taken.drain_ms:11.0f} {taken.told_ms:9.0f}")
+        front = f"{nodes:7} {statistics.mean(run.changes):8.3f} {quantile(run.changes):10.3f}"
+        for name, delay in run.lists.items():
+            print(
+                f"{front}  {name:22} {delay.request_delay_ms:8.2f} {delay.drain_ms:11.0f} {delay.all_ms:9.0f}"
+            )
             front = " " * len(front)
             if nodes == max(sizes) and name != "none":
-                gate(f"held up by a list ({name})", taken.held_ms, HELD_MS)
-                gate(f"a drain told ({name})", taken.drain_ms, TOLD_MS)
+                gate(f"held up by a list ({name})", delay.request_delay_ms, MAX_DELAY_MS)
+                gate(f"a drain told ({name})", delay.drain_ms, MAX_EFFECT_MS)
     most = max(sizes)
     print(f"\nMemory at {most} nodes, bytes a node (traced)")
     for name, operator in (("no features", b"{}"), ("status page", b"status: {port: 0, refresh_ms: 1000}")):
--- a/benchmarks/load_lateness.py
+++ b/benchmarks/load_lateness.py
@@ -1,8 +1,8 @@
-"""How late the generator itself is, at a rate: several processes play on stand-in nodes in further processes.
+"""Measure the lateness of the load generator at a rate, with several player and stand-in node processes.
 
     .venv/bin/python -m benchmarks.load_lateness [--rate 3000] [--seconds 20] [--processes 3] [--nodes 2]
 
-Demand is a Poisson stream; nodes take a request's work at a hundred times the usual speed.
+Demand is a Poisson process; nodes work at a hundred times the usual speed.
 """
 
 from __future__ import annotations
@@ -17,21 +17,21 @@
 from brambleusher.lab.stand_ins.settings import NodeSettings
 from brambleusher.load import demand, synthetic
 from brambleusher.load.pacing import Pace
-from brambleusher.load.player import Play
+from brambleusher.load.player import PlayOptions
 from brambleusher.load.processes import play
 from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.runtime.scheduler import Scheduler
 
 
 class Nobody(list[object]):
-    """A book that keeps nothing."""
+    """A list that discards appended items."""
 
     def append(self, each: object) -> None:
-        """Forget it."""
+        """Discard the item."""
 
 
 def serve(pipe: Connection) -> None:
-    """One node, until it is ended."""
+    """Run one node until the process is ended."""
     scheduler = Scheduler(RealSystem())
     settings = NodeSettings(cores=16, speed=100.0, report_fields=())
     node = Node(scheduler, settings, "node", executions=Nobody())  # type: ignore[arg-type]
@@ -60,7 +60,7 @@
             path = Path(folder) / "demand"
             recipe = synthetic.Recipe(seconds=given.seconds, rate=given.rate, burst=None, refused=0.0)
             demand.write(path, synthetic.requests(recipe, 1))
-            plan = Play(targets, Pace(recipe.start_ns))
+            plan = PlayOptions(targets, Pace(recipe.start_ns))
             results = play(path, plan, given.processes)
         print("\n".join(results.texts()))
     finally:
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -1,18 +1,18 @@
-"""What ways of limiting make of overload: served worth by load, a pulse, a failing third, a greedy tenant.
+"""Compare limiters under overload: served worth by load, a pulse, a failing third, a greedy tenant.
 
-Virtual time: the balancers' own code and the lab's machines, driven by one queue of events, without
-sockets.  Clients come in an open loop and ask again when they are refused or fail.  All ways choose their
-nodes by the same code and differ in what they let in alone:
+Runs in virtual time: the code of the balancers and the machines of the lab, driven by one event queue,
+without sockets.  Clients form an open loop and retry after a rejection or failure.  All variants choose nodes
+with the same code and differ only in admission:
 
 - `ours`: the balancer as deployed;
-- `none`: no limit, and no budget for what is done again;
-- `fixed`: a fixed number of attempts out, tuned for this fleet by hand;
-- `gradient`: Gradient2 of Netflix's concurrency-limits, with its usual settings;
+- `none`: no limit and no retry budget;
+- `fixed`: a fixed number of concurrent attempts, tuned for this fleet by hand;
+- `gradient`: Gradient2 of Netflix's concurrency-limits, with its default settings;
 - `throttle`: client-side adaptive throttling of Google's SRE book, K = 2.
 
-Served worth is the worth answered within its aim (late answers count for what the settings say), as a
-part of what the fleet can serve at full use.  Worth is even by work here, so that what is best does not
-move with the load.  Exits with 1 where a figure in `misses` is not reached.
+Served worth is the worth answered within its latency target (late responses count as the settings state), as
+a fraction of what the fleet can serve at full utilization.  Here worth is proportional to work, so that the
+optimum does not depend on the load.  Exits with 1 if a limit in `misses` is not met.
 
     python -m benchmarks.overload [--quick] [--seed 1] [--jobs 4]
 """
@@ -35,16 +35,17 @@
 from brambleusher.loadbalancing import Balancer, api
 
 SECOND, MS = 10**9, 10**6
-LATENCY = 0.0004  # one way, seconds
+LATENCY = 0.0004  # one-way network latency in seconds
 SIDECARS = 3
 TRIES, BACKOFF, HONOUR = 3, (0.05, 0.15), 0.6
-CALM, CALM_SECONDS = 0.5, 3.0  # the load from which each run starts
+CALM_LOAD, CALM_SECONDS = 0.5, 3.0  # load at the start of each run, and its duration in seconds
 WARM_UP, MEASURED = 6.0, 8.0
 PULSE_LOAD, PULSE_AT, PULSE_SECONDS, PULSE_TIMES = 0.6, 5.0, 10.0, 10.0
 WINDOW = 1.0
-WHOLE = 0.9  # of the part answered within its aim before the pulse
+RECOVERED_FRACTION = 0.9  # fraction of the earlier on-time share at which service counts as recovered
 GREEDY_TIMES = 20.0
-BEST_KEPT, PULSE_OVER, WORK_MOST, MODEST_LEAST = 0.9, 2.0, 1.2, 0.95  # what is asked of `ours`
+# Requirements for `ours`, checked by `misses`.
+MIN_OF_BEST, MAX_RECOVERY_S, MAX_ATTEMPTS_PER_REQUEST, MIN_MODEST_SERVED = 0.9, 2.0, 1.2, 0.95
 NODES = tuple(
     NodeSettings(
         cores=cores, speed=speed, queue_per_core=300, thrash=0.08, thrash_at=10.0, report_period_s=0.3,
@@ -56,12 +57,12 @@
 
 @dataclass(frozen=True)
 class Class:
-    """A class: its mean work in seconds of a standard core, and the rest as the settings have it."""
+    """A request class: its mean work in seconds of a standard core, and its settings."""
 
     name: str
     share: float
     work: float
-    aim: float
+    latency_target: float
     deadline: float
     effect: api.Idempotency = api.Idempotency.SAFE
 
@@ -72,19 +73,19 @@
     Class("transfer-record", 0.27, 0.054, 0.43, 1.7, api.Idempotency.UNSAFE),
 )
 MEAN_WORK = sum(each.share * each.work for each in CLASSES)
-CAPACITY = sum(node.cores * node.speed for node in NODES)  # seconds of a standard core a second
-RATE = CAPACITY / MEAN_WORK  # requests a second at full use
+CAPACITY = sum(node.cores * node.speed for node in NODES)  # seconds of standard-core work per second
+RATE = CAPACITY / MEAN_WORK  # requests per second at full utilization
 
 
 def settings(tenants: tuple[api.Tenant, ...] = ()) -> api.Settings:
-    """Return what each sidecar is told."""
+    """Return the settings of each sidecar."""
     return api.Settings(
         zone="z0", fleet_size=SIDECARS, tenants=tenants, tick_ns=5 * MS, max_attempts=6,
         classes=tuple(
             api.RequestClass(
-                each.name, int(each.aim * SECOND), int(each.deadline * SECOND), 1.0, 0.3, each.effect
+                cls.name, int(cls.latency_target * SECOND), int(cls.deadline * SECOND), 1.0, 0.3, cls.effect
             )
-            for each in CLASSES
+            for cls in CLASSES
         ),
         hedging_enabled=True, can_cancel_attempts=True, max_retry_after_ns=570 * MS, over_quota_value=0.05,
         is_value_by_work=True, connection_idle_timeout_ns=30 * SECOND, cross_zone_price=0.1,
@@ -92,41 +93,41 @@
     )  # fmt: skip
 
 
-# --- other ways ------------------------------------------------------------------------------------
+# --- alternative limiters --------------------------------------------------------------------------
 
 
-class Way:
-    """What lets requests in: asked for each, and told how each attempt ended."""
+class Limiter:
+    """A limiter that decides on each request and observes the end of each attempt."""
 
     def admits(self, out: int, now: float) -> bool:
-        """Whether one more may go out, with so many attempts out already."""
+        """Return whether a request may be sent, with `out` attempts in flight."""
         raise NotImplementedError
 
     def ended(self, status: api.AttemptStatus, seconds: float, out: int, now: float) -> None:
         """Record that an attempt has ended."""
 
 
-class NoLimit(Way):
-    """Everything."""
+class NoLimit(Limiter):
+    """A limiter that admits everything."""
 
     def admits(self, out: int, now: float) -> bool:
         """Admit everything."""
         return True
 
 
-class FixedLimit(Way):
-    """So many attempts out."""
+class FixedLimit(Limiter):
+    """A limiter with a fixed number of attempts in flight."""
 
     def __init__(self, most: float) -> None:
         self.most = most
 
     def admits(self, out: int, now: float) -> bool:
-        """Below the limit."""
+        """Admit a request below the limit."""
         return out < self.most
 
 
-class GradientLimit(Way):
-    """Gradient2: the limit follows the long-term round trip over the present one, and a queue's allowance."""
+class GradientLimit(Limiter):
+    """Gradient2: the limit follows the ratio of long-term to current round trip, plus a queue allowance."""
 
     def __init__(self) -> None:
         self.limit, self.least, self.most = 20.0, 4.0, 200.0
@@ -135,11 +136,11 @@
         self.count = 0
 
     def admits(self, out: int, now: float) -> bool:
-        """Below the limit."""
+        """Admit a request below the limit."""
         return out < self.limit
 
     def ended(self, status: api.AttemptStatus, seconds: float, out: int, now: float) -> None:
-        """Count a round trip more, if there was one."""
+        """Record the round trip of an attempt that has one."""
         if status not in (api.AttemptStatus.OK, api.AttemptStatus.TIMEOUT) or seconds <= 0:
             return
         self.count += 1
@@ -161,40 +162,40 @@
         )
 
 
-class AdaptiveThrottle(Way):
-    """Turns away by chance once backends accept less than half of what is asked for, over two minutes."""
+class AdaptiveThrottle(Limiter):
+    """Rejects at random once backends accept less than half of the requests of the last two minutes."""
 
     K, SECONDS = 2.0, 120.0
 
     def __init__(self, rng: random.Random) -> None:
         self._rng, self._requests, self._accepts, self._at = rng, 0.0, 0.0, 0.0
 
-    def _fade(self, now: float) -> None:
-        kept = math.exp((self._at - now) / self.SECONDS)
-        self._requests, self._accepts, self._at = self._requests * kept, self._accepts * kept, now
+    def _decay_counts(self, now: float) -> None:
+        decay = math.exp((self._at - now) / self.SECONDS)
+        self._requests, self._accepts, self._at = self._requests * decay, self._accepts * decay, now
 
     def admits(self, out: int, now: float) -> bool:
-        """By the odds of the book."""
-        self._fade(now)
+        """Admit a request with the probability of the SRE book."""
+        self._decay_counts(now)
         odds = max(0.0, (self._requests - self.K * self._accepts) / (self._requests + 1.0))
         self._requests += 1.0
         return self._rng.random() >= odds
 
     def ended(self, status: api.AttemptStatus, seconds: float, out: int, now: float) -> None:
-        """Count an answer as accepted, and nothing that is rejected or not answered."""
-        self._fade(now)
+        """Count a response as accepted; a rejection or a missing response is not counted."""
+        self._decay_counts(now)
         self._accepts += status in (api.AttemptStatus.OK, api.AttemptStatus.ERROR)
 
 
-class Guarded(Balancer):
-    """The balancer with another way in place of its own limit."""
+class LimitedBalancer(Balancer):
+    """The balancer with a limiter in place of its own limit."""
 
-    def __init__(self, told: api.Settings, seed: int, way: Way, budget: bool = True) -> None:
-        super().__init__(told, seed)
+    def __init__(self, balancer_settings: api.Settings, seed: int, way: Limiter, budget: bool = True) -> None:
+        super().__init__(balancer_settings, seed)
         self._way, self._budget, self._now = way, budget, 0
 
     def handle(self, event: api.Event, now: int) -> list[api.Action]:
-        """As ever; the way hears of what ends."""
+        """Handle an event and report ended attempts to the limiter."""
         self._now = now
         if not self._budget:
             self.retry_policy.budget.tokens = 5.0
@@ -208,29 +209,29 @@
         return self._way.admits(self.traffic.in_flight, self._now / SECOND)
 
 
-def build(way: str, told: api.Settings, seed: int) -> Balancer:
-    """One sidecar's balancer."""
+def build(way: str, balancer_settings: api.Settings, seed: int) -> Balancer:
+    """Build the balancer of one sidecar."""
     if way == "ours":
-        return Balancer(told, seed)
+        return Balancer(balancer_settings, seed)
     if way == "none":
-        return Guarded(told, seed, NoLimit(), budget=False)
+        return LimitedBalancer(balancer_settings, seed, NoLimit(), budget=False)
     if way == "fixed":
         cores = sum(node.cores for node in NODES)
-        return Guarded(told, seed, FixedLimit(3.0 * cores / SIDECARS))
+        return LimitedBalancer(balancer_settings, seed, FixedLimit(3.0 * cores / SIDECARS))
     if way == "gradient":
-        return Guarded(told, seed, GradientLimit())
-    return Guarded(told, seed, AdaptiveThrottle(random.Random(seed)))
+        return LimitedBalancer(balancer_settings, seed, GradientLimit())
+    return LimitedBalancer(balancer_settings, seed, AdaptiveThrottle(random.Random(seed)))
 
 
 WAYS = ("ours", "none", "fixed", "gradient", "throttle")
 
 
-# --- the world -------------------------------------------------------------------------------------
+# --- simulation ------------------------------------------------------------------------------------
 
 
 @dataclass(eq=False, slots=True)
-class Asked:
-    """What somebody asks for, over all its tries."""
+class ClientRequest:
+    """A request of a client, with all its tries."""
 
     cls: int
     tenant: str | None
@@ -242,20 +243,22 @@
 
     @property
     def worth(self) -> float:
-        """What its answer was worth, in seconds of work."""
+        """Worth of the response, in seconds of work."""
         if self.answered is None:
             return 0.0
-        return CLASSES[self.cls].work * (1.0 if self.answered - self.at <= CLASSES[self.cls].aim else 0.3)
+        return CLASSES[self.cls].work * (
+            1.0 if self.answered - self.at <= CLASSES[self.cls].latency_target else 0.3
+        )
 
     @property
     def in_time(self) -> bool:
-        """Whether it was answered within its aim."""
-        return self.answered is not None and self.answered - self.at <= CLASSES[self.cls].aim
+        """Whether the response arrived within its latency target."""
+        return self.answered is not None and self.answered - self.at <= CLASSES[self.cls].latency_target
 
 
 @dataclass(eq=False, slots=True)
 class Attempt:
-    """One attempt on its way."""
+    """An attempt in flight."""
 
     request: str
     number: int
@@ -267,13 +270,14 @@
 
 @dataclass
 class Demand:
-    """Requests a second over time, by tenant, and faults of nodes."""
+    """Requests per second over time, by tenant, and faults of nodes."""
 
     seconds: float
     rate: Callable[[float], float]
     peak: float
-    tenants: Callable[[float], dict[str | None, float]] = lambda _at: {None: 1.0}  # parts of the rate
-    fails: frozenset[int] = frozenset()  # nodes that answer 500 to everything
+    # Shares of the rate by tenant, as a function of time.
+    tenants: Callable[[float], dict[str | None, float]] = lambda _at: {None: 1.0}
+    fails: frozenset[int] = frozenset()  # nodes that answer every request with 500
 
 
 @dataclass
@@ -282,47 +286,49 @@
 
     way: str
     seed: int
-    told: api.Settings = field(default_factory=settings)
-    marks: bool = False
-    asked: list[Asked] = field(default_factory=list)
-    attempts: int = 0  # that nodes worked on, or failed
+    balancer_settings: api.Settings = field(default_factory=settings)
+    marks_retries: bool = False
+    asked: list[ClientRequest] = field(default_factory=list)
+    attempts: int = 0  # number of attempts that nodes processed or failed
 
     def run(self, demand: Demand) -> World:
-        """All that is asked within `demand.seconds`, and what comes of it."""
+        """Play all requests within `demand.seconds` to their end."""
         self.rng, self.now, self._count = random.Random(self.seed), 0.0, 0
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.demand = demand
         self.machines = [Machine(node, random.Random(f"{self.seed}/{n}"), 0.0, False)
                          for n, node in enumerate(NODES)]  # fmt: skip
         self.timers = [math.inf] * len(NODES)
-        self.balancers = [build(self.way, self.told, self.seed * 100 + n) for n in range(SIDECARS)]
-        self.open: dict[str, tuple[Asked, int, list[Attempt]]] = {}
+        self.balancers = [
+            build(self.way, self.balancer_settings, self.seed * 100 + n) for n in range(SIDECARS)
+        ]
+        self.open: dict[str, tuple[ClientRequest, int, list[Attempt]]] = {}
         entries = [
             api.HostEntry(f"h{n}", f"z{n % 3}", f"k{node.cores}", 0, api.HostState.READY)
             for n, node in enumerate(NODES)
         ]
         for number, balancer in enumerate(self.balancers):
-            self._act(number, balancer.start(0))
-            self._give(number, api.HostListUpdated(api.ListKind.SAVED, entries))
+            self._run_actions(number, balancer.start(0))
+            self._deliver(number, api.HostListUpdated(api.ListKind.SAVED, entries))
         self.prepared()
         self._arrive()
         end = demand.seconds + 2.0
         while self.events and self.events[0][0] <= end:
-            self.now, _, call = heapq.heappop(self.events)
-            call()
+            self.now, _, action = heapq.heappop(self.events)
+            action()
         return self
 
     def prepared(self) -> None:
-        """Nothing has come yet: for those who want more to happen."""
+        """Schedule nothing; subclasses override this hook to add events before the run."""
 
-    def _at(self, when: float, call: Callable[[], None]) -> None:
+    def _at(self, when: float, action: Callable[[], None]) -> None:
         self._count += 1
-        heapq.heappush(self.events, (when, self._count, call))
+        heapq.heappush(self.events, (when, self._count, action))
 
     # --- clients ---
 
     def _arrive(self) -> None:
-        """Schedule the next first request: a Poisson stream, thinned to the rate of the moment."""
+        """Schedule the next first request of a Poisson process, thinned to the current rate."""
         rng, demand = self.rng, self.demand
         at = self.now
         while True:
@@ -332,59 +338,59 @@
             if rng.random() * demand.peak <= demand.rate(at):
                 break
 
-        def come() -> None:
+        def arrive() -> None:
             cls = rng.choices(range(len(CLASSES)), [each.share for each in CLASSES])[0]
             parts = demand.tenants(self.now)
             tenant = rng.choices(list(parts), list(parts.values()))[0]
             work = CLASSES[cls].work * rng.lognormvariate(-0.32, 0.8)
-            asked = Asked(cls, tenant, self.now, work, rng.randrange(SIDECARS))
+            asked = ClientRequest(cls, tenant, self.now, work, rng.randrange(SIDECARS))
             self.asked.append(asked)
             self._try(asked)
             self._arrive()
 
-        self._at(at, come)
+        self._at(at, arrive)
 
-    def _try(self, asked: Asked) -> None:
+    def _try(self, asked: ClientRequest) -> None:
         cls = CLASSES[asked.cls]
-        left = asked.at + cls.deadline - self.now
+        remaining = asked.at + cls.deadline - self.now
         asked.tries += 1
         self._count += 1
         name = f"q{self._count}"
         self.open[name] = asked, 0, []
-        self._give(
+        self._deliver(
             asked.sidecar,
-            api.RequestArrived(name, cls.name, asked.tenant, int(left * SECOND), None,
-                               self.marks and asked.tries > 1),
+            api.RequestArrived(name, cls.name, asked.tenant, int(remaining * SECOND), None,
+                               self.marks_retries and asked.tries > 1),
         )  # fmt: skip
 
-    def _answered(self, name: str, refused: bool, wait: float) -> None:
-        """Handle a rejection or a failure: the client may ask again."""
+    def _retry_later(self, name: str, rejected: bool, retry_after_s: float) -> None:
+        """Handle a rejection or a failure, after which the client may retry."""
         asked = self.open[name][0]
         cls = CLASSES[asked.cls]
-        if asked.tries >= TRIES or (cls.effect is api.Idempotency.UNSAFE and not refused):
+        if asked.tries >= TRIES or (cls.effect is api.Idempotency.UNSAFE and not rejected):
             return
         pause = self.rng.uniform(*BACKOFF)
-        if wait and self.rng.random() < HONOUR:
-            pause = max(pause, wait)
+        if retry_after_s and self.rng.random() < HONOUR:
+            pause = max(pause, retry_after_s)
         if self.now + pause < asked.at + cls.deadline - 0.02:
             self._at(self.now + pause, lambda: self._try(asked))
 
     # --- sidecars ---
 
-    def _give(self, number: int, event: api.Event) -> None:
-        self._act(number, self.balancers[number].handle(event, int(self.now * SECOND)))
+    def _deliver(self, number: int, event: api.Event) -> None:
+        self._run_actions(number, self.balancers[number].handle(event, int(self.now * SECOND)))
 
-    def _act(self, number: int, actions: list[api.Action]) -> None:
+    def _run_actions(self, number: int, actions: list[api.Action]) -> None:
         for action in list(actions):
             if isinstance(action, api.SetTimer):
                 when = max(action.at_ns / SECOND, self.now)
-                self._at(when, partial(self._give, number, api.TimerFired(action.token)))
+                self._at(when, partial(self._deliver, number, api.TimerFired(action.token)))
             elif isinstance(action, api.StartAttempt):
                 self._send(number, action)
             elif isinstance(action, api.RejectRequest):
-                self._answered(action.request, True, action.retry_after_ns / SECOND)
+                self._retry_later(action.request, True, action.retry_after_ns / SECOND)
             elif isinstance(action, api.FailRequest):
-                self._answered(action.request, False, 0.0)
+                self._retry_later(action.request, False, 0.0)
             elif isinstance(action, api.CancelAttempt):
                 attempt = self.open[action.request][2][action.attempt]
                 self._end(number, attempt, api.AttemptStatus.CANCELLED)
@@ -396,7 +402,7 @@
         due = asked.at + CLASSES[asked.cls].deadline
         if action.timeout_ns:
             due = min(due, self.now + action.timeout_ns / SECOND)
-        self._at(self.now + LATENCY, lambda: self._reach(number, attempt, asked))
+        self._at(self.now + LATENCY, lambda: self._receive(number, attempt, asked))
         self._at(due, lambda: self._end(number, attempt, api.AttemptStatus.TIMEOUT))
 
     def _end(self, number: int, attempt: Attempt, status: api.AttemptStatus,
@@ -414,12 +420,12 @@
             asked.answered = self.now
         closed = served or self.now >= asked.at + CLASSES[asked.cls].deadline + 0.01
         latency = int((self.now - attempt.sent) * SECOND)
-        self._give(number, api.AttemptEnded(attempt.request, attempt.number, f"h{attempt.node}", status,
+        self._deliver(number, api.AttemptEnded(attempt.request, attempt.number, f"h{attempt.node}", status,
                                             latency, closed, report))  # fmt: skip
 
     # --- nodes ---
 
-    def _reach(self, number: int, attempt: Attempt, asked: Asked) -> None:
+    def _receive(self, number: int, attempt: Attempt, asked: ClientRequest) -> None:
         node, machine = attempt.node, self.machines[attempt.node]
         if attempt.over:
             return
@@ -449,21 +455,21 @@
             return
         self.timers[node] = at
 
-        def turn() -> None:
+        def advance() -> None:
             if self.timers[node] == at:
                 self.timers[node] = math.inf
             self.machines[node].advance(self.now)
             self._wake(node)
 
-        self._at(max(at, self.now), turn)
+        self._at(max(at, self.now), advance)
 
 
 # --- experiments -----------------------------------------------------------------------------------
 
 
 def steady(way: str, load: float, seed: int, calm: bool = True) -> float:
-    """Return served worth at a load, over what the fleet can serve; from a calm start, or from nothing."""
-    rate, before = load * RATE, (min(load, CALM) if calm else load) * RATE
+    """Return served worth at a load, relative to capacity; starts calm, or with full load if not `calm`."""
+    rate, before = load * RATE, (min(load, CALM_LOAD) if calm else load) * RATE
     demand = Demand(WARM_UP + MEASURED, lambda at: rate if at >= CALM_SECONDS else before, max(rate, before))
     world = World(way, seed).run(demand)
     worth = sum(asked.worth for asked in world.asked if asked.at >= WARM_UP)
@@ -471,50 +477,53 @@
 
 
 def pulse(way: str, seed: int) -> tuple[float, float]:
-    """Seconds after a pulse until service is whole again for good, and worth served during the pulse.
+    """Return the seconds from a pulse to lasting recovery, and the worth served during the pulse.
 
-    Whole is a window in which the part answered within its aim is `WHOLE` of what it was before the pulse.
+    A window has recovered if the fraction answered within its latency target is at least `WHOLE` times that
+    before the pulse.
     """
-    usual, until = PULSE_LOAD * RATE, PULSE_AT + PULSE_SECONDS
+    base_rate, until = PULSE_LOAD * RATE, PULSE_AT + PULSE_SECONDS
 
     def rate(at: float) -> float:
-        return usual * (PULSE_TIMES if PULSE_AT <= at < until else 1.0)
+        return base_rate * (PULSE_TIMES if PULSE_AT <= at < until else 1.0)
 
-    world = World(way, seed).run(Demand(until + 8.0, rate, usual * PULSE_TIMES))
+    world = World(way, seed).run(Demand(until + 8.0, rate, base_rate * PULSE_TIMES))
     before = [asked.in_time for asked in world.asked if 1.0 <= asked.at < PULSE_AT]
-    least = WHOLE * sum(before) / len(before)
+    required_on_time = RECOVERED_FRACTION * sum(before) / len(before)
     step, after = WINDOW / 4, [asked for asked in world.asked if asked.at >= until]
-    over = 0.0
+    recovered_after = 0.0
     for number in range(round((8.0 - WINDOW) / step)):
         begin = until + number * step
-        seen = [asked.in_time for asked in after if begin <= asked.at < begin + WINDOW]
-        if sum(seen) < least * len(seen):
-            over = (number + 1) * step
+        on_time = [asked.in_time for asked in after if begin <= asked.at < begin + WINDOW]
+        if sum(on_time) < required_on_time * len(on_time):
+            recovered_after = (number + 1) * step
     worth = sum(asked.worth for asked in world.asked if PULSE_AT <= asked.at < until)
-    return over, worth / (CAPACITY * PULSE_SECONDS)
+    return recovered_after, worth / (CAPACITY * PULSE_SECONDS)
 
 
-def failing(way: str, seed: int, marks: bool) -> tuple[float, float]:
-    """Work that reaches nodes over what is first asked, and the part served, with a third failing."""
+def failing(way: str, seed: int, marks_retries: bool) -> tuple[float, float]:
+    """Return the attempts at nodes per request and the served fraction, if a third of the nodes fail."""
     rate = 0.4 * RATE
-    world = World(way, seed, marks=marks)
+    world = World(way, seed, marks_retries=marks_retries)
     world.run(Demand(10.0, lambda _at: rate, rate, fails=frozenset({1, 4})))
     served = sum(asked.answered is not None for asked in world.asked)
     return world.attempts / len(world.asked), served / len(world.asked)
 
 
 def greedy(way: str, seed: int) -> tuple[float, float]:
-    """Return the parts served of a marketplace within its share, and of one that sends 20 times its own."""
-    shares = {"modest": 0.3, "greedy": 0.5}  # of what the fleet can serve
-    told = settings(tuple(api.Tenant(name, share, share * RATE) for name, share in shares.items()))
+    """Return the served fractions of a tenant within its share and of one that sends 20 times its share."""
+    shares = {"modest": 0.3, "greedy": 0.5}  # fractions of capacity
+    balancer_settings = settings(
+        tuple(api.Tenant(name, share, share * RATE) for name, share in shares.items())
+    )
 
     def rates(at: float) -> dict[str | None, float]:
         times = GREEDY_TIMES if at >= CALM_SECONDS else 0.5
         return {"modest": 0.9 * shares["modest"] * RATE, "greedy": times * shares["greedy"] * RATE}
 
-    most = sum(rates(CALM_SECONDS).values())
-    world = World(way, seed, told)
-    world.run(Demand(CALM_SECONDS + 6.0, lambda at: sum(rates(at).values()), most, rates))
+    peak = sum(rates(CALM_SECONDS).values())
+    world = World(way, seed, balancer_settings)
+    world.run(Demand(CALM_SECONDS + 6.0, lambda at: sum(rates(at).values()), peak, rates))
     modest, many = (
         [asked.answered is not None for asked in world.asked
          if asked.tenant == name and asked.at >= CALM_SECONDS]
@@ -523,7 +532,7 @@
     return sum(modest) / len(modest), sum(many) / len(many)
 
 
-# --- the table -------------------------------------------------------------------------------------
+# --- table -----------------------------------------------------------------------------------------
 
 LOADS = (0.2, 0.5, 0.8, 1.0, 1.5, 2.0, 5.0, 10.0)
 SEEDS = 3
@@ -532,7 +541,7 @@
 
 
 def play(job: Run) -> tuple[float, ...]:
-    """One run, in whichever process."""
+    """Run one job in any process."""
     what, way, load, seed = job
     if what == "steady":
         return (steady(way, load, seed),)
@@ -544,18 +553,18 @@
 
 
 def jobs_of(loads: Sequence[float], seeds: Sequence[int], others: int) -> list[Run]:
-    """All runs; the long ones first."""
+    """Return all runs, with the longest first."""
     jobs: list[Run] = []
     for way in WAYS:
         for seed in seeds if way == WAYS[0] else seeds[:others]:
             jobs += [("steady", way, load, seed) for load in loads]
             jobs += [("from nothing", way, 10.0, seed), ("pulse", way, 0.0, seed), ("greedy", way, 0.0, seed)]
-            jobs += [("failing", way, marks, seed) for marks in (0.0, 1.0)]
+            jobs += [("failing", way, marks_retries, seed) for marks_retries in (0.0, 1.0)]
     return sorted(jobs, key=lambda job: (-job[2], job[0]))
 
 
 def main(args: Sequence[str] | None = None) -> int:
-    """Run it all, print the tables, say what is missed."""
+    """Run all jobs, print the tables and report missed limits."""
     parser = argparse.ArgumentParser(description="Overload: served worth under several ways of limiting.")
     parser.add_argument("--quick", action="store_true", help="fewer loads, one seed for other ways")
     parser.add_argument("--seed", type=int, default=1)
@@ -566,12 +575,12 @@
     with ProcessPoolExecutor(given.jobs) as pool:
         results = dict(zip(jobs, pool.map(play, jobs), strict=True))
 
-    def mean(what: str, way: str, load: float, part: int = 0) -> float:
-        found = [results[key][part] for seed in seeds if (key := (what, way, load, seed)) in results]
+    def mean(what: str, way: str, load: float, column: int = 0) -> float:
+        found = [results[key][column] for seed in seeds if (key := (what, way, load, seed)) in results]
         return sum(found) / len(found)
 
-    def worst(what: str, way: str, load: float, part: int = 0) -> float:
-        found = [results[key][part] for seed in seeds if (key := (what, way, load, seed)) in results]
+    def worst(what: str, way: str, load: float, column: int = 0) -> float:
+        found = [results[key][column] for seed in seeds if (key := (what, way, load, seed)) in results]
         return max(found)
 
     print(f"{RATE:.0f} requests a second at full use, {SIDECARS} sidecars, {len(NODES)} nodes, seeds {seeds}")
@@ -595,13 +604,15 @@
     misses = [
         f"served worth at {load:g} times is {mean('steady', 'ours', load) / best:.2f} of its best"
         for load in (2.0, 5.0, 10.0)
-        if mean("steady", "ours", load) < BEST_KEPT * best
+        if mean("steady", "ours", load) < MIN_OF_BEST * best
     ]
-    if (over := worst("pulse", "ours", 0.0)) > PULSE_OVER:
+    if (over := worst("pulse", "ours", 0.0)) > MAX_RECOVERY_S:
         misses.append(f"whole {over:.2f} s after the pulse")
-    if (work := max(worst("failing", "ours", marks) for marks in (0.0, 1.0))) > WORK_MOST:
+    if (
+        work := max(worst("failing", "ours", marks_retries) for marks_retries in (0.0, 1.0))
+    ) > MAX_ATTEMPTS_PER_REQUEST:
         misses.append(f"{work:.2f} times the work that was first asked for")
-    if (modest := mean("greedy", "ours", 0.0)) < MODEST_LEAST:
+    if (modest := mean("greedy", "ours", 0.0)) < MIN_MODEST_SERVED:
         misses.append(f"{modest:.2f} of a marketplace within its share is served")
     for miss in misses:
         print(f"missed: {miss}")
--- a/benchmarks/system_cost.py
+++ b/benchmarks/system_cost.py
@@ -1,8 +1,8 @@
-"""What the whole system costs as real processes on loopback: a request, an event, a gateway, a change.
+"""Measure the cost of the whole system as processes on loopback: per request, event, gateway and change.
 
-Three controllers and some gateways run as they are deployed; the platform's list and one instance are
-stand-ins in this process.  Processor time is read from /proc (user and system, in clock ticks of 10 ms),
-so each figure is the slope between two sizes, and the sizes are large.
+Three controllers and some gateways run as deployed; the list of the platform and one instance are simulated
+in this process.  Processor time is read from /proc (user and system, in clock ticks of 10 ms), so each
+figure is the slope between two large sizes.
 Run: python -m benchmarks.system_cost [--quick]
 """
 
@@ -49,13 +49,13 @@
 
 
 class StandIns:
-    """The platform and one instance that streams as many events as a path says; a thread."""
+    """A thread that simulates the platform and an instance that streams as many events as a path states."""
 
     def __init__(self) -> None:
         threading.Thread(target=self._run, daemon=True).start()
 
     def _run(self) -> None:
-        self.scheduler = Scheduler(RealSystem())  # its hub belongs to the thread that makes it
+        self.scheduler = Scheduler(RealSystem())  # the hub of the scheduler belongs to the creating thread
         HttpServer(self.scheduler, PLATFORM, self._list)
         Acceptor(self.scheduler, INSTANCE, self._serve)
         self.scheduler.run()
@@ -80,7 +80,7 @@
                 return
 
     def _answer(self, stream: Stream, connection: h11.Connection, head: h11.Request) -> None:
-        attempt = dict(head.headers).get(b"x-attempt-id", b"")  # without it no kept connection is used
+        attempt = dict(head.headers).get(b"x-attempt-id", b"")  # required for reuse of the connection
         headers = [
             ("Content-Type", "text/event-stream"),
             ("Transfer-Encoding", "chunked"),
@@ -92,24 +92,24 @@
             event = h11.Data(data=b"id: %d\ndata: %b\n\n" % (number, b"x" * 50))
             stream.send(connection.send(event) or b"", deadline)
             self.scheduler.yield_now()
-            time.sleep(0.0005)  # so that events do not run together on their way
+            time.sleep(0.0005)  # keeps events from merging in transit
         stream.send(connection.send(h11.EndOfMessage()) or b"", deadline)
 
 
 def toml(values: dict[str, Any]) -> str:
-    """Keys and plain values as TOML; JSON writes these alike."""
+    """Format keys and plain values as TOML; JSON has the same syntax for such values."""
     return "".join(f"{key} = {json.dumps(value)}\n" for key, value in values.items())
 
 
 class Deployment:
-    """The processes, each with its settings file and address."""
+    """The processes of the system, each with its settings file and address."""
 
     def __init__(self, folder: Path, root: Path = ROOT) -> None:
         self._folder, self.root = folder, root
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
 
     def command(self, _name: str, role: str) -> list[str]:
-        """Return how a process is started."""
+        """Return the command that starts a process."""
         return [sys.executable, "-m", "brambleusher.system_main", role]
 
     def start(self, name: str, ip: str, role: str) -> None:
@@ -142,7 +142,7 @@
         )
 
     def cpu_s(self, prefix: str) -> float:
-        """Processor seconds so far of the processes whose names begin so."""
+        """Return the processor time so far of all processes whose names begin with `prefix`, in seconds."""
         total = 0.0
         for name, process in self.processes.items():
             if name.startswith(prefix):
@@ -156,8 +156,10 @@
             self.start(f"core-{at}", f"127.0.1.{at + 1}", "controller")
         self.start("gateway-0", "127.0.2.1", "gateway")
         body = configuration(1, 50)
-        wait_until(lambda: call("127.0.1.1", CONTROL, "PUT", "/api/config", body, If_Match="0")[0] == 200)
-        wait_until(lambda: call("127.0.2.1", READY, "GET", "/api/readiness")[0] == 200)
+        wait_until(
+            lambda: http_call("127.0.1.1", CONTROL, "PUT", "/api/config", body, If_Match="0")[0] == 200
+        )
+        wait_until(lambda: http_call("127.0.2.1", READY, "GET", "/api/readiness")[0] == 200)
 
     def close(self) -> None:
         """End all processes."""
@@ -166,8 +168,10 @@
             process.wait()
 
 
-def call(ip: str, port: int, method: str, path: str, body: bytes = b"", **headers: str) -> tuple[int, bytes]:
-    """One call over a connection of its own."""
+def http_call(
+    ip: str, port: int, method: str, path: str, body: bytes = b"", **headers: str
+) -> tuple[int, bytes]:
+    """Send one call over a new connection."""
     connection = HTTPConnection(ip, port, timeout=5)
     try:
         connection.request(
@@ -180,7 +184,7 @@
 
 
 def configuration(revision: int, routes: int) -> bytes:
-    """Return a configuration with so many routes beside the one that is used."""
+    """Return a configuration with `routes` routes besides the route in use."""
     listed = [
         {
             "name": f"r-{number}",
@@ -199,7 +203,7 @@
 
 
 def wait_until(done: Callable[[], object], seconds: float = 20.0) -> None:
-    """Ask again and again, within a bound."""
+    """Poll until `done` returns true, with a time-out."""
     end = time.monotonic() + seconds
     while True:
         try:
@@ -213,7 +217,7 @@
 
 
 def requests(count: int, events: int) -> None:
-    """So many requests in turn over one connection."""
+    """Send requests one after another over one connection."""
     connection = HTTPConnection("127.0.2.1", FRONT, timeout=5)
     for number in range(count):
         headers = {"Host": "h", "X-Attempt-Id": f"{events}-{number}", "X-Deadline-Remaining": "4000"}
@@ -226,7 +230,7 @@
 
 
 def poll_bytes() -> tuple[int, int, int]:
-    """Bytes of a question, of an answer without news, and of one with everything."""
+    """Return the bytes of a poll request, of a response without changes, and of a full response."""
     scheduler = Scheduler(RealSystem())
     sizes: list[tuple[int, int, int]] = []
     me = {"name": "measure", "role": "gateway", "address": "127.0.2.9:1", "zone": "z", "region": "r"}
@@ -249,7 +253,7 @@
 
 def measure(quick: bool) -> None:
     """Print the table."""
-    rest_s, count, changes = (4.0, 400, 20) if quick else (20.0, 2000, 60)
+    idle_s, count, changes = (4.0, 400, 20) if quick else (20.0, 2000, 60)
     with tempfile.TemporaryDirectory() as folder:
         deployment = Deployment(Path(folder))
         try:
@@ -258,8 +262,8 @@
 
             def resting(prefix: str) -> float:
                 begun = deployment.cpu_s(prefix)
-                time.sleep(rest_s)
-                return (deployment.cpu_s(prefix) - begun) / rest_s
+                time.sleep(idle_s)
+                return (deployment.cpu_s(prefix) - begun) / idle_s
 
             one = resting("core")
             spent = []
@@ -271,7 +275,7 @@
                 deployment.start(f"gateway-{at}", f"127.0.2.{at + 1}", "gateway")
             wait_until(
                 lambda: all(
-                    call(f"127.0.2.{at + 1}", READY, "GET", "/api/readiness")[0] == 200
+                    http_call(f"127.0.2.{at + 1}", READY, "GET", "/api/readiness")[0] == 200
                     for at in range(GATEWAYS)
                 )
             )
@@ -281,7 +285,9 @@
             started = time.monotonic()
             for revision in range(2, 2 + changes):
                 body = configuration(revision, 50)
-                status, _ = call("127.0.1.2", CONTROL, "PUT", "/api/config", body, If_Match=str(revision - 1))
+                status, _ = http_call(
+                    "127.0.1.2", CONTROL, "PUT", "/api/config", body, If_Match=str(revision - 1)
+                )
                 if status != 200:
                     raise RuntimeError(f"change {revision}: {status}")
             took = time.monotonic() - started
--- a/brambleusher/cli/load.py
+++ b/brambleusher/cli/load.py
@@ -18,14 +18,14 @@
 from brambleusher.cli.ranges import DURATION_S, FACTOR, MAX_FACTOR, SPEED
 from brambleusher.load import demand, shape, synthetic
 from brambleusher.load.build import Plan, build
-from brambleusher.load.demand import DemandError, DemandFile, beside
+from brambleusher.load.demand import DemandError, DemandFile, atomic_write
 from brambleusher.load.mapping import Mapping as RowMapping
 from brambleusher.load.mapping import MappingError, read_mapping
-from brambleusher.load.opening import Progress, size_of
+from brambleusher.load.opening import Progress, file_size
 from brambleusher.load.ordering import SPREADS
-from brambleusher.load.report import texts
+from brambleusher.load.report import format_report
 from brambleusher.load.request import Request, SourceError
-from brambleusher.load.sources import FORMS, How
+from brambleusher.load.sources import FORMS, ReadOptions
 from brambleusher.load.summary import Summary, plot
 from brambleusher.load.times import SECOND
 
@@ -132,15 +132,15 @@
     check_not_overwritten(out, *sources, *([mapping] if mapping else []))
     rules = RowMapping() if mapping is None else read_mapping(mapping)
     plan = Plan(
-        sources, How(rules, form, log_format), round(window * SECOND), spread, seed, processes,
+        sources, ReadOptions(rules, form, log_format), round(window * SECOND), spread, seed, processes,
     )  # fmt: skip
-    with progress_bar(sum(map(size_of, sources))) as progress:
+    with progress_bar(sum(map(file_size, sources))) as progress:
         report = build(plan, out, progress)
     plain = report.plain()
     if as_json:
         print(msgspec.json.encode({**plain, "spread": spread, "window_s": window}).decode())
         return 0
-    print("\n".join(texts(plain)))
+    print("\n".join(format_report(plain)))
     if plain["notes"].get("whole-seconds"):
         how = "left bunched as they are" if spread == "none" else f"spread over their second: {spread}"
         print(f"times in whole seconds were {how}")
@@ -172,7 +172,7 @@
     print("\n".join(summary.texts()))
     if report:
         print("\nwhen it was built:")
-        print("\n".join(texts(report)))
+        print("\n".join(format_report(report)))
         if report.get("notes", {}).get("whole-seconds"):
             print(f"times in whole seconds: spread {original_provenance(made).get('spread', 'none')}")
     return 0
@@ -208,8 +208,8 @@
     """Extract a time span of a demand file."""
     with DemandFile(file) as source:
         first_ns = source.span_ns[0]
-        start_ns = None if start is None else shape.moment(start, first_ns)
-        end_ns = None if end is None else shape.moment(end, first_ns)
+        start_ns = None if start is None else shape.parse_demand_time(start, first_ns)
+        end_ns = None if end is None else shape.parse_demand_time(end, first_ns)
         if start_ns is not None and end_ns is not None and end_ns <= start_ns:
             raise shape.ShapeError(f"the span ends at {end}, which is not after its start at {start}")
         requests = source.requests(start_ns, end_ns)
@@ -244,7 +244,7 @@
         first, dots, last = span.partition("..")
         if not dots:
             raise click.BadParameter(f"{burst!r} is not FROM..TO=FACTOR", param_hint="--burst")
-        edges = [shape.moment(each, start_ns) - start_ns for each in (first, last)]
+        edges = [shape.parse_demand_time(each, start_ns) - start_ns for each in (first, last)]
         if edges[1] <= edges[0]:
             raise click.BadParameter(f"{burst!r} ends before it begins", param_hint="--burst")
         found.append(shape.Burst(edges[0], edges[1], parse_factor(text, "--burst")))
@@ -289,7 +289,7 @@
             "speed": speed, "rate": rate, "classes": dict(scale.classes), "tenants": dict(scale.tenants),
             "bursts": [[burst.start_ns, burst.end_ns, burst.times] for burst in scale.bursts], "seed": seed,
         }  # fmt: skip
-        requests = shape.scaled(source.requests(), start_ns, scale)
+        requests = shape.scale_demand(source.requests(), start_ns, scale)
         return write_derived(source, out, requests, "scale", parameters)
 
 
@@ -306,7 +306,7 @@
     try:
         starts = [source.span_ns[0] for source in sources]
         shifts = [starts[0] - start if align == "start" else 0 for start in starts]
-        requests = shape.mixed([source.requests() for source in sources], shifts)
+        requests = shape.merge_demands([source.requests() for source in sources], shifts)
         made = {
             "by": "mix", "align": align,
             "of": [{"name": source.path.name, "made": source.header.made} for source in sources],
@@ -327,7 +327,11 @@
     from brambleusher.load.har import write
 
     check_not_overwritten(out, file)
-    with DemandFile(file) as source, beside(out) as unfinished, unfinished.open("w", encoding="utf-8") as har:
+    with (
+        DemandFile(file) as source,
+        atomic_write(out) as unfinished,
+        unfinished.open("w", encoding="utf-8") as har,
+    ):
         print(f"{write(source.requests(), har, __version__):,} requests")
     return 0
 
@@ -354,11 +358,11 @@
     elif form == "har":
         from brambleusher.load.har import write
 
-        with beside(out) as unfinished, unfinished.open("w", encoding="utf-8") as har:
+        with atomic_write(out) as unfinished, unfinished.open("w", encoding="utf-8") as har:
             count = write(made, har, __version__)
     else:
         count = 0
-        with beside(out) as unfinished, unfinished.open("wb") as log:
+        with atomic_write(out) as unfinished, unfinished.open("wb") as log:
             for request in made:
                 if form == "access":
                     log.write(synthetic.log_line(request, has_full_seconds))
@@ -416,7 +420,7 @@
 ) -> int:  # fmt: skip
     """Send requests on sockets; return status 1 if the generator was late or left requests unsent."""
     from brambleusher.load.pacing import Pace
-    from brambleusher.load.player import Play
+    from brambleusher.load.player import PlayOptions
     from brambleusher.load.processes import PlayError, play
 
     with DemandFile(file) as source:
@@ -426,7 +430,7 @@
         raise SourceError(f"{file}: the file has no requests")
     # Two concurrent runs must not use the same request ids.
     ids = random.SystemRandom().getrandbits(63) if seed is None else seed
-    plan = Play(resolve_addresses(targets), Pace(start_ns, speed), timeout_ms, most_open, seed=ids)
+    plan = PlayOptions(resolve_addresses(targets), Pace(start_ns, speed), timeout_ms, most_open, seed=ids)
     try:
         with progress_bar(total) as advance:
             before = 0
--- a/brambleusher/lab/experiments/direct.py
+++ b/brambleusher/lab/experiments/direct.py
@@ -14,8 +14,8 @@
 from brambleusher.lab.fleets.figures import NodeFigures
 from brambleusher.lab.stand_ins.node import Execution
 from brambleusher.load import demand
-from brambleusher.load.fidelity import Heard
-from brambleusher.load.player import Play
+from brambleusher.load.fidelity import ReceivedRequest
+from brambleusher.load.player import PlayOptions
 from brambleusher.load.processes import play
 from brambleusher.load.request import Request
 from brambleusher.runtime.operating_system import RealSystem
@@ -28,8 +28,8 @@
 
 
 def run_direct(
-    cell: Cell, requests: list[Request], plan: Play, span_s: float
-) -> tuple[Tally, list[Heard], list[Execution], int]:
+    cell: Cell, requests: list[Request], plan: PlayOptions, span_s: float
+) -> tuple[Tally, list[ReceivedRequest], list[Execution], int]:
     """Play; gives the tally, what the nodes noted, what they ran, and when it began."""
     world = cell.figures.figures(span_s)
     nodes = [node for node in world.nodes if not node.spare]
@@ -54,10 +54,10 @@
             demand.write(path, requests)
             results = play(
                 path,
-                Play(addresses, plan.pace, plan.timeout_ms, methods=plan.methods, seed=plan.seed),
+                PlayOptions(addresses, plan.pace, plan.timeout_ms, methods=plan.methods, seed=plan.seed),
                 PLAYERS,
             )
-        heard: list[Heard] = []
+        heard: list[ReceivedRequest] = []
         executions: list[Execution] = []
         for pipe in pipes:
             pipe.send(results.start_ns)
@@ -78,7 +78,7 @@
     """Some nodes in one process, until it is asked for what they noted."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     scheduler = Scheduler(RealSystem())
-    notes: list[Heard] = []
+    notes: list[ReceivedRequest] = []
     executions: list[Execution] = []
     addresses = []
     for figures in nodes:
--- a/brambleusher/load/sources.py
+++ b/brambleusher/load/sources.py
@@ -1,4 +1,4 @@
-"""Sources by their form: which one a file is, and its requests one by one."""
+"""Detect the format of a source file and read its requests."""
 
 from __future__ import annotations
 
@@ -8,35 +8,35 @@
 from pathlib import Path
 from typing import Protocol
 
-from brambleusher.load.mapping import Mapping, Reader
+from brambleusher.load.mapping import Mapping, RowConverter
 from brambleusher.load.opening import Progress, lines, open_source
 from brambleusher.load.ordering import Timed
 from brambleusher.load.report import Report
-from brambleusher.load.request import LeftOut, Request, Row, SourceError
+from brambleusher.load.request import RejectedRow, Request, Row, SourceError
 
 FORMS = ("har", "access", "json", "capture")
-LOOK = 256 * 1024
+DETECTION_BYTES = 256 * 1024
 _HAR = re.compile(rb'\{\s*"log"\s*:\s*\{')
 
 
 class LineReader(Protocol):
-    """Lines of one form to rows."""
+    """Converts lines of one format to rows."""
 
     def row(self, number: int, line: bytes) -> Row | None:
-        """One line; None where it is none of demand's.  Raises `LeftOut`."""
+        """Convert one line to a row, or to None if the line is no request; raises `RejectedRow`."""
 
 
 @dataclass(frozen=True)
-class How:
-    """How sources are to be read."""
+class ReadOptions:
+    """Options for reading sources."""
 
     mapping: Mapping = field(default_factory=Mapping)
-    form: str | None = None  # one of `FORMS`; None: by the file
-    log_format: str | None = None  # of access logs
+    form: str | None = None  # one of `FORMS`; None to detect the format
+    log_format: str | None = None  # LogFormat of access logs
 
     def line_reader(self, form: str) -> LineReader:
-        """The reader of a form's lines; raises `SourceError`."""
-        reader = Reader(self.mapping)
+        """Return the line reader of a format; raises `SourceError`."""
+        reader = RowConverter(self.mapping)
         if form == "access":
             from brambleusher.load.access_log import FORMATS, AccessLog
 
@@ -57,73 +57,75 @@
         return Captures()
 
 
-def form_of(path: Path) -> str:
-    """Which form a file is of, by how it begins; raises `SourceError`."""
+def detect_format(path: Path) -> str:
+    """Detect the format of a file from its beginning; raises `SourceError`."""
     with open_source(path) as file:
-        head = file.read(LOOK)
+        head = file.read(DETECTION_BYTES)
     head = head.removeprefix(b"\xef\xbb\xbf").lstrip()
     if head.startswith(b'{"ev":"start"') or b'\n{"ev":"start"' in head:
         return "capture"
     if not head.startswith(b"{"):
         return "access"
-    # A HAR file is one object with one key; a log's line has others before such a one, or beside it.
+    # A HAR file begins with a `log` key that has an object as value; the lines of a JSON log do not.
     return "har" if _HAR.match(head) else "json"
 
 
-def rows(path: Path, form: str, how: How, progress: Progress | None) -> Iterator[Row | tuple[int, LeftOut]]:
-    """The rows of a file, and what is left out of it; raises `SourceError`."""
+def rows(
+    path: Path, form: str, options: ReadOptions, progress: Progress | None
+) -> Iterator[Row | tuple[int, RejectedRow]]:
+    """Yield the rows of a file, and rejections with their number; raises `SourceError`."""
     with open_source(path, progress) as file:
         if form == "har":
             from brambleusher.load.har import rows as entries
 
             yield from entries(file, str(path))
             return
-        reader = how.line_reader(form)
-        for number, line, whole in lines(file):
+        reader = options.line_reader(form)
+        for number, line, has_line_ending in lines(file):
             try:
                 if line is None:
-                    raise LeftOut("too-long")
+                    raise RejectedRow("too-long")
                 row = line_row(reader, number, line)
                 if row is not None:
                     yield row
-            except LeftOut as why:
-                cut = not whole and why.reason in ("unreadable", "encoding")
-                yield number, LeftOut("cut-line", why.detail) if cut else why
-            except ValueError as error:  # a capture's header
+            except RejectedRow as rejection:
+                truncated = not has_line_ending and rejection.reason in ("unreadable", "encoding")
+                yield number, RejectedRow("cut-line", rejection.detail) if truncated else rejection
+            except ValueError as error:  # the header of a capture is invalid
                 raise SourceError(f"{path}: line {number}: {error}") from None
 
 
 def line_row(reader: LineReader, number: int, line: bytes) -> Row | None:
-    """One line; empty ones are passed over.  Raises `LeftOut`."""
+    """Convert one line to a row, or to None if the line is blank or no request; raises `RejectedRow`."""
     if number == 1:
         line = line.removeprefix(b"\xef\xbb\xbf")
     return reader.row(number, line) if line.strip() else None
 
 
 def requests(
-    path: Path, form: str, how: How, report: Report, progress: Progress | None = None
+    path: Path, form: str, options: ReadOptions, report: Report, progress: Progress | None = None
 ) -> Iterator[Timed]:
-    """The requests of a file in its own order; what is left out goes to the report."""
-    read = Reader(how.mapping).request
+    """Yield the requests of a file in file order; rejected rows go to the report."""
+    convert = RowConverter(options.mapping).request
     unit = "entry" if form == "har" else "line"
-    for row in rows(path, form, how, progress):
+    for row in rows(path, form, options, progress):
         report.rows += 1
         if isinstance(row, tuple):
-            report.leave(row[1].reason, f"{path}: {unit} {row[0]}", row[1].detail)
+            report.reject(row[1].reason, f"{path}: {unit} {row[0]}", row[1].detail)
             continue
-        place = f"{path}: {unit} {row.place}"
+        position = f"{path}: {unit} {row.number}"
         try:
-            request = read(row)
-        except LeftOut as why:
-            report.leave(why.reason, place, why.detail)
+            request = convert(row)
+        except RejectedRow as rejection:
+            report.reject(rejection.reason, position, rejection.detail)
             continue
-        noted(report.note, request, row.whole, row.leap)
-        yield Timed(request, row.whole, place)
+        record_notes(report.note, request, row.has_full_seconds, row.leap)
+        yield Timed(request, row.has_full_seconds, position)
 
 
-def noted(note: Callable[[str], None], request: Request, whole: bool, leap: bool) -> None:
-    """Say what is to be known of a request that stays."""
-    if whole:
+def record_notes(note: Callable[[str], None], request: Request, has_full_seconds: bool, leap: bool) -> None:
+    """Report notable properties of an accepted request."""
+    if has_full_seconds:
         note("whole-seconds")
     if leap:
         note("leap-second")
