--- a/tests/loadbalancing/test_zone_routing.py
+++ b/tests/loadbalancing/test_zone_routing.py
@@ -13,7 +13,7 @@
 
 import msgspec
 import pytest
-from hypothesis import given, settings
+from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
 from brambleusher.cli.explore import play_chunk
@@ -347,6 +347,9 @@
 
 @given(st.floats(0.0, 1e3), st.lists(st.tuples(AMOUNT, st.one_of(st.just(-1.0), AMOUNT)), max_size=6))
 @settings(max_examples=200, derandomize=True, deadline=None)
+@example(
+    1.5, [(5e-324, -1.0)]
+)  # A denormal weight: the product of demand and weight is rounded up to 2 units.
 def test_a_demand_is_shared_out_within_the_limits(demand: float, zones: list[tuple[float, float]]) -> None:
     masses = {f"z{at}": mass for at, (mass, _) in enumerate(zones)}
     limits = {f"z{at}": limit for at, (_, limit) in enumerate(zones)}
