--- a/brambleusher/lab/processes/__init__.py
+++ b/brambleusher/lab/processes/__init__.py
@@ -1,1 +1,1 @@
-"""Real processes of the program with faults between them: relays on every link, signals, limits, clocks."""
+"""Drills with real sidecar processes, injecting faults by relays, signals, resource limits and clocks."""
--- a/brambleusher/lab/processes/breakages.py
+++ b/brambleusher/lab/processes/breakages.py
@@ -1,4 +1,4 @@
-"""Deliberate breakages of the program that take real processes to show, beside those of virtual time."""
+"""Deliberate breakages of the program, including those that only real processes can show."""
 
 from __future__ import annotations
 
@@ -10,77 +10,81 @@
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.system import Socket
 
-STOPPED_SECONDS = 0.5  # a round that was so late: the process had been stopped
-LOST_AT_ONCE = 3
-KEPT_BYTES = 4 * 2**20  # for each connection, by one that forgets to let go
+STOPPED_SECONDS = 0.5  # a longer gap between two accepts means that the process had been stopped
+LEAKED_DESCRIPTORS = 3  # the number of descriptors that leak after each stop
+LEAKED_BYTES = 4 * 2**20  # the memory that leaks with each accepted connection
 
 
 def _accept_blocks(patches: Patches) -> None:
-    """What virtual sockets can't do: a read from one who says nothing stops the whole process."""
+    """Make accepted sockets block, so that a read from a silent client stops the whole process.
+
+    Virtual sockets can't block.
+    """
 
     def accept(self: RealSystem, listener: Socket) -> tuple[Socket, str]:
-        taken: tuple[Socket, str] = old(self, listener)
-        taken[0].setblocking(True)  # type: ignore[attr-defined]
-        return taken
+        accepted: tuple[Socket, str] = original(self, listener)
+        accepted[0].setblocking(True)  # type: ignore[attr-defined]
+        return accepted
 
-    old = patches.set(RealSystem, "accept", accept)
+    original = patches.set(RealSystem, "accept", accept)
 
 
-def _lost_in_accept(patches: Patches) -> None:
-    """A process that was stopped accepts twice what waited first, and forgets it."""
+def _accept_leaks_descriptors(patches: Patches) -> None:
+    """Leak descriptors at the first accept after the process had been stopped."""
 
     def accept(self: RealSystem, listener: Socket) -> tuple[Socket, str]:
         before = self.__dict__.setdefault("accepted_at", self.monotonic())
         now = self.__dict__["accepted_at"] = self.monotonic()
         if now - before > STOPPED_SECONDS:
-            kept = self.__dict__.setdefault("lost", [])
-            for _ in range(LOST_AT_ONCE):
-                kept.append(RealSystem.connection(self))
-        taken: tuple[Socket, str] = old(self, listener)
-        return taken
+            leaked = self.__dict__.setdefault("lost", [])
+            for _ in range(LEAKED_DESCRIPTORS):
+                leaked.append(RealSystem.connection(self))
+        accepted: tuple[Socket, str] = original(self, listener)
+        return accepted
 
-    old = patches.set(RealSystem, "accept", accept)
+    original = patches.set(RealSystem, "accept", accept)
 
 
-def _memory_kept(patches: Patches) -> None:
-    """Each connection leaves something behind: only a process of its own has memory to be looked at."""
+def _accept_leaks_memory(patches: Patches) -> None:
+    """Leak memory with each accepted connection; only a separate process has memory that can be measured."""
 
     def accept(self: RealSystem, listener: Socket) -> tuple[Socket, str]:
-        taken: tuple[Socket, str] = old(self, listener)
-        self.__dict__.setdefault("kept", []).append(bytearray(b"\1" * KEPT_BYTES))
-        return taken
+        accepted: tuple[Socket, str] = original(self, listener)
+        self.__dict__.setdefault("kept", []).append(bytearray(b"\1" * LEAKED_BYTES))
+        return accepted
 
-    old = patches.set(RealSystem, "accept", accept)
+    original = patches.set(RealSystem, "accept", accept)
 
 
-def _unread_ones_served(patches: Patches) -> None:
-    """A process that was stopped takes what has waited for it as if it had just come.
+def _departed_clients_served(patches: Patches) -> None:
+    """Treat requests that waited while the process was stopped as if they had just arrived.
 
-    Two guards are taken out: the look at requests found late, and that before each attempt.
+    This removes two guards: the check of requests that are read late, and the check before each attempt
+    whether the client has left.
     """
     patches.set(Scheduler, "lateness_s", property(lambda self: 0.0))
     patches.set(PeerPresence, "check_left", lambda self: False)
 
 
-OWN = {
+PROCESS_BREAKAGES = {
     "unread-ones-served": Breakage(
         "unread-ones-served", "requests of clients that have left are served first after a stop",
-        ("for-nobody",), _unread_ones_served,
+        ("for-nobody",), _departed_clients_served,
     ),
     "accept-blocks": Breakage(
         "accept-blocks", "an accepted connection is left to block", ("answer", "bad-client"), _accept_blocks
     ),
     "lost-in-accept": Breakage(
         "lost-in-accept", "descriptors are lost at the first accept after a stop", ("left-over",),
-        _lost_in_accept,
+        _accept_leaks_descriptors,
     ),
     "memory-kept": Breakage(
-        "memory-kept", "4 MB are kept for each connection", (), _memory_kept
+        "memory-kept", "4 MB are kept for each connection", (), _accept_leaks_memory
     ),
 }  # fmt: skip
-ALL = {**BREAKAGES, **OWN}
+ALL = {**BREAKAGES, **PROCESS_BREAKAGES}
 
 
 def on(name: str) -> AbstractContextManager[None]:
-    """The program with one of them; raises `KeyError` where there is none of that name."""
+    """Return a context in which the named breakage is applied; raises `KeyError` for an unknown name."""
     return ALL[name].on()
--- a/brambleusher/lab/processes/child.py
+++ b/brambleusher/lab/processes/child.py
@@ -1,4 +1,4 @@
-"""One sidecar of a drill: the program as it is, on a system whose wall clock the rig may set.
+"""One sidecar process of a drill: the unmodified program with a wall clock that the test rig can shift.
 
 `python -m brambleusher.lab.processes.child WALL-FILE [--operator FILE] [--breakage NAME]`
 """
@@ -18,14 +18,17 @@
 
 
 class RiggedSystem(RealSystem):
-    """This process's machine, its wall clock set off by what a file holds: nanoseconds, 8 bytes."""
+    """The operating system with a shifted wall clock.
+
+    A memory-mapped file holds the offset in nanoseconds, as a little-endian signed integer of 8 bytes.
+    """
 
     def __init__(self, wall_file: str) -> None:
         with open(wall_file, "rb") as file:
             self._offset = mmap.mmap(file.fileno(), 8, access=mmap.ACCESS_READ)
 
     def wall_ns(self) -> int:
-        """Unix time in nanoseconds as the rig has it."""
+        """Return the Unix time in nanoseconds plus the offset that the test rig has set."""
         (offset,) = struct.unpack("<q", self._offset[:8])
         return time.time_ns() + int(offset)
 
@@ -35,7 +38,7 @@
 @click.option("--operator")
 @click.option("--breakage")
 def main(wall_file: str, operator: str | None, breakage: str | None) -> None:
-    """Serve."""
+    """Run the sidecar until it exits, with a breakage applied if one is named."""
     broken: AbstractContextManager[object] = nullcontext()
     if breakage is not None:
         from brambleusher.lab.processes.breakages import on
--- a/brambleusher/lab/processes/drill.py
+++ b/brambleusher/lab/processes/drill.py
@@ -1,4 +1,4 @@
-"""Drills: a small file says a fleet, what goes wrong and what is expected; both worlds can play it."""
+"""Drills: a file describes a fleet, faults and expectations; it runs on real processes or in virtual time."""
 
 from __future__ import annotations
 
@@ -30,55 +30,65 @@
 from brambleusher.lab.virtual.world import Tap
 
 SECOND, MS = 10**9, 10**6
-WELL = 0.95  # of what is asked in a second: it has been served well
-LEAST = 4  # requests in a second that say anything
-AFTER_S = 4.0  # that a drill goes on after the last fault, unless it says otherwise
-BEAT_LATE_S, ROUND_LATE_S = 0.03, 0.03  # p99: a rig that is later says nothing about the program
-ONCE_LATE_S = 0.15  # one that stood still for so long once has no failure to tell: answers have no more slack
-PLAYS = 3  # so often a drill is played at most until its rig was in time
-# What real processes are given beside the rules' own figures: the relays' and the machine's part.
+SERVED_WELL_SHARE = (
+    0.95  # the share of a second's requests that must be served for the second to count as served well
+)
+WINDOW_REQUESTS_MIN = 4  # seconds with fewer requests are not evaluated
+DEFAULT_AFTER_S = 4.0  # the default time in seconds for which a drill continues after the last fault
+# Limits in seconds of the 99th percentile of how late the rig's timers and its relays are.  A rig that is
+# later says nothing about the program.
+TIMER_LATENESS_MAX_S, RELAY_LATENESS_MAX_S = 0.03, 0.03
+# The longest time in seconds for which the rig may stall once.  A failure seen after a longer stall is not
+# reported as one: the rules allow responses to be at most this much late.
+STALL_MAX_S = 0.15
+PLAYS_MAX = 3  # a drill whose rig was late is played again, at most this many times in all
+# Extra time in nanoseconds that the rules allow to real processes, for delays by relays and the machine.
 SLACK_NS, SEEN_NS, DRAIN_NS = 150 * MS, 100 * MS, 60 * MS
 
 Where = Literal["processes", "virtual"]
 
 
 class DrillError(ValueError):
-    """A drill that can't be used; the message names the key."""
+    """A drill file is invalid; the message names the key."""
 
 
 class Expected(Settings, frozen=True):
-    """What a drill must come to beside no rule broken."""
+    """Results that a drill must reach, in addition to breaking no rule."""
 
-    served: Part = 0.0  # of all that was asked, at least
-    refused: Part = 1.0  # of all tries, at most
-    well_s: Seconds = 1e9  # after the last fault, by when every second is served well
-    limits: bool = True  # no sum over the fleet passes its limit, nor does what a process takes
+    served: Part = 0.0  # the least share of requests that must be served
+    refused: Part = 1.0  # the largest share of tries that may be refused
+    well_s: Seconds = 1e9  # the longest time after the last fault until every second is served well
+    limits: bool = (
+        True  # whether fleet-wide totals and the resources of processes must stay within their limits
+    )
 
 
 class Drill(Settings, frozen=True):
-    """A drill as its file has it."""
+    """The contents of a drill file."""
 
     note: str = ""
     seed: int = 1
     sidecars: Annotated[int, msgspec.Meta(ge=1, le=200)] = 12
     nodes: Annotated[int, msgspec.Meta(ge=1, le=200)] = 12
     requests_per_s: Positive = 60.0
-    load: Positive = 0.45  # of the nodes' capacity
-    length_s: Seconds = 0.0  # at least; it goes on some time after the last fault anyhow
-    after_s: Seconds = AFTER_S
+    load: Positive = 0.45  # the share of the nodes' capacity that requests use
+    length_s: Seconds = (
+        0.0  # the least length; every drill lasts at least until `after_s` after the last fault
+    )
+    after_s: Seconds = DEFAULT_AFTER_S
     needs: Literal["both", "processes", "virtual"] = "both"
-    world: dict[str, Any] = {}  # laid over the world's figures  # noqa: RUF012
+    world: dict[str, Any] = {}  # overrides of the drawn world's values  # noqa: RUF012
     faults: tuple[AnyFault, ...] = ()
     expect: Expected = Expected()
 
     @property
-    def over_s(self) -> float:
-        """When the last fault ends."""
+    def last_fault_end_s(self) -> float:
+        """The time in seconds at which the last fault ends, at least 0.5."""
         return max([0.5, *(fault.end_s for fault in self.faults)])
 
 
 def read_drill(path: Path) -> Drill:
-    """A drill file; raises `DrillError`."""
+    """Read and validate a drill file; raises `DrillError`."""
     try:
         raw = yaml.safe_load(path.read_bytes())
         drill = msgspec.convert(raw, Drill)
@@ -93,12 +103,12 @@
 
 
 def scenario_of(drill: Drill) -> Scenario:
-    """The whole scenario, drawn from the drill's seed: nodes are e0, e1 ..., sidecars n0, n1 ..."""
-    faults_s = drill.over_s
+    """Draw the scenario from the drill's seed; nodes are named e0, e1, ... and sidecars n0, n1, ..."""
+    end_s = drill.last_fault_end_s
     ranges = msgspec.structs.replace(
         Ranges(), nodes=(drill.nodes, drill.nodes), spares=(0, 0), sidecars=(drill.sidecars, drill.sidecars),
         requests_per_s=(drill.requests_per_s, drill.requests_per_s), load=(drill.load, drill.load),
-        faults_s=(faults_s, faults_s), after_s=(drill.after_s, drill.after_s), connections=(120.0, 400.0),
+        faults_s=(end_s, end_s), after_s=(drill.after_s, drill.after_s), connections=(120.0, 400.0),
         sockets=(160, 256),
     )  # fmt: skip
     world = draw_world(drill.seed, ranges)
@@ -112,26 +122,26 @@
         for number, each in enumerate(world.sidecars)
     )
     work = drill.load * sum(node.settings.cores * node.settings.speed for node in nodes)
-    stretch = work / (drill.requests_per_s * world.mean_work_s)
-    classes = tuple(msgspec.structs.replace(each, work_s=each.work_s * stretch) for each in world.classes)
+    work_factor = work / (drill.requests_per_s * world.mean_work_s)
+    classes = tuple(msgspec.structs.replace(each, work_s=each.work_s * work_factor) for each in world.classes)
     world = msgspec.structs.replace(
-        world, nodes=nodes, sidecars=sidecars, classes=classes, opens_s=0.0, crowd=0.0, faults_s=faults_s,
-        length_s=max(drill.length_s, faults_s + drill.after_s),
+        world, nodes=nodes, sidecars=sidecars, classes=classes, opens_s=0.0, crowd=0.0, faults_s=end_s,
+        length_s=max(drill.length_s, end_s + drill.after_s),
     )  # fmt: skip
     if drill.world:
         world = msgspec.convert(laid_over(msgspec.to_builtins(world), drill.world), WorldFigures)
     check_faults(drill.faults, world)
     only = [fault.kind for fault in drill.faults if fault.worlds == "processes"]
     if only and drill.needs != "processes":
-        raise ValueError(f"needs: {only[0]} is there for processes alone")
+        raise ValueError(f"needs: must be 'processes', since the fault {only[0]} needs real processes")
     return Scenario(
-        seed=drill.seed, profile="drill", world=world, asks=_asks(drill.seed, world), faults=drill.faults,
-        note=drill.note,
+        seed=drill.seed, profile="drill", world=world, asks=_draw_asks(drill.seed, world),
+        faults=drill.faults, note=drill.note,
     )  # fmt: skip
 
 
-def _asks(seed: int, world: WorldFigures) -> tuple[Ask, ...]:
-    """Arrivals at random, evenly over the sidecars."""
+def _draw_asks(seed: int, world: WorldFigures) -> tuple[Ask, ...]:
+    """Draw Poisson arrivals, each at a sidecar chosen at random."""
     rng = Drawer(seed, "drill asks").rng
     asks, at = [], 0.0
     while (at := at + rng.expovariate(world.requests_per_s)) < world.length_s - 0.05:
@@ -149,61 +159,61 @@
     return tuple(asks)
 
 
-# --- a play ---------------------------------------------------------------------------------------
+# --- playing a drill ------------------------------------------------------------------------------
 
 
 @dataclass(slots=True)
 class Outcome:
-    """What one play came to."""
+    """The results and measurements of one play of a drill."""
 
     where: Where
     asked: int = 0
-    served: float = 0.0  # of what was asked
-    refused: float = 0.0  # of tries
-    attempts: float = 0.0  # a try that sidecars took
-    well_s: float = 0.0  # after the last fault, until every second was served well
-    windows: list[tuple[int, int]] = field(default_factory=list)  # asked and served, second by second
+    served: float = 0.0  # the share of requests that were served
+    refused: float = 0.0  # the share of tries that were refused
+    attempts: float = 0.0  # the mean number of attempts at nodes for each try that a sidecar accepted
+    well_s: float = 0.0  # the time after the last fault until every second was served well
+    windows: list[tuple[int, int]] = field(default_factory=list)  # requests asked and served in each second
     breaches: list[Breach] = field(default_factory=list)
-    missed: list[str] = field(default_factory=list)  # of what is expected
-    lost: list[str] = field(default_factory=list)  # what was asked and not served, in words
-    broken: int = 0
-    late: list[str] = field(default_factory=list)  # why the rig says nothing
+    missed: list[str] = field(default_factory=list)  # descriptions of expectations that were not met
+    lost: list[str] = field(default_factory=list)  # descriptions of requests that were not served
+    broken: int = 0  # the number of breaches, including those that are not kept in `breaches`
+    late: list[str] = field(default_factory=list)  # reasons why the rig was too late for a verdict
     relay_p99_ms: float = 0.0
     beat_p99_ms: float = 0.0
-    once_late_ms: float = 0.0  # the rig's timers, at worst
+    once_late_ms: float = 0.0  # the greatest lateness of the rig's timers
     rig_cpu_s: float = 0.0
-    sidecar_cpu_s: float = 0.0  # of all
-    sidecar_mb: float = 0.0  # the largest
-    opened: int = 0  # connections in all
+    sidecar_cpu_s: float = 0.0  # the processor time of all sidecars together
+    sidecar_mb: float = 0.0  # the peak resident memory of the largest sidecar
+    opened: int = 0  # the number of connections that were opened
     wall_s: float = 0.0
-    begins_s: float = 0.0  # from the start of the curves to the first request that may come
-    curves: tuple[Curve, ...] = ()  # sums over the fleet, and what processes take, second by second
+    begins_s: float = 0.0  # the time from the start of the curves to the earliest possible request
+    curves: tuple[Curve, ...] = ()  # fleet-wide totals and the resources of processes in each second
 
     @property
     def verdict(self) -> str:
-        """In a word."""
+        """The verdict in one word: "LATE", "FAILED" or "ok"."""
         if self.late:
             return "LATE"
         return "FAILED" if self.breaches or self.missed else "ok"
 
 
 def play(drill: Drill, where: Where, folder: Path | None = None, breakage: str = "") -> Outcome:
-    """Play a drill; one whose rig was late is played again, and never passed."""
+    """Play a drill; one whose rig was late is played again, and does not pass while its rig is late."""
     if where == "virtual":
-        return _virtual(drill, breakage)
-    for _ in range(PLAYS):
+        return _play_virtual(drill, breakage)
+    for _ in range(PLAYS_MAX):
         if folder is None:
             with tempfile.TemporaryDirectory(prefix="brambleusher-drill-") as kept:
-                outcome = _processes(drill, Path(kept), breakage)
+                outcome = _play_processes(drill, Path(kept), breakage)
         else:
             folder.mkdir(parents=True, exist_ok=True)
-            outcome = _processes(drill, folder, breakage)
+            outcome = _play_processes(drill, folder, breakage)
         if not outcome.late:
             break
     return outcome
 
 
-def _virtual(drill: Drill, breakage: str) -> Outcome:
+def _play_virtual(drill: Drill, breakage: str) -> Outcome:
     scenario, outcome = scenario_of(drill), Outcome("virtual")
     with world_of(scenario) as world, on(breakage) if breakage else nullcontext():
         rules = Rules.of(scenario.world.sidecar_settings(0))
@@ -220,12 +230,12 @@
         checker.finish(world.now_ns, [text for end in ends for text in end.left_over()])
         sums.finish(fleet.executions)
         outcome.curves, outcome.begins_s = sums.curves, (fleet.begins_ns - begun) / SECOND
-        _judge(drill, fleet, checker, outcome)
+        _evaluate(drill, fleet, checker, outcome)
         outcome.breaches += raised.breaches
     return outcome
 
 
-def _processes(drill: Drill, folder: Path, breakage: str) -> Outcome:
+def _play_processes(drill: Drill, folder: Path, breakage: str) -> Outcome:
     raise_limit()
     scenario, outcome = scenario_of(drill), Outcome("processes")
     settings = scenario.world.sidecar_settings(0)
@@ -250,8 +260,8 @@
         sums.finish(fleet.executions)
         outcome.curves = (*sums.curves, *watch.curves)
         outcome.begins_s = (fleet.begins_ns - made) / SECOND
-        _judge(drill, fleet, checker, outcome)
-        _measure(stage, fleet, outcome)
+        _evaluate(drill, fleet, checker, outcome)
+        _record_measurements(stage, fleet, outcome)
     finally:
         if fleet is not None:
             fleet.close()
@@ -259,9 +269,9 @@
     return outcome
 
 
-def _measure(stage: RealStage, fleet: RealFleet, outcome: Outcome) -> None:
-    outcome.beat_p99_ms = _p99(stage.beats_late) * 1000
-    outcome.once_late_ms = max(stage.beats_late, default=0.0) * 1000
+def _record_measurements(stage: RealStage, fleet: RealFleet, outcome: Outcome) -> None:
+    outcome.beat_p99_ms = _p99(stage.timer_lateness_s) * 1000
+    outcome.once_late_ms = max(stage.timer_lateness_s, default=0.0) * 1000
     outcome.relay_p99_ms = max(_p99(stage.system.epoll.rounds), _p99(stage.network.late)) * 1000
     outcome.rig_cpu_s, outcome.wall_s = stage.cpu_s, stage.measured_s
     outcome.opened = stage.network.count
@@ -270,20 +280,20 @@
             process.look()
             outcome.sidecar_cpu_s += process.cpu_s
             outcome.sidecar_mb = max(outcome.sidecar_mb, process.rss_kb / 1024)
-    if outcome.beat_p99_ms > BEAT_LATE_S * 1000:
+    if outcome.beat_p99_ms > TIMER_LATENESS_MAX_S * 1000:
         outcome.late.append(f"the rig's timers were {outcome.beat_p99_ms:.0f} ms late (p99)")
-    # A moment's standstill makes what a rig sees later, never earlier: what passes in spite of it has passed.
-    if outcome.once_late_ms > ONCE_LATE_S * 1000 and (outcome.breaches or outcome.missed):
-        outcome.late.append(f"the rig stood still for {outcome.once_late_ms:.0f} ms")
-    if outcome.relay_p99_ms > ROUND_LATE_S * 1000:
-        outcome.late.append(f"its relays were {outcome.relay_p99_ms:.0f} ms late (p99)")
+    # A stall makes the rig observe events later, never earlier, so a drill that passes despite it has passed.
+    if outcome.once_late_ms > STALL_MAX_S * 1000 and (outcome.breaches or outcome.missed):
+        outcome.late.append(f"the rig stalled for {outcome.once_late_ms:.0f} ms")
+    if outcome.relay_p99_ms > RELAY_LATENESS_MAX_S * 1000:
+        outcome.late.append(f"the rig's relays were {outcome.relay_p99_ms:.0f} ms late (p99)")
 
 
 def _p99(values: list[float]) -> float:
     return sorted(values)[int(0.99 * (len(values) - 1))] if values else 0.0
 
 
-def _judge(drill: Drill, fleet: AnyFleet, checker: Checker, outcome: Outcome) -> None:
+def _evaluate(drill: Drill, fleet: AnyFleet, checker: Checker, outcome: Outcome) -> None:
     asked = [each for each in fleet.asked if each.tries]
     tries = [each for one in asked for each in one.tries]
     outcome.asked = len(asked)
@@ -299,7 +309,7 @@
         window[0] += 1
         window[1] += each.served
     outcome.windows = [(window[0], window[1]) for window in windows]
-    outcome.well_s = _well_after(outcome.windows, drill.over_s)
+    outcome.well_s = _seconds_until_served_well(outcome.windows, drill.last_fault_end_s)
     outcome.lost = [
         f"{each.ask.id} at {(each.due_ns - fleet.begins_ns) / SECOND:.3f} s, n{each.ask.sidecar}, "
         f"{each.ask.request_class}, waits {each.ask.wait_s:g} s: "
@@ -309,20 +319,23 @@
     ]
     expect = drill.expect
     if outcome.served < expect.served:
-        outcome.missed.append(f"served {outcome.served:.3f} of what was asked, {expect.served:g} expected")
+        outcome.missed.append(f"served {outcome.served:.3f} of requests, at least {expect.served:g} expected")
     if outcome.refused > expect.refused:
         outcome.missed.append(f"refused {outcome.refused:.3f} of tries, at most {expect.refused:g} expected")
     if outcome.well_s > expect.well_s:
-        outcome.missed.append(f"well {outcome.well_s:g} s after the last fault, {expect.well_s:g} s expected")
+        outcome.missed.append(
+            f"every second served well {outcome.well_s:g} s after the last fault, "
+            f"at most {expect.well_s:g} s expected"
+        )
     if expect.limits:
         outcome.missed += [f"limit passed: {text}" for text in passed(outcome.curves)]
 
 
-def _well_after(windows: Iterable[tuple[int, int]], over_s: float) -> float:
-    """Seconds from the last fault's end to the end of the last second that was not served well."""
+def _seconds_until_served_well(windows: Iterable[tuple[int, int]], last_fault_end_s: float) -> float:
+    """Return the seconds from the last fault's end to the end of the last second that was not served well."""
     bad = [
         number + 1
         for number, (asked, served) in enumerate(windows)
-        if asked >= LEAST and served < WELL * asked - 1e-9 and asked - served > 1
+        if asked >= WINDOW_REQUESTS_MIN and served < SERVED_WELL_SHARE * asked - 1e-9 and asked - served > 1
     ]
-    return max(0.0, max(bad, default=0) - over_s)
+    return max(0.0, max(bad, default=0) - last_fault_end_s)
--- a/brambleusher/lab/processes/fleet.py
+++ b/brambleusher/lab/processes/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet whose sidecars are real processes of the program; all else stands in the rig's own process."""
+"""A fleet whose sidecars are real processes; its nodes and discovery are stand-ins in the rig's process."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
 from brambleusher.runtime.streams import Stream, parse_address
 from brambleusher.runtime.system import Address
 
-READY_SECONDS = 60.0
-ASK_SECONDS = 1.0
-LOOK_SECONDS = 0.03
-STANDARD = 3
-TICKS, PAGE_BYTES = os.sysconf("SC_CLK_TCK"), os.sysconf("SC_PAGESIZE")
-END_SECONDS = 5.0
-LINGER_SECONDS = 0.5  # of clients past their time, so that an answer that is late can be seen
+READY_TIMEOUT_SECONDS = 60.0
+READINESS_REQUEST_SECONDS = 1.0
+POLL_SECONDS = 0.03
+STANDARD_DESCRIPTORS = 3
+TICKS_PER_SECOND, PAGE_BYTES = os.sysconf("SC_CLK_TCK"), os.sysconf("SC_PAGESIZE")
+TERMINATION_TIMEOUT_SECONDS = 5.0
+LINGER_SECONDS = 0.5  # how long clients wait past their deadline, so that late answers are observed
 
 
 class SidecarProcess:
-    """One process of the program."""
+    """One sidecar process, from its start to its end."""
 
     def __init__(self, place: RealSidecarPlace, command: list[str], environment: dict[str, str]) -> None:
         self.place, stage = place, place.stage
@@ -47,7 +47,7 @@
             )  # fmt: skip
         self.pid = self._popen.pid
         self.ended: int | None = None
-        self.rss_kb = 0  # the most seen
+        self.rss_kb = 0  # the highest peak of resident memory seen, in KiB
         self.cpu_s = 0.0
         self._stops = 0
         self._killed = False
@@ -56,18 +56,18 @@
         stage.scheduler.spawn(self._wait, name="sidecar's end")
 
     def fileno(self) -> int:
-        """Readable when it has ended."""
+        """Return the process's pidfd, which becomes readable when the process has ended."""
         return self._fd
 
     def _wait(self) -> None:
         self.stage.scheduler.park(sock=self)  # type: ignore[arg-type]
         os.close(self._fd)
-        # The relays may still have its last bytes: they come first, and only then another process may.
-        self.stage.scheduler.sleep(LOOK_SECONDS)
-        self._over()
+        # Relays may still hold the last bytes of the process; these must arrive before its successor starts.
+        self.stage.scheduler.sleep(POLL_SECONDS)
+        self._record_end()
 
-    def _over(self) -> None:
-        """It has ended."""
+    def _record_end(self) -> None:
+        """Record the end of the process and report it to the taps, once."""
         if self.ended is not None:
             return
         self.ended = self._popen.wait()
@@ -78,20 +78,20 @@
 
     @property
     def dead(self) -> bool:
-        """Whether it has ended."""
+        """Whether the process has ended."""
         return self.ended is not None
 
     @property
     def descriptors(self) -> int:
-        """How many are open, the three standard ones not counted; 0 once it has ended."""
+        """The number of open descriptors without the three standard streams; 0 once the process has ended."""
         try:
-            return len(os.listdir(f"/proc/{self.pid}/fd")) - STANDARD
+            return len(os.listdir(f"/proc/{self.pid}/fd")) - STANDARD_DESCRIPTORS
         except OSError:
             return 0
 
     @property
     def limit(self) -> int:
-        """The highest number of descriptors."""
+        """The process's soft limit of open descriptors."""
         return resource.prlimit(self.pid, resource.RLIMIT_NOFILE)[0]
 
     @limit.setter
@@ -102,12 +102,12 @@
 
     @property
     def stderr(self) -> bytes:
-        """Its log."""
+        """The contents of the process's log, which has its standard output and standard error."""
         return self.log.read_bytes()
 
     @property
     def resident_mb(self) -> float:
-        """Memory that it has now; 0 once it has ended."""
+        """The resident memory of the process at this moment; 0 once the process has ended."""
         try:
             pages = int(Path(f"/proc/{self.pid}/statm").read_text().split()[1])
         except (OSError, IndexError):
@@ -115,20 +115,20 @@
         return pages * PAGE_BYTES / 2**20
 
     def look(self) -> None:
-        """Note its memory and its processor time."""
+        """Update the recorded peak of memory and the processor time of the process."""
         try:
             for line in Path(f"/proc/{self.pid}/status").read_text().splitlines():
                 if line.startswith("VmHWM"):
                     self.rss_kb = max(self.rss_kb, int(line.split()[1]))
             words = Path(f"/proc/{self.pid}/stat").read_text().rsplit(")", 1)[1].split()
-            self.cpu_s = (int(words[11]) + int(words[12])) / TICKS
+            self.cpu_s = (int(words[11]) + int(words[12])) / TICKS_PER_SECOND
         except (OSError, IndexError):
             return
 
-    # --- what is done to it ---------------------------------------------------------------------
+    # --- signals --------------------------------------------------------------------------------
 
     def signal(self, number: int) -> None:
-        """Send it one."""
+        """Send a signal to the process; its files are rewritten before SIGHUP."""
         if self.dead:
             return
         if number == signal.SIGKILL:
@@ -140,17 +140,17 @@
         self._popen.send_signal(number)
 
     def kill(self, reset: bool = False) -> None:
-        """SIGKILL, and wait for its end."""
+        """Send SIGKILL and wait until the process has ended."""
         if self.dead:
             return
         self.look()
         self.stage.tell("process", self.place.machine, "killed")
         self._killed = True
         self._popen.kill()
-        self._over()
+        self._record_end()
 
     def stop(self, on: bool) -> None:
-        """SIGSTOP, or SIGCONT once nobody stops it any more."""
+        """Send SIGSTOP at the first of overlapping stops, and SIGCONT when the last of them ends."""
         self._stops += 1 if on else -1
         if not self.dead and (self._stops == 1 if on else self._stops == 0):
             self._popen.send_signal(signal.SIGSTOP if on else signal.SIGCONT)
@@ -158,7 +158,7 @@
 
 
 class RealSidecarPlace(SidecarPlace):
-    """Where a sidecar stands whose process is real."""
+    """The machine, the files and the real process of one sidecar."""
 
     fleet: RealFleet
 
@@ -167,12 +167,14 @@
         self.stage = fleet.stage
         self.real = self.stage.machines[figures.name]
         self.ready = False
-        self.at_rest = 0  # descriptors beside its connections
+        self.idle_descriptors = (
+            0  # the number of descriptors that an idle process has open besides connections
+        )
         self._config = self.stage.folder / f"{figures.name}.json"
         self._operator_path = self.stage.folder / f"{figures.name}.operator.yaml"
 
     def write_files(self) -> None:
-        """Its configuration and its operator file, as they are meant to be there now."""
+        """Write the sidecar's configuration file and operator file with their current contents."""
         self._config.write_bytes(self.file)
         self._operator_path.write_bytes(self.operator)
 
@@ -189,18 +191,18 @@
             environment["NODE_ADMIN_ADDR"] = "{}:{}".format(*self.admin)
         process = SidecarProcess(self, command, environment)
         self.real.process = process
-        self.stage.scheduler.spawn(self._await, process, name="sidecar ready")
+        self.stage.scheduler.spawn(self._wait_until_ready, process, name="sidecar ready")
         return process
 
-    def _await(self, process: SidecarProcess) -> None:
-        """Let clients come as soon as it listens; note when it is ready."""
+    def _wait_until_ready(self, process: SidecarProcess) -> None:
+        """Admit clients as soon as the process listens, and set `ready` when it reports that it is ready."""
         scheduler = self.stage.scheduler
         while not process.dead and not self.ready:
-            deadline = scheduler.now() + ASK_SECONDS
+            deadline = scheduler.now() + READINESS_REQUEST_SECONDS
             try:
                 stream = Stream.connect(scheduler, self.address, deadline)
             except (OSError, TaskTimeoutError):
-                scheduler.sleep(LOOK_SECONDS)
+                scheduler.sleep(POLL_SECONDS)
                 continue
             try:
                 if process.dead:
@@ -214,36 +216,36 @@
             finally:
                 stream.close()
             if not self.ready:
-                scheduler.sleep(LOOK_SECONDS)
-        scheduler.sleep(LOOK_SECONDS)
-        if self.at_rest == 0 and not process.dead:
-            self.at_rest = process.descriptors - self.stage.network.open_at(self.real)
+                scheduler.sleep(POLL_SECONDS)
+        scheduler.sleep(POLL_SECONDS)
+        if self.idle_descriptors == 0 and not process.dead:
+            self.idle_descriptors = process.descriptors - self.stage.network.open_connections(self.real)
 
     def has_ended(self, process: SidecarProcess) -> None:
-        """Nobody listens there any more."""
+        """Mark the sidecar's addresses as no longer listening after its process has ended."""
         if process is self.process:
             self.ready = False
             self.stage.network.heard(self.address, False)
             self.stage.network.heard(self.admin, False)
 
     def pause(self, wait_ns: int) -> None:
-        """Its process is stopped for a while."""
+        """Stop the sidecar's process for `wait_ns` nanoseconds."""
         self.real.stall(wait_ns)
 
     def paused(self, on: bool) -> None:
-        """Its process has been stopped, or goes on."""
+        """Report to the audience that the process was stopped or continued."""
         self.fleet.audience.paused(self.stage.now_ns, self.machine.name, on)
 
     def _set_limit(self) -> None:
         if self.process is not None:
-            # As many as it may hold, and what the interpreter has open beside.
-            usual = self.figures.sockets + 2 * STANDARD
+            # The configured number of sockets, plus the descriptors that the interpreter itself has open.
+            usual = self.figures.sockets + 2 * STANDARD_DESCRIPTORS
             self.process.limit = min([usual, *(limit for _, limit in self._squeezes)])
         self.real.squeezed = bool(self._squeezes)
         self.fleet.audience.starved(self.stage.now_ns, self.machine.name, bool(self._squeezes))
 
     def state(self) -> SidecarEnd:
-        """What can be seen of it from outside: descriptors beyond its connections are left over."""
+        """Return the process's state as seen from outside; descriptors beyond its connections are leaked."""
         process, name = self.process, self.figures.name
         if process is None or process.dead:
             return SidecarEnd(name, False, 0, 0, 0, 0, 0, 0, 0, 0, self.stderr)
@@ -252,42 +254,43 @@
         return SidecarEnd(
             name=name, up=True, tickets=0, clients=asked, claims=0, node_connections=0, node_idle=0,
             timers=0, descriptors=process.descriptors,
-            descriptors_due=self.at_rest + self.stage.network.open_at(self.real), stderr=b"",
+            descriptors_due=self.idle_descriptors + self.stage.network.open_connections(self.real),
+            stderr=b"",
         )  # fmt: skip
 
     @property
     def lives(self) -> list[SidecarProcess]:
-        """All its processes, in the order in which they were started."""
+        """All processes of this sidecar, in the order in which they were started."""
         return [each for each in (*self.ended, self.process) if isinstance(each, SidecarProcess)]
 
 
 class PairAudience:
-    """Tells an audience of nodes and discoveries at every address that a sidecar has of them."""
+    """Reports each node and discovery to an audience at every address at which a sidecar reaches it."""
 
     def __init__(self, fleet: RealFleet, audience: Audience) -> None:
         self._fleet, self._audience = fleet, audience
 
     def __getattr__(self, name: str) -> Any:
-        """What has no address is passed on."""
+        """Pass on all notifications that carry no address."""
         return getattr(self._audience, name)
 
-    def _ways(self, address: Address) -> list[Address]:
+    def _addresses_seen(self, address: Address) -> list[Address]:
         network = self._fleet.stage.network
         return [network.seen_from(place.real, address) for place in self._fleet.real_places]
 
     def discovery(self, address: Address) -> None:
-        """Discovery can be had here too."""
-        for each in self._ways(address):
+        """Report the discovery at the address that each sidecar has for it."""
+        for each in self._addresses_seen(address):
             self._audience.discovery(each)
 
     def node(self, now: int, name: str, address: Address, started_ms: int) -> None:
-        """A node's process is about to take connections."""
-        for each in self._ways(address):
+        """Report, for each sidecar's address of a node, that the node is about to accept connections."""
+        for each in self._addresses_seen(address):
             self._audience.node(now, name, each, started_ms)
 
 
 class RealFleet(AnyFleet):
-    """The fleet; `breakage` names a fault that is put into every sidecar."""
+    """A fleet with real sidecars; `breakage` names a deliberate fault to apply in each of them."""
 
     stage: RealStage
     linger_s = LINGER_SECONDS
@@ -301,42 +304,46 @@
 
     @property
     def real_places(self) -> list[RealSidecarPlace]:
-        """All sidecars' places."""
+        """The places of all sidecars."""
         return [place for place in self.sidecars if isinstance(place, RealSidecarPlace)]
 
     def new_sidecar(self, number: int, figures: SidecarFigures) -> SidecarPlace:
-        """A place for a real process."""
+        """Return a new place for a sidecar with a real process."""
         return RealSidecarPlace(self, number, figures)
 
     def seen_by(self, ip: str, entry: Entry) -> Entry:
-        """A node's entry with the address at which one sidecar reaches it."""
+        """Return a node's entry with the address at which the sidecar at `ip` reaches the node."""
         machine, address = self._by_ip.get(ip), parse_address(entry.addr)
-        if machine is None or address not in self.stage.network.known:
+        if machine is None or address not in self.stage.network.owners:
             return entry
         host, port = self.stage.network.seen_from(machine, address)
         return msgspec.structs.replace(entry, addr=f"{host}:{port}")
 
     def admit(self) -> None:
-        """Wait until all sidecars are ready, then begin."""
-        limit = self.stage.now_ns + int(READY_SECONDS * 1e9)
+        """Wait until all sidecars are ready, then admit clients.
+
+        Raises:
+            RuntimeError: A sidecar is not ready in time.
+        """
+        limit = self.stage.now_ns + int(READY_TIMEOUT_SECONDS * 1e9)
         if not self.stage.run(limit, lambda: all(place.ready for place in self.real_places)):
             late = [place.figures.name for place in self.real_places if not place.ready]
-            raise RuntimeError(f"not ready within {READY_SECONDS:g} s: {', '.join(late)}")
+            raise RuntimeError(f"sidecars not ready within {READY_TIMEOUT_SECONDS:g} s: {', '.join(late)}")
         length = self.ends_ns - self.begins_ns
         self.begins_ns = self.stage.now_ns + 200_000_000
         self.ends_ns = self.begins_ns + length
         super().admit()
 
     def close(self) -> None:
-        """End all sidecars: SIGTERM to all, SIGKILL to those that are there some seconds later."""
-        self.end(END_SECONDS)
+        """Send SIGTERM to all sidecars, and SIGKILL to those that still run some seconds later."""
+        self.end(TERMINATION_TIMEOUT_SECONDS)
         for place in self.real_places:
             for process in place.lives:
                 process.kill()
 
 
 def raise_limit() -> None:
-    """As many descriptors as this process may have: a relay takes three a connection."""
+    """Raise this process's limit of descriptors to the hard limit, as relays use three for each connection."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft < hard:
         resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
--- a/brambleusher/lab/processes/parent.py
+++ b/brambleusher/lab/processes/parent.py
@@ -1,4 +1,4 @@
-"""Processes that end with the one that started them, also where that one is killed outright."""
+"""Child processes that end with their parent process, even if the parent is killed by SIGKILL."""
 
 from __future__ import annotations
 
@@ -8,22 +8,24 @@
 import sys
 from collections.abc import Callable
 
-PR_SET_PDEATHSIG = 1  # prctl(2): the signal that comes when the thread that started the process has ended
+PR_SET_PDEATHSIG = 1  # prctl(2): sets the signal sent when the thread that started the process has ended
 
 
 def tied_to(parent: int, number: int = signal.SIGTERM) -> Callable[[], None]:
-    """What a child has to call at its start, so that the end of its parent brings it a signal.
+    """Return a function that a child process calls at its start to get a signal when its parent ends.
 
-    `parent` is the parent's process id.  It needs no privilege and outlives an exec.  On systems other than
-    Linux it does nothing.
+    `parent` is the parent's process id.  The setting needs no privilege and survives an exec.  On systems
+    other than Linux the function does nothing.
     """
     if sys.platform != "linux":
         return lambda: None
-    prctl = ctypes.CDLL(None).prctl  # looked up before a fork: little is safe between it and the exec
+    prctl = ctypes.CDLL(
+        None
+    ).prctl  # looked up before the fork, since few calls are safe between fork and exec
 
     def tie() -> None:
         prctl(PR_SET_PDEATHSIG, int(number))
-        if os.getppid() != parent:  # guards against a parent that ended before it was asked for
+        if os.getppid() != parent:  # the parent may have ended before the prctl call
             os.kill(os.getpid(), number)
 
     return tie
--- a/brambleusher/lab/processes/real_fleet.py
+++ b/brambleusher/lab/processes/real_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet on loopback: stand-in nodes and discovery in this process, real sidecars as further processes."""
+"""A fleet on loopback: stand-in nodes and discovery in this process, and real sidecars as child processes."""
 
 from __future__ import annotations
 
@@ -34,42 +34,42 @@
 from brambleusher.runtime.system import Address
 
 LOOPBACK = "127.0.0.1"
-READY_SECONDS = 30.0
-END_SECONDS = 4.0
-LOOK_SECONDS = 0.05
-KEPT_EXECUTIONS = 20_000
-ADMIN_LINE = re.compile(r"msg=\"admin endpoint\" .*?address=(\S+)")
-LISTENING = re.compile(r"msg=listening .*?address=(\S+)")
-FIGURE = re.compile(r"brambleusher\.(\w+):(-?\d+)\|([cg])")
+READY_TIMEOUT_SECONDS = 30.0
+TERMINATION_TIMEOUT_SECONDS = 4.0
+POLL_SECONDS = 0.05
+EXECUTIONS_MAX = 20_000
+ADMIN_PATTERN = re.compile(r"msg=\"admin endpoint\" .*?address=(\S+)")
+LISTENING_PATTERN = re.compile(r"msg=listening .*?address=(\S+)")
+METRIC_PATTERN = re.compile(r"brambleusher\.(\w+):(-?\d+)\|([cg])")
 
 
 class FleetError(RuntimeError):
-    """The fleet did not come up, or not all of it."""
+    """A sidecar ended by itself, or did not become ready in time."""
 
 
 def text_of(address: Address) -> str:
-    """`host:port`."""
+    """Return an address as `host:port`."""
     return f"{address[0]}:{address[1]}"
 
 
 @dataclass(eq=False)
 class SidecarProcess:
-    """One real sidecar: its process, its files, and the figures that it sends."""
+    """One real sidecar: its process, its files, and the metrics that it sends."""
 
     name: str
     zone: str
     config: Path
     log: Path
-    figures: socket.socket  # its figures come in here, as datagrams
+    figures: socket.socket  # the socket that receives the sidecar's metrics as StatsD datagrams
     process: subprocess.Popen[bytes] | None = None
     address: Address | None = None
-    admin: str = ""  # where operators call it
+    admin: str = ""  # the `host:port` of the admin endpoint, or "" while unknown
     ready: bool = False
-    counts: dict[str, int] = field(default_factory=dict)  # by figure
+    counts: dict[str, int] = field(default_factory=dict)  # values of metrics by name
 
     @property
     def state(self) -> str:
-        """In a word."""
+        """The state for the table: "not started", "starting", "ready", or "ended" with the exit status."""
         if self.process is None:
             return "not started"
         code = self.process.poll()
@@ -77,13 +77,13 @@
             return f"ended {code}"
         return "ready" if self.ready else "starting"
 
-    def take(self, data: bytes) -> None:
-        """A datagram of figures: counts are added up, gauges are replaced."""
-        for name, value, kind in FIGURE.findall(data.decode("latin-1")):
+    def apply_metrics(self, data: bytes) -> None:
+        """Apply a datagram of metrics: counters are added up, gauges are replaced."""
+        for name, value, kind in METRIC_PATTERN.findall(data.decode("latin-1")):
             self.counts[name] = int(value) + (self.counts.get(name, 0) if kind == "c" else 0)
 
-    def last_words(self, lines: int = 5) -> str:
-        """The end of its log."""
+    def log_tail(self, lines: int = 5) -> str:
+        """Return the last lines of the sidecar's log."""
         try:
             return "\n".join(self.log.read_text("utf-8", "replace").splitlines()[-lines:])
         except OSError:
@@ -91,7 +91,7 @@
 
 
 class RealFleet:
-    """Nodes, discovery and sidecars of a world: `start`, run the scheduler, at last `close`."""
+    """The nodes, discovery and sidecars of a world; call `start`, run the scheduler, then call `close`."""
 
     def __init__(
         self,
@@ -102,12 +102,12 @@
         executions: MutableSequence[Execution] | None = None,
         seed: int | None = None,
     ) -> None:
-        """Without `executions` the last ones are kept."""
+        """`executions` collects what nodes execute; by default only the latest executions are kept."""
         self.scheduler, self.world, self.folder = scheduler, world, folder
         self.figures: WorldFigures = world.figures()
         self.seed = world.seed if seed is None else seed
         self.executions: MutableSequence[Execution] = (
-            deque(maxlen=KEPT_EXECUTIONS) if executions is None else executions
+            deque(maxlen=EXECUTIONS_MAX) if executions is None else executions
         )
         self.nodes: list[tuple[NodeFigures, Node]] = []
         self.discovery: Discovery | None = None
@@ -117,7 +117,7 @@
     # --- start ----------------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Nodes and discovery listen, sidecars' processes begin; raises `OSError`."""
+        """Start the nodes, discovery and the sidecar processes; raises `OSError`."""
         entries = []
         for figures in self.figures.nodes:
             if not figures.spare:
@@ -138,13 +138,13 @@
             weight=figures.weight,
         )  # fmt: skip
 
-        def fell() -> None:
+        def mark_fallen() -> None:
             self.fallen.add(figures.id)
             if self.discovery is not None:
                 gone = msgspec.structs.replace(entry, state="Gone")
                 self.discovery.put_later(self.figures.silent_notice_s, gone)
 
-        node.on_fall = fell
+        node.on_fall = mark_fallen
         self.nodes.append((figures, node))
         return entry
 
@@ -174,28 +174,28 @@
             sidecar.process = subprocess.Popen(
                 [sys.executable, "-m", "brambleusher", "--operator", str(path)], env={**os.environ, **own},
                 stdin=subprocess.DEVNULL, stdout=log, stderr=log,
-                start_new_session=True,  # a terminal's Ctrl-C is ours, and we end them in good order
-                preexec_fn=tied_to(os.getpid()),  # and where this process is killed, they end all the same
+                start_new_session=True,  # Ctrl-C reaches this process alone, which then ends the sidecars
+                preexec_fn=tied_to(os.getpid()),  # sidecars end even if this process is killed
             )  # fmt: skip
-        self.scheduler.spawn(self._hear, sidecar, name=f"{name} figures")
-        self.scheduler.spawn(self._await, sidecar, name=f"{name} ready")
+        self.scheduler.spawn(self._receive_metrics, sidecar, name=f"{name} figures")
+        self.scheduler.spawn(self._wait_until_ready, sidecar, name=f"{name} ready")
 
-    def _await(self, sidecar: SidecarProcess) -> None:
-        """Find out where a sidecar listens, and when it is ready."""
+    def _wait_until_ready(self, sidecar: SidecarProcess) -> None:
+        """Read a sidecar's addresses from its log, then poll until the sidecar is ready."""
         while sidecar.process is not None and sidecar.process.poll() is None:
             if sidecar.address is None:
-                found = LISTENING.search(sidecar.log.read_text("utf-8", "replace"))
+                found = LISTENING_PATTERN.search(sidecar.log.read_text("utf-8", "replace"))
                 if found is not None:
                     host, _, port = found[1].rpartition(":")
                     sidecar.address = host, int(port)
-                    admin = ADMIN_LINE.search(sidecar.log.read_text("utf-8", "replace"))
+                    admin = ADMIN_PATTERN.search(sidecar.log.read_text("utf-8", "replace"))
                     sidecar.admin = "" if admin is None else admin[1]
-            elif self._asked_ready(sidecar.address):
+            elif self._is_ready(sidecar.address):
                 sidecar.ready = True
                 return
-            self.scheduler.sleep(LOOK_SECONDS)
+            self.scheduler.sleep(POLL_SECONDS)
 
-    def _asked_ready(self, address: Address) -> bool:
+    def _is_ready(self, address: Address) -> bool:
         deadline = self.scheduler.now() + 1.0
         try:
             stream = Stream.connect(self.scheduler, address, deadline)
@@ -208,18 +208,18 @@
         finally:
             stream.close()
 
-    def _hear(self, sidecar: SidecarProcess) -> None:
+    def _receive_metrics(self, sidecar: SidecarProcess) -> None:
         while True:
             try:
-                sidecar.take(sidecar.figures.recv(65536))
+                sidecar.apply_metrics(sidecar.figures.recv(65536))
             except BlockingIOError:
                 self.scheduler.park(sock=sidecar.figures)
 
-    # --- while it runs --------------------------------------------------------------------------
+    # --- while the fleet runs -------------------------------------------------------------------
 
     @property
     def ready(self) -> bool:
-        """Whether clients may come to every sidecar."""
+        """Whether all sidecars are ready for clients."""
         return all(sidecar.ready for sidecar in self.sidecars)
 
     def check(self) -> None:
@@ -227,27 +227,27 @@
         for sidecar in self.sidecars:
             if sidecar.process is not None and sidecar.process.poll() is not None:
                 raise FleetError(
-                    f"sidecar {sidecar.name} {sidecar.state}; the end of its log:\n{sidecar.last_words()}"
+                    f"sidecar {sidecar.name} {sidecar.state}; the end of its log:\n{sidecar.log_tail()}"
                 )
 
     def wait_ready(self, called_off: Callable[[], bool] = lambda: False) -> None:
-        """Run the scheduler until all is ready, or until it is called off; raises `FleetError`."""
-        until = time.monotonic() + READY_SECONDS
+        """Run the scheduler until all sidecars are ready or `called_off()` is true; raises `FleetError`."""
+        until = time.monotonic() + READY_TIMEOUT_SECONDS
         while not self.ready and not called_off():
             self.check()
             if time.monotonic() > until:
-                raise FleetError(f"no sidecar became ready within {READY_SECONDS:g} s")
-            pause = self.scheduler.now() + LOOK_SECONDS
+                raise FleetError(f"not all sidecars became ready within {READY_TIMEOUT_SECONDS:g} s")
+            pause = self.scheduler.now() + POLL_SECONDS
             self.scheduler.call_at(pause, self.scheduler.stop)
             self.scheduler.run()
 
     @property
     def targets(self) -> list[Address]:
-        """Where the sidecars listen."""
+        """The addresses where the sidecars listen."""
         return [sidecar.address for sidecar in self.sidecars if sidecar.address is not None]
 
     def plain(self) -> dict[str, Any]:
-        """All addresses as JSON values."""
+        """Return the fleet's addresses, classes and tenants as JSON values."""
         return {
             "sidecars": [
                 {
@@ -271,16 +271,16 @@
     # --- end ------------------------------------------------------------------------------------
 
     def close(self) -> list[str]:
-        """End the sidecars in good order, then the rest; says which sidecars had to be killed."""
+        """Shut down the sidecars, then the nodes and discovery; return the sidecars that had to be killed."""
         for sidecar in self.sidecars:
             if sidecar.process is not None and sidecar.process.poll() is None:
                 sidecar.process.send_signal(signal.SIGTERM)
-        until = time.monotonic() + END_SECONDS
+        until = time.monotonic() + TERMINATION_TIMEOUT_SECONDS
         while time.monotonic() < until and any(
             each.process is not None and each.process.poll() is None for each in self.sidecars
         ):
-            self.scheduler.call_at(self.scheduler.now() + LOOK_SECONDS, self.scheduler.stop)
-            self.scheduler.run()  # nodes go on answering what is still owed
+            self.scheduler.call_at(self.scheduler.now() + POLL_SECONDS, self.scheduler.stop)
+            self.scheduler.run()  # nodes still answer requests in progress
         killed = []
         for sidecar in self.sidecars:
             if sidecar.process is not None and sidecar.process.poll() is None:
@@ -297,7 +297,7 @@
 
 
 def folder_for(logs: Path | None) -> tempfile.TemporaryDirectory[str] | Path:
-    """Where the sidecars' files go: a directory that stays, or one that goes with the fleet."""
+    """Return the directory for the sidecars' files: `logs`, or a new temporary one if `logs` is None."""
     if logs is None:
         return tempfile.TemporaryDirectory(prefix="brambleusher-lab-")
     logs.mkdir(parents=True, exist_ok=True)
@@ -305,7 +305,7 @@
 
 
 def curl_line(fleet: RealFleet) -> str:
-    """A request by hand."""
+    """Return a curl command that sends one request to the first sidecar."""
     name, method = next(iter(fleet.world.methods.items()))
     tenant = next(iter(fleet.world.tenants), None)
     fields = [("Request-Id", "by-hand-1"), ("Request-Class", name), ("Request-Timeout-Ms", "1000")]
@@ -317,5 +317,5 @@
 
 
 def json_line(fleet: RealFleet) -> str:
-    """One line with all addresses."""
+    """Return the fleet's addresses and a curl command as a line of JSON."""
     return json.dumps({**fleet.plain(), "curl": curl_line(fleet)})
--- a/brambleusher/lab/processes/relays.py
+++ b/brambleusher/lab/processes/relays.py
@@ -1,9 +1,9 @@
-"""The network between real processes: every link runs through relays of ours on loopback.
+"""The network between real processes: every connection passes through a relay on loopback.
 
-Each pair of machines has an address of its own (a `Way`), so that a relay knows whose bytes it passes on and
-each direction of each link can be late, held, reset, refused or never come up by itself.  What the relays see
-is told to taps in the words of virtual time's wire; a process's own reads can't be seen, and are told where
-what it does next proves them.
+Each pair of machines has a listening address of its own (a `Way`).  A relay therefore knows whose bytes it
+forwards, and each direction of each link can be delayed, held back, reset, refused or left unanswered
+separately.  Relays report what they observe to taps, as the same events as the network of virtual time.
+They can't observe when a process reads; a read is reported once a later action of the process proves it.
 """
 
 from __future__ import annotations
@@ -25,74 +25,76 @@
     from brambleusher.lab.processes.stage import RealMachine, RealStage
 
 BACKLOG = 512
-HELD_BYTES = 256 * 1024  # that one direction of a connection may hold back
-SHORTEST_NS = 2_000_000  # a shorter delay is no delay: a poll's clock has milliseconds
-CROSSING_NS = 20_000_000  # what comes so shortly before a close may have crossed it
+PENDING_BYTES_MAX = 256 * 1024  # one direction of a connection stops reading while more bytes are queued
+DELAY_MIN_NS = 2_000_000  # shorter delays are skipped, since the timeout of a poll is in whole milliseconds
+CROSSING_NS = 20_000_000  # bytes that arrive less than this before a close may have crossed the close
 CONNECT_SECONDS = 1.0
-FULL_SECONDS = 0.001  # until bytes are offered again to one who takes none
-IP_BIND_ADDRESS_NO_PORT = 24  # ip(7): the port is chosen at connect, per peer
-EARLY, CLOSES, SENDS, ANSWERS = range(4)  # the order in which one batch's events are told
+RETRY_SECONDS = 0.001  # how long to wait before retrying a send to a full socket or a failed accept
+IP_BIND_ADDRESS_NO_PORT = 24  # ip(7): bind() picks no port; connect() picks one that is unique for the peer
+ORDER_FIRST, ORDER_CLOSE, ORDER_SEND, ORDER_ANSWER = range(
+    4
+)  # the order in which the events of one batch are reported
 
 
 class EpollPoller:
-    """`select.poll`'s calls over epoll, and a book of how long what was ready had to wait.
+    """The interface of `select.poll` over epoll; also records how long ready events wait for the next poll.
 
-    Thousands of listeners make a look at all of them too dear.
+    Polling thousands of listeners with `select.poll` is too expensive.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._epoll, self._clock = select.epoll(), clock
-        self._back: float | None = None
-        self.rounds: list[float] = []  # seconds from one poll's return to the next poll
+        self._returned_at: float | None = None
+        self.rounds: list[float] = []  # seconds from the return of each poll with events to the next poll
 
     def register(self, fd: int, events: int, /) -> None:
-        """Watch a descriptor."""
+        """Watch a descriptor for events, or change the events of a watched one."""
         try:
             self._epoll.register(fd, events)
         except FileExistsError:
             self._epoll.modify(fd, events)
 
     def unregister(self, fd: int, /) -> None:
-        """Watch it no more; one that was closed is forgotten already."""
+        """Stop watching a descriptor; epoll has already dropped one that was closed."""
         try:
             self._epoll.unregister(fd)
         except OSError:
             return
 
     def poll(self, pause_ms: int, /) -> list[tuple[int, int]]:
-        """Descriptors and their events."""
-        if self._back is not None:
-            self.rounds.append(self._clock() - self._back)
+        """Wait at most `pause_ms` milliseconds, and return ready descriptors with their events."""
+        if self._returned_at is not None:
+            self.rounds.append(self._clock() - self._returned_at)
         found = self._epoll.poll(pause_ms / 1000, 4096)
-        self._back = self._clock() if found else None
+        self._returned_at = self._clock() if found else None
         return found
 
 
 class _Listener(socket.socket):
-    """A listening socket that says when it is closed."""
+    """A listening socket that calls `on_close` when it is closed."""
 
     on_close: Callable[[], None] | None = None
 
     def close(self) -> None:
-        """Close it, once."""
+        """Close the socket, calling `on_close` at the first call only."""
         if self.fileno() >= 0 and self.on_close is not None:
             self.on_close()
         super().close()
 
 
 class RigSystem(RealSystem):
-    """The rig's own process: epoll, and listeners that the network hears of."""
+    """The operating system for the rig's process: polls by epoll, and reports listeners to the network."""
 
     def __init__(self) -> None:
         self.epoll = EpollPoller(self.monotonic)
         self.heard: Callable[[Address, bool], None] = lambda address, on: None
 
     def poller(self) -> Poller:
-        """The one there is."""
+        """Return the poller, which is the same for every caller."""
         return self.epoll
 
     def listen(self, address: Address, backlog: int) -> Socket:
-        """A socket that listens; raises `OSError`."""
+        """Return a listening socket and report its opening and its close; raises `OSError`."""
         plain = super().listen(address, backlog)
         assert isinstance(plain, socket.socket)
         listener = _Listener(fileno=plain.detach())
@@ -104,11 +106,11 @@
 
 
 class Feed:
-    """What relays see, told to taps once a round.
+    """Collects events that relays observe, and reports them to the taps once in each scheduler round.
 
-    What a sidecar did on several connections between two polls has no order that could be seen.  Its closes
-    are told first and its answers last, the order in which it can be held to least; on one connection the
-    order stays.
+    The order of a sidecar's actions on several connections between two polls can't be observed.  Its closes
+    are reported first and its answers last, which is the most lenient order for the checks.  Events of one
+    connection keep their order.
     """
 
     def __init__(self, stage: RealStage) -> None:
@@ -117,14 +119,14 @@
         self._last: dict[int, int] = {}
 
     def tell(self, order: int, what: str, conn: RelayedConnection, *args: Any) -> None:
-        """One event on a connection."""
+        """Add an event of a connection to the batch."""
         if not self._batch:
             self._stage.scheduler.call_at(0.0, self.flush)
-        order = self._last[conn.id] = max(order, self._last.get(conn.id, EARLY))
+        order = self._last[conn.id] = max(order, self._last.get(conn.id, ORDER_FIRST))
         self._batch.append((order, what, (conn, *args)))
 
     def flush(self) -> None:
-        """Tell what there is."""
+        """Report all events of the batch to the taps."""
         batch, self._batch = self._batch, []
         self._last.clear()
         for _, what, args in sorted(batch, key=lambda each: each[0]):
@@ -133,23 +135,23 @@
 
 
 class RealLink:
-    """One way between two machines."""
+    """One direction of the link between two machines."""
 
     def __init__(self) -> None:
         self.latency_ns = self.extra_ns = 0
-        self.bytes_per_s = 0.0  # 0: as many as come
+        self.bytes_per_s = 0.0  # the limit of throughput; 0 means no limit
         self.cut = False
 
     def delay(self, size: int) -> int:
-        """How long so many bytes take, in ns; 0 where it is too short to tell."""
+        """Return the delay of `size` bytes in nanoseconds, or 0 if it is too short to be simulated."""
         delay = self.latency_ns + self.extra_ns
         if self.bytes_per_s:
             delay += int(size / self.bytes_per_s * 1e9)
-        return delay if delay >= SHORTEST_NS else 0
+        return delay if delay >= DELAY_MIN_NS else 0
 
 
 class RelayedConnection:
-    """A connection as the taps name it; the fields are those of virtual time's."""
+    """A connection as reported to the taps, with the fields of `virtual.network.Connection` that they use."""
 
     def __init__(self, number: int, client: End, server: End, relay: Relay) -> None:
         self.id, self.client, self.server, self.relay = number, client, server, relay
@@ -157,65 +159,70 @@
 
 
 class _Direction:
-    """What comes from one side of a connection and has not been passed on."""
+    """One direction of a relayed connection, with a queue of bytes that are not forwarded yet."""
 
     def __init__(self, side: str, source: Stream, sink: Stream, link: RealLink) -> None:
         self.side, self.source, self.sink, self.link = side, source, sink, link
-        self.held: deque[tuple[int, bytes | str]] = deque()  # when due, and bytes, "fin" or "reset"
+        self.pending: deque[tuple[int, bytes | str]] = (
+            deque()
+        )  # due times in ns, with bytes, "fin" or "reset"
         self.size = 0
-        self.event = Event()  # set for the writer
-        self.room = Event()  # set for the reader
-        self.busy = False  # the writer is at it
+        self.event = Event()  # set to wake the writer
+        self.drained = Event()  # set to wake the reader after bytes were taken from the queue
+        self.busy = False  # whether a writer task is running
         self.over = False
         self.tasks: list[Task] = []
 
 
 class Relay:
-    """One connection, passed on."""
+    """A relay for one connection, which forwards bytes in both directions."""
 
     def __init__(self, way: Way, sock: Socket) -> None:
         network = way.network
         self.way, self.network, self.stage = way, network, network.stage
         self.scheduler = self.stage.scheduler
-        self.near = Stream(self.scheduler, sock)
-        self.far: Stream | None = None
+        self.client_stream = Stream(self.scheduler, sock)
+        self.server_stream: Stream | None = None
         self.directions: list[_Direction] = []
         self.over = self.lost = False
         network.count += 1
         peer = sock.getpeername()[1]  # type: ignore[attr-defined]
         self.conn = RelayedConnection(
             network.count, End(way.client.name, way.client.ip, peer),
-            End(way.server.name, *way.told), self,
+            End(way.server.name, *way.reported_address), self,
         )  # fmt: skip
         self._accepted = False
-        self._unread, self._arrived_ns = 0, 0  # bytes that a sidecar has not been seen to read
+        self._unread, self._arrived_ns = (
+            0,
+            0,
+        )  # the number of bytes not known to be read, and when the last arrived
 
     def run(self) -> None:
-        """Connect the other side, and pass on until both ends have come."""
+        """Connect to the server, then start a task for each direction."""
         feed, conn, way = self.network.feed, self.conn, self.way
-        feed.tell(EARLY, "opened", conn)
+        feed.tell(ORDER_FIRST, "opened", conn)
         try:
-            self.far = self._connect()
+            self.server_stream = self._connect()
         except (OSError, TaskTimeoutError):
-            feed.tell(EARLY, "refused", conn)
-            self.scheduler.system.reset(self.near.sock)
-            self.near.open = False
+            feed.tell(ORDER_FIRST, "refused", conn)
+            self.scheduler.system.reset(self.client_stream.sock)
+            self.client_stream.open = False
             self.end()
             return
-        feed.tell(EARLY, "established", conn)
+        feed.tell(ORDER_FIRST, "established", conn)
         if not way.server.squeezed:
             self.accepted()
         link = self.network.link
         self.directions = [
-            _Direction("client", self.near, self.far, link(way.client, way.server)),
-            _Direction("server", self.far, self.near, link(way.server, way.client)),
+            _Direction("client", self.client_stream, self.server_stream, link(way.client, way.server)),
+            _Direction("server", self.server_stream, self.client_stream, link(way.server, way.client)),
         ]
         for direction in self.directions:
             task = self.scheduler.spawn(self._read, direction, name="relay")
             direction.tasks.append(task)
 
     def _connect(self) -> Stream:
-        """To its server, from its client's own address."""
+        """Connect to the server from the client machine's address."""
         deadline = self.scheduler.now() + CONNECT_SECONDS
         return Stream.connect(self.scheduler, self.way.target, deadline, prepare=self._bind)
 
@@ -225,10 +232,10 @@
         sock.bind((self.way.client.ip, 0))
 
     def accepted(self) -> None:
-        """Its server is known to have it."""
+        """Report once that the server has accepted the connection."""
         if not self._accepted:
             self._accepted = True
-            self.network.feed.tell(EARLY, "accepted", self.conn)
+            self.network.feed.tell(ORDER_FIRST, "accepted", self.conn)
 
     # --- one direction --------------------------------------------------------------------------
 
@@ -238,35 +245,35 @@
             try:
                 data = source.receive(None)
             except OSError:
-                self._closed(direction, "reset")
+                self._handle_close(direction, "reset")
                 return
             if not data:
-                self._closed(direction, "fin")
+                self._handle_close(direction, "fin")
                 return
-            self._sent(direction, data)
+            self._report_sent(direction, data)
             delay = link.delay(len(data))
             if direction.busy or delay or self.blocked(direction):
-                self._hold(direction, data, delay)
-                while direction.size > HELD_BYTES:
-                    self.scheduler.park(event=direction.room)
+                self._enqueue(direction, data, delay)
+                while direction.size > PENDING_BYTES_MAX:
+                    self.scheduler.park(event=direction.drained)
             else:
                 self._deliver(direction, data)
 
-    def _hold(self, direction: _Direction, what: bytes | str, delay: int) -> None:
+    def _enqueue(self, direction: _Direction, what: bytes | str, delay: int) -> None:
         due = self.stage.now_ns + delay
-        if direction.held:
-            due = max(due, direction.held[-1][0])
-        direction.held.append((due, what))
+        if direction.pending:
+            due = max(due, direction.pending[-1][0])
+        direction.pending.append((due, what))
         direction.size += len(what) if isinstance(what, bytes) else 0
         if not direction.busy:
             direction.busy = True
-            direction.tasks.append(self.scheduler.spawn(self._write, direction, name="relay late"))
+            direction.tasks.append(self.scheduler.spawn(self._forward_pending, direction, name="relay late"))
 
-    def _write(self, direction: _Direction) -> None:
-        """Pass on what is held, each at its time, while nothing blocks it."""
+    def _forward_pending(self, direction: _Direction) -> None:
+        """Forward queued items at their due times, waiting while a fault blocks this direction."""
         stage, network = self.stage, self.network
-        while direction.held and not self.over:
-            due, what = direction.held[0]
+        while direction.pending and not self.over:
+            due, what = direction.pending[0]
             if self.blocked(direction):
                 network.waiting.add(direction.event)
                 self.scheduler.park(event=direction.event)
@@ -274,19 +281,19 @@
             if due > stage.now_ns:
                 self.scheduler.sleep((due - stage.now_ns) / 1e9)
                 continue
-            if due + SHORTEST_NS < stage.now_ns and not network.mended_since(due):
+            if due + DELAY_MIN_NS < stage.now_ns and not network.changed_since(due):
                 network.late.append((stage.now_ns - due) / 1e9)
-            direction.held.popleft()
+            direction.pending.popleft()
             if isinstance(what, bytes):
                 direction.size -= len(what)
-                direction.room.set()
+                direction.drained.set()
                 self._deliver(direction, what)
             else:
-                self._pass_end(direction, what)
+                self._forward_end(direction, what)
         direction.busy = False
 
     def blocked(self, direction: _Direction) -> bool:
-        """Whether nothing passes that way now."""
+        """Whether a fault blocks this direction now."""
         way = self.way
         return (
             direction.link.cut or self.conn.silent or self.lost or way.server.gone or way.client.gone
@@ -299,58 +306,58 @@
             try:
                 view = view[sock.send(view) :]
             except BlockingIOError:
-                self.scheduler.sleep(FULL_SECONDS)
-            except OSError:  # it has closed: its own direction tells
+                self.scheduler.sleep(RETRY_SECONDS)
+            except OSError:  # the receiver has closed, which the opposite direction reports
                 return
         feed, conn = self.network.feed, self.conn
         other = "server" if direction.side == "client" else "client"
-        feed.tell(EARLY, "arrived", conn, other, data)
+        feed.tell(ORDER_FIRST, "arrived", conn, other, data)
         if other == "server" and self.way.server.program:
             self._unread += len(data)
             self._arrived_ns = self.stage.now_ns
         else:
-            feed.tell(EARLY, "read", conn, other, data)
+            feed.tell(ORDER_FIRST, "read", conn, other, data)
 
-    def _sent(self, direction: _Direction, data: bytes) -> None:
-        feed, conn, order = self.network.feed, self.conn, EARLY
+    def _report_sent(self, direction: _Direction, data: bytes) -> None:
+        feed, conn, order = self.network.feed, self.conn, ORDER_FIRST
         if direction.side == "server" and self.way.server.program:
-            order = ANSWERS
+            order = ORDER_ANSWER
             self.accepted()
-            self._seen_to_read(order)
+            self._report_read(order)
         elif direction.side == "client" and self.way.client.program:
-            order = SENDS
+            order = ORDER_SEND
         feed.tell(order, "sent", conn, direction.side, data)
 
-    def _seen_to_read(self, order: int) -> None:
-        """A sidecar that answers has read what came before."""
+    def _report_read(self, order: int) -> None:
+        """Report that the server has read all earlier bytes, as its answer or its close proves."""
         if self._unread:
             self.network.feed.tell(order, "read", self.conn, "server", bytes(self._unread))
             self._unread = 0
 
-    def _closed(self, direction: _Direction, how: str) -> None:
-        """A side has closed, or reset."""
+    def _handle_close(self, direction: _Direction, how: str) -> None:
+        """Handle the end of a direction's source: report it and forward it; `how` is "fin" or "reset"."""
         if direction.over or self.over:
             return
         direction.over = True
-        order = EARLY
+        order = ORDER_FIRST
         mine = self.way.server if direction.side == "server" else self.way.client
         if mine.program:
-            order = CLOSES
-            # A close in good order says that all was read, unless what came last may have crossed it.
+            order = ORDER_CLOSE
+            # An orderly close proves that all bytes were read, unless the last ones may have crossed it.
             crossing = self.stage.now_ns - self._arrived_ns <= CROSSING_NS
             if direction.side == "server" and how == "fin" and not crossing:
-                self._seen_to_read(order)
+                self._report_read(order)
         self.network.feed.tell(order, "closed", self.conn, direction.side)
         if direction.busy or self.blocked(direction):
-            self._hold(direction, how, 0)
+            self._enqueue(direction, how, 0)
         else:
-            self._pass_end(direction, how)
+            self._forward_end(direction, how)
 
-    def _pass_end(self, direction: _Direction, how: str) -> None:
+    def _forward_end(self, direction: _Direction, how: str) -> None:
         other = "server" if direction.side == "client" else "client"
-        self.network.feed.tell(EARLY, "ended", self.conn, other, how)
+        self.network.feed.tell(ORDER_FIRST, "ended", self.conn, other, how)
         if how == "reset":
-            self._break(direction.sink)
+            self._reset_stream(direction.sink)
             self.end()
             return
         try:
@@ -358,12 +365,12 @@
         except OSError:
             self.end()
             return
-        if all(each.over and not each.held for each in self.directions):
+        if all(each.over and not each.pending for each in self.directions):
             self.end()
 
-    # --- the end --------------------------------------------------------------------------------
+    # --- ending the connection ------------------------------------------------------------------
 
-    def _break(self, stream: Stream) -> None:
+    def _reset_stream(self, stream: Stream) -> None:
         if stream.open:
             stream.open = False
             try:
@@ -372,18 +379,18 @@
                 return
 
     def reset(self, sides: str = "client server") -> None:
-        """Something on the way resets it."""
-        if self.over or self.far is None:
+        """Reset the connection towards the named sides, as a middlebox would."""
+        if self.over or self.server_stream is None:
             return
         self.accepted()
-        for side, stream in (("client", self.near), ("server", self.far)):
+        for side, stream in (("client", self.client_stream), ("server", self.server_stream)):
             if side in sides:
-                self.network.feed.tell(EARLY, "ended", self.conn, side, "reset")
-            self._break(stream)
+                self.network.feed.tell(ORDER_FIRST, "ended", self.conn, side, "reset")
+            self._reset_stream(stream)
         self.end()
 
     def end(self) -> None:
-        """Let go of it."""
+        """End the relay: cancel its tasks and close both sockets."""
         if self.over:
             return
         self.over = True
@@ -391,29 +398,31 @@
         for direction in self.directions:
             for task in direction.tasks:
                 task.cancel()
-        for stream in (self.near, self.far):
+        for stream in (self.client_stream, self.server_stream):
             if stream is not None and stream.open:
                 stream.close()
 
 
 class Way:
-    """One machine's address of another one's port."""
+    """A listening address at which one machine reaches one port of another machine."""
 
     def __init__(self, network: RealNetwork, client: RealMachine, server: RealMachine, port: int) -> None:
         self.network, self.client, self.server, self.port = network, client, server, port
         self.target = server.address(port)
         self.state = ""
         self._filler: socket.socket | None = None
-        self._fillers: set[Address] = set()  # where ours come from
+        self._filler_addresses: set[Address] = (
+            set()
+        )  # source addresses of connections that only fill the backlog
         self._accepting: Task | None = None
-        self._listener = self._bound()
+        self._listener = self._bind_listener()
         self.address: Address = self._listener.getsockname()[:2]
-        # Sidecars are known by where they listen, others by where they are reached.
-        self.told: Address = self.target if server.program else self.address
+        # Taps identify sidecars by the address where they listen, other servers by this listener's address.
+        self.reported_address: Address = self.target if server.program else self.address
         self.judge()
 
-    def _bound(self) -> socket.socket:
-        """A socket with a port that stays its own over `shutdown` and `listen`: one that was asked for."""
+    def _bind_listener(self) -> socket.socket:
+        """Return a socket bound to an explicit port, which it keeps over `shutdown` and `listen`."""
         for _ in range(100):
             probe = socket.socket()
             probe.bind((self.client.ip, 0))
@@ -424,14 +433,14 @@
             sock.setblocking(False)
             try:
                 sock.bind(address)
-            except OSError:  # somebody was quicker
+            except OSError:  # another process has taken the port in between
                 sock.close()
                 continue
             return sock
-        raise OSError(errno.EADDRINUSE, "no port could be had")
+        raise OSError(errno.EADDRINUSE, "no free port found in 100 attempts")
 
     def judge(self) -> None:
-        """Be as the network has it now."""
+        """Apply the network's current state: accept connects, refuse them, or leave them unanswered."""
         state = self.network.state_of(self)
         if state == self.state:
             return
@@ -450,11 +459,11 @@
         if state == "up":
             self._accepting = self.network.stage.scheduler.spawn(self._accept, name="way")
             return
-        # Linux leaves connects unanswered while as many wait as `listen` allows: one.
+        # Linux leaves connects unanswered while the backlog is full; one connection fills a backlog of 0.
         self._filler = socket.socket()
         self._filler.setblocking(False)
         self._filler.connect_ex(self.address)
-        self._fillers.add(self._filler.getsockname()[:2])
+        self._filler_addresses.add(self._filler.getsockname()[:2])
 
     def _accept(self) -> None:
         system, scheduler = self.network.stage.system, self.network.stage.scheduler
@@ -465,21 +474,21 @@
                 scheduler.park(sock=self._listener)
                 continue
             except OSError:
-                scheduler.sleep(FULL_SECONDS)
+                scheduler.sleep(RETRY_SECONDS)
                 continue
             try:
-                if sock.getpeername()[:2] in self._fillers:  # type: ignore[attr-defined]
+                if sock.getpeername()[:2] in self._filler_addresses:  # type: ignore[attr-defined]
                     sock.close()
                     continue
                 relay = Relay(self, sock)
-            except OSError:  # gone before it was looked at
+            except OSError:  # the connection ended before it was accepted
                 sock.close()
                 continue
             self.network.relays[relay.conn.id] = relay
             scheduler.spawn(relay.run, name="relay")
 
     def close(self) -> None:
-        """Listen no more."""
+        """Stop listening."""
         if self._accepting is not None:
             self._accepting.cancel()
         if self._filler is not None:
@@ -488,18 +497,18 @@
 
 
 class RealNetwork:
-    """All ways and relays, and the faults one may cause on them."""
+    """All listening addresses and relays between machines, and the network faults that can be injected."""
 
     def __init__(self, stage: RealStage) -> None:
         self.stage = stage
         self.feed = Feed(stage)
         self.relays: dict[int, Relay] = {}
         self.count = 0
-        self.late: list[float] = []  # seconds by which held bytes went out after their time
-        self.waiting: set[Event] = set()  # of writers that something blocks
+        self.late: list[float] = []  # how late queued bytes were forwarded, in seconds
+        self.waiting: set[Event] = set()  # events that wake the writers blocked by a fault
         self._links: dict[tuple[str, str], RealLink] = {}
         self._ways: dict[tuple[str, str, int], Way] = {}
-        self._ports: dict[Address, tuple[RealMachine, int]] = {}  # who is to listen there
+        self._ports: dict[Address, tuple[RealMachine, int]] = {}  # machines and nominal ports by real address
         self._listening: set[Address] = set()
         self._refusing: Counter[tuple[str, int]] = Counter()
         self._changed_ns = 0
@@ -507,16 +516,16 @@
     # --- addresses ------------------------------------------------------------------------------
 
     def own(self, address: Address, machine: RealMachine, port: int) -> None:
-        """A machine's port has this real address."""
+        """Register the real address of a machine's nominal port."""
         self._ports[address] = machine, port
 
     @property
-    def known(self) -> dict[Address, tuple[RealMachine, int]]:
-        """Whose real address is which."""
+    def owners(self) -> dict[Address, tuple[RealMachine, int]]:
+        """The machine and the nominal port of each registered real address."""
         return self._ports
 
     def way(self, client: RealMachine, address: Address) -> Way:
-        """The way of one machine to an address of another."""
+        """Return the `Way` from a machine to an address of another one, created at the first call."""
         server, port = self._ports[address]
         key = client.name, server.name, port
         if key not in self._ways:
@@ -524,11 +533,11 @@
         return self._ways[key]
 
     def seen_from(self, machine: RealMachine, address: Address) -> Address:
-        """Where a machine connects to, to reach an address."""
+        """Return the address to which a machine connects in order to reach another machine's address."""
         return self.way(machine, address).address
 
     def heard(self, address: Address, on: bool) -> None:
-        """Somebody listens there, or no longer."""
+        """Record whether a process listens at an address, and update the ways that lead there."""
         (self._listening.add if on else self._listening.discard)(address)
         if address in self._ports:
             server, port = self._ports[address]
@@ -537,7 +546,7 @@
                     way.judge()
 
     def state_of(self, way: Way) -> str:
-        """Whether connects come up, are refused, or stay unanswered."""
+        """Return whether connects succeed ("up"), are refused ("refuse") or stay unanswered ("swallow")."""
         client, server = way.client, way.server
         cut = self.link(client, server).cut or self.link(server, client).cut
         if cut or server.gone or client.gone or server.swallows:
@@ -547,7 +556,7 @@
         return "up"
 
     def judge(self) -> None:
-        """Something has changed: ways follow, and what is held is looked at again."""
+        """Apply a change of faults: update all ways, and wake the writers that a fault has blocked."""
         self._changed_ns = self.stage.now_ns
         for way in self._ways.values():
             way.judge()
@@ -555,23 +564,23 @@
         for event in waiting:
             event.set()
 
-    def mended_since(self, when_ns: int) -> bool:
-        """Whether what was due then may have waited for a fault to end."""
+    def changed_since(self, when_ns: int) -> bool:
+        """Whether faults have changed since `when_ns`, so that bytes due then may have waited for a fault."""
         return self._changed_ns >= when_ns
 
     def link(self, from_: RealMachine, to: RealMachine) -> RealLink:
-        """The way from one machine to another."""
+        """Return the link from one machine to another, created at the first call."""
         key = from_.name, to.name
         if key not in self._links:
             self._links[key] = RealLink()
         return self._links[key]
 
     def connections(self, machine: RealMachine) -> list[RelayedConnection]:
-        """Those to a machine."""
+        """Return the relayed connections to a machine."""
         return [each.conn for each in list(self.relays.values()) if each.way.server is machine]
 
-    def open_at(self, machine: RealMachine) -> int:
-        """Connections that a machine has open, either way."""
+    def open_connections(self, machine: RealMachine) -> int:
+        """Return the number of a machine's open connections, incoming and outgoing."""
         return sum(machine in (each.way.server, each.way.client) for each in self.relays.values())
 
     # --- faults ---------------------------------------------------------------------------------
@@ -582,72 +591,72 @@
         self.stage.soon(self.judge)
 
     def cut(self, a: RealMachine, b: RealMachine, one_way: bool = False) -> None:
-        """Nothing passes from `a` to `b`, nor back unless `one_way`."""
+        """Block all bytes from `a` to `b`, and those from `b` to `a` unless `one_way` is set."""
         self._set_cut(a, b, one_way, True)
 
     def mend(self, a: RealMachine, b: RealMachine, one_way: bool = False) -> None:
-        """It passes again, with what was held."""
+        """End a block between `a` and `b`; bytes held back are then forwarded."""
         self._set_cut(a, b, one_way, False)
 
     def slow_link(self, a: RealMachine, b: RealMachine, extra_ns: int) -> None:
-        """Both ways take so much longer; 0 ends it."""
+        """Add a delay in nanoseconds to both directions between `a` and `b`; 0 removes it."""
         self.link(a, b).extra_ns = self.link(b, a).extra_ns = extra_ns
 
     def throttle(self, a: RealMachine, b: RealMachine, bytes_per_s: float) -> None:
-        """So many bytes a second pass each way at most; 0 ends it."""
+        """Limit each direction between `a` and `b` to a number of bytes per second; 0 removes the limit."""
         self.link(a, b).bytes_per_s = self.link(b, a).bytes_per_s = bytes_per_s
 
     def silence(self, connection: RelayedConnection) -> None:
-        """Nothing passes on it."""
+        """Block both directions of a connection without closing it."""
         connection.silent = True
 
     def unsilence(self, connection: RelayedConnection) -> None:
-        """It passes again."""
+        """Unblock a connection that was silenced."""
         connection.silent = False
         self.stage.soon(self.judge)
 
     def reset(self, connection: RelayedConnection) -> None:
-        """Both ends get a reset."""
+        """Reset a connection towards both ends."""
         connection.relay.reset()
 
     def refuse(self, machine: RealMachine, port: int) -> None:
-        """Connects to a port are refused."""
+        """Refuse new connections to a machine's port."""
         _, named = self._ports.get((machine.ip, port), (machine, port))
         self._refusing[machine.name, named] += 1
         self.stage.soon(self.judge)
 
     def stop_refusing(self, machine: RealMachine, port: int) -> None:
-        """They are taken again."""
+        """End one refusal of connections to a machine's port."""
         _, named = self._ports.get((machine.ip, port), (machine, port))
         self._refusing[machine.name, named] -= 1
         self.stage.soon(self.judge)
 
     def swallow_connects(self, machine: RealMachine) -> None:
-        """Connects to a machine stay unanswered."""
+        """Leave new connections to a machine unanswered."""
         machine.swallows = True
         self.stage.soon(self.judge)
 
     def stop_swallowing(self, machine: RealMachine) -> None:
-        """They are answered again."""
+        """Answer new connections to a machine again."""
         machine.swallows = False
         self.stage.soon(self.judge)
 
     def lose(self, machine: RealMachine) -> None:
-        """A machine has lost its power: its connections stay as they are, and lead nowhere."""
+        """Simulate a machine's loss of power: its connections stay open but nothing passes on them."""
         for relay in list(self.relays.values()):
             if machine in (relay.way.server, relay.way.client):
                 relay.lost = True
         self.stage.soon(self.judge)
 
     def find(self, machine: RealMachine) -> None:
-        """It is back: what it does not know any more is reset."""
+        """Simulate a machine's return: its old connections are reset, since it has forgotten them."""
         for relay in list(self.relays.values()):
             if relay.lost and machine in (relay.way.server, relay.way.client):
                 relay.reset("client" if machine is relay.way.server else "server")
         self.stage.soon(self.judge)
 
     def close(self) -> None:
-        """End it all."""
+        """End all relays and stop listening everywhere."""
         for relay in list(self.relays.values()):
             relay.end()
         for way in self._ways.values():
--- a/brambleusher/lab/processes/stage.py
+++ b/brambleusher/lab/processes/stage.py
@@ -1,4 +1,4 @@
-"""A world of real processes: the clock, machines with loopback addresses of their own, stand-ins on them."""
+"""A test world in real time: a clock, machines with their own loopback addresses, and stand-ins on them."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 from brambleusher.runtime.scheduler import Scheduler, Timer
 from brambleusher.runtime.system import Address
 
-BEAT_SECONDS = 0.02  # between two looks at how late the rig itself is
-FIRST_OCTET, OCTETS = 16, 200  # of rigs that run beside one another: 127.16 to 127.215
+TIMER_CHECK_SECONDS = 0.02  # the interval at which the rig measures how late its own timers are
+FIRST_OCTET, OCTETS = 16, 200  # concurrent rigs use different networks, from 127.16 to 127.215
 
 
 class Stoppable(Protocol):
-    """A real process, as its machine needs it."""
+    """The interface of a real process that its machine needs."""
 
     @property
     def dead(self) -> bool:
-        """Whether it has ended."""
+        """Whether the process has ended."""
 
     def stop(self, on: bool) -> None:
-        """SIGSTOP or SIGCONT, counted: it goes on when all that stopped it have let go."""
+        """Stop or continue the process; it continues when every stop has been matched by a continue."""
 
 
 class StandIn:
-    """A stand-in as a process: it lives on the rig's scheduler, and ends when it is told to."""
+    """A stand-in server with the interface of a process; it runs on the rig's scheduler until killed."""
 
     def __init__(self, server: object) -> None:
         self._server = server
@@ -43,7 +43,7 @@
         self.stderr = b""
 
     def kill(self, reset: bool = False) -> None:
-        """End it at once."""
+        """Close the stand-in at once, with connection resets if `reset` is set."""
         if self.dead:
             return
         self.dead, self.ended = True, -int(signal.SIGKILL)
@@ -52,40 +52,41 @@
             close(reset=reset)
 
     def signal(self, number: int) -> None:
-        """Stand-ins have none but the one that ends them."""
+        """Handle a signal: SIGKILL ends the stand-in, all others are ignored."""
         if number == signal.SIGKILL:
             self.kill()
 
 
 class RealMachine:
-    """An address of loopback, and what runs there; `program`: a sidecar does."""
+    """A loopback address and the processes that run there; `program` tells that a sidecar runs there."""
 
     def __init__(self, stage: RealStage, name: str, ip: str, program: bool) -> None:
         self.stage, self.name, self.ip, self.program = stage, name, ip, program
         self.gone = self.swallows = self.squeezed = False
-        self.holds = False  # its stand-ins get no processor; its kernel goes on
-        self.process: Stoppable | None = None  # a sidecar's
+        self.holds = False  # whether its stand-ins are paused while the kernel still accepts connections
+        self.process: Stoppable | None = None  # the sidecar's process, if a sidecar runs here
         self.wall_file = stage.folder / f"{name}.wall"
         self.wall_file.write_bytes(struct.pack("<q", 0))
-        self._kept: dict[int, socket.socket] = {}  # that keep its ports from others
+        # Bound sockets that reserve this machine's ports, by nominal port.
+        self._reserved_ports: dict[int, socket.socket] = {}
         self._stand_ins: list[StandIn] = []
         self._wall_offset_ns = 0
 
     def address(self, port: int) -> Address:
-        """Where a process of it listens that is to listen on some port."""
-        if port not in self._kept:
-            kept = socket.socket()
-            kept.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            kept.bind((self.ip, 0))
-            self._kept[port] = kept
-            self.stage.network.own(kept.getsockname()[:2], self, port)
-        address: Address = self._kept[port].getsockname()[:2]
+        """Return the real address for a nominal port; the first call reserves a free port for it."""
+        if port not in self._reserved_ports:
+            reservation = socket.socket()
+            reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            reservation.bind((self.ip, 0))
+            self._reserved_ports[port] = reservation
+            self.stage.network.own(reservation.getsockname()[:2], self, port)
+        address: Address = self._reserved_ports[port].getsockname()[:2]
         return address
 
     def serve(
         self, build: Callable[[Scheduler], object], name: str = "", descriptors: int | None = None
     ) -> StandIn:
-        """Build a stand-in, at once."""
+        """Build and start a stand-in on this machine."""
         if self.gone:
             raise RuntimeError(f"{self.name} has vanished")
         stand_in = StandIn(build(self.stage.scheduler))
@@ -94,7 +95,7 @@
         return stand_in
 
     def stall(self, wait_ns: int) -> None:
-        """No process on it runs for a while; its kernel goes on."""
+        """Pause this machine's processes for `wait_ns` nanoseconds; the kernel still accepts connections."""
         process = self.process
         if process is not None:
             if not process.dead:
@@ -110,33 +111,33 @@
         self.stage.after(wait_ns, over)
 
     def vanish(self) -> None:
-        """Lose its power."""
+        """Simulate a loss of power: connections lead nowhere, and all stand-ins end."""
         self.gone = True
         self.stage.network.lose(self)
         for each in self._stand_ins:
             each.kill(reset=True)
 
     def come_back(self) -> None:
-        """Have it again, without processes."""
+        """Restore the power, without any process running."""
         self.gone = False
         self.stage.network.find(self)
 
     def shift_wall(self, by_ns: int) -> None:
-        """Set the wall clock that its processes read forward, or back."""
+        """Shift the wall clock that this machine's processes read, forward or back."""
         self._wall_offset_ns += by_ns
-        with open(self.wall_file, "r+b") as file:  # in place: processes have it mapped
+        with open(self.wall_file, "r+b") as file:  # written in place, since processes have the file mapped
             file.write(struct.pack("<q", self._wall_offset_ns))
 
     def close(self) -> None:
-        """End what is here."""
+        """End all stand-ins and release the reserved ports."""
         for each in self._stand_ins:
             each.kill()
-        for kept in self._kept.values():
-            kept.close()
+        for reservation in self._reserved_ports.values():
+            reservation.close()
 
 
 class RealStage:
-    """The world: one scheduler in the rig's process, and what it drives."""
+    """The world of a real-time run: machines, network, taps and stand-ins on one scheduler."""
 
     def __init__(self, seed: int, folder: Path) -> None:
         self.seed, self.folder = seed, folder
@@ -148,46 +149,48 @@
         self.taps: list[Any] = []
         self.step_done: list[Callable[[], object]] = []
         self.failure: Exception | None = None
-        self.beats_late: list[float] = []  # seconds by which the rig's own timers came late
+        self.timer_lateness_s: list[float] = []  # how late the rig's own timers ran, in seconds
         self.cpu_s = self.measured_s = 0.0
         self._octet = FIRST_OCTET + os.getpid() % OCTETS
-        self._soon: set[Callable[[], None]] = set()
-        self._beat(self.scheduler.now())
+        self._pending_calls: set[Callable[[], None]] = set()
+        self._check_lateness(self.scheduler.now())
 
     @property
     def now_ns(self) -> int:
-        """On the system's monotonic clock."""
+        """The time of the system's monotonic clock in nanoseconds."""
         return time.monotonic_ns()
 
     @property
     def wall_ns(self) -> int:
-        """Unix time."""
+        """The Unix time in nanoseconds."""
         return time.time_ns()
 
-    def _beat(self, due: float) -> None:
+    def _check_lateness(self, due: float) -> None:
         now = self.scheduler.now()
-        self.beats_late.append(now - due)
+        self.timer_lateness_s.append(now - due)
         self.stepped()
-        self.scheduler.call_at(now + BEAT_SECONDS, lambda: self._beat(now + BEAT_SECONDS))
+        self.scheduler.call_at(
+            now + TIMER_CHECK_SECONDS, lambda: self._check_lateness(now + TIMER_CHECK_SECONDS)
+        )
 
     def begin_measure(self) -> tuple[float, float]:
-        """Forget how late the rig has been so far; what `end_measure` is given."""
-        self.beats_late.clear()
+        """Discard the lateness measured so far and return the values to pass to `end_measure`."""
+        self.timer_lateness_s.clear()
         self.network.late.clear()
         self.system.epoll.rounds.clear()
         return time.process_time(), time.monotonic()
 
     def end_measure(self, begun: tuple[float, float]) -> None:
-        """Note what the rig has used since."""
+        """Record the processor time and the elapsed time since `begin_measure`."""
         self.cpu_s, self.measured_s = time.process_time() - begun[0], time.monotonic() - begun[1]
 
     def stepped(self) -> None:
-        """Something was told, or time has passed."""
+        """Call the step hooks, after events were reported or time has passed."""
         for hook in self.step_done:
             hook()
 
     def tell(self, what: str, *args: Any) -> None:
-        """Tell the taps; what one raises ends the run."""
+        """Report an event to all taps; an exception from a tap ends the run."""
         try:
             for tap in self.taps:
                 getattr(tap, what)(self.now_ns, *args)
@@ -197,44 +200,44 @@
             self.scheduler.stop()
 
     def soon(self, call: Callable[[], None]) -> None:
-        """Have a call made in the next round, once however often it is asked for."""
-        if call not in self._soon:
-            self._soon.add(call)
+        """Schedule a call for the next round of the scheduler, once even if it is requested several times."""
+        if call not in self._pending_calls:
+            self._pending_calls.add(call)
 
             def go() -> None:
-                self._soon.discard(call)
+                self._pending_calls.discard(call)
                 call()
 
             self.scheduler.call_at(0.0, go)
 
     def stream(self, name: str) -> random.Random:
-        """Random numbers of their own for one purpose."""
+        """Return a random generator for one purpose, seeded by the world's seed and the name."""
         return random.Random(f"{self.seed}/{name}")
 
     def machine(self, name: str, ip: str) -> RealMachine:
-        """A new machine; those of 10.0 are sidecars'."""
-        _, kind, *rest = ip.split(".")
-        # 127.X.kind*16+high.low: an address of loopback that names the machine, and the rig by X.
-        own = f"127.{self._octet}.{16 * int(kind) + int(rest[0])}.{rest[1]}"
+        """Return a new machine for a nominal address; addresses in 10.0 belong to sidecars."""
+        _, kind, *octets = ip.split(".")
+        # The loopback address 127.X.(16*kind+high).low identifies the machine, and the rig by X.
+        own = f"127.{self._octet}.{16 * int(kind) + int(octets[0])}.{octets[1]}"
         machine = self.machines[name] = RealMachine(self, name, own, kind == "0")
         return machine
 
     def at(self, when_ns: int, call: Callable[[], object]) -> Timer:
-        """Have a call made at a moment, at once if it has passed."""
+        """Schedule a call at a time of the monotonic clock in nanoseconds, or at once if that has passed."""
         return self.scheduler.call_at(when_ns / 1e9, call)
 
     def after(self, wait_ns: int, call: Callable[[], object]) -> Timer:
-        """Have a call made after a while."""
+        """Schedule a call after `wait_ns` nanoseconds."""
         return self.at(self.now_ns + max(0, wait_ns), call)
 
     def run(self, until_ns: int | None = None, until: Callable[[], bool] | None = None) -> bool:
-        """Go on until a moment, or until `until` says so; says whether it did."""
-        said = False
+        """Run until the time `until_ns`, or until `until` returns true; return whether `until` did."""
+        is_met = False
 
         def over() -> bool:
-            nonlocal said
-            said = until is not None and until()
-            return said or self.failure is not None or (until_ns is not None and self.now_ns >= until_ns)
+            nonlocal is_met
+            is_met = until is not None and until()
+            return is_met or self.failure is not None or (until_ns is not None and self.now_ns >= until_ns)
 
         if until_ns is not None:
             self.at(until_ns, self.scheduler.interrupt_poll)
@@ -242,10 +245,10 @@
         if self.failure is not None:
             failure, self.failure = self.failure, None
             raise failure
-        return said
+        return is_met
 
     def close(self) -> None:
-        """End it all."""
+        """End the network, the machines and the scheduler."""
         self.taps, self.step_done = [], []
         self.network.close()
         for machine in self.machines.values():
--- a/brambleusher/lab/processes/told.py
+++ b/brambleusher/lab/processes/told.py
@@ -1,4 +1,4 @@
-"""Drills one after the other, told in a line each; one that fails is told with all that belongs to it."""
+"""Plays drills one after the other, prints a line for each, and prints details of those that fail."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from brambleusher.lab.processes.breakages import ALL
 from brambleusher.lab.processes.drill import Drill, Outcome, Where, play
 
-MOST_TOLD = 5  # breaches with their time lines
+DETAILS_MAX = 5  # the most breaches, and the most unserved requests, printed for one play
 
 
 def play_all(
@@ -25,9 +25,12 @@
     as_json: bool,
     sums: bool = False,
 ) -> int:
-    """Play them; the exit status: 1 if one failed, 3 if a rig was late, else 0."""
+    """Play drills and return the exit status.
+
+    The status is 1 if a drill failed, 3 if the rig of a drill was late, 2 if the breakage is unknown, else 0.
+    """
     if breakage and breakage not in ALL:
-        print(f"brambleusher: --breakage: there is no {breakage!r}", file=sys.stderr)
+        print(f"brambleusher: --breakage: unknown breakage {breakage!r}", file=sys.stderr)
         return 2
     verdicts = set()
     if not as_json:
@@ -53,7 +56,7 @@
 
 
 def heading() -> str:
-    """Of the lines."""
+    """Return the column headings of the table of plays."""
     return (
         f"{'drill':22} {'world':10} {'verdict':8} {'asked':>6} {'served':>7} {'refused':>8} {'attempts':>9} "
         f"{'well after':>10} {'late p99':>9} {'rig':>5} {'sidecars':>9} {'MB':>4}"
@@ -61,7 +64,7 @@
 
 
 def row(path: Path, out: Outcome) -> str:
-    """One play."""
+    """Return one play as a line of the table."""
     line = (
         f"{path.stem:22} {out.where:10} {out.verdict:8} {out.asked:6} {out.served:7.3f} {out.refused:8.3f} "
         f"{out.attempts:9.2f} {out.well_s:8.1f} s"
@@ -73,26 +76,26 @@
 
 
 def curves(out: Outcome) -> list[str]:
-    """Sums over the fleet and what processes take, a line a second."""
+    """Return a table of fleet-wide totals and the resources of processes, with one line for each second."""
     return [*table(out.curves), f"requests come from {out.begins_s:.1f} s on"]
 
 
 def as_line(path: Path, out: Outcome) -> str:
-    """One play as JSON."""
+    """Return one play as a line of JSON."""
     raw = asdict(out)
     raw["breaches"] = [str(breach) for breach in out.breaches]
     return json.dumps({"drill": path.stem, "verdict": out.verdict, **raw})
 
 
 def tell(path: Path, out: Outcome, folder: Path | None, breakage: str) -> None:
-    """Why a play did not pass, where its logs are, and how to play it again."""
+    """Print to stderr why a play did not pass, where its logs are, and how to play the drill again."""
     for text in [*out.late, *out.missed]:
         print(f"    {text}", file=sys.stderr)
-    for breach in out.breaches[:MOST_TOLD]:
+    for breach in out.breaches[:DETAILS_MAX]:
         print("\n".join(f"    {line}" for line in str(breach).splitlines()), file=sys.stderr)
-    if out.broken > MOST_TOLD:
+    if out.broken > DETAILS_MAX:
         print(f"    {out.broken} breaches in all", file=sys.stderr)
-    for text in out.lost[:MOST_TOLD]:
+    for text in out.lost[:DETAILS_MAX]:
         print(f"    not served: {text}", file=sys.stderr)
     served = " ".join(f"{served}/{asked}" for asked, served in out.windows)
     print(f"    served of asked, second by second: {served}", file=sys.stderr)
--- a/brambleusher/lab/processes/up.py
+++ b/brambleusher/lab/processes/up.py
@@ -1,4 +1,4 @@
-"""`lab up`: a fleet on loopback for as long as somebody wants it, with a live table on a terminal."""
+"""The command `lab up`: runs a fleet on loopback until it is ended, with a live table on a terminal."""
 
 from __future__ import annotations
 
@@ -24,11 +24,15 @@
 if TYPE_CHECKING:
     from rich.console import RenderableType
 
-BEAT_SECONDS = 0.5
+REFRESH_SECONDS = 0.5
 
 
 def up(world: WorldFile, seconds: float | None, as_json: bool, logs: Path | None) -> int:
-    """Run a fleet until SIGINT, SIGTERM, SIGHUP or its time; 1 if it did not come up or a sidecar ended."""
+    """Run a fleet until SIGINT, SIGTERM, SIGHUP or until `seconds` have passed.
+
+    Returns:
+        The exit status: 1 if the fleet did not start or a sidecar ended by itself, else 0.
+    """
     try:
         folder = folder_for(logs)
     except OSError as error:
@@ -55,9 +59,9 @@
             if as_json:
                 print(json_line(fleet), flush=True)
             else:
-                _say(fleet)
+                _print_addresses(fleet)
             until = None if seconds is None else scheduler.now() + seconds
-            _watch(fleet, scheduler, until, lambda: ended, not as_json and sys.stdout.isatty())
+            _run_until_end(fleet, scheduler, until, lambda: ended, not as_json and sys.stdout.isatty())
     except (FleetError, OSError) as error:
         print(f"brambleusher: {error}", file=sys.stderr)
         status = 1
@@ -70,7 +74,7 @@
     return status
 
 
-def _say(fleet: RealFleet) -> None:
+def _print_addresses(fleet: RealFleet) -> None:
     targets = ",".join(map(text_of, fleet.targets))
     zones = ", ".join(fleet.world.zones)
     print(
@@ -87,14 +91,14 @@
     )
 
 
-def _watch(
+def _run_until_end(
     fleet: RealFleet, scheduler: Scheduler, until: float | None, ended: Callable[[], bool], live: bool
 ) -> None:
     def over() -> bool:
         return ended() or (until is not None and scheduler.now() >= until)
 
     def step() -> None:
-        due = scheduler.now() + BEAT_SECONDS
+        due = scheduler.now() + REFRESH_SECONDS
         scheduler.call_at(due if until is None else min(due, until), scheduler.stop)
         scheduler.run()
         fleet.check()
@@ -115,7 +119,10 @@
 
 
 def table(fleet: RealFleet, before: dict[str, int]) -> RenderableType:
-    """Sidecars and nodes as they are now; `before` has each node's answers one beat ago."""
+    """Return a table of the sidecars and nodes.
+
+    `before` has the number of answers that each node had sent at the last refresh.
+    """
     from rich.console import Group
     from rich.table import Table
 
@@ -136,7 +143,7 @@
         nodes.add_column(title, justify="right")
     for figures, node in fleet.nodes:
         state = "fallen" if figures.id in fleet.fallen else "draining" if node.draining else "ready"
-        rate = (node.answers - before.get(figures.id, node.answers)) / BEAT_SECONDS
+        rate = (node.answers - before.get(figures.id, node.answers)) / REFRESH_SECONDS
         nodes.add_row(
             figures.id, figures.zone, figures.kind, state, f"{node.busy}", f"{len(node.connections)}",
             f"{node.answers:,}", f"{rate:,.0f}", f"{node.turned_away:,}",
--- a/brambleusher/lab/processes/watch.py
+++ b/brambleusher/lab/processes/watch.py
@@ -1,4 +1,4 @@
-"""What each sidecar's process takes over time, seen from outside: memory and descriptors."""
+"""Samples the memory and the open descriptors of each sidecar process over time."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from brambleusher.lab.checker.sums import SECOND, Curve
 from brambleusher.lab.processes.fleet import RealFleet, RealSidecarPlace, SidecarProcess
 
-LOOK_NS = SECOND  # between two looks at one process
+SAMPLE_INTERVAL_NS = SECOND  # the time in nanoseconds between two samples of one process
 
 
 class Watch:
-    """Looks at each process once a second, one after the other: many looks at once would hold the rig up."""
+    """Samples each process once a second, at staggered times: many samples at once would delay the rig."""
 
     def __init__(self, fleet: RealFleet) -> None:
         self._stage, self._start = fleet.stage, fleet.stage.now_ns
@@ -20,17 +20,17 @@
         self.memory = Curve("MB", "resident memory of the largest sidecar", least_mb)
         self.descriptors = Curve("descriptors", "of those that a sidecar may open, at the fullest", 1.0)
         for number, place in enumerate(places):
-            self._stage.after(number * LOOK_NS // len(places), partial(self._look, place))
+            self._stage.after(number * SAMPLE_INTERVAL_NS // len(places), partial(self._sample, place))
 
     @property
     def curves(self) -> tuple[Curve, ...]:
-        """All of them."""
+        """The curves of memory and of descriptors."""
         return self.memory, self.descriptors
 
-    def _look(self, place: RealSidecarPlace) -> None:
+    def _sample(self, place: RealSidecarPlace) -> None:
         process = place.process
         if isinstance(process, SidecarProcess) and not process.dead:
             step = (self._stage.now_ns - self._start) // SECOND
             self.memory.raise_to(step, process.resident_mb)
             self.descriptors.raise_to(step, process.descriptors / place.figures.sockets)
-        self._stage.after(LOOK_NS, partial(self._look, place))
+        self._stage.after(SAMPLE_INTERVAL_NS, partial(self._sample, place))
