--- a/brambleusher/lab/soak/checks.py
+++ b/brambleusher/lab/soak/checks.py
@@ -21,7 +21,9 @@
 from brambleusher.lab.soak.settings import DEPARTED_S, GRACE_S, grace_of
 from brambleusher.lab.soak.wires import DEADLINE_S
 
-NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})  # promises that a request has not run and never will
+NOT_RUN_STATUSES = frozenset(
+    {408, 421, 429, 503}
+)  # statuses that promise that a request never ran or will run
 KILL_EVENTS = frozenset({ProcessEventKind.KILLED, ProcessEventKind.OVERDUE})
 CLOSE_NOTICE_S = 0.2  # the time that an instance takes to notice that its caller has closed the connection
 UNREAD_S = 0.5  # a request may not have been read if its connection ends sooner than this after it was sent
@@ -119,7 +121,7 @@
         return at < len(kills) and kills[at] <= until_s + AROUND_KILL_S
 
     def _outlasted_half_grace_period(self, request: RequestRecord, runs: list[RunRecord]) -> bool:
-        """Whether an instance still ran the request in the second half of the gateway's grace period."""
+        """Whether an instance still ran the request after half of the gateway's grace period."""
         grace_s = grace_of(request.gateway)
         was_at_work = any(run.ended_s >= request.ended_s - CLOSE_NOTICE_S for run in runs)
         return was_at_work and any(
@@ -130,8 +132,8 @@
     def _check_connection_lost(self, request: RequestRecord) -> None:
         """Check that a connection that ends without a complete response has an allowed cause.
 
-        Allowed causes are a kill of the gateway, an instance's fault, the deadline, a request that may not have
-        been read, and a run that outlasts half of the gateway's grace period.
+        Allowed causes are a kill of the gateway, an instance's fault, the deadline, a request that may not
+        have been read, and a run that outlasts half of the gateway's grace period.
         """
         if request.outcome is not RequestOutcome.CLOSED or request.sent_s is None:
             return
@@ -148,7 +150,7 @@
         self._add("lost", request.ended_s, what)
 
     def _check_departed(self, departure: Departure) -> None:
-        """Check that after a client has left no run begins, and no run continues that may be cancelled."""
+        """Check that no run begins or continues after its client left, except runs that must be finished."""
         if departure.beyond_own_lateness_s > self._departed_s:
             what = (
                 f"{departure.attempt} ({departure.kind}) at {departure.process} continued for "
--- a/brambleusher/lab/soak/clients.py
+++ b/brambleusher/lab/soak/clients.py
@@ -25,7 +25,7 @@
 PAUSE_S = (0.0, 0.25)  # the range of the pause between two requests of a client
 DISCONNECT_DELAY_S = (0.0, 0.4)
 DISCONNECT_PROBABILITY = 0.05  # the share of requests whose client leaves early
-EARLY_DISCONNECT_PROBABILITY = 0.8  # the share of them while a `DISCONNECT_CLIENTS` action lasts
+EARLY_DISCONNECT_PROBABILITY = 0.8  # the share of requests whose client leaves during `DISCONNECT_CLIENTS`
 AHEAD_BYTES = 20 * 1024  # bytes of the next request's body that a client sends before it closes
 HALF_CLOSED_S = 1.0  # how long a client still reads after it has shut down its sending side
 LONG_PAUSE_PROBABILITY = 0.05
@@ -186,7 +186,7 @@
             self.close()
 
     def _half_close(self, record: RequestRecord) -> None:
-        """Shut down the sending side; from then on the client counts as having left, although it still reads."""
+        """Shut down the sending side, from when on the client counts as having left, and read for a while."""
         assert self._stream is not None
         record.ended_s = self._now()
         try:
--- a/brambleusher/lab/soak/coincidences.py
+++ b/brambleusher/lab/soak/coincidences.py
@@ -60,7 +60,7 @@
             self.judged.update((act, kind) for act in _kinds_within(at_s, at_s, running))
 
     def rows(self) -> list[str]:
-        """Return a table for each group: how often pairs overlapped, and how often departures were checked."""
+        """Return a table for each group: counts of overlaps, and of those with a checked departure."""
         lines = []
         for first, second in GROUPS:
             lines.append(f"{'':22}" + "".join(f"{name:>22}" for name in second))
--- a/brambleusher/lab/soak/settings.py
+++ b/brambleusher/lab/soak/settings.py
@@ -56,9 +56,7 @@
         if self.controllers < CONTROLLERS_MIN:
             raise InvalidSoakSettingsError(f"controllers: {self.controllers} is under {CONTROLLERS_MIN}")
         if self.instances < len(ZONES) or self.clients < 1:
-            raise InvalidSoakSettingsError(
-                f"instances, clients: at least {len(ZONES)} instances and 1 client are needed"
-            )
+            raise InvalidSoakSettingsError("instances, clients: at least one for each zone, and one client")
         if not self.departed_s >= DEPARTED_MIN_S:
             raise InvalidSoakSettingsError(f"departed: {self.departed_s:g} is under {DEPARTED_MIN_S:g}")
         if self.sidecars < 0 or (self.sidecars and self.endpoints < ENDPOINTS_MIN):
--- a/tests/lab/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: its plan, its checks one by one, and two short soaks with real processes."""
+"""Tests of the soak's plan and of each check, and two short soaks with real processes."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 def overdue(kind: ProcessEventKind) -> SoakRecord:
-    """A process that was terminated, and then ended by a signal."""
+    """Return the record of a process that got SIGTERM at 5 s and was ended by another signal at 13 s."""
     events = [(0.0, ProcessEventKind.STARTED, 0), (5.0, ProcessEventKind.TERMINATED, 0), (13.0, kind, 0)]
     events.append((13.1, ProcessEventKind.EXITED, -9))
     return SoakRecord(processes=[ProcessEvent("g", *event) for event in events])
@@ -167,10 +167,14 @@
 @pytest.mark.parametrize(
     ("terminated_s", "run_ended_s", "rules"),
     [
-        (6.0, 10.4, []),  # 4.5 of 8 s have passed, and the instance is at work
-        (7.0, 10.4, ["lost"]),  # 3.5 of 8
-        (6.0, 10.2, ["lost"]),  # the instance had ended before
-        (1.0, 10.4, ["lost"]),  # the grace period is long over
+        (
+            6.0,
+            10.4,
+            [],
+        ),  # 4.5 s of the grace period of 8 s have passed, and the instance still runs the request
+        (7.0, 10.4, ["lost"]),  # only 3.5 s of the grace period of 8 s have passed
+        (6.0, 10.2, ["lost"]),  # the run ended before the connection did
+        (1.0, 10.4, ["lost"]),  # the grace period ended at 9 s
     ],
 )
 def test_a_response_that_outlasts_half_of_the_grace_period_may_be_cut(
@@ -191,9 +195,9 @@
     assert broken(SoakRecord([left], [run(begun_s=13.0, ended_s=13.1)])) == ["departed"]
     late = SoakRecord([left], [run(ended_s=11.7)])
     assert broken(late) == ["departed"]
-    late.late_spells = [(10.6, 11.4)]  # the soak itself saw it late
+    late.late_spells = [(10.6, 11.4)]  # a stall of the soak explains the late end
     assert broken(late) == []
-    late.late_spells = [(10.6, 10.8), (11.8, 13.0)]  # for no more than that, and later
+    late.late_spells = [(10.6, 10.8), (11.8, 13.0)]  # the stalls are too short, or after the end of the run
     assert broken(late) == ["departed"]
     notice = request(RequestKind.NOTICE, outcome=RequestOutcome.LEFT, status=0)
     assert broken(SoakRecord([notice], [run(ended_s=14.0)])) == []
@@ -201,7 +205,9 @@
 
 def test_an_acknowledged_change_is_read_back_and_a_race_has_one_winner() -> None:
     record = SoakRecord(changes=[AcknowledgedChange(5, 10.0)])
-    record.reads = [ConfigurationRead("c", 10.5, 4)]  # asked too soon to tell
+    record.reads = [
+        ConfigurationRead("c", 10.5, 4)
+    ]  # read too soon after the acknowledgement to be a violation
     assert broken(record) == []
     record.reads.append(ConfigurationRead("c", 20.0, 4))
     assert broken(record) == ["change-lost"]
@@ -238,7 +244,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_short_soak_breaks_no_rule(seed: int, tmp_path: Path) -> None:
-    # Beside other tests the processor is shared: a process may be late where the soak is not.
+    # Other tests share the processor, so a process may be late when the soak itself is not.
     settings = SoakSettings(seed, 20.0, gateways=3, clients=12, departed_s=1.5, processes_id=seed)
     result = play(settings, tmp_path / "soak")
     assert not result.violations, "\n".join([result.summary(), *map(str, result.violations)])
--- a/tests/lab/test_soak_departures.py
+++ b/tests/lab/test_soak_departures.py
@@ -1,4 +1,4 @@
-"""What a soak says of clients that left: state, time, and what overlapped."""
+"""Tests of departures in a soak: the state of the request, the time its runs continued, and overlaps."""
 
 from __future__ import annotations
 
@@ -55,7 +55,11 @@
 
 
 def test_a_request_that_is_finished_alone_counts_how_late_its_runs_begin() -> None:
-    """Soaks 9501 and 9545: one was sent in the moment in which its client left, and ran for 2.6 s."""
+    """For a notice, only the start of its runs counts, since it is finished without its client.
+
+    In the soaks with seeds 9501 and 9545 a notice was sent at the moment when its client left, and ran for
+    2.6 s.
+    """
     notice = left(RequestKind.NOTICE)
     (found,) = departures(SoakRecord([notice], [run(10.1, 13.0)]))
     assert found.went_on_s == 0.0
--- a/tests/lab/test_soak_mutations.py
+++ b/tests/lab/test_soak_mutations.py
@@ -1,4 +1,4 @@
-"""The planted faults of soaks: each can be put in, is what it says, and is run against as it should be."""
+"""Tests of the mutations of soaks: each can be applied and undone, and soaks run against them correctly."""
 
 from __future__ import annotations
 
@@ -73,7 +73,7 @@
 
 
 def played(rules_by_seed: dict[int, str]) -> MutationResult:
-    """The result of a run whose soaks break these rules; an empty one can't be played to its end."""
+    """Return the result of soaks that break these rules by seed; an empty rule raises `SoakError`."""
 
     def play(settings: SoakSettings) -> SoakResult:
         rule = rules_by_seed[settings.seed]
