--- a/brambleusher/lab/soak/checks.py
+++ b/brambleusher/lab/soak/checks.py
@@ -21,9 +21,8 @@
 from brambleusher.lab.soak.settings import DEPARTED_S, GRACE_S, grace_of
 from brambleusher.lab.soak.wires import DEADLINE_S
 
-NOT_RUN_STATUSES = frozenset(
-    {408, 421, 429, 503}
-)  # statuses that promise that a request never ran or will run
+# Statuses that promise that a request has not run and never will.
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 KILL_EVENTS = frozenset({ProcessEventKind.KILLED, ProcessEventKind.OVERDUE})
 CLOSE_NOTICE_S = 0.2  # the time that an instance takes to notice that its caller has closed the connection
 UNREAD_S = 0.5  # a request may not have been read if its connection ends sooner than this after it was sent
--- a/tests/lab/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -167,11 +167,7 @@
 @pytest.mark.parametrize(
     ("terminated_s", "run_ended_s", "rules"),
     [
-        (
-            6.0,
-            10.4,
-            [],
-        ),  # 4.5 s of the grace period of 8 s have passed, and the instance still runs the request
+        (6.0, 10.4, []),  # 4.5 s of the grace period of 8 s have passed, and the request still runs
         (7.0, 10.4, ["lost"]),  # only 3.5 s of the grace period of 8 s have passed
         (6.0, 10.2, ["lost"]),  # the run ended before the connection did
         (1.0, 10.4, ["lost"]),  # the grace period ended at 9 s
