--- a/brambleusher/lab/processes/breakages.py
+++ b/brambleusher/lab/processes/breakages.py
@@ -82,9 +82,9 @@
         "memory-kept", "4 MB are kept for each connection", (), _accept_leaks_memory
     ),
 }  # fmt: skip
-ALL = {**BREAKAGES, **PROCESS_BREAKAGES}
+ALL_BREAKAGES = {**BREAKAGES, **PROCESS_BREAKAGES}
 
 
-def on(name: str) -> AbstractContextManager[None]:
+def apply_breakage(name: str) -> AbstractContextManager[None]:
     """Return a context in which the named breakage is applied; raises `KeyError` for an unknown name."""
-    return ALL[name].on()
+    return ALL_BREAKAGES[name].on()
--- a/brambleusher/lab/processes/child.py
+++ b/brambleusher/lab/processes/child.py
@@ -41,9 +41,9 @@
     """Run the sidecar until it exits, with a breakage applied if one is named."""
     broken: AbstractContextManager[object] = nullcontext()
     if breakage is not None:
-        from brambleusher.lab.processes.breakages import on
+        from brambleusher.lab.processes.breakages import apply_breakage
 
-        broken = on(breakage)
+        broken = apply_breakage(breakage)
     with broken:
         sys.exit(run(operator, "logfmt", RiggedSystem(wall_file)))
 
--- a/brambleusher/lab/processes/drill.py
+++ b/brambleusher/lab/processes/drill.py
@@ -21,7 +21,7 @@
 from brambleusher.lab.fleets.fleet import AnyFleet, Fleet, world_of
 from brambleusher.lab.fleets.scenario import Scenario
 from brambleusher.lab.fleets.worlds import laid_over
-from brambleusher.lab.processes.breakages import on
+from brambleusher.lab.processes.breakages import apply_breakage
 from brambleusher.lab.processes.fleet import PairAudience, RealFleet, raise_limit
 from brambleusher.lab.processes.stage import RealStage
 from brambleusher.lab.processes.watch import Watch
@@ -210,7 +210,7 @@
 
 def _play_virtual(drill: Drill, breakage: str) -> Outcome:
     scenario, outcome = scenario_of(drill), Outcome("virtual")
-    with world_of(scenario) as world, on(breakage) if breakage else nullcontext():
+    with world_of(scenario) as world, apply_breakage(breakage) if breakage else nullcontext():
         rules = Rules.of(scenario.world.sidecar_settings(0))
         fleet = Fleet(scenario, world)
         checker = Checker(rules, fleet.executions)
--- a/brambleusher/lab/processes/told.py
+++ b/brambleusher/lab/processes/told.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from brambleusher.lab.checker.sums import table
-from brambleusher.lab.processes.breakages import ALL
+from brambleusher.lab.processes.breakages import ALL_BREAKAGES
 from brambleusher.lab.processes.drill import Drill, Outcome, Where, play
 
 DETAILS_MAX = 5  # the most breaches, and the most unserved requests, printed for one play
@@ -29,7 +29,7 @@
 
     The status is 1 if a drill failed, 3 if the rig of a drill was late, 2 if the breakage is unknown, else 0.
     """
-    if breakage and breakage not in ALL:
+    if breakage and breakage not in ALL_BREAKAGES:
         print(f"brambleusher: --breakage: unknown breakage {breakage!r}", file=sys.stderr)
         return 2
     verdicts = set()
--- a/tests/lab/test_breakages.py
+++ b/tests/lab/test_breakages.py
@@ -14,7 +14,7 @@
 from brambleusher.lab.checker.rules import RULES
 from brambleusher.lab.faults.breakages import BREAKAGES, Patches
 from brambleusher.lab.fleets.scenario import Scenario, draw_scenario, read_scenario
-from brambleusher.lab.processes.breakages import ALL
+from brambleusher.lab.processes.breakages import ALL_BREAKAGES
 from brambleusher.lab.virtual.explore import play
 
 FILES = {path.stem: path for path in sorted((Path(__file__).parents[1] / "breakages").glob("*.yaml"))}
@@ -64,9 +64,9 @@
     assert all(vars(owner)[key] is old for (owner, key), old in before.items())
 
 
-@pytest.mark.parametrize("name", sorted(ALL))
+@pytest.mark.parametrize("name", sorted(ALL_BREAKAGES))
 def test_patches_name_attributes_that_the_program_has(name: str) -> None:
-    with ALL[name].on():
+    with ALL_BREAKAGES[name].on():
         pass  # a patch of an attribute that is not there raises KeyError
 
 
