--- a/brambleusher/lab/experiments/matrix.py
+++ b/brambleusher/lab/experiments/matrix.py
@@ -14,7 +14,7 @@
 from brambleusher.lab.experiments.plan import Cell, ExperimentFile
 from brambleusher.lab.experiments.run import run
 from brambleusher.lab.experiments.store import CellResult, Store
-from brambleusher.lab.processes.parent import tied_to
+from brambleusher.lab.processes.parent import signal_on_parent_end
 from brambleusher.runtime.operating_system import RealSystem
 
 END_SECONDS = 10.0
@@ -39,7 +39,7 @@
     signal.signal(signal.SIGTERM, _stop)
     parent = multiprocessing.parent_process()
     if parent is not None and parent.pid is not None:
-        tied_to(parent.pid)()
+        signal_on_parent_end(parent.pid)()
     began = RealSystem.monotonic()
     try:
         outcome: Outcome = run(cell)
--- a/brambleusher/lab/processes/fleet.py
+++ b/brambleusher/lab/processes/fleet.py
@@ -15,7 +15,7 @@
 from brambleusher.lab.fleets.figures import SidecarFigures
 from brambleusher.lab.fleets.fleet import AnyFleet, Audience, SidecarEnd, SidecarPlace
 from brambleusher.lab.fleets.scenario import Scenario
-from brambleusher.lab.processes.parent import tied_to
+from brambleusher.lab.processes.parent import signal_on_parent_end
 from brambleusher.lab.processes.stage import RealStage
 from brambleusher.lab.stand_ins.client import says_ready
 from brambleusher.lab.stand_ins.discovery import Entry
@@ -43,7 +43,7 @@
         with open(self.log, "wb") as log:
             self._popen = subprocess.Popen(
                 command, env={**os.environ, **environment}, stdin=subprocess.DEVNULL, stdout=log, stderr=log,
-                start_new_session=True, preexec_fn=tied_to(os.getpid(), signal.SIGKILL),
+                start_new_session=True, preexec_fn=signal_on_parent_end(os.getpid(), signal.SIGKILL),
             )  # fmt: skip
         self.pid = self._popen.pid
         self.ended: int | None = None
--- a/brambleusher/lab/processes/parent.py
+++ b/brambleusher/lab/processes/parent.py
@@ -11,7 +11,7 @@
 PR_SET_PDEATHSIG = 1  # prctl(2): sets the signal sent when the thread that started the process has ended
 
 
-def tied_to(parent: int, number: int = signal.SIGTERM) -> Callable[[], None]:
+def signal_on_parent_end(parent: int, number: int = signal.SIGTERM) -> Callable[[], None]:
     """Return a function that a child process calls at its start to get a signal when its parent ends.
 
     `parent` is the parent's process id.  The setting needs no privilege and survives an exec.  On systems
--- a/brambleusher/lab/processes/real_fleet.py
+++ b/brambleusher/lab/processes/real_fleet.py
@@ -24,7 +24,7 @@
 from brambleusher.lab.fleets.figures import NodeFigures, WorldFigures
 from brambleusher.lab.fleets.fleet import configuration
 from brambleusher.lab.fleets.worlds import WorldFile
-from brambleusher.lab.processes.parent import tied_to
+from brambleusher.lab.processes.parent import signal_on_parent_end
 from brambleusher.lab.stand_ins.client import says_ready
 from brambleusher.lab.stand_ins.discovery import Discovery, Entry
 from brambleusher.lab.stand_ins.node import Execution, Node
@@ -175,7 +175,7 @@
                 [sys.executable, "-m", "brambleusher", "--operator", str(path)], env={**os.environ, **own},
                 stdin=subprocess.DEVNULL, stdout=log, stderr=log,
                 start_new_session=True,  # Ctrl-C reaches this process alone, which then ends the sidecars
-                preexec_fn=tied_to(os.getpid()),  # sidecars end even if this process is killed
+                preexec_fn=signal_on_parent_end(os.getpid()),  # sidecars end even if this process is killed
             )  # fmt: skip
         self.scheduler.spawn(self._receive_metrics, sidecar, name=f"{name} figures")
         self.scheduler.spawn(self._wait_until_ready, sidecar, name=f"{name} ready")
--- a/brambleusher/lab/soak/processes.py
+++ b/brambleusher/lab/soak/processes.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from brambleusher.lab.processes.parent import tied_to
+from brambleusher.lab.processes.parent import signal_on_parent_end
 from brambleusher.lab.soak.mutated_process import SIDECAR, SYSTEM
 from brambleusher.lab.soak.records import ProcessEvent, ProcessEventKind, ProcessUse, SoakRecord
 from brambleusher.lab.soak.settings import (
@@ -106,7 +106,7 @@
                 stdout=log,
                 stderr=log,
                 start_new_session=True,
-                preexec_fn=tied_to(os.getpid(), signal.SIGKILL),
+                preexec_fn=signal_on_parent_end(os.getpid(), signal.SIGKILL),
             )
 
     def write_settings(self) -> None:
