--- a/brambleusher/lab/processes/drill.py
+++ b/brambleusher/lab/processes/drill.py
@@ -22,7 +22,7 @@
 from brambleusher.lab.fleets.scenario import Scenario
 from brambleusher.lab.fleets.worlds import laid_over
 from brambleusher.lab.processes.breakages import apply_breakage
-from brambleusher.lab.processes.fleet import PairAudience, RealFleet, raise_limit
+from brambleusher.lab.processes.fleet import PerSidecarAudience, RealFleet, raise_descriptor_limit
 from brambleusher.lab.processes.stage import RealStage
 from brambleusher.lab.processes.watch import Watch
 from brambleusher.lab.stand_ins.settings import Ask, Part, Positive, Seconds, Settings
@@ -231,7 +231,7 @@
 
 
 def _play_processes(drill: Drill, folder: Path, breakage: str) -> Outcome:
-    raise_limit()
+    raise_descriptor_limit()
     scenario, outcome = scenario_of(drill), Outcome("processes")
     settings = scenario.world.sidecar_settings(0)
     own = Rules.of(settings)
@@ -241,7 +241,7 @@
     try:
         fleet = RealFleet(scenario, stage, breakage=breakage)
         checker = Checker(rules, fleet.executions)
-        fleet.audience = cast(Any, PairAudience(fleet, checker))
+        fleet.audience = cast(Any, PerSidecarAudience(fleet, checker))
         sums, watch, made = Sums(stage.now_ns, fleet_limits(scenario, rules)), Watch(fleet), stage.now_ns
         stage.taps += [checker, sums]
         stage.step_done.append(lambda: checker.step(stage.now_ns))
@@ -271,8 +271,8 @@
     outcome.rig_cpu_s, outcome.wall_s = stage.cpu_s, stage.measured_s
     outcome.opened = stage.network.count
     for place in fleet.real_places:
-        for process in place.lives:
-            process.look()
+        for process in place.all_processes:
+            process.record_usage()
             outcome.sidecar_cpu_s += process.cpu_s
             outcome.sidecar_mb = max(outcome.sidecar_mb, process.rss_kb / 1024)
     if outcome.beat_p99_ms > TIMER_LATENESS_MAX_S * 1000:
--- a/brambleusher/lab/processes/fleet.py
+++ b/brambleusher/lab/processes/fleet.py
@@ -71,7 +71,7 @@
         if self.ended is not None:
             return
         self.ended = self._popen.wait()
-        self.place.has_ended(self)
+        self.place.process_ended(self)
         if not self._killed:
             what = "killed" if self.ended < 0 else "exited"
             self.stage.tell("process", self.place.machine, what)
@@ -114,7 +114,7 @@
             return 0.0
         return pages * PAGE_BYTES / 2**20
 
-    def look(self) -> None:
+    def record_usage(self) -> None:
         """Update the recorded peak of memory and the processor time of the process."""
         try:
             for line in Path(f"/proc/{self.pid}/status").read_text().splitlines():
@@ -143,7 +143,7 @@
         """Send SIGKILL and wait until the process has ended."""
         if self.dead:
             return
-        self.look()
+        self.record_usage()
         self.stage.tell("process", self.place.machine, "killed")
         self._killed = True
         self._popen.kill()
@@ -165,7 +165,7 @@
     def __init__(self, fleet: RealFleet, number: int, figures: SidecarFigures) -> None:
         super().__init__(fleet, number, figures)
         self.stage = fleet.stage
-        self.real = self.stage.machines[figures.name]
+        self.machine_on_rig = self.stage.machines[figures.name]
         self.ready = False
         self.idle_descriptors = 0  # the number of open descriptors of an idle process, without connections
         self._config = self.stage.folder / f"{figures.name}.json"
@@ -180,7 +180,7 @@
         self.write_files()
         self.ready = False
         command = [
-            sys.executable, "-m", "brambleusher.lab.processes.child", str(self.real.wall_file),
+            sys.executable, "-m", "brambleusher.lab.processes.child", str(self.machine_on_rig.wall_file),
             *(["--operator", str(self._operator_path)] if self.operator else []),
             *(["--breakage", self.fleet.breakage] if self.fleet.breakage else []),
         ]  # fmt: skip
@@ -188,7 +188,7 @@
         if self.fleet.called:
             environment["NODE_ADMIN_ADDR"] = "{}:{}".format(*self.admin)
         process = SidecarProcess(self, command, environment)
-        self.real.process = process
+        self.machine_on_rig.process = process
         self.stage.scheduler.spawn(self._wait_until_ready, process, name="sidecar ready")
         return process
 
@@ -217,9 +217,11 @@
                 scheduler.sleep(POLL_SECONDS)
         scheduler.sleep(POLL_SECONDS)
         if self.idle_descriptors == 0 and not process.dead:
-            self.idle_descriptors = process.descriptors - self.stage.network.open_connections(self.real)
+            self.idle_descriptors = process.descriptors - self.stage.network.open_connections(
+                self.machine_on_rig
+            )
 
-    def has_ended(self, process: SidecarProcess) -> None:
+    def process_ended(self, process: SidecarProcess) -> None:
         """Mark the sidecar's addresses as no longer listening after its process has ended."""
         if process is self.process:
             self.ready = False
@@ -228,7 +230,7 @@
 
     def pause(self, wait_ns: int) -> None:
         """Stop the sidecar's process for `wait_ns` nanoseconds."""
-        self.real.stall(wait_ns)
+        self.machine_on_rig.stall(wait_ns)
 
     def paused(self, on: bool) -> None:
         """Report to the audience that the process was stopped or continued."""
@@ -239,7 +241,7 @@
             # The configured number of sockets, plus the descriptors that the interpreter itself has open.
             usual = self.figures.sockets + 2 * STANDARD_DESCRIPTORS
             self.process.limit = min([usual, *(limit for _, limit in self._squeezes)])
-        self.real.squeezed = bool(self._squeezes)
+        self.machine_on_rig.squeezed = bool(self._squeezes)
         self.fleet.audience.starved(self.stage.now_ns, self.machine.name, bool(self._squeezes))
 
     def state(self) -> SidecarEnd:
@@ -248,21 +250,21 @@
         if process is None or process.dead:
             return SidecarEnd(name, False, 0, 0, 0, 0, 0, 0, 0, 0, self.stderr)
         relays = self.stage.network.relays.values()
-        asked = sum(each.way.server is self.real for each in relays)
+        asked = sum(each.way.server is self.machine_on_rig for each in relays)
         return SidecarEnd(
             name=name, up=True, tickets=0, clients=asked, claims=0, node_connections=0, node_idle=0,
             timers=0, descriptors=process.descriptors,
-            descriptors_due=self.idle_descriptors + self.stage.network.open_connections(self.real),
+            descriptors_due=self.idle_descriptors + self.stage.network.open_connections(self.machine_on_rig),
             stderr=b"",
         )  # fmt: skip
 
     @property
-    def lives(self) -> list[SidecarProcess]:
+    def all_processes(self) -> list[SidecarProcess]:
         """All processes of this sidecar, in the order in which they were started."""
         return [each for each in (*self.ended, self.process) if isinstance(each, SidecarProcess)]
 
 
-class PairAudience:
+class PerSidecarAudience:
     """Reports each node and discovery to an audience at every address at which a sidecar reaches it."""
 
     def __init__(self, fleet: RealFleet, audience: Audience) -> None:
@@ -274,7 +276,7 @@
 
     def _addresses_seen(self, address: Address) -> list[Address]:
         network = self._fleet.stage.network
-        return [network.seen_from(place.real, address) for place in self._fleet.real_places]
+        return [network.seen_from(place.machine_on_rig, address) for place in self._fleet.real_places]
 
     def discovery(self, address: Address) -> None:
         """Report the discovery at the address that each sidecar has for it."""
@@ -298,7 +300,7 @@
     ) -> None:
         self.stage, self.breakage = stage, breakage
         super().__init__(scenario, stage, audience)
-        self._by_ip = {place.real.ip: place.real for place in self.real_places}
+        self._by_ip = {place.machine_on_rig.ip: place.machine_on_rig for place in self.real_places}
 
     @property
     def real_places(self) -> list[RealSidecarPlace]:
@@ -336,11 +338,11 @@
         """Send SIGTERM to all sidecars, and SIGKILL to those that still run some seconds later."""
         self.end(TERMINATION_TIMEOUT_SECONDS)
         for place in self.real_places:
-            for process in place.lives:
+            for process in place.all_processes:
                 process.kill()
 
 
-def raise_limit() -> None:
+def raise_descriptor_limit() -> None:
     """Raise this process's descriptor limit to its hard limit, as relays use three for each connection."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft < hard:
