--- a/brambleusher/lab/processes/fleet.py
+++ b/brambleusher/lab/processes/fleet.py
@@ -52,7 +52,7 @@
         self._stops = 0
         self._killed = False
         self._fd = os.pidfd_open(self.pid)
-        stage.tell("process", place.machine, "started")
+        stage.notify_taps("process", place.machine, "started")
         stage.scheduler.spawn(self._wait, name="sidecar's end")
 
     def fileno(self) -> int:
@@ -74,7 +74,7 @@
         self.place.process_ended(self)
         if not self._killed:
             what = "killed" if self.ended < 0 else "exited"
-            self.stage.tell("process", self.place.machine, what)
+            self.stage.notify_taps("process", self.place.machine, what)
 
     @property
     def dead(self) -> bool:
@@ -136,7 +136,7 @@
             return
         if number == signal.SIGHUP:
             self.place.write_files()
-        self.stage.tell("process", self.place.machine, f"signal {int(number)}")
+        self.stage.notify_taps("process", self.place.machine, f"signal {int(number)}")
         self._popen.send_signal(number)
 
     def kill(self, reset: bool = False) -> None:
@@ -144,7 +144,7 @@
         if self.dead:
             return
         self.record_usage()
-        self.stage.tell("process", self.place.machine, "killed")
+        self.stage.notify_taps("process", self.place.machine, "killed")
         self._killed = True
         self._popen.kill()
         self._record_end()
@@ -205,9 +205,9 @@
             try:
                 if process.dead:
                     return
-                self.stage.network.heard(self.address, True)
+                self.stage.network.set_listening(self.address, True)
                 if self.fleet.called:
-                    self.stage.network.heard(self.admin, True)
+                    self.stage.network.set_listening(self.admin, True)
                 self.ready = says_ready(stream, deadline)
             except (OSError, TaskTimeoutError, HttpError):
                 pass
@@ -225,8 +225,8 @@
         """Mark the sidecar's addresses as no longer listening after its process has ended."""
         if process is self.process:
             self.ready = False
-            self.stage.network.heard(self.address, False)
-            self.stage.network.heard(self.admin, False)
+            self.stage.network.set_listening(self.address, False)
+            self.stage.network.set_listening(self.admin, False)
 
     def pause(self, wait_ns: int) -> None:
         """Stop the sidecar's process for `wait_ns` nanoseconds."""
@@ -250,7 +250,7 @@
         if process is None or process.dead:
             return SidecarEnd(name, False, 0, 0, 0, 0, 0, 0, 0, 0, self.stderr)
         relays = self.stage.network.relays.values()
-        asked = sum(each.way.server is self.machine_on_rig for each in relays)
+        asked = sum(each.route.server is self.machine_on_rig for each in relays)
         return SidecarEnd(
             name=name, up=True, tickets=0, clients=asked, claims=0, node_connections=0, node_idle=0,
             timers=0, descriptors=process.descriptors,
--- a/brambleusher/lab/processes/relays.py
+++ b/brambleusher/lab/processes/relays.py
@@ -1,7 +1,7 @@
 """The network between real processes: every connection passes through a relay on loopback.
 
-Each pair of machines has a listening address of its own (a `Way`).  A relay therefore knows whose bytes it
-forwards, and each direction of each link can be delayed, held back, reset, refused or left unanswered
+Each pair of machines has a listening address of its own (a `RelayRoute`).  A relay thus knows whose bytes
+it forwards, and each direction of each link can be delayed, held back, reset, refused or left unanswered
 separately.  Relays report what they observe to taps, as the same events as the network of virtual time.
 They can't observe when a process reads; a read is reported once a later action of the process proves it.
 """
@@ -87,7 +87,7 @@
 
     def __init__(self) -> None:
         self.epoll = EpollPoller(self.monotonic)
-        self.heard: Callable[[Address, bool], None] = lambda address, on: None
+        self.set_listening: Callable[[Address, bool], None] = lambda address, on: None
 
     def poller(self) -> Poller:
         """Return the poller, which is the same for every caller."""
@@ -100,12 +100,12 @@
         listener = _Listener(fileno=plain.detach())
         listener.setblocking(False)
         at: Address = listener.getsockname()[:2]
-        listener.on_close = lambda: self.heard(at, False)
-        self.heard(at, True)
+        listener.on_close = lambda: self.set_listening(at, False)
+        self.set_listening(at, True)
         return listener
 
 
-class Feed:
+class EventFeed:
     """Collects events that relays observe, and reports them to the taps once in each scheduler round.
 
     The order of a sidecar's actions on several connections between two polls can't be observed.  Its closes
@@ -118,7 +118,7 @@
         self._batch: list[tuple[int, str, tuple[Any, ...]]] = []
         self._last: dict[int, int] = {}
 
-    def tell(self, order: int, what: str, conn: RelayedConnection, *args: Any) -> None:
+    def add(self, order: int, what: str, conn: RelayedConnection, *args: Any) -> None:
         """Add an event of a connection to the batch."""
         if not self._batch:
             self._stage.scheduler.call_at(0.0, self.flush)
@@ -130,7 +130,7 @@
         batch, self._batch = self._batch, []
         self._last.clear()
         for _, what, args in sorted(batch, key=lambda each: each[0]):
-            self._stage.tell(what, *args)
+            self._stage.notify_taps(what, *args)
         self._stage.stepped()
 
 
@@ -176,9 +176,9 @@
 class Relay:
     """A relay for one connection, which forwards bytes in both directions."""
 
-    def __init__(self, way: Way, sock: Socket) -> None:
-        network = way.network
-        self.way, self.network, self.stage = way, network, network.stage
+    def __init__(self, route: RelayRoute, sock: Socket) -> None:
+        network = route.network
+        self.route, self.network, self.stage = route, network, network.stage
         self.scheduler = self.stage.scheduler
         self.client_stream = Stream(self.scheduler, sock)
         self.server_stream: Stream | None = None
@@ -187,8 +187,8 @@
         network.count += 1
         peer = sock.getpeername()[1]  # type: ignore[attr-defined]
         self.conn = RelayedConnection(
-            network.count, End(way.client.name, way.client.ip, peer),
-            End(way.server.name, *way.reported_address), self,
+            network.count, End(route.client.name, route.client.ip, peer),
+            End(route.server.name, *route.reported_address), self,
         )  # fmt: skip
         self._accepted = False
         # The number of bytes that the server is not known to have read, and the time when the last arrived.
@@ -196,23 +196,23 @@
 
     def run(self) -> None:
         """Connect to the server, then start a task for each direction."""
-        feed, conn, way = self.network.feed, self.conn, self.way
-        feed.tell(ORDER_FIRST, "opened", conn)
+        feed, conn, route = self.network.feed, self.conn, self.route
+        feed.add(ORDER_FIRST, "opened", conn)
         try:
             self.server_stream = self._connect()
         except (OSError, TaskTimeoutError):
-            feed.tell(ORDER_FIRST, "refused", conn)
+            feed.add(ORDER_FIRST, "refused", conn)
             self.scheduler.system.reset(self.client_stream.sock)
             self.client_stream.open = False
             self.end()
             return
-        feed.tell(ORDER_FIRST, "established", conn)
-        if not way.server.squeezed:
+        feed.add(ORDER_FIRST, "established", conn)
+        if not route.server.squeezed:
             self.accepted()
         link = self.network.link
         self.directions = [
-            _Direction("client", self.client_stream, self.server_stream, link(way.client, way.server)),
-            _Direction("server", self.server_stream, self.client_stream, link(way.server, way.client)),
+            _Direction("client", self.client_stream, self.server_stream, link(route.client, route.server)),
+            _Direction("server", self.server_stream, self.client_stream, link(route.server, route.client)),
         ]
         for direction in self.directions:
             task = self.scheduler.spawn(self._read, direction, name="relay")
@@ -221,18 +221,18 @@
     def _connect(self) -> Stream:
         """Connect to the server from the client machine's address."""
         deadline = self.scheduler.now() + CONNECT_SECONDS
-        return Stream.connect(self.scheduler, self.way.target, deadline, prepare=self._bind)
+        return Stream.connect(self.scheduler, self.route.target, deadline, prepare=self._bind)
 
     def _bind(self, sock: Socket) -> None:
         assert isinstance(sock, socket.socket)
         sock.setsockopt(socket.IPPROTO_IP, IP_BIND_ADDRESS_NO_PORT, 1)
-        sock.bind((self.way.client.ip, 0))
+        sock.bind((self.route.client.ip, 0))
 
     def accepted(self) -> None:
         """Report once that the server has accepted the connection."""
         if not self._accepted:
             self._accepted = True
-            self.network.feed.tell(ORDER_FIRST, "accepted", self.conn)
+            self.network.feed.add(ORDER_FIRST, "accepted", self.conn)
 
     # --- one direction --------------------------------------------------------------------------
 
@@ -291,10 +291,10 @@
 
     def blocked(self, direction: _Direction) -> bool:
         """Whether a fault blocks this direction now."""
-        way = self.way
+        route = self.route
         return (
-            direction.link.cut or self.conn.silent or self.machine_lost or way.server.gone or way.client.gone
-            or way.server.holds or way.client.holds
+            direction.link.cut or self.conn.silent or self.machine_lost or route.server.gone
+            or route.client.gone or route.server.holds or route.client.holds
         )  # fmt: skip
 
     def _deliver(self, direction: _Direction, data: bytes) -> None:
@@ -308,27 +308,27 @@
                 return
         feed, conn = self.network.feed, self.conn
         other = "server" if direction.side == "client" else "client"
-        feed.tell(ORDER_FIRST, "arrived", conn, other, data)
-        if other == "server" and self.way.server.program:
+        feed.add(ORDER_FIRST, "arrived", conn, other, data)
+        if other == "server" and self.route.server.program:
             self._unread += len(data)
             self._arrived_ns = self.stage.now_ns
         else:
-            feed.tell(ORDER_FIRST, "read", conn, other, data)
+            feed.add(ORDER_FIRST, "read", conn, other, data)
 
     def _report_sent(self, direction: _Direction, data: bytes) -> None:
         feed, conn, order = self.network.feed, self.conn, ORDER_FIRST
-        if direction.side == "server" and self.way.server.program:
+        if direction.side == "server" and self.route.server.program:
             order = ORDER_ANSWER
             self.accepted()
             self._report_read(order)
-        elif direction.side == "client" and self.way.client.program:
+        elif direction.side == "client" and self.route.client.program:
             order = ORDER_SEND
-        feed.tell(order, "sent", conn, direction.side, data)
+        feed.add(order, "sent", conn, direction.side, data)
 
     def _report_read(self, order: int) -> None:
         """Report that the server has read all bytes received so far, as its answer or its close proves."""
         if self._unread:
-            self.network.feed.tell(order, "read", self.conn, "server", bytes(self._unread))
+            self.network.feed.add(order, "read", self.conn, "server", bytes(self._unread))
             self._unread = 0
 
     def _handle_close(self, direction: _Direction, how: str) -> None:
@@ -337,14 +337,14 @@
             return
         direction.over = True
         order = ORDER_FIRST
-        mine = self.way.server if direction.side == "server" else self.way.client
+        mine = self.route.server if direction.side == "server" else self.route.client
         if mine.program:
             order = ORDER_CLOSE
             # An orderly close proves that all bytes were read, unless the last ones may have crossed it.
             crossing = self.stage.now_ns - self._arrived_ns <= CROSSING_NS
             if direction.side == "server" and how == "fin" and not crossing:
                 self._report_read(order)
-        self.network.feed.tell(order, "closed", self.conn, direction.side)
+        self.network.feed.add(order, "closed", self.conn, direction.side)
         if direction.writer_running or self.blocked(direction):
             self._enqueue(direction, how, 0)
         else:
@@ -352,7 +352,7 @@
 
     def _forward_end(self, direction: _Direction, how: str) -> None:
         other = "server" if direction.side == "client" else "client"
-        self.network.feed.tell(ORDER_FIRST, "ended", self.conn, other, how)
+        self.network.feed.add(ORDER_FIRST, "ended", self.conn, other, how)
         if how == "reset":
             self._reset_stream(direction.sink)
             self.end()
@@ -382,7 +382,7 @@
         self.accepted()
         for side, stream in (("client", self.client_stream), ("server", self.server_stream)):
             if side in sides:
-                self.network.feed.tell(ORDER_FIRST, "ended", self.conn, side, "reset")
+                self.network.feed.add(ORDER_FIRST, "ended", self.conn, side, "reset")
             self._reset_stream(stream)
         self.end()
 
@@ -400,7 +400,7 @@
                 stream.close()
 
 
-class Way:
+class RelayRoute:
     """A listening address at which one machine reaches one port of another machine."""
 
     def __init__(self, network: RealNetwork, client: RealMachine, server: RealMachine, port: int) -> None:
@@ -415,7 +415,7 @@
         self.address: Address = self._listener.getsockname()[:2]
         # Taps identify sidecars by the address where they listen, other servers by this listener's address.
         self.reported_address: Address = self.target if server.program else self.address
-        self.judge()
+        self.update()
 
     def _bind_listener(self) -> socket.socket:
         """Return a socket bound to an explicit port, which it keeps over `shutdown` and `listen`."""
@@ -435,7 +435,7 @@
             return sock
         raise OSError(errno.EADDRINUSE, "no free port found in 100 attempts")
 
-    def judge(self) -> None:
+    def update(self) -> None:
         """Apply the network's current state: accept connects, refuse them, or leave them unanswered."""
         state = self.network.state_of(self)
         if state == self.state:
@@ -453,7 +453,7 @@
             return
         self._listener.listen(BACKLOG if state == "up" else 0)
         if state == "up":
-            self._accepting = self.network.stage.scheduler.spawn(self._accept, name="way")
+            self._accepting = self.network.stage.scheduler.spawn(self._accept, name="relay route")
             return
         # Linux leaves connects unanswered while the backlog is full; one connection fills a backlog of 0.
         self._filler = socket.socket()
@@ -497,13 +497,13 @@
 
     def __init__(self, stage: RealStage) -> None:
         self.stage = stage
-        self.feed = Feed(stage)
+        self.feed = EventFeed(stage)
         self.relays: dict[int, Relay] = {}
         self.count = 0
         self.late: list[float] = []  # how late queued bytes were forwarded, in seconds
         self.waiting: set[Event] = set()  # events that wake the writers blocked by a fault
         self._links: dict[tuple[str, str], RealLink] = {}
-        self._ways: dict[tuple[str, str, int], Way] = {}
+        self._routes: dict[tuple[str, str, int], RelayRoute] = {}
         self._ports: dict[Address, tuple[RealMachine, int]] = {}  # machines and nominal ports by real address
         self._listening: set[Address] = set()
         self._refusing: Counter[tuple[str, int]] = Counter()
@@ -511,7 +511,7 @@
 
     # --- addresses ------------------------------------------------------------------------------
 
-    def own(self, address: Address, machine: RealMachine, port: int) -> None:
+    def register_port(self, address: Address, machine: RealMachine, port: int) -> None:
         """Register the real address of a machine's nominal port."""
         self._ports[address] = machine, port
 
@@ -520,42 +520,42 @@
         """The machine and the nominal port of each registered real address."""
         return self._ports
 
-    def way(self, client: RealMachine, address: Address) -> Way:
-        """Return the `Way` from a machine to an address of another one, created at the first call."""
+    def route(self, client: RealMachine, address: Address) -> RelayRoute:
+        """Return the `RelayRoute` from a machine to another machine's address, created at the first call."""
         server, port = self._ports[address]
         key = client.name, server.name, port
-        if key not in self._ways:
-            self._ways[key] = Way(self, client, server, port)
-        return self._ways[key]
+        if key not in self._routes:
+            self._routes[key] = RelayRoute(self, client, server, port)
+        return self._routes[key]
 
     def seen_from(self, machine: RealMachine, address: Address) -> Address:
         """Return the address to which a machine connects in order to reach another machine's address."""
-        return self.way(machine, address).address
+        return self.route(machine, address).address
 
-    def heard(self, address: Address, on: bool) -> None:
-        """Record whether a process listens at an address, and update the ways that lead there."""
+    def set_listening(self, address: Address, on: bool) -> None:
+        """Record whether a process listens at an address, and update the routes that lead there."""
         (self._listening.add if on else self._listening.discard)(address)
         if address in self._ports:
             server, port = self._ports[address]
-            for way in self._ways.values():
-                if way.server is server and way.port == port:
-                    way.judge()
+            for route in self._routes.values():
+                if route.server is server and route.port == port:
+                    route.update()
 
-    def state_of(self, way: Way) -> str:
+    def state_of(self, route: RelayRoute) -> str:
         """Return whether connects succeed ("up"), are refused ("refuse") or stay unanswered ("swallow")."""
-        client, server = way.client, way.server
+        client, server = route.client, route.server
         cut = self.link(client, server).cut or self.link(server, client).cut
         if cut or server.gone or client.gone or server.swallows:
             return "swallow"
-        if self._refusing[server.name, way.port] or way.target not in self._listening:
+        if self._refusing[server.name, route.port] or route.target not in self._listening:
             return "refuse"
         return "up"
 
-    def judge(self) -> None:
-        """Apply a change of faults: update all ways, and wake the writers that a fault has blocked."""
+    def update(self) -> None:
+        """Apply a change of faults: update all routes, and wake the writers that a fault has blocked."""
         self._changed_ns = self.stage.now_ns
-        for way in self._ways.values():
-            way.judge()
+        for route in self._routes.values():
+            route.update()
         waiting, self.waiting = self.waiting, set()
         for event in waiting:
             event.set()
@@ -573,18 +573,18 @@
 
     def connections(self, machine: RealMachine) -> list[RelayedConnection]:
         """Return the relayed connections to a machine."""
-        return [each.conn for each in list(self.relays.values()) if each.way.server is machine]
+        return [each.conn for each in list(self.relays.values()) if each.route.server is machine]
 
     def open_connections(self, machine: RealMachine) -> int:
         """Return the number of a machine's open connections, incoming and outgoing."""
-        return sum(machine in (each.way.server, each.way.client) for each in self.relays.values())
+        return sum(machine in (each.route.server, each.route.client) for each in self.relays.values())
 
     # --- faults ---------------------------------------------------------------------------------
 
     def _set_cut(self, a: RealMachine, b: RealMachine, one_way: bool, cut: bool) -> None:
         for pair in ((a, b),) if one_way else ((a, b), (b, a)):
             self.link(*pair).cut = cut
-        self.stage.soon(self.judge)
+        self.stage.soon(self.update)
 
     def cut(self, a: RealMachine, b: RealMachine, one_way: bool = False) -> None:
         """Block all bytes from `a` to `b`, and those from `b` to `a` unless `one_way` is set."""
@@ -609,7 +609,7 @@
     def unsilence(self, connection: RelayedConnection) -> None:
         """Unblock a connection that was silenced."""
         connection.silent = False
-        self.stage.soon(self.judge)
+        self.stage.soon(self.update)
 
     def reset(self, connection: RelayedConnection) -> None:
         """Reset a connection towards both ends."""
@@ -619,42 +619,42 @@
         """Refuse new connections to a machine's port."""
         _, named = self._ports.get((machine.ip, port), (machine, port))
         self._refusing[machine.name, named] += 1
-        self.stage.soon(self.judge)
+        self.stage.soon(self.update)
 
     def stop_refusing(self, machine: RealMachine, port: int) -> None:
         """End one refusal of connections to a machine's port."""
         _, named = self._ports.get((machine.ip, port), (machine, port))
         self._refusing[machine.name, named] -= 1
-        self.stage.soon(self.judge)
+        self.stage.soon(self.update)
 
     def swallow_connects(self, machine: RealMachine) -> None:
         """Leave new connections to a machine unanswered."""
         machine.swallows = True
-        self.stage.soon(self.judge)
+        self.stage.soon(self.update)
 
     def stop_swallowing(self, machine: RealMachine) -> None:
         """Answer new connections to a machine again."""
         machine.swallows = False
-        self.stage.soon(self.judge)
+        self.stage.soon(self.update)
 
-    def lose(self, machine: RealMachine) -> None:
+    def cut_power(self, machine: RealMachine) -> None:
         """Simulate a machine's loss of power: its connections stay open but nothing passes on them."""
         for relay in list(self.relays.values()):
-            if machine in (relay.way.server, relay.way.client):
+            if machine in (relay.route.server, relay.route.client):
                 relay.machine_lost = True
-        self.stage.soon(self.judge)
+        self.stage.soon(self.update)
 
-    def find(self, machine: RealMachine) -> None:
+    def restore_power(self, machine: RealMachine) -> None:
         """Simulate a machine's return: its old connections are reset, since it has forgotten them."""
         for relay in list(self.relays.values()):
-            if relay.machine_lost and machine in (relay.way.server, relay.way.client):
-                relay.reset("client" if machine is relay.way.server else "server")
-        self.stage.soon(self.judge)
+            if relay.machine_lost and machine in (relay.route.server, relay.route.client):
+                relay.reset("client" if machine is relay.route.server else "server")
+        self.stage.soon(self.update)
 
     def close(self) -> None:
         """End all relays and stop listening everywhere."""
         for relay in list(self.relays.values()):
             relay.end()
-        for way in self._ways.values():
-            way.close()
-        self._ways.clear()
+        for route in self._routes.values():
+            route.close()
+        self._routes.clear()
--- a/brambleusher/lab/processes/stage.py
+++ b/brambleusher/lab/processes/stage.py
@@ -79,7 +79,7 @@
             reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             reservation.bind((self.ip, 0))
             self._reserved_ports[port] = reservation
-            self.stage.network.own(reservation.getsockname()[:2], self, port)
+            self.stage.network.register_port(reservation.getsockname()[:2], self, port)
         address: Address = self._reserved_ports[port].getsockname()[:2]
         return address
 
@@ -106,21 +106,21 @@
 
         def over() -> None:
             self.holds = False
-            self.stage.network.judge()
+            self.stage.network.update()
 
         self.stage.after(wait_ns, over)
 
     def vanish(self) -> None:
         """Simulate a loss of power: connections lead nowhere, and all stand-ins end."""
         self.gone = True
-        self.stage.network.lose(self)
+        self.stage.network.cut_power(self)
         for each in self._stand_ins:
             each.kill(reset=True)
 
     def come_back(self) -> None:
         """Restore the power, without any process running."""
         self.gone = False
-        self.stage.network.find(self)
+        self.stage.network.restore_power(self)
 
     def shift_wall(self, by_ns: int) -> None:
         """Shift the wall clock that this machine's processes read, forward or back."""
@@ -144,7 +144,7 @@
         self.system = RigSystem()
         self.scheduler = Scheduler(self.system)
         self.network = RealNetwork(self)
-        self.system.heard = self.network.heard
+        self.system.set_listening = self.network.set_listening
         self.machines: dict[str, RealMachine] = {}
         self.taps: list[Any] = []
         self.step_done: list[Callable[[], object]] = []
@@ -189,7 +189,7 @@
         for hook in self.step_done:
             hook()
 
-    def tell(self, what: str, *args: Any) -> None:
+    def notify_taps(self, what: str, *args: Any) -> None:
         """Report an event to all taps; an exception from a tap ends the run."""
         try:
             for tap in self.taps:
