--- a/brambleusher/lab/processes/fleet.py
+++ b/brambleusher/lab/processes/fleet.py
@@ -241,7 +241,7 @@
             # The configured number of sockets, plus the descriptors that the interpreter itself has open.
             usual = self.figures.sockets + 2 * STANDARD_DESCRIPTORS
             self.process.limit = min([usual, *(limit for _, limit in self._squeezes)])
-        self.machine_on_rig.squeezed = bool(self._squeezes)
+        self.machine_on_rig.descriptors_limited = bool(self._squeezes)
         self.fleet.audience.starved(self.stage.now_ns, self.machine.name, bool(self._squeezes))
 
     def state(self) -> SidecarEnd:
--- a/brambleusher/lab/processes/relays.py
+++ b/brambleusher/lab/processes/relays.py
@@ -131,7 +131,7 @@
         self._last.clear()
         for _, what, args in sorted(batch, key=lambda each: each[0]):
             self._stage.notify_taps(what, *args)
-        self._stage.stepped()
+        self._stage.run_step_hooks()
 
 
 class RealLink:
@@ -207,7 +207,7 @@
             self.end()
             return
         feed.add(ORDER_FIRST, "established", conn)
-        if not route.server.squeezed:
+        if not route.server.descriptors_limited:
             self.accepted()
         link = self.network.link
         self.directions = [
@@ -294,7 +294,7 @@
         route = self.route
         return (
             direction.link.cut or self.conn.silent or self.machine_lost or route.server.gone
-            or route.client.gone or route.server.holds or route.client.holds
+            or route.client.gone or route.server.stand_ins_paused or route.client.stand_ins_paused
         )  # fmt: skip
 
     def _deliver(self, direction: _Direction, data: bytes) -> None:
@@ -309,7 +309,7 @@
         feed, conn = self.network.feed, self.conn
         other = "server" if direction.side == "client" else "client"
         feed.add(ORDER_FIRST, "arrived", conn, other, data)
-        if other == "server" and self.route.server.program:
+        if other == "server" and self.route.server.runs_sidecar:
             self._unread += len(data)
             self._arrived_ns = self.stage.now_ns
         else:
@@ -317,11 +317,11 @@
 
     def _report_sent(self, direction: _Direction, data: bytes) -> None:
         feed, conn, order = self.network.feed, self.conn, ORDER_FIRST
-        if direction.side == "server" and self.route.server.program:
+        if direction.side == "server" and self.route.server.runs_sidecar:
             order = ORDER_ANSWER
             self.accepted()
             self._report_read(order)
-        elif direction.side == "client" and self.route.client.program:
+        elif direction.side == "client" and self.route.client.runs_sidecar:
             order = ORDER_SEND
         feed.add(order, "sent", conn, direction.side, data)
 
@@ -338,7 +338,7 @@
         direction.over = True
         order = ORDER_FIRST
         mine = self.route.server if direction.side == "server" else self.route.client
-        if mine.program:
+        if mine.runs_sidecar:
             order = ORDER_CLOSE
             # An orderly close proves that all bytes were read, unless the last ones may have crossed it.
             crossing = self.stage.now_ns - self._arrived_ns <= CROSSING_NS
@@ -414,7 +414,7 @@
         self._listener = self._bind_listener()
         self.address: Address = self._listener.getsockname()[:2]
         # Taps identify sidecars by the address where they listen, other servers by this listener's address.
-        self.reported_address: Address = self.target if server.program else self.address
+        self.reported_address: Address = self.target if server.runs_sidecar else self.address
         self.update()
 
     def _bind_listener(self) -> socket.socket:
@@ -584,7 +584,7 @@
     def _set_cut(self, a: RealMachine, b: RealMachine, one_way: bool, cut: bool) -> None:
         for pair in ((a, b),) if one_way else ((a, b), (b, a)):
             self.link(*pair).cut = cut
-        self.stage.soon(self.update)
+        self.stage.call_soon_once(self.update)
 
     def cut(self, a: RealMachine, b: RealMachine, one_way: bool = False) -> None:
         """Block all bytes from `a` to `b`, and those from `b` to `a` unless `one_way` is set."""
@@ -609,7 +609,7 @@
     def unsilence(self, connection: RelayedConnection) -> None:
         """Unblock a connection that was silenced."""
         connection.silent = False
-        self.stage.soon(self.update)
+        self.stage.call_soon_once(self.update)
 
     def reset(self, connection: RelayedConnection) -> None:
         """Reset a connection towards both ends."""
@@ -619,37 +619,37 @@
         """Refuse new connections to a machine's port."""
         _, named = self._ports.get((machine.ip, port), (machine, port))
         self._refusing[machine.name, named] += 1
-        self.stage.soon(self.update)
+        self.stage.call_soon_once(self.update)
 
     def stop_refusing(self, machine: RealMachine, port: int) -> None:
         """End one refusal of connections to a machine's port."""
         _, named = self._ports.get((machine.ip, port), (machine, port))
         self._refusing[machine.name, named] -= 1
-        self.stage.soon(self.update)
+        self.stage.call_soon_once(self.update)
 
     def swallow_connects(self, machine: RealMachine) -> None:
         """Leave new connections to a machine unanswered."""
         machine.swallows = True
-        self.stage.soon(self.update)
+        self.stage.call_soon_once(self.update)
 
     def stop_swallowing(self, machine: RealMachine) -> None:
         """Answer new connections to a machine again."""
         machine.swallows = False
-        self.stage.soon(self.update)
+        self.stage.call_soon_once(self.update)
 
     def cut_power(self, machine: RealMachine) -> None:
         """Simulate a machine's loss of power: its connections stay open but nothing passes on them."""
         for relay in list(self.relays.values()):
             if machine in (relay.route.server, relay.route.client):
                 relay.machine_lost = True
-        self.stage.soon(self.update)
+        self.stage.call_soon_once(self.update)
 
     def restore_power(self, machine: RealMachine) -> None:
         """Simulate a machine's return: its old connections are reset, since it has forgotten them."""
         for relay in list(self.relays.values()):
             if relay.machine_lost and machine in (relay.route.server, relay.route.client):
                 relay.reset("client" if machine is relay.route.server else "server")
-        self.stage.soon(self.update)
+        self.stage.call_soon_once(self.update)
 
     def close(self) -> None:
         """End all relays and stop listening everywhere."""
--- a/brambleusher/lab/processes/stage.py
+++ b/brambleusher/lab/processes/stage.py
@@ -60,10 +60,12 @@
 class RealMachine:
     """A loopback address and the processes that run there; `program` tells that a sidecar runs there."""
 
-    def __init__(self, stage: RealStage, name: str, ip: str, program: bool) -> None:
-        self.stage, self.name, self.ip, self.program = stage, name, ip, program
-        self.gone = self.swallows = self.squeezed = False
-        self.holds = False  # whether its stand-ins are paused while the kernel still accepts connections
+    def __init__(self, stage: RealStage, name: str, ip: str, runs_sidecar: bool) -> None:
+        self.stage, self.name, self.ip, self.runs_sidecar = stage, name, ip, runs_sidecar
+        self.gone = self.swallows = self.descriptors_limited = False
+        self.stand_ins_paused = (
+            False  # whether its stand-ins are paused while the kernel still accepts connections
+        )
         self.process: Stoppable | None = None  # the sidecar's process, if a sidecar runs here
         self.wall_file = stage.folder / f"{name}.wall"
         self.wall_file.write_bytes(struct.pack("<q", 0))
@@ -102,10 +104,10 @@
                 process.stop(True)
                 self.stage.after(wait_ns, lambda: process.stop(False))
             return
-        self.holds = True
+        self.stand_ins_paused = True
 
         def over() -> None:
-            self.holds = False
+            self.stand_ins_paused = False
             self.stage.network.update()
 
         self.stage.after(wait_ns, over)
@@ -168,7 +170,7 @@
     def _check_lateness(self, due: float) -> None:
         now = self.scheduler.now()
         self.timer_lateness_s.append(now - due)
-        self.stepped()
+        self.run_step_hooks()
         self.scheduler.call_at(
             now + TIMER_CHECK_SECONDS, lambda: self._check_lateness(now + TIMER_CHECK_SECONDS)
         )
@@ -184,7 +186,7 @@
         """Record the processor time and the elapsed time since `begin_measure`."""
         self.cpu_s, self.measured_s = time.process_time() - begun[0], time.monotonic() - begun[1]
 
-    def stepped(self) -> None:
+    def run_step_hooks(self) -> None:
         """Call the step hooks, after events were reported or time has passed."""
         for hook in self.step_done:
             hook()
@@ -199,7 +201,7 @@
                 self.failure = error
             self.scheduler.stop()
 
-    def soon(self, call: Callable[[], None]) -> None:
+    def call_soon_once(self, call: Callable[[], None]) -> None:
         """Schedule a call for the next round of the scheduler, once even if it is requested several times."""
         if call not in self._pending_calls:
             self._pending_calls.add(call)
