--- a/brambleusher/lab/processes/drill.py
+++ b/brambleusher/lab/processes/drill.py
@@ -24,7 +24,7 @@
 from brambleusher.lab.processes.breakages import apply_breakage
 from brambleusher.lab.processes.fleet import PerSidecarAudience, RealFleet, raise_descriptor_limit
 from brambleusher.lab.processes.stage import RealStage
-from brambleusher.lab.processes.watch import Watch
+from brambleusher.lab.processes.watch import UsageSampler
 from brambleusher.lab.stand_ins.settings import Ask, Part, Positive, Seconds, Settings
 from brambleusher.lab.virtual.explore import Raised, fleet_limits, listening
 from brambleusher.lab.virtual.world import Tap
@@ -242,7 +242,11 @@
         fleet = RealFleet(scenario, stage, breakage=breakage)
         checker = Checker(rules, fleet.executions)
         fleet.audience = cast(Any, PerSidecarAudience(fleet, checker))
-        sums, watch, made = Sums(stage.now_ns, fleet_limits(scenario, rules)), Watch(fleet), stage.now_ns
+        sums, usage, made = (
+            Sums(stage.now_ns, fleet_limits(scenario, rules)),
+            UsageSampler(fleet),
+            stage.now_ns,
+        )
         stage.taps += [checker, sums]
         stage.step_done.append(lambda: checker.step(stage.now_ns))
         fleet.start()
@@ -253,7 +257,7 @@
         ends = fleet.quiesce()
         checker.finish(stage.now_ns, [text for end in ends for text in end.left_over()])
         sums.finish(fleet.executions)
-        outcome.curves = (*sums.curves, *watch.curves)
+        outcome.curves = (*sums.curves, *usage.curves)
         outcome.begins_s = (fleet.begins_ns - made) / SECOND
         _evaluate(drill, fleet, checker, outcome)
         _record_measurements(stage, fleet, outcome)
--- a/brambleusher/lab/processes/told.py
+++ b/brambleusher/lab/processes/told.py
@@ -45,11 +45,11 @@
                 folder = logs / path.stem if logs is not None else Path(tempfile.mkdtemp(prefix="drill-"))
             outcome = play(drill, world, folder, breakage)
             verdicts.add(outcome.verdict)
-            print(as_line(path, outcome) if as_json else row(path, outcome), flush=True)
+            print(as_json_line(path, outcome) if as_json else row(path, outcome), flush=True)
             if sums and not as_json:
-                print("\n".join(f"    {line}" for line in curves(outcome)), flush=True)
+                print("\n".join(f"    {line}" for line in curve_lines(outcome)), flush=True)
             if outcome.verdict != "ok":
-                tell(path, outcome, folder, breakage)
+                print_failure(path, outcome, folder, breakage)
             elif folder is not None and logs is None:
                 shutil.rmtree(folder)
     return 1 if "FAILED" in verdicts else 3 if "LATE" in verdicts else 0
@@ -75,19 +75,19 @@
     return f"{line} {out.relay_p99_ms:6.1f} ms {rig:5.2f} {out.sidecar_cpu_s:7.1f} s {out.sidecar_mb:4.0f}"
 
 
-def curves(out: Outcome) -> list[str]:
+def curve_lines(out: Outcome) -> list[str]:
     """Return a table of fleet-wide totals and the resources of processes, with one line for each second."""
     return [*table(out.curves), f"requests come from {out.begins_s:.1f} s on"]
 
 
-def as_line(path: Path, out: Outcome) -> str:
+def as_json_line(path: Path, out: Outcome) -> str:
     """Return one play as a line of JSON."""
     raw = asdict(out)
     raw["breaches"] = [str(breach) for breach in out.breaches]
     return json.dumps({"drill": path.stem, "verdict": out.verdict, **raw})
 
 
-def tell(path: Path, out: Outcome, folder: Path | None, breakage: str) -> None:
+def print_failure(path: Path, out: Outcome, folder: Path | None, breakage: str) -> None:
     """Print to stderr why a play did not pass, where its logs are, and how to play the drill again."""
     for text in [*out.late, *out.missed]:
         print(f"    {text}", file=sys.stderr)
--- a/brambleusher/lab/processes/watch.py
+++ b/brambleusher/lab/processes/watch.py
@@ -10,7 +10,7 @@
 SAMPLE_INTERVAL_NS = SECOND  # the time in nanoseconds between two samples of one process
 
 
-class Watch:
+class UsageSampler:
     """Samples each process once a second, at staggered times: many samples at once would delay the rig."""
 
     def __init__(self, fleet: RealFleet) -> None:
