--- a/brambleusher/lab/processes/real_fleet.py
+++ b/brambleusher/lab/processes/real_fleet.py
@@ -47,7 +47,7 @@
     """A sidecar ended by itself, or did not become ready in time."""
 
 
-def text_of(address: Address) -> str:
+def format_address(address: Address) -> str:
     """Return an address as `host:port`."""
     return f"{address[0]}:{address[1]}"
 
@@ -60,7 +60,7 @@
     zone: str
     config: Path
     log: Path
-    figures: socket.socket  # the socket that receives the sidecar's metrics as StatsD datagrams
+    metrics_socket: socket.socket  # the socket that receives the sidecar's metrics as StatsD datagrams
     process: subprocess.Popen[bytes] | None = None
     address: Address | None = None
     admin: str = ""  # the `host:port` of the admin endpoint, or "" while unknown
@@ -211,9 +211,9 @@
     def _receive_metrics(self, sidecar: SidecarProcess) -> None:
         while True:
             try:
-                sidecar.apply_metrics(sidecar.figures.recv(65536))
+                sidecar.apply_metrics(sidecar.metrics_socket.recv(65536))
             except BlockingIOError:
-                self.scheduler.park(sock=sidecar.figures)
+                self.scheduler.park(sock=sidecar.metrics_socket)
 
     # --- while the fleet runs -------------------------------------------------------------------
 
@@ -246,22 +246,22 @@
         """The addresses where the sidecars listen."""
         return [sidecar.address for sidecar in self.sidecars if sidecar.address is not None]
 
-    def plain(self) -> dict[str, Any]:
+    def as_json_values(self) -> dict[str, Any]:
         """Return the fleet's addresses, classes and tenants as JSON values."""
         return {
             "sidecars": [
                 {
                     "name": each.name, "zone": each.zone, "pid": each.process.pid if each.process else None,
-                    "address": text_of(each.address) if each.address else None,
+                    "address": format_address(each.address) if each.address else None,
                 }
                 for each in self.sidecars
             ],
             "nodes": [
                 {"id": figures.id, "zone": figures.zone, "kind": figures.kind,
-                 "address": text_of(node.address) if node.address else None}
+                 "address": format_address(node.address) if node.address else None}
                 for figures, node in self.nodes
             ],
-            "discovery": text_of(self.discovery.address)
+            "discovery": format_address(self.discovery.address)
             if self.discovery is not None and self.discovery.address is not None
             else None,
             "classes": self.world.methods,
@@ -288,7 +288,7 @@
                 killed.append(sidecar.name)
             if sidecar.process is not None:
                 sidecar.process.wait()
-            sidecar.figures.close()
+            sidecar.metrics_socket.close()
         for _, node in self.nodes:
             node.close(reset=False)
         if self.discovery is not None:
@@ -313,9 +313,9 @@
         fields.append(("Tenant", tenant))
     words = " ".join(f"-H '{field}: {value}'" for field, value in fields)
     body = " -d ''" if method == "POST" else ""
-    return f"curl -i {words}{body} http://{text_of(fleet.targets[0])}/{name}"
+    return f"curl -i {words}{body} http://{format_address(fleet.targets[0])}/{name}"
 
 
 def json_line(fleet: RealFleet) -> str:
     """Return the fleet's addresses and a curl command as a line of JSON."""
-    return json.dumps({**fleet.plain(), "curl": curl_line(fleet)})
+    return json.dumps({**fleet.as_json_values(), "curl": curl_line(fleet)})
--- a/brambleusher/lab/processes/up.py
+++ b/brambleusher/lab/processes/up.py
@@ -15,8 +15,8 @@
     RealFleet,
     curl_line,
     folder_for,
+    format_address,
     json_line,
-    text_of,
 )
 from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.runtime.scheduler import Scheduler
@@ -75,14 +75,14 @@
 
 
 def _print_addresses(fleet: RealFleet) -> None:
-    targets = ",".join(map(text_of, fleet.targets))
+    targets = ",".join(map(format_address, fleet.targets))
     zones = ", ".join(fleet.world.zones)
     print(
         f"{len(fleet.nodes)} stand-in nodes in {zones}; {len(fleet.sidecars)} sidecars, ready for requests:"
     )
     for sidecar in fleet.sidecars:
         assert sidecar.address is not None
-        print(f"    {sidecar.name}  http://{text_of(sidecar.address)}  admin endpoint {sidecar.admin}")
+        print(f"    {sidecar.name}  http://{format_address(sidecar.address)}  admin endpoint {sidecar.admin}")
     print(f"\none request by hand:\n    {curl_line(fleet)}")
     print(
         f"\nten minutes of demand, played on it:\n    brambleusher load make -o demand\n"
@@ -132,7 +132,7 @@
     for each in fleet.sidecars:
         counts = each.counts
         sidecars.add_row(
-            each.name, each.zone, text_of(each.address) if each.address else "", each.state,
+            each.name, each.zone, format_address(each.address) if each.address else "", each.state,
             *(
                 f"{counts.get(name, 0):,}"
                 for name in ("requests", "answers_served", "answers_refused", "answers_failed", "inflight")
