--- a/brambleusher/lab/soak/coincidences.py
+++ b/brambleusher/lab/soak/coincidences.py
@@ -33,7 +33,9 @@
 
     def __init__(self) -> None:
         self.counts: Counter[Pair] = Counter()
-        self.judged: Counter[Pair] = Counter()  # counts of overlaps in which a run had to end with its client
+        self.checked_counts: Counter[Pair] = (
+            Counter()
+        )  # counts of overlaps in which a run had to end with its client
 
     def add(self, record: SoakRecord) -> None:
         """Add one soak; each fault and each change counts once for each kind of event that it overlaps."""
@@ -54,10 +56,10 @@
         for kind, since_s, until_s in faults:
             self.counts.update(_overlapping(kind, since_s, until_s, left))
             self.counts.update(_overlapping(kind, since_s, until_s, changes))
-            self.judged.update(_overlapping(kind, since_s, until_s, running))
+            self.checked_counts.update(_overlapping(kind, since_s, until_s, running))
         for at_s, kind in changes:
             self.counts.update((act, kind) for act in _kinds_within(at_s, at_s, left))
-            self.judged.update((act, kind) for act in _kinds_within(at_s, at_s, running))
+            self.checked_counts.update((act, kind) for act in _kinds_within(at_s, at_s, running))
 
     def rows(self) -> list[str]:
         """Return a table for each group: counts of overlaps, and of those with a checked departure."""
@@ -71,16 +73,16 @@
 
     def _cell(self, pair: Pair) -> str:
         has_act = pair[0] in ACTS or pair[1] in ACTS
-        return f"{self.counts[pair]} ({self.judged[pair]})" if has_act else str(self.counts[pair])
+        return f"{self.counts[pair]} ({self.checked_counts[pair]})" if has_act else str(self.counts[pair])
 
     def rarest(self) -> tuple[Pair, int]:
         """Return the pair that overlapped least often, with its count."""
         pair = min(all_pairs(), key=lambda each: self.counts[each])
         return pair, self.counts[pair]
 
-    def never_judged(self) -> list[Pair]:
+    def never_checked(self) -> list[Pair]:
         """Return the pairs with an act of a client for which no departure was checked."""
-        return [pair for pair in all_pairs() if set(pair) & set(ACTS) and not self.judged[pair]]
+        return [pair for pair in all_pairs() if set(pair) & set(ACTS) and not self.checked_counts[pair]]
 
 
 def _kinds_within(since_s: float, until_s: float, events: list[tuple[float, str]]) -> set[str]:
--- a/tests/lab/test_soak_departures.py
+++ b/tests/lab/test_soak_departures.py
@@ -85,10 +85,10 @@
     seen = Coincidences()
     seen.add(record)
     assert dict(seen.counts) == {("hang_instance", "half-close"): 1, ("half-close", "kill"): 1}
-    assert dict(seen.judged) == dict(seen.counts)
+    assert dict(seen.checked_counts) == dict(seen.counts)
     assert seen.rarest()[1] == 0
-    assert ("half-close", "kill") not in seen.never_judged()
-    assert ("close", "kill") in seen.never_judged()
+    assert ("half-close", "kill") not in seen.never_checked()
+    assert ("close", "kill") in seen.never_checked()
     assert any("1 (1)" in row for row in seen.rows())
 
 
