--- a/brambleusher/lab/soak/checks.py
+++ b/brambleusher/lab/soak/checks.py
@@ -150,10 +150,10 @@
 
     def _check_departed(self, departure: Departure) -> None:
         """Check that no run begins or continues after its client left, except runs that must be finished."""
-        if departure.beyond_own_lateness_s > self._departed_s:
+        if departure.unexplained_s > self._departed_s:
             what = (
                 f"{departure.attempt} ({departure.kind}) at {departure.process} continued for "
-                f"{departure.beyond_own_lateness_s:.3f} s, {departure.state.value} when its client left"
+                f"{departure.unexplained_s:.3f} s, {departure.state.value} when its client left"
             )
             self._add("departed", departure.left_s, what)
 
--- a/brambleusher/lab/soak/departures.py
+++ b/brambleusher/lab/soak/departures.py
@@ -45,13 +45,13 @@
     process: str
     state: DepartedState
     left_s: float
-    went_on_s: float  # the time from `left_s` to the end of the last run; 0 if no run continued or began
-    own_lateness_s: float  # the part of `went_on_s` in which the soak itself stalled
+    continued_s: float  # the time from `left_s` to the end of the last run; 0 if no run continued or began
+    own_stall_s: float  # the part of `went_on_s` in which the soak itself stalled
 
     @property
-    def beyond_own_lateness_s(self) -> float:
+    def unexplained_s(self) -> float:
         """The part of `went_on_s` that is not explained by stalls of the soak itself."""
-        return max(0.0, self.went_on_s - self.own_lateness_s)
+        return max(0.0, self.continued_s - self.own_stall_s)
 
 
 class _Stalls:
@@ -129,9 +129,7 @@
             histogram = self._histograms.setdefault(
                 (program, departure.state), HdrHistogram(1, UNENDED_RUN_US, DIGITS)
             )
-            histogram.record_value(
-                min(UNENDED_RUN_US, max(1, int(departure.beyond_own_lateness_s * US_PER_S)))
-            )
+            histogram.record_value(min(UNENDED_RUN_US, max(1, int(departure.unexplained_s * US_PER_S))))
 
     def rows(self) -> list[str]:
         """Return the lines of a table by program and state, with times in milliseconds."""
--- a/tests/lab/test_soak_departures.py
+++ b/tests/lab/test_soak_departures.py
@@ -47,11 +47,11 @@
     ],
 )
 def test_a_departure_has_a_state_and_a_time(
-    runs: list[RunRecord], state: DepartedState, went_on_s: float
+    runs: list[RunRecord], state: DepartedState, continued_s: float
 ) -> None:
     (found,) = departures(SoakRecord([left()], runs))
     assert found.state is state
-    assert found.went_on_s == pytest.approx(went_on_s)
+    assert found.continued_s == pytest.approx(continued_s)
 
 
 def test_a_request_that_is_finished_alone_counts_how_late_its_runs_begin() -> None:
@@ -62,11 +62,11 @@
     """
     notice = left(RequestKind.NOTICE)
     (found,) = departures(SoakRecord([notice], [run(10.1, 13.0)]))
-    assert found.went_on_s == 0.0
+    assert found.continued_s == 0.0
     (found,) = departures(SoakRecord([notice], [run(10.501, 13.1)]))
-    assert found.went_on_s == pytest.approx(0.001)
+    assert found.continued_s == pytest.approx(0.001)
     (found,) = departures(SoakRecord([notice], [run(11.2, 11.3)]))
-    assert found.went_on_s == pytest.approx(0.7)
+    assert found.continued_s == pytest.approx(0.7)
 
 
 def test_times_are_told_by_program_and_state() -> None:
