--- a/brambleusher/lab/soak/checks.py
+++ b/brambleusher/lab/soak/checks.py
@@ -216,15 +216,15 @@
         """Check that after the soak no process leaks resources, and that every gateway serves requests."""
         for line in self._record.faulty_log_lines:
             self._add("log", 0.0, line)
-        for use in self._record.last_uses:
+        for use in self._record.final_usages:
             if use.resident_mb > RESIDENT_MAX_MB or use.descriptors > DESCRIPTORS_MAX:
                 what = f"{use.process} holds {use.resident_mb:.0f} MB and {use.descriptors} descriptors"
                 self._add("bounds", 0.0, what)
-        for gateway, metrics in self._record.last_metrics.items():
+        for gateway, metrics in self._record.final_metrics.items():
             for name in ("active_requests", "departed_requests", "attempts_in_flight"):
                 value = metrics.get(f"brambleusher_gateway_{name}")
                 if value != 0:
                     self._add("left-over", 0.0, f"{gateway}: {name} is {value}")
-        for gateway, statuses in self._record.last_statuses.items():
+        for gateway, statuses in self._record.final_statuses.items():
             if any(status != HTTPStatus.OK for status in statuses):
                 self._add("recovery", 0.0, f"{gateway} answers {statuses} after all faults have ended")
--- a/brambleusher/lab/soak/coincidences.py
+++ b/brambleusher/lab/soak/coincidences.py
@@ -52,7 +52,7 @@
             if (act := acts[departure.attempt]) is not None
         ]
         changes = [(change.at_s, change.kind) for change in record.change_events]
-        faults = {(spell.kind, spell.since_s, spell.until_s) for spell in record.fault_spells}
+        faults = {(interval.kind, interval.since_s, interval.until_s) for interval in record.fault_intervals}
         for kind, since_s, until_s in faults:
             self.counts.update(_overlapping(kind, since_s, until_s, left))
             self.counts.update(_overlapping(kind, since_s, until_s, changes))
--- a/brambleusher/lab/soak/departures.py
+++ b/brambleusher/lab/soak/departures.py
@@ -81,7 +81,7 @@
     runs: dict[str, list[RunRecord]] = defaultdict(list)
     for run in record.runs:
         runs[run.attempt].append(run)
-    late = _Stalls(record.late_spells)
+    late = _Stalls(record.own_stalls)
     for request in record.requests:
         if request.outcome is RequestOutcome.LEFT:
             yield _departure(request, runs[request.attempt], late)
--- a/brambleusher/lab/soak/processes.py
+++ b/brambleusher/lab/soak/processes.py
@@ -12,7 +12,7 @@
 
 from brambleusher.lab.processes.parent import signal_on_parent_end
 from brambleusher.lab.soak.mutated_process import SIDECAR, SYSTEM
-from brambleusher.lab.soak.records import ProcessEvent, ProcessEventKind, ProcessUse, SoakRecord
+from brambleusher.lab.soak.records import ProcessEvent, ProcessEventKind, ProcessUsage, SoakRecord
 from brambleusher.lab.soak.settings import (
     CONTROL_PORT,
     DIRECTORY_PORT,
@@ -115,7 +115,7 @@
         temporary.write_text(self._settings(self.starts == 0), encoding="utf-8")
         temporary.replace(self.settings_path)
 
-    def use(self) -> ProcessUse | None:
+    def measure_usage(self) -> ProcessUsage | None:
         """Return the memory and descriptors that the process uses, or None if it is not running."""
         if self.popen is None:
             return None
@@ -125,7 +125,7 @@
             descriptors = len(list((folder / "fd").iterdir()))
         except OSError:
             return None
-        return ProcessUse(self.name, pages * PAGE_BYTES / KIB_PER_MIB / KIB_PER_MIB, descriptors)
+        return ProcessUsage(self.name, pages * PAGE_BYTES / KIB_PER_MIB / KIB_PER_MIB, descriptors)
 
 
 class Processes:
--- a/brambleusher/lab/soak/records.py
+++ b/brambleusher/lab/soak/records.py
@@ -107,7 +107,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class InstanceFaultSpell:
+class InstanceFaultInterval:
     """An interval in which an instance had a fault."""
 
     instance: str
@@ -142,7 +142,7 @@
 
 
 @dataclass(slots=True)
-class ProcessUse:
+class ProcessUsage:
     """The resources that a process used at one moment."""
 
     process: str
@@ -161,11 +161,13 @@
     # Pairs of revisions on the same base revision that were both acknowledged.
     conflicts: list[tuple[int, int]] = field(default_factory=list)
     reads: list[ConfigurationRead] = field(default_factory=list)
-    last_uses: list[ProcessUse] = field(default_factory=list)
-    last_metrics: dict[str, dict[str, float]] = field(default_factory=dict)  # final metrics by gateway
-    last_statuses: dict[str, list[int]] = field(default_factory=dict)  # statuses of final requests by gateway
+    final_usages: list[ProcessUsage] = field(default_factory=list)
+    final_metrics: dict[str, dict[str, float]] = field(default_factory=dict)  # final metrics by gateway
+    final_statuses: dict[str, list[int]] = field(
+        default_factory=dict
+    )  # statuses of final requests by gateway
     # Intervals in which the soak itself stalled.
-    late_spells: list[tuple[float, float]] = field(default_factory=list)
+    own_stalls: list[tuple[float, float]] = field(default_factory=list)
     faulty_log_lines: list[str] = field(default_factory=list)
-    fault_spells: list[InstanceFaultSpell] = field(default_factory=list)
+    fault_intervals: list[InstanceFaultInterval] = field(default_factory=list)
     change_events: list[ChangeEvent] = field(default_factory=list)
--- a/brambleusher/lab/soak/run.py
+++ b/brambleusher/lab/soak/run.py
@@ -21,7 +21,7 @@
 from brambleusher.lab.soak.records import (
     ChangeEvent,
     ClientAct,
-    InstanceFaultSpell,
+    InstanceFaultInterval,
     RequestKind,
     RequestRecord,
     SoakRecord,
@@ -68,7 +68,7 @@
     took_s: float
 
     def _late_s(self) -> float:
-        return sum(until_s - since_s for since_s, until_s in self.record.late_spells)
+        return sum(until_s - since_s for since_s, until_s in self.record.own_stalls)
 
     def summary(self) -> str:
         """Return the result as one line."""
@@ -198,7 +198,7 @@
             since_s = self._now()
             self._scheduler.sleep(STALL_CHECK_S)
             if self._now() - since_s > STALL_CHECK_S + LATENESS_MIN_S:
-                self._record.late_spells.append((since_s + STALL_CHECK_S, self._now()))
+                self._record.own_stalls.append((since_s + STALL_CHECK_S, self._now()))
 
     def _execute_plan(self, actions: list[ScheduledAction]) -> None:
         begun_s = self._scheduler.now()
@@ -230,10 +230,12 @@
                 RECOVERY_TIMEOUT_S,
                 f"{name} did not return its configuration",
             )
-        record.last_uses = [use for process in self._processes.by_name.values() if (use := process.use())]
+        record.final_usages = [
+            use for process in self._processes.by_name.values() if (use := process.measure_usage())
+        ]
         for name, ip in self._gateways.items():
-            record.last_statuses[name] = [self._last_request(name, ip) for _ in range(LAST_REQUESTS)]
-            record.last_metrics[name] = self._metrics(ip)
+            record.final_statuses[name] = [self._last_request(name, ip) for _ in range(LAST_REQUESTS)]
+            record.final_metrics[name] = self._metrics(ip)
 
     def _answers_read(self, controller: str) -> bool:
         return self._operator.read(controller) is not None
@@ -271,8 +273,8 @@
         name = names[action.kind]
         self._set_fault(target, name, True)
         since_s = self._now()
-        spell = InstanceFaultSpell(target.name, action.kind.value, since_s, since_s + action.duration_s)
-        self._record.fault_spells.append(spell)
+        interval = InstanceFaultInterval(target.name, action.kind.value, since_s, since_s + action.duration_s)
+        self._record.fault_intervals.append(interval)
         until = self._scheduler.now() + action.duration_s
         self._scheduler.call_at(until, lambda: self._set_fault(target, name, False))
 
--- a/tests/lab/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -20,7 +20,7 @@
     ConfigurationRead,
     ProcessEvent,
     ProcessEventKind,
-    ProcessUse,
+    ProcessUsage,
     RequestKind,
     RequestOutcome,
     RequestRecord,
@@ -121,10 +121,10 @@
     ]
     record.changes = [AcknowledgedChange(2, 11.0)]
     record.reads = [ConfigurationRead("c", 20.0, 2)]
-    record.last_statuses = {"g": [200, 200]}
-    record.last_uses = [ProcessUse("g", 40.0, 30)]
+    record.final_statuses = {"g": [200, 200]}
+    record.final_usages = [ProcessUsage("g", 40.0, 30)]
     names = ("active_requests", "departed_requests", "attempts_in_flight")
-    record.last_metrics = {"g": {f"brambleusher_gateway_{name}": 0.0 for name in names}}
+    record.final_metrics = {"g": {f"brambleusher_gateway_{name}": 0.0 for name in names}}
     assert broken(record) == []
 
 
@@ -191,9 +191,9 @@
     assert broken(SoakRecord([left], [run(begun_s=13.0, ended_s=13.1)])) == ["departed"]
     late = SoakRecord([left], [run(ended_s=11.7)])
     assert broken(late) == ["departed"]
-    late.late_spells = [(10.6, 11.4)]  # a stall of the soak explains the late end
+    late.own_stalls = [(10.6, 11.4)]  # a stall of the soak explains the late end
     assert broken(late) == []
-    late.late_spells = [(10.6, 10.8), (11.8, 13.0)]  # the stalls are too short, or after the end of the run
+    late.own_stalls = [(10.6, 10.8), (11.8, 13.0)]  # the stalls are too short, or after the end of the run
     assert broken(late) == ["departed"]
     notice = request(RequestKind.NOTICE, outcome=RequestOutcome.LEFT, status=0)
     assert broken(SoakRecord([notice], [run(ended_s=14.0)])) == []
@@ -228,10 +228,10 @@
 
 
 def test_in_the_end_all_serve_and_nothing_is_left_over() -> None:
-    assert broken(SoakRecord(last_statuses={"g": [200, 503]})) == ["recovery"]
-    assert broken(SoakRecord(last_uses=[ProcessUse("g", 400.0, 20)])) == ["bounds"]
-    assert broken(SoakRecord(last_uses=[ProcessUse("g", 40.0, 4000)])) == ["bounds"]
-    assert broken(SoakRecord(last_metrics={"g": {}})) == ["left-over"] * 3
+    assert broken(SoakRecord(final_statuses={"g": [200, 503]})) == ["recovery"]
+    assert broken(SoakRecord(final_usages=[ProcessUsage("g", 400.0, 20)])) == ["bounds"]
+    assert broken(SoakRecord(final_usages=[ProcessUsage("g", 40.0, 4000)])) == ["bounds"]
+    assert broken(SoakRecord(final_metrics={"g": {}})) == ["left-over"] * 3
     assert broken(SoakRecord(faulty_log_lines=["g: Traceback"])) == ["log"]
 
 
--- a/tests/lab/test_soak_departures.py
+++ b/tests/lab/test_soak_departures.py
@@ -10,7 +10,7 @@
 from brambleusher.lab.soak.records import (
     ChangeEvent,
     ClientAct,
-    InstanceFaultSpell,
+    InstanceFaultInterval,
     RequestKind,
     RequestOutcome,
     RequestRecord,
@@ -80,7 +80,7 @@
 
 def test_overlaps_are_counted_by_pairs() -> None:
     record = SoakRecord([left(act=ClientAct.HALF_CLOSE)], [run(10.1, 10.6)])
-    record.fault_spells = [InstanceFaultSpell("i", "hang_instance", 8.0, 9.6)]
+    record.fault_intervals = [InstanceFaultInterval("i", "hang_instance", 8.0, 9.6)]
     record.change_events = [ChangeEvent("kill", 11.4), ChangeEvent("reload", 12.0)]
     seen = Coincidences()
     seen.add(record)
