--- a/brambleusher/cli/soak.py
+++ b/brambleusher/cli/soak.py
@@ -9,7 +9,7 @@
 
 from brambleusher.lab.soak.coincidences import Coincidences
 from brambleusher.lab.soak.departures import DepartureTimes, departures
-from brambleusher.lab.soak.mutations import UnknownMutationError, find
+from brambleusher.lab.soak.mutations import UnknownMutationError, find_mutation
 from brambleusher.lab.soak.run import SoakError, SoakResult, play
 from brambleusher.lab.soak.settings import DEPARTED_S, InvalidSoakSettingsError, SoakSettings
 
@@ -66,7 +66,7 @@
     for seed in seeds_of(seeds):
         try:
             if mutation:
-                find(mutation)
+                find_mutation(mutation)
             settings = SoakSettings(
                 seed,
                 seconds,
--- a/brambleusher/cli/soak_mutations.py
+++ b/brambleusher/cli/soak_mutations.py
@@ -37,7 +37,9 @@
     """
     if is_list:
         for mutation in MUTATIONS.values():
-            print(f"{mutation.name:26} {mutation.program:20} {mutation.text} ({', '.join(mutation.rules)})")
+            print(
+                f"{mutation.name:26} {mutation.program:20} {mutation.description} ({', '.join(mutation.rules)})"
+            )
         return 0
     is_missed = False
     try:
--- a/brambleusher/lab/soak/mutated_process.py
+++ b/brambleusher/lab/soak/mutated_process.py
@@ -20,9 +20,9 @@
     """Apply the mutation, then run the program with the remaining arguments until it exits."""
     name, program, *program_arguments = arguments
     from brambleusher.lab.faults.breakages import Patches  # imported here, since the import is slow
-    from brambleusher.lab.soak.mutations import find
+    from brambleusher.lab.soak.mutations import find_mutation
 
-    find(name).put(Patches())
+    find_mutation(name).apply_to(Patches())
     sys.argv = ["brambleusher", *program_arguments]
     runpy.run_module(MODULES[program], run_name="__main__", alter_sys=True)
 
--- a/brambleusher/lab/soak/mutation_runs.py
+++ b/brambleusher/lab/soak/mutation_runs.py
@@ -6,7 +6,7 @@
 from concurrent.futures import ProcessPoolExecutor, as_completed
 from dataclasses import dataclass
 
-from brambleusher.lab.soak.mutations import MUTATIONS, find
+from brambleusher.lab.soak.mutations import MUTATIONS, find_mutation
 from brambleusher.lab.soak.run import SoakError, play
 from brambleusher.lab.soak.settings import SoakSettings
 
@@ -45,7 +45,7 @@
     Raises:
         UnknownMutationError: A name is not that of a mutation.
     """
-    chosen = [find(name).name for name in names or MUTATIONS]
+    chosen = [find_mutation(name).name for name in names or MUTATIONS]
     with ProcessPoolExecutor(max_workers=jobs) as pool:
         runs = [
             pool.submit(_run_one, name, tuple(seeds), duration_s, number)
@@ -56,7 +56,7 @@
 
 
 def _run_one(name: str, seeds: Sequence[int], duration_s: float, number: int) -> MutationResult:
-    mutation, rules = find(name), set[str]()
+    mutation, rules = find_mutation(name), set[str]()
     played = 0
     for seed in seeds:
         played += 1
--- a/brambleusher/lab/soak/mutations.py
+++ b/brambleusher/lab/soak/mutations.py
@@ -50,9 +50,9 @@
 
     name: str
     program: str  # the program that the fault affects; the patch itself is applied in every process
-    text: str
+    description: str
     rules: tuple[str, ...]
-    put: Callable[[Patches], None]
+    apply_to: Callable[[Patches], None]
 
 
 MUTATIONS: dict[str, SoakMutation] = {}
@@ -66,18 +66,18 @@
 
 
 def mutation(
-    name: str, program: str, text: str, *rules: str
+    name: str, program: str, description: str, *rules: str
 ) -> Callable[[Callable[[Patches], None]], Callable[[Patches], None]]:
     """Return a decorator that registers a patch function as a mutation."""
 
-    def add(put: Callable[[Patches], None]) -> Callable[[Patches], None]:
-        MUTATIONS[name] = SoakMutation(name, program, text, rules, put)
-        return put
+    def add(apply_to: Callable[[Patches], None]) -> Callable[[Patches], None]:
+        MUTATIONS[name] = SoakMutation(name, program, description, rules, apply_to)
+        return apply_to
 
     return add
 
 
-def find(name: str) -> SoakMutation:
+def find_mutation(name: str) -> SoakMutation:
     """Return the mutation with this name; raises `UnknownMutationError`."""
     if name not in MUTATIONS:
         raise UnknownMutationError(name)
--- a/tests/lab/test_soak_mutations.py
+++ b/tests/lab/test_soak_mutations.py
@@ -13,7 +13,7 @@
 from brambleusher.lab.soak import mutation_runs
 from brambleusher.lab.soak.checks import Violation
 from brambleusher.lab.soak.mutation_runs import MutationResult, run_mutations
-from brambleusher.lab.soak.mutations import MUTATIONS, UnknownMutationError, find
+from brambleusher.lab.soak.mutations import MUTATIONS, UnknownMutationError, find_mutation
 from brambleusher.lab.soak.processes import Processes
 from brambleusher.lab.soak.records import SoakRecord
 from brambleusher.lab.soak.run import SoakError, SoakResult
@@ -36,13 +36,13 @@
 @pytest.mark.parametrize("name", MUTATIONS)
 def test_each_can_be_put_in_and_taken_out(name: str) -> None:
     patches = Patches()
-    find(name).put(patches)
+    find_mutation(name).apply_to(patches)
     patches.undo()
 
 
 def test_an_unknown_one_is_named(capsys: pytest.CaptureFixture[str]) -> None:
     with pytest.raises(UnknownMutationError, match="'nope'"):
-        find("nope")
+        find_mutation("nope")
     assert run(["soak-mutations", "nope"]) == 2
     assert "mutation: 'nope'" in capsys.readouterr().err
     assert run(["soak", "--mutation", "nope"]) == 2
