--- a/brambleusher/lab/soak/checks.py
+++ b/brambleusher/lab/soak/checks.py
@@ -18,7 +18,7 @@
     RunRecord,
     SoakRecord,
 )
-from brambleusher.lab.soak.settings import DEPARTED_S, GRACE_S, grace_of
+from brambleusher.lab.soak.settings import DEPARTED_S, GRACE_S, grace_period_s
 from brambleusher.lab.soak.wires import DEADLINE_S
 
 # Statuses that promise that a request has not run and never will.
@@ -121,7 +121,7 @@
 
     def _outlasted_half_grace_period(self, request: RequestRecord, runs: list[RunRecord]) -> bool:
         """Whether an instance still ran the request after half of the gateway's grace period."""
-        grace_s = grace_of(request.gateway)
+        grace_s = grace_period_s(request.gateway)
         was_at_work = any(run.ended_s >= request.ended_s - CLOSE_NOTICE_S for run in runs)
         return was_at_work and any(
             at_s + grace_s / 2 <= request.ended_s <= at_s + grace_s
--- a/brambleusher/lab/soak/clients.py
+++ b/brambleusher/lab/soak/clients.py
@@ -67,7 +67,7 @@
             client = Client(self._scheduler, self._now, rng, GatewayWire())
             self._scheduler.spawn(self._run, client, str(number), self._choose_address, name="client")
 
-    def start_of_sidecar(self, address: str, name: str, count: int, wire: Wire) -> None:
+    def start_sidecar_clients(self, address: str, name: str, count: int, wire: Wire) -> None:
         """Start `count` clients that use only the sidecar at `address`."""
         self._names[address] = name
         for number in range(count):
--- a/brambleusher/lab/soak/processes.py
+++ b/brambleusher/lab/soak/processes.py
@@ -27,7 +27,7 @@
     SIDECAR_PORT,
     ZONES,
     SoakSettings,
-    grace_of,
+    grace_period_s,
 )
 from brambleusher.lab.soak.sidecars import sidecar_configuration
 from brambleusher.runtime.scheduler import Scheduler, Timer
@@ -88,7 +88,7 @@
         self.name, self.ip = name, ip
         self.command, self._settings = command, settings
         self.settings_path = folder / f"{name}.settings"
-        self.grace_s = grace_of(name)
+        self.grace_s = grace_period_s(name)
         self.log_path = folder / f"{name}.log"
         self.popen: subprocess.Popen[bytes] | None = None
         self.starts = 0
--- a/brambleusher/lab/soak/run.py
+++ b/brambleusher/lab/soak/run.py
@@ -190,7 +190,7 @@
         self._clients.start(self._settings.clients)
         for name in self._settings.sidecar_names:
             address = f"{self._processes.by_name[name].ip}:{SIDECAR_PORT}"
-            self._clients.start_of_sidecar(address, name, SIDECAR_CLIENTS, SidecarWire())
+            self._clients.start_sidecar_clients(address, name, SIDECAR_CLIENTS, SidecarWire())
 
     def _record_own_stalls(self) -> None:
         """Record when this process stalled, since it observed events late at those times."""
--- a/brambleusher/lab/soak/settings.py
+++ b/brambleusher/lab/soak/settings.py
@@ -22,7 +22,7 @@
 DEPARTED_MIN_S = 0.05  # the lowest limit that may be set; an event loop that is not late needs less time
 
 
-def grace_of(process: str) -> float:
+def grace_period_s(process: str) -> float:
     """Return the grace period of a process: the seconds between SIGTERM and SIGKILL."""
     return SIDECAR_GRACE_S if process.startswith("sidecar") else GRACE_S
 
