--- a/brambleusher/cli/soak_mutations.py
+++ b/brambleusher/cli/soak_mutations.py
@@ -38,7 +38,7 @@
     if is_list:
         for mutation in MUTATIONS.values():
             print(
-                f"{mutation.name:26} {mutation.program:20} {mutation.description} ({', '.join(mutation.rules)})"
+                f"{mutation.name:26} {mutation.program:20} {mutation.summary} ({', '.join(mutation.rules)})"
             )
         return 0
     is_missed = False
--- a/brambleusher/lab/soak/departures.py
+++ b/brambleusher/lab/soak/departures.py
@@ -46,11 +46,11 @@
     state: DepartedState
     left_s: float
     continued_s: float  # the time from `left_s` to the end of the last run; 0 if no run continued or began
-    own_stall_s: float  # the part of `went_on_s` in which the soak itself stalled
+    own_stall_s: float  # the part of `continued_s` in which the soak itself stalled
 
     @property
     def unexplained_s(self) -> float:
-        """The part of `went_on_s` that is not explained by stalls of the soak itself."""
+        """The part of `continued_s` that is not explained by stalls of the soak itself."""
         return max(0.0, self.continued_s - self.own_stall_s)
 
 
--- a/brambleusher/lab/soak/mutations.py
+++ b/brambleusher/lab/soak/mutations.py
@@ -50,7 +50,7 @@
 
     name: str
     program: str  # the program that the fault affects; the patch itself is applied in every process
-    description: str
+    summary: str
     rules: tuple[str, ...]
     apply_to: Callable[[Patches], None]
 
@@ -66,12 +66,12 @@
 
 
 def mutation(
-    name: str, program: str, description: str, *rules: str
+    name: str, program: str, summary: str, *rules: str
 ) -> Callable[[Callable[[Patches], None]], Callable[[Patches], None]]:
     """Return a decorator that registers a patch function as a mutation."""
 
     def add(apply_to: Callable[[Patches], None]) -> Callable[[Patches], None]:
-        MUTATIONS[name] = SoakMutation(name, program, description, rules, apply_to)
+        MUTATIONS[name] = SoakMutation(name, program, summary, rules, apply_to)
         return apply_to
 
     return add
--- a/tests/lab/test_soak_departures.py
+++ b/tests/lab/test_soak_departures.py
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize(
-    ("runs", "state", "went_on_s"),
+    ("runs", "state", "continued_s"),
     [
         ([], DepartedState.NOT_STARTED, 0.0),
         ([run(10.7, 10.8)], DepartedState.NOT_STARTED, 0.3),
