--- a/brambleusher/lab/processes/child.py
+++ b/brambleusher/lab/processes/child.py
@@ -17,7 +17,7 @@
 from brambleusher.sidecar.main import run
 
 
-class RiggedSystem(RealSystem):
+class ShiftedClockSystem(RealSystem):
     """The operating system with a shifted wall clock.
 
     A memory-mapped file holds the offset in nanoseconds, as a little-endian signed integer of 8 bytes.
@@ -45,7 +45,7 @@
 
         broken = apply_breakage(breakage)
     with broken:
-        sys.exit(run(operator, "logfmt", RiggedSystem(wall_file)))
+        sys.exit(run(operator, "logfmt", ShiftedClockSystem(wall_file)))
 
 
 if __name__ == "__main__":
--- a/brambleusher/lab/processes/relays.py
+++ b/brambleusher/lab/processes/relays.py
@@ -118,7 +118,7 @@
         self._batch: list[tuple[int, str, tuple[Any, ...]]] = []
         self._last: dict[int, int] = {}
 
-    def add(self, order: int, what: str, conn: RelayedConnection, *args: Any) -> None:
+    def queue_event(self, order: int, what: str, conn: RelayedConnection, *args: Any) -> None:
         """Add an event of a connection to the batch."""
         if not self._batch:
             self._stage.scheduler.call_at(0.0, self.flush)
@@ -197,16 +197,16 @@
     def run(self) -> None:
         """Connect to the server, then start a task for each direction."""
         feed, conn, route = self.network.feed, self.conn, self.route
-        feed.add(ORDER_FIRST, "opened", conn)
+        feed.queue_event(ORDER_FIRST, "opened", conn)
         try:
             self.server_stream = self._connect()
         except (OSError, TaskTimeoutError):
-            feed.add(ORDER_FIRST, "refused", conn)
+            feed.queue_event(ORDER_FIRST, "refused", conn)
             self.scheduler.system.reset(self.client_stream.sock)
             self.client_stream.open = False
             self.end()
             return
-        feed.add(ORDER_FIRST, "established", conn)
+        feed.queue_event(ORDER_FIRST, "established", conn)
         if not route.server.descriptors_limited:
             self.accepted()
         link = self.network.link
@@ -232,7 +232,7 @@
         """Report once that the server has accepted the connection."""
         if not self._accepted:
             self._accepted = True
-            self.network.feed.add(ORDER_FIRST, "accepted", self.conn)
+            self.network.feed.queue_event(ORDER_FIRST, "accepted", self.conn)
 
     # --- one direction --------------------------------------------------------------------------
 
@@ -308,12 +308,12 @@
                 return
         feed, conn = self.network.feed, self.conn
         other = "server" if direction.side == "client" else "client"
-        feed.add(ORDER_FIRST, "arrived", conn, other, data)
+        feed.queue_event(ORDER_FIRST, "arrived", conn, other, data)
         if other == "server" and self.route.server.runs_sidecar:
             self._unread += len(data)
             self._arrived_ns = self.stage.now_ns
         else:
-            feed.add(ORDER_FIRST, "read", conn, other, data)
+            feed.queue_event(ORDER_FIRST, "read", conn, other, data)
 
     def _report_sent(self, direction: _Direction, data: bytes) -> None:
         feed, conn, order = self.network.feed, self.conn, ORDER_FIRST
@@ -323,12 +323,12 @@
             self._report_read(order)
         elif direction.side == "client" and self.route.client.runs_sidecar:
             order = ORDER_SEND
-        feed.add(order, "sent", conn, direction.side, data)
+        feed.queue_event(order, "sent", conn, direction.side, data)
 
     def _report_read(self, order: int) -> None:
         """Report that the server has read all bytes received so far, as its answer or its close proves."""
         if self._unread:
-            self.network.feed.add(order, "read", self.conn, "server", bytes(self._unread))
+            self.network.feed.queue_event(order, "read", self.conn, "server", bytes(self._unread))
             self._unread = 0
 
     def _handle_close(self, direction: _Direction, how: str) -> None:
@@ -344,7 +344,7 @@
             crossing = self.stage.now_ns - self._arrived_ns <= CROSSING_NS
             if direction.side == "server" and how == "fin" and not crossing:
                 self._report_read(order)
-        self.network.feed.add(order, "closed", self.conn, direction.side)
+        self.network.feed.queue_event(order, "closed", self.conn, direction.side)
         if direction.writer_running or self.blocked(direction):
             self._enqueue(direction, how, 0)
         else:
@@ -352,7 +352,7 @@
 
     def _forward_end(self, direction: _Direction, how: str) -> None:
         other = "server" if direction.side == "client" else "client"
-        self.network.feed.add(ORDER_FIRST, "ended", self.conn, other, how)
+        self.network.feed.queue_event(ORDER_FIRST, "ended", self.conn, other, how)
         if how == "reset":
             self._reset_stream(direction.sink)
             self.end()
@@ -382,7 +382,7 @@
         self.accepted()
         for side, stream in (("client", self.client_stream), ("server", self.server_stream)):
             if side in sides:
-                self.network.feed.add(ORDER_FIRST, "ended", self.conn, side, "reset")
+                self.network.feed.queue_event(ORDER_FIRST, "ended", self.conn, side, "reset")
             self._reset_stream(stream)
         self.end()
 
