--- a/brambleusher/lab/processes/child.py
+++ b/brambleusher/lab/processes/child.py
@@ -39,12 +39,12 @@
 @click.option("--breakage")
 def main(wall_file: str, operator: str | None, breakage: str | None) -> None:
     """Run the sidecar until it exits, with a breakage applied if one is named."""
-    broken: AbstractContextManager[object] = nullcontext()
+    breakage_context: AbstractContextManager[object] = nullcontext()
     if breakage is not None:
         from brambleusher.lab.processes.breakages import apply_breakage
 
-        broken = apply_breakage(breakage)
-    with broken:
+        breakage_context = apply_breakage(breakage)
+    with breakage_context:
         sys.exit(run(operator, "logfmt", ShiftedClockSystem(wall_file)))
 
 
--- a/brambleusher/lab/processes/drill.py
+++ b/brambleusher/lab/processes/drill.py
@@ -198,8 +198,8 @@
         return _play_virtual(drill, breakage)
     for _ in range(PLAYS_MAX):
         if folder is None:
-            with tempfile.TemporaryDirectory(prefix="brambleusher-drill-") as kept:
-                outcome = _play_processes(drill, Path(kept), breakage)
+            with tempfile.TemporaryDirectory(prefix="brambleusher-drill-") as temporary:
+                outcome = _play_processes(drill, Path(temporary), breakage)
         else:
             folder.mkdir(parents=True, exist_ok=True)
             outcome = _play_processes(drill, folder, breakage)
@@ -242,7 +242,7 @@
         fleet = RealFleet(scenario, stage, breakage=breakage)
         checker = Checker(rules, fleet.executions)
         fleet.audience = cast(Any, PerSidecarAudience(fleet, checker))
-        sums, usage, made = (
+        sums, usage, created_ns = (
             Sums(stage.now_ns, fleet_limits(scenario, rules)),
             UsageSampler(fleet),
             stage.now_ns,
@@ -258,7 +258,7 @@
         checker.finish(stage.now_ns, [text for end in ends for text in end.left_over()])
         sums.finish(fleet.executions)
         outcome.curves = (*sums.curves, *usage.curves)
-        outcome.begins_s = (fleet.begins_ns - made) / SECOND
+        outcome.begins_s = (fleet.begins_ns - created_ns) / SECOND
         _evaluate(drill, fleet, checker, outcome)
         _record_measurements(stage, fleet, outcome)
     finally:
--- a/brambleusher/lab/processes/real_fleet.py
+++ b/brambleusher/lab/processes/real_fleet.py
@@ -141,8 +141,8 @@
         def mark_fallen() -> None:
             self.fallen.add(figures.id)
             if self.discovery is not None:
-                gone = msgspec.structs.replace(entry, state="Gone")
-                self.discovery.put_later(self.figures.silent_notice_s, gone)
+                gone_entry = msgspec.structs.replace(entry, state="Gone")
+                self.discovery.put_later(self.figures.silent_notice_s, gone_entry)
 
         node.on_fall = mark_fallen
         self.nodes.append((figures, node))
@@ -167,12 +167,13 @@
         path = self.folder / f"{name}.operator.yaml"
         path.write_text(yaml.safe_dump(operator))
         with open(sidecar.log, "wb") as log:
-            own = {
+            sidecar_environment = {
                 "NODE_CONFIG": str(sidecar.config), "PYTHONPATH": os.pathsep.join(sys.path),
                 "NODE_ADMIN_ADDR": f"{LOOPBACK}:0",
             }  # fmt: skip
             sidecar.process = subprocess.Popen(
-                [sys.executable, "-m", "brambleusher", "--operator", str(path)], env={**os.environ, **own},
+                [sys.executable, "-m", "brambleusher", "--operator", str(path)],
+                env={**os.environ, **sidecar_environment},
                 stdin=subprocess.DEVNULL, stdout=log, stderr=log,
                 start_new_session=True,  # Ctrl-C reaches this process alone, which then ends the sidecars
                 preexec_fn=signal_on_parent_end(os.getpid()),  # sidecars end even if this process is killed
--- a/brambleusher/lab/processes/told.py
+++ b/brambleusher/lab/processes/told.py
@@ -23,7 +23,7 @@
     logs: Path | None,
     breakage: str,
     as_json: bool,
-    sums: bool = False,
+    with_curves: bool = False,
 ) -> int:
     """Play drills and return the exit status.
 
@@ -46,7 +46,7 @@
             outcome = play(drill, world, folder, breakage)
             verdicts.add(outcome.verdict)
             print(as_json_line(path, outcome) if as_json else row(path, outcome), flush=True)
-            if sums and not as_json:
+            if with_curves and not as_json:
                 print("\n".join(f"    {line}" for line in curve_lines(outcome)), flush=True)
             if outcome.verdict != "ok":
                 print_failure(path, outcome, folder, breakage)
--- a/brambleusher/lab/soak/departures.py
+++ b/brambleusher/lab/soak/departures.py
@@ -57,15 +57,15 @@
 class _Stalls:
     """The intervals in which the soak itself stalled."""
 
-    def __init__(self, spells: list[tuple[float, float]]) -> None:
-        self._spells = sorted(spells)
-        self._begins = [since_s for since_s, _ in self._spells]
+    def __init__(self, intervals: list[tuple[float, float]]) -> None:
+        self._intervals = sorted(intervals)
+        self._begins = [since_s for since_s, _ in self._intervals]
 
     def within_s(self, since_s: float, until_s: float) -> float:
         """Return how many seconds between two times the soak stalled."""
         at = max(0, bisect.bisect_right(self._begins, since_s) - 1)
         late_s = 0.0
-        for begin_s, end_s in self._spells[at:]:
+        for begin_s, end_s in self._intervals[at:]:
             if begin_s >= until_s:
                 break
             late_s += max(0.0, min(end_s, until_s) - max(begin_s, since_s))
--- a/brambleusher/lab/soak/run.py
+++ b/brambleusher/lab/soak/run.py
@@ -44,7 +44,7 @@
 
 START_TIMEOUT_S = 90.0  # how long processes may take to become ready, as many start at once on one machine
 RECOVERY_TIMEOUT_S = 30.0  # how long all processes may take to be ready again after the last action
-SETTLE_S = 6.0  # the pause before the final state is inspected; longer than any request
+QUIET_PERIOD_S = 6.0  # the pause before the final state is inspected; longer than any request
 REQUEST_TIMEOUT_S = 1.0
 POLL_S = 0.1
 STALL_CHECK_S = 0.02  # the interval of checks whether the soak itself stalled
@@ -95,8 +95,8 @@
         if any(folder.iterdir()):
             raise SoakError(f"{folder} is not empty")
         return _SoakRun(settings, folder).play()
-    with tempfile.TemporaryDirectory(prefix="brambleusher-soak-") as made:
-        return _SoakRun(settings, Path(made)).play()
+    with tempfile.TemporaryDirectory(prefix="brambleusher-soak-") as temporary:
+        return _SoakRun(settings, Path(temporary)).play()
 
 
 class _SoakRun:
@@ -141,11 +141,11 @@
 
     def _make_instances(self, names: list[str], machine_class: int) -> dict[str, SoakInstance]:
         settings = self._settings
-        made = {}
+        instances = {}
         for number, name in enumerate(names, 1):
             zone, ip = settings.zone_of(number), settings.ip(machine_class, number)
-            made[name] = SoakInstance(self._scheduler, self._now, self._record, name, zone, ip)
-        return made
+            instances[name] = SoakInstance(self._scheduler, self._now, self._record, name, zone, ip)
+        return instances
 
     def play(self) -> SoakResult:
         """Play the soak to its end and return its result."""
@@ -220,7 +220,7 @@
         )
         self._clients.is_stopped = True
         self._wait(lambda: not self._clients.running, RECOVERY_TIMEOUT_S, "clients did not end")
-        self._scheduler.sleep(SETTLE_S)
+        self._scheduler.sleep(QUIET_PERIOD_S)
 
     def _inspect_final_state(self) -> None:
         record = self._record
