--- a/brambleusher/lab/processes/drill.py
+++ b/brambleusher/lab/processes/drill.py
@@ -31,7 +31,7 @@
 
 SECOND, MS = 10**9, 10**6
 # A second counts as served well if at least this share of its requests was served.
-SERVED_WELL_SHARE = 0.95
+SUCCESSFUL_FRACTION = 0.95
 WINDOW_REQUESTS_MIN = 4  # seconds with fewer requests say too little and are not evaluated
 DEFAULT_AFTER_S = 4.0  # the default time in seconds for which a drill continues after the last fault
 # Limits in seconds of the 99th percentile of how late the rig's timers and its relays are.  A rig that is
@@ -308,7 +308,7 @@
         window[0] += 1
         window[1] += each.served
     outcome.windows = [(window[0], window[1]) for window in windows]
-    outcome.well_s = _seconds_until_served_well(outcome.windows, drill.last_fault_end_s)
+    outcome.well_s = _recovery_time_s(outcome.windows, drill.last_fault_end_s)
     outcome.lost = [
         f"{each.ask.id} at {(each.due_ns - fleet.begins_ns) / SECOND:.3f} s, n{each.ask.sidecar}, "
         f"{each.ask.request_class}, waits {each.ask.wait_s:g} s: "
@@ -330,11 +330,11 @@
         outcome.missed += [f"limit passed: {text}" for text in passed(outcome.curves)]
 
 
-def _seconds_until_served_well(windows: Iterable[tuple[int, int]], last_fault_end_s: float) -> float:
+def _recovery_time_s(windows: Iterable[tuple[int, int]], last_fault_end_s: float) -> float:
     """Return the seconds from the last fault's end to the end of the last second that was not served well."""
     bad = [
         number + 1
         for number, (asked, served) in enumerate(windows)
-        if asked >= WINDOW_REQUESTS_MIN and served < SERVED_WELL_SHARE * asked - 1e-9 and asked - served > 1
+        if asked >= WINDOW_REQUESTS_MIN and served < SUCCESSFUL_FRACTION * asked - 1e-9 and asked - served > 1
     ]
     return max(0.0, max(bad, default=0) - last_fault_end_s)
--- a/brambleusher/lab/processes/real_fleet.py
+++ b/brambleusher/lab/processes/real_fleet.py
@@ -138,13 +138,13 @@
             weight=figures.weight,
         )  # fmt: skip
 
-        def mark_fallen() -> None:
+        def record_fall() -> None:
             self.fallen.add(figures.id)
             if self.discovery is not None:
-                gone_entry = msgspec.structs.replace(entry, state="Gone")
-                self.discovery.put_later(self.figures.silent_notice_s, gone_entry)
+                final_entry = msgspec.structs.replace(entry, state="Gone")
+                self.discovery.put_later(self.figures.silent_notice_s, final_entry)
 
-        node.on_fall = mark_fallen
+        node.on_fall = record_fall
         self.nodes.append((figures, node))
         return entry
 
--- a/brambleusher/lab/processes/relays.py
+++ b/brambleusher/lab/processes/relays.py
@@ -140,7 +140,7 @@
     def __init__(self) -> None:
         self.latency_ns = self.extra_ns = 0
         self.bytes_per_s = 0.0  # the limit of throughput; 0 means no limit
-        self.cut = False
+        self.partitioned = False
 
     def delay(self, size: int) -> int:
         """Return the delay of `size` bytes in nanoseconds, or 0 if it is too short to be simulated."""
@@ -183,7 +183,7 @@
         self.client_stream = Stream(self.scheduler, sock)
         self.server_stream: Stream | None = None
         self.directions: list[_Direction] = []
-        self.over = self.machine_lost = False
+        self.over = self.severed = False
         network.count += 1
         peer = sock.getpeername()[1]  # type: ignore[attr-defined]
         self.conn = RelayedConnection(
@@ -293,7 +293,7 @@
         """Whether a fault blocks this direction now."""
         route = self.route
         return (
-            direction.link.cut or self.conn.silent or self.machine_lost or route.server.gone
+            direction.link.partitioned or self.conn.silent or self.severed or route.server.gone
             or route.client.gone or route.server.stand_ins_paused or route.client.stand_ins_paused
         )  # fmt: skip
 
@@ -544,8 +544,8 @@
     def state_of(self, route: RelayRoute) -> str:
         """Return whether connects succeed ("up"), are refused ("refuse") or stay unanswered ("swallow")."""
         client, server = route.client, route.server
-        cut = self.link(client, server).cut or self.link(server, client).cut
-        if cut or server.gone or client.gone or server.swallows:
+        partitioned = self.link(client, server).partitioned or self.link(server, client).partitioned
+        if partitioned or server.gone or client.gone or server.swallows:
             return "swallow"
         if self._refusing[server.name, route.port] or route.target not in self._listening:
             return "refuse"
@@ -581,18 +581,18 @@
 
     # --- faults ---------------------------------------------------------------------------------
 
-    def _set_cut(self, a: RealMachine, b: RealMachine, one_way: bool, cut: bool) -> None:
+    def _set_partitioned(self, a: RealMachine, b: RealMachine, one_way: bool, partitioned: bool) -> None:
         for pair in ((a, b),) if one_way else ((a, b), (b, a)):
-            self.link(*pair).cut = cut
+            self.link(*pair).partitioned = partitioned
         self.stage.call_soon_once(self.update)
 
     def cut(self, a: RealMachine, b: RealMachine, one_way: bool = False) -> None:
         """Block all bytes from `a` to `b`, and those from `b` to `a` unless `one_way` is set."""
-        self._set_cut(a, b, one_way, True)
+        self._set_partitioned(a, b, one_way, True)
 
     def mend(self, a: RealMachine, b: RealMachine, one_way: bool = False) -> None:
         """End a block between `a` and `b`; bytes held back are then forwarded."""
-        self._set_cut(a, b, one_way, False)
+        self._set_partitioned(a, b, one_way, False)
 
     def slow_link(self, a: RealMachine, b: RealMachine, extra_ns: int) -> None:
         """Add a delay in nanoseconds to both directions between `a` and `b`; 0 removes it."""
@@ -637,17 +637,17 @@
         machine.swallows = False
         self.stage.call_soon_once(self.update)
 
-    def cut_power(self, machine: RealMachine) -> None:
+    def power_off(self, machine: RealMachine) -> None:
         """Simulate a machine's loss of power: its connections stay open but nothing passes on them."""
         for relay in list(self.relays.values()):
             if machine in (relay.route.server, relay.route.client):
-                relay.machine_lost = True
+                relay.severed = True
         self.stage.call_soon_once(self.update)
 
-    def restore_power(self, machine: RealMachine) -> None:
+    def power_on(self, machine: RealMachine) -> None:
         """Simulate a machine's return: its old connections are reset, since it has forgotten them."""
         for relay in list(self.relays.values()):
-            if relay.machine_lost and machine in (relay.route.server, relay.route.client):
+            if relay.severed and machine in (relay.route.server, relay.route.client):
                 relay.reset("client" if machine is relay.route.server else "server")
         self.stage.call_soon_once(self.update)
 
--- a/brambleusher/lab/processes/stage.py
+++ b/brambleusher/lab/processes/stage.py
@@ -115,14 +115,14 @@
     def vanish(self) -> None:
         """Simulate a loss of power: connections lead nowhere, and all stand-ins end."""
         self.gone = True
-        self.stage.network.cut_power(self)
+        self.stage.network.power_off(self)
         for each in self._stand_ins:
             each.kill(reset=True)
 
     def come_back(self) -> None:
         """Restore the power, without any process running."""
         self.gone = False
-        self.stage.network.restore_power(self)
+        self.stage.network.power_on(self)
 
     def shift_wall(self, by_ns: int) -> None:
         """Shift the wall clock that this machine's processes read, forward or back."""
