--- a/brambleusher/lab/processes/drill.py
+++ b/brambleusher/lab/processes/drill.py
@@ -1,4 +1,8 @@
-"""Drills: a file describes a fleet, faults and expectations; it runs on real processes or in virtual time."""
+"""Drills: a file describes a fleet, faults and expectations, to play on real processes or in virtual time.
+
+With real processes, the process that plays the drill is called the test rig; it has the relays, the stand-ins
+and the checker.
+"""
 
 from __future__ import annotations
 
@@ -34,13 +38,13 @@
 SUCCESSFUL_FRACTION = 0.95
 WINDOW_REQUESTS_MIN = 4  # seconds with fewer requests say too little and are not evaluated
 DEFAULT_AFTER_S = 4.0  # the default time in seconds for which a drill continues after the last fault
-# Limits in seconds of the 99th percentile of how late the rig's timers and its relays are.  A rig that is
-# later says nothing about the program.
+# Limits in seconds of the 99th percentile of how late the timers and the relays of the test rig are.  The
+# results of a test rig that is later say nothing about the program.
 TIMER_LATENESS_MAX_S, RELAY_LATENESS_MAX_S = 0.03, 0.03
-# The longest time in seconds for which the rig may stall once.  A failure seen after a longer stall is not
-# counted, because the rules allow responses to be late by no more than this.
+# The longest single stall of the test rig, in seconds.  A drill that fails with a longer stall counts as late,
+# not as failed, because the rules allow responses to be late by no more than this.
 STALL_MAX_S = 0.15
-PLAYS_MAX = 3  # a drill whose rig was late is played again, at most this many times in all
+PLAYS_MAX = 3  # a drill whose test rig was late is played again, at most this many times in all
 # Extra time in nanoseconds that the rules grant to real processes, for delays by relays and the machine.
 SLACK_NS, SEEN_NS, DRAIN_NS = 150 * MS, 100 * MS, 60 * MS
 
@@ -172,10 +176,10 @@
     missed: list[str] = field(default_factory=list)  # descriptions of expectations that were not met
     lost: list[str] = field(default_factory=list)  # descriptions of requests that were not served
     broken: int = 0  # the number of breaches, including those that are not kept in `breaches`
-    late: list[str] = field(default_factory=list)  # reasons why the rig was too late for a verdict
+    late: list[str] = field(default_factory=list)  # reasons why the test rig was too late for a verdict
     relay_p99_ms: float = 0.0
     beat_p99_ms: float = 0.0
-    once_late_ms: float = 0.0  # the greatest lateness of the rig's timers
+    once_late_ms: float = 0.0  # the greatest lateness of the test rig's timers
     rig_cpu_s: float = 0.0
     sidecar_cpu_s: float = 0.0  # the processor time of all sidecars together
     sidecar_mb: float = 0.0  # the peak resident memory of the largest sidecar
@@ -193,7 +197,7 @@
 
 
 def play(drill: Drill, where: Where, folder: Path | None = None, breakage: str = "") -> Outcome:
-    """Play a drill; one whose rig was late is played again, and does not pass while its rig is late."""
+    """Play a drill, repeatedly while the test rig is late; a drill with a late test rig never passes."""
     if where == "virtual":
         return _play_virtual(drill, breakage)
     for _ in range(PLAYS_MAX):
@@ -281,7 +285,7 @@
             outcome.sidecar_mb = max(outcome.sidecar_mb, process.rss_kb / 1024)
     if outcome.beat_p99_ms > TIMER_LATENESS_MAX_S * 1000:
         outcome.late.append(f"the rig's timers were {outcome.beat_p99_ms:.0f} ms late (p99)")
-    # A stall makes the rig observe events later, never earlier, so a drill that passes despite it has passed.
+    # A stall makes the test rig observe events later, never earlier, so a drill may pass in spite of it.
     if outcome.once_late_ms > STALL_MAX_S * 1000 and (outcome.breaches or outcome.missed):
         outcome.late.append(f"the rig stalled for {outcome.once_late_ms:.0f} ms")
     if outcome.relay_p99_ms > RELAY_LATENESS_MAX_S * 1000:
--- a/brambleusher/lab/processes/fleet.py
+++ b/brambleusher/lab/processes/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet whose sidecars are real processes; its nodes and discovery are stand-ins in the rig's process."""
+"""A fleet whose sidecars are real processes; its nodes and discovery are stand-ins in the test rig."""
 
 from __future__ import annotations
 
--- a/brambleusher/lab/processes/relays.py
+++ b/brambleusher/lab/processes/relays.py
@@ -83,7 +83,7 @@
 
 
 class RigSystem(RealSystem):
-    """The operating system of the rig's process; polls by epoll and reports listeners to the network."""
+    """The operating system of the test rig's process; polls by epoll and reports listeners to the network."""
 
     def __init__(self) -> None:
         self.epoll = EpollPoller(self.monotonic)
--- a/brambleusher/lab/processes/stage.py
+++ b/brambleusher/lab/processes/stage.py
@@ -16,7 +16,7 @@
 from brambleusher.runtime.scheduler import Scheduler, Timer
 from brambleusher.runtime.system import Address
 
-TIMER_CHECK_SECONDS = 0.02  # the interval at which the rig measures how late its own timers are
+TIMER_CHECK_SECONDS = 0.02  # the interval at which the test rig measures how late its own timers are
 FIRST_OCTET, OCTETS = 16, 200  # concurrent rigs use different networks, from 127.16 to 127.215
 
 
@@ -32,7 +32,7 @@
 
 
 class StandIn:
-    """A stand-in server with the interface of a process; it runs on the rig's scheduler until killed."""
+    """A stand-in server with the interface of a process; it runs on the test rig's scheduler until killed."""
 
     def __init__(self, server: object) -> None:
         self._server = server
@@ -151,7 +151,7 @@
         self.taps: list[Any] = []
         self.step_done: list[Callable[[], object]] = []
         self.failure: Exception | None = None
-        self.timer_lateness_s: list[float] = []  # how late the rig's own timers ran, in seconds
+        self.timer_lateness_s: list[float] = []  # how late the test rig's own timers ran, in seconds
         self.cpu_s = self.measured_s = 0.0
         self._octet = FIRST_OCTET + os.getpid() % OCTETS
         self._pending_calls: set[Callable[[], None]] = set()
@@ -219,7 +219,7 @@
     def machine(self, name: str, ip: str) -> RealMachine:
         """Return a new machine for a nominal address; addresses in 10.0 belong to sidecars."""
         _, kind, *octets = ip.split(".")
-        # The loopback address 127.X.(16*kind+high).low identifies the machine, and the rig by X.
+        # The loopback address 127.X.(16*kind+high).low identifies the machine, and the test rig by X.
         own = f"127.{self._octet}.{16 * int(kind) + int(octets[0])}.{octets[1]}"
         machine = self.machines[name] = RealMachine(self, name, own, kind == "0")
         return machine
--- a/brambleusher/lab/processes/told.py
+++ b/brambleusher/lab/processes/told.py
@@ -27,7 +27,7 @@
 ) -> int:
     """Play drills and return the exit status.
 
-    The status is 1 if a drill failed, 3 if the rig of a drill was late, 2 if the breakage is unknown, else 0.
+    The status is 2 if the breakage is unknown, 1 if a drill failed, 3 if the test rig was late, else 0.
     """
     if breakage and breakage not in ALL_BREAKAGES:
         print(f"brambleusher: --breakage: unknown breakage {breakage!r}", file=sys.stderr)
--- a/brambleusher/lab/processes/watch.py
+++ b/brambleusher/lab/processes/watch.py
@@ -11,7 +11,7 @@
 
 
 class UsageSampler:
-    """Samples each process once a second, at staggered times: many samples at once would delay the rig."""
+    """Samples each process once a second, at staggered times, as many samples at once delay the test rig."""
 
     def __init__(self, fleet: RealFleet) -> None:
         self._stage, self._start = fleet.stage, fleet.stage.now_ns
