--- a/brambleusher/lab/processes/drill.py
+++ b/brambleusher/lab/processes/drill.py
@@ -41,8 +41,8 @@
 # Limits in seconds of the 99th percentile of how late the timers and the relays of the test rig are.  The
 # results of a test rig that is later say nothing about the program.
 TIMER_LATENESS_MAX_S, RELAY_LATENESS_MAX_S = 0.03, 0.03
-# The longest single stall of the test rig, in seconds.  A drill that fails with a longer stall counts as late,
-# not as failed, because the rules allow responses to be late by no more than this.
+# The longest single stall of the test rig, in seconds.  A drill that fails with a longer stall counts as
+# late, not as failed, because the rules allow responses to be late by no more than this.
 STALL_MAX_S = 0.15
 PLAYS_MAX = 3  # a drill whose test rig was late is played again, at most this many times in all
 # Extra time in nanoseconds that the rules grant to real processes, for delays by relays and the machine.
--- a/brambleusher/lab/processes/told.py
+++ b/brambleusher/lab/processes/told.py
@@ -77,7 +77,7 @@
 
 def curve_lines(out: Outcome) -> list[str]:
     """Return a table of fleet-wide totals and the resources of processes, with one line for each second."""
-    return [*table(out.curves), f"requests come from {out.begins_s:.1f} s on"]
+    return [*table(out.curves), f"requests start at {out.begins_s:.1f} s"]
 
 
 def as_json_line(path: Path, out: Outcome) -> str:
@@ -94,12 +94,12 @@
     for breach in out.breaches[:DETAILS_MAX]:
         print("\n".join(f"    {line}" for line in str(breach).splitlines()), file=sys.stderr)
     if out.broken > DETAILS_MAX:
-        print(f"    {out.broken} breaches in all", file=sys.stderr)
+        print(f"    {out.broken} breaches in total", file=sys.stderr)
     for text in out.lost[:DETAILS_MAX]:
         print(f"    not served: {text}", file=sys.stderr)
     served = " ".join(f"{served}/{asked}" for asked, served in out.windows)
-    print(f"    served of asked, second by second: {served}", file=sys.stderr)
+    print(f"    requests served/asked in each second: {served}", file=sys.stderr)
     if folder is not None:
         print(f"    files and logs: {folder}", file=sys.stderr)
     extra = f" --breakage {breakage}" if breakage else ""
-    print(f"    again: brambleusher lab drill {path} --{out.where}{extra}", file=sys.stderr)
+    print(f"    to play it again: brambleusher lab drill {path} --{out.where}{extra}", file=sys.stderr)
--- a/brambleusher/lab/processes/up.py
+++ b/brambleusher/lab/processes/up.py
@@ -83,10 +83,10 @@
     for sidecar in fleet.sidecars:
         assert sidecar.address is not None
         print(f"    {sidecar.name}  http://{format_address(sidecar.address)}  admin endpoint {sidecar.admin}")
-    print(f"\none request by hand:\n    {curl_line(fleet)}")
+    print(f"\nsend one request:\n    {curl_line(fleet)}")
     print(
-        f"\nten minutes of demand, played on it:\n    brambleusher load make -o demand\n"
-        f"    brambleusher load play demand --target {targets}\n\nCtrl-C ends it.",
+        f"\nreplay ten minutes of demand:\n    brambleusher load make -o demand\n"
+        f"    brambleusher load play demand --target {targets}\n\nPress Ctrl-C to stop.",
         flush=True,
     )
 
