--- a/brambleusher/lab/processes/child.py
+++ b/brambleusher/lab/processes/child.py
@@ -1,4 +1,4 @@
-"""One sidecar of a drill: the program as it is, on a system whose wall clock the rig may set.
+"""One sidecar process of a drill: the unmodified program with a wall clock that the test rig can shift.
 
 `python -m brambleusher.lab.processes.child WALL-FILE [--operator FILE] [--breakage NAME]`
 """
@@ -17,15 +17,18 @@
 from brambleusher.sidecar.main import run
 
 
-class RiggedSystem(RealSystem):
-    """This process's machine, its wall clock set off by what a file holds: nanoseconds, 8 bytes."""
+class ShiftedClockSystem(RealSystem):
+    """The operating system with a shifted wall clock.
+
+    A memory-mapped file holds the offset in nanoseconds, as a little-endian signed integer of 8 bytes.
+    """
 
     def __init__(self, wall_file: str) -> None:
         with open(wall_file, "rb") as file:
             self._offset = mmap.mmap(file.fileno(), 8, access=mmap.ACCESS_READ)
 
     def wall_ns(self) -> int:
-        """Unix time in nanoseconds as the rig has it."""
+        """Return the Unix time in nanoseconds plus the offset that the test rig has set."""
         (offset,) = struct.unpack("<q", self._offset[:8])
         return time.time_ns() + int(offset)
 
@@ -35,14 +38,14 @@
 @click.option("--operator")
 @click.option("--breakage")
 def main(wall_file: str, operator: str | None, breakage: str | None) -> None:
-    """Serve."""
-    broken: AbstractContextManager[object] = nullcontext()
+    """Run the sidecar until it exits, with a breakage applied if one is named."""
+    breakage_context: AbstractContextManager[object] = nullcontext()
     if breakage is not None:
-        from brambleusher.lab.processes.breakages import on
+        from brambleusher.lab.processes.breakages import apply_breakage
 
-        broken = on(breakage)
-    with broken:
-        sys.exit(run(operator, "logfmt", RiggedSystem(wall_file)))
+        breakage_context = apply_breakage(breakage)
+    with breakage_context:
+        sys.exit(run(operator, "logfmt", ShiftedClockSystem(wall_file)))
 
 
 if __name__ == "__main__":
--- a/brambleusher/lab/processes/told.py
+++ b/brambleusher/lab/processes/told.py
@@ -1,4 +1,4 @@
-"""Drills one after the other, told in a line each; one that fails is told with all that belongs to it."""
+"""Plays drills one after the other, prints a line for each, and prints details of those that fail."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from pathlib import Path
 
 from brambleusher.lab.checker.sums import table
-from brambleusher.lab.processes.breakages import ALL
+from brambleusher.lab.processes.breakages import ALL_BREAKAGES
 from brambleusher.lab.processes.drill import Drill, Outcome, Where, play
 
-MOST_TOLD = 5  # breaches with their time lines
+DETAILS_MAX = 5  # the most breaches, and the most unserved requests, printed for one play
 
 
 def play_all(
@@ -23,11 +23,14 @@
     logs: Path | None,
     breakage: str,
     as_json: bool,
-    sums: bool = False,
+    with_curves: bool = False,
 ) -> int:
-    """Play them; the exit status: 1 if one failed, 3 if a rig was late, else 0."""
-    if breakage and breakage not in ALL:
-        print(f"brambleusher: --breakage: there is no {breakage!r}", file=sys.stderr)
+    """Play drills and return the exit status.
+
+    The status is 2 if the breakage is unknown, 1 if a drill failed, 3 if the test rig was late, else 0.
+    """
+    if breakage and breakage not in ALL_BREAKAGES:
+        print(f"brambleusher: --breakage: unknown breakage {breakage!r}", file=sys.stderr)
         return 2
     verdicts = set()
     if not as_json:
@@ -42,18 +45,18 @@
                 folder = logs / path.stem if logs is not None else Path(tempfile.mkdtemp(prefix="drill-"))
             outcome = play(drill, world, folder, breakage)
             verdicts.add(outcome.verdict)
-            print(as_line(path, outcome) if as_json else row(path, outcome), flush=True)
-            if sums and not as_json:
-                print("\n".join(f"    {line}" for line in curves(outcome)), flush=True)
+            print(as_json_line(path, outcome) if as_json else row(path, outcome), flush=True)
+            if with_curves and not as_json:
+                print("\n".join(f"    {line}" for line in curve_lines(outcome)), flush=True)
             if outcome.verdict != "ok":
-                tell(path, outcome, folder, breakage)
+                print_failure(path, outcome, folder, breakage)
             elif folder is not None and logs is None:
                 shutil.rmtree(folder)
     return 1 if "FAILED" in verdicts else 3 if "LATE" in verdicts else 0
 
 
 def heading() -> str:
-    """Of the lines."""
+    """Return the column headings of the table of plays."""
     return (
         f"{'drill':22} {'world':10} {'verdict':8} {'asked':>6} {'served':>7} {'refused':>8} {'attempts':>9} "
         f"{'well after':>10} {'late p99':>9} {'rig':>5} {'sidecars':>9} {'MB':>4}"
@@ -61,7 +64,7 @@
 
 
 def row(path: Path, out: Outcome) -> str:
-    """One play."""
+    """Return one play as a line of the table."""
     line = (
         f"{path.stem:22} {out.where:10} {out.verdict:8} {out.asked:6} {out.served:7.3f} {out.refused:8.3f} "
         f"{out.attempts:9.2f} {out.well_s:8.1f} s"
@@ -72,31 +75,31 @@
     return f"{line} {out.relay_p99_ms:6.1f} ms {rig:5.2f} {out.sidecar_cpu_s:7.1f} s {out.sidecar_mb:4.0f}"
 
 
-def curves(out: Outcome) -> list[str]:
-    """Sums over the fleet and what processes take, a line a second."""
-    return [*table(out.curves), f"requests come from {out.begins_s:.1f} s on"]
+def curve_lines(out: Outcome) -> list[str]:
+    """Return a table of fleet-wide totals and the resources of processes, with one line for each second."""
+    return [*table(out.curves), f"requests start at {out.begins_s:.1f} s"]
 
 
-def as_line(path: Path, out: Outcome) -> str:
-    """One play as JSON."""
+def as_json_line(path: Path, out: Outcome) -> str:
+    """Return one play as a line of JSON."""
     raw = asdict(out)
     raw["breaches"] = [str(breach) for breach in out.breaches]
     return json.dumps({"drill": path.stem, "verdict": out.verdict, **raw})
 
 
-def tell(path: Path, out: Outcome, folder: Path | None, breakage: str) -> None:
-    """Why a play did not pass, where its logs are, and how to play it again."""
+def print_failure(path: Path, out: Outcome, folder: Path | None, breakage: str) -> None:
+    """Print to stderr why a play did not pass, where its logs are, and how to play the drill again."""
     for text in [*out.late, *out.missed]:
         print(f"    {text}", file=sys.stderr)
-    for breach in out.breaches[:MOST_TOLD]:
+    for breach in out.breaches[:DETAILS_MAX]:
         print("\n".join(f"    {line}" for line in str(breach).splitlines()), file=sys.stderr)
-    if out.broken > MOST_TOLD:
-        print(f"    {out.broken} breaches in all", file=sys.stderr)
-    for text in out.lost[:MOST_TOLD]:
+    if out.broken > DETAILS_MAX:
+        print(f"    {out.broken} breaches in total", file=sys.stderr)
+    for text in out.lost[:DETAILS_MAX]:
         print(f"    not served: {text}", file=sys.stderr)
     served = " ".join(f"{served}/{asked}" for asked, served in out.windows)
-    print(f"    served of asked, second by second: {served}", file=sys.stderr)
+    print(f"    requests served/asked in each second: {served}", file=sys.stderr)
     if folder is not None:
         print(f"    files and logs: {folder}", file=sys.stderr)
     extra = f" --breakage {breakage}" if breakage else ""
-    print(f"    again: brambleusher lab drill {path} --{out.where}{extra}", file=sys.stderr)
+    print(f"    to play it again: brambleusher lab drill {path} --{out.where}{extra}", file=sys.stderr)
--- a/tests/lab/test_soak_departures.py
+++ b/tests/lab/test_soak_departures.py
@@ -1,4 +1,4 @@
-"""What a soak says of clients that left: state, time, and what overlapped."""
+"""Tests of departures in a soak: the state of the request, the time its runs continued, and overlaps."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from brambleusher.lab.soak.records import (
     ChangeEvent,
     ClientAct,
-    InstanceFaultSpell,
+    InstanceFaultInterval,
     RequestKind,
     RequestOutcome,
     RequestRecord,
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize(
-    ("runs", "state", "went_on_s"),
+    ("runs", "state", "continued_s"),
     [
         ([], DepartedState.NOT_STARTED, 0.0),
         ([run(10.7, 10.8)], DepartedState.NOT_STARTED, 0.3),
@@ -47,22 +47,26 @@
     ],
 )
 def test_a_departure_has_a_state_and_a_time(
-    runs: list[RunRecord], state: DepartedState, went_on_s: float
+    runs: list[RunRecord], state: DepartedState, continued_s: float
 ) -> None:
     (found,) = departures(SoakRecord([left()], runs))
     assert found.state is state
-    assert found.went_on_s == pytest.approx(went_on_s)
+    assert found.continued_s == pytest.approx(continued_s)
 
 
 def test_a_request_that_is_finished_alone_counts_how_late_its_runs_begin() -> None:
-    """Soaks 9501 and 9545: one was sent in the moment in which its client left, and ran for 2.6 s."""
+    """For a notice, only the start of its runs counts, since it is finished without its client.
+
+    In the soaks with seeds 9501 and 9545 a notice was sent at the moment when its client left, and ran for
+    2.6 s.
+    """
     notice = left(RequestKind.NOTICE)
     (found,) = departures(SoakRecord([notice], [run(10.1, 13.0)]))
-    assert found.went_on_s == 0.0
+    assert found.continued_s == 0.0
     (found,) = departures(SoakRecord([notice], [run(10.501, 13.1)]))
-    assert found.went_on_s == pytest.approx(0.001)
+    assert found.continued_s == pytest.approx(0.001)
     (found,) = departures(SoakRecord([notice], [run(11.2, 11.3)]))
-    assert found.went_on_s == pytest.approx(0.7)
+    assert found.continued_s == pytest.approx(0.7)
 
 
 def test_times_are_told_by_program_and_state() -> None:
@@ -76,15 +80,15 @@
 
 def test_overlaps_are_counted_by_pairs() -> None:
     record = SoakRecord([left(act=ClientAct.HALF_CLOSE)], [run(10.1, 10.6)])
-    record.fault_spells = [InstanceFaultSpell("i", "hang_instance", 8.0, 9.6)]
+    record.fault_intervals = [InstanceFaultInterval("i", "hang_instance", 8.0, 9.6)]
     record.change_events = [ChangeEvent("kill", 11.4), ChangeEvent("reload", 12.0)]
     seen = Coincidences()
     seen.add(record)
     assert dict(seen.counts) == {("hang_instance", "half-close"): 1, ("half-close", "kill"): 1}
-    assert dict(seen.judged) == dict(seen.counts)
+    assert dict(seen.checked_counts) == dict(seen.counts)
     assert seen.rarest()[1] == 0
-    assert ("half-close", "kill") not in seen.never_judged()
-    assert ("close", "kill") in seen.never_judged()
+    assert ("half-close", "kill") not in seen.never_checked()
+    assert ("close", "kill") in seen.never_checked()
     assert any("1 (1)" in row for row in seen.rows())
 
 
