--- a/brambleusher/fronts/__init__.py
+++ b/brambleusher/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""Further protocols on the same core, a package each."""
+"""Protocol front ends beside HTTP, each in a package of its own."""
--- a/brambleusher/fronts/mysql/__init__.py
+++ b/brambleusher/fronts/mysql/__init__.py
@@ -1,1 +1,1 @@
-"""MySQL clients served through the sidecar's decisions: codec, session state, connections."""
+"""The MySQL front end: protocol codec, session state, and connection pools to the database nodes."""
--- a/brambleusher/fronts/mysql/auth.py
+++ b/brambleusher/fronts/mysql/auth.py
@@ -1,8 +1,9 @@
-"""Logins, both ways, without sockets: the side that lets in, and the side that is let in.
+"""MySQL authentication as state machines without I/O, for the server side and the client side.
 
-Two plugins: `mysql_native_password` (SHA-1 of a challenge) and `caching_sha2_password`, whose fast way
-proves that the password is known and whose full way sends it, over TLS or under the server's RSA key.
-What is kept of a password is never written to a log.  Hashes are those that a MySQL server keeps.
+Two plugins are supported: `mysql_native_password` (SHA-1 over a challenge) and `caching_sha2_password`.
+The fast exchange of the latter proves knowledge of the password; the full exchange sends the password over
+TLS or encrypted with the server's RSA key.  Stored hashes have the format of a MySQL server and are never
+logged.
 """
 
 from __future__ import annotations
@@ -36,11 +37,11 @@
 )
 from brambleusher.fronts.mysql.packets import PacketReader, ProtocolError, frame
 
-MAX_LOGIN = 128 * 1024  # of one message of a login
-MAX_PASSWORD = 512
+MAX_LOGIN = 128 * 1024  # maximum size of one login message, in bytes
+MAX_PASSWORD = 512  # maximum length of a password with its terminating zero byte, in bytes
 FAST_OK, FULL, ASK_KEY = b"\x03", b"\x04", b"\x02"
-ROUNDS = 5000  # of SHA-256 crypt, in a server's usual hash
-SLICE = 250  # of them done at a time
+ROUNDS = 5000  # default number of SHA-256 crypt rounds in the hashes of a MySQL server
+SLICE = 250  # SHA-256 crypt rounds computed before other tasks may run
 _CRYPT = b"./0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz"
 
 
@@ -52,7 +53,7 @@
 
 
 def native_answer(password: bytes, challenge: bytes) -> bytes:
-    """SHA1(password) XOR SHA1(challenge + SHA1(SHA1(password))); empty for no password."""
+    """Return SHA1(password) XOR SHA1(challenge + SHA1(SHA1(password))), or nothing without a password."""
     if not password:
         return b""
     once = hashlib.sha1(password).digest()
@@ -60,12 +61,12 @@
 
 
 def native_hash(password: bytes) -> bytes:
-    """SHA1(SHA1(password)), as a server keeps it."""
+    """Return SHA1(SHA1(password)), the hash that a MySQL server stores."""
     return hashlib.sha1(hashlib.sha1(password).digest()).digest()
 
 
 def native_fits(answer: bytes, challenge: bytes, stored: bytes) -> bool:
-    """Whether an answer proves the password that `stored` is the hash of."""
+    """Check a challenge response against the stored `mysql_native_password` hash."""
     if not stored or not answer:
         return not stored and not answer
     if len(answer) != len(stored):
@@ -75,7 +76,7 @@
 
 
 def sha2_answer(password: bytes, challenge: bytes) -> bytes:
-    """SHA256(password) XOR SHA256(SHA256(SHA256(password)) + challenge); empty for no password."""
+    """Return SHA256(password) XOR SHA256(SHA256(SHA256(password)) + challenge), or nothing without one."""
     if not password:
         return b""
     once = hashlib.sha256(password).digest()
@@ -84,12 +85,12 @@
 
 
 def sha2_hash(password: bytes) -> bytes:
-    """SHA256(SHA256(password)): what the fast way is checked against."""
+    """Return SHA256(SHA256(password)), against which the fast exchange is verified."""
     return hashlib.sha256(hashlib.sha256(password).digest()).digest()
 
 
 def sha2_fits(answer: bytes, challenge: bytes, twice: bytes) -> bool:
-    """Whether an answer proves the password that `twice` is the double hash of."""
+    """Check a challenge response against SHA256(SHA256(password)), given as `twice`."""
     if len(answer) != len(twice):
         return False
     once = _xor(answer, hashlib.sha256(twice + challenge).digest())
@@ -97,10 +98,10 @@
 
 
 def crypt_steps(password: bytes, salt: bytes, rounds: int = ROUNDS) -> Iterator[bytes | None]:
-    """SHA-256 crypt (U. Drepper, "Unix crypt using SHA-256 and SHA-512"), a slice of its rounds at a time.
+    """Compute SHA-256 crypt (U. Drepper, "Unix crypt using SHA-256 and SHA-512") in slices of its rounds.
 
-    Yields None after each slice and the 43 characters of the hash at the end.  Guards against a login
-    that holds up all others for the time of 5,000 rounds.
+    Yields None after each slice and the 43 characters of the hash at the end.  The slices prevent a login
+    from blocking all other sessions for the duration of 5,000 rounds.
     """
     size = len(password)
     inner = hashlib.sha256(password + salt + password).digest()
@@ -140,31 +141,34 @@
 
 
 def sha256_crypt(password: bytes, salt: bytes, rounds: int = ROUNDS) -> bytes:
-    """The 43 characters at once."""
+    """Compute SHA-256 crypt in one go and return the 43 characters of the hash."""
     return next(step for step in crypt_steps(password, salt, rounds) if step is not None)
 
 
 @dataclass(slots=True)
 class Secret:
-    """What is kept of one client's password."""
+    """The stored password hash of one user."""
 
     plugin: str
     native: bytes = b""  # SHA1(SHA1(password))
     salt: bytes = b""
-    crypted: bytes = b""  # the 43 characters
+    crypted: bytes = b""  # 43 characters of the SHA-256 crypt hash
     rounds: int = ROUNDS
-    twice: bytes = b""  # SHA256(SHA256(password)), known once the password has been seen
+    twice: bytes = b""  # SHA256(SHA256(password)), cached after the first successful full exchange
 
     def __repr__(self) -> str:
-        """Without the hashes, so that none gets into a log."""
+        """Return a representation without hashes, so that no hash is logged."""
         return f"Secret({self.plugin})"
 
     @classmethod
     def parse(cls, plugin: str, text: str) -> Secret:
-        """A hash as a server keeps it; raises `ValueError` where it is none.
+        """Parse a hash in the format of a MySQL server.
 
-        For `mysql_native_password` an asterisk and 40 hexadecimal digits; for `caching_sha2_password`
-        the `$A$005$…` text, or its bytes in hexadecimal; `-` for no password.
+        The format of `mysql_native_password` is an asterisk and 40 hexadecimal digits; that of
+        `caching_sha2_password` is the `$A$005$…` text, or its bytes in hexadecimal.  `-` means no password.
+
+        Raises:
+            ValueError: The plugin is unknown or the hash is malformed.
         """
         if plugin not in (NATIVE, CACHING_SHA2):
             raise ValueError(f"{plugin!r} is not one of {NATIVE}, {CACHING_SHA2}")
@@ -182,7 +186,7 @@
 
     @classmethod
     def of(cls, plugin: str, password: bytes, salt: bytes = b"0123456789abcdefghij") -> Secret:
-        """The secret of a password."""
+        """Hash a password for a plugin."""
         if not password:
             return cls(plugin)
         if plugin == NATIVE:
@@ -190,7 +194,7 @@
         return cls(plugin, salt=salt, crypted=sha256_crypt(password, salt))
 
     def stored(self) -> str:
-        """The hash as `parse` takes it."""
+        """Return the hash in the format that `parse` reads."""
         if self.plugin == NATIVE:
             return "*" + self.native.hex().upper() if self.native else "-"
         if not self.crypted:
@@ -199,12 +203,12 @@
 
     @property
     def empty(self) -> bool:
-        """Whether no password is asked for."""
+        """Whether the user logs in without a password."""
         return not self.native and not self.crypted
 
 
 class RsaKey:
-    """The key pair for passwords on connections without TLS; made when it is first needed."""
+    """The RSA key pair that encrypts passwords on connections without TLS, generated on first use."""
 
     def __init__(self, pem: bytes | None = None) -> None:
         self._pem, self._key = pem, None
@@ -226,19 +230,19 @@
         return self._key
 
     def check(self) -> None:
-        """Read the key now; raises `ValueError` where it is none."""
+        """Load the key now; raises `ValueError` if the PEM data is not an RSA key without a passphrase."""
         try:
             self._load()
         except (TypeError, ValueError) as error:
             raise ValueError(f"no RSA key without a passphrase, in PEM: {error}") from None
 
     def public(self) -> bytes:
-        """The public half, in PEM."""
+        """Return the public key in PEM format."""
         self._load()
         return self._public
 
     def decrypt(self, data: bytes) -> bytes | None:
-        """What was encrypted under the public half; None where nothing was."""
+        """Decrypt data that was encrypted with the public key; return None if decryption fails."""
         from cryptography.hazmat.primitives import hashes
         from cryptography.hazmat.primitives.asymmetric import padding
 
@@ -259,7 +263,7 @@
 
 
 def rsa_encrypt(password: bytes, challenge: bytes, pem: bytes) -> bytes:
-    """The password, its zero byte and the challenge mixed, under a server's public key."""
+    """XOR a zero-terminated password with the challenge and encrypt the result with a server's public key."""
     serialization, rsa = _cryptography()
     from cryptography.hazmat.primitives import hashes
     from cryptography.hazmat.primitives.asymmetric import padding
@@ -278,27 +282,28 @@
 
 
 def mix(password: bytes, challenge: bytes) -> bytes:
-    """A password XOR the challenge, over and over."""
+    """XOR a password with the challenge, which is repeated as often as needed."""
     return bytes(byte ^ challenge[at % len(challenge)] for at, byte in enumerate(password))
 
 
-# --- the side that lets in ----------------------------------------------------------------------
+# --- server side ------------------------------------------------------------------------------
 
 
 class Turn(Enum):
-    """What a login needs next."""
+    """The next step that a login requires of its caller."""
 
-    READ = auto()  # more bytes
-    TLS = auto()  # the TLS handshake; bytes fed from then on are what comes out of it
-    AGAIN = auto()  # to be called again: it gave others a turn amid a long sum
+    READ = auto()  # feed more bytes from the peer
+    TLS = auto()  # perform the TLS handshake and feed decrypted bytes from then on
+    AGAIN = auto()  # call `step` again after other tasks have run; a long hash computation was interrupted
     DONE = auto()
-    REFUSED = auto()  # the answer in `out` is the last
+    REFUSED = auto()  # send the error in `out` and close the connection
 
 
 class ServerLogin:
-    """Lets one client in; `step` says what it needs, `out` holds what is to be sent first.
+    """Authenticates one client.
 
-    `find` tells a user's secret, None where there is no such user.
+    `step` returns what the login needs next; the bytes in `out` must be sent before that.  `find` returns the
+    secret of a user, or None for an unknown user.
     """
 
     def __init__(
@@ -325,25 +330,25 @@
         self.status = int(Status.AUTOCOMMIT)
 
     def feed(self, data: bytes) -> None:
-        """Bytes from the client."""
+        """Add bytes received from the client."""
         self._reader.feed(data)
 
     @property
     def begun(self) -> bool:
-        """Whether the client has sent something that is not a whole message yet."""
+        """Whether an incomplete message of the client is buffered."""
         return self._reader.begun
 
     @property
     def seq(self) -> int:
-        """The number of an answer to what has come so far."""
+        """Sequence number of a response to the bytes received so far."""
         return self._reader.answer_seq
 
     def rest(self) -> bytes:
-        """Bytes behind the last message read, given up: a TLS handshake's, or commands sent ahead."""
+        """Return and discard the bytes after the last message: a TLS handshake or pipelined commands."""
         return self._reader.leftover()
 
     def greet(self) -> bytes:
-        """The first packet."""
+        """Return the greeting packet, the first packet of the handshake."""
         greeting = Greeting(
             self._version,
             self._thread,
@@ -355,10 +360,10 @@
         return frame(greeting.encode(), 0)
 
     def change_user(self, body: bytes, capabilities: int, first: bytes, challenge: bytes) -> None:
-        """Begin a login anew with a COM_CHANGE_USER that came.
+        """Start a new login for a COM_CHANGE_USER command.
 
-        A client that can be switched to another plugin answers the new challenge; an older one has
-        answered that of its first login.
+        A client that supports PLUGIN_AUTH responds to the new challenge; an older client has responded to the
+        challenge of its first login.
         """
         self._reader = PacketReader(MAX_LOGIN, seq=1)
         self.capabilities, self.error = capabilities, None
@@ -376,11 +381,11 @@
         self._talk = self._check(self.login)
 
     def step(self) -> Turn:
-        """Go on as far as the bytes reach; raises `ProtocolError` for what makes no sense."""
+        """Process the bytes received so far; raises `ProtocolError` for malformed messages."""
         if self._talk is None:
             self._talk = self._enter()
         turn = next(self._talk, None)
-        if turn is None:  # the error is looked at only now: the last step may have set it
+        if turn is None:  # `error` is checked only here because the last step may have set it
             return Turn.REFUSED if self.error is not None else Turn.DONE
         return turn
 
@@ -422,9 +427,10 @@
         yield from self._check(request)
 
     def _check(self, login: Login) -> Iterator[Turn]:
-        """Ask for what the user's plugin needs, and compare."""
+        """Request the response that the user's plugin needs, and verify it."""
         secret = self._find(login.user)
-        # Guards against telling who exists: an unknown name is asked as any other is, and refused.
+        # An unknown user goes through the same exchange before rejection, so that clients can't find out
+        # which users exist.
         plugin = secret.plugin if secret is not None else self._plugin
         answer = login.answer
         if login.plugin != plugin or len(self._challenge) != SCRAMBLE:
@@ -458,7 +464,7 @@
             )
 
     def _full(self, secret: Secret | None) -> Iterator[Turn | bool]:
-        """Have the password sent, and compare it; the last thing yielded is the verdict."""
+        """Request the password and verify it; the last value yielded is True if the password is correct."""
         self._say(b"\x01" + FULL)
         yield from self._message()
         password = self._last
@@ -484,19 +490,19 @@
                 yield True
 
     def let_in(self) -> bytes:
-        """The OK that ends a login; raises `RuntimeError` for one that did not end well."""
+        """Return the OK packet that completes a login; raises `RuntimeError` if the login failed."""
         if self.error is not None or self.login is None:
-            raise RuntimeError("this login was refused")
+            raise RuntimeError("the login has not succeeded")
         self._say(Ok(status=self.status).encode(self.capabilities))
         out, self.out = self.out, b""
         return out
 
 
-# --- the side that is let in --------------------------------------------------------------------
+# --- client side ------------------------------------------------------------------------------
 
 
 class LoginRefused(Exception):
-    """The server said no."""
+    """The server rejected the login."""
 
     def __init__(self, error: Err) -> None:
         super().__init__(f"{error.errno} ({error.state}): {error.text}")
@@ -504,7 +510,10 @@
 
 
 class ClientLogin:
-    """Logs in to a server; `step` says what it needs, `out` holds what is to be sent first."""
+    """Logs in to a server.
+
+    `step` returns what the login needs next; the bytes in `out` must be sent before that.
+    """
 
     def __init__(
         self,
@@ -517,7 +526,11 @@
         public_key: bytes | None = None,
         ask_key: bool = False,
     ) -> None:
-        """`tls` is off, preferred or required; `public_key` the server's, `ask_key` has it asked for."""
+        """Start a login.
+
+        `tls` is "off", "preferred" or "required".  `public_key` is the server's RSA key in PEM format; with
+        `ask_key` the key is requested from the server if `public_key` is None.
+        """
         self._user, self._password, self._wanted = user, password, wanted
         self._collation, self._tls, self._database = collation, tls, database
         self._key, self._ask = public_key, ask_key
@@ -531,16 +544,16 @@
         self.ok: Ok | None = None
 
     def feed(self, data: bytes) -> None:
-        """Bytes from the server."""
+        """Add bytes received from the server."""
         self._reader.feed(data)
 
     @property
     def extra(self) -> bool:
-        """Whether bytes are left behind the login's end."""
+        """Whether the server has sent bytes after the end of the login."""
         return self._reader.begun
 
     def step(self) -> Turn:
-        """Go on as far as the bytes reach; raises `LoginRefused` or `ProtocolError`."""
+        """Process the bytes received so far; raises `LoginRefused` or `ProtocolError`."""
         return next(self._talk, Turn.DONE)
 
     def _say(self, payload: bytes) -> None:
@@ -556,7 +569,8 @@
 
     def _enter(self) -> Iterator[Turn]:
         yield from self._message()
-        if self._last[0] == 0xFF:  # an error for a greeting: too many connections, a host not let in
+        # Instead of a greeting the server can send an error: too many connections, or a host not allowed.
+        if self._last[0] == 0xFF:
             raise LoginRefused(Err.parse(self._last))
         self.greeting = greeting = Greeting.parse(self._last)
         if not greeting.capabilities & Capability.PROTOCOL_41:
@@ -581,7 +595,7 @@
             MAX_PAYLOAD,
         )  # fmt: skip
         self._say(login.encode())
-        for _ in range(8):  # guards against a server that asks for one thing after another without end
+        for _ in range(8):  # at most 8 messages, so that a server can't prolong the login forever
             yield from self._message()
             first = self._last[0]
             if first == 0xFF:
@@ -616,7 +630,7 @@
         key = self._key
         if key is None:
             if not self._ask:
-                # Guards against handing the password to whoever stands between: their key would do.
+                # A man in the middle could offer a key of its own and decrypt the password.
                 raise ProtocolError("the server's public key is not known and not asked for")
             self._say(ASK_KEY)
             yield from self._message()
--- a/brambleusher/fronts/mysql/channel.py
+++ b/brambleusher/fronts/mysql/channel.py
@@ -1,4 +1,4 @@
-"""A connection's bytes, plain or under TLS: `ssl` without its own sockets, over a `Stream`."""
+"""Byte transport of one connection, plain or TLS; TLS uses memory BIOs over a `Stream`."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Channel:
-    """One connection; a task at a time waits on it."""
+    """One connection, plain or TLS.  At most one task at a time may wait on the connection."""
 
     __slots__ = ("_in", "_out", "_tls", "stream")
 
@@ -20,23 +20,28 @@
 
     @property
     def sock(self) -> Socket:
-        """What to wait on for bytes."""
+        """Socket to wait on for incoming bytes."""
         return self.stream.sock
 
     @property
     def open(self) -> bool:
-        """Whether it has not been closed from this side."""
+        """Whether this side has not closed the connection yet."""
         return self.stream.open
 
     @property
     def secure(self) -> bool:
-        """Whether it is under TLS."""
+        """Whether the connection uses TLS."""
         return self._tls is not None
 
     def start_tls(
         self, context: ssl.SSLContext, server: bool, host: str, ahead: bytes, deadline: float
     ) -> None:
-        """The handshake; `ahead` has what came of it already.  Raises `OSError`, `Timeout`."""
+        """Perform the TLS handshake; `ahead` holds handshake bytes that were already received.
+
+        Raises:
+            OSError: The handshake failed or the connection ended.
+            TaskTimeoutError: The deadline passed.
+        """
         self._in, self._out = ssl.MemoryBIO(), ssl.MemoryBIO()
         tls = context.wrap_bio(self._in, self._out, server_side=server, server_hostname=host or None)
         self._in.write(ahead)
@@ -51,7 +56,7 @@
                     raise ConnectionResetError("the connection ended in the TLS handshake") from None
                 self._in.write(data)
             except ssl.SSLError:
-                self._flush(deadline)  # the alert that tells the other side why
+                self._flush(deadline)  # sends the TLS alert with the reason to the peer
                 raise
         self._flush(deadline)
         self._tls = tls
@@ -61,7 +66,7 @@
             self.stream.send(self._out.read(), deadline)
 
     def _read(self) -> bytes | None:
-        """Bytes that are here already; None where more must come first."""
+        """Return decrypted bytes that are available, or None if more input is needed."""
         assert self._tls is not None
         try:
             return self._tls.read(RECEIVE_BYTES)
@@ -71,7 +76,7 @@
             return b""
 
     def receive(self, deadline: float | None, event: Event | None = None) -> bytes | None:
-        """The next bytes, empty at the end; None where the event was set first."""
+        """Return the next bytes, empty at the end of the stream, or None if the event was set first."""
         if self._tls is None:
             return self.stream.receive(deadline, event)
         while (data := self._read()) is None:
@@ -86,7 +91,7 @@
         return data
 
     def receive_now(self) -> bytes | None:
-        """Bytes that have come, empty at the end; None where there are none yet."""
+        """Return available bytes without waiting, empty at the end of the stream, or None without any."""
         try:
             raw = self.stream.sock.recv(RECEIVE_BYTES)
         except BlockingIOError:
@@ -105,7 +110,7 @@
             return b""
 
     def send(self, data: bytes, deadline: float | None) -> None:
-        """All of it; returns once the last byte has been handed to the system."""
+        """Send all bytes; return once the last byte has been passed to the operating system."""
         if self._tls is None:
             self.stream.send(data, deadline)
             return
@@ -115,18 +120,18 @@
             self._flush(deadline)
 
     def quiet(self) -> bool:
-        """Whether the connection is open and nothing, not even its end, waits to be read."""
+        """Return whether the connection is open with neither data nor its end waiting to be read."""
         if self._tls is None:
             return self.stream.is_idle()
-        return self.receive_now() is None  # session tickets may have come: they are no data
+        return self.receive_now() is None  # reading consumes TLS session tickets, which are not data
 
     def close(self) -> None:
-        """Close it, once."""
+        """Close the connection; repeated calls have no effect."""
         self.stream.close()
 
 
 def server_context(cert_file: str, key_file: str) -> ssl.SSLContext:
-    """For the side that clients connect to; raises `OSError` where the files are of no use."""
+    """Create the TLS context for client connections; raises `OSError` if the certificate can't be loaded."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
     context.load_cert_chain(cert_file, key_file)
@@ -134,7 +139,7 @@
 
 
 def client_context(ca_file: str, host: str, cert_file: str, key_file: str) -> ssl.SSLContext:
-    """For connections to nodes; without a CA their certificates are not checked."""
+    """Create the TLS context for connections to nodes; without a CA file, certificates are not verified."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
     context.check_hostname = bool(host)
--- a/brambleusher/fronts/mysql/client.py
+++ b/brambleusher/fronts/mysql/client.py
@@ -1,4 +1,4 @@
-"""One client of the MySQL front: its connection, its session, and what it holds."""
+"""State of one connected MySQL client."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ConnectionLostError(Exception):
-    """A connection of a session broke, or was given up; the client is to be told once."""
+    """The node connection of a session broke or was abandoned; the client gets `error` once."""
 
     def __init__(self, error: Err, status: AttemptStatus, stop: bool = False) -> None:
         super().__init__(error.text)
@@ -24,7 +24,7 @@
 
 
 class Client:
-    """One client: its connection, its session, and the node's connection that the session holds."""
+    """One client: its connection, its session, and the node connection reserved for the session."""
 
     __slots__ = (
         "accepted_at", "event", "challenge", "chance", "channel", "charged", "deadline", "held", "id_conn",
@@ -35,25 +35,25 @@
     def __init__(self, channel: Channel, peer: str, thread: int, max_packet_bytes: int) -> None:
         self.channel, self.peer, self.thread = channel, peer, thread
         self.reader = PacketReader(max_packet_bytes)
-        self.challenge = b""  # of its first login
+        self.challenge = b""  # authentication challenge of the first login on this connection
         self.session = Session("", "", 0, 0)
-        self.event = Event()  # set when something about its connection has changed
+        self.event = Event()  # set when the node drains or the front end shuts down
         self.held: Held | None = None
         self.last: Conn | None = None
         self.id_conn: Conn | None = None
-        self.work: Work | None = None  # the command that is on its way
+        self.work: Work | None = None  # the command in progress
         self.task: Task | None = None
         self.accepted_at = channel.stream.used_at
-        self.charged = 0  # bytes of the memory of all, for the command under way
-        self.kept = 0  # and for what it has prepared
-        self.deadline: float | None = None  # of its transaction
-        self.leave_at: float | None = None  # its node drains
-        self.chance = 0.0  # which part of the time that drains are spread over it is given
-        self.lost: Err | None = None  # sent with the next command, and the session is over
-        self.request_class = ""  # of the request that it is tied by
+        self.charged = 0  # bytes of the shared memory budget used by the command in progress
+        self.kept = 0  # bytes of the shared memory budget used by prepared statements
+        self.deadline: float | None = None  # deadline of the open transaction
+        self.leave_at: float | None = None  # when the session must leave its draining node; -1 if not set yet
+        self.chance = 0.0  # random fraction of `drain_spread_ms` that delays the end of this session
+        self.lost: Err | None = None  # error that answers the next command and ends the session
+        self.request_class = ""  # class of the request that pinned the session
 
     def leave(self, _held: Held) -> None:
-        """Note that its node drains: `Front` says until when it may stay."""
-        if self.leave_at is None:  # guards against a grace that begins anew with each list
+        """Record that the node of the session drains; `Front` computes how long the session may stay."""
+        if self.leave_at is None:  # the grace period must not restart with each endpoint list
             self.leave_at = -1.0
             self.event.set()
--- a/brambleusher/fronts/mysql/constants.py
+++ b/brambleusher/fronts/mysql/constants.py
@@ -1,11 +1,11 @@
-"""Numbers of the MySQL client/server protocol, as its documentation names them."""
+"""Constants of the MySQL client/server protocol, named as in the MySQL documentation."""
 
 from __future__ import annotations
 
 from enum import IntEnum
 
-MAX_PAYLOAD = 0xFFFFFF  # of one packet; a longer message goes on in the next
-SCRAMBLE = 20  # bytes of the challenge in a greeting
+MAX_PAYLOAD = 0xFFFFFF  # maximum payload of one packet in bytes; longer messages continue in the next one
+SCRAMBLE = 20  # length of the authentication challenge in a greeting, in bytes
 PROTOCOL_VERSION = 10
 
 NATIVE = "mysql_native_password"
@@ -13,7 +13,7 @@
 
 
 class Capability(IntEnum):
-    """What the two ends of a connection agree on."""
+    """Capability flags that client and server negotiate in the handshake."""
 
     LONG_PASSWORD = 1 << 0
     FOUND_ROWS = 1 << 1
@@ -46,7 +46,7 @@
 
 
 class Status(IntEnum):
-    """The server's state, as OK and EOF packets tell it."""
+    """Server status flags carried by OK and EOF packets."""
 
     IN_TRANS = 1 << 0
     AUTOCOMMIT = 1 << 1
@@ -65,7 +65,7 @@
 
 
 class Command(IntEnum):
-    """The first byte of what a client asks."""
+    """Command codes, sent as the first byte of a command packet."""
 
     SLEEP = 0x00
     QUIT = 0x01
@@ -102,7 +102,7 @@
 
 
 class Type(IntEnum):
-    """Types of columns and parameters."""
+    """Type codes of columns and prepared statement parameters."""
 
     DECIMAL = 0x00
     TINY = 0x01
@@ -134,7 +134,7 @@
 
 
 class Track(IntEnum):
-    """Kinds of session-state news in an OK packet."""
+    """Types of session state change that an OK packet reports."""
 
     SYSTEM_VARIABLES = 0
     SCHEMA = 1
@@ -144,16 +144,16 @@
     TRANSACTION_STATE = 5
 
 
-UNSIGNED_FLAG, BINARY_FLAG = 0x20, 0x80  # of a column
-UNSIGNED_PARAMETER = 0x80  # the second byte of a parameter's type
-CURSOR_READ_ONLY = 1  # flag of COM_STMT_EXECUTE
-UTF8MB4, BINARY = 255, 63  # collations
+UNSIGNED_FLAG, BINARY_FLAG = 0x20, 0x80  # flags of a column definition
+UNSIGNED_PARAMETER = 0x80  # unsigned flag in the second byte of a parameter's type
+CURSOR_READ_ONLY = 1  # flag of COM_STMT_EXECUTE that requests a read-only cursor
+UTF8MB4, BINARY = 255, 63  # collation ids
 
-# Client character sets whose texts can hold a quote or backslash as the second byte of a character:
-# statements in them can't be told apart byte by byte.  Ids of their collations.
+# Collation ids of the client character sets in which the second byte of a character can be a quote or a
+# backslash; statements in these character sets can't be tokenized byte by byte.
 UNSAFE_COLLATIONS = frozenset({1, 13, 24, 28, 84, 86, 87, 88, 95, 96, 248, 249, 250})
 UNSAFE_CHARSETS = frozenset({"big5", "sjis", "gbk", "gb2312", "cp932", "gb18030", "euckr", "eucjpms", "ujis"})
-# Those the protocol does not let a client speak at all: a zero byte is half a character in them.
+# Character sets that the protocol forbids to clients, because a zero byte is half a character in them.
 WIDE_CHARSETS = frozenset({"ucs2", "utf16", "utf16le", "utf32"})
 UTF8_COLLATIONS = (
     frozenset({33, 45, 46, 76, 83, 223})
@@ -164,7 +164,7 @@
 
 
 class Errno(IntEnum):
-    """Error numbers that are used here."""
+    """MySQL error numbers used by the front end."""
 
     CON_COUNT = 1040
     OUT_OF_RESOURCES = 1041
@@ -220,7 +220,7 @@
     Errno.NET_READ: "08S01",
     Errno.NET_PACKETS_OUT_OF_ORDER: "08S01",
     Errno.NET_READ_INTERRUPTED: "08S01",
-    Errno.ERROR_DURING_COMMIT: "08007",  # transaction resolution unknown
+    Errno.ERROR_DURING_COMMIT: "08007",  # SQLSTATE class 08007 means "transaction resolution unknown"
     Errno.TOO_MANY_USER_CONNECTIONS: "42000",
     Errno.LOCK_DEADLOCK: "40001",
     Errno.NOT_SUPPORTED_YET: "42000",
@@ -230,7 +230,7 @@
 
 
 def sqlstate(errno: int) -> str:
-    """The SQLSTATE that belongs to an error number."""
+    """Return the SQLSTATE of an error number, or HY000 for an unknown number."""
     try:
         return SQLSTATES.get(Errno(errno), "HY000")
     except ValueError:
--- a/brambleusher/fronts/mysql/front.py
+++ b/brambleusher/fronts/mysql/front.py
@@ -1,8 +1,8 @@
-"""The MySQL front: the listener, the clients' sessions, and their commands.
+"""The MySQL front end: serves client sessions and their commands.
 
-A command of a session that nothing ties is a request: it goes through `RequestLifecycle`, and the decisions
-choose its node.  One of a tied session goes to the connection that the session holds.  Nothing here, nor
-anything below, sends a command a second time but the decisions' own repeats of plain reads.
+A command of an unpinned session is a request: it goes through `RequestLifecycle`, and the load balancer
+chooses the node.  A command of a pinned session goes to the node connection reserved for the session.  No
+command is sent twice, except that the load balancer may retry plain reads.
 """
 
 from __future__ import annotations
@@ -49,15 +49,17 @@
 
 log = logging.getLogger(__name__)
 
-WRITE_SECONDS = 30.0  # for a client that reads its rows slowly, a piece at a time
-READ_SECONDS = 30.0  # without a byte of a command that has begun
-WATCH_SECONDS = 0.05  # while a node is waited for, its client is looked at so often
-SOFT_SECONDS = 1.0  # without a command: what softly ties a session is let go
-# While a claim is out, its client may take so much time in all; then the claim counts as served.  Guards
-# against a node that looks slow, or full, because clients think within their transactions.
+WRITE_SECONDS = 30.0  # timeout in seconds for each write to a client that reads its rows slowly
+READ_SECONDS = 30.0  # timeout in seconds for the rest of a partially received command
+WATCH_SECONDS = 0.05  # interval in seconds of the check whether the client has closed its connection
+SOFT_SECONDS = 1.0  # idle time in seconds after which soft pins are dropped
+# Maximum time in seconds that a client may spend between the statements of one attempt; after that the
+# attempt counts as served.  Without this limit, a node would look slow or full because of clients that pause
+# within their transactions.
 THINK_SECONDS = 0.1
-ANSWER_MARGIN_NS = 10_000_000  # of its deadline: the error leaves before the client stops waiting
-FREE_BYTES = 64 * 1024  # a command may have, before it counts against the memory of all
+# Nanoseconds subtracted from the deadline, so that the error is sent before the client stops waiting.
+ANSWER_MARGIN_NS = 10_000_000
+FREE_BYTES = 64 * 1024  # size in bytes up to which a command is not charged to the shared memory budget
 OFFERED = int(
     Capability.LONG_PASSWORD | Capability.FOUND_ROWS | Capability.LONG_FLAG | Capability.CONNECT_WITH_DB
     | Capability.NO_SCHEMA | Capability.ODBC | Capability.IGNORE_SPACE | Capability.PROTOCOL_41
@@ -131,16 +133,16 @@
     # --- the listener ---------------------------------------------------------------------------
 
     def listen(self, address: Address) -> Address:
-        """Bind, and start to accept; says where."""
+        """Bind the address, start to accept clients, and return the bound address."""
         return self._listener.listen(address)
 
     @property
     def connections(self) -> int:
-        """Sessions that are open."""
+        """Number of open sessions."""
         return len(self._clients)
 
     def wind_down(self) -> None:
-        """Take no new session; end each one as soon as nothing ties it and nothing is owed on it."""
+        """Accept no new sessions; end each session once it is neither pinned nor running a command."""
         self._closing = True
         self._listener.close()
         for client in self._clients.values():
@@ -149,7 +151,7 @@
             client.event.set()
 
     def state(self) -> dict[str, object]:
-        """What is known of sessions and nodes, for JSON; no texts and no secrets."""
+        """Return the state of sessions and nodes for JSON, without statement texts and secrets."""
         return {
             "sessions": {
                 str(client.thread): {**client.session.state(), "node": client.held and client.held.node.name}
@@ -173,7 +175,7 @@
         except (OSError, TaskTimeoutError, ClientLeftError):
             return
         except Exception:
-            # Guards against a session that ends without a word over a fault of ours.
+            # After an internal error the client still gets an error message before its session ends.
             self._counters.add("faults")
             log.exception("session failed")
             self._last_word(client, Err.of(Errno.UNKNOWN, "a fault in the sidecar"))
@@ -181,7 +183,7 @@
             self._over(client)
 
     def _over(self, client: Client) -> None:
-        """Let go of all that a session has; what runs for it is stopped."""
+        """Release all resources of a session and stop its running statement."""
         self._listener.forget(client)
         self._uncharge(client)
         self._memory_left += client.kept
@@ -198,7 +200,7 @@
         client.channel.close()
 
     def _last_word(self, client: Client, error: Err) -> None:
-        """An error that ends the session, numbered as the client awaits it."""
+        """Send the error that ends the session, with the sequence number that the client expects."""
         try:
             client.channel.send(
                 frame(error.encode(), client.reader.answer_seq), self._scheduler.now() + WRITE_SECONDS
@@ -208,7 +210,7 @@
             return
 
     def _keep_in_mind(self, client: Client, more: int = 0) -> None:
-        """Charge what a session holds of prepared statements, and what is to come, to the memory of all."""
+        """Charge a session's prepared statements and `more` further bytes to the shared memory budget."""
         held = client.session.held_bytes + more
         if held - client.kept > self._memory_left:
             raise ProtocolError("no memory for what is prepared", Errno.OUT_OF_RESOURCES)
@@ -220,7 +222,7 @@
         client.charged = 0
 
     def _say(self, client: Client, *messages: bytes) -> bool:
-        """Messages that answer a command; true, since the session goes on."""
+        """Send the messages of a response and return True, since the session continues."""
         first = client.reader.seq
         out = b"".join(frame(message, first + at) for at, message in enumerate(messages))
         client.channel.send(out, self._scheduler.now() + WRITE_SECONDS)
@@ -235,7 +237,7 @@
     # --- the login ------------------------------------------------------------------------------
 
     def _challenge(self) -> bytes:
-        """Twenty bytes without a zero, which would end them."""
+        """Return a challenge of 20 random bytes, none of them zero because a zero byte would terminate it."""
         return bytes(byte % 127 + 1 for byte in self._entropy(SCRAMBLE))
 
     def _log_in(self, client: Client) -> bool:
@@ -252,7 +254,7 @@
         return self._meet(client, login, deadline)
 
     def _meet(self, client: Client, login: ServerLogin, deadline: float) -> bool:
-        """A login's messages to and fro; false where it was refused."""
+        """Run the message exchange of a login; return False if the login failed."""
         channel = client.channel
         while True:
             try:
@@ -306,7 +308,7 @@
     # --- commands -------------------------------------------------------------------------------
 
     def _command(self, client: Client) -> bool:
-        """One command and its answer; false when the session is over."""
+        """Read one command and respond to it; return False if the session is over."""
         body = self._next(client)
         if body is None:
             return False
@@ -330,7 +332,7 @@
             return self._say_error(client, Err(error.errno, error.state, str(error)))
 
     def _next(self, client: Client) -> bytes | None:
-        """The next command; None where the session ends without one."""
+        """Return the next command, or None if the session ends before one arrives."""
         reader = client.reader
         reader.expect()
         begun_at = self._scheduler.now()
@@ -356,7 +358,7 @@
         return body
 
     def _say_unasked(self, client: Client, error: Err) -> None:
-        """An error that no command asked for, ahead of the end."""
+        """Send an error outside a command exchange, before the connection is closed."""
         client.channel.send(frame(error.encode(), 0), self._scheduler.now() + WRITE_SECONDS)
         client.channel.stream.finish()
 
@@ -365,13 +367,13 @@
         if more <= 0:
             return
         if more > self._memory_left:
-            # Guards against clients that together send more than the sidecar may hold.
+            # All clients together must not buffer more than `memory_mb`.
             raise ProtocolError("no memory for a command so large", Errno.OUT_OF_RESOURCES)
         self._memory_left -= more
         client.charged += more
 
     def _waits_until(self, client: Client, begun_at: float) -> tuple[float, Callable[[Client], bool]]:
-        """How long the next command is waited for, and what is done then; that says whether to go on."""
+        """Return the timeout for the next command and its handler, which tells if the session continues."""
         now, settings = self._scheduler.now(), self._settings
         if client.reader.begun:
             waits = [(begun_at + READ_SECONDS, self._too_slow)]
@@ -389,7 +391,7 @@
         return min(waits, key=lambda each: each[0])
 
     def _leaves_at(self, client: Client, now: float) -> float:
-        """Until when a session may stay on its node that drains: its class's grace, and a part by chance."""
+        """Return when a session must leave its draining node: the grace period of its class plus a jitter."""
         if client.leave_at is None or client.leave_at < 0:
             grace = self._mapping.grace_ns(client.request_class or self._settings.strict_class) / 1e9
             client.chance = self._rng.random()
@@ -397,9 +399,9 @@
         return client.leave_at
 
     def _rests_until(self, client: Client, now: float) -> float:
-        """Until when a session without a command may stay on its node that drains.
+        """Return until when a session without a running command may stay on its draining node.
 
-        Where nothing of a request is open, whatever it asks next would be new to the node.
+        If no transaction and no cursor is open, the next command would start a new request on the node.
         """
         until, held, session = self._leaves_at(client, now), client.held, client.session
         if held is None or session.in_transaction or session.cursors:
@@ -407,11 +409,12 @@
         starts = self._nodes.starts_until(held.node)
         if starts is None or until <= starts:
             return until
-        # All come to this bound where the grace is longer: they are spread over the second half before it.
+        # If the grace period is longer than this limit, all sessions would leave at the limit at once; so
+        # they are spread over the second half of the time before it.
         return starts - client.chance * (starts - held.node.left_at) / 2
 
     def _starts_too_late(self, client: Client, work: Work, statement: Statement) -> bool:
-        """Whether a command of a tied session is something new to a node that drains for too long."""
+        """Return whether a pinned session's command starts a request too late on a draining node."""
         held, session = client.held, client.session
         starts = None if held is None else self._nodes.starts_until(held.node)
         if starts is None or self._scheduler.now() < starts:
@@ -447,7 +450,7 @@
         return self._lose(client, Err.of(Errno.QUERY_TIMEOUT, text), AttemptStatus.TIMEOUT)
 
     def _lose(self, client: Client, error: Err, status: AttemptStatus) -> bool:
-        """Give up what the session holds; the client hears of it with its next command."""
+        """Close the reserved connection of a session; the client gets the error with its next command."""
         held, client.held = client.held, None
         if held is not None:
             held.drop(status)
@@ -456,7 +459,7 @@
         return True
 
     def _let_go(self, client: Client) -> bool:
-        """Let go of what softly ties a session."""
+        """Drop the soft pins of a session and release its connection."""
         for tie in list(client.session.ties):
             client.session.lift(tie)
         self._release(client)
@@ -469,7 +472,7 @@
         if held is not None:
             held.release()
 
-    # --- a command that a node runs -------------------------------------------------------------
+    # --- commands that run on a node ------------------------------------------------------------
 
     def _run(
         self,
@@ -481,7 +484,7 @@
         run: Execute | None = None,
         number: int | None = None,
     ) -> bool:
-        """Have a command run and its answer passed on."""
+        """Run a command on a node and forward the response to the client."""
         work = Work(
             client, command, body, lambda reply: self._accept(client, statement, work, reply), run, prepared,
             statement.reads_last_id, statement.about_previous, number, client.reader.seq,
@@ -494,7 +497,7 @@
                 and client.session.softly_tied
                 and not statement.about_previous
             ):
-                self._let_go(client)  # its node drains, and what ties it is not asked for
+                self._let_go(client)  # the node drains, and the statement doesn't need the soft pins
             if client.held is not None:
                 self._counters.add("mysql_tied_commands")
                 return self._run_tied(client, work, statement)
@@ -503,7 +506,7 @@
             client.work = None
 
     def _request(self, client: Client, work: Work, statement: Statement) -> bool:
-        """A command of a session that nothing ties, by way of the decisions."""
+        """Run a command of an unpinned session on a node chosen by the load balancer."""
         session = client.session
         opens = self._opens(session, statement)
         given = self._mapping.assign(statement, session.user, opens)
@@ -520,7 +523,7 @@
         left_ns -= min(ANSWER_MARGIN_NS, left_ns // 10)
         self._requests += 1
         call = ClientRequest(
-            f"mysql {self._requests}",  # with a space: no id of an HTTP request has one
+            f"mysql {self._requests}",  # the space prevents collisions with ids of HTTP requests
             given.request_class, given.tenant, left_ns,
             None if given.work_us is None else given.work_us * 1000, False, work,
         )  # fmt: skip
@@ -548,13 +551,13 @@
 
     @staticmethod
     def _opens(session: Session, statement: Statement) -> bool:
-        """Whether a statement begins a transaction, which is one request."""
+        """Return whether a statement begins a transaction, which counts as one request."""
         return statement.kind is Kind.BEGIN or (
             not session.autocommit and statement.kind not in (Kind.SET, Kind.USE)
         )
 
     def _watch(self, client: Client) -> Callable[[], Socket | None]:
-        # One that sends ahead without end is not read further until its answer is out.
+        # A client that pipelines too much data is not read until its response has been sent.
         return lambda: client.channel.sock if client.reader.buffered < 2 * FREE_BYTES else None
 
     def _has_left(self, client: Client) -> bool:
@@ -566,7 +569,7 @@
         return data == b""
 
     def _sorry(self, answer: FinalResponse, work: Work, statement: Statement) -> Err:
-        """The one error for a request that has no answer."""
+        """Return the error for a request without a response."""
         if work.error is not None and (not work.reached or answer.kind is AnswerKind.REJECTED):
             return work.error
         if answer.kind is AnswerKind.REJECTED and (statement.plain_read or not work.reached):
@@ -583,7 +586,7 @@
         return work.error or self._lost_error(False, statement)
 
     def _lost_error(self, in_transaction: bool, statement: Statement) -> Err:
-        """What a client is told whose statement was sent and whose answer did not come whole."""
+        """Return the error for a statement that was sent and whose response is incomplete."""
         kind = statement.kind
         commits = (
             kind in _COMMITTING
@@ -597,7 +600,7 @@
                 Errno.NET_READ,
                 "the node was lost within the transaction, which it rolls back; nothing is repeated",
             )
-        # What else is a SELECT or a SET may call a stored function, and that may have written.
+        # Any other SELECT or SET may call a stored function, which may have written data.
         if (statement.plain_read or statement is _FETCH) and not (in_transaction and commits):
             return Err.of(Errno.NET_READ, "the node was lost before the answer was whole")
         self._counters.add("mysql_outcomes_unknown")
@@ -608,7 +611,7 @@
         )
 
     def _accept(self, client: Client, statement: Statement, work: Work, reply: Reply) -> Mode:
-        """An answer is whole, or has begun to come: whether anyone waits for it, and who keeps what."""
+        """Take a complete or partial response and decide what happens to its connection."""
         if work.over:
             return Mode.REFUSED
         work.over, work.taken = True, reply
@@ -620,7 +623,7 @@
         return mode
 
     def _settle(self, client: Client, statement: Statement, work: Work, reply: Reply) -> Mode:
-        """The whole answer is here: what it changed in the session and on its connection."""
+        """Apply the effects of a complete response to the session and its connection."""
         session, relay, conn = client.session, reply.relay, reply.held.conn
         if work.command == Command.STMT_PREPARE:
             if relay.prepared is not None and relay.error is None and work.statement_id is not None:
@@ -644,10 +647,10 @@
     def _pass_on(
         self, client: Client, work: Work, statement: Statement, reply: Reply, deadline: float | None
     ) -> bool:
-        """Send an answer to the client, as it comes; false when the session is over.
+        """Forward a response to the client as it arrives; return False if the session is over.
 
-        What breaks ends in one error behind what has gone out, or in the end of the connection where a
-        packet had begun.
+        If the response breaks off, the client gets one error after the data sent so far; within a packet the
+        connection is closed instead.
         """
         relay, held, session = reply.relay, reply.held, client.session
         if not relay.done:
@@ -669,13 +672,13 @@
                     held.conn.doomed = True
                 if relay.done:
                     held.measured_whole()
-                    # Before the client can act on the end of its answer.
+                    # The state must be current before the client reads the end of the response and continues.
                     mode = self._settle(client, statement, work, reply)
                     self._keep(client, held, mode)
                 if out:
                     client.channel.send(out, self._scheduler.now() + WRITE_SECONDS)
                 if held.claimed and held.client_took(self._scheduler.now()) > THINK_SECONDS:
-                    held.finish(AttemptStatus.OK)  # it reads slowly: that is not the node's doing
+                    held.finish(AttemptStatus.OK)  # a slow client must not make the node look slow
             return not (statement.release and relay.error is None)
         except ConnectionLostError as lost:
             client.held = None
@@ -689,12 +692,12 @@
                 return False
             client.channel.send(relay.fail(lost.error), self._scheduler.now() + WRITE_SECONDS)
             if was_tied:
-                # Guards against a client that goes on without the transaction or the variables it relies on.
+                # The client must not continue without the transaction or the variables on which it relies.
                 client.channel.stream.finish()
                 return False
             return True
         except (OSError, TaskTimeoutError, ClientLeftError):
-            if not whole and not relay.done:  # the client has gone: the statement has nobody to run for
+            if not whole and not relay.done:  # the client has disconnected, so its statement is stopped
                 client.held = None
                 held.stop(AttemptStatus.CANCELLED)
             raise ClientLeftError from None
@@ -710,11 +713,11 @@
             client.deadline = None
 
     def _from_node(self, client: Client, held: Held, deadline: float | None, statement: Statement) -> bytes:
-        """Return the next bytes of an answer.
+        """Return the next bytes of a response.
 
         Raises:
-            ConnectionLostError: None will come.
-            ClientLeftError: None are wanted.
+            ConnectionLostError: The connection broke, or the deadline or the drain time passed.
+            ClientLeftError: The client has closed its connection.
         """
         channel, begun = held.conn.channel, self._scheduler.now()
         in_transaction = client.session.in_transaction
@@ -750,12 +753,12 @@
             held.waited_ns += int((self._scheduler.now() - begun) * 1e9)
 
     def _unless_unknown(self, in_transaction: bool, statement: Statement, error: Err) -> Err:
-        """An error, or where the statement may have run and stays so, that its outcome is unknown."""
+        """Return `error`, or the "outcome unknown" error if the statement's effects may be permanent."""
         lost = self._lost_error(in_transaction, statement)
         return lost if lost.errno == Errno.ERROR_DURING_COMMIT else error
 
     def _run_tied(self, client: Client, work: Work, statement: Statement) -> bool:
-        """A command of a tied session, on the connection it holds."""
+        """Run a command of a pinned session on its reserved connection."""
         held, session = client.held, client.session
         assert held is not None
         conn, in_transaction = held.conn, session.in_transaction
@@ -798,10 +801,10 @@
         )  # fmt: skip
         goes_on = self._pass_on(client, work, statement, Reply(b"", relay, held), deadline)
         if goes_on and statement.chain and self._starts_too_late(client, work, _CHAINED):
-            self._drained(client)  # the transaction that the COMMIT chained to itself is new to the node
+            self._drained(client)  # COMMIT AND CHAIN has started a transaction, which is a new request
         return goes_on
 
-    # --- the commands one by one ----------------------------------------------------------------
+    # --- command handlers -----------------------------------------------------------------------
 
     def _ping(self, client: Client, body: bytes) -> bool:
         if client.held is not None:
@@ -826,14 +829,14 @@
                 session.status = session.status | flag if statement.autocommit else session.status & ~flag
                 return self._say_ok(client)
             if kind in (Kind.COMMIT, Kind.ROLLBACK) and not (statement.chain or statement.release):
-                # Nothing is open: drivers and pools end transactions that never began, again and again.
+                # No transaction is open; drivers and pools often end transactions that never began.
                 return self._say_ok(client)
             if statement.digest == "select connection_id ()":
                 return self._say_number(client, b"CONNECTION_ID()", client.thread)
         return self._run(client, Command.QUERY, body, statement)
 
     def _check_text(self, session: Session, text: bytes) -> None:
-        """Refuse a text that is not in the client's character set; literals may hold any bytes."""
+        """Reject a statement that is not valid UTF-8 outside its string literals."""
         if text.isascii() or session.collation not in UTF8_COLLATIONS:
             return
         try:
@@ -850,7 +853,7 @@
                     ) from None
 
     def _say_number(self, client: Client, name: bytes, value: int) -> bool:
-        """A result of one row with one number."""
+        """Send a result set of one row with one number."""
         session = client.session
         caps, status = session.capabilities, session.status
         column = Column(name, Type.LONGLONG, 63, 21, 0x81).encode()
@@ -890,7 +893,7 @@
     def _reset_connection(self, client: Client, body: bytes) -> bool:
         held, client.held = client.held, None
         if held is not None:
-            # The node takes back what is tied, so that the connection can serve others.
+            # The reset drops the session state at the node, so that the connection can serve other sessions.
             try:
                 self._nodes.reset(held.conn)
                 held.release()
@@ -926,7 +929,7 @@
         return self._kill(client, False, int.from_bytes(body[1:], "little"))
 
     def _kill(self, client: Client, query: bool, thread: int) -> bool:
-        """KILL of another session of the same user, by the number that this front gave it."""
+        """Kill another session of the same user, identified by the thread id that this front end assigned."""
         target = self._clients.get(thread)
         if target is None:
             return self._say_error(client, Err.of(Errno.NO_SUCH_THREAD, f"Unknown thread id: {thread}"))
@@ -936,7 +939,7 @@
             return self._say_error(client, Err.of(Errno.QUERY_INTERRUPTED, "Query execution was interrupted"))
         work = target.work
         if work is not None and work.conn is not None:
-            work.conn.doomed = True  # else the kill could hit whoever has the connection next
+            work.conn.doomed = True  # otherwise the KILL could hit the next session on the connection
             self._nodes.kill(work.conn)
         if not query and target.task is not None:
             target.task.cancel()
@@ -952,7 +955,7 @@
             return self._say_error(client, _NO_LOCAL)
         number = session.next_prepared(len(text))
         self._keep_in_mind(client, len(text))
-        # Preparing changes nothing: it may be repeated, whatever the statement does.
+        # Preparing has no side effects, so it may be retried whatever the statement does.
         harmless = Statement(Kind.READ, statement.digest, plain_read=True, hint=statement.hint)
         return self._run(client, Command.STMT_PREPARE, body, harmless, number=number) and self._remember(
             client, number, statement
@@ -970,7 +973,7 @@
         if statement.kill is not None:
             return self._kill(client, *statement.kill)
         if run.flags & CURSOR_READ_ONLY:
-            # With a cursor the rows come by later commands: what is read is not over with this answer.
+            # With a cursor, later commands fetch the rows, so this response does not complete the read.
             statement = replace(statement, plain_read=False) if not statement.plain_read else statement
         return self._run(client, Command.STMT_EXECUTE, body, statement, found, run, found.id)
 
@@ -989,7 +992,7 @@
 
     @staticmethod
     def _here(client: Client, found: PreparedText) -> int | None:
-        """The id of a statement on the connection that the session holds."""
+        """Return the id of a prepared statement on the session's reserved connection, or None."""
         if client.held is None:
             return None
         conn = client.held.conn
@@ -1018,7 +1021,7 @@
         return self._say_ok(client)
 
     def _close_cursor(self, client: Client, number: int) -> None:
-        """Close a cursor at the node, where one is open."""
+        """Close a cursor at the node, if one is open."""
         found = client.session.prepared.get(number)
         if found is None or number not in client.session.cursors or client.held is None:
             return
@@ -1037,7 +1040,7 @@
 
 
 _BROKEN = (OSError, ProtocolError)
-# In an open transaction these end it with a commit of their own, or may.
+# Kinds of statement that commit an open transaction implicitly, or may do so.
 _COMMITTING = frozenset({Kind.COMMIT, Kind.BEGIN, Kind.DEFINE, Kind.LOCK, Kind.UNLOCK, Kind.UNKNOWN})
 _SESSION_GOES_ON = frozenset(
     {Errno.UNKNOWN_STMT_HANDLER, Errno.WRONG_ARGUMENTS, Errno.NOT_SUPPORTED_YET, 1461}
--- a/brambleusher/fronts/mysql/load.py
+++ b/brambleusher/fronts/mysql/load.py
@@ -1,10 +1,10 @@
-"""What a node's load looks like from here, since MySQL answers carry no load report.
+"""Estimates a node's load on the client side, since MySQL responses carry no load report.
 
-No sockets and no clock.  Two figures are kept: claims served a second, in the module's own unit, and how
-many statements were at the node at once, those of tied sessions too, as a part of the connections that the
-sidecar may have to it.  They fade as slowly as the
-module's own count of what is asked does: were they quicker, then after a busy moment what is asked would
-look like more than what is served, and be turned away.
+The estimate uses neither sockets nor a clock.  It consists of two moving averages: attempts served per
+second, and statements in progress at the node, pinned sessions included, as a fraction of the connections
+that the sidecar may open to the node.  Both decay as slowly as the load balancer's own count of requested
+work.  With a faster decay, the requested work would exceed the served work after a busy period, and requests
+would be rejected.
 """
 
 from __future__ import annotations
@@ -13,17 +13,18 @@
 
 from brambleusher.loadbalancing.api import LoadReport
 
-WINDOW_OF_AIM = 4.0  # of the shortest aim: after it a moment counts for e^-1 (the module's HEALTH_WINDOW)
+# Decay time constant as a multiple of the shortest latency target; equals HEALTH_WINDOW of the load balancer.
+WINDOW_OF_AIM = 4.0
 
 
 class Meter:
-    """One node's figures, told when a statement goes there and when it is over."""
+    """Load averages of one node, updated when a statement starts and ends."""
 
     __slots__ = ("_at", "_busy", "_rate", "_window", "out")
 
     def __init__(self, window: float) -> None:
-        self._window = window  # in seconds
-        self.out = 0  # statements at the node
+        self._window = window  # decay time constant in seconds
+        self.out = 0  # statements in progress at the node
         self._busy = self._rate = 0.0
         self._at = 0.0
 
@@ -34,21 +35,21 @@
         self._at = max(self._at, now)
 
     def begin(self, now: float) -> None:
-        """A statement goes to the node."""
+        """Count a statement that is sent to the node."""
         self._settle(now)
         self.out += 1
 
     def end(self, now: float) -> None:
-        """It is over."""
+        """Count the end of a statement."""
         self._settle(now)
         self.out -= 1
 
     def served(self, now: float) -> None:
-        """A claim was served."""
+        """Count an attempt that was served."""
         self._settle(now)
         self._rate += 1 / self._window
 
     def report(self, now: float, places: int) -> LoadReport:
-        """The figures, for a node to which the sidecar may have so many connections."""
+        """Return the averages for a node to which the sidecar may open at most `places` connections."""
         self._settle(now)
         return LoadReport(min(1.0, self._busy / max(places, 1)), self._rate)
--- a/brambleusher/fronts/mysql/mapping.py
+++ b/brambleusher/fronts/mysql/mapping.py
@@ -1,4 +1,4 @@
-"""From statements to requests: class, tenant, deadline and hint, each with the reason for it."""
+"""Maps statements to request class, tenant, deadline and expected work, with the reason for the choice."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 from brambleusher.fronts.mysql.statements import Hint, Kind, Statement
 from brambleusher.loadbalancing import api
 
-REASONS = 4096  # digests whose reason was told; past it the oldest may be told again
+REASONS = 4096  # maximum number of logged assignments remembered; evicted ones may be logged again
 
 
 @dataclass(frozen=True, slots=True)
 class Assignment:
-    """A statement as a request."""
+    """Request parameters assigned to a statement."""
 
     request_class: str
     tenant: str | None
-    deadline_ms: int  # 0 never stands here
+    deadline_ms: int  # always greater than 0
     work_us: int | None
     reason: str
 
 
 class Mapping:
-    """The mapping of the operator file."""
+    """Assigns request parameters to statements according to the operator file."""
 
     def __init__(self, settings: MysqlSettings, platform: api.Settings) -> None:
         self._settings = settings
@@ -34,9 +34,10 @@
         self._told: OrderedDict[tuple[str, str, str], None] = OrderedDict()
 
     def assign(self, statement: Statement, user: str, transaction: bool = False) -> Assignment:
-        """What a statement is to the decisions; `transaction`: it begins one, which is one request.
+        """Assign request parameters to a statement.
 
-        Only a plain read may have a class that is repeated: all else gets the strictest.
+        `transaction` is true if the statement begins a transaction, which counts as one request.  Only a
+        plain read may have a class whose requests are retried; all other statements get `strict_class`.
         """
         settings = self._settings
         rule = settings.users.get(user) or UserRule(user)
@@ -58,10 +59,10 @@
             wanted = settings.default_class, "default"
         name, reason = wanted
         if name is None:
-            name, reason = settings.strict_class, "nothing else fits"
+            name, reason = settings.strict_class, "no other rule applies"
         elif self._effect(name) is not api.Idempotency.UNSAFE and (transaction or not statement.plain_read):
-            what = "a transaction" if transaction else "no plain read"
-            name, reason = settings.strict_class, f"{reason} says {name}, but it is {what}"
+            what = "a transaction" if transaction else "not a plain read"
+            name, reason = settings.strict_class, f"{reason} selects {name}, but the statement is {what}"
         deadline_ms = (
             hint.deadline_ms
             or (listed.deadline_ms if listed is not None else None)
@@ -72,7 +73,7 @@
         return Assignment(name, tenant, deadline_ms, hint.work_us, reason)
 
     def news(self, statement: Statement, user: str, given: Assignment) -> bool:
-        """Whether the reason for this digest and user has not been told yet; it counts as told from now."""
+        """Return whether this assignment has not been logged yet for the digest and user, and remember it."""
         key = (statement.digest[:256], user, given.reason[:256])
         if key in self._told:
             return False
@@ -82,7 +83,7 @@
         return True
 
     def grace_ns(self, request_class: str) -> int:
-        """How long a session tied in a request of this class may stay on a node that drains."""
+        """Return how long a session pinned by a request of this class may stay on a draining node."""
         ms = self._settings.grace_ms.get(request_class)
         return self._classes[request_class].deadline_ns if ms is None else ms * 1_000_000
 
--- a/brambleusher/fronts/mysql/messages.py
+++ b/brambleusher/fronts/mysql/messages.py
@@ -1,6 +1,6 @@
-"""Messages of the protocol: what stands in a greeting, a login, OK, ERR and EOF, columns and rows.
+"""Messages of the MySQL protocol: greeting, login, OK, ERR, EOF, column definitions, rows, statements.
 
-Each has a reader and a writer, so that both ends of a connection can be played.
+Each message has a parser and an encoder, so that both client and server can use them.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 )
 from brambleusher.fronts.mysql.packets import Fields, ProtocolError, lenenc, lentext
 
-MAX_ATTRIBUTES = 64 * 1024
+MAX_ATTRIBUTES = 64 * 1024  # maximum size of the connection attributes in bytes
 
 
 def utf8(data: bytes, what: str) -> str:
-    """A name as text; raises `ProtocolError` where it is not UTF-8."""
+    """Decode a name; raises `ProtocolError` naming `what` if it is not valid UTF-8."""
     try:
         return data.decode()
     except UnicodeDecodeError:
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True)
 class Ok:
-    """An OK packet; `state` is the session-state news in it, undecoded."""
+    """An OK packet; `state` holds its encoded session state changes."""
 
     affected: int = 0
     last_id: int = 0
@@ -48,7 +48,7 @@
 
     @classmethod
     def parse(cls, data: bytes, capabilities: int) -> Ok:
-        """Read one, whichever header byte it has."""
+        """Parse an OK packet, whose header byte may be 0x00 or 0xFE."""
         fields = Fields(data, 1)
         ok = cls(fields.lenenc(), fields.lenenc(), fields.number(2), fields.number(2))
         if capabilities & Capability.SESSION_TRACK:
@@ -61,7 +61,7 @@
         return ok
 
     def encode(self, capabilities: int, header: int = 0) -> bytes:
-        """Write one; `header` is 0xFE where it stands at the end of rows."""
+        """Encode the packet; `header` is 0xFE if the packet ends the rows of a result set."""
         status, tail = self.status, self.info
         if capabilities & Capability.SESSION_TRACK:
             news = self.state if status & Status.SESSION_STATE_CHANGED else b""
@@ -90,12 +90,12 @@
 
     @classmethod
     def of(cls, errno: int, text: str) -> Err:
-        """One with the SQLSTATE that belongs to its number."""
+        """Create an error with the SQLSTATE of its error number."""
         return cls(int(errno), sqlstate(errno), text)
 
     @classmethod
     def parse(cls, data: bytes, protocol_41: bool = True) -> Err:
-        """Read one; those before the login may lack the state."""
+        """Parse an ERR packet; before the login it may lack the SQLSTATE."""
         fields = Fields(data, 1)
         errno, state = fields.number(2), "HY000"
         if protocol_41 and fields.left and data[fields.at : fields.at + 1] == b"#":
@@ -104,26 +104,27 @@
         return cls(errno, state, fields.rest().decode("utf-8", "replace"))
 
     def encode(self) -> bytes:
-        """Write one."""
+        """Encode the packet."""
+        # The SQLSTATE has exactly five characters on the wire.
         state = self.state.encode("ascii", "replace")[:5].ljust(5, b"0")
         return b"\xff" + struct.pack("<H", self.errno) + b"#" + state + self.text.encode()[:512]
 
 
 @dataclass(slots=True)
 class Eof:
-    """An EOF packet of the older kind."""
+    """An EOF packet, as sent without the capability DEPRECATE_EOF."""
 
     warnings: int = 0
     status: int = 0
 
     @classmethod
     def parse(cls, data: bytes) -> Eof:
-        """Read one."""
+        """Parse an EOF packet."""
         fields = Fields(data, 1)
         return cls(fields.number(2), fields.number(2)) if fields.left else cls()
 
     def encode(self) -> bytes:
-        """Write one."""
+        """Encode the packet."""
         status = self.status & ~Status.SESSION_STATE_CHANGED & 0xFFFF
         return b"\xfe" + struct.pack("<HH", self.warnings, status)
 
@@ -134,7 +135,10 @@
 
 
 def parse_state(data: bytes) -> list[tuple[int, tuple[bytes, ...]]]:
-    """Session-state news as pairs of a kind and its texts; kinds not known have their bytes as one."""
+    """Parse session state changes into pairs of a type and its strings.
+
+    A change of unknown type has its raw bytes as its only string.
+    """
     fields = Fields(data)
     out: list[tuple[int, tuple[bytes, ...]]] = []
     while fields.left:
@@ -155,7 +159,7 @@
 
 
 def encode_state(news: list[tuple[int, tuple[bytes, ...]]]) -> bytes:
-    """The other way round."""
+    """Encode session state changes, given as pairs of a type and its strings."""
     out = b""
     for kind, values in news:
         plain = kind == Track.GTIDS or kind > Track.TRANSACTION_STATE
@@ -181,7 +185,7 @@
 
     @classmethod
     def parse(cls, data: bytes) -> Greeting:
-        """Read one; raises `ProtocolError` for another version or nonsense."""
+        """Parse a greeting; raises `ProtocolError` for another version or a malformed packet."""
         fields = Fields(data)
         version = fields.number(1)
         if version != PROTOCOL_VERSION:
@@ -199,7 +203,7 @@
             challenge += fields.take(max(13, size - 8))[:12]
         plugin = b""
         if capabilities & Capability.PLUGIN_AUTH:
-            # Guards against servers that leave the zero byte out, as some old ones do.
+            # Some old servers omit the terminating zero byte.
             plugin = fields.rest().split(b"\0", 1)[0]
         return cls(
             name.decode("latin-1"), thread, challenge, capabilities, collation, status,
@@ -207,7 +211,7 @@
         )  # fmt: skip
 
     def encode(self) -> bytes:
-        """Write one."""
+        """Encode the packet."""
         low, high = self.capabilities & 0xFFFF, self.capabilities >> 16
         return (
             bytes((PROTOCOL_VERSION,))
@@ -221,14 +225,14 @@
 
 @dataclass(slots=True)
 class SslRequest:
-    """The short login that asks for TLS before the rest."""
+    """The truncated login packet that requests TLS."""
 
     capabilities: int
     max_packet: int = 1 << 24
     collation: int = UTF8MB4
 
     def encode(self) -> bytes:
-        """Write one."""
+        """Encode the packet."""
         return struct.pack("<IIB", self.capabilities, self.max_packet, self.collation & 0xFF) + bytes(23)
 
 
@@ -238,7 +242,7 @@
 
     capabilities: int
     user: str
-    answer: bytes  # to the challenge
+    answer: bytes  # response to the authentication challenge
     database: str = ""
     plugin: str = ""
     collation: int = UTF8MB4
@@ -247,7 +251,7 @@
 
     @classmethod
     def parse(cls, data: bytes) -> Login | SslRequest:
-        """Read one, or the request for TLS that may come first."""
+        """Parse a login packet, or the TLS request that may precede it."""
         fields = Fields(data)
         capabilities = fields.number(2)
         if not capabilities & Capability.PROTOCOL_41:
@@ -279,7 +283,7 @@
         return cls(capabilities, user, answer, database, plugin, collation, max_packet, attributes)
 
     def encode(self) -> bytes:
-        """Write one."""
+        """Encode the packet."""
         caps = self.capabilities
         out = struct.pack("<IIB", caps, self.max_packet, self.collation & 0xFF) + bytes(23)
         out += self.user.encode() + b"\0"
@@ -325,7 +329,7 @@
 
     @classmethod
     def parse(cls, data: bytes, capabilities: int) -> ChangeUser:
-        """Read one, command byte included."""
+        """Parse a COM_CHANGE_USER command, including the command byte."""
         fields = Fields(data, 1)
         user = utf8(fields.until_zero(), "the user's name")
         answer = fields.take(fields.number(1))
@@ -339,7 +343,7 @@
         return out
 
     def encode(self, capabilities: int) -> bytes:
-        """Write one, command byte included."""
+        """Encode the command, including the command byte."""
         out = b"\x11" + self.user.encode() + b"\0" + _short(self.answer) + self.database.encode() + b"\0"
         out += struct.pack("<H", self.collation)
         if capabilities & Capability.PLUGIN_AUTH:
@@ -348,12 +352,15 @@
 
 
 def auth_switch(plugin: str, challenge: bytes) -> bytes:
-    """A request to log in by another plugin."""
+    """Encode a request to authenticate with another plugin."""
     return b"\xfe" + plugin.encode() + b"\0" + challenge + b"\0"
 
 
 def parse_auth_switch(data: bytes) -> tuple[str, bytes]:
-    """The plugin and the challenge; a bare one means the plugin from before 4.1."""
+    """Parse an auth switch request into plugin and challenge.
+
+    A request without data means the plugin `mysql_old_password` of MySQL before 4.1.
+    """
     if len(data) == 1:
         return "mysql_old_password", b""
     fields = Fields(data, 1)
@@ -382,7 +389,7 @@
 
     @classmethod
     def parse(cls, data: bytes) -> Column:
-        """Read one."""
+        """Parse a column definition."""
         fields = Fields(data)
         catalog, schema, table, org_table, name, org_name = (fields.text() for _ in range(6))
         body = Fields(fields.text())
@@ -402,19 +409,19 @@
         )
 
     def encode(self) -> bytes:
-        """Write one."""
+        """Encode the definition."""
         names = (self.catalog, self.schema, self.table, self.org_table, self.name, self.org_name)
         tail = struct.pack("<HIBHBH", self.collation, self.length, self.type, self.flags, self.decimals, 0)
         return b"".join(map(lentext, names)) + lentext(tail)
 
 
 def text_row(values: list[bytes | None]) -> bytes:
-    """A row of the text protocol."""
+    """Encode a row of the text protocol."""
     return b"".join(b"\xfb" if value is None else lentext(value) for value in values)
 
 
 def parse_text_row(data: bytes, columns: int) -> list[bytes | None]:
-    """Its values; raises `ProtocolError` where they are more or fewer."""
+    """Parse a row of the text protocol; raises `ProtocolError` if it does not have `columns` values."""
     fields = Fields(data)
     out: list[bytes | None] = []
     for _ in range(columns):
@@ -434,7 +441,7 @@
 
 
 def _binary_value(fields: Fields, kind: int) -> bytes:
-    """The bytes of one value of the binary protocol, a date's or text's length byte included."""
+    """Read the bytes of one binary protocol value, including the length prefix of a date or string."""
     size = _FIXED.get(kind)  # type: ignore[call-overload]
     if size is not None:
         return fields.take(size)
@@ -447,7 +454,7 @@
 
 
 def binary_row(values: list[bytes | None]) -> bytes:
-    """A row of the binary protocol out of values already encoded for their types."""
+    """Encode a row of the binary protocol from values that are already encoded for their types."""
     nulls = bytearray((len(values) + 9) // 8)
     for at, value in enumerate(values):
         if value is None:
@@ -456,7 +463,7 @@
 
 
 def parse_binary_row(data: bytes, types: list[int]) -> list[bytes | None]:
-    """Its values, each still encoded for its type."""
+    """Parse a row of the binary protocol into values that are still encoded for their types."""
     fields = Fields(data, 1)
     nulls = fields.take((len(types) + 9) // 8)
     out = [
@@ -473,7 +480,7 @@
 
 @dataclass(slots=True)
 class Prepared:
-    """The first packet that answers COM_STMT_PREPARE."""
+    """The first response packet to COM_STMT_PREPARE."""
 
     statement: int
     columns: int
@@ -482,7 +489,7 @@
 
     @classmethod
     def parse(cls, data: bytes) -> Prepared:
-        """Read one."""
+        """Parse a COM_STMT_PREPARE response."""
         fields = Fields(data, 1)
         statement, columns, parameters = fields.number(4), fields.number(2), fields.number(2)
         warnings = 0
@@ -492,26 +499,26 @@
         return cls(statement, columns, parameters, warnings)
 
     def encode(self) -> bytes:
-        """Write one."""
+        """Encode the packet."""
         return b"\0" + struct.pack("<IHHBH", self.statement, self.columns, self.parameters, 0, self.warnings)
 
 
 @dataclass(slots=True)
 class Execute:
-    """COM_STMT_EXECUTE, with the types of its parameters taken apart from their values."""
+    """A COM_STMT_EXECUTE command, with the parameter types separate from the encoded values."""
 
     statement: int
     flags: int = 0
     nulls: bytes = b""
-    types: bytes | None = None  # two bytes a parameter; None: those of the execution before
+    types: bytes | None = None  # two bytes per parameter; None reuses the types of the previous execution
     values: bytes = b""
 
     @classmethod
     def parse(cls, data: bytes, parameters: int) -> Execute:
-        """Read one for a statement with so many parameters."""
+        """Parse the command for a statement with the given number of parameters."""
         fields = Fields(data, 1)
         out = cls(fields.number(4), fields.number(1))
-        fields.take(4)  # iterations: always 1
+        fields.take(4)  # skips the iteration count, which is always 1
         if parameters:
             out.nulls = fields.take((parameters + 7) // 8)
             if fields.number(1):
@@ -520,16 +527,17 @@
         return out
 
     def encode(self, parameters: int) -> bytes:
-        """Write one, command byte included."""
+        """Encode the command, including the command byte."""
         out = b"\x17" + struct.pack("<IBI", self.statement, self.flags, 1)
         if parameters:
             out += self.nulls + (b"\0" if self.types is None else b"\1" + self.types) + self.values
         return out
 
     def parameters(self, count: int, types: bytes, long: frozenset[int] = frozenset()) -> list[bytes | None]:
-        """The values, each still encoded; those sent ahead as long data are empty here.
+        """Split the parameter values, each still encoded; values sent as long data are empty.
 
-        Raises `ProtocolError` where values and types don't fit each other.
+        Raises:
+            ProtocolError: The values do not match the types.
         """
         fields = Fields(self.values)
         out: list[bytes | None] = []
--- a/brambleusher/fronts/mysql/nodes.py
+++ b/brambleusher/fronts/mysql/nodes.py
@@ -1,8 +1,8 @@
-"""Connections to each node's MySQL port, pooled by node and account, and the claims made on them.
+"""Connection pools to the MySQL nodes, by node and account, and the attempts that use them.
 
-The counterpart of `net.upstream_pool.UpstreamPool`: a claim is one statement, or a transaction as a
-whole.  A claim that has ended well gives its connection back; one whose answer goes on, or whose session
-is tied, hands it to the session as a `Held`.
+This is the MySQL counterpart of `net.upstream_pool.UpstreamPool`.  An attempt is one statement or a whole
+transaction.  A successful attempt returns its connection to the pool; if the response continues or the
+session is pinned, the connection passes to the session as a `Held`.
 """
 
 from __future__ import annotations
@@ -46,27 +46,28 @@
     | Capability.PLUGIN_AUTH | Capability.PLUGIN_AUTH_LENENC | Capability.SESSION_TRACK
     | Capability.DEPRECATE_EOF
 )  # fmt: skip
-KEPT_PREPARED, KEPT_PREPARED_BYTES = 64, 512 * 1024  # statements that stay prepared on a connection
-SIDE_CONNECTIONS = 2  # to one node at a time, for KILL
-SIDE_QUEUE = 256
-SIDE_SECONDS = 2.0
-LEARNED_SECONDS = 30.0  # after a 1040 the node is asked for one connection more only so often
+# Maximum number and total text size in bytes of the statements that stay prepared on one connection.
+KEPT_PREPARED, KEPT_PREPARED_BYTES = 64, 512 * 1024
+SIDE_CONNECTIONS = 2  # maximum number of concurrent KILL commands for one node
+SIDE_QUEUE = 256  # maximum number of queued KILL commands for one node
+SIDE_SECONDS = 2.0  # timeout of a KILL or a reset, in seconds
+LEARNED_SECONDS = 30.0  # interval in seconds between attempts to exceed a limit learned from error 1040
 NODE_ERRORS = frozenset({Errno.CON_COUNT, Errno.SERVER_SHUTDOWN, Errno.SERVER_ISNT_AVAILABLE})
 MAX_KILLED_SECONDS = 5.0
-STARTS_PART = 0.8  # of the time after a drain's news in which a node may be sent something new
+STARTS_PART = 0.8  # fraction of the drain grace period in which a draining node may get new requests
 
 
 class Mode(Enum):
-    """What becomes of a connection once its statement has its whole answer."""
+    """What happens to a connection after its statement has a complete response."""
 
     RELEASE = "release"
-    KEEP = "keep"  # for a session that is tied; its claim is over
-    HOLD = "hold"  # for a transaction: its claim stays out until it ends
-    REFUSED = "refused"  # nobody waits for the answer any more
+    KEEP = "keep"  # reserve the connection for a pinned session; the attempt is over
+    HOLD = "hold"  # reserve the connection for a transaction; the attempt lasts until the transaction ends
+    REFUSED = "refused"  # discard the response, which no client awaits any more
 
 
 class TuneFailed(Exception):
-    """A connection could not be made what the session needs; nothing of the statement was sent."""
+    """The session state could not be set up on a connection; the statement was not sent."""
 
     def __init__(self, error: Err) -> None:
         super().__init__(error.text)
@@ -74,18 +75,18 @@
 
 
 class Owner(Protocol):
-    """The session's side of a connection, as the pool knows it."""
+    """A client session as seen by the connection pool."""
 
     session: Session
-    last: Conn | None  # the connection that its last statement ran on
-    id_conn: Conn | None  # the one that knows its LAST_INSERT_ID
+    last: Conn | None  # the connection on which the session's last statement ran
+    id_conn: Conn | None  # the connection that holds the session's LAST_INSERT_ID
 
     def leave(self, held: Held) -> None:
-        """The node of its connection drains."""
+        """Notify the session that the node of its reserved connection drains."""
 
 
 class Conn:
-    """One connection to a node, and what is known of its state."""
+    """One connection to a node, with its known session state."""
 
     __slots__ = (
         "account", "autocommit", "capabilities", "channel", "collation", "doomed", "id_owner", "meaning",
@@ -102,15 +103,15 @@
         self.multi = bool(login.capabilities & Capability.MULTI_STATEMENTS)
         self.schema = ""
         self.settings: tuple[tuple[str, str], ...] = ()
-        # By schema, settings and text: the id and the number of parameters.
+        # Statement id and number of parameters by schema, settings and statement text.
         self.prepared: OrderedDict[tuple[str, object, bytes], tuple[int, int]] = OrderedDict()
         self.used_at = channel.stream.used_at
-        self.owner: Owner | None = None  # whose statement ran on it last
-        self.id_owner: Owner | None = None  # whose LAST_INSERT_ID it may have
-        self.doomed = False  # a KILL may be on its way to it: nobody else gets it
+        self.owner: Owner | None = None  # the session whose statement ran last on this connection
+        self.id_owner: Owner | None = None  # the session whose LAST_INSERT_ID the connection may hold
+        self.doomed = False  # a KILL may be in flight or the stream is corrupt, so no other session gets it
 
     def suits(self, flavour: Flavour) -> bool:
-        """Whether sessions of a flavour may use it."""
+        """Return whether sessions of a flavour may use the connection."""
         return (
             self.account == flavour.account
             and self.collation == flavour.collation
@@ -119,13 +120,13 @@
         )
 
     def was_reset(self) -> None:
-        """COM_RESET_CONNECTION was answered: all but the schema is as after the login."""
+        """Record a successful COM_RESET_CONNECTION, which restores all state but the schema."""
         self.settings, self.autocommit, self.owner = (), True, None
         self.prepared.clear()
 
     @property
     def carries(self) -> Owner | None:
-        """One whose LAST_INSERT_ID only this connection knows."""
+        """The session whose LAST_INSERT_ID is known to this connection only, or None."""
         owner = self.id_owner
         if owner is not None and owner.id_conn is self and owner.session.last_id is None:
             return owner
@@ -134,82 +135,82 @@
 
 @dataclass(slots=True, eq=False)
 class Node:
-    """One node: its place, its connections, who waits for one."""
+    """One node: its address, its connections, and the attempts that wait for a connection."""
 
     name: str
     address: tuple[str, int]
     started_ns: int
     meter: Meter
-    idle: list[Conn] = field(default_factory=list)  # the last used at the end
-    claims: dict[Claim, None] = field(default_factory=dict)  # dicts, so that their order is their own
+    idle: list[Conn] = field(default_factory=list)  # ordered by last use, the most recent at the end
+    claims: dict[Claim, None] = field(default_factory=dict)  # a dict, for a deterministic order
     held: dict[Held, None] = field(default_factory=dict)
     waiters: deque[Claim] = field(default_factory=deque)
     open: int = 0
     by_account: dict[str, int] = field(default_factory=dict)
-    most: int = 1 << 30  # learned from error 1040
+    most: int = 1 << 30  # connection limit learned from error 1040
     learned_at: float = 0.0
     side: int = 0
     side_waits: deque[Callable[[], None]] = field(default_factory=deque)
     leaving: bool = False
-    left_at: float = 0.0  # when we were told so
+    left_at: float = 0.0  # when the drain became known
 
 
 class Claim:
-    """One claim: its task, and how far it has come."""
+    """One attempt to run a command on a node, and its progress."""
 
     __slots__ = ("event", "flavour", "granted", "measured", "sending", "why", "written")
 
     def __init__(self, flavour: Flavour) -> None:
-        self.event = Event()  # rings when it is called off, and when a connection may be had
+        self.event = Event()  # set when the attempt is cancelled or a connection may be available
         self.flavour = flavour
         self.granted: Conn | None = None
         self.why: AttemptStatus | None = None
         self.sending = self.written = False
-        self.measured = False  # its statement counts as one at the node
+        self.measured = False  # the statement is counted in the node's load
 
     def cancel(self, why: AttemptStatus = AttemptStatus.CANCELLED) -> None:
-        """Give it up; a statement under way is stopped at the node."""
+        """Cancel the attempt; a running statement is stopped at the node."""
         if self.why is None:
             self.why = why
             self.event.set()
 
     def check(self) -> None:
-        """Raises `WaitInterruptedError` once it was called off."""
+        """Raise `WaitInterruptedError` if the attempt was cancelled."""
         if self.why is not None:
             raise WaitInterruptedError
 
 
 @dataclass(slots=True, eq=False)
 class Work:
-    """One command of a session, on its way to some node."""
+    """One command of a session that is to run on a node, with its result."""
 
     owner: Owner
     command: int
     body: bytes
-    accept: Callable[[Reply], Mode]  # told at once when an answer is whole or has begun to come
-    run: Execute | None = None  # with `prepared`: to be executed
+    accept: Callable[[Reply], Mode]  # called as soon as a response is complete or has started
+    run: Execute | None = None  # the execution of `prepared`, if the command is COM_STMT_EXECUTE
     prepared: PreparedText | None = None
     reads_last_id: bool = False
     about_previous: bool = False
-    statement_id: int | None = None  # the client's, for what it has prepared
-    seq: int = 1  # of the answer's first packet
-    reached: bool = False  # some node may have run it
-    taken: Reply | None = None  # the answer that was taken
-    over: bool = False  # an answer was taken, or nobody waits for one
-    conn: Conn | None = None  # where it was sent last
-    broke: bool = False  # an answer broke off behind its first byte: no other node is asked
-    nonsense: ProtocolError | None = None  # what was wrong with an answer
-    error: Err | None = None  # what a node said that could not run it
+    statement_id: int | None = None  # the id by which the client knows the prepared statement
+    seq: int = 1  # sequence number of the response's first packet
+    reached: bool = False  # a node may have run the command
+    taken: Reply | None = None  # the accepted response
+    over: bool = False  # a response was accepted, or the client no longer waits for one
+    conn: Conn | None = None  # the connection on which the command was last sent
+    broke: bool = False  # a response broke off after its first byte, so no other node is tried
+    nonsense: ProtocolError | None = None  # the protocol error in a response
+    error: Err | None = None  # the error of a node that could not run the command
 
     @property
     def session(self) -> Session:
-        """Whose it is."""
+        """The session that issued the command."""
         return self.owner.session
 
 
 @dataclass(slots=True, eq=False)
 class Reply:
-    """An answer, or its beginning: bytes for the client and the relay that goes on with them."""
+    """A complete or partial response: bytes for the client and the relay for the remaining bytes."""
 
     out: bytes
     relay: ReplyRelay
@@ -217,72 +218,72 @@
 
 
 class Held:
-    """A connection in a session's hands, and the claim that stays out as long as it is."""
+    """A connection reserved for a session, together with the attempt that is still open on it."""
 
     __slots__ = ("_ended", "_nodes", "began_at", "conn", "measured", "waited_ns")
 
     def __init__(self, nodes: MysqlNodes, conn: Conn) -> None:
         self._nodes, self.conn = nodes, conn
         self._ended: Callable[[AttemptOutcome], None] | None = None
-        self.began_at = 0.0  # when its claim was made
-        self.waited_ns = 0  # time that the node took, without the client's
-        self.measured = False  # a statement of it counts as one at the node
+        self.began_at = 0.0  # when the attempt started
+        self.waited_ns = 0  # time in nanoseconds spent at the node, without the client's own time
+        self.measured = False  # a statement on the connection is counted in the node's load
         conn.node.held[self] = None
 
     @property
     def node(self) -> Node:
-        """Where it leads."""
+        """The node of the connection."""
         return self.conn.node
 
     def client_took(self, now: float) -> float:
-        """Seconds that the client took while the claim was out; 0 once it is over."""
+        """Return the seconds that the client itself used during the open attempt, or 0 after its end."""
         return now - self.began_at - self.waited_ns / 1e9 if self._ended is not None else 0.0
 
     @property
     def claimed(self) -> bool:
-        """Whether its claim is still out."""
+        """Whether the attempt is still open."""
         return self._ended is not None
 
     def claim(self, ended: Callable[[AttemptOutcome], None], began_at: float, now: float) -> None:
-        """The claim that it was got by stays out."""
+        """Keep the attempt open; `ended` is called with its outcome."""
         self._ended, self.began_at = ended, began_at
         self.waited_ns = int((now - began_at) * 1e9)
 
     def finish(self, status: AttemptStatus) -> None:
-        """The claim is over; the second time nothing happens."""
+        """End the attempt; repeated calls have no effect."""
         if self._ended is not None:
             ended, self._ended = self._ended, None
             report = self._nodes.report(self.node) if status is AttemptStatus.OK else None
             ended(AttemptOutcome(status, self.waited_ns, report))
 
     def measure(self) -> None:
-        """A statement goes out on it."""
+        """Start to count a statement on this connection in the node's load."""
         if not self.measured:
             self.measured = True
             self.node.meter.begin(self._nodes.now())
 
     def measured_whole(self) -> None:
-        """Its answer is whole, or none will be."""
+        """Stop counting the statement, whose response is complete or will never be."""
         if self.measured:
             self.measured = False
             self.node.meter.end(self._nodes.now())
 
     def release(self) -> None:
-        """Give the connection back, in a state that any session may find it in."""
+        """Return the connection to the pool; it must hold no state that pins a session."""
         self.measured_whole()
         self.finish(AttemptStatus.OK)
         self.node.held.pop(self, None)
         self._nodes.give_back(self.conn)
 
     def drop(self, status: AttemptStatus) -> None:
-        """Close the connection: what was open on it is rolled back by the node."""
+        """Close the connection; the node rolls back its open transaction."""
         self.measured_whole()
         self.finish(status)
         self.node.held.pop(self, None)
         self._nodes.discard(self.conn)
 
     def stop(self, status: AttemptStatus) -> None:
-        """Stop the statement at the node, and close the connection."""
+        """Kill the running statement at the node and close the connection."""
         self.measured_whole()
         self.finish(status)
         self.node.held.pop(self, None)
@@ -290,7 +291,7 @@
 
 
 class MysqlNodes:
-    """The nodes that the endpoint list names, as MySQL servers."""
+    """The connection pools to all nodes in the endpoint list."""
 
     def __init__(
         self,
@@ -306,28 +307,28 @@
         self._window = WINDOW_OF_AIM * min(cls.latency_target_ns for cls in platform.classes) / 1e9
         self._connect_seconds = platform.connect_timeout_ns / 1e9
         self._idle_seconds = settings.idle_ms / 1000
-        # After the news of a drain, less what a command of ours ahead of a statement may take.
+        # The remaining grace period is reserved for the set-up commands that precede a statement.
         self._start_seconds = platform.drain_grace_ns / 1e9 * STARTS_PART
         self._wait_seconds = settings.pool_wait_ms / 1000
         self._nodes: dict[str, Node] = {}
-        self._total = 0  # connections open, to all nodes
+        self._total = 0  # number of open connections to all nodes
         tls = settings.node_tls
         self._context = (
             client_context(tls.ca_file, tls.host, tls.cert_file, tls.key_file) if tls.mode != "off" else None
         )
 
     def now(self) -> float:
-        """The scheduler's time."""
+        """Return the scheduler's time in seconds."""
         return self._scheduler.now()
 
     def starts_until(self, node: Node) -> float | None:
-        """Until when a tied session may start a request on a node; None where it does not drain."""
+        """Return until when a pinned session may start a request on a draining node; None if it is active."""
         return node.left_at + self._start_seconds if node.leaving else None
 
     def report(self, node: Node | None) -> LoadReport:
-        """What the decisions are told of a node's load with a claim that was served.
+        """Count a served attempt and return the load report of its node.
 
-        Without figures where the nodes tell theirs over HTTP.
+        The report is empty if the nodes report their load over HTTP (`load: none`).
         """
         if node is None or self._settings.load == "none":
             return LoadReport()
@@ -337,7 +338,10 @@
     # --- the endpoint list -----------------------------------------------------------------------
 
     def update(self, update: EndpointListUpdate) -> None:
-        """Follow the list: no claim starts on a node that drains or is gone, tied sessions are told."""
+        """Apply an endpoint list.
+
+        Draining and removed nodes get no more attempts, and their pinned sessions are notified.
+        """
         if update.full:
             named = {machine.entry.host for machine in update.endpoints}
             for name in [name for name in self._nodes if name not in named]:
@@ -364,7 +368,7 @@
             node.leaving = False
 
     def _leave(self, node: Node) -> None:
-        if not node.leaving:  # each later list tells it again
+        if not node.leaving:  # later endpoint lists repeat the drain
             node.leaving, node.left_at = True, self._scheduler.now()
         while node.idle:
             self.discard(node.idle.pop())
@@ -376,18 +380,18 @@
                 held.conn.owner.leave(held)
 
     def let_go(self, name: str) -> None:
-        """Close the idle connections to a node."""
+        """Close the idle connections to a node, if it is known."""
         node = self._nodes.get(name)
         while node is not None and node.idle:
             self.discard(node.idle.pop())
 
     def close(self) -> None:
-        """Close all that is idle."""
+        """Close all idle connections."""
         for name in self._nodes:
             self.let_go(name)
 
     def reap(self) -> None:
-        """The task: close what has been idle for too long, or was closed from the other side."""
+        """Run the task that closes connections which were idle for too long or closed by the node."""
         while True:
             self._scheduler.sleep(1.0)
             old = self._scheduler.now() - self._idle_seconds
@@ -398,7 +402,7 @@
                         self.discard(conn)
 
     def state(self) -> dict[str, dict[str, object]]:
-        """What is known of each node, for JSON."""
+        """Return the state of each node for JSON."""
         return {
             node.name: {
                 "address": f"{node.address[0]}:{node.address[1]}", "open": node.open,
@@ -408,15 +412,17 @@
             for node in self._nodes.values()
         }  # fmt: skip
 
-    # --- claims ---------------------------------------------------------------------------------
+    # --- attempts -------------------------------------------------------------------------------
 
     def start_attempt(self, order: AttemptOrder) -> Claim:
-        """Start an attempt; `on_response_started` is called where the answer goes on or the session holds
-        the connection."""
+        """Start an attempt.
+
+        `on_response_started` is called if the response continues or the session reserves the connection.
+        """
         name, payload, timeout_ns, deadline = order.endpoint, order.payload, order.timeout_ns, order.deadline
         ended, begun, wanted = order.on_finished, order.on_response_started, order.is_wanted
         if not isinstance(payload, Work):
-            raise TypeError("these nodes are spoken to in MySQL alone")
+            raise TypeError("the payload of a MySQL attempt is not a MySQL command")
         claim, start = Claim(payload.session.flavour), self._scheduler.now()
         limit = min(deadline, start + timeout_ns / 1e9) if timeout_ns else deadline
 
@@ -430,7 +436,7 @@
                     node.claims[claim] = None
                     status, reply, left = self._attempt(node, claim, payload, limit, ended, start, wanted)
             except Exception:
-                # Guards against a claim without an end: its request would wait until the deadline.
+                # Every attempt must end, otherwise its request would wait until the deadline.
                 self._counters.add("faults")
                 log.exception("claim failed", extra={"fields": {"node": name}})
             finally:
@@ -461,7 +467,7 @@
         start: float,
         wanted: Callable[[], bool],
     ) -> tuple[AttemptStatus, Reply | None, bool]:
-        """How it ended, with what answer; whether the claim is now in the session's hands."""
+        """Run an attempt; return its status, its response, and whether the session now owns the attempt."""
         conn: Conn | None = None
         relay: ReplyRelay | None = None
         try:
@@ -473,12 +479,12 @@
             data, relay = self._worded(conn, work, claim, limit)
             work.conn = conn
             claim.check()
-            # Guards against work begun for what is over.
+            # Nothing is sent for a request that is about to time out or no longer wanted.
             if limit - self._scheduler.now() < 0.001 or not wanted():
                 self.give_back(conn)
                 return AttemptStatus.NOT_STARTED, None, False
             self._counters.add("claims_sent")
-            # Guards against an earlier node's refusal told for what this one may have run.
+            # An error of an earlier node must not be reported for a statement that this node may have run.
             work.error = work.nonsense = None
             claim.sending = claim.measured = True
             node.meter.begin(self._scheduler.now())
@@ -488,7 +494,7 @@
             while not out and not relay.done:
                 out = relay.feed(self._receive(conn, claim, limit))
         except TuneFailed as failed:
-            # Not the node's doing: an unknown schema of one client's must not count against it.
+            # An error such as an unknown schema of one client must not count against the node.
             work.error = failed.error
             self._stop_or_drop(conn, claim)
             own = failed.error.errno in NODE_ERRORS
@@ -520,10 +526,10 @@
             return AttemptStatus.ERROR, None, False
         held = Held(self, conn)
         if not relay.done:
-            held.measured, claim.measured = True, False  # until the rest of its answer is here
+            held.measured, claim.measured = True, False  # counted until the rest of the response arrives
         reply = Reply(out, relay, held)
         if relay.extra:
-            conn.doomed = True  # what follows is spoilt, the answer is not
+            conn.doomed = True  # the response is valid, but the connection can't be used for another
             log.warning("bytes behind an answer", extra={"fields": {"node": node.name}})
         mode = work.accept(reply)
         if mode is Mode.REFUSED:
@@ -536,7 +542,7 @@
             held.release()
             return AttemptStatus.OK, reply, False
         if node.leaving:
-            work.owner.leave(held)  # the news came while its answer was awaited
+            work.owner.leave(held)  # the drain became known while the response was awaited
         if mode is Mode.KEEP and relay.done:
             return AttemptStatus.OK, reply, False
         held.claim(ended, start, self._scheduler.now())
@@ -555,7 +561,7 @@
             self.discard(conn)
 
     def _refused(self, node: Node, work: Work, error: Err) -> AttemptStatus:
-        """What a node's refusal of a login means; how many connections it has is learned from a 1040."""
+        """Return the attempt status for a rejected login; an error 1040 sets the node's connection limit."""
         if error.errno in (Errno.CON_COUNT, Errno.TOO_MANY_USER_CONNECTIONS):
             node.most = max(1, node.open)
             node.learned_at = self._scheduler.now()
@@ -573,7 +579,7 @@
         return AttemptStatus.CONNECT_FAILED
 
     def _receive(self, conn: Conn, claim: Claim, limit: float) -> bytes:
-        """The next bytes; raises `WaitInterruptedError` where they are not wanted any more."""
+        """Return the next bytes; raises `WaitInterruptedError` if the attempt is cancelled."""
         while True:
             data = conn.channel.receive(limit, claim.event)
             if data is None:
@@ -586,8 +592,11 @@
     # --- connections ----------------------------------------------------------------------------
 
     def _take(self, node: Node, claim: Claim, work: Work, limit: float) -> Conn | None:
-        """A connection for a session: its last one, else one like it, else a new one, else the next that
-        comes free; None where none did in time."""
+        """Return a connection for a session, or None if none became available in time.
+
+        The order of preference is the session's last connection, an idle one, a new one, and the next one
+        that another session returns.
+        """
         flavour, until = claim.flavour, min(limit, self._scheduler.now() + self._wait_seconds)
         while True:
             claim.check()
@@ -618,7 +627,7 @@
                 break
             if best is None or (
                 _distance(conn, setup) < _distance(best, setup)
-            ):  # the most recently used of those that are nearest
+            ):  # of the connections with the smallest distance, the most recently used one wins
                 best = conn
         if best is not None:
             node.idle.remove(best)
@@ -630,7 +639,7 @@
 
     def _room(self, node: Node, account: str) -> bool:
         if node.open >= node.most:
-            # Some time after a refusal one more is tried: the node's other clients come and go.
+            # The limit is raised by one after a while, since other clients of the node disconnect over time.
             if self._scheduler.now() - node.learned_at < LEARNED_SECONDS:
                 return False
             node.most, node.learned_at = node.most + 1, self._scheduler.now()
@@ -639,7 +648,7 @@
         return self._total < self._settings.connections_total or self._close_longest_idle()
 
     def _close_longest_idle(self) -> bool:
-        """Close the connection that is idle for longest, whichever node it leads to."""
+        """Close the connection to any node that has been idle for the longest time."""
         idle = [node.idle[0] for node in self._nodes.values() if node.idle]
         if not idle:
             return False
@@ -649,9 +658,9 @@
         return True
 
     def _make_room(self, node: Node, flavour: Flavour) -> bool:
-        """Close an idle connection of another kind, where that lets a new one be opened."""
+        """Close an idle connection of another flavour if a new one can then be opened."""
         full = node.by_account.get(flavour.account, 0) >= self._settings.connections
-        for conn in node.idle:  # the longest idle first
+        for conn in node.idle:  # starts with the connection that has been idle for the longest time
             if not full or conn.account == flavour.account:
                 node.idle.remove(conn)
                 self.discard(conn, wake=False)
@@ -659,7 +668,7 @@
         return False
 
     def _wait(self, node: Node, claim: Claim, until: float) -> bool:
-        """Wait for a connection that comes free; false where none did in time."""
+        """Wait for a connection to be returned; return False if none was in time."""
         node.waiters.append(claim)
         self._counters.add("mysql_waits")
         try:
@@ -721,7 +730,7 @@
                 login.feed(data)
 
     def give_back(self, conn: Conn) -> None:
-        """A connection is free: for whoever waits for one like it, else it idles."""
+        """Pass a free connection to the first attempt that waits for its flavour, or make it idle."""
         node = conn.node
         if node.leaving or conn.doomed or not conn.channel.open or not conn.channel.quiet():
             self.discard(conn)
@@ -735,10 +744,10 @@
                 return
         node.idle.append(conn)
         if node.waiters:
-            node.waiters[0].event.set()  # it makes room for one of its own kind
+            node.waiters[0].event.set()  # the attempt can close this connection to open one of its flavour
 
     def discard(self, conn: Conn, wake: bool = True) -> None:
-        """Close a connection, once."""
+        """Close a connection; repeated calls have no effect."""
         if conn.channel.open:
             conn.channel.close()
             self._closed(conn.node, conn.account, wake)
@@ -752,12 +761,12 @@
         if wake and node.waiters:
             node.waiters[0].event.set()
 
-    # --- to the state that a session needs ------------------------------------------------------
+    # --- session state on a connection ----------------------------------------------------------
 
     def ask(
         self, conn: Conn, body: bytes, limit: float, claim: Claim | None = None
     ) -> tuple[ReplyRelay, bytes]:
-        """One command of the sidecar's own and its whole answer."""
+        """Send one command of the sidecar itself and return the relay and bytes of its complete response."""
         relay = ReplyRelay(body[0], conn.capabilities, conn.capabilities, seq=frames(len(body)))
         conn.channel.send(frame(body, 0), limit)
         out = b""
@@ -781,7 +790,7 @@
         return relay
 
     def _tune(self, conn: Conn, work: Work, claim: Claim, limit: float) -> None:
-        """Make a connection what the statement's session needs; its own last one is that already."""
+        """Set up the session state that a statement needs on a connection."""
         owner, session = work.owner, work.session
         if work.about_previous and not (conn.owner is owner and owner.last is conn):
             raise TuneFailed(_GONE)
@@ -825,17 +834,17 @@
         owner.last = conn
 
     def reset(self, conn: Conn) -> None:
-        """Have a node take back all that a session left on a connection; raises as `ask` does."""
+        """Reset the session state on a connection; raises the errors of `ask`."""
         relay, _ = self.ask(conn, bytes((Command.RESET_CONNECTION,)), self._scheduler.now() + SIDE_SECONDS)
         if relay.error is not None:
             raise ProtocolError("the node refused a reset")
         conn.was_reset()
 
     def _carry(self, conn: Conn, claim: Claim, limit: float) -> None:
-        """Ask for the LAST_INSERT_ID that a session left on a connection, before another uses it."""
+        """Query the LAST_INSERT_ID that a session left on a connection before another session uses it."""
         owner = conn.carries
         assert owner is not None
-        # Whatever comes of it: what only this connection knew is told now, or lost, and never guessed.
+        # If the query fails, the value is lost; a guessed value is never used instead.
         owner.id_conn = conn.id_owner = None
         relay, out = self.ask(conn, b"\3SELECT LAST_INSERT_ID()", limit, claim)
         reader = PacketReader(1 << 16, seq=1)
@@ -851,7 +860,7 @@
         self._counters.add("mysql_ids_carried")
 
     def _worded(self, conn: Conn, work: Work, claim: Claim, limit: float) -> tuple[bytes, ReplyRelay]:
-        """The command's bytes for this connection, and what reads its answer."""
+        """Return the bytes to send for a command on this connection, and the relay for its response."""
         session, body = work.session, work.body
         data = b""
         if work.prepared is not None and work.run is not None:
@@ -865,9 +874,9 @@
     def execute(
         self, conn: Conn, found: PreparedText, run: Execute, claim: Claim | None, limit: float
     ) -> tuple[bytes, bytes]:
-        """What goes ahead of an execute, and the execute as this connection knows it.
+        """Return the long data packets to send first, and the COM_STMT_EXECUTE body for this connection.
 
-        The statement is prepared anew where it is not prepared here yet.
+        The statement is prepared first if it is not prepared on this connection yet.
         """
         key = (conn.schema, conn.settings, found.text)
         known = conn.prepared.get(key)
@@ -891,7 +900,7 @@
         return ahead, here.encode(found.parameters)
 
     def prepared(self, conn: Conn, text: bytes, relay: ReplyRelay) -> None:
-        """A statement was prepared on a connection; the one unused for longest makes room."""
+        """Record a statement prepared on a connection; close the least recently used ones to make room."""
         if relay.prepared is None:
             return
         key = (conn.schema, conn.settings, text)
@@ -904,7 +913,7 @@
             size -= len(oldest[2])
         if gone:
             close = b"".join(frame(b"\x19" + number.to_bytes(4, "little"), 0) for number, _ in gone)
-            try:  # it has no answer, and a few bytes always fit
+            try:  # COM_STMT_CLOSE has no response, and its few bytes fit into the send buffer
                 conn.channel.send(close, self._scheduler.now() + 1)
             except (OSError, TaskTimeoutError):
                 conn.doomed = True
@@ -912,12 +921,15 @@
     # --- stopping a statement at the node -------------------------------------------------------
 
     def stop(self, conn: Conn) -> None:
-        """Stop what runs on a connection through another, and close it."""
+        """Kill the statement on a connection through another connection, and close the former."""
         conn.doomed = True
         self.kill(conn, lambda: self.discard(conn))
 
     def kill(self, conn: Conn, over: Callable[[], None] | None = None, query: bool = True) -> None:
-        """KILL what runs on a connection, within bounds; `over` is called once, whatever came of it."""
+        """Kill the statement on a connection; `over` is called exactly once, also after a failure.
+
+        The number of concurrent and queued kills per node is limited.
+        """
         node = conn.node
 
         def run() -> None:
@@ -951,7 +963,7 @@
                 over()
 
     def _kill(self, node: Node, conn: Conn, query: bool) -> None:
-        """On an idle connection of the account if there is one, else on a new one beside the pool."""
+        """Send KILL on an idle connection of the account, or else on a new one outside the pool."""
         limit = self._scheduler.now() + SIDE_SECONDS
         text = b"\3KILL " + (b"QUERY " if query else b"CONNECTION ") + str(conn.thread).encode()
         for idle in reversed(node.idle):
@@ -977,7 +989,7 @@
 
 
 def _distance(conn: Conn, setup: Setup) -> int:
-    """How many commands it takes to make a connection what a session needs, roughly."""
+    """Estimate how many commands set up a session's state on a connection."""
     far = 0 if conn.settings == setup.settings else 1
     if conn.settings != setup.settings[: len(conn.settings)]:
         far += 1
--- a/brambleusher/fronts/mysql/packets.py
+++ b/brambleusher/fronts/mysql/packets.py
@@ -1,7 +1,7 @@
-"""Packets: bytes to whole messages and back, and the primitive types within them.
+"""Packet framing of the MySQL protocol and the primitive types within messages.
 
-A message longer than 16 MB less one byte goes over several packets; one of exactly that length is
-followed by an empty packet.  Sequence numbers count the packets of one exchange, modulo 256.
+A message of 16 MB - 1 byte or more is split into several packets; if its length is a multiple of that size,
+the last packet is empty.  Sequence numbers count the packets of one exchange, modulo 256.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class ProtocolError(Exception):
-    """Bytes that break the protocol; `errno` and `state` are what their sender is told."""
+    """Received bytes violate the protocol; `errno` and `state` are reported to the sender."""
 
     def __init__(self, text: str, errno: int = Errno.MALFORMED_PACKET, state: str | None = None) -> None:
         super().__init__(text)
@@ -22,7 +22,7 @@
 
 
 def frame(payload: bytes, seq: int) -> bytes:
-    """A message as packets, the first of them numbered `seq`."""
+    """Split a message into packets, the first of which has sequence number `seq`."""
     size = len(payload)
     if size < MAX_PAYLOAD:
         return struct.pack("<I", size | (seq & 0xFF) << 24) + payload
@@ -36,53 +36,53 @@
 
 
 def frames(size: int) -> int:
-    """How many packets a message of so many bytes takes."""
+    """Return the number of packets for a message of `size` bytes."""
     return size // MAX_PAYLOAD + 1
 
 
 class PacketReader:
-    """Whole messages out of a stream of bytes; raises `ProtocolError` at a wrong number or length."""
+    """Reassembles messages from a byte stream; raises `ProtocolError` for a wrong sequence number or size."""
 
     __slots__ = ("_buffer", "_parts", "_size", "most", "seq")
 
     def __init__(self, most: int, seq: int = 0) -> None:
-        self.most = most  # bytes a message may have
-        self.seq = seq  # of the next packet
+        self.most = most  # maximum message size in bytes
+        self.seq = seq  # expected sequence number of the next packet
         self._buffer = bytearray()
         self._parts: list[bytes] = []
         self._size = 0
 
     def feed(self, data: bytes) -> None:
-        """Take in bytes."""
+        """Add received bytes."""
         self._buffer += data
 
     def expect(self, seq: int = 0) -> None:
-        """The next packet begins an exchange, or goes on with one at `seq`."""
+        """Set the sequence number of the next packet, which is 0 for a new exchange."""
         self.seq = seq
 
     @property
     def buffered(self) -> int:
-        """Bytes that have come and belong to no message yet taken."""
+        """Number of buffered bytes that belong to no message returned so far."""
         return len(self._buffer) + self._size
 
     @property
     def begun(self) -> bool:
-        """Whether part of a message is here."""
+        """Whether a part of a message is buffered."""
         return bool(self._buffer or self._parts)
 
     @property
     def answer_seq(self) -> int:
-        """The number that an answer has for whoever sent what is here, be it whole or not."""
+        """Sequence number of a response to the bytes received so far, even if a message is incomplete."""
         return self.seq + bool(self._buffer)
 
     def leftover(self) -> bytes:
-        """The bytes that belong to no message yet, given up to whoever reads on from here."""
+        """Remove and return the buffered bytes, for another reader of the stream."""
         out = bytes(self._buffer)
         self._buffer.clear()
         return out
 
     def take(self) -> bytes | None:
-        """The next whole message, if it is here."""
+        """Return the next complete message, or None if it has not arrived yet."""
         while len(self._buffer) >= HEADER:
             (word,) = struct.unpack_from("<I", self._buffer)
             size, seq = word & MAX_PAYLOAD, word >> 24
@@ -91,7 +91,7 @@
                     f"packet numbered {seq} where {self.seq & 0xFF} is due", Errno.NET_PACKETS_OUT_OF_ORDER
                 )
             if self._size + size > self.most:
-                # Guards against a length that claims more memory than a client may have: it is not awaited.
+                # A message is rejected by its declared size, before memory is used for its bytes.
                 raise ProtocolError(f"a message of more than {self.most} bytes", Errno.NET_PACKET_TOO_LARGE)
             if len(self._buffer) < HEADER + size:
                 return None
@@ -110,7 +110,7 @@
 
 
 class Fields:
-    """Reads the fields of one message in turn; raises `ProtocolError` where they run past its end."""
+    """Reads the fields of one message in order; raises `ProtocolError` for a field beyond its end."""
 
     __slots__ = ("at", "data")
 
@@ -119,22 +119,22 @@
 
     @property
     def left(self) -> int:
-        """Bytes not read yet."""
+        """Number of bytes not read yet."""
         return len(self.data) - self.at
 
     def take(self, size: int) -> bytes:
-        """So many bytes."""
+        """Read `size` bytes."""
         if size < 0 or size > self.left:
             raise ProtocolError(f"a field of {size} bytes where {self.left} are left")
         self.at += size
         return self.data[self.at - size : self.at]
 
     def number(self, size: int) -> int:
-        """A whole number of so many bytes, the lowest first."""
+        """Read a little-endian unsigned integer of `size` bytes."""
         return int.from_bytes(self.take(size), "little")
 
     def lenenc(self) -> int:
-        """A length-encoded whole number."""
+        """Read a length-encoded integer."""
         first = self.number(1)
         if first < 0xFB:
             return first
@@ -147,11 +147,11 @@
         raise ProtocolError(f"{first:#x} begins no length")
 
     def text(self) -> bytes:
-        """A length-encoded text."""
+        """Read a length-encoded string."""
         return self.take(self.lenenc())
 
     def until_zero(self) -> bytes:
-        """A text up to a zero byte, which is read too."""
+        """Read a string up to a zero byte, and skip that byte."""
         end = self.data.find(b"\0", self.at)
         if end < 0:
             raise ProtocolError("a text without its zero byte")
@@ -160,14 +160,14 @@
         return out
 
     def rest(self) -> bytes:
-        """All that is left."""
+        """Read all remaining bytes."""
         out = self.data[self.at :]
         self.at = len(self.data)
         return out
 
 
 def lenenc(value: int) -> bytes:
-    """A whole number, length-encoded."""
+    """Encode an integer as a length-encoded integer."""
     if value < 0xFB:
         return bytes((value,))
     if value < 1 << 16:
@@ -178,5 +178,5 @@
 
 
 def lentext(value: bytes) -> bytes:
-    """A text behind its length."""
+    """Encode bytes as a length-encoded string."""
     return lenenc(len(value)) + value
--- a/brambleusher/fronts/mysql/replies.py
+++ b/brambleusher/fronts/mysql/replies.py
@@ -1,8 +1,8 @@
-"""What a server answers, read as it comes and worded for the client that waits for it.
+"""Streams a server's reply to a client and translates it to the client's capabilities.
 
-A `ReplyRelay` takes the bytes of one reply, knows where it ends, and returns the bytes for the other
-side.  The two sides may differ in DEPRECATE_EOF and SESSION_TRACK; packets are numbered anew.  Rows pass
-on without being looked into, and a packet too long to be held goes out in pieces.
+A `ReplyRelay` takes the bytes of one reply, detects its end, and returns the bytes for the client.  The two
+sides may differ in DEPRECATE_EOF and SESSION_TRACK; packets are renumbered.  Rows are forwarded without being
+parsed, and a packet too long to be buffered is forwarded in pieces.
 """
 
 from __future__ import annotations
@@ -14,24 +14,24 @@
 from brambleusher.fronts.mysql.messages import Eof, Err, Ok, Prepared
 from brambleusher.fronts.mysql.packets import HEADER, Fields, ProtocolError, frame
 
-MAX_COLUMNS = 4096  # as many as a table can have
-MAX_RESULTS = 10_000  # of one statement
-MAX_DEFINITION = 1024 * 1024  # an OK, an ERR or a column's definition has at most so many bytes
-HELD = 32 * 1024  # a row's packet is held until it is whole up to this size; longer ones go out in pieces
+MAX_COLUMNS = 4096  # maximum number of columns of a MySQL table
+MAX_RESULTS = 10_000  # maximum number of result sets of one statement
+MAX_DEFINITION = 1024 * 1024  # maximum size in bytes of an OK packet, an ERR packet or a column definition
+HELD = 32 * 1024  # maximum size in bytes of a row packet that is buffered; longer ones are sent in pieces
 
 
 class Stage(Enum):
-    """What comes next."""
+    """The kind of packet that a reply continues with."""
 
-    FIRST = auto()  # OK, ERR or the number of columns
+    FIRST = auto()  # an OK packet, an ERR packet or the number of columns
     COLUMNS = auto()
-    COLUMNS_END = auto()  # an EOF
+    COLUMNS_END = auto()  # the EOF packet after the column definitions
     ROWS = auto()
     PREPARED = auto()
     PARAMETERS = auto()
     PARAMETERS_END = auto()
-    FIELDS = auto()  # columns until an EOF
-    SIMPLE = auto()  # one OK, EOF or ERR
+    FIELDS = auto()  # column definitions up to an EOF packet, as COM_FIELD_LIST returns them
+    SIMPLE = auto()  # one OK, EOF or ERR packet
     TEXT = auto()
     DONE = auto()
 
@@ -48,7 +48,7 @@
 
 
 class ReplyRelay:
-    """One reply: bytes from the server in, bytes for the client out."""
+    """Converts one reply from server bytes to client bytes."""
 
     def __init__(
         self,
@@ -60,10 +60,12 @@
         client_seq: int = 1,
         status: int = int(Status.AUTOCOMMIT),
     ) -> None:
-        """`server` and `client` are the capabilities agreed on with each, `status` the last one told.
+        """Create a relay for the reply to a command.
 
-        `statement` is the id by which the client is to know what it had prepared; `seq` and `client_seq`
-        number the answer's first packet, which depends on how many the command took.
+        `server` and `client` are the capabilities negotiated with each side, and `status` is the last known
+        server status.  `statement` is the id of a prepared statement on the client side.  `seq` and
+        `client_seq` are the sequence numbers of the first reply packet from the server and to the client;
+        they depend on the number of packets of the command.
         """
         self._server, self._client, self._statement = server, client, statement
         self._new = bool(server & Capability.DEPRECATE_EOF)
@@ -71,38 +73,39 @@
         self._same_ok = server & Capability.SESSION_TRACK == client & Capability.SESSION_TRACK
         self._stage = _FIRST_STAGE.get(command, Stage.SIMPLE)  # type: ignore[call-overload]
         self._buffer = bytearray()
-        self._in_seq, self.seq = seq, client_seq  # of the next packet from the server, and to the client
-        self._passing = 0  # bytes still to come of a packet that goes out in pieces
-        self._continued = False  # the next packet belongs to the message of the one before
-        self._left = self._columns = 0  # definitions still to come
-        self._eof_owed = False  # the client has not been told that the columns are over
+        # Sequence numbers of the next packet from the server and of the next packet to the client.
+        self._in_seq, self.seq = seq, client_seq
+        self._passing = 0  # remaining bytes of a packet that is forwarded in pieces
+        self._continued = False  # the next packet continues the message of the previous one
+        self._left = self._columns = 0  # number of definitions that have not arrived yet
+        self._eof_owed = False  # the client has not received the EOF after the column definitions yet
         self._results = 0
-        self.begun = False  # a byte of the reply has come
+        self.begun = False  # the first byte of the reply has arrived
         self.rows = 0
         self.status = status
         self.warnings = self.last_id = 0
         self.affected = -1
         self.error: Err | None = None
         self.prepared: Prepared | None = None
-        self.news: list[bytes] = []  # session-state news, undecoded
+        self.news: list[bytes] = []  # encoded session state changes
 
     @property
     def done(self) -> bool:
-        """Whether the reply is whole."""
+        """Whether the reply is complete."""
         return self._stage is Stage.DONE
 
     @property
     def packet_open(self) -> bool:
-        """Whether the client has part of a packet, so that nothing but its rest may follow."""
+        """Whether the client has received part of a packet, so that only the rest of it may follow."""
         return self._passing > 0 or self._continued
 
     @property
     def extra(self) -> bool:
-        """Whether bytes came behind the reply: its connection can't be trusted with another."""
+        """Whether bytes arrived after the reply, so that the connection can't be reused."""
         return self.done and bool(self._buffer)
 
     def feed(self, data: bytes) -> bytes:
-        """Bytes from the server; returns what they make for the client."""
+        """Process bytes from the server and return the resulting bytes for the client."""
         if data:
             self.begun = True
         self._buffer += data
@@ -129,7 +132,7 @@
         return bytes(out)
 
     def fail(self, error: Err) -> bytes:
-        """The packet that tells the client how its reply ends; empty where a packet has begun."""
+        """End the reply with an error; return the packets for the client, or nothing within a packet."""
         if self.packet_open or self.done:
             return b""
         self._stage, self.error = Stage.DONE, error
@@ -138,7 +141,7 @@
     # --- packets --------------------------------------------------------------------------------
 
     def _header(self, at: int) -> int:
-        """The payload's size, or -1 while the header is not whole."""
+        """Return the size of the payload, or -1 if the header is incomplete."""
         if len(self._buffer) - at < HEADER:
             return -1
         (word,) = struct.unpack_from("<I", self._buffer, at)
@@ -150,7 +153,7 @@
         return int(word & MAX_PAYLOAD)
 
     def _take_rows(self, at: int, out: bytearray) -> int:
-        """All whole rows that are here, and the packet that ends them."""
+        """Forward all complete row packets in the buffer and the packet that ends the rows."""
         buffer, end, start = self._buffer, len(self._buffer), at
         in_seq, seq, rows = self._in_seq & 0xFF, self.seq & 0xFF, 0
         moved, limit = in_seq != seq, MAX_PAYLOAD if self._new else 9
@@ -174,7 +177,7 @@
         return self._take_one(at, out)
 
     def _take_one(self, at: int, out: bytearray) -> int:
-        """One packet, if it is here; of a long row's, its beginning."""
+        """Process one packet if it is complete, or the start of a long row packet."""
         size = self._header(at)
         here = len(self._buffer) - at - HEADER
         if size < 0 or (size and not here):
@@ -214,13 +217,13 @@
         return out
 
     def _ended_columns(self) -> bytes:
-        """The older kind of end of the columns, where the client still waits for it."""
+        """Return the EOF packet after the column definitions if the client still expects it."""
         if not self._eof_owed:
             return b""
         self._eof_owed = False
         return self._framed(Eof(0, self.status & ~(Status.MORE_RESULTS | Status.CURSOR_EXISTS)).encode())
 
-    # --- what the packets say -------------------------------------------------------------------
+    # --- packet contents ------------------------------------------------------------------------
 
     def _packet(self, payload: bytes) -> bytes:
         first = payload[0] if payload else -1
@@ -255,12 +258,12 @@
         return self._ended_columns() + self._framed(payload)
 
     def _told(self, status: int) -> None:
-        """Take in a status; where more results follow, the next begins."""
+        """Record the server status, which tells whether another result set follows."""
         self.status = status
         if status & Status.MORE_RESULTS:
             self._results += 1
             if self._results > MAX_RESULTS:
-                # Guards against a node that claims more results without end.
+                # A faulty node could announce further result sets forever.
                 raise ProtocolError(f"more than {MAX_RESULTS} results")
             self._stage = Stage.FIRST
         else:
@@ -319,13 +322,13 @@
         self.status = eof.status
         if self.prepared is not None:
             return self._definitions_over(eof, self._stage is Stage.PARAMETERS_END)
-        if eof.status & Status.CURSOR_EXISTS:  # the rows are to be fetched: this ends the reply
+        if eof.status & Status.CURSOR_EXISTS:  # the client fetches the rows later, so the reply ends here
             return self._end_of_rows(payload)
         self._stage = Stage.ROWS
         return b"" if self._client_new else self._framed(eof.encode())
 
     def _definitions_over(self, eof: Eof, parameters: bool) -> bytes:
-        """The end of a prepared statement's parameters, or of its columns."""
+        """End the parameter or column definitions of a prepared statement."""
         assert self.prepared is not None
         out = b"" if self._client_new else self._framed(eof.encode())
         self._left = self.prepared.columns if parameters else 0
@@ -349,7 +352,7 @@
         return out
 
     def _end_of_rows(self, payload: bytes) -> bytes:
-        """An EOF of either kind, worded as the client knows it."""
+        """Convert the packet that ends the rows to the form that the client expects."""
         if self._new:
             ok = Ok.parse(payload, self._server)
         else:
@@ -359,7 +362,7 @@
             ok = Ok(status=eof.status, warnings=eof.warnings)
         out = b""
         if ok.status & Status.CURSOR_EXISTS and not self.rows:
-            self._eof_owed = False  # the end of the columns and of the reply are one packet here
+            self._eof_owed = False  # with a cursor, one packet ends both the columns and the reply
         else:
             out = self._ended_columns()
         affected = self.affected
--- a/brambleusher/fronts/mysql/service.py
+++ b/brambleusher/fronts/mysql/service.py
@@ -1,4 +1,4 @@
-"""The front and its nodes put together, as the sidecar takes them."""
+"""Assembles the MySQL front end and its node pools for the sidecar."""
 
 from __future__ import annotations
 
@@ -23,7 +23,11 @@
 
 
 class MysqlService:
-    """MySQL on the sidecar's decisions; raises `OperatorFileError` if its section or a file is of no use."""
+    """The MySQL front end of a sidecar.
+
+    Raises:
+        OperatorFileError: The `mysql:` section or a file that it names is invalid, or a package is missing.
+    """
 
     def __init__(
         self,
@@ -42,18 +46,18 @@
         check_against(settings, platform)
         users, passwords, rsa, node_key = load_secrets(settings)
         self._settings, self._scheduler = settings, scheduler
-        self.address: tuple[str, int] | None = None  # where it listens
+        self.address: tuple[str, int] | None = None  # listening address, set by `start`
         try:
             self.nodes = MysqlNodes(scheduler, platform, settings, passwords, counters, node_key)
             self.front = Front(
                 scheduler, decisions, self.nodes, clock, counters, settings, users, rsa,
                 random.Random(seed ^ 0x6D7973716C), entropy,
             )  # fmt: skip
-        except OSError as error:  # certificates
+        except OSError as error:  # a certificate or key file can't be loaded
             raise OperatorFileError(f"mysql: TLS files can't be used: {error}") from None
 
     def start(self, known: EndpointListUpdate) -> tuple[str, int]:
-        """Listen; says where."""
+        """Start to listen and return the address."""
         self.nodes.update(known)
         self._scheduler.spawn(self.nodes.reap, name="mysql reap")
         self.address = where = self.front.listen(self._settings.listen)
@@ -61,6 +65,6 @@
         return where
 
     def wind_down(self) -> None:
-        """Take no new session; the tied ones get until their class's grace."""
+        """Accept no new sessions; pinned sessions may continue for the grace period of their class."""
         self.front.wind_down()
         self.nodes.close()
--- a/brambleusher/fronts/mysql/session.py
+++ b/brambleusher/fronts/mysql/session.py
@@ -1,7 +1,7 @@
-"""What a client's session holds: settings, prepared statements, and what ties it to one connection.
+"""Session state of a MySQL client: settings, prepared statements, and pins to one node connection.
 
-No sockets here.  `Session` is told of each statement and of what came back, and says whether the session
-may go on elsewhere.  What it holds can be had as one object for JSON, and made from it again.
+The module uses no sockets.  `Session` processes each statement and its reply, and determines whether the next
+statement may run on another connection.  Its state can be exported as a JSON object and restored from it.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 from brambleusher.fronts.mysql.replies import ReplyRelay
 from brambleusher.fronts.mysql.statements import Kind, Statement, Tie
 
-MAX_PREPARED = 1024  # of one session
-MAX_PREPARED_TEXT = 256 * 1024  # of one statement
-MAX_SETTINGS, MAX_SETTINGS_BYTES = 64, 16 * 1024  # that are replayed
-MAX_NAME = 256  # of a lock or a table, as far as they are told apart
-MAX_NAMES = 256  # of locks or tables that are told apart; past it only a reset lifts the tie
-# Capabilities that change what a statement means: a connection is used for sessions with the same ones.
+MAX_PREPARED = 1024  # maximum number of prepared statements of one session
+MAX_PREPARED_TEXT = 256 * 1024  # maximum size in bytes of the text of a prepared statement
+MAX_SETTINGS, MAX_SETTINGS_BYTES = 64, 16 * 1024  # maximum number and size in bytes of replayed settings
+MAX_NAME = 256  # maximum length of a lock or table name; longer names are truncated
+MAX_NAMES = 256  # maximum number of names tracked per pin; above it only a reset removes the pin
+# Capabilities that change the meaning of statements; only sessions that agree in them share a connection.
 MEANING = int(
     Capability.FOUND_ROWS | Capability.IGNORE_SPACE | Capability.NO_SCHEMA | Capability.ODBC
     | Capability.INTERACTIVE
@@ -36,17 +36,17 @@
 
 @dataclass(frozen=True, slots=True)
 class TieRule:
-    """One line of the table: when a tie is made and when it is lifted, and whether it lapses."""
+    """Describes which statements add and remove a pin, and whether the pin expires."""
 
     made_by: str
     lifted_by: str
-    soft: bool = False  # let go after a while without a command: what is lost is told if it is asked for
+    soft: bool = False  # dropped after idle time; a later statement that needs the lost state gets an error
 
 
-# All that can hold a session to its connection.  What is not here is replayed or looks the same anywhere:
-# the schema, settings with constant values, autocommit itself, statements prepared by the protocol (and
-# their long data, kept here until they run), and LAST_INSERT_ID, which is asked for when a connection
-# passes to another session, and set again where a statement reads it.
+# All reasons to pin a session to its connection.  State that is missing here is replayed or is independent of
+# the connection: the schema, settings with constant values, autocommit itself, statements prepared through
+# the protocol (and their long data, which the sidecar buffers until execution), and LAST_INSERT_ID, which is
+# queried when a connection passes to another session and set again before a statement that reads it.
 TIES: dict[Tie, TieRule] = {
     Tie.TRANSACTION: TieRule("a status with IN_TRANS", "a status without"),
     Tie.AUTOCOMMIT_OFF: TieRule(
@@ -71,45 +71,45 @@
 
 @dataclass(slots=True)
 class PreparedText:
-    """A statement that the client prepared, by the id the client has."""
+    """A statement prepared by the client, with the id that the client knows."""
 
     id: int
     text: bytes
     statement: Statement
     parameters: int = 0
     columns: int = 0
-    types: bytes = b""  # of its parameters, as last told
-    long: dict[int, bytearray] = field(default_factory=dict)  # parameters sent ahead
+    types: bytes = b""  # parameter types of the last execution that sent them
+    long: dict[int, bytearray] = field(default_factory=dict)  # long data by parameter number
 
     @property
     def long_bytes(self) -> int:
-        """Bytes held of parameters sent ahead."""
+        """Number of buffered bytes of long data."""
         return sum(map(len, self.long.values()))
 
 
 @dataclass(frozen=True, slots=True)
 class Setup:
-    """What a connection must be like before a session's statement runs on it."""
+    """The session state that a connection needs before a statement runs on it."""
 
     schema: str
-    settings: tuple[tuple[str, str], ...]  # in the order they were made
+    settings: tuple[tuple[str, str], ...]  # in the order in which the client made them
     autocommit: bool
     multi: bool
-    last_id: int | None  # to be set; None: not asked for
+    last_id: int | None  # LAST_INSERT_ID to set; None if the statement does not read it
 
 
 @dataclass(frozen=True, slots=True)
 class Flavour:
-    """What can't be changed on a connection: sessions share one only with the same."""
+    """The immutable properties of a connection; only sessions with the same ones can share a connection."""
 
     account: str
     collation: int
     meaning: int
-    no_schema: bool = False  # no schema was ever chosen on it
+    no_schema: bool = False  # the connection must never have selected a schema
 
 
 class Session:
-    """One client's session."""
+    """The session of one client."""
 
     def __init__(self, user: str, account: str, capabilities: int, collation: int, schema: str = "") -> None:
         self.user, self.account, self.capabilities = user, account, capabilities
@@ -121,39 +121,39 @@
         self.ties: dict[Tie, set[str]] = {}
         self.prepared: dict[int, PreparedText] = {}
         self.cursors: set[int] = set()
-        self.last_id: int | None = 0  # what LAST_INSERT_ID() gives; None: known to the connection alone
+        self.last_id: int | None = 0  # value of LAST_INSERT_ID(); None if only the connection knows it
         self.opaque = collation in UNSAFE_COLLATIONS
         self._next_prepared = 1
 
-    # --- what it is like ------------------------------------------------------------------------
+    # --- state ----------------------------------------------------------------------------------
 
     @property
     def tied(self) -> bool:
-        """Whether it must stay on its connection."""
+        """Whether the session is pinned to its connection."""
         return bool(self.ties)
 
     @property
     def softly_tied(self) -> bool:
-        """Whether all that ties it may be let go after a while."""
+        """Whether the session has pins and all of them are soft."""
         return bool(self.ties) and all(TIES[tie].soft for tie in self.ties)
 
     @property
     def in_transaction(self) -> bool:
-        """Whether a transaction is open, or may be."""
+        """Whether a transaction is open or may be open."""
         return Tie.TRANSACTION in self.ties or Tie.AUTOCOMMIT_OFF in self.ties
 
     @property
     def why(self) -> str:
-        """What ties it, for people."""
+        """Human-readable list of the reasons why the session is pinned."""
         return ", ".join(sorted(tie.value for tie in self.ties))
 
     @property
     def flavour(self) -> Flavour:
-        """What its connections must have from their login on."""
+        """The immutable properties that the session requires of its connections."""
         return Flavour(self.account, self.collation, self.capabilities & MEANING, not self.schema)
 
     def setup(self, reads_last_id: bool = False) -> Setup:
-        """What a connection must be like now."""
+        """Return the state that a connection needs for the next statement."""
         return Setup(
             self.schema,
             tuple(self.settings.items()),
@@ -163,7 +163,7 @@
         )
 
     def state(self) -> dict[str, Any]:
-        """All of it but the texts of prepared statements, for JSON."""
+        """Return the session state without prepared statements, for JSON."""
         return {
             "user": self.user, "account": self.account, "capabilities": self.capabilities,
             "collation": self.collation, "schema": self.schema, "multi": self.multi,
@@ -174,7 +174,7 @@
 
     @classmethod
     def of_state(cls, state: dict[str, Any]) -> Session:
-        """A session as `state` told it, without prepared statements."""
+        """Restore a session, without prepared statements, from the result of `state`."""
         out = cls(state["user"], state["account"], state["capabilities"], state["collation"], state["schema"])
         out.multi, out.settings = state["multi"], dict(state["settings"])
         out.autocommit, out.status = state["autocommit"], state["status"]
@@ -185,7 +185,7 @@
     # --- statements -----------------------------------------------------------------------------
 
     def after(self, statement: Statement, reply: ReplyRelay) -> None:
-        """A statement has its whole answer: what it changed."""
+        """Update the session after the complete reply to a statement."""
         error = reply.error
         never_ran = error is not None and (error.state[:2] == "42" or error.errno == Errno.PARSE)
         self._settle_status(reply, error is None)
@@ -194,7 +194,7 @@
         if reply.warnings and error is None:
             self.tie(Tie.DIAGNOSTICS)
         if reply.last_id:
-            self.last_id = None  # what LAST_INSERT_ID() gives now is the connection's to tell
+            self.last_id = None  # only the connection knows the new LAST_INSERT_ID() now
         if statement.sets_last_id and not never_ran:
             self.last_id = None
         if never_ran and statement.count == 1:
@@ -207,11 +207,11 @@
         for tie, name in statement.lifts:
             self.lift(tie, name)
         for key, text in statement.settings:
-            self.settings.pop(key, None)  # the later of two comes last when they are replayed
+            self.settings.pop(key, None)  # moves the setting to the end, for the order of replay
             self.settings[key] = text
         size = sum(map(len, self.settings.values()))
         while self.settings and (len(self.settings) > MAX_SETTINGS or size > MAX_SETTINGS_BYTES):
-            # Too much to replay: what is dropped stands on this connection alone.
+            # There are too many settings to replay, so the oldest one pins the session to its connection.
             key = next(iter(self.settings))
             size -= len(self.settings.pop(key))
             self.tie(Tie.SETTING, key)
@@ -224,7 +224,7 @@
 
     def _settle_status(self, reply: ReplyRelay, told: bool) -> None:
         if not told:
-            return  # an error has no status: whatever was open may still be
+            return  # an ERR packet carries no status, so an open transaction may still be open
         self.status = reply.status & _LASTING
         if reply.status & Status.IN_TRANS:
             self.tie(Tie.TRANSACTION)
@@ -243,15 +243,15 @@
             self.tie(Tie.AUTOCOMMIT_OFF)
 
     def tie(self, tie: Tie, name: str = "") -> None:
-        """Make a tie."""
+        """Add a pin."""
         names = self.ties.setdefault(tie, set())
         if len(names) < MAX_NAMES:
             names.add(name[:MAX_NAME])
         else:
-            names.add("?")  # which nothing lifts
+            names.add("?")  # a name that no statement removes
 
     def lift(self, tie: Tie, name: str = "") -> None:
-        """Lift a tie; without a name all of its kind."""
+        """Remove a pin; without a name, all pins of the same kind."""
         names = self.ties.get(tie)
         if names is None:
             return
@@ -263,7 +263,7 @@
             del self.ties[tie]
 
     def reset(self) -> None:
-        """COM_RESET_CONNECTION was answered: as after the login, but for the schema."""
+        """Restore the state after the login, except for the schema, as COM_RESET_CONNECTION does."""
         self.settings.clear()
         self.ties.clear()
         self.prepared.clear()
@@ -272,7 +272,7 @@
         self.opaque = self.collation in UNSAFE_COLLATIONS
 
     def lost(self) -> None:
-        """Its connection is gone, and with it all that was tied to it."""
+        """Drop all pins and cursors, because the connection was lost."""
         self.ties.clear()
         self.cursors.clear()
 
@@ -280,13 +280,14 @@
 
     @property
     def held_bytes(self) -> int:
-        """Bytes of prepared texts and of parameters sent ahead."""
+        """Number of bytes used by the texts and long data of prepared statements."""
         return sum(len(each.text) + each.long_bytes for each in self.prepared.values())
 
     def next_prepared(self, size: int = 0) -> int:
-        """The id of the statement to be prepared next.
+        """Return the id for the next prepared statement.
 
-        Raises `ProtocolError` where there are too many, or its text of `size` bytes is too long.
+        Raises:
+            ProtocolError: There are too many prepared statements, or the text of `size` bytes is too long.
         """
         if size > MAX_PREPARED_TEXT:
             text = f"a prepared statement of more than {MAX_PREPARED_TEXT} bytes"
@@ -298,19 +299,22 @@
         return self._next_prepared
 
     def was_prepared(self, number: int, text: bytes, statement: Statement, answer: Prepared) -> None:
-        """A statement was prepared under an id from `next_prepared`."""
+        """Record a statement that was prepared with an id from `next_prepared`."""
         self.prepared[number] = PreparedText(number, text, statement, answer.parameters, answer.columns)
         self._next_prepared = number % 0x7FFFFFFF + 1
 
     def find(self, number: int) -> PreparedText:
-        """A prepared statement; raises `ProtocolError` where there is none of that id."""
+        """Return the prepared statement with an id; raises `ProtocolError` if there is none."""
         found = self.prepared.get(number)
         if found is None:
             raise ProtocolError(f"Unknown prepared statement handler ({number})", Errno.UNKNOWN_STMT_HANDLER)
         return found
 
     def long_data(self, body: bytes, most: int) -> None:
-        """COM_STMT_SEND_LONG_DATA: kept until the statement runs.  It has no answer, so faults wait too."""
+        """Buffer the data of COM_STMT_SEND_LONG_DATA until the statement is executed.
+
+        The command has no response; an unknown statement or parameter is therefore ignored here.
+        """
         if len(body) < 7:
             return
         number, parameter = int.from_bytes(body[1:5], "little"), int.from_bytes(body[5:7], "little")
@@ -322,7 +326,7 @@
         found.long.setdefault(parameter, bytearray()).extend(body[7:])
 
     def execute(self, body: bytes) -> tuple[PreparedText, Execute]:
-        """COM_STMT_EXECUTE with the types filled in that the client told before."""
+        """Parse COM_STMT_EXECUTE; missing parameter types are taken from the previous execution."""
         if len(body) < 10:
             raise ProtocolError("an execute cut short")
         found = self.find(int.from_bytes(body[1:5], "little"))
@@ -332,12 +336,12 @@
                 raise ProtocolError("an execute without types, and none were told", Errno.WRONG_ARGUMENTS)
             run.types = found.types or None
         if run.types is not None:
-            run.parameters(found.parameters, run.types, frozenset(found.long))  # which checks them
+            run.parameters(found.parameters, run.types, frozenset(found.long))  # validates the values
             found.types = run.types
         return found, run
 
     def executed(self, found: PreparedText, flags: int, reply: ReplyRelay) -> None:
-        """An execute has its whole answer."""
+        """Update the session after the complete reply to COM_STMT_EXECUTE."""
         found.long.clear()
         self.cursors.discard(found.id)
         if flags & CURSOR_READ_ONLY and reply.status & Status.CURSOR_EXISTS and reply.error is None:
@@ -345,19 +349,19 @@
         self._settle_cursors()
 
     def fetched(self, number: int, reply: ReplyRelay) -> None:
-        """A fetch has its whole answer."""
+        """Update the session after the complete reply to COM_STMT_FETCH."""
         if reply.error is not None or reply.status & Status.LAST_ROW_SENT:
             self.cursors.discard(number)
         self._settle_cursors()
 
     def close_prepared(self, number: int) -> None:
-        """COM_STMT_CLOSE."""
+        """Handle COM_STMT_CLOSE for a prepared statement."""
         self.prepared.pop(number, None)
         self.cursors.discard(number)
         self._settle_cursors()
 
     def reset_prepared(self, number: int) -> None:
-        """COM_STMT_RESET."""
+        """Handle COM_STMT_RESET for a prepared statement."""
         self.find(number).long.clear()
         self.cursors.discard(number)
         self._settle_cursors()
@@ -370,5 +374,5 @@
 
 
 def replay_text(pairs: Iterable[tuple[str, str]]) -> bytes:
-    """Settings as one SET; each was told as what stands behind SET, and `names` may stand among others."""
+    """Build one SET statement from pairs of a setting's key and its assignment, the text after SET."""
     return ("SET " + ", ".join(text for _, text in pairs)).encode("utf-8", "surrogateescape")
--- a/brambleusher/fronts/mysql/session_listener.py
+++ b/brambleusher/fronts/mysql/session_listener.py
@@ -1,4 +1,4 @@
-"""The listener of the MySQL front: a session for each connection, within a limit."""
+"""Accepts MySQL connections and starts a session for each, up to a limit."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 log = logging.getLogger(__name__)
 
 BACKLOG = 512
-MAX_THREAD = 0xFFFFFFFF  # a thread's number has four bytes on the wire
+MAX_THREAD = 0xFFFFFFFF  # MySQL thread ids have four bytes on the wire
 
 
 class SessionListener:
@@ -37,22 +37,22 @@
         max_sessions: int,
         max_packet_bytes: int,
     ) -> None:
-        """`serve` is the task of a client; it calls `forget` in the end."""
+        """Create a listener; `serve` runs as the task of each client and must call `forget` at its end."""
         self._scheduler, self._serve = scheduler, serve
         self._max_sessions, self._max_packet_bytes = max_sessions, max_packet_bytes
-        self.clients: dict[int, Client] = {}  # by their thread's number
+        self.clients: dict[int, Client] = {}  # connected clients by thread id
         self._last_thread = 0
         self._listener: Socket | None = None
         self._task: Task | None = None
 
     def listen(self, address: Address) -> Address:
-        """Bind, and start to accept; returns the address."""
+        """Bind the address, start to accept connections, and return the bound address."""
         listener = self._listener = self._scheduler.system.listen(address, BACKLOG)
         self._task = self._scheduler.spawn(self._accept_all, listener, name="mysql accept")
         return local_address(listener)
 
     def close(self) -> None:
-        """Accept no more; clients that are connected stay."""
+        """Stop accepting connections; connected clients stay."""
         if self._task is not None:
             self._task.cancel()
         if self._listener is not None:
@@ -60,7 +60,7 @@
             self._listener = None
 
     def forget(self, client: Client) -> None:
-        """Let go of a client whose session is over."""
+        """Remove a client whose session has ended."""
         self.clients.pop(client.thread, None)
 
     def _accept_all(self, listener: Socket) -> None:
@@ -86,7 +86,7 @@
         client.task = self._scheduler.spawn(self._serve, client, name="mysql session")
 
     def _next_thread(self) -> int:
-        """Return a number that no client has."""
+        """Return a thread id that no connected client has."""
         self._last_thread = self._last_thread % MAX_THREAD + 1
         while self._last_thread in self.clients:
             self._last_thread = self._last_thread % MAX_THREAD + 1
@@ -94,7 +94,7 @@
 
 
 def _reject(client: Client) -> None:
-    """Send an error for a greeting to one session too many, as far as it goes out at once."""
+    """Send an error instead of a greeting to a client beyond the limit, without waiting for the socket."""
     error = Err.of(Errno.CON_COUNT, "Too many connections")
     with contextlib.suppress(OSError):
         client.channel.stream.sock.send(frame(error.encode(), 0))
--- a/brambleusher/fronts/mysql/settings.py
+++ b/brambleusher/fronts/mysql/settings.py
@@ -1,4 +1,4 @@
-"""The `mysql:` section of the operator file, and the files it names."""
+"""The `mysql:` section of the operator file, and the files that the section refers to."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 from brambleusher.operator_settings.section import OperatorFileError, Section
 from brambleusher.runtime.streams import parse_address
 
-MAX_FILE = 1024 * 1024
-MAX_ENTRIES = 10_000
+MAX_FILE = 1024 * 1024  # maximum size in bytes of the users file and of the accounts file
+MAX_ENTRIES = 10_000  # maximum number of entries of a list or mapping in the section
 TLS_MODES = ("off", "preferred", "required")
 
 
 @dataclass(frozen=True, slots=True)
 class UserRule:
-    """What is known of a client's user beside the password."""
+    """Settings of one client user, except for the password."""
 
-    account: str  # by which the nodes know it
-    request_class: str | None = None  # of its plain reads
+    account: str  # account name on the nodes
+    request_class: str | None = None  # request class of the user's plain reads
     tenant: str | None = None
     deadline_ms: int | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class StatementRule:
-    """A class for one digest."""
+    """The request class and deadline of statements with one digest."""
 
     digest: str
     request_class: str
@@ -40,18 +40,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Tls:
-    """Certificates as files; empty where there is none."""
+    """TLS mode and paths of certificate files; an empty path means no file."""
 
     mode: str = "off"
     cert_file: str = ""
     key_file: str = ""
     ca_file: str = ""
-    host: str = ""  # the name that the nodes' certificates have; empty: not looked at
+    host: str = ""  # host name required in the nodes' certificates; empty skips the check
 
 
 @dataclass(frozen=True, slots=True)
 class MysqlSettings:
-    """All of the section."""
+    """Parsed contents of the `mysql:` section."""
 
     listen: tuple[str, int]
     users_file: str
@@ -72,17 +72,17 @@
     node_key_file: str = ""
     ask_node_key: bool = False
     sessions: int = 300
-    connections: int = 64  # to one node by one account
-    connections_total: int = 128  # to all of them
+    connections: int = 64  # maximum number of connections per node and account
+    connections_total: int = 128  # maximum number of connections to all nodes
     idle_ms: int = 60_000
     pool_wait_ms: int = 1000
     login_ms: int = 10_000
     session_idle_ms: int = 28_800_000
     max_packet_mb: int = 16
-    memory_mb: int = 16  # of statements on their way, of all sessions
+    memory_mb: int = 16  # memory in MB for buffered commands and prepared statements of all sessions
     grace_ms: Mapping[str, int] = field(default_factory=dict)
     drain_spread_ms: int = 1000
-    load: str = "pool"  # what stands in for load reports
+    load: str = "pool"  # source of load figures: "pool" estimates them from the connections, "none" has none
 
 
 def _address(text: str | None, path: str) -> tuple[str, int]:
@@ -125,7 +125,7 @@
     if server and tls.mode != "off" and not (tls.cert_file and tls.key_file):
         raise OperatorFileError(f"{path} needs cert_file and key_file")
     if not server and tls.mode == "required" and not tls.ca_file:
-        # Guards against a required TLS that anyone in between could answer.
+        # Without certificate verification, a man in the middle could impersonate a node despite TLS.
         raise OperatorFileError(
             f"{path}.ca_file is missing: without it the nodes' certificates prove nothing"
         )
@@ -133,7 +133,7 @@
 
 
 def parse_mysql(raw: Any) -> MysqlSettings:
-    """The section, checked; raises `OperatorFileError` naming the key."""
+    """Parse and validate the section; raises `OperatorFileError` naming the key."""
     section = Section(raw, "mysql")
     for key in ("listen", "users_file", "accounts_file", "strict_class"):
         if not section.has(key):
@@ -213,7 +213,7 @@
 
 
 def check_against(settings: MysqlSettings, platform: api.Settings) -> None:
-    """That classes and tenants are those of the platform; raises `OperatorFileError` naming the key."""
+    """Check that classes and tenants exist on the platform; raises `OperatorFileError` naming the key."""
     classes = {cls.name: cls for cls in platform.classes}
     tenants = {tenant.name for tenant in platform.tenants}
     named = [("mysql.strict_class", settings.strict_class), ("mysql.default_class", settings.default_class)]
@@ -226,7 +226,7 @@
         if name not in classes:
             raise OperatorFileError(f"{path}: there is no class {name}")
         if classes[name].idempotency is api.Idempotency.KEYED:
-            # Guards against repeats that the nodes would have to recognise: MySQL carries no key for that.
+            # MySQL can't carry an idempotency key by which the nodes would recognise a retry.
             raise OperatorFileError(f"{path}: {name} is repeated by a key, which MySQL does not carry")
     if classes[settings.strict_class].idempotency is not api.Idempotency.UNSAFE:
         raise OperatorFileError(f"mysql.strict_class: {settings.strict_class} may be repeated")
@@ -239,7 +239,7 @@
         raise OperatorFileError("mysql.tenant is missing: this deployment has tenants")
 
 
-# --- the files ----------------------------------------------------------------------------------
+# --- users and accounts files -------------------------------------------------------------------
 
 
 def _lines(path: str, key: str) -> list[tuple[int, str]]:
@@ -262,7 +262,7 @@
 
 
 def load_users(path: str) -> dict[str, Secret]:
-    """Names and hashes: a name, a plugin and a hash on each line, with tabs or spaces between."""
+    """Load the users file; each line has a name, a plugin and a hash, separated by tabs or spaces."""
     out: dict[str, Secret] = {}
     for number, line in _lines(path, "mysql.users_file"):
         parts = line.split()
@@ -279,22 +279,25 @@
 
 
 class Passwords:
-    """Passwords of the accounts on the nodes; never shown."""
+    """Passwords of the accounts on the nodes, kept out of representations and logs."""
 
     def __init__(self, by_account: Mapping[str, bytes]) -> None:
         self._by_account = dict(by_account)
 
     def __contains__(self, account: str) -> bool:
-        """Whether there is such an account."""
+        """Return whether an account exists."""
         return account in self._by_account
 
     def of(self, account: str) -> bytes:
-        """The password of an account; empty where it has none."""
+        """Return the password of an account, empty if the account has none."""
         return self._by_account[account]
 
 
 def load_accounts(path: str) -> Passwords:
-    """An account and its password on each line, with a tab or a space between; no password: none is sent."""
+    """Load the accounts file; each line has an account and its password, separated by a tab or space.
+
+    An account without a password logs in with an empty one.
+    """
     out: dict[str, bytes] = {}
     for number, line in _lines(path, "mysql.accounts_file"):
         name, _, password = line.replace("\t", " ", 1).partition(" ")
@@ -305,7 +308,7 @@
 
 
 def load_secrets(settings: MysqlSettings) -> tuple[dict[str, Secret], Passwords, RsaKey, bytes | None]:
-    """Users, accounts' passwords, this side's RSA key and the nodes' public key, from the files named."""
+    """Load the users, the account passwords, the sidecar's RSA key and the nodes' public key from files."""
     users, accounts = load_users(settings.users_file), load_accounts(settings.accounts_file)
     for name in users:
         account = settings.users[name].account if name in settings.users else name
--- a/brambleusher/fronts/mysql/statements.py
+++ b/brambleusher/fronts/mysql/statements.py
@@ -1,8 +1,8 @@
-"""Statements told apart: what one does to its session, and whether it is a plain read.
+"""Classifies statements: their effects on the session, and whether they are plain reads.
 
-A statement is brought to a digest first, in which literals, comments and spaces make no difference.
-What sqlglot says of a digest is kept, within bounds, so that it is asked once.  Whatever can't be told
-for certain is `UNKNOWN`: it is never repeated and its session stays where it is.
+A statement is first reduced to a digest, which is independent of literals, comments and whitespace.  The
+classification of a digest by sqlglot is cached, up to a limit, so that each digest is parsed once.  Any
+statement that can't be classified with certainty is `UNKNOWN`: it is never retried and pins its session.
 """
 
 from __future__ import annotations
@@ -15,20 +15,22 @@
 from enum import Enum
 from typing import Any
 
-MAX_TEXT = 64 * 1024  # longer ones are told apart by their first word and a few marks
-MAX_STATEMENTS = 32  # in one text; more are not told apart
+MAX_TEXT = 64 * 1024  # size in bytes above which a text is classified by its first word and a few patterns
+MAX_STATEMENTS = 32  # maximum number of statements in one text; a text with more is `UNKNOWN`
+# Maximum number of cached digests, and maximum length in characters of a digest that is cached.
 CACHED_DIGESTS, CACHED_DIGEST_LENGTH = 4096, 4096
+# Maximum number of cached texts, and maximum size in bytes of a text that is cached.
 CACHED_TEXTS, CACHED_TEXT_BYTES = 2048, 1024
 
 log = logging.getLogger(__name__)
 
 
 class Kind(Enum):
-    """What sort of statement it is."""
+    """The category of a statement."""
 
     READ = "read"
     WRITE = "write"
-    DEFINE = "define"  # commits what is open
+    DEFINE = "define"  # DDL or administration, which commits an open transaction implicitly
     BEGIN = "begin"
     COMMIT = "commit"
     ROLLBACK = "rollback"
@@ -44,7 +46,7 @@
 
 
 class Tie(Enum):
-    """What can hold a session to one connection; `session.TIES` has the table."""
+    """The reasons to pin a session to one connection; `session.TIES` describes each of them."""
 
     TRANSACTION = "open transaction"
     AUTOCOMMIT_OFF = "autocommit off"
@@ -62,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Hint:
-    """What a comment in a statement asks for."""
+    """Request parameters from a hint comment in a statement."""
 
     request_class: str | None = None
     tenant: str | None = None
@@ -72,30 +74,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Statement:
-    """One text of a client's, told apart; several statements in it are taken together."""
+    """Classification of one text from a client, which may contain several statements."""
 
     kind: Kind
     digest: str
-    plain_read: bool = False  # may be repeated without harm
-    ties: tuple[tuple[Tie, str], ...] = ()  # made where it runs
-    lifts: tuple[tuple[Tie, str], ...] = ()  # an empty name: all of that kind
-    settings: tuple[tuple[str, str], ...] = ()  # to be replayed: a key and the text behind SET
+    plain_read: bool = False  # a retry has no side effects
+    ties: tuple[tuple[Tie, str], ...] = ()  # pins that the statement adds, with the name of their object
+    lifts: tuple[tuple[Tie, str], ...] = ()  # pins that it removes; an empty name removes all of that kind
+    settings: tuple[tuple[str, str], ...] = ()  # settings to replay, as a key and the text after SET
     autocommit: bool | None = None
     schema: str | None = None
-    kill: tuple[bool, int] | None = None  # the query alone, and whose
-    about_previous: bool = False  # asks for what the statement before left
+    kill: tuple[bool, int] | None = None  # whether KILL is limited to the query, and the thread id
+    about_previous: bool = False  # depends on the previous statement, as SHOW WARNINGS does
     reads_last_id: bool = False
     sets_last_id: bool = False
-    opaque_after: bool = False  # from here on texts can't be told apart byte by byte
+    opaque_after: bool = False  # later texts of the session can't be tokenized byte by byte
     chain: bool = False
     release: bool = False
     count: int = 1
     renews: bool = False  # may end a transaction and begin another
     hint: Hint | None = None
-    why: str = ""  # why it is unknown
+    why: str = ""  # the reason why the statement is `UNKNOWN`
 
 
-# --- texts to words -----------------------------------------------------------------------------
+# --- tokenizer ----------------------------------------------------------------------------------
 
 _WORDS = re.compile(
     rb"""
@@ -115,11 +117,11 @@
 _LISTS = re.compile(r"\?(?:, \?)+")
 _ROWS = re.compile(r"(\(\?\+?\))(?:, \(\?\+?\))+")
 _ONE = re.compile(r"\b(in|values|value) \(\?\)")
-Word = tuple[str, bytes]  # a kind as the pattern names it, and the bytes
+Word = tuple[str, bytes]  # name of the token's group in the pattern, and the token's bytes
 
 
 def words(text: bytes) -> tuple[list[Word], list[bytes], bool]:
-    """The words of a text, its comments, and whether it can be read at all."""
+    """Split a text into tokens and comments; the last value tells whether the tokens are reliable."""
     out: list[Word] = []
     comments: list[bytes] = []
     sound = True
@@ -130,20 +132,20 @@
         part = match[0]
         if kind == "comment":
             comments.append(part)
-            # Comments that the server runs, or half of one: their text is part of the statement.
+            # The server executes the contents of these comments, so they are part of the statement.
             sound &= not part.startswith((b"/*!", b"/*M!"))
             continue
         if kind == "sign" and part in b"'\"`":
-            sound = False  # a quote without its end
+            sound = False  # the quote is not closed
         out.append((kind, part))
     for at in range(len(out) - 1):
         if out[at][1] == b"/" and out[at + 1][1] == b"*":
-            sound = False  # a comment without its end
+            sound = False  # the comment is not closed
     return out, comments, sound
 
 
 def digest_of(parts: Iterable[Word]) -> str:
-    """The text without literals and with single spaces; lists of literals have one length."""
+    """Build a digest: literals are replaced, whitespace is normalized, lists of literals are collapsed."""
     out = []
     for kind, part in parts:
         if kind in ("string", "number"):
@@ -158,9 +160,9 @@
 
 
 def hint_of(comments: Iterable[bytes]) -> Hint | None:
-    """What a comment asks for: `/* brambleusher: class=… tenant=… deadline_ms=… work_us=… */`.
+    """Parse the first hint comment, `/* brambleusher: class=… tenant=… deadline_ms=… work_us=… */`.
 
-    What can't be read is left out; a word of it that is wrong harms nothing.
+    Malformed parts of a hint are ignored.
     """
     for comment in comments:
         found = _HINT.match(comment)
@@ -180,7 +182,7 @@
     return None
 
 
-# --- words to meaning ---------------------------------------------------------------------------
+# --- classification of one statement ------------------------------------------------------------
 
 
 def _names(text: str) -> frozenset[str]:
@@ -191,7 +193,8 @@
     "create drop alter truncate rename grant revoke analyze optimize repair check checksum reset purge"
     " install uninstall flush import cache stop start_replica change"
 )
-# Functions that neither change anything nor depend on what ran before; others may be stored ones.
+# Built-in functions without side effects whose result does not depend on earlier statements.  A function that
+# is missing here may be a stored function.
 _PURE = _names(
     """abs acos adddate addtime aes_decrypt aes_encrypt any_value ascii asin atan atan2 avg bin
     bin_to_uuid bit_and bit_count bit_length bit_or bit_xor cast ceil ceiling char char_length
@@ -234,7 +237,7 @@
 
 
 def _plain(part: bytes) -> str:
-    """A word or a quoted name without its quotes, in lower case."""
+    """Return a word or quoted name in lower case, without its quotes."""
     text = part.decode("utf-8", "replace")
     if text[:1] == "`":
         text = text[1:-1].replace("``", "`")
@@ -250,7 +253,7 @@
 
 
 class _Reader:
-    """Reads the meaning of one statement out of its words."""
+    """Classifies one statement by its tokens."""
 
     def __init__(self, parts: list[Word], digest: str) -> None:
         self.parts, self.digest = parts, digest
@@ -260,7 +263,7 @@
         return Statement(Kind.UNKNOWN, self.digest, ties=((Tie.UNKNOWN, ""),), why=why)
 
     def read(self) -> Statement:
-        """The statement's meaning."""
+        """Return the classification of the statement."""
         if not self.parts:
             return Statement(Kind.EMPTY, self.digest)
         names, first = self.names, self.names[0]
@@ -285,9 +288,9 @@
         if first == "load":
             return Statement(Kind.LOCAL_FILE if "local" in names[:4] else Kind.WRITE, self.digest)
         if first in ("prepare", "execute", "deallocate"):
-            return Statement(Kind.UNKNOWN, self.digest, ties=((Tie.PREPARED, ""),), why="prepared in SQL")
+            return Statement(Kind.UNKNOWN, self.digest, ties=((Tie.PREPARED, ""),), why="PREPARE in SQL")
         if first == "get" and "diagnostics" in names[:3]:
-            return replace(self.unknown("diagnostics into variables"), about_previous=True)
+            return replace(self.unknown("GET DIAGNOSTICS sets variables"), about_previous=True)
         if first in _DEFINING:
             return self._define()
         if first == "show":
@@ -295,7 +298,7 @@
         if first in ("select", "with", "values", "table", "insert", "replace", "update", "delete", "explain",
                      "describe", "desc", "do") or self.parts[0][1] == b"(":  # fmt: skip
             return self._query(first)
-        return self.unknown(f"{first or 'it'} is not told apart")
+        return self.unknown(f"{first or 'its first word'} is not a known statement")
 
     def _end_of_transaction(self, first: str) -> Statement:
         names = [name for name in self.names[1:] if name != "work"]
@@ -307,7 +310,7 @@
                  "and no chain release": (False, True), "and no chain no release": (False, False),
                  "and chain no release": (True, False)}  # fmt: skip
         if text not in known:
-            return self.unknown("an end of a transaction that is not told apart")
+            return self.unknown("unknown options of COMMIT or ROLLBACK")
         kind = Kind.COMMIT if first == "commit" else Kind.ROLLBACK
         return Statement(kind, self.digest, chain=known[text][0], release=known[text][1])
 
@@ -343,7 +346,7 @@
         return Statement(Kind.DEFINE, self.digest)
 
     def _name(self, at: int) -> tuple[str, int]:
-        """A table's name without its schema, and where the words go on."""
+        """Return a table name without its schema, and the index of the next token."""
         if at >= len(self.names):
             return "", at
         name = self.names[at]
@@ -373,12 +376,12 @@
         scope = ""
         for item in items:
             if not item:
-                return self.unknown("a SET without a name")
+                return self.unknown("SET without a variable name")
             out, scope = self._set_item(out, item, scope)
             if out.kind is Kind.UNKNOWN:
                 return out
         constants = len(out.settings) + (out.autocommit is not None)
-        # Nothing but constants of this session: it may be repeated.
+        # A SET with only constant session settings has no side effects when retried.
         return replace(out, plain_read=not out.ties and constants == len(items))
 
     def _text(self, item: list[int]) -> str:
@@ -395,7 +398,7 @@
             opaque = opaque or out.opaque_after
             return replace(out, settings=(*out.settings, pair), opaque_after=opaque), scope
         if first in ("password", "default") or (first == "resource"):
-            return replace(self.unknown("a SET of accounts"), kind=Kind.UNKNOWN), scope
+            return replace(self.unknown("SET of an account property"), kind=Kind.UNKNOWN), scope
         if first == "role":
             return replace(out, ties=(*out.ties, (Tie.SETTING, "role"))), scope
         if first in _SCOPES:
@@ -409,7 +412,7 @@
             tie = () if scope else ((Tie.NEXT_TRANSACTION, ""),)
             return replace(out, ties=(*out.ties, *tie)), scope
         if len(item) < 3 or self.parts[item[1]][1] not in (b"=", b":="):
-            return self.unknown("a SET that is not told apart"), scope
+            return self.unknown("unknown form of SET"), scope
         value = item[2:]
         kind, part = self.parts[item[0]]
         if kind == "variable" and not part.startswith(b"@@"):
@@ -447,10 +450,10 @@
         pair = (name, f"SESSION {name} = {self._text(value).replace(' ', '') if sign else self._text(value)}")
         return replace(out, settings=(*out.settings, pair), opaque_after=opaque)
 
-    # --- what sqlglot is asked ------------------------------------------------------------------
+    # --- queries, parsed by sqlglot -------------------------------------------------------------
 
     def _query(self, first: str) -> Statement:
-        """SELECT and the like, by the tree that sqlglot makes of it with its literals put aside."""
+        """Classify a query or data statement by its sqlglot syntax tree, parsed without its literals."""
         names = self.names
         source = []
         for kind, part in self.parts:
@@ -469,7 +472,7 @@
             source = [word for at, word in enumerate(source) if not 0 < at <= 2 or word.lower() not in how]
         tree = _parse(" ".join(source))
         if tree is None:
-            return self.unknown("it can't be parsed")
+            return self.unknown("the parser failed")
         return self._judge(first, tree, names)
 
     def _judge(self, first: str, tree: Any, names: list[str]) -> Statement:
@@ -483,13 +486,13 @@
             if isinstance(node, (*writes, exp.Lock, exp.Into, exp.Command, exp.Create, exp.Drop)):
                 plain = False
                 if isinstance(node, exp.Command):
-                    return self.unknown("part of it is not told apart")
+                    return self.unknown("the parser knows only a part of the statement")
                 if isinstance(node, exp.Into):
                     ties += [(Tie.USER_VARIABLE, _sql(each)) for each in node.find_all(exp.Parameter)]
             elif isinstance(node, exp.PropertyEQ) and isinstance(node.this, exp.Parameter):
                 plain = False
                 ties.append((Tie.USER_VARIABLE, _sql(node.this)))
-        # What looks like a call, told by its words: sqlglot renames some functions and drops others.
+        # Function calls are found by tokens, because sqlglot renames some functions and drops others.
         for at, name in enumerate(names):
             if not name or at + 1 >= len(names) or self.parts[at + 1][1] != b"(":
                 continue
@@ -511,7 +514,7 @@
             elif name in _ABOUT_PREVIOUS:
                 about, plain = True, False
             else:
-                plain = False  # it may be a stored function, and those may write
+                plain = False  # the function may be a stored function, which may write data
         for name in names:
             if name in ("@@identity", "@@last_insert_id", "@@session.identity", "@@session.last_insert_id"):
                 reads_id = True
@@ -538,7 +541,7 @@
         )  # fmt: skip
 
     def _is_call(self, at: int) -> bool:
-        """Whether a word before a parenthesis may be a function's name."""
+        """Return whether the token before a parenthesis may be a function name."""
         name = self.names[at]
         if name in _NO_CALL:
             return False
@@ -566,46 +569,54 @@
 
 
 def _parse(source: str) -> Any:
-    """The tree of one statement; None where sqlglot makes none."""
+    """Parse one statement into a sqlglot syntax tree; return None if that fails."""
     try:
         import sqlglot
         from sqlglot.errors import SqlglotError
     except ImportError:
-        raise RuntimeError("statements are told apart by sqlglot: install brambleusher[mysql]") from None
+        raise RuntimeError("the MySQL front end needs sqlglot: install brambleusher[mysql]") from None
     try:
         trees = sqlglot.parse(source, dialect="mysql")
     except (SqlglotError, RecursionError, ValueError, AttributeError, TypeError, IndexError, KeyError):
-        # Guards against a session that ends over a statement which the parser trips on.
+        # A statement on which the parser fails must not end the session.
         return None
     return trees[0] if len(trees) == 1 and trees[0] is not None else None
 
 
-# --- texts to statements ------------------------------------------------------------------------
+# --- classification of texts --------------------------------------------------------------------
 
 _DATA_WORDS = (b"insert", b"replace", b"update", b"delete")
 _MARKS = re.compile(rb"@|get_lock|release_|last_insert_id|/\*!|found_rows|row_count", re.I)
 
 
 class Statements:
-    """Tells texts apart, and remembers what it was told of their digests."""
+    """Classifies texts, with caches by text and by digest."""
 
     def __init__(self, digests: int = CACHED_DIGESTS, texts: int = CACHED_TEXTS) -> None:
         self._by_digest: OrderedDict[tuple[str, bool], Statement] = OrderedDict()
         self._by_text: OrderedDict[tuple[bytes, bool], Statement] = OrderedDict()
         self._most_digests, self._most_texts = digests, texts
         self.parsed = 0
-        _parse("select 1 from t")  # guards against a first statement that waits for the parser to be loaded
-        # Guards against the texts of statements in a log: sqlglot warns with them.
+        _parse("select 1 from t")  # loads the parser now, so that the first statement is not delayed
+        # sqlglot's warnings contain statement texts, which must not be logged.
         logging.getLogger("sqlglot").setLevel(logging.CRITICAL)
 
     def __len__(self) -> int:
-        """Digests that are remembered."""
+        """Return the number of cached digests."""
         return len(self._by_digest)
 
     def tell(self, text: bytes, multi: bool = False, opaque: bool = False) -> Statement:
-        """What a text means; `multi`: it may hold several statements, `opaque`: it can't be read."""
+        """Classify a text.
+
+        `multi` allows several statements in the text; `opaque` means that the text can't be tokenized.
+        """
         if opaque:
-            return Statement(Kind.UNKNOWN, "?", ties=((Tie.UNKNOWN, ""),), why="quotes can't be told here")
+            return Statement(
+                Kind.UNKNOWN,
+                "?",
+                ties=((Tie.UNKNOWN, ""),),
+                why="text can't be tokenized",
+            )
         key = (text, multi)
         if (known := self._by_text.get(key)) is not None:
             self._by_text.move_to_end(key)
@@ -618,22 +629,21 @@
         return statement
 
     def _long(self, text: bytes, multi: bool) -> Statement:
-        """One too long to be read: by its first word, and by marks that it might do more."""
+        """Classify a text above `MAX_TEXT` by its first word and by patterns of possible side effects."""
         first = text[:64].lstrip().split(None, 1)[0].lower() if text[:64].strip() else b""
         if first in _DATA_WORDS and not multi and not _MARKS.search(text):
             return Statement(Kind.WRITE, f"{first.decode()} …")
-        return Statement(
-            Kind.UNKNOWN, "…", ties=((Tie.UNKNOWN, ""),), why=f"it is longer than {MAX_TEXT} bytes"
-        )
+        return Statement(Kind.UNKNOWN, "…", ties=((Tie.UNKNOWN, ""),), why=f"longer than {MAX_TEXT} bytes")
 
     def _tell(self, text: bytes, multi: bool) -> Statement:
         parts, comments, sound = words(text)
         hint = hint_of(comments)
         digest = digest_of(parts)
         if not sound:
-            why = "comments that run, or quotes without end"
+            why = "executable comment, or unclosed quote or comment"
             if any(kind == "sign" and part in b"'\"`" for kind, part in parts):
-                # Guards against a literal in the log: where one has no end, any of the words may be of it.
+                # Digests are logged and must not contain literals; after an unclosed quote any token could
+                # be part of a literal.
                 digest = f"{digest_of(parts[:1])} …"
             return Statement(Kind.UNKNOWN, digest, ties=((Tie.UNKNOWN, ""),), hint=hint, why=why)
         key = (digest, multi)
@@ -661,13 +671,13 @@
         if len(single) == 1:
             return _Reader(parts, digest).read()
         if not multi or len(single) > MAX_STATEMENTS:
-            # Without the flag the server refuses it; whatever it does is not guessed.
+            # Without the MULTI_STATEMENTS capability the server rejects the text.
             return _Reader(parts, digest).unknown("several statements in one text")
         return _together([_Reader(each, digest).read() for each in single if each], digest)
 
 
 def _by_literals(statement: Statement) -> bool:
-    """Whether two texts of one digest may differ in meaning."""
+    """Return whether texts with the same digest may differ in their classification."""
     named = {Tie.NAMED_LOCK, Tie.TEMPORARY_TABLE, Tie.USER_VARIABLE}
     return (
         bool(statement.settings or statement.kill is not None or statement.autocommit is not None)
@@ -677,7 +687,7 @@
 
 
 def _together(each: list[Statement], digest: str) -> Statement:
-    """Several statements of one text as one: whatever any of them does."""
+    """Combine the classifications of several statements in one text."""
     if not each:
         return Statement(Kind.EMPTY, digest)
     reads = all(one.plain_read for one in each)
@@ -687,7 +697,7 @@
             Kind.UNKNOWN, digest, ties=((Tie.UNKNOWN, ""),), why="KILL or LOCAL among several statements"
         )
     ties = tuple(dict.fromkeys(tie for one in each for tie in one.ties))
-    # What is lifted among several is not counted on: an error may have ended them before.
+    # Removed pins are ignored, because an error may have ended the text before the removing statement.
     return Statement(
         Kind.READ if reads else Kind.UNKNOWN if Kind.UNKNOWN in kinds else Kind.WRITE,
         digest, reads, ties,
--- a/tests/fronts/mysql/mysql_rig.py
+++ b/tests/fronts/mysql/mysql_rig.py
@@ -1,4 +1,4 @@
-"""Stand-in MySQL servers in one thread, a sidecar before them in another; clients are the test's."""
+"""Test rig with stand-in MySQL servers in one thread and a sidecar in another."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Servers:
-    """Some stand-in servers on one scheduler in a thread of their own."""
+    """Stand-in MySQL servers on one scheduler, which runs in its own thread."""
 
     def __init__(self, count: int = 2, seed: int = 1, **settings: Any) -> None:
         self.troubles: list[Callable[[Moment], Fault | None]] = [lambda moment: None] * count
@@ -63,13 +63,13 @@
         return self.troubles[at](moment)
 
     def do(self, call: Callable[[], Answer]) -> Answer:
-        """Have the servers' thread do something, and wait for it."""
+        """Run a function in the servers' thread and return its result."""
         out: queue.Queue[Answer] = queue.Queue()
         self.scheduler.call_soon(lambda: out.put(call()))
         return out.get(timeout=WAIT)
 
     def clear(self) -> None:
-        """No faults, nothing seen, and the tables as they were."""
+        """Remove the injected faults, forget the recorded statements, and reset the tables."""
         self.troubles[:] = [lambda moment: None] * len(self.servers)
         for server in self.servers:
             server.seen.clear()
@@ -103,7 +103,7 @@
 
 
 class MysqlRig:
-    """Servers, discovery and a sidecar with the front on."""
+    """Stand-in servers, a discovery service, and a sidecar with the MySQL front end enabled."""
 
     def __init__(
         self, folder: Path, servers: Servers, more: str = "", promise_s: int = 1, **limits: Any
@@ -113,7 +113,7 @@
         names = [server.name for server in servers.servers]
         self.entries = [self.entry(name) for name in names]
         self.discovery = Discovery(self.entries)
-        # Aims that a busy machine keeps too: else the decisions rightly turn some away.
+        # The latency targets hold on a busy machine too; otherwise the load balancer would reject requests.
         classes = [
             {**each, "promise_ns": 20 * 10**9, "give_up_ns": 20 * 10**9} for each in SETTINGS["classes"]
         ]
@@ -154,7 +154,7 @@
         self.discovery.asked.get(timeout=WAIT)
 
     def count(self, name: str) -> int:
-        """How often something was counted since `forget_counts`."""
+        """Return the increase of a counter since `forget_counts`."""
         return self.sidecar.counters.count(name) - self._before.get(name, 0)
 
     def forget_counts(self) -> None:
@@ -164,20 +164,20 @@
         return {"id": name, "addr": "127.0.0.1:9", "zone": "z", "kind": "k", "state": state, "weight": 1.0}
 
     def do(self, call: Callable[[], Answer]) -> Answer:
-        """Have the sidecar's thread do something, and wait for it."""
+        """Run a function in the sidecar's thread and return its result."""
         out: queue.Queue[Answer] = queue.Queue()
         self.sidecar.scheduler.call_soon(lambda: out.put(call()))
         return out.get(timeout=WAIT)
 
     def until(self, test: Callable[[], bool]) -> None:
-        """Wait until the sidecar's thread finds something true."""
+        """Wait until a condition, evaluated in the sidecar's thread, is true."""
         end = time.monotonic() + WAIT
         while not self.do(test):
             assert time.monotonic() < end
             time.sleep(0.002)
 
     def seen(self, text: str) -> list[tuple[int, int]]:
-        """Where a statement came: the server's place and the thread of its connection."""
+        """Return server index and connection thread id for each time that a statement was received."""
         return self.servers.do(
             lambda: [
                 (at, thread)
--- a/tests/fronts/mysql/test_mysql_auth.py
+++ b/tests/fronts/mysql/test_mysql_auth.py
@@ -1,4 +1,4 @@
-"""Logins to the sidecar and by it, against each other and against known hashes."""
+"""Tests of the server and client side of MySQL logins, against each other and against known hashes."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def test_hashes_are_those_of_a_server() -> None:
-    # PASSWORD('mypass') of the server's manual, and `openssl passwd -5`.
+    # The values come from PASSWORD('mypass') in the MySQL manual and from `openssl passwd -5`.
     assert native_hash(b"mypass").hex().upper() == "6C8989366EAF75BB670AD8EA7A7FC1176A95CEF4"
     for password, salt, due in (
         (b"secret", b"abcdefghijklmnop", b"i7zHaTeYqXlesRXJ8dXj6o.MEFQdzfIJpJpcWAtszs6"),
@@ -56,7 +56,10 @@
 
 
 def meet(client: ClientLogin, server: ServerLogin, cut: int = 7) -> tuple[int, bool]:
-    """Both ends against each other, a few bytes at a time: how many sums gave way, and whether it was TLS."""
+    """Connect a client login to a server login, feeding at most `cut` bytes at a time.
+
+    Returns how often the hash computation yielded, and whether TLS was used.
+    """
     again, tls = 0, False
     client.feed(server.greet())
     for _ in range(200):
@@ -105,10 +108,10 @@
     assert first.login is not None
     assert (first.login.user, first.login.database, first.error) == ("web", "shop", None)
     full = plugin == CACHING_SHA2 and bool(password)
-    assert (again > 0) is full  # the full exchange was made, and gave others a turn
+    assert (again > 0) is full  # only the full exchange computes SHA-256 crypt and yields in between
     assert (
         meet(client(password, **how), server(secret, offered, caps))[0] == 0
-    )  # the second time the fast way
+    )  # the second login uses the fast exchange
 
 
 @pytest.mark.parametrize("plugin", [NATIVE, CACHING_SHA2])
--- a/tests/fronts/mysql/test_mysql_clients.py
+++ b/tests/fronts/mysql/test_mysql_clients.py
@@ -1,4 +1,4 @@
-"""Real client libraries over real sockets: what each gets through the sidecar is what it gets direct."""
+"""Compares the results of real client libraries through the sidecar with those of direct connections."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
     context.load_cert_chain(folder / "cert.pem", folder / "key.pem")
     servers = Servers(1, tls=context)
     tls = f"  tls: {{mode: preferred, cert_file: {folder}/cert.pem, key_file: {folder}/key.pem}}\n"
-    # An aim that a busy machine keeps too: else the decisions rightly turn some away.
+    # The latency target holds on a busy machine too; otherwise the load balancer would reject requests.
     rig = MysqlRig(folder, servers, tls, promise_s=20)
     yield rig, servers
     rig.end()
@@ -60,7 +60,7 @@
 
 
 def seen(cursor: Any) -> list[Any]:
-    """The rows, and the names and types of their columns."""
+    """Return the names and types of the result columns, and the rows."""
     rows = [tuple(row) for row in cursor.fetchall()]
     return [[tuple(each[:2]) for each in cursor.description], rows]
 
@@ -75,7 +75,7 @@
 
 
 def session(conn: Any, cursor: Any, table: str) -> Values:
-    """What any client with the usual interface does, and all it was told."""
+    """Run typical statements through a DB-API connection and return all results and errors."""
     out: Values = []
 
     def run(text: str, values: Any = None) -> None:
@@ -136,7 +136,7 @@
 
 def of_connector(place: Place, pure: bool) -> Values:
     host, port, user, password = place
-    # The C library of this version knows no other plugin than caching_sha2_password.
+    # The C library of this connector version supports only the plugin caching_sha2_password.
     user, password = "sha", "sha-secret" if password == "pw" else "front-sha"
     conn: Any = mysql.connector.connect(
         host=host, port=port, user=user, password=password, database="shop", use_pure=pure
@@ -177,7 +177,7 @@
             await cursor.execute("drop table if exists a")
             await cursor.execute(TABLE.format("a"))
             for row in ROWS:
-                # This version's way of quoting bytes fails with this version of PyMySQL.
+                # This version of aiomysql quotes bytes in a way that fails with the installed PyMySQL.
                 await cursor.execute(INSERT.format("a"), (*row[:4], None, row[5]))
                 out.append((cursor.rowcount, cursor.lastrowid))
             await conn.commit()
@@ -258,7 +258,7 @@
             assert len(cursor.fetchall()) == 20000
         conn.close()
         for secret in rig[0].sidecar.mysql.front._users.values():  # type: ignore[union-attr]
-            secret.twice = b""  # the full exchange anew
+            secret.twice = b""  # clears the cached hash, so that the next login needs the full exchange
     for pure in (True, False)[: 1 + bool(mysql.connector.HAVE_CEXT)]:
         other: Any = mysql.connector.connect(
             host=host, port=port, user="sha", password="front-sha", use_pure=pure
