--- a/brambleusher/fronts/mysql/auth.py
+++ b/brambleusher/fronts/mysql/auth.py
@@ -48,16 +48,16 @@
 # --- passwords ----------------------------------------------------------------------------------
 
 
-def _xor(one: bytes, other: bytes) -> bytes:
-    return bytes(a ^ b for a, b in zip(one, other, strict=True))
+def _xor(left: bytes, right: bytes) -> bytes:
+    return bytes(a ^ b for a, b in zip(left, right, strict=True))
 
 
 def native_answer(password: bytes, challenge: bytes) -> bytes:
     """Return SHA1(password) XOR SHA1(challenge + SHA1(SHA1(password))), or nothing without a password."""
     if not password:
         return b""
-    once = hashlib.sha1(password).digest()
-    return _xor(once, hashlib.sha1(challenge + hashlib.sha1(once).digest()).digest())
+    hashed = hashlib.sha1(password).digest()
+    return _xor(hashed, hashlib.sha1(challenge + hashlib.sha1(hashed).digest()).digest())
 
 
 def native_hash(password: bytes) -> bytes:
@@ -71,17 +71,17 @@
         return not stored and not answer
     if len(answer) != len(stored):
         return False
-    once = _xor(answer, hashlib.sha1(challenge + stored).digest())
-    return hmac.compare_digest(hashlib.sha1(once).digest(), stored)
+    hashed = _xor(answer, hashlib.sha1(challenge + stored).digest())
+    return hmac.compare_digest(hashlib.sha1(hashed).digest(), stored)
 
 
 def sha2_answer(password: bytes, challenge: bytes) -> bytes:
     """Return SHA256(password) XOR SHA256(SHA256(SHA256(password)) + challenge), or nothing without one."""
     if not password:
         return b""
-    once = hashlib.sha256(password).digest()
-    twice = hashlib.sha256(once).digest()
-    return _xor(once, hashlib.sha256(twice + challenge).digest())
+    hashed = hashlib.sha256(password).digest()
+    double_hashed = hashlib.sha256(hashed).digest()
+    return _xor(hashed, hashlib.sha256(double_hashed + challenge).digest())
 
 
 def sha2_hash(password: bytes) -> bytes:
@@ -93,8 +93,8 @@
     """Check a challenge response against SHA256(SHA256(password)), given as `twice`."""
     if len(answer) != len(twice):
         return False
-    once = _xor(answer, hashlib.sha256(twice + challenge).digest())
-    return hmac.compare_digest(hashlib.sha256(once).digest(), twice)
+    hashed = _xor(answer, hashlib.sha256(twice + challenge).digest())
+    return hmac.compare_digest(hashlib.sha256(hashed).digest(), twice)
 
 
 def crypt_steps(password: bytes, salt: bytes, rounds: int = ROUNDS) -> Iterator[bytes | None]:
@@ -105,38 +105,38 @@
     """
     size = len(password)
     inner = hashlib.sha256(password + salt + password).digest()
-    mixed = hashlib.sha256(password + salt)
-    mixed.update((inner * (size // 32 + 1))[:size])
+    context = hashlib.sha256(password + salt)
+    context.update((inner * (size // 32 + 1))[:size])
     bits = size
     while bits:
-        mixed.update(inner if bits & 1 else password)
+        context.update(inner if bits & 1 else password)
         bits >>= 1
-    state = mixed.digest()
+    state = context.digest()
     p_bytes = (hashlib.sha256(password * size).digest() * (size // 32 + 1))[:size]
     s_bytes = (hashlib.sha256(salt * (16 + state[0])).digest() * (len(salt) // 32 + 1))[: len(salt)]
-    for turn in range(rounds):
-        odd = turn & 1
-        parts = [p_bytes if odd else state]
-        if turn % 3:
-            parts.append(s_bytes)
-        if turn % 7:
-            parts.append(p_bytes)
-        parts.append(state if odd else p_bytes)
-        state = hashlib.sha256(b"".join(parts)).digest()
-        if turn % SLICE == SLICE - 1:
+    for round_number in range(rounds):
+        is_odd = round_number & 1
+        inputs = [p_bytes if is_odd else state]
+        if round_number % 3:
+            inputs.append(s_bytes)
+        if round_number % 7:
+            inputs.append(p_bytes)
+        inputs.append(state if is_odd else p_bytes)
+        state = hashlib.sha256(b"".join(inputs)).digest()
+        if round_number % SLICE == SLICE - 1:
             yield None
     out = bytearray()
-    order = [(0, 10, 20), (21, 1, 11), (12, 22, 2), (3, 13, 23), (24, 4, 14), (15, 25, 5), (6, 16, 26),
+    permutation = [(0, 10, 20), (21, 1, 11), (12, 22, 2), (3, 13, 23), (24, 4, 14), (15, 25, 5), (6, 16, 26),
              (27, 7, 17), (18, 28, 8), (9, 19, 29)]  # fmt: skip
-    for a, b, c in order:
-        word = state[a] << 16 | state[b] << 8 | state[c]
+    for a, b, c in permutation:
+        group = state[a] << 16 | state[b] << 8 | state[c]
         for _ in range(4):
-            out.append(_CRYPT[word & 63])
-            word >>= 6
-    word = state[31] << 8 | state[30]
+            out.append(_CRYPT[group & 63])
+            group >>= 6
+    group = state[31] << 8 | state[30]
     for _ in range(3):
-        out.append(_CRYPT[word & 63])
-        word >>= 6
+        out.append(_CRYPT[group & 63])
+        group >>= 6
     yield bytes(out)
 
 
@@ -317,11 +317,11 @@
         plugin: str = CACHING_SHA2,
         secure_only: bool = False,
     ) -> None:
-        self._thread, self._offered, self._find, self._rsa = thread, capabilities, find, rsa
-        self._version, self._plugin, self._secure_only = version, plugin, secure_only
+        self._thread, self._offered, self._find_secret, self._rsa = thread, capabilities, find, rsa
+        self._version, self._plugin, self._require_tls = version, plugin, secure_only
         self._challenge = challenge
         self._reader = PacketReader(MAX_LOGIN, seq=1)
-        self._talk: Iterator[Turn] | None = None
+        self._steps: Iterator[Turn] | None = None
         self.secure = False
         self.out = b""
         self.error: Err | None = None
@@ -368,67 +368,67 @@
         self._reader = PacketReader(MAX_LOGIN, seq=1)
         self.capabilities, self.error = capabilities, None
         change = ChangeUser.parse(body, capabilities)
-        anew = bool(capabilities & Capability.PLUGIN_AUTH)
-        self._challenge = challenge if anew else first
+        plugin_auth = bool(capabilities & Capability.PLUGIN_AUTH)
+        self._challenge = challenge if plugin_auth else first
         self.login = Login(
             capabilities,
             change.user,
             change.answer,
             change.database,
-            "" if anew else NATIVE,
+            "" if plugin_auth else NATIVE,
             change.collation,
         )
-        self._talk = self._check(self.login)
+        self._steps = self._authenticate(self.login)
 
     def step(self) -> Turn:
         """Process the bytes received so far; raises `ProtocolError` for malformed messages."""
-        if self._talk is None:
-            self._talk = self._enter()
-        turn = next(self._talk, None)
-        if turn is None:  # `error` is checked only here because the last step may have set it
+        if self._steps is None:
+            self._steps = self._run_login()
+        following = next(self._steps, None)
+        if following is None:  # `error` is checked only here because the last step may have set it
             return Turn.REFUSED if self.error is not None else Turn.DONE
-        return turn
+        return following
 
-    def _say(self, payload: bytes) -> None:
+    def _send_message(self, payload: bytes) -> None:
         self.out += frame(payload, self._reader.seq)
         self._reader.seq += 1
 
-    def _refuse(self, errno: int, text: str) -> None:
+    def _reject(self, errno: int, text: str) -> None:
         self.error = Err.of(errno, text)
-        self._say(self.error.encode())
+        self._send_message(self.error.encode())
 
-    def _message(self) -> Iterator[Turn]:
+    def _read_message(self) -> Iterator[Turn]:
         while (message := self._reader.take()) is None:
             yield Turn.READ
-        self._last = message
+        self._last_message = message
 
-    def _enter(self) -> Iterator[Turn]:
-        yield from self._message()
-        request = Login.parse(self._last)
+    def _run_login(self) -> Iterator[Turn]:
+        yield from self._read_message()
+        request = Login.parse(self._last_message)
         if isinstance(request, SslRequest):
             if not self._offered & Capability.SSL:
                 raise ProtocolError("TLS was not offered", Errno.BAD_HANDSHAKE)
             self.secure = True
             yield Turn.TLS
-            yield from self._message()
-            request = Login.parse(self._last)
+            yield from self._read_message()
+            request = Login.parse(self._last_message)
             if isinstance(request, SslRequest):
                 raise ProtocolError("TLS was asked for twice", Errno.BAD_HANDSHAKE)
-        elif self._secure_only:
-            self._refuse(
+        elif self._require_tls:
+            self._reject(
                 Errno.SECURE_TRANSPORT_REQUIRED,
                 "Connections using insecure transport are prohibited here",
             )
             return
         if request.capabilities & (Capability.COMPRESS | Capability.ZSTD) & ~self._offered:
-            self._refuse(Errno.NOT_SUPPORTED_YET, "Compression is not supported")
+            self._reject(Errno.NOT_SUPPORTED_YET, "Compression is not supported")
             return
         self.login, self.capabilities = request, request.capabilities & self._offered
-        yield from self._check(request)
+        yield from self._authenticate(request)
 
-    def _check(self, login: Login) -> Iterator[Turn]:
+    def _authenticate(self, login: Login) -> Iterator[Turn]:
         """Request the response that the user's plugin needs, and verify it."""
-        secret = self._find(login.user)
+        secret = self._find_secret(login.user)
         # An unknown user goes through the same exchange before rejection, so that clients can't find out
         # which users exist.
         plugin = secret.plugin if secret is not None else self._plugin
@@ -436,45 +436,46 @@
         if login.plugin != plugin or len(self._challenge) != SCRAMBLE:
             if not login.capabilities & Capability.PLUGIN_AUTH:
                 if plugin != NATIVE:
-                    self._refuse(Errno.NOT_SUPPORTED_YET, f"Client does not support {plugin}")
+                    self._reject(Errno.NOT_SUPPORTED_YET, f"Client does not support {plugin}")
                     return
             else:
-                self._say(auth_switch(plugin, self._challenge))
-                yield from self._message()
-                answer = self._last
+                self._send_message(auth_switch(plugin, self._challenge))
+                yield from self._read_message()
+                answer = self._last_message
         answer = answer.removesuffix(b"\0") if len(answer) == 1 else answer
         if plugin == NATIVE:
-            good = secret is not None and native_fits(answer, self._challenge, secret.native)
+            verified = secret is not None and native_fits(answer, self._challenge, secret.native)
         elif secret is not None and (secret.empty or not answer):
-            good = secret.empty and not answer
+            verified = secret.empty and not answer
         elif secret is not None and secret.twice and sha2_fits(answer, self._challenge, secret.twice):
-            self._say(b"\x01" + FAST_OK)
-            good = True
+            self._send_message(b"\x01" + FAST_OK)
+            verified = True
         else:
-            good = False
-            for turn in self._full(secret):
-                if isinstance(turn, bool):
-                    good = turn
+            verified = False
+            for step in self._full_exchange(secret):
+                if isinstance(step, bool):
+                    verified = step
                 else:
-                    yield turn
-        if not good and self.error is None:
-            using = "YES" if answer else "NO"
-            self._refuse(
-                Errno.ACCESS_DENIED, f"Access denied for user '{login.user}' (using password: {using})"
+                    yield step
+        if not verified and self.error is None:
+            password_given = "YES" if answer else "NO"
+            self._reject(
+                Errno.ACCESS_DENIED,
+                f"Access denied for user '{login.user}' (using password: {password_given})",
             )
 
-    def _full(self, secret: Secret | None) -> Iterator[Turn | bool]:
+    def _full_exchange(self, secret: Secret | None) -> Iterator[Turn | bool]:
         """Request the password and verify it; the last value yielded is True if the password is correct."""
-        self._say(b"\x01" + FULL)
-        yield from self._message()
-        password = self._last
+        self._send_message(b"\x01" + FULL)
+        yield from self._read_message()
+        password = self._last_message
         if not self.secure:
             if password == ASK_KEY:
-                self._say(b"\x01" + self._rsa.public())
-                yield from self._message()
-                password = self._last
-            clear = self._rsa.decrypt(password)
-            password = b"" if clear is None else mix(clear, self._challenge)
+                self._send_message(b"\x01" + self._rsa.public())
+                yield from self._read_message()
+                password = self._last_message
+            decrypted = self._rsa.decrypt(password)
+            password = b"" if decrypted is None else mix(decrypted, self._challenge)
         if not password.endswith(b"\0") or len(password) > MAX_PASSWORD:
             yield False
             return
@@ -493,7 +494,7 @@
         """Return the OK packet that completes a login; raises `RuntimeError` if the login failed."""
         if self.error is not None or self.login is None:
             raise RuntimeError("the login has not succeeded")
-        self._say(Ok(status=self.status).encode(self.capabilities))
+        self._send_message(Ok(status=self.status).encode(self.capabilities))
         out, self.out = self.out, b""
         return out
 
@@ -531,12 +532,12 @@
         `tls` is "off", "preferred" or "required".  `public_key` is the server's RSA key in PEM format; with
         `ask_key` the key is requested from the server if `public_key` is None.
         """
-        self._user, self._password, self._wanted = user, password, wanted
+        self._user, self._password, self._requested_capabilities = user, password, wanted
         self._collation, self._tls, self._database = collation, tls, database
-        self._key, self._ask = public_key, ask_key
+        self._key, self._request_key = public_key, ask_key
         self._reader = PacketReader(MAX_LOGIN, seq=0)
-        self._talk = self._enter()
-        self._last = b""
+        self._steps = self._run_login()
+        self._last_message = b""
         self.secure = False
         self.out = b""
         self.greeting: Greeting | None = None
@@ -554,34 +555,34 @@
 
     def step(self) -> Turn:
         """Process the bytes received so far; raises `LoginRefused` or `ProtocolError`."""
-        return next(self._talk, Turn.DONE)
+        return next(self._steps, Turn.DONE)
 
-    def _say(self, payload: bytes) -> None:
+    def _send_message(self, payload: bytes) -> None:
         self.out += frame(payload, self._reader.seq)
         self._reader.seq += 1
 
-    def _message(self) -> Iterator[Turn]:
+    def _read_message(self) -> Iterator[Turn]:
         while (message := self._reader.take()) is None:
             yield Turn.READ
         if not message:
             raise ProtocolError("the server sent an empty packet during the login", Errno.BAD_HANDSHAKE)
-        self._last = message
+        self._last_message = message
 
-    def _enter(self) -> Iterator[Turn]:
-        yield from self._message()
+    def _run_login(self) -> Iterator[Turn]:
+        yield from self._read_message()
         # Instead of a greeting the server can send an error: too many connections, or a host not allowed.
-        if self._last[0] == 0xFF:
-            raise LoginRefused(Err.parse(self._last))
-        self.greeting = greeting = Greeting.parse(self._last)
+        if self._last_message[0] == 0xFF:
+            raise LoginRefused(Err.parse(self._last_message))
+        self.greeting = greeting = Greeting.parse(self._last_message)
         if not greeting.capabilities & Capability.PROTOCOL_41:
             raise ProtocolError("the server speaks a protocol before 4.1", Errno.BAD_HANDSHAKE)
-        caps = self._wanted & greeting.capabilities
+        caps = self._requested_capabilities & greeting.capabilities
         if self._database:
             caps |= Capability.CONNECT_WITH_DB
         if self._tls != "off":
             if greeting.capabilities & Capability.SSL:
                 caps |= Capability.SSL
-                self._say(SslRequest(caps, MAX_PAYLOAD, self._collation).encode())
+                self._send_message(SslRequest(caps, MAX_PAYLOAD, self._collation).encode())
                 yield Turn.TLS
                 self.secure = True
             elif self._tls == "required":
@@ -591,50 +592,50 @@
         if plugin not in (NATIVE, CACHING_SHA2):
             plugin = CACHING_SHA2 if caps & Capability.PLUGIN_AUTH else NATIVE
         login = Login(
-            caps, self._user, self._answer(plugin, challenge), self._database, plugin, self._collation,
-            MAX_PAYLOAD,
+            caps, self._user, self._challenge_response(plugin, challenge), self._database, plugin,
+            self._collation, MAX_PAYLOAD,
         )  # fmt: skip
-        self._say(login.encode())
+        self._send_message(login.encode())
         for _ in range(8):  # at most 8 messages, so that a server can't prolong the login forever
-            yield from self._message()
-            first = self._last[0]
+            yield from self._read_message()
+            first = self._last_message[0]
             if first == 0xFF:
-                raise LoginRefused(Err.parse(self._last))
+                raise LoginRefused(Err.parse(self._last_message))
             if first == 0x00:
-                self.ok = Ok.parse(self._last, caps)
+                self.ok = Ok.parse(self._last_message, caps)
                 return
             if first == 0xFE:
-                plugin, challenge = parse_auth_switch(self._last)
+                plugin, challenge = parse_auth_switch(self._last_message)
                 if plugin not in (NATIVE, CACHING_SHA2):
                     raise ProtocolError(f"the server wants {plugin}", Errno.NOT_SUPPORTED_YET)
-                self._say(self._answer(plugin, challenge))
+                self._send_message(self._challenge_response(plugin, challenge))
             elif first == 0x01 and plugin == CACHING_SHA2:
-                yield from self._more(self._last[1:], challenge)
+                yield from self._continue_exchange(self._last_message[1:], challenge)
             else:
                 raise ProtocolError("the server answered a login as none is", Errno.BAD_HANDSHAKE)
         raise ProtocolError("the server's login has no end", Errno.BAD_HANDSHAKE)
 
-    def _answer(self, plugin: str, challenge: bytes) -> bytes:
+    def _challenge_response(self, plugin: str, challenge: bytes) -> bytes:
         if len(challenge) != SCRAMBLE:
             raise ProtocolError(f"a challenge of {len(challenge)} bytes", Errno.BAD_HANDSHAKE)
         return (native_answer if plugin == NATIVE else sha2_answer)(self._password, challenge)
 
-    def _more(self, what: bytes, challenge: bytes) -> Iterator[Turn]:
-        if what == FAST_OK:
+    def _continue_exchange(self, request: bytes, challenge: bytes) -> Iterator[Turn]:
+        if request == FAST_OK:
             return
-        if what != FULL:
+        if request != FULL:
             raise ProtocolError("the server asks for something unknown", Errno.BAD_HANDSHAKE)
         if self.secure:
-            self._say(self._password + b"\0")
+            self._send_message(self._password + b"\0")
             return
         key = self._key
         if key is None:
-            if not self._ask:
+            if not self._request_key:
                 # A man in the middle could offer a key of its own and decrypt the password.
                 raise ProtocolError("the server's public key is not known and not asked for")
-            self._say(ASK_KEY)
-            yield from self._message()
-            if self._last[0] == 0xFF:
-                raise LoginRefused(Err.parse(self._last))
-            key = self._last[1:]
-        self._say(rsa_encrypt(self._password, challenge, key))
+            self._send_message(ASK_KEY)
+            yield from self._read_message()
+            if self._last_message[0] == 0xFF:
+                raise LoginRefused(Err.parse(self._last_message))
+            key = self._last_message[1:]
+        self._send_message(rsa_encrypt(self._password, challenge, key))
--- a/brambleusher/fronts/mysql/channel.py
+++ b/brambleusher/fronts/mysql/channel.py
@@ -34,7 +34,7 @@
         return self._tls is not None
 
     def start_tls(
-        self, context: ssl.SSLContext, server: bool, host: str, ahead: bytes, deadline: float
+        self, context: ssl.SSLContext, server: bool, host: str, received: bytes, deadline: float
     ) -> None:
         """Perform the TLS handshake; `ahead` holds handshake bytes that were already received.
 
@@ -44,7 +44,7 @@
         """
         self._in, self._out = ssl.MemoryBIO(), ssl.MemoryBIO()
         tls = context.wrap_bio(self._in, self._out, server_side=server, server_hostname=host or None)
-        self._in.write(ahead)
+        self._in.write(received)
         while True:
             try:
                 tls.do_handshake()
--- a/brambleusher/fronts/mysql/front.py
+++ b/brambleusher/fronts/mysql/front.py
@@ -97,12 +97,12 @@
         self._rng, self._entropy = rng, entropy
         self._mapping = Mapping(settings, decisions.settings)
         self._statements = Statements()
-        self._life = RequestLifecycle(decisions, nodes, scheduler)
-        self._most = settings.max_packet_mb * 1024 * 1024
+        self._lifecycle = RequestLifecycle(decisions, nodes, scheduler)
+        self._max_packet_bytes = settings.max_packet_mb * 1024 * 1024
         self._memory_left = settings.memory_mb * 1024 * 1024
-        self._listener = SessionListener(scheduler, self._serve, settings.sessions, self._most)
+        self._listener = SessionListener(scheduler, self._serve, settings.sessions, self._max_packet_bytes)
         self._clients = self._listener.clients
-        self._requests = 0
+        self._request_count = 0
         self._closing = False
         self._context = (
             server_context(settings.tls.cert_file, settings.tls.key_file)
@@ -166,26 +166,26 @@
         self._counters.add("mysql_sessions")
         try:
             if self._log_in(client):
-                while self._command(client):
-                    self._uncharge(client)
+                while self._serve_command(client):
+                    self._release_charge(client)
         except ProtocolError as error:
             self._counters.add("mysql_bad_packets")
             log.info("bad packet", extra={"fields": {"peer": client.peer, "reason": error}})
-            self._last_word(client, Err(error.errno, error.state, str(error)))
+            self._send_final_error(client, Err(error.errno, error.state, str(error)))
         except (OSError, TaskTimeoutError, ClientLeftError):
             return
         except Exception:
             # After an internal error the client still gets an error message before its session ends.
             self._counters.add("faults")
             log.exception("session failed")
-            self._last_word(client, Err.of(Errno.UNKNOWN, "a fault in the sidecar"))
+            self._send_final_error(client, Err.of(Errno.UNKNOWN, "a fault in the sidecar"))
         finally:
-            self._over(client)
+            self._close_session(client)
 
-    def _over(self, client: Client) -> None:
+    def _close_session(self, client: Client) -> None:
         """Release all resources of a session and stop its running statement."""
         self._listener.forget(client)
-        self._uncharge(client)
+        self._release_charge(client)
         self._memory_left += client.kept
         client.kept = 0
         work, client.work = client.work, None
@@ -199,7 +199,7 @@
                 held.drop(AttemptStatus.CANCELLED)
         client.channel.close()
 
-    def _last_word(self, client: Client, error: Err) -> None:
+    def _send_final_error(self, client: Client, error: Err) -> None:
         """Send the error that ends the session, with the sequence number that the client expects."""
         try:
             client.channel.send(
@@ -209,30 +209,30 @@
         except (OSError, TaskTimeoutError):
             return
 
-    def _keep_in_mind(self, client: Client, more: int = 0) -> None:
+    def _charge_prepared(self, client: Client, extra: int = 0) -> None:
         """Charge a session's prepared statements and `more` further bytes to the shared memory budget."""
-        held = client.session.held_bytes + more
-        if held - client.kept > self._memory_left:
+        total = client.session.held_bytes + extra
+        if total - client.kept > self._memory_left:
             raise ProtocolError("no memory for what is prepared", Errno.OUT_OF_RESOURCES)
-        self._memory_left -= held - client.kept
-        client.kept = held
+        self._memory_left -= total - client.kept
+        client.kept = total
 
-    def _uncharge(self, client: Client) -> None:
+    def _release_charge(self, client: Client) -> None:
         self._memory_left += client.charged
         client.charged = 0
 
-    def _say(self, client: Client, *messages: bytes) -> bool:
+    def _send(self, client: Client, *messages: bytes) -> bool:
         """Send the messages of a response and return True, since the session continues."""
         first = client.reader.seq
         out = b"".join(frame(message, first + at) for at, message in enumerate(messages))
         client.channel.send(out, self._scheduler.now() + WRITE_SECONDS)
         return True
 
-    def _say_ok(self, client: Client) -> bool:
-        return self._say(client, Ok(status=client.session.status).encode(client.session.capabilities))
+    def _send_ok(self, client: Client) -> bool:
+        return self._send(client, Ok(status=client.session.status).encode(client.session.capabilities))
 
-    def _say_error(self, client: Client, error: Err) -> bool:
-        return self._say(client, error.encode())
+    def _send_error(self, client: Client, error: Err) -> bool:
+        return self._send(client, error.encode())
 
     # --- the login ------------------------------------------------------------------------------
 
@@ -251,23 +251,23 @@
         deadline = client.accepted_at + settings.login_ms / 1000
         client.channel.send(login.greet(), deadline)
         client.reader.seq = 1
-        return self._meet(client, login, deadline)
+        return self._run_login(client, login, deadline)
 
-    def _meet(self, client: Client, login: ServerLogin, deadline: float) -> bool:
+    def _run_login(self, client: Client, login: ServerLogin, deadline: float) -> bool:
         """Run the message exchange of a login; return False if the login failed."""
         channel = client.channel
         while True:
             try:
-                turn = login.step()
+                step = login.step()
             except ProtocolError:
                 client.reader.seq = login.seq
                 raise
-            if turn is Turn.DONE:
+            if step is Turn.DONE:
                 break
             if login.out:
                 out, login.out = login.out, b""
                 channel.send(out, deadline)
-            if turn is Turn.REFUSED:
+            if step is Turn.REFUSED:
                 self._counters.add("mysql_logins_refused")
                 fields = {
                     "peer": client.peer,
@@ -277,10 +277,10 @@
                 log.info("login refused", extra={"fields": fields})
                 channel.stream.finish()
                 return False
-            if turn is Turn.AGAIN:
+            if step is Turn.AGAIN:
                 self._scheduler.sleep(0.0)
                 continue
-            if turn is Turn.TLS:
+            if step is Turn.TLS:
                 assert self._context is not None
                 channel.start_tls(self._context, True, "", login.rest(), deadline)
                 continue
@@ -307,13 +307,13 @@
 
     # --- commands -------------------------------------------------------------------------------
 
-    def _command(self, client: Client) -> bool:
+    def _serve_command(self, client: Client) -> bool:
         """Read one command and respond to it; return False if the session is over."""
-        body = self._next(client)
+        body = self._next_command(client)
         if body is None:
             return False
         if client.lost is not None:
-            self._say_error(client, client.lost)
+            self._send_error(client, client.lost)
             return False
         if not body:
             raise ProtocolError("an empty command", Errno.UNKNOWN_COM)
@@ -323,24 +323,26 @@
             if body[0] not in _KNOWN_COMMANDS:
                 raise ProtocolError(f"Unknown command {body[0]:#04x}", Errno.UNKNOWN_COM)
             name = Command(body[0]).name
-            return self._say_error(client, Err.of(Errno.UNKNOWN_COM, f"COM_{name} is not supported here"))
+            return self._send_error(client, Err.of(Errno.UNKNOWN_COM, f"COM_{name} is not supported here"))
         try:
             return handler(client, body)
         except ProtocolError as error:
-            if error.errno not in _SESSION_GOES_ON:
+            if error.errno not in _SESSION_CONTINUES:
                 raise
-            return self._say_error(client, Err(error.errno, error.state, str(error)))
+            return self._send_error(client, Err(error.errno, error.state, str(error)))
 
-    def _next(self, client: Client) -> bytes | None:
+    def _next_command(self, client: Client) -> bytes | None:
         """Return the next command, or None if the session ends before one arrives."""
         reader = client.reader
         reader.expect()
         begun_at = self._scheduler.now()
         while (body := reader.take()) is None:
             if self._closing and not client.session.tied and not reader.begun:
-                self._say_unasked(client, Err.of(Errno.SERVER_SHUTDOWN, "Server shutdown in progress"))
+                self._send_unsolicited_error(
+                    client, Err.of(Errno.SERVER_SHUTDOWN, "Server shutdown in progress")
+                )
                 return None
-            deadline, late = self._waits_until(client, begun_at)
+            deadline, late = self._next_timeout(client, begun_at)
             try:
                 data = client.channel.receive(deadline, client.event)
             except TaskTimeoutError:
@@ -354,43 +356,45 @@
             if not reader.begun:
                 begun_at = self._scheduler.now()
             reader.feed(data)
-            self._charge(client)
+            self._charge_command(client)
         return body
 
-    def _say_unasked(self, client: Client, error: Err) -> None:
+    def _send_unsolicited_error(self, client: Client, error: Err) -> None:
         """Send an error outside a command exchange, before the connection is closed."""
         client.channel.send(frame(error.encode(), 0), self._scheduler.now() + WRITE_SECONDS)
         client.channel.stream.finish()
 
-    def _charge(self, client: Client) -> None:
-        more = client.reader.buffered - FREE_BYTES - client.charged
-        if more <= 0:
+    def _charge_command(self, client: Client) -> None:
+        additional = client.reader.buffered - FREE_BYTES - client.charged
+        if additional <= 0:
             return
-        if more > self._memory_left:
+        if additional > self._memory_left:
             # All clients together must not buffer more than `memory_mb`.
             raise ProtocolError("no memory for a command so large", Errno.OUT_OF_RESOURCES)
-        self._memory_left -= more
-        client.charged += more
+        self._memory_left -= additional
+        client.charged += additional
 
-    def _waits_until(self, client: Client, begun_at: float) -> tuple[float, Callable[[Client], bool]]:
+    def _next_timeout(self, client: Client, begun_at: float) -> tuple[float, Callable[[Client], bool]]:
         """Return the timeout for the next command and its handler, which tells if the session continues."""
         now, settings = self._scheduler.now(), self._settings
         if client.reader.begun:
-            waits = [(begun_at + READ_SECONDS, self._too_slow)]
+            timeouts = [(begun_at + READ_SECONDS, self._on_read_timeout)]
         else:
-            waits = [(now + settings.session_idle_ms / 1000, self._too_idle)]
+            timeouts = [(now + settings.session_idle_ms / 1000, self._on_idle_timeout)]
         if client.held is not None and client.lost is None:
             if client.held.claimed:
-                waits.append((now + max(0.0, THINK_SECONDS - client.held.client_took(now)), self._thinks))
+                timeouts.append(
+                    (now + max(0.0, THINK_SECONDS - client.held.client_took(now)), self._on_think_timeout)
+                )
             if client.leave_at is not None:
-                waits.append((self._rests_until(client, now), self._drained))
+                timeouts.append((self._idle_drain_deadline(client, now), self._on_drain_timeout))
             if client.deadline is not None:
-                waits.append((client.deadline, self._too_late))
+                timeouts.append((client.deadline, self._on_transaction_timeout))
             if client.session.softly_tied:
-                waits.append((begun_at + SOFT_SECONDS, self._let_go))
-        return min(waits, key=lambda each: each[0])
+                timeouts.append((begun_at + SOFT_SECONDS, self._drop_soft_pins))
+        return min(timeouts, key=lambda each: each[0])
 
-    def _leaves_at(self, client: Client, now: float) -> float:
+    def _drain_deadline(self, client: Client, now: float) -> float:
         """Return when a session must leave its draining node: the grace period of its class plus a jitter."""
         if client.leave_at is None or client.leave_at < 0:
             grace = self._mapping.grace_ns(client.request_class or self._settings.strict_class) / 1e9
@@ -398,36 +402,36 @@
             client.leave_at = now + grace + client.chance * self._settings.drain_spread_ms / 1000
         return client.leave_at
 
-    def _rests_until(self, client: Client, now: float) -> float:
+    def _idle_drain_deadline(self, client: Client, now: float) -> float:
         """Return until when a session without a running command may stay on its draining node.
 
         If no transaction and no cursor is open, the next command would start a new request on the node.
         """
-        until, held, session = self._leaves_at(client, now), client.held, client.session
+        drain_deadline, held, session = self._drain_deadline(client, now), client.held, client.session
         if held is None or session.in_transaction or session.cursors:
-            return until
-        starts = self._nodes.starts_until(held.node)
-        if starts is None or until <= starts:
-            return until
+            return drain_deadline
+        start_limit = self._nodes.starts_until(held.node)
+        if start_limit is None or drain_deadline <= start_limit:
+            return drain_deadline
         # If the grace period is longer than this limit, all sessions would leave at the limit at once; so
         # they are spread over the second half of the time before it.
-        return starts - client.chance * (starts - held.node.left_at) / 2
+        return start_limit - client.chance * (start_limit - held.node.left_at) / 2
 
-    def _starts_too_late(self, client: Client, work: Work, statement: Statement) -> bool:
+    def _starts_request_too_late(self, client: Client, work: Work, statement: Statement) -> bool:
         """Return whether a pinned session's command starts a request too late on a draining node."""
         held, session = client.held, client.session
-        starts = None if held is None else self._nodes.starts_until(held.node)
-        if starts is None or self._scheduler.now() < starts:
+        start_limit = None if held is None else self._nodes.starts_until(held.node)
+        if start_limit is None or self._scheduler.now() < start_limit:
             return False
         if work.command == Command.STMT_FETCH:
             return False
         return not session.in_transaction or statement.kind is Kind.BEGIN or statement.renews
 
-    def _too_slow(self, client: Client) -> bool:
+    def _on_read_timeout(self, client: Client) -> bool:
         raise ProtocolError("the rest of a command did not come", Errno.NET_READ_INTERRUPTED)
 
-    def _too_idle(self, client: Client) -> bool:
-        self._say_unasked(
+    def _on_idle_timeout(self, client: Client) -> bool:
+        self._send_unsolicited_error(
             client,
             Err.of(
                 Errno.CLIENT_INTERACTION_TIMEOUT,
@@ -436,20 +440,20 @@
         )
         return False
 
-    def _thinks(self, client: Client) -> bool:
+    def _on_think_timeout(self, client: Client) -> bool:
         if client.held is not None:
             client.held.finish(AttemptStatus.OK)
         return True
 
-    def _drained(self, client: Client) -> bool:
+    def _on_drain_timeout(self, client: Client) -> bool:
         self._counters.add("mysql_drained")
-        return self._lose(client, _drain_error(client.session), AttemptStatus.CANCELLED)
+        return self._abandon_connection(client, _drain_error(client.session), AttemptStatus.CANCELLED)
 
-    def _too_late(self, client: Client) -> bool:
+    def _on_transaction_timeout(self, client: Client) -> bool:
         text = "the transaction's time is over; it was rolled back"
-        return self._lose(client, Err.of(Errno.QUERY_TIMEOUT, text), AttemptStatus.TIMEOUT)
+        return self._abandon_connection(client, Err.of(Errno.QUERY_TIMEOUT, text), AttemptStatus.TIMEOUT)
 
-    def _lose(self, client: Client, error: Err, status: AttemptStatus) -> bool:
+    def _abandon_connection(self, client: Client, error: Err, status: AttemptStatus) -> bool:
         """Close the reserved connection of a session; the client gets the error with its next command."""
         held, client.held = client.held, None
         if held is not None:
@@ -458,7 +462,7 @@
         client.lost = error
         return True
 
-    def _let_go(self, client: Client) -> bool:
+    def _drop_soft_pins(self, client: Client) -> bool:
         """Drop the soft pins of a session and release its connection."""
         for tie in list(client.session.ties):
             client.session.lift(tie)
@@ -474,20 +478,21 @@
 
     # --- commands that run on a node ------------------------------------------------------------
 
-    def _run(
+    def _run_on_node(
         self,
         client: Client,
         command: int,
         body: bytes,
         statement: Statement,
         prepared: PreparedText | None = None,
-        run: Execute | None = None,
-        number: int | None = None,
+        execution: Execute | None = None,
+        statement_id: int | None = None,
     ) -> bool:
         """Run a command on a node and forward the response to the client."""
         work = Work(
-            client, command, body, lambda reply: self._accept(client, statement, work, reply), run, prepared,
-            statement.reads_last_id, statement.about_previous, number, client.reader.seq,
+            client, command, body, lambda reply: self._accept_reply(client, statement, work, reply),
+            execution, prepared, statement.reads_last_id, statement.about_previous, statement_id,
+            client.reader.seq,
         )  # fmt: skip
         client.work = work
         try:
@@ -497,70 +502,72 @@
                 and client.session.softly_tied
                 and not statement.about_previous
             ):
-                self._let_go(client)  # the node drains, and the statement doesn't need the soft pins
+                self._drop_soft_pins(client)  # the node drains, and the statement doesn't need the soft pins
             if client.held is not None:
                 self._counters.add("mysql_tied_commands")
-                return self._run_tied(client, work, statement)
-            return self._request(client, work, statement)
+                return self._run_pinned(client, work, statement)
+            return self._run_as_request(client, work, statement)
         finally:
             client.work = None
 
-    def _request(self, client: Client, work: Work, statement: Statement) -> bool:
+    def _run_as_request(self, client: Client, work: Work, statement: Statement) -> bool:
         """Run a command of an unpinned session on a node chosen by the load balancer."""
         session = client.session
-        opens = self._opens(session, statement)
-        given = self._mapping.assign(statement, session.user, opens)
-        if self._mapping.news(statement, session.user, given):
+        opens = self._begins_transaction(session, statement)
+        assignment = self._mapping.assign(statement, session.user, opens)
+        if self._mapping.news(statement, session.user, assignment):
             log.info(
                 "statement assigned",
                 extra={"fields": {
-                    "user": session.user, "class": given.request_class, "reason": given.reason,
+                    "user": session.user, "class": assignment.request_class, "reason": assignment.reason,
                     "digest": statement.digest[:200],
                 }},
             )  # fmt: skip
         arrived_ns = self._clock.now_ns()
-        left_ns = given.deadline_ms * 1_000_000
-        left_ns -= min(ANSWER_MARGIN_NS, left_ns // 10)
-        self._requests += 1
-        call = ClientRequest(
-            f"mysql {self._requests}",  # the space prevents collisions with ids of HTTP requests
-            given.request_class, given.tenant, left_ns,
-            None if given.work_us is None else given.work_us * 1000, False, work,
+        timeout_ns = assignment.deadline_ms * 1_000_000
+        timeout_ns -= min(ANSWER_MARGIN_NS, timeout_ns // 10)
+        self._request_count += 1
+        request = ClientRequest(
+            f"mysql {self._request_count}",  # the space prevents collisions with ids of HTTP requests
+            assignment.request_class, assignment.tenant, timeout_ns,
+            None if assignment.work_us is None else assignment.work_us * 1000, False, work,
         )  # fmt: skip
-        deadline = self._clock.seconds(arrived_ns + left_ns)
-        client.request_class, client.leave_at = given.request_class, None
+        deadline = self._clock.seconds(arrived_ns + timeout_ns)
+        client.request_class, client.leave_at = assignment.request_class, None
         client.deadline = deadline
         self._counters.add("requests_taken")
-        answer = self._life.run(
-            call, lambda: deadline, ClientHandle(self._watch(client), lambda: self._has_left(client))
+        response = self._lifecycle.run(
+            request,
+            lambda: deadline,
+            ClientHandle(self._socket_to_watch(client), lambda: self._has_disconnected(client)),
         )
         work.over = True
-        kind: str | None = None
+        outcome: str | None = None
         try:
             if work.taken is not None:
-                done = self._pass_on(client, work, statement, work.taken, deadline)
-                kind = "served" if work.taken.relay.error is None or done else "failed"
-                return done
-            if answer is None:
+                session_continues = self._forward_reply(client, work, statement, work.taken, deadline)
+                outcome = "served" if work.taken.relay.error is None or session_continues else "failed"
+                return session_continues
+            if response is None:
                 raise ClientLeftError
-            kind = "failed" if answer.kind is AnswerKind.SERVED else answer.kind.value
-            return self._say_error(client, self._sorry(answer, work, statement))
+            outcome = "failed" if response.kind is AnswerKind.SERVED else response.kind.value
+            return self._send_error(client, self._request_error(response, work, statement))
         finally:
-            self._decisions.observers.request_finished(call, kind, self._clock.now_ns() - arrived_ns)
-            self._counters.add(f"answers_{kind}" if kind else "requests_gone")
+            self._decisions.observers.request_finished(request, outcome, self._clock.now_ns() - arrived_ns)
+            self._counters.add(f"answers_{outcome}" if outcome else "requests_gone")
 
     @staticmethod
-    def _opens(session: Session, statement: Statement) -> bool:
+    def _begins_transaction(session: Session, statement: Statement) -> bool:
         """Return whether a statement begins a transaction, which counts as one request."""
         return statement.kind is Kind.BEGIN or (
             not session.autocommit and statement.kind not in (Kind.SET, Kind.USE)
         )
 
-    def _watch(self, client: Client) -> Callable[[], Socket | None]:
+    def _socket_to_watch(self, client: Client) -> Callable[[], Socket | None]:
         # A client that pipelines too much data is not read until its response has been sent.
         return lambda: client.channel.sock if client.reader.buffered < 2 * FREE_BYTES else None
 
-    def _has_left(self, client: Client) -> bool:
+    def _has_disconnected(self, client: Client) -> bool:
         if client.reader.buffered >= 2 * FREE_BYTES:
             return False
         data = client.channel.receive_now()
@@ -568,49 +575,49 @@
             client.reader.feed(data)
         return data == b""
 
-    def _sorry(self, answer: FinalResponse, work: Work, statement: Statement) -> Err:
+    def _request_error(self, response: FinalResponse, work: Work, statement: Statement) -> Err:
         """Return the error for a request without a response."""
-        if work.error is not None and (not work.reached or answer.kind is AnswerKind.REJECTED):
+        if work.error is not None and (not work.reached or response.kind is AnswerKind.REJECTED):
             return work.error
-        if answer.kind is AnswerKind.REJECTED and (statement.plain_read or not work.reached):
-            wait = f"{answer.retry_after_ns / 1e9:.3f}"
-            text = f"turned away, not run: it may be tried again in {wait} s"
+        if response.kind is AnswerKind.REJECTED and (statement.plain_read or not work.reached):
+            retry_after = f"{response.retry_after_ns / 1e9:.3f}"
+            text = f"turned away, not run: it may be tried again in {retry_after} s"
             if work.reached:
-                text = f"no node answered; it is a plain read and may be tried again in {wait} s"
+                text = f"no node answered; it is a plain read and may be tried again in {retry_after} s"
             return Err.of(Errno.SERVER_ISNT_AVAILABLE, text)
         if not work.reached:
             return Err.of(Errno.SERVER_ISNT_AVAILABLE, "no node could be reached; it did not run")
         if work.nonsense is not None:
-            spoilt = Err(work.nonsense.errno, work.nonsense.state, str(work.nonsense))
-            return self._unless_unknown(False, statement, spoilt)
-        return work.error or self._lost_error(False, statement)
+            malformed = Err(work.nonsense.errno, work.nonsense.state, str(work.nonsense))
+            return self._outcome_error(False, statement, malformed)
+        return work.error or self._broken_reply_error(False, statement)
 
-    def _lost_error(self, in_transaction: bool, statement: Statement) -> Err:
+    def _broken_reply_error(self, in_transaction: bool, statement: Statement) -> Err:
         """Return the error for a statement that was sent and whose response is incomplete."""
         kind = statement.kind
-        commits = (
+        may_commit = (
             kind in _COMMITTING
             or bool(statement.autocommit)
             or (statement.count > 1 and not statement.plain_read)
         )
         if kind is Kind.BEGIN and not in_transaction:
             return Err.of(Errno.NET_READ, "the node was lost; no transaction is open")
-        if kind is Kind.ROLLBACK or (in_transaction and not commits):
+        if kind is Kind.ROLLBACK or (in_transaction and not may_commit):
             return Err.of(
                 Errno.NET_READ,
                 "the node was lost within the transaction, which it rolls back; nothing is repeated",
             )
         # Any other SELECT or SET may call a stored function, which may have written data.
-        if (statement.plain_read or statement is _FETCH) and not (in_transaction and commits):
+        if (statement.plain_read or statement is _FETCH) and not (in_transaction and may_commit):
             return Err.of(Errno.NET_READ, "the node was lost before the answer was whole")
         self._counters.add("mysql_outcomes_unknown")
-        what = "COMMIT" if kind is Kind.COMMIT else "statement"
+        subject = "COMMIT" if kind is Kind.COMMIT else "statement"
         return Err.of(
             Errno.ERROR_DURING_COMMIT,
-            f"the outcome of this {what} is unknown: it was sent, its answer was lost, it is not repeated",
+            f"the outcome of this {subject} is unknown: it was sent, its answer was lost, it is not repeated",
         )
 
-    def _accept(self, client: Client, statement: Statement, work: Work, reply: Reply) -> Mode:
+    def _accept_reply(self, client: Client, statement: Statement, work: Work, reply: Reply) -> Mode:
         """Take a complete or partial response and decide what happens to its connection."""
         if work.over:
             return Mode.REFUSED
@@ -618,11 +625,11 @@
         if not reply.relay.done:
             client.held = reply.held
             return Mode.HOLD
-        mode = self._settle(client, statement, work, reply)
+        mode = self._apply_reply(client, statement, work, reply)
         client.held = reply.held if mode is not Mode.RELEASE else None
         return mode
 
-    def _settle(self, client: Client, statement: Statement, work: Work, reply: Reply) -> Mode:
+    def _apply_reply(self, client: Client, statement: Statement, work: Work, reply: Reply) -> Mode:
         """Apply the effects of a complete response to the session and its connection."""
         session, relay, conn = client.session, reply.relay, reply.held.conn
         if work.command == Command.STMT_PREPARE:
@@ -644,7 +651,7 @@
             return Mode.HOLD
         return Mode.KEEP if session.tied else Mode.RELEASE
 
-    def _pass_on(
+    def _forward_reply(
         self, client: Client, work: Work, statement: Statement, reply: Reply, deadline: float | None
     ) -> bool:
         """Forward a response to the client as it arrives; return False if the session is over.
@@ -655,54 +662,56 @@
         relay, held, session = reply.relay, reply.held, client.session
         if not relay.done:
             held.measure()
-        was_tied, whole = session.tied, relay.done
+        was_pinned, was_complete = session.tied, relay.done
         try:
             if reply.out:
                 client.channel.send(reply.out, self._scheduler.now() + WRITE_SECONDS)
             while not relay.done:
-                data = self._from_node(client, held, deadline, statement)
+                data = self._receive_from_node(client, held, deadline, statement)
                 try:
                     out = relay.feed(data)
                 except ProtocolError as error:
                     log.warning("bad response", extra={"fields": {"node": held.node.name, "reason": error}})
-                    spoilt = Err(error.errno, error.state, str(error))
-                    told = self._unless_unknown(session.in_transaction, statement, spoilt)
-                    raise ConnectionLostError(told, AttemptStatus.ERROR) from None
+                    malformed = Err(error.errno, error.state, str(error))
+                    reported = self._outcome_error(session.in_transaction, statement, malformed)
+                    raise ConnectionLostError(reported, AttemptStatus.ERROR) from None
                 if relay.extra:
                     held.conn.doomed = True
                 if relay.done:
                     held.measured_whole()
                     # The state must be current before the client reads the end of the response and continues.
-                    mode = self._settle(client, statement, work, reply)
-                    self._keep(client, held, mode)
+                    mode = self._apply_reply(client, statement, work, reply)
+                    self._reserve(client, held, mode)
                 if out:
                     client.channel.send(out, self._scheduler.now() + WRITE_SECONDS)
                 if held.claimed and held.client_took(self._scheduler.now()) > THINK_SECONDS:
                     held.finish(AttemptStatus.OK)  # a slow client must not make the node look slow
             return not (statement.release and relay.error is None)
-        except ConnectionLostError as lost:
+        except ConnectionLostError as broken:
             client.held = None
             self._counters.add("mysql_broken_answers")
-            if lost.stop:
-                held.stop(lost.status)
+            if broken.stop:
+                held.stop(broken.status)
             else:
-                held.drop(lost.status)
+                held.drop(broken.status)
             session.lost()
             if relay.packet_open:
                 return False
-            client.channel.send(relay.fail(lost.error), self._scheduler.now() + WRITE_SECONDS)
-            if was_tied:
+            client.channel.send(relay.fail(broken.error), self._scheduler.now() + WRITE_SECONDS)
+            if was_pinned:
                 # The client must not continue without the transaction or the variables on which it relies.
                 client.channel.stream.finish()
                 return False
             return True
         except (OSError, TaskTimeoutError, ClientLeftError):
-            if not whole and not relay.done:  # the client has disconnected, so its statement is stopped
+            if (
+                not was_complete and not relay.done
+            ):  # the client has disconnected, so its statement is stopped
                 client.held = None
                 held.stop(AttemptStatus.CANCELLED)
             raise ClientLeftError from None
 
-    def _keep(self, client: Client, held: Held, mode: Mode) -> None:
+    def _reserve(self, client: Client, held: Held, mode: Mode) -> None:
         if mode is Mode.RELEASE:
             client.held = held
             self._release(client)
@@ -712,33 +721,35 @@
             held.finish(AttemptStatus.OK)
             client.deadline = None
 
-    def _from_node(self, client: Client, held: Held, deadline: float | None, statement: Statement) -> bytes:
+    def _receive_from_node(
+        self, client: Client, held: Held, deadline: float | None, statement: Statement
+    ) -> bytes:
         """Return the next bytes of a response.
 
         Raises:
             ConnectionLostError: The connection broke, or the deadline or the drain time passed.
             ClientLeftError: The client has closed its connection.
         """
-        channel, begun = held.conn.channel, self._scheduler.now()
+        channel, started = held.conn.channel, self._scheduler.now()
         in_transaction = client.session.in_transaction
-        commit = statement.kind is Kind.COMMIT
+        is_commit = statement.kind is Kind.COMMIT
         try:
             while True:
                 now = self._scheduler.now()
                 if deadline is not None and now >= deadline:
                     text = "Query execution was interrupted, maximum statement execution time exceeded"
-                    late = Err.of(Errno.QUERY_TIMEOUT, text)
-                    error = self._unless_unknown(in_transaction, statement, late)
-                    raise ConnectionLostError(error, AttemptStatus.TIMEOUT, stop=not commit)
-                if client.leave_at is not None and now >= self._leaves_at(client, now) and not commit:
+                    timeout_error = Err.of(Errno.QUERY_TIMEOUT, text)
+                    error = self._outcome_error(in_transaction, statement, timeout_error)
+                    raise ConnectionLostError(error, AttemptStatus.TIMEOUT, stop=not is_commit)
+                if client.leave_at is not None and now >= self._drain_deadline(client, now) and not is_commit:
                     self._counters.add("mysql_drained")
-                    error = self._unless_unknown(in_transaction, statement, _drain_error(client.session))
+                    error = self._outcome_error(in_transaction, statement, _drain_error(client.session))
                     raise ConnectionLostError(error, AttemptStatus.CANCELLED, stop=True)
-                until = now + WATCH_SECONDS if deadline is None else min(now + WATCH_SECONDS, deadline)
+                wait_until = now + WATCH_SECONDS if deadline is None else min(now + WATCH_SECONDS, deadline)
                 try:
-                    data = channel.receive(until, client.event)
+                    data = channel.receive(wait_until, client.event)
                 except TaskTimeoutError:
-                    if self._has_left(client):
+                    if self._has_disconnected(client):
                         raise ClientLeftError from None
                     continue
                 if data:
@@ -747,44 +758,44 @@
                     raise ConnectionResetError
         except _BROKEN as error:
             raise ConnectionLostError(
-                self._lost_error(in_transaction, statement), AttemptStatus.RESET
+                self._broken_reply_error(in_transaction, statement), AttemptStatus.RESET
             ) from error
         finally:
-            held.waited_ns += int((self._scheduler.now() - begun) * 1e9)
+            held.waited_ns += int((self._scheduler.now() - started) * 1e9)
 
-    def _unless_unknown(self, in_transaction: bool, statement: Statement, error: Err) -> Err:
+    def _outcome_error(self, in_transaction: bool, statement: Statement, error: Err) -> Err:
         """Return `error`, or the "outcome unknown" error if the statement's effects may be permanent."""
-        lost = self._lost_error(in_transaction, statement)
-        return lost if lost.errno == Errno.ERROR_DURING_COMMIT else error
+        outcome_error = self._broken_reply_error(in_transaction, statement)
+        return outcome_error if outcome_error.errno == Errno.ERROR_DURING_COMMIT else error
 
-    def _run_tied(self, client: Client, work: Work, statement: Statement) -> bool:
+    def _run_pinned(self, client: Client, work: Work, statement: Statement) -> bool:
         """Run a command of a pinned session on its reserved connection."""
         held, session = client.held, client.session
         assert held is not None
         conn, in_transaction = held.conn, session.in_transaction
         deadline = client.deadline
         if not in_transaction:
-            opens = self._opens(session, statement)
-            given = self._mapping.assign(statement, session.user, opens)
-            deadline = self._scheduler.now() + given.deadline_ms / 1000
-            client.request_class = given.request_class
+            opens = self._begins_transaction(session, statement)
+            assignment = self._mapping.assign(statement, session.user, opens)
+            deadline = self._scheduler.now() + assignment.deadline_ms / 1000
+            client.request_class = assignment.request_class
             client.deadline = deadline if opens else None
         work.conn = conn
-        limit = deadline if deadline is not None else self._scheduler.now() + WRITE_SECONDS
+        send_deadline = deadline if deadline is not None else self._scheduler.now() + WRITE_SECONDS
         try:
             try:
-                ahead, body = b"", work.body
+                long_data, body = b"", work.body
                 if work.prepared is not None and work.run is not None:
-                    ahead, body = self._nodes.execute(conn, work.prepared, work.run, None, limit)
-                if self._starts_too_late(client, work, statement):
-                    self._drained(client)
+                    long_data, body = self._nodes.execute(conn, work.prepared, work.run, None, send_deadline)
+                if self._starts_request_too_late(client, work, statement):
+                    self._on_drain_timeout(client)
                     assert client.lost is not None
-                    self._say_error(client, client.lost)
+                    self._send_error(client, client.lost)
                     client.channel.stream.finish()
                     return False
-                conn.channel.send(ahead + frame(body, 0), limit)
+                conn.channel.send(long_data + frame(body, 0), send_deadline)
             except TuneFailed as failed:
-                return self._say_error(client, failed.error)
+                return self._send_error(client, failed.error)
             work.reached = True
         except (OSError, TaskTimeoutError, ProtocolError) as error:
             log.info("tied session lost its node", extra={"fields": {"reason": type(error).__name__}})
@@ -792,24 +803,26 @@
             held.drop(AttemptStatus.RESET)
             session.lost()
             text = "the node was lost; this statement did not run, and what was open there is rolled back"
-            self._say_error(client, Err.of(Errno.NET_READ, text))
+            self._send_error(client, Err.of(Errno.NET_READ, text))
             client.channel.stream.finish()
             return False
         relay = ReplyRelay(
             work.command, conn.capabilities, session.capabilities, work.statement_id,
             frames(len(body)), work.seq, session.status,
         )  # fmt: skip
-        goes_on = self._pass_on(client, work, statement, Reply(b"", relay, held), deadline)
-        if goes_on and statement.chain and self._starts_too_late(client, work, _CHAINED):
-            self._drained(client)  # COMMIT AND CHAIN has started a transaction, which is a new request
-        return goes_on
+        session_continues = self._forward_reply(client, work, statement, Reply(b"", relay, held), deadline)
+        if session_continues and statement.chain and self._starts_request_too_late(client, work, _CHAINED):
+            self._on_drain_timeout(
+                client
+            )  # COMMIT AND CHAIN has started a transaction, which is a new request
+        return session_continues
 
     # --- command handlers -----------------------------------------------------------------------
 
     def _ping(self, client: Client, body: bytes) -> bool:
         if client.held is not None:
-            return self._run(client, Command.PING, body, _QUIET)
-        return self._say_ok(client)
+            return self._run_on_node(client, Command.PING, body, _NO_EFFECT)
+        return self._send_ok(client)
 
     def _query(self, client: Client, body: bytes) -> bool:
         session, text = client.session, body[1:]
@@ -817,9 +830,9 @@
         statement = self._statements.tell(text, session.multi, session.opaque)
         kind = statement.kind
         if kind is Kind.EMPTY:
-            return self._say_error(client, Err(1065, "42000", "Query was empty"))
+            return self._send_error(client, Err(1065, "42000", "Query was empty"))
         if kind is Kind.LOCAL_FILE:
-            return self._say_error(client, _NO_LOCAL)
+            return self._send_error(client, _NO_LOCAL)
         if statement.kill is not None:
             return self._kill(client, *statement.kill)
         if client.held is None:
@@ -827,13 +840,13 @@
                 session.autocommit = statement.autocommit
                 flag = int(Flag.AUTOCOMMIT)
                 session.status = session.status | flag if statement.autocommit else session.status & ~flag
-                return self._say_ok(client)
+                return self._send_ok(client)
             if kind in (Kind.COMMIT, Kind.ROLLBACK) and not (statement.chain or statement.release):
                 # No transaction is open; drivers and pools often end transactions that never began.
-                return self._say_ok(client)
+                return self._send_ok(client)
             if statement.digest == "select connection_id ()":
-                return self._say_number(client, b"CONNECTION_ID()", client.thread)
-        return self._run(client, Command.QUERY, body, statement)
+                return self._send_number(client, b"CONNECTION_ID()", client.thread)
+        return self._run_on_node(client, Command.QUERY, body, statement)
 
     def _check_text(self, session: Session, text: bytes) -> None:
         """Reject a statement that is not valid UTF-8 outside its string literals."""
@@ -842,40 +855,40 @@
         try:
             text.decode()
         except UnicodeDecodeError:
-            for kind, part in words(text)[0]:
+            for kind, token in words(text)[0]:
                 if kind == "string":
                     continue
                 try:
-                    part.decode()
+                    token.decode()
                 except UnicodeDecodeError:
                     raise ProtocolError(
                         "Invalid utf8mb4 character string in a statement", Errno.INVALID_CHARACTER_STRING
                     ) from None
 
-    def _say_number(self, client: Client, name: bytes, value: int) -> bool:
+    def _send_number(self, client: Client, name: bytes, value: int) -> bool:
         """Send a result set of one row with one number."""
         session = client.session
         caps, status = session.capabilities, session.status
         column = Column(name, Type.LONGLONG, 63, 21, 0x81).encode()
         row = text_row([str(value).encode()])
         if caps & Capability.DEPRECATE_EOF:
-            return self._say(client, lenenc(1), column, row, Ok(status=status).encode(caps, 0xFE))
+            return self._send(client, lenenc(1), column, row, Ok(status=status).encode(caps, 0xFE))
         eof = Eof(0, status).encode()
-        return self._say(client, lenenc(1), column, eof, row, eof)
+        return self._send(client, lenenc(1), column, eof, row, eof)
 
     def _init_db(self, client: Client, body: bytes) -> bool:
         try:
             name = body[1:].decode()
         except UnicodeDecodeError:
             raise ProtocolError("the schema's name is not UTF-8", Errno.INVALID_CHARACTER_STRING) from None
-        return self._run(client, Command.INIT_DB, body, replace(_USE, schema=name))
+        return self._run_on_node(client, Command.INIT_DB, body, replace(_USE, schema=name))
 
     def _field_list(self, client: Client, body: bytes) -> bool:
-        return self._run(client, Command.FIELD_LIST, body, _FIELDS)
+        return self._run_on_node(client, Command.FIELD_LIST, body, _FIELDS)
 
     def _statistics(self, client: Client, body: bytes) -> bool:
-        up = int(self._scheduler.now() - client.accepted_at)
-        return self._say(client, f"Uptime: {up}  Threads: {len(self._clients)}".encode())
+        uptime = int(self._scheduler.now() - client.accepted_at)
+        return self._send(client, f"Uptime: {uptime}  Threads: {len(self._clients)}".encode())
 
     def _set_option(self, client: Client, body: bytes) -> bool:
         option = int.from_bytes(body[1:3], "little")
@@ -884,11 +897,11 @@
         client.session.multi = option == 0
         if client.held is not None:
             client.held.conn.multi = client.session.multi
-            return self._run(client, Command.SET_OPTION, body, _QUIET)
+            return self._run_on_node(client, Command.SET_OPTION, body, _NO_EFFECT)
         caps, status = client.session.capabilities, client.session.status
         if caps & Capability.DEPRECATE_EOF:
-            return self._say(client, Ok(status=status).encode(caps, 0xFE))
-        return self._say(client, Eof(0, status).encode())
+            return self._send(client, Ok(status=status).encode(caps, 0xFE))
+        return self._send(client, Eof(0, status).encode())
 
     def _reset_connection(self, client: Client, body: bytes) -> bool:
         held, client.held = client.held, None
@@ -901,10 +914,10 @@
                 log.info("a reset failed", extra={"fields": {"reason": type(error).__name__}})
                 held.drop(AttemptStatus.RESET)
         client.session.reset()
-        self._keep_in_mind(client)
+        self._charge_prepared(client)
         client.last = client.id_conn = None
         client.deadline = client.leave_at = None
-        return self._say_ok(client)
+        return self._send_ok(client)
 
     def _change_user(self, client: Client, body: bytes) -> bool:
         held, client.held = client.held, None
@@ -914,36 +927,40 @@
         client.deadline = client.leave_at = None
         capabilities = client.session.capabilities
         client.session = Session("", "", capabilities, 0)
-        self._keep_in_mind(client)
+        self._charge_prepared(client)
         login = ServerLogin(
             client.thread, b"", capabilities, self._users.get, self._rsa, self._settings.server_version,
             self._settings.auth_plugin,
         )  # fmt: skip
         login.secure = client.channel.secure
         login.change_user(body, capabilities, client.challenge, self._challenge())
-        return self._meet(client, login, self._scheduler.now() + self._settings.login_ms / 1000)
+        return self._run_login(client, login, self._scheduler.now() + self._settings.login_ms / 1000)
 
     def _process_kill(self, client: Client, body: bytes) -> bool:
         if len(body) != 5:
             raise ProtocolError("a kill without its number")
         return self._kill(client, False, int.from_bytes(body[1:], "little"))
 
-    def _kill(self, client: Client, query: bool, thread: int) -> bool:
+    def _kill(self, client: Client, query_only: bool, thread: int) -> bool:
         """Kill another session of the same user, identified by the thread id that this front end assigned."""
         target = self._clients.get(thread)
         if target is None:
-            return self._say_error(client, Err.of(Errno.NO_SUCH_THREAD, f"Unknown thread id: {thread}"))
+            return self._send_error(client, Err.of(Errno.NO_SUCH_THREAD, f"Unknown thread id: {thread}"))
         if target.session.user != client.session.user:
-            return self._say_error(client, Err.of(Errno.KILL_DENIED, f"You are not owner of thread {thread}"))
+            return self._send_error(
+                client, Err.of(Errno.KILL_DENIED, f"You are not owner of thread {thread}")
+            )
         if target is client:
-            return self._say_error(client, Err.of(Errno.QUERY_INTERRUPTED, "Query execution was interrupted"))
+            return self._send_error(
+                client, Err.of(Errno.QUERY_INTERRUPTED, "Query execution was interrupted")
+            )
         work = target.work
         if work is not None and work.conn is not None:
             work.conn.doomed = True  # otherwise the KILL could hit the next session on the connection
             self._nodes.kill(work.conn)
-        if not query and target.task is not None:
+        if not query_only and target.task is not None:
             target.task.cancel()
-        return self._say_ok(client)
+        return self._send_ok(client)
 
     # --- prepared statements --------------------------------------------------------------------
 
@@ -952,85 +969,87 @@
         self._check_text(session, text)
         statement = self._statements.tell(text, False, session.opaque)
         if statement.kind is Kind.LOCAL_FILE:
-            return self._say_error(client, _NO_LOCAL)
-        number = session.next_prepared(len(text))
-        self._keep_in_mind(client, len(text))
+            return self._send_error(client, _NO_LOCAL)
+        statement_id = session.next_prepared(len(text))
+        self._charge_prepared(client, len(text))
         # Preparing has no side effects, so it may be retried whatever the statement does.
-        harmless = Statement(Kind.READ, statement.digest, plain_read=True, hint=statement.hint)
-        return self._run(client, Command.STMT_PREPARE, body, harmless, number=number) and self._remember(
-            client, number, statement
-        )
+        without_effects = Statement(Kind.READ, statement.digest, plain_read=True, hint=statement.hint)
+        return self._run_on_node(
+            client, Command.STMT_PREPARE, body, without_effects, statement_id=statement_id
+        ) and self._keep_statement(client, statement_id, statement)
 
     @staticmethod
-    def _remember(client: Client, number: int, statement: Statement) -> bool:
-        if (found := client.session.prepared.get(number)) is not None:
-            found.statement = statement
+    def _keep_statement(client: Client, statement_id: int, statement: Statement) -> bool:
+        if (prepared := client.session.prepared.get(statement_id)) is not None:
+            prepared.statement = statement
         return True
 
     def _execute(self, client: Client, body: bytes) -> bool:
-        found, run = client.session.execute(body)
-        statement = found.statement
+        prepared, execution = client.session.execute(body)
+        statement = prepared.statement
         if statement.kill is not None:
             return self._kill(client, *statement.kill)
-        if run.flags & CURSOR_READ_ONLY:
+        if execution.flags & CURSOR_READ_ONLY:
             # With a cursor, later commands fetch the rows, so this response does not complete the read.
             statement = replace(statement, plain_read=False) if not statement.plain_read else statement
-        return self._run(client, Command.STMT_EXECUTE, body, statement, found, run, found.id)
+        return self._run_on_node(
+            client, Command.STMT_EXECUTE, body, statement, prepared, execution, prepared.id
+        )
 
     def _fetch(self, client: Client, body: bytes) -> bool:
         if len(body) != 9:
             raise ProtocolError("a fetch cut short")
-        number = int.from_bytes(body[1:5], "little")
-        found = client.session.find(number)
-        here = self._here(client, found)
-        if here is None or number not in client.session.cursors:
-            return self._say_error(
-                client, Err(1421, "HY000", f"The statement ({number}) has no open cursor.")
+        statement_id = int.from_bytes(body[1:5], "little")
+        prepared = client.session.find(statement_id)
+        node_id = self._node_statement_id(client, prepared)
+        if node_id is None or statement_id not in client.session.cursors:
+            return self._send_error(
+                client, Err(1421, "HY000", f"The statement ({statement_id}) has no open cursor.")
             )
-        moved = body[:1] + here.to_bytes(4, "little") + body[5:]
-        return self._run(client, Command.STMT_FETCH, moved, _FETCH, number=number)
+        forwarded = body[:1] + node_id.to_bytes(4, "little") + body[5:]
+        return self._run_on_node(client, Command.STMT_FETCH, forwarded, _FETCH, statement_id=statement_id)
 
     @staticmethod
-    def _here(client: Client, found: PreparedText) -> int | None:
+    def _node_statement_id(client: Client, prepared: PreparedText) -> int | None:
         """Return the id of a prepared statement on the session's reserved connection, or None."""
         if client.held is None:
             return None
         conn = client.held.conn
-        known = conn.prepared.get((conn.schema, conn.settings, found.text))
+        known = conn.prepared.get((conn.schema, conn.settings, prepared.text))
         return None if known is None else known[0]
 
     def _long_data(self, client: Client, body: bytes) -> bool:
-        self._keep_in_mind(client, len(body))
-        client.session.long_data(body, self._most)
+        self._charge_prepared(client, len(body))
+        client.session.long_data(body, self._max_packet_bytes)
         return True
 
     def _close_prepared(self, client: Client, body: bytes) -> bool:
-        number = int.from_bytes(body[1:5], "little")
-        self._close_cursor(client, number)
-        client.session.close_prepared(number)
-        self._keep_in_mind(client)
+        statement_id = int.from_bytes(body[1:5], "little")
+        self._close_cursor(client, statement_id)
+        client.session.close_prepared(statement_id)
+        self._charge_prepared(client)
         self._after_cursor(client)
         return True
 
     def _reset_prepared(self, client: Client, body: bytes) -> bool:
-        number = int.from_bytes(body[1:5], "little")
-        client.session.find(number)
-        self._close_cursor(client, number)
-        client.session.reset_prepared(number)
+        statement_id = int.from_bytes(body[1:5], "little")
+        client.session.find(statement_id)
+        self._close_cursor(client, statement_id)
+        client.session.reset_prepared(statement_id)
         self._after_cursor(client)
-        return self._say_ok(client)
+        return self._send_ok(client)
 
-    def _close_cursor(self, client: Client, number: int) -> None:
+    def _close_cursor(self, client: Client, statement_id: int) -> None:
         """Close a cursor at the node, if one is open."""
-        found = client.session.prepared.get(number)
-        if found is None or number not in client.session.cursors or client.held is None:
+        prepared = client.session.prepared.get(statement_id)
+        if prepared is None or statement_id not in client.session.cursors or client.held is None:
             return
-        here = self._here(client, found)
-        if here is None:
+        node_id = self._node_statement_id(client, prepared)
+        if node_id is None:
             return
         try:
-            limit = self._scheduler.now() + 1.0
-            self._nodes.ask(client.held.conn, b"\x1a" + here.to_bytes(4, "little"), limit)
+            timeout = self._scheduler.now() + 1.0
+            self._nodes.ask(client.held.conn, b"\x1a" + node_id.to_bytes(4, "little"), timeout)
         except (OSError, TaskTimeoutError, ProtocolError):
             client.held.conn.doomed = True
 
@@ -1042,11 +1061,11 @@
 _BROKEN = (OSError, ProtocolError)
 # Kinds of statement that commit an open transaction implicitly, or may do so.
 _COMMITTING = frozenset({Kind.COMMIT, Kind.BEGIN, Kind.DEFINE, Kind.LOCK, Kind.UNLOCK, Kind.UNKNOWN})
-_SESSION_GOES_ON = frozenset(
+_SESSION_CONTINUES = frozenset(
     {Errno.UNKNOWN_STMT_HANDLER, Errno.WRONG_ARGUMENTS, Errno.NOT_SUPPORTED_YET, 1461}
 )
 _CHAINED = Statement(Kind.BEGIN, "a chained transaction")
-_QUIET = Statement(Kind.SET, "a command without effects", plain_read=True)
+_NO_EFFECT = Statement(Kind.SET, "a command without effects", plain_read=True)
 _USE = Statement(Kind.USE, "use", plain_read=True)
 _FIELDS = Statement(Kind.READ, "field list", plain_read=True)
 _FETCH = Statement(Kind.READ, "fetch")
@@ -1061,5 +1080,9 @@
 
 
 def _drain_error(session: Session) -> Err:
-    what = "its transaction was rolled back" if session.in_transaction else "what it held there is lost"
-    return Err.of(Errno.SERVER_SHUTDOWN, f"Server shutdown in progress: this session's node drains, {what}")
+    consequence = (
+        "its transaction was rolled back" if session.in_transaction else "what it held there is lost"
+    )
+    return Err.of(
+        Errno.SERVER_SHUTDOWN, f"Server shutdown in progress: this session's node drains, {consequence}"
+    )
--- a/brambleusher/fronts/mysql/load.py
+++ b/brambleusher/fronts/mysql/load.py
@@ -28,28 +28,28 @@
         self._busy = self._rate = 0.0
         self._at = 0.0
 
-    def _settle(self, now: float) -> None:
-        kept = math.exp(-max(0.0, now - self._at) / self._window)
-        self._busy = self._busy * kept + self.out * (1 - kept)
-        self._rate *= kept
+    def _decay(self, now: float) -> None:
+        remaining = math.exp(-max(0.0, now - self._at) / self._window)
+        self._busy = self._busy * remaining + self.out * (1 - remaining)
+        self._rate *= remaining
         self._at = max(self._at, now)
 
     def begin(self, now: float) -> None:
         """Count a statement that is sent to the node."""
-        self._settle(now)
+        self._decay(now)
         self.out += 1
 
     def end(self, now: float) -> None:
         """Count the end of a statement."""
-        self._settle(now)
+        self._decay(now)
         self.out -= 1
 
     def served(self, now: float) -> None:
         """Count an attempt that was served."""
-        self._settle(now)
+        self._decay(now)
         self._rate += 1 / self._window
 
-    def report(self, now: float, places: int) -> LoadReport:
+    def report(self, now: float, max_connections: int) -> LoadReport:
         """Return the averages for a node to which the sidecar may open at most `places` connections."""
-        self._settle(now)
-        return LoadReport(min(1.0, self._busy / max(places, 1)), self._rate)
+        self._decay(now)
+        return LoadReport(min(1.0, self._busy / max(max_connections, 1)), self._rate)
--- a/brambleusher/fronts/mysql/mapping.py
+++ b/brambleusher/fronts/mysql/mapping.py
@@ -31,7 +31,7 @@
         self._classes = {cls.name: cls for cls in platform.classes}
         self._tenants = {tenant.name for tenant in platform.tenants}
         self._by_digest = {rule.digest: rule for rule in settings.statements}
-        self._told: OrderedDict[tuple[str, str, str], None] = OrderedDict()
+        self._logged: OrderedDict[tuple[str, str, str], None] = OrderedDict()
 
     def assign(self, statement: Statement, user: str, transaction: bool = False) -> Assignment:
         """Assign request parameters to a statement.
@@ -40,46 +40,51 @@
         plain read may have a class whose requests are retried; all other statements get `strict_class`.
         """
         settings = self._settings
-        rule = settings.users.get(user) or UserRule(user)
+        user_rule = settings.users.get(user) or UserRule(user)
         hint = statement.hint if settings.hints and statement.hint is not None else Hint()
-        listed = self._by_digest.get(statement.digest)
-        wanted: tuple[str | None, str] = None, ""
+        statement_rule = self._by_digest.get(statement.digest)
+        selected: tuple[str | None, str] = None, ""
         if (
             hint.request_class in self._classes
-            and self._effect(hint.request_class) is not api.Idempotency.KEYED
+            and self._idempotency(hint.request_class) is not api.Idempotency.KEYED
         ):
-            wanted = hint.request_class, "hint"
-        elif listed is not None:
-            wanted = listed.request_class, "digest"
+            selected = hint.request_class, "hint"
+        elif statement_rule is not None:
+            selected = statement_rule.request_class, "digest"
         elif statement.kind is Kind.UNKNOWN:
-            wanted = settings.strict_class, f"unknown: {statement.why}"
-        elif rule.request_class is not None:
-            wanted = rule.request_class, "user"
+            selected = settings.strict_class, f"unknown: {statement.why}"
+        elif user_rule.request_class is not None:
+            selected = user_rule.request_class, "user"
         elif settings.default_class is not None:
-            wanted = settings.default_class, "default"
-        name, reason = wanted
+            selected = settings.default_class, "default"
+        name, reason = selected
         if name is None:
             name, reason = settings.strict_class, "no other rule applies"
-        elif self._effect(name) is not api.Idempotency.UNSAFE and (transaction or not statement.plain_read):
-            what = "a transaction" if transaction else "not a plain read"
-            name, reason = settings.strict_class, f"{reason} selects {name}, but the statement is {what}"
+        elif self._idempotency(name) is not api.Idempotency.UNSAFE and (
+            transaction or not statement.plain_read
+        ):
+            description = "a transaction" if transaction else "not a plain read"
+            name, reason = (
+                settings.strict_class,
+                f"{reason} selects {name}, but the statement is {description}",
+            )
         deadline_ms = (
             hint.deadline_ms
-            or (listed.deadline_ms if listed is not None else None)
-            or rule.deadline_ms
+            or (statement_rule.deadline_ms if statement_rule is not None else None)
+            or user_rule.deadline_ms
             or max(1, self._classes[name].deadline_ns // 1_000_000)
         )
-        tenant = hint.tenant if hint.tenant in self._tenants else rule.tenant or settings.tenant
+        tenant = hint.tenant if hint.tenant in self._tenants else user_rule.tenant or settings.tenant
         return Assignment(name, tenant, deadline_ms, hint.work_us, reason)
 
-    def news(self, statement: Statement, user: str, given: Assignment) -> bool:
+    def news(self, statement: Statement, user: str, assignment: Assignment) -> bool:
         """Return whether this assignment has not been logged yet for the digest and user, and remember it."""
-        key = (statement.digest[:256], user, given.reason[:256])
-        if key in self._told:
+        key = (statement.digest[:256], user, assignment.reason[:256])
+        if key in self._logged:
             return False
-        self._told[key] = None
-        if len(self._told) > REASONS:
-            self._told.popitem(last=False)
+        self._logged[key] = None
+        if len(self._logged) > REASONS:
+            self._logged.popitem(last=False)
         return True
 
     def grace_ns(self, request_class: str) -> int:
@@ -87,5 +92,5 @@
         ms = self._settings.grace_ms.get(request_class)
         return self._classes[request_class].deadline_ns if ms is None else ms * 1_000_000
 
-    def _effect(self, name: str | None) -> api.Idempotency:
+    def _idempotency(self, name: str | None) -> api.Idempotency:
         return self._classes[name or ""].idempotency
--- a/brambleusher/fronts/mysql/messages.py
+++ b/brambleusher/fronts/mysql/messages.py
@@ -64,11 +64,11 @@
         """Encode the packet; `header` is 0xFE if the packet ends the rows of a result set."""
         status, tail = self.status, self.info
         if capabilities & Capability.SESSION_TRACK:
-            news = self.state if status & Status.SESSION_STATE_CHANGED else b""
-            if not news:
+            changes = self.state if status & Status.SESSION_STATE_CHANGED else b""
+            if not changes:
                 status &= ~Status.SESSION_STATE_CHANGED
-            tail = lentext(self.info) if self.info or news else b""
-            tail += lentext(news) if news else b""
+            tail = lentext(self.info) if self.info or changes else b""
+            tail += lentext(changes) if changes else b""
         else:
             status &= ~Status.SESSION_STATE_CHANGED
         return (
@@ -158,10 +158,10 @@
     return out
 
 
-def encode_state(news: list[tuple[int, tuple[bytes, ...]]]) -> bytes:
+def encode_state(changes: list[tuple[int, tuple[bytes, ...]]]) -> bytes:
     """Encode session state changes, given as pairs of a type and its strings."""
     out = b""
-    for kind, values in news:
+    for kind, values in changes:
         plain = kind == Track.GTIDS or kind > Track.TRANSACTION_STATE
         body = b"".join(values if plain else map(lentext, values))
         out += bytes((kind,)) + lentext(body)
@@ -190,11 +190,11 @@
         version = fields.number(1)
         if version != PROTOCOL_VERSION:
             raise ProtocolError(f"a greeting of version {version}", Errno.BAD_HANDSHAKE)
-        name, thread, challenge = fields.until_zero(), fields.number(4), fields.take(8)
+        version_name, thread, challenge = fields.until_zero(), fields.number(4), fields.take(8)
         fields.take(1)
         capabilities = fields.number(2)
         if not fields.left:
-            return cls(name.decode("latin-1"), thread, challenge, capabilities)
+            return cls(version_name.decode("latin-1"), thread, challenge, capabilities)
         collation, status = fields.number(1), fields.number(2)
         capabilities |= fields.number(2) << 16
         size = fields.number(1)
@@ -206,7 +206,7 @@
             # Some old servers omit the terminating zero byte.
             plugin = fields.rest().split(b"\0", 1)[0]
         return cls(
-            name.decode("latin-1"), thread, challenge, capabilities, collation, status,
+            version_name.decode("latin-1"), thread, challenge, capabilities, collation, status,
             utf8(plugin, "the name of the server's plugin"),
         )  # fmt: skip
 
@@ -287,7 +287,7 @@
         caps = self.capabilities
         out = struct.pack("<IIB", caps, self.max_packet, self.collation & 0xFF) + bytes(23)
         out += self.user.encode() + b"\0"
-        out += lentext(self.answer) if caps & Capability.PLUGIN_AUTH_LENENC else _short(self.answer)
+        out += lentext(self.answer) if caps & Capability.PLUGIN_AUTH_LENENC else _short_string(self.answer)
         if caps & Capability.CONNECT_WITH_DB:
             out += self.database.encode() + b"\0"
         if caps & Capability.PLUGIN_AUTH:
@@ -300,7 +300,7 @@
         return out
 
 
-def _short(answer: bytes) -> bytes:
+def _short_string(answer: bytes) -> bytes:
     if len(answer) > 255:
         raise ProtocolError("an answer of more than 255 bytes")
     return bytes((len(answer),)) + answer
@@ -344,7 +344,9 @@
 
     def encode(self, capabilities: int) -> bytes:
         """Encode the command, including the command byte."""
-        out = b"\x11" + self.user.encode() + b"\0" + _short(self.answer) + self.database.encode() + b"\0"
+        out = (
+            b"\x11" + self.user.encode() + b"\0" + _short_string(self.answer) + self.database.encode() + b"\0"
+        )
         out += struct.pack("<H", self.collation)
         if capabilities & Capability.PLUGIN_AUTH:
             out += self.plugin.encode() + b"\0"
--- a/brambleusher/fronts/mysql/nodes.py
+++ b/brambleusher/fronts/mysql/nodes.py
@@ -220,11 +220,11 @@
 class Held:
     """A connection reserved for a session, together with the attempt that is still open on it."""
 
-    __slots__ = ("_ended", "_nodes", "began_at", "conn", "measured", "waited_ns")
+    __slots__ = ("_on_finished", "_nodes", "began_at", "conn", "measured", "waited_ns")
 
     def __init__(self, nodes: MysqlNodes, conn: Conn) -> None:
         self._nodes, self.conn = nodes, conn
-        self._ended: Callable[[AttemptOutcome], None] | None = None
+        self._on_finished: Callable[[AttemptOutcome], None] | None = None
         self.began_at = 0.0  # when the attempt started
         self.waited_ns = 0  # time in nanoseconds spent at the node, without the client's own time
         self.measured = False  # a statement on the connection is counted in the node's load
@@ -237,22 +237,22 @@
 
     def client_took(self, now: float) -> float:
         """Return the seconds that the client itself used during the open attempt, or 0 after its end."""
-        return now - self.began_at - self.waited_ns / 1e9 if self._ended is not None else 0.0
+        return now - self.began_at - self.waited_ns / 1e9 if self._on_finished is not None else 0.0
 
     @property
     def claimed(self) -> bool:
         """Whether the attempt is still open."""
-        return self._ended is not None
+        return self._on_finished is not None
 
     def claim(self, ended: Callable[[AttemptOutcome], None], began_at: float, now: float) -> None:
         """Keep the attempt open; `ended` is called with its outcome."""
-        self._ended, self.began_at = ended, began_at
+        self._on_finished, self.began_at = ended, began_at
         self.waited_ns = int((now - began_at) * 1e9)
 
     def finish(self, status: AttemptStatus) -> None:
         """End the attempt; repeated calls have no effect."""
-        if self._ended is not None:
-            ended, self._ended = self._ended, None
+        if self._on_finished is not None:
+            ended, self._on_finished = self._on_finished, None
             report = self._nodes.report(self.node) if status is AttemptStatus.OK else None
             ended(AttemptOutcome(status, self.waited_ns, report))
 
@@ -303,15 +303,15 @@
         node_key: bytes | None = None,
     ) -> None:
         self._scheduler, self._settings, self._passwords = scheduler, settings, passwords
-        self._counters, self._node_key = counters, node_key
-        self._window = WINDOW_OF_AIM * min(cls.latency_target_ns for cls in platform.classes) / 1e9
+        self._counters, self._node_public_key = counters, node_key
+        self._load_window = WINDOW_OF_AIM * min(cls.latency_target_ns for cls in platform.classes) / 1e9
         self._connect_seconds = platform.connect_timeout_ns / 1e9
         self._idle_seconds = settings.idle_ms / 1000
         # The remaining grace period is reserved for the set-up commands that precede a statement.
-        self._start_seconds = platform.drain_grace_ns / 1e9 * STARTS_PART
+        self._request_start_seconds = platform.drain_grace_ns / 1e9 * STARTS_PART
         self._wait_seconds = settings.pool_wait_ms / 1000
         self._nodes: dict[str, Node] = {}
-        self._total = 0  # number of open connections to all nodes
+        self._open_total = 0  # number of open connections to all nodes
         tls = settings.node_tls
         self._context = (
             client_context(tls.ca_file, tls.host, tls.cert_file, tls.key_file) if tls.mode != "off" else None
@@ -323,7 +323,7 @@
 
     def starts_until(self, node: Node) -> float | None:
         """Return until when a pinned session may start a request on a draining node; None if it is active."""
-        return node.left_at + self._start_seconds if node.leaving else None
+        return node.left_at + self._request_start_seconds if node.leaving else None
 
     def report(self, node: Node | None) -> LoadReport:
         """Count a served attempt and return the load report of its node.
@@ -343,31 +343,33 @@
         Draining and removed nodes get no more attempts, and their pinned sessions are notified.
         """
         if update.full:
-            named = {machine.entry.host for machine in update.endpoints}
-            for name in [name for name in self._nodes if name not in named]:
-                self._leave(self._nodes.pop(name))
-        for machine in update.endpoints:
-            self._place(machine)
-
-    def _place(self, machine: Endpoint) -> None:
-        entry = machine.entry
+            listed = {endpoint.entry.host for endpoint in update.endpoints}
+            for name in [name for name in self._nodes if name not in listed]:
+                self._start_drain(self._nodes.pop(name))
+        for endpoint in update.endpoints:
+            self._update_node(endpoint)
+
+    def _update_node(self, endpoint: Endpoint) -> None:
+        entry = endpoint.entry
         node = self._nodes.get(entry.host)
         if entry.state is HostState.REMOVED:
             if node is not None:
-                self._leave(self._nodes.pop(entry.host))
+                self._start_drain(self._nodes.pop(entry.host))
             return
-        address = self._settings.addresses.get(entry.host) or (machine.address[0], self._settings.port)
+        address = self._settings.addresses.get(entry.host) or (endpoint.address[0], self._settings.port)
         if node is not None and (node.address, node.started_ns) != (address, entry.started_ns):
-            self._leave(node)
+            self._start_drain(node)
             node = None
         if node is None:
-            node = self._nodes[entry.host] = Node(entry.host, address, entry.started_ns, Meter(self._window))
+            node = self._nodes[entry.host] = Node(
+                entry.host, address, entry.started_ns, Meter(self._load_window)
+            )
         if entry.state is HostState.DRAINING:
-            self._leave(node)
+            self._start_drain(node)
         else:
             node.leaving = False
 
-    def _leave(self, node: Node) -> None:
+    def _start_drain(self, node: Node) -> None:
         if not node.leaving:  # later endpoint lists repeat the drain
             node.leaving, node.left_at = True, self._scheduler.now()
         while node.idle:
@@ -394,9 +396,11 @@
         """Run the task that closes connections which were idle for too long or closed by the node."""
         while True:
             self._scheduler.sleep(1.0)
-            old = self._scheduler.now() - self._idle_seconds
+            oldest_allowed = self._scheduler.now() - self._idle_seconds
             for node in list(self._nodes.values()):
-                for conn in [conn for conn in node.idle if conn.used_at < old or not conn.channel.quiet()]:
+                for conn in [
+                    conn for conn in node.idle if conn.used_at < oldest_allowed or not conn.channel.quiet()
+                ]:
                     if conn in node.idle:
                         node.idle.remove(conn)
                         self.discard(conn)
@@ -420,21 +424,27 @@
         `on_response_started` is called if the response continues or the session reserves the connection.
         """
         name, payload, timeout_ns, deadline = order.endpoint, order.payload, order.timeout_ns, order.deadline
-        ended, begun, wanted = order.on_finished, order.on_response_started, order.is_wanted
+        on_finished, on_response_started, is_wanted = (
+            order.on_finished,
+            order.on_response_started,
+            order.is_wanted,
+        )
         if not isinstance(payload, Work):
             raise TypeError("the payload of a MySQL attempt is not a MySQL command")
-        claim, start = Claim(payload.session.flavour), self._scheduler.now()
-        limit = min(deadline, start + timeout_ns / 1e9) if timeout_ns else deadline
+        claim, started_at = Claim(payload.session.flavour), self._scheduler.now()
+        limit = min(deadline, started_at + timeout_ns / 1e9) if timeout_ns else deadline
 
         def run() -> None:
-            status, reply, left = AttemptStatus.ERROR, None, False
+            status, reply, transferred = AttemptStatus.ERROR, None, False
             node = self._nodes.get(name)
             try:
                 if node is None or node.leaving:
                     status = AttemptStatus.OVERLOADED
                 else:
                     node.claims[claim] = None
-                    status, reply, left = self._attempt(node, claim, payload, limit, ended, start, wanted)
+                    status, reply, transferred = self._attempt(
+                        node, claim, payload, limit, on_finished, started_at, is_wanted
+                    )
             except Exception:
                 # Every attempt must end, otherwise its request would wait until the deadline.
                 self._counters.add("faults")
@@ -444,13 +454,13 @@
                     node.claims.pop(claim, None)
                     if claim.measured:
                         node.meter.end(self._scheduler.now())
-            if left or payload.broke:
-                begun(reply)
-            if not left:
-                took = int((self._scheduler.now() - start) * 1e9)
-                ended(
+            if transferred or payload.broke:
+                on_response_started(reply)
+            if not transferred:
+                duration_ns = int((self._scheduler.now() - started_at) * 1e9)
+                on_finished(
                     AttemptOutcome(
-                        status, took, self.report(node) if status is AttemptStatus.OK else None, reply
+                        status, duration_ns, self.report(node) if status is AttemptStatus.OK else None, reply
                     )
                 )
 
@@ -463,24 +473,24 @@
         claim: Claim,
         work: Work,
         limit: float,
-        ended: Callable[[AttemptOutcome], None],
-        start: float,
-        wanted: Callable[[], bool],
+        on_finished: Callable[[AttemptOutcome], None],
+        started_at: float,
+        is_wanted: Callable[[], bool],
     ) -> tuple[AttemptStatus, Reply | None, bool]:
         """Run an attempt; return its status, its response, and whether the session now owns the attempt."""
         conn: Conn | None = None
         relay: ReplyRelay | None = None
         try:
-            conn = self._take(node, claim, work, limit)
+            conn = self._acquire(node, claim, work, limit)
             if conn is None:
                 self._counters.add("connections_lacking")
                 return AttemptStatus.NOT_STARTED, None, False
-            self._tune(conn, work, claim, limit)
-            data, relay = self._worded(conn, work, claim, limit)
+            self._set_up_session(conn, work, claim, limit)
+            data, relay = self._encode_command(conn, work, claim, limit)
             work.conn = conn
             claim.check()
             # Nothing is sent for a request that is about to time out or no longer wanted.
-            if limit - self._scheduler.now() < 0.001 or not wanted():
+            if limit - self._scheduler.now() < 0.001 or not is_wanted():
                 self.give_back(conn)
                 return AttemptStatus.NOT_STARTED, None, False
             self._counters.add("claims_sent")
@@ -497,17 +507,17 @@
             # An error such as an unknown schema of one client must not count against the node.
             work.error = failed.error
             self._stop_or_drop(conn, claim)
-            own = failed.error.errno in NODE_ERRORS
-            return AttemptStatus.OVERLOADED if own else AttemptStatus.NOT_STARTED, None, False
+            is_node_error = failed.error.errno in NODE_ERRORS
+            return AttemptStatus.OVERLOADED if is_node_error else AttemptStatus.NOT_STARTED, None, False
         except WaitInterruptedError:
             self._stop_or_drop(conn, claim)
-            return self._called_off(claim), None, False
+            return self._cancelled_status(claim), None, False
         except TaskTimeoutError:
             self._stop_or_drop(conn, claim)
             work.broke = relay is not None and relay.begun
             return AttemptStatus.TIMEOUT if claim.written else AttemptStatus.CONNECT_FAILED, None, False
         except LoginRefused as refused:
-            return self._refused(node, work, refused.error), None, False
+            return self._login_rejected(node, work, refused.error), None, False
         except ProtocolError as error:
             log.warning("bad response", extra={"fields": {"node": node.name, "reason": error}})
             self._stop_or_drop(conn, claim)
@@ -545,11 +555,11 @@
             work.owner.leave(held)  # the drain became known while the response was awaited
         if mode is Mode.KEEP and relay.done:
             return AttemptStatus.OK, reply, False
-        held.claim(ended, start, self._scheduler.now())
+        held.claim(on_finished, started_at, self._scheduler.now())
         return AttemptStatus.OK, reply, True
 
     @staticmethod
-    def _called_off(claim: Claim) -> AttemptStatus:
+    def _cancelled_status(claim: Claim) -> AttemptStatus:
         return claim.why if claim.why is not None and not claim.written else AttemptStatus.CANCELLED
 
     def _stop_or_drop(self, conn: Conn | None, claim: Claim) -> None:
@@ -560,7 +570,7 @@
         else:
             self.discard(conn)
 
-    def _refused(self, node: Node, work: Work, error: Err) -> AttemptStatus:
+    def _login_rejected(self, node: Node, work: Work, error: Err) -> AttemptStatus:
         """Return the attempt status for a rejected login; an error 1040 sets the node's connection limit."""
         if error.errno in (Errno.CON_COUNT, Errno.TOO_MANY_USER_CONNECTIONS):
             node.most = max(1, node.open)
@@ -591,19 +601,19 @@
 
     # --- connections ----------------------------------------------------------------------------
 
-    def _take(self, node: Node, claim: Claim, work: Work, limit: float) -> Conn | None:
+    def _acquire(self, node: Node, claim: Claim, work: Work, limit: float) -> Conn | None:
         """Return a connection for a session, or None if none became available in time.
 
         The order of preference is the session's last connection, an idle one, a new one, and the next one
         that another session returns.
         """
-        flavour, until = claim.flavour, min(limit, self._scheduler.now() + self._wait_seconds)
+        flavour, wait_until = claim.flavour, min(limit, self._scheduler.now() + self._wait_seconds)
         while True:
             claim.check()
-            conn = claim.granted or self._idle(node, work.owner, flavour)
+            conn = claim.granted or self._take_idle(node, work.owner, flavour)
             claim.granted = None
             if conn is not None:
-                if self._fresh(conn):
+                if self._is_usable(conn):
                     self._counters.add("connections_reused")
                     return conn
                 self.discard(conn)
@@ -611,12 +621,12 @@
             if node.leaving:
                 claim.cancel(AttemptStatus.OVERLOADED)
                 continue
-            if self._room(node, flavour.account):
+            if self._may_open(node, flavour.account):
                 return self._open(node, claim, flavour, limit)
-            if not self._make_room(node, flavour) and not self._wait(node, claim, until):
+            if not self._evict_idle(node, flavour) and not self._wait_for_connection(node, claim, wait_until):
                 return None
 
-    def _idle(self, node: Node, owner: Owner, flavour: Flavour) -> Conn | None:
+    def _take_idle(self, node: Node, owner: Owner, flavour: Flavour) -> Conn | None:
         best = None
         setup = owner.session.setup()
         for conn in reversed(node.idle):
@@ -626,18 +636,18 @@
                 best = conn
                 break
             if best is None or (
-                _distance(conn, setup) < _distance(best, setup)
+                _setup_cost(conn, setup) < _setup_cost(best, setup)
             ):  # of the connections with the smallest distance, the most recently used one wins
                 best = conn
         if best is not None:
             node.idle.remove(best)
         return best
 
-    def _fresh(self, conn: Conn) -> bool:
+    def _is_usable(self, conn: Conn) -> bool:
         age = self._scheduler.now() - conn.used_at
         return age < self._idle_seconds and conn.channel.quiet()
 
-    def _room(self, node: Node, account: str) -> bool:
+    def _may_open(self, node: Node, account: str) -> bool:
         if node.open >= node.most:
             # The limit is raised by one after a while, since other clients of the node disconnect over time.
             if self._scheduler.now() - node.learned_at < LEARNED_SECONDS:
@@ -645,7 +655,7 @@
             node.most, node.learned_at = node.most + 1, self._scheduler.now()
         if node.by_account.get(account, 0) >= self._settings.connections:
             return False
-        return self._total < self._settings.connections_total or self._close_longest_idle()
+        return self._open_total < self._settings.connections_total or self._close_longest_idle()
 
     def _close_longest_idle(self) -> bool:
         """Close the connection to any node that has been idle for the longest time."""
@@ -657,22 +667,22 @@
         self.discard(conn, wake=False)
         return True
 
-    def _make_room(self, node: Node, flavour: Flavour) -> bool:
+    def _evict_idle(self, node: Node, flavour: Flavour) -> bool:
         """Close an idle connection of another flavour if a new one can then be opened."""
-        full = node.by_account.get(flavour.account, 0) >= self._settings.connections
+        account_full = node.by_account.get(flavour.account, 0) >= self._settings.connections
         for conn in node.idle:  # starts with the connection that has been idle for the longest time
-            if not full or conn.account == flavour.account:
+            if not account_full or conn.account == flavour.account:
                 node.idle.remove(conn)
                 self.discard(conn, wake=False)
                 return True
         return False
 
-    def _wait(self, node: Node, claim: Claim, until: float) -> bool:
+    def _wait_for_connection(self, node: Node, claim: Claim, wait_until: float) -> bool:
         """Wait for a connection to be returned; return False if none was in time."""
         node.waiters.append(claim)
         self._counters.add("mysql_waits")
         try:
-            self._scheduler.park(until, event=claim.event)
+            self._scheduler.park(wait_until, event=claim.event)
         except TaskTimeoutError:
             return claim.granted is not None
         finally:
@@ -685,19 +695,19 @@
 
     def _open(self, node: Node, claim: Claim, flavour: Flavour, limit: float) -> Conn:
         node.open += 1
-        self._total += 1
+        self._open_total += 1
         node.by_account[flavour.account] = node.by_account.get(flavour.account, 0) + 1
         channel: Channel | None = None
         try:
             now = self._scheduler.now()
-            wait = min(self._connect_seconds, (limit - now) * CONNECT_TIMEOUT_FRACTION)
-            stream = Stream.connect(self._scheduler, node.address, now + wait, claim.event)
+            timeout = min(self._connect_seconds, (limit - now) * CONNECT_TIMEOUT_FRACTION)
+            stream = Stream.connect(self._scheduler, node.address, now + timeout, claim.event)
             channel = Channel(stream)
             login = self._log_in(channel, flavour, limit, claim)
         except BaseException:
             if channel is not None:
                 channel.close()
-            self._closed(node, flavour.account)
+            self._count_closed(node, flavour.account)
             raise
         self._counters.add("connections_opened")
         return Conn(node, channel, flavour, login)
@@ -706,18 +716,18 @@
         settings = self._settings
         login = ClientLogin(
             flavour.account, self._passwords.of(flavour.account), WANTED | flavour.meaning, flavour.collation,
-            settings.node_tls.mode, public_key=self._node_key, ask_key=settings.ask_node_key,
+            settings.node_tls.mode, public_key=self._node_public_key, ask_key=settings.ask_node_key,
         )  # fmt: skip
         while True:
-            turn = login.step()
+            step = login.step()
             if login.out:
                 out, login.out = login.out, b""
                 channel.send(out, limit)
-            if turn is Turn.TLS:
+            if step is Turn.TLS:
                 assert self._context is not None
                 channel.start_tls(self._context, False, settings.node_tls.host, b"", limit)
                 continue
-            if turn is Turn.DONE:
+            if step is Turn.DONE:
                 if login.extra:
                     raise ProtocolError("bytes behind the login's end")
                 return login
@@ -750,11 +760,11 @@
         """Close a connection; repeated calls have no effect."""
         if conn.channel.open:
             conn.channel.close()
-            self._closed(conn.node, conn.account, wake)
+            self._count_closed(conn.node, conn.account, wake)
 
-    def _closed(self, node: Node, account: str, wake: bool = True) -> None:
+    def _count_closed(self, node: Node, account: str, wake: bool = True) -> None:
         node.open -= 1
-        self._total -= 1
+        self._open_total -= 1
         node.by_account[account] -= 1
         if not node.by_account[account]:
             del node.by_account[account]
@@ -783,52 +793,52 @@
             raise ProtocolError("bytes behind an answer")
         return relay, out
 
-    def _sure(self, conn: Conn, body: bytes, limit: float, claim: Claim) -> ReplyRelay:
+    def _ask_checked(self, conn: Conn, body: bytes, limit: float, claim: Claim) -> ReplyRelay:
         relay, _ = self.ask(conn, body, limit, claim)
         if relay.error is not None:
             raise TuneFailed(relay.error)
         return relay
 
-    def _tune(self, conn: Conn, work: Work, claim: Claim, limit: float) -> None:
+    def _set_up_session(self, conn: Conn, work: Work, claim: Claim, limit: float) -> None:
         """Set up the session state that a statement needs on a connection."""
         owner, session = work.owner, work.session
         if work.about_previous and not (conn.owner is owner and owner.last is conn):
-            raise TuneFailed(_GONE)
-        known = owner.id_conn
-        if work.reads_last_id and session.last_id is None and known is not conn:
-            if known is None or known.carries is not owner or known not in known.node.idle:
-                raise TuneFailed(_GONE)
-            known.node.idle.remove(known)
+            raise TuneFailed(_STATE_LOST_ERROR)
+        id_conn = owner.id_conn
+        if work.reads_last_id and session.last_id is None and id_conn is not conn:
+            if id_conn is None or id_conn.carries is not owner or id_conn not in id_conn.node.idle:
+                raise TuneFailed(_STATE_LOST_ERROR)
+            id_conn.node.idle.remove(id_conn)
             try:
-                self._carry(known, claim, limit)
+                self._fetch_last_insert_id(id_conn, claim, limit)
             except BaseException:
-                self.discard(known)
+                self.discard(id_conn)
                 raise
-            self.give_back(known)
+            self.give_back(id_conn)
         if conn.carries is not None and conn.carries is not owner:
-            self._carry(conn, claim, limit)
+            self._fetch_last_insert_id(conn, claim, limit)
         setup = session.setup(work.reads_last_id and session.last_id is not None)
         if conn.settings != setup.settings[: len(conn.settings)]:
-            self._sure(conn, bytes((Command.RESET_CONNECTION,)), limit, claim)
+            self._ask_checked(conn, bytes((Command.RESET_CONNECTION,)), limit, claim)
             conn.was_reset()
         missing = list(setup.settings[len(conn.settings) :])
-        for alone in [pair for pair in missing if pair[0].startswith("transaction")]:
-            missing.remove(alone)
-            self._sure(conn, b"\3" + replay_text([alone]), limit, claim)
+        for assignment in [pair for pair in missing if pair[0].startswith("transaction")]:
+            missing.remove(assignment)
+            self._ask_checked(conn, b"\3" + replay_text([assignment]), limit, claim)
         if conn.autocommit != setup.autocommit:
             missing.append(("autocommit", f"SESSION autocommit = {int(setup.autocommit)}"))
         if setup.last_id is not None:
             missing.append(("last_insert_id", f"SESSION last_insert_id = {setup.last_id}"))
         if missing:
-            relay = self._sure(conn, b"\3" + replay_text(missing), limit, claim)
+            relay = self._ask_checked(conn, b"\3" + replay_text(missing), limit, claim)
             conn.autocommit = bool(relay.status & Flag.AUTOCOMMIT)
         conn.settings = setup.settings
         if conn.schema != setup.schema and setup.schema:
-            self._sure(conn, b"\2" + setup.schema.encode(), limit, claim)
+            self._ask_checked(conn, b"\2" + setup.schema.encode(), limit, claim)
             conn.schema = setup.schema
         if conn.multi != setup.multi:
             option = 0 if setup.multi else 1
-            self._sure(conn, bytes((Command.SET_OPTION, option, 0)), limit, claim)
+            self._ask_checked(conn, bytes((Command.SET_OPTION, option, 0)), limit, claim)
             conn.multi = setup.multi
         conn.owner = owner
         owner.last = conn
@@ -840,7 +850,7 @@
             raise ProtocolError("the node refused a reset")
         conn.was_reset()
 
-    def _carry(self, conn: Conn, claim: Claim, limit: float) -> None:
+    def _fetch_last_insert_id(self, conn: Conn, claim: Claim, limit: float) -> None:
         """Query the LAST_INSERT_ID that a session left on a connection before another session uses it."""
         owner = conn.carries
         assert owner is not None
@@ -859,7 +869,7 @@
             raise ProtocolError("the node does not tell its LAST_INSERT_ID()") from None
         self._counters.add("mysql_ids_carried")
 
-    def _worded(self, conn: Conn, work: Work, claim: Claim, limit: float) -> tuple[bytes, ReplyRelay]:
+    def _encode_command(self, conn: Conn, work: Work, claim: Claim, limit: float) -> tuple[bytes, ReplyRelay]:
         """Return the bytes to send for a command on this connection, and the relay for its response."""
         session, body = work.session, work.body
         data = b""
@@ -872,49 +882,51 @@
         return data + frame(body, 0), relay
 
     def execute(
-        self, conn: Conn, found: PreparedText, run: Execute, claim: Claim | None, limit: float
+        self, conn: Conn, prepared: PreparedText, execution: Execute, claim: Claim | None, limit: float
     ) -> tuple[bytes, bytes]:
         """Return the long data packets to send first, and the COM_STMT_EXECUTE body for this connection.
 
         The statement is prepared first if it is not prepared on this connection yet.
         """
-        key = (conn.schema, conn.settings, found.text)
-        known = conn.prepared.get(key)
-        ahead = b""
-        if known is None:
-            relay, _ = self.ask(conn, b"\x16" + found.text, limit, claim)
+        key = (conn.schema, conn.settings, prepared.text)
+        on_node = conn.prepared.get(key)
+        long_data = b""
+        if on_node is None:
+            relay, _ = self.ask(conn, b"\x16" + prepared.text, limit, claim)
             if relay.error is not None:
                 raise TuneFailed(relay.error)
             assert relay.prepared is not None
-            self.prepared(conn, found.text, relay)
-            known = conn.prepared[key]
+            self.prepared(conn, prepared.text, relay)
+            on_node = conn.prepared[key]
             self._counters.add("mysql_prepared_anew")
         conn.prepared.move_to_end(key)
-        if known[1] != found.parameters:
+        if on_node[1] != prepared.parameters:
             raise TuneFailed(Err.of(Errno.NEED_REPREPARE, "Prepared statement needs to be re-prepared"))
-        number = known[0]
-        for parameter, value in found.long.items():
-            head = b"\x18" + number.to_bytes(4, "little") + parameter.to_bytes(2, "little")
-            ahead += frame(head + bytes(value), 0)
-        here = Execute(number, run.flags, run.nulls, run.types, run.values)
-        return ahead, here.encode(found.parameters)
+        statement_id = on_node[0]
+        for parameter, value in prepared.long.items():
+            head = b"\x18" + statement_id.to_bytes(4, "little") + parameter.to_bytes(2, "little")
+            long_data += frame(head + bytes(value), 0)
+        forwarded = Execute(statement_id, execution.flags, execution.nulls, execution.types, execution.values)
+        return long_data, forwarded.encode(prepared.parameters)
 
     def prepared(self, conn: Conn, text: bytes, relay: ReplyRelay) -> None:
         """Record a statement prepared on a connection; close the least recently used ones to make room."""
         if relay.prepared is None:
             return
         key = (conn.schema, conn.settings, text)
-        gone = [conn.prepared.pop(key)] if key in conn.prepared else []
+        evicted = [conn.prepared.pop(key)] if key in conn.prepared else []
         conn.prepared[key] = relay.prepared.statement, relay.prepared.parameters
         size = sum(len(each[2]) for each in conn.prepared)
         while len(conn.prepared) > KEPT_PREPARED or (len(conn.prepared) > 1 and size > KEPT_PREPARED_BYTES):
-            oldest, known = conn.prepared.popitem(last=False)
-            gone.append(known)
+            oldest, entry = conn.prepared.popitem(last=False)
+            evicted.append(entry)
             size -= len(oldest[2])
-        if gone:
-            close = b"".join(frame(b"\x19" + number.to_bytes(4, "little"), 0) for number, _ in gone)
+        if evicted:
+            close_commands = b"".join(
+                frame(b"\x19" + number.to_bytes(4, "little"), 0) for number, _ in evicted
+            )
             try:  # COM_STMT_CLOSE has no response, and its few bytes fit into the send buffer
-                conn.channel.send(close, self._scheduler.now() + 1)
+                conn.channel.send(close_commands, self._scheduler.now() + 1)
             except (OSError, TaskTimeoutError):
                 conn.doomed = True
 
@@ -925,7 +937,7 @@
         conn.doomed = True
         self.kill(conn, lambda: self.discard(conn))
 
-    def kill(self, conn: Conn, over: Callable[[], None] | None = None, query: bool = True) -> None:
+    def kill(self, conn: Conn, on_finished: Callable[[], None] | None = None, query: bool = True) -> None:
         """Kill the statement on a connection; `over` is called exactly once, also after a failure.
 
         The number of concurrent and queued kills per node is limited.
@@ -943,8 +955,8 @@
                     extra={"fields": {"node": node.name, "reason": type(error).__name__}},
                 )
             finally:
-                if over is not None:
-                    over()
+                if on_finished is not None:
+                    on_finished()
                 node.side -= 1
                 if node.side_waits:
                     node.side_waits.popleft()()
@@ -959,8 +971,8 @@
             node.side_waits.append(start)
         else:
             self._counters.add("mysql_kills_failed")
-            if over is not None:
-                over()
+            if on_finished is not None:
+                on_finished()
 
     def _kill(self, node: Node, conn: Conn, query: bool) -> None:
         """Send KILL on an idle connection of the account, or else on a new one outside the pool."""
@@ -982,22 +994,22 @@
         try:
             flavour = Flavour(conn.account, conn.collation, conn.meaning)
             login = self._log_in(channel, flavour, limit, None)
-            side = Conn(node, channel, flavour, login)
-            self.ask(side, text, limit)
+            extra_conn = Conn(node, channel, flavour, login)
+            self.ask(extra_conn, text, limit)
         finally:
             channel.close()
 
 
-def _distance(conn: Conn, setup: Setup) -> int:
+def _setup_cost(conn: Conn, setup: Setup) -> int:
     """Estimate how many commands set up a session's state on a connection."""
-    far = 0 if conn.settings == setup.settings else 1
+    cost = 0 if conn.settings == setup.settings else 1
     if conn.settings != setup.settings[: len(conn.settings)]:
-        far += 1
-    far += conn.carries is not None
-    return far + (conn.schema != setup.schema) + (conn.multi != setup.multi)
+        cost += 1
+    cost += conn.carries is not None
+    return cost + (conn.schema != setup.schema) + (conn.multi != setup.multi)
 
 
-_GONE = Err.of(
+_STATE_LOST_ERROR = Err.of(
     Errno.NOT_SUPPORTED_YET,
     "This asks for what an earlier statement left on its connection, which has passed on: "
     "ask right after it, or within a transaction",
--- a/brambleusher/fronts/mysql/packets.py
+++ b/brambleusher/fronts/mysql/packets.py
@@ -28,9 +28,9 @@
         return struct.pack("<I", size | (seq & 0xFF) << 24) + payload
     out = []
     for at in range(0, size + 1, MAX_PAYLOAD):
-        part = payload[at : at + MAX_PAYLOAD]
-        out.append(struct.pack("<I", len(part) | (seq & 0xFF) << 24))
-        out.append(part)
+        chunk = payload[at : at + MAX_PAYLOAD]
+        out.append(struct.pack("<I", len(chunk) | (seq & 0xFF) << 24))
+        out.append(chunk)
         seq += 1
     return b"".join(out)
 
@@ -43,13 +43,13 @@
 class PacketReader:
     """Reassembles messages from a byte stream; raises `ProtocolError` for a wrong sequence number or size."""
 
-    __slots__ = ("_buffer", "_parts", "_size", "most", "seq")
+    __slots__ = ("_buffer", "_chunks", "_size", "most", "seq")
 
     def __init__(self, most: int, seq: int = 0) -> None:
         self.most = most  # maximum message size in bytes
         self.seq = seq  # expected sequence number of the next packet
         self._buffer = bytearray()
-        self._parts: list[bytes] = []
+        self._chunks: list[bytes] = []
         self._size = 0
 
     def feed(self, data: bytes) -> None:
@@ -68,7 +68,7 @@
     @property
     def begun(self) -> bool:
         """Whether a part of a message is buffered."""
-        return bool(self._buffer or self._parts)
+        return bool(self._buffer or self._chunks)
 
     @property
     def answer_seq(self) -> int:
@@ -84,8 +84,8 @@
     def take(self) -> bytes | None:
         """Return the next complete message, or None if it has not arrived yet."""
         while len(self._buffer) >= HEADER:
-            (word,) = struct.unpack_from("<I", self._buffer)
-            size, seq = word & MAX_PAYLOAD, word >> 24
+            (header,) = struct.unpack_from("<I", self._buffer)
+            size, seq = header & MAX_PAYLOAD, header >> 24
             if seq != self.seq & 0xFF:
                 raise ProtocolError(
                     f"packet numbered {seq} where {self.seq & 0xFF} is due", Errno.NET_PACKETS_OUT_OF_ORDER
@@ -95,17 +95,17 @@
                 raise ProtocolError(f"a message of more than {self.most} bytes", Errno.NET_PACKET_TOO_LARGE)
             if len(self._buffer) < HEADER + size:
                 return None
-            part = bytes(self._buffer[HEADER : HEADER + size])
+            payload = bytes(self._buffer[HEADER : HEADER + size])
             del self._buffer[: HEADER + size]
             self.seq += 1
             if size == MAX_PAYLOAD:
-                self._parts.append(part)
+                self._chunks.append(payload)
                 self._size += size
                 continue
-            if self._parts:
-                part = b"".join([*self._parts, part])
-                self._parts, self._size = [], 0
-            return part
+            if self._chunks:
+                payload = b"".join([*self._chunks, payload])
+                self._chunks, self._size = [], 0
+            return payload
         return None
 
 
--- a/brambleusher/fronts/mysql/replies.py
+++ b/brambleusher/fronts/mysql/replies.py
@@ -68,17 +68,17 @@
         they depend on the number of packets of the command.
         """
         self._server, self._client, self._statement = server, client, statement
-        self._new = bool(server & Capability.DEPRECATE_EOF)
-        self._client_new = bool(client & Capability.DEPRECATE_EOF)
+        self._server_deprecates_eof = bool(server & Capability.DEPRECATE_EOF)
+        self._client_deprecates_eof = bool(client & Capability.DEPRECATE_EOF)
         self._same_ok = server & Capability.SESSION_TRACK == client & Capability.SESSION_TRACK
         self._stage = _FIRST_STAGE.get(command, Stage.SIMPLE)  # type: ignore[call-overload]
         self._buffer = bytearray()
         # Sequence numbers of the next packet from the server and of the next packet to the client.
-        self._in_seq, self.seq = seq, client_seq
-        self._passing = 0  # remaining bytes of a packet that is forwarded in pieces
+        self._server_seq, self.seq = seq, client_seq
+        self._forwarding_left = 0  # remaining bytes of a packet that is forwarded in pieces
         self._continued = False  # the next packet continues the message of the previous one
-        self._left = self._columns = 0  # number of definitions that have not arrived yet
-        self._eof_owed = False  # the client has not received the EOF after the column definitions yet
+        self._definitions_left = self._columns = 0  # number of definitions that have not arrived yet
+        self._eof_pending = False  # the client has not received the EOF after the column definitions yet
         self._results = 0
         self.begun = False  # the first byte of the reply has arrived
         self.rows = 0
@@ -97,7 +97,7 @@
     @property
     def packet_open(self) -> bool:
         """Whether the client has received part of a packet, so that only the rest of it may follow."""
-        return self._passing > 0 or self._continued
+        return self._forwarding_left > 0 or self._continued
 
     @property
     def extra(self) -> bool:
@@ -112,21 +112,21 @@
         out = bytearray()
         at, stage = 0, self._stage
         while stage is not Stage.DONE:
-            if self._passing:
-                part = self._buffer[at : at + self._passing]
-                if not part:
+            if self._forwarding_left:
+                chunk = self._buffer[at : at + self._forwarding_left]
+                if not chunk:
                     break
-                out += part
-                at += len(part)
-                self._passing -= len(part)
+                out += chunk
+                at += len(chunk)
+                self._forwarding_left -= len(chunk)
                 continue
             before = at
-            if stage is Stage.ROWS and not self._eof_owed:
+            if stage is Stage.ROWS and not self._eof_pending:
                 at = self._take_rows(at, out)
             else:
                 at = self._take_one(at, out)
             stage = self._stage
-            if at == before and not self._passing:
+            if at == before and not self._forwarding_left:
                 break
         del self._buffer[:at]
         return bytes(out)
@@ -136,7 +136,7 @@
         if self.packet_open or self.done:
             return b""
         self._stage, self.error = Stage.DONE, error
-        return self._ended_columns() + self._framed(error.encode())
+        return self._pending_columns_end() + self._framed(error.encode())
 
     # --- packets --------------------------------------------------------------------------------
 
@@ -144,71 +144,71 @@
         """Return the size of the payload, or -1 if the header is incomplete."""
         if len(self._buffer) - at < HEADER:
             return -1
-        (word,) = struct.unpack_from("<I", self._buffer, at)
-        if word >> 24 != self._in_seq & 0xFF:
+        (header,) = struct.unpack_from("<I", self._buffer, at)
+        if header >> 24 != self._server_seq & 0xFF:
             raise ProtocolError(
-                f"the node's packet is numbered {word >> 24} where {self._in_seq & 0xFF} is due",
+                f"the node's packet is numbered {header >> 24} where {self._server_seq & 0xFF} is due",
                 Errno.NET_PACKETS_OUT_OF_ORDER,
             )
-        return int(word & MAX_PAYLOAD)
+        return int(header & MAX_PAYLOAD)
 
     def _take_rows(self, at: int, out: bytearray) -> int:
         """Forward all complete row packets in the buffer and the packet that ends the rows."""
         buffer, end, start = self._buffer, len(self._buffer), at
-        in_seq, seq, rows = self._in_seq & 0xFF, self.seq & 0xFF, 0
-        moved, limit = in_seq != seq, MAX_PAYLOAD if self._new else 9
+        in_seq, seq, rows = self._server_seq & 0xFF, self.seq & 0xFF, 0
+        renumbered, eof_limit = in_seq != seq, MAX_PAYLOAD if self._server_deprecates_eof else 9
         unpack = struct.unpack_from
         while end - at > HEADER:
-            (word,) = unpack("<I", buffer, at)
-            size = word & 0xFFFFFF
+            (header,) = unpack("<I", buffer, at)
+            size = header & 0xFFFFFF
             first = buffer[at + HEADER]
-            if word >> 24 != in_seq or not size or self._continued or size == MAX_PAYLOAD:
+            if header >> 24 != in_seq or not size or self._continued or size == MAX_PAYLOAD:
                 break
-            if first >= 0xFE and (first == 0xFF or size < limit):
+            if first >= 0xFE and (first == 0xFF or size < eof_limit):
                 break
             if at + HEADER + size > end:
                 break
-            if moved:
+            if renumbered:
                 buffer[at + 3] = seq
             at += HEADER + size
             in_seq, seq, rows = in_seq + 1 & 0xFF, seq + 1 & 0xFF, rows + 1
         out += memoryview(buffer)[start:at]
-        self._in_seq, self.seq, self.rows = in_seq, seq, self.rows + rows
+        self._server_seq, self.seq, self.rows = in_seq, seq, self.rows + rows
         return self._take_one(at, out)
 
     def _take_one(self, at: int, out: bytearray) -> int:
         """Process one packet if it is complete, or the start of a long row packet."""
         size = self._header(at)
-        here = len(self._buffer) - at - HEADER
-        if size < 0 or (size and not here):
+        available = len(self._buffer) - at - HEADER
+        if size < 0 or (size and not available):
             return at
         if self._stage is Stage.ROWS and (self._continued or self._is_row(at, size)):
-            return self._take_row(at, size, here, out)
+            return self._take_row(at, size, available, out)
         if size > MAX_DEFINITION:
             raise ProtocolError(f"the node sent a packet of {size} bytes where none so long can stand")
-        if here < size:
+        if available < size:
             return at
         payload = bytes(self._buffer[at + HEADER : at + HEADER + size])
-        self._in_seq += 1
-        out += self._packet(payload)
+        self._server_seq += 1
+        out += self._handle_packet(payload)
         return at + HEADER + size
 
     def _is_row(self, at: int, size: int) -> bool:
         if not size:
             raise ProtocolError("the node sent an empty packet among its rows")
         first = self._buffer[at + HEADER]
-        return first < 0xFE or (first == 0xFE and size >= (MAX_PAYLOAD if self._new else 9))
+        return first < 0xFE or (first == 0xFE and size >= (MAX_PAYLOAD if self._server_deprecates_eof else 9))
 
-    def _take_row(self, at: int, size: int, here: int, out: bytearray) -> int:
-        if here < size <= HELD:
+    def _take_row(self, at: int, size: int, available: int, out: bytearray) -> int:
+        if available < size <= HELD:
             return at
         if not self._continued:
-            out += self._ended_columns()
+            out += self._pending_columns_end()
             self.rows += 1
         out += struct.pack("<I", size | (self.seq & 0xFF) << 24)
-        self._in_seq, self.seq = self._in_seq + 1, self.seq + 1
+        self._server_seq, self.seq = self._server_seq + 1, self.seq + 1
         self._continued = size == MAX_PAYLOAD
-        self._passing = size
+        self._forwarding_left = size
         return at + HEADER
 
     def _framed(self, payload: bytes) -> bytes:
@@ -216,16 +216,16 @@
         self.seq += 1
         return out
 
-    def _ended_columns(self) -> bytes:
+    def _pending_columns_end(self) -> bytes:
         """Return the EOF packet after the column definitions if the client still expects it."""
-        if not self._eof_owed:
+        if not self._eof_pending:
             return b""
-        self._eof_owed = False
+        self._eof_pending = False
         return self._framed(Eof(0, self.status & ~(Status.MORE_RESULTS | Status.CURSOR_EXISTS)).encode())
 
     # --- packet contents ------------------------------------------------------------------------
 
-    def _packet(self, payload: bytes) -> bytes:
+    def _handle_packet(self, payload: bytes) -> bytes:
         first = payload[0] if payload else -1
         stage = self._stage
         if first == 0xFF and stage is not Stage.COLUMNS:
@@ -255,9 +255,9 @@
 
     def _err(self, payload: bytes) -> bytes:
         self.error, self._stage = Err.parse(payload), Stage.DONE
-        return self._ended_columns() + self._framed(payload)
+        return self._pending_columns_end() + self._framed(payload)
 
-    def _told(self, status: int) -> None:
+    def _apply_status(self, status: int) -> None:
         """Record the server status, which tells whether another result set follows."""
         self.status = status
         if status & Status.MORE_RESULTS:
@@ -269,7 +269,7 @@
         else:
             self._stage = Stage.DONE
 
-    def _took(self, ok: Ok) -> None:
+    def _apply_ok(self, ok: Ok) -> None:
         self.affected, self.warnings = ok.affected, ok.warnings
         self.last_id = ok.last_id or self.last_id
         if ok.state:
@@ -277,8 +277,8 @@
 
     def _ok(self, payload: bytes) -> bytes:
         ok = Ok.parse(payload, self._server)
-        self._took(ok)
-        self._told(ok.status)
+        self._apply_ok(ok)
+        self._apply_status(ok.status)
         return self._framed(payload if self._same_ok else ok.encode(self._client))
 
     def _first(self, payload: bytes, first: int) -> bytes:
@@ -289,30 +289,30 @@
         if first == -1:
             raise ProtocolError("the node sent an empty packet where a reply begins")
         fields = Fields(payload)
-        self._left = fields.lenenc()
-        if not 0 < self._left <= MAX_COLUMNS or fields.left:
+        self._definitions_left = fields.lenenc()
+        if not 0 < self._definitions_left <= MAX_COLUMNS or fields.left:
             raise ProtocolError("the node's number of columns makes no sense")
-        self._stage, self._columns, self.affected = Stage.COLUMNS, self._left, -1
+        self._stage, self._columns, self.affected = Stage.COLUMNS, self._definitions_left, -1
         return self._framed(payload)
 
     def _definition(self, payload: bytes) -> bytes:
         if not payload:
             raise ProtocolError("the node sent an empty definition of a column")
-        self._left -= 1
+        self._definitions_left -= 1
         out = self._framed(payload)
-        if self._left:
+        if self._definitions_left:
             return out
         if self._stage is Stage.PARAMETERS:
-            if not self._new:
+            if not self._server_deprecates_eof:
                 self._stage = Stage.PARAMETERS_END
                 return out
-            return out + self._definitions_over(Eof(), parameters=True)
-        if not self._new:
+            return out + self._finish_definitions(Eof(), parameters=True)
+        if not self._server_deprecates_eof:
             self._stage = Stage.COLUMNS_END
             return out
         if self.prepared is not None:
-            return out + self._definitions_over(Eof(), parameters=False)
-        self._stage, self._eof_owed = Stage.ROWS, not self._client_new
+            return out + self._finish_definitions(Eof(), parameters=False)
+        self._stage, self._eof_pending = Stage.ROWS, not self._client_deprecates_eof
         return out
 
     def _end_of_definitions(self, payload: bytes, first: int) -> bytes:
@@ -321,18 +321,18 @@
         eof = Eof.parse(payload)
         self.status = eof.status
         if self.prepared is not None:
-            return self._definitions_over(eof, self._stage is Stage.PARAMETERS_END)
+            return self._finish_definitions(eof, self._stage is Stage.PARAMETERS_END)
         if eof.status & Status.CURSOR_EXISTS:  # the client fetches the rows later, so the reply ends here
             return self._end_of_rows(payload)
         self._stage = Stage.ROWS
-        return b"" if self._client_new else self._framed(eof.encode())
+        return b"" if self._client_deprecates_eof else self._framed(eof.encode())
 
-    def _definitions_over(self, eof: Eof, parameters: bool) -> bytes:
+    def _finish_definitions(self, eof: Eof, parameters: bool) -> bytes:
         """End the parameter or column definitions of a prepared statement."""
         assert self.prepared is not None
-        out = b"" if self._client_new else self._framed(eof.encode())
-        self._left = self.prepared.columns if parameters else 0
-        self._stage = Stage.COLUMNS if self._left else Stage.DONE
+        out = b"" if self._client_deprecates_eof else self._framed(eof.encode())
+        self._definitions_left = self.prepared.columns if parameters else 0
+        self._stage = Stage.COLUMNS if self._definitions_left else Stage.DONE
         return out
 
     def _prepared(self, payload: bytes, first: int) -> bytes:
@@ -345,15 +345,15 @@
             ).encode()
         out = self._framed(payload)
         if prepared.parameters:
-            self._left, self._stage = prepared.parameters, Stage.PARAMETERS
+            self._definitions_left, self._stage = prepared.parameters, Stage.PARAMETERS
             return out
-        self._left = prepared.columns
-        self._stage = Stage.COLUMNS if self._left else Stage.DONE
+        self._definitions_left = prepared.columns
+        self._stage = Stage.COLUMNS if self._definitions_left else Stage.DONE
         return out
 
     def _end_of_rows(self, payload: bytes) -> bytes:
         """Convert the packet that ends the rows to the form that the client expects."""
-        if self._new:
+        if self._server_deprecates_eof:
             ok = Ok.parse(payload, self._server)
         else:
             if len(payload) >= 9:
@@ -362,14 +362,14 @@
             ok = Ok(status=eof.status, warnings=eof.warnings)
         out = b""
         if ok.status & Status.CURSOR_EXISTS and not self.rows:
-            self._eof_owed = False  # with a cursor, one packet ends both the columns and the reply
+            self._eof_pending = False  # with a cursor, one packet ends both the columns and the reply
         else:
-            out = self._ended_columns()
+            out = self._pending_columns_end()
         affected = self.affected
-        self._took(ok)
+        self._apply_ok(ok)
         self.affected = affected
-        self._told(ok.status)
-        if self._client_new:
-            same = self._new and self._same_ok
+        self._apply_status(ok.status)
+        if self._client_deprecates_eof:
+            same = self._server_deprecates_eof and self._same_ok
             return out + self._framed(payload if same else ok.encode(self._client, 0xFE))
         return out + self._framed(Eof(ok.warnings, ok.status).encode())
--- a/brambleusher/fronts/mysql/session.py
+++ b/brambleusher/fronts/mysql/session.py
@@ -65,8 +65,10 @@
     ),
     Tie.UNKNOWN: TieRule("a statement with unknown effects (CALL, HANDLER, XA, …)", "a reset"),
 }
-_LASTING = int(Status.IN_TRANS | Status.AUTOCOMMIT | Status.NO_BACKSLASH_ESCAPES | Status.IN_TRANS_READONLY)
-_NO_DATA = frozenset({Kind.SET, Kind.USE, Kind.KILL, Kind.EMPTY, Kind.BEGIN})
+_PERSISTENT_STATUS = int(
+    Status.IN_TRANS | Status.AUTOCOMMIT | Status.NO_BACKSLASH_ESCAPES | Status.IN_TRANS_READONLY
+)
+_KINDS_WITHOUT_DATA = frozenset({Kind.SET, Kind.USE, Kind.KILL, Kind.EMPTY, Kind.BEGIN})
 
 
 @dataclass(slots=True)
@@ -188,7 +190,7 @@
         """Update the session after the complete reply to a statement."""
         error = reply.error
         never_ran = error is not None and (error.state[:2] == "42" or error.errno == Errno.PARSE)
-        self._settle_status(reply, error is None)
+        self._apply_status(reply, error is None)
         if statement.kind is not Kind.KILL and not statement.about_previous:
             self.ties.pop(Tie.DIAGNOSTICS, None)
         if reply.warnings and error is None:
@@ -220,12 +222,12 @@
         if statement.schema is not None:
             self.schema = statement.schema
         self.opaque = self.opaque or statement.opaque_after
-        self._settle_autocommit(statement)
+        self._update_autocommit_pin(statement)
 
-    def _settle_status(self, reply: ReplyRelay, told: bool) -> None:
-        if not told:
+    def _apply_status(self, reply: ReplyRelay, has_status: bool) -> None:
+        if not has_status:
             return  # an ERR packet carries no status, so an open transaction may still be open
-        self.status = reply.status & _LASTING
+        self.status = reply.status & _PERSISTENT_STATUS
         if reply.status & Status.IN_TRANS:
             self.tie(Tie.TRANSACTION)
         else:
@@ -233,13 +235,13 @@
                 self.ties.pop(Tie.NEXT_TRANSACTION, None)
             self.ties.pop(Tie.TRANSACTION, None)
 
-    def _settle_autocommit(self, statement: Statement) -> None:
-        over = statement.kind in (Kind.COMMIT, Kind.ROLLBACK, Kind.DEFINE) or statement.autocommit
-        if over and not statement.chain and Tie.TRANSACTION not in self.ties:
+    def _update_autocommit_pin(self, statement: Statement) -> None:
+        ends_transaction = statement.kind in (Kind.COMMIT, Kind.ROLLBACK, Kind.DEFINE) or statement.autocommit
+        if ends_transaction and not statement.chain and Tie.TRANSACTION not in self.ties:
             self.ties.pop(Tie.AUTOCOMMIT_OFF, None)
             if statement.kind in (Kind.COMMIT, Kind.ROLLBACK):
                 self.ties.pop(Tie.NEXT_TRANSACTION, None)
-        elif not self.autocommit and statement.kind not in _NO_DATA:
+        elif not self.autocommit and statement.kind not in _KINDS_WITHOUT_DATA:
             self.tie(Tie.AUTOCOMMIT_OFF)
 
     def tie(self, tie: Tie, name: str = "") -> None:
@@ -298,75 +300,81 @@
             self._next_prepared = self._next_prepared % 0x7FFFFFFF + 1
         return self._next_prepared
 
-    def was_prepared(self, number: int, text: bytes, statement: Statement, answer: Prepared) -> None:
+    def was_prepared(self, statement_id: int, text: bytes, statement: Statement, response: Prepared) -> None:
         """Record a statement that was prepared with an id from `next_prepared`."""
-        self.prepared[number] = PreparedText(number, text, statement, answer.parameters, answer.columns)
-        self._next_prepared = number % 0x7FFFFFFF + 1
+        self.prepared[statement_id] = PreparedText(
+            statement_id, text, statement, response.parameters, response.columns
+        )
+        self._next_prepared = statement_id % 0x7FFFFFFF + 1
 
-    def find(self, number: int) -> PreparedText:
+    def find(self, statement_id: int) -> PreparedText:
         """Return the prepared statement with an id; raises `ProtocolError` if there is none."""
-        found = self.prepared.get(number)
-        if found is None:
-            raise ProtocolError(f"Unknown prepared statement handler ({number})", Errno.UNKNOWN_STMT_HANDLER)
-        return found
-
-    def long_data(self, body: bytes, most: int) -> None:
+        prepared = self.prepared.get(statement_id)
+        if prepared is None:
+            raise ProtocolError(
+                f"Unknown prepared statement handler ({statement_id})", Errno.UNKNOWN_STMT_HANDLER
+            )
+        return prepared
+
+    def long_data(self, body: bytes, max_bytes: int) -> None:
         """Buffer the data of COM_STMT_SEND_LONG_DATA until the statement is executed.
 
         The command has no response; an unknown statement or parameter is therefore ignored here.
         """
         if len(body) < 7:
             return
-        number, parameter = int.from_bytes(body[1:5], "little"), int.from_bytes(body[5:7], "little")
-        found = self.prepared.get(number)
-        if found is None or parameter >= found.parameters:
+        statement_id, parameter = int.from_bytes(body[1:5], "little"), int.from_bytes(body[5:7], "little")
+        prepared = self.prepared.get(statement_id)
+        if prepared is None or parameter >= prepared.parameters:
             return
-        if sum(each.long_bytes for each in self.prepared.values()) + len(body) > most:
+        if sum(each.long_bytes for each in self.prepared.values()) + len(body) > max_bytes:
             raise ProtocolError("long data beyond max_packet_mb", Errno.NET_PACKET_TOO_LARGE)
-        found.long.setdefault(parameter, bytearray()).extend(body[7:])
+        prepared.long.setdefault(parameter, bytearray()).extend(body[7:])
 
     def execute(self, body: bytes) -> tuple[PreparedText, Execute]:
         """Parse COM_STMT_EXECUTE; missing parameter types are taken from the previous execution."""
         if len(body) < 10:
             raise ProtocolError("an execute cut short")
-        found = self.find(int.from_bytes(body[1:5], "little"))
-        run = Execute.parse(body, found.parameters)
-        if run.types is None:
-            if found.parameters and len(found.types) != 2 * found.parameters:
+        prepared = self.find(int.from_bytes(body[1:5], "little"))
+        execution = Execute.parse(body, prepared.parameters)
+        if execution.types is None:
+            if prepared.parameters and len(prepared.types) != 2 * prepared.parameters:
                 raise ProtocolError("an execute without types, and none were told", Errno.WRONG_ARGUMENTS)
-            run.types = found.types or None
-        if run.types is not None:
-            run.parameters(found.parameters, run.types, frozenset(found.long))  # validates the values
-            found.types = run.types
-        return found, run
-
-    def executed(self, found: PreparedText, flags: int, reply: ReplyRelay) -> None:
+            execution.types = prepared.types or None
+        if execution.types is not None:
+            execution.parameters(
+                prepared.parameters, execution.types, frozenset(prepared.long)
+            )  # validates the values
+            prepared.types = execution.types
+        return prepared, execution
+
+    def executed(self, prepared: PreparedText, flags: int, reply: ReplyRelay) -> None:
         """Update the session after the complete reply to COM_STMT_EXECUTE."""
-        found.long.clear()
-        self.cursors.discard(found.id)
+        prepared.long.clear()
+        self.cursors.discard(prepared.id)
         if flags & CURSOR_READ_ONLY and reply.status & Status.CURSOR_EXISTS and reply.error is None:
-            self.cursors.add(found.id)
-        self._settle_cursors()
+            self.cursors.add(prepared.id)
+        self._update_cursor_pin()
 
-    def fetched(self, number: int, reply: ReplyRelay) -> None:
+    def fetched(self, statement_id: int, reply: ReplyRelay) -> None:
         """Update the session after the complete reply to COM_STMT_FETCH."""
         if reply.error is not None or reply.status & Status.LAST_ROW_SENT:
-            self.cursors.discard(number)
-        self._settle_cursors()
+            self.cursors.discard(statement_id)
+        self._update_cursor_pin()
 
-    def close_prepared(self, number: int) -> None:
+    def close_prepared(self, statement_id: int) -> None:
         """Handle COM_STMT_CLOSE for a prepared statement."""
-        self.prepared.pop(number, None)
-        self.cursors.discard(number)
-        self._settle_cursors()
+        self.prepared.pop(statement_id, None)
+        self.cursors.discard(statement_id)
+        self._update_cursor_pin()
 
-    def reset_prepared(self, number: int) -> None:
+    def reset_prepared(self, statement_id: int) -> None:
         """Handle COM_STMT_RESET for a prepared statement."""
-        self.find(number).long.clear()
-        self.cursors.discard(number)
-        self._settle_cursors()
+        self.find(statement_id).long.clear()
+        self.cursors.discard(statement_id)
+        self._update_cursor_pin()
 
-    def _settle_cursors(self) -> None:
+    def _update_cursor_pin(self) -> None:
         if self.cursors:
             self.ties[Tie.UNREAD] = {str(number) for number in self.cursors}
         else:
--- a/brambleusher/fronts/mysql/settings.py
+++ b/brambleusher/fronts/mysql/settings.py
@@ -101,7 +101,7 @@
     return raw
 
 
-def _flag(section: Section, key: str, default: bool) -> bool:
+def _boolean(section: Section, key: str, default: bool) -> bool:
     value = section.take(key, default)
     if not isinstance(value, bool):
         raise OperatorFileError(f"{section.name(key)} is not true or false")
@@ -155,38 +155,38 @@
         given_grace = _mapping(section, "grace_ms")
         each = Section(given_grace, "mysql.grace_ms")
         grace = {str(name): each.integer(name, 0, 0, 3_600_000) for name in given_grace}
-    usual = MysqlSettings(("", 0), "", "", "")
+    defaults = MysqlSettings(("", 0), "", "", "")
     settings = MysqlSettings(
         listen=_address(section.text("listen"), "mysql.listen"),
         users_file=section.text("users_file") or "",
         accounts_file=section.text("accounts_file") or "",
         strict_class=section.text("strict_class") or "",
         default_class=section.text("default_class"),
-        port=section.integer("port", usual.port, 1, 65_535),
+        port=section.integer("port", defaults.port, 1, 65_535),
         addresses=addresses,
         users=users,
         statements=_statements(section.take("statements")),
-        hints=_flag(section, "hints", usual.hints),
+        hints=_boolean(section, "hints", defaults.hints),
         tenant=section.text("tenant"),
-        server_version=section.text("server_version", usual.server_version) or "",
-        auth_plugin=section.choice("auth_plugin", (CACHING_SHA2, NATIVE), usual.auth_plugin),
+        server_version=section.text("server_version", defaults.server_version) or "",
+        auth_plugin=section.choice("auth_plugin", (CACHING_SHA2, NATIVE), defaults.auth_plugin),
         tls=_tls(section.take("tls"), "mysql.tls", server=True),
         node_tls=_tls(section.take("node_tls"), "mysql.node_tls", server=False),
         rsa_key_file=section.text("rsa_key_file", "") or "",
         node_key_file=section.text("node_key_file", "") or "",
-        ask_node_key=_flag(section, "ask_node_key", usual.ask_node_key),
-        sessions=section.integer("sessions", usual.sessions, 1, 100_000),
-        connections=section.integer("connections", usual.connections, 1, 10_000),
-        connections_total=section.integer("connections_total", usual.connections_total, 1, 100_000),
-        idle_ms=section.integer("idle_ms", usual.idle_ms, 10, 86_400_000),
-        pool_wait_ms=section.integer("pool_wait_ms", usual.pool_wait_ms, 0, 3_600_000),
-        login_ms=section.integer("login_ms", usual.login_ms, 10, 600_000),
-        session_idle_ms=section.integer("session_idle_ms", usual.session_idle_ms, 10, 604_800_000),
-        max_packet_mb=section.integer("max_packet_mb", usual.max_packet_mb, 1, 1024),
-        memory_mb=section.integer("memory_mb", usual.memory_mb, 1, 65_536),
+        ask_node_key=_boolean(section, "ask_node_key", defaults.ask_node_key),
+        sessions=section.integer("sessions", defaults.sessions, 1, 100_000),
+        connections=section.integer("connections", defaults.connections, 1, 10_000),
+        connections_total=section.integer("connections_total", defaults.connections_total, 1, 100_000),
+        idle_ms=section.integer("idle_ms", defaults.idle_ms, 10, 86_400_000),
+        pool_wait_ms=section.integer("pool_wait_ms", defaults.pool_wait_ms, 0, 3_600_000),
+        login_ms=section.integer("login_ms", defaults.login_ms, 10, 600_000),
+        session_idle_ms=section.integer("session_idle_ms", defaults.session_idle_ms, 10, 604_800_000),
+        max_packet_mb=section.integer("max_packet_mb", defaults.max_packet_mb, 1, 1024),
+        memory_mb=section.integer("memory_mb", defaults.memory_mb, 1, 65_536),
         grace_ms=grace,
-        load=section.choice("load", ("pool", "none"), usual.load),
-        drain_spread_ms=section.integer("drain_spread_ms", usual.drain_spread_ms, 0, 600_000),
+        load=section.choice("load", ("pool", "none"), defaults.load),
+        drain_spread_ms=section.integer("drain_spread_ms", defaults.drain_spread_ms, 0, 600_000),
     )
     section.reject_unknown_keys()
     return settings
@@ -216,11 +216,18 @@
     """Check that classes and tenants exist on the platform; raises `OperatorFileError` naming the key."""
     classes = {cls.name: cls for cls in platform.classes}
     tenants = {tenant.name for tenant in platform.tenants}
-    named = [("mysql.strict_class", settings.strict_class), ("mysql.default_class", settings.default_class)]
-    named += [(f"mysql.users.{name}.class", rule.request_class) for name, rule in settings.users.items()]
-    named += [(f"mysql.statements[{at}].class", r.request_class) for at, r in enumerate(settings.statements)]
-    named += [(f"mysql.grace_ms.{name}", name) for name in settings.grace_ms]
-    for path, name in named:
+    class_settings = [
+        ("mysql.strict_class", settings.strict_class),
+        ("mysql.default_class", settings.default_class),
+    ]
+    class_settings += [
+        (f"mysql.users.{name}.class", rule.request_class) for name, rule in settings.users.items()
+    ]
+    class_settings += [
+        (f"mysql.statements[{at}].class", r.request_class) for at, r in enumerate(settings.statements)
+    ]
+    class_settings += [(f"mysql.grace_ms.{name}", name) for name in settings.grace_ms]
+    for path, name in class_settings:
         if name is None:
             continue
         if name not in classes:
@@ -230,9 +237,9 @@
             raise OperatorFileError(f"{path}: {name} is repeated by a key, which MySQL does not carry")
     if classes[settings.strict_class].idempotency is not api.Idempotency.UNSAFE:
         raise OperatorFileError(f"mysql.strict_class: {settings.strict_class} may be repeated")
-    given = [("mysql.tenant", settings.tenant)]
-    given += [(f"mysql.users.{name}.tenant", rule.tenant) for name, rule in settings.users.items()]
-    for path, name in given:
+    tenant_settings = [("mysql.tenant", settings.tenant)]
+    tenant_settings += [(f"mysql.users.{name}.tenant", rule.tenant) for name, rule in settings.users.items()]
+    for path, name in tenant_settings:
         if name is not None and tenants and name not in tenants:
             raise OperatorFileError(f"{path}: there is no tenant {name}")
     if tenants and settings.tenant is None:
@@ -242,7 +249,7 @@
 # --- users and accounts files -------------------------------------------------------------------
 
 
-def _lines(path: str, key: str) -> list[tuple[int, str]]:
+def _read_lines(path: str, key: str) -> list[tuple[int, str]]:
     try:
         with Path(path).open("rb") as file:
             raw = file.read(MAX_FILE + 1)
@@ -264,7 +271,7 @@
 def load_users(path: str) -> dict[str, Secret]:
     """Load the users file; each line has a name, a plugin and a hash, separated by tabs or spaces."""
     out: dict[str, Secret] = {}
-    for number, line in _lines(path, "mysql.users_file"):
+    for number, line in _read_lines(path, "mysql.users_file"):
         parts = line.split()
         if len(parts) != 3:
             raise OperatorFileError(f"mysql.users_file: line {number} is not a name, a plugin and a hash")
@@ -299,7 +306,7 @@
     An account without a password logs in with an empty one.
     """
     out: dict[str, bytes] = {}
-    for number, line in _lines(path, "mysql.accounts_file"):
+    for number, line in _read_lines(path, "mysql.accounts_file"):
         name, _, password = line.replace("\t", " ", 1).partition(" ")
         if name in out:
             raise OperatorFileError(f"mysql.accounts_file: line {number} has {name} for the second time")
@@ -314,16 +321,16 @@
         account = settings.users[name].account if name in settings.users else name
         if account not in accounts:
             raise OperatorFileError(f"mysql.accounts_file has no account {account}, which user {name} needs")
-    rsa = RsaKey(_raw(settings.rsa_key_file, "mysql.rsa_key_file"))
+    rsa = RsaKey(_read_optional(settings.rsa_key_file, "mysql.rsa_key_file"))
     if settings.rsa_key_file:
         try:
             rsa.check()
         except ValueError as error:
             raise OperatorFileError(f"mysql.rsa_key_file: {error}") from None
-    return users, accounts, rsa, _raw(settings.node_key_file, "mysql.node_key_file")
+    return users, accounts, rsa, _read_optional(settings.node_key_file, "mysql.node_key_file")
 
 
-def _raw(path: str, key: str) -> bytes | None:
+def _read_optional(path: str, key: str) -> bytes | None:
     if not path:
         return None
     try:
--- a/brambleusher/fronts/mysql/statements.py
+++ b/brambleusher/fronts/mysql/statements.py
@@ -99,7 +99,7 @@
 
 # --- tokenizer ----------------------------------------------------------------------------------
 
-_WORDS = re.compile(
+_TOKENS = re.compile(
     rb"""
       (?P<string>'(?:[^'\\]|\\.|'')*'|"(?:[^"\\]|\\.|"")*")
     | (?P<quoted>`(?:[^`]|``)*`)
@@ -114,9 +114,9 @@
     re.X | re.S,
 )
 _HINT = re.compile(rb"/\*\s*brambleusher:(.*)\*/\Z", re.S)
-_LISTS = re.compile(r"\?(?:, \?)+")
-_ROWS = re.compile(r"(\(\?\+?\))(?:, \(\?\+?\))+")
-_ONE = re.compile(r"\b(in|values|value) \(\?\)")
+_LITERAL_LISTS = re.compile(r"\?(?:, \?)+")
+_ROW_LISTS = re.compile(r"(\(\?\+?\))(?:, \(\?\+?\))+")
+_SINGLE_LITERAL_LIST = re.compile(r"\b(in|values|value) \(\?\)")
 Word = tuple[str, bytes]  # name of the token's group in the pattern, and the token's bytes
 
 
@@ -124,39 +124,39 @@
     """Split a text into tokens and comments; the last value tells whether the tokens are reliable."""
     out: list[Word] = []
     comments: list[bytes] = []
-    sound = True
-    for match in _WORDS.finditer(text):
+    reliable = True
+    for match in _TOKENS.finditer(text):
         kind = match.lastgroup or ""
         if kind == "space":
             continue
-        part = match[0]
+        token = match[0]
         if kind == "comment":
-            comments.append(part)
+            comments.append(token)
             # The server executes the contents of these comments, so they are part of the statement.
-            sound &= not part.startswith((b"/*!", b"/*M!"))
+            reliable &= not token.startswith((b"/*!", b"/*M!"))
             continue
-        if kind == "sign" and part in b"'\"`":
-            sound = False  # the quote is not closed
-        out.append((kind, part))
+        if kind == "sign" and token in b"'\"`":
+            reliable = False  # the quote is not closed
+        out.append((kind, token))
     for at in range(len(out) - 1):
         if out[at][1] == b"/" and out[at + 1][1] == b"*":
-            sound = False  # the comment is not closed
-    return out, comments, sound
+            reliable = False  # the comment is not closed
+    return out, comments, reliable
 
 
-def digest_of(parts: Iterable[Word]) -> str:
+def digest_of(tokens: Iterable[Word]) -> str:
     """Build a digest: literals are replaced, whitespace is normalized, lists of literals are collapsed."""
     out = []
-    for kind, part in parts:
+    for kind, token in tokens:
         if kind in ("string", "number"):
             out.append("?")
         elif kind in ("word", "variable"):
-            out.append(part.decode("utf-8", "replace").lower())
+            out.append(token.decode("utf-8", "replace").lower())
         else:
-            out.append(part.decode("utf-8", "replace"))
+            out.append(token.decode("utf-8", "replace"))
     text = " ".join(out)
     text = text.replace(" , ", ", ").replace("( ", "(").replace(" )", ")").replace(" . ", ".")
-    return _ONE.sub(r"\1 (?+)", _ROWS.sub(r"\1", _LISTS.sub("?+", text)))
+    return _SINGLE_LITERAL_LIST.sub(r"\1 (?+)", _ROW_LISTS.sub(r"\1", _LITERAL_LISTS.sub("?+", text)))
 
 
 def hint_of(comments: Iterable[bytes]) -> Hint | None:
@@ -185,17 +185,17 @@
 # --- classification of one statement ------------------------------------------------------------
 
 
-def _names(text: str) -> frozenset[str]:
+def _name_set(text: str) -> frozenset[str]:
     return frozenset(text.split())
 
 
-_DEFINING = _names(
+_DDL_WORDS = _name_set(
     "create drop alter truncate rename grant revoke analyze optimize repair check checksum reset purge"
     " install uninstall flush import cache stop start_replica change"
 )
 # Built-in functions without side effects whose result does not depend on earlier statements.  A function that
 # is missing here may be a stored function.
-_PURE = _names(
+_PURE_FUNCTIONS = _name_set(
     """abs acos adddate addtime aes_decrypt aes_encrypt any_value ascii asin atan atan2 avg bin
     bin_to_uuid bit_and bit_count bit_length bit_or bit_xor cast ceil ceiling char char_length
     character_length charset coalesce coercibility collation compress concat concat_ws connection_id conv
@@ -225,46 +225,50 @@
     weight_string year yearweek"""
 )
 _ABOUT_PREVIOUS = frozenset({"row_count", "found_rows"})
-_NEVER_REPLAYED = _names(
+_NEVER_REPLAYED = _name_set(
     "insert_id last_insert_id identity timestamp rand_seed1 rand_seed2 pseudo_thread_id pseudo_slave_mode"
     " pseudo_replica_mode gtid_next sql_log_bin session_track_gtids debug proxy_user external_user"
 )
-_NEXT_ONLY = frozenset({"transaction_isolation", "transaction_read_only", "tx_isolation", "tx_read_only"})
+_NEXT_TRANSACTION_VARIABLES = frozenset(
+    {"transaction_isolation", "transaction_read_only", "tx_isolation", "tx_read_only"}
+)
 _OPAQUE_MODES = ("ansi", "no_backslash_escapes")
-_OPAQUE_CHARSETS = _names("big5 sjis gbk gb2312 cp932 gb18030 euckr eucjpms ujis")
+_OPAQUE_CHARSETS = _name_set("big5 sjis gbk gb2312 cp932 gb18030 euckr eucjpms ujis")
 _SCOPES = frozenset({"global", "persist", "persist_only", "session", "local"})
 _ON, _OFF = frozenset({"1", "on", "true"}), frozenset({"0", "off", "false"})
 
 
-def _plain(part: bytes) -> str:
+def _plain_name(token: bytes) -> str:
     """Return a word or quoted name in lower case, without its quotes."""
-    text = part.decode("utf-8", "replace")
+    text = token.decode("utf-8", "replace")
     if text[:1] == "`":
         text = text[1:-1].replace("``", "`")
     return text.lower()
 
 
-def _unquoted(part: bytes) -> str:
-    text = part.decode("utf-8", "surrogateescape")
+def _unquoted(token: bytes) -> str:
+    text = token.decode("utf-8", "surrogateescape")
     if text[:1] not in "'\"":
         return text
     quote = text[0]
     return re.sub(r"\\(.)", r"\1", text[1:-1].replace(quote * 2, quote), flags=re.S)
 
 
-class _Reader:
+class _Classifier:
     """Classifies one statement by its tokens."""
 
-    def __init__(self, parts: list[Word], digest: str) -> None:
-        self.parts, self.digest = parts, digest
-        self.names = [_plain(part) if kind in ("word", "quoted", "variable") else "" for kind, part in parts]
+    def __init__(self, tokens: list[Word], digest: str) -> None:
+        self.tokens, self.digest = tokens, digest
+        self.names = [
+            _plain_name(token) if kind in ("word", "quoted", "variable") else "" for kind, token in tokens
+        ]
 
     def unknown(self, why: str) -> Statement:
         return Statement(Kind.UNKNOWN, self.digest, ties=((Tie.UNKNOWN, ""),), why=why)
 
     def read(self) -> Statement:
         """Return the classification of the statement."""
-        if not self.parts:
+        if not self.tokens:
             return Statement(Kind.EMPTY, self.digest)
         names, first = self.names, self.names[0]
         second = names[1] if len(names) > 1 else ""
@@ -276,8 +280,8 @@
             return Statement(Kind.SAVEPOINT, self.digest)
         if first == "set":
             return self._set()
-        if first == "use" and len(self.parts) == 2:
-            name = self.parts[1][1].decode("utf-8", "replace").strip("`").replace("``", "`")
+        if first == "use" and len(self.tokens) == 2:
+            name = self.tokens[1][1].decode("utf-8", "replace").strip("`").replace("``", "`")
             return Statement(Kind.USE, self.digest, plain_read=True, schema=name)
         if first == "kill":
             return self._kill()
@@ -291,12 +295,12 @@
             return Statement(Kind.UNKNOWN, self.digest, ties=((Tie.PREPARED, ""),), why="PREPARE in SQL")
         if first == "get" and "diagnostics" in names[:3]:
             return replace(self.unknown("GET DIAGNOSTICS sets variables"), about_previous=True)
-        if first in _DEFINING:
+        if first in _DDL_WORDS:
             return self._define()
         if first == "show":
             return self._show(second, names)
         if first in ("select", "with", "values", "table", "insert", "replace", "update", "delete", "explain",
-                     "describe", "desc", "do") or self.parts[0][1] == b"(":  # fmt: skip
+                     "describe", "desc", "do") or self.tokens[0][1] == b"(":  # fmt: skip
             return self._query(first)
         return self.unknown(f"{first or 'its first word'} is not a known statement")
 
@@ -315,7 +319,7 @@
         return Statement(kind, self.digest, chain=known[text][0], release=known[text][1])
 
     def _kill(self) -> Statement:
-        names, (kind, last) = self.names, self.parts[-1]
+        names, (kind, last) = self.names, self.tokens[-1]
         if kind != "number" or not last.isdigit() or len(last) > 20:
             return self.unknown("KILL of something other than a number")
         if len(names) == 2 or (len(names) == 3 and names[1] in ("query", "connection")):
@@ -339,7 +343,7 @@
             while at < len(names):
                 name, at = self._name(at)
                 lifts.append((Tie.TEMPORARY_TABLE, name))
-                if at >= len(names) or self.parts[at][1] != b",":
+                if at >= len(names) or self.tokens[at][1] != b",":
                     break
                 at += 1
             return Statement(Kind.DEFINE, self.digest, lifts=tuple(lifts))
@@ -350,7 +354,7 @@
         if at >= len(self.names):
             return "", at
         name = self.names[at]
-        if at + 2 < len(self.names) and self.parts[at + 1][1] == b".":
+        if at + 2 < len(self.names) and self.tokens[at + 1][1] == b".":
             return self.names[at + 2], at + 3
         return name, at + 1
 
@@ -365,10 +369,10 @@
     def _set(self) -> Statement:
         items: list[list[int]] = [[]]
         depth = 0
-        for at in range(1, len(self.parts)):
-            part = self.parts[at][1]
-            depth += (part == b"(") - (part == b")")
-            if part == b"," and not depth:
+        for at in range(1, len(self.tokens)):
+            token = self.tokens[at][1]
+            depth += (token == b"(") - (token == b")")
+            if token == b"," and not depth:
                 items.append([])
             else:
                 items[-1].append(at)
@@ -385,14 +389,14 @@
         return replace(out, plain_read=not out.ties and constants == len(items))
 
     def _text(self, item: list[int]) -> str:
-        return b" ".join(self.parts[at][1] for at in item).decode("utf-8", "surrogateescape")
+        return b" ".join(self.tokens[at][1] for at in item).decode("utf-8", "surrogateescape")
 
     def _set_item(self, out: Statement, item: list[int], scope: str) -> tuple[Statement, str]:
         names = [self.names[at] for at in item]
         first = names[0]
         if first in ("names", "charset") or names[:2] == ["character", "set"]:
-            rest = item[1:] if first != "character" else item[2:]
-            charset = _unquoted(self.parts[rest[0]][1]).lower() if rest else ""
+            value_tokens = item[1:] if first != "character" else item[2:]
+            charset = _unquoted(self.tokens[value_tokens[0]][1]).lower() if value_tokens else ""
             opaque = charset in _OPAQUE_CHARSETS
             pair = ("names", self._text(item))
             opaque = opaque or out.opaque_after
@@ -406,16 +410,16 @@
             first = names[0] if names else ""
         if first == "transaction":
             if scope in ("session", "local"):
-                words_ = [each for each in names[1:] if each]
-                key = "transaction access" if "read" in words_[:1] else "transaction isolation"
+                mode_words = [each for each in names[1:] if each]
+                key = "transaction access" if "read" in mode_words[:1] else "transaction isolation"
                 return replace(out, settings=(*out.settings, (key, "SESSION " + self._text(item)))), scope
             tie = () if scope else ((Tie.NEXT_TRANSACTION, ""),)
             return replace(out, ties=(*out.ties, *tie)), scope
-        if len(item) < 3 or self.parts[item[1]][1] not in (b"=", b":="):
+        if len(item) < 3 or self.tokens[item[1]][1] not in (b"=", b":="):
             return self.unknown("unknown form of SET"), scope
         value = item[2:]
-        kind, part = self.parts[item[0]]
-        if kind == "variable" and not part.startswith(b"@@"):
+        kind, token = self.tokens[item[0]]
+        if kind == "variable" and not token.startswith(b"@@"):
             return replace(out, ties=(*out.ties, (Tie.USER_VARIABLE, first[1:]))), scope
         explicit = scope
         if kind == "variable":
@@ -423,7 +427,7 @@
             head, dot, tail = name.partition(".")
             explicit = head if dot and head in _SCOPES else ""
             name = tail if explicit else name
-            if not explicit and name in _NEXT_ONLY:
+            if not explicit and name in _NEXT_TRANSACTION_VARIABLES:
                 return replace(out, ties=(*out.ties, (Tie.NEXT_TRANSACTION, name))), scope
         else:
             name = first
@@ -432,15 +436,15 @@
         return self._setting(out, name, value), scope
 
     def _setting(self, out: Statement, name: str, value: list[int]) -> Statement:
-        sign = self.parts[value[0]][1] in (b"-", b"+")
-        kind, part = self.parts[value[-1]]
+        sign = self.tokens[value[0]][1] in (b"-", b"+")
+        kind, token = self.tokens[value[-1]]
         constant = len(value) == 1 + sign and kind in ("string", "number", "word")
         if not constant or name in _NEVER_REPLAYED or not re.fullmatch(r"[a-z0-9_.]+", name):
             last_id = name in ("last_insert_id", "identity")
             return replace(
                 out, ties=(*out.ties, (Tie.SETTING, name)), sets_last_id=out.sets_last_id or last_id
             )
-        text = _unquoted(part).lower()
+        text = _unquoted(token).lower()
         if name == "autocommit":
             if text in _ON | _OFF:
                 return replace(out, autocommit=text in _ON)
@@ -456,26 +460,30 @@
         """Classify a query or data statement by its sqlglot syntax tree, parsed without its literals."""
         names = self.names
         source = []
-        for kind, part in self.parts:
+        for kind, token in self.tokens:
             if kind == "string":
                 source.append("'s'")
             elif kind == "number":
                 source.append("1")
             else:
-                source.append(part.decode("utf-8", "replace"))
+                source.append(token.decode("utf-8", "replace"))
         if first == "replace":
             source[0] = "INSERT"
         elif first == "do":
             source[0] = "SELECT"
         if first == "insert" or first == "replace":
-            how = ("low_priority", "high_priority", "delayed", "ignore")
-            source = [word for at, word in enumerate(source) if not 0 < at <= 2 or word.lower() not in how]
+            modifiers = ("low_priority", "high_priority", "delayed", "ignore")
+            source = [
+                source_word
+                for at, source_word in enumerate(source)
+                if not 0 < at <= 2 or source_word.lower() not in modifiers
+            ]
         tree = _parse(" ".join(source))
         if tree is None:
             return self.unknown("the parser failed")
-        return self._judge(first, tree, names)
+        return self._classify_tree(first, tree, names)
 
-    def _judge(self, first: str, tree: Any, names: list[str]) -> Statement:
+    def _classify_tree(self, first: str, tree: Any, names: list[str]) -> Statement:
         from sqlglot import exp
 
         writes = (exp.Insert, exp.Update, exp.Delete, exp.Merge)
@@ -494,9 +502,9 @@
                 ties.append((Tie.USER_VARIABLE, _sql(node.this)))
         # Function calls are found by tokens, because sqlglot renames some functions and drops others.
         for at, name in enumerate(names):
-            if not name or at + 1 >= len(names) or self.parts[at + 1][1] != b"(":
+            if not name or at + 1 >= len(names) or self.tokens[at + 1][1] != b"(":
                 continue
-            if self.parts[at][0] != "word" or name in _PURE or not self._is_call(at):
+            if self.tokens[at][0] != "word" or name in _PURE_FUNCTIONS or not self._may_be_function(at):
                 continue
             if name in ("get_lock", "release_lock", "release_all_locks", "is_free_lock", "is_used_lock"):
                 plain = False
@@ -508,7 +516,7 @@
                 elif name == "release_lock" and lock:
                     lifts.append((Tie.NAMED_LOCK, lock))
             elif name == "last_insert_id":
-                bare = self.parts[at + 2][1] == b")" if at + 2 < len(self.parts) else False
+                bare = self.tokens[at + 2][1] == b")" if at + 2 < len(self.tokens) else False
                 reads_id, sets_id = reads_id or bare, sets_id or not bare
                 plain = plain and bare
             elif name in _ABOUT_PREVIOUS:
@@ -520,13 +528,13 @@
                 reads_id = True
             elif name in ("@@warning_count", "@@error_count"):
                 about, plain = True, False
-        if ":=" in {part.decode("latin-1") for _, part in self.parts}:
+        if ":=" in {token.decode("latin-1") for _, token in self.tokens}:
             plain = False
             if not any(tie is Tie.USER_VARIABLE for tie, _ in ties):
                 ties.append((Tie.USER_VARIABLE, "?"))
         if "into" in names and first in ("select", "with") and not ties:
             plain = False
-            if any(kind == "variable" for kind, _ in self.parts[names.index("into") :]):
+            if any(kind == "variable" for kind, _ in self.tokens[names.index("into") :]):
                 ties.append((Tie.USER_VARIABLE, "?"))
         if "sql_calc_found_rows" in names:
             ties.append((Tie.DIAGNOSTICS, ""))
@@ -540,22 +548,22 @@
             about_previous=about, reads_last_id=reads_id, sets_last_id=sets_id,
         )  # fmt: skip
 
-    def _is_call(self, at: int) -> bool:
+    def _may_be_function(self, at: int) -> bool:
         """Return whether the token before a parenthesis may be a function name."""
         name = self.names[at]
-        if name in _NO_CALL:
+        if name in _NOT_FUNCTIONS:
             return False
         before = self.names[at - 1] if at else ""
-        return before not in _NAME_FOLLOWS
+        return before not in _BEFORE_NAMES
 
     def _literal(self, at: int) -> str:
-        if at < len(self.parts) and self.parts[at][0] == "string":
-            return _unquoted(self.parts[at][1]).lower()
+        if at < len(self.tokens) and self.tokens[at][0] == "string":
+            return _unquoted(self.tokens[at][1]).lower()
         return ""
 
 
-_NAME_FOLLOWS = _names("into table from join as update index key using with recursive partition")
-_NO_CALL = _names(
+_BEFORE_NAMES = _name_set("into table from join as update index key using with recursive partition")
+_NOT_FUNCTIONS = _name_set(
     """and or not in values value select from where on using set as when then else case by having limit
     union all any some exists between like is row over partition key index primary unique into table join
     interval with except intersect distinct match against binary return rows range xor div mod order group
@@ -586,7 +594,7 @@
 # --- classification of texts --------------------------------------------------------------------
 
 _DATA_WORDS = (b"insert", b"replace", b"update", b"delete")
-_MARKS = re.compile(rb"@|get_lock|release_|last_insert_id|/\*!|found_rows|row_count", re.I)
+_SIDE_EFFECT_PATTERNS = re.compile(rb"@|get_lock|release_|last_insert_id|/\*!|found_rows|row_count", re.I)
 
 
 class Statements:
@@ -595,7 +603,7 @@
     def __init__(self, digests: int = CACHED_DIGESTS, texts: int = CACHED_TEXTS) -> None:
         self._by_digest: OrderedDict[tuple[str, bool], Statement] = OrderedDict()
         self._by_text: OrderedDict[tuple[bytes, bool], Statement] = OrderedDict()
-        self._most_digests, self._most_texts = digests, texts
+        self._max_digests, self._max_texts = digests, texts
         self.parsed = 0
         _parse("select 1 from t")  # loads the parser now, so that the first statement is not delayed
         # sqlglot's warnings contain statement texts, which must not be logged.
@@ -621,62 +629,66 @@
         if (known := self._by_text.get(key)) is not None:
             self._by_text.move_to_end(key)
             return known
-        statement = self._long(text, multi) if len(text) > MAX_TEXT else self._tell(text, multi)
+        statement = (
+            self._classify_long_text(text, multi)
+            if len(text) > MAX_TEXT
+            else self._classify_short_text(text, multi)
+        )
         if len(text) <= CACHED_TEXT_BYTES:
             self._by_text[key] = statement
-            if len(self._by_text) > self._most_texts:
+            if len(self._by_text) > self._max_texts:
                 self._by_text.popitem(last=False)
         return statement
 
-    def _long(self, text: bytes, multi: bool) -> Statement:
+    def _classify_long_text(self, text: bytes, multi: bool) -> Statement:
         """Classify a text above `MAX_TEXT` by its first word and by patterns of possible side effects."""
         first = text[:64].lstrip().split(None, 1)[0].lower() if text[:64].strip() else b""
-        if first in _DATA_WORDS and not multi and not _MARKS.search(text):
+        if first in _DATA_WORDS and not multi and not _SIDE_EFFECT_PATTERNS.search(text):
             return Statement(Kind.WRITE, f"{first.decode()} …")
         return Statement(Kind.UNKNOWN, "…", ties=((Tie.UNKNOWN, ""),), why=f"longer than {MAX_TEXT} bytes")
 
-    def _tell(self, text: bytes, multi: bool) -> Statement:
-        parts, comments, sound = words(text)
+    def _classify_short_text(self, text: bytes, multi: bool) -> Statement:
+        tokens, comments, reliable = words(text)
         hint = hint_of(comments)
-        digest = digest_of(parts)
-        if not sound:
+        digest = digest_of(tokens)
+        if not reliable:
             why = "executable comment, or unclosed quote or comment"
-            if any(kind == "sign" and part in b"'\"`" for kind, part in parts):
+            if any(kind == "sign" and token in b"'\"`" for kind, token in tokens):
                 # Digests are logged and must not contain literals; after an unclosed quote any token could
                 # be part of a literal.
-                digest = f"{digest_of(parts[:1])} …"
+                digest = f"{digest_of(tokens[:1])} …"
             return Statement(Kind.UNKNOWN, digest, ties=((Tie.UNKNOWN, ""),), hint=hint, why=why)
         key = (digest, multi)
-        statement_ = self._by_digest.get(key)
-        if statement_ is not None:
+        classified = self._by_digest.get(key)
+        if classified is not None:
             self._by_digest.move_to_end(key)
         else:
-            statement_ = self._read(parts, digest, multi)
-            if len(digest) <= CACHED_DIGEST_LENGTH and not _by_literals(statement_):
-                self._by_digest[key] = statement_
-                if len(self._by_digest) > self._most_digests:
+            classified = self._classify_tokens(tokens, digest, multi)
+            if len(digest) <= CACHED_DIGEST_LENGTH and not _depends_on_literals(classified):
+                self._by_digest[key] = classified
+                if len(self._by_digest) > self._max_digests:
                     self._by_digest.popitem(last=False)
-        return statement_ if hint is None else replace(statement_, hint=hint)
+        return classified if hint is None else replace(classified, hint=hint)
 
-    def _read(self, parts: list[Word], digest: str, multi: bool) -> Statement:
+    def _classify_tokens(self, tokens: list[Word], digest: str, multi: bool) -> Statement:
         self.parsed += 1
-        while parts and parts[-1][1] == b";":
-            parts = parts[:-1]
-        single: list[list[Word]] = [[]]
-        for part in parts:
-            if part[1] == b";":
-                single.append([])
+        while tokens and tokens[-1][1] == b";":
+            tokens = tokens[:-1]
+        split_tokens: list[list[Word]] = [[]]
+        for token in tokens:
+            if token[1] == b";":
+                split_tokens.append([])
             else:
-                single[-1].append(part)
-        if len(single) == 1:
-            return _Reader(parts, digest).read()
-        if not multi or len(single) > MAX_STATEMENTS:
+                split_tokens[-1].append(token)
+        if len(split_tokens) == 1:
+            return _Classifier(tokens, digest).read()
+        if not multi or len(split_tokens) > MAX_STATEMENTS:
             # Without the MULTI_STATEMENTS capability the server rejects the text.
-            return _Reader(parts, digest).unknown("several statements in one text")
-        return _together([_Reader(each, digest).read() for each in single if each], digest)
+            return _Classifier(tokens, digest).unknown("several statements in one text")
+        return _combine([_Classifier(each, digest).read() for each in split_tokens if each], digest)
 
 
-def _by_literals(statement: Statement) -> bool:
+def _depends_on_literals(statement: Statement) -> bool:
     """Return whether texts with the same digest may differ in their classification."""
     named = {Tie.NAMED_LOCK, Tie.TEMPORARY_TABLE, Tie.USER_VARIABLE}
     return (
@@ -686,7 +698,7 @@
     )
 
 
-def _together(each: list[Statement], digest: str) -> Statement:
+def _combine(each: list[Statement], digest: str) -> Statement:
     """Combine the classifications of several statements in one text."""
     if not each:
         return Statement(Kind.EMPTY, digest)
--- a/brambleusher/lab/mysql/fuzz.py
+++ b/brambleusher/lab/mysql/fuzz.py
@@ -170,7 +170,7 @@
         for piece in self._pieces(data):
             out += len(relay.feed(piece))
             size += len(piece)
-            if out > 2 * size + 64 * relay._in_seq:
+            if out > 2 * size + 64 * relay._server_seq:
                 raise AssertionError("more came out than went in")
         relay.fail(Err.of(1158, "lost"))
 
--- a/brambleusher/lab/mysql/replay.py
+++ b/brambleusher/lab/mysql/replay.py
@@ -742,7 +742,7 @@
 
 
 def _resend_after_commit() -> Iterator[None]:
-    real = Front._from_node
+    real = Front._receive_from_node
 
     def from_node(self: Any, client: Any, held: Any, deadline: Any, statement: Any) -> bytes:
         try:
@@ -760,7 +760,7 @@
                         return bytes(data)
             raise
 
-    with mock.patch.object(Front, "_from_node", from_node):
+    with mock.patch.object(Front, "_receive_from_node", from_node):
         yield
 
 
@@ -811,7 +811,7 @@
         return end
 
     def ended(self: Any, payload: bytes) -> bytes:
-        extra = self._ended_columns() + self._framed(kept[0]) if kept[0] and self.rows > 30 else b""
+        extra = self._pending_columns_end() + self._framed(kept[0]) if kept[0] and self.rows > 30 else b""
         return extra + real(self, payload)
 
     with (
@@ -825,7 +825,7 @@
     def lost(self: Any, in_transaction: bool, statement: Any) -> Err:
         return Err.of(Errno.NET_READ, "the node was lost")
 
-    with mock.patch.object(Front, "_lost_error", lost):
+    with mock.patch.object(Front, "_broken_reply_error", lost):
         yield
 
 
@@ -862,7 +862,7 @@
     def carry(self: Any, conn: Any, claim: Any, limit: float) -> None:
         conn.carries.session.last_id = 0
 
-    with mock.patch.object(MysqlNodes, "_carry", carry):
+    with mock.patch.object(MysqlNodes, "_fetch_last_insert_id", carry):
         yield
 
 
