--- a/benchmarks/mysql.py
+++ b/benchmarks/mysql.py
@@ -23,7 +23,7 @@
 from statistics import median, quantiles
 from typing import Any
 
-from brambleusher.fronts.mysql.auth import ClientLogin, Secret, Turn
+from brambleusher.fronts.mysql.auth import ClientLogin, LoginStep, Secret
 from brambleusher.fronts.mysql.constants import NATIVE, Capability, Errno
 from brambleusher.fronts.mysql.packets import frame
 from brambleusher.lab.mysql.client import MysqlClient
@@ -81,7 +81,7 @@
         database = Database()
         accounts(NAMES, database)
         settings = MysqlSettings(
-            users={"registry": Secret.of(NATIVE, b"s")}, plugin=NATIVE, max_connections=2000
+            users={"registry": Secret.from_password(NATIVE, b"s")}, plugin=NATIVE, max_connections=2000
         )
         server = MysqlServer(scheduler, f"h{at}", database, settings, at)
         server.listen(("127.0.0.1", 0))
@@ -124,7 +124,9 @@
 
     def operator(self) -> Path:
         """Return the operator file."""
-        (self.folder / "users").write_text(f"web {NATIVE} {Secret.of(NATIVE, b'f').stored()}\n")
+        (self.folder / "users").write_text(
+            f"web {NATIVE} {Secret.from_password(NATIVE, b'f').to_server_format()}\n"
+        )
         (self.folder / "accounts").write_text("registry s\n")
         addresses = ", ".join(f"h{at}: '{host}:{port}'" for at, (host, port) in enumerate(self.servers))
         path = self.folder / "operator.yaml"
@@ -202,7 +204,7 @@
         self.sock = socket.create_connection(address, WAIT)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         login = ClientLogin(user, password, CAPS, 45, database="shop")
-        while login.step() is not Turn.DONE:
+        while login.step() is not LoginStep.DONE:
             if login.out:
                 self.sock.sendall(login.out)
                 login.out = b""
@@ -406,7 +408,7 @@
     servers: list[MysqlServer] = []
     with tempfile.TemporaryDirectory() as folder, world:
         path = Path(folder)
-        (path / "users").write_text(f"web {NATIVE} {Secret.of(NATIVE, b's').stored()}\n")
+        (path / "users").write_text(f"web {NATIVE} {Secret.from_password(NATIVE, b's').to_server_format()}\n")
         (path / "accounts").write_text("web s\n")
 
         def node(at: int) -> Callable[[VirtualSystem], None]:
@@ -414,7 +416,7 @@
                 scheduler, database = Scheduler(system), Database()
                 accounts(NAMES, database)
                 figures = MysqlSettings(
-                    users={"web": Secret.of(NATIVE, b"s")}, plugin=NATIVE, max_connections=2000,
+                    users={"web": Secret.from_password(NATIVE, b"s")}, plugin=NATIVE, max_connections=2000,
                     work_seconds=0.02, slots=4,
                 )  # fmt: skip
                 server = MysqlServer(scheduler, f"h{at}", database, figures, at)
--- a/brambleusher/fronts/mysql/auth.py
+++ b/brambleusher/fronts/mysql/auth.py
@@ -39,9 +39,9 @@
 
 MAX_LOGIN = 128 * 1024  # maximum size of one login message, in bytes
 MAX_PASSWORD = 512  # maximum length of a password with its terminating zero byte, in bytes
-FAST_OK, FULL, ASK_KEY = b"\x03", b"\x04", b"\x02"
-ROUNDS = 5000  # default number of SHA-256 crypt rounds in the hashes of a MySQL server
-SLICE = 250  # SHA-256 crypt rounds computed before other tasks may run
+FAST_AUTH_OK, FULL_AUTH, REQUEST_PUBLIC_KEY = b"\x03", b"\x04", b"\x02"
+CRYPT_ROUNDS = 5000  # default number of SHA-256 crypt rounds in the hashes of a MySQL server
+CRYPT_ROUNDS_PER_SLICE = 250  # SHA-256 crypt rounds computed before other tasks may run
 _CRYPT = b"./0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz"
 
 
@@ -52,7 +52,7 @@
     return bytes(a ^ b for a, b in zip(left, right, strict=True))
 
 
-def native_answer(password: bytes, challenge: bytes) -> bytes:
+def native_response(password: bytes, challenge: bytes) -> bytes:
     """Return SHA1(password) XOR SHA1(challenge + SHA1(SHA1(password))), or nothing without a password."""
     if not password:
         return b""
@@ -65,7 +65,7 @@
     return hashlib.sha1(hashlib.sha1(password).digest()).digest()
 
 
-def native_fits(answer: bytes, challenge: bytes, stored: bytes) -> bool:
+def verify_native_response(answer: bytes, challenge: bytes, stored: bytes) -> bool:
     """Check a challenge response against the stored `mysql_native_password` hash."""
     if not stored or not answer:
         return not stored and not answer
@@ -75,7 +75,7 @@
     return hmac.compare_digest(hashlib.sha1(hashed).digest(), stored)
 
 
-def sha2_answer(password: bytes, challenge: bytes) -> bytes:
+def sha2_response(password: bytes, challenge: bytes) -> bytes:
     """Return SHA256(password) XOR SHA256(SHA256(SHA256(password)) + challenge), or nothing without one."""
     if not password:
         return b""
@@ -89,15 +89,15 @@
     return hashlib.sha256(hashlib.sha256(password).digest()).digest()
 
 
-def sha2_fits(answer: bytes, challenge: bytes, twice: bytes) -> bool:
-    """Check a challenge response against SHA256(SHA256(password)), given as `twice`."""
-    if len(answer) != len(twice):
+def verify_sha2_response(answer: bytes, challenge: bytes, double_sha256: bytes) -> bool:
+    """Check a challenge response against SHA256(SHA256(password)), given as `double_sha256`."""
+    if len(answer) != len(double_sha256):
         return False
-    hashed = _xor(answer, hashlib.sha256(twice + challenge).digest())
-    return hmac.compare_digest(hashlib.sha256(hashed).digest(), twice)
+    hashed = _xor(answer, hashlib.sha256(double_sha256 + challenge).digest())
+    return hmac.compare_digest(hashlib.sha256(hashed).digest(), double_sha256)
 
 
-def crypt_steps(password: bytes, salt: bytes, rounds: int = ROUNDS) -> Iterator[bytes | None]:
+def crypt_steps(password: bytes, salt: bytes, rounds: int = CRYPT_ROUNDS) -> Iterator[bytes | None]:
     """Compute SHA-256 crypt (U. Drepper, "Unix crypt using SHA-256 and SHA-512") in slices of its rounds.
 
     Yields None after each slice and the 43 characters of the hash at the end.  The slices prevent a login
@@ -123,7 +123,7 @@
             inputs.append(p_bytes)
         inputs.append(state if is_odd else p_bytes)
         state = hashlib.sha256(b"".join(inputs)).digest()
-        if round_number % SLICE == SLICE - 1:
+        if round_number % CRYPT_ROUNDS_PER_SLICE == CRYPT_ROUNDS_PER_SLICE - 1:
             yield None
     out = bytearray()
     permutation = [(0, 10, 20), (21, 1, 11), (12, 22, 2), (3, 13, 23), (24, 4, 14), (15, 25, 5), (6, 16, 26),
@@ -140,7 +140,7 @@
     yield bytes(out)
 
 
-def sha256_crypt(password: bytes, salt: bytes, rounds: int = ROUNDS) -> bytes:
+def sha256_crypt(password: bytes, salt: bytes, rounds: int = CRYPT_ROUNDS) -> bytes:
     """Compute SHA-256 crypt in one go and return the 43 characters of the hash."""
     return next(step for step in crypt_steps(password, salt, rounds) if step is not None)
 
@@ -150,11 +150,11 @@
     """The stored password hash of one user."""
 
     plugin: str
-    native: bytes = b""  # SHA1(SHA1(password))
+    double_sha1: bytes = b""  # SHA1(SHA1(password))
     salt: bytes = b""
-    crypted: bytes = b""  # 43 characters of the SHA-256 crypt hash
-    rounds: int = ROUNDS
-    twice: bytes = b""  # SHA256(SHA256(password)), cached after the first successful full exchange
+    crypt_hash: bytes = b""  # 43 characters of the SHA-256 crypt hash
+    rounds: int = CRYPT_ROUNDS
+    double_sha256: bytes = b""  # SHA256(SHA256(password)), cached after the first successful full exchange
 
     def __repr__(self) -> str:
         """Return a representation without hashes, so that no hash is logged."""
@@ -177,34 +177,34 @@
         if plugin == NATIVE:
             if not re.fullmatch(r"\*[0-9A-Fa-f]{40}", text):
                 raise ValueError("the hash is not * and 40 hexadecimal digits")
-            return cls(plugin, native=bytes.fromhex(text[1:]))
+            return cls(plugin, double_sha1=bytes.fromhex(text[1:]))
         raw = bytes.fromhex(text) if re.fullmatch(r"([0-9A-Fa-f]{2}){70}", text) else text.encode("latin-1")
         found = re.fullmatch(rb"\$A\$([0-9A-F]{3})\$(.{20})([./0-9A-Za-z]{43})", raw, re.S)
         if found is None:
             raise ValueError("the hash is not $A$005$ with 20 bytes of salt and 43 characters")
-        return cls(plugin, salt=found[2], crypted=found[3], rounds=int(found[1], 16) * 1000)
+        return cls(plugin, salt=found[2], crypt_hash=found[3], rounds=int(found[1], 16) * 1000)
 
     @classmethod
-    def of(cls, plugin: str, password: bytes, salt: bytes = b"0123456789abcdefghij") -> Secret:
+    def from_password(cls, plugin: str, password: bytes, salt: bytes = b"0123456789abcdefghij") -> Secret:
         """Hash a password for a plugin."""
         if not password:
             return cls(plugin)
         if plugin == NATIVE:
-            return cls(plugin, native=native_hash(password))
-        return cls(plugin, salt=salt, crypted=sha256_crypt(password, salt))
+            return cls(plugin, double_sha1=native_hash(password))
+        return cls(plugin, salt=salt, crypt_hash=sha256_crypt(password, salt))
 
-    def stored(self) -> str:
+    def to_server_format(self) -> str:
         """Return the hash in the format that `parse` reads."""
         if self.plugin == NATIVE:
-            return "*" + self.native.hex().upper() if self.native else "-"
-        if not self.crypted:
+            return "*" + self.double_sha1.hex().upper() if self.double_sha1 else "-"
+        if not self.crypt_hash:
             return "-"
-        return (b"$A$%03X$" % (self.rounds // 1000) + self.salt + self.crypted).hex()
+        return (b"$A$%03X$" % (self.rounds // 1000) + self.salt + self.crypt_hash).hex()
 
     @property
-    def empty(self) -> bool:
+    def passwordless(self) -> bool:
         """Whether the user logs in without a password."""
-        return not self.native and not self.crypted
+        return not self.double_sha1 and not self.crypt_hash
 
 
 class RsaKey:
@@ -276,12 +276,12 @@
         raise ProtocolError("the server's public key is not an RSA key", Errno.BAD_HANDSHAKE)
     oaep = padding.OAEP(padding.MGF1(hashes.SHA1()), hashes.SHA1(), None)
     try:
-        return bytes(key.encrypt(mix(password + b"\0", challenge), oaep))
+        return bytes(key.encrypt(xor_with_challenge(password + b"\0", challenge), oaep))
     except ValueError:
         raise ProtocolError("the password is too long for the server's key", Errno.BAD_HANDSHAKE) from None
 
 
-def mix(password: bytes, challenge: bytes) -> bytes:
+def xor_with_challenge(password: bytes, challenge: bytes) -> bytes:
     """XOR a password with the challenge, which is repeated as often as needed."""
     return bytes(byte ^ challenge[at % len(challenge)] for at, byte in enumerate(password))
 
@@ -289,14 +289,14 @@
 # --- server side ------------------------------------------------------------------------------
 
 
-class Turn(Enum):
+class LoginStep(Enum):
     """The next step that a login requires of its caller."""
 
     READ = auto()  # feed more bytes from the peer
     TLS = auto()  # perform the TLS handshake and feed decrypted bytes from then on
-    AGAIN = auto()  # call `step` again after other tasks have run; a long hash computation was interrupted
+    CALL_AGAIN = auto()  # call `step` again after other tasks have run; a hash computation is in progress
     DONE = auto()
-    REFUSED = auto()  # send the error in `out` and close the connection
+    REJECTED = auto()  # send the error in `out` and close the connection
 
 
 class ServerLogin:
@@ -321,7 +321,7 @@
         self._version, self._plugin, self._require_tls = version, plugin, secure_only
         self._challenge = challenge
         self._reader = PacketReader(MAX_LOGIN, seq=1)
-        self._steps: Iterator[Turn] | None = None
+        self._steps: Iterator[LoginStep] | None = None
         self.secure = False
         self.out = b""
         self.error: Err | None = None
@@ -334,7 +334,7 @@
         self._reader.feed(data)
 
     @property
-    def begun(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Whether an incomplete message of the client is buffered."""
         return self._reader.begun
 
@@ -343,11 +343,11 @@
         """Sequence number of a response to the bytes received so far."""
         return self._reader.answer_seq
 
-    def rest(self) -> bytes:
+    def take_leftover(self) -> bytes:
         """Return and discard the bytes after the last message: a TLS handshake or pipelined commands."""
         return self._reader.leftover()
 
-    def greet(self) -> bytes:
+    def encode_greeting(self) -> bytes:
         """Return the greeting packet, the first packet of the handshake."""
         greeting = Greeting(
             self._version,
@@ -380,13 +380,13 @@
         )
         self._steps = self._authenticate(self.login)
 
-    def step(self) -> Turn:
+    def step(self) -> LoginStep:
         """Process the bytes received so far; raises `ProtocolError` for malformed messages."""
         if self._steps is None:
             self._steps = self._run_login()
         following = next(self._steps, None)
         if following is None:  # `error` is checked only here because the last step may have set it
-            return Turn.REFUSED if self.error is not None else Turn.DONE
+            return LoginStep.REJECTED if self.error is not None else LoginStep.DONE
         return following
 
     def _send_message(self, payload: bytes) -> None:
@@ -397,19 +397,19 @@
         self.error = Err.of(errno, text)
         self._send_message(self.error.encode())
 
-    def _read_message(self) -> Iterator[Turn]:
+    def _read_message(self) -> Iterator[LoginStep]:
         while (message := self._reader.take()) is None:
-            yield Turn.READ
+            yield LoginStep.READ
         self._last_message = message
 
-    def _run_login(self) -> Iterator[Turn]:
+    def _run_login(self) -> Iterator[LoginStep]:
         yield from self._read_message()
         request = Login.parse(self._last_message)
         if isinstance(request, SslRequest):
             if not self._offered & Capability.SSL:
                 raise ProtocolError("TLS was not offered", Errno.BAD_HANDSHAKE)
             self.secure = True
-            yield Turn.TLS
+            yield LoginStep.TLS
             yield from self._read_message()
             request = Login.parse(self._last_message)
             if isinstance(request, SslRequest):
@@ -426,7 +426,7 @@
         self.login, self.capabilities = request, request.capabilities & self._offered
         yield from self._authenticate(request)
 
-    def _authenticate(self, login: Login) -> Iterator[Turn]:
+    def _authenticate(self, login: Login) -> Iterator[LoginStep]:
         """Request the response that the user's plugin needs, and verify it."""
         secret = self._find_secret(login.user)
         # An unknown user goes through the same exchange before rejection, so that clients can't find out
@@ -444,11 +444,17 @@
                 answer = self._last_message
         answer = answer.removesuffix(b"\0") if len(answer) == 1 else answer
         if plugin == NATIVE:
-            verified = secret is not None and native_fits(answer, self._challenge, secret.native)
-        elif secret is not None and (secret.empty or not answer):
-            verified = secret.empty and not answer
-        elif secret is not None and secret.twice and sha2_fits(answer, self._challenge, secret.twice):
-            self._send_message(b"\x01" + FAST_OK)
+            verified = secret is not None and verify_native_response(
+                answer, self._challenge, secret.double_sha1
+            )
+        elif secret is not None and (secret.passwordless or not answer):
+            verified = secret.passwordless and not answer
+        elif (
+            secret is not None
+            and secret.double_sha256
+            and verify_sha2_response(answer, self._challenge, secret.double_sha256)
+        ):
+            self._send_message(b"\x01" + FAST_AUTH_OK)
             verified = True
         else:
             verified = False
@@ -464,33 +470,33 @@
                 f"Access denied for user '{login.user}' (using password: {password_given})",
             )
 
-    def _full_exchange(self, secret: Secret | None) -> Iterator[Turn | bool]:
+    def _full_exchange(self, secret: Secret | None) -> Iterator[LoginStep | bool]:
         """Request the password and verify it; the last value yielded is True if the password is correct."""
-        self._send_message(b"\x01" + FULL)
+        self._send_message(b"\x01" + FULL_AUTH)
         yield from self._read_message()
         password = self._last_message
         if not self.secure:
-            if password == ASK_KEY:
+            if password == REQUEST_PUBLIC_KEY:
                 self._send_message(b"\x01" + self._rsa.public())
                 yield from self._read_message()
                 password = self._last_message
             decrypted = self._rsa.decrypt(password)
-            password = b"" if decrypted is None else mix(decrypted, self._challenge)
+            password = b"" if decrypted is None else xor_with_challenge(decrypted, self._challenge)
         if not password.endswith(b"\0") or len(password) > MAX_PASSWORD:
             yield False
             return
         password = password[:-1]
-        salt, rounds = (secret.salt, secret.rounds) if secret is not None else (b"0" * SCRAMBLE, ROUNDS)
+        salt, rounds = (secret.salt, secret.rounds) if secret is not None else (b"0" * SCRAMBLE, CRYPT_ROUNDS)
         for step in crypt_steps(password, salt, rounds):
             if step is None:
-                yield Turn.AGAIN
-            elif secret is None or not hmac.compare_digest(step, secret.crypted):
+                yield LoginStep.CALL_AGAIN
+            elif secret is None or not hmac.compare_digest(step, secret.crypt_hash):
                 yield False
             else:
-                secret.twice = sha2_hash(password)
+                secret.double_sha256 = sha2_hash(password)
                 yield True
 
-    def let_in(self) -> bytes:
+    def complete_login(self) -> bytes:
         """Return the OK packet that completes a login; raises `RuntimeError` if the login failed."""
         if self.error is not None or self.login is None:
             raise RuntimeError("the login has not succeeded")
@@ -502,7 +508,7 @@
 # --- client side ------------------------------------------------------------------------------
 
 
-class LoginRefused(Exception):
+class LoginRejectedError(Exception):
     """The server rejected the login."""
 
     def __init__(self, error: Err) -> None:
@@ -520,7 +526,7 @@
         self,
         user: str,
         password: bytes,
-        wanted: int,
+        requested_capabilities: int,
         collation: int,
         tls: str = "off",
         database: str = "",
@@ -532,7 +538,7 @@
         `tls` is "off", "preferred" or "required".  `public_key` is the server's RSA key in PEM format; with
         `ask_key` the key is requested from the server if `public_key` is None.
         """
-        self._user, self._password, self._requested_capabilities = user, password, wanted
+        self._user, self._password, self._requested_capabilities = user, password, requested_capabilities
         self._collation, self._tls, self._database = collation, tls, database
         self._key, self._request_key = public_key, ask_key
         self._reader = PacketReader(MAX_LOGIN, seq=0)
@@ -549,30 +555,30 @@
         self._reader.feed(data)
 
     @property
-    def extra(self) -> bool:
+    def has_trailing_bytes(self) -> bool:
         """Whether the server has sent bytes after the end of the login."""
         return self._reader.begun
 
-    def step(self) -> Turn:
-        """Process the bytes received so far; raises `LoginRefused` or `ProtocolError`."""
-        return next(self._steps, Turn.DONE)
+    def step(self) -> LoginStep:
+        """Process the bytes received so far; raises `LoginRejectedError` or `ProtocolError`."""
+        return next(self._steps, LoginStep.DONE)
 
     def _send_message(self, payload: bytes) -> None:
         self.out += frame(payload, self._reader.seq)
         self._reader.seq += 1
 
-    def _read_message(self) -> Iterator[Turn]:
+    def _read_message(self) -> Iterator[LoginStep]:
         while (message := self._reader.take()) is None:
-            yield Turn.READ
+            yield LoginStep.READ
         if not message:
             raise ProtocolError("the server sent an empty packet during the login", Errno.BAD_HANDSHAKE)
         self._last_message = message
 
-    def _run_login(self) -> Iterator[Turn]:
+    def _run_login(self) -> Iterator[LoginStep]:
         yield from self._read_message()
         # Instead of a greeting the server can send an error: too many connections, or a host not allowed.
         if self._last_message[0] == 0xFF:
-            raise LoginRefused(Err.parse(self._last_message))
+            raise LoginRejectedError(Err.parse(self._last_message))
         self.greeting = greeting = Greeting.parse(self._last_message)
         if not greeting.capabilities & Capability.PROTOCOL_41:
             raise ProtocolError("the server speaks a protocol before 4.1", Errno.BAD_HANDSHAKE)
@@ -583,7 +589,7 @@
             if greeting.capabilities & Capability.SSL:
                 caps |= Capability.SSL
                 self._send_message(SslRequest(caps, MAX_PAYLOAD, self._collation).encode())
-                yield Turn.TLS
+                yield LoginStep.TLS
                 self.secure = True
             elif self._tls == "required":
                 raise ProtocolError("the server offers no TLS", Errno.SECURE_TRANSPORT_REQUIRED)
@@ -600,7 +606,7 @@
             yield from self._read_message()
             first = self._last_message[0]
             if first == 0xFF:
-                raise LoginRefused(Err.parse(self._last_message))
+                raise LoginRejectedError(Err.parse(self._last_message))
             if first == 0x00:
                 self.ok = Ok.parse(self._last_message, caps)
                 return
@@ -618,12 +624,12 @@
     def _challenge_response(self, plugin: str, challenge: bytes) -> bytes:
         if len(challenge) != SCRAMBLE:
             raise ProtocolError(f"a challenge of {len(challenge)} bytes", Errno.BAD_HANDSHAKE)
-        return (native_answer if plugin == NATIVE else sha2_answer)(self._password, challenge)
+        return (native_response if plugin == NATIVE else sha2_response)(self._password, challenge)
 
-    def _continue_exchange(self, request: bytes, challenge: bytes) -> Iterator[Turn]:
-        if request == FAST_OK:
+    def _continue_exchange(self, request: bytes, challenge: bytes) -> Iterator[LoginStep]:
+        if request == FAST_AUTH_OK:
             return
-        if request != FULL:
+        if request != FULL_AUTH:
             raise ProtocolError("the server asks for something unknown", Errno.BAD_HANDSHAKE)
         if self.secure:
             self._send_message(self._password + b"\0")
@@ -633,9 +639,9 @@
             if not self._request_key:
                 # A man in the middle could offer a key of its own and decrypt the password.
                 raise ProtocolError("the server's public key is not known and not asked for")
-            self._send_message(ASK_KEY)
+            self._send_message(REQUEST_PUBLIC_KEY)
             yield from self._read_message()
             if self._last_message[0] == 0xFF:
-                raise LoginRefused(Err.parse(self._last_message))
+                raise LoginRejectedError(Err.parse(self._last_message))
             key = self._last_message[1:]
         self._send_message(rsa_encrypt(self._password, challenge, key))
--- a/brambleusher/fronts/mysql/front.py
+++ b/brambleusher/fronts/mysql/front.py
@@ -16,7 +16,7 @@
 from brambleusher.decisions.balancer_driver import BalancerDriver
 from brambleusher.decisions.clock import Clock
 from brambleusher.decisions.requests import ClientRequest
-from brambleusher.fronts.mysql.auth import RsaKey, Secret, ServerLogin, Turn
+from brambleusher.fronts.mysql.auth import LoginStep, RsaKey, Secret, ServerLogin
 from brambleusher.fronts.mysql.channel import server_context
 from brambleusher.fronts.mysql.client import Client, ClientLeftError, ConnectionLostError
 from brambleusher.fronts.mysql.constants import (
@@ -249,7 +249,7 @@
             settings.auth_plugin, settings.tls.mode == "required",
         )  # fmt: skip
         deadline = client.accepted_at + settings.login_ms / 1000
-        client.channel.send(login.greet(), deadline)
+        client.channel.send(login.encode_greeting(), deadline)
         client.reader.seq = 1
         return self._run_login(client, login, deadline)
 
@@ -262,12 +262,12 @@
             except ProtocolError:
                 client.reader.seq = login.seq
                 raise
-            if step is Turn.DONE:
+            if step is LoginStep.DONE:
                 break
             if login.out:
                 out, login.out = login.out, b""
                 channel.send(out, deadline)
-            if step is Turn.REFUSED:
+            if step is LoginStep.REJECTED:
                 self._counters.add("mysql_logins_refused")
                 fields = {
                     "peer": client.peer,
@@ -277,12 +277,12 @@
                 log.info("login refused", extra={"fields": fields})
                 channel.stream.finish()
                 return False
-            if step is Turn.AGAIN:
+            if step is LoginStep.CALL_AGAIN:
                 self._scheduler.sleep(0.0)
                 continue
-            if step is Turn.TLS:
+            if step is LoginStep.TLS:
                 assert self._context is not None
-                channel.start_tls(self._context, True, "", login.rest(), deadline)
+                channel.start_tls(self._context, True, "", login.take_leftover(), deadline)
                 continue
             try:
                 data = channel.receive(deadline)
@@ -301,8 +301,8 @@
         client.session = Session(
             request.user, account, login.capabilities, request.collation, request.database
         )
-        channel.send(login.let_in(), deadline)
-        client.reader.feed(login.rest())
+        channel.send(login.complete_login(), deadline)
+        client.reader.feed(login.take_leftover())
         return True
 
     # --- commands -------------------------------------------------------------------------------
--- a/brambleusher/fronts/mysql/nodes.py
+++ b/brambleusher/fronts/mysql/nodes.py
@@ -15,7 +15,7 @@
 from typing import Protocol
 
 from brambleusher.decisions.requests import AttemptOutcome
-from brambleusher.fronts.mysql.auth import ClientLogin, LoginRefused, Turn
+from brambleusher.fronts.mysql.auth import ClientLogin, LoginRejectedError, LoginStep
 from brambleusher.fronts.mysql.channel import Channel, client_context
 from brambleusher.fronts.mysql.constants import Capability, Command, Errno
 from brambleusher.fronts.mysql.constants import Status as Flag
@@ -516,7 +516,7 @@
             self._stop_or_drop(conn, claim)
             work.broke = relay is not None and relay.begun
             return AttemptStatus.TIMEOUT if claim.written else AttemptStatus.CONNECT_FAILED, None, False
-        except LoginRefused as refused:
+        except LoginRejectedError as refused:
             return self._login_rejected(node, work, refused.error), None, False
         except ProtocolError as error:
             log.warning("bad response", extra={"fields": {"node": node.name, "reason": error}})
@@ -723,12 +723,12 @@
             if login.out:
                 out, login.out = login.out, b""
                 channel.send(out, limit)
-            if step is Turn.TLS:
+            if step is LoginStep.TLS:
                 assert self._context is not None
                 channel.start_tls(self._context, False, settings.node_tls.host, b"", limit)
                 continue
-            if step is Turn.DONE:
-                if login.extra:
+            if step is LoginStep.DONE:
+                if login.has_trailing_bytes:
                     raise ProtocolError("bytes behind the login's end")
                 return login
             data = channel.receive(limit, claim.event if claim is not None else None)
--- a/brambleusher/lab/mysql/fuzz.py
+++ b/brambleusher/lab/mysql/fuzz.py
@@ -13,7 +13,14 @@
 import sys
 from collections.abc import Callable, Sequence
 
-from brambleusher.fronts.mysql.auth import ClientLogin, LoginRefused, RsaKey, Secret, ServerLogin, Turn
+from brambleusher.fronts.mysql.auth import (
+    ClientLogin,
+    LoginRejectedError,
+    LoginStep,
+    RsaKey,
+    Secret,
+    ServerLogin,
+)
 from brambleusher.fronts.mysql.constants import CACHING_SHA2, NATIVE, Capability, Command, Status
 from brambleusher.fronts.mysql.messages import (
     ChangeUser,
@@ -105,7 +112,7 @@
         self._seeds = seeds()
         self._kinds = sorted(self._seeds)
         self._key = RsaKey()
-        self._secrets = {"web": Secret(NATIVE, native=bytes(20))}
+        self._secrets = {"web": Secret(NATIVE, double_sha1=bytes(20))}
         self.taken = self.refused = 0
         self.slowest = 0.0
         self._readers: dict[str, Callable[[bytes], None]] = {
@@ -126,7 +133,7 @@
         begun = RealSystem.monotonic()
         try:
             self._readers[kind](data)
-        except (ProtocolError, LoginRefused):
+        except (ProtocolError, LoginRejectedError):
             self.refused += 1
         else:
             self.taken += 1
@@ -178,19 +185,19 @@
         login = ClientLogin("web", b"secret", NEW, 255)
         for piece in self._pieces(data):
             login.feed(piece)
-            if login.step() is not Turn.READ:
+            if login.step() is not LoginStep.READ:
                 return
 
     def _login(self, data: bytes) -> None:
         login = ServerLogin(1, CHALLENGE, NEW, self._secrets.get, self._key, "8.0")
-        login.greet()
+        login.encode_greeting()
         for piece in self._pieces(data):
             login.feed(piece)
             for _ in range(1000):
                 turn = login.step()
-                if turn is not Turn.AGAIN:
+                if turn is not LoginStep.CALL_AGAIN:
                     break
-            if turn is not Turn.READ:
+            if turn is not LoginStep.READ:
                 return
 
     def _command(self, data: bytes) -> None:
--- a/brambleusher/lab/mysql/replay.py
+++ b/brambleusher/lab/mysql/replay.py
@@ -545,7 +545,7 @@
     def _start_node(self, at: int) -> None:
         def main(system: VirtualSystem) -> None:
             scheduler = Scheduler(system)
-            users = {"registry": Secret.of(NATIVE, b"node-secret")}
+            users = {"registry": Secret.from_password(NATIVE, b"node-secret")}
             settings = MysqlSettings(users=users, plugin=NATIVE, max_connections=12, lock_wait_seconds=1.0,
                                      work_seconds=0.002)  # fmt: skip
             server = MysqlServer(
@@ -928,7 +928,9 @@
     logging.getLogger("brambleusher").propagate = False
     with tempfile.TemporaryDirectory() as folder, broken(breakage):
         path = Path(folder)
-        (path / "users").write_text(f"web {NATIVE} {Secret.of(NATIVE, b'front').stored()}\n")
+        (path / "users").write_text(
+            f"web {NATIVE} {Secret.from_password(NATIVE, b'front').to_server_format()}\n"
+        )
         (path / "accounts").write_text("registry node-secret\n")
         return Run(seed, path, dense).go()
 
--- a/brambleusher/lab/mysql/server.py
+++ b/brambleusher/lab/mysql/server.py
@@ -17,7 +17,7 @@
 from decimal import Decimal
 from typing import Any
 
-from brambleusher.fronts.mysql.auth import RsaKey, Secret, ServerLogin, Turn
+from brambleusher.fronts.mysql.auth import LoginStep, RsaKey, Secret, ServerLogin
 from brambleusher.fronts.mysql.channel import Channel
 from brambleusher.fronts.mysql.constants import (
     CACHING_SHA2,
@@ -277,23 +277,23 @@
             settings.version,
             settings.plugin,
         )
-        self._send(peer, login.greet())
+        self._send(peer, login.encode_greeting())
         return self._meet(peer, login)
 
     def _meet(self, peer: Peer, login: ServerLogin) -> bool:
         while True:
             turn = login.step()
-            if turn is Turn.DONE:
+            if turn is LoginStep.DONE:
                 break
             if login.out:
                 out, login.out = login.out, b""
                 self._send(peer, out)
-            if turn is Turn.REFUSED:
+            if turn is LoginStep.REJECTED:
                 return False
-            if turn is Turn.TLS:
+            if turn is LoginStep.TLS:
                 deadline = self.scheduler.now() + WAIT_SECONDS
-                peer.channel.start_tls(self.settings.tls, True, "", login.rest(), deadline)
-            elif turn is Turn.READ:
+                peer.channel.start_tls(self.settings.tls, True, "", login.take_leftover(), deadline)
+            elif turn is LoginStep.READ:
                 data = peer.channel.receive(self.scheduler.now() + WAIT_SECONDS)
                 if not data:
                     return False
@@ -304,8 +304,8 @@
         session.found_rows_mode = bool(login.capabilities & Capability.FOUND_ROWS)
         if not self._first_schema(peer, login, login.login):
             return False
-        self._send(peer, login.let_in())
-        peer.reader.feed(login.rest())
+        self._send(peer, login.complete_login())
+        peer.reader.feed(login.take_leftover())
         return True
 
     def _first_schema(self, peer: Peer, login: ServerLogin, asked: Login) -> bool:
--- a/tests/fronts/mysql/mysql_rig.py
+++ b/tests/fronts/mysql/mysql_rig.py
@@ -33,8 +33,9 @@
         self.troubles: list[Callable[[Moment], Fault | None]] = [lambda moment: None] * count
         self.servers: list[MysqlServer] = []
         users = {
-            "web": Secret.of(NATIVE, b"pw"), "registry": Secret.of(NATIVE, b"node-secret"),
-            "sha": Secret.of(CACHING_SHA2, b"sha-secret"),
+            "web": Secret.from_password(NATIVE, b"pw"),
+            "registry": Secret.from_password(NATIVE, b"node-secret"),
+            "sha": Secret.from_password(CACHING_SHA2, b"sha-secret"),
         }  # fmt: skip
         up: queue.Queue[Scheduler] = queue.Queue()
 
@@ -127,8 +128,8 @@
         }  # fmt: skip
         (folder / "users").write_text(
             "# name plugin hash\n"
-            f"web {NATIVE} {Secret.of(NATIVE, b'front').stored()}\n"
-            f"sha {CACHING_SHA2} {Secret.of(CACHING_SHA2, b'front-sha').stored()}\n"
+            f"web {NATIVE} {Secret.from_password(NATIVE, b'front').to_server_format()}\n"
+            f"sha {CACHING_SHA2} {Secret.from_password(CACHING_SHA2, b'front-sha').to_server_format()}\n"
         )
         (folder / "accounts").write_text("registry node-secret\nsha sha-secret\n")
         places = {name: "{}:{}".format(*servers.address(at)) for at, name in enumerate(names)}
--- a/tests/fronts/mysql/test_mysql_auth.py
+++ b/tests/fronts/mysql/test_mysql_auth.py
@@ -8,17 +8,17 @@
 
 from brambleusher.fronts.mysql.auth import (
     ClientLogin,
-    LoginRefused,
+    LoginRejectedError,
+    LoginStep,
     RsaKey,
     Secret,
     ServerLogin,
-    Turn,
-    native_answer,
     native_hash,
-    sha2_answer,
-    sha2_fits,
+    native_response,
     sha2_hash,
+    sha2_response,
     sha256_crypt,
+    verify_sha2_response,
 )
 from brambleusher.fronts.mysql.constants import CACHING_SHA2, NATIVE, Capability, Errno
 from brambleusher.fronts.mysql.messages import ChangeUser, Err, Greeting, Login, Ok, SslRequest
@@ -40,15 +40,15 @@
         (b"Hello world!", b"saltstring", b"5B8vYYiY.CVt1RlTTf8KbXBH3hsxY/GNooZaBBGWEc5"),
     ):
         assert sha256_crypt(password, salt) == due
-    assert sha2_fits(sha2_answer(b"pw", CHALLENGE), CHALLENGE, sha2_hash(b"pw"))
-    assert not sha2_fits(sha2_answer(b"pv", CHALLENGE), CHALLENGE, sha2_hash(b"pw"))
+    assert verify_sha2_response(sha2_response(b"pw", CHALLENGE), CHALLENGE, sha2_hash(b"pw"))
+    assert not verify_sha2_response(sha2_response(b"pv", CHALLENGE), CHALLENGE, sha2_hash(b"pw"))
 
 
 def test_a_stored_hash_is_read_as_it_is_written_and_never_shown() -> None:
     for plugin in (NATIVE, CACHING_SHA2):
         for password in (b"", b"pw"):
-            secret = Secret.of(plugin, password)
-            assert Secret.parse(plugin, secret.stored()) == secret
+            secret = Secret.from_password(plugin, password)
+            assert Secret.parse(plugin, secret.to_server_format()) == secret
             assert repr(secret) == f"Secret({plugin})"
     for plugin, text in ((NATIVE, "6C89"), (NATIVE, "*zz"), (CACHING_SHA2, "$A$005$short"), ("old", "-")):
         with pytest.raises(ValueError):
@@ -61,27 +61,27 @@
     Returns how often the hash computation yielded, and whether TLS was used.
     """
     again, tls = 0, False
-    client.feed(server.greet())
+    client.feed(server.encode_greeting())
     for _ in range(200):
         turn = client.step()
-        if turn is Turn.TLS:
-            tls, turn = True, Turn.READ
+        if turn is LoginStep.TLS:
+            tls, turn = True, LoginStep.READ
             out, client.out = client.out, b""
             server.feed(out)
-            assert server.step() is Turn.TLS
+            assert server.step() is LoginStep.TLS
             client.step()
         out, client.out = client.out, b""
         for at in range(0, len(out), cut):
             server.feed(out[at : at + cut])
-            while (other := server.step()) is Turn.AGAIN:
+            while (other := server.step()) is LoginStep.CALL_AGAIN:
                 again += 1
-        if other is Turn.DONE:
-            client.feed(server.let_in())
-            assert client.step() is Turn.DONE
+        if other is LoginStep.DONE:
+            client.feed(server.complete_login())
+            assert client.step() is LoginStep.DONE
             return again, tls
         out, server.out = server.out, b""
         client.feed(out)
-        if other is Turn.REFUSED:
+        if other is LoginStep.REJECTED:
             client.step()
     raise AssertionError("no end")
 
@@ -99,7 +99,7 @@
 @pytest.mark.parametrize("offered", [NATIVE, CACHING_SHA2])
 @pytest.mark.parametrize("tls", [False, True])
 def test_every_plugin_offered_or_switched_to(password: bytes, plugin: str, offered: str, tls: bool) -> None:
-    secret = Secret.of(plugin, password)
+    secret = Secret.from_password(plugin, password)
     caps = CAPS | (Capability.SSL if tls else 0)
     how: dict[str, Any] = {"tls": "preferred" if tls else "off", "ask_key": True}
     first = server(secret, offered, caps)
@@ -118,8 +118,8 @@
 def test_a_wrong_password_and_an_unknown_user_are_refused_alike(plugin: str) -> None:
     errors = []
     for user, password in (("web", b"wrong"), ("who", b"pw"), ("web", b"")):
-        with pytest.raises(LoginRefused) as caught:
-            meet(client(password, user, ask_key=True), server(Secret.of(plugin, b"pw"), plugin))
+        with pytest.raises(LoginRejectedError) as caught:
+            meet(client(password, user, ask_key=True), server(Secret.from_password(plugin, b"pw"), plugin))
         errors.append(caught.value.error)
     assert {(error.errno, error.state) for error in errors} == {(Errno.ACCESS_DENIED, "28000")}
     assert errors[0].text.replace("web", "who") == errors[1].text
@@ -128,24 +128,24 @@
 
 def test_a_password_goes_to_no_server_whose_key_is_not_known() -> None:
     with pytest.raises(ProtocolError):
-        meet(client(), server(Secret.of(CACHING_SHA2, b"pw")))
-    meet(client(public_key=KEY.public()), server(Secret.of(CACHING_SHA2, b"pw")))
+        meet(client(), server(Secret.from_password(CACHING_SHA2, b"pw")))
+    meet(client(public_key=KEY.public()), server(Secret.from_password(CACHING_SHA2, b"pw")))
 
 
 def test_tls_and_compression_are_asked_for_in_vain() -> None:
     with pytest.raises(ProtocolError) as caught:
-        meet(client(tls="required"), server(Secret.of(NATIVE, b"pw"), NATIVE))
+        meet(client(tls="required"), server(Secret.from_password(NATIVE, b"pw"), NATIVE))
     assert caught.value.errno == Errno.SECURE_TRANSPORT_REQUIRED
-    with pytest.raises(LoginRefused) as refused:
-        meet(client(), server(Secret.of(NATIVE, b"pw"), NATIVE, secure_only=True))
+    with pytest.raises(LoginRejectedError) as refused:
+        meet(client(), server(Secret.from_password(NATIVE, b"pw"), NATIVE, secure_only=True))
     assert refused.value.error.errno == Errno.SECURE_TRANSPORT_REQUIRED
     for flag in (Capability.COMPRESS, Capability.ZSTD):
-        login = server(Secret.of(NATIVE, b"pw"), NATIVE)
+        login = server(Secret.from_password(NATIVE, b"pw"), NATIVE)
         login.feed(frame(Login(CAPS | flag, "web", b"x" * 20, plugin=NATIVE).encode(), 1))
-        assert login.step() is Turn.REFUSED
+        assert login.step() is LoginStep.REJECTED
         assert login.error is not None
         assert (login.error.errno, "ompression" in login.error.text) == (Errno.NOT_SUPPORTED_YET, True)
-    login = server(Secret.of(NATIVE, b"pw"), NATIVE)
+    login = server(Secret.from_password(NATIVE, b"pw"), NATIVE)
     login.feed(frame(SslRequest(CAPS | Capability.SSL).encode(), 1))
     with pytest.raises(ProtocolError):
         login.step()
@@ -154,7 +154,11 @@
 @pytest.mark.parametrize(
     ("name", "first", "error"),
     [
-        ("an error for a greeting", Err.of(Errno.CON_COUNT, "Too many connections").encode(), LoginRefused),
+        (
+            "an error for a greeting",
+            Err.of(Errno.CON_COUNT, "Too many connections").encode(),
+            LoginRejectedError,
+        ),
         ("another version", b"\x09" + bytes(60), ProtocolError),
         ("noise", b"HTTP/1.1 400 Bad Request\r\n", ProtocolError),
         ("an empty packet", b"", ProtocolError),
@@ -184,17 +188,17 @@
 
 def test_change_user_is_a_login_of_its_own() -> None:
     login, other = server(None), bytes(range(60, 80))
-    login = ServerLogin(9, CHALLENGE, CAPS, {"new": Secret.of(NATIVE, b"pw")}.get, KEY, "8.0.36")
+    login = ServerLogin(9, CHALLENGE, CAPS, {"new": Secret.from_password(NATIVE, b"pw")}.get, KEY, "8.0.36")
     login.change_user(ChangeUser("new", b"", "shop", plugin=CACHING_SHA2).encode(CAPS), CAPS, b"", other)
-    assert login.step() is Turn.READ
+    assert login.step() is LoginStep.READ
     reader = PacketReader(1000, seq=1)
     reader.feed(login.out)
     switch = reader.take()
     assert switch is not None
     assert switch.startswith(b"\xfe" + NATIVE.encode())
-    login.feed(frame(native_answer(b"pw", other), 2))
+    login.feed(frame(native_response(b"pw", other), 2))
     login.out = b""
-    assert login.step() is Turn.DONE
+    assert login.step() is LoginStep.DONE
     reader = PacketReader(1000, seq=3)
-    reader.feed(login.let_in())
+    reader.feed(login.complete_login())
     assert Ok.parse(reader.take() or b"", CAPS).status == 2
--- a/tests/fronts/mysql/test_mysql_clients.py
+++ b/tests/fronts/mysql/test_mysql_clients.py
@@ -258,7 +258,9 @@
             assert len(cursor.fetchall()) == 20000
         conn.close()
         for secret in rig[0].sidecar.mysql.front._users.values():  # type: ignore[union-attr]
-            secret.twice = b""  # clears the cached hash, so that the next login needs the full exchange
+            secret.double_sha256 = (
+                b""  # clears the cached hash, so that the next login needs the full exchange
+            )
     for pure in (True, False)[: 1 + bool(mysql.connector.HAVE_CEXT)]:
         other: Any = mysql.connector.connect(
             host=host, port=port, user="sha", password="front-sha", use_pure=pure
--- a/tests/fronts/mysql/test_mysql_front.py
+++ b/tests/fronts/mysql/test_mysql_front.py
@@ -16,7 +16,7 @@
 import pytest
 from pymysql.constants import CLIENT
 
-from brambleusher.fronts.mysql.auth import ClientLogin, Turn, native_answer, native_hash
+from brambleusher.fronts.mysql.auth import ClientLogin, LoginStep, native_hash, native_response
 from brambleusher.fronts.mysql.constants import NATIVE, Capability, Command, Errno, Status, Track
 from brambleusher.fronts.mysql.messages import (
     ChangeUser,
@@ -151,7 +151,7 @@
         self.sock = socket.create_connection(rig.address, WAIT)
         self.caps = caps
         login = ClientLogin(user, password, caps, 45, database="shop", ask_key=True)
-        while login.step() is not Turn.DONE:
+        while login.step() is not LoginStep.DONE:
             if login.out:
                 self.sock.sendall(login.out)
                 login.out = b""
@@ -218,19 +218,19 @@
     client.send(b"\x04accounts\0")
     assert [message[:4] for message in (client.take(), client.take())] == [b"\3def"] * 2
     assert client.take()[0] == 0xFE
-    answer = native_answer(b"front", bytes(20))
+    answer = native_response(b"front", bytes(20))
     change = ChangeUser("web", answer, "shop", 45, NATIVE)
     client.send(change.encode(NEW))
     switch = client.take()
     assert switch.startswith(b"\xfe" + NATIVE.encode())
-    client.sock.sendall(frame(native_answer(b"front", parse_auth_switch(switch)[1]), 2))
+    client.sock.sendall(frame(native_response(b"front", parse_auth_switch(switch)[1]), 2))
     client.reader.expect(3)
     assert client.take()[0] == 0
     client.send(b"\x03" + ROW.encode())
     assert len(client.whole()) == 5
     client.send(ChangeUser("web", answer, "shop", 45, NATIVE).encode(NEW))
     client.take()
-    client.sock.sendall(frame(native_answer(b"wrong", bytes(20)), 2))
+    client.sock.sendall(frame(native_response(b"wrong", bytes(20)), 2))
     client.reader.expect(3)
     assert Err.parse(client.take()).errno == Errno.ACCESS_DENIED
     client.close()
--- a/tests/fronts/mysql/test_mysql_settings.py
+++ b/tests/fronts/mysql/test_mysql_settings.py
@@ -96,7 +96,7 @@
     users, accounts = tmp_path / "users", tmp_path / "accounts"
     users.write_text(f"# names\n\nweb {NATIVE} *{'AB' * 20}\n")
     accounts.write_text("web\tse cret\nempty\n")
-    assert load_users(str(users))["web"].native == bytes.fromhex("AB" * 20)
+    assert load_users(str(users))["web"].double_sha1 == bytes.fromhex("AB" * 20)
     passwords = load_accounts(str(accounts))
     assert (passwords.of("web"), passwords.of("empty")) == (b"se cret", b"")
     assert "cret" not in repr(passwords) + str(vars(passwords).keys())
