--- a/brambleusher/fronts/mysql/front.py
+++ b/brambleusher/fronts/mysql/front.py
@@ -337,7 +337,7 @@
         reader.expect()
         begun_at = self._scheduler.now()
         while (body := reader.take()) is None:
-            if self._closing and not client.session.tied and not reader.begun:
+            if self._closing and not client.session.pinned and not reader.begun:
                 self._send_unsolicited_error(
                     client, Err.of(Errno.SERVER_SHUTDOWN, "Server shutdown in progress")
                 )
@@ -390,7 +390,7 @@
                 timeouts.append((self._idle_drain_deadline(client, now), self._on_drain_timeout))
             if client.deadline is not None:
                 timeouts.append((client.deadline, self._on_transaction_timeout))
-            if client.session.softly_tied:
+            if client.session.softly_pinned:
                 timeouts.append((begun_at + SOFT_SECONDS, self._drop_soft_pins))
         return min(timeouts, key=lambda each: each[0])
 
@@ -464,8 +464,8 @@
 
     def _drop_soft_pins(self, client: Client) -> bool:
         """Drop the soft pins of a session and release its connection."""
-        for tie in list(client.session.ties):
-            client.session.lift(tie)
+        for pin in list(client.session.pins):
+            client.session.unpin(pin)
         self._release(client)
         return True
 
@@ -499,7 +499,7 @@
             if (
                 client.held is not None
                 and client.leave_at is not None
-                and client.session.softly_tied
+                and client.session.softly_pinned
                 and not statement.about_previous
             ):
                 self._drop_soft_pins(client)  # the node drains, and the statement doesn't need the soft pins
@@ -649,7 +649,7 @@
             conn.autocommit = bool(relay.status & Flag.AUTOCOMMIT)
         if session.in_transaction:
             return Mode.HOLD
-        return Mode.KEEP if session.tied else Mode.RELEASE
+        return Mode.KEEP if session.pinned else Mode.RELEASE
 
     def _forward_reply(
         self, client: Client, work: Work, statement: Statement, reply: Reply, deadline: float | None
@@ -662,7 +662,7 @@
         relay, held, session = reply.relay, reply.held, client.session
         if not relay.done:
             held.measure()
-        was_pinned, was_complete = session.tied, relay.done
+        was_pinned, was_complete = session.pinned, relay.done
         try:
             if reply.out:
                 client.channel.send(reply.out, self._scheduler.now() + WRITE_SECONDS)
@@ -1054,7 +1054,7 @@
             client.held.conn.doomed = True
 
     def _after_cursor(self, client: Client) -> None:
-        if client.held is not None and not client.session.tied:
+        if client.held is not None and not client.session.pinned:
             self._release(client)
 
 
@@ -1076,7 +1076,7 @@
 
 
 def _only_autocommit(statement: Statement) -> bool:
-    return not (statement.settings or statement.ties or statement.lifts) and statement.count == 1
+    return not (statement.settings or statement.pins or statement.unpins) and statement.count == 1
 
 
 def _drain_error(session: Session) -> Err:
--- a/brambleusher/fronts/mysql/mapping.py
+++ b/brambleusher/fronts/mysql/mapping.py
@@ -52,7 +52,7 @@
         elif statement_rule is not None:
             selected = statement_rule.request_class, "digest"
         elif statement.kind is Kind.UNKNOWN:
-            selected = settings.strict_class, f"unknown: {statement.why}"
+            selected = settings.strict_class, f"unknown: {statement.unknown_reason}"
         elif user_rule.request_class is not None:
             selected = user_rule.request_class, "user"
         elif settings.default_class is not None:
--- a/brambleusher/fronts/mysql/session.py
+++ b/brambleusher/fronts/mysql/session.py
@@ -20,7 +20,7 @@
 from brambleusher.fronts.mysql.messages import Execute, Prepared
 from brambleusher.fronts.mysql.packets import ProtocolError
 from brambleusher.fronts.mysql.replies import ReplyRelay
-from brambleusher.fronts.mysql.statements import Kind, Statement, Tie
+from brambleusher.fronts.mysql.statements import Kind, PinReason, Statement
 
 MAX_PREPARED = 1024  # maximum number of prepared statements of one session
 MAX_PREPARED_TEXT = 256 * 1024  # maximum size in bytes of the text of a prepared statement
@@ -35,11 +35,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TieRule:
+class PinRule:
     """Describes which statements add and remove a pin, and whether the pin expires."""
 
-    made_by: str
-    lifted_by: str
+    added_by: str
+    removed_by: str
     soft: bool = False  # dropped after idle time; a later statement that needs the lost state gets an error
 
 
@@ -47,23 +47,25 @@
 # the connection: the schema, settings with constant values, autocommit itself, statements prepared through
 # the protocol (and their long data, which the sidecar buffers until execution), and LAST_INSERT_ID, which is
 # queried when a connection passes to another session and set again before a statement that reads it.
-TIES: dict[Tie, TieRule] = {
-    Tie.TRANSACTION: TieRule("a status with IN_TRANS", "a status without"),
-    Tie.AUTOCOMMIT_OFF: TieRule(
+PIN_RULES: dict[PinReason, PinRule] = {
+    PinReason.TRANSACTION: PinRule("a status with IN_TRANS", "a status without"),
+    PinReason.AUTOCOMMIT_OFF: PinRule(
         "any statement on data with autocommit off", "COMMIT, ROLLBACK or an implicit commit"
     ),
-    Tie.TABLE_LOCKS: TieRule("LOCK TABLES, FLUSH … WITH READ LOCK", "UNLOCK TABLES"),
-    Tie.NAMED_LOCK: TieRule("GET_LOCK", "RELEASE_LOCK of the same name, RELEASE_ALL_LOCKS"),
-    Tie.TEMPORARY_TABLE: TieRule("CREATE TEMPORARY TABLE", "DROP TABLE of the same name"),
-    Tie.USER_VARIABLE: TieRule("SET @x, @x := …, INTO @x", "a reset"),
-    Tie.SETTING: TieRule("SET to what is not a constant, or of what has no lasting value", "a reset"),
-    Tie.NEXT_TRANSACTION: TieRule("SET TRANSACTION, SET @@transaction_…", "the end of the next transaction"),
-    Tie.PREPARED: TieRule("PREPARE in SQL", "a reset"),
-    Tie.UNREAD: TieRule("a cursor with rows left", "its last row, a close, a reset of it"),
-    Tie.DIAGNOSTICS: TieRule(
+    PinReason.TABLE_LOCKS: PinRule("LOCK TABLES, FLUSH … WITH READ LOCK", "UNLOCK TABLES"),
+    PinReason.NAMED_LOCK: PinRule("GET_LOCK", "RELEASE_LOCK of the same name, RELEASE_ALL_LOCKS"),
+    PinReason.TEMPORARY_TABLE: PinRule("CREATE TEMPORARY TABLE", "DROP TABLE of the same name"),
+    PinReason.USER_VARIABLE: PinRule("SET @x, @x := …, INTO @x", "a reset"),
+    PinReason.SETTING: PinRule("SET to what is not a constant, or of what has no lasting value", "a reset"),
+    PinReason.NEXT_TRANSACTION: PinRule(
+        "SET TRANSACTION, SET @@transaction_…", "the end of the next transaction"
+    ),
+    PinReason.PREPARED: PinRule("PREPARE in SQL", "a reset"),
+    PinReason.UNREAD: PinRule("a cursor with rows left", "its last row, a close, a reset of it"),
+    PinReason.DIAGNOSTICS: PinRule(
         "warnings, SQL_CALC_FOUND_ROWS", "the next statement that is not about them", soft=True
     ),
-    Tie.UNKNOWN: TieRule("a statement with unknown effects (CALL, HANDLER, XA, …)", "a reset"),
+    PinReason.UNKNOWN: PinRule("a statement with unknown effects (CALL, HANDLER, XA, …)", "a reset"),
 }
 _PERSISTENT_STATUS = int(
     Status.IN_TRANS | Status.AUTOCOMMIT | Status.NO_BACKSLASH_ESCAPES | Status.IN_TRANS_READONLY
@@ -120,7 +122,7 @@
         self.settings: dict[str, str] = {}
         self.autocommit = True
         self.status = int(Status.AUTOCOMMIT)
-        self.ties: dict[Tie, set[str]] = {}
+        self.pins: dict[PinReason, set[str]] = {}
         self.prepared: dict[int, PreparedText] = {}
         self.cursors: set[int] = set()
         self.last_id: int | None = 0  # value of LAST_INSERT_ID(); None if only the connection knows it
@@ -130,24 +132,24 @@
     # --- state ----------------------------------------------------------------------------------
 
     @property
-    def tied(self) -> bool:
+    def pinned(self) -> bool:
         """Whether the session is pinned to its connection."""
-        return bool(self.ties)
+        return bool(self.pins)
 
     @property
-    def softly_tied(self) -> bool:
+    def softly_pinned(self) -> bool:
         """Whether the session has pins and all of them are soft."""
-        return bool(self.ties) and all(TIES[tie].soft for tie in self.ties)
+        return bool(self.pins) and all(PIN_RULES[pin].soft for pin in self.pins)
 
     @property
     def in_transaction(self) -> bool:
         """Whether a transaction is open or may be open."""
-        return Tie.TRANSACTION in self.ties or Tie.AUTOCOMMIT_OFF in self.ties
+        return PinReason.TRANSACTION in self.pins or PinReason.AUTOCOMMIT_OFF in self.pins
 
     @property
-    def why(self) -> str:
+    def pin_description(self) -> str:
         """Human-readable list of the reasons why the session is pinned."""
-        return ", ".join(sorted(tie.value for tie in self.ties))
+        return ", ".join(sorted(pin.value for pin in self.pins))
 
     @property
     def flavour(self) -> Flavour:
@@ -170,7 +172,7 @@
             "user": self.user, "account": self.account, "capabilities": self.capabilities,
             "collation": self.collation, "schema": self.schema, "multi": self.multi,
             "settings": dict(self.settings), "autocommit": self.autocommit, "status": self.status,
-            "ties": {tie.name: sorted(names) for tie, names in self.ties.items()},
+            "ties": {pin.name: sorted(names) for pin, names in self.pins.items()},
             "cursors": sorted(self.cursors), "last_id": self.last_id, "opaque": self.opaque,
         }  # fmt: skip
 
@@ -180,7 +182,7 @@
         out = cls(state["user"], state["account"], state["capabilities"], state["collation"], state["schema"])
         out.multi, out.settings = state["multi"], dict(state["settings"])
         out.autocommit, out.status = state["autocommit"], state["status"]
-        out.ties = {Tie[name]: set(names) for name, names in state["ties"].items()}
+        out.pins = {PinReason[name]: set(names) for name, names in state["ties"].items()}
         out.cursors, out.last_id, out.opaque = set(state["cursors"]), state["last_id"], state["opaque"]
         return out
 
@@ -192,22 +194,26 @@
         never_ran = error is not None and (error.state[:2] == "42" or error.errno == Errno.PARSE)
         self._apply_status(reply, error is None)
         if statement.kind is not Kind.KILL and not statement.about_previous:
-            self.ties.pop(Tie.DIAGNOSTICS, None)
+            self.pins.pop(PinReason.DIAGNOSTICS, None)
         if reply.warnings and error is None:
-            self.tie(Tie.DIAGNOSTICS)
+            self.pin(PinReason.DIAGNOSTICS)
         if reply.last_id:
             self.last_id = None  # only the connection knows the new LAST_INSERT_ID() now
         if statement.sets_last_id and not never_ran:
             self.last_id = None
         if never_ran and statement.count == 1:
             return
-        for tie, name in statement.ties:
-            if error is None or tie not in (Tie.TEMPORARY_TABLE, Tie.SETTING, Tie.DIAGNOSTICS):
-                self.tie(tie, name)
+        for pin, name in statement.pins:
+            if error is None or pin not in (
+                PinReason.TEMPORARY_TABLE,
+                PinReason.SETTING,
+                PinReason.DIAGNOSTICS,
+            ):
+                self.pin(pin, name)
         if error is not None:
             return
-        for tie, name in statement.lifts:
-            self.lift(tie, name)
+        for pin, name in statement.unpins:
+            self.unpin(pin, name)
         for key, text in statement.settings:
             self.settings.pop(key, None)  # moves the setting to the end, for the order of replay
             self.settings[key] = text
@@ -216,7 +222,7 @@
             # There are too many settings to replay, so the oldest one pins the session to its connection.
             key = next(iter(self.settings))
             size -= len(self.settings.pop(key))
-            self.tie(Tie.SETTING, key)
+            self.pin(PinReason.SETTING, key)
         if statement.autocommit is not None:
             self.autocommit = statement.autocommit
         if statement.schema is not None:
@@ -229,32 +235,32 @@
             return  # an ERR packet carries no status, so an open transaction may still be open
         self.status = reply.status & _PERSISTENT_STATUS
         if reply.status & Status.IN_TRANS:
-            self.tie(Tie.TRANSACTION)
+            self.pin(PinReason.TRANSACTION)
         else:
-            if Tie.TRANSACTION in self.ties:
-                self.ties.pop(Tie.NEXT_TRANSACTION, None)
-            self.ties.pop(Tie.TRANSACTION, None)
+            if PinReason.TRANSACTION in self.pins:
+                self.pins.pop(PinReason.NEXT_TRANSACTION, None)
+            self.pins.pop(PinReason.TRANSACTION, None)
 
     def _update_autocommit_pin(self, statement: Statement) -> None:
         ends_transaction = statement.kind in (Kind.COMMIT, Kind.ROLLBACK, Kind.DEFINE) or statement.autocommit
-        if ends_transaction and not statement.chain and Tie.TRANSACTION not in self.ties:
-            self.ties.pop(Tie.AUTOCOMMIT_OFF, None)
+        if ends_transaction and not statement.chain and PinReason.TRANSACTION not in self.pins:
+            self.pins.pop(PinReason.AUTOCOMMIT_OFF, None)
             if statement.kind in (Kind.COMMIT, Kind.ROLLBACK):
-                self.ties.pop(Tie.NEXT_TRANSACTION, None)
+                self.pins.pop(PinReason.NEXT_TRANSACTION, None)
         elif not self.autocommit and statement.kind not in _KINDS_WITHOUT_DATA:
-            self.tie(Tie.AUTOCOMMIT_OFF)
+            self.pin(PinReason.AUTOCOMMIT_OFF)
 
-    def tie(self, tie: Tie, name: str = "") -> None:
+    def pin(self, pin: PinReason, name: str = "") -> None:
         """Add a pin."""
-        names = self.ties.setdefault(tie, set())
+        names = self.pins.setdefault(pin, set())
         if len(names) < MAX_NAMES:
             names.add(name[:MAX_NAME])
         else:
             names.add("?")  # a name that no statement removes
 
-    def lift(self, tie: Tie, name: str = "") -> None:
+    def unpin(self, pin: PinReason, name: str = "") -> None:
         """Remove a pin; without a name, all pins of the same kind."""
-        names = self.ties.get(tie)
+        names = self.pins.get(pin)
         if names is None:
             return
         if name:
@@ -262,12 +268,12 @@
         else:
             names.clear()
         if not names:
-            del self.ties[tie]
+            del self.pins[pin]
 
     def reset(self) -> None:
         """Restore the state after the login, except for the schema, as COM_RESET_CONNECTION does."""
         self.settings.clear()
-        self.ties.clear()
+        self.pins.clear()
         self.prepared.clear()
         self.cursors.clear()
         self.autocommit, self.status, self.last_id = True, int(Status.AUTOCOMMIT), 0
@@ -275,7 +281,7 @@
 
     def lost(self) -> None:
         """Drop all pins and cursors, because the connection was lost."""
-        self.ties.clear()
+        self.pins.clear()
         self.cursors.clear()
 
     # --- prepared statements --------------------------------------------------------------------
@@ -376,9 +382,9 @@
 
     def _update_cursor_pin(self) -> None:
         if self.cursors:
-            self.ties[Tie.UNREAD] = {str(number) for number in self.cursors}
+            self.pins[PinReason.UNREAD] = {str(number) for number in self.cursors}
         else:
-            self.ties.pop(Tie.UNREAD, None)
+            self.pins.pop(PinReason.UNREAD, None)
 
 
 def replay_text(pairs: Iterable[tuple[str, str]]) -> bytes:
--- a/brambleusher/fronts/mysql/statements.py
+++ b/brambleusher/fronts/mysql/statements.py
@@ -45,8 +45,8 @@
     UNKNOWN = "unknown"
 
 
-class Tie(Enum):
-    """The reasons to pin a session to one connection; `session.TIES` describes each of them."""
+class PinReason(Enum):
+    """The reasons to pin a session to one connection; `session.PIN_RULES` describes each of them."""
 
     TRANSACTION = "open transaction"
     AUTOCOMMIT_OFF = "autocommit off"
@@ -79,8 +79,12 @@
     kind: Kind
     digest: str
     plain_read: bool = False  # a retry has no side effects
-    ties: tuple[tuple[Tie, str], ...] = ()  # pins that the statement adds, with the name of their object
-    lifts: tuple[tuple[Tie, str], ...] = ()  # pins that it removes; an empty name removes all of that kind
+    pins: tuple[
+        tuple[PinReason, str], ...
+    ] = ()  # pins that the statement adds, with the name of their object
+    unpins: tuple[
+        tuple[PinReason, str], ...
+    ] = ()  # pins that it removes; an empty name removes all of that kind
     settings: tuple[tuple[str, str], ...] = ()  # settings to replay, as a key and the text after SET
     autocommit: bool | None = None
     schema: str | None = None
@@ -94,7 +98,7 @@
     count: int = 1
     renews: bool = False  # may end a transaction and begin another
     hint: Hint | None = None
-    why: str = ""  # the reason why the statement is `UNKNOWN`
+    unknown_reason: str = ""  # the reason why the statement is `UNKNOWN`
 
 
 # --- tokenizer ----------------------------------------------------------------------------------
@@ -263,8 +267,10 @@
             _plain_name(token) if kind in ("word", "quoted", "variable") else "" for kind, token in tokens
         ]
 
-    def unknown(self, why: str) -> Statement:
-        return Statement(Kind.UNKNOWN, self.digest, ties=((Tie.UNKNOWN, ""),), why=why)
+    def unknown(self, unknown_reason: str) -> Statement:
+        return Statement(
+            Kind.UNKNOWN, self.digest, pins=((PinReason.UNKNOWN, ""),), unknown_reason=unknown_reason
+        )
 
     def read(self) -> Statement:
         """Return the classification of the statement."""
@@ -286,13 +292,15 @@
         if first == "kill":
             return self._kill()
         if first == "lock" or (first == "flush" and "lock" in names):
-            return Statement(Kind.LOCK, self.digest, ties=((Tie.TABLE_LOCKS, ""),))
+            return Statement(Kind.LOCK, self.digest, pins=((PinReason.TABLE_LOCKS, ""),))
         if first == "unlock":
-            return Statement(Kind.UNLOCK, self.digest, lifts=((Tie.TABLE_LOCKS, ""),))
+            return Statement(Kind.UNLOCK, self.digest, unpins=((PinReason.TABLE_LOCKS, ""),))
         if first == "load":
             return Statement(Kind.LOCAL_FILE if "local" in names[:4] else Kind.WRITE, self.digest)
         if first in ("prepare", "execute", "deallocate"):
-            return Statement(Kind.UNKNOWN, self.digest, ties=((Tie.PREPARED, ""),), why="PREPARE in SQL")
+            return Statement(
+                Kind.UNKNOWN, self.digest, pins=((PinReason.PREPARED, ""),), unknown_reason="PREPARE in SQL"
+            )
         if first == "get" and "diagnostics" in names[:3]:
             return replace(self.unknown("GET DIAGNOSTICS sets variables"), about_previous=True)
         if first in _DDL_WORDS:
@@ -333,20 +341,23 @@
             if names[at : at + 3] == ["if", "not", "exists"]:
                 at += 3
             return Statement(
-                Kind.DEFINE, self.digest, ties=((Tie.TEMPORARY_TABLE, self._name(at)[0]),), plain_read=False
+                Kind.DEFINE,
+                self.digest,
+                pins=((PinReason.TEMPORARY_TABLE, self._name(at)[0]),),
+                plain_read=False,
             )
         if names[0] == "drop" and "table" in names[1:3]:
             at = names.index("table") + 1
             if names[at : at + 2] == ["if", "exists"]:
                 at += 2
-            lifts = []
+            unpins = []
             while at < len(names):
                 name, at = self._name(at)
-                lifts.append((Tie.TEMPORARY_TABLE, name))
+                unpins.append((PinReason.TEMPORARY_TABLE, name))
                 if at >= len(names) or self.tokens[at][1] != b",":
                     break
                 at += 1
-            return Statement(Kind.DEFINE, self.digest, lifts=tuple(lifts))
+            return Statement(Kind.DEFINE, self.digest, unpins=tuple(unpins))
         return Statement(Kind.DEFINE, self.digest)
 
     def _name(self, at: int) -> tuple[str, int]:
@@ -386,7 +397,7 @@
                 return out
         constants = len(out.settings) + (out.autocommit is not None)
         # A SET with only constant session settings has no side effects when retried.
-        return replace(out, plain_read=not out.ties and constants == len(items))
+        return replace(out, plain_read=not out.pins and constants == len(items))
 
     def _text(self, item: list[int]) -> str:
         return b" ".join(self.tokens[at][1] for at in item).decode("utf-8", "surrogateescape")
@@ -404,7 +415,7 @@
         if first in ("password", "default") or (first == "resource"):
             return replace(self.unknown("SET of an account property"), kind=Kind.UNKNOWN), scope
         if first == "role":
-            return replace(out, ties=(*out.ties, (Tie.SETTING, "role"))), scope
+            return replace(out, pins=(*out.pins, (PinReason.SETTING, "role"))), scope
         if first in _SCOPES:
             scope, item, names = first, item[1:], names[1:]
             first = names[0] if names else ""
@@ -413,14 +424,14 @@
                 mode_words = [each for each in names[1:] if each]
                 key = "transaction access" if "read" in mode_words[:1] else "transaction isolation"
                 return replace(out, settings=(*out.settings, (key, "SESSION " + self._text(item)))), scope
-            tie = () if scope else ((Tie.NEXT_TRANSACTION, ""),)
-            return replace(out, ties=(*out.ties, *tie)), scope
+            pin = () if scope else ((PinReason.NEXT_TRANSACTION, ""),)
+            return replace(out, pins=(*out.pins, *pin)), scope
         if len(item) < 3 or self.tokens[item[1]][1] not in (b"=", b":="):
             return self.unknown("unknown form of SET"), scope
         value = item[2:]
         kind, token = self.tokens[item[0]]
         if kind == "variable" and not token.startswith(b"@@"):
-            return replace(out, ties=(*out.ties, (Tie.USER_VARIABLE, first[1:]))), scope
+            return replace(out, pins=(*out.pins, (PinReason.USER_VARIABLE, first[1:]))), scope
         explicit = scope
         if kind == "variable":
             name = first[2:]
@@ -428,7 +439,7 @@
             explicit = head if dot and head in _SCOPES else ""
             name = tail if explicit else name
             if not explicit and name in _NEXT_TRANSACTION_VARIABLES:
-                return replace(out, ties=(*out.ties, (Tie.NEXT_TRANSACTION, name))), scope
+                return replace(out, pins=(*out.pins, (PinReason.NEXT_TRANSACTION, name))), scope
         else:
             name = first
         if explicit in ("global", "persist", "persist_only"):
@@ -442,13 +453,13 @@
         if not constant or name in _NEVER_REPLAYED or not re.fullmatch(r"[a-z0-9_.]+", name):
             last_id = name in ("last_insert_id", "identity")
             return replace(
-                out, ties=(*out.ties, (Tie.SETTING, name)), sets_last_id=out.sets_last_id or last_id
+                out, pins=(*out.pins, (PinReason.SETTING, name)), sets_last_id=out.sets_last_id or last_id
             )
         text = _unquoted(token).lower()
         if name == "autocommit":
             if text in _ON | _OFF:
                 return replace(out, autocommit=text in _ON)
-            return replace(out, ties=(*out.ties, (Tie.SETTING, name)))
+            return replace(out, pins=(*out.pins, (PinReason.SETTING, name)))
         opaque = out.opaque_after or (name == "sql_mode" and any(mode in text for mode in _OPAQUE_MODES))
         opaque = opaque or (name == "character_set_client" and text in _OPAQUE_CHARSETS)
         pair = (name, f"SESSION {name} = {self._text(value).replace(' ', '') if sign else self._text(value)}")
@@ -487,19 +498,19 @@
         from sqlglot import exp
 
         writes = (exp.Insert, exp.Update, exp.Delete, exp.Merge)
-        ties: list[tuple[Tie, str]] = []
+        pins: list[tuple[PinReason, str]] = []
         plain, about, reads_id, sets_id = True, False, False, False
-        lifts: list[tuple[Tie, str]] = []
+        unpins: list[tuple[PinReason, str]] = []
         for node in tree.walk():
             if isinstance(node, (*writes, exp.Lock, exp.Into, exp.Command, exp.Create, exp.Drop)):
                 plain = False
                 if isinstance(node, exp.Command):
                     return self.unknown("the parser knows only a part of the statement")
                 if isinstance(node, exp.Into):
-                    ties += [(Tie.USER_VARIABLE, _sql(each)) for each in node.find_all(exp.Parameter)]
+                    pins += [(PinReason.USER_VARIABLE, _sql(each)) for each in node.find_all(exp.Parameter)]
             elif isinstance(node, exp.PropertyEQ) and isinstance(node.this, exp.Parameter):
                 plain = False
-                ties.append((Tie.USER_VARIABLE, _sql(node.this)))
+                pins.append((PinReason.USER_VARIABLE, _sql(node.this)))
         # Function calls are found by tokens, because sqlglot renames some functions and drops others.
         for at, name in enumerate(names):
             if not name or at + 1 >= len(names) or self.tokens[at + 1][1] != b"(":
@@ -510,11 +521,11 @@
                 plain = False
                 lock = self._literal(at + 2)
                 if name == "get_lock":
-                    ties.append((Tie.NAMED_LOCK, lock or "?"))
+                    pins.append((PinReason.NAMED_LOCK, lock or "?"))
                 elif name == "release_all_locks":
-                    lifts.append((Tie.NAMED_LOCK, ""))
+                    unpins.append((PinReason.NAMED_LOCK, ""))
                 elif name == "release_lock" and lock:
-                    lifts.append((Tie.NAMED_LOCK, lock))
+                    unpins.append((PinReason.NAMED_LOCK, lock))
             elif name == "last_insert_id":
                 bare = self.tokens[at + 2][1] == b")" if at + 2 < len(self.tokens) else False
                 reads_id, sets_id = reads_id or bare, sets_id or not bare
@@ -530,21 +541,21 @@
                 about, plain = True, False
         if ":=" in {token.decode("latin-1") for _, token in self.tokens}:
             plain = False
-            if not any(tie is Tie.USER_VARIABLE for tie, _ in ties):
-                ties.append((Tie.USER_VARIABLE, "?"))
-        if "into" in names and first in ("select", "with") and not ties:
+            if not any(pin is PinReason.USER_VARIABLE for pin, _ in pins):
+                pins.append((PinReason.USER_VARIABLE, "?"))
+        if "into" in names and first in ("select", "with") and not pins:
             plain = False
             if any(kind == "variable" for kind, _ in self.tokens[names.index("into") :]):
-                ties.append((Tie.USER_VARIABLE, "?"))
+                pins.append((PinReason.USER_VARIABLE, "?"))
         if "sql_calc_found_rows" in names:
-            ties.append((Tie.DIAGNOSTICS, ""))
+            pins.append((PinReason.DIAGNOSTICS, ""))
         write = first in ("insert", "replace", "update", "delete") or any(
             isinstance(node, writes) for node in tree.walk()
         )
         if first in ("explain", "describe", "desc"):
             write, plain = False, plain and not write
         return Statement(
-            Kind.WRITE if write else Kind.READ, self.digest, plain and not write, tuple(ties), tuple(lifts),
+            Kind.WRITE if write else Kind.READ, self.digest, plain and not write, tuple(pins), tuple(unpins),
             about_previous=about, reads_last_id=reads_id, sets_last_id=sets_id,
         )  # fmt: skip
 
@@ -622,8 +633,8 @@
             return Statement(
                 Kind.UNKNOWN,
                 "?",
-                ties=((Tie.UNKNOWN, ""),),
-                why="text can't be tokenized",
+                pins=((PinReason.UNKNOWN, ""),),
+                unknown_reason="text can't be tokenized",
             )
         key = (text, multi)
         if (known := self._by_text.get(key)) is not None:
@@ -645,19 +656,27 @@
         first = text[:64].lstrip().split(None, 1)[0].lower() if text[:64].strip() else b""
         if first in _DATA_WORDS and not multi and not _SIDE_EFFECT_PATTERNS.search(text):
             return Statement(Kind.WRITE, f"{first.decode()} …")
-        return Statement(Kind.UNKNOWN, "…", ties=((Tie.UNKNOWN, ""),), why=f"longer than {MAX_TEXT} bytes")
+        return Statement(
+            Kind.UNKNOWN, "…", pins=((PinReason.UNKNOWN, ""),), unknown_reason=f"longer than {MAX_TEXT} bytes"
+        )
 
     def _classify_short_text(self, text: bytes, multi: bool) -> Statement:
         tokens, comments, reliable = words(text)
         hint = hint_of(comments)
         digest = digest_of(tokens)
         if not reliable:
-            why = "executable comment, or unclosed quote or comment"
+            unknown_reason = "executable comment, or unclosed quote or comment"
             if any(kind == "sign" and token in b"'\"`" for kind, token in tokens):
                 # Digests are logged and must not contain literals; after an unclosed quote any token could
                 # be part of a literal.
                 digest = f"{digest_of(tokens[:1])} …"
-            return Statement(Kind.UNKNOWN, digest, ties=((Tie.UNKNOWN, ""),), hint=hint, why=why)
+            return Statement(
+                Kind.UNKNOWN,
+                digest,
+                pins=((PinReason.UNKNOWN, ""),),
+                hint=hint,
+                unknown_reason=unknown_reason,
+            )
         key = (digest, multi)
         classified = self._by_digest.get(key)
         if classified is not None:
@@ -690,11 +709,11 @@
 
 def _depends_on_literals(statement: Statement) -> bool:
     """Return whether texts with the same digest may differ in their classification."""
-    named = {Tie.NAMED_LOCK, Tie.TEMPORARY_TABLE, Tie.USER_VARIABLE}
+    named = {PinReason.NAMED_LOCK, PinReason.TEMPORARY_TABLE, PinReason.USER_VARIABLE}
     return (
         bool(statement.settings or statement.kill is not None or statement.autocommit is not None)
         or statement.kind is Kind.SET
-        or any(tie in named for tie, _ in (*statement.ties, *statement.lifts))
+        or any(pin in named for pin, _ in (*statement.pins, *statement.unpins))
     )
 
 
@@ -706,13 +725,16 @@
     kinds = {one.kind for one in each}
     if kinds & {Kind.KILL, Kind.LOCAL_FILE}:
         return Statement(
-            Kind.UNKNOWN, digest, ties=((Tie.UNKNOWN, ""),), why="KILL or LOCAL among several statements"
+            Kind.UNKNOWN,
+            digest,
+            pins=((PinReason.UNKNOWN, ""),),
+            unknown_reason="KILL or LOCAL among several statements",
         )
-    ties = tuple(dict.fromkeys(tie for one in each for tie in one.ties))
+    pins = tuple(dict.fromkeys(pin for one in each for pin in one.pins))
     # Removed pins are ignored, because an error may have ended the text before the removing statement.
     return Statement(
         Kind.READ if reads else Kind.UNKNOWN if Kind.UNKNOWN in kinds else Kind.WRITE,
-        digest, reads, ties,
+        digest, reads, pins,
         settings=tuple(pair for one in each for pair in one.settings),
         autocommit=next((one.autocommit for one in reversed(each) if one.autocommit is not None), None),
         schema=next((one.schema for one in reversed(each) if one.schema is not None), None),
@@ -723,5 +745,5 @@
         release=any(one.release for one in each),
         count=len(each),
         renews=bool(kinds & {Kind.BEGIN, Kind.COMMIT, Kind.ROLLBACK, Kind.DEFINE}),
-        why="; ".join(one.why for one in each if one.why),
+        unknown_reason="; ".join(one.unknown_reason for one in each if one.unknown_reason),
     )  # fmt: skip
--- a/brambleusher/lab/mysql/replay.py
+++ b/brambleusher/lab/mysql/replay.py
@@ -36,7 +36,7 @@
 from brambleusher.fronts.mysql.packets import frame
 from brambleusher.fronts.mysql.replies import ReplyRelay
 from brambleusher.fronts.mysql.session import Session
-from brambleusher.fronts.mysql.statements import Kind, Tie
+from brambleusher.fronts.mysql.statements import Kind, PinReason
 from brambleusher.lab.mysql.client import MysqlClient, Told
 from brambleusher.lab.mysql.engine import ColumnInfo, Database, Table
 from brambleusher.lab.mysql.server import Fault, Moment, MysqlServer, MysqlSettings, accounts
@@ -783,15 +783,15 @@
         yield
 
 
-def _untied(tie: Tie) -> Callable[[], Iterator[None]]:
+def _untied(tie: PinReason) -> Callable[[], Iterator[None]]:
     def patch() -> Iterator[None]:
-        real = Session.tie
+        real = Session.pin
 
-        def tied(self: Session, which: Tie, name: str = "") -> None:
+        def tied(self: Session, which: PinReason, name: str = "") -> None:
             if which is not tie:
                 real(self, which, name)
 
-        with mock.patch.object(Session, "tie", tied):
+        with mock.patch.object(Session, "pin", tied):
             yield
 
     return patch
@@ -898,8 +898,8 @@
     "error-swallowed": _error_swallowed,
     "lost-commit-told-as-done": _lost_commit_told_as_done,
     "unknown-told-as-failed": _unknown_told_as_failed,
-    "moved-in-a-transaction": _untied(Tie.TRANSACTION),
-    "variable-lost-on-a-move": _untied(Tie.USER_VARIABLE),
+    "moved-in-a-transaction": _untied(PinReason.TRANSACTION),
+    "variable-lost-on-a-move": _untied(PinReason.USER_VARIABLE),
     "rows-of-two-results-mixed": _rows_mixed,
     "kill-hits-the-next": _kill_hits_the_next,
     "settings-not-replayed": _settings_not_replayed,
--- a/tests/fronts/mysql/test_mysql_front.py
+++ b/tests/fronts/mysql/test_mysql_front.py
@@ -558,8 +558,8 @@
 
 def test_a_drain_lets_the_untied_go_and_gives_the_tied_their_grace(make: Make) -> None:
     rig, servers = make(2, "  grace_ms: {move: 200, look: 200}\n  drain_spread_ms: 100\n", once=True)
-    free, tied, busy = connect(rig), connect(rig), connect(rig)
-    for client in (tied, busy):
+    free, pinned, busy = connect(rig), connect(rig), connect(rig)
+    for client in (pinned, busy):
         client.begin()
         ask(client, "select connection_id(), 1")
     places = [server.name for server in servers.servers]
@@ -568,9 +568,9 @@
     )
     rig.until(lambda: rig.count("lists_taken") >= 2)
     rig.until(lambda: rig.count("mysql_drained") >= 2)
-    assert fails(tied, "select 1") == Errno.SERVER_SHUTDOWN
+    assert fails(pinned, "select 1") == Errno.SERVER_SHUTDOWN
     with pytest.raises(pymysql.err.Error):  # the session has ended after its one error
-        ask(tied, "select 1")
+        ask(pinned, "select 1")
     assert fails(busy, "commit") == Errno.SERVER_SHUTDOWN
     assert fails(free, ROW) == Errno.SERVER_ISNT_AVAILABLE
     rig.discovery.push(Discovery.text([rig.entry(places[1])], version=10))
@@ -617,25 +617,25 @@
 
 def test_a_grace_does_not_begin_anew_with_each_list(make: Make) -> None:
     rig, servers = make(1, "  grace_ms: {move: 300}\n  drain_spread_ms: 0\n", once=True)
-    tied = connect(rig)
-    tied.begin()
-    ask(tied, "select connection_id(), 1")
+    pinned = connect(rig)
+    pinned.begin()
+    ask(pinned, "select connection_id(), 1")
     entry, version, end = rig.entry(servers.servers[0].name, "Terminating"), 8, time.monotonic() + WAIT
     while not rig.count("mysql_drained"):
         assert time.monotonic() < end
         version += 1
         rig.discovery.push(Discovery.text([entry], version=version))
         rig.until(lambda: rig.count("lists_taken") >= version - 7 or bool(rig.count("mysql_drained")))  # noqa: B023
-    assert fails(tied, "commit") == Errno.SERVER_SHUTDOWN
+    assert fails(pinned, "commit") == Errno.SERVER_SHUTDOWN
 
 
 def test_an_end_waits_for_the_tied_within_their_grace(make: Make) -> None:
     rig, _ = make(1, "  grace_ms: {move: 300}\n  drain_spread_ms: 0\n", once=True)
-    free, tied = Raw(rig), connect(rig)
-    tied.begin()
+    free, pinned = Raw(rig), connect(rig)
+    pinned.begin()
     rig.sidecar.begin_graceful_shutdown()
     rig.until(lambda: rig.sidecar.lifecycle.is_drained)
-    tied.commit()
+    pinned.commit()
     message = free.sock.recv(65536)
     assert Err.parse(message[4:]).errno == Errno.SERVER_SHUTDOWN
 
@@ -817,7 +817,7 @@
     client.send(b"\x1a" + struct.pack("<I", many.statement))
     assert client.take()[0] == 0
     assert fetch(many.statement, 2) == (-1, 1421)
-    assert not session_of(rig, client).tied
+    assert not session_of(rig, client).pinned
     for part in (b"abc", b"defg"):
         client.send(b"\x18" + struct.pack("<IH", length.statement, 0) + part)
     parameter = b"\0\1\xfc\0"
--- a/tests/fronts/mysql/test_mysql_statements.py
+++ b/tests/fronts/mysql/test_mysql_statements.py
@@ -15,11 +15,19 @@
     MAX_PREPARED,
     MAX_PREPARED_TEXT,
     MAX_SETTINGS,
-    TIES,
+    PIN_RULES,
     Session,
     replay_text,
 )
-from brambleusher.fronts.mysql.statements import Hint, Kind, Statement, Statements, Tie, digest_of, words
+from brambleusher.fronts.mysql.statements import (
+    Hint,
+    Kind,
+    PinReason,
+    Statement,
+    Statements,
+    digest_of,
+    words,
+)
 
 TELL = Statements()
 CAPS = int(Capability.PROTOCOL_41 | Capability.DEPRECATE_EOF)
@@ -93,14 +101,16 @@
 def test_what_a_statement_is(text: str, kind: Kind, plain: bool) -> None:
     told = tell(text)
     assert (told.kind, told.plain_read) == (kind, plain)
-    assert (Tie.UNKNOWN in dict(told.ties) or Tie.PREPARED in dict(told.ties)) is (kind is Kind.UNKNOWN)
+    assert (PinReason.UNKNOWN in dict(told.pins) or PinReason.PREPARED in dict(told.pins)) is (
+        kind is Kind.UNKNOWN
+    )
 
 
 def test_several_statements_are_what_the_worst_of_them_is() -> None:
     assert tell("select 1; select 2;", True).plain_read
     mixed = tell("select 1; set @a = 2; insert into t values (1)", True)
     assert (mixed.kind, mixed.plain_read, mixed.count) == (Kind.WRITE, False, 3)
-    assert dict(mixed.ties) == {Tie.USER_VARIABLE: "a"}
+    assert dict(mixed.pins) == {PinReason.USER_VARIABLE: "a"}
     assert tell("select 1; call p()", True).kind is Kind.UNKNOWN
     assert tell("select 1; kill 5", True).kind is Kind.UNKNOWN
 
@@ -148,7 +158,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "settings", "ties"),
+    ("text", "settings", "pins"),
     [
         ("set sql_mode = 'ANSI_X', @@session.time_zone='+00:00'",
          {"sql_mode": "SESSION sql_mode = 'ANSI_X'", "time_zone": "SESSION time_zone = '+00:00'"}, set()),
@@ -156,21 +166,21 @@
         ("set session transaction isolation level read committed",
          {"transaction isolation": "SESSION transaction isolation level read committed"}, set()),
         ("set wait_timeout = -1", {"wait_timeout": "SESSION wait_timeout = -1"}, set()),
-        ("set transaction isolation level serializable", {}, {Tie.NEXT_TRANSACTION}),
-        ("set @@transaction_isolation = 'SERIALIZABLE'", {}, {Tie.NEXT_TRANSACTION}),
+        ("set transaction isolation level serializable", {}, {PinReason.NEXT_TRANSACTION}),
+        ("set @@transaction_isolation = 'SERIALIZABLE'", {}, {PinReason.NEXT_TRANSACTION}),
         ("set transaction_isolation = 'SERIALIZABLE'",
          {"transaction_isolation": "SESSION transaction_isolation = 'SERIALIZABLE'"}, set()),
-        ("set sql_select_limit = @@max_join_size", {}, {Tie.SETTING}),
-        ("set timestamp = 5", {}, {Tie.SETTING}),
-        ("set @a = 1, sql_mode = ''", {"sql_mode": "SESSION sql_mode = ''"}, {Tie.USER_VARIABLE}),
+        ("set sql_select_limit = @@max_join_size", {}, {PinReason.SETTING}),
+        ("set timestamp = 5", {}, {PinReason.SETTING}),
+        ("set @a = 1, sql_mode = ''", {"sql_mode": "SESSION sql_mode = ''"}, {PinReason.USER_VARIABLE}),
         ("set global sort_buffer_size = 5", {}, set()),
-        ("set role admin", {}, {Tie.SETTING}),
+        ("set role admin", {}, {PinReason.SETTING}),
     ],
 )  # fmt: skip
-def test_what_is_replayed_and_what_ties(text: str, settings: dict[str, str], ties: set[Tie]) -> None:
+def test_what_is_replayed_and_what_ties(text: str, settings: dict[str, str], pins: set[PinReason]) -> None:
     told = tell(text)
     assert dict(told.settings) == settings
-    assert {tie for tie, _ in told.ties} == ties
+    assert {pin for pin, _ in told.pins} == pins
 
 
 def test_settings_after_which_no_text_can_be_told_apart() -> None:
@@ -203,56 +213,56 @@
 
 
 OPEN = int(Status.AUTOCOMMIT | Status.IN_TRANS)
-TABLE: dict[Tie, list[tuple[str, ReplyRelay | None, bool]]] = {
-    Tie.TRANSACTION: [
+TABLE: dict[PinReason, list[tuple[str, ReplyRelay | None, bool]]] = {
+    PinReason.TRANSACTION: [
         ("begin", reply(OPEN), True), ("update t set a = 1", reply(OPEN), True), ("commit", None, False),
     ],
-    Tie.AUTOCOMMIT_OFF: [
+    PinReason.AUTOCOMMIT_OFF: [
         ("set autocommit = 0", reply(0), False), ("select 1", reply(0), True), ("commit", reply(0), False),
         ("update t set a = 1", reply(int(Status.IN_TRANS)), True), ("rollback", reply(0), False),
         ("select 1", reply(0), True), ("set autocommit = 1", None, False),
     ],
-    Tie.TABLE_LOCKS: [("lock tables t read", None, True), ("unlock tables", None, False)],
-    Tie.NAMED_LOCK: [
+    PinReason.TABLE_LOCKS: [("lock tables t read", None, True), ("unlock tables", None, False)],
+    PinReason.NAMED_LOCK: [
         ("select get_lock('a', 1)", None, True), ("select get_lock('b', 1)", None, True),
         ("select release_lock('a')", None, True), ("select release_lock('b')", None, False),
         ("select get_lock('a', 1)", None, True), ("select release_all_locks()", None, False),
     ],
-    Tie.TEMPORARY_TABLE: [
+    PinReason.TEMPORARY_TABLE: [
         ("create temporary table if not exists shop.x (a int)", None, True), ("drop table y", None, True),
         ("drop temporary table if exists shop.x", None, False),
     ],
-    Tie.USER_VARIABLE: [("set @a = 1", None, True), ("set @a = null", None, True)],
-    Tie.SETTING: [("set timestamp = 7", None, True)],
-    Tie.NEXT_TRANSACTION: [
+    PinReason.USER_VARIABLE: [("set @a = 1", None, True), ("set @a = null", None, True)],
+    PinReason.SETTING: [("set timestamp = 7", None, True)],
+    PinReason.NEXT_TRANSACTION: [
         ("set transaction isolation level serializable", None, True), ("begin", reply(OPEN), True),
         ("commit", None, False),
     ],
-    Tie.PREPARED: [("prepare s from 'select 1'", None, True), ("deallocate prepare s", None, True)],
-    Tie.DIAGNOSTICS: [
+    PinReason.PREPARED: [("prepare s from 'select 1'", None, True), ("deallocate prepare s", None, True)],
+    PinReason.DIAGNOSTICS: [
         ("insert into t values ('x')", reply(warnings=1), True), ("show warnings", None, True),
         ("select 1", None, False), ("select sql_calc_found_rows 1", None, True),
         ("select found_rows()", None, True), ("select 1", None, False),
     ],
-    Tie.UNKNOWN: [("call p()", None, True), ("select 1", None, True)],
+    PinReason.UNKNOWN: [("call p()", None, True), ("select 1", None, True)],
 }  # fmt: skip
 
 
 def test_every_tie_of_the_table_has_its_test() -> None:
-    assert set(TABLE) | {Tie.UNREAD} == set(TIES) == set(Tie)
+    assert set(TABLE) | {PinReason.UNREAD} == set(PIN_RULES) == set(PinReason)
 
 
-@pytest.mark.parametrize("tie", list(TABLE))
-def test_how_each_tie_is_made_and_lifted(tie: Tie) -> None:
+@pytest.mark.parametrize("pin", list(TABLE))
+def test_how_each_tie_is_made_and_lifted(pin: PinReason) -> None:
     session = fresh()
-    assert not session.tied
-    for text, answer, tied in TABLE[tie]:
+    assert not session.pinned
+    for text, answer, pinned in TABLE[pin]:
         run(session, text, answer)
-        assert (tie in session.ties) is tied, text
-        assert session.tied is tied, (text, session.why)
+        assert (pin in session.pins) is pinned, text
+        assert session.pinned is pinned, (text, session.pin_description)
         assert Session.of_state(session.state()).state() == session.state()
     session.reset()
-    assert not session.tied
+    assert not session.pinned
 
 
 def test_a_cursor_with_rows_left_ties() -> None:
@@ -261,24 +271,24 @@
     session.was_prepared(number, b"select 1", tell("select 1"), Prepared(9, 1, 0))
     found = session.find(number)
     session.executed(found, 1, reply(int(Status.CURSOR_EXISTS)))
-    assert Tie.UNREAD in session.ties
+    assert PinReason.UNREAD in session.pins
     session.fetched(number, reply(int(Status.CURSOR_EXISTS)))
-    assert session.tied
+    assert session.pinned
     session.fetched(number, reply(int(Status.LAST_ROW_SENT)))
-    assert not session.tied
+    assert not session.pinned
     session.executed(found, 1, reply(int(Status.CURSOR_EXISTS)))
     session.close_prepared(number)
-    assert not session.tied
+    assert not session.pinned
 
 
 def test_what_did_not_run_ties_nothing_and_what_may_have_does() -> None:
     syntax = Err(1064, "42000", "no")
-    assert not run(fresh(), "call p()", reply(error=syntax)).tied
-    assert run(fresh(), "call p()", reply(error=Err(1305, "HY000", "half way"))).tied
-    assert not run(fresh(), "create temporary table x (a int)", reply(error=Err(1050, "42S01", "no"))).tied
-    assert run(fresh(), "set @a = 1; selct", reply(error=syntax)).tied  # the first statement may have run
+    assert not run(fresh(), "call p()", reply(error=syntax)).pinned
+    assert run(fresh(), "call p()", reply(error=Err(1305, "HY000", "half way"))).pinned
+    assert not run(fresh(), "create temporary table x (a int)", reply(error=Err(1050, "42S01", "no"))).pinned
+    assert run(fresh(), "set @a = 1; selct", reply(error=syntax)).pinned  # the first statement may have run
     failed = run(run(fresh(), "begin", reply(OPEN)), "commit", reply(error=Err(1105, "HY000", "no")))
-    assert Tie.TRANSACTION in failed.ties  # an ERR packet carries no transaction status
+    assert PinReason.TRANSACTION in failed.pins  # an ERR packet carries no transaction status
 
 
 def test_a_setting_made_twice_is_replayed_as_it_was_made_last() -> None:
@@ -291,7 +301,7 @@
 def test_an_id_given_is_the_connections_to_tell() -> None:
     session = run(fresh(), "insert into t values (null)", reply(last_id=7))
     assert session.last_id is None
-    assert not session.tied
+    assert not session.pinned
     assert session.setup(True).last_id is None
 
 
@@ -326,12 +336,12 @@
     for at in range(MAX_SETTINGS + 5):
         run(session, f"set s{at} = {at}")
     assert len(session.settings) == MAX_SETTINGS
-    assert Tie.SETTING in session.ties  # a setting that is not replayed exists on this connection only
+    assert PinReason.SETTING in session.pins  # a setting that is not replayed exists on this connection only
     long = run(fresh(), f"set sql_mode = '{'x' * 20_000}'")
-    assert (long.settings, long.tied) == ({}, True)
+    assert (long.settings, long.pinned) == ({}, True)
     for at in range(MAX_NAMES + 5):
         run(session, f"select get_lock('{at}', 1)")
-    assert len(session.ties[Tie.NAMED_LOCK]) <= MAX_NAMES + 1
+    assert len(session.pins[PinReason.NAMED_LOCK]) <= MAX_NAMES + 1
     with pytest.raises(ProtocolError) as caught:
         fresh().next_prepared(MAX_PREPARED_TEXT + 1)
     assert caught.value.errno == Errno.NOT_SUPPORTED_YET
