--- a/brambleusher/fronts/mysql/front.py
+++ b/brambleusher/fronts/mysql/front.py
@@ -211,7 +211,7 @@
 
     def _charge_prepared(self, client: Client, extra: int = 0) -> None:
         """Charge a session's prepared statements and `more` further bytes to the shared memory budget."""
-        total = client.session.held_bytes + extra
+        total = client.session.prepared_bytes + extra
         if total - client.kept > self._memory_left:
             raise ProtocolError("no memory for what is prepared", Errno.OUT_OF_RESOURCES)
         self._memory_left -= total - client.kept
@@ -458,7 +458,7 @@
         held, client.held = client.held, None
         if held is not None:
             held.drop(status)
-        client.session.lost()
+        client.session.drop_connection_state()
         client.lost = error
         return True
 
@@ -634,14 +634,14 @@
         session, relay, conn = client.session, reply.relay, reply.held.conn
         if work.command == Command.STMT_PREPARE:
             if relay.prepared is not None and relay.error is None and work.statement_id is not None:
-                session.was_prepared(work.statement_id, work.body[1:], statement, relay.prepared)
+                session.record_prepared(work.statement_id, work.body[1:], statement, relay.prepared)
                 self._nodes.prepared(conn, work.body[1:], relay)
         elif work.command == Command.STMT_FETCH:
-            session.fetched(work.statement_id or 0, relay)
+            session.record_fetched(work.statement_id or 0, relay)
         else:
-            session.after(statement, relay)
+            session.apply_reply(statement, relay)
             if work.prepared is not None and work.run is not None:
-                session.executed(work.prepared, work.run.flags, relay)
+                session.record_executed(work.prepared, work.run.flags, relay)
         if session.last_id is None and (relay.last_id or statement.sets_last_id):
             client.id_conn, conn.id_owner = conn, client
         if relay.error is None:
@@ -694,7 +694,7 @@
                 held.stop(broken.status)
             else:
                 held.drop(broken.status)
-            session.lost()
+            session.drop_connection_state()
             if relay.packet_open:
                 return False
             client.channel.send(relay.fail(broken.error), self._scheduler.now() + WRITE_SECONDS)
@@ -801,7 +801,7 @@
             log.info("tied session lost its node", extra={"fields": {"reason": type(error).__name__}})
             client.held = None
             held.drop(AttemptStatus.RESET)
-            session.lost()
+            session.drop_connection_state()
             text = "the node was lost; this statement did not run, and what was open there is rolled back"
             self._send_error(client, Err.of(Errno.NET_READ, text))
             client.channel.stream.finish()
--- a/brambleusher/fronts/mysql/nodes.py
+++ b/brambleusher/fronts/mysql/nodes.py
@@ -23,7 +23,13 @@
 from brambleusher.fronts.mysql.messages import Err, Execute, parse_text_row
 from brambleusher.fronts.mysql.packets import PacketReader, ProtocolError, frame, frames
 from brambleusher.fronts.mysql.replies import ReplyRelay
-from brambleusher.fronts.mysql.session import Flavour, PreparedText, Session, Setup, replay_text
+from brambleusher.fronts.mysql.session import (
+    ConnectionTraits,
+    PreparedText,
+    RequiredState,
+    Session,
+    replay_text,
+)
 from brambleusher.fronts.mysql.settings import MysqlSettings, Passwords
 from brambleusher.loadbalancing.api import (
     CONNECT_TIMEOUT_FRACTION,
@@ -89,15 +95,16 @@
     """One connection to a node, with its known session state."""
 
     __slots__ = (
-        "account", "autocommit", "capabilities", "channel", "collation", "doomed", "id_owner", "meaning",
-        "multi", "node", "owner", "prepared", "schema", "settings", "thread", "used_at",
+        "account", "autocommit", "capabilities", "channel", "collation", "doomed", "id_owner",
+        "statement_capabilities", "multi", "node", "owner", "prepared", "schema", "settings", "thread",
+        "used_at",
     )  # fmt: skip
 
-    def __init__(self, node: Node, channel: Channel, flavour: Flavour, login: ClientLogin) -> None:
+    def __init__(self, node: Node, channel: Channel, traits: ConnectionTraits, login: ClientLogin) -> None:
         assert login.greeting is not None
         assert login.ok is not None
-        self.node, self.channel, self.account = node, channel, flavour.account
-        self.collation, self.meaning = flavour.collation, flavour.meaning
+        self.node, self.channel, self.account = node, channel, traits.account
+        self.collation, self.statement_capabilities = traits.collation, traits.statement_capabilities
         self.thread, self.capabilities = login.greeting.thread, login.capabilities
         self.autocommit = bool(login.ok.status & Flag.AUTOCOMMIT)
         self.multi = bool(login.capabilities & Capability.MULTI_STATEMENTS)
@@ -110,13 +117,13 @@
         self.id_owner: Owner | None = None  # the session whose LAST_INSERT_ID the connection may hold
         self.doomed = False  # a KILL may be in flight or the stream is corrupt, so no other session gets it
 
-    def suits(self, flavour: Flavour) -> bool:
-        """Return whether sessions of a flavour may use the connection."""
+    def suits(self, traits: ConnectionTraits) -> bool:
+        """Return whether sessions with these traits may use the connection."""
         return (
-            self.account == flavour.account
-            and self.collation == flavour.collation
-            and self.meaning == flavour.meaning
-            and not (flavour.no_schema and self.schema)
+            self.account == traits.account
+            and self.collation == traits.collation
+            and self.statement_capabilities == traits.statement_capabilities
+            and not (traits.no_schema and self.schema)
         )
 
     def was_reset(self) -> None:
@@ -158,11 +165,11 @@
 class Claim:
     """One attempt to run a command on a node, and its progress."""
 
-    __slots__ = ("event", "flavour", "granted", "measured", "sending", "why", "written")
+    __slots__ = ("event", "traits", "granted", "measured", "sending", "why", "written")
 
-    def __init__(self, flavour: Flavour) -> None:
+    def __init__(self, traits: ConnectionTraits) -> None:
         self.event = Event()  # set when the attempt is cancelled or a connection may be available
-        self.flavour = flavour
+        self.traits = traits
         self.granted: Conn | None = None
         self.why: AttemptStatus | None = None
         self.sending = self.written = False
@@ -431,7 +438,7 @@
         )
         if not isinstance(payload, Work):
             raise TypeError("the payload of a MySQL attempt is not a MySQL command")
-        claim, started_at = Claim(payload.session.flavour), self._scheduler.now()
+        claim, started_at = Claim(payload.session.traits), self._scheduler.now()
         limit = min(deadline, started_at + timeout_ns / 1e9) if timeout_ns else deadline
 
         def run() -> None:
@@ -607,10 +614,10 @@
         The order of preference is the session's last connection, an idle one, a new one, and the next one
         that another session returns.
         """
-        flavour, wait_until = claim.flavour, min(limit, self._scheduler.now() + self._wait_seconds)
+        traits, wait_until = claim.traits, min(limit, self._scheduler.now() + self._wait_seconds)
         while True:
             claim.check()
-            conn = claim.granted or self._take_idle(node, work.owner, flavour)
+            conn = claim.granted or self._take_idle(node, work.owner, traits)
             claim.granted = None
             if conn is not None:
                 if self._is_usable(conn):
@@ -621,22 +628,22 @@
             if node.leaving:
                 claim.cancel(AttemptStatus.OVERLOADED)
                 continue
-            if self._may_open(node, flavour.account):
-                return self._open(node, claim, flavour, limit)
-            if not self._evict_idle(node, flavour) and not self._wait_for_connection(node, claim, wait_until):
+            if self._may_open(node, traits.account):
+                return self._open(node, claim, traits, limit)
+            if not self._evict_idle(node, traits) and not self._wait_for_connection(node, claim, wait_until):
                 return None
 
-    def _take_idle(self, node: Node, owner: Owner, flavour: Flavour) -> Conn | None:
+    def _take_idle(self, node: Node, owner: Owner, traits: ConnectionTraits) -> Conn | None:
         best = None
-        setup = owner.session.setup()
+        required_state = owner.session.required_state()
         for conn in reversed(node.idle):
-            if not conn.suits(flavour):
+            if not conn.suits(traits):
                 continue
             if conn is owner.last:
                 best = conn
                 break
             if best is None or (
-                _setup_cost(conn, setup) < _setup_cost(best, setup)
+                _state_change_cost(conn, required_state) < _state_change_cost(best, required_state)
             ):  # of the connections with the smallest distance, the most recently used one wins
                 best = conn
         if best is not None:
@@ -667,11 +674,11 @@
         self.discard(conn, wake=False)
         return True
 
-    def _evict_idle(self, node: Node, flavour: Flavour) -> bool:
-        """Close an idle connection of another flavour if a new one can then be opened."""
-        account_full = node.by_account.get(flavour.account, 0) >= self._settings.connections
+    def _evict_idle(self, node: Node, traits: ConnectionTraits) -> bool:
+        """Close an idle connection with other traits if a new one can then be opened."""
+        account_full = node.by_account.get(traits.account, 0) >= self._settings.connections
         for conn in node.idle:  # starts with the connection that has been idle for the longest time
-            if not account_full or conn.account == flavour.account:
+            if not account_full or conn.account == traits.account:
                 node.idle.remove(conn)
                 self.discard(conn, wake=False)
                 return True
@@ -693,30 +700,33 @@
                 self.give_back(granted)
         return True
 
-    def _open(self, node: Node, claim: Claim, flavour: Flavour, limit: float) -> Conn:
+    def _open(self, node: Node, claim: Claim, traits: ConnectionTraits, limit: float) -> Conn:
         node.open += 1
         self._open_total += 1
-        node.by_account[flavour.account] = node.by_account.get(flavour.account, 0) + 1
+        node.by_account[traits.account] = node.by_account.get(traits.account, 0) + 1
         channel: Channel | None = None
         try:
             now = self._scheduler.now()
             timeout = min(self._connect_seconds, (limit - now) * CONNECT_TIMEOUT_FRACTION)
             stream = Stream.connect(self._scheduler, node.address, now + timeout, claim.event)
             channel = Channel(stream)
-            login = self._log_in(channel, flavour, limit, claim)
+            login = self._log_in(channel, traits, limit, claim)
         except BaseException:
             if channel is not None:
                 channel.close()
-            self._count_closed(node, flavour.account)
+            self._count_closed(node, traits.account)
             raise
         self._counters.add("connections_opened")
-        return Conn(node, channel, flavour, login)
+        return Conn(node, channel, traits, login)
 
-    def _log_in(self, channel: Channel, flavour: Flavour, limit: float, claim: Claim | None) -> ClientLogin:
+    def _log_in(
+        self, channel: Channel, traits: ConnectionTraits, limit: float, claim: Claim | None
+    ) -> ClientLogin:
         settings = self._settings
         login = ClientLogin(
-            flavour.account, self._passwords.of(flavour.account), WANTED | flavour.meaning, flavour.collation,
-            settings.node_tls.mode, public_key=self._node_public_key, ask_key=settings.ask_node_key,
+            traits.account, self._passwords.of(traits.account), WANTED | traits.statement_capabilities,
+            traits.collation, settings.node_tls.mode,
+            public_key=self._node_public_key, ask_key=settings.ask_node_key,
         )  # fmt: skip
         while True:
             step = login.step()
@@ -740,21 +750,21 @@
                 login.feed(data)
 
     def give_back(self, conn: Conn) -> None:
-        """Pass a free connection to the first attempt that waits for its flavour, or make it idle."""
+        """Pass a free connection to the first waiting attempt that it suits, or make it idle."""
         node = conn.node
         if node.leaving or conn.doomed or not conn.channel.open or not conn.channel.quiet():
             self.discard(conn)
             return
         conn.used_at = self._scheduler.now()
         for claim in node.waiters:
-            if conn.suits(claim.flavour):
+            if conn.suits(claim.traits):
                 node.waiters.remove(claim)
                 claim.granted = conn
                 claim.event.set()
                 return
         node.idle.append(conn)
         if node.waiters:
-            node.waiters[0].event.set()  # the attempt can close this connection to open one of its flavour
+            node.waiters[0].event.set()  # the attempt can close this connection to open a suitable one
 
     def discard(self, conn: Conn, wake: bool = True) -> None:
         """Close a connection; repeated calls have no effect."""
@@ -817,29 +827,29 @@
             self.give_back(id_conn)
         if conn.carries is not None and conn.carries is not owner:
             self._fetch_last_insert_id(conn, claim, limit)
-        setup = session.setup(work.reads_last_id and session.last_id is not None)
-        if conn.settings != setup.settings[: len(conn.settings)]:
+        required_state = session.required_state(work.reads_last_id and session.last_id is not None)
+        if conn.settings != required_state.settings[: len(conn.settings)]:
             self._ask_checked(conn, bytes((Command.RESET_CONNECTION,)), limit, claim)
             conn.was_reset()
-        missing = list(setup.settings[len(conn.settings) :])
+        missing = list(required_state.settings[len(conn.settings) :])
         for assignment in [pair for pair in missing if pair[0].startswith("transaction")]:
             missing.remove(assignment)
             self._ask_checked(conn, b"\3" + replay_text([assignment]), limit, claim)
-        if conn.autocommit != setup.autocommit:
-            missing.append(("autocommit", f"SESSION autocommit = {int(setup.autocommit)}"))
-        if setup.last_id is not None:
-            missing.append(("last_insert_id", f"SESSION last_insert_id = {setup.last_id}"))
+        if conn.autocommit != required_state.autocommit:
+            missing.append(("autocommit", f"SESSION autocommit = {int(required_state.autocommit)}"))
+        if required_state.last_id is not None:
+            missing.append(("last_insert_id", f"SESSION last_insert_id = {required_state.last_id}"))
         if missing:
             relay = self._ask_checked(conn, b"\3" + replay_text(missing), limit, claim)
             conn.autocommit = bool(relay.status & Flag.AUTOCOMMIT)
-        conn.settings = setup.settings
-        if conn.schema != setup.schema and setup.schema:
-            self._ask_checked(conn, b"\2" + setup.schema.encode(), limit, claim)
-            conn.schema = setup.schema
-        if conn.multi != setup.multi:
-            option = 0 if setup.multi else 1
+        conn.settings = required_state.settings
+        if conn.schema != required_state.schema and required_state.schema:
+            self._ask_checked(conn, b"\2" + required_state.schema.encode(), limit, claim)
+            conn.schema = required_state.schema
+        if conn.multi != required_state.multi:
+            option = 0 if required_state.multi else 1
             self._ask_checked(conn, bytes((Command.SET_OPTION, option, 0)), limit, claim)
-            conn.multi = setup.multi
+            conn.multi = required_state.multi
         conn.owner = owner
         owner.last = conn
 
@@ -903,7 +913,7 @@
         if on_node[1] != prepared.parameters:
             raise TuneFailed(Err.of(Errno.NEED_REPREPARE, "Prepared statement needs to be re-prepared"))
         statement_id = on_node[0]
-        for parameter, value in prepared.long.items():
+        for parameter, value in prepared.long_values.items():
             head = b"\x18" + statement_id.to_bytes(4, "little") + parameter.to_bytes(2, "little")
             long_data += frame(head + bytes(value), 0)
         forwarded = Execute(statement_id, execution.flags, execution.nulls, execution.types, execution.values)
@@ -992,21 +1002,21 @@
         stream = Stream.connect(self._scheduler, node.address, limit)
         channel = Channel(stream)
         try:
-            flavour = Flavour(conn.account, conn.collation, conn.meaning)
-            login = self._log_in(channel, flavour, limit, None)
-            extra_conn = Conn(node, channel, flavour, login)
+            traits = ConnectionTraits(conn.account, conn.collation, conn.statement_capabilities)
+            login = self._log_in(channel, traits, limit, None)
+            extra_conn = Conn(node, channel, traits, login)
             self.ask(extra_conn, text, limit)
         finally:
             channel.close()
 
 
-def _setup_cost(conn: Conn, setup: Setup) -> int:
+def _state_change_cost(conn: Conn, required_state: RequiredState) -> int:
     """Estimate how many commands set up a session's state on a connection."""
-    cost = 0 if conn.settings == setup.settings else 1
-    if conn.settings != setup.settings[: len(conn.settings)]:
+    cost = 0 if conn.settings == required_state.settings else 1
+    if conn.settings != required_state.settings[: len(conn.settings)]:
         cost += 1
     cost += conn.carries is not None
-    return cost + (conn.schema != setup.schema) + (conn.multi != setup.multi)
+    return cost + (conn.schema != required_state.schema) + (conn.multi != required_state.multi)
 
 
 _STATE_LOST_ERROR = Err.of(
--- a/brambleusher/fronts/mysql/session.py
+++ b/brambleusher/fronts/mysql/session.py
@@ -25,10 +25,10 @@
 MAX_PREPARED = 1024  # maximum number of prepared statements of one session
 MAX_PREPARED_TEXT = 256 * 1024  # maximum size in bytes of the text of a prepared statement
 MAX_SETTINGS, MAX_SETTINGS_BYTES = 64, 16 * 1024  # maximum number and size in bytes of replayed settings
-MAX_NAME = 256  # maximum length of a lock or table name; longer names are truncated
-MAX_NAMES = 256  # maximum number of names tracked per pin; above it only a reset removes the pin
+MAX_PIN_NAME_LENGTH = 256  # maximum length of a lock or table name; longer names are truncated
+MAX_PIN_NAMES = 256  # maximum number of names tracked per pin; above it only a reset removes the pin
 # Capabilities that change the meaning of statements; only sessions that agree in them share a connection.
-MEANING = int(
+STATEMENT_CAPABILITIES = int(
     Capability.FOUND_ROWS | Capability.IGNORE_SPACE | Capability.NO_SCHEMA | Capability.ODBC
     | Capability.INTERACTIVE
 )  # fmt: skip
@@ -83,16 +83,16 @@
     parameters: int = 0
     columns: int = 0
     types: bytes = b""  # parameter types of the last execution that sent them
-    long: dict[int, bytearray] = field(default_factory=dict)  # long data by parameter number
+    long_values: dict[int, bytearray] = field(default_factory=dict)  # long data by parameter number
 
     @property
-    def long_bytes(self) -> int:
+    def long_value_bytes(self) -> int:
         """Number of buffered bytes of long data."""
-        return sum(map(len, self.long.values()))
+        return sum(map(len, self.long_values.values()))
 
 
 @dataclass(frozen=True, slots=True)
-class Setup:
+class RequiredState:
     """The session state that a connection needs before a statement runs on it."""
 
     schema: str
@@ -103,12 +103,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Flavour:
+class ConnectionTraits:
     """The immutable properties of a connection; only sessions with the same ones can share a connection."""
 
     account: str
     collation: int
-    meaning: int
+    statement_capabilities: int
     no_schema: bool = False  # the connection must never have selected a schema
 
 
@@ -152,13 +152,15 @@
         return ", ".join(sorted(pin.value for pin in self.pins))
 
     @property
-    def flavour(self) -> Flavour:
+    def traits(self) -> ConnectionTraits:
         """The immutable properties that the session requires of its connections."""
-        return Flavour(self.account, self.collation, self.capabilities & MEANING, not self.schema)
+        return ConnectionTraits(
+            self.account, self.collation, self.capabilities & STATEMENT_CAPABILITIES, not self.schema
+        )
 
-    def setup(self, reads_last_id: bool = False) -> Setup:
+    def required_state(self, reads_last_id: bool = False) -> RequiredState:
         """Return the state that a connection needs for the next statement."""
-        return Setup(
+        return RequiredState(
             self.schema,
             tuple(self.settings.items()),
             self.autocommit,
@@ -177,7 +179,7 @@
         }  # fmt: skip
 
     @classmethod
-    def of_state(cls, state: dict[str, Any]) -> Session:
+    def from_state(cls, state: dict[str, Any]) -> Session:
         """Restore a session, without prepared statements, from the result of `state`."""
         out = cls(state["user"], state["account"], state["capabilities"], state["collation"], state["schema"])
         out.multi, out.settings = state["multi"], dict(state["settings"])
@@ -188,7 +190,7 @@
 
     # --- statements -----------------------------------------------------------------------------
 
-    def after(self, statement: Statement, reply: ReplyRelay) -> None:
+    def apply_reply(self, statement: Statement, reply: ReplyRelay) -> None:
         """Update the session after the complete reply to a statement."""
         error = reply.error
         never_ran = error is not None and (error.state[:2] == "42" or error.errno == Errno.PARSE)
@@ -253,8 +255,8 @@
     def pin(self, pin: PinReason, name: str = "") -> None:
         """Add a pin."""
         names = self.pins.setdefault(pin, set())
-        if len(names) < MAX_NAMES:
-            names.add(name[:MAX_NAME])
+        if len(names) < MAX_PIN_NAMES:
+            names.add(name[:MAX_PIN_NAME_LENGTH])
         else:
             names.add("?")  # a name that no statement removes
 
@@ -264,7 +266,7 @@
         if names is None:
             return
         if name:
-            names.discard(name[:MAX_NAME])
+            names.discard(name[:MAX_PIN_NAME_LENGTH])
         else:
             names.clear()
         if not names:
@@ -279,7 +281,7 @@
         self.autocommit, self.status, self.last_id = True, int(Status.AUTOCOMMIT), 0
         self.opaque = self.collation in UNSAFE_COLLATIONS
 
-    def lost(self) -> None:
+    def drop_connection_state(self) -> None:
         """Drop all pins and cursors, because the connection was lost."""
         self.pins.clear()
         self.cursors.clear()
@@ -287,9 +289,9 @@
     # --- prepared statements --------------------------------------------------------------------
 
     @property
-    def held_bytes(self) -> int:
+    def prepared_bytes(self) -> int:
         """Number of bytes used by the texts and long data of prepared statements."""
-        return sum(len(each.text) + each.long_bytes for each in self.prepared.values())
+        return sum(len(each.text) + each.long_value_bytes for each in self.prepared.values())
 
     def next_prepared(self, size: int = 0) -> int:
         """Return the id for the next prepared statement.
@@ -306,7 +308,9 @@
             self._next_prepared = self._next_prepared % 0x7FFFFFFF + 1
         return self._next_prepared
 
-    def was_prepared(self, statement_id: int, text: bytes, statement: Statement, response: Prepared) -> None:
+    def record_prepared(
+        self, statement_id: int, text: bytes, statement: Statement, response: Prepared
+    ) -> None:
         """Record a statement that was prepared with an id from `next_prepared`."""
         self.prepared[statement_id] = PreparedText(
             statement_id, text, statement, response.parameters, response.columns
@@ -333,9 +337,9 @@
         prepared = self.prepared.get(statement_id)
         if prepared is None or parameter >= prepared.parameters:
             return
-        if sum(each.long_bytes for each in self.prepared.values()) + len(body) > max_bytes:
+        if sum(each.long_value_bytes for each in self.prepared.values()) + len(body) > max_bytes:
             raise ProtocolError("long data beyond max_packet_mb", Errno.NET_PACKET_TOO_LARGE)
-        prepared.long.setdefault(parameter, bytearray()).extend(body[7:])
+        prepared.long_values.setdefault(parameter, bytearray()).extend(body[7:])
 
     def execute(self, body: bytes) -> tuple[PreparedText, Execute]:
         """Parse COM_STMT_EXECUTE; missing parameter types are taken from the previous execution."""
@@ -349,20 +353,20 @@
             execution.types = prepared.types or None
         if execution.types is not None:
             execution.parameters(
-                prepared.parameters, execution.types, frozenset(prepared.long)
+                prepared.parameters, execution.types, frozenset(prepared.long_values)
             )  # validates the values
             prepared.types = execution.types
         return prepared, execution
 
-    def executed(self, prepared: PreparedText, flags: int, reply: ReplyRelay) -> None:
+    def record_executed(self, prepared: PreparedText, flags: int, reply: ReplyRelay) -> None:
         """Update the session after the complete reply to COM_STMT_EXECUTE."""
-        prepared.long.clear()
+        prepared.long_values.clear()
         self.cursors.discard(prepared.id)
         if flags & CURSOR_READ_ONLY and reply.status & Status.CURSOR_EXISTS and reply.error is None:
             self.cursors.add(prepared.id)
         self._update_cursor_pin()
 
-    def fetched(self, statement_id: int, reply: ReplyRelay) -> None:
+    def record_fetched(self, statement_id: int, reply: ReplyRelay) -> None:
         """Update the session after the complete reply to COM_STMT_FETCH."""
         if reply.error is not None or reply.status & Status.LAST_ROW_SENT:
             self.cursors.discard(statement_id)
@@ -376,7 +380,7 @@
 
     def reset_prepared(self, statement_id: int) -> None:
         """Handle COM_STMT_RESET for a prepared statement."""
-        self.find(statement_id).long.clear()
+        self.find(statement_id).long_values.clear()
         self.cursors.discard(statement_id)
         self._update_cursor_pin()
 
--- a/brambleusher/lab/mysql/replay.py
+++ b/brambleusher/lab/mysql/replay.py
@@ -847,14 +847,14 @@
 
 
 def _settings_not_replayed() -> Iterator[None]:
-    real = Session.setup
+    real = Session.required_state
 
-    def setup(self: Session, reads_last_id: bool = False) -> Any:
+    def required_state(self: Session, reads_last_id: bool = False) -> Any:
         from dataclasses import replace
 
         return replace(real(self, reads_last_id), settings=())
 
-    with mock.patch.object(Session, "setup", setup):
+    with mock.patch.object(Session, "required_state", required_state):
         yield
 
 
--- a/tests/fronts/mysql/test_mysql_statements.py
+++ b/tests/fronts/mysql/test_mysql_statements.py
@@ -11,7 +11,7 @@
 from brambleusher.fronts.mysql.packets import ProtocolError, frame
 from brambleusher.fronts.mysql.replies import ReplyRelay
 from brambleusher.fronts.mysql.session import (
-    MAX_NAMES,
+    MAX_PIN_NAMES,
     MAX_PREPARED,
     MAX_PREPARED_TEXT,
     MAX_SETTINGS,
@@ -208,7 +208,7 @@
 
 
 def run(session: Session, text: str, relay: ReplyRelay | None = None) -> Session:
-    session.after(tell(text, True), relay or reply())
+    session.apply_reply(tell(text, True), relay or reply())
     return session
 
 
@@ -260,7 +260,7 @@
         run(session, text, answer)
         assert (pin in session.pins) is pinned, text
         assert session.pinned is pinned, (text, session.pin_description)
-        assert Session.of_state(session.state()).state() == session.state()
+        assert Session.from_state(session.state()).state() == session.state()
     session.reset()
     assert not session.pinned
 
@@ -268,15 +268,15 @@
 def test_a_cursor_with_rows_left_ties() -> None:
     session = fresh()
     number = session.next_prepared()
-    session.was_prepared(number, b"select 1", tell("select 1"), Prepared(9, 1, 0))
+    session.record_prepared(number, b"select 1", tell("select 1"), Prepared(9, 1, 0))
     found = session.find(number)
-    session.executed(found, 1, reply(int(Status.CURSOR_EXISTS)))
+    session.record_executed(found, 1, reply(int(Status.CURSOR_EXISTS)))
     assert PinReason.UNREAD in session.pins
-    session.fetched(number, reply(int(Status.CURSOR_EXISTS)))
+    session.record_fetched(number, reply(int(Status.CURSOR_EXISTS)))
     assert session.pinned
-    session.fetched(number, reply(int(Status.LAST_ROW_SENT)))
+    session.record_fetched(number, reply(int(Status.LAST_ROW_SENT)))
     assert not session.pinned
-    session.executed(found, 1, reply(int(Status.CURSOR_EXISTS)))
+    session.record_executed(found, 1, reply(int(Status.CURSOR_EXISTS)))
     session.close_prepared(number)
     assert not session.pinned
 
@@ -302,13 +302,13 @@
     session = run(fresh(), "insert into t values (null)", reply(last_id=7))
     assert session.last_id is None
     assert not session.pinned
-    assert session.setup(True).last_id is None
+    assert session.required_state(True).last_id is None
 
 
 def test_prepared_statements_keep_types_and_long_data() -> None:
     session = fresh()
     number = session.next_prepared()
-    session.was_prepared(
+    session.record_prepared(
         number, b"insert into t values (?, ?)", tell("insert into t values (?, ?)"), Prepared(9, 0, 2)
     )
     types = b"\x08\0\xfc\0"
@@ -326,7 +326,7 @@
         session.find(number + 1)
     assert caught.value.errno == Errno.UNKNOWN_STMT_HANDLER
     for _ in range(MAX_PREPARED - 1):
-        session.was_prepared(session.next_prepared(), b"", tell("select 1"), Prepared(1, 0, 0))
+        session.record_prepared(session.next_prepared(), b"", tell("select 1"), Prepared(1, 0, 0))
     with pytest.raises(ProtocolError):
         session.next_prepared()
 
@@ -339,9 +339,9 @@
     assert PinReason.SETTING in session.pins  # a setting that is not replayed exists on this connection only
     long = run(fresh(), f"set sql_mode = '{'x' * 20_000}'")
     assert (long.settings, long.pinned) == ({}, True)
-    for at in range(MAX_NAMES + 5):
+    for at in range(MAX_PIN_NAMES + 5):
         run(session, f"select get_lock('{at}', 1)")
-    assert len(session.pins[PinReason.NAMED_LOCK]) <= MAX_NAMES + 1
+    assert len(session.pins[PinReason.NAMED_LOCK]) <= MAX_PIN_NAMES + 1
     with pytest.raises(ProtocolError) as caught:
         fresh().next_prepared(MAX_PREPARED_TEXT + 1)
     assert caught.value.errno == Errno.NOT_SUPPORTED_YET
