--- a/brambleusher/fronts/mysql/front.py
+++ b/brambleusher/fronts/mysql/front.py
@@ -39,7 +39,7 @@
 from brambleusher.fronts.mysql.session import PreparedText, Session
 from brambleusher.fronts.mysql.session_listener import SessionListener
 from brambleusher.fronts.mysql.settings import MysqlSettings
-from brambleusher.fronts.mysql.statements import Kind, Statement, Statements, words
+from brambleusher.fronts.mysql.statements import Statement, StatementClassifier, StatementKind, tokenize
 from brambleusher.loadbalancing.api import AttemptStatus
 from brambleusher.net.request_lifecycle import ClientHandle, FinalResponse, RequestLifecycle
 from brambleusher.net.request_lifecycle import ResponseKind as AnswerKind
@@ -96,7 +96,7 @@
         self._counters, self._settings, self._users, self._rsa = counters, settings, users, rsa
         self._rng, self._entropy = rng, entropy
         self._mapping = Mapping(settings, decisions.settings)
-        self._statements = Statements()
+        self._classifier = StatementClassifier()
         self._lifecycle = RequestLifecycle(decisions, nodes, scheduler)
         self._max_packet_bytes = settings.max_packet_mb * 1024 * 1024
         self._memory_left = settings.memory_mb * 1024 * 1024
@@ -425,7 +425,11 @@
             return False
         if work.command == Command.STMT_FETCH:
             return False
-        return not session.in_transaction or statement.kind is Kind.BEGIN or statement.renews
+        return (
+            not session.in_transaction
+            or statement.kind is StatementKind.BEGIN
+            or statement.may_restart_transaction
+        )
 
     def _on_read_timeout(self, client: Client) -> bool:
         raise ProtocolError("the rest of a command did not come", Errno.NET_READ_INTERRUPTED)
@@ -491,7 +495,7 @@
         """Run a command on a node and forward the response to the client."""
         work = Work(
             client, command, body, lambda reply: self._accept_reply(client, statement, work, reply),
-            execution, prepared, statement.reads_last_id, statement.about_previous, statement_id,
+            execution, prepared, statement.reads_last_id, statement.depends_on_previous, statement_id,
             client.reader.seq,
         )  # fmt: skip
         client.work = work
@@ -500,7 +504,7 @@
                 client.held is not None
                 and client.leave_at is not None
                 and client.session.softly_pinned
-                and not statement.about_previous
+                and not statement.depends_on_previous
             ):
                 self._drop_soft_pins(client)  # the node drains, and the statement doesn't need the soft pins
             if client.held is not None:
@@ -559,8 +563,8 @@
     @staticmethod
     def _begins_transaction(session: Session, statement: Statement) -> bool:
         """Return whether a statement begins a transaction, which counts as one request."""
-        return statement.kind is Kind.BEGIN or (
-            not session.autocommit and statement.kind not in (Kind.SET, Kind.USE)
+        return statement.kind is StatementKind.BEGIN or (
+            not session.autocommit and statement.kind not in (StatementKind.SET, StatementKind.USE)
         )
 
     def _socket_to_watch(self, client: Client) -> Callable[[], Socket | None]:
@@ -600,9 +604,9 @@
             or bool(statement.autocommit)
             or (statement.count > 1 and not statement.plain_read)
         )
-        if kind is Kind.BEGIN and not in_transaction:
+        if kind is StatementKind.BEGIN and not in_transaction:
             return Err.of(Errno.NET_READ, "the node was lost; no transaction is open")
-        if kind is Kind.ROLLBACK or (in_transaction and not may_commit):
+        if kind is StatementKind.ROLLBACK or (in_transaction and not may_commit):
             return Err.of(
                 Errno.NET_READ,
                 "the node was lost within the transaction, which it rolls back; nothing is repeated",
@@ -611,7 +615,7 @@
         if (statement.plain_read or statement is _FETCH) and not (in_transaction and may_commit):
             return Err.of(Errno.NET_READ, "the node was lost before the answer was whole")
         self._counters.add("mysql_outcomes_unknown")
-        subject = "COMMIT" if kind is Kind.COMMIT else "statement"
+        subject = "COMMIT" if kind is StatementKind.COMMIT else "statement"
         return Err.of(
             Errno.ERROR_DURING_COMMIT,
             f"the outcome of this {subject} is unknown: it was sent, its answer was lost, it is not repeated",
@@ -732,7 +736,7 @@
         """
         channel, started = held.conn.channel, self._scheduler.now()
         in_transaction = client.session.in_transaction
-        is_commit = statement.kind is Kind.COMMIT
+        is_commit = statement.kind is StatementKind.COMMIT
         try:
             while True:
                 now = self._scheduler.now()
@@ -827,21 +831,23 @@
     def _query(self, client: Client, body: bytes) -> bool:
         session, text = client.session, body[1:]
         self._check_text(session, text)
-        statement = self._statements.tell(text, session.multi, session.opaque)
+        statement = self._classifier.classify(text, session.multi, session.opaque)
         kind = statement.kind
-        if kind is Kind.EMPTY:
+        if kind is StatementKind.EMPTY:
             return self._send_error(client, Err(1065, "42000", "Query was empty"))
-        if kind is Kind.LOCAL_FILE:
+        if kind is StatementKind.LOCAL_FILE:
             return self._send_error(client, _NO_LOCAL)
         if statement.kill is not None:
             return self._kill(client, *statement.kill)
         if client.held is None:
-            if kind is Kind.SET and statement.autocommit is not None and _only_autocommit(statement):
+            if kind is StatementKind.SET and statement.autocommit is not None and _only_autocommit(statement):
                 session.autocommit = statement.autocommit
                 flag = int(Flag.AUTOCOMMIT)
                 session.status = session.status | flag if statement.autocommit else session.status & ~flag
                 return self._send_ok(client)
-            if kind in (Kind.COMMIT, Kind.ROLLBACK) and not (statement.chain or statement.release):
+            if kind in (StatementKind.COMMIT, StatementKind.ROLLBACK) and not (
+                statement.chain or statement.release
+            ):
                 # No transaction is open; drivers and pools often end transactions that never began.
                 return self._send_ok(client)
             if statement.digest == "select connection_id ()":
@@ -855,7 +861,7 @@
         try:
             text.decode()
         except UnicodeDecodeError:
-            for kind, token in words(text)[0]:
+            for kind, token in tokenize(text)[0]:
                 if kind == "string":
                     continue
                 try:
@@ -967,13 +973,15 @@
     def _prepare(self, client: Client, body: bytes) -> bool:
         session, text = client.session, body[1:]
         self._check_text(session, text)
-        statement = self._statements.tell(text, False, session.opaque)
-        if statement.kind is Kind.LOCAL_FILE:
+        statement = self._classifier.classify(text, False, session.opaque)
+        if statement.kind is StatementKind.LOCAL_FILE:
             return self._send_error(client, _NO_LOCAL)
         statement_id = session.next_prepared(len(text))
         self._charge_prepared(client, len(text))
         # Preparing has no side effects, so it may be retried whatever the statement does.
-        without_effects = Statement(Kind.READ, statement.digest, plain_read=True, hint=statement.hint)
+        without_effects = Statement(
+            StatementKind.READ, statement.digest, plain_read=True, hint=statement.hint
+        )
         return self._run_on_node(
             client, Command.STMT_PREPARE, body, without_effects, statement_id=statement_id
         ) and self._keep_statement(client, statement_id, statement)
@@ -1060,15 +1068,24 @@
 
 _BROKEN = (OSError, ProtocolError)
 # Kinds of statement that commit an open transaction implicitly, or may do so.
-_COMMITTING = frozenset({Kind.COMMIT, Kind.BEGIN, Kind.DEFINE, Kind.LOCK, Kind.UNLOCK, Kind.UNKNOWN})
+_COMMITTING = frozenset(
+    {
+        StatementKind.COMMIT,
+        StatementKind.BEGIN,
+        StatementKind.DEFINE,
+        StatementKind.LOCK,
+        StatementKind.UNLOCK,
+        StatementKind.UNKNOWN,
+    }
+)
 _SESSION_CONTINUES = frozenset(
     {Errno.UNKNOWN_STMT_HANDLER, Errno.WRONG_ARGUMENTS, Errno.NOT_SUPPORTED_YET, 1461}
 )
-_CHAINED = Statement(Kind.BEGIN, "a chained transaction")
-_NO_EFFECT = Statement(Kind.SET, "a command without effects", plain_read=True)
-_USE = Statement(Kind.USE, "use", plain_read=True)
-_FIELDS = Statement(Kind.READ, "field list", plain_read=True)
-_FETCH = Statement(Kind.READ, "fetch")
+_CHAINED = Statement(StatementKind.BEGIN, "a chained transaction")
+_NO_EFFECT = Statement(StatementKind.SET, "a command without effects", plain_read=True)
+_USE = Statement(StatementKind.USE, "use", plain_read=True)
+_FIELDS = Statement(StatementKind.READ, "field list", plain_read=True)
+_FETCH = Statement(StatementKind.READ, "fetch")
 _NO_LOCAL = Err.of(
     Errno.CLIENT_LOCAL_FILES_DISABLED,
     "Loading local data is disabled; this must be enabled on both the client and server sides",
--- a/brambleusher/fronts/mysql/mapping.py
+++ b/brambleusher/fronts/mysql/mapping.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from brambleusher.fronts.mysql.settings import MysqlSettings, UserRule
-from brambleusher.fronts.mysql.statements import Hint, Kind, Statement
+from brambleusher.fronts.mysql.statements import Hint, Statement, StatementKind
 from brambleusher.loadbalancing import api
 
 REASONS = 4096  # maximum number of logged assignments remembered; evicted ones may be logged again
@@ -51,7 +51,7 @@
             selected = hint.request_class, "hint"
         elif statement_rule is not None:
             selected = statement_rule.request_class, "digest"
-        elif statement.kind is Kind.UNKNOWN:
+        elif statement.kind is StatementKind.UNKNOWN:
             selected = settings.strict_class, f"unknown: {statement.unknown_reason}"
         elif user_rule.request_class is not None:
             selected = user_rule.request_class, "user"
--- a/brambleusher/fronts/mysql/nodes.py
+++ b/brambleusher/fronts/mysql/nodes.py
@@ -198,7 +198,7 @@
     run: Execute | None = None  # the execution of `prepared`, if the command is COM_STMT_EXECUTE
     prepared: PreparedText | None = None
     reads_last_id: bool = False
-    about_previous: bool = False
+    depends_on_previous: bool = False
     statement_id: int | None = None  # the id by which the client knows the prepared statement
     seq: int = 1  # sequence number of the response's first packet
     reached: bool = False  # a node may have run the command
@@ -812,7 +812,7 @@
     def _set_up_session(self, conn: Conn, work: Work, claim: Claim, limit: float) -> None:
         """Set up the session state that a statement needs on a connection."""
         owner, session = work.owner, work.session
-        if work.about_previous and not (conn.owner is owner and owner.last is conn):
+        if work.depends_on_previous and not (conn.owner is owner and owner.last is conn):
             raise TuneFailed(_STATE_LOST_ERROR)
         id_conn = owner.id_conn
         if work.reads_last_id and session.last_id is None and id_conn is not conn:
--- a/brambleusher/fronts/mysql/session.py
+++ b/brambleusher/fronts/mysql/session.py
@@ -20,7 +20,7 @@
 from brambleusher.fronts.mysql.messages import Execute, Prepared
 from brambleusher.fronts.mysql.packets import ProtocolError
 from brambleusher.fronts.mysql.replies import ReplyRelay
-from brambleusher.fronts.mysql.statements import Kind, PinReason, Statement
+from brambleusher.fronts.mysql.statements import PinReason, Statement, StatementKind
 
 MAX_PREPARED = 1024  # maximum number of prepared statements of one session
 MAX_PREPARED_TEXT = 256 * 1024  # maximum size in bytes of the text of a prepared statement
@@ -70,7 +70,9 @@
 _PERSISTENT_STATUS = int(
     Status.IN_TRANS | Status.AUTOCOMMIT | Status.NO_BACKSLASH_ESCAPES | Status.IN_TRANS_READONLY
 )
-_KINDS_WITHOUT_DATA = frozenset({Kind.SET, Kind.USE, Kind.KILL, Kind.EMPTY, Kind.BEGIN})
+_KINDS_WITHOUT_DATA = frozenset(
+    {StatementKind.SET, StatementKind.USE, StatementKind.KILL, StatementKind.EMPTY, StatementKind.BEGIN}
+)
 
 
 @dataclass(slots=True)
@@ -195,7 +197,7 @@
         error = reply.error
         never_ran = error is not None and (error.state[:2] == "42" or error.errno == Errno.PARSE)
         self._apply_status(reply, error is None)
-        if statement.kind is not Kind.KILL and not statement.about_previous:
+        if statement.kind is not StatementKind.KILL and not statement.depends_on_previous:
             self.pins.pop(PinReason.DIAGNOSTICS, None)
         if reply.warnings and error is None:
             self.pin(PinReason.DIAGNOSTICS)
@@ -244,10 +246,13 @@
             self.pins.pop(PinReason.TRANSACTION, None)
 
     def _update_autocommit_pin(self, statement: Statement) -> None:
-        ends_transaction = statement.kind in (Kind.COMMIT, Kind.ROLLBACK, Kind.DEFINE) or statement.autocommit
+        ends_transaction = (
+            statement.kind in (StatementKind.COMMIT, StatementKind.ROLLBACK, StatementKind.DEFINE)
+            or statement.autocommit
+        )
         if ends_transaction and not statement.chain and PinReason.TRANSACTION not in self.pins:
             self.pins.pop(PinReason.AUTOCOMMIT_OFF, None)
-            if statement.kind in (Kind.COMMIT, Kind.ROLLBACK):
+            if statement.kind in (StatementKind.COMMIT, StatementKind.ROLLBACK):
                 self.pins.pop(PinReason.NEXT_TRANSACTION, None)
         elif not self.autocommit and statement.kind not in _KINDS_WITHOUT_DATA:
             self.pin(PinReason.AUTOCOMMIT_OFF)
--- a/brambleusher/fronts/mysql/settings.py
+++ b/brambleusher/fronts/mysql/settings.py
@@ -9,7 +9,7 @@
 
 from brambleusher.fronts.mysql.auth import RsaKey, Secret
 from brambleusher.fronts.mysql.constants import CACHING_SHA2, NATIVE
-from brambleusher.fronts.mysql.statements import digest_of, words
+from brambleusher.fronts.mysql.statements import build_digest, tokenize
 from brambleusher.loadbalancing import api
 from brambleusher.operator_settings.section import OperatorFileError, Section
 from brambleusher.runtime.streams import parse_address
@@ -204,10 +204,10 @@
         text, request_class = rule.text("text"), rule.text("class")
         if text is None or request_class is None:
             raise OperatorFileError(f"{path} needs text and class")
-        parts, _, sound = words(text.encode())
+        parts, _, sound = tokenize(text.encode())
         if not sound or not parts:
             raise OperatorFileError(f"{path}.text can't be read as a statement")
-        out.append(StatementRule(digest_of(parts), request_class, _optional_ms(rule, "deadline_ms")))
+        out.append(StatementRule(build_digest(parts), request_class, _optional_ms(rule, "deadline_ms")))
         rule.reject_unknown_keys()
     return tuple(out)
 
--- a/brambleusher/fronts/mysql/statements.py
+++ b/brambleusher/fronts/mysql/statements.py
@@ -25,7 +25,7 @@
 log = logging.getLogger(__name__)
 
 
-class Kind(Enum):
+class StatementKind(Enum):
     """The category of a statement."""
 
     READ = "read"
@@ -76,7 +76,7 @@
 class Statement:
     """Classification of one text from a client, which may contain several statements."""
 
-    kind: Kind
+    kind: StatementKind
     digest: str
     plain_read: bool = False  # a retry has no side effects
     pins: tuple[
@@ -89,14 +89,14 @@
     autocommit: bool | None = None
     schema: str | None = None
     kill: tuple[bool, int] | None = None  # whether KILL is limited to the query, and the thread id
-    about_previous: bool = False  # depends on the previous statement, as SHOW WARNINGS does
+    depends_on_previous: bool = False  # depends on the previous statement, as SHOW WARNINGS does
     reads_last_id: bool = False
     sets_last_id: bool = False
     opaque_after: bool = False  # later texts of the session can't be tokenized byte by byte
     chain: bool = False
     release: bool = False
     count: int = 1
-    renews: bool = False  # may end a transaction and begin another
+    may_restart_transaction: bool = False  # may end a transaction and begin another
     hint: Hint | None = None
     unknown_reason: str = ""  # the reason why the statement is `UNKNOWN`
 
@@ -121,12 +121,12 @@
 _LITERAL_LISTS = re.compile(r"\?(?:, \?)+")
 _ROW_LISTS = re.compile(r"(\(\?\+?\))(?:, \(\?\+?\))+")
 _SINGLE_LITERAL_LIST = re.compile(r"\b(in|values|value) \(\?\)")
-Word = tuple[str, bytes]  # name of the token's group in the pattern, and the token's bytes
+Token = tuple[str, bytes]  # name of the token's group in the pattern, and the token's bytes
 
 
-def words(text: bytes) -> tuple[list[Word], list[bytes], bool]:
+def tokenize(text: bytes) -> tuple[list[Token], list[bytes], bool]:
     """Split a text into tokens and comments; the last value tells whether the tokens are reliable."""
-    out: list[Word] = []
+    out: list[Token] = []
     comments: list[bytes] = []
     reliable = True
     for match in _TOKENS.finditer(text):
@@ -148,7 +148,7 @@
     return out, comments, reliable
 
 
-def digest_of(tokens: Iterable[Word]) -> str:
+def build_digest(tokens: Iterable[Token]) -> str:
     """Build a digest: literals are replaced, whitespace is normalized, lists of literals are collapsed."""
     out = []
     for kind, token in tokens:
@@ -163,7 +163,7 @@
     return _SINGLE_LITERAL_LIST.sub(r"\1 (?+)", _ROW_LISTS.sub(r"\1", _LITERAL_LISTS.sub("?+", text)))
 
 
-def hint_of(comments: Iterable[bytes]) -> Hint | None:
+def parse_hint(comments: Iterable[bytes]) -> Hint | None:
     """Parse the first hint comment, `/* brambleusher: class=… tenant=… deadline_ms=… work_us=… */`.
 
     Malformed parts of a hint are ignored.
@@ -261,7 +261,7 @@
 class _Classifier:
     """Classifies one statement by its tokens."""
 
-    def __init__(self, tokens: list[Word], digest: str) -> None:
+    def __init__(self, tokens: list[Token], digest: str) -> None:
         self.tokens, self.digest = tokens, digest
         self.names = [
             _plain_name(token) if kind in ("word", "quoted", "variable") else "" for kind, token in tokens
@@ -269,40 +269,45 @@
 
     def unknown(self, unknown_reason: str) -> Statement:
         return Statement(
-            Kind.UNKNOWN, self.digest, pins=((PinReason.UNKNOWN, ""),), unknown_reason=unknown_reason
+            StatementKind.UNKNOWN, self.digest, pins=((PinReason.UNKNOWN, ""),), unknown_reason=unknown_reason
         )
 
     def read(self) -> Statement:
         """Return the classification of the statement."""
         if not self.tokens:
-            return Statement(Kind.EMPTY, self.digest)
+            return Statement(StatementKind.EMPTY, self.digest)
         names, first = self.names, self.names[0]
         second = names[1] if len(names) > 1 else ""
         if first in ("begin",) or (first, second) == ("start", "transaction"):
-            return Statement(Kind.BEGIN, self.digest)
+            return Statement(StatementKind.BEGIN, self.digest)
         if first in ("commit", "rollback"):
             return self._end_of_transaction(first)
         if first == "savepoint" or (first, second) == ("release", "savepoint"):
-            return Statement(Kind.SAVEPOINT, self.digest)
+            return Statement(StatementKind.SAVEPOINT, self.digest)
         if first == "set":
             return self._set()
         if first == "use" and len(self.tokens) == 2:
             name = self.tokens[1][1].decode("utf-8", "replace").strip("`").replace("``", "`")
-            return Statement(Kind.USE, self.digest, plain_read=True, schema=name)
+            return Statement(StatementKind.USE, self.digest, plain_read=True, schema=name)
         if first == "kill":
             return self._kill()
         if first == "lock" or (first == "flush" and "lock" in names):
-            return Statement(Kind.LOCK, self.digest, pins=((PinReason.TABLE_LOCKS, ""),))
+            return Statement(StatementKind.LOCK, self.digest, pins=((PinReason.TABLE_LOCKS, ""),))
         if first == "unlock":
-            return Statement(Kind.UNLOCK, self.digest, unpins=((PinReason.TABLE_LOCKS, ""),))
+            return Statement(StatementKind.UNLOCK, self.digest, unpins=((PinReason.TABLE_LOCKS, ""),))
         if first == "load":
-            return Statement(Kind.LOCAL_FILE if "local" in names[:4] else Kind.WRITE, self.digest)
+            return Statement(
+                StatementKind.LOCAL_FILE if "local" in names[:4] else StatementKind.WRITE, self.digest
+            )
         if first in ("prepare", "execute", "deallocate"):
             return Statement(
-                Kind.UNKNOWN, self.digest, pins=((PinReason.PREPARED, ""),), unknown_reason="PREPARE in SQL"
+                StatementKind.UNKNOWN,
+                self.digest,
+                pins=((PinReason.PREPARED, ""),),
+                unknown_reason="PREPARE in SQL",
             )
         if first == "get" and "diagnostics" in names[:3]:
-            return replace(self.unknown("GET DIAGNOSTICS sets variables"), about_previous=True)
+            return replace(self.unknown("GET DIAGNOSTICS sets variables"), depends_on_previous=True)
         if first in _DDL_WORDS:
             return self._define()
         if first == "show":
@@ -315,7 +320,7 @@
     def _end_of_transaction(self, first: str) -> Statement:
         names = [name for name in self.names[1:] if name != "work"]
         if first == "rollback" and names[:1] == ["to"]:
-            return Statement(Kind.SAVEPOINT, self.digest)
+            return Statement(StatementKind.SAVEPOINT, self.digest)
         text = " ".join(names)
         known = {"": (False, False), "and chain": (True, False), "and no chain": (False, False),
                  "release": (False, True), "no release": (False, False),
@@ -323,7 +328,7 @@
                  "and chain no release": (True, False)}  # fmt: skip
         if text not in known:
             return self.unknown("unknown options of COMMIT or ROLLBACK")
-        kind = Kind.COMMIT if first == "commit" else Kind.ROLLBACK
+        kind = StatementKind.COMMIT if first == "commit" else StatementKind.ROLLBACK
         return Statement(kind, self.digest, chain=known[text][0], release=known[text][1])
 
     def _kill(self) -> Statement:
@@ -331,7 +336,7 @@
         if kind != "number" or not last.isdigit() or len(last) > 20:
             return self.unknown("KILL of something other than a number")
         if len(names) == 2 or (len(names) == 3 and names[1] in ("query", "connection")):
-            return Statement(Kind.KILL, self.digest, kill=(names[1] == "query", int(last)))
+            return Statement(StatementKind.KILL, self.digest, kill=(names[1] == "query", int(last)))
         return self.unknown("KILL of something other than a number")
 
     def _define(self) -> Statement:
@@ -341,7 +346,7 @@
             if names[at : at + 3] == ["if", "not", "exists"]:
                 at += 3
             return Statement(
-                Kind.DEFINE,
+                StatementKind.DEFINE,
                 self.digest,
                 pins=((PinReason.TEMPORARY_TABLE, self._name(at)[0]),),
                 plain_read=False,
@@ -357,8 +362,8 @@
                 if at >= len(names) or self.tokens[at][1] != b",":
                     break
                 at += 1
-            return Statement(Kind.DEFINE, self.digest, unpins=tuple(unpins))
-        return Statement(Kind.DEFINE, self.digest)
+            return Statement(StatementKind.DEFINE, self.digest, unpins=tuple(unpins))
+        return Statement(StatementKind.DEFINE, self.digest)
 
     def _name(self, at: int) -> tuple[str, int]:
         """Return a table name without its schema, and the index of the next token."""
@@ -373,7 +378,7 @@
         about = second in ("warnings", "errors") or (
             second == "count" and bool({"warnings", "errors"} & set(names))
         )
-        return Statement(Kind.READ, self.digest, plain_read=not about, about_previous=about)
+        return Statement(StatementKind.READ, self.digest, plain_read=not about, depends_on_previous=about)
 
     # --- SET ------------------------------------------------------------------------------------
 
@@ -387,13 +392,13 @@
                 items.append([])
             else:
                 items[-1].append(at)
-        out = Statement(Kind.SET, self.digest)
+        out = Statement(StatementKind.SET, self.digest)
         scope = ""
         for item in items:
             if not item:
                 return self.unknown("SET without a variable name")
             out, scope = self._set_item(out, item, scope)
-            if out.kind is Kind.UNKNOWN:
+            if out.kind is StatementKind.UNKNOWN:
                 return out
         constants = len(out.settings) + (out.autocommit is not None)
         # A SET with only constant session settings has no side effects when retried.
@@ -413,7 +418,7 @@
             opaque = opaque or out.opaque_after
             return replace(out, settings=(*out.settings, pair), opaque_after=opaque), scope
         if first in ("password", "default") or (first == "resource"):
-            return replace(self.unknown("SET of an account property"), kind=Kind.UNKNOWN), scope
+            return replace(self.unknown("SET of an account property"), kind=StatementKind.UNKNOWN), scope
         if first == "role":
             return replace(out, pins=(*out.pins, (PinReason.SETTING, "role"))), scope
         if first in _SCOPES:
@@ -555,8 +560,9 @@
         if first in ("explain", "describe", "desc"):
             write, plain = False, plain and not write
         return Statement(
-            Kind.WRITE if write else Kind.READ, self.digest, plain and not write, tuple(pins), tuple(unpins),
-            about_previous=about, reads_last_id=reads_id, sets_last_id=sets_id,
+            StatementKind.WRITE if write else StatementKind.READ, self.digest, plain and not write,
+            tuple(pins), tuple(unpins),
+            depends_on_previous=about, reads_last_id=reads_id, sets_last_id=sets_id,
         )  # fmt: skip
 
     def _may_be_function(self, at: int) -> bool:
@@ -608,14 +614,14 @@
 _SIDE_EFFECT_PATTERNS = re.compile(rb"@|get_lock|release_|last_insert_id|/\*!|found_rows|row_count", re.I)
 
 
-class Statements:
+class StatementClassifier:
     """Classifies texts, with caches by text and by digest."""
 
     def __init__(self, digests: int = CACHED_DIGESTS, texts: int = CACHED_TEXTS) -> None:
         self._by_digest: OrderedDict[tuple[str, bool], Statement] = OrderedDict()
         self._by_text: OrderedDict[tuple[bytes, bool], Statement] = OrderedDict()
         self._max_digests, self._max_texts = digests, texts
-        self.parsed = 0
+        self.parsed_digests = 0
         _parse("select 1 from t")  # loads the parser now, so that the first statement is not delayed
         # sqlglot's warnings contain statement texts, which must not be logged.
         logging.getLogger("sqlglot").setLevel(logging.CRITICAL)
@@ -624,14 +630,14 @@
         """Return the number of cached digests."""
         return len(self._by_digest)
 
-    def tell(self, text: bytes, multi: bool = False, opaque: bool = False) -> Statement:
+    def classify(self, text: bytes, multi: bool = False, opaque: bool = False) -> Statement:
         """Classify a text.
 
         `multi` allows several statements in the text; `opaque` means that the text can't be tokenized.
         """
         if opaque:
             return Statement(
-                Kind.UNKNOWN,
+                StatementKind.UNKNOWN,
                 "?",
                 pins=((PinReason.UNKNOWN, ""),),
                 unknown_reason="text can't be tokenized",
@@ -655,23 +661,26 @@
         """Classify a text above `MAX_TEXT` by its first word and by patterns of possible side effects."""
         first = text[:64].lstrip().split(None, 1)[0].lower() if text[:64].strip() else b""
         if first in _DATA_WORDS and not multi and not _SIDE_EFFECT_PATTERNS.search(text):
-            return Statement(Kind.WRITE, f"{first.decode()} …")
+            return Statement(StatementKind.WRITE, f"{first.decode()} …")
         return Statement(
-            Kind.UNKNOWN, "…", pins=((PinReason.UNKNOWN, ""),), unknown_reason=f"longer than {MAX_TEXT} bytes"
+            StatementKind.UNKNOWN,
+            "…",
+            pins=((PinReason.UNKNOWN, ""),),
+            unknown_reason=f"longer than {MAX_TEXT} bytes",
         )
 
     def _classify_short_text(self, text: bytes, multi: bool) -> Statement:
-        tokens, comments, reliable = words(text)
-        hint = hint_of(comments)
-        digest = digest_of(tokens)
+        tokens, comments, reliable = tokenize(text)
+        hint = parse_hint(comments)
+        digest = build_digest(tokens)
         if not reliable:
             unknown_reason = "executable comment, or unclosed quote or comment"
             if any(kind == "sign" and token in b"'\"`" for kind, token in tokens):
                 # Digests are logged and must not contain literals; after an unclosed quote any token could
                 # be part of a literal.
-                digest = f"{digest_of(tokens[:1])} …"
+                digest = f"{build_digest(tokens[:1])} …"
             return Statement(
-                Kind.UNKNOWN,
+                StatementKind.UNKNOWN,
                 digest,
                 pins=((PinReason.UNKNOWN, ""),),
                 hint=hint,
@@ -689,11 +698,11 @@
                     self._by_digest.popitem(last=False)
         return classified if hint is None else replace(classified, hint=hint)
 
-    def _classify_tokens(self, tokens: list[Word], digest: str, multi: bool) -> Statement:
-        self.parsed += 1
+    def _classify_tokens(self, tokens: list[Token], digest: str, multi: bool) -> Statement:
+        self.parsed_digests += 1
         while tokens and tokens[-1][1] == b";":
             tokens = tokens[:-1]
-        split_tokens: list[list[Word]] = [[]]
+        split_tokens: list[list[Token]] = [[]]
         for token in tokens:
             if token[1] == b";":
                 split_tokens.append([])
@@ -712,7 +721,7 @@
     named = {PinReason.NAMED_LOCK, PinReason.TEMPORARY_TABLE, PinReason.USER_VARIABLE}
     return (
         bool(statement.settings or statement.kill is not None or statement.autocommit is not None)
-        or statement.kind is Kind.SET
+        or statement.kind is StatementKind.SET
         or any(pin in named for pin, _ in (*statement.pins, *statement.unpins))
     )
 
@@ -720,12 +729,12 @@
 def _combine(each: list[Statement], digest: str) -> Statement:
     """Combine the classifications of several statements in one text."""
     if not each:
-        return Statement(Kind.EMPTY, digest)
+        return Statement(StatementKind.EMPTY, digest)
     reads = all(one.plain_read for one in each)
     kinds = {one.kind for one in each}
-    if kinds & {Kind.KILL, Kind.LOCAL_FILE}:
+    if kinds & {StatementKind.KILL, StatementKind.LOCAL_FILE}:
         return Statement(
-            Kind.UNKNOWN,
+            StatementKind.UNKNOWN,
             digest,
             pins=((PinReason.UNKNOWN, ""),),
             unknown_reason="KILL or LOCAL among several statements",
@@ -733,17 +742,20 @@
     pins = tuple(dict.fromkeys(pin for one in each for pin in one.pins))
     # Removed pins are ignored, because an error may have ended the text before the removing statement.
     return Statement(
-        Kind.READ if reads else Kind.UNKNOWN if Kind.UNKNOWN in kinds else Kind.WRITE,
+        StatementKind.READ if reads
+        else StatementKind.UNKNOWN if StatementKind.UNKNOWN in kinds else StatementKind.WRITE,
         digest, reads, pins,
         settings=tuple(pair for one in each for pair in one.settings),
         autocommit=next((one.autocommit for one in reversed(each) if one.autocommit is not None), None),
         schema=next((one.schema for one in reversed(each) if one.schema is not None), None),
-        about_previous=each[0].about_previous,
+        depends_on_previous=each[0].depends_on_previous,
         reads_last_id=any(one.reads_last_id for one in each),
         sets_last_id=any(one.sets_last_id for one in each),
         opaque_after=any(one.opaque_after for one in each),
         release=any(one.release for one in each),
         count=len(each),
-        renews=bool(kinds & {Kind.BEGIN, Kind.COMMIT, Kind.ROLLBACK, Kind.DEFINE}),
+        may_restart_transaction=bool(kinds & {
+            StatementKind.BEGIN, StatementKind.COMMIT, StatementKind.ROLLBACK, StatementKind.DEFINE,
+        }),
         unknown_reason="; ".join(one.unknown_reason for one in each if one.unknown_reason),
     )  # fmt: skip
--- a/brambleusher/lab/mysql/replay.py
+++ b/brambleusher/lab/mysql/replay.py
@@ -36,7 +36,7 @@
 from brambleusher.fronts.mysql.packets import frame
 from brambleusher.fronts.mysql.replies import ReplyRelay
 from brambleusher.fronts.mysql.session import Session
-from brambleusher.fronts.mysql.statements import Kind, PinReason
+from brambleusher.fronts.mysql.statements import PinReason, StatementKind
 from brambleusher.lab.mysql.client import MysqlClient, Told
 from brambleusher.lab.mysql.engine import ColumnInfo, Database, Table
 from brambleusher.lab.mysql.server import Fault, Moment, MysqlServer, MysqlSettings, accounts
@@ -748,7 +748,7 @@
         try:
             return real(self, client, held, deadline, statement)
         except ConnectionLostError:
-            if statement.kind is not Kind.COMMIT:
+            if statement.kind is not StatementKind.COMMIT:
                 raise
             for node in self._nodes._nodes.values():
                 for idle in [conn for conn in node.idle if conn.channel.quiet()]:
--- a/tests/fronts/mysql/test_mysql_settings.py
+++ b/tests/fronts/mysql/test_mysql_settings.py
@@ -18,7 +18,7 @@
     load_users,
     parse_mysql,
 )
-from brambleusher.fronts.mysql.statements import Statements
+from brambleusher.fronts.mysql.statements import StatementClassifier
 from brambleusher.loadbalancing import api
 from brambleusher.operator_settings.configuration import parse_operator_file
 from brambleusher.operator_settings.section import OperatorFileError
@@ -128,10 +128,10 @@
         "users": {"web": {"class": "move", "tenant": "peach", "deadline_ms": 700}},
         "statements": [{"text": "select * from listings where id = 1", "class": "look", "deadline_ms": 300}],
     })  # fmt: skip
-    mapping, told = Mapping(given, PLATFORM), Statements()
+    mapping, told = Mapping(given, PLATFORM), StatementClassifier()
 
     def assign(text: str, user: str = "other", transaction: bool = False) -> tuple[Any, ...]:
-        out = mapping.assign(told.tell(text.encode()), user, transaction)
+        out = mapping.assign(told.classify(text.encode()), user, transaction)
         return out.request_class, out.tenant, out.deadline_ms, out.work_us, out.reason
 
     assert assign("select 1") == ("look", "acme", 2000, None, "default")
@@ -147,8 +147,8 @@
     assert assign("begin", transaction=True)[0] == "move"
     assert assign("call p()")[4] == "unknown: call is not a known statement"
     assert assign("/* brambleusher: class=keyed tenant=no */ select 1")[:2] == ("look", "acme")
-    first = mapping.assign(told.tell(b"select 1"), "other")
-    assert [mapping.news(told.tell(b"select 1"), "other", first) for _ in range(2)] == [True, False]
+    first = mapping.assign(told.classify(b"select 1"), "other")
+    assert [mapping.news(told.classify(b"select 1"), "other", first) for _ in range(2)] == [True, False]
 
 
 def test_sessions_that_do_not_fit_stop_the_start(tmp_path: Path) -> None:
--- a/tests/fronts/mysql/test_mysql_statements.py
+++ b/tests/fronts/mysql/test_mysql_statements.py
@@ -21,98 +21,98 @@
 )
 from brambleusher.fronts.mysql.statements import (
     Hint,
-    Kind,
     PinReason,
     Statement,
-    Statements,
-    digest_of,
-    words,
+    StatementClassifier,
+    StatementKind,
+    build_digest,
+    tokenize,
 )
 
-TELL = Statements()
+TELL = StatementClassifier()
 CAPS = int(Capability.PROTOCOL_41 | Capability.DEPRECATE_EOF)
 
 
 def tell(text: str, multi: bool = False) -> Statement:
-    return TELL.tell(text.encode("utf-8", "surrogateescape"), multi)
+    return TELL.classify(text.encode("utf-8", "surrogateescape"), multi)
 
 
 @pytest.mark.parametrize(
     ("text", "kind", "plain"),
     [
-        ("select * from listings where id = 7", Kind.READ, True),
+        ("select * from listings where id = 7", StatementKind.READ, True),
         (
             "SELECT count(*), max(price) FROM `listings` WHERE name LIKE 'a%' ORDER BY 1 LIMIT 3",
-            Kind.READ,
+            StatementKind.READ,
             True,
         ),
-        ("with a as (select 1) select * from a union select 2", Kind.READ, True),
-        ("(select 1)", Kind.READ, True),
-        ("table listings", Kind.READ, True),
-        ("show tables", Kind.READ, True),
-        ("explain select * from t", Kind.READ, True),
-        ("select last_insert_id()", Kind.READ, True),
-        ("select @a, @@session.sql_mode", Kind.READ, True),
-        ("select 'insert into t', `delete` from t -- update", Kind.READ, True),
-        ("select * from t for update", Kind.READ, False),
-        ("select * from t lock in share mode", Kind.READ, False),
-        ("select my_function(1)", Kind.READ, False),
-        ("select sleep(1)", Kind.READ, False),
-        ("select get_lock('a', 1)", Kind.READ, False),
-        ("select * into outfile '/tmp/x' from t", Kind.UNKNOWN, False),
-        ("select a into @x from t", Kind.READ, False),
-        ("select @x := 1", Kind.READ, False),
-        ("insert into t values (1, 'x')", Kind.WRITE, False),
-        ("insert ignore into t (a) select b from u", Kind.WRITE, False),
-        ("replace into t values (1)", Kind.WRITE, False),
-        ("update t set a = a + 1 where b = 'c'", Kind.WRITE, False),
-        ("delete from t where a in (1, 2, 3)", Kind.WRITE, False),
-        ("with x as (select 1) delete from t", Kind.WRITE, False),
-        ("explain analyze select 1", Kind.READ, True),
-        ("do sleep(1)", Kind.READ, False),
-        ("begin", Kind.BEGIN, False),
-        ("START TRANSACTION READ ONLY", Kind.BEGIN, False),
-        ("commit work", Kind.COMMIT, False),
-        ("rollback", Kind.ROLLBACK, False),
-        ("rollback to savepoint a", Kind.SAVEPOINT, False),
-        ("release savepoint a", Kind.SAVEPOINT, False),
-        ("create table t (a int)", Kind.DEFINE, False),
-        ("truncate t", Kind.DEFINE, False),
-        ("set names utf8mb4", Kind.SET, True),
-        ("set global max_connections = 5", Kind.SET, False),
-        ("use shop", Kind.USE, True),
-        ("lock tables t write", Kind.LOCK, False),
-        ("unlock tables", Kind.UNLOCK, False),
-        ("load data local infile 'x' into table t", Kind.LOCAL_FILE, False),
-        ("load data infile 'x' into table t", Kind.WRITE, False),
-        ("", Kind.EMPTY, False),
-        ("/* nothing */ -- at all", Kind.EMPTY, False),
-        ("call p(1)", Kind.UNKNOWN, False),
-        ("xa start 'a'", Kind.UNKNOWN, False),
-        ("handler t open", Kind.UNKNOWN, False),
-        ("prepare s from 'select 1'", Kind.UNKNOWN, False),
-        ("select 1; select 2", Kind.UNKNOWN, False),  # the client lacks MULTI_STATEMENTS
-        ("/*!50000 select */ 1", Kind.UNKNOWN, False),
-        ("select 'open", Kind.UNKNOWN, False),
-        ("select 1 /* open", Kind.UNKNOWN, False),
-        ("gibberish", Kind.UNKNOWN, False),
+        ("with a as (select 1) select * from a union select 2", StatementKind.READ, True),
+        ("(select 1)", StatementKind.READ, True),
+        ("table listings", StatementKind.READ, True),
+        ("show tables", StatementKind.READ, True),
+        ("explain select * from t", StatementKind.READ, True),
+        ("select last_insert_id()", StatementKind.READ, True),
+        ("select @a, @@session.sql_mode", StatementKind.READ, True),
+        ("select 'insert into t', `delete` from t -- update", StatementKind.READ, True),
+        ("select * from t for update", StatementKind.READ, False),
+        ("select * from t lock in share mode", StatementKind.READ, False),
+        ("select my_function(1)", StatementKind.READ, False),
+        ("select sleep(1)", StatementKind.READ, False),
+        ("select get_lock('a', 1)", StatementKind.READ, False),
+        ("select * into outfile '/tmp/x' from t", StatementKind.UNKNOWN, False),
+        ("select a into @x from t", StatementKind.READ, False),
+        ("select @x := 1", StatementKind.READ, False),
+        ("insert into t values (1, 'x')", StatementKind.WRITE, False),
+        ("insert ignore into t (a) select b from u", StatementKind.WRITE, False),
+        ("replace into t values (1)", StatementKind.WRITE, False),
+        ("update t set a = a + 1 where b = 'c'", StatementKind.WRITE, False),
+        ("delete from t where a in (1, 2, 3)", StatementKind.WRITE, False),
+        ("with x as (select 1) delete from t", StatementKind.WRITE, False),
+        ("explain analyze select 1", StatementKind.READ, True),
+        ("do sleep(1)", StatementKind.READ, False),
+        ("begin", StatementKind.BEGIN, False),
+        ("START TRANSACTION READ ONLY", StatementKind.BEGIN, False),
+        ("commit work", StatementKind.COMMIT, False),
+        ("rollback", StatementKind.ROLLBACK, False),
+        ("rollback to savepoint a", StatementKind.SAVEPOINT, False),
+        ("release savepoint a", StatementKind.SAVEPOINT, False),
+        ("create table t (a int)", StatementKind.DEFINE, False),
+        ("truncate t", StatementKind.DEFINE, False),
+        ("set names utf8mb4", StatementKind.SET, True),
+        ("set global max_connections = 5", StatementKind.SET, False),
+        ("use shop", StatementKind.USE, True),
+        ("lock tables t write", StatementKind.LOCK, False),
+        ("unlock tables", StatementKind.UNLOCK, False),
+        ("load data local infile 'x' into table t", StatementKind.LOCAL_FILE, False),
+        ("load data infile 'x' into table t", StatementKind.WRITE, False),
+        ("", StatementKind.EMPTY, False),
+        ("/* nothing */ -- at all", StatementKind.EMPTY, False),
+        ("call p(1)", StatementKind.UNKNOWN, False),
+        ("xa start 'a'", StatementKind.UNKNOWN, False),
+        ("handler t open", StatementKind.UNKNOWN, False),
+        ("prepare s from 'select 1'", StatementKind.UNKNOWN, False),
+        ("select 1; select 2", StatementKind.UNKNOWN, False),  # the client lacks MULTI_STATEMENTS
+        ("/*!50000 select */ 1", StatementKind.UNKNOWN, False),
+        ("select 'open", StatementKind.UNKNOWN, False),
+        ("select 1 /* open", StatementKind.UNKNOWN, False),
+        ("gibberish", StatementKind.UNKNOWN, False),
     ],
 )
-def test_what_a_statement_is(text: str, kind: Kind, plain: bool) -> None:
+def test_what_a_statement_is(text: str, kind: StatementKind, plain: bool) -> None:
     told = tell(text)
     assert (told.kind, told.plain_read) == (kind, plain)
     assert (PinReason.UNKNOWN in dict(told.pins) or PinReason.PREPARED in dict(told.pins)) is (
-        kind is Kind.UNKNOWN
+        kind is StatementKind.UNKNOWN
     )
 
 
 def test_several_statements_are_what_the_worst_of_them_is() -> None:
     assert tell("select 1; select 2;", True).plain_read
     mixed = tell("select 1; set @a = 2; insert into t values (1)", True)
-    assert (mixed.kind, mixed.plain_read, mixed.count) == (Kind.WRITE, False, 3)
+    assert (mixed.kind, mixed.plain_read, mixed.count) == (StatementKind.WRITE, False, 3)
     assert dict(mixed.pins) == {PinReason.USER_VARIABLE: "a"}
-    assert tell("select 1; call p()", True).kind is Kind.UNKNOWN
-    assert tell("select 1; kill 5", True).kind is Kind.UNKNOWN
+    assert tell("select 1; call p()", True).kind is StatementKind.UNKNOWN
+    assert tell("select 1; kill 5", True).kind is StatementKind.UNKNOWN
 
 
 def test_digests_leave_out_literals_comments_and_spaces() -> None:
@@ -120,7 +120,7 @@
     assert tell(one).digest == tell('select * from t where a in (4) and b = "z"').digest
     assert tell("insert into t values (1,'a'),(2,'b')").digest == tell("insert into t values (1,'a')").digest
     assert "secret" not in tell("set password = 'secret'").digest
-    assert digest_of(words(b"select -1.5e3, 0x1F, .5, a1 from t2")[0]) == "select - ?+, a1 from t2"
+    assert build_digest(tokenize(b"select -1.5e3, 0x1F, .5, a1 from t2")[0]) == "select - ?+, a1 from t2"
 
 
 def test_a_literal_without_its_end_is_in_no_digest() -> None:
@@ -129,17 +129,17 @@
         b"set password = 'it's hunter2'",
         b'select "hunter2',
     ):
-        assert "hunter2" not in TELL.tell(text).digest
+        assert "hunter2" not in TELL.classify(text).digest
 
 
 def test_sqlglot_is_asked_once_a_digest_and_what_is_kept_is_bounded() -> None:
-    told = Statements(digests=50, texts=50)
+    told = StatementClassifier(digests=50, texts=50)
     for at in range(200):
-        told.tell(f"select * from t where id = {at}".encode())
-    assert told.parsed == 1
+        told.classify(f"select * from t where id = {at}".encode())
+    assert told.parsed_digests == 1
     for at in range(200):
-        told.tell(f"select c{at} from t".encode())
-    assert (told.parsed, len(told), len(told._by_text)) == (201, 50, 50)
+        told.classify(f"select c{at} from t".encode())
+    assert (told.parsed_digests, len(told), len(told._by_text)) == (201, 50, 50)
 
 
 def test_hints() -> None:
@@ -152,9 +152,9 @@
 
 def test_long_texts_are_told_by_their_first_word() -> None:
     long = "x" * 70_000
-    assert tell(f"insert into t values ('{long}')").kind is Kind.WRITE
-    assert tell(f"insert into t values ('{long}', @a)").kind is Kind.UNKNOWN
-    assert tell(f"select '{long}'").kind is Kind.UNKNOWN
+    assert tell(f"insert into t values ('{long}')").kind is StatementKind.WRITE
+    assert tell(f"insert into t values ('{long}', @a)").kind is StatementKind.UNKNOWN
+    assert tell(f"select '{long}'").kind is StatementKind.UNKNOWN
 
 
 @pytest.mark.parametrize(
@@ -189,7 +189,7 @@
     session = fresh()
     run(session, "set names gbk")
     assert session.opaque
-    assert TELL.tell(b"select 1", opaque=True).kind is Kind.UNKNOWN
+    assert TELL.classify(b"select 1", opaque=True).kind is StatementKind.UNKNOWN
     assert replay_text(session.settings.items()) == b"SET names gbk"
 
 
@@ -345,6 +345,6 @@
     with pytest.raises(ProtocolError) as caught:
         fresh().next_prepared(MAX_PREPARED_TEXT + 1)
     assert caught.value.errno == Errno.NOT_SUPPORTED_YET
-    told = Statements()
-    told.tell(b"select " + b", ".join(b"c%d" % at for at in range(2000)))
+    told = StatementClassifier()
+    told.classify(b"select " + b", ".join(b"c%d" % at for at in range(2000)))
     assert len(told) == 0
