--- a/brambleusher/fronts/mysql/front.py
+++ b/brambleusher/fronts/mysql/front.py
@@ -31,7 +31,7 @@
 from brambleusher.fronts.mysql.constants import (
     Status as Flag,
 )
-from brambleusher.fronts.mysql.mapping import Mapping
+from brambleusher.fronts.mysql.mapping import RequestMapper
 from brambleusher.fronts.mysql.messages import Column, Eof, Err, Execute, Ok, text_row
 from brambleusher.fronts.mysql.nodes import Held, Mode, MysqlNodes, Reply, TuneFailed, Work
 from brambleusher.fronts.mysql.packets import ProtocolError, frame, frames, lenenc
@@ -95,7 +95,7 @@
         self._scheduler, self._decisions, self._nodes, self._clock = scheduler, decisions, nodes, clock
         self._counters, self._settings, self._users, self._rsa = counters, settings, users, rsa
         self._rng, self._entropy = rng, entropy
-        self._mapping = Mapping(settings, decisions.settings)
+        self._mapping = RequestMapper(settings, decisions.settings)
         self._classifier = StatementClassifier()
         self._lifecycle = RequestLifecycle(decisions, nodes, scheduler)
         self._max_packet_bytes = settings.max_packet_mb * 1024 * 1024
@@ -519,7 +519,7 @@
         session = client.session
         opens = self._begins_transaction(session, statement)
         assignment = self._mapping.assign(statement, session.user, opens)
-        if self._mapping.news(statement, session.user, assignment):
+        if self._mapping.is_new_assignment(statement, session.user, assignment):
             log.info(
                 "statement assigned",
                 extra={"fields": {
--- a/brambleusher/fronts/mysql/load.py
+++ b/brambleusher/fronts/mysql/load.py
@@ -14,35 +14,35 @@
 from brambleusher.loadbalancing.api import LoadReport
 
 # Decay time constant as a multiple of the shortest latency target; equals HEALTH_WINDOW of the load balancer.
-WINDOW_OF_AIM = 4.0
+DECAY_LATENCY_TARGETS = 4.0
 
 
-class Meter:
+class LoadMeter:
     """Load averages of one node, updated when a statement starts and ends."""
 
-    __slots__ = ("_at", "_busy", "_rate", "_window", "out")
+    __slots__ = ("_at", "_busy", "_rate", "_window", "in_progress")
 
     def __init__(self, window: float) -> None:
         self._window = window  # decay time constant in seconds
-        self.out = 0  # statements in progress at the node
+        self.in_progress = 0  # statements in progress at the node
         self._busy = self._rate = 0.0
         self._at = 0.0
 
     def _decay(self, now: float) -> None:
         remaining = math.exp(-max(0.0, now - self._at) / self._window)
-        self._busy = self._busy * remaining + self.out * (1 - remaining)
+        self._busy = self._busy * remaining + self.in_progress * (1 - remaining)
         self._rate *= remaining
         self._at = max(self._at, now)
 
     def begin(self, now: float) -> None:
         """Count a statement that is sent to the node."""
         self._decay(now)
-        self.out += 1
+        self.in_progress += 1
 
     def end(self, now: float) -> None:
         """Count the end of a statement."""
         self._decay(now)
-        self.out -= 1
+        self.in_progress -= 1
 
     def served(self, now: float) -> None:
         """Count an attempt that was served."""
--- a/brambleusher/fronts/mysql/mapping.py
+++ b/brambleusher/fronts/mysql/mapping.py
@@ -9,7 +9,9 @@
 from brambleusher.fronts.mysql.statements import Hint, Statement, StatementKind
 from brambleusher.loadbalancing import api
 
-REASONS = 4096  # maximum number of logged assignments remembered; evicted ones may be logged again
+MAX_LOGGED_ASSIGNMENTS = (
+    4096  # maximum number of logged assignments remembered; evicted ones may be logged again
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,7 +25,7 @@
     reason: str
 
 
-class Mapping:
+class RequestMapper:
     """Assigns request parameters to statements according to the operator file."""
 
     def __init__(self, settings: MysqlSettings, platform: api.Settings) -> None:
@@ -77,13 +79,13 @@
         tenant = hint.tenant if hint.tenant in self._tenants else user_rule.tenant or settings.tenant
         return Assignment(name, tenant, deadline_ms, hint.work_us, reason)
 
-    def news(self, statement: Statement, user: str, assignment: Assignment) -> bool:
+    def is_new_assignment(self, statement: Statement, user: str, assignment: Assignment) -> bool:
         """Return whether this assignment has not been logged yet for the digest and user, and remember it."""
         key = (statement.digest[:256], user, assignment.reason[:256])
         if key in self._logged:
             return False
         self._logged[key] = None
-        if len(self._logged) > REASONS:
+        if len(self._logged) > MAX_LOGGED_ASSIGNMENTS:
             self._logged.popitem(last=False)
         return True
 
--- a/brambleusher/fronts/mysql/nodes.py
+++ b/brambleusher/fronts/mysql/nodes.py
@@ -19,7 +19,7 @@
 from brambleusher.fronts.mysql.channel import Channel, client_context
 from brambleusher.fronts.mysql.constants import Capability, Command, Errno
 from brambleusher.fronts.mysql.constants import Status as Flag
-from brambleusher.fronts.mysql.load import WINDOW_OF_AIM, Meter
+from brambleusher.fronts.mysql.load import DECAY_LATENCY_TARGETS, LoadMeter
 from brambleusher.fronts.mysql.messages import Err, Execute, parse_text_row
 from brambleusher.fronts.mysql.packets import PacketReader, ProtocolError, frame, frames
 from brambleusher.fronts.mysql.replies import ReplyRelay
@@ -147,7 +147,7 @@
     name: str
     address: tuple[str, int]
     started_ns: int
-    meter: Meter
+    meter: LoadMeter
     idle: list[Conn] = field(default_factory=list)  # ordered by last use, the most recent at the end
     claims: dict[Claim, None] = field(default_factory=dict)  # a dict, for a deterministic order
     held: dict[Held, None] = field(default_factory=dict)
@@ -311,7 +311,9 @@
     ) -> None:
         self._scheduler, self._settings, self._passwords = scheduler, settings, passwords
         self._counters, self._node_public_key = counters, node_key
-        self._load_window = WINDOW_OF_AIM * min(cls.latency_target_ns for cls in platform.classes) / 1e9
+        self._load_window = (
+            DECAY_LATENCY_TARGETS * min(cls.latency_target_ns for cls in platform.classes) / 1e9
+        )
         self._connect_seconds = platform.connect_timeout_ns / 1e9
         self._idle_seconds = settings.idle_ms / 1000
         # The remaining grace period is reserved for the set-up commands that precede a statement.
@@ -369,7 +371,7 @@
             node = None
         if node is None:
             node = self._nodes[entry.host] = Node(
-                entry.host, address, entry.started_ns, Meter(self._load_window)
+                entry.host, address, entry.started_ns, LoadMeter(self._load_window)
             )
         if entry.state is HostState.DRAINING:
             self._start_drain(node)
--- a/brambleusher/lab/mysql/replay.py
+++ b/brambleusher/lab/mysql/replay.py
@@ -867,16 +867,16 @@
 
 
 def _write_repeated() -> Iterator[None]:
-    from brambleusher.fronts.mysql.mapping import Mapping
+    from brambleusher.fronts.mysql.mapping import RequestMapper
 
-    real = Mapping.assign
+    real = RequestMapper.assign
 
     def assign(self: Any, statement: Any, user: str, transaction: bool = False) -> Any:
         from dataclasses import replace
 
         return replace(real(self, statement, user, transaction), request_class="look")
 
-    with mock.patch.object(Mapping, "assign", assign):
+    with mock.patch.object(RequestMapper, "assign", assign):
         yield
 
 
--- a/tests/fronts/mysql/test_mysql_replay.py
+++ b/tests/fronts/mysql/test_mysql_replay.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from brambleusher.fronts.mysql.load import Meter
+from brambleusher.fronts.mysql.load import LoadMeter
 from brambleusher.lab.mysql.replay import BREAKAGES, main, run_seed
 from brambleusher.loadbalancing.api import LoadReport
 
@@ -43,7 +43,7 @@
 
 
 def test_a_nodes_load_as_it_looks_from_here() -> None:
-    meter, now = Meter(0.5), 100.0
+    meter, now = LoadMeter(0.5), 100.0
     for _ in range(1000):  # four concurrent statements of 20 ms each, hence 200 per second
         for _ in range(4):
             meter.begin(now)
@@ -60,4 +60,4 @@
     later = meter.report(now + 20, 8)
     assert later.utilisation == pytest.approx(1 / 8, rel=0.05)
     assert later.throughput == pytest.approx(0, abs=0.01)
-    assert Meter(0.5).report(5.0, 8) == LoadReport(0.0, 0.0)
+    assert LoadMeter(0.5).report(5.0, 8) == LoadReport(0.0, 0.0)
--- a/tests/fronts/mysql/test_mysql_settings.py
+++ b/tests/fronts/mysql/test_mysql_settings.py
@@ -10,7 +10,7 @@
 import pytest
 
 from brambleusher.fronts.mysql.constants import NATIVE
-from brambleusher.fronts.mysql.mapping import Mapping
+from brambleusher.fronts.mysql.mapping import RequestMapper
 from brambleusher.fronts.mysql.settings import (
     check_against,
     load_accounts,
@@ -128,7 +128,7 @@
         "users": {"web": {"class": "move", "tenant": "peach", "deadline_ms": 700}},
         "statements": [{"text": "select * from listings where id = 1", "class": "look", "deadline_ms": 300}],
     })  # fmt: skip
-    mapping, told = Mapping(given, PLATFORM), StatementClassifier()
+    mapping, told = RequestMapper(given, PLATFORM), StatementClassifier()
 
     def assign(text: str, user: str = "other", transaction: bool = False) -> tuple[Any, ...]:
         out = mapping.assign(told.classify(text.encode()), user, transaction)
@@ -148,7 +148,10 @@
     assert assign("call p()")[4] == "unknown: call is not a known statement"
     assert assign("/* brambleusher: class=keyed tenant=no */ select 1")[:2] == ("look", "acme")
     first = mapping.assign(told.classify(b"select 1"), "other")
-    assert [mapping.news(told.classify(b"select 1"), "other", first) for _ in range(2)] == [True, False]
+    assert [mapping.is_new_assignment(told.classify(b"select 1"), "other", first) for _ in range(2)] == [
+        True,
+        False,
+    ]
 
 
 def test_sessions_that_do_not_fit_stop_the_start(tmp_path: Path) -> None:
