--- a/brambleusher/fronts/mysql/auth.py
+++ b/brambleusher/fronts/mysql/auth.py
@@ -336,16 +336,16 @@
     @property
     def has_partial_message(self) -> bool:
         """Whether an incomplete message of the client is buffered."""
-        return self._reader.begun
+        return self._reader.has_partial_message
 
     @property
     def seq(self) -> int:
         """Sequence number of a response to the bytes received so far."""
-        return self._reader.answer_seq
+        return self._reader.response_seq
 
     def take_leftover(self) -> bytes:
         """Return and discard the bytes after the last message: a TLS handshake or pipelined commands."""
-        return self._reader.leftover()
+        return self._reader.take_leftover()
 
     def encode_greeting(self) -> bytes:
         """Return the greeting packet, the first packet of the handshake."""
@@ -557,7 +557,7 @@
     @property
     def has_trailing_bytes(self) -> bool:
         """Whether the server has sent bytes after the end of the login."""
-        return self._reader.begun
+        return self._reader.has_partial_message
 
     def step(self) -> LoginStep:
         """Process the bytes received so far; raises `LoginRejectedError` or `ProtocolError`."""
--- a/brambleusher/fronts/mysql/front.py
+++ b/brambleusher/fronts/mysql/front.py
@@ -34,7 +34,7 @@
 from brambleusher.fronts.mysql.mapping import RequestMapper
 from brambleusher.fronts.mysql.messages import Column, Eof, Err, Execute, Ok, text_row
 from brambleusher.fronts.mysql.nodes import Held, Mode, MysqlNodes, Reply, TuneFailed, Work
-from brambleusher.fronts.mysql.packets import ProtocolError, frame, frames, lenenc
+from brambleusher.fronts.mysql.packets import ProtocolError, encode_lenenc_integer, frame, packet_count
 from brambleusher.fronts.mysql.replies import ReplyRelay
 from brambleusher.fronts.mysql.session import PreparedText, Session
 from brambleusher.fronts.mysql.session_listener import SessionListener
@@ -203,7 +203,7 @@
         """Send the error that ends the session, with the sequence number that the client expects."""
         try:
             client.channel.send(
-                frame(error.encode(), client.reader.answer_seq), self._scheduler.now() + WRITE_SECONDS
+                frame(error.encode(), client.reader.response_seq), self._scheduler.now() + WRITE_SECONDS
             )
             client.channel.stream.finish()
         except (OSError, TaskTimeoutError):
@@ -334,10 +334,10 @@
     def _next_command(self, client: Client) -> bytes | None:
         """Return the next command, or None if the session ends before one arrives."""
         reader = client.reader
-        reader.expect()
+        reader.set_sequence()
         begun_at = self._scheduler.now()
         while (body := reader.take()) is None:
-            if self._closing and not client.session.pinned and not reader.begun:
+            if self._closing and not client.session.pinned and not reader.has_partial_message:
                 self._send_unsolicited_error(
                     client, Err.of(Errno.SERVER_SHUTDOWN, "Server shutdown in progress")
                 )
@@ -353,7 +353,7 @@
                 continue
             if not data:
                 return None
-            if not reader.begun:
+            if not reader.has_partial_message:
                 begun_at = self._scheduler.now()
             reader.feed(data)
             self._charge_command(client)
@@ -377,7 +377,7 @@
     def _next_timeout(self, client: Client, begun_at: float) -> tuple[float, Callable[[Client], bool]]:
         """Return the timeout for the next command and its handler, which tells if the session continues."""
         now, settings = self._scheduler.now(), self._settings
-        if client.reader.begun:
+        if client.reader.has_partial_message:
             timeouts = [(begun_at + READ_SECONDS, self._on_read_timeout)]
         else:
             timeouts = [(now + settings.session_idle_ms / 1000, self._on_idle_timeout)]
@@ -812,7 +812,7 @@
             return False
         relay = ReplyRelay(
             work.command, conn.capabilities, session.capabilities, work.statement_id,
-            frames(len(body)), work.seq, session.status,
+            packet_count(len(body)), work.seq, session.status,
         )  # fmt: skip
         session_continues = self._forward_reply(client, work, statement, Reply(b"", relay, held), deadline)
         if session_continues and statement.chain and self._starts_request_too_late(client, work, _CHAINED):
@@ -878,9 +878,11 @@
         column = Column(name, Type.LONGLONG, 63, 21, 0x81).encode()
         row = text_row([str(value).encode()])
         if caps & Capability.DEPRECATE_EOF:
-            return self._send(client, lenenc(1), column, row, Ok(status=status).encode(caps, 0xFE))
+            return self._send(
+                client, encode_lenenc_integer(1), column, row, Ok(status=status).encode(caps, 0xFE)
+            )
         eof = Eof(0, status).encode()
-        return self._send(client, lenenc(1), column, eof, row, eof)
+        return self._send(client, encode_lenenc_integer(1), column, eof, row, eof)
 
     def _init_db(self, client: Client, body: bytes) -> bool:
         try:
--- a/brambleusher/fronts/mysql/messages.py
+++ b/brambleusher/fronts/mysql/messages.py
@@ -19,7 +19,12 @@
     Type,
     sqlstate,
 )
-from brambleusher.fronts.mysql.packets import Fields, ProtocolError, lenenc, lentext
+from brambleusher.fronts.mysql.packets import (
+    FieldReader,
+    ProtocolError,
+    encode_lenenc_integer,
+    encode_lenenc_string,
+)
 
 MAX_ATTRIBUTES = 64 * 1024  # maximum size of the connection attributes in bytes
 
@@ -49,15 +54,15 @@
     @classmethod
     def parse(cls, data: bytes, capabilities: int) -> Ok:
         """Parse an OK packet, whose header byte may be 0x00 or 0xFE."""
-        fields = Fields(data, 1)
-        ok = cls(fields.lenenc(), fields.lenenc(), fields.number(2), fields.number(2))
+        fields = FieldReader(data, 1)
+        ok = cls(fields.lenenc_integer(), fields.lenenc_integer(), fields.integer(2), fields.integer(2))
         if capabilities & Capability.SESSION_TRACK:
-            if fields.left:
-                ok.info = fields.text()
-            if ok.status & Status.SESSION_STATE_CHANGED and fields.left:
-                ok.state = fields.text()
+            if fields.remaining:
+                ok.info = fields.lenenc_string()
+            if ok.status & Status.SESSION_STATE_CHANGED and fields.remaining:
+                ok.state = fields.lenenc_string()
         else:
-            ok.info = fields.rest()
+            ok.info = fields.take_rest()
         return ok
 
     def encode(self, capabilities: int, header: int = 0) -> bytes:
@@ -67,14 +72,14 @@
             changes = self.state if status & Status.SESSION_STATE_CHANGED else b""
             if not changes:
                 status &= ~Status.SESSION_STATE_CHANGED
-            tail = lentext(self.info) if self.info or changes else b""
-            tail += lentext(changes) if changes else b""
+            tail = encode_lenenc_string(self.info) if self.info or changes else b""
+            tail += encode_lenenc_string(changes) if changes else b""
         else:
             status &= ~Status.SESSION_STATE_CHANGED
         return (
             bytes((header,))
-            + lenenc(self.affected)
-            + lenenc(self.last_id)
+            + encode_lenenc_integer(self.affected)
+            + encode_lenenc_integer(self.last_id)
             + struct.pack("<HH", status & 0xFFFF, self.warnings)
             + tail
         )
@@ -96,12 +101,12 @@
     @classmethod
     def parse(cls, data: bytes, protocol_41: bool = True) -> Err:
         """Parse an ERR packet; before the login it may lack the SQLSTATE."""
-        fields = Fields(data, 1)
-        errno, state = fields.number(2), "HY000"
-        if protocol_41 and fields.left and data[fields.at : fields.at + 1] == b"#":
+        fields = FieldReader(data, 1)
+        errno, state = fields.integer(2), "HY000"
+        if protocol_41 and fields.remaining and data[fields.at : fields.at + 1] == b"#":
             fields.at += 1
             state = fields.take(5).decode("ascii", "replace")
-        return cls(errno, state, fields.rest().decode("utf-8", "replace"))
+        return cls(errno, state, fields.take_rest().decode("utf-8", "replace"))
 
     def encode(self) -> bytes:
         """Encode the packet."""
@@ -120,8 +125,8 @@
     @classmethod
     def parse(cls, data: bytes) -> Eof:
         """Parse an EOF packet."""
-        fields = Fields(data, 1)
-        return cls(fields.number(2), fields.number(2)) if fields.left else cls()
+        fields = FieldReader(data, 1)
+        return cls(fields.integer(2), fields.integer(2)) if fields.remaining else cls()
 
     def encode(self) -> bytes:
         """Encode the packet."""
@@ -139,22 +144,22 @@
 
     A change of unknown type has its raw bytes as its only string.
     """
-    fields = Fields(data)
+    fields = FieldReader(data)
     out: list[tuple[int, tuple[bytes, ...]]] = []
-    while fields.left:
-        kind, body = fields.number(1), Fields(fields.text())
+    while fields.remaining:
+        kind, body = fields.integer(1), FieldReader(fields.lenenc_string())
         if kind == Track.SYSTEM_VARIABLES:
             values = []
-            while body.left:
-                values += [body.text(), body.text()]
+            while body.remaining:
+                values += [body.lenenc_string(), body.lenenc_string()]
             out.append((kind, tuple(values)))
         elif (
             kind in (Track.SCHEMA, Track.STATE_CHANGE, Track.TRANSACTION_CHARACTERISTICS)
             or kind == Track.TRANSACTION_STATE
         ):
-            out.append((kind, (body.text(),)))
+            out.append((kind, (body.lenenc_string(),)))
         else:
-            out.append((kind, (body.rest(),)))
+            out.append((kind, (body.take_rest(),)))
     return out
 
 
@@ -163,8 +168,8 @@
     out = b""
     for kind, values in changes:
         plain = kind == Track.GTIDS or kind > Track.TRANSACTION_STATE
-        body = b"".join(values if plain else map(lentext, values))
-        out += bytes((kind,)) + lentext(body)
+        body = b"".join(values if plain else map(encode_lenenc_string, values))
+        out += bytes((kind,)) + encode_lenenc_string(body)
     return out
 
 
@@ -186,25 +191,25 @@
     @classmethod
     def parse(cls, data: bytes) -> Greeting:
         """Parse a greeting; raises `ProtocolError` for another version or a malformed packet."""
-        fields = Fields(data)
-        version = fields.number(1)
+        fields = FieldReader(data)
+        version = fields.integer(1)
         if version != PROTOCOL_VERSION:
             raise ProtocolError(f"a greeting of version {version}", Errno.BAD_HANDSHAKE)
-        version_name, thread, challenge = fields.until_zero(), fields.number(4), fields.take(8)
+        version_name, thread, challenge = fields.null_terminated_string(), fields.integer(4), fields.take(8)
         fields.take(1)
-        capabilities = fields.number(2)
-        if not fields.left:
+        capabilities = fields.integer(2)
+        if not fields.remaining:
             return cls(version_name.decode("latin-1"), thread, challenge, capabilities)
-        collation, status = fields.number(1), fields.number(2)
-        capabilities |= fields.number(2) << 16
-        size = fields.number(1)
+        collation, status = fields.integer(1), fields.integer(2)
+        capabilities |= fields.integer(2) << 16
+        size = fields.integer(1)
         fields.take(10)
         if capabilities & Capability.SECURE_CONNECTION:
             challenge += fields.take(max(13, size - 8))[:12]
         plugin = b""
         if capabilities & Capability.PLUGIN_AUTH:
             # Some old servers omit the terminating zero byte.
-            plugin = fields.rest().split(b"\0", 1)[0]
+            plugin = fields.take_rest().split(b"\0", 1)[0]
         return cls(
             version_name.decode("latin-1"), thread, challenge, capabilities, collation, status,
             utf8(plugin, "the name of the server's plugin"),
@@ -252,33 +257,35 @@
     @classmethod
     def parse(cls, data: bytes) -> Login | SslRequest:
         """Parse a login packet, or the TLS request that may precede it."""
-        fields = Fields(data)
-        capabilities = fields.number(2)
+        fields = FieldReader(data)
+        capabilities = fields.integer(2)
         if not capabilities & Capability.PROTOCOL_41:
             raise ProtocolError("a client of a protocol before 4.1", Errno.BAD_HANDSHAKE)
-        capabilities |= fields.number(2) << 16
-        max_packet, collation = fields.number(4), fields.number(1)
+        capabilities |= fields.integer(2) << 16
+        max_packet, collation = fields.integer(4), fields.integer(1)
         fields.take(23)
-        if capabilities & Capability.SSL and not fields.left:
+        if capabilities & Capability.SSL and not fields.remaining:
             return SslRequest(capabilities, max_packet, collation)
-        user = utf8(fields.until_zero(), "the user's name")
+        user = utf8(fields.null_terminated_string(), "the user's name")
         if capabilities & Capability.PLUGIN_AUTH_LENENC:
-            answer = fields.text()
+            answer = fields.lenenc_string()
         elif capabilities & Capability.SECURE_CONNECTION:
-            answer = fields.take(fields.number(1))
+            answer = fields.take(fields.integer(1))
         else:
-            answer = fields.until_zero()
+            answer = fields.null_terminated_string()
         database = plugin = ""
         if capabilities & Capability.CONNECT_WITH_DB:
             database = utf8(
-                fields.until_zero() if b"\0" in data[fields.at :] else fields.rest(), "the database"
+                fields.null_terminated_string() if b"\0" in data[fields.at :] else fields.take_rest(),
+                "the database",
             )
-        if capabilities & Capability.PLUGIN_AUTH and fields.left:
+        if capabilities & Capability.PLUGIN_AUTH and fields.remaining:
             plugin = utf8(
-                fields.until_zero() if b"\0" in data[fields.at :] else fields.rest(), "the plugin's name"
+                fields.null_terminated_string() if b"\0" in data[fields.at :] else fields.take_rest(),
+                "the plugin's name",
             )
         attributes = {}
-        if capabilities & Capability.CONNECT_ATTRS and fields.left:
+        if capabilities & Capability.CONNECT_ATTRS and fields.remaining:
             attributes = _attributes(fields)
         return cls(capabilities, user, answer, database, plugin, collation, max_packet, attributes)
 
@@ -287,16 +294,21 @@
         caps = self.capabilities
         out = struct.pack("<IIB", caps, self.max_packet, self.collation & 0xFF) + bytes(23)
         out += self.user.encode() + b"\0"
-        out += lentext(self.answer) if caps & Capability.PLUGIN_AUTH_LENENC else _short_string(self.answer)
+        out += (
+            encode_lenenc_string(self.answer)
+            if caps & Capability.PLUGIN_AUTH_LENENC
+            else _short_string(self.answer)
+        )
         if caps & Capability.CONNECT_WITH_DB:
             out += self.database.encode() + b"\0"
         if caps & Capability.PLUGIN_AUTH:
             out += self.plugin.encode() + b"\0"
         if caps & Capability.CONNECT_ATTRS:
             pairs = b"".join(
-                lentext(name.encode()) + lentext(value.encode()) for name, value in self.attributes.items()
+                encode_lenenc_string(name.encode()) + encode_lenenc_string(value.encode())
+                for name, value in self.attributes.items()
             )
-            out += lentext(pairs)
+            out += encode_lenenc_string(pairs)
         return out
 
 
@@ -306,14 +318,14 @@
     return bytes((len(answer),)) + answer
 
 
-def _attributes(fields: Fields) -> dict[str, str]:
-    body = Fields(fields.text())
+def _attributes(fields: FieldReader) -> dict[str, str]:
+    body = FieldReader(fields.lenenc_string())
     if len(body.data) > MAX_ATTRIBUTES:
         raise ProtocolError("more than 64 KB of attributes")
     out = {}
-    while body.left:
-        name = body.text().decode("utf-8", "replace")
-        out[name] = body.text().decode("utf-8", "replace")
+    while body.remaining:
+        name = body.lenenc_string().decode("utf-8", "replace")
+        out[name] = body.lenenc_string().decode("utf-8", "replace")
     return out
 
 
@@ -330,15 +342,15 @@
     @classmethod
     def parse(cls, data: bytes, capabilities: int) -> ChangeUser:
         """Parse a COM_CHANGE_USER command, including the command byte."""
-        fields = Fields(data, 1)
-        user = utf8(fields.until_zero(), "the user's name")
-        answer = fields.take(fields.number(1))
-        database = utf8(fields.until_zero(), "the database")
+        fields = FieldReader(data, 1)
+        user = utf8(fields.null_terminated_string(), "the user's name")
+        answer = fields.take(fields.integer(1))
+        database = utf8(fields.null_terminated_string(), "the database")
         out = cls(user, answer, database)
-        if fields.left >= 2:
-            out.collation = fields.number(2)
-        if capabilities & Capability.PLUGIN_AUTH and fields.left:
-            name = fields.until_zero() if b"\0" in data[fields.at :] else fields.rest()
+        if fields.remaining >= 2:
+            out.collation = fields.integer(2)
+        if capabilities & Capability.PLUGIN_AUTH and fields.remaining:
+            name = fields.null_terminated_string() if b"\0" in data[fields.at :] else fields.take_rest()
             out.plugin = utf8(name, "the plugin's name")
         return out
 
@@ -365,9 +377,9 @@
     """
     if len(data) == 1:
         return "mysql_old_password", b""
-    fields = Fields(data, 1)
-    plugin = utf8(fields.until_zero(), "the plugin's name")
-    return plugin, fields.rest().removesuffix(b"\0")
+    fields = FieldReader(data, 1)
+    plugin = utf8(fields.null_terminated_string(), "the plugin's name")
+    return plugin, fields.take_rest().removesuffix(b"\0")
 
 
 # --- columns and rows ---------------------------------------------------------------------------
@@ -392,17 +404,17 @@
     @classmethod
     def parse(cls, data: bytes) -> Column:
         """Parse a column definition."""
-        fields = Fields(data)
-        catalog, schema, table, org_table, name, org_name = (fields.text() for _ in range(6))
-        body = Fields(fields.text())
-        collation, length, kind = body.number(2), body.number(4), body.number(1)
+        fields = FieldReader(data)
+        catalog, schema, table, org_table, name, org_name = (fields.lenenc_string() for _ in range(6))
+        body = FieldReader(fields.lenenc_string())
+        collation, length, kind = body.integer(2), body.integer(4), body.integer(1)
         return cls(
             name,
             kind,
             collation,
             length,
-            body.number(2),
-            body.number(1),
+            body.integer(2),
+            body.integer(1),
             schema,
             table,
             org_table,
@@ -414,25 +426,25 @@
         """Encode the definition."""
         names = (self.catalog, self.schema, self.table, self.org_table, self.name, self.org_name)
         tail = struct.pack("<HIBHBH", self.collation, self.length, self.type, self.flags, self.decimals, 0)
-        return b"".join(map(lentext, names)) + lentext(tail)
+        return b"".join(map(encode_lenenc_string, names)) + encode_lenenc_string(tail)
 
 
 def text_row(values: list[bytes | None]) -> bytes:
     """Encode a row of the text protocol."""
-    return b"".join(b"\xfb" if value is None else lentext(value) for value in values)
+    return b"".join(b"\xfb" if value is None else encode_lenenc_string(value) for value in values)
 
 
 def parse_text_row(data: bytes, columns: int) -> list[bytes | None]:
     """Parse a row of the text protocol; raises `ProtocolError` if it does not have `columns` values."""
-    fields = Fields(data)
+    fields = FieldReader(data)
     out: list[bytes | None] = []
     for _ in range(columns):
-        if fields.left and data[fields.at] == 0xFB:
+        if fields.remaining and data[fields.at] == 0xFB:
             fields.at += 1
             out.append(None)
         else:
-            out.append(fields.text())
-    if fields.left:
+            out.append(fields.lenenc_string())
+    if fields.remaining:
         raise ProtocolError("a row with more values than columns")
     return out
 
@@ -442,16 +454,16 @@
 _DATES = frozenset({Type.DATE, Type.DATETIME, Type.TIMESTAMP, Type.TIME})
 
 
-def _binary_value(fields: Fields, kind: int) -> bytes:
+def _binary_value(fields: FieldReader, kind: int) -> bytes:
     """Read the bytes of one binary protocol value, including the length prefix of a date or string."""
     size = _FIXED.get(kind)  # type: ignore[call-overload]
     if size is not None:
         return fields.take(size)
     at = fields.at
     if kind in _DATES:
-        fields.take(fields.number(1))
+        fields.take(fields.integer(1))
     else:
-        fields.text()
+        fields.lenenc_string()
     return fields.data[at : fields.at]
 
 
@@ -466,13 +478,13 @@
 
 def parse_binary_row(data: bytes, types: list[int]) -> list[bytes | None]:
     """Parse a row of the binary protocol into values that are still encoded for their types."""
-    fields = Fields(data, 1)
+    fields = FieldReader(data, 1)
     nulls = fields.take((len(types) + 9) // 8)
     out = [
         None if nulls[(at + 2) // 8] >> (at + 2) % 8 & 1 else _binary_value(fields, kind)
         for at, kind in enumerate(types)
     ]
-    if fields.left:
+    if fields.remaining:
         raise ProtocolError("a row with more values than columns")
     return out
 
@@ -492,12 +504,12 @@
     @classmethod
     def parse(cls, data: bytes) -> Prepared:
         """Parse a COM_STMT_PREPARE response."""
-        fields = Fields(data, 1)
-        statement, columns, parameters = fields.number(4), fields.number(2), fields.number(2)
+        fields = FieldReader(data, 1)
+        statement, columns, parameters = fields.integer(4), fields.integer(2), fields.integer(2)
         warnings = 0
-        if fields.left >= 3:
+        if fields.remaining >= 3:
             fields.take(1)
-            warnings = fields.number(2)
+            warnings = fields.integer(2)
         return cls(statement, columns, parameters, warnings)
 
     def encode(self) -> bytes:
@@ -518,14 +530,14 @@
     @classmethod
     def parse(cls, data: bytes, parameters: int) -> Execute:
         """Parse the command for a statement with the given number of parameters."""
-        fields = Fields(data, 1)
-        out = cls(fields.number(4), fields.number(1))
+        fields = FieldReader(data, 1)
+        out = cls(fields.integer(4), fields.integer(1))
         fields.take(4)  # skips the iteration count, which is always 1
         if parameters:
             out.nulls = fields.take((parameters + 7) // 8)
-            if fields.number(1):
+            if fields.integer(1):
                 out.types = fields.take(2 * parameters)
-            out.values = fields.rest()
+            out.values = fields.take_rest()
         return out
 
     def encode(self, parameters: int) -> bytes:
@@ -541,7 +553,7 @@
         Raises:
             ProtocolError: The values do not match the types.
         """
-        fields = Fields(self.values)
+        fields = FieldReader(self.values)
         out: list[bytes | None] = []
         for at in range(count):
             if self.nulls[at // 8] >> at % 8 & 1 or types[2 * at] == Type.NULL:
@@ -550,6 +562,6 @@
                 out.append(b"")
             else:
                 out.append(_binary_value(fields, types[2 * at]))
-        if fields.left:
+        if fields.remaining:
             raise ProtocolError("more values than parameters")
         return out
--- a/brambleusher/fronts/mysql/nodes.py
+++ b/brambleusher/fronts/mysql/nodes.py
@@ -21,7 +21,7 @@
 from brambleusher.fronts.mysql.constants import Status as Flag
 from brambleusher.fronts.mysql.load import DECAY_LATENCY_TARGETS, LoadMeter
 from brambleusher.fronts.mysql.messages import Err, Execute, parse_text_row
-from brambleusher.fronts.mysql.packets import PacketReader, ProtocolError, frame, frames
+from brambleusher.fronts.mysql.packets import PacketReader, ProtocolError, frame, packet_count
 from brambleusher.fronts.mysql.replies import ReplyRelay
 from brambleusher.fronts.mysql.session import (
     ConnectionTraits,
@@ -789,7 +789,7 @@
         self, conn: Conn, body: bytes, limit: float, claim: Claim | None = None
     ) -> tuple[ReplyRelay, bytes]:
         """Send one command of the sidecar itself and return the relay and bytes of its complete response."""
-        relay = ReplyRelay(body[0], conn.capabilities, conn.capabilities, seq=frames(len(body)))
+        relay = ReplyRelay(body[0], conn.capabilities, conn.capabilities, seq=packet_count(len(body)))
         conn.channel.send(frame(body, 0), limit)
         out = b""
         while not relay.done:
@@ -889,7 +889,7 @@
             data, body = self.execute(conn, work.prepared, work.run, claim, limit)
         relay = ReplyRelay(
             work.command, conn.capabilities, session.capabilities, work.statement_id,
-            frames(len(body)), work.seq, session.status,
+            packet_count(len(body)), work.seq, session.status,
         )  # fmt: skip
         return data + frame(body, 0), relay
 
--- a/brambleusher/fronts/mysql/packets.py
+++ b/brambleusher/fronts/mysql/packets.py
@@ -10,7 +10,7 @@
 
 from brambleusher.fronts.mysql.constants import MAX_PAYLOAD, Errno, sqlstate
 
-HEADER = 4
+HEADER_BYTES = 4
 
 
 class ProtocolError(Exception):
@@ -35,7 +35,7 @@
     return b"".join(out)
 
 
-def frames(size: int) -> int:
+def packet_count(size: int) -> int:
     """Return the number of packets for a message of `size` bytes."""
     return size // MAX_PAYLOAD + 1
 
@@ -43,10 +43,10 @@
 class PacketReader:
     """Reassembles messages from a byte stream; raises `ProtocolError` for a wrong sequence number or size."""
 
-    __slots__ = ("_buffer", "_chunks", "_size", "most", "seq")
+    __slots__ = ("_buffer", "_chunks", "_size", "max_size", "seq")
 
-    def __init__(self, most: int, seq: int = 0) -> None:
-        self.most = most  # maximum message size in bytes
+    def __init__(self, max_size: int, seq: int = 0) -> None:
+        self.max_size = max_size  # maximum message size in bytes
         self.seq = seq  # expected sequence number of the next packet
         self._buffer = bytearray()
         self._chunks: list[bytes] = []
@@ -56,7 +56,7 @@
         """Add received bytes."""
         self._buffer += data
 
-    def expect(self, seq: int = 0) -> None:
+    def set_sequence(self, seq: int = 0) -> None:
         """Set the sequence number of the next packet, which is 0 for a new exchange."""
         self.seq = seq
 
@@ -66,16 +66,16 @@
         return len(self._buffer) + self._size
 
     @property
-    def begun(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Whether a part of a message is buffered."""
         return bool(self._buffer or self._chunks)
 
     @property
-    def answer_seq(self) -> int:
+    def response_seq(self) -> int:
         """Sequence number of a response to the bytes received so far, even if a message is incomplete."""
         return self.seq + bool(self._buffer)
 
-    def leftover(self) -> bytes:
+    def take_leftover(self) -> bytes:
         """Remove and return the buffered bytes, for another reader of the stream."""
         out = bytes(self._buffer)
         self._buffer.clear()
@@ -83,20 +83,22 @@
 
     def take(self) -> bytes | None:
         """Return the next complete message, or None if it has not arrived yet."""
-        while len(self._buffer) >= HEADER:
+        while len(self._buffer) >= HEADER_BYTES:
             (header,) = struct.unpack_from("<I", self._buffer)
             size, seq = header & MAX_PAYLOAD, header >> 24
             if seq != self.seq & 0xFF:
                 raise ProtocolError(
                     f"packet numbered {seq} where {self.seq & 0xFF} is due", Errno.NET_PACKETS_OUT_OF_ORDER
                 )
-            if self._size + size > self.most:
+            if self._size + size > self.max_size:
                 # A message is rejected by its declared size, before memory is used for its bytes.
-                raise ProtocolError(f"a message of more than {self.most} bytes", Errno.NET_PACKET_TOO_LARGE)
-            if len(self._buffer) < HEADER + size:
+                raise ProtocolError(
+                    f"a message of more than {self.max_size} bytes", Errno.NET_PACKET_TOO_LARGE
+                )
+            if len(self._buffer) < HEADER_BYTES + size:
                 return None
-            payload = bytes(self._buffer[HEADER : HEADER + size])
-            del self._buffer[: HEADER + size]
+            payload = bytes(self._buffer[HEADER_BYTES : HEADER_BYTES + size])
+            del self._buffer[: HEADER_BYTES + size]
             self.seq += 1
             if size == MAX_PAYLOAD:
                 self._chunks.append(payload)
@@ -109,7 +111,7 @@
         return None
 
 
-class Fields:
+class FieldReader:
     """Reads the fields of one message in order; raises `ProtocolError` for a field beyond its end."""
 
     __slots__ = ("at", "data")
@@ -118,39 +120,39 @@
         self.data, self.at = data, at
 
     @property
-    def left(self) -> int:
+    def remaining(self) -> int:
         """Number of bytes not read yet."""
         return len(self.data) - self.at
 
     def take(self, size: int) -> bytes:
         """Read `size` bytes."""
-        if size < 0 or size > self.left:
-            raise ProtocolError(f"a field of {size} bytes where {self.left} are left")
+        if size < 0 or size > self.remaining:
+            raise ProtocolError(f"a field of {size} bytes where {self.remaining} are left")
         self.at += size
         return self.data[self.at - size : self.at]
 
-    def number(self, size: int) -> int:
+    def integer(self, size: int) -> int:
         """Read a little-endian unsigned integer of `size` bytes."""
         return int.from_bytes(self.take(size), "little")
 
-    def lenenc(self) -> int:
+    def lenenc_integer(self) -> int:
         """Read a length-encoded integer."""
-        first = self.number(1)
+        first = self.integer(1)
         if first < 0xFB:
             return first
         if first == 0xFC:
-            return self.number(2)
+            return self.integer(2)
         if first == 0xFD:
-            return self.number(3)
+            return self.integer(3)
         if first == 0xFE:
-            return self.number(8)
+            return self.integer(8)
         raise ProtocolError(f"{first:#x} begins no length")
 
-    def text(self) -> bytes:
+    def lenenc_string(self) -> bytes:
         """Read a length-encoded string."""
-        return self.take(self.lenenc())
+        return self.take(self.lenenc_integer())
 
-    def until_zero(self) -> bytes:
+    def null_terminated_string(self) -> bytes:
         """Read a string up to a zero byte, and skip that byte."""
         end = self.data.find(b"\0", self.at)
         if end < 0:
@@ -159,14 +161,14 @@
         self.at = end + 1
         return out
 
-    def rest(self) -> bytes:
+    def take_rest(self) -> bytes:
         """Read all remaining bytes."""
         out = self.data[self.at :]
         self.at = len(self.data)
         return out
 
 
-def lenenc(value: int) -> bytes:
+def encode_lenenc_integer(value: int) -> bytes:
     """Encode an integer as a length-encoded integer."""
     if value < 0xFB:
         return bytes((value,))
@@ -177,6 +179,6 @@
     return b"\xfe" + value.to_bytes(8, "little")
 
 
-def lentext(value: bytes) -> bytes:
+def encode_lenenc_string(value: bytes) -> bytes:
     """Encode bytes as a length-encoded string."""
-    return lenenc(len(value)) + value
+    return encode_lenenc_integer(len(value)) + value
--- a/brambleusher/fronts/mysql/replies.py
+++ b/brambleusher/fronts/mysql/replies.py
@@ -12,7 +12,7 @@
 
 from brambleusher.fronts.mysql.constants import MAX_PAYLOAD, Capability, Command, Errno, Status
 from brambleusher.fronts.mysql.messages import Eof, Err, Ok, Prepared
-from brambleusher.fronts.mysql.packets import HEADER, Fields, ProtocolError, frame
+from brambleusher.fronts.mysql.packets import HEADER_BYTES, FieldReader, ProtocolError, frame
 
 MAX_COLUMNS = 4096  # maximum number of columns of a MySQL table
 MAX_RESULTS = 10_000  # maximum number of result sets of one statement
@@ -142,7 +142,7 @@
 
     def _header(self, at: int) -> int:
         """Return the size of the payload, or -1 if the header is incomplete."""
-        if len(self._buffer) - at < HEADER:
+        if len(self._buffer) - at < HEADER_BYTES:
             return -1
         (header,) = struct.unpack_from("<I", self._buffer, at)
         if header >> 24 != self._server_seq & 0xFF:
@@ -158,19 +158,19 @@
         in_seq, seq, rows = self._server_seq & 0xFF, self.seq & 0xFF, 0
         renumbered, eof_limit = in_seq != seq, MAX_PAYLOAD if self._server_deprecates_eof else 9
         unpack = struct.unpack_from
-        while end - at > HEADER:
+        while end - at > HEADER_BYTES:
             (header,) = unpack("<I", buffer, at)
             size = header & 0xFFFFFF
-            first = buffer[at + HEADER]
+            first = buffer[at + HEADER_BYTES]
             if header >> 24 != in_seq or not size or self._continued or size == MAX_PAYLOAD:
                 break
             if first >= 0xFE and (first == 0xFF or size < eof_limit):
                 break
-            if at + HEADER + size > end:
+            if at + HEADER_BYTES + size > end:
                 break
             if renumbered:
                 buffer[at + 3] = seq
-            at += HEADER + size
+            at += HEADER_BYTES + size
             in_seq, seq, rows = in_seq + 1 & 0xFF, seq + 1 & 0xFF, rows + 1
         out += memoryview(buffer)[start:at]
         self._server_seq, self.seq, self.rows = in_seq, seq, self.rows + rows
@@ -179,7 +179,7 @@
     def _take_one(self, at: int, out: bytearray) -> int:
         """Process one packet if it is complete, or the start of a long row packet."""
         size = self._header(at)
-        available = len(self._buffer) - at - HEADER
+        available = len(self._buffer) - at - HEADER_BYTES
         if size < 0 or (size and not available):
             return at
         if self._stage is Stage.ROWS and (self._continued or self._is_row(at, size)):
@@ -188,15 +188,15 @@
             raise ProtocolError(f"the node sent a packet of {size} bytes where none so long can stand")
         if available < size:
             return at
-        payload = bytes(self._buffer[at + HEADER : at + HEADER + size])
+        payload = bytes(self._buffer[at + HEADER_BYTES : at + HEADER_BYTES + size])
         self._server_seq += 1
         out += self._handle_packet(payload)
-        return at + HEADER + size
+        return at + HEADER_BYTES + size
 
     def _is_row(self, at: int, size: int) -> bool:
         if not size:
             raise ProtocolError("the node sent an empty packet among its rows")
-        first = self._buffer[at + HEADER]
+        first = self._buffer[at + HEADER_BYTES]
         return first < 0xFE or (first == 0xFE and size >= (MAX_PAYLOAD if self._server_deprecates_eof else 9))
 
     def _take_row(self, at: int, size: int, available: int, out: bytearray) -> int:
@@ -209,7 +209,7 @@
         self._server_seq, self.seq = self._server_seq + 1, self.seq + 1
         self._continued = size == MAX_PAYLOAD
         self._forwarding_left = size
-        return at + HEADER
+        return at + HEADER_BYTES
 
     def _framed(self, payload: bytes) -> bytes:
         out = frame(payload, self.seq)
@@ -288,9 +288,9 @@
             raise ProtocolError("the node asks for a file of the client's", Errno.CLIENT_LOCAL_FILES_DISABLED)
         if first == -1:
             raise ProtocolError("the node sent an empty packet where a reply begins")
-        fields = Fields(payload)
-        self._definitions_left = fields.lenenc()
-        if not 0 < self._definitions_left <= MAX_COLUMNS or fields.left:
+        fields = FieldReader(payload)
+        self._definitions_left = fields.lenenc_integer()
+        if not 0 < self._definitions_left <= MAX_COLUMNS or fields.remaining:
             raise ProtocolError("the node's number of columns makes no sense")
         self._stage, self._columns, self.affected = Stage.COLUMNS, self._definitions_left, -1
         return self._framed(payload)
--- a/brambleusher/lab/mysql/fuzz.py
+++ b/brambleusher/lab/mysql/fuzz.py
@@ -39,7 +39,7 @@
     parse_text_row,
     text_row,
 )
-from brambleusher.fronts.mysql.packets import PacketReader, ProtocolError, frame, lenenc
+from brambleusher.fronts.mysql.packets import PacketReader, ProtocolError, encode_lenenc_integer, frame
 from brambleusher.fronts.mysql.replies import ReplyRelay
 from brambleusher.runtime.operating_system import RealSystem
 
@@ -64,7 +64,7 @@
     new = caps & Capability.DEPRECATE_EOF
     middle = [] if new else [Eof(0, 2).encode()]
     last = Ok(status=status).encode(caps, 0xFE) if new else Eof(0, status).encode()
-    return [lenenc(2), Column(b"a").encode(), Column(b"b").encode(), *middle, *rows, last]
+    return [encode_lenenc_integer(2), Column(b"a").encode(), Column(b"b").encode(), *middle, *rows, last]
 
 
 def seeds() -> dict[str, list[bytes]]:
@@ -205,7 +205,7 @@
         for piece in self._pieces(data):
             reader.feed(piece)
             while reader.take() is not None:
-                reader.expect()
+                reader.set_sequence()
 
     @staticmethod
     def _execute(data: bytes) -> None:
--- a/brambleusher/lab/mysql/server.py
+++ b/brambleusher/lab/mysql/server.py
@@ -43,13 +43,13 @@
     text_row,
 )
 from brambleusher.fronts.mysql.packets import (
-    Fields,
+    FieldReader,
     PacketReader,
     ProtocolError,
+    encode_lenenc_integer,
+    encode_lenenc_string,
     frame,
-    frames,
-    lenenc,
-    lentext,
+    packet_count,
 )
 from brambleusher.lab.mysql.engine import (
     Blocked,
@@ -326,7 +326,7 @@
 
     def _command(self, peer: Peer) -> bool:
         reader = peer.reader
-        reader.expect()
+        reader.set_sequence()
         while (body := reader.take()) is None:
             data = peer.channel.receive(self.scheduler.now() + WAIT_SECONDS, peer.event)
             if data is None:
@@ -386,7 +386,7 @@
         out = b""
         for message in messages:
             out += frame(message, peer.seq)
-            peer.seq += frames(len(message))
+            peer.seq += packet_count(len(message))
         self._send(peer, out)
 
     def _say_ok(self, peer: Peer, result: Result | None = None, more: bool = False) -> None:
@@ -451,7 +451,7 @@
         elif code == Command.FIELD_LIST:
             table = session._table(_named(body[1:].split(b"\0")[0].decode()))
             for column in table.columns:
-                self._say(peer, self._column(column).encode() + lentext(b""))
+                self._say(peer, self._column(column).encode() + encode_lenenc_string(b""))
             self._say(peer, self._end_of_rows(peer, Result()))
         elif code == Command.STATISTICS:
             self._say(peer, b"Uptime: 1  Threads: 1")
@@ -609,7 +609,10 @@
             self._say_ok(peer, result, more)
             return
         old = not peer.capabilities & Capability.DEPRECATE_EOF
-        messages = [lenenc(len(result.columns)), *(self._column(c).encode() for c in result.columns)]
+        messages = [
+            encode_lenenc_integer(len(result.columns)),
+            *(self._column(c).encode() for c in result.columns),
+        ]
         if cursor is not None:
             cursor.cursor, cursor.cursor_columns = iter(result.rows), result.columns
             self._say(peer, *messages, self._end_of_rows(peer, result, more, int(Status.CURSOR_EXISTS)))
@@ -631,7 +634,7 @@
                 break
             data = binary_of(columns, row) if binary else text_row([text_of(value) for value in row])
             out.append(frame(data, peer.seq))
-            peer.seq += frames(len(data))
+            peer.seq += packet_count(len(data))
             size, count = size + len(data), count + 1
             if size >= CHUNK:
                 if peer.killed:
@@ -788,7 +791,7 @@
         return b"\x08\0" + struct.pack(
             "<IBBB", total // 86400, total // 3600 % 24, total // 60 % 60, total % 60
         )
-    return lentext(text_of(value) or b"")
+    return encode_lenenc_string(text_of(value) or b"")
 
 
 def binary_of(columns: list[ColumnInfo], row: Row) -> bytes:
@@ -827,7 +830,7 @@
         days, hours, minutes, seconds = struct.unpack("<IBBB", body[1:8])
         value = dt.timedelta(days=days, hours=hours, minutes=minutes, seconds=seconds)
         return -value if body[0] else value
-    data = Fields(raw).text()
+    data = FieldReader(raw).lenenc_string()
     if kind in (Type.DECIMAL, Type.NEWDECIMAL):
         return Decimal(data.decode())
     if kind in (Type.BLOB, Type.TINY_BLOB, Type.MEDIUM_BLOB, Type.LONG_BLOB):
--- a/tests/fronts/mysql/test_mysql_codec.py
+++ b/tests/fronts/mysql/test_mysql_codec.py
@@ -27,7 +27,13 @@
     parse_text_row,
     text_row,
 )
-from brambleusher.fronts.mysql.packets import Fields, PacketReader, ProtocolError, frame, lenenc
+from brambleusher.fronts.mysql.packets import (
+    FieldReader,
+    PacketReader,
+    ProtocolError,
+    encode_lenenc_integer,
+    frame,
+)
 from brambleusher.fronts.mysql.replies import ReplyRelay
 from brambleusher.lab.mysql.fuzz import Fuzzer
 
@@ -47,8 +53,8 @@
     ],
 )  # fmt: skip
 def test_lengths(value: int, data: str) -> None:
-    assert lenenc(value).hex() == data
-    assert Fields(bytes.fromhex(data)).lenenc() == value
+    assert encode_lenenc_integer(value).hex() == data
+    assert FieldReader(bytes.fromhex(data)).lenenc_integer() == value
 
 
 @pytest.mark.parametrize("size", [0, 1, MAX_PAYLOAD - 1, MAX_PAYLOAD, MAX_PAYLOAD + 1, 2 * MAX_PAYLOAD])
@@ -130,7 +136,7 @@
     assert parse_text_row(text_row(values), 4) == values
     types = [Type.LONG, Type.NULL, Type.VAR_STRING, Type.DATETIME, Type.DOUBLE, Type.TIME]
     encoded = [
-        b"\1\0\0\0", None, lenenc(300) + b"y" * 300, b"\4\xe8\7\1\2", bytes(8), b"\0",
+        b"\1\0\0\0", None, encode_lenenc_integer(300) + b"y" * 300, b"\4\xe8\7\1\2", bytes(8), b"\0",
     ]  # fmt: skip
     assert parse_binary_row(binary_row(encoded), list(types)) == encoded
     execute = Execute(
@@ -168,7 +174,7 @@
 
 
 def columns(*names: bytes) -> list[bytes]:
-    return [lenenc(len(names)), *(Column(name).encode() for name in names)]
+    return [encode_lenenc_integer(len(names)), *(Column(name).encode() for name in names)]
 
 
 def result(caps: int, rows: list[bytes], status: int = 2, end: Err | None = None) -> list[bytes]:
--- a/tests/fronts/mysql/test_mysql_front.py
+++ b/tests/fronts/mysql/test_mysql_front.py
@@ -163,7 +163,7 @@
         self.reader = PacketReader(1 << 26, seq=1)
 
     def send(self, body: bytes, seq: int = 0) -> None:
-        self.reader.expect(1)
+        self.reader.set_sequence(1)
         self.sock.sendall(frame(body, seq))
 
     def take(self) -> bytes:
@@ -224,14 +224,14 @@
     switch = client.take()
     assert switch.startswith(b"\xfe" + NATIVE.encode())
     client.sock.sendall(frame(native_response(b"front", parse_auth_switch(switch)[1]), 2))
-    client.reader.expect(3)
+    client.reader.set_sequence(3)
     assert client.take()[0] == 0
     client.send(b"\x03" + ROW.encode())
     assert len(client.whole()) == 5
     client.send(ChangeUser("web", answer, "shop", 45, NATIVE).encode(NEW))
     client.take()
     client.sock.sendall(frame(native_response(b"wrong", bytes(20)), 2))
-    client.reader.expect(3)
+    client.reader.set_sequence(3)
     assert Err.parse(client.take()).errno == Errno.ACCESS_DENIED
     client.close()
 
@@ -899,7 +899,7 @@
     assert most < 256 * 1024
     assert len(client.whole()) == 4
     for _ in range(count):
-        client.reader.expect(1)
+        client.reader.set_sequence(1)
         assert client.whole()[0] == b"\x01"
     ahead.join()
     client.close()
