--- a/brambleusher/fronts/mysql/auth.py
+++ b/brambleusher/fronts/mysql/auth.py
@@ -373,7 +373,7 @@
         self.login = Login(
             capabilities,
             change.user,
-            change.answer,
+            change.auth_response,
             change.database,
             "" if plugin_auth else NATIVE,
             change.collation,
@@ -432,7 +432,7 @@
         # An unknown user goes through the same exchange before rejection, so that clients can't find out
         # which users exist.
         plugin = secret.plugin if secret is not None else self._plugin
-        answer = login.answer
+        answer = login.auth_response
         if login.plugin != plugin or len(self._challenge) != SCRAMBLE:
             if not login.capabilities & Capability.PLUGIN_AUTH:
                 if plugin != NATIVE:
--- a/brambleusher/fronts/mysql/constants.py
+++ b/brambleusher/fronts/mysql/constants.py
@@ -133,7 +133,7 @@
     GEOMETRY = 0xFF
 
 
-class Track(IntEnum):
+class SessionChange(IntEnum):
     """Types of session state change that an OK packet reports."""
 
     SYSTEM_VARIABLES = 0
--- a/brambleusher/fronts/mysql/front.py
+++ b/brambleusher/fronts/mysql/front.py
@@ -679,7 +679,7 @@
                     malformed = Err(error.errno, error.state, str(error))
                     reported = self._outcome_error(session.in_transaction, statement, malformed)
                     raise ConnectionLostError(reported, AttemptStatus.ERROR) from None
-                if relay.extra:
+                if relay.has_trailing_bytes:
                     held.conn.doomed = True
                 if relay.done:
                     held.measured_whole()
--- a/brambleusher/fronts/mysql/messages.py
+++ b/brambleusher/fronts/mysql/messages.py
@@ -14,8 +14,8 @@
     UTF8MB4,
     Capability,
     Errno,
+    SessionChange,
     Status,
-    Track,
     Type,
     sqlstate,
 )
@@ -29,7 +29,7 @@
 MAX_ATTRIBUTES = 64 * 1024  # maximum size of the connection attributes in bytes
 
 
-def utf8(data: bytes, what: str) -> str:
+def decode_utf8(data: bytes, what: str) -> str:
     """Decode a name; raises `ProtocolError` naming `what` if it is not valid UTF-8."""
     try:
         return data.decode()
@@ -42,14 +42,14 @@
 
 @dataclass(slots=True)
 class Ok:
-    """An OK packet; `state` holds its encoded session state changes."""
+    """An OK packet; `session_changes` holds its encoded session state changes."""
 
     affected: int = 0
     last_id: int = 0
     status: int = 0
     warnings: int = 0
     info: bytes = b""
-    state: bytes = b""
+    session_changes: bytes = b""
 
     @classmethod
     def parse(cls, data: bytes, capabilities: int) -> Ok:
@@ -60,7 +60,7 @@
             if fields.remaining:
                 ok.info = fields.lenenc_string()
             if ok.status & Status.SESSION_STATE_CHANGED and fields.remaining:
-                ok.state = fields.lenenc_string()
+                ok.session_changes = fields.lenenc_string()
         else:
             ok.info = fields.take_rest()
         return ok
@@ -69,7 +69,7 @@
         """Encode the packet; `header` is 0xFE if the packet ends the rows of a result set."""
         status, tail = self.status, self.info
         if capabilities & Capability.SESSION_TRACK:
-            changes = self.state if status & Status.SESSION_STATE_CHANGED else b""
+            changes = self.session_changes if status & Status.SESSION_STATE_CHANGED else b""
             if not changes:
                 status &= ~Status.SESSION_STATE_CHANGED
             tail = encode_lenenc_string(self.info) if self.info or changes else b""
@@ -135,11 +135,16 @@
 
 
 _ONE_TEXT = frozenset(
-    {Track.SCHEMA, Track.STATE_CHANGE, Track.TRANSACTION_CHARACTERISTICS, Track.TRANSACTION_STATE}
+    {
+        SessionChange.SCHEMA,
+        SessionChange.STATE_CHANGE,
+        SessionChange.TRANSACTION_CHARACTERISTICS,
+        SessionChange.TRANSACTION_STATE,
+    }
 )
 
 
-def parse_state(data: bytes) -> list[tuple[int, tuple[bytes, ...]]]:
+def parse_session_changes(data: bytes) -> list[tuple[int, tuple[bytes, ...]]]:
     """Parse session state changes into pairs of a type and its strings.
 
     A change of unknown type has its raw bytes as its only string.
@@ -148,14 +153,15 @@
     out: list[tuple[int, tuple[bytes, ...]]] = []
     while fields.remaining:
         kind, body = fields.integer(1), FieldReader(fields.lenenc_string())
-        if kind == Track.SYSTEM_VARIABLES:
+        if kind == SessionChange.SYSTEM_VARIABLES:
             values = []
             while body.remaining:
                 values += [body.lenenc_string(), body.lenenc_string()]
             out.append((kind, tuple(values)))
         elif (
-            kind in (Track.SCHEMA, Track.STATE_CHANGE, Track.TRANSACTION_CHARACTERISTICS)
-            or kind == Track.TRANSACTION_STATE
+            kind
+            in (SessionChange.SCHEMA, SessionChange.STATE_CHANGE, SessionChange.TRANSACTION_CHARACTERISTICS)
+            or kind == SessionChange.TRANSACTION_STATE
         ):
             out.append((kind, (body.lenenc_string(),)))
         else:
@@ -163,11 +169,11 @@
     return out
 
 
-def encode_state(changes: list[tuple[int, tuple[bytes, ...]]]) -> bytes:
+def encode_session_changes(changes: list[tuple[int, tuple[bytes, ...]]]) -> bytes:
     """Encode session state changes, given as pairs of a type and its strings."""
     out = b""
     for kind, values in changes:
-        plain = kind == Track.GTIDS or kind > Track.TRANSACTION_STATE
+        plain = kind == SessionChange.GTIDS or kind > SessionChange.TRANSACTION_STATE
         body = b"".join(values if plain else map(encode_lenenc_string, values))
         out += bytes((kind,)) + encode_lenenc_string(body)
     return out
@@ -212,7 +218,7 @@
             plugin = fields.take_rest().split(b"\0", 1)[0]
         return cls(
             version_name.decode("latin-1"), thread, challenge, capabilities, collation, status,
-            utf8(plugin, "the name of the server's plugin"),
+            decode_utf8(plugin, "the name of the server's plugin"),
         )  # fmt: skip
 
     def encode(self) -> bytes:
@@ -247,7 +253,7 @@
 
     capabilities: int
     user: str
-    answer: bytes  # response to the authentication challenge
+    auth_response: bytes  # response to the authentication challenge
     database: str = ""
     plugin: str = ""
     collation: int = UTF8MB4
@@ -266,7 +272,7 @@
         fields.take(23)
         if capabilities & Capability.SSL and not fields.remaining:
             return SslRequest(capabilities, max_packet, collation)
-        user = utf8(fields.null_terminated_string(), "the user's name")
+        user = decode_utf8(fields.null_terminated_string(), "the user's name")
         if capabilities & Capability.PLUGIN_AUTH_LENENC:
             answer = fields.lenenc_string()
         elif capabilities & Capability.SECURE_CONNECTION:
@@ -275,12 +281,12 @@
             answer = fields.null_terminated_string()
         database = plugin = ""
         if capabilities & Capability.CONNECT_WITH_DB:
-            database = utf8(
+            database = decode_utf8(
                 fields.null_terminated_string() if b"\0" in data[fields.at :] else fields.take_rest(),
                 "the database",
             )
         if capabilities & Capability.PLUGIN_AUTH and fields.remaining:
-            plugin = utf8(
+            plugin = decode_utf8(
                 fields.null_terminated_string() if b"\0" in data[fields.at :] else fields.take_rest(),
                 "the plugin's name",
             )
@@ -295,9 +301,9 @@
         out = struct.pack("<IIB", caps, self.max_packet, self.collation & 0xFF) + bytes(23)
         out += self.user.encode() + b"\0"
         out += (
-            encode_lenenc_string(self.answer)
+            encode_lenenc_string(self.auth_response)
             if caps & Capability.PLUGIN_AUTH_LENENC
-            else _short_string(self.answer)
+            else _short_string(self.auth_response)
         )
         if caps & Capability.CONNECT_WITH_DB:
             out += self.database.encode() + b"\0"
@@ -334,7 +340,7 @@
     """The body of COM_CHANGE_USER."""
 
     user: str
-    answer: bytes
+    auth_response: bytes
     database: str
     collation: int = UTF8MB4
     plugin: str = ""
@@ -343,21 +349,26 @@
     def parse(cls, data: bytes, capabilities: int) -> ChangeUser:
         """Parse a COM_CHANGE_USER command, including the command byte."""
         fields = FieldReader(data, 1)
-        user = utf8(fields.null_terminated_string(), "the user's name")
+        user = decode_utf8(fields.null_terminated_string(), "the user's name")
         answer = fields.take(fields.integer(1))
-        database = utf8(fields.null_terminated_string(), "the database")
+        database = decode_utf8(fields.null_terminated_string(), "the database")
         out = cls(user, answer, database)
         if fields.remaining >= 2:
             out.collation = fields.integer(2)
         if capabilities & Capability.PLUGIN_AUTH and fields.remaining:
             name = fields.null_terminated_string() if b"\0" in data[fields.at :] else fields.take_rest()
-            out.plugin = utf8(name, "the plugin's name")
+            out.plugin = decode_utf8(name, "the plugin's name")
         return out
 
     def encode(self, capabilities: int) -> bytes:
         """Encode the command, including the command byte."""
         out = (
-            b"\x11" + self.user.encode() + b"\0" + _short_string(self.answer) + self.database.encode() + b"\0"
+            b"\x11"
+            + self.user.encode()
+            + b"\0"
+            + _short_string(self.auth_response)
+            + self.database.encode()
+            + b"\0"
         )
         out += struct.pack("<H", self.collation)
         if capabilities & Capability.PLUGIN_AUTH:
@@ -378,7 +389,7 @@
     if len(data) == 1:
         return "mysql_old_password", b""
     fields = FieldReader(data, 1)
-    plugin = utf8(fields.null_terminated_string(), "the plugin's name")
+    plugin = decode_utf8(fields.null_terminated_string(), "the plugin's name")
     return plugin, fields.take_rest().removesuffix(b"\0")
 
 
--- a/brambleusher/fronts/mysql/nodes.py
+++ b/brambleusher/fronts/mysql/nodes.py
@@ -408,7 +408,7 @@
             oldest_allowed = self._scheduler.now() - self._idle_seconds
             for node in list(self._nodes.values()):
                 for conn in [
-                    conn for conn in node.idle if conn.used_at < oldest_allowed or not conn.channel.quiet()
+                    conn for conn in node.idle if conn.used_at < oldest_allowed or not conn.channel.is_idle()
                 ]:
                     if conn in node.idle:
                         node.idle.remove(conn)
@@ -523,7 +523,7 @@
             return self._cancelled_status(claim), None, False
         except TaskTimeoutError:
             self._stop_or_drop(conn, claim)
-            work.broke = relay is not None and relay.begun
+            work.broke = relay is not None and relay.started
             return AttemptStatus.TIMEOUT if claim.written else AttemptStatus.CONNECT_FAILED, None, False
         except LoginRejectedError as refused:
             return self._login_rejected(node, work, refused.error), None, False
@@ -532,12 +532,12 @@
             self._stop_or_drop(conn, claim)
             if not claim.written:
                 return AttemptStatus.CONNECT_FAILED, None, False
-            work.nonsense, work.broke = error, relay is not None and relay.begun
+            work.nonsense, work.broke = error, relay is not None and relay.started
             return AttemptStatus.ERROR, None, False
         except OSError:
             if conn is not None:
                 self.discard(conn)
-            work.broke = relay is not None and relay.begun
+            work.broke = relay is not None and relay.started
             return AttemptStatus.RESET if claim.written else AttemptStatus.CONNECT_FAILED, None, False
         if relay.done and relay.error is not None and relay.error.errno in NODE_ERRORS:
             work.error = relay.error
@@ -547,7 +547,7 @@
         if not relay.done:
             held.measured, claim.measured = True, False  # counted until the rest of the response arrives
         reply = Reply(out, relay, held)
-        if relay.extra:
+        if relay.has_trailing_bytes:
             conn.doomed = True  # the response is valid, but the connection can't be used for another
             log.warning("bytes behind an answer", extra={"fields": {"node": node.name}})
         mode = work.accept(reply)
@@ -654,7 +654,7 @@
 
     def _is_usable(self, conn: Conn) -> bool:
         age = self._scheduler.now() - conn.used_at
-        return age < self._idle_seconds and conn.channel.quiet()
+        return age < self._idle_seconds and conn.channel.is_idle()
 
     def _may_open(self, node: Node, account: str) -> bool:
         if node.open >= node.most:
@@ -754,7 +754,7 @@
     def give_back(self, conn: Conn) -> None:
         """Pass a free connection to the first waiting attempt that it suits, or make it idle."""
         node = conn.node
-        if node.leaving or conn.doomed or not conn.channel.open or not conn.channel.quiet():
+        if node.leaving or conn.doomed or not conn.channel.open or not conn.channel.is_idle():
             self.discard(conn)
             return
         conn.used_at = self._scheduler.now()
@@ -801,7 +801,7 @@
                 raise ConnectionResetError("the connection ended before its answer")
             else:
                 out += relay.feed(data)
-        if relay.extra:
+        if relay.has_trailing_bytes:
             raise ProtocolError("bytes behind an answer")
         return relay, out
 
--- a/brambleusher/fronts/mysql/replies.py
+++ b/brambleusher/fronts/mysql/replies.py
@@ -17,10 +17,12 @@
 MAX_COLUMNS = 4096  # maximum number of columns of a MySQL table
 MAX_RESULTS = 10_000  # maximum number of result sets of one statement
 MAX_DEFINITION = 1024 * 1024  # maximum size in bytes of an OK packet, an ERR packet or a column definition
-HELD = 32 * 1024  # maximum size in bytes of a row packet that is buffered; longer ones are sent in pieces
+MAX_BUFFERED_ROW_BYTES = (
+    32 * 1024
+)  # maximum size in bytes of a row packet that is buffered; longer ones are sent in pieces
 
 
-class Stage(Enum):
+class ReplyStage(Enum):
     """The kind of packet that a reply continues with."""
 
     FIRST = auto()  # an OK packet, an ERR packet or the number of columns
@@ -37,13 +39,13 @@
 
 
 _FIRST_STAGE = {
-    Command.QUERY: Stage.FIRST,
-    Command.PROCESS_INFO: Stage.FIRST,
-    Command.STMT_EXECUTE: Stage.FIRST,
-    Command.STMT_FETCH: Stage.ROWS,
-    Command.STMT_PREPARE: Stage.PREPARED,
-    Command.FIELD_LIST: Stage.FIELDS,
-    Command.STATISTICS: Stage.TEXT,
+    Command.QUERY: ReplyStage.FIRST,
+    Command.PROCESS_INFO: ReplyStage.FIRST,
+    Command.STMT_EXECUTE: ReplyStage.FIRST,
+    Command.STMT_FETCH: ReplyStage.ROWS,
+    Command.STMT_PREPARE: ReplyStage.PREPARED,
+    Command.FIELD_LIST: ReplyStage.FIELDS,
+    Command.STATISTICS: ReplyStage.TEXT,
 }
 
 
@@ -71,7 +73,7 @@
         self._server_deprecates_eof = bool(server & Capability.DEPRECATE_EOF)
         self._client_deprecates_eof = bool(client & Capability.DEPRECATE_EOF)
         self._same_ok = server & Capability.SESSION_TRACK == client & Capability.SESSION_TRACK
-        self._stage = _FIRST_STAGE.get(command, Stage.SIMPLE)  # type: ignore[call-overload]
+        self._stage = _FIRST_STAGE.get(command, ReplyStage.SIMPLE)  # type: ignore[call-overload]
         self._buffer = bytearray()
         # Sequence numbers of the next packet from the server and of the next packet to the client.
         self._server_seq, self.seq = seq, client_seq
@@ -80,19 +82,19 @@
         self._definitions_left = self._columns = 0  # number of definitions that have not arrived yet
         self._eof_pending = False  # the client has not received the EOF after the column definitions yet
         self._results = 0
-        self.begun = False  # the first byte of the reply has arrived
+        self.started = False  # the first byte of the reply has arrived
         self.rows = 0
         self.status = status
         self.warnings = self.last_id = 0
         self.affected = -1
         self.error: Err | None = None
         self.prepared: Prepared | None = None
-        self.news: list[bytes] = []  # encoded session state changes
+        self.session_changes: list[bytes] = []  # encoded session state changes
 
     @property
     def done(self) -> bool:
         """Whether the reply is complete."""
-        return self._stage is Stage.DONE
+        return self._stage is ReplyStage.DONE
 
     @property
     def packet_open(self) -> bool:
@@ -100,18 +102,18 @@
         return self._forwarding_left > 0 or self._continued
 
     @property
-    def extra(self) -> bool:
+    def has_trailing_bytes(self) -> bool:
         """Whether bytes arrived after the reply, so that the connection can't be reused."""
         return self.done and bool(self._buffer)
 
     def feed(self, data: bytes) -> bytes:
         """Process bytes from the server and return the resulting bytes for the client."""
         if data:
-            self.begun = True
+            self.started = True
         self._buffer += data
         out = bytearray()
         at, stage = 0, self._stage
-        while stage is not Stage.DONE:
+        while stage is not ReplyStage.DONE:
             if self._forwarding_left:
                 chunk = self._buffer[at : at + self._forwarding_left]
                 if not chunk:
@@ -121,7 +123,7 @@
                 self._forwarding_left -= len(chunk)
                 continue
             before = at
-            if stage is Stage.ROWS and not self._eof_pending:
+            if stage is ReplyStage.ROWS and not self._eof_pending:
                 at = self._take_rows(at, out)
             else:
                 at = self._take_one(at, out)
@@ -135,7 +137,7 @@
         """End the reply with an error; return the packets for the client, or nothing within a packet."""
         if self.packet_open or self.done:
             return b""
-        self._stage, self.error = Stage.DONE, error
+        self._stage, self.error = ReplyStage.DONE, error
         return self._pending_columns_end() + self._framed(error.encode())
 
     # --- packets --------------------------------------------------------------------------------
@@ -182,7 +184,7 @@
         available = len(self._buffer) - at - HEADER_BYTES
         if size < 0 or (size and not available):
             return at
-        if self._stage is Stage.ROWS and (self._continued or self._is_row(at, size)):
+        if self._stage is ReplyStage.ROWS and (self._continued or self._is_row(at, size)):
             return self._take_row(at, size, available, out)
         if size > MAX_DEFINITION:
             raise ProtocolError(f"the node sent a packet of {size} bytes where none so long can stand")
@@ -200,7 +202,7 @@
         return first < 0xFE or (first == 0xFE and size >= (MAX_PAYLOAD if self._server_deprecates_eof else 9))
 
     def _take_row(self, at: int, size: int, available: int, out: bytearray) -> int:
-        if available < size <= HELD:
+        if available < size <= MAX_BUFFERED_ROW_BYTES:
             return at
         if not self._continued:
             out += self._pending_columns_end()
@@ -228,24 +230,24 @@
     def _handle_packet(self, payload: bytes) -> bytes:
         first = payload[0] if payload else -1
         stage = self._stage
-        if first == 0xFF and stage is not Stage.COLUMNS:
+        if first == 0xFF and stage is not ReplyStage.COLUMNS:
             return self._err(payload)
-        if stage is Stage.FIRST:
+        if stage is ReplyStage.FIRST:
             return self._first(payload, first)
-        if stage is Stage.ROWS:
+        if stage is ReplyStage.ROWS:
             return self._end_of_rows(payload)
-        if stage in (Stage.COLUMNS, Stage.PARAMETERS):
+        if stage in (ReplyStage.COLUMNS, ReplyStage.PARAMETERS):
             return self._definition(payload)
-        if stage in (Stage.COLUMNS_END, Stage.PARAMETERS_END):
+        if stage in (ReplyStage.COLUMNS_END, ReplyStage.PARAMETERS_END):
             return self._end_of_definitions(payload, first)
-        if stage is Stage.PREPARED:
+        if stage is ReplyStage.PREPARED:
             return self._prepared(payload, first)
-        if stage is Stage.FIELDS:
+        if stage is ReplyStage.FIELDS:
             if first == 0xFE and len(payload) < 9 + 256:
                 return self._end_of_rows(payload)
             return self._framed(payload)
-        if stage is Stage.TEXT:
-            self._stage = Stage.DONE
+        if stage is ReplyStage.TEXT:
+            self._stage = ReplyStage.DONE
             return self._framed(payload)
         if first == 0x00:
             return self._ok(payload)
@@ -254,7 +256,7 @@
         raise ProtocolError("the node sent neither OK nor an error where one was due")
 
     def _err(self, payload: bytes) -> bytes:
-        self.error, self._stage = Err.parse(payload), Stage.DONE
+        self.error, self._stage = Err.parse(payload), ReplyStage.DONE
         return self._pending_columns_end() + self._framed(payload)
 
     def _apply_status(self, status: int) -> None:
@@ -265,15 +267,15 @@
             if self._results > MAX_RESULTS:
                 # A faulty node could announce further result sets forever.
                 raise ProtocolError(f"more than {MAX_RESULTS} results")
-            self._stage = Stage.FIRST
+            self._stage = ReplyStage.FIRST
         else:
-            self._stage = Stage.DONE
+            self._stage = ReplyStage.DONE
 
     def _apply_ok(self, ok: Ok) -> None:
         self.affected, self.warnings = ok.affected, ok.warnings
         self.last_id = ok.last_id or self.last_id
-        if ok.state:
-            self.news.append(ok.state)
+        if ok.session_changes:
+            self.session_changes.append(ok.session_changes)
 
     def _ok(self, payload: bytes) -> bytes:
         ok = Ok.parse(payload, self._server)
@@ -292,7 +294,7 @@
         self._definitions_left = fields.lenenc_integer()
         if not 0 < self._definitions_left <= MAX_COLUMNS or fields.remaining:
             raise ProtocolError("the node's number of columns makes no sense")
-        self._stage, self._columns, self.affected = Stage.COLUMNS, self._definitions_left, -1
+        self._stage, self._columns, self.affected = ReplyStage.COLUMNS, self._definitions_left, -1
         return self._framed(payload)
 
     def _definition(self, payload: bytes) -> bytes:
@@ -302,17 +304,17 @@
         out = self._framed(payload)
         if self._definitions_left:
             return out
-        if self._stage is Stage.PARAMETERS:
+        if self._stage is ReplyStage.PARAMETERS:
             if not self._server_deprecates_eof:
-                self._stage = Stage.PARAMETERS_END
+                self._stage = ReplyStage.PARAMETERS_END
                 return out
             return out + self._finish_definitions(Eof(), parameters=True)
         if not self._server_deprecates_eof:
-            self._stage = Stage.COLUMNS_END
+            self._stage = ReplyStage.COLUMNS_END
             return out
         if self.prepared is not None:
             return out + self._finish_definitions(Eof(), parameters=False)
-        self._stage, self._eof_pending = Stage.ROWS, not self._client_deprecates_eof
+        self._stage, self._eof_pending = ReplyStage.ROWS, not self._client_deprecates_eof
         return out
 
     def _end_of_definitions(self, payload: bytes, first: int) -> bytes:
@@ -321,10 +323,10 @@
         eof = Eof.parse(payload)
         self.status = eof.status
         if self.prepared is not None:
-            return self._finish_definitions(eof, self._stage is Stage.PARAMETERS_END)
+            return self._finish_definitions(eof, self._stage is ReplyStage.PARAMETERS_END)
         if eof.status & Status.CURSOR_EXISTS:  # the client fetches the rows later, so the reply ends here
             return self._end_of_rows(payload)
-        self._stage = Stage.ROWS
+        self._stage = ReplyStage.ROWS
         return b"" if self._client_deprecates_eof else self._framed(eof.encode())
 
     def _finish_definitions(self, eof: Eof, parameters: bool) -> bytes:
@@ -332,7 +334,7 @@
         assert self.prepared is not None
         out = b"" if self._client_deprecates_eof else self._framed(eof.encode())
         self._definitions_left = self.prepared.columns if parameters else 0
-        self._stage = Stage.COLUMNS if self._definitions_left else Stage.DONE
+        self._stage = ReplyStage.COLUMNS if self._definitions_left else ReplyStage.DONE
         return out
 
     def _prepared(self, payload: bytes, first: int) -> bytes:
@@ -345,10 +347,10 @@
             ).encode()
         out = self._framed(payload)
         if prepared.parameters:
-            self._definitions_left, self._stage = prepared.parameters, Stage.PARAMETERS
+            self._definitions_left, self._stage = prepared.parameters, ReplyStage.PARAMETERS
             return out
         self._definitions_left = prepared.columns
-        self._stage = Stage.COLUMNS if self._definitions_left else Stage.DONE
+        self._stage = ReplyStage.COLUMNS if self._definitions_left else ReplyStage.DONE
         return out
 
     def _end_of_rows(self, payload: bytes) -> bytes:
--- a/brambleusher/lab/mysql/fuzz.py
+++ b/brambleusher/lab/mysql/fuzz.py
@@ -33,9 +33,9 @@
     Ok,
     Prepared,
     auth_switch,
-    encode_state,
+    encode_session_changes,
     parse_binary_row,
-    parse_state,
+    parse_session_changes,
     parse_text_row,
     text_row,
 )
@@ -70,7 +70,7 @@
 def seeds() -> dict[str, list[bytes]]:
     """Well-formed inputs by the reader that takes them."""
     more, told = int(Status.MORE_RESULTS), int(Status.SESSION_STATE_CHANGED)
-    state = encode_state([(0, (b"autocommit", b"OFF")), (1, (b"shop",)), (5, (b"T_______",))])
+    state = encode_session_changes([(0, (b"autocommit", b"OFF")), (1, (b"shop",)), (5, (b"T_______",))])
     rows = [text_row([b"1", None]), text_row([b"x" * 300, b"y" * 70_000])]
     replies = []
     for caps in (OLD, NEW):
@@ -119,7 +119,7 @@
             "reply": self._reply, "greeting": self._greeting, "login": self._login,
             "change": lambda data: _drop(ChangeUser.parse(data, NEW)),
             "execute": self._execute, "row": self._row, "command": self._command,
-            "state": lambda data: _drop(parse_state(data)),
+            "state": lambda data: _drop(parse_session_changes(data)),
         }  # fmt: skip
 
     def one(self, noise: bytes = b"") -> None:
--- a/brambleusher/lab/mysql/replay.py
+++ b/brambleusher/lab/mysql/replay.py
@@ -751,7 +751,7 @@
             if statement.kind is not StatementKind.COMMIT:
                 raise
             for node in self._nodes._nodes.values():
-                for idle in [conn for conn in node.idle if conn.channel.quiet()]:
+                for idle in [conn for conn in node.idle if conn.channel.is_idle()]:
                     node.idle.remove(idle)
                     idle.channel.send(frame(client.work.body, 0), self._scheduler.now() + 1)
                     data = idle.channel.receive(self._scheduler.now() + 1)
@@ -775,7 +775,7 @@
     real = ReplyRelay.fail
 
     def fail(self: Any, error: Err) -> bytes:
-        if error.errno == Errno.ERROR_DURING_COMMIT and not self.packet_open and not self.begun:
+        if error.errno == Errno.ERROR_DURING_COMMIT and not self.packet_open and not self.started:
             return self._framed(Ok(status=2).encode(self._client))  # type: ignore[no-any-return]
         return real(self, error)
 
@@ -835,14 +835,14 @@
         if conn.channel.open:
             conn.node.idle.append(conn)
 
-    def quiet(self: Any) -> bool:
+    def is_idle(self: Any) -> bool:
         while self.receive_now():
             pass
         return bool(self.stream.open)
 
     from brambleusher.fronts.mysql.channel import Channel
 
-    with mock.patch.object(MysqlNodes, "stop", stop), mock.patch.object(Channel, "quiet", quiet):
+    with mock.patch.object(MysqlNodes, "stop", stop), mock.patch.object(Channel, "is_idle", is_idle):
         yield
 
 
--- a/brambleusher/lab/mysql/server.py
+++ b/brambleusher/lab/mysql/server.py
@@ -26,8 +26,8 @@
     UNSIGNED_PARAMETER,
     Capability,
     Command,
+    SessionChange,
     Status,
-    Track,
     Type,
 )
 from brambleusher.fronts.mysql.messages import (
@@ -39,7 +39,7 @@
     Ok,
     Prepared,
     binary_row,
-    encode_state,
+    encode_session_changes,
     text_row,
 )
 from brambleusher.fronts.mysql.packets import (
@@ -398,7 +398,7 @@
         status = session.status | flags | (Status.MORE_RESULTS if more else 0)
         state = b""
         if peer.capabilities & Capability.SESSION_TRACK and session.schema and header == 0:
-            state = encode_state([(Track.SCHEMA, (session.schema.encode(),))])
+            state = encode_session_changes([(SessionChange.SCHEMA, (session.schema.encode(),))])
             status |= Status.SESSION_STATE_CHANGED
         ok = Ok(
             result.affected, result.last_id, int(status), len(session.warnings), result.info.encode(), state
--- a/tests/fronts/mysql/test_mysql_codec.py
+++ b/tests/fronts/mysql/test_mysql_codec.py
@@ -8,7 +8,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from brambleusher.fronts.mysql.constants import MAX_PAYLOAD, Capability, Command, Errno, Status, Track, Type
+from brambleusher.fronts.mysql.constants import (
+    MAX_PAYLOAD,
+    Capability,
+    Command,
+    Errno,
+    SessionChange,
+    Status,
+    Type,
+)
 from brambleusher.fronts.mysql.messages import (
     ChangeUser,
     Column,
@@ -21,9 +29,9 @@
     Prepared,
     SslRequest,
     binary_row,
-    encode_state,
+    encode_session_changes,
     parse_binary_row,
-    parse_state,
+    parse_session_changes,
     parse_text_row,
     text_row,
 )
@@ -121,12 +129,12 @@
     assert Column.parse(column.encode()) == column
     assert Prepared.parse(Prepared(9, 3, 2, 1).encode()) == Prepared(9, 3, 2, 1)
     news: list[tuple[int, tuple[bytes, ...]]] = [
-        (Track.SYSTEM_VARIABLES, (b"autocommit", b"OFF")), (Track.SCHEMA, (b"shop",)),
-        (Track.TRANSACTION_STATE, (b"T_______",)), (Track.GTIDS, (b"\0\1x",)),
+        (SessionChange.SYSTEM_VARIABLES, (b"autocommit", b"OFF")), (SessionChange.SCHEMA, (b"shop",)),
+        (SessionChange.TRANSACTION_STATE, (b"T_______",)), (SessionChange.GTIDS, (b"\0\1x",)),
     ]  # fmt: skip
-    assert parse_state(encode_state(news)) == news
+    assert parse_session_changes(encode_session_changes(news)) == news
     told = int(Status.SESSION_STATE_CHANGED)
-    ok = Ok(1, 2**40, told, 3, b"info", encode_state(news))
+    ok = Ok(1, 2**40, told, 3, b"info", encode_session_changes(news))
     assert Ok.parse(ok.encode(NEW), NEW) == ok
     assert Ok.parse(ok.encode(OLD), OLD) == Ok(1, 2**40, 0, 3, b"info")
 
@@ -200,7 +208,7 @@
 
 
 def ok(caps: int, status: int = 2, told: bool = True) -> list[bytes]:
-    news = encode_state([(Track.SCHEMA, (b"shop",))]) if told else b""
+    news = encode_session_changes([(SessionChange.SCHEMA, (b"shop",))]) if told else b""
     return [Ok(3, 4, status | Status.SESSION_STATE_CHANGED, 0, b"", news).encode(caps)]
 
 
@@ -257,16 +265,18 @@
         for at in range(0, len(data), step):
             assert not relay.done
             got += relay.feed(data[at : at + step])
-        assert (relay.done, relay.extra, relay.rows, got == due) == (True, False, rows, True)
+        assert (relay.done, relay.has_trailing_bytes, relay.rows, got == due) == (True, False, rows, True)
     assert relay.feed(b"more") == b""
-    assert relay.extra
+    assert relay.has_trailing_bytes
 
 
 def test_what_a_reply_tells() -> None:
     relay = ReplyRelay(Command.QUERY, NEW, OLD)
     relay.feed(stream(ok(NEW)))
     assert (relay.affected, relay.last_id, relay.status & 2, relay.error) == (3, 4, 2, None)
-    assert [parse_state(news) for news in relay.news] == [[(Track.SCHEMA, (b"shop",))]]
+    assert [parse_session_changes(news) for news in relay.session_changes] == [
+        [(SessionChange.SCHEMA, (b"shop",))]
+    ]
     relay = ReplyRelay(Command.STMT_PREPARE, NEW, OLD, statement=77)
     out = relay.feed(stream(prepared(NEW, 9, 2, 3)))
     assert relay.prepared == Prepared(9, 3, 2)
--- a/tests/fronts/mysql/test_mysql_front.py
+++ b/tests/fronts/mysql/test_mysql_front.py
@@ -17,7 +17,7 @@
 from pymysql.constants import CLIENT
 
 from brambleusher.fronts.mysql.auth import ClientLogin, LoginStep, native_hash, native_response
-from brambleusher.fronts.mysql.constants import NATIVE, Capability, Command, Errno, Status, Track
+from brambleusher.fronts.mysql.constants import NATIVE, Capability, Command, Errno, SessionChange, Status
 from brambleusher.fronts.mysql.messages import (
     ChangeUser,
     Eof,
@@ -27,7 +27,7 @@
     Prepared,
     SslRequest,
     parse_auth_switch,
-    parse_state,
+    parse_session_changes,
 )
 from brambleusher.fronts.mysql.packets import PacketReader, frame
 from brambleusher.fronts.mysql.session import Session
@@ -843,7 +843,7 @@
         client.send(b"\x02shop")
         ok = Ok.parse(client.take(), caps)
         tracked = bool(caps & server & Capability.SESSION_TRACK)
-        assert (parse_state(ok.state) == [(Track.SCHEMA, (b"shop",))]) is tracked
+        assert (parse_session_changes(ok.session_changes) == [(SessionChange.SCHEMA, (b"shop",))]) is tracked
         assert bool(ok.status & Status.SESSION_STATE_CHANGED) is tracked
         client.send(b"\x03" + ROW.encode())
         assert len(client.whole()) == 5
