--- a/brambleusher/fronts/mysql/client.py
+++ b/brambleusher/fronts/mysql/client.py
@@ -4,7 +4,7 @@
 
 from brambleusher.fronts.mysql.channel import Channel
 from brambleusher.fronts.mysql.messages import Err
-from brambleusher.fronts.mysql.nodes import Conn, Held, Work
+from brambleusher.fronts.mysql.nodes import NodeConnection, PendingCommand, ReservedConnection
 from brambleusher.fronts.mysql.packets import PacketReader
 from brambleusher.fronts.mysql.session import Session
 from brambleusher.loadbalancing.api import AttemptStatus
@@ -27,9 +27,9 @@
     """One client: its connection, its session, and the node connection reserved for the session."""
 
     __slots__ = (
-        "accepted_at", "event", "challenge", "chance", "channel", "charged", "deadline", "held", "id_conn",
-        "kept", "last", "leave_at", "lost", "peer", "reader", "request_class", "session", "task", "thread",
-        "work",
+        "accepted_at", "event", "challenge", "drain_jitter", "channel", "charged_command_bytes", "deadline",
+        "reserved", "last_id_conn", "charged_prepared_bytes", "last_conn", "drain_deadline", "pending_error",
+        "peer", "reader", "request_class", "session", "task", "thread", "pending_command",
     )  # fmt: skip
 
     def __init__(self, channel: Channel, peer: str, thread: int, max_packet_bytes: int) -> None:
@@ -38,22 +38,23 @@
         self.challenge = b""  # authentication challenge of the first login on this connection
         self.session = Session("", "", 0, 0)
         self.event = Event()  # set when the node drains or the front end shuts down
-        self.held: Held | None = None
-        self.last: Conn | None = None
-        self.id_conn: Conn | None = None
-        self.work: Work | None = None  # the command in progress
+        self.reserved: ReservedConnection | None = None
+        self.last_conn: NodeConnection | None = None
+        self.last_id_conn: NodeConnection | None = None
+        self.pending_command: PendingCommand | None = None  # the command in progress
         self.task: Task | None = None
         self.accepted_at = channel.stream.used_at
-        self.charged = 0  # bytes of the shared memory budget used by the command in progress
-        self.kept = 0  # bytes of the shared memory budget used by prepared statements
+        self.charged_command_bytes = 0  # bytes of the shared memory budget used by the command in progress
+        self.charged_prepared_bytes = 0  # bytes of the shared memory budget used by prepared statements
         self.deadline: float | None = None  # deadline of the open transaction
-        self.leave_at: float | None = None  # when the session must leave its draining node; -1 if not set yet
-        self.chance = 0.0  # random fraction of `drain_spread_ms` that delays the end of this session
-        self.lost: Err | None = None  # error that answers the next command and ends the session
+        # When the session must leave its draining node; -1 if the node drains and the time is not set yet.
+        self.drain_deadline: float | None = None
+        self.drain_jitter = 0.0  # random fraction of `drain_spread_ms` that delays the end of this session
+        self.pending_error: Err | None = None  # error that answers the next command and ends the session
         self.request_class = ""  # class of the request that pinned the session
 
-    def leave(self, _held: Held) -> None:
+    def node_draining(self, _reserved: ReservedConnection) -> None:
         """Record that the node of the session drains; `Front` computes how long the session may stay."""
-        if self.leave_at is None:  # the grace period must not restart with each endpoint list
-            self.leave_at = -1.0
+        if self.drain_deadline is None:  # the grace period must not restart with each endpoint list
+            self.drain_deadline = -1.0
             self.event.set()
--- a/brambleusher/fronts/mysql/front.py
+++ b/brambleusher/fronts/mysql/front.py
@@ -33,7 +33,14 @@
 )
 from brambleusher.fronts.mysql.mapping import RequestMapper
 from brambleusher.fronts.mysql.messages import Column, Eof, Err, Execute, Ok, text_row
-from brambleusher.fronts.mysql.nodes import Held, Mode, MysqlNodes, Reply, TuneFailed, Work
+from brambleusher.fronts.mysql.nodes import (
+    ConnectionDisposition,
+    MysqlNodes,
+    PendingCommand,
+    Reply,
+    ReservedConnection,
+    SessionSetupError,
+)
 from brambleusher.fronts.mysql.packets import ProtocolError, encode_lenenc_integer, frame, packet_count
 from brambleusher.fronts.mysql.replies import ReplyRelay
 from brambleusher.fronts.mysql.session import PreparedText, Session
@@ -146,15 +153,18 @@
         self._closing = True
         self._listener.close()
         for client in self._clients.values():
-            if client.held is not None and client.leave_at is None:
-                client.leave(client.held)
+            if client.reserved is not None and client.drain_deadline is None:
+                client.node_draining(client.reserved)
             client.event.set()
 
     def state(self) -> dict[str, object]:
         """Return the state of sessions and nodes for JSON, without statement texts and secrets."""
         return {
             "sessions": {
-                str(client.thread): {**client.session.state(), "node": client.held and client.held.node.name}
+                str(client.thread): {
+                    **client.session.state(),
+                    "node": client.reserved and client.reserved.node.name,
+                }
                 for client in self._clients.values()
             },
             "nodes": self._nodes.state(),
@@ -186,17 +196,17 @@
         """Release all resources of a session and stop its running statement."""
         self._listener.forget(client)
         self._release_charge(client)
-        self._memory_left += client.kept
-        client.kept = 0
-        work, client.work = client.work, None
-        if work is not None:
-            work.over = True
-        if client.held is not None:
-            held, client.held = client.held, None
-            if work is not None and work.conn is held.conn:
-                held.stop(AttemptStatus.CANCELLED)
+        self._memory_left += client.charged_prepared_bytes
+        client.charged_prepared_bytes = 0
+        pending, client.pending_command = client.pending_command, None
+        if pending is not None:
+            pending.settled = True
+        if client.reserved is not None:
+            reserved, client.reserved = client.reserved, None
+            if pending is not None and pending.conn is reserved.conn:
+                reserved.stop(AttemptStatus.CANCELLED)
             else:
-                held.drop(AttemptStatus.CANCELLED)
+                reserved.drop(AttemptStatus.CANCELLED)
         client.channel.close()
 
     def _send_final_error(self, client: Client, error: Err) -> None:
@@ -212,14 +222,14 @@
     def _charge_prepared(self, client: Client, extra: int = 0) -> None:
         """Charge a session's prepared statements and `more` further bytes to the shared memory budget."""
         total = client.session.prepared_bytes + extra
-        if total - client.kept > self._memory_left:
+        if total - client.charged_prepared_bytes > self._memory_left:
             raise ProtocolError("no memory for what is prepared", Errno.OUT_OF_RESOURCES)
-        self._memory_left -= total - client.kept
-        client.kept = total
+        self._memory_left -= total - client.charged_prepared_bytes
+        client.charged_prepared_bytes = total
 
     def _release_charge(self, client: Client) -> None:
-        self._memory_left += client.charged
-        client.charged = 0
+        self._memory_left += client.charged_command_bytes
+        client.charged_command_bytes = 0
 
     def _send(self, client: Client, *messages: bytes) -> bool:
         """Send the messages of a response and return True, since the session continues."""
@@ -312,8 +322,8 @@
         body = self._next_command(client)
         if body is None:
             return False
-        if client.lost is not None:
-            self._send_error(client, client.lost)
+        if client.pending_error is not None:
+            self._send_error(client, client.pending_error)
             return False
         if not body:
             raise ProtocolError("an empty command", Errno.UNKNOWN_COM)
@@ -365,14 +375,14 @@
         client.channel.stream.finish()
 
     def _charge_command(self, client: Client) -> None:
-        additional = client.reader.buffered - FREE_BYTES - client.charged
+        additional = client.reader.buffered - FREE_BYTES - client.charged_command_bytes
         if additional <= 0:
             return
         if additional > self._memory_left:
             # All clients together must not buffer more than `memory_mb`.
             raise ProtocolError("no memory for a command so large", Errno.OUT_OF_RESOURCES)
         self._memory_left -= additional
-        client.charged += additional
+        client.charged_command_bytes += additional
 
     def _next_timeout(self, client: Client, begun_at: float) -> tuple[float, Callable[[Client], bool]]:
         """Return the timeout for the next command and its handler, which tells if the session continues."""
@@ -381,12 +391,15 @@
             timeouts = [(begun_at + READ_SECONDS, self._on_read_timeout)]
         else:
             timeouts = [(now + settings.session_idle_ms / 1000, self._on_idle_timeout)]
-        if client.held is not None and client.lost is None:
-            if client.held.claimed:
+        if client.reserved is not None and client.pending_error is None:
+            if client.reserved.attempt_open:
                 timeouts.append(
-                    (now + max(0.0, THINK_SECONDS - client.held.client_took(now)), self._on_think_timeout)
+                    (
+                        now + max(0.0, THINK_SECONDS - client.reserved.client_seconds(now)),
+                        self._on_think_timeout,
+                    )
                 )
-            if client.leave_at is not None:
+            if client.drain_deadline is not None:
                 timeouts.append((self._idle_drain_deadline(client, now), self._on_drain_timeout))
             if client.deadline is not None:
                 timeouts.append((client.deadline, self._on_transaction_timeout))
@@ -396,34 +409,34 @@
 
     def _drain_deadline(self, client: Client, now: float) -> float:
         """Return when a session must leave its draining node: the grace period of its class plus a jitter."""
-        if client.leave_at is None or client.leave_at < 0:
+        if client.drain_deadline is None or client.drain_deadline < 0:
             grace = self._mapping.grace_ns(client.request_class or self._settings.strict_class) / 1e9
-            client.chance = self._rng.random()
-            client.leave_at = now + grace + client.chance * self._settings.drain_spread_ms / 1000
-        return client.leave_at
+            client.drain_jitter = self._rng.random()
+            client.drain_deadline = now + grace + client.drain_jitter * self._settings.drain_spread_ms / 1000
+        return client.drain_deadline
 
     def _idle_drain_deadline(self, client: Client, now: float) -> float:
         """Return until when a session without a running command may stay on its draining node.
 
         If no transaction and no cursor is open, the next command would start a new request on the node.
         """
-        drain_deadline, held, session = self._drain_deadline(client, now), client.held, client.session
-        if held is None or session.in_transaction or session.cursors:
+        drain_deadline, reserved, session = self._drain_deadline(client, now), client.reserved, client.session
+        if reserved is None or session.in_transaction or session.cursors:
             return drain_deadline
-        start_limit = self._nodes.starts_until(held.node)
+        start_limit = self._nodes.new_requests_until(reserved.node)
         if start_limit is None or drain_deadline <= start_limit:
             return drain_deadline
         # If the grace period is longer than this limit, all sessions would leave at the limit at once; so
         # they are spread over the second half of the time before it.
-        return start_limit - client.chance * (start_limit - held.node.left_at) / 2
+        return start_limit - client.drain_jitter * (start_limit - reserved.node.drain_started_at) / 2
 
-    def _starts_request_too_late(self, client: Client, work: Work, statement: Statement) -> bool:
+    def _starts_request_too_late(self, client: Client, pending: PendingCommand, statement: Statement) -> bool:
         """Return whether a pinned session's command starts a request too late on a draining node."""
-        held, session = client.held, client.session
-        start_limit = None if held is None else self._nodes.starts_until(held.node)
+        reserved, session = client.reserved, client.session
+        start_limit = None if reserved is None else self._nodes.new_requests_until(reserved.node)
         if start_limit is None or self._scheduler.now() < start_limit:
             return False
-        if work.command == Command.STMT_FETCH:
+        if pending.command == Command.STMT_FETCH:
             return False
         return (
             not session.in_transaction
@@ -445,8 +458,8 @@
         return False
 
     def _on_think_timeout(self, client: Client) -> bool:
-        if client.held is not None:
-            client.held.finish(AttemptStatus.OK)
+        if client.reserved is not None:
+            client.reserved.finish(AttemptStatus.OK)
         return True
 
     def _on_drain_timeout(self, client: Client) -> bool:
@@ -459,11 +472,11 @@
 
     def _abandon_connection(self, client: Client, error: Err, status: AttemptStatus) -> bool:
         """Close the reserved connection of a session; the client gets the error with its next command."""
-        held, client.held = client.held, None
-        if held is not None:
-            held.drop(status)
+        reserved, client.reserved = client.reserved, None
+        if reserved is not None:
+            reserved.drop(status)
         client.session.drop_connection_state()
-        client.lost = error
+        client.pending_error = error
         return True
 
     def _drop_soft_pins(self, client: Client) -> bool:
@@ -474,11 +487,11 @@
         return True
 
     def _release(self, client: Client) -> None:
-        held, client.held = client.held, None
-        client.deadline = client.leave_at = None
+        reserved, client.reserved = client.reserved, None
+        client.deadline = client.drain_deadline = None
         client.request_class = ""
-        if held is not None:
-            held.release()
+        if reserved is not None:
+            reserved.release()
 
     # --- commands that run on a node ------------------------------------------------------------
 
@@ -493,28 +506,28 @@
         statement_id: int | None = None,
     ) -> bool:
         """Run a command on a node and forward the response to the client."""
-        work = Work(
-            client, command, body, lambda reply: self._accept_reply(client, statement, work, reply),
+        pending = PendingCommand(
+            client, command, body, lambda reply: self._accept_reply(client, statement, pending, reply),
             execution, prepared, statement.reads_last_id, statement.depends_on_previous, statement_id,
             client.reader.seq,
         )  # fmt: skip
-        client.work = work
+        client.pending_command = pending
         try:
             if (
-                client.held is not None
-                and client.leave_at is not None
+                client.reserved is not None
+                and client.drain_deadline is not None
                 and client.session.softly_pinned
                 and not statement.depends_on_previous
             ):
                 self._drop_soft_pins(client)  # the node drains, and the statement doesn't need the soft pins
-            if client.held is not None:
+            if client.reserved is not None:
                 self._counters.add("mysql_tied_commands")
-                return self._run_pinned(client, work, statement)
-            return self._run_as_request(client, work, statement)
+                return self._run_pinned(client, pending, statement)
+            return self._run_as_request(client, pending, statement)
         finally:
-            client.work = None
+            client.pending_command = None
 
-    def _run_as_request(self, client: Client, work: Work, statement: Statement) -> bool:
+    def _run_as_request(self, client: Client, pending: PendingCommand, statement: Statement) -> bool:
         """Run a command of an unpinned session on a node chosen by the load balancer."""
         session = client.session
         opens = self._begins_transaction(session, statement)
@@ -534,10 +547,10 @@
         request = ClientRequest(
             f"mysql {self._request_count}",  # the space prevents collisions with ids of HTTP requests
             assignment.request_class, assignment.tenant, timeout_ns,
-            None if assignment.work_us is None else assignment.work_us * 1000, False, work,
+            None if assignment.work_us is None else assignment.work_us * 1000, False, pending,
         )  # fmt: skip
         deadline = self._clock.seconds(arrived_ns + timeout_ns)
-        client.request_class, client.leave_at = assignment.request_class, None
+        client.request_class, client.drain_deadline = assignment.request_class, None
         client.deadline = deadline
         self._counters.add("requests_taken")
         response = self._lifecycle.run(
@@ -545,17 +558,21 @@
             lambda: deadline,
             ClientHandle(self._socket_to_watch(client), lambda: self._has_disconnected(client)),
         )
-        work.over = True
+        pending.settled = True
         outcome: str | None = None
         try:
-            if work.taken is not None:
-                session_continues = self._forward_reply(client, work, statement, work.taken, deadline)
-                outcome = "served" if work.taken.relay.error is None or session_continues else "failed"
+            if pending.accepted_reply is not None:
+                session_continues = self._forward_reply(
+                    client, pending, statement, pending.accepted_reply, deadline
+                )
+                outcome = (
+                    "served" if pending.accepted_reply.relay.error is None or session_continues else "failed"
+                )
                 return session_continues
             if response is None:
                 raise ClientLeftError
             outcome = "failed" if response.kind is AnswerKind.SERVED else response.kind.value
-            return self._send_error(client, self._request_error(response, work, statement))
+            return self._send_error(client, self._request_error(response, pending, statement))
         finally:
             self._decisions.observers.request_finished(request, outcome, self._clock.now_ns() - arrived_ns)
             self._counters.add(f"answers_{outcome}" if outcome else "requests_gone")
@@ -579,22 +596,24 @@
             client.reader.feed(data)
         return data == b""
 
-    def _request_error(self, response: FinalResponse, work: Work, statement: Statement) -> Err:
+    def _request_error(self, response: FinalResponse, pending: PendingCommand, statement: Statement) -> Err:
         """Return the error for a request without a response."""
-        if work.error is not None and (not work.reached or response.kind is AnswerKind.REJECTED):
-            return work.error
-        if response.kind is AnswerKind.REJECTED and (statement.plain_read or not work.reached):
+        if pending.error is not None and (not pending.may_have_run or response.kind is AnswerKind.REJECTED):
+            return pending.error
+        if response.kind is AnswerKind.REJECTED and (statement.plain_read or not pending.may_have_run):
             retry_after = f"{response.retry_after_ns / 1e9:.3f}"
             text = f"turned away, not run: it may be tried again in {retry_after} s"
-            if work.reached:
+            if pending.may_have_run:
                 text = f"no node answered; it is a plain read and may be tried again in {retry_after} s"
             return Err.of(Errno.SERVER_ISNT_AVAILABLE, text)
-        if not work.reached:
+        if not pending.may_have_run:
             return Err.of(Errno.SERVER_ISNT_AVAILABLE, "no node could be reached; it did not run")
-        if work.nonsense is not None:
-            malformed = Err(work.nonsense.errno, work.nonsense.state, str(work.nonsense))
+        if pending.protocol_error is not None:
+            malformed = Err(
+                pending.protocol_error.errno, pending.protocol_error.state, str(pending.protocol_error)
+            )
             return self._outcome_error(False, statement, malformed)
-        return work.error or self._broken_reply_error(False, statement)
+        return pending.error or self._broken_reply_error(False, statement)
 
     def _broken_reply_error(self, in_transaction: bool, statement: Statement) -> Err:
         """Return the error for a statement that was sent and whose response is incomplete."""
@@ -621,83 +640,94 @@
             f"the outcome of this {subject} is unknown: it was sent, its answer was lost, it is not repeated",
         )
 
-    def _accept_reply(self, client: Client, statement: Statement, work: Work, reply: Reply) -> Mode:
+    def _accept_reply(
+        self, client: Client, statement: Statement, pending: PendingCommand, reply: Reply
+    ) -> ConnectionDisposition:
         """Take a complete or partial response and decide what happens to its connection."""
-        if work.over:
-            return Mode.REFUSED
-        work.over, work.taken = True, reply
+        if pending.settled:
+            return ConnectionDisposition.DISCARD_REPLY
+        pending.settled, pending.accepted_reply = True, reply
         if not reply.relay.done:
-            client.held = reply.held
-            return Mode.HOLD
-        mode = self._apply_reply(client, statement, work, reply)
-        client.held = reply.held if mode is not Mode.RELEASE else None
-        return mode
-
-    def _apply_reply(self, client: Client, statement: Statement, work: Work, reply: Reply) -> Mode:
+            client.reserved = reply.reserved
+            return ConnectionDisposition.RESERVE_FOR_TRANSACTION
+        disposition = self._apply_reply(client, statement, pending, reply)
+        client.reserved = reply.reserved if disposition is not ConnectionDisposition.RELEASE else None
+        return disposition
+
+    def _apply_reply(
+        self, client: Client, statement: Statement, pending: PendingCommand, reply: Reply
+    ) -> ConnectionDisposition:
         """Apply the effects of a complete response to the session and its connection."""
-        session, relay, conn = client.session, reply.relay, reply.held.conn
-        if work.command == Command.STMT_PREPARE:
-            if relay.prepared is not None and relay.error is None and work.statement_id is not None:
-                session.record_prepared(work.statement_id, work.body[1:], statement, relay.prepared)
-                self._nodes.prepared(conn, work.body[1:], relay)
-        elif work.command == Command.STMT_FETCH:
-            session.record_fetched(work.statement_id or 0, relay)
+        session, relay, conn = client.session, reply.relay, reply.reserved.conn
+        if pending.command == Command.STMT_PREPARE:
+            if relay.prepared is not None and relay.error is None and pending.statement_id is not None:
+                session.record_prepared(pending.statement_id, pending.body[1:], statement, relay.prepared)
+                self._nodes.cache_prepared(conn, pending.body[1:], relay)
+        elif pending.command == Command.STMT_FETCH:
+            session.record_fetched(pending.statement_id or 0, relay)
         else:
             session.apply_reply(statement, relay)
-            if work.prepared is not None and work.run is not None:
-                session.record_executed(work.prepared, work.run.flags, relay)
+            if pending.prepared is not None and pending.execution is not None:
+                session.record_executed(pending.prepared, pending.execution.flags, relay)
         if session.last_id is None and (relay.last_id or statement.sets_last_id):
-            client.id_conn, conn.id_owner = conn, client
+            client.last_id_conn, conn.last_id_owner = conn, client
         if relay.error is None:
             conn.settings, conn.schema = tuple(session.settings.items()), session.schema
             conn.autocommit = bool(relay.status & Flag.AUTOCOMMIT)
         if session.in_transaction:
-            return Mode.HOLD
-        return Mode.KEEP if session.pinned else Mode.RELEASE
+            return ConnectionDisposition.RESERVE_FOR_TRANSACTION
+        return ConnectionDisposition.RESERVE if session.pinned else ConnectionDisposition.RELEASE
 
     def _forward_reply(
-        self, client: Client, work: Work, statement: Statement, reply: Reply, deadline: float | None
+        self,
+        client: Client,
+        pending: PendingCommand,
+        statement: Statement,
+        reply: Reply,
+        deadline: float | None,
     ) -> bool:
         """Forward a response to the client as it arrives; return False if the session is over.
 
         If the response breaks off, the client gets one error after the data sent so far; within a packet the
         connection is closed instead.
         """
-        relay, held, session = reply.relay, reply.held, client.session
+        relay, reserved, session = reply.relay, reply.reserved, client.session
         if not relay.done:
-            held.measure()
+            reserved.begin_load()
         was_pinned, was_complete = session.pinned, relay.done
         try:
             if reply.out:
                 client.channel.send(reply.out, self._scheduler.now() + WRITE_SECONDS)
             while not relay.done:
-                data = self._receive_from_node(client, held, deadline, statement)
+                data = self._receive_from_node(client, reserved, deadline, statement)
                 try:
                     out = relay.feed(data)
                 except ProtocolError as error:
-                    log.warning("bad response", extra={"fields": {"node": held.node.name, "reason": error}})
+                    log.warning(
+                        "bad response", extra={"fields": {"node": reserved.node.name, "reason": error}}
+                    )
                     malformed = Err(error.errno, error.state, str(error))
                     reported = self._outcome_error(session.in_transaction, statement, malformed)
                     raise ConnectionLostError(reported, AttemptStatus.ERROR) from None
                 if relay.has_trailing_bytes:
-                    held.conn.doomed = True
+                    reserved.conn.unusable = True
                 if relay.done:
-                    held.measured_whole()
+                    reserved.end_load()
                     # The state must be current before the client reads the end of the response and continues.
-                    mode = self._apply_reply(client, statement, work, reply)
-                    self._reserve(client, held, mode)
+                    disposition = self._apply_reply(client, statement, pending, reply)
+                    self._reserve(client, reserved, disposition)
                 if out:
                     client.channel.send(out, self._scheduler.now() + WRITE_SECONDS)
-                if held.claimed and held.client_took(self._scheduler.now()) > THINK_SECONDS:
-                    held.finish(AttemptStatus.OK)  # a slow client must not make the node look slow
+                if reserved.attempt_open and reserved.client_seconds(self._scheduler.now()) > THINK_SECONDS:
+                    reserved.finish(AttemptStatus.OK)  # a slow client must not make the node look slow
             return not (statement.release and relay.error is None)
         except ConnectionLostError as broken:
-            client.held = None
+            client.reserved = None
             self._counters.add("mysql_broken_answers")
             if broken.stop:
-                held.stop(broken.status)
+                reserved.stop(broken.status)
             else:
-                held.drop(broken.status)
+                reserved.drop(broken.status)
             session.drop_connection_state()
             if relay.packet_open:
                 return False
@@ -711,22 +741,24 @@
             if (
                 not was_complete and not relay.done
             ):  # the client has disconnected, so its statement is stopped
-                client.held = None
-                held.stop(AttemptStatus.CANCELLED)
+                client.reserved = None
+                reserved.stop(AttemptStatus.CANCELLED)
             raise ClientLeftError from None
 
-    def _reserve(self, client: Client, held: Held, mode: Mode) -> None:
-        if mode is Mode.RELEASE:
-            client.held = held
+    def _reserve(
+        self, client: Client, reserved: ReservedConnection, disposition: ConnectionDisposition
+    ) -> None:
+        if disposition is ConnectionDisposition.RELEASE:
+            client.reserved = reserved
             self._release(client)
             return
-        client.held = held
-        if mode is Mode.KEEP:
-            held.finish(AttemptStatus.OK)
+        client.reserved = reserved
+        if disposition is ConnectionDisposition.RESERVE:
+            reserved.finish(AttemptStatus.OK)
             client.deadline = None
 
     def _receive_from_node(
-        self, client: Client, held: Held, deadline: float | None, statement: Statement
+        self, client: Client, reserved: ReservedConnection, deadline: float | None, statement: Statement
     ) -> bytes:
         """Return the next bytes of a response.
 
@@ -734,7 +766,7 @@
             ConnectionLostError: The connection broke, or the deadline or the drain time passed.
             ClientLeftError: The client has closed its connection.
         """
-        channel, started = held.conn.channel, self._scheduler.now()
+        channel, started = reserved.conn.channel, self._scheduler.now()
         in_transaction = client.session.in_transaction
         is_commit = statement.kind is StatementKind.COMMIT
         try:
@@ -745,7 +777,11 @@
                     timeout_error = Err.of(Errno.QUERY_TIMEOUT, text)
                     error = self._outcome_error(in_transaction, statement, timeout_error)
                     raise ConnectionLostError(error, AttemptStatus.TIMEOUT, stop=not is_commit)
-                if client.leave_at is not None and now >= self._drain_deadline(client, now) and not is_commit:
+                if (
+                    client.drain_deadline is not None
+                    and now >= self._drain_deadline(client, now)
+                    and not is_commit
+                ):
                     self._counters.add("mysql_drained")
                     error = self._outcome_error(in_transaction, statement, _drain_error(client.session))
                     raise ConnectionLostError(error, AttemptStatus.CANCELLED, stop=True)
@@ -765,18 +801,18 @@
                 self._broken_reply_error(in_transaction, statement), AttemptStatus.RESET
             ) from error
         finally:
-            held.waited_ns += int((self._scheduler.now() - started) * 1e9)
+            reserved.node_time_ns += int((self._scheduler.now() - started) * 1e9)
 
     def _outcome_error(self, in_transaction: bool, statement: Statement, error: Err) -> Err:
         """Return `error`, or the "outcome unknown" error if the statement's effects may be permanent."""
         outcome_error = self._broken_reply_error(in_transaction, statement)
         return outcome_error if outcome_error.errno == Errno.ERROR_DURING_COMMIT else error
 
-    def _run_pinned(self, client: Client, work: Work, statement: Statement) -> bool:
+    def _run_pinned(self, client: Client, pending: PendingCommand, statement: Statement) -> bool:
         """Run a command of a pinned session on its reserved connection."""
-        held, session = client.held, client.session
-        assert held is not None
-        conn, in_transaction = held.conn, session.in_transaction
+        reserved, session = client.reserved, client.session
+        assert reserved is not None
+        conn, in_transaction = reserved.conn, session.in_transaction
         deadline = client.deadline
         if not in_transaction:
             opens = self._begins_transaction(session, statement)
@@ -784,38 +820,42 @@
             deadline = self._scheduler.now() + assignment.deadline_ms / 1000
             client.request_class = assignment.request_class
             client.deadline = deadline if opens else None
-        work.conn = conn
+        pending.conn = conn
         send_deadline = deadline if deadline is not None else self._scheduler.now() + WRITE_SECONDS
         try:
             try:
-                long_data, body = b"", work.body
-                if work.prepared is not None and work.run is not None:
-                    long_data, body = self._nodes.execute(conn, work.prepared, work.run, None, send_deadline)
-                if self._starts_request_too_late(client, work, statement):
+                long_data, body = b"", pending.body
+                if pending.prepared is not None and pending.execution is not None:
+                    long_data, body = self._nodes.encode_execute(
+                        conn, pending.prepared, pending.execution, None, send_deadline
+                    )
+                if self._starts_request_too_late(client, pending, statement):
                     self._on_drain_timeout(client)
-                    assert client.lost is not None
-                    self._send_error(client, client.lost)
+                    assert client.pending_error is not None
+                    self._send_error(client, client.pending_error)
                     client.channel.stream.finish()
                     return False
                 conn.channel.send(long_data + frame(body, 0), send_deadline)
-            except TuneFailed as failed:
+            except SessionSetupError as failed:
                 return self._send_error(client, failed.error)
-            work.reached = True
+            pending.may_have_run = True
         except (OSError, TaskTimeoutError, ProtocolError) as error:
             log.info("tied session lost its node", extra={"fields": {"reason": type(error).__name__}})
-            client.held = None
-            held.drop(AttemptStatus.RESET)
+            client.reserved = None
+            reserved.drop(AttemptStatus.RESET)
             session.drop_connection_state()
             text = "the node was lost; this statement did not run, and what was open there is rolled back"
             self._send_error(client, Err.of(Errno.NET_READ, text))
             client.channel.stream.finish()
             return False
         relay = ReplyRelay(
-            work.command, conn.capabilities, session.capabilities, work.statement_id,
-            packet_count(len(body)), work.seq, session.status,
+            pending.command, conn.capabilities, session.capabilities, pending.statement_id,
+            packet_count(len(body)), pending.seq, session.status,
         )  # fmt: skip
-        session_continues = self._forward_reply(client, work, statement, Reply(b"", relay, held), deadline)
-        if session_continues and statement.chain and self._starts_request_too_late(client, work, _CHAINED):
+        session_continues = self._forward_reply(
+            client, pending, statement, Reply(b"", relay, reserved), deadline
+        )
+        if session_continues and statement.chain and self._starts_request_too_late(client, pending, _CHAINED):
             self._on_drain_timeout(
                 client
             )  # COMMIT AND CHAIN has started a transaction, which is a new request
@@ -824,7 +864,7 @@
     # --- command handlers -----------------------------------------------------------------------
 
     def _ping(self, client: Client, body: bytes) -> bool:
-        if client.held is not None:
+        if client.reserved is not None:
             return self._run_on_node(client, Command.PING, body, _NO_EFFECT)
         return self._send_ok(client)
 
@@ -839,7 +879,7 @@
             return self._send_error(client, _NO_LOCAL)
         if statement.kill is not None:
             return self._kill(client, *statement.kill)
-        if client.held is None:
+        if client.reserved is None:
             if kind is StatementKind.SET and statement.autocommit is not None and _only_autocommit(statement):
                 session.autocommit = statement.autocommit
                 flag = int(Flag.AUTOCOMMIT)
@@ -903,8 +943,8 @@
         if len(body) != 3 or option > 1:
             raise ProtocolError("an unknown option", Errno.UNKNOWN_COM)
         client.session.multi = option == 0
-        if client.held is not None:
-            client.held.conn.multi = client.session.multi
+        if client.reserved is not None:
+            client.reserved.conn.multi = client.session.multi
             return self._run_on_node(client, Command.SET_OPTION, body, _NO_EFFECT)
         caps, status = client.session.capabilities, client.session.status
         if caps & Capability.DEPRECATE_EOF:
@@ -912,27 +952,27 @@
         return self._send(client, Eof(0, status).encode())
 
     def _reset_connection(self, client: Client, body: bytes) -> bool:
-        held, client.held = client.held, None
-        if held is not None:
+        reserved, client.reserved = client.reserved, None
+        if reserved is not None:
             # The reset drops the session state at the node, so that the connection can serve other sessions.
             try:
-                self._nodes.reset(held.conn)
-                held.release()
+                self._nodes.reset(reserved.conn)
+                reserved.release()
             except (OSError, TaskTimeoutError, ProtocolError) as error:
                 log.info("a reset failed", extra={"fields": {"reason": type(error).__name__}})
-                held.drop(AttemptStatus.RESET)
+                reserved.drop(AttemptStatus.RESET)
         client.session.reset()
         self._charge_prepared(client)
-        client.last = client.id_conn = None
-        client.deadline = client.leave_at = None
+        client.last_conn = client.last_id_conn = None
+        client.deadline = client.drain_deadline = None
         return self._send_ok(client)
 
     def _change_user(self, client: Client, body: bytes) -> bool:
-        held, client.held = client.held, None
-        if held is not None:
-            held.drop(AttemptStatus.OK)
-        client.last = client.id_conn = None
-        client.deadline = client.leave_at = None
+        reserved, client.reserved = client.reserved, None
+        if reserved is not None:
+            reserved.drop(AttemptStatus.OK)
+        client.last_conn = client.last_id_conn = None
+        client.deadline = client.drain_deadline = None
         capabilities = client.session.capabilities
         client.session = Session("", "", capabilities, 0)
         self._charge_prepared(client)
@@ -962,10 +1002,10 @@
             return self._send_error(
                 client, Err.of(Errno.QUERY_INTERRUPTED, "Query execution was interrupted")
             )
-        work = target.work
-        if work is not None and work.conn is not None:
-            work.conn.doomed = True  # otherwise the KILL could hit the next session on the connection
-            self._nodes.kill(work.conn)
+        pending = target.pending_command
+        if pending is not None and pending.conn is not None:
+            pending.conn.unusable = True  # otherwise the KILL could hit the next session on the connection
+            self._nodes.kill(pending.conn)
         if not query_only and target.task is not None:
             target.task.cancel()
         return self._send_ok(client)
@@ -1022,9 +1062,9 @@
     @staticmethod
     def _node_statement_id(client: Client, prepared: PreparedText) -> int | None:
         """Return the id of a prepared statement on the session's reserved connection, or None."""
-        if client.held is None:
+        if client.reserved is None:
             return None
-        conn = client.held.conn
+        conn = client.reserved.conn
         known = conn.prepared.get((conn.schema, conn.settings, prepared.text))
         return None if known is None else known[0]
 
@@ -1052,19 +1092,19 @@
     def _close_cursor(self, client: Client, statement_id: int) -> None:
         """Close a cursor at the node, if one is open."""
         prepared = client.session.prepared.get(statement_id)
-        if prepared is None or statement_id not in client.session.cursors or client.held is None:
+        if prepared is None or statement_id not in client.session.cursors or client.reserved is None:
             return
         node_id = self._node_statement_id(client, prepared)
         if node_id is None:
             return
         try:
             timeout = self._scheduler.now() + 1.0
-            self._nodes.ask(client.held.conn, b"\x1a" + node_id.to_bytes(4, "little"), timeout)
+            self._nodes.run_command(client.reserved.conn, b"\x1a" + node_id.to_bytes(4, "little"), timeout)
         except (OSError, TaskTimeoutError, ProtocolError):
-            client.held.conn.doomed = True
+            client.reserved.conn.unusable = True
 
     def _after_cursor(self, client: Client) -> None:
-        if client.held is not None and not client.session.pinned:
+        if client.reserved is not None and not client.session.pinned:
             self._release(client)
 
 
--- a/brambleusher/fronts/mysql/nodes.py
+++ b/brambleusher/fronts/mysql/nodes.py
@@ -2,7 +2,7 @@
 
 This is the MySQL counterpart of `net.upstream_pool.UpstreamPool`.  An attempt is one statement or a whole
 transaction.  A successful attempt returns its connection to the pool; if the response continues or the
-session is pinned, the connection passes to the session as a `Held`.
+session is pinned, the connection passes to the session as a `ReservedConnection`.
 """
 
 from __future__ import annotations
@@ -46,33 +46,35 @@
 
 log = logging.getLogger(__name__)
 
-WANTED = int(
+NODE_CAPABILITIES = int(
     Capability.LONG_PASSWORD | Capability.LONG_FLAG | Capability.PROTOCOL_41 | Capability.TRANSACTIONS
     | Capability.SECURE_CONNECTION | Capability.MULTI_RESULTS | Capability.PS_MULTI_RESULTS
     | Capability.PLUGIN_AUTH | Capability.PLUGIN_AUTH_LENENC | Capability.SESSION_TRACK
     | Capability.DEPRECATE_EOF
 )  # fmt: skip
 # Maximum number and total text size in bytes of the statements that stay prepared on one connection.
-KEPT_PREPARED, KEPT_PREPARED_BYTES = 64, 512 * 1024
-SIDE_CONNECTIONS = 2  # maximum number of concurrent KILL commands for one node
-SIDE_QUEUE = 256  # maximum number of queued KILL commands for one node
-SIDE_SECONDS = 2.0  # timeout of a KILL or a reset, in seconds
-LEARNED_SECONDS = 30.0  # interval in seconds between attempts to exceed a limit learned from error 1040
+MAX_PREPARED_PER_CONNECTION, MAX_PREPARED_BYTES_PER_CONNECTION = 64, 512 * 1024
+MAX_CONCURRENT_KILLS = 2  # maximum number of concurrent KILL commands for one node
+MAX_QUEUED_KILLS = 256  # maximum number of queued KILL commands for one node
+CONTROL_COMMAND_SECONDS = 2.0  # timeout of a KILL or a reset, in seconds
+LIMIT_RETRY_SECONDS = 30.0  # interval in seconds between attempts to exceed a limit learned from error 1040
 NODE_ERRORS = frozenset({Errno.CON_COUNT, Errno.SERVER_SHUTDOWN, Errno.SERVER_ISNT_AVAILABLE})
 MAX_KILLED_SECONDS = 5.0
-STARTS_PART = 0.8  # fraction of the drain grace period in which a draining node may get new requests
+DRAIN_START_FRACTION = 0.8  # fraction of the drain grace period in which a draining node may get new requests
 
 
-class Mode(Enum):
+class ConnectionDisposition(Enum):
     """What happens to a connection after its statement has a complete response."""
 
     RELEASE = "release"
-    KEEP = "keep"  # reserve the connection for a pinned session; the attempt is over
-    HOLD = "hold"  # reserve the connection for a transaction; the attempt lasts until the transaction ends
-    REFUSED = "refused"  # discard the response, which no client awaits any more
+    RESERVE = "keep"  # reserve the connection for a pinned session; the attempt is over
+    RESERVE_FOR_TRANSACTION = (
+        "hold"  # reserve the connection for a transaction; the attempt lasts until the transaction ends
+    )
+    DISCARD_REPLY = "refused"  # discard the response, which no client awaits any more
 
 
-class TuneFailed(Exception):
+class SessionSetupError(Exception):
     """The session state could not be set up on a connection; the statement was not sent."""
 
     def __init__(self, error: Err) -> None:
@@ -80,22 +82,22 @@
         self.error = error
 
 
-class Owner(Protocol):
+class ConnectionOwner(Protocol):
     """A client session as seen by the connection pool."""
 
     session: Session
-    last: Conn | None  # the connection on which the session's last statement ran
-    id_conn: Conn | None  # the connection that holds the session's LAST_INSERT_ID
+    last_conn: NodeConnection | None  # the connection on which the session's last statement ran
+    last_id_conn: NodeConnection | None  # the connection that holds the session's LAST_INSERT_ID
 
-    def leave(self, held: Held) -> None:
+    def node_draining(self, reserved: ReservedConnection) -> None:
         """Notify the session that the node of its reserved connection drains."""
 
 
-class Conn:
+class NodeConnection:
     """One connection to a node, with its known session state."""
 
     __slots__ = (
-        "account", "autocommit", "capabilities", "channel", "collation", "doomed", "id_owner",
+        "account", "autocommit", "capabilities", "channel", "collation", "unusable", "last_id_owner",
         "statement_capabilities", "multi", "node", "owner", "prepared", "schema", "settings", "thread",
         "used_at",
     )  # fmt: skip
@@ -113,11 +115,13 @@
         # Statement id and number of parameters by schema, settings and statement text.
         self.prepared: OrderedDict[tuple[str, object, bytes], tuple[int, int]] = OrderedDict()
         self.used_at = channel.stream.used_at
-        self.owner: Owner | None = None  # the session whose statement ran last on this connection
-        self.id_owner: Owner | None = None  # the session whose LAST_INSERT_ID the connection may hold
-        self.doomed = False  # a KILL may be in flight or the stream is corrupt, so no other session gets it
+        self.owner: ConnectionOwner | None = None  # the session whose statement ran last on this connection
+        self.last_id_owner: ConnectionOwner | None = (
+            None  # the session whose LAST_INSERT_ID the connection may hold
+        )
+        self.unusable = False  # a KILL may be in flight or the stream is corrupt, so no other session gets it
 
-    def suits(self, traits: ConnectionTraits) -> bool:
+    def matches(self, traits: ConnectionTraits) -> bool:
         """Return whether sessions with these traits may use the connection."""
         return (
             self.account == traits.account
@@ -126,16 +130,16 @@
             and not (traits.no_schema and self.schema)
         )
 
-    def was_reset(self) -> None:
+    def mark_reset(self) -> None:
         """Record a successful COM_RESET_CONNECTION, which restores all state but the schema."""
         self.settings, self.autocommit, self.owner = (), True, None
         self.prepared.clear()
 
     @property
-    def carries(self) -> Owner | None:
+    def pending_id_owner(self) -> ConnectionOwner | None:
         """The session whose LAST_INSERT_ID is known to this connection only, or None."""
-        owner = self.id_owner
-        if owner is not None and owner.id_conn is self and owner.session.last_id is None:
+        owner = self.last_id_owner
+        if owner is not None and owner.last_id_conn is self and owner.session.last_id is None:
             return owner
         return None
 
@@ -148,65 +152,69 @@
     address: tuple[str, int]
     started_ns: int
     meter: LoadMeter
-    idle: list[Conn] = field(default_factory=list)  # ordered by last use, the most recent at the end
-    claims: dict[Claim, None] = field(default_factory=dict)  # a dict, for a deterministic order
-    held: dict[Held, None] = field(default_factory=dict)
-    waiters: deque[Claim] = field(default_factory=deque)
-    open: int = 0
+    idle: list[NodeConnection] = field(
+        default_factory=list
+    )  # ordered by last use, the most recent at the end
+    attempts: dict[MysqlAttempt, None] = field(default_factory=dict)  # a dict, for a deterministic order
+    reserved: dict[ReservedConnection, None] = field(default_factory=dict)
+    waiters: deque[MysqlAttempt] = field(default_factory=deque)
+    open_count: int = 0
     by_account: dict[str, int] = field(default_factory=dict)
-    most: int = 1 << 30  # connection limit learned from error 1040
-    learned_at: float = 0.0
-    side: int = 0
-    side_waits: deque[Callable[[], None]] = field(default_factory=deque)
-    leaving: bool = False
-    left_at: float = 0.0  # when the drain became known
+    connection_limit: int = 1 << 30  # connection limit learned from error 1040
+    limit_learned_at: float = 0.0
+    active_kills: int = 0
+    queued_kills: deque[Callable[[], None]] = field(default_factory=deque)
+    draining: bool = False
+    drain_started_at: float = 0.0  # when the drain became known
 
 
-class Claim:
+class MysqlAttempt:
     """One attempt to run a command on a node, and its progress."""
 
-    __slots__ = ("event", "traits", "granted", "measured", "sending", "why", "written")
+    __slots__ = ("event", "traits", "granted", "load_counted", "sending", "cancel_status", "written")
 
     def __init__(self, traits: ConnectionTraits) -> None:
         self.event = Event()  # set when the attempt is cancelled or a connection may be available
         self.traits = traits
-        self.granted: Conn | None = None
-        self.why: AttemptStatus | None = None
+        self.granted: NodeConnection | None = None
+        self.cancel_status: AttemptStatus | None = None
         self.sending = self.written = False
-        self.measured = False  # the statement is counted in the node's load
+        self.load_counted = False  # the statement is counted in the node's load
 
-    def cancel(self, why: AttemptStatus = AttemptStatus.CANCELLED) -> None:
+    def cancel(self, status: AttemptStatus = AttemptStatus.CANCELLED) -> None:
         """Cancel the attempt; a running statement is stopped at the node."""
-        if self.why is None:
-            self.why = why
+        if self.cancel_status is None:
+            self.cancel_status = status
             self.event.set()
 
     def check(self) -> None:
         """Raise `WaitInterruptedError` if the attempt was cancelled."""
-        if self.why is not None:
+        if self.cancel_status is not None:
             raise WaitInterruptedError
 
 
 @dataclass(slots=True, eq=False)
-class Work:
+class PendingCommand:
     """One command of a session that is to run on a node, with its result."""
 
-    owner: Owner
+    owner: ConnectionOwner
     command: int
     body: bytes
-    accept: Callable[[Reply], Mode]  # called as soon as a response is complete or has started
-    run: Execute | None = None  # the execution of `prepared`, if the command is COM_STMT_EXECUTE
+    on_reply: Callable[
+        [Reply], ConnectionDisposition
+    ]  # called as soon as a response is complete or has started
+    execution: Execute | None = None  # the execution of `prepared`, if the command is COM_STMT_EXECUTE
     prepared: PreparedText | None = None
     reads_last_id: bool = False
     depends_on_previous: bool = False
     statement_id: int | None = None  # the id by which the client knows the prepared statement
     seq: int = 1  # sequence number of the response's first packet
-    reached: bool = False  # a node may have run the command
-    taken: Reply | None = None  # the accepted response
-    over: bool = False  # a response was accepted, or the client no longer waits for one
-    conn: Conn | None = None  # the connection on which the command was last sent
-    broke: bool = False  # a response broke off after its first byte, so no other node is tried
-    nonsense: ProtocolError | None = None  # the protocol error in a response
+    may_have_run: bool = False  # a node may have run the command
+    accepted_reply: Reply | None = None  # the accepted response
+    settled: bool = False  # a response was accepted, or the client no longer waits for one
+    conn: NodeConnection | None = None  # the connection on which the command was last sent
+    broke_off: bool = False  # a response broke off after its first byte, so no other node is tried
+    protocol_error: ProtocolError | None = None  # the protocol error in a response
     error: Err | None = None  # the error of a node that could not run the command
 
     @property
@@ -221,79 +229,81 @@
 
     out: bytes
     relay: ReplyRelay
-    held: Held
+    reserved: ReservedConnection
 
 
-class Held:
+class ReservedConnection:
     """A connection reserved for a session, together with the attempt that is still open on it."""
 
-    __slots__ = ("_on_finished", "_nodes", "began_at", "conn", "measured", "waited_ns")
+    __slots__ = ("_on_finished", "_nodes", "started_at", "conn", "load_counted", "node_time_ns")
 
-    def __init__(self, nodes: MysqlNodes, conn: Conn) -> None:
+    def __init__(self, nodes: MysqlNodes, conn: NodeConnection) -> None:
         self._nodes, self.conn = nodes, conn
         self._on_finished: Callable[[AttemptOutcome], None] | None = None
-        self.began_at = 0.0  # when the attempt started
-        self.waited_ns = 0  # time in nanoseconds spent at the node, without the client's own time
-        self.measured = False  # a statement on the connection is counted in the node's load
-        conn.node.held[self] = None
+        self.started_at = 0.0  # when the attempt started
+        self.node_time_ns = 0  # time in nanoseconds spent at the node, without the client's own time
+        self.load_counted = False  # a statement on the connection is counted in the node's load
+        conn.node.reserved[self] = None
 
     @property
     def node(self) -> Node:
         """The node of the connection."""
         return self.conn.node
 
-    def client_took(self, now: float) -> float:
+    def client_seconds(self, now: float) -> float:
         """Return the seconds that the client itself used during the open attempt, or 0 after its end."""
-        return now - self.began_at - self.waited_ns / 1e9 if self._on_finished is not None else 0.0
+        return now - self.started_at - self.node_time_ns / 1e9 if self._on_finished is not None else 0.0
 
     @property
-    def claimed(self) -> bool:
+    def attempt_open(self) -> bool:
         """Whether the attempt is still open."""
         return self._on_finished is not None
 
-    def claim(self, ended: Callable[[AttemptOutcome], None], began_at: float, now: float) -> None:
+    def keep_attempt_open(
+        self, ended: Callable[[AttemptOutcome], None], started_at: float, now: float
+    ) -> None:
         """Keep the attempt open; `ended` is called with its outcome."""
-        self._on_finished, self.began_at = ended, began_at
-        self.waited_ns = int((now - began_at) * 1e9)
+        self._on_finished, self.started_at = ended, started_at
+        self.node_time_ns = int((now - started_at) * 1e9)
 
     def finish(self, status: AttemptStatus) -> None:
         """End the attempt; repeated calls have no effect."""
         if self._on_finished is not None:
             ended, self._on_finished = self._on_finished, None
             report = self._nodes.report(self.node) if status is AttemptStatus.OK else None
-            ended(AttemptOutcome(status, self.waited_ns, report))
+            ended(AttemptOutcome(status, self.node_time_ns, report))
 
-    def measure(self) -> None:
+    def begin_load(self) -> None:
         """Start to count a statement on this connection in the node's load."""
-        if not self.measured:
-            self.measured = True
+        if not self.load_counted:
+            self.load_counted = True
             self.node.meter.begin(self._nodes.now())
 
-    def measured_whole(self) -> None:
+    def end_load(self) -> None:
         """Stop counting the statement, whose response is complete or will never be."""
-        if self.measured:
-            self.measured = False
+        if self.load_counted:
+            self.load_counted = False
             self.node.meter.end(self._nodes.now())
 
     def release(self) -> None:
         """Return the connection to the pool; it must hold no state that pins a session."""
-        self.measured_whole()
+        self.end_load()
         self.finish(AttemptStatus.OK)
-        self.node.held.pop(self, None)
+        self.node.reserved.pop(self, None)
         self._nodes.give_back(self.conn)
 
     def drop(self, status: AttemptStatus) -> None:
         """Close the connection; the node rolls back its open transaction."""
-        self.measured_whole()
+        self.end_load()
         self.finish(status)
-        self.node.held.pop(self, None)
+        self.node.reserved.pop(self, None)
         self._nodes.discard(self.conn)
 
     def stop(self, status: AttemptStatus) -> None:
         """Kill the running statement at the node and close the connection."""
-        self.measured_whole()
+        self.end_load()
         self.finish(status)
-        self.node.held.pop(self, None)
+        self.node.reserved.pop(self, None)
         self._nodes.stop(self.conn)
 
 
@@ -317,7 +327,7 @@
         self._connect_seconds = platform.connect_timeout_ns / 1e9
         self._idle_seconds = settings.idle_ms / 1000
         # The remaining grace period is reserved for the set-up commands that precede a statement.
-        self._request_start_seconds = platform.drain_grace_ns / 1e9 * STARTS_PART
+        self._request_start_seconds = platform.drain_grace_ns / 1e9 * DRAIN_START_FRACTION
         self._wait_seconds = settings.pool_wait_ms / 1000
         self._nodes: dict[str, Node] = {}
         self._open_total = 0  # number of open connections to all nodes
@@ -330,9 +340,9 @@
         """Return the scheduler's time in seconds."""
         return self._scheduler.now()
 
-    def starts_until(self, node: Node) -> float | None:
+    def new_requests_until(self, node: Node) -> float | None:
         """Return until when a pinned session may start a request on a draining node; None if it is active."""
-        return node.left_at + self._request_start_seconds if node.leaving else None
+        return node.drain_started_at + self._request_start_seconds if node.draining else None
 
     def report(self, node: Node | None) -> LoadReport:
         """Count a served attempt and return the load report of its node.
@@ -342,7 +352,7 @@
         if node is None or self._settings.load == "none":
             return LoadReport()
         node.meter.served(self.now())
-        return node.meter.report(self.now(), min(self._settings.connections, node.most))
+        return node.meter.report(self.now(), min(self._settings.connections, node.connection_limit))
 
     # --- the endpoint list -----------------------------------------------------------------------
 
@@ -376,21 +386,21 @@
         if entry.state is HostState.DRAINING:
             self._start_drain(node)
         else:
-            node.leaving = False
+            node.draining = False
 
     def _start_drain(self, node: Node) -> None:
-        if not node.leaving:  # later endpoint lists repeat the drain
-            node.leaving, node.left_at = True, self._scheduler.now()
+        if not node.draining:  # later endpoint lists repeat the drain
+            node.draining, node.drain_started_at = True, self._scheduler.now()
         while node.idle:
             self.discard(node.idle.pop())
-        for claim in list(node.claims):
-            if not claim.sending:
-                claim.cancel(AttemptStatus.OVERLOADED)
-        for held in list(node.held):
-            if held.conn.owner is not None:
-                held.conn.owner.leave(held)
-
-    def let_go(self, name: str) -> None:
+        for attempt in list(node.attempts):
+            if not attempt.sending:
+                attempt.cancel(AttemptStatus.OVERLOADED)
+        for reserved in list(node.reserved):
+            if reserved.conn.owner is not None:
+                reserved.conn.owner.node_draining(reserved)
+
+    def close_idle(self, name: str) -> None:
         """Close the idle connections to a node, if it is known."""
         node = self._nodes.get(name)
         while node is not None and node.idle:
@@ -399,7 +409,7 @@
     def close(self) -> None:
         """Close all idle connections."""
         for name in self._nodes:
-            self.let_go(name)
+            self.close_idle(name)
 
     def reap(self) -> None:
         """Run the task that closes connections which were idle for too long or closed by the node."""
@@ -418,41 +428,47 @@
         """Return the state of each node for JSON."""
         return {
             node.name: {
-                "address": f"{node.address[0]}:{node.address[1]}", "open": node.open,
-                "idle": len(node.idle), "held": len(node.held), "waiting": len(node.waiters),
-                "most": node.most if node.most < 1 << 30 else None, "leaving": node.leaving,
+                "address": f"{node.address[0]}:{node.address[1]}", "open": node.open_count,
+                "idle": len(node.idle), "held": len(node.reserved), "waiting": len(node.waiters),
+                "most": node.connection_limit if node.connection_limit < 1 << 30 else None,
+                "leaving": node.draining,
             }
             for node in self._nodes.values()
         }  # fmt: skip
 
     # --- attempts -------------------------------------------------------------------------------
 
-    def start_attempt(self, order: AttemptOrder) -> Claim:
+    def start_attempt(self, parameters: AttemptOrder) -> MysqlAttempt:
         """Start an attempt.
 
         `on_response_started` is called if the response continues or the session reserves the connection.
         """
-        name, payload, timeout_ns, deadline = order.endpoint, order.payload, order.timeout_ns, order.deadline
+        name, payload, timeout_ns, deadline = (
+            parameters.endpoint,
+            parameters.payload,
+            parameters.timeout_ns,
+            parameters.deadline,
+        )
         on_finished, on_response_started, is_wanted = (
-            order.on_finished,
-            order.on_response_started,
-            order.is_wanted,
+            parameters.on_finished,
+            parameters.on_response_started,
+            parameters.is_wanted,
         )
-        if not isinstance(payload, Work):
+        if not isinstance(payload, PendingCommand):
             raise TypeError("the payload of a MySQL attempt is not a MySQL command")
-        claim, started_at = Claim(payload.session.traits), self._scheduler.now()
+        attempt, started_at = MysqlAttempt(payload.session.traits), self._scheduler.now()
         limit = min(deadline, started_at + timeout_ns / 1e9) if timeout_ns else deadline
 
         def run() -> None:
             status, reply, transferred = AttemptStatus.ERROR, None, False
             node = self._nodes.get(name)
             try:
-                if node is None or node.leaving:
+                if node is None or node.draining:
                     status = AttemptStatus.OVERLOADED
                 else:
-                    node.claims[claim] = None
+                    node.attempts[attempt] = None
                     status, reply, transferred = self._attempt(
-                        node, claim, payload, limit, on_finished, started_at, is_wanted
+                        node, attempt, payload, limit, on_finished, started_at, is_wanted
                     )
             except Exception:
                 # Every attempt must end, otherwise its request would wait until the deadline.
@@ -460,10 +476,10 @@
                 log.exception("claim failed", extra={"fields": {"node": name}})
             finally:
                 if node is not None:
-                    node.claims.pop(claim, None)
-                    if claim.measured:
+                    node.attempts.pop(attempt, None)
+                    if attempt.load_counted:
                         node.meter.end(self._scheduler.now())
-            if transferred or payload.broke:
+            if transferred or payload.broke_off:
                 on_response_started(reply)
             if not transferred:
                 duration_ns = int((self._scheduler.now() - started_at) * 1e9)
@@ -474,135 +490,141 @@
                 )
 
         self._scheduler.spawn(run, name=f"mysql claim {name}")
-        return claim
+        return attempt
 
     def _attempt(
         self,
         node: Node,
-        claim: Claim,
-        work: Work,
+        attempt: MysqlAttempt,
+        pending: PendingCommand,
         limit: float,
         on_finished: Callable[[AttemptOutcome], None],
         started_at: float,
         is_wanted: Callable[[], bool],
     ) -> tuple[AttemptStatus, Reply | None, bool]:
         """Run an attempt; return its status, its response, and whether the session now owns the attempt."""
-        conn: Conn | None = None
+        conn: NodeConnection | None = None
         relay: ReplyRelay | None = None
         try:
-            conn = self._acquire(node, claim, work, limit)
+            conn = self._acquire(node, attempt, pending, limit)
             if conn is None:
                 self._counters.add("connections_lacking")
                 return AttemptStatus.NOT_STARTED, None, False
-            self._set_up_session(conn, work, claim, limit)
-            data, relay = self._encode_command(conn, work, claim, limit)
-            work.conn = conn
-            claim.check()
+            self._set_up_session(conn, pending, attempt, limit)
+            data, relay = self._encode_command(conn, pending, attempt, limit)
+            pending.conn = conn
+            attempt.check()
             # Nothing is sent for a request that is about to time out or no longer wanted.
             if limit - self._scheduler.now() < 0.001 or not is_wanted():
                 self.give_back(conn)
                 return AttemptStatus.NOT_STARTED, None, False
             self._counters.add("claims_sent")
             # An error of an earlier node must not be reported for a statement that this node may have run.
-            work.error = work.nonsense = None
-            claim.sending = claim.measured = True
+            pending.error = pending.protocol_error = None
+            attempt.sending = attempt.load_counted = True
             node.meter.begin(self._scheduler.now())
             conn.channel.send(data, limit)
-            claim.written = work.reached = True
+            attempt.written = pending.may_have_run = True
             out = b""
             while not out and not relay.done:
-                out = relay.feed(self._receive(conn, claim, limit))
-        except TuneFailed as failed:
+                out = relay.feed(self._receive(conn, attempt, limit))
+        except SessionSetupError as failed:
             # An error such as an unknown schema of one client must not count against the node.
-            work.error = failed.error
-            self._stop_or_drop(conn, claim)
+            pending.error = failed.error
+            self._stop_or_drop(conn, attempt)
             is_node_error = failed.error.errno in NODE_ERRORS
             return AttemptStatus.OVERLOADED if is_node_error else AttemptStatus.NOT_STARTED, None, False
         except WaitInterruptedError:
-            self._stop_or_drop(conn, claim)
-            return self._cancelled_status(claim), None, False
+            self._stop_or_drop(conn, attempt)
+            return self._cancelled_status(attempt), None, False
         except TaskTimeoutError:
-            self._stop_or_drop(conn, claim)
-            work.broke = relay is not None and relay.started
-            return AttemptStatus.TIMEOUT if claim.written else AttemptStatus.CONNECT_FAILED, None, False
-        except LoginRejectedError as refused:
-            return self._login_rejected(node, work, refused.error), None, False
+            self._stop_or_drop(conn, attempt)
+            pending.broke_off = relay is not None and relay.started
+            return AttemptStatus.TIMEOUT if attempt.written else AttemptStatus.CONNECT_FAILED, None, False
+        except LoginRejectedError as rejected:
+            return self._login_rejected(node, pending, rejected.error), None, False
         except ProtocolError as error:
             log.warning("bad response", extra={"fields": {"node": node.name, "reason": error}})
-            self._stop_or_drop(conn, claim)
-            if not claim.written:
+            self._stop_or_drop(conn, attempt)
+            if not attempt.written:
                 return AttemptStatus.CONNECT_FAILED, None, False
-            work.nonsense, work.broke = error, relay is not None and relay.started
+            pending.protocol_error, pending.broke_off = error, relay is not None and relay.started
             return AttemptStatus.ERROR, None, False
         except OSError:
             if conn is not None:
                 self.discard(conn)
-            work.broke = relay is not None and relay.started
-            return AttemptStatus.RESET if claim.written else AttemptStatus.CONNECT_FAILED, None, False
+            pending.broke_off = relay is not None and relay.started
+            return AttemptStatus.RESET if attempt.written else AttemptStatus.CONNECT_FAILED, None, False
         if relay.done and relay.error is not None and relay.error.errno in NODE_ERRORS:
-            work.error = relay.error
+            pending.error = relay.error
             self.discard(conn)
             return AttemptStatus.ERROR, None, False
-        held = Held(self, conn)
+        reserved = ReservedConnection(self, conn)
         if not relay.done:
-            held.measured, claim.measured = True, False  # counted until the rest of the response arrives
-        reply = Reply(out, relay, held)
+            # The statement counts in the node's load until the rest of the response arrives.
+            reserved.load_counted, attempt.load_counted = True, False
+        reply = Reply(out, relay, reserved)
         if relay.has_trailing_bytes:
-            conn.doomed = True  # the response is valid, but the connection can't be used for another
+            conn.unusable = True  # the response is valid, but the connection can't be used for another
             log.warning("bytes behind an answer", extra={"fields": {"node": node.name}})
-        mode = work.accept(reply)
-        if mode is Mode.REFUSED:
+        disposition = pending.on_reply(reply)
+        if disposition is ConnectionDisposition.DISCARD_REPLY:
             if relay.done and relay.prepared is None:
-                held.release()
+                reserved.release()
             else:
-                held.stop(AttemptStatus.CANCELLED)
+                reserved.stop(AttemptStatus.CANCELLED)
             return AttemptStatus.OK if relay.done else AttemptStatus.CANCELLED, None, False
-        if mode is Mode.RELEASE:
-            held.release()
+        if disposition is ConnectionDisposition.RELEASE:
+            reserved.release()
             return AttemptStatus.OK, reply, False
-        if node.leaving:
-            work.owner.leave(held)  # the drain became known while the response was awaited
-        if mode is Mode.KEEP and relay.done:
+        if node.draining:
+            pending.owner.node_draining(reserved)  # the drain became known while the response was awaited
+        if disposition is ConnectionDisposition.RESERVE and relay.done:
             return AttemptStatus.OK, reply, False
-        held.claim(on_finished, started_at, self._scheduler.now())
+        reserved.keep_attempt_open(on_finished, started_at, self._scheduler.now())
         return AttemptStatus.OK, reply, True
 
     @staticmethod
-    def _cancelled_status(claim: Claim) -> AttemptStatus:
-        return claim.why if claim.why is not None and not claim.written else AttemptStatus.CANCELLED
+    def _cancelled_status(attempt: MysqlAttempt) -> AttemptStatus:
+        return (
+            attempt.cancel_status
+            if attempt.cancel_status is not None and not attempt.written
+            else AttemptStatus.CANCELLED
+        )
 
-    def _stop_or_drop(self, conn: Conn | None, claim: Claim) -> None:
+    def _stop_or_drop(self, conn: NodeConnection | None, attempt: MysqlAttempt) -> None:
         if conn is None:
             return
-        if claim.written:
+        if attempt.written:
             self.stop(conn)
         else:
             self.discard(conn)
 
-    def _login_rejected(self, node: Node, work: Work, error: Err) -> AttemptStatus:
+    def _login_rejected(self, node: Node, pending: PendingCommand, error: Err) -> AttemptStatus:
         """Return the attempt status for a rejected login; an error 1040 sets the node's connection limit."""
         if error.errno in (Errno.CON_COUNT, Errno.TOO_MANY_USER_CONNECTIONS):
-            node.most = max(1, node.open)
-            node.learned_at = self._scheduler.now()
+            node.connection_limit = max(1, node.open_count)
+            node.limit_learned_at = self._scheduler.now()
             self._counters.add("mysql_connections_refused")
             log.warning(
-                "node is out of connections", extra={"fields": {"node": node.name, "most": node.most}}
+                "node is out of connections",
+                extra={"fields": {"node": node.name, "most": node.connection_limit}},
             )
             return AttemptStatus.OVERLOADED
         log.warning(
             "login refused", extra={"fields": {"node": node.name, "errno": error.errno, "state": error.state}}
         )
-        work.error = Err.of(
+        pending.error = Err.of(
             Errno.SERVER_ISNT_AVAILABLE, f"the node refused the sidecar's login ({error.errno})"
         )
         return AttemptStatus.CONNECT_FAILED
 
-    def _receive(self, conn: Conn, claim: Claim, limit: float) -> bytes:
+    def _receive(self, conn: NodeConnection, attempt: MysqlAttempt, limit: float) -> bytes:
         """Return the next bytes; raises `WaitInterruptedError` if the attempt is cancelled."""
         while True:
-            data = conn.channel.receive(limit, claim.event)
+            data = conn.channel.receive(limit, attempt.event)
             if data is None:
-                claim.check()
+                attempt.check()
                 continue
             if not data:
                 raise ConnectionResetError("the connection ended before its answer")
@@ -610,38 +632,44 @@
 
     # --- connections ----------------------------------------------------------------------------
 
-    def _acquire(self, node: Node, claim: Claim, work: Work, limit: float) -> Conn | None:
+    def _acquire(
+        self, node: Node, attempt: MysqlAttempt, pending: PendingCommand, limit: float
+    ) -> NodeConnection | None:
         """Return a connection for a session, or None if none became available in time.
 
         The order of preference is the session's last connection, an idle one, a new one, and the next one
         that another session returns.
         """
-        traits, wait_until = claim.traits, min(limit, self._scheduler.now() + self._wait_seconds)
+        traits, wait_until = attempt.traits, min(limit, self._scheduler.now() + self._wait_seconds)
         while True:
-            claim.check()
-            conn = claim.granted or self._take_idle(node, work.owner, traits)
-            claim.granted = None
+            attempt.check()
+            conn = attempt.granted or self._take_idle(node, pending.owner, traits)
+            attempt.granted = None
             if conn is not None:
                 if self._is_usable(conn):
                     self._counters.add("connections_reused")
                     return conn
                 self.discard(conn)
                 continue
-            if node.leaving:
-                claim.cancel(AttemptStatus.OVERLOADED)
+            if node.draining:
+                attempt.cancel(AttemptStatus.OVERLOADED)
                 continue
             if self._may_open(node, traits.account):
-                return self._open(node, claim, traits, limit)
-            if not self._evict_idle(node, traits) and not self._wait_for_connection(node, claim, wait_until):
+                return self._open(node, attempt, traits, limit)
+            if not self._evict_idle(node, traits) and not self._wait_for_connection(
+                node, attempt, wait_until
+            ):
                 return None
 
-    def _take_idle(self, node: Node, owner: Owner, traits: ConnectionTraits) -> Conn | None:
+    def _take_idle(
+        self, node: Node, owner: ConnectionOwner, traits: ConnectionTraits
+    ) -> NodeConnection | None:
         best = None
         required_state = owner.session.required_state()
         for conn in reversed(node.idle):
-            if not conn.suits(traits):
+            if not conn.matches(traits):
                 continue
-            if conn is owner.last:
+            if conn is owner.last_conn:
                 best = conn
                 break
             if best is None or (
@@ -652,16 +680,16 @@
             node.idle.remove(best)
         return best
 
-    def _is_usable(self, conn: Conn) -> bool:
+    def _is_usable(self, conn: NodeConnection) -> bool:
         age = self._scheduler.now() - conn.used_at
         return age < self._idle_seconds and conn.channel.is_idle()
 
     def _may_open(self, node: Node, account: str) -> bool:
-        if node.open >= node.most:
+        if node.open_count >= node.connection_limit:
             # The limit is raised by one after a while, since other clients of the node disconnect over time.
-            if self._scheduler.now() - node.learned_at < LEARNED_SECONDS:
+            if self._scheduler.now() - node.limit_learned_at < LIMIT_RETRY_SECONDS:
                 return False
-            node.most, node.learned_at = node.most + 1, self._scheduler.now()
+            node.connection_limit, node.limit_learned_at = node.connection_limit + 1, self._scheduler.now()
         if node.by_account.get(account, 0) >= self._settings.connections:
             return False
         return self._open_total < self._settings.connections_total or self._close_longest_idle()
@@ -686,47 +714,50 @@
                 return True
         return False
 
-    def _wait_for_connection(self, node: Node, claim: Claim, wait_until: float) -> bool:
+    def _wait_for_connection(self, node: Node, attempt: MysqlAttempt, wait_until: float) -> bool:
         """Wait for a connection to be returned; return False if none was in time."""
-        node.waiters.append(claim)
+        node.waiters.append(attempt)
         self._counters.add("mysql_waits")
         try:
-            self._scheduler.park(wait_until, event=claim.event)
+            self._scheduler.park(wait_until, event=attempt.event)
         except TaskTimeoutError:
-            return claim.granted is not None
+            return attempt.granted is not None
         finally:
-            if claim in node.waiters:
-                node.waiters.remove(claim)
-            if claim.why is not None and claim.granted is not None:
-                granted, claim.granted = claim.granted, None
+            if attempt in node.waiters:
+                node.waiters.remove(attempt)
+            if attempt.cancel_status is not None and attempt.granted is not None:
+                granted, attempt.granted = attempt.granted, None
                 self.give_back(granted)
         return True
 
-    def _open(self, node: Node, claim: Claim, traits: ConnectionTraits, limit: float) -> Conn:
-        node.open += 1
+    def _open(
+        self, node: Node, attempt: MysqlAttempt, traits: ConnectionTraits, limit: float
+    ) -> NodeConnection:
+        node.open_count += 1
         self._open_total += 1
         node.by_account[traits.account] = node.by_account.get(traits.account, 0) + 1
         channel: Channel | None = None
         try:
             now = self._scheduler.now()
             timeout = min(self._connect_seconds, (limit - now) * CONNECT_TIMEOUT_FRACTION)
-            stream = Stream.connect(self._scheduler, node.address, now + timeout, claim.event)
+            stream = Stream.connect(self._scheduler, node.address, now + timeout, attempt.event)
             channel = Channel(stream)
-            login = self._log_in(channel, traits, limit, claim)
+            login = self._log_in(channel, traits, limit, attempt)
         except BaseException:
             if channel is not None:
                 channel.close()
             self._count_closed(node, traits.account)
             raise
         self._counters.add("connections_opened")
-        return Conn(node, channel, traits, login)
+        return NodeConnection(node, channel, traits, login)
 
     def _log_in(
-        self, channel: Channel, traits: ConnectionTraits, limit: float, claim: Claim | None
+        self, channel: Channel, traits: ConnectionTraits, limit: float, attempt: MysqlAttempt | None
     ) -> ClientLogin:
         settings = self._settings
         login = ClientLogin(
-            traits.account, self._passwords.of(traits.account), WANTED | traits.statement_capabilities,
+            traits.account, self._passwords.of(traits.account),
+            NODE_CAPABILITIES | traits.statement_capabilities,
             traits.collation, settings.node_tls.mode,
             public_key=self._node_public_key, ask_key=settings.ask_node_key,
         )  # fmt: skip
@@ -743,39 +774,39 @@
                 if login.has_trailing_bytes:
                     raise ProtocolError("bytes behind the login's end")
                 return login
-            data = channel.receive(limit, claim.event if claim is not None else None)
-            if data is None and claim is not None:
-                claim.check()
+            data = channel.receive(limit, attempt.event if attempt is not None else None)
+            if data is None and attempt is not None:
+                attempt.check()
             elif not data:
                 raise ConnectionResetError("the connection ended in the login")
             else:
                 login.feed(data)
 
-    def give_back(self, conn: Conn) -> None:
+    def give_back(self, conn: NodeConnection) -> None:
         """Pass a free connection to the first waiting attempt that it suits, or make it idle."""
         node = conn.node
-        if node.leaving or conn.doomed or not conn.channel.open or not conn.channel.is_idle():
+        if node.draining or conn.unusable or not conn.channel.open or not conn.channel.is_idle():
             self.discard(conn)
             return
         conn.used_at = self._scheduler.now()
-        for claim in node.waiters:
-            if conn.suits(claim.traits):
-                node.waiters.remove(claim)
-                claim.granted = conn
-                claim.event.set()
+        for attempt in node.waiters:
+            if conn.matches(attempt.traits):
+                node.waiters.remove(attempt)
+                attempt.granted = conn
+                attempt.event.set()
                 return
         node.idle.append(conn)
         if node.waiters:
             node.waiters[0].event.set()  # the attempt can close this connection to open a suitable one
 
-    def discard(self, conn: Conn, wake: bool = True) -> None:
+    def discard(self, conn: NodeConnection, wake: bool = True) -> None:
         """Close a connection; repeated calls have no effect."""
         if conn.channel.open:
             conn.channel.close()
             self._count_closed(conn.node, conn.account, wake)
 
     def _count_closed(self, node: Node, account: str, wake: bool = True) -> None:
-        node.open -= 1
+        node.open_count -= 1
         self._open_total -= 1
         node.by_account[account] -= 1
         if not node.by_account[account]:
@@ -785,18 +816,18 @@
 
     # --- session state on a connection ----------------------------------------------------------
 
-    def ask(
-        self, conn: Conn, body: bytes, limit: float, claim: Claim | None = None
+    def run_command(
+        self, conn: NodeConnection, body: bytes, limit: float, attempt: MysqlAttempt | None = None
     ) -> tuple[ReplyRelay, bytes]:
         """Send one command of the sidecar itself and return the relay and bytes of its complete response."""
         relay = ReplyRelay(body[0], conn.capabilities, conn.capabilities, seq=packet_count(len(body)))
         conn.channel.send(frame(body, 0), limit)
         out = b""
         while not relay.done:
-            data = conn.channel.receive(limit, claim.event if claim is not None else None)
+            data = conn.channel.receive(limit, attempt.event if attempt is not None else None)
             if data is None:
-                assert claim is not None
-                claim.check()
+                assert attempt is not None
+                attempt.check()
             elif not data:
                 raise ConnectionResetError("the connection ended before its answer")
             else:
@@ -805,70 +836,80 @@
             raise ProtocolError("bytes behind an answer")
         return relay, out
 
-    def _ask_checked(self, conn: Conn, body: bytes, limit: float, claim: Claim) -> ReplyRelay:
-        relay, _ = self.ask(conn, body, limit, claim)
+    def _run_checked_command(
+        self, conn: NodeConnection, body: bytes, limit: float, attempt: MysqlAttempt
+    ) -> ReplyRelay:
+        relay, _ = self.run_command(conn, body, limit, attempt)
         if relay.error is not None:
-            raise TuneFailed(relay.error)
+            raise SessionSetupError(relay.error)
         return relay
 
-    def _set_up_session(self, conn: Conn, work: Work, claim: Claim, limit: float) -> None:
+    def _set_up_session(
+        self, conn: NodeConnection, pending: PendingCommand, attempt: MysqlAttempt, limit: float
+    ) -> None:
         """Set up the session state that a statement needs on a connection."""
-        owner, session = work.owner, work.session
-        if work.depends_on_previous and not (conn.owner is owner and owner.last is conn):
-            raise TuneFailed(_STATE_LOST_ERROR)
-        id_conn = owner.id_conn
-        if work.reads_last_id and session.last_id is None and id_conn is not conn:
-            if id_conn is None or id_conn.carries is not owner or id_conn not in id_conn.node.idle:
-                raise TuneFailed(_STATE_LOST_ERROR)
-            id_conn.node.idle.remove(id_conn)
+        owner, session = pending.owner, pending.session
+        if pending.depends_on_previous and not (conn.owner is owner and owner.last_conn is conn):
+            raise SessionSetupError(_STATE_LOST_ERROR)
+        last_id_conn = owner.last_id_conn
+        if pending.reads_last_id and session.last_id is None and last_id_conn is not conn:
+            if (
+                last_id_conn is None
+                or last_id_conn.pending_id_owner is not owner
+                or last_id_conn not in last_id_conn.node.idle
+            ):
+                raise SessionSetupError(_STATE_LOST_ERROR)
+            last_id_conn.node.idle.remove(last_id_conn)
             try:
-                self._fetch_last_insert_id(id_conn, claim, limit)
+                self._fetch_last_insert_id(last_id_conn, attempt, limit)
             except BaseException:
-                self.discard(id_conn)
+                self.discard(last_id_conn)
                 raise
-            self.give_back(id_conn)
-        if conn.carries is not None and conn.carries is not owner:
-            self._fetch_last_insert_id(conn, claim, limit)
-        required_state = session.required_state(work.reads_last_id and session.last_id is not None)
+            self.give_back(last_id_conn)
+        if conn.pending_id_owner is not None and conn.pending_id_owner is not owner:
+            self._fetch_last_insert_id(conn, attempt, limit)
+        required_state = session.required_state(pending.reads_last_id and session.last_id is not None)
         if conn.settings != required_state.settings[: len(conn.settings)]:
-            self._ask_checked(conn, bytes((Command.RESET_CONNECTION,)), limit, claim)
-            conn.was_reset()
+            self._run_checked_command(conn, bytes((Command.RESET_CONNECTION,)), limit, attempt)
+            conn.mark_reset()
         missing = list(required_state.settings[len(conn.settings) :])
         for assignment in [pair for pair in missing if pair[0].startswith("transaction")]:
             missing.remove(assignment)
-            self._ask_checked(conn, b"\3" + replay_text([assignment]), limit, claim)
+            self._run_checked_command(conn, b"\3" + replay_text([assignment]), limit, attempt)
         if conn.autocommit != required_state.autocommit:
             missing.append(("autocommit", f"SESSION autocommit = {int(required_state.autocommit)}"))
         if required_state.last_id is not None:
             missing.append(("last_insert_id", f"SESSION last_insert_id = {required_state.last_id}"))
         if missing:
-            relay = self._ask_checked(conn, b"\3" + replay_text(missing), limit, claim)
+            relay = self._run_checked_command(conn, b"\3" + replay_text(missing), limit, attempt)
             conn.autocommit = bool(relay.status & Flag.AUTOCOMMIT)
         conn.settings = required_state.settings
         if conn.schema != required_state.schema and required_state.schema:
-            self._ask_checked(conn, b"\2" + required_state.schema.encode(), limit, claim)
+            self._run_checked_command(conn, b"\2" + required_state.schema.encode(), limit, attempt)
             conn.schema = required_state.schema
         if conn.multi != required_state.multi:
             option = 0 if required_state.multi else 1
-            self._ask_checked(conn, bytes((Command.SET_OPTION, option, 0)), limit, claim)
+            self._run_checked_command(conn, bytes((Command.SET_OPTION, option, 0)), limit, attempt)
             conn.multi = required_state.multi
         conn.owner = owner
-        owner.last = conn
+        owner.last_conn = conn
 
-    def reset(self, conn: Conn) -> None:
-        """Reset the session state on a connection; raises the errors of `ask`."""
-        relay, _ = self.ask(conn, bytes((Command.RESET_CONNECTION,)), self._scheduler.now() + SIDE_SECONDS)
+    def reset(self, conn: NodeConnection) -> None:
+        """Reset the session state on a connection; raises the errors of `run_command`."""
+        relay, _ = self.run_command(
+            conn, bytes((Command.RESET_CONNECTION,)), self._scheduler.now() + CONTROL_COMMAND_SECONDS
+        )
         if relay.error is not None:
             raise ProtocolError("the node refused a reset")
-        conn.was_reset()
+        conn.mark_reset()
 
-    def _fetch_last_insert_id(self, conn: Conn, claim: Claim, limit: float) -> None:
+    def _fetch_last_insert_id(self, conn: NodeConnection, attempt: MysqlAttempt, limit: float) -> None:
         """Query the LAST_INSERT_ID that a session left on a connection before another session uses it."""
-        owner = conn.carries
+        owner = conn.pending_id_owner
         assert owner is not None
         # If the query fails, the value is lost; a guessed value is never used instead.
-        owner.id_conn = conn.id_owner = None
-        relay, out = self.ask(conn, b"\3SELECT LAST_INSERT_ID()", limit, claim)
+        owner.last_id_conn = conn.last_id_owner = None
+        relay, out = self.run_command(conn, b"\3SELECT LAST_INSERT_ID()", limit, attempt)
         reader = PacketReader(1 << 16, seq=1)
         reader.feed(out)
         packets = []
@@ -881,20 +922,27 @@
             raise ProtocolError("the node does not tell its LAST_INSERT_ID()") from None
         self._counters.add("mysql_ids_carried")
 
-    def _encode_command(self, conn: Conn, work: Work, claim: Claim, limit: float) -> tuple[bytes, ReplyRelay]:
+    def _encode_command(
+        self, conn: NodeConnection, pending: PendingCommand, attempt: MysqlAttempt, limit: float
+    ) -> tuple[bytes, ReplyRelay]:
         """Return the bytes to send for a command on this connection, and the relay for its response."""
-        session, body = work.session, work.body
+        session, body = pending.session, pending.body
         data = b""
-        if work.prepared is not None and work.run is not None:
-            data, body = self.execute(conn, work.prepared, work.run, claim, limit)
+        if pending.prepared is not None and pending.execution is not None:
+            data, body = self.encode_execute(conn, pending.prepared, pending.execution, attempt, limit)
         relay = ReplyRelay(
-            work.command, conn.capabilities, session.capabilities, work.statement_id,
-            packet_count(len(body)), work.seq, session.status,
+            pending.command, conn.capabilities, session.capabilities, pending.statement_id,
+            packet_count(len(body)), pending.seq, session.status,
         )  # fmt: skip
         return data + frame(body, 0), relay
 
-    def execute(
-        self, conn: Conn, prepared: PreparedText, execution: Execute, claim: Claim | None, limit: float
+    def encode_execute(
+        self,
+        conn: NodeConnection,
+        prepared: PreparedText,
+        execution: Execute,
+        attempt: MysqlAttempt | None,
+        limit: float,
     ) -> tuple[bytes, bytes]:
         """Return the long data packets to send first, and the COM_STMT_EXECUTE body for this connection.
 
@@ -904,16 +952,18 @@
         on_node = conn.prepared.get(key)
         long_data = b""
         if on_node is None:
-            relay, _ = self.ask(conn, b"\x16" + prepared.text, limit, claim)
+            relay, _ = self.run_command(conn, b"\x16" + prepared.text, limit, attempt)
             if relay.error is not None:
-                raise TuneFailed(relay.error)
+                raise SessionSetupError(relay.error)
             assert relay.prepared is not None
-            self.prepared(conn, prepared.text, relay)
+            self.cache_prepared(conn, prepared.text, relay)
             on_node = conn.prepared[key]
             self._counters.add("mysql_prepared_anew")
         conn.prepared.move_to_end(key)
         if on_node[1] != prepared.parameters:
-            raise TuneFailed(Err.of(Errno.NEED_REPREPARE, "Prepared statement needs to be re-prepared"))
+            raise SessionSetupError(
+                Err.of(Errno.NEED_REPREPARE, "Prepared statement needs to be re-prepared")
+            )
         statement_id = on_node[0]
         for parameter, value in prepared.long_values.items():
             head = b"\x18" + statement_id.to_bytes(4, "little") + parameter.to_bytes(2, "little")
@@ -921,7 +971,7 @@
         forwarded = Execute(statement_id, execution.flags, execution.nulls, execution.types, execution.values)
         return long_data, forwarded.encode(prepared.parameters)
 
-    def prepared(self, conn: Conn, text: bytes, relay: ReplyRelay) -> None:
+    def cache_prepared(self, conn: NodeConnection, text: bytes, relay: ReplyRelay) -> None:
         """Record a statement prepared on a connection; close the least recently used ones to make room."""
         if relay.prepared is None:
             return
@@ -929,7 +979,9 @@
         evicted = [conn.prepared.pop(key)] if key in conn.prepared else []
         conn.prepared[key] = relay.prepared.statement, relay.prepared.parameters
         size = sum(len(each[2]) for each in conn.prepared)
-        while len(conn.prepared) > KEPT_PREPARED or (len(conn.prepared) > 1 and size > KEPT_PREPARED_BYTES):
+        while len(conn.prepared) > MAX_PREPARED_PER_CONNECTION or (
+            len(conn.prepared) > 1 and size > MAX_PREPARED_BYTES_PER_CONNECTION
+        ):
             oldest, entry = conn.prepared.popitem(last=False)
             evicted.append(entry)
             size -= len(oldest[2])
@@ -940,16 +992,18 @@
             try:  # COM_STMT_CLOSE has no response, and its few bytes fit into the send buffer
                 conn.channel.send(close_commands, self._scheduler.now() + 1)
             except (OSError, TaskTimeoutError):
-                conn.doomed = True
+                conn.unusable = True
 
     # --- stopping a statement at the node -------------------------------------------------------
 
-    def stop(self, conn: Conn) -> None:
+    def stop(self, conn: NodeConnection) -> None:
         """Kill the statement on a connection through another connection, and close the former."""
-        conn.doomed = True
+        conn.unusable = True
         self.kill(conn, lambda: self.discard(conn))
 
-    def kill(self, conn: Conn, on_finished: Callable[[], None] | None = None, query: bool = True) -> None:
+    def kill(
+        self, conn: NodeConnection, on_finished: Callable[[], None] | None = None, query: bool = True
+    ) -> None:
         """Kill the statement on a connection; `over` is called exactly once, also after a failure.
 
         The number of concurrent and queued kills per node is limited.
@@ -969,32 +1023,32 @@
             finally:
                 if on_finished is not None:
                     on_finished()
-                node.side -= 1
-                if node.side_waits:
-                    node.side_waits.popleft()()
+                node.active_kills -= 1
+                if node.queued_kills:
+                    node.queued_kills.popleft()()
 
         def start() -> None:
-            node.side += 1
+            node.active_kills += 1
             self._scheduler.spawn(run, name=f"kill {node.name}")
 
-        if node.side < SIDE_CONNECTIONS:
+        if node.active_kills < MAX_CONCURRENT_KILLS:
             start()
-        elif len(node.side_waits) < SIDE_QUEUE:
-            node.side_waits.append(start)
+        elif len(node.queued_kills) < MAX_QUEUED_KILLS:
+            node.queued_kills.append(start)
         else:
             self._counters.add("mysql_kills_failed")
             if on_finished is not None:
                 on_finished()
 
-    def _kill(self, node: Node, conn: Conn, query: bool) -> None:
+    def _kill(self, node: Node, conn: NodeConnection, query: bool) -> None:
         """Send KILL on an idle connection of the account, or else on a new one outside the pool."""
-        limit = self._scheduler.now() + SIDE_SECONDS
+        limit = self._scheduler.now() + CONTROL_COMMAND_SECONDS
         text = b"\3KILL " + (b"QUERY " if query else b"CONNECTION ") + str(conn.thread).encode()
         for idle in reversed(node.idle):
-            if idle.account == conn.account and idle.carries is None:
+            if idle.account == conn.account and idle.pending_id_owner is None:
                 node.idle.remove(idle)
                 try:
-                    self.ask(idle, text, limit)
+                    self.run_command(idle, text, limit)
                 except BaseException:
                     self.discard(idle)
                     raise
@@ -1006,18 +1060,18 @@
         try:
             traits = ConnectionTraits(conn.account, conn.collation, conn.statement_capabilities)
             login = self._log_in(channel, traits, limit, None)
-            extra_conn = Conn(node, channel, traits, login)
-            self.ask(extra_conn, text, limit)
+            extra_conn = NodeConnection(node, channel, traits, login)
+            self.run_command(extra_conn, text, limit)
         finally:
             channel.close()
 
 
-def _state_change_cost(conn: Conn, required_state: RequiredState) -> int:
+def _state_change_cost(conn: NodeConnection, required_state: RequiredState) -> int:
     """Estimate how many commands set up a session's state on a connection."""
     cost = 0 if conn.settings == required_state.settings else 1
     if conn.settings != required_state.settings[: len(conn.settings)]:
         cost += 1
-    cost += conn.carries is not None
+    cost += conn.pending_id_owner is not None
     return cost + (conn.schema != required_state.schema) + (conn.multi != required_state.multi)
 
 
--- a/brambleusher/lab/mysql/replay.py
+++ b/brambleusher/lab/mysql/replay.py
@@ -32,7 +32,7 @@
 from brambleusher.fronts.mysql.constants import NATIVE, Command, Errno
 from brambleusher.fronts.mysql.front import Front
 from brambleusher.fronts.mysql.messages import Err
-from brambleusher.fronts.mysql.nodes import Held, MysqlNodes, Work
+from brambleusher.fronts.mysql.nodes import MysqlNodes, PendingCommand, ReservedConnection
 from brambleusher.fronts.mysql.packets import frame
 from brambleusher.fronts.mysql.replies import ReplyRelay
 from brambleusher.fronts.mysql.session import Session
@@ -695,7 +695,13 @@
         if sidecar.balancer_driver.unanswered_requests or sidecar.balancer_driver._pending:
             breaches.append(f"{len(sidecar.balancer_driver._pending)} requests left")
         for node in sidecar.mysql.nodes._nodes.values():
-            left = len(node.held), len(node.claims), len(node.waiters), node.side, node.open - len(node.idle)
+            left = (
+                len(node.reserved),
+                len(node.attempts),
+                len(node.waiters),
+                node.active_kills,
+                node.open_count - len(node.idle),
+            )
             if any(left):
                 breaches.append(f"left at {node.name}: held, claims, waiters, kills, open {left}")
 
@@ -753,7 +759,7 @@
             for node in self._nodes._nodes.values():
                 for idle in [conn for conn in node.idle if conn.channel.is_idle()]:
                     node.idle.remove(idle)
-                    idle.channel.send(frame(client.work.body, 0), self._scheduler.now() + 1)
+                    idle.channel.send(frame(client.pending_command.body, 0), self._scheduler.now() + 1)
                     data = idle.channel.receive(self._scheduler.now() + 1)
                     self._nodes.discard(idle)
                     if data:
@@ -860,7 +866,7 @@
 
 def _id_not_carried() -> Iterator[None]:
     def carry(self: Any, conn: Any, claim: Any, limit: float) -> None:
-        conn.carries.session.last_id = 0
+        conn.pending_id_owner.session.last_id = 0
 
     with mock.patch.object(MysqlNodes, "_fetch_last_insert_id", carry):
         yield
@@ -884,12 +890,12 @@
     def never(self: Any, value: bool) -> None:
         """An answer that broke off is told as one that never began."""
 
-    with mock.patch.object(Work, "broke", property(lambda self: False, never)):
+    with mock.patch.object(PendingCommand, "broke_off", property(lambda self: False, never)):
         yield
 
 
 def _drain_ignored() -> Iterator[None]:
-    with mock.patch.object(Held, "drop", lambda self, status: None):
+    with mock.patch.object(ReservedConnection, "drop", lambda self, status: None):
         yield
 
 
--- a/brambleusher/sidecar/app.py
+++ b/brambleusher/sidecar/app.py
@@ -273,7 +273,7 @@
     def _close_idle_connections(self, endpoint: str) -> None:
         self.upstream_pool.close_idle_connections(endpoint)
         if self.mysql is not None:
-            self.mysql.nodes.let_go(endpoint)
+            self.mysql.nodes.close_idle(endpoint)
 
     def _zone_status(self) -> dict[str, object] | None:
         return self.balancer_driver.zone_status()
--- a/tests/fronts/mysql/test_mysql_front.py
+++ b/tests/fronts/mysql/test_mysql_front.py
@@ -605,7 +605,7 @@
     waiting.send(b"\x03select 1")
     assert waiting.error().errno == Errno.SERVER_SHUTDOWN
     node = rig.sidecar.mysql.nodes._nodes[entry["id"]]  # type: ignore[union-attr]
-    rig.until(lambda: rig.sidecar.scheduler.now() > node.left_at + 0.5)
+    rig.until(lambda: rig.sidecar.scheduler.now() > node.drain_started_at + 0.5)
     assert fails(again, "begin") == Errno.SERVER_SHUTDOWN
     assert fails(several, "commit; begin; select 1") == Errno.SERVER_SHUTDOWN
     ask(chained, "commit and chain")
