--- a/brambleusher/fronts/mysql/auth.py
+++ b/brambleusher/fronts/mysql/auth.py
@@ -114,16 +114,16 @@
     state = context.digest()
     p_bytes = (hashlib.sha256(password * size).digest() * (size // 32 + 1))[:size]
     s_bytes = (hashlib.sha256(salt * (16 + state[0])).digest() * (len(salt) // 32 + 1))[: len(salt)]
-    for round_number in range(rounds):
-        is_odd = round_number & 1
+    for index in range(rounds):
+        is_odd = index & 1
         inputs = [p_bytes if is_odd else state]
-        if round_number % 3:
+        if index % 3:
             inputs.append(s_bytes)
-        if round_number % 7:
+        if index % 7:
             inputs.append(p_bytes)
         inputs.append(state if is_odd else p_bytes)
         state = hashlib.sha256(b"".join(inputs)).digest()
-        if round_number % CRYPT_ROUNDS_PER_SLICE == CRYPT_ROUNDS_PER_SLICE - 1:
+        if index % CRYPT_ROUNDS_PER_SLICE == CRYPT_ROUNDS_PER_SLICE - 1:
             yield None
     out = bytearray()
     permutation = [(0, 10, 20), (21, 1, 11), (12, 22, 2), (3, 13, 23), (24, 4, 14), (15, 25, 5), (6, 16, 26),
@@ -294,7 +294,7 @@
 
     READ = auto()  # feed more bytes from the peer
     TLS = auto()  # perform the TLS handshake and feed decrypted bytes from then on
-    CALL_AGAIN = auto()  # call `step` again after other tasks have run; a hash computation is in progress
+    RESUME = auto()  # call `step` again after other tasks have run; a hash computation is in progress
     DONE = auto()
     REJECTED = auto()  # send the error in `out` and close the connection
 
@@ -489,7 +489,7 @@
         salt, rounds = (secret.salt, secret.rounds) if secret is not None else (b"0" * SCRAMBLE, CRYPT_ROUNDS)
         for step in crypt_steps(password, salt, rounds):
             if step is None:
-                yield LoginStep.CALL_AGAIN
+                yield LoginStep.RESUME
             elif secret is None or not hmac.compare_digest(step, secret.crypt_hash):
                 yield False
             else:
--- a/brambleusher/fronts/mysql/client.py
+++ b/brambleusher/fronts/mysql/client.py
@@ -11,7 +11,7 @@
 from brambleusher.runtime.scheduler import Event, Task
 
 
-class ConnectionLostError(Exception):
+class NodeConnectionError(Exception):
     """The node connection of a session broke or was abandoned; the client gets `error` once."""
 
     def __init__(self, error: Err, status: AttemptStatus, stop: bool = False) -> None:
@@ -54,7 +54,7 @@
         self.request_class = ""  # class of the request that pinned the session
 
     def node_draining(self, _reserved: ReservedConnection) -> None:
-        """Record that the node of the session drains; `Front` computes how long the session may stay."""
+        """Record that the node of the session drains; `MysqlFrontEnd` computes how long the session may stay."""
         if self.drain_deadline is None:  # the grace period must not restart with each endpoint list
             self.drain_deadline = -1.0
             self.event.set()
--- a/brambleusher/fronts/mysql/front.py
+++ b/brambleusher/fronts/mysql/front.py
@@ -18,7 +18,7 @@
 from brambleusher.decisions.requests import ClientRequest
 from brambleusher.fronts.mysql.auth import LoginStep, RsaKey, Secret, ServerLogin
 from brambleusher.fronts.mysql.channel import server_context
-from brambleusher.fronts.mysql.client import Client, ClientLeftError, ConnectionLostError
+from brambleusher.fronts.mysql.client import Client, ClientLeftError, NodeConnectionError
 from brambleusher.fronts.mysql.constants import (
     CURSOR_READ_ONLY,
     SCRAMBLE,
@@ -56,18 +56,18 @@
 
 log = logging.getLogger(__name__)
 
-WRITE_SECONDS = 30.0  # timeout in seconds for each write to a client that reads its rows slowly
-READ_SECONDS = 30.0  # timeout in seconds for the rest of a partially received command
-WATCH_SECONDS = 0.05  # interval in seconds of the check whether the client has closed its connection
-SOFT_SECONDS = 1.0  # idle time in seconds after which soft pins are dropped
+CLIENT_WRITE_SECONDS = 30.0  # timeout in seconds for each write to a client that reads its rows slowly
+COMMAND_READ_SECONDS = 30.0  # timeout in seconds for the rest of a partially received command
+CLIENT_CHECK_SECONDS = 0.05  # interval in seconds of the check whether the client has closed its connection
+SOFT_PIN_SECONDS = 1.0  # idle time in seconds after which soft pins are dropped
 # Maximum time in seconds that a client may spend between the statements of one attempt; after that the
 # attempt counts as served.  Without this limit, a node would look slow or full because of clients that pause
 # within their transactions.
-THINK_SECONDS = 0.1
+CLIENT_PAUSE_SECONDS = 0.1
 # Nanoseconds subtracted from the deadline, so that the error is sent before the client stops waiting.
-ANSWER_MARGIN_NS = 10_000_000
-FREE_BYTES = 64 * 1024  # size in bytes up to which a command is not charged to the shared memory budget
-OFFERED = int(
+RESPONSE_MARGIN_NS = 10_000_000
+UNCHARGED_BYTES = 64 * 1024  # size in bytes up to which a command is not charged to the shared memory budget
+OFFERED_CAPABILITIES = int(
     Capability.LONG_PASSWORD | Capability.FOUND_ROWS | Capability.LONG_FLAG | Capability.CONNECT_WITH_DB
     | Capability.NO_SCHEMA | Capability.ODBC | Capability.IGNORE_SPACE | Capability.PROTOCOL_41
     | Capability.INTERACTIVE | Capability.IGNORE_SIGPIPE | Capability.TRANSACTIONS
@@ -75,7 +75,7 @@
     | Capability.PS_MULTI_RESULTS | Capability.PLUGIN_AUTH | Capability.CONNECT_ATTRS
     | Capability.PLUGIN_AUTH_LENENC | Capability.SESSION_TRACK | Capability.DEPRECATE_EOF
 )  # fmt: skip
-COUNTS = (
+COUNTERS = (
     "mysql_sessions", "mysql_logins_refused", "mysql_bad_packets", "mysql_commands", "mysql_tied_commands",
     "mysql_waits", "mysql_kills", "mysql_kills_failed", "mysql_connections_refused", "mysql_ids_carried",
     "mysql_prepared_anew", "mysql_outcomes_unknown", "mysql_drained", "mysql_broken_answers",
@@ -83,7 +83,7 @@
 _KNOWN_COMMANDS = frozenset(int(command) for command in Command)
 
 
-class Front:
+class MysqlFrontEnd:
     """Accepts MySQL clients and serves their sessions."""
 
     def __init__(
@@ -116,7 +116,7 @@
             if settings.tls.mode != "off"
             else None
         )
-        for name in COUNTS:
+        for name in COUNTERS:
             counters.register(name)
         self._handlers: dict[int, Callable[[Client, bytes], bool]] = {
             Command.QUIT: lambda client, body: False,
@@ -144,7 +144,7 @@
         return self._listener.listen(address)
 
     @property
-    def connections(self) -> int:
+    def session_count(self) -> int:
         """Number of open sessions."""
         return len(self._clients)
 
@@ -200,7 +200,7 @@
         client.charged_prepared_bytes = 0
         pending, client.pending_command = client.pending_command, None
         if pending is not None:
-            pending.settled = True
+            pending.closed = True
         if client.reserved is not None:
             reserved, client.reserved = client.reserved, None
             if pending is not None and pending.conn is reserved.conn:
@@ -213,7 +213,8 @@
         """Send the error that ends the session, with the sequence number that the client expects."""
         try:
             client.channel.send(
-                frame(error.encode(), client.reader.response_seq), self._scheduler.now() + WRITE_SECONDS
+                frame(error.encode(), client.reader.response_seq),
+                self._scheduler.now() + CLIENT_WRITE_SECONDS,
             )
             client.channel.stream.finish()
         except (OSError, TaskTimeoutError):
@@ -235,7 +236,7 @@
         """Send the messages of a response and return True, since the session continues."""
         first = client.reader.seq
         out = b"".join(frame(message, first + at) for at, message in enumerate(messages))
-        client.channel.send(out, self._scheduler.now() + WRITE_SECONDS)
+        client.channel.send(out, self._scheduler.now() + CLIENT_WRITE_SECONDS)
         return True
 
     def _send_ok(self, client: Client) -> bool:
@@ -252,7 +253,7 @@
 
     def _log_in(self, client: Client) -> bool:
         settings = self._settings
-        offered = OFFERED | (int(Capability.SSL) if self._context is not None else 0)
+        offered = OFFERED_CAPABILITIES | (int(Capability.SSL) if self._context is not None else 0)
         client.challenge = self._challenge()
         login = ServerLogin(
             client.thread, client.challenge, offered, self._users.get, self._rsa, settings.server_version,
@@ -287,7 +288,7 @@
                 log.info("login refused", extra={"fields": fields})
                 channel.stream.finish()
                 return False
-            if step is LoginStep.CALL_AGAIN:
+            if step is LoginStep.RESUME:
                 self._scheduler.sleep(0.0)
                 continue
             if step is LoginStep.TLS:
@@ -371,11 +372,11 @@
 
     def _send_unsolicited_error(self, client: Client, error: Err) -> None:
         """Send an error outside a command exchange, before the connection is closed."""
-        client.channel.send(frame(error.encode(), 0), self._scheduler.now() + WRITE_SECONDS)
+        client.channel.send(frame(error.encode(), 0), self._scheduler.now() + CLIENT_WRITE_SECONDS)
         client.channel.stream.finish()
 
     def _charge_command(self, client: Client) -> None:
-        additional = client.reader.buffered - FREE_BYTES - client.charged_command_bytes
+        additional = client.reader.buffered - UNCHARGED_BYTES - client.charged_command_bytes
         if additional <= 0:
             return
         if additional > self._memory_left:
@@ -388,15 +389,15 @@
         """Return the timeout for the next command and its handler, which tells if the session continues."""
         now, settings = self._scheduler.now(), self._settings
         if client.reader.has_partial_message:
-            timeouts = [(begun_at + READ_SECONDS, self._on_read_timeout)]
+            timeouts = [(begun_at + COMMAND_READ_SECONDS, self._on_read_timeout)]
         else:
             timeouts = [(now + settings.session_idle_ms / 1000, self._on_idle_timeout)]
         if client.reserved is not None and client.pending_error is None:
             if client.reserved.attempt_open:
                 timeouts.append(
                     (
-                        now + max(0.0, THINK_SECONDS - client.reserved.client_seconds(now)),
-                        self._on_think_timeout,
+                        now + max(0.0, CLIENT_PAUSE_SECONDS - client.reserved.client_seconds(now)),
+                        self._on_pause_timeout,
                     )
                 )
             if client.drain_deadline is not None:
@@ -404,7 +405,7 @@
             if client.deadline is not None:
                 timeouts.append((client.deadline, self._on_transaction_timeout))
             if client.session.softly_pinned:
-                timeouts.append((begun_at + SOFT_SECONDS, self._drop_soft_pins))
+                timeouts.append((begun_at + SOFT_PIN_SECONDS, self._drop_soft_pins))
         return min(timeouts, key=lambda each: each[0])
 
     def _drain_deadline(self, client: Client, now: float) -> float:
@@ -457,7 +458,7 @@
         )
         return False
 
-    def _on_think_timeout(self, client: Client) -> bool:
+    def _on_pause_timeout(self, client: Client) -> bool:
         if client.reserved is not None:
             client.reserved.finish(AttemptStatus.OK)
         return True
@@ -542,7 +543,7 @@
             )  # fmt: skip
         arrived_ns = self._clock.now_ns()
         timeout_ns = assignment.deadline_ms * 1_000_000
-        timeout_ns -= min(ANSWER_MARGIN_NS, timeout_ns // 10)
+        timeout_ns -= min(RESPONSE_MARGIN_NS, timeout_ns // 10)
         self._request_count += 1
         request = ClientRequest(
             f"mysql {self._request_count}",  # the space prevents collisions with ids of HTTP requests
@@ -558,7 +559,7 @@
             lambda: deadline,
             ClientHandle(self._socket_to_watch(client), lambda: self._has_disconnected(client)),
         )
-        pending.settled = True
+        pending.closed = True
         outcome: str | None = None
         try:
             if pending.accepted_reply is not None:
@@ -586,10 +587,10 @@
 
     def _socket_to_watch(self, client: Client) -> Callable[[], Socket | None]:
         # A client that pipelines too much data is not read until its response has been sent.
-        return lambda: client.channel.sock if client.reader.buffered < 2 * FREE_BYTES else None
+        return lambda: client.channel.sock if client.reader.buffered < 2 * UNCHARGED_BYTES else None
 
     def _has_disconnected(self, client: Client) -> bool:
-        if client.reader.buffered >= 2 * FREE_BYTES:
+        if client.reader.buffered >= 2 * UNCHARGED_BYTES:
             return False
         data = client.channel.receive_now()
         if data:
@@ -644,9 +645,9 @@
         self, client: Client, statement: Statement, pending: PendingCommand, reply: Reply
     ) -> ConnectionDisposition:
         """Take a complete or partial response and decide what happens to its connection."""
-        if pending.settled:
+        if pending.closed:
             return ConnectionDisposition.DISCARD_REPLY
-        pending.settled, pending.accepted_reply = True, reply
+        pending.closed, pending.accepted_reply = True, reply
         if not reply.relay.done:
             client.reserved = reply.reserved
             return ConnectionDisposition.RESERVE_FOR_TRANSACTION
@@ -697,7 +698,7 @@
         was_pinned, was_complete = session.pinned, relay.done
         try:
             if reply.out:
-                client.channel.send(reply.out, self._scheduler.now() + WRITE_SECONDS)
+                client.channel.send(reply.out, self._scheduler.now() + CLIENT_WRITE_SECONDS)
             while not relay.done:
                 data = self._receive_from_node(client, reserved, deadline, statement)
                 try:
@@ -708,7 +709,7 @@
                     )
                     malformed = Err(error.errno, error.state, str(error))
                     reported = self._outcome_error(session.in_transaction, statement, malformed)
-                    raise ConnectionLostError(reported, AttemptStatus.ERROR) from None
+                    raise NodeConnectionError(reported, AttemptStatus.ERROR) from None
                 if relay.has_trailing_bytes:
                     reserved.conn.unusable = True
                 if relay.done:
@@ -717,11 +718,14 @@
                     disposition = self._apply_reply(client, statement, pending, reply)
                     self._reserve(client, reserved, disposition)
                 if out:
-                    client.channel.send(out, self._scheduler.now() + WRITE_SECONDS)
-                if reserved.attempt_open and reserved.client_seconds(self._scheduler.now()) > THINK_SECONDS:
+                    client.channel.send(out, self._scheduler.now() + CLIENT_WRITE_SECONDS)
+                if (
+                    reserved.attempt_open
+                    and reserved.client_seconds(self._scheduler.now()) > CLIENT_PAUSE_SECONDS
+                ):
                     reserved.finish(AttemptStatus.OK)  # a slow client must not make the node look slow
             return not (statement.release and relay.error is None)
-        except ConnectionLostError as broken:
+        except NodeConnectionError as broken:
             client.reserved = None
             self._counters.add("mysql_broken_answers")
             if broken.stop:
@@ -731,7 +735,7 @@
             session.drop_connection_state()
             if relay.packet_open:
                 return False
-            client.channel.send(relay.fail(broken.error), self._scheduler.now() + WRITE_SECONDS)
+            client.channel.send(relay.fail(broken.error), self._scheduler.now() + CLIENT_WRITE_SECONDS)
             if was_pinned:
                 # The client must not continue without the transaction or the variables on which it relies.
                 client.channel.stream.finish()
@@ -776,7 +780,7 @@
                     text = "Query execution was interrupted, maximum statement execution time exceeded"
                     timeout_error = Err.of(Errno.QUERY_TIMEOUT, text)
                     error = self._outcome_error(in_transaction, statement, timeout_error)
-                    raise ConnectionLostError(error, AttemptStatus.TIMEOUT, stop=not is_commit)
+                    raise NodeConnectionError(error, AttemptStatus.TIMEOUT, stop=not is_commit)
                 if (
                     client.drain_deadline is not None
                     and now >= self._drain_deadline(client, now)
@@ -784,8 +788,12 @@
                 ):
                     self._counters.add("mysql_drained")
                     error = self._outcome_error(in_transaction, statement, _drain_error(client.session))
-                    raise ConnectionLostError(error, AttemptStatus.CANCELLED, stop=True)
-                wait_until = now + WATCH_SECONDS if deadline is None else min(now + WATCH_SECONDS, deadline)
+                    raise NodeConnectionError(error, AttemptStatus.CANCELLED, stop=True)
+                wait_until = (
+                    now + CLIENT_CHECK_SECONDS
+                    if deadline is None
+                    else min(now + CLIENT_CHECK_SECONDS, deadline)
+                )
                 try:
                     data = channel.receive(wait_until, client.event)
                 except TaskTimeoutError:
@@ -797,7 +805,7 @@
                 if data is not None:
                     raise ConnectionResetError
         except _BROKEN as error:
-            raise ConnectionLostError(
+            raise NodeConnectionError(
                 self._broken_reply_error(in_transaction, statement), AttemptStatus.RESET
             ) from error
         finally:
@@ -821,7 +829,7 @@
             client.request_class = assignment.request_class
             client.deadline = deadline if opens else None
         pending.conn = conn
-        send_deadline = deadline if deadline is not None else self._scheduler.now() + WRITE_SECONDS
+        send_deadline = deadline if deadline is not None else self._scheduler.now() + CLIENT_WRITE_SECONDS
         try:
             try:
                 long_data, body = b"", pending.body
--- a/brambleusher/fronts/mysql/messages.py
+++ b/brambleusher/fronts/mysql/messages.py
@@ -62,7 +62,7 @@
             if ok.status & Status.SESSION_STATE_CHANGED and fields.remaining:
                 ok.session_changes = fields.lenenc_string()
         else:
-            ok.info = fields.take_rest()
+            ok.info = fields.take_remaining()
         return ok
 
     def encode(self, capabilities: int, header: int = 0) -> bytes:
@@ -106,7 +106,7 @@
         if protocol_41 and fields.remaining and data[fields.at : fields.at + 1] == b"#":
             fields.at += 1
             state = fields.take(5).decode("ascii", "replace")
-        return cls(errno, state, fields.take_rest().decode("utf-8", "replace"))
+        return cls(errno, state, fields.take_remaining().decode("utf-8", "replace"))
 
     def encode(self) -> bytes:
         """Encode the packet."""
@@ -165,7 +165,7 @@
         ):
             out.append((kind, (body.lenenc_string(),)))
         else:
-            out.append((kind, (body.take_rest(),)))
+            out.append((kind, (body.take_remaining(),)))
     return out
 
 
@@ -215,7 +215,7 @@
         plugin = b""
         if capabilities & Capability.PLUGIN_AUTH:
             # Some old servers omit the terminating zero byte.
-            plugin = fields.take_rest().split(b"\0", 1)[0]
+            plugin = fields.take_remaining().split(b"\0", 1)[0]
         return cls(
             version_name.decode("latin-1"), thread, challenge, capabilities, collation, status,
             decode_utf8(plugin, "the name of the server's plugin"),
@@ -282,12 +282,12 @@
         database = plugin = ""
         if capabilities & Capability.CONNECT_WITH_DB:
             database = decode_utf8(
-                fields.null_terminated_string() if b"\0" in data[fields.at :] else fields.take_rest(),
+                fields.null_terminated_string() if b"\0" in data[fields.at :] else fields.take_remaining(),
                 "the database",
             )
         if capabilities & Capability.PLUGIN_AUTH and fields.remaining:
             plugin = decode_utf8(
-                fields.null_terminated_string() if b"\0" in data[fields.at :] else fields.take_rest(),
+                fields.null_terminated_string() if b"\0" in data[fields.at :] else fields.take_remaining(),
                 "the plugin's name",
             )
         attributes = {}
@@ -356,7 +356,7 @@
         if fields.remaining >= 2:
             out.collation = fields.integer(2)
         if capabilities & Capability.PLUGIN_AUTH and fields.remaining:
-            name = fields.null_terminated_string() if b"\0" in data[fields.at :] else fields.take_rest()
+            name = fields.null_terminated_string() if b"\0" in data[fields.at :] else fields.take_remaining()
             out.plugin = decode_utf8(name, "the plugin's name")
         return out
 
@@ -390,7 +390,7 @@
         return "mysql_old_password", b""
     fields = FieldReader(data, 1)
     plugin = decode_utf8(fields.null_terminated_string(), "the plugin's name")
-    return plugin, fields.take_rest().removesuffix(b"\0")
+    return plugin, fields.take_remaining().removesuffix(b"\0")
 
 
 # --- columns and rows ---------------------------------------------------------------------------
@@ -548,7 +548,7 @@
             out.nulls = fields.take((parameters + 7) // 8)
             if fields.integer(1):
                 out.types = fields.take(2 * parameters)
-            out.values = fields.take_rest()
+            out.values = fields.take_remaining()
         return out
 
     def encode(self, parameters: int) -> bytes:
--- a/brambleusher/fronts/mysql/nodes.py
+++ b/brambleusher/fronts/mysql/nodes.py
@@ -130,7 +130,7 @@
             and not (traits.no_schema and self.schema)
         )
 
-    def mark_reset(self) -> None:
+    def apply_reset(self) -> None:
         """Record a successful COM_RESET_CONNECTION, which restores all state but the schema."""
         self.settings, self.autocommit, self.owner = (), True, None
         self.prepared.clear()
@@ -211,7 +211,7 @@
     seq: int = 1  # sequence number of the response's first packet
     may_have_run: bool = False  # a node may have run the command
     accepted_reply: Reply | None = None  # the accepted response
-    settled: bool = False  # a response was accepted, or the client no longer waits for one
+    closed: bool = False  # a response was accepted, or the client no longer waits for one
     conn: NodeConnection | None = None  # the connection on which the command was last sent
     broke_off: bool = False  # a response broke off after its first byte, so no other node is tried
     protocol_error: ProtocolError | None = None  # the protocol error in a response
@@ -850,7 +850,7 @@
         """Set up the session state that a statement needs on a connection."""
         owner, session = pending.owner, pending.session
         if pending.depends_on_previous and not (conn.owner is owner and owner.last_conn is conn):
-            raise SessionSetupError(_STATE_LOST_ERROR)
+            raise SessionSetupError(_STATE_UNAVAILABLE_ERROR)
         last_id_conn = owner.last_id_conn
         if pending.reads_last_id and session.last_id is None and last_id_conn is not conn:
             if (
@@ -858,7 +858,7 @@
                 or last_id_conn.pending_id_owner is not owner
                 or last_id_conn not in last_id_conn.node.idle
             ):
-                raise SessionSetupError(_STATE_LOST_ERROR)
+                raise SessionSetupError(_STATE_UNAVAILABLE_ERROR)
             last_id_conn.node.idle.remove(last_id_conn)
             try:
                 self._fetch_last_insert_id(last_id_conn, attempt, limit)
@@ -871,7 +871,7 @@
         required_state = session.required_state(pending.reads_last_id and session.last_id is not None)
         if conn.settings != required_state.settings[: len(conn.settings)]:
             self._run_checked_command(conn, bytes((Command.RESET_CONNECTION,)), limit, attempt)
-            conn.mark_reset()
+            conn.apply_reset()
         missing = list(required_state.settings[len(conn.settings) :])
         for assignment in [pair for pair in missing if pair[0].startswith("transaction")]:
             missing.remove(assignment)
@@ -901,7 +901,7 @@
         )
         if relay.error is not None:
             raise ProtocolError("the node refused a reset")
-        conn.mark_reset()
+        conn.apply_reset()
 
     def _fetch_last_insert_id(self, conn: NodeConnection, attempt: MysqlAttempt, limit: float) -> None:
         """Query the LAST_INSERT_ID that a session left on a connection before another session uses it."""
@@ -1075,7 +1075,7 @@
     return cost + (conn.schema != required_state.schema) + (conn.multi != required_state.multi)
 
 
-_STATE_LOST_ERROR = Err.of(
+_STATE_UNAVAILABLE_ERROR = Err.of(
     Errno.NOT_SUPPORTED_YET,
     "This asks for what an earlier statement left on its connection, which has passed on: "
     "ask right after it, or within a transaction",
--- a/brambleusher/fronts/mysql/packets.py
+++ b/brambleusher/fronts/mysql/packets.py
@@ -161,7 +161,7 @@
         self.at = end + 1
         return out
 
-    def take_rest(self) -> bytes:
+    def take_remaining(self) -> bytes:
         """Read all remaining bytes."""
         out = self.data[self.at :]
         self.at = len(self.data)
--- a/brambleusher/fronts/mysql/service.py
+++ b/brambleusher/fronts/mysql/service.py
@@ -10,7 +10,7 @@
 
 from brambleusher.decisions.balancer_driver import BalancerDriver
 from brambleusher.decisions.clock import Clock
-from brambleusher.fronts.mysql.front import Front
+from brambleusher.fronts.mysql.front import MysqlFrontEnd
 from brambleusher.fronts.mysql.nodes import MysqlNodes
 from brambleusher.fronts.mysql.settings import MysqlSettings, check_against, load_secrets
 from brambleusher.loadbalancing.api import Settings
@@ -49,7 +49,7 @@
         self.address: tuple[str, int] | None = None  # listening address, set by `start`
         try:
             self.nodes = MysqlNodes(scheduler, platform, settings, passwords, counters, node_key)
-            self.front = Front(
+            self.front = MysqlFrontEnd(
                 scheduler, decisions, self.nodes, clock, counters, settings, users, rsa,
                 random.Random(seed ^ 0x6D7973716C), entropy,
             )  # fmt: skip
--- a/brambleusher/fronts/mysql/statements.py
+++ b/brambleusher/fronts/mysql/statements.py
@@ -490,9 +490,9 @@
         if first == "insert" or first == "replace":
             modifiers = ("low_priority", "high_priority", "delayed", "ignore")
             source = [
-                source_word
-                for at, source_word in enumerate(source)
-                if not 0 < at <= 2 or source_word.lower() not in modifiers
+                source_token
+                for at, source_token in enumerate(source)
+                if not 0 < at <= 2 or source_token.lower() not in modifiers
             ]
         tree = _parse(" ".join(source))
         if tree is None:
--- a/brambleusher/lab/mysql/fuzz.py
+++ b/brambleusher/lab/mysql/fuzz.py
@@ -195,7 +195,7 @@
             login.feed(piece)
             for _ in range(1000):
                 turn = login.step()
-                if turn is not LoginStep.CALL_AGAIN:
+                if turn is not LoginStep.RESUME:
                     break
             if turn is not LoginStep.READ:
                 return
--- a/brambleusher/lab/mysql/replay.py
+++ b/brambleusher/lab/mysql/replay.py
@@ -28,9 +28,9 @@
 from unittest import mock
 
 from brambleusher.fronts.mysql.auth import Secret
-from brambleusher.fronts.mysql.client import ConnectionLostError
+from brambleusher.fronts.mysql.client import NodeConnectionError
 from brambleusher.fronts.mysql.constants import NATIVE, Command, Errno
-from brambleusher.fronts.mysql.front import Front
+from brambleusher.fronts.mysql.front import MysqlFrontEnd
 from brambleusher.fronts.mysql.messages import Err
 from brambleusher.fronts.mysql.nodes import MysqlNodes, PendingCommand, ReservedConnection
 from brambleusher.fronts.mysql.packets import frame
@@ -690,8 +690,8 @@
         if sidecar.counters.count("faults"):
             breaches.append(f"{sidecar.counters.count('faults')} faults in the sidecar")
         assert sidecar.mysql is not None
-        if sidecar.mysql.front.connections:
-            breaches.append(f"{sidecar.mysql.front.connections} sessions left")
+        if sidecar.mysql.front.session_count:
+            breaches.append(f"{sidecar.mysql.front.session_count} sessions left")
         if sidecar.balancer_driver.unanswered_requests or sidecar.balancer_driver._pending:
             breaches.append(f"{len(sidecar.balancer_driver._pending)} requests left")
         for node in sidecar.mysql.nodes._nodes.values():
@@ -748,12 +748,12 @@
 
 
 def _resend_after_commit() -> Iterator[None]:
-    real = Front._receive_from_node
+    real = MysqlFrontEnd._receive_from_node
 
     def from_node(self: Any, client: Any, held: Any, deadline: Any, statement: Any) -> bytes:
         try:
             return real(self, client, held, deadline, statement)
-        except ConnectionLostError:
+        except NodeConnectionError:
             if statement.kind is not StatementKind.COMMIT:
                 raise
             for node in self._nodes._nodes.values():
@@ -766,7 +766,7 @@
                         return bytes(data)
             raise
 
-    with mock.patch.object(Front, "_receive_from_node", from_node):
+    with mock.patch.object(MysqlFrontEnd, "_receive_from_node", from_node):
         yield
 
 
@@ -831,7 +831,7 @@
     def lost(self: Any, in_transaction: bool, statement: Any) -> Err:
         return Err.of(Errno.NET_READ, "the node was lost")
 
-    with mock.patch.object(Front, "_broken_reply_error", lost):
+    with mock.patch.object(MysqlFrontEnd, "_broken_reply_error", lost):
         yield
 
 
--- a/brambleusher/sidecar/lifecycle.py
+++ b/brambleusher/sidecar/lifecycle.py
@@ -132,7 +132,7 @@
     def is_finished(self) -> bool:
         """Return whether the process is drained and no connection of a client is open."""
         sidecar = self._sidecar
-        open_sessions = 0 if sidecar.mysql is None else sidecar.mysql.front.connections
+        open_sessions = 0 if sidecar.mysql is None else sidecar.mysql.front.session_count
         return self.is_drained and not sidecar.client_listener.connections and not open_sessions
 
     def close(self) -> None:
--- a/tests/fronts/mysql/test_mysql_auth.py
+++ b/tests/fronts/mysql/test_mysql_auth.py
@@ -73,7 +73,7 @@
         out, client.out = client.out, b""
         for at in range(0, len(out), cut):
             server.feed(out[at : at + cut])
-            while (other := server.step()) is LoginStep.CALL_AGAIN:
+            while (other := server.step()) is LoginStep.RESUME:
                 again += 1
         if other is LoginStep.DONE:
             client.feed(server.complete_login())
--- a/tests/fronts/mysql/test_mysql_front.py
+++ b/tests/fronts/mysql/test_mysql_front.py
@@ -743,7 +743,7 @@
         greeting = int.from_bytes(got[:3], "little") + 4
         assert Err.parse(got[greeting + 4 :]).errno == errno
         sock.close()
-    rig.until(lambda: rig.sidecar.mysql is not None and not rig.sidecar.mysql.front.connections)
+    rig.until(lambda: rig.sidecar.mysql is not None and not rig.sidecar.mysql.front.session_count)
     held = [socket.create_connection(rig.address, WAIT) for _ in range(4)]
     firsts = [sock.recv(65536)[4] for sock in held]
     assert sorted(firsts) == [10, 10, 10, 0xFF]
@@ -875,7 +875,7 @@
     assert answers.count(refused) < 6
     for client in clients:
         client.close()
-    rig.until(lambda: rig.sidecar.mysql is not None and not rig.sidecar.mysql.front.connections)
+    rig.until(lambda: rig.sidecar.mysql is not None and not rig.sidecar.mysql.front.session_count)
     assert rig.sidecar.mysql is not None
     assert rig.sidecar.mysql.front._memory_left == 1024 * 1024
 
