--- a/brambleusher/fronts/mysql/channel.py
+++ b/brambleusher/fronts/mysql/channel.py
@@ -36,7 +36,7 @@
     def start_tls(
         self, context: ssl.SSLContext, server: bool, host: str, received: bytes, deadline: float
     ) -> None:
-        """Perform the TLS handshake; `ahead` holds handshake bytes that were already received.
+        """Perform the TLS handshake; `received` holds handshake bytes that were already received.
 
         Raises:
             OSError: The handshake failed or the connection ended.
--- a/brambleusher/fronts/mysql/client.py
+++ b/brambleusher/fronts/mysql/client.py
@@ -54,7 +54,7 @@
         self.request_class = ""  # class of the request that pinned the session
 
     def node_draining(self, _reserved: ReservedConnection) -> None:
-        """Record that the node of the session drains; `MysqlFrontEnd` computes how long the session may stay."""
+        """Record that the node of the session drains; `MysqlFrontEnd` sets the final deadline later."""
         if self.drain_deadline is None:  # the grace period must not restart with each endpoint list
             self.drain_deadline = -1.0
             self.event.set()
--- a/brambleusher/fronts/mysql/front.py
+++ b/brambleusher/fronts/mysql/front.py
@@ -1,8 +1,9 @@
 """The MySQL front end: serves client sessions and their commands.
 
 A command of an unpinned session is a request: it goes through `RequestLifecycle`, and the load balancer
-chooses the node.  A command of a pinned session goes to the node connection reserved for the session.  No
-command is sent twice, except that the load balancer may retry plain reads.
+chooses the node. A session is pinned while some of its state, such as an open transaction, exists on one
+node connection only. This connection is reserved for the session and runs all its commands. No command is
+sent twice, except that the load balancer may retry plain reads.
 """
 
 from __future__ import annotations
@@ -102,7 +103,7 @@
         self._scheduler, self._decisions, self._nodes, self._clock = scheduler, decisions, nodes, clock
         self._counters, self._settings, self._users, self._rsa = counters, settings, users, rsa
         self._rng, self._entropy = rng, entropy
-        self._mapping = RequestMapper(settings, decisions.settings)
+        self._mapper = RequestMapper(settings, decisions.settings)
         self._classifier = StatementClassifier()
         self._lifecycle = RequestLifecycle(decisions, nodes, scheduler)
         self._max_packet_bytes = settings.max_packet_mb * 1024 * 1024
@@ -221,7 +222,7 @@
             return
 
     def _charge_prepared(self, client: Client, extra: int = 0) -> None:
-        """Charge a session's prepared statements and `more` further bytes to the shared memory budget."""
+        """Charge a session's prepared statements and `extra` bytes to the shared memory budget."""
         total = client.session.prepared_bytes + extra
         if total - client.charged_prepared_bytes > self._memory_left:
             raise ProtocolError("no memory for what is prepared", Errno.OUT_OF_RESOURCES)
@@ -346,18 +347,18 @@
         """Return the next command, or None if the session ends before one arrives."""
         reader = client.reader
         reader.set_sequence()
-        begun_at = self._scheduler.now()
+        started_at = self._scheduler.now()
         while (body := reader.take()) is None:
             if self._closing and not client.session.pinned and not reader.has_partial_message:
                 self._send_unsolicited_error(
                     client, Err.of(Errno.SERVER_SHUTDOWN, "Server shutdown in progress")
                 )
                 return None
-            deadline, late = self._next_timeout(client, begun_at)
+            deadline, on_timeout = self._next_timeout(client, started_at)
             try:
                 data = client.channel.receive(deadline, client.event)
             except TaskTimeoutError:
-                if not late(client):
+                if not on_timeout(client):
                     return None
                 continue
             if data is None:
@@ -365,7 +366,7 @@
             if not data:
                 return None
             if not reader.has_partial_message:
-                begun_at = self._scheduler.now()
+                started_at = self._scheduler.now()
             reader.feed(data)
             self._charge_command(client)
         return body
@@ -385,11 +386,11 @@
         self._memory_left -= additional
         client.charged_command_bytes += additional
 
-    def _next_timeout(self, client: Client, begun_at: float) -> tuple[float, Callable[[Client], bool]]:
+    def _next_timeout(self, client: Client, started_at: float) -> tuple[float, Callable[[Client], bool]]:
         """Return the timeout for the next command and its handler, which tells if the session continues."""
         now, settings = self._scheduler.now(), self._settings
         if client.reader.has_partial_message:
-            timeouts = [(begun_at + COMMAND_READ_SECONDS, self._on_read_timeout)]
+            timeouts = [(started_at + COMMAND_READ_SECONDS, self._on_read_timeout)]
         else:
             timeouts = [(now + settings.session_idle_ms / 1000, self._on_idle_timeout)]
         if client.reserved is not None and client.pending_error is None:
@@ -405,13 +406,13 @@
             if client.deadline is not None:
                 timeouts.append((client.deadline, self._on_transaction_timeout))
             if client.session.softly_pinned:
-                timeouts.append((begun_at + SOFT_PIN_SECONDS, self._drop_soft_pins))
+                timeouts.append((started_at + SOFT_PIN_SECONDS, self._drop_soft_pins))
         return min(timeouts, key=lambda each: each[0])
 
     def _drain_deadline(self, client: Client, now: float) -> float:
         """Return when a session must leave its draining node: the grace period of its class plus a jitter."""
         if client.drain_deadline is None or client.drain_deadline < 0:
-            grace = self._mapping.grace_ns(client.request_class or self._settings.strict_class) / 1e9
+            grace = self._mapper.grace_ns(client.request_class or self._settings.strict_class) / 1e9
             client.drain_jitter = self._rng.random()
             client.drain_deadline = now + grace + client.drain_jitter * self._settings.drain_spread_ms / 1000
         return client.drain_deadline
@@ -531,9 +532,9 @@
     def _run_as_request(self, client: Client, pending: PendingCommand, statement: Statement) -> bool:
         """Run a command of an unpinned session on a node chosen by the load balancer."""
         session = client.session
-        opens = self._begins_transaction(session, statement)
-        assignment = self._mapping.assign(statement, session.user, opens)
-        if self._mapping.is_new_assignment(statement, session.user, assignment):
+        begins_transaction = self._begins_transaction(session, statement)
+        assignment = self._mapper.assign(statement, session.user, begins_transaction)
+        if self._mapper.is_new_assignment(statement, session.user, assignment):
             log.info(
                 "statement assigned",
                 extra={"fields": {
@@ -742,9 +743,8 @@
                 return False
             return True
         except (OSError, TaskTimeoutError, ClientLeftError):
-            if (
-                not was_complete and not relay.done
-            ):  # the client has disconnected, so its statement is stopped
+            # The client has disconnected, so its running statement is stopped.
+            if not was_complete and not relay.done:
                 client.reserved = None
                 reserved.stop(AttemptStatus.CANCELLED)
             raise ClientLeftError from None
@@ -767,7 +767,7 @@
         """Return the next bytes of a response.
 
         Raises:
-            ConnectionLostError: The connection broke, or the deadline or the drain time passed.
+            NodeConnectionError: The connection broke, or the deadline or the drain time passed.
             ClientLeftError: The client has closed its connection.
         """
         channel, started = reserved.conn.channel, self._scheduler.now()
@@ -804,7 +804,7 @@
                     return data
                 if data is not None:
                     raise ConnectionResetError
-        except _BROKEN as error:
+        except _CONNECTION_ERRORS as error:
             raise NodeConnectionError(
                 self._broken_reply_error(in_transaction, statement), AttemptStatus.RESET
             ) from error
@@ -823,11 +823,11 @@
         conn, in_transaction = reserved.conn, session.in_transaction
         deadline = client.deadline
         if not in_transaction:
-            opens = self._begins_transaction(session, statement)
-            assignment = self._mapping.assign(statement, session.user, opens)
+            begins_transaction = self._begins_transaction(session, statement)
+            assignment = self._mapper.assign(statement, session.user, begins_transaction)
             deadline = self._scheduler.now() + assignment.deadline_ms / 1000
             client.request_class = assignment.request_class
-            client.deadline = deadline if opens else None
+            client.deadline = deadline if begins_transaction else None
         pending.conn = conn
         send_deadline = deadline if deadline is not None else self._scheduler.now() + CLIENT_WRITE_SECONDS
         try:
@@ -864,9 +864,8 @@
             client, pending, statement, Reply(b"", relay, reserved), deadline
         )
         if session_continues and statement.chain and self._starts_request_too_late(client, pending, _CHAINED):
-            self._on_drain_timeout(
-                client
-            )  # COMMIT AND CHAIN has started a transaction, which is a new request
+            # COMMIT AND CHAIN has started a transaction, which counts as a new request.
+            self._on_drain_timeout(client)
         return session_continues
 
     # --- command handlers -----------------------------------------------------------------------
@@ -884,7 +883,7 @@
         if kind is StatementKind.EMPTY:
             return self._send_error(client, Err(1065, "42000", "Query was empty"))
         if kind is StatementKind.LOCAL_FILE:
-            return self._send_error(client, _NO_LOCAL)
+            return self._send_error(client, _LOCAL_FILES_DISABLED)
         if statement.kill is not None:
             return self._kill(client, *statement.kill)
         if client.reserved is None:
@@ -1025,7 +1024,7 @@
         self._check_text(session, text)
         statement = self._classifier.classify(text, False, session.opaque)
         if statement.kind is StatementKind.LOCAL_FILE:
-            return self._send_error(client, _NO_LOCAL)
+            return self._send_error(client, _LOCAL_FILES_DISABLED)
         statement_id = session.next_prepared(len(text))
         self._charge_prepared(client, len(text))
         # Preparing has no side effects, so it may be retried whatever the statement does.
@@ -1073,8 +1072,8 @@
         if client.reserved is None:
             return None
         conn = client.reserved.conn
-        known = conn.prepared.get((conn.schema, conn.settings, prepared.text))
-        return None if known is None else known[0]
+        entry = conn.prepared.get((conn.schema, conn.settings, prepared.text))
+        return None if entry is None else entry[0]
 
     def _long_data(self, client: Client, body: bytes) -> bool:
         self._charge_prepared(client, len(body))
@@ -1116,7 +1115,7 @@
             self._release(client)
 
 
-_BROKEN = (OSError, ProtocolError)
+_CONNECTION_ERRORS = (OSError, ProtocolError)
 # Kinds of statement that commit an open transaction implicitly, or may do so.
 _COMMITTING = frozenset(
     {
@@ -1136,7 +1135,7 @@
 _USE = Statement(StatementKind.USE, "use", plain_read=True)
 _FIELDS = Statement(StatementKind.READ, "field list", plain_read=True)
 _FETCH = Statement(StatementKind.READ, "fetch")
-_NO_LOCAL = Err.of(
+_LOCAL_FILES_DISABLED = Err.of(
     Errno.CLIENT_LOCAL_FILES_DISABLED,
     "Loading local data is disabled; this must be enabled on both the client and server sides",
 )
--- a/brambleusher/fronts/mysql/load.py
+++ b/brambleusher/fronts/mysql/load.py
@@ -50,6 +50,6 @@
         self._rate += 1 / self._window
 
     def report(self, now: float, max_connections: int) -> LoadReport:
-        """Return the averages for a node to which the sidecar may open at most `places` connections."""
+        """Return the averages for a node to which the sidecar may open at most `max_connections`."""
         self._decay(now)
         return LoadReport(min(1.0, self._busy / max(max_connections, 1)), self._rate)
--- a/brambleusher/fronts/mysql/mapping.py
+++ b/brambleusher/fronts/mysql/mapping.py
@@ -9,9 +9,7 @@
 from brambleusher.fronts.mysql.statements import Hint, Statement, StatementKind
 from brambleusher.loadbalancing import api
 
-MAX_LOGGED_ASSIGNMENTS = (
-    4096  # maximum number of logged assignments remembered; evicted ones may be logged again
-)
+MAX_LOGGED_ASSIGNMENTS = 4096  # number of remembered assignments; evicted ones may be logged again
 
 
 @dataclass(frozen=True, slots=True)
--- a/brambleusher/fronts/mysql/messages.py
+++ b/brambleusher/fronts/mysql/messages.py
@@ -173,8 +173,8 @@
     """Encode session state changes, given as pairs of a type and its strings."""
     out = b""
     for kind, values in changes:
-        plain = kind == SessionChange.GTIDS or kind > SessionChange.TRANSACTION_STATE
-        body = b"".join(values if plain else map(encode_lenenc_string, values))
+        is_raw = kind == SessionChange.GTIDS or kind > SessionChange.TRANSACTION_STATE
+        body = b"".join(values if is_raw else map(encode_lenenc_string, values))
         out += bytes((kind,)) + encode_lenenc_string(body)
     return out
 
--- a/brambleusher/fronts/mysql/nodes.py
+++ b/brambleusher/fronts/mysql/nodes.py
@@ -54,8 +54,8 @@
 )  # fmt: skip
 # Maximum number and total text size in bytes of the statements that stay prepared on one connection.
 MAX_PREPARED_PER_CONNECTION, MAX_PREPARED_BYTES_PER_CONNECTION = 64, 512 * 1024
-MAX_CONCURRENT_KILLS = 2  # maximum number of concurrent KILL commands for one node
-MAX_QUEUED_KILLS = 256  # maximum number of queued KILL commands for one node
+MAX_CONCURRENT_KILLS = 2  # maximum number of concurrent KILL commands per node
+MAX_QUEUED_KILLS = 256  # maximum number of queued KILL commands per node
 CONTROL_COMMAND_SECONDS = 2.0  # timeout of a KILL or a reset, in seconds
 LIMIT_RETRY_SECONDS = 30.0  # interval in seconds between attempts to exceed a limit learned from error 1040
 NODE_ERRORS = frozenset({Errno.CON_COUNT, Errno.SERVER_SHUTDOWN, Errno.SERVER_ISNT_AVAILABLE})
@@ -68,9 +68,7 @@
 
     RELEASE = "release"
     RESERVE = "keep"  # reserve the connection for a pinned session; the attempt is over
-    RESERVE_FOR_TRANSACTION = (
-        "hold"  # reserve the connection for a transaction; the attempt lasts until the transaction ends
-    )
+    RESERVE_FOR_TRANSACTION = "hold"  # keep the attempt open until the transaction ends
     DISCARD_REPLY = "refused"  # discard the response, which no client awaits any more
 
 
@@ -116,9 +114,8 @@
         self.prepared: OrderedDict[tuple[str, object, bytes], tuple[int, int]] = OrderedDict()
         self.used_at = channel.stream.used_at
         self.owner: ConnectionOwner | None = None  # the session whose statement ran last on this connection
-        self.last_id_owner: ConnectionOwner | None = (
-            None  # the session whose LAST_INSERT_ID the connection may hold
-        )
+        # The session whose LAST_INSERT_ID the connection may hold.
+        self.last_id_owner: ConnectionOwner | None = None
         self.unusable = False  # a KILL may be in flight or the stream is corrupt, so no other session gets it
 
     def matches(self, traits: ConnectionTraits) -> bool:
@@ -152,9 +149,8 @@
     address: tuple[str, int]
     started_ns: int
     meter: LoadMeter
-    idle: list[NodeConnection] = field(
-        default_factory=list
-    )  # ordered by last use, the most recent at the end
+    # Idle connections, with the most recently used one at the end.
+    idle: list[NodeConnection] = field(default_factory=list)
     attempts: dict[MysqlAttempt, None] = field(default_factory=dict)  # a dict, for a deterministic order
     reserved: dict[ReservedConnection, None] = field(default_factory=dict)
     waiters: deque[MysqlAttempt] = field(default_factory=deque)
@@ -200,9 +196,8 @@
     owner: ConnectionOwner
     command: int
     body: bytes
-    on_reply: Callable[
-        [Reply], ConnectionDisposition
-    ]  # called as soon as a response is complete or has started
+    # Callback that is called as soon as a response is complete or has started.
+    on_reply: Callable[[Reply], ConnectionDisposition]
     execution: Execute | None = None  # the execution of `prepared`, if the command is COM_STMT_EXECUTE
     prepared: PreparedText | None = None
     reads_last_id: bool = False
@@ -260,18 +255,18 @@
         return self._on_finished is not None
 
     def keep_attempt_open(
-        self, ended: Callable[[AttemptOutcome], None], started_at: float, now: float
+        self, on_finished: Callable[[AttemptOutcome], None], started_at: float, now: float
     ) -> None:
-        """Keep the attempt open; `ended` is called with its outcome."""
-        self._on_finished, self.started_at = ended, started_at
+        """Keep the attempt open; `on_finished` is called with its outcome."""
+        self._on_finished, self.started_at = on_finished, started_at
         self.node_time_ns = int((now - started_at) * 1e9)
 
     def finish(self, status: AttemptStatus) -> None:
         """End the attempt; repeated calls have no effect."""
         if self._on_finished is not None:
-            ended, self._on_finished = self._on_finished, None
+            on_finished, self._on_finished = self._on_finished, None
             report = self._nodes.report(self.node) if status is AttemptStatus.OK else None
-            ended(AttemptOutcome(status, self.node_time_ns, report))
+            on_finished(AttemptOutcome(status, self.node_time_ns, report))
 
     def begin_load(self) -> None:
         """Start to count a statement on this connection in the node's load."""
@@ -672,9 +667,10 @@
             if conn is owner.last_conn:
                 best = conn
                 break
+            # Of the connections with the smallest set-up cost, the most recently used one wins.
             if best is None or (
                 _state_change_cost(conn, required_state) < _state_change_cost(best, required_state)
-            ):  # of the connections with the smallest distance, the most recently used one wins
+            ):
                 best = conn
         if best is not None:
             node.idle.remove(best)
@@ -927,14 +923,14 @@
     ) -> tuple[bytes, ReplyRelay]:
         """Return the bytes to send for a command on this connection, and the relay for its response."""
         session, body = pending.session, pending.body
-        data = b""
+        prefix = b""
         if pending.prepared is not None and pending.execution is not None:
-            data, body = self.encode_execute(conn, pending.prepared, pending.execution, attempt, limit)
+            prefix, body = self.encode_execute(conn, pending.prepared, pending.execution, attempt, limit)
         relay = ReplyRelay(
             pending.command, conn.capabilities, session.capabilities, pending.statement_id,
             packet_count(len(body)), pending.seq, session.status,
         )  # fmt: skip
-        return data + frame(body, 0), relay
+        return prefix + frame(body, 0), relay
 
     def encode_execute(
         self,
@@ -982,9 +978,9 @@
         while len(conn.prepared) > MAX_PREPARED_PER_CONNECTION or (
             len(conn.prepared) > 1 and size > MAX_PREPARED_BYTES_PER_CONNECTION
         ):
-            oldest, entry = conn.prepared.popitem(last=False)
-            evicted.append(entry)
-            size -= len(oldest[2])
+            oldest_key, evicted_entry = conn.prepared.popitem(last=False)
+            evicted.append(evicted_entry)
+            size -= len(oldest_key[2])
         if evicted:
             close_commands = b"".join(
                 frame(b"\x19" + number.to_bytes(4, "little"), 0) for number, _ in evicted
@@ -1004,7 +1000,7 @@
     def kill(
         self, conn: NodeConnection, on_finished: Callable[[], None] | None = None, query: bool = True
     ) -> None:
-        """Kill the statement on a connection; `over` is called exactly once, also after a failure.
+        """Kill the statement on a connection; `on_finished` is called exactly once, also after a failure.
 
         The number of concurrent and queued kills per node is limited.
         """
--- a/brambleusher/fronts/mysql/replies.py
+++ b/brambleusher/fronts/mysql/replies.py
@@ -17,9 +17,8 @@
 MAX_COLUMNS = 4096  # maximum number of columns of a MySQL table
 MAX_RESULTS = 10_000  # maximum number of result sets of one statement
 MAX_DEFINITION = 1024 * 1024  # maximum size in bytes of an OK packet, an ERR packet or a column definition
-MAX_BUFFERED_ROW_BYTES = (
-    32 * 1024
-)  # maximum size in bytes of a row packet that is buffered; longer ones are sent in pieces
+# Maximum size in bytes of a row packet that is buffered until it is complete; longer ones are sent in pieces.
+MAX_BUFFERED_ROW_BYTES = 32 * 1024
 
 
 class ReplyStage(Enum):
--- a/brambleusher/fronts/mysql/service.py
+++ b/brambleusher/fronts/mysql/service.py
@@ -56,13 +56,13 @@
         except OSError as error:  # a certificate or key file can't be loaded
             raise OperatorFileError(f"mysql: TLS files can't be used: {error}") from None
 
-    def start(self, known: EndpointListUpdate) -> tuple[str, int]:
+    def start(self, endpoints: EndpointListUpdate) -> tuple[str, int]:
         """Start to listen and return the address."""
-        self.nodes.update(known)
+        self.nodes.update(endpoints)
         self._scheduler.spawn(self.nodes.reap, name="mysql reap")
-        self.address = where = self.front.listen(self._settings.listen)
-        log.info("listening for MySQL", extra={"fields": {"address": f"{where[0]}:{where[1]}"}})
-        return where
+        self.address = address = self.front.listen(self._settings.listen)
+        log.info("listening for MySQL", extra={"fields": {"address": f"{address[0]}:{address[1]}"}})
+        return address
 
     def wind_down(self) -> None:
         """Accept no new sessions; pinned sessions may continue for the grace period of their class."""
--- a/brambleusher/fronts/mysql/session.py
+++ b/brambleusher/fronts/mysql/session.py
@@ -1,7 +1,8 @@
 """Session state of a MySQL client: settings, prepared statements, and pins to one node connection.
 
 The module uses no sockets.  `Session` processes each statement and its reply, and determines whether the next
-statement may run on another connection.  Its state can be exported as a JSON object and restored from it.
+statement may run on another connection.  If not, the session is pinned to its connection.  The state of a
+session can be exported as a JSON object and restored from it.
 """
 
 from __future__ import annotations
@@ -357,9 +358,8 @@
                 raise ProtocolError("an execute without types, and none were told", Errno.WRONG_ARGUMENTS)
             execution.types = prepared.types or None
         if execution.types is not None:
-            execution.parameters(
-                prepared.parameters, execution.types, frozenset(prepared.long_values)
-            )  # validates the values
+            # Splitting the parameters validates them.
+            execution.parameters(prepared.parameters, execution.types, frozenset(prepared.long_values))
             prepared.types = execution.types
         return prepared, execution
 
--- a/brambleusher/fronts/mysql/settings.py
+++ b/brambleusher/fronts/mysql/settings.py
@@ -204,10 +204,10 @@
         text, request_class = rule.text("text"), rule.text("class")
         if text is None or request_class is None:
             raise OperatorFileError(f"{path} needs text and class")
-        parts, _, sound = tokenize(text.encode())
-        if not sound or not parts:
+        tokens, _, reliable = tokenize(text.encode())
+        if not reliable or not tokens:
             raise OperatorFileError(f"{path}.text can't be read as a statement")
-        out.append(StatementRule(build_digest(parts), request_class, _optional_ms(rule, "deadline_ms")))
+        out.append(StatementRule(build_digest(tokens), request_class, _optional_ms(rule, "deadline_ms")))
         rule.reject_unknown_keys()
     return tuple(out)
 
@@ -272,16 +272,16 @@
     """Load the users file; each line has a name, a plugin and a hash, separated by tabs or spaces."""
     out: dict[str, Secret] = {}
     for number, line in _read_lines(path, "mysql.users_file"):
-        parts = line.split()
-        if len(parts) != 3:
+        fields = line.split()
+        if len(fields) != 3:
             raise OperatorFileError(f"mysql.users_file: line {number} is not a name, a plugin and a hash")
         try:
-            secret = Secret.parse(parts[1], parts[2])
+            secret = Secret.parse(fields[1], fields[2])
         except ValueError as error:
             raise OperatorFileError(f"mysql.users_file: line {number}: {error}") from None
-        if parts[0] in out:
-            raise OperatorFileError(f"mysql.users_file: line {number} has {parts[0]} for the second time")
-        out[parts[0]] = secret
+        if fields[0] in out:
+            raise OperatorFileError(f"mysql.users_file: line {number} has {fields[0]} for the second time")
+        out[fields[0]] = secret
     return out
 
 
--- a/brambleusher/fronts/mysql/statements.py
+++ b/brambleusher/fronts/mysql/statements.py
@@ -79,12 +79,9 @@
     kind: StatementKind
     digest: str
     plain_read: bool = False  # a retry has no side effects
-    pins: tuple[
-        tuple[PinReason, str], ...
-    ] = ()  # pins that the statement adds, with the name of their object
-    unpins: tuple[
-        tuple[PinReason, str], ...
-    ] = ()  # pins that it removes; an empty name removes all of that kind
+    pins: tuple[tuple[PinReason, str], ...] = ()  # pins that the statement adds, with an object name
+    # Pins that the statement removes; an empty name removes all pins of that reason.
+    unpins: tuple[tuple[PinReason, str], ...] = ()
     settings: tuple[tuple[str, str], ...] = ()  # settings to replay, as a key and the text after SET
     autocommit: bool | None = None
     schema: str | None = None
@@ -169,19 +166,22 @@
     Malformed parts of a hint are ignored.
     """
     for comment in comments:
-        found = _HINT.match(comment)
-        if found is None:
+        match = _HINT.match(comment)
+        if match is None:
             continue
-        given = dict(
-            pair.split("=", 1) for pair in found[1].decode("utf-8", "replace").split() if "=" in pair
+        options = dict(
+            pair.split("=", 1) for pair in match[1].decode("utf-8", "replace").split() if "=" in pair
         )
 
-        def number(name: str, given: dict[str, str] = given) -> int | None:
-            value = given.get(name, "")
+        def number(name: str, options: dict[str, str] = options) -> int | None:
+            value = options.get(name, "")
             return int(value) if re.fullmatch(r"[0-9]{1,9}", value) else None
 
         return Hint(
-            given.get("class") or None, given.get("tenant") or None, number("deadline_ms"), number("work_us")
+            options.get("class") or None,
+            options.get("tenant") or None,
+            number("deadline_ms"),
+            number("work_us"),
         )
     return None
 
@@ -228,7 +228,7 @@
     validate_password_strength values var_pop var_samp variance version week weekday weekofyear
     weight_string year yearweek"""
 )
-_ABOUT_PREVIOUS = frozenset({"row_count", "found_rows"})
+_PREVIOUS_STATEMENT_FUNCTIONS = frozenset({"row_count", "found_rows"})
 _NEVER_REPLAYED = _name_set(
     "insert_id last_insert_id identity timestamp rand_seed1 rand_seed2 pseudo_thread_id pseudo_slave_mode"
     " pseudo_replica_mode gtid_next sql_log_bin session_track_gtids debug proxy_user external_user"
@@ -375,10 +375,12 @@
         return name, at + 1
 
     def _show(self, second: str, names: list[str]) -> Statement:
-        about = second in ("warnings", "errors") or (
+        about_previous = second in ("warnings", "errors") or (
             second == "count" and bool({"warnings", "errors"} & set(names))
         )
-        return Statement(StatementKind.READ, self.digest, plain_read=not about, depends_on_previous=about)
+        return Statement(
+            StatementKind.READ, self.digest, plain_read=not about_previous, depends_on_previous=about_previous
+        )
 
     # --- SET ------------------------------------------------------------------------------------
 
@@ -504,17 +506,17 @@
 
         writes = (exp.Insert, exp.Update, exp.Delete, exp.Merge)
         pins: list[tuple[PinReason, str]] = []
-        plain, about, reads_id, sets_id = True, False, False, False
+        plain_read, about_previous, reads_last_id, sets_last_id = True, False, False, False
         unpins: list[tuple[PinReason, str]] = []
         for node in tree.walk():
             if isinstance(node, (*writes, exp.Lock, exp.Into, exp.Command, exp.Create, exp.Drop)):
-                plain = False
+                plain_read = False
                 if isinstance(node, exp.Command):
                     return self.unknown("the parser knows only a part of the statement")
                 if isinstance(node, exp.Into):
                     pins += [(PinReason.USER_VARIABLE, _sql(each)) for each in node.find_all(exp.Parameter)]
             elif isinstance(node, exp.PropertyEQ) and isinstance(node.this, exp.Parameter):
-                plain = False
+                plain_read = False
                 pins.append((PinReason.USER_VARIABLE, _sql(node.this)))
         # Function calls are found by tokens, because sqlglot renames some functions and drops others.
         for at, name in enumerate(names):
@@ -523,7 +525,7 @@
             if self.tokens[at][0] != "word" or name in _PURE_FUNCTIONS or not self._may_be_function(at):
                 continue
             if name in ("get_lock", "release_lock", "release_all_locks", "is_free_lock", "is_used_lock"):
-                plain = False
+                plain_read = False
                 lock = self._literal(at + 2)
                 if name == "get_lock":
                     pins.append((PinReason.NAMED_LOCK, lock or "?"))
@@ -532,24 +534,27 @@
                 elif name == "release_lock" and lock:
                     unpins.append((PinReason.NAMED_LOCK, lock))
             elif name == "last_insert_id":
-                bare = self.tokens[at + 2][1] == b")" if at + 2 < len(self.tokens) else False
-                reads_id, sets_id = reads_id or bare, sets_id or not bare
-                plain = plain and bare
-            elif name in _ABOUT_PREVIOUS:
-                about, plain = True, False
+                without_argument = self.tokens[at + 2][1] == b")" if at + 2 < len(self.tokens) else False
+                reads_last_id, sets_last_id = (
+                    reads_last_id or without_argument,
+                    sets_last_id or not without_argument,
+                )
+                plain_read = plain_read and without_argument
+            elif name in _PREVIOUS_STATEMENT_FUNCTIONS:
+                about_previous, plain_read = True, False
             else:
-                plain = False  # the function may be a stored function, which may write data
+                plain_read = False  # the function may be a stored function, which may write data
         for name in names:
             if name in ("@@identity", "@@last_insert_id", "@@session.identity", "@@session.last_insert_id"):
-                reads_id = True
+                reads_last_id = True
             elif name in ("@@warning_count", "@@error_count"):
-                about, plain = True, False
+                about_previous, plain_read = True, False
         if ":=" in {token.decode("latin-1") for _, token in self.tokens}:
-            plain = False
+            plain_read = False
             if not any(pin is PinReason.USER_VARIABLE for pin, _ in pins):
                 pins.append((PinReason.USER_VARIABLE, "?"))
         if "into" in names and first in ("select", "with") and not pins:
-            plain = False
+            plain_read = False
             if any(kind == "variable" for kind, _ in self.tokens[names.index("into") :]):
                 pins.append((PinReason.USER_VARIABLE, "?"))
         if "sql_calc_found_rows" in names:
@@ -558,11 +563,11 @@
             isinstance(node, writes) for node in tree.walk()
         )
         if first in ("explain", "describe", "desc"):
-            write, plain = False, plain and not write
+            write, plain_read = False, plain_read and not write
         return Statement(
-            StatementKind.WRITE if write else StatementKind.READ, self.digest, plain and not write,
+            StatementKind.WRITE if write else StatementKind.READ, self.digest, plain_read and not write,
             tuple(pins), tuple(unpins),
-            depends_on_previous=about, reads_last_id=reads_id, sets_last_id=sets_id,
+            depends_on_previous=about_previous, reads_last_id=reads_last_id, sets_last_id=sets_last_id,
         )  # fmt: skip
 
     def _may_be_function(self, at: int) -> bool:
@@ -643,9 +648,9 @@
                 unknown_reason="text can't be tokenized",
             )
         key = (text, multi)
-        if (known := self._by_text.get(key)) is not None:
+        if (cached := self._by_text.get(key)) is not None:
             self._by_text.move_to_end(key)
-            return known
+            return cached
         statement = (
             self._classify_long_text(text, multi)
             if len(text) > MAX_TEXT
@@ -711,7 +716,7 @@
         if len(split_tokens) == 1:
             return _Classifier(tokens, digest).read()
         if not multi or len(split_tokens) > MAX_STATEMENTS:
-            # Without the MULTI_STATEMENTS capability the server rejects the text.
+            # Without the MULTI_STATEMENTS capability the server rejects the text; no effects are assumed.
             return _Classifier(tokens, digest).unknown("several statements in one text")
         return _combine([_Classifier(each, digest).read() for each in split_tokens if each], digest)
 
@@ -726,12 +731,12 @@
     )
 
 
-def _combine(each: list[Statement], digest: str) -> Statement:
+def _combine(statements: list[Statement], digest: str) -> Statement:
     """Combine the classifications of several statements in one text."""
-    if not each:
+    if not statements:
         return Statement(StatementKind.EMPTY, digest)
-    reads = all(one.plain_read for one in each)
-    kinds = {one.kind for one in each}
+    all_plain_reads = all(each.plain_read for each in statements)
+    kinds = {each.kind for each in statements}
     if kinds & {StatementKind.KILL, StatementKind.LOCAL_FILE}:
         return Statement(
             StatementKind.UNKNOWN,
@@ -739,23 +744,25 @@
             pins=((PinReason.UNKNOWN, ""),),
             unknown_reason="KILL or LOCAL among several statements",
         )
-    pins = tuple(dict.fromkeys(pin for one in each for pin in one.pins))
+    pins = tuple(dict.fromkeys(pin for each in statements for pin in each.pins))
     # Removed pins are ignored, because an error may have ended the text before the removing statement.
     return Statement(
-        StatementKind.READ if reads
+        StatementKind.READ if all_plain_reads
         else StatementKind.UNKNOWN if StatementKind.UNKNOWN in kinds else StatementKind.WRITE,
-        digest, reads, pins,
-        settings=tuple(pair for one in each for pair in one.settings),
-        autocommit=next((one.autocommit for one in reversed(each) if one.autocommit is not None), None),
-        schema=next((one.schema for one in reversed(each) if one.schema is not None), None),
-        depends_on_previous=each[0].depends_on_previous,
-        reads_last_id=any(one.reads_last_id for one in each),
-        sets_last_id=any(one.sets_last_id for one in each),
-        opaque_after=any(one.opaque_after for one in each),
-        release=any(one.release for one in each),
-        count=len(each),
+        digest, all_plain_reads, pins,
+        settings=tuple(pair for each in statements for pair in each.settings),
+        autocommit=next(
+            (each.autocommit for each in reversed(statements) if each.autocommit is not None), None
+        ),
+        schema=next((each.schema for each in reversed(statements) if each.schema is not None), None),
+        depends_on_previous=statements[0].depends_on_previous,
+        reads_last_id=any(each.reads_last_id for each in statements),
+        sets_last_id=any(each.sets_last_id for each in statements),
+        opaque_after=any(each.opaque_after for each in statements),
+        release=any(each.release for each in statements),
+        count=len(statements),
         may_restart_transaction=bool(kinds & {
             StatementKind.BEGIN, StatementKind.COMMIT, StatementKind.ROLLBACK, StatementKind.DEFINE,
         }),
-        unknown_reason="; ".join(one.unknown_reason for one in each if one.unknown_reason),
+        unknown_reason="; ".join(each.unknown_reason for each in statements if each.unknown_reason),
     )  # fmt: skip
--- a/tests/fronts/mysql/mysql_rig.py
+++ b/tests/fronts/mysql/mysql_rig.py
@@ -30,7 +30,7 @@
     """Stand-in MySQL servers on one scheduler, which runs in its own thread."""
 
     def __init__(self, count: int = 2, seed: int = 1, **settings: Any) -> None:
-        self.troubles: list[Callable[[Moment], Fault | None]] = [lambda moment: None] * count
+        self.fault_injectors: list[Callable[[Moment], Fault | None]] = [lambda moment: None] * count
         self.servers: list[MysqlServer] = []
         users = {
             "web": Secret.from_password(NATIVE, b"pw"),
@@ -46,7 +46,7 @@
                 accounts(NAMES, database)
                 server = MysqlServer(
                     scheduler, f"h{at}", database, MysqlSettings(users=users, **settings), seed + at,
-                    partial(self._trouble, at), keep=True,
+                    partial(self._inject_fault, at), keep=True,
                 )  # fmt: skip
                 server.listen(("127.0.0.1", 0))
                 self.servers.append(server)
@@ -60,8 +60,8 @@
         self.thread.start()
         self.scheduler = up.get(timeout=WAIT)
 
-    def _trouble(self, at: int, moment: Moment) -> Fault | None:
-        return self.troubles[at](moment)
+    def _inject_fault(self, at: int, moment: Moment) -> Fault | None:
+        return self.fault_injectors[at](moment)
 
     def do(self, call: Callable[[], Answer]) -> Answer:
         """Run a function in the servers' thread and return its result."""
@@ -71,7 +71,7 @@
 
     def clear(self) -> None:
         """Remove the injected faults, forget the recorded statements, and reset the tables."""
-        self.troubles[:] = [lambda moment: None] * len(self.servers)
+        self.fault_injectors[:] = [lambda moment: None] * len(self.servers)
         for server in self.servers:
             server.seen.clear()
             server.database.tables.clear()
@@ -107,7 +107,7 @@
     """Stand-in servers, a discovery service, and a sidecar with the MySQL front end enabled."""
 
     def __init__(
-        self, folder: Path, servers: Servers, more: str = "", promise_s: int = 1, **limits: Any
+        self, folder: Path, servers: Servers, more: str = "", latency_target_s: int = 1, **limits: Any
     ) -> None:
         self.servers, self.folder = servers, folder
         self._before: dict[str, int] = {}
@@ -132,9 +132,9 @@
             f"sha {CACHING_SHA2} {Secret.from_password(CACHING_SHA2, b'front-sha').to_server_format()}\n"
         )
         (folder / "accounts").write_text("registry node-secret\nsha sha-secret\n")
-        places = {name: "{}:{}".format(*servers.address(at)) for at, name in enumerate(names)}
+        node_addresses = {name: "{}:{}".format(*servers.address(at)) for at, name in enumerate(names)}
         text = OPERATOR.format(
-            folder=folder, addresses=", ".join(f"{k}: '{v}'" for k, v in places.items()), more=more
+            folder=folder, addresses=", ".join(f"{k}: '{v}'" for k, v in node_addresses.items()), more=more
         )
         up: queue.Queue[tuple[Sidecar, tuple[str, int]]] = queue.Queue()
 
--- a/tests/fronts/mysql/test_mysql_auth.py
+++ b/tests/fronts/mysql/test_mysql_auth.py
@@ -35,11 +35,11 @@
 def test_hashes_are_those_of_a_server() -> None:
     # The values come from PASSWORD('mypass') in the MySQL manual and from `openssl passwd -5`.
     assert native_hash(b"mypass").hex().upper() == "6C8989366EAF75BB670AD8EA7A7FC1176A95CEF4"
-    for password, salt, due in (
+    for password, salt, expected in (
         (b"secret", b"abcdefghijklmnop", b"i7zHaTeYqXlesRXJ8dXj6o.MEFQdzfIJpJpcWAtszs6"),
         (b"Hello world!", b"saltstring", b"5B8vYYiY.CVt1RlTTf8KbXBH3hsxY/GNooZaBBGWEc5"),
     ):
-        assert sha256_crypt(password, salt) == due
+        assert sha256_crypt(password, salt) == expected
     assert verify_sha2_response(sha2_response(b"pw", CHALLENGE), CHALLENGE, sha2_hash(b"pw"))
     assert not verify_sha2_response(sha2_response(b"pv", CHALLENGE), CHALLENGE, sha2_hash(b"pw"))
 
@@ -55,7 +55,7 @@
             Secret.parse(plugin, text)
 
 
-def meet(client: ClientLogin, server: ServerLogin, cut: int = 7) -> tuple[int, bool]:
+def run_login(client: ClientLogin, server: ServerLogin, cut: int = 7) -> tuple[int, bool]:
     """Connect a client login to a server login, feeding at most `cut` bytes at a time.
 
     Returns how often the hash computation yielded, and whether TLS was used.
@@ -103,15 +103,14 @@
     caps = CAPS | (Capability.SSL if tls else 0)
     how: dict[str, Any] = {"tls": "preferred" if tls else "off", "ask_key": True}
     first = server(secret, offered, caps)
-    again, secure = meet(client(password, **how), first)
+    again, secure = run_login(client(password, **how), first)
     assert secure is tls
     assert first.login is not None
     assert (first.login.user, first.login.database, first.error) == ("web", "shop", None)
     full = plugin == CACHING_SHA2 and bool(password)
     assert (again > 0) is full  # only the full exchange computes SHA-256 crypt and yields in between
-    assert (
-        meet(client(password, **how), server(secret, offered, caps))[0] == 0
-    )  # the second login uses the fast exchange
+    # The second login uses the fast exchange.
+    assert run_login(client(password, **how), server(secret, offered, caps))[0] == 0
 
 
 @pytest.mark.parametrize("plugin", [NATIVE, CACHING_SHA2])
@@ -119,7 +118,9 @@
     errors = []
     for user, password in (("web", b"wrong"), ("who", b"pw"), ("web", b"")):
         with pytest.raises(LoginRejectedError) as caught:
-            meet(client(password, user, ask_key=True), server(Secret.from_password(plugin, b"pw"), plugin))
+            run_login(
+                client(password, user, ask_key=True), server(Secret.from_password(plugin, b"pw"), plugin)
+            )
         errors.append(caught.value.error)
     assert {(error.errno, error.state) for error in errors} == {(Errno.ACCESS_DENIED, "28000")}
     assert errors[0].text.replace("web", "who") == errors[1].text
@@ -128,16 +129,16 @@
 
 def test_a_password_goes_to_no_server_whose_key_is_not_known() -> None:
     with pytest.raises(ProtocolError):
-        meet(client(), server(Secret.from_password(CACHING_SHA2, b"pw")))
-    meet(client(public_key=KEY.public()), server(Secret.from_password(CACHING_SHA2, b"pw")))
+        run_login(client(), server(Secret.from_password(CACHING_SHA2, b"pw")))
+    run_login(client(public_key=KEY.public()), server(Secret.from_password(CACHING_SHA2, b"pw")))
 
 
 def test_tls_and_compression_are_asked_for_in_vain() -> None:
     with pytest.raises(ProtocolError) as caught:
-        meet(client(tls="required"), server(Secret.from_password(NATIVE, b"pw"), NATIVE))
+        run_login(client(tls="required"), server(Secret.from_password(NATIVE, b"pw"), NATIVE))
     assert caught.value.errno == Errno.SECURE_TRANSPORT_REQUIRED
     with pytest.raises(LoginRejectedError) as refused:
-        meet(client(), server(Secret.from_password(NATIVE, b"pw"), NATIVE, secure_only=True))
+        run_login(client(), server(Secret.from_password(NATIVE, b"pw"), NATIVE, secure_only=True))
     assert refused.value.error.errno == Errno.SECURE_TRANSPORT_REQUIRED
     for flag in (Capability.COMPRESS, Capability.ZSTD):
         login = server(Secret.from_password(NATIVE, b"pw"), NATIVE)
--- a/tests/fronts/mysql/test_mysql_clients.py
+++ b/tests/fronts/mysql/test_mysql_clients.py
@@ -19,7 +19,7 @@
 
 from tests.fronts.mysql.mysql_rig import MysqlRig, Servers
 
-Place = tuple[str, int, str, str]  # host, port, user, password
+Target = tuple[str, int, str, str]  # host, port, user, password
 Values = list[Any]
 TABLE = (
     "create table {} (id int primary key auto_increment, name varchar(50), price decimal(10,2), "
@@ -49,13 +49,13 @@
     servers = Servers(1, tls=context)
     tls = f"  tls: {{mode: preferred, cert_file: {folder}/cert.pem, key_file: {folder}/key.pem}}\n"
     # The latency target holds on a busy machine too; otherwise the load balancer would reject requests.
-    rig = MysqlRig(folder, servers, tls, promise_s=20)
+    rig = MysqlRig(folder, servers, tls, latency_target_s=20)
     yield rig, servers
     rig.end()
     servers.end()
 
 
-def places(rig: MysqlRig, servers: Servers) -> list[Place]:
+def targets(rig: MysqlRig, servers: Servers) -> list[Target]:
     return [(*servers.address(), "web", "pw"), (*rig.address, "web", "front")]
 
 
@@ -118,8 +118,8 @@
     return out
 
 
-def of_pymysql(place: Place) -> Values:
-    host, port, user, password = place
+def of_pymysql(target: Target) -> Values:
+    host, port, user, password = target
     conn = pymysql.connect(
         host=host, port=port, user=user, password=password, database="shop", ssl_disabled=True
     )
@@ -134,8 +134,8 @@
     return out
 
 
-def of_connector(place: Place, pure: bool) -> Values:
-    host, port, user, password = place
+def of_connector(target: Target, pure: bool) -> Values:
+    host, port, user, password = target
     # The C library of this connector version supports only the plugin caching_sha2_password.
     user, password = "sha", "sha-secret" if password == "pw" else "front-sha"
     conn: Any = mysql.connector.connect(
@@ -165,8 +165,8 @@
     return out
 
 
-def of_aiomysql(place: Place) -> Values:
-    host, port, user, password = place
+def of_aiomysql(target: Target) -> Values:
+    host, port, user, password = target
 
     async def run() -> Values:
         out: Values = []
@@ -197,8 +197,8 @@
     return asyncio.run(run())
 
 
-def of_sqlalchemy(place: Place) -> Values:
-    host, port, user, password = place
+def of_sqlalchemy(target: Target) -> Values:
+    host, port, user, password = target
     engine = sa.create_engine(f"mysql+pymysql://{user}:{password}@{host}:{port}/shop", pool_size=2)
     data = sa.MetaData()
     seats = sa.Table(
@@ -228,10 +228,10 @@
     return out
 
 
-CLIENTS: dict[str, Callable[[Place], Values]] = {
+CLIENTS: dict[str, Callable[[Target], Values]] = {
     "PyMySQL": of_pymysql,
-    "connector, pure": lambda place: of_connector(place, True),
-    "connector, C": lambda place: of_connector(place, False),
+    "connector, pure": lambda target: of_connector(target, True),
+    "connector, C": lambda target: of_connector(target, False),
     "aiomysql": of_aiomysql,
     "SQLAlchemy": of_sqlalchemy,
 }
@@ -241,7 +241,7 @@
 def test_through_the_sidecar_as_direct(name: str, rig: tuple[MysqlRig, Servers]) -> None:
     if name == "connector, C" and not mysql.connector.HAVE_CEXT:
         pytest.skip("the C library of mysql-connector-python does not load here")
-    direct, through = (CLIENTS[name](place) for place in places(*rig))
+    direct, through = (CLIENTS[name](target) for target in targets(*rig))
     assert len(direct) == len(through) > 5
     for one, other in zip(direct, through, strict=True):
         assert one == other
@@ -258,9 +258,7 @@
             assert len(cursor.fetchall()) == 20000
         conn.close()
         for secret in rig[0].sidecar.mysql.front._users.values():  # type: ignore[union-attr]
-            secret.double_sha256 = (
-                b""  # clears the cached hash, so that the next login needs the full exchange
-            )
+            secret.double_sha256 = b""  # without the cached hash, the next login needs the full exchange
     for pure in (True, False)[: 1 + bool(mysql.connector.HAVE_CEXT)]:
         other: Any = mysql.connector.connect(
             host=host, port=port, user="sha", password="front-sha", use_pure=pure
--- a/tests/fronts/mysql/test_mysql_codec.py
+++ b/tests/fronts/mysql/test_mysql_codec.py
@@ -128,13 +128,13 @@
     column = Column(b"n", Type.LONGLONG, 63, 20, 0x81, 0, b"shop", b"t", b"t0", b"n0")
     assert Column.parse(column.encode()) == column
     assert Prepared.parse(Prepared(9, 3, 2, 1).encode()) == Prepared(9, 3, 2, 1)
-    news: list[tuple[int, tuple[bytes, ...]]] = [
+    changes: list[tuple[int, tuple[bytes, ...]]] = [
         (SessionChange.SYSTEM_VARIABLES, (b"autocommit", b"OFF")), (SessionChange.SCHEMA, (b"shop",)),
         (SessionChange.TRANSACTION_STATE, (b"T_______",)), (SessionChange.GTIDS, (b"\0\1x",)),
     ]  # fmt: skip
-    assert parse_session_changes(encode_session_changes(news)) == news
-    told = int(Status.SESSION_STATE_CHANGED)
-    ok = Ok(1, 2**40, told, 3, b"info", encode_session_changes(news))
+    assert parse_session_changes(encode_session_changes(changes)) == changes
+    changed = int(Status.SESSION_STATE_CHANGED)
+    ok = Ok(1, 2**40, changed, 3, b"info", encode_session_changes(changes))
     assert Ok.parse(ok.encode(NEW), NEW) == ok
     assert Ok.parse(ok.encode(OLD), OLD) == Ok(1, 2**40, 0, 3, b"info")
 
@@ -207,9 +207,9 @@
     return out
 
 
-def ok(caps: int, status: int = 2, told: bool = True) -> list[bytes]:
-    news = encode_session_changes([(SessionChange.SCHEMA, (b"shop",))]) if told else b""
-    return [Ok(3, 4, status | Status.SESSION_STATE_CHANGED, 0, b"", news).encode(caps)]
+def ok(caps: int, status: int = 2, with_changes: bool = True) -> list[bytes]:
+    changes = encode_session_changes([(SessionChange.SCHEMA, (b"shop",))]) if with_changes else b""
+    return [Ok(3, 4, status | Status.SESSION_STATE_CHANGED, 0, b"", changes).encode(caps)]
 
 
 def stream(messages: list[bytes], seq: int = 1) -> bytes:
@@ -224,11 +224,11 @@
 DENIED = Err(1142, "42000", "no")
 
 
-def replies(caps: int, told: bool = True) -> dict[str, tuple[int, list[bytes], int]]:
+def replies(caps: int, with_changes: bool = True) -> dict[str, tuple[int, list[bytes], int]]:
     """Return replies of every kind by name, each with its command, its messages and its number of rows."""
     query, execute = Command.QUERY, Command.STMT_EXECUTE
     return {
-        "ok": (query, ok(caps, 2, told), 0),
+        "ok": (query, ok(caps, 2, with_changes), 0),
         "error": (query, [DENIED.encode()], 0),
         "rows": (query, result(caps, ROWS), 5),
         "no rows": (query, result(caps, []), 0),
@@ -236,7 +236,7 @@
         "error for rows": (query, result(caps, [], end=DENIED), 0),
         "results": (
             query,
-            result(caps, ROWS[:1], 2 | MORE) + ok(caps, 2 | MORE, told) + result(caps, ROWS[1:2]),
+            result(caps, ROWS[:1], 2 | MORE) + ok(caps, 2 | MORE, with_changes) + result(caps, ROWS[1:2]),
             2,
         ),
         "error in the second": (query, [*result(caps, ROWS[:1], 2 | MORE), DENIED.encode()], 1),
@@ -247,7 +247,7 @@
         "prepare without columns": (Command.STMT_PREPARE, prepared(caps, 9, 1, 0), 0),
         "prepare without parameters": (Command.STMT_PREPARE, prepared(caps, 9, 0, 1), 0),
         "prepare with neither": (Command.STMT_PREPARE, prepared(caps, 9, 0, 0), 0),
-        "ping": (Command.PING, ok(caps, 2, told), 0),
+        "ping": (Command.PING, ok(caps, 2, with_changes), 0),
         "set option": (Command.SET_OPTION, result(caps, [])[-1:], 0),
     }
 
@@ -257,7 +257,7 @@
 @pytest.mark.parametrize("name", sorted(replies(OLD)))
 def test_each_reply_in_each_wording_cut_anywhere(name: str, server: int, client: int) -> None:
     command, messages, rows = replies(server)[name]
-    data, due = stream(messages), stream(replies(client, server == NEW)[name][1])
+    data, expected = stream(messages), stream(replies(client, server == NEW)[name][1])
     for step in (1, 3, len(data)):
         if step < 3 and len(data) > 10_000:
             continue
@@ -265,7 +265,12 @@
         for at in range(0, len(data), step):
             assert not relay.done
             got += relay.feed(data[at : at + step])
-        assert (relay.done, relay.has_trailing_bytes, relay.rows, got == due) == (True, False, rows, True)
+        assert (relay.done, relay.has_trailing_bytes, relay.rows, got == expected) == (
+            True,
+            False,
+            rows,
+            True,
+        )
     assert relay.feed(b"more") == b""
     assert relay.has_trailing_bytes
 
@@ -274,7 +279,7 @@
     relay = ReplyRelay(Command.QUERY, NEW, OLD)
     relay.feed(stream(ok(NEW)))
     assert (relay.affected, relay.last_id, relay.status & 2, relay.error) == (3, 4, 2, None)
-    assert [parse_session_changes(news) for news in relay.session_changes] == [
+    assert [parse_session_changes(changes) for changes in relay.session_changes] == [
         [(SessionChange.SCHEMA, (b"shop",))]
     ]
     relay = ReplyRelay(Command.STMT_PREPARE, NEW, OLD, statement=77)
--- a/tests/fronts/mysql/test_mysql_front.py
+++ b/tests/fronts/mysql/test_mysql_front.py
@@ -50,31 +50,31 @@
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
-        self._kept: dict[str, tuple[MysqlRig, Servers]] = {}
-        self._once: list[tuple[MysqlRig, Servers]] = []
+        self._shared: dict[str, tuple[MysqlRig, Servers]] = {}
+        self._exclusive: list[tuple[MysqlRig, Servers]] = []
 
     def make(
-        self, count: int = 2, more: str = "", once: bool = False, kept_for: str = "", **settings: Any
+        self, count: int = 2, more: str = "", once: bool = False, shared_key: str = "", **settings: Any
     ) -> tuple[MysqlRig, Servers]:
-        key = f"{count} {more} {kept_for} {settings}"
-        if once or key not in self._kept:
+        key = f"{count} {more} {shared_key} {settings}"
+        if once or key not in self._shared:
             servers = Servers(count, **settings)
             made = MysqlRig(self._folder, servers, more), servers
             if once:
-                self._once.append(made)
+                self._exclusive.append(made)
                 return made
-            self._kept[key] = made
-        rig, servers = self._kept[key]
+            self._shared[key] = made
+        rig, servers = self._shared[key]
         servers.do(servers.clear)
         rig.forget_counts()
         return rig, servers
 
     def after_test(self) -> None:
-        self._end(self._once)
-        self._once = []
+        self._end(self._exclusive)
+        self._exclusive = []
 
     def end(self) -> None:
-        self._end(self._kept.values())
+        self._end(self._shared.values())
 
     @staticmethod
     def _end(made: Iterable[tuple[MysqlRig, Servers]]) -> None:
@@ -110,13 +110,13 @@
         return cursor.fetchall()
 
 
-def fails(conn: Any, text: str) -> int:
+def error_number(conn: Any, text: str) -> int:
     with pytest.raises(pymysql.err.Error) as caught:
         ask(conn, text)
     return int(caught.value.args[0])
 
 
-def insist(conn: Any, text: str) -> Any:
+def retry_until_accepted(conn: Any, text: str) -> Any:
     """Repeat a statement until it is accepted; the load balancer avoids a full node for a while."""
     end = time.monotonic() + WAIT
     while True:
@@ -127,21 +127,23 @@
             assert time.monotonic() < end
 
 
-def on(command: int, text: str, fault: Fault, times: int = 1) -> Callable[[Moment], Fault | None]:
+def fault_on(command: int, text: str, fault: Fault, times: int = 1) -> Callable[[Moment], Fault | None]:
     """Return a fault injector for the first `times` commands of a type whose text starts with `text`."""
     left = [times]
 
-    def trouble(moment: Moment) -> Fault | None:
+    def inject_fault(moment: Moment) -> Fault | None:
         if moment.command == command and moment.text.lower().startswith(text) and left[0]:
             left[0] -= 1
             return fault
         return None
 
-    return trouble
+    return inject_fault
 
 
-def everywhere(servers: Servers, trouble: Callable[[Moment], Fault | None]) -> None:
-    servers.do(lambda: servers.troubles.__setitem__(slice(None), [trouble] * len(servers.servers)))
+def inject_everywhere(servers: Servers, inject_fault: Callable[[Moment], Fault | None]) -> None:
+    servers.do(
+        lambda: servers.fault_injectors.__setitem__(slice(None), [inject_fault] * len(servers.servers))
+    )
 
 
 class Raw:
@@ -174,7 +176,7 @@
             self.reader.feed(data)
         return message
 
-    def whole(self) -> list[bytes]:
+    def take_result(self) -> list[bytes]:
         """Receive the messages of a result up to its end."""
         out = [self.take()]
         while out[0][:1] not in (b"\0", b"\xff") and (len(out) == 1 or out[-1][:1] not in (b"\xfe", b"\xff")):
@@ -227,7 +229,7 @@
     client.reader.set_sequence(3)
     assert client.take()[0] == 0
     client.send(b"\x03" + ROW.encode())
-    assert len(client.whole()) == 5
+    assert len(client.take_result()) == 5
     client.send(ChangeUser("web", answer, "shop", 45, NATIVE).encode(NEW))
     client.take()
     client.sock.sendall(frame(native_response(b"wrong", bytes(20)), 2))
@@ -251,12 +253,12 @@
     logging.getLogger("brambleusher").propagate = True
     client = connect(rig)
     ask(client, "select 'literal-1' from accounts")
-    fails(client, "call p('literal-2')")
-    fails(client, "set password = 'literal-3'")
+    error_number(client, "call p('literal-2')")
+    error_number(client, "set password = 'literal-3'")
     with pytest.raises(pymysql.err.Error):
         connect(rig, password="literal-4")
-    everywhere(servers, on(Command.QUERY, "select 5", Fault("nonsense")))
-    fails(client, "select 5, 'literal-5'")
+    inject_everywhere(servers, fault_on(Command.QUERY, "select 5", Fault("nonsense")))
+    error_number(client, "select 5, 'literal-5'")
     text = caplog.text + str([record.__dict__.get("fields") for record in caplog.records])
     assert "statement assigned" in text
     assert "login refused" in text
@@ -277,17 +279,17 @@
     client = connect(rig)
     for at in range(12):
         ask(client, f"select {at} + 0 from accounts where name = 'n1'")
-    places = {rig.seen(f"select {at} + 0 from accounts where name = 'n1'")[0][0] for at in range(12)}
-    assert places == {0, 1}
+    node_indexes = {rig.seen(f"select {at} + 0 from accounts where name = 'n1'")[0][0] for at in range(12)}
+    assert node_indexes == {0, 1}
     ask(client, "set @a = 5")
     for at in range(6):
         assert ask(client, f"select @a, {at}") == ((5, at),)
     assert len({rig.seen(f"select @a, {at}")[0] for at in range(6)}) == 1
-    Raw_reset(client)
+    reset_connection(client)
     assert ask(client, "select @a") == ((None,),)
 
 
-def Raw_reset(client: Any) -> None:
+def reset_connection(client: Any) -> None:
     client._execute_command(Command.RESET_CONNECTION, b"")
     client._read_ok_packet()
 
@@ -335,7 +337,7 @@
     for _ in range(3):
         ask(other, "select 1 from accounts")
         ask(other, "select 2 from accounts")
-    assert fails(client, "select row_count()") in (Errno.NOT_SUPPORTED_YET,)
+    assert error_number(client, "select row_count()") in (Errno.NOT_SUPPORTED_YET,)
 
 
 def test_prepared_statements_are_prepared_anew(make: Make) -> None:
@@ -361,7 +363,7 @@
         for client in clients:
             client.send(b"\x03" + ROW.encode())
         for client in clients:
-            assert len(client.whole()) == 5
+            assert len(client.take_result()) == 5
     assert max(server.most_open for server in servers.servers) <= 3
     assert rig.count("mysql_waits") > 0
 
@@ -371,10 +373,10 @@
     clients = [connect(rig) for _ in range(4)]
     for client in clients[:2]:
         ask(client, "set @a = 1")
-    assert fails(clients[2], ROW) == Errno.SERVER_ISNT_AVAILABLE
+    assert error_number(clients[2], ROW) == Errno.SERVER_ISNT_AVAILABLE
     assert rig.count("mysql_connections_refused") == 1
-    Raw_reset(clients[0])
-    assert insist(clients[2], ROW) == (("n1", 1000),)
+    reset_connection(clients[0])
+    assert retry_until_accepted(clients[2], ROW) == (("n1", 1000),)
     assert servers.servers[0].refused == 1
     for client in clients:
         client.close()
@@ -391,7 +393,7 @@
     client.commit()
 
 
-def done(servers: Servers, name: str) -> int:
+def count_committed(servers: Servers, name: str) -> int:
     return sum(
         name in servers.do(partial(server.database.snapshot, "shop", "transfers"))
         for server in servers.servers
@@ -402,12 +404,12 @@
     rig, servers = make()
     client = connect(rig)
     transfer(client, "a")
-    everywhere(servers, on(Command.QUERY, "commit", Fault("after")))
+    inject_everywhere(servers, fault_on(Command.QUERY, "commit", Fault("after")))
     with pytest.raises(pymysql.err.OperationalError) as caught:
         transfer(client, "b")
     assert caught.value.args[0] == Errno.ERROR_DURING_COMMIT
     assert "unknown" in caught.value.args[1]
-    assert [done(servers, name) for name in "ab"] == [1, 1]
+    assert [count_committed(servers, name) for name in "ab"] == [1, 1]
     assert len(rig.seen("COMMIT")) == 2
     assert ask(connect(rig), ROW)[0][1] in (980, 990, 1000)
 
@@ -416,11 +418,11 @@
 def test_what_breaks_within_a_transaction_is_rolled_back_and_never_sent_again(make: Make, how: str) -> None:
     rig, servers = make()
     client = connect(rig)
-    everywhere(servers, on(Command.QUERY, "update accounts set money = money +", Fault(how)))
+    inject_everywhere(servers, fault_on(Command.QUERY, "update accounts set money = money +", Fault(how)))
     with pytest.raises(pymysql.err.OperationalError) as caught:
         transfer(client, "a")
     assert caught.value.args[0] == Errno.NET_READ
-    assert done(servers, "a") == 0
+    assert count_committed(servers, "a") == 0
     assert len(rig.seen("update accounts set money = money + 10 where name = 'n2'")) == 1
     with pytest.raises(pymysql.err.Error):  # the session has ended, so nothing runs outside the transaction
         ask(client, "select 1")
@@ -433,8 +435,8 @@
     rig, servers = make()
     client = connect(rig)
     text = "update accounts set money = money - 1 where name = 'n3'"
-    everywhere(servers, on(Command.QUERY, "update", fault))
-    assert fails(client, text) in (
+    inject_everywhere(servers, fault_on(Command.QUERY, "update", fault))
+    assert error_number(client, text) in (
         Errno.ERROR_DURING_COMMIT,
         Errno.MALFORMED_PACKET,
         Errno.NET_PACKETS_OUT_OF_ORDER,
@@ -451,19 +453,19 @@
     make: Make, text: str
 ) -> None:
     rig, servers = make(2)
-    everywhere(servers, on(Command.QUERY, text, Fault("after")))
+    inject_everywhere(servers, fault_on(Command.QUERY, text, Fault("after")))
     client = connect(rig)
     client.begin()
     ask(client, "update accounts set money = money - 1 where name = 'n1'")
-    assert fails(client, text) == Errno.ERROR_DURING_COMMIT
+    assert error_number(client, text) == Errno.ERROR_DURING_COMMIT
     assert len(rig.seen(text)) == 1
 
 
 @pytest.mark.parametrize("text", ["select transfer(1, 2)", "set @a = transfer(1)", "select 1 for update"])
 def test_what_may_call_a_stored_function_is_unknown_when_its_answer_is_lost(make: Make, text: str) -> None:
     rig, servers = make(2)
-    everywhere(servers, on(Command.QUERY, text, Fault("before")))
-    assert fails(connect(rig), text) == Errno.ERROR_DURING_COMMIT
+    inject_everywhere(servers, fault_on(Command.QUERY, text, Fault("before")))
+    assert error_number(connect(rig), text) == Errno.ERROR_DURING_COMMIT
     assert len(rig.seen(text)) == 1
 
 
@@ -479,12 +481,14 @@
                 return Fault(how)
             return None
 
-        everywhere(servers, once)
+        inject_everywhere(servers, once)
         before = len(rig.seen(ROW))
         assert ask(client, ROW) == (("n1", 1000),)
         assert len(rig.seen(ROW)) == before + 2
     big = "select * from generated where n = 50000 and width = 100"
-    everywhere(servers, on(Command.QUERY, "select * from generated", Fault("amid", bytes=200_000), times=9))
+    inject_everywhere(
+        servers, fault_on(Command.QUERY, "select * from generated", Fault("amid", bytes=200_000), times=9)
+    )
     with pytest.raises(pymysql.err.Error):
         ask(client, big)
     assert len(rig.seen(big)) == 1
@@ -493,17 +497,21 @@
 def test_a_result_that_breaks_ends_in_exactly_one_error(make: Make) -> None:
     rig, servers = make()
     for size in (30, 5_000, 150_000):
-        everywhere(servers, on(Command.QUERY, "select * from generated", Fault("amid", bytes=size)))
+        inject_everywhere(
+            servers, fault_on(Command.QUERY, "select * from generated", Fault("amid", bytes=size))
+        )
         client = Raw(rig)
         client.send(b"\x03select * from generated where n = 3000 and width = 90")
-        messages = client.whole()
+        messages = client.take_result()
         assert Err.parse(messages[-1]).errno == Errno.NET_READ
         assert sum(message[:1] == b"\xff" for message in messages) == 1
-        everywhere(servers, lambda moment: None)
+        inject_everywhere(servers, lambda moment: None)
         client.send(b"\x03select 1 from accounts where name = 'n1'")  # an unpinned session continues
-        assert client.whole()[0] == b"\x01"
+        assert client.take_result()[0] == b"\x01"
         client.close()
-    everywhere(servers, on(Command.QUERY, "select * from generated", Fault("amid", bytes=200_000)))
+    inject_everywhere(
+        servers, fault_on(Command.QUERY, "select * from generated", Fault("amid", bytes=200_000))
+    )
     client = Raw(rig)  # a fault within a packet of 400 KB can only be signalled by closing the connection
     client.send(b"\x03select * from generated where n = 1 and width = 400000")
     got = 0
@@ -516,11 +524,12 @@
     rig, servers = make(1)
     client = connect(rig)
     text = "/* brambleusher: deadline_ms=150 */ select sleep(30)"
-    assert fails(client, text) == Errno.ERROR_DURING_COMMIT  # not a plain read, so it may have had effects
+    # The statement is not a plain read, so it may have had effects.
+    assert error_number(client, text) == Errno.ERROR_DURING_COMMIT
     rig.until(lambda: rig.count("mysql_kills") >= 1)
     until_idle(servers)
     ask(client, "/* brambleusher: deadline_ms=200 */ begin")
-    assert fails(client, "select sleep(60)") in (Errno.QUERY_TIMEOUT, Errno.NET_READ)
+    assert error_number(client, "select sleep(60)") in (Errno.QUERY_TIMEOUT, Errno.NET_READ)
 
 
 def until_idle(servers: Servers) -> None:
@@ -546,10 +555,10 @@
     ask(killer, f"kill query {client.thread}")
     assert client.error().errno == Errno.QUERY_INTERRUPTED
     client.send(b"\x03select 7")
-    assert client.whole()[0] == b"\x01"
-    assert fails(killer, "kill 999999") == Errno.NO_SUCH_THREAD
+    assert client.take_result()[0] == b"\x01"
+    assert error_number(killer, "kill 999999") == Errno.NO_SUCH_THREAD
     stranger = connect(rig, user="sha", password="front-sha")
-    assert fails(stranger, f"kill {client.thread}") == Errno.KILL_DENIED
+    assert error_number(stranger, f"kill {client.thread}") == Errno.KILL_DENIED
     ask(killer, f"kill {client.thread}")
     client.sock.settimeout(WAIT)
     while client.sock.recv(65536):
@@ -562,20 +571,22 @@
     for client in (pinned, busy):
         client.begin()
         ask(client, "select connection_id(), 1")
-    places = [server.name for server in servers.servers]
+    node_names = [server.name for server in servers.servers]
     rig.discovery.push(
-        Discovery.text([rig.entry(places[0], "Terminating"), rig.entry(places[1], "Terminating")], version=9)
+        Discovery.text(
+            [rig.entry(node_names[0], "Terminating"), rig.entry(node_names[1], "Terminating")], version=9
+        )
     )
     rig.until(lambda: rig.count("lists_taken") >= 2)
     rig.until(lambda: rig.count("mysql_drained") >= 2)
-    assert fails(pinned, "select 1") == Errno.SERVER_SHUTDOWN
+    assert error_number(pinned, "select 1") == Errno.SERVER_SHUTDOWN
     with pytest.raises(pymysql.err.Error):  # the session has ended after its one error
         ask(pinned, "select 1")
-    assert fails(busy, "commit") == Errno.SERVER_SHUTDOWN
-    assert fails(free, ROW) == Errno.SERVER_ISNT_AVAILABLE
-    rig.discovery.push(Discovery.text([rig.entry(places[1])], version=10))
+    assert error_number(busy, "commit") == Errno.SERVER_SHUTDOWN
+    assert error_number(free, ROW) == Errno.SERVER_ISNT_AVAILABLE
+    rig.discovery.push(Discovery.text([rig.entry(node_names[1])], version=10))
     rig.until(lambda: rig.count("lists_taken") >= 3)
-    assert insist(free, ROW) == (("n1", 1000),)
+    assert retry_until_accepted(free, ROW) == (("n1", 1000),)
     assert servers.do(lambda: len(servers.servers[0].peers)) == 0
 
 
@@ -590,26 +601,27 @@
     soft = connect(rig)
     ask(soft, "select sql_calc_found_rows 1")
     waiting = Raw(rig)
-    everywhere(servers, on(Command.QUERY, "set @late", Fault("late", seconds=0.3)))
+    inject_everywhere(servers, fault_on(Command.QUERY, "set @late", Fault("late", seconds=0.3)))
     waiting.send(b"\x03set @late = 1")
     while not rig.seen("set @late = 1"):
         pass
     entry = rig.entry(servers.servers[0].name, "Terminating")
     rig.discovery.push(Discovery.text([entry], version=9))
     rig.until(lambda: rig.count("lists_taken") >= 2)
-    assert fails(soft, "select 1") == Errno.SERVER_ISNT_AVAILABLE  # unpinned, but there is no other node
+    # The session `soft` drops its pins and may move, but there is no other node.
+    assert error_number(soft, "select 1") == Errno.SERVER_ISNT_AVAILABLE
     # `kept` and `waiting` have no open request, so they end within the drain time despite their grace period.
     rig.until(lambda: rig.count("mysql_drained") >= 2)
-    assert fails(kept, "select 1") == Errno.SERVER_SHUTDOWN
+    assert error_number(kept, "select 1") == Errno.SERVER_SHUTDOWN
     assert waiting.take()[:1] == b"\0"
     waiting.send(b"\x03select 1")
     assert waiting.error().errno == Errno.SERVER_SHUTDOWN
     node = rig.sidecar.mysql.nodes._nodes[entry["id"]]  # type: ignore[union-attr]
     rig.until(lambda: rig.sidecar.scheduler.now() > node.drain_started_at + 0.5)
-    assert fails(again, "begin") == Errno.SERVER_SHUTDOWN
-    assert fails(several, "commit; begin; select 1") == Errno.SERVER_SHUTDOWN
+    assert error_number(again, "begin") == Errno.SERVER_SHUTDOWN
+    assert error_number(several, "commit; begin; select 1") == Errno.SERVER_SHUTDOWN
     ask(chained, "commit and chain")
-    assert fails(chained, "select 1") == Errno.SERVER_SHUTDOWN
+    assert error_number(chained, "select 1") == Errno.SERVER_SHUTDOWN
     ask(opened, "update accounts set money = 7 where name = 'n2'")  # belongs to a request that is still open
     opened.commit()
     assert not rig.seen("commit; begin; select 1")
@@ -626,7 +638,7 @@
         version += 1
         rig.discovery.push(Discovery.text([entry], version=version))
         rig.until(lambda: rig.count("lists_taken") >= version - 7 or bool(rig.count("mysql_drained")))  # noqa: B023
-    assert fails(pinned, "commit") == Errno.SERVER_SHUTDOWN
+    assert error_number(pinned, "commit") == Errno.SERVER_SHUTDOWN
 
 
 def test_an_end_waits_for_the_tied_within_their_grace(make: Make) -> None:
@@ -648,7 +660,9 @@
 )
 def test_a_node_that_greets_badly_is_passed_over(make: Make, fault: Fault) -> None:
     rig, servers = make()
-    servers.do(lambda: servers.troubles.__setitem__(0, lambda moment: fault if moment.command < 0 else None))
+    servers.do(
+        lambda: servers.fault_injectors.__setitem__(0, lambda moment: fault if moment.command < 0 else None)
+    )
     client = connect(rig)
     for at in range(4):
         assert ask(client, f"select {at} from accounts where name = 'n1'") == ((at,),)
@@ -656,7 +670,7 @@
 
 def test_no_node_at_all_is_a_refusal(make: Make) -> None:
     rig, servers = make(once=True)
-    everywhere(servers, lambda moment: Fault("before") if moment.command < 0 else None)
+    inject_everywhere(servers, lambda moment: Fault("before") if moment.command < 0 else None)
     with pytest.raises(pymysql.err.Error) as caught:
         ask(connect(rig), ROW)
     assert caught.value.args[0] == Errno.SERVER_ISNT_AVAILABLE
@@ -683,7 +697,7 @@
 def test_bad_packets_end_in_one_error_and_harm_nobody(
     make: Make, name: str, data: bytes, errno: int, state: str
 ) -> None:
-    rig, _ = make(1, kept_for="bad input")
+    rig, _ = make(1, shared_key="bad input")
     client, other = Raw(rig), connect(rig)
     client.sock.sendall(data)
     reader, got = PacketReader(1 << 20, seq=1 + len(data) // 0x1000000), b""
@@ -712,7 +726,7 @@
 def test_what_is_not_supported_is_one_error_and_the_session_goes_on(
     make: Make, body: bytes, errno: int
 ) -> None:
-    rig, _ = make(1, kept_for="bad input")
+    rig, _ = make(1, shared_key="bad input")
     client = Raw(rig)
     client.send(body)
     assert client.error().errno == errno
@@ -784,7 +798,7 @@
 @pytest.mark.parametrize("server", [OLD_SERVER, CAPABILITIES])
 @pytest.mark.parametrize("caps", [NEW, NEW & ~Capability.DEPRECATE_EOF])
 def test_cursors_long_data_and_resets(make: Make, server: int, caps: int) -> None:
-    rig, _ = make(2, kept_for="cursors", capabilities=server)
+    rig, _ = make(2, shared_key="cursors", capabilities=server)
     client, new = Raw(rig, caps), bool(caps & Capability.DEPRECATE_EOF)
     many = prepare(client, "select id, pad from generated where n = 5 and width = 3")
     length = prepare(client, "select length(?)")
@@ -837,7 +851,7 @@
 
 @pytest.mark.parametrize("server", [OLD_SERVER, CAPABILITIES])
 def test_session_state_is_told_to_clients_that_track_it(make: Make, server: int) -> None:
-    rig, _ = make(1, kept_for="tracking", capabilities=server)
+    rig, _ = make(1, shared_key="tracking", capabilities=server)
     for caps in (NEW, NEW | int(Capability.SESSION_TRACK)):
         client = Raw(rig, caps)
         client.send(b"\x02shop")
@@ -846,7 +860,7 @@
         assert (parse_session_changes(ok.session_changes) == [(SessionChange.SCHEMA, (b"shop",))]) is tracked
         assert bool(ok.status & Status.SESSION_STATE_CHANGED) is tracked
         client.send(b"\x03" + ROW.encode())
-        assert len(client.whole()) == 5
+        assert len(client.take_result()) == 5
         client.close()
 
 
@@ -854,11 +868,11 @@
     rig, servers = make(1, more="  connections: 1\n  pool_wait_ms: 100\n")
     holder, other = connect(rig), connect(rig)
     ask(holder, "set @a = 1")
-    assert fails(other, ROW) == Errno.SERVER_ISNT_AVAILABLE
+    assert error_number(other, ROW) == Errno.SERVER_ISNT_AVAILABLE
     assert rig.count("connections_lacking") == 1
     assert ask(holder, "select @a") == ((1,),)
     holder.close()
-    assert insist(other, ROW) == (("n1", 1000),)
+    assert retry_until_accepted(other, ROW) == (("n1", 1000),)
     assert servers.servers[0].most_open == 1
 
 
@@ -881,7 +895,7 @@
 
 
 def test_a_client_that_sends_ahead_is_read_within_bounds_and_answered_in_turn(make: Make) -> None:
-    rig, _ = make(1, kept_for="sending ahead")
+    rig, _ = make(1, shared_key="sending ahead")
     client, count = Raw(rig), 60
     text = b"\x03select 1 /* " + b"x" * 10_000 + b" */"
     client.send(b"\x03begin")
@@ -897,9 +911,9 @@
     for _ in range(20):
         most = max(most, rig.do(lambda: mysql.front._clients[client.thread].reader.buffered))
     assert most < 256 * 1024
-    assert len(client.whole()) == 4
+    assert len(client.take_result()) == 4
     for _ in range(count):
         client.reader.set_sequence(1)
-        assert client.whole()[0] == b"\x01"
+        assert client.take_result()[0] == b"\x01"
     ahead.join()
     client.close()
--- a/tests/fronts/mysql/test_mysql_replay.py
+++ b/tests/fronts/mysql/test_mysql_replay.py
@@ -8,7 +8,7 @@
 from brambleusher.lab.mysql.replay import BREAKAGES, main, run_seed
 from brambleusher.loadbalancing.api import LoadReport
 
-MOST_SEEDS = 40  # seeds within which each breakage must be found, with a fault in every eighth command
+MAX_SEEDS = 40  # seeds within which each breakage must be found, with a fault in every eighth command
 
 
 @pytest.mark.parametrize("seed", range(8))
@@ -26,8 +26,8 @@
 
 @pytest.mark.parametrize("name", list(BREAKAGES))
 def test_each_breakage_is_found(name: str) -> None:
-    seed = next((seed for seed in range(MOST_SEEDS) if run_seed(seed, name, dense=True).breaches), None)
-    assert seed is not None, f"{name} is not found within {MOST_SEEDS} seeds"
+    seed = next((seed for seed in range(MAX_SEEDS) if run_seed(seed, name, dense=True).breaches), None)
+    assert seed is not None, f"{name} is not found within {MAX_SEEDS} seeds"
     replay = f"python -m brambleusher.lab.mysql.replay --dense --replay {seed}"
     assert run_seed(seed, dense=True).breaches == [], replay  # the same run without the breakage passes
 
--- a/tests/fronts/mysql/test_mysql_settings.py
+++ b/tests/fronts/mysql/test_mysql_settings.py
@@ -128,10 +128,10 @@
         "users": {"web": {"class": "move", "tenant": "peach", "deadline_ms": 700}},
         "statements": [{"text": "select * from listings where id = 1", "class": "look", "deadline_ms": 300}],
     })  # fmt: skip
-    mapping, told = RequestMapper(given, PLATFORM), StatementClassifier()
+    mapping, classifier = RequestMapper(given, PLATFORM), StatementClassifier()
 
     def assign(text: str, user: str = "other", transaction: bool = False) -> tuple[Any, ...]:
-        out = mapping.assign(told.classify(text.encode()), user, transaction)
+        out = mapping.assign(classifier.classify(text.encode()), user, transaction)
         return out.request_class, out.tenant, out.deadline_ms, out.work_us, out.reason
 
     assert assign("select 1") == ("look", "acme", 2000, None, "default")
@@ -147,8 +147,10 @@
     assert assign("begin", transaction=True)[0] == "move"
     assert assign("call p()")[4] == "unknown: call is not a known statement"
     assert assign("/* brambleusher: class=keyed tenant=no */ select 1")[:2] == ("look", "acme")
-    first = mapping.assign(told.classify(b"select 1"), "other")
-    assert [mapping.is_new_assignment(told.classify(b"select 1"), "other", first) for _ in range(2)] == [
+    first = mapping.assign(classifier.classify(b"select 1"), "other")
+    assert [
+        mapping.is_new_assignment(classifier.classify(b"select 1"), "other", first) for _ in range(2)
+    ] == [
         True,
         False,
     ]
--- a/tests/fronts/mysql/test_mysql_statements.py
+++ b/tests/fronts/mysql/test_mysql_statements.py
@@ -29,12 +29,12 @@
     tokenize,
 )
 
-TELL = StatementClassifier()
+CLASSIFIER = StatementClassifier()
 CAPS = int(Capability.PROTOCOL_41 | Capability.DEPRECATE_EOF)
 
 
-def tell(text: str, multi: bool = False) -> Statement:
-    return TELL.classify(text.encode("utf-8", "surrogateescape"), multi)
+def classify(text: str, multi: bool = False) -> Statement:
+    return CLASSIFIER.classify(text.encode("utf-8", "surrogateescape"), multi)
 
 
 @pytest.mark.parametrize(
@@ -99,27 +99,30 @@
     ],
 )
 def test_what_a_statement_is(text: str, kind: StatementKind, plain: bool) -> None:
-    told = tell(text)
-    assert (told.kind, told.plain_read) == (kind, plain)
-    assert (PinReason.UNKNOWN in dict(told.pins) or PinReason.PREPARED in dict(told.pins)) is (
+    statement = classify(text)
+    assert (statement.kind, statement.plain_read) == (kind, plain)
+    assert (PinReason.UNKNOWN in dict(statement.pins) or PinReason.PREPARED in dict(statement.pins)) is (
         kind is StatementKind.UNKNOWN
     )
 
 
 def test_several_statements_are_what_the_worst_of_them_is() -> None:
-    assert tell("select 1; select 2;", True).plain_read
-    mixed = tell("select 1; set @a = 2; insert into t values (1)", True)
+    assert classify("select 1; select 2;", True).plain_read
+    mixed = classify("select 1; set @a = 2; insert into t values (1)", True)
     assert (mixed.kind, mixed.plain_read, mixed.count) == (StatementKind.WRITE, False, 3)
     assert dict(mixed.pins) == {PinReason.USER_VARIABLE: "a"}
-    assert tell("select 1; call p()", True).kind is StatementKind.UNKNOWN
-    assert tell("select 1; kill 5", True).kind is StatementKind.UNKNOWN
+    assert classify("select 1; call p()", True).kind is StatementKind.UNKNOWN
+    assert classify("select 1; kill 5", True).kind is StatementKind.UNKNOWN
 
 
 def test_digests_leave_out_literals_comments_and_spaces() -> None:
     one = "SELECT *\n FROM t WHERE a IN (1, 2, 3) /* here */ AND b='x''y' -- there"
-    assert tell(one).digest == tell('select * from t where a in (4) and b = "z"').digest
-    assert tell("insert into t values (1,'a'),(2,'b')").digest == tell("insert into t values (1,'a')").digest
-    assert "secret" not in tell("set password = 'secret'").digest
+    assert classify(one).digest == classify('select * from t where a in (4) and b = "z"').digest
+    assert (
+        classify("insert into t values (1,'a'),(2,'b')").digest
+        == classify("insert into t values (1,'a')").digest
+    )
+    assert "secret" not in classify("set password = 'secret'").digest
     assert build_digest(tokenize(b"select -1.5e3, 0x1F, .5, a1 from t2")[0]) == "select - ?+, a1 from t2"
 
 
@@ -129,32 +132,32 @@
         b"set password = 'it's hunter2'",
         b'select "hunter2',
     ):
-        assert "hunter2" not in TELL.classify(text).digest
+        assert "hunter2" not in CLASSIFIER.classify(text).digest
 
 
 def test_sqlglot_is_asked_once_a_digest_and_what_is_kept_is_bounded() -> None:
-    told = StatementClassifier(digests=50, texts=50)
+    classifier = StatementClassifier(digests=50, texts=50)
     for at in range(200):
-        told.classify(f"select * from t where id = {at}".encode())
-    assert told.parsed_digests == 1
+        classifier.classify(f"select * from t where id = {at}".encode())
+    assert classifier.parsed_digests == 1
     for at in range(200):
-        told.classify(f"select c{at} from t".encode())
-    assert (told.parsed_digests, len(told), len(told._by_text)) == (201, 50, 50)
+        classifier.classify(f"select c{at} from t".encode())
+    assert (classifier.parsed_digests, len(classifier), len(classifier._by_text)) == (201, 50, 50)
 
 
 def test_hints() -> None:
-    told = tell("/* brambleusher: class=look tenant=acme deadline_ms=250 work_us=900 */ select 1")
-    assert told.hint == Hint("look", "acme", 250, 900)
-    assert told.digest == "select ?"
-    assert tell("select 1 /* brambleusher: deadline_ms=soon class= x */").hint == Hint()
-    assert tell("select 1").hint is None
+    statement = classify("/* brambleusher: class=look tenant=acme deadline_ms=250 work_us=900 */ select 1")
+    assert statement.hint == Hint("look", "acme", 250, 900)
+    assert statement.digest == "select ?"
+    assert classify("select 1 /* brambleusher: deadline_ms=soon class= x */").hint == Hint()
+    assert classify("select 1").hint is None
 
 
 def test_long_texts_are_told_by_their_first_word() -> None:
     long = "x" * 70_000
-    assert tell(f"insert into t values ('{long}')").kind is StatementKind.WRITE
-    assert tell(f"insert into t values ('{long}', @a)").kind is StatementKind.UNKNOWN
-    assert tell(f"select '{long}'").kind is StatementKind.UNKNOWN
+    assert classify(f"insert into t values ('{long}')").kind is StatementKind.WRITE
+    assert classify(f"insert into t values ('{long}', @a)").kind is StatementKind.UNKNOWN
+    assert classify(f"select '{long}'").kind is StatementKind.UNKNOWN
 
 
 @pytest.mark.parametrize(
@@ -178,25 +181,25 @@
     ],
 )  # fmt: skip
 def test_what_is_replayed_and_what_ties(text: str, settings: dict[str, str], pins: set[PinReason]) -> None:
-    told = tell(text)
-    assert dict(told.settings) == settings
-    assert {pin for pin, _ in told.pins} == pins
+    statement = classify(text)
+    assert dict(statement.settings) == settings
+    assert {pin for pin, _ in statement.pins} == pins
 
 
 def test_settings_after_which_no_text_can_be_told_apart() -> None:
     for text in ("set sql_mode = 'NO_BACKSLASH_ESCAPES'", "set sql_mode='ANSI_QUOTES'", "set names gbk"):
-        assert tell(text).opaque_after
-    session = fresh()
+        assert classify(text).opaque_after
+    session = new_session()
     run(session, "set names gbk")
     assert session.opaque
-    assert TELL.classify(b"select 1", opaque=True).kind is StatementKind.UNKNOWN
+    assert CLASSIFIER.classify(b"select 1", opaque=True).kind is StatementKind.UNKNOWN
     assert replay_text(session.settings.items()) == b"SET names gbk"
 
 
 # --- sessions -----------------------------------------------------------------------------------
 
 
-def fresh() -> Session:
+def new_session() -> Session:
     return Session("web", "registry", CAPS, 45, "shop")
 
 
@@ -208,7 +211,7 @@
 
 
 def run(session: Session, text: str, relay: ReplyRelay | None = None) -> Session:
-    session.apply_reply(tell(text, True), relay or reply())
+    session.apply_reply(classify(text, True), relay or reply())
     return session
 
 
@@ -254,7 +257,7 @@
 
 @pytest.mark.parametrize("pin", list(TABLE))
 def test_how_each_tie_is_made_and_lifted(pin: PinReason) -> None:
-    session = fresh()
+    session = new_session()
     assert not session.pinned
     for text, answer, pinned in TABLE[pin]:
         run(session, text, answer)
@@ -266,9 +269,9 @@
 
 
 def test_a_cursor_with_rows_left_ties() -> None:
-    session = fresh()
+    session = new_session()
     number = session.next_prepared()
-    session.record_prepared(number, b"select 1", tell("select 1"), Prepared(9, 1, 0))
+    session.record_prepared(number, b"select 1", classify("select 1"), Prepared(9, 1, 0))
     found = session.find(number)
     session.record_executed(found, 1, reply(int(Status.CURSOR_EXISTS)))
     assert PinReason.UNREAD in session.pins
@@ -283,42 +286,44 @@
 
 def test_what_did_not_run_ties_nothing_and_what_may_have_does() -> None:
     syntax = Err(1064, "42000", "no")
-    assert not run(fresh(), "call p()", reply(error=syntax)).pinned
-    assert run(fresh(), "call p()", reply(error=Err(1305, "HY000", "half way"))).pinned
-    assert not run(fresh(), "create temporary table x (a int)", reply(error=Err(1050, "42S01", "no"))).pinned
-    assert run(fresh(), "set @a = 1; selct", reply(error=syntax)).pinned  # the first statement may have run
-    failed = run(run(fresh(), "begin", reply(OPEN)), "commit", reply(error=Err(1105, "HY000", "no")))
+    assert not run(new_session(), "call p()", reply(error=syntax)).pinned
+    assert run(new_session(), "call p()", reply(error=Err(1305, "HY000", "half way"))).pinned
+    assert not run(
+        new_session(), "create temporary table x (a int)", reply(error=Err(1050, "42S01", "no"))
+    ).pinned
+    # The first of the two statements may have run.
+    assert run(new_session(), "set @a = 1; selct", reply(error=syntax)).pinned
+    failed = run(run(new_session(), "begin", reply(OPEN)), "commit", reply(error=Err(1105, "HY000", "no")))
     assert PinReason.TRANSACTION in failed.pins  # an ERR packet carries no transaction status
 
 
 def test_a_setting_made_twice_is_replayed_as_it_was_made_last() -> None:
-    session = run(run(run(fresh(), "set sql_mode = 'A'"), "set time_zone = 'B'"), "set sql_mode = 'C'")
+    session = run(run(run(new_session(), "set sql_mode = 'A'"), "set time_zone = 'B'"), "set sql_mode = 'C'")
     assert replay_text(session.settings.items()) == b"SET SESSION time_zone = 'B', SESSION sql_mode = 'C'"
     run(session, "set sql_mode = 'D'", reply(error=Err(1231, "42000", "no")))
     assert session.settings["sql_mode"].endswith("'C'")
 
 
 def test_an_id_given_is_the_connections_to_tell() -> None:
-    session = run(fresh(), "insert into t values (null)", reply(last_id=7))
+    session = run(new_session(), "insert into t values (null)", reply(last_id=7))
     assert session.last_id is None
     assert not session.pinned
     assert session.required_state(True).last_id is None
 
 
 def test_prepared_statements_keep_types_and_long_data() -> None:
-    session = fresh()
+    session = new_session()
     number = session.next_prepared()
     session.record_prepared(
-        number, b"insert into t values (?, ?)", tell("insert into t values (?, ?)"), Prepared(9, 0, 2)
+        number, b"insert into t values (?, ?)", classify("insert into t values (?, ?)"), Prepared(9, 0, 2)
     )
     types = b"\x08\0\xfc\0"
     session.long_data(b"\x18" + number.to_bytes(4, "little") + b"\1\0" + b"abc", 1000)
     first = Execute(number, 0, b"\0", types, bytes(8))
     assert session.execute(first.encode(2))[1].types == types
     again = Execute(number, 0, b"\0", None, bytes(8))
-    assert (
-        session.execute(again.encode(2))[1].types == types
-    )  # the types are filled in for a connection that never received them
+    # The types are filled in for a connection that never received them.
+    assert session.execute(again.encode(2))[1].types == types
     with pytest.raises(ProtocolError) as caught:
         session.long_data(b"\x18" + number.to_bytes(4, "little") + b"\1\0" + bytes(2000), 1000)
     assert caught.value.errno == Errno.NET_PACKET_TOO_LARGE
@@ -326,25 +331,25 @@
         session.find(number + 1)
     assert caught.value.errno == Errno.UNKNOWN_STMT_HANDLER
     for _ in range(MAX_PREPARED - 1):
-        session.record_prepared(session.next_prepared(), b"", tell("select 1"), Prepared(1, 0, 0))
+        session.record_prepared(session.next_prepared(), b"", classify("select 1"), Prepared(1, 0, 0))
     with pytest.raises(ProtocolError):
         session.next_prepared()
 
 
 def test_what_a_session_holds_is_bounded() -> None:
-    session = fresh()
+    session = new_session()
     for at in range(MAX_SETTINGS + 5):
         run(session, f"set s{at} = {at}")
     assert len(session.settings) == MAX_SETTINGS
     assert PinReason.SETTING in session.pins  # a setting that is not replayed exists on this connection only
-    long = run(fresh(), f"set sql_mode = '{'x' * 20_000}'")
+    long = run(new_session(), f"set sql_mode = '{'x' * 20_000}'")
     assert (long.settings, long.pinned) == ({}, True)
     for at in range(MAX_PIN_NAMES + 5):
         run(session, f"select get_lock('{at}', 1)")
     assert len(session.pins[PinReason.NAMED_LOCK]) <= MAX_PIN_NAMES + 1
     with pytest.raises(ProtocolError) as caught:
-        fresh().next_prepared(MAX_PREPARED_TEXT + 1)
+        new_session().next_prepared(MAX_PREPARED_TEXT + 1)
     assert caught.value.errno == Errno.NOT_SUPPORTED_YET
-    told = StatementClassifier()
-    told.classify(b"select " + b", ".join(b"c%d" % at for at in range(2000)))
-    assert len(told) == 0
+    classifier = StatementClassifier()
+    classifier.classify(b"select " + b", ".join(b"c%d" % at for at in range(2000)))
+    assert len(classifier) == 0
