--- a/brambleusher/fronts/mysql/channel.py
+++ b/brambleusher/fronts/mysql/channel.py
@@ -119,7 +119,7 @@
             view = view[self._tls.write(view[:RECEIVE_BYTES]) :]
             self._flush(deadline)
 
-    def is_idle(self) -> bool:
+    def quiet(self) -> bool:
         """Return whether the connection is open with neither data nor its end waiting to be read."""
         if self._tls is None:
             return self.stream.is_idle()
--- a/brambleusher/fronts/mysql/front.py
+++ b/brambleusher/fronts/mysql/front.py
@@ -615,9 +615,9 @@
                 pending.protocol_error.errno, pending.protocol_error.state, str(pending.protocol_error)
             )
             return self._outcome_error(False, statement, malformed)
-        return pending.error or self._broken_reply_error(False, statement)
+        return pending.error or self._lost_error(False, statement)
 
-    def _broken_reply_error(self, in_transaction: bool, statement: Statement) -> Err:
+    def _lost_error(self, in_transaction: bool, statement: Statement) -> Err:
         """Return the error for a statement that was sent and whose response is incomplete."""
         kind = statement.kind
         may_commit = (
@@ -701,7 +701,7 @@
             if reply.out:
                 client.channel.send(reply.out, self._scheduler.now() + CLIENT_WRITE_SECONDS)
             while not relay.done:
-                data = self._receive_from_node(client, reserved, deadline, statement)
+                data = self._from_node(client, reserved, deadline, statement)
                 try:
                     out = relay.feed(data)
                 except ProtocolError as error:
@@ -761,7 +761,7 @@
             reserved.finish(AttemptStatus.OK)
             client.deadline = None
 
-    def _receive_from_node(
+    def _from_node(
         self, client: Client, reserved: ReservedConnection, deadline: float | None, statement: Statement
     ) -> bytes:
         """Return the next bytes of a response.
@@ -806,14 +806,14 @@
                     raise ConnectionResetError
         except _CONNECTION_ERRORS as error:
             raise NodeConnectionError(
-                self._broken_reply_error(in_transaction, statement), AttemptStatus.RESET
+                self._lost_error(in_transaction, statement), AttemptStatus.RESET
             ) from error
         finally:
             reserved.node_time_ns += int((self._scheduler.now() - started) * 1e9)
 
     def _outcome_error(self, in_transaction: bool, statement: Statement, error: Err) -> Err:
         """Return `error`, or the "outcome unknown" error if the statement's effects may be permanent."""
-        outcome_error = self._broken_reply_error(in_transaction, statement)
+        outcome_error = self._lost_error(in_transaction, statement)
         return outcome_error if outcome_error.errno == Errno.ERROR_DURING_COMMIT else error
 
     def _run_pinned(self, client: Client, pending: PendingCommand, statement: Statement) -> bool:
--- a/brambleusher/fronts/mysql/nodes.py
+++ b/brambleusher/fronts/mysql/nodes.py
@@ -208,7 +208,7 @@
     accepted_reply: Reply | None = None  # the accepted response
     closed: bool = False  # a response was accepted, or the client no longer waits for one
     conn: NodeConnection | None = None  # the connection on which the command was last sent
-    broke_off: bool = False  # a response broke off after its first byte, so no other node is tried
+    broke: bool = False  # a response broke off after its first byte, so no other node is tried
     protocol_error: ProtocolError | None = None  # the protocol error in a response
     error: Err | None = None  # the error of a node that could not run the command
 
@@ -413,7 +413,7 @@
             oldest_allowed = self._scheduler.now() - self._idle_seconds
             for node in list(self._nodes.values()):
                 for conn in [
-                    conn for conn in node.idle if conn.used_at < oldest_allowed or not conn.channel.is_idle()
+                    conn for conn in node.idle if conn.used_at < oldest_allowed or not conn.channel.quiet()
                 ]:
                     if conn in node.idle:
                         node.idle.remove(conn)
@@ -474,7 +474,7 @@
                     node.attempts.pop(attempt, None)
                     if attempt.load_counted:
                         node.meter.end(self._scheduler.now())
-            if transferred or payload.broke_off:
+            if transferred or payload.broke:
                 on_response_started(reply)
             if not transferred:
                 duration_ns = int((self._scheduler.now() - started_at) * 1e9)
@@ -534,7 +534,7 @@
             return self._cancelled_status(attempt), None, False
         except TaskTimeoutError:
             self._stop_or_drop(conn, attempt)
-            pending.broke_off = relay is not None and relay.started
+            pending.broke = relay is not None and relay.started
             return AttemptStatus.TIMEOUT if attempt.written else AttemptStatus.CONNECT_FAILED, None, False
         except LoginRejectedError as rejected:
             return self._login_rejected(node, pending, rejected.error), None, False
@@ -543,12 +543,12 @@
             self._stop_or_drop(conn, attempt)
             if not attempt.written:
                 return AttemptStatus.CONNECT_FAILED, None, False
-            pending.protocol_error, pending.broke_off = error, relay is not None and relay.started
+            pending.protocol_error, pending.broke = error, relay is not None and relay.started
             return AttemptStatus.ERROR, None, False
         except OSError:
             if conn is not None:
                 self.discard(conn)
-            pending.broke_off = relay is not None and relay.started
+            pending.broke = relay is not None and relay.started
             return AttemptStatus.RESET if attempt.written else AttemptStatus.CONNECT_FAILED, None, False
         if relay.done and relay.error is not None and relay.error.errno in NODE_ERRORS:
             pending.error = relay.error
@@ -660,7 +660,7 @@
         self, node: Node, owner: ConnectionOwner, traits: ConnectionTraits
     ) -> NodeConnection | None:
         best = None
-        required_state = owner.session.required_state()
+        required_state = owner.session.setup()
         for conn in reversed(node.idle):
             if not conn.matches(traits):
                 continue
@@ -678,7 +678,7 @@
 
     def _is_usable(self, conn: NodeConnection) -> bool:
         age = self._scheduler.now() - conn.used_at
-        return age < self._idle_seconds and conn.channel.is_idle()
+        return age < self._idle_seconds and conn.channel.quiet()
 
     def _may_open(self, node: Node, account: str) -> bool:
         if node.open_count >= node.connection_limit:
@@ -781,7 +781,7 @@
     def give_back(self, conn: NodeConnection) -> None:
         """Pass a free connection to the first waiting attempt that it suits, or make it idle."""
         node = conn.node
-        if node.draining or conn.unusable or not conn.channel.open or not conn.channel.is_idle():
+        if node.draining or conn.unusable or not conn.channel.open or not conn.channel.quiet():
             self.discard(conn)
             return
         conn.used_at = self._scheduler.now()
@@ -857,14 +857,14 @@
                 raise SessionSetupError(_STATE_UNAVAILABLE_ERROR)
             last_id_conn.node.idle.remove(last_id_conn)
             try:
-                self._fetch_last_insert_id(last_id_conn, attempt, limit)
+                self._carry(last_id_conn, attempt, limit)
             except BaseException:
                 self.discard(last_id_conn)
                 raise
             self.give_back(last_id_conn)
         if conn.pending_id_owner is not None and conn.pending_id_owner is not owner:
-            self._fetch_last_insert_id(conn, attempt, limit)
-        required_state = session.required_state(pending.reads_last_id and session.last_id is not None)
+            self._carry(conn, attempt, limit)
+        required_state = session.setup(pending.reads_last_id and session.last_id is not None)
         if conn.settings != required_state.settings[: len(conn.settings)]:
             self._run_checked_command(conn, bytes((Command.RESET_CONNECTION,)), limit, attempt)
             conn.apply_reset()
@@ -899,7 +899,7 @@
             raise ProtocolError("the node refused a reset")
         conn.apply_reset()
 
-    def _fetch_last_insert_id(self, conn: NodeConnection, attempt: MysqlAttempt, limit: float) -> None:
+    def _carry(self, conn: NodeConnection, attempt: MysqlAttempt, limit: float) -> None:
         """Query the LAST_INSERT_ID that a session left on a connection before another session uses it."""
         owner = conn.pending_id_owner
         assert owner is not None
--- a/brambleusher/fronts/mysql/session.py
+++ b/brambleusher/fronts/mysql/session.py
@@ -161,7 +161,7 @@
             self.account, self.collation, self.capabilities & STATEMENT_CAPABILITIES, not self.schema
         )
 
-    def required_state(self, reads_last_id: bool = False) -> RequiredState:
+    def setup(self, reads_last_id: bool = False) -> RequiredState:
         """Return the state that a connection needs for the next statement."""
         return RequiredState(
             self.schema,
@@ -201,7 +201,7 @@
         if statement.kind is not StatementKind.KILL and not statement.depends_on_previous:
             self.pins.pop(PinReason.DIAGNOSTICS, None)
         if reply.warnings and error is None:
-            self.pin(PinReason.DIAGNOSTICS)
+            self.tie(PinReason.DIAGNOSTICS)
         if reply.last_id:
             self.last_id = None  # only the connection knows the new LAST_INSERT_ID() now
         if statement.sets_last_id and not never_ran:
@@ -214,7 +214,7 @@
                 PinReason.SETTING,
                 PinReason.DIAGNOSTICS,
             ):
-                self.pin(pin, name)
+                self.tie(pin, name)
         if error is not None:
             return
         for pin, name in statement.unpins:
@@ -227,7 +227,7 @@
             # There are too many settings to replay, so the oldest one pins the session to its connection.
             key = next(iter(self.settings))
             size -= len(self.settings.pop(key))
-            self.pin(PinReason.SETTING, key)
+            self.tie(PinReason.SETTING, key)
         if statement.autocommit is not None:
             self.autocommit = statement.autocommit
         if statement.schema is not None:
@@ -240,7 +240,7 @@
             return  # an ERR packet carries no status, so an open transaction may still be open
         self.status = reply.status & _PERSISTENT_STATUS
         if reply.status & Status.IN_TRANS:
-            self.pin(PinReason.TRANSACTION)
+            self.tie(PinReason.TRANSACTION)
         else:
             if PinReason.TRANSACTION in self.pins:
                 self.pins.pop(PinReason.NEXT_TRANSACTION, None)
@@ -256,10 +256,10 @@
             if statement.kind in (StatementKind.COMMIT, StatementKind.ROLLBACK):
                 self.pins.pop(PinReason.NEXT_TRANSACTION, None)
         elif not self.autocommit and statement.kind not in _KINDS_WITHOUT_DATA:
-            self.pin(PinReason.AUTOCOMMIT_OFF)
+            self.tie(PinReason.AUTOCOMMIT_OFF)
 
-    def pin(self, pin: PinReason, name: str = "") -> None:
-        """Add a pin."""
+    def tie(self, pin: PinReason, name: str = "") -> None:
+        """Pin the session to its connection for a reason; `name` identifies the lock, table or variable."""
         names = self.pins.setdefault(pin, set())
         if len(names) < MAX_PIN_NAMES:
             names.add(name[:MAX_PIN_NAME_LENGTH])
--- a/brambleusher/lab/mysql/replay.py
+++ b/brambleusher/lab/mysql/replay.py
@@ -748,7 +748,7 @@
 
 
 def _resend_after_commit() -> Iterator[None]:
-    real = MysqlFrontEnd._receive_from_node
+    real = MysqlFrontEnd._from_node
 
     def from_node(self: Any, client: Any, held: Any, deadline: Any, statement: Any) -> bytes:
         try:
@@ -757,7 +757,7 @@
             if statement.kind is not StatementKind.COMMIT:
                 raise
             for node in self._nodes._nodes.values():
-                for idle in [conn for conn in node.idle if conn.channel.is_idle()]:
+                for idle in [conn for conn in node.idle if conn.channel.quiet()]:
                     node.idle.remove(idle)
                     idle.channel.send(frame(client.pending_command.body, 0), self._scheduler.now() + 1)
                     data = idle.channel.receive(self._scheduler.now() + 1)
@@ -766,7 +766,7 @@
                         return bytes(data)
             raise
 
-    with mock.patch.object(MysqlFrontEnd, "_receive_from_node", from_node):
+    with mock.patch.object(MysqlFrontEnd, "_from_node", from_node):
         yield
 
 
@@ -791,13 +791,13 @@
 
 def _untied(tie: PinReason) -> Callable[[], Iterator[None]]:
     def patch() -> Iterator[None]:
-        real = Session.pin
+        real = Session.tie
 
         def tied(self: Session, which: PinReason, name: str = "") -> None:
             if which is not tie:
                 real(self, which, name)
 
-        with mock.patch.object(Session, "pin", tied):
+        with mock.patch.object(Session, "tie", tied):
             yield
 
     return patch
@@ -831,7 +831,7 @@
     def lost(self: Any, in_transaction: bool, statement: Any) -> Err:
         return Err.of(Errno.NET_READ, "the node was lost")
 
-    with mock.patch.object(MysqlFrontEnd, "_broken_reply_error", lost):
+    with mock.patch.object(MysqlFrontEnd, "_lost_error", lost):
         yield
 
 
@@ -841,26 +841,26 @@
         if conn.channel.open:
             conn.node.idle.append(conn)
 
-    def is_idle(self: Any) -> bool:
+    def quiet(self: Any) -> bool:
         while self.receive_now():
             pass
         return bool(self.stream.open)
 
     from brambleusher.fronts.mysql.channel import Channel
 
-    with mock.patch.object(MysqlNodes, "stop", stop), mock.patch.object(Channel, "is_idle", is_idle):
+    with mock.patch.object(MysqlNodes, "stop", stop), mock.patch.object(Channel, "quiet", quiet):
         yield
 
 
 def _settings_not_replayed() -> Iterator[None]:
-    real = Session.required_state
+    real = Session.setup
 
-    def required_state(self: Session, reads_last_id: bool = False) -> Any:
+    def setup(self: Session, reads_last_id: bool = False) -> Any:
         from dataclasses import replace
 
         return replace(real(self, reads_last_id), settings=())
 
-    with mock.patch.object(Session, "required_state", required_state):
+    with mock.patch.object(Session, "setup", setup):
         yield
 
 
@@ -868,7 +868,7 @@
     def carry(self: Any, conn: Any, claim: Any, limit: float) -> None:
         conn.pending_id_owner.session.last_id = 0
 
-    with mock.patch.object(MysqlNodes, "_fetch_last_insert_id", carry):
+    with mock.patch.object(MysqlNodes, "_carry", carry):
         yield
 
 
@@ -890,7 +890,7 @@
     def never(self: Any, value: bool) -> None:
         """An answer that broke off is told as one that never began."""
 
-    with mock.patch.object(PendingCommand, "broke_off", property(lambda self: False, never)):
+    with mock.patch.object(PendingCommand, "broke", property(lambda self: False, never)):
         yield
 
 
--- a/tests/fronts/mysql/test_mysql_statements.py
+++ b/tests/fronts/mysql/test_mysql_statements.py
@@ -308,7 +308,7 @@
     session = run(new_session(), "insert into t values (null)", reply(last_id=7))
     assert session.last_id is None
     assert not session.pinned
-    assert session.required_state(True).last_id is None
+    assert session.setup(True).last_id is None
 
 
 def test_prepared_statements_keep_types_and_long_data() -> None:
