--- a/brambleusher/fronts/mysql/statements.py
+++ b/brambleusher/fronts/mysql/statements.py
@@ -315,7 +315,7 @@
         if first in ("select", "with", "values", "table", "insert", "replace", "update", "delete", "explain",
                      "describe", "desc", "do") or self.tokens[0][1] == b"(":  # fmt: skip
             return self._query(first)
-        return self.unknown(f"{first or 'its first word'} is not a known statement")
+        return self.unknown(f"{first or 'it'} is not a known statement")
 
     def _end_of_transaction(self, first: str) -> Statement:
         names = [name for name in self.names[1:] if name != "work"]
