--- a/brambleusher/fronts/mysql/auth.py
+++ b/brambleusher/fronts/mysql/auth.py
@@ -176,7 +176,7 @@
             return cls(plugin)
         if plugin == NATIVE:
             if not re.fullmatch(r"\*[0-9A-Fa-f]{40}", text):
-                raise ValueError("the hash is not * and 40 hexadecimal digits")
+                raise ValueError("the hash is not an asterisk and 40 hexadecimal digits")
             return cls(plugin, double_sha1=bytes.fromhex(text[1:]))
         raw = bytes.fromhex(text) if re.fullmatch(r"([0-9A-Fa-f]{2}){70}", text) else text.encode("latin-1")
         found = re.fullmatch(rb"\$A\$([0-9A-F]{3})\$(.{20})([./0-9A-Za-z]{43})", raw, re.S)
@@ -234,7 +234,7 @@
         try:
             self._load()
         except (TypeError, ValueError) as error:
-            raise ValueError(f"no RSA key without a passphrase, in PEM: {error}") from None
+            raise ValueError(f"not an RSA key in PEM format without a passphrase: {error}") from None
 
     def public(self) -> bytes:
         """Return the public key in PEM format."""
--- a/brambleusher/fronts/mysql/channel.py
+++ b/brambleusher/fronts/mysql/channel.py
@@ -53,7 +53,9 @@
                 self._flush(deadline)
                 data = self.stream.receive(deadline)
                 if not data:
-                    raise ConnectionResetError("the connection ended in the TLS handshake") from None
+                    raise ConnectionResetError(
+                        "the peer closed the connection during the TLS handshake"
+                    ) from None
                 self._in.write(data)
             except ssl.SSLError:
                 self._flush(deadline)  # sends the TLS alert with the reason to the peer
--- a/brambleusher/fronts/mysql/nodes.py
+++ b/brambleusher/fronts/mysql/nodes.py
@@ -622,7 +622,7 @@
                 attempt.check()
                 continue
             if not data:
-                raise ConnectionResetError("the connection ended before its answer")
+                raise ConnectionResetError("the node closed the connection before the end of its response")
             return data
 
     # --- connections ----------------------------------------------------------------------------
@@ -774,7 +774,7 @@
             if data is None and attempt is not None:
                 attempt.check()
             elif not data:
-                raise ConnectionResetError("the connection ended in the login")
+                raise ConnectionResetError("the node closed the connection during the login")
             else:
                 login.feed(data)
 
@@ -825,7 +825,7 @@
                 assert attempt is not None
                 attempt.check()
             elif not data:
-                raise ConnectionResetError("the connection ended before its answer")
+                raise ConnectionResetError("the node closed the connection before the end of its response")
             else:
                 out += relay.feed(data)
         if relay.has_trailing_bytes:
--- a/brambleusher/fronts/mysql/settings.py
+++ b/brambleusher/fronts/mysql/settings.py
@@ -97,7 +97,7 @@
     if raw is None:
         return {}
     if not isinstance(raw, dict) or len(raw) > MAX_ENTRIES:
-        raise OperatorFileError(f"{section.name(key)} is not a mapping of at most {MAX_ENTRIES}")
+        raise OperatorFileError(f"{section.name(key)} is not a mapping with a size of at most {MAX_ENTRIES}")
     return raw
 
 
@@ -127,7 +127,7 @@
     if not server and tls.mode == "required" and not tls.ca_file:
         # Without certificate verification, a man in the middle could impersonate a node despite TLS.
         raise OperatorFileError(
-            f"{path}.ca_file is missing: without it the nodes' certificates prove nothing"
+            f"{path}.ca_file is missing: required TLS has to verify the nodes' certificates"
         )
     return tls
 
@@ -196,7 +196,7 @@
     if raw is None:
         return ()
     if not isinstance(raw, list) or len(raw) > MAX_ENTRIES:
-        raise OperatorFileError(f"mysql.statements is not a list of at most {MAX_ENTRIES}")
+        raise OperatorFileError(f"mysql.statements is not a list with a length of at most {MAX_ENTRIES}")
     out = []
     for at, given in enumerate(raw):
         path = f"mysql.statements[{at}]"
@@ -231,17 +231,17 @@
         if name is None:
             continue
         if name not in classes:
-            raise OperatorFileError(f"{path}: there is no class {name}")
+            raise OperatorFileError(f"{path}: unknown class {name}")
         if classes[name].idempotency is api.Idempotency.KEYED:
             # MySQL can't carry an idempotency key by which the nodes would recognise a retry.
-            raise OperatorFileError(f"{path}: {name} is repeated by a key, which MySQL does not carry")
+            raise OperatorFileError(f"{path}: class {name} needs idempotency keys, which MySQL does not have")
     if classes[settings.strict_class].idempotency is not api.Idempotency.UNSAFE:
-        raise OperatorFileError(f"mysql.strict_class: {settings.strict_class} may be repeated")
+        raise OperatorFileError(f"mysql.strict_class: class {settings.strict_class} allows retries")
     tenant_settings = [("mysql.tenant", settings.tenant)]
     tenant_settings += [(f"mysql.users.{name}.tenant", rule.tenant) for name, rule in settings.users.items()]
     for path, name in tenant_settings:
         if name is not None and tenants and name not in tenants:
-            raise OperatorFileError(f"{path}: there is no tenant {name}")
+            raise OperatorFileError(f"{path}: unknown tenant {name}")
     if tenants and settings.tenant is None:
         raise OperatorFileError("mysql.tenant is missing: this deployment has tenants")
 
@@ -280,7 +280,7 @@
         except ValueError as error:
             raise OperatorFileError(f"mysql.users_file: line {number}: {error}") from None
         if fields[0] in out:
-            raise OperatorFileError(f"mysql.users_file: line {number} has {fields[0]} for the second time")
+            raise OperatorFileError(f"mysql.users_file: line {number} defines {fields[0]} a second time")
         out[fields[0]] = secret
     return out
 
@@ -309,7 +309,7 @@
     for number, line in _read_lines(path, "mysql.accounts_file"):
         name, _, password = line.replace("\t", " ", 1).partition(" ")
         if name in out:
-            raise OperatorFileError(f"mysql.accounts_file: line {number} has {name} for the second time")
+            raise OperatorFileError(f"mysql.accounts_file: line {number} defines {name} a second time")
         out[name] = password.strip(" \t").encode()
     return Passwords(out)
 
--- a/tests/fronts/mysql/test_mysql_settings.py
+++ b/tests/fronts/mysql/test_mysql_settings.py
@@ -48,7 +48,7 @@
         ({"port": 0}, "mysql.port is not a whole number from 1 to 65535"),
         ({"addresses": {"h0": "x"}}, "mysql.addresses.h0: 'x' is not host:port"),
         ({"users": {"web": {"clas": "look"}}}, "mysql.users.web.clas is unknown"),
-        ({"users": [1]}, "mysql.users is not a mapping of at most 10000"),
+        ({"users": [1]}, "mysql.users is not a mapping with a size of at most 10000"),
         ({"statements": [{"text": "select 1"}]}, "mysql.statements[0] needs text and class"),
         ({"statements": [{"text": "select 'x", "class": "look"}]}, "mysql.statements[0].text can't be read"),
         ({"tls": {"mode": "required"}}, "mysql.tls needs cert_file and key_file"),
@@ -75,12 +75,12 @@
 @pytest.mark.parametrize(
     ("change", "words"),
     [
-        ({"strict_class": "look"}, "mysql.strict_class: look may be repeated"),
-        ({"strict_class": "no"}, "mysql.strict_class: there is no class no"),
-        ({"default_class": "keyed"}, "mysql.default_class: keyed is repeated by a key"),
-        ({"users": {"web": {"tenant": "no"}}}, "mysql.users.web.tenant: there is no tenant no"),
+        ({"strict_class": "look"}, "mysql.strict_class: class look allows retries"),
+        ({"strict_class": "no"}, "mysql.strict_class: unknown class no"),
+        ({"default_class": "keyed"}, "mysql.default_class: class keyed needs idempotency keys"),
+        ({"users": {"web": {"tenant": "no"}}}, "mysql.users.web.tenant: unknown tenant no"),
         ({"tenant": None}, "mysql.tenant is missing"),
-        ({"grace_ms": {"no": 5}}, "mysql.grace_ms.no: there is no class no"),
+        ({"grace_ms": {"no": 5}}, "mysql.grace_ms.no: unknown class no"),
     ],
 )
 def test_it_must_fit_the_platform(change: dict[str, Any], words: str) -> None:
@@ -103,7 +103,7 @@
     for text, words in (
         ("web\n", "line 1 is not a name, a plugin and a hash"),
         (f"web {NATIVE} *zz\n", "line 1: the hash is not"),
-        (f"a {NATIVE} -\na {NATIVE} -\n", "line 2 has a for the second time"),
+        (f"a {NATIVE} -\na {NATIVE} -\n", "line 2 defines a a second time"),
         ("web old -\n", "line 1: 'old'"),
     ):
         users.write_text(text)
