--- a/brambleusher/fronts/mysql/client.py
+++ b/brambleusher/fronts/mysql/client.py
@@ -1,18 +1,18 @@
-"""One client of the MySQL front: its connection, its session, and what it holds."""
+"""State of one connected MySQL client."""
 
 from __future__ import annotations
 
 from brambleusher.fronts.mysql.channel import Channel
 from brambleusher.fronts.mysql.messages import Err
-from brambleusher.fronts.mysql.nodes import Conn, Held, Work
+from brambleusher.fronts.mysql.nodes import NodeConnection, PendingCommand, ReservedConnection
 from brambleusher.fronts.mysql.packets import PacketReader
 from brambleusher.fronts.mysql.session import Session
 from brambleusher.loadbalancing.api import AttemptStatus
 from brambleusher.runtime.scheduler import Event, Task
 
 
-class ConnectionLostError(Exception):
-    """A connection of a session broke, or was given up; the client is to be told once."""
+class NodeConnectionError(Exception):
+    """The node connection of a session broke or was abandoned; the client gets `error` once."""
 
     def __init__(self, error: Err, status: AttemptStatus, stop: bool = False) -> None:
         super().__init__(error.text)
@@ -24,36 +24,37 @@
 
 
 class Client:
-    """One client: its connection, its session, and the node's connection that the session holds."""
+    """One client: its connection, its session, and the node connection reserved for the session."""
 
     __slots__ = (
-        "accepted_at", "event", "challenge", "chance", "channel", "charged", "deadline", "held", "id_conn",
-        "kept", "last", "leave_at", "lost", "peer", "reader", "request_class", "session", "task", "thread",
-        "work",
+        "accepted_at", "event", "challenge", "drain_jitter", "channel", "charged_command_bytes", "deadline",
+        "reserved", "last_id_conn", "charged_prepared_bytes", "last_conn", "drain_deadline", "pending_error",
+        "peer", "reader", "request_class", "session", "task", "thread", "pending_command",
     )  # fmt: skip
 
     def __init__(self, channel: Channel, peer: str, thread: int, max_packet_bytes: int) -> None:
         self.channel, self.peer, self.thread = channel, peer, thread
         self.reader = PacketReader(max_packet_bytes)
-        self.challenge = b""  # of its first login
+        self.challenge = b""  # authentication challenge of the first login on this connection
         self.session = Session("", "", 0, 0)
-        self.event = Event()  # set when something about its connection has changed
-        self.held: Held | None = None
-        self.last: Conn | None = None
-        self.id_conn: Conn | None = None
-        self.work: Work | None = None  # the command that is on its way
+        self.event = Event()  # set when the node drains or the front end shuts down
+        self.reserved: ReservedConnection | None = None
+        self.last_conn: NodeConnection | None = None
+        self.last_id_conn: NodeConnection | None = None
+        self.pending_command: PendingCommand | None = None  # the command in progress
         self.task: Task | None = None
         self.accepted_at = channel.stream.used_at
-        self.charged = 0  # bytes of the memory of all, for the command under way
-        self.kept = 0  # and for what it has prepared
-        self.deadline: float | None = None  # of its transaction
-        self.leave_at: float | None = None  # its node drains
-        self.chance = 0.0  # which part of the time that drains are spread over it is given
-        self.lost: Err | None = None  # sent with the next command, and the session is over
-        self.request_class = ""  # of the request that it is tied by
-
-    def leave(self, _held: Held) -> None:
-        """Note that its node drains: `Front` says until when it may stay."""
-        if self.leave_at is None:  # guards against a grace that begins anew with each list
-            self.leave_at = -1.0
+        self.charged_command_bytes = 0  # bytes of the shared memory budget used by the command in progress
+        self.charged_prepared_bytes = 0  # bytes of the shared memory budget used by prepared statements
+        self.deadline: float | None = None  # deadline of the open transaction
+        # When the session must leave its draining node; -1 if the node drains and the time is not set yet.
+        self.drain_deadline: float | None = None
+        self.drain_jitter = 0.0  # random fraction of `drain_spread_ms` that delays the end of this session
+        self.pending_error: Err | None = None  # error that answers the next command and ends the session
+        self.request_class = ""  # class of the request that pinned the session
+
+    def node_draining(self, _reserved: ReservedConnection) -> None:
+        """Record that the node of the session drains; `MysqlFrontEnd` sets the final deadline later."""
+        if self.drain_deadline is None:  # the grace period must not restart with each endpoint list
+            self.drain_deadline = -1.0
             self.event.set()
--- a/brambleusher/fronts/mysql/front.py
+++ b/brambleusher/fronts/mysql/front.py
@@ -1,8 +1,9 @@
-"""The MySQL front: the listener, the clients' sessions, and their commands.
+"""The MySQL front end: serves client sessions and their commands.
 
-A command of a session that nothing ties is a request: it goes through `RequestLifecycle`, and the decisions
-choose its node.  One of a tied session goes to the connection that the session holds.  Nothing here, nor
-anything below, sends a command a second time but the decisions' own repeats of plain reads.
+A command of an unpinned session is a request: it goes through `RequestLifecycle`, and the load balancer
+chooses the node. A session is pinned while some of its state, such as an open transaction, exists on one
+node connection only. This connection is reserved for the session and runs all its commands. No command is
+sent twice, except that the load balancer may retry plain reads.
 """
 
 from __future__ import annotations
@@ -16,9 +17,9 @@
 from brambleusher.decisions.balancer_driver import BalancerDriver
 from brambleusher.decisions.clock import Clock
 from brambleusher.decisions.requests import ClientRequest
-from brambleusher.fronts.mysql.auth import RsaKey, Secret, ServerLogin, Turn
+from brambleusher.fronts.mysql.auth import LoginStep, RsaKey, Secret, ServerLogin
 from brambleusher.fronts.mysql.channel import server_context
-from brambleusher.fronts.mysql.client import Client, ClientLeftError, ConnectionLostError
+from brambleusher.fronts.mysql.client import Client, ClientLeftError, NodeConnectionError
 from brambleusher.fronts.mysql.constants import (
     CURSOR_READ_ONLY,
     SCRAMBLE,
@@ -31,15 +32,22 @@
 from brambleusher.fronts.mysql.constants import (
     Status as Flag,
 )
-from brambleusher.fronts.mysql.mapping import Mapping
+from brambleusher.fronts.mysql.mapping import RequestMapper
 from brambleusher.fronts.mysql.messages import Column, Eof, Err, Execute, Ok, text_row
-from brambleusher.fronts.mysql.nodes import Held, Mode, MysqlNodes, Reply, TuneFailed, Work
-from brambleusher.fronts.mysql.packets import ProtocolError, frame, frames, lenenc
+from brambleusher.fronts.mysql.nodes import (
+    ConnectionDisposition,
+    MysqlNodes,
+    PendingCommand,
+    Reply,
+    ReservedConnection,
+    SessionSetupError,
+)
+from brambleusher.fronts.mysql.packets import ProtocolError, encode_lenenc_integer, frame, packet_count
 from brambleusher.fronts.mysql.replies import ReplyRelay
 from brambleusher.fronts.mysql.session import PreparedText, Session
 from brambleusher.fronts.mysql.session_listener import SessionListener
 from brambleusher.fronts.mysql.settings import MysqlSettings
-from brambleusher.fronts.mysql.statements import Kind, Statement, Statements, words
+from brambleusher.fronts.mysql.statements import Statement, StatementClassifier, StatementKind, tokenize
 from brambleusher.loadbalancing.api import AttemptStatus
 from brambleusher.net.request_lifecycle import ClientHandle, FinalResponse, RequestLifecycle
 from brambleusher.net.request_lifecycle import ResponseKind as AnswerKind
@@ -49,16 +57,18 @@
 
 log = logging.getLogger(__name__)
 
-WRITE_SECONDS = 30.0  # for a client that reads its rows slowly, a piece at a time
-READ_SECONDS = 30.0  # without a byte of a command that has begun
-WATCH_SECONDS = 0.05  # while a node is waited for, its client is looked at so often
-SOFT_SECONDS = 1.0  # without a command: what softly ties a session is let go
-# While a claim is out, its client may take so much time in all; then the claim counts as served.  Guards
-# against a node that looks slow, or full, because clients think within their transactions.
-THINK_SECONDS = 0.1
-ANSWER_MARGIN_NS = 10_000_000  # of its deadline: the error leaves before the client stops waiting
-FREE_BYTES = 64 * 1024  # a command may have, before it counts against the memory of all
-OFFERED = int(
+CLIENT_WRITE_SECONDS = 30.0  # timeout in seconds for each write to a client that reads its rows slowly
+COMMAND_READ_SECONDS = 30.0  # timeout in seconds for the rest of a partially received command
+CLIENT_CHECK_SECONDS = 0.05  # interval in seconds of the check whether the client has closed its connection
+SOFT_PIN_SECONDS = 1.0  # idle time in seconds after which soft pins are dropped
+# Maximum time in seconds that a client may spend between the statements of one attempt; after that the
+# attempt counts as served.  Without this limit, a node would look slow or full because of clients that pause
+# within their transactions.
+CLIENT_PAUSE_SECONDS = 0.1
+# Nanoseconds subtracted from the deadline, so that the error is sent before the client stops waiting.
+RESPONSE_MARGIN_NS = 10_000_000
+UNCHARGED_BYTES = 64 * 1024  # size in bytes up to which a command is not charged to the shared memory budget
+OFFERED_CAPABILITIES = int(
     Capability.LONG_PASSWORD | Capability.FOUND_ROWS | Capability.LONG_FLAG | Capability.CONNECT_WITH_DB
     | Capability.NO_SCHEMA | Capability.ODBC | Capability.IGNORE_SPACE | Capability.PROTOCOL_41
     | Capability.INTERACTIVE | Capability.IGNORE_SIGPIPE | Capability.TRANSACTIONS
@@ -66,7 +76,7 @@
     | Capability.PS_MULTI_RESULTS | Capability.PLUGIN_AUTH | Capability.CONNECT_ATTRS
     | Capability.PLUGIN_AUTH_LENENC | Capability.SESSION_TRACK | Capability.DEPRECATE_EOF
 )  # fmt: skip
-COUNTS = (
+COUNTERS = (
     "mysql_sessions", "mysql_logins_refused", "mysql_bad_packets", "mysql_commands", "mysql_tied_commands",
     "mysql_waits", "mysql_kills", "mysql_kills_failed", "mysql_connections_refused", "mysql_ids_carried",
     "mysql_prepared_anew", "mysql_outcomes_unknown", "mysql_drained", "mysql_broken_answers",
@@ -74,7 +84,7 @@
 _KNOWN_COMMANDS = frozenset(int(command) for command in Command)
 
 
-class Front:
+class MysqlFrontEnd:
     """Accepts MySQL clients and serves their sessions."""
 
     def __init__(
@@ -93,21 +103,21 @@
         self._scheduler, self._decisions, self._nodes, self._clock = scheduler, decisions, nodes, clock
         self._counters, self._settings, self._users, self._rsa = counters, settings, users, rsa
         self._rng, self._entropy = rng, entropy
-        self._mapping = Mapping(settings, decisions.settings)
-        self._statements = Statements()
-        self._life = RequestLifecycle(decisions, nodes, scheduler)
-        self._most = settings.max_packet_mb * 1024 * 1024
+        self._mapper = RequestMapper(settings, decisions.settings)
+        self._classifier = StatementClassifier()
+        self._lifecycle = RequestLifecycle(decisions, nodes, scheduler)
+        self._max_packet_bytes = settings.max_packet_mb * 1024 * 1024
         self._memory_left = settings.memory_mb * 1024 * 1024
-        self._listener = SessionListener(scheduler, self._serve, settings.sessions, self._most)
+        self._listener = SessionListener(scheduler, self._serve, settings.sessions, self._max_packet_bytes)
         self._clients = self._listener.clients
-        self._requests = 0
+        self._request_count = 0
         self._closing = False
         self._context = (
             server_context(settings.tls.cert_file, settings.tls.key_file)
             if settings.tls.mode != "off"
             else None
         )
-        for name in COUNTS:
+        for name in COUNTERS:
             counters.register(name)
         self._handlers: dict[int, Callable[[Client, bytes], bool]] = {
             Command.QUIT: lambda client, body: False,
@@ -131,28 +141,31 @@
     # --- the listener ---------------------------------------------------------------------------
 
     def listen(self, address: Address) -> Address:
-        """Bind, and start to accept; says where."""
+        """Bind the address, start to accept clients, and return the bound address."""
         return self._listener.listen(address)
 
     @property
-    def connections(self) -> int:
-        """Sessions that are open."""
+    def session_count(self) -> int:
+        """Number of open sessions."""
         return len(self._clients)
 
     def wind_down(self) -> None:
-        """Take no new session; end each one as soon as nothing ties it and nothing is owed on it."""
+        """Accept no new sessions; end each session once it is neither pinned nor running a command."""
         self._closing = True
         self._listener.close()
         for client in self._clients.values():
-            if client.held is not None and client.leave_at is None:
-                client.leave(client.held)
+            if client.reserved is not None and client.drain_deadline is None:
+                client.node_draining(client.reserved)
             client.event.set()
 
     def state(self) -> dict[str, object]:
-        """What is known of sessions and nodes, for JSON; no texts and no secrets."""
+        """Return the state of sessions and nodes for JSON, without statement texts and secrets."""
         return {
             "sessions": {
-                str(client.thread): {**client.session.state(), "node": client.held and client.held.node.name}
+                str(client.thread): {
+                    **client.session.state(),
+                    "node": client.reserved and client.reserved.node.name,
+                }
                 for client in self._clients.values()
             },
             "nodes": self._nodes.state(),
@@ -164,108 +177,109 @@
         self._counters.add("mysql_sessions")
         try:
             if self._log_in(client):
-                while self._command(client):
-                    self._uncharge(client)
+                while self._serve_command(client):
+                    self._release_charge(client)
         except ProtocolError as error:
             self._counters.add("mysql_bad_packets")
             log.info("bad packet", extra={"fields": {"peer": client.peer, "reason": error}})
-            self._last_word(client, Err(error.errno, error.state, str(error)))
+            self._send_final_error(client, Err(error.errno, error.state, str(error)))
         except (OSError, TaskTimeoutError, ClientLeftError):
             return
         except Exception:
-            # Guards against a session that ends without a word over a fault of ours.
+            # After an internal error the client still gets an error message before its session ends.
             self._counters.add("faults")
             log.exception("session failed")
-            self._last_word(client, Err.of(Errno.UNKNOWN, "a fault in the sidecar"))
+            self._send_final_error(client, Err.of(Errno.UNKNOWN, "a fault in the sidecar"))
         finally:
-            self._over(client)
+            self._close_session(client)
 
-    def _over(self, client: Client) -> None:
-        """Let go of all that a session has; what runs for it is stopped."""
+    def _close_session(self, client: Client) -> None:
+        """Release all resources of a session and stop its running statement."""
         self._listener.forget(client)
-        self._uncharge(client)
-        self._memory_left += client.kept
-        client.kept = 0
-        work, client.work = client.work, None
-        if work is not None:
-            work.over = True
-        if client.held is not None:
-            held, client.held = client.held, None
-            if work is not None and work.conn is held.conn:
-                held.stop(AttemptStatus.CANCELLED)
+        self._release_charge(client)
+        self._memory_left += client.charged_prepared_bytes
+        client.charged_prepared_bytes = 0
+        pending, client.pending_command = client.pending_command, None
+        if pending is not None:
+            pending.closed = True
+        if client.reserved is not None:
+            reserved, client.reserved = client.reserved, None
+            if pending is not None and pending.conn is reserved.conn:
+                reserved.stop(AttemptStatus.CANCELLED)
             else:
-                held.drop(AttemptStatus.CANCELLED)
+                reserved.drop(AttemptStatus.CANCELLED)
         client.channel.close()
 
-    def _last_word(self, client: Client, error: Err) -> None:
-        """An error that ends the session, numbered as the client awaits it."""
+    def _send_final_error(self, client: Client, error: Err) -> None:
+        """Send the error that ends the session, with the sequence number that the client expects."""
         try:
             client.channel.send(
-                frame(error.encode(), client.reader.answer_seq), self._scheduler.now() + WRITE_SECONDS
+                frame(error.encode(), client.reader.response_seq),
+                self._scheduler.now() + CLIENT_WRITE_SECONDS,
             )
             client.channel.stream.finish()
         except (OSError, TaskTimeoutError):
             return
 
-    def _keep_in_mind(self, client: Client, more: int = 0) -> None:
-        """Charge what a session holds of prepared statements, and what is to come, to the memory of all."""
-        held = client.session.held_bytes + more
-        if held - client.kept > self._memory_left:
+    def _charge_prepared(self, client: Client, extra: int = 0) -> None:
+        """Charge a session's prepared statements and `extra` bytes to the shared memory budget."""
+        total = client.session.prepared_bytes + extra
+        if total - client.charged_prepared_bytes > self._memory_left:
             raise ProtocolError("no memory for what is prepared", Errno.OUT_OF_RESOURCES)
-        self._memory_left -= held - client.kept
-        client.kept = held
+        self._memory_left -= total - client.charged_prepared_bytes
+        client.charged_prepared_bytes = total
 
-    def _uncharge(self, client: Client) -> None:
-        self._memory_left += client.charged
-        client.charged = 0
+    def _release_charge(self, client: Client) -> None:
+        self._memory_left += client.charged_command_bytes
+        client.charged_command_bytes = 0
 
-    def _say(self, client: Client, *messages: bytes) -> bool:
-        """Messages that answer a command; true, since the session goes on."""
+    def _send(self, client: Client, *messages: bytes) -> bool:
+        """Send the messages of a response and return True, since the session continues."""
         first = client.reader.seq
         out = b"".join(frame(message, first + at) for at, message in enumerate(messages))
-        client.channel.send(out, self._scheduler.now() + WRITE_SECONDS)
+        client.channel.send(out, self._scheduler.now() + CLIENT_WRITE_SECONDS)
         return True
 
-    def _say_ok(self, client: Client) -> bool:
-        return self._say(client, Ok(status=client.session.status).encode(client.session.capabilities))
+    def _send_ok(self, client: Client) -> bool:
+        return self._send(client, Ok(status=client.session.status).encode(client.session.capabilities))
 
-    def _say_error(self, client: Client, error: Err) -> bool:
-        return self._say(client, error.encode())
+    def _send_error(self, client: Client, error: Err) -> bool:
+        return self._send(client, error.encode())
 
     # --- the login ------------------------------------------------------------------------------
 
     def _challenge(self) -> bytes:
-        """Twenty bytes without a zero, which would end them."""
+        """Return a challenge of 20 random bytes, none of them zero because a zero byte would terminate it."""
         return bytes(byte % 127 + 1 for byte in self._entropy(SCRAMBLE))
 
     def _log_in(self, client: Client) -> bool:
         settings = self._settings
-        offered = OFFERED | (int(Capability.SSL) if self._context is not None else 0)
+        offered = OFFERED_CAPABILITIES | (int(Capability.SSL) if self._context is not None else 0)
         client.challenge = self._challenge()
         login = ServerLogin(
             client.thread, client.challenge, offered, self._users.get, self._rsa, settings.server_version,
             settings.auth_plugin, settings.tls.mode == "required",
         )  # fmt: skip
         deadline = client.accepted_at + settings.login_ms / 1000
-        client.channel.send(login.greet(), deadline)
+        client.channel.send(login.encode_greeting(), deadline)
         client.reader.seq = 1
-        return self._meet(client, login, deadline)
+        return self._run_login(client, login, deadline)
 
-    def _meet(self, client: Client, login: ServerLogin, deadline: float) -> bool:
-        """A login's messages to and fro; false where it was refused."""
+    def _run_login(self, client: Client, login: ServerLogin, deadline: float) -> bool:
+        """Run the message exchange of a login; return False if the login failed."""
         channel = client.channel
         while True:
             try:
-                turn = login.step()
+                step = login.step()
             except ProtocolError:
                 client.reader.seq = login.seq
                 raise
-            if turn is Turn.DONE:
+            if step is LoginStep.DONE:
                 break
             if login.out:
                 out, login.out = login.out, b""
                 channel.send(out, deadline)
-            if turn is Turn.REFUSED:
+            if step is LoginStep.REJECTED:
                 self._counters.add("mysql_logins_refused")
                 fields = {
                     "peer": client.peer,
@@ -275,12 +289,12 @@
                 log.info("login refused", extra={"fields": fields})
                 channel.stream.finish()
                 return False
-            if turn is Turn.AGAIN:
+            if step is LoginStep.RESUME:
                 self._scheduler.sleep(0.0)
                 continue
-            if turn is Turn.TLS:
+            if step is LoginStep.TLS:
                 assert self._context is not None
-                channel.start_tls(self._context, True, "", login.rest(), deadline)
+                channel.start_tls(self._context, True, "", login.take_leftover(), deadline)
                 continue
             try:
                 data = channel.receive(deadline)
@@ -299,19 +313,19 @@
         client.session = Session(
             request.user, account, login.capabilities, request.collation, request.database
         )
-        channel.send(login.let_in(), deadline)
-        client.reader.feed(login.rest())
+        channel.send(login.complete_login(), deadline)
+        client.reader.feed(login.take_leftover())
         return True
 
     # --- commands -------------------------------------------------------------------------------
 
-    def _command(self, client: Client) -> bool:
-        """One command and its answer; false when the session is over."""
-        body = self._next(client)
+    def _serve_command(self, client: Client) -> bool:
+        """Read one command and respond to it; return False if the session is over."""
+        body = self._next_command(client)
         if body is None:
             return False
-        if client.lost is not None:
-            self._say_error(client, client.lost)
+        if client.pending_error is not None:
+            self._send_error(client, client.pending_error)
             return False
         if not body:
             raise ProtocolError("an empty command", Errno.UNKNOWN_COM)
@@ -321,110 +335,122 @@
             if body[0] not in _KNOWN_COMMANDS:
                 raise ProtocolError(f"Unknown command {body[0]:#04x}", Errno.UNKNOWN_COM)
             name = Command(body[0]).name
-            return self._say_error(client, Err.of(Errno.UNKNOWN_COM, f"COM_{name} is not supported here"))
+            return self._send_error(client, Err.of(Errno.UNKNOWN_COM, f"COM_{name} is not supported here"))
         try:
             return handler(client, body)
         except ProtocolError as error:
-            if error.errno not in _SESSION_GOES_ON:
+            if error.errno not in _SESSION_CONTINUES:
                 raise
-            return self._say_error(client, Err(error.errno, error.state, str(error)))
+            return self._send_error(client, Err(error.errno, error.state, str(error)))
 
-    def _next(self, client: Client) -> bytes | None:
-        """The next command; None where the session ends without one."""
+    def _next_command(self, client: Client) -> bytes | None:
+        """Return the next command, or None if the session ends before one arrives."""
         reader = client.reader
-        reader.expect()
-        begun_at = self._scheduler.now()
+        reader.set_sequence()
+        started_at = self._scheduler.now()
         while (body := reader.take()) is None:
-            if self._closing and not client.session.tied and not reader.begun:
-                self._say_unasked(client, Err.of(Errno.SERVER_SHUTDOWN, "Server shutdown in progress"))
+            if self._closing and not client.session.pinned and not reader.has_partial_message:
+                self._send_unsolicited_error(
+                    client, Err.of(Errno.SERVER_SHUTDOWN, "Server shutdown in progress")
+                )
                 return None
-            deadline, late = self._waits_until(client, begun_at)
+            deadline, on_timeout = self._next_timeout(client, started_at)
             try:
                 data = client.channel.receive(deadline, client.event)
             except TaskTimeoutError:
-                if not late(client):
+                if not on_timeout(client):
                     return None
                 continue
             if data is None:
                 continue
             if not data:
                 return None
-            if not reader.begun:
-                begun_at = self._scheduler.now()
+            if not reader.has_partial_message:
+                started_at = self._scheduler.now()
             reader.feed(data)
-            self._charge(client)
+            self._charge_command(client)
         return body
 
-    def _say_unasked(self, client: Client, error: Err) -> None:
-        """An error that no command asked for, ahead of the end."""
-        client.channel.send(frame(error.encode(), 0), self._scheduler.now() + WRITE_SECONDS)
+    def _send_unsolicited_error(self, client: Client, error: Err) -> None:
+        """Send an error outside a command exchange, before the connection is closed."""
+        client.channel.send(frame(error.encode(), 0), self._scheduler.now() + CLIENT_WRITE_SECONDS)
         client.channel.stream.finish()
 
-    def _charge(self, client: Client) -> None:
-        more = client.reader.buffered - FREE_BYTES - client.charged
-        if more <= 0:
+    def _charge_command(self, client: Client) -> None:
+        additional = client.reader.buffered - UNCHARGED_BYTES - client.charged_command_bytes
+        if additional <= 0:
             return
-        if more > self._memory_left:
-            # Guards against clients that together send more than the sidecar may hold.
+        if additional > self._memory_left:
+            # All clients together must not buffer more than `memory_mb`.
             raise ProtocolError("no memory for a command so large", Errno.OUT_OF_RESOURCES)
-        self._memory_left -= more
-        client.charged += more
+        self._memory_left -= additional
+        client.charged_command_bytes += additional
 
-    def _waits_until(self, client: Client, begun_at: float) -> tuple[float, Callable[[Client], bool]]:
-        """How long the next command is waited for, and what is done then; that says whether to go on."""
+    def _next_timeout(self, client: Client, started_at: float) -> tuple[float, Callable[[Client], bool]]:
+        """Return the timeout for the next command and its handler, which tells if the session continues."""
         now, settings = self._scheduler.now(), self._settings
-        if client.reader.begun:
-            waits = [(begun_at + READ_SECONDS, self._too_slow)]
+        if client.reader.has_partial_message:
+            timeouts = [(started_at + COMMAND_READ_SECONDS, self._on_read_timeout)]
         else:
-            waits = [(now + settings.session_idle_ms / 1000, self._too_idle)]
-        if client.held is not None and client.lost is None:
-            if client.held.claimed:
-                waits.append((now + max(0.0, THINK_SECONDS - client.held.client_took(now)), self._thinks))
-            if client.leave_at is not None:
-                waits.append((self._rests_until(client, now), self._drained))
+            timeouts = [(now + settings.session_idle_ms / 1000, self._on_idle_timeout)]
+        if client.reserved is not None and client.pending_error is None:
+            if client.reserved.attempt_open:
+                timeouts.append(
+                    (
+                        now + max(0.0, CLIENT_PAUSE_SECONDS - client.reserved.client_seconds(now)),
+                        self._on_pause_timeout,
+                    )
+                )
+            if client.drain_deadline is not None:
+                timeouts.append((self._idle_drain_deadline(client, now), self._on_drain_timeout))
             if client.deadline is not None:
-                waits.append((client.deadline, self._too_late))
-            if client.session.softly_tied:
-                waits.append((begun_at + SOFT_SECONDS, self._let_go))
-        return min(waits, key=lambda each: each[0])
-
-    def _leaves_at(self, client: Client, now: float) -> float:
-        """Until when a session may stay on its node that drains: its class's grace, and a part by chance."""
-        if client.leave_at is None or client.leave_at < 0:
-            grace = self._mapping.grace_ns(client.request_class or self._settings.strict_class) / 1e9
-            client.chance = self._rng.random()
-            client.leave_at = now + grace + client.chance * self._settings.drain_spread_ms / 1000
-        return client.leave_at
-
-    def _rests_until(self, client: Client, now: float) -> float:
-        """Until when a session without a command may stay on its node that drains.
-
-        Where nothing of a request is open, whatever it asks next would be new to the node.
+                timeouts.append((client.deadline, self._on_transaction_timeout))
+            if client.session.softly_pinned:
+                timeouts.append((started_at + SOFT_PIN_SECONDS, self._drop_soft_pins))
+        return min(timeouts, key=lambda each: each[0])
+
+    def _drain_deadline(self, client: Client, now: float) -> float:
+        """Return when a session must leave its draining node: the grace period of its class plus a jitter."""
+        if client.drain_deadline is None or client.drain_deadline < 0:
+            grace = self._mapper.grace_ns(client.request_class or self._settings.strict_class) / 1e9
+            client.drain_jitter = self._rng.random()
+            client.drain_deadline = now + grace + client.drain_jitter * self._settings.drain_spread_ms / 1000
+        return client.drain_deadline
+
+    def _idle_drain_deadline(self, client: Client, now: float) -> float:
+        """Return until when a session without a running command may stay on its draining node.
+
+        If no transaction and no cursor is open, the next command would start a new request on the node.
         """
-        until, held, session = self._leaves_at(client, now), client.held, client.session
-        if held is None or session.in_transaction or session.cursors:
-            return until
-        starts = self._nodes.starts_until(held.node)
-        if starts is None or until <= starts:
-            return until
-        # All come to this bound where the grace is longer: they are spread over the second half before it.
-        return starts - client.chance * (starts - held.node.left_at) / 2
-
-    def _starts_too_late(self, client: Client, work: Work, statement: Statement) -> bool:
-        """Whether a command of a tied session is something new to a node that drains for too long."""
-        held, session = client.held, client.session
-        starts = None if held is None else self._nodes.starts_until(held.node)
-        if starts is None or self._scheduler.now() < starts:
+        drain_deadline, reserved, session = self._drain_deadline(client, now), client.reserved, client.session
+        if reserved is None or session.in_transaction or session.cursors:
+            return drain_deadline
+        start_limit = self._nodes.new_requests_until(reserved.node)
+        if start_limit is None or drain_deadline <= start_limit:
+            return drain_deadline
+        # If the grace period is longer than this limit, all sessions would leave at the limit at once; so
+        # they are spread over the second half of the time before it.
+        return start_limit - client.drain_jitter * (start_limit - reserved.node.drain_started_at) / 2
+
+    def _starts_request_too_late(self, client: Client, pending: PendingCommand, statement: Statement) -> bool:
+        """Return whether a pinned session's command starts a request too late on a draining node."""
+        reserved, session = client.reserved, client.session
+        start_limit = None if reserved is None else self._nodes.new_requests_until(reserved.node)
+        if start_limit is None or self._scheduler.now() < start_limit:
             return False
-        if work.command == Command.STMT_FETCH:
+        if pending.command == Command.STMT_FETCH:
             return False
-        return not session.in_transaction or statement.kind is Kind.BEGIN or statement.renews
+        return (
+            not session.in_transaction
+            or statement.kind is StatementKind.BEGIN
+            or statement.may_restart_transaction
+        )
 
-    def _too_slow(self, client: Client) -> bool:
+    def _on_read_timeout(self, client: Client) -> bool:
         raise ProtocolError("the rest of a command did not come", Errno.NET_READ_INTERRUPTED)
 
-    def _too_idle(self, client: Client) -> bool:
-        self._say_unasked(
+    def _on_idle_timeout(self, client: Client) -> bool:
+        self._send_unsolicited_error(
             client,
             Err.of(
                 Errno.CLIENT_INTERACTION_TIMEOUT,
@@ -433,630 +459,696 @@
         )
         return False
 
-    def _thinks(self, client: Client) -> bool:
-        if client.held is not None:
-            client.held.finish(AttemptStatus.OK)
+    def _on_pause_timeout(self, client: Client) -> bool:
+        if client.reserved is not None:
+            client.reserved.finish(AttemptStatus.OK)
         return True
 
-    def _drained(self, client: Client) -> bool:
+    def _on_drain_timeout(self, client: Client) -> bool:
         self._counters.add("mysql_drained")
-        return self._lose(client, _drain_error(client.session), AttemptStatus.CANCELLED)
+        return self._abandon_connection(client, _drain_error(client.session), AttemptStatus.CANCELLED)
 
-    def _too_late(self, client: Client) -> bool:
+    def _on_transaction_timeout(self, client: Client) -> bool:
         text = "the transaction's time is over; it was rolled back"
-        return self._lose(client, Err.of(Errno.QUERY_TIMEOUT, text), AttemptStatus.TIMEOUT)
-
-    def _lose(self, client: Client, error: Err, status: AttemptStatus) -> bool:
-        """Give up what the session holds; the client hears of it with its next command."""
-        held, client.held = client.held, None
-        if held is not None:
-            held.drop(status)
-        client.session.lost()
-        client.lost = error
+        return self._abandon_connection(client, Err.of(Errno.QUERY_TIMEOUT, text), AttemptStatus.TIMEOUT)
+
+    def _abandon_connection(self, client: Client, error: Err, status: AttemptStatus) -> bool:
+        """Close the reserved connection of a session; the client gets the error with its next command."""
+        reserved, client.reserved = client.reserved, None
+        if reserved is not None:
+            reserved.drop(status)
+        client.session.drop_connection_state()
+        client.pending_error = error
         return True
 
-    def _let_go(self, client: Client) -> bool:
-        """Let go of what softly ties a session."""
-        for tie in list(client.session.ties):
-            client.session.lift(tie)
+    def _drop_soft_pins(self, client: Client) -> bool:
+        """Drop the soft pins of a session and release its connection."""
+        for pin in list(client.session.pins):
+            client.session.unpin(pin)
         self._release(client)
         return True
 
     def _release(self, client: Client) -> None:
-        held, client.held = client.held, None
-        client.deadline = client.leave_at = None
+        reserved, client.reserved = client.reserved, None
+        client.deadline = client.drain_deadline = None
         client.request_class = ""
-        if held is not None:
-            held.release()
+        if reserved is not None:
+            reserved.release()
 
-    # --- a command that a node runs -------------------------------------------------------------
+    # --- commands that run on a node ------------------------------------------------------------
 
-    def _run(
+    def _run_on_node(
         self,
         client: Client,
         command: int,
         body: bytes,
         statement: Statement,
         prepared: PreparedText | None = None,
-        run: Execute | None = None,
-        number: int | None = None,
+        execution: Execute | None = None,
+        statement_id: int | None = None,
     ) -> bool:
-        """Have a command run and its answer passed on."""
-        work = Work(
-            client, command, body, lambda reply: self._accept(client, statement, work, reply), run, prepared,
-            statement.reads_last_id, statement.about_previous, number, client.reader.seq,
+        """Run a command on a node and forward the response to the client."""
+        pending = PendingCommand(
+            client, command, body, lambda reply: self._accept_reply(client, statement, pending, reply),
+            execution, prepared, statement.reads_last_id, statement.depends_on_previous, statement_id,
+            client.reader.seq,
         )  # fmt: skip
-        client.work = work
+        client.pending_command = pending
         try:
             if (
-                client.held is not None
-                and client.leave_at is not None
-                and client.session.softly_tied
-                and not statement.about_previous
+                client.reserved is not None
+                and client.drain_deadline is not None
+                and client.session.softly_pinned
+                and not statement.depends_on_previous
             ):
-                self._let_go(client)  # its node drains, and what ties it is not asked for
-            if client.held is not None:
+                self._drop_soft_pins(client)  # the node drains, and the statement doesn't need the soft pins
+            if client.reserved is not None:
                 self._counters.add("mysql_tied_commands")
-                return self._run_tied(client, work, statement)
-            return self._request(client, work, statement)
+                return self._run_pinned(client, pending, statement)
+            return self._run_as_request(client, pending, statement)
         finally:
-            client.work = None
+            client.pending_command = None
 
-    def _request(self, client: Client, work: Work, statement: Statement) -> bool:
-        """A command of a session that nothing ties, by way of the decisions."""
+    def _run_as_request(self, client: Client, pending: PendingCommand, statement: Statement) -> bool:
+        """Run a command of an unpinned session on a node chosen by the load balancer."""
         session = client.session
-        opens = self._opens(session, statement)
-        given = self._mapping.assign(statement, session.user, opens)
-        if self._mapping.news(statement, session.user, given):
+        begins_transaction = self._begins_transaction(session, statement)
+        assignment = self._mapper.assign(statement, session.user, begins_transaction)
+        if self._mapper.is_new_assignment(statement, session.user, assignment):
             log.info(
                 "statement assigned",
                 extra={"fields": {
-                    "user": session.user, "class": given.request_class, "reason": given.reason,
+                    "user": session.user, "class": assignment.request_class, "reason": assignment.reason,
                     "digest": statement.digest[:200],
                 }},
             )  # fmt: skip
         arrived_ns = self._clock.now_ns()
-        left_ns = given.deadline_ms * 1_000_000
-        left_ns -= min(ANSWER_MARGIN_NS, left_ns // 10)
-        self._requests += 1
-        call = ClientRequest(
-            f"mysql {self._requests}",  # with a space: no id of an HTTP request has one
-            given.request_class, given.tenant, left_ns,
-            None if given.work_us is None else given.work_us * 1000, False, work,
+        timeout_ns = assignment.deadline_ms * 1_000_000
+        timeout_ns -= min(RESPONSE_MARGIN_NS, timeout_ns // 10)
+        self._request_count += 1
+        request = ClientRequest(
+            f"mysql {self._request_count}",  # the space prevents collisions with ids of HTTP requests
+            assignment.request_class, assignment.tenant, timeout_ns,
+            None if assignment.work_us is None else assignment.work_us * 1000, False, pending,
         )  # fmt: skip
-        deadline = self._clock.seconds(arrived_ns + left_ns)
-        client.request_class, client.leave_at = given.request_class, None
+        deadline = self._clock.seconds(arrived_ns + timeout_ns)
+        client.request_class, client.drain_deadline = assignment.request_class, None
         client.deadline = deadline
         self._counters.add("requests_taken")
-        answer = self._life.run(
-            call, lambda: deadline, ClientHandle(self._watch(client), lambda: self._has_left(client))
+        response = self._lifecycle.run(
+            request,
+            lambda: deadline,
+            ClientHandle(self._socket_to_watch(client), lambda: self._has_disconnected(client)),
         )
-        work.over = True
-        kind: str | None = None
+        pending.closed = True
+        outcome: str | None = None
         try:
-            if work.taken is not None:
-                done = self._pass_on(client, work, statement, work.taken, deadline)
-                kind = "served" if work.taken.relay.error is None or done else "failed"
-                return done
-            if answer is None:
+            if pending.accepted_reply is not None:
+                session_continues = self._forward_reply(
+                    client, pending, statement, pending.accepted_reply, deadline
+                )
+                outcome = (
+                    "served" if pending.accepted_reply.relay.error is None or session_continues else "failed"
+                )
+                return session_continues
+            if response is None:
                 raise ClientLeftError
-            kind = "failed" if answer.kind is AnswerKind.SERVED else answer.kind.value
-            return self._say_error(client, self._sorry(answer, work, statement))
+            outcome = "failed" if response.kind is AnswerKind.SERVED else response.kind.value
+            return self._send_error(client, self._request_error(response, pending, statement))
         finally:
-            self._decisions.observers.request_finished(call, kind, self._clock.now_ns() - arrived_ns)
-            self._counters.add(f"answers_{kind}" if kind else "requests_gone")
+            self._decisions.observers.request_finished(request, outcome, self._clock.now_ns() - arrived_ns)
+            self._counters.add(f"answers_{outcome}" if outcome else "requests_gone")
 
     @staticmethod
-    def _opens(session: Session, statement: Statement) -> bool:
-        """Whether a statement begins a transaction, which is one request."""
-        return statement.kind is Kind.BEGIN or (
-            not session.autocommit and statement.kind not in (Kind.SET, Kind.USE)
+    def _begins_transaction(session: Session, statement: Statement) -> bool:
+        """Return whether a statement begins a transaction, which counts as one request."""
+        return statement.kind is StatementKind.BEGIN or (
+            not session.autocommit and statement.kind not in (StatementKind.SET, StatementKind.USE)
         )
 
-    def _watch(self, client: Client) -> Callable[[], Socket | None]:
-        # One that sends ahead without end is not read further until its answer is out.
-        return lambda: client.channel.sock if client.reader.buffered < 2 * FREE_BYTES else None
+    def _socket_to_watch(self, client: Client) -> Callable[[], Socket | None]:
+        # A client that pipelines too much data is not read until its response has been sent.
+        return lambda: client.channel.sock if client.reader.buffered < 2 * UNCHARGED_BYTES else None
 
-    def _has_left(self, client: Client) -> bool:
-        if client.reader.buffered >= 2 * FREE_BYTES:
+    def _has_disconnected(self, client: Client) -> bool:
+        if client.reader.buffered >= 2 * UNCHARGED_BYTES:
             return False
         data = client.channel.receive_now()
         if data:
             client.reader.feed(data)
         return data == b""
 
-    def _sorry(self, answer: FinalResponse, work: Work, statement: Statement) -> Err:
-        """The one error for a request that has no answer."""
-        if work.error is not None and (not work.reached or answer.kind is AnswerKind.REJECTED):
-            return work.error
-        if answer.kind is AnswerKind.REJECTED and (statement.plain_read or not work.reached):
-            wait = f"{answer.retry_after_ns / 1e9:.3f}"
-            text = f"turned away, not run: it may be tried again in {wait} s"
-            if work.reached:
-                text = f"no node answered; it is a plain read and may be tried again in {wait} s"
+    def _request_error(self, response: FinalResponse, pending: PendingCommand, statement: Statement) -> Err:
+        """Return the error for a request without a response."""
+        if pending.error is not None and (not pending.may_have_run or response.kind is AnswerKind.REJECTED):
+            return pending.error
+        if response.kind is AnswerKind.REJECTED and (statement.plain_read or not pending.may_have_run):
+            retry_after = f"{response.retry_after_ns / 1e9:.3f}"
+            text = f"turned away, not run: it may be tried again in {retry_after} s"
+            if pending.may_have_run:
+                text = f"no node answered; it is a plain read and may be tried again in {retry_after} s"
             return Err.of(Errno.SERVER_ISNT_AVAILABLE, text)
-        if not work.reached:
+        if not pending.may_have_run:
             return Err.of(Errno.SERVER_ISNT_AVAILABLE, "no node could be reached; it did not run")
-        if work.nonsense is not None:
-            spoilt = Err(work.nonsense.errno, work.nonsense.state, str(work.nonsense))
-            return self._unless_unknown(False, statement, spoilt)
-        return work.error or self._lost_error(False, statement)
+        if pending.protocol_error is not None:
+            malformed = Err(
+                pending.protocol_error.errno, pending.protocol_error.state, str(pending.protocol_error)
+            )
+            return self._outcome_error(False, statement, malformed)
+        return pending.error or self._lost_error(False, statement)
 
     def _lost_error(self, in_transaction: bool, statement: Statement) -> Err:
-        """What a client is told whose statement was sent and whose answer did not come whole."""
+        """Return the error for a statement that was sent and whose response is incomplete."""
         kind = statement.kind
-        commits = (
+        may_commit = (
             kind in _COMMITTING
             or bool(statement.autocommit)
             or (statement.count > 1 and not statement.plain_read)
         )
-        if kind is Kind.BEGIN and not in_transaction:
+        if kind is StatementKind.BEGIN and not in_transaction:
             return Err.of(Errno.NET_READ, "the node was lost; no transaction is open")
-        if kind is Kind.ROLLBACK or (in_transaction and not commits):
+        if kind is StatementKind.ROLLBACK or (in_transaction and not may_commit):
             return Err.of(
                 Errno.NET_READ,
                 "the node was lost within the transaction, which it rolls back; nothing is repeated",
             )
-        # What else is a SELECT or a SET may call a stored function, and that may have written.
-        if (statement.plain_read or statement is _FETCH) and not (in_transaction and commits):
+        # Any other SELECT or SET may call a stored function, which may have written data.
+        if (statement.plain_read or statement is _FETCH) and not (in_transaction and may_commit):
             return Err.of(Errno.NET_READ, "the node was lost before the answer was whole")
         self._counters.add("mysql_outcomes_unknown")
-        what = "COMMIT" if kind is Kind.COMMIT else "statement"
+        subject = "COMMIT" if kind is StatementKind.COMMIT else "statement"
         return Err.of(
             Errno.ERROR_DURING_COMMIT,
-            f"the outcome of this {what} is unknown: it was sent, its answer was lost, it is not repeated",
+            f"the outcome of this {subject} is unknown: it was sent, its answer was lost, it is not repeated",
         )
 
-    def _accept(self, client: Client, statement: Statement, work: Work, reply: Reply) -> Mode:
-        """An answer is whole, or has begun to come: whether anyone waits for it, and who keeps what."""
-        if work.over:
-            return Mode.REFUSED
-        work.over, work.taken = True, reply
+    def _accept_reply(
+        self, client: Client, statement: Statement, pending: PendingCommand, reply: Reply
+    ) -> ConnectionDisposition:
+        """Take a complete or partial response and decide what happens to its connection."""
+        if pending.closed:
+            return ConnectionDisposition.DISCARD_REPLY
+        pending.closed, pending.accepted_reply = True, reply
         if not reply.relay.done:
-            client.held = reply.held
-            return Mode.HOLD
-        mode = self._settle(client, statement, work, reply)
-        client.held = reply.held if mode is not Mode.RELEASE else None
-        return mode
-
-    def _settle(self, client: Client, statement: Statement, work: Work, reply: Reply) -> Mode:
-        """The whole answer is here: what it changed in the session and on its connection."""
-        session, relay, conn = client.session, reply.relay, reply.held.conn
-        if work.command == Command.STMT_PREPARE:
-            if relay.prepared is not None and relay.error is None and work.statement_id is not None:
-                session.was_prepared(work.statement_id, work.body[1:], statement, relay.prepared)
-                self._nodes.prepared(conn, work.body[1:], relay)
-        elif work.command == Command.STMT_FETCH:
-            session.fetched(work.statement_id or 0, relay)
+            client.reserved = reply.reserved
+            return ConnectionDisposition.RESERVE_FOR_TRANSACTION
+        disposition = self._apply_reply(client, statement, pending, reply)
+        client.reserved = reply.reserved if disposition is not ConnectionDisposition.RELEASE else None
+        return disposition
+
+    def _apply_reply(
+        self, client: Client, statement: Statement, pending: PendingCommand, reply: Reply
+    ) -> ConnectionDisposition:
+        """Apply the effects of a complete response to the session and its connection."""
+        session, relay, conn = client.session, reply.relay, reply.reserved.conn
+        if pending.command == Command.STMT_PREPARE:
+            if relay.prepared is not None and relay.error is None and pending.statement_id is not None:
+                session.record_prepared(pending.statement_id, pending.body[1:], statement, relay.prepared)
+                self._nodes.cache_prepared(conn, pending.body[1:], relay)
+        elif pending.command == Command.STMT_FETCH:
+            session.record_fetched(pending.statement_id or 0, relay)
         else:
-            session.after(statement, relay)
-            if work.prepared is not None and work.run is not None:
-                session.executed(work.prepared, work.run.flags, relay)
+            session.apply_reply(statement, relay)
+            if pending.prepared is not None and pending.execution is not None:
+                session.record_executed(pending.prepared, pending.execution.flags, relay)
         if session.last_id is None and (relay.last_id or statement.sets_last_id):
-            client.id_conn, conn.id_owner = conn, client
+            client.last_id_conn, conn.last_id_owner = conn, client
         if relay.error is None:
             conn.settings, conn.schema = tuple(session.settings.items()), session.schema
             conn.autocommit = bool(relay.status & Flag.AUTOCOMMIT)
         if session.in_transaction:
-            return Mode.HOLD
-        return Mode.KEEP if session.tied else Mode.RELEASE
+            return ConnectionDisposition.RESERVE_FOR_TRANSACTION
+        return ConnectionDisposition.RESERVE if session.pinned else ConnectionDisposition.RELEASE
 
-    def _pass_on(
-        self, client: Client, work: Work, statement: Statement, reply: Reply, deadline: float | None
+    def _forward_reply(
+        self,
+        client: Client,
+        pending: PendingCommand,
+        statement: Statement,
+        reply: Reply,
+        deadline: float | None,
     ) -> bool:
-        """Send an answer to the client, as it comes; false when the session is over.
+        """Forward a response to the client as it arrives; return False if the session is over.
 
-        What breaks ends in one error behind what has gone out, or in the end of the connection where a
-        packet had begun.
+        If the response breaks off, the client gets one error after the data sent so far; within a packet the
+        connection is closed instead.
         """
-        relay, held, session = reply.relay, reply.held, client.session
+        relay, reserved, session = reply.relay, reply.reserved, client.session
         if not relay.done:
-            held.measure()
-        was_tied, whole = session.tied, relay.done
+            reserved.begin_load()
+        was_pinned, was_complete = session.pinned, relay.done
         try:
             if reply.out:
-                client.channel.send(reply.out, self._scheduler.now() + WRITE_SECONDS)
+                client.channel.send(reply.out, self._scheduler.now() + CLIENT_WRITE_SECONDS)
             while not relay.done:
-                data = self._from_node(client, held, deadline, statement)
+                data = self._from_node(client, reserved, deadline, statement)
                 try:
                     out = relay.feed(data)
                 except ProtocolError as error:
-                    log.warning("bad response", extra={"fields": {"node": held.node.name, "reason": error}})
-                    spoilt = Err(error.errno, error.state, str(error))
-                    told = self._unless_unknown(session.in_transaction, statement, spoilt)
-                    raise ConnectionLostError(told, AttemptStatus.ERROR) from None
-                if relay.extra:
-                    held.conn.doomed = True
+                    log.warning(
+                        "bad response", extra={"fields": {"node": reserved.node.name, "reason": error}}
+                    )
+                    malformed = Err(error.errno, error.state, str(error))
+                    reported = self._outcome_error(session.in_transaction, statement, malformed)
+                    raise NodeConnectionError(reported, AttemptStatus.ERROR) from None
+                if relay.has_trailing_bytes:
+                    reserved.conn.unusable = True
                 if relay.done:
-                    held.measured_whole()
-                    # Before the client can act on the end of its answer.
-                    mode = self._settle(client, statement, work, reply)
-                    self._keep(client, held, mode)
+                    reserved.end_load()
+                    # The state must be current before the client reads the end of the response and continues.
+                    disposition = self._apply_reply(client, statement, pending, reply)
+                    self._reserve(client, reserved, disposition)
                 if out:
-                    client.channel.send(out, self._scheduler.now() + WRITE_SECONDS)
-                if held.claimed and held.client_took(self._scheduler.now()) > THINK_SECONDS:
-                    held.finish(AttemptStatus.OK)  # it reads slowly: that is not the node's doing
+                    client.channel.send(out, self._scheduler.now() + CLIENT_WRITE_SECONDS)
+                if (
+                    reserved.attempt_open
+                    and reserved.client_seconds(self._scheduler.now()) > CLIENT_PAUSE_SECONDS
+                ):
+                    reserved.finish(AttemptStatus.OK)  # a slow client must not make the node look slow
             return not (statement.release and relay.error is None)
-        except ConnectionLostError as lost:
-            client.held = None
+        except NodeConnectionError as broken:
+            client.reserved = None
             self._counters.add("mysql_broken_answers")
-            if lost.stop:
-                held.stop(lost.status)
+            if broken.stop:
+                reserved.stop(broken.status)
             else:
-                held.drop(lost.status)
-            session.lost()
+                reserved.drop(broken.status)
+            session.drop_connection_state()
             if relay.packet_open:
                 return False
-            client.channel.send(relay.fail(lost.error), self._scheduler.now() + WRITE_SECONDS)
-            if was_tied:
-                # Guards against a client that goes on without the transaction or the variables it relies on.
+            client.channel.send(relay.fail(broken.error), self._scheduler.now() + CLIENT_WRITE_SECONDS)
+            if was_pinned:
+                # The client must not continue without the transaction or the variables on which it relies.
                 client.channel.stream.finish()
                 return False
             return True
         except (OSError, TaskTimeoutError, ClientLeftError):
-            if not whole and not relay.done:  # the client has gone: the statement has nobody to run for
-                client.held = None
-                held.stop(AttemptStatus.CANCELLED)
+            # The client has disconnected, so its running statement is stopped.
+            if not was_complete and not relay.done:
+                client.reserved = None
+                reserved.stop(AttemptStatus.CANCELLED)
             raise ClientLeftError from None
 
-    def _keep(self, client: Client, held: Held, mode: Mode) -> None:
-        if mode is Mode.RELEASE:
-            client.held = held
+    def _reserve(
+        self, client: Client, reserved: ReservedConnection, disposition: ConnectionDisposition
+    ) -> None:
+        if disposition is ConnectionDisposition.RELEASE:
+            client.reserved = reserved
             self._release(client)
             return
-        client.held = held
-        if mode is Mode.KEEP:
-            held.finish(AttemptStatus.OK)
+        client.reserved = reserved
+        if disposition is ConnectionDisposition.RESERVE:
+            reserved.finish(AttemptStatus.OK)
             client.deadline = None
 
-    def _from_node(self, client: Client, held: Held, deadline: float | None, statement: Statement) -> bytes:
-        """Return the next bytes of an answer.
+    def _from_node(
+        self, client: Client, reserved: ReservedConnection, deadline: float | None, statement: Statement
+    ) -> bytes:
+        """Return the next bytes of a response.
 
         Raises:
-            ConnectionLostError: None will come.
-            ClientLeftError: None are wanted.
+            NodeConnectionError: The connection broke, or the deadline or the drain time passed.
+            ClientLeftError: The client has closed its connection.
         """
-        channel, begun = held.conn.channel, self._scheduler.now()
+        channel, started = reserved.conn.channel, self._scheduler.now()
         in_transaction = client.session.in_transaction
-        commit = statement.kind is Kind.COMMIT
+        is_commit = statement.kind is StatementKind.COMMIT
         try:
             while True:
                 now = self._scheduler.now()
                 if deadline is not None and now >= deadline:
                     text = "Query execution was interrupted, maximum statement execution time exceeded"
-                    late = Err.of(Errno.QUERY_TIMEOUT, text)
-                    error = self._unless_unknown(in_transaction, statement, late)
-                    raise ConnectionLostError(error, AttemptStatus.TIMEOUT, stop=not commit)
-                if client.leave_at is not None and now >= self._leaves_at(client, now) and not commit:
+                    timeout_error = Err.of(Errno.QUERY_TIMEOUT, text)
+                    error = self._outcome_error(in_transaction, statement, timeout_error)
+                    raise NodeConnectionError(error, AttemptStatus.TIMEOUT, stop=not is_commit)
+                if (
+                    client.drain_deadline is not None
+                    and now >= self._drain_deadline(client, now)
+                    and not is_commit
+                ):
                     self._counters.add("mysql_drained")
-                    error = self._unless_unknown(in_transaction, statement, _drain_error(client.session))
-                    raise ConnectionLostError(error, AttemptStatus.CANCELLED, stop=True)
-                until = now + WATCH_SECONDS if deadline is None else min(now + WATCH_SECONDS, deadline)
+                    error = self._outcome_error(in_transaction, statement, _drain_error(client.session))
+                    raise NodeConnectionError(error, AttemptStatus.CANCELLED, stop=True)
+                wait_until = (
+                    now + CLIENT_CHECK_SECONDS
+                    if deadline is None
+                    else min(now + CLIENT_CHECK_SECONDS, deadline)
+                )
                 try:
-                    data = channel.receive(until, client.event)
+                    data = channel.receive(wait_until, client.event)
                 except TaskTimeoutError:
-                    if self._has_left(client):
+                    if self._has_disconnected(client):
                         raise ClientLeftError from None
                     continue
                 if data:
                     return data
                 if data is not None:
                     raise ConnectionResetError
-        except _BROKEN as error:
-            raise ConnectionLostError(
+        except _CONNECTION_ERRORS as error:
+            raise NodeConnectionError(
                 self._lost_error(in_transaction, statement), AttemptStatus.RESET
             ) from error
         finally:
-            held.waited_ns += int((self._scheduler.now() - begun) * 1e9)
-
-    def _unless_unknown(self, in_transaction: bool, statement: Statement, error: Err) -> Err:
-        """An error, or where the statement may have run and stays so, that its outcome is unknown."""
-        lost = self._lost_error(in_transaction, statement)
-        return lost if lost.errno == Errno.ERROR_DURING_COMMIT else error
-
-    def _run_tied(self, client: Client, work: Work, statement: Statement) -> bool:
-        """A command of a tied session, on the connection it holds."""
-        held, session = client.held, client.session
-        assert held is not None
-        conn, in_transaction = held.conn, session.in_transaction
+            reserved.node_time_ns += int((self._scheduler.now() - started) * 1e9)
+
+    def _outcome_error(self, in_transaction: bool, statement: Statement, error: Err) -> Err:
+        """Return `error`, or the "outcome unknown" error if the statement's effects may be permanent."""
+        outcome_error = self._lost_error(in_transaction, statement)
+        return outcome_error if outcome_error.errno == Errno.ERROR_DURING_COMMIT else error
+
+    def _run_pinned(self, client: Client, pending: PendingCommand, statement: Statement) -> bool:
+        """Run a command of a pinned session on its reserved connection."""
+        reserved, session = client.reserved, client.session
+        assert reserved is not None
+        conn, in_transaction = reserved.conn, session.in_transaction
         deadline = client.deadline
         if not in_transaction:
-            opens = self._opens(session, statement)
-            given = self._mapping.assign(statement, session.user, opens)
-            deadline = self._scheduler.now() + given.deadline_ms / 1000
-            client.request_class = given.request_class
-            client.deadline = deadline if opens else None
-        work.conn = conn
-        limit = deadline if deadline is not None else self._scheduler.now() + WRITE_SECONDS
+            begins_transaction = self._begins_transaction(session, statement)
+            assignment = self._mapper.assign(statement, session.user, begins_transaction)
+            deadline = self._scheduler.now() + assignment.deadline_ms / 1000
+            client.request_class = assignment.request_class
+            client.deadline = deadline if begins_transaction else None
+        pending.conn = conn
+        send_deadline = deadline if deadline is not None else self._scheduler.now() + CLIENT_WRITE_SECONDS
         try:
             try:
-                ahead, body = b"", work.body
-                if work.prepared is not None and work.run is not None:
-                    ahead, body = self._nodes.execute(conn, work.prepared, work.run, None, limit)
-                if self._starts_too_late(client, work, statement):
-                    self._drained(client)
-                    assert client.lost is not None
-                    self._say_error(client, client.lost)
+                long_data, body = b"", pending.body
+                if pending.prepared is not None and pending.execution is not None:
+                    long_data, body = self._nodes.encode_execute(
+                        conn, pending.prepared, pending.execution, None, send_deadline
+                    )
+                if self._starts_request_too_late(client, pending, statement):
+                    self._on_drain_timeout(client)
+                    assert client.pending_error is not None
+                    self._send_error(client, client.pending_error)
                     client.channel.stream.finish()
                     return False
-                conn.channel.send(ahead + frame(body, 0), limit)
-            except TuneFailed as failed:
-                return self._say_error(client, failed.error)
-            work.reached = True
+                conn.channel.send(long_data + frame(body, 0), send_deadline)
+            except SessionSetupError as failed:
+                return self._send_error(client, failed.error)
+            pending.may_have_run = True
         except (OSError, TaskTimeoutError, ProtocolError) as error:
             log.info("tied session lost its node", extra={"fields": {"reason": type(error).__name__}})
-            client.held = None
-            held.drop(AttemptStatus.RESET)
-            session.lost()
+            client.reserved = None
+            reserved.drop(AttemptStatus.RESET)
+            session.drop_connection_state()
             text = "the node was lost; this statement did not run, and what was open there is rolled back"
-            self._say_error(client, Err.of(Errno.NET_READ, text))
+            self._send_error(client, Err.of(Errno.NET_READ, text))
             client.channel.stream.finish()
             return False
         relay = ReplyRelay(
-            work.command, conn.capabilities, session.capabilities, work.statement_id,
-            frames(len(body)), work.seq, session.status,
+            pending.command, conn.capabilities, session.capabilities, pending.statement_id,
+            packet_count(len(body)), pending.seq, session.status,
         )  # fmt: skip
-        goes_on = self._pass_on(client, work, statement, Reply(b"", relay, held), deadline)
-        if goes_on and statement.chain and self._starts_too_late(client, work, _CHAINED):
-            self._drained(client)  # the transaction that the COMMIT chained to itself is new to the node
-        return goes_on
+        session_continues = self._forward_reply(
+            client, pending, statement, Reply(b"", relay, reserved), deadline
+        )
+        if session_continues and statement.chain and self._starts_request_too_late(client, pending, _CHAINED):
+            # COMMIT AND CHAIN has started a transaction, which counts as a new request.
+            self._on_drain_timeout(client)
+        return session_continues
 
-    # --- the commands one by one ----------------------------------------------------------------
+    # --- command handlers -----------------------------------------------------------------------
 
     def _ping(self, client: Client, body: bytes) -> bool:
-        if client.held is not None:
-            return self._run(client, Command.PING, body, _QUIET)
-        return self._say_ok(client)
+        if client.reserved is not None:
+            return self._run_on_node(client, Command.PING, body, _NO_EFFECT)
+        return self._send_ok(client)
 
     def _query(self, client: Client, body: bytes) -> bool:
         session, text = client.session, body[1:]
         self._check_text(session, text)
-        statement = self._statements.tell(text, session.multi, session.opaque)
+        statement = self._classifier.classify(text, session.multi, session.opaque)
         kind = statement.kind
-        if kind is Kind.EMPTY:
-            return self._say_error(client, Err(1065, "42000", "Query was empty"))
-        if kind is Kind.LOCAL_FILE:
-            return self._say_error(client, _NO_LOCAL)
+        if kind is StatementKind.EMPTY:
+            return self._send_error(client, Err(1065, "42000", "Query was empty"))
+        if kind is StatementKind.LOCAL_FILE:
+            return self._send_error(client, _LOCAL_FILES_DISABLED)
         if statement.kill is not None:
             return self._kill(client, *statement.kill)
-        if client.held is None:
-            if kind is Kind.SET and statement.autocommit is not None and _only_autocommit(statement):
+        if client.reserved is None:
+            if kind is StatementKind.SET and statement.autocommit is not None and _only_autocommit(statement):
                 session.autocommit = statement.autocommit
                 flag = int(Flag.AUTOCOMMIT)
                 session.status = session.status | flag if statement.autocommit else session.status & ~flag
-                return self._say_ok(client)
-            if kind in (Kind.COMMIT, Kind.ROLLBACK) and not (statement.chain or statement.release):
-                # Nothing is open: drivers and pools end transactions that never began, again and again.
-                return self._say_ok(client)
+                return self._send_ok(client)
+            if kind in (StatementKind.COMMIT, StatementKind.ROLLBACK) and not (
+                statement.chain or statement.release
+            ):
+                # No transaction is open; drivers and pools often end transactions that never began.
+                return self._send_ok(client)
             if statement.digest == "select connection_id ()":
-                return self._say_number(client, b"CONNECTION_ID()", client.thread)
-        return self._run(client, Command.QUERY, body, statement)
+                return self._send_number(client, b"CONNECTION_ID()", client.thread)
+        return self._run_on_node(client, Command.QUERY, body, statement)
 
     def _check_text(self, session: Session, text: bytes) -> None:
-        """Refuse a text that is not in the client's character set; literals may hold any bytes."""
+        """Reject a statement that is not valid UTF-8 outside its string literals."""
         if text.isascii() or session.collation not in UTF8_COLLATIONS:
             return
         try:
             text.decode()
         except UnicodeDecodeError:
-            for kind, part in words(text)[0]:
+            for kind, token in tokenize(text)[0]:
                 if kind == "string":
                     continue
                 try:
-                    part.decode()
+                    token.decode()
                 except UnicodeDecodeError:
                     raise ProtocolError(
                         "Invalid utf8mb4 character string in a statement", Errno.INVALID_CHARACTER_STRING
                     ) from None
 
-    def _say_number(self, client: Client, name: bytes, value: int) -> bool:
-        """A result of one row with one number."""
+    def _send_number(self, client: Client, name: bytes, value: int) -> bool:
+        """Send a result set of one row with one number."""
         session = client.session
         caps, status = session.capabilities, session.status
         column = Column(name, Type.LONGLONG, 63, 21, 0x81).encode()
         row = text_row([str(value).encode()])
         if caps & Capability.DEPRECATE_EOF:
-            return self._say(client, lenenc(1), column, row, Ok(status=status).encode(caps, 0xFE))
+            return self._send(
+                client, encode_lenenc_integer(1), column, row, Ok(status=status).encode(caps, 0xFE)
+            )
         eof = Eof(0, status).encode()
-        return self._say(client, lenenc(1), column, eof, row, eof)
+        return self._send(client, encode_lenenc_integer(1), column, eof, row, eof)
 
     def _init_db(self, client: Client, body: bytes) -> bool:
         try:
             name = body[1:].decode()
         except UnicodeDecodeError:
             raise ProtocolError("the schema's name is not UTF-8", Errno.INVALID_CHARACTER_STRING) from None
-        return self._run(client, Command.INIT_DB, body, replace(_USE, schema=name))
+        return self._run_on_node(client, Command.INIT_DB, body, replace(_USE, schema=name))
 
     def _field_list(self, client: Client, body: bytes) -> bool:
-        return self._run(client, Command.FIELD_LIST, body, _FIELDS)
+        return self._run_on_node(client, Command.FIELD_LIST, body, _FIELDS)
 
     def _statistics(self, client: Client, body: bytes) -> bool:
-        up = int(self._scheduler.now() - client.accepted_at)
-        return self._say(client, f"Uptime: {up}  Threads: {len(self._clients)}".encode())
+        uptime = int(self._scheduler.now() - client.accepted_at)
+        return self._send(client, f"Uptime: {uptime}  Threads: {len(self._clients)}".encode())
 
     def _set_option(self, client: Client, body: bytes) -> bool:
         option = int.from_bytes(body[1:3], "little")
         if len(body) != 3 or option > 1:
             raise ProtocolError("an unknown option", Errno.UNKNOWN_COM)
         client.session.multi = option == 0
-        if client.held is not None:
-            client.held.conn.multi = client.session.multi
-            return self._run(client, Command.SET_OPTION, body, _QUIET)
+        if client.reserved is not None:
+            client.reserved.conn.multi = client.session.multi
+            return self._run_on_node(client, Command.SET_OPTION, body, _NO_EFFECT)
         caps, status = client.session.capabilities, client.session.status
         if caps & Capability.DEPRECATE_EOF:
-            return self._say(client, Ok(status=status).encode(caps, 0xFE))
-        return self._say(client, Eof(0, status).encode())
+            return self._send(client, Ok(status=status).encode(caps, 0xFE))
+        return self._send(client, Eof(0, status).encode())
 
     def _reset_connection(self, client: Client, body: bytes) -> bool:
-        held, client.held = client.held, None
-        if held is not None:
-            # The node takes back what is tied, so that the connection can serve others.
+        reserved, client.reserved = client.reserved, None
+        if reserved is not None:
+            # The reset drops the session state at the node, so that the connection can serve other sessions.
             try:
-                self._nodes.reset(held.conn)
-                held.release()
+                self._nodes.reset(reserved.conn)
+                reserved.release()
             except (OSError, TaskTimeoutError, ProtocolError) as error:
                 log.info("a reset failed", extra={"fields": {"reason": type(error).__name__}})
-                held.drop(AttemptStatus.RESET)
+                reserved.drop(AttemptStatus.RESET)
         client.session.reset()
-        self._keep_in_mind(client)
-        client.last = client.id_conn = None
-        client.deadline = client.leave_at = None
-        return self._say_ok(client)
+        self._charge_prepared(client)
+        client.last_conn = client.last_id_conn = None
+        client.deadline = client.drain_deadline = None
+        return self._send_ok(client)
 
     def _change_user(self, client: Client, body: bytes) -> bool:
-        held, client.held = client.held, None
-        if held is not None:
-            held.drop(AttemptStatus.OK)
-        client.last = client.id_conn = None
-        client.deadline = client.leave_at = None
+        reserved, client.reserved = client.reserved, None
+        if reserved is not None:
+            reserved.drop(AttemptStatus.OK)
+        client.last_conn = client.last_id_conn = None
+        client.deadline = client.drain_deadline = None
         capabilities = client.session.capabilities
         client.session = Session("", "", capabilities, 0)
-        self._keep_in_mind(client)
+        self._charge_prepared(client)
         login = ServerLogin(
             client.thread, b"", capabilities, self._users.get, self._rsa, self._settings.server_version,
             self._settings.auth_plugin,
         )  # fmt: skip
         login.secure = client.channel.secure
         login.change_user(body, capabilities, client.challenge, self._challenge())
-        return self._meet(client, login, self._scheduler.now() + self._settings.login_ms / 1000)
+        return self._run_login(client, login, self._scheduler.now() + self._settings.login_ms / 1000)
 
     def _process_kill(self, client: Client, body: bytes) -> bool:
         if len(body) != 5:
             raise ProtocolError("a kill without its number")
         return self._kill(client, False, int.from_bytes(body[1:], "little"))
 
-    def _kill(self, client: Client, query: bool, thread: int) -> bool:
-        """KILL of another session of the same user, by the number that this front gave it."""
+    def _kill(self, client: Client, query_only: bool, thread: int) -> bool:
+        """Kill another session of the same user, identified by the thread id that this front end assigned."""
         target = self._clients.get(thread)
         if target is None:
-            return self._say_error(client, Err.of(Errno.NO_SUCH_THREAD, f"Unknown thread id: {thread}"))
+            return self._send_error(client, Err.of(Errno.NO_SUCH_THREAD, f"Unknown thread id: {thread}"))
         if target.session.user != client.session.user:
-            return self._say_error(client, Err.of(Errno.KILL_DENIED, f"You are not owner of thread {thread}"))
+            return self._send_error(
+                client, Err.of(Errno.KILL_DENIED, f"You are not owner of thread {thread}")
+            )
         if target is client:
-            return self._say_error(client, Err.of(Errno.QUERY_INTERRUPTED, "Query execution was interrupted"))
-        work = target.work
-        if work is not None and work.conn is not None:
-            work.conn.doomed = True  # else the kill could hit whoever has the connection next
-            self._nodes.kill(work.conn)
-        if not query and target.task is not None:
+            return self._send_error(
+                client, Err.of(Errno.QUERY_INTERRUPTED, "Query execution was interrupted")
+            )
+        pending = target.pending_command
+        if pending is not None and pending.conn is not None:
+            pending.conn.unusable = True  # otherwise the KILL could hit the next session on the connection
+            self._nodes.kill(pending.conn)
+        if not query_only and target.task is not None:
             target.task.cancel()
-        return self._say_ok(client)
+        return self._send_ok(client)
 
     # --- prepared statements --------------------------------------------------------------------
 
     def _prepare(self, client: Client, body: bytes) -> bool:
         session, text = client.session, body[1:]
         self._check_text(session, text)
-        statement = self._statements.tell(text, False, session.opaque)
-        if statement.kind is Kind.LOCAL_FILE:
-            return self._say_error(client, _NO_LOCAL)
-        number = session.next_prepared(len(text))
-        self._keep_in_mind(client, len(text))
-        # Preparing changes nothing: it may be repeated, whatever the statement does.
-        harmless = Statement(Kind.READ, statement.digest, plain_read=True, hint=statement.hint)
-        return self._run(client, Command.STMT_PREPARE, body, harmless, number=number) and self._remember(
-            client, number, statement
+        statement = self._classifier.classify(text, False, session.opaque)
+        if statement.kind is StatementKind.LOCAL_FILE:
+            return self._send_error(client, _LOCAL_FILES_DISABLED)
+        statement_id = session.next_prepared(len(text))
+        self._charge_prepared(client, len(text))
+        # Preparing has no side effects, so it may be retried whatever the statement does.
+        without_effects = Statement(
+            StatementKind.READ, statement.digest, plain_read=True, hint=statement.hint
         )
+        return self._run_on_node(
+            client, Command.STMT_PREPARE, body, without_effects, statement_id=statement_id
+        ) and self._keep_statement(client, statement_id, statement)
 
     @staticmethod
-    def _remember(client: Client, number: int, statement: Statement) -> bool:
-        if (found := client.session.prepared.get(number)) is not None:
-            found.statement = statement
+    def _keep_statement(client: Client, statement_id: int, statement: Statement) -> bool:
+        if (prepared := client.session.prepared.get(statement_id)) is not None:
+            prepared.statement = statement
         return True
 
     def _execute(self, client: Client, body: bytes) -> bool:
-        found, run = client.session.execute(body)
-        statement = found.statement
+        prepared, execution = client.session.execute(body)
+        statement = prepared.statement
         if statement.kill is not None:
             return self._kill(client, *statement.kill)
-        if run.flags & CURSOR_READ_ONLY:
-            # With a cursor the rows come by later commands: what is read is not over with this answer.
+        if execution.flags & CURSOR_READ_ONLY:
+            # With a cursor, later commands fetch the rows, so this response does not complete the read.
             statement = replace(statement, plain_read=False) if not statement.plain_read else statement
-        return self._run(client, Command.STMT_EXECUTE, body, statement, found, run, found.id)
+        return self._run_on_node(
+            client, Command.STMT_EXECUTE, body, statement, prepared, execution, prepared.id
+        )
 
     def _fetch(self, client: Client, body: bytes) -> bool:
         if len(body) != 9:
             raise ProtocolError("a fetch cut short")
-        number = int.from_bytes(body[1:5], "little")
-        found = client.session.find(number)
-        here = self._here(client, found)
-        if here is None or number not in client.session.cursors:
-            return self._say_error(
-                client, Err(1421, "HY000", f"The statement ({number}) has no open cursor.")
+        statement_id = int.from_bytes(body[1:5], "little")
+        prepared = client.session.find(statement_id)
+        node_id = self._node_statement_id(client, prepared)
+        if node_id is None or statement_id not in client.session.cursors:
+            return self._send_error(
+                client, Err(1421, "HY000", f"The statement ({statement_id}) has no open cursor.")
             )
-        moved = body[:1] + here.to_bytes(4, "little") + body[5:]
-        return self._run(client, Command.STMT_FETCH, moved, _FETCH, number=number)
+        forwarded = body[:1] + node_id.to_bytes(4, "little") + body[5:]
+        return self._run_on_node(client, Command.STMT_FETCH, forwarded, _FETCH, statement_id=statement_id)
 
     @staticmethod
-    def _here(client: Client, found: PreparedText) -> int | None:
-        """The id of a statement on the connection that the session holds."""
-        if client.held is None:
+    def _node_statement_id(client: Client, prepared: PreparedText) -> int | None:
+        """Return the id of a prepared statement on the session's reserved connection, or None."""
+        if client.reserved is None:
             return None
-        conn = client.held.conn
-        known = conn.prepared.get((conn.schema, conn.settings, found.text))
-        return None if known is None else known[0]
+        conn = client.reserved.conn
+        entry = conn.prepared.get((conn.schema, conn.settings, prepared.text))
+        return None if entry is None else entry[0]
 
     def _long_data(self, client: Client, body: bytes) -> bool:
-        self._keep_in_mind(client, len(body))
-        client.session.long_data(body, self._most)
+        self._charge_prepared(client, len(body))
+        client.session.long_data(body, self._max_packet_bytes)
         return True
 
     def _close_prepared(self, client: Client, body: bytes) -> bool:
-        number = int.from_bytes(body[1:5], "little")
-        self._close_cursor(client, number)
-        client.session.close_prepared(number)
-        self._keep_in_mind(client)
+        statement_id = int.from_bytes(body[1:5], "little")
+        self._close_cursor(client, statement_id)
+        client.session.close_prepared(statement_id)
+        self._charge_prepared(client)
         self._after_cursor(client)
         return True
 
     def _reset_prepared(self, client: Client, body: bytes) -> bool:
-        number = int.from_bytes(body[1:5], "little")
-        client.session.find(number)
-        self._close_cursor(client, number)
-        client.session.reset_prepared(number)
+        statement_id = int.from_bytes(body[1:5], "little")
+        client.session.find(statement_id)
+        self._close_cursor(client, statement_id)
+        client.session.reset_prepared(statement_id)
         self._after_cursor(client)
-        return self._say_ok(client)
+        return self._send_ok(client)
 
-    def _close_cursor(self, client: Client, number: int) -> None:
-        """Close a cursor at the node, where one is open."""
-        found = client.session.prepared.get(number)
-        if found is None or number not in client.session.cursors or client.held is None:
+    def _close_cursor(self, client: Client, statement_id: int) -> None:
+        """Close a cursor at the node, if one is open."""
+        prepared = client.session.prepared.get(statement_id)
+        if prepared is None or statement_id not in client.session.cursors or client.reserved is None:
             return
-        here = self._here(client, found)
-        if here is None:
+        node_id = self._node_statement_id(client, prepared)
+        if node_id is None:
             return
         try:
-            limit = self._scheduler.now() + 1.0
-            self._nodes.ask(client.held.conn, b"\x1a" + here.to_bytes(4, "little"), limit)
+            timeout = self._scheduler.now() + 1.0
+            self._nodes.run_command(client.reserved.conn, b"\x1a" + node_id.to_bytes(4, "little"), timeout)
         except (OSError, TaskTimeoutError, ProtocolError):
-            client.held.conn.doomed = True
+            client.reserved.conn.unusable = True
 
     def _after_cursor(self, client: Client) -> None:
-        if client.held is not None and not client.session.tied:
+        if client.reserved is not None and not client.session.pinned:
             self._release(client)
 
 
-_BROKEN = (OSError, ProtocolError)
-# In an open transaction these end it with a commit of their own, or may.
-_COMMITTING = frozenset({Kind.COMMIT, Kind.BEGIN, Kind.DEFINE, Kind.LOCK, Kind.UNLOCK, Kind.UNKNOWN})
-_SESSION_GOES_ON = frozenset(
+_CONNECTION_ERRORS = (OSError, ProtocolError)
+# Kinds of statement that commit an open transaction implicitly, or may do so.
+_COMMITTING = frozenset(
+    {
+        StatementKind.COMMIT,
+        StatementKind.BEGIN,
+        StatementKind.DEFINE,
+        StatementKind.LOCK,
+        StatementKind.UNLOCK,
+        StatementKind.UNKNOWN,
+    }
+)
+_SESSION_CONTINUES = frozenset(
     {Errno.UNKNOWN_STMT_HANDLER, Errno.WRONG_ARGUMENTS, Errno.NOT_SUPPORTED_YET, 1461}
 )
-_CHAINED = Statement(Kind.BEGIN, "a chained transaction")
-_QUIET = Statement(Kind.SET, "a command without effects", plain_read=True)
-_USE = Statement(Kind.USE, "use", plain_read=True)
-_FIELDS = Statement(Kind.READ, "field list", plain_read=True)
-_FETCH = Statement(Kind.READ, "fetch")
-_NO_LOCAL = Err.of(
+_CHAINED = Statement(StatementKind.BEGIN, "a chained transaction")
+_NO_EFFECT = Statement(StatementKind.SET, "a command without effects", plain_read=True)
+_USE = Statement(StatementKind.USE, "use", plain_read=True)
+_FIELDS = Statement(StatementKind.READ, "field list", plain_read=True)
+_FETCH = Statement(StatementKind.READ, "fetch")
+_LOCAL_FILES_DISABLED = Err.of(
     Errno.CLIENT_LOCAL_FILES_DISABLED,
     "Loading local data is disabled; this must be enabled on both the client and server sides",
 )
 
 
 def _only_autocommit(statement: Statement) -> bool:
-    return not (statement.settings or statement.ties or statement.lifts) and statement.count == 1
+    return not (statement.settings or statement.pins or statement.unpins) and statement.count == 1
 
 
 def _drain_error(session: Session) -> Err:
-    what = "its transaction was rolled back" if session.in_transaction else "what it held there is lost"
-    return Err.of(Errno.SERVER_SHUTDOWN, f"Server shutdown in progress: this session's node drains, {what}")
+    consequence = (
+        "its transaction was rolled back" if session.in_transaction else "what it held there is lost"
+    )
+    return Err.of(
+        Errno.SERVER_SHUTDOWN, f"Server shutdown in progress: this session's node drains, {consequence}"
+    )
--- a/brambleusher/fronts/mysql/nodes.py
+++ b/brambleusher/fronts/mysql/nodes.py
@@ -1,8 +1,8 @@
-"""Connections to each node's MySQL port, pooled by node and account, and the claims made on them.
+"""Connection pools to the MySQL nodes, by node and account, and the attempts that use them.
 
-The counterpart of `net.upstream_pool.UpstreamPool`: a claim is one statement, or a transaction as a
-whole.  A claim that has ended well gives its connection back; one whose answer goes on, or whose session
-is tied, hands it to the session as a `Held`.
+This is the MySQL counterpart of `net.upstream_pool.UpstreamPool`.  An attempt is one statement or a whole
+transaction.  A successful attempt returns its connection to the pool; if the response continues or the
+session is pinned, the connection passes to the session as a `ReservedConnection`.
 """
 
 from __future__ import annotations
@@ -15,15 +15,21 @@
 from typing import Protocol
 
 from brambleusher.decisions.requests import AttemptOutcome
-from brambleusher.fronts.mysql.auth import ClientLogin, LoginRefused, Turn
+from brambleusher.fronts.mysql.auth import ClientLogin, LoginRejectedError, LoginStep
 from brambleusher.fronts.mysql.channel import Channel, client_context
 from brambleusher.fronts.mysql.constants import Capability, Command, Errno
 from brambleusher.fronts.mysql.constants import Status as Flag
-from brambleusher.fronts.mysql.load import WINDOW_OF_AIM, Meter
+from brambleusher.fronts.mysql.load import DECAY_LATENCY_TARGETS, LoadMeter
 from brambleusher.fronts.mysql.messages import Err, Execute, parse_text_row
-from brambleusher.fronts.mysql.packets import PacketReader, ProtocolError, frame, frames
+from brambleusher.fronts.mysql.packets import PacketReader, ProtocolError, frame, packet_count
 from brambleusher.fronts.mysql.replies import ReplyRelay
-from brambleusher.fronts.mysql.session import Flavour, PreparedText, Session, Setup, replay_text
+from brambleusher.fronts.mysql.session import (
+    ConnectionTraits,
+    PreparedText,
+    RequiredState,
+    Session,
+    replay_text,
+)
 from brambleusher.fronts.mysql.settings import MysqlSettings, Passwords
 from brambleusher.loadbalancing.api import (
     CONNECT_TIMEOUT_FRACTION,
@@ -40,257 +46,264 @@
 
 log = logging.getLogger(__name__)
 
-WANTED = int(
+NODE_CAPABILITIES = int(
     Capability.LONG_PASSWORD | Capability.LONG_FLAG | Capability.PROTOCOL_41 | Capability.TRANSACTIONS
     | Capability.SECURE_CONNECTION | Capability.MULTI_RESULTS | Capability.PS_MULTI_RESULTS
     | Capability.PLUGIN_AUTH | Capability.PLUGIN_AUTH_LENENC | Capability.SESSION_TRACK
     | Capability.DEPRECATE_EOF
 )  # fmt: skip
-KEPT_PREPARED, KEPT_PREPARED_BYTES = 64, 512 * 1024  # statements that stay prepared on a connection
-SIDE_CONNECTIONS = 2  # to one node at a time, for KILL
-SIDE_QUEUE = 256
-SIDE_SECONDS = 2.0
-LEARNED_SECONDS = 30.0  # after a 1040 the node is asked for one connection more only so often
+# Maximum number and total text size in bytes of the statements that stay prepared on one connection.
+MAX_PREPARED_PER_CONNECTION, MAX_PREPARED_BYTES_PER_CONNECTION = 64, 512 * 1024
+MAX_CONCURRENT_KILLS = 2  # maximum number of concurrent KILL commands per node
+MAX_QUEUED_KILLS = 256  # maximum number of queued KILL commands per node
+CONTROL_COMMAND_SECONDS = 2.0  # timeout of a KILL or a reset, in seconds
+LIMIT_RETRY_SECONDS = 30.0  # interval in seconds between attempts to exceed a limit learned from error 1040
 NODE_ERRORS = frozenset({Errno.CON_COUNT, Errno.SERVER_SHUTDOWN, Errno.SERVER_ISNT_AVAILABLE})
 MAX_KILLED_SECONDS = 5.0
-STARTS_PART = 0.8  # of the time after a drain's news in which a node may be sent something new
+DRAIN_START_FRACTION = 0.8  # fraction of the drain grace period in which a draining node may get new requests
 
 
-class Mode(Enum):
-    """What becomes of a connection once its statement has its whole answer."""
+class ConnectionDisposition(Enum):
+    """What happens to a connection after its statement has a complete response."""
 
     RELEASE = "release"
-    KEEP = "keep"  # for a session that is tied; its claim is over
-    HOLD = "hold"  # for a transaction: its claim stays out until it ends
-    REFUSED = "refused"  # nobody waits for the answer any more
+    RESERVE = "keep"  # reserve the connection for a pinned session; the attempt is over
+    RESERVE_FOR_TRANSACTION = "hold"  # keep the attempt open until the transaction ends
+    DISCARD_REPLY = "refused"  # discard the response, which no client awaits any more
 
 
-class TuneFailed(Exception):
-    """A connection could not be made what the session needs; nothing of the statement was sent."""
+class SessionSetupError(Exception):
+    """The session state could not be set up on a connection; the statement was not sent."""
 
     def __init__(self, error: Err) -> None:
         super().__init__(error.text)
         self.error = error
 
 
-class Owner(Protocol):
-    """The session's side of a connection, as the pool knows it."""
+class ConnectionOwner(Protocol):
+    """A client session as seen by the connection pool."""
 
     session: Session
-    last: Conn | None  # the connection that its last statement ran on
-    id_conn: Conn | None  # the one that knows its LAST_INSERT_ID
+    last_conn: NodeConnection | None  # the connection on which the session's last statement ran
+    last_id_conn: NodeConnection | None  # the connection that holds the session's LAST_INSERT_ID
 
-    def leave(self, held: Held) -> None:
-        """The node of its connection drains."""
+    def node_draining(self, reserved: ReservedConnection) -> None:
+        """Notify the session that the node of its reserved connection drains."""
 
 
-class Conn:
-    """One connection to a node, and what is known of its state."""
+class NodeConnection:
+    """One connection to a node, with its known session state."""
 
     __slots__ = (
-        "account", "autocommit", "capabilities", "channel", "collation", "doomed", "id_owner", "meaning",
-        "multi", "node", "owner", "prepared", "schema", "settings", "thread", "used_at",
+        "account", "autocommit", "capabilities", "channel", "collation", "unusable", "last_id_owner",
+        "statement_capabilities", "multi", "node", "owner", "prepared", "schema", "settings", "thread",
+        "used_at",
     )  # fmt: skip
 
-    def __init__(self, node: Node, channel: Channel, flavour: Flavour, login: ClientLogin) -> None:
+    def __init__(self, node: Node, channel: Channel, traits: ConnectionTraits, login: ClientLogin) -> None:
         assert login.greeting is not None
         assert login.ok is not None
-        self.node, self.channel, self.account = node, channel, flavour.account
-        self.collation, self.meaning = flavour.collation, flavour.meaning
+        self.node, self.channel, self.account = node, channel, traits.account
+        self.collation, self.statement_capabilities = traits.collation, traits.statement_capabilities
         self.thread, self.capabilities = login.greeting.thread, login.capabilities
         self.autocommit = bool(login.ok.status & Flag.AUTOCOMMIT)
         self.multi = bool(login.capabilities & Capability.MULTI_STATEMENTS)
         self.schema = ""
         self.settings: tuple[tuple[str, str], ...] = ()
-        # By schema, settings and text: the id and the number of parameters.
+        # Statement id and number of parameters by schema, settings and statement text.
         self.prepared: OrderedDict[tuple[str, object, bytes], tuple[int, int]] = OrderedDict()
         self.used_at = channel.stream.used_at
-        self.owner: Owner | None = None  # whose statement ran on it last
-        self.id_owner: Owner | None = None  # whose LAST_INSERT_ID it may have
-        self.doomed = False  # a KILL may be on its way to it: nobody else gets it
+        self.owner: ConnectionOwner | None = None  # the session whose statement ran last on this connection
+        # The session whose LAST_INSERT_ID the connection may hold.
+        self.last_id_owner: ConnectionOwner | None = None
+        self.unusable = False  # a KILL may be in flight or the stream is corrupt, so no other session gets it
 
-    def suits(self, flavour: Flavour) -> bool:
-        """Whether sessions of a flavour may use it."""
+    def matches(self, traits: ConnectionTraits) -> bool:
+        """Return whether sessions with these traits may use the connection."""
         return (
-            self.account == flavour.account
-            and self.collation == flavour.collation
-            and self.meaning == flavour.meaning
-            and not (flavour.no_schema and self.schema)
+            self.account == traits.account
+            and self.collation == traits.collation
+            and self.statement_capabilities == traits.statement_capabilities
+            and not (traits.no_schema and self.schema)
         )
 
-    def was_reset(self) -> None:
-        """COM_RESET_CONNECTION was answered: all but the schema is as after the login."""
+    def apply_reset(self) -> None:
+        """Record a successful COM_RESET_CONNECTION, which restores all state but the schema."""
         self.settings, self.autocommit, self.owner = (), True, None
         self.prepared.clear()
 
     @property
-    def carries(self) -> Owner | None:
-        """One whose LAST_INSERT_ID only this connection knows."""
-        owner = self.id_owner
-        if owner is not None and owner.id_conn is self and owner.session.last_id is None:
+    def pending_id_owner(self) -> ConnectionOwner | None:
+        """The session whose LAST_INSERT_ID is known to this connection only, or None."""
+        owner = self.last_id_owner
+        if owner is not None and owner.last_id_conn is self and owner.session.last_id is None:
             return owner
         return None
 
 
 @dataclass(slots=True, eq=False)
 class Node:
-    """One node: its place, its connections, who waits for one."""
+    """One node: its address, its connections, and the attempts that wait for a connection."""
 
     name: str
     address: tuple[str, int]
     started_ns: int
-    meter: Meter
-    idle: list[Conn] = field(default_factory=list)  # the last used at the end
-    claims: dict[Claim, None] = field(default_factory=dict)  # dicts, so that their order is their own
-    held: dict[Held, None] = field(default_factory=dict)
-    waiters: deque[Claim] = field(default_factory=deque)
-    open: int = 0
+    meter: LoadMeter
+    # Idle connections, with the most recently used one at the end.
+    idle: list[NodeConnection] = field(default_factory=list)
+    attempts: dict[MysqlAttempt, None] = field(default_factory=dict)  # a dict, for a deterministic order
+    reserved: dict[ReservedConnection, None] = field(default_factory=dict)
+    waiters: deque[MysqlAttempt] = field(default_factory=deque)
+    open_count: int = 0
     by_account: dict[str, int] = field(default_factory=dict)
-    most: int = 1 << 30  # learned from error 1040
-    learned_at: float = 0.0
-    side: int = 0
-    side_waits: deque[Callable[[], None]] = field(default_factory=deque)
-    leaving: bool = False
-    left_at: float = 0.0  # when we were told so
+    connection_limit: int = 1 << 30  # connection limit learned from error 1040
+    limit_learned_at: float = 0.0
+    active_kills: int = 0
+    queued_kills: deque[Callable[[], None]] = field(default_factory=deque)
+    draining: bool = False
+    drain_started_at: float = 0.0  # when the drain became known
 
 
-class Claim:
-    """One claim: its task, and how far it has come."""
+class MysqlAttempt:
+    """One attempt to run a command on a node, and its progress."""
 
-    __slots__ = ("event", "flavour", "granted", "measured", "sending", "why", "written")
+    __slots__ = ("event", "traits", "granted", "load_counted", "sending", "cancel_status", "written")
 
-    def __init__(self, flavour: Flavour) -> None:
-        self.event = Event()  # rings when it is called off, and when a connection may be had
-        self.flavour = flavour
-        self.granted: Conn | None = None
-        self.why: AttemptStatus | None = None
+    def __init__(self, traits: ConnectionTraits) -> None:
+        self.event = Event()  # set when the attempt is cancelled or a connection may be available
+        self.traits = traits
+        self.granted: NodeConnection | None = None
+        self.cancel_status: AttemptStatus | None = None
         self.sending = self.written = False
-        self.measured = False  # its statement counts as one at the node
+        self.load_counted = False  # the statement is counted in the node's load
 
-    def cancel(self, why: AttemptStatus = AttemptStatus.CANCELLED) -> None:
-        """Give it up; a statement under way is stopped at the node."""
-        if self.why is None:
-            self.why = why
+    def cancel(self, status: AttemptStatus = AttemptStatus.CANCELLED) -> None:
+        """Cancel the attempt; a running statement is stopped at the node."""
+        if self.cancel_status is None:
+            self.cancel_status = status
             self.event.set()
 
     def check(self) -> None:
-        """Raises `WaitInterruptedError` once it was called off."""
-        if self.why is not None:
+        """Raise `WaitInterruptedError` if the attempt was cancelled."""
+        if self.cancel_status is not None:
             raise WaitInterruptedError
 
 
 @dataclass(slots=True, eq=False)
-class Work:
-    """One command of a session, on its way to some node."""
+class PendingCommand:
+    """One command of a session that is to run on a node, with its result."""
 
-    owner: Owner
+    owner: ConnectionOwner
     command: int
     body: bytes
-    accept: Callable[[Reply], Mode]  # told at once when an answer is whole or has begun to come
-    run: Execute | None = None  # with `prepared`: to be executed
+    # Callback that is called as soon as a response is complete or has started.
+    on_reply: Callable[[Reply], ConnectionDisposition]
+    execution: Execute | None = None  # the execution of `prepared`, if the command is COM_STMT_EXECUTE
     prepared: PreparedText | None = None
     reads_last_id: bool = False
-    about_previous: bool = False
-    statement_id: int | None = None  # the client's, for what it has prepared
-    seq: int = 1  # of the answer's first packet
-    reached: bool = False  # some node may have run it
-    taken: Reply | None = None  # the answer that was taken
-    over: bool = False  # an answer was taken, or nobody waits for one
-    conn: Conn | None = None  # where it was sent last
-    broke: bool = False  # an answer broke off behind its first byte: no other node is asked
-    nonsense: ProtocolError | None = None  # what was wrong with an answer
-    error: Err | None = None  # what a node said that could not run it
+    depends_on_previous: bool = False
+    statement_id: int | None = None  # the id by which the client knows the prepared statement
+    seq: int = 1  # sequence number of the response's first packet
+    may_have_run: bool = False  # a node may have run the command
+    accepted_reply: Reply | None = None  # the accepted response
+    closed: bool = False  # a response was accepted, or the client no longer waits for one
+    conn: NodeConnection | None = None  # the connection on which the command was last sent
+    broke: bool = False  # a response broke off after its first byte, so no other node is tried
+    protocol_error: ProtocolError | None = None  # the protocol error in a response
+    error: Err | None = None  # the error of a node that could not run the command
 
     @property
     def session(self) -> Session:
-        """Whose it is."""
+        """The session that issued the command."""
         return self.owner.session
 
 
 @dataclass(slots=True, eq=False)
 class Reply:
-    """An answer, or its beginning: bytes for the client and the relay that goes on with them."""
+    """A complete or partial response: bytes for the client and the relay for the remaining bytes."""
 
     out: bytes
     relay: ReplyRelay
-    held: Held
+    reserved: ReservedConnection
 
 
-class Held:
-    """A connection in a session's hands, and the claim that stays out as long as it is."""
+class ReservedConnection:
+    """A connection reserved for a session, together with the attempt that is still open on it."""
 
-    __slots__ = ("_ended", "_nodes", "began_at", "conn", "measured", "waited_ns")
+    __slots__ = ("_on_finished", "_nodes", "started_at", "conn", "load_counted", "node_time_ns")
 
-    def __init__(self, nodes: MysqlNodes, conn: Conn) -> None:
+    def __init__(self, nodes: MysqlNodes, conn: NodeConnection) -> None:
         self._nodes, self.conn = nodes, conn
-        self._ended: Callable[[AttemptOutcome], None] | None = None
-        self.began_at = 0.0  # when its claim was made
-        self.waited_ns = 0  # time that the node took, without the client's
-        self.measured = False  # a statement of it counts as one at the node
-        conn.node.held[self] = None
+        self._on_finished: Callable[[AttemptOutcome], None] | None = None
+        self.started_at = 0.0  # when the attempt started
+        self.node_time_ns = 0  # time in nanoseconds spent at the node, without the client's own time
+        self.load_counted = False  # a statement on the connection is counted in the node's load
+        conn.node.reserved[self] = None
 
     @property
     def node(self) -> Node:
-        """Where it leads."""
+        """The node of the connection."""
         return self.conn.node
 
-    def client_took(self, now: float) -> float:
-        """Seconds that the client took while the claim was out; 0 once it is over."""
-        return now - self.began_at - self.waited_ns / 1e9 if self._ended is not None else 0.0
+    def client_seconds(self, now: float) -> float:
+        """Return the seconds that the client itself used during the open attempt, or 0 after its end."""
+        return now - self.started_at - self.node_time_ns / 1e9 if self._on_finished is not None else 0.0
 
     @property
-    def claimed(self) -> bool:
-        """Whether its claim is still out."""
-        return self._ended is not None
+    def attempt_open(self) -> bool:
+        """Whether the attempt is still open."""
+        return self._on_finished is not None
 
-    def claim(self, ended: Callable[[AttemptOutcome], None], began_at: float, now: float) -> None:
-        """The claim that it was got by stays out."""
-        self._ended, self.began_at = ended, began_at
-        self.waited_ns = int((now - began_at) * 1e9)
+    def keep_attempt_open(
+        self, on_finished: Callable[[AttemptOutcome], None], started_at: float, now: float
+    ) -> None:
+        """Keep the attempt open; `on_finished` is called with its outcome."""
+        self._on_finished, self.started_at = on_finished, started_at
+        self.node_time_ns = int((now - started_at) * 1e9)
 
     def finish(self, status: AttemptStatus) -> None:
-        """The claim is over; the second time nothing happens."""
-        if self._ended is not None:
-            ended, self._ended = self._ended, None
+        """End the attempt; repeated calls have no effect."""
+        if self._on_finished is not None:
+            on_finished, self._on_finished = self._on_finished, None
             report = self._nodes.report(self.node) if status is AttemptStatus.OK else None
-            ended(AttemptOutcome(status, self.waited_ns, report))
+            on_finished(AttemptOutcome(status, self.node_time_ns, report))
 
-    def measure(self) -> None:
-        """A statement goes out on it."""
-        if not self.measured:
-            self.measured = True
+    def begin_load(self) -> None:
+        """Start to count a statement on this connection in the node's load."""
+        if not self.load_counted:
+            self.load_counted = True
             self.node.meter.begin(self._nodes.now())
 
-    def measured_whole(self) -> None:
-        """Its answer is whole, or none will be."""
-        if self.measured:
-            self.measured = False
+    def end_load(self) -> None:
+        """Stop counting the statement, whose response is complete or will never be."""
+        if self.load_counted:
+            self.load_counted = False
             self.node.meter.end(self._nodes.now())
 
     def release(self) -> None:
-        """Give the connection back, in a state that any session may find it in."""
-        self.measured_whole()
+        """Return the connection to the pool; it must hold no state that pins a session."""
+        self.end_load()
         self.finish(AttemptStatus.OK)
-        self.node.held.pop(self, None)
+        self.node.reserved.pop(self, None)
         self._nodes.give_back(self.conn)
 
     def drop(self, status: AttemptStatus) -> None:
-        """Close the connection: what was open on it is rolled back by the node."""
-        self.measured_whole()
+        """Close the connection; the node rolls back its open transaction."""
+        self.end_load()
         self.finish(status)
-        self.node.held.pop(self, None)
+        self.node.reserved.pop(self, None)
         self._nodes.discard(self.conn)
 
     def stop(self, status: AttemptStatus) -> None:
-        """Stop the statement at the node, and close the connection."""
-        self.measured_whole()
+        """Kill the running statement at the node and close the connection."""
+        self.end_load()
         self.finish(status)
-        self.node.held.pop(self, None)
+        self.node.reserved.pop(self, None)
         self._nodes.stop(self.conn)
 
 
 class MysqlNodes:
-    """The nodes that the endpoint list names, as MySQL servers."""
+    """The connection pools to all nodes in the endpoint list."""
 
     def __init__(
         self,
@@ -302,344 +315,383 @@
         node_key: bytes | None = None,
     ) -> None:
         self._scheduler, self._settings, self._passwords = scheduler, settings, passwords
-        self._counters, self._node_key = counters, node_key
-        self._window = WINDOW_OF_AIM * min(cls.latency_target_ns for cls in platform.classes) / 1e9
+        self._counters, self._node_public_key = counters, node_key
+        self._load_window = (
+            DECAY_LATENCY_TARGETS * min(cls.latency_target_ns for cls in platform.classes) / 1e9
+        )
         self._connect_seconds = platform.connect_timeout_ns / 1e9
         self._idle_seconds = settings.idle_ms / 1000
-        # After the news of a drain, less what a command of ours ahead of a statement may take.
-        self._start_seconds = platform.drain_grace_ns / 1e9 * STARTS_PART
+        # The remaining grace period is reserved for the set-up commands that precede a statement.
+        self._request_start_seconds = platform.drain_grace_ns / 1e9 * DRAIN_START_FRACTION
         self._wait_seconds = settings.pool_wait_ms / 1000
         self._nodes: dict[str, Node] = {}
-        self._total = 0  # connections open, to all nodes
+        self._open_total = 0  # number of open connections to all nodes
         tls = settings.node_tls
         self._context = (
             client_context(tls.ca_file, tls.host, tls.cert_file, tls.key_file) if tls.mode != "off" else None
         )
 
     def now(self) -> float:
-        """The scheduler's time."""
+        """Return the scheduler's time in seconds."""
         return self._scheduler.now()
 
-    def starts_until(self, node: Node) -> float | None:
-        """Until when a tied session may start a request on a node; None where it does not drain."""
-        return node.left_at + self._start_seconds if node.leaving else None
+    def new_requests_until(self, node: Node) -> float | None:
+        """Return until when a pinned session may start a request on a draining node; None if it is active."""
+        return node.drain_started_at + self._request_start_seconds if node.draining else None
 
     def report(self, node: Node | None) -> LoadReport:
-        """What the decisions are told of a node's load with a claim that was served.
+        """Count a served attempt and return the load report of its node.
 
-        Without figures where the nodes tell theirs over HTTP.
+        The report is empty if the nodes report their load over HTTP (`load: none`).
         """
         if node is None or self._settings.load == "none":
             return LoadReport()
         node.meter.served(self.now())
-        return node.meter.report(self.now(), min(self._settings.connections, node.most))
+        return node.meter.report(self.now(), min(self._settings.connections, node.connection_limit))
 
     # --- the endpoint list -----------------------------------------------------------------------
 
     def update(self, update: EndpointListUpdate) -> None:
-        """Follow the list: no claim starts on a node that drains or is gone, tied sessions are told."""
+        """Apply an endpoint list.
+
+        Draining and removed nodes get no more attempts, and their pinned sessions are notified.
+        """
         if update.full:
-            named = {machine.entry.host for machine in update.endpoints}
-            for name in [name for name in self._nodes if name not in named]:
-                self._leave(self._nodes.pop(name))
-        for machine in update.endpoints:
-            self._place(machine)
-
-    def _place(self, machine: Endpoint) -> None:
-        entry = machine.entry
+            listed = {endpoint.entry.host for endpoint in update.endpoints}
+            for name in [name for name in self._nodes if name not in listed]:
+                self._start_drain(self._nodes.pop(name))
+        for endpoint in update.endpoints:
+            self._update_node(endpoint)
+
+    def _update_node(self, endpoint: Endpoint) -> None:
+        entry = endpoint.entry
         node = self._nodes.get(entry.host)
         if entry.state is HostState.REMOVED:
             if node is not None:
-                self._leave(self._nodes.pop(entry.host))
+                self._start_drain(self._nodes.pop(entry.host))
             return
-        address = self._settings.addresses.get(entry.host) or (machine.address[0], self._settings.port)
+        address = self._settings.addresses.get(entry.host) or (endpoint.address[0], self._settings.port)
         if node is not None and (node.address, node.started_ns) != (address, entry.started_ns):
-            self._leave(node)
+            self._start_drain(node)
             node = None
         if node is None:
-            node = self._nodes[entry.host] = Node(entry.host, address, entry.started_ns, Meter(self._window))
+            node = self._nodes[entry.host] = Node(
+                entry.host, address, entry.started_ns, LoadMeter(self._load_window)
+            )
         if entry.state is HostState.DRAINING:
-            self._leave(node)
+            self._start_drain(node)
         else:
-            node.leaving = False
+            node.draining = False
 
-    def _leave(self, node: Node) -> None:
-        if not node.leaving:  # each later list tells it again
-            node.leaving, node.left_at = True, self._scheduler.now()
+    def _start_drain(self, node: Node) -> None:
+        if not node.draining:  # later endpoint lists repeat the drain
+            node.draining, node.drain_started_at = True, self._scheduler.now()
         while node.idle:
             self.discard(node.idle.pop())
-        for claim in list(node.claims):
-            if not claim.sending:
-                claim.cancel(AttemptStatus.OVERLOADED)
-        for held in list(node.held):
-            if held.conn.owner is not None:
-                held.conn.owner.leave(held)
-
-    def let_go(self, name: str) -> None:
-        """Close the idle connections to a node."""
+        for attempt in list(node.attempts):
+            if not attempt.sending:
+                attempt.cancel(AttemptStatus.OVERLOADED)
+        for reserved in list(node.reserved):
+            if reserved.conn.owner is not None:
+                reserved.conn.owner.node_draining(reserved)
+
+    def close_idle(self, name: str) -> None:
+        """Close the idle connections to a node, if it is known."""
         node = self._nodes.get(name)
         while node is not None and node.idle:
             self.discard(node.idle.pop())
 
     def close(self) -> None:
-        """Close all that is idle."""
+        """Close all idle connections."""
         for name in self._nodes:
-            self.let_go(name)
+            self.close_idle(name)
 
     def reap(self) -> None:
-        """The task: close what has been idle for too long, or was closed from the other side."""
+        """Run the task that closes connections which were idle for too long or closed by the node."""
         while True:
             self._scheduler.sleep(1.0)
-            old = self._scheduler.now() - self._idle_seconds
+            oldest_allowed = self._scheduler.now() - self._idle_seconds
             for node in list(self._nodes.values()):
-                for conn in [conn for conn in node.idle if conn.used_at < old or not conn.channel.quiet()]:
+                for conn in [
+                    conn for conn in node.idle if conn.used_at < oldest_allowed or not conn.channel.quiet()
+                ]:
                     if conn in node.idle:
                         node.idle.remove(conn)
                         self.discard(conn)
 
     def state(self) -> dict[str, dict[str, object]]:
-        """What is known of each node, for JSON."""
+        """Return the state of each node for JSON."""
         return {
             node.name: {
-                "address": f"{node.address[0]}:{node.address[1]}", "open": node.open,
-                "idle": len(node.idle), "held": len(node.held), "waiting": len(node.waiters),
-                "most": node.most if node.most < 1 << 30 else None, "leaving": node.leaving,
+                "address": f"{node.address[0]}:{node.address[1]}", "open": node.open_count,
+                "idle": len(node.idle), "held": len(node.reserved), "waiting": len(node.waiters),
+                "most": node.connection_limit if node.connection_limit < 1 << 30 else None,
+                "leaving": node.draining,
             }
             for node in self._nodes.values()
         }  # fmt: skip
 
-    # --- claims ---------------------------------------------------------------------------------
+    # --- attempts -------------------------------------------------------------------------------
 
-    def start_attempt(self, order: AttemptSpec) -> Claim:
-        """Start an attempt; `on_response_started` is called where the answer goes on or the session holds
-        the connection."""
-        name, payload, timeout_ns, deadline = order.endpoint, order.payload, order.timeout_ns, order.deadline
-        ended, begun, wanted = order.on_finished, order.on_response_started, order.is_still_needed
-        if not isinstance(payload, Work):
-            raise TypeError("these nodes are spoken to in MySQL alone")
-        claim, start = Claim(payload.session.flavour), self._scheduler.now()
-        limit = min(deadline, start + timeout_ns / 1e9) if timeout_ns else deadline
+    def start_attempt(self, parameters: AttemptSpec) -> MysqlAttempt:
+        """Start an attempt.
+
+        `on_response_started` is called if the response continues or the session reserves the connection.
+        """
+        name, payload, timeout_ns, deadline = (
+            parameters.endpoint,
+            parameters.payload,
+            parameters.timeout_ns,
+            parameters.deadline,
+        )
+        on_finished, on_response_started, is_wanted = (
+            parameters.on_finished,
+            parameters.on_response_started,
+            parameters.is_still_needed,
+        )
+        if not isinstance(payload, PendingCommand):
+            raise TypeError("the payload of a MySQL attempt is not a MySQL command")
+        attempt, started_at = MysqlAttempt(payload.session.traits), self._scheduler.now()
+        limit = min(deadline, started_at + timeout_ns / 1e9) if timeout_ns else deadline
 
         def run() -> None:
-            status, reply, left = AttemptStatus.ERROR, None, False
+            status, reply, transferred = AttemptStatus.ERROR, None, False
             node = self._nodes.get(name)
             try:
-                if node is None or node.leaving:
+                if node is None or node.draining:
                     status = AttemptStatus.OVERLOADED
                 else:
-                    node.claims[claim] = None
-                    status, reply, left = self._attempt(node, claim, payload, limit, ended, start, wanted)
+                    node.attempts[attempt] = None
+                    status, reply, transferred = self._attempt(
+                        node, attempt, payload, limit, on_finished, started_at, is_wanted
+                    )
             except Exception:
-                # Guards against a claim without an end: its request would wait until the deadline.
+                # Every attempt must end, otherwise its request would wait until the deadline.
                 self._counters.add("faults")
                 log.exception("claim failed", extra={"fields": {"node": name}})
             finally:
                 if node is not None:
-                    node.claims.pop(claim, None)
-                    if claim.measured:
+                    node.attempts.pop(attempt, None)
+                    if attempt.load_counted:
                         node.meter.end(self._scheduler.now())
-            if left or payload.broke:
-                begun(reply)
-            if not left:
-                took = int((self._scheduler.now() - start) * 1e9)
-                ended(
+            if transferred or payload.broke:
+                on_response_started(reply)
+            if not transferred:
+                duration_ns = int((self._scheduler.now() - started_at) * 1e9)
+                on_finished(
                     AttemptOutcome(
-                        status, took, self.report(node) if status is AttemptStatus.OK else None, reply
+                        status, duration_ns, self.report(node) if status is AttemptStatus.OK else None, reply
                     )
                 )
 
         self._scheduler.spawn(run, name=f"mysql claim {name}")
-        return claim
+        return attempt
 
     def _attempt(
         self,
         node: Node,
-        claim: Claim,
-        work: Work,
+        attempt: MysqlAttempt,
+        pending: PendingCommand,
         limit: float,
-        ended: Callable[[AttemptOutcome], None],
-        start: float,
-        wanted: Callable[[], bool],
+        on_finished: Callable[[AttemptOutcome], None],
+        started_at: float,
+        is_wanted: Callable[[], bool],
     ) -> tuple[AttemptStatus, Reply | None, bool]:
-        """How it ended, with what answer; whether the claim is now in the session's hands."""
-        conn: Conn | None = None
+        """Run an attempt; return its status, its response, and whether the session now owns the attempt."""
+        conn: NodeConnection | None = None
         relay: ReplyRelay | None = None
         try:
-            conn = self._take(node, claim, work, limit)
+            conn = self._acquire(node, attempt, pending, limit)
             if conn is None:
                 self._counters.add("connections_lacking")
                 return AttemptStatus.NOT_STARTED, None, False
-            self._tune(conn, work, claim, limit)
-            data, relay = self._worded(conn, work, claim, limit)
-            work.conn = conn
-            claim.check()
-            # Guards against work begun for what is over.
-            if limit - self._scheduler.now() < 0.001 or not wanted():
+            self._set_up_session(conn, pending, attempt, limit)
+            data, relay = self._encode_command(conn, pending, attempt, limit)
+            pending.conn = conn
+            attempt.check()
+            # Nothing is sent for a request that is about to time out or no longer wanted.
+            if limit - self._scheduler.now() < 0.001 or not is_wanted():
                 self.give_back(conn)
                 return AttemptStatus.NOT_STARTED, None, False
             self._counters.add("claims_sent")
-            # Guards against an earlier node's refusal told for what this one may have run.
-            work.error = work.nonsense = None
-            claim.sending = claim.measured = True
+            # An error of an earlier node must not be reported for a statement that this node may have run.
+            pending.error = pending.protocol_error = None
+            attempt.sending = attempt.load_counted = True
             node.meter.begin(self._scheduler.now())
             conn.channel.send(data, limit)
-            claim.written = work.reached = True
+            attempt.written = pending.may_have_run = True
             out = b""
             while not out and not relay.done:
-                out = relay.feed(self._receive(conn, claim, limit))
-        except TuneFailed as failed:
-            # Not the node's doing: an unknown schema of one client's must not count against it.
-            work.error = failed.error
-            self._stop_or_drop(conn, claim)
-            own = failed.error.errno in NODE_ERRORS
-            return AttemptStatus.OVERLOADED if own else AttemptStatus.NOT_STARTED, None, False
+                out = relay.feed(self._receive(conn, attempt, limit))
+        except SessionSetupError as failed:
+            # An error such as an unknown schema of one client must not count against the node.
+            pending.error = failed.error
+            self._stop_or_drop(conn, attempt)
+            is_node_error = failed.error.errno in NODE_ERRORS
+            return AttemptStatus.OVERLOADED if is_node_error else AttemptStatus.NOT_STARTED, None, False
         except WaitInterruptedError:
-            self._stop_or_drop(conn, claim)
-            return self._called_off(claim), None, False
+            self._stop_or_drop(conn, attempt)
+            return self._cancelled_status(attempt), None, False
         except TaskTimeoutError:
-            self._stop_or_drop(conn, claim)
-            work.broke = relay is not None and relay.begun
-            return AttemptStatus.TIMEOUT if claim.written else AttemptStatus.CONNECT_FAILED, None, False
-        except LoginRefused as refused:
-            return self._refused(node, work, refused.error), None, False
+            self._stop_or_drop(conn, attempt)
+            pending.broke = relay is not None and relay.started
+            return AttemptStatus.TIMEOUT if attempt.written else AttemptStatus.CONNECT_FAILED, None, False
+        except LoginRejectedError as rejected:
+            return self._login_rejected(node, pending, rejected.error), None, False
         except ProtocolError as error:
             log.warning("bad response", extra={"fields": {"node": node.name, "reason": error}})
-            self._stop_or_drop(conn, claim)
-            if not claim.written:
+            self._stop_or_drop(conn, attempt)
+            if not attempt.written:
                 return AttemptStatus.CONNECT_FAILED, None, False
-            work.nonsense, work.broke = error, relay is not None and relay.begun
+            pending.protocol_error, pending.broke = error, relay is not None and relay.started
             return AttemptStatus.ERROR, None, False
         except OSError:
             if conn is not None:
                 self.discard(conn)
-            work.broke = relay is not None and relay.begun
-            return AttemptStatus.RESET if claim.written else AttemptStatus.CONNECT_FAILED, None, False
+            pending.broke = relay is not None and relay.started
+            return AttemptStatus.RESET if attempt.written else AttemptStatus.CONNECT_FAILED, None, False
         if relay.done and relay.error is not None and relay.error.errno in NODE_ERRORS:
-            work.error = relay.error
+            pending.error = relay.error
             self.discard(conn)
             return AttemptStatus.ERROR, None, False
-        held = Held(self, conn)
+        reserved = ReservedConnection(self, conn)
         if not relay.done:
-            held.measured, claim.measured = True, False  # until the rest of its answer is here
-        reply = Reply(out, relay, held)
-        if relay.extra:
-            conn.doomed = True  # what follows is spoilt, the answer is not
+            # The statement counts in the node's load until the rest of the response arrives.
+            reserved.load_counted, attempt.load_counted = True, False
+        reply = Reply(out, relay, reserved)
+        if relay.has_trailing_bytes:
+            conn.unusable = True  # the response is valid, but the connection can't be used for another
             log.warning("bytes behind an answer", extra={"fields": {"node": node.name}})
-        mode = work.accept(reply)
-        if mode is Mode.REFUSED:
+        disposition = pending.on_reply(reply)
+        if disposition is ConnectionDisposition.DISCARD_REPLY:
             if relay.done and relay.prepared is None:
-                held.release()
+                reserved.release()
             else:
-                held.stop(AttemptStatus.CANCELLED)
+                reserved.stop(AttemptStatus.CANCELLED)
             return AttemptStatus.OK if relay.done else AttemptStatus.CANCELLED, None, False
-        if mode is Mode.RELEASE:
-            held.release()
+        if disposition is ConnectionDisposition.RELEASE:
+            reserved.release()
             return AttemptStatus.OK, reply, False
-        if node.leaving:
-            work.owner.leave(held)  # the news came while its answer was awaited
-        if mode is Mode.KEEP and relay.done:
+        if node.draining:
+            pending.owner.node_draining(reserved)  # the drain became known while the response was awaited
+        if disposition is ConnectionDisposition.RESERVE and relay.done:
             return AttemptStatus.OK, reply, False
-        held.claim(ended, start, self._scheduler.now())
+        reserved.keep_attempt_open(on_finished, started_at, self._scheduler.now())
         return AttemptStatus.OK, reply, True
 
     @staticmethod
-    def _called_off(claim: Claim) -> AttemptStatus:
-        return claim.why if claim.why is not None and not claim.written else AttemptStatus.CANCELLED
+    def _cancelled_status(attempt: MysqlAttempt) -> AttemptStatus:
+        return (
+            attempt.cancel_status
+            if attempt.cancel_status is not None and not attempt.written
+            else AttemptStatus.CANCELLED
+        )
 
-    def _stop_or_drop(self, conn: Conn | None, claim: Claim) -> None:
+    def _stop_or_drop(self, conn: NodeConnection | None, attempt: MysqlAttempt) -> None:
         if conn is None:
             return
-        if claim.written:
+        if attempt.written:
             self.stop(conn)
         else:
             self.discard(conn)
 
-    def _refused(self, node: Node, work: Work, error: Err) -> AttemptStatus:
-        """What a node's refusal of a login means; how many connections it has is learned from a 1040."""
+    def _login_rejected(self, node: Node, pending: PendingCommand, error: Err) -> AttemptStatus:
+        """Return the attempt status for a rejected login; an error 1040 sets the node's connection limit."""
         if error.errno in (Errno.CON_COUNT, Errno.TOO_MANY_USER_CONNECTIONS):
-            node.most = max(1, node.open)
-            node.learned_at = self._scheduler.now()
+            node.connection_limit = max(1, node.open_count)
+            node.limit_learned_at = self._scheduler.now()
             self._counters.add("mysql_connections_refused")
             log.warning(
-                "node is out of connections", extra={"fields": {"node": node.name, "most": node.most}}
+                "node is out of connections",
+                extra={"fields": {"node": node.name, "most": node.connection_limit}},
             )
             return AttemptStatus.OVERLOADED
         log.warning(
             "login refused", extra={"fields": {"node": node.name, "errno": error.errno, "state": error.state}}
         )
-        work.error = Err.of(
+        pending.error = Err.of(
             Errno.SERVER_ISNT_AVAILABLE, f"the node refused the sidecar's login ({error.errno})"
         )
         return AttemptStatus.CONNECT_FAILED
 
-    def _receive(self, conn: Conn, claim: Claim, limit: float) -> bytes:
-        """The next bytes; raises `WaitInterruptedError` where they are not wanted any more."""
+    def _receive(self, conn: NodeConnection, attempt: MysqlAttempt, limit: float) -> bytes:
+        """Return the next bytes; raises `WaitInterruptedError` if the attempt is cancelled."""
         while True:
-            data = conn.channel.receive(limit, claim.event)
+            data = conn.channel.receive(limit, attempt.event)
             if data is None:
-                claim.check()
+                attempt.check()
                 continue
             if not data:
-                raise ConnectionResetError("the connection ended before its answer")
+                raise ConnectionResetError("the node closed the connection before the end of its response")
             return data
 
     # --- connections ----------------------------------------------------------------------------
 
-    def _take(self, node: Node, claim: Claim, work: Work, limit: float) -> Conn | None:
-        """A connection for a session: its last one, else one like it, else a new one, else the next that
-        comes free; None where none did in time."""
-        flavour, until = claim.flavour, min(limit, self._scheduler.now() + self._wait_seconds)
+    def _acquire(
+        self, node: Node, attempt: MysqlAttempt, pending: PendingCommand, limit: float
+    ) -> NodeConnection | None:
+        """Return a connection for a session, or None if none became available in time.
+
+        The order of preference is the session's last connection, an idle one, a new one, and the next one
+        that another session returns.
+        """
+        traits, wait_until = attempt.traits, min(limit, self._scheduler.now() + self._wait_seconds)
         while True:
-            claim.check()
-            conn = claim.granted or self._idle(node, work.owner, flavour)
-            claim.granted = None
+            attempt.check()
+            conn = attempt.granted or self._take_idle(node, pending.owner, traits)
+            attempt.granted = None
             if conn is not None:
-                if self._fresh(conn):
+                if self._is_usable(conn):
                     self._counters.add("connections_reused")
                     return conn
                 self.discard(conn)
                 continue
-            if node.leaving:
-                claim.cancel(AttemptStatus.OVERLOADED)
+            if node.draining:
+                attempt.cancel(AttemptStatus.OVERLOADED)
                 continue
-            if self._room(node, flavour.account):
-                return self._open(node, claim, flavour, limit)
-            if not self._make_room(node, flavour) and not self._wait(node, claim, until):
+            if self._may_open(node, traits.account):
+                return self._open(node, attempt, traits, limit)
+            if not self._evict_idle(node, traits) and not self._wait_for_connection(
+                node, attempt, wait_until
+            ):
                 return None
 
-    def _idle(self, node: Node, owner: Owner, flavour: Flavour) -> Conn | None:
+    def _take_idle(
+        self, node: Node, owner: ConnectionOwner, traits: ConnectionTraits
+    ) -> NodeConnection | None:
         best = None
-        setup = owner.session.setup()
+        required_state = owner.session.setup()
         for conn in reversed(node.idle):
-            if not conn.suits(flavour):
+            if not conn.matches(traits):
                 continue
-            if conn is owner.last:
+            if conn is owner.last_conn:
                 best = conn
                 break
+            # Of the connections with the smallest set-up cost, the most recently used one wins.
             if best is None or (
-                _distance(conn, setup) < _distance(best, setup)
-            ):  # the most recently used of those that are nearest
+                _state_change_cost(conn, required_state) < _state_change_cost(best, required_state)
+            ):
                 best = conn
         if best is not None:
             node.idle.remove(best)
         return best
 
-    def _fresh(self, conn: Conn) -> bool:
+    def _is_usable(self, conn: NodeConnection) -> bool:
         age = self._scheduler.now() - conn.used_at
         return age < self._idle_seconds and conn.channel.quiet()
 
-    def _room(self, node: Node, account: str) -> bool:
-        if node.open >= node.most:
-            # Some time after a refusal one more is tried: the node's other clients come and go.
-            if self._scheduler.now() - node.learned_at < LEARNED_SECONDS:
+    def _may_open(self, node: Node, account: str) -> bool:
+        if node.open_count >= node.connection_limit:
+            # The limit is raised by one after a while, since other clients of the node disconnect over time.
+            if self._scheduler.now() - node.limit_learned_at < LIMIT_RETRY_SECONDS:
                 return False
-            node.most, node.learned_at = node.most + 1, self._scheduler.now()
+            node.connection_limit, node.limit_learned_at = node.connection_limit + 1, self._scheduler.now()
         if node.by_account.get(account, 0) >= self._settings.connections:
             return False
-        return self._total < self._settings.connections_total or self._close_longest_idle()
+        return self._open_total < self._settings.connections_total or self._close_longest_idle()
 
     def _close_longest_idle(self) -> bool:
-        """Close the connection that is idle for longest, whichever node it leads to."""
+        """Close the connection to any node that has been idle for the longest time."""
         idle = [node.idle[0] for node in self._nodes.values() if node.idle]
         if not idle:
             return False
@@ -648,196 +700,212 @@
         self.discard(conn, wake=False)
         return True
 
-    def _make_room(self, node: Node, flavour: Flavour) -> bool:
-        """Close an idle connection of another kind, where that lets a new one be opened."""
-        full = node.by_account.get(flavour.account, 0) >= self._settings.connections
-        for conn in node.idle:  # the longest idle first
-            if not full or conn.account == flavour.account:
+    def _evict_idle(self, node: Node, traits: ConnectionTraits) -> bool:
+        """Close an idle connection with other traits if a new one can then be opened."""
+        account_full = node.by_account.get(traits.account, 0) >= self._settings.connections
+        for conn in node.idle:  # starts with the connection that has been idle for the longest time
+            if not account_full or conn.account == traits.account:
                 node.idle.remove(conn)
                 self.discard(conn, wake=False)
                 return True
         return False
 
-    def _wait(self, node: Node, claim: Claim, until: float) -> bool:
-        """Wait for a connection that comes free; false where none did in time."""
-        node.waiters.append(claim)
+    def _wait_for_connection(self, node: Node, attempt: MysqlAttempt, wait_until: float) -> bool:
+        """Wait for a connection to be returned; return False if none was in time."""
+        node.waiters.append(attempt)
         self._counters.add("mysql_waits")
         try:
-            self._scheduler.park(until, event=claim.event)
+            self._scheduler.park(wait_until, event=attempt.event)
         except TaskTimeoutError:
-            return claim.granted is not None
+            return attempt.granted is not None
         finally:
-            if claim in node.waiters:
-                node.waiters.remove(claim)
-            if claim.why is not None and claim.granted is not None:
-                granted, claim.granted = claim.granted, None
+            if attempt in node.waiters:
+                node.waiters.remove(attempt)
+            if attempt.cancel_status is not None and attempt.granted is not None:
+                granted, attempt.granted = attempt.granted, None
                 self.give_back(granted)
         return True
 
-    def _open(self, node: Node, claim: Claim, flavour: Flavour, limit: float) -> Conn:
-        node.open += 1
-        self._total += 1
-        node.by_account[flavour.account] = node.by_account.get(flavour.account, 0) + 1
+    def _open(
+        self, node: Node, attempt: MysqlAttempt, traits: ConnectionTraits, limit: float
+    ) -> NodeConnection:
+        node.open_count += 1
+        self._open_total += 1
+        node.by_account[traits.account] = node.by_account.get(traits.account, 0) + 1
         channel: Channel | None = None
         try:
             now = self._scheduler.now()
-            wait = min(self._connect_seconds, (limit - now) * CONNECT_TIMEOUT_FRACTION)
-            stream = Stream.connect(self._scheduler, node.address, now + wait, claim.event)
+            timeout = min(self._connect_seconds, (limit - now) * CONNECT_TIMEOUT_FRACTION)
+            stream = Stream.connect(self._scheduler, node.address, now + timeout, attempt.event)
             channel = Channel(stream)
-            login = self._log_in(channel, flavour, limit, claim)
+            login = self._log_in(channel, traits, limit, attempt)
         except BaseException:
             if channel is not None:
                 channel.close()
-            self._closed(node, flavour.account)
+            self._count_closed(node, traits.account)
             raise
         self._counters.add("connections_opened")
-        return Conn(node, channel, flavour, login)
+        return NodeConnection(node, channel, traits, login)
 
-    def _log_in(self, channel: Channel, flavour: Flavour, limit: float, claim: Claim | None) -> ClientLogin:
+    def _log_in(
+        self, channel: Channel, traits: ConnectionTraits, limit: float, attempt: MysqlAttempt | None
+    ) -> ClientLogin:
         settings = self._settings
         login = ClientLogin(
-            flavour.account, self._passwords.of(flavour.account), WANTED | flavour.meaning, flavour.collation,
-            settings.node_tls.mode, public_key=self._node_key, ask_key=settings.ask_node_key,
+            traits.account, self._passwords.of(traits.account),
+            NODE_CAPABILITIES | traits.statement_capabilities,
+            traits.collation, settings.node_tls.mode,
+            public_key=self._node_public_key, ask_key=settings.ask_node_key,
         )  # fmt: skip
         while True:
-            turn = login.step()
+            step = login.step()
             if login.out:
                 out, login.out = login.out, b""
                 channel.send(out, limit)
-            if turn is Turn.TLS:
+            if step is LoginStep.TLS:
                 assert self._context is not None
                 channel.start_tls(self._context, False, settings.node_tls.host, b"", limit)
                 continue
-            if turn is Turn.DONE:
-                if login.extra:
+            if step is LoginStep.DONE:
+                if login.has_trailing_bytes:
                     raise ProtocolError("bytes behind the login's end")
                 return login
-            data = channel.receive(limit, claim.event if claim is not None else None)
-            if data is None and claim is not None:
-                claim.check()
+            data = channel.receive(limit, attempt.event if attempt is not None else None)
+            if data is None and attempt is not None:
+                attempt.check()
             elif not data:
-                raise ConnectionResetError("the connection ended in the login")
+                raise ConnectionResetError("the node closed the connection during the login")
             else:
                 login.feed(data)
 
-    def give_back(self, conn: Conn) -> None:
-        """A connection is free: for whoever waits for one like it, else it idles."""
+    def give_back(self, conn: NodeConnection) -> None:
+        """Pass a free connection to the first waiting attempt that it suits, or make it idle."""
         node = conn.node
-        if node.leaving or conn.doomed or not conn.channel.open or not conn.channel.quiet():
+        if node.draining or conn.unusable or not conn.channel.open or not conn.channel.quiet():
             self.discard(conn)
             return
         conn.used_at = self._scheduler.now()
-        for claim in node.waiters:
-            if conn.suits(claim.flavour):
-                node.waiters.remove(claim)
-                claim.granted = conn
-                claim.event.set()
+        for attempt in node.waiters:
+            if conn.matches(attempt.traits):
+                node.waiters.remove(attempt)
+                attempt.granted = conn
+                attempt.event.set()
                 return
         node.idle.append(conn)
         if node.waiters:
-            node.waiters[0].event.set()  # it makes room for one of its own kind
+            node.waiters[0].event.set()  # the attempt can close this connection to open a suitable one
 
-    def discard(self, conn: Conn, wake: bool = True) -> None:
-        """Close a connection, once."""
+    def discard(self, conn: NodeConnection, wake: bool = True) -> None:
+        """Close a connection; repeated calls have no effect."""
         if conn.channel.open:
             conn.channel.close()
-            self._closed(conn.node, conn.account, wake)
+            self._count_closed(conn.node, conn.account, wake)
 
-    def _closed(self, node: Node, account: str, wake: bool = True) -> None:
-        node.open -= 1
-        self._total -= 1
+    def _count_closed(self, node: Node, account: str, wake: bool = True) -> None:
+        node.open_count -= 1
+        self._open_total -= 1
         node.by_account[account] -= 1
         if not node.by_account[account]:
             del node.by_account[account]
         if wake and node.waiters:
             node.waiters[0].event.set()
 
-    # --- to the state that a session needs ------------------------------------------------------
+    # --- session state on a connection ----------------------------------------------------------
 
-    def ask(
-        self, conn: Conn, body: bytes, limit: float, claim: Claim | None = None
+    def run_command(
+        self, conn: NodeConnection, body: bytes, limit: float, attempt: MysqlAttempt | None = None
     ) -> tuple[ReplyRelay, bytes]:
-        """One command of the sidecar's own and its whole answer."""
-        relay = ReplyRelay(body[0], conn.capabilities, conn.capabilities, seq=frames(len(body)))
+        """Send one command of the sidecar itself and return the relay and bytes of its complete response."""
+        relay = ReplyRelay(body[0], conn.capabilities, conn.capabilities, seq=packet_count(len(body)))
         conn.channel.send(frame(body, 0), limit)
         out = b""
         while not relay.done:
-            data = conn.channel.receive(limit, claim.event if claim is not None else None)
+            data = conn.channel.receive(limit, attempt.event if attempt is not None else None)
             if data is None:
-                assert claim is not None
-                claim.check()
+                assert attempt is not None
+                attempt.check()
             elif not data:
-                raise ConnectionResetError("the connection ended before its answer")
+                raise ConnectionResetError("the node closed the connection before the end of its response")
             else:
                 out += relay.feed(data)
-        if relay.extra:
+        if relay.has_trailing_bytes:
             raise ProtocolError("bytes behind an answer")
         return relay, out
 
-    def _sure(self, conn: Conn, body: bytes, limit: float, claim: Claim) -> ReplyRelay:
-        relay, _ = self.ask(conn, body, limit, claim)
+    def _run_checked_command(
+        self, conn: NodeConnection, body: bytes, limit: float, attempt: MysqlAttempt
+    ) -> ReplyRelay:
+        relay, _ = self.run_command(conn, body, limit, attempt)
         if relay.error is not None:
-            raise TuneFailed(relay.error)
+            raise SessionSetupError(relay.error)
         return relay
 
-    def _tune(self, conn: Conn, work: Work, claim: Claim, limit: float) -> None:
-        """Make a connection what the statement's session needs; its own last one is that already."""
-        owner, session = work.owner, work.session
-        if work.about_previous and not (conn.owner is owner and owner.last is conn):
-            raise TuneFailed(_GONE)
-        known = owner.id_conn
-        if work.reads_last_id and session.last_id is None and known is not conn:
-            if known is None or known.carries is not owner or known not in known.node.idle:
-                raise TuneFailed(_GONE)
-            known.node.idle.remove(known)
+    def _set_up_session(
+        self, conn: NodeConnection, pending: PendingCommand, attempt: MysqlAttempt, limit: float
+    ) -> None:
+        """Set up the session state that a statement needs on a connection."""
+        owner, session = pending.owner, pending.session
+        if pending.depends_on_previous and not (conn.owner is owner and owner.last_conn is conn):
+            raise SessionSetupError(_STATE_UNAVAILABLE_ERROR)
+        last_id_conn = owner.last_id_conn
+        if pending.reads_last_id and session.last_id is None and last_id_conn is not conn:
+            if (
+                last_id_conn is None
+                or last_id_conn.pending_id_owner is not owner
+                or last_id_conn not in last_id_conn.node.idle
+            ):
+                raise SessionSetupError(_STATE_UNAVAILABLE_ERROR)
+            last_id_conn.node.idle.remove(last_id_conn)
             try:
-                self._carry(known, claim, limit)
+                self._carry(last_id_conn, attempt, limit)
             except BaseException:
-                self.discard(known)
+                self.discard(last_id_conn)
                 raise
-            self.give_back(known)
-        if conn.carries is not None and conn.carries is not owner:
-            self._carry(conn, claim, limit)
-        setup = session.setup(work.reads_last_id and session.last_id is not None)
-        if conn.settings != setup.settings[: len(conn.settings)]:
-            self._sure(conn, bytes((Command.RESET_CONNECTION,)), limit, claim)
-            conn.was_reset()
-        missing = list(setup.settings[len(conn.settings) :])
-        for alone in [pair for pair in missing if pair[0].startswith("transaction")]:
-            missing.remove(alone)
-            self._sure(conn, b"\3" + replay_text([alone]), limit, claim)
-        if conn.autocommit != setup.autocommit:
-            missing.append(("autocommit", f"SESSION autocommit = {int(setup.autocommit)}"))
-        if setup.last_id is not None:
-            missing.append(("last_insert_id", f"SESSION last_insert_id = {setup.last_id}"))
+            self.give_back(last_id_conn)
+        if conn.pending_id_owner is not None and conn.pending_id_owner is not owner:
+            self._carry(conn, attempt, limit)
+        required_state = session.setup(pending.reads_last_id and session.last_id is not None)
+        if conn.settings != required_state.settings[: len(conn.settings)]:
+            self._run_checked_command(conn, bytes((Command.RESET_CONNECTION,)), limit, attempt)
+            conn.apply_reset()
+        missing = list(required_state.settings[len(conn.settings) :])
+        for assignment in [pair for pair in missing if pair[0].startswith("transaction")]:
+            missing.remove(assignment)
+            self._run_checked_command(conn, b"\3" + replay_text([assignment]), limit, attempt)
+        if conn.autocommit != required_state.autocommit:
+            missing.append(("autocommit", f"SESSION autocommit = {int(required_state.autocommit)}"))
+        if required_state.last_id is not None:
+            missing.append(("last_insert_id", f"SESSION last_insert_id = {required_state.last_id}"))
         if missing:
-            relay = self._sure(conn, b"\3" + replay_text(missing), limit, claim)
+            relay = self._run_checked_command(conn, b"\3" + replay_text(missing), limit, attempt)
             conn.autocommit = bool(relay.status & Flag.AUTOCOMMIT)
-        conn.settings = setup.settings
-        if conn.schema != setup.schema and setup.schema:
-            self._sure(conn, b"\2" + setup.schema.encode(), limit, claim)
-            conn.schema = setup.schema
-        if conn.multi != setup.multi:
-            option = 0 if setup.multi else 1
-            self._sure(conn, bytes((Command.SET_OPTION, option, 0)), limit, claim)
-            conn.multi = setup.multi
+        conn.settings = required_state.settings
+        if conn.schema != required_state.schema and required_state.schema:
+            self._run_checked_command(conn, b"\2" + required_state.schema.encode(), limit, attempt)
+            conn.schema = required_state.schema
+        if conn.multi != required_state.multi:
+            option = 0 if required_state.multi else 1
+            self._run_checked_command(conn, bytes((Command.SET_OPTION, option, 0)), limit, attempt)
+            conn.multi = required_state.multi
         conn.owner = owner
-        owner.last = conn
+        owner.last_conn = conn
 
-    def reset(self, conn: Conn) -> None:
-        """Have a node take back all that a session left on a connection; raises as `ask` does."""
-        relay, _ = self.ask(conn, bytes((Command.RESET_CONNECTION,)), self._scheduler.now() + SIDE_SECONDS)
+    def reset(self, conn: NodeConnection) -> None:
+        """Reset the session state on a connection; raises the errors of `run_command`."""
+        relay, _ = self.run_command(
+            conn, bytes((Command.RESET_CONNECTION,)), self._scheduler.now() + CONTROL_COMMAND_SECONDS
+        )
         if relay.error is not None:
             raise ProtocolError("the node refused a reset")
-        conn.was_reset()
+        conn.apply_reset()
 
-    def _carry(self, conn: Conn, claim: Claim, limit: float) -> None:
-        """Ask for the LAST_INSERT_ID that a session left on a connection, before another uses it."""
-        owner = conn.carries
+    def _carry(self, conn: NodeConnection, attempt: MysqlAttempt, limit: float) -> None:
+        """Query the LAST_INSERT_ID that a session left on a connection before another session uses it."""
+        owner = conn.pending_id_owner
         assert owner is not None
-        # Whatever comes of it: what only this connection knew is told now, or lost, and never guessed.
-        owner.id_conn = conn.id_owner = None
-        relay, out = self.ask(conn, b"\3SELECT LAST_INSERT_ID()", limit, claim)
+        # If the query fails, the value is lost; a guessed value is never used instead.
+        owner.last_id_conn = conn.last_id_owner = None
+        relay, out = self.run_command(conn, b"\3SELECT LAST_INSERT_ID()", limit, attempt)
         reader = PacketReader(1 << 16, seq=1)
         reader.feed(out)
         packets = []
@@ -850,74 +918,92 @@
             raise ProtocolError("the node does not tell its LAST_INSERT_ID()") from None
         self._counters.add("mysql_ids_carried")
 
-    def _worded(self, conn: Conn, work: Work, claim: Claim, limit: float) -> tuple[bytes, ReplyRelay]:
-        """The command's bytes for this connection, and what reads its answer."""
-        session, body = work.session, work.body
-        data = b""
-        if work.prepared is not None and work.run is not None:
-            data, body = self.execute(conn, work.prepared, work.run, claim, limit)
+    def _encode_command(
+        self, conn: NodeConnection, pending: PendingCommand, attempt: MysqlAttempt, limit: float
+    ) -> tuple[bytes, ReplyRelay]:
+        """Return the bytes to send for a command on this connection, and the relay for its response."""
+        session, body = pending.session, pending.body
+        prefix = b""
+        if pending.prepared is not None and pending.execution is not None:
+            prefix, body = self.encode_execute(conn, pending.prepared, pending.execution, attempt, limit)
         relay = ReplyRelay(
-            work.command, conn.capabilities, session.capabilities, work.statement_id,
-            frames(len(body)), work.seq, session.status,
+            pending.command, conn.capabilities, session.capabilities, pending.statement_id,
+            packet_count(len(body)), pending.seq, session.status,
         )  # fmt: skip
-        return data + frame(body, 0), relay
+        return prefix + frame(body, 0), relay
 
-    def execute(
-        self, conn: Conn, found: PreparedText, run: Execute, claim: Claim | None, limit: float
+    def encode_execute(
+        self,
+        conn: NodeConnection,
+        prepared: PreparedText,
+        execution: Execute,
+        attempt: MysqlAttempt | None,
+        limit: float,
     ) -> tuple[bytes, bytes]:
-        """What goes ahead of an execute, and the execute as this connection knows it.
+        """Return the long data packets to send first, and the COM_STMT_EXECUTE body for this connection.
 
-        The statement is prepared anew where it is not prepared here yet.
+        The statement is prepared first if it is not prepared on this connection yet.
         """
-        key = (conn.schema, conn.settings, found.text)
-        known = conn.prepared.get(key)
-        ahead = b""
-        if known is None:
-            relay, _ = self.ask(conn, b"\x16" + found.text, limit, claim)
+        key = (conn.schema, conn.settings, prepared.text)
+        on_node = conn.prepared.get(key)
+        long_data = b""
+        if on_node is None:
+            relay, _ = self.run_command(conn, b"\x16" + prepared.text, limit, attempt)
             if relay.error is not None:
-                raise TuneFailed(relay.error)
+                raise SessionSetupError(relay.error)
             assert relay.prepared is not None
-            self.prepared(conn, found.text, relay)
-            known = conn.prepared[key]
+            self.cache_prepared(conn, prepared.text, relay)
+            on_node = conn.prepared[key]
             self._counters.add("mysql_prepared_anew")
         conn.prepared.move_to_end(key)
-        if known[1] != found.parameters:
-            raise TuneFailed(Err.of(Errno.NEED_REPREPARE, "Prepared statement needs to be re-prepared"))
-        number = known[0]
-        for parameter, value in found.long.items():
-            head = b"\x18" + number.to_bytes(4, "little") + parameter.to_bytes(2, "little")
-            ahead += frame(head + bytes(value), 0)
-        here = Execute(number, run.flags, run.nulls, run.types, run.values)
-        return ahead, here.encode(found.parameters)
-
-    def prepared(self, conn: Conn, text: bytes, relay: ReplyRelay) -> None:
-        """A statement was prepared on a connection; the one unused for longest makes room."""
+        if on_node[1] != prepared.parameters:
+            raise SessionSetupError(
+                Err.of(Errno.NEED_REPREPARE, "Prepared statement needs to be re-prepared")
+            )
+        statement_id = on_node[0]
+        for parameter, value in prepared.long_values.items():
+            head = b"\x18" + statement_id.to_bytes(4, "little") + parameter.to_bytes(2, "little")
+            long_data += frame(head + bytes(value), 0)
+        forwarded = Execute(statement_id, execution.flags, execution.nulls, execution.types, execution.values)
+        return long_data, forwarded.encode(prepared.parameters)
+
+    def cache_prepared(self, conn: NodeConnection, text: bytes, relay: ReplyRelay) -> None:
+        """Record a statement prepared on a connection; close the least recently used ones to make room."""
         if relay.prepared is None:
             return
         key = (conn.schema, conn.settings, text)
-        gone = [conn.prepared.pop(key)] if key in conn.prepared else []
+        evicted = [conn.prepared.pop(key)] if key in conn.prepared else []
         conn.prepared[key] = relay.prepared.statement, relay.prepared.parameters
         size = sum(len(each[2]) for each in conn.prepared)
-        while len(conn.prepared) > KEPT_PREPARED or (len(conn.prepared) > 1 and size > KEPT_PREPARED_BYTES):
-            oldest, known = conn.prepared.popitem(last=False)
-            gone.append(known)
-            size -= len(oldest[2])
-        if gone:
-            close = b"".join(frame(b"\x19" + number.to_bytes(4, "little"), 0) for number, _ in gone)
-            try:  # it has no answer, and a few bytes always fit
-                conn.channel.send(close, self._scheduler.now() + 1)
+        while len(conn.prepared) > MAX_PREPARED_PER_CONNECTION or (
+            len(conn.prepared) > 1 and size > MAX_PREPARED_BYTES_PER_CONNECTION
+        ):
+            oldest_key, evicted_entry = conn.prepared.popitem(last=False)
+            evicted.append(evicted_entry)
+            size -= len(oldest_key[2])
+        if evicted:
+            close_commands = b"".join(
+                frame(b"\x19" + number.to_bytes(4, "little"), 0) for number, _ in evicted
+            )
+            try:  # COM_STMT_CLOSE has no response, and its few bytes fit into the send buffer
+                conn.channel.send(close_commands, self._scheduler.now() + 1)
             except (OSError, TaskTimeoutError):
-                conn.doomed = True
+                conn.unusable = True
 
     # --- stopping a statement at the node -------------------------------------------------------
 
-    def stop(self, conn: Conn) -> None:
-        """Stop what runs on a connection through another, and close it."""
-        conn.doomed = True
+    def stop(self, conn: NodeConnection) -> None:
+        """Kill the statement on a connection through another connection, and close the former."""
+        conn.unusable = True
         self.kill(conn, lambda: self.discard(conn))
 
-    def kill(self, conn: Conn, over: Callable[[], None] | None = None, query: bool = True) -> None:
-        """KILL what runs on a connection, within bounds; `over` is called once, whatever came of it."""
+    def kill(
+        self, conn: NodeConnection, on_finished: Callable[[], None] | None = None, query: bool = True
+    ) -> None:
+        """Kill the statement on a connection; `on_finished` is called exactly once, also after a failure.
+
+        The number of concurrent and queued kills per node is limited.
+        """
         node = conn.node
 
         def run() -> None:
@@ -931,34 +1017,34 @@
                     extra={"fields": {"node": node.name, "reason": type(error).__name__}},
                 )
             finally:
-                if over is not None:
-                    over()
-                node.side -= 1
-                if node.side_waits:
-                    node.side_waits.popleft()()
+                if on_finished is not None:
+                    on_finished()
+                node.active_kills -= 1
+                if node.queued_kills:
+                    node.queued_kills.popleft()()
 
         def start() -> None:
-            node.side += 1
+            node.active_kills += 1
             self._scheduler.spawn(run, name=f"kill {node.name}")
 
-        if node.side < SIDE_CONNECTIONS:
+        if node.active_kills < MAX_CONCURRENT_KILLS:
             start()
-        elif len(node.side_waits) < SIDE_QUEUE:
-            node.side_waits.append(start)
+        elif len(node.queued_kills) < MAX_QUEUED_KILLS:
+            node.queued_kills.append(start)
         else:
             self._counters.add("mysql_kills_failed")
-            if over is not None:
-                over()
+            if on_finished is not None:
+                on_finished()
 
-    def _kill(self, node: Node, conn: Conn, query: bool) -> None:
-        """On an idle connection of the account if there is one, else on a new one beside the pool."""
-        limit = self._scheduler.now() + SIDE_SECONDS
+    def _kill(self, node: Node, conn: NodeConnection, query: bool) -> None:
+        """Send KILL on an idle connection of the account, or else on a new one outside the pool."""
+        limit = self._scheduler.now() + CONTROL_COMMAND_SECONDS
         text = b"\3KILL " + (b"QUERY " if query else b"CONNECTION ") + str(conn.thread).encode()
         for idle in reversed(node.idle):
-            if idle.account == conn.account and idle.carries is None:
+            if idle.account == conn.account and idle.pending_id_owner is None:
                 node.idle.remove(idle)
                 try:
-                    self.ask(idle, text, limit)
+                    self.run_command(idle, text, limit)
                 except BaseException:
                     self.discard(idle)
                     raise
@@ -968,24 +1054,24 @@
         stream = Stream.connect(self._scheduler, node.address, limit)
         channel = Channel(stream)
         try:
-            flavour = Flavour(conn.account, conn.collation, conn.meaning)
-            login = self._log_in(channel, flavour, limit, None)
-            side = Conn(node, channel, flavour, login)
-            self.ask(side, text, limit)
+            traits = ConnectionTraits(conn.account, conn.collation, conn.statement_capabilities)
+            login = self._log_in(channel, traits, limit, None)
+            extra_conn = NodeConnection(node, channel, traits, login)
+            self.run_command(extra_conn, text, limit)
         finally:
             channel.close()
 
 
-def _distance(conn: Conn, setup: Setup) -> int:
-    """How many commands it takes to make a connection what a session needs, roughly."""
-    far = 0 if conn.settings == setup.settings else 1
-    if conn.settings != setup.settings[: len(conn.settings)]:
-        far += 1
-    far += conn.carries is not None
-    return far + (conn.schema != setup.schema) + (conn.multi != setup.multi)
+def _state_change_cost(conn: NodeConnection, required_state: RequiredState) -> int:
+    """Estimate how many commands set up a session's state on a connection."""
+    cost = 0 if conn.settings == required_state.settings else 1
+    if conn.settings != required_state.settings[: len(conn.settings)]:
+        cost += 1
+    cost += conn.pending_id_owner is not None
+    return cost + (conn.schema != required_state.schema) + (conn.multi != required_state.multi)
 
 
-_GONE = Err.of(
+_STATE_UNAVAILABLE_ERROR = Err.of(
     Errno.NOT_SUPPORTED_YET,
     "This asks for what an earlier statement left on its connection, which has passed on: "
     "ask right after it, or within a transaction",
