--- a/brambleusher/fronts/mysql/session.py
+++ b/brambleusher/fronts/mysql/session.py
@@ -1,7 +1,8 @@
-"""What a client's session holds: settings, prepared statements, and what ties it to one connection.
+"""Session state of a MySQL client: settings, prepared statements, and pins to one node connection.
 
-No sockets here.  `Session` is told of each statement and of what came back, and says whether the session
-may go on elsewhere.  What it holds can be had as one object for JSON, and made from it again.
+The module uses no sockets.  `Session` processes each statement and its reply, and determines whether the next
+statement may run on another connection.  If not, the session is pinned to its connection.  The state of a
+session can be exported as a JSON object and restored from it.
 """
 
 from __future__ import annotations
@@ -20,96 +21,102 @@
 from brambleusher.fronts.mysql.messages import Execute, Prepared
 from brambleusher.fronts.mysql.packets import ProtocolError
 from brambleusher.fronts.mysql.replies import ReplyRelay
-from brambleusher.fronts.mysql.statements import Kind, Statement, Tie
-
-MAX_PREPARED = 1024  # of one session
-MAX_PREPARED_TEXT = 256 * 1024  # of one statement
-MAX_SETTINGS, MAX_SETTINGS_BYTES = 64, 16 * 1024  # that are replayed
-MAX_NAME = 256  # of a lock or a table, as far as they are told apart
-MAX_NAMES = 256  # of locks or tables that are told apart; past it only a reset lifts the tie
-# Capabilities that change what a statement means: a connection is used for sessions with the same ones.
-MEANING = int(
+from brambleusher.fronts.mysql.statements import PinReason, Statement, StatementKind
+
+MAX_PREPARED = 1024  # maximum number of prepared statements of one session
+MAX_PREPARED_TEXT = 256 * 1024  # maximum size in bytes of the text of a prepared statement
+MAX_SETTINGS, MAX_SETTINGS_BYTES = 64, 16 * 1024  # maximum number and size in bytes of replayed settings
+MAX_PIN_NAME_LENGTH = 256  # maximum length of a lock or table name; longer names are truncated
+MAX_PIN_NAMES = 256  # maximum number of names tracked per pin; above it only a reset removes the pin
+# Capabilities that change the meaning of statements; only sessions that agree in them share a connection.
+STATEMENT_CAPABILITIES = int(
     Capability.FOUND_ROWS | Capability.IGNORE_SPACE | Capability.NO_SCHEMA | Capability.ODBC
     | Capability.INTERACTIVE
 )  # fmt: skip
 
 
 @dataclass(frozen=True, slots=True)
-class TieRule:
-    """One line of the table: when a tie is made and when it is lifted, and whether it lapses."""
+class PinRule:
+    """Describes which statements add and remove a pin, and whether the pin expires."""
 
-    made_by: str
-    lifted_by: str
-    soft: bool = False  # let go after a while without a command: what is lost is told if it is asked for
+    added_by: str
+    removed_by: str
+    soft: bool = False  # dropped after idle time; a later statement that needs the lost state gets an error
 
 
-# All that can hold a session to its connection.  What is not here is replayed or looks the same anywhere:
-# the schema, settings with constant values, autocommit itself, statements prepared by the protocol (and
-# their long data, kept here until they run), and LAST_INSERT_ID, which is asked for when a connection
-# passes to another session, and set again where a statement reads it.
-TIES: dict[Tie, TieRule] = {
-    Tie.TRANSACTION: TieRule("a status with IN_TRANS", "a status without"),
-    Tie.AUTOCOMMIT_OFF: TieRule(
+# All reasons to pin a session to its connection.  State that is missing here is replayed or is independent of
+# the connection: the schema, settings with constant values, autocommit itself, statements prepared through
+# the protocol (and their long data, which the sidecar buffers until execution), and LAST_INSERT_ID, which is
+# queried when a connection passes to another session and set again before a statement that reads it.
+PIN_RULES: dict[PinReason, PinRule] = {
+    PinReason.TRANSACTION: PinRule("a status with IN_TRANS", "a status without"),
+    PinReason.AUTOCOMMIT_OFF: PinRule(
         "any statement on data with autocommit off", "COMMIT, ROLLBACK or an implicit commit"
     ),
-    Tie.TABLE_LOCKS: TieRule("LOCK TABLES, FLUSH … WITH READ LOCK", "UNLOCK TABLES"),
-    Tie.NAMED_LOCK: TieRule("GET_LOCK", "RELEASE_LOCK of the same name, RELEASE_ALL_LOCKS"),
-    Tie.TEMPORARY_TABLE: TieRule("CREATE TEMPORARY TABLE", "DROP TABLE of the same name"),
-    Tie.USER_VARIABLE: TieRule("SET @x, @x := …, INTO @x", "a reset"),
-    Tie.SETTING: TieRule("SET to what is not a constant, or of what has no lasting value", "a reset"),
-    Tie.NEXT_TRANSACTION: TieRule("SET TRANSACTION, SET @@transaction_…", "the end of the next transaction"),
-    Tie.PREPARED: TieRule("PREPARE in SQL", "a reset"),
-    Tie.UNREAD: TieRule("a cursor with rows left", "its last row, a close, a reset of it"),
-    Tie.DIAGNOSTICS: TieRule(
+    PinReason.TABLE_LOCKS: PinRule("LOCK TABLES, FLUSH … WITH READ LOCK", "UNLOCK TABLES"),
+    PinReason.NAMED_LOCK: PinRule("GET_LOCK", "RELEASE_LOCK of the same name, RELEASE_ALL_LOCKS"),
+    PinReason.TEMPORARY_TABLE: PinRule("CREATE TEMPORARY TABLE", "DROP TABLE of the same name"),
+    PinReason.USER_VARIABLE: PinRule("SET @x, @x := …, INTO @x", "a reset"),
+    PinReason.SETTING: PinRule("SET to what is not a constant, or of what has no lasting value", "a reset"),
+    PinReason.NEXT_TRANSACTION: PinRule(
+        "SET TRANSACTION, SET @@transaction_…", "the end of the next transaction"
+    ),
+    PinReason.PREPARED: PinRule("PREPARE in SQL", "a reset"),
+    PinReason.UNREAD: PinRule("a cursor with rows left", "its last row, a close, a reset of it"),
+    PinReason.DIAGNOSTICS: PinRule(
         "warnings, SQL_CALC_FOUND_ROWS", "the next statement that is not about them", soft=True
     ),
-    Tie.UNKNOWN: TieRule("a statement with unknown effects (CALL, HANDLER, XA, …)", "a reset"),
+    PinReason.UNKNOWN: PinRule("a statement with unknown effects (CALL, HANDLER, XA, …)", "a reset"),
 }
-_LASTING = int(Status.IN_TRANS | Status.AUTOCOMMIT | Status.NO_BACKSLASH_ESCAPES | Status.IN_TRANS_READONLY)
-_NO_DATA = frozenset({Kind.SET, Kind.USE, Kind.KILL, Kind.EMPTY, Kind.BEGIN})
+_PERSISTENT_STATUS = int(
+    Status.IN_TRANS | Status.AUTOCOMMIT | Status.NO_BACKSLASH_ESCAPES | Status.IN_TRANS_READONLY
+)
+_KINDS_WITHOUT_DATA = frozenset(
+    {StatementKind.SET, StatementKind.USE, StatementKind.KILL, StatementKind.EMPTY, StatementKind.BEGIN}
+)
 
 
 @dataclass(slots=True)
 class PreparedText:
-    """A statement that the client prepared, by the id the client has."""
+    """A statement prepared by the client, with the id that the client knows."""
 
     id: int
     text: bytes
     statement: Statement
     parameters: int = 0
     columns: int = 0
-    types: bytes = b""  # of its parameters, as last told
-    long: dict[int, bytearray] = field(default_factory=dict)  # parameters sent ahead
+    types: bytes = b""  # parameter types of the last execution that sent them
+    long_values: dict[int, bytearray] = field(default_factory=dict)  # long data by parameter number
 
     @property
-    def long_bytes(self) -> int:
-        """Bytes held of parameters sent ahead."""
-        return sum(map(len, self.long.values()))
+    def long_value_bytes(self) -> int:
+        """Number of buffered bytes of long data."""
+        return sum(map(len, self.long_values.values()))
 
 
 @dataclass(frozen=True, slots=True)
-class Setup:
-    """What a connection must be like before a session's statement runs on it."""
+class RequiredState:
+    """The session state that a connection needs before a statement runs on it."""
 
     schema: str
-    settings: tuple[tuple[str, str], ...]  # in the order they were made
+    settings: tuple[tuple[str, str], ...]  # in the order in which the client made them
     autocommit: bool
     multi: bool
-    last_id: int | None  # to be set; None: not asked for
+    last_id: int | None  # LAST_INSERT_ID to set; None if the statement does not read it
 
 
 @dataclass(frozen=True, slots=True)
-class Flavour:
-    """What can't be changed on a connection: sessions share one only with the same."""
+class ConnectionTraits:
+    """The immutable properties of a connection; only sessions with the same ones can share a connection."""
 
     account: str
     collation: int
-    meaning: int
-    no_schema: bool = False  # no schema was ever chosen on it
+    statement_capabilities: int
+    no_schema: bool = False  # the connection must never have selected a schema
 
 
 class Session:
-    """One client's session."""
+    """The session of one client."""
 
     def __init__(self, user: str, account: str, capabilities: int, collation: int, schema: str = "") -> None:
         self.user, self.account, self.capabilities = user, account, capabilities
@@ -118,43 +125,45 @@
         self.settings: dict[str, str] = {}
         self.autocommit = True
         self.status = int(Status.AUTOCOMMIT)
-        self.ties: dict[Tie, set[str]] = {}
+        self.pins: dict[PinReason, set[str]] = {}
         self.prepared: dict[int, PreparedText] = {}
         self.cursors: set[int] = set()
-        self.last_id: int | None = 0  # what LAST_INSERT_ID() gives; None: known to the connection alone
+        self.last_id: int | None = 0  # value of LAST_INSERT_ID(); None if only the connection knows it
         self.opaque = collation in UNSAFE_COLLATIONS
         self._next_prepared = 1
 
-    # --- what it is like ------------------------------------------------------------------------
+    # --- state ----------------------------------------------------------------------------------
 
     @property
-    def tied(self) -> bool:
-        """Whether it must stay on its connection."""
-        return bool(self.ties)
+    def pinned(self) -> bool:
+        """Whether the session is pinned to its connection."""
+        return bool(self.pins)
 
     @property
-    def softly_tied(self) -> bool:
-        """Whether all that ties it may be let go after a while."""
-        return bool(self.ties) and all(TIES[tie].soft for tie in self.ties)
+    def softly_pinned(self) -> bool:
+        """Whether the session has pins and all of them are soft."""
+        return bool(self.pins) and all(PIN_RULES[pin].soft for pin in self.pins)
 
     @property
     def in_transaction(self) -> bool:
-        """Whether a transaction is open, or may be."""
-        return Tie.TRANSACTION in self.ties or Tie.AUTOCOMMIT_OFF in self.ties
+        """Whether a transaction is open or may be open."""
+        return PinReason.TRANSACTION in self.pins or PinReason.AUTOCOMMIT_OFF in self.pins
 
     @property
-    def why(self) -> str:
-        """What ties it, for people."""
-        return ", ".join(sorted(tie.value for tie in self.ties))
+    def pin_description(self) -> str:
+        """Human-readable list of the reasons why the session is pinned."""
+        return ", ".join(sorted(pin.value for pin in self.pins))
 
     @property
-    def flavour(self) -> Flavour:
-        """What its connections must have from their login on."""
-        return Flavour(self.account, self.collation, self.capabilities & MEANING, not self.schema)
+    def traits(self) -> ConnectionTraits:
+        """The immutable properties that the session requires of its connections."""
+        return ConnectionTraits(
+            self.account, self.collation, self.capabilities & STATEMENT_CAPABILITIES, not self.schema
+        )
 
-    def setup(self, reads_last_id: bool = False) -> Setup:
-        """What a connection must be like now."""
-        return Setup(
+    def setup(self, reads_last_id: bool = False) -> RequiredState:
+        """Return the state that a connection needs for the next statement."""
+        return RequiredState(
             self.schema,
             tuple(self.settings.items()),
             self.autocommit,
@@ -163,130 +172,138 @@
         )
 
     def state(self) -> dict[str, Any]:
-        """All of it but the texts of prepared statements, for JSON."""
+        """Return the session state without prepared statements, for JSON."""
         return {
             "user": self.user, "account": self.account, "capabilities": self.capabilities,
             "collation": self.collation, "schema": self.schema, "multi": self.multi,
             "settings": dict(self.settings), "autocommit": self.autocommit, "status": self.status,
-            "ties": {tie.name: sorted(names) for tie, names in self.ties.items()},
+            "ties": {pin.name: sorted(names) for pin, names in self.pins.items()},
             "cursors": sorted(self.cursors), "last_id": self.last_id, "opaque": self.opaque,
         }  # fmt: skip
 
     @classmethod
-    def of_state(cls, state: dict[str, Any]) -> Session:
-        """A session as `state` told it, without prepared statements."""
+    def from_state(cls, state: dict[str, Any]) -> Session:
+        """Restore a session, without prepared statements, from the result of `state`."""
         out = cls(state["user"], state["account"], state["capabilities"], state["collation"], state["schema"])
         out.multi, out.settings = state["multi"], dict(state["settings"])
         out.autocommit, out.status = state["autocommit"], state["status"]
-        out.ties = {Tie[name]: set(names) for name, names in state["ties"].items()}
+        out.pins = {PinReason[name]: set(names) for name, names in state["ties"].items()}
         out.cursors, out.last_id, out.opaque = set(state["cursors"]), state["last_id"], state["opaque"]
         return out
 
     # --- statements -----------------------------------------------------------------------------
 
-    def after(self, statement: Statement, reply: ReplyRelay) -> None:
-        """A statement has its whole answer: what it changed."""
+    def apply_reply(self, statement: Statement, reply: ReplyRelay) -> None:
+        """Update the session after the complete reply to a statement."""
         error = reply.error
         never_ran = error is not None and (error.state[:2] == "42" or error.errno == Errno.PARSE)
-        self._settle_status(reply, error is None)
-        if statement.kind is not Kind.KILL and not statement.about_previous:
-            self.ties.pop(Tie.DIAGNOSTICS, None)
+        self._apply_status(reply, error is None)
+        if statement.kind is not StatementKind.KILL and not statement.depends_on_previous:
+            self.pins.pop(PinReason.DIAGNOSTICS, None)
         if reply.warnings and error is None:
-            self.tie(Tie.DIAGNOSTICS)
+            self.tie(PinReason.DIAGNOSTICS)
         if reply.last_id:
-            self.last_id = None  # what LAST_INSERT_ID() gives now is the connection's to tell
+            self.last_id = None  # only the connection knows the new LAST_INSERT_ID() now
         if statement.sets_last_id and not never_ran:
             self.last_id = None
         if never_ran and statement.count == 1:
             return
-        for tie, name in statement.ties:
-            if error is None or tie not in (Tie.TEMPORARY_TABLE, Tie.SETTING, Tie.DIAGNOSTICS):
-                self.tie(tie, name)
+        for pin, name in statement.pins:
+            if error is None or pin not in (
+                PinReason.TEMPORARY_TABLE,
+                PinReason.SETTING,
+                PinReason.DIAGNOSTICS,
+            ):
+                self.tie(pin, name)
         if error is not None:
             return
-        for tie, name in statement.lifts:
-            self.lift(tie, name)
+        for pin, name in statement.unpins:
+            self.unpin(pin, name)
         for key, text in statement.settings:
-            self.settings.pop(key, None)  # the later of two comes last when they are replayed
+            self.settings.pop(key, None)  # moves the setting to the end, for the order of replay
             self.settings[key] = text
         size = sum(map(len, self.settings.values()))
         while self.settings and (len(self.settings) > MAX_SETTINGS or size > MAX_SETTINGS_BYTES):
-            # Too much to replay: what is dropped stands on this connection alone.
+            # There are too many settings to replay, so the oldest one pins the session to its connection.
             key = next(iter(self.settings))
             size -= len(self.settings.pop(key))
-            self.tie(Tie.SETTING, key)
+            self.tie(PinReason.SETTING, key)
         if statement.autocommit is not None:
             self.autocommit = statement.autocommit
         if statement.schema is not None:
             self.schema = statement.schema
         self.opaque = self.opaque or statement.opaque_after
-        self._settle_autocommit(statement)
+        self._update_autocommit_pin(statement)
 
-    def _settle_status(self, reply: ReplyRelay, told: bool) -> None:
-        if not told:
-            return  # an error has no status: whatever was open may still be
-        self.status = reply.status & _LASTING
+    def _apply_status(self, reply: ReplyRelay, has_status: bool) -> None:
+        if not has_status:
+            return  # an ERR packet carries no status, so an open transaction may still be open
+        self.status = reply.status & _PERSISTENT_STATUS
         if reply.status & Status.IN_TRANS:
-            self.tie(Tie.TRANSACTION)
+            self.tie(PinReason.TRANSACTION)
         else:
-            if Tie.TRANSACTION in self.ties:
-                self.ties.pop(Tie.NEXT_TRANSACTION, None)
-            self.ties.pop(Tie.TRANSACTION, None)
-
-    def _settle_autocommit(self, statement: Statement) -> None:
-        over = statement.kind in (Kind.COMMIT, Kind.ROLLBACK, Kind.DEFINE) or statement.autocommit
-        if over and not statement.chain and Tie.TRANSACTION not in self.ties:
-            self.ties.pop(Tie.AUTOCOMMIT_OFF, None)
-            if statement.kind in (Kind.COMMIT, Kind.ROLLBACK):
-                self.ties.pop(Tie.NEXT_TRANSACTION, None)
-        elif not self.autocommit and statement.kind not in _NO_DATA:
-            self.tie(Tie.AUTOCOMMIT_OFF)
-
-    def tie(self, tie: Tie, name: str = "") -> None:
-        """Make a tie."""
-        names = self.ties.setdefault(tie, set())
-        if len(names) < MAX_NAMES:
-            names.add(name[:MAX_NAME])
+            if PinReason.TRANSACTION in self.pins:
+                self.pins.pop(PinReason.NEXT_TRANSACTION, None)
+            self.pins.pop(PinReason.TRANSACTION, None)
+
+    def _update_autocommit_pin(self, statement: Statement) -> None:
+        ends_transaction = (
+            statement.kind in (StatementKind.COMMIT, StatementKind.ROLLBACK, StatementKind.DEFINE)
+            or statement.autocommit
+        )
+        if ends_transaction and not statement.chain and PinReason.TRANSACTION not in self.pins:
+            self.pins.pop(PinReason.AUTOCOMMIT_OFF, None)
+            if statement.kind in (StatementKind.COMMIT, StatementKind.ROLLBACK):
+                self.pins.pop(PinReason.NEXT_TRANSACTION, None)
+        elif not self.autocommit and statement.kind not in _KINDS_WITHOUT_DATA:
+            self.tie(PinReason.AUTOCOMMIT_OFF)
+
+    def tie(self, pin: PinReason, name: str = "") -> None:
+        """Pin the session to its connection for a reason; `name` identifies the lock, table or variable."""
+        names = self.pins.setdefault(pin, set())
+        if len(names) < MAX_PIN_NAMES:
+            names.add(name[:MAX_PIN_NAME_LENGTH])
         else:
-            names.add("?")  # which nothing lifts
+            names.add("?")  # a name that no statement removes
 
-    def lift(self, tie: Tie, name: str = "") -> None:
-        """Lift a tie; without a name all of its kind."""
-        names = self.ties.get(tie)
+    def unpin(self, pin: PinReason, name: str = "") -> None:
+        """Remove a pin; without a name, all pins of the same kind."""
+        names = self.pins.get(pin)
         if names is None:
             return
         if name:
-            names.discard(name[:MAX_NAME])
+            names.discard(name[:MAX_PIN_NAME_LENGTH])
         else:
             names.clear()
         if not names:
-            del self.ties[tie]
+            del self.pins[pin]
 
     def reset(self) -> None:
-        """COM_RESET_CONNECTION was answered: as after the login, but for the schema."""
+        """Restore the state after the login, except for the schema, as COM_RESET_CONNECTION does."""
         self.settings.clear()
-        self.ties.clear()
+        self.pins.clear()
         self.prepared.clear()
         self.cursors.clear()
         self.autocommit, self.status, self.last_id = True, int(Status.AUTOCOMMIT), 0
         self.opaque = self.collation in UNSAFE_COLLATIONS
 
-    def lost(self) -> None:
-        """Its connection is gone, and with it all that was tied to it."""
-        self.ties.clear()
+    def drop_connection_state(self) -> None:
+        """Drop all pins and cursors, because the connection was lost."""
+        self.pins.clear()
         self.cursors.clear()
 
     # --- prepared statements --------------------------------------------------------------------
 
     @property
-    def held_bytes(self) -> int:
-        """Bytes of prepared texts and of parameters sent ahead."""
-        return sum(len(each.text) + each.long_bytes for each in self.prepared.values())
+    def prepared_bytes(self) -> int:
+        """Number of bytes used by the texts and long data of prepared statements."""
+        return sum(len(each.text) + each.long_value_bytes for each in self.prepared.values())
 
     def next_prepared(self, size: int = 0) -> int:
-        """The id of the statement to be prepared next.
+        """Return the id for the next prepared statement.
 
-        Raises `ProtocolError` where there are too many, or its text of `size` bytes is too long.
+        Raises:
+            ProtocolError: There are too many prepared statements, or the text of `size` bytes is too long.
         """
         if size > MAX_PREPARED_TEXT:
             text = f"a prepared statement of more than {MAX_PREPARED_TEXT} bytes"
@@ -297,78 +314,88 @@
             self._next_prepared = self._next_prepared % 0x7FFFFFFF + 1
         return self._next_prepared
 
-    def was_prepared(self, number: int, text: bytes, statement: Statement, answer: Prepared) -> None:
-        """A statement was prepared under an id from `next_prepared`."""
-        self.prepared[number] = PreparedText(number, text, statement, answer.parameters, answer.columns)
-        self._next_prepared = number % 0x7FFFFFFF + 1
+    def record_prepared(
+        self, statement_id: int, text: bytes, statement: Statement, response: Prepared
+    ) -> None:
+        """Record a statement that was prepared with an id from `next_prepared`."""
+        self.prepared[statement_id] = PreparedText(
+            statement_id, text, statement, response.parameters, response.columns
+        )
+        self._next_prepared = statement_id % 0x7FFFFFFF + 1
+
+    def find(self, statement_id: int) -> PreparedText:
+        """Return the prepared statement with an id; raises `ProtocolError` if there is none."""
+        prepared = self.prepared.get(statement_id)
+        if prepared is None:
+            raise ProtocolError(
+                f"Unknown prepared statement handler ({statement_id})", Errno.UNKNOWN_STMT_HANDLER
+            )
+        return prepared
 
-    def find(self, number: int) -> PreparedText:
-        """A prepared statement; raises `ProtocolError` where there is none of that id."""
-        found = self.prepared.get(number)
-        if found is None:
-            raise ProtocolError(f"Unknown prepared statement handler ({number})", Errno.UNKNOWN_STMT_HANDLER)
-        return found
+    def long_data(self, body: bytes, max_bytes: int) -> None:
+        """Buffer the data of COM_STMT_SEND_LONG_DATA until the statement is executed.
 
-    def long_data(self, body: bytes, most: int) -> None:
-        """COM_STMT_SEND_LONG_DATA: kept until the statement runs.  It has no answer, so faults wait too."""
+        The command has no response; an unknown statement or parameter is therefore ignored here.
+        """
         if len(body) < 7:
             return
-        number, parameter = int.from_bytes(body[1:5], "little"), int.from_bytes(body[5:7], "little")
-        found = self.prepared.get(number)
-        if found is None or parameter >= found.parameters:
+        statement_id, parameter = int.from_bytes(body[1:5], "little"), int.from_bytes(body[5:7], "little")
+        prepared = self.prepared.get(statement_id)
+        if prepared is None or parameter >= prepared.parameters:
             return
-        if sum(each.long_bytes for each in self.prepared.values()) + len(body) > most:
+        if sum(each.long_value_bytes for each in self.prepared.values()) + len(body) > max_bytes:
             raise ProtocolError("long data beyond max_packet_mb", Errno.NET_PACKET_TOO_LARGE)
-        found.long.setdefault(parameter, bytearray()).extend(body[7:])
+        prepared.long_values.setdefault(parameter, bytearray()).extend(body[7:])
 
     def execute(self, body: bytes) -> tuple[PreparedText, Execute]:
-        """COM_STMT_EXECUTE with the types filled in that the client told before."""
+        """Parse COM_STMT_EXECUTE; missing parameter types are taken from the previous execution."""
         if len(body) < 10:
             raise ProtocolError("an execute cut short")
-        found = self.find(int.from_bytes(body[1:5], "little"))
-        run = Execute.parse(body, found.parameters)
-        if run.types is None:
-            if found.parameters and len(found.types) != 2 * found.parameters:
+        prepared = self.find(int.from_bytes(body[1:5], "little"))
+        execution = Execute.parse(body, prepared.parameters)
+        if execution.types is None:
+            if prepared.parameters and len(prepared.types) != 2 * prepared.parameters:
                 raise ProtocolError("an execute without types, and none were told", Errno.WRONG_ARGUMENTS)
-            run.types = found.types or None
-        if run.types is not None:
-            run.parameters(found.parameters, run.types, frozenset(found.long))  # which checks them
-            found.types = run.types
-        return found, run
-
-    def executed(self, found: PreparedText, flags: int, reply: ReplyRelay) -> None:
-        """An execute has its whole answer."""
-        found.long.clear()
-        self.cursors.discard(found.id)
+            execution.types = prepared.types or None
+        if execution.types is not None:
+            # Splitting the parameters validates them.
+            execution.parameters(prepared.parameters, execution.types, frozenset(prepared.long_values))
+            prepared.types = execution.types
+        return prepared, execution
+
+    def record_executed(self, prepared: PreparedText, flags: int, reply: ReplyRelay) -> None:
+        """Update the session after the complete reply to COM_STMT_EXECUTE."""
+        prepared.long_values.clear()
+        self.cursors.discard(prepared.id)
         if flags & CURSOR_READ_ONLY and reply.status & Status.CURSOR_EXISTS and reply.error is None:
-            self.cursors.add(found.id)
-        self._settle_cursors()
+            self.cursors.add(prepared.id)
+        self._update_cursor_pin()
 
-    def fetched(self, number: int, reply: ReplyRelay) -> None:
-        """A fetch has its whole answer."""
+    def record_fetched(self, statement_id: int, reply: ReplyRelay) -> None:
+        """Update the session after the complete reply to COM_STMT_FETCH."""
         if reply.error is not None or reply.status & Status.LAST_ROW_SENT:
-            self.cursors.discard(number)
-        self._settle_cursors()
-
-    def close_prepared(self, number: int) -> None:
-        """COM_STMT_CLOSE."""
-        self.prepared.pop(number, None)
-        self.cursors.discard(number)
-        self._settle_cursors()
-
-    def reset_prepared(self, number: int) -> None:
-        """COM_STMT_RESET."""
-        self.find(number).long.clear()
-        self.cursors.discard(number)
-        self._settle_cursors()
-
-    def _settle_cursors(self) -> None:
+            self.cursors.discard(statement_id)
+        self._update_cursor_pin()
+
+    def close_prepared(self, statement_id: int) -> None:
+        """Handle COM_STMT_CLOSE for a prepared statement."""
+        self.prepared.pop(statement_id, None)
+        self.cursors.discard(statement_id)
+        self._update_cursor_pin()
+
+    def reset_prepared(self, statement_id: int) -> None:
+        """Handle COM_STMT_RESET for a prepared statement."""
+        self.find(statement_id).long_values.clear()
+        self.cursors.discard(statement_id)
+        self._update_cursor_pin()
+
+    def _update_cursor_pin(self) -> None:
         if self.cursors:
-            self.ties[Tie.UNREAD] = {str(number) for number in self.cursors}
+            self.pins[PinReason.UNREAD] = {str(number) for number in self.cursors}
         else:
-            self.ties.pop(Tie.UNREAD, None)
+            self.pins.pop(PinReason.UNREAD, None)
 
 
 def replay_text(pairs: Iterable[tuple[str, str]]) -> bytes:
-    """Settings as one SET; each was told as what stands behind SET, and `names` may stand among others."""
+    """Build one SET statement from pairs of a setting's key and its assignment, the text after SET."""
     return ("SET " + ", ".join(text for _, text in pairs)).encode("utf-8", "surrogateescape")
--- a/brambleusher/fronts/mysql/statements.py
+++ b/brambleusher/fronts/mysql/statements.py
@@ -1,8 +1,8 @@
-"""Statements told apart: what one does to its session, and whether it is a plain read.
+"""Classifies statements: their effects on the session, and whether they are plain reads.
 
-A statement is brought to a digest first, in which literals, comments and spaces make no difference.
-What sqlglot says of a digest is kept, within bounds, so that it is asked once.  Whatever can't be told
-for certain is `UNKNOWN`: it is never repeated and its session stays where it is.
+A statement is first reduced to a digest, which is independent of literals, comments and whitespace.  The
+classification of a digest by sqlglot is cached, up to a limit, so that each digest is parsed once.  Any
+statement that can't be classified with certainty is `UNKNOWN`: it is never retried and pins its session.
 """
 
 from __future__ import annotations
@@ -15,20 +15,22 @@
 from enum import Enum
 from typing import Any
 
-MAX_TEXT = 64 * 1024  # longer ones are told apart by their first word and a few marks
-MAX_STATEMENTS = 32  # in one text; more are not told apart
+MAX_TEXT = 64 * 1024  # size in bytes above which a text is classified by its first word and a few patterns
+MAX_STATEMENTS = 32  # maximum number of statements in one text; a text with more is `UNKNOWN`
+# Maximum number of cached digests, and maximum length in characters of a digest that is cached.
 CACHED_DIGESTS, CACHED_DIGEST_LENGTH = 4096, 4096
+# Maximum number of cached texts, and maximum size in bytes of a text that is cached.
 CACHED_TEXTS, CACHED_TEXT_BYTES = 2048, 1024
 
 log = logging.getLogger(__name__)
 
 
-class Kind(Enum):
-    """What sort of statement it is."""
+class StatementKind(Enum):
+    """The category of a statement."""
 
     READ = "read"
     WRITE = "write"
-    DEFINE = "define"  # commits what is open
+    DEFINE = "define"  # DDL or administration, which commits an open transaction implicitly
     BEGIN = "begin"
     COMMIT = "commit"
     ROLLBACK = "rollback"
@@ -43,8 +45,8 @@
     UNKNOWN = "unknown"
 
 
-class Tie(Enum):
-    """What can hold a session to one connection; `session.TIES` has the table."""
+class PinReason(Enum):
+    """The reasons to pin a session to one connection; `session.PIN_RULES` describes each of them."""
 
     TRANSACTION = "open transaction"
     AUTOCOMMIT_OFF = "autocommit off"
@@ -62,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Hint:
-    """What a comment in a statement asks for."""
+    """Request parameters from a hint comment in a statement."""
 
     request_class: str | None = None
     tenant: str | None = None
@@ -72,32 +74,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Statement:
-    """One text of a client's, told apart; several statements in it are taken together."""
+    """Classification of one text from a client, which may contain several statements."""
 
-    kind: Kind
+    kind: StatementKind
     digest: str
-    plain_read: bool = False  # may be repeated without harm
-    ties: tuple[tuple[Tie, str], ...] = ()  # made where it runs
-    lifts: tuple[tuple[Tie, str], ...] = ()  # an empty name: all of that kind
-    settings: tuple[tuple[str, str], ...] = ()  # to be replayed: a key and the text behind SET
+    plain_read: bool = False  # a retry has no side effects
+    pins: tuple[tuple[PinReason, str], ...] = ()  # pins that the statement adds, with an object name
+    # Pins that the statement removes; an empty name removes all pins of that reason.
+    unpins: tuple[tuple[PinReason, str], ...] = ()
+    settings: tuple[tuple[str, str], ...] = ()  # settings to replay, as a key and the text after SET
     autocommit: bool | None = None
     schema: str | None = None
-    kill: tuple[bool, int] | None = None  # the query alone, and whose
-    about_previous: bool = False  # asks for what the statement before left
+    kill: tuple[bool, int] | None = None  # whether KILL is limited to the query, and the thread id
+    depends_on_previous: bool = False  # depends on the previous statement, as SHOW WARNINGS does
     reads_last_id: bool = False
     sets_last_id: bool = False
-    opaque_after: bool = False  # from here on texts can't be told apart byte by byte
+    opaque_after: bool = False  # later texts of the session can't be tokenized byte by byte
     chain: bool = False
     release: bool = False
     count: int = 1
-    renews: bool = False  # may end a transaction and begin another
+    may_restart_transaction: bool = False  # may end a transaction and begin another
     hint: Hint | None = None
-    why: str = ""  # why it is unknown
+    unknown_reason: str = ""  # the reason why the statement is `UNKNOWN`
 
 
-# --- texts to words -----------------------------------------------------------------------------
+# --- tokenizer ----------------------------------------------------------------------------------
 
-_WORDS = re.compile(
+_TOKENS = re.compile(
     rb"""
       (?P<string>'(?:[^'\\]|\\.|'')*'|"(?:[^"\\]|\\.|"")*")
     | (?P<quoted>`(?:[^`]|``)*`)
@@ -112,87 +115,91 @@
     re.X | re.S,
 )
 _HINT = re.compile(rb"/\*\s*brambleusher:(.*)\*/\Z", re.S)
-_LISTS = re.compile(r"\?(?:, \?)+")
-_ROWS = re.compile(r"(\(\?\+?\))(?:, \(\?\+?\))+")
-_ONE = re.compile(r"\b(in|values|value) \(\?\)")
-Word = tuple[str, bytes]  # a kind as the pattern names it, and the bytes
+_LITERAL_LISTS = re.compile(r"\?(?:, \?)+")
+_ROW_LISTS = re.compile(r"(\(\?\+?\))(?:, \(\?\+?\))+")
+_SINGLE_LITERAL_LIST = re.compile(r"\b(in|values|value) \(\?\)")
+Token = tuple[str, bytes]  # name of the token's group in the pattern, and the token's bytes
 
 
-def words(text: bytes) -> tuple[list[Word], list[bytes], bool]:
-    """The words of a text, its comments, and whether it can be read at all."""
-    out: list[Word] = []
+def tokenize(text: bytes) -> tuple[list[Token], list[bytes], bool]:
+    """Split a text into tokens and comments; the last value tells whether the tokens are reliable."""
+    out: list[Token] = []
     comments: list[bytes] = []
-    sound = True
-    for match in _WORDS.finditer(text):
+    reliable = True
+    for match in _TOKENS.finditer(text):
         kind = match.lastgroup or ""
         if kind == "space":
             continue
-        part = match[0]
+        token = match[0]
         if kind == "comment":
-            comments.append(part)
-            # Comments that the server runs, or half of one: their text is part of the statement.
-            sound &= not part.startswith((b"/*!", b"/*M!"))
+            comments.append(token)
+            # The server executes the contents of these comments, so they are part of the statement.
+            reliable &= not token.startswith((b"/*!", b"/*M!"))
             continue
-        if kind == "sign" and part in b"'\"`":
-            sound = False  # a quote without its end
-        out.append((kind, part))
+        if kind == "sign" and token in b"'\"`":
+            reliable = False  # the quote is not closed
+        out.append((kind, token))
     for at in range(len(out) - 1):
         if out[at][1] == b"/" and out[at + 1][1] == b"*":
-            sound = False  # a comment without its end
-    return out, comments, sound
+            reliable = False  # the comment is not closed
+    return out, comments, reliable
 
 
-def digest_of(parts: Iterable[Word]) -> str:
-    """The text without literals and with single spaces; lists of literals have one length."""
+def build_digest(tokens: Iterable[Token]) -> str:
+    """Build a digest: literals are replaced, whitespace is normalized, lists of literals are collapsed."""
     out = []
-    for kind, part in parts:
+    for kind, token in tokens:
         if kind in ("string", "number"):
             out.append("?")
         elif kind in ("word", "variable"):
-            out.append(part.decode("utf-8", "replace").lower())
+            out.append(token.decode("utf-8", "replace").lower())
         else:
-            out.append(part.decode("utf-8", "replace"))
+            out.append(token.decode("utf-8", "replace"))
     text = " ".join(out)
     text = text.replace(" , ", ", ").replace("( ", "(").replace(" )", ")").replace(" . ", ".")
-    return _ONE.sub(r"\1 (?+)", _ROWS.sub(r"\1", _LISTS.sub("?+", text)))
+    return _SINGLE_LITERAL_LIST.sub(r"\1 (?+)", _ROW_LISTS.sub(r"\1", _LITERAL_LISTS.sub("?+", text)))
 
 
-def hint_of(comments: Iterable[bytes]) -> Hint | None:
-    """What a comment asks for: `/* brambleusher: class=… tenant=… deadline_ms=… work_us=… */`.
+def parse_hint(comments: Iterable[bytes]) -> Hint | None:
+    """Parse the first hint comment, `/* brambleusher: class=… tenant=… deadline_ms=… work_us=… */`.
 
-    What can't be read is left out; a word of it that is wrong harms nothing.
+    Malformed parts of a hint are ignored.
     """
     for comment in comments:
-        found = _HINT.match(comment)
-        if found is None:
+        match = _HINT.match(comment)
+        if match is None:
             continue
-        given = dict(
-            pair.split("=", 1) for pair in found[1].decode("utf-8", "replace").split() if "=" in pair
+        options = dict(
+            pair.split("=", 1) for pair in match[1].decode("utf-8", "replace").split() if "=" in pair
         )
 
-        def number(name: str, given: dict[str, str] = given) -> int | None:
-            value = given.get(name, "")
+        def number(name: str, options: dict[str, str] = options) -> int | None:
+            value = options.get(name, "")
             return int(value) if re.fullmatch(r"[0-9]{1,9}", value) else None
 
         return Hint(
-            given.get("class") or None, given.get("tenant") or None, number("deadline_ms"), number("work_us")
+            options.get("class") or None,
+            options.get("tenant") or None,
+            number("deadline_ms"),
+            number("work_us"),
         )
     return None
 
 
-# --- words to meaning ---------------------------------------------------------------------------
+# --- classification of one statement ------------------------------------------------------------
 
 
-def _names(text: str) -> frozenset[str]:
+def _name_set(text: str) -> frozenset[str]:
     return frozenset(text.split())
 
 
-_DEFINING = _names(
+_DDL_WORDS = _name_set(
     "create drop alter truncate rename grant revoke analyze optimize repair check checksum reset purge"
     " install uninstall flush import cache stop start_replica change"
 )
-# Functions that neither change anything nor depend on what ran before; others may be stored ones.
-_PURE = _names(
+# Built-in functions without side effects whose result does not depend on earlier statements.  A function that
+# is missing here may be a stored function.
+_PURE_FUNCTIONS = _name_set(
     """abs acos adddate addtime aes_decrypt aes_encrypt any_value ascii asin atan atan2 avg bin
     bin_to_uuid bit_and bit_count bit_length bit_or bit_xor cast ceil ceiling char char_length
     character_length charset coalesce coercibility collation compress concat concat_ws connection_id conv
@@ -221,102 +228,115 @@
     validate_password_strength values var_pop var_samp variance version week weekday weekofyear
     weight_string year yearweek"""
 )
-_ABOUT_PREVIOUS = frozenset({"row_count", "found_rows"})
-_NEVER_REPLAYED = _names(
+_PREVIOUS_STATEMENT_FUNCTIONS = frozenset({"row_count", "found_rows"})
+_NEVER_REPLAYED = _name_set(
     "insert_id last_insert_id identity timestamp rand_seed1 rand_seed2 pseudo_thread_id pseudo_slave_mode"
     " pseudo_replica_mode gtid_next sql_log_bin session_track_gtids debug proxy_user external_user"
 )
-_NEXT_ONLY = frozenset({"transaction_isolation", "transaction_read_only", "tx_isolation", "tx_read_only"})
+_NEXT_TRANSACTION_VARIABLES = frozenset(
+    {"transaction_isolation", "transaction_read_only", "tx_isolation", "tx_read_only"}
+)
 _OPAQUE_MODES = ("ansi", "no_backslash_escapes")
-_OPAQUE_CHARSETS = _names("big5 sjis gbk gb2312 cp932 gb18030 euckr eucjpms ujis")
+_OPAQUE_CHARSETS = _name_set("big5 sjis gbk gb2312 cp932 gb18030 euckr eucjpms ujis")
 _SCOPES = frozenset({"global", "persist", "persist_only", "session", "local"})
 _ON, _OFF = frozenset({"1", "on", "true"}), frozenset({"0", "off", "false"})
 
 
-def _plain(part: bytes) -> str:
-    """A word or a quoted name without its quotes, in lower case."""
-    text = part.decode("utf-8", "replace")
+def _plain_name(token: bytes) -> str:
+    """Return a word or quoted name in lower case, without its quotes."""
+    text = token.decode("utf-8", "replace")
     if text[:1] == "`":
         text = text[1:-1].replace("``", "`")
     return text.lower()
 
 
-def _unquoted(part: bytes) -> str:
-    text = part.decode("utf-8", "surrogateescape")
+def _unquoted(token: bytes) -> str:
+    text = token.decode("utf-8", "surrogateescape")
     if text[:1] not in "'\"":
         return text
     quote = text[0]
     return re.sub(r"\\(.)", r"\1", text[1:-1].replace(quote * 2, quote), flags=re.S)
 
 
-class _Reader:
-    """Reads the meaning of one statement out of its words."""
+class _Classifier:
+    """Classifies one statement by its tokens."""
 
-    def __init__(self, parts: list[Word], digest: str) -> None:
-        self.parts, self.digest = parts, digest
-        self.names = [_plain(part) if kind in ("word", "quoted", "variable") else "" for kind, part in parts]
+    def __init__(self, tokens: list[Token], digest: str) -> None:
+        self.tokens, self.digest = tokens, digest
+        self.names = [
+            _plain_name(token) if kind in ("word", "quoted", "variable") else "" for kind, token in tokens
+        ]
 
-    def unknown(self, why: str) -> Statement:
-        return Statement(Kind.UNKNOWN, self.digest, ties=((Tie.UNKNOWN, ""),), why=why)
+    def unknown(self, unknown_reason: str) -> Statement:
+        return Statement(
+            StatementKind.UNKNOWN, self.digest, pins=((PinReason.UNKNOWN, ""),), unknown_reason=unknown_reason
+        )
 
     def read(self) -> Statement:
-        """The statement's meaning."""
-        if not self.parts:
-            return Statement(Kind.EMPTY, self.digest)
+        """Return the classification of the statement."""
+        if not self.tokens:
+            return Statement(StatementKind.EMPTY, self.digest)
         names, first = self.names, self.names[0]
         second = names[1] if len(names) > 1 else ""
         if first in ("begin",) or (first, second) == ("start", "transaction"):
-            return Statement(Kind.BEGIN, self.digest)
+            return Statement(StatementKind.BEGIN, self.digest)
         if first in ("commit", "rollback"):
             return self._end_of_transaction(first)
         if first == "savepoint" or (first, second) == ("release", "savepoint"):
-            return Statement(Kind.SAVEPOINT, self.digest)
+            return Statement(StatementKind.SAVEPOINT, self.digest)
         if first == "set":
             return self._set()
-        if first == "use" and len(self.parts) == 2:
-            name = self.parts[1][1].decode("utf-8", "replace").strip("`").replace("``", "`")
-            return Statement(Kind.USE, self.digest, plain_read=True, schema=name)
+        if first == "use" and len(self.tokens) == 2:
+            name = self.tokens[1][1].decode("utf-8", "replace").strip("`").replace("``", "`")
+            return Statement(StatementKind.USE, self.digest, plain_read=True, schema=name)
         if first == "kill":
             return self._kill()
         if first == "lock" or (first == "flush" and "lock" in names):
-            return Statement(Kind.LOCK, self.digest, ties=((Tie.TABLE_LOCKS, ""),))
+            return Statement(StatementKind.LOCK, self.digest, pins=((PinReason.TABLE_LOCKS, ""),))
         if first == "unlock":
-            return Statement(Kind.UNLOCK, self.digest, lifts=((Tie.TABLE_LOCKS, ""),))
+            return Statement(StatementKind.UNLOCK, self.digest, unpins=((PinReason.TABLE_LOCKS, ""),))
         if first == "load":
-            return Statement(Kind.LOCAL_FILE if "local" in names[:4] else Kind.WRITE, self.digest)
+            return Statement(
+                StatementKind.LOCAL_FILE if "local" in names[:4] else StatementKind.WRITE, self.digest
+            )
         if first in ("prepare", "execute", "deallocate"):
-            return Statement(Kind.UNKNOWN, self.digest, ties=((Tie.PREPARED, ""),), why="prepared in SQL")
+            return Statement(
+                StatementKind.UNKNOWN,
+                self.digest,
+                pins=((PinReason.PREPARED, ""),),
+                unknown_reason="PREPARE in SQL",
+            )
         if first == "get" and "diagnostics" in names[:3]:
-            return replace(self.unknown("diagnostics into variables"), about_previous=True)
-        if first in _DEFINING:
+            return replace(self.unknown("GET DIAGNOSTICS sets variables"), depends_on_previous=True)
+        if first in _DDL_WORDS:
             return self._define()
         if first == "show":
             return self._show(second, names)
         if first in ("select", "with", "values", "table", "insert", "replace", "update", "delete", "explain",
-                     "describe", "desc", "do") or self.parts[0][1] == b"(":  # fmt: skip
+                     "describe", "desc", "do") or self.tokens[0][1] == b"(":  # fmt: skip
             return self._query(first)
-        return self.unknown(f"{first or 'it'} is not told apart")
+        return self.unknown(f"{first or 'it'} is not a known statement")
 
     def _end_of_transaction(self, first: str) -> Statement:
         names = [name for name in self.names[1:] if name != "work"]
         if first == "rollback" and names[:1] == ["to"]:
-            return Statement(Kind.SAVEPOINT, self.digest)
+            return Statement(StatementKind.SAVEPOINT, self.digest)
         text = " ".join(names)
         known = {"": (False, False), "and chain": (True, False), "and no chain": (False, False),
                  "release": (False, True), "no release": (False, False),
                  "and no chain release": (False, True), "and no chain no release": (False, False),
                  "and chain no release": (True, False)}  # fmt: skip
         if text not in known:
-            return self.unknown("an end of a transaction that is not told apart")
-        kind = Kind.COMMIT if first == "commit" else Kind.ROLLBACK
+            return self.unknown("unknown options of COMMIT or ROLLBACK")
+        kind = StatementKind.COMMIT if first == "commit" else StatementKind.ROLLBACK
         return Statement(kind, self.digest, chain=known[text][0], release=known[text][1])
 
     def _kill(self) -> Statement:
-        names, (kind, last) = self.names, self.parts[-1]
+        names, (kind, last) = self.names, self.tokens[-1]
         if kind != "number" or not last.isdigit() or len(last) > 20:
             return self.unknown("KILL of something other than a number")
         if len(names) == 2 or (len(names) == 3 and names[1] in ("query", "connection")):
-            return Statement(Kind.KILL, self.digest, kill=(names[1] == "query", int(last)))
+            return Statement(StatementKind.KILL, self.digest, kill=(names[1] == "query", int(last)))
         return self.unknown("KILL of something other than a number")
 
     def _define(self) -> Statement:
@@ -326,102 +346,107 @@
             if names[at : at + 3] == ["if", "not", "exists"]:
                 at += 3
             return Statement(
-                Kind.DEFINE, self.digest, ties=((Tie.TEMPORARY_TABLE, self._name(at)[0]),), plain_read=False
+                StatementKind.DEFINE,
+                self.digest,
+                pins=((PinReason.TEMPORARY_TABLE, self._name(at)[0]),),
+                plain_read=False,
             )
         if names[0] == "drop" and "table" in names[1:3]:
             at = names.index("table") + 1
             if names[at : at + 2] == ["if", "exists"]:
                 at += 2
-            lifts = []
+            unpins = []
             while at < len(names):
                 name, at = self._name(at)
-                lifts.append((Tie.TEMPORARY_TABLE, name))
-                if at >= len(names) or self.parts[at][1] != b",":
+                unpins.append((PinReason.TEMPORARY_TABLE, name))
+                if at >= len(names) or self.tokens[at][1] != b",":
                     break
                 at += 1
-            return Statement(Kind.DEFINE, self.digest, lifts=tuple(lifts))
-        return Statement(Kind.DEFINE, self.digest)
+            return Statement(StatementKind.DEFINE, self.digest, unpins=tuple(unpins))
+        return Statement(StatementKind.DEFINE, self.digest)
 
     def _name(self, at: int) -> tuple[str, int]:
-        """A table's name without its schema, and where the words go on."""
+        """Return a table name without its schema, and the index of the next token."""
         if at >= len(self.names):
             return "", at
         name = self.names[at]
-        if at + 2 < len(self.names) and self.parts[at + 1][1] == b".":
+        if at + 2 < len(self.names) and self.tokens[at + 1][1] == b".":
             return self.names[at + 2], at + 3
         return name, at + 1
 
     def _show(self, second: str, names: list[str]) -> Statement:
-        about = second in ("warnings", "errors") or (
+        about_previous = second in ("warnings", "errors") or (
             second == "count" and bool({"warnings", "errors"} & set(names))
         )
-        return Statement(Kind.READ, self.digest, plain_read=not about, about_previous=about)
+        return Statement(
+            StatementKind.READ, self.digest, plain_read=not about_previous, depends_on_previous=about_previous
+        )
 
     # --- SET ------------------------------------------------------------------------------------
 
     def _set(self) -> Statement:
         items: list[list[int]] = [[]]
         depth = 0
-        for at in range(1, len(self.parts)):
-            part = self.parts[at][1]
-            depth += (part == b"(") - (part == b")")
-            if part == b"," and not depth:
+        for at in range(1, len(self.tokens)):
+            token = self.tokens[at][1]
+            depth += (token == b"(") - (token == b")")
+            if token == b"," and not depth:
                 items.append([])
             else:
                 items[-1].append(at)
-        out = Statement(Kind.SET, self.digest)
+        out = Statement(StatementKind.SET, self.digest)
         scope = ""
         for item in items:
             if not item:
-                return self.unknown("a SET without a name")
+                return self.unknown("SET without a variable name")
             out, scope = self._set_item(out, item, scope)
-            if out.kind is Kind.UNKNOWN:
+            if out.kind is StatementKind.UNKNOWN:
                 return out
         constants = len(out.settings) + (out.autocommit is not None)
-        # Nothing but constants of this session: it may be repeated.
-        return replace(out, plain_read=not out.ties and constants == len(items))
+        # A SET with only constant session settings has no side effects when retried.
+        return replace(out, plain_read=not out.pins and constants == len(items))
 
     def _text(self, item: list[int]) -> str:
-        return b" ".join(self.parts[at][1] for at in item).decode("utf-8", "surrogateescape")
+        return b" ".join(self.tokens[at][1] for at in item).decode("utf-8", "surrogateescape")
 
     def _set_item(self, out: Statement, item: list[int], scope: str) -> tuple[Statement, str]:
         names = [self.names[at] for at in item]
         first = names[0]
         if first in ("names", "charset") or names[:2] == ["character", "set"]:
-            rest = item[1:] if first != "character" else item[2:]
-            charset = _unquoted(self.parts[rest[0]][1]).lower() if rest else ""
+            value_tokens = item[1:] if first != "character" else item[2:]
+            charset = _unquoted(self.tokens[value_tokens[0]][1]).lower() if value_tokens else ""
             opaque = charset in _OPAQUE_CHARSETS
             pair = ("names", self._text(item))
             opaque = opaque or out.opaque_after
             return replace(out, settings=(*out.settings, pair), opaque_after=opaque), scope
         if first in ("password", "default") or (first == "resource"):
-            return replace(self.unknown("a SET of accounts"), kind=Kind.UNKNOWN), scope
+            return replace(self.unknown("SET of an account property"), kind=StatementKind.UNKNOWN), scope
         if first == "role":
-            return replace(out, ties=(*out.ties, (Tie.SETTING, "role"))), scope
+            return replace(out, pins=(*out.pins, (PinReason.SETTING, "role"))), scope
         if first in _SCOPES:
             scope, item, names = first, item[1:], names[1:]
             first = names[0] if names else ""
         if first == "transaction":
             if scope in ("session", "local"):
-                words_ = [each for each in names[1:] if each]
-                key = "transaction access" if "read" in words_[:1] else "transaction isolation"
+                mode_words = [each for each in names[1:] if each]
+                key = "transaction access" if "read" in mode_words[:1] else "transaction isolation"
                 return replace(out, settings=(*out.settings, (key, "SESSION " + self._text(item)))), scope
-            tie = () if scope else ((Tie.NEXT_TRANSACTION, ""),)
-            return replace(out, ties=(*out.ties, *tie)), scope
-        if len(item) < 3 or self.parts[item[1]][1] not in (b"=", b":="):
-            return self.unknown("a SET that is not told apart"), scope
+            pin = () if scope else ((PinReason.NEXT_TRANSACTION, ""),)
+            return replace(out, pins=(*out.pins, *pin)), scope
+        if len(item) < 3 or self.tokens[item[1]][1] not in (b"=", b":="):
+            return self.unknown("unknown form of SET"), scope
         value = item[2:]
-        kind, part = self.parts[item[0]]
-        if kind == "variable" and not part.startswith(b"@@"):
-            return replace(out, ties=(*out.ties, (Tie.USER_VARIABLE, first[1:]))), scope
+        kind, token = self.tokens[item[0]]
+        if kind == "variable" and not token.startswith(b"@@"):
+            return replace(out, pins=(*out.pins, (PinReason.USER_VARIABLE, first[1:]))), scope
         explicit = scope
         if kind == "variable":
             name = first[2:]
             head, dot, tail = name.partition(".")
             explicit = head if dot and head in _SCOPES else ""
             name = tail if explicit else name
-            if not explicit and name in _NEXT_ONLY:
-                return replace(out, ties=(*out.ties, (Tie.NEXT_TRANSACTION, name))), scope
+            if not explicit and name in _NEXT_TRANSACTION_VARIABLES:
+                return replace(out, pins=(*out.pins, (PinReason.NEXT_TRANSACTION, name))), scope
         else:
             name = first
         if explicit in ("global", "persist", "persist_only"):
@@ -429,130 +454,138 @@
         return self._setting(out, name, value), scope
 
     def _setting(self, out: Statement, name: str, value: list[int]) -> Statement:
-        sign = self.parts[value[0]][1] in (b"-", b"+")
-        kind, part = self.parts[value[-1]]
+        sign = self.tokens[value[0]][1] in (b"-", b"+")
+        kind, token = self.tokens[value[-1]]
         constant = len(value) == 1 + sign and kind in ("string", "number", "word")
         if not constant or name in _NEVER_REPLAYED or not re.fullmatch(r"[a-z0-9_.]+", name):
             last_id = name in ("last_insert_id", "identity")
             return replace(
-                out, ties=(*out.ties, (Tie.SETTING, name)), sets_last_id=out.sets_last_id or last_id
+                out, pins=(*out.pins, (PinReason.SETTING, name)), sets_last_id=out.sets_last_id or last_id
             )
-        text = _unquoted(part).lower()
+        text = _unquoted(token).lower()
         if name == "autocommit":
             if text in _ON | _OFF:
                 return replace(out, autocommit=text in _ON)
-            return replace(out, ties=(*out.ties, (Tie.SETTING, name)))
+            return replace(out, pins=(*out.pins, (PinReason.SETTING, name)))
         opaque = out.opaque_after or (name == "sql_mode" and any(mode in text for mode in _OPAQUE_MODES))
         opaque = opaque or (name == "character_set_client" and text in _OPAQUE_CHARSETS)
         pair = (name, f"SESSION {name} = {self._text(value).replace(' ', '') if sign else self._text(value)}")
         return replace(out, settings=(*out.settings, pair), opaque_after=opaque)
 
-    # --- what sqlglot is asked ------------------------------------------------------------------
+    # --- queries, parsed by sqlglot -------------------------------------------------------------
 
     def _query(self, first: str) -> Statement:
-        """SELECT and the like, by the tree that sqlglot makes of it with its literals put aside."""
+        """Classify a query or data statement by its sqlglot syntax tree, parsed without its literals."""
         names = self.names
         source = []
-        for kind, part in self.parts:
+        for kind, token in self.tokens:
             if kind == "string":
                 source.append("'s'")
             elif kind == "number":
                 source.append("1")
             else:
-                source.append(part.decode("utf-8", "replace"))
+                source.append(token.decode("utf-8", "replace"))
         if first == "replace":
             source[0] = "INSERT"
         elif first == "do":
             source[0] = "SELECT"
         if first == "insert" or first == "replace":
-            how = ("low_priority", "high_priority", "delayed", "ignore")
-            source = [word for at, word in enumerate(source) if not 0 < at <= 2 or word.lower() not in how]
+            modifiers = ("low_priority", "high_priority", "delayed", "ignore")
+            source = [
+                source_token
+                for at, source_token in enumerate(source)
+                if not 0 < at <= 2 or source_token.lower() not in modifiers
+            ]
         tree = _parse(" ".join(source))
         if tree is None:
-            return self.unknown("it can't be parsed")
-        return self._judge(first, tree, names)
+            return self.unknown("the parser failed")
+        return self._classify_tree(first, tree, names)
 
-    def _judge(self, first: str, tree: Any, names: list[str]) -> Statement:
+    def _classify_tree(self, first: str, tree: Any, names: list[str]) -> Statement:
         from sqlglot import exp
 
         writes = (exp.Insert, exp.Update, exp.Delete, exp.Merge)
-        ties: list[tuple[Tie, str]] = []
-        plain, about, reads_id, sets_id = True, False, False, False
-        lifts: list[tuple[Tie, str]] = []
+        pins: list[tuple[PinReason, str]] = []
+        plain_read, about_previous, reads_last_id, sets_last_id = True, False, False, False
+        unpins: list[tuple[PinReason, str]] = []
         for node in tree.walk():
             if isinstance(node, (*writes, exp.Lock, exp.Into, exp.Command, exp.Create, exp.Drop)):
-                plain = False
+                plain_read = False
                 if isinstance(node, exp.Command):
-                    return self.unknown("part of it is not told apart")
+                    return self.unknown("the parser knows only a part of the statement")
                 if isinstance(node, exp.Into):
-                    ties += [(Tie.USER_VARIABLE, _sql(each)) for each in node.find_all(exp.Parameter)]
+                    pins += [(PinReason.USER_VARIABLE, _sql(each)) for each in node.find_all(exp.Parameter)]
             elif isinstance(node, exp.PropertyEQ) and isinstance(node.this, exp.Parameter):
-                plain = False
-                ties.append((Tie.USER_VARIABLE, _sql(node.this)))
-        # What looks like a call, told by its words: sqlglot renames some functions and drops others.
+                plain_read = False
+                pins.append((PinReason.USER_VARIABLE, _sql(node.this)))
+        # Function calls are found by tokens, because sqlglot renames some functions and drops others.
         for at, name in enumerate(names):
-            if not name or at + 1 >= len(names) or self.parts[at + 1][1] != b"(":
+            if not name or at + 1 >= len(names) or self.tokens[at + 1][1] != b"(":
                 continue
-            if self.parts[at][0] != "word" or name in _PURE or not self._is_call(at):
+            if self.tokens[at][0] != "word" or name in _PURE_FUNCTIONS or not self._may_be_function(at):
                 continue
             if name in ("get_lock", "release_lock", "release_all_locks", "is_free_lock", "is_used_lock"):
-                plain = False
+                plain_read = False
                 lock = self._literal(at + 2)
                 if name == "get_lock":
-                    ties.append((Tie.NAMED_LOCK, lock or "?"))
+                    pins.append((PinReason.NAMED_LOCK, lock or "?"))
                 elif name == "release_all_locks":
-                    lifts.append((Tie.NAMED_LOCK, ""))
+                    unpins.append((PinReason.NAMED_LOCK, ""))
                 elif name == "release_lock" and lock:
-                    lifts.append((Tie.NAMED_LOCK, lock))
+                    unpins.append((PinReason.NAMED_LOCK, lock))
             elif name == "last_insert_id":
-                bare = self.parts[at + 2][1] == b")" if at + 2 < len(self.parts) else False
-                reads_id, sets_id = reads_id or bare, sets_id or not bare
-                plain = plain and bare
-            elif name in _ABOUT_PREVIOUS:
-                about, plain = True, False
+                without_argument = self.tokens[at + 2][1] == b")" if at + 2 < len(self.tokens) else False
+                reads_last_id, sets_last_id = (
+                    reads_last_id or without_argument,
+                    sets_last_id or not without_argument,
+                )
+                plain_read = plain_read and without_argument
+            elif name in _PREVIOUS_STATEMENT_FUNCTIONS:
+                about_previous, plain_read = True, False
             else:
-                plain = False  # it may be a stored function, and those may write
+                plain_read = False  # the function may be a stored function, which may write data
         for name in names:
             if name in ("@@identity", "@@last_insert_id", "@@session.identity", "@@session.last_insert_id"):
-                reads_id = True
+                reads_last_id = True
             elif name in ("@@warning_count", "@@error_count"):
-                about, plain = True, False
-        if ":=" in {part.decode("latin-1") for _, part in self.parts}:
-            plain = False
-            if not any(tie is Tie.USER_VARIABLE for tie, _ in ties):
-                ties.append((Tie.USER_VARIABLE, "?"))
-        if "into" in names and first in ("select", "with") and not ties:
-            plain = False
-            if any(kind == "variable" for kind, _ in self.parts[names.index("into") :]):
-                ties.append((Tie.USER_VARIABLE, "?"))
+                about_previous, plain_read = True, False
+        if ":=" in {token.decode("latin-1") for _, token in self.tokens}:
+            plain_read = False
+            if not any(pin is PinReason.USER_VARIABLE for pin, _ in pins):
+                pins.append((PinReason.USER_VARIABLE, "?"))
+        if "into" in names and first in ("select", "with") and not pins:
+            plain_read = False
+            if any(kind == "variable" for kind, _ in self.tokens[names.index("into") :]):
+                pins.append((PinReason.USER_VARIABLE, "?"))
         if "sql_calc_found_rows" in names:
-            ties.append((Tie.DIAGNOSTICS, ""))
+            pins.append((PinReason.DIAGNOSTICS, ""))
         write = first in ("insert", "replace", "update", "delete") or any(
             isinstance(node, writes) for node in tree.walk()
         )
         if first in ("explain", "describe", "desc"):
-            write, plain = False, plain and not write
+            write, plain_read = False, plain_read and not write
         return Statement(
-            Kind.WRITE if write else Kind.READ, self.digest, plain and not write, tuple(ties), tuple(lifts),
-            about_previous=about, reads_last_id=reads_id, sets_last_id=sets_id,
+            StatementKind.WRITE if write else StatementKind.READ, self.digest, plain_read and not write,
+            tuple(pins), tuple(unpins),
+            depends_on_previous=about_previous, reads_last_id=reads_last_id, sets_last_id=sets_last_id,
         )  # fmt: skip
 
-    def _is_call(self, at: int) -> bool:
-        """Whether a word before a parenthesis may be a function's name."""
+    def _may_be_function(self, at: int) -> bool:
+        """Return whether the token before a parenthesis may be a function name."""
         name = self.names[at]
-        if name in _NO_CALL:
+        if name in _NOT_FUNCTIONS:
             return False
         before = self.names[at - 1] if at else ""
-        return before not in _NAME_FOLLOWS
+        return before not in _BEFORE_NAMES
 
     def _literal(self, at: int) -> str:
-        if at < len(self.parts) and self.parts[at][0] == "string":
-            return _unquoted(self.parts[at][1]).lower()
+        if at < len(self.tokens) and self.tokens[at][0] == "string":
+            return _unquoted(self.tokens[at][1]).lower()
         return ""
 
 
-_NAME_FOLLOWS = _names("into table from join as update index key using with recursive partition")
-_NO_CALL = _names(
+_BEFORE_NAMES = _name_set("into table from join as update index key using with recursive partition")
+_NOT_FUNCTIONS = _name_set(
     """and or not in values value select from where on using set as when then else case by having limit
     union all any some exists between like is row over partition key index primary unique into table join
     interval with except intersect distinct match against binary return rows range xor div mod order group
@@ -566,140 +599,170 @@
 
 
 def _parse(source: str) -> Any:
-    """The tree of one statement; None where sqlglot makes none."""
+    """Parse one statement into a sqlglot syntax tree; return None if that fails."""
     try:
         import sqlglot
         from sqlglot.errors import SqlglotError
     except ImportError:
-        raise RuntimeError("statements are told apart by sqlglot: install brambleusher[mysql]") from None
+        raise RuntimeError("the MySQL front end needs sqlglot: install brambleusher[mysql]") from None
     try:
         trees = sqlglot.parse(source, dialect="mysql")
     except (SqlglotError, RecursionError, ValueError, AttributeError, TypeError, IndexError, KeyError):
-        # Guards against a session that ends over a statement which the parser trips on.
+        # A statement on which the parser fails must not end the session.
         return None
     return trees[0] if len(trees) == 1 and trees[0] is not None else None
 
 
-# --- texts to statements ------------------------------------------------------------------------
+# --- classification of texts --------------------------------------------------------------------
 
 _DATA_WORDS = (b"insert", b"replace", b"update", b"delete")
-_MARKS = re.compile(rb"@|get_lock|release_|last_insert_id|/\*!|found_rows|row_count", re.I)
+_SIDE_EFFECT_PATTERNS = re.compile(rb"@|get_lock|release_|last_insert_id|/\*!|found_rows|row_count", re.I)
 
 
-class Statements:
-    """Tells texts apart, and remembers what it was told of their digests."""
+class StatementClassifier:
+    """Classifies texts, with caches by text and by digest."""
 
     def __init__(self, digests: int = CACHED_DIGESTS, texts: int = CACHED_TEXTS) -> None:
         self._by_digest: OrderedDict[tuple[str, bool], Statement] = OrderedDict()
         self._by_text: OrderedDict[tuple[bytes, bool], Statement] = OrderedDict()
-        self._most_digests, self._most_texts = digests, texts
-        self.parsed = 0
-        _parse("select 1 from t")  # guards against a first statement that waits for the parser to be loaded
-        # Guards against the texts of statements in a log: sqlglot warns with them.
+        self._max_digests, self._max_texts = digests, texts
+        self.parsed_digests = 0
+        _parse("select 1 from t")  # loads the parser now, so that the first statement is not delayed
+        # sqlglot's warnings contain statement texts, which must not be logged.
         logging.getLogger("sqlglot").setLevel(logging.CRITICAL)
 
     def __len__(self) -> int:
-        """Digests that are remembered."""
+        """Return the number of cached digests."""
         return len(self._by_digest)
 
-    def tell(self, text: bytes, multi: bool = False, opaque: bool = False) -> Statement:
-        """What a text means; `multi`: it may hold several statements, `opaque`: it can't be read."""
+    def classify(self, text: bytes, multi: bool = False, opaque: bool = False) -> Statement:
+        """Classify a text.
+
+        `multi` allows several statements in the text; `opaque` means that the text can't be tokenized.
+        """
         if opaque:
-            return Statement(Kind.UNKNOWN, "?", ties=((Tie.UNKNOWN, ""),), why="quotes can't be told here")
+            return Statement(
+                StatementKind.UNKNOWN,
+                "?",
+                pins=((PinReason.UNKNOWN, ""),),
+                unknown_reason="text can't be tokenized",
+            )
         key = (text, multi)
-        if (known := self._by_text.get(key)) is not None:
+        if (cached := self._by_text.get(key)) is not None:
             self._by_text.move_to_end(key)
-            return known
-        statement = self._long(text, multi) if len(text) > MAX_TEXT else self._tell(text, multi)
+            return cached
+        statement = (
+            self._classify_long_text(text, multi)
+            if len(text) > MAX_TEXT
+            else self._classify_short_text(text, multi)
+        )
         if len(text) <= CACHED_TEXT_BYTES:
             self._by_text[key] = statement
-            if len(self._by_text) > self._most_texts:
+            if len(self._by_text) > self._max_texts:
                 self._by_text.popitem(last=False)
         return statement
 
-    def _long(self, text: bytes, multi: bool) -> Statement:
-        """One too long to be read: by its first word, and by marks that it might do more."""
+    def _classify_long_text(self, text: bytes, multi: bool) -> Statement:
+        """Classify a text above `MAX_TEXT` by its first word and by patterns of possible side effects."""
         first = text[:64].lstrip().split(None, 1)[0].lower() if text[:64].strip() else b""
-        if first in _DATA_WORDS and not multi and not _MARKS.search(text):
-            return Statement(Kind.WRITE, f"{first.decode()} …")
+        if first in _DATA_WORDS and not multi and not _SIDE_EFFECT_PATTERNS.search(text):
+            return Statement(StatementKind.WRITE, f"{first.decode()} …")
         return Statement(
-            Kind.UNKNOWN, "…", ties=((Tie.UNKNOWN, ""),), why=f"it is longer than {MAX_TEXT} bytes"
+            StatementKind.UNKNOWN,
+            "…",
+            pins=((PinReason.UNKNOWN, ""),),
+            unknown_reason=f"longer than {MAX_TEXT} bytes",
         )
 
-    def _tell(self, text: bytes, multi: bool) -> Statement:
-        parts, comments, sound = words(text)
-        hint = hint_of(comments)
-        digest = digest_of(parts)
-        if not sound:
-            why = "comments that run, or quotes without end"
-            if any(kind == "sign" and part in b"'\"`" for kind, part in parts):
-                # Guards against a literal in the log: where one has no end, any of the words may be of it.
-                digest = f"{digest_of(parts[:1])} …"
-            return Statement(Kind.UNKNOWN, digest, ties=((Tie.UNKNOWN, ""),), hint=hint, why=why)
+    def _classify_short_text(self, text: bytes, multi: bool) -> Statement:
+        tokens, comments, reliable = tokenize(text)
+        hint = parse_hint(comments)
+        digest = build_digest(tokens)
+        if not reliable:
+            unknown_reason = "executable comment, or unclosed quote or comment"
+            if any(kind == "sign" and token in b"'\"`" for kind, token in tokens):
+                # Digests are logged and must not contain literals; after an unclosed quote any token could
+                # be part of a literal.
+                digest = f"{build_digest(tokens[:1])} …"
+            return Statement(
+                StatementKind.UNKNOWN,
+                digest,
+                pins=((PinReason.UNKNOWN, ""),),
+                hint=hint,
+                unknown_reason=unknown_reason,
+            )
         key = (digest, multi)
-        statement_ = self._by_digest.get(key)
-        if statement_ is not None:
+        classified = self._by_digest.get(key)
+        if classified is not None:
             self._by_digest.move_to_end(key)
         else:
-            statement_ = self._read(parts, digest, multi)
-            if len(digest) <= CACHED_DIGEST_LENGTH and not _by_literals(statement_):
-                self._by_digest[key] = statement_
-                if len(self._by_digest) > self._most_digests:
+            classified = self._classify_tokens(tokens, digest, multi)
+            if len(digest) <= CACHED_DIGEST_LENGTH and not _depends_on_literals(classified):
+                self._by_digest[key] = classified
+                if len(self._by_digest) > self._max_digests:
                     self._by_digest.popitem(last=False)
-        return statement_ if hint is None else replace(statement_, hint=hint)
-
-    def _read(self, parts: list[Word], digest: str, multi: bool) -> Statement:
-        self.parsed += 1
-        while parts and parts[-1][1] == b";":
-            parts = parts[:-1]
-        single: list[list[Word]] = [[]]
-        for part in parts:
-            if part[1] == b";":
-                single.append([])
+        return classified if hint is None else replace(classified, hint=hint)
+
+    def _classify_tokens(self, tokens: list[Token], digest: str, multi: bool) -> Statement:
+        self.parsed_digests += 1
+        while tokens and tokens[-1][1] == b";":
+            tokens = tokens[:-1]
+        split_tokens: list[list[Token]] = [[]]
+        for token in tokens:
+            if token[1] == b";":
+                split_tokens.append([])
             else:
-                single[-1].append(part)
-        if len(single) == 1:
-            return _Reader(parts, digest).read()
-        if not multi or len(single) > MAX_STATEMENTS:
-            # Without the flag the server refuses it; whatever it does is not guessed.
-            return _Reader(parts, digest).unknown("several statements in one text")
-        return _together([_Reader(each, digest).read() for each in single if each], digest)
-
-
-def _by_literals(statement: Statement) -> bool:
-    """Whether two texts of one digest may differ in meaning."""
-    named = {Tie.NAMED_LOCK, Tie.TEMPORARY_TABLE, Tie.USER_VARIABLE}
+                split_tokens[-1].append(token)
+        if len(split_tokens) == 1:
+            return _Classifier(tokens, digest).read()
+        if not multi or len(split_tokens) > MAX_STATEMENTS:
+            # Without the MULTI_STATEMENTS capability the server rejects the text; no effects are assumed.
+            return _Classifier(tokens, digest).unknown("several statements in one text")
+        return _combine([_Classifier(each, digest).read() for each in split_tokens if each], digest)
+
+
+def _depends_on_literals(statement: Statement) -> bool:
+    """Return whether texts with the same digest may differ in their classification."""
+    named = {PinReason.NAMED_LOCK, PinReason.TEMPORARY_TABLE, PinReason.USER_VARIABLE}
     return (
         bool(statement.settings or statement.kill is not None or statement.autocommit is not None)
-        or statement.kind is Kind.SET
-        or any(tie in named for tie, _ in (*statement.ties, *statement.lifts))
+        or statement.kind is StatementKind.SET
+        or any(pin in named for pin, _ in (*statement.pins, *statement.unpins))
     )
 
 
-def _together(each: list[Statement], digest: str) -> Statement:
-    """Several statements of one text as one: whatever any of them does."""
-    if not each:
-        return Statement(Kind.EMPTY, digest)
-    reads = all(one.plain_read for one in each)
-    kinds = {one.kind for one in each}
-    if kinds & {Kind.KILL, Kind.LOCAL_FILE}:
+def _combine(statements: list[Statement], digest: str) -> Statement:
+    """Combine the classifications of several statements in one text."""
+    if not statements:
+        return Statement(StatementKind.EMPTY, digest)
+    all_plain_reads = all(each.plain_read for each in statements)
+    kinds = {each.kind for each in statements}
+    if kinds & {StatementKind.KILL, StatementKind.LOCAL_FILE}:
         return Statement(
-            Kind.UNKNOWN, digest, ties=((Tie.UNKNOWN, ""),), why="KILL or LOCAL among several statements"
+            StatementKind.UNKNOWN,
+            digest,
+            pins=((PinReason.UNKNOWN, ""),),
+            unknown_reason="KILL or LOCAL among several statements",
         )
-    ties = tuple(dict.fromkeys(tie for one in each for tie in one.ties))
-    # What is lifted among several is not counted on: an error may have ended them before.
+    pins = tuple(dict.fromkeys(pin for each in statements for pin in each.pins))
+    # Removed pins are ignored, because an error may have ended the text before the removing statement.
     return Statement(
-        Kind.READ if reads else Kind.UNKNOWN if Kind.UNKNOWN in kinds else Kind.WRITE,
-        digest, reads, ties,
-        settings=tuple(pair for one in each for pair in one.settings),
-        autocommit=next((one.autocommit for one in reversed(each) if one.autocommit is not None), None),
-        schema=next((one.schema for one in reversed(each) if one.schema is not None), None),
-        about_previous=each[0].about_previous,
-        reads_last_id=any(one.reads_last_id for one in each),
-        sets_last_id=any(one.sets_last_id for one in each),
-        opaque_after=any(one.opaque_after for one in each),
-        release=any(one.release for one in each),
-        count=len(each),
-        renews=bool(kinds & {Kind.BEGIN, Kind.COMMIT, Kind.ROLLBACK, Kind.DEFINE}),
-        why="; ".join(one.why for one in each if one.why),
+        StatementKind.READ if all_plain_reads
+        else StatementKind.UNKNOWN if StatementKind.UNKNOWN in kinds else StatementKind.WRITE,
+        digest, all_plain_reads, pins,
+        settings=tuple(pair for each in statements for pair in each.settings),
+        autocommit=next(
+            (each.autocommit for each in reversed(statements) if each.autocommit is not None), None
+        ),
+        schema=next((each.schema for each in reversed(statements) if each.schema is not None), None),
+        depends_on_previous=statements[0].depends_on_previous,
+        reads_last_id=any(each.reads_last_id for each in statements),
+        sets_last_id=any(each.sets_last_id for each in statements),
+        opaque_after=any(each.opaque_after for each in statements),
+        release=any(each.release for each in statements),
+        count=len(statements),
+        may_restart_transaction=bool(kinds & {
+            StatementKind.BEGIN, StatementKind.COMMIT, StatementKind.ROLLBACK, StatementKind.DEFINE,
+        }),
+        unknown_reason="; ".join(each.unknown_reason for each in statements if each.unknown_reason),
     )  # fmt: skip
--- a/brambleusher/lab/mysql/fuzz.py
+++ b/brambleusher/lab/mysql/fuzz.py
@@ -13,7 +13,14 @@
 import sys
 from collections.abc import Callable, Sequence
 
-from brambleusher.fronts.mysql.auth import ClientLogin, LoginRefused, RsaKey, Secret, ServerLogin, Turn
+from brambleusher.fronts.mysql.auth import (
+    ClientLogin,
+    LoginRejectedError,
+    LoginStep,
+    RsaKey,
+    Secret,
+    ServerLogin,
+)
 from brambleusher.fronts.mysql.constants import CACHING_SHA2, NATIVE, Capability, Command, Status
 from brambleusher.fronts.mysql.messages import (
     ChangeUser,
@@ -26,13 +33,13 @@
     Ok,
     Prepared,
     auth_switch,
-    encode_state,
+    encode_session_changes,
     parse_binary_row,
-    parse_state,
+    parse_session_changes,
     parse_text_row,
     text_row,
 )
-from brambleusher.fronts.mysql.packets import PacketReader, ProtocolError, frame, lenenc
+from brambleusher.fronts.mysql.packets import PacketReader, ProtocolError, encode_lenenc_integer, frame
 from brambleusher.fronts.mysql.replies import ReplyRelay
 from brambleusher.runtime.operating_system import RealSystem
 
@@ -57,13 +64,13 @@
     new = caps & Capability.DEPRECATE_EOF
     middle = [] if new else [Eof(0, 2).encode()]
     last = Ok(status=status).encode(caps, 0xFE) if new else Eof(0, status).encode()
-    return [lenenc(2), Column(b"a").encode(), Column(b"b").encode(), *middle, *rows, last]
+    return [encode_lenenc_integer(2), Column(b"a").encode(), Column(b"b").encode(), *middle, *rows, last]
 
 
 def seeds() -> dict[str, list[bytes]]:
     """Well-formed inputs by the reader that takes them."""
     more, told = int(Status.MORE_RESULTS), int(Status.SESSION_STATE_CHANGED)
-    state = encode_state([(0, (b"autocommit", b"OFF")), (1, (b"shop",)), (5, (b"T_______",))])
+    state = encode_session_changes([(0, (b"autocommit", b"OFF")), (1, (b"shop",)), (5, (b"T_______",))])
     rows = [text_row([b"1", None]), text_row([b"x" * 300, b"y" * 70_000])]
     replies = []
     for caps in (OLD, NEW):
@@ -105,14 +112,14 @@
         self._seeds = seeds()
         self._kinds = sorted(self._seeds)
         self._key = RsaKey()
-        self._secrets = {"web": Secret(NATIVE, native=bytes(20))}
+        self._secrets = {"web": Secret(NATIVE, double_sha1=bytes(20))}
         self.taken = self.refused = 0
         self.slowest = 0.0
         self._readers: dict[str, Callable[[bytes], None]] = {
             "reply": self._reply, "greeting": self._greeting, "login": self._login,
             "change": lambda data: _drop(ChangeUser.parse(data, NEW)),
             "execute": self._execute, "row": self._row, "command": self._command,
-            "state": lambda data: _drop(parse_state(data)),
+            "state": lambda data: _drop(parse_session_changes(data)),
         }  # fmt: skip
 
     def one(self, noise: bytes = b"") -> None:
@@ -126,7 +133,7 @@
         begun = RealSystem.monotonic()
         try:
             self._readers[kind](data)
-        except (ProtocolError, LoginRefused):
+        except (ProtocolError, LoginRejectedError):
             self.refused += 1
         else:
             self.taken += 1
@@ -170,7 +177,7 @@
         for piece in self._pieces(data):
             out += len(relay.feed(piece))
             size += len(piece)
-            if out > 2 * size + 64 * relay._in_seq:
+            if out > 2 * size + 64 * relay._server_seq:
                 raise AssertionError("more came out than went in")
         relay.fail(Err.of(1158, "lost"))
 
@@ -178,19 +185,19 @@
         login = ClientLogin("web", b"secret", NEW, 255)
         for piece in self._pieces(data):
             login.feed(piece)
-            if login.step() is not Turn.READ:
+            if login.step() is not LoginStep.READ:
                 return
 
     def _login(self, data: bytes) -> None:
         login = ServerLogin(1, CHALLENGE, NEW, self._secrets.get, self._key, "8.0")
-        login.greet()
+        login.encode_greeting()
         for piece in self._pieces(data):
             login.feed(piece)
             for _ in range(1000):
                 turn = login.step()
-                if turn is not Turn.AGAIN:
+                if turn is not LoginStep.RESUME:
                     break
-            if turn is not Turn.READ:
+            if turn is not LoginStep.READ:
                 return
 
     def _command(self, data: bytes) -> None:
@@ -198,7 +205,7 @@
         for piece in self._pieces(data):
             reader.feed(piece)
             while reader.take() is not None:
-                reader.expect()
+                reader.set_sequence()
 
     @staticmethod
     def _execute(data: bytes) -> None:
--- a/brambleusher/lab/mysql/replay.py
+++ b/brambleusher/lab/mysql/replay.py
@@ -28,15 +28,15 @@
 from unittest import mock
 
 from brambleusher.fronts.mysql.auth import Secret
-from brambleusher.fronts.mysql.client import ConnectionLostError
+from brambleusher.fronts.mysql.client import NodeConnectionError
 from brambleusher.fronts.mysql.constants import NATIVE, Command, Errno
-from brambleusher.fronts.mysql.front import Front
+from brambleusher.fronts.mysql.front import MysqlFrontEnd
 from brambleusher.fronts.mysql.messages import Err
-from brambleusher.fronts.mysql.nodes import Held, MysqlNodes, Work
+from brambleusher.fronts.mysql.nodes import MysqlNodes, PendingCommand, ReservedConnection
 from brambleusher.fronts.mysql.packets import frame
 from brambleusher.fronts.mysql.replies import ReplyRelay
 from brambleusher.fronts.mysql.session import Session
-from brambleusher.fronts.mysql.statements import Kind, Tie
+from brambleusher.fronts.mysql.statements import PinReason, StatementKind
 from brambleusher.lab.mysql.client import MysqlClient, Told
 from brambleusher.lab.mysql.engine import ColumnInfo, Database, Table
 from brambleusher.lab.mysql.server import Fault, Moment, MysqlServer, MysqlSettings, accounts
@@ -545,7 +545,7 @@
     def _start_node(self, at: int) -> None:
         def main(system: VirtualSystem) -> None:
             scheduler = Scheduler(system)
-            users = {"registry": Secret.of(NATIVE, b"node-secret")}
+            users = {"registry": Secret.from_password(NATIVE, b"node-secret")}
             settings = MysqlSettings(users=users, plugin=NATIVE, max_connections=12, lock_wait_seconds=1.0,
                                      work_seconds=0.002)  # fmt: skip
             server = MysqlServer(
@@ -690,12 +690,18 @@
         if sidecar.counters.count("faults"):
             breaches.append(f"{sidecar.counters.count('faults')} faults in the sidecar")
         assert sidecar.mysql is not None
-        if sidecar.mysql.front.connections:
-            breaches.append(f"{sidecar.mysql.front.connections} sessions left")
+        if sidecar.mysql.front.session_count:
+            breaches.append(f"{sidecar.mysql.front.session_count} sessions left")
         if sidecar.balancer_driver.unanswered_requests or sidecar.balancer_driver._pending:
             breaches.append(f"{len(sidecar.balancer_driver._pending)} requests left")
         for node in sidecar.mysql.nodes._nodes.values():
-            left = len(node.held), len(node.claims), len(node.waiters), node.side, node.open - len(node.idle)
+            left = (
+                len(node.reserved),
+                len(node.attempts),
+                len(node.waiters),
+                node.active_kills,
+                node.open_count - len(node.idle),
+            )
             if any(left):
                 breaches.append(f"left at {node.name}: held, claims, waiters, kills, open {left}")
 
@@ -742,25 +748,25 @@
 
 
 def _resend_after_commit() -> Iterator[None]:
-    real = Front._from_node
+    real = MysqlFrontEnd._from_node
 
     def from_node(self: Any, client: Any, held: Any, deadline: Any, statement: Any) -> bytes:
         try:
             return real(self, client, held, deadline, statement)
-        except ConnectionLostError:
-            if statement.kind is not Kind.COMMIT:
+        except NodeConnectionError:
+            if statement.kind is not StatementKind.COMMIT:
                 raise
             for node in self._nodes._nodes.values():
                 for idle in [conn for conn in node.idle if conn.channel.quiet()]:
                     node.idle.remove(idle)
-                    idle.channel.send(frame(client.work.body, 0), self._scheduler.now() + 1)
+                    idle.channel.send(frame(client.pending_command.body, 0), self._scheduler.now() + 1)
                     data = idle.channel.receive(self._scheduler.now() + 1)
                     self._nodes.discard(idle)
                     if data:
                         return bytes(data)
             raise
 
-    with mock.patch.object(Front, "_from_node", from_node):
+    with mock.patch.object(MysqlFrontEnd, "_from_node", from_node):
         yield
 
 
@@ -775,7 +781,7 @@
     real = ReplyRelay.fail
 
     def fail(self: Any, error: Err) -> bytes:
-        if error.errno == Errno.ERROR_DURING_COMMIT and not self.packet_open and not self.begun:
+        if error.errno == Errno.ERROR_DURING_COMMIT and not self.packet_open and not self.started:
             return self._framed(Ok(status=2).encode(self._client))  # type: ignore[no-any-return]
         return real(self, error)
 
@@ -783,11 +789,11 @@
         yield
 
 
-def _untied(tie: Tie) -> Callable[[], Iterator[None]]:
+def _untied(tie: PinReason) -> Callable[[], Iterator[None]]:
     def patch() -> Iterator[None]:
         real = Session.tie
 
-        def tied(self: Session, which: Tie, name: str = "") -> None:
+        def tied(self: Session, which: PinReason, name: str = "") -> None:
             if which is not tie:
                 real(self, which, name)
 
@@ -811,7 +817,7 @@
         return end
 
     def ended(self: Any, payload: bytes) -> bytes:
-        extra = self._ended_columns() + self._framed(kept[0]) if kept[0] and self.rows > 30 else b""
+        extra = self._pending_columns_end() + self._framed(kept[0]) if kept[0] and self.rows > 30 else b""
         return extra + real(self, payload)
 
     with (
@@ -825,7 +831,7 @@
     def lost(self: Any, in_transaction: bool, statement: Any) -> Err:
         return Err.of(Errno.NET_READ, "the node was lost")
 
-    with mock.patch.object(Front, "_lost_error", lost):
+    with mock.patch.object(MysqlFrontEnd, "_lost_error", lost):
         yield
 
 
@@ -860,23 +866,23 @@
 
 def _id_not_carried() -> Iterator[None]:
     def carry(self: Any, conn: Any, claim: Any, limit: float) -> None:
-        conn.carries.session.last_id = 0
+        conn.pending_id_owner.session.last_id = 0
 
     with mock.patch.object(MysqlNodes, "_carry", carry):
         yield
 
 
 def _write_repeated() -> Iterator[None]:
-    from brambleusher.fronts.mysql.mapping import Mapping
+    from brambleusher.fronts.mysql.mapping import RequestMapper
 
-    real = Mapping.assign
+    real = RequestMapper.assign
 
     def assign(self: Any, statement: Any, user: str, transaction: bool = False) -> Any:
         from dataclasses import replace
 
         return replace(real(self, statement, user, transaction), request_class="look")
 
-    with mock.patch.object(Mapping, "assign", assign):
+    with mock.patch.object(RequestMapper, "assign", assign):
         yield
 
 
@@ -884,12 +890,12 @@
     def never(self: Any, value: bool) -> None:
         """An answer that broke off is told as one that never began."""
 
-    with mock.patch.object(Work, "broke", property(lambda self: False, never)):
+    with mock.patch.object(PendingCommand, "broke", property(lambda self: False, never)):
         yield
 
 
 def _drain_ignored() -> Iterator[None]:
-    with mock.patch.object(Held, "drop", lambda self, status: None):
+    with mock.patch.object(ReservedConnection, "drop", lambda self, status: None):
         yield
 
 
@@ -898,8 +904,8 @@
     "error-swallowed": _error_swallowed,
     "lost-commit-told-as-done": _lost_commit_told_as_done,
     "unknown-told-as-failed": _unknown_told_as_failed,
-    "moved-in-a-transaction": _untied(Tie.TRANSACTION),
-    "variable-lost-on-a-move": _untied(Tie.USER_VARIABLE),
+    "moved-in-a-transaction": _untied(PinReason.TRANSACTION),
+    "variable-lost-on-a-move": _untied(PinReason.USER_VARIABLE),
     "rows-of-two-results-mixed": _rows_mixed,
     "kill-hits-the-next": _kill_hits_the_next,
     "settings-not-replayed": _settings_not_replayed,
@@ -928,7 +934,9 @@
     logging.getLogger("brambleusher").propagate = False
     with tempfile.TemporaryDirectory() as folder, broken(breakage):
         path = Path(folder)
-        (path / "users").write_text(f"web {NATIVE} {Secret.of(NATIVE, b'front').stored()}\n")
+        (path / "users").write_text(
+            f"web {NATIVE} {Secret.from_password(NATIVE, b'front').to_server_format()}\n"
+        )
         (path / "accounts").write_text("registry node-secret\n")
         return Run(seed, path, dense).go()
 
--- a/tests/fronts/mysql/mysql_rig.py
+++ b/tests/fronts/mysql/mysql_rig.py
@@ -1,4 +1,4 @@
-"""Stand-in MySQL servers in one thread, a sidecar before them in another; clients are the test's."""
+"""Test rig with stand-in MySQL servers in one thread and a sidecar in another."""
 
 from __future__ import annotations
 
@@ -27,14 +27,15 @@
 
 
 class Servers:
-    """Some stand-in servers on one scheduler in a thread of their own."""
+    """Stand-in MySQL servers on one scheduler, which runs in its own thread."""
 
     def __init__(self, count: int = 2, seed: int = 1, **settings: Any) -> None:
-        self.troubles: list[Callable[[Moment], Fault | None]] = [lambda moment: None] * count
+        self.fault_injectors: list[Callable[[Moment], Fault | None]] = [lambda moment: None] * count
         self.servers: list[MysqlServer] = []
         users = {
-            "web": Secret.of(NATIVE, b"pw"), "registry": Secret.of(NATIVE, b"node-secret"),
-            "sha": Secret.of(CACHING_SHA2, b"sha-secret"),
+            "web": Secret.from_password(NATIVE, b"pw"),
+            "registry": Secret.from_password(NATIVE, b"node-secret"),
+            "sha": Secret.from_password(CACHING_SHA2, b"sha-secret"),
         }  # fmt: skip
         up: queue.Queue[Scheduler] = queue.Queue()
 
@@ -45,7 +46,7 @@
                 accounts(NAMES, database)
                 server = MysqlServer(
                     scheduler, f"h{at}", database, MysqlSettings(users=users, **settings), seed + at,
-                    partial(self._trouble, at), keep=True,
+                    partial(self._inject_fault, at), keep=True,
                 )  # fmt: skip
                 server.listen(("127.0.0.1", 0))
                 self.servers.append(server)
@@ -59,18 +60,18 @@
         self.thread.start()
         self.scheduler = up.get(timeout=WAIT)
 
-    def _trouble(self, at: int, moment: Moment) -> Fault | None:
-        return self.troubles[at](moment)
+    def _inject_fault(self, at: int, moment: Moment) -> Fault | None:
+        return self.fault_injectors[at](moment)
 
     def do(self, call: Callable[[], Answer]) -> Answer:
-        """Have the servers' thread do something, and wait for it."""
+        """Run a function in the servers' thread and return its result."""
         out: queue.Queue[Answer] = queue.Queue()
         self.scheduler.call_soon(lambda: out.put(call()))
         return out.get(timeout=WAIT)
 
     def clear(self) -> None:
-        """No faults, nothing seen, and the tables as they were."""
-        self.troubles[:] = [lambda moment: None] * len(self.servers)
+        """Remove the injected faults, forget the recorded statements, and reset the tables."""
+        self.fault_injectors[:] = [lambda moment: None] * len(self.servers)
         for server in self.servers:
             server.seen.clear()
             server.database.tables.clear()
@@ -103,17 +104,17 @@
 
 
 class MysqlRig:
-    """Servers, discovery and a sidecar with the front on."""
+    """Stand-in servers, a discovery service, and a sidecar with the MySQL front end enabled."""
 
     def __init__(
-        self, folder: Path, servers: Servers, more: str = "", promise_s: int = 1, **limits: Any
+        self, folder: Path, servers: Servers, more: str = "", latency_target_s: int = 1, **limits: Any
     ) -> None:
         self.servers, self.folder = servers, folder
         self._before: dict[str, int] = {}
         names = [server.name for server in servers.servers]
         self.entries = [self.entry(name) for name in names]
         self.discovery = Discovery(self.entries)
-        # Aims that a busy machine keeps too: else the decisions rightly turn some away.
+        # The latency targets hold on a busy machine too; otherwise the load balancer would reject requests.
         classes = [
             {**each, "promise_ns": 20 * 10**9, "give_up_ns": 20 * 10**9} for each in SETTINGS["classes"]
         ]
@@ -127,13 +128,13 @@
         }  # fmt: skip
         (folder / "users").write_text(
             "# name plugin hash\n"
-            f"web {NATIVE} {Secret.of(NATIVE, b'front').stored()}\n"
-            f"sha {CACHING_SHA2} {Secret.of(CACHING_SHA2, b'front-sha').stored()}\n"
+            f"web {NATIVE} {Secret.from_password(NATIVE, b'front').to_server_format()}\n"
+            f"sha {CACHING_SHA2} {Secret.from_password(CACHING_SHA2, b'front-sha').to_server_format()}\n"
         )
         (folder / "accounts").write_text("registry node-secret\nsha sha-secret\n")
-        places = {name: "{}:{}".format(*servers.address(at)) for at, name in enumerate(names)}
+        node_addresses = {name: "{}:{}".format(*servers.address(at)) for at, name in enumerate(names)}
         text = OPERATOR.format(
-            folder=folder, addresses=", ".join(f"{k}: '{v}'" for k, v in places.items()), more=more
+            folder=folder, addresses=", ".join(f"{k}: '{v}'" for k, v in node_addresses.items()), more=more
         )
         up: queue.Queue[tuple[Sidecar, tuple[str, int]]] = queue.Queue()
 
@@ -154,7 +155,7 @@
         self.discovery.asked.get(timeout=WAIT)
 
     def count(self, name: str) -> int:
-        """How often something was counted since `forget_counts`."""
+        """Return the increase of a counter since `forget_counts`."""
         return self.sidecar.counters.count(name) - self._before.get(name, 0)
 
     def forget_counts(self) -> None:
@@ -164,20 +165,20 @@
         return {"id": name, "addr": "127.0.0.1:9", "zone": "z", "kind": "k", "state": state, "weight": 1.0}
 
     def do(self, call: Callable[[], Answer]) -> Answer:
-        """Have the sidecar's thread do something, and wait for it."""
+        """Run a function in the sidecar's thread and return its result."""
         out: queue.Queue[Answer] = queue.Queue()
         self.sidecar.scheduler.call_soon(lambda: out.put(call()))
         return out.get(timeout=WAIT)
 
     def until(self, test: Callable[[], bool]) -> None:
-        """Wait until the sidecar's thread finds something true."""
+        """Wait until a condition, evaluated in the sidecar's thread, is true."""
         end = time.monotonic() + WAIT
         while not self.do(test):
             assert time.monotonic() < end
             time.sleep(0.002)
 
     def seen(self, text: str) -> list[tuple[int, int]]:
-        """Where a statement came: the server's place and the thread of its connection."""
+        """Return server index and connection thread id for each time that a statement was received."""
         return self.servers.do(
             lambda: [
                 (at, thread)
--- a/tests/fronts/mysql/test_mysql_codec.py
+++ b/tests/fronts/mysql/test_mysql_codec.py
@@ -1,4 +1,4 @@
-"""The MySQL codec: a table of cases, both wordings of every reply, and bytes that make no sense."""
+"""Tests of the MySQL codec: known messages, replies with and without DEPRECATE_EOF, and malformed input."""
 
 from __future__ import annotations
 
@@ -8,7 +8,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from brambleusher.fronts.mysql.constants import MAX_PAYLOAD, Capability, Command, Errno, Status, Track, Type
+from brambleusher.fronts.mysql.constants import (
+    MAX_PAYLOAD,
+    Capability,
+    Command,
+    Errno,
+    SessionChange,
+    Status,
+    Type,
+)
 from brambleusher.fronts.mysql.messages import (
     ChangeUser,
     Column,
@@ -21,13 +29,19 @@
     Prepared,
     SslRequest,
     binary_row,
-    encode_state,
+    encode_session_changes,
     parse_binary_row,
-    parse_state,
+    parse_session_changes,
     parse_text_row,
     text_row,
 )
-from brambleusher.fronts.mysql.packets import Fields, PacketReader, ProtocolError, frame, lenenc
+from brambleusher.fronts.mysql.packets import (
+    FieldReader,
+    PacketReader,
+    ProtocolError,
+    encode_lenenc_integer,
+    frame,
+)
 from brambleusher.fronts.mysql.replies import ReplyRelay
 from brambleusher.lab.mysql.fuzz import Fuzzer
 
@@ -47,8 +61,8 @@
     ],
 )  # fmt: skip
 def test_lengths(value: int, data: str) -> None:
-    assert lenenc(value).hex() == data
-    assert Fields(bytes.fromhex(data)).lenenc() == value
+    assert encode_lenenc_integer(value).hex() == data
+    assert FieldReader(bytes.fromhex(data)).lenenc_integer() == value
 
 
 @pytest.mark.parametrize("size", [0, 1, MAX_PAYLOAD - 1, MAX_PAYLOAD, MAX_PAYLOAD + 1, 2 * MAX_PAYLOAD])
@@ -71,7 +85,7 @@
         reader.take()
     assert (caught.value.errno, caught.value.state) == (Errno.NET_PACKETS_OUT_OF_ORDER, "08S01")
     reader = PacketReader(1000)
-    reader.feed(struct.pack("<I", 1001))  # the 1,001 bytes are not awaited
+    reader.feed(struct.pack("<I", 1001))  # the reader rejects the header before the 1,001 bytes arrive
     with pytest.raises(ProtocolError) as caught:
         reader.take()
     assert (caught.value.errno, caught.value.state) == (Errno.NET_PACKET_TOO_LARGE, "08S01")
@@ -79,7 +93,7 @@
 
 # --- messages -----------------------------------------------------------------------------------
 
-# From the protocol's documentation: a greeting of a 5.5 server, a login to it, OK, ERR and EOF.
+# The greeting of a 5.5 server in the protocol documentation.
 GREETING = (
     "0a352e352e322d6d32000b00000064764840492d434a00fff708020000000000000000000000000000"
     "2a34647c635a776b345e5d3a00"
@@ -114,13 +128,13 @@
     column = Column(b"n", Type.LONGLONG, 63, 20, 0x81, 0, b"shop", b"t", b"t0", b"n0")
     assert Column.parse(column.encode()) == column
     assert Prepared.parse(Prepared(9, 3, 2, 1).encode()) == Prepared(9, 3, 2, 1)
-    news: list[tuple[int, tuple[bytes, ...]]] = [
-        (Track.SYSTEM_VARIABLES, (b"autocommit", b"OFF")), (Track.SCHEMA, (b"shop",)),
-        (Track.TRANSACTION_STATE, (b"T_______",)), (Track.GTIDS, (b"\0\1x",)),
+    changes: list[tuple[int, tuple[bytes, ...]]] = [
+        (SessionChange.SYSTEM_VARIABLES, (b"autocommit", b"OFF")), (SessionChange.SCHEMA, (b"shop",)),
+        (SessionChange.TRANSACTION_STATE, (b"T_______",)), (SessionChange.GTIDS, (b"\0\1x",)),
     ]  # fmt: skip
-    assert parse_state(encode_state(news)) == news
-    told = int(Status.SESSION_STATE_CHANGED)
-    ok = Ok(1, 2**40, told, 3, b"info", encode_state(news))
+    assert parse_session_changes(encode_session_changes(changes)) == changes
+    changed = int(Status.SESSION_STATE_CHANGED)
+    ok = Ok(1, 2**40, changed, 3, b"info", encode_session_changes(changes))
     assert Ok.parse(ok.encode(NEW), NEW) == ok
     assert Ok.parse(ok.encode(OLD), OLD) == Ok(1, 2**40, 0, 3, b"info")
 
@@ -130,7 +144,7 @@
     assert parse_text_row(text_row(values), 4) == values
     types = [Type.LONG, Type.NULL, Type.VAR_STRING, Type.DATETIME, Type.DOUBLE, Type.TIME]
     encoded = [
-        b"\1\0\0\0", None, lenenc(300) + b"y" * 300, b"\4\xe8\7\1\2", bytes(8), b"\0",
+        b"\1\0\0\0", None, encode_lenenc_integer(300) + b"y" * 300, b"\4\xe8\7\1\2", bytes(8), b"\0",
     ]  # fmt: skip
     assert parse_binary_row(binary_row(encoded), list(types)) == encoded
     execute = Execute(
@@ -150,7 +164,7 @@
     ("data", "errno"),
     [
         (b"", Errno.MALFORMED_PACKET),
-        (b"\x01\x00\x00\x00", Errno.BAD_HANDSHAKE),  # a client from before 4.1
+        (b"\x01\x00\x00\x00", Errno.BAD_HANDSHAKE),  # capabilities of a client before MySQL 4.1
         (
             Login(OLD, "web", b"").encode()[:40].replace(b"web", b"\xff\xfe\xfd"),
             Errno.INVALID_CHARACTER_STRING,
@@ -168,11 +182,11 @@
 
 
 def columns(*names: bytes) -> list[bytes]:
-    return [lenenc(len(names)), *(Column(name).encode() for name in names)]
+    return [encode_lenenc_integer(len(names)), *(Column(name).encode() for name in names)]
 
 
 def result(caps: int, rows: list[bytes], status: int = 2, end: Err | None = None) -> list[bytes]:
-    """A result with one column, in either wording."""
+    """Return the messages of a result set with one column, with or without DEPRECATE_EOF."""
     new = caps & Capability.DEPRECATE_EOF
     if status & CURSOR:
         last = Ok(status=status).encode(caps, 0xFE) if new else Eof(0, status).encode()
@@ -193,9 +207,9 @@
     return out
 
 
-def ok(caps: int, status: int = 2, told: bool = True) -> list[bytes]:
-    news = encode_state([(Track.SCHEMA, (b"shop",))]) if told else b""
-    return [Ok(3, 4, status | Status.SESSION_STATE_CHANGED, 0, b"", news).encode(caps)]
+def ok(caps: int, status: int = 2, with_changes: bool = True) -> list[bytes]:
+    changes = encode_session_changes([(SessionChange.SCHEMA, (b"shop",))]) if with_changes else b""
+    return [Ok(3, 4, status | Status.SESSION_STATE_CHANGED, 0, b"", changes).encode(caps)]
 
 
 def stream(messages: list[bytes], seq: int = 1) -> bytes:
@@ -210,11 +224,11 @@
 DENIED = Err(1142, "42000", "no")
 
 
-def replies(caps: int, told: bool = True) -> dict[str, tuple[int, list[bytes], int]]:
-    """Replies of every kind: the command, the messages, and how many rows are among them."""
+def replies(caps: int, with_changes: bool = True) -> dict[str, tuple[int, list[bytes], int]]:
+    """Return replies of every kind by name, each with its command, its messages and its number of rows."""
     query, execute = Command.QUERY, Command.STMT_EXECUTE
     return {
-        "ok": (query, ok(caps, 2, told), 0),
+        "ok": (query, ok(caps, 2, with_changes), 0),
         "error": (query, [DENIED.encode()], 0),
         "rows": (query, result(caps, ROWS), 5),
         "no rows": (query, result(caps, []), 0),
@@ -222,7 +236,7 @@
         "error for rows": (query, result(caps, [], end=DENIED), 0),
         "results": (
             query,
-            result(caps, ROWS[:1], 2 | MORE) + ok(caps, 2 | MORE, told) + result(caps, ROWS[1:2]),
+            result(caps, ROWS[:1], 2 | MORE) + ok(caps, 2 | MORE, with_changes) + result(caps, ROWS[1:2]),
             2,
         ),
         "error in the second": (query, [*result(caps, ROWS[:1], 2 | MORE), DENIED.encode()], 1),
@@ -233,7 +247,7 @@
         "prepare without columns": (Command.STMT_PREPARE, prepared(caps, 9, 1, 0), 0),
         "prepare without parameters": (Command.STMT_PREPARE, prepared(caps, 9, 0, 1), 0),
         "prepare with neither": (Command.STMT_PREPARE, prepared(caps, 9, 0, 0), 0),
-        "ping": (Command.PING, ok(caps, 2, told), 0),
+        "ping": (Command.PING, ok(caps, 2, with_changes), 0),
         "set option": (Command.SET_OPTION, result(caps, [])[-1:], 0),
     }
 
@@ -243,7 +257,7 @@
 @pytest.mark.parametrize("name", sorted(replies(OLD)))
 def test_each_reply_in_each_wording_cut_anywhere(name: str, server: int, client: int) -> None:
     command, messages, rows = replies(server)[name]
-    data, due = stream(messages), stream(replies(client, server == NEW)[name][1])
+    data, expected = stream(messages), stream(replies(client, server == NEW)[name][1])
     for step in (1, 3, len(data)):
         if step < 3 and len(data) > 10_000:
             continue
@@ -251,16 +265,23 @@
         for at in range(0, len(data), step):
             assert not relay.done
             got += relay.feed(data[at : at + step])
-        assert (relay.done, relay.extra, relay.rows, got == due) == (True, False, rows, True)
+        assert (relay.done, relay.has_trailing_bytes, relay.rows, got == expected) == (
+            True,
+            False,
+            rows,
+            True,
+        )
     assert relay.feed(b"more") == b""
-    assert relay.extra
+    assert relay.has_trailing_bytes
 
 
 def test_what_a_reply_tells() -> None:
     relay = ReplyRelay(Command.QUERY, NEW, OLD)
     relay.feed(stream(ok(NEW)))
     assert (relay.affected, relay.last_id, relay.status & 2, relay.error) == (3, 4, 2, None)
-    assert [parse_state(news) for news in relay.news] == [[(Track.SCHEMA, (b"shop",))]]
+    assert [parse_session_changes(changes) for changes in relay.session_changes] == [
+        [(SessionChange.SCHEMA, (b"shop",))]
+    ]
     relay = ReplyRelay(Command.STMT_PREPARE, NEW, OLD, statement=77)
     out = relay.feed(stream(prepared(NEW, 9, 2, 3)))
     assert relay.prepared == Prepared(9, 3, 2)
@@ -297,7 +318,7 @@
             assert messages[-1] == lost.encode()
             assert reader.buffered == 0
         relay = ReplyRelay(Command.QUERY, server, client)
-        relay.feed(data[: len(data) - 30_000])  # amid the row of 70,000 bytes
+        relay.feed(data[: len(data) - 30_000])  # ends within the row of 70,000 bytes
         assert relay.packet_open
         assert relay.fail(lost) == b""
 
@@ -336,7 +357,7 @@
         ReplyRelay(Command.QUERY, NEW, NEW).feed(stream([Ok(status=MORE).encode(NEW)] * 10_001))
 
 
-# --- bytes by chance ----------------------------------------------------------------------------
+# --- random input -------------------------------------------------------------------------------
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
--- a/tests/fronts/mysql/test_mysql_front.py
+++ b/tests/fronts/mysql/test_mysql_front.py
@@ -1,4 +1,4 @@
-"""The MySQL front on loopback: logins, commands, ties, pools, drains, kills, faults, bad input."""
+"""Tests of the MySQL front end over loopback: logins, pins, pools, drains, kills, faults, bad input."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 import pytest
 from pymysql.constants import CLIENT
 
-from brambleusher.fronts.mysql.auth import ClientLogin, Turn, native_answer, native_hash
-from brambleusher.fronts.mysql.constants import NATIVE, Capability, Command, Errno, Status, Track
+from brambleusher.fronts.mysql.auth import ClientLogin, LoginStep, native_hash, native_response
+from brambleusher.fronts.mysql.constants import NATIVE, Capability, Command, Errno, SessionChange, Status
 from brambleusher.fronts.mysql.messages import (
     ChangeUser,
     Eof,
@@ -27,7 +27,7 @@
     Prepared,
     SslRequest,
     parse_auth_switch,
-    parse_state,
+    parse_session_changes,
 )
 from brambleusher.fronts.mysql.packets import PacketReader, frame
 from brambleusher.fronts.mysql.session import Session
@@ -46,40 +46,40 @@
 
 
 class Rigs:
-    """Rigs by what they were asked for; tests that leave one as it was share it."""
+    """Test rigs by their options; tests that do not damage a rig share it."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
-        self._kept: dict[str, tuple[MysqlRig, Servers]] = {}
-        self._once: list[tuple[MysqlRig, Servers]] = []
+        self._shared: dict[str, tuple[MysqlRig, Servers]] = {}
+        self._exclusive: list[tuple[MysqlRig, Servers]] = []
 
     def make(
-        self, count: int = 2, more: str = "", once: bool = False, kept_for: str = "", **settings: Any
+        self, count: int = 2, more: str = "", once: bool = False, shared_key: str = "", **settings: Any
     ) -> tuple[MysqlRig, Servers]:
-        key = f"{count} {more} {kept_for} {settings}"
-        if once or key not in self._kept:
+        key = f"{count} {more} {shared_key} {settings}"
+        if once or key not in self._shared:
             servers = Servers(count, **settings)
             made = MysqlRig(self._folder, servers, more), servers
             if once:
-                self._once.append(made)
+                self._exclusive.append(made)
                 return made
-            self._kept[key] = made
-        rig, servers = self._kept[key]
+            self._shared[key] = made
+        rig, servers = self._shared[key]
         servers.do(servers.clear)
         rig.forget_counts()
         return rig, servers
 
     def after_test(self) -> None:
-        self._end(self._once)
-        self._once = []
+        self._end(self._exclusive)
+        self._exclusive = []
 
     def end(self) -> None:
-        self._end(self._kept.values())
+        self._end(self._shared.values())
 
     @staticmethod
     def _end(made: Iterable[tuple[MysqlRig, Servers]]) -> None:
         for rig, _ in made:
-            rig.sidecar.begin_graceful_shutdown()  # all at once: each goes on for a while
+            rig.sidecar.begin_graceful_shutdown()  # all shutdowns run in parallel, since each takes a while
         for rig, servers in made:
             rig.end()
             servers.end()
@@ -110,14 +110,14 @@
         return cursor.fetchall()
 
 
-def fails(conn: Any, text: str) -> int:
+def error_number(conn: Any, text: str) -> int:
     with pytest.raises(pymysql.err.Error) as caught:
         ask(conn, text)
     return int(caught.value.args[0])
 
 
-def insist(conn: Any, text: str) -> Any:
-    """Ask again as long as it is turned away: the decisions let a node be for a while that was full."""
+def retry_until_accepted(conn: Any, text: str) -> Any:
+    """Repeat a statement until it is accepted; the load balancer avoids a full node for a while."""
     end = time.monotonic() + WAIT
     while True:
         try:
@@ -127,31 +127,33 @@
             assert time.monotonic() < end
 
 
-def on(command: int, text: str, fault: Fault, times: int = 1) -> Callable[[Moment], Fault | None]:
-    """A fault for the first commands of a kind whose text begins so."""
+def fault_on(command: int, text: str, fault: Fault, times: int = 1) -> Callable[[Moment], Fault | None]:
+    """Return a fault injector for the first `times` commands of a type whose text starts with `text`."""
     left = [times]
 
-    def trouble(moment: Moment) -> Fault | None:
+    def inject_fault(moment: Moment) -> Fault | None:
         if moment.command == command and moment.text.lower().startswith(text) and left[0]:
             left[0] -= 1
             return fault
         return None
 
-    return trouble
+    return inject_fault
 
 
-def everywhere(servers: Servers, trouble: Callable[[Moment], Fault | None]) -> None:
-    servers.do(lambda: servers.troubles.__setitem__(slice(None), [trouble] * len(servers.servers)))
+def inject_everywhere(servers: Servers, inject_fault: Callable[[Moment], Fault | None]) -> None:
+    servers.do(
+        lambda: servers.fault_injectors.__setitem__(slice(None), [inject_fault] * len(servers.servers))
+    )
 
 
 class Raw:
-    """A client that says what a test wants, byte by byte."""
+    """A client that sends raw protocol messages."""
 
     def __init__(self, rig: MysqlRig, caps: int = NEW, user: str = "web", password: bytes = b"front") -> None:
         self.sock = socket.create_connection(rig.address, WAIT)
         self.caps = caps
         login = ClientLogin(user, password, caps, 45, database="shop", ask_key=True)
-        while login.step() is not Turn.DONE:
+        while login.step() is not LoginStep.DONE:
             if login.out:
                 self.sock.sendall(login.out)
                 login.out = b""
@@ -163,19 +165,19 @@
         self.reader = PacketReader(1 << 26, seq=1)
 
     def send(self, body: bytes, seq: int = 0) -> None:
-        self.reader.expect(1)
+        self.reader.set_sequence(1)
         self.sock.sendall(frame(body, seq))
 
     def take(self) -> bytes:
-        """The next message."""
+        """Receive the next message."""
         while (message := self.reader.take()) is None:
             data = self.sock.recv(65536)
             assert data, "the connection ended"
             self.reader.feed(data)
         return message
 
-    def whole(self) -> list[bytes]:
-        """The messages of a result, up to its end."""
+    def take_result(self) -> list[bytes]:
+        """Receive the messages of a result up to its end."""
         out = [self.take()]
         while out[0][:1] not in (b"\0", b"\xff") and (len(out) == 1 or out[-1][:1] not in (b"\xfe", b"\xff")):
             out.append(self.take())
@@ -218,20 +220,20 @@
     client.send(b"\x04accounts\0")
     assert [message[:4] for message in (client.take(), client.take())] == [b"\3def"] * 2
     assert client.take()[0] == 0xFE
-    answer = native_answer(b"front", bytes(20))
+    answer = native_response(b"front", bytes(20))
     change = ChangeUser("web", answer, "shop", 45, NATIVE)
     client.send(change.encode(NEW))
     switch = client.take()
     assert switch.startswith(b"\xfe" + NATIVE.encode())
-    client.sock.sendall(frame(native_answer(b"front", parse_auth_switch(switch)[1]), 2))
-    client.reader.expect(3)
+    client.sock.sendall(frame(native_response(b"front", parse_auth_switch(switch)[1]), 2))
+    client.reader.set_sequence(3)
     assert client.take()[0] == 0
     client.send(b"\x03" + ROW.encode())
-    assert len(client.whole()) == 5
+    assert len(client.take_result()) == 5
     client.send(ChangeUser("web", answer, "shop", 45, NATIVE).encode(NEW))
     client.take()
-    client.sock.sendall(frame(native_answer(b"wrong", bytes(20)), 2))
-    client.reader.expect(3)
+    client.sock.sendall(frame(native_response(b"wrong", bytes(20)), 2))
+    client.reader.set_sequence(3)
     assert Err.parse(client.take()).errno == Errno.ACCESS_DENIED
     client.close()
 
@@ -239,9 +241,9 @@
 def test_an_unknown_schema_is_the_clients_own_fault(make: Make) -> None:
     rig, _ = make()
     with pytest.raises(pymysql.err.Error) as caught:
-        connect(rig, database="nowhere")  # told with the first statement, which the driver sends at once
+        connect(rig, database="nowhere")  # the driver sends its first statement at once, which fails
     assert caught.value.args[0] == 1049
-    for at in range(4):  # and counts against no node
+    for at in range(4):  # the failure does not count against a node
         assert ask(connect(rig), f"select {at} from accounts where name = 'n1'") == ((at,),)
 
 
@@ -251,12 +253,12 @@
     logging.getLogger("brambleusher").propagate = True
     client = connect(rig)
     ask(client, "select 'literal-1' from accounts")
-    fails(client, "call p('literal-2')")
-    fails(client, "set password = 'literal-3'")
+    error_number(client, "call p('literal-2')")
+    error_number(client, "set password = 'literal-3'")
     with pytest.raises(pymysql.err.Error):
         connect(rig, password="literal-4")
-    everywhere(servers, on(Command.QUERY, "select 5", Fault("nonsense")))
-    fails(client, "select 5, 'literal-5'")
+    inject_everywhere(servers, fault_on(Command.QUERY, "select 5", Fault("nonsense")))
+    error_number(client, "select 5, 'literal-5'")
     text = caplog.text + str([record.__dict__.get("fields") for record in caplog.records])
     assert "statement assigned" in text
     assert "login refused" in text
@@ -269,7 +271,7 @@
         assert secret not in text
 
 
-# --- ties and moves -----------------------------------------------------------------------------
+# --- pinning ------------------------------------------------------------------------------------
 
 
 def test_reads_move_between_nodes_and_what_is_tied_stays(make: Make) -> None:
@@ -277,17 +279,17 @@
     client = connect(rig)
     for at in range(12):
         ask(client, f"select {at} + 0 from accounts where name = 'n1'")
-    places = {rig.seen(f"select {at} + 0 from accounts where name = 'n1'")[0][0] for at in range(12)}
-    assert places == {0, 1}
+    node_indexes = {rig.seen(f"select {at} + 0 from accounts where name = 'n1'")[0][0] for at in range(12)}
+    assert node_indexes == {0, 1}
     ask(client, "set @a = 5")
     for at in range(6):
         assert ask(client, f"select @a, {at}") == ((5, at),)
     assert len({rig.seen(f"select @a, {at}")[0] for at in range(6)}) == 1
-    Raw_reset(client)
+    reset_connection(client)
     assert ask(client, "select @a") == ((None,),)
 
 
-def Raw_reset(client: Any) -> None:
+def reset_connection(client: Any) -> None:
     client._execute_command(Command.RESET_CONNECTION, b"")
     client._read_ok_packet()
 
@@ -335,7 +337,7 @@
     for _ in range(3):
         ask(other, "select 1 from accounts")
         ask(other, "select 2 from accounts")
-    assert fails(client, "select row_count()") in (Errno.NOT_SUPPORTED_YET,)
+    assert error_number(client, "select row_count()") in (Errno.NOT_SUPPORTED_YET,)
 
 
 def test_prepared_statements_are_prepared_anew(make: Make) -> None:
@@ -361,7 +363,7 @@
         for client in clients:
             client.send(b"\x03" + ROW.encode())
         for client in clients:
-            assert len(client.whole()) == 5
+            assert len(client.take_result()) == 5
     assert max(server.most_open for server in servers.servers) <= 3
     assert rig.count("mysql_waits") > 0
 
@@ -371,16 +373,16 @@
     clients = [connect(rig) for _ in range(4)]
     for client in clients[:2]:
         ask(client, "set @a = 1")
-    assert fails(clients[2], ROW) == Errno.SERVER_ISNT_AVAILABLE
+    assert error_number(clients[2], ROW) == Errno.SERVER_ISNT_AVAILABLE
     assert rig.count("mysql_connections_refused") == 1
-    Raw_reset(clients[0])
-    assert insist(clients[2], ROW) == (("n1", 1000),)
+    reset_connection(clients[0])
+    assert retry_until_accepted(clients[2], ROW) == (("n1", 1000),)
     assert servers.servers[0].refused == 1
     for client in clients:
         client.close()
 
 
-# --- promises -----------------------------------------------------------------------------------
+# --- guarantees ---------------------------------------------------------------------------------
 
 
 def transfer(client: Any, name: str) -> None:
@@ -391,7 +393,7 @@
     client.commit()
 
 
-def done(servers: Servers, name: str) -> int:
+def count_committed(servers: Servers, name: str) -> int:
     return sum(
         name in servers.do(partial(server.database.snapshot, "shop", "transfers"))
         for server in servers.servers
@@ -402,12 +404,12 @@
     rig, servers = make()
     client = connect(rig)
     transfer(client, "a")
-    everywhere(servers, on(Command.QUERY, "commit", Fault("after")))
+    inject_everywhere(servers, fault_on(Command.QUERY, "commit", Fault("after")))
     with pytest.raises(pymysql.err.OperationalError) as caught:
         transfer(client, "b")
     assert caught.value.args[0] == Errno.ERROR_DURING_COMMIT
     assert "unknown" in caught.value.args[1]
-    assert [done(servers, name) for name in "ab"] == [1, 1]
+    assert [count_committed(servers, name) for name in "ab"] == [1, 1]
     assert len(rig.seen("COMMIT")) == 2
     assert ask(connect(rig), ROW)[0][1] in (980, 990, 1000)
 
@@ -416,13 +418,13 @@
 def test_what_breaks_within_a_transaction_is_rolled_back_and_never_sent_again(make: Make, how: str) -> None:
     rig, servers = make()
     client = connect(rig)
-    everywhere(servers, on(Command.QUERY, "update accounts set money = money +", Fault(how)))
+    inject_everywhere(servers, fault_on(Command.QUERY, "update accounts set money = money +", Fault(how)))
     with pytest.raises(pymysql.err.OperationalError) as caught:
         transfer(client, "a")
     assert caught.value.args[0] == Errno.NET_READ
-    assert done(servers, "a") == 0
+    assert count_committed(servers, "a") == 0
     assert len(rig.seen("update accounts set money = money + 10 where name = 'n2'")) == 1
-    with pytest.raises(pymysql.err.Error):  # the session is over: nothing of it runs outside the transaction
+    with pytest.raises(pymysql.err.Error):  # the session has ended, so nothing runs outside the transaction
         ask(client, "select 1")
 
 
@@ -433,14 +435,14 @@
     rig, servers = make()
     client = connect(rig)
     text = "update accounts set money = money - 1 where name = 'n3'"
-    everywhere(servers, on(Command.QUERY, "update", fault))
-    assert fails(client, text) in (
+    inject_everywhere(servers, fault_on(Command.QUERY, "update", fault))
+    assert error_number(client, text) in (
         Errno.ERROR_DURING_COMMIT,
         Errno.MALFORMED_PACKET,
         Errno.NET_PACKETS_OUT_OF_ORDER,
     )
     assert len(rig.seen(text)) == 1
-    assert ask(client, "select 1 from accounts where name = 'n1'") == ((1,),)  # the session goes on
+    assert ask(client, "select 1 from accounts where name = 'n1'") == ((1,),)  # the session continues
 
 
 @pytest.mark.parametrize(
@@ -451,19 +453,19 @@
     make: Make, text: str
 ) -> None:
     rig, servers = make(2)
-    everywhere(servers, on(Command.QUERY, text, Fault("after")))
+    inject_everywhere(servers, fault_on(Command.QUERY, text, Fault("after")))
     client = connect(rig)
     client.begin()
     ask(client, "update accounts set money = money - 1 where name = 'n1'")
-    assert fails(client, text) == Errno.ERROR_DURING_COMMIT
+    assert error_number(client, text) == Errno.ERROR_DURING_COMMIT
     assert len(rig.seen(text)) == 1
 
 
 @pytest.mark.parametrize("text", ["select transfer(1, 2)", "set @a = transfer(1)", "select 1 for update"])
 def test_what_may_call_a_stored_function_is_unknown_when_its_answer_is_lost(make: Make, text: str) -> None:
     rig, servers = make(2)
-    everywhere(servers, on(Command.QUERY, text, Fault("before")))
-    assert fails(connect(rig), text) == Errno.ERROR_DURING_COMMIT
+    inject_everywhere(servers, fault_on(Command.QUERY, text, Fault("before")))
+    assert error_number(connect(rig), text) == Errno.ERROR_DURING_COMMIT
     assert len(rig.seen(text)) == 1
 
 
@@ -471,7 +473,7 @@
     rig, servers = make()
     client = connect(rig)
     for how in ("before", "after"):
-        left = [1]  # of both servers together
+        left = [1]  # one fault in total on both servers
 
         def once(moment: Moment, how: str = how, left: list[int] = left) -> Fault | None:
             if moment.command == Command.QUERY and moment.text == ROW and left[0]:
@@ -479,12 +481,14 @@
                 return Fault(how)
             return None
 
-        everywhere(servers, once)
+        inject_everywhere(servers, once)
         before = len(rig.seen(ROW))
         assert ask(client, ROW) == (("n1", 1000),)
         assert len(rig.seen(ROW)) == before + 2
     big = "select * from generated where n = 50000 and width = 100"
-    everywhere(servers, on(Command.QUERY, "select * from generated", Fault("amid", bytes=200_000), times=9))
+    inject_everywhere(
+        servers, fault_on(Command.QUERY, "select * from generated", Fault("amid", bytes=200_000), times=9)
+    )
     with pytest.raises(pymysql.err.Error):
         ask(client, big)
     assert len(rig.seen(big)) == 1
@@ -493,18 +497,22 @@
 def test_a_result_that_breaks_ends_in_exactly_one_error(make: Make) -> None:
     rig, servers = make()
     for size in (30, 5_000, 150_000):
-        everywhere(servers, on(Command.QUERY, "select * from generated", Fault("amid", bytes=size)))
+        inject_everywhere(
+            servers, fault_on(Command.QUERY, "select * from generated", Fault("amid", bytes=size))
+        )
         client = Raw(rig)
         client.send(b"\x03select * from generated where n = 3000 and width = 90")
-        messages = client.whole()
+        messages = client.take_result()
         assert Err.parse(messages[-1]).errno == Errno.NET_READ
         assert sum(message[:1] == b"\xff" for message in messages) == 1
-        everywhere(servers, lambda moment: None)
-        client.send(b"\x03select 1 from accounts where name = 'n1'")  # an untied session goes on
-        assert client.whole()[0] == b"\x01"
+        inject_everywhere(servers, lambda moment: None)
+        client.send(b"\x03select 1 from accounts where name = 'n1'")  # an unpinned session continues
+        assert client.take_result()[0] == b"\x01"
         client.close()
-    everywhere(servers, on(Command.QUERY, "select * from generated", Fault("amid", bytes=200_000)))
-    client = Raw(rig)  # within a packet of 400 KB: only an end tells
+    inject_everywhere(
+        servers, fault_on(Command.QUERY, "select * from generated", Fault("amid", bytes=200_000))
+    )
+    client = Raw(rig)  # a fault within a packet of 400 KB can only be signalled by closing the connection
     client.send(b"\x03select * from generated where n = 1 and width = 400000")
     got = 0
     while data := client.sock.recv(65536):
@@ -516,11 +524,12 @@
     rig, servers = make(1)
     client = connect(rig)
     text = "/* brambleusher: deadline_ms=150 */ select sleep(30)"
-    assert fails(client, text) == Errno.ERROR_DURING_COMMIT  # it is no plain read: it may have done anything
+    # The statement is not a plain read, so it may have had effects.
+    assert error_number(client, text) == Errno.ERROR_DURING_COMMIT
     rig.until(lambda: rig.count("mysql_kills") >= 1)
     until_idle(servers)
     ask(client, "/* brambleusher: deadline_ms=200 */ begin")
-    assert fails(client, "select sleep(60)") in (Errno.QUERY_TIMEOUT, Errno.NET_READ)
+    assert error_number(client, "select sleep(60)") in (Errno.QUERY_TIMEOUT, Errno.NET_READ)
 
 
 def until_idle(servers: Servers) -> None:
@@ -546,10 +555,10 @@
     ask(killer, f"kill query {client.thread}")
     assert client.error().errno == Errno.QUERY_INTERRUPTED
     client.send(b"\x03select 7")
-    assert client.whole()[0] == b"\x01"
-    assert fails(killer, "kill 999999") == Errno.NO_SUCH_THREAD
+    assert client.take_result()[0] == b"\x01"
+    assert error_number(killer, "kill 999999") == Errno.NO_SUCH_THREAD
     stranger = connect(rig, user="sha", password="front-sha")
-    assert fails(stranger, f"kill {client.thread}") == Errno.KILL_DENIED
+    assert error_number(stranger, f"kill {client.thread}") == Errno.KILL_DENIED
     ask(killer, f"kill {client.thread}")
     client.sock.settimeout(WAIT)
     while client.sock.recv(65536):
@@ -558,24 +567,26 @@
 
 def test_a_drain_lets_the_untied_go_and_gives_the_tied_their_grace(make: Make) -> None:
     rig, servers = make(2, "  grace_ms: {move: 200, look: 200}\n  drain_spread_ms: 100\n", once=True)
-    free, tied, busy = connect(rig), connect(rig), connect(rig)
-    for client in (tied, busy):
+    free, pinned, busy = connect(rig), connect(rig), connect(rig)
+    for client in (pinned, busy):
         client.begin()
         ask(client, "select connection_id(), 1")
-    places = [server.name for server in servers.servers]
+    node_names = [server.name for server in servers.servers]
     rig.discovery.push(
-        Discovery.text([rig.entry(places[0], "Terminating"), rig.entry(places[1], "Terminating")], version=9)
+        Discovery.text(
+            [rig.entry(node_names[0], "Terminating"), rig.entry(node_names[1], "Terminating")], version=9
+        )
     )
     rig.until(lambda: rig.count("lists_taken") >= 2)
     rig.until(lambda: rig.count("mysql_drained") >= 2)
-    assert fails(tied, "select 1") == Errno.SERVER_SHUTDOWN
-    with pytest.raises(pymysql.err.Error):  # told once, and over
-        ask(tied, "select 1")
-    assert fails(busy, "commit") == Errno.SERVER_SHUTDOWN
-    assert fails(free, ROW) == Errno.SERVER_ISNT_AVAILABLE
-    rig.discovery.push(Discovery.text([rig.entry(places[1])], version=10))
+    assert error_number(pinned, "select 1") == Errno.SERVER_SHUTDOWN
+    with pytest.raises(pymysql.err.Error):  # the session has ended after its one error
+        ask(pinned, "select 1")
+    assert error_number(busy, "commit") == Errno.SERVER_SHUTDOWN
+    assert error_number(free, ROW) == Errno.SERVER_ISNT_AVAILABLE
+    rig.discovery.push(Discovery.text([rig.entry(node_names[1])], version=10))
     rig.until(lambda: rig.count("lists_taken") >= 3)
-    assert insist(free, ROW) == (("n1", 1000),)
+    assert retry_until_accepted(free, ROW) == (("n1", 1000),)
     assert servers.do(lambda: len(servers.servers[0].peers)) == 0
 
 
@@ -590,57 +601,58 @@
     soft = connect(rig)
     ask(soft, "select sql_calc_found_rows 1")
     waiting = Raw(rig)
-    everywhere(servers, on(Command.QUERY, "set @late", Fault("late", seconds=0.3)))
+    inject_everywhere(servers, fault_on(Command.QUERY, "set @late", Fault("late", seconds=0.3)))
     waiting.send(b"\x03set @late = 1")
     while not rig.seen("set @late = 1"):
         pass
     entry = rig.entry(servers.servers[0].name, "Terminating")
     rig.discovery.push(Discovery.text([entry], version=9))
     rig.until(lambda: rig.count("lists_taken") >= 2)
-    assert fails(soft, "select 1") == Errno.SERVER_ISNT_AVAILABLE  # it may go elsewhere: there is no other
-    # What ties `kept` and `waiting` is no request: they end within the time of the drain, not the grace.
+    # The session `soft` drops its pins and may move, but there is no other node.
+    assert error_number(soft, "select 1") == Errno.SERVER_ISNT_AVAILABLE
+    # `kept` and `waiting` have no open request, so they end within the drain time despite their grace period.
     rig.until(lambda: rig.count("mysql_drained") >= 2)
-    assert fails(kept, "select 1") == Errno.SERVER_SHUTDOWN
+    assert error_number(kept, "select 1") == Errno.SERVER_SHUTDOWN
     assert waiting.take()[:1] == b"\0"
     waiting.send(b"\x03select 1")
     assert waiting.error().errno == Errno.SERVER_SHUTDOWN
     node = rig.sidecar.mysql.nodes._nodes[entry["id"]]  # type: ignore[union-attr]
-    rig.until(lambda: rig.sidecar.scheduler.now() > node.left_at + 0.5)
-    assert fails(again, "begin") == Errno.SERVER_SHUTDOWN
-    assert fails(several, "commit; begin; select 1") == Errno.SERVER_SHUTDOWN
+    rig.until(lambda: rig.sidecar.scheduler.now() > node.drain_started_at + 0.5)
+    assert error_number(again, "begin") == Errno.SERVER_SHUTDOWN
+    assert error_number(several, "commit; begin; select 1") == Errno.SERVER_SHUTDOWN
     ask(chained, "commit and chain")
-    assert fails(chained, "select 1") == Errno.SERVER_SHUTDOWN
-    ask(opened, "update accounts set money = 7 where name = 'n2'")  # the rest of a request
+    assert error_number(chained, "select 1") == Errno.SERVER_SHUTDOWN
+    ask(opened, "update accounts set money = 7 where name = 'n2'")  # belongs to a request that is still open
     opened.commit()
     assert not rig.seen("commit; begin; select 1")
 
 
 def test_a_grace_does_not_begin_anew_with_each_list(make: Make) -> None:
     rig, servers = make(1, "  grace_ms: {move: 300}\n  drain_spread_ms: 0\n", once=True)
-    tied = connect(rig)
-    tied.begin()
-    ask(tied, "select connection_id(), 1")
+    pinned = connect(rig)
+    pinned.begin()
+    ask(pinned, "select connection_id(), 1")
     entry, version, end = rig.entry(servers.servers[0].name, "Terminating"), 8, time.monotonic() + WAIT
     while not rig.count("mysql_drained"):
         assert time.monotonic() < end
         version += 1
         rig.discovery.push(Discovery.text([entry], version=version))
         rig.until(lambda: rig.count("lists_taken") >= version - 7 or bool(rig.count("mysql_drained")))  # noqa: B023
-    assert fails(tied, "commit") == Errno.SERVER_SHUTDOWN
+    assert error_number(pinned, "commit") == Errno.SERVER_SHUTDOWN
 
 
 def test_an_end_waits_for_the_tied_within_their_grace(make: Make) -> None:
     rig, _ = make(1, "  grace_ms: {move: 300}\n  drain_spread_ms: 0\n", once=True)
-    free, tied = Raw(rig), connect(rig)
-    tied.begin()
+    free, pinned = Raw(rig), connect(rig)
+    pinned.begin()
     rig.sidecar.begin_graceful_shutdown()
     rig.until(lambda: rig.sidecar.lifecycle.is_drained)
-    tied.commit()
+    pinned.commit()
     message = free.sock.recv(65536)
     assert Err.parse(message[4:]).errno == Errno.SERVER_SHUTDOWN
 
 
-# --- nodes that speak nonsense ------------------------------------------------------------------
+# --- faulty nodes -------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
@@ -648,7 +660,9 @@
 )
 def test_a_node_that_greets_badly_is_passed_over(make: Make, fault: Fault) -> None:
     rig, servers = make()
-    servers.do(lambda: servers.troubles.__setitem__(0, lambda moment: fault if moment.command < 0 else None))
+    servers.do(
+        lambda: servers.fault_injectors.__setitem__(0, lambda moment: fault if moment.command < 0 else None)
+    )
     client = connect(rig)
     for at in range(4):
         assert ask(client, f"select {at} from accounts where name = 'n1'") == ((at,),)
@@ -656,7 +670,7 @@
 
 def test_no_node_at_all_is_a_refusal(make: Make) -> None:
     rig, servers = make(once=True)
-    everywhere(servers, lambda moment: Fault("before") if moment.command < 0 else None)
+    inject_everywhere(servers, lambda moment: Fault("before") if moment.command < 0 else None)
     with pytest.raises(pymysql.err.Error) as caught:
         ask(connect(rig), ROW)
     assert caught.value.args[0] == Errno.SERVER_ISNT_AVAILABLE
@@ -683,7 +697,7 @@
 def test_bad_packets_end_in_one_error_and_harm_nobody(
     make: Make, name: str, data: bytes, errno: int, state: str
 ) -> None:
-    rig, _ = make(1, kept_for="bad input")
+    rig, _ = make(1, shared_key="bad input")
     client, other = Raw(rig), connect(rig)
     client.sock.sendall(data)
     reader, got = PacketReader(1 << 20, seq=1 + len(data) // 0x1000000), b""
@@ -698,9 +712,9 @@
 @pytest.mark.parametrize(
     ("body", "errno"),
     [
-        (b"\x07\x01", Errno.UNKNOWN_COM),  # refresh
-        (b"\x08", Errno.UNKNOWN_COM),  # shutdown
-        (b"\x12" + bytes(10), Errno.UNKNOWN_COM),  # binlog dump
+        (b"\x07\x01", Errno.UNKNOWN_COM),  # COM_REFRESH
+        (b"\x08", Errno.UNKNOWN_COM),  # COM_SHUTDOWN
+        (b"\x12" + bytes(10), Errno.UNKNOWN_COM),  # COM_BINLOG_DUMP
         (b"\x17" + b"\x63\0\0\0" + bytes(5), Errno.UNKNOWN_STMT_HANDLER),
         (b"\x1c" + b"\x63\0\0\0" + bytes(4), Errno.UNKNOWN_STMT_HANDLER),
         (b"\x03load data local infile '/etc/passwd' into table t", Errno.CLIENT_LOCAL_FILES_DISABLED),
@@ -712,7 +726,7 @@
 def test_what_is_not_supported_is_one_error_and_the_session_goes_on(
     make: Make, body: bytes, errno: int
 ) -> None:
-    rig, _ = make(1, kept_for="bad input")
+    rig, _ = make(1, shared_key="bad input")
     client = Raw(rig)
     client.send(body)
     assert client.error().errno == errno
@@ -732,7 +746,7 @@
             frame(Login(caps, "web", b"").encode().replace(b"web", b"\xff\xff\xff"), 1),
             Errno.INVALID_CHARACTER_STRING,
         ),
-        (b"\x20\0\0\x01abc", Errno.NET_READ_INTERRUPTED),  # a login that never ends
+        (b"\x20\0\0\x01abc", Errno.NET_READ_INTERRUPTED),  # an incomplete login packet
         (b"", Errno.NET_READ_INTERRUPTED),
     ):
         sock = socket.create_connection(rig.address, WAIT)
@@ -743,7 +757,7 @@
         greeting = int.from_bytes(got[:3], "little") + 4
         assert Err.parse(got[greeting + 4 :]).errno == errno
         sock.close()
-    rig.until(lambda: rig.sidecar.mysql is not None and not rig.sidecar.mysql.front.connections)
+    rig.until(lambda: rig.sidecar.mysql is not None and not rig.sidecar.mysql.front.session_count)
     held = [socket.create_connection(rig.address, WAIT) for _ in range(4)]
     firsts = [sock.recv(65536)[4] for sock in held]
     assert sorted(firsts) == [10, 10, 10, 0xFF]
@@ -784,7 +798,7 @@
 @pytest.mark.parametrize("server", [OLD_SERVER, CAPABILITIES])
 @pytest.mark.parametrize("caps", [NEW, NEW & ~Capability.DEPRECATE_EOF])
 def test_cursors_long_data_and_resets(make: Make, server: int, caps: int) -> None:
-    rig, _ = make(2, kept_for="cursors", capabilities=server)
+    rig, _ = make(2, shared_key="cursors", capabilities=server)
     client, new = Raw(rig, caps), bool(caps & Capability.DEPRECATE_EOF)
     many = prepare(client, "select id, pad from generated where n = 5 and width = 3")
     length = prepare(client, "select length(?)")
@@ -809,7 +823,7 @@
         return len(out) - 1, status & (Status.CURSOR_EXISTS | Status.LAST_ROW_SENT)
 
     opened = execute(many.statement, 1)
-    assert len(opened) == 4  # the count, two columns, one end: no rows yet
+    assert len(opened) == 4  # the column count, two columns and one end packet, but no rows yet
     for rows, status in ((2, Status.CURSOR_EXISTS), (2, Status.CURSOR_EXISTS), (1, Status.LAST_ROW_SENT)):
         assert fetch(many.statement, 2) == (rows, status)
     assert fetch(many.statement, 2) == (-1, 1421)
@@ -817,12 +831,12 @@
     client.send(b"\x1a" + struct.pack("<I", many.statement))
     assert client.take()[0] == 0
     assert fetch(many.statement, 2) == (-1, 1421)
-    assert not session_of(rig, client).tied
+    assert not session_of(rig, client).pinned
     for part in (b"abc", b"defg"):
         client.send(b"\x18" + struct.pack("<IH", length.statement, 0) + part)
     parameter = b"\0\1\xfc\0"
     assert any(message.endswith(struct.pack("<q", 7)) for message in execute(length.statement, 0, parameter))
-    again = execute(length.statement, 0, b"\0\0\x02zz")  # the types of before, and no long data any more
+    again = execute(length.statement, 0, b"\0\0\x02zz")  # reuses the types; the long data is gone
     assert any(message.endswith(struct.pack("<q", 2)) for message in again)
     client.send(b"\x19" + struct.pack("<I", length.statement))
     client.send(b"\x17" + struct.pack("<IBI", length.statement, 0, 1) + parameter)
@@ -837,16 +851,16 @@
 
 @pytest.mark.parametrize("server", [OLD_SERVER, CAPABILITIES])
 def test_session_state_is_told_to_clients_that_track_it(make: Make, server: int) -> None:
-    rig, _ = make(1, kept_for="tracking", capabilities=server)
+    rig, _ = make(1, shared_key="tracking", capabilities=server)
     for caps in (NEW, NEW | int(Capability.SESSION_TRACK)):
         client = Raw(rig, caps)
         client.send(b"\x02shop")
         ok = Ok.parse(client.take(), caps)
         tracked = bool(caps & server & Capability.SESSION_TRACK)
-        assert (parse_state(ok.state) == [(Track.SCHEMA, (b"shop",))]) is tracked
+        assert (parse_session_changes(ok.session_changes) == [(SessionChange.SCHEMA, (b"shop",))]) is tracked
         assert bool(ok.status & Status.SESSION_STATE_CHANGED) is tracked
         client.send(b"\x03" + ROW.encode())
-        assert len(client.whole()) == 5
+        assert len(client.take_result()) == 5
         client.close()
 
 
@@ -854,11 +868,11 @@
     rig, servers = make(1, more="  connections: 1\n  pool_wait_ms: 100\n")
     holder, other = connect(rig), connect(rig)
     ask(holder, "set @a = 1")
-    assert fails(other, ROW) == Errno.SERVER_ISNT_AVAILABLE
+    assert error_number(other, ROW) == Errno.SERVER_ISNT_AVAILABLE
     assert rig.count("connections_lacking") == 1
     assert ask(holder, "select @a") == ((1,),)
     holder.close()
-    assert insist(other, ROW) == (("n1", 1000),)
+    assert retry_until_accepted(other, ROW) == (("n1", 1000),)
     assert servers.servers[0].most_open == 1
 
 
@@ -875,13 +889,13 @@
     assert answers.count(refused) < 6
     for client in clients:
         client.close()
-    rig.until(lambda: rig.sidecar.mysql is not None and not rig.sidecar.mysql.front.connections)
+    rig.until(lambda: rig.sidecar.mysql is not None and not rig.sidecar.mysql.front.session_count)
     assert rig.sidecar.mysql is not None
     assert rig.sidecar.mysql.front._memory_left == 1024 * 1024
 
 
 def test_a_client_that_sends_ahead_is_read_within_bounds_and_answered_in_turn(make: Make) -> None:
-    rig, _ = make(1, kept_for="sending ahead")
+    rig, _ = make(1, shared_key="sending ahead")
     client, count = Raw(rig), 60
     text = b"\x03select 1 /* " + b"x" * 10_000 + b" */"
     client.send(b"\x03begin")
@@ -897,9 +911,9 @@
     for _ in range(20):
         most = max(most, rig.do(lambda: mysql.front._clients[client.thread].reader.buffered))
     assert most < 256 * 1024
-    assert len(client.whole()) == 4
+    assert len(client.take_result()) == 4
     for _ in range(count):
-        client.reader.expect(1)
-        assert client.whole()[0] == b"\x01"
+        client.reader.set_sequence(1)
+        assert client.take_result()[0] == b"\x01"
     ahead.join()
     client.close()
--- a/tests/fronts/mysql/test_mysql_replay.py
+++ b/tests/fronts/mysql/test_mysql_replay.py
@@ -1,14 +1,14 @@
-"""A fixed few of the fault schedules, and breakages that they must find."""
+"""Runs a few fault schedules with fixed seeds, and checks that they detect deliberate defects."""
 
 from __future__ import annotations
 
 import pytest
 
-from brambleusher.fronts.mysql.load import Meter
+from brambleusher.fronts.mysql.load import LoadMeter
 from brambleusher.lab.mysql.replay import BREAKAGES, main, run_seed
 from brambleusher.loadbalancing.api import LoadReport
 
-MOST_SEEDS = 40  # within which each breakage is found where every eighth command is struck
+MAX_SEEDS = 40  # seeds within which each breakage must be found, with a fault in every eighth command
 
 
 @pytest.mark.parametrize("seed", range(8))
@@ -26,10 +26,10 @@
 
 @pytest.mark.parametrize("name", list(BREAKAGES))
 def test_each_breakage_is_found(name: str) -> None:
-    seed = next((seed for seed in range(MOST_SEEDS) if run_seed(seed, name, dense=True).breaches), None)
-    assert seed is not None, f"{name} is not found within {MOST_SEEDS} seeds"
+    seed = next((seed for seed in range(MAX_SEEDS) if run_seed(seed, name, dense=True).breaches), None)
+    assert seed is not None, f"{name} is not found within {MAX_SEEDS} seeds"
     replay = f"python -m brambleusher.lab.mysql.replay --dense --replay {seed}"
-    assert run_seed(seed, dense=True).breaches == [], replay  # it is the breakage that was found
+    assert run_seed(seed, dense=True).breaches == [], replay  # the same run without the breakage passes
 
 
 def test_the_command(capsys: pytest.CaptureFixture[str]) -> None:
@@ -43,8 +43,8 @@
 
 
 def test_a_nodes_load_as_it_looks_from_here() -> None:
-    meter, now = Meter(0.5), 100.0
-    for _ in range(1000):  # four at once, each 20 ms: 200 a second
+    meter, now = LoadMeter(0.5), 100.0
+    for _ in range(1000):  # four concurrent statements of 20 ms each, hence 200 per second
         for _ in range(4):
             meter.begin(now)
         now += 0.02
@@ -60,4 +60,4 @@
     later = meter.report(now + 20, 8)
     assert later.utilisation == pytest.approx(1 / 8, rel=0.05)
     assert later.throughput == pytest.approx(0, abs=0.01)
-    assert Meter(0.5).report(5.0, 8) == LoadReport(0.0, 0.0)
+    assert LoadMeter(0.5).report(5.0, 8) == LoadReport(0.0, 0.0)
--- a/tests/fronts/mysql/test_mysql_settings.py
+++ b/tests/fronts/mysql/test_mysql_settings.py
@@ -1,4 +1,4 @@
-"""The `mysql:` section and its files, the mapping to requests, and what is loaded while it is off."""
+"""Tests of the `mysql:` section, its files, the mapping to requests, and lazy loading of the packages."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import pytest
 
 from brambleusher.fronts.mysql.constants import NATIVE
-from brambleusher.fronts.mysql.mapping import Mapping
+from brambleusher.fronts.mysql.mapping import RequestMapper
 from brambleusher.fronts.mysql.settings import (
     check_against,
     load_accounts,
@@ -18,7 +18,7 @@
     load_users,
     parse_mysql,
 )
-from brambleusher.fronts.mysql.statements import Statements
+from brambleusher.fronts.mysql.statements import StatementClassifier
 from brambleusher.loadbalancing import api
 from brambleusher.operator_settings.configuration import parse_operator_file
 from brambleusher.operator_settings.section import OperatorFileError
@@ -48,7 +48,7 @@
         ({"port": 0}, "mysql.port is not a whole number from 1 to 65535"),
         ({"addresses": {"h0": "x"}}, "mysql.addresses.h0: 'x' is not host:port"),
         ({"users": {"web": {"clas": "look"}}}, "mysql.users.web.clas is unknown"),
-        ({"users": [1]}, "mysql.users is not a mapping of at most 10000"),
+        ({"users": [1]}, "mysql.users is not a mapping with a size of at most 10000"),
         ({"statements": [{"text": "select 1"}]}, "mysql.statements[0] needs text and class"),
         ({"statements": [{"text": "select 'x", "class": "look"}]}, "mysql.statements[0].text can't be read"),
         ({"tls": {"mode": "required"}}, "mysql.tls needs cert_file and key_file"),
@@ -75,12 +75,12 @@
 @pytest.mark.parametrize(
     ("change", "words"),
     [
-        ({"strict_class": "look"}, "mysql.strict_class: look may be repeated"),
-        ({"strict_class": "no"}, "mysql.strict_class: there is no class no"),
-        ({"default_class": "keyed"}, "mysql.default_class: keyed is repeated by a key"),
-        ({"users": {"web": {"tenant": "no"}}}, "mysql.users.web.tenant: there is no tenant no"),
+        ({"strict_class": "look"}, "mysql.strict_class: class look allows retries"),
+        ({"strict_class": "no"}, "mysql.strict_class: unknown class no"),
+        ({"default_class": "keyed"}, "mysql.default_class: class keyed needs idempotency keys"),
+        ({"users": {"web": {"tenant": "no"}}}, "mysql.users.web.tenant: unknown tenant no"),
         ({"tenant": None}, "mysql.tenant is missing"),
-        ({"grace_ms": {"no": 5}}, "mysql.grace_ms.no: there is no class no"),
+        ({"grace_ms": {"no": 5}}, "mysql.grace_ms.no: unknown class no"),
     ],
 )
 def test_it_must_fit_the_platform(change: dict[str, Any], words: str) -> None:
@@ -96,14 +96,14 @@
     users, accounts = tmp_path / "users", tmp_path / "accounts"
     users.write_text(f"# names\n\nweb {NATIVE} *{'AB' * 20}\n")
     accounts.write_text("web\tse cret\nempty\n")
-    assert load_users(str(users))["web"].native == bytes.fromhex("AB" * 20)
+    assert load_users(str(users))["web"].double_sha1 == bytes.fromhex("AB" * 20)
     passwords = load_accounts(str(accounts))
     assert (passwords.of("web"), passwords.of("empty")) == (b"se cret", b"")
     assert "cret" not in repr(passwords) + str(vars(passwords).keys())
     for text, words in (
         ("web\n", "line 1 is not a name, a plugin and a hash"),
         (f"web {NATIVE} *zz\n", "line 1: the hash is not"),
-        (f"a {NATIVE} -\na {NATIVE} -\n", "line 2 has a for the second time"),
+        (f"a {NATIVE} -\na {NATIVE} -\n", "line 2 defines a a second time"),
         ("web old -\n", "line 1: 'old'"),
     ):
         users.write_text(text)
@@ -128,10 +128,10 @@
         "users": {"web": {"class": "move", "tenant": "peach", "deadline_ms": 700}},
         "statements": [{"text": "select * from listings where id = 1", "class": "look", "deadline_ms": 300}],
     })  # fmt: skip
-    mapping, told = Mapping(given, PLATFORM), Statements()
+    mapping, classifier = RequestMapper(given, PLATFORM), StatementClassifier()
 
     def assign(text: str, user: str = "other", transaction: bool = False) -> tuple[Any, ...]:
-        out = mapping.assign(told.tell(text.encode()), user, transaction)
+        out = mapping.assign(classifier.classify(text.encode()), user, transaction)
         return out.request_class, out.tenant, out.deadline_ms, out.work_us, out.reason
 
     assert assign("select 1") == ("look", "acme", 2000, None, "default")
@@ -139,16 +139,21 @@
     assert assign("SELECT * FROM listings WHERE id=77", "web") == ("look", "peach", 300, None, "digest")
     hint = "/* brambleusher: class=look tenant=acme deadline_ms=50 work_us=9 */ "
     assert assign(hint + "select 1", "web") == ("look", "acme", 50, 9, "hint")
-    # Whatever is said: only a plain read is ever given a class that is repeated.
+    # Only a plain read may get a class whose requests are retried, whatever hints and rules say.
     assert assign(hint + "delete from t")[0] == "move"
     assert assign("select get_lock('a', 1)") == (
-        "move", "acme", 3000, None, "default says look, but it is no plain read",
+        "move", "acme", 3000, None, "default selects look, but the statement is not a plain read",
     )  # fmt: skip
     assert assign("begin", transaction=True)[0] == "move"
-    assert assign("call p()")[4] == "unknown: call is not told apart"
+    assert assign("call p()")[4] == "unknown: call is not a known statement"
     assert assign("/* brambleusher: class=keyed tenant=no */ select 1")[:2] == ("look", "acme")
-    first = mapping.assign(told.tell(b"select 1"), "other")
-    assert [mapping.news(told.tell(b"select 1"), "other", first) for _ in range(2)] == [True, False]
+    first = mapping.assign(classifier.classify(b"select 1"), "other")
+    assert [
+        mapping.is_new_assignment(classifier.classify(b"select 1"), "other", first) for _ in range(2)
+    ] == [
+        True,
+        False,
+    ]
 
 
 def test_sessions_that_do_not_fit_stop_the_start(tmp_path: Path) -> None:
