--- a/brambleusher/lab/__init__.py
+++ b/brambleusher/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The lab: stand-ins for everything round the sidecar, virtual worlds, fault plans and experiments."""
+"""Test lab: simulated services around the sidecar, virtual-time worlds, fault plans and experiments."""
--- a/brambleusher/lab/checker/__init__.py
+++ b/brambleusher/lab/checker/__init__.py
@@ -1,7 +1,7 @@
-"""The independent checker: its own books, kept from the bytes on the virtual wire.
+"""Independent checker that records a run from the bytes on the virtual wire and reports broken rules.
 
-It shares no code with the program: requests, answers, lists and load reports are read by its own readers.
-Only `rerun` calls the program, since what it checks is the program's own replay.
+The checker shares no code with the program: its own parsers read requests, responses, endpoint lists and load
+reports. Only `rerun` calls the program, because it checks the program's own replay.
 """
 
 from brambleusher.lab.checker.books import Breach, Execution, Wire
--- a/brambleusher/lab/checker/books.py
+++ b/brambleusher/lab/checker/books.py
@@ -1,4 +1,4 @@
-"""What the checker writes down: sidecars, connections, requests, attempts, breaches."""
+"""Records that the checker keeps: sidecar processes, connections, requests, attempts and breaches."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from brambleusher.lab.checker.roster import Known, Roster, Told
 
 Address = tuple[str, int]
-Line = tuple[int, str]  # of a time line: nanoseconds, and what happened
+Line = tuple[int, str]  # entry of a timeline: the time in nanoseconds and a description of the event
 
 
 class Named(Protocol):
-    """What has a name."""
+    """An object that has a name."""
 
     @property
     def name(self) -> str:
-        """It."""
+        """The object's name."""
 
 
 class End(Protocol):
@@ -31,33 +31,34 @@
 
     @property
     def ip(self) -> str:
-        """Its address."""
+        """The IP address of this end."""
 
     @property
     def port(self) -> int:
-        """Its port."""
+        """The TCP port of this end."""
 
 
 class Wire(Protocol):
-    """A connection as the taps name it."""
+    """A connection as the world's taps report it."""
 
     @property
     def id(self) -> int:
-        """Its number."""
+        """The connection's number."""
 
     @property
     def client(self) -> End:
-        """Who opened it."""
+        """The end that opened the connection."""
 
     @property
     def server(self) -> End:
-        """Who listens."""
+        """The end that listens for connections."""
 
 
 class Execution(Protocol):
-    """A request that came whole to a stand-in node: one line of the nodes' common book.
+    """A complete request received by a simulated node: one entry of the log that all nodes share.
 
-    Written when it comes; `began_ns` and `answer` are filled in when it is begun (0: never) and made.
+    The node adds the entry when the request arrives, sets `began_ns` when work on it begins (0 until then)
+    and sets `answer` when the response body has been made.
     """
 
     @property
@@ -70,19 +71,19 @@
 
     @property
     def process(self) -> int:
-        """Which process under that id, counted from 0."""
+        """The index of the process among those that ran under the node's id, from 0."""
 
     @property
     def work_s(self) -> float:
-        """What it costs, in seconds of a standard core."""
+        """The request's cost, in seconds of a standard core."""
 
     @property
     def came_ns(self) -> int:
-        """When it came."""
+        """The time of the request's arrival, in nanoseconds."""
 
     @property
     def began_ns(self) -> int:
-        """When work on it began; 0 before, and if it never does."""
+        """The time at which work on the request began, in nanoseconds; 0 if work has not begun."""
 
     @property
     def cold(self) -> bool:
@@ -90,16 +91,16 @@
 
     @property
     def capacity(self) -> float:
-        """What the node could do when it came, in seconds of a standard core a second."""
+        """The node's capacity when the request arrived, in seconds of a standard core per second."""
 
     @property
     def answer(self) -> bytes:
-        """The body made for it; empty before."""
+        """The response body made for the request; empty until the body has been made."""
 
 
 @dataclass(frozen=True, slots=True)
 class Breach:
-    """One rule broken once."""
+    """One violation of one rule."""
 
     rule: str
     at_ns: int
@@ -108,51 +109,54 @@
     trail: tuple[Line, ...] = ()
 
     def __str__(self) -> str:
-        """All of it, for people."""
+        """Format the breach and its timeline as readable text, one line per event."""
         lines = [f"{self.at_ns / 1e9:.9f} {self.rule}: {self.who}: {self.what}"]
         return "\n".join([*lines, *(f"    {at / 1e9:.9f} {text}" for at, text in self.trail)])
 
 
 @dataclass(eq=False, slots=True)
 class Life:
-    """One process of a sidecar, from its start to its end."""
+    """One process of a sidecar, from its start to its exit."""
 
     machine: str
     name: str
     listen: Address
     started_ns: int
     roster: Roster = field(default_factory=Roster)
-    versions: dict[Address, set[int]] = field(default_factory=dict)  # by discovery: those that it told
+    # List versions that each discovery server has sent, by the server's address.
+    versions: dict[Address, set[int]] = field(default_factory=dict)
     trail: deque[Line] = field(default_factory=lambda: deque(maxlen=64))
     term_ns: int = -1
     reload_ns: int = -1
-    starved_ns: int = -1  # since when too few descriptors are left to accept with
-    fed_ns: int = -1  # when that ended last
-    paused_ns: int = -1  # since when its process is stopped
-    woken_ns: int = -1  # when it went on last
+    starved_ns: int = -1  # start of the current shortage of descriptors for accept(); -1 without a shortage
+    fed_ns: int = -1  # end of the last shortage of descriptors
+    paused_ns: int = -1  # time at which the process was stopped; -1 while the process runs
+    woken_ns: int = -1  # time at which the process last resumed after a stop
     over: bool = False
-    watches: int = 0  # open
-    asked_ns: int = 0  # the last call, or the end of the last watch
+    watches: int = 0  # number of open watches on discovery
+    asked_ns: int = 0  # time of the last request to discovery or of the end of the last watch
     ask_failed: bool = False
-    open: dict[Taking, None] = field(default_factory=dict)  # requests that are owed an answer
-    asked_out: dict[str, int] = field(default_factory=dict)  # nodes that operators called out, since when
-    banned: dict[str, int] = field(default_factory=dict)  # those of them that it said yes to, since when
-    called_out: bool = False  # operators want it out of service
-    out_ns: int = -1  # since when it has said that it is
-    back_ns: int = -1  # when it was called back last
+    open: dict[Taking, None] = field(default_factory=dict)  # requests that still need an answer
+    # Nodes that operators asked to take offline, with the time of the call.
+    asked_out: dict[str, int] = field(default_factory=dict)
+    # Nodes whose offline call the sidecar has acknowledged, with the time of the acknowledgement.
+    banned: dict[str, int] = field(default_factory=dict)
+    called_out: bool = False  # whether operators have called the sidecar out of service
+    out_ns: int = -1  # time at which the sidecar acknowledged that it is out of service; -1 in service
+    back_ns: int = -1  # time of the last call back into service
 
     def was_starved(self, since: int) -> bool:
-        """Whether descriptors were lacking at some time after a moment."""
+        """Tell whether descriptors were short at any time from `since` on."""
         return self.starved_ns >= 0 or self.fed_ns >= since
 
     def say(self, now: int, text: str) -> None:
-        """One more line."""
+        """Append an event to the timeline."""
         self.trail.append((now, text))
 
 
 @dataclass(eq=False, slots=True)
 class Process:
-    """One process of an endpoint, at one of its addresses."""
+    """One process of a node, at one of the node's addresses."""
 
     node: str
     address: Address
@@ -161,54 +165,54 @@
 
 @dataclass(eq=False, slots=True)
 class Taking:
-    """A request on a client's connection."""
+    """A request on a client's connection to a sidecar."""
 
     life: Life
     wire: Submission
     message: Message
     name: str  # the request's id
     effect: str
-    fault: str | None  # why it can't be used
+    fault: str | None  # reason why the request is invalid; None for a valid request
     wait_ns: int = 0
-    sent_ns: int = 0  # its last byte was written
-    taken_ns: int = -1  # and had arrived
+    sent_ns: int = 0  # time at which the client wrote the last byte
+    taken_ns: int = -1  # time at which the last byte reached the sidecar; -1 until then
     due_ns: int = -1
-    settled: str = ""  # why no answer is owed any more
-    left_ns: int = -1  # its client's end could be seen, read or not
-    status: int = 0  # of its answer, once that is sent whole
-    answered_ns: int = -1  # once it has arrived whole
-    behind: bool = False  # it was written before the one ahead of it was answered
+    settled: str = ""  # reason why the request needs no answer any more; empty while it needs one
+    left_ns: int = -1  # time from which the sidecar could see that the client had closed; -1 until then
+    status: int = 0  # status of the answer; 0 until the sidecar has sent the whole answer
+    answered_ns: int = -1  # time at which the whole answer reached the client; -1 until then
+    behind: bool = False  # whether the client pipelined the request behind an unanswered one
     attempts: list[Attempt] = field(default_factory=list)
     trail: list[Line] = field(default_factory=list)
 
     @property
     def owed(self) -> bool:
-        """Whether it still has no answer, and nothing excuses that."""
+        """Whether the request has arrived, has no answer and has no excuse for the missing answer."""
         return self.taken_ns >= 0 and not self.settled and not self.status
 
 
 @dataclass(eq=False, slots=True)
 class Attempt:
-    """A request on its way on a connection to a node."""
+    """A request that a sidecar sends on a connection to a node."""
 
     wire: Passage
     first_ns: int
     taking: Taking | None = None
-    written_ns: int = -1  # its last byte was handed over
-    status: int = 0  # of its answer, once read whole
-    proven: bool = False  # by the answer: it never ran
-    report: tuple[float | None, float | None] | None = None  # the load report in it
+    written_ns: int = -1  # time at which the sidecar wrote the last byte; -1 until then
+    status: int = 0  # status of the node's answer; 0 until the sidecar has read the whole answer
+    proven: bool = False  # whether the node's answer proves that the request never ran
+    report: tuple[float | None, float | None] | None = None  # load report in the node's answer
 
     @property
     def may_run(self) -> bool:
-        """Whether it may have run, or may yet."""
+        """Whether the node may have run the request, or may still run it."""
         if self.proven:
             return False
         return self.written_ns >= 0 or not self.wire.ended
 
 
 class Submission:
-    """A client's connection."""
+    """A client's connection to a sidecar."""
 
     __slots__ = (
         "accepted_ns", "answers", "arrived_back", "arrived_in", "bad_ns", "closed", "entries", "errors",
@@ -219,17 +223,19 @@
     def __init__(self, number: int, life: Life, opened_ns: int, peer: Address) -> None:
         self.number, self.life, self.opened_ns, self.peer = number, life, opened_ns, peer
         self.reader, self.answers = Reader(answers=False), Reader(answers=True)
-        self.entries: list[Taking] = []  # whole requests without a whole answer, in order
-        self.sent_whole: deque[tuple[int, Taking | None]] = deque()  # answers on their way: where each ends
-        self.read_in = self.arrived_in = 0  # bytes that the sidecar has read, and could
-        self.arrived_back = self.taken_out = 0  # bytes that the client could read, and has
-        self.bad_ns: int | None = None  # a bad client: how long it may wait for an error or a close
-        self.errors = self.served = 0  # answers sent, by kind
-        self.flagged = -1  # where an answer begins that was found to be owed to nobody
+        self.entries: list[Taking] = []  # complete requests without a complete answer, oldest first
+        # Complete answers on their way to the client, with the stream offset at which each ends.
+        self.sent_whole: deque[tuple[int, Taking | None]] = deque()
+        self.read_in = self.arrived_in = 0  # request bytes read by the sidecar, and those that reached it
+        self.arrived_back = self.taken_out = 0  # answer bytes that reached the client, and those it read
+        # Time within which a bad client must get an error or a close, in nanoseconds; None for a good client.
+        self.bad_ns: int | None = None
+        self.errors = self.served = 0  # answers sent with a status of at least 400, and below 400
+        self.flagged = -1  # stream offset of an answer already reported as unsolicited; -1 for none
         self.accepted_ns = -1
-        self.last_ns = opened_ns  # that something was sent on it, either way
-        self.closed = False  # by the sidecar
-        self.gone = False  # the client has left
+        self.last_ns = opened_ns  # time of the last bytes in either direction
+        self.closed = False  # whether the sidecar has closed the connection
+        self.gone = False  # whether the client has closed the connection
         self.reset_seen = False
 
 
@@ -245,32 +251,32 @@
         self.number, self.life, self.target = number, life, target
         self.process: Process | None = None
         self.reader, self.answers = Reader(answers=False), Reader(answers=True)
-        self.attempt: Attempt | None = None  # the one whose request was begun last
+        self.attempt: Attempt | None = None  # most recent attempt on the connection
         self.asked = 0
-        self.arrived = self.read = 0  # bytes of answers: readable, and read
-        self.arrived_ns = -1  # when the last of them became readable
-        self.closes = False  # the last answer said that the connection ends with it
-        self.ended = False  # the sidecar closed it, or it broke
-        self.ended_seen_ns = -1  # when its end became readable
+        self.arrived = self.read = 0  # answer bytes that have reached the sidecar, and that it has read
+        self.arrived_ns = -1  # time at which the last answer bytes became readable
+        self.closes = False  # whether the last answer announced that the node closes the connection
+        self.ended = False  # whether the sidecar closed the connection or the connection was reset
+        self.ended_seen_ns = -1  # time at which the sidecar could see the node's close; -1 until then
 
     @property
     def where(self) -> str:
-        """Its node, in words."""
+        """The node's name and address, for messages."""
         name = self.process.node if self.process is not None else "nobody"
         return f"{name} at {self.target[0]}:{self.target[1]}"
 
 
 class Calling:
-    """An operators' connection to a sidecar's admin endpoint."""
+    """An operator's connection to a sidecar's admin endpoint."""
 
     __slots__ = ("answers", "arrived", "asked", "calls", "life", "reader")
 
     def __init__(self, life: Life) -> None:
         self.life = life
         self.reader, self.answers = Reader(answers=False), Reader(answers=True)
-        self.arrived = 0  # bytes that the sidecar could read
-        self.calls: list[Message] = []  # on their way
-        self.asked: list[Message] = []  # arrived, and not answered
+        self.arrived = 0  # bytes that have reached the sidecar
+        self.calls: list[Message] = []  # calls sent that have not reached the sidecar
+        self.asked: list[Message] = []  # calls that have reached the sidecar and are not answered
 
 
 class Watching:
@@ -281,31 +287,32 @@
     def __init__(self, number: int, life: Life, target: Address) -> None:
         self.number, self.life, self.target = number, life, target
         self.asks, self.lines = Reader(answers=False), Lines()
-        self.on = False  # a watch is open
-        self.arrived = 0  # bytes of lines that the sidecar could read
-        self.pending: deque[tuple[int, int, Told]] = deque()  # on their way: written, where, what
+        self.on = False  # whether a watch is open
+        self.arrived = 0  # bytes from discovery that have reached the sidecar
+        # Lists on their way to the sidecar: time of writing, stream offset of the end, content.
+        self.pending: deque[tuple[int, int, Told]] = deque()
 
 
 class Truth:
-    """The list as discovery truly has it, with when each node came to be as it is."""
+    """The endpoint list as discovery holds it, with the time of each node's last changes."""
 
     __slots__ = ("able", "roster")
 
     def __init__(self) -> None:
         self.roster = Roster()
-        # Since when discovery can tell what it has to, by sidecar ("" for all); -1: it can't.
+        # Time since which discovery can deliver updates, by sidecar ("" for all); -1 while it can't.
         self.able: dict[str, int] = {"": 0}
 
     def able_since(self, machine: str) -> int | None:
-        """Since when this sidecar could be told; None while it can't."""
+        """Return the time since which discovery can deliver updates to a sidecar; None while it can't."""
         both = (self.able[""], self.able.get(machine, 0))
         return None if min(both) < 0 else max(both)
 
     def node(self, name: str) -> Known | None:
-        """One node."""
+        """Return the state of a node; None for an unknown node."""
         return self.roster.nodes.get(name)
 
 
 def merged(*trails: Sequence[Line]) -> tuple[Line, ...]:
-    """Time lines as one."""
+    """Merge timelines into one, sorted by time."""
     return tuple(sorted((line for trail in trails for line in trail), key=lambda line: line[0]))
--- a/brambleusher/lab/checker/checker.py
+++ b/brambleusher/lab/checker/checker.py
@@ -1,8 +1,9 @@
-"""The checker: it hears every byte on the virtual wire and says which rule was broken, when and by whom.
+"""Checker that observes every byte on the virtual wire and reports which rule was broken, when and by whom.
 
-Hang it on a world's taps, tell it of the processes that begin (`sidecar`, `node`, `discovery`, `bad_client`)
-and of what discovery knows (`true_list`, `discovery_able`), call `step` after each step and `finish` at the
-end.  Times are nanoseconds on the world's monotonic clock, except `started_ms`, which is Unix time.
+Add the checker to a world's taps, report to it the processes that start (`sidecar`, `node`, `discovery`,
+`bad_client`) and the state of discovery (`true_list`, `discovery_able`), call `step` after each step of the
+world and `finish` at the end. Times are in nanoseconds on the world's monotonic clock, except `started_ms`,
+which is Unix time in milliseconds.
 """
 
 from __future__ import annotations
@@ -39,18 +40,23 @@
 from brambleusher.lab.checker.roster import READY, Told, address_of, entries_of, read
 from brambleusher.lab.checker.rules import MS, RULES, UNSAFE, Rules
 
-MOST_KEPT = 100  # breaches with their time lines; further ones are counted
-TIMER_LATE_NS = 500 * MS  # a process that gets no processor for so long is no world of ours
-LATE_LIST_NS = 50 * MS  # a list that takes no longer to arrive is told when it is written
+MOST_KEPT = 100  # breaches kept with their timelines; further breaches are only counted
+TIMER_LATE_NS = 500 * MS  # a timer that is later is lost: no simulated process lacks processor time so long
+LATE_LIST_NS = 50 * MS  # a list that arrives within this time counts as received when it was written
 
 
 class Checker:
-    """One run's books.  `executions` is the common book of all stand-in nodes, in order of arrival."""
+    """The checker of one run.
+
+    Args:
+        rules: The limits to check against.
+        executions: The execution log that all simulated nodes share, in order of arrival.
+    """
 
     def __init__(self, rules: Rules, executions: Sequence[Execution] = ()) -> None:
         self.rules, self._executions = rules, executions
         self.breaches: list[Breach] = []
-        self.count = 0  # of breaches
+        self.count = 0  # number of breaches found, kept or not
         self.taken = self.served = self.attempts = self.lists = 0
         self._lives: dict[str, Life] = {}
         self._listens: dict[Address, str] = {}
@@ -59,24 +65,25 @@
         self._bad: dict[Address | str, int] = {}
         self._wires: dict[int, Submission | Passage | Watching | Calling] = {}
         self._admin_addresses: dict[Address, str] = {}
-        self._takings: dict[tuple[str, str], list[Taking]] = {}  # by sidecar and request
-        self._allowed: dict[str, int] = {}  # how often a request may run: as often as it was taken
+        self._takings: dict[tuple[str, str], list[Taking]] = {}  # by sidecar's machine and request id
+        self._allowed: dict[str, int] = {}  # how often each request may run: as often as sidecars received it
         self._due: list[tuple[int, int, Taking | Submission | Life]] = []
         self._number = count()
-        self._doubts: list[tuple[int, Taking, str]] = []  # breaches unless the same moment explains them
-        self._seen = 0  # executions looked at
+        # Suspected breaches, confirmed unless another event at the same time explains them.
+        self._doubts: list[tuple[int, Taking, str]] = []
+        self._seen = 0  # number of executions already processed
         self._runs: dict[str, list[Execution]] = {}
         self._twice: dict[str, list[Execution]] = {}
         self._pushed: dict[tuple[str, int], deque[tuple[int, float, bool]]] = {}
         self._over_budget: set[tuple[str, int]] = set()
         self._truth = Truth()
         self._calm_ns = -1
-        self._asked: list[Taking] = []  # since then
+        self._asked: list[Taking] = []  # requests received after the last fault ended
 
-    # --- what the fleet tells -------------------------------------------------------------------
+    # --- events reported by the fleet -----------------------------------------------------------
 
     def sidecar(self, now: int, machine: str, config: bytes | Mapping[str, Any]) -> None:
-        """A sidecar's process is about to start on a machine, with this configuration."""
+        """Record that a sidecar process is about to start on a machine with a configuration."""
         raw = json.loads(config) if isinstance(config, bytes) else config
         listen, discovery = address_of(raw["listen"]), address_of(raw["discovery"])
         life = Life(machine, str(raw["name"]), listen, now, asked_ns=now)
@@ -93,38 +100,38 @@
         life.say(now, "starts")
 
     def discovery(self, address: Address) -> None:
-        """Discovery can be had at this address too."""
+        """Register another address at which discovery listens."""
         self._discoveries.add(address)
 
     def node(self, now: int, name: str, address: Address, started_ms: int) -> None:
-        """A node's process takes connections at an address from now on; once for each address it has."""
+        """Record that a node's process accepts connections at an address; call once for each address."""
         self._processes[address] = Process(name, address, started_ms)
 
     def bad_client(self, who: Address | str, wait_ns: int | None = None) -> None:
-        """A client, by its address or its machine's name, that connects from now on.
+        """Register a misbehaving client, by its address or its machine's name, before it connects.
 
-        It is owed service for what can be served, and for the rest an error or a close within some time
-        of connecting.
+        The sidecar must serve the client's valid requests, and must answer anything else with an error or a
+        close within a limit after the connect: `wait_ns`, or `Rules.bad_ns` by default.
         """
         self._bad[who] = self.rules.bad_ns if wait_ns is None else wait_ns
 
     def true_list(self, now: int, servers: list[dict[str, Any]], full: bool = False) -> None:
-        """Discovery has learnt of these nodes, in its own form; `full`: those left out are gone."""
+        """Record nodes that discovery has learnt of; with `full`, nodes that the list omits are gone."""
         self._truth.roster.take(now, Told(0, full, entries_of(servers)))
 
     def discovery_able(self, now: int, able: bool, machine: str = "") -> None:
-        """Whether discovery can tell what it has to: in good order, and reached by this sidecar or by all."""
+        """Record whether discovery works and can reach the sidecar on a machine ("" for all sidecars)."""
         self._truth.able[machine] = now if able else -1
 
     def starved(self, now: int, machine: str, on: bool) -> None:
-        """Whether a fault leaves this sidecar's process too few descriptors to accept connections with."""
+        """Record whether a fault leaves a sidecar process too few descriptors to accept connections."""
         life = self._lives.get(machine)
         if life is not None:
             life.starved_ns = now if on else -1
             life.fed_ns = life.fed_ns if on else now
 
     def paused(self, now: int, machine: str, on: bool) -> None:
-        """Whether this sidecar's process is stopped; what comes due meanwhile is due some time after."""
+        """Record whether a sidecar process is stopped; deadlines within a stop move to some time after it."""
         life = self._lives.get(machine)
         if life is None:
             return
@@ -138,7 +145,7 @@
                 self._learn(now, wire)
 
     def captured(self, now: int, machine: str, stderr: bytes) -> None:
-        """A sidecar's standard error, with its dumped capture in it, at the end of the run."""
+        """Check a sidecar's standard error at the end of the run, which contains its dumped capture."""
         name = self._lives[machine].name
         for text in rerun.differences(stderr)[:1]:
             self._breach("replay", now, name, text)
@@ -152,13 +159,13 @@
                 break
 
     def calm(self, now: int) -> None:
-        """The last fault has ended, and what is asked from here on can be served."""
+        """Record that the last fault has ended, so that requests from now on can be served."""
         self._calm_ns = now
 
     # --- taps -----------------------------------------------------------------------------------
 
     def process(self, now: int, machine: Named | str, what: str) -> None:
-        """A process was started, was killed, has exited or was sent a signal."""
+        """Record that a process was started or killed, has exited or was sent a signal."""
         life = self._lives.get(machine if isinstance(machine, str) else machine.name)
         if life is None or life.over:
             return
@@ -171,7 +178,7 @@
             self._end_life(now, life, what == "killed")
 
     def opened(self, now: int, conn: Wire) -> None:
-        """A connection is wanted."""
+        """Record that a client has begun to connect."""
         server, client = conn.server, conn.client
         target = server.ip, server.port
         if (machine := self._listens.get(target)) is not None:
@@ -190,27 +197,28 @@
             self._wires[conn.id] = Passage(conn.id, asker, target)
 
     def established(self, now: int, conn: Wire) -> None:
-        """Both ends have it."""
+        """Record that a connection is established."""
         wire = self._wires.get(conn.id)
         if isinstance(wire, Passage):
             wire.process = self._processes.get(wire.target)
         elif isinstance(wire, Submission | Calling):
-            wire.life = self._lives[wire.life.machine]  # it may have started since
+            # The sidecar may have restarted since the client began to connect.
+            wire.life = self._lives[wire.life.machine]
 
     def accepted(self, now: int, conn: Wire) -> None:
-        """The listening process has taken it."""
+        """Record that the listening process has accepted a connection."""
         wire = self._wires.get(conn.id)
         if isinstance(wire, Submission):
             wire.accepted_ns = now
 
     def refused(self, now: int, conn: Wire) -> None:
-        """It did not come up."""
+        """Record that a connect was refused."""
         wire = self._wires.pop(conn.id, None)
         if isinstance(wire, Watching):
             wire.life.ask_failed = True
 
     def sent(self, now: int, conn: Wire, side: str, data: bytes) -> None:
-        """A process has handed bytes to its system."""
+        """Record bytes that a process has handed to its operating system."""
         wire = self._wires.get(conn.id)
         if wire is None:
             return
@@ -231,7 +239,7 @@
             self._told(now, wire, data)
 
     def arrived(self, now: int, conn: Wire, side: str, data: bytes) -> None:
-        """Bytes have become readable."""
+        """Record bytes that have become readable at `side`."""
         wire = self._wires.get(conn.id)
         if wire is None:
             return
@@ -259,7 +267,7 @@
             self._learn(now, wire)
 
     def read(self, now: int, conn: Wire, side: str, data: bytes) -> None:
-        """A process has read bytes."""
+        """Record bytes that a process has read."""
         wire = self._wires.get(conn.id)
         if isinstance(wire, Submission):
             if side == "server":
@@ -270,7 +278,7 @@
             self._answer_read(now, wire, data)
 
     def ended(self, now: int, conn: Wire, side: str, how: str) -> None:
-        """The other end's end, or a reset, has become readable at `side`."""
+        """Record that the peer's close, or a reset, has become readable at `side`."""
         wire = self._wires.get(conn.id)
         if isinstance(wire, Submission):
             if side == "client":
@@ -290,7 +298,7 @@
             self._watch_over(now, wire)
 
     def closed(self, now: int, conn: Wire, side: str) -> None:
-        """A process has closed its end."""
+        """Record that a process has closed its end of a connection."""
         wire = self._wires.get(conn.id)
         if isinstance(wire, Submission):
             if side == "client":
@@ -307,7 +315,7 @@
     # --- after each step ------------------------------------------------------------------------
 
     def step(self, now: int) -> None:
-        """What time alone breaks, and what nodes have written into their book."""
+        """Check the deadlines that have passed and the executions that nodes have logged since."""
         if self._doubts and self._doubts[0][0] < now:
             self._confirm()
         while self._due and self._due[0][0] < now:
@@ -326,10 +334,13 @@
     def finish(
         self, now: int, left_over: Iterable[str] = (), unreached: Iterable[tuple[int, str]] = ()
     ) -> list[Breach]:
-        """The run is over.  All breaches.
+        """Run the checks at the end of a run and return all breaches that were kept.
 
-        `left_over` is what the fleet found left, in words; `unreached` the requests whose clients came
-        by no connection in any try, with the moments (ns) at which they were due: no wire shows these.
+        Args:
+            now: The time of the end, in nanoseconds.
+            left_over: Descriptions of the resources that the fleet found unreleased.
+            unreached: Requests whose clients got no connection in any try, each with the time at which the
+                request was due in nanoseconds. No connection shows these requests.
         """
         self.step(now + 1)
         for text in left_over:
@@ -361,11 +372,11 @@
             self._take(now, wire)
 
     def _take(self, now: int, wire: Submission) -> None:
-        """Requests whose last byte has arrived are taken."""
+        """Record the requests whose last byte has reached the sidecar."""
         for taking in wire.entries:
             if taking.taken_ns >= 0 or taking.message.end > wire.arrived_in:
                 continue
-            # A request that the network held up runs from its arrival: nobody here could know of it.
+            # The deadline of a request that the network delayed counts from its arrival at the sidecar.
             late = now - taking.sent_ns > self.rules.slack_ns // 10
             taking.taken_ns = now if late else taking.sent_ns
             if taking.fault is not None:
@@ -398,7 +409,7 @@
             else:
                 wire.served += 1
             if not wire.entries:
-                # Only one that has come in part, or can't be read on, may be told so.
+                # Without a complete request, only an error for a partial or unreadable request is allowed.
                 if (answer.status < 400 or not wire.reader.begun) and answer.begin != wire.flagged:
                     self._unowed(now, wire, f"an answer {answer.status} that no request is owed")
                 wire.sent_whole.append((answer.end, None))
@@ -439,7 +450,7 @@
                 )
 
     def _check_told_off(self, now: int, taking: Taking) -> None:
-        """It can be served: only its id, used by another one too, or a body not read may speak against it."""
+        """Report an error status for a valid request, unless its id is reused or its body was not read."""
         unread = taking.taken_ns < 0 or taking.wire.read_in < taking.message.end
         twins = len(self._takings.get((taking.life.machine, taking.name), ())) > 1
         if not unread and not twins:
@@ -459,18 +470,18 @@
         self._break("made-answer", now, taking, f"served with {len(body)} bytes that no node made for it")
 
     def _awake(self, taking: Taking) -> int:
-        """By when a sidecar that was stopped has to have answered; 0 where that gives it no more time."""
+        """Return the deadline for an answer after a stop of the sidecar; 0 if no stop extends it."""
         life = taking.life
         return life.woken_ns + self.rules.wake_ns if life.woken_ns >= taking.taken_ns else 0
 
     def _not_accepted(self, taking: Taking) -> bool:
-        """Whether no descriptor was left to accept its connection with in its time."""
+        """Tell whether a shortage of descriptors kept the sidecar from accepting a request's connection."""
         wire = taking.wire
         waited = wire.accepted_ns < 0 or wire.accepted_ns > taking.taken_ns + self.rules.slack_ns
         return waited and wire.life.was_starved(taking.taken_ns)
 
     def _check_due(self, at: int, taking: Taking) -> None:
-        """Its time is up."""
+        """Report a request whose deadline has passed without an answer, unless something excuses that."""
         if taking.settled:
             return
         if taking.owed:
@@ -508,7 +519,7 @@
                 self._doubts.append((now, taking, "its connection was closed without an answer"))
 
     def _broken(self, now: int, wire: Submission) -> None:
-        """It has ended at its client, and no process of the sidecar's closed it."""
+        """Handle a client connection that ended although the sidecar did not close it."""
         for taking in wire.entries:
             if wire.accepted_ns >= 0:
                 self._settle(now, taking, "the network broke its connection")
@@ -540,7 +551,7 @@
         if late and wire.life.was_starved(wire.opened_ns):
             return
         if any(taking.fault is None and taking.taken_ns >= 0 for taking in wire.entries):
-            return  # it asked for something that can be served: that is owed as to anybody
+            return  # a valid request is checked like any other client's
         peer = f"{wire.peer[0]}:{wire.peer[1]}"
         self._breach(
             "bad-client", at, wire.life.name,
@@ -580,7 +591,11 @@
                 self._push(now + self.rules.leave_ns, life)
 
     def _called(self, now: int, wire: Calling) -> None:
-        """Calls have arrived: a call out binds by its yes, or some time later; a call back from here on."""
+        """Record operators' calls that have reached a sidecar.
+
+        A call that takes a node or the sidecar out of service binds once the sidecar has acknowledged it; one
+        for a node binds after `Rules.yes_ns` at the latest. A call back into service binds on arrival.
+        """
         while wire.calls and wire.calls[0].end <= wire.arrived:
             call, life = wire.calls.pop(0), wire.life
             wire.asked.append(call)
@@ -598,12 +613,12 @@
 
     @staticmethod
     def _meant(call: Message) -> tuple[str, str]:
-        """The node and the deed; ids here have no sign that would be written otherwise."""
+        """Return the node's id and the action of an operators' call; ids here need no URL decoding."""
         parts = call.start.split(" ")[1].split("/")
         return (parts[3], parts[4]) if len(parts) == 5 else ("", parts[-1])
 
     def _banned(self, now: int, life: Life, node: str) -> int | None:
-        """Since when a sidecar is bound to leave a node out; None if it is not."""
+        """Return the time since which operators' calls forbid a sidecar to use a node; None if none do."""
         moments = [life.banned[node]] if node in life.banned else []
         if node in life.asked_out and now >= life.asked_out[node] + self.rules.yes_ns:
             moments.append(life.asked_out[node] + self.rules.yes_ns)
@@ -619,7 +634,7 @@
             self._break("service", now, taking, f"in service, and answers {status}")
 
     def _check_out(self, at: int, life: Life) -> None:
-        """It is out of service for some time: nothing rests on its connections any more."""
+        """Report an idle client connection that a sidecar keeps long after going out of service."""
         if life.over or life.out_ns < 0 or at < life.out_ns + self.rules.leave_ns:
             return
         for wire in self._wires.values():
@@ -652,7 +667,7 @@
             self._identify(now, wire, wire.attempt, head)
 
     def _begin_attempt(self, now: int, wire: Passage) -> None:
-        """The first byte of a request to a node."""
+        """Record the first byte of a request to a node and check that the connection was free for it."""
         before = wire.attempt
         attempt = wire.attempt = Attempt(wire, now)
         wire.asked += 1
@@ -694,7 +709,11 @@
             )  # fmt: skip
 
     def _deemed(self, now: int, life: Life, process: Process) -> int | None:
-        """Since when a sidecar counts as told that a process takes nothing new; None if it does not."""
+        """Return the time since which a sidecar should know that a process accepts no new requests.
+
+        Returns None if the sidecar is not yet expected to know. The time follows from when discovery could
+        deliver the change, from a reload, and from a long time without a request to discovery.
+        """
         truth = self._truth.node(process.node)
         if truth is None:
             return None
@@ -720,7 +739,7 @@
         return int(at) if at <= now else None
 
     def _identify(self, now: int, wire: Passage, attempt: Attempt, head: Message) -> None:
-        """Whose request it is, and whether it may be sent."""
+        """Find the client request that an attempt belongs to and check that it may be sent."""
         life, name = wire.life, head.get("request-id") or ""
         if head.get("content-length") is not None and head.get("transfer-encoding") is not None:
             self._at_node("framing", now, attempt, f"{name} has a length and a coding")
@@ -754,7 +773,7 @@
         return unanswered[0] if unanswered else (live[-1] if live else None)
 
     def _written(self, now: int, wire: Passage, attempt: Attempt, message: Message) -> None:
-        """The last byte was handed over: from here on it may run."""
+        """Record that an attempt's last byte was written, so that the node may run the request."""
         attempt.written_ns = now
         self.attempts += 1
         taking = attempt.taking
@@ -784,10 +803,10 @@
         if wire.attempt is not None and wire.attempt.taking is not None:
             wire.attempt.taking.trail.append((now, text))
 
-    # --- the nodes' book ------------------------------------------------------------------------
+    # --- the nodes' execution log ---------------------------------------------------------------
 
     def _look(self) -> None:
-        """Take in what the nodes have written since."""
+        """Process the executions that nodes have logged since the last call."""
         while self._seen < len(self._executions):
             each = self._executions[self._seen]
             self._seen += 1
@@ -815,7 +834,7 @@
                 self._break("once", now, self._of(name)[0], f"run {len(runs)} times: {at}")
 
     def _check_cold(self, each: Execution) -> None:
-        """A cold node's budget for one window that ends here, over all sidecars together."""
+        """Check the work that all sidecars sent to a cold node in one window, which ends at an execution."""
         rules, at, node = self.rules, each.came_ns, (each.node, each.process)
         told = False
         for taking in self._of(each.request):
@@ -830,8 +849,8 @@
         work = sum(item[1] for item in pushed)
         by_told = sum(item[1] for item in pushed if item[2])
         budget = rules.cold_budget(each.capacity)
-        # What chance may add: one standard deviation of the work that comes with so much room, requests
-        # being as unequal as those seen (Campbell's theorem for a compound Poisson process).
+        # Allowance for chance: one standard deviation of the work that arrives at a mean of `budget`, if
+        # requests vary in size like those seen (Campbell's theorem for a compound Poisson process).
         budget += math.sqrt(budget * sum(item[1] ** 2 for item in pushed) / work)
         if work > budget and by_told >= rules.cold_told_part * work and node not in self._over_budget:
             self._over_budget.add(node)
@@ -842,16 +861,16 @@
             )  # fmt: skip
 
     def _same_report(self, machine: str, record: dict[str, Any]) -> bool:
-        """Whether an end that the module was told of came with a load report that was on the wire.
+        """Tell whether the load report that the module got for an attempt was on the wire.
 
-        That of any attempt of the request: which one it was is not recorded.
+        The report of any attempt of the request will do, because the capture does not record which it was.
         """
         told = record["in"]["report"]
         takings = self._takings.get((machine, record["id"]), ())
         brought = [attempt.report for taking in takings for attempt in taking.attempts]
         if told is not None:
             return tuple(told) in brought
-        # What is served was read whole; other answers may have been given up half read.
+        # The answer of a served request was read whole; another answer may have been abandoned half read.
         return record["in"]["status"] != "ok" or not brought or None in brought
 
     # --- discovery ------------------------------------------------------------------------------
@@ -890,15 +909,16 @@
             wire.pending.append((now, lines.at, told))
 
     def _learn(self, now: int, wire: Watching) -> None:
-        """Lines have arrived."""
-        if wire.life.paused_ns >= 0:  # it can't have read them yet
+        """Apply the lists that have reached a sidecar."""
+        if wire.life.paused_ns >= 0:  # a stopped sidecar can't have read the lists yet
             return
         while wire.pending and wire.pending[0][1] <= wire.arrived:
             written, _, told = wire.pending.popleft()
             at = written
             if wire.life.woken_ns == now:
                 at = now
-            elif now - written > LATE_LIST_NS:  # the network held it up, and it counts as told some time
+            elif now - written > LATE_LIST_NS:
+                # A list that the network delayed counts from its arrival, or `told_ns` after its writing.
                 at = min(now, written + self.rules.told_ns)
             changed = wire.life.roster.take(at, told)
             what = "the whole list" if told.full else "changes"
@@ -920,7 +940,7 @@
         if self._calm_ns < 0:
             return
         start = self._calm_ns + rules.recover_ns
-        # A client's retries belong to its first try, whose id theirs begin with.
+        # A client's retries count with the first try: their ids begin with its id and a hyphen.
         asked: dict[str, list[Taking]] = {}
         for each in self._asked:
             asked.setdefault(each.name.partition("-")[0], []).append(each)
--- a/brambleusher/lab/checker/judge.py
+++ b/brambleusher/lab/checker/judge.py
@@ -1,21 +1,21 @@
-"""Which requests a sidecar owes service, by the checker's own reading of the protocol."""
+"""Validation of client requests by the checker's own implementation of the protocol."""
 
 from __future__ import annotations
 
 from brambleusher.lab.checker.messages import Message
 from brambleusher.lab.checker.rules import SAFE, Rules
 
-READY = "it asks whether clients may come"  # no request of the application's
+READY = "it asks whether clients may come"  # reason for a readiness probe, which is no application request
 
 
 def class_of(message: Message) -> str:
-    """The first part of a request's path."""
+    """Return the first segment of a request's path, which names its class."""
     parts = message.start.split(" ")
     return parts[1].partition("?")[0].lstrip("/").partition("/")[0] if len(parts) > 1 else ""
 
 
 def fault_of(message: Message, rules: Rules) -> str | None:
-    """Why a request that came whole can't be served; None for one that is owed service."""
+    """Return why a complete request can't be served; None for a valid request."""
     parts = message.start.split(" ")
     if len(parts) != 3 or parts[2] not in ("HTTP/1.1", "HTTP/1.0") or not parts[1].startswith("/"):
         return "its first line can't be read"
--- a/brambleusher/lab/checker/messages.py
+++ b/brambleusher/lab/checker/messages.py
@@ -1,6 +1,7 @@
-"""The checker's own readers of HTTP/1.1 messages and of the lines of a watch.
+"""Parsers of HTTP/1.1 messages and of the lines of a discovery watch, written for the checker alone.
 
-They know where in a stream each message begins and ends, so that books can tell what was read of it.
+The parsers record the stream offsets at which each message begins and ends, so that the checker can tell how
+much of a message has been read.
 """
 
 from __future__ import annotations
@@ -10,64 +11,65 @@
 from collections.abc import Sequence
 from typing import Any
 
-MOST_HEAD = 64 * 1024  # a head that has not ended by then has no end
+MOST_HEAD = 64 * 1024  # largest message head, in bytes; a longer head is reported as endless
 MOST_LINE = 16 * 1024 * 1024
-MOST_BODY = 4 * 1024 * 1024  # a longer body is not waited for
+MOST_BODY = 4 * 1024 * 1024  # largest message body, in bytes; a longer body is reported as endless
 
 BY_LENGTH, CHUNKED, TO_THE_END = "length", "chunked", "end"
 
 
 class Message:
-    """A request or an answer, with its place in the stream it was read from."""
+    """A request or a response, with its offsets in the stream that it was read from."""
 
     __slots__ = ("begin", "body", "end", "fault", "framing", "headers", "length", "start")
 
     def __init__(self, start: str, headers: Sequence[tuple[str, str]], begin: int) -> None:
         self.start, self.headers = start, headers
-        self.begin, self.end = begin, -1  # offsets of its first byte and behind its last
+        self.begin, self.end = begin, -1  # offsets of the first byte and of the byte after the last
         self.body = b""
-        self.fault: str | None = None  # why nobody can tell where it ends
+        self.fault: str | None = None  # framing error that hides the message's end; None without one
         self.framing, self.length = BY_LENGTH, 0
 
     def get(self, name: str) -> str | None:
-        """The value of the first header of that name, which is in lower case."""
+        """Return the value of the first header with a name, which is given in lower case."""
         for key, value in self.headers:
             if key == name:
                 return value
         return None
 
     def all(self, name: str) -> list[str]:
-        """The values of all headers of that name."""
+        """Return the values of all headers with a name, which is given in lower case."""
         return [value for key, value in self.headers if key == name]
 
     @property
     def status(self) -> int:
-        """The status of an answer; 0 where it has none."""
+        """The status code of a response; 0 if the status line has no valid code."""
         parts = self.start.split(" ", 2)
         told = parts[1] if len(parts) > 1 else ""
         return int(told) if len(told) == 3 and told.isascii() and told.isdigit() else 0
 
     @property
     def closes(self) -> bool:
-        """Whether its sender ends the connection behind it."""
+        """Whether the sender closes the connection after this message."""
         words = {word.strip().lower() for value in self.all("connection") for word in value.split(",")}
         old = "HTTP/1.0" in self.start
         return "close" in words or (old and "keep-alive" not in words)
 
 
 class Chunks:
-    """Takes the chunks' framing off a body."""
+    """Decoder of the chunked transfer coding."""
 
     __slots__ = ("_buffer", "_left", "done", "fault")
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        self._left = -1  # of a chunk; -1: a size line comes, -2: a chunk's line end, -3: the trailer
+        # Bytes left of the current chunk; -1 before a size line, -2 before a chunk's CRLF, -3 in the trailer.
+        self._left = -1
         self.done = False
         self.fault: str | None = None
 
     def feed(self, data: bytes) -> bytes:
-        """The body's bytes that can be told by now."""
+        """Take encoded bytes and return the body bytes that they complete."""
         buffer = self._buffer
         buffer += data
         out = bytearray()
@@ -107,35 +109,35 @@
 
     @property
     def rest(self) -> bytes:
-        """What came behind the body."""
+        """The bytes that follow the encoded body."""
         return bytes(self._buffer)
 
 
 class Reader:
-    """Cuts a stream of requests or of answers into messages."""
+    """Parser that splits a stream of requests or of responses into messages."""
 
     __slots__ = ("_answers", "_at", "_buffer", "_chunks", "fault", "head")
 
     def __init__(self, answers: bool) -> None:
         self._answers = answers
         self._buffer = bytearray()
-        self._at = 0  # the offset of the buffer's first byte
+        self._at = 0  # stream offset of the buffer's first byte
         self._chunks: Chunks | None = None
-        self.head: Message | None = None  # of a message whose end has not come
-        self.fault: str | None = None  # from here on nothing can be made out
+        self.head: Message | None = None  # message whose head is read and whose body is incomplete
+        self.fault: str | None = None  # framing error that ends the parsing of the stream; None without one
 
     @property
     def begun(self) -> bool:
-        """Whether part of a message, or something unreadable, is there."""
+        """Whether part of a message, or bytes that can't be parsed, have been received."""
         return self.head is not None or bool(self._buffer) or self.fault is not None
 
     @property
     def begin(self) -> int:
-        """The offset at which the next or the unfinished message begins."""
+        """The stream offset at which the next or the incomplete message begins."""
         return self.head.begin if self.head is not None else self._at
 
     def feed(self, data: bytes) -> list[Message]:
-        """The messages that these bytes complete."""
+        """Take bytes of the stream and return the messages that they complete."""
         self._buffer += data
         whole = []
         while self.fault is None:
@@ -209,7 +211,7 @@
         return message
 
     def _frame(self, message: Message) -> None:
-        """Find out how the end of a message is told; sets `fault` where two ways are or none."""
+        """Determine the framing of a message; set `fault` if its headers are invalid or contradictory."""
         lengths, codings = message.all("content-length"), message.all("transfer-encoding")
         if self._answers and message.status == 0:
             self.fault = "a status that is none"
@@ -236,7 +238,7 @@
 
 
 class Lines:
-    """The lines of an answer of discovery."""
+    """Parser that splits a response of discovery into lines."""
 
     __slots__ = ("_body", "_chunks", "_head", "_left", "_text", "at", "done", "fault", "status")
 
@@ -245,14 +247,14 @@
         self._text = bytearray()
         self._chunks: Chunks | None = None
         self._body = False
-        self._left = -1  # of a body by length; -1: no length was told
+        self._left = -1  # bytes left of a body with a content length; -1 without a content length
         self.status = 0
-        self.at = 0  # bytes taken in
+        self.at = 0  # number of bytes received
         self.done = False
         self.fault: str | None = None
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The lines that these bytes complete."""
+        """Take bytes of the response and return the lines that they complete."""
         self.at += len(data)
         if not self._body:
             self._head += data
@@ -275,7 +277,7 @@
             self.done = not self._left
         self._text += data
         *lines, rest = self._text.split(b"\n")
-        if self.done and rest.strip():  # a whole body is whole without a line end
+        if self.done and rest.strip():  # the last line of a complete body needs no line end
             lines, rest = [*lines, rest], bytearray()
         self._text = bytearray(rest)
         if len(rest) > MOST_LINE:
@@ -300,7 +302,7 @@
 
 
 def load_report(answer: Message) -> tuple[float | None, float | None] | None:
-    """Utilisation and requests a second as an answer tells them; None where it tells nothing."""
+    """Return the utilization and the requests per second that a response reports; None without a report."""
     text = answer.get("server-load")
     if text is None:
         return None
--- a/brambleusher/lab/checker/rerun.py
+++ b/brambleusher/lab/checker/rerun.py
@@ -1,6 +1,6 @@
-"""A run's own captures: rerun by the program's replay, and their timers looked after.
+"""Checks on the captures of a run: the program's replay must agree, and no timer may be lost.
 
-The one part of the checker that calls the program, since the program's replay is what it checks.
+This is the only part of the checker that calls the program, because it checks the program's own replay.
 """
 
 from __future__ import annotations
@@ -13,11 +13,14 @@
 
 from brambleusher.features.replay import CaptureError, rerun
 
-MOST_TOLD = 5  # differences that are told in words
+MOST_TOLD = 5  # largest number of differences that are described
 
 
 def differences(captured: bytes) -> list[str]:
-    """What replay finds in a sidecar's standard error or capture file; a capture that it refuses is one."""
+    """Return the differences that replay finds in a sidecar's standard error or capture file.
+
+    A capture that replay refuses or that has no records is reported as a difference.
+    """
     out = io.StringIO()
     try:
         tally = rerun(io.BytesIO(captured), out)
@@ -32,7 +35,7 @@
 
 
 def captures(stderr: bytes) -> Iterator[list[dict[str, Any]]]:
-    """The records of each capture in a standard error; lines that can't be read are left to `differences`."""
+    """Yield the records of each capture in a standard error; `differences` reports unreadable lines."""
     records: list[dict[str, Any]] | None = None
     for line in stderr.splitlines():
         if not line.startswith(b"{"):
@@ -53,9 +56,9 @@
 
 
 def lost_timers(those: Iterable[list[dict[str, Any]]], late_ns: int) -> list[str]:
-    """Timers that the module asked for and that had not come `late_ns` later, while other events had.
+    """Describe the timers that the module set and that had not fired `late_ns` after they were due.
 
-    A capture begins somewhere: only timers asked for within it are looked for.
+    Only timers that were set within a capture are checked, up to the time of the capture's last event.
     """
     return [text for records in those for text in _lost(records, late_ns)]
 
@@ -67,11 +70,11 @@
         now, told = record["t_ns"], record["in"]
         last = max(last, now)
         if record["ev"] == "timer":
-            # Which of several with one token has come is not recorded: the oldest that was due.
+            # A capture does not record which of several timers with one token fired: take the oldest one due.
             due = sorted(key for key in asked if key[1] == told["token"] and key[0] <= now)
             if due:
                 asked[due[0]] -= 1
-                asked += Counter()  # those that have come are out of it
+                asked += Counter()  # drops the timers that have all fired
         for action in record["out"]:
             if action[0] == "timer":
                 asked[(action[1], action[2])] += 1
--- a/brambleusher/lab/checker/roster.py
+++ b/brambleusher/lab/checker/roster.py
@@ -1,4 +1,4 @@
-"""What a sidecar was told of the endpoints, and when: the checker's own reader of lists."""
+"""Endpoint lists that a sidecar received, and when, read by a parser written for the checker alone."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One node as a list has it."""
+    """One node's entry in an endpoint list."""
 
     name: str
     address: tuple[str, int]
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Told:
-    """One list, or the entries of one that changed."""
+    """A full endpoint list, or the entries that changed since the last one."""
 
     version: int
     full: bool
@@ -36,7 +36,7 @@
 
 
 def address_of(text: Any) -> tuple[str, int]:
-    """`host:port`; raises `ValueError`."""
+    """Parse an address written as `host:port`; raises `ValueError` if it is invalid."""
     if not isinstance(text, str):
         raise ValueError("addr")
     host, colon, port = text.rpartition(":")
@@ -66,14 +66,14 @@
 
 
 def entries_of(raw: Any) -> tuple[Entry, ...]:
-    """Entries in discovery's form; raises `ValueError` where any makes no sense."""
+    """Parse list entries in discovery's format; raises `ValueError` if any entry is invalid."""
     if not isinstance(raw, list):
         raise ValueError("servers")
     return tuple(_entry(each) for each in raw)
 
 
 def read(line: bytes | dict[str, Any]) -> Told | None:
-    """A line of a watch; None where it makes no sense, and so tells nothing."""
+    """Parse a line of a discovery watch; None for an invalid line, which carries no information."""
     try:
         raw = json.loads(line) if isinstance(line, bytes) else line
         if not isinstance(raw, dict):
@@ -84,18 +84,18 @@
 
 
 class Known:
-    """One node as somebody was told of it."""
+    """The state of one node according to the lists received so far."""
 
     __slots__ = ("address", "moved_ns", "restarted_ns", "since_ns", "started_ms", "state")
 
     def __init__(self, entry: Entry, now: int) -> None:
         self.address, self.state, self.started_ms = entry.address, entry.state, entry.started_ms
-        self.since_ns = now  # told of this state
-        self.restarted_ns = self.moved_ns = now  # told of this start, and of this address
+        self.since_ns = now  # time of the list that brought the current state
+        self.restarted_ns = self.moved_ns = now  # times of the lists that brought the start and the address
 
 
 class Roster:
-    """All nodes as somebody was told of them; those that are gone stay, as gone."""
+    """All nodes according to the lists received so far; a node that is gone stays with the state `GONE`."""
 
     __slots__ = ("nodes",)
 
@@ -103,7 +103,7 @@
         self.nodes: dict[str, Known] = {}
 
     def take(self, now: int, told: Told) -> list[str]:
-        """Follow a list; says what changed, in words."""
+        """Apply a list and return descriptions of the changes."""
         changed = []
         for entry in told.entries:
             known = self.nodes.get(entry.name)
@@ -130,10 +130,10 @@
         return changed
 
     def stopped(self, name: str, started_ms: int, address: tuple[str, int]) -> int | None:
-        """Since when a process takes nothing new, as far as was told; None while it does.
+        """Return the time since which the lists forbid new requests to a process; None while they allow them.
 
-        -1 where no list ever named its address.  A process whose id was never told is the one that the
-        list has at its address.
+        Returns -1 if no list ever named the address. A process whose id no list has named is taken for the
+        node that the lists have at its address.
         """
         known = self.nodes.get(name)
         if known is None:
@@ -145,13 +145,16 @@
         return known.moved_ns if known.address != address else None
 
     def vacant(self, address: tuple[str, int]) -> int | None:
-        """Since when no node is listed as ready at an address; None while one is, -1 if none ever was."""
+        """Return the time since which no ready node is listed at an address.
+
+        Returns None while a ready node is listed there, and -1 if no list ever named the address.
+        """
         there = [known for known in self.nodes.values() if known.address == address]
         if any(known.state == READY for known in there):
             return None
         return max((known.since_ns for known in there), default=-1)
 
     def knows_start(self, name: str, started_ms: int) -> bool:
-        """Whether this very start was told."""
+        """Tell whether a list has named this start of a node, or a later one."""
         known = self.nodes.get(name)
         return known is not None and known.started_ms >= started_ms
--- a/brambleusher/lab/checker/rules.py
+++ b/brambleusher/lab/checker/rules.py
@@ -1,4 +1,4 @@
-"""What the rules ask for in figures, read from the settings that sidecars are given."""
+"""The checker's rules and their limits, read from the settings that sidecars are given."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 SAFE, UNSAFE = "read_like", "non_idempotent"
 
-# The rules by name, and what breaks each.
+# The name of each rule, with a description of what breaks the rule.
 RULES = {
     "answer": "a request that was taken has no whole answer in time",
     "one-answer": "an answer that no request is owed, or a second one",
@@ -46,48 +46,57 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The figures; times in nanoseconds."""
+    """The limits that the checker applies; times are in nanoseconds."""
 
-    effects: Mapping[str, str]  # class to effect
+    effects: Mapping[str, str]  # effect of each request class, by the name of the class
     tenants: frozenset[str] = frozenset()
     max_attempts: int = 1
     second_copies: bool = True
-    drain_ns: int = 500 * MS  # kept to the nanosecond
+    drain_ns: int = 500 * MS  # checked without slack, to the nanosecond
     must_ask_ns: int = 10 * SECOND
-    must_ask_failed: int = 4  # times as long after a call that failed
-    told_ns: int = 6 * SECOND  # what discovery has to tell counts as told
-    told_reload_ns: int = 4 * SECOND  # and after SIGHUP
-    slack_ns: int = 50 * MS  # on sockets, for answers and for how late a list may arrive
+    must_ask_failed: int = 4  # factor on `must_ask_ns` after a failed request to discovery
+    told_ns: int = 6 * SECOND  # time after which a sidecar must know a change that discovery can deliver
+    told_reload_ns: int = 4 * SECOND  # the same time, counted from a SIGHUP
+    slack_ns: int = 50 * MS  # tolerance for socket operations, answers and late lists
     cold_ns: int = 0
     fall_multiple: float = 4.0
     fall_ns: int = 3 * SECOND
-    cold_told_part: float = 2 / 3  # of the work, from sidecars that were told of the start
-    bad_ns: int = 3 * SECOND  # a bad client is owed an error or a close
-    seen_ns: int = 0  # so long bytes may have lain at a process that has not seen them
-    wake_ns: int = 500 * MS  # after a stop: by then what came due meanwhile is answered
-    gone_ns: int = 300 * MS  # after its client's end could be seen nothing begins for a request
-    term_ns: int = 700 * MS  # what comes later than this after SIGTERM must not be left unanswered
-    yes_ns: int = 1 * SECOND  # after a call of operators it binds, answered or not
-    leave_ns: int = 1400 * MS  # after the yes to out-of-service no connection rests any more
-    rest_ns: int = 1200 * MS  # that rests for so long by then
-    ready_ns: int = 1500 * MS  # after its start one that had a list is ready, whatever discovery does
+    # Least share of a cold node's work from sidecars that knew of its start, for a breach to be reported.
+    cold_told_part: float = 2 / 3
+    bad_ns: int = 3 * SECOND  # time within which a bad client must get an error or a close
+    seen_ns: int = 0  # time that bytes may wait at a process before it must have noticed them
+    wake_ns: int = 500 * MS  # time after a stop by which requests that fell due during it must be answered
+    gone_ns: int = 300 * MS  # time after a client's visible close from which no attempt may begin for it
+    # A request that arrives later than this after a SIGTERM must be answered, even if the sidecar is killed.
+    term_ns: int = 700 * MS
+    yes_ns: int = 1 * SECOND  # time after which an operators' call binds even without an acknowledgement
+    leave_ns: int = 1400 * MS  # time after going out of service by which idle connections must be closed
+    rest_ns: int = 1200 * MS  # time without traffic from which a connection counts as idle for `leave_ns`
+    # Time after a start or a return to service by which a sidecar that has a list must report itself ready,
+    # whatever discovery does.
+    ready_ns: int = 1500 * MS
     recover_ns: int = 3 * SECOND
     recover_part: float = 0.95
-    recover_least: int = 8  # fewer requests than this tell nothing, and one lost of fewer than 20 neither
+    recover_least: int = 8  # least requests for a verdict; one lost request of fewer than 20 is no breach
     max_body: int = 64 * 1024
     extra: Mapping[str, Any] = field(default_factory=dict)
 
     def cold_budget(self, capacity: float) -> float:
-        """The work that a cold node may be sent in a window, in seconds of a standard core; slack apart."""
+        """Return the work allowed to a cold node per window, without slack, in seconds of a standard core."""
         return self.fall_multiple * capacity * self.fall_ns / SECOND
 
     @classmethod
     def of(cls, settings: Mapping[str, Any], **changed: Any) -> Rules:
-        """The figures of a sidecar's settings; raises `ValueError` for an effect without a rule here."""
+        """Read the limits from a sidecar's settings; raises `ValueError` for an effect without a rule.
+
+        Args:
+            settings: The settings of a sidecar.
+            **changed: Limits that replace those from the settings.
+        """
         safety, limits = settings.get("safety", {}), settings.get("limits", {})
         effects = {each["name"]: each["effect"] for each in settings["classes"]}
         if unknown := set(effects.values()) - {SAFE, UNSAFE}:
-            raise ValueError(f"no rule for the effect {min(unknown)}")
+            raise ValueError(f"the checker has no rule for the effect {min(unknown)}")
         figures: dict[str, Any] = {
             "effects": effects,
             "tenants": frozenset(each["name"] for each in settings.get("projects") or ()),
--- a/brambleusher/lab/checker/sums.py
+++ b/brambleusher/lab/checker/sums.py
@@ -1,8 +1,9 @@
-"""Books over the whole fleet: what sidecars do together, as curves over time, each against a stated limit.
+"""Totals over the whole fleet as curves over time, each compared with a limit.
 
-A rule is broken by one sidecar; a sum is passed by all of them, each doing what is harmless alone.  Hang it
-on a world's taps beside the checker.  Like the checker it goes by the wire and by the nodes' common book, and
-shares no code with the program.  Steps are whole seconds from the moment it was made.
+A rule is broken by one sidecar; a total exceeds its limit through all sidecars together, although each one's
+share is harmless. Add a `Sums` object to a world's taps beside the checker. Like the checker, the object uses
+only the wire and the nodes' shared execution log, and no code of the program. The steps of a curve are whole
+seconds from the creation of the object.
 """
 
 from __future__ import annotations
@@ -15,13 +16,13 @@
 from brambleusher.lab.checker.rules import Rules
 
 SECOND = 10**9
-OPEN_PART = 0.2  # of a core of a node, that handshakes may take
-FAILED_SECONDS = 5  # within which sidecars that learn the same of a node learn it anew
+OPEN_PART = 0.2  # largest share of one core of a node that handshakes may take
+FAILED_SECONDS = 5  # window, in seconds, in which failures that several sidecars met at one node are counted
 
 
 @dataclass(frozen=True, slots=True)
 class NodeLimits:
-    """One node: its machine, the connections it holds, what a handshake costs it in core seconds."""
+    """Limits of one node: its machine, its connections, and the cost of a handshake in core seconds."""
 
     machine: str
     connections: int
@@ -30,51 +31,52 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetLimits:
-    """What the sums are held against."""
+    """Limits that the totals over a fleet are compared with."""
 
     nodes: tuple[NodeLimits, ...]
-    calls: float  # a second, that discovery can answer with the whole list
+    calls: float  # requests for the whole list that discovery can answer per second
     rules: Rules
-    discovery: str = "discovery"  # its machine; those that it moves to have names that begin so
+    discovery: str = "discovery"  # prefix of the names of all machines on which discovery runs in turn
 
 
 @dataclass(slots=True)
 class Curve:
-    """One sum, second by second; what is told is the worst node where nodes differ."""
+    """One total, second by second; a total that is taken per node shows the highest node."""
 
     name: str
     what: str
-    limit: float | None  # None: told, and held against nothing
+    limit: float | None  # None for a curve without a limit
     values: list[float] = field(default_factory=list)
 
     def raise_to(self, step: int, value: float) -> None:
-        """The most of a second."""
+        """Raise the value of a second to at least `value`."""
         while len(self.values) <= step:
             self.values.append(0.0)
         self.values[step] = max(self.values[step], value)
 
     @property
     def most(self) -> float:
-        """Of all seconds."""
+        """The highest value over all seconds."""
         return max(self.values, default=0.0)
 
     @property
     def passed(self) -> bool:
-        """Whether the limit was passed at some time."""
+        """Whether any second exceeded the limit."""
         return self.limit is not None and self.most > self.limit
 
 
 class Sums:
-    """One run's sums.  Times are nanoseconds on the world's monotonic clock.
+    """The totals of one run; times are in nanoseconds on the world's monotonic clock.
 
-    Ends are told apart by their machines: between real processes each pair has addresses of its own.
+    The ends of a connection are identified by their machines, because between real processes each pair of
+    machines has addresses of its own.
     """
 
     def __init__(self, now: int, limits: FleetLimits) -> None:
         self._start, self._limits = now, limits
         self._nodes = {node.machine: node for node in limits.nodes}
-        self._open: dict[int, str] = {}  # connections that are up, by number
-        self._waiting: dict[int, str] = {}  # those with a request out: whose
+        self._open: dict[int, str] = {}  # machine of the node of each open connection, by number
+        self._waiting: dict[int, str] = {}  # client machine of each connection that has a request pending
         self._held: Counter[str] = Counter()
         self._opens: Counter[tuple[int, str]] = Counter()
         self._calls: Counter[int] = Counter()
@@ -89,7 +91,7 @@
 
     @property
     def curves(self) -> tuple[Curve, ...]:
-        """All of them."""
+        """All curves."""
         return self.held, self.all_held, self.opens, self.calls, self.cold, self.copies
 
     def _step(self, now: int) -> int:
@@ -98,7 +100,7 @@
     # --- taps -----------------------------------------------------------------------------------
 
     def opened(self, now: int, conn: Wire) -> None:
-        """A connection is asked for: at a node it costs a handshake, at discovery it is a call."""
+        """Count a connect: a handshake at a node, or a call for the list at discovery."""
         step, target = self._step(now), conn.server.machine
         if target.startswith(self._limits.discovery):
             self.called_in_all += 1
@@ -110,7 +112,7 @@
             self.opens.raise_to(step, self._opens[step, target] * node.handshake_s)
 
     def established(self, now: int, conn: Wire) -> None:
-        """It is up, and holds a place."""
+        """Count an established connection among those that its node holds."""
         target = conn.server.machine
         if (node := self._nodes.get(target)) is None or conn.id in self._open:
             return
@@ -121,7 +123,7 @@
         self.all_held.raise_to(step, len(self._open))
 
     def sent(self, now: int, conn: Wire, side: str, data: bytes) -> None:
-        """A request goes out, or an answer comes."""
+        """Record whether a request is pending on a connection."""
         if conn.id in self._open:
             if side == "client":
                 self._waiting[conn.id] = conn.client.machine
@@ -129,28 +131,28 @@
                 self._waiting.pop(conn.id, None)
 
     def ended(self, now: int, conn: Wire, side: str, how: str) -> None:
-        """The end came to a side; under a request that is a failure."""
+        """Record the end of a connection; an end while a request is pending counts as a failure."""
         if how == "reset" or side == "client":
             self._over(now, conn)
 
     def closed(self, now: int, conn: Wire, side: str) -> None:
-        """A side closed it; so a sidecar gives up a request as well."""
+        """Record a close by either side; a sidecar also closes a connection to give up a request."""
         self._over(now, conn)
 
     def accepted(self, now: int, conn: Wire) -> None:
-        """Nothing: a place is held from the moment it is up."""
+        """Do nothing: a connection counts from its establishment on."""
 
     def refused(self, now: int, conn: Wire) -> None:
-        """Nothing was held."""
+        """Do nothing: a refused connection was never counted."""
 
     def arrived(self, now: int, conn: Wire, side: str, data: bytes) -> None:
-        """Nothing: what was sent counts."""
+        """Do nothing: bytes count when they are sent."""
 
     def read(self, now: int, conn: Wire, side: str, data: bytes) -> None:
-        """Nothing."""
+        """Do nothing: bytes count when they are sent."""
 
     def process(self, now: int, machine: Named | str, what: str) -> None:
-        """Nothing: connections that end with a process are told as closed."""
+        """Do nothing: connections that end with a process are reported as closed."""
 
     def _over(self, now: int, conn: Wire) -> None:
         target = self._open.pop(conn.id, None)
@@ -167,7 +169,7 @@
     # --- the end --------------------------------------------------------------------------------
 
     def finish(self, executions: Sequence[Execution]) -> None:
-        """The run is over: take what cold nodes were sent from their book, in order of arrival."""
+        """Add the work that cold nodes received, from the nodes' execution log in order of arrival."""
         pushed: dict[tuple[str, int], deque[tuple[int, float]]] = {}
         rules = self._limits.rules
         for each in executions:
@@ -181,17 +183,17 @@
             self.cold.raise_to(self._step(each.came_ns), sum(work for _, work in lately) / budget)
 
     def passed(self) -> list[str]:
-        """The limits that were passed, in words, with the second in which most was."""
+        """Describe the limits that were exceeded, each with the second of the highest value."""
         return passed(self.curves)
 
     def table(self) -> list[str]:
-        """A line a second, and one of limits."""
+        """Format the curves as a table with a line per second, the highest values, the limits and totals."""
         told = f"{self.opened_in_all} connections opened, {self.called_in_all} calls for the list"
         return [*table(self.curves), told]
 
 
 def passed(curves: Sequence[Curve]) -> list[str]:
-    """The limits that curves pass, in words, with the second in which most was."""
+    """Describe the limits that curves exceed, each with the second of the highest value."""
     return [
         f"{curve.name}: {curve.most:.3g} of at most {curve.limit:.3g} at {_at(curve)} s: {curve.what}"
         for curve in curves
@@ -200,7 +202,7 @@
 
 
 def table(curves: Sequence[Curve]) -> list[str]:
-    """A line a second, then the most and the limits."""
+    """Format curves as a table with a line per second, then the highest values and the limits."""
     lines = ["  s " + "".join(f"{curve.name:>13}" for curve in curves)]
     for step in range(max((len(curve.values) for curve in curves), default=0)):
         cells = (curve.values[step] if step < len(curve.values) else 0.0 for curve in curves)
--- a/brambleusher/lab/virtual/__init__.py
+++ b/brambleusher/lab/virtual/__init__.py
@@ -1,1 +1,1 @@
-"""A world in virtual time: its clock, its network, and what is explored in it."""
+"""Simulated world in virtual time: its clock, its network, and scenario runs that explore the program."""
--- a/brambleusher/lab/virtual/explore.py
+++ b/brambleusher/lab/virtual/explore.py
@@ -1,7 +1,7 @@
-"""One run of a scenario: the fleet in its world, the checker on its wires, a digest of all that passed.
+"""Run of one scenario in virtual time: a fleet in a world, the checker, and a digest of all traffic.
 
-Nothing here reads a real clock or draws a real random number; the command line (`cli/explore.py`) hands
-out seeds to processes and counts what they took.
+Nothing in this module reads a real clock or draws an unseeded random number; the command line
+(`cli/explore.py`) distributes seeds over processes and measures the time they take.
 """
 
 from __future__ import annotations
@@ -27,23 +27,23 @@
 from brambleusher.observability.log_format import KeyValueFormatter
 
 SECOND = 10**9
-FAULT = "fault"  # the rule that a task of the program which raises breaks; the checker can't see it
-LAB = "lab"  # the lab itself raised: a run that says nothing, and never passes for one without a breach
-ENDLESS = "endless"  # the run took more processor time than its caller allows
-DUMP_NS = SECOND  # so long a sidecar may take to write its capture
-OUTPUT_BYTES = 4 * 1024 * 1024  # of standard error: a whole capture has to fit
-SHORT = 100  # characters of what was sent that a time line shows
+FAULT = "fault"  # rule that an exception in the program breaks; the checker can't see exceptions
+LAB = "lab"  # rule for an exception in the lab itself: the run is invalid, and must not count as passed
+ENDLESS = "endless"  # rule for a run that took more processor time than its caller allows
+DUMP_NS = SECOND  # time given to sidecars for writing their captures
+OUTPUT_BYTES = 4 * 1024 * 1024  # bytes of standard error kept per process, so that a whole capture fits
+SHORT = 100  # largest number of characters that a timeline shows of sent bytes
 
 
 class Endless(BaseException):
-    """Raised by a caller of `play`, wherever the run is, to end one that goes on and on.
+    """Raised by a caller of `play`, at any point of the run, to end a run that takes too long.
 
-    Not an `Exception`, so that the program's guards let it pass.
+    The class is no `Exception`, so that exception handlers of the program let it through.
     """
 
 
 class Digest(Tap):
-    """A hash of every step on the wire: its time, its connection, its bytes."""
+    """Tap that hashes the time, connection and bytes of every step on the wire."""
 
     def __init__(self) -> None:
         self._hash = hashlib.blake2b(digest_size=16)
@@ -56,58 +56,59 @@
         self._hash.update(data)
 
     def opened(self, now: int, conn: Connection) -> None:
-        """Who asked for a connection, and to whom."""
+        """Hash the start of a connect with both its ends."""
         self._add("o", now, conn.id, conn.client.machine, conn.client.port, conn.server.ip, conn.server.port)
 
     def established(self, now: int, conn: Connection) -> None:
-        """It is up."""
+        """Hash the establishment of a connection."""
         self._add("e", now, conn.id)
 
     def accepted(self, now: int, conn: Connection) -> None:
-        """It was accepted."""
+        """Hash the accept of a connection."""
         self._add("a", now, conn.id)
 
     def refused(self, now: int, conn: Connection) -> None:
-        """It was refused."""
+        """Hash the refusal of a connect."""
         self._add("r", now, conn.id)
 
     def sent(self, now: int, conn: Connection, side: str, data: bytes) -> None:
-        """Bytes were sent."""
+        """Hash sent bytes."""
         self._add("s", now, conn.id, side, data=data)
 
     def arrived(self, now: int, conn: Connection, side: str, data: bytes) -> None:
-        """Bytes arrived: those that were sent, so that their count says enough."""
+        """Hash the number of arrived bytes; their content was hashed when they were sent."""
         self._add("v", now, conn.id, side, len(data))
 
     def ended(self, now: int, conn: Connection, side: str, how: str) -> None:
-        """An end came."""
+        """Hash the end of a connection as it reaches a side."""
         self._add("n", now, conn.id, side, how)
 
     def closed(self, now: int, conn: Connection, side: str) -> None:
-        """A side was closed."""
+        """Hash the close of a side."""
         self._add("c", now, conn.id, side)
 
     def process(self, now: int, machine: Machine, what: str) -> None:
-        """A process began or ended."""
+        """Hash a change of a process."""
         self._add("p", now, machine.name, what)
 
     def hex(self) -> str:
-        """So far."""
+        """Return the digest of all steps so far in hexadecimal."""
         return self._hash.hexdigest()
 
 
 class TimeLine(Tap):
-    """Who sent what to whom, a line each, as it happens."""
+    """Tap that writes a line of text for each connect, transmission, close and process change."""
 
     def __init__(
         self, say: Callable[[str], object], start_ns: int, faults: Iterable[tuple[int, str]] = ()
     ) -> None:
         self._say, self._start = say, start_ns
-        # Told when their time is seen to have come: an event of ours in the world would change the run.
+        # Faults are written with the first line at or after their time: scheduling an event for them would
+        # change the run.
         self._faults = deque(sorted(faults))
 
     def line(self, now: int, text: str) -> None:
-        """One line, under its virtual time in seconds."""
+        """Write a line with its virtual time in seconds."""
         while self._faults and self._faults[0][0] <= now:
             self._tell(*self._faults.popleft())
         self._tell(now, text)
@@ -121,15 +122,15 @@
         return f"{here.machine} -> {there.machine} #{conn.id}"
 
     def opened(self, now: int, conn: Connection) -> None:
-        """A connect."""
+        """Write a line for a connect."""
         self.line(now, f"{self._ends(conn, 'client')} connects to {conn.server.ip}:{conn.server.port}")
 
     def refused(self, now: int, conn: Connection) -> None:
-        """A refused one."""
+        """Write a line for a refused connect."""
         self.line(now, f"{self._ends(conn, 'client')} is refused")
 
     def sent(self, now: int, conn: Connection, side: str, data: bytes) -> None:
-        """Bytes: their first line, the request's id where there is one, and how many."""
+        """Write a line for sent bytes: their number, their first line and the request's id, if any."""
         head = data[:2048].decode("latin-1")
         first = head.split("\r\n", 1)[0]
         named = next(
@@ -139,17 +140,17 @@
         self.line(now, f"{self._ends(conn, side)} sends {len(data)} bytes {text!r}{named}")
 
     def ended(self, now: int, conn: Connection, side: str, how: str) -> None:
-        """An end, as it reaches a side."""
+        """Write a line for the end of a connection as it reaches a side."""
         other = "server" if side == "client" else "client"
         self.line(now, f"{self._ends(conn, other)} {how}")
 
     def process(self, now: int, machine: Machine, what: str) -> None:
-        """Processes."""
+        """Write a line for a change of a process."""
         self.line(now, f"{machine.name} {what}")
 
 
 class Raised(logging.Handler):
-    """Notes each exception that the program logged: in a run nothing of it may raise."""
+    """Handler that reports each exception in the program's log as a breach."""
 
     def __init__(self, world: World) -> None:
         super().__init__(logging.ERROR)
@@ -157,7 +158,7 @@
         self.breaches: list[Breach] = []
 
     def emit(self, record: logging.LogRecord) -> None:
-        """One record."""
+        """Report a record that carries an exception."""
         if record.exc_info and record.exc_info[0] is not None:
             process = self._world.current
             who = "the lab" if process is None else process.name
@@ -170,13 +171,13 @@
 
 
 class Fallen(Tap):
-    """Notes each process whose main program raised, be it a sidecar's or a stand-in's."""
+    """Tap that reports each process whose main program raised an exception, in a sidecar or a stand-in."""
 
     def __init__(self) -> None:
         self.breaches: list[Breach] = []
 
     def process(self, now: int, machine: Machine, what: str) -> None:
-        """One that has just exited is still its machine's last."""
+        """Report an exited process; a process that has just exited is still its machine's last one."""
         process = machine.process
         if what != "exited" or process is None or process.error is None:
             return
@@ -189,7 +190,7 @@
 
 @contextmanager
 def listening(handlers: list[logging.Handler]) -> Iterator[None]:
-    """The program's log goes to these handlers alone, for a while."""
+    """Send the program's log to the given handlers alone within the context."""
     log = logging.getLogger("brambleusher")
     before = log.handlers[:], log.level, log.propagate
     log.handlers[:], log.propagate = handlers, False
@@ -203,21 +204,21 @@
 
 @dataclass(slots=True)
 class Result:
-    """What one run came to; everything in it can be sent to another process."""
+    """The outcome of one run; the object can be pickled and sent to another process."""
 
     seed: int
     profile: str
     digest: str
     breaches: list[Breach]
-    asked: int  # requests that clients went out with, each counted once, however often it was tried
-    taken: int  # tries that sidecars had whole
+    asked: int  # number of requests that clients tried to send, each counted once
+    taken: int  # number of tries that reached sidecars completely
     served: int
     attempts: int
-    events: int  # on the wire
+    events: int  # number of steps on the wire
     virtual_s: float
-    faults: Counter[str] = field(default_factory=Counter)  # kinds in the plan
-    broken: int = 0  # all breaches, also those past the ones that are kept
-    sums: Sums | None = None  # over the fleet, where they were asked for
+    faults: Counter[str] = field(default_factory=Counter)  # number of planned faults by kind
+    broken: int = 0  # number of all breaches, kept or not
+    sums: Sums | None = None  # totals over the fleet, if they were requested
 
     @property
     def rules(self) -> list[str]:
@@ -232,9 +233,14 @@
     stop_at_breach: bool = False,
     sums: bool = False,
 ) -> Result:
-    """Play a scenario to its end and check it, `say` being given the time line; `sums` has the fleet's kept.
-
-    `stop_at_breach` ends the run at the first breach: enough to know that there is one.
+    """Play a scenario to its end and check it.
+
+    Args:
+        scenario: The scenario to play.
+        breakage: A context that breaks the program on purpose during the run.
+        say: A function that gets the lines of the timeline.
+        stop_at_breach: Whether to end the run at the first breach.
+        sums: Whether to compute the totals over the fleet.
     """
     with world_of(scenario) as world, breakage or nullcontext():
         world.settings = replace(world.settings, output_bytes=OUTPUT_BYTES)
@@ -296,7 +302,7 @@
 
 
 def fleet_limits(scenario: Scenario, rules: Rules) -> FleetLimits:
-    """What a scenario's world sets to the sums over its fleet."""
+    """Derive the limits on the totals over a fleet from the scenario's world."""
     world, discovery = scenario.world, scenario.world.discovery
     nodes = (
         NodeLimits(node_machine(number), node.settings.connections, node.settings.handshake_work_s)
@@ -315,7 +321,7 @@
     fleet.dump()
     world.run(world.now_ns + DUMP_NS)
     for place, process in asked:
-        # One that has ended since, and has a successor that was not asked, has no capture to show.
+        # A sidecar that was restarted after the request for its dump has no capture to check.
         if place.up and place.process is process and place.figures.capture:
             checker.captured(world.now_ns, place.machine.name, place.stderr)
     unreached = [
@@ -327,14 +333,14 @@
 
 
 def _worded(fault: object) -> dict[str, Any]:
-    """A fault as it stands in a file."""
+    """Return a fault as plain data, as written to files."""
     raw = msgspec.to_builtins(fault)
     assert isinstance(raw, dict)
     return raw
 
 
 class _ToLine(ProcessLog):
-    """Log records of the program, into the time line."""
+    """Handler that writes the program's log records into the timeline."""
 
     def __init__(self, world: World, line: TimeLine) -> None:
         super().__init__(world)
@@ -342,7 +348,7 @@
         self.setLevel(logging.INFO)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """One record."""
+        """Write a record as a line of the timeline."""
         process = self._world.current
         who = "the lab" if process is None else process.name
         self._line.line(self._world.now_ns, f"{who} logs {self.format(record)}")
@@ -354,10 +360,11 @@
     fails: Callable[[Scenario], bool],
     tell: Callable[[str], object] = lambda text: None,
 ) -> Scenario:
-    """Take faults and requests away while `fails` still says that the rule is broken.
+    """Remove faults and requests from a scenario as long as `fails` reports that the rule is still broken.
 
-    Delta debugging (Zeller and Hildebrandt, "Simplifying and Isolating Failure-Inducing Input", 2002),
-    complements only: parts of a list are dropped, halves first, down to single ones, until none can go.
+    The method is delta debugging (Zeller and Hildebrandt, "Simplifying and Isolating Failure-Inducing Input",
+    2002) on complements only: it drops parts of a list, from halves down to single items, until every item
+    left is needed.
     """
     for part in ("faults", "asks"):
         scenario = _fewer(scenario, part, fails, tell)
--- a/brambleusher/lab/virtual/mass.py
+++ b/brambleusher/lab/virtual/mass.py
@@ -1,8 +1,8 @@
-"""Days of a whole fleet: hundreds of sidecars with thin, uneven traffic, hundreds of nodes.
+"""Scenarios for a whole fleet: hundreds of nodes, and hundreds of sidecars with little, uneven traffic.
 
-A day of a seed is a scenario like any other: it can be written to a file, replayed and checked.  Sizes of
-work, aims and cold starts are those of the deployment, not shortened as the usual ranges are; a start and a
-round of a sidecar take the time that a part of a core gives them.
+A day drawn from a seed is an ordinary scenario, which can be written to a file, replayed and checked. Work
+sizes, latency goals and cold starts have the deployment's values, not the shortened ones of the usual ranges.
+A sidecar's start and the time between its polls are those of a process with a share of a core.
 """
 
 from __future__ import annotations
@@ -31,9 +31,9 @@
 
 SIDECARS = NODES = 200
 LENGTH_S, FAULTS_FROM_S, FAULTS_S = 30.0, 4.0, 18.0
-PARETO = 1.5  # of sidecars' parts of the traffic: some get several times the mean
+PARETO = 1.5  # shape of the Pareto distribution of traffic over sidecars; some get several times the mean
 MOST_OF_MEAN = 8.0
-BURST = 1.5  # times the usual rate, for a while
+BURST = 1.5  # factor on the usual request rate during a burst
 PROCESSOR = ProcessorFigures(start_s=0.6, round_s=0.0004)
 
 Plan = Callable[[Drawer, WorldFigures], list[faults.Fault]]
@@ -42,9 +42,9 @@
 def draw_mass(
     seed: int, day: str, sidecars: int = SIDECARS, nodes: int = NODES, length_s: float = LENGTH_S
 ) -> Scenario:
-    """The day of a seed; raises `ValueError` for a day that there is none of."""
+    """Draw the scenario of a day from a seed; raises `ValueError` for an unknown day."""
     if day not in DAYS:
-        raise ValueError(f"no day {day!r}; there are {', '.join(DAYS)}")
+        raise ValueError(f"unknown day {day!r}; the days are {', '.join(DAYS)}")
     world = _world(seed, sidecars, nodes, length_s)
     draw = Drawer(seed, f"faults {day}")
     plan = sorted(DAYS[day](draw, world), key=lambda fault: (fault.at_s, fault.kind, fault.target))
@@ -100,7 +100,7 @@
         tenants=(TenantFigures(name="peach-seats", share=0.8, usage=draw.of((0.54, 1.4))),
                  TenantFigures(name="red-clay-tix", share=0.2, usage=draw.of((0.7, 1.2)))),
         requests_per_s=draw.of((0.5, 0.65)) * capacity / work,
-        # As many calls as the deployment's roster bears, for a fleet that is so much larger.
+        # Discovery can answer as many calls as in the deployment, although this fleet is much larger.
         discovery=DiscoverySettings(call_s=draw.of((0.006, 0.012)), line_s=0.0001, spread_s=0.05),
         notice_s=draw.of((1.3, 2.3)),
         silent_notice_s=draw.of((4.5, 8.0)),
@@ -114,7 +114,7 @@
 
 
 def _asks(draw: Drawer, world: WorldFigures) -> tuple[Ask, ...]:
-    """Arrivals at random, with a burst, sidecars having unequal parts that shift between zones."""
+    """Draw random arrivals with a burst, over sidecars whose unequal shares shift between zones."""
     rng = draw.rng
     parts = [min(rng.paretovariate(PARETO) / 3.0, MOST_OF_MEAN) for _ in world.sidecars]
     burst = draw.of((0.2, 0.5)) * world.length_s
@@ -147,19 +147,22 @@
 
 
 def _some(draw: Drawer, world: WorldFigures, part: float) -> list[str]:
-    """A part of the nodes."""
+    """Draw a fraction of the nodes, at least one."""
     names = [node.id for node in world.nodes]
     return draw.rng.sample(names, max(1, round(part * len(names))))
 
 
 def _span(world: WorldFigures, part: float) -> tuple[float, float]:
-    """When faults begin, and how long they go on: a part of the time there is."""
+    """Return the start and the length of a period of faults, in seconds.
+
+    The length is a fraction of the time that the world has for faults.
+    """
     begin = min(FAULTS_FROM_S, world.faults_s / 3)
     return begin, round((world.faults_s - begin) * part, 3)
 
 
 def _replaced(draw: Drawer, world: WorldFigures, part: float, steps: int, within: float) -> list[Any]:
-    """A part of the nodes is replaced, in so many steps."""
+    """Plan the replacement of a fraction of the nodes in a number of steps."""
     begin, length = _span(world, within)
     names, plan = _some(draw, world, part), []
     for at, name in enumerate(names):
@@ -185,7 +188,7 @@
 
 
 def _roll(draw: Drawer, world: WorldFigures) -> list[faults.Fault]:
-    """Half of the nodes in steps, all sidecars a tenth at a time, and discovery moves."""
+    """Replace half of the nodes in steps, restart a tenth of the sidecars at a time, and move discovery."""
     begin, length = _span(world, 1.0)
     plan = _replaced(draw, world, 0.5, 5, 0.8)
     step = length / 10
@@ -197,7 +200,7 @@
 
 
 def _herd(draw: Drawer, world: WorldFigures) -> list[faults.Fault]:
-    """Seven in ten sidecars are killed in one moment, discovery is slow, one of eight nodes is bad."""
+    """Kill 70% of the sidecars at once, slow discovery down, and slow down one in eight nodes."""
     begin, length = _span(world, 1.0)
     plan = _slow(draw, world, 1 / 8) + _replaced(draw, world, 0.3, 3, 0.8)
     at = round(begin + 0.2 * length, 3)
@@ -208,7 +211,7 @@
 
 
 def _zone(draw: Drawer, world: WorldFigures) -> list[faults.Fault]:
-    """A zone is lost and returns cold; another is cut off; one of eight nodes is slow."""
+    """Lose one zone, which returns cold, cut off another, and slow down one in eight nodes."""
     begin, length = _span(world, 1.0)
     lost, cut = draw.rng.sample(world.zones, 2)
     for_s = min(5.0, length * 0.4)
@@ -220,7 +223,7 @@
 
 
 def _split(draw: Drawer, world: WorldFigures) -> list[faults.Fault]:
-    """A zone is cut off; connections are reset under requests."""
+    """Cut off a zone, and reset connections while requests are pending."""
     begin, length = _span(world, 1.0)
     for_s = min(6.0, length * 0.5)
     return [
@@ -230,7 +233,7 @@
 
 
 def _join(draw: Drawer, world: WorldFigures) -> list[faults.Fault]:
-    """Six in ten nodes are replaced within 7 s; some answers are spoilt."""
+    """Replace 60% of the nodes within 7 seconds, and corrupt some answers."""
     begin, length = _span(world, 1.0)
     plan = _replaced(draw, world, 0.6, 2, min(7.0 / length, 0.9))
     plan.append(faults.AnswersSpoilt(at_s=begin, for_s=length, how="noise", part=0.002))
--- a/brambleusher/lab/virtual/network.py
+++ b/brambleusher/lab/virtual/network.py
@@ -1,8 +1,8 @@
-"""TCP in virtual time: sockets, listeners, links and what goes wrong on them.
+"""TCP in virtual time: sockets, listeners, links and their faults.
 
-A connection carries bytes, not packets.  What a process sees of it, errno by errno and poll bit by poll
-bit, is what Linux shows: `tests/test_network_differential.py` plays the same scripts on both.  The names
-of states and errors are those of tcp(7), poll(2) and RFC 9293.
+A connection carries bytes, not packets. A process sees the same errno values and poll bits as on Linux:
+`tests/test_network_differential.py` plays the same scripts on both. The names of states and errors are those
+of tcp(7), poll(2) and RFC 9293.
 """
 
 from __future__ import annotations
@@ -17,35 +17,35 @@
 if TYPE_CHECKING:
     from brambleusher.lab.virtual.world import Machine, Process, World
 
-ERR, HUP, NVAL = 8, 16, 32  # poll(2)'s POLLERR, POLLHUP and POLLNVAL
+ERR, HUP, NVAL = 8, 16, 32  # POLLERR, POLLHUP and POLLNVAL of poll(2)
 CLIENT, SERVER = "client", "server"
 FIN, RESET = "fin", "reset"
 SECOND = 1_000_000_000
-CUT_OFF_NS = 1_000_000  # between two looks for acknowledgements that don't come through
-FIRST_PORT, LAST_PORT = 32768, 60999  # what Linux gives to those who don't ask for one
+CUT_OFF_NS = 1_000_000  # time between two checks for acknowledgements while none come through
+FIRST_PORT, LAST_PORT = 32768, 60999  # Linux's range of ephemeral ports
 ANY, LOCAL = "0.0.0.0", "127.0.0.1"
-# When a connect that nothing answers is tried again, in seconds after the first try, and when it is given
-# up: Linux with tcp_syn_retries=6 and tcp_syn_linear_timeouts=4.
+# Times at which an unanswered SYN is sent again and the connect times out, in seconds after the first SYN:
+# Linux with tcp_syn_retries=6 and tcp_syn_linear_timeouts=4.
 CONNECT_AGAIN = (1, 2, 3, 4, 5, 7, 11, 19, 35, 67)
 CONNECT_GIVEN_UP = 131
-RETRANSMIT_NS = 200_000_000  # the least time until Linux sends again what was not acknowledged
-GIVEN_UP_NS = 924 * SECOND  # until it gives that up: tcp_retries2=15
+RETRANSMIT_NS = 200_000_000  # Linux's minimum retransmission timeout
+GIVEN_UP_NS = 924 * SECOND  # time after which Linux gives up retransmitting, with tcp_retries2=15
 
 
 class State:
-    """States of a socket, as far as a process can tell them apart."""
+    """States of a socket, as far as a process can distinguish them."""
 
     CLOSE: Final = 0
     SYN_SENT: Final = 1
     SYN_RECV: Final = 2
-    OPEN: Final = 3  # ESTABLISHED and all that follow: `fin_in` and `shut_send` tell which
+    OPEN: Final = 3  # ESTABLISHED and all later states, which `fin_in` and `shut_send` distinguish
 
 
 class Wish:
-    """What connect(2) goes by: how far the process has come with it (Linux's SS_...)."""
+    """States of a socket with regard to connect(2), as Linux keeps them in `SS_...` constants."""
 
     UNCONNECTED: Final = 0
-    CONNECTING: Final = 1  # and has not been told by a second call that it worked
+    CONNECTING: Final = 1  # lasts until a second connect(2) call reports the success
     CONNECTED: Final = 2
     DISCONNECTING: Final = 3
 
@@ -59,7 +59,7 @@
 
 
 class Connection:
-    """A connection as the world knows it, from the connect on."""
+    """A connection with both its sockets, from the start of the connect on."""
 
     __slots__ = ("asked_ns", "client", "client_socket", "id", "server", "server_socket", "silent")
 
@@ -70,13 +70,13 @@
         self.silent = False
 
     def __repr__(self) -> str:
-        """For messages."""
+        """Describe the connection by its number, machines and ports."""
         one, other = self.client, self.server
         return f"#{self.id} {one.machine}:{one.port} > {other.machine}:{other.port}"
 
 
 class Link:
-    """One way between two machines."""
+    """One direction of the path between two machines."""
 
     __slots__ = ("_random", "cut", "down", "extra_ns", "from_", "jitter_ns", "latency_ns", "to")
 
@@ -97,25 +97,28 @@
         self.judge()
 
     def judge(self) -> None:
-        """See whether anything passes."""
+        """Recompute whether the link is down."""
         self.down = self.cut or self.from_.gone or self.to.gone
 
     def delay(self) -> int:
-        """How long the next bytes are on their way, ns."""
+        """Draw the transmission delay of the next bytes, in nanoseconds."""
         return self.latency_ns + self.extra_ns + int(self._random() * self.jitter_ns)
 
     def random(self) -> float:
-        """A draw, from this link's own stream."""
+        """Draw a number from 0 to 1 from this link's own random stream."""
         return self._random()
 
 
 def fault(number: int) -> OSError:
-    """The error with that number, as the operating system would raise it."""
+    """Build the `OSError` that the operating system raises for an error number."""
     return OSError(number, os.strerror(number))
 
 
 def octets_of(host: str) -> list[int]:
-    """An address's numbers; raises what a name that can't be looked up raises: there are no names here."""
+    """Return the four numbers of an IPv4 address.
+
+    A host name raises the error of a failed lookup, because the simulated network has no names.
+    """
     parts = host.split(".")
     if not all(part.isascii() and part.isdigit() and int(part) < 256 for part in parts):
         raise OSError(-2, "Name or service not known")
@@ -123,11 +126,11 @@
 
 
 class Killed(BaseException):
-    """Raised by every system call of a process that is no more."""
+    """Raised by every system call of a process that has ended."""
 
 
 class VirtualListener:
-    """A socket that listens."""
+    """A listening socket."""
 
     __slots__ = ("backlog", "fd", "host", "machine", "open", "port", "process", "queue")
 
@@ -137,40 +140,40 @@
         self.queue: deque[VirtualSocket] = deque()
         self.open = True
 
-    # --- as `runtime.system.Socket` has it ------------------------------------------------------
+    # --- methods of `runtime.system.Socket` -----------------------------------------------------
 
     def fileno(self) -> int:
-        """Its descriptor; -1 once it is closed."""
+        """Return the socket's descriptor; -1 once the socket is closed."""
         return self.fd
 
     def connect_ex(self, address: Address, /) -> int:
-        """`EISCONN`: it listens."""
+        """Return `EISCONN`, as Linux does for a listening socket."""
         self._check()
         return errno.EISCONN
 
     def recv(self, size: int, flags: int = 0, /) -> bytes:
-        """`ENOTCONN`."""
+        """Raise `ENOTCONN`, as Linux does for a listening socket."""
         self._check()
         if not size:
             return b""
         raise fault(errno.ENOTCONN)
 
     def send(self, data: bytes | memoryview, /) -> int:
-        """`EPIPE`."""
+        """Raise `EPIPE`, as Linux does for a listening socket."""
         self._check()
         raise fault(errno.EPIPE)
 
     def shutdown(self, how: int, /) -> None:
-        """Nothing, for the sending side."""
+        """Do nothing: shutting down the sending side of a listening socket has no effect."""
         self._check()
 
     def getsockname(self) -> Address:
-        """Host and port."""
+        """Return the host and port on which the socket listens."""
         self._check()
         return self.host, self.port
 
     def close(self) -> None:
-        """Close it; who waits in its queue is reset."""
+        """Close the socket; connections that wait to be accepted are reset."""
         if self.fd < 0 or self.process.dead:
             return
         self.process.release(self.fd)
@@ -183,26 +186,26 @@
         if self.fd < 0:
             raise fault(errno.EBADF)
 
-    # --- as the world has it --------------------------------------------------------------------
+    # --- methods for the world ------------------------------------------------------------------
 
     def mask(self) -> int:
-        """Its poll bits."""
+        """Return the socket's current poll bits."""
         return READ if self.queue else 0
 
     @property
     def full(self) -> bool:
-        """Whether its queue takes no more."""
+        """Whether the accept queue is full."""
         return len(self.queue) > self.backlog
 
     def let_go(self, abort: bool) -> None:
-        """The process has closed it, or is no more."""
+        """Release the socket after its process has closed it or has ended."""
         self.open = False
         self.machine.listeners.pop(self.port, None)
         while self.queue:
             self.queue.popleft().let_go(True)
 
     def vanish(self) -> None:
-        """Gone with its machine."""
+        """Drop the socket with its machine, without a word to the peers."""
         self.open = False
         self.machine.listeners.pop(self.port, None)
         while self.queue:
@@ -210,7 +213,7 @@
 
 
 class VirtualSocket:
-    """One end of a connection, or what may become one."""
+    """One end of a connection, or a socket that is not connected."""
 
     __slots__ = (
         "_credits", "_pump_due", "_unacked", "_unsent", "_unsent_size", "_used", "_want_write",
@@ -228,38 +231,39 @@
         self.conn: Connection | None = None
         self.side = CLIENT
         self.peer: VirtualSocket | None = None
-        self.link: Link | None = None  # the way to the peer
+        self.link: Link | None = None  # link towards the peer
         self.wish = Wish.UNCONNECTED if state == State.CLOSE else Wish.CONNECTED
         self.err = 0
-        # Linux's sk_shutdown; the ends received and sent are apart from it.
+        # `shut_receive` and `shut_send` are the bits of Linux's sk_shutdown; `fin_in` and `fin_out` record
+        # whether a FIN was received and sent.
         self.shut_receive = self.shut_send = self.fin_in = self.fin_out = self.orphan = False
         self.rx: deque[bytes] = deque()
         self.rx_size = 0
-        # Bytes on their way out: `_used` were taken from the process and not acknowledged; the part of
-        # them that found no room in the peer's window waits in `_unsent`.
+        # Send buffer: `_used` counts the bytes taken from the process and not acknowledged. Those among them
+        # that did not fit into the peer's window wait in `_unsent`.
         self._used = self._unsent_size = 0
         self._unsent: deque[bytes] = deque()
-        self._unacked: deque[tuple[int, int]] = deque()  # when the acknowledgement is here, of how many
+        self._unacked: deque[tuple[int, int]] = deque()  # acknowledgements: time of arrival, number of bytes
         self._window = network.settings.receive_buffer
-        self._credits: deque[tuple[int, int]] = deque()  # when news of a larger window is here, by how much
-        self._pump_due = self._write_due = 0  # when an event for it is due; 0 for none
+        self._credits: deque[tuple[int, int]] = deque()  # window updates: time of arrival, number of bytes
+        self._pump_due = self._write_due = 0  # times of the scheduled pump and write events; 0 for none
         self._want_write = False
         self.fin_queued = False
         self.fin_acked_ns = 0
         self.last_arrival = 0
-        self.received_ns = 0  # when bytes last came, on the world's monotonic clock; 0: none have
-        self.held: list[Any] = []  # what the peer has not got because of a fault, in order
+        self.received_ns = 0  # time of the last received bytes on the world's monotonic clock; 0 for none
+        self.held: list[Any] = []  # bytes and FIN that a fault keeps from the peer, in order
         self.held_since = 0
-        self.silence_ns = GIVEN_UP_NS  # sent bytes unacknowledged for so long end the connection
+        self.silence_ns = GIVEN_UP_NS  # time after which unacknowledged bytes end the connection
 
-    # --- as `runtime.system.Socket` has it ------------------------------------------------------
+    # --- methods of `runtime.system.Socket` -----------------------------------------------------
 
     def fileno(self) -> int:
-        """Its descriptor; -1 once it is closed."""
+        """Return the socket's descriptor; -1 once the socket is closed."""
         return self.fd
 
     def connect_ex(self, address: Address, /) -> int:
-        """Begin to connect, or say how far that has come; see connect(2) on calling it again."""
+        """Begin to connect, or report the progress of the connect as a repeated connect(2) call does."""
         process = self.process
         if process is None or process.dead:
             raise Killed
@@ -281,7 +285,7 @@
         return self._connect(address)
 
     def recv(self, size: int, flags: int = 0, /) -> bytes:
-        """Up to so many bytes, empty at the end; with `PEEK` they stay."""
+        """Read at most `size` bytes, none at the end of the stream; with `PEEK` the bytes stay unread."""
         process = self.process
         if process is None or process.dead:
             raise Killed
@@ -305,7 +309,7 @@
         raise BlockingIOError(errno.EAGAIN, "Resource temporarily unavailable")
 
     def send(self, data: bytes | memoryview, /) -> int:
-        """Hand over bytes; says how many were taken."""
+        """Send bytes and return how many the send buffer took."""
         process = self.process
         if process is None or process.dead:
             raise Killed
@@ -347,7 +351,7 @@
         return size
 
     def shutdown(self, how: int, /) -> None:
-        """`SHUTDOWN_WRITE`: the peer gets what was sent, and the end."""
+        """Shut down the sending side with `SHUTDOWN_WRITE`; the peer gets all sent bytes, then a FIN."""
         process = self.process
         if process is None or process.dead:
             raise Killed
@@ -370,13 +374,13 @@
             self._end()
 
     def getsockname(self) -> Address:
-        """Host and port."""
+        """Return the local host and port."""
         if self.fd < 0:
             raise fault(errno.EBADF)
         return self.host, self.port
 
     def close(self) -> None:
-        """Close it; bytes unread make that a reset."""
+        """Close the socket; unread bytes make the close a reset."""
         process = self.process
         if self.fd < 0 or process is None or process.dead:
             return
@@ -385,7 +389,7 @@
         self.let_go(False)
 
     def abort(self) -> None:
-        """Close it with a reset, as SO_LINGER with no time does."""
+        """Close the socket with a reset, as SO_LINGER with a timeout of 0 does."""
         process = self.process
         if process is None or process.dead:
             raise Killed
@@ -396,16 +400,16 @@
         self.let_go(True)
 
     def take_error(self) -> int:
-        """The error that waits on it (SO_ERROR), and clears it; 0 for none."""
+        """Return and clear the socket's pending error, as SO_ERROR does; 0 for none."""
         if self.fd < 0:
             raise fault(errno.EBADF)
         code, self.err = self.err, 0
         return code
 
-    # --- as the poller sees it ------------------------------------------------------------------
+    # --- methods for the poller -----------------------------------------------------------------
 
     def mask(self) -> int:
-        """Its poll bits."""
+        """Return the socket's current poll bits."""
         mask = ERR if self.err else 0
         state = self.state
         if state == State.SYN_SENT:
@@ -419,12 +423,12 @@
         return mask
 
     def want_write(self) -> None:
-        """Somebody waits for room: have it told."""
+        """Arrange a notification once the socket is writable."""
         self._want_write = True
         self._arm_write()
 
     def _writable(self) -> bool:
-        # Linux calls a socket writable once a third of its buffer is free.
+        # Linux reports a socket as writable once at least a third of its buffer is free.
         most = self.network.settings.send_buffer
         if self._used * 3 <= most * 2:
             return True
@@ -432,7 +436,7 @@
         return self._used * 3 <= most * 2
 
     def _arm_write(self) -> None:
-        """Have the moment told at which there is room again, if it is known."""
+        """Schedule an event for the time at which the socket becomes writable, if that time is known."""
         if self._write_due:
             return
         most = self.network.settings.send_buffer * 2
@@ -440,7 +444,7 @@
         for when, size in self._unacked:
             used -= size
             if used * 3 <= most:
-                # While acknowledgements are cut off, now and then: nobody knows when they come.
+                # While a fault cuts off acknowledgements, check at intervals: their arrival time is unknown.
                 pause = 1 if self._acknowledged() else CUT_OFF_NS
                 self._write_due = max(when, self.world.now_ns + pause)
                 self.world.push(self._write_due, self._room)
@@ -456,7 +460,7 @@
                 self._arm_write()
 
     def notify(self) -> None:
-        """Its poll bits may have changed."""
+        """Tell the process's pollers that the socket's poll bits may have changed."""
         if self.fd >= 0 and self.process is not None:
             self.process.stir(self.fd)
 
@@ -495,7 +499,7 @@
         return data
 
     def credit(self, when: int, size: int) -> None:
-        """The peer has read: news of it comes at a moment."""
+        """Record a window update of `size` bytes that arrives at the time `when`."""
         self._credits.append((when, size))
         if self._unsent:
             self._pump_at(when)
@@ -510,7 +514,7 @@
             self._window += credits.popleft()[1]
 
     def _acknowledged(self) -> bool:
-        """Whether acknowledgements come through."""
+        """Tell whether the peer's acknowledgements can reach this end."""
         peer = self.peer
         if peer is None or peer.link is None or peer.link.down:
             return False
@@ -534,7 +538,7 @@
             self._pump()
 
     def _pump(self) -> None:
-        """Send on what the peer has room for."""
+        """Transmit unsent bytes that fit into the peer's window."""
         if self.state != State.OPEN:
             return
         self._absorb_credits()
@@ -567,7 +571,7 @@
             self.post(data)
 
     def post(self, what: Any) -> None:
-        """Put bytes, the end or a reset on their way, behind all that is on it already."""
+        """Send bytes, a FIN or a reset to the peer, behind everything sent before."""
         when = self.world.now_ns + self.link.delay()  # type: ignore[union-attr]
         if when <= self.last_arrival:
             when = self.last_arrival + 1
@@ -575,12 +579,12 @@
         self.world.push(when, self._reach, what)
 
     def _reach(self, what: Any) -> None:
-        """Something has come to the other end of the link."""
+        """Handle the arrival of bytes, a FIN or a reset at the peer's machine."""
         conn, peer = self.conn, self.peer
         if conn is None or peer is None:
             return
         if self.link.down or conn.silent:  # type: ignore[union-attr]
-            if what is not RESET:  # nobody sends that again
+            if what is not RESET:  # TCP never retransmits a reset
                 self._hold(what)
         elif what is not RESET and (self.held or peer.state == State.SYN_RECV):
             self._hold(what)
@@ -595,12 +599,12 @@
         self.held.append(what)
 
     def _unanswered(self, since: int) -> None:
-        """So long nothing of what was sent has been acknowledged."""
+        """Time out the connection if held bytes have stayed unacknowledged since the time `since`."""
         if self.held and self.held_since == since and not self._closed():
             self.was_reset(errno.ETIMEDOUT)
 
     def release(self) -> None:
-        """Send again what was held, if it passes now."""
+        """Deliver everything held back by a fault, if the link passes it now."""
         conn, peer = self.conn, self.peer
         if conn is None or peer is None or self.link.down or conn.silent:  # type: ignore[union-attr]
             return
@@ -631,7 +635,7 @@
             peer.notify()
             return
         if peer.orphan:
-            # RFC 1122, 4.2.2.13: bytes for a process that has closed are answered with a reset.
+            # RFC 1122, 4.2.2.13: a socket that its process has closed answers bytes with a reset.
             peer.state = State.CLOSE
             peer.drop_unsent()
             peer.answer_reset()
@@ -648,14 +652,14 @@
         peer.notify()
 
     def answer_reset(self) -> None:
-        """Answer what comes for a connection that is no more."""
+        """Answer bytes for a closed connection with a reset."""
         if self.link is not None:
             self.post(RESET)
 
-    # --- ends -----------------------------------------------------------------------------------
+    # --- closing --------------------------------------------------------------------------------
 
     def _closed(self) -> bool:
-        """Whether it is in CLOSE; both ends sent and acknowledged lead there."""
+        """Tell whether the state is CLOSE, which follows once both FINs are sent and acknowledged."""
         if (
             self.state == State.OPEN
             and self.fin_in
@@ -666,7 +670,7 @@
         return self.state == State.CLOSE
 
     def _end(self) -> None:
-        """Send the end, once, behind what waits to be sent."""
+        """Send a FIN once, behind all unsent bytes."""
         if self.fin_out:
             return
         self.fin_out = True
@@ -676,7 +680,7 @@
             self.post(FIN)
 
     def drop_unsent(self) -> None:
-        """Forget what has not been sent."""
+        """Discard the send buffer and everything held back by a fault."""
         self._unsent.clear()
         self._unacked.clear()
         self._used = self._unsent_size = 0
@@ -685,7 +689,7 @@
         self.network.holding.pop(self, None)
 
     def was_reset(self, why: int = 0) -> None:
-        """A reset has come, or it has failed otherwise."""
+        """Close the connection after a reset, or after the error `why` if one is given."""
         if self._closed():
             return
         if why:
@@ -704,7 +708,7 @@
         self.notify()
 
     def let_go(self, abort: bool) -> None:
-        """Its process has closed it, or is no more."""
+        """Release the socket after its process has closed it or has ended; `abort` sends a reset."""
         if self.orphan:
             return
         self.orphan = True
@@ -727,7 +731,7 @@
             self._end()
 
     def vanish(self) -> None:
-        """Gone with its machine: nobody is told."""
+        """Drop the socket with its machine, without a word to the peer."""
         self.orphan = True
         self.state = State.CLOSE
         self.rx.clear()
@@ -735,7 +739,7 @@
         self.drop_unsent()
 
     def disconnect(self) -> None:
-        """Back to a socket that is not connected, as after a connect that failed."""
+        """Return to the unconnected state, as after a failed connect."""
         self.state = State.CLOSE
         self.wish, self.host = Wish.UNCONNECTED, ANY
         self.conn = self.peer = self.link = None
@@ -785,7 +789,7 @@
             self.notify()
 
     def _again(self, conn: Connection, target: Machine, tries: int) -> None:
-        """Nothing answered: try again when Linux would."""
+        """Schedule the next SYN at the time at which Linux sends it, or the timeout after the last one."""
         if not self._still_connecting(conn):
             return
         if tries >= len(CONNECT_AGAIN):
@@ -795,7 +799,7 @@
         self.world.push(max(when, self.world.now_ns + 1), self._syn, conn, target, tries + 1)
 
     def _syn(self, conn: Connection, target: Machine, tries: int) -> None:
-        """The wish to connect has come to the other machine."""
+        """Handle the arrival of a SYN at the target machine."""
         if not self._still_connecting(conn):
             return
         network, world = self.network, self.world
@@ -826,7 +830,7 @@
         self.notify()
 
     def _syn_ack(self, conn: Connection, back: Link, listener: VirtualListener, tries: int) -> None:
-        """The other machine's consent is here."""
+        """Handle the arrival of a SYN-ACK at the client."""
         if not self._still_connecting(conn):
             return
         if back.down or conn.silent:
@@ -845,7 +849,7 @@
         self.notify()
 
     def acknowledged(self, listener: VirtualListener, tries: int) -> None:
-        """The client's acknowledgement is here: the connection may wait to be accepted."""
+        """Handle the arrival of the client's ACK: queue the connection for accept()."""
         if self.state != State.SYN_RECV:
             return
         client, conn = self.peer, self.conn
@@ -859,7 +863,7 @@
             self.state = State.CLOSE
             self.answer_reset()
         elif listener.full:
-            # Linux takes no notice of it; the client believes itself connected.
+            # Linux ignores the ACK while the accept queue is full; the client already counts as connected.
             self._ack_again(listener, tries)
         else:
             self.state = State.OPEN
@@ -875,24 +879,24 @@
 
 
 class Network:
-    """All links and connections, and the faults one may cause on them.
+    """All links and connections, with methods that inject faults into them.
 
-    Machines are given as `Machine` or by name.  Nothing here tells a process that a fault was caused.
+    Machines are given as `Machine` or by name. Processes get no notice of an injected fault.
     """
 
     def __init__(self, world: World) -> None:
         self.world, self.settings = world, world.settings
         self._links: dict[tuple[str, str], Link] = {}
         self._connections = 0
-        self.holding: dict[VirtualSocket, None] = {}  # those whose peer has not got all, oldest first
+        self.holding: dict[VirtualSocket, None] = {}  # sockets with bytes held back by a fault, oldest first
         self.refusing: dict[tuple[str, int], None] = {}
 
     def seen_from(self, machine: Machine, address: Address) -> Address:
-        """Where a machine connects to, to reach an address: that very one."""
+        """Return the address by which a machine reaches `address`; in virtual time they are the same."""
         return address
 
     def connections(self, machine: Machine) -> list[Connection]:
-        """Those that the last process on a machine has accepted, by descriptor."""
+        """Return the connections of the last process started on a machine, sorted by descriptor."""
         process = machine.process
         if process is None or process.dead:
             return []
@@ -902,59 +906,59 @@
     # --- faults ---------------------------------------------------------------------------------
 
     def cut(self, a: Machine | str, b: Machine | str, one_way: bool = False) -> None:
-        """Nothing passes from `a` to `b`, nor back unless `one_way`; nobody is told."""
+        """Drop everything sent from `a` to `b`, and from `b` to `a` unless `one_way`, without any notice."""
         self._set_cut(a, b, one_way, True)
 
     def mend(self, a: Machine | str, b: Machine | str, one_way: bool = False) -> None:
-        """It passes again; what was sent meanwhile is sent again, after a while that TCP's pauses give."""
+        """End a cut; bytes sent during the cut arrive after a delay set by TCP's retransmission timers."""
         self._set_cut(a, b, one_way, False)
         self.pass_on()
 
     def slow_link(self, a: Machine | str, b: Machine | str, extra_ns: int) -> None:
-        """Both ways take so much longer from now on; 0 ends it."""
+        """Add `extra_ns` to the latency of both directions; 0 ends the fault."""
         one, other = self._machine(a), self._machine(b)
         for link in (self.link(one, other), self.link(other, one)):
             link.extra_ns = extra_ns
 
     def throttle(self, a: Machine | str, b: Machine | str, bytes_per_s: float) -> None:
-        """Links here have no width: a plan that needs one is for real processes."""
+        """Raise `NotImplementedError`, because virtual links have no bandwidth; use real processes."""
         raise NotImplementedError("links in virtual time can't be throttled")
 
     def silence(self, connection: Connection) -> None:
-        """Both ends of a connection stay open and nothing passes."""
+        """Drop everything sent on a connection, whose ends both stay open."""
         connection.silent = True
 
     def unsilence(self, connection: Connection) -> None:
-        """It passes again."""
+        """End the silence of a connection."""
         connection.silent = False
         self.pass_on()
 
     def reset(self, connection: Connection) -> None:
-        """Both ends of a connection get a reset, as from something on the way."""
+        """Reset both ends of a connection, as a middlebox might."""
         for end in (connection.client_socket, connection.server_socket):
             if end is not None and end.state != State.CLOSE:
                 end.was_reset()
 
     def refuse(self, machine: Machine | str, port: int) -> None:
-        """Connects to a port are refused, though somebody listens."""
+        """Refuse connects to a port, even if a process listens there."""
         self.refusing[self._machine(machine).name, port] = None
 
     def stop_refusing(self, machine: Machine | str, port: int) -> None:
-        """They are taken again."""
+        """Let connects to a port through again."""
         self.refusing.pop((self._machine(machine).name, port), None)
 
     def swallow_connects(self, machine: Machine | str) -> None:
-        """Connects to a machine stay unanswered; connections that are open go on."""
+        """Leave connects to a machine unanswered; open connections keep working."""
         self._machine(machine).swallows = True
 
     def stop_swallowing(self, machine: Machine | str) -> None:
-        """They are answered again; those that wait are, when they are tried again."""
+        """Answer connects to a machine again; pending connects succeed at their next SYN."""
         self._machine(machine).swallows = False
 
-    # --- for the world --------------------------------------------------------------------------
+    # --- methods for the world ------------------------------------------------------------------
 
     def link(self, from_: Machine, to: Machine) -> Link:
-        """The way from one machine to another."""
+        """Return the link from one machine to another, and create it on first use."""
         key = from_.name, to.name
         link = self._links.get(key)
         if link is None:
@@ -962,26 +966,26 @@
         return link
 
     def judge(self) -> None:
-        """A machine has vanished or come back: see what passes."""
+        """Recompute which links are down, after a machine has vanished or come back."""
         for link in self._links.values():
             link.judge()
 
     def pass_on(self) -> None:
-        """Have all that is held and would pass now sent again, when TCP would."""
+        """Schedule the retransmission of held bytes that can pass now, at the time that TCP would choose."""
         now = self.world.now_ns
         for sock in list(self.holding):
             if sock.conn is None or sock.conn.silent or sock.link is None or sock.link.down:
                 continue
-            # The pauses double, so after so long an outage the next try is at most as far off.
+            # Retransmission timeouts double, so the next try is at most as far off as the outage was long.
             longest = min(max(RETRANSMIT_NS, now - sock.held_since), self.settings.retransmit_most_ns)
             self.world.push(now + 1 + int(sock.link.random() * longest), sock.release)
 
     def machine_at(self, ip: str) -> Machine | None:
-        """The machine with an address."""
+        """Return the machine with an IP address; None if there is none."""
         return self.world.machines_by_ip.get(ip)
 
     def new_connection(self, client: End, server: End) -> Connection:
-        """A connection with the next number."""
+        """Create a connection with the next number."""
         self._connections += 1
         return Connection(self._connections, client, server, self.world.now_ns)
 
--- a/brambleusher/lab/virtual/world.py
+++ b/brambleusher/lab/virtual/world.py
@@ -1,8 +1,8 @@
-"""A seeded world in virtual time: its clock and events, machines, and processes with what they see.
+"""Seeded simulation in virtual time: a clock with events, machines, and processes with their system calls.
 
-One thread runs it all.  A process is a greenlet that calls an unmodified main program with a `System` of
-its own; it runs until it polls (or waits for a worker or a sink), and the world goes on with the next
-event.  Whatever is left open, such as how long a round takes, is drawn from the seed.
+One thread runs the whole simulation. A process is a greenlet that calls an unmodified main program with a
+`System` of its own. The process runs until it polls or waits for a worker or a sink; then the world runs the
+next event. Every unspecified quantity, such as the time between two polls, is drawn from the seed.
 """
 
 from __future__ import annotations
@@ -39,83 +39,87 @@
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.system import READ, WRITE, Address, Item, Poller, Sink, Socket, Waker, Worker
 
-START_NS = 1_000_000_000_000  # on every clock that only advances, when a world begins
-WALL_NS = 1_790_000_000_000_000_000  # Unix time at that moment
+START_NS = 1_000_000_000_000  # reading of every monotonic clock when a world begins
+WALL_NS = 1_790_000_000_000_000_000  # Unix time when a world begins, in nanoseconds
 MILLISECOND = 1_000_000
-STANDARD = 3  # descriptors that a process has from the start
-# What Linux does with these where nobody handles them is nothing; other signals end a process.
+STANDARD = 3  # number of the standard descriptors, which every process has open from the start
+# Signals that Linux ignores by default; any other signal without a handler ends the process.
 HARMLESS = frozenset({signal.SIGCHLD, signal.SIGCONT, signal.SIGURG, signal.SIGWINCH})
-THROWS = 16  # so often a greenlet of a dead process is ended before it is left alone
+THROWS = 16  # attempts to end a greenlet of a dead process before it is abandoned
 
-Range = tuple[int, int]  # both ends included
+Range = tuple[int, int]  # lowest and highest value, both included
 
 
 @dataclass(frozen=True, slots=True)
 class Pace:
-    """How long a process takes that has a part of a core, in nanoseconds."""
+    """Durations of the steps of a process that has only a share of a core, in nanoseconds."""
 
-    start_ns: Range  # from a start to the first step of the program
+    start_ns: Range  # from the start to the first step of the program
     round_ns: Range  # from one poll to the next
 
 
 @dataclass(frozen=True, slots=True)
 class WorldSettings:
-    """What a world is like; times in nanoseconds, sizes in bytes, shares from 0 to 1."""
-
-    latency_ns: Range = (40_000, 400_000)  # one way between two machines: each way draws one
-    jitter_ns: int = 60_000  # on top of it, drawn for each part that is sent
-    loopback_ns: Range = (4_000, 12_000)  # one way within a machine
-    round_ns: Range = (3_000, 25_000)  # what a process takes from one poll to the next
-    wake_ns: Range = (1_000, 15_000)  # from the moment a poll has something to its return
-    start_ns: Range = (1_000, 2_000_000)  # from a start to the first step of the program
-    worker_ns: Range = (20_000, 500_000)  # from a worker's wake to its turn
+    """Properties of a world; times in nanoseconds, sizes in bytes, fractions from 0 to 1."""
+
+    latency_ns: Range = (40_000, 400_000)  # one-way latency between machines, drawn once per direction
+    jitter_ns: int = 60_000  # largest addition to the latency, drawn for each transmission
+    loopback_ns: Range = (4_000, 12_000)  # one-way latency within a machine
+    round_ns: Range = (3_000, 25_000)  # time a process takes from one poll to the next
+    wake_ns: Range = (1_000, 15_000)  # from the time a descriptor becomes ready to the return of the poll
+    start_ns: Range = (1_000, 2_000_000)  # from the start of a process to the first step of its program
+    worker_ns: Range = (20_000, 500_000)  # from the wake-up of a worker to its turn
     send_buffer: int = 64 * 1024
     receive_buffer: int = 64 * 1024
-    split: float = 0.05  # of what is sent: comes in two parts, cut at any byte
-    short_send: float = 0.02  # of sends: takes a part only
-    short_receive: float = 0.03  # of receives: gives a part only
-    aborted_accepts: float = 0.0  # of connections reset before accept: ECONNABORTED, as BSD says
-    retransmit_most_ns: int = 120 * 1_000_000_000  # the longest pause before bytes are sent again
-    descriptors: int = 1024  # a process, unless told otherwise
-    output_bytes: int = 256 * 1024  # of standard error that are kept, the last ones
+    split: float = 0.05  # fraction of transmissions that arrive in two parts, split at a random byte
+    short_send: float = 0.02  # fraction of sends that take only a part of the bytes
+    short_receive: float = 0.03  # fraction of receives that return only a part of the available bytes
+    # Fraction of connections reset before accept() that fail it with ECONNABORTED, as BSD does.
+    aborted_accepts: float = 0.0
+    retransmit_most_ns: int = 120 * 1_000_000_000  # longest retransmission timeout
+    descriptors: int = 1024  # default limit of descriptors for a process
+    output_bytes: int = 256 * 1024  # size of the kept tail of a process's standard error
 
 
 class Tap:
-    """Is told of each step on the wire, at its time in ns; `side` is "client" or "server"."""
+    """Observer of every step on the wire, with its time in nanoseconds; `side` is "client" or "server"."""
 
     def opened(self, now: int, conn: Connection) -> None:
-        """A process asked for a connection."""
+        """Observe the start of a connect."""
 
     def established(self, now: int, conn: Connection) -> None:
-        """It is up, as its client sees it."""
+        """Observe that a connection is established from its client's view."""
 
     def accepted(self, now: int, conn: Connection) -> None:
-        """A process took it from its listener's queue."""
+        """Observe that a process accepted a connection from its listener's queue."""
 
     def refused(self, now: int, conn: Connection) -> None:
-        """Its client learnt that nobody listens."""
+        """Observe that a client learnt of the refusal of its connect."""
 
     def sent(self, now: int, conn: Connection, side: str, data: bytes) -> None:
-        """A process handed bytes to its system."""
+        """Observe bytes that a process handed to its system."""
 
     def arrived(self, now: int, conn: Connection, side: str, data: bytes) -> None:
-        """Bytes became readable at a side."""
+        """Observe bytes that became readable at a side."""
 
     def read(self, now: int, conn: Connection, side: str, data: bytes) -> None:
-        """A process took bytes from its system."""
+        """Observe bytes that a process read from its system."""
 
     def ended(self, now: int, conn: Connection, side: str, how: str) -> None:
-        """The end came to a side: how is "fin" or "reset"."""
+        """Observe that the peer's end reached a side; `how` is "fin" or "reset"."""
 
     def closed(self, now: int, conn: Connection, side: str) -> None:
-        """The process at a side closed it, or came to its end."""
+        """Observe that the process at a side closed a connection or ended."""
 
     def process(self, now: int, machine: Machine, what: str) -> None:
-        """What is "started", "killed" (its connections end next), "exited" (the same) or "signal N"."""
+        """Observe a change of a process: `what` is "started", "killed", "exited" or "signal N".
+
+        After "killed" and "exited" the process's connections are reported as closed.
+        """
 
 
 class Event:
-    """A call due at some moment."""
+    """A call scheduled for a time."""
 
     __slots__ = ("args", "call")
 
@@ -123,12 +127,12 @@
         self.call, self.args = call, args
 
     def cancel(self) -> None:
-        """Make it do nothing."""
+        """Cancel the scheduled call."""
         self.call, self.args = None, ()
 
 
 class World:
-    """The loop: one clock, one heap of events, everything that is on it."""
+    """The simulation loop: one clock, one heap of events, and the machines and network on them."""
 
     def __init__(self, seed: int | str, settings: WorldSettings | None = None) -> None:
         self.seed, self.settings = seed, settings or WorldSettings()
@@ -137,7 +141,7 @@
         self.machines_by_ip: dict[str, Machine] = {}
         self.taps: list[Tap] = []
         self.step_done: list[Callable[[], object]] = []
-        self.current: Process | None = None  # whose code runs
+        self.current: Process | None = None  # process whose code is running; None between processes
         self.datagrams: deque[tuple[int, str, Address, bytes]] = deque(maxlen=4096)
         self.events_done = 0
         self.failure: Exception | None = None
@@ -149,40 +153,43 @@
         self.network = Network(self)
 
     def stream(self, name: str) -> random.Random:
-        """Random numbers of their own for one purpose: draws elsewhere don't change them."""
+        """Create a random stream for one purpose, which draws from other streams don't affect."""
         return random.Random(f"{self.seed}/{name}")
 
     # --- time -----------------------------------------------------------------------------------
 
     @property
     def elapsed_ns(self) -> int:
-        """Virtual time since the world began."""
+        """Virtual time since the world began, in nanoseconds."""
         return self.now_ns - START_NS
 
     @property
     def wall_ns(self) -> int:
-        """Unix time, as machines have it whose clock is right."""
+        """Unix time on a machine with a correct clock, in nanoseconds."""
         return WALL_NS + self.now_ns - START_NS
 
     def at(self, when_ns: int, call: Callable[[], object]) -> Event:
-        """Have a call made at a moment, at once if it has passed; it must not wait."""
+        """Schedule a call for a time, or at once if the time has passed; the call must not block."""
         return self.push(max(when_ns, self.now_ns), call)
 
     def after(self, wait_ns: int, call: Callable[[], object]) -> Event:
-        """Have a call made after a while."""
+        """Schedule a call after a delay."""
         return self.push(self.now_ns + max(0, wait_ns), call)
 
     def push(self, when: int, call: Callable[..., Any], *args: Any) -> Event:
-        """The same with arguments, and without a look at the clock."""
+        """Schedule a call with arguments for a time, which must not have passed."""
         event = Event(call, args)
         self._count += 1
         heapq.heappush(self._heap, (when, self._draw(), self._count, event))
         return event
 
     def run(self, until_ns: int | None = None, until: Callable[[], bool] | None = None) -> bool:
-        """Go on until a moment, or until `until` says so after some event, or until nothing is due.
+        """Run events up to a time, until `until` returns true after an event, or until none is left.
 
-        Says whether `until` said so.  What a tap or a call raises ends the run and comes out here.
+        An exception from a tap or from a scheduled call ends the run and is raised here.
+
+        Returns:
+            Whether `until` ended the run.
         """
         self.hub = greenlet.getcurrent()
         if until is not None and until():
@@ -209,7 +216,7 @@
         return False
 
     def tell(self, what: str, *args: Any) -> None:
-        """Tell the taps; what one raises ends the run, and never reaches the process that was at it."""
+        """Call a method of all taps; an exception ends the run without reaching the current process."""
         try:
             for tap in self.taps:
                 getattr(tap, what)(self.now_ns, *args)
@@ -217,17 +224,17 @@
             if self.failure is None:
                 self.failure = error
 
-    # --- what is on it --------------------------------------------------------------------------
+    # --- machines -------------------------------------------------------------------------------
 
     def machine(self, name: str, ip: str) -> Machine:
-        """A new machine."""
+        """Add a machine; raises `ValueError` if its name or IP address is taken."""
         if name in self.machines or ip in self.machines_by_ip:
-            raise ValueError(f"there is a machine {name} or {ip} already")
+            raise ValueError(f"a machine with the name {name} or the address {ip} already exists")
         machine = self.machines[name] = self.machines_by_ip[ip] = Machine(self, name, ip)
         return machine
 
     def close(self) -> None:
-        """End all processes without a trace on the wire, and let go of what they held."""
+        """End all processes without reporting to the taps, and release their resources."""
         self._closed = True
         self.taps, self.step_done = [], []
         self.hub = greenlet.getcurrent()
@@ -237,23 +244,26 @@
         self._heap.clear()
 
     def __enter__(self) -> World:
-        """Itself."""
+        """Return the world."""
         return self
 
     def __exit__(self, *exc: object) -> None:
-        """Close it."""
+        """Close the world."""
         self.close()
 
 
 class ProcessLog(logging.Handler):
-    """Log records to the standard error of the process whose code runs; nobody else's are kept."""
+    """Handler that writes log records to the standard error of the running process.
+
+    Records logged while no process runs are discarded.
+    """
 
     def __init__(self, world: World) -> None:
         super().__init__()
         self._world = world
 
     def emit(self, record: logging.LogRecord) -> None:
-        """One record, a line."""
+        """Write a record as one line."""
         process = self._world.current
         if process is None or process.dead:
             return
@@ -264,7 +274,7 @@
 
 
 class Machine:
-    """A machine: its address, its wall clock, its files, the processes on it."""
+    """A simulated machine with its address, wall clock, files and processes."""
 
     def __init__(self, world: World, name: str, ip: str) -> None:
         self.world, self.name, self.ip = world, name, ip
@@ -273,12 +283,12 @@
         self.wall_offset_ns = 0
         self.listeners: dict[int, VirtualListener] = {}
         self.files: dict[str, bytearray] = {}
-        self.processes: list[Process] = []  # those that have not ended
-        self.process: Process | None = None  # the last one started
+        self.processes: list[Process] = []  # processes that have not ended
+        self.process: Process | None = None  # process started last, ended or not
         self._next_port = world.stream(f"ports {name}").randint(FIRST_PORT, LAST_PORT)
 
     def __repr__(self) -> str:
-        """For messages."""
+        """Describe the machine by its name and address."""
         return f"<Machine {self.name} {self.ip}>"
 
     def start(
@@ -288,22 +298,22 @@
         descriptors: int | None = None,
         pace: Pace | None = None,
     ) -> Process:
-        """Start a process: `main` is called with its system, soon, or at its own pace."""
+        """Start a process that calls `main` with its system after a start time drawn from its pace."""
         if self.gone:
-            raise RuntimeError(f"{self.name} has vanished")
+            raise RuntimeError(f"machine {self.name} has vanished")
         process = Process(self, main, name or self.name, descriptors, pace)
         self.processes.append(process)
         self.process = process
         return process
 
     def address(self, port: int) -> Address:
-        """Where a process of it listens that is to listen on some port."""
+        """Return the address at which a process of this machine listens for a port number."""
         return self.ip, port
 
     def serve(
         self, build: Callable[[Scheduler], object], name: str = "", descriptors: int | None = None
     ) -> Process:
-        """Start a process that builds something on a scheduler and runs it."""
+        """Start a process that calls `build` with a new scheduler and runs the scheduler."""
 
         def main(system: VirtualSystem) -> None:
             scheduler = Scheduler(system)
@@ -313,12 +323,12 @@
         return self.start(main, name, descriptors)
 
     def stall(self, wait_ns: int) -> None:
-        """No process on it runs for a while; its kernel goes on accepting and acknowledging."""
+        """Suspend all processes for a time; the kernel keeps accepting and acknowledging."""
         for process in self.processes:
             process.stall(wait_ns)
 
     def vanish(self) -> None:
-        """Lose its power: it says nothing from now on, and connects to it never come up."""
+        """Simulate a power failure: the machine sends nothing more, and connects to it stay unanswered."""
         self.gone = True
         for process in list(self.processes):
             process.vanish()
@@ -327,21 +337,21 @@
         self.world.network.judge()
 
     def come_back(self) -> None:
-        """Be on the network again, without processes: what it does not know is reset, or refused."""
+        """Return to the network without processes; old connections are reset and connects are refused."""
         self.gone = False
         self.world.network.judge()
         self.world.network.pass_on()
 
     def set_wall(self, offset_ns: int) -> None:
-        """Set the wall clock so much ahead of the world's, or behind where it is negative."""
+        """Set the wall clock's offset from the world's clock; a negative offset puts it behind."""
         self.wall_offset_ns = offset_ns
 
     def shift_wall(self, by_ns: int) -> None:
-        """Set the wall clock forward, or back."""
+        """Move the wall clock forward, or back for a negative value."""
         self.wall_offset_ns += by_ns
 
     def free_port(self) -> int:
-        """A port for one that does not ask for one; raises `EADDRNOTAVAIL` where none is free."""
+        """Allocate an ephemeral port; raises `EADDRNOTAVAIL` if none is free."""
         for _ in range(LAST_PORT - FIRST_PORT + 1):
             port = self._next_port
             self._next_port = FIRST_PORT if port == LAST_PORT else port + 1
@@ -351,7 +361,7 @@
 
 
 class _Watched(Protocol):
-    """What a descriptor leads to."""
+    """An object that a descriptor refers to."""
 
     def mask(self) -> int: ...
     def let_go(self, abort: bool) -> None: ...
@@ -359,7 +369,7 @@
 
 
 class Process:
-    """A process: its descriptors, its greenlets, when it runs, how it ended."""
+    """A simulated process with its descriptors, greenlets, schedule and exit status."""
 
     def __init__(
         self,
@@ -375,8 +385,8 @@
         self.world, self.machine, self.name = world, machine, name
         self.limit = descriptors or world.settings.descriptors
         self.dead = False
-        self.ended: int | None = None  # its exit status, -N if signal N killed it
-        self.error: BaseException | None = None  # what ended its main program
+        self.ended: int | None = None  # exit status, or -N if signal N killed the process; None until then
+        self.error: BaseException | None = None  # exception that ended the main program
         self.stderr = bytearray()
         self.stderr_lost = 0
         self.sinks: dict[str, VirtualSink] = {}
@@ -393,9 +403,9 @@
         self._signals: deque[int] = deque()
         self._draw = world.stream(f"process {machine.name} {name} {world.now_ns}").random
         self._glet = greenlet.greenlet(self._body, world.hub)
-        self._asleep: greenlet.greenlet | None = self._glet  # the one that polls or waits
+        self._asleep: greenlet.greenlet | None = self._glet  # greenlet that polls or waits
         self._polling: VirtualPoller | None = None
-        self._woken = False  # and its return is due
+        self._woken = False  # whether an event that resumes the process is scheduled
         self._deadline: int | None = None
         self._timer_at = 0
         self.system = VirtualSystem(self)
@@ -403,23 +413,26 @@
         world.push(world.now_ns + self.draw(self._pace.start_ns), self._first)
 
     def __repr__(self) -> str:
-        """For messages."""
+        """Describe the process by its name and machine."""
         return f"<Process {self.name} on {self.machine.name}>"
 
     @property
     def descriptors(self) -> int:
-        """How many are open, the three standard ones not counted."""
+        """The number of open descriptors, without the three standard ones."""
         return len(self.fds)
 
     def draw(self, between: Range) -> int:
-        """A whole number of a range, from this process's own stream."""
+        """Draw a whole number from a range, from this process's own random stream."""
         low, high = between
         return low + int(self._draw() * (high - low + 1))
 
-    # --- what is done to it ---------------------------------------------------------------------
+    # --- control from outside -------------------------------------------------------------------
 
     def signal(self, number: int) -> None:
-        """Send it a signal: its handler is called between two steps, or it ends as Linux has it."""
+        """Send the process a signal.
+
+        The handler is called between two steps of the process; without one, Linux's default action applies.
+        """
         if self.dead:
             return
         self.world.tell("process", self.machine, f"signal {int(number)}")
@@ -431,19 +444,19 @@
                 self._wake()
 
     def kill(self, reset: bool = False) -> None:
-        """End it at once: no more of its code has any effect.
+        """End the process at once, so that its code has no further effect.
 
-        Its system closes what it had open, as Linux does: a connection with bytes unread is reset, others
-        end in order.  With `reset` all of them are reset.
+        The system closes the process's descriptors as Linux does: a connection with unread bytes is reset,
+        others end with a FIN. With `reset` all connections are reset.
         """
         self._kill(-int(signal.SIGKILL), reset)
 
     def stall(self, wait_ns: int) -> None:
-        """It does not run for a while; its kernel goes on."""
+        """Suspend the process for a time; the kernel keeps working."""
         self.stalled_until = max(self.stalled_until, self.world.now_ns + wait_ns)
 
     def vanish(self) -> None:
-        """End it with its machine: nobody is told."""
+        """End the process with its machine, without a word to the peers."""
         if self.dead:
             return
         self._die(-int(signal.SIGKILL))
@@ -453,7 +466,7 @@
         self._clear_up()
 
     def forget(self) -> None:
-        """End it with its world: nothing is told or done."""
+        """End the process with its world, without reporting to taps or closing connections."""
         if not self.dead:
             self._die(None)
         self.fds.clear()
@@ -481,27 +494,27 @@
     def _clear_up(self) -> None:
         if greenlet.getcurrent() is self.world.hub:
             self._end_greenlets()
-        else:  # some process's code did this: it is not the place to end another's
+        else:  # called from a process's greenlet, which must not end another's greenlets
             self.world.push(self.world.now_ns, self._end_greenlets)
 
     def _end_greenlets(self) -> None:
-        """End what its code left waiting; whatever that code still tries finds its system dead."""
+        """End the greenlets of a dead process; any system call that they still make raises `Killed`."""
         self._asleep = None
         ending, self.greenlets = [self._glet, *self.greenlets], []
         before, self.world.current = self.world.current, None
         for each in ending:
             for _ in range(THROWS):
-                if not each:  # not begun, or over
+                if not each:  # the greenlet has not begun, or has ended
                     break
                 try:
                     each.throw(Killed)
                 except KeyboardInterrupt:
                     raise
-                except BaseException:  # what the code of a dead process raises is nobody's business
+                except BaseException:  # exceptions from the code of a dead process are ignored
                     continue
         self.world.current = before
 
-    # --- when it runs ---------------------------------------------------------------------------
+    # --- scheduling -----------------------------------------------------------------------------
 
     def _first(self) -> None:
         if self.dead:
@@ -521,13 +534,13 @@
         except SystemExit as error:
             status = error.code if isinstance(error.code, int) else 0 if error.code is None else 1
         except KeyboardInterrupt:
-            raise  # meant for who runs the world
+            raise  # the interrupt is meant for the caller that runs the world
         except BaseException as error:
             status, self.error = 1, error
             self.write_stderr(traceback.format_exc().encode("utf-8", "backslashreplace"))
         if self.dead:
             return
-        # The last step: what its main program left waiting never runs again.
+        # The process exits here: greenlets that the main program left waiting never run again.
         self._die(status)
         self.world.tell("process", self.machine, "exited")
         for _, thing in self._take_all():
@@ -549,7 +562,7 @@
         world.current = None
 
     def sleep(self) -> None:
-        """For code of the process: wait until something resumes it."""
+        """Suspend the calling code of the process until an event resumes it."""
         self._asleep = greenlet.getcurrent()
         self.world.hub.switch()
         if self.dead:
@@ -563,7 +576,7 @@
             self.world.push(max(when, self.busy_until), self._resume)
 
     def poll(self, poller: VirtualPoller, pause_ms: int | None) -> list[tuple[int, int]]:
-        """For code of the process: wait for a descriptor."""
+        """Wait for a ready descriptor, a signal or the timeout, on behalf of the process's own code."""
         if self.dead:
             raise Killed
         world = self.world
@@ -608,7 +621,7 @@
             self._arm(self._deadline)
 
     def stir(self, fd: int) -> None:
-        """The poll bits of a descriptor may have changed."""
+        """Tell the pollers that the poll bits of a descriptor may have changed."""
         for poller in self.pollers:
             if poller.touch(fd) and poller is self._polling and not self._woken:
                 self._wake()
@@ -616,7 +629,7 @@
     # --- descriptors ----------------------------------------------------------------------------
 
     def allocate(self, thing: _Watched) -> int:
-        """The lowest descriptor that is free; raises `EMFILE`."""
+        """Allocate the lowest free descriptor; raises `EMFILE` if none is free."""
         self.check_descriptor()
         if self._free:
             fd = heapq.heappop(self._free)
@@ -629,28 +642,28 @@
         return fd
 
     def check_descriptor(self) -> None:
-        """Raise `EMFILE` where none is free."""
+        """Raise `EMFILE` if no descriptor is free."""
         if (self._free[0] if self._free else self._next_fd) >= self.limit:
             raise fault(errno.EMFILE)
 
     def release(self, fd: int) -> None:
-        """A descriptor is free again."""
+        """Free a descriptor."""
         del self.fds[fd]
         heapq.heappush(self._free, fd)
         for poller in self.pollers:
             poller.touch(fd)
 
-    # --- the rest -------------------------------------------------------------------------------
+    # --- greenlets and output -------------------------------------------------------------------
 
     def keep(self, task: greenlet.greenlet) -> None:
-        """Remember a greenlet of its code, so that it can be ended with it."""
+        """Register a greenlet of the process, so that it ends with the process."""
         self.greenlets.append(task)
         if len(self.greenlets) > self._greenlets_looked_at:
             self.greenlets = [each for each in self.greenlets if not each.dead]
             self._greenlets_looked_at = 64 + 2 * len(self.greenlets)
 
     def write_stderr(self, data: bytes) -> None:
-        """Append to its standard error; the oldest bytes are lost once it has too many."""
+        """Append to the standard error; bytes beyond `WorldSettings.output_bytes` are lost, oldest first."""
         self.stderr += data
         over = len(self.stderr) - self.world.settings.output_bytes
         if over > 0:
@@ -659,18 +672,19 @@
 
 
 class VirtualPoller:
-    """A set of descriptors, as `select.poll` has it; only those that were touched are looked at."""
+    """A set of descriptors like `select.poll`; a poll checks only descriptors that may have become ready."""
 
     __slots__ = ("_hot", "_number", "_process", "_registered")
 
     def __init__(self, process: Process) -> None:
         self._process = process
-        self._registered: dict[int, tuple[int, int]] = {}  # events and place in the order
-        self._hot: dict[int, None] = {}  # may have something to say
+        # Watched events and place in the order of registration, by descriptor.
+        self._registered: dict[int, tuple[int, int]] = {}
+        self._hot: dict[int, None] = {}  # descriptors that may be ready
         self._number = 0
 
     def register(self, fd: int, events: int, /) -> None:
-        """Watch a descriptor for `READ` or `WRITE`; faults are always told."""
+        """Watch a descriptor for `READ` or `WRITE`; errors and hangups are always reported."""
         if self._process.dead:
             raise Killed
         if fd < 0:
@@ -682,16 +696,16 @@
         self._hot[fd] = None
 
     def unregister(self, fd: int, /) -> None:
-        """Watch it no more; `KeyError` where it is not watched."""
+        """Stop watching a descriptor; raises `KeyError` if it is not watched."""
         del self._registered[fd]
         self._hot.pop(fd, None)
 
     def poll(self, pause_ms: int | None = None, /) -> list[tuple[int, int]]:
-        """Descriptors and their events, at once if there are any, else after so many ms at the latest."""
+        """Wait for ready descriptors, at most `pause_ms` milliseconds, and return them with their events."""
         return self._process.poll(self, pause_ms)
 
     def touch(self, fd: int) -> bool:
-        """Its bits may have changed; says whether there is something to tell."""
+        """Record that a descriptor's poll bits may have changed, and tell whether it is ready."""
         known = self._registered.get(fd)
         if known is None:
             return False
@@ -700,7 +714,7 @@
         return (NVAL if thing is None else thing.mask() & known[0]) != 0
 
     def ready(self) -> list[tuple[int, int]]:
-        """What there is to tell now, in the order of registration."""
+        """Return the ready descriptors with their events, in the order of registration."""
         hot = self._hot
         if not hot:
             return []
@@ -724,7 +738,7 @@
 
 
 class VirtualWaker:
-    """Ends a poll in progress; takes two descriptors, as a pair of sockets does."""
+    """Object that ends a poll in progress; it takes two descriptors, like a pair of sockets."""
 
     def __init__(self, process: Process) -> None:
         self._process = process
@@ -737,39 +751,39 @@
             raise
 
     def fileno(self) -> int:
-        """The descriptor to watch for `READ`; -1 once it is closed."""
+        """Return the descriptor to watch for `READ`; -1 once the waker is closed."""
         return self._fd
 
     def wake(self) -> None:
-        """Make it readable."""
+        """Make the descriptor readable."""
         if not self._set and self._fd >= 0 and not self._process.dead:
             self._set = True
             self._process.stir(self._fd)
 
     def clear(self) -> None:
-        """Make it unreadable again."""
+        """Make the descriptor unreadable again."""
         self._set = False
 
     def close(self) -> None:
-        """Let go of its descriptors."""
+        """Release both descriptors."""
         if self._fd >= 0 and not self._process.dead:
             self._process.release(self._fd)
             self._process.release(self._other)
         self._fd = self._other = -1
 
     def mask(self) -> int:
-        """Its poll bits."""
+        """Return the waker's current poll bits."""
         return (READ if self._set else 0) | WRITE
 
     def let_go(self, abort: bool) -> None:
-        """Nothing: nobody else sees it."""
+        """Do nothing: no other process uses the waker."""
 
     def vanish(self) -> None:
-        """Nothing."""
+        """Do nothing: no other process uses the waker."""
 
 
 class VirtualSink:
-    """Where lines end up; a test or a fault may make it block or fail."""
+    """Destination of output lines, which a test or a fault can make block or fail."""
 
     def __init__(self, process: Process, take: Callable[[bytes], None]) -> None:
         self._process, self._take = process, take
@@ -779,18 +793,18 @@
         self.lines = 0
 
     def block(self) -> None:
-        """Writes wait from now on."""
+        """Make writes block from now on."""
         self.blocked = True
 
     def unblock(self) -> None:
-        """Those that wait go on."""
+        """End the blocking and resume all blocked writes."""
         self.blocked = False
         waiting, self._waiting = self._waiting, []
         for each in waiting:
             self._process.world.push(self._process.world.now_ns, self._go_on, each)
 
     def fail(self, failing: bool = True) -> None:
-        """Writes lose their lines from now on, or no more."""
+        """Make writes lose their lines from now on, or with False end that."""
         self.failing = failing
 
     def _go_on(self, waiting: greenlet.greenlet) -> None:
@@ -801,7 +815,7 @@
             world.current = None
 
     def write(self, items: list[Item]) -> int:
-        """Write; says how many lines were lost."""
+        """Write items and return the number of lost lines."""
         process = self._process
         if process.dead:
             raise Killed
@@ -819,18 +833,21 @@
         return 0
 
     def close(self) -> None:
-        """Nothing is held."""
+        """Do nothing: a sink holds no resources."""
 
 
 class VirtualWorker:
-    """A worker beside the process's main greenlet, as a thread would be; its turns take drawn times."""
+    """Worker that takes turns beside the process's main greenlet, in place of a thread.
+
+    The time from a wake-up to the worker's turn is drawn from `WorldSettings.worker_ns`.
+    """
 
     def __init__(
         self, process: Process, name: str, due: Callable[[], bool], turn: Callable[[], None]
     ) -> None:
         self.name = name
         self._process, self._due, self._turn = process, due, turn
-        self._lock = nullcontext()  # one runs at a time
+        self._lock = nullcontext()  # no lock is needed, because only one greenlet runs at a time
         self._ending = self._over = self._scheduled = False
         self._in_turn = False
         self._joining: list[Process] = []
@@ -839,11 +856,11 @@
 
     @property
     def lock(self) -> AbstractContextManager[Any]:
-        """Guards nothing: `due` and `turn` never run beside the serving code."""
+        """A lock without effect, because `due` and `turn` never run in parallel to the main greenlet."""
         return self._lock
 
     def wake(self) -> None:
-        """Something may be due."""
+        """Schedule a turn of the worker, because work may be due."""
         process = self._process
         if not self._scheduled and not self._over and not self._in_turn and not process.dead:
             self._scheduled = True
@@ -851,7 +868,7 @@
             world.push(world.now_ns + process.draw(world.settings.worker_ns), self._step)
 
     def end(self, seconds: float) -> None:
-        """Have what is due done and stop; the process waits no longer than that."""
+        """Stop the worker once its due work is done; the calling process waits at most `seconds`."""
         process = self._process
         if process.dead:
             raise Killed
@@ -910,47 +927,47 @@
 
 
 class VirtualSystem:
-    """`runtime.system.System` for one process in a world."""
+    """Implementation of `runtime.system.System` for one process in a world."""
 
     def __init__(self, process: Process) -> None:
         self.process = process
         self.machine, self.world = process.machine, process.world
 
     def monotonic(self) -> float:
-        """Seconds on a clock that only advances."""
+        """Return the monotonic clock's time in seconds."""
         if self.process.dead:
             raise Killed
         return self.world.now_ns / 1e9
 
     def monotonic_ns(self) -> int:
-        """The same clock in nanoseconds."""
+        """Return the monotonic clock's time in nanoseconds."""
         if self.process.dead:
             raise Killed
         return self.world.now_ns
 
     def wall_ns(self) -> int:
-        """Unix time in nanoseconds; it may be set, forward or back."""
+        """Return the Unix time in nanoseconds; the clock may be set forward or back."""
         return self.world.wall_ns + self.machine.wall_offset_ns
 
     def greenlet(self, run: Callable[..., Any], hub: greenlet.greenlet) -> greenlet.greenlet:
-        """A greenlet that ends with the process."""
+        """Create a greenlet that ends with the process."""
         task = greenlet.greenlet(run, hub)
         self.process.keep(task)
         return task
 
     def poller(self) -> Poller:
-        """A new set of descriptors."""
+        """Create an empty poller."""
         poller = VirtualPoller(self.process)
         self.process.pollers.append(poller)
         return poller
 
     def waker(self) -> Waker:
-        """A new waker."""
+        """Create a waker."""
         self._check()
         return VirtualWaker(self.process)
 
     def listen(self, address: Address, backlog: int) -> Socket:
-        """A socket that listens; raises `OSError`."""
+        """Create a listening socket; raises `OSError` if the address or descriptors are unavailable."""
         self._check()
         process, machine = self.process, self.machine
         process.check_descriptor()
@@ -965,20 +982,20 @@
         return listener
 
     def sleep(self, seconds: float) -> None:
-        """No process here stands still."""
+        """Raise `NotImplementedError`: virtual processes never block in a sleep."""
         raise NotImplementedError
 
     def adopt(self, fd: int) -> Socket:
-        """No process here is given a socket; raises `OSError`."""
+        """Raise `OSError`, because virtual processes inherit no sockets."""
         raise fault(errno.ENOTSOCK)
 
     def accept(self, listener: Socket) -> tuple[Socket, str]:
-        """A connection that waits, and its peer's host; raises `BlockingIOError` and `OSError`."""
+        """Accept a connection and return it with its peer's host; raises `BlockingIOError` and `OSError`."""
         self._check()
         process, world = self.process, self.world
         if listener.fileno() < 0:
             raise fault(errno.EBADF)
-        process.check_descriptor()  # Linux looks for one first
+        process.check_descriptor()  # Linux checks for a free descriptor first
         if not isinstance(listener, VirtualListener):
             raise fault(errno.EINVAL)
         if not listener.queue:
@@ -997,50 +1014,50 @@
         return sock, conn.client.ip
 
     def connection(self) -> Socket:
-        """A socket that is not connected yet; raises `OSError` where no descriptor is free."""
+        """Create an unconnected socket; raises `OSError` if no descriptor is free."""
         self._check()
         sock = VirtualSocket(self.world.network, self.machine, self.process, State.CLOSE)
         sock.fd = self.process.allocate(sock)
         return sock
 
     def reset(self, sock: Socket) -> None:
-        """Close a connection so that its other end sees a reset."""
+        """Close a connection with a reset."""
         if isinstance(sock, VirtualSocket):
             sock.abort()
 
     def error_of(self, sock: Socket) -> int:
-        """The error that waits on a socket, and clears it; 0 for none."""
+        """Return and clear a socket's pending error; 0 for none."""
         self._check()
         return sock.take_error() if isinstance(sock, VirtualSocket) else 0
 
     def seconds_since_data(self, sock: Socket) -> float:
-        """Seconds since bytes last came on a connection, read or not."""
+        """Return the seconds since a connection last received bytes, read or not; 0 if it never did."""
         self._check()
         if not isinstance(sock, VirtualSocket) or not sock.received_ns:
             return 0.0
         return (self.world.now_ns - sock.received_ns) / 1e9
 
     def set_unacknowledged_timeout(self, sock: Socket, seconds: float) -> None:
-        """Have a connection fail once bytes sent stay unacknowledged for so long; there are no probes."""
+        """Set the time after which unacknowledged bytes fail a connection; no keepalive probes are sent."""
         assert isinstance(sock, VirtualSocket)
         sock.silence_ns = int(seconds * 1e9)
 
     def on_signal(self, number: int, call: Callable[[], None]) -> None:
-        """Have a signal handled."""
+        """Install a signal handler."""
         self._check()
         self.process.handlers[int(number)] = call
 
     def worker(self, name: str, due: Callable[[], bool], turn: Callable[[], None]) -> Worker:
-        """Start a worker."""
+        """Start a worker that calls `turn` whenever it is woken and `due` returns true."""
         self._check()
         return VirtualWorker(self.process, name, due, turn)
 
     def descriptor_sink(self, fd: int) -> Sink:
-        """Standard error, whichever descriptor is asked for."""
+        """Create a sink that writes to standard error, whatever the descriptor."""
         return self._sink(f"fd {fd}", self.process.write_stderr)
 
     def file_sink(self, path: str) -> Sink:
-        """A file on the machine: it outlives the process."""
+        """Create a sink that writes to a file on the machine, which outlives the process."""
         kept = self.machine.files.setdefault(path, bytearray())
         most = self.world.settings.output_bytes
 
@@ -1052,7 +1069,7 @@
         return self._sink(f"file {path}", take)
 
     def datagram_sink(self, address: Address) -> Sink:
-        """Datagrams of whole lines to one address; `World.datagrams` has the last ones."""
+        """Create a sink that sends whole lines as datagrams to an address; `World.datagrams` records them."""
         world, name = self.world, self.machine.name
         return self._sink(
             f"udp {address[0]}:{address[1]}",
--- a/brambleusher/lab/virtual/zone_days.py
+++ b/brambleusher/lab/virtual/zone_days.py
@@ -1,8 +1,8 @@
-"""Days on which zones are lost, cut off, grey, flapping and back again, and the books kept of them.
+"""Scenarios in which zones are lost, cut off, degraded, flapping and recovering, and their statistics.
 
-A day is a scenario: four zones of four nodes, eight sidecars, some 200 requests a second.  The books are
-made from what nodes ran and clients asked, and from nodes' waiting rooms looked at twenty times a
-second; they know nothing of what sidecars believe.
+A day is a scenario with four zones of four nodes, eight sidecars and about 200 requests per second. The
+statistics come from the nodes' executions, the clients' requests, and the nodes' queues sampled twenty times
+per second; they use nothing of the sidecars' own state.
 """
 
 from __future__ import annotations
@@ -33,9 +33,9 @@
 SECOND = 10**9
 ZONES = ("atl-north", "atl-south", "macon", "augusta")
 LOOK_NS = 50_000_000
-WINDOW_S = 2.0  # service is counted in windows of this length, a new one each half
+WINDOW_S = 2.0  # length of the windows in which service is counted; a new window begins every half window
 FALL_S, FALL_MULTIPLE = 2.0, 4.0
-CLASSES = (  # those of the lab's usual world
+CLASSES = (  # request classes of the lab's usual world
     ClassFigures(name="listing-lookup", share=0.6, work_s=0.027, spread=0.5, aim_s=0.5, deadline_s=1.5,
                  worth=1.0),
     ClassFigures(name="price-check", share=0.3, work_s=0.051, spread=0.5, aim_s=0.75, deadline_s=2.0,
@@ -44,28 +44,28 @@
                  worth=2.0, unsafe=True),
 )  # fmt: skip
 MEAN_WORK_S = sum(each.share * each.work_s for each in CLASSES)
-KINDS: tuple[tuple[str, int, float], ...] = (  # of each zone: name, cores, speed
+KINDS: tuple[tuple[str, int, float], ...] = (  # name, cores and speed of the nodes in each zone
     ("std-1core", 1, 0.7), ("std-1core", 1, 0.78), ("std-1core", 1, 0.72), ("std-1core", 1, 0.76),
 )  # fmt: skip
 
 
 @dataclass(frozen=True)
 class Day:
-    """One day: what is asked and what goes wrong, before a seed makes a scenario of it."""
+    """The demand and the faults of one day, from which a seed makes a scenario."""
 
     name: str
     length_s: float
     faults: tuple[AnyFault, ...] = ()
-    use: float = 0.7  # of a fleet with all its nodes
-    zones: dict[str, Any] | None = None  # the operator file's section
-    notice_s: float = 20.0  # until discovery has heard of a node that died without a word
-    nodes: dict[str, int] = field(default_factory=dict)  # of zones that don't have four
+    use: float = 0.7  # utilization of the fleet when all its nodes work
+    zones: dict[str, Any] | None = None  # the `zones` section of the operator file
+    notice_s: float = 20.0  # time until discovery notices a node that failed silently, in seconds
+    nodes: dict[str, int] = field(default_factory=dict)  # number of nodes in zones that don't have four
     cold_s: float = 6.0
 
 
 def scenario_of(day: Day, seed: int) -> Scenario:
-    """The day of a seed."""
-    rng = random.Random(f"{seed}/zone day")  # days of one seed have the same demand, as far as they go
+    """Draw the scenario of a day from a seed."""
+    rng = random.Random(f"{seed}/zone day")  # all days of one seed have the same requests, up to their length
     nodes: list[NodeFigures] = []
     for zone in ZONES:
         for at in range(day.nodes.get(zone, len(KINDS))):
@@ -105,7 +105,7 @@
 
 
 def _asks(world: WorldFigures, rng: random.Random) -> tuple[Ask, ...]:
-    """Arrivals at random, evenly over the sidecars and over time."""
+    """Draw random arrivals, evenly over the sidecars and over time."""
     asks: list[Ask] = []
     at = 0.0
     while (at := at + rng.expovariate(world.requests_per_s)) < world.length_s - 0.05:
@@ -122,13 +122,14 @@
 
 
 class Watch:
-    """Looks at all nodes' waiting rooms while a fleet runs."""
+    """Sampler of all nodes' queues while a fleet runs."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
         self._since: dict[str, int] = {}
-        self.over: dict[str, list[tuple[float, float]]] = defaultdict(list)  # from and to, in seconds
-        self.held: dict[str, float] = defaultdict(float)  # the most, over the slots
+        # Start and end of the periods in which a node held more requests than it has slots, in seconds.
+        self.over: dict[str, list[tuple[float, float]]] = defaultdict(list)
+        self.held: dict[str, float] = defaultdict(float)  # highest ratio of held requests to slots, by node
         fleet.world.at(fleet.begins_ns, self._look)
 
     def _look(self) -> None:
@@ -158,38 +159,41 @@
 
 @dataclass
 class Books:
-    """What became of a day: counts by second, and figures of nodes; plain data."""
+    """Statistics of a day: counts per second and figures per node, as plain data."""
 
-    asked: dict[str, list[int]]  # by class, in each second
+    asked: dict[str, list[int]]  # number of requests in each second, by class
     served: dict[str, list[int]]
-    in_time: int  # answered within the aim
-    homes: dict[str, list[tuple[int, int]]]  # by the zone of the sidecar, in each second: asked and served
-    went: list[dict[str, int]]  # in each second, what each zone worked on
-    crossed: list[int]  # in each second, what came from a sidecar of another zone
-    over: list[tuple[str, float, float]]  # node, from and to: more than its slots take
-    held: dict[str, float]  # by node, the most that it held over its slots
-    pushed: dict[str, float]  # by node of a zone that returned, while it was cold: see `work_sent`
-    fallen: int  # nodes that too much work while cold brought down
-    run_twice: int  # requests that must not run twice, and did
-    lost: int  # requests that must not run twice, and failed
+    in_time: int  # number of requests answered within their latency goal
+    homes: dict[str, list[tuple[int, int]]]  # requests and served requests per second, by the sidecar's zone
+    went: list[dict[str, int]]  # number of requests in each second that the nodes of each zone received
+    crossed: list[int]  # number of requests in each second from a sidecar of another zone
+    over: list[tuple[str, float, float]]  # periods of a node above its slots: node, start and end in seconds
+    held: dict[str, float]  # highest ratio of held requests to slots, by node
+    pushed: dict[str, float]  # result of `work_sent` for each cold node of the returned zone
+    fallen: int  # number of nodes that crashed from too much work while cold
+    run_twice: int  # number of non-idempotent requests that ran more than once
+    lost: int  # number of non-idempotent requests that failed
 
     def service(self, begin: int, end: int, name: str | None = None) -> float:
-        """The part served of what was asked in some seconds."""
+        """Return the fraction of requests that were served in a range of seconds."""
         names = [name] if name else list(self.asked)
         asked = sum(sum(self.asked[each][begin:end]) for each in names)
         return sum(sum(self.served[each][begin:end]) for each in names) / max(asked, 1)
 
     def crossings(self, begin: int, end: int) -> float:
-        """The part of what nodes worked on that came from another zone."""
+        """Return the fraction of the nodes' requests that came from another zone, in a range of seconds."""
         return sum(self.crossed[begin:end]) / max(sum(sum(each.values()) for each in self.went[begin:end]), 1)
 
     def share(self, zone: str, begin: int, end: int) -> float:
-        """The part of all work's requests that a zone had."""
+        """Return the fraction of all nodes' requests that a zone received, in a range of seconds."""
         there = self.went[begin:end]
         return sum(each.get(zone, 0) for each in there) / max(sum(sum(each.values()) for each in there), 1)
 
     def over_slots(self, begin: float, end: float, without: Sequence[str] = ()) -> float:
-        """The longest time that a node of other zones had more than its slots take, in seconds."""
+        """Return the longest time that a node held more requests than slots, in seconds.
+
+        Nodes of the zones in `without` are ignored.
+        """
         spans = [
             min(to, end) - max(since, begin)
             for name, since, to in self.over
@@ -199,11 +203,14 @@
 
 
 def work_sent(came: Sequence[tuple[float, float, float]], window_s: float = FALL_S) -> float:
-    """The most work that came within a window over what the node could do in it, at the capacity of then.
+    """Return the highest ratio of the work received in a window to the node's capacity in that window.
+
+    The ratio follows the checker's `cold` rule with a multiple of one, and with that rule's allowance for
+    chance: one standard deviation of the number of requests that there is room for.
 
-    The cold rule's books with a multiple of one, and with that rule's slack for chance: one deviation of the
-    number of requests that there is room for.  `came` has, for each request in order: when it came, its
-    work, the node's capacity at that moment.
+    Args:
+        came: The time, the work and the node's capacity at that time, for each request in order of arrival.
+        window_s: The length of the window, in seconds.
     """
     first, total, most = 0, 0.0, 0.0
     for at, (when, work, capacity) in enumerate(came):
@@ -217,7 +224,13 @@
 
 
 def books_of(fleet: Fleet, watch: Watch, returns: tuple[str, float] | None = None) -> Books:
-    """A played fleet's books; `returns` names a zone, and since when work sent to its cold nodes counts."""
+    """Compute the statistics of a fleet that has run.
+
+    Args:
+        fleet: The fleet.
+        watch: The sampler that observed the fleet.
+        returns: The zone whose cold nodes are examined, and the time in seconds from which their work counts.
+    """
     scenario = fleet.scenario
     seconds = math.ceil(scenario.world.length_s)
     zone_of = {place.figures.id: place.figures.zone for place in fleet.places}
@@ -273,7 +286,7 @@
     returns: tuple[str, float] | None = None,
     make: Callable[[Settings, int], Balancer] = balancer_for,
 ) -> Books:
-    """A day of a seed, played to its end."""
+    """Play the scenario of a day and a seed to its end and return its statistics."""
     scenario = scenario_of(day, seed)
     with world_of(scenario) as world:
         fleet = Fleet(scenario, world)
