--- a/brambleusher/lab/checker/checker.py
+++ b/brambleusher/lab/checker/checker.py
@@ -18,30 +18,30 @@
 
 from brambleusher.lab.checker import judge, rerun
 from brambleusher.lab.checker.books import (
+    ActualNodes,
     Address,
+    AdminConnection,
     Attempt,
     Breach,
-    Calling,
+    ClientConnection,
+    ClientRequest,
+    DiscoveryConnection,
     End,
     Execution,
-    Life,
-    Line,
     Named,
-    Passage,
+    NodeConnection,
     Process,
-    Submission,
-    Taking,
-    Truth,
-    Watching,
+    SidecarIncarnation,
+    TimelineEntry,
     Wire,
-    merged,
+    merge_timelines,
 )
 from brambleusher.lab.checker.messages import Message, load_report
-from brambleusher.lab.checker.roster import READY, Told, address_of, entries_of, read
+from brambleusher.lab.checker.roster import READY, ListUpdate, parse_address, parse_entries, parse_update
 from brambleusher.lab.checker.rules import MS, RULES, UNSAFE, Rules
 
-MOST_KEPT = 100  # breaches kept with their timelines; further breaches are only counted
-TIMER_LATE_NS = 500 * MS  # a timer that is later is lost: no simulated process lacks processor time so long
+MAX_STORED_BREACHES = 100  # breaches kept with their timelines; further breaches are only counted
+MAX_TIMER_DELAY_NS = 500 * MS  # a later timer counts as lost: no simulated process lacks a processor so long
 LATE_LIST_NS = 50 * MS  # a list that arrives within this time counts as received when it was written
 
 
@@ -58,46 +58,52 @@
         self.breaches: list[Breach] = []
         self.count = 0  # number of breaches found, kept or not
         self.taken = self.served = self.attempts = self.lists = 0
-        self._lives: dict[str, Life] = {}
-        self._listens: dict[Address, str] = {}
+        self._incarnations: dict[str, SidecarIncarnation] = {}
+        self._listen_addresses: dict[Address, str] = {}
         self._discoveries: set[Address] = set()
         self._processes: dict[Address, Process] = {}
-        self._bad: dict[Address | str, int] = {}
-        self._wires: dict[int, Submission | Passage | Watching | Calling] = {}
+        self._bad_clients: dict[Address | str, int] = {}
+        self._connections: dict[
+            int, ClientConnection | NodeConnection | DiscoveryConnection | AdminConnection
+        ] = {}
         self._admin_addresses: dict[Address, str] = {}
-        self._takings: dict[tuple[str, str], list[Taking]] = {}  # by sidecar's machine and request id
-        self._allowed: dict[str, int] = {}  # how often each request may run: as often as sidecars received it
-        self._due: list[tuple[int, int, Taking | Submission | Life]] = []
-        self._number = count()
+        self._client_requests: dict[
+            tuple[str, str], list[ClientRequest]
+        ] = {}  # by sidecar's machine and request id
+        self._allowed_runs: dict[
+            str, int
+        ] = {}  # how often each request may run: as often as sidecars received it
+        self._deadlines: list[tuple[int, int, ClientRequest | ClientConnection | SidecarIncarnation]] = []
+        self._sequence = count()
         # Suspected breaches, confirmed unless another event at the same time explains them.
-        self._doubts: list[tuple[int, Taking, str]] = []
-        self._seen = 0  # number of executions already processed
-        self._runs: dict[str, list[Execution]] = {}
-        self._twice: dict[str, list[Execution]] = {}
-        self._pushed: dict[tuple[str, int], deque[tuple[int, float, bool]]] = {}
+        self._suspected: list[tuple[int, ClientRequest, str]] = []
+        self._processed = 0  # number of executions already processed
+        self._executions_by_request: dict[str, list[Execution]] = {}
+        self._repeated: dict[str, list[Execution]] = {}
+        self._warm_up_work: dict[tuple[str, int], deque[tuple[int, float, bool]]] = {}
         self._over_budget: set[tuple[str, int]] = set()
-        self._truth = Truth()
-        self._calm_ns = -1
-        self._asked: list[Taking] = []  # requests received after the last fault ended
+        self._actual_nodes = ActualNodes()
+        self._faults_ended_ns = -1
+        self._received_after_faults: list[ClientRequest] = []  # requests received after the last fault ended
 
     # --- events reported by the fleet -----------------------------------------------------------
 
     def sidecar(self, now: int, machine: str, config: bytes | Mapping[str, Any]) -> None:
         """Record that a sidecar process is about to start on a machine with a configuration."""
         raw = json.loads(config) if isinstance(config, bytes) else config
-        listen, discovery = address_of(raw["listen"]), address_of(raw["discovery"])
-        life = Life(machine, str(raw["name"]), listen, now, asked_ns=now)
-        self._lives[machine] = life
-        self._listens[listen] = machine
+        listen, discovery = parse_address(raw["listen"]), parse_address(raw["discovery"])
+        incarnation = SidecarIncarnation(machine, str(raw["name"]), listen, now, discovery_request_ns=now)
+        self._incarnations[machine] = incarnation
+        self._listen_addresses[listen] = machine
         self._discoveries.add(discovery)
         if (admin := raw.get("admin_addr")) is not None:
-            self._admin_addresses[address_of(admin)] = machine
+            self._admin_addresses[parse_address(admin)] = machine
         known = raw.get("known")
         if known is not None:
-            told = Told(int(known.get("version", 0)), True, entries_of(known["servers"]))
-            life.roster.take(now, told)
-            life.versions[discovery] = {told.version}
-        life.say(now, "starts")
+            update = ListUpdate(int(known.get("version", 0)), True, parse_entries(known["servers"]))
+            incarnation.roster.apply(now, update)
+            incarnation.versions[discovery] = {update.version}
+        incarnation.log_event(now, "starts")
 
     def discovery(self, address: Address) -> None:
         """Register another address at which discovery listens."""
@@ -107,229 +113,234 @@
         """Record that a node's process accepts connections at an address; call once for each address."""
         self._processes[address] = Process(name, address, started_ms)
 
-    def bad_client(self, who: Address | str, wait_ns: int | None = None) -> None:
+    def bad_client(self, who: Address | str, timeout_ns: int | None = None) -> None:
         """Register a misbehaving client, by its address or its machine's name, before it connects.
 
         The sidecar must serve the client's valid requests, and must answer anything else with an error or a
-        close within a limit after the connect: `wait_ns`, or `Rules.bad_ns` by default.
+        close within a limit after the connect: `timeout_ns`, or `Rules.bad_client_ns` by default.
         """
-        self._bad[who] = self.rules.bad_ns if wait_ns is None else wait_ns
+        self._bad_clients[who] = self.rules.bad_client_ns if timeout_ns is None else timeout_ns
 
     def true_list(self, now: int, servers: list[dict[str, Any]], full: bool = False) -> None:
         """Record nodes that discovery has learnt of; with `full`, nodes that the list omits are gone."""
-        self._truth.roster.take(now, Told(0, full, entries_of(servers)))
+        self._actual_nodes.roster.apply(now, ListUpdate(0, full, parse_entries(servers)))
 
     def discovery_able(self, now: int, able: bool, machine: str = "") -> None:
         """Record whether discovery works and can reach the sidecar on a machine ("" for all sidecars)."""
-        self._truth.able[machine] = now if able else -1
+        self._actual_nodes.deliverable_since[machine] = now if able else -1
 
     def starved(self, now: int, machine: str, on: bool) -> None:
         """Record whether a fault leaves a sidecar process too few descriptors to accept connections."""
-        life = self._lives.get(machine)
-        if life is not None:
-            life.starved_ns = now if on else -1
-            life.fed_ns = life.fed_ns if on else now
+        incarnation = self._incarnations.get(machine)
+        if incarnation is not None:
+            incarnation.out_of_descriptors_ns = now if on else -1
+            incarnation.descriptors_freed_ns = incarnation.descriptors_freed_ns if on else now
 
     def paused(self, now: int, machine: str, on: bool) -> None:
         """Record whether a sidecar process is stopped; deadlines within a stop move to some time after it."""
-        life = self._lives.get(machine)
-        if life is None:
+        incarnation = self._incarnations.get(machine)
+        if incarnation is None:
             return
-        life.say(now, "is stopped" if on else "goes on")
+        incarnation.log_event(now, "is stopped" if on else "goes on")
         if on:
-            life.paused_ns = now
+            incarnation.paused_ns = now
             return
-        life.paused_ns, life.woken_ns = -1, now
-        for wire in self._wires.values():
-            if isinstance(wire, Watching) and wire.life is life:
-                self._learn(now, wire)
+        incarnation.paused_ns, incarnation.resumed_ns = -1, now
+        for connection in self._connections.values():
+            if isinstance(connection, DiscoveryConnection) and connection.incarnation is incarnation:
+                self._apply_lists(now, connection)
 
     def captured(self, now: int, machine: str, stderr: bytes) -> None:
         """Check a sidecar's standard error at the end of the run, which contains its dumped capture."""
-        name = self._lives[machine].name
+        name = self._incarnations[machine].name
         for text in rerun.differences(stderr)[:1]:
             self._breach("replay", now, name, text)
         captures = list(rerun.captures(stderr))
-        for text in rerun.lost_timers(captures, TIMER_LATE_NS)[:1]:
+        for text in rerun.missing_timers(captures, MAX_TIMER_DELAY_NS)[:1]:
             self._breach("timers", now, name, text)
         for record in (record for records in captures for record in records if record["ev"] == "attempt"):
-            if not self._same_report(machine, record):
+            if not self._report_was_on_wire(machine, record):
                 text = f"{record['id']}: told {record['in']['report']} of {record['in']['server']}"
                 self._breach("report", now, name, text)
                 break
 
     def calm(self, now: int) -> None:
         """Record that the last fault has ended, so that requests from now on can be served."""
-        self._calm_ns = now
+        self._faults_ended_ns = now
 
     # --- taps -----------------------------------------------------------------------------------
 
     def process(self, now: int, machine: Named | str, what: str) -> None:
         """Record that a process was started or killed, has exited or was sent a signal."""
-        life = self._lives.get(machine if isinstance(machine, str) else machine.name)
-        if life is None or life.over:
+        incarnation = self._incarnations.get(machine if isinstance(machine, str) else machine.name)
+        if incarnation is None or incarnation.has_exited:
             return
-        life.say(now, what)
+        incarnation.log_event(now, what)
         if what in ("signal 15", "signal 2"):
-            life.term_ns = now if life.term_ns < 0 else life.term_ns
+            incarnation.term_ns = now if incarnation.term_ns < 0 else incarnation.term_ns
         elif what == "signal 1":
-            life.reload_ns = now
+            incarnation.reload_ns = now
         elif what in ("killed", "exited"):
-            self._end_life(now, life, what == "killed")
+            self._end_incarnation(now, incarnation, what == "killed")
 
     def opened(self, now: int, conn: Wire) -> None:
         """Record that a client has begun to connect."""
         server, client = conn.server, conn.client
         target = server.ip, server.port
-        if (machine := self._listens.get(target)) is not None:
-            self._client(now, conn.id, self._lives[machine], client)
+        if (machine := self._listen_addresses.get(target)) is not None:
+            self._open_client_connection(now, conn.id, self._incarnations[machine], client)
             return
         if (machine := self._admin_addresses.get(target)) is not None:
-            self._wires[conn.id] = Calling(self._lives[machine])
+            self._connections[conn.id] = AdminConnection(self._incarnations[machine])
             return
-        asker = self._lives.get(client.machine)
-        if asker is None or asker.over:
+        asker = self._incarnations.get(client.machine)
+        if asker is None or asker.has_exited:
             return
         if target in self._discoveries:
-            self._wires[conn.id] = Watching(conn.id, asker, target)
-            asker.asked_ns = now
+            self._connections[conn.id] = DiscoveryConnection(conn.id, asker, target)
+            asker.discovery_request_ns = now
         else:
-            self._wires[conn.id] = Passage(conn.id, asker, target)
+            self._connections[conn.id] = NodeConnection(conn.id, asker, target)
 
     def established(self, now: int, conn: Wire) -> None:
         """Record that a connection is established."""
-        wire = self._wires.get(conn.id)
-        if isinstance(wire, Passage):
-            wire.process = self._processes.get(wire.target)
-        elif isinstance(wire, Submission | Calling):
+        connection = self._connections.get(conn.id)
+        if isinstance(connection, NodeConnection):
+            connection.process = self._processes.get(connection.target)
+        elif isinstance(connection, ClientConnection | AdminConnection):
             # The sidecar may have restarted since the client began to connect.
-            wire.life = self._lives[wire.life.machine]
+            connection.incarnation = self._incarnations[connection.incarnation.machine]
 
     def accepted(self, now: int, conn: Wire) -> None:
         """Record that the listening process has accepted a connection."""
-        wire = self._wires.get(conn.id)
-        if isinstance(wire, Submission):
-            wire.accepted_ns = now
+        connection = self._connections.get(conn.id)
+        if isinstance(connection, ClientConnection):
+            connection.accepted_ns = now
 
     def refused(self, now: int, conn: Wire) -> None:
         """Record that a connect was refused."""
-        wire = self._wires.pop(conn.id, None)
-        if isinstance(wire, Watching):
-            wire.life.ask_failed = True
+        connection = self._connections.pop(conn.id, None)
+        if isinstance(connection, DiscoveryConnection):
+            connection.incarnation.discovery_request_failed = True
 
     def sent(self, now: int, conn: Wire, side: str, data: bytes) -> None:
         """Record bytes that a process has handed to its operating system."""
-        wire = self._wires.get(conn.id)
-        if wire is None:
+        connection = self._connections.get(conn.id)
+        if connection is None:
             return
-        if isinstance(wire, Calling):
-            self._call_sent(now, wire, side, data)
-        elif isinstance(wire, Submission):
-            wire.last_ns = now
+        if isinstance(connection, AdminConnection):
+            self._admin_bytes_sent(now, connection, side, data)
+        elif isinstance(connection, ClientConnection):
+            connection.last_bytes_ns = now
             if side == "client":
-                self._request_sent(now, wire, data)
-            elif not wire.life.over:
-                self._answer_sent(now, wire, data)
-        elif isinstance(wire, Passage):
+                self._request_sent(now, connection, data)
+            elif not connection.incarnation.has_exited:
+                self._answer_sent(now, connection, data)
+        elif isinstance(connection, NodeConnection):
             if side == "client":
-                self._attempt_sent(now, wire, data)
+                self._attempt_sent(now, connection, data)
         elif side == "client":
-            self._asked_discovery(now, wire, data)
+            self._discovery_request_sent(now, connection, data)
         else:
-            self._told(now, wire, data)
+            self._discovery_bytes_sent(now, connection, data)
 
     def arrived(self, now: int, conn: Wire, side: str, data: bytes) -> None:
         """Record bytes that have become readable at `side`."""
-        wire = self._wires.get(conn.id)
-        if wire is None:
+        connection = self._connections.get(conn.id)
+        if connection is None:
             return
-        if isinstance(wire, Calling):
+        if isinstance(connection, AdminConnection):
             if side == "server":
-                wire.arrived += len(data)
-                self._called(now, wire)
-        elif isinstance(wire, Submission):
-            wire.last_ns = now
+                connection.arrived += len(data)
+                self._receive_calls(now, connection)
+        elif isinstance(connection, ClientConnection):
+            connection.last_bytes_ns = now
             if side == "server":
-                wire.arrived_in += len(data)
-                self._take(now, wire)
+                connection.request_bytes_arrived += len(data)
+                self._receive_requests(now, connection)
             else:
-                wire.arrived_back += len(data)
-                while wire.sent_whole and wire.sent_whole[0][0] <= wire.arrived_back:
-                    taking = wire.sent_whole.popleft()[1]
-                    if taking is not None:
-                        taking.answered_ns = now
-        elif isinstance(wire, Passage):
+                connection.answer_bytes_arrived += len(data)
+                while (
+                    connection.complete_answers
+                    and connection.complete_answers[0][0] <= connection.answer_bytes_arrived
+                ):
+                    client_request = connection.complete_answers.popleft()[1]
+                    if client_request is not None:
+                        client_request.answered_ns = now
+        elif isinstance(connection, NodeConnection):
             if side == "client":
-                wire.arrived += len(data)
-                wire.arrived_ns = now
+                connection.arrived += len(data)
+                connection.arrived_ns = now
         elif side == "client":
-            wire.arrived += len(data)
-            self._learn(now, wire)
+            connection.arrived += len(data)
+            self._apply_lists(now, connection)
 
     def read(self, now: int, conn: Wire, side: str, data: bytes) -> None:
         """Record bytes that a process has read."""
-        wire = self._wires.get(conn.id)
-        if isinstance(wire, Submission):
+        connection = self._connections.get(conn.id)
+        if isinstance(connection, ClientConnection):
             if side == "server":
-                wire.read_in += len(data)
+                connection.request_bytes_read += len(data)
             else:
-                wire.taken_out += len(data)
-        elif isinstance(wire, Passage) and side == "client":
-            self._answer_read(now, wire, data)
+                connection.answer_bytes_read += len(data)
+        elif isinstance(connection, NodeConnection) and side == "client":
+            self._answer_read(now, connection, data)
 
     def ended(self, now: int, conn: Wire, side: str, how: str) -> None:
         """Record that the peer's close, or a reset, has become readable at `side`."""
-        wire = self._wires.get(conn.id)
-        if isinstance(wire, Submission):
+        connection = self._connections.get(conn.id)
+        if isinstance(connection, ClientConnection):
             if side == "client":
-                wire.reset_seen = wire.reset_seen or how == "reset"
-                if not wire.closed:
-                    self._broken(now, wire)
+                connection.reset_seen = connection.reset_seen or how == "reset"
+                if not connection.closed:
+                    self._connection_broken(now, connection)
             else:
-                self._left(now, wire, f"its client has ended ({how})")
-                for taking in wire.entries:
-                    taking.left_ns = now if taking.left_ns < 0 else taking.left_ns
-        elif isinstance(wire, Passage) and side == "client":
-            if wire.ended_seen_ns < 0:
-                wire.ended_seen_ns = now
-            wire.ended = wire.ended or how == "reset"
-            self._note(now, wire, f"{wire.where} ended it ({how})")
-        elif isinstance(wire, Watching) and side == "client":
-            self._watch_over(now, wire)
+                self._client_closed(now, connection, f"its client has ended ({how})")
+                for client_request in connection.pending_requests:
+                    client_request.client_close_ns = (
+                        now if client_request.client_close_ns < 0 else client_request.client_close_ns
+                    )
+        elif isinstance(connection, NodeConnection) and side == "client":
+            if connection.ended_seen_ns < 0:
+                connection.ended_seen_ns = now
+            connection.ended = connection.ended or how == "reset"
+            self._log_attempt_event(now, connection, f"{connection.where} ended it ({how})")
+        elif isinstance(connection, DiscoveryConnection) and side == "client":
+            self._watch_ended(now, connection)
 
     def closed(self, now: int, conn: Wire, side: str) -> None:
         """Record that a process has closed its end of a connection."""
-        wire = self._wires.get(conn.id)
-        if isinstance(wire, Submission):
+        connection = self._connections.get(conn.id)
+        if isinstance(connection, ClientConnection):
             if side == "client":
-                self._left(now, wire, "its client has left")
-            elif not wire.closed:
-                wire.closed = True
-                self._closed_by_sidecar(now, wire)
-        elif isinstance(wire, Passage) and side == "client" and not wire.ended:
-            wire.ended = True
-            self._note(now, wire, f"closed, {wire.where}")
-        elif isinstance(wire, Watching) and side == "client":
-            self._watch_over(now, wire)
+                self._client_closed(now, connection, "its client has left")
+            elif not connection.closed:
+                connection.closed = True
+                self._closed_by_sidecar(now, connection)
+        elif isinstance(connection, NodeConnection) and side == "client" and not connection.ended:
+            connection.ended = True
+            self._log_attempt_event(now, connection, f"closed, {connection.where}")
+        elif isinstance(connection, DiscoveryConnection) and side == "client":
+            self._watch_ended(now, connection)
 
     # --- after each step ------------------------------------------------------------------------
 
     def step(self, now: int) -> None:
         """Check the deadlines that have passed and the executions that nodes have logged since."""
-        if self._doubts and self._doubts[0][0] < now:
-            self._confirm()
-        while self._due and self._due[0][0] < now:
-            at, _, item = heapq.heappop(self._due)
-            if isinstance(item, Taking):
-                self._check_due(at, item)
-            elif isinstance(item, Life):
-                self._check_out(at, item)
+        if self._suspected and self._suspected[0][0] < now:
+            self._confirm_suspected()
+        while self._deadlines and self._deadlines[0][0] < now:
+            at, _, item = heapq.heappop(self._deadlines)
+            if isinstance(item, ClientRequest):
+                self._check_deadline(at, item)
+            elif isinstance(item, SidecarIncarnation):
+                self._check_idle_connections(at, item)
             else:
-                self._check_bad(at, item)
-        if self._seen < len(self._executions):
-            self._look()
-        if self._twice:
-            self._check_twice(now)
+                self._check_bad_client(at, item)
+        if self._processed < len(self._executions):
+            self._process_executions()
+        if self._repeated:
+            self._check_repeated(now)
 
     def finish(
         self, now: int, left_over: Iterable[str] = (), unreached: Iterable[tuple[int, str]] = ()
@@ -350,636 +361,809 @@
 
     # --- clients -----------------------------------------------------------------------------
 
-    def _client(self, now: int, number: int, life: Life, client: End) -> None:
-        wire = self._wires[number] = Submission(number, life, now, (client.ip, client.port))
-        wire.bad_ns = self._bad.get(wire.peer, self._bad.get(client.machine))
-        if wire.bad_ns is not None:
-            self._push(now + wire.bad_ns + self.rules.slack_ns, wire)
+    def _open_client_connection(
+        self, now: int, number: int, incarnation: SidecarIncarnation, client: End
+    ) -> None:
+        connection = self._connections[number] = ClientConnection(
+            number, incarnation, now, (client.ip, client.port)
+        )
+        connection.bad_client_ns = self._bad_clients.get(
+            connection.peer, self._bad_clients.get(client.machine)
+        )
+        if connection.bad_client_ns is not None:
+            self._schedule(now + connection.bad_client_ns + self.rules.slack_ns, connection)
 
-    def _request_sent(self, now: int, wire: Submission, data: bytes) -> None:
-        for message in wire.reader.feed(data):
-            fault = judge.fault_of(message, self.rules)
+    def _request_sent(self, now: int, connection: ClientConnection, data: bytes) -> None:
+        for message in connection.reader.feed(data):
+            fault = judge.find_request_fault(message, self.rules)
             name = message.get("request-id") or ""
-            effect = self.rules.effects.get(judge.class_of(message), "")
-            taking = Taking(wire.life, wire, message, name, effect, fault)
-            taking.sent_ns, taking.behind = now, bool(wire.entries)
+            effect = self.rules.effects.get(judge.request_class(message), "")
+            client_request = ClientRequest(connection.incarnation, connection, message, name, effect, fault)
+            client_request.sent_ns, client_request.pipelined = now, bool(connection.pending_requests)
             if fault is None:
-                taking.wait_ns = int(message.get("request-timeout-ms") or 0) * MS
+                client_request.timeout_ns = int(message.get("request-timeout-ms") or 0) * MS
             elif fault == judge.READY:
-                taking.settled = fault
-            wire.entries.append(taking)
-        if wire.arrived_in >= wire.reader.begin:
-            self._take(now, wire)
+                client_request.excuse = fault
+            connection.pending_requests.append(client_request)
+        if connection.request_bytes_arrived >= connection.reader.begin:
+            self._receive_requests(now, connection)
 
-    def _take(self, now: int, wire: Submission) -> None:
+    def _receive_requests(self, now: int, connection: ClientConnection) -> None:
         """Record the requests whose last byte has reached the sidecar."""
-        for taking in wire.entries:
-            if taking.taken_ns >= 0 or taking.message.end > wire.arrived_in:
+        for client_request in connection.pending_requests:
+            if (
+                client_request.received_ns >= 0
+                or client_request.message.end > connection.request_bytes_arrived
+            ):
                 continue
             # The deadline of a request that the network delayed counts from its arrival at the sidecar.
-            late = now - taking.sent_ns > self.rules.slack_ns // 10
-            taking.taken_ns = now if late else taking.sent_ns
-            if taking.fault is not None:
+            late = now - client_request.sent_ns > self.rules.slack_ns // 10
+            client_request.received_ns = now if late else client_request.sent_ns
+            if client_request.fault is not None:
                 continue
             self.taken += 1
-            life = wire.life
-            self._takings.setdefault((life.machine, taking.name), []).append(taking)
-            self._allowed[taking.name] = self._allowed.get(taking.name, 0) + 1
-            peer = f"{wire.peer[0]}:{wire.peer[1]}"
-            taking.trail.append((taking.taken_ns, f"{life.name} takes {taking.name} from {peer}"))
-            life.open[taking] = None
-            if self._calm_ns >= 0 and wire.bad_ns is None:
-                self._asked.append(taking)
-            if not taking.behind:
-                self._run_from(taking, taking.taken_ns)
-
-    def _run_from(self, taking: Taking, at: int) -> None:
-        taking.due_ns = at + taking.wait_ns + self.rules.slack_ns
-        self._push(taking.due_ns, taking)
-
-    def _answer_sent(self, now: int, wire: Submission, data: bytes) -> None:
-        if not (wire.answers.begun or wire.entries or wire.reader.begun):
-            wire.flagged = wire.answers.begin
-            self._unowed(now, wire, "bytes of an answer that no request is owed")
-        for answer in wire.answers.feed(data):
+            incarnation = connection.incarnation
+            self._client_requests.setdefault((incarnation.machine, client_request.name), []).append(
+                client_request
+            )
+            self._allowed_runs[client_request.name] = self._allowed_runs.get(client_request.name, 0) + 1
+            peer = f"{connection.peer[0]}:{connection.peer[1]}"
+            client_request.trail.append(
+                (client_request.received_ns, f"{incarnation.name} takes {client_request.name} from {peer}")
+            )
+            incarnation.open_requests[client_request] = None
+            if self._faults_ended_ns >= 0 and connection.bad_client_ns is None:
+                self._received_after_faults.append(client_request)
+            if not client_request.pipelined:
+                self._set_deadline(client_request, client_request.received_ns)
+
+    def _set_deadline(self, client_request: ClientRequest, at: int) -> None:
+        client_request.due_ns = at + client_request.timeout_ns + self.rules.slack_ns
+        self._schedule(client_request.due_ns, client_request)
+
+    def _answer_sent(self, now: int, connection: ClientConnection, data: bytes) -> None:
+        if not (
+            connection.answers.has_partial or connection.pending_requests or connection.reader.has_partial
+        ):
+            connection.reported_offset = connection.answers.begin
+            self._report_unsolicited(now, connection, "bytes of an answer that no request is owed")
+        for answer in connection.answers.feed(data):
             if answer.status < 200:
                 continue
             if answer.status >= 400:
-                wire.errors += 1
+                connection.errors += 1
             else:
-                wire.served += 1
-            if not wire.entries:
+                connection.served += 1
+            if not connection.pending_requests:
                 # Without a complete request, only an error for a partial or unreadable request is allowed.
-                if (answer.status < 400 or not wire.reader.begun) and answer.begin != wire.flagged:
-                    self._unowed(now, wire, f"an answer {answer.status} that no request is owed")
-                wire.sent_whole.append((answer.end, None))
+                if (
+                    answer.status < 400 or not connection.reader.has_partial
+                ) and answer.begin != connection.reported_offset:
+                    self._report_unsolicited(
+                        now, connection, f"an answer {answer.status} that no request is owed"
+                    )
+                connection.complete_answers.append((answer.end, None))
                 continue
-            taking = wire.entries.pop(0)
-            wire.sent_whole.append((answer.end, taking))
-            self._answered(now, taking, answer)
-            if wire.entries and wire.entries[0].behind and not wire.entries[0].fault:
-                self._run_from(wire.entries[0], now)
-
-    def _unowed(self, now: int, wire: Submission, what: str) -> None:
-        peer = f"{wire.peer[0]}:{wire.peer[1]}"
-        self._breach("one-answer", now, wire.life.name, f"{what}, to {peer}", wire.life.trail)
-
-    def _answered(self, now: int, taking: Taking, answer: Message) -> None:
-        status = taking.status = answer.status
-        taking.trail.append((now, f"{taking.life.name} answers {status}"))
-        was_open = not taking.settled
-        taking.life.open.pop(taking, None)
-        if taking.fault is not None:
-            if taking.fault == judge.READY:
-                self._check_ready(now, taking, status)
+            client_request = connection.pending_requests.pop(0)
+            connection.complete_answers.append((answer.end, client_request))
+            self._check_answer(now, client_request, answer)
+            if (
+                connection.pending_requests
+                and connection.pending_requests[0].pipelined
+                and not connection.pending_requests[0].fault
+            ):
+                self._set_deadline(connection.pending_requests[0], now)
+
+    def _report_unsolicited(self, now: int, connection: ClientConnection, what: str) -> None:
+        peer = f"{connection.peer[0]}:{connection.peer[1]}"
+        self._breach(
+            "one-answer", now, connection.incarnation.name, f"{what}, to {peer}", connection.incarnation.trail
+        )
+
+    def _check_answer(self, now: int, client_request: ClientRequest, answer: Message) -> None:
+        status = client_request.status = answer.status
+        client_request.trail.append((now, f"{client_request.incarnation.name} answers {status}"))
+        was_open = not client_request.excuse
+        client_request.incarnation.open_requests.pop(client_request, None)
+        if client_request.fault is not None:
+            if client_request.fault == judge.READY:
+                self._check_ready(now, client_request, status)
             elif status < 400:
-                self._break("unusable", now, taking, f"answered {status} though {taking.fault}")
+                self._breach_of_request(
+                    "unusable", now, client_request, f"answered {status} though {client_request.fault}"
+                )
             return
-        late = taking.due_ns >= 0 and now > max(taking.due_ns, self._awake(taking))
-        if was_open and late and not self._not_accepted(taking):
-            self._break("answer", now, taking, f"answered {(now - taking.due_ns) / 1e6:.3f} ms too late")
+        late = client_request.due_ns >= 0 and now > max(
+            client_request.due_ns, self._deadline_after_stop(client_request)
+        )
+        if was_open and late and not self._lacked_descriptor(client_request):
+            self._breach_of_request(
+                "answer",
+                now,
+                client_request,
+                f"answered {(now - client_request.due_ns) / 1e6:.3f} ms too late",
+            )
         if status == 200:
-            self._check_made(now, taking, answer.body)
+            self._check_body_origin(now, client_request, answer.body)
         elif status < 500 and status != 429:
-            self._check_told_off(now, taking)
-        elif status in (429, 503) and taking.effect == UNSAFE:
-            risky = [each for each in taking.attempts if each.may_run]
-            if risky:
-                self._break(
-                    "refusal", now, taking, f"refused with {status}; it may have run on {risky[0].wire.where}"
+            self._check_rejection(now, client_request)
+        elif status in (429, 503) and client_request.effect == UNSAFE:
+            possibly_run = [each for each in client_request.attempts if each.may_run]
+            if possibly_run:
+                self._breach_of_request(
+                    "refusal",
+                    now,
+                    client_request,
+                    f"refused with {status}; it may have run on {possibly_run[0].connection.where}",
                 )
 
-    def _check_told_off(self, now: int, taking: Taking) -> None:
+    def _check_rejection(self, now: int, client_request: ClientRequest) -> None:
         """Report an error status for a valid request, unless its id is reused or its body was not read."""
-        unread = taking.taken_ns < 0 or taking.wire.read_in < taking.message.end
-        twins = len(self._takings.get((taking.life.machine, taking.name), ())) > 1
-        if not unread and not twins:
-            self._break("told-off", now, taking, f"answered {taking.status}, and nothing is wrong with it")
-
-    def _check_made(self, now: int, taking: Taking, body: bytes) -> None:
-        self._look()
+        unread = (
+            client_request.received_ns < 0
+            or client_request.connection.request_bytes_read < client_request.message.end
+        )
+        is_duplicate = (
+            len(self._client_requests.get((client_request.incarnation.machine, client_request.name), ())) > 1
+        )
+        if not unread and not is_duplicate:
+            self._breach_of_request(
+                "told-off",
+                now,
+                client_request,
+                f"answered {client_request.status}, and nothing is wrong with it",
+            )
+
+    def _check_body_origin(self, now: int, client_request: ClientRequest, body: bytes) -> None:
+        self._process_executions()
         self.served += 1
-        if any(each.answer and each.answer == body for each in self._runs.get(taking.name, ())):
+        if any(
+            each.answer and each.answer == body
+            for each in self._executions_by_request.get(client_request.name, ())
+        ):
             return
         for each in self._executions:
             if each.answer and each.answer == body:
-                self._break(
-                    "other-answer", now, taking, f"served with what {each.node} made for {each.request}"
+                self._breach_of_request(
+                    "other-answer",
+                    now,
+                    client_request,
+                    f"served with what {each.node} made for {each.request}",
                 )
                 return
-        self._break("made-answer", now, taking, f"served with {len(body)} bytes that no node made for it")
+        self._breach_of_request(
+            "made-answer", now, client_request, f"served with {len(body)} bytes that no node made for it"
+        )
 
-    def _awake(self, taking: Taking) -> int:
+    def _deadline_after_stop(self, client_request: ClientRequest) -> int:
         """Return the deadline for an answer after a stop of the sidecar; 0 if no stop extends it."""
-        life = taking.life
-        return life.woken_ns + self.rules.wake_ns if life.woken_ns >= taking.taken_ns else 0
+        incarnation = client_request.incarnation
+        return (
+            incarnation.resumed_ns + self.rules.resume_ns
+            if incarnation.resumed_ns >= client_request.received_ns
+            else 0
+        )
 
-    def _not_accepted(self, taking: Taking) -> bool:
+    def _lacked_descriptor(self, client_request: ClientRequest) -> bool:
         """Tell whether a shortage of descriptors kept the sidecar from accepting a request's connection."""
-        wire = taking.wire
-        waited = wire.accepted_ns < 0 or wire.accepted_ns > taking.taken_ns + self.rules.slack_ns
-        return waited and wire.life.was_starved(taking.taken_ns)
+        connection = client_request.connection
+        waited = (
+            connection.accepted_ns < 0
+            or connection.accepted_ns > client_request.received_ns + self.rules.slack_ns
+        )
+        return waited and connection.incarnation.was_out_of_descriptors(client_request.received_ns)
 
-    def _check_due(self, at: int, taking: Taking) -> None:
+    def _check_deadline(self, at: int, client_request: ClientRequest) -> None:
         """Report a request whose deadline has passed without an answer, unless something excuses that."""
-        if taking.settled:
+        if client_request.excuse:
             return
-        if taking.owed:
-            if taking.life.paused_ns >= 0:
-                self._push(at + self.rules.wake_ns, taking)
+        if client_request.needs_answer:
+            if client_request.incarnation.paused_ns >= 0:
+                self._schedule(at + self.rules.resume_ns, client_request)
                 return
-            if at < self._awake(taking):
-                self._push(self._awake(taking), taking)
+            if at < self._deadline_after_stop(client_request):
+                self._schedule(self._deadline_after_stop(client_request), client_request)
                 return
-        wire = taking.wire
-        if taking.status:
-            if taking.answered_ns < 0 and wire.reset_seen:
-                self._settle(at, taking, "reset")
-                self._break("answer", at, taking, "its answer was overtaken by a reset")
+        connection = client_request.connection
+        if client_request.status:
+            if client_request.answered_ns < 0 and connection.reset_seen:
+                self._excuse(at, client_request, "reset")
+                self._breach_of_request("answer", at, client_request, "its answer was overtaken by a reset")
             return
-        if wire.arrived_back > wire.taken_out:
-            self._settle(at, taking, "its client does not read")
+        if connection.answer_bytes_arrived > connection.answer_bytes_read:
+            self._excuse(at, client_request, "its client does not read")
             return
-        if self._not_accepted(taking):
-            self._settle(at, taking, "no descriptor was left to accept it with")
+        if self._lacked_descriptor(client_request):
+            self._excuse(at, client_request, "no descriptor was left to accept it with")
             return
-        self._settle(at, taking, "late")
-        self._break("answer", at, taking, "no answer when its time was up")
+        self._excuse(at, client_request, "late")
+        self._breach_of_request("answer", at, client_request, "no answer when its time was up")
 
-    def _closed_by_sidecar(self, now: int, wire: Submission) -> None:
-        for taking in wire.entries:
-            if taking.settled or taking.fault is not None or taking.taken_ns < 0:
+    def _closed_by_sidecar(self, now: int, connection: ClientConnection) -> None:
+        for client_request in connection.pending_requests:
+            if client_request.excuse or client_request.fault is not None or client_request.received_ns < 0:
                 continue
-            if wire.read_in <= taking.message.begin:
-                self._settle(now, taking, "the close crossed it unread")
-                self._allowed[taking.name] -= 1
-            elif taking.behind:
-                self._settle(now, taking, "it was sent ahead of an answer")
-            elif not wire.life.over:
-                self._doubts.append((now, taking, "its connection was closed without an answer"))
-
-    def _broken(self, now: int, wire: Submission) -> None:
+            if connection.request_bytes_read <= client_request.message.begin:
+                self._excuse(now, client_request, "the close crossed it unread")
+                self._allowed_runs[client_request.name] -= 1
+            elif client_request.pipelined:
+                self._excuse(now, client_request, "it was sent ahead of an answer")
+            elif not connection.incarnation.has_exited:
+                self._suspected.append((now, client_request, "its connection was closed without an answer"))
+
+    def _connection_broken(self, now: int, connection: ClientConnection) -> None:
         """Handle a client connection that ended although the sidecar did not close it."""
-        for taking in wire.entries:
-            if wire.accepted_ns >= 0:
-                self._settle(now, taking, "the network broke its connection")
-            elif taking.owed and not wire.life.over:
-                self._doubts.append((now, taking, "its connection was dropped before it was looked at"))
-
-    def _left(self, now: int, wire: Submission, why: str) -> None:
-        wire.gone = True
-        for taking in wire.entries:
-            self._settle(now, taking, why)
-
-    def _settle(self, now: int, taking: Taking, why: str) -> None:
-        if not taking.settled:
-            taking.settled = why
-            taking.trail.append((now, why))
-        taking.life.open.pop(taking, None)
-
-    def _confirm(self) -> None:
-        doubts, self._doubts = self._doubts, []
-        for at, taking, what in doubts:
-            if taking.owed:
-                self._settle(at, taking, what)
-                self._break("answer", at, taking, what)
-
-    def _check_bad(self, at: int, wire: Submission) -> None:
-        if wire.closed or wire.gone or wire.errors or wire.served or wire.life.over:
+        for client_request in connection.pending_requests:
+            if connection.accepted_ns >= 0:
+                self._excuse(now, client_request, "the network broke its connection")
+            elif client_request.needs_answer and not connection.incarnation.has_exited:
+                self._suspected.append(
+                    (now, client_request, "its connection was dropped before it was looked at")
+                )
+
+    def _client_closed(self, now: int, connection: ClientConnection, why: str) -> None:
+        connection.client_closed = True
+        for client_request in connection.pending_requests:
+            self._excuse(now, client_request, why)
+
+    def _excuse(self, now: int, client_request: ClientRequest, why: str) -> None:
+        if not client_request.excuse:
+            client_request.excuse = why
+            client_request.trail.append((now, why))
+        client_request.incarnation.open_requests.pop(client_request, None)
+
+    def _confirm_suspected(self) -> None:
+        suspected, self._suspected = self._suspected, []
+        for at, client_request, what in suspected:
+            if client_request.needs_answer:
+                self._excuse(at, client_request, what)
+                self._breach_of_request("answer", at, client_request, what)
+
+    def _check_bad_client(self, at: int, connection: ClientConnection) -> None:
+        if (
+            connection.closed
+            or connection.client_closed
+            or connection.errors
+            or connection.served
+            or connection.incarnation.has_exited
+        ):
             return
-        late = wire.accepted_ns < 0 or wire.accepted_ns > wire.opened_ns + self.rules.slack_ns
-        if late and wire.life.was_starved(wire.opened_ns):
+        late = (
+            connection.accepted_ns < 0 or connection.accepted_ns > connection.opened_ns + self.rules.slack_ns
+        )
+        if late and connection.incarnation.was_out_of_descriptors(connection.opened_ns):
             return
-        if any(taking.fault is None and taking.taken_ns >= 0 for taking in wire.entries):
+        if any(
+            client_request.fault is None and client_request.received_ns >= 0
+            for client_request in connection.pending_requests
+        ):
             return  # a valid request is checked like any other client's
-        peer = f"{wire.peer[0]}:{wire.peer[1]}"
+        peer = f"{connection.peer[0]}:{connection.peer[1]}"
         self._breach(
-            "bad-client", at, wire.life.name,
-            f"{peer} connected at {wire.opened_ns / 1e9:.9f} and has neither an error nor a close",
+            "bad-client", at, connection.incarnation.name,
+            f"{peer} connected at {connection.opened_ns / 1e9:.9f} and has neither an error nor a close",
         )  # fmt: skip
 
-    def _end_life(self, now: int, life: Life, killed: bool) -> None:
-        life.over = True
-        limit = life.term_ns + self.rules.term_ns
-        for taking in list(life.open):
-            if killed and (life.term_ns < 0 or taking.taken_ns <= limit):
-                self._settle(now, taking, "its sidecar was killed")
-            elif not taking.settled:
-                self._settle(now, taking, "its sidecar has ended")
-                self._break("answer", now, taking, "its sidecar ended without answering it")
-        self._doubts = [each for each in self._doubts if each[1].life is not life]
-        if not killed and life.term_ns < 0:
-            self._breach("crash", now, life.name, "ended unasked", life.trail)
+    def _end_incarnation(self, now: int, incarnation: SidecarIncarnation, killed: bool) -> None:
+        incarnation.has_exited = True
+        limit = incarnation.term_ns + self.rules.term_ns
+        for client_request in list(incarnation.open_requests):
+            if killed and (incarnation.term_ns < 0 or client_request.received_ns <= limit):
+                self._excuse(now, client_request, "its sidecar was killed")
+            elif not client_request.excuse:
+                self._excuse(now, client_request, "its sidecar has ended")
+                self._breach_of_request(
+                    "answer", now, client_request, "its sidecar ended without answering it"
+                )
+        self._suspected = [each for each in self._suspected if each[1].incarnation is not incarnation]
+        if not killed and incarnation.term_ns < 0:
+            self._breach("crash", now, incarnation.name, "ended unasked", incarnation.trail)
 
     # --- operators ------------------------------------------------------------------------------
 
-    def _call_sent(self, now: int, wire: Calling, side: str, data: bytes) -> None:
-        life = wire.life
+    def _admin_bytes_sent(self, now: int, connection: AdminConnection, side: str, data: bytes) -> None:
+        incarnation = connection.incarnation
         if side == "client":
-            wire.calls += wire.reader.feed(data)
+            connection.calls_in_transit += connection.reader.feed(data)
             return
-        for answer in wire.answers.feed(data):
-            call = wire.asked.pop(0) if wire.asked else None
-            if call is None or life.over or not 200 <= answer.status < 300:
+        for answer in connection.answers.feed(data):
+            admin_call = connection.unanswered_calls.pop(0) if connection.unanswered_calls else None
+            if admin_call is None or incarnation.has_exited or not 200 <= answer.status < 300:
                 continue
-            node, what = self._meant(call)
-            if what == "offline" and node in life.asked_out:
-                life.banned.setdefault(node, now)
-            elif what == "out-of-service" and life.out_ns < 0 and life.called_out:
-                life.out_ns = now
-                life.say(now, "says yes to out-of-service")
-                self._push(now + self.rules.leave_ns, life)
-
-    def _called(self, now: int, wire: Calling) -> None:
+            node, what = self._parse_call(admin_call)
+            if what == "offline" and node in incarnation.offline_called:
+                incarnation.offline_since.setdefault(node, now)
+            elif (
+                what == "out-of-service"
+                and incarnation.out_of_service_ns < 0
+                and incarnation.out_of_service_called
+            ):
+                incarnation.out_of_service_ns = now
+                incarnation.log_event(now, "says yes to out-of-service")
+                self._schedule(now + self.rules.close_idle_ns, incarnation)
+
+    def _receive_calls(self, now: int, connection: AdminConnection) -> None:
         """Record operators' calls that have reached a sidecar.
 
         A call that takes a node or the sidecar out of service binds once the sidecar has acknowledged it; one
-        for a node binds after `Rules.yes_ns` at the latest. A call back into service binds on arrival.
+        for a node binds after `Rules.call_binds_ns` at the latest. A call back into service binds on arrival.
         """
-        while wire.calls and wire.calls[0].end <= wire.arrived:
-            call, life = wire.calls.pop(0), wire.life
-            wire.asked.append(call)
-            node, what = self._meant(call)
+        while connection.calls_in_transit and connection.calls_in_transit[0].end <= connection.arrived:
+            admin_call, incarnation = connection.calls_in_transit.pop(0), connection.incarnation
+            connection.unanswered_calls.append(admin_call)
+            node, what = self._parse_call(admin_call)
             if what == "offline":
-                life.asked_out.setdefault(node, now)
+                incarnation.offline_called.setdefault(node, now)
             elif what == "online":
-                life.asked_out.pop(node, None)
-                life.banned.pop(node, None)
+                incarnation.offline_called.pop(node, None)
+                incarnation.offline_since.pop(node, None)
             elif what == "out-of-service":
-                life.called_out = True
+                incarnation.out_of_service_called = True
             elif what == "in-service":
-                life.called_out, life.out_ns, life.back_ns = False, -1, now
-            life.say(now, f"is called: {call.start}")
+                (
+                    incarnation.out_of_service_called,
+                    incarnation.out_of_service_ns,
+                    incarnation.in_service_ns,
+                ) = False, -1, now
+            incarnation.log_event(now, f"is called: {admin_call.start}")
 
     @staticmethod
-    def _meant(call: Message) -> tuple[str, str]:
+    def _parse_call(admin_call: Message) -> tuple[str, str]:
         """Return the node's id and the action of an operators' call; ids here need no URL decoding."""
-        parts = call.start.split(" ")[1].split("/")
+        parts = admin_call.start.split(" ")[1].split("/")
         return (parts[3], parts[4]) if len(parts) == 5 else ("", parts[-1])
 
-    def _banned(self, now: int, life: Life, node: str) -> int | None:
+    def _node_offline_since(self, now: int, incarnation: SidecarIncarnation, node: str) -> int | None:
         """Return the time since which operators' calls forbid a sidecar to use a node; None if none do."""
-        moments = [life.banned[node]] if node in life.banned else []
-        if node in life.asked_out and now >= life.asked_out[node] + self.rules.yes_ns:
-            moments.append(life.asked_out[node] + self.rules.yes_ns)
+        moments = [incarnation.offline_since[node]] if node in incarnation.offline_since else []
+        if (
+            node in incarnation.offline_called
+            and now >= incarnation.offline_called[node] + self.rules.call_binds_ns
+        ):
+            moments.append(incarnation.offline_called[node] + self.rules.call_binds_ns)
         return min(moments, default=None)
 
-    def _check_ready(self, now: int, taking: Taking, status: int) -> None:
-        life, rules = taking.life, self.rules
-        if status == 200 and 0 <= life.out_ns <= taking.taken_ns:
-            self._break("service", now, taking, "out of service, and says that it is ready")
-        wanted = life.term_ns < 0 and not life.called_out and bool(life.roster.nodes)
-        since = max(life.started_ns, life.back_ns)
-        if status != 200 and wanted and taking.taken_ns > since + rules.ready_ns:
-            self._break("service", now, taking, f"in service, and answers {status}")
+    def _check_ready(self, now: int, client_request: ClientRequest, status: int) -> None:
+        incarnation, rules = client_request.incarnation, self.rules
+        if status == 200 and 0 <= incarnation.out_of_service_ns <= client_request.received_ns:
+            self._breach_of_request(
+                "service", now, client_request, "out of service, and says that it is ready"
+            )
+        must_be_ready = (
+            incarnation.term_ns < 0
+            and not incarnation.out_of_service_called
+            and bool(incarnation.roster.nodes)
+        )
+        since = max(incarnation.started_ns, incarnation.in_service_ns)
+        if status != 200 and must_be_ready and client_request.received_ns > since + rules.ready_ns:
+            self._breach_of_request("service", now, client_request, f"in service, and answers {status}")
 
-    def _check_out(self, at: int, life: Life) -> None:
+    def _check_idle_connections(self, at: int, incarnation: SidecarIncarnation) -> None:
         """Report an idle client connection that a sidecar keeps long after going out of service."""
-        if life.over or life.out_ns < 0 or at < life.out_ns + self.rules.leave_ns:
+        if (
+            incarnation.has_exited
+            or incarnation.out_of_service_ns < 0
+            or at < incarnation.out_of_service_ns + self.rules.close_idle_ns
+        ):
             return
-        for wire in self._wires.values():
-            if not isinstance(wire, Submission) or wire.life is not life or wire.accepted_ns < 0:
+        for connection in self._connections.values():
+            if (
+                not isinstance(connection, ClientConnection)
+                or connection.incarnation is not incarnation
+                or connection.accepted_ns < 0
+            ):
                 continue
-            if wire.closed or wire.gone or wire.reset_seen or wire.entries or wire.reader.begun:
+            if (
+                connection.closed
+                or connection.client_closed
+                or connection.reset_seen
+                or connection.pending_requests
+                or connection.reader.has_partial
+            ):
                 continue
-            if wire.arrived_back <= wire.taken_out and at - wire.last_ns > self.rules.rest_ns:
-                peer = f"{wire.peer[0]}:{wire.peer[1]}"
-                what = f"out of service since {life.out_ns / 1e9:.9f}, and keeps the connection of {peer}"
-                self._breach("service", at, life.name, what, life.trail)
+            if (
+                connection.answer_bytes_arrived <= connection.answer_bytes_read
+                and at - connection.last_bytes_ns > self.rules.idle_ns
+            ):
+                peer = f"{connection.peer[0]}:{connection.peer[1]}"
+                what = (
+                    f"out of service since {incarnation.out_of_service_ns / 1e9:.9f}, "
+                    f"and keeps the connection of {peer}"
+                )
+                self._breach("service", at, incarnation.name, what, incarnation.trail)
                 return
 
     # --- nodes ----------------------------------------------------------------------------------
 
-    def _attempt_sent(self, now: int, wire: Passage, data: bytes) -> None:
-        if not wire.reader.begun:
-            self._begin_attempt(now, wire)
-        messages = wire.reader.feed(data)
+    def _attempt_sent(self, now: int, connection: NodeConnection, data: bytes) -> None:
+        if not connection.reader.has_partial:
+            self._begin_attempt(now, connection)
+        messages = connection.reader.feed(data)
         for at, message in enumerate(messages):
-            attempt = wire.attempt
+            attempt = connection.attempt
             assert attempt is not None
-            if attempt.taking is None:
-                self._identify(now, wire, attempt, message)
-            self._written(now, wire, attempt, message)
-            if at + 1 < len(messages) or wire.reader.begun:
-                self._begin_attempt(now, wire)
-        head = wire.reader.head
-        if head is not None and wire.attempt is not None and wire.attempt.taking is None:
-            self._identify(now, wire, wire.attempt, head)
-
-    def _begin_attempt(self, now: int, wire: Passage) -> None:
+            if attempt.client_request is None:
+                self._match_request(now, connection, attempt, message)
+            self._attempt_written(now, connection, attempt, message)
+            if at + 1 < len(messages) or connection.reader.has_partial:
+                self._begin_attempt(now, connection)
+        head = connection.reader.head
+        if head is not None and connection.attempt is not None and connection.attempt.client_request is None:
+            self._match_request(now, connection, connection.attempt, head)
+
+    def _begin_attempt(self, now: int, connection: NodeConnection) -> None:
         """Record the first byte of a request to a node and check that the connection was free for it."""
-        before = wire.attempt
-        attempt = wire.attempt = Attempt(wire, now)
-        wire.asked += 1
+        before = connection.attempt
+        attempt = connection.attempt = Attempt(connection, now)
+        connection.requests_begun += 1
         if before is not None:
             if before.status == 0:
-                self._at_node("shared", now, attempt, "another request is out on this connection")
-            elif wire.closes:
-                self._at_node("dirty", now, attempt, "the node had said that it closes this connection")
-            elif wire.answers.begun and wire.arrived_ns <= now - self.rules.seen_ns:
-                self._at_node("dirty", now, attempt, "bytes behind an answer had been read from it")
-            elif wire.arrived > wire.read and wire.arrived_ns < now - self.rules.seen_ns:
-                self._at_node("dirty", now, attempt, f"{wire.arrived - wire.read} bytes waited on it")
-            elif 0 <= wire.ended_seen_ns < now - self.rules.seen_ns:
-                self._at_node("dirty", now, attempt, "its end waited on it")
+                self._breach_at_node("shared", now, attempt, "another request is out on this connection")
+            elif connection.closes:
+                self._breach_at_node(
+                    "dirty", now, attempt, "the node had said that it closes this connection"
+                )
+            elif connection.answers.has_partial and connection.arrived_ns <= now - self.rules.seen_ns:
+                self._breach_at_node("dirty", now, attempt, "bytes behind an answer had been read from it")
+            elif connection.arrived > connection.read and connection.arrived_ns < now - self.rules.seen_ns:
+                self._breach_at_node(
+                    "dirty", now, attempt, f"{connection.arrived - connection.read} bytes waited on it"
+                )
+            elif 0 <= connection.ended_seen_ns < now - self.rules.seen_ns:
+                self._breach_at_node("dirty", now, attempt, "its end waited on it")
         self._check_drain(now, attempt)
 
     def _check_drain(self, now: int, attempt: Attempt) -> None:
-        wire, life, process = attempt.wire, attempt.wire.life, attempt.wire.process
+        connection, incarnation, process = (
+            attempt.connection,
+            attempt.connection.incarnation,
+            attempt.connection.process,
+        )
         if process is None:
-            since = life.roster.vacant(wire.target)
+            since = incarnation.roster.no_ready_node_since(connection.target)
         else:
-            since = life.roster.stopped(process.node, process.started_ms, wire.target)
+            since = incarnation.roster.stopped_since(process.node, process.started_ms, connection.target)
         if since == -1:
-            self._at_node("unlisted", now, attempt, "no list named this address")
+            self._breach_at_node("unlisted", now, attempt, "no list named this address")
             return
         how = "was told"
         if process is not None:
-            deemed = self._deemed(now, life, process)
-            if deemed is not None and (since is None or deemed < since):
-                since, how = deemed, "counts as told"
-            banned = self._banned(now, life, process.node)
-            if banned is not None and (since is None or banned < since):
-                since, how = banned, "was told by operators"
+            expected = self._expected_notice(now, incarnation, process)
+            if expected is not None and (since is None or expected < since):
+                since, how = expected, "counts as told"
+            offline_since = self._node_offline_since(now, incarnation, process.node)
+            if offline_since is not None and (since is None or offline_since < since):
+                since, how = offline_since, "was told by operators"
         if since is not None and now - since > self.rules.drain_ns:
             late = now - since - self.rules.drain_ns
-            self._at_node(
+            self._breach_at_node(
                 "drain", now, attempt,
                 f"first byte {late} ns too late: the sidecar {how} at {since / 1e9:.9f} that it stops",
             )  # fmt: skip
 
-    def _deemed(self, now: int, life: Life, process: Process) -> int | None:
+    def _expected_notice(self, now: int, incarnation: SidecarIncarnation, process: Process) -> int | None:
         """Return the time since which a sidecar should know that a process accepts no new requests.
 
         Returns None if the sidecar is not yet expected to know. The time follows from when discovery could
         deliver the change, from a reload, and from a long time without a request to discovery.
         """
-        truth = self._truth.node(process.node)
-        if truth is None:
+        actual = self._actual_nodes.node(process.node)
+        if actual is None:
             return None
-        if truth.started_ms > process.started_ms:
-            since = truth.restarted_ns
-        elif truth.state != READY:
-            since = truth.since_ns
+        if actual.started_ms > process.started_ms:
+            since = actual.restarted_ns
+        elif actual.state != READY:
+            since = actual.since_ns
         else:
             return None
         rules, moments = self.rules, [math.inf]
-        able = self._truth.able_since(life.machine)
-        if able is not None:
-            start = max(since, able, life.started_ns, life.woken_ns)
-            moments.append(start + rules.told_ns)
-            if 0 <= since <= life.reload_ns:
-                moments.append(max(life.reload_ns, start) + rules.told_reload_ns)
-        if not life.watches:
-            silence = rules.must_ask_ns * (rules.must_ask_failed if life.ask_failed else 1)
-            asked = max(life.asked_ns, life.woken_ns)
-            if now - asked > silence:
-                moments.append(max(since, asked) + silence)
+        deliverable = self._actual_nodes.deliverable_to_since(incarnation.machine)
+        if deliverable is not None:
+            start = max(since, deliverable, incarnation.started_ns, incarnation.resumed_ns)
+            moments.append(start + rules.notice_ns)
+            if 0 <= since <= incarnation.reload_ns:
+                moments.append(max(incarnation.reload_ns, start) + rules.reload_notice_ns)
+        if not incarnation.watches:
+            max_pause_ns = rules.must_ask_ns * (
+                rules.failed_request_factor if incarnation.discovery_request_failed else 1
+            )
+            last_request = max(incarnation.discovery_request_ns, incarnation.resumed_ns)
+            if now - last_request > max_pause_ns:
+                moments.append(max(since, last_request) + max_pause_ns)
         at = min(moments)
         return int(at) if at <= now else None
 
-    def _identify(self, now: int, wire: Passage, attempt: Attempt, head: Message) -> None:
+    def _match_request(self, now: int, connection: NodeConnection, attempt: Attempt, head: Message) -> None:
         """Find the client request that an attempt belongs to and check that it may be sent."""
-        life, name = wire.life, head.get("request-id") or ""
+        incarnation, name = connection.incarnation, head.get("request-id") or ""
         if head.get("content-length") is not None and head.get("transfer-encoding") is not None:
-            self._at_node("framing", now, attempt, f"{name} has a length and a coding")
-        taking = self._whose(life, name)
-        if taking is None:
-            self._at_node("unasked", now, attempt, f"no client of {life.name} made a request {name!r}")
+            self._breach_at_node("framing", now, attempt, f"{name} has a length and a coding")
+        client_request = self._find_request(incarnation, name)
+        if client_request is None:
+            self._breach_at_node(
+                "unasked", now, attempt, f"no client of {incarnation.name} made a request {name!r}"
+            )
             return
-        attempt.taking = taking
-        earlier = taking.attempts
-        if taking.effect == UNSAFE:
-            risky = [each for each in earlier if each.may_run]
-            if risky:
-                taking.trail.append((now, f"sent again to {wire.where}"))
-                self._break(
-                    "repeat", now, taking, f"sent again though it may have run on {risky[0].wire.where}"
+        attempt.client_request = client_request
+        earlier = client_request.attempts
+        if client_request.effect == UNSAFE:
+            possibly_run = [each for each in earlier if each.may_run]
+            if possibly_run:
+                client_request.trail.append((now, f"sent again to {connection.where}"))
+                self._breach_of_request(
+                    "repeat",
+                    now,
+                    client_request,
+                    f"sent again though it may have run on {possibly_run[0].connection.where}",
                 )
-        if not self.rules.second_copies and any(not each.wire.ended and not each.status for each in earlier):
-            self._break("copies", now, taking, "an earlier attempt is still out")
-        if 0 <= taking.left_ns < attempt.first_ns - self.rules.gone_ns:
-            taking.trail.append((attempt.first_ns, f"first byte to {wire.where}"))
-            self._break("for-nobody", now, taking, "its client had left, which could be seen long before")
+        if not self.rules.second_copies and any(
+            not each.connection.ended and not each.status for each in earlier
+        ):
+            self._breach_of_request("copies", now, client_request, "an earlier attempt is still out")
+        if 0 <= client_request.client_close_ns < attempt.first_byte_ns - self.rules.abandon_ns:
+            client_request.trail.append((attempt.first_byte_ns, f"first byte to {connection.where}"))
+            self._breach_of_request(
+                "for-nobody", now, client_request, "its client had left, which could be seen long before"
+            )
         earlier.append(attempt)
-        taking.trail.append((attempt.first_ns, f"first byte to {wire.where}"))
+        client_request.trail.append((attempt.first_byte_ns, f"first byte to {connection.where}"))
 
-    def _whose(self, life: Life, name: str) -> Taking | None:
-        there = self._takings.get((life.machine, name))
+    def _find_request(self, incarnation: SidecarIncarnation, name: str) -> ClientRequest | None:
+        there = self._client_requests.get((incarnation.machine, name))
         if not there:
             return None
-        live = [each for each in there if each.life is life]
-        unanswered = [each for each in live if each.owed and each.wire.read_in >= each.message.end]
+        live = [each for each in there if each.incarnation is incarnation]
+        unanswered = [
+            each
+            for each in live
+            if each.needs_answer and each.connection.request_bytes_read >= each.message.end
+        ]
         return unanswered[0] if unanswered else (live[-1] if live else None)
 
-    def _written(self, now: int, wire: Passage, attempt: Attempt, message: Message) -> None:
+    def _attempt_written(
+        self, now: int, connection: NodeConnection, attempt: Attempt, message: Message
+    ) -> None:
         """Record that an attempt's last byte was written, so that the node may run the request."""
         attempt.written_ns = now
         self.attempts += 1
-        taking = attempt.taking
-        if taking is None:
+        client_request = attempt.client_request
+        if client_request is None:
             return
-        taking.trail.append((now, f"written whole to {wire.where}"))
-        asked = taking.message
-        if message.start.split(" ")[:2] != asked.start.split(" ")[:2] or message.body != asked.body:
-            self._break("changed", now, taking, f"passed on as {message.start!r}, {len(message.body)} bytes")
-        if sum(each.written_ns >= 0 for each in taking.attempts) > self.rules.max_attempts:
-            self._break("attempts", now, taking, f"attempt number {len(taking.attempts)}")
-
-    def _answer_read(self, now: int, wire: Passage, data: bytes) -> None:
-        wire.read += len(data)
-        for answer in wire.answers.feed(data):
-            if answer.status < 200 or wire.attempt is None or wire.attempt.status:
+        client_request.trail.append((now, f"written whole to {connection.where}"))
+        original = client_request.message
+        if message.start.split(" ")[:2] != original.start.split(" ")[:2] or message.body != original.body:
+            self._breach_of_request(
+                "changed", now, client_request, f"passed on as {message.start!r}, {len(message.body)} bytes"
+            )
+        if sum(each.written_ns >= 0 for each in client_request.attempts) > self.rules.max_attempts:
+            self._breach_of_request(
+                "attempts", now, client_request, f"attempt number {len(client_request.attempts)}"
+            )
+
+    def _answer_read(self, now: int, connection: NodeConnection, data: bytes) -> None:
+        connection.read += len(data)
+        for answer in connection.answers.feed(data):
+            if answer.status < 200 or connection.attempt is None or connection.attempt.status:
                 continue
-            attempt = wire.attempt
+            attempt = connection.attempt
             attempt.status = answer.status
             if answer.status in (503, 504) and answer.get("not-started") == "1":
-                attempt.proven = True
+                attempt.proven_not_run = True
             attempt.report = load_report(answer)
-            wire.closes = answer.closes
-            self._note(now, wire, f"{answer.status} from {wire.where}{', not started' * attempt.proven}")
+            connection.closes = answer.closes
+            self._log_attempt_event(
+                now,
+                connection,
+                f"{answer.status} from {connection.where}{', not started' * attempt.proven_not_run}",
+            )
 
-    def _note(self, now: int, wire: Passage, text: str) -> None:
-        if wire.attempt is not None and wire.attempt.taking is not None:
-            wire.attempt.taking.trail.append((now, text))
+    def _log_attempt_event(self, now: int, connection: NodeConnection, text: str) -> None:
+        if connection.attempt is not None and connection.attempt.client_request is not None:
+            connection.attempt.client_request.trail.append((now, text))
 
     # --- the nodes' execution log ---------------------------------------------------------------
 
-    def _look(self) -> None:
+    def _process_executions(self) -> None:
         """Process the executions that nodes have logged since the last call."""
-        while self._seen < len(self._executions):
-            each = self._executions[self._seen]
-            self._seen += 1
-            there = self._runs.setdefault(each.request, [])
+        while self._processed < len(self._executions):
+            each = self._executions[self._processed]
+            self._processed += 1
+            there = self._executions_by_request.setdefault(each.request, [])
             there.append(each)
-            if len(there) > 1 and self._effect(each.request) == UNSAFE:
-                self._twice[each.request] = there
+            if len(there) > 1 and self._effect_of(each.request) == UNSAFE:
+                self._repeated[each.request] = there
             if each.cold:
-                self._check_cold(each)
+                self._check_warm_up_budget(each)
 
-    def _effect(self, name: str) -> str:
-        return next((taking.effect for taking in self._of(name)), "")
+    def _effect_of(self, name: str) -> str:
+        return next((client_request.effect for client_request in self._requests_named(name)), "")
 
-    def _of(self, name: str) -> list[Taking]:
+    def _requests_named(self, name: str) -> list[ClientRequest]:
         return [
-            each for machine in self._lives for each in self._takings.get((machine, name), ())
+            each for machine in self._incarnations for each in self._client_requests.get((machine, name), ())
         ]  # fmt: skip
 
-    def _check_twice(self, now: int) -> None:
-        for name, there in list(self._twice.items()):
+    def _check_repeated(self, now: int) -> None:
+        for name, there in list(self._repeated.items()):
             runs = [each for each in there if each.began_ns]
-            if len(runs) > max(self._allowed.get(name, 0), 1):
-                del self._twice[name]
+            if len(runs) > max(self._allowed_runs.get(name, 0), 1):
+                del self._repeated[name]
                 at = ", ".join(each.node for each in runs)
-                self._break("once", now, self._of(name)[0], f"run {len(runs)} times: {at}")
+                self._breach_of_request(
+                    "once", now, self._requests_named(name)[0], f"run {len(runs)} times: {at}"
+                )
 
-    def _check_cold(self, each: Execution) -> None:
+    def _check_warm_up_budget(self, each: Execution) -> None:
         """Check the work that all sidecars sent to a cold node in one window, which ends at an execution."""
         rules, at, node = self.rules, each.came_ns, (each.node, each.process)
-        told = False
-        for taking in self._of(each.request):
-            for attempt in taking.attempts:
-                process = attempt.wire.process
+        informed = False
+        for client_request in self._requests_named(each.request):
+            for attempt in client_request.attempts:
+                process = attempt.connection.process
                 if process is not None and process.node == each.node:
-                    told = told or taking.life.roster.knows_start(process.node, process.started_ms)
-        pushed = self._pushed.setdefault(node, deque())
-        pushed.append((at, each.work_s, told))
-        while pushed[0][0] <= at - rules.fall_ns:
-            pushed.popleft()
-        work = sum(item[1] for item in pushed)
-        by_told = sum(item[1] for item in pushed if item[2])
-        budget = rules.cold_budget(each.capacity)
+                    informed = informed or client_request.incarnation.roster.knows_start(
+                        process.node, process.started_ms
+                    )
+        recent = self._warm_up_work.setdefault(node, deque())
+        recent.append((at, each.work_s, informed))
+        while recent[0][0] <= at - rules.fall_ns:
+            recent.popleft()
+        work = sum(item[1] for item in recent)
+        informed_work = sum(item[1] for item in recent if item[2])
+        budget = rules.warm_up_budget(each.capacity)
         # Allowance for chance: one standard deviation of the work that arrives at a mean of `budget`, if
         # requests vary in size like those seen (Campbell's theorem for a compound Poisson process).
-        budget += math.sqrt(budget * sum(item[1] ** 2 for item in pushed) / work)
-        if work > budget and by_told >= rules.cold_told_part * work and node not in self._over_budget:
+        budget += math.sqrt(budget * sum(item[1] ** 2 for item in recent) / work)
+        if (
+            work > budget
+            and informed_work >= rules.min_informed_fraction * work
+            and node not in self._over_budget
+        ):
             self._over_budget.add(node)
             self._breach(
                 "cold", at, each.node,
-                f"{work:.3f} s of work in {len(pushed)} requests within {rules.fall_ns / 1e9:g} s, "
-                f"{by_told:.3f} s of it from sidecars that were told of its start; room for {budget:.3f} s",
+                f"{work:.3f} s of work in {len(recent)} requests within {rules.fall_ns / 1e9:g} s, "
+                f"{informed_work:.3f} s of it from sidecars that were told of its start; "
+                f"room for {budget:.3f} s",
             )  # fmt: skip
 
-    def _same_report(self, machine: str, record: dict[str, Any]) -> bool:
+    def _report_was_on_wire(self, machine: str, record: dict[str, Any]) -> bool:
         """Tell whether the load report that the module got for an attempt was on the wire.
 
         The report of any attempt of the request will do, because the capture does not record which it was.
         """
-        told = record["in"]["report"]
-        takings = self._takings.get((machine, record["id"]), ())
-        brought = [attempt.report for taking in takings for attempt in taking.attempts]
-        if told is not None:
-            return tuple(told) in brought
+        report = record["in"]["report"]
+        client_requests = self._client_requests.get((machine, record["id"]), ())
+        brought = [
+            attempt.report for client_request in client_requests for attempt in client_request.attempts
+        ]
+        if report is not None:
+            return tuple(report) in brought
         # The answer of a served request was read whole; another answer may have been abandoned half read.
         return record["in"]["status"] != "ok" or not brought or None in brought
 
     # --- discovery ------------------------------------------------------------------------------
 
-    def _asked_discovery(self, now: int, wire: Watching, data: bytes) -> None:
-        for message in wire.asks.feed(data):
-            life = wire.life
-            life.asked_ns, life.ask_failed = now, False
+    def _discovery_request_sent(self, now: int, connection: DiscoveryConnection, data: bytes) -> None:
+        for message in connection.requests.feed(data):
+            incarnation = connection.incarnation
+            incarnation.discovery_request_ns, incarnation.discovery_request_failed = now, False
             target = message.start.split(" ")[1]
-            life.say(now, f"asks discovery at {wire.target[0]}:{wire.target[1]} for {target}")
-            words = dict(word.partition("=")[::2] for word in target.partition("?")[2].split("&"))
-            since = words.get("since")
+            incarnation.log_event(
+                now, f"asks discovery at {connection.target[0]}:{connection.target[1]} for {target}"
+            )
+            parameters = dict(
+                parameter.partition("=")[::2] for parameter in target.partition("?")[2].split("&")
+            )
+            since = parameters.get("since")
             if since is not None and (
-                not since.isdigit() or int(since) not in life.versions.get(wire.target, ())
+                not since.isdigit() or int(since) not in incarnation.versions.get(connection.target, ())
             ):
-                self._breach("versions", now, life.name, f"asked for what follows {since}", life.trail)
-
-    def _told(self, now: int, wire: Watching, data: bytes) -> None:
-        lines, life = wire.lines, wire.life
-        heard = lines.status
-        whole = lines.feed(data)
-        if lines.status and not heard:
-            life.ask_failed = lines.status != 200
-            if not life.ask_failed:
-                wire.on = True
-                life.watches += 1
-        for line in whole:
+                self._breach(
+                    "versions", now, incarnation.name, f"asked for what follows {since}", incarnation.trail
+                )
+
+    def _discovery_bytes_sent(self, now: int, connection: DiscoveryConnection, data: bytes) -> None:
+        lines, incarnation = connection.lines, connection.incarnation
+        previous_status = lines.status
+        complete_lines = lines.feed(data)
+        if lines.status and not previous_status:
+            incarnation.discovery_request_failed = lines.status != 200
+            if not incarnation.discovery_request_failed:
+                connection.watch_open = True
+                incarnation.watches += 1
+        for line in complete_lines:
             if not line.strip():
                 continue
-            told = read(line)
-            if told is None:
-                life.say(now, f"is told nonsense: {line[:40]!r}")
+            update = parse_update(line)
+            if update is None:
+                incarnation.log_event(now, f"is told nonsense: {line[:40]!r}")
                 continue
             self.lists += 1
-            life.versions.setdefault(wire.target, set()).add(told.version)
-            wire.pending.append((now, lines.at, told))
+            incarnation.versions.setdefault(connection.target, set()).add(update.version)
+            connection.pending.append((now, lines.at, update))
 
-    def _learn(self, now: int, wire: Watching) -> None:
+    def _apply_lists(self, now: int, connection: DiscoveryConnection) -> None:
         """Apply the lists that have reached a sidecar."""
-        if wire.life.paused_ns >= 0:  # a stopped sidecar can't have read the lists yet
+        if connection.incarnation.paused_ns >= 0:  # a stopped sidecar can't have read the lists yet
             return
-        while wire.pending and wire.pending[0][1] <= wire.arrived:
-            written, _, told = wire.pending.popleft()
+        while connection.pending and connection.pending[0][1] <= connection.arrived:
+            written, _, update = connection.pending.popleft()
             at = written
-            if wire.life.woken_ns == now:
+            if connection.incarnation.resumed_ns == now:
                 at = now
             elif now - written > LATE_LIST_NS:
-                # A list that the network delayed counts from its arrival, or `told_ns` after its writing.
-                at = min(now, written + self.rules.told_ns)
-            changed = wire.life.roster.take(at, told)
-            what = "the whole list" if told.full else "changes"
-            text = f"is told {what}, version {told.version}, written at {written / 1e9:.9f}"
-            wire.life.say(now, ": ".join([text, ", ".join(changed)]) if changed else text)
-
-    def _watch_over(self, now: int, wire: Watching) -> None:
-        if wire.on:
-            wire.on = False
-            wire.life.watches -= 1
-            wire.life.asked_ns = now
-        elif not wire.lines.done:
-            wire.life.ask_failed = True
+                # A list that the network delayed counts from its arrival, or `notice_ns` after its writing.
+                at = min(now, written + self.rules.notice_ns)
+            changed = connection.incarnation.roster.apply(at, update)
+            what = "the whole list" if update.full else "changes"
+            text = f"is told {what}, version {update.version}, written at {written / 1e9:.9f}"
+            connection.incarnation.log_event(now, ": ".join([text, ", ".join(changed)]) if changed else text)
+
+    def _watch_ended(self, now: int, connection: DiscoveryConnection) -> None:
+        if connection.watch_open:
+            connection.watch_open = False
+            connection.incarnation.watches -= 1
+            connection.incarnation.discovery_request_ns = now
+        elif not connection.lines.done:
+            connection.incarnation.discovery_request_failed = True
 
     # --- the end --------------------------------------------------------------------------------
 
     def _check_recovery(self, now: int, unreached: Iterable[tuple[int, str]]) -> None:
         rules = self.rules
-        if self._calm_ns < 0:
+        if self._faults_ended_ns < 0:
             return
-        start = self._calm_ns + rules.recover_ns
+        start = self._faults_ended_ns + rules.recover_ns
         # A client's retries count with the first try: their ids begin with its id and a hyphen.
-        asked: dict[str, list[Taking]] = {}
-        for each in self._asked:
-            asked.setdefault(each.name.partition("-")[0], []).append(each)
+        tries_by_request: dict[str, list[ClientRequest]] = {}
+        for each in self._received_after_faults:
+            tries_by_request.setdefault(each.name.partition("-")[0], []).append(each)
         counted = [
             tries
-            for tries in asked.values()
-            if (first := tries[0]).taken_ns >= start
+            for tries in tries_by_request.values()
+            if (first := tries[0]).received_ns >= start
             and first.due_ns <= now
-            and (first.status or not first.settled)
+            and (first.status or not first.excuse)
         ]
-        lost = [tries for tries in counted if not any(each.status == 200 for each in tries)]
-        away = [(at, name) for at, name in unreached if at >= start]
-        count, missed = len(counted) + len(away), len(lost) + len(away)
-        if count < rules.recover_least or missed <= max(1, (1 - rules.recover_part) * count):
+        unserved = [tries for tries in counted if not any(each.status == 200 for each in tries)]
+        unreached_late = [(at, name) for at, name in unreached if at >= start]
+        count, missed = len(counted) + len(unreached_late), len(unserved) + len(unreached_late)
+        if count < rules.recover_min_requests or missed <= max(1, (1 - rules.recover_fraction) * count):
             return
         trails = (
-            [each.trail for each in lost[0]] if lost else [[(away[0][0], f"{away[0][1]} was not let in")]]
+            [each.trail for each in unserved[0]]
+            if unserved
+            else [[(unreached_late[0][0], f"{unreached_late[0][1]} was not let in")]]
         )
         self._breach(
             "recovery", now, "the fleet",
             f"{count - missed} of {count} requests served from {start / 1e9:.9f} on, the "
-            f"last fault ended at {self._calm_ns / 1e9:.9f}; the first one not served follows",
+            f"last fault ended at {self._faults_ended_ns / 1e9:.9f}; the first one not served follows",
             *trails,
         )  # fmt: skip
 
     # --- breaches -------------------------------------------------------------------------------
 
-    def _push(self, at: int, item: Taking | Submission | Life) -> None:
-        heapq.heappush(self._due, (at, next(self._number), item))
+    def _schedule(self, at: int, item: ClientRequest | ClientConnection | SidecarIncarnation) -> None:
+        heapq.heappush(self._deadlines, (at, next(self._sequence), item))
 
-    def _at_node(self, rule: str, now: int, attempt: Attempt, what: str) -> None:
-        life = attempt.wire.life
-        self._breach(rule, now, life.name, f"to {attempt.wire.where}: {what}", life.trail)
+    def _breach_at_node(self, rule: str, now: int, attempt: Attempt, what: str) -> None:
+        incarnation = attempt.connection.incarnation
+        self._breach(rule, now, incarnation.name, f"to {attempt.connection.where}: {what}", incarnation.trail)
 
-    def _break(self, rule: str, now: int, taking: Taking, what: str) -> None:
-        self._breach(rule, now, taking.life.name, f"{taking.name}: {what}", taking.trail, taking.life.trail)
+    def _breach_of_request(self, rule: str, now: int, client_request: ClientRequest, what: str) -> None:
+        self._breach(
+            rule,
+            now,
+            client_request.incarnation.name,
+            f"{client_request.name}: {what}",
+            client_request.trail,
+            client_request.incarnation.trail,
+        )
 
-    def _breach(self, rule: str, now: int, who: str, what: str, *trails: Sequence[Line]) -> None:
+    def _breach(self, rule: str, now: int, who: str, what: str, *trails: Sequence[TimelineEntry]) -> None:
         assert rule in RULES
         self.count += 1
-        if len(self.breaches) < MOST_KEPT:
-            self.breaches.append(Breach(rule, now, who, what, merged(*trails)))
+        if len(self.breaches) < MAX_STORED_BREACHES:
+            self.breaches.append(Breach(rule, now, who, what, merge_timelines(*trails)))
--- a/brambleusher/lab/checker/judge.py
+++ b/brambleusher/lab/checker/judge.py
@@ -8,20 +8,20 @@
 READY = "it asks whether clients may come"  # reason for a readiness probe, which is no application request
 
 
-def class_of(message: Message) -> str:
+def request_class(message: Message) -> str:
     """Return the first segment of a request's path, which names its class."""
     parts = message.start.split(" ")
     return parts[1].partition("?")[0].lstrip("/").partition("/")[0] if len(parts) > 1 else ""
 
 
-def fault_of(message: Message, rules: Rules) -> str | None:
+def find_request_fault(message: Message, rules: Rules) -> str | None:
     """Return why a complete request can't be served; None for a valid request."""
     parts = message.start.split(" ")
     if len(parts) != 3 or parts[2] not in ("HTTP/1.1", "HTTP/1.0") or not parts[1].startswith("/"):
         return "its first line can't be read"
     if parts[0] == "GET" and parts[1].partition("?")[0] == "/ready":
         return READY
-    cls = class_of(message)
+    cls = request_class(message)
     if cls not in rules.effects:
         return "its class does not exist"
     if message.get("request-class") != cls:
--- a/brambleusher/lab/checker/messages.py
+++ b/brambleusher/lab/checker/messages.py
@@ -11,11 +11,11 @@
 from collections.abc import Sequence
 from typing import Any
 
-MOST_HEAD = 64 * 1024  # largest message head, in bytes; a longer head is reported as endless
-MOST_LINE = 16 * 1024 * 1024
-MOST_BODY = 4 * 1024 * 1024  # largest message body, in bytes; a longer body is reported as endless
+MAX_HEAD_BYTES = 64 * 1024  # largest message head, in bytes; a longer head is reported as endless
+MAX_LINE_BYTES = 16 * 1024 * 1024
+MAX_BODY_BYTES = 4 * 1024 * 1024  # largest message body, in bytes; a longer body is reported as endless
 
-BY_LENGTH, CHUNKED, TO_THE_END = "length", "chunked", "end"
+BY_LENGTH, CHUNKED, UNTIL_CLOSE = "length", "chunked", "end"
 
 
 class Message:
@@ -45,18 +45,18 @@
     def status(self) -> int:
         """The status code of a response; 0 if the status line has no valid code."""
         parts = self.start.split(" ", 2)
-        told = parts[1] if len(parts) > 1 else ""
-        return int(told) if len(told) == 3 and told.isascii() and told.isdigit() else 0
+        code = parts[1] if len(parts) > 1 else ""
+        return int(code) if len(code) == 3 and code.isascii() and code.isdigit() else 0
 
     @property
     def closes(self) -> bool:
         """Whether the sender closes the connection after this message."""
-        words = {word.strip().lower() for value in self.all("connection") for word in value.split(",")}
+        options = {option.strip().lower() for value in self.all("connection") for option in value.split(",")}
         old = "HTTP/1.0" in self.start
-        return "close" in words or (old and "keep-alive" not in words)
+        return "close" in options or (old and "keep-alive" not in options)
 
 
-class Chunks:
+class ChunkDecoder:
     """Decoder of the chunked transfer coding."""
 
     __slots__ = ("_buffer", "_left", "done", "fault")
@@ -75,10 +75,10 @@
         out = bytearray()
         while buffer and not self.done and self.fault is None:
             if self._left > 0:
-                part = buffer[: self._left]
-                del buffer[: len(part)]
-                out += part
-                self._left -= len(part)
+                body = buffer[: self._left]
+                del buffer[: len(body)]
+                out += body
+                self._left -= len(body)
                 if not self._left:
                     self._left = -2
                 continue
@@ -108,12 +108,12 @@
         return bytes(out)
 
     @property
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """The bytes that follow the encoded body."""
         return bytes(self._buffer)
 
 
-class Reader:
+class MessageReader:
     """Parser that splits a stream of requests or of responses into messages."""
 
     __slots__ = ("_answers", "_at", "_buffer", "_chunks", "fault", "head")
@@ -122,12 +122,12 @@
         self._answers = answers
         self._buffer = bytearray()
         self._at = 0  # stream offset of the buffer's first byte
-        self._chunks: Chunks | None = None
+        self._chunks: ChunkDecoder | None = None
         self.head: Message | None = None  # message whose head is read and whose body is incomplete
         self.fault: str | None = None  # framing error that ends the parsing of the stream; None without one
 
     @property
-    def begun(self) -> bool:
+    def has_partial(self) -> bool:
         """Whether part of a message, or bytes that can't be parsed, have been received."""
         return self.head is not None or bool(self._buffer) or self.fault is not None
 
@@ -139,13 +139,13 @@
     def feed(self, data: bytes) -> list[Message]:
         """Take bytes of the stream and return the messages that they complete."""
         self._buffer += data
-        whole = []
+        complete = []
         while self.fault is None:
             message = self._next()
             if message is None:
                 break
-            whole.append(message)
-        return whole
+            complete.append(message)
+        return complete
 
     def _next(self) -> Message | None:
         message = self.head
@@ -154,25 +154,25 @@
             if message is None or self.fault is not None:
                 return None
         buffer = self._buffer
-        if message.framing == TO_THE_END:
+        if message.framing == UNTIL_CLOSE:
             return None
         if message.framing == CHUNKED:
             if self._chunks is None:
-                self._chunks = Chunks()
+                self._chunks = ChunkDecoder()
             fed = len(buffer)
             message.body += self._chunks.feed(bytes(buffer))
             buffer.clear()
             self._at += fed
-            if self._chunks.fault is None and len(message.body) > MOST_BODY:
+            if self._chunks.fault is None and len(message.body) > MAX_BODY_BYTES:
                 self._chunks.fault = "a body without end"
             if self._chunks.fault is not None:
                 self.fault = message.fault = self._chunks.fault
                 return None
             if not self._chunks.done:
                 return None
-            rest = self._chunks.rest
-            buffer += rest
-            self._at -= len(rest)
+            remainder = self._chunks.remainder
+            buffer += remainder
+            self._at -= len(remainder)
             self._chunks = None
         else:
             if len(buffer) < message.length:
@@ -191,7 +191,7 @@
             self._at += 2
         at = buffer.find(b"\r\n\r\n")
         if at < 0:
-            if len(buffer) > MOST_HEAD:
+            if len(buffer) > MAX_HEAD_BYTES:
                 self.fault = "a head without end"
             return None
         begin, text = self._at, buffer[:at].decode("latin-1")
@@ -205,12 +205,12 @@
                 self.fault = "a header line without a name"
             headers.append((name.strip().lower(), value.strip(" \t")))
         message = Message(start, headers, begin)
-        self._frame(message)
+        self._determine_framing(message)
         if self.fault is not None:
             message.fault = self.fault
         return message
 
-    def _frame(self, message: Message) -> None:
+    def _determine_framing(self, message: Message) -> None:
         """Determine the framing of a message; set `fault` if its headers are invalid or contradictory."""
         lengths, codings = message.all("content-length"), message.all("transfer-encoding")
         if self._answers and message.status == 0:
@@ -224,20 +224,20 @@
             if codings != [codings[0]] or codings[0].lower() != "chunked":
                 self.fault = "an unknown coding"
         elif lengths:
-            told = lengths[0]
+            length = lengths[0]
             if len(lengths) > 1:
                 self.fault = "two lengths"
-            elif not (told.isascii() and told.isdigit()):
+            elif not (length.isascii() and length.isdigit()):
                 self.fault = "a length that is no number"
             else:
-                message.length = int(told[:18])
-                if message.length > MOST_BODY:
+                message.length = int(length[:18])
+                if message.length > MAX_BODY_BYTES:
                     self.fault = "a body without end"
         elif self._answers:
-            message.framing = TO_THE_END
+            message.framing = UNTIL_CLOSE
 
 
-class Lines:
+class LineReader:
     """Parser that splits a response of discovery into lines."""
 
     __slots__ = ("_body", "_chunks", "_head", "_left", "_text", "at", "done", "fault", "status")
@@ -245,7 +245,7 @@
     def __init__(self) -> None:
         self._head = bytearray()
         self._text = bytearray()
-        self._chunks: Chunks | None = None
+        self._chunks: ChunkDecoder | None = None
         self._body = False
         self._left = -1  # bytes left of a body with a content length; -1 without a content length
         self.status = 0
@@ -260,7 +260,7 @@
             self._head += data
             at = self._head.find(b"\r\n\r\n")
             if at < 0:
-                if len(self._head) > MOST_HEAD:
+                if len(self._head) > MAX_HEAD_BYTES:
                     self.fault = "a head without end"
                 return []
             data = bytes(self._head[at + 4 :])
@@ -276,21 +276,21 @@
             self._left -= len(data)
             self.done = not self._left
         self._text += data
-        *lines, rest = self._text.split(b"\n")
-        if self.done and rest.strip():  # the last line of a complete body needs no line end
-            lines, rest = [*lines, rest], bytearray()
-        self._text = bytearray(rest)
-        if len(rest) > MOST_LINE:
+        *lines, remainder = self._text.split(b"\n")
+        if self.done and remainder.strip():  # the last line of a complete body needs no line end
+            lines, remainder = [*lines, remainder], bytearray()
+        self._text = bytearray(remainder)
+        if len(remainder) > MAX_LINE_BYTES:
             self.fault = "a line without end"
         return [bytes(line) for line in lines]
 
     def _begin(self, text: str) -> None:
         start, *lines = text.split("\r\n")
-        message = Message(start, [_field(line) for line in lines], 0)
+        message = Message(start, [_parse_header(line) for line in lines], 0)
         self.status, self._body = message.status, True
         coding, length = message.get("transfer-encoding"), message.get("content-length")
         if coding is not None:
-            self._chunks = Chunks()
+            self._chunks = ChunkDecoder()
             if coding.lower() != "chunked" or length is not None:
                 self.fault = "framing that can't be read"
         elif length is not None:
@@ -312,16 +312,16 @@
         raw = None
     if not isinstance(raw, dict):
         return None, None
-    return _figure(raw, "util", "utilization"), _figure(raw, "qps", "throughput")
+    return _find_number(raw, "util", "utilization"), _find_number(raw, "qps", "throughput")
 
 
-def _figure(raw: dict[str, Any], *names: str) -> float | None:
-    told = [raw[name] for name in names if name in raw]
-    if not told or type(told[0]) not in (int, float) or not 0 <= told[0] < math.inf:
+def _find_number(raw: dict[str, Any], *names: str) -> float | None:
+    found = [raw[name] for name in names if name in raw]
+    if not found or type(found[0]) not in (int, float) or not 0 <= found[0] < math.inf:
         return None
-    return float(told[0])
+    return float(found[0])
 
 
-def _field(line: str) -> tuple[str, str]:
+def _parse_header(line: str) -> tuple[str, str]:
     name, _, value = line.partition(":")
     return name.strip().lower(), value.strip(" \t")
--- a/brambleusher/lab/checker/rerun.py
+++ b/brambleusher/lab/checker/rerun.py
@@ -13,7 +13,7 @@
 
 from brambleusher.features.replay import CaptureError, rerun
 
-MOST_TOLD = 5  # largest number of differences that are described
+MAX_DIFFERENCES = 5  # largest number of differences that are described
 
 
 def differences(captured: bytes) -> list[str]:
@@ -23,15 +23,15 @@
     """
     out = io.StringIO()
     try:
-        tally = rerun(io.BytesIO(captured), out)
+        result = rerun(io.BytesIO(captured), out)
     except CaptureError as error:
         return [f"the capture is refused: {error}"]
-    if not tally.records:
+    if not result.records:
         return ["the capture has no records"]
-    if not tally.differing:
+    if not result.differing:
         return []
     lines = out.getvalue().splitlines()
-    return [f"{tally.differing} of {tally.records} records differ", *lines[:MOST_TOLD]]
+    return [f"{result.differing} of {result.records} records differ", *lines[:MAX_DIFFERENCES]]
 
 
 def captures(stderr: bytes) -> Iterator[list[dict[str, Any]]]:
@@ -55,31 +55,31 @@
         yield records
 
 
-def lost_timers(those: Iterable[list[dict[str, Any]]], late_ns: int) -> list[str]:
+def missing_timers(all_captures: Iterable[list[dict[str, Any]]], late_ns: int) -> list[str]:
     """Describe the timers that the module set and that had not fired `late_ns` after they were due.
 
     Only timers that were set within a capture are checked, up to the time of the capture's last event.
     """
-    return [text for records in those for text in _lost(records, late_ns)]
+    return [text for records in all_captures for text in _missing_timers(records, late_ns)]
 
 
-def _lost(records: list[dict[str, Any]], late_ns: int) -> list[str]:
-    asked: Counter[tuple[int, int]] = Counter()
+def _missing_timers(records: list[dict[str, Any]], late_ns: int) -> list[str]:
+    pending: Counter[tuple[int, int]] = Counter()
     last = 0
     for record in records:
-        now, told = record["t_ns"], record["in"]
+        now, inputs = record["t_ns"], record["in"]
         last = max(last, now)
         if record["ev"] == "timer":
             # A capture does not record which of several timers with one token fired: take the oldest one due.
-            due = sorted(key for key in asked if key[1] == told["token"] and key[0] <= now)
+            due = sorted(key for key in pending if key[1] == inputs["token"] and key[0] <= now)
             if due:
-                asked[due[0]] -= 1
-                asked += Counter()  # drops the timers that have all fired
+                pending[due[0]] -= 1
+                pending += Counter()  # drops the timers that have all fired
         for action in record["out"]:
             if action[0] == "timer":
-                asked[(action[1], action[2])] += 1
+                pending[(action[1], action[2])] += 1
     return [
         f"the timer {token} set for {at} had not come at {last}"
-        for at, token in sorted(asked)
+        for at, token in sorted(pending)
         if at + late_ns < last
     ]
--- a/brambleusher/lab/checker/roster.py
+++ b/brambleusher/lab/checker/roster.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class ListUpdate:
     """A full endpoint list, or the entries that changed since the last one."""
 
     version: int
@@ -28,14 +28,14 @@
     entries: tuple[Entry, ...]
 
 
-def _count(raw: dict[str, Any], key: str) -> int:
+def _read_count(raw: dict[str, Any], key: str) -> int:
     value = raw.get(key, 0)
     if type(value) is not int or value < 0:
         raise ValueError(key)
     return value
 
 
-def address_of(text: Any) -> tuple[str, int]:
+def parse_address(text: Any) -> tuple[str, int]:
     """Parse an address written as `host:port`; raises `ValueError` if it is invalid."""
     if not isinstance(text, str):
         raise ValueError("addr")
@@ -45,7 +45,7 @@
     return host, int(port)
 
 
-def _entry(raw: Any) -> Entry:
+def _parse_entry(raw: Any) -> Entry:
     if not isinstance(raw, dict):
         raise ValueError("entry")
     name, state = raw.get("id"), raw.get("state")
@@ -54,10 +54,10 @@
         raise ValueError("entry")
     if isinstance(weight, bool) or not isinstance(weight, int | float) or not 0 <= weight < float("inf"):
         raise ValueError("weight")
-    _count(raw, "cell")
-    started = _count(raw, "started_ms")
+    _read_count(raw, "cell")
+    started = _read_count(raw, "started_ms")
     try:
-        address = address_of(raw.get("addr"))
+        address = parse_address(raw.get("addr"))
     except ValueError:
         if state != GONE:
             raise
@@ -65,25 +65,27 @@
     return Entry(name, address, state, started)
 
 
-def entries_of(raw: Any) -> tuple[Entry, ...]:
+def parse_entries(raw: Any) -> tuple[Entry, ...]:
     """Parse list entries in discovery's format; raises `ValueError` if any entry is invalid."""
     if not isinstance(raw, list):
         raise ValueError("servers")
-    return tuple(_entry(each) for each in raw)
+    return tuple(_parse_entry(each) for each in raw)
 
 
-def read(line: bytes | dict[str, Any]) -> Told | None:
+def parse_update(line: bytes | dict[str, Any]) -> ListUpdate | None:
     """Parse a line of a discovery watch; None for an invalid line, which carries no information."""
     try:
         raw = json.loads(line) if isinstance(line, bytes) else line
         if not isinstance(raw, dict):
             return None
-        return Told(_count(raw, "version"), raw.get("full") is True, entries_of(raw.get("servers")))
+        return ListUpdate(
+            _read_count(raw, "version"), raw.get("full") is True, parse_entries(raw.get("servers"))
+        )
     except (ValueError, RecursionError):
         return None
 
 
-class Known:
+class KnownNode:
     """The state of one node according to the lists received so far."""
 
     __slots__ = ("address", "moved_ns", "restarted_ns", "since_ns", "started_ms", "state")
@@ -100,15 +102,15 @@
     __slots__ = ("nodes",)
 
     def __init__(self) -> None:
-        self.nodes: dict[str, Known] = {}
+        self.nodes: dict[str, KnownNode] = {}
 
-    def take(self, now: int, told: Told) -> list[str]:
+    def apply(self, now: int, update: ListUpdate) -> list[str]:
         """Apply a list and return descriptions of the changes."""
         changed = []
-        for entry in told.entries:
+        for entry in update.entries:
             known = self.nodes.get(entry.name)
             if known is None:
-                self.nodes[entry.name] = Known(entry, now)
+                self.nodes[entry.name] = KnownNode(entry, now)
                 changed.append(f"{entry.name} {entry.state}")
                 continue
             if known.state != entry.state:
@@ -121,15 +123,15 @@
                 if known.address != entry.address:
                     known.address, known.moved_ns = entry.address, now
                     changed.append(f"{entry.name} moved")
-        if told.full:
-            named = {entry.name for entry in told.entries}
+        if update.full:
+            named = {entry.name for entry in update.entries}
             for name, known in self.nodes.items():
                 if name not in named and known.state != GONE:
                     known.state, known.since_ns = GONE, now
                     changed.append(f"{name} {GONE}")
         return changed
 
-    def stopped(self, name: str, started_ms: int, address: tuple[str, int]) -> int | None:
+    def stopped_since(self, name: str, started_ms: int, address: tuple[str, int]) -> int | None:
         """Return the time since which the lists forbid new requests to a process; None while they allow them.
 
         Returns -1 if no list ever named the address. A process whose id no list has named is taken for the
@@ -137,14 +139,14 @@
         """
         known = self.nodes.get(name)
         if known is None:
-            return self.vacant(address)
+            return self.no_ready_node_since(address)
         if known.started_ms > started_ms:
             return known.restarted_ns
         if known.state != READY:
             return known.since_ns
         return known.moved_ns if known.address != address else None
 
-    def vacant(self, address: tuple[str, int]) -> int | None:
+    def no_ready_node_since(self, address: tuple[str, int]) -> int | None:
         """Return the time since which no ready node is listed at an address.
 
         Returns None while a ready node is listed there, and -1 if no list ever named the address.
--- a/brambleusher/lab/checker/rules.py
+++ b/brambleusher/lab/checker/rules.py
@@ -54,34 +54,35 @@
     second_copies: bool = True
     drain_ns: int = 500 * MS  # checked without slack, to the nanosecond
     must_ask_ns: int = 10 * SECOND
-    must_ask_failed: int = 4  # factor on `must_ask_ns` after a failed request to discovery
-    told_ns: int = 6 * SECOND  # time after which a sidecar must know a change that discovery can deliver
-    told_reload_ns: int = 4 * SECOND  # the same time, counted from a SIGHUP
+    failed_request_factor: int = 4  # factor on `must_ask_ns` after a failed request to discovery
+    notice_ns: int = 6 * SECOND  # time after which a sidecar must know a change that discovery can deliver
+    reload_notice_ns: int = 4 * SECOND  # the same time, counted from a SIGHUP
     slack_ns: int = 50 * MS  # tolerance for socket operations, answers and late lists
     cold_ns: int = 0
     fall_multiple: float = 4.0
     fall_ns: int = 3 * SECOND
     # Least share of a cold node's work from sidecars that knew of its start, for a breach to be reported.
-    cold_told_part: float = 2 / 3
-    bad_ns: int = 3 * SECOND  # time within which a bad client must get an error or a close
+    min_informed_fraction: float = 2 / 3
+    bad_client_ns: int = 3 * SECOND  # time within which a bad client must get an error or a close
     seen_ns: int = 0  # time that bytes may wait at a process before it must have noticed them
-    wake_ns: int = 500 * MS  # time after a stop by which requests that fell due during it must be answered
-    gone_ns: int = 300 * MS  # time after a client's visible close from which no attempt may begin for it
+    resume_ns: int = 500 * MS  # time after a stop by which requests that fell due during it must be answered
+    abandon_ns: int = 300 * MS  # time after a client's visible close from which no attempt may begin
     # A request that arrives later than this after a SIGTERM must be answered, even if the sidecar is killed.
     term_ns: int = 700 * MS
-    yes_ns: int = 1 * SECOND  # time after which an operators' call binds even without an acknowledgement
-    leave_ns: int = 1400 * MS  # time after going out of service by which idle connections must be closed
-    rest_ns: int = 1200 * MS  # time without traffic from which a connection counts as idle for `leave_ns`
+    call_binds_ns: int = 1 * SECOND  # time after which operators' calls bind even without an acknowledgement
+    close_idle_ns: int = 1400 * MS  # time after going out of service by which idle connections must be closed
+    idle_ns: int = 1200 * MS  # time without traffic after which a connection counts as idle
     # Time after a start or a return to service by which a sidecar that has a list must report itself ready,
     # whatever discovery does.
     ready_ns: int = 1500 * MS
     recover_ns: int = 3 * SECOND
-    recover_part: float = 0.95
-    recover_least: int = 8  # least requests for a verdict; one lost request of fewer than 20 is no breach
+    recover_fraction: float = 0.95
+    # Least number of requests for a verdict; a single lost request out of fewer than 20 is no breach either.
+    recover_min_requests: int = 8
     max_body: int = 64 * 1024
     extra: Mapping[str, Any] = field(default_factory=dict)
 
-    def cold_budget(self, capacity: float) -> float:
+    def warm_up_budget(self, capacity: float) -> float:
         """Return the work allowed to a cold node per window, without slack, in seconds of a standard core."""
         return self.fall_multiple * capacity * self.fall_ns / SECOND
 
@@ -97,7 +98,7 @@
         effects = {each["name"]: each["effect"] for each in settings["classes"]}
         if unknown := set(effects.values()) - {SAFE, UNSAFE}:
             raise ValueError(f"the checker has no rule for the effect {min(unknown)}")
-        figures: dict[str, Any] = {
+        values: dict[str, Any] = {
             "effects": effects,
             "tenants": frozenset(each["name"] for each in settings.get("projects") or ()),
             "max_attempts": int(limits.get("max_attempts", 1)),
@@ -108,4 +109,4 @@
             "fall_multiple": float(safety.get("fall_multiple", 4.0)),
             "fall_ns": int(safety.get("fall_ns", 3 * SECOND)),
         }
-        return cls(**{**figures, **changed})
+        return cls(**{**values, **changed})
--- a/brambleusher/lab/checker/sums.py
+++ b/brambleusher/lab/checker/sums.py
@@ -16,8 +16,10 @@
 from brambleusher.lab.checker.rules import Rules
 
 SECOND = 10**9
-OPEN_PART = 0.2  # largest share of one core of a node that handshakes may take
-FAILED_SECONDS = 5  # window, in seconds, in which failures that several sidecars met at one node are counted
+MAX_HANDSHAKE_FRACTION = 0.2  # largest share of one core of a node that handshakes may take
+FAILURE_WINDOW_S = (
+    5  # window, in seconds, in which failures that several sidecars met at one node are counted
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,16 +77,18 @@
     def __init__(self, now: int, limits: FleetLimits) -> None:
         self._start, self._limits = now, limits
         self._nodes = {node.machine: node for node in limits.nodes}
-        self._open: dict[int, str] = {}  # machine of the node of each open connection, by number
-        self._waiting: dict[int, str] = {}  # client machine of each connection that has a request pending
-        self._held: Counter[str] = Counter()
-        self._opens: Counter[tuple[int, str]] = Counter()
-        self._calls: Counter[int] = Counter()
-        self._failed: dict[str, deque[tuple[int, str]]] = {}
+        self._open_connections: dict[int, str] = {}  # machine of the node of each open connection, by number
+        self._request_pending: dict[
+            int, str
+        ] = {}  # client machine of each connection that has a request pending
+        self._connections_per_node: Counter[str] = Counter()
+        self._opens_per_step: Counter[tuple[int, str]] = Counter()
+        self._calls_per_step: Counter[int] = Counter()
+        self._recent_failures: dict[str, deque[tuple[int, str]]] = {}
         self.opened_in_all = self.called_in_all = 0
         self.held = Curve("held", "connections at a node, of those it can hold", 1.0)
         self.all_held = Curve("held in all", "connections at all nodes", None)
-        self.opens = Curve("opens", "handshakes' part of a core of a node", OPEN_PART)
+        self.opens = Curve("opens", "handshakes' part of a core of a node", MAX_HANDSHAKE_FRACTION)
         self.calls = Curve("calls", "calls for the list a second", limits.calls)
         self.cold = Curve("cold", "work sent to a cold node, of its budget", 1.0)
         self.copies = Curve("copies", "sidecars that met a failure at the same node", None)
@@ -104,40 +108,40 @@
         step, target = self._step(now), conn.server.machine
         if target.startswith(self._limits.discovery):
             self.called_in_all += 1
-            self._calls[step] += 1
-            self.calls.raise_to(step, self._calls[step])
+            self._calls_per_step[step] += 1
+            self.calls.raise_to(step, self._calls_per_step[step])
         elif (node := self._nodes.get(target)) is not None:
             self.opened_in_all += 1
-            self._opens[step, target] += 1
-            self.opens.raise_to(step, self._opens[step, target] * node.handshake_s)
+            self._opens_per_step[step, target] += 1
+            self.opens.raise_to(step, self._opens_per_step[step, target] * node.handshake_s)
 
     def established(self, now: int, conn: Wire) -> None:
         """Count an established connection among those that its node holds."""
         target = conn.server.machine
-        if (node := self._nodes.get(target)) is None or conn.id in self._open:
+        if (node := self._nodes.get(target)) is None or conn.id in self._open_connections:
             return
-        self._open[conn.id] = target
-        self._held[target] += 1
+        self._open_connections[conn.id] = target
+        self._connections_per_node[target] += 1
         step = self._step(now)
-        self.held.raise_to(step, self._held[target] / node.connections)
-        self.all_held.raise_to(step, len(self._open))
+        self.held.raise_to(step, self._connections_per_node[target] / node.connections)
+        self.all_held.raise_to(step, len(self._open_connections))
 
     def sent(self, now: int, conn: Wire, side: str, data: bytes) -> None:
         """Record whether a request is pending on a connection."""
-        if conn.id in self._open:
+        if conn.id in self._open_connections:
             if side == "client":
-                self._waiting[conn.id] = conn.client.machine
+                self._request_pending[conn.id] = conn.client.machine
             else:
-                self._waiting.pop(conn.id, None)
+                self._request_pending.pop(conn.id, None)
 
     def ended(self, now: int, conn: Wire, side: str, how: str) -> None:
         """Record the end of a connection; an end while a request is pending counts as a failure."""
         if how == "reset" or side == "client":
-            self._over(now, conn)
+            self._connection_ended(now, conn)
 
     def closed(self, now: int, conn: Wire, side: str) -> None:
         """Record a close by either side; a sidecar also closes a connection to give up a request."""
-        self._over(now, conn)
+        self._connection_ended(now, conn)
 
     def accepted(self, now: int, conn: Wire) -> None:
         """Do nothing: a connection counts from its establishment on."""
@@ -154,17 +158,17 @@
     def process(self, now: int, machine: Named | str, what: str) -> None:
         """Do nothing: connections that end with a process are reported as closed."""
 
-    def _over(self, now: int, conn: Wire) -> None:
-        target = self._open.pop(conn.id, None)
+    def _connection_ended(self, now: int, conn: Wire) -> None:
+        target = self._open_connections.pop(conn.id, None)
         if target is None:
             return
-        self._held[target] -= 1
-        if (who := self._waiting.pop(conn.id, None)) is not None:
-            lately = self._failed.setdefault(target, deque())
-            lately.append((now, who))
-            while lately[0][0] <= now - FAILED_SECONDS * SECOND:
-                lately.popleft()
-            self.copies.raise_to(self._step(now), len({name for _, name in lately}))
+        self._connections_per_node[target] -= 1
+        if (who := self._request_pending.pop(conn.id, None)) is not None:
+            recent = self._recent_failures.setdefault(target, deque())
+            recent.append((now, who))
+            while recent[0][0] <= now - FAILURE_WINDOW_S * SECOND:
+                recent.popleft()
+            self.copies.raise_to(self._step(now), len({name for _, name in recent}))
 
     # --- the end --------------------------------------------------------------------------------
 
@@ -175,12 +179,12 @@
         for each in executions:
             if not each.cold:
                 continue
-            lately = pushed.setdefault((each.node, each.process), deque())
-            lately.append((each.came_ns, each.work_s))
-            while lately[0][0] <= each.came_ns - rules.fall_ns:
-                lately.popleft()
-            budget = rules.cold_budget(each.capacity)
-            self.cold.raise_to(self._step(each.came_ns), sum(work for _, work in lately) / budget)
+            recent = pushed.setdefault((each.node, each.process), deque())
+            recent.append((each.came_ns, each.work_s))
+            while recent[0][0] <= each.came_ns - rules.fall_ns:
+                recent.popleft()
+            budget = rules.warm_up_budget(each.capacity)
+            self.cold.raise_to(self._step(each.came_ns), sum(work for _, work in recent) / budget)
 
     def passed(self) -> list[str]:
         """Describe the limits that were exceeded, each with the second of the highest value."""
@@ -188,8 +192,8 @@
 
     def table(self) -> list[str]:
         """Format the curves as a table with a line per second, the highest values, the limits and totals."""
-        told = f"{self.opened_in_all} connections opened, {self.called_in_all} calls for the list"
-        return [*table(self.curves), told]
+        totals = f"{self.opened_in_all} connections opened, {self.called_in_all} calls for the list"
+        return [*table(self.curves), totals]
 
 
 def passed(curves: Sequence[Curve]) -> list[str]:
@@ -207,9 +211,9 @@
     for step in range(max((len(curve.values) for curve in curves), default=0)):
         cells = (curve.values[step] if step < len(curve.values) else 0.0 for curve in curves)
         lines.append(f"{step:3d} " + "".join(f"{value:13.3g}" for value in cells))
-    told = ("-" if curve.limit is None else f"{curve.limit:.3g}" for curve in curves)
+    limits = ("-" if curve.limit is None else f"{curve.limit:.3g}" for curve in curves)
     lines.append("most" + "".join(f"{curve.most:13.3g}" for curve in curves))
-    lines.append("lim." + "".join(f"{limit:>13}" for limit in told))
+    lines.append("lim." + "".join(f"{limit:>13}" for limit in limits))
     return lines
 
 
--- a/brambleusher/lab/virtual/world.py
+++ b/brambleusher/lab/virtual/world.py
@@ -300,7 +300,7 @@
     ) -> Process:
         """Start a process that calls `main` with its system after a start time drawn from its pace."""
         if self.gone:
-            raise RuntimeError(f"machine {self.name} has vanished")
+            raise RuntimeError(f"{self.name} has vanished and can't start a process")
         process = Process(self, main, name or self.name, descriptors, pace)
         self.processes.append(process)
         self.process = process
--- a/tests/lab/test_checker.py
+++ b/tests/lab/test_checker.py
@@ -14,15 +14,15 @@
 from brambleusher.lab import checker
 from brambleusher.lab.checker import Checker, Rules, judge
 from brambleusher.lab.checker.messages import (
-    MOST_BODY,
-    MOST_HEAD,
-    Chunks,
-    Lines,
+    MAX_BODY_BYTES,
+    MAX_HEAD_BYTES,
+    ChunkDecoder,
+    LineReader,
     Message,
-    Reader,
+    MessageReader,
     load_report,
 )
-from brambleusher.lab.checker.roster import read
+from brambleusher.lab.checker.roster import parse_update
 from brambleusher.lab.checker.rules import RULES
 
 MS, S = 10**6, 10**9
@@ -1403,13 +1403,13 @@
     two = (
         b"POST /b HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nT: u\r\n\r\n"
     )
-    data, reader = one + b"\r\n" + two + one, Reader(answers=False)
+    data, reader = one + b"\r\n" + two + one, MessageReader(answers=False)
     found = [
         message for at in range(0, len(data), step) for message in reader.feed(data[at : at + step])
     ]  # fmt: skip
     assert [message.body for message in found] == [b"", b"abcde", b""]
     assert found[1].begin == len(one) + 2 and found[1].end == found[2].begin == len(one) + 2 + len(two)
-    assert found[2].end == len(data) and not reader.begun
+    assert found[2].end == len(data) and not reader.has_partial
 
 
 @pytest.mark.parametrize(
@@ -1420,19 +1420,19 @@
     ],
 )  # fmt: skip
 def test_framing_that_can_be_read_in_two_ways(head: str) -> None:
-    reader = Reader(answers=False)
+    reader = MessageReader(answers=False)
     assert reader.feed(f"POST /a HTTP/1.1\r\n{head}\r\n\r\nabc".encode()) == []
-    assert reader.fault is not None and reader.begun
+    assert reader.fault is not None and reader.has_partial
 
 
 def test_an_answer_without_framing_never_ends() -> None:
-    reader = Reader(answers=True)
-    assert reader.feed(b"HTTP/1.1 200 OK\r\n\r\nabc") == [] and reader.begun
+    reader = MessageReader(answers=True)
+    assert reader.feed(b"HTTP/1.1 200 OK\r\n\r\nabc") == [] and reader.has_partial
 
 
 def test_bad_chunks() -> None:
     for data in (b"zz\r\n", b"3\r\nabcd\r\n", b"-1\r\n"):
-        chunks = Chunks()
+        chunks = ChunkDecoder()
         chunks.feed(data)
         assert chunks.fault is not None
 
@@ -1440,7 +1440,7 @@
 @pytest.mark.parametrize("step", [1, 5, 1000])
 def test_lines_of_a_watch(step: int) -> None:
     data = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n5\r\nc\n\nde\r\n"
-    lines = Lines()
+    lines = LineReader()
     found = [line for at in range(0, len(data), step) for line in lines.feed(data[at : at + step])]
     assert found == [b"abc", b""] and not lines.done
     assert lines.feed(b"1\r\n\n\r\n0\r\n\r\n") == [b"de"] and lines.done
@@ -1472,17 +1472,17 @@
     ],
 )  # fmt: skip
 def test_requests_that_can_be_served(first: str, headers: dict[str, str], fault: str | None) -> None:
-    (message,) = Reader(answers=False).feed(http(first, b"", **{**GOOD, **headers}))
-    told = judge.fault_of(message, Rules.of(SETTINGS))
+    (message,) = MessageReader(answers=False).feed(http(first, b"", **{**GOOD, **headers}))
+    told = judge.find_request_fault(message, Rules.of(SETTINGS))
     assert told is None if fault is None else told is not None and fault in told
 
 
 @pytest.mark.parametrize(("size", "sound"), [(64 * 1024, True), (64 * 1024 + 1, False)])
 def test_a_body_that_is_too_large(size: int, sound: bool) -> None:
-    (message,) = Reader(answers=False).feed(
+    (message,) = MessageReader(answers=False).feed(
         http("POST /move HTTP/1.1", b"x" * size, **{**GOOD, "Request_Class": "move"})
     )
-    assert (judge.fault_of(message, Rules.of(SETTINGS)) is None) is sound
+    assert (judge.find_request_fault(message, Rules.of(SETTINGS)) is None) is sound
 
 
 @pytest.mark.parametrize(
@@ -1498,21 +1498,24 @@
 )  # fmt: skip
 def test_entries_that_make_sense(changed: dict[str, Any], sound: bool) -> None:
     line = listing({**entry(A), **changed})
-    assert (read(line) is not None) is sound
+    assert (parse_update(line) is not None) is sound
 
 
 def test_lists_that_make_no_sense() -> None:
     for line in (b"[]", b"{}", b'{"servers":{}}', b'{"version":-1,"servers":[]}', b"{", b"\xff", b"[" * 9999):
-        assert read(line) is None
-    assert read(b'{"version":3,"servers":[]}') is not None
+        assert parse_update(line) is None
+    assert parse_update(b'{"version":3,"servers":[]}') is not None
 
 
 def test_what_has_no_end_is_not_waited_for() -> None:
-    for data in (b"x" * (MOST_HEAD + 1), b"GET / HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % (MOST_BODY + 1)):
-        reader = Reader(answers=False)
+    for data in (
+        b"x" * (MAX_HEAD_BYTES + 1),
+        b"GET / HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % (MAX_BODY_BYTES + 1),
+    ):
+        reader = MessageReader(answers=False)
         reader.feed(data)
         assert reader.fault is not None
-    reader, part = Reader(answers=True), b"%x\r\n%s\r\n" % (1 << 20, b"x" * (1 << 20))
+    reader, part = MessageReader(answers=True), b"%x\r\n%s\r\n" % (1 << 20, b"x" * (1 << 20))
     reader.feed(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
     for _ in range(5):
         reader.feed(part)
