--- a/brambleusher/lab/virtual/explore.py
+++ b/brambleusher/lab/virtual/explore.py
@@ -32,7 +32,7 @@
 ENDLESS = "endless"  # rule for a run that took more processor time than its caller allows
 DUMP_NS = SECOND  # time given to sidecars for writing their captures
 OUTPUT_BYTES = 4 * 1024 * 1024  # bytes of standard error kept per process, so that a whole capture fits
-SHORT = 100  # largest number of characters that a timeline shows of sent bytes
+MAX_SHOWN_CHARS = 100  # largest number of characters that a timeline shows of sent bytes
 
 
 class Endless(BaseException):
@@ -110,10 +110,10 @@
     def line(self, now: int, text: str) -> None:
         """Write a line with its virtual time in seconds."""
         while self._faults and self._faults[0][0] <= now:
-            self._tell(*self._faults.popleft())
-        self._tell(now, text)
+            self._write(*self._faults.popleft())
+        self._write(now, text)
 
-    def _tell(self, now: int, text: str) -> None:
+    def _write(self, now: int, text: str) -> None:
         self._say(f"{(now - self._start) / SECOND:14.9f}  {text}")
 
     @staticmethod
@@ -136,7 +136,7 @@
         named = next(
             (line for line in head.split("\r\n") if line.lower().startswith("request-id:")), ""
         ).partition(":")[2]
-        text = first if len(first) <= SHORT else first[:SHORT] + "..."
+        text = first if len(first) <= MAX_SHOWN_CHARS else first[:MAX_SHOWN_CHARS] + "..."
         self.line(now, f"{self._ends(conn, side)} sends {len(data)} bytes {text!r}{named}")
 
     def ended(self, now: int, conn: Connection, side: str, how: str) -> None:
@@ -170,7 +170,7 @@
             )
 
 
-class Fallen(Tap):
+class ExitErrors(Tap):
     """Tap that reports each process whose main program raised an exception, in a sidecar or a stand-in."""
 
     def __init__(self) -> None:
@@ -248,25 +248,25 @@
         fleet = Fleet(scenario, world)
         checker = Checker(rules, fleet.executions)
         fleet.audience = checker
-        digest, raised, fallen = Digest(), Raised(world), Fallen()
-        world.taps += [cast(Tap, checker), digest, fallen]
-        books: Sums | None = None
+        digest, logged_errors, exit_errors = Digest(), Raised(world), ExitErrors()
+        world.taps += [cast(Tap, checker), digest, exit_errors]
+        totals: Sums | None = None
         if sums:
-            books = Sums(world.now_ns, fleet_limits(scenario, rules))
-            world.taps.append(cast(Tap, books))
-        handlers: list[logging.Handler] = [raised]
+            totals = Sums(world.now_ns, fleet_limits(scenario, rules))
+            world.taps.append(cast(Tap, totals))
+        handlers: list[logging.Handler] = [logged_errors]
         line: TimeLine | None = None
         if say is not None:
             line = TimeLine(
                 say,
                 world.now_ns,
                 (
-                    (fleet.begins_ns + int(fault.at_s * SECOND), f"fault: {_worded(fault)}")
+                    (fleet.begins_ns + int(fault.at_s * SECOND), f"fault: {_to_plain_data(fault)}")
                     for fault in scenario.faults
                 ),
             )
             world.taps.append(line)
-            log = _ToLine(world, line)
+            log = _TimeLineHandler(world, line)
             log.setFormatter(KeyValueFormatter())
             handlers.append(log)
         world.step_done.append(lambda: checker.step(world.now_ns))
@@ -275,17 +275,17 @@
             try:
                 fleet.start()
                 if stop_at_breach:
-                    world.run(fleet.ends_ns, lambda: bool(checker.breaches or raised.breaches))
-                if not (stop_at_breach and (checker.breaches or raised.breaches)):
-                    _to_the_end(fleet, checker)
+                    world.run(fleet.ends_ns, lambda: bool(checker.breaches or logged_errors.breaches))
+                if not (stop_at_breach and (checker.breaches or logged_errors.breaches)):
+                    _finish_run(fleet, checker)
             except (Exception, Endless) as error:
                 trail = tuple((world.now_ns, row) for row in traceback.format_exc().splitlines())
                 what = f"{type(error).__name__}: {error}"
                 rule = ENDLESS if isinstance(error, Endless) else LAB
-                raised.breaches.append(Breach(rule, world.now_ns, "the lab", what, trail))
-        if books is not None:
-            books.finish(fleet.executions)
-        others = raised.breaches + fallen.breaches
+                logged_errors.breaches.append(Breach(rule, world.now_ns, "the lab", what, trail))
+        if totals is not None:
+            totals.finish(fleet.executions)
+        others = logged_errors.breaches + exit_errors.breaches
         breaches = sorted(checker.breaches + others, key=lambda breach: breach.at_ns)
         if line is not None:
             for breach in breaches:
@@ -296,8 +296,8 @@
             asked=sum(bool(each.tries) for each in fleet.asked), taken=checker.taken, served=checker.served,
             attempts=checker.attempts, events=digest.events,
             virtual_s=(world.now_ns - begun) / SECOND,
-            faults=Counter(str(_worded(fault)["kind"]) for fault in scenario.faults),
-            broken=checker.count + len(others), sums=books,
+            faults=Counter(str(_to_plain_data(fault)["kind"]) for fault in scenario.faults),
+            broken=checker.count + len(others), sums=totals,
         )  # fmt: skip
 
 
@@ -308,22 +308,22 @@
         NodeLimits(node_machine(number), node.settings.connections, node.settings.handshake_work_s)
         for number, node in enumerate(world.nodes)
     )
-    whole_s = discovery.call_s + discovery.line_s * sum(not node.spare for node in world.nodes)
-    return FleetLimits(tuple(nodes), 1 / whole_s if whole_s > 0 else math.inf, rules)
+    full_list_s = discovery.call_s + discovery.line_s * sum(not node.spare for node in world.nodes)
+    return FleetLimits(tuple(nodes), 1 / full_list_s if full_list_s > 0 else math.inf, rules)
 
 
-def _to_the_end(fleet: Fleet, checker: Checker) -> None:
+def _finish_run(fleet: Fleet, checker: Checker) -> None:
     world = fleet.world
     world.run(fleet.ends_ns)
     ends = fleet.quiesce()
     left_over = [text for end in ends for text in end.left_over()]
-    asked = [(place, place.process) for place in fleet.sidecars if place.up]
+    dumped = [(sidecar, sidecar.process) for sidecar in fleet.sidecars if sidecar.up]
     fleet.dump()
     world.run(world.now_ns + DUMP_NS)
-    for place, process in asked:
+    for sidecar, process in dumped:
         # A sidecar that was restarted after the request for its dump has no capture to check.
-        if place.up and place.process is process and place.figures.capture:
-            checker.captured(world.now_ns, place.machine.name, place.stderr)
+        if sidecar.up and sidecar.process is process and sidecar.figures.capture:
+            checker.captured(world.now_ns, sidecar.machine.name, sidecar.stderr)
     unreached = [
         (each.due_ns, each.ask.id)
         for each in fleet.asked
@@ -332,14 +332,14 @@
     checker.finish(world.now_ns, left_over, unreached)
 
 
-def _worded(fault: object) -> dict[str, Any]:
+def _to_plain_data(fault: object) -> dict[str, Any]:
     """Return a fault as plain data, as written to files."""
     raw = msgspec.to_builtins(fault)
     assert isinstance(raw, dict)
     return raw
 
 
-class _ToLine(ProcessLog):
+class _TimeLineHandler(ProcessLog):
     """Handler that writes the program's log records into the timeline."""
 
     def __init__(self, world: World, line: TimeLine) -> None:
@@ -366,34 +366,34 @@
     2002) on complements only: it drops parts of a list, from halves down to single items, until every item
     left is needed.
     """
-    for part in ("faults", "asks"):
-        scenario = _fewer(scenario, part, fails, tell)
-    asked = max((ask.at_s for ask in scenario.asks), default=0.0)
-    ended = max((fault.at_s + fault.for_s for fault in scenario.faults), default=0.0)
-    shorter = max(asked, ended) + 1.0
+    for field_name in ("faults", "asks"):
+        scenario = _remove_items(scenario, field_name, fails, tell)
+    last_ask_s = max((ask.at_s for ask in scenario.asks), default=0.0)
+    last_fault_end_s = max((fault.at_s + fault.for_s for fault in scenario.faults), default=0.0)
+    shorter = max(last_ask_s, last_fault_end_s) + 1.0
     if shorter < scenario.world.length_s:
         world = msgspec.structs.replace(
             scenario.world, length_s=shorter, faults_s=min(scenario.world.faults_s, shorter)
         )
-        cut = msgspec.structs.replace(scenario, world=world)
-        if fails(cut):
-            scenario = cut
+        shortened = msgspec.structs.replace(scenario, world=world)
+        if fails(shortened):
+            scenario = shortened
     return msgspec.structs.replace(scenario, note=f"breaks the rule {rule}")
 
 
-def _fewer(
-    scenario: Scenario, part: str, fails: Callable[[Scenario], bool], tell: Callable[[str], object]
+def _remove_items(
+    scenario: Scenario, field_name: str, fails: Callable[[Scenario], bool], tell: Callable[[str], object]
 ) -> Scenario:
-    items: tuple[Any, ...] = getattr(scenario, part)
+    items: tuple[Any, ...] = getattr(scenario, field_name)
     size = max(1, len(items) // 2)
     while items:
         at, dropped = 0, False
         while at < len(items):
             fewer = items[:at] + items[at + size :]
-            smaller = msgspec.structs.replace(scenario, **{part: fewer})
-            if (fewer or part == "faults") and fails(smaller):
+            smaller = msgspec.structs.replace(scenario, **{field_name: fewer})
+            if (fewer or field_name == "faults") and fails(smaller):
                 scenario, items, dropped = smaller, fewer, True
-                tell(f"{len(items)} {part} left")
+                tell(f"{len(items)} {field_name} left")
             else:
                 at += size
         if size == 1 and not dropped:
--- a/brambleusher/lab/virtual/mass.py
+++ b/brambleusher/lab/virtual/mass.py
@@ -31,9 +31,11 @@
 
 SIDECARS = NODES = 200
 LENGTH_S, FAULTS_FROM_S, FAULTS_S = 30.0, 4.0, 18.0
-PARETO = 1.5  # shape of the Pareto distribution of traffic over sidecars; some get several times the mean
-MOST_OF_MEAN = 8.0
-BURST = 1.5  # factor on the usual request rate during a burst
+PARETO_SHAPE = (
+    1.5  # shape of the Pareto distribution of traffic over sidecars; some get several times the mean
+)
+MAX_MULTIPLE_OF_MEAN = 8.0
+BURST_FACTOR = 1.5  # factor on the usual request rate during a burst
 PROCESSOR = ProcessorFigures(start_s=0.6, round_s=0.0004)
 
 Plan = Callable[[Drawer, WorldFigures], list[faults.Fault]]
@@ -116,28 +118,29 @@
 def _asks(draw: Drawer, world: WorldFigures) -> tuple[Ask, ...]:
     """Draw random arrivals with a burst, over sidecars whose unequal shares shift between zones."""
     rng = draw.rng
-    parts = [min(rng.paretovariate(PARETO) / 3.0, MOST_OF_MEAN) for _ in world.sidecars]
+    weights = [min(rng.paretovariate(PARETO_SHAPE) / 3.0, MAX_MULTIPLE_OF_MEAN) for _ in world.sidecars]
     burst = draw.of((0.2, 0.5)) * world.length_s
     favoured = rng.choice(world.zones)
     shifted = [
-        part * (1.4 if own.zone == favoured else 0.87)
-        for part, own in zip(parts, world.sidecars, strict=True)
+        weight * (1.4 if own.zone == favoured else 0.87)
+        for weight, own in zip(weights, world.sidecars, strict=True)
     ]
     asks, at = [], 0.0
-    numbers = range(len(parts))
-    while (at := at + rng.expovariate(world.requests_per_s * BURST)) < world.length_s - 0.05:
-        if not burst <= at < burst + 4.0 and rng.random() > 1 / BURST:
+    numbers = range(len(weights))
+    while (at := at + rng.expovariate(world.requests_per_s * BURST_FACTOR)) < world.length_s - 0.05:
+        if not burst <= at < burst + 4.0 and rng.random() > 1 / BURST_FACTOR:
             continue
-        of = rng.choices(world.classes, [each.share for each in world.classes])[0]
-        work = of.draw_work(rng)
+        cls = rng.choices(world.classes, [each.share for each in world.classes])[0]
+        work = cls.draw_work(rng)
         asks.append(
             Ask(
-                id=f"{rng.getrandbits(64):016x}", at_s=round(at, 5), request_class=of.name, unsafe=of.unsafe,
+                id=f"{rng.getrandbits(64):016x}", at_s=round(at, 5),
+                request_class=cls.name, unsafe=cls.unsafe,
                 tenant=rng.choices(world.tenants, [each.share for each in world.tenants])[0].name,
-                wait_s=of.deadline_s, work_s=round(work, 5),
+                wait_s=cls.deadline_s, work_s=round(work, 5),
                 hint_s=round(work * math.exp(rng.gauss(0, 0.4)), 5),
-                body_bytes=200 if of.unsafe else 0,
-                sidecar=rng.choices(numbers, shifted if at > burst else parts)[0],
+                body_bytes=200 if cls.unsafe else 0,
+                sidecar=rng.choices(numbers, shifted if at > burst else weights)[0],
             )
         )  # fmt: skip
     return tuple(asks)
@@ -146,25 +149,27 @@
 # --- the days -------------------------------------------------------------------------------------
 
 
-def _some(draw: Drawer, world: WorldFigures, part: float) -> list[str]:
+def _sample_nodes(draw: Drawer, world: WorldFigures, fraction: float) -> list[str]:
     """Draw a fraction of the nodes, at least one."""
     names = [node.id for node in world.nodes]
-    return draw.rng.sample(names, max(1, round(part * len(names))))
+    return draw.rng.sample(names, max(1, round(fraction * len(names))))
 
 
-def _span(world: WorldFigures, part: float) -> tuple[float, float]:
+def _fault_period(world: WorldFigures, fraction: float) -> tuple[float, float]:
     """Return the start and the length of a period of faults, in seconds.
 
     The length is a fraction of the time that the world has for faults.
     """
     begin = min(FAULTS_FROM_S, world.faults_s / 3)
-    return begin, round((world.faults_s - begin) * part, 3)
+    return begin, round((world.faults_s - begin) * fraction, 3)
 
 
-def _replaced(draw: Drawer, world: WorldFigures, part: float, steps: int, within: float) -> list[Any]:
+def _replace_nodes(
+    draw: Drawer, world: WorldFigures, fraction: float, steps: int, within: float
+) -> list[Any]:
     """Plan the replacement of a fraction of the nodes in a number of steps."""
-    begin, length = _span(world, within)
-    names, plan = _some(draw, world, part), []
+    begin, length = _fault_period(world, within)
+    names, plan = _sample_nodes(draw, world, fraction), []
     for at, name in enumerate(names):
         step = at * steps // len(names)
         plan.append(
@@ -175,11 +180,11 @@
     return plan
 
 
-def _slow(draw: Drawer, world: WorldFigures, part: float) -> list[Any]:
-    begin, length = _span(world, 1.0)
+def _slow_nodes(draw: Drawer, world: WorldFigures, fraction: float) -> list[Any]:
+    begin, length = _fault_period(world, 1.0)
     return [
         faults.NodeSlow(at_s=begin, for_s=length, target=name, factor=draw.of((3.0, 9.0)))
-        for name in _some(draw, world, part)
+        for name in _sample_nodes(draw, world, fraction)
     ]
 
 
@@ -189,8 +194,8 @@
 
 def _roll(draw: Drawer, world: WorldFigures) -> list[faults.Fault]:
     """Replace half of the nodes in steps, restart a tenth of the sidecars at a time, and move discovery."""
-    begin, length = _span(world, 1.0)
-    plan = _replaced(draw, world, 0.5, 5, 0.8)
+    begin, length = _fault_period(world, 1.0)
+    plan = _replace_nodes(draw, world, 0.5, 5, 0.8)
     step = length / 10
     for number, own in enumerate(world.sidecars):
         at = round(begin + step * (number * 10 // len(world.sidecars)), 3)
@@ -201,8 +206,8 @@
 
 def _herd(draw: Drawer, world: WorldFigures) -> list[faults.Fault]:
     """Kill 70% of the sidecars at once, slow discovery down, and slow down one in eight nodes."""
-    begin, length = _span(world, 1.0)
-    plan = _slow(draw, world, 1 / 8) + _replaced(draw, world, 0.3, 3, 0.8)
+    begin, length = _fault_period(world, 1.0)
+    plan = _slow_nodes(draw, world, 1 / 8) + _replace_nodes(draw, world, 0.3, 3, 0.8)
     at = round(begin + 0.2 * length, 3)
     for own in draw.rng.sample(list(world.sidecars), max(1, round(0.7 * len(world.sidecars)))):
         plan.append(faults.SidecarKilled(at_s=at, for_s=0.2, target=own.name))
@@ -212,19 +217,19 @@
 
 def _zone(draw: Drawer, world: WorldFigures) -> list[faults.Fault]:
     """Lose one zone, which returns cold, cut off another, and slow down one in eight nodes."""
-    begin, length = _span(world, 1.0)
-    lost, cut = draw.rng.sample(world.zones, 2)
+    begin, length = _fault_period(world, 1.0)
+    lost_zone, cut_zone = draw.rng.sample(world.zones, 2)
     for_s = min(5.0, length * 0.4)
     return [
-        *_slow(draw, world, 1 / 8),
-        faults.ZoneLost(at_s=begin, for_s=for_s, target=lost),
-        faults.ZoneCut(at_s=round(begin + length * 0.6, 3), for_s=round(length * 0.3, 3), target=cut),
+        *_slow_nodes(draw, world, 1 / 8),
+        faults.ZoneLost(at_s=begin, for_s=for_s, target=lost_zone),
+        faults.ZoneCut(at_s=round(begin + length * 0.6, 3), for_s=round(length * 0.3, 3), target=cut_zone),
     ]
 
 
 def _split(draw: Drawer, world: WorldFigures) -> list[faults.Fault]:
     """Cut off a zone, and reset connections while requests are pending."""
-    begin, length = _span(world, 1.0)
+    begin, length = _fault_period(world, 1.0)
     for_s = min(6.0, length * 0.5)
     return [
         faults.ZoneCut(at_s=begin, for_s=for_s, target=draw.rng.choice(world.zones)),
@@ -234,8 +239,8 @@
 
 def _join(draw: Drawer, world: WorldFigures) -> list[faults.Fault]:
     """Replace 60% of the nodes within 7 seconds, and corrupt some answers."""
-    begin, length = _span(world, 1.0)
-    plan = _replaced(draw, world, 0.6, 2, min(7.0 / length, 0.9))
+    begin, length = _fault_period(world, 1.0)
+    plan = _replace_nodes(draw, world, 0.6, 2, min(7.0 / length, 0.9))
     plan.append(faults.AnswersSpoilt(at_s=begin, for_s=length, how="noise", part=0.002))
     return plan
 
--- a/brambleusher/lab/virtual/network.py
+++ b/brambleusher/lab/virtual/network.py
@@ -21,15 +21,15 @@
 CLIENT, SERVER = "client", "server"
 FIN, RESET = "fin", "reset"
 SECOND = 1_000_000_000
-CUT_OFF_NS = 1_000_000  # time between two checks for acknowledgements while none come through
+ACK_CHECK_INTERVAL_NS = 1_000_000  # time between two checks for acknowledgements while none come through
 FIRST_PORT, LAST_PORT = 32768, 60999  # Linux's range of ephemeral ports
 ANY, LOCAL = "0.0.0.0", "127.0.0.1"
 # Times at which an unanswered SYN is sent again and the connect times out, in seconds after the first SYN:
 # Linux with tcp_syn_retries=6 and tcp_syn_linear_timeouts=4.
-CONNECT_AGAIN = (1, 2, 3, 4, 5, 7, 11, 19, 35, 67)
-CONNECT_GIVEN_UP = 131
-RETRANSMIT_NS = 200_000_000  # Linux's minimum retransmission timeout
-GIVEN_UP_NS = 924 * SECOND  # time after which Linux gives up retransmitting, with tcp_retries2=15
+SYN_RETRIES_S = (1, 2, 3, 4, 5, 7, 11, 19, 35, 67)
+CONNECT_TIMEOUT_S = 131
+MIN_RETRANSMIT_NS = 200_000_000  # Linux's minimum retransmission timeout
+RETRANSMIT_TIMEOUT_NS = 924 * SECOND  # time after which Linux gives up retransmitting, with tcp_retries2=15
 
 
 class State:
@@ -41,7 +41,7 @@
     OPEN: Final = 3  # ESTABLISHED and all later states, which `fin_in` and `shut_send` distinguish
 
 
-class Wish:
+class ConnectState:
     """States of a socket with regard to connect(2), as Linux keeps them in `SS_...` constants."""
 
     UNCONNECTED: Final = 0
@@ -61,13 +61,13 @@
 class Connection:
     """A connection with both its sockets, from the start of the connect on."""
 
-    __slots__ = ("asked_ns", "client", "client_socket", "id", "server", "server_socket", "silent")
+    __slots__ = ("asked_ns", "blackholed", "client", "client_socket", "id", "server", "server_socket")
 
     def __init__(self, number: int, client: End, server: End, asked_ns: int) -> None:
         self.id, self.client, self.server, self.asked_ns = number, client, server, asked_ns
         self.client_socket: VirtualSocket | None = None
         self.server_socket: VirtualSocket | None = None
-        self.silent = False
+        self.blackholed = False
 
     def __repr__(self) -> str:
         """Describe the connection by its number, machines and ports."""
@@ -94,9 +94,9 @@
         self._random = rng.random
         self.cut = False
         self.down = False
-        self.judge()
+        self.update_down()
 
-    def judge(self) -> None:
+    def update_down(self) -> None:
         """Recompute whether the link is down."""
         self.down = self.cut or self.from_.gone or self.to.gone
 
@@ -109,20 +109,20 @@
         return self._random()
 
 
-def fault(number: int) -> OSError:
+def os_error(number: int) -> OSError:
     """Build the `OSError` that the operating system raises for an error number."""
     return OSError(number, os.strerror(number))
 
 
-def octets_of(host: str) -> list[int]:
+def parse_octets(host: str) -> list[int]:
     """Return the four numbers of an IPv4 address.
 
     A host name raises the error of a failed lookup, because the simulated network has no names.
     """
     parts = host.split(".")
-    if not all(part.isascii() and part.isdigit() and int(part) < 256 for part in parts):
+    if not all(octet.isascii() and octet.isdigit() and int(octet) < 256 for octet in parts):
         raise OSError(-2, "Name or service not known")
-    return [int(part) for part in parts]
+    return [int(octet) for octet in parts]
 
 
 class Killed(BaseException):
@@ -156,12 +156,12 @@
         self._check()
         if not size:
             return b""
-        raise fault(errno.ENOTCONN)
+        raise os_error(errno.ENOTCONN)
 
     def send(self, data: bytes | memoryview, /) -> int:
         """Raise `EPIPE`, as Linux does for a listening socket."""
         self._check()
-        raise fault(errno.EPIPE)
+        raise os_error(errno.EPIPE)
 
     def shutdown(self, how: int, /) -> None:
         """Do nothing: shutting down the sending side of a listening socket has no effect."""
@@ -178,13 +178,13 @@
             return
         self.process.release(self.fd)
         self.fd = -1
-        self.let_go(False)
+        self.detach(False)
 
     def _check(self) -> None:
         if self.process.dead:
             raise Killed
         if self.fd < 0:
-            raise fault(errno.EBADF)
+            raise os_error(errno.EBADF)
 
     # --- methods for the world ------------------------------------------------------------------
 
@@ -197,12 +197,12 @@
         """Whether the accept queue is full."""
         return len(self.queue) > self.backlog
 
-    def let_go(self, abort: bool) -> None:
+    def detach(self, abort: bool) -> None:
         """Release the socket after its process has closed it or has ended."""
         self.open = False
         self.machine.listeners.pop(self.port, None)
         while self.queue:
-            self.queue.popleft().let_go(True)
+            self.queue.popleft().detach(True)
 
     def vanish(self) -> None:
         """Drop the socket with its machine, without a word to the peers."""
@@ -216,11 +216,12 @@
     """One end of a connection, or a socket that is not connected."""
 
     __slots__ = (
-        "_credits", "_pump_due", "_unacked", "_unsent", "_unsent_size", "_used", "_want_write",
-        "_window", "_write_due", "conn", "err", "fd", "fin_acked_ns", "fin_in", "fin_out",
-        "fin_queued", "held", "held_since", "host", "last_arrival", "link", "machine", "network",
+        "_pump_due", "_unacked", "_unsent", "_unsent_size", "_used", "_want_write", "_window",
+        "_window_updates", "_write_due", "conn", "connect_state", "err", "fd", "fin_acked_ns",
+        "fin_in", "fin_out", "fin_queued", "host", "last_arrival", "link", "machine", "network",
         "orphan", "peer", "port", "process", "received_ns", "rx", "rx_size", "shut_receive",
-        "shut_send", "side", "silence_ns", "state", "wish", "world",
+        "shut_send", "side", "state", "unacknowledged_timeout_ns", "undelivered",
+        "undelivered_since", "world",
     )  # fmt: skip
 
     def __init__(self, network: Network, machine: Machine, process: Process | None, state: int) -> None:
@@ -232,7 +233,7 @@
         self.side = CLIENT
         self.peer: VirtualSocket | None = None
         self.link: Link | None = None  # link towards the peer
-        self.wish = Wish.UNCONNECTED if state == State.CLOSE else Wish.CONNECTED
+        self.connect_state = ConnectState.UNCONNECTED if state == State.CLOSE else ConnectState.CONNECTED
         self.err = 0
         # `shut_receive` and `shut_send` are the bits of Linux's sk_shutdown; `fin_in` and `fin_out` record
         # whether a FIN was received and sent.
@@ -245,16 +246,18 @@
         self._unsent: deque[bytes] = deque()
         self._unacked: deque[tuple[int, int]] = deque()  # acknowledgements: time of arrival, number of bytes
         self._window = network.settings.receive_buffer
-        self._credits: deque[tuple[int, int]] = deque()  # window updates: time of arrival, number of bytes
+        self._window_updates: deque[tuple[int, int]] = deque()  # time of arrival, number of bytes
         self._pump_due = self._write_due = 0  # times of the scheduled pump and write events; 0 for none
         self._want_write = False
         self.fin_queued = False
         self.fin_acked_ns = 0
         self.last_arrival = 0
         self.received_ns = 0  # time of the last received bytes on the world's monotonic clock; 0 for none
-        self.held: list[Any] = []  # bytes and FIN that a fault keeps from the peer, in order
-        self.held_since = 0
-        self.silence_ns = GIVEN_UP_NS  # time after which unacknowledged bytes end the connection
+        self.undelivered: list[Any] = []  # bytes and FIN that a fault keeps from the peer, in order
+        self.undelivered_since = 0
+        self.unacknowledged_timeout_ns = (
+            RETRANSMIT_TIMEOUT_NS  # time after which unacknowledged bytes end the connection
+        )
 
     # --- methods of `runtime.system.Socket` -----------------------------------------------------
 
@@ -269,18 +272,18 @@
             raise Killed
         if self.fd < 0:
             return errno.EBADF
-        if self.wish == Wish.CONNECTED:
+        if self.connect_state == ConnectState.CONNECTED:
             return errno.EISCONN
-        if self.wish == Wish.DISCONNECTING:
+        if self.connect_state == ConnectState.DISCONNECTING:
             return errno.EINVAL
-        if self.wish == Wish.CONNECTING:
+        if self.connect_state == ConnectState.CONNECTING:
             if self.state == State.SYN_SENT:
                 return errno.EALREADY
             if self._closed():
                 code, self.err = self.err or errno.ECONNABORTED, 0
                 self.disconnect()
                 return code
-            self.wish = Wish.CONNECTED
+            self.connect_state = ConnectState.CONNECTED
             return 0
         return self._connect(address)
 
@@ -294,18 +297,18 @@
                 raise ValueError("negative buffersize in recv")
             return b""
         if self.fd < 0:
-            raise fault(errno.EBADF)
+            raise os_error(errno.EBADF)
         if self.rx:
             return self._read(size, flags & PEEK != 0)
         if self.fin_in:
             return b""
         if self.err:
             code, self.err = self.err, 0
-            raise fault(code)
+            raise os_error(code)
         if self.shut_receive:
             return b""
         if self.state == State.CLOSE:
-            raise fault(errno.ENOTCONN)
+            raise os_error(errno.ENOTCONN)
         raise BlockingIOError(errno.EAGAIN, "Resource temporarily unavailable")
 
     def send(self, data: bytes | memoryview, /) -> int:
@@ -314,32 +317,32 @@
         if process is None or process.dead:
             raise Killed
         if self.fd < 0:
-            raise fault(errno.EBADF)
+            raise os_error(errno.EBADF)
         if self.state != State.OPEN or self.shut_send or self.err:
             if self.err:
                 code, self.err = self.err, 0
-                raise fault(code)
+                raise os_error(code)
             if self.state == State.SYN_SENT:
                 raise BlockingIOError(errno.EAGAIN, "Resource temporarily unavailable")
-            raise fault(errno.EPIPE)
+            raise os_error(errno.EPIPE)
         size = len(data)
         if not size:
             return 0
         network = self.network
         settings = network.settings
-        room = settings.send_buffer - self._used
-        if room < size:
+        free = settings.send_buffer - self._used
+        if free < size:
             self._absorb_acks()
-            room = settings.send_buffer - self._used
-            if room <= 0:
+            free = settings.send_buffer - self._used
+            if free <= 0:
                 raise BlockingIOError(errno.EAGAIN, "Resource temporarily unavailable")
         if size > 1 and settings.short_send and self.link.random() < settings.short_send:  # type: ignore[union-attr]
-            room = min(room, 1 + int(self.link.random() * (size - 1)))  # type: ignore[union-attr]
-        taken = bytes(data) if room >= size else bytes(data[:room])
+            free = min(free, 1 + int(self.link.random() * (size - 1)))  # type: ignore[union-attr]
+        taken = bytes(data) if free >= size else bytes(data[:free])
         size = len(taken)
         world = self.world
         if world.taps:
-            world.tell("sent", self.conn, self.side, taken)
+            world.notify_taps("sent", self.conn, self.side, taken)
         self._used += size
         if self._unsent or size > self._window:
             self._unsent.append(taken)
@@ -356,12 +359,14 @@
         if process is None or process.dead:
             raise Killed
         if self.fd < 0:
-            raise fault(errno.EBADF)
+            raise os_error(errno.EBADF)
         if how != SHUTDOWN_WRITE:
-            raise fault(errno.EINVAL)
+            raise os_error(errno.EINVAL)
         closed = self._closed()
-        if self.wish == Wish.CONNECTING:
-            self.wish = Wish.CONNECTED if self.state == State.OPEN else Wish.DISCONNECTING
+        if self.connect_state == ConnectState.CONNECTING:
+            self.connect_state = (
+                ConnectState.CONNECTED if self.state == State.OPEN else ConnectState.DISCONNECTING
+            )
         if self.state == State.SYN_SENT:
             self.disconnect()
             self.err = errno.ECONNRESET
@@ -369,14 +374,14 @@
             self.shut_send = True
         self.notify()
         if closed:
-            raise fault(errno.ENOTCONN)
+            raise os_error(errno.ENOTCONN)
         if self.state == State.OPEN:
-            self._end()
+            self._send_fin()
 
     def getsockname(self) -> Address:
         """Return the local host and port."""
         if self.fd < 0:
-            raise fault(errno.EBADF)
+            raise os_error(errno.EBADF)
         return self.host, self.port
 
     def close(self) -> None:
@@ -386,7 +391,7 @@
             return
         process.release(self.fd)
         self.fd = -1
-        self.let_go(False)
+        self.detach(False)
 
     def abort(self) -> None:
         """Close the socket with a reset, as SO_LINGER with a timeout of 0 does."""
@@ -394,15 +399,15 @@
         if process is None or process.dead:
             raise Killed
         if self.fd < 0:
-            raise fault(errno.EBADF)
+            raise os_error(errno.EBADF)
         process.release(self.fd)
         self.fd = -1
-        self.let_go(True)
+        self.detach(True)
 
     def take_error(self) -> int:
         """Return and clear the socket's pending error, as SO_ERROR does; 0 for none."""
         if self.fd < 0:
-            raise fault(errno.EBADF)
+            raise os_error(errno.EBADF)
         code, self.err = self.err, 0
         return code
 
@@ -445,12 +450,12 @@
             used -= size
             if used * 3 <= most:
                 # While a fault cuts off acknowledgements, check at intervals: their arrival time is unknown.
-                pause = 1 if self._acknowledged() else CUT_OFF_NS
+                pause = 1 if self._acknowledged() else ACK_CHECK_INTERVAL_NS
                 self._write_due = max(when, self.world.now_ns + pause)
-                self.world.push(self._write_due, self._room)
+                self.world.push(self._write_due, self._write_event)
                 return
 
-    def _room(self) -> None:
+    def _write_event(self) -> None:
         self._write_due = 0
         if self._want_write:
             if self._writable():
@@ -462,7 +467,7 @@
     def notify(self) -> None:
         """Tell the process's pollers that the socket's poll bits may have changed."""
         if self.fd >= 0 and self.process is not None:
-            self.process.stir(self.fd)
+            self.process.notify_pollers(self.fd)
 
     # --- receiving ------------------------------------------------------------------------------
 
@@ -492,24 +497,24 @@
             data = b"".join(parts)
         self.rx_size -= size
         if world.taps:
-            world.tell("read", self.conn, self.side, data)
+            world.notify_taps("read", self.conn, self.side, data)
         peer = self.peer
         if peer is not None and self.state == State.OPEN:
-            peer.credit(world.now_ns + self.link.latency_ns, size)  # type: ignore[union-attr]
+            peer.add_window_update(world.now_ns + self.link.latency_ns, size)  # type: ignore[union-attr]
         return data
 
-    def credit(self, when: int, size: int) -> None:
+    def add_window_update(self, when: int, size: int) -> None:
         """Record a window update of `size` bytes that arrives at the time `when`."""
-        self._credits.append((when, size))
+        self._window_updates.append((when, size))
         if self._unsent:
             self._pump_at(when)
-        elif len(self._credits) > 64:
-            self._absorb_credits()
+        elif len(self._window_updates) > 64:
+            self._absorb_window_updates()
 
     # --- sending --------------------------------------------------------------------------------
 
-    def _absorb_credits(self) -> None:
-        now, credits = self.world.now_ns, self._credits
+    def _absorb_window_updates(self) -> None:
+        now, credits = self.world.now_ns, self._window_updates
         while credits and credits[0][0] <= now:
             self._window += credits.popleft()[1]
 
@@ -518,7 +523,7 @@
         peer = self.peer
         if peer is None or peer.link is None or peer.link.down:
             return False
-        return self.conn is None or not self.conn.silent
+        return self.conn is None or not self.conn.blackholed
 
     def _absorb_acks(self) -> None:
         if not self._acknowledged():
@@ -541,7 +546,7 @@
         """Transmit unsent bytes that fit into the peer's window."""
         if self.state != State.OPEN:
             return
-        self._absorb_credits()
+        self._absorb_window_updates()
         unsent = self._unsent
         while unsent and self._window > 0:
             part = unsent.popleft()
@@ -552,11 +557,11 @@
             self._unsent_size -= len(part)
             self._transmit(part)
         if unsent:
-            if self._credits:
-                self._pump_at(self._credits[0][0])
+            if self._window_updates:
+                self._pump_at(self._window_updates[0][0])
         elif self.fin_queued:
             self.fin_queued = False
-            self.post(FIN)
+            self.send_segment(FIN)
 
     def _transmit(self, data: bytes) -> None:
         link, settings = self.link, self.network.settings
@@ -565,54 +570,54 @@
         size = len(data)
         if size > 1 and settings.split and link.random() < settings.split:
             at = 1 + int(link.random() * (size - 1))
-            self.post(data[:at])
-            self.post(data[at:])
+            self.send_segment(data[:at])
+            self.send_segment(data[at:])
         else:
-            self.post(data)
+            self.send_segment(data)
 
-    def post(self, what: Any) -> None:
+    def send_segment(self, what: Any) -> None:
         """Send bytes, a FIN or a reset to the peer, behind everything sent before."""
         when = self.world.now_ns + self.link.delay()  # type: ignore[union-attr]
         if when <= self.last_arrival:
             when = self.last_arrival + 1
         self.last_arrival = when
-        self.world.push(when, self._reach, what)
+        self.world.push(when, self._arrive, what)
 
-    def _reach(self, what: Any) -> None:
+    def _arrive(self, what: Any) -> None:
         """Handle the arrival of bytes, a FIN or a reset at the peer's machine."""
         conn, peer = self.conn, self.peer
         if conn is None or peer is None:
             return
-        if self.link.down or conn.silent:  # type: ignore[union-attr]
+        if self.link.down or conn.blackholed:  # type: ignore[union-attr]
             if what is not RESET:  # TCP never retransmits a reset
-                self._hold(what)
-        elif what is not RESET and (self.held or peer.state == State.SYN_RECV):
-            self._hold(what)
+                self._keep_undelivered(what)
+        elif what is not RESET and (self.undelivered or peer.state == State.SYN_RECV):
+            self._keep_undelivered(what)
         else:
             self._deliver(what)
 
-    def _hold(self, what: Any) -> None:
-        if not self.held:
-            now = self.held_since = self.world.now_ns
-            self.network.holding[self] = None
-            self.world.push(now + self.silence_ns, self._unanswered, now)
-        self.held.append(what)
+    def _keep_undelivered(self, what: Any) -> None:
+        if not self.undelivered:
+            now = self.undelivered_since = self.world.now_ns
+            self.network.with_undelivered[self] = None
+            self.world.push(now + self.unacknowledged_timeout_ns, self._unacknowledged, now)
+        self.undelivered.append(what)
 
-    def _unanswered(self, since: int) -> None:
-        """Time out the connection if held bytes have stayed unacknowledged since the time `since`."""
-        if self.held and self.held_since == since and not self._closed():
-            self.was_reset(errno.ETIMEDOUT)
+    def _unacknowledged(self, since: int) -> None:
+        """Time out the connection if undelivered bytes have stayed unacknowledged since the time `since`."""
+        if self.undelivered and self.undelivered_since == since and not self._closed():
+            self.handle_reset(errno.ETIMEDOUT)
 
-    def release(self) -> None:
+    def deliver_undelivered(self) -> None:
         """Deliver everything held back by a fault, if the link passes it now."""
         conn, peer = self.conn, self.peer
-        if conn is None or peer is None or self.link.down or conn.silent:  # type: ignore[union-attr]
+        if conn is None or peer is None or self.link.down or conn.blackholed:  # type: ignore[union-attr]
             return
         if peer.state == State.SYN_RECV:
             return
-        self.network.holding.pop(self, None)
-        held, self.held = self.held, []
-        for what in held:
+        self.network.with_undelivered.pop(self, None)
+        undelivered, self.undelivered = self.undelivered, []
+        for what in undelivered:
             self._deliver(what)
 
     def _deliver(self, what: Any) -> None:
@@ -620,17 +625,17 @@
         if peer is None or conn is None:
             return
         if what is RESET:
-            self.held.clear()
-            self.network.holding.pop(self, None)
-            peer.was_reset()
+            self.undelivered.clear()
+            self.network.with_undelivered.pop(self, None)
+            peer.handle_reset()
             return
         if peer._closed():
-            peer.answer_reset()
+            peer.send_reset()
             return
         if what is FIN:
             self.fin_acked_ns = world.now_ns + peer.link.latency_ns  # type: ignore[union-attr]
             if world.taps:
-                world.tell("ended", conn, peer.side, FIN)
+                world.notify_taps("ended", conn, peer.side, FIN)
             peer.fin_in = peer.shut_receive = True
             peer.notify()
             return
@@ -638,23 +643,23 @@
             # RFC 1122, 4.2.2.13: a socket that its process has closed answers bytes with a reset.
             peer.state = State.CLOSE
             peer.drop_unsent()
-            peer.answer_reset()
+            peer.send_reset()
             return
         size = len(what)
         self._unacked.append((world.now_ns + peer.link.latency_ns, size))  # type: ignore[union-attr]
         if self._want_write:
             self._arm_write()
         if world.taps:
-            world.tell("arrived", conn, peer.side, what)
+            world.notify_taps("arrived", conn, peer.side, what)
         peer.rx.append(what)
         peer.received_ns = world.now_ns
         peer.rx_size += size
         peer.notify()
 
-    def answer_reset(self) -> None:
+    def send_reset(self) -> None:
         """Answer bytes for a closed connection with a reset."""
         if self.link is not None:
-            self.post(RESET)
+            self.send_segment(RESET)
 
     # --- closing --------------------------------------------------------------------------------
 
@@ -669,7 +674,7 @@
             self.state = State.CLOSE
         return self.state == State.CLOSE
 
-    def _end(self) -> None:
+    def _send_fin(self) -> None:
         """Send a FIN once, behind all unsent bytes."""
         if self.fin_out:
             return
@@ -677,7 +682,7 @@
         if self._unsent:
             self.fin_queued = True
         else:
-            self.post(FIN)
+            self.send_segment(FIN)
 
     def drop_unsent(self) -> None:
         """Discard the send buffer and everything held back by a fault."""
@@ -685,10 +690,10 @@
         self._unacked.clear()
         self._used = self._unsent_size = 0
         self.fin_queued = False
-        self.held.clear()
-        self.network.holding.pop(self, None)
+        self.undelivered.clear()
+        self.network.with_undelivered.pop(self, None)
 
-    def was_reset(self, why: int = 0) -> None:
+    def handle_reset(self, why: int = 0) -> None:
         """Close the connection after a reset, or after the error `why` if one is given."""
         if self._closed():
             return
@@ -704,10 +709,10 @@
         self.shut_receive = self.shut_send = True
         self.drop_unsent()
         if not why and self.world.taps and self.conn is not None:
-            self.world.tell("ended", self.conn, self.side, RESET)
+            self.world.notify_taps("ended", self.conn, self.side, RESET)
         self.notify()
 
-    def let_go(self, abort: bool) -> None:
+    def detach(self, abort: bool) -> None:
         """Release the socket after its process has closed it or has ended; `abort` sends a reset."""
         if self.orphan:
             return
@@ -717,7 +722,7 @@
         self.rx_size = 0
         world, conn = self.world, self.conn
         if conn is not None and world.taps and self.process is not None:
-            world.tell("closed", conn, self.side)
+            world.notify_taps("closed", conn, self.side)
         if self._closed():
             return
         if self.state != State.OPEN:
@@ -725,10 +730,10 @@
         elif unread or (abort and not (self.fin_in and self.fin_out and not self._unsent)):
             self.state = State.CLOSE
             self.drop_unsent()
-            self.post(RESET)
+            self.send_segment(RESET)
         else:
             self.shut_receive = self.shut_send = True
-            self._end()
+            self._send_fin()
 
     def vanish(self) -> None:
         """Drop the socket with its machine, without a word to the peer."""
@@ -741,12 +746,12 @@
     def disconnect(self) -> None:
         """Return to the unconnected state, as after a failed connect."""
         self.state = State.CLOSE
-        self.wish, self.host = Wish.UNCONNECTED, ANY
+        self.connect_state, self.host = ConnectState.UNCONNECTED, ANY
         self.conn = self.peer = self.link = None
         self.rx.clear()
         self.rx_size = 0
         self.drop_unsent()
-        self._credits.clear()
+        self._window_updates.clear()
         self._window = self.network.settings.receive_buffer
         self.shut_receive = self.shut_send = self.fin_in = self.fin_out = False
 
@@ -755,7 +760,7 @@
     def _connect(self, address: Address) -> int:
         network, world, machine = self.network, self.world, self.machine
         host, port = address
-        octets = octets_of(host or ANY)
+        octets = parse_octets(host or ANY)
         if octets[0] >= 224:
             return errno.ENETUNREACH
         if octets[0] in (0, 127):
@@ -768,12 +773,12 @@
             End(machine.name, self.host, self.port), End("" if target is None else target.name, host, port)
         )
         self.conn.client_socket = self
-        self.wish, self.state, self.side = Wish.CONNECTING, State.SYN_SENT, CLIENT
+        self.connect_state, self.state, self.side = ConnectState.CONNECTING, State.SYN_SENT, CLIENT
         self.fin_in, self.err, self.fin_acked_ns, self.last_arrival = False, 0, 0, 0
         if world.taps:
-            world.tell("opened", self.conn)
+            world.notify_taps("opened", self.conn)
         if target is None:
-            world.push(world.now_ns + CONNECT_GIVEN_UP * SECOND, self._give_up, self.conn)
+            world.push(world.now_ns + CONNECT_TIMEOUT_S * SECOND, self._give_up, self.conn)
             return errno.EINPROGRESS
         self.link = network.link(machine, target)
         world.push(world.now_ns + self.link.delay(), self._syn, self.conn, target, 0)
@@ -788,14 +793,14 @@
             self.shut_receive = self.shut_send = True
             self.notify()
 
-    def _again(self, conn: Connection, target: Machine, tries: int) -> None:
+    def _retry_syn(self, conn: Connection, target: Machine, tries: int) -> None:
         """Schedule the next SYN at the time at which Linux sends it, or the timeout after the last one."""
         if not self._still_connecting(conn):
             return
-        if tries >= len(CONNECT_AGAIN):
-            self.world.push(conn.asked_ns + CONNECT_GIVEN_UP * SECOND, self._give_up, conn)
+        if tries >= len(SYN_RETRIES_S):
+            self.world.push(conn.asked_ns + CONNECT_TIMEOUT_S * SECOND, self._give_up, conn)
             return
-        when = conn.asked_ns + CONNECT_AGAIN[tries] * SECOND + self.link.delay()  # type: ignore[union-attr]
+        when = conn.asked_ns + SYN_RETRIES_S[tries] * SECOND + self.link.delay()  # type: ignore[union-attr]
         self.world.push(max(when, self.world.now_ns + 1), self._syn, conn, target, tries + 1)
 
     def _syn(self, conn: Connection, target: Machine, tries: int) -> None:
@@ -808,33 +813,33 @@
         listener = target.listeners.get(port)
         if listener is not None and listener.host not in (ANY, conn.server.ip):
             listener = None
-        if self.link.down or conn.silent or target.swallows:  # type: ignore[union-attr]
-            self._again(conn, target, tries)
+        if self.link.down or conn.blackholed or target.swallows:  # type: ignore[union-attr]
+            self._retry_syn(conn, target, tries)
         elif listener is None or (target.name, port) in network.refusing:
             world.push(world.now_ns + back.delay(), self._refused, conn, back, target, tries)
         elif listener.full:
-            self._again(conn, target, tries)
+            self._retry_syn(conn, target, tries)
         else:
             world.push(world.now_ns + back.delay(), self._syn_ack, conn, back, listener, tries)
 
     def _refused(self, conn: Connection, back: Link, target: Machine, tries: int) -> None:
         if not self._still_connecting(conn):
             return
-        if back.down or conn.silent:
-            self._again(conn, target, tries)
+        if back.down or conn.blackholed:
+            self._retry_syn(conn, target, tries)
             return
         self.state, self.err = State.CLOSE, errno.ECONNREFUSED
         self.shut_receive = self.shut_send = True
         if self.world.taps:
-            self.world.tell("refused", conn)
+            self.world.notify_taps("refused", conn)
         self.notify()
 
     def _syn_ack(self, conn: Connection, back: Link, listener: VirtualListener, tries: int) -> None:
         """Handle the arrival of a SYN-ACK at the client."""
         if not self._still_connecting(conn):
             return
-        if back.down or conn.silent:
-            self._again(conn, listener.machine, tries)
+        if back.down or conn.blackholed:
+            self._retry_syn(conn, listener.machine, tries)
             return
         self.state = State.OPEN
         server = VirtualSocket(self.network, listener.machine, None, State.SYN_RECV)
@@ -842,7 +847,7 @@
         server.host, server.port = conn.server.ip, conn.server.port
         self.peer, conn.server_socket = server, server
         if self.world.taps:
-            self.world.tell("established", conn)
+            self.world.notify_taps("established", conn)
         when = self.world.now_ns + self.link.delay()  # type: ignore[union-attr]
         self.last_arrival = when
         self.world.push(when, server.acknowledged, listener, 0)
@@ -857,24 +862,24 @@
             return
         if self.machine.gone:
             self.state = State.CLOSE
-        elif client.link.down or conn.silent:  # type: ignore[union-attr]
-            self._ack_again(listener, tries)
+        elif client.link.down or conn.blackholed:  # type: ignore[union-attr]
+            self._retry_ack(listener, tries)
         elif not listener.open:
             self.state = State.CLOSE
-            self.answer_reset()
+            self.send_reset()
         elif listener.full:
             # Linux ignores the ACK while the accept queue is full; the client already counts as connected.
-            self._ack_again(listener, tries)
+            self._retry_ack(listener, tries)
         else:
             self.state = State.OPEN
             listener.queue.append(self)
             if listener.fd >= 0:
-                listener.process.stir(listener.fd)
-        if self.state != State.SYN_RECV and client.held:
-            client.release()
+                listener.process.notify_pollers(listener.fd)
+        if self.state != State.SYN_RECV and client.undelivered:
+            client.deliver_undelivered()
 
-    def _ack_again(self, listener: VirtualListener, tries: int) -> None:
-        wait = SECOND if self.peer is None or not self.peer.held else RETRANSMIT_NS
+    def _retry_ack(self, listener: VirtualListener, tries: int) -> None:
+        wait = SECOND if self.peer is None or not self.peer.undelivered else MIN_RETRANSMIT_NS
         self.world.push(self.world.now_ns + (wait << min(tries, 5)), self.acknowledged, listener, tries + 1)
 
 
@@ -888,7 +893,9 @@
         self.world, self.settings = world, world.settings
         self._links: dict[tuple[str, str], Link] = {}
         self._connections = 0
-        self.holding: dict[VirtualSocket, None] = {}  # sockets with bytes held back by a fault, oldest first
+        self.with_undelivered: dict[
+            VirtualSocket, None
+        ] = {}  # sockets with bytes held back by a fault, oldest first
         self.refusing: dict[tuple[str, int], None] = {}
 
     def seen_from(self, machine: Machine, address: Address) -> Address:
@@ -900,8 +907,8 @@
         process = machine.process
         if process is None or process.dead:
             return []
-        there = [thing for _, thing in sorted(process.fds.items()) if isinstance(thing, VirtualSocket)]
-        return [thing.conn for thing in there if thing.conn is not None]
+        sockets = [sock for _, sock in sorted(process.fds.items()) if isinstance(sock, VirtualSocket)]
+        return [sock.conn for sock in sockets if sock.conn is not None]
 
     # --- faults ---------------------------------------------------------------------------------
 
@@ -912,7 +919,7 @@
     def mend(self, a: Machine | str, b: Machine | str, one_way: bool = False) -> None:
         """End a cut; bytes sent during the cut arrive after a delay set by TCP's retransmission timers."""
         self._set_cut(a, b, one_way, False)
-        self.pass_on()
+        self.retransmit_undelivered()
 
     def slow_link(self, a: Machine | str, b: Machine | str, extra_ns: int) -> None:
         """Add `extra_ns` to the latency of both directions; 0 ends the fault."""
@@ -926,18 +933,18 @@
 
     def silence(self, connection: Connection) -> None:
         """Drop everything sent on a connection, whose ends both stay open."""
-        connection.silent = True
+        connection.blackholed = True
 
     def unsilence(self, connection: Connection) -> None:
         """End the silence of a connection."""
-        connection.silent = False
-        self.pass_on()
+        connection.blackholed = False
+        self.retransmit_undelivered()
 
     def reset(self, connection: Connection) -> None:
         """Reset both ends of a connection, as a middlebox might."""
         for end in (connection.client_socket, connection.server_socket):
             if end is not None and end.state != State.CLOSE:
-                end.was_reset()
+                end.handle_reset()
 
     def refuse(self, machine: Machine | str, port: int) -> None:
         """Refuse connects to a port, even if a process listens there."""
@@ -965,20 +972,22 @@
             link = self._links[key] = Link(self.world, from_, to)
         return link
 
-    def judge(self) -> None:
+    def update_down(self) -> None:
         """Recompute which links are down, after a machine has vanished or come back."""
         for link in self._links.values():
-            link.judge()
+            link.update_down()
 
-    def pass_on(self) -> None:
-        """Schedule the retransmission of held bytes that can pass now, at the time that TCP would choose."""
+    def retransmit_undelivered(self) -> None:
+        """Schedule the retransmission of undelivered bytes that can pass now, when TCP would send them."""
         now = self.world.now_ns
-        for sock in list(self.holding):
-            if sock.conn is None or sock.conn.silent or sock.link is None or sock.link.down:
+        for sock in list(self.with_undelivered):
+            if sock.conn is None or sock.conn.blackholed or sock.link is None or sock.link.down:
                 continue
             # Retransmission timeouts double, so the next try is at most as far off as the outage was long.
-            longest = min(max(RETRANSMIT_NS, now - sock.held_since), self.settings.retransmit_most_ns)
-            self.world.push(now + 1 + int(sock.link.random() * longest), sock.release)
+            longest = min(
+                max(MIN_RETRANSMIT_NS, now - sock.undelivered_since), self.settings.retransmit_most_ns
+            )
+            self.world.push(now + 1 + int(sock.link.random() * longest), sock.deliver_undelivered)
 
     def machine_at(self, ip: str) -> Machine | None:
         """Return the machine with an IP address; None if there is none."""
@@ -993,7 +1002,7 @@
         one, other = self._machine(a), self._machine(b)
         for link in (self.link(one, other),) if one_way else (self.link(one, other), self.link(other, one)):
             link.cut = cut
-            link.judge()
+            link.update_down()
 
     def _machine(self, which: Machine | str) -> Machine:
         return self.world.machines[which] if isinstance(which, str) else which
--- a/brambleusher/lab/virtual/world.py
+++ b/brambleusher/lab/virtual/world.py
@@ -34,7 +34,7 @@
     State,
     VirtualListener,
     VirtualSocket,
-    fault,
+    os_error,
 )
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.system import READ, WRITE, Address, Item, Poller, Sink, Socket, Waker, Worker
@@ -44,8 +44,8 @@
 MILLISECOND = 1_000_000
 STANDARD = 3  # number of the standard descriptors, which every process has open from the start
 # Signals that Linux ignores by default; any other signal without a handler ends the process.
-HARMLESS = frozenset({signal.SIGCHLD, signal.SIGCONT, signal.SIGURG, signal.SIGWINCH})
-THROWS = 16  # attempts to end a greenlet of a dead process before it is abandoned
+IGNORED_SIGNALS = frozenset({signal.SIGCHLD, signal.SIGCONT, signal.SIGURG, signal.SIGWINCH})
+MAX_THROWS = 16  # attempts to end a greenlet of a dead process before it is abandoned
 
 Range = tuple[int, int]  # lowest and highest value, both included
 
@@ -215,7 +215,7 @@
             self.now_ns = until_ns
         return False
 
-    def tell(self, what: str, *args: Any) -> None:
+    def notify_taps(self, what: str, *args: Any) -> None:
         """Call a method of all taps; an exception ends the run without reaching the current process."""
         try:
             for tap in self.taps:
@@ -334,13 +334,13 @@
             process.vanish()
         for listener in list(self.listeners.values()):
             listener.vanish()
-        self.world.network.judge()
+        self.world.network.update_down()
 
     def come_back(self) -> None:
         """Return to the network without processes; old connections are reset and connects are refused."""
         self.gone = False
-        self.world.network.judge()
-        self.world.network.pass_on()
+        self.world.network.update_down()
+        self.world.network.retransmit_undelivered()
 
     def set_wall(self, offset_ns: int) -> None:
         """Set the wall clock's offset from the world's clock; a negative offset puts it behind."""
@@ -357,14 +357,14 @@
             self._next_port = FIRST_PORT if port == LAST_PORT else port + 1
             if port not in self.listeners:
                 return port
-        raise fault(errno.EADDRNOTAVAIL)
+        raise os_error(errno.EADDRNOTAVAIL)
 
 
-class _Watched(Protocol):
+class _DescriptorEntry(Protocol):
     """An object that a descriptor refers to."""
 
     def mask(self) -> int: ...
-    def let_go(self, abort: bool) -> None: ...
+    def detach(self, abort: bool) -> None: ...
     def vanish(self) -> None: ...
 
 
@@ -388,15 +388,15 @@
         self.ended: int | None = None  # exit status, or -N if signal N killed the process; None until then
         self.error: BaseException | None = None  # exception that ended the main program
         self.stderr = bytearray()
-        self.stderr_lost = 0
+        self.stderr_dropped = 0
         self.sinks: dict[str, VirtualSink] = {}
         self.handlers: dict[int, Callable[[], None]] = {}
-        self.fds: dict[int, _Watched] = {}
+        self.fds: dict[int, _DescriptorEntry] = {}
         self.pollers: list[VirtualPoller] = []
         self.busy_until = 0
         self.stalled_until = 0
         self.greenlets: list[greenlet.greenlet] = []
-        self._greenlets_looked_at = 64
+        self._greenlet_prune_limit = 64
         self._main = main
         self._free: list[int] = []
         self._next_fd = STANDARD
@@ -405,12 +405,12 @@
         self._glet = greenlet.greenlet(self._body, world.hub)
         self._asleep: greenlet.greenlet | None = self._glet  # greenlet that polls or waits
         self._polling: VirtualPoller | None = None
-        self._woken = False  # whether an event that resumes the process is scheduled
+        self._resume_scheduled = False  # whether an event that resumes the process is scheduled
         self._deadline: int | None = None
         self._timer_at = 0
         self.system = VirtualSystem(self)
-        self._woken = True
-        world.push(world.now_ns + self.draw(self._pace.start_ns), self._first)
+        self._resume_scheduled = True
+        world.push(world.now_ns + self.draw(self._pace.start_ns), self._begin)
 
     def __repr__(self) -> str:
         """Describe the process by its name and machine."""
@@ -435,8 +435,8 @@
         """
         if self.dead:
             return
-        self.world.tell("process", self.machine, f"signal {int(number)}")
-        if number == signal.SIGKILL or (number not in self.handlers and number not in HARMLESS):
+        self.world.notify_taps("process", self.machine, f"signal {int(number)}")
+        if number == signal.SIGKILL or (number not in self.handlers and number not in IGNORED_SIGNALS):
             self._kill(-int(number), False)
         elif number in self.handlers:
             self._signals.append(int(number))
@@ -460,10 +460,10 @@
         if self.dead:
             return
         self._die(-int(signal.SIGKILL))
-        self.world.tell("process", self.machine, "killed")
-        for _, thing in self._take_all():
-            thing.vanish()
-        self._clear_up()
+        self.world.notify_taps("process", self.machine, "killed")
+        for _, entry in self._take_descriptors():
+            entry.vanish()
+        self._clean_up()
 
     def forget(self) -> None:
         """End the process with its world, without reporting to taps or closing connections."""
@@ -476,10 +476,10 @@
         if self.dead:
             return
         self._die(status)
-        self.world.tell("process", self.machine, "killed")
-        for _, thing in self._take_all():
-            thing.let_go(reset)
-        self._clear_up()
+        self.world.notify_taps("process", self.machine, "killed")
+        for _, entry in self._take_descriptors():
+            entry.detach(reset)
+        self._clean_up()
 
     def _die(self, status: int | None) -> None:
         self.dead = True
@@ -487,11 +487,11 @@
         if self in self.machine.processes and not self.world._closed:
             self.machine.processes.remove(self)
 
-    def _take_all(self) -> list[tuple[int, _Watched]]:
+    def _take_descriptors(self) -> list[tuple[int, _DescriptorEntry]]:
         things, self.fds = sorted(self.fds.items()), {}
         return things
 
-    def _clear_up(self) -> None:
+    def _clean_up(self) -> None:
         if greenlet.getcurrent() is self.world.hub:
             self._end_greenlets()
         else:  # called from a process's greenlet, which must not end another's greenlets
@@ -503,7 +503,7 @@
         ending, self.greenlets = [self._glet, *self.greenlets], []
         before, self.world.current = self.world.current, None
         for each in ending:
-            for _ in range(THROWS):
+            for _ in range(MAX_THROWS):
                 if not each:  # the greenlet has not begun, or has ended
                     break
                 try:
@@ -516,11 +516,11 @@
 
     # --- scheduling -----------------------------------------------------------------------------
 
-    def _first(self) -> None:
+    def _begin(self) -> None:
         if self.dead:
             return
         self._glet.parent = self.world.hub
-        self.world.tell("process", self.machine, "started")
+        self.world.notify_taps("process", self.machine, "started")
         self._resume()
 
     def _body(self) -> None:
@@ -542,9 +542,9 @@
             return
         # The process exits here: greenlets that the main program left waiting never run again.
         self._die(status)
-        self.world.tell("process", self.machine, "exited")
-        for _, thing in self._take_all():
-            thing.let_go(False)
+        self.world.notify_taps("process", self.machine, "exited")
+        for _, entry in self._take_descriptors():
+            entry.detach(False)
         self.world.push(self.world.now_ns, self._end_greenlets)
 
     def _resume(self) -> None:
@@ -554,7 +554,7 @@
         if world.now_ns < self.stalled_until:
             world.push(self.stalled_until, self._resume)
             return
-        self._woken = False
+        self._resume_scheduled = False
         glet, self._asleep = self._asleep, None
         world.current = self
         if glet is not None:
@@ -569,8 +569,8 @@
             raise Killed
 
     def _wake(self) -> None:
-        if not self._woken:
-            self._woken = True
+        if not self._resume_scheduled:
+            self._resume_scheduled = True
             now = self.world.now_ns
             when = now + self.draw(self.world.settings.wake_ns)
             self.world.push(max(when, self.busy_until), self._resume)
@@ -586,7 +586,7 @@
             deadline = max(busy, world.now_ns + int(pause_ms) * MILLISECOND)
         self._deadline = deadline
         if pause_ms == 0 or self._signals or poller.ready():
-            self._woken = True
+            self._resume_scheduled = True
             world.push(busy, self._resume)
         elif deadline is not None:
             self._arm(deadline)
@@ -613,22 +613,22 @@
         if self._timer_at != when:
             return
         self._timer_at = 0
-        if self.dead or self._polling is None or self._woken or self._deadline is None:
+        if self.dead or self._polling is None or self._resume_scheduled or self._deadline is None:
             return
         if self.world.now_ns >= self._deadline:
             self._wake()
         else:
             self._arm(self._deadline)
 
-    def stir(self, fd: int) -> None:
+    def notify_pollers(self, fd: int) -> None:
         """Tell the pollers that the poll bits of a descriptor may have changed."""
         for poller in self.pollers:
-            if poller.touch(fd) and poller is self._polling and not self._woken:
+            if poller.mark_changed(fd) and poller is self._polling and not self._resume_scheduled:
                 self._wake()
 
     # --- descriptors ----------------------------------------------------------------------------
 
-    def allocate(self, thing: _Watched) -> int:
+    def allocate(self, entry: _DescriptorEntry) -> int:
         """Allocate the lowest free descriptor; raises `EMFILE` if none is free."""
         self.check_descriptor()
         if self._free:
@@ -636,51 +636,51 @@
         else:
             fd = self._next_fd
             self._next_fd += 1
-        self.fds[fd] = thing
+        self.fds[fd] = entry
         for poller in self.pollers:
-            poller.touch(fd)
+            poller.mark_changed(fd)
         return fd
 
     def check_descriptor(self) -> None:
         """Raise `EMFILE` if no descriptor is free."""
         if (self._free[0] if self._free else self._next_fd) >= self.limit:
-            raise fault(errno.EMFILE)
+            raise os_error(errno.EMFILE)
 
     def release(self, fd: int) -> None:
         """Free a descriptor."""
         del self.fds[fd]
         heapq.heappush(self._free, fd)
         for poller in self.pollers:
-            poller.touch(fd)
+            poller.mark_changed(fd)
 
     # --- greenlets and output -------------------------------------------------------------------
 
-    def keep(self, task: greenlet.greenlet) -> None:
+    def track_greenlet(self, task: greenlet.greenlet) -> None:
         """Register a greenlet of the process, so that it ends with the process."""
         self.greenlets.append(task)
-        if len(self.greenlets) > self._greenlets_looked_at:
+        if len(self.greenlets) > self._greenlet_prune_limit:
             self.greenlets = [each for each in self.greenlets if not each.dead]
-            self._greenlets_looked_at = 64 + 2 * len(self.greenlets)
+            self._greenlet_prune_limit = 64 + 2 * len(self.greenlets)
 
     def write_stderr(self, data: bytes) -> None:
         """Append to the standard error; bytes beyond `WorldSettings.output_bytes` are lost, oldest first."""
         self.stderr += data
         over = len(self.stderr) - self.world.settings.output_bytes
         if over > 0:
-            self.stderr_lost += over
+            self.stderr_dropped += over
             del self.stderr[:over]
 
 
 class VirtualPoller:
     """A set of descriptors like `select.poll`; a poll checks only descriptors that may have become ready."""
 
-    __slots__ = ("_hot", "_number", "_process", "_registered")
+    __slots__ = ("_candidates", "_number", "_process", "_registered")
 
     def __init__(self, process: Process) -> None:
         self._process = process
         # Watched events and place in the order of registration, by descriptor.
         self._registered: dict[int, tuple[int, int]] = {}
-        self._hot: dict[int, None] = {}  # descriptors that may be ready
+        self._candidates: dict[int, None] = {}  # descriptors that may be ready
         self._number = 0
 
     def register(self, fd: int, events: int, /) -> None:
@@ -693,45 +693,45 @@
         if known is None:
             self._number += 1
         self._registered[fd] = (events | ERR | HUP | NVAL, self._number if known is None else known[1])
-        self._hot[fd] = None
+        self._candidates[fd] = None
 
     def unregister(self, fd: int, /) -> None:
         """Stop watching a descriptor; raises `KeyError` if it is not watched."""
         del self._registered[fd]
-        self._hot.pop(fd, None)
+        self._candidates.pop(fd, None)
 
     def poll(self, pause_ms: int | None = None, /) -> list[tuple[int, int]]:
         """Wait for ready descriptors, at most `pause_ms` milliseconds, and return them with their events."""
         return self._process.poll(self, pause_ms)
 
-    def touch(self, fd: int) -> bool:
+    def mark_changed(self, fd: int) -> bool:
         """Record that a descriptor's poll bits may have changed, and tell whether it is ready."""
         known = self._registered.get(fd)
         if known is None:
             return False
-        self._hot[fd] = None
-        thing = self._process.fds.get(fd)
-        return (NVAL if thing is None else thing.mask() & known[0]) != 0
+        self._candidates[fd] = None
+        entry = self._process.fds.get(fd)
+        return (NVAL if entry is None else entry.mask() & known[0]) != 0
 
     def ready(self) -> list[tuple[int, int]]:
         """Return the ready descriptors with their events, in the order of registration."""
-        hot = self._hot
-        if not hot:
+        candidates = self._candidates
+        if not candidates:
             return []
         found: list[tuple[int, int, int]] = []
-        fds, cold = self._process.fds, []
-        for fd in hot:
-            events, place = self._registered[fd]
-            thing = fds.get(fd)
-            mask = NVAL if thing is None else thing.mask() & events
+        fds, not_ready = self._process.fds, []
+        for fd in candidates:
+            events, position = self._registered[fd]
+            entry = fds.get(fd)
+            mask = NVAL if entry is None else entry.mask() & events
             if mask:
-                found.append((place, fd, mask))
-            if events & WRITE and not mask & WRITE and isinstance(thing, VirtualSocket):
-                thing.want_write()
+                found.append((position, fd, mask))
+            if events & WRITE and not mask & WRITE and isinstance(entry, VirtualSocket):
+                entry.want_write()
             if not mask:
-                cold.append(fd)
-        for fd in cold:
-            del hot[fd]
+                not_ready.append(fd)
+        for fd in not_ready:
+            del candidates[fd]
         if len(found) > 1:
             found.sort()
         return [(fd, mask) for _, fd, mask in found]
@@ -758,7 +758,7 @@
         """Make the descriptor readable."""
         if not self._set and self._fd >= 0 and not self._process.dead:
             self._set = True
-            self._process.stir(self._fd)
+            self._process.notify_pollers(self._fd)
 
     def clear(self) -> None:
         """Make the descriptor unreadable again."""
@@ -775,7 +775,7 @@
         """Return the waker's current poll bits."""
         return (READ if self._set else 0) | WRITE
 
-    def let_go(self, abort: bool) -> None:
+    def detach(self, abort: bool) -> None:
         """Do nothing: no other process uses the waker."""
 
     def vanish(self) -> None:
@@ -801,13 +801,13 @@
         self.blocked = False
         waiting, self._waiting = self._waiting, []
         for each in waiting:
-            self._process.world.push(self._process.world.now_ns, self._go_on, each)
+            self._process.world.push(self._process.world.now_ns, self._resume_write, each)
 
     def fail(self, failing: bool = True) -> None:
         """Make writes lose their lines from now on, or with False end that."""
         self.failing = failing
 
-    def _go_on(self, waiting: greenlet.greenlet) -> None:
+    def _resume_write(self, waiting: greenlet.greenlet) -> None:
         world = self._process.world
         if not self._process.dead:
             world.current = self._process
@@ -852,7 +852,7 @@
         self._in_turn = False
         self._joining: list[Process] = []
         self._glet = greenlet.greenlet(self._run, process.world.hub)
-        process.keep(self._glet)
+        process.track_greenlet(self._glet)
 
     @property
     def lock(self) -> AbstractContextManager[Any]:
@@ -952,7 +952,7 @@
     def greenlet(self, run: Callable[..., Any], hub: greenlet.greenlet) -> greenlet.greenlet:
         """Create a greenlet that ends with the process."""
         task = greenlet.greenlet(run, hub)
-        self.process.keep(task)
+        self.process.track_greenlet(task)
         return task
 
     def poller(self) -> Poller:
@@ -973,9 +973,9 @@
         process.check_descriptor()
         host, port = address
         if host not in (ANY, machine.ip) and not host.startswith("127."):
-            raise fault(errno.EADDRNOTAVAIL)
+            raise os_error(errno.EADDRNOTAVAIL)
         if port in machine.listeners:
-            raise fault(errno.EADDRINUSE)
+            raise os_error(errno.EADDRINUSE)
         listener = VirtualListener(machine, process, host, port or machine.free_port(), backlog)
         listener.fd = process.allocate(listener)
         machine.listeners[listener.port] = listener
@@ -987,30 +987,30 @@
 
     def adopt(self, fd: int) -> Socket:
         """Raise `OSError`, because virtual processes inherit no sockets."""
-        raise fault(errno.ENOTSOCK)
+        raise os_error(errno.ENOTSOCK)
 
     def accept(self, listener: Socket) -> tuple[Socket, str]:
         """Accept a connection and return it with its peer's host; raises `BlockingIOError` and `OSError`."""
         self._check()
         process, world = self.process, self.world
         if listener.fileno() < 0:
-            raise fault(errno.EBADF)
+            raise os_error(errno.EBADF)
         process.check_descriptor()  # Linux checks for a free descriptor first
         if not isinstance(listener, VirtualListener):
-            raise fault(errno.EINVAL)
+            raise os_error(errno.EINVAL)
         if not listener.queue:
             raise BlockingIOError(errno.EAGAIN, "Resource temporarily unavailable")
         sock = listener.queue.popleft()
         conn = sock.conn
         if conn is None:
-            raise fault(errno.ECONNABORTED)
-        share = world.settings.aborted_accepts
-        if share and sock.state == State.CLOSE and sock.link is not None and sock.link.random() < share:
-            raise fault(errno.ECONNABORTED)
+            raise os_error(errno.ECONNABORTED)
+        fraction = world.settings.aborted_accepts
+        if fraction and sock.state == State.CLOSE and sock.link is not None and sock.link.random() < fraction:
+            raise os_error(errno.ECONNABORTED)
         sock.process = process
         sock.fd = process.allocate(sock)
         if world.taps:
-            world.tell("accepted", conn)
+            world.notify_taps("accepted", conn)
         return sock, conn.client.ip
 
     def connection(self) -> Socket:
@@ -1040,7 +1040,7 @@
     def set_unacknowledged_timeout(self, sock: Socket, seconds: float) -> None:
         """Set the time after which unacknowledged bytes fail a connection; no keepalive probes are sent."""
         assert isinstance(sock, VirtualSocket)
-        sock.silence_ns = int(seconds * 1e9)
+        sock.unacknowledged_timeout_ns = int(seconds * 1e9)
 
     def on_signal(self, number: int, call: Callable[[], None]) -> None:
         """Install a signal handler."""
@@ -1058,13 +1058,13 @@
 
     def file_sink(self, path: str) -> Sink:
         """Create a sink that writes to a file on the machine, which outlives the process."""
-        kept = self.machine.files.setdefault(path, bytearray())
+        content = self.machine.files.setdefault(path, bytearray())
         most = self.world.settings.output_bytes
 
         def take(data: bytes) -> None:
-            kept.extend(data)
-            if len(kept) > most:
-                del kept[: len(kept) - most]
+            content.extend(data)
+            if len(content) > most:
+                del content[: len(content) - most]
 
         return self._sink(f"file {path}", take)
 
--- a/brambleusher/lab/virtual/zone_days.py
+++ b/brambleusher/lab/virtual/zone_days.py
@@ -32,7 +32,7 @@
 
 SECOND = 10**9
 ZONES = ("atl-north", "atl-south", "macon", "augusta")
-LOOK_NS = 50_000_000
+SAMPLE_INTERVAL_NS = 50_000_000
 WINDOW_S = 2.0  # length of the windows in which service is counted; a new window begins every half window
 FALL_S, FALL_MULTIPLE = 2.0, 4.0
 CLASSES = (  # request classes of the lab's usual world
@@ -109,19 +109,20 @@
     asks: list[Ask] = []
     at = 0.0
     while (at := at + rng.expovariate(world.requests_per_s)) < world.length_s - 0.05:
-        of = rng.choices(world.classes, [each.share for each in world.classes])[0]
-        work = of.draw_work(rng)
+        cls = rng.choices(world.classes, [each.share for each in world.classes])[0]
+        work = cls.draw_work(rng)
         asks.append(
             Ask(
-                id=f"{rng.getrandbits(64):016x}", at_s=round(at, 6), request_class=of.name, unsafe=of.unsafe,
-                wait_s=of.deadline_s, work_s=round(work, 6),
-                body_bytes=64 if of.unsafe else 0, sidecar=rng.randrange(len(world.sidecars)),
+                id=f"{rng.getrandbits(64):016x}", at_s=round(at, 6),
+                request_class=cls.name, unsafe=cls.unsafe,
+                wait_s=cls.deadline_s, work_s=round(work, 6),
+                body_bytes=64 if cls.unsafe else 0, sidecar=rng.randrange(len(world.sidecars)),
             )
         )  # fmt: skip
     return tuple(asks)
 
 
-class Watch:
+class QueueSampler:
     """Sampler of all nodes' queues while a fleet runs."""
 
     def __init__(self, fleet: Fleet) -> None:
@@ -130,28 +131,28 @@
         # Start and end of the periods in which a node held more requests than it has slots, in seconds.
         self.over: dict[str, list[tuple[float, float]]] = defaultdict(list)
         self.held: dict[str, float] = defaultdict(float)  # highest ratio of held requests to slots, by node
-        fleet.world.at(fleet.begins_ns, self._look)
+        fleet.world.at(fleet.begins_ns, self._sample)
 
-    def _look(self) -> None:
+    def _sample(self) -> None:
         world = self._fleet.world
-        for place in self._fleet.places:
-            node, settings = place.node, place.figures.settings
-            part = 0.0
-            if node is not None and place.up:
+        for slot in self._fleet.places:
+            node, settings = slot.node, slot.figures.settings
+            load = 0.0
+            if node is not None and slot.up:
                 node.machine.advance(world.now_ns / SECOND)
-                part = node.machine.held / (settings.cores * settings.slots_per_core)
-            self.held[place.figures.id] = max(self.held[place.figures.id], part)
-            if part > 1.0:
-                self._since.setdefault(place.figures.id, world.now_ns)
-            elif place.figures.id in self._since:
-                self._note(place.figures.id)
+                load = node.machine.held / (settings.cores * settings.slots_per_core)
+            self.held[slot.figures.id] = max(self.held[slot.figures.id], load)
+            if load > 1.0:
+                self._since.setdefault(slot.figures.id, world.now_ns)
+            elif slot.figures.id in self._since:
+                self._end_period(slot.figures.id)
         if world.now_ns < self._fleet.ends_ns + SECOND:
-            world.after(LOOK_NS, self._look)
+            world.after(SAMPLE_INTERVAL_NS, self._sample)
         else:
             for name in list(self._since):
-                self._note(name)
+                self._end_period(name)
 
-    def _note(self, name: str) -> None:
+    def _end_period(self, name: str) -> None:
         begin, now = self._since.pop(name), self._fleet.world.now_ns
         start = self._fleet.begins_ns
         self.over[name].append(((begin - start) / SECOND, (now - start) / SECOND))
@@ -202,38 +203,38 @@
         return max(spans, default=0.0)
 
 
-def work_sent(came: Sequence[tuple[float, float, float]], window_s: float = FALL_S) -> float:
+def work_sent(arrivals: Sequence[tuple[float, float, float]], window_s: float = FALL_S) -> float:
     """Return the highest ratio of the work received in a window to the node's capacity in that window.
 
     The ratio follows the checker's `cold` rule with a multiple of one, and with that rule's allowance for
     chance: one standard deviation of the number of requests that there is room for.
 
     Args:
-        came: The time, the work and the node's capacity at that time, for each request in order of arrival.
+        arrivals: The time, the work and the node's capacity at that time, for each request in order.
         window_s: The length of the window, in seconds.
     """
     first, total, most = 0, 0.0, 0.0
-    for at, (when, work, capacity) in enumerate(came):
+    for at, (when, work, capacity) in enumerate(arrivals):
         total += work
-        while came[first][0] <= when - window_s:
-            total -= came[first][1]
+        while arrivals[first][0] <= when - window_s:
+            total -= arrivals[first][1]
             first += 1
-        room = capacity * window_s
-        most = max(most, total / (room + math.sqrt(room * total / (at - first + 1))))
+        available = capacity * window_s
+        most = max(most, total / (available + math.sqrt(available * total / (at - first + 1))))
     return most
 
 
-def books_of(fleet: Fleet, watch: Watch, returns: tuple[str, float] | None = None) -> Books:
+def books_of(fleet: Fleet, sampler: QueueSampler, returns: tuple[str, float] | None = None) -> Books:
     """Compute the statistics of a fleet that has run.
 
     Args:
         fleet: The fleet.
-        watch: The sampler that observed the fleet.
+        sampler: The sampler that observed the fleet's queues.
         returns: The zone whose cold nodes are examined, and the time in seconds from which their work counts.
     """
     scenario = fleet.scenario
     seconds = math.ceil(scenario.world.length_s)
-    zone_of = {place.figures.id: place.figures.zone for place in fleet.places}
+    zone_of = {slot.figures.id: slot.figures.zone for slot in fleet.places}
     home_of = [each.zone for each in scenario.world.sidecars]
     aims = {each.name: each.aim_s for each in CLASSES}
 
@@ -264,19 +265,19 @@
         home.update((each.id, home_of[ask.sidecar]) for each in one.tries)
     went: list[dict[str, int]] = [defaultdict(int) for _ in range(seconds)]
     crossed = [0] * seconds
-    came: dict[str, list[tuple[float, float, float]]] = defaultdict(list)
+    arrivals: dict[str, list[tuple[float, float, float]]] = defaultdict(list)
     for work in fleet.executions:
         at, zone = second(work.came_ns), zone_of[work.node]
         went[at][zone] += 1
         crossed[at] += home.get(work.request) != zone
         when = (work.came_ns - fleet.begins_ns) / SECOND
         if returns is not None and work.cold and zone == returns[0] and when >= returns[1]:
-            came[work.node].append((when, work.work_s, work.capacity))
+            arrivals[work.node].append((when, work.work_s, work.capacity))
     return Books(
         asked=asked, served=served, in_time=in_time, homes=homes, went=[dict(each) for each in went],
-        crossed=crossed, over=[(name, *span) for name, spans in watch.over.items() for span in spans],
-        held=dict(watch.held), pushed={name: work_sent(there) for name, there in came.items()},
-        fallen=sum(place.fallen for place in fleet.places), run_twice=twice, lost=lost,
+        crossed=crossed, over=[(name, *span) for name, spans in sampler.over.items() for span in spans],
+        held=dict(sampler.held), pushed={name: work_sent(there) for name, there in arrivals.items()},
+        fallen=sum(slot.fallen for slot in fleet.places), run_twice=twice, lost=lost,
     )  # fmt: skip
 
 
@@ -291,6 +292,6 @@
     with world_of(scenario) as world:
         fleet = Fleet(scenario, world)
         fleet.new_balancer = make
-        watch = Watch(fleet)
+        sampler = QueueSampler(fleet)
         fleet.play()
-        return books_of(fleet, watch, returns)
+        return books_of(fleet, sampler, returns)
--- a/tests/lab/test_world.py
+++ b/tests/lab/test_world.py
@@ -527,7 +527,7 @@
             log.removeHandler(handler)
         for process in processes:
             assert process.stderr.endswith(process.name.encode() + b" 199\n")
-            assert len(process.stderr) == 1000 and process.stderr_lost > 0
+            assert len(process.stderr) == 1000 and process.stderr_dropped > 0
 
 
 @pytest.mark.parametrize("how", ["cut", "back", "silence"])
