--- a/tests/lab/lab_builders.py
+++ b/tests/lab/lab_builders.py
@@ -1,4 +1,4 @@
-"""A small virtual world for tests of the lab: machines, programs on them, and raw talk."""
+"""Builders of a small virtual world for the lab's tests: machines, programs on them, and raw connections."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Lab:
-    """`server` and `client` machines; programs get a scheduler and may park."""
+    """A world with a `server` and a `client` machine, whose programs run as tasks of a scheduler."""
 
     def __init__(self, seed: int = 1, settings: WorldSettings = PLAIN) -> None:
         self.world = World(seed, settings)
@@ -29,7 +29,7 @@
         self.client = self.world.machine("client", "10.0.0.2")
 
     def on(self, where: str, build: Callable[[Scheduler], Any]) -> Any:
-        """What `build` makes in a process of its own, once it runs."""
+        """Start a process that calls `build` with its scheduler, and return the result."""
         made: list[Any] = []
 
         def main(system: VirtualSystem) -> None:
@@ -43,7 +43,7 @@
         return made[0]
 
     def call(self, scheduler: Scheduler, call: Callable[[], object]) -> None:
-        """Have a process make a call, as a fault plan does."""
+        """Run a call in a scheduler's process, as a fault plan does."""
         done: list[int] = []
 
         def both() -> None:
@@ -54,7 +54,7 @@
         self.world.run(until=lambda: bool(done))
 
     def do(self, task: Callable[[Scheduler], Any], seconds: float = 60.0) -> Any:
-        """What a task on the client machine returns or raises."""
+        """Run a task on the client machine, and return its result or raise its exception."""
         ended: list[Any] = []
 
         def main(system: VirtualSystem) -> None:
@@ -72,13 +72,16 @@
 
         self.client.start(main)
         self.world.run(self.world.now_ns + int(seconds * SECOND), lambda: bool(ended))
-        assert ended, "it did not end in time"
+        assert ended, "the task on the client machine did not end in time"
         if isinstance(ended[0], Exception):
             raise ended[0]
         return ended[0]
 
     def talk(self, *parts: bytes, wait: float = 5.0, pause: float = 0.0) -> tuple[bytes, str]:
-        """Send bytes; what came back until the end, a reset, or until nothing came for a while."""
+        """Send bytes to the server, and return the response with how it ended.
+
+        The response ends with the connection's end, an error, or a silence of `wait` seconds.
+        """
 
         def task(scheduler: Scheduler) -> tuple[bytes, str]:
             got = bytearray()
--- a/tests/lab/test_checker.py
+++ b/tests/lab/test_checker.py
@@ -1,4 +1,4 @@
-"""The checker against synthetic wires: for each rule, wires that keep it and wires that break it."""
+"""Tests of the checker on synthetic traffic that keeps or breaks each rule."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     },
 }  # fmt: skip
 A, B = "a", "b"
-PLACES = {A: ("10.1.0.1", 9000), B: ("10.1.0.2", 9000)}
+NODE_ADDRESSES = {A: ("10.1.0.1", 9000), B: ("10.1.0.2", 9000)}
 DISCOVERY = ("10.2.0.1", 8500)
 
 
@@ -56,7 +56,7 @@
 
 
 @dataclass
-class Ran:
+class ExecutionRecord:
     node: str
     request: str
     came_ns: int
@@ -69,11 +69,11 @@
 
 
 def entry(name: str, state: str = "Ready", started_ms: int = 0, at: str = "") -> dict[str, Any]:
-    ip, port = PLACES[at or name]
+    ip, port = NODE_ADDRESSES[at or name]
     return {"id": name, "addr": f"{ip}:{port}", "state": state, "weight": 1.0, "started_ms": started_ms}
 
 
-def listing(*servers: dict[str, Any], version: int = 8, full: bool = False) -> bytes:
+def list_line(*servers: dict[str, Any], version: int = 8, full: bool = False) -> bytes:
     return json.dumps({"version": version, "full": full, "servers": servers}).encode() + b"\n"
 
 
@@ -84,7 +84,7 @@
     return "\r\n".join([*lines, "", ""]).encode() + body
 
 
-def ask(name: str, cls: str = "move", wait_ms: str = "1000", **more: str) -> bytes:
+def request_bytes(name: str, cls: str = "move", wait_ms: str = "1000", **more: str) -> bytes:
     body = b"" if cls == "look" else b"pay"
     first = f"{'GET' if cls == 'look' else 'POST'} /{cls}?q=1 HTTP/1.1"
     headers = {"Request_Id": name, "Request_Class": cls, "Tenant": "acme", "Request_Timeout_Ms": wait_ms}
@@ -92,14 +92,14 @@
 
 
 @dataclass
-class Play:
-    """A wire on which nothing takes time; a test moves the clock."""
+class Traffic:
+    """Synthetic traffic without delays, fed to a checker; a test advances the clock itself."""
 
     now: int = 10 * S
-    ran: list[Ran] = field(default_factory=list)
+    executions: list[ExecutionRecord] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        self.checker = Checker(Rules.of(SETTINGS), self.ran)
+        self.checker = Checker(Rules.of(SETTINGS), self.executions)
         self.number = 0
         known = {"version": 7, "full": True, "servers": [entry(A), entry(B)]}
         self.checker.sidecar(
@@ -114,11 +114,11 @@
             },
         )
         self.checker.true_list(self.now, known["servers"], True)  # type: ignore[arg-type]
-        for name, place in PLACES.items():
+        for name, place in NODE_ADDRESSES.items():
             self.checker.node(self.now, name, place, 0)
         self.checker.process(self.now, "m0", "started")
 
-    def wait(self, ns: int) -> Play:
+    def wait(self, ns: int) -> Traffic:
         self.checker.step(self.now)
         self.now += ns
         self.checker.step(self.now)
@@ -139,8 +139,8 @@
     def client(self, machine: str = "clients", accept: bool = True) -> Conn:
         return self.connect(("10.0.0.1", 80), machine, accept)
 
-    def pass_(self, conn: Conn, side: str, data: bytes, read: bool = True, arrive: bool = True) -> None:
-        """Bytes from one side, to the other."""
+    def transfer(self, conn: Conn, side: str, data: bytes, read: bool = True, arrive: bool = True) -> None:
+        """Send bytes from one side of a connection, and let them arrive and be read at the other."""
         other = "server" if side == "client" else "client"
         self.checker.sent(self.now, conn, side, data)
         if arrive:
@@ -148,57 +148,63 @@
         if arrive and read:
             self.checker.read(self.now, conn, other, data)
 
-    def take(self, name: str = "r1", cls: str = "move", conn: Conn | None = None, **more: str) -> Conn:
+    def send_request(
+        self, name: str = "r1", cls: str = "move", conn: Conn | None = None, **more: str
+    ) -> Conn:
         conn = conn or self.client()
-        self.pass_(conn, "client", ask(name, cls, **more))
+        self.transfer(conn, "client", request_bytes(name, cls, **more))
         return conn
 
-    def claim(
+    def send_attempt(
         self, name: str = "r1", cls: str = "move", node: str = A, conn: Conn | None = None, data: bytes = b""
     ) -> Conn:
-        conn = conn or self.connect(PLACES[node])
-        self.pass_(conn, "client", data or ask(name, cls))
+        conn = conn or self.connect(NODE_ADDRESSES[node])
+        self.transfer(conn, "client", data or request_bytes(name, cls))
         return conn
 
-    def run(self, name: str = "r1", node: str = A, answer: bytes = b"", **more: Any) -> bytes:
+    def execute(self, name: str = "r1", node: str = A, answer: bytes = b"", **more: Any) -> bytes:
         answer = answer or f"{node} made it for {name}".encode()
-        self.ran.append(Ran(node, name, self.now, began_ns=self.now, answer=answer, **more))
+        self.executions.append(
+            ExecutionRecord(node, name, self.now, began_ns=self.now, answer=answer, **more)
+        )
         return answer
 
     def node_answers(self, conn: Conn, first: str, body: bytes = b"", **headers: str) -> None:
-        self.pass_(conn, "server", http(f"HTTP/1.1 {first}", body, **headers))
+        self.transfer(conn, "server", http(f"HTTP/1.1 {first}", body, **headers))
 
     def answer(self, conn: Conn, status: int, body: bytes = b"") -> None:
-        self.pass_(conn, "server", http(f"HTTP/1.1 {status} X", body))
+        self.transfer(conn, "server", http(f"HTTP/1.1 {status} X", body))
 
-    def watch(self, at: tuple[str, int] = DISCOVERY, since: str = "&since=7") -> Conn:
+    def open_watch(self, at: tuple[str, int] = DISCOVERY, since: str = "&since=7") -> Conn:
         conn = self.connect(at)
-        self.pass_(conn, "client", http(f"GET /v1/endpoints?follow=1{since} HTTP/1.1"))
-        self.pass_(conn, "server", b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        self.transfer(conn, "client", http(f"GET /v1/endpoints?follow=1{since} HTTP/1.1"))
+        self.transfer(conn, "server", b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         return conn
 
-    def tell(self, watch: Conn, line: bytes, arrive: bool = True) -> None:
-        self.pass_(watch, "server", b"%x\r\n%s\r\n" % (len(line), line), arrive=arrive)
+    def send_list(self, watch: Conn, line: bytes, arrive: bool = True) -> None:
+        self.transfer(watch, "server", b"%x\r\n%s\r\n" % (len(line), line), arrive=arrive)
 
-    def serve(self, name: str = "r1", cls: str = "move", node: str = A, conn: Conn | None = None) -> Conn:
-        """A request from its taking to its answer."""
-        conn = self.take(name, cls, conn)
-        claim = self.claim(name, cls, node)
-        body = self.run(name, node)
+    def serve_request(
+        self, name: str = "r1", cls: str = "move", node: str = A, conn: Conn | None = None
+    ) -> Conn:
+        """Play a complete request, from its arrival at the sidecar to the answer."""
+        conn = self.send_request(name, cls, conn)
+        claim = self.send_attempt(name, cls, node)
+        body = self.execute(name, node)
         self.node_answers(claim, "200 OK", body)
         self.answer(conn, 200, body)
         return claim
 
 
-Wires = list[tuple[str, str, Callable[[Play], object]]]
-WIRES: Wires = []
+Cases = list[tuple[str, str, Callable[[Traffic], object]]]
+CASES: Cases = []
 
 
-def wire(rule: str) -> Callable[[Callable[[Play], object]], Callable[[Play], object]]:
-    """A wire that breaks one rule, once; or none."""
+def case(rule: str) -> Callable[[Callable[[Traffic], object]], Callable[[Traffic], object]]:
+    """Register a case of traffic that breaks one rule exactly once, or no rule if `rule` is empty."""
 
-    def add(call: Callable[[Play], object]) -> Callable[[Play], object]:
-        WIRES.append((rule, call.__name__, call))
+    def add(call: Callable[[Traffic], object]) -> Callable[[Traffic], object]:
+        CASES.append((rule, call.__name__, call))
         return call
 
     return add
@@ -207,1126 +213,1133 @@
 # --- answers --------------------------------------------------------------------------------------
 
 
-@wire("")
-def served(play: Play) -> None:
-    play.serve()
+@case("")
+def served(traffic: Traffic) -> None:
+    traffic.serve_request()
 
 
-@wire("")
-def served_byte_by_byte(play: Play) -> None:
-    conn, claim = play.client(), play.connect(PLACES[A])
-    for at in range(len(ask("r1"))):
-        play.pass_(conn, "client", ask("r1")[at : at + 1])
-    for at in range(len(ask("r1"))):
-        play.pass_(claim, "client", ask("r1")[at : at + 1])
-    body = play.run()
-    play.node_answers(claim, "200 OK", body)
+@case("")
+def served_byte_by_byte(traffic: Traffic) -> None:
+    conn, claim = traffic.client(), traffic.connect(NODE_ADDRESSES[A])
+    for at in range(len(request_bytes("r1"))):
+        traffic.transfer(conn, "client", request_bytes("r1")[at : at + 1])
+    for at in range(len(request_bytes("r1"))):
+        traffic.transfer(claim, "client", request_bytes("r1")[at : at + 1])
+    body = traffic.execute()
+    traffic.node_answers(claim, "200 OK", body)
     data = http("HTTP/1.1 200 OK", body)
     for at in range(len(data)):
-        play.pass_(conn, "server", data[at : at + 1])
+        traffic.transfer(conn, "server", data[at : at + 1])
 
 
-@wire("")
-def served_at_the_last_moment(play: Play) -> None:
-    conn = play.take(cls="look")
-    claim, body = play.claim(cls="look"), play.run()
-    play.node_answers(claim, "200 OK", body)
-    play.wait(1050 * MS)
-    play.answer(conn, 200, body)
+@case("")
+def served_at_the_last_moment(traffic: Traffic) -> None:
+    conn = traffic.send_request(cls="look")
+    claim, body = traffic.send_attempt(cls="look"), traffic.execute()
+    traffic.node_answers(claim, "200 OK", body)
+    traffic.wait(1050 * MS)
+    traffic.answer(conn, 200, body)
 
 
-@wire("answer")
-def served_a_nanosecond_later(play: Play) -> None:
-    conn = play.take(cls="look")
-    claim, body = play.claim(cls="look"), play.run()
-    play.node_answers(claim, "200 OK", body)
-    play.wait(1050 * MS + 1)
-    play.answer(conn, 200, body)
+@case("answer")
+def served_a_nanosecond_later(traffic: Traffic) -> None:
+    conn = traffic.send_request(cls="look")
+    claim, body = traffic.send_attempt(cls="look"), traffic.execute()
+    traffic.node_answers(claim, "200 OK", body)
+    traffic.wait(1050 * MS + 1)
+    traffic.answer(conn, 200, body)
 
 
-@wire("answer")
-def never_answered(play: Play) -> None:
-    play.take()
+@case("answer")
+def never_answered(traffic: Traffic) -> None:
+    traffic.send_request()
 
 
-@wire("answer")
-def half_an_answer(play: Play) -> None:
-    conn = play.take(cls="look")
-    play.pass_(conn, "server", b"HTTP/1.1 502 X\r\nContent-Length: 5\r\n\r\nab")
+@case("answer")
+def half_an_answer(traffic: Traffic) -> None:
+    conn = traffic.send_request(cls="look")
+    traffic.transfer(conn, "server", b"HTTP/1.1 502 X\r\nContent-Length: 5\r\n\r\nab")
 
 
-@wire("answer")
-def closed_without_an_answer(play: Play) -> None:
-    conn = play.take()
-    play.checker.closed(play.now, conn, "server")
-    play.wait(1)
-    play.checker.closed(play.now, conn, "client")
+@case("answer")
+def closed_without_an_answer(traffic: Traffic) -> None:
+    conn = traffic.send_request()
+    traffic.checker.closed(traffic.now, conn, "server")
+    traffic.wait(1)
+    traffic.checker.closed(traffic.now, conn, "client")
 
 
-@wire("")
-def a_close_that_crosses_a_request(play: Play) -> None:
-    conn = play.client()
-    play.serve(conn=conn)
-    play.pass_(conn, "client", ask("r2"), read=False)
-    play.checker.closed(play.now, conn, "server")
-    play.wait(1)
-    play.serve("r2")
+@case("")
+def a_close_that_crosses_a_request(traffic: Traffic) -> None:
+    conn = traffic.client()
+    traffic.serve_request(conn=conn)
+    traffic.transfer(conn, "client", request_bytes("r2"), read=False)
+    traffic.checker.closed(traffic.now, conn, "server")
+    traffic.wait(1)
+    traffic.serve_request("r2")
 
 
-@wire("once")
-def run_more_often_than_it_was_taken(play: Play) -> None:
-    conn = play.take()
-    play.run()
-    play.wait(1)
-    play.serve()
-    play.answer(conn, 502)
-    play.run()
+@case("once")
+def run_more_often_than_it_was_taken(traffic: Traffic) -> None:
+    conn = traffic.send_request()
+    traffic.execute()
+    traffic.wait(1)
+    traffic.serve_request()
+    traffic.answer(conn, 502)
+    traffic.execute()
 
 
-@wire("answer")
-def dropped_from_the_queue(play: Play) -> None:
-    conn = play.client(accept=False)
-    play.pass_(conn, "client", ask("r1"), read=False)
-    play.checker.ended(play.now, conn, "client", "reset")
-    play.wait(1)
-    play.checker.closed(play.now, conn, "client")
+@case("answer")
+def dropped_from_the_queue(traffic: Traffic) -> None:
+    conn = traffic.client(accept=False)
+    traffic.transfer(conn, "client", request_bytes("r1"), read=False)
+    traffic.checker.ended(traffic.now, conn, "client", "reset")
+    traffic.wait(1)
+    traffic.checker.closed(traffic.now, conn, "client")
 
 
-@wire("")
-def not_accepted_without_descriptors(play: Play) -> None:
-    play.checker.starved(play.now, "m0", True)
-    play.take(conn=play.client(accept=False))
-    play.wait(500 * MS).checker.starved(play.now, "m0", False)
+@case("")
+def not_accepted_without_descriptors(traffic: Traffic) -> None:
+    traffic.checker.starved(traffic.now, "m0", True)
+    traffic.send_request(conn=traffic.client(accept=False))
+    traffic.wait(500 * MS).checker.starved(traffic.now, "m0", False)
 
 
-@wire("answer")
-def not_accepted_with_descriptors(play: Play) -> None:
-    play.checker.starved(play.now, "m0", True)
-    play.wait(500 * MS).checker.starved(play.now, "m0", False)
-    play.wait(1).take(conn=play.client(accept=False))
+@case("answer")
+def not_accepted_with_descriptors(traffic: Traffic) -> None:
+    traffic.checker.starved(traffic.now, "m0", True)
+    traffic.wait(500 * MS).checker.starved(traffic.now, "m0", False)
+    traffic.wait(1).send_request(conn=traffic.client(accept=False))
 
 
-@wire("answer")
-def accepted_and_not_answered_without_descriptors(play: Play) -> None:
-    play.checker.starved(play.now, "m0", True)
-    play.take()
+@case("answer")
+def accepted_and_not_answered_without_descriptors(traffic: Traffic) -> None:
+    traffic.checker.starved(traffic.now, "m0", True)
+    traffic.send_request()
 
 
-@wire("")
-def told_late_what_was_not_accepted_without_descriptors(play: Play) -> None:
-    play.checker.starved(play.now, "m0", True)
-    conn = play.client(accept=False)
-    play.take(conn=conn)
-    play.wait(1050 * MS - 2)
-    play.checker.accepted(play.now, conn)
-    play.now += 4
-    play.answer(conn, 503)
+@case("")
+def told_late_what_was_not_accepted_without_descriptors(traffic: Traffic) -> None:
+    traffic.checker.starved(traffic.now, "m0", True)
+    conn = traffic.client(accept=False)
+    traffic.send_request(conn=conn)
+    traffic.wait(1050 * MS - 2)
+    traffic.checker.accepted(traffic.now, conn)
+    traffic.now += 4
+    traffic.answer(conn, 503)
 
 
-@wire("")
-def the_client_leaves(play: Play) -> None:
-    conn = play.take()
-    play.checker.closed(play.now, conn, "client")
+@case("")
+def the_client_leaves(traffic: Traffic) -> None:
+    conn = traffic.send_request()
+    traffic.checker.closed(traffic.now, conn, "client")
 
 
-@wire("answer")
-def the_answer_is_overtaken_by_a_reset(play: Play) -> None:
-    conn = play.take()
-    play.pass_(conn, "server", http("HTTP/1.1 502 X"), arrive=False)
-    play.checker.closed(play.now, conn, "server")
-    play.checker.ended(play.now, conn, "client", "reset")
+@case("answer")
+def the_answer_is_overtaken_by_a_reset(traffic: Traffic) -> None:
+    conn = traffic.send_request()
+    traffic.transfer(conn, "server", http("HTTP/1.1 502 X"), arrive=False)
+    traffic.checker.closed(traffic.now, conn, "server")
+    traffic.checker.ended(traffic.now, conn, "client", "reset")
 
 
-@wire("")
-def the_client_ends_its_sending(play: Play) -> None:
-    play.checker.ended(play.now, play.take(), "server", "fin")
+@case("")
+def the_client_ends_its_sending(traffic: Traffic) -> None:
+    traffic.checker.ended(traffic.now, traffic.send_request(), "server", "fin")
 
 
-@wire("")
-def the_network_breaks_its_connection(play: Play) -> None:
-    play.checker.ended(play.now, play.take(), "client", "reset")
+@case("")
+def the_network_breaks_its_connection(traffic: Traffic) -> None:
+    traffic.checker.ended(traffic.now, traffic.send_request(), "client", "reset")
 
 
-@wire("")
-def a_reset_behind_an_answer(play: Play) -> None:
-    conn = play.take()
-    play.answer(conn, 502)
-    play.checker.closed(play.now, conn, "server")
-    play.checker.ended(play.now, conn, "client", "reset")
+@case("")
+def a_reset_behind_an_answer(traffic: Traffic) -> None:
+    conn = traffic.send_request()
+    traffic.answer(conn, 502)
+    traffic.checker.closed(traffic.now, conn, "server")
+    traffic.checker.ended(traffic.now, conn, "client", "reset")
 
 
-@wire("")
-def the_client_does_not_read(play: Play) -> None:
-    conn = play.take(cls="look")
-    play.pass_(conn, "server", b"HTTP/1.1 502 X\r\nContent-Length: 5\r\n\r\nab", read=False)
+@case("")
+def the_client_does_not_read(traffic: Traffic) -> None:
+    conn = traffic.send_request(cls="look")
+    traffic.transfer(conn, "server", b"HTTP/1.1 502 X\r\nContent-Length: 5\r\n\r\nab", read=False)
 
 
-def held_up(play: Play, after: int) -> None:
-    """The network brings a request 100 ms late: its time runs from there."""
-    conn = play.client()
-    play.checker.sent(play.now, conn, "client", ask("r1"))
-    play.wait(100 * MS).checker.arrived(play.now, conn, "server", ask("r1"))
-    play.checker.read(play.now, conn, "server", ask("r1"))
-    play.wait(after).answer(conn, 502)
+def delay_request(traffic: Traffic, after: int) -> None:
+    """Delay a request by 100 ms on the network; its deadline counts from its arrival."""
+    conn = traffic.client()
+    traffic.checker.sent(traffic.now, conn, "client", request_bytes("r1"))
+    traffic.wait(100 * MS).checker.arrived(traffic.now, conn, "server", request_bytes("r1"))
+    traffic.checker.read(traffic.now, conn, "server", request_bytes("r1"))
+    traffic.wait(after).answer(conn, 502)
 
 
-@wire("")
-def held_up_and_answered_in_time(play: Play) -> None:
-    held_up(play, 1050 * MS)
+@case("")
+def held_up_and_answered_in_time(traffic: Traffic) -> None:
+    delay_request(traffic, 1050 * MS)
 
 
-@wire("answer")
-def held_up_and_answered_too_late(play: Play) -> None:
-    held_up(play, 1050 * MS + 1)
+@case("answer")
+def held_up_and_answered_too_late(traffic: Traffic) -> None:
+    delay_request(traffic, 1050 * MS + 1)
 
 
-@wire("")
-def held_up_in_part(play: Play) -> None:
-    conn, data = play.client(), ask("r1")
-    play.checker.sent(play.now, conn, "client", data)
-    play.checker.arrived(play.now, conn, "server", data[:9])
-    play.wait(100 * MS).checker.arrived(play.now, conn, "server", data[9:])
-    play.checker.read(play.now, conn, "server", data)
-    play.wait(1050 * MS).answer(conn, 502)
+@case("")
+def held_up_in_part(traffic: Traffic) -> None:
+    conn, data = traffic.client(), request_bytes("r1")
+    traffic.checker.sent(traffic.now, conn, "client", data)
+    traffic.checker.arrived(traffic.now, conn, "server", data[:9])
+    traffic.wait(100 * MS).checker.arrived(traffic.now, conn, "server", data[9:])
+    traffic.checker.read(traffic.now, conn, "server", data)
+    traffic.wait(1050 * MS).answer(conn, 502)
 
 
-def ahead(play: Play, after: int) -> Conn:
-    """Two requests at once: the second one's time runs from the answer to the first."""
-    conn = play.client()
-    play.pass_(conn, "client", ask("r1", "look") + ask("r2", "look"))
-    play.wait(900 * MS).answer(conn, 503)
-    play.wait(after)
+def pipeline_requests(traffic: Traffic, after: int) -> Conn:
+    """Pipeline two requests; the deadline of the second counts from the answer to the first."""
+    conn = traffic.client()
+    traffic.transfer(conn, "client", request_bytes("r1", "look") + request_bytes("r2", "look"))
+    traffic.wait(900 * MS).answer(conn, 503)
+    traffic.wait(after)
     return conn
 
 
-@wire("")
-def sent_ahead_and_answered_in_time(play: Play) -> None:
-    play.answer(ahead(play, 1050 * MS), 503)
+@case("")
+def sent_ahead_and_answered_in_time(traffic: Traffic) -> None:
+    traffic.answer(pipeline_requests(traffic, 1050 * MS), 503)
 
 
-@wire("answer")
-def sent_ahead_and_answered_too_late(play: Play) -> None:
-    play.answer(ahead(play, 1050 * MS + 1), 503)
+@case("answer")
+def sent_ahead_and_answered_too_late(traffic: Traffic) -> None:
+    traffic.answer(pipeline_requests(traffic, 1050 * MS + 1), 503)
 
 
-@wire("")
-def sent_ahead_and_closed(play: Play) -> None:
-    play.checker.closed(play.now, ahead(play, MS), "server")
+@case("")
+def sent_ahead_and_closed(traffic: Traffic) -> None:
+    traffic.checker.closed(traffic.now, pipeline_requests(traffic, MS), "server")
 
 
-@wire("")
-def asked_whether_it_is_ready(play: Play) -> None:
-    conn = play.client()
-    play.pass_(conn, "client", http("GET /ready HTTP/1.1"))
-    play.wait(9 * S).answer(conn, 200, b"ready")
+@case("")
+def asked_whether_it_is_ready(traffic: Traffic) -> None:
+    conn = traffic.client()
+    traffic.transfer(conn, "client", http("GET /ready HTTP/1.1"))
+    traffic.wait(9 * S).answer(conn, 200, b"ready")
 
 
-@wire("")
-def an_id_used_again_after_its_answer(play: Play) -> None:
-    play.serve()
-    play.wait(MS).serve()
+@case("")
+def an_id_used_again_after_its_answer(traffic: Traffic) -> None:
+    traffic.serve_request()
+    traffic.wait(MS).serve_request()
 
 
-@wire("")
-def killed_over_it(play: Play) -> None:
-    conn = play.take()
-    play.checker.closed(play.now, conn, "server")
-    play.checker.process(play.now, "m0", "killed")
+@case("")
+def killed_over_it(traffic: Traffic) -> None:
+    conn = traffic.send_request()
+    traffic.checker.closed(traffic.now, conn, "server")
+    traffic.checker.process(traffic.now, "m0", "killed")
 
 
-@wire("answer")
-def killed_over_what_came_long_after_sigterm(play: Play) -> None:
-    play.checker.process(play.now, "m0", "signal 15")
-    play.wait(700 * MS + 1).take(wait_ms="9000")
-    play.wait(4 * S).checker.process(play.now, "m0", "killed")
+@case("answer")
+def killed_over_what_came_long_after_sigterm(traffic: Traffic) -> None:
+    traffic.checker.process(traffic.now, "m0", "signal 15")
+    traffic.wait(700 * MS + 1).send_request(wait_ms="9000")
+    traffic.wait(4 * S).checker.process(traffic.now, "m0", "killed")
 
 
-@wire("")
-def killed_over_what_came_soon_after_sigterm(play: Play) -> None:
-    play.checker.process(play.now, "m0", "signal 15")
-    play.wait(700 * MS).take(wait_ms="9000")
-    play.wait(4 * S).checker.process(play.now, "m0", "killed")
+@case("")
+def killed_over_what_came_soon_after_sigterm(traffic: Traffic) -> None:
+    traffic.checker.process(traffic.now, "m0", "signal 15")
+    traffic.wait(700 * MS).send_request(wait_ms="9000")
+    traffic.wait(4 * S).checker.process(traffic.now, "m0", "killed")
 
 
-@wire("answer")
-def ends_over_it_after_sigterm(play: Play) -> None:
-    play.take()
-    play.checker.process(play.now, "m0", "signal 15")
-    play.checker.process(play.now, "m0", "exited")
+@case("answer")
+def ends_over_it_after_sigterm(traffic: Traffic) -> None:
+    traffic.send_request()
+    traffic.checker.process(traffic.now, "m0", "signal 15")
+    traffic.checker.process(traffic.now, "m0", "exited")
 
 
-@wire("crash")
-def ends_unasked(play: Play) -> None:
-    play.checker.process(play.now, "m0", "exited")
+@case("crash")
+def ends_unasked(traffic: Traffic) -> None:
+    traffic.checker.process(traffic.now, "m0", "exited")
 
 
-@wire("one-answer")
-def two_answers(play: Play) -> None:
-    conn = play.take()
-    play.answer(conn, 502)
-    play.answer(conn, 502)
+@case("one-answer")
+def two_answers(traffic: Traffic) -> None:
+    conn = traffic.send_request()
+    traffic.answer(conn, 502)
+    traffic.answer(conn, 502)
 
 
-@wire("one-answer")
-def two_answers_at_once(play: Play) -> None:
-    conn = play.take()
-    play.pass_(conn, "server", http("HTTP/1.1 502 X") * 2)
+@case("one-answer")
+def two_answers_at_once(traffic: Traffic) -> None:
+    conn = traffic.send_request()
+    traffic.transfer(conn, "server", http("HTTP/1.1 502 X") * 2)
 
 
-@wire("")
-def told_off_for_half_a_request(play: Play) -> None:
-    conn = play.client()
-    play.pass_(conn, "client", ask("r1")[:50])
-    play.answer(conn, 408)
+@case("")
+def told_off_for_half_a_request(traffic: Traffic) -> None:
+    conn = traffic.client()
+    traffic.transfer(conn, "client", request_bytes("r1")[:50])
+    traffic.answer(conn, 408)
 
 
-@wire("made-answer")
-def served_with_something_else(play: Play) -> None:
-    conn = play.take()
-    body = play.run()
-    play.claim()
-    play.answer(conn, 200, body[:-1])
+@case("made-answer")
+def served_with_something_else(traffic: Traffic) -> None:
+    conn = traffic.send_request()
+    body = traffic.execute()
+    traffic.send_attempt()
+    traffic.answer(conn, 200, body[:-1])
 
 
-@wire("other-answer")
-def served_with_the_answer_of_another(play: Play) -> None:
-    conn = play.take("r1")
-    play.claim("r1")
-    play.take("r2")
-    body = play.run("r2")
-    play.answer(conn, 200, body)
-    play.checker.process(play.now, "m0", "killed")
+@case("other-answer")
+def served_with_the_answer_of_another(traffic: Traffic) -> None:
+    conn = traffic.send_request("r1")
+    traffic.send_attempt("r1")
+    traffic.send_request("r2")
+    body = traffic.execute("r2")
+    traffic.answer(conn, 200, body)
+    traffic.checker.process(traffic.now, "m0", "killed")
 
 
-# --- what may not be repeated ---------------------------------------------------------------------
+# --- non-idempotent requests ----------------------------------------------------------------------
 
 
-@wire("")
-def refused_before_it_was_sent(play: Play) -> None:
-    play.answer(play.take(), 503)
+@case("")
+def refused_before_it_was_sent(traffic: Traffic) -> None:
+    traffic.answer(traffic.send_request(), 503)
 
 
-@wire("")
-def refused_after_proof(play: Play) -> None:
-    conn = play.take()
-    play.node_answers(play.claim(), "503 X", Not_Started="1")
-    play.answer(conn, 503)
+@case("")
+def refused_after_proof(traffic: Traffic) -> None:
+    conn = traffic.send_request()
+    traffic.node_answers(traffic.send_attempt(), "503 X", Not_Started="1")
+    traffic.answer(conn, 503)
 
 
-@wire("refusal")
-def refused_after_a_503_that_proves_nothing(play: Play) -> None:
-    conn = play.take()
-    play.node_answers(play.claim(), "503 X")
-    play.answer(conn, 503)
+@case("refusal")
+def refused_after_a_503_that_proves_nothing(traffic: Traffic) -> None:
+    conn = traffic.send_request()
+    traffic.node_answers(traffic.send_attempt(), "503 X")
+    traffic.answer(conn, 503)
 
 
-@wire("refusal")
-def refused_after_a_reset(play: Play) -> None:
-    conn = play.take()
-    play.checker.ended(play.now, play.claim(), "client", "reset")
-    play.answer(conn, 429)
+@case("refusal")
+def refused_after_a_reset(traffic: Traffic) -> None:
+    conn = traffic.send_request()
+    traffic.checker.ended(traffic.now, traffic.send_attempt(), "client", "reset")
+    traffic.answer(conn, 429)
 
 
-@wire("")
-def failed_after_a_reset(play: Play) -> None:
-    conn = play.take()
-    play.checker.ended(play.now, play.claim(), "client", "reset")
-    play.answer(conn, 502)
+@case("")
+def failed_after_a_reset(traffic: Traffic) -> None:
+    conn = traffic.send_request()
+    traffic.checker.ended(traffic.now, traffic.send_attempt(), "client", "reset")
+    traffic.answer(conn, 502)
 
 
-@wire("")
-def what_may_be_repeated_is_refused_and_repeated(play: Play) -> None:
-    conn = play.take(cls="look")
+@case("")
+def what_may_be_repeated_is_refused_and_repeated(traffic: Traffic) -> None:
+    conn = traffic.send_request(cls="look")
     for node in (A, B):
-        play.checker.ended(play.now, play.claim(cls="look", node=node), "client", "reset")
-        play.run(node=node)
-    play.answer(conn, 503)
+        traffic.checker.ended(traffic.now, traffic.send_attempt(cls="look", node=node), "client", "reset")
+        traffic.execute(node=node)
+    traffic.answer(conn, 503)
 
 
-@wire("refusal")
-def refused_after_a_proof_that_came_behind_an_answer(play: Play) -> None:
-    conn, claim = play.take(), play.claim()
-    play.node_answers(claim, "500 X")
-    play.node_answers(claim, "503 X", Not_Started="1")
-    play.answer(conn, 503)
+@case("refusal")
+def refused_after_a_proof_that_came_behind_an_answer(traffic: Traffic) -> None:
+    conn, claim = traffic.send_request(), traffic.send_attempt()
+    traffic.node_answers(claim, "500 X")
+    traffic.node_answers(claim, "503 X", Not_Started="1")
+    traffic.answer(conn, 503)
 
 
-@wire("")
-def sent_again_after_proof(play: Play) -> None:
-    conn = play.take()
-    play.node_answers(play.claim(), "504 X", Not_Started="1")
-    play.node_answers(play.claim(node=B), "200 OK", body := play.run(node=B))
-    play.answer(conn, 200, body)
+@case("")
+def sent_again_after_proof(traffic: Traffic) -> None:
+    conn = traffic.send_request()
+    traffic.node_answers(traffic.send_attempt(), "504 X", Not_Started="1")
+    traffic.node_answers(traffic.send_attempt(node=B), "200 OK", body := traffic.execute(node=B))
+    traffic.answer(conn, 200, body)
 
 
-@wire("")
-def sent_again_after_a_break_before_the_last_byte(play: Play) -> None:
-    conn = play.take()
-    first = play.claim(data=ask("r1")[:-1])
-    play.checker.ended(play.now, first, "client", "reset")
-    play.node_answers(play.claim(node=B), "200 OK", body := play.run(node=B))
-    play.answer(conn, 200, body)
+@case("")
+def sent_again_after_a_break_before_the_last_byte(traffic: Traffic) -> None:
+    conn = traffic.send_request()
+    first = traffic.send_attempt(data=request_bytes("r1")[:-1])
+    traffic.checker.ended(traffic.now, first, "client", "reset")
+    traffic.node_answers(traffic.send_attempt(node=B), "200 OK", body := traffic.execute(node=B))
+    traffic.answer(conn, 200, body)
 
 
-@wire("repeat")
-def sent_again_after_a_reset(play: Play) -> None:
-    conn = play.take()
-    play.checker.ended(play.now, play.claim(), "client", "reset")
-    play.claim(node=B)
-    play.answer(conn, 502)
+@case("repeat")
+def sent_again_after_a_reset(traffic: Traffic) -> None:
+    conn = traffic.send_request()
+    traffic.checker.ended(traffic.now, traffic.send_attempt(), "client", "reset")
+    traffic.send_attempt(node=B)
+    traffic.answer(conn, 502)
 
 
-@wire("once")
-def run_twice(play: Play) -> None:
-    play.serve()
-    play.run(node=B)
+@case("once")
+def run_twice(traffic: Traffic) -> None:
+    traffic.serve_request()
+    traffic.execute(node=B)
 
 
-@wire("attempts")
-def one_attempt_too_many(play: Play) -> None:
-    conn = play.take(cls="look")
+@case("attempts")
+def one_attempt_too_many(traffic: Traffic) -> None:
+    conn = traffic.send_request(cls="look")
     for _ in range(4):
-        play.node_answers(play.claim(cls="look"), "500 X")
-    play.answer(conn, 502)
+        traffic.node_answers(traffic.send_attempt(cls="look"), "500 X")
+    traffic.answer(conn, 502)
 
 
-def asked_for_nobody(play: Play, after: int) -> None:
-    """A sidecar that was stopped finds a request, and behind it the end of the one who asked."""
-    conn = play.take(cls="look")
-    play.checker.ended(play.now, conn, "server", "fin")
-    play.wait(after).claim(cls="look")
+def send_after_client_close(traffic: Traffic, after: int) -> None:
+    """Send a request to a node some time after its client's close, as a sidecar does that was stopped."""
+    conn = traffic.send_request(cls="look")
+    traffic.checker.ended(traffic.now, conn, "server", "fin")
+    traffic.wait(after).send_attempt(cls="look")
 
 
-@wire("for-nobody")
-def passed_on_long_after_its_client_left(play: Play) -> None:
-    asked_for_nobody(play, 301 * MS)
+@case("for-nobody")
+def passed_on_long_after_its_client_left(traffic: Traffic) -> None:
+    send_after_client_close(traffic, 301 * MS)
 
 
-@wire("")
-def passed_on_as_its_client_left(play: Play) -> None:
-    asked_for_nobody(play, 299 * MS)
+@case("")
+def passed_on_as_its_client_left(traffic: Traffic) -> None:
+    send_after_client_close(traffic, 299 * MS)
 
 
-@wire("copies")
-def two_at_once(play: Play) -> None:
-    conn = play.take(cls="look")
-    play.claim(cls="look")
-    play.claim(cls="look", node=B)
-    play.answer(conn, 502)
+@case("copies")
+def two_at_once(traffic: Traffic) -> None:
+    conn = traffic.send_request(cls="look")
+    traffic.send_attempt(cls="look")
+    traffic.send_attempt(cls="look", node=B)
+    traffic.answer(conn, 502)
 
 
 # --- drains ---------------------------------------------------------------------------------------
 
 
-def drained(play: Play, after: int, *lines: bytes) -> None:
-    watch = play.watch()
-    for line in lines or (listing(entry(A, "Terminating")),):
-        play.tell(watch, line)
-    play.wait(after).serve(cls="look")
-
-
-@wire("")
-def sent_at_the_limit(play: Play) -> None:
-    drained(play, 500_000_000)
-
-
-@wire("drain")
-def sent_a_nanosecond_past_it(play: Play) -> None:
-    drained(play, 500_000_001)
+def send_after_drain(traffic: Traffic, after: int, *lines: bytes) -> None:
+    watch = traffic.open_watch()
+    for line in lines or (list_line(entry(A, "Terminating")),):
+        traffic.send_list(watch, line)
+    traffic.wait(after).serve_request(cls="look")
 
 
-@wire("drain")
-def sent_though_gone(play: Play) -> None:
-    drained(play, 500_000_001, listing(entry(A, "Gone")))
+@case("")
+def sent_at_the_limit(traffic: Traffic) -> None:
+    send_after_drain(traffic, 500_000_000)
 
 
-def fetched(play: Play, **headers: str) -> None:
-    """The whole list, asked for once."""
-    conn, body = play.connect(DISCOVERY), listing(entry(A, "Terminating"), entry(B), full=True)
-    play.pass_(conn, "client", http("GET /v1/endpoints HTTP/1.1"))
-    play.pass_(conn, "server", http("HTTP/1.1 200 OK", body[:-1], **headers))
-    play.checker.closed(play.now, conn, "client")
+@case("drain")
+def sent_a_nanosecond_past_it(traffic: Traffic) -> None:
+    send_after_drain(traffic, 500_000_001)
 
 
-@wire("drain")
-def sent_though_a_fetched_list_tells(play: Play) -> None:
-    fetched(play)
-    play.wait(500_000_001).serve(cls="look")
+@case("drain")
+def sent_though_gone(traffic: Traffic) -> None:
+    send_after_drain(traffic, 500_000_001, list_line(entry(A, "Gone")))
 
 
-@wire("")
-def a_fetched_list_that_is_cut_short(play: Play) -> None:
-    fetched(play, Content_Length="9999")
-    play.wait(500_000_001).serve(cls="look")
+def fetch_list(traffic: Traffic, **headers: str) -> None:
+    """Fetch the whole list with a single request, without a watch."""
+    conn, body = traffic.connect(DISCOVERY), list_line(entry(A, "Terminating"), entry(B), full=True)
+    traffic.transfer(conn, "client", http("GET /v1/endpoints HTTP/1.1"))
+    traffic.transfer(conn, "server", http("HTTP/1.1 200 OK", body[:-1], **headers))
+    traffic.checker.closed(traffic.now, conn, "client")
 
 
-@wire("drain")
-def sent_though_missing_from_the_list(play: Play) -> None:
-    drained(play, 500_000_001, listing(entry(B), full=True))
+@case("drain")
+def sent_though_a_fetched_list_tells(traffic: Traffic) -> None:
+    fetch_list(traffic)
+    traffic.wait(500_000_001).serve_request(cls="look")
 
 
-@wire("")
-def sent_though_the_line_makes_no_sense(play: Play) -> None:
-    drained(play, 1 * S, b'{"version":8,"servers":[{"id":"a","state":"Gone"},{"id":"b"}]}\n')
+@case("")
+def a_fetched_list_that_is_cut_short(traffic: Traffic) -> None:
+    fetch_list(traffic, Content_Length="9999")
+    traffic.wait(500_000_001).serve_request(cls="look")
 
 
-@wire("")
-def sent_after_the_drain_was_taken_back(play: Play) -> None:
-    drained(play, 1 * S, listing(entry(A, "Terminating")), listing(entry(A), version=9))
+@case("drain")
+def sent_though_missing_from_the_list(traffic: Traffic) -> None:
+    send_after_drain(traffic, 500_000_001, list_line(entry(B), full=True))
 
 
-@wire("")
-def its_first_byte_was_in_time(play: Play) -> None:
-    play.tell(play.watch(), listing(entry(A, "Terminating")))
-    play.wait(499 * MS)
-    conn, claim = play.take(cls="look"), play.claim(cls="look", data=ask("r1", "look")[:1])
-    play.wait(2 * MS).pass_(claim, "client", ask("r1", "look")[1:])
-    play.node_answers(claim, "200 OK", body := play.run())
-    play.answer(conn, 200, body)
+@case("")
+def sent_though_the_line_makes_no_sense(traffic: Traffic) -> None:
+    send_after_drain(traffic, 1 * S, b'{"version":8,"servers":[{"id":"a","state":"Gone"},{"id":"b"}]}\n')
 
 
-@wire("")
-def a_new_node_at_the_address(play: Play) -> None:
-    play.checker.node(play.now, "c", PLACES[A], 5)
-    drained(play, 1 * S, listing(entry(A, "Gone"), entry("c", started_ms=5, at=A)))
+@case("")
+def sent_after_the_drain_was_taken_back(traffic: Traffic) -> None:
+    send_after_drain(traffic, 1 * S, list_line(entry(A, "Terminating")), list_line(entry(A), version=9))
 
 
-@wire("drain")
-def a_connection_to_the_node_that_was_there(play: Play) -> None:
-    claim = play.serve(cls="look")
-    play.checker.node(play.now, "c", PLACES[A], 5)
-    play.tell(play.watch(), listing(entry(A, "Gone"), entry("c", started_ms=5, at=A)))
-    conn = play.wait(500_000_001).take("r2", "look")
-    play.claim("r2", "look", conn=claim)
-    play.answer(conn, 502)
-
-
-@wire("drain")
-def a_connection_to_the_process_before(play: Play) -> None:
-    claim = play.serve(cls="look")
-    play.tell(play.watch(), listing(entry(A, started_ms=5)))
-    conn = play.wait(500_000_001).take("r2", "look")
-    play.claim("r2", "look", conn=claim)
-    play.answer(conn, 502)
-
-
-@wire("drain")
-def counts_as_told_of_a_new_process(play: Play) -> None:
-    claim = play.serve(cls="look")
-    play.watch()
-    play.checker.true_list(play.now, [entry(A, started_ms=5)])
-    conn = play.wait(6_500_000_001).take("r2", "look")
-    play.claim("r2", "look", conn=claim)
-    play.answer(conn, 502)
-
-
-def unasked(play: Play, after: int, first: Callable[[], Conn | None]) -> None:
-    """Discovery can't tell of a drain by itself: what counts is when it was asked."""
-    play.checker.discovery_able(play.now, False)
-    play.checker.true_list(play.now, [entry(A, "Terminating")])
+@case("")
+def its_first_byte_was_in_time(traffic: Traffic) -> None:
+    traffic.send_list(traffic.open_watch(), list_line(entry(A, "Terminating")))
+    traffic.wait(499 * MS)
+    conn, claim = (
+        traffic.send_request(cls="look"),
+        traffic.send_attempt(cls="look", data=request_bytes("r1", "look")[:1]),
+    )
+    traffic.wait(2 * MS).transfer(claim, "client", request_bytes("r1", "look")[1:])
+    traffic.node_answers(claim, "200 OK", body := traffic.execute())
+    traffic.answer(conn, 200, body)
+
+
+@case("")
+def a_new_node_at_the_address(traffic: Traffic) -> None:
+    traffic.checker.node(traffic.now, "c", NODE_ADDRESSES[A], 5)
+    send_after_drain(traffic, 1 * S, list_line(entry(A, "Gone"), entry("c", started_ms=5, at=A)))
+
+
+@case("drain")
+def a_connection_to_the_node_that_was_there(traffic: Traffic) -> None:
+    claim = traffic.serve_request(cls="look")
+    traffic.checker.node(traffic.now, "c", NODE_ADDRESSES[A], 5)
+    traffic.send_list(traffic.open_watch(), list_line(entry(A, "Gone"), entry("c", started_ms=5, at=A)))
+    conn = traffic.wait(500_000_001).send_request("r2", "look")
+    traffic.send_attempt("r2", "look", conn=claim)
+    traffic.answer(conn, 502)
+
+
+@case("drain")
+def a_connection_to_the_process_before(traffic: Traffic) -> None:
+    claim = traffic.serve_request(cls="look")
+    traffic.send_list(traffic.open_watch(), list_line(entry(A, started_ms=5)))
+    conn = traffic.wait(500_000_001).send_request("r2", "look")
+    traffic.send_attempt("r2", "look", conn=claim)
+    traffic.answer(conn, 502)
+
+
+@case("drain")
+def counts_as_told_of_a_new_process(traffic: Traffic) -> None:
+    claim = traffic.serve_request(cls="look")
+    traffic.open_watch()
+    traffic.checker.true_list(traffic.now, [entry(A, started_ms=5)])
+    conn = traffic.wait(6_500_000_001).send_request("r2", "look")
+    traffic.send_attempt("r2", "look", conn=claim)
+    traffic.answer(conn, 502)
+
+
+def send_without_updates(traffic: Traffic, after: int, first: Callable[[], Conn | None]) -> None:
+    """Drain a node while discovery can't deliver updates, so that only the age of the last request counts."""
+    traffic.checker.discovery_able(traffic.now, False)
+    traffic.checker.true_list(traffic.now, [entry(A, "Terminating")])
     watch = first()
-    play.wait(after)
+    traffic.wait(after)
     if watch is not None:
-        play.tell(watch, b"\n")
-    play.serve(cls="look")
+        traffic.send_list(watch, b"\n")
+    traffic.serve_request(cls="look")
 
 
-@wire("")
-def watches_all_the_while(play: Play) -> None:
-    unasked(play, 20 * S, play.watch)
+@case("")
+def watches_all_the_while(traffic: Traffic) -> None:
+    send_without_updates(traffic, 20 * S, traffic.open_watch)
 
 
-@wire("drain")
-def has_not_watched_since(play: Play) -> None:
+@case("drain")
+def has_not_watched_since(traffic: Traffic) -> None:
     def first() -> None:
-        play.checker.ended(play.now, play.watch(), "client", "fin")
+        traffic.checker.ended(traffic.now, traffic.open_watch(), "client", "fin")
 
-    unasked(play, 10_500_000_001, first)
+    send_without_updates(traffic, 10_500_000_001, first)
 
 
-@wire("drain")
-def has_closed_its_watch(play: Play) -> None:
+@case("drain")
+def has_closed_its_watch(traffic: Traffic) -> None:
     def first() -> None:
-        play.checker.closed(play.now, play.watch(), "client")
+        traffic.checker.closed(traffic.now, traffic.open_watch(), "client")
 
-    unasked(play, 10_500_000_001, first)
+    send_without_updates(traffic, 10_500_000_001, first)
 
 
-def called_in_vain(play: Play) -> None:
-    conn = play.connect(DISCOVERY)
-    play.pass_(conn, "client", http("GET /v1/endpoints?follow=1 HTTP/1.1"))
-    play.pass_(conn, "server", http("HTTP/1.1 503 X"))
-    play.checker.closed(play.now, conn, "client")
+def fail_discovery_request(traffic: Traffic) -> None:
+    conn = traffic.connect(DISCOVERY)
+    traffic.transfer(conn, "client", http("GET /v1/endpoints?follow=1 HTTP/1.1"))
+    traffic.transfer(conn, "server", http("HTTP/1.1 503 X"))
+    traffic.checker.closed(traffic.now, conn, "client")
 
 
-@wire("")
-def its_call_failed_not_so_long_ago(play: Play) -> None:
-    unasked(play, 40_500_000_000, lambda: called_in_vain(play))
+@case("")
+def its_call_failed_not_so_long_ago(traffic: Traffic) -> None:
+    send_without_updates(traffic, 40_500_000_000, lambda: fail_discovery_request(traffic))
 
 
-@wire("drain")
-def its_call_failed_too_long_ago(play: Play) -> None:
-    unasked(play, 40_500_000_001, lambda: called_in_vain(play))
+@case("drain")
+def its_call_failed_too_long_ago(traffic: Traffic) -> None:
+    send_without_updates(traffic, 40_500_000_001, lambda: fail_discovery_request(traffic))
 
 
-@wire("drain")
-def a_line_that_the_network_kept_counts_as_told(play: Play) -> None:
-    line = listing(entry(A, "Terminating"))
-    watch, data = play.watch(), b"%x\r\n%s\r\n" % (len(line), line)
-    play.checker.sent(play.now, watch, "server", data)
-    play.wait(7 * S).checker.arrived(play.now, watch, "client", data)
-    play.wait(MS).serve(cls="look")  # told 6 s after it was written, not when it came
+@case("drain")
+def a_line_that_the_network_kept_counts_as_told(traffic: Traffic) -> None:
+    line = list_line(entry(A, "Terminating"))
+    watch, data = traffic.open_watch(), b"%x\r\n%s\r\n" % (len(line), line)
+    traffic.checker.sent(traffic.now, watch, "server", data)
+    traffic.wait(7 * S).checker.arrived(traffic.now, watch, "client", data)
+    traffic.wait(MS).serve_request(
+        cls="look"
+    )  # the list counts from 6 s after its writing, not from its arrival
 
 
-@wire("")
-def a_line_that_the_network_held_up(play: Play) -> None:
-    line = listing(entry(A, "Terminating"))
-    watch, data = play.watch(), b"%x\r\n%s\r\n" % (len(line), line)
-    play.checker.sent(play.now, watch, "server", data)
-    play.wait(2 * S).checker.arrived(play.now, watch, "client", data)
-    play.wait(500 * MS).serve(cls="look")
+@case("")
+def a_line_that_the_network_held_up(traffic: Traffic) -> None:
+    line = list_line(entry(A, "Terminating"))
+    watch, data = traffic.open_watch(), b"%x\r\n%s\r\n" % (len(line), line)
+    traffic.checker.sent(traffic.now, watch, "server", data)
+    traffic.wait(2 * S).checker.arrived(traffic.now, watch, "client", data)
+    traffic.wait(500 * MS).serve_request(cls="look")
 
 
-@wire("drain")
-def sent_to_where_a_node_was(play: Play) -> None:
-    claim = play.serve(cls="look")
-    play.tell(play.watch(), listing(entry(A, at=B)))
-    conn = play.wait(500_000_001).take("r2", "look")
-    play.claim("r2", "look", conn=claim)
-    play.answer(conn, 502)
+@case("drain")
+def sent_to_where_a_node_was(traffic: Traffic) -> None:
+    claim = traffic.serve_request(cls="look")
+    traffic.send_list(traffic.open_watch(), list_line(entry(A, at=B)))
+    conn = traffic.wait(500_000_001).send_request("r2", "look")
+    traffic.send_attempt("r2", "look", conn=claim)
+    traffic.answer(conn, 502)
 
 
-@wire("unlisted")
-def sent_to_nobody(play: Play) -> None:
-    conn = play.take()
-    claim = play.connect(("10.1.0.9", 9000))
-    play.claim(conn=claim)
-    play.answer(conn, 502)
+@case("unlisted")
+def sent_to_nobody(traffic: Traffic) -> None:
+    conn = traffic.send_request()
+    claim = traffic.connect(("10.1.0.9", 9000))
+    traffic.send_attempt(conn=claim)
+    traffic.answer(conn, 502)
 
 
-def told_in_truth_alone(play: Play, after: int) -> None:
-    play.watch()
-    play.checker.true_list(play.now, [entry(A, "Terminating")])
-    play.wait(after).serve(cls="look")
+def send_after_true_drain(traffic: Traffic, after: int) -> None:
+    traffic.open_watch()
+    traffic.checker.true_list(traffic.now, [entry(A, "Terminating")])
+    traffic.wait(after).serve_request(cls="look")
 
 
-@wire("")
-def counts_as_told_at_the_limit(play: Play) -> None:
-    told_in_truth_alone(play, 6_500_000_000)
+@case("")
+def counts_as_told_at_the_limit(traffic: Traffic) -> None:
+    send_after_true_drain(traffic, 6_500_000_000)
 
 
-@wire("drain")
-def counts_as_told_a_nanosecond_past_it(play: Play) -> None:
-    told_in_truth_alone(play, 6_500_000_001)
+@case("drain")
+def counts_as_told_a_nanosecond_past_it(traffic: Traffic) -> None:
+    send_after_true_drain(traffic, 6_500_000_001)
 
 
-@wire("")
-def discovery_was_down_meanwhile(play: Play) -> None:
-    play.checker.discovery_able(play.now, False)
-    told_in_truth_alone(play, 7 * S)
+@case("")
+def discovery_was_down_meanwhile(traffic: Traffic) -> None:
+    traffic.checker.discovery_able(traffic.now, False)
+    send_after_true_drain(traffic, 7 * S)
 
 
-@wire("drain")
-def counts_as_told_since_it_never_asks(play: Play) -> None:
-    play.checker.discovery_able(play.now, False)
-    play.checker.true_list(play.now, [entry(A, "Terminating")])
-    play.wait(10_500_000_001).serve(cls="look")
+@case("drain")
+def counts_as_told_since_it_never_asks(traffic: Traffic) -> None:
+    traffic.checker.discovery_able(traffic.now, False)
+    traffic.checker.true_list(traffic.now, [entry(A, "Terminating")])
+    traffic.wait(10_500_000_001).serve_request(cls="look")
 
 
-@wire("")
-def never_asks_for_not_quite_so_long(play: Play) -> None:
-    play.checker.discovery_able(play.now, False)
-    play.checker.true_list(play.now, [entry(A, "Terminating")])
-    play.wait(10_500_000_000).serve(cls="look")
+@case("")
+def never_asks_for_not_quite_so_long(traffic: Traffic) -> None:
+    traffic.checker.discovery_able(traffic.now, False)
+    traffic.checker.true_list(traffic.now, [entry(A, "Terminating")])
+    traffic.wait(10_500_000_000).serve_request(cls="look")
 
 
-@wire("drain")
-def counts_as_told_after_a_reload(play: Play) -> None:
-    play.checker.true_list(play.now, [entry(A, "Terminating")])
-    play.checker.process(play.now, "m0", "signal 1")
-    play.wait(4_500_000_001).serve(cls="look")
+@case("drain")
+def counts_as_told_after_a_reload(traffic: Traffic) -> None:
+    traffic.checker.true_list(traffic.now, [entry(A, "Terminating")])
+    traffic.checker.process(traffic.now, "m0", "signal 1")
+    traffic.wait(4_500_000_001).serve_request(cls="look")
 
 
-@wire("")
-def a_line_is_told_when_written(play: Play) -> None:
-    line = listing(entry(A, "Terminating"))
-    watch, data = play.watch(), b"%x\r\n%s\r\n" % (len(line), line)
-    play.checker.sent(play.now, watch, "server", data)
-    play.wait(50 * MS).checker.arrived(play.now, watch, "client", data)
-    play.wait(450 * MS).serve(cls="look")
+@case("")
+def a_line_is_told_when_written(traffic: Traffic) -> None:
+    line = list_line(entry(A, "Terminating"))
+    watch, data = traffic.open_watch(), b"%x\r\n%s\r\n" % (len(line), line)
+    traffic.checker.sent(traffic.now, watch, "server", data)
+    traffic.wait(50 * MS).checker.arrived(traffic.now, watch, "client", data)
+    traffic.wait(450 * MS).serve_request(cls="look")
 
 
-@wire("drain")
-def a_line_is_told_when_written_and_no_later(play: Play) -> None:
-    line = listing(entry(A, "Terminating"))
-    watch, data = play.watch(), b"%x\r\n%s\r\n" % (len(line), line)
-    play.checker.sent(play.now, watch, "server", data)
-    play.wait(50 * MS).checker.arrived(play.now, watch, "client", data)
-    play.wait(450 * MS + 1).serve(cls="look")
+@case("drain")
+def a_line_is_told_when_written_and_no_later(traffic: Traffic) -> None:
+    line = list_line(entry(A, "Terminating"))
+    watch, data = traffic.open_watch(), b"%x\r\n%s\r\n" % (len(line), line)
+    traffic.checker.sent(traffic.now, watch, "server", data)
+    traffic.wait(50 * MS).checker.arrived(traffic.now, watch, "client", data)
+    traffic.wait(450 * MS + 1).serve_request(cls="look")
 
 
-@wire("versions")
-def asks_a_new_discovery_for_an_old_version(play: Play) -> None:
-    play.checker.discovery(("10.2.0.2", 8500))
-    play.watch(("10.2.0.2", 8500))
+@case("versions")
+def asks_a_new_discovery_for_an_old_version(traffic: Traffic) -> None:
+    traffic.checker.discovery(("10.2.0.2", 8500))
+    traffic.open_watch(("10.2.0.2", 8500))
 
 
-@wire("")
-def asks_a_new_discovery_for_everything(play: Play) -> None:
-    play.checker.discovery(("10.2.0.2", 8500))
-    watch = play.watch(("10.2.0.2", 8500), "")
-    play.tell(watch, listing(entry(A), version=3, full=True))
-    play.watch(("10.2.0.2", 8500), "&since=3")
+@case("")
+def asks_a_new_discovery_for_everything(traffic: Traffic) -> None:
+    traffic.checker.discovery(("10.2.0.2", 8500))
+    watch = traffic.open_watch(("10.2.0.2", 8500), "")
+    traffic.send_list(watch, list_line(entry(A), version=3, full=True))
+    traffic.open_watch(("10.2.0.2", 8500), "&since=3")
 
 
 # --- connections ----------------------------------------------------------------------------------
 
 
-def reused(play: Play, between: Callable[[Conn], object], first: str = "200 OK") -> None:
-    conn, claim = play.take(cls="look"), play.claim(cls="look")
-    play.node_answers(claim, first, body := play.run())
-    play.answer(conn, 200, body)
+def reuse_connection(traffic: Traffic, between: Callable[[Conn], object], first: str = "200 OK") -> None:
+    conn, claim = traffic.send_request(cls="look"), traffic.send_attempt(cls="look")
+    traffic.node_answers(claim, first, body := traffic.execute())
+    traffic.answer(conn, 200, body)
     between(claim)
-    play.wait(1)
-    conn = play.take("r2", "look")
-    play.claim("r2", "look", conn=claim)
-    play.answer(conn, 502)
+    traffic.wait(1)
+    conn = traffic.send_request("r2", "look")
+    traffic.send_attempt("r2", "look", conn=claim)
+    traffic.answer(conn, 502)
 
 
-@wire("")
-def a_connection_is_used_again(play: Play) -> None:
-    reused(play, lambda claim: None)
+@case("")
+def a_connection_is_used_again(traffic: Traffic) -> None:
+    reuse_connection(traffic, lambda claim: None)
 
 
-@wire("dirty")
-def with_bytes_waiting(play: Play) -> None:
-    reused(play, lambda claim: play.pass_(claim, "server", b"x", read=False))
+@case("dirty")
+def with_bytes_waiting(traffic: Traffic) -> None:
+    reuse_connection(traffic, lambda claim: traffic.transfer(claim, "server", b"x", read=False))
 
 
-@wire("dirty")
-def with_bytes_read_behind_an_answer(play: Play) -> None:
-    reused(play, lambda claim: play.pass_(claim, "server", b"x"))
+@case("dirty")
+def with_bytes_read_behind_an_answer(traffic: Traffic) -> None:
+    reuse_connection(traffic, lambda claim: traffic.transfer(claim, "server", b"x"))
 
 
-@wire("dirty")
-def with_an_end_waiting(play: Play) -> None:
-    reused(play, lambda claim: play.checker.ended(play.now, claim, "client", "fin"))
+@case("dirty")
+def with_an_end_waiting(traffic: Traffic) -> None:
+    reuse_connection(traffic, lambda claim: traffic.checker.ended(traffic.now, claim, "client", "fin"))
 
 
-@wire("dirty")
-def that_the_node_was_to_close(play: Play) -> None:
-    conn, claim = play.take(cls="look"), play.claim(cls="look")
-    play.node_answers(claim, "200 OK", body := play.run(), Connection="close")
-    play.answer(conn, 200, body)
-    conn = play.wait(1).take("r2", "look")
-    play.claim("r2", "look", conn=claim)
-    play.answer(conn, 502)
+@case("dirty")
+def that_the_node_was_to_close(traffic: Traffic) -> None:
+    conn, claim = traffic.send_request(cls="look"), traffic.send_attempt(cls="look")
+    traffic.node_answers(claim, "200 OK", body := traffic.execute(), Connection="close")
+    traffic.answer(conn, 200, body)
+    conn = traffic.wait(1).send_request("r2", "look")
+    traffic.send_attempt("r2", "look", conn=claim)
+    traffic.answer(conn, 502)
 
 
-@wire("")
-def after_answers_ahead_of_the_answer(play: Play) -> None:
-    conn, claim = play.take(cls="look"), play.claim(cls="look")
-    play.pass_(claim, "server", b"HTTP/1.1 103 Early\r\n\r\n" * 2)
-    play.node_answers(claim, "200 OK", body := play.run())
-    play.answer(conn, 200, body)
-    conn = play.wait(1).take("r2", "look")
-    play.claim("r2", "look", conn=claim)
-    play.answer(conn, 502)
+@case("")
+def after_answers_ahead_of_the_answer(traffic: Traffic) -> None:
+    conn, claim = traffic.send_request(cls="look"), traffic.send_attempt(cls="look")
+    traffic.transfer(claim, "server", b"HTTP/1.1 103 Early\r\n\r\n" * 2)
+    traffic.node_answers(claim, "200 OK", body := traffic.execute())
+    traffic.answer(conn, 200, body)
+    conn = traffic.wait(1).send_request("r2", "look")
+    traffic.send_attempt("r2", "look", conn=claim)
+    traffic.answer(conn, 502)
 
 
-@wire("shared")
-def two_written_at_once(play: Play) -> None:
-    conn, other = play.take(cls="look"), play.take("r2", cls="look")
-    play.claim(data=ask("r1", "look") + ask("r2", "look"))
-    play.answer(conn, 502)
-    play.answer(other, 502)
+@case("shared")
+def two_written_at_once(traffic: Traffic) -> None:
+    conn, other = traffic.send_request(cls="look"), traffic.send_request("r2", cls="look")
+    traffic.send_attempt(data=request_bytes("r1", "look") + request_bytes("r2", "look"))
+    traffic.answer(conn, 502)
+    traffic.answer(other, 502)
 
 
-@wire("shared")
-def with_another_out(play: Play) -> None:
-    conn, other = play.take(cls="look"), play.take("r2", cls="look")
-    claim = play.claim(cls="look")
-    play.claim("r2", cls="look", conn=claim)
-    play.answer(conn, 502)
-    play.answer(other, 502)
+@case("shared")
+def with_another_out(traffic: Traffic) -> None:
+    conn, other = traffic.send_request(cls="look"), traffic.send_request("r2", cls="look")
+    claim = traffic.send_attempt(cls="look")
+    traffic.send_attempt("r2", cls="look", conn=claim)
+    traffic.answer(conn, 502)
+    traffic.answer(other, 502)
 
 
-# --- what is passed on ----------------------------------------------------------------------------
+# --- forwarded requests ---------------------------------------------------------------------------
 
 
-@wire("unasked")
-def something_that_nobody_asked_for(play: Play) -> None:
-    play.claim("r9")
+@case("unasked")
+def something_that_nobody_asked_for(traffic: Traffic) -> None:
+    traffic.send_attempt("r9")
 
 
-@wire("changed")
-def another_body(play: Play) -> None:
-    conn = play.take()
-    play.claim(data=ask("r1").replace(b"pay", b"PAY"))
-    play.answer(conn, 502)
+@case("changed")
+def another_body(traffic: Traffic) -> None:
+    conn = traffic.send_request()
+    traffic.send_attempt(data=request_bytes("r1").replace(b"pay", b"PAY"))
+    traffic.answer(conn, 502)
 
 
-@wire("framing")
-def a_length_and_a_coding(play: Play) -> None:
-    conn = play.take()
-    play.claim(data=ask("r1").replace(b"Tenant", b"Transfer-Encoding: chunked\r\nTenant"))
-    play.answer(conn, 502)
+@case("framing")
+def a_length_and_a_coding(traffic: Traffic) -> None:
+    conn = traffic.send_request()
+    traffic.send_attempt(data=request_bytes("r1").replace(b"Tenant", b"Transfer-Encoding: chunked\r\nTenant"))
+    traffic.answer(conn, 502)
 
 
-@wire("told-off")
-def told_off_though_it_can_be_served(play: Play) -> None:
-    play.answer(play.take(), 400)
+@case("told-off")
+def told_off_though_it_can_be_served(traffic: Traffic) -> None:
+    traffic.answer(traffic.send_request(), 400)
 
 
-@wire("told-off")
-def sent_elsewhere(play: Play) -> None:
-    play.answer(play.take(cls="look"), 302)
+@case("told-off")
+def sent_elsewhere(traffic: Traffic) -> None:
+    traffic.answer(traffic.send_request(cls="look"), 302)
 
 
-@wire("")
-def told_off_for_an_id_in_use(play: Play) -> None:
-    conn = play.take()
-    play.answer(play.take(), 400)
-    play.answer(conn, 429)
+@case("")
+def told_off_for_an_id_in_use(traffic: Traffic) -> None:
+    conn = traffic.send_request()
+    traffic.answer(traffic.send_request(), 400)
+    traffic.answer(conn, 429)
 
 
-@wire("")
-def told_off_before_its_end_was_read(play: Play) -> None:
-    conn = play.client()
-    play.pass_(conn, "client", ask("r1"), read=False)
-    play.answer(conn, 408)
+@case("")
+def told_off_before_its_end_was_read(traffic: Traffic) -> None:
+    conn = traffic.client()
+    traffic.transfer(conn, "client", request_bytes("r1"), read=False)
+    traffic.answer(conn, 408)
 
 
-@wire("unusable")
-def served_without_a_deadline(play: Play) -> None:
-    play.answer(play.take(wait_ms="soon"), 200, b"")
+@case("unusable")
+def served_without_a_deadline(traffic: Traffic) -> None:
+    traffic.answer(traffic.send_request(wait_ms="soon"), 200, b"")
 
 
-@wire("")
-def told_off_without_a_deadline(play: Play) -> None:
-    play.answer(play.take(wait_ms="soon"), 400)
+@case("")
+def told_off_without_a_deadline(traffic: Traffic) -> None:
+    traffic.answer(traffic.send_request(wait_ms="soon"), 400)
 
 
 # --- bad clients ----------------------------------------------------------------------------------
 
 
-def bad(play: Play, do: Callable[[Conn], object]) -> None:
-    play.checker.bad_client("rude")
-    conn = play.client("rude")
+def misbehave(traffic: Traffic, do: Callable[[Conn], object]) -> None:
+    traffic.checker.bad_client("rude")
+    conn = traffic.client("rude")
     do(conn)
 
 
-@wire("bad-client")
-def kept_waiting(play: Play) -> None:
-    bad(play, lambda conn: play.pass_(conn, "client", b"GET"))
+@case("bad-client")
+def kept_waiting(traffic: Traffic) -> None:
+    misbehave(traffic, lambda conn: traffic.transfer(conn, "client", b"GET"))
 
 
-@wire("bad-client")
-def kept_waiting_with_a_whole_request(play: Play) -> None:
-    bad(play, lambda conn: play.take(conn=conn, wait_ms="soon"))
+@case("bad-client")
+def kept_waiting_with_a_whole_request(traffic: Traffic) -> None:
+    misbehave(traffic, lambda conn: traffic.send_request(conn=conn, wait_ms="soon"))
 
 
-@wire("bad-client")
-def accepted_and_kept_waiting_without_descriptors(play: Play) -> None:
-    play.checker.starved(play.now, "m0", True)
-    bad(play, lambda conn: None)
+@case("bad-client")
+def accepted_and_kept_waiting_without_descriptors(traffic: Traffic) -> None:
+    traffic.checker.starved(traffic.now, "m0", True)
+    misbehave(traffic, lambda conn: None)
 
 
-@wire("")
-def closed_in_time(play: Play) -> None:
-    bad(play, lambda conn: play.wait(3 * S).checker.closed(play.now, conn, "server"))
+@case("")
+def closed_in_time(traffic: Traffic) -> None:
+    misbehave(traffic, lambda conn: traffic.wait(3 * S).checker.closed(traffic.now, conn, "server"))
 
 
-@wire("bad-client")
-def closed_too_late(play: Play) -> None:
-    bad(play, lambda conn: play.wait(3050 * MS + 1).checker.closed(play.now, conn, "server"))
+@case("bad-client")
+def closed_too_late(traffic: Traffic) -> None:
+    misbehave(traffic, lambda conn: traffic.wait(3050 * MS + 1).checker.closed(traffic.now, conn, "server"))
 
 
-@wire("")
-def left_by_itself(play: Play) -> None:
-    bad(play, lambda conn: play.wait(S).checker.closed(play.now, conn, "client"))
+@case("")
+def left_by_itself(traffic: Traffic) -> None:
+    misbehave(traffic, lambda conn: traffic.wait(S).checker.closed(traffic.now, conn, "client"))
 
 
-@wire("answer")
-def bad_but_owed_what_can_be_served(play: Play) -> None:
-    bad(play, lambda conn: play.take(conn=conn, wait_ms="9000"))
+@case("answer")
+def bad_but_owed_what_can_be_served(traffic: Traffic) -> None:
+    misbehave(traffic, lambda conn: traffic.send_request(conn=conn, wait_ms="9000"))
 
 
-@wire("")
-def kept_waiting_without_descriptors(play: Play) -> None:
-    play.checker.bad_client("rude")
-    play.checker.starved(play.now, "m0", True)
-    play.client("rude", accept=False)
+@case("")
+def kept_waiting_without_descriptors(traffic: Traffic) -> None:
+    traffic.checker.bad_client("rude")
+    traffic.checker.starved(traffic.now, "m0", True)
+    traffic.client("rude", accept=False)
 
 
-@wire("")
-def both_framings_turned_away(play: Play) -> None:
-    both = ask("r1").replace(b"Tenant", b"Transfer-Encoding: chunked\r\nTenant")
+@case("")
+def both_framings_turned_away(traffic: Traffic) -> None:
+    both = request_bytes("r1").replace(b"Tenant", b"Transfer-Encoding: chunked\r\nTenant")
 
     def do(conn: Conn) -> None:
-        play.pass_(conn, "client", both)
-        play.answer(conn, 400)
+        traffic.transfer(conn, "client", both)
+        traffic.answer(conn, 400)
 
-    bad(play, do)
+    misbehave(traffic, do)
 
 
 # --- cold nodes -----------------------------------------------------------------------------------
 
 
-def pushed(play: Play, requests: int, told: bool = True, every_ms: int = 100) -> None:
-    play.checker.node(play.now, B, PLACES[B], 5)
-    if told:
-        play.tell(play.watch(), listing(entry(B, started_ms=5)))
+def load_cold_node(traffic: Traffic, requests: int, informed: bool = True, every_ms: int = 100) -> None:
+    traffic.checker.node(traffic.now, B, NODE_ADDRESSES[B], 5)
+    if informed:
+        traffic.send_list(traffic.open_watch(), list_line(entry(B, started_ms=5)))
     for number in range(requests):
-        conn = play.take(f"r{number}", "look")
-        play.claim(f"r{number}", "look", B)
-        body = play.run(f"r{number}", B, cold=True, capacity=0.25, work_s=0.1)
-        play.answer(conn, 200, body)
-        play.wait(every_ms * MS)
+        conn = traffic.send_request(f"r{number}", "look")
+        traffic.send_attempt(f"r{number}", "look", B)
+        body = traffic.execute(f"r{number}", B, cold=True, capacity=0.25, work_s=0.1)
+        traffic.answer(conn, 200, body)
+        traffic.wait(every_ms * MS)
 
 
-@wire("cold")
-def a_burst_on_a_cold_node(play: Play) -> None:
-    pushed(play, 50, every_ms=10)  # 5 s of work where there is room for 3, and 0.55 by chance
+@case("cold")
+def a_burst_on_a_cold_node(traffic: Traffic) -> None:
+    load_cold_node(
+        traffic, 50, every_ms=10
+    )  # 5 s of work against a budget of 3 s and 0.55 s of allowance for chance
 
 
-@wire("")
-def as_much_spread_out(play: Play) -> None:
-    pushed(play, 50, every_ms=100)
+@case("")
+def as_much_spread_out(traffic: Traffic) -> None:
+    load_cold_node(traffic, 50, every_ms=100)
 
 
-@wire("")
-def by_those_who_were_not_told(play: Play) -> None:
-    pushed(play, 50, told=False, every_ms=10)
+@case("")
+def by_those_who_were_not_told(traffic: Traffic) -> None:
+    load_cold_node(traffic, 50, informed=False, every_ms=10)
 
 
-# --- getting well ---------------------------------------------------------------------------------
+# --- recovery -------------------------------------------------------------------------------------
 
 
-def afterwards(play: Play, served: int, of: int, wait_s: int) -> None:
-    play.checker.calm(play.now)
-    play.wait(wait_s * S)
+def after_faults(traffic: Traffic, served: int, of: int, wait_s: int) -> None:
+    traffic.checker.calm(traffic.now)
+    traffic.wait(wait_s * S)
     for number in range(of):
         if number < served:
-            play.serve(f"r{number}", "look")
+            traffic.serve_request(f"r{number}", "look")
         else:
-            play.answer(play.take(f"r{number}", "look"), 503)
-        play.wait(MS)
+            traffic.answer(traffic.send_request(f"r{number}", "look"), 503)
+        traffic.wait(MS)
 
 
 # --- operators ------------------------------------------------------------------------------------
 
 
-def called(play: Play, target: str, status: int | None = 200) -> None:
-    """A call at the admin endpoint; None: it is not answered."""
-    conn = play.connect(("10.0.0.1", 81), "operators")
-    play.pass_(conn, "client", http(f"POST /control/{target} HTTP/1.1"))
+def call_admin(traffic: Traffic, target: str, status: int | None = 200) -> None:
+    """Send a call to the admin endpoint and answer it with a status, or not at all for None."""
+    conn = traffic.connect(("10.0.0.1", 81), "operators")
+    traffic.transfer(conn, "client", http(f"POST /control/{target} HTTP/1.1"))
     if status is not None:
-        play.pass_(conn, "server", http(f"HTTP/1.1 {status} ", b"done"))
+        traffic.transfer(conn, "server", http(f"HTTP/1.1 {status} ", b"done"))
 
 
-def out(play: Play, node: str = A, status: int | None = 200) -> None:
-    called(play, f"registry-nodes/{node}/offline", status)
+def call_offline(traffic: Traffic, node: str = A, status: int | None = 200) -> None:
+    call_admin(traffic, f"registry-nodes/{node}/offline", status)
 
 
-def is_ready(play: Play, status: int) -> None:
-    conn = play.client()
-    play.pass_(conn, "client", http("GET /ready HTTP/1.1"))
-    play.pass_(conn, "server", http(f"HTTP/1.1 {status} ", b"said"))
-    play.checker.closed(play.now, conn, "client")
+def probe_readiness(traffic: Traffic, status: int) -> None:
+    conn = traffic.client()
+    traffic.transfer(conn, "client", http("GET /ready HTTP/1.1"))
+    traffic.transfer(conn, "server", http(f"HTTP/1.1 {status} ", b"said"))
+    traffic.checker.closed(traffic.now, conn, "client")
 
 
-@wire("")
-def sent_to_a_node_taken_out_at_the_limit(play: Play) -> None:
-    out(play)
-    play.wait(500 * MS).serve()
+@case("")
+def sent_to_a_node_taken_out_at_the_limit(traffic: Traffic) -> None:
+    call_offline(traffic)
+    traffic.wait(500 * MS).serve_request()
 
 
-@wire("drain")
-def sent_to_a_node_taken_out_1_ns_past_the_limit(play: Play) -> None:
-    out(play)
-    play.wait(500 * MS + 1).serve()
+@case("drain")
+def sent_to_a_node_taken_out_1_ns_past_the_limit(traffic: Traffic) -> None:
+    call_offline(traffic)
+    traffic.wait(500 * MS + 1).serve_request()
 
 
-@wire("drain")
-def taken_out_whatever_discovery_says(play: Play) -> None:
-    out(play)
-    play.wait(300 * MS)
-    out(play)  # again, which begins nothing anew
-    play.tell(play.watch(), listing(entry(A), entry(B), full=True))
-    play.wait(300 * MS).serve()
+@case("drain")
+def taken_out_whatever_discovery_says(traffic: Traffic) -> None:
+    call_offline(traffic)
+    traffic.wait(300 * MS)
+    call_offline(traffic)  # a repeated call does not restart the grace period
+    traffic.send_list(traffic.open_watch(), list_line(entry(A), entry(B), full=True))
+    traffic.wait(300 * MS).serve_request()
 
 
-@wire("")
-def taken_out_and_back(play: Play) -> None:
-    out(play)
-    play.wait(S)
-    called(play, f"registry-nodes/{A}/online")
-    play.serve()
+@case("")
+def taken_out_and_back(traffic: Traffic) -> None:
+    call_offline(traffic)
+    traffic.wait(S)
+    call_admin(traffic, f"registry-nodes/{A}/online")
+    traffic.serve_request()
 
 
-@wire("")
-def a_no_binds_nobody(play: Play) -> None:
-    out(play, B)
-    called(play, "registry-nodes/x/offline", 404)
-    play.wait(900 * MS).serve()
+@case("")
+def a_no_binds_nobody(traffic: Traffic) -> None:
+    call_offline(traffic, B)
+    call_admin(traffic, "registry-nodes/x/offline", 404)
+    traffic.wait(900 * MS).serve_request()
 
 
-@wire("drain")
-def a_call_binds_after_a_second_without_a_yes(play: Play) -> None:
-    out(play, status=None)
-    play.wait(1500 * MS + 1).serve()
+@case("drain")
+def a_call_binds_after_a_second_without_a_yes(traffic: Traffic) -> None:
+    call_offline(traffic, status=None)
+    traffic.wait(1500 * MS + 1).serve_request()
 
 
-@wire("")
-def a_call_without_a_yes_has_a_second(play: Play) -> None:
-    out(play, status=None)
-    play.wait(1500 * MS).serve()
+@case("")
+def a_call_without_a_yes_has_a_second(traffic: Traffic) -> None:
+    call_offline(traffic, status=None)
+    traffic.wait(1500 * MS).serve_request()
 
 
-@wire("service")
-def ready_while_out_of_service(play: Play) -> None:
-    called(play, "out-of-service")
-    is_ready(play, 200)
+@case("service")
+def ready_while_out_of_service(traffic: Traffic) -> None:
+    call_admin(traffic, "out-of-service")
+    probe_readiness(traffic, 200)
 
 
-@wire("")
-def out_of_service_and_back(play: Play) -> None:
-    is_ready(play, 200)
-    called(play, "out-of-service")
-    is_ready(play, 503)
-    play.wait(S)
-    called(play, "in-service")
-    is_ready(play, 200)
+@case("")
+def out_of_service_and_back(traffic: Traffic) -> None:
+    probe_readiness(traffic, 200)
+    call_admin(traffic, "out-of-service")
+    probe_readiness(traffic, 503)
+    traffic.wait(S)
+    call_admin(traffic, "in-service")
+    probe_readiness(traffic, 200)
 
 
-@wire("service")
-def not_ready_long_after_it_is_back(play: Play) -> None:
-    called(play, "out-of-service")
-    called(play, "in-service")
-    play.wait(1500 * MS + 1)
-    is_ready(play, 503)
+@case("service")
+def not_ready_long_after_it_is_back(traffic: Traffic) -> None:
+    call_admin(traffic, "out-of-service")
+    call_admin(traffic, "in-service")
+    traffic.wait(1500 * MS + 1)
+    probe_readiness(traffic, 503)
 
 
-@wire("")
-def not_ready_yet(play: Play) -> None:
-    play.wait(1500 * MS)
-    is_ready(play, 503)
+@case("")
+def not_ready_yet(traffic: Traffic) -> None:
+    traffic.wait(1500 * MS)
+    probe_readiness(traffic, 503)
 
 
-@wire("service")
-def a_connection_rests_while_out_of_service(play: Play) -> None:
-    play.serve()
-    called(play, "out-of-service")
-    play.wait(2 * S)
+@case("service")
+def a_connection_rests_while_out_of_service(traffic: Traffic) -> None:
+    traffic.serve_request()
+    call_admin(traffic, "out-of-service")
+    traffic.wait(2 * S)
 
 
-@wire("")
-def a_connection_that_rests_is_closed_in_time(play: Play) -> None:
-    conn = play.client()
-    play.serve("r1", "look", conn=conn)
-    called(play, "out-of-service")
-    play.wait(S)
-    play.checker.closed(play.now, conn, "server")
-    play.wait(2 * S)
+@case("")
+def a_connection_that_rests_is_closed_in_time(traffic: Traffic) -> None:
+    conn = traffic.client()
+    traffic.serve_request("r1", "look", conn=conn)
+    call_admin(traffic, "out-of-service")
+    traffic.wait(S)
+    traffic.checker.closed(traffic.now, conn, "server")
+    traffic.wait(2 * S)
 
 
-@wire("recovery")
-def still_ill(play: Play) -> None:
-    afterwards(play, 94, 100, 3)
+@case("recovery")
+def still_ill(traffic: Traffic) -> None:
+    after_faults(traffic, 94, 100, 3)
 
 
-@wire("")
-def well_again(play: Play) -> None:
-    afterwards(play, 95, 100, 3)
+@case("")
+def well_again(traffic: Traffic) -> None:
+    after_faults(traffic, 95, 100, 3)
 
 
-@wire("")
-def too_few_to_tell(play: Play) -> None:
-    afterwards(play, 0, 7, 3)
+@case("")
+def too_few_to_tell(traffic: Traffic) -> None:
+    after_faults(traffic, 0, 7, 3)
 
 
-@wire("recovery")
-def just_enough_to_tell(play: Play) -> None:
-    afterwards(play, 0, 8, 3)
+@case("recovery")
+def just_enough_to_tell(traffic: Traffic) -> None:
+    after_faults(traffic, 0, 8, 3)
 
 
-@wire("")
-def one_lost_of_few(play: Play) -> None:
-    afterwards(play, 11, 12, 3)
+@case("")
+def one_lost_of_few(traffic: Traffic) -> None:
+    after_faults(traffic, 11, 12, 3)
 
 
-@wire("recovery")
-def two_lost_of_few(play: Play) -> None:
-    afterwards(play, 17, 19, 3)
+@case("recovery")
+def two_lost_of_few(traffic: Traffic) -> None:
+    after_faults(traffic, 17, 19, 3)
 
 
-@wire("")
-def refused_and_served_when_tried_again(play: Play) -> None:
-    play.checker.calm(play.now)
-    play.wait(3 * S)
+@case("")
+def refused_and_served_when_tried_again(traffic: Traffic) -> None:
+    traffic.checker.calm(traffic.now)
+    traffic.wait(3 * S)
     for number in range(30):
-        play.answer(play.take(f"r{number}", "look"), 503)
-        play.wait(MS).serve(f"r{number}-1", "look")
+        traffic.answer(traffic.send_request(f"r{number}", "look"), 503)
+        traffic.wait(MS).serve_request(f"r{number}-1", "look")
 
 
-@wire("")
-def bad_clients_are_not_asked(play: Play) -> None:
-    play.checker.bad_client("rude")
-    play.checker.calm(play.now)
-    play.wait(3 * S)
+@case("")
+def bad_clients_are_not_asked(traffic: Traffic) -> None:
+    traffic.checker.bad_client("rude")
+    traffic.checker.calm(traffic.now)
+    traffic.wait(3 * S)
     for number in range(30):
-        play.answer(play.take(f"r{number}", "look", play.client("rude")), 503)
+        traffic.answer(traffic.send_request(f"r{number}", "look", traffic.client("rude")), 503)
 
 
-@wire("")
-def not_asked_to_be_well_yet(play: Play) -> None:
-    afterwards(play, 0, 100, 2)
+@case("")
+def not_asked_to_be_well_yet(traffic: Traffic) -> None:
+    after_faults(traffic, 0, 100, 2)
 
 
 @pytest.mark.parametrize(("lost", "rules"), [(1, []), (2, ["recovery"])])
 def test_who_is_not_let_in_is_not_served(lost: int, rules: list[str]) -> None:
-    play = Play()
-    afterwards(play, 10, 10, 3)
+    traffic = Traffic()
+    after_faults(traffic, 10, 10, 3)
     before = [(10 * S, "long before")] * 9
-    found = play.checker.finish(play.now + 60 * S, (), before + [(play.now, "r99")] * lost)
+    found = traffic.checker.finish(traffic.now + 60 * S, (), before + [(traffic.now, "r99")] * lost)
     assert [each.rule for each in found] == rules
 
 
-@pytest.mark.parametrize(("rule", "name", "call"), WIRES, ids=[name for _, name, _ in WIRES])
-def test_wire(rule: str, name: str, call: Callable[[Play], object]) -> None:
-    play = Play()
-    call(play)
-    found = play.end()
-    assert found == ([rule] if rule else []), "\n".join(map(str, play.checker.breaches))
+@pytest.mark.parametrize(("rule", "name", "call"), CASES, ids=[name for _, name, _ in CASES])
+def test_wire(rule: str, name: str, call: Callable[[Traffic], object]) -> None:
+    traffic = Traffic()
+    call(traffic)
+    found = traffic.end()
+    assert found == ([rule] if rule else []), "\n".join(map(str, traffic.checker.breaches))
 
 
 def test_every_rule_can_be_broken() -> None:
     elsewhere = {"left-over", "replay", "timers", "report"}
-    assert {rule for rule, _, _ in WIRES if rule} == set(RULES) - elsewhere
+    assert {rule for rule, _, _ in CASES if rule} == set(RULES) - elsewhere
 
 
 def test_left_over() -> None:
-    play = Play()
-    (breach,) = play.checker.finish(play.now, ["n0: 1 tickets"])
+    traffic = Traffic()
+    (breach,) = traffic.checker.finish(traffic.now, ["n0: 1 tickets"])
     assert breach.rule == "left-over" and "1 tickets" in str(breach)
 
 
 def test_a_breach_tells_what_led_to_it() -> None:
-    play = Play()
-    drained(play, 500_000_001)
-    text = str(play.checker.breaches[0])
+    traffic = Traffic()
+    send_after_drain(traffic, 500_000_001)
+    text = str(traffic.checker.breaches[0])
     assert "first byte 1 ns too late" in text
     assert "is told changes, version 8" in text and "a Terminating" in text
 
 
 def test_a_breach_tells_the_life_of_its_request() -> None:
-    play = Play()
-    conn = play.take()
-    play.checker.ended(play.now, play.claim(), "client", "reset")
-    play.node_answers(play.claim(node=B), "503 X", Not_Started="1")
-    play.answer(conn, 503)
-    first, second = play.checker.breaches
+    traffic = Traffic()
+    conn = traffic.send_request()
+    traffic.checker.ended(traffic.now, traffic.send_attempt(), "client", "reset")
+    traffic.node_answers(traffic.send_attempt(node=B), "503 X", Not_Started="1")
+    traffic.answer(conn, 503)
+    first, second = traffic.checker.breaches
     assert (first.rule, second.rule) == ("repeat", "refusal")
     for line in (
         "n0 takes r1 from 10.9.0.1", "first byte to a at", "written whole to a at",
@@ -1339,21 +1352,21 @@
 # --- captures -------------------------------------------------------------------------------------
 
 
-def told(play: Play, *figures: float | None) -> list[str]:
-    """What is found when the module is told these figures, the answer having brought others."""
-    conn = play.take(cls="look")
-    claim, body = play.claim(cls="look"), play.run()
-    play.node_answers(claim, "200 OK", body, Server_Load='{"util":0.5,"qps":14}')
-    play.answer(conn, 200, body)
+def report_rules(traffic: Traffic, *figures: float | None) -> list[str]:
+    """Return the broken rules when the module records these figures while the answer reported 0.5 and 14."""
+    conn = traffic.send_request(cls="look")
+    claim, body = traffic.send_attempt(cls="look"), traffic.execute()
+    traffic.node_answers(claim, "200 OK", body, Server_Load='{"util":0.5,"qps":14}')
+    traffic.answer(conn, 200, body)
     end = {"server": A, "status": "ok", "report": list(figures) or None}
-    return captured(play, {"t_ns": 1, "ev": "attempt", "id": "r1", "in": end, "out": []})
+    return check_capture(traffic, {"t_ns": 1, "ev": "attempt", "id": "r1", "in": end, "out": []})
 
 
 def test_reports_that_the_module_was_told() -> None:
-    assert "report" not in told(Play(), 0.5, 14.0)
-    assert "report" in told(Play(), 0.5, 13.0)
-    assert "report" in told(Play(), None, None)
-    assert "report" in told(Play())
+    assert "report" not in report_rules(Traffic(), 0.5, 14.0)
+    assert "report" in report_rules(Traffic(), 0.5, 13.0)
+    assert "report" in report_rules(Traffic(), None, None)
+    assert "report" in report_rules(Traffic())
 
 
 @pytest.mark.parametrize(
@@ -1369,32 +1382,32 @@
     assert load_report(Message("HTTP/1.1 200 OK", headers, 0)) == figures
 
 
-def captured(play: Play, *records: dict[str, Any]) -> list[str]:
+def check_capture(traffic: Traffic, *records: dict[str, Any]) -> list[str]:
     lines = [json.dumps({"ev": "start", "v": 1}), *map(json.dumps, records), "time=1 level=info"]
-    play.checker.captured(play.now, "m0", "\n".join(lines).encode())
-    return [each.rule for each in play.checker.breaches]
+    traffic.checker.captured(traffic.now, "m0", "\n".join(lines).encode())
+    return [each.rule for each in traffic.checker.breaches]
 
 
 def record(t_ms: int, ev: str = "request", token: int = 0, timer_ms: int = 0) -> dict[str, Any]:
-    out = [["timer", timer_ms * MS, token]] if timer_ms else []
-    return {"t_ns": t_ms * MS, "ev": ev, "in": {"token": token}, "out": out}
+    actions = [["timer", timer_ms * MS, token]] if timer_ms else []
+    return {"t_ns": t_ms * MS, "ev": ev, "in": {"token": token}, "out": actions}
 
 
 def test_timers_that_came() -> None:
-    assert "timers" not in captured(
-        Play(), record(1, timer_ms=100), record(100, "timer", timer_ms=200), record(700)
+    assert "timers" not in check_capture(
+        Traffic(), record(1, timer_ms=100), record(100, "timer", timer_ms=200), record(700)
     )
 
 
 def test_a_timer_that_never_came() -> None:
-    assert "timers" in captured(Play(), record(1, timer_ms=100), record(601))
+    assert "timers" in check_capture(Traffic(), record(1, timer_ms=100), record(601))
 
 
 def test_a_capture_that_is_refused() -> None:
-    assert "replay" in captured(Play(), record(1))
+    assert "replay" in check_capture(Traffic(), record(1))
 
 
-# --- readers --------------------------------------------------------------------------------------
+# --- parsers --------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("step", [1, 2, 3, 7, 1000])
@@ -1473,8 +1486,8 @@
 )  # fmt: skip
 def test_requests_that_can_be_served(first: str, headers: dict[str, str], fault: str | None) -> None:
     (message,) = MessageReader(answers=False).feed(http(first, b"", **{**GOOD, **headers}))
-    told = judge.find_request_fault(message, Rules.of(SETTINGS))
-    assert told is None if fault is None else told is not None and fault in told
+    found = judge.find_request_fault(message, Rules.of(SETTINGS))
+    assert found is None if fault is None else found is not None and fault in found
 
 
 @pytest.mark.parametrize(("size", "sound"), [(64 * 1024, True), (64 * 1024 + 1, False)])
@@ -1497,7 +1510,7 @@
     ],
 )  # fmt: skip
 def test_entries_that_make_sense(changed: dict[str, Any], sound: bool) -> None:
-    line = listing({**entry(A), **changed})
+    line = list_line({**entry(A), **changed})
     assert (parse_update(line) is not None) is sound
 
 
@@ -1533,5 +1546,5 @@
             names += [each.name for each in node.names] if isinstance(node, ast.Import) else []
             ours = [name for name in names if name.partition(".")[0] in ("brambleusher",)]
             shared = [name for name in ours if not name.startswith("brambleusher.lab.checker")]
-            # The program's own replay is what `rerun` checks.
+            # `rerun` may import the program's replay, because it checks that replay.
             assert shared == (["brambleusher.features.replay"] if path.name == "rerun.py" and shared else [])
--- a/tests/lab/test_explore.py
+++ b/tests/lab/test_explore.py
@@ -1,4 +1,4 @@
-"""The explorer: one seed is one run everywhere, its command line, and what it found once stays mended."""
+"""Tests of the explorer: reproducible runs, its command line, and scenarios that once broke a rule."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 ROOT = Path(__file__).parents[2]
 SCENARIOS = sorted((ROOT / "tests" / "scenarios").glob("*.yaml"))
-BLOCKS = 6  # of seeds that CI plays: one test each, so that they spread over its processes
-SEEDS = 50  # in each
-SLOW = 3  # of these, where service was not whole again in time: docs/ROADMAP.md, "recovery"
+BLOCK_COUNT = 6  # number of blocks of seeds that CI plays, one test each, to spread them over its processes
+SEEDS_PER_BLOCK = 50  # number of seeds in each block
+MAX_SLOW_SEEDS = 3  # most seeds of a block in which service may recover too late: docs/ROADMAP.md, "recovery"
 DIGEST = re.compile(r"^digest ([0-9a-f]{32})$")
 
 
 def command(*words: str, hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
-    """`brambleusher explore` in a process of its own."""
+    """Run `brambleusher explore` in a separate process."""
     return subprocess.run(
         [sys.executable, "-m", "brambleusher", "explore", *words],
         cwd=ROOT, env={**os.environ, "PYTHONHASHSEED": hash_seed}, capture_output=True, text=True,
@@ -39,19 +39,19 @@
     )  # fmt: skip
 
 
-@pytest.mark.parametrize("block", range(BLOCKS))
+@pytest.mark.parametrize("block", range(BLOCK_COUNT))
 def test_seeds_break_no_rule(block: int) -> None:
-    """All rules hold; of the one that docs/ROADMAP.md has as open, so few seeds at most tell."""
-    first = 1000 + block * SEEDS
+    """All rules hold, but `MAX_SLOW_SEEDS` seeds at most may break "recovery", see docs/ROADMAP.md."""
+    first = 1000 + block * SEEDS_PER_BLOCK
     broken: list[str] = []
-    slow: list[str] = []
-    for result in play_chunk((range(first, first + SEEDS), "default", None)):
+    slow_recoveries: list[str] = []
+    for result in play_chunk((range(first, first + SEEDS_PER_BLOCK), "default", None)):
         assert result.asked >= LEAST_REQUESTS and result.virtual_s >= 5 and len(result.faults) >= LEAST_KINDS
         for breach in result.breaches[:1]:
-            told = f"brambleusher explore --replay {result.seed}: {breach}"
-            (slow if breach.rule == "recovery" else broken).append(told)
+            description = f"brambleusher explore --replay {result.seed}: {breach}"
+            (slow_recoveries if breach.rule == "recovery" else broken).append(description)
     assert not broken, "\n".join(broken)
-    assert len(slow) <= SLOW, "\n".join(slow)
+    assert len(slow_recoveries) <= MAX_SLOW_SEEDS, "\n".join(slow_recoveries)
 
 
 @pytest.mark.parametrize("path", SCENARIOS, ids=lambda path: path.stem)
@@ -78,7 +78,7 @@
 
 
 def test_a_summary_tells_what_was_asked_apart_from_what_arrived() -> None:
-    """A sidecar that is down takes nothing; what is then asked of it is asked all the same."""
+    """Requests to a sidecar that is down count as asked, although no sidecar receives them."""
     scenario = draw_scenario(7)
     whole = play(scenario)
     assert whole.asked == len(scenario.asks) and whole.taken > 0
@@ -107,7 +107,7 @@
     for wanted in (r"clients -> n\d #\d+ sends \d+ bytes '(GET|POST) /", r"n\d -> node \d+ #\d+ sends",
                    r"fault: ", r"n\d started"):  # fmt: skip
         assert any(re.search(wanted, line) for line in said), wanted
-    assert result.digest == play(draw_scenario(3)).digest  # looking changes nothing
+    assert result.digest == play(draw_scenario(3)).digest  # the timeline does not change the run
 
 
 def test_a_breakage_is_found_shrunk_written_and_played_again(
@@ -129,9 +129,9 @@
 
 
 def test_ctrl_c_ends_all_processes_with_one_line() -> None:
-    """As at a terminal, also where these tests were started in the background, with SIGINT ignored."""
+    """Checks Ctrl-C as at a terminal, even if the tests run in the background with SIGINT ignored."""
     ignores = 1 << (signal.SIGINT - 1)
-    # An ignored signal stays so over an exec, and Python leaves it so.
+    # An ignored signal stays ignored across exec(), and Python does not install its handler for it.
     call_explore = (
         "import signal; signal.signal(signal.SIGINT, signal.default_int_handler)\n"
         "from brambleusher.__main__ import main\n"
@@ -141,17 +141,17 @@
         [sys.executable, "-c", call_explore],
         cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True, start_new_session=True,
     ) as run, contextlib.ExitStack() as at_end:  # fmt: skip
-        at_end.callback(os.killpg, run.pid, signal.SIGKILL)  # else `with` waits for it for good
+        at_end.callback(os.killpg, run.pid, signal.SIGKILL)  # otherwise `with` waits forever
         ready, rounds = 0, 0
         while ready < 2 and rounds < 3000 and run.poll() is None:
-            with contextlib.suppress(subprocess.TimeoutExpired):  # the kernel tells nobody of a mask
+            with contextlib.suppress(subprocess.TimeoutExpired):  # a changed mask can only be polled
                 run.wait(0.02)
             children = Path(f"/proc/{run.pid}/task/{run.pid}/children").read_text().split()
             masks = [Path(f"/proc/{child}/status").read_text().partition("SigIgn:")[2] for child in children]
             ready, rounds = sum(bool(int(mask.split()[0], 16) & ignores) for mask in masks), rounds + 1
         os.killpg(run.pid, signal.SIGINT)
         out, err = run.communicate(timeout=60)
-        at_end.pop_all()  # it has ended: its number may be another's
+        at_end.pop_all()  # the process has ended, and its pid may be in use by another process
     assert ready == 2
     assert (run.returncode, out, err) == (130, "", "brambleusher: stopped\n")
 
--- a/tests/lab/test_operators_in_virtual_time.py
+++ b/tests/lab/test_operators_in_virtual_time.py
@@ -1,4 +1,4 @@
-"""Operators in virtual time: what they say holds, and a range of seeds ends whatever one of them does."""
+"""Tests of operators' calls in virtual time, and of the time limit on a run."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def test_a_sidecar_that_discovery_turns_away_is_ready_with_the_list_it_had() -> None:
-    """Guards against each of a herd that starts together standing idle for the whole wait."""
+    """Guards against sidecars that start together and each wait for the whole timeout of a fresh list."""
     scenario = scenario_with(fault_of("sidecars-released", {"down_s": 0.0}))
     sidecars = tuple(msgspec.structs.replace(each, known="current") for each in scenario.world.sidecars)
     world = msgspec.structs.replace(scenario.world, sidecars=sidecars)
@@ -33,7 +33,7 @@
 
 
 def test_what_was_not_said_by_the_end_is_never_said() -> None:
-    """Guards against a sidecar called out of service for good by a fault that ends before its call."""
+    """Guards against a sidecar that stays out of service for good after a fault that ends before its call."""
     fault = msgspec.structs.replace(fault_of("sidecar-out-of-service", {}), for_s=0.1)
     with (fleet := Fleet(scenario_with(fault))).world as run:
         fleet.start()
--- a/tests/lab/test_sums.py
+++ b/tests/lab/test_sums.py
@@ -1,4 +1,4 @@
-"""Sums over the fleet: what is harmless in one sidecar and passes a limit when all do it."""
+"""Tests of the totals over a fleet: behaviour harmless in one sidecar that exceeds a limit in all of them."""
 
 from __future__ import annotations
 
@@ -23,26 +23,26 @@
 LIMITS = FleetLimits((NODE,), calls=2.0, rules=Rules({}))
 
 
-def link(number: int, to: str = "node 0") -> Connection:
+def connection_to(number: int, to: str = "node 0") -> Connection:
     return Connection(number, End(f"n{number}", "10.0.0.1", 40000), End(to, "10.1.0.1", 9000), 0)
 
 
 def test_places_are_counted_while_they_are_held_and_failures_by_who_met_them() -> None:
     sums = Sums(0, LIMITS)
     for number in range(4):
-        sums.opened(1, link(number))
-        sums.established(2, link(number))
-        sums.established(2, link(number))
+        sums.opened(1, connection_to(number))
+        sums.established(2, connection_to(number))
+        sums.established(2, connection_to(number))
     assert sums.passed() == ["held: 1.33 of at most 1 at 0 s: connections at a node, of those it can hold"]
     for number in range(4):
-        sums.sent(SECOND, link(number), "client", b"GET")
-    sums.sent(SECOND, link(0), "server", b"200")
+        sums.sent(SECOND, connection_to(number), "client", b"GET")
+    sums.sent(SECOND, connection_to(0), "server", b"200")
     for number in range(4):
-        sums.closed(SECOND + 1, link(number), "client")
-        sums.ended(SECOND + 2, link(number), "client", "reset")
-    assert sums.copies.values[1] == 3  # the first one had its answer
-    sums.opened(2 * SECOND, link(9))
-    sums.established(2 * SECOND, link(9))
+        sums.closed(SECOND + 1, connection_to(number), "client")
+        sums.ended(SECOND + 2, connection_to(number), "client", "reset")
+    assert sums.copies.values[1] == 3  # the first connection already had its answer
+    sums.opened(2 * SECOND, connection_to(9))
+    sums.established(2 * SECOND, connection_to(9))
     assert sums.held.values[2] == pytest.approx(1 / 3)
     assert sums.opens.values == [pytest.approx(0.004), 0.0, pytest.approx(0.001)]
 
@@ -50,24 +50,24 @@
 def test_calls_are_counted_by_the_second() -> None:
     sums = Sums(0, LIMITS)
     for number in range(6):
-        sums.opened(number * SECOND // 2, link(number, "discovery"))
+        sums.opened(number * SECOND // 2, connection_to(number, "discovery"))
     assert not sums.calls.passed
-    sums.opened(2 * SECOND, link(7, "discovery 2"))
+    sums.opened(2 * SECOND, connection_to(7, "discovery 2"))
     assert sums.calls.most == 3
     assert sums.passed()
     assert sums.called_in_all == 7
 
 
-def small(day: str, seed: int = 1, length_s: float = 5.0) -> Scenario:
+def small_day(day: str, seed: int = 1, length_s: float = 5.0) -> Scenario:
     return draw_mass(seed, day, 24, 16, length_s)
 
 
 @pytest.fixture(scope="module")
-def whole() -> dict[str, Sums]:
-    """The sums of the program as it is."""
+def unmodified() -> dict[str, Sums]:
+    """Play three days with the unchanged program and return their totals by day."""
     found = {}
     for day in ("mass-calm", "mass-join", "mass-roll"):
-        result = play(small(day), sums=True)
+        result = play(small_day(day), sums=True)
         assert result.sums is not None
         assert result.rules == []
         found[day] = result.sums
@@ -76,22 +76,22 @@
 
 def test_days_are_the_same_for_the_same_seed_and_can_be_kept_in_a_file() -> None:
     for day in DAYS:
-        scenario = small(day)
-        assert scenario == small(day)
+        scenario = small_day(day)
+        assert scenario == small_day(day)
         assert read_scenario(write_scenario(scenario)) == scenario
     with pytest.raises(ValueError, match="mass-calm"):
         draw_mass(1, "mass-none")
 
 
-def test_days_pass_no_limit(whole: dict[str, Sums]) -> None:
-    for sums in whole.values():
+def test_days_pass_no_limit(unmodified: dict[str, Sums]) -> None:
+    for sums in unmodified.values():
         assert sums.passed() == []
         assert sums.opens.most > 0 < sums.held.most
         assert len(sums.table()) > 5
-    assert whole["mass-join"].cold.most > 0
+    assert unmodified["mass-join"].cold.most > 0
 
 
-def called_at_once(patch: pytest.MonkeyPatch) -> None:
+def call_discovery_at_once(patch: pytest.MonkeyPatch) -> None:
     old = Balancer.start
 
     def start(self: Balancer, now: int) -> Any:
@@ -102,15 +102,15 @@
     patch.setattr(Balancer, "start", start)
 
 
-def undivided(patch: pytest.MonkeyPatch) -> None:
+def ignore_other_proxies(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(slow_start, "proxies_per_host", lambda *_: 1.0)
 
 
-def every_node_used(patch: pytest.MonkeyPatch) -> None:
+def use_every_node(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(HostTable, "subset_size", lambda self: 10_000)
 
 
-def closed_after_use(patch: pytest.MonkeyPatch) -> None:
+def close_after_use(patch: pytest.MonkeyPatch) -> None:
     old = UpstreamConnections.release
     patch.setattr(
         UpstreamConnections, "release", lambda self, node, stream, keep: old(self, node, stream, False)
@@ -120,10 +120,10 @@
 @pytest.mark.parametrize(
     ("breakage", "day", "curve", "times"),
     [
-        (called_at_once, "mass-calm", "calls", 1.5),
-        (undivided, "mass-join", "cold", 1.2),
-        (every_node_used, "mass-calm", "all_held", 1.3),
-        (closed_after_use, "mass-calm", "opens", 2.0),
+        (call_discovery_at_once, "mass-calm", "calls", 1.5),
+        (ignore_other_proxies, "mass-join", "cold", 1.2),
+        (use_every_node, "mass-calm", "all_held", 1.3),
+        (close_after_use, "mass-calm", "opens", 2.0),
     ],
 )
 def test_what_is_harmless_in_one_sidecar_shows_in_a_sum(
@@ -131,23 +131,23 @@
     day: str,
     curve: str,
     times: float,
-    whole: dict[str, Sums],
+    unmodified: dict[str, Sums],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     breakage(monkeypatch)
-    sums = play(small(day), sums=True).sums
+    sums = play(small_day(day), sums=True).sums
     assert sums is not None
-    assert getattr(sums, curve).most > times * getattr(whole[day], curve).most
+    assert getattr(sums, curve).most > times * getattr(unmodified[day], curve).most
 
 
 def test_a_fleet_that_is_told_of_another_discovery_does_not_call_it_in_one_moment(
-    whole: dict[str, Sums], monkeypatch: pytest.MonkeyPatch
+    unmodified: dict[str, Sums], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     old = EndpointList.switch_discovery
     monkeypatch.setattr(EndpointList, "switch_discovery", lambda self, feed, within_s: old(self, feed, 0.0))
-    at_once = play(small("mass-roll"), sums=True).sums
+    at_once = play(small_day("mass-roll"), sums=True).sums
     assert at_once is not None
-    spread, calls = whole["mass-roll"].calls.values, at_once.calls.values
+    spread, calls = unmodified["mass-roll"].calls.values, at_once.calls.values
     moved = max(range(len(calls)), key=lambda second: calls[second] - spread[second])
     assert calls[moved] > 1.5 * spread[moved] > 0
-    assert whole["mass-roll"].called_in_all <= at_once.called_in_all  # and it costs no call more
+    assert unmodified["mass-roll"].called_in_all <= at_once.called_in_all  # spreading the calls adds none
--- a/tests/lab/test_virtual_sidecar.py
+++ b/tests/lab/test_virtual_sidecar.py
@@ -1,4 +1,4 @@
-"""The program's own sidecar in virtual time: faults that the lab found in it, one test each."""
+"""Regression tests of the sidecar in virtual time, one for each fault that the lab found."""
 
 from __future__ import annotations
 
@@ -31,7 +31,8 @@
     process = lab.server.start(main)
     lab.world.run(lab.world.now_ns + SECOND)
     before = process.descriptors
-    process.limit = 3 + before + 1  # room for one: the second connection finds none, and the first makes way
+    # One descriptor is free, so the second connection finds none and the sidecar closes the first for it.
+    process.limit = 3 + before + 1
 
     def two(scheduler: Scheduler) -> list[bytes | None]:
         deadline = scheduler.now() + 1.0
--- a/tests/lab/test_world.py
+++ b/tests/lab/test_world.py
@@ -1,4 +1,4 @@
-"""The virtual world: the same seed gives the same run; kill, vanish, stall, signals, clocks."""
+"""Tests of the virtual world: reproducible runs, processes, signals, clocks, descriptors and faults."""
 
 from __future__ import annotations
 
@@ -36,25 +36,25 @@
 PLAIN = WorldSettings(split=0.0, short_send=0.0, short_receive=0.0)
 
 
-class Notes(Tap):
-    """Everything that was told, as one line each."""
+class RecordingTap(Tap):
+    """Tap that records every notification as one tuple."""
 
     def __init__(self) -> None:
         self.lines: list[tuple[Any, ...]] = []
         for name in vars(Tap):
             if not name.startswith("_"):
-                setattr(self, name, partial(self._note, name))
+                setattr(self, name, partial(self._record, name))
 
-    def _note(self, what: str, now: int, about: Connection | Machine, *args: Any) -> None:
+    def _record(self, what: str, now: int, about: Connection | Machine, *args: Any) -> None:
         self.lines.append((now, what, about.name if isinstance(about, Machine) else about.id, *args))
 
     def what(self, *names: str) -> list[tuple[Any, ...]]:
-        """The lines with these names, without their times."""
+        """Return the records with these names, without their times."""
         return [line[1:] for line in self.lines if line[1] in names]
 
 
-class Waits:
-    """Waiting, for programs written without tasks."""
+class BlockingPoller:
+    """Blocking waits for programs that use no tasks."""
 
     def __init__(self, system: VirtualSystem) -> None:
         self._poller = system.poller()
@@ -70,8 +70,8 @@
 
 
 def echo(system: VirtualSystem) -> None:
-    """Take one connection after the other and send back what comes."""
-    wait, listener = Waits(system), system.listen(("0.0.0.0", 7), 8)
+    """Run an echo server that serves one connection after the other."""
+    wait, listener = BlockingPoller(system), system.listen(("0.0.0.0", 7), 8)
     while True:
         wait.on(listener, READ)
         sock, _ = system.accept(listener)
@@ -88,11 +88,13 @@
         sock.close()
 
 
-def asks(heard: list[bytes], data: bytes = b"hello", times: int = 3) -> Callable[[VirtualSystem], None]:
-    """A program that sends to the echo and keeps what comes back."""
+def echo_client(
+    received: list[bytes], data: bytes = b"hello", times: int = 3
+) -> Callable[[VirtualSystem], None]:
+    """Build a program that sends data to the echo server and collects the responses."""
 
     def main(system: VirtualSystem) -> None:
-        wait, sock = Waits(system), system.connection()
+        wait, sock = BlockingPoller(system), system.connection()
         assert sock.connect_ex(("10.0.0.1", 7)) == errno.EINPROGRESS
         wait.on(sock, WRITE)
         if error := system.error_of(sock):
@@ -100,27 +102,27 @@
         for _ in range(times):
             sock.send(data)
             wait.on(sock, READ)
-            heard.append(sock.recv(4096))
+            received.append(sock.recv(4096))
         sock.close()
 
     return main
 
 
-def pair(world: World, heard: list[bytes], times: int = 3) -> tuple[Process, Process]:
-    """An echo on one machine, and one that asks it on another."""
+def start_echo_pair(world: World, received: list[bytes], times: int = 3) -> tuple[Process, Process]:
+    """Start an echo server on one machine and a client of it on another."""
     server = world.machine("server", "10.0.0.1").start(echo)
     client = world.machine("client", "10.0.0.2")
     world.run(START_NS + 10 * MILLISECOND)
-    return server, client.start(asks(heard, times=times))
+    return server, client.start(echo_client(received, times=times))
 
 
 def trace(seed: int) -> list[tuple[Any, ...]]:
     with World(seed) as world:
-        notes = Notes()
-        world.taps.append(notes)
-        pair(world, [])
+        recorded = RecordingTap()
+        world.taps.append(recorded)
+        start_echo_pair(world, [])
         world.run(START_NS + SECOND)
-        return notes.lines
+        return recorded.lines
 
 
 def test_same_seed_same_run() -> None:
@@ -130,7 +132,7 @@
 
 
 def test_same_seed_same_run_elsewhere() -> None:
-    """In another process, under other hashes."""
+    """Guards against a run that depends on the process or on its hash seed."""
     code = "from tests.lab.test_world import trace; import zlib; print(zlib.crc32(repr(trace(5)).encode()))"
     for hashes in ("1", "77"):
         found = subprocess.run(
@@ -144,31 +146,31 @@
 def test_bytes_come_whole_and_in_order() -> None:
     rough = WorldSettings(split=0.9, short_send=0.5, short_receive=0.5, send_buffer=5000, receive_buffer=3000)
     data = bytes(at * 31 % 251 for at in range(40_000))
-    heard = bytearray()
+    received = bytearray()
 
-    def take(system: VirtualSystem) -> None:
-        wait, listener = Waits(system), system.listen(("0.0.0.0", 7), 8)
+    def receiver(system: VirtualSystem) -> None:
+        wait, listener = BlockingPoller(system), system.listen(("0.0.0.0", 7), 8)
         wait.on(listener, READ)
         sock, _ = system.accept(listener)
         while wait.on(sock, READ) and (part := sock.recv(7000)):
-            heard.extend(part)
+            received.extend(part)
 
-    def give(system: VirtualSystem) -> None:
-        wait, sock, left = Waits(system), system.connection(), memoryview(data)
+    def sender(system: VirtualSystem) -> None:
+        wait, sock, left = BlockingPoller(system), system.connection(), memoryview(data)
         sock.connect_ex(("10.0.0.1", 7))
         while left:
             wait.on(sock, WRITE)
             left = left[sock.send(left) :]
-        sock.close()  # the rest of the buffer goes out all the same
+        sock.close()  # bytes still in the send buffer are sent after the close
 
     for seed in range(5):
-        heard.clear()
+        received.clear()
         with World(seed, rough) as world:
-            taker = world.machine("a", "10.0.0.1").start(take)
+            receiving_process = world.machine("a", "10.0.0.1").start(receiver)
             world.run(START_NS + 10 * MILLISECOND)
-            world.machine("b", "10.0.0.2").start(give)
-            finish(world, taker)
-        assert heard == data
+            world.machine("b", "10.0.0.2").start(sender)
+            finish(world, receiving_process)
+        assert received == data
 
 
 # --- processes ----------------------------------------------------------------------------------
@@ -177,36 +179,36 @@
 def test_a_killed_process_does_nothing_more() -> None:
     after: list[str] = []
 
-    def stubborn(system: VirtualSystem) -> None:
-        wait, sock = Waits(system), system.connection()
+    def loop_forever(system: VirtualSystem) -> None:
+        wait, sock = BlockingPoller(system), system.connection()
         sock.connect_ex(("10.0.0.1", 7))
         wait.on(sock, WRITE)
         while True:
             try:
                 wait.pause(1000)
-            finally:  # all of this meets a dead system
+            finally:  # every system call from here on raises `Killed`
                 after.append("begins")
-                for deed in (lambda: sock.send(b"more"), system.connection, system.monotonic, sock.close):
+                for call in (lambda: sock.send(b"more"), system.connection, system.monotonic, sock.close):
                     try:
-                        deed()
+                        call()
                     except BaseException as error:
                         after.append(type(error).__name__)
                 wait.pause(10)
                 after.append("never")
 
     with World(3, PLAIN) as world:
-        notes = Notes()
-        world.taps.append(notes)
+        recorded = RecordingTap()
+        world.taps.append(recorded)
         world.machine("server", "10.0.0.1").start(echo)
         world.run(START_NS + 10 * MILLISECOND)
-        client = world.machine("stubborn", "10.0.0.3").start(stubborn)
+        client = world.machine("stubborn", "10.0.0.3").start(loop_forever)
         world.run(START_NS + SECOND)
         begun = world.now_ns
         client.kill()
         world.run(START_NS + 2 * SECOND)
         assert after == ["begins", "Killed", "Killed", "Killed"]
         assert client.ended == -signal.SIGKILL and client.descriptors == 0
-        late = [line[1:] for line in notes.lines if line[0] >= begun]
+        late = [line[1:] for line in recorded.lines if line[0] >= begun]
         assert late == [
             ("process", "stubborn", "killed"),
             ("closed", 1, "client"),
@@ -216,21 +218,21 @@
         ]
 
 
-def idle_pair(
+def start_idle_pair(
     world: World, *, unread: bool = False, sends_later: bool = False
 ) -> tuple[Process, Process, list[str]]:
-    """A server that accepts and reads nothing, and a client that says how its connection ended."""
+    """Start a server that accepts but never reads, and a client that reports how its connection ended."""
     ends: list[str] = []
 
     def server(system: VirtualSystem) -> None:
-        wait, listener = Waits(system), system.listen(("0.0.0.0", 7), 8)
+        wait, listener = BlockingPoller(system), system.listen(("0.0.0.0", 7), 8)
         kept = []
         while True:
             wait.on(listener, READ)
             kept.append(system.accept(listener)[0])
 
     def client(system: VirtualSystem) -> None:
-        wait, sock = Waits(system), system.connection()
+        wait, sock = BlockingPoller(system), system.connection()
         sock.connect_ex(("10.0.0.1", 7))
         wait.on(sock, WRITE)
         if unread:
@@ -257,30 +259,30 @@
 )
 def test_what_a_kill_does_to_connections(unread: bool, reset: bool, end: str) -> None:
     with World(1, PLAIN) as world:
-        server, _, ends = idle_pair(world, unread=unread)
+        server, _, ends = start_idle_pair(world, unread=unread)
         server.kill(reset=reset)
-        heard: list[bytes] = []
-        late = world.machine("late", "10.0.0.3").start(asks(heard))
+        received: list[bytes] = []
+        late = world.machine("late", "10.0.0.3").start(echo_client(received))
         world.run(START_NS + SECOND)
         assert ends == [end]
         assert isinstance(late.error, ConnectionRefusedError) and late.ended == 1
         assert b"ConnectionRefusedError" in late.stderr
-        server.machine.start(echo)  # and again on the same address
+        server.machine.start(echo)  # a new process listens on the same address
         world.run(world.now_ns + 10 * MILLISECOND)
-        late.machine.start(asks(heard))
+        late.machine.start(echo_client(received))
         world.run(START_NS + 2 * SECOND)
-        assert b"".join(heard) == b"hello" * 3
+        assert b"".join(received) == b"hello" * 3
 
 
 def test_killed_by_its_own_code_and_by_another() -> None:
     with World(1, PLAIN) as world:
-        notes = Notes()
-        world.taps.append(notes)
+        recorded = RecordingTap()
+        world.taps.append(recorded)
         server = world.machine("server", "10.0.0.1").start(echo)
         world.run(START_NS + 10 * MILLISECOND)
 
-        def murderer(system: VirtualSystem) -> None:
-            wait, sock = Waits(system), system.connection()
+        def kill_both(system: VirtualSystem) -> None:
+            wait, sock = BlockingPoller(system), system.connection()
             sock.connect_ex(("10.0.0.1", 7))
             wait.on(sock, WRITE)
             server.kill()
@@ -288,10 +290,10 @@
             system.process.kill()
             sock.send(b"x")
 
-        client = world.machine("client", "10.0.0.2").start(murderer)
+        client = world.machine("client", "10.0.0.2").start(kill_both)
         world.run(START_NS + SECOND)
         assert server.ended == client.ended == -signal.SIGKILL
-        assert client.error is None and notes.what("sent") == []
+        assert client.error is None and recorded.what("sent") == []
 
 
 def test_the_tasks_of_an_ended_process_are_over() -> None:
@@ -313,7 +315,7 @@
     got: list[tuple[str, int]] = []
 
     def main(system: VirtualSystem) -> None:
-        wait, waker = Waits(system), system.waker()
+        wait, waker = BlockingPoller(system), system.waker()
 
         def on_term() -> None:
             got.append(("term", system.monotonic_ns()))
@@ -335,20 +337,20 @@
         world.run(START_NS + SECOND)
         process.signal(signal.SIGHUP)
         world.run(START_NS + 2 * SECOND)
-        process.signal(signal.SIGWINCH)  # harmless
+        process.signal(signal.SIGWINCH)  # ignored by default
         assert process.ended is None
         process.stall(SECOND)
         process.signal(signal.SIGTERM)
         world.run(START_NS + 10 * SECOND)
         assert [name for name, _ in got] == ["hup", "term"]
         assert START_NS + SECOND < got[0][1] < START_NS + SECOND + MILLISECOND
-        assert got[1][1] == START_NS + 3 * SECOND  # not before the stall is over
+        assert got[1][1] == START_NS + 3 * SECOND  # the handler runs only after the stall
         assert process.ended == 0
 
 
 def test_signal_without_handler_ends_a_process() -> None:
     with World(1, PLAIN) as world:
-        server, client = pair(world, [], times=1)
+        server, client = start_echo_pair(world, [], times=1)
         world.run(START_NS + 100 * MILLISECOND)
         assert client.ended == 0 and server.ended is None
         server.signal(signal.SIGTERM)
@@ -357,27 +359,27 @@
 
 def test_a_stalled_process_is_accepted_for() -> None:
     with World(1, PLAIN) as world:
-        notes = Notes()
-        world.taps.append(notes)
+        recorded = RecordingTap()
+        world.taps.append(recorded)
         server = world.machine("server", "10.0.0.1").start(echo)
         world.run(START_NS + 10 * MILLISECOND)
         server.machine.stall(SECOND)
-        world.machine("client", "10.0.0.2").start(asks([]))
+        world.machine("client", "10.0.0.2").start(echo_client([]))
         world.run(START_NS + SECOND)
-        assert notes.what("established", "arrived") == [
+        assert recorded.what("established", "arrived") == [
             ("established", 1),
             ("arrived", 1, "server", b"hello"),
         ]
-        assert notes.what("accepted", "read") == []
+        assert recorded.what("accepted", "read") == []
         world.run(START_NS + 2 * SECOND)
-        assert ("read", 1, "server", b"hello") in notes.what("read")
+        assert ("read", 1, "server", b"hello") in recorded.what("read")
 
 
 def test_clocks() -> None:
     seen: list[tuple[int, int]] = []
 
     def main(system: VirtualSystem) -> None:
-        wait = Waits(system)
+        wait = BlockingPoller(system)
         while True:
             seen.append((system.monotonic_ns(), system.wall_ns()))
             assert abs(system.monotonic() * 1e9 - system.monotonic_ns()) < 1000
@@ -403,7 +405,7 @@
         first.close()
         found.extend([third.fileno(), system.connection().fileno(), system.connection().fileno()])
         try:
-            system.waker()  # takes two, and there is one
+            system.waker()  # needs two descriptors, and only one is free
         except OSError as error:
             found.append(errno.errorcode[error.errno or 0])
         found.append(system.process.descriptors)
@@ -421,7 +423,7 @@
     waited: list[int] = []
 
     def main(system: VirtualSystem) -> None:
-        wait = Waits(system)
+        wait = BlockingPoller(system)
         sinks = [system.descriptor_sink(2), system.file_sink("/log"), system.datagram_sink(("10.0.0.9", 53))]
 
         def turn() -> None:
@@ -462,24 +464,24 @@
 
 def test_a_machine_that_vanishes_and_comes_back() -> None:
     with World(1, PLAIN) as world:
-        notes = Notes()
-        world.taps.append(notes)
-        server, _, ends = idle_pair(world, sends_later=True)
+        recorded = RecordingTap()
+        world.taps.append(recorded)
+        server, _, ends = start_idle_pair(world, sends_later=True)
         server.machine.vanish()
-        began = len(notes.lines)
-        late = world.machine("late", "10.0.0.3").start(asks([]))
+        began = len(recorded.lines)
+        late = world.machine("late", "10.0.0.3").start(echo_client([]))
         world.run(START_NS + 8 * SECOND)
         assert ends == [] and late.ended is None
-        assert [line[1] for line in notes.lines[began:]] == ["process", "opened", "sent"]
+        assert [line[1] for line in recorded.lines[began:]] == ["process", "opened", "sent"]
         server.machine.come_back()
         world.run(START_NS + 20 * SECOND)
-        assert ends == ["ECONNRESET"]  # it does not know the connection
+        assert ends == ["ECONNRESET"]  # the restarted machine has no record of the connection
         assert isinstance(late.error, ConnectionRefusedError)
 
 
 def test_bytes_that_nobody_acknowledges_are_given_up() -> None:
     with World(1, PLAIN) as world:
-        server, _, ends = idle_pair(world, sends_later=True)
+        server, _, ends = start_idle_pair(world, sends_later=True)
         server.machine.vanish()
         world.run(START_NS + 900 * SECOND)
         assert ends == []
@@ -490,8 +492,8 @@
 @pytest.mark.parametrize("to", ["server", "client"])
 def test_a_connect_over_a_cut_comes_up_later(to: str) -> None:
     with World(1, PLAIN) as world:
-        notes, heard = Notes(), list[bytes]()
-        world.taps.append(notes)
+        recorded, received = RecordingTap(), list[bytes]()
+        world.taps.append(recorded)
         world.network.cut(
             world.machine("client", "10.0.0.2"), world.machine("server", "10.0.0.1"), one_way=True
         )
@@ -500,13 +502,13 @@
             world.network.cut("server", "client", one_way=True)
         world.machines["server"].start(echo)
         world.run(START_NS + 10 * MILLISECOND)
-        client = world.machines["client"].start(asks(heard))
+        client = world.machines["client"].start(echo_client(received))
         world.run(START_NS + 2 * SECOND)
-        assert notes.what("opened", "established", "accepted") == [("opened", 1)]
+        assert recorded.what("opened", "established", "accepted") == [("opened", 1)]
         world.network.mend("client", "server")
         finish(world, client)
-        assert notes.what("established", "accepted") == [("established", 1), ("accepted", 1)]
-        assert heard == [b"hello"] * 3
+        assert recorded.what("established", "accepted") == [("established", 1), ("accepted", 1)]
+        assert received == [b"hello"] * 3
 
 
 def test_logs_go_to_the_process_that_wrote_them() -> None:
@@ -533,13 +535,13 @@
 @pytest.mark.parametrize("how", ["cut", "back", "silence"])
 def test_what_was_cut_comes_later(how: str) -> None:
     with World(1, PLAIN) as world:
-        notes, heard = Notes(), list[bytes]()
-        world.taps.append(notes)
+        recorded, received = RecordingTap(), list[bytes]()
+        world.taps.append(recorded)
         conns: list[Connection] = []
-        pair(world, heard, times=40)
-        notes.accepted = lambda now, conn: conns.append(conn)  # type: ignore[method-assign]
+        start_echo_pair(world, received, times=40)
+        recorded.accepted = lambda now, conn: conns.append(conn)  # type: ignore[method-assign]
         network = world.network
-        world.run(until=lambda: len(heard) > 10)
+        world.run(until=lambda: len(received) > 10)
         if how == "silence":
             network.silence(conns[0])
         else:
@@ -547,30 +549,30 @@
                 *(("client", "server") if how == "cut" else ("server", "client")), one_way=how == "back"
             )
         world.run(world.now_ns + SECOND)
-        before = len(heard)
+        before = len(received)
         world.run(world.now_ns + SECOND)
-        assert before == len(heard) < 40
+        assert before == len(received) < 40
         if how == "silence":
             network.unsilence(conns[0])
         else:
             network.mend("server", "client")
         world.run(world.now_ns + 5 * SECOND)
-        assert heard == [b"hello"] * 40
+        assert received == [b"hello"] * 40
 
 
 def test_a_full_buffer_whose_acknowledgements_are_cut_off_is_waited_for_in_few_events() -> None:
-    """Guards against a look each nanosecond: one virtual second took for ever."""
+    """Guards against a check at every nanosecond, with which one virtual second never finished."""
     written: list[int] = []
 
     def server(system: VirtualSystem) -> None:
-        wait, listener = Waits(system), system.listen(("0.0.0.0", 7), 0)
+        wait, listener = BlockingPoller(system), system.listen(("0.0.0.0", 7), 0)
         wait.on(listener, READ)
         sock, _ = system.accept(listener)
         while wait.on(sock, READ):
             sock.recv(1000)
 
     def client(system: VirtualSystem) -> None:
-        wait, sock = Waits(system), system.connection()
+        wait, sock = BlockingPoller(system), system.connection()
         sock.connect_ex(("10.0.0.1", 7))
         wait.on(sock, WRITE)
         while True:
@@ -598,17 +600,17 @@
 
 
 def test_what_is_sent_after_a_mend_waits_for_what_was_held() -> None:
-    heard = bytearray()
+    received = bytearray()
 
     def server(system: VirtualSystem) -> None:
-        wait, listener = Waits(system), system.listen(("0.0.0.0", 7), 0)
+        wait, listener = BlockingPoller(system), system.listen(("0.0.0.0", 7), 0)
         wait.on(listener, READ)
         sock, _ = system.accept(listener)
         while wait.on(sock, READ):
-            heard.extend(sock.recv(10))
+            received.extend(sock.recv(10))
 
     def client(system: VirtualSystem) -> None:
-        wait, sock = Waits(system), system.connection()
+        wait, sock = BlockingPoller(system), system.connection()
         sock.connect_ex(("10.0.0.1", 7))
         wait.on(sock, WRITE)
         for number in range(100):
@@ -623,30 +625,30 @@
         world.at(START_NS + 200 * MILLISECOND, lambda: world.network.cut("server", "client"))
         world.at(START_NS + 700 * MILLISECOND, lambda: world.network.mend("server", "client"))
         world.run(START_NS + 10 * SECOND)
-    assert heard == bytes(range(100))
+    assert received == bytes(range(100))
 
 
 def test_faults_of_connects() -> None:
     with World(1, PLAIN) as world:
-        notes = Notes()
-        world.taps.append(notes)
+        recorded = RecordingTap()
+        world.taps.append(recorded)
         server = world.machine("server", "10.0.0.1").start(echo)
-        client, heard = world.machine("client", "10.0.0.2"), list[bytes]()
+        client, received = world.machine("client", "10.0.0.2"), list[bytes]()
         world.run(START_NS + 10 * MILLISECOND)
         world.network.refuse("server", 7)
-        assert isinstance(finish(world, client.start(asks(heard))).error, ConnectionRefusedError)
+        assert isinstance(finish(world, client.start(echo_client(received))).error, ConnectionRefusedError)
         world.network.stop_refusing("server", 7)
         world.network.swallow_connects(server.machine)
-        waits = client.start(asks(heard))
+        waits = client.start(echo_client(received))
         world.run(world.now_ns + 2 * SECOND)
-        assert waits.ended is None and heard == []
+        assert waits.ended is None and received == []
         world.network.stop_swallowing(server.machine)
-        assert finish(world, waits).ended == 0 and len(heard) == 3
+        assert finish(world, waits).ended == 0 and len(received) == 3
         world.network.slow_link("client", "server", 100 * MILLISECOND)
         began = world.now_ns
-        finish(world, client.start(asks(heard)))
+        finish(world, client.start(echo_client(received)))
         assert world.now_ns - began > 8 * 100 * MILLISECOND
-        nowhere = client.start(lambda system: asks(heard)(system))
+        nowhere = client.start(lambda system: echo_client(received)(system))
         world.network.cut("client", "server", one_way=True)
         world.run(world.now_ns + 140 * SECOND)
         assert isinstance(nowhere.error, TimeoutError)
@@ -660,32 +662,35 @@
 def test_a_reset_on_the_way() -> None:
     with World(1, PLAIN) as world:
         conns: list[Connection] = []
-        notes = Notes()
-        notes.established = lambda now, conn: conns.append(conn)  # type: ignore[method-assign]
-        world.taps.append(notes)
-        _, _, ends = idle_pair(world)
+        recorded = RecordingTap()
+        recorded.established = lambda now, conn: conns.append(conn)  # type: ignore[method-assign]
+        world.taps.append(recorded)
+        _, _, ends = start_idle_pair(world)
         world.network.reset(conns[0])
         world.run(START_NS + SECOND)
-        assert ends == ["ECONNRESET"] and len(notes.what("ended")) == 2
+        assert ends == ["ECONNRESET"] and len(recorded.what("ended")) == 2
 
 
 def test_a_queue_that_fills_between_consent_and_acknowledgement() -> None:
-    """Linux: the client is connected, the server is not; its bytes come once there is room."""
+    """Checks Linux's behaviour: the client counts as connected before the server accepts the ACK.
+
+    The client's bytes arrive once the accept queue has room.
+    """
     up: list[str] = []
-    heard: list[bytes] = []
+    received: list[bytes] = []
 
     def server(system: VirtualSystem) -> None:
-        wait, listener = Waits(system), system.listen(("0.0.0.0", 7), 0)
+        wait, listener = BlockingPoller(system), system.listen(("0.0.0.0", 7), 0)
         wait.pause(500)
         for _ in range(4):
             wait.on(listener, READ)
             sock, _ = system.accept(listener)
             wait.on(sock, READ)
-            heard.append(sock.recv(10))
+            received.append(sock.recv(10))
 
     def client(name: str) -> Callable[[VirtualSystem], None]:
         def main(system: VirtualSystem) -> None:
-            wait, sock = Waits(system), system.connection()
+            wait, sock = BlockingPoller(system), system.connection()
             sock.connect_ex(("10.0.0.1", 7))
             wait.on(sock, WRITE)
             up.append(name)
@@ -700,17 +705,17 @@
         for name in "abcd":
             world.machine(name, f"10.0.1.{ord(name)}").start(client(name))
         world.run(START_NS + 400 * MILLISECOND)
-        assert sorted(up) == list("abcd")  # all were consented to before the first acknowledgement came
+        assert sorted(up) == list("abcd")  # every SYN was answered before the first ACK came
         assert len(world.machines["server"].listeners[7].queue) == 1
         world.run(START_NS + 20 * SECOND)
-        assert sorted(heard) == [b"a", b"b", b"c", b"d"]
+        assert sorted(received) == [b"a", b"b", b"c", b"d"]
 
 
 def test_reset_before_accept_may_be_told_as_aborted() -> None:
     told: list[str] = []
 
     def server(system: VirtualSystem) -> None:
-        wait, listener = Waits(system), system.listen(("0.0.0.0", 7), 4)
+        wait, listener = BlockingPoller(system), system.listen(("0.0.0.0", 7), 4)
         wait.pause(100)
         try:
             system.accept(listener)
@@ -718,7 +723,7 @@
             told.append(errno.errorcode[error.errno or 0])
 
     def client(system: VirtualSystem) -> None:
-        wait, sock = Waits(system), system.connection()
+        wait, sock = BlockingPoller(system), system.connection()
         wait.pause(10)
         sock.connect_ex(("10.0.0.1", 7))
         wait.on(sock, WRITE)
@@ -744,7 +749,7 @@
 
     with World(1, PLAIN) as world:
         world.taps.append(Strict())
-        _, client = pair(world, [])
+        _, client = start_echo_pair(world, [])
         with pytest.raises(Breach):
             world.run(START_NS + SECOND)
         assert client.ended is None
@@ -760,7 +765,7 @@
         world.step_done.append(lambda: order.append(-1))
         assert not world.run(START_NS + 25)
         assert order == [5, -1, 10, -1, 20, -1] and world.elapsed_ns == 25
-        world.at(0, lambda: order.append(25))  # past: at once
+        world.at(0, lambda: order.append(25))  # a time in the past runs at once
         assert world.run(until=lambda: 30 in order)
         assert order[6:] == [25, -1, 30, -1]
 
