--- a/brambleusher/cli/explore.py
+++ b/brambleusher/cli/explore.py
@@ -346,7 +346,7 @@
     print(f"digest {result.digest}")
     exceeded: list[str] = []
     if result.sums is not None:
-        exceeded = result.sums.passed()
+        exceeded = result.sums.exceeded_limits()
         for line in [*result.sums.table(), *(f"passed {text}" for text in exceeded)]:
             print(line)
     return STATUS_BREACHED if result.breaches or exceeded else STATUS_PASSED
--- a/brambleusher/lab/checker/sums.py
+++ b/brambleusher/lab/checker/sums.py
@@ -1,9 +1,9 @@
 """Totals over the whole fleet as curves over time, each compared with a limit.
 
 A rule is broken by one sidecar; a total exceeds its limit through all sidecars together, although each one's
-share is harmless. Add a `Sums` object to a world's taps beside the checker. Like the checker, the object uses
-only the wire and the nodes' shared execution log, and no code of the program. The steps of a curve are whole
-seconds from the creation of the object.
+share is harmless. Add a `FleetTotals` object to a world's taps beside the checker. Like the checker, the
+object uses only the wire and the nodes' shared execution log, and no code of the program. A curve's steps are
+whole seconds from the creation of the object.
 """
 
 from __future__ import annotations
@@ -57,17 +57,17 @@
         self.values[step] = max(self.values[step], value)
 
     @property
-    def most(self) -> float:
+    def highest(self) -> float:
         """The highest value over all seconds."""
         return max(self.values, default=0.0)
 
     @property
-    def passed(self) -> bool:
+    def is_exceeded(self) -> bool:
         """Whether any second exceeded the limit."""
-        return self.limit is not None and self.most > self.limit
+        return self.limit is not None and self.highest > self.limit
 
 
-class Sums:
+class FleetTotals:
     """The totals of one run; times are in nanoseconds on the world's monotonic clock.
 
     The ends of a connection are identified by their machines, because between real processes each pair of
@@ -85,7 +85,7 @@
         self._opens_per_step: Counter[tuple[int, str]] = Counter()
         self._calls_per_step: Counter[int] = Counter()
         self._recent_failures: dict[str, deque[tuple[int, str]]] = {}
-        self.opened_in_all = self.called_in_all = 0
+        self.total_opened = self.total_calls = 0
         self.held = Curve("held", "connections at a node, of those it can hold", 1.0)
         self.all_held = Curve("held in all", "connections at all nodes", None)
         self.opens = Curve("opens", "handshakes' part of a core of a node", MAX_HANDSHAKE_FRACTION)
@@ -107,11 +107,11 @@
         """Count a connect: a handshake at a node, or a call for the list at discovery."""
         step, target = self._step(now), conn.server.machine
         if target.startswith(self._limits.discovery):
-            self.called_in_all += 1
+            self.total_calls += 1
             self._calls_per_step[step] += 1
             self.calls.raise_to(step, self._calls_per_step[step])
         elif (node := self._nodes.get(target)) is not None:
-            self.opened_in_all += 1
+            self.total_opened += 1
             self._opens_per_step[step, target] += 1
             self.opens.raise_to(step, self._opens_per_step[step, target] * node.handshake_s)
 
@@ -186,33 +186,33 @@
             budget = rules.warm_up_budget(each.capacity)
             self.cold.raise_to(self._step(each.came_ns), sum(work for _, work in recent) / budget)
 
-    def passed(self) -> list[str]:
+    def exceeded_limits(self) -> list[str]:
         """Describe the limits that were exceeded, each with the second of the highest value."""
-        return passed(self.curves)
+        return describe_exceeded(self.curves)
 
     def table(self) -> list[str]:
         """Format the curves as a table with a line per second, the highest values, the limits and totals."""
-        totals = f"{self.opened_in_all} connections opened, {self.called_in_all} calls for the list"
-        return [*table(self.curves), totals]
+        totals = f"{self.total_opened} connections opened, {self.total_calls} calls for the list"
+        return [*format_table(self.curves), totals]
 
 
-def passed(curves: Sequence[Curve]) -> list[str]:
+def describe_exceeded(curves: Sequence[Curve]) -> list[str]:
     """Describe the limits that curves exceed, each with the second of the highest value."""
     return [
-        f"{curve.name}: {curve.most:.3g} of at most {curve.limit:.3g} at {_at(curve)} s: {curve.what}"
+        f"{curve.name}: {curve.highest:.3g} of at most {curve.limit:.3g} at {_at(curve)} s: {curve.what}"
         for curve in curves
-        if curve.passed
+        if curve.is_exceeded
     ]
 
 
-def table(curves: Sequence[Curve]) -> list[str]:
+def format_table(curves: Sequence[Curve]) -> list[str]:
     """Format curves as a table with a line per second, then the highest values and the limits."""
     lines = ["  s " + "".join(f"{curve.name:>13}" for curve in curves)]
     for step in range(max((len(curve.values) for curve in curves), default=0)):
         cells = (curve.values[step] if step < len(curve.values) else 0.0 for curve in curves)
         lines.append(f"{step:3d} " + "".join(f"{value:13.3g}" for value in cells))
     limits = ("-" if curve.limit is None else f"{curve.limit:.3g}" for curve in curves)
-    lines.append("most" + "".join(f"{curve.most:13.3g}" for curve in curves))
+    lines.append("most" + "".join(f"{curve.highest:13.3g}" for curve in curves))
     lines.append("lim." + "".join(f"{limit:>13}" for limit in limits))
     return lines
 
--- a/brambleusher/lab/processes/drill.py
+++ b/brambleusher/lab/processes/drill.py
@@ -14,7 +14,7 @@
 import yaml
 
 from brambleusher.lab.checker import Breach, Checker, Rules
-from brambleusher.lab.checker.sums import Curve, Sums, passed
+from brambleusher.lab.checker.sums import Curve, FleetTotals, describe_exceeded
 from brambleusher.lab.collection import uncollected
 from brambleusher.lab.faults.kinds import AnyFault, check_faults
 from brambleusher.lab.fleets.figures import Drawer, Ranges, WorldFigures, draw_world
@@ -211,7 +211,7 @@
         checker = Checker(rules, fleet.executions)
         fleet.audience = checker
         raised = Raised(world)
-        sums = Sums(world.now_ns, fleet_limits(scenario, rules))
+        sums = FleetTotals(world.now_ns, fleet_limits(scenario, rules))
         world.taps += [cast(Tap, checker), cast(Tap, sums)]
         world.step_done.append(lambda: checker.step(world.now_ns))
         begun = world.now_ns
@@ -237,7 +237,11 @@
         fleet = RealFleet(scenario, stage, breakage=breakage)
         checker = Checker(rules, fleet.executions)
         fleet.audience = cast(Any, PairAudience(fleet, checker))
-        sums, watch, made = Sums(stage.now_ns, fleet_limits(scenario, rules)), Watch(fleet), stage.now_ns
+        sums, watch, made = (
+            FleetTotals(stage.now_ns, fleet_limits(scenario, rules)),
+            Watch(fleet),
+            stage.now_ns,
+        )
         stage.taps += [checker, sums]
         stage.step_done.append(lambda: checker.step(stage.now_ns))
         fleet.start()
@@ -315,7 +319,7 @@
     if outcome.well_s > expect.well_s:
         outcome.missed.append(f"well {outcome.well_s:g} s after the last fault, {expect.well_s:g} s expected")
     if expect.limits:
-        outcome.missed += [f"limit passed: {text}" for text in passed(outcome.curves)]
+        outcome.missed += [f"limit passed: {text}" for text in describe_exceeded(outcome.curves)]
 
 
 def _well_after(windows: Iterable[tuple[int, int]], over_s: float) -> float:
--- a/brambleusher/lab/processes/told.py
+++ b/brambleusher/lab/processes/told.py
@@ -10,7 +10,7 @@
 from dataclasses import asdict
 from pathlib import Path
 
-from brambleusher.lab.checker.sums import table
+from brambleusher.lab.checker.sums import format_table
 from brambleusher.lab.processes.breakages import ALL
 from brambleusher.lab.processes.drill import Drill, Outcome, Where, play
 
@@ -74,7 +74,7 @@
 
 def curves(out: Outcome) -> list[str]:
     """Sums over the fleet and what processes take, a line a second."""
-    return [*table(out.curves), f"requests come from {out.begins_s:.1f} s on"]
+    return [*format_table(out.curves), f"requests come from {out.begins_s:.1f} s on"]
 
 
 def as_line(path: Path, out: Outcome) -> str:
--- a/brambleusher/lab/virtual/explore.py
+++ b/brambleusher/lab/virtual/explore.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from brambleusher.lab.checker import Breach, Checker, Rules
-from brambleusher.lab.checker.sums import FleetLimits, NodeLimits, Sums
+from brambleusher.lab.checker.sums import FleetLimits, FleetTotals, NodeLimits
 from brambleusher.lab.fleets.fleet import Fleet, node_machine, world_of
 from brambleusher.lab.fleets.scenario import Scenario
 from brambleusher.lab.virtual.network import Connection
@@ -218,7 +218,7 @@
     virtual_s: float
     faults: Counter[str] = field(default_factory=Counter)  # number of planned faults by kind
     broken: int = 0  # number of all breaches, kept or not
-    sums: Sums | None = None  # totals over the fleet, if they were requested
+    sums: FleetTotals | None = None  # totals over the fleet, if they were requested
 
     @property
     def rules(self) -> list[str]:
@@ -250,9 +250,9 @@
         fleet.audience = checker
         digest, logged_errors, exit_errors = Digest(), Raised(world), ExitErrors()
         world.taps += [cast(Tap, checker), digest, exit_errors]
-        totals: Sums | None = None
+        totals: FleetTotals | None = None
         if sums:
-            totals = Sums(world.now_ns, fleet_limits(scenario, rules))
+            totals = FleetTotals(world.now_ns, fleet_limits(scenario, rules))
             world.taps.append(cast(Tap, totals))
         handlers: list[logging.Handler] = [logged_errors]
         line: TimeLine | None = None
--- a/tests/lab/test_drills.py
+++ b/tests/lab/test_drills.py
@@ -30,7 +30,7 @@
     assert outcome.verdict == "ok" and outcome.served > 0.8, "\n".join(told)
     assert outcome.asked > 80 and outcome.opened > 20
     curves = {curve.name: curve for curve in outcome.curves}
-    assert 0 < curves["held"].most <= 1 and 0 < curves["descriptors"].most < 1
+    assert 0 < curves["held"].highest <= 1 and 0 < curves["descriptors"].highest < 1
     assert min(curves["MB"].values[2:-2]) > 10  # each second has been looked at
 
 
--- a/tests/lab/test_sums.py
+++ b/tests/lab/test_sums.py
@@ -8,7 +8,7 @@
 import pytest
 
 from brambleusher.lab.checker import Rules
-from brambleusher.lab.checker.sums import FleetLimits, NodeLimits, Sums
+from brambleusher.lab.checker.sums import FleetLimits, FleetTotals, NodeLimits
 from brambleusher.lab.fleets.scenario import Scenario, read_scenario, write_scenario
 from brambleusher.lab.virtual.explore import play
 from brambleusher.lab.virtual.mass import DAYS, draw_mass
@@ -28,12 +28,14 @@
 
 
 def test_places_are_counted_while_they_are_held_and_failures_by_who_met_them() -> None:
-    sums = Sums(0, LIMITS)
+    sums = FleetTotals(0, LIMITS)
     for number in range(4):
         sums.opened(1, connection_to(number))
         sums.established(2, connection_to(number))
         sums.established(2, connection_to(number))
-    assert sums.passed() == ["held: 1.33 of at most 1 at 0 s: connections at a node, of those it can hold"]
+    assert sums.exceeded_limits() == [
+        "held: 1.33 of at most 1 at 0 s: connections at a node, of those it can hold"
+    ]
     for number in range(4):
         sums.sent(SECOND, connection_to(number), "client", b"GET")
     sums.sent(SECOND, connection_to(0), "server", b"200")
@@ -48,14 +50,14 @@
 
 
 def test_calls_are_counted_by_the_second() -> None:
-    sums = Sums(0, LIMITS)
+    sums = FleetTotals(0, LIMITS)
     for number in range(6):
         sums.opened(number * SECOND // 2, connection_to(number, "discovery"))
-    assert not sums.calls.passed
+    assert not sums.calls.is_exceeded
     sums.opened(2 * SECOND, connection_to(7, "discovery 2"))
-    assert sums.calls.most == 3
-    assert sums.passed()
-    assert sums.called_in_all == 7
+    assert sums.calls.highest == 3
+    assert sums.exceeded_limits()
+    assert sums.total_calls == 7
 
 
 def small_day(day: str, seed: int = 1, length_s: float = 5.0) -> Scenario:
@@ -63,7 +65,7 @@
 
 
 @pytest.fixture(scope="module")
-def unmodified() -> dict[str, Sums]:
+def unmodified() -> dict[str, FleetTotals]:
     """Play three days with the unchanged program and return their totals by day."""
     found = {}
     for day in ("mass-calm", "mass-join", "mass-roll"):
@@ -83,12 +85,12 @@
         draw_mass(1, "mass-none")
 
 
-def test_days_pass_no_limit(unmodified: dict[str, Sums]) -> None:
+def test_days_pass_no_limit(unmodified: dict[str, FleetTotals]) -> None:
     for sums in unmodified.values():
-        assert sums.passed() == []
-        assert sums.opens.most > 0 < sums.held.most
+        assert sums.exceeded_limits() == []
+        assert sums.opens.highest > 0 < sums.held.highest
         assert len(sums.table()) > 5
-    assert unmodified["mass-join"].cold.most > 0
+    assert unmodified["mass-join"].cold.highest > 0
 
 
 def call_discovery_at_once(patch: pytest.MonkeyPatch) -> None:
@@ -131,17 +133,17 @@
     day: str,
     curve: str,
     times: float,
-    unmodified: dict[str, Sums],
+    unmodified: dict[str, FleetTotals],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     breakage(monkeypatch)
     sums = play(small_day(day), sums=True).sums
     assert sums is not None
-    assert getattr(sums, curve).most > times * getattr(unmodified[day], curve).most
+    assert getattr(sums, curve).highest > times * getattr(unmodified[day], curve).highest
 
 
 def test_a_fleet_that_is_told_of_another_discovery_does_not_call_it_in_one_moment(
-    unmodified: dict[str, Sums], monkeypatch: pytest.MonkeyPatch
+    unmodified: dict[str, FleetTotals], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     old = EndpointList.switch_discovery
     monkeypatch.setattr(EndpointList, "switch_discovery", lambda self, feed, within_s: old(self, feed, 0.0))
@@ -150,4 +152,4 @@
     spread, calls = unmodified["mass-roll"].calls.values, at_once.calls.values
     moved = max(range(len(calls)), key=lambda second: calls[second] - spread[second])
     assert calls[moved] > 1.5 * spread[moved] > 0
-    assert unmodified["mass-roll"].called_in_all <= at_once.called_in_all  # spreading the calls adds none
+    assert unmodified["mass-roll"].total_calls <= at_once.total_calls  # spreading the calls adds none
