--- a/brambleusher/lab/checker/checker.py
+++ b/brambleusher/lab/checker/checker.py
@@ -803,13 +803,19 @@
                 self._breach_at_node(
                     "dirty", now, attempt, "the node had said that it closes this connection"
                 )
-            elif connection.answers.has_partial and connection.arrived_ns <= now - self.rules.seen_ns:
+            elif (
+                connection.answers.has_partial
+                and connection.arrived_ns <= now - self.rules.unnoticed_bytes_ns
+            ):
                 self._breach_at_node("dirty", now, attempt, "bytes behind an answer had been read from it")
-            elif connection.arrived > connection.read and connection.arrived_ns < now - self.rules.seen_ns:
+            elif (
+                connection.arrived > connection.read
+                and connection.arrived_ns < now - self.rules.unnoticed_bytes_ns
+            ):
                 self._breach_at_node(
                     "dirty", now, attempt, f"{connection.arrived - connection.read} bytes waited on it"
                 )
-            elif 0 <= connection.ended_seen_ns < now - self.rules.seen_ns:
+            elif 0 <= connection.ended_seen_ns < now - self.rules.unnoticed_bytes_ns:
                 self._breach_at_node("dirty", now, attempt, "its end waited on it")
         self._check_drain(now, attempt)
 
--- a/brambleusher/lab/checker/rules.py
+++ b/brambleusher/lab/checker/rules.py
@@ -64,7 +64,7 @@
     # Least share of a cold node's work from sidecars that knew of its start, for a breach to be reported.
     min_informed_fraction: float = 2 / 3
     bad_client_ns: int = 3 * SECOND  # time within which a bad client must get an error or a close
-    seen_ns: int = 0  # time that bytes may wait at a process before it must have noticed them
+    unnoticed_bytes_ns: int = 0  # time that bytes may wait at a process before it must have noticed them
     resume_ns: int = 500 * MS  # time after a stop by which requests that fell due during it must be answered
     abandon_ns: int = 300 * MS  # time after a client's visible close from which no attempt may begin
     # A request that arrives later than this after a SIGTERM must be answered, even if the sidecar is killed.
@@ -87,7 +87,7 @@
         return self.fall_multiple * capacity * self.fall_ns / SECOND
 
     @classmethod
-    def of(cls, settings: Mapping[str, Any], **changed: Any) -> Rules:
+    def from_settings(cls, settings: Mapping[str, Any], **changed: Any) -> Rules:
         """Read the limits from a sidecar's settings; raises `ValueError` for an effect without a rule.
 
         Args:
--- a/brambleusher/lab/experiments/run.py
+++ b/brambleusher/lab/experiments/run.py
@@ -106,7 +106,7 @@
         if direct:
             fleet.new_node = partial(noting, notes, lambda: fleet.begins_ns)
         elif cell.check:
-            checker = Checker(Rules.of(world.sidecar_settings(0)), fleet.executions)
+            checker = Checker(Rules.from_settings(world.sidecar_settings(0)), fleet.executions)
             fleet.audience = checker
             space.taps.append(cast(Tap, checker))
             step = checker.step
--- a/brambleusher/lab/processes/drill.py
+++ b/brambleusher/lab/processes/drill.py
@@ -206,7 +206,7 @@
 def _virtual(drill: Drill, breakage: str) -> Outcome:
     scenario, outcome = scenario_of(drill), Outcome("virtual")
     with world_of(scenario) as world, on(breakage) if breakage else nullcontext():
-        rules = Rules.of(scenario.world.sidecar_settings(0))
+        rules = Rules.from_settings(scenario.world.sidecar_settings(0))
         fleet = Fleet(scenario, world)
         checker = Checker(rules, fleet.executions)
         fleet.audience = checker
@@ -229,8 +229,10 @@
     raise_limit()
     scenario, outcome = scenario_of(drill), Outcome("processes")
     settings = scenario.world.sidecar_settings(0)
-    own = Rules.of(settings)
-    rules = Rules.of(settings, slack_ns=SLACK_NS, seen_ns=SEEN_NS, drain_ns=own.drain_ns + DRAIN_NS)
+    own = Rules.from_settings(settings)
+    rules = Rules.from_settings(
+        settings, slack_ns=SLACK_NS, unnoticed_bytes_ns=SEEN_NS, drain_ns=own.drain_ns + DRAIN_NS
+    )
     stage = RealStage(drill.seed, folder)
     fleet: RealFleet | None = None
     try:
--- a/brambleusher/lab/virtual/explore.py
+++ b/brambleusher/lab/virtual/explore.py
@@ -244,7 +244,7 @@
     """
     with world_of(scenario) as world, breakage or nullcontext():
         world.settings = replace(world.settings, output_bytes=OUTPUT_BYTES)
-        rules = Rules.of(scenario.world.sidecar_settings(0))
+        rules = Rules.from_settings(scenario.world.sidecar_settings(0))
         fleet = Fleet(scenario, world)
         checker = Checker(rules, fleet.executions)
         fleet.audience = checker
--- a/tests/lab/test_checker.py
+++ b/tests/lab/test_checker.py
@@ -99,7 +99,7 @@
     executions: list[ExecutionRecord] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        self.checker = Checker(Rules.of(SETTINGS), self.executions)
+        self.checker = Checker(Rules.from_settings(SETTINGS), self.executions)
         self.number = 0
         known = {"version": 7, "full": True, "servers": [entry(A), entry(B)]}
         self.checker.sidecar(
@@ -1486,7 +1486,7 @@
 )  # fmt: skip
 def test_requests_that_can_be_served(first: str, headers: dict[str, str], fault: str | None) -> None:
     (message,) = MessageReader(answers=False).feed(http(first, b"", **{**GOOD, **headers}))
-    found = judge.find_request_fault(message, Rules.of(SETTINGS))
+    found = judge.find_request_fault(message, Rules.from_settings(SETTINGS))
     assert found is None if fault is None else found is not None and fault in found
 
 
@@ -1495,7 +1495,7 @@
     (message,) = MessageReader(answers=False).feed(
         http("POST /move HTTP/1.1", b"x" * size, **{**GOOD, "Request_Class": "move"})
     )
-    assert (judge.find_request_fault(message, Rules.of(SETTINGS)) is None) is sound
+    assert (judge.find_request_fault(message, Rules.from_settings(SETTINGS)) is None) is sound
 
 
 @pytest.mark.parametrize(
