--- a/brambleusher/cli/explore.py
+++ b/brambleusher/cli/explore.py
@@ -27,7 +27,7 @@
     read_scenario,
     write_scenario,
 )
-from brambleusher.lab.virtual.explore import Endless, Result, play, shrink
+from brambleusher.lab.virtual.explore import Result, RunTimeout, play, shrink
 from brambleusher.lab.virtual.mass import DAYS, draw_mass
 
 STATUS_PASSED, STATUS_BREACHED, STATUS_USAGE = 0, 1, 2
@@ -204,13 +204,13 @@
 
 @contextmanager
 def bounded(cpu_s: float = SEED_CPU_S) -> Iterator[None]:
-    """Raise `Endless` in a block that takes more processor time than `cpu_s` seconds.
+    """Raise `RunTimeout` in a block that takes more processor time than `cpu_s` seconds.
 
     Without it one run without end would hold up a whole range, and would not be found.
     """
 
     def end(_number: int, _frame: FrameType | None) -> None:
-        raise Endless(f"no end after {cpu_s:g} s of processor time")
+        raise RunTimeout(f"no end after {cpu_s:g} s of processor time")
 
     before = signal.signal(signal.SIGVTALRM, end)
     signal.setitimer(signal.ITIMER_VIRTUAL, cpu_s, REPEAT_CPU_S)
--- a/brambleusher/lab/processes/drill.py
+++ b/brambleusher/lab/processes/drill.py
@@ -26,7 +26,7 @@
 from brambleusher.lab.processes.stage import RealStage
 from brambleusher.lab.processes.watch import Watch
 from brambleusher.lab.stand_ins.settings import Ask, Part, Positive, Seconds, Settings
-from brambleusher.lab.virtual.explore import Raised, fleet_limits, listening
+from brambleusher.lab.virtual.explore import LoggedExceptions, fleet_limits, redirect_log
 from brambleusher.lab.virtual.world import Tap
 
 SECOND, MS = 10**9, 10**6
@@ -210,12 +210,12 @@
         fleet = Fleet(scenario, world)
         checker = Checker(rules, fleet.executions)
         fleet.audience = checker
-        raised = Raised(world)
+        raised = LoggedExceptions(world)
         sums = FleetTotals(world.now_ns, fleet_limits(scenario, rules))
         world.taps += [cast(Tap, checker), cast(Tap, sums)]
         world.step_done.append(lambda: checker.step(world.now_ns))
         begun = world.now_ns
-        with listening([raised]):
+        with redirect_log([raised]):
             ends = fleet.play()
         checker.finish(world.now_ns, [text for end in ends for text in end.left_over()])
         sums.finish(fleet.executions)
--- a/brambleusher/lab/virtual/explore.py
+++ b/brambleusher/lab/virtual/explore.py
@@ -35,7 +35,7 @@
 MAX_SHOWN_CHARS = 100  # largest number of characters that a timeline shows of sent bytes
 
 
-class Endless(BaseException):
+class RunTimeout(BaseException):
     """Raised by a caller of `play`, at any point of the run, to end a run that takes too long.
 
     The class is no `Exception`, so that exception handlers of the program let it through.
@@ -149,7 +149,7 @@
         self.line(now, f"{machine.name} {what}")
 
 
-class Raised(logging.Handler):
+class LoggedExceptions(logging.Handler):
     """Handler that reports each exception in the program's log as a breach."""
 
     def __init__(self, world: World) -> None:
@@ -184,12 +184,12 @@
         what = f"its main program raised {type(process.error).__name__}: {process.error}"
         rows = traceback.format_exception(process.error)
         trail = tuple((now, row) for row in "".join(rows).splitlines())
-        rule = ENDLESS if isinstance(process.error, Endless) else FAULT
+        rule = ENDLESS if isinstance(process.error, RunTimeout) else FAULT
         self.breaches.append(Breach(rule, now, process.name, what, trail))
 
 
 @contextmanager
-def listening(handlers: list[logging.Handler]) -> Iterator[None]:
+def redirect_log(handlers: list[logging.Handler]) -> Iterator[None]:
     """Send the program's log to the given handlers alone within the context."""
     log = logging.getLogger("brambleusher")
     before = log.handlers[:], log.level, log.propagate
@@ -248,7 +248,7 @@
         fleet = Fleet(scenario, world)
         checker = Checker(rules, fleet.executions)
         fleet.audience = checker
-        digest, logged_errors, exit_errors = Digest(), Raised(world), ExitErrors()
+        digest, logged_errors, exit_errors = Digest(), LoggedExceptions(world), ExitErrors()
         world.taps += [cast(Tap, checker), digest, exit_errors]
         totals: FleetTotals | None = None
         if sums:
@@ -271,17 +271,17 @@
             handlers.append(log)
         world.step_done.append(lambda: checker.step(world.now_ns))
         begun = world.now_ns
-        with listening(handlers):
+        with redirect_log(handlers):
             try:
                 fleet.start()
                 if stop_at_breach:
                     world.run(fleet.ends_ns, lambda: bool(checker.breaches or logged_errors.breaches))
                 if not (stop_at_breach and (checker.breaches or logged_errors.breaches)):
                     _finish_run(fleet, checker)
-            except (Exception, Endless) as error:
+            except (Exception, RunTimeout) as error:
                 trail = tuple((world.now_ns, row) for row in traceback.format_exc().splitlines())
                 what = f"{type(error).__name__}: {error}"
-                rule = ENDLESS if isinstance(error, Endless) else LAB
+                rule = ENDLESS if isinstance(error, RunTimeout) else LAB
                 logged_errors.breaches.append(Breach(rule, world.now_ns, "the lab", what, trail))
         if totals is not None:
             totals.finish(fleet.executions)
