--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -40,7 +40,7 @@
     ZoneLost,
     ZoneUnreachable,
 )
-from brambleusher.lab.virtual.zone_days import FALL_MULTIPLE, ZONES, Books, Day, play
+from brambleusher.lab.virtual.zone_days import FALL_MULTIPLE, ZONES, Day, DayStatistics, play
 from brambleusher.loadbalancing import Balancer, api
 from brambleusher.loadbalancing.balancer_factory import balancer_for
 from brambleusher.loadbalancing.hosts import Host, Request
@@ -153,7 +153,7 @@
     seed: int
     returns: tuple[str, float] | None = None
 
-    def run(self) -> Books:
+    def run(self) -> DayStatistics:
         """Play it; quiet."""
         logging.getLogger("brambleusher").setLevel(logging.CRITICAL + 1)
         gc.collect()
@@ -165,19 +165,19 @@
         return play(day, self.seed, self.returns, WAYS[self.way])
 
 
-def _run(job: Job) -> tuple[Job, Books]:
+def _run(job: Job) -> tuple[Job, DayStatistics]:
     return job, job.run()
 
 
-Results = dict[tuple[str, str], list[Books]]
+Results = dict[tuple[str, str], list[DayStatistics]]
 
 
 def run_all(jobs: Sequence[Job], processes: int) -> Results:
     """All runs, by day and way."""
-    found: dict[tuple[str, str], dict[int, Books]] = {}
+    found: dict[tuple[str, str], dict[int, DayStatistics]] = {}
     longest = sorted(jobs, key=lambda job: -job.day.length_s)
     if processes == 1:
-        done: Iterable[tuple[Job, Books]] = map(_run, longest)
+        done: Iterable[tuple[Job, DayStatistics]] = map(_run, longest)
     else:
         pool = multiprocessing.get_context("fork").Pool(processes, maxtasksperchild=4)
         done = pool.imap_unordered(_run, longest)
@@ -198,7 +198,7 @@
 
 
 def worst(
-    runs: Sequence[Books], begin: int, end: int, rest: Sequence[Books] = (), window: int = 2
+    runs: Sequence[DayStatistics], begin: int, end: int, rest: Sequence[DayStatistics] = (), window: int = 2
 ) -> tuple[float, int, str]:
     """Return the least part served by class and window over all seeds, of what `rest` served where given.
 
@@ -218,7 +218,7 @@
     return least
 
 
-def moving(runs: Sequence[Books], begin: int, end: int, period: int, zone: str = ZONE) -> float:
+def moving(runs: Sequence[DayStatistics], begin: int, end: int, period: int, zone: str = ZONE) -> float:
     """Return the part of all requests that changes between a zone and the others, a second.
 
     The zone's share of each phase of the flaps (and of as long before the first) is compared with that of
@@ -231,7 +231,7 @@
     return mean(abs(one - two) for one, two in pairwise(shares)) / period
 
 
-def back_after(runs: Sequence[Books], since: int, usual: tuple[int, int], part: float = 0.8) -> float:
+def back_after(runs: Sequence[DayStatistics], since: int, usual: tuple[int, int], part: float = 0.8) -> float:
     """Seconds until the first three in which a zone has that part of what it usually had."""
     had = mean(books.share(ZONE, *usual) for books in runs)
     end = len(runs[0].went) - 1
--- a/brambleusher/lab/virtual/zone_days.py
+++ b/brambleusher/lab/virtual/zone_days.py
@@ -159,7 +159,7 @@
 
 
 @dataclass
-class Books:
+class DayStatistics:
     """Statistics of a day: counts per second and figures per node, as plain data."""
 
     asked: dict[str, list[int]]  # number of requests in each second, by class
@@ -224,7 +224,9 @@
     return most
 
 
-def books_of(fleet: Fleet, sampler: QueueSampler, returns: tuple[str, float] | None = None) -> Books:
+def compute_statistics(
+    fleet: Fleet, sampler: QueueSampler, returns: tuple[str, float] | None = None
+) -> DayStatistics:
     """Compute the statistics of a fleet that has run.
 
     Args:
@@ -273,7 +275,7 @@
         when = (work.came_ns - fleet.begins_ns) / SECOND
         if returns is not None and work.cold and zone == returns[0] and when >= returns[1]:
             arrivals[work.node].append((when, work.work_s, work.capacity))
-    return Books(
+    return DayStatistics(
         asked=asked, served=served, in_time=in_time, homes=homes, went=[dict(each) for each in went],
         crossed=crossed, over=[(name, *span) for name, spans in sampler.over.items() for span in spans],
         held=dict(sampler.held), pushed={name: work_sent(there) for name, there in arrivals.items()},
@@ -286,7 +288,7 @@
     seed: int,
     returns: tuple[str, float] | None = None,
     make: Callable[[Settings, int], Balancer] = balancer_for,
-) -> Books:
+) -> DayStatistics:
     """Play the scenario of a day and a seed to its end and return its statistics."""
     scenario = scenario_of(day, seed)
     with world_of(scenario) as world:
@@ -294,4 +296,4 @@
         fleet.new_balancer = make
         sampler = QueueSampler(fleet)
         fleet.play()
-        return books_of(fleet, sampler, returns)
+        return compute_statistics(fleet, sampler, returns)
