--- a/brambleusher/lab/fleets/fleet.py
+++ b/brambleusher/lab/fleets/fleet.py
@@ -35,7 +35,7 @@
 from brambleusher.lab.stand_ins.node import Execution, Node
 from brambleusher.lab.stand_ins.operators import Operators
 from brambleusher.lab.stand_ins.server import Server, Troubles
-from brambleusher.lab.virtual.world import STANDARD, Pace, VirtualSystem, World, WorldSettings
+from brambleusher.lab.virtual.world import STANDARD_DESCRIPTORS, Pace, VirtualSystem, World, WorldSettings
 from brambleusher.lab.virtual.world import Machine as VirtualMachine
 from brambleusher.loadbalancing import Balancer
 from brambleusher.loadbalancing.api import Settings
@@ -135,7 +135,7 @@
     if not processor.start_s and not processor.round_s:
         return None
     start, round_ = int(processor.start_s * SECOND), int(processor.round_s * SECOND)
-    return Pace(start_ns=(start // 2, start * 3 // 2), round_ns=(round_ // 2, round_ * 3 // 2))
+    return Pace(start_ns=(start // 2, start * 3 // 2), poll_interval_ns=(round_ // 2, round_ * 3 // 2))
 
 
 def configuration(
@@ -560,7 +560,7 @@
     def squeeze(self, why: object, left: int) -> None:
         """Let its process open only so many descriptors more, until `relax`."""
         if self.process is not None:
-            self._squeezes.append((why, STANDARD + self.process.descriptors + left))
+            self._squeezes.append((why, STANDARD_DESCRIPTORS + self.process.descriptors + left))
         self._set_limit()
 
     def relax(self, why: object) -> None:
--- a/brambleusher/lab/virtual/world.py
+++ b/brambleusher/lab/virtual/world.py
@@ -42,7 +42,7 @@
 START_NS = 1_000_000_000_000  # reading of every monotonic clock when a world begins
 WALL_NS = 1_790_000_000_000_000_000  # Unix time when a world begins, in nanoseconds
 MILLISECOND = 1_000_000
-STANDARD = 3  # number of the standard descriptors, which every process has open from the start
+STANDARD_DESCRIPTORS = 3  # number of the standard descriptors, which every process has open from the start
 # Signals that Linux ignores by default; any other signal without a handler ends the process.
 IGNORED_SIGNALS = frozenset({signal.SIGCHLD, signal.SIGCONT, signal.SIGURG, signal.SIGWINCH})
 MAX_THROWS = 16  # attempts to end a greenlet of a dead process before it is abandoned
@@ -55,7 +55,7 @@
     """Durations of the steps of a process that has only a share of a core, in nanoseconds."""
 
     start_ns: Range  # from the start to the first step of the program
-    round_ns: Range  # from one poll to the next
+    poll_interval_ns: Range  # from one poll to the next
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,7 +65,7 @@
     latency_ns: Range = (40_000, 400_000)  # one-way latency between machines, drawn once per direction
     jitter_ns: int = 60_000  # largest addition to the latency, drawn for each transmission
     loopback_ns: Range = (4_000, 12_000)  # one-way latency within a machine
-    round_ns: Range = (3_000, 25_000)  # time a process takes from one poll to the next
+    poll_interval_ns: Range = (3_000, 25_000)  # time a process takes from one poll to the next
     wake_ns: Range = (1_000, 15_000)  # from the time a descriptor becomes ready to the return of the poll
     start_ns: Range = (1_000, 2_000_000)  # from the start of a process to the first step of its program
     worker_ns: Range = (20_000, 500_000)  # from the wake-up of a worker to its turn
@@ -381,7 +381,7 @@
     ) -> None:
         world = machine.world
         settings = world.settings
-        self._pace = pace or Pace(settings.start_ns, settings.round_ns)
+        self._pace = pace or Pace(settings.start_ns, settings.poll_interval_ns)
         self.world, self.machine, self.name = world, machine, name
         self.limit = descriptors or world.settings.descriptors
         self.dead = False
@@ -399,7 +399,7 @@
         self._greenlet_prune_limit = 64
         self._main = main
         self._free: list[int] = []
-        self._next_fd = STANDARD
+        self._next_fd = STANDARD_DESCRIPTORS
         self._signals: deque[int] = deque()
         self._draw = world.stream(f"process {machine.name} {name} {world.now_ns}").random
         self._glet = greenlet.greenlet(self._body, world.hub)
@@ -580,7 +580,7 @@
         if self.dead:
             raise Killed
         world = self.world
-        busy = self.busy_until = world.now_ns + self.draw(self._pace.round_ns)
+        busy = self.busy_until = world.now_ns + self.draw(self._pace.poll_interval_ns)
         deadline: int | None = None
         if pause_ms is not None and pause_ms >= 0:
             deadline = max(busy, world.now_ns + int(pause_ms) * MILLISECOND)
