--- a/brambleusher/lab/faults/effects.py
+++ b/brambleusher/lab/faults/effects.py
@@ -74,7 +74,7 @@
 
     def mend() -> None:
         for one, other in pairs:
-            network.mend(one, other, one_way)
+            network.heal(one, other, one_way)
 
     return mend
 
--- a/brambleusher/lab/fleets/stage.py
+++ b/brambleusher/lab/fleets/stage.py
@@ -96,7 +96,7 @@
     def cut(self, a: Any, b: Any, one_way: bool = False) -> None:
         """Nothing passes from `a` to `b`, nor back unless `one_way`."""
 
-    def mend(self, a: Any, b: Any, one_way: bool = False) -> None:
+    def heal(self, a: Any, b: Any, one_way: bool = False) -> None:
         """It passes again, with what was sent meanwhile."""
 
     def slow_link(self, a: Any, b: Any, extra_ns: int) -> None:
--- a/brambleusher/lab/processes/relays.py
+++ b/brambleusher/lab/processes/relays.py
@@ -585,7 +585,7 @@
         """Nothing passes from `a` to `b`, nor back unless `one_way`."""
         self._set_cut(a, b, one_way, True)
 
-    def mend(self, a: RealMachine, b: RealMachine, one_way: bool = False) -> None:
+    def heal(self, a: RealMachine, b: RealMachine, one_way: bool = False) -> None:
         """It passes again, with what was held."""
         self._set_cut(a, b, one_way, False)
 
--- a/brambleusher/lab/virtual/network.py
+++ b/brambleusher/lab/virtual/network.py
@@ -916,7 +916,7 @@
         """Drop everything sent from `a` to `b`, and from `b` to `a` unless `one_way`, without any notice."""
         self._set_cut(a, b, one_way, True)
 
-    def mend(self, a: Machine | str, b: Machine | str, one_way: bool = False) -> None:
+    def heal(self, a: Machine | str, b: Machine | str, one_way: bool = False) -> None:
         """End a cut; bytes sent during the cut arrive after a delay set by TCP's retransmission timers."""
         self._set_cut(a, b, one_way, False)
         self.retransmit_undelivered()
--- a/tests/lab/test_world.py
+++ b/tests/lab/test_world.py
@@ -498,14 +498,14 @@
             world.machine("client", "10.0.0.2"), world.machine("server", "10.0.0.1"), one_way=True
         )
         if to == "client":
-            world.network.mend("client", "server")
+            world.network.heal("client", "server")
             world.network.cut("server", "client", one_way=True)
         world.machines["server"].start(echo)
         world.run(START_NS + 10 * MILLISECOND)
         client = world.machines["client"].start(echo_client(received))
         world.run(START_NS + 2 * SECOND)
         assert recorded.what("opened", "established", "accepted") == [("opened", 1)]
-        world.network.mend("client", "server")
+        world.network.heal("client", "server")
         finish(world, client)
         assert recorded.what("established", "accepted") == [("established", 1), ("accepted", 1)]
         assert received == [b"hello"] * 3
@@ -555,7 +555,7 @@
         if how == "silence":
             network.unsilence(conns[0])
         else:
-            network.mend("server", "client")
+            network.heal("server", "client")
         world.run(world.now_ns + 5 * SECOND)
         assert received == [b"hello"] * 40
 
@@ -594,7 +594,7 @@
         assert len(steps) < 5000
         world.run(world.now_ns + SECOND // 10)
         assert len(written) == before
-        world.network.mend("server", "client", one_way=True)
+        world.network.heal("server", "client", one_way=True)
         world.run(world.now_ns + SECOND, lambda: len(written) > before)
         assert len(written) > before
 
@@ -623,7 +623,7 @@
         world.run(START_NS + 10 * MILLISECOND)
         world.machine("client", "10.0.0.2").start(client)
         world.at(START_NS + 200 * MILLISECOND, lambda: world.network.cut("server", "client"))
-        world.at(START_NS + 700 * MILLISECOND, lambda: world.network.mend("server", "client"))
+        world.at(START_NS + 700 * MILLISECOND, lambda: world.network.heal("server", "client"))
         world.run(START_NS + 10 * SECOND)
     assert received == bytes(range(100))
 
--- a/tests/system/control_plane_faults.py
+++ b/tests/system/control_plane_faults.py
@@ -475,7 +475,7 @@
         def end_fault() -> None:
             self.log_event("a partition ends")
             for one, other in pairs:
-                network.mend(one, other, one_way)
+                network.heal(one, other, one_way)
 
         self.schedule(seconds, end_fault)
         self.defer_next_loss(seconds)
@@ -646,7 +646,7 @@
         seconds = self.rng.uniform(0.5, 6.0)
         network = self.deployment.world.network
         network.cut("caller", name)
-        self.schedule(seconds, lambda: network.mend("caller", name))
+        self.schedule(seconds, lambda: network.heal("caller", name))
         self.defer_next_loss(0.0)
 
     def partition_zone(self, name: str) -> None:
--- a/tests/system/test_control_plane_faults.py
+++ b/tests/system/test_control_plane_faults.py
@@ -86,7 +86,7 @@
         assert deployment.control(partitioned, "GET", "/api/config").status == 503
         assert deployment.control(partitioned, "POST", "/api/evacuations/n1").status == 503
     for name in (*others, "g1"):
-        deployment.world.network.mend(partitioned, name)
+        deployment.world.network.heal(partitioned, name)
     joined = deployment.now
     statuses = set()
     while 200 not in statuses:
@@ -231,7 +231,7 @@
     deployment.wait(lambda: bool(call.error))
     assert deployment.control(other, "POST", "/api/evacuations/n1").status == 200
     assert deployment.control(other, "DELETE", "/api/evacuations/n1").status == 200
-    deployment.world.network.mend("caller", partitioned)
+    deployment.world.network.heal("caller", partitioned)
     deployment.sleep(3.0)
     assert replica_of(deployment, other).state.evacuated_zones == []
 
