--- a/brambleusher/lab/faults/effects.py
+++ b/brambleusher/lab/faults/effects.py
@@ -831,10 +831,10 @@
         if rng.random() < fault.part
     ]
     for connection in those:
-        fleet.world.network.silence(connection)
+        fleet.world.network.blackhole(connection)
 
     def end() -> None:
         for connection in those:
-            fleet.world.network.unsilence(connection)
+            fleet.world.network.stop_blackholing(connection)
 
     return end
--- a/brambleusher/lab/fleets/stage.py
+++ b/brambleusher/lab/fleets/stage.py
@@ -105,10 +105,10 @@
     def throttle(self, a: Any, b: Any, bytes_per_s: float) -> None:
         """So many bytes a second pass each way at most; 0 ends it."""
 
-    def silence(self, connection: Any) -> None:
+    def blackhole(self, connection: Any) -> None:
         """Both ends stay open and nothing passes."""
 
-    def unsilence(self, connection: Any) -> None:
+    def stop_blackholing(self, connection: Any) -> None:
         """It passes again."""
 
     def reset(self, connection: Any) -> None:
--- a/brambleusher/lab/processes/relays.py
+++ b/brambleusher/lab/processes/relays.py
@@ -597,11 +597,11 @@
         """So many bytes a second pass each way at most; 0 ends it."""
         self.link(a, b).bytes_per_s = self.link(b, a).bytes_per_s = bytes_per_s
 
-    def silence(self, connection: RelayedConnection) -> None:
+    def blackhole(self, connection: RelayedConnection) -> None:
         """Nothing passes on it."""
         connection.silent = True
 
-    def unsilence(self, connection: RelayedConnection) -> None:
+    def stop_blackholing(self, connection: RelayedConnection) -> None:
         """It passes again."""
         connection.silent = False
         self.stage.soon(self.judge)
--- a/brambleusher/lab/virtual/network.py
+++ b/brambleusher/lab/virtual/network.py
@@ -931,12 +931,12 @@
         """Raise `NotImplementedError`, because virtual links have no bandwidth; use real processes."""
         raise NotImplementedError("links in virtual time can't be throttled")
 
-    def silence(self, connection: Connection) -> None:
+    def blackhole(self, connection: Connection) -> None:
         """Drop everything sent on a connection, whose ends both stay open."""
         connection.blackholed = True
 
-    def unsilence(self, connection: Connection) -> None:
-        """End the silence of a connection."""
+    def stop_blackholing(self, connection: Connection) -> None:
+        """Let a connection pass bytes again."""
         connection.blackholed = False
         self.retransmit_undelivered()
 
--- a/tests/lab/test_world.py
+++ b/tests/lab/test_world.py
@@ -543,7 +543,7 @@
         network = world.network
         world.run(until=lambda: len(received) > 10)
         if how == "silence":
-            network.silence(conns[0])
+            network.blackhole(conns[0])
         else:
             network.cut(
                 *(("client", "server") if how == "cut" else ("server", "client")), one_way=how == "back"
@@ -553,7 +553,7 @@
         world.run(world.now_ns + SECOND)
         assert before == len(received) < 40
         if how == "silence":
-            network.unsilence(conns[0])
+            network.stop_blackholing(conns[0])
         else:
             network.heal("server", "client")
         world.run(world.now_ns + 5 * SECOND)
