--- a/brambleusher/lab/faults/effects.py
+++ b/brambleusher/lab/faults/effects.py
@@ -786,11 +786,11 @@
 def _connects_swallowed(fault: faults.ConnectsSwallowed, fleet: AnyFleet) -> End:
     network, there = fleet.world.network, _nodes(fault, fleet)
     for place in there:
-        network.swallow_connects(place.machine)
+        network.drop_connects(place.machine)
 
     def end() -> None:
         for place in there:
-            network.stop_swallowing(place.machine)
+            network.stop_dropping_connects(place.machine)
 
     return end
 
--- a/brambleusher/lab/fleets/stage.py
+++ b/brambleusher/lab/fleets/stage.py
@@ -120,10 +120,10 @@
     def stop_refusing(self, machine: Any, port: int) -> None:
         """They are taken again."""
 
-    def swallow_connects(self, machine: Any) -> None:
+    def drop_connects(self, machine: Any) -> None:
         """Connects to a machine stay unanswered."""
 
-    def stop_swallowing(self, machine: Any) -> None:
+    def stop_dropping_connects(self, machine: Any) -> None:
         """They are answered again."""
 
 
--- a/brambleusher/lab/processes/relays.py
+++ b/brambleusher/lab/processes/relays.py
@@ -540,7 +540,7 @@
         """Whether connects come up, are refused, or stay unanswered."""
         client, server = way.client, way.server
         cut = self.link(client, server).cut or self.link(server, client).cut
-        if cut or server.gone or client.gone or server.swallows:
+        if cut or server.gone or client.gone or server.drops_connects:
             return "swallow"
         if self._refusing[server.name, way.port] or way.target not in self._listening:
             return "refuse"
@@ -622,14 +622,14 @@
         self._refusing[machine.name, named] -= 1
         self.stage.soon(self.judge)
 
-    def swallow_connects(self, machine: RealMachine) -> None:
+    def drop_connects(self, machine: RealMachine) -> None:
         """Connects to a machine stay unanswered."""
-        machine.swallows = True
+        machine.drops_connects = True
         self.stage.soon(self.judge)
 
-    def stop_swallowing(self, machine: RealMachine) -> None:
+    def stop_dropping_connects(self, machine: RealMachine) -> None:
         """They are answered again."""
-        machine.swallows = False
+        machine.drops_connects = False
         self.stage.soon(self.judge)
 
     def lose(self, machine: RealMachine) -> None:
--- a/brambleusher/lab/processes/stage.py
+++ b/brambleusher/lab/processes/stage.py
@@ -62,7 +62,7 @@
 
     def __init__(self, stage: RealStage, name: str, ip: str, program: bool) -> None:
         self.stage, self.name, self.ip, self.program = stage, name, ip, program
-        self.gone = self.swallows = self.squeezed = False
+        self.gone = self.drops_connects = self.squeezed = False
         self.holds = False  # its stand-ins get no processor; its kernel goes on
         self.process: Stoppable | None = None  # a sidecar's
         self.wall_file = stage.folder / f"{name}.wall"
--- a/brambleusher/lab/virtual/network.py
+++ b/brambleusher/lab/virtual/network.py
@@ -813,7 +813,7 @@
         listener = target.listeners.get(port)
         if listener is not None and listener.host not in (ANY, conn.server.ip):
             listener = None
-        if self.link.down or conn.blackholed or target.swallows:  # type: ignore[union-attr]
+        if self.link.down or conn.blackholed or target.drops_connects:  # type: ignore[union-attr]
             self._retry_syn(conn, target, tries)
         elif listener is None or (target.name, port) in network.refusing:
             world.push(world.now_ns + back.delay(), self._refused, conn, back, target, tries)
@@ -954,13 +954,13 @@
         """Let connects to a port through again."""
         self.refusing.pop((self._machine(machine).name, port), None)
 
-    def swallow_connects(self, machine: Machine | str) -> None:
+    def drop_connects(self, machine: Machine | str) -> None:
         """Leave connects to a machine unanswered; open connections keep working."""
-        self._machine(machine).swallows = True
+        self._machine(machine).drops_connects = True
 
-    def stop_swallowing(self, machine: Machine | str) -> None:
+    def stop_dropping_connects(self, machine: Machine | str) -> None:
         """Answer connects to a machine again; pending connects succeed at their next SYN."""
-        self._machine(machine).swallows = False
+        self._machine(machine).drops_connects = False
 
     # --- methods for the world ------------------------------------------------------------------
 
--- a/brambleusher/lab/virtual/world.py
+++ b/brambleusher/lab/virtual/world.py
@@ -279,7 +279,7 @@
     def __init__(self, world: World, name: str, ip: str) -> None:
         self.world, self.name, self.ip = world, name, ip
         self.gone = False
-        self.swallows = False
+        self.drops_connects = False
         self.wall_offset_ns = 0
         self.listeners: dict[int, VirtualListener] = {}
         self.files: dict[str, bytearray] = {}
--- a/tests/gateway/test_departed_clients.py
+++ b/tests/gateway/test_departed_clients.py
@@ -128,11 +128,11 @@
     deployment: VirtualDeployment, target: str
 ) -> None:
     for name in deployment.stub_instances:
-        deployment.world.network.swallow_connects(name)
+        deployment.world.network.drop_connects(name)
     deployment.start_request("g1", target, attempt="gone", timeout_s=0.05)
     deployment.sleep(0.1)
     for name in deployment.stub_instances:
-        deployment.world.network.stop_swallowing(name)
+        deployment.world.network.stop_dropping_connects(name)
     deployment.sleep(2.0)
     assert deployment.arrivals("gone") == []
     assert_nothing_is_left(deployment)
--- a/tests/lab/test_fault_plans.py
+++ b/tests/lab/test_fault_plans.py
@@ -293,7 +293,7 @@
         {"way": "to-node"}, lambda fleet, _: not linked(fleet, True) and linked(fleet, False),
     ),
     "link-slow": ({"by_s": 0.1}, lambda fleet, _: extra(fleet) == SECOND // 10),
-    "connects-swallowed": ({}, lambda fleet, _: place(fleet).machine.swallows),
+    "connects-swallowed": ({}, lambda fleet, _: place(fleet).machine.drops_connects),
     "connects-refused": ({}, lambda fleet, _: bool(fleet.world.network.refusing)),
     "zone-lost": ({}, lambda fleet, _: place(fleet).machine.gone and not fleet.places[1].machine.gone),
     "zone-cut": ({}, lambda fleet, _: not linked(fleet, True) and not linked(fleet, False)),
--- a/tests/lab/test_world.py
+++ b/tests/lab/test_world.py
@@ -638,11 +638,11 @@
         world.network.refuse("server", 7)
         assert isinstance(finish(world, client.start(echo_client(received))).error, ConnectionRefusedError)
         world.network.stop_refusing("server", 7)
-        world.network.swallow_connects(server.machine)
+        world.network.drop_connects(server.machine)
         waits = client.start(echo_client(received))
         world.run(world.now_ns + 2 * SECOND)
         assert waits.ended is None and received == []
-        world.network.stop_swallowing(server.machine)
+        world.network.stop_dropping_connects(server.machine)
         assert finish(world, waits).ended == 0 and len(received) == 3
         world.network.slow_link("client", "server", 100 * MILLISECOND)
         began = world.now_ns
