--- a/brambleusher/lab/experiments/run.py
+++ b/brambleusher/lab/experiments/run.py
@@ -110,7 +110,7 @@
             fleet.audience = checker
             space.taps.append(cast(Tap, checker))
             step = checker.step
-            space.step_done.append(lambda: step(space.now_ns))
+            space.step_hooks.append(lambda: step(space.now_ns))
         fleet.start()
         space.run(fleet.ends_ns)
         space.run(fleet.ends_ns + int(OVERTIME_S * SECOND), lambda: fleet.played)
--- a/brambleusher/lab/processes/drill.py
+++ b/brambleusher/lab/processes/drill.py
@@ -213,7 +213,7 @@
         raised = LoggedExceptions(world)
         sums = FleetTotals(world.now_ns, fleet_limits(scenario, rules))
         world.taps += [cast(Tap, checker), cast(Tap, sums)]
-        world.step_done.append(lambda: checker.step(world.now_ns))
+        world.step_hooks.append(lambda: checker.step(world.now_ns))
         begun = world.now_ns
         with redirect_log([raised]):
             ends = fleet.play()
@@ -245,7 +245,7 @@
             stage.now_ns,
         )
         stage.taps += [checker, sums]
-        stage.step_done.append(lambda: checker.step(stage.now_ns))
+        stage.step_hooks.append(lambda: checker.step(stage.now_ns))
         fleet.start()
         with uncollected():
             begun = stage.begin_measure()
--- a/brambleusher/lab/processes/stage.py
+++ b/brambleusher/lab/processes/stage.py
@@ -146,7 +146,7 @@
         self.system.heard = self.network.heard
         self.machines: dict[str, RealMachine] = {}
         self.taps: list[Any] = []
-        self.step_done: list[Callable[[], object]] = []
+        self.step_hooks: list[Callable[[], object]] = []
         self.failure: Exception | None = None
         self.beats_late: list[float] = []  # seconds by which the rig's own timers came late
         self.cpu_s = self.measured_s = 0.0
@@ -183,7 +183,7 @@
 
     def stepped(self) -> None:
         """Something was told, or time has passed."""
-        for hook in self.step_done:
+        for hook in self.step_hooks:
             hook()
 
     def tell(self, what: str, *args: Any) -> None:
@@ -246,7 +246,7 @@
 
     def close(self) -> None:
         """End it all."""
-        self.taps, self.step_done = [], []
+        self.taps, self.step_hooks = [], []
         self.network.close()
         for machine in self.machines.values():
             machine.close()
--- a/brambleusher/lab/virtual/explore.py
+++ b/brambleusher/lab/virtual/explore.py
@@ -269,7 +269,7 @@
             log = _TimeLineHandler(world, line)
             log.setFormatter(KeyValueFormatter())
             handlers.append(log)
-        world.step_done.append(lambda: checker.step(world.now_ns))
+        world.step_hooks.append(lambda: checker.step(world.now_ns))
         begun = world.now_ns
         with redirect_log(handlers):
             try:
--- a/brambleusher/lab/virtual/world.py
+++ b/brambleusher/lab/virtual/world.py
@@ -140,7 +140,7 @@
         self.machines: dict[str, Machine] = {}
         self.machines_by_ip: dict[str, Machine] = {}
         self.taps: list[Tap] = []
-        self.step_done: list[Callable[[], object]] = []
+        self.step_hooks: list[Callable[[], object]] = []
         self.current: Process | None = None  # process whose code is running; None between processes
         self.datagrams: deque[tuple[int, str, Address, bytes]] = deque(maxlen=4096)
         self.events_done = 0
@@ -194,7 +194,7 @@
         self.hub = greenlet.getcurrent()
         if until is not None and until():
             return True
-        heap, pop, hooks = self._heap, heapq.heappop, self.step_done
+        heap, pop, hooks = self._heap, heapq.heappop, self.step_hooks
         while heap and (until_ns is None or heap[0][0] <= until_ns):
             when, _, _, event = pop(heap)
             call = event.call
@@ -236,7 +236,7 @@
     def close(self) -> None:
         """End all processes without reporting to the taps, and release their resources."""
         self._closed = True
-        self.taps, self.step_done = [], []
+        self.taps, self.step_hooks = [], []
         self.hub = greenlet.getcurrent()
         for machine in self.machines.values():
             for process in machine.processes:
--- a/tests/lab/test_world.py
+++ b/tests/lab/test_world.py
@@ -588,7 +588,7 @@
         world.run(START_NS + SECOND // 10)
         assert written
         world.network.cut("server", "client", one_way=True)
-        world.step_done.append(lambda: steps.append(1))
+        world.step_hooks.append(lambda: steps.append(1))
         world.run(world.now_ns + SECOND, lambda: len(steps) > 5000)
         before = len(written)
         assert len(steps) < 5000
@@ -762,7 +762,7 @@
             world.at(START_NS + at, lambda at=at: order.append(at))  # type: ignore[misc]
         world.at(START_NS + 15, lambda: order.append(15)).cancel()
         world.after(5, lambda: order.append(world.now_ns - START_NS))
-        world.step_done.append(lambda: order.append(-1))
+        world.step_hooks.append(lambda: order.append(-1))
         assert not world.run(START_NS + 25)
         assert order == [5, -1, 10, -1, 20, -1] and world.elapsed_ns == 25
         world.at(0, lambda: order.append(25))  # a time in the past runs at once
