--- a/brambleusher/lab/checker/checker.py
+++ b/brambleusher/lab/checker/checker.py
@@ -1,9 +1,9 @@
 """Checker that observes every byte on the virtual wire and reports which rule was broken, when and by whom.
 
 Add the checker to a world's taps, report to it the processes that start (`sidecar`, `node`, `discovery`,
-`bad_client`) and the state of discovery (`true_list`, `discovery_able`), call `step` after each step of the
-world and `finish` at the end. Times are in nanoseconds on the world's monotonic clock, except `started_ms`,
-which is Unix time in milliseconds.
+`bad_client`) and the state of discovery (`actual_list`, `discovery_available`), call `step` after each step
+of the world and `finish` at the end. Times are in nanoseconds on the world's monotonic clock, except
+`started_ms`, which is Unix time in milliseconds.
 """
 
 from __future__ import annotations
@@ -121,15 +121,15 @@
         """
         self._bad_clients[who] = self.rules.bad_client_ns if timeout_ns is None else timeout_ns
 
-    def true_list(self, now: int, servers: list[dict[str, Any]], full: bool = False) -> None:
+    def actual_list(self, now: int, servers: list[dict[str, Any]], full: bool = False) -> None:
         """Record nodes that discovery has learnt of; with `full`, nodes that the list omits are gone."""
         self._actual_nodes.roster.apply(now, ListUpdate(0, full, parse_entries(servers)))
 
-    def discovery_able(self, now: int, able: bool, machine: str = "") -> None:
+    def discovery_available(self, now: int, able: bool, machine: str = "") -> None:
         """Record whether discovery works and can reach the sidecar on a machine ("" for all sidecars)."""
         self._actual_nodes.deliverable_since[machine] = now if able else -1
 
-    def starved(self, now: int, machine: str, on: bool) -> None:
+    def descriptors_short(self, now: int, machine: str, on: bool) -> None:
         """Record whether a fault leaves a sidecar process too few descriptors to accept connections."""
         incarnation = self._incarnations.get(machine)
         if incarnation is not None:
@@ -164,7 +164,7 @@
                 self._breach("report", now, name, text)
                 break
 
-    def calm(self, now: int) -> None:
+    def faults_ended(self, now: int) -> None:
         """Record that the last fault has ended, so that requests from now on can be served."""
         self._faults_ended_ns = now
 
--- a/brambleusher/lab/faults/effects.py
+++ b/brambleusher/lab/faults/effects.py
@@ -505,7 +505,7 @@
 
     def able(on: bool) -> None:
         for place in there:
-            fleet.audience.discovery_able(fleet.world.now_ns, on, place.machine.name)
+            fleet.audience.discovery_available(fleet.world.now_ns, on, place.machine.name)
 
     mend = _cut(fleet, [(machine, place.machine) for place in there])
     able(False)
--- a/brambleusher/lab/fleets/fleet.py
+++ b/brambleusher/lab/fleets/fleet.py
@@ -72,19 +72,19 @@
     def bad_client(self, who: str) -> None:
         """What this machine sends may be bad."""
 
-    def true_list(self, now: int, servers: list[dict[str, Any]], full: bool = False) -> None:
+    def actual_list(self, now: int, servers: list[dict[str, Any]], full: bool = False) -> None:
         """Discovery has learnt of these."""
 
-    def discovery_able(self, now: int, able: bool, machine: str = "") -> None:
+    def discovery_available(self, now: int, able: bool, machine: str = "") -> None:
         """Whether discovery can tell what it has learnt."""
 
-    def starved(self, now: int, machine: str, on: bool) -> None:
+    def descriptors_short(self, now: int, machine: str, on: bool) -> None:
         """Whether a sidecar has too few descriptors left to accept connections with."""
 
     def paused(self, now: int, machine: str, on: bool) -> None:
         """Whether a sidecar's process is stopped."""
 
-    def calm(self, now: int) -> None:
+    def faults_ended(self, now: int) -> None:
         """The last fault has ended, and what is asked from here on can be served."""
 
 
@@ -95,11 +95,11 @@
     def discovery(self, address: Address) -> None: ...
     def node(self, now: int, name: str, address: Address, started_ms: int) -> None: ...
     def bad_client(self, who: str) -> None: ...
-    def true_list(self, now: int, servers: list[dict[str, Any]], full: bool = False) -> None: ...
-    def discovery_able(self, now: int, able: bool, machine: str = "") -> None: ...
-    def starved(self, now: int, machine: str, on: bool) -> None: ...
+    def actual_list(self, now: int, servers: list[dict[str, Any]], full: bool = False) -> None: ...
+    def discovery_available(self, now: int, able: bool, machine: str = "") -> None: ...
+    def descriptors_short(self, now: int, machine: str, on: bool) -> None: ...
     def paused(self, now: int, machine: str, on: bool) -> None: ...
-    def calm(self, now: int) -> None: ...
+    def faults_ended(self, now: int) -> None: ...
 
 
 def world_of(scenario: Scenario) -> World:
@@ -387,7 +387,7 @@
     def unable(self, by: int) -> None:
         """One more, or one less, thing keeps it from telling."""
         self._unable += by
-        self.fleet.audience.discovery_able(self.fleet.world.now_ns, self._unable == 0)
+        self.fleet.audience.discovery_available(self.fleet.world.now_ns, self._unable == 0)
 
     def look(self, place: NodePlace) -> None:
         """List a node as it is."""
@@ -414,7 +414,7 @@
         self.version += 1
         self._call(lambda service: service.put(*changed))
         fleet = self.fleet
-        fleet.audience.true_list(fleet.world.now_ns, [msgspec.to_builtins(each) for each in changed])
+        fleet.audience.actual_list(fleet.world.now_ns, [msgspec.to_builtins(each) for each in changed])
 
     def _call(self, call: Callable[[Discovery], object]) -> None:
         service = self.service
@@ -571,7 +571,9 @@
     def _set_limit(self) -> None:
         if self.process is not None:
             self.process.limit = min([self.figures.sockets, *(limit for _, limit in self._squeezes)])
-        self.fleet.audience.starved(self.fleet.world.now_ns, self.machine.name, bool(self._squeezes))
+        self.fleet.audience.descriptors_short(
+            self.fleet.world.now_ns, self.machine.name, bool(self._squeezes)
+        )
 
     def pause(self, wait_ns: int) -> None:
         """Its process is stopped for a while."""
@@ -708,10 +710,10 @@
                 entry = msgspec.structs.replace(place.entry(), state="Ready")
                 self.discovery.list[entry.id] = entry
         now = self.world.now_ns
-        self.audience.true_list(
+        self.audience.actual_list(
             now, [msgspec.to_builtins(each) for each in self.discovery.list.values()], True
         )
-        self.audience.discovery_able(now, True)
+        self.audience.discovery_available(now, True)
         self.discovery.start()
         for sidecar in self.sidecars:
             sidecar.start()
@@ -786,7 +788,7 @@
         )
         up = not self.running and all(sidecar.up for sidecar in self.sidecars)
         if up and asked / max(0.001, length_s - faults_s) <= GOOD_LOAD * capacity:
-            self.audience.calm(self.world.now_ns)
+            self.audience.faults_ended(self.world.now_ns)
         elif self.world.now_ns < self.ends_ns:
             self.world.after(int(CALM_AGAIN_S * SECOND), self._calm)
 
--- a/brambleusher/lab/processes/fleet.py
+++ b/brambleusher/lab/processes/fleet.py
@@ -240,7 +240,7 @@
             usual = self.figures.sockets + 2 * STANDARD
             self.process.limit = min([usual, *(limit for _, limit in self._squeezes)])
         self.real.squeezed = bool(self._squeezes)
-        self.fleet.audience.starved(self.stage.now_ns, self.machine.name, bool(self._squeezes))
+        self.fleet.audience.descriptors_short(self.stage.now_ns, self.machine.name, bool(self._squeezes))
 
     def state(self) -> SidecarEnd:
         """What can be seen of it from outside: descriptors beyond its connections are left over."""
--- a/tests/lab/test_checker.py
+++ b/tests/lab/test_checker.py
@@ -113,7 +113,7 @@
                 "admin_addr": "10.0.0.1:81",
             },
         )
-        self.checker.true_list(self.now, known["servers"], True)  # type: ignore[arg-type]
+        self.checker.actual_list(self.now, known["servers"], True)  # type: ignore[arg-type]
         for name, place in NODE_ADDRESSES.items():
             self.checker.node(self.now, name, place, 0)
         self.checker.process(self.now, "m0", "started")
@@ -300,27 +300,27 @@
 
 @case("")
 def not_accepted_without_descriptors(traffic: Traffic) -> None:
-    traffic.checker.starved(traffic.now, "m0", True)
+    traffic.checker.descriptors_short(traffic.now, "m0", True)
     traffic.send_request(conn=traffic.client(accept=False))
-    traffic.wait(500 * MS).checker.starved(traffic.now, "m0", False)
+    traffic.wait(500 * MS).checker.descriptors_short(traffic.now, "m0", False)
 
 
 @case("answer")
 def not_accepted_with_descriptors(traffic: Traffic) -> None:
-    traffic.checker.starved(traffic.now, "m0", True)
-    traffic.wait(500 * MS).checker.starved(traffic.now, "m0", False)
+    traffic.checker.descriptors_short(traffic.now, "m0", True)
+    traffic.wait(500 * MS).checker.descriptors_short(traffic.now, "m0", False)
     traffic.wait(1).send_request(conn=traffic.client(accept=False))
 
 
 @case("answer")
 def accepted_and_not_answered_without_descriptors(traffic: Traffic) -> None:
-    traffic.checker.starved(traffic.now, "m0", True)
+    traffic.checker.descriptors_short(traffic.now, "m0", True)
     traffic.send_request()
 
 
 @case("")
 def told_late_what_was_not_accepted_without_descriptors(traffic: Traffic) -> None:
-    traffic.checker.starved(traffic.now, "m0", True)
+    traffic.checker.descriptors_short(traffic.now, "m0", True)
     conn = traffic.client(accept=False)
     traffic.send_request(conn=conn)
     traffic.wait(1050 * MS - 2)
@@ -723,7 +723,7 @@
 def counts_as_told_of_a_new_process(traffic: Traffic) -> None:
     claim = traffic.serve_request(cls="look")
     traffic.open_watch()
-    traffic.checker.true_list(traffic.now, [entry(A, started_ms=5)])
+    traffic.checker.actual_list(traffic.now, [entry(A, started_ms=5)])
     conn = traffic.wait(6_500_000_001).send_request("r2", "look")
     traffic.send_attempt("r2", "look", conn=claim)
     traffic.answer(conn, 502)
@@ -731,8 +731,8 @@
 
 def send_without_updates(traffic: Traffic, after: int, first: Callable[[], Conn | None]) -> None:
     """Drain a node while discovery can't deliver updates, so that only the age of the last request counts."""
-    traffic.checker.discovery_able(traffic.now, False)
-    traffic.checker.true_list(traffic.now, [entry(A, "Terminating")])
+    traffic.checker.discovery_available(traffic.now, False)
+    traffic.checker.actual_list(traffic.now, [entry(A, "Terminating")])
     watch = first()
     traffic.wait(after)
     if watch is not None:
@@ -817,7 +817,7 @@
 
 def send_after_true_drain(traffic: Traffic, after: int) -> None:
     traffic.open_watch()
-    traffic.checker.true_list(traffic.now, [entry(A, "Terminating")])
+    traffic.checker.actual_list(traffic.now, [entry(A, "Terminating")])
     traffic.wait(after).serve_request(cls="look")
 
 
@@ -833,27 +833,27 @@
 
 @case("")
 def discovery_was_down_meanwhile(traffic: Traffic) -> None:
-    traffic.checker.discovery_able(traffic.now, False)
+    traffic.checker.discovery_available(traffic.now, False)
     send_after_true_drain(traffic, 7 * S)
 
 
 @case("drain")
 def counts_as_told_since_it_never_asks(traffic: Traffic) -> None:
-    traffic.checker.discovery_able(traffic.now, False)
-    traffic.checker.true_list(traffic.now, [entry(A, "Terminating")])
+    traffic.checker.discovery_available(traffic.now, False)
+    traffic.checker.actual_list(traffic.now, [entry(A, "Terminating")])
     traffic.wait(10_500_000_001).serve_request(cls="look")
 
 
 @case("")
 def never_asks_for_not_quite_so_long(traffic: Traffic) -> None:
-    traffic.checker.discovery_able(traffic.now, False)
-    traffic.checker.true_list(traffic.now, [entry(A, "Terminating")])
+    traffic.checker.discovery_available(traffic.now, False)
+    traffic.checker.actual_list(traffic.now, [entry(A, "Terminating")])
     traffic.wait(10_500_000_000).serve_request(cls="look")
 
 
 @case("drain")
 def counts_as_told_after_a_reload(traffic: Traffic) -> None:
-    traffic.checker.true_list(traffic.now, [entry(A, "Terminating")])
+    traffic.checker.actual_list(traffic.now, [entry(A, "Terminating")])
     traffic.checker.process(traffic.now, "m0", "signal 1")
     traffic.wait(4_500_000_001).serve_request(cls="look")
 
@@ -1039,7 +1039,7 @@
 
 @case("bad-client")
 def accepted_and_kept_waiting_without_descriptors(traffic: Traffic) -> None:
-    traffic.checker.starved(traffic.now, "m0", True)
+    traffic.checker.descriptors_short(traffic.now, "m0", True)
     misbehave(traffic, lambda conn: None)
 
 
@@ -1066,7 +1066,7 @@
 @case("")
 def kept_waiting_without_descriptors(traffic: Traffic) -> None:
     traffic.checker.bad_client("rude")
-    traffic.checker.starved(traffic.now, "m0", True)
+    traffic.checker.descriptors_short(traffic.now, "m0", True)
     traffic.client("rude", accept=False)
 
 
@@ -1117,7 +1117,7 @@
 
 
 def after_faults(traffic: Traffic, served: int, of: int, wait_s: int) -> None:
-    traffic.checker.calm(traffic.now)
+    traffic.checker.faults_ended(traffic.now)
     traffic.wait(wait_s * S)
     for number in range(of):
         if number < served:
@@ -1276,7 +1276,7 @@
 
 @case("")
 def refused_and_served_when_tried_again(traffic: Traffic) -> None:
-    traffic.checker.calm(traffic.now)
+    traffic.checker.faults_ended(traffic.now)
     traffic.wait(3 * S)
     for number in range(30):
         traffic.answer(traffic.send_request(f"r{number}", "look"), 503)
@@ -1286,7 +1286,7 @@
 @case("")
 def bad_clients_are_not_asked(traffic: Traffic) -> None:
     traffic.checker.bad_client("rude")
-    traffic.checker.calm(traffic.now)
+    traffic.checker.faults_ended(traffic.now)
     traffic.wait(3 * S)
     for number in range(30):
         traffic.answer(traffic.send_request(f"r{number}", "look", traffic.client("rude")), 503)
