--- a/brambleusher/lab/checker/books.py
+++ b/brambleusher/lab/checker/books.py
@@ -224,17 +224,14 @@
     def __init__(self, number: int, incarnation: SidecarIncarnation, opened_ns: int, peer: Address) -> None:
         self.number, self.incarnation, self.opened_ns, self.peer = number, incarnation, opened_ns, peer
         self.reader, self.answers = MessageReader(answers=False), MessageReader(answers=True)
-        self.pending_requests: list[
-            ClientRequest
-        ] = []  # complete requests without a complete answer, oldest first
+        # Complete requests without a complete answer, oldest first.
+        self.pending_requests: list[ClientRequest] = []
         # Complete answers on their way to the client, with the stream offset at which each ends.
         self.complete_answers: deque[tuple[int, ClientRequest | None]] = deque()
-        self.request_bytes_read = self.request_bytes_arrived = (
-            0  # request bytes read by the sidecar, and those that reached it
-        )
-        self.answer_bytes_arrived = self.answer_bytes_read = (
-            0  # answer bytes that reached the client, and those it read
-        )
+        # Request bytes read by the sidecar, and request bytes that have reached the sidecar.
+        self.request_bytes_read = self.request_bytes_arrived = 0
+        # Answer bytes that have reached the client, and answer bytes read by the client.
+        self.answer_bytes_arrived = self.answer_bytes_read = 0
         # Time within which a bad client must get an error or a close, in nanoseconds; None for a good client.
         self.bad_client_ns: int | None = None
         self.errors = self.served = 0  # answers sent with a status of at least 400, and below 400
--- a/brambleusher/lab/checker/checker.py
+++ b/brambleusher/lab/checker/checker.py
@@ -67,12 +67,10 @@
             int, ClientConnection | NodeConnection | DiscoveryConnection | AdminConnection
         ] = {}
         self._admin_addresses: dict[Address, str] = {}
-        self._client_requests: dict[
-            tuple[str, str], list[ClientRequest]
-        ] = {}  # by sidecar's machine and request id
-        self._allowed_runs: dict[
-            str, int
-        ] = {}  # how often each request may run: as often as sidecars received it
+        # Client requests by the sidecar's machine and the request's id.
+        self._client_requests: dict[tuple[str, str], list[ClientRequest]] = {}
+        # How often each request may run: as often as sidecars received it.
+        self._allowed_runs: dict[str, int] = {}
         self._deadlines: list[tuple[int, int, ClientRequest | ClientConnection | SidecarIncarnation]] = []
         self._sequence = count()
         # Suspected breaches, confirmed unless another event at the same time explains them.
@@ -1034,7 +1032,7 @@
             )  # fmt: skip
 
     def _report_was_on_wire(self, machine: str, record: dict[str, Any]) -> bool:
-        """Tell whether the load report that the module got for an attempt was on the wire.
+        """Tell whether the load report that the balancer got for an attempt was on the wire.
 
         The report of any attempt of the request will do, because the capture does not record which it was.
         """
--- a/brambleusher/lab/checker/rerun.py
+++ b/brambleusher/lab/checker/rerun.py
@@ -56,7 +56,7 @@
 
 
 def missing_timers(all_captures: Iterable[list[dict[str, Any]]], late_ns: int) -> list[str]:
-    """Describe the timers that the module set and that had not fired `late_ns` after they were due.
+    """Describe the timers that the balancer set and that had not fired `late_ns` after they were due.
 
     Only timers that were set within a capture are checked, up to the time of the capture's last event.
     """
@@ -74,7 +74,7 @@
             due = sorted(key for key in pending if key[1] == inputs["token"] and key[0] <= now)
             if due:
                 pending[due[0]] -= 1
-                pending += Counter()  # drops the timers that have all fired
+                pending += Counter()  # removes entries with a count of zero
         for action in record["out"]:
             if action[0] == "timer":
                 pending[(action[1], action[2])] += 1
--- a/brambleusher/lab/checker/rules.py
+++ b/brambleusher/lab/checker/rules.py
@@ -56,7 +56,7 @@
     must_ask_ns: int = 10 * SECOND
     failed_request_factor: int = 4  # factor on `must_ask_ns` after a failed request to discovery
     notice_ns: int = 6 * SECOND  # time after which a sidecar must know a change that discovery can deliver
-    reload_notice_ns: int = 4 * SECOND  # the same time, counted from a SIGHUP
+    reload_notice_ns: int = 4 * SECOND  # time after a SIGHUP by which a sidecar must know the same change
     slack_ns: int = 50 * MS  # tolerance for socket operations, answers and late lists
     cold_ns: int = 0
     fall_multiple: float = 4.0
@@ -64,7 +64,7 @@
     # Least share of a cold node's work from sidecars that knew of its start, for a breach to be reported.
     min_informed_fraction: float = 2 / 3
     bad_client_ns: int = 3 * SECOND  # time within which a bad client must get an error or a close
-    unnoticed_bytes_ns: int = 0  # time that bytes may wait at a process before it must have noticed them
+    unnoticed_bytes_ns: int = 0  # time that readable bytes or a readable close may stay unnoticed
     resume_ns: int = 500 * MS  # time after a stop by which requests that fell due during it must be answered
     abandon_ns: int = 300 * MS  # time after a client's visible close from which no attempt may begin
     # A request that arrives later than this after a SIGTERM must be answered, even if the sidecar is killed.
--- a/brambleusher/lab/checker/sums.py
+++ b/brambleusher/lab/checker/sums.py
@@ -17,9 +17,7 @@
 
 SECOND = 10**9
 MAX_HANDSHAKE_FRACTION = 0.2  # largest share of one core of a node that handshakes may take
-FAILURE_WINDOW_S = (
-    5  # window, in seconds, in which failures that several sidecars met at one node are counted
-)
+FAILURE_WINDOW_S = 5  # time, in seconds, for which a sidecar that met a failure at a node is counted there
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,10 +75,10 @@
     def __init__(self, now: int, limits: FleetLimits) -> None:
         self._start, self._limits = now, limits
         self._nodes = {node.machine: node for node in limits.nodes}
-        self._open_connections: dict[int, str] = {}  # machine of the node of each open connection, by number
-        self._request_pending: dict[
-            int, str
-        ] = {}  # client machine of each connection that has a request pending
+        # Machine of the node at the end of each open connection, by the connection's number.
+        self._open_connections: dict[int, str] = {}
+        # Client machine of each connection that has a request pending, by the connection's number.
+        self._request_pending: dict[int, str] = {}
         self._connections_per_node: Counter[str] = Counter()
         self._opens_per_step: Counter[tuple[int, str]] = Counter()
         self._calls_per_step: Counter[int] = Counter()
--- a/brambleusher/lab/virtual/mass.py
+++ b/brambleusher/lab/virtual/mass.py
@@ -31,9 +31,7 @@
 
 SIDECARS = NODES = 200
 LENGTH_S, FAULTS_FROM_S, FAULTS_S = 30.0, 4.0, 18.0
-PARETO_SHAPE = (
-    1.5  # shape of the Pareto distribution of traffic over sidecars; some get several times the mean
-)
+PARETO_SHAPE = 1.5  # shape of the distribution of traffic over sidecars; some get several times the mean
 MAX_MULTIPLE_OF_MEAN = 8.0
 BURST_FACTOR = 1.5  # factor on the usual request rate during a burst
 PROCESSOR = ProcessorFigures(start_s=0.6, round_s=0.0004)
--- a/brambleusher/lab/virtual/network.py
+++ b/brambleusher/lab/virtual/network.py
@@ -244,9 +244,10 @@
         # that did not fit into the peer's window wait in `_unsent`.
         self._used = self._unsent_size = 0
         self._unsent: deque[bytes] = deque()
-        self._unacked: deque[tuple[int, int]] = deque()  # acknowledgements: time of arrival, number of bytes
+        # Acknowledgements on their way, and window updates on their way: time of arrival, number of bytes.
+        self._unacked: deque[tuple[int, int]] = deque()
         self._window = network.settings.receive_buffer
-        self._window_updates: deque[tuple[int, int]] = deque()  # time of arrival, number of bytes
+        self._window_updates: deque[tuple[int, int]] = deque()
         self._pump_due = self._write_due = 0  # times of the scheduled pump and write events; 0 for none
         self._want_write = False
         self.fin_queued = False
@@ -255,9 +256,8 @@
         self.received_ns = 0  # time of the last received bytes on the world's monotonic clock; 0 for none
         self.undelivered: list[Any] = []  # bytes and FIN that a fault keeps from the peer, in order
         self.undelivered_since = 0
-        self.unacknowledged_timeout_ns = (
-            RETRANSMIT_TIMEOUT_NS  # time after which unacknowledged bytes end the connection
-        )
+        # Time after which unacknowledged bytes end the connection.
+        self.unacknowledged_timeout_ns = RETRANSMIT_TIMEOUT_NS
 
     # --- methods of `runtime.system.Socket` -----------------------------------------------------
 
@@ -893,9 +893,8 @@
         self.world, self.settings = world, world.settings
         self._links: dict[tuple[str, str], Link] = {}
         self._connections = 0
-        self.with_undelivered: dict[
-            VirtualSocket, None
-        ] = {}  # sockets with bytes held back by a fault, oldest first
+        # Sockets with bytes held back by a fault, in the order in which the faults took effect.
+        self.with_undelivered: dict[VirtualSocket, None] = {}
         self.refusing: dict[tuple[str, int], None] = {}
 
     def seen_from(self, machine: Machine, address: Address) -> Address:
--- a/brambleusher/lab/virtual/world.py
+++ b/brambleusher/lab/virtual/world.py
@@ -54,8 +54,8 @@
 class Pace:
     """Durations of the steps of a process that has only a share of a core, in nanoseconds."""
 
-    start_ns: Range  # from the start to the first step of the program
-    poll_interval_ns: Range  # from one poll to the next
+    start_ns: Range  # time from the start of the process to the first step of its program
+    poll_interval_ns: Range  # time from one poll to the next
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,9 +66,9 @@
     jitter_ns: int = 60_000  # largest addition to the latency, drawn for each transmission
     loopback_ns: Range = (4_000, 12_000)  # one-way latency within a machine
     poll_interval_ns: Range = (3_000, 25_000)  # time a process takes from one poll to the next
-    wake_ns: Range = (1_000, 15_000)  # from the time a descriptor becomes ready to the return of the poll
-    start_ns: Range = (1_000, 2_000_000)  # from the start of a process to the first step of its program
-    worker_ns: Range = (20_000, 500_000)  # from the wake-up of a worker to its turn
+    wake_ns: Range = (1_000, 15_000)  # time from a descriptor's readiness to the return of the poll
+    start_ns: Range = (1_000, 2_000_000)  # time from a process's start to the first step of its program
+    worker_ns: Range = (20_000, 500_000)  # time from a worker's wake-up to its turn
     send_buffer: int = 64 * 1024
     receive_buffer: int = 64 * 1024
     split: float = 0.05  # fraction of transmissions that arrive in two parts, split at a random byte
--- a/tests/lab/test_checker.py
+++ b/tests/lab/test_checker.py
@@ -784,9 +784,8 @@
     watch, data = traffic.open_watch(), b"%x\r\n%s\r\n" % (len(line), line)
     traffic.checker.sent(traffic.now, watch, "server", data)
     traffic.wait(7 * S).checker.arrived(traffic.now, watch, "client", data)
-    traffic.wait(MS).serve_request(
-        cls="look"
-    )  # the list counts from 6 s after its writing, not from its arrival
+    # The list counts as received 6 s after its writing, not on its arrival.
+    traffic.wait(MS).serve_request(cls="look")
 
 
 @case("")
@@ -1098,9 +1097,8 @@
 
 @case("cold")
 def a_burst_on_a_cold_node(traffic: Traffic) -> None:
-    load_cold_node(
-        traffic, 50, every_ms=10
-    )  # 5 s of work against a budget of 3 s and 0.55 s of allowance for chance
+    # 5 s of work exceed the budget of 3 s with its allowance of 0.55 s for chance.
+    load_cold_node(traffic, 50, every_ms=10)
 
 
 @case("")
@@ -1353,7 +1351,7 @@
 
 
 def report_rules(traffic: Traffic, *figures: float | None) -> list[str]:
-    """Return the broken rules when the module records these figures while the answer reported 0.5 and 14."""
+    """Return the broken rules if a capture has these figures while the answer reported 0.5 and 14."""
     conn = traffic.send_request(cls="look")
     claim, body = traffic.send_attempt(cls="look"), traffic.execute()
     traffic.node_answers(claim, "200 OK", body, Server_Load='{"util":0.5,"qps":14}')
--- a/tests/lab/test_sums.py
+++ b/tests/lab/test_sums.py
@@ -152,4 +152,4 @@
     spread, calls = unmodified["mass-roll"].calls.values, at_once.calls.values
     moved = max(range(len(calls)), key=lambda second: calls[second] - spread[second])
     assert calls[moved] > 1.5 * spread[moved] > 0
-    assert unmodified["mass-roll"].total_calls <= at_once.total_calls  # spreading the calls adds none
+    assert unmodified["mass-roll"].total_calls <= at_once.total_calls  # spreading adds no call
--- a/tests/lab/test_world.py
+++ b/tests/lab/test_world.py
@@ -337,7 +337,7 @@
         world.run(START_NS + SECOND)
         process.signal(signal.SIGHUP)
         world.run(START_NS + 2 * SECOND)
-        process.signal(signal.SIGWINCH)  # ignored by default
+        process.signal(signal.SIGWINCH)  # Linux ignores SIGWINCH by default
         assert process.ended is None
         process.stall(SECOND)
         process.signal(signal.SIGTERM)
