--- a/brambleusher/lab/virtual/network.py
+++ b/brambleusher/lab/virtual/network.py
@@ -984,7 +984,7 @@
                 continue
             # Retransmission timeouts double, so the next try is at most as far off as the outage was long.
             longest = min(
-                max(MIN_RETRANSMIT_NS, now - sock.undelivered_since), self.settings.retransmit_most_ns
+                max(MIN_RETRANSMIT_NS, now - sock.undelivered_since), self.settings.max_retransmit_ns
             )
             self.world.push(now + 1 + int(sock.link.random() * longest), sock.deliver_undelivered)
 
--- a/brambleusher/lab/virtual/world.py
+++ b/brambleusher/lab/virtual/world.py
@@ -76,7 +76,7 @@
     short_receive: float = 0.03  # fraction of receives that return only a part of the available bytes
     # Fraction of connections reset before accept() that fail it with ECONNABORTED, as BSD does.
     aborted_accepts: float = 0.0
-    retransmit_most_ns: int = 120 * 1_000_000_000  # longest retransmission timeout
+    max_retransmit_ns: int = 120 * 1_000_000_000  # longest retransmission timeout
     descriptors: int = 1024  # default limit of descriptors for a process
     output_bytes: int = 256 * 1024  # size of the kept tail of a process's standard error
 
