--- a/brambleusher/lab/fleets/fleet.py
+++ b/brambleusher/lab/fleets/fleet.py
@@ -506,7 +506,7 @@
     @property
     def discovery_address(self) -> Address:
         """Where it reaches the discovery in use."""
-        return self.fleet.world.network.seen_from(self.machine, self.fleet.discovery.address)
+        return self.fleet.world.network.reachable_address(self.machine, self.fleet.discovery.address)
 
     def operator_file(self, **zones: Any) -> bytes:
         """Its operator file, with some keys of the section on zones laid over."""
@@ -744,7 +744,7 @@
             client.start(begin)
 
     def _reach(self, machine: Machine, sidecar: SidecarPlace) -> Address:
-        return self.world.network.seen_from(machine, sidecar.address)
+        return self.world.network.reachable_address(machine, sidecar.address)
 
     def _misbehave(self, scheduler: Scheduler) -> None:
         scenario = self.scenario
--- a/brambleusher/lab/fleets/stage.py
+++ b/brambleusher/lab/fleets/stage.py
@@ -87,7 +87,7 @@
     def link(self, from_: Any, to: Any) -> Link:
         """The way from one machine to another."""
 
-    def seen_from(self, machine: Any, address: Address) -> Address:
+    def reachable_address(self, machine: Any, address: Address) -> Address:
         """Where a machine connects to, to reach an address."""
 
     def connections(self, machine: Any) -> Sequence[Wire]:
--- a/brambleusher/lab/processes/fleet.py
+++ b/brambleusher/lab/processes/fleet.py
@@ -273,7 +273,7 @@
 
     def _ways(self, address: Address) -> list[Address]:
         network = self._fleet.stage.network
-        return [network.seen_from(place.real, address) for place in self._fleet.real_places]
+        return [network.reachable_address(place.real, address) for place in self._fleet.real_places]
 
     def discovery(self, address: Address) -> None:
         """Discovery can be had here too."""
@@ -313,7 +313,7 @@
         machine, address = self._by_ip.get(ip), parse_address(entry.addr)
         if machine is None or address not in self.stage.network.known:
             return entry
-        host, port = self.stage.network.seen_from(machine, address)
+        host, port = self.stage.network.reachable_address(machine, address)
         return msgspec.structs.replace(entry, addr=f"{host}:{port}")
 
     def admit(self) -> None:
--- a/brambleusher/lab/processes/relays.py
+++ b/brambleusher/lab/processes/relays.py
@@ -523,7 +523,7 @@
             self._ways[key] = Way(self, client, server, port)
         return self._ways[key]
 
-    def seen_from(self, machine: RealMachine, address: Address) -> Address:
+    def reachable_address(self, machine: RealMachine, address: Address) -> Address:
         """Where a machine connects to, to reach an address."""
         return self.way(machine, address).address
 
--- a/brambleusher/lab/virtual/network.py
+++ b/brambleusher/lab/virtual/network.py
@@ -897,7 +897,7 @@
         self.with_undelivered: dict[VirtualSocket, None] = {}
         self.refusing: dict[tuple[str, int], None] = {}
 
-    def seen_from(self, machine: Machine, address: Address) -> Address:
+    def reachable_address(self, machine: Machine, address: Address) -> Address:
         """Return the address by which a machine reaches `address`; in virtual time they are the same."""
         return address
 
