--- a/brambleusher/cli/explore.py
+++ b/brambleusher/cli/explore.py
@@ -78,13 +78,15 @@
         first = not self.seeds
         self.seeds += 1
         self.asked += result.asked
-        self.taken += result.taken
+        self.taken += result.requests_received
         self.served += result.served
         self.attempts += result.attempts
         self.events += result.events
         self.virtual_s += result.virtual_s
         self.fewest_asked = result.asked if first else min(self.fewest_asked, result.asked)
-        self.fewest_taken = result.taken if first else min(self.fewest_taken, result.taken)
+        self.fewest_taken = (
+            result.requests_received if first else min(self.fewest_taken, result.requests_received)
+        )
         self.kinds_fewest = len(result.faults) if first else min(self.kinds_fewest, len(result.faults))
         self.shortest_s = result.virtual_s if first else min(self.shortest_s, result.virtual_s)
         self.faults.update(result.faults)
@@ -289,8 +291,8 @@
         f"seed {result.seed}: {breach.rule} at {breach.at_ns / 1e9:.9f}: {breach.who}: {breach.what}"
         for breach in result.breaches[:MAX_SHOWN_BREACHES]
     ]
-    if result.broken > len(lines):
-        lines.append(f"seed {result.seed}: {result.broken} breaches in all")
+    if result.breach_count > len(lines):
+        lines.append(f"seed {result.seed}: {result.breach_count} breaches in all")
     return [*lines, f"replay with: {replay_command}"]
 
 
@@ -341,8 +343,8 @@
         for line in _describe_breaches(result, replay_command):
             print(line)
     else:
-        print(f"{result.asked} requests asked, {result.taken} tries taken, {result.served} served, "
-              f"{result.virtual_s:.1f} virtual seconds, no breach")  # fmt: skip
+        print(f"{result.asked} requests asked, {result.requests_received} tries taken, "
+              f"{result.served} served, {result.virtual_s:.1f} virtual seconds, no breach")  # fmt: skip
     print(f"digest {result.digest}")
     exceeded: list[str] = []
     if result.sums is not None:
--- a/brambleusher/lab/checker/checker.py
+++ b/brambleusher/lab/checker/checker.py
@@ -56,8 +56,8 @@
     def __init__(self, rules: Rules, executions: Sequence[Execution] = ()) -> None:
         self.rules, self._executions = rules, executions
         self.breaches: list[Breach] = []
-        self.count = 0  # number of breaches found, kept or not
-        self.taken = self.served = self.attempts = self.lists = 0
+        self.breach_count = 0  # number of breaches found, kept or not
+        self.requests_received = self.served = self.attempts = self.lists = 0
         self._incarnations: dict[str, SidecarIncarnation] = {}
         self._listen_addresses: dict[Address, str] = {}
         self._discoveries: set[Address] = set()
@@ -399,7 +399,7 @@
             client_request.received_ns = now if late else client_request.sent_ns
             if client_request.fault is not None:
                 continue
-            self.taken += 1
+            self.requests_received += 1
             incarnation = connection.incarnation
             self._client_requests.setdefault((incarnation.machine, client_request.name), []).append(
                 client_request
@@ -1168,6 +1168,6 @@
 
     def _breach(self, rule: str, now: int, who: str, what: str, *trails: Sequence[TimelineEntry]) -> None:
         assert rule in RULES
-        self.count += 1
+        self.breach_count += 1
         if len(self.breaches) < MAX_STORED_BREACHES:
             self.breaches.append(Breach(rule, now, who, what, merge_timelines(*trails)))
--- a/brambleusher/lab/experiments/run.py
+++ b/brambleusher/lab/experiments/run.py
@@ -123,7 +123,7 @@
         documents: dict[str, object] = {}
         more = {"was_late": float(tally.results.late)}
         if checker is not None:
-            more |= {"breaches": float(checker.count), "virtual_s": space.elapsed_ns / SECOND}
+            more |= {"breaches": float(checker.breach_count), "virtual_s": space.elapsed_ns / SECOND}
             documents["rules"] = _rules(checker)
             events += [
                 ((each.at_ns - fleet.begins_ns) / SECOND, f"rule {each.rule} broken: {each.who}: {each.what}")
--- a/brambleusher/lab/processes/drill.py
+++ b/brambleusher/lab/processes/drill.py
@@ -296,8 +296,8 @@
     outcome.served = sum(each.served for each in asked) / max(1, len(asked))
     refused = sum(each.end == "answered" and each.status in (429, 503) for each in tries)
     outcome.refused = refused / max(1, len(tries))
-    outcome.attempts = checker.attempts / max(1, checker.taken)
-    outcome.breaches, outcome.broken = list(checker.breaches), checker.count
+    outcome.attempts = checker.attempts / max(1, checker.requests_received)
+    outcome.breaches, outcome.broken = list(checker.breaches), checker.breach_count
     seconds = math.ceil(fleet.scenario.world.length_s)
     windows = [[0, 0] for _ in range(seconds)]
     for each in asked:
--- a/brambleusher/lab/virtual/explore.py
+++ b/brambleusher/lab/virtual/explore.py
@@ -211,13 +211,13 @@
     digest: str
     breaches: list[Breach]
     asked: int  # number of requests that clients tried to send, each counted once
-    taken: int  # number of tries that reached sidecars completely
+    requests_received: int  # number of tries that reached sidecars completely
     served: int
     attempts: int
     events: int  # number of steps on the wire
     virtual_s: float
     faults: Counter[str] = field(default_factory=Counter)  # number of planned faults by kind
-    broken: int = 0  # number of all breaches, kept or not
+    breach_count: int = 0  # number of all breaches, kept or not
     sums: FleetTotals | None = None  # totals over the fleet, if they were requested
 
     @property
@@ -293,11 +293,12 @@
                     line.line(breach.at_ns, f"BREACH {row}")
         return Result(
             seed=scenario.seed, profile=scenario.profile, digest=digest.hex(), breaches=breaches,
-            asked=sum(bool(each.tries) for each in fleet.asked), taken=checker.taken, served=checker.served,
+            asked=sum(bool(each.tries) for each in fleet.asked),
+            requests_received=checker.requests_received, served=checker.served,
             attempts=checker.attempts, events=digest.events,
             virtual_s=(world.now_ns - begun) / SECOND,
             faults=Counter(str(_to_plain_data(fault)["kind"]) for fault in scenario.faults),
-            broken=checker.count + len(others), sums=totals,
+            breach_count=checker.breach_count + len(others), sums=totals,
         )  # fmt: skip
 
 
--- a/tests/lab/test_explore.py
+++ b/tests/lab/test_explore.py
@@ -58,7 +58,7 @@
 def test_what_was_found_once_stays_mended(path: Path) -> None:
     result = play(read_scenario(path.read_bytes()))
     assert not result.breaches, "\n".join(str(breach) for breach in result.breaches)
-    assert result.asked and result.taken
+    assert result.asked and result.requests_received
 
 
 def test_a_seed_is_the_same_run_in_any_process_and_under_any_hash_seed() -> None:
@@ -81,7 +81,7 @@
     """Requests to a sidecar that is down count as asked, although no sidecar receives them."""
     scenario = draw_scenario(7)
     whole = play(scenario)
-    assert whole.asked == len(scenario.asks) and whole.taken > 0
+    assert whole.asked == len(scenario.asks) and whole.requests_received > 0
     down = msgspec.structs.replace(
         scenario,
         faults=tuple(
@@ -90,13 +90,16 @@
         ),
     )
     less = play(down)
-    assert less.asked == len(scenario.asks) and less.taken < whole.taken
+    assert less.asked == len(scenario.asks) and less.requests_received < whole.requests_received
     totals = RunTotals()
     for result in (whole, less):
         totals.add(result)
     said = "\n".join(totals.describe("default", 1.0, 1))
     assert f"{2 * len(scenario.asks)} requests asked" in said and f"{len(scenario.asks)} at least" in said
-    assert f"{whole.taken + less.taken} tries taken by sidecars ({less.taken} at least)" in said
+    assert (
+        f"{whole.requests_received + less.requests_received} tries taken by sidecars "
+        f"({less.requests_received} at least)" in said
+    )
 
 
 def test_the_time_line_tells_who_sent_what_to_whom() -> None:
