--- a/tests/lab/lab_builders.py
+++ b/tests/lab/lab_builders.py
@@ -28,7 +28,7 @@
         self.server = self.world.machine("server", SERVER[0])
         self.client = self.world.machine("client", "10.0.0.2")
 
-    def on(self, where: str, build: Callable[[Scheduler], Any]) -> Any:
+    def start_on(self, where: str, build: Callable[[Scheduler], Any]) -> Any:
         """Start a process that calls `build` with its scheduler, and return the result."""
         made: list[Any] = []
 
@@ -42,7 +42,7 @@
         assert made, process.stderr.decode()
         return made[0]
 
-    def call(self, scheduler: Scheduler, call: Callable[[], object]) -> None:
+    def call_on(self, scheduler: Scheduler, call: Callable[[], object]) -> None:
         """Run a call in a scheduler's process, as a fault plan does."""
         done: list[int] = []
 
@@ -53,7 +53,7 @@
         scheduler.call_soon(both)
         self.world.run(until=lambda: bool(done))
 
-    def do(self, task: Callable[[Scheduler], Any], seconds: float = 60.0) -> Any:
+    def run_on_client(self, task: Callable[[Scheduler], Any], seconds: float = 60.0) -> Any:
         """Run a task on the client machine, and return its result or raise its exception."""
         ended: list[Any] = []
 
@@ -77,7 +77,7 @@
             raise ended[0]
         return ended[0]
 
-    def talk(self, *parts: bytes, wait: float = 5.0, pause: float = 0.0) -> tuple[bytes, str]:
+    def send_raw(self, *parts: bytes, wait: float = 5.0, pause: float = 0.0) -> tuple[bytes, str]:
         """Send bytes to the server, and return the response with how it ended.
 
         The response ends with the connection's end, an error, or a silence of `wait` seconds.
@@ -104,7 +104,7 @@
             finally:
                 stream.close()
 
-        answer: tuple[bytes, str] = self.do(task)
+        answer: tuple[bytes, str] = self.run_on_client(task)
         return answer
 
     def sleep(self, seconds: float) -> None:
--- a/tests/lab/test_stand_in_client.py
+++ b/tests/lab/test_stand_in_client.py
@@ -79,7 +79,7 @@
         client.start(scheduler.now())
         return client
 
-    client: Client = lab.on("client", build)
+    client: Client = lab.start_on("client", build)
     lab.world.run(lab.world.now_ns + 60 * 10**9, lambda: client.finished)
     assert client.finished and client.open == 0
     return client
@@ -213,7 +213,7 @@
         return bad
 
     logging.getLogger("brambleusher.lab").setLevel(logging.WARNING)
-    bad: BadClients = lab.on("client", build)
+    bad: BadClients = lab.start_on("client", build)
     lab.world.run(lab.world.now_ns + 10 * 10**9, lambda: not bad.open)
     assert bad.open == 0 and [each.kind for each in bad.book] == [kind] * 2
     for deed in bad.book:
--- a/tests/lab/test_stand_in_discovery.py
+++ b/tests/lab/test_stand_in_discovery.py
@@ -32,7 +32,7 @@
             made.begin(trouble)
         return made
 
-    made: Discovery = lab.on("server", build)
+    made: Discovery = lab.start_on("server", build)
     return made
 
 
@@ -65,7 +65,7 @@
             return type(error).__name__
 
     meanwhile()
-    return lines, lab.do(task)
+    return lines, lab.run_on_client(task)
 
 
 def update(line: bytes) -> tuple[int, bool, list[tuple[str, str]]]:
@@ -94,10 +94,10 @@
 def test_the_first_answer(target: str, first: Any) -> None:
     lab = Lab()
     discovery = discovery_in(lab)
-    lab.call(discovery.scheduler, lambda: discovery.put(DRAINS))
-    lab.call(discovery.scheduler, lambda: discovery.put(GONE))
+    lab.call_on(discovery.scheduler, lambda: discovery.put(DRAINS))
+    lab.call_on(discovery.scheduler, lambda: discovery.put(GONE))
     if target == "/v1/endpoints":
-        got, _ = lab.talk(f"GET {target} HTTP/1.1\r\nHost: d\r\n\r\n".encode(), wait=1.0)
+        got, _ = lab.send_raw(f"GET {target} HTTP/1.1\r\nHost: d\r\n\r\n".encode(), wait=1.0)
         lines = [(0.0, got.split(b"\r\n\r\n")[1])]
     else:
         lines, _ = watch(lab, target, 1.0)
@@ -145,7 +145,7 @@
             stream.receive(begin + 9)
             ends.append(round(scheduler.now() - begin, 1))
 
-    lab.do(task)
+    lab.run_on_client(task)
     assert ends == [0.5, 1.0, 1.5, 2.0]
 
 
@@ -158,7 +158,7 @@
     trouble = at_discovery.Down(down)
     discovery = discovery_in(lab, trouble)
     assert watch(lab) == ([], how)
-    lab.call(discovery.scheduler, lambda: discovery.end(trouble))
+    lab.call_on(discovery.scheduler, lambda: discovery.end(trouble))
     lab.sleep(0.01)
     lab.world.after(500_000_000, lambda: discovery.scheduler.call_soon(lambda: discovery.begin(trouble)))
     lines, ended = watch(lab, seconds=1.0)
--- a/tests/lab/test_stand_in_node.py
+++ b/tests/lab/test_stand_in_node.py
@@ -33,7 +33,7 @@
         node.listen(SERVER)
         return node
 
-    made: Node = lab.on("server", build)
+    made: Node = lab.start_on("server", build)
     return made
 
 
@@ -57,7 +57,7 @@
 def test_an_answer_proves_who_made_it_for_what() -> None:
     lab = Lab()
     node = node_in(lab)
-    got, _ = lab.talk(request("r1", unsafe=True, body_bytes=100), request("r2"))
+    got, _ = lab.send_raw(request("r1", unsafe=True, body_bytes=100), request("r2"))
     one, two = answers(got)
     proof = json.loads(one.body)
     assert (proof["node"], proof["process"], proof["request"], proof["number"]) == ("s-1", 0, "r1", 1)
@@ -92,7 +92,7 @@
             seen.add(answer.status)
             stream.close()
 
-    lab.do(task)
+    lab.run_on_client(task)
     assert seen == statuses and {each.end for each in node.executions} == ends
     assert all(each.ran == (each.end in ("made", "error")) for each in node.executions)
 
@@ -100,16 +100,16 @@
 def test_bad_requests_run_nothing() -> None:
     lab = Lab()
     node = node_in(lab)
-    got, _ = lab.talk(b"GET /look HTTP/1.1\r\nHost: x\r\n\r\n")
+    got, _ = lab.send_raw(b"GET /look HTTP/1.1\r\nHost: x\r\n\r\n")
     assert answers(got)[0].status == 404 and not node.executions
-    got, how = lab.talk(b"what?\r\n\r\n")
+    got, how = lab.send_raw(b"what?\r\n\r\n")
     assert (got, how) == (b"", "end")
 
 
 def test_a_handshake_costs_time_and_work() -> None:
     lab = Lab()
     node = node_in(lab, handshake_s=0.03, handshake_work_s=0.01)
-    lab.talk(request("r1"), request("r2"))
+    lab.send_raw(request("r1"), request("r2"))
     first, second = node.executions
     assert 0.03 <= (first.began_ns - first.came_ns) / 1e9 < 0.032
     assert second.began_ns - second.came_ns < 2_000_000
@@ -135,7 +135,7 @@
             scheduler.call_at(scheduler.now() + 0.2, stream.close)
         scheduler.sleep(0.3)
 
-    lab.do(task)
+    lab.run_on_client(task)
     lab.sleep(5)
     assert [(each.request, each.end) for each in node.executions] == ends
 
@@ -144,8 +144,8 @@
     for drops, end in ((True, "turned away"), (False, "made")):
         lab = Lab()
         node = node_in(lab, drops_overdue=drops, cancel="none")
-        lab.talk(request("r1", work_s=0.5), wait=0.1)
-        lab.talk(request("r2", wait=0.1), wait=0.05)
+        lab.send_raw(request("r1", work_s=0.5), wait=0.1)
+        lab.send_raw(request("r2", wait=0.1), wait=0.05)
         lab.sleep(5)
         assert [each.end for each in node.executions] == ["made", end]
 
@@ -154,7 +154,7 @@
     lab = Lab()
     node_in(lab, idle_s=0.5)
     begun = lab.world.now_ns
-    got, how = lab.talk(request())
+    got, how = lab.send_raw(request())
     assert len(answers(got)) == 1 and how == "end"
     assert 0.55e9 <= lab.world.now_ns - begun < 0.57e9
 
@@ -164,7 +164,7 @@
         lab = Lab()
         node = node_in(lab, drain_refuses=refuses)
         node.draining = True
-        assert answers(lab.talk(request())[0])[0].status == status
+        assert answers(lab.send_raw(request())[0])[0].status == status
 
 
 # --- switches -------------------------------------------------------------------------------------
@@ -176,7 +176,7 @@
 def test_spoilt_answers(how: SpoiltHow) -> None:
     lab = Lab()
     node = node_in(lab, at_node.Spoilt(how), report_fields=())
-    got, ended = lab.talk(request(), wait=1.0)
+    got, ended = lab.send_raw(request(), wait=1.0)
     reader = MessageReader.responses()
     reader.feed(got)
     try:
@@ -205,7 +205,7 @@
 def test_resets(where: at_node.ResetWhere, runs: bool, came: list[Any], some: bool) -> None:
     lab = Lab()
     node = node_in(lab, at_node.Resets(where, runs=runs))
-    got, ended = lab.talk(request())
+    got, ended = lab.send_raw(request())
     assert ended in ("ConnectionResetError", "BrokenPipeError") and not answers(got)
     assert made_by(node) == came
     # A reset may overtake what was sent before it; where it does not, a part of the answer has come.
@@ -215,11 +215,11 @@
 def test_closes_that_cross() -> None:
     lab = Lab()
     node = node_in(lab, at_node.CrossingClose(0.1))
-    got, ended = lab.talk(request(), wait=1.0)
+    got, ended = lab.send_raw(request(), wait=1.0)
     assert len(answers(got)) == 1 and ended == "end"
     lab = Lab()
     node = node_in(lab, at_node.CrossingClose(0.1, unread=True))
-    got, ended = lab.talk(request("r2"), request("r3"), pause=0.5)
+    got, ended = lab.send_raw(request("r2"), request("r3"), pause=0.5)
     assert [json.loads(each.body)["request"] for each in answers(got)] == ["r2"]
     assert ended == "ConnectionResetError" and [each.request for each in node.executions] == ["r2"]
 
@@ -234,13 +234,13 @@
     neighbour = at_node.Neighbour(0.5, on_s=0.2, off_s=0.1)
     node = node_in(lab, slow)
     for name, work, after in (("r1", 0.1, hung), ("r2", 0.1, neighbour), ("r3", 0.4, None)):
-        lab.talk(request(name, work_s=work), wait=1.0)
+        lab.send_raw(request(name, work_s=work), wait=1.0)
         for each in (slow, hung, neighbour):
-            lab.call(node.scheduler, partial(node.end, each))
+            lab.call_on(node.scheduler, partial(node.end, each))
         lab.sleep(0.2)
         if after is not None:
-            lab.call(node.scheduler, partial(node.begin, after))
-    lab.talk(request("r4", work_s=0.4), wait=0.6)
+            lab.call_on(node.scheduler, partial(node.begin, after))
+    lab.send_raw(request("r4", work_s=0.4), wait=0.6)
     took = timed(node)
     # r3: 0.1 done by 0.2, 0.2 by 0.3, 0.3 by 0.5, all by 0.6; the neighbour has come a moment earlier.
     assert took[0] == 0.4 and took[1] >= 1.0 and took[2] in (0.5, 0.6) and took[3] == 0.4
@@ -249,13 +249,13 @@
 def test_turning_away() -> None:
     lab = Lab()
     node = node_in(lab, at_node.TurnsAway(status=504))
-    answer = answers(lab.talk(request())[0])[0]
+    answer = answers(lab.send_raw(request())[0])[0]
     assert (answer.status, answer.headers["not-started"]) == (504, "1")
     assert made_by(node) == [("r1", "turned away", False)]
 
 
 def loads(lab: Lab, count: int = 4) -> list[str | None]:
-    got, _ = lab.talk(*(request(f"r{number}") for number in range(count)), pause=0.4, wait=1.0)
+    got, _ = lab.send_raw(*(request(f"r{number}") for number in range(count)), pause=0.4, wait=1.0)
     return [each.headers.get("server-load") for each in answers(got)]
 
 
@@ -266,7 +266,7 @@
     told = loads(lab)
     report = parse_load_report(told[-1])
     assert report is not None and report.utilisation is not None and 0.05 < report.utilisation < 0.4
-    lab.call(node.scheduler, lambda: node.begin(at_node.ReportsLate(60.0)))
+    lab.call_on(node.scheduler, lambda: node.begin(at_node.ReportsLate(60.0)))
     assert loads(lab) == [None] * 4
     readable = {"negative", "huge", "idle"}
     for how in get_args(ReportHow):
@@ -291,15 +291,15 @@
         made.listen(SERVER)
         return made
 
-    node = lab.on("server", build)
-    got, ended = lab.talk(request(work_s=5.0))
+    node = lab.start_on("server", build)
+    got, ended = lab.send_raw(request(work_s=5.0))
     assert (got, fell, node.listening) == (b"", [1], False) and ended == "ConnectionResetError"
-    assert lab.talk(request()) == (b"", "ConnectionRefusedError")
+    assert lab.send_raw(request()) == (b"", "ConnectionRefusedError")
 
 
 def test_books_can_be_bounded() -> None:
     book: deque[Execution] = deque(maxlen=2)
     lab = Lab()
-    lab.on("server", lambda s: Node(s, NodeSettings(**USUAL), "s-1", executions=book).listen(SERVER))
-    lab.talk(*(request(f"r{number}") for number in range(5)), wait=1.0)
+    lab.start_on("server", lambda s: Node(s, NodeSettings(**USUAL), "s-1", executions=book).listen(SERVER))
+    lab.send_raw(*(request(f"r{number}") for number in range(5)), wait=1.0)
     assert [each.request for each in book] == ["r3", "r4"]
--- a/tests/lab/test_virtual_sidecar.py
+++ b/tests/lab/test_virtual_sidecar.py
@@ -49,7 +49,7 @@
         return answers
 
     with mock.patch("brambleusher.loadbalancing.connection_admission.FIRST_REQUEST_S", 0.0):
-        assert [bool(each) for each in lab.do(two)] == [False, True]
+        assert [bool(each) for each in lab.run_on_client(two)] == [False, True]
     lab.world.run(lab.world.now_ns + SECOND)
     assert made[0].client_listener.connections == 0
     assert process.descriptors == before
