--- a/brambleusher/lab/virtual/explore.py
+++ b/brambleusher/lab/virtual/explore.py
@@ -228,7 +228,7 @@
 
 def play(
     scenario: Scenario,
-    breakage: AbstractContextManager[object] | None = None,
+    mutation: AbstractContextManager[object] | None = None,
     say: Callable[[str], object] | None = None,
     stop_at_breach: bool = False,
     sums: bool = False,
@@ -237,12 +237,12 @@
 
     Args:
         scenario: The scenario to play.
-        breakage: A context that breaks the program on purpose during the run.
+        mutation: A context that breaks the program on purpose during the run.
         say: A function that gets the lines of the timeline.
         stop_at_breach: Whether to end the run at the first breach.
         sums: Whether to compute the totals over the fleet.
     """
-    with world_of(scenario) as world, breakage or nullcontext():
+    with world_of(scenario) as world, mutation or nullcontext():
         world.settings = replace(world.settings, output_bytes=OUTPUT_BYTES)
         rules = Rules.from_settings(scenario.world.sidecar_settings(0))
         fleet = Fleet(scenario, world)
@@ -359,7 +359,7 @@
     scenario: Scenario,
     rule: str,
     fails: Callable[[Scenario], bool],
-    tell: Callable[[str], object] = lambda text: None,
+    report: Callable[[str], object] = lambda text: None,
 ) -> Scenario:
     """Remove faults and requests from a scenario as long as `fails` reports that the rule is still broken.
 
@@ -368,7 +368,7 @@
     left is needed.
     """
     for field_name in ("faults", "asks"):
-        scenario = _remove_items(scenario, field_name, fails, tell)
+        scenario = _remove_items(scenario, field_name, fails, report)
     last_ask_s = max((ask.at_s for ask in scenario.asks), default=0.0)
     last_fault_end_s = max((fault.at_s + fault.for_s for fault in scenario.faults), default=0.0)
     shorter = max(last_ask_s, last_fault_end_s) + 1.0
@@ -383,7 +383,7 @@
 
 
 def _remove_items(
-    scenario: Scenario, field_name: str, fails: Callable[[Scenario], bool], tell: Callable[[str], object]
+    scenario: Scenario, field_name: str, fails: Callable[[Scenario], bool], report: Callable[[str], object]
 ) -> Scenario:
     items: tuple[Any, ...] = getattr(scenario, field_name)
     size = max(1, len(items) // 2)
@@ -394,7 +394,7 @@
             smaller = msgspec.structs.replace(scenario, **{field_name: fewer})
             if (fewer or field_name == "faults") and fails(smaller):
                 scenario, items, dropped = smaller, fewer, True
-                tell(f"{len(items)} {field_name} left")
+                report(f"{len(items)} {field_name} left")
             else:
                 at += size
         if size == 1 and not dropped:
