--- a/brambleusher/lab/checker/books.py
+++ b/brambleusher/lab/checker/books.py
@@ -175,7 +175,7 @@
     fault: str | None  # reason why the request is invalid; None for a valid request
     timeout_ns: int = 0
     sent_ns: int = 0  # time at which the client wrote the last byte
-    received_ns: int = -1  # time at which the last byte reached the sidecar; -1 until then
+    received_ns: int = -1  # time from which the request counts as received; -1 before its last byte arrived
     due_ns: int = -1
     excuse: str = ""  # reason why the request needs no answer any more; empty while it needs one
     client_close_ns: int = -1  # time from which the sidecar could see the client's close; -1 until then
--- a/brambleusher/lab/checker/checker.py
+++ b/brambleusher/lab/checker/checker.py
@@ -394,7 +394,8 @@
                 or client_request.message.end > connection.request_bytes_arrived
             ):
                 continue
-            # The deadline of a request that the network delayed counts from its arrival at the sidecar.
+            # A request counts from its writing, or from its arrival if the network delayed it, because the
+            # sidecar could not know of the request earlier.
             late = now - client_request.sent_ns > self.rules.slack_ns // 10
             client_request.received_ns = now if late else client_request.sent_ns
             if client_request.fault is not None:
