--- a/brambleusher/lab/checker/rerun.py
+++ b/brambleusher/lab/checker/rerun.py
@@ -1,6 +1,6 @@
-"""A run's own captures: rerun by the program's replay, and their timers looked after.
+"""Checks on the captures of a run: the program's replay must agree, and no timer may be lost.
 
-The one part of the checker that calls the program, since the program's replay is what it checks.
+This is the only part of the checker that calls the program, because it checks the program's own replay.
 """
 
 from __future__ import annotations
@@ -13,26 +13,29 @@
 
 from brambleusher.features.replay import CaptureError, rerun
 
-MOST_TOLD = 5  # differences that are told in words
+MAX_DIFFERENCES = 5  # largest number of differences that are described
 
 
 def differences(captured: bytes) -> list[str]:
-    """What replay finds in a sidecar's standard error or capture file; a capture that it refuses is one."""
+    """Return the differences that replay finds in a sidecar's standard error or capture file.
+
+    A capture that replay refuses or that has no records is reported as a difference.
+    """
     out = io.StringIO()
     try:
-        tally = rerun(io.BytesIO(captured), out)
+        result = rerun(io.BytesIO(captured), out)
     except CaptureError as error:
         return [f"the capture is refused: {error}"]
-    if not tally.records:
+    if not result.records:
         return ["the capture has no records"]
-    if not tally.differing:
+    if not result.differing:
         return []
     lines = out.getvalue().splitlines()
-    return [f"{tally.differing} of {tally.records} records differ", *lines[:MOST_TOLD]]
+    return [f"{result.differing} of {result.records} records differ", *lines[:MAX_DIFFERENCES]]
 
 
 def captures(stderr: bytes) -> Iterator[list[dict[str, Any]]]:
-    """The records of each capture in a standard error; lines that can't be read are left to `differences`."""
+    """Yield the records of each capture in a standard error; `differences` reports unreadable lines."""
     records: list[dict[str, Any]] | None = None
     for line in stderr.splitlines():
         if not line.startswith(b"{"):
@@ -52,31 +55,31 @@
         yield records
 
 
-def lost_timers(those: Iterable[list[dict[str, Any]]], late_ns: int) -> list[str]:
-    """Timers that the module asked for and that had not come `late_ns` later, while other events had.
+def missing_timers(all_captures: Iterable[list[dict[str, Any]]], late_ns: int) -> list[str]:
+    """Describe the timers that the balancer set and that had not fired `late_ns` after they were due.
 
-    A capture begins somewhere: only timers asked for within it are looked for.
+    Only timers that were set within a capture are checked, up to the time of the capture's last event.
     """
-    return [text for records in those for text in _lost(records, late_ns)]
+    return [text for records in all_captures for text in _missing_timers(records, late_ns)]
 
 
-def _lost(records: list[dict[str, Any]], late_ns: int) -> list[str]:
-    asked: Counter[tuple[int, int]] = Counter()
+def _missing_timers(records: list[dict[str, Any]], late_ns: int) -> list[str]:
+    pending: Counter[tuple[int, int]] = Counter()
     last = 0
     for record in records:
-        now, told = record["t_ns"], record["in"]
+        now, inputs = record["t_ns"], record["in"]
         last = max(last, now)
         if record["ev"] == "timer":
-            # Which of several with one token has come is not recorded: the oldest that was due.
-            due = sorted(key for key in asked if key[1] == told["token"] and key[0] <= now)
+            # A capture does not record which of several timers with one token fired: take the oldest one due.
+            due = sorted(key for key in pending if key[1] == inputs["token"] and key[0] <= now)
             if due:
-                asked[due[0]] -= 1
-                asked += Counter()  # those that have come are out of it
+                pending[due[0]] -= 1
+                pending += Counter()  # removes entries with a count of zero
         for action in record["out"]:
             if action[0] == "timer":
-                asked[(action[1], action[2])] += 1
+                pending[(action[1], action[2])] += 1
     return [
         f"the timer {token} set for {at} had not come at {last}"
-        for at, token in sorted(asked)
+        for at, token in sorted(pending)
         if at + late_ns < last
     ]
--- a/brambleusher/lab/checker/rules.py
+++ b/brambleusher/lab/checker/rules.py
@@ -1,4 +1,4 @@
-"""What the rules ask for in figures, read from the settings that sidecars are given."""
+"""The checker's rules and their limits, read from the settings that sidecars are given."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 SAFE, UNSAFE = "read_like", "non_idempotent"
 
-# The rules by name, and what breaks each.
+# The name of each rule, with a description of what breaks the rule.
 RULES = {
     "answer": "a request that was taken has no whole answer in time",
     "one-answer": "an answer that no request is owed, or a second one",
@@ -46,49 +46,59 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The figures; times in nanoseconds."""
+    """The limits that the checker applies; times are in nanoseconds."""
 
-    effects: Mapping[str, str]  # class to effect
+    effects: Mapping[str, str]  # effect of each request class, by the name of the class
     tenants: frozenset[str] = frozenset()
     max_attempts: int = 1
     second_copies: bool = True
-    drain_ns: int = 500 * MS  # kept to the nanosecond
+    drain_ns: int = 500 * MS  # checked without slack, to the nanosecond
     must_ask_ns: int = 10 * SECOND
-    must_ask_failed: int = 4  # times as long after a call that failed
-    told_ns: int = 6 * SECOND  # what discovery has to tell counts as told
-    told_reload_ns: int = 4 * SECOND  # and after SIGHUP
-    slack_ns: int = 50 * MS  # on sockets, for answers and for how late a list may arrive
+    failed_request_factor: int = 4  # factor on `must_ask_ns` after a failed request to discovery
+    notice_ns: int = 6 * SECOND  # time after which a sidecar must know a change that discovery can deliver
+    reload_notice_ns: int = 4 * SECOND  # time after a SIGHUP by which a sidecar must know the same change
+    slack_ns: int = 50 * MS  # tolerance for socket operations, answers and late lists
     cold_ns: int = 0
     fall_multiple: float = 4.0
     fall_ns: int = 3 * SECOND
-    cold_told_part: float = 2 / 3  # of the work, from sidecars that were told of the start
-    bad_ns: int = 3 * SECOND  # a bad client is owed an error or a close
-    seen_ns: int = 0  # so long bytes may have lain at a process that has not seen them
-    wake_ns: int = 500 * MS  # after a stop: by then what came due meanwhile is answered
-    gone_ns: int = 300 * MS  # after its client's end could be seen nothing begins for a request
-    term_ns: int = 700 * MS  # what comes later than this after SIGTERM must not be left unanswered
-    yes_ns: int = 1 * SECOND  # after a call of operators it binds, answered or not
-    leave_ns: int = 1400 * MS  # after the yes to out-of-service no connection rests any more
-    rest_ns: int = 1200 * MS  # that rests for so long by then
-    ready_ns: int = 1500 * MS  # after its start one that had a list is ready, whatever discovery does
+    # Least share of a cold node's work from sidecars that knew of its start, for a breach to be reported.
+    min_informed_fraction: float = 2 / 3
+    bad_client_ns: int = 3 * SECOND  # time within which a bad client must get an error or a close
+    unnoticed_bytes_ns: int = 0  # time that readable bytes or a readable close may stay unnoticed
+    resume_ns: int = 500 * MS  # time after a stop by which requests that fell due during it must be answered
+    abandon_ns: int = 300 * MS  # time after a client's visible close from which no attempt may begin
+    # A request that arrives later than this after a SIGTERM must be answered, even if the sidecar is killed.
+    term_ns: int = 700 * MS
+    call_binds_ns: int = 1 * SECOND  # time after which operators' calls bind even without an acknowledgement
+    close_idle_ns: int = 1400 * MS  # time after going out of service by which idle connections must be closed
+    idle_ns: int = 1200 * MS  # time without traffic after which a connection counts as idle
+    # Time after a start or a return to service by which a sidecar that has a list must report itself ready,
+    # whatever discovery does.
+    ready_ns: int = 1500 * MS
     recover_ns: int = 3 * SECOND
-    recover_part: float = 0.95
-    recover_least: int = 8  # fewer requests than this tell nothing, and one lost of fewer than 20 neither
+    recover_fraction: float = 0.95
+    # Least number of requests for a verdict; a single lost request out of fewer than 20 is no breach either.
+    recover_min_requests: int = 8
     max_body: int = 64 * 1024
     extra: Mapping[str, Any] = field(default_factory=dict)
 
-    def cold_budget(self, capacity: float) -> float:
-        """The work that a cold node may be sent in a window, in seconds of a standard core; slack apart."""
+    def warm_up_budget(self, capacity: float) -> float:
+        """Return the work allowed to a cold node per window, without slack, in seconds of a standard core."""
         return self.fall_multiple * capacity * self.fall_ns / SECOND
 
     @classmethod
-    def of(cls, settings: Mapping[str, Any], **changed: Any) -> Rules:
-        """The figures of a sidecar's settings; raises `ValueError` for an effect without a rule here."""
+    def from_settings(cls, settings: Mapping[str, Any], **changed: Any) -> Rules:
+        """Read the limits from a sidecar's settings; raises `ValueError` for an effect without a rule.
+
+        Args:
+            settings: The settings of a sidecar.
+            **changed: Limits that replace those from the settings.
+        """
         safety, limits = settings.get("safety", {}), settings.get("limits", {})
         effects = {each["name"]: each["effect"] for each in settings["classes"]}
         if unknown := set(effects.values()) - {SAFE, UNSAFE}:
-            raise ValueError(f"no rule for the effect {min(unknown)}")
-        figures: dict[str, Any] = {
+            raise ValueError(f"the checker has no rule for the effect {min(unknown)}")
+        values: dict[str, Any] = {
             "effects": effects,
             "tenants": frozenset(each["name"] for each in settings.get("projects") or ()),
             "max_attempts": int(limits.get("max_attempts", 1)),
@@ -99,4 +109,4 @@
             "fall_multiple": float(safety.get("fall_multiple", 4.0)),
             "fall_ns": int(safety.get("fall_ns", 3 * SECOND)),
         }
-        return cls(**{**figures, **changed})
+        return cls(**{**values, **changed})
--- a/brambleusher/lab/experiments/run.py
+++ b/brambleusher/lab/experiments/run.py
@@ -106,11 +106,11 @@
         if direct:
             fleet.new_node = partial(noting, notes, lambda: fleet.begins_ns)
         elif cell.check:
-            checker = Checker(Rules.of(world.sidecar_settings(0)), fleet.executions)
+            checker = Checker(Rules.from_settings(world.sidecar_settings(0)), fleet.executions)
             fleet.audience = checker
             space.taps.append(cast(Tap, checker))
             step = checker.step
-            space.step_done.append(lambda: step(space.now_ns))
+            space.step_hooks.append(lambda: step(space.now_ns))
         fleet.start()
         space.run(fleet.ends_ns)
         space.run(fleet.ends_ns + int(OVERTIME_S * SECOND), lambda: fleet.played)
@@ -123,7 +123,7 @@
         documents: dict[str, object] = {}
         more = {"was_late": float(tally.results.late)}
         if checker is not None:
-            more |= {"breaches": float(checker.count), "virtual_s": space.elapsed_ns / SECOND}
+            more |= {"breaches": float(checker.breach_count), "virtual_s": space.elapsed_ns / SECOND}
             documents["rules"] = _rules(checker)
             events += [
                 ((each.at_ns - fleet.begins_ns) / SECOND, f"rule {each.rule} broken: {each.who}: {each.what}")
--- a/brambleusher/lab/faults/effects.py
+++ b/brambleusher/lab/faults/effects.py
@@ -74,7 +74,7 @@
 
     def mend() -> None:
         for one, other in pairs:
-            network.mend(one, other, one_way)
+            network.heal(one, other, one_way)
 
     return mend
 
@@ -505,7 +505,7 @@
 
     def able(on: bool) -> None:
         for place in there:
-            fleet.audience.discovery_able(fleet.world.now_ns, on, place.machine.name)
+            fleet.audience.discovery_available(fleet.world.now_ns, on, place.machine.name)
 
     mend = _cut(fleet, [(machine, place.machine) for place in there])
     able(False)
@@ -786,11 +786,11 @@
 def _connects_swallowed(fault: faults.ConnectsSwallowed, fleet: AnyFleet) -> End:
     network, there = fleet.world.network, _nodes(fault, fleet)
     for place in there:
-        network.swallow_connects(place.machine)
+        network.drop_connects(place.machine)
 
     def end() -> None:
         for place in there:
-            network.stop_swallowing(place.machine)
+            network.stop_dropping_connects(place.machine)
 
     return end
 
@@ -831,10 +831,10 @@
         if rng.random() < fault.part
     ]
     for connection in those:
-        fleet.world.network.silence(connection)
+        fleet.world.network.blackhole(connection)
 
     def end() -> None:
         for connection in those:
-            fleet.world.network.unsilence(connection)
+            fleet.world.network.stop_blackholing(connection)
 
     return end
--- a/brambleusher/lab/fleets/fleet.py
+++ b/brambleusher/lab/fleets/fleet.py
@@ -35,7 +35,7 @@
 from brambleusher.lab.stand_ins.node import Execution, Node
 from brambleusher.lab.stand_ins.operators import Operators
 from brambleusher.lab.stand_ins.server import Server, Troubles
-from brambleusher.lab.virtual.world import STANDARD, Pace, VirtualSystem, World, WorldSettings
+from brambleusher.lab.virtual.world import STANDARD_DESCRIPTORS, Pace, VirtualSystem, World, WorldSettings
 from brambleusher.lab.virtual.world import Machine as VirtualMachine
 from brambleusher.loadbalancing import Balancer
 from brambleusher.loadbalancing.api import Settings
@@ -72,19 +72,19 @@
     def bad_client(self, who: str) -> None:
         """What this machine sends may be bad."""
 
-    def true_list(self, now: int, servers: list[dict[str, Any]], full: bool = False) -> None:
+    def actual_list(self, now: int, servers: list[dict[str, Any]], full: bool = False) -> None:
         """Discovery has learnt of these."""
 
-    def discovery_able(self, now: int, able: bool, machine: str = "") -> None:
+    def discovery_available(self, now: int, able: bool, machine: str = "") -> None:
         """Whether discovery can tell what it has learnt."""
 
-    def starved(self, now: int, machine: str, on: bool) -> None:
+    def descriptors_short(self, now: int, machine: str, on: bool) -> None:
         """Whether a sidecar has too few descriptors left to accept connections with."""
 
     def paused(self, now: int, machine: str, on: bool) -> None:
         """Whether a sidecar's process is stopped."""
 
-    def calm(self, now: int) -> None:
+    def faults_ended(self, now: int) -> None:
         """The last fault has ended, and what is asked from here on can be served."""
 
 
@@ -95,11 +95,11 @@
     def discovery(self, address: Address) -> None: ...
     def node(self, now: int, name: str, address: Address, started_ms: int) -> None: ...
     def bad_client(self, who: str) -> None: ...
-    def true_list(self, now: int, servers: list[dict[str, Any]], full: bool = False) -> None: ...
-    def discovery_able(self, now: int, able: bool, machine: str = "") -> None: ...
-    def starved(self, now: int, machine: str, on: bool) -> None: ...
+    def actual_list(self, now: int, servers: list[dict[str, Any]], full: bool = False) -> None: ...
+    def discovery_available(self, now: int, able: bool, machine: str = "") -> None: ...
+    def descriptors_short(self, now: int, machine: str, on: bool) -> None: ...
     def paused(self, now: int, machine: str, on: bool) -> None: ...
-    def calm(self, now: int) -> None: ...
+    def faults_ended(self, now: int) -> None: ...
 
 
 def world_of(scenario: Scenario) -> World:
@@ -135,7 +135,7 @@
     if not processor.start_s and not processor.round_s:
         return None
     start, round_ = int(processor.start_s * SECOND), int(processor.round_s * SECOND)
-    return Pace(start_ns=(start // 2, start * 3 // 2), round_ns=(round_ // 2, round_ * 3 // 2))
+    return Pace(start_ns=(start // 2, start * 3 // 2), poll_interval_ns=(round_ // 2, round_ * 3 // 2))
 
 
 def configuration(
@@ -387,7 +387,7 @@
     def unable(self, by: int) -> None:
         """One more, or one less, thing keeps it from telling."""
         self._unable += by
-        self.fleet.audience.discovery_able(self.fleet.world.now_ns, self._unable == 0)
+        self.fleet.audience.discovery_available(self.fleet.world.now_ns, self._unable == 0)
 
     def look(self, place: NodePlace) -> None:
         """List a node as it is."""
@@ -414,7 +414,7 @@
         self.version += 1
         self._call(lambda service: service.put(*changed))
         fleet = self.fleet
-        fleet.audience.true_list(fleet.world.now_ns, [msgspec.to_builtins(each) for each in changed])
+        fleet.audience.actual_list(fleet.world.now_ns, [msgspec.to_builtins(each) for each in changed])
 
     def _call(self, call: Callable[[Discovery], object]) -> None:
         service = self.service
@@ -506,7 +506,7 @@
     @property
     def discovery_address(self) -> Address:
         """Where it reaches the discovery in use."""
-        return self.fleet.world.network.seen_from(self.machine, self.fleet.discovery.address)
+        return self.fleet.world.network.reachable_address(self.machine, self.fleet.discovery.address)
 
     def operator_file(self, **zones: Any) -> bytes:
         """Its operator file, with some keys of the section on zones laid over."""
@@ -560,7 +560,7 @@
     def squeeze(self, why: object, left: int) -> None:
         """Let its process open only so many descriptors more, until `relax`."""
         if self.process is not None:
-            self._squeezes.append((why, STANDARD + self.process.descriptors + left))
+            self._squeezes.append((why, STANDARD_DESCRIPTORS + self.process.descriptors + left))
         self._set_limit()
 
     def relax(self, why: object) -> None:
@@ -571,7 +571,9 @@
     def _set_limit(self) -> None:
         if self.process is not None:
             self.process.limit = min([self.figures.sockets, *(limit for _, limit in self._squeezes)])
-        self.fleet.audience.starved(self.fleet.world.now_ns, self.machine.name, bool(self._squeezes))
+        self.fleet.audience.descriptors_short(
+            self.fleet.world.now_ns, self.machine.name, bool(self._squeezes)
+        )
 
     def pause(self, wait_ns: int) -> None:
         """Its process is stopped for a while."""
@@ -708,10 +710,10 @@
                 entry = msgspec.structs.replace(place.entry(), state="Ready")
                 self.discovery.list[entry.id] = entry
         now = self.world.now_ns
-        self.audience.true_list(
+        self.audience.actual_list(
             now, [msgspec.to_builtins(each) for each in self.discovery.list.values()], True
         )
-        self.audience.discovery_able(now, True)
+        self.audience.discovery_available(now, True)
         self.discovery.start()
         for sidecar in self.sidecars:
             sidecar.start()
@@ -742,7 +744,7 @@
             client.start(begin)
 
     def _reach(self, machine: Machine, sidecar: SidecarPlace) -> Address:
-        return self.world.network.seen_from(machine, sidecar.address)
+        return self.world.network.reachable_address(machine, sidecar.address)
 
     def _misbehave(self, scheduler: Scheduler) -> None:
         scenario = self.scenario
@@ -786,7 +788,7 @@
         )
         up = not self.running and all(sidecar.up for sidecar in self.sidecars)
         if up and asked / max(0.001, length_s - faults_s) <= GOOD_LOAD * capacity:
-            self.audience.calm(self.world.now_ns)
+            self.audience.faults_ended(self.world.now_ns)
         elif self.world.now_ns < self.ends_ns:
             self.world.after(int(CALM_AGAIN_S * SECOND), self._calm)
 
--- a/brambleusher/lab/fleets/stage.py
+++ b/brambleusher/lab/fleets/stage.py
@@ -87,7 +87,7 @@
     def link(self, from_: Any, to: Any) -> Link:
         """The way from one machine to another."""
 
-    def seen_from(self, machine: Any, address: Address) -> Address:
+    def reachable_address(self, machine: Any, address: Address) -> Address:
         """Where a machine connects to, to reach an address."""
 
     def connections(self, machine: Any) -> Sequence[Wire]:
@@ -96,7 +96,7 @@
     def cut(self, a: Any, b: Any, one_way: bool = False) -> None:
         """Nothing passes from `a` to `b`, nor back unless `one_way`."""
 
-    def mend(self, a: Any, b: Any, one_way: bool = False) -> None:
+    def heal(self, a: Any, b: Any, one_way: bool = False) -> None:
         """It passes again, with what was sent meanwhile."""
 
     def slow_link(self, a: Any, b: Any, extra_ns: int) -> None:
@@ -105,10 +105,10 @@
     def throttle(self, a: Any, b: Any, bytes_per_s: float) -> None:
         """So many bytes a second pass each way at most; 0 ends it."""
 
-    def silence(self, connection: Any) -> None:
+    def blackhole(self, connection: Any) -> None:
         """Both ends stay open and nothing passes."""
 
-    def unsilence(self, connection: Any) -> None:
+    def stop_blackholing(self, connection: Any) -> None:
         """It passes again."""
 
     def reset(self, connection: Any) -> None:
@@ -120,10 +120,10 @@
     def stop_refusing(self, machine: Any, port: int) -> None:
         """They are taken again."""
 
-    def swallow_connects(self, machine: Any) -> None:
+    def drop_connects(self, machine: Any) -> None:
         """Connects to a machine stay unanswered."""
 
-    def stop_swallowing(self, machine: Any) -> None:
+    def stop_dropping_connects(self, machine: Any) -> None:
         """They are answered again."""
 
 
--- a/brambleusher/lab/processes/drill.py
+++ b/brambleusher/lab/processes/drill.py
@@ -18,7 +18,7 @@
 import yaml
 
 from brambleusher.lab.checker import Breach, Checker, Rules
-from brambleusher.lab.checker.sums import Curve, Sums, passed
+from brambleusher.lab.checker.sums import Curve, FleetTotals, describe_exceeded
 from brambleusher.lab.collection import uncollected
 from brambleusher.lab.faults.kinds import AnyFault, check_faults
 from brambleusher.lab.fleets.figures import Drawer, Ranges, WorldFigures, draw_world
@@ -30,7 +30,7 @@
 from brambleusher.lab.processes.stage import RealStage
 from brambleusher.lab.processes.watch import UsageSampler
 from brambleusher.lab.stand_ins.settings import Ask, Part, Positive, Seconds, Settings
-from brambleusher.lab.virtual.explore import Raised, fleet_limits, listening
+from brambleusher.lab.virtual.explore import LoggedExceptions, fleet_limits, redirect_log
 from brambleusher.lab.virtual.world import Tap
 
 SECOND, MS = 10**9, 10**6
@@ -215,16 +215,16 @@
 def _play_virtual(drill: Drill, breakage: str) -> Outcome:
     scenario, outcome = scenario_of(drill), Outcome("virtual")
     with world_of(scenario) as world, apply_breakage(breakage) if breakage else nullcontext():
-        rules = Rules.of(scenario.world.sidecar_settings(0))
+        rules = Rules.from_settings(scenario.world.sidecar_settings(0))
         fleet = Fleet(scenario, world)
         checker = Checker(rules, fleet.executions)
         fleet.audience = checker
-        raised = Raised(world)
-        sums = Sums(world.now_ns, fleet_limits(scenario, rules))
+        raised = LoggedExceptions(world)
+        sums = FleetTotals(world.now_ns, fleet_limits(scenario, rules))
         world.taps += [cast(Tap, checker), cast(Tap, sums)]
-        world.step_done.append(lambda: checker.step(world.now_ns))
+        world.step_hooks.append(lambda: checker.step(world.now_ns))
         begun = world.now_ns
-        with listening([raised]):
+        with redirect_log([raised]):
             ends = fleet.play()
         checker.finish(world.now_ns, [text for end in ends for text in end.left_over()])
         sums.finish(fleet.executions)
@@ -238,8 +238,10 @@
     raise_descriptor_limit()
     scenario, outcome = scenario_of(drill), Outcome("processes")
     settings = scenario.world.sidecar_settings(0)
-    own = Rules.of(settings)
-    rules = Rules.of(settings, slack_ns=SLACK_NS, seen_ns=SEEN_NS, drain_ns=own.drain_ns + DRAIN_NS)
+    own = Rules.from_settings(settings)
+    rules = Rules.from_settings(
+        settings, slack_ns=SLACK_NS, unnoticed_bytes_ns=SEEN_NS, drain_ns=own.drain_ns + DRAIN_NS
+    )
     stage = RealStage(drill.seed, folder)
     fleet: RealFleet | None = None
     try:
@@ -247,12 +249,12 @@
         checker = Checker(rules, fleet.executions)
         fleet.audience = cast(Any, PerSidecarAudience(fleet, checker))
         sums, usage, created_ns = (
-            Sums(stage.now_ns, fleet_limits(scenario, rules)),
+            FleetTotals(stage.now_ns, fleet_limits(scenario, rules)),
             UsageSampler(fleet),
             stage.now_ns,
         )
         stage.taps += [checker, sums]
-        stage.step_done.append(lambda: checker.step(stage.now_ns))
+        stage.step_hooks.append(lambda: checker.step(stage.now_ns))
         fleet.start()
         with uncollected():
             begun = stage.begin_measure()
@@ -303,8 +305,8 @@
     outcome.served = sum(each.served for each in asked) / max(1, len(asked))
     refused = sum(each.end == "answered" and each.status in (429, 503) for each in tries)
     outcome.refused = refused / max(1, len(tries))
-    outcome.attempts = checker.attempts / max(1, checker.taken)
-    outcome.breaches, outcome.broken = list(checker.breaches), checker.count
+    outcome.attempts = checker.attempts / max(1, checker.requests_received)
+    outcome.breaches, outcome.broken = list(checker.breaches), checker.breach_count
     seconds = math.ceil(fleet.scenario.world.length_s)
     windows = [[0, 0] for _ in range(seconds)]
     for each in asked:
@@ -331,7 +333,7 @@
             f"at most {expect.well_s:g} s expected"
         )
     if expect.limits:
-        outcome.missed += [f"limit passed: {text}" for text in passed(outcome.curves)]
+        outcome.missed += [f"limit passed: {text}" for text in describe_exceeded(outcome.curves)]
 
 
 def _recovery_time_s(windows: Iterable[tuple[int, int]], last_fault_end_s: float) -> float:
--- a/brambleusher/lab/processes/fleet.py
+++ b/brambleusher/lab/processes/fleet.py
@@ -242,7 +242,7 @@
             usual = self.figures.sockets + 2 * STANDARD_DESCRIPTORS
             self.process.limit = min([usual, *(limit for _, limit in self._squeezes)])
         self.machine_on_rig.descriptors_limited = bool(self._squeezes)
-        self.fleet.audience.starved(self.stage.now_ns, self.machine.name, bool(self._squeezes))
+        self.fleet.audience.descriptors_short(self.stage.now_ns, self.machine.name, bool(self._squeezes))
 
     def state(self) -> SidecarEnd:
         """Return the process's state as seen from outside; descriptors beyond those due are leaked."""
@@ -276,7 +276,7 @@
 
     def _addresses_seen(self, address: Address) -> list[Address]:
         network = self._fleet.stage.network
-        return [network.seen_from(place.machine_on_rig, address) for place in self._fleet.real_places]
+        return [network.reachable_address(place.machine_on_rig, address) for place in self._fleet.real_places]
 
     def discovery(self, address: Address) -> None:
         """Report the discovery at the address that each sidecar has for it."""
@@ -316,7 +316,7 @@
         machine, address = self._by_ip.get(ip), parse_address(entry.addr)
         if machine is None or address not in self.stage.network.owners:
             return entry
-        host, port = self.stage.network.seen_from(machine, address)
+        host, port = self.stage.network.reachable_address(machine, address)
         return msgspec.structs.replace(entry, addr=f"{host}:{port}")
 
     def admit(self) -> None:
--- a/brambleusher/lab/processes/relays.py
+++ b/brambleusher/lab/processes/relays.py
@@ -528,7 +528,7 @@
             self._routes[key] = RelayRoute(self, client, server, port)
         return self._routes[key]
 
-    def seen_from(self, machine: RealMachine, address: Address) -> Address:
+    def reachable_address(self, machine: RealMachine, address: Address) -> Address:
         """Return the address to which a machine connects in order to reach another machine's address."""
         return self.route(machine, address).address
 
@@ -545,7 +545,7 @@
         """Return whether connects succeed ("up"), are refused ("refuse") or stay unanswered ("swallow")."""
         client, server = route.client, route.server
         partitioned = self.link(client, server).partitioned or self.link(server, client).partitioned
-        if partitioned or server.gone or client.gone or server.swallows:
+        if partitioned or server.gone or client.gone or server.drops_connects:
             return "swallow"
         if self._refusing[server.name, route.port] or route.target not in self._listening:
             return "refuse"
@@ -590,7 +590,7 @@
         """Block all bytes from `a` to `b`, and those from `b` to `a` unless `one_way` is set."""
         self._set_partitioned(a, b, one_way, True)
 
-    def mend(self, a: RealMachine, b: RealMachine, one_way: bool = False) -> None:
+    def heal(self, a: RealMachine, b: RealMachine, one_way: bool = False) -> None:
         """End a block between `a` and `b`; bytes held back are then forwarded."""
         self._set_partitioned(a, b, one_way, False)
 
@@ -602,11 +602,11 @@
         """Limit each direction between `a` and `b` to a number of bytes per second; 0 removes the limit."""
         self.link(a, b).bytes_per_s = self.link(b, a).bytes_per_s = bytes_per_s
 
-    def silence(self, connection: RelayedConnection) -> None:
+    def blackhole(self, connection: RelayedConnection) -> None:
         """Block both directions of a connection without closing it."""
         connection.silent = True
 
-    def unsilence(self, connection: RelayedConnection) -> None:
+    def stop_blackholing(self, connection: RelayedConnection) -> None:
         """Unblock a connection that was silenced."""
         connection.silent = False
         self.stage.call_soon_once(self.update)
@@ -627,14 +627,14 @@
         self._refusing[machine.name, named] -= 1
         self.stage.call_soon_once(self.update)
 
-    def swallow_connects(self, machine: RealMachine) -> None:
+    def drop_connects(self, machine: RealMachine) -> None:
         """Leave new connections to a machine unanswered."""
-        machine.swallows = True
+        machine.drops_connects = True
         self.stage.call_soon_once(self.update)
 
-    def stop_swallowing(self, machine: RealMachine) -> None:
+    def stop_dropping_connects(self, machine: RealMachine) -> None:
         """Answer new connections to a machine again."""
-        machine.swallows = False
+        machine.drops_connects = False
         self.stage.call_soon_once(self.update)
 
     def power_off(self, machine: RealMachine) -> None:
--- a/brambleusher/lab/processes/stage.py
+++ b/brambleusher/lab/processes/stage.py
@@ -62,7 +62,7 @@
 
     def __init__(self, stage: RealStage, name: str, ip: str, runs_sidecar: bool) -> None:
         self.stage, self.name, self.ip, self.runs_sidecar = stage, name, ip, runs_sidecar
-        self.gone = self.swallows = self.descriptors_limited = False
+        self.gone = self.drops_connects = self.descriptors_limited = False
         self.stand_ins_paused = (
             False  # whether its stand-ins are paused while the kernel still accepts connections
         )
@@ -149,7 +149,7 @@
         self.system.set_listening = self.network.set_listening
         self.machines: dict[str, RealMachine] = {}
         self.taps: list[Any] = []
-        self.step_done: list[Callable[[], object]] = []
+        self.step_hooks: list[Callable[[], object]] = []
         self.failure: Exception | None = None
         self.timer_lateness_s: list[float] = []  # how late the test rig's own timers ran, in seconds
         self.cpu_s = self.measured_s = 0.0
@@ -188,7 +188,7 @@
 
     def run_step_hooks(self) -> None:
         """Call the step hooks, after events were reported or time has passed."""
-        for hook in self.step_done:
+        for hook in self.step_hooks:
             hook()
 
     def notify_taps(self, what: str, *args: Any) -> None:
@@ -251,7 +251,7 @@
 
     def close(self) -> None:
         """End the network, the machines and the scheduler."""
-        self.taps, self.step_done = [], []
+        self.taps, self.step_hooks = [], []
         self.network.close()
         for machine in self.machines.values():
             machine.close()
--- a/brambleusher/lab/processes/told.py
+++ b/brambleusher/lab/processes/told.py
@@ -10,7 +10,7 @@
 from dataclasses import asdict
 from pathlib import Path
 
-from brambleusher.lab.checker.sums import table
+from brambleusher.lab.checker.sums import format_table
 from brambleusher.lab.processes.breakages import ALL_BREAKAGES
 from brambleusher.lab.processes.drill import Drill, Outcome, Where, play
 
@@ -77,7 +77,7 @@
 
 def curve_lines(out: Outcome) -> list[str]:
     """Return a table of fleet-wide totals and the resources of processes, with one line for each second."""
-    return [*table(out.curves), f"requests start at {out.begins_s:.1f} s"]
+    return [*format_table(out.curves), f"requests start at {out.begins_s:.1f} s"]
 
 
 def as_json_line(path: Path, out: Outcome) -> str:
--- a/brambleusher/lab/virtual/explore.py
+++ b/brambleusher/lab/virtual/explore.py
@@ -1,7 +1,7 @@
-"""One run of a scenario: the fleet in its world, the checker on its wires, a digest of all that passed.
+"""Run of one scenario in virtual time: a fleet in a world, the checker, and a digest of all traffic.
 
-Nothing here reads a real clock or draws a real random number; the command line (`cli/explore.py`) hands
-out seeds to processes and counts what they took.
+Nothing in this module reads a real clock or draws an unseeded random number; the command line
+(`cli/explore.py`) distributes seeds over processes and measures the time they take.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 import msgspec
 
 from brambleusher.lab.checker import Breach, Checker, Rules
-from brambleusher.lab.checker.sums import FleetLimits, NodeLimits, Sums
+from brambleusher.lab.checker.sums import FleetLimits, FleetTotals, NodeLimits
 from brambleusher.lab.fleets.fleet import Fleet, node_machine, world_of
 from brambleusher.lab.fleets.scenario import Scenario
 from brambleusher.lab.virtual.network import Connection
@@ -27,23 +27,23 @@
 from brambleusher.observability.log_format import KeyValueFormatter
 
 SECOND = 10**9
-FAULT = "fault"  # the rule that a task of the program which raises breaks; the checker can't see it
-LAB = "lab"  # the lab itself raised: a run that says nothing, and never passes for one without a breach
-ENDLESS = "endless"  # the run took more processor time than its caller allows
-DUMP_NS = SECOND  # so long a sidecar may take to write its capture
-OUTPUT_BYTES = 4 * 1024 * 1024  # of standard error: a whole capture has to fit
-SHORT = 100  # characters of what was sent that a time line shows
+FAULT = "fault"  # rule that an exception in the program breaks; the checker can't see exceptions
+LAB = "lab"  # rule for an exception in the lab itself: the run is invalid, and must not count as passed
+ENDLESS = "endless"  # rule for a run that took more processor time than its caller allows
+DUMP_NS = SECOND  # time given to sidecars for writing their captures
+OUTPUT_BYTES = 4 * 1024 * 1024  # bytes of standard error kept per process, so that a whole capture fits
+MAX_SHOWN_CHARS = 100  # largest number of characters that a timeline shows of sent bytes
 
 
-class Endless(BaseException):
-    """Raised by a caller of `play`, wherever the run is, to end one that goes on and on.
+class RunTimeout(BaseException):
+    """Raised by a caller of `play`, at any point of the run, to end a run that takes too long.
 
-    Not an `Exception`, so that the program's guards let it pass.
+    The class is no `Exception`, so that exception handlers of the program let it through.
     """
 
 
 class Digest(Tap):
-    """A hash of every step on the wire: its time, its connection, its bytes."""
+    """Tap that hashes the time, connection and bytes of every step on the wire."""
 
     def __init__(self) -> None:
         self._hash = hashlib.blake2b(digest_size=16)
@@ -56,63 +56,64 @@
         self._hash.update(data)
 
     def opened(self, now: int, conn: Connection) -> None:
-        """Who asked for a connection, and to whom."""
+        """Hash the start of a connect with both its ends."""
         self._add("o", now, conn.id, conn.client.machine, conn.client.port, conn.server.ip, conn.server.port)
 
     def established(self, now: int, conn: Connection) -> None:
-        """It is up."""
+        """Hash the establishment of a connection."""
         self._add("e", now, conn.id)
 
     def accepted(self, now: int, conn: Connection) -> None:
-        """It was accepted."""
+        """Hash the accept of a connection."""
         self._add("a", now, conn.id)
 
     def refused(self, now: int, conn: Connection) -> None:
-        """It was refused."""
+        """Hash the refusal of a connect."""
         self._add("r", now, conn.id)
 
     def sent(self, now: int, conn: Connection, side: str, data: bytes) -> None:
-        """Bytes were sent."""
+        """Hash sent bytes."""
         self._add("s", now, conn.id, side, data=data)
 
     def arrived(self, now: int, conn: Connection, side: str, data: bytes) -> None:
-        """Bytes arrived: those that were sent, so that their count says enough."""
+        """Hash the number of arrived bytes; their content was hashed when they were sent."""
         self._add("v", now, conn.id, side, len(data))
 
     def ended(self, now: int, conn: Connection, side: str, how: str) -> None:
-        """An end came."""
+        """Hash the end of a connection as it reaches a side."""
         self._add("n", now, conn.id, side, how)
 
     def closed(self, now: int, conn: Connection, side: str) -> None:
-        """A side was closed."""
+        """Hash the close of a side."""
         self._add("c", now, conn.id, side)
 
     def process(self, now: int, machine: Machine, what: str) -> None:
-        """A process began or ended."""
+        """Hash a change of a process."""
         self._add("p", now, machine.name, what)
 
     def hex(self) -> str:
-        """So far."""
+        """Return the digest of all steps so far in hexadecimal."""
         return self._hash.hexdigest()
 
 
 class TimeLine(Tap):
-    """Who sent what to whom, a line each, as it happens."""
+    """Tap that writes a line of text for each connect, transmission, close and process change."""
 
     def __init__(
         self, say: Callable[[str], object], start_ns: int, faults: Iterable[tuple[int, str]] = ()
     ) -> None:
         self._say, self._start = say, start_ns
-        # Told when their time is seen to have come: an event of ours in the world would change the run.
+        # Faults are written with the first line at or after their time: scheduling an event for them would
+        # change the run.
         self._faults = deque(sorted(faults))
 
     def line(self, now: int, text: str) -> None:
-        """One line, under its virtual time in seconds."""
+        """Write a line with its virtual time in seconds."""
         while self._faults and self._faults[0][0] <= now:
-            self._tell(*self._faults.popleft())
-        self._tell(now, text)
+            self._write(*self._faults.popleft())
+        self._write(now, text)
 
-    def _tell(self, now: int, text: str) -> None:
+    def _write(self, now: int, text: str) -> None:
         self._say(f"{(now - self._start) / SECOND:14.9f}  {text}")
 
     @staticmethod
@@ -121,35 +122,35 @@
         return f"{here.machine} -> {there.machine} #{conn.id}"
 
     def opened(self, now: int, conn: Connection) -> None:
-        """A connect."""
+        """Write a line for a connect."""
         self.line(now, f"{self._ends(conn, 'client')} connects to {conn.server.ip}:{conn.server.port}")
 
     def refused(self, now: int, conn: Connection) -> None:
-        """A refused one."""
+        """Write a line for a refused connect."""
         self.line(now, f"{self._ends(conn, 'client')} is refused")
 
     def sent(self, now: int, conn: Connection, side: str, data: bytes) -> None:
-        """Bytes: their first line, the request's id where there is one, and how many."""
+        """Write a line for sent bytes: their number, their first line and the request's id, if any."""
         head = data[:2048].decode("latin-1")
         first = head.split("\r\n", 1)[0]
         named = next(
             (line for line in head.split("\r\n") if line.lower().startswith("request-id:")), ""
         ).partition(":")[2]
-        text = first if len(first) <= SHORT else first[:SHORT] + "..."
+        text = first if len(first) <= MAX_SHOWN_CHARS else first[:MAX_SHOWN_CHARS] + "..."
         self.line(now, f"{self._ends(conn, side)} sends {len(data)} bytes {text!r}{named}")
 
     def ended(self, now: int, conn: Connection, side: str, how: str) -> None:
-        """An end, as it reaches a side."""
+        """Write a line for the end of a connection as it reaches a side."""
         other = "server" if side == "client" else "client"
         self.line(now, f"{self._ends(conn, other)} {how}")
 
     def process(self, now: int, machine: Machine, what: str) -> None:
-        """Processes."""
+        """Write a line for a change of a process."""
         self.line(now, f"{machine.name} {what}")
 
 
-class Raised(logging.Handler):
-    """Notes each exception that the program logged: in a run nothing of it may raise."""
+class LoggedExceptions(logging.Handler):
+    """Handler that reports each exception in the program's log as a breach."""
 
     def __init__(self, world: World) -> None:
         super().__init__(logging.ERROR)
@@ -157,7 +158,7 @@
         self.breaches: list[Breach] = []
 
     def emit(self, record: logging.LogRecord) -> None:
-        """One record."""
+        """Report a record that carries an exception."""
         if record.exc_info and record.exc_info[0] is not None:
             process = self._world.current
             who = "the lab" if process is None else process.name
@@ -169,27 +170,27 @@
             )
 
 
-class Fallen(Tap):
-    """Notes each process whose main program raised, be it a sidecar's or a stand-in's."""
+class ExitErrors(Tap):
+    """Tap that reports each process whose main program raised an exception, in a sidecar or a stand-in."""
 
     def __init__(self) -> None:
         self.breaches: list[Breach] = []
 
     def process(self, now: int, machine: Machine, what: str) -> None:
-        """One that has just exited is still its machine's last."""
+        """Report an exited process; a process that has just exited is still its machine's last one."""
         process = machine.process
         if what != "exited" or process is None or process.error is None:
             return
         what = f"its main program raised {type(process.error).__name__}: {process.error}"
         rows = traceback.format_exception(process.error)
         trail = tuple((now, row) for row in "".join(rows).splitlines())
-        rule = ENDLESS if isinstance(process.error, Endless) else FAULT
+        rule = ENDLESS if isinstance(process.error, RunTimeout) else FAULT
         self.breaches.append(Breach(rule, now, process.name, what, trail))
 
 
 @contextmanager
-def listening(handlers: list[logging.Handler]) -> Iterator[None]:
-    """The program's log goes to these handlers alone, for a while."""
+def redirect_log(handlers: list[logging.Handler]) -> Iterator[None]:
+    """Send the program's log to the given handlers alone within the context."""
     log = logging.getLogger("brambleusher")
     before = log.handlers[:], log.level, log.propagate
     log.handlers[:], log.propagate = handlers, False
@@ -203,21 +204,21 @@
 
 @dataclass(slots=True)
 class Result:
-    """What one run came to; everything in it can be sent to another process."""
+    """The outcome of one run; the object can be pickled and sent to another process."""
 
     seed: int
     profile: str
     digest: str
     breaches: list[Breach]
-    asked: int  # requests that clients went out with, each counted once, however often it was tried
-    taken: int  # tries that sidecars had whole
+    asked: int  # number of requests that clients tried to send, each counted once
+    requests_received: int  # number of tries that reached sidecars completely
     served: int
     attempts: int
-    events: int  # on the wire
+    events: int  # number of steps on the wire
     virtual_s: float
-    faults: Counter[str] = field(default_factory=Counter)  # kinds in the plan
-    broken: int = 0  # all breaches, also those past the ones that are kept
-    sums: Sums | None = None  # over the fleet, where they were asked for
+    faults: Counter[str] = field(default_factory=Counter)  # number of planned faults by kind
+    breach_count: int = 0  # number of all breaches, kept or not
+    sums: FleetTotals | None = None  # totals over the fleet, if they were requested
 
     @property
     def rules(self) -> list[str]:
@@ -227,59 +228,64 @@
 
 def play(
     scenario: Scenario,
-    breakage: AbstractContextManager[object] | None = None,
+    mutation: AbstractContextManager[object] | None = None,
     say: Callable[[str], object] | None = None,
     stop_at_breach: bool = False,
     sums: bool = False,
 ) -> Result:
-    """Play a scenario to its end and check it, `say` being given the time line; `sums` has the fleet's kept.
-
-    `stop_at_breach` ends the run at the first breach: enough to know that there is one.
+    """Play a scenario to its end and check it.
+
+    Args:
+        scenario: The scenario to play.
+        mutation: A context that breaks the program on purpose during the run.
+        say: A function that gets the lines of the timeline.
+        stop_at_breach: Whether to end the run at the first breach.
+        sums: Whether to compute the totals over the fleet.
     """
-    with world_of(scenario) as world, breakage or nullcontext():
+    with world_of(scenario) as world, mutation or nullcontext():
         world.settings = replace(world.settings, output_bytes=OUTPUT_BYTES)
-        rules = Rules.of(scenario.world.sidecar_settings(0))
+        rules = Rules.from_settings(scenario.world.sidecar_settings(0))
         fleet = Fleet(scenario, world)
         checker = Checker(rules, fleet.executions)
         fleet.audience = checker
-        digest, raised, fallen = Digest(), Raised(world), Fallen()
-        world.taps += [cast(Tap, checker), digest, fallen]
-        books: Sums | None = None
+        digest, logged_errors, exit_errors = Digest(), LoggedExceptions(world), ExitErrors()
+        world.taps += [cast(Tap, checker), digest, exit_errors]
+        totals: FleetTotals | None = None
         if sums:
-            books = Sums(world.now_ns, fleet_limits(scenario, rules))
-            world.taps.append(cast(Tap, books))
-        handlers: list[logging.Handler] = [raised]
+            totals = FleetTotals(world.now_ns, fleet_limits(scenario, rules))
+            world.taps.append(cast(Tap, totals))
+        handlers: list[logging.Handler] = [logged_errors]
         line: TimeLine | None = None
         if say is not None:
             line = TimeLine(
                 say,
                 world.now_ns,
                 (
-                    (fleet.begins_ns + int(fault.at_s * SECOND), f"fault: {_worded(fault)}")
+                    (fleet.begins_ns + int(fault.at_s * SECOND), f"fault: {_to_plain_data(fault)}")
                     for fault in scenario.faults
                 ),
             )
             world.taps.append(line)
-            log = _ToLine(world, line)
+            log = _TimeLineHandler(world, line)
             log.setFormatter(KeyValueFormatter())
             handlers.append(log)
-        world.step_done.append(lambda: checker.step(world.now_ns))
+        world.step_hooks.append(lambda: checker.step(world.now_ns))
         begun = world.now_ns
-        with listening(handlers):
+        with redirect_log(handlers):
             try:
                 fleet.start()
                 if stop_at_breach:
-                    world.run(fleet.ends_ns, lambda: bool(checker.breaches or raised.breaches))
-                if not (stop_at_breach and (checker.breaches or raised.breaches)):
-                    _to_the_end(fleet, checker)
-            except (Exception, Endless) as error:
+                    world.run(fleet.ends_ns, lambda: bool(checker.breaches or logged_errors.breaches))
+                if not (stop_at_breach and (checker.breaches or logged_errors.breaches)):
+                    _finish_run(fleet, checker)
+            except (Exception, RunTimeout) as error:
                 trail = tuple((world.now_ns, row) for row in traceback.format_exc().splitlines())
                 what = f"{type(error).__name__}: {error}"
-                rule = ENDLESS if isinstance(error, Endless) else LAB
-                raised.breaches.append(Breach(rule, world.now_ns, "the lab", what, trail))
-        if books is not None:
-            books.finish(fleet.executions)
-        others = raised.breaches + fallen.breaches
+                rule = ENDLESS if isinstance(error, RunTimeout) else LAB
+                logged_errors.breaches.append(Breach(rule, world.now_ns, "the lab", what, trail))
+        if totals is not None:
+            totals.finish(fleet.executions)
+        others = logged_errors.breaches + exit_errors.breaches
         breaches = sorted(checker.breaches + others, key=lambda breach: breach.at_ns)
         if line is not None:
             for breach in breaches:
@@ -287,37 +293,38 @@
                     line.line(breach.at_ns, f"BREACH {row}")
         return Result(
             seed=scenario.seed, profile=scenario.profile, digest=digest.hex(), breaches=breaches,
-            asked=sum(bool(each.tries) for each in fleet.asked), taken=checker.taken, served=checker.served,
+            asked=sum(bool(each.tries) for each in fleet.asked),
+            requests_received=checker.requests_received, served=checker.served,
             attempts=checker.attempts, events=digest.events,
             virtual_s=(world.now_ns - begun) / SECOND,
-            faults=Counter(str(_worded(fault)["kind"]) for fault in scenario.faults),
-            broken=checker.count + len(others), sums=books,
+            faults=Counter(str(_to_plain_data(fault)["kind"]) for fault in scenario.faults),
+            breach_count=checker.breach_count + len(others), sums=totals,
         )  # fmt: skip
 
 
 def fleet_limits(scenario: Scenario, rules: Rules) -> FleetLimits:
-    """What a scenario's world sets to the sums over its fleet."""
+    """Derive the limits on the totals over a fleet from the scenario's world."""
     world, discovery = scenario.world, scenario.world.discovery
     nodes = (
         NodeLimits(node_machine(number), node.settings.connections, node.settings.handshake_work_s)
         for number, node in enumerate(world.nodes)
     )
-    whole_s = discovery.call_s + discovery.line_s * sum(not node.spare for node in world.nodes)
-    return FleetLimits(tuple(nodes), 1 / whole_s if whole_s > 0 else math.inf, rules)
+    full_list_s = discovery.call_s + discovery.line_s * sum(not node.spare for node in world.nodes)
+    return FleetLimits(tuple(nodes), 1 / full_list_s if full_list_s > 0 else math.inf, rules)
 
 
-def _to_the_end(fleet: Fleet, checker: Checker) -> None:
+def _finish_run(fleet: Fleet, checker: Checker) -> None:
     world = fleet.world
     world.run(fleet.ends_ns)
     ends = fleet.quiesce()
     left_over = [text for end in ends for text in end.left_over()]
-    asked = [(place, place.process) for place in fleet.sidecars if place.up]
+    dumped = [(sidecar, sidecar.process) for sidecar in fleet.sidecars if sidecar.up]
     fleet.dump()
     world.run(world.now_ns + DUMP_NS)
-    for place, process in asked:
-        # One that has ended since, and has a successor that was not asked, has no capture to show.
-        if place.up and place.process is process and place.figures.capture:
-            checker.captured(world.now_ns, place.machine.name, place.stderr)
+    for sidecar, process in dumped:
+        # A sidecar that was restarted after the request for its dump has no capture to check.
+        if sidecar.up and sidecar.process is process and sidecar.figures.capture:
+            checker.captured(world.now_ns, sidecar.machine.name, sidecar.stderr)
     unreached = [
         (each.due_ns, each.ask.id)
         for each in fleet.asked
@@ -326,15 +333,15 @@
     checker.finish(world.now_ns, left_over, unreached)
 
 
-def _worded(fault: object) -> dict[str, Any]:
-    """A fault as it stands in a file."""
+def _to_plain_data(fault: object) -> dict[str, Any]:
+    """Return a fault as plain data, as written to files."""
     raw = msgspec.to_builtins(fault)
     assert isinstance(raw, dict)
     return raw
 
 
-class _ToLine(ProcessLog):
-    """Log records of the program, into the time line."""
+class _TimeLineHandler(ProcessLog):
+    """Handler that writes the program's log records into the timeline."""
 
     def __init__(self, world: World, line: TimeLine) -> None:
         super().__init__(world)
@@ -342,7 +349,7 @@
         self.setLevel(logging.INFO)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """One record."""
+        """Write a record as a line of the timeline."""
         process = self._world.current
         who = "the lab" if process is None else process.name
         self._line.line(self._world.now_ns, f"{who} logs {self.format(record)}")
@@ -352,41 +359,42 @@
     scenario: Scenario,
     rule: str,
     fails: Callable[[Scenario], bool],
-    tell: Callable[[str], object] = lambda text: None,
+    report: Callable[[str], object] = lambda text: None,
 ) -> Scenario:
-    """Take faults and requests away while `fails` still says that the rule is broken.
+    """Remove faults and requests from a scenario as long as `fails` reports that the rule is still broken.
 
-    Delta debugging (Zeller and Hildebrandt, "Simplifying and Isolating Failure-Inducing Input", 2002),
-    complements only: parts of a list are dropped, halves first, down to single ones, until none can go.
+    The method is delta debugging (Zeller and Hildebrandt, "Simplifying and Isolating Failure-Inducing Input",
+    2002) on complements only: it drops parts of a list, from halves down to single items, until every item
+    left is needed.
     """
-    for part in ("faults", "asks"):
-        scenario = _fewer(scenario, part, fails, tell)
-    asked = max((ask.at_s for ask in scenario.asks), default=0.0)
-    ended = max((fault.at_s + fault.for_s for fault in scenario.faults), default=0.0)
-    shorter = max(asked, ended) + 1.0
+    for field_name in ("faults", "asks"):
+        scenario = _remove_items(scenario, field_name, fails, report)
+    last_ask_s = max((ask.at_s for ask in scenario.asks), default=0.0)
+    last_fault_end_s = max((fault.at_s + fault.for_s for fault in scenario.faults), default=0.0)
+    shorter = max(last_ask_s, last_fault_end_s) + 1.0
     if shorter < scenario.world.length_s:
         world = msgspec.structs.replace(
             scenario.world, length_s=shorter, faults_s=min(scenario.world.faults_s, shorter)
         )
-        cut = msgspec.structs.replace(scenario, world=world)
-        if fails(cut):
-            scenario = cut
+        shortened = msgspec.structs.replace(scenario, world=world)
+        if fails(shortened):
+            scenario = shortened
     return msgspec.structs.replace(scenario, note=f"breaks the rule {rule}")
 
 
-def _fewer(
-    scenario: Scenario, part: str, fails: Callable[[Scenario], bool], tell: Callable[[str], object]
+def _remove_items(
+    scenario: Scenario, field_name: str, fails: Callable[[Scenario], bool], report: Callable[[str], object]
 ) -> Scenario:
-    items: tuple[Any, ...] = getattr(scenario, part)
+    items: tuple[Any, ...] = getattr(scenario, field_name)
     size = max(1, len(items) // 2)
     while items:
         at, dropped = 0, False
         while at < len(items):
             fewer = items[:at] + items[at + size :]
-            smaller = msgspec.structs.replace(scenario, **{part: fewer})
-            if (fewer or part == "faults") and fails(smaller):
+            smaller = msgspec.structs.replace(scenario, **{field_name: fewer})
+            if (fewer or field_name == "faults") and fails(smaller):
                 scenario, items, dropped = smaller, fewer, True
-                tell(f"{len(items)} {part} left")
+                report(f"{len(items)} {field_name} left")
             else:
                 at += size
         if size == 1 and not dropped:
