--- a/brambleusher/admin/server.py
+++ b/brambleusher/admin/server.py
@@ -22,7 +22,7 @@
 MAX_ADMIN_CONNECTIONS = 16  # connections open at once; a new one beyond this closes the oldest
 DESCRIPTORS = MAX_ADMIN_CONNECTIONS + 2  # plus the listener and a connection that replaces the oldest
 BACKLOG = 64
-ADMIN_REQUEST_TIMEOUT_S = 1.5  # from accepting the connection to the last byte of the request
+ADMIN_REQUEST_TIMEOUT_S = 1.5  # limit in seconds from accept to the last byte of the request
 WRITE_TIMEOUT_S = 1.0
 MAX_BODY_BYTES = 4096  # no operation needs a body
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -139,7 +139,7 @@
             try:
                 data = stream.receive(deadline)
             except TaskTimeoutError:
-                raise HttpError(408, "the request did not arrive in time") from None
+                raise HttpError(408, "the call did not come whole in time") from None
             if not data:
                 raise ConnectionResetError("the client has disconnected")
             reader.feed(data)
@@ -149,7 +149,7 @@
     def _take(reader: MessageReader) -> Message | None:
         message = reader.take()
         if reader.size > MAX_BODY_BYTES:
-            raise HttpError(413, "the request body is too large")
+            raise HttpError(413, "no call has a body")
         return message
 
     def respond(self, request: AdminRequest) -> tuple[int, bytes]:
--- a/brambleusher/cli/control.py
+++ b/brambleusher/cli/control.py
@@ -11,7 +11,7 @@
 
 import click
 
-STATUS_TIMEOUT_S = 5  # in seconds, short because a user waits for the response
+STATUS_TIMEOUT_S = 5  # limit in seconds, short because a user waits for the response
 
 
 @click.group(invoke_without_command=True, help="Serve the decisions to other proxies over xDS.")
--- a/brambleusher/cli/explore.py
+++ b/brambleusher/cli/explore.py
@@ -39,7 +39,7 @@
 SEED_END = 10**18  # seeds have up to 18 digits
 SEED_CPU_S = 30.0  # CPU time limit of one run in seconds; a typical run takes 0.1 s
 FLEET_DAY_CPU_S = 1800.0  # CPU time limit in seconds for a simulated day of a large fleet
-REPEAT_CPU_S = 1.0  # in seconds; interval at which the exception is raised again until the run ends
+REPEAT_CPU_S = 1.0  # interval in seconds at which the exception is raised again until the run ends
 MAX_FILE_BYTES = 8 * 1024 * 1024
 
 
--- a/brambleusher/dataplane/attempts.py
+++ b/brambleusher/dataplane/attempts.py
@@ -73,9 +73,7 @@
     def run(self, context: RequestContext) -> UpstreamResponse | None:
         """Try instances until one of them responds.
 
-        Returns:
-            The response; None if no instance responded and no further attempt is allowed.  The reason is
-            then in `context.rejection_reason`.
+        The result is None, and `context.rejection_reason` is set, if no further attempt is allowed.
 
         Raises:
             PeerDisconnectedError: The client has disconnected.
--- a/brambleusher/dataplane/client_connection.py
+++ b/brambleusher/dataplane/client_connection.py
@@ -166,7 +166,7 @@
     def send_error(
         self, status: int, reason: str, attempt_id: bytes = b"", retry_after_s: float | None = None
     ) -> None:
-        """Send an error response of the gateway itself, with `Retry-After` if `retry_after_s` is given."""
+        """Send an error response of the gateway; `retry_after_s` is given only if the request has not run."""
         headers = [(b"Content-Type", b"application/json")]
         if attempt_id:
             headers.append((b"X-Attempt-Id", attempt_id))
--- a/brambleusher/dataplane/configuration_client.py
+++ b/brambleusher/dataplane/configuration_client.py
@@ -29,7 +29,7 @@
 POLL_TIMEOUT_S = 1.1  # twice the time that a controller holds a poll, plus a round trip between regions
 RETRY_PAUSE_S = 0.05
 BRIEF_WAIT_S = 0.25  # wait for the primary poller to get an update before another poller requests it as well
-LIST_STALE_S = 3.2  # if its instance list is older, a controller is abandoned for another one
+LIST_STALE_S = 3.2  # a controller whose instance list is older than this is abandoned for another one
 REPORT_INTERVAL_S = 0.8  # how often load reports are exchanged with the other gateways
 
 
@@ -39,7 +39,7 @@
 
     list_version: ListVersion = NO_LIST  # the list version in the last response of this controller
     is_primary: bool = False  # polls the nearest controller; only it gets large updates and load reports
-    is_brief: bool = True  # if not primary: only asks whether there are updates
+    is_brief: bool = True  # a poller that is not primary only asks whether there are updates
 
 
 class ConfigurationClient:
--- a/brambleusher/dataplane/configuration_store.py
+++ b/brambleusher/dataplane/configuration_store.py
@@ -15,7 +15,7 @@
 from brambleusher.wire.packing import unpack
 
 LIST_LAG_S = 1.0  # a list from another controller is requested if it is newer by more than this
-QUORUM_WAIT_S = 2.0  # after the start, how long to prefer state from a controller with a majority
+QUORUM_WAIT_S = 2.0  # how long a gateway without state waits for a controller with a majority
 COUNT_WINDOW_S = 30.0  # budgets are divided by the largest count of gateways within this time
 COUNT_SAMPLE_S = 1.0  # an unchanged count is recorded again after this interval
 
--- a/brambleusher/dataplane/instance.py
+++ b/brambleusher/dataplane/instance.py
@@ -39,7 +39,7 @@
     replaced_until_s: float = 0.0  # end of the back-off because another incarnation answered at its address
     warm_up_budget: WarmUpBudget | None = None
     preference_rank: int = 0  # position in this gateway's order of preference; the lowest is preferred
-    last_contact_s: float = -math.inf  # when bytes last arrived from this instance
+    last_contact_s: float = -math.inf  # time at which bytes last arrived from this instance
     connection_count: int = 0
     idle_connections: list[UpstreamConnection] = field(default_factory=list)
 
--- a/brambleusher/dataplane/instance_table.py
+++ b/brambleusher/dataplane/instance_table.py
@@ -113,7 +113,7 @@
         return service.warm_up_s + WARM_UP_MARGIN_S if service is not None and service.warm_up_s > 0 else 0.0
 
     def set_evacuated_zones(self, zones: frozenset[str], now_s: float) -> None:
-        """Set the evacuated zones; instances of a zone that is restored have to warm up again."""
+        """Set the evacuated zones; instances of a zone that is restored may have to warm up again."""
         restored = self.evacuated_zones - zones
         for instance in self._instances.values():
             if instance.zone in restored:
--- a/brambleusher/dataplane/request_handler.py
+++ b/brambleusher/dataplane/request_handler.py
@@ -25,7 +25,7 @@
 from brambleusher.wire.settings import Bounds
 
 RETRY_AFTER_S = 0.25  # upper bound of the `Retry-After` value
-RETRY_AFTER_FRACTION = 0.25  # at most this part of the remaining time: clients honour at most a third
+RETRY_AFTER_FRACTION = 0.25  # upper bound as a part of the time left: clients honour at most a third
 
 
 class RequestHandler:
--- a/brambleusher/dataplane/upstream_client.py
+++ b/brambleusher/dataplane/upstream_client.py
@@ -100,7 +100,7 @@
 
     def _prepare(self, request: UpstreamRequest) -> Result[_PreparedAttempt, ConnectFailed]:
         """Get a connection, reusing an idle one if possible, and serialize the request."""
-        head = request.head()  # may raise, therefore built before a connection is taken
+        head = request.head()  # `head` may raise, so it is called before a connection is taken
         # Without an attempt id, the response can be matched to the request only on a new connection.
         if request.attempt_id:
             reused = self._reuse_connection(request, head)
--- a/brambleusher/features/status.py
+++ b/brambleusher/features/status.py
@@ -64,7 +64,7 @@
         self._errors: dict[str, deque[tuple[int, str]]] = {}
         self._inflight = dict.fromkeys(self._classes, 0)
         self._answers: deque[tuple[int, Counter[str]]] = deque()  # responses by class, per second
-        self._pages: dict[str, list[bytes]] = {}  # by path, responses as chunks, which pages may share
+        self._pages: dict[str, list[bytes]] = {}  # response chunks by path; pages may share chunks
         self._server = StatusServer(scheduler, self._pages)
         self._refreshing: Task | None = None
         self.address: tuple[str, int] | None = None  # the address that the page listens on
--- a/brambleusher/features/status_rendering.py
+++ b/brambleusher/features/status_rendering.py
@@ -34,7 +34,7 @@
 
     zones: list[dict[str, object]]
     panic: object
-    beyond: object  # the fraction of requests that could not be placed in any zone
+    beyond: object  # the fraction of the demand that exceeds the limits of all zones
 
 
 class StatusSnapshot(TypedDict):
--- a/brambleusher/gateway/client_server.py
+++ b/brambleusher/gateway/client_server.py
@@ -133,7 +133,7 @@
             attempt_id = request.header(b"x-attempt-id")
             client.send_error(
                 HTTPStatus.SERVICE_UNAVAILABLE,
-                "this gateway does not accept requests now",
+                "this gateway does not serve now",
                 attempt_id,
                 RETRY_AFTER_S,
             )
--- a/brambleusher/gateway/metrics_server.py
+++ b/brambleusher/gateway/metrics_server.py
@@ -31,6 +31,6 @@
 
     def _handle(self, request: HttpRequest) -> HttpResponse:
         if request.method != "GET" or request.path != self._endpoint.path:
-            reason = f"{request.method} {request.path} is not the metrics endpoint"
+            reason = f"{request.method} {request.path} is not where metrics are"
             return json_response(HTTPStatus.NOT_FOUND, {"error": reason})
         return HttpResponse(HTTPStatus.OK, render(self._metrics.collect()), content_type=CONTENT_TYPE)
--- a/brambleusher/loadbalancing/api.py
+++ b/brambleusher/loadbalancing/api.py
@@ -16,9 +16,9 @@
 class Idempotency(Enum):
     """Whether a request may be executed twice."""
 
-    SAFE = "safe"  # may be executed twice
-    KEYED = "keyed"  # has an idempotency key by which hosts discard repeated requests
-    UNSAFE = "unsafe"  # must not be executed twice
+    SAFE = "safe"  # a request may be executed twice
+    KEYED = "keyed"  # a request has an idempotency key by which hosts discard repeated requests
+    UNSAFE = "unsafe"  # a request must not be executed twice
 
 
 class DeduplicationScope(Enum):
@@ -98,7 +98,8 @@
     neighbours: tuple[tuple[str, tuple[Tier, ...]], ...] = ()
     spill_rate: float = 1.0
     max_utilisation: float = 0.95
-    # Fraction of all nodes; if fewer are healthy, all zones are used despite their states; 0 disables this.
+    # Fraction of all nodes; if fewer are healthy, the evidence is doubted and all zones are used despite
+    # their states; 0 disables this.
     panic_threshold: float = 0.5
     flap_penalty_half_life_ns: int = 20_000_000_000
     # Longest time that a responding zone is kept out because of flapping; 0 disables flap damping.
--- a/brambleusher/loadbalancing/backoff.py
+++ b/brambleusher/loadbalancing/backoff.py
@@ -27,7 +27,7 @@
         self._interval_s = FIRST_INTERVAL_S
 
     def wait_s(self, has_data: bool, took_s: float) -> float:
-        """Return how many seconds to wait after a call that took `took_s`; `has_data` if it returned data.
+        """Return how many seconds to wait after a call of `took_s`; `has_data` tells if it returned data.
 
         The duration of a failed call is part of the wait, so a call that timed out late is repeated almost at
         once.
--- a/brambleusher/loadbalancing/connection_admission.py
+++ b/brambleusher/loadbalancing/connection_admission.py
@@ -102,7 +102,7 @@
     tenant: str = UNKNOWN_TENANT
     requests: int = 0
     since: float | None = 0.0
-    group: _Group = _NO_GROUP  # only meaningful while the connection waits
+    group: _Group = _NO_GROUP  # the group is only meaningful while the connection waits
 
     @property
     def owner(self) -> _Owner:
--- a/brambleusher/loadbalancing/connection_limits.py
+++ b/brambleusher/loadbalancing/connection_limits.py
@@ -25,7 +25,7 @@
 MIN_BURST = 4.0
 DECREASE_FACTOR = 0.8  # fraction of the open connections that the cap is set to when a connect is rejected
 INCREASE_S = 1.0  # seconds in which the cap rises by one connection
-# A connect that fails within this many seconds after a response was rejected for lack of capacity.
+# A connect that fails within this many seconds after a response counts as rejected for lack of capacity.
 RECENT_RESPONSE_S = 1.0
 PEAK_DECAY_S = 10.0
 NEGLIGIBLE_USE = 0.1  # mean number of connections in recent use that counts as none
--- a/brambleusher/loadbalancing/host_ranking.py
+++ b/brambleusher/loadbalancing/host_ranking.py
@@ -50,7 +50,7 @@
     def __init__(self) -> None:
         self.local: list[H] = []
         self.remote: list[H] = []
-        self.ready_per_zone: Counter[str] = Counter()  # only zones with a ready host
+        self.ready_per_zone: Counter[str] = Counter()  # ready hosts by zone, without zones that have none
 
     def __len__(self) -> int:
         """Return the number of ready hosts."""
--- a/brambleusher/loadbalancing/idle_timeout.py
+++ b/brambleusher/loadbalancing/idle_timeout.py
@@ -10,7 +10,9 @@
 
 from brambleusher.loadbalancing.api import AttemptStatus
 
-DECREASE_FACTOR = 0.7  # the timeout is set to this fraction of the idle time of a lost connection
+# The timeout is set to this fraction of the idle time of a lost connection. With a larger fraction, the next
+# loss would teach little.
+DECREASE_FACTOR = 0.7
 # Recovery time constant in latency targets; slow, since each longer idle time may cost a request.
 RECOVERY_TARGETS = 32.0
 # Fraction of the answered attempts; up to one reset more than that is not blamed on idle times.
--- a/brambleusher/loadbalancing/simulator_adapter.py
+++ b/brambleusher/loadbalancing/simulator_adapter.py
@@ -115,7 +115,7 @@
         """Initialize without instances; `write_warning` gets one message per unknown event name."""
         self._write_warning = write_warning
         self._instances: dict[str, Balancer] = {}
-        self._report_fields: dict[str, tuple[str, ...]] = {}  # by instance
+        self._report_fields: dict[str, tuple[str, ...]] = {}  # names of report fields by instance
         self._lists: dict[int, list[api.HostEntry]] = {}
         self._warned_events: set[str] = set()
         self._readers: dict[str, Callable[[str, Fields], api.Event]] = {
--- a/brambleusher/loadbalancing/slow_start_budget.py
+++ b/brambleusher/loadbalancing/slow_start_budget.py
@@ -51,7 +51,7 @@
             return True
         settings = self._settings
         local_used, remote_used = self._host_table.subset_counts
-        # Only proxies with the host in their subset send to it; their number is an expected value.
+        # Only proxies that have the host in their subset send to the host; their number is an expected value.
         proxies = slow_start.proxies_per_host(
             settings.fleet_size,
             self._host_table.ranking.ready_per_zone,
--- a/brambleusher/loadbalancing/zone_health.py
+++ b/brambleusher/loadbalancing/zone_health.py
@@ -26,7 +26,7 @@
     ZoneTable,
 )
 
-# Evidence; times are in latency targets.
+# Constants for judging the evidence of faults; times are in latency targets.
 
 # Unresponsive time after which a zone is lost, by its number of dark nodes: the more there are, the shorter.
 LOST_TARGETS = (2.0, 1.0, 0.5)
--- a/brambleusher/loadbalancing/zone_routing.py
+++ b/brambleusher/loadbalancing/zone_routing.py
@@ -97,7 +97,7 @@
         self, ready: Mapping[str, list[str]], draining: Mapping[str, list[str]], now: int
     ) -> None:
         """Record the current endpoint list: ready and draining hosts by zone."""
-        for name in {**ready, **draining}:  # in a fixed order, independent of hashes
+        for name in {**ready, **draining}:  # the order of names is fixed and independent of hashes
             if name not in self.zones:
                 self._add(name, now)
         for name, zone in self.zones.items():
--- a/brambleusher/loadbalancing/zone_state.py
+++ b/brambleusher/loadbalancing/zone_state.py
@@ -75,7 +75,7 @@
     probe_interval_ns: int = 0
     probe_turn: int = 0  # index of the next host to probe
     grant_exhausted_ns: int = 0  # last time at which its grant was too small
-    evacuation_began_ns: int = 0  # 0 if it is not being evacuated
+    evacuation_began_ns: int = 0  # start of the evacuation in nanoseconds; 0 if there is none
     # Traffic.
     recent_responses: float = 0.0  # decaying count of responses to this proxy's requests
     own_traffic_share: float = -1.0  # this proxy's share of the zone's traffic; negative if unknown
@@ -84,7 +84,7 @@
     limit_per_s: float = -1.0  # maximum requests per second; negative if unlimited
     tokens: float = 0.0  # requests that may be sent now under the limit
     refilled_ns: int = 0
-    offered_fraction: float = 1.0  # fraction of its spare capacity
+    offered_fraction: float = 1.0  # fraction of its spare capacity that the zone offers
     is_calm: bool = True  # healthy and not busy, so that latencies reflect the network distance
     latency_quantile_ns: dict[int, float] = field(default_factory=dict)  # latency quantile by class
     latency_count: dict[int, int] = field(default_factory=dict)  # number of latencies by class
@@ -118,7 +118,7 @@
     is_panic: bool = False  # the evidence is doubted and zones are used whatever their states
     unplaced_fraction: float = 0.0  # fraction of the demand that exceeds all limits
     last_unplaced_ns: int = 0  # last time at which some demand was unplaced; 0 if never
-    short_since_ns: int = 0  # since when the unplaced fraction has been too large; 0 if it is not
+    short_since_ns: int = 0  # time since which the unplaced fraction has been too large; 0 if it is not
     log_lines: list[str] = field(default_factory=list)
     # Missing answers before this time are no evidence, since this proxy itself was paused.
     stalled_until_ns: int = 0
--- a/brambleusher/net/client_connection.py
+++ b/brambleusher/net/client_connection.py
@@ -5,7 +5,7 @@
 from brambleusher.runtime.scheduler import Task
 from brambleusher.runtime.streams import Stream
 
-FIRST_REQUEST_TIMEOUT_S = 2.4  # in seconds, from accepting a connection to the last byte of its first request
+FIRST_REQUEST_TIMEOUT_S = 2.4  # limit in seconds from accept to the last byte of the first request
 
 
 class ClientConnection:
@@ -17,7 +17,7 @@
         self.stream, self.peer = stream, peer
         self.task: Task | None = None
         self.accepted_at = stream.used_at
-        self.accept_delay_s = 0.0  # at most how long the connection waited in the listener's backlog
+        self.accept_delay_s = 0.0  # longest possible wait in the listener's backlog, in seconds
         self.was_served = False  # whether a request on this connection was answered
         self.is_released = False  # whether the serving task has given the connection up and must not close it
 
--- a/brambleusher/net/client_connection_server.py
+++ b/brambleusher/net/client_connection_server.py
@@ -19,7 +19,7 @@
 
 log = logging.getLogger(__name__)
 
-BODY_LINGER_S = 2.0  # in seconds, for receiving the rest of a request body after an early response
+BODY_LINGER_S = 2.0  # limit in seconds for receiving the rest of a request body after an early response
 # Seconds after the start of draining in which a connection's next request is still served if it has already
 # arrived. A request that arrives 0.7 s or more after SIGTERM may be cut off without a response.
 LAST_REQUESTS_S = 0.2
--- a/brambleusher/net/client_connections.py
+++ b/brambleusher/net/client_connections.py
@@ -12,7 +12,7 @@
 from brambleusher.observability.counters import Counters
 from brambleusher.runtime.scheduler import Scheduler, Task
 
-IDLE_CHECK_INTERVAL_S = 0.05  # in seconds, between checks for idle connections while out of service
+IDLE_CHECK_INTERVAL_S = 0.05  # seconds between checks for idle connections while out of service
 
 
 class ClientConnections:
--- a/brambleusher/net/client_listener.py
+++ b/brambleusher/net/client_listener.py
@@ -32,8 +32,8 @@
 log = logging.getLogger(__name__)
 
 BACKLOG = 512
-LAST_CONNECTS_S = 0.2  # in seconds, at most how long the listener stays open after draining starts
-LAST_CONNECTS_PAUSE_S = 0.05  # in seconds; the listener closes early after a pause without new connections
+LAST_CONNECTS_S = 0.2  # longest time in seconds that the listener stays open after draining starts
+LAST_CONNECTS_PAUSE_S = 0.05  # the listener closes early after this many seconds without a new connection
 
 
 class ClientListener:
@@ -67,7 +67,7 @@
         )
         self._listener: Socket | None = None
         self._accepting: Task | None = None
-        # When accepting was suspended, in seconds on the scheduler's clock; None while it is not suspended.
+        # Time at which accepting was suspended, in seconds on the scheduler's clock; None while accepting.
         self._accepts_delayed_since: float | None = None
         self._accepted_count = 0  # connections accepted since the start
 
@@ -183,7 +183,7 @@
         self._await_last_connects()
         self._stop_accepting()
         if self._listener is not None:
-            # The kernel has already completed the handshakes of the connections in the backlog.
+            # The kernel has accepted the connections in the backlog for this process, so they are served.
             for _ in range(BACKLOG):
                 if not self._accept_one(self._listener):
                     break
--- a/brambleusher/net/client_request_handler.py
+++ b/brambleusher/net/client_request_handler.py
@@ -37,7 +37,7 @@
     body_stream: RequestBodyStream | None
     arrived_ns: int  # Unix time in nanoseconds, earlier than the read if the request waited unread
     due: float  # response deadline in seconds on the scheduler's clock, unless the body is streamed
-    unseen_s: float  # at most how many seconds the request waited before it was read
+    unseen_s: float  # longest time in seconds that the request may have waited before it was read
     presence: PeerPresence
 
     def deadline(self) -> float:
--- a/brambleusher/net/client_request_reader.py
+++ b/brambleusher/net/client_request_reader.py
@@ -8,9 +8,9 @@
 from brambleusher.net.streamed_bodies import MIN_BYTES_PER_S, RequestBodyStream
 from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
 
-REQUEST_TIMEOUT_S = 2.4  # in seconds, from the first to the last byte of a request after the first request
-IDLE_TIMEOUT_S = 2.2  # in seconds between requests; many clients never reuse a connection
-CONTINUE_TIMEOUT_S = 10.0  # in seconds, for writing the 100 Continue response to a slow client
+REQUEST_TIMEOUT_S = 2.4  # limit in seconds from the first to the last byte of any later request
+IDLE_TIMEOUT_S = 2.2  # limit in seconds between two requests; many clients never reuse a connection
+CONTINUE_TIMEOUT_S = 10.0  # limit in seconds for writing the 100 Continue response to a slow client
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
--- a/brambleusher/net/client_response.py
+++ b/brambleusher/net/client_response.py
@@ -19,8 +19,8 @@
 
 log = logging.getLogger(__name__)
 
-WRITE_TIMEOUT_S = 10.0  # in seconds, for a slow client to take a response or one chunk of it
-LAST_WRITE_TIMEOUT_S = 1.0  # in seconds, write timeout of one chunk after `latest_at` has passed
+WRITE_TIMEOUT_S = 10.0  # limit in seconds for a slow client to take a response or one chunk of it
+LAST_WRITE_TIMEOUT_S = 1.0  # write timeout in seconds of one chunk after `latest_at` has passed
 
 COUNTED_AS = {ResponseKind.SERVED: SERVED, ResponseKind.REJECTED: REJECTED, ResponseKind.FAILED: FAILED}
 
--- a/brambleusher/net/endpoint_watch.py
+++ b/brambleusher/net/endpoint_watch.py
@@ -11,10 +11,12 @@
 from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
 
-CONNECT_TIMEOUT_S = 1.0  # in seconds, for the connect and for sending the request
-RESPONSE_TIMEOUT_S = 4.0  # in seconds; discovery may queue a request for 3 s before rejecting it
-LINE_TIMEOUT_S = 3.0  # at most this many seconds without a complete line; a heartbeat line is due every 2 s
-TEXT_TIMEOUT_S = 1.0  # at most this many seconds from the first to the last line of an indented text
+CONNECT_TIMEOUT_S = 1.0  # limit in seconds for the connect, and again for sending the request
+RESPONSE_TIMEOUT_S = 4.0  # limit in seconds; discovery may queue a request for 3 s before rejecting it
+# At most this many seconds without a complete line. An empty line is due every 2 s as a heartbeat; pieces of
+# an incomplete line are no sign of life and do not extend the timeout.
+LINE_TIMEOUT_S = 3.0
+TEXT_TIMEOUT_S = 1.0  # limit in seconds from the first to the last line of an indented text
 MAX_LINE_BYTES = 6 * 1024 * 1024
 YIELD_LINE_BYTES = 64 * 1024  # bytes of an incomplete line from which other tasks run after each read
 
--- a/brambleusher/net/request_lifecycle.py
+++ b/brambleusher/net/request_lifecycle.py
@@ -23,7 +23,7 @@
 
 log = logging.getLogger(__name__)
 
-DECISION_GRACE_S = 0.005  # in seconds past the deadline, in which the balancer may still decide
+DECISION_GRACE_S = 0.005  # seconds past the deadline in which the balancer may still decide
 _NS_PER_S = 1e9
 _SOCKET = Wakeup.SOCKET
 
@@ -53,7 +53,8 @@
     has_left: Callable[[], bool]
 
 
-@dataclass(slots=True)  # not frozen, as creating a frozen instance for each request costs four times as much
+# Not frozen, since creating a frozen instance for each request costs four times as much.
+@dataclass(slots=True)
 class AttemptSpec:
     """Parameters and callbacks of one attempt to send a request to an endpoint.
 
--- a/brambleusher/net/streamed_bodies.py
+++ b/brambleusher/net/streamed_bodies.py
@@ -14,9 +14,9 @@
 from brambleusher.runtime.streams import Stream
 
 READ_BYTES = 32 * 1024  # bytes per read; a streamed body uses the memory of one read and its encoding
-RESPONSE_READ_TIMEOUT_S = 5.0  # in seconds without a byte of a streamed response
-CHECK_INTERVAL_S = 0.2  # in seconds, between checks of the receiver while no data arrives
-MAX_BODY_DURATION_S = 900.0  # in seconds, at most, for a body of the maximum size
+RESPONSE_READ_TIMEOUT_S = 5.0  # limit in seconds without a byte of a streamed response
+CHECK_INTERVAL_S = 0.2  # seconds between checks of the receiver while no data arrives
+MAX_BODY_DURATION_S = 900.0  # limit in seconds for a body of the maximum size
 MIN_BYTES_PER_S = 48_000  # minimum average rate in bytes per second of a request body
 
 
@@ -45,7 +45,7 @@
 
         Args:
             latest_at: Returns the latest time to send responses, in seconds on the scheduler's clock; after
-                this time a wait of `CHECK_INTERVAL_S` seconds without data ends the body.
+                this time, `TaskTimeoutError` is raised once no data arrives for `CHECK_INTERVAL_S` seconds.
 
         Raises:
             HttpError: The body is malformed or too large.
--- a/brambleusher/net/upstream_endpoint.py
+++ b/brambleusher/net/upstream_endpoint.py
@@ -59,7 +59,8 @@
         return AttemptStatus.CANCELLED
 
 
-@dataclass(slots=True)  # not frozen, as creating a frozen instance for each request costs four times as much
+# Not frozen, since creating a frozen instance for each request costs four times as much.
+@dataclass(slots=True)
 class AttemptResult:
     """The result of an attempt, with the endpoint's load report and response if there are any."""
 
--- a/brambleusher/net/upstream_exchange.py
+++ b/brambleusher/net/upstream_exchange.py
@@ -27,7 +27,7 @@
 
 log = logging.getLogger(__name__)
 
-EARLY_RESPONSE_TIMEOUT_S = 0.5  # in seconds, for a response to an incomplete request
+EARLY_RESPONSE_TIMEOUT_S = 0.5  # limit in seconds for the response to an incomplete request
 
 
 class UpstreamExchangeContext:
--- a/brambleusher/net/upstream_request_writer.py
+++ b/brambleusher/net/upstream_request_writer.py
@@ -11,7 +11,7 @@
 from brambleusher.runtime.streams import Stream, WaitInterruptedError
 from brambleusher.runtime.system import Address
 
-CHUNK_TIMEOUT_S = 10.0  # in seconds, for a slow endpoint to take one chunk of a body
+CHUNK_TIMEOUT_S = 10.0  # limit in seconds for a slow endpoint to take one chunk of a body
 _REWRITTEN = HOP_BY_HOP | {"content-length", "request-timeout-ms", "expect"}
 
 
--- a/brambleusher/net/upstream_response_reader.py
+++ b/brambleusher/net/upstream_response_reader.py
@@ -10,9 +10,9 @@
 from brambleusher.runtime.scheduler import Event, TaskTimeoutError
 from brambleusher.runtime.streams import Stream, WaitInterruptedError
 
-MAX_INTERIM_RESPONSES = 16  # at most this many 1xx responses before the final response of an attempt
-RESPONSE_IDLE_TIMEOUT_S = 0.5  # in seconds without a byte of a buffered response that has started
-RESPONSE_BUFFER_TIMEOUT_S = 0.3  # in seconds, after which a body of unknown length is streamed
+MAX_INTERIM_RESPONSES = 16  # maximum number of 1xx responses before the final response of an attempt
+RESPONSE_IDLE_TIMEOUT_S = 0.5  # limit in seconds without a byte of a buffered response that has started
+RESPONSE_BUFFER_TIMEOUT_S = 0.3  # seconds after which a body of unknown length is streamed
 # Plain integers, as each access to an enum member costs a function call on the hot path of every request.
 _FIRST_FINAL_STATUS = HTTPStatus.OK.value
 _SWITCHING_PROTOCOLS = HTTPStatus.SWITCHING_PROTOCOLS.value
@@ -29,7 +29,7 @@
         self._stream, self._cancel_event, self._deadline = stream, cancel_event, deadline
         self._reader, self._now = MessageReader.responses(streaming=True), stream.scheduler.now
         self._interim_count, self._due = 0, deadline
-        self._buffer_until: float | None = None  # when to start streaming a body of unknown length
+        self._buffer_until: float | None = None  # time to start streaming a body of unknown length
 
     def read(self) -> tuple[Message, bool]:
         """Read the response.
--- a/brambleusher/runtime/h11_messages.py
+++ b/brambleusher/runtime/h11_messages.py
@@ -9,7 +9,7 @@
 
 from brambleusher.runtime.streams import RECEIVE_BYTES, Stream
 
-SEND_TIMEOUT_S = 5.0  # in seconds, for a peer to take a 100 Continue response
+SEND_TIMEOUT_S = 5.0  # limit in seconds for a peer to take a 100 Continue response
 
 
 class ParserBuffer:
--- a/brambleusher/runtime/http_server.py
+++ b/brambleusher/runtime/http_server.py
@@ -18,10 +18,10 @@
 from brambleusher.runtime.system import Address
 
 IDLE_TIMEOUT_S = 60.0
-REQUEST_TIMEOUT_S = 10.0  # in seconds, from the first to the last byte of a request
+REQUEST_TIMEOUT_S = 10.0  # limit in seconds from the first to the last byte of a request
 SEND_TIMEOUT_S = 5.0
-READ_METHODS = frozenset({"GET", "HEAD"})  # safe methods, abandoned if the client disconnects
-READ_AHEAD_MAX_BYTES = 16 * 1024  # bytes of pipelined requests kept while one request is handled
+READ_METHODS = frozenset({"GET", "HEAD"})  # these change nothing, so a request ends if its client disconnects
+READ_AHEAD_MAX_BYTES = 16 * 1024  # pipelined bytes kept while a request is handled; the rest is discarded
 JSON_TYPE = b"application/json"
 
 
--- a/brambleusher/runtime/listening.py
+++ b/brambleusher/runtime/listening.py
@@ -8,7 +8,7 @@
 from brambleusher.runtime.streams import Stream
 from brambleusher.runtime.system import RESOURCE_EXHAUSTION_ERRNOS, Address, Socket
 
-ACCEPT_RETRY_S = 0.05  # in seconds between retries while no descriptor is free, to avoid a busy loop
+ACCEPT_RETRY_S = 0.05  # seconds between retries while no descriptor is free, to avoid a busy loop
 
 
 class OutOfDescriptorsError(OSError):
--- a/brambleusher/runtime/scheduler.py
+++ b/brambleusher/runtime/scheduler.py
@@ -19,8 +19,8 @@
 
 log = logging.getLogger(__name__)
 
-LATENESS_MIN_S = 0.05  # in seconds; a timer later than this means that the process has fallen behind
-YIELD_MAX_S = 0.0005  # at most this many seconds for other tasks between two steps of long work
+LATENESS_MIN_S = 0.05  # a timer late by more seconds than this means that the process has fallen behind
+YIELD_MAX_S = 0.0005  # longest time in seconds for other tasks between two steps of long work
 POLL_TIMEOUT_MAX_MS = 1000
 CANCELLED_TIMERS_MIN = 512  # cancelled timers in the heap before it is compacted
 _MS_PER_S = 1000
--- a/brambleusher/runtime/sinks.py
+++ b/brambleusher/runtime/sinks.py
@@ -63,7 +63,7 @@
         self._path = path
 
     def write(self, items: list[Item]) -> int:
-        """Append lines to the file; lines that can't be written are lost."""
+        """Append lines; lines for which the disk has no space, or that have no file to go to, are lost."""
         # With `O_NONBLOCK`, opening a FIFO without a reader fails immediately instead of blocking.
         flags = os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_NONBLOCK | os.O_CLOEXEC
         try:
--- a/brambleusher/sidecar/app.py
+++ b/brambleusher/sidecar/app.py
@@ -55,7 +55,7 @@
 
 log = logging.getLogger(__name__)
 
-FRESH_LIST_TIMEOUT_S = 1.0  # in seconds, after which the sidecar serves with its current list
+FRESH_LIST_TIMEOUT_S = 1.0  # seconds after which the sidecar serves with its current list
 
 
 class Sidecar:
--- a/brambleusher/sidecar/lifecycle.py
+++ b/brambleusher/sidecar/lifecycle.py
@@ -20,8 +20,10 @@
 # plus at least 0.7 s.
 SERVE_AFTER_SIGTERM_S = 0.45
 MAX_GRACE_DEADLINE_S, GRACE_MARGIN_S = 3.0, 0.7
-CLOSE_BEFORE_SIGKILL_S = 0.75  # in seconds, how long before SIGKILL idle connections are closed
-RESPOND_BEFORE_SIGKILL_S = 0.25  # in seconds, how long before SIGKILL the last responses are sent
+CLOSE_BEFORE_SIGKILL_S = 0.75  # seconds before SIGKILL at which idle connections are closed
+# Seconds before SIGKILL by which the last responses are sent, also those to requests that arrived after
+# SIGTERM.
+RESPOND_BEFORE_SIGKILL_S = 0.25
 DRAIN_POLL_INTERVAL_S = 0.02
 NS_PER_S = 1e9
 
--- a/brambleusher/xds/core.py
+++ b/brambleusher/xds/core.py
@@ -1,9 +1,8 @@
 """Decide which response each subscriber gets next, without sockets, files or threads.
 
 The owner records events from discovery, subscribers, load reports, other instances and the store, and
-calls `tick` as time passes.  It asks `position_to_write` for the position that must be on durable storage
-next, and `next_response` for the next response of each stream.  No call blocks.  All times are in
-nanoseconds of the owner's clock.
+calls `tick` as time passes.  It asks `position_to_write` for the position to put on durable storage next,
+and `next_response` for each stream's next response.  No call blocks.  Times are in ns of the owner's clock.
 """
 
 from __future__ import annotations
@@ -57,10 +56,7 @@
 
 
 def locality_level_of(group: SubscriberGroup, node: NodeIdentity) -> str:
-    """Return how a subscriber's endpoints are grouped.
-
-    The level set for its group takes precedence; otherwise gRPC clients get "nodes" and others "zones".
-    """
+    """Return the level set for the group, or else "nodes" for gRPC clients and "zones" for others."""
     return group.locality_level or ("nodes" if node.agent.lower().startswith("grpc") else "zones")
 
 
@@ -125,11 +121,7 @@
         self._rounder = WeightRounder(change_threshold)
 
     def update_weights(self, priorities: Iterable[tuple[str, ...]], step: bool) -> bool:
-        """Read the balancer's weights and, with `step`, move the published weights one step towards them.
-
-        Returns:
-            Whether any weight has changed enough to be published.
-        """
+        """Go a step towards the balancer's weights if `step`; return whether any has to be published."""
         before = self.tiers
         followed = self._damper.follow(host_statuses(self.balancer), step)
         self.tiers = group_by_locality(self._rounder.round(followed), list(priorities))
@@ -171,8 +163,7 @@
             floor: The position on durable storage; None if the store is new or its content was lost.
             now_ns: The current time.
             seed: The seed for the balancers' random numbers.
-            is_floor_certain: Whether to publish without the wait that a new store requires.  During that
-                wait subscribers may prove positions that were published earlier.
+            is_floor_certain: Whether to skip a new store's wait for positions that subscribers prove.
         """
         self.config, self.signer = config, MacSigner(config.secret)
         self.discovered = DiscoveredEndpoints()
@@ -181,11 +172,9 @@
         self.zones = _create_zones(config, seed, now_ns)
         self.streams: dict[int, Stream] = {}
         self._resource_cache = ResourceCache(self.signer)
-        # Caches the newest snapshots by zone, locality level and index of the group.
-        self._snapshots: dict[tuple[str, str, int], Snapshot] = {}
+        self._snapshots: dict[tuple[str, str, int], Snapshot] = {}  # cache by zone, level, index of the group
         self._assignment_builders = self._new_assignment_builders()
-        # Caches endpoint assignments by zone and locality level.
-        self._assignments: dict[tuple[str, str], UnversionedResource] = {}
+        self._assignments: dict[tuple[str, str], UnversionedResource] = {}  # cache by zone and locality level
         # Caches listeners, routes and clusters by index of the group and by kind.
         self._static_resources: dict[int, dict[str, list[UnversionedResource]]] = {}
         self._durable_endpoints: dict[str, Endpoint] | None = None  # the list at the position written last
@@ -383,15 +372,12 @@
     # --- subscribers ------------------------------------------------------------------------------
 
     def open_stream(self, identity: str | None, incremental: bool, now_ns: int) -> Stream:
-        """Open a subscriber's stream.
+        """Open a stream; raises `ProtocolError` if its subscriber is denied or there are too many streams.
 
         Args:
             identity: The name in the subscriber's certificate; None if the first request names the node.
             incremental: Whether the stream uses the incremental variant of the protocol.
             now_ns: The current time.
-
-        Raises:
-            ProtocolError: The subscriber may not subscribe, or there are too many streams.
         """
         bounds = self.config.bounds
         if len(self.streams) >= bounds.streams:
@@ -418,11 +404,7 @@
         self.streams.pop(stream.id, None)
 
     def handle_request(self, stream: Stream, request: Request, node: NodeIdentity, now_ns: int) -> None:
-        """Process a subscriber's request.
-
-        Raises:
-            ProtocolError: The request breaks a rule of the protocol, and the stream must end.
-        """
+        """Process a subscriber's request; raises `ProtocolError` if the request has to end the stream."""
         if stream.group is None:
             self._identify(stream, node)
         subscriber = stream.subscriber
--- a/brambleusher/xds/discovered_endpoints.py
+++ b/brambleusher/xds/discovered_endpoints.py
@@ -1,7 +1,7 @@
 """Keep the newest endpoint list reported by the discovery service.
 
-The list never goes back to an older version.  If discovery reports an older version, for instance after a
-restart, its updates are tracked separately and take effect once it has caught up.
+The list never goes back to an older version.  If discovery starts with an older version, its updates
+are tracked separately and take effect once it has caught up.
 """
 
 from __future__ import annotations
--- a/brambleusher/xds/peer_messages.py
+++ b/brambleusher/xds/peer_messages.py
@@ -1,7 +1,7 @@
 """Encode and decode the messages between instances of the control service.
 
 Each call requests the status of another instance.  Both messages carry a MAC, and the response repeats a
-random number from the request, so that an old response can't be replayed.  The keys of the JSON objects
+random number from the request, which the caller checks.  The keys of the JSON objects
 are part of the wire format and must not change.
 """
 
--- a/brambleusher/xds/server.py
+++ b/brambleusher/xds/server.py
@@ -25,7 +25,7 @@
 
 log = logging.getLogger(__name__)
 
-MAX_WITHHELD_S = 5.0  # streams are ended after this time, so that proxies move to another instance
+MAX_WITHHELD_S = 5.0  # then streams are ended, so that proxies move to an instance that may publish
 MAX_LOAD_REPORTS_PER_S = 20  # limit for one stream; proxies are asked for one report per second by default
 STOP_GRACE_S = 0.2
 PEER_POLL_INTERVAL_S = 0.5
--- a/brambleusher/xds/tls.py
+++ b/brambleusher/xds/tls.py
@@ -78,7 +78,7 @@
     try:
         public = chain[0].public_key()
     except (ValueError, UnsupportedAlgorithm):
-        raise ControlError("tls.certificate has a key of an unsupported type") from None
+        raise ControlError("tls.certificate has a key of a kind that is not known") from None
     if public.public_bytes(*key_format) != private.public_key().public_bytes(*key_format):
         raise ControlError("tls.key is not the key of tls.certificate")
     return CertificateMaterial(certificate, key, client_ca, chain[0].not_valid_after_utc)
