--- a/brambleusher/controlplane/consensus/timing.py
+++ b/brambleusher/controlplane/consensus/timing.py
@@ -9,7 +9,7 @@
 # Bounds of the random election timeout after startup. It can be short: a running leader sends a heartbeat
 # before it expires, or the other voters deny their votes.
 FIRST_ELECTION_MIN_S, FIRST_ELECTION_MAX_S = 0.05, 0.35
-# Additional election timeout of learners and of replicas that are shutting down.
+# Seconds added to the election timeout of learners and of replicas that are shutting down.
 DEFERRED_ELECTION_DELAY_S = 0.6
 TRANSFER_S = 1.0  # time for a chosen successor to become leader before proposals are accepted again
 REJOIN_AFTER_S = 1.5  # a replica without a leader for this time requests membership again
--- a/brambleusher/handover/process_registry.py
+++ b/brambleusher/handover/process_registry.py
@@ -18,7 +18,7 @@
 
 log = logging.getLogger(__name__)
 
-DESCRIPTORS = 3  # file descriptors: the process's lock, the folder's lock, and a file being read or written
+DESCRIPTORS = 3  # descriptors for the process's lock, the folder's lock, and a file being read or written
 
 
 class ProcessStage(Enum):
--- a/brambleusher/loadbalancing/slow_start.py
+++ b/brambleusher/loadbalancing/slow_start.py
@@ -62,7 +62,7 @@
         process_fraction: This process's fraction of its proxy's traffic.
     """
     total = sum(ready_per_zone.values())
-    # For the proxies of another zone, the host is one of `total - hosts` remote ones.
+    # For the proxies of another zone, the host is one of `total - hosts` remote hosts.
     fractions = [
         min(remote_hosts / max(total - hosts, 1), 1.0)
         for other, hosts in ready_per_zone.items()
--- a/brambleusher/loadbalancing/spill_grants.py
+++ b/brambleusher/loadbalancing/spill_grants.py
@@ -35,7 +35,7 @@
 TIER_GAIN = 0.5  # fraction of the error by which the offered fraction changes per latency target
 EVACUATION_S = 10.0  # seconds over which the limit of an evacuated zone falls to 0
 
-# Returning zones.
+# Constants for the grants of returning zones.
 NEED_FRACTION = 0.1  # unplaced fraction of the demand above which suppressed zones are needed
 NEEDED_TARGETS = 4.0  # latency targets after the last unplaced demand for which returning zones are needed
 NEEDED_FACTOR = 2.0  # maximum grant of a needed zone as a multiple of its capacity; nodes queue for a while
--- a/brambleusher/loadbalancing/view_consistency.py
+++ b/brambleusher/loadbalancing/view_consistency.py
@@ -34,8 +34,8 @@
     """Status that an instance sends to the other instances."""
 
     position: ViewPosition | None  # position of its view
-    floor: ViewPosition | None  # latest position known to have been acted on
-    is_connected: bool  # connected to discovery
+    floor: ViewPosition | None  # latest position that is known to the instance to have been acted on
+    is_connected: bool  # whether the instance is connected to discovery
 
 
 class ViewConsistency:
--- a/brambleusher/loadbalancing/weights.py
+++ b/brambleusher/loadbalancing/weights.py
@@ -58,7 +58,7 @@
         warm_fraction_of = self._slow_start.warm_fraction
         warm_fractions = [warm_fraction_of(host, now) for host in hosts]
         capacity.update(hosts, warm_fractions)
-        # If little capacity is free, weights depend more on total capacity.
+        # If little capacity is free, weights depend more on the total capacity of each host.
         capacity_bias = max(0.0, RESERVE - (1 - capacity.mean_utilisation))
         capacity_of_kind = capacity.capacity_of_kind
         utilisations = capacity.faded_utilisations(hosts, now)
--- a/brambleusher/loadbalancing/zone_state.py
+++ b/brambleusher/loadbalancing/zone_state.py
@@ -65,7 +65,7 @@
     last_response_ns: int = 0  # time of the last response of any of its hosts
     consecutive_failures: int = 0  # attempts without a response in a row, over all its hosts
     consecutive_connect_failures: int = 0  # consecutive failed connects, over all hosts of the zone
-    # Return of a lost zone.
+    # State of the return of a lost zone.
     flap_penalty: float = 0.0
     loss_count: int = 0
     is_suppressed: bool = False  # responds, but is not used until its flap penalty has decayed
--- a/brambleusher/sidecar/lifecycle.py
+++ b/brambleusher/sidecar/lifecycle.py
@@ -15,7 +15,7 @@
 log = logging.getLogger(__name__)
 
 READINESS_POLL_INTERVAL_S = 0.02
-# In seconds. After SIGTERM, new connections arrive for another 0.2 to 0.4 s, and clients keep using open
+# How long to serve after SIGTERM, in seconds. New connections arrive for another 0.2 to 0.4 s, and clients keep using open
 # connections until they are closed. SIGKILL follows after the longest deadline, or 3 s if that is longer,
 # plus at least 0.7 s.
 SERVE_AFTER_SIGTERM_S = 0.45
--- a/brambleusher/xds/snapshot.py
+++ b/brambleusher/xds/snapshot.py
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Resource:
-    """One versioned resource; `refers` names the resources of another kind that it depends on."""
+    """One versioned resource; `refers` names resources of the next kind without which it can't be used."""
 
     kind: str
     name: str
