--- a/brambleusher/dataplane/counters.py
+++ b/brambleusher/dataplane/counters.py
@@ -19,7 +19,7 @@
     BROKEN = "broken"  # a buffered (non-streaming) response broke off
     FAILED = "failed"  # answered with status 502 or 504
     NO_ROUTE = "no_route"
-    NOT_SERVING = "not_serving"  # rejected, as no configuration has arrived yet or a shutdown is too far advanced
+    NOT_SERVING = "not_serving"  # rejected as there is no configuration yet or a shutdown is too far advanced
     BAD_REQUEST = "bad_request"
     TOO_LARGE = "too_large"
     CLIENT_LEFT = "client_left"  # the client closed its connection before its response was complete
--- a/brambleusher/loadbalancing/host_selection.py
+++ b/brambleusher/loadbalancing/host_selection.py
@@ -41,8 +41,8 @@
     def eligibility(self, request: Request, now: int) -> Eligibility:
         """Return a predicate for the hosts that a request may go to.
 
-        It excludes hosts already tried, hosts outside the scope of the request's key, and warming hosts
-        without slow-start budget.
+        The predicate excludes hosts already tried, hosts outside the scope of the request's key, and warming
+        hosts without slow-start budget.
         """
         tried = [host for host, _, _ in request.attempts] if request.attempts else ()
         bound_to = request.first_run_host
--- a/brambleusher/loadbalancing/host_table.py
+++ b/brambleusher/loadbalancing/host_table.py
@@ -101,7 +101,7 @@
     def begin_closing(self, host: Host, now: int) -> bool:
         """Return whether to close idle connections to a draining host, and continue for the release time.
 
-        They are closed when the drain is announced, at each attempt outcome, and at each tick, because
+        Connections are closed when the drain is announced, at each attempt outcome, and at each tick, because
         connections of abandoned attempts become idle without an outcome.
         """
         if not host.is_draining or self._settings.drain_release_ns <= 0:
--- a/brambleusher/loadbalancing/zone_aware_balancer.py
+++ b/brambleusher/loadbalancing/zone_aware_balancer.py
@@ -256,7 +256,7 @@
     def _pick_probe(self, request: Request, now: int) -> Host | None:
         """Return a host of an excluded zone if a probe is due and this request may serve as the probe.
 
-        It may if it can be retried in time when the probe is not answered.
+        A request may if it can be retried in time when the probe is not answered.
         """
         zone = self.zone_router.zone_to_probe(now)
         request_class = self.settings.classes[request.class_index]
--- a/brambleusher/loadbalancing/zone_tiers.py
+++ b/brambleusher/loadbalancing/zone_tiers.py
@@ -70,7 +70,7 @@
     def _extra_latencies(self) -> list[tuple[float, str]]:
         """Return the extra latency of other zones over the nearest one, in nanoseconds, sorted.
 
-        It is the mean over request classes, each of which is compared only with itself.
+        The extra latency is the mean over request classes, each of which is compared only with itself.
         """
         other_zones = {name: zone for name, zone in self._table.zones.items() if name != self._table.own_zone}
         by_class: dict[int, list[float]] = {}
--- a/brambleusher/runtime/disconnect_watch.py
+++ b/brambleusher/runtime/disconnect_watch.py
@@ -11,7 +11,7 @@
 class PeerDisconnectedError(Exception):
     """Raised when the peer that a task serves has closed its connection.
 
-    It is not an `OSError`, so that error handlers for the task's other connections do not catch it.
+    This is not an `OSError`, so that error handlers for the task's other connections do not catch it.
     """
 
 
--- a/brambleusher/sidecar/lifecycle.py
+++ b/brambleusher/sidecar/lifecycle.py
@@ -15,9 +15,9 @@
 log = logging.getLogger(__name__)
 
 READINESS_POLL_INTERVAL_S = 0.02
-# How long to serve after SIGTERM, in seconds. New connections arrive for another 0.2 to 0.4 s, and clients keep using open
-# connections until they are closed. SIGKILL follows after the longest deadline, or 3 s if that is longer,
-# plus at least 0.7 s.
+# Seconds. After SIGTERM, new connections arrive for another 0.2 to 0.4 s, and clients keep using open
+# connections until they are closed. SIGKILL follows no sooner than the longest deadline, or 3 s if that is
+# longer, plus 0.7 s.
 SERVE_AFTER_SIGTERM_S = 0.45
 MAX_GRACE_DEADLINE_S, GRACE_MARGIN_S = 3.0, 0.7
 CLOSE_BEFORE_SIGKILL_S = 0.75  # seconds before SIGKILL at which idle connections are closed
