--- a/brambleusher/sidecar/lifecycle.py
+++ b/brambleusher/sidecar/lifecycle.py
@@ -15,13 +15,15 @@
 log = logging.getLogger(__name__)
 
 READINESS_POLL_INTERVAL_S = 0.02
-# In seconds. After SIGTERM, new connections arrive for another 0.2 to 0.4 s, and clients keep using open
-# connections until they are closed. SIGKILL follows after the longest deadline, or 3 s if that is longer,
-# plus at least 0.7 s.
+# Seconds. After SIGTERM, new connections arrive for another 0.2 to 0.4 s, and clients keep using open
+# connections until they are closed. SIGKILL follows no sooner than the longest deadline, or 3 s if that is
+# longer, plus 0.7 s.
 SERVE_AFTER_SIGTERM_S = 0.45
 MAX_GRACE_DEADLINE_S, GRACE_MARGIN_S = 3.0, 0.7
-CLOSE_BEFORE_SIGKILL_S = 0.75  # in seconds, how long before SIGKILL idle connections are closed
-RESPOND_BEFORE_SIGKILL_S = 0.25  # in seconds, how long before SIGKILL the last responses are sent
+CLOSE_BEFORE_SIGKILL_S = 0.75  # seconds before SIGKILL at which idle connections are closed
+# Seconds before SIGKILL by which the last responses are sent, also those to requests that arrived after
+# SIGTERM.
+RESPOND_BEFORE_SIGKILL_S = 0.25
 DRAIN_POLL_INTERVAL_S = 0.02
 NS_PER_S = 1e9
 
