--- a/brambleusher/lab/mysql/__init__.py
+++ b/brambleusher/lab/mysql/__init__.py
@@ -1,1 +1,1 @@
-"""What the MySQL front is tried with: a server, a client, schedules and their check."""
+"""Test tools for the MySQL front: a server, a client, a protocol fuzzer, and checked fault schedules."""
--- a/brambleusher/lab/mysql/client.py
+++ b/brambleusher/lab/mysql/client.py
@@ -1,7 +1,7 @@
-"""A stand-in MySQL client that notes exactly what it was told, with a parser of its own.
+"""A MySQL client for tests that records every reply exactly, with its own protocol parser.
 
-It shares no code with the front's relay: what a reply is made of is read here a second time, so that one
-reader's fault can't hide the other's.
+The parser shares no code with the reply relay of the MySQL front, so that a bug in one of the two can't hide
+the same bug in the other.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class Gone(Exception):
-    """The connection ended: within a packet, between two, or before anything came."""
+    """The server closed the connection; `within` says whether a packet was incomplete at that point."""
 
     def __init__(self, within: bool) -> None:
         super().__init__("within a packet" if within else "between packets")
@@ -27,98 +27,101 @@
 
 
 class Nonsense(Exception):
-    """What came is no reply."""
+    """The received bytes are not a valid reply of the MySQL protocol."""
 
 
 @dataclass(slots=True)
 class Told:
-    """All that one command was answered with."""
+    """The complete reply to one command, or the reason why there is none."""
 
-    ok: bool = False  # the reply has its end, and that is no error
-    error: tuple[int, str] | None = None  # number and SQLSTATE, or None
+    ok: bool = False  # the reply is complete and is not an error
+    error: tuple[int, str] | None = None  # MySQL error number and SQLSTATE of an ERR packet
     text: str = ""
     rows: list[list[str | None]] = field(default_factory=list)
     affected: int = 0
     last_id: int = 0
     gone: Gone | None = None
-    late: bool = False  # nothing came in time
+    late: bool = False  # no complete reply arrived before the deadline
     nonsense: str = ""
 
     @property
     def words(self) -> int:
-        """How many last words there were: exactly one is due."""
+        """Return how many endings (success or error) the reply has; a correct reply has exactly one."""
         return int(self.ok) + (self.error is not None)
 
 
 class MysqlClient:
-    """One session."""
+    """One client session; `deprecate_eof` and `multi_statements` set capability flags."""
 
     def __init__(self, scheduler: Scheduler, new: bool = True, multi: bool = False) -> None:
-        self._scheduler, self._new = scheduler, new
-        self._caps = (
+        self._scheduler, self._deprecate_eof = scheduler, new
+        self._capabilities = (
             LONG_PASSWORD | CONNECT_WITH_DB | PROTOCOL_41 | TRANSACTIONS | SECURE | MULTI_RESULTS | PLUGIN
         )
-        self._caps |= (DEPRECATE_EOF if new else 0) | (MULTI_STATEMENTS if multi else 0)
+        self._capabilities |= (DEPRECATE_EOF if new else 0) | (MULTI_STATEMENTS if multi else 0)
         self._stream: Stream | None = None
         self._buffer = bytearray()
         self._seq = 0
         self.thread = 0
 
     def connect(self, address: Address, user: str, password: bytes, schema: str, seconds: float) -> Told:
-        """Log in."""
-        told, deadline = Told(), self._scheduler.now() + seconds
+        """Open the connection and log in with `mysql_native_password`; `seconds` is the time limit."""
+        reply, deadline = Told(), self._scheduler.now() + seconds
         try:
             self._stream = Stream.connect(self._scheduler, address, deadline)
             self._seq = 0
             greeting = self._packet(deadline)
             if greeting[0] == 0xFF:
-                return self._error(told, greeting)
-            end = greeting.index(0, 1) + 1
-            (self.thread,) = struct.unpack_from("<I", greeting, end)
-            challenge = greeting[end + 4 : end + 12] + greeting[end + 31 : end + 43]
-            once = hashlib.sha1(password).digest()
-            mask = hashlib.sha1(challenge + hashlib.sha1(once).digest()).digest()
-            answer = bytes(a ^ b for a, b in zip(once, mask, strict=True))
+                return self._error(reply, greeting)
+            version_end = greeting.index(0, 1) + 1
+            (self.thread,) = struct.unpack_from("<I", greeting, version_end)
+            challenge = (
+                greeting[version_end + 4 : version_end + 12] + greeting[version_end + 31 : version_end + 43]
+            )
+            password_hash = hashlib.sha1(password).digest()
+            mask = hashlib.sha1(challenge + hashlib.sha1(password_hash).digest()).digest()
+            auth_response = bytes(a ^ b for a, b in zip(password_hash, mask, strict=True))
             self._send(
-                struct.pack("<IIB", self._caps, 1 << 24, 45) + bytes(23) + user.encode() + b"\0"
-                + bytes((len(answer),)) + answer + schema.encode() + b"\0mysql_native_password\0",
+                struct.pack("<IIB", self._capabilities, 1 << 24, 45) + bytes(23) + user.encode() + b"\0"
+                + bytes((len(auth_response),)) + auth_response + schema.encode()
+                + b"\0mysql_native_password\0",
                 deadline,
             )  # fmt: skip
             last = self._packet(deadline)
             if last[0] == 0xFF:
-                return self._error(told, last)
-            told.ok = last[0] == 0
+                return self._error(reply, last)
+            reply.ok = last[0] == 0
         except TaskTimeoutError:
-            told.late = True
-        except Gone as gone:
-            told.gone = gone
+            reply.late = True
+        except Gone as closed:
+            reply.gone = closed
         except OSError:
-            told.gone = Gone(within=False)
-        return told
+            reply.gone = Gone(within=False)
+        return reply
 
     def query(self, text: str, seconds: float) -> Told:
-        """Ask, and take the whole reply, of several results too."""
-        told = Told()
+        """Send a query and read its complete reply, including multiple result sets."""
+        reply = Told()
         deadline = self._scheduler.now() + seconds
         try:
             self._seq = 0
             self._send(b"\x03" + text.encode(), deadline)
-            while self._result(told, deadline):
+            while self._result(reply, deadline):
                 pass
             if self._buffer:
-                told.nonsense = "bytes behind the reply"
+                reply.nonsense = "unexpected bytes after the end of the reply"
         except TaskTimeoutError:
-            told.late = True
-        except Gone as gone:
-            told.gone = gone
+            reply.late = True
+        except Gone as closed:
+            reply.gone = closed
         except Nonsense as error:
-            told.nonsense = str(error)
+            reply.nonsense = str(error)
         except OSError:
-            told.gone = Gone(within=bool(self._buffer))
-        return told
+            reply.gone = Gone(within=bool(self._buffer))
+        return reply
 
     def ask_and_leave(self, text: str, seconds: float) -> None:
-        """Ask, wait for some bytes, and go without a word."""
+        """Send a query, wait for the first bytes of its reply, and close without sending COM_QUIT."""
         deadline = self._scheduler.now() + seconds
         try:
             self._seq = 0
@@ -130,7 +133,7 @@
         self.close()
 
     def close(self) -> None:
-        """End the connection."""
+        """Close the connection without sending COM_QUIT."""
         if self._stream is not None:
             self._stream.close()
 
@@ -141,7 +144,7 @@
         self._stream.send(struct.pack("<I", len(payload) | self._seq << 24) + payload, deadline)
         self._seq += 1
 
-    def _need(self, size: int, deadline: float, within: bool) -> None:
+    def _fill_buffer(self, size: int, deadline: float, within: bool) -> None:
         assert self._stream is not None
         while len(self._buffer) < size:
             data = self._stream.receive(deadline)
@@ -150,81 +153,81 @@
             self._buffer += data
 
     def _packet(self, deadline: float) -> bytes:
-        self._need(4, deadline, False)
+        self._fill_buffer(4, deadline, False)
         size, seq = int.from_bytes(self._buffer[:3], "little"), self._buffer[3]
         if seq != self._seq & 0xFF:
-            raise Nonsense(f"packet {seq} where {self._seq & 0xFF} is due")
-        self._need(4 + size, deadline, True)
+            raise Nonsense(f"packet number {seq} where {self._seq & 0xFF} was expected")
+        self._fill_buffer(4 + size, deadline, True)
         payload = bytes(self._buffer[4 : 4 + size])
         del self._buffer[: 4 + size]
         self._seq += 1
         if not payload:
-            raise Nonsense("an empty packet")
+            raise Nonsense("empty packet")
         return payload
 
-    def _error(self, told: Told, payload: bytes) -> Told:
-        told.error = int.from_bytes(payload[1:3], "little"), payload[4:9].decode("ascii", "replace")
-        told.text = payload[9:].decode("utf-8", "replace")
-        return told
+    def _error(self, reply: Told, payload: bytes) -> Told:
+        reply.error = int.from_bytes(payload[1:3], "little"), payload[4:9].decode("ascii", "replace")
+        reply.text = payload[9:].decode("utf-8", "replace")
+        return reply
 
-    def _result(self, told: Told, deadline: float) -> bool:
-        """One result; whether another follows."""
+    def _result(self, reply: Told, deadline: float) -> bool:
+        """Read one result; return whether another one follows."""
         first = self._packet(deadline)
         if first[0] == 0xFF:
-            self._error(told, first)
+            self._error(reply, first)
             return False
         if first[0] == 0x00:
-            told.affected, at = _number(first, 1)
-            told.last_id, at = _number(first, at)
-            return self._over(told, int.from_bytes(first[at : at + 2], "little"))
-        columns, at = _number(first, 0)
+            reply.affected, at = _read_lenenc(first, 1)
+            reply.last_id, at = _read_lenenc(first, at)
+            return self._finish(reply, int.from_bytes(first[at : at + 2], "little"))
+        columns, at = _read_lenenc(first, 0)
         if at != len(first) or not 0 < columns < 100:
-            raise Nonsense("no number of columns")
+            raise Nonsense("invalid column count")
         for _ in range(columns):
             definition = self._packet(deadline)
             if definition[0] == 0xFF:
-                self._error(told, definition)
+                self._error(reply, definition)
                 return False
             if definition[:4] != b"\x03def":
-                raise Nonsense("no definition of a column")
-        if not self._new:
-            end = self._packet(deadline)
-            if end[0] == 0xFF:
-                self._error(told, end)
+                raise Nonsense("invalid column definition")
+        if not self._deprecate_eof:
+            eof = self._packet(deadline)
+            if eof[0] == 0xFF:
+                self._error(reply, eof)
                 return False
-            if end[0] != 0xFE or len(end) != 5:
-                raise Nonsense("no end of the columns")
+            if eof[0] != 0xFE or len(eof) != 5:
+                raise Nonsense("missing EOF packet after the column definitions")
         while True:
             row = self._packet(deadline)
             if row[0] == 0xFF:
-                self._error(told, row)
+                self._error(reply, row)
                 return False
-            if row[0] == 0xFE and len(row) < (0xFFFFFF if self._new else 9):
-                if self._new:
-                    _, at = _number(row, 1)
-                    _, at = _number(row, at)
+            if row[0] == 0xFE and len(row) < (0xFFFFFF if self._deprecate_eof else 9):
+                if self._deprecate_eof:
+                    _, at = _read_lenenc(row, 1)
+                    _, at = _read_lenenc(row, at)
                 else:
                     at = 3
-                return self._over(told, int.from_bytes(row[at : at + 2], "little"))
-            told.rows.append(_row(row, columns))
+                return self._finish(reply, int.from_bytes(row[at : at + 2], "little"))
+            reply.rows.append(_parse_row(row, columns))
 
     @staticmethod
-    def _over(told: Told, status: int) -> bool:
-        told.ok = not status & 8
-        return not told.ok
+    def _finish(reply: Told, status: int) -> bool:
+        reply.ok = not status & 8
+        return not reply.ok
 
 
-def _number(data: bytes, at: int) -> tuple[int, int]:
+def _read_lenenc(data: bytes, at: int) -> tuple[int, int]:
     first = data[at] if at < len(data) else 0xFF
     if first < 0xFB:
         return first, at + 1
     size = {0xFC: 2, 0xFD: 3, 0xFE: 8}.get(first)
     if size is None or at + 1 + size > len(data):
-        raise Nonsense("no number where one is due")
+        raise Nonsense("invalid length-encoded integer")
     return int.from_bytes(data[at + 1 : at + 1 + size], "little"), at + 1 + size
 
 
-def _row(data: bytes, columns: int) -> list[str | None]:
+def _parse_row(data: bytes, columns: int) -> list[str | None]:
     out: list[str | None] = []
     at = 0
     for _ in range(columns):
@@ -232,11 +235,11 @@
             out.append(None)
             at += 1
             continue
-        size, at = _number(data, at)
+        size, at = _read_lenenc(data, at)
         if at + size > len(data):
-            raise Nonsense("a value beyond its row")
+            raise Nonsense("value extends past the end of its row")
         out.append(data[at : at + size].decode("utf-8", "replace"))
         at += size
     if at != len(data):
-        raise Nonsense("a row with too many values")
+        raise Nonsense("row has bytes after its last value")
     return out
--- a/brambleusher/lab/mysql/engine.py
+++ b/brambleusher/lab/mysql/engine.py
@@ -1,8 +1,9 @@
-"""A small database for the stand-in MySQL server: tables, transactions, row locks, session state.
+"""A small SQL engine for the MySQL test server: tables, transactions, row locks and session state.
 
-No sockets and no clock.  A statement that must wait for a lock raises `Blocked` before it has changed
-anything, and is run again when the lock is free.  What is understood is what tests and benchmarks ask:
-one table a SELECT, literals and simple expressions; anything else is a parse error, as a server says it.
+The engine uses no sockets and no clock.  A statement that must wait for a lock raises `Blocked` before it
+changes anything, and the caller runs the statement again when the lock is free.  The engine supports only the
+SQL that tests and benchmarks use: SELECTs on a single table, literals and simple expressions.  Any other
+statement gets the parse error that a MySQL server sends.
 """
 
 from __future__ import annotations
@@ -21,14 +22,14 @@
 
 from brambleusher.fronts.mysql.constants import BINARY, UTF8MB4, Status, Type
 
-PARSED = 2048  # texts whose trees are kept
+MAX_CACHED_STATEMENTS = 2048  # maximum number of statement texts in the cache of syntax trees
 
-Value = Any  # None, int, float, Decimal, str, bytes, date, datetime, timedelta
+Value = Any  # SQL value: None, int, float, Decimal, str, bytes, date, datetime, timedelta
 Row = list[Value]
 
 
 class SqlError(Exception):
-    """An error as a server tells it."""
+    """An SQL error with the error number, SQLSTATE and message that the server sends to the client."""
 
     def __init__(self, errno: int, state: str, text: str) -> None:
         super().__init__(text)
@@ -36,15 +37,18 @@
 
 
 class Blocked(Exception):
-    """A lock is held by another session."""
+    """The statement needs a lock that another session, `lock_owner`, holds."""
 
-    def __init__(self, key: tuple[Any, ...], holder: Session) -> None:
+    def __init__(self, key: tuple[Any, ...], lock_owner: Session) -> None:
         super().__init__(str(key))
-        self.key, self.holder = key, holder
+        self.key, self.holder = key, lock_owner
 
 
 class Sleep(Exception):
-    """The statement is to be run again after a sleep, which counts as done then."""
+    """The statement calls SLEEP(): the caller must wait `seconds` and run the statement again.
+
+    Before it runs the statement again, the caller increments `Session.finished_sleeps`.
+    """
 
     def __init__(self, seconds: float) -> None:
         super().__init__(str(seconds))
@@ -53,7 +57,7 @@
 
 @dataclass(slots=True)
 class ColumnInfo:
-    """A column of a table or a result."""
+    """The name, type and properties of a column of a table or a result set."""
 
     name: str
     type: int = int(Type.VAR_STRING)
@@ -64,16 +68,17 @@
 
 @dataclass(slots=True)
 class Table:
-    """Rows by their key, which is the first column."""
+    """A table whose rows are stored by primary key, which is the first column."""
 
     name: str
     columns: list[ColumnInfo]
     rows: dict[Value, Row] = field(default_factory=dict)
-    before: dict[Value, tuple[Session, Row | None]] = field(default_factory=dict)  # of open transactions
+    # For each row with an uncommitted change: the session that made it, and the last committed row.
+    before: dict[Value, tuple[Session, Row | None]] = field(default_factory=dict)
     next_id: int = 1
 
     def seen(self, session: Session) -> Iterator[tuple[Value, Row]]:
-        """The rows as a session sees them: its own changes, and what others have committed."""
+        """Iterate over the rows visible to a session: committed rows and the session's own changes."""
         if not self.before:
             yield from list(self.rows.items())
             return
@@ -86,7 +91,7 @@
 
 @dataclass(slots=True)
 class Result:
-    """What a statement brings: rows, or counts."""
+    """The result of a statement: a result set, or the number of affected rows and the last insert id."""
 
     columns: list[ColumnInfo] = field(default_factory=list)
     rows: Iterable[Row] = ()
@@ -96,12 +101,12 @@
 
     @property
     def has_rows(self) -> bool:
-        """Whether it is a result set."""
+        """Return whether the result is a result set."""
         return bool(self.columns)
 
 
 class Database:
-    """What one server holds, shared by its sessions."""
+    """The schemas, tables and locks of one server, shared by all its sessions."""
 
     def __init__(self, schemas: Iterable[str] = ("shop",)) -> None:
         self.schemas = set(schemas)
@@ -114,7 +119,7 @@
         self._trees: OrderedDict[str, list[Any]] = OrderedDict()
 
     def parse(self, text: str) -> list[Any]:
-        """The trees of a text's statements."""
+        """Return the syntax trees of the statements in a text, from the cache if possible."""
         trees = self._trees.get(text)
         if trees is None:
             source = re.sub(r"^\s*replace\s", "REPLACE_", text, flags=re.I)
@@ -131,21 +136,21 @@
             trees = [tree for tree in trees if tree is not None]
             for tree in trees:
                 for at, node in enumerate(tree.find_all(exp.Placeholder, bfs=False)):
-                    node.meta["at"] = at  # its place among the parameters
+                    node.meta["at"] = at  # index of the placeholder among the statement's parameters
             self._trees[text] = trees
-            if len(self._trees) > PARSED:
+            if len(self._trees) > MAX_CACHED_STATEMENTS:
                 self._trees.popitem(last=False)
         return trees
 
     def table(self, schema: str, name: str) -> Table:
-        """A table; raises the error of one that is not there."""
+        """Return a table; raise `SqlError` 1146 if the table does not exist."""
         found = self.tables.get((schema, name.lower()))
         if found is None:
             raise SqlError(1146, "42S02", f"Table '{schema}.{name}' doesn't exist")
         return found
 
     def snapshot(self, schema: str, name: str) -> dict[Value, Row]:
-        """A table's committed rows, for checks."""
+        """Return the committed rows of a table by key; tests use this to check stored data."""
         table = self.table(schema, name)
         out = dict(table.rows)
         for key, (_, old) in table.before.items():
@@ -186,7 +191,7 @@
 
 
 def type_of(value: Value) -> int:
-    """The column type that fits a value."""
+    """Return the MySQL column type for a Python value."""
     if isinstance(value, bool | int):
         return int(Type.LONGLONG)
     if isinstance(value, float):
@@ -205,24 +210,24 @@
 
 
 def collation_of(kind: int) -> int:
-    """The collation that a column of a type is told with."""
+    """Return the collation id in the column definition of a column type."""
     return UTF8MB4 if kind in (Type.VAR_STRING, Type.STRING) else BINARY
 
 
 class Session:
-    """One session on a database: its variables, transaction, locks and temporary tables."""
+    """A session on a database, with its variables, transaction, locks and temporary tables."""
 
     def __init__(self, database: Database, thread: int, user: str, now: Callable[[], dt.datetime]) -> None:
         self.database, self.thread, self.user, self._now = database, thread, user, now
         self.schema = ""
         self.found_rows_mode = False
         self.waits_for: Session | None = None
-        self.slept = 0  # sleeps of the statement under way that are over
-        self._sleeps = 0
+        self.slept = 0  # number of SLEEP() calls of the current statement that are finished
+        self._sleep_count = 0
         self.reset()
 
     def reset(self) -> None:
-        """As after a login."""
+        """Restore the state of a new login: roll back, release all locks, reset all variables."""
         if hasattr(self, "variables"):
             self.rollback()
             self.release_tables()
@@ -239,35 +244,35 @@
         self.next_transaction: str | None = None
 
     def end(self) -> None:
-        """The session is over: what is open is rolled back."""
+        """End the session; an open transaction is rolled back and all locks are released."""
         self.reset()
 
     @property
     def status(self) -> int:
-        """The flags of an OK."""
+        """Return the status flags for OK and EOF packets."""
         return (Status.AUTOCOMMIT if self.autocommit else 0) | (Status.IN_TRANS if self.in_transaction else 0)
 
     # --- transactions and locks -----------------------------------------------------------------
 
     def commit(self) -> None:
-        """End the transaction; its changes stay."""
+        """Commit the transaction and release its row locks."""
         if self.undo:
             self.database.commits += 1
         for table, key in self.undo:
             table.before.pop(key, None)
-        self._ended()
+        self._end_transaction()
 
     def rollback(self) -> None:
-        """End the transaction; its changes go."""
+        """Undo the changes of the transaction and release its row locks."""
         for table, key in reversed(self.undo):
             _, old = table.before.pop(key, (self, None))
             if old is None:
                 table.rows.pop(key, None)
             else:
                 table.rows[key] = old
-        self._ended()
+        self._end_transaction()
 
-    def _ended(self) -> None:
+    def _end_transaction(self) -> None:
         self.undo, self.in_transaction = [], False
         for key in self.locks:
             self.database.row_locks.pop(key, None)
@@ -276,24 +281,24 @@
             self.database.on_unlock()
 
     def release_tables(self) -> None:
-        """UNLOCK TABLES."""
+        """Execute UNLOCK TABLES: release all table locks of this session."""
         locks = self.database.table_locks
-        for key in [key for key, holder in locks.items() if holder is self]:
+        for key in [key for key, lock_owner in locks.items() if lock_owner is self]:
             del locks[key]
         self.database.on_unlock()
 
     def release_names(self) -> int:
-        """RELEASE_ALL_LOCKS; says how many."""
+        """Execute RELEASE_ALL_LOCKS(): release all named locks and return how many there were."""
         locks = self.database.named_locks
-        mine = [key for key, holder in locks.items() if holder is self]
-        for key in mine:
+        own_keys = [key for key, lock_owner in locks.items() if lock_owner is self]
+        for key in own_keys:
             del locks[key]
-        if mine:
+        if own_keys:
             self.database.on_unlock()
-        return len(mine)
+        return len(own_keys)
 
-    def _wait_for(self, key: tuple[Any, ...], holder: Session) -> None:
-        seen, at = {self}, holder
+    def _wait_for(self, key: tuple[Any, ...], lock_owner: Session) -> None:
+        seen, at = {self}, lock_owner
         while at.waits_for is not None:
             at = at.waits_for
             if at is self:
@@ -304,16 +309,16 @@
             if at in seen:
                 break
             seen.add(at)
-        raise Blocked(key, holder)
+        raise Blocked(key, lock_owner)
 
     def _lock_rows(self, table: Table, keys: Iterable[Value]) -> None:
         locks = self.database.row_locks
-        wanted = [(self.schema, table.name, key) for key in keys]
-        for key in wanted:
-            holder = locks.get(key)
-            if holder is not None and holder is not self:
-                self._wait_for(key, holder)
-        for key in wanted:
+        keys_to_lock = [(self.schema, table.name, key) for key in keys]
+        for key in keys_to_lock:
+            lock_owner = locks.get(key)
+            if lock_owner is not None and lock_owner is not self:
+                self._wait_for(key, lock_owner)
+        for key in keys_to_lock:
             if key not in locks:
                 locks[key] = self
                 self.locks.append(key)
@@ -330,12 +335,12 @@
     # --- statements -----------------------------------------------------------------------------
 
     def run(self, tree: Any, parameters: list[Value]) -> Result:
-        """One statement; raises `SqlError`, `Blocked` or `Sleep` before it has changed anything."""
+        """Execute one statement; `SqlError`, `Blocked` or `Sleep` is raised before any change is made."""
         self._parameters = parameters
-        self._sleeps = 0
-        about = isinstance(tree, exp.Show)
+        self._sleep_count = 0
+        is_show = isinstance(tree, exp.Show)
         result = self._dispatch(tree)
-        if not about:
+        if not is_show:
             self.warnings = [] if not getattr(self, "_warned", None) else self._warned
             self._warned: list[tuple[str, int, str]] = []
             self.row_count = -1 if result.has_rows else result.affected
@@ -348,11 +353,11 @@
         if isinstance(tree, exp.Select | exp.SetOperation | exp.Subquery):
             return self._select(tree)
         if isinstance(tree, exp.Insert):
-            return self._data(lambda: self._insert(tree))
+            return self._run_data_change(lambda: self._insert(tree))
         if isinstance(tree, exp.Update):
-            return self._data(lambda: self._update(tree))
+            return self._run_data_change(lambda: self._update(tree))
         if isinstance(tree, exp.Delete):
-            return self._data(lambda: self._delete(tree))
+            return self._run_data_change(lambda: self._delete(tree))
         if isinstance(tree, exp.Transaction):
             self.commit()
             self.in_transaction = True
@@ -385,23 +390,23 @@
         raise _parse_error(tree.sql(dialect="mysql"))
 
     def use(self, name: str) -> Result:
-        """USE."""
+        """Execute USE: change the default schema."""
         if name not in self.database.schemas:
             raise SqlError(1049, "42000", f"Unknown database '{name}'")
         self.schema = name
         return Result()
 
-    def _command(self, name: str, rest: str) -> Result:
+    def _command(self, name: str, arguments: str) -> Result:
         if name.startswith("LOCK"):
             self.commit()
-            for part in rest.split(",") or [rest]:
-                words = part.split()
+            for item in arguments.split(",") or [arguments]:
+                words = item.split()
                 if words:
                     table = words[0].strip("`").lower()
                     self.database.table(self.schema, table)
-                    holder = self.database.table_locks.get((self.schema, table))
-                    if holder is not None and holder is not self:
-                        self._wait_for((self.schema, table), holder)
+                    lock_owner = self.database.table_locks.get((self.schema, table))
+                    if lock_owner is not None and lock_owner is not self:
+                        self._wait_for((self.schema, table), lock_owner)
                     self.database.table_locks[(self.schema, table)] = self
             return Result()
         if name.startswith("UNLOCK"):
@@ -410,18 +415,18 @@
         if name in ("SAVEPOINT", "RELEASE"):
             return Result()
         if name == "CALL":
-            return self._call(rest)
-        raise _parse_error(f"{name} {rest}")
+            return self._call_procedure(arguments)
+        raise _parse_error(f"{name} {arguments}")
 
-    def _call(self, rest: str) -> Result:
-        """`CALL remember('name', 'value')` sets a user variable, as a procedure may."""
-        found = re.fullmatch(r"\s*remember\s*\(\s*'(\w+)'\s*,\s*'(\w*)'\s*\)\s*", rest)
+    def _call_procedure(self, arguments: str) -> Result:
+        """Execute `CALL remember('name', 'value')`, the only stored procedure: set a user variable."""
+        found = re.fullmatch(r"\s*remember\s*\(\s*'(\w+)'\s*,\s*'(\w*)'\s*\)\s*", arguments)
         if found is None:
-            raise SqlError(1305, "42000", f"PROCEDURE {rest.strip()[:40]} does not exist")
+            raise SqlError(1305, "42000", f"PROCEDURE {arguments.strip()[:40]} does not exist")
         self.user_variables[found[1]] = found[2]
         return Result()
 
-    def _data(self, change: Callable[[], Result]) -> Result:
+    def _run_data_change(self, change: Callable[[], Result]) -> Result:
         if not self.autocommit:
             self.in_transaction = True
         result = change()
@@ -437,9 +442,9 @@
         temporary = self.temporary.get((schema, name))
         if temporary is not None:
             return temporary
-        holder = self.database.table_locks.get((schema, name))
-        if holder is not None and holder is not self:
-            self._wait_for((schema, name), holder)
+        lock_owner = self.database.table_locks.get((schema, name))
+        if lock_owner is not None and lock_owner is not self:
+            self._wait_for((schema, name), lock_owner)
         return self.database.table(schema, name)
 
     # --- SELECT ---------------------------------------------------------------------------------
@@ -454,46 +459,49 @@
         if source is None:
             columns, rows = self._project(tree.expressions, [({}, [])], None)
             self.found_rows = 1
-            return self._into(into, rows) if into is not None else _shaped(columns, rows)
+            return self._select_into(into, rows) if into is not None else _result_set(columns, rows)
         if source.this.name.lower() == "generated":
             return self._generated(tree)
         if source.this.name.lower() == "dual":
             columns, rows = self._project(tree.expressions, [({}, [])], None)
-            return _shaped(columns, rows)
+            return _result_set(columns, rows)
         if tree.args.get("joins") or tree.args.get("group"):
             raise _parse_error(tree.sql(dialect="mysql"))
         table = self._table(source.this)
-        chosen = self._where(table, tree.args.get("where"))
+        matching = self._where(table, tree.args.get("where"))
         if tree.args.get("locks") and table.name not in {name for _, name in self.temporary}:
-            self._lock_rows(table, [key for key, _ in chosen])
-        order = tree.args.get("order")
-        if order is not None:
-            for each in reversed(order.expressions):
+            self._lock_rows(table, [key for key, _ in matching])
+        order_by = tree.args.get("order")
+        if order_by is not None:
+            for each in reversed(order_by.expressions):
                 keyed = [
-                    (_sortable(self._eval(each.this, self._env(table, row))), at, key, row)
-                    for at, (key, row) in enumerate(chosen)
+                    (_sortable(self._eval(each.this, self._row_environment(table, row))), at, key, row)
+                    for at, (key, row) in enumerate(matching)
                 ]
                 keyed.sort(key=lambda entry: entry[0], reverse=bool(each.args.get("desc")))
-                chosen = [(key, row) for _, _, key, row in keyed]
-        self.found_rows = len(chosen)
+                matching = [(key, row) for _, _, key, row in keyed]
+        self.found_rows = len(matching)
         limit, offset = tree.args.get("limit"), tree.args.get("offset")
         skip = int(self._eval(offset.expression, {})) if offset is not None else 0
-        most = int(self._eval(limit.expression, {})) if limit is not None else len(chosen)
-        picked = chosen[skip : skip + most]
+        max_rows = int(self._eval(limit.expression, {})) if limit is not None else len(matching)
+        page = matching[skip : skip + max_rows]
         columns, rows = self._project(
-            tree.expressions, [(self._env(table, row), row) for _, row in picked], table
+            tree.expressions, [(self._row_environment(table, row), row) for _, row in page], table
         )
         out = list(rows)
-        return self._into(into, out) if into is not None else _shaped(columns, out)
+        return self._select_into(into, out) if into is not None else _result_set(columns, out)
 
-    def _into(self, into: Any, rows: list[Row]) -> Result:
+    def _select_into(self, into: Any, rows: list[Row]) -> Result:
         names = [node.name.lower() for node in into.find_all(exp.Parameter)]
         if rows:
             self.user_variables.update(zip(names, rows[0], strict=False))
         return Result(affected=len(rows))
 
     def _generated(self, tree: Any) -> Result:
-        """Rows out of nothing: `SELECT * FROM generated WHERE n = 1000 AND width = 100`."""
+        """Generate `n` rows with a pad column of `width` characters, without a stored table.
+
+        Example: `SELECT * FROM generated WHERE n = 1000 AND width = 100`.
+        """
         given = {}
         where = tree.args.get("where")
         for node in where.find_all(exp.EQ) if where is not None else ():
@@ -507,7 +515,7 @@
         pad = "x" * width
         return Result(columns, ([at, pad] for at in range(count)))
 
-    def _env(self, table: Table, row: Row) -> dict[str, Value]:
+    def _row_environment(self, table: Table, row: Row) -> dict[str, Value]:
         return {column.name.lower(): value for column, value in zip(table.columns, row, strict=True)}
 
     def _where(self, table: Table, where: Any) -> list[tuple[Value, Row]]:
@@ -516,13 +524,13 @@
         test = where.this
         by_key = isinstance(test, exp.EQ) and isinstance(test.this, exp.Column)
         if by_key and test.this.name.lower() == table.columns[0].name.lower():
-            key = _as_key(self._eval(test.expression, {}), table)
+            key = _convert_to_key(self._eval(test.expression, {}), table)
             change = table.before.get(key)
             row = table.rows.get(key) if change is None or change[0] is self else change[1]
             return [] if row is None else [(key, row)]
         out = []
         for key, row in table.seen(self):
-            if self._eval(test, self._env(table, row)):
+            if self._eval(test, self._row_environment(table, row)):
                 out.append((key, row))
         return out
 
@@ -532,7 +540,7 @@
         if any(each.find(exp.AggFunc) for each in expressions):
             values = [self._aggregate(each, rows) for each in expressions]
             return [
-                ColumnInfo(_name_of(each), type_of(value))
+                ColumnInfo(_column_name(each), type_of(value))
                 for each, value in zip(expressions, values, strict=True)
             ], [values]
         columns: list[ColumnInfo] = []
@@ -550,17 +558,17 @@
                 if known is None:
                     raise SqlError(1054, "42S22", f"Unknown column '{inner.name}' in 'field list'")
             columns.append(
-                ColumnInfo(_name_of(each), known.type if known else -1, table=table.name if table else "")
+                ColumnInfo(_column_name(each), known.type if known else -1, table=table.name if table else "")
             )
 
         out = []
-        for env, row in rows:
+        for environment, row in rows:
             values = []
             for expression in expressions:
                 if isinstance(expression, exp.Star):
                     values += row
                 else:
-                    values.append(self._eval(expression, env))
+                    values.append(self._eval(expression, environment))
             out.append(values)
         return columns, out
 
@@ -569,9 +577,11 @@
         if isinstance(inner, exp.Count):
             if isinstance(inner.this, exp.Star):
                 return len(rows)
-            return sum(self._eval(inner.this, env) is not None for env, _ in rows)
+            return sum(self._eval(inner.this, environment) is not None for environment, _ in rows)
         if isinstance(inner, exp.Sum | exp.Max | exp.Min | exp.Avg):
-            values = [value for env, _ in rows if (value := self._eval(inner.this, env)) is not None]
+            values = [
+                value for environment, _ in rows if (value := self._eval(inner.this, environment)) is not None
+            ]
             if not values:
                 return None
             if isinstance(inner, exp.Sum):
@@ -581,7 +591,7 @@
             return (max if isinstance(inner, exp.Max) else min)(values)
         if isinstance(inner, exp.Coalesce):
             parts = [self._aggregate(inner.this, rows), *[self._eval(e, {}) for e in inner.expressions]]
-            return next((part for part in parts if part is not None), None)
+            return next((item for item in parts if item is not None), None)
         return self._eval(inner, rows[0][0] if rows else {})
 
     # --- changes --------------------------------------------------------------------------------
@@ -605,7 +615,9 @@
             if len(values) != len(names):
                 raise SqlError(1136, "21S01", "Column count doesn't match value count at row 1")
             by_name = dict(zip(names, values, strict=True))
-            row = [self._fit(column, by_name.get(column.name.lower())) for column in table.columns]
+            row = [
+                self._convert_to_column(column, by_name.get(column.name.lower())) for column in table.columns
+            ]
             unknown = set(names) - {column.name.lower() for column in table.columns}
             if unknown:
                 raise SqlError(1054, "42S22", f"Unknown column '{min(unknown)}' in 'field list'")
@@ -628,8 +640,8 @@
             self.last_id = first_id
         return Result(affected=len(rows), last_id=first_id)
 
-    def _fit(self, column: ColumnInfo, value: Value) -> Value:
-        """A value as its column holds it."""
+    def _convert_to_column(self, column: ColumnInfo, value: Value) -> Value:
+        """Convert a value to the type of its column; add a warning if this is impossible."""
         if value is None or column.type in (Type.VAR_STRING, Type.BLOB):
             if column.type == Type.BLOB and isinstance(value, str):
                 return value.encode("utf-8", "surrogateescape")
@@ -646,7 +658,7 @@
             if column.type == Type.DATETIME and isinstance(value, str):
                 return dt.datetime.fromisoformat(value)
             if column.type == Type.DATE and isinstance(value, str):
-                return dt.date(*(int(part) for part in value.split(" ")[0].split("-")))
+                return dt.date(*(int(item) for item in value.split(" ")[0].split("-")))
         except (ValueError, ArithmeticError):
             self._warn(1366, f"Incorrect value: '{value}' for column '{column.name}'")
             return None if column.type == Type.DATETIME else 0
@@ -655,31 +667,35 @@
     def _update(self, tree: Any) -> Result:
         table = self._table(tree.this)
         sets = [(each.this.name.lower(), each.expression) for each in tree.expressions]
-        chosen = self._where(table, tree.args.get("where"))
-        self._lock_rows(table, [key for key, _ in chosen])
-        places = {column.name.lower(): place for place, column in enumerate(table.columns)}
+        matching = self._where(table, tree.args.get("where"))
+        self._lock_rows(table, [key for key, _ in matching])
+        column_indexes = {
+            column.name.lower(): column_index for column_index, column in enumerate(table.columns)
+        }
         changed = 0
-        for key, row in chosen:
+        for key, row in matching:
             fresh = list(row)
-            env = self._env(table, row)
+            environment = self._row_environment(table, row)
             for name, expression in sets:
-                if name not in places:
+                if name not in column_indexes:
                     raise SqlError(1054, "42S22", f"Unknown column '{name}' in 'field list'")
-                place = places[name]
-                fresh[place] = self._fit(table.columns[place], self._eval(expression, env))
+                column_index = column_indexes[name]
+                fresh[column_index] = self._convert_to_column(
+                    table.columns[column_index], self._eval(expression, environment)
+                )
             changed += fresh != row
             self._change(table, key, fresh)
-        info = f"Rows matched: {len(chosen)}  Changed: {changed}  Warnings: 0"
-        affected = len(chosen) if self.found_rows_mode else changed
+        info = f"Rows matched: {len(matching)}  Changed: {changed}  Warnings: 0"
+        affected = len(matching) if self.found_rows_mode else changed
         return Result(affected=affected, info=info)
 
     def _delete(self, tree: Any) -> Result:
         table = self._table(tree.this)
-        chosen = self._where(table, tree.args.get("where"))
-        self._lock_rows(table, [key for key, _ in chosen])
-        for key, _ in chosen:
+        matching = self._where(table, tree.args.get("where"))
+        self._lock_rows(table, [key for key, _ in matching])
+        for key, _ in matching:
             self._change(table, key, None)
-        return Result(affected=len(chosen))
+        return Result(affected=len(matching))
 
     def _create(self, tree: Any) -> Result:
         schema_node = tree.this
@@ -752,8 +768,8 @@
             if name not in self.variables and name not in ("last_insert_id", "identity", "insert_id"):
                 raise SqlError(1193, "HY000", f"Unknown system variable '{name}'")
             if isinstance(value, exp.Column | exp.Var | exp.Boolean):
-                word = value.name if not isinstance(value, exp.Boolean) else str(value.this)
-                found.append((name, VARIABLES.get(name) if word.upper() == "DEFAULT" else word))
+                text_value = value.name if not isinstance(value, exp.Boolean) else str(value.this)
+                found.append((name, VARIABLES.get(name) if text_value.upper() == "DEFAULT" else text_value))
             else:
                 found.append((name, self._eval(value, {})))
         for name, value in found:
@@ -797,19 +813,22 @@
 
     # --- expressions ----------------------------------------------------------------------------
 
-    def _eval(self, node: Any, env: dict[str, Value], dry: bool = False) -> Value:
+    def _eval(self, node: Any, environment: dict[str, Value], without_effects: bool = False) -> Value:
         kind = type(node)
-        plain = _SIMPLE.get(kind)
-        if plain is not None:
-            return plain(self._eval(node.this, env, dry), self._eval(node.expression, env, dry))
+        operator = _BINARY_OPERATORS.get(kind)
+        if operator is not None:
+            return operator(
+                self._eval(node.this, environment, without_effects),
+                self._eval(node.expression, environment, without_effects),
+            )
         if kind is exp.Literal:
             if node.is_string:
                 return node.this
             return int(node.this) if node.this.isdigit() else Decimal(node.this)
         if kind is exp.Column:
             name = node.name.lower()
-            if name in env:
-                return env[name]
+            if name in environment:
+                return environment[name]
             if name in ("on", "off"):
                 return name.upper()
             raise SqlError(1054, "42S22", f"Unknown column '{node.name}' in 'where clause'")
@@ -823,11 +842,11 @@
         if kind is exp.SessionParameter:
             return self._variable(node.name.lower())
         if kind is exp.PropertyEQ:
-            value = self._eval(node.expression, env, dry)
-            if not dry:
+            value = self._eval(node.expression, environment, without_effects)
+            if not without_effects:
                 self.user_variables[node.this.name.lower()] = value
             return value
-        return self._eval_more(node, env, dry)
+        return self._eval_special_form(node, environment, without_effects)
 
     def _variable(self, name: str) -> Value:
         if name == "autocommit":
@@ -840,11 +859,11 @@
             raise SqlError(1193, "HY000", f"Unknown system variable '{name}'")
         return self.variables[name]
 
-    def _eval_more(self, node: Any, env: dict[str, Value], dry: bool) -> Value:
+    def _eval_special_form(self, node: Any, environment: dict[str, Value], without_effects: bool) -> Value:
         kind = type(node)
 
         def inner() -> Value:
-            return self._eval(node.this, env, dry)
+            return self._eval(node.this, environment, without_effects)
 
         if kind in (exp.Alias, exp.Paren):
             return inner()
@@ -859,20 +878,26 @@
             value = inner()
             return None if value is None else int(not value)
         if kind is exp.And:
-            return int(bool(inner()) and bool(self._eval(node.expression, env, dry)))
+            return int(bool(inner()) and bool(self._eval(node.expression, environment, without_effects)))
         if kind is exp.Or:
-            return int(bool(inner()) or bool(self._eval(node.expression, env, dry)))
+            return int(bool(inner()) or bool(self._eval(node.expression, environment, without_effects)))
         if kind is exp.Is:
-            return int(inner() is self._eval(node.expression, env, dry))
+            return int(inner() is self._eval(node.expression, environment, without_effects))
         if kind is exp.In:
-            return int(inner() in [self._eval(each, env, dry) for each in node.expressions])
+            return int(
+                inner() in [self._eval(each, environment, without_effects) for each in node.expressions]
+            )
         if kind is exp.Between:
             return int(
-                self._eval(node.args["low"], env, dry) <= inner() <= self._eval(node.args["high"], env, dry)
+                self._eval(node.args["low"], environment, without_effects)
+                <= inner()
+                <= self._eval(node.args["high"], environment, without_effects)
             )
         if kind is exp.Like:
             pattern = (
-                re.escape(str(self._eval(node.expression, env, dry))).replace("%", ".*").replace("_", ".")
+                re.escape(str(self._eval(node.expression, environment, without_effects)))
+                .replace("%", ".*")
+                .replace("_", ".")
             )
             return int(re.fullmatch(pattern, str(inner()), re.I | re.S) is not None)
         if kind in (exp.Cast, exp.Convert) if hasattr(exp, "Convert") else kind is exp.Cast:
@@ -885,20 +910,20 @@
                 int(value) if "SIGNED" in to or "INT" in to else Decimal(str(value)) if "DEC" in to else value
             )
         if kind is exp.Introducer:
-            value = self._eval(node.expression, env, dry)
+            value = self._eval(node.expression, environment, without_effects)
             return value.encode("utf-8", "surrogateescape") if isinstance(value, str) else value
         if kind is exp.HexString:
             return bytes.fromhex(node.this)
         if kind is exp.Concat:
-            parts = [self._eval(each, env, dry) for each in node.expressions]
+            parts = [self._eval(each, environment, without_effects) for each in node.expressions]
             return None if None in parts else "".join(map(str, parts))
         if kind is exp.Repeat:
-            return str(inner()) * int(self._eval(node.args["times"], env, dry))
+            return str(inner()) * int(self._eval(node.args["times"], environment, without_effects))
         if kind is exp.Length:
             value = inner()
             return None if value is None else len(value if isinstance(value, bytes) else str(value).encode())
         if kind is exp.Coalesce:
-            values = [inner(), *[self._eval(each, env, dry) for each in node.expressions]]
+            values = [inner(), *[self._eval(each, environment, without_effects) for each in node.expressions]]
             return next((value for value in values if value is not None), None)
         if kind in (exp.Upper, exp.Lower):
             text = str(inner())
@@ -912,18 +937,22 @@
         ):
             return f"{self.user}@%"
         name = node.name if kind is exp.Anonymous else node.sql_name() if isinstance(node, exp.Func) else ""
-        return self._function(str(name).lower(), node, env, dry)
+        return self._function(str(name).lower(), node, environment, without_effects)
 
-    def _function(self, name: str, node: Any, env: dict[str, Value], dry: bool) -> Value:
-        given = [self._eval(each, env, dry) for each in node.expressions] if node.expressions else []
+    def _function(self, name: str, node: Any, environment: dict[str, Value], without_effects: bool) -> Value:
+        given = (
+            [self._eval(each, environment, without_effects) for each in node.expressions]
+            if node.expressions
+            else []
+        )
         if name == "sleep":
-            self._sleeps += 1
-            if self._sleeps > self.slept and not dry:
-                raise Sleep(float(given[0] if given else self._eval(node.this, env, dry)))
+            self._sleep_count += 1
+            if self._sleep_count > self.slept and not without_effects:
+                raise Sleep(float(given[0] if given else self._eval(node.this, environment, without_effects)))
             return 0
         if name == "last_insert_id":
             if given:
-                if not dry:
+                if not without_effects:
                     self.last_id = int(given[0])
                 return int(given[0])
             return self.last_id
@@ -941,8 +970,8 @@
             return self.found_rows
         if name == "get_lock":
             key = str(given[0]).lower()
-            holder = self.database.named_locks.get(key)
-            if holder is not None and holder is not self:
+            lock_owner = self.database.named_locks.get(key)
+            if lock_owner is not None and lock_owner is not self:
                 return 0
             self.database.named_locks[key] = self
             return 1
@@ -962,19 +991,19 @@
         raise SqlError(1305, "42000", f"FUNCTION {self.schema}.{name} does not exist")
 
 
-def _both(call: Callable[[Any, Any], Value]) -> Callable[[Any, Any], Value]:
+def _binary_operator(operation: Callable[[Any, Any], Value]) -> Callable[[Any, Any], Value]:
     def run(left: Any, right: Any) -> Value:
         if left is None or right is None:
             return None
         if type(left) is not type(right):
-            left, right = _alike(left, right)
-        return call(left, right)
+            left, right = _to_common_type(left, right)
+        return operation(left, right)
 
     return run
 
 
-def _alike(left: Any, right: Any) -> tuple[Any, Any]:
-    """Two values in one type, as a comparison or a sum has them."""
+def _to_common_type(left: Any, right: Any) -> tuple[Any, Any]:
+    """Convert two operands to a common type, as MySQL does for comparison and arithmetic."""
     numbers = (int, float, Decimal)
     if isinstance(left, str) and isinstance(right, numbers):
         return _number(left), right
@@ -998,22 +1027,22 @@
     return Decimal(found[0].strip()) if found else Decimal(0)
 
 
-_SIMPLE: dict[type, Callable[[Any, Any], Value]] = {
-    exp.Add: _both(lambda a, b: a + b),
-    exp.Sub: _both(lambda a, b: a - b),
-    exp.Mul: _both(lambda a, b: a * b),
-    exp.Div: _both(lambda a, b: None if not b else Decimal(a) / Decimal(b)),
-    exp.Mod: _both(lambda a, b: a % b if b else None),
-    exp.EQ: _both(lambda a, b: int(a == b)),
-    exp.NEQ: _both(lambda a, b: int(a != b)),
-    exp.LT: _both(lambda a, b: int(a < b)),
-    exp.LTE: _both(lambda a, b: int(a <= b)),
-    exp.GT: _both(lambda a, b: int(a > b)),
-    exp.GTE: _both(lambda a, b: int(a >= b)),
+_BINARY_OPERATORS: dict[type, Callable[[Any, Any], Value]] = {
+    exp.Add: _binary_operator(lambda a, b: a + b),
+    exp.Sub: _binary_operator(lambda a, b: a - b),
+    exp.Mul: _binary_operator(lambda a, b: a * b),
+    exp.Div: _binary_operator(lambda a, b: None if not b else Decimal(a) / Decimal(b)),
+    exp.Mod: _binary_operator(lambda a, b: a % b if b else None),
+    exp.EQ: _binary_operator(lambda a, b: int(a == b)),
+    exp.NEQ: _binary_operator(lambda a, b: int(a != b)),
+    exp.LT: _binary_operator(lambda a, b: int(a < b)),
+    exp.LTE: _binary_operator(lambda a, b: int(a <= b)),
+    exp.GT: _binary_operator(lambda a, b: int(a > b)),
+    exp.GTE: _binary_operator(lambda a, b: int(a >= b)),
 }
 
 
-def _name_of(node: Any) -> str:
+def _column_name(node: Any) -> str:
     if isinstance(node, exp.Alias):
         return str(node.alias)
     if isinstance(node, exp.Column):
@@ -1025,7 +1054,7 @@
     return (0, 0) if value is None else (1, value)
 
 
-def _as_key(value: Value, table: Table) -> Value:
+def _convert_to_key(value: Value, table: Table) -> Value:
     kind = table.columns[0].type
     if kind in (Type.LONG, Type.LONGLONG, Type.SHORT, Type.TINY) and not isinstance(value, int):
         return int(_number(str(value))) if value is not None else None
@@ -1034,8 +1063,8 @@
     return value
 
 
-def _shaped(columns: list[ColumnInfo], rows: list[Row]) -> Result:
-    """Columns whose type nothing told yet have that of the first value."""
+def _result_set(columns: list[ColumnInfo], rows: list[Row]) -> Result:
+    """Build a result set; a column of unknown type (-1) gets the type of its first value that is not NULL."""
     for at, column in enumerate(columns):
         if column.type == -1:
             column.type = next(
--- a/brambleusher/lab/mysql/replay.py
+++ b/brambleusher/lab/mysql/replay.py
@@ -1,10 +1,11 @@
 """Seeded fault schedules for the MySQL front, in virtual time: `python -m brambleusher.lab.mysql.replay`.
 
-A world has three stand-in MySQL servers, a discovery, the unmodified sidecar with the front on, and a
-handful of clients that transfer, read, set variables, leave and kill.  A plan drawn from the seed breaks
-connections at every point of a command, crashes servers, has them vanish, drain, hang and talk nonsense.
-At the end the books of both sides are compared: what the servers ran and hold, and what each client was
-told.  The checker knows nothing of the front.
+A world has three MySQL test servers, a discovery service, the unmodified sidecar with the MySQL front
+enabled, and six clients.  The clients transfer money, read, set variables, disconnect early and kill each
+other's queries.  A fault plan generated from the seed breaks connections at every point of a command, or
+crashes, drains and stalls servers, cuts them off from the network and makes them send invalid packets.  At
+the end the checker compares the statements that the servers executed and the data they store with the
+replies that each client received.  The checker uses no code or state of the front.
 """
 
 from __future__ import annotations
@@ -56,10 +57,10 @@
 NODES, CLIENTS = 3, 6
 DISCOVERY: Address = ("10.0.0.9", 80)
 HTTP, FRONT = 8080, 3307
-FAULTS_END_S, ACTS, END_S = 4.0, 9, 40.0
-PATIENCE_S = 8.0  # a client waits so long: any deadline, and what it takes to stop a statement
-WELL_AGAIN_S = 6.0  # after the last fault every client can transfer again within it
-MONEY = 1000
+FAULTS_END_S, ACTIONS, END_S = 4.0, 9, 40.0
+CLIENT_TIMEOUT_S = 8.0  # client timeout in seconds; covers every deadline and the time to stop a statement
+RECOVERY_LIMIT_S = 6.0  # time in seconds after the last fault in which each client must complete a transfer
+INITIAL_BALANCE = 1000
 CLASSES = [
     {"name": "look", "promise_ns": 200_000_000, "give_up_ns": 1_500_000_000, "effect": "read_like",
      "worth": 1.0},
@@ -91,10 +92,11 @@
   users:
     web: {{account: registry}}
 """
-# Errors that say that the statement did not run, or that its transaction was rolled back; others say so
-# of themselves.  Beside them a client may hear what a stand-in was scripted to say.
-TOLD_UNKNOWN = {int(Errno.ERROR_DURING_COMMIT)}
-TOLD_FAILED = {
+# Errors after which the client can't know whether its transaction was committed.
+UNKNOWN_OUTCOME_ERRORS = {int(Errno.ERROR_DURING_COMMIT)}
+# Errors after which the statement did not run or its transaction was rolled back.  Apart from these errors, a
+# client may receive only UNKNOWN_OUTCOME_ERRORS and SCRIPTED, which the test servers send by script.
+FAILED_ERRORS = {
     int(each) for each in (
         Errno.NET_READ, Errno.SERVER_SHUTDOWN, Errno.QUERY_TIMEOUT, Errno.SERVER_ISNT_AVAILABLE,
         Errno.MALFORMED_PACKET, Errno.NET_PACKETS_OUT_OF_ORDER, Errno.LOCK_WAIT_TIMEOUT, Errno.LOCK_DEADLOCK,
@@ -104,32 +106,43 @@
 SCRIPTED = 1105
 
 
-# --- the plan -----------------------------------------------------------------------------------
+# --- fault plan -----------------------------------------------------------------------------------
 
-KINDS = ("before", "after", "amid", "silent", "nonsense", "number", "slow", "late", "error", "shutdown")
-GREETINGS = ("error", "nonsense", "silent", "before", "slow")
-EVENTS = ("crash", "vanish", "drain", "stall")
+FAULT_KINDS = (
+    "before",
+    "after",
+    "amid",
+    "silent",
+    "nonsense",
+    "number",
+    "slow",
+    "late",
+    "error",
+    "shutdown",
+)
+GREETING_FAULTS = ("error", "nonsense", "silent", "before", "slow")
+SERVER_EVENTS = ("crash", "vanish", "drain", "stall")
 
 
 @dataclass(slots=True)
 class Plan:
-    """What goes wrong in one world: kinds of faults and how often, and events at their times."""
+    """The faults of one world: kinds and probabilities of faults in commands, and timed server events."""
 
     kinds: list[str]
     greetings: list[str]
-    part: float  # of commands that are struck
-    greeting_part: float
-    events: list[tuple[float, str, int, float]]  # when, what, which node, for how long
+    fault_probability: float  # probability that a fault is injected into a command
+    greeting_probability: float  # probability that a fault is injected into a new connection
+    events: list[tuple[float, str, int, float]]  # start in s, kind of event, node index, duration in s
 
     @classmethod
     def draw(cls, rng: random.Random) -> Plan:
-        """A swarm: some kinds are on in this world, others are not."""
-        kinds = [kind for kind in KINDS if rng.random() < 0.5] or [rng.choice(KINDS)]
-        greetings = [kind for kind in GREETINGS if rng.random() < 0.3]
+        """Generate a plan with a random subset of the kinds of faults (swarm testing)."""
+        kinds = [kind for kind in FAULT_KINDS if rng.random() < 0.5] or [rng.choice(FAULT_KINDS)]
+        greetings = [kind for kind in GREETING_FAULTS if rng.random() < 0.3]
         events = [
             (
                 rng.uniform(0.2, FAULTS_END_S - 1),
-                rng.choice(EVENTS),
+                rng.choice(SERVER_EVENTS),
                 rng.randrange(NODES),
                 rng.uniform(0.2, 1.0),
             )
@@ -140,16 +153,16 @@
         )
 
     def fault(self, rng: random.Random, moment: Moment) -> Fault | None:
-        """The fault for one moment, if there is one."""
+        """Return the fault to inject at a connection or command, or None."""
         if moment.command < 0:
-            if not self.greetings or rng.random() >= self.greeting_part:
+            if not self.greetings or rng.random() >= self.greeting_probability:
                 return None
             return Fault(
                 rng.choice(self.greetings), seconds=rng.uniform(0.0, 0.3), errno=rng.choice((1040, 1129))
             )
-        # The end of a transaction is where it matters most.
-        part = self.part * (6 if moment.text.lower().startswith("commit") else 1)
-        if rng.random() >= part:
+        # Faults at COMMIT are six times as likely: only they can leave the outcome of a transaction unknown.
+        probability = self.fault_probability * (6 if moment.text.lower().startswith("commit") else 1)
+        if rng.random() >= probability:
             return None
         kind = rng.choice(self.kinds)
         if kind == "shutdown":
@@ -157,21 +170,21 @@
         return Fault(kind, bytes=rng.choice((1, 3, 4, 5, 20, 60, 300, 5000)), seconds=rng.uniform(0.01, 3.0))
 
 
-# --- the clients --------------------------------------------------------------------------------
+# --- clients --------------------------------------------------------------------------------------
 
 
 @dataclass(slots=True)
 class Transfer:
-    """What a client was told of one transfer, or of one write outside a transaction."""
+    """The outcome of a transfer, or of a write outside a transaction, as reported to the client."""
 
     id: str
-    told: str = "nothing"  # done, failed, unknown, nothing
-    within: bool = True  # a transaction
+    told: str = "nothing"  # one of done, failed, unknown, nothing
+    within: bool = True  # False for a single write outside a transaction
 
 
 @dataclass(slots=True)
-class Notes:
-    """What the clients noted, and where they saw a rule broken."""
+class Observations:
+    """Replies and errors that the clients of a run received, and the rule violations they detected."""
 
     transfers: list[Transfer] = field(default_factory=list)
     breaches: list[str] = field(default_factory=list)
@@ -182,36 +195,41 @@
 
 
 class Actor:
-    """One client and what it does."""
+    """A simulated client that performs random actions through the MySQL front."""
 
     def __init__(
-        self, scheduler: Scheduler, number: int, rng: random.Random, notes: Notes, fellows: list[Actor]
+        self,
+        scheduler: Scheduler,
+        number: int,
+        rng: random.Random,
+        observations: Observations,
+        peers: list[Actor],
     ) -> None:
-        self.scheduler, self.number, self.rng, self.notes, self.fellows = (
+        self.scheduler, self.number, self.rng, self.observations, self.peers = (
             scheduler,
             number,
             rng,
-            notes,
-            fellows,
+            observations,
+            peers,
         )
         self.client: MysqlClient | None = None
-        self.spoilt = False  # the last answer was an error: the session may be closed behind it
+        self.after_error = False  # the last reply was an error, after which the session may be closed
         self.killed = False
         self.serial = 0
         self.done = False
 
     def run(self) -> None:
-        """The task."""
+        """Perform the random actions; after the last fault, repeat a transfer until one succeeds."""
         self.scheduler.sleep(0.3 + self.rng.random() * 0.3)
-        for _ in range(ACTS):
+        for _ in range(ACTIONS):
             self.act()
             self.scheduler.sleep(self.rng.random() * 0.15)
         wait = FAULTS_END_S + 1.5 - self.scheduler.now() + START_NS / SECOND
         self.scheduler.sleep(max(0.0, wait))
-        until = self.scheduler.now() + WELL_AGAIN_S
+        until = self.scheduler.now() + RECOVERY_LIMIT_S
         while self.scheduler.now() < until:
             if self.transfer(False) == "done":
-                self.notes.well.add(self.number)
+                self.observations.well.add(self.number)
                 break
             self.scheduler.sleep(0.3)
         if self.client is not None:
@@ -219,109 +237,114 @@
         self.done = True
 
     def act(self) -> None:
-        """One thing that clients do."""
-        what = self.rng.choices(
+        """Perform one random action."""
+        kind = self.rng.choices(
             ("transfer", "no autocommit", "write", "read", "big", "variable", "setting", "id", "leave",
              "kill", "sleep"),
             (26, 9, 12, 10, 8, 8, 5, 6, 7, 5, 4),
         )[0]  # fmt: skip
-        if what in ("transfer", "no autocommit"):
-            self.transfer(what == "no autocommit")
-        elif what == "write":
+        if kind in ("transfer", "no autocommit"):
+            self.transfer(kind == "no autocommit")
+        elif kind == "write":
             self.write()
-        elif what == "read":
+        elif kind == "read":
             name = self.rng.choice(NAMES)
-            told = self.ask(f"select name, {self.tag()} from accounts where name = '{name}'")
-            if told is not None and told.ok and [row[:1] for row in told.rows] != [[name]]:
-                self.breach(f"a read of {name} brought {told.rows[:3]}")
-        elif what == "big":
-            self.big()
-        elif what == "variable":
+            reply = self.ask(f"select name, {self.unique_literal()} from accounts where name = '{name}'")
+            if reply is not None and reply.ok and [row[:1] for row in reply.rows] != [[name]]:
+                self.breach(f"a read of {name} returned {reply.rows[:3]}")
+        elif kind == "big":
+            self.read_large_result()
+        elif kind == "variable":
             self.variable()
-        elif what == "setting":
+        elif kind == "setting":
             self.setting()
-        elif what == "id":
+        elif kind == "id":
             self.insert_id()
-        elif what == "leave":
+        elif kind == "leave":
             if self.session():
                 assert self.client is not None
                 self.client.ask_and_leave(
-                    f"select id, pad from generated where n = 3000 and width = 41 {self.note()}", 2.0
+                    f"select id, pad from generated where n = 3000 and width = 41 {self.unique_comment()}",
+                    2.0,
                 )
                 self.client = None
-        elif what == "kill":
+        elif kind == "kill":
             self.kill()
         else:
-            self.ask(f"select sleep(0.4), {self.tag()}")
+            self.ask(f"select sleep(0.4), {self.unique_literal()}")
 
-    # --- asking ---------------------------------------------------------------------------------
+    # --- statements -------------------------------------------------------------------------------
 
-    def tag(self) -> str:
-        """A text that no other statement has."""
+    def unique_literal(self) -> str:
+        """Return a string literal that is unique to one statement."""
         self.serial += 1
         return f"'c{self.number}-{self.serial}'"
 
-    def note(self) -> str:
-        """The same as a comment."""
-        return f"/* {self.tag()} */"
+    def unique_comment(self) -> str:
+        """Return an SQL comment that is unique to one statement."""
+        return f"/* {self.unique_literal()} */"
 
     def breach(self, text: str) -> None:
-        """A rule was broken."""
-        self.notes.breaches.append(f"client {self.number}: {text}")
+        """Record a rule violation."""
+        self.observations.breaches.append(f"client {self.number}: {text}")
 
     def session(self) -> bool:
-        """A session, new where there is none; false where none was to be had."""
+        """Ensure that there is a session; return False if three logins fail."""
         if self.client is not None:
             return True
         for _ in range(3):
             client = MysqlClient(self.scheduler, new=self.rng.random() < 0.6)
-            told = client.connect(("10.0.2.1", FRONT), "web", b"front", "shop", PATIENCE_S)
-            if told.ok:
-                self.client, self.spoilt, self.killed = client, False, False
+            reply = client.connect(("10.0.2.1", FRONT), "web", b"front", "shop", CLIENT_TIMEOUT_S)
+            if reply.ok:
+                self.client, self.after_error, self.killed = client, False, False
                 return True
             client.close()
-            self.breach(f"no login: {told}")
+            self.breach(f"login failed: {reply}")
         return False
 
     def ask(self, text: str) -> Told | None:
-        """One statement, whose answer must be exactly one; None where there is no session."""
+        """Execute a statement and check that it gets exactly one reply; return None without a session."""
         if not self.session():
             return None
         assert self.client is not None
-        told = self.client.query(text, PATIENCE_S)
-        self.notes.commands += 1
+        reply = self.client.query(text, CLIENT_TIMEOUT_S)
+        self.observations.commands += 1
         verdict = (
-            "ok" if told.ok else f"error {told.error}" if told.error else f"gone {told.gone} {told.nonsense}"
+            "ok"
+            if reply.ok
+            else f"error {reply.error}"
+            if reply.error
+            else f"gone {reply.gone} {reply.nonsense}"
         )
-        self.notes.lines.append(
-            f"{self.scheduler.now():.6f} c{self.number} {text} -> {verdict} {len(told.rows)}"
+        self.observations.lines.append(
+            f"{self.scheduler.now():.6f} c{self.number} {text} -> {verdict} {len(reply.rows)}"
         )
-        if told.late:
-            self.breach(f"no answer in {PATIENCE_S} s to {text}")
-        elif told.nonsense:
-            self.breach(f"nonsense ({told.nonsense}) for {text}")
-        elif told.words > 1:
-            self.breach(f"two last words for {text}")
-        elif not told.words and not self.spoilt and not self.killed:
-            self.breach(f"the end of the connection and no error ({told.gone}) for {text}")
-        if told.error is not None:
-            self.notes.errors[told.error[0]] += 1
-            known = {*TOLD_FAILED, *TOLD_UNKNOWN, SCRIPTED}
+        if reply.late:
+            self.breach(f"no reply within {CLIENT_TIMEOUT_S} s to {text}")
+        elif reply.nonsense:
+            self.breach(f"invalid reply ({reply.nonsense}) to {text}")
+        elif reply.words > 1:
+            self.breach(f"more than one reply to {text}")
+        elif not reply.words and not self.after_error and not self.killed:
+            self.breach(f"connection closed without an error ({reply.gone}) after {text}")
+        if reply.error is not None:
+            self.observations.errors[reply.error[0]] += 1
+            known = {*FAILED_ERRORS, *UNKNOWN_OUTCOME_ERRORS, SCRIPTED}
             known |= {int(Errno.NO_SUCH_THREAD)} if text.startswith("kill") else set()
-            if told.error[0] == Errno.QUERY_INTERRUPTED and not self.killed:
-                self.breach(f"interrupted, and nobody killed it: {text}")
-            elif told.error[0] not in known and told.error[0] != Errno.QUERY_INTERRUPTED:
-                self.breach(f"error {told.error} {told.text!r} for {text}")
-        if not told.ok and told.error is None:
+            if reply.error[0] == Errno.QUERY_INTERRUPTED and not self.killed:
+                self.breach(f"interrupted although no client killed the query: {text}")
+            elif reply.error[0] not in known and reply.error[0] != Errno.QUERY_INTERRUPTED:
+                self.breach(f"unexpected error {reply.error} {reply.text!r} for {text}")
+        if not reply.ok and reply.error is None:
             self.client.close()
             self.client = None
-        self.spoilt = told.error is not None
-        return told
+        self.after_error = reply.error is not None
+        return reply
 
-    # --- what they do ---------------------------------------------------------------------------
+    # --- actions ----------------------------------------------------------------------------------
 
     def transfer(self, no_autocommit: bool) -> str:
-        """Move money in a transaction; what it was told of it."""
+        """Transfer money between two accounts in a transaction; return the reported outcome."""
         self.serial += 1
         transfer = Transfer(f"t{self.number}-{self.serial}")
         one, other = self.rng.sample(NAMES, 2)
@@ -335,23 +358,23 @@
         ]
         if not self.session():
             return "failed"
-        self.notes.transfers.append(transfer)
+        self.observations.transfers.append(transfer)
         for text in steps:
-            told = self.ask(text)
-            if told is None or not told.ok:
-                transfer.told = "failed" if told is not None and told.error is not None else "unknown"
-                if told is not None and told.error is None and not told.late:
-                    transfer.told = "failed"  # the end of a connection before its COMMIT: rolled back
+            reply = self.ask(text)
+            if reply is None or not reply.ok:
+                transfer.told = "failed" if reply is not None and reply.error is not None else "unknown"
+                if reply is not None and reply.error is None and not reply.late:
+                    transfer.told = "failed"  # a connection closed before COMMIT: rolled back
                 self.end_transaction(no_autocommit)
                 return transfer.told
             if self.rng.random() < 0.1:
                 self.scheduler.sleep(self.rng.random() * 0.3)
-        told = self.ask(f"commit /* {transfer.id} */")
-        if told is not None and told.ok:
+        reply = self.ask(f"commit /* {transfer.id} */")
+        if reply is not None and reply.ok:
             transfer.told = "done"
-        elif told is not None and told.error is not None:
-            transfer.told = "unknown" if told.error[0] in TOLD_UNKNOWN else "failed"
-            if told.error[0] == SCRIPTED:
+        elif reply is not None and reply.error is not None:
+            transfer.told = "unknown" if reply.error[0] in UNKNOWN_OUTCOME_ERRORS else "failed"
+            if reply.error[0] == SCRIPTED:
                 self.end_transaction(no_autocommit)
         elif self.killed:
             transfer.told = "unknown"
@@ -362,128 +385,136 @@
         return transfer.told
 
     def end_transaction(self, no_autocommit: bool) -> None:
-        """After an error: roll back, if the session is still there."""
+        """Roll back after an error, if the session is still open."""
         if self.client is None:
             return
-        told = self.ask("rollback")
-        if told is not None and told.ok and no_autocommit:
-            told = self.ask("set autocommit = 1")
-        if self.client is not None and (told is None or not told.ok):
+        reply = self.ask("rollback")
+        if reply is not None and reply.ok and no_autocommit:
+            reply = self.ask("set autocommit = 1")
+        if self.client is not None and (reply is None or not reply.ok):
             self.client.close()
             self.client = None
 
     def write(self) -> None:
-        """A write outside a transaction."""
+        """Insert a row outside a transaction."""
         self.serial += 1
         transfer = Transfer(f"w{self.number}-{self.serial}", within=False)
         if not self.session():
             return
-        self.notes.transfers.append(transfer)
-        spoilt = self.spoilt
-        told = self.ask(f"insert into transfers values ('{transfer.id}', 1)")
-        if told is not None and told.ok:
+        self.observations.transfers.append(transfer)
+        after_error = self.after_error
+        reply = self.ask(f"insert into transfers values ('{transfer.id}', 1)")
+        if reply is not None and reply.ok:
             transfer.told = "done"
-        elif told is not None and told.error is not None:
-            transfer.told = "unknown" if told.error[0] in TOLD_UNKNOWN else "failed"
+        elif reply is not None and reply.error is not None:
+            transfer.told = "unknown" if reply.error[0] in UNKNOWN_OUTCOME_ERRORS else "failed"
         elif self.killed:
             transfer.told = "unknown"
-        elif told is not None and spoilt and told.gone is not None and not told.gone.within:
-            transfer.told = "failed"  # the session was over with the error before
+        elif reply is not None and after_error and reply.gone is not None and not reply.gone.within:
+            transfer.told = "failed"  # the preceding error had already ended the session
 
-    def big(self) -> None:
-        """A result of many rows, looked at one by one."""
+    def read_large_result(self) -> None:
+        """Read a result of many rows and compare every row with the expected one."""
         count, width = self.rng.choice((50, 700, 2500)), self.rng.randrange(20, 200)
-        told = self.ask(f"select id, pad from generated where n = {count} and width = {width} {self.note()}")
-        if told is None:
+        reply = self.ask(
+            f"select id, pad from generated where n = {count} and width = {width} {self.unique_comment()}"
+        )
+        if reply is None:
             return
-        good = [[str(at), "x" * width] for at in range(len(told.rows))]
-        if told.rows != good:
-            at = next(at for at, (one, other) in enumerate(zip(told.rows, good, strict=True)) if one != other)
-            self.breach(f"row {at} of a result is another's: {str(told.rows[at])[:60]}")
-        elif told.ok and len(told.rows) != count:
-            self.breach(f"{len(told.rows)} rows of {count}, and no error")
+        expected_rows = [[str(at), "x" * width] for at in range(len(reply.rows))]
+        if reply.rows != expected_rows:
+            at = next(
+                at
+                for at, (one, other) in enumerate(zip(reply.rows, expected_rows, strict=True))
+                if one != other
+            )
+            self.breach(f"row {at} belongs to another result: {str(reply.rows[at])[:60]}")
+        elif reply.ok and len(reply.rows) != count:
+            self.breach(f"{len(reply.rows)} of {count} rows before the end of a result without an error")
 
     def variable(self) -> None:
-        """A user variable is where it was set."""
+        """Set a user variable and check that later statements of the session read the same value."""
         value = f"v{self.number}-{self.serial}"
-        told = self.ask(f"set @token = '{value}'")
+        reply = self.ask(f"set @token = '{value}'")
         for _ in range(self.rng.randrange(1, 4)):
-            if told is None or not told.ok or self.client is None:
+            if reply is None or not reply.ok or self.client is None:
                 return
-            told = self.ask(f"select @token, {self.tag()}")
-            if told is not None and told.ok and told.rows[0][0] != value:
-                self.breach(f"@token is {told.rows[0][0]}, not {value}")
+            reply = self.ask(f"select @token, {self.unique_literal()}")
+            if reply is not None and reply.ok and reply.rows[0][0] != value:
+                self.breach(f"@token is {reply.rows[0][0]}, expected {value}")
             self.scheduler.sleep(self.rng.random() * 0.1)
         if self.client is not None and self.rng.random() < 0.7:
-            self.client.close()  # else the session stays tied
+            self.client.close()  # otherwise the session stays bound to its server connection
             self.client = None
 
     def setting(self) -> None:
-        """A setting goes along, wherever the session does."""
+        """Set sql_mode and check that later statements of the session run with that mode."""
         value = f"MODE_{self.number}"
-        told = self.ask(f"set sql_mode = '{value}'")
+        reply = self.ask(f"set sql_mode = '{value}'")
         for _ in range(3):
-            if told is None or not told.ok or self.client is None:
+            if reply is None or not reply.ok or self.client is None:
                 return
-            told = self.ask(f"select @@sql_mode, {self.tag()} from accounts where name = 'n1'")
-            if told is not None and told.ok and told.rows[0][0] != value:
-                self.breach(f"sql_mode is {told.rows[0][0]}, not {value}")
+            reply = self.ask(f"select @@sql_mode, {self.unique_literal()} from accounts where name = 'n1'")
+            if reply is not None and reply.ok and reply.rows[0][0] != value:
+                self.breach(f"sql_mode is {reply.rows[0][0]}, expected {value}")
 
     def insert_id(self) -> None:
-        """LAST_INSERT_ID is that of this session's own insert."""
-        told = self.ask(f"insert into tickets (v) values ({self.tag()})")
-        if told is None or not told.ok or self.client is None:
+        """Check that LAST_INSERT_ID() returns the id of this session's own insert."""
+        reply = self.ask(f"insert into tickets (v) values ({self.unique_literal()})")
+        if reply is None or not reply.ok or self.client is None:
             return
-        wanted = str(told.last_id)
+        expected_id = str(reply.last_id)
         if self.rng.random() < 0.5:
             self.scheduler.sleep(self.rng.random() * 0.2)
-        told = self.ask("select last_insert_id()")
-        if told is not None and told.ok and told.rows[0][0] != wanted:
-            self.breach(f"LAST_INSERT_ID() is {told.rows[0][0]}, not {wanted}")
+        reply = self.ask("select last_insert_id()")
+        if reply is not None and reply.ok and reply.rows[0][0] != expected_id:
+            self.breach(f"LAST_INSERT_ID() is {reply.rows[0][0]}, expected {expected_id}")
 
     def kill(self) -> None:
-        """KILL QUERY of a fellow's session."""
-        fellow = self.rng.choice(self.fellows)
-        if fellow is self or fellow.client is None:
+        """Execute KILL QUERY on the session of a random other client."""
+        peer = self.rng.choice(self.peers)
+        if peer is self or peer.client is None:
             return
-        fellow.killed = True
-        told = self.ask(f"kill query {fellow.client.thread}")
-        if told is not None and told.error is not None and told.error[0] != Errno.NO_SUCH_THREAD:
-            self.breach(f"kill: {told.error}")
+        peer.killed = True
+        reply = self.ask(f"kill query {peer.client.thread}")
+        if reply is not None and reply.error is not None and reply.error[0] != Errno.NO_SUCH_THREAD:
+            self.breach(f"KILL QUERY failed: {reply.error}")
 
 
-# --- the world ----------------------------------------------------------------------------------
+# --- world ----------------------------------------------------------------------------------------
 
 
-class Answers(Tap):
-    """Notes, on the wire, on which connections to servers bytes of a statement's result were read."""
+class ResultReads(Tap):
+    """Network tap that records on which server connections the result of each statement was read."""
 
     def __init__(self) -> None:
-        self._asked: dict[int, tuple[str, bytes]] = {}  # the statement under way, and what came first
-        self.begun: dict[str, set[int]] = {}
+        self._current: dict[
+            int, tuple[str, bytes]
+        ] = {}  # tag of the current statement and first bytes of its reply
+        self.connections_by_tag: dict[str, set[int]] = {}
 
     def sent(self, now: int, conn: Connection, side: str, data: bytes) -> None:
-        """A statement goes out."""
+        """Record the tag of a statement that the front sends to a server."""
         if side == "client" and conn.server.port == 3306:
             found = _TAG.search(data)
-            self._asked.pop(conn.id, None)
+            self._current.pop(conn.id, None)
             if found is not None:
-                self._asked[conn.id] = found[0].decode(), b""
+                self._current[conn.id] = found[0].decode(), b""
 
     def read(self, now: int, conn: Connection, side: str, data: bytes) -> None:
-        """Bytes of its answer were read; an error is no result."""
-        if side != "client" or conn.id not in self._asked or not data:
+        """Record that the front read bytes of a result; an ERR packet doesn't count as a result."""
+        if side != "client" or conn.id not in self._current or not data:
             return
-        tag, first = self._asked[conn.id]
+        tag, first = self._current[conn.id]
         first = (first + data)[:5]
-        begun = self.begun.setdefault(tag, set())
-        begun.add(conn.id)
+        connections = self.connections_by_tag.setdefault(tag, set())
+        connections.add(conn.id)
         if len(first) < 5:
-            self._asked[conn.id] = tag, first
+            self._current[conn.id] = tag, first
             return
-        del self._asked[conn.id]
+        del self._current[conn.id]
         if first[4] == 0xFF:
-            begun.discard(conn.id)
+            connections.discard(conn.id)
 
 
 _TAG = re.compile(rb"'c[0-9]+-[0-9]+'")
@@ -491,7 +522,7 @@
 
 @dataclass(slots=True)
 class Verdict:
-    """What a run came to."""
+    """The rule violations and statistics of one run."""
 
     seed: int
     breaches: list[str]
@@ -499,21 +530,21 @@
     commands: int
     transfers: Counter[str]
     errors: Counter[int]
-    struck: Counter[str]
+    injected_faults: Counter[str]
     lines: list[str] = field(default_factory=list)
 
 
-class Run:
-    """One world from its start to its end."""
+class ScheduleRun:
+    """Builds the world of one seed, runs it with its faults, and checks the result."""
 
     def __init__(self, seed: int, folder: Path, dense: bool = False) -> None:
         self.seed, self.folder = seed, folder
         self.world = World(seed)
         self.plan = Plan.draw(self.world.stream("plan"))
         if dense:
-            self.plan.part, self.plan.kinds = 0.12, list(KINDS)
-        self.notes = Notes()
-        self.struck: Counter[str] = Counter()
+            self.plan.fault_probability, self.plan.kinds = 0.12, list(FAULT_KINDS)
+        self.observations = Observations()
+        self.injected_faults: Counter[str] = Counter()
         self.databases = [self._database() for _ in range(NODES)]
         self.servers: list[list[MysqlServer]] = [[] for _ in range(NODES)]
         self.machines: list[Machine] = []
@@ -521,25 +552,25 @@
         self.sidecars: list[Sidecar] = []
         self.discovery: Discovery | None = None
         self.actors: list[Actor] = []
-        self.answers = Answers()
-        self.world.taps.append(self.answers)
+        self.result_reads = ResultReads()
+        self.world.taps.append(self.result_reads)
         self._fault_rng = self.world.stream("faults")
-        self._calm_ns = START_NS + int(FAULTS_END_S * SECOND)
+        self._faults_end_ns = START_NS + int(FAULTS_END_S * SECOND)
 
     @staticmethod
     def _database() -> Database:
         database = Database()
-        accounts(NAMES, database, money=MONEY)
+        accounts(NAMES, database, money=INITIAL_BALANCE)
         columns = [ColumnInfo("id", 8, True, "tickets"), ColumnInfo("v", 253, False, "tickets")]
         database.tables[("shop", "tickets")] = Table("tickets", columns)
         return database
 
-    def _trouble(self, node: int, moment: Moment) -> Fault | None:
-        if self.world.now_ns > self._calm_ns or self.world.elapsed_ns < SECOND // 5:
+    def _choose_fault(self, node: int, moment: Moment) -> Fault | None:
+        if self.world.now_ns > self._faults_end_ns or self.world.elapsed_ns < SECOND // 5:
             return None
         fault = self.plan.fault(self._fault_rng, moment)
         if fault is not None:
-            self.struck[fault.how if moment.command >= 0 else "greeting"] += 1
+            self.injected_faults[fault.how if moment.command >= 0 else "greeting"] += 1
         return fault
 
     def _start_node(self, at: int) -> None:
@@ -550,7 +581,7 @@
                                      work_seconds=0.002)  # fmt: skip
             server = MysqlServer(
                 scheduler, f"h{at}", self.databases[at], settings, self.seed * 10 + len(self.servers[at]),
-                lambda moment: self._trouble(at, moment), keep=True,
+                lambda moment: self._choose_fault(at, moment), keep=True,
             )  # fmt: skip
             self.servers[at].append(server)
             server.listen(("0.0.0.0", 3306))
@@ -591,98 +622,101 @@
         operator = OPERATOR.format(folder=self.folder).encode()
 
         def sidecar(system: VirtualSystem) -> None:
-            made = Sidecar(
+            app = Sidecar(
                 parse_config(json.dumps(config).encode(), {}),
                 operator=parse_operator_file(operator),
                 system=system,
             )
-            made.install_signal_handlers()
-            made.start()
-            self.sidecars.append(made)
-            made.run()
-            made.close()
+            app.install_signal_handlers()
+            app.start()
+            self.sidecars.append(app)
+            app.run()
+            app.close()
 
         self.sidecar_process = world.machine("sidecar", "10.0.2.1").start(sidecar)
 
         def clients(system: VirtualSystem) -> None:
             scheduler = Scheduler(system)
             for number in range(CLIENTS):
-                actor = Actor(scheduler, number, world.stream(f"client {number}"), self.notes, self.actors)
+                actor = Actor(
+                    scheduler, number, world.stream(f"client {number}"), self.observations, self.actors
+                )
                 self.actors.append(actor)
                 scheduler.spawn(actor.run, name=f"client {number}")
             scheduler.run()
 
         world.machine("clients", "10.0.3.1").start(clients)
 
-    # --- events ---------------------------------------------------------------------------------
+    # --- events -----------------------------------------------------------------------------------
 
-    def _tell(self, entry: Entry) -> None:
+    def _announce(self, entry: Entry) -> None:
         discovery = self.discovery
         if discovery is not None:
             discovery.scheduler.call_soon(lambda: discovery.put(entry))
 
     def _schedule(self) -> None:
-        for when, what, at, seconds in self.plan.events:
-            self.world.at(START_NS + int(when * SECOND), lambda w=what, a=at, s=seconds: self._event(w, a, s))  # type: ignore[misc]
+        for at_s, kind, at, seconds in self.plan.events:
+            self.world.at(START_NS + int(at_s * SECOND), lambda w=kind, a=at, s=seconds: self._event(w, a, s))  # type: ignore[misc]
 
-    def _event(self, what: str, at: int, seconds: float) -> None:
-        self.struck[what] += 1
+    def _event(self, kind: str, at: int, seconds: float) -> None:
+        self.injected_faults[kind] += 1
         machine, process, after = self.machines[at], self.processes[at], int(seconds * SECOND)
-        if what == "crash" and not process.dead and not machine.gone:
+        if kind == "crash" and not process.dead and not machine.gone:
             process.kill(reset=True)
             self.world.after(after, lambda: self._restart(at))
-        elif what == "vanish" and not machine.gone:
+        elif kind == "vanish" and not machine.gone:
             machine.vanish()
-            self.world.after(after, lambda: self._come_back(at))
-        elif what == "drain":
-            self._tell(self._entry(at, "Terminating"))
-            self.world.after(after + SECOND, lambda: self._tell(self._entry(at)))
-        elif what == "stall":
+            self.world.after(after, lambda: self._reconnect(at))
+        elif kind == "drain":
+            self._announce(self._entry(at, "Terminating"))
+            self.world.after(after + SECOND, lambda: self._announce(self._entry(at)))
+        elif kind == "stall":
             machine.stall(after)
 
     def _restart(self, at: int) -> None:
         if self.processes[at].dead and not self.machines[at].gone:
             self._start_node(at)
 
-    def _come_back(self, at: int) -> None:
+    def _reconnect(self, at: int) -> None:
         self.machines[at].come_back()
         self._restart(at)
 
-    # --- the run and its books ------------------------------------------------------------------
+    # --- run and checks ---------------------------------------------------------------------------
 
-    def go(self) -> Verdict:
-        """From the start to the end."""
+    def run(self) -> Verdict:
+        """Run the world to its end and return the verdict."""
         self._start()
         self._schedule()
-        world, breaches = self.world, self.notes.breaches
+        world, breaches = self.world, self.observations.breaches
         ended = world.run(
             START_NS + int(END_S * SECOND),
             lambda: bool(self.actors) and all(actor.done for actor in self.actors),
         )
         if not ended:
-            breaches.append("the clients did not come to an end")
+            breaches.append("the clients did not finish")
         for actor in self.actors:
-            if actor.number not in self.notes.well:
-                breaches.append(f"client {actor.number}: no transfer went through after the last fault")
+            if actor.number not in self.observations.well:
+                breaches.append(f"client {actor.number}: no transfer succeeded after the last fault")
         world.run(world.now_ns + 6 * SECOND)
-        self._check_rest()
+        self._check_idle_sidecar()
         self.sidecar_process.signal(signal.SIGTERM)
         world.run(world.now_ns + 8 * SECOND, lambda: self.sidecar_process.dead)
         if not self.sidecar_process.dead:
-            breaches.append("the sidecar did not end")
-        self._check_books()
-        digest = hashlib.sha256("\n".join(self.notes.lines).encode())
+            breaches.append("the sidecar did not exit after SIGTERM")
+        self._check_data()
+        digest = hashlib.sha256("\n".join(self.observations.lines).encode())
         digest.update(repr([[(s.name, s.seen) for s in each] for each in self.servers]).encode())
         verdict = Verdict(
-            self.seed, breaches, digest.hexdigest()[:16], self.notes.commands,
-            Counter(t.told for t in self.notes.transfers), self.notes.errors, self.struck, self.notes.lines,
+            self.seed, breaches, digest.hexdigest()[:16], self.observations.commands,
+            Counter(t.told for t in self.observations.transfers), self.observations.errors,
+            self.injected_faults, self.observations.lines,
         )  # fmt: skip
         world.close()
         return verdict
 
-    def _check_rest(self) -> None:
-        """At rest nothing of the sidecar's is left over."""
-        breaches = self.notes.breaches
+    def _check_idle_sidecar(self) -> None:
+        """Check that the idle sidecar has no sessions, requests or busy server connections."""
+        breaches = self.observations.breaches
         if not self.sidecars:
             breaches.append("the sidecar never started")
             return
@@ -691,30 +725,30 @@
             breaches.append(f"{sidecar.counters.count('faults')} faults in the sidecar")
         assert sidecar.mysql is not None
         if sidecar.mysql.front.connections:
-            breaches.append(f"{sidecar.mysql.front.connections} sessions left")
+            breaches.append(f"{sidecar.mysql.front.connections} sessions left open")
         if sidecar.balancer_driver.unanswered_requests or sidecar.balancer_driver._pending:
-            breaches.append(f"{len(sidecar.balancer_driver._pending)} requests left")
+            breaches.append(f"{len(sidecar.balancer_driver._pending)} requests left unfinished")
         for node in sidecar.mysql.nodes._nodes.values():
             left = len(node.held), len(node.claims), len(node.waiters), node.side, node.open - len(node.idle)
             if any(left):
-                breaches.append(f"left at {node.name}: held, claims, waiters, kills, open {left}")
+                breaches.append(f"left over at {node.name} (held, claims, waiters, kills, open): {left}")
 
-    def _check_books(self) -> None:
-        """What the servers ran and hold, against what the clients were told."""
-        breaches = self.notes.breaches
+    def _check_data(self) -> None:
+        """Compare the executed statements and stored data of the servers with the clients' replies."""
+        breaches = self.observations.breaches
         ran: Counter[str] = Counter()
         for each in self.servers:
             for server in each:
                 ran.update(text for _, command, text in server.seen if command == Command.QUERY)
-        held = [
+        stored = [
             {row[0]: row[1] for row in database.snapshot("shop", "transfers").values()}
             for database in self.databases
         ]
         for at, database in enumerate(self.databases):
             money = sum(row[1] for row in database.snapshot("shop", "accounts").values())
-            if money != MONEY * len(NAMES):
-                breaches.append(f"the accounts of h{at} hold {money}")
-        for transfer in self.notes.transfers:
+            if money != INITIAL_BALANCE * len(NAMES):
+                breaches.append(f"the accounts of h{at} sum to {money}")
+        for transfer in self.observations.transfers:
             name = transfer.id
             inserts = sum(
                 count
@@ -722,31 +756,31 @@
                 if text.startswith(f"insert into transfers values ('{name}'")
             )
             commits = ran[f"commit /* {name} */"]
-            where = sum(name in rows for rows in held)
+            where = sum(name in rows for rows in stored)
             if inserts > 1 or commits > 1 or where > 1:
                 breaches.append(
-                    f"{name} was sent {inserts} times, committed {commits} times, stands in {where}"
+                    f"{name} was sent {inserts} times, committed {commits} times, rows stored: {where}"
                 )
             if transfer.told == "done" and where != 1:
-                breaches.append(f"{name} was told to be done and stands nowhere")
+                breaches.append(f"{name} was reported as done and is not stored")
             if transfer.told == "failed" and where:
-                breaches.append(f"{name} was told to have failed and is done")
+                breaches.append(f"{name} was reported as failed and is stored")
             if transfer.told == "nothing":
-                breaches.append(f"of {name} its client was told nothing")
-        for tag, connections in self.answers.begun.items():
+                breaches.append(f"outcome of {name} was never reported")
+        for tag, connections in self.result_reads.connections_by_tag.items():
             if len(connections) > 1:
-                breaches.append(f"{tag} was asked again behind the first byte of an answer")
+                breaches.append(f"{tag} was sent again after the first byte of its result")
 
 
-# --- breakages ----------------------------------------------------------------------------------
+# --- mutations ------------------------------------------------------------------------------------
 
 
 def _resend_after_commit() -> Iterator[None]:
     real = Front._from_node
 
-    def from_node(self: Any, client: Any, held: Any, deadline: Any, statement: Any) -> bytes:
+    def from_node(self: Any, client: Any, node_binding: Any, deadline: Any, statement: Any) -> bytes:
         try:
-            return real(self, client, held, deadline, statement)
+            return real(self, client, node_binding, deadline, statement)
         except ConnectionLostError:
             if statement.kind is not Kind.COMMIT:
                 raise
@@ -769,7 +803,7 @@
         yield
 
 
-def _lost_commit_told_as_done() -> Iterator[None]:
+def _interrupted_commit_reported_as_done() -> Iterator[None]:
     from brambleusher.fronts.mysql.messages import Ok
 
     real = ReplyRelay.fail
@@ -783,22 +817,22 @@
         yield
 
 
-def _untied(tie: Tie) -> Callable[[], Iterator[None]]:
+def _without_tie(tie: Tie) -> Callable[[], Iterator[None]]:
     def patch() -> Iterator[None]:
         real = Session.tie
 
-        def tied(self: Session, which: Tie, name: str = "") -> None:
+        def tie_unless_removed(self: Session, which: Tie, name: str = "") -> None:
             if which is not tie:
                 real(self, which, name)
 
-        with mock.patch.object(Session, "tie", tied):
+        with mock.patch.object(Session, "tie", tie_unless_removed):
             yield
 
     return patch
 
 
 def _rows_mixed() -> Iterator[None]:
-    real, kept = ReplyRelay._end_of_rows, [b""]
+    real, earlier_rows = ReplyRelay._end_of_rows, [b""]
     real_rows = ReplyRelay._take_rows
 
     def rows(self: Any, at: int, out: bytearray) -> int:
@@ -806,12 +840,16 @@
         end = real_rows(self, at, out)
         if len(out) - before > 8:
             size = int.from_bytes(out[before : before + 3], "little")
-            kept.append(bytes(out[before + 4 : before + 4 + size]))
-            del kept[:-2]
+            earlier_rows.append(bytes(out[before + 4 : before + 4 + size]))
+            del earlier_rows[:-2]
         return end
 
     def ended(self: Any, payload: bytes) -> bytes:
-        extra = self._ended_columns() + self._framed(kept[0]) if kept[0] and self.rows > 30 else b""
+        extra = (
+            self._ended_columns() + self._framed(earlier_rows[0])
+            if earlier_rows[0] and self.rows > 30
+            else b""
+        )
         return extra + real(self, payload)
 
     with (
@@ -821,11 +859,11 @@
         yield
 
 
-def _unknown_told_as_failed() -> Iterator[None]:
-    def lost(self: Any, in_transaction: bool, statement: Any) -> Err:
+def _unknown_reported_as_failed() -> Iterator[None]:
+    def connection_error(self: Any, in_transaction: bool, statement: Any) -> Err:
         return Err.of(Errno.NET_READ, "the node was lost")
 
-    with mock.patch.object(Front, "_lost_error", lost):
+    with mock.patch.object(Front, "_lost_error", connection_error):
         yield
 
 
@@ -835,14 +873,14 @@
         if conn.channel.open:
             conn.node.idle.append(conn)
 
-    def quiet(self: Any) -> bool:
+    def discard_input(self: Any) -> bool:
         while self.receive_now():
             pass
         return bool(self.stream.open)
 
     from brambleusher.fronts.mysql.channel import Channel
 
-    with mock.patch.object(MysqlNodes, "stop", stop), mock.patch.object(Channel, "quiet", quiet):
+    with mock.patch.object(MysqlNodes, "stop", stop), mock.patch.object(Channel, "quiet", discard_input):
         yield
 
 
@@ -859,7 +897,7 @@
 
 
 def _id_not_carried() -> Iterator[None]:
-    def carry(self: Any, conn: Any, claim: Any, limit: float) -> None:
+    def carry(self: Any, conn: Any, attempt: Any, limit: float) -> None:
         conn.carries.session.last_id = 0
 
     with mock.patch.object(MysqlNodes, "_carry", carry):
@@ -882,7 +920,7 @@
 
 def _read_repeated_after_a_byte() -> Iterator[None]:
     def never(self: Any, value: bool) -> None:
-        """An answer that broke off is told as one that never began."""
+        """Ignore the assignment, so that an interrupted reply counts as one that never began."""
 
     with mock.patch.object(Work, "broke", property(lambda self: False, never)):
         yield
@@ -896,10 +934,10 @@
 BREAKAGES: dict[str, Callable[[], Iterator[None]]] = {
     "resend-after-commit": _resend_after_commit,
     "error-swallowed": _error_swallowed,
-    "lost-commit-told-as-done": _lost_commit_told_as_done,
-    "unknown-told-as-failed": _unknown_told_as_failed,
-    "moved-in-a-transaction": _untied(Tie.TRANSACTION),
-    "variable-lost-on-a-move": _untied(Tie.USER_VARIABLE),
+    "lost-commit-told-as-done": _interrupted_commit_reported_as_done,
+    "unknown-told-as-failed": _unknown_reported_as_failed,
+    "moved-in-a-transaction": _without_tie(Tie.TRANSACTION),
+    "variable-lost-on-a-move": _without_tie(Tie.USER_VARIABLE),
     "rows-of-two-results-mixed": _rows_mixed,
     "kill-hits-the-next": _kill_hits_the_next,
     "settings-not-replayed": _settings_not_replayed,
@@ -911,46 +949,49 @@
 
 
 @contextmanager
-def broken(name: str | None) -> Iterator[None]:
-    """The program with a fault built in."""
+def mutated(name: str | None) -> Iterator[None]:
+    """Apply a mutation to the front for the duration of the context; None applies nothing."""
     with ExitStack() as stack:
         if name is not None:
             stack.enter_context(contextmanager(BREAKAGES[name])())
         yield
 
 
-# --- the command --------------------------------------------------------------------------------
+# --- command line ---------------------------------------------------------------------------------
+
 
+def run_seed(seed: int, mutation: str | None = None, dense: bool = False) -> Verdict:
+    """Run the schedule of a seed; the same seed gives the same run.
 
-def run_seed(seed: int, breakage: str | None = None, dense: bool = False) -> Verdict:
-    """One schedule; the same seed gives the same run.  `dense`: every eighth command is struck."""
+    With `dense`, a fault is injected into about every eighth command.
+    """
     logging.getLogger("brambleusher").handlers[:] = [logging.NullHandler()]
     logging.getLogger("brambleusher").propagate = False
-    with tempfile.TemporaryDirectory() as folder, broken(breakage):
+    with tempfile.TemporaryDirectory() as folder, mutated(mutation):
         path = Path(folder)
         (path / "users").write_text(f"web {NATIVE} {Secret.of(NATIVE, b'front').stored()}\n")
         (path / "accounts").write_text("registry node-secret\n")
-        return Run(seed, path, dense).go()
+        return ScheduleRun(seed, path, dense).run()
 
 
-def _range(text: str) -> range:
+def _seed_range(text: str) -> range:
     first, colon, last = text.partition(":")
     if not colon or not first.isdigit() or not last.isdigit() or int(first) >= int(last):
         raise argparse.ArgumentTypeError(f"{text!r} is not FIRST:LAST with FIRST below LAST")
     return range(int(first), int(last))
 
 
-def _some(seeds: Sequence[int], breakage: str | None) -> list[Verdict]:
+def _run_batch(seeds: Sequence[int], mutation: str | None) -> list[Verdict]:
     out = []
     for seed in seeds:
-        verdict = run_seed(seed, breakage)
+        verdict = run_seed(seed, mutation)
         verdict.lines = []
         out.append(verdict)
     return out
 
 
-def _table() -> int:
-    """How many seeds it takes to find each breakage; 1 where one is not found."""
+def _print_detection_table() -> int:
+    """Print how many seeds it takes to detect each mutation; return 1 if a mutation is not detected."""
     missed = 0
     for name in BREAKAGES:
         for seed in range(2000):
@@ -970,49 +1011,59 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run schedules; 1 where a rule was broken, with the words that play it again."""
-    words = argparse.ArgumentParser(
+    """Run schedules; if a rule is violated, print the command that reproduces the run and return 1."""
+    parser = argparse.ArgumentParser(
         prog="mysql_replay", description="Seeded fault schedules for the MySQL front."
     )
-    words.add_argument("--seeds", type=_range, default=range(0, 2000), metavar="FIRST:LAST")
-    words.add_argument("--jobs", type=int, default=4)
-    words.add_argument("--replay", type=int, metavar="SEED", help="print the time line of one schedule")
-    words.add_argument("--breakage", choices=sorted(BREAKAGES))
-    words.add_argument("--dense", action="store_true", help="with --replay: every eighth command is struck")
-    words.add_argument("--table", action="store_true", help="find each breakage and print the seeds needed")
-    given = words.parse_args(arguments)
-    if given.table:
-        return _table()
-    if given.replay is not None:
-        verdict = run_seed(given.replay, given.breakage, given.dense)
+    parser.add_argument("--seeds", type=_seed_range, default=range(0, 2000), metavar="FIRST:LAST")
+    parser.add_argument("--jobs", type=int, default=4)
+    parser.add_argument(
+        "--replay", type=int, metavar="SEED", help="run one schedule and print its statements"
+    )
+    parser.add_argument("--breakage", choices=sorted(BREAKAGES))
+    parser.add_argument(
+        "--dense", action="store_true", help="with --replay: inject a fault into every eighth command"
+    )
+    parser.add_argument(
+        "--table", action="store_true", help="print how many seeds it takes to detect each mutation"
+    )
+    options = parser.parse_args(arguments)
+    if options.table:
+        return _print_detection_table()
+    if options.replay is not None:
+        verdict = run_seed(options.replay, options.breakage, options.dense)
         print(
             "\n".join(
                 [*verdict.lines, *(f"BREACH {each}" for each in verdict.breaches), f"digest {verdict.digest}"]
             )
         )
         return 1 if verdict.breaches else 0
-    begun = RealSystem.monotonic()
-    seeds = list(given.seeds)
-    parts = [seeds[at : at + 25] for at in range(0, len(seeds), 25)]
+    started = RealSystem.monotonic()
+    seeds = list(options.seeds)
+    batches = [seeds[at : at + 25] for at in range(0, len(seeds), 25)]
     verdicts: list[Verdict] = []
-    with ProcessPoolExecutor(max(1, given.jobs)) as pool:
-        for some in pool.map(_some, parts, [given.breakage] * len(parts)):
-            verdicts += some
-    took = RealSystem.monotonic() - begun
-    total, struck, errors, commands = Counter[str](), Counter[str](), Counter[int](), 0
+    with ProcessPoolExecutor(max(1, options.jobs)) as pool:
+        for batch in pool.map(_run_batch, batches, [options.breakage] * len(batches)):
+            verdicts += batch
+    elapsed = RealSystem.monotonic() - started
+    total, injected_faults, errors, commands = Counter[str](), Counter[str](), Counter[int](), 0
     for verdict in verdicts:
-        total, struck, errors = total + verdict.transfers, struck + verdict.struck, errors + verdict.errors
+        total, injected_faults, errors = (
+            total + verdict.transfers,
+            injected_faults + verdict.injected_faults,
+            errors + verdict.errors,
+        )
         commands += verdict.commands
         for breach in verdict.breaches[:3]:
             print(f"seed {verdict.seed}: {breach}")
         if verdict.breaches:
             print(f"    python -m brambleusher.lab.mysql.replay --replay {verdict.seed}")
-    bad = sum(bool(verdict.breaches) for verdict in verdicts)
-    print(f"{len(verdicts)} schedules in {took:.0f} s, {commands} statements, {bad} broke a rule")
-    print("writes and transfers told as:", ", ".join(f"{k} {v}" for k, v in sorted(total.items())))
-    print("faults:", ", ".join(f"{k} {v}" for k, v in sorted(struck.items())))
-    print("errors told:", ", ".join(f"{k} {v}" for k, v in sorted(errors.items())))
-    return 1 if bad else 0
+    violating = sum(bool(verdict.breaches) for verdict in verdicts)
+    print(f"{len(verdicts)} schedules in {elapsed:.0f} s, {commands} statements, {violating} violated a rule")
+    print("outcomes of writes and transfers:", ", ".join(f"{k} {v}" for k, v in sorted(total.items())))
+    print("faults:", ", ".join(f"{k} {v}" for k, v in sorted(injected_faults.items())))
+    print("errors received:", ", ".join(f"{k} {v}" for k, v in sorted(errors.items())))
+    return 1 if violating else 0
 
 
 if __name__ == "__main__":
--- a/brambleusher/lab/mysql/server.py
+++ b/brambleusher/lab/mysql/server.py
@@ -1,7 +1,8 @@
-"""A stand-in MySQL server, for loopback and for virtual worlds, with scripted faults.
+"""A MySQL test server with scripted faults, for loopback sockets and for virtual worlds.
 
-It speaks the protocol by the project's own codec and holds the small database of `mysql_engine`.  A
-fault is decided for each connection and each command, by a function of the caller's.
+The server uses the project's own protocol codec and stores its data in the small database of
+`brambleusher.lab.mysql.engine`.  A function of the caller decides for each connection and each command
+whether a fault is injected.
 """
 
 from __future__ import annotations
@@ -87,13 +88,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """What goes wrong with one connection or command.
-
-    `how` is one of: `error` (an ERR instead of an answer; for a connection, instead of a greeting),
-    `silent` (nothing more is said), `before` (the connection breaks, nothing has run), `after` (it runs,
-    and the connection breaks without an answer), `amid` (it runs, and breaks behind `bytes` of the
-    answer), `nonsense` (bytes that are no packet), `number` (an answer whose packets are misnumbered),
-    `slow` (it waits for `seconds` first), `late` (it runs, and waits before the answer).
+    """A fault that is injected into one connection or command.
+
+    `how` is one of:
+      `error`: the server sends an ERR packet instead of the reply (for a connection, of the greeting);
+      `silent`: the server sends nothing more but keeps the connection open;
+      `before`: the connection is reset before the command runs;
+      `after`: the command runs, then the connection is reset without a reply;
+      `amid`: the command runs, then the connection is reset after `bytes` bytes of the reply;
+      `nonsense`: the server sends bytes that are not a valid packet;
+      `number`: the packets of the reply have wrong sequence numbers;
+      `slow`: the server waits `seconds` before it runs the command;
+      `late`: the command runs, then the server waits `seconds` before it replies.
     """
 
     how: str
@@ -106,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Moment:
-    """Where a fault may strike: a connection (command -1), or a command with its text."""
+    """A point at which a fault can be injected: a new connection (command -1) or a command with its text."""
 
     thread: int
     command: int = -1
@@ -116,7 +122,7 @@
 
 @dataclass(slots=True)
 class MysqlSettings:
-    """What a stand-in server is like."""
+    """Accounts, protocol options, limits and simulated speed of a test server."""
 
     users: dict[str, Secret] = field(default_factory=dict)
     plugin: str = CACHING_SHA2
@@ -124,23 +130,23 @@
     version: str = "8.0.36-stand-in"
     max_connections: int = 151
     lock_wait_seconds: float = 5.0
-    work_seconds: float = 0.0  # of one slot, for each statement on data
-    slots: int = 0  # statements worked on at once; 0: any number
-    slowness: float = 1.0  # times the work
-    tls: Any = None  # an ssl.SSLContext
+    work_seconds: float = 0.0  # time in seconds for which each statement occupies a worker slot
+    slots: int = 0  # maximum number of statements executed at the same time; 0 means unlimited
+    slowness: float = 1.0  # factor by which work_seconds is multiplied, to simulate a slow server
+    tls: Any = None  # ssl.SSLContext of the server, or None for connections without TLS
 
 
 class Broken(Exception):
-    """A scripted end of a connection."""
+    """A scripted fault resets the connection."""
 
 
 class Killed(Exception):
-    """The statement was killed."""
+    """The running statement was interrupted by KILL."""
 
 
 @dataclass(slots=True)
 class Statement:
-    """A prepared statement, and its cursor if it has one."""
+    """A prepared statement with its parameter types and, if open, its cursor."""
 
     text: str
     parameters: int
@@ -152,7 +158,7 @@
 
 
 class Peer:
-    """One client's connection."""
+    """Server-side state of one client connection."""
 
     def __init__(self, channel: Channel, connection: Connection, thread: int) -> None:
         self.channel, self.connection, self.thread = channel, connection, thread
@@ -165,11 +171,14 @@
         self.running = ""
         self.seq = 1
         self.reader = PacketReader(MAX_PACKET)
-        self.budget: int | None = None  # bytes still sent before a scripted break
+        self.budget: int | None = None  # number of bytes to send before a scripted reset of the connection
 
 
 class MysqlServer(Server):
-    """The stand-in; `trouble` decides on faults, `seen` has what was asked if `keep` is on."""
+    """A MySQL server with scripted faults.
+
+    `choose_fault` decides which faults are injected.  If `keep` is set, `seen` records every command.
+    """
 
     def __init__(
         self,
@@ -184,394 +193,397 @@
         super().__init__(scheduler, name)
         self.database, self.settings = database, settings
         self.trouble = trouble or (lambda moment: None)
-        self.seen: list[tuple[int, int, str]] = []  # thread, command, text
+        # Thread id, command code and statement text of each received command, if `keep` is set.
+        self.seen: list[tuple[int, int, str]] = []
         self.keep = keep
         self.peers: dict[int, Peer] = {}
         self.refused = self.most_open = self.statements_run = 0
         self._rng = random.Random(seed)
         self._rsa = RsaKey()
         self._threads = 100 * (seed % 1000)
-        self._waiting: deque[Event] = deque()
+        self._slot_waiters: deque[Event] = deque()
         self._slots_used = 0
         self._lock_waits: list[Peer] = []
-        database.on_unlock = self._unlocked
+        database.on_unlock = self._wake_lock_waiters
 
     # --- connections ----------------------------------------------------------------------------
 
     def serve(self, connection: Connection) -> None:
-        """One client, from the greeting to the end."""
+        """Serve one client from the greeting to the end of its connection."""
         self._threads += 1
-        peer = Peer(Channel(connection.stream), connection, self._threads)
-        fault = self.trouble(Moment(peer.thread))
+        client = Peer(Channel(connection.stream), connection, self._threads)
+        fault = self.trouble(Moment(client.thread))
         try:
             if len(self.peers) >= self.settings.max_connections:
                 self.refused += 1
                 fault = Fault("error", errno=1040, state="08004")
-            if fault is not None and not self._greet_badly(peer, fault):
+            if fault is not None and not self._inject_at_greeting(client, fault):
                 return
-            self.peers[peer.thread] = peer
+            self.peers[client.thread] = client
             self.most_open = max(self.most_open, len(self.peers))
-            if self._log_in(peer):
-                while self._command(peer):
+            if self._log_in(client):
+                while self._command(client):
                     pass
         except Broken:
             self.reset(connection)
         except ProtocolError as error:
-            self._send(peer, frame(Err(error.errno, error.state, str(error)).encode(), peer.seq))
+            self._send(client, frame(Err(error.errno, error.state, str(error)).encode(), client.seq))
         finally:
-            self.peers.pop(peer.thread, None)
-            if peer.session is not None:
-                peer.session.end()
+            self.peers.pop(client.thread, None)
+            if client.session is not None:
+                client.session.end()
 
     def crash(self) -> None:
-        """Die at once: connections are reset, what was open is rolled back."""
+        """Simulate a crash: reset all connections and roll back all open transactions."""
         self.close(reset=True)
-        for peer in list(self.peers.values()):
-            if peer.session is not None:
-                peer.session.end()
+        for client in list(self.peers.values()):
+            if client.session is not None:
+                client.session.end()
         self.peers.clear()
 
-    def _greet_badly(self, peer: Peer, fault: Fault) -> bool:
-        """Act a fault of a connection out; whether it goes on."""
+    def _inject_at_greeting(self, client: Peer, fault: Fault) -> bool:
+        """Inject a fault at the start of a connection; return whether the connection continues."""
         if fault.how == "error":
             text = "Too many connections" if fault.errno == 1040 else "scripted"
-            self._send(peer, frame(Err(fault.errno, fault.state, text).encode(), 0))
+            self._send(client, frame(Err(fault.errno, fault.state, text).encode(), 0))
             return False
         if fault.how == "nonsense":
-            self._send(peer, b"SSH-2.0-OpenSSH_9.2p1\r\n")
+            self._send(client, b"SSH-2.0-OpenSSH_9.2p1\r\n")
             return False
         if fault.how in ("slow", "late"):
             self.scheduler.sleep(fault.seconds)
             return True
         if fault.how == "silent":
-            self._silence(peer)
+            self._stop_responding(client)
         raise Broken
 
-    def _silence(self, peer: Peer) -> None:
-        """Say nothing more, until the other side ends the connection."""
-        while peer.channel.receive(self.scheduler.now() + WAIT_SECONDS):
+    def _stop_responding(self, client: Peer) -> None:
+        """Send nothing more and wait until the client closes the connection."""
+        while client.channel.receive(self.scheduler.now() + WAIT_SECONDS):
             pass
         raise Broken
 
-    def _send(self, peer: Peer, data: bytes) -> None:
-        if peer.budget is not None:
-            part = data[: peer.budget]
-            peer.budget -= len(part)
-            if part:
-                peer.channel.send(part, self.scheduler.now() + WAIT_SECONDS)
-            if len(part) < len(data) or peer.budget == 0:
+    def _send(self, client: Peer, data: bytes) -> None:
+        if client.budget is not None:
+            allowed = data[: client.budget]
+            client.budget -= len(allowed)
+            if allowed:
+                client.channel.send(allowed, self.scheduler.now() + WAIT_SECONDS)
+            if len(allowed) < len(data) or client.budget == 0:
                 raise Broken
             return
-        peer.channel.send(data, self.scheduler.now() + WAIT_SECONDS)
+        client.channel.send(data, self.scheduler.now() + WAIT_SECONDS)
 
-    def _log_in(self, peer: Peer) -> bool:
+    def _log_in(self, client: Peer) -> bool:
         settings = self.settings
         challenge = bytes(self._rng.randrange(1, 128) for _ in range(SCRAMBLE))
-        caps = settings.capabilities | (Capability.SSL if settings.tls is not None else 0)
+        capabilities = settings.capabilities | (Capability.SSL if settings.tls is not None else 0)
         login = ServerLogin(
-            peer.thread,
+            client.thread,
             challenge,
-            int(caps),
+            int(capabilities),
             settings.users.get,
             self._rsa,
             settings.version,
             settings.plugin,
         )
-        self._send(peer, login.greet())
-        return self._meet(peer, login)
+        self._send(client, login.greet())
+        return self._authenticate(client, login)
 
-    def _meet(self, peer: Peer, login: ServerLogin) -> bool:
+    def _authenticate(self, client: Peer, login: ServerLogin) -> bool:
         while True:
             turn = login.step()
             if turn is Turn.DONE:
                 break
             if login.out:
                 out, login.out = login.out, b""
-                self._send(peer, out)
+                self._send(client, out)
             if turn is Turn.REFUSED:
                 return False
             if turn is Turn.TLS:
                 deadline = self.scheduler.now() + WAIT_SECONDS
-                peer.channel.start_tls(self.settings.tls, True, "", login.rest(), deadline)
+                client.channel.start_tls(self.settings.tls, True, "", login.rest(), deadline)
             elif turn is Turn.READ:
-                data = peer.channel.receive(self.scheduler.now() + WAIT_SECONDS)
+                data = client.channel.receive(self.scheduler.now() + WAIT_SECONDS)
                 if not data:
                     return False
                 login.feed(data)
         assert login.login is not None
-        peer.capabilities = login.capabilities
-        peer.session = session = Session(self.database, peer.thread, login.login.user, self._now)
+        client.capabilities = login.capabilities
+        client.session = session = Session(self.database, client.thread, login.login.user, self._wall_time)
         session.found_rows_mode = bool(login.capabilities & Capability.FOUND_ROWS)
-        if not self._first_schema(peer, login, login.login):
+        if not self._select_initial_schema(client, login, login.login):
             return False
-        self._send(peer, login.let_in())
-        peer.reader.feed(login.rest())
+        self._send(client, login.let_in())
+        client.reader.feed(login.rest())
         return True
 
-    def _first_schema(self, peer: Peer, login: ServerLogin, asked: Login) -> bool:
-        assert peer.session is not None
-        if asked.database:
+    def _select_initial_schema(self, client: Peer, login: ServerLogin, client_login: Login) -> bool:
+        assert client.session is not None
+        if client_login.database:
             try:
-                peer.session.use(asked.database)
+                client.session.use(client_login.database)
             except SqlError as error:
-                self._send(peer, frame(Err(error.errno, error.state, str(error)).encode(), login.seq))
+                self._send(client, frame(Err(error.errno, error.state, str(error)).encode(), login.seq))
                 return False
         return True
 
-    def _now(self) -> dt.datetime:
+    def _wall_time(self) -> dt.datetime:
         ns = self.scheduler.system.wall_ns()
         return dt.datetime.fromtimestamp(ns // 1_000_000_000, dt.UTC).replace(tzinfo=None)
 
     # --- commands -------------------------------------------------------------------------------
 
-    def _command(self, peer: Peer) -> bool:
-        reader = peer.reader
+    def _command(self, client: Peer) -> bool:
+        reader = client.reader
         reader.expect()
         while (body := reader.take()) is None:
-            data = peer.channel.receive(self.scheduler.now() + WAIT_SECONDS, peer.event)
+            data = client.channel.receive(self.scheduler.now() + WAIT_SECONDS, client.event)
             if data is None:
-                if peer.killed:
+                if client.killed:
                     raise Broken
                 continue
             if not data:
                 return False
             reader.feed(data)
-        peer.seq, session = reader.seq, peer.session
+        client.seq, session = reader.seq, client.session
         assert session is not None
         if not body:
             raise ProtocolError("an empty command", 1047)
         code = body[0]
         if code == Command.QUIT:
             return False
-        text = self._text_of(peer, code, body)
+        text = self._text_of(client, code, body)
         if self.keep:
-            self.seen.append((peer.thread, code, text))
-        fault = self.trouble(Moment(peer.thread, code, text, session.in_transaction))
+            self.seen.append((client.thread, code, text))
+        fault = self.trouble(Moment(client.thread, code, text, session.in_transaction))
         if fault is not None:
             if fault.how == "before":
                 raise Broken
             if fault.how == "silent":
-                self._silence(peer)
+                self._stop_responding(client)
             if fault.how == "nonsense":
-                self._send(peer, b"\x07\0\0" + bytes((peer.seq,)) + b"\x2anonsen")
+                self._send(client, b"\x07\0\0" + bytes((client.seq,)) + b"\x2anonsen")
                 return True
             if fault.how == "error":
-                self._error(peer, SqlError(fault.errno, fault.state, "scripted"))
+                self._send_error(client, SqlError(fault.errno, fault.state, "scripted"))
                 return fault.errno != 1053
             if fault.how == "slow":
                 self.scheduler.sleep(fault.seconds)
         try:
-            self._one(peer, code, body, text, fault)
+            self._dispatch(client, code, body, text, fault)
         except SqlError as error:
             session.warnings = [("Error", error.errno, str(error))]
-            self._error(peer, error)
+            self._send_error(client, error)
         except Killed:
-            self._error(peer, SqlError(1317, "70100", "Query execution was interrupted"))
+            self._send_error(client, SqlError(1317, "70100", "Query execution was interrupted"))
         finally:
-            peer.running = ""
+            client.running = ""
         return True
 
-    def _text_of(self, peer: Peer, code: int, body: bytes) -> str:
+    def _text_of(self, client: Peer, code: int, body: bytes) -> str:
         if code in (Command.QUERY, Command.STMT_PREPARE, Command.INIT_DB):
             return body[1:].decode("utf-8", "surrogateescape")
         if code in (Command.STMT_EXECUTE, Command.STMT_FETCH):
-            found = peer.statements.get(int.from_bytes(body[1:5], "little"))
-            return found.text if found is not None else ""
+            statement = client.statements.get(int.from_bytes(body[1:5], "little"))
+            return statement.text if statement is not None else ""
         return ""
 
-    def _error(self, peer: Peer, error: SqlError) -> None:
-        self._send(peer, frame(Err(error.errno, error.state, str(error)).encode(), peer.seq))
+    def _send_error(self, client: Peer, error: SqlError) -> None:
+        self._send(client, frame(Err(error.errno, error.state, str(error)).encode(), client.seq))
 
-    def _say(self, peer: Peer, *messages: bytes) -> None:
+    def _send_packets(self, client: Peer, *messages: bytes) -> None:
         out = b""
         for message in messages:
-            out += frame(message, peer.seq)
-            peer.seq += frames(len(message))
-        self._send(peer, out)
+            out += frame(message, client.seq)
+            client.seq += frames(len(message))
+        self._send(client, out)
 
-    def _say_ok(self, peer: Peer, result: Result | None = None, more: bool = False) -> None:
-        self._say(peer, self._ok(peer, result or Result(), more))
+    def _send_ok(self, client: Peer, result: Result | None = None, more: bool = False) -> None:
+        self._send_packets(client, self._ok_packet(client, result or Result(), more))
 
-    def _ok(self, peer: Peer, result: Result, more: bool = False, header: int = 0, flags: int = 0) -> bytes:
-        session = peer.session
+    def _ok_packet(
+        self, client: Peer, result: Result, more: bool = False, header: int = 0, flags: int = 0
+    ) -> bytes:
+        session = client.session
         assert session is not None
         status = session.status | flags | (Status.MORE_RESULTS if more else 0)
         state = b""
-        if peer.capabilities & Capability.SESSION_TRACK and session.schema and header == 0:
+        if client.capabilities & Capability.SESSION_TRACK and session.schema and header == 0:
             state = encode_state([(Track.SCHEMA, (session.schema.encode(),))])
             status |= Status.SESSION_STATE_CHANGED
         ok = Ok(
             result.affected, result.last_id, int(status), len(session.warnings), result.info.encode(), state
         )
-        return ok.encode(peer.capabilities, header)
+        return ok.encode(client.capabilities, header)
 
-    def _one(self, peer: Peer, code: int, body: bytes, text: str, fault: Fault | None) -> None:
-        session = peer.session
+    def _dispatch(self, client: Peer, code: int, body: bytes, text: str, fault: Fault | None) -> None:
+        session = client.session
         assert session is not None
         if code == Command.QUERY:
-            self._query(peer, text, fault)
+            self._query(client, text, fault)
         elif code == Command.PING:
-            self._say_ok(peer)
+            self._send_ok(client)
         elif code == Command.INIT_DB:
-            self._strike(peer, fault)
+            self._inject_after_run(client, fault)
             session.use(text)
-            self._say_ok(peer)
+            self._send_ok(client)
         elif code == Command.STMT_PREPARE:
-            self._strike(peer, fault)
-            self._prepare(peer, text)
+            self._inject_after_run(client, fault)
+            self._prepare(client, text)
         elif code == Command.STMT_EXECUTE:
-            self._execute(peer, body, fault)
+            self._execute(client, body, fault)
         elif code == Command.STMT_FETCH:
-            self._strike(peer, fault)
-            self._fetch(peer, body)
+            self._inject_after_run(client, fault)
+            self._fetch(client, body)
         elif code == Command.STMT_SEND_LONG_DATA:
-            found = peer.statements.get(int.from_bytes(body[1:5], "little"))
-            if found is not None:
-                found.long.setdefault(int.from_bytes(body[5:7], "little"), bytearray()).extend(body[7:])
+            statement = client.statements.get(int.from_bytes(body[1:5], "little"))
+            if statement is not None:
+                statement.long.setdefault(int.from_bytes(body[5:7], "little"), bytearray()).extend(body[7:])
         elif code == Command.STMT_CLOSE:
-            peer.statements.pop(int.from_bytes(body[1:5], "little"), None)
+            client.statements.pop(int.from_bytes(body[1:5], "little"), None)
         elif code == Command.STMT_RESET:
-            found = self._find(peer, body)
-            found.cursor = None
-            found.long.clear()
-            self._say_ok(peer)
+            statement = self._find_statement(client, body)
+            statement.cursor = None
+            statement.long.clear()
+            self._send_ok(client)
         elif code == Command.SET_OPTION:
             multi = int.from_bytes(body[1:3], "little") == 0
             flag = int(Capability.MULTI_STATEMENTS)
-            peer.capabilities = peer.capabilities | flag if multi else peer.capabilities & ~flag
-            self._say(peer, self._end_of_rows(peer, Result()))
+            client.capabilities = client.capabilities | flag if multi else client.capabilities & ~flag
+            self._send_packets(client, self._end_of_rows(client, Result()))
         elif code == Command.RESET_CONNECTION:
             schema = session.schema
             session.reset()
             session.schema = schema
-            peer.statements.clear()
-            self._say_ok(peer)
+            client.statements.clear()
+            self._send_ok(client)
         elif code == Command.CHANGE_USER:
-            self._change_user(peer, body)
+            self._change_user(client, body)
         elif code == Command.FIELD_LIST:
-            table = session._table(_named(body[1:].split(b"\0")[0].decode()))
+            table = session._table(_table_node(body[1:].split(b"\0")[0].decode()))
             for column in table.columns:
-                self._say(peer, self._column(column).encode() + lentext(b""))
-            self._say(peer, self._end_of_rows(peer, Result()))
+                self._send_packets(client, self._column(column).encode() + lentext(b""))
+            self._send_packets(client, self._end_of_rows(client, Result()))
         elif code == Command.STATISTICS:
-            self._say(peer, b"Uptime: 1  Threads: 1")
+            self._send_packets(client, b"Uptime: 1  Threads: 1")
         elif code == Command.PROCESS_KILL:
-            self._kill(peer, int.from_bytes(body[1:5], "little"), False)
-            self._say_ok(peer)
+            self._kill(client, int.from_bytes(body[1:5], "little"), False)
+            self._send_ok(client)
         else:
             raise SqlError(1047, "08S01", "Unknown command")
 
-    def _change_user(self, peer: Peer, body: bytes) -> None:
-        assert peer.session is not None
-        peer.session.end()
+    def _change_user(self, client: Peer, body: bytes) -> None:
+        assert client.session is not None
+        client.session.end()
         login = ServerLogin(
-            peer.thread, b"", peer.capabilities, self.settings.users.get, self._rsa, self.settings.version,
-            self.settings.plugin,
+            client.thread, b"", client.capabilities, self.settings.users.get, self._rsa,
+            self.settings.version, self.settings.plugin,
         )  # fmt: skip
-        login.secure = peer.channel.secure
+        login.secure = client.channel.secure
         challenge = bytes(self._rng.randrange(1, 128) for _ in range(SCRAMBLE))
-        login.change_user(body, peer.capabilities, b"", challenge)
-        peer.statements.clear()
-        if not self._meet(peer, login):
+        login.change_user(body, client.capabilities, b"", challenge)
+        client.statements.clear()
+        if not self._authenticate(client, login):
             raise Broken
 
     # --- statements -----------------------------------------------------------------------------
 
-    def _strike(self, peer: Peer, fault: Fault | None) -> None:
-        """The faults that strike once a command has run."""
+    def _inject_after_run(self, client: Peer, fault: Fault | None) -> None:
+        """Inject a fault that takes effect after a command has run."""
         if fault is None:
             return
         if fault.how == "after":
             raise Broken
         if fault.how == "amid":
-            peer.budget = fault.bytes
+            client.budget = fault.bytes
         if fault.how == "late":
             self.scheduler.sleep(fault.seconds)
         if fault.how == "number":
-            peer.seq += 1
+            client.seq += 1
 
-    def _query(self, peer: Peer, text: str, fault: Fault | None) -> None:
+    def _query(self, client: Peer, text: str, fault: Fault | None) -> None:
         killed = re.match(r"\s*kill\s+(query\s+|connection\s+)?([0-9]+)\s*;?\s*$", text, re.I)
         if killed is not None:
-            self._strike(peer, fault)
-            self._kill(peer, int(killed[2]), (killed[1] or "").strip().lower() == "query")
-            self._say_ok(peer)
+            self._inject_after_run(client, fault)
+            self._kill(client, int(killed[2]), (killed[1] or "").strip().lower() == "query")
+            self._send_ok(client)
             return
         trees = self.database.parse(text)
         if not trees:
             raise SqlError(1065, "42000", "Query was empty")
-        if len(trees) > 1 and not peer.capabilities & Capability.MULTI_STATEMENTS:
+        if len(trees) > 1 and not client.capabilities & Capability.MULTI_STATEMENTS:
             raise SqlError(1064, "42000", f"You have an error in your SQL syntax near '{text[-40:]}'")
         for at, tree in enumerate(trees):
-            result = self._carry_out(peer, tree, [], text)
+            result = self._run_statement(client, tree, [], text)
             more = at + 1 < len(trees)
             if not more:
-                self._strike(peer, fault)
-            self._answer(peer, result, more, binary=False)
+                self._inject_after_run(client, fault)
+            self._send_result(client, result, more, binary=False)
 
-    def _carry_out(self, peer: Peer, tree: Any, parameters: list[Value], text: str) -> Result:
-        """Run a statement to its end, waiting for slots, sleeps and locks."""
-        session = peer.session
+    def _run_statement(self, client: Peer, tree: Any, parameters: list[Value], text: str) -> Result:
+        """Execute a statement, waiting for a worker slot, SLEEP() calls and locks."""
+        session = client.session
         assert session is not None
-        peer.running, peer.killed = text, False
+        client.running, client.killed = text, False
         self.statements_run += 1
         session.slept = 0
         if self.settings.work_seconds or self.settings.slots:
-            self._work(peer)
+            self._occupy_slot(client)
         deadline = self.scheduler.now() + self.settings.lock_wait_seconds
         while True:
             try:
                 return session.run(tree, parameters)
             except Sleep as sleep:
-                self._pause(peer, self.scheduler.now() + sleep.seconds)
+                self._wait(client, self.scheduler.now() + sleep.seconds)
                 session.slept += 1
             except Blocked as blocked:
                 session.waits_for = blocked.holder
-                self._lock_waits.append(peer)
+                self._lock_waits.append(client)
                 try:
-                    if not self._pause(peer, deadline):
+                    if not self._wait(client, deadline):
                         raise SqlError(
                             1205, "HY000", "Lock wait timeout exceeded; try restarting transaction"
                         ) from None
                 finally:
                     session.waits_for = None
-                    if peer in self._lock_waits:
-                        self._lock_waits.remove(peer)
+                    if client in self._lock_waits:
+                        self._lock_waits.remove(client)
 
-    def _work(self, peer: Peer) -> None:
-        """Hold one of the slots for the work of a statement."""
+    def _occupy_slot(self, client: Peer) -> None:
+        """Occupy a worker slot for the simulated execution time of a statement."""
         settings = self.settings
         while settings.slots and self._slots_used >= settings.slots:
-            self._waiting.append(peer.event)
+            self._slot_waiters.append(client.event)
             try:
-                self._pause(peer, self.scheduler.now() + WAIT_SECONDS)
+                self._wait(client, self.scheduler.now() + WAIT_SECONDS)
             finally:
-                if peer.event in self._waiting:
-                    self._waiting.remove(peer.event)
+                if client.event in self._slot_waiters:
+                    self._slot_waiters.remove(client.event)
         self._slots_used += 1
         try:
             if settings.work_seconds:
-                self._pause(peer, self.scheduler.now() + settings.work_seconds * settings.slowness)
+                self._wait(client, self.scheduler.now() + settings.work_seconds * settings.slowness)
         finally:
             self._slots_used -= 1
-            if self._waiting:
-                self._waiting.popleft().set()
+            if self._slot_waiters:
+                self._slot_waiters.popleft().set()
 
-    def _pause(self, peer: Peer, until: float) -> bool:
-        """Wait for the event or a moment; whether it was the event.  Raises `Killed`."""
+    def _wait(self, client: Peer, until: float) -> bool:
+        """Wait for the client's event; return False if `until` comes first, raise `Killed` after KILL."""
         try:
-            self.scheduler.park(until, event=peer.event)
+            self.scheduler.park(until, event=client.event)
         except TaskTimeoutError:
             return False
-        if peer.killed:
+        if client.killed:
             raise Killed
         return True
 
-    def _unlocked(self) -> None:
-        for peer in self._lock_waits:
-            peer.event.set()
+    def _wake_lock_waiters(self) -> None:
+        for client in self._lock_waits:
+            client.event.set()
 
-    def _kill(self, peer: Peer, thread: int, query: bool) -> None:
+    def _kill(self, client: Peer, thread: int, query: bool) -> None:
         target = self.peers.get(thread)
         if target is None:
             raise SqlError(1094, "HY000", f"Unknown thread id: {thread}")
@@ -582,7 +594,7 @@
         if not query and target.connection.task is not None:
             target.connection.task.cancel()
 
-    # --- answers --------------------------------------------------------------------------------
+    # --- replies --------------------------------------------------------------------------------
 
     def _column(self, column: ColumnInfo) -> Column:
         kind = column.type
@@ -595,90 +607,102 @@
             schema, table, table, column.name.encode() if table else b"",
         )  # fmt: skip
 
-    def _end_of_rows(self, peer: Peer, result: Result, more: bool = False, flags: int = 0) -> bytes:
-        if peer.capabilities & Capability.DEPRECATE_EOF:
-            return self._ok(peer, Result(info=result.info), more, 0xFE, flags)
-        assert peer.session is not None
-        status = peer.session.status | flags | (Status.MORE_RESULTS if more else 0)
-        return Eof(len(peer.session.warnings), int(status)).encode()
+    def _end_of_rows(self, client: Peer, result: Result, more: bool = False, flags: int = 0) -> bytes:
+        if client.capabilities & Capability.DEPRECATE_EOF:
+            return self._ok_packet(client, Result(info=result.info), more, 0xFE, flags)
+        assert client.session is not None
+        status = client.session.status | flags | (Status.MORE_RESULTS if more else 0)
+        return Eof(len(client.session.warnings), int(status)).encode()
 
-    def _answer(
-        self, peer: Peer, result: Result, more: bool, binary: bool, cursor: Statement | None = None
+    def _send_result(
+        self,
+        client: Peer,
+        result: Result,
+        more: bool,
+        binary: bool,
+        cursor: Statement | None = None,
     ) -> None:
         if not result.has_rows:
-            self._say_ok(peer, result, more)
+            self._send_ok(client, result, more)
             return
-        old = not peer.capabilities & Capability.DEPRECATE_EOF
+        eof_packets = not client.capabilities & Capability.DEPRECATE_EOF
         messages = [lenenc(len(result.columns)), *(self._column(c).encode() for c in result.columns)]
         if cursor is not None:
             cursor.cursor, cursor.cursor_columns = iter(result.rows), result.columns
-            self._say(peer, *messages, self._end_of_rows(peer, result, more, int(Status.CURSOR_EXISTS)))
+            self._send_packets(
+                client, *messages, self._end_of_rows(client, result, more, int(Status.CURSOR_EXISTS))
+            )
             return
-        if old:
-            messages.append(self._end_of_rows(peer, Result(), False))
-        self._say(peer, *messages)
-        self._rows(peer, result.columns, iter(result.rows), None, binary)
-        self._say(peer, self._end_of_rows(peer, result, more))
-
-    def _rows(
-        self, peer: Peer, columns: list[ColumnInfo], rows: Iterator[Row], most: int | None, binary: bool
+        if eof_packets:
+            messages.append(self._end_of_rows(client, Result(), False))
+        self._send_packets(client, *messages)
+        self._send_rows(client, result.columns, iter(result.rows), None, binary)
+        self._send_packets(client, self._end_of_rows(client, result, more))
+
+    def _send_rows(
+        self,
+        client: Peer,
+        columns: list[ColumnInfo],
+        rows: Iterator[Row],
+        max_rows: int | None,
+        binary: bool,
     ) -> int:
-        """Send rows, a chunk at a time; says how many there were."""
+        """Send at most `max_rows` rows in chunks; return the number of rows sent."""
         out, size, count = [], 0, 0
-        while most is None or count < most:
+        while max_rows is None or count < max_rows:
             row = next(rows, None)
             if row is None:
                 break
             data = binary_of(columns, row) if binary else text_row([text_of(value) for value in row])
-            out.append(frame(data, peer.seq))
-            peer.seq += frames(len(data))
+            out.append(frame(data, client.seq))
+            client.seq += frames(len(data))
             size, count = size + len(data), count + 1
             if size >= CHUNK:
-                if peer.killed:
+                if client.killed:
                     raise Killed
-                self._send(peer, b"".join(out))
+                self._send(client, b"".join(out))
                 out, size = [], 0
         if out:
-            self._send(peer, b"".join(out))
+            self._send(client, b"".join(out))
         return count
 
     # --- prepared statements --------------------------------------------------------------------
 
-    def _find(self, peer: Peer, body: bytes) -> Statement:
+    def _find_statement(self, client: Peer, body: bytes) -> Statement:
         number = int.from_bytes(body[1:5], "little")
-        found = peer.statements.get(number)
-        if found is None:
+        statement = client.statements.get(number)
+        if statement is None:
             raise SqlError(
                 1243, "HY000", f"Unknown prepared statement handler ({number}) given to mysqld_stmt"
             )
-        return found
+        return statement
 
-    def _prepare(self, peer: Peer, text: str) -> None:
+    def _prepare(self, client: Peer, text: str) -> None:
         from sqlglot import exp
 
         trees = self.database.parse(text)
         if len(trees) != 1:
             raise SqlError(1064, "42000", f"You have an error in your SQL syntax near '{text[-40:]}'")
-        tree, session = trees[0], peer.session
+        tree, session = trees[0], client.session
         assert session is not None
         parameters = len(list(tree.find_all(exp.Placeholder)))
         columns: list[ColumnInfo] = []
         if isinstance(tree, exp.Select | exp.Show) and not tree.args.get("into"):
-            columns = self._columns_of(session, tree)
-        number = peer.next_statement
-        peer.next_statement += 1
-        peer.statements[number] = Statement(text, parameters, columns)
-        old = not peer.capabilities & Capability.DEPRECATE_EOF
+            columns = self._expected_columns(session, tree)
+        number = client.next_statement
+        client.next_statement += 1
+        client.statements[number] = Statement(text, parameters, columns)
+        eof_packets = not client.capabilities & Capability.DEPRECATE_EOF
         eof = Eof(0, session.status).encode()
         messages = [Prepared(number, len(columns), parameters).encode()]
         for group in ([Column(b"?").encode()] * parameters, [self._column(c).encode() for c in columns]):
             messages += group
-            if group and old:
+            if group and eof_packets:
                 messages.append(eof)
-        self._say(peer, *messages)
+        self._send_packets(client, *messages)
 
-    def _columns_of(self, session: Session, tree: Any) -> list[ColumnInfo]:
-        """The columns that a SELECT will have, as far as can be told before it runs."""
+    def _expected_columns(self, session: Session, tree: Any) -> list[ColumnInfo]:
+        """Return the expected result columns of a SELECT or SHOW before it is executed."""
         from sqlglot import exp
 
         source = tree.args.get("from_") or tree.args.get("from")
@@ -695,40 +719,42 @@
             return columns
         return [ColumnInfo(each.alias_or_name or "expr") for each in tree.expressions] or [ColumnInfo("a")]
 
-    def _execute(self, peer: Peer, body: bytes, fault: Fault | None) -> None:
-        found = self._find(peer, body)
-        run = Execute.parse(body, found.parameters)
-        if run.types is not None:
-            found.types = run.types
-        given = (
-            run.parameters(found.parameters, found.types, frozenset(found.long)) if found.parameters else []
+    def _execute(self, client: Peer, body: bytes, fault: Fault | None) -> None:
+        statement = self._find_statement(client, body)
+        execute = Execute.parse(body, statement.parameters)
+        if execute.types is not None:
+            statement.types = execute.types
+        raw_values = (
+            execute.parameters(statement.parameters, statement.types, frozenset(statement.long))
+            if statement.parameters
+            else []
         )
         values: list[Value] = []
-        for at, raw in enumerate(given):
-            if at in found.long:
-                values.append(bytes(found.long[at]))
+        for at, raw in enumerate(raw_values):
+            if at in statement.long:
+                values.append(bytes(statement.long[at]))
             else:
-                values.append(value_of(raw, found.types[2 * at], found.types[2 * at + 1]))
-        result = self._carry_out(peer, self.database.parse(found.text)[0], values, found.text)
-        found.long.clear()
-        found.cursor = None
-        self._strike(peer, fault)
-        cursor = found if run.flags & CURSOR_READ_ONLY and result.has_rows else None
-        self._answer(peer, result, False, True, cursor)
-
-    def _fetch(self, peer: Peer, body: bytes) -> None:
-        found = self._find(peer, body)
-        if found.cursor is None:
+                values.append(value_of(raw, statement.types[2 * at], statement.types[2 * at + 1]))
+        result = self._run_statement(client, self.database.parse(statement.text)[0], values, statement.text)
+        statement.long.clear()
+        statement.cursor = None
+        self._inject_after_run(client, fault)
+        cursor = statement if execute.flags & CURSOR_READ_ONLY and result.has_rows else None
+        self._send_result(client, result, False, True, cursor)
+
+    def _fetch(self, client: Peer, body: bytes) -> None:
+        statement = self._find_statement(client, body)
+        if statement.cursor is None:
             raise SqlError(1421, "HY000", "The statement has no open cursor.")
-        most = int.from_bytes(body[5:9], "little")
-        count = self._rows(peer, found.cursor_columns, found.cursor, most, True)
+        max_rows = int.from_bytes(body[5:9], "little")
+        count = self._send_rows(client, statement.cursor_columns, statement.cursor, max_rows, True)
         flags = int(Status.CURSOR_EXISTS)
-        if count < most:
-            found.cursor, flags = None, int(Status.LAST_ROW_SENT)
-        self._say(peer, self._end_of_rows(peer, Result(), flags=flags))
+        if count < max_rows:
+            statement.cursor, flags = None, int(Status.LAST_ROW_SENT)
+        self._send_packets(client, self._end_of_rows(client, Result(), flags=flags))
 
 
-def _named(name: str) -> Any:
+def _table_node(name: str) -> Any:
     from sqlglot import exp
 
     return exp.to_table(name)
@@ -737,12 +763,12 @@
 # --- values in both protocols -------------------------------------------------------------------
 
 
-def _seconds(value: dt.timedelta) -> int:
+def _total_seconds(value: dt.timedelta) -> int:
     return abs(value.days * 86400 + value.seconds)
 
 
 def text_of(value: Value) -> bytes | None:
-    """A value in the text protocol."""
+    """Encode a value for the text protocol."""
     if value is None or isinstance(value, bytes):
         return value
     if isinstance(value, str):
@@ -752,14 +778,14 @@
     if isinstance(value, dt.datetime):
         return value.isoformat(" ").encode()
     if isinstance(value, dt.timedelta):
-        total = _seconds(value)
+        total = _total_seconds(value)
         return f"{total // 3600:02}:{total // 60 % 60:02}:{total % 60:02}".encode()
     if isinstance(value, float):
         return repr(value).removesuffix(".0").encode()
     return str(value).encode()
 
 
-def _date(value: dt.date) -> bytes:
+def _encode_date(value: dt.date) -> bytes:
     out = struct.pack("<HBB", value.year, value.month, value.day)
     if isinstance(value, dt.datetime):
         out += struct.pack("<BBB", value.hour, value.minute, value.second)
@@ -768,7 +794,7 @@
     return bytes((len(out),)) + out
 
 
-def _binary(kind: int, value: Value) -> bytes | None:
+def _encode_binary(kind: int, value: Value) -> bytes | None:
     if value is None:
         return None
     if kind == Type.LONGLONG:
@@ -782,9 +808,9 @@
     if kind == Type.DOUBLE:
         return struct.pack("<d", float(value))
     if kind in (Type.DATETIME, Type.DATE):
-        return _date(value)
+        return _encode_date(value)
     if kind == Type.TIME:
-        total = _seconds(value)
+        total = _total_seconds(value)
         return b"\x08\0" + struct.pack(
             "<IBBB", total // 86400, total // 3600 % 24, total // 60 % 60, total % 60
         )
@@ -792,19 +818,21 @@
 
 
 def binary_of(columns: list[ColumnInfo], row: Row) -> bytes:
-    """A row in the binary protocol."""
-    return binary_row([_binary(column.type, value) for column, value in zip(columns, row, strict=True)])
+    """Encode a row for the binary protocol."""
+    return binary_row(
+        [_encode_binary(column.type, value) for column, value in zip(columns, row, strict=True)]
+    )
 
 
-_NUMBERS = {Type.TINY: "b", Type.SHORT: "h", Type.LONG: "i", Type.INT24: "i", Type.LONGLONG: "q"}
+_INTEGER_FORMATS = {Type.TINY: "b", Type.SHORT: "h", Type.LONG: "i", Type.INT24: "i", Type.LONGLONG: "q"}
 
 
 def value_of(raw: bytes | None, kind: int, flags: int) -> Value:
-    """A parameter of the binary protocol."""
+    """Decode a parameter of the binary protocol."""
     if raw is None:
         return None
-    if kind in _NUMBERS:
-        letter = _NUMBERS[Type(kind)]
+    if kind in _INTEGER_FORMATS:
+        letter = _INTEGER_FORMATS[Type(kind)]
         return struct.unpack("<" + (letter.upper() if flags & UNSIGNED_PARAMETER else letter), raw)[0]
     if kind == Type.FLOAT:
         return float(struct.unpack("<f", raw)[0])
@@ -836,7 +864,7 @@
 
 
 def accounts(names: Iterable[str], database: Database, schema: str = "shop", money: int = 1000) -> None:
-    """The tables that transfers are tried on: `accounts`, and `transfers` with one row for each."""
+    """Create the tables for transfer tests: `accounts` with a row for each name, and an empty `transfers`."""
     table = Table(
         "accounts", [ColumnInfo("name", int(Type.VAR_STRING), table="accounts"),
                      ColumnInfo("money", int(Type.LONG), table="accounts")],
