--- a/benchmarks/mysql.py
+++ b/benchmarks/mysql.py
@@ -475,7 +475,7 @@
                     if due > begin + OPENING_S:
                         counts[1] += told.ok and scheduler.now() - due <= IN_TIME_S
                         counts[2] += not told.ok
-                    if told.gone or told.late:
+                    if told.connection_closed or told.late:
                         client.close()
                         client = MysqlClient(scheduler)
                         client.connect(where, "web", b"s", "shop", 10.0)
--- a/brambleusher/lab/mysql/client.py
+++ b/brambleusher/lab/mysql/client.py
@@ -18,7 +18,7 @@
 SECURE, MULTI_STATEMENTS, MULTI_RESULTS, PLUGIN, DEPRECATE_EOF = 0x8000, 1 << 16, 1 << 17, 1 << 19, 1 << 24
 
 
-class Gone(Exception):
+class ConnectionClosed(Exception):
     """The server closed the connection; `within` says whether a packet was incomplete at that point."""
 
     def __init__(self, within: bool) -> None:
@@ -26,12 +26,12 @@
         self.within = within
 
 
-class Nonsense(Exception):
+class InvalidReply(Exception):
     """The received bytes are not a valid reply of the MySQL protocol."""
 
 
 @dataclass(slots=True)
-class Told:
+class CommandReply:
     """The complete reply to one command, or the reason why there is none."""
 
     ok: bool = False  # the reply is complete and is not an error
@@ -40,12 +40,12 @@
     rows: list[list[str | None]] = field(default_factory=list)
     affected: int = 0
     last_id: int = 0
-    gone: Gone | None = None
+    connection_closed: ConnectionClosed | None = None
     late: bool = False  # no complete reply arrived before the deadline
-    nonsense: str = ""
+    protocol_error: str = ""
 
     @property
-    def words(self) -> int:
+    def endings(self) -> int:
         """Return how many endings (success or error) the reply has; a correct reply has exactly one."""
         return int(self.ok) + (self.error is not None)
 
@@ -53,20 +53,26 @@
 class MysqlClient:
     """One client session; `deprecate_eof` and `multi_statements` set capability flags."""
 
-    def __init__(self, scheduler: Scheduler, new: bool = True, multi: bool = False) -> None:
-        self._scheduler, self._deprecate_eof = scheduler, new
+    def __init__(
+        self, scheduler: Scheduler, deprecate_eof: bool = True, multi_statements: bool = False
+    ) -> None:
+        self._scheduler, self._deprecate_eof = scheduler, deprecate_eof
         self._capabilities = (
             LONG_PASSWORD | CONNECT_WITH_DB | PROTOCOL_41 | TRANSACTIONS | SECURE | MULTI_RESULTS | PLUGIN
         )
-        self._capabilities |= (DEPRECATE_EOF if new else 0) | (MULTI_STATEMENTS if multi else 0)
+        self._capabilities |= (DEPRECATE_EOF if deprecate_eof else 0) | (
+            MULTI_STATEMENTS if multi_statements else 0
+        )
         self._stream: Stream | None = None
         self._buffer = bytearray()
         self._seq = 0
         self.thread = 0
 
-    def connect(self, address: Address, user: str, password: bytes, schema: str, seconds: float) -> Told:
+    def connect(
+        self, address: Address, user: str, password: bytes, schema: str, seconds: float
+    ) -> CommandReply:
         """Open the connection and log in with `mysql_native_password`; `seconds` is the time limit."""
-        reply, deadline = Told(), self._scheduler.now() + seconds
+        reply, deadline = CommandReply(), self._scheduler.now() + seconds
         try:
             self._stream = Stream.connect(self._scheduler, address, deadline)
             self._seq = 0
@@ -93,15 +99,15 @@
             reply.ok = last[0] == 0
         except TaskTimeoutError:
             reply.late = True
-        except Gone as closed:
-            reply.gone = closed
+        except ConnectionClosed as closed:
+            reply.connection_closed = closed
         except OSError:
-            reply.gone = Gone(within=False)
+            reply.connection_closed = ConnectionClosed(within=False)
         return reply
 
-    def query(self, text: str, seconds: float) -> Told:
+    def query(self, text: str, seconds: float) -> CommandReply:
         """Send a query and read its complete reply, including multiple result sets."""
-        reply = Told()
+        reply = CommandReply()
         deadline = self._scheduler.now() + seconds
         try:
             self._seq = 0
@@ -109,18 +115,18 @@
             while self._result(reply, deadline):
                 pass
             if self._buffer:
-                reply.nonsense = "unexpected bytes after the end of the reply"
+                reply.protocol_error = "unexpected bytes after the end of the reply"
         except TaskTimeoutError:
             reply.late = True
-        except Gone as closed:
-            reply.gone = closed
-        except Nonsense as error:
-            reply.nonsense = str(error)
+        except ConnectionClosed as closed:
+            reply.connection_closed = closed
+        except InvalidReply as error:
+            reply.protocol_error = str(error)
         except OSError:
-            reply.gone = Gone(within=bool(self._buffer))
+            reply.connection_closed = ConnectionClosed(within=bool(self._buffer))
         return reply
 
-    def ask_and_leave(self, text: str, seconds: float) -> None:
+    def query_and_disconnect(self, text: str, seconds: float) -> None:
         """Send a query, wait for the first bytes of its reply, and close without sending COM_QUIT."""
         deadline = self._scheduler.now() + seconds
         try:
@@ -149,28 +155,28 @@
         while len(self._buffer) < size:
             data = self._stream.receive(deadline)
             if not data:
-                raise Gone(within or bool(self._buffer))
+                raise ConnectionClosed(within or bool(self._buffer))
             self._buffer += data
 
     def _packet(self, deadline: float) -> bytes:
         self._fill_buffer(4, deadline, False)
         size, seq = int.from_bytes(self._buffer[:3], "little"), self._buffer[3]
         if seq != self._seq & 0xFF:
-            raise Nonsense(f"packet number {seq} where {self._seq & 0xFF} was expected")
+            raise InvalidReply(f"packet number {seq} where {self._seq & 0xFF} was expected")
         self._fill_buffer(4 + size, deadline, True)
         payload = bytes(self._buffer[4 : 4 + size])
         del self._buffer[: 4 + size]
         self._seq += 1
         if not payload:
-            raise Nonsense("empty packet")
+            raise InvalidReply("empty packet")
         return payload
 
-    def _error(self, reply: Told, payload: bytes) -> Told:
+    def _error(self, reply: CommandReply, payload: bytes) -> CommandReply:
         reply.error = int.from_bytes(payload[1:3], "little"), payload[4:9].decode("ascii", "replace")
         reply.text = payload[9:].decode("utf-8", "replace")
         return reply
 
-    def _result(self, reply: Told, deadline: float) -> bool:
+    def _result(self, reply: CommandReply, deadline: float) -> bool:
         """Read one result; return whether another one follows."""
         first = self._packet(deadline)
         if first[0] == 0xFF:
@@ -182,21 +188,21 @@
             return self._finish(reply, int.from_bytes(first[at : at + 2], "little"))
         columns, at = _read_lenenc(first, 0)
         if at != len(first) or not 0 < columns < 100:
-            raise Nonsense("invalid column count")
+            raise InvalidReply("invalid column count")
         for _ in range(columns):
             definition = self._packet(deadline)
             if definition[0] == 0xFF:
                 self._error(reply, definition)
                 return False
             if definition[:4] != b"\x03def":
-                raise Nonsense("invalid column definition")
+                raise InvalidReply("invalid column definition")
         if not self._deprecate_eof:
             eof = self._packet(deadline)
             if eof[0] == 0xFF:
                 self._error(reply, eof)
                 return False
             if eof[0] != 0xFE or len(eof) != 5:
-                raise Nonsense("missing EOF packet after the column definitions")
+                raise InvalidReply("missing EOF packet after the column definitions")
         while True:
             row = self._packet(deadline)
             if row[0] == 0xFF:
@@ -212,7 +218,7 @@
             reply.rows.append(_parse_row(row, columns))
 
     @staticmethod
-    def _finish(reply: Told, status: int) -> bool:
+    def _finish(reply: CommandReply, status: int) -> bool:
         reply.ok = not status & 8
         return not reply.ok
 
@@ -223,7 +229,7 @@
         return first, at + 1
     size = {0xFC: 2, 0xFD: 3, 0xFE: 8}.get(first)
     if size is None or at + 1 + size > len(data):
-        raise Nonsense("invalid length-encoded integer")
+        raise InvalidReply("invalid length-encoded integer")
     return int.from_bytes(data[at + 1 : at + 1 + size], "little"), at + 1 + size
 
 
@@ -237,9 +243,9 @@
             continue
         size, at = _read_lenenc(data, at)
         if at + size > len(data):
-            raise Nonsense("value extends past the end of its row")
+            raise InvalidReply("value extends past the end of its row")
         out.append(data[at : at + size].decode("utf-8", "replace"))
         at += size
     if at != len(data):
-        raise Nonsense("row has bytes after its last value")
+        raise InvalidReply("row has bytes after its last value")
     return out
--- a/brambleusher/lab/mysql/engine.py
+++ b/brambleusher/lab/mysql/engine.py
@@ -41,7 +41,7 @@
 
     def __init__(self, key: tuple[Any, ...], lock_owner: Session) -> None:
         super().__init__(str(key))
-        self.key, self.holder = key, lock_owner
+        self.key, self.lock_owner = key, lock_owner
 
 
 class Sleep(Exception):
@@ -74,16 +74,16 @@
     columns: list[ColumnInfo]
     rows: dict[Value, Row] = field(default_factory=dict)
     # For each row with an uncommitted change: the session that made it, and the last committed row.
-    before: dict[Value, tuple[Session, Row | None]] = field(default_factory=dict)
+    uncommitted: dict[Value, tuple[Session, Row | None]] = field(default_factory=dict)
     next_id: int = 1
 
-    def seen(self, session: Session) -> Iterator[tuple[Value, Row]]:
+    def visible_rows(self, session: Session) -> Iterator[tuple[Value, Row]]:
         """Iterate over the rows visible to a session: committed rows and the session's own changes."""
-        if not self.before:
+        if not self.uncommitted:
             yield from list(self.rows.items())
             return
-        for key in list(dict.fromkeys([*self.rows, *self.before])):
-            change = self.before.get(key)
+        for key in list(dict.fromkeys([*self.rows, *self.uncommitted])):
+            change = self.uncommitted.get(key)
             row = self.rows.get(key) if change is None or change[0] is session else change[1]
             if row is not None:
                 yield key, row
@@ -153,7 +153,7 @@
         """Return the committed rows of a table by key; tests use this to check stored data."""
         table = self.table(schema, name)
         out = dict(table.rows)
-        for key, (_, old) in table.before.items():
+        for key, (_, old) in table.uncommitted.items():
             if old is None:
                 out.pop(key, None)
             else:
@@ -220,9 +220,9 @@
     def __init__(self, database: Database, thread: int, user: str, now: Callable[[], dt.datetime]) -> None:
         self.database, self.thread, self.user, self._now = database, thread, user, now
         self.schema = ""
-        self.found_rows_mode = False
+        self.reports_found_rows = False
         self.waits_for: Session | None = None
-        self.slept = 0  # number of SLEEP() calls of the current statement that are finished
+        self.finished_sleeps = 0  # number of SLEEP() calls of the current statement that are finished
         self._sleep_count = 0
         self.reset()
 
@@ -230,8 +230,8 @@
         """Restore the state of a new login: roll back, release all locks, reset all variables."""
         if hasattr(self, "variables"):
             self.rollback()
-            self.release_tables()
-            self.release_names()
+            self.release_table_locks()
+            self.release_named_locks()
         self.variables = dict(VARIABLES)
         self.user_variables: dict[str, Value] = {}
         self.temporary: dict[tuple[str, str], Table] = {}
@@ -259,13 +259,13 @@
         if self.undo:
             self.database.commits += 1
         for table, key in self.undo:
-            table.before.pop(key, None)
+            table.uncommitted.pop(key, None)
         self._end_transaction()
 
     def rollback(self) -> None:
         """Undo the changes of the transaction and release its row locks."""
         for table, key in reversed(self.undo):
-            _, old = table.before.pop(key, (self, None))
+            _, old = table.uncommitted.pop(key, (self, None))
             if old is None:
                 table.rows.pop(key, None)
             else:
@@ -280,14 +280,14 @@
             self.locks = []
             self.database.on_unlock()
 
-    def release_tables(self) -> None:
+    def release_table_locks(self) -> None:
         """Execute UNLOCK TABLES: release all table locks of this session."""
         locks = self.database.table_locks
         for key in [key for key, lock_owner in locks.items() if lock_owner is self]:
             del locks[key]
         self.database.on_unlock()
 
-    def release_names(self) -> int:
+    def release_named_locks(self) -> int:
         """Execute RELEASE_ALL_LOCKS(): release all named locks and return how many there were."""
         locks = self.database.named_locks
         own_keys = [key for key, lock_owner in locks.items() if lock_owner is self]
@@ -324,8 +324,8 @@
                 self.locks.append(key)
 
     def _change(self, table: Table, key: Value, row: Row | None) -> None:
-        if table.name not in {each for _, each in self.temporary} and key not in table.before:
-            table.before[key] = self, table.rows.get(key)
+        if table.name not in {each for _, each in self.temporary} and key not in table.uncommitted:
+            table.uncommitted[key] = self, table.rows.get(key)
             self.undo.append((table, key))
         if row is None:
             table.rows.pop(key, None)
@@ -410,7 +410,7 @@
                     self.database.table_locks[(self.schema, table)] = self
             return Result()
         if name.startswith("UNLOCK"):
-            self.release_tables()
+            self.release_table_locks()
             return Result()
         if name in ("SAVEPOINT", "RELEASE"):
             return Result()
@@ -520,16 +520,16 @@
 
     def _where(self, table: Table, where: Any) -> list[tuple[Value, Row]]:
         if where is None:
-            return list(table.seen(self))
+            return list(table.visible_rows(self))
         test = where.this
         by_key = isinstance(test, exp.EQ) and isinstance(test.this, exp.Column)
         if by_key and test.this.name.lower() == table.columns[0].name.lower():
             key = _convert_to_key(self._eval(test.expression, {}), table)
-            change = table.before.get(key)
+            change = table.uncommitted.get(key)
             row = table.rows.get(key) if change is None or change[0] is self else change[1]
             return [] if row is None else [(key, row)]
         out = []
-        for key, row in table.seen(self):
+        for key, row in table.visible_rows(self):
             if self._eval(test, self._row_environment(table, row)):
                 out.append((key, row))
         return out
@@ -686,7 +686,7 @@
             changed += fresh != row
             self._change(table, key, fresh)
         info = f"Rows matched: {len(matching)}  Changed: {changed}  Warnings: 0"
-        affected = len(matching) if self.found_rows_mode else changed
+        affected = len(matching) if self.reports_found_rows else changed
         return Result(affected=affected, info=info)
 
     def _delete(self, tree: Any) -> Result:
@@ -947,7 +947,7 @@
         )
         if name == "sleep":
             self._sleep_count += 1
-            if self._sleep_count > self.slept and not without_effects:
+            if self._sleep_count > self.finished_sleeps and not without_effects:
                 raise Sleep(float(given[0] if given else self._eval(node.this, environment, without_effects)))
             return 0
         if name == "last_insert_id":
@@ -983,7 +983,7 @@
             self.database.on_unlock()
             return 1
         if name == "release_all_locks":
-            return self.release_names()
+            return self.release_named_locks()
         if name == "is_free_lock":
             return int(str(given[0]).lower() not in self.database.named_locks)
         if name == "charset":
--- a/brambleusher/lab/mysql/fuzz.py
+++ b/brambleusher/lab/mysql/fuzz.py
@@ -112,7 +112,7 @@
         self._kinds = sorted(self._seeds)
         self._key = RsaKey()
         self._secrets = {"web": Secret(NATIVE, native=bytes(20))}
-        self.taken = self.refused = 0
+        self.accepted = self.rejected = 0
         self.slowest = 0.0
         self._parsers: dict[str, Callable[[bytes], None]] = {
             "reply": self._reply, "greeting": self._greeting, "login": self._login,
@@ -121,7 +121,7 @@
             "state": lambda data: _discard(parse_state(data)),
         }  # fmt: skip
 
-    def one(self, noise: bytes = b"") -> None:
+    def run_one(self, noise: bytes = b"") -> None:
         """Generate one input and parse it; every exception except a protocol error propagates."""
         kind = self._rng.choice(self._kinds)
         data = self._mutate(self._rng.choice(self._seeds[kind]), noise)
@@ -133,9 +133,9 @@
         try:
             self._parsers[kind](data)
         except (ProtocolError, LoginRefused):
-            self.refused += 1
+            self.rejected += 1
         else:
-            self.taken += 1
+            self.accepted += 1
         elapsed = RealSystem.monotonic() - started
         self.slowest = max(self.slowest, elapsed)
         if elapsed > HANG_SECONDS:
@@ -256,14 +256,14 @@
     fuzzer, started = Fuzzer(options.seed), RealSystem.monotonic()
     for at in range(options.inputs):
         try:
-            fuzzer.one()
+            fuzzer.run_one()
         except Exception as error:
             print(f"input {at} of seed {options.seed}: {type(error).__name__}: {error}")
             return 1
     elapsed = RealSystem.monotonic() - started
     print(
-        f"{options.inputs} inputs in {elapsed:.0f} s: {fuzzer.taken} accepted, "
-        f"{fuzzer.refused} rejected, none crashed; the slowest took {fuzzer.slowest * 1000:.1f} ms"
+        f"{options.inputs} inputs in {elapsed:.0f} s: {fuzzer.accepted} accepted, "
+        f"{fuzzer.rejected} rejected, none crashed; the slowest took {fuzzer.slowest * 1000:.1f} ms"
     )
     return 0
 
--- a/brambleusher/lab/mysql/replay.py
+++ b/brambleusher/lab/mysql/replay.py
@@ -38,7 +38,7 @@
 from brambleusher.fronts.mysql.replies import ReplyRelay
 from brambleusher.fronts.mysql.session import Session
 from brambleusher.fronts.mysql.statements import Kind, Tie
-from brambleusher.lab.mysql.client import MysqlClient, Told
+from brambleusher.lab.mysql.client import CommandReply, MysqlClient
 from brambleusher.lab.mysql.engine import ColumnInfo, Database, Table
 from brambleusher.lab.mysql.server import Fault, Moment, MysqlServer, MysqlSettings, accounts
 from brambleusher.lab.stand_ins.discovery import Discovery, Entry
@@ -178,7 +178,7 @@
     """The outcome of a transfer, or of a write outside a transaction, as reported to the client."""
 
     id: str
-    told: str = "nothing"  # one of done, failed, unknown, nothing
+    outcome: str = "nothing"  # one of done, failed, unknown, nothing
     within: bool = True  # False for a single write outside a transaction
 
 
@@ -191,7 +191,7 @@
     lines: list[str] = field(default_factory=list)
     commands: int = 0
     errors: Counter[int] = field(default_factory=Counter)
-    well: set[int] = field(default_factory=set)
+    recovered: set[int] = field(default_factory=set)
 
 
 class Actor:
@@ -229,7 +229,7 @@
         until = self.scheduler.now() + RECOVERY_LIMIT_S
         while self.scheduler.now() < until:
             if self.transfer(False) == "done":
-                self.observations.well.add(self.number)
+                self.observations.recovered.add(self.number)
                 break
             self.scheduler.sleep(0.3)
         if self.client is not None:
@@ -263,7 +263,7 @@
         elif kind == "leave":
             if self.session():
                 assert self.client is not None
-                self.client.ask_and_leave(
+                self.client.query_and_disconnect(
                     f"select id, pad from generated where n = 3000 and width = 41 {self.unique_comment()}",
                     2.0,
                 )
@@ -293,7 +293,7 @@
         if self.client is not None:
             return True
         for _ in range(3):
-            client = MysqlClient(self.scheduler, new=self.rng.random() < 0.6)
+            client = MysqlClient(self.scheduler, deprecate_eof=self.rng.random() < 0.6)
             reply = client.connect(("10.0.2.1", FRONT), "web", b"front", "shop", CLIENT_TIMEOUT_S)
             if reply.ok:
                 self.client, self.after_error, self.killed = client, False, False
@@ -302,7 +302,7 @@
             self.breach(f"login failed: {reply}")
         return False
 
-    def ask(self, text: str) -> Told | None:
+    def ask(self, text: str) -> CommandReply | None:
         """Execute a statement and check that it gets exactly one reply; return None without a session."""
         if not self.session():
             return None
@@ -314,19 +314,19 @@
             if reply.ok
             else f"error {reply.error}"
             if reply.error
-            else f"gone {reply.gone} {reply.nonsense}"
+            else f"gone {reply.connection_closed} {reply.protocol_error}"
         )
         self.observations.lines.append(
             f"{self.scheduler.now():.6f} c{self.number} {text} -> {verdict} {len(reply.rows)}"
         )
         if reply.late:
             self.breach(f"no reply within {CLIENT_TIMEOUT_S} s to {text}")
-        elif reply.nonsense:
-            self.breach(f"invalid reply ({reply.nonsense}) to {text}")
-        elif reply.words > 1:
+        elif reply.protocol_error:
+            self.breach(f"invalid reply ({reply.protocol_error}) to {text}")
+        elif reply.endings > 1:
             self.breach(f"more than one reply to {text}")
-        elif not reply.words and not self.after_error and not self.killed:
-            self.breach(f"connection closed without an error ({reply.gone}) after {text}")
+        elif not reply.endings and not self.after_error and not self.killed:
+            self.breach(f"connection closed without an error ({reply.connection_closed}) after {text}")
         if reply.error is not None:
             self.observations.errors[reply.error[0]] += 1
             known = {*FAILED_ERRORS, *UNKNOWN_OUTCOME_ERRORS, SCRIPTED}
@@ -362,27 +362,27 @@
         for text in steps:
             reply = self.ask(text)
             if reply is None or not reply.ok:
-                transfer.told = "failed" if reply is not None and reply.error is not None else "unknown"
+                transfer.outcome = "failed" if reply is not None and reply.error is not None else "unknown"
                 if reply is not None and reply.error is None and not reply.late:
-                    transfer.told = "failed"  # a connection closed before COMMIT: rolled back
+                    transfer.outcome = "failed"  # a connection closed before COMMIT: rolled back
                 self.end_transaction(no_autocommit)
-                return transfer.told
+                return transfer.outcome
             if self.rng.random() < 0.1:
                 self.scheduler.sleep(self.rng.random() * 0.3)
         reply = self.ask(f"commit /* {transfer.id} */")
         if reply is not None and reply.ok:
-            transfer.told = "done"
+            transfer.outcome = "done"
         elif reply is not None and reply.error is not None:
-            transfer.told = "unknown" if reply.error[0] in UNKNOWN_OUTCOME_ERRORS else "failed"
+            transfer.outcome = "unknown" if reply.error[0] in UNKNOWN_OUTCOME_ERRORS else "failed"
             if reply.error[0] == SCRIPTED:
                 self.end_transaction(no_autocommit)
         elif self.killed:
-            transfer.told = "unknown"
-        if no_autocommit and self.client is not None and transfer.told == "done":
+            transfer.outcome = "unknown"
+        if no_autocommit and self.client is not None and transfer.outcome == "done":
             self.ask("set autocommit = 1")
-        if transfer.told != "done":
+        if transfer.outcome != "done":
             self.end_transaction(no_autocommit)
-        return transfer.told
+        return transfer.outcome
 
     def end_transaction(self, no_autocommit: bool) -> None:
         """Roll back after an error, if the session is still open."""
@@ -405,13 +405,18 @@
         after_error = self.after_error
         reply = self.ask(f"insert into transfers values ('{transfer.id}', 1)")
         if reply is not None and reply.ok:
-            transfer.told = "done"
+            transfer.outcome = "done"
         elif reply is not None and reply.error is not None:
-            transfer.told = "unknown" if reply.error[0] in UNKNOWN_OUTCOME_ERRORS else "failed"
+            transfer.outcome = "unknown" if reply.error[0] in UNKNOWN_OUTCOME_ERRORS else "failed"
         elif self.killed:
-            transfer.told = "unknown"
-        elif reply is not None and after_error and reply.gone is not None and not reply.gone.within:
-            transfer.told = "failed"  # the preceding error had already ended the session
+            transfer.outcome = "unknown"
+        elif (
+            reply is not None
+            and after_error
+            and reply.connection_closed is not None
+            and not reply.connection_closed.within
+        ):
+            transfer.outcome = "failed"  # the preceding error had already ended the session
 
     def read_large_result(self) -> None:
         """Read a result of many rows and compare every row with the expected one."""
@@ -695,7 +700,7 @@
         if not ended:
             breaches.append("the clients did not finish")
         for actor in self.actors:
-            if actor.number not in self.observations.well:
+            if actor.number not in self.observations.recovered:
                 breaches.append(f"client {actor.number}: no transfer succeeded after the last fault")
         world.run(world.now_ns + 6 * SECOND)
         self._check_idle_sidecar()
@@ -708,7 +713,7 @@
         digest.update(repr([[(s.name, s.seen) for s in each] for each in self.servers]).encode())
         verdict = Verdict(
             self.seed, breaches, digest.hexdigest()[:16], self.observations.commands,
-            Counter(t.told for t in self.observations.transfers), self.observations.errors,
+            Counter(t.outcome for t in self.observations.transfers), self.observations.errors,
             self.injected_faults, self.observations.lines,
         )  # fmt: skip
         world.close()
@@ -761,11 +766,11 @@
                 breaches.append(
                     f"{name} was sent {inserts} times, committed {commits} times, rows stored: {where}"
                 )
-            if transfer.told == "done" and where != 1:
+            if transfer.outcome == "done" and where != 1:
                 breaches.append(f"{name} was reported as done and is not stored")
-            if transfer.told == "failed" and where:
+            if transfer.outcome == "failed" and where:
                 breaches.append(f"{name} was reported as failed and is stored")
-            if transfer.told == "nothing":
+            if transfer.outcome == "nothing":
                 breaches.append(f"outcome of {name} was never reported")
         for tag, connections in self.result_reads.connections_by_tag.items():
             if len(connections) > 1:
@@ -931,7 +936,7 @@
         yield
 
 
-BREAKAGES: dict[str, Callable[[], Iterator[None]]] = {
+FRONT_MUTATIONS: dict[str, Callable[[], Iterator[None]]] = {
     "resend-after-commit": _resend_after_commit,
     "error-swallowed": _error_swallowed,
     "lost-commit-told-as-done": _interrupted_commit_reported_as_done,
@@ -953,7 +958,7 @@
     """Apply a mutation to the front for the duration of the context; None applies nothing."""
     with ExitStack() as stack:
         if name is not None:
-            stack.enter_context(contextmanager(BREAKAGES[name])())
+            stack.enter_context(contextmanager(FRONT_MUTATIONS[name])())
         yield
 
 
@@ -993,7 +998,7 @@
 def _print_detection_table() -> int:
     """Print how many seeds it takes to detect each mutation; return 1 if a mutation is not detected."""
     missed = 0
-    for name in BREAKAGES:
+    for name in FRONT_MUTATIONS:
         for seed in range(2000):
             try:
                 verdict = run_seed(seed, name)
@@ -1020,7 +1025,7 @@
     parser.add_argument(
         "--replay", type=int, metavar="SEED", help="run one schedule and print its statements"
     )
-    parser.add_argument("--breakage", choices=sorted(BREAKAGES))
+    parser.add_argument("--breakage", choices=sorted(FRONT_MUTATIONS))
     parser.add_argument(
         "--dense", action="store_true", help="with --replay: inject a fault into every eighth command"
     )
--- a/brambleusher/lab/mysql/server.py
+++ b/brambleusher/lab/mysql/server.py
@@ -136,7 +136,7 @@
     tls: Any = None  # ssl.SSLContext of the server, or None for connections without TLS
 
 
-class Broken(Exception):
+class ScriptedReset(Exception):
     """A scripted fault resets the connection."""
 
 
@@ -152,12 +152,12 @@
     parameters: int
     columns: list[ColumnInfo]
     types: bytes = b""
-    long: dict[int, bytearray] = field(default_factory=dict)
+    long_data: dict[int, bytearray] = field(default_factory=dict)
     cursor: Iterator[Row] | None = None
     cursor_columns: list[ColumnInfo] = field(default_factory=list)
 
 
-class Peer:
+class ClientConnection:
     """Server-side state of one client connection."""
 
     def __init__(self, channel: Channel, connection: Connection, thread: int) -> None:
@@ -187,23 +187,23 @@
         database: Database,
         settings: MysqlSettings,
         seed: int = 0,
-        trouble: Callable[[Moment], Fault | None] | None = None,
+        choose_fault: Callable[[Moment], Fault | None] | None = None,
         keep: bool = False,
     ) -> None:
         super().__init__(scheduler, name)
         self.database, self.settings = database, settings
-        self.trouble = trouble or (lambda moment: None)
+        self.choose_fault = choose_fault or (lambda moment: None)
         # Thread id, command code and statement text of each received command, if `keep` is set.
         self.seen: list[tuple[int, int, str]] = []
         self.keep = keep
-        self.peers: dict[int, Peer] = {}
-        self.refused = self.most_open = self.statements_run = 0
+        self.clients: dict[int, ClientConnection] = {}
+        self.rejected_connections = self.most_open = self.statements_run = 0
         self._rng = random.Random(seed)
         self._rsa = RsaKey()
         self._threads = 100 * (seed % 1000)
         self._slot_waiters: deque[Event] = deque()
         self._slots_used = 0
-        self._lock_waits: list[Peer] = []
+        self._lock_waits: list[ClientConnection] = []
         database.on_unlock = self._wake_lock_waiters
 
     # --- connections ----------------------------------------------------------------------------
@@ -211,37 +211,37 @@
     def serve(self, connection: Connection) -> None:
         """Serve one client from the greeting to the end of its connection."""
         self._threads += 1
-        client = Peer(Channel(connection.stream), connection, self._threads)
-        fault = self.trouble(Moment(client.thread))
+        client = ClientConnection(Channel(connection.stream), connection, self._threads)
+        fault = self.choose_fault(Moment(client.thread))
         try:
-            if len(self.peers) >= self.settings.max_connections:
-                self.refused += 1
+            if len(self.clients) >= self.settings.max_connections:
+                self.rejected_connections += 1
                 fault = Fault("error", errno=1040, state="08004")
             if fault is not None and not self._inject_at_greeting(client, fault):
                 return
-            self.peers[client.thread] = client
-            self.most_open = max(self.most_open, len(self.peers))
+            self.clients[client.thread] = client
+            self.most_open = max(self.most_open, len(self.clients))
             if self._log_in(client):
                 while self._command(client):
                     pass
-        except Broken:
+        except ScriptedReset:
             self.reset(connection)
         except ProtocolError as error:
             self._send(client, frame(Err(error.errno, error.state, str(error)).encode(), client.seq))
         finally:
-            self.peers.pop(client.thread, None)
+            self.clients.pop(client.thread, None)
             if client.session is not None:
                 client.session.end()
 
     def crash(self) -> None:
         """Simulate a crash: reset all connections and roll back all open transactions."""
         self.close(reset=True)
-        for client in list(self.peers.values()):
+        for client in list(self.clients.values()):
             if client.session is not None:
                 client.session.end()
-        self.peers.clear()
+        self.clients.clear()
 
-    def _inject_at_greeting(self, client: Peer, fault: Fault) -> bool:
+    def _inject_at_greeting(self, client: ClientConnection, fault: Fault) -> bool:
         """Inject a fault at the start of a connection; return whether the connection continues."""
         if fault.how == "error":
             text = "Too many connections" if fault.errno == 1040 else "scripted"
@@ -255,26 +255,26 @@
             return True
         if fault.how == "silent":
             self._stop_responding(client)
-        raise Broken
+        raise ScriptedReset
 
-    def _stop_responding(self, client: Peer) -> None:
+    def _stop_responding(self, client: ClientConnection) -> None:
         """Send nothing more and wait until the client closes the connection."""
         while client.channel.receive(self.scheduler.now() + WAIT_SECONDS):
             pass
-        raise Broken
+        raise ScriptedReset
 
-    def _send(self, client: Peer, data: bytes) -> None:
+    def _send(self, client: ClientConnection, data: bytes) -> None:
         if client.budget is not None:
             allowed = data[: client.budget]
             client.budget -= len(allowed)
             if allowed:
                 client.channel.send(allowed, self.scheduler.now() + WAIT_SECONDS)
             if len(allowed) < len(data) or client.budget == 0:
-                raise Broken
+                raise ScriptedReset
             return
         client.channel.send(data, self.scheduler.now() + WAIT_SECONDS)
 
-    def _log_in(self, client: Peer) -> bool:
+    def _log_in(self, client: ClientConnection) -> bool:
         settings = self.settings
         challenge = bytes(self._rng.randrange(1, 128) for _ in range(SCRAMBLE))
         capabilities = settings.capabilities | (Capability.SSL if settings.tls is not None else 0)
@@ -290,7 +290,7 @@
         self._send(client, login.greet())
         return self._authenticate(client, login)
 
-    def _authenticate(self, client: Peer, login: ServerLogin) -> bool:
+    def _authenticate(self, client: ClientConnection, login: ServerLogin) -> bool:
         while True:
             turn = login.step()
             if turn is Turn.DONE:
@@ -311,14 +311,16 @@
         assert login.login is not None
         client.capabilities = login.capabilities
         client.session = session = Session(self.database, client.thread, login.login.user, self._wall_time)
-        session.found_rows_mode = bool(login.capabilities & Capability.FOUND_ROWS)
+        session.reports_found_rows = bool(login.capabilities & Capability.FOUND_ROWS)
         if not self._select_initial_schema(client, login, login.login):
             return False
         self._send(client, login.let_in())
         client.reader.feed(login.rest())
         return True
 
-    def _select_initial_schema(self, client: Peer, login: ServerLogin, client_login: Login) -> bool:
+    def _select_initial_schema(
+        self, client: ClientConnection, login: ServerLogin, client_login: Login
+    ) -> bool:
         assert client.session is not None
         if client_login.database:
             try:
@@ -334,14 +336,14 @@
 
     # --- commands -------------------------------------------------------------------------------
 
-    def _command(self, client: Peer) -> bool:
+    def _command(self, client: ClientConnection) -> bool:
         reader = client.reader
         reader.expect()
         while (body := reader.take()) is None:
             data = client.channel.receive(self.scheduler.now() + WAIT_SECONDS, client.event)
             if data is None:
                 if client.killed:
-                    raise Broken
+                    raise ScriptedReset
                 continue
             if not data:
                 return False
@@ -356,10 +358,10 @@
         text = self._text_of(client, code, body)
         if self.keep:
             self.seen.append((client.thread, code, text))
-        fault = self.trouble(Moment(client.thread, code, text, session.in_transaction))
+        fault = self.choose_fault(Moment(client.thread, code, text, session.in_transaction))
         if fault is not None:
             if fault.how == "before":
-                raise Broken
+                raise ScriptedReset
             if fault.how == "silent":
                 self._stop_responding(client)
             if fault.how == "nonsense":
@@ -381,7 +383,7 @@
             client.running = ""
         return True
 
-    def _text_of(self, client: Peer, code: int, body: bytes) -> str:
+    def _text_of(self, client: ClientConnection, code: int, body: bytes) -> str:
         if code in (Command.QUERY, Command.STMT_PREPARE, Command.INIT_DB):
             return body[1:].decode("utf-8", "surrogateescape")
         if code in (Command.STMT_EXECUTE, Command.STMT_FETCH):
@@ -389,21 +391,21 @@
             return statement.text if statement is not None else ""
         return ""
 
-    def _send_error(self, client: Peer, error: SqlError) -> None:
+    def _send_error(self, client: ClientConnection, error: SqlError) -> None:
         self._send(client, frame(Err(error.errno, error.state, str(error)).encode(), client.seq))
 
-    def _send_packets(self, client: Peer, *messages: bytes) -> None:
+    def _send_packets(self, client: ClientConnection, *messages: bytes) -> None:
         out = b""
         for message in messages:
             out += frame(message, client.seq)
             client.seq += frames(len(message))
         self._send(client, out)
 
-    def _send_ok(self, client: Peer, result: Result | None = None, more: bool = False) -> None:
+    def _send_ok(self, client: ClientConnection, result: Result | None = None, more: bool = False) -> None:
         self._send_packets(client, self._ok_packet(client, result or Result(), more))
 
     def _ok_packet(
-        self, client: Peer, result: Result, more: bool = False, header: int = 0, flags: int = 0
+        self, client: ClientConnection, result: Result, more: bool = False, header: int = 0, flags: int = 0
     ) -> bytes:
         session = client.session
         assert session is not None
@@ -417,7 +419,9 @@
         )
         return ok.encode(client.capabilities, header)
 
-    def _dispatch(self, client: Peer, code: int, body: bytes, text: str, fault: Fault | None) -> None:
+    def _dispatch(
+        self, client: ClientConnection, code: int, body: bytes, text: str, fault: Fault | None
+    ) -> None:
         session = client.session
         assert session is not None
         if code == Command.QUERY:
@@ -439,13 +443,15 @@
         elif code == Command.STMT_SEND_LONG_DATA:
             statement = client.statements.get(int.from_bytes(body[1:5], "little"))
             if statement is not None:
-                statement.long.setdefault(int.from_bytes(body[5:7], "little"), bytearray()).extend(body[7:])
+                statement.long_data.setdefault(int.from_bytes(body[5:7], "little"), bytearray()).extend(
+                    body[7:]
+                )
         elif code == Command.STMT_CLOSE:
             client.statements.pop(int.from_bytes(body[1:5], "little"), None)
         elif code == Command.STMT_RESET:
             statement = self._find_statement(client, body)
             statement.cursor = None
-            statement.long.clear()
+            statement.long_data.clear()
             self._send_ok(client)
         elif code == Command.SET_OPTION:
             multi = int.from_bytes(body[1:3], "little") == 0
@@ -473,7 +479,7 @@
         else:
             raise SqlError(1047, "08S01", "Unknown command")
 
-    def _change_user(self, client: Peer, body: bytes) -> None:
+    def _change_user(self, client: ClientConnection, body: bytes) -> None:
         assert client.session is not None
         client.session.end()
         login = ServerLogin(
@@ -485,16 +491,16 @@
         login.change_user(body, client.capabilities, b"", challenge)
         client.statements.clear()
         if not self._authenticate(client, login):
-            raise Broken
+            raise ScriptedReset
 
     # --- statements -----------------------------------------------------------------------------
 
-    def _inject_after_run(self, client: Peer, fault: Fault | None) -> None:
+    def _inject_after_run(self, client: ClientConnection, fault: Fault | None) -> None:
         """Inject a fault that takes effect after a command has run."""
         if fault is None:
             return
         if fault.how == "after":
-            raise Broken
+            raise ScriptedReset
         if fault.how == "amid":
             client.budget = fault.bytes
         if fault.how == "late":
@@ -502,7 +508,7 @@
         if fault.how == "number":
             client.seq += 1
 
-    def _query(self, client: Peer, text: str, fault: Fault | None) -> None:
+    def _query(self, client: ClientConnection, text: str, fault: Fault | None) -> None:
         killed = re.match(r"\s*kill\s+(query\s+|connection\s+)?([0-9]+)\s*;?\s*$", text, re.I)
         if killed is not None:
             self._inject_after_run(client, fault)
@@ -521,13 +527,15 @@
                 self._inject_after_run(client, fault)
             self._send_result(client, result, more, binary=False)
 
-    def _run_statement(self, client: Peer, tree: Any, parameters: list[Value], text: str) -> Result:
+    def _run_statement(
+        self, client: ClientConnection, tree: Any, parameters: list[Value], text: str
+    ) -> Result:
         """Execute a statement, waiting for a worker slot, SLEEP() calls and locks."""
         session = client.session
         assert session is not None
         client.running, client.killed = text, False
         self.statements_run += 1
-        session.slept = 0
+        session.finished_sleeps = 0
         if self.settings.work_seconds or self.settings.slots:
             self._occupy_slot(client)
         deadline = self.scheduler.now() + self.settings.lock_wait_seconds
@@ -536,9 +544,9 @@
                 return session.run(tree, parameters)
             except Sleep as sleep:
                 self._wait(client, self.scheduler.now() + sleep.seconds)
-                session.slept += 1
+                session.finished_sleeps += 1
             except Blocked as blocked:
-                session.waits_for = blocked.holder
+                session.waits_for = blocked.lock_owner
                 self._lock_waits.append(client)
                 try:
                     if not self._wait(client, deadline):
@@ -550,7 +558,7 @@
                     if client in self._lock_waits:
                         self._lock_waits.remove(client)
 
-    def _occupy_slot(self, client: Peer) -> None:
+    def _occupy_slot(self, client: ClientConnection) -> None:
         """Occupy a worker slot for the simulated execution time of a statement."""
         settings = self.settings
         while settings.slots and self._slots_used >= settings.slots:
@@ -569,7 +577,7 @@
             if self._slot_waiters:
                 self._slot_waiters.popleft().set()
 
-    def _wait(self, client: Peer, until: float) -> bool:
+    def _wait(self, client: ClientConnection, until: float) -> bool:
         """Wait for the client's event; return False if `until` comes first, raise `Killed` after KILL."""
         try:
             self.scheduler.park(until, event=client.event)
@@ -583,8 +591,8 @@
         for client in self._lock_waits:
             client.event.set()
 
-    def _kill(self, client: Peer, thread: int, query: bool) -> None:
-        target = self.peers.get(thread)
+    def _kill(self, client: ClientConnection, thread: int, query: bool) -> None:
+        target = self.clients.get(thread)
         if target is None:
             raise SqlError(1094, "HY000", f"Unknown thread id: {thread}")
         if query and not target.running:
@@ -607,7 +615,9 @@
             schema, table, table, column.name.encode() if table else b"",
         )  # fmt: skip
 
-    def _end_of_rows(self, client: Peer, result: Result, more: bool = False, flags: int = 0) -> bytes:
+    def _end_of_rows(
+        self, client: ClientConnection, result: Result, more: bool = False, flags: int = 0
+    ) -> bytes:
         if client.capabilities & Capability.DEPRECATE_EOF:
             return self._ok_packet(client, Result(info=result.info), more, 0xFE, flags)
         assert client.session is not None
@@ -616,7 +626,7 @@
 
     def _send_result(
         self,
-        client: Peer,
+        client: ClientConnection,
         result: Result,
         more: bool,
         binary: bool,
@@ -641,7 +651,7 @@
 
     def _send_rows(
         self,
-        client: Peer,
+        client: ClientConnection,
         columns: list[ColumnInfo],
         rows: Iterator[Row],
         max_rows: int | None,
@@ -668,7 +678,7 @@
 
     # --- prepared statements --------------------------------------------------------------------
 
-    def _find_statement(self, client: Peer, body: bytes) -> Statement:
+    def _find_statement(self, client: ClientConnection, body: bytes) -> Statement:
         number = int.from_bytes(body[1:5], "little")
         statement = client.statements.get(number)
         if statement is None:
@@ -677,7 +687,7 @@
             )
         return statement
 
-    def _prepare(self, client: Peer, text: str) -> None:
+    def _prepare(self, client: ClientConnection, text: str) -> None:
         from sqlglot import exp
 
         trees = self.database.parse(text)
@@ -719,30 +729,30 @@
             return columns
         return [ColumnInfo(each.alias_or_name or "expr") for each in tree.expressions] or [ColumnInfo("a")]
 
-    def _execute(self, client: Peer, body: bytes, fault: Fault | None) -> None:
+    def _execute(self, client: ClientConnection, body: bytes, fault: Fault | None) -> None:
         statement = self._find_statement(client, body)
         execute = Execute.parse(body, statement.parameters)
         if execute.types is not None:
             statement.types = execute.types
         raw_values = (
-            execute.parameters(statement.parameters, statement.types, frozenset(statement.long))
+            execute.parameters(statement.parameters, statement.types, frozenset(statement.long_data))
             if statement.parameters
             else []
         )
         values: list[Value] = []
         for at, raw in enumerate(raw_values):
-            if at in statement.long:
-                values.append(bytes(statement.long[at]))
+            if at in statement.long_data:
+                values.append(bytes(statement.long_data[at]))
             else:
                 values.append(value_of(raw, statement.types[2 * at], statement.types[2 * at + 1]))
         result = self._run_statement(client, self.database.parse(statement.text)[0], values, statement.text)
-        statement.long.clear()
+        statement.long_data.clear()
         statement.cursor = None
         self._inject_after_run(client, fault)
         cursor = statement if execute.flags & CURSOR_READ_ONLY and result.has_rows else None
         self._send_result(client, result, False, True, cursor)
 
-    def _fetch(self, client: Peer, body: bytes) -> None:
+    def _fetch(self, client: ClientConnection, body: bytes) -> None:
         statement = self._find_statement(client, body)
         if statement.cursor is None:
             raise SqlError(1421, "HY000", "The statement has no open cursor.")
--- a/tests/fronts/mysql/test_mysql_clients.py
+++ b/tests/fronts/mysql/test_mysql_clients.py
@@ -288,7 +288,7 @@
 
         if works:
             assert count() == 20000
-            assert rig[1].do(lambda: any(peer.channel.secure for peer in rig[1].servers[0].peers.values()))
+            assert rig[1].do(lambda: any(peer.channel.secure for peer in rig[1].servers[0].clients.values()))
         else:
             with pytest.raises(pymysql.err.Error):
                 count()
--- a/tests/fronts/mysql/test_mysql_codec.py
+++ b/tests/fronts/mysql/test_mysql_codec.py
@@ -342,12 +342,12 @@
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.integers(0, 2**32), st.binary(max_size=40))
 def test_bytes_by_chance_end_in_a_protocol_error_or_in_nothing(seed: int, noise: bytes) -> None:
-    Fuzzer(seed).one(noise)
+    Fuzzer(seed).run_one(noise)
 
 
 def test_a_few_thousand_spoilt_messages() -> None:
     fuzzer = Fuzzer(1)
     for _ in range(3000):
-        fuzzer.one()
-    assert fuzzer.refused > 500
-    assert fuzzer.taken > 500
+        fuzzer.run_one()
+    assert fuzzer.rejected > 500
+    assert fuzzer.accepted > 500
--- a/tests/fronts/mysql/test_mysql_front.py
+++ b/tests/fronts/mysql/test_mysql_front.py
@@ -375,7 +375,7 @@
     assert rig.count("mysql_connections_refused") == 1
     Raw_reset(clients[0])
     assert insist(clients[2], ROW) == (("n1", 1000),)
-    assert servers.servers[0].refused == 1
+    assert servers.servers[0].rejected_connections == 1
     for client in clients:
         client.close()
 
@@ -525,7 +525,7 @@
 
 def until_idle(servers: Servers) -> None:
     end = time.monotonic() + WAIT
-    while servers.do(lambda: any(p.running for s in servers.servers for p in s.peers.values())):
+    while servers.do(lambda: any(p.running for s in servers.servers for p in s.clients.values())):
         assert time.monotonic() < end
         time.sleep(0.005)
 
@@ -576,7 +576,7 @@
     rig.discovery.push(Discovery.text([rig.entry(places[1])], version=10))
     rig.until(lambda: rig.count("lists_taken") >= 3)
     assert insist(free, ROW) == (("n1", 1000),)
-    assert servers.do(lambda: len(servers.servers[0].peers)) == 0
+    assert servers.do(lambda: len(servers.servers[0].clients)) == 0
 
 
 def test_nothing_new_starts_on_a_draining_node_whatever_the_grace(make: Make) -> None:
--- a/tests/fronts/mysql/test_mysql_replay.py
+++ b/tests/fronts/mysql/test_mysql_replay.py
@@ -5,7 +5,7 @@
 import pytest
 
 from brambleusher.fronts.mysql.load import Meter
-from brambleusher.lab.mysql.replay import BREAKAGES, main, run_seed
+from brambleusher.lab.mysql.replay import FRONT_MUTATIONS, main, run_seed
 from brambleusher.loadbalancing.api import LoadReport
 
 MOST_SEEDS = 40  # within which each breakage is found where every eighth command is struck
@@ -24,7 +24,7 @@
     assert one.digest == other.digest != run_seed(4).digest
 
 
-@pytest.mark.parametrize("name", list(BREAKAGES))
+@pytest.mark.parametrize("name", list(FRONT_MUTATIONS))
 def test_each_breakage_is_found(name: str) -> None:
     seed = next((seed for seed in range(MOST_SEEDS) if run_seed(seed, name, dense=True).breaches), None)
     assert seed is not None, f"{name} is not found within {MOST_SEEDS} seeds"
