--- a/brambleusher/lab/experiments/__init__.py
+++ b/brambleusher/lab/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments: a matrix of worlds, demands, settings and seeds, results in SQLite, reports on them."""
+"""Experiments: a matrix of worlds, demands, settings and seeds is run, stored in SQLite and reported on."""
--- a/brambleusher/lab/experiments/compare.py
+++ b/brambleusher/lab/experiments/compare.py
@@ -1,4 +1,4 @@
-"""Two variants of an experiment held against each other: paired differences, bootstrap intervals."""
+"""Compares two variants of an experiment by paired differences with bootstrap confidence intervals."""
 
 from __future__ import annotations
 
@@ -10,27 +10,35 @@
 
 from brambleusher.lab.experiments.store import Store, StoredCell, StoreError
 
-RESAMPLES = 10_000
-LEVEL = 0.95
-SEED = 20_261_201
-USUAL = ("share.served", "share.on_time", "worth", "share.refused", "attempts", "load.mean", "load.spread")
+BOOTSTRAP_SAMPLES = 10_000
+CONFIDENCE_LEVEL = 0.95
+BOOTSTRAP_SEED = 20_261_201
+LEADING_METRICS = (
+    "share.served",
+    "share.on_time",
+    "worth",
+    "share.refused",
+    "attempts",
+    "load.mean",
+    "load.spread",
+)
 
 
 @dataclass(frozen=True)
 class Side:
-    """One side: a results file, and the settings in it if not all of them."""
+    """One side of a comparison: a results file, restricted to one settings name if `settings` is not None."""
 
     path: Path
     settings: str | None
 
     @classmethod
-    def of(cls, word: str) -> Side:
-        """`FILE` or `FILE:SETTINGS`."""
-        path, colon, settings = word.rpartition(":")
-        return cls(Path(path), settings) if colon and path else cls(Path(word), None)
+    def of(cls, argument: str) -> Side:
+        """Parse an argument of the form `FILE` or `FILE:SETTINGS`."""
+        path, colon, settings = argument.rpartition(":")
+        return cls(Path(path), settings) if colon and path else cls(Path(argument), None)
 
     def cells(self, store: Store) -> list[StoredCell]:
-        """The cells of this side that are done; raises `StoreError` where there are none."""
+        """Return the finished cells of this side; raise `StoreError` if there are none."""
         found = [
             cell
             for cell in store.cells()
@@ -46,46 +54,63 @@
 
 @dataclass(frozen=True)
 class Difference:
-    """A figure on both sides, and the differences of its pairs: the second less the first."""
+    """The paired differences of one metric, each the value of the second side minus that of the first."""
 
     name: str
     pairs: int
-    first: float  # means
-    second: float
-    mean: float
-    low: float
-    high: float
+    first: float  # mean on the first side
+    second: float  # mean on the second side
+    mean: float  # mean of the differences
+    low: float  # lower bound of the confidence interval of `mean`
+    high: float  # upper bound of the confidence interval of `mean`
 
     @property
     def clear(self) -> bool:
-        """Whether the interval leaves out 0; never with fewer than three pairs."""
+        """Return whether there are at least three pairs and the confidence interval excludes 0."""
         return self.pairs >= 3 and (self.low > 0 or self.high < 0)
 
 
-def interval(differences: np.ndarray[Any, np.dtype[np.float64]], seed: int = SEED) -> tuple[float, float]:
-    """The percentile bootstrap's interval of the mean (Efron, 1979)."""
+def interval(
+    differences: np.ndarray[Any, np.dtype[np.float64]], seed: int = BOOTSTRAP_SEED
+) -> tuple[float, float]:
+    """Return a percentile bootstrap confidence interval of the mean (Efron, 1979)."""
     if len(differences) == 1:
         return float(differences[0]), float(differences[0])
     rng = np.random.default_rng(seed)
-    picks = rng.integers(0, len(differences), size=(RESAMPLES, len(differences)))
-    means = differences[picks].mean(axis=1)
-    low, high = np.quantile(means, [(1 - LEVEL) / 2, (1 + LEVEL) / 2])
+    sample_indexes = rng.integers(0, len(differences), size=(BOOTSTRAP_SAMPLES, len(differences)))
+    means = differences[sample_indexes].mean(axis=1)
+    low, high = np.quantile(means, [(1 - CONFIDENCE_LEVEL) / 2, (1 + CONFIDENCE_LEVEL) / 2])
     return float(low), float(high)
 
 
 def compare(first: Side, second: Side) -> list[Difference]:
-    """Pairs of cells that are alike but for what is compared; raises `StoreError` where there are none."""
-    with Store(first.path) as one, Store(second.path) as other:
-        mine = {_key(cell, first, second): one.figures(cell.id) for cell in first.cells(one)}
-        theirs = {_key(cell, second, first): other.figures(cell.id) for cell in second.cells(other)}
-    both = [key for key in mine if key in theirs]
-    if not both:
-        raise StoreError("no two cells have the same world, demand, seed and place")
-    names = sorted({name for key in both for name in mine[key].keys() & theirs[key].keys()}, key=_order)
+    """Compare cells that have the same world, demand, seed and place.
+
+    Raises:
+        StoreError: There is no such pair of cells, or a results file can't be used.
+    """
+    with Store(first.path) as first_store, Store(second.path) as other:
+        first_metrics = {
+            _pair_key(cell, first, second): first_store.figures(cell.id) for cell in first.cells(first_store)
+        }
+        second_metrics = {
+            _pair_key(cell, second, first): other.figures(cell.id) for cell in second.cells(other)
+        }
+    shared_keys = [key for key in first_metrics if key in second_metrics]
+    if not shared_keys:
+        raise StoreError(
+            "no cell of the first side has a cell with the same world, demand, seed and place on the second"
+        )
+    names = sorted(
+        {name for key in shared_keys for name in first_metrics[key].keys() & second_metrics[key].keys()},
+        key=_display_position,
+    )
     found = []
     for name in names:
         pairs = [
-            (mine[key][name], theirs[key][name]) for key in both if name in mine[key] and name in theirs[key]
+            (first_metrics[key][name], second_metrics[key][name])
+            for key in shared_keys
+            if name in first_metrics[key] and name in second_metrics[key]
         ]
         a, b = np.array(pairs, dtype=np.float64).T
         low, high = interval(b - a)
@@ -95,19 +120,24 @@
     return found
 
 
-def _key(cell: StoredCell, side: Side, other: Side) -> tuple[object, ...]:
-    """What two cells of a pair have in common."""
+def _pair_key(cell: StoredCell, side: Side, other: Side) -> tuple[object, ...]:
+    """Return the properties that the two cells of a pair must share."""
     settings = cell.settings if side.settings is None and other.settings is None else ""
     return cell.world, cell.demand, cell.seed, cell.where, settings
 
 
-def _order(name: str) -> tuple[int, str]:
-    return (USUAL.index(name) if name in USUAL else len(USUAL) + name.startswith("load."), name)
+def _display_position(name: str) -> tuple[int, str]:
+    return (
+        LEADING_METRICS.index(name)
+        if name in LEADING_METRICS
+        else len(LEADING_METRICS) + name.startswith("load."),
+        name,
+    )
 
 
-def texts(differences: list[Difference], everything: bool = False) -> list[str]:
-    """As a table; without `everything`, no single node's load."""
-    shown = [each for each in differences if everything or not each.name.startswith("load.node.")]
+def texts(differences: list[Difference], has_node_loads: bool = False) -> list[str]:
+    """Format a comparison as lines of a table; `has_node_loads` includes the load of each node."""
+    shown = [each for each in differences if has_node_loads or not each.name.startswith("load.node.")]
     width = max(len(each.name) for each in shown)
     lines = [
         f"{'figure':<{width}} {'pairs':>5} {'A':>12} {'B':>12} {'B - A':>12}   95% of the mean difference"
@@ -118,5 +148,5 @@
             f"{each.name:<{width}} {each.pairs:>5} {each.first:>12.5g} {each.second:>12.5g}"
             f" {each.mean:>+12.4g}   {each.low:+.4g} to {each.high:+.4g}{clear}"
         )
-    lines += ["", "* the interval leaves out 0"]
+    lines += ["", "* the interval excludes 0"]
     return lines
--- a/brambleusher/lab/experiments/direct.py
+++ b/brambleusher/lab/experiments/direct.py
@@ -1,4 +1,4 @@
-"""Straight to the nodes on sockets: nodes and players in processes of their own."""
+"""Plays a demand over sockets directly to nodes, without sidecars; nodes and players are child processes."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 from brambleusher.runtime.system import Address
 
 NODE_PROCESSES = 2
-PLAYERS = 2
+PLAYER_PROCESSES = 2
 START_SECONDS = 60.0
 
 
 def run_direct(
     cell: Cell, requests: list[Request], plan: Play, span_s: float
 ) -> tuple[Tally, list[Heard], list[Execution], int]:
-    """Play; gives the tally, what the nodes noted, what they ran, and when it began."""
+    """Play the requests; return outcome counts, received requests, executions and start time in ns."""
     world = cell.figures.figures(span_s)
     nodes = [node for node in world.nodes if not node.spare]
     context = multiprocessing.get_context("spawn")
@@ -38,16 +38,18 @@
     children = []
     try:
         addresses: list[Address] = []
-        for part in range(min(NODE_PROCESSES, len(nodes))):
-            mine, theirs = context.Pipe()
-            child = context.Process(target=_serve, args=(cell.seed, nodes[part::NODE_PROCESSES], theirs))
+        for process_index in range(min(NODE_PROCESSES, len(nodes))):
+            parent_pipe, child_pipe = context.Pipe()
+            child = context.Process(
+                target=_serve, args=(cell.seed, nodes[process_index::NODE_PROCESSES], child_pipe)
+            )
             child.start()
-            theirs.close()
-            pipes.append(mine)
+            child_pipe.close()
+            pipes.append(parent_pipe)
             children.append(child)
         for pipe in pipes:
             if not pipe.poll(START_SECONDS):
-                raise RuntimeError("a process with nodes did not start")
+                raise RuntimeError("a node process did not start")
             addresses += pipe.recv()
         with tempfile.TemporaryDirectory(prefix="brambleusher-lab-") as folder:
             path = Path(folder) / "demand"
@@ -55,16 +57,16 @@
             results = play(
                 path,
                 Play(addresses, plan.pace, plan.timeout_ms, methods=plan.methods, seed=plan.seed),
-                PLAYERS,
+                PLAYER_PROCESSES,
             )
-        heard: list[Heard] = []
+        received_requests: list[Heard] = []
         executions: list[Execution] = []
         for pipe in pipes:
             pipe.send(results.start_ns)
-            noted, ran = pipe.recv()
-            heard += noted
-            executions += ran
-        return Tally.of(world, results, span_s), heard, executions, results.start_ns
+            received, executed = pipe.recv()
+            received_requests += received
+            executions += executed
+        return Tally.of(world, results, span_s), received_requests, executions, results.start_ns
     finally:
         for pipe in pipes:
             pipe.close()
@@ -75,14 +77,16 @@
 
 
 def _serve(seed: int, nodes: list[NodeFigures], pipe: Connection) -> None:
-    """Some nodes in one process, until it is asked for what they noted."""
+    """Run nodes in this process; send their requests and executions when the parent asks for them."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     scheduler = Scheduler(RealSystem())
-    notes: list[Heard] = []
+    received: list[Heard] = []
     executions: list[Execution] = []
     addresses = []
-    for figures in nodes:
-        node = noting(notes, lambda: 0, scheduler, figures.settings, figures.id, seed, executions=executions)
+    for node_spec in nodes:
+        node = noting(
+            received, lambda: 0, scheduler, node_spec.settings, node_spec.id, seed, executions=executions
+        )
         addresses.append(node.listen(("127.0.0.1", 0)))
     pipe.send(addresses)
     while not pipe.poll():
@@ -92,4 +96,4 @@
         start_ns = pipe.recv()
     except EOFError:
         return
-    pipe.send(([each._replace(at_ns=each.at_ns - start_ns) for each in notes], executions))
+    pipe.send(([each._replace(at_ns=each.at_ns - start_ns) for each in received], executions))
--- a/brambleusher/lab/experiments/figures.py
+++ b/brambleusher/lab/experiments/figures.py
@@ -1,4 +1,4 @@
-"""What a run came to, in figures: no clock, no I/O.  The same for virtual time and for sockets."""
+"""Computes the metrics and time series of a run, in virtual time and on sockets alike; no clock, no I/O."""
 
 from __future__ import annotations
 
@@ -12,26 +12,29 @@
 from brambleusher.load.results import ENDS, PERCENTILES, Outcome, Results
 from brambleusher.load.times import SECOND
 
-MOST_POINTS = 120  # of a series
-MOST_EVENTS = 400
+MOST_POINTS = 120  # maximum number of points in a time series
+MOST_EVENTS = 400  # maximum number of events stored for a cell
 
 
 class Tally:
-    """Takes in what became of requests, as a player tells it, and of executions at the end."""
+    """Counts the outcomes of requests reported by a player, and computes the metrics of a run from them."""
 
     def __init__(self, world: WorldFigures, speed: float, span_s: float) -> None:
-        """`span_s`: how long the play takes, in seconds of the run."""
+        """Start with empty counters; `span_s` is the duration of the play in seconds of run time."""
         self.world, self.span_s = world, span_s
         self.results = Results(speed=speed)
         self._classes = {each.name: each for each in world.classes}
         self._step_ns = step_of(span_s)
         self._rows: dict[str, Counter[int]] = defaultdict(Counter)
-        self._worth = self._most_worth = 0.0
+        self._earned_value = self._maximum_value = 0.0
         self._on_time = 0
 
     @classmethod
     def of(cls, world: WorldFigures, results: Results, span_s: float) -> Tally:
-        """What several processes came to, whose windows are the steps; worth and aims are not known then."""
+        """Build the counters from merged results of several processes.
+
+        Their windows become the steps of the series; worth and latency targets are unknown in this case.
+        """
         tally = cls(world, results.speed, span_s)
         tally.results = results
         tally._step_ns = round(results.window_ns / results.speed)
@@ -43,43 +46,46 @@
         return tally
 
     def add(self, outcome: Outcome) -> None:
-        """One request that is over."""
+        """Count one finished request."""
         self.results.add(outcome)
         at = outcome.due_ns // self._step_ns
         self._rows["asked"][at] += 1
         self._rows[outcome.end][at] += 1
-        figures = self._classes.get(outcome.request.request_class)
-        if figures is None:
+        spec = self._classes.get(outcome.request.request_class)
+        if spec is None:
             return
-        self._most_worth += figures.worth
+        self._maximum_value += spec.worth
         if outcome.end == "served":
-            on_time = outcome.ended_ns - outcome.due_ns <= figures.aim_s * SECOND
+            on_time = outcome.ended_ns - outcome.due_ns <= spec.aim_s * SECOND
             self._on_time += on_time
-            self._worth += figures.worth if on_time else figures.worth * figures.late_worth
+            self._earned_value += spec.worth if on_time else spec.worth * spec.late_worth
 
     def result(
         self,
         executions: Iterable[Execution],
         start_ns: int,
         events: Sequence[tuple[float, str]] = (),
-        more: dict[str, float] | None = None,
+        extra_metrics: dict[str, float] | None = None,
         documents: dict[str, object] | None = None,
     ) -> CellResult:
-        """All of it; `start_ns` is when the play began, on the clock of the executions."""
+        """Compute the result of the cell.
+
+        `start_ns` is the start of the play in nanoseconds, on the same clock as the executions.
+        """
         results, sent = self.results, max(1, self.results.sent)
-        figures: dict[str, float] = {"requests": float(results.sent)}
+        metrics: dict[str, float] = {"requests": float(results.sent)}
         for end in ENDS:
-            figures[f"share.{end}"] = results.total(end) / sent
-        if self._most_worth:
-            figures["share.on_time"] = self._on_time / sent
-            figures["worth"] = self._worth / self._most_worth
+            metrics[f"share.{end}"] = results.total(end) / sent
+        if self._maximum_value:
+            metrics["share.on_time"] = self._on_time / sent
+            metrics["worth"] = self._earned_value / self._maximum_value
         for name, hist in results.latency.items():
             for each in PERCENTILES:
-                figures[f"latency_ms.{name}.p{each:g}"] = hist.get_value_at_percentile(each) / 1000
+                metrics[f"latency_ms.{name}.p{each:g}"] = hist.get_value_at_percentile(each) / 1000
         for name, ends in results.ends.items():
             total = sum(ends.values())
-            figures[f"share.{name}.served"] = ends.get("served", 0) / total
-        figures["lateness_ms.p99"] = results.lateness.get_value_at_percentile(99.0) / 1000
+            metrics[f"share.{name}.served"] = ends.get("served", 0) / total
+        metrics["lateness_ms.p99"] = results.lateness.get_value_at_percentile(99.0) / 1000
         series = {
             name: [
                 (at * self._step_ns / SECOND, row[at] * SECOND / self._step_ns)
@@ -87,58 +93,59 @@
             ]
             for name, row in self._rows.items()
         }
-        self._nodes(executions, start_ns, figures, series)
+        self._add_node_loads(executions, start_ns, metrics, series)
         return CellResult(
-            figures={**figures, **(more or {})}, series=series, events=list(events)[:MOST_EVENTS],
+            figures={**metrics, **(extra_metrics or {})}, series=series, events=list(events)[:MOST_EVENTS],
             documents=documents or {},
         )  # fmt: skip
 
-    def _nodes(
+    def _add_node_loads(
         self,
         executions: Iterable[Execution],
         start_ns: int,
-        figures: dict[str, float],
+        metrics: dict[str, float],
         series: dict[str, list[tuple[float, float]]],
     ) -> None:
-        """Load of nodes and zones: work done, as a part of what they could do in the play's time."""
+        """Compute the load of nodes and zones: work done divided by capacity during the play."""
         work: dict[str, dict[int, float]] = defaultdict(lambda: defaultdict(float))
-        ran = came = 0
+        executed = received = 0
         for each in executions:
-            came += 1
+            received += 1
             if each.ran and each.end in ("made", "error"):
-                ran += 1
-                # A request's work is counted where it ended; steps are long against one request.
+                executed += 1
+                # All work of a request counts in the step in which the request ended: steps are much longer
+                # than one request.
                 work[each.node][max(0, each.ended_ns - start_ns) // self._step_ns] += each.work_s
-        figures["attempts"] = came / max(1, self.results.sent)
-        figures["runs"] = ran / max(1, self.results.sent)
+        metrics["attempts"] = received / max(1, self.results.sent)
+        metrics["runs"] = executed / max(1, self.results.sent)
         zones: dict[str, list[float]] = defaultdict(lambda: [0.0, 0.0])
-        rows: dict[str, dict[int, float]] = defaultdict(lambda: defaultdict(float))
+        zone_work: dict[str, dict[int, float]] = defaultdict(lambda: defaultdict(float))
         for node in self.world.nodes:
             capacity = node.settings.cores * node.settings.speed
             done = sum(work[node.id].values())
             if node.spare and not done:
                 continue
-            figures[f"load.node.{node.id}"] = done / capacity / self.span_s
+            metrics[f"load.node.{node.id}"] = done / capacity / self.span_s
             zones[node.zone][0] += done
             zones[node.zone][1] += capacity
             for at, worked in work[node.id].items():
-                rows[node.zone][at] += worked
+                zone_work[node.zone][at] += worked
         for zone, (done, capacity) in zones.items():
-            figures[f"load.zone.{zone}"] = done / capacity / self.span_s
+            metrics[f"load.zone.{zone}"] = done / capacity / self.span_s
             step_s = self._step_ns / SECOND
             series[f"load.zone.{zone}"] = [
-                (at * step_s, rows[zone][at] / capacity / step_s)
+                (at * step_s, zone_work[zone][at] / capacity / step_s)
                 for at in range(math.ceil(self.span_s / step_s))
             ]
-        loads = [value for name, value in figures.items() if name.startswith("load.node.")]
+        loads = [value for name, value in metrics.items() if name.startswith("load.node.")]
         if loads:
             mean = sum(loads) / len(loads)
-            figures["load.mean"] = mean
-            figures["load.spread"] = (max(loads) - min(loads)) / mean if mean else 0.0
+            metrics["load.mean"] = mean
+            metrics["load.spread"] = (max(loads) - min(loads)) / mean if mean else 0.0
 
 
 def step_of(span_s: float) -> int:
-    """The step of series in ns: the least round one that gives no more than `MOST_POINTS`."""
+    """Return the smallest step of a time series, in nanoseconds, that gives at most `MOST_POINTS` points."""
     for step_s in (0.1, 0.2, 0.5, 1, 2, 5, 10, 20, 60, 120, 300, 600, 3600):
         if span_s / step_s <= MOST_POINTS:
             return round(step_s * SECOND)
--- a/brambleusher/lab/experiments/matrix.py
+++ b/brambleusher/lab/experiments/matrix.py
@@ -1,4 +1,4 @@
-"""Runs what is left of an experiment: in virtual time on all cores, on sockets one after the other."""
+"""Runs the unfinished cells of an experiment: in parallel in virtual time, one by one on sockets."""
 
 from __future__ import annotations
 
@@ -19,28 +19,31 @@
 
 END_SECONDS = 10.0
 Say = Callable[[str], object]
-Outcome = CellResult | str  # or what went wrong
+Outcome = CellResult | str  # result of a cell, or its error message
 
 
-def _stop(number: int, frame: object) -> None:
-    """Guards against sidecars that outlive the process they were started by: it unwinds, and is let do so."""
-    signal.signal(signal.SIGINT, _unheard)
-    signal.signal(signal.SIGTERM, _unheard)
+def _interrupt(number: int, frame: object) -> None:
+    """Raise KeyboardInterrupt so that the process stops its sidecars before it exits.
+
+    Further signals are ignored: one that interrupted the cleanup would leave sidecars running.
+    """
+    signal.signal(signal.SIGINT, _ignore_signal)
+    signal.signal(signal.SIGTERM, _ignore_signal)
     raise KeyboardInterrupt
 
 
-def _unheard(number: int, frame: object) -> None:
-    """The process is ending already."""
+def _ignore_signal(number: int, frame: object) -> None:
+    """Ignore a signal, because the process is already exiting."""
 
 
-def _child(cell: Cell, pipe: Connection) -> None:
-    """One cell in a process of its own: its result and seconds, or in words what went wrong."""
-    signal.signal(signal.SIGINT, _stop)
-    signal.signal(signal.SIGTERM, _stop)
+def _run_in_child(cell: Cell, pipe: Connection) -> None:
+    """Run one cell in this process; send its result or error message and the duration in seconds."""
+    signal.signal(signal.SIGINT, _interrupt)
+    signal.signal(signal.SIGTERM, _interrupt)
     parent = multiprocessing.parent_process()
     if parent is not None and parent.pid is not None:
         tied_to(parent.pid)()
-    began = RealSystem.monotonic()
+    started = RealSystem.monotonic()
     try:
         outcome: Outcome = run(cell)
     except Exception as error:
@@ -48,45 +51,45 @@
     except KeyboardInterrupt:
         return
     try:
-        pipe.send((outcome, RealSystem.monotonic() - began))
+        pipe.send((outcome, RealSystem.monotonic() - started))
     except (BrokenPipeError, KeyboardInterrupt):
-        return  # nobody is there to take it
+        return  # the parent process has exited
 
 
 def run_all(file: ExperimentFile, cells: list[Cell], out: Path, jobs: int | None, say: Say) -> int:
-    """Run the cells that the results don't have; says how many failed.  What is done is kept at once."""
+    """Run the cells missing from the results file, saving each when it finishes; return how many failed."""
     with Store(out, new=True) as store:
-        left = store.begin(file, cells)
-        done = len(cells) - len(left)
+        unfinished = store.begin(file, cells)
+        done = len(cells) - len(unfinished)
         if done:
             say(f"{done} of {len(cells)} cells are there already")
         failed = 0
-        for where, most in (("virtual", jobs or os.cpu_count() or 1), ("sockets", 1)):
-            batch = [cell for cell in left if cell.where == where]
+        for where, max_jobs in (("virtual", jobs or os.cpu_count() or 1), ("sockets", 1)):
+            batch = [cell for cell in unfinished if cell.where == where]
             if batch:
-                failed += _run(store, batch, min(most, len(batch)), say)
+                failed += _run_cells(store, batch, min(max_jobs, len(batch)), say)
     return failed
 
 
-def _run(store: Store, cells: list[Cell], jobs: int, say: Say) -> int:
-    """Cells on so many processes, one for each, so that what a run leaves behind goes with it."""
+def _run_cells(store: Store, cells: list[Cell], jobs: int, say: Say) -> int:
+    """Run at most `jobs` cells at once, each in a new process that frees all memory of its run on exit."""
     failed, number = 0, 0
     context = multiprocessing.get_context("spawn")
-    due: dict[Connection, tuple[SpawnProcess, Cell]] = {}
+    running: dict[Connection, tuple[SpawnProcess, Cell]] = {}
     waiting = iter(cells)
     try:
         while True:
-            while len(due) < jobs and (cell := next(waiting, None)) is not None:
-                mine, theirs = context.Pipe(duplex=False)
-                child = context.Process(target=_child, args=(cell, theirs))
+            while len(running) < jobs and (cell := next(waiting, None)) is not None:
+                parent_pipe, child_pipe = context.Pipe(duplex=False)
+                child = context.Process(target=_run_in_child, args=(cell, child_pipe))
                 child.start()
-                theirs.close()
-                due[mine] = child, cell
-            if not due:
+                child_pipe.close()
+                running[parent_pipe] = child, cell
+            if not running:
                 return failed
-            for ready in wait(list(due)):
+            for ready in wait(list(running)):
                 assert isinstance(ready, Connection)
-                child, cell = due.pop(ready)
+                child, cell = running.pop(ready)
                 try:
                     outcome, seconds = ready.recv()
                 except EOFError:
@@ -95,29 +98,29 @@
                 child.join()
                 number += 1
                 failed += isinstance(outcome, str)
-                say(f"{number}/{len(cells)} {cell.title}: {_kept(store, cell, outcome, seconds)}")
+                say(f"{number}/{len(cells)} {cell.title}: {_store_outcome(store, cell, outcome, seconds)}")
     except KeyboardInterrupt:
-        say("stopped: what is done is kept, and the same command goes on from there")
+        say("stopped: what is done is kept, and the same command continues from there")
         raise
     finally:
-        for child, _ in due.values():
+        for child, _ in running.values():
             child.terminate()
-        for child, _ in due.values():
+        for child, _ in running.values():
             child.join(END_SECONDS)
 
 
-def _kept(store: Store, cell: Cell, outcome: Outcome, seconds: float) -> str:
-    """Keep what a cell came to; says it in words."""
+def _store_outcome(store: Store, cell: Cell, outcome: Outcome, seconds: float) -> str:
+    """Store the outcome of a cell; return a summary for the progress output."""
     if isinstance(outcome, str):
         store.fail(cell, outcome)
         return f"failed: {outcome}"
     store.save(cell, outcome, seconds)
-    broken = outcome.figures.get("breaches", 0.0)
-    rules = f", {broken:.0f} BREACHES" if broken else ""
+    violations = outcome.figures.get("breaches", 0.0)
+    rules = f", {violations:.0f} BREACHES" if violations else ""
     late = ", THE GENERATOR WAS LATE" if outcome.figures.get("was_late") else ""
     return f"{outcome.figures['share.served']:.2%} served{rules}{late}, {seconds:.1f} s"
 
 
 def told(text: str) -> None:
-    """A line of progress."""
+    """Print a line of progress to stderr."""
     print(text, file=sys.stderr, flush=True)
--- a/brambleusher/lab/experiments/noting.py
+++ b/brambleusher/lab/experiments/noting.py
@@ -1,4 +1,4 @@
-"""Nodes that note each request as it came."""
+"""Simulated nodes that record each received request."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 
 class NotingNode(Node):
-    """A node that notes each request as it came; `notes` and `start_ns` are shared by all of them."""
+    """A simulated node that records each received request.
+
+    `notes` collects the requests of all nodes; `start_ns` returns the time in nanoseconds that counts as 0.
+    """
 
     notes: MutableSequence[Heard]
     start_ns: Callable[[], int]
@@ -30,7 +33,7 @@
 
 
 def noting(notes: MutableSequence[Heard], start_ns: Callable[[], int], *args: Any, **named: Any) -> Node:
-    """A new node that notes; the rest is what any node is given."""
+    """Create a recording node; the further arguments are those of `Node`."""
     node = NotingNode(*args, **named)
     node.notes, node.start_ns = notes, start_ns
     return node
--- a/brambleusher/lab/experiments/plan.py
+++ b/brambleusher/lab/experiments/plan.py
@@ -1,4 +1,4 @@
-"""What an experiment is: a file in YAML, and the cells of its matrix."""
+"""Experiment files in YAML, and the matrix of cells that an experiment consists of."""
 
 from __future__ import annotations
 
@@ -23,20 +23,21 @@
 
 
 class ExperimentError(ValueError):
-    """An experiment that can't be run; the message names the key."""
+    """The experiment file is invalid; the message names the key at fault."""
 
 
 class DemandSpec(Settings, frozen=True):
-    """Demand by a file, or by a recipe that is drawn anew for each seed; then scaled."""
+    """The demand of a cell, scaled: a recorded file, or a recipe that is generated anew for each seed."""
 
     file: str | None = None
     recipe: dict[str, Any] | None = None
     rate: Times = 1.0
-    classes: dict[str, Times] = msgspec.field(default_factory=dict)  # times as many of a class
+    # Factor by which the request rate of each class is multiplied, by class name.
+    classes: dict[str, Times] = msgspec.field(default_factory=dict)
 
 
 class ExperimentFile(Settings, frozen=True):
-    """The file.  Worlds and demands may be paths, relative to it, or stand in it."""
+    """An experiment file.  Worlds and demands are written inline or as paths relative to the file."""
 
     name: str = "experiment"
     note: str = ""
@@ -47,14 +48,16 @@
     where: Annotated[list[Where], msgspec.Meta(min_length=1)] = msgspec.field(
         default_factory=lambda: ["virtual"]
     )
-    through: Literal["sidecars", "nodes"] = "sidecars"  # nodes: straight, to see how true a play is
+    # "nodes" bypasses the sidecars, to measure how exactly the demand is played.
+    through: Literal["sidecars", "nodes"] = "sidecars"
     speed: Speed | dict[Where, Speed] = 1.0
-    timeout_ms: Annotated[int, msgspec.Meta(ge=1)] = 2000  # of requests that have none
-    check: bool = True  # in virtual time, every rule
+    # Timeout in milliseconds for requests that have no timeout of their own.
+    timeout_ms: Annotated[int, msgspec.Meta(ge=1)] = 2000
+    check: bool = True  # check all rules in virtual time
 
 
 class Cell(Settings, frozen=True):
-    """One run of the matrix, with all that it needs."""
+    """One run of the matrix, with all its inputs."""
 
     world: str
     demand: str
@@ -65,52 +68,52 @@
     speed: float
     timeout_ms: int
     check: bool
-    figures: WorldFile  # the world with the settings laid over it
+    figures: WorldFile  # the world, with the settings of the cell merged into it
     spec: DemandSpec
-    digest: str = ""  # of a demand file, so that another file is another cell
+    digest: str = ""  # SHA-256 of the demand file, so that a changed file gives a new cell id
     format: int = FORMAT
 
     @property
     def id(self) -> str:
-        """The same for the same run."""
+        """Return a hash of all inputs, which identifies the cell in the results file."""
         return hashlib.sha256(msgspec.json.encode(self, order="deterministic")).hexdigest()[:24]
 
     @property
     def title(self) -> str:
-        """In words."""
+        """Return a readable name of the cell."""
         return f"{self.world} / {self.demand} / {self.settings} / seed {self.seed} / {self.where}"
 
     def requests(self) -> Iterator[Request]:
-        """Its demand, in order; raises `DemandError`."""
+        """Generate the requests of the cell in order of time; raise `DemandError` if the file is unusable."""
         spec = self.spec
-        made = self._file(spec.file) if spec.file is not None else self._drawn(spec.recipe or {})
+        generated = self._read_file(spec.file) if spec.file is not None else self._generate(spec.recipe or {})
         if spec.rate == 1.0 and not spec.classes:
-            return made
-        return self._scaled(made)
+            return generated
+        return self._scaled(generated)
 
-    def _scaled(self, made: Iterator[Request]) -> Iterator[Request]:
+    def _scaled(self, generated: Iterator[Request]) -> Iterator[Request]:
         scale = shape.Scale(rate=self.spec.rate, classes=self.spec.classes, seed=self.seed)
-        first = next(made, None)
+        first = next(generated, None)
         if first is None:
             return
 
-        def all_of() -> Iterator[Request]:
+        def chained() -> Iterator[Request]:
             yield first
-            yield from made
+            yield from generated
 
-        yield from shape.scaled(all_of(), first.at_ns, scale)
+        yield from shape.scaled(chained(), first.at_ns, scale)
 
     @staticmethod
-    def _file(path: str) -> Iterator[Request]:
+    def _read_file(path: str) -> Iterator[Request]:
         with DemandFile(path) as file:
             yield from file.requests()
 
-    def _drawn(self, raw: dict[str, Any]) -> Iterator[Request]:
+    def _generate(self, raw: dict[str, Any]) -> Iterator[Request]:
         return synthetic.requests(recipe_of(raw), self.seed)
 
 
 def recipe_of(raw: dict[str, Any]) -> synthetic.Recipe:
-    """A recipe from plain values; raises `RecipeError`."""
+    """Convert plain values to a recipe; raise `RecipeError` if they are invalid."""
     try:
         return synthetic.checked(msgspec.convert(raw, synthetic.Recipe))
     except msgspec.ValidationError as error:
@@ -118,7 +121,11 @@
 
 
 def read_experiment(path: Path) -> tuple[ExperimentFile, list[Cell]]:
-    """An experiment's file and the cells of its matrix; raises `ExperimentError`."""
+    """Read an experiment file; return it and the cells of its matrix.
+
+    Raises:
+        ExperimentError: The file is unreadable or invalid.
+    """
     try:
         raw = yaml.safe_load(path.read_bytes())
     except OSError as error:
@@ -133,22 +140,26 @@
 
 
 def cells(file: ExperimentFile, folder: Path) -> list[Cell]:
-    """The matrix, in order; paths are relative to `folder`.  Raises `ExperimentError`."""
-    specs = {name: _demand(f"demands.{name}", each, folder) for name, each in file.demands.items()}
-    found = []
+    """Return the cells of the matrix in order; paths in the file are relative to `folder`.
+
+    Raises:
+        ExperimentError: A world, a demand or the settings are invalid.
+    """
+    specs = {name: _load_demand(f"demands.{name}", each, folder) for name, each in file.demands.items()}
+    matrix = []
     for world_name, world in file.worlds.items():
-        plain = _plain_world(f"worlds.{world_name}", world, folder)
-        for settings_name, over in file.settings.items():
+        raw_world = _load_world(f"worlds.{world_name}", world, folder)
+        for settings_name, overrides in file.settings.items():
             try:
-                figures = world_of(plain, over)
+                figures = world_of(raw_world, overrides)
                 figures.figures()
             except WorldError as error:
-                at = f"worlds.{world_name}" + (f" with settings.{settings_name}" if over else "")
+                at = f"worlds.{world_name}" + (f" with settings.{settings_name}" if overrides else "")
                 raise ExperimentError(f"{at}: {error}") from None
             if figures.faults and "sockets" in file.where:
                 raise ExperimentError(f"worlds.{world_name}: faults need virtual time; where has sockets")
             for demand_name, (spec, digest) in specs.items():
-                found += [
+                matrix += [
                     Cell(
                         world=world_name, demand=demand_name, settings=settings_name, seed=seed, where=where,
                         through=file.through, speed=_speed(file, where), timeout_ms=file.timeout_ms,
@@ -157,26 +168,26 @@
                     for where in file.where
                     for seed in file.seeds
                 ]  # fmt: skip
-    return found
+    return matrix
 
 
 def _speed(file: ExperimentFile, where: Where) -> float:
     return file.speed.get(where, 1.0) if isinstance(file.speed, dict) else file.speed
 
 
-def _plain_world(where: str, given: str | dict[str, Any] | None, folder: Path) -> Any:
-    if not isinstance(given, str):
-        return given
+def _load_world(where: str, value: str | dict[str, Any] | None, folder: Path) -> Any:
+    if not isinstance(value, str):
+        return value
     try:
-        return yaml.safe_load((folder / given).read_bytes())
+        return yaml.safe_load((folder / value).read_bytes())
     except OSError as error:
-        raise ExperimentError(f"{where}: {given}: {error.strerror}") from None
+        raise ExperimentError(f"{where}: {value}: {error.strerror}") from None
     except (yaml.YAMLError, UnicodeDecodeError) as error:
-        raise ExperimentError(f"{where}: {given}: not YAML: {' '.join(str(error).split())}") from None
+        raise ExperimentError(f"{where}: {value}: not YAML: {' '.join(str(error).split())}") from None
 
 
-def _demand(where: str, given: str | DemandSpec | None, folder: Path) -> tuple[DemandSpec, str]:
-    spec = DemandSpec() if given is None else DemandSpec(file=given) if isinstance(given, str) else given
+def _load_demand(where: str, value: str | DemandSpec | None, folder: Path) -> tuple[DemandSpec, str]:
+    spec = DemandSpec() if value is None else DemandSpec(file=value) if isinstance(value, str) else value
     if spec.file is None:
         try:
             recipe_of(spec.recipe or {})
--- a/brambleusher/lab/experiments/run.py
+++ b/brambleusher/lab/experiments/run.py
@@ -1,4 +1,4 @@
-"""Runs one cell of an experiment: in virtual time or on sockets, through sidecars or straight to nodes."""
+"""Runs one cell of an experiment: in virtual time or on sockets, through sidecars or directly to nodes."""
 
 from __future__ import annotations
 
@@ -36,16 +36,20 @@
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.system import Address
 
-OVERTIME_S = 20.0  # that what is open at the end of the demand may take
-LEAD_NS = 300_000_000
+OVERTIME_S = 20.0  # time in seconds for open requests to finish after the end of the demand
+LEAD_NS = 300_000_000  # delay in nanoseconds between the creation of the player and its first request
 LOG_LINE = re.compile(r"time=(\S+) level=(warning|error|critical) part=(\S+) msg=(.*)")
 
 
-NewPlayer = Callable[[Scheduler, list[Address]], Player]  # by what it asks
+# Creates a player that sends its requests to the given addresses.
+PlayerFactory = Callable[[Scheduler, list[Address]], Player]
 
 
 class DemandFleet(Fleet):
-    """A fleet in virtual time whose clients are a player; `direct`: it asks the nodes themselves."""
+    """A fleet in virtual time whose requests come from a player.
+
+    With `direct`, the player sends the requests to the nodes instead of the sidecars.
+    """
 
     def __init__(
         self, scenario: Scenario, new_player: Callable[[Scheduler, list[Address]], Player], direct: bool
@@ -55,19 +59,19 @@
         self.player: Player | None = None
 
     def _submit(self, scheduler: Scheduler) -> None:
-        nodes = [place.address for place in self.places if place.up]
+        nodes = [node.address for node in self.places if node.up]
         targets = nodes if self._direct else [sidecar.address for sidecar in self.sidecars]
         self.player = self._new_player(scheduler, targets)
         self.player.start(self.begins_ns)
 
     @property
     def played(self) -> bool:
-        """Whether all that was to be sent is over."""
+        """Return whether the player has finished all requests."""
         return self.player is not None and self.player.done
 
 
 def run(cell: Cell) -> CellResult:
-    """One cell."""
+    """Run one cell and return its result."""
     requests = list(cell.requests())
     if not requests:
         raise ValueError("the demand has no requests")
@@ -75,130 +79,138 @@
 
 
 def span_of(cell: Cell, requests: list[Request]) -> float:
-    """How long the play takes, in seconds."""
+    """Return the duration of the play in seconds."""
     return max(0.001, (requests[-1].at_ns - requests[0].at_ns) / SECOND / cell.speed)
 
 
 def play_of(cell: Cell, requests: list[Request], targets: list[Address]) -> Play:
-    """How the player is to play."""
+    """Return the parameters of the player for a cell."""
     pace = Pace(requests[0].at_ns, cell.speed)
     return Play(targets, pace, cell.timeout_ms, methods=cell.figures.methods, seed=cell.seed)
 
 
 def virtual(cell: Cell, requests: list[Request]) -> CellResult:
-    """In virtual time, every byte on the wire held against the rules."""
+    """Run a cell in virtual time; if `cell.check` is set, check every byte on the wire against the rules."""
     span_s, direct = span_of(cell, requests), cell.through == "nodes"
     world = cell.figures.figures(span_s + 0.001)
     if direct:
         world = msgspec.structs.replace(world, sidecars=())
     sample = Ask(id="sample", at_s=0.0, request_class=world.classes[0].name)
     scenario = Scenario(seed=cell.seed, world=world, asks=(sample,), faults=cell.figures.faults)
-    tally, notes = Tally(world, cell.speed, span_s), list[Heard]()
+    counts, received = Tally(world, cell.speed, span_s), list[Heard]()
 
     def new_player(scheduler: Scheduler, targets: list[Address]) -> Player:
-        return Player(scheduler, play_of(cell, requests, targets), requests, tally.add)
+        return Player(scheduler, play_of(cell, requests, targets), requests, counts.add)
 
-    # What a run leaves behind goes with its process; collections in between would look at all of it.
+    # Garbage collections are made rare because each one scans the data of the whole run; the garbage is freed
+    # when the process of the run exits.
     gc.set_threshold(100_000, 50, 1000)
     fleet = DemandFleet(scenario, new_player, direct)
     checker: Checker | None = None
-    with fleet.world as space:
+    with fleet.world as virtual_world:
         if direct:
-            fleet.new_node = partial(noting, notes, lambda: fleet.begins_ns)
+            fleet.new_node = partial(noting, received, lambda: fleet.begins_ns)
         elif cell.check:
             checker = Checker(Rules.of(world.sidecar_settings(0)), fleet.executions)
             fleet.audience = checker
-            space.taps.append(cast(Tap, checker))
+            virtual_world.taps.append(cast(Tap, checker))
             step = checker.step
-            space.step_done.append(lambda: step(space.now_ns))
+            virtual_world.step_done.append(lambda: step(virtual_world.now_ns))
         fleet.start()
-        space.run(fleet.ends_ns)
-        space.run(fleet.ends_ns + int(OVERTIME_S * SECOND), lambda: fleet.played)
+        virtual_world.run(fleet.ends_ns)
+        virtual_world.run(fleet.ends_ns + int(OVERTIME_S * SECOND), lambda: fleet.played)
         if fleet.player is not None:
             fleet.player.scheduler.call_soon(fleet.player.close)
-        ends = fleet.quiesce()
+        shutdown_reports = fleet.quiesce()
         if checker is not None:
-            checker.finish(space.now_ns, [text for end in ends for text in end.left_over()])
-        events = _events(fleet, cell)
+            checker.finish(
+                virtual_world.now_ns, [text for end in shutdown_reports for text in end.left_over()]
+            )
+        events = _collect_events(fleet, cell)
         documents: dict[str, object] = {}
-        more = {"was_late": float(tally.results.late)}
+        extra_metrics = {"was_late": float(counts.results.late)}
         if checker is not None:
-            more |= {"breaches": float(checker.count), "virtual_s": space.elapsed_ns / SECOND}
-            documents["rules"] = _rules(checker)
+            extra_metrics |= {
+                "breaches": float(checker.count),
+                "virtual_s": virtual_world.elapsed_ns / SECOND,
+            }
+            documents["rules"] = _count_violations(checker)
             events += [
                 ((each.at_ns - fleet.begins_ns) / SECOND, f"rule {each.rule} broken: {each.who}: {each.what}")
                 for each in checker.breaches
             ]
         if direct:
-            documents["fidelity"], off = _fidelity(cell, requests, notes)
-            more |= off
-        return tally.result(fleet.executions, fleet.begins_ns, sorted(events), more, documents)
+            documents["fidelity"], deviations = _measure_fidelity(cell, requests, received)
+            extra_metrics |= deviations
+        return counts.result(fleet.executions, fleet.begins_ns, sorted(events), extra_metrics, documents)
 
 
-def _rules(checker: Checker) -> dict[str, int]:
-    """How often each rule was broken; those that were kept have 0."""
+def _count_violations(checker: Checker) -> dict[str, int]:
+    """Return the number of violations of each rule, including rules without violations."""
     found = dict.fromkeys(RULES, 0)
     for breach in checker.breaches:
         found[breach.rule] += 1
     return found
 
 
-def _fidelity(
-    cell: Cell, requests: list[Request], notes: list[Heard]
+def _measure_fidelity(
+    cell: Cell, requests: list[Request], received: list[Heard]
 ) -> tuple[dict[str, Any], dict[str, float]]:
     play = play_of(cell, requests, [])
-    namer = Player.name_of
-    fidelity = compared(requests, notes, lambda number: namer(play.seed, number), target_of, cell.speed)
+    name_of = Player.name_of
+    fidelity = compared(requests, received, lambda number: name_of(play.seed, number), target_of, cell.speed)
     return fidelity.plain(), {
         "fidelity.rate_off": fidelity.rate_off, "fidelity.mix_off": fidelity.mix_off,
         "fidelity.exact": float(fidelity.exact),
     }  # fmt: skip
 
 
-def _events(fleet: DemandFleet, cell: Cell) -> list[tuple[float, str]]:
-    """What happened when: faults, what discovery told, what sidecars warned of.  Seconds of the play."""
+def _collect_events(fleet: DemandFleet, cell: Cell) -> list[tuple[float, str]]:
+    """Return faults, announcements of the discovery service and sidecar warnings, in seconds of the play."""
     events = []
     for fault in cell.figures.faults:
-        aimed = f" {fault.target}" if fault.target else ""
-        events.append((fault.at_s, f"{fault.kind}{aimed} begins"))
-        events.append((fault.at_s + fault.for_s, f"{fault.kind}{aimed} ends"))
-    known: dict[str, str] = {}
-    for telling in fleet.discovery.told:
-        for entry in telling.entries:
-            if known.get(entry.id, "Ready") != entry.state:
-                at_s = (telling.at_ns - fleet.begins_ns) / SECOND
+        target = f" {fault.target}" if fault.target else ""
+        events.append((fault.at_s, f"{fault.kind}{target} begins"))
+        events.append((fault.at_s + fault.for_s, f"{fault.kind}{target} ends"))
+    last_states: dict[str, str] = {}
+    for announcement in fleet.discovery.told:
+        for entry in announcement.entries:
+            if last_states.get(entry.id, "Ready") != entry.state:
+                at_s = (announcement.at_ns - fleet.begins_ns) / SECOND
                 events.append((at_s, f"discovery tells: {entry.id} ({entry.zone}) is {entry.state}"))
-            known[entry.id] = entry.state
+            last_states[entry.id] = entry.state
     for sidecar in fleet.sidecars:
         for process in [*sidecar.ended, *([sidecar.process] if sidecar.process is not None else [])]:
             zero_ns = WALL_NS + fleet.begins_ns - START_NS
-            events += _warnings(
+            events += _log_warnings(
                 sidecar.figures.name, bytes(process.stderr).decode("utf-8", "replace"), zero_ns
             )
     return events[:MOST_EVENTS]
 
 
-def _warnings(name: str, text: str, zero_ns: int) -> list[tuple[float, str]]:
-    """Warnings and worse of a sidecar's log, seconds after a moment of Unix time."""
+def _log_warnings(name: str, text: str, zero_ns: int) -> list[tuple[float, str]]:
+    """Return warnings and errors of a sidecar's log, in seconds since `zero_ns` (Unix time in ns)."""
     found = []
-    for stamp, level, part, words in LOG_LINE.findall(text):
+    for stamp, level, component, message in LOG_LINE.findall(text):
         try:
             at_s = datetime.fromisoformat(stamp).timestamp() - zero_ns / SECOND
         except ValueError:
             continue
-        found.append((at_s, f"{name} {level}: {part}: {words[:200]}"))
+        found.append((at_s, f"{name} {level}: {component}: {message[:200]}"))
     return found
 
 
 def sockets(cell: Cell, requests: list[Request]) -> CellResult:
-    """On loopback: sidecars are processes; nodes, discovery and the player are in this one."""
+    """Run a cell on loopback sockets: sidecars as processes; nodes, discovery and player in this process."""
     span_s = span_of(cell, requests)
     if cell.through == "nodes":
-        tally, heard, ran, began_ns = run_direct(cell, requests, play_of(cell, requests, []), span_s)
-        document, off = _fidelity(cell, requests, heard)
-        off["was_late"] = float(tally.results.late)
-        return tally.result(ran, began_ns, (), off, {"fidelity": document})
-    tally, executions = Tally(cell.figures.figures(span_s), cell.speed, span_s), list[Execution]()
+        counts, received, executions, start_ns = run_direct(
+            cell, requests, play_of(cell, requests, []), span_s
+        )
+        document, deviations = _measure_fidelity(cell, requests, received)
+        deviations["was_late"] = float(counts.results.late)
+        return counts.result(executions, start_ns, (), deviations, {"fidelity": document})
+    counts, executions = Tally(cell.figures.figures(span_s), cell.speed, span_s), list[Execution]()
     scheduler = Scheduler(RealSystem())
     put_off()
     with tempfile.TemporaryDirectory(prefix="brambleusher-lab-") as folder:
@@ -206,7 +218,7 @@
         try:
             fleet.start()
             fleet.wait_ready()
-            player = Player(scheduler, play_of(cell, requests, fleet.targets), requests, tally.add)
+            player = Player(scheduler, play_of(cell, requests, fleet.targets), requests, counts.add)
             start_ns = scheduler.system.monotonic_ns() + LEAD_NS
             player.start(start_ns)
             until = start_ns / SECOND + span_s + OVERTIME_S
@@ -216,9 +228,9 @@
             events: list[tuple[float, str]] = []
             zero_ns = scheduler.system.wall_ns() - scheduler.system.monotonic_ns() + start_ns
             for sidecar in fleet.sidecars:
-                events += _warnings(sidecar.name, sidecar.log.read_text("utf-8", "replace"), zero_ns)
+                events += _log_warnings(sidecar.name, sidecar.log.read_text("utf-8", "replace"), zero_ns)
             events += [(span_s, f"node {name} fell") for name in fleet.fallen]
         finally:
             fleet.close()
             scheduler.close()
-    return tally.result(executions, start_ns, sorted(events), {"was_late": float(tally.results.late)})
+    return counts.result(executions, start_ns, sorted(events), {"was_late": float(counts.results.late)})
--- a/brambleusher/lab/experiments/store.py
+++ b/brambleusher/lab/experiments/store.py
@@ -1,4 +1,4 @@
-"""Results of an experiment in SQLite: what is there is not run again."""
+"""Stores the results of an experiment in SQLite, so that finished cells are not run again."""
 
 from __future__ import annotations
 
@@ -37,20 +37,20 @@
 
 
 class StoreError(ValueError):
-    """A results file that can't be used."""
+    """The results file can't be used."""
 
 
 class CellResult(Settings, frozen=True):
-    """What a cell came to."""
+    """The metrics, time series, events and documents that one cell produced."""
 
     figures: dict[str, float]
     series: dict[str, list[tuple[float, float]]]
     events: list[tuple[float, str]]
-    documents: dict[str, Any] = msgspec.field(default_factory=dict)  # JSON values
+    documents: dict[str, Any] = msgspec.field(default_factory=dict)  # JSON values by document name
 
 
 class StoredCell(Settings, frozen=True):
-    """A cell as the results have it."""
+    """A cell as stored in the results file, with its state."""
 
     id: str
     world: str
@@ -58,128 +58,137 @@
     settings: str
     seed: int
     where: str
-    state: str  # waiting, done, failed
+    state: str  # one of waiting, done, failed
     error: str
     seconds: float
     plan: Cell
 
     @property
     def title(self) -> str:
-        """In words."""
+        """Return a readable name of the cell."""
         return self.plan.title
 
 
 class Store:
-    """A results file; raises `StoreError` where it is none."""
+    """An open results file; opening a file of another kind raises `StoreError`."""
 
     def __init__(self, path: Path, new: bool = False) -> None:
         if not new and not path.is_file():
             raise StoreError(f"{path}: No such file")
         self.path = path
         try:
-            # What is only looked at gets no tables, whatever it turns out to be.
-            where = path if new else f"{path.resolve().as_uri()}?mode=rw"
-            self._base = sqlite3.connect(where, uri=not new)
+            # Without `new`, no file or table is created: the file may turn out to be another database.
+            target = path if new else f"{path.resolve().as_uri()}?mode=rw"
+            self._database = sqlite3.connect(target, uri=not new)
         except sqlite3.Error as error:
             raise StoreError(f"{path}: {error}") from None
         try:
             self._open(new)
         except sqlite3.Error as error:
-            self._base.close()
+            self._database.close()
             raise StoreError(f"{path}: {error}") from None
         except StoreError:
-            self._base.close()
+            self._database.close()
             raise
 
     def _open(self, new: bool) -> None:
-        there = {row[0] for row in self._base.execute("SELECT name FROM sqlite_master WHERE type = 'table'")}
-        if new and (not there or "about" in there):
-            self._base.executescript(SCHEMA)
-        elif not {"about", "cells"} <= there:
-            raise StoreError(f"{self.path}: these are no results of an experiment")
-        had = self.about("format")
-        if had is None and new:
-            self._about("format", str(FORMAT))
-        elif had != str(FORMAT):
-            raise StoreError(f"{self.path}: the results are of format {had}; only {FORMAT} can be read")
+        existing = {
+            row[0] for row in self._database.execute("SELECT name FROM sqlite_master WHERE type = 'table'")
+        }
+        if new and (not existing or "about" in existing):
+            self._database.executescript(SCHEMA)
+        elif not {"about", "cells"} <= existing:
+            raise StoreError(f"{self.path}: not a results file of an experiment")
+        stored_format = self.about("format")
+        if stored_format is None and new:
+            self._set_about("format", str(FORMAT))
+        elif stored_format != str(FORMAT):
+            raise StoreError(
+                f"{self.path}: the results are of format {stored_format}; only {FORMAT} can be read"
+            )
 
     def __enter__(self) -> Self:
-        """Itself."""
+        """Return the store."""
         return self
 
     def __exit__(self, *why: object) -> None:
-        """Close it."""
-        self._base.close()
+        """Close the results file."""
+        self._database.close()
 
     def about(self, name: str) -> str | None:
-        """Something said of the experiment."""
-        row = self._base.execute("SELECT value FROM about WHERE name = ?", (name,)).fetchone()
+        """Return a property of the experiment, such as its name or note, or None."""
+        row = self._database.execute("SELECT value FROM about WHERE name = ?", (name,)).fetchone()
         return None if row is None else str(row[0])
 
-    def _about(self, name: str, value: str) -> None:
-        with self._base:
-            self._base.execute("INSERT OR REPLACE INTO about VALUES (?, ?)", (name, value))
+    def _set_about(self, name: str, value: str) -> None:
+        with self._database:
+            self._database.execute("INSERT OR REPLACE INTO about VALUES (?, ?)", (name, value))
 
     def begin(self, file: ExperimentFile, cells: Iterable[Cell]) -> list[Cell]:
-        """Take in an experiment; says which cells are to be run.  Cells it does not have any more go."""
-        self._about("name", file.name)
-        self._about("note", file.note)
-        self._about("experiment", json.dumps(msgspec.to_builtins(file)))
-        wanted = {cell.id: cell for cell in cells}
-        with self._base:
-            there = {row[0]: row[1] for row in self._base.execute("SELECT id, state FROM cells")}
-            for name in there.keys() - wanted.keys():
+        """Store an experiment; return the cells still to run.
+
+        Cells that are no longer part of the experiment are deleted with their results.
+        """
+        self._set_about("name", file.name)
+        self._set_about("note", file.note)
+        self._set_about("experiment", json.dumps(msgspec.to_builtins(file)))
+        cells_by_id = {cell.id: cell for cell in cells}
+        with self._database:
+            existing = {row[0]: row[1] for row in self._database.execute("SELECT id, state FROM cells")}
+            for name in existing.keys() - cells_by_id.keys():
                 for table in ("figures", "series", "events", "documents"):
-                    self._base.execute(f"DELETE FROM {table} WHERE cell = ?", (name,))
-                self._base.execute("DELETE FROM cells WHERE id = ?", (name,))
-            for place, cell in enumerate(wanted.values()):
-                self._base.execute(
+                    self._database.execute(f"DELETE FROM {table} WHERE cell = ?", (name,))
+                self._database.execute("DELETE FROM cells WHERE id = ?", (name,))
+            for position, cell in enumerate(cells_by_id.values()):
+                self._database.execute(
                     'INSERT INTO cells (id, place, world, demand, settings, seed, "where", plan, state)'
                     " VALUES (?, ?, ?, ?, ?, ?, ?, ?, 'waiting')"
                     " ON CONFLICT (id) DO UPDATE SET place = excluded.place",
                     (
-                        cell.id, place, cell.world, cell.demand, cell.settings, cell.seed, cell.where,
+                        cell.id, position, cell.world, cell.demand, cell.settings, cell.seed, cell.where,
                         msgspec.json.encode(cell).decode(),
                     ),
                 )  # fmt: skip
-        return [cell for cell in wanted.values() if there.get(cell.id) != "done"]
+        return [cell for cell in cells_by_id.values() if existing.get(cell.id) != "done"]
 
     def save(self, cell: Cell, result: CellResult, seconds: float) -> None:
-        """A cell is done: all of it, or nothing."""
-        with self._base:
+        """Store the result of a finished cell in one transaction."""
+        with self._database:
             self._clear(cell.id)
-            self._base.executemany(
+            self._database.executemany(
                 "INSERT INTO figures VALUES (?, ?, ?)",
                 [(cell.id, name, value) for name, value in result.figures.items()],
             )
-            self._base.executemany(
+            self._database.executemany(
                 "INSERT INTO series VALUES (?, ?, ?, ?)",
                 [(cell.id, name, at_s, value) for name, row in result.series.items() for at_s, value in row],
             )
-            self._base.executemany(
+            self._database.executemany(
                 "INSERT INTO events VALUES (?, ?, ?)", [(cell.id, at_s, text) for at_s, text in result.events]
             )
-            self._base.executemany(
+            self._database.executemany(
                 "INSERT INTO documents VALUES (?, ?, ?)",
                 [(cell.id, name, json.dumps(value)) for name, value in result.documents.items()],
             )
-            self._base.execute(
+            self._database.execute(
                 "UPDATE cells SET state = 'done', error = '', seconds = ? WHERE id = ?", (seconds, cell.id)
             )
 
     def fail(self, cell: Cell, error: str) -> None:
-        """A cell could not be run; the next time it is tried again."""
-        with self._base:
+        """Mark a cell as failed; the next run of the experiment tries the cell again."""
+        with self._database:
             self._clear(cell.id)
-            self._base.execute("UPDATE cells SET state = 'failed', error = ? WHERE id = ?", (error, cell.id))
+            self._database.execute(
+                "UPDATE cells SET state = 'failed', error = ? WHERE id = ?", (error, cell.id)
+            )
 
     def _clear(self, name: str) -> None:
         for table in ("figures", "series", "events", "documents"):
-            self._base.execute(f"DELETE FROM {table} WHERE cell = ?", (name,))
+            self._database.execute(f"DELETE FROM {table} WHERE cell = ?", (name,))
 
     def cells(self) -> list[StoredCell]:
-        """All cells in the order of the matrix."""
-        rows = self._base.execute(
+        """Return all cells in the order of the matrix."""
+        rows = self._database.execute(
             'SELECT id, world, demand, settings, seed, "where", state, error, seconds, plan FROM cells'
             " ORDER BY place"
         )
@@ -192,29 +201,31 @@
         ]  # fmt: skip
 
     def result(self, name: str) -> CellResult:
-        """What a cell came to, by its id."""
+        """Return the result of a cell by its id."""
         series: dict[str, list[tuple[float, float]]] = {}
-        for what, at_s, value in self._base.execute(
+        for item_name, at_s, value in self._database.execute(
             "SELECT name, at_s, value FROM series WHERE cell = ? ORDER BY name, at_s", (name,)
         ):
-            series.setdefault(what, []).append((at_s, value))
+            series.setdefault(item_name, []).append((at_s, value))
         return CellResult(
             figures=self.figures(name),
             series=series,
             events=[
                 (at_s, text)
-                for at_s, text in self._base.execute(
+                for at_s, text in self._database.execute(
                     "SELECT at_s, text FROM events WHERE cell = ? ORDER BY at_s", (name,)
                 )
             ],
             documents={
-                what: json.loads(text)
-                for what, text in self._base.execute(
+                item_name: json.loads(text)
+                for item_name, text in self._database.execute(
                     "SELECT name, value FROM documents WHERE cell = ?", (name,)
                 )
             },
         )
 
     def figures(self, name: str) -> dict[str, float]:
-        """A cell's figures, by its id."""
-        return dict(self._base.execute("SELECT name, value FROM figures WHERE cell = ?", (name,)).fetchall())
+        """Return the metrics of a cell by its id."""
+        return dict(
+            self._database.execute("SELECT name, value FROM figures WHERE cell = ?", (name,)).fetchall()
+        )
--- a/tests/lab/test_lab_experiments.py
+++ b/tests/lab/test_lab_experiments.py
@@ -1,4 +1,4 @@
-"""Experiments: worlds and plans, cells in virtual time, results that go on, comparisons, the page."""
+"""Tests of experiments: worlds, experiment files, resumed runs, results files, comparisons and reports."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
     return path
 
 
-# --- worlds and plans -----------------------------------------------------------------------------
+# --- worlds and experiment files ------------------------------------------------------------------
 
 
 def test_the_usual_world_has_14_nodes_in_four_zones_and_three_sidecars() -> None:
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize(
-    ("raw", "said"),
+    ("raw", "expected_error"),
     [
         ({"sidecar": 3}, "unknown field `sidecar`"),
         ({"kinds": {"k": {"cores": 0}}}, r"Expected `int` >= 1 - at `\$.kinds\[...\].cores`"),
@@ -74,8 +74,8 @@
         ({"requests_per_s": float("inf")}, r"<= 1000000000.0 - at `\$.requests_per_s`"),
     ],
 )
-def test_a_world_that_can_not_be_used_is_refused_by_name(raw: object, said: str) -> None:
-    with pytest.raises(WorldError, match=said):
+def test_a_world_that_can_not_be_used_is_refused_by_name(raw: object, expected_error: str) -> None:
+    with pytest.raises(WorldError, match=expected_error):
         world_of(raw).figures()
 
 
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "expected_error"),
     [
         ("sed: 1", "unknown field `sed`"),
         ("worlds: {a: nowhere.yaml}", "worlds.a: nowhere.yaml: No such file"),
@@ -98,50 +98,53 @@
         ("[", "not YAML"),
     ],
 )
-def test_an_experiment_that_can_not_be_run_is_refused_by_name(text: str, said: str, tmp_path: Path) -> None:
-    with pytest.raises(ExperimentError, match=said):
+def test_an_experiment_that_can_not_be_run_is_refused_by_name(
+    text: str, expected_error: str, tmp_path: Path
+) -> None:
+    with pytest.raises(ExperimentError, match=expected_error):
         read_experiment(experiment(tmp_path, text))
 
 
 # --- cells, results, comparisons, the page --------------------------------------------------------
 
 
-class Links(HTMLParser):
-    """What a page would fetch, and the tags left open."""
+class PageParser(HTMLParser):
+    """Collects the elements of a page that load other files, and checks that tags are closed."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.fetched: list[str] = []
-        self.open: list[str] = []
+        self.loaded_elements: list[str] = []
+        self.open_tags: list[str] = []
 
     def handle_starttag(self, tag: str, attrs: list[tuple[str, str | None]]) -> None:
         if tag in ("script", "link", "img", "iframe"):
-            self.fetched.append(tag)
+            self.loaded_elements.append(tag)
         if tag in ("table", "details", "svg", "div", "body"):
-            self.open.append(tag)
+            self.open_tags.append(tag)
 
     def handle_endtag(self, tag: str) -> None:
         if tag in ("table", "details", "svg", "div", "body"):
-            assert self.open.pop() == tag
+            assert self.open_tags.pop() == tag
 
 
 def test_a_matrix_is_run_once_and_goes_on_where_it_was_stopped(tmp_path: Path) -> None:
     file, cells = read_experiment(experiment(tmp_path))
     assert len(cells) == 8 and len({cell.id for cell in cells}) == 8
-    out, said = tmp_path / "r.sqlite", list[str]()
-    with Store(out, new=True) as store:  # as if it had been stopped after five cells, one of which failed
+    out, progress = tmp_path / "r.sqlite", list[str]()
+    # Simulates a run that stopped after five cells, the fifth of which failed.
+    with Store(out, new=True) as store:
         assert store.begin(file, cells) == cells
         for cell in cells[:4]:
             store.save(cell, run(cell), 0.1)
         store.fail(cells[4], "ValueError: no")
-    assert run_all(file, cells, out, 2, said.append) == 0
-    assert said[0] == "4 of 8 cells are there already" and len(said) == 5
-    assert run_all(file, cells, out, 2, said.append) == 0 and len(said) == 6
+    assert run_all(file, cells, out, 2, progress.append) == 0
+    assert progress[0] == "4 of 8 cells are there already" and len(progress) == 5
+    assert run_all(file, cells, out, 2, progress.append) == 0 and len(progress) == 6
     with Store(out) as store:
         stored = store.cells()
         assert [cell.id for cell in stored] == [cell.id for cell in cells]
         assert {cell.state for cell in stored} == {"done"}
-        # What another process came to is what this one comes to: a cell is its seed's alone.
+        # A cell run in another process gives the same result here: the result depends only on the cell.
         assert store.result(cells[6].id) == json_form(run(cells[6]))
         rules = store.result(cells[0].id).documents["rules"]
         assert len(rules) > 20 and not any(rules.values())
@@ -149,27 +152,28 @@
         assert any("is Gone" in text for _, text in store.result(cells[0].id).events)
         figures = store.figures(cells[0].id)
         assert figures["requests"] == len(list(cells[0].requests())) and 0.5 < figures["share.served"] <= 1
-        # Faults change: cells of the old world go, the page shows what is left.
+        # The page must be well-formed and load nothing from elsewhere.
         text = page(store)
-        links = Links()
-        links.feed(text)
-        assert not links.fetched and not links.open and text.count("<svg") == 8
+        parser = PageParser()
+        parser.feed(text)
+        assert not parser.loaded_elements and not parser.open_tags and text.count("<svg") == 8
         assert "http" not in re.sub(r'(xmlns[:\w]*="|rdf:resource=")[^"]*"|http://www.w3.org[^"]*"', "", text)
         for word in ("Latency by class", "All 24 rules were kept", "node-crashed", "max_attempts: 1"):
             assert word.replace("24", str(len(rules))) in text
-    both = compare(Side.of(f"{out}:usual"), Side.of(f"{out}:one"))
-    attempts = next(each for each in both if each.name == "attempts")
+    differences = compare(Side.of(f"{out}:usual"), Side.of(f"{out}:one"))
+    attempts = next(each for each in differences if each.name == "attempts")
     assert attempts.pairs == 4 and attempts.high < 0 and attempts.clear
-    assert any(line.startswith("attempts") and line.endswith("*") for line in texts(both))
+    assert any(line.startswith("attempts") and line.endswith("*") for line in texts(differences))
     assert all(each.mean == 0 for each in compare(Side.of(str(out)), Side.of(str(out))))
     with pytest.raises(StoreError, match="no cells are done with the settings none"):
         compare(Side.of(f"{out}:none"), Side.of(str(out)))
+    # Cells that are no longer part of the experiment are deleted.
     with Store(out) as store:
         assert store.begin(file, cells[:2]) == [] and len(store.cells()) == 2
 
 
 def json_form(result: CellResult) -> CellResult:
-    """A result as it comes back from a file: series without their order of names."""
+    """Return a result as the results file returns it: sorted by name, documents converted through JSON."""
     return CellResult(
         figures=dict(sorted(result.figures.items())),
         series={name: sorted(row) for name, row in sorted(result.series.items())},
@@ -180,8 +184,8 @@
 
 def test_a_cell_that_can_not_be_run_is_kept_as_failed(tmp_path: Path) -> None:
     file, cells = read_experiment(experiment(tmp_path, "demands: {d: {recipe: {rate: 0}}}"))
-    said: list[str] = []
-    assert run_all(file, cells, tmp_path / "r", 1, said.append) == 1
+    progress: list[str] = []
+    assert run_all(file, cells, tmp_path / "r", 1, progress.append) == 1
     with Store(tmp_path / "r") as store:
         assert store.cells()[0].error == "ValueError: the demand has no requests"
         assert "1 runs failed" in page(store)
@@ -222,7 +226,7 @@
 
 
 def processes_of(folder: Path) -> list[Path]:
-    """Processes whose command line names something in a directory."""
+    """Return the processes whose command line contains a path inside a directory."""
     found = []
     for path in Path("/proc").glob("[0-9]*/cmdline"):
         try:
@@ -247,9 +251,9 @@
         cwd=ROOT, stderr=subprocess.PIPE, text=True, env={**os.environ, "TMPDIR": str(folder)},
         start_new_session=True,
     )  # fmt: skip
-    until = time.monotonic() + WAIT
+    deadline = time.monotonic() + WAIT
     while len(processes_of(folder)) < 2:
-        assert time.monotonic() < until and run.poll() is None
+        assert time.monotonic() < deadline and run.poll() is None
         time.sleep(0.02)
     os.killpg(run.pid, signal.SIGINT)
     assert "stopped: what is done is kept" in run.communicate(timeout=WAIT)[1]
@@ -259,13 +263,16 @@
         assert [cell.state for cell in store.cells()] == ["waiting"]
 
 
-def ended(handles: list[int]) -> bool:
-    """Whether processes end, by their pidfds: those of others too, and also where one has ended already."""
+def all_exit(pidfds: list[int]) -> bool:
+    """Return whether all processes exit within `WAIT` seconds.
+
+    Pidfds work for processes that are not children of the test, and for processes that have already exited.
+    """
     try:
-        return all(select.select([handle], [], [], WAIT)[0] for handle in handles)
+        return all(select.select([pidfd], [], [], WAIT)[0] for pidfd in pidfds)
     finally:
-        for handle in handles:
-            os.close(handle)
+        for pidfd in pidfds:
+            os.close(pidfd)
 
 
 def test_an_experiment_that_is_killed_leaves_no_process(tmp_path: Path) -> None:
@@ -277,13 +284,13 @@
         [sys.executable, "-m", "brambleusher", "lab", "run", str(path)],
         cwd=ROOT, stderr=subprocess.DEVNULL, env={**os.environ, "TMPDIR": str(folder)},
     )  # fmt: skip
-    until = time.monotonic() + WAIT
+    deadline = time.monotonic() + WAIT
     while not (sidecars := processes_of(folder)):
-        assert time.monotonic() < until and run.poll() is None
+        assert time.monotonic() < deadline and run.poll() is None
         time.sleep(0.02)
-    handles = [os.pidfd_open(int(each.parent.name)) for each in sidecars]
+    pidfds = [os.pidfd_open(int(each.parent.name)) for each in sidecars]
     run.kill()
-    assert ended(handles)
+    assert all_exit(pidfds)
     run.wait()
 
 
@@ -308,12 +315,12 @@
     )  # fmt: skip
     assert fleet.stdout is not None
     pids = [each["pid"] for each in json.loads(fleet.stdout.readline())["sidecars"]]
-    handles = [os.pidfd_open(pid) for pid in pids]
+    pidfds = [os.pidfd_open(pid) for pid in pids]
     os.kill(pids[0] if at_sidecar else fleet.pid, number)
-    said = fleet.communicate(timeout=WAIT)[1]
+    stderr = fleet.communicate(timeout=WAIT)[1]
     assert fleet.returncode == status
-    assert said.startswith("brambleusher: sidecar n0 ended -9") if at_sidecar else said == ""
-    assert ended(handles)
+    assert stderr.startswith("brambleusher: sidecar n0 ended -9") if at_sidecar else stderr == ""
+    assert all_exit(pidfds)
     if status >= 0:
         assert not processes_of(tmp_path) and list(tmp_path.iterdir()) == [world]
 
@@ -329,10 +336,10 @@
     )  # fmt: skip
     try:
         assert fleet.stdout is not None
-        told = json.loads(fleet.stdout.readline())
-        assert len(told["sidecars"]) == len(told["nodes"]) == 2 and "curl -i" in told["curl"]
-        pids = [each["pid"] for each in told["sidecars"]]
-        targets = ",".join(each["address"] for each in told["sidecars"])
+        summary = json.loads(fleet.stdout.readline())
+        assert len(summary["sidecars"]) == len(summary["nodes"]) == 2 and "curl -i" in summary["curl"]
+        pids = [each["pid"] for each in summary["sidecars"]]
+        targets = ",".join(each["address"] for each in summary["sidecars"])
         path = str(tmp_path / "d")
         recipe = synthetic.Recipe(seconds=1.5, rate=30, burst=None)
         count = demand.write(path, synthetic.requests(recipe, 1))
--- a/tests/load/test_load_faults.py
+++ b/tests/load/test_load_faults.py
@@ -53,7 +53,7 @@
         ("lab up --for nan", 2, "--for': 'nan'"),
         ("lab up --for 1 --logs d", 1, "brambleusher: d: File exists"),
         ("lab run e.yaml", 1, "e.yaml: Expected `float` >= 0.0 - at `$.demands[...].classes[...]`"),
-        ("lab report nothing", 1, "nothing: these are no results of an experiment"),
+        ("lab report nothing", 1, "nothing: not a results file of an experiment"),
         ("lab compare d nothing", 1, "d: file is not a database"),
     ],
 )
