--- a/brambleusher/cli/lab.py
+++ b/brambleusher/cli/lab.py
@@ -82,18 +82,18 @@
     import json
     from dataclasses import asdict
 
-    from brambleusher.lab.experiments.compare import Side, compare, texts
+    from brambleusher.lab.experiments.compare import ComparedResults, compare, format_differences
     from brambleusher.lab.experiments.store import StoreError
 
     try:
-        differences = compare(Side.of(first), Side.of(second))
+        differences = compare(ComparedResults.parse(first), ComparedResults.parse(second))
     except StoreError as error:
         print(f"brambleusher: {error}", file=sys.stderr)
         return 1
     if as_json:
-        print(json.dumps([{**asdict(each), "clear": each.clear} for each in differences]))
+        print(json.dumps([{**asdict(each), "clear": each.excludes_zero} for each in differences]))
     else:
-        print("\n".join(texts(differences, has_node_loads)))
+        print("\n".join(format_differences(differences, has_node_loads)))
     return 0
 
 
--- a/brambleusher/lab/experiments/compare.py
+++ b/brambleusher/lab/experiments/compare.py
@@ -25,14 +25,14 @@
 
 
 @dataclass(frozen=True)
-class Side:
+class ComparedResults:
     """One side of a comparison: a results file, restricted to one settings name if `settings` is not None."""
 
     path: Path
     settings: str | None
 
     @classmethod
-    def of(cls, argument: str) -> Side:
+    def parse(cls, argument: str) -> ComparedResults:
         """Parse an argument of the form `FILE` or `FILE:SETTINGS`."""
         path, colon, settings = argument.rpartition(":")
         return cls(Path(path), settings) if colon and path else cls(Path(argument), None)
@@ -65,7 +65,7 @@
     high: float  # upper bound of the confidence interval of `mean`
 
     @property
-    def clear(self) -> bool:
+    def excludes_zero(self) -> bool:
         """Return whether there are at least three pairs and the confidence interval excludes 0."""
         return self.pairs >= 3 and (self.low > 0 or self.high < 0)
 
@@ -83,7 +83,7 @@
     return float(low), float(high)
 
 
-def compare(first: Side, second: Side) -> list[Difference]:
+def compare(first: ComparedResults, second: ComparedResults) -> list[Difference]:
     """Compare cells that have the same world, demand, seed and place.
 
     Raises:
@@ -120,7 +120,7 @@
     return found
 
 
-def _pair_key(cell: StoredCell, side: Side, other: Side) -> tuple[object, ...]:
+def _pair_key(cell: StoredCell, side: ComparedResults, other: ComparedResults) -> tuple[object, ...]:
     """Return the properties that the two cells of a pair must share."""
     settings = cell.settings if side.settings is None and other.settings is None else ""
     return cell.world, cell.demand, cell.seed, cell.where, settings
@@ -135,7 +135,7 @@
     )
 
 
-def texts(differences: list[Difference], has_node_loads: bool = False) -> list[str]:
+def format_differences(differences: list[Difference], has_node_loads: bool = False) -> list[str]:
     """Format a comparison as lines of a table; `has_node_loads` includes the load of each node."""
     shown = [each for each in differences if has_node_loads or not each.name.startswith("load.node.")]
     width = max(len(each.name) for each in shown)
@@ -143,10 +143,10 @@
         f"{'figure':<{width}} {'pairs':>5} {'A':>12} {'B':>12} {'B - A':>12}   95% of the mean difference"
     ]
     for each in shown:
-        clear = "  *" if each.clear else ""
+        excludes_zero = "  *" if each.excludes_zero else ""
         lines.append(
             f"{each.name:<{width}} {each.pairs:>5} {each.first:>12.5g} {each.second:>12.5g}"
-            f" {each.mean:>+12.4g}   {each.low:+.4g} to {each.high:+.4g}{clear}"
+            f" {each.mean:>+12.4g}   {each.low:+.4g} to {each.high:+.4g}{excludes_zero}"
         )
     lines += ["", "* the interval excludes 0"]
     return lines
--- a/tests/lab/test_lab_experiments.py
+++ b/tests/lab/test_lab_experiments.py
@@ -17,7 +17,7 @@
 import pytest
 
 from brambleusher.__main__ import main
-from brambleusher.lab.experiments.compare import Side, compare, interval, texts
+from brambleusher.lab.experiments.compare import ComparedResults, compare, format_differences, interval
 from brambleusher.lab.experiments.matrix import run_all
 from brambleusher.lab.experiments.plan import Cell, ExperimentError, read_experiment
 from brambleusher.lab.experiments.report import page
@@ -160,13 +160,15 @@
         assert "http" not in re.sub(r'(xmlns[:\w]*="|rdf:resource=")[^"]*"|http://www.w3.org[^"]*"', "", text)
         for word in ("Latency by class", "All 24 rules were kept", "node-crashed", "max_attempts: 1"):
             assert word.replace("24", str(len(rules))) in text
-    differences = compare(Side.of(f"{out}:usual"), Side.of(f"{out}:one"))
+    differences = compare(ComparedResults.parse(f"{out}:usual"), ComparedResults.parse(f"{out}:one"))
     attempts = next(each for each in differences if each.name == "attempts")
-    assert attempts.pairs == 4 and attempts.high < 0 and attempts.clear
-    assert any(line.startswith("attempts") and line.endswith("*") for line in texts(differences))
-    assert all(each.mean == 0 for each in compare(Side.of(str(out)), Side.of(str(out))))
+    assert attempts.pairs == 4 and attempts.high < 0 and attempts.excludes_zero
+    assert any(line.startswith("attempts") and line.endswith("*") for line in format_differences(differences))
+    assert all(
+        each.mean == 0 for each in compare(ComparedResults.parse(str(out)), ComparedResults.parse(str(out)))
+    )
     with pytest.raises(StoreError, match="no cells are done with the settings none"):
-        compare(Side.of(f"{out}:none"), Side.of(str(out)))
+        compare(ComparedResults.parse(f"{out}:none"), ComparedResults.parse(str(out)))
     # Cells that are no longer part of the experiment are deleted.
     with Store(out) as store:
         assert store.begin(file, cells[:2]) == [] and len(store.cells()) == 2
