--- a/brambleusher/lab/experiments/direct.py
+++ b/brambleusher/lab/experiments/direct.py
@@ -8,7 +8,7 @@
 from multiprocessing.connection import Connection
 from pathlib import Path
 
-from brambleusher.lab.experiments.figures import Tally
+from brambleusher.lab.experiments.figures import OutcomeCounter
 from brambleusher.lab.experiments.noting import noting
 from brambleusher.lab.experiments.plan import Cell
 from brambleusher.lab.fleets.figures import NodeFigures
@@ -29,7 +29,7 @@
 
 def run_direct(
     cell: Cell, requests: list[Request], plan: Play, span_s: float
-) -> tuple[Tally, list[Heard], list[Execution], int]:
+) -> tuple[OutcomeCounter, list[Heard], list[Execution], int]:
     """Play the requests; return outcome counts, received requests, executions and start time in ns."""
     world = cell.figures.figures(span_s)
     nodes = [node for node in world.nodes if not node.spare]
@@ -66,7 +66,7 @@
             received, executed = pipe.recv()
             received_requests += received
             executions += executed
-        return Tally.of(world, results, span_s), received_requests, executions, results.start_ns
+        return OutcomeCounter.of(world, results, span_s), received_requests, executions, results.start_ns
     finally:
         for pipe in pipes:
             pipe.close()
--- a/brambleusher/lab/experiments/figures.py
+++ b/brambleusher/lab/experiments/figures.py
@@ -12,11 +12,11 @@
 from brambleusher.load.results import ENDS, PERCENTILES, Outcome, Results
 from brambleusher.load.times import SECOND
 
-MOST_POINTS = 120  # maximum number of points in a time series
-MOST_EVENTS = 400  # maximum number of events stored for a cell
+MAX_POINTS = 120  # maximum number of points in a time series
+MAX_EVENTS = 400  # maximum number of events stored for a cell
 
 
-class Tally:
+class OutcomeCounter:
     """Counts the outcomes of requests reported by a player, and computes the metrics of a run from them."""
 
     def __init__(self, world: WorldFigures, speed: float, span_s: float) -> None:
@@ -24,26 +24,26 @@
         self.world, self.span_s = world, span_s
         self.results = Results(speed=speed)
         self._classes = {each.name: each for each in world.classes}
-        self._step_ns = step_of(span_s)
+        self._step_ns = series_step_ns(span_s)
         self._rows: dict[str, Counter[int]] = defaultdict(Counter)
         self._earned_value = self._maximum_value = 0.0
         self._on_time = 0
 
     @classmethod
-    def of(cls, world: WorldFigures, results: Results, span_s: float) -> Tally:
+    def of(cls, world: WorldFigures, results: Results, span_s: float) -> OutcomeCounter:
         """Build the counters from merged results of several processes.
 
         Their windows become the steps of the series; worth and latency targets are unknown in this case.
         """
-        tally = cls(world, results.speed, span_s)
-        tally.results = results
-        tally._step_ns = round(results.window_ns / results.speed)
+        counter = cls(world, results.speed, span_s)
+        counter.results = results
+        counter._step_ns = round(results.window_ns / results.speed)
         for at, classes in results.windows.items():
             for row in classes.values():
-                tally._rows["asked"][at] += row[0]
+                counter._rows["asked"][at] += row[0]
                 for end, count in zip(ENDS, row[1:], strict=True):
-                    tally._rows[end][at] += count
-        return tally
+                    counter._rows[end][at] += count
+        return counter
 
     def add(self, outcome: Outcome) -> None:
         """Count one finished request."""
@@ -95,7 +95,7 @@
         }
         self._add_node_loads(executions, start_ns, metrics, series)
         return CellResult(
-            figures={**metrics, **(extra_metrics or {})}, series=series, events=list(events)[:MOST_EVENTS],
+            figures={**metrics, **(extra_metrics or {})}, series=series, events=list(events)[:MAX_EVENTS],
             documents=documents or {},
         )  # fmt: skip
 
@@ -144,9 +144,9 @@
             metrics["load.spread"] = (max(loads) - min(loads)) / mean if mean else 0.0
 
 
-def step_of(span_s: float) -> int:
-    """Return the smallest step of a time series, in nanoseconds, that gives at most `MOST_POINTS` points."""
+def series_step_ns(span_s: float) -> int:
+    """Return the smallest step of a time series, in nanoseconds, that gives at most `MAX_POINTS` points."""
     for step_s in (0.1, 0.2, 0.5, 1, 2, 5, 10, 20, 60, 120, 300, 600, 3600):
-        if span_s / step_s <= MOST_POINTS:
+        if span_s / step_s <= MAX_POINTS:
             return round(step_s * SECOND)
     return 86_400 * SECOND
--- a/brambleusher/lab/experiments/run.py
+++ b/brambleusher/lab/experiments/run.py
@@ -17,7 +17,7 @@
 from brambleusher.lab.checker.rules import RULES, Rules
 from brambleusher.lab.collection import put_off
 from brambleusher.lab.experiments.direct import run_direct
-from brambleusher.lab.experiments.figures import MOST_EVENTS, Tally
+from brambleusher.lab.experiments.figures import MAX_EVENTS, OutcomeCounter
 from brambleusher.lab.experiments.noting import noting
 from brambleusher.lab.experiments.plan import Cell
 from brambleusher.lab.experiments.store import CellResult
@@ -97,7 +97,7 @@
         world = msgspec.structs.replace(world, sidecars=())
     sample = Ask(id="sample", at_s=0.0, request_class=world.classes[0].name)
     scenario = Scenario(seed=cell.seed, world=world, asks=(sample,), faults=cell.figures.faults)
-    counts, received = Tally(world, cell.speed, span_s), list[Heard]()
+    counts, received = OutcomeCounter(world, cell.speed, span_s), list[Heard]()
 
     def new_player(scheduler: Scheduler, targets: list[Address]) -> Player:
         return Player(scheduler, play_of(cell, requests, targets), requests, counts.add)
@@ -185,7 +185,7 @@
             events += _log_warnings(
                 sidecar.figures.name, bytes(process.stderr).decode("utf-8", "replace"), zero_ns
             )
-    return events[:MOST_EVENTS]
+    return events[:MAX_EVENTS]
 
 
 def _log_warnings(name: str, text: str, zero_ns: int) -> list[tuple[float, str]]:
@@ -210,7 +210,7 @@
         document, deviations = _measure_fidelity(cell, requests, received)
         deviations["was_late"] = float(counts.results.late)
         return counts.result(executions, start_ns, (), deviations, {"fidelity": document})
-    counts, executions = Tally(cell.figures.figures(span_s), cell.speed, span_s), list[Execution]()
+    counts, executions = OutcomeCounter(cell.figures.figures(span_s), cell.speed, span_s), list[Execution]()
     scheduler = Scheduler(RealSystem())
     put_off()
     with tempfile.TemporaryDirectory(prefix="brambleusher-lab-") as folder:
