--- a/brambleusher/cli/lab.py
+++ b/brambleusher/cli/lab.py
@@ -51,14 +51,14 @@
     """
     import json
 
-    from brambleusher.lab.experiments.matrix import run_all, told
+    from brambleusher.lab.experiments.matrix import print_progress, run_all
     from brambleusher.lab.experiments.plan import ExperimentError, read_experiment
     from brambleusher.lab.experiments.store import Store, StoreError
 
     out = out or experiment.with_suffix(".sqlite")
     try:
         file, cells = read_experiment(experiment)
-        failed = run_all(file, cells, out, jobs, told)
+        failed = run_all(file, cells, out, jobs, print_progress)
         with Store(out) as store:
             metrics = {cell.title: store.figures(cell.id) for cell in store.cells()}
     except (ExperimentError, StoreError) as error:
--- a/brambleusher/lab/experiments/matrix.py
+++ b/brambleusher/lab/experiments/matrix.py
@@ -18,8 +18,8 @@
 from brambleusher.runtime.operating_system import RealSystem
 
 END_SECONDS = 10.0
-Say = Callable[[str], object]
-Outcome = CellResult | str  # result of a cell, or its error message
+ProgressCallback = Callable[[str], object]
+CellOutcome = CellResult | str  # result of a cell, or its error message
 
 
 def _interrupt(number: int, frame: object) -> None:
@@ -45,7 +45,7 @@
         tied_to(parent.pid)()
     started = RealSystem.monotonic()
     try:
-        outcome: Outcome = run(cell)
+        outcome: CellOutcome = run(cell)
     except Exception as error:
         outcome = f"{type(error).__name__}: {error}"
     except KeyboardInterrupt:
@@ -56,22 +56,24 @@
         return  # the parent process has exited
 
 
-def run_all(file: ExperimentFile, cells: list[Cell], out: Path, jobs: int | None, say: Say) -> int:
+def run_all(
+    file: ExperimentFile, cells: list[Cell], out: Path, jobs: int | None, report_progress: ProgressCallback
+) -> int:
     """Run the cells missing from the results file, saving each when it finishes; return how many failed."""
     with Store(out, new=True) as store:
         unfinished = store.begin(file, cells)
         done = len(cells) - len(unfinished)
         if done:
-            say(f"{done} of {len(cells)} cells are there already")
+            report_progress(f"{done} of {len(cells)} cells are there already")
         failed = 0
         for where, max_jobs in (("virtual", jobs or os.cpu_count() or 1), ("sockets", 1)):
             batch = [cell for cell in unfinished if cell.where == where]
             if batch:
-                failed += _run_cells(store, batch, min(max_jobs, len(batch)), say)
+                failed += _run_cells(store, batch, min(max_jobs, len(batch)), report_progress)
     return failed
 
 
-def _run_cells(store: Store, cells: list[Cell], jobs: int, say: Say) -> int:
+def _run_cells(store: Store, cells: list[Cell], jobs: int, report_progress: ProgressCallback) -> int:
     """Run at most `jobs` cells at once, each in a new process that frees all memory of its run on exit."""
     failed, number = 0, 0
     context = multiprocessing.get_context("spawn")
@@ -98,9 +100,11 @@
                 child.join()
                 number += 1
                 failed += isinstance(outcome, str)
-                say(f"{number}/{len(cells)} {cell.title}: {_store_outcome(store, cell, outcome, seconds)}")
+                report_progress(
+                    f"{number}/{len(cells)} {cell.title}: {_store_outcome(store, cell, outcome, seconds)}"
+                )
     except KeyboardInterrupt:
-        say("stopped: what is done is kept, and the same command continues from there")
+        report_progress("stopped: what is done is kept, and the same command continues from there")
         raise
     finally:
         for child, _ in running.values():
@@ -109,7 +113,7 @@
             child.join(END_SECONDS)
 
 
-def _store_outcome(store: Store, cell: Cell, outcome: Outcome, seconds: float) -> str:
+def _store_outcome(store: Store, cell: Cell, outcome: CellOutcome, seconds: float) -> str:
     """Store the outcome of a cell; return a summary for the progress output."""
     if isinstance(outcome, str):
         store.fail(cell, outcome)
@@ -121,6 +125,6 @@
     return f"{outcome.figures['share.served']:.2%} served{rules}{late}, {seconds:.1f} s"
 
 
-def told(text: str) -> None:
+def print_progress(text: str) -> None:
     """Print a line of progress to stderr."""
     print(text, file=sys.stderr, flush=True)
