--- a/brambleusher/lab/experiments/direct.py
+++ b/brambleusher/lab/experiments/direct.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 from brambleusher.lab.experiments.figures import OutcomeCounter
-from brambleusher.lab.experiments.noting import noting
+from brambleusher.lab.experiments.noting import recording_node
 from brambleusher.lab.experiments.plan import Cell
 from brambleusher.lab.fleets.figures import NodeFigures
 from brambleusher.lab.stand_ins.node import Execution
@@ -84,7 +84,7 @@
     executions: list[Execution] = []
     addresses = []
     for node_spec in nodes:
-        node = noting(
+        node = recording_node(
             received, lambda: 0, scheduler, node_spec.settings, node_spec.id, seed, executions=executions
         )
         addresses.append(node.listen(("127.0.0.1", 0)))
--- a/brambleusher/lab/experiments/noting.py
+++ b/brambleusher/lab/experiments/noting.py
@@ -11,18 +11,19 @@
 from brambleusher.net.http import Message
 
 
-class NotingNode(Node):
+class RecordingNode(Node):
     """A simulated node that records each received request.
 
-    `notes` collects the requests of all nodes; `start_ns` returns the time in nanoseconds that counts as 0.
+    `received_requests` collects the requests of all nodes; `start_ns` returns the time in nanoseconds that
+    counts as 0.
     """
 
-    notes: MutableSequence[Heard]
+    received_requests: MutableSequence[Heard]
     start_ns: Callable[[], int]
 
     def _work(self, connection: Connection, request: Message) -> _Work:
         headers = request.headers
-        self.notes.append(
+        self.received_requests.append(
             Heard(
                 self.scheduler.system.monotonic_ns() - self.start_ns(), headers.get("request-id", ""),
                 headers.get("request-class", ""), headers.get("tenant"), headers.get("work-hint"),
@@ -32,8 +33,10 @@
         return super()._work(connection, request)
 
 
-def noting(notes: MutableSequence[Heard], start_ns: Callable[[], int], *args: Any, **named: Any) -> Node:
+def recording_node(
+    received_requests: MutableSequence[Heard], start_ns: Callable[[], int], *args: Any, **keywords: Any
+) -> Node:
     """Create a recording node; the further arguments are those of `Node`."""
-    node = NotingNode(*args, **named)
-    node.notes, node.start_ns = notes, start_ns
+    node = RecordingNode(*args, **keywords)
+    node.received_requests, node.start_ns = received_requests, start_ns
     return node
--- a/brambleusher/lab/experiments/run.py
+++ b/brambleusher/lab/experiments/run.py
@@ -18,7 +18,7 @@
 from brambleusher.lab.collection import put_off
 from brambleusher.lab.experiments.direct import run_direct
 from brambleusher.lab.experiments.figures import MAX_EVENTS, OutcomeCounter
-from brambleusher.lab.experiments.noting import noting
+from brambleusher.lab.experiments.noting import recording_node
 from brambleusher.lab.experiments.plan import Cell
 from brambleusher.lab.experiments.store import CellResult
 from brambleusher.lab.fleets.fleet import SECOND, Fleet
@@ -109,7 +109,7 @@
     checker: Checker | None = None
     with fleet.world as virtual_world:
         if direct:
-            fleet.new_node = partial(noting, received, lambda: fleet.begins_ns)
+            fleet.new_node = partial(recording_node, received, lambda: fleet.begins_ns)
         elif cell.check:
             checker = Checker(Rules.of(world.sidecar_settings(0)), fleet.executions)
             fleet.audience = checker
