--- a/brambleusher/lab/experiments/run.py
+++ b/brambleusher/lab/experiments/run.py
@@ -65,7 +65,7 @@
         self.player.start(self.begins_ns)
 
     @property
-    def played(self) -> bool:
+    def is_play_finished(self) -> bool:
         """Return whether the player has finished all requests."""
         return self.player is not None and self.player.done
 
@@ -75,23 +75,23 @@
     requests = list(cell.requests())
     if not requests:
         raise ValueError("the demand has no requests")
-    return (virtual if cell.where == "virtual" else sockets)(cell, requests)
+    return (run_virtual if cell.where == "virtual" else run_on_sockets)(cell, requests)
 
 
-def span_of(cell: Cell, requests: list[Request]) -> float:
+def play_seconds(cell: Cell, requests: list[Request]) -> float:
     """Return the duration of the play in seconds."""
     return max(0.001, (requests[-1].at_ns - requests[0].at_ns) / SECOND / cell.speed)
 
 
-def play_of(cell: Cell, requests: list[Request], targets: list[Address]) -> Play:
+def play_parameters(cell: Cell, requests: list[Request], targets: list[Address]) -> Play:
     """Return the parameters of the player for a cell."""
     pace = Pace(requests[0].at_ns, cell.speed)
     return Play(targets, pace, cell.timeout_ms, methods=cell.figures.methods, seed=cell.seed)
 
 
-def virtual(cell: Cell, requests: list[Request]) -> CellResult:
+def run_virtual(cell: Cell, requests: list[Request]) -> CellResult:
     """Run a cell in virtual time; if `cell.check` is set, check every byte on the wire against the rules."""
-    span_s, direct = span_of(cell, requests), cell.through == "nodes"
+    span_s, direct = play_seconds(cell, requests), cell.through == "nodes"
     world = cell.figures.figures(span_s + 0.001)
     if direct:
         world = msgspec.structs.replace(world, sidecars=())
@@ -100,7 +100,7 @@
     counts, received = OutcomeCounter(world, cell.speed, span_s), list[Heard]()
 
     def new_player(scheduler: Scheduler, targets: list[Address]) -> Player:
-        return Player(scheduler, play_of(cell, requests, targets), requests, counts.add)
+        return Player(scheduler, play_parameters(cell, requests, targets), requests, counts.add)
 
     # Garbage collections are made rare because each one scans the data of the whole run; the garbage is freed
     # when the process of the run exits.
@@ -118,7 +118,7 @@
             virtual_world.step_done.append(lambda: step(virtual_world.now_ns))
         fleet.start()
         virtual_world.run(fleet.ends_ns)
-        virtual_world.run(fleet.ends_ns + int(OVERTIME_S * SECOND), lambda: fleet.played)
+        virtual_world.run(fleet.ends_ns + int(OVERTIME_S * SECOND), lambda: fleet.is_play_finished)
         if fleet.player is not None:
             fleet.player.scheduler.call_soon(fleet.player.close)
         shutdown_reports = fleet.quiesce()
@@ -156,7 +156,7 @@
 def _measure_fidelity(
     cell: Cell, requests: list[Request], received: list[Heard]
 ) -> tuple[dict[str, Any], dict[str, float]]:
-    play = play_of(cell, requests, [])
+    play = play_parameters(cell, requests, [])
     name_of = Player.name_of
     fidelity = compared(requests, received, lambda number: name_of(play.seed, number), target_of, cell.speed)
     return fidelity.plain(), {
@@ -200,12 +200,12 @@
     return found
 
 
-def sockets(cell: Cell, requests: list[Request]) -> CellResult:
+def run_on_sockets(cell: Cell, requests: list[Request]) -> CellResult:
     """Run a cell on loopback sockets: sidecars as processes; nodes, discovery and player in this process."""
-    span_s = span_of(cell, requests)
+    span_s = play_seconds(cell, requests)
     if cell.through == "nodes":
         counts, received, executions, start_ns = run_direct(
-            cell, requests, play_of(cell, requests, []), span_s
+            cell, requests, play_parameters(cell, requests, []), span_s
         )
         document, deviations = _measure_fidelity(cell, requests, received)
         deviations["was_late"] = float(counts.results.late)
@@ -218,7 +218,7 @@
         try:
             fleet.start()
             fleet.wait_ready()
-            player = Player(scheduler, play_of(cell, requests, fleet.targets), requests, counts.add)
+            player = Player(scheduler, play_parameters(cell, requests, fleet.targets), requests, counts.add)
             start_ns = scheduler.system.monotonic_ns() + LEAD_NS
             player.start(start_ns)
             until = start_ns / SECOND + span_s + OVERTIME_S
