--- a/brambleusher/cli/lab.py
+++ b/brambleusher/cli/lab.py
@@ -102,13 +102,13 @@
 @click.option("-o", "--out", type=FILE_PATH, metavar="FILE", help="The report.  [default: RESULTS.html]")
 def report_command(results: Path, out: Path | None) -> int:
     """Write the report on an experiment as an HTML page."""
-    from brambleusher.lab.experiments.report import page
+    from brambleusher.lab.experiments.report import render_report
     from brambleusher.lab.experiments.store import Store, StoreError
 
     out = out or results.with_suffix(".html")
     try:
         with Store(results) as store:
-            out.write_text(page(store), encoding="utf-8")
+            out.write_text(render_report(store), encoding="utf-8")
     except StoreError as error:
         print(f"brambleusher: {error}", file=sys.stderr)
         return 1
--- a/brambleusher/lab/experiments/report.py
+++ b/brambleusher/lab/experiments/report.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True)
-class Group:
+class CellGroup:
     """Cells that differ only in their seeds."""
 
     world: str
@@ -64,7 +64,7 @@
         values = [result.figures[name] for _, result in self.cells if name in result.figures]
         return fmean(values) if values else None
 
-    def most(self, name: str) -> float | None:
+    def maximum(self, name: str) -> float | None:
         """Return the maximum of a metric over the seeds, or None."""
         return max((each.figures[name] for _, each in self.cells if name in each.figures), default=None)
 
@@ -86,12 +86,12 @@
         return times, [fmean(rows[at]) for at in times]
 
 
-def page(store: Store) -> str:
+def render_report(store: Store) -> str:
     """Render the HTML page of an experiment."""
     cells = store.cells()
     done = [(cell, store.result(cell.id)) for cell in cells if cell.state == "done"]
-    groups = grouped(done)
-    label = labeller(groups)
+    groups = group_cells(done)
+    label = make_labeller(groups)
     name = store.about("name") or "experiment"
     sections = [f"<h1>{escape(name)}</h1>"]
     if note := store.about("note"):
@@ -112,28 +112,28 @@
     )
 
 
-def grouped(done: Sequence[tuple[StoredCell, CellResult]]) -> list[Group]:
+def group_cells(done: Sequence[tuple[StoredCell, CellResult]]) -> list[CellGroup]:
     """Group cells that differ only in their seeds, in the order of the matrix."""
     found: dict[tuple[str, str, str, str], list[tuple[StoredCell, CellResult]]] = {}
     for cell, result in done:
         found.setdefault((cell.world, cell.demand, cell.settings, cell.where), []).append((cell, result))
-    return [Group(*key, tuple(members)) for key, members in found.items()]
+    return [CellGroup(*key, tuple(members)) for key, members in found.items()]
 
 
-def labeller(groups: Sequence[Group]) -> Callable[[Group], str]:
+def make_labeller(groups: Sequence[CellGroup]) -> Callable[[CellGroup], str]:
     """Return a function that labels a group by only those of its settings and place that differ."""
     settings = len({group.settings for group in groups}) > 1
     where = len({group.where for group in groups}) > 1
 
-    def label(group: Group) -> str:
+    def label(group: CellGroup) -> str:
         words = ([group.settings] if settings or not where else []) + ([group.where] if where else [])
         return ", ".join(words)
 
     return label
 
 
-def _group_by(groups: Iterable[Group], key: Callable[[Group], Any]) -> dict[Any, list[Group]]:
-    found: dict[Any, list[Group]] = {}
+def _group_by(groups: Iterable[CellGroup], key: Callable[[CellGroup], Any]) -> dict[Any, list[CellGroup]]:
+    found: dict[Any, list[CellGroup]] = {}
     for group in groups:
         found.setdefault(key(group), []).append(group)
     return found
@@ -142,7 +142,7 @@
 # --- tables ---------------------------------------------------------------------------------------
 
 
-def table(header: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
+def render_table(header: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
     """Render an HTML table; the contents of its cells are HTML."""
     top = "".join(f"<th>{each}</th>" for each in header)
     body = "".join("<tr>" + "".join(f"<td>{each}</td>" for each in row) + "</tr>" for row in rows)
@@ -171,7 +171,7 @@
     return sections
 
 
-def _summary(groups: Sequence[Group]) -> str:
+def _summary(groups: Sequence[CellGroup]) -> str:
     classes = sorted(
         {
             name.split(".")[1]
@@ -188,9 +188,9 @@
     ]  # fmt: skip
     rows = []
     for group in groups:
-        has_violations, late = group.most("breaches"), group.most("was_late")
+        has_violations, late = group.maximum("breaches"), group.maximum("was_late")
         breaches = "not checked" if has_violations is None else f"{sum(_rule_violations(group).values())}"
-        lateness = _number(group.most("lateness_ms.p99"), ".2f")
+        lateness = _number(group.maximum("lateness_ms.p99"), ".2f")
         rows.append(
             [
                 escape(group.world), escape(group.demand), escape(group.settings), escape(group.where),
@@ -205,14 +205,14 @@
                 f'<span class="bad">{lateness}: the generator was late</span>' if late else lateness,
             ]
         )  # fmt: skip
-    return table(header, rows) + (
+    return render_table(header, rows) + (
         '<p class="note">Means over the seeds. Worth: fraction of the maximum. Load: work done divided by '
         "the capacity of the nodes. Spread: difference of highest and lowest node load, divided by the mean."
         " Attempts: executions on nodes per request.</p>"
     )
 
 
-def _rule_violations(group: Group) -> dict[str, int]:
+def _rule_violations(group: CellGroup) -> dict[str, int]:
     found = dict.fromkeys(RULES, 0)
     for _, result in group.cells:
         for rule, count in result.documents.get("rules", {}).items():
@@ -220,7 +220,7 @@
     return found
 
 
-def _rules_section(groups: Sequence[Group], label: Callable[[Group], str]) -> list[str]:
+def _rules_section(groups: Sequence[CellGroup], label: Callable[[CellGroup], str]) -> list[str]:
     checked = [group for group in groups if any("rules" in result.documents for _, result in group.cells)]
     if not checked:
         return []
@@ -239,11 +239,11 @@
         + [f'<span class="bad">{each[rule]}</span>' if each.get(rule) else "0" for each in counts]
         for rule, what in RULES.items()
     ]
-    inner = f"<details><summary>rule by rule</summary>{table(header, rows)}</details>"
+    inner = f"<details><summary>rule by rule</summary>{render_table(header, rows)}</details>"
     return ["<h2>Rules</h2>", f"<p>{summary}</p>", inner]
 
 
-def _fidelity_section(groups: Sequence[Group]) -> list[str]:
+def _fidelity_section(groups: Sequence[CellGroup]) -> list[str]:
     sections: list[str] = []
     for group in groups:
         for cell, result in group.cells:
@@ -289,7 +289,7 @@
         f"<h3>{escape(cell.title)}, speed {cell.plan.speed:g}</h3>",
         f"<p>Worst window: rate off by {_percentage(fidelity.rate_off)}, share of a class by "
         f"{_percentage(fidelity.mix_off)}; {exact}.</p>",
-        f"<details><summary>{len(rows)} windows</summary>{table(header, rows)}</details>",
+        f"<details><summary>{len(rows)} windows</summary>{render_table(header, rows)}</details>",
     ]
 
 
@@ -317,7 +317,7 @@
 # --- charts ---------------------------------------------------------------------------------------
 
 
-def svg(draw: Callable[[Figure], None], width: float, height: float) -> str:
+def render_svg(draw: Callable[[Figure], None], width: float, height: float) -> str:
     """Render a chart as SVG; the same data gives the same bytes."""
     with matplotlib.rc_context(CHART_STYLE):
         figure = Figure(figsize=(width, height), layout="constrained")
@@ -328,26 +328,26 @@
     return text[text.index("<svg") :]
 
 
-def _charts(world: str, demand: str, groups: list[Group], label: Callable[[Group], str]) -> list[str]:
+def _charts(world: str, demand: str, groups: list[CellGroup], label: Callable[[CellGroup], str]) -> list[str]:
     """Render the charts of one world and demand."""
     title = escape(f"{world} / {demand}")
     events = groups[0].cells[0][1].events
     sections = [f"<h2>{title}</h2>", "<h3>Requests asked and served per second</h3>"]
     sections.append(
-        svg(lambda figure: _draw_rates(figure, groups, label, events), 10.5, 2.2 + 1.9 * len(groups))
+        render_svg(lambda figure: _draw_rates(figure, groups, label, events), 10.5, 2.2 + 1.9 * len(groups))
     )
     if any(name.startswith("latency_ms.") for name in groups[0].cells[0][1].figures):
         sections.append("<h3>Latency by class</h3>")
-        sections.append(svg(lambda figure: _draw_latencies(figure, groups, label), 10.5, 3.4))
+        sections.append(render_svg(lambda figure: _draw_latencies(figure, groups, label), 10.5, 3.4))
         sections.append(
             '<p class="note">Latency of served requests, measured from the due time of each request.</p>'
         )
     sections.append("<h3>Load by node and zone</h3>")
     sections.append(
-        svg(lambda figure: _draw_node_loads(figure, groups, label), 10.5, 1.0 + 1.8 * len(groups))
+        render_svg(lambda figure: _draw_node_loads(figure, groups, label), 10.5, 1.0 + 1.8 * len(groups))
     )
     sections.append(
-        svg(lambda figure: _draw_zone_loads(figure, groups, label), 10.5, 1.0 + 1.8 * len(groups))
+        render_svg(lambda figure: _draw_zone_loads(figure, groups, label), 10.5, 1.0 + 1.8 * len(groups))
     )
     sections.append("<h3>Events</h3>")
     for group in groups:
@@ -355,7 +355,7 @@
             rows = [
                 [f"{at_s:.3f} s", f'<span class="text">{escape(text)}</span>'] for at_s, text in result.events
             ]
-            inner = table(["time", "what"], rows) if rows else "<p>No events.</p>"
+            inner = render_table(["time", "what"], rows) if rows else "<p>No events.</p>"
             summary = f"{escape(cell.title)}: {len(rows)} events"
             sections.append(f"<details><summary>{summary}</summary>{inner}</details>")
     return sections
@@ -363,8 +363,8 @@
 
 def _draw_rates(
     figure: Figure,
-    groups: list[Group],
-    label: Callable[[Group], str],
+    groups: list[CellGroup],
+    label: Callable[[CellGroup], str],
     events: Sequence[tuple[float, str]],
 ) -> None:
     rows = figure.subplots(len(groups), 1, sharex=True, sharey=True, squeeze=False)
@@ -395,13 +395,13 @@
     rows[-1, 0].set_xlabel("seconds of the demand")
 
 
-def _demand_rate(group: Group, name: str) -> tuple[list[float], list[float]]:
+def _demand_rate(group: CellGroup, name: str) -> tuple[list[float], list[float]]:
     """Return a series of rates in requests per second of demand time."""
     times, values = group.series(name)
     return times, [value / group.speed for value in values]
 
 
-def _draw_latencies(figure: Figure, groups: list[Group], label: Callable[[Group], str]) -> None:
+def _draw_latencies(figure: Figure, groups: list[CellGroup], label: Callable[[CellGroup], str]) -> None:
     classes = sorted(
         {
             name.split(".")[1]
@@ -430,12 +430,12 @@
     columns[-1].legend(loc="upper left", frameon=False)
 
 
-def _zone_colours(group: Group) -> dict[str, str]:
+def _zone_colours(group: CellGroup) -> dict[str, str]:
     zones = group.cells[0][0].plan.figures.zones
     return {zone: COLOURS[at % len(COLOURS)] for at, zone in enumerate(zones)}
 
 
-def _draw_node_loads(figure: Figure, groups: list[Group], label: Callable[[Group], str]) -> None:
+def _draw_node_loads(figure: Figure, groups: list[CellGroup], label: Callable[[CellGroup], str]) -> None:
     rows = figure.subplots(len(groups), 1, sharex=True, sharey=True, squeeze=False)
     for axes, group in zip(rows[:, 0], groups, strict=True):
         colours = _zone_colours(group)
@@ -449,7 +449,7 @@
         axes.set_title(label(group), loc="left", fontsize=9)
 
 
-def _draw_zone_loads(figure: Figure, groups: list[Group], label: Callable[[Group], str]) -> None:
+def _draw_zone_loads(figure: Figure, groups: list[CellGroup], label: Callable[[CellGroup], str]) -> None:
     rows = figure.subplots(len(groups), 1, sharex=True, sharey=True, squeeze=False)
     for axes, group in zip(rows[:, 0], groups, strict=True):
         _draw_zone_lines(axes, group)
@@ -458,7 +458,7 @@
     rows[-1, 0].set_xlabel("seconds of the demand")
 
 
-def _draw_zone_lines(axes: Axes, group: Group) -> None:
+def _draw_zone_lines(axes: Axes, group: CellGroup) -> None:
     for zone, colour in _zone_colours(group).items():
         times, values = group.series(f"load.zone.{zone}")
         axes.plot(times, [100 * value for value in values], color=colour, label=zone, linewidth=1.1)
--- a/tests/lab/test_lab_experiments.py
+++ b/tests/lab/test_lab_experiments.py
@@ -20,7 +20,7 @@
 from brambleusher.lab.experiments.compare import ComparedResults, compare, format_differences, interval
 from brambleusher.lab.experiments.matrix import run_all
 from brambleusher.lab.experiments.plan import Cell, ExperimentError, read_experiment
-from brambleusher.lab.experiments.report import page
+from brambleusher.lab.experiments.report import render_report
 from brambleusher.lab.experiments.run import run
 from brambleusher.lab.experiments.store import CellResult, Store, StoreError
 from brambleusher.lab.fleets.worlds import WorldError, WorldFile, world_of
@@ -153,7 +153,7 @@
         figures = store.figures(cells[0].id)
         assert figures["requests"] == len(list(cells[0].requests())) and 0.5 < figures["share.served"] <= 1
         # The page must be well-formed and load nothing from elsewhere.
-        text = page(store)
+        text = render_report(store)
         parser = PageParser()
         parser.feed(text)
         assert not parser.loaded_elements and not parser.open_tags and text.count("<svg") == 8
@@ -190,7 +190,7 @@
     assert run_all(file, cells, tmp_path / "r", 1, progress.append) == 1
     with Store(tmp_path / "r") as store:
         assert store.cells()[0].error == "ValueError: the demand has no requests"
-        assert "1 runs failed" in page(store)
+        assert "1 runs failed" in render_report(store)
     (tmp_path / "bad").write_text("no results")
     with pytest.raises(StoreError, match="not a database"):
         Store(tmp_path / "bad")
