--- a/brambleusher/cli/lab.py
+++ b/brambleusher/cli/lab.py
@@ -60,7 +60,7 @@
         file, cells = read_experiment(experiment)
         failed = run_all(file, cells, out, jobs, print_progress)
         with Store(out) as store:
-            metrics = {cell.title: store.figures(cell.id) for cell in store.cells()}
+            metrics = {cell.title: store.metrics(cell.id) for cell in store.cells()}
     except (ExperimentError, StoreError) as error:
         print(f"brambleusher: {error}", file=sys.stderr)
         return 1
--- a/brambleusher/lab/experiments/compare.py
+++ b/brambleusher/lab/experiments/compare.py
@@ -91,10 +91,10 @@
     """
     with Store(first.path) as first_store, Store(second.path) as other:
         first_metrics = {
-            _pair_key(cell, first, second): first_store.figures(cell.id) for cell in first.cells(first_store)
+            _pair_key(cell, first, second): first_store.metrics(cell.id) for cell in first.cells(first_store)
         }
         second_metrics = {
-            _pair_key(cell, second, first): other.figures(cell.id) for cell in second.cells(other)
+            _pair_key(cell, second, first): other.metrics(cell.id) for cell in second.cells(other)
         }
     shared_keys = [key for key in first_metrics if key in second_metrics]
     if not shared_keys:
--- a/brambleusher/lab/experiments/matrix.py
+++ b/brambleusher/lab/experiments/matrix.py
@@ -61,7 +61,7 @@
 ) -> int:
     """Run the cells missing from the results file, saving each when it finishes; return how many failed."""
     with Store(out, new=True) as store:
-        unfinished = store.begin(file, cells)
+        unfinished = store.register_experiment(file, cells)
         done = len(cells) - len(unfinished)
         if done:
             report_progress(f"{done} of {len(cells)} cells are there already")
--- a/brambleusher/lab/experiments/report.py
+++ b/brambleusher/lab/experiments/report.py
@@ -92,9 +92,9 @@
     done = [(cell, store.result(cell.id)) for cell in cells if cell.state == "done"]
     groups = group_cells(done)
     label = make_labeller(groups)
-    name = store.about("name") or "experiment"
+    name = store.experiment_property("name") or "experiment"
     sections = [f"<h1>{escape(name)}</h1>"]
-    if note := store.about("note"):
+    if note := store.experiment_property("note"):
         sections.append(f'<p class="note">{escape(note)}</p>')
     sections += _progress(cells)
     if groups:
@@ -295,7 +295,7 @@
 
 def _settings_section(store: Store, cells: Sequence[StoredCell]) -> list[str]:
     sections = ["<h2>Settings</h2>"]
-    file = store.about("experiment")
+    file = store.experiment_property("experiment")
     if file is not None:
         sections += ["<h3>The experiment</h3>", _yaml(msgspec.json.decode(file))]
     shown: set[tuple[str, str]] = set()
--- a/brambleusher/lab/experiments/store.py
+++ b/brambleusher/lab/experiments/store.py
@@ -99,7 +99,7 @@
             self._database.executescript(SCHEMA)
         elif not {"about", "cells"} <= existing:
             raise StoreError(f"{self.path}: not a results file of an experiment")
-        stored_format = self.about("format")
+        stored_format = self.experiment_property("format")
         if stored_format is None and new:
             self._set_about("format", str(FORMAT))
         elif stored_format != str(FORMAT):
@@ -115,7 +115,7 @@
         """Close the results file."""
         self._database.close()
 
-    def about(self, name: str) -> str | None:
+    def experiment_property(self, name: str) -> str | None:
         """Return a property of the experiment, such as its name or note, or None."""
         row = self._database.execute("SELECT value FROM about WHERE name = ?", (name,)).fetchone()
         return None if row is None else str(row[0])
@@ -124,7 +124,7 @@
         with self._database:
             self._database.execute("INSERT OR REPLACE INTO about VALUES (?, ?)", (name, value))
 
-    def begin(self, file: ExperimentFile, cells: Iterable[Cell]) -> list[Cell]:
+    def register_experiment(self, file: ExperimentFile, cells: Iterable[Cell]) -> list[Cell]:
         """Store an experiment; return the cells still to run.
 
         Cells that are no longer part of the experiment are deleted with their results.
@@ -208,7 +208,7 @@
         ):
             series.setdefault(item_name, []).append((at_s, value))
         return CellResult(
-            figures=self.figures(name),
+            figures=self.metrics(name),
             series=series,
             events=[
                 (at_s, text)
@@ -224,7 +224,7 @@
             },
         )
 
-    def figures(self, name: str) -> dict[str, float]:
+    def metrics(self, name: str) -> dict[str, float]:
         """Return the metrics of a cell by its id."""
         return dict(
             self._database.execute("SELECT name, value FROM figures WHERE cell = ?", (name,)).fetchall()
--- a/tests/lab/test_lab_experiments.py
+++ b/tests/lab/test_lab_experiments.py
@@ -133,7 +133,7 @@
     out, progress = tmp_path / "r.sqlite", list[str]()
     # Simulates a run that stopped after five cells, the fifth of which failed.
     with Store(out, new=True) as store:
-        assert store.begin(file, cells) == cells
+        assert store.register_experiment(file, cells) == cells
         for cell in cells[:4]:
             store.save(cell, run(cell), 0.1)
         store.fail(cells[4], "ValueError: no")
@@ -150,7 +150,7 @@
         assert len(rules) > 20 and not any(rules.values())
         assert any("node-crashed" in text for _, text in store.result(cells[0].id).events)
         assert any("is Gone" in text for _, text in store.result(cells[0].id).events)
-        figures = store.figures(cells[0].id)
+        figures = store.metrics(cells[0].id)
         assert figures["requests"] == len(list(cells[0].requests())) and 0.5 < figures["share.served"] <= 1
         # The page must be well-formed and load nothing from elsewhere.
         text = render_report(store)
@@ -171,7 +171,7 @@
         compare(ComparedResults.parse(f"{out}:none"), ComparedResults.parse(str(out)))
     # Cells that are no longer part of the experiment are deleted.
     with Store(out) as store:
-        assert store.begin(file, cells[:2]) == [] and len(store.cells()) == 2
+        assert store.register_experiment(file, cells[:2]) == [] and len(store.cells()) == 2
 
 
 def json_form(result: CellResult) -> CellResult:
