--- a/brambleusher/lab/experiments/compare.py
+++ b/brambleusher/lab/experiments/compare.py
@@ -89,18 +89,17 @@
     Raises:
         StoreError: There is no such pair of cells, or a results file can't be used.
     """
-    with Store(first.path) as first_store, Store(second.path) as other:
+    with Store(first.path) as first_store, Store(second.path) as second_store:
         first_metrics = {
             _pair_key(cell, first, second): first_store.metrics(cell.id) for cell in first.cells(first_store)
         }
         second_metrics = {
-            _pair_key(cell, second, first): other.metrics(cell.id) for cell in second.cells(other)
+            _pair_key(cell, second, first): second_store.metrics(cell.id)
+            for cell in second.cells(second_store)
         }
     shared_keys = [key for key in first_metrics if key in second_metrics]
     if not shared_keys:
-        raise StoreError(
-            "no cell of the first side has a cell with the same world, demand, seed and place on the second"
-        )
+        raise StoreError("the two sides have no cells with the same world, demand, seed and place")
     names = sorted(
         {name for key in shared_keys for name in first_metrics[key].keys() & second_metrics[key].keys()},
         key=_display_position,
--- a/brambleusher/lab/experiments/matrix.py
+++ b/brambleusher/lab/experiments/matrix.py
@@ -74,7 +74,7 @@
 
 
 def _run_cells(store: Store, cells: list[Cell], jobs: int, report_progress: ProgressCallback) -> int:
-    """Run at most `jobs` cells at once, each in a new process that frees all memory of its run on exit."""
+    """Run at most `jobs` cells at once, each in a new process whose exit discards leftovers of the run."""
     failed, number = 0, 0
     context = multiprocessing.get_context("spawn")
     running: dict[Connection, tuple[SpawnProcess, Cell]] = {}
--- a/brambleusher/lab/mysql/replay.py
+++ b/brambleusher/lab/mysql/replay.py
@@ -94,8 +94,8 @@
 """
 # Errors after which the client can't know whether its transaction was committed.
 UNKNOWN_OUTCOME_ERRORS = {int(Errno.ERROR_DURING_COMMIT)}
-# Errors after which the statement did not run or its transaction was rolled back.  Apart from these errors, a
-# client may receive only UNKNOWN_OUTCOME_ERRORS and SCRIPTED, which the test servers send by script.
+# Errors after which the statement did not run or its transaction was rolled back.  A client may also
+# receive UNKNOWN_OUTCOME_ERRORS, SCRIPTED (sent by the test servers) and the errors of KILL QUERY.
 FAILED_ERRORS = {
     int(each) for each in (
         Errno.NET_READ, Errno.SERVER_SHUTDOWN, Errno.QUERY_TIMEOUT, Errno.SERVER_ISNT_AVAILABLE,
@@ -103,7 +103,7 @@
         Errno.NOT_SUPPORTED_YET,
     )
 }  # fmt: skip
-SCRIPTED = 1105
+SCRIPTED = 1105  # error number that the test servers send for a scripted error
 
 
 # --- fault plan -----------------------------------------------------------------------------------
@@ -160,7 +160,7 @@
             return Fault(
                 rng.choice(self.greetings), seconds=rng.uniform(0.0, 0.3), errno=rng.choice((1040, 1129))
             )
-        # Faults at COMMIT are six times as likely: only they can leave the outcome of a transaction unknown.
+        # Faults at COMMIT are six times as likely, because the end of a transaction is most critical.
         probability = self.fault_probability * (6 if moment.text.lower().startswith("commit") else 1)
         if rng.random() >= probability:
             return None
@@ -453,7 +453,7 @@
             self.client = None
 
     def setting(self) -> None:
-        """Set sql_mode and check that later statements of the session run with that mode."""
+        """Set sql_mode and check that later statements have that mode, on whichever server they run."""
         value = f"MODE_{self.number}"
         reply = self.ask(f"set sql_mode = '{value}'")
         for _ in range(3):
@@ -493,9 +493,8 @@
     """Network tap that records on which server connections the result of each statement was read."""
 
     def __init__(self) -> None:
-        self._current: dict[
-            int, tuple[str, bytes]
-        ] = {}  # tag of the current statement and first bytes of its reply
+        # For each connection id: tag of the current statement and first bytes of its reply.
+        self._current: dict[int, tuple[str, bytes]] = {}
         self.connections_by_tag: dict[str, set[int]] = {}
 
     def sent(self, now: int, conn: Connection, side: str, data: bytes) -> None:
