--- a/benchmarks/mysql.py
+++ b/benchmarks/mysql.py
@@ -29,7 +29,7 @@
 from brambleusher.lab.mysql.client import MysqlClient
 from brambleusher.lab.mysql.engine import Database
 from brambleusher.lab.mysql.replay import run_seed
-from brambleusher.lab.mysql.server import MysqlServer, MysqlSettings, accounts
+from brambleusher.lab.mysql.server import MysqlServer, MysqlSettings, create_transfer_tables
 from brambleusher.lab.virtual.world import START_NS, VirtualSystem, World
 from brambleusher.operator_settings.configuration import parse_operator_file
 from brambleusher.runtime.operating_system import RealSystem
@@ -79,7 +79,7 @@
     servers = []
     for at in range(count):
         database = Database()
-        accounts(NAMES, database)
+        create_transfer_tables(NAMES, database)
         settings = MysqlSettings(
             users={"registry": Secret.of(NATIVE, b"s")}, plugin=NATIVE, max_connections=2000
         )
@@ -412,7 +412,7 @@
         def node(at: int) -> Callable[[VirtualSystem], None]:
             def main(system: VirtualSystem) -> None:
                 scheduler, database = Scheduler(system), Database()
-                accounts(NAMES, database)
+                create_transfer_tables(NAMES, database)
                 figures = MysqlSettings(
                     users={"web": Secret.of(NATIVE, b"s")}, plugin=NATIVE, max_connections=2000,
                     work_seconds=0.02, slots=4,
--- a/brambleusher/lab/mysql/replay.py
+++ b/brambleusher/lab/mysql/replay.py
@@ -40,7 +40,13 @@
 from brambleusher.fronts.mysql.statements import Kind, Tie
 from brambleusher.lab.mysql.client import CommandReply, MysqlClient
 from brambleusher.lab.mysql.engine import ColumnInfo, Database, Table
-from brambleusher.lab.mysql.server import Fault, Moment, MysqlServer, MysqlSettings, accounts
+from brambleusher.lab.mysql.server import (
+    Fault,
+    FaultPoint,
+    MysqlServer,
+    MysqlSettings,
+    create_transfer_tables,
+)
 from brambleusher.lab.stand_ins.discovery import Discovery, Entry
 from brambleusher.lab.stand_ins.settings import DiscoverySettings
 from brambleusher.lab.virtual.network import Connection
@@ -152,16 +158,16 @@
             kinds, greetings, rng.choice((0.01, 0.03, 0.08)), rng.choice((0.0, 0.05, 0.2)), sorted(events)
         )
 
-    def fault(self, rng: random.Random, moment: Moment) -> Fault | None:
+    def fault(self, rng: random.Random, point: FaultPoint) -> Fault | None:
         """Return the fault to inject at a connection or command, or None."""
-        if moment.command < 0:
+        if point.command < 0:
             if not self.greetings or rng.random() >= self.greeting_probability:
                 return None
             return Fault(
                 rng.choice(self.greetings), seconds=rng.uniform(0.0, 0.3), errno=rng.choice((1040, 1129))
             )
         # Faults at COMMIT are six times as likely, because the end of a transaction is most critical.
-        probability = self.fault_probability * (6 if moment.text.lower().startswith("commit") else 1)
+        probability = self.fault_probability * (6 if point.text.lower().startswith("commit") else 1)
         if rng.random() >= probability:
             return None
         kind = rng.choice(self.kinds)
@@ -564,17 +570,17 @@
     @staticmethod
     def _database() -> Database:
         database = Database()
-        accounts(NAMES, database, money=INITIAL_BALANCE)
+        create_transfer_tables(NAMES, database, money=INITIAL_BALANCE)
         columns = [ColumnInfo("id", 8, True, "tickets"), ColumnInfo("v", 253, False, "tickets")]
         database.tables[("shop", "tickets")] = Table("tickets", columns)
         return database
 
-    def _choose_fault(self, node: int, moment: Moment) -> Fault | None:
+    def _choose_fault(self, node: int, point: FaultPoint) -> Fault | None:
         if self.world.now_ns > self._faults_end_ns or self.world.elapsed_ns < SECOND // 5:
             return None
-        fault = self.plan.fault(self._fault_rng, moment)
+        fault = self.plan.fault(self._fault_rng, point)
         if fault is not None:
-            self.injected_faults[fault.how if moment.command >= 0 else "greeting"] += 1
+            self.injected_faults[fault.kind if point.command >= 0 else "greeting"] += 1
         return fault
 
     def _start_node(self, at: int) -> None:
@@ -585,7 +591,7 @@
                                      work_seconds=0.002)  # fmt: skip
             server = MysqlServer(
                 scheduler, f"h{at}", self.databases[at], settings, self.seed * 10 + len(self.servers[at]),
-                lambda moment: self._choose_fault(at, moment), keep=True,
+                lambda point: self._choose_fault(at, point), record_commands=True,
             )  # fmt: skip
             self.servers[at].append(server)
             server.listen(("0.0.0.0", 3306))
--- a/brambleusher/lab/mysql/server.py
+++ b/brambleusher/lab/mysql/server.py
@@ -90,7 +90,7 @@
 class Fault:
     """A fault that is injected into one connection or command.
 
-    `how` is one of:
+    `kind` is one of:
       `error`: the server sends an ERR packet instead of the reply (for a connection, of the greeting);
       `silent`: the server sends nothing more but keeps the connection open;
       `before`: the connection is reset before the command runs;
@@ -102,7 +102,7 @@
       `late`: the command runs, then the server waits `seconds` before it replies.
     """
 
-    how: str
+    kind: str
     bytes: int = 0
     seconds: float = 0.0
     errno: int = 1105
@@ -111,7 +111,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Moment:
+class FaultPoint:
     """A point at which a fault can be injected: a new connection (command -1) or a command with its text."""
 
     thread: int
@@ -177,7 +177,8 @@
 class MysqlServer(Server):
     """A MySQL server with scripted faults.
 
-    `choose_fault` decides which faults are injected.  If `keep` is set, `seen` records every command.
+    `choose_fault` decides which faults are injected.  If `record_commands` is set, `seen` contains every
+    received command.
     """
 
     def __init__(
@@ -187,15 +188,15 @@
         database: Database,
         settings: MysqlSettings,
         seed: int = 0,
-        choose_fault: Callable[[Moment], Fault | None] | None = None,
-        keep: bool = False,
+        choose_fault: Callable[[FaultPoint], Fault | None] | None = None,
+        record_commands: bool = False,
     ) -> None:
         super().__init__(scheduler, name)
         self.database, self.settings = database, settings
-        self.choose_fault = choose_fault or (lambda moment: None)
-        # Thread id, command code and statement text of each received command, if `keep` is set.
+        self.choose_fault = choose_fault or (lambda point: None)
+        # Thread id, command code and statement text of each received command, if `record_commands` is set.
         self.seen: list[tuple[int, int, str]] = []
-        self.keep = keep
+        self.record_commands = record_commands
         self.clients: dict[int, ClientConnection] = {}
         self.rejected_connections = self.most_open = self.statements_run = 0
         self._rng = random.Random(seed)
@@ -212,7 +213,7 @@
         """Serve one client from the greeting to the end of its connection."""
         self._threads += 1
         client = ClientConnection(Channel(connection.stream), connection, self._threads)
-        fault = self.choose_fault(Moment(client.thread))
+        fault = self.choose_fault(FaultPoint(client.thread))
         try:
             if len(self.clients) >= self.settings.max_connections:
                 self.rejected_connections += 1
@@ -243,17 +244,17 @@
 
     def _inject_at_greeting(self, client: ClientConnection, fault: Fault) -> bool:
         """Inject a fault at the start of a connection; return whether the connection continues."""
-        if fault.how == "error":
+        if fault.kind == "error":
             text = "Too many connections" if fault.errno == 1040 else "scripted"
             self._send(client, frame(Err(fault.errno, fault.state, text).encode(), 0))
             return False
-        if fault.how == "nonsense":
+        if fault.kind == "nonsense":
             self._send(client, b"SSH-2.0-OpenSSH_9.2p1\r\n")
             return False
-        if fault.how in ("slow", "late"):
+        if fault.kind in ("slow", "late"):
             self.scheduler.sleep(fault.seconds)
             return True
-        if fault.how == "silent":
+        if fault.kind == "silent":
             self._stop_responding(client)
         raise ScriptedReset
 
@@ -356,21 +357,21 @@
         if code == Command.QUIT:
             return False
         text = self._text_of(client, code, body)
-        if self.keep:
+        if self.record_commands:
             self.seen.append((client.thread, code, text))
-        fault = self.choose_fault(Moment(client.thread, code, text, session.in_transaction))
+        fault = self.choose_fault(FaultPoint(client.thread, code, text, session.in_transaction))
         if fault is not None:
-            if fault.how == "before":
+            if fault.kind == "before":
                 raise ScriptedReset
-            if fault.how == "silent":
+            if fault.kind == "silent":
                 self._stop_responding(client)
-            if fault.how == "nonsense":
+            if fault.kind == "nonsense":
                 self._send(client, b"\x07\0\0" + bytes((client.seq,)) + b"\x2anonsen")
                 return True
-            if fault.how == "error":
+            if fault.kind == "error":
                 self._send_error(client, SqlError(fault.errno, fault.state, "scripted"))
                 return fault.errno != 1053
-            if fault.how == "slow":
+            if fault.kind == "slow":
                 self.scheduler.sleep(fault.seconds)
         try:
             self._dispatch(client, code, body, text, fault)
@@ -499,13 +500,13 @@
         """Inject a fault that takes effect after a command has run."""
         if fault is None:
             return
-        if fault.how == "after":
+        if fault.kind == "after":
             raise ScriptedReset
-        if fault.how == "amid":
+        if fault.kind == "amid":
             client.budget = fault.bytes
-        if fault.how == "late":
+        if fault.kind == "late":
             self.scheduler.sleep(fault.seconds)
-        if fault.how == "number":
+        if fault.kind == "number":
             client.seq += 1
 
     def _query(self, client: ClientConnection, text: str, fault: Fault | None) -> None:
@@ -873,7 +874,9 @@
     return data.decode("utf-8", "surrogateescape")
 
 
-def accounts(names: Iterable[str], database: Database, schema: str = "shop", money: int = 1000) -> None:
+def create_transfer_tables(
+    names: Iterable[str], database: Database, schema: str = "shop", money: int = 1000
+) -> None:
     """Create the tables for transfer tests: `accounts` with a row for each name, and an empty `transfers`."""
     table = Table(
         "accounts", [ColumnInfo("name", int(Type.VAR_STRING), table="accounts"),
--- a/tests/fronts/mysql/mysql_rig.py
+++ b/tests/fronts/mysql/mysql_rig.py
@@ -14,7 +14,13 @@
 from brambleusher.fronts.mysql.auth import Secret
 from brambleusher.fronts.mysql.constants import CACHING_SHA2, NATIVE
 from brambleusher.lab.mysql.engine import Database
-from brambleusher.lab.mysql.server import Fault, Moment, MysqlServer, MysqlSettings, accounts
+from brambleusher.lab.mysql.server import (
+    Fault,
+    FaultPoint,
+    MysqlServer,
+    MysqlSettings,
+    create_transfer_tables,
+)
 from brambleusher.operator_settings.configuration import parse_operator_file
 from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.runtime.scheduler import Scheduler
@@ -30,7 +36,7 @@
     """Some stand-in servers on one scheduler in a thread of their own."""
 
     def __init__(self, count: int = 2, seed: int = 1, **settings: Any) -> None:
-        self.troubles: list[Callable[[Moment], Fault | None]] = [lambda moment: None] * count
+        self.troubles: list[Callable[[FaultPoint], Fault | None]] = [lambda moment: None] * count
         self.servers: list[MysqlServer] = []
         users = {
             "web": Secret.of(NATIVE, b"pw"), "registry": Secret.of(NATIVE, b"node-secret"),
@@ -42,10 +48,10 @@
             scheduler = Scheduler(RealSystem())
             for at in range(count):
                 database = Database()
-                accounts(NAMES, database)
+                create_transfer_tables(NAMES, database)
                 server = MysqlServer(
                     scheduler, f"h{at}", database, MysqlSettings(users=users, **settings), seed + at,
-                    partial(self._trouble, at), keep=True,
+                    partial(self._trouble, at), record_commands=True,
                 )  # fmt: skip
                 server.listen(("127.0.0.1", 0))
                 self.servers.append(server)
@@ -59,7 +65,7 @@
         self.thread.start()
         self.scheduler = up.get(timeout=WAIT)
 
-    def _trouble(self, at: int, moment: Moment) -> Fault | None:
+    def _trouble(self, at: int, moment: FaultPoint) -> Fault | None:
         return self.troubles[at](moment)
 
     def do(self, call: Callable[[], Answer]) -> Answer:
@@ -74,7 +80,7 @@
         for server in self.servers:
             server.seen.clear()
             server.database.tables.clear()
-            accounts(NAMES, server.database)
+            create_transfer_tables(NAMES, server.database)
 
     def address(self, at: int = 0) -> tuple[str, int]:
         where = self.servers[at].address
--- a/tests/fronts/mysql/test_mysql_front.py
+++ b/tests/fronts/mysql/test_mysql_front.py
@@ -32,7 +32,7 @@
 from brambleusher.fronts.mysql.packets import PacketReader, frame
 from brambleusher.fronts.mysql.session import Session
 from brambleusher.lab.mysql.engine import ColumnInfo, Table
-from brambleusher.lab.mysql.server import CAPABILITIES, Fault, Moment
+from brambleusher.lab.mysql.server import CAPABILITIES, Fault, FaultPoint
 from tests.fronts.mysql.mysql_rig import MysqlRig, Servers
 from tests.rig import WAIT, Discovery
 
@@ -127,11 +127,11 @@
             assert time.monotonic() < end
 
 
-def on(command: int, text: str, fault: Fault, times: int = 1) -> Callable[[Moment], Fault | None]:
+def on(command: int, text: str, fault: Fault, times: int = 1) -> Callable[[FaultPoint], Fault | None]:
     """A fault for the first commands of a kind whose text begins so."""
     left = [times]
 
-    def trouble(moment: Moment) -> Fault | None:
+    def trouble(moment: FaultPoint) -> Fault | None:
         if moment.command == command and moment.text.lower().startswith(text) and left[0]:
             left[0] -= 1
             return fault
@@ -140,7 +140,7 @@
     return trouble
 
 
-def everywhere(servers: Servers, trouble: Callable[[Moment], Fault | None]) -> None:
+def everywhere(servers: Servers, trouble: Callable[[FaultPoint], Fault | None]) -> None:
     servers.do(lambda: servers.troubles.__setitem__(slice(None), [trouble] * len(servers.servers)))
 
 
@@ -473,7 +473,7 @@
     for how in ("before", "after"):
         left = [1]  # of both servers together
 
-        def once(moment: Moment, how: str = how, left: list[int] = left) -> Fault | None:
+        def once(moment: FaultPoint, how: str = how, left: list[int] = left) -> Fault | None:
             if moment.command == Command.QUERY and moment.text == ROW and left[0]:
                 left[0] -= 1
                 return Fault(how)
