--- a/brambleusher/lab/experiments/plan.py
+++ b/brambleusher/lab/experiments/plan.py
@@ -151,19 +151,19 @@
         raw_world = _load_world(f"worlds.{world_name}", world, folder)
         for settings_name, overrides in file.settings.items():
             try:
-                figures = world_of(raw_world, overrides)
-                figures.figures()
+                merged_world = world_of(raw_world, overrides)
+                merged_world.figures()
             except WorldError as error:
                 at = f"worlds.{world_name}" + (f" with settings.{settings_name}" if overrides else "")
                 raise ExperimentError(f"{at}: {error}") from None
-            if figures.faults and "sockets" in file.where:
+            if merged_world.faults and "sockets" in file.where:
                 raise ExperimentError(f"worlds.{world_name}: faults need virtual time; where has sockets")
             for demand_name, (spec, digest) in specs.items():
                 matrix += [
                     Cell(
                         world=world_name, demand=demand_name, settings=settings_name, seed=seed, where=where,
                         through=file.through, speed=_speed(file, where), timeout_ms=file.timeout_ms,
-                        check=file.check, figures=figures, spec=spec, digest=digest,
+                        check=file.check, figures=merged_world, spec=spec, digest=digest,
                     )
                     for where in file.where
                     for seed in file.seeds
--- a/brambleusher/lab/experiments/report.py
+++ b/brambleusher/lab/experiments/report.py
@@ -94,8 +94,8 @@
     label = make_labeller(groups)
     name = store.experiment_property("name") or "experiment"
     sections = [f"<h1>{escape(name)}</h1>"]
-    if note := store.experiment_property("note"):
-        sections.append(f'<p class="note">{escape(note)}</p>')
+    if description := store.experiment_property("note"):
+        sections.append(f'<p class="note">{escape(description)}</p>')
     sections += _progress(cells)
     if groups:
         sections += ["<h2>Results</h2>", _summary(groups)]
