--- a/benchmarks/mysql.py
+++ b/benchmarks/mysql.py
@@ -29,7 +29,7 @@
 from brambleusher.lab.mysql.client import MysqlClient
 from brambleusher.lab.mysql.engine import Database
 from brambleusher.lab.mysql.replay import run_seed
-from brambleusher.lab.mysql.server import MysqlServer, MysqlSettings, accounts
+from brambleusher.lab.mysql.server import MysqlServer, MysqlSettings, create_transfer_tables
 from brambleusher.lab.virtual.world import START_NS, VirtualSystem, World
 from brambleusher.operator_settings.configuration import parse_operator_file
 from brambleusher.runtime.operating_system import RealSystem
@@ -80,7 +80,7 @@
     servers = []
     for at in range(count):
         database = Database()
-        accounts(NAMES, database)
+        create_transfer_tables(NAMES, database)
         settings = MysqlSettings(
             users={"registry": Secret.from_password(NATIVE, b"s")}, plugin=NATIVE, max_connections=2000
         )
@@ -415,7 +415,7 @@
         def node(at: int) -> Callable[[VirtualSystem], None]:
             def main(system: VirtualSystem) -> None:
                 scheduler, database = Scheduler(system), Database()
-                accounts(NAMES, database)
+                create_transfer_tables(NAMES, database)
                 sale_settings = MysqlSettings(
                     users={"web": Secret.from_password(NATIVE, b"s")}, plugin=NATIVE, max_connections=2000,
                     work_seconds=0.02, slots=4,
@@ -478,7 +478,7 @@
                     if due > begin + OPENING_S:
                         counts[1] += result.ok and scheduler.now() - due <= IN_TIME_S
                         counts[2] += not result.ok
-                    if result.gone or result.late:
+                    if result.connection_closed or result.late:
                         client.close()
                         client = MysqlClient(scheduler)
                         client.connect(where, "web", b"s", "shop", 10.0)
--- a/brambleusher/cli/lab.py
+++ b/brambleusher/cli/lab.py
@@ -51,16 +51,16 @@
     """
     import json
 
-    from brambleusher.lab.experiments.matrix import run_all, told
+    from brambleusher.lab.experiments.matrix import print_progress, run_all
     from brambleusher.lab.experiments.plan import ExperimentError, read_experiment
     from brambleusher.lab.experiments.store import Store, StoreError
 
     out = out or experiment.with_suffix(".sqlite")
     try:
         file, cells = read_experiment(experiment)
-        failed = run_all(file, cells, out, jobs, told)
+        failed = run_all(file, cells, out, jobs, print_progress)
         with Store(out) as store:
-            metrics = {cell.title: store.figures(cell.id) for cell in store.cells()}
+            metrics = {cell.title: store.metrics(cell.id) for cell in store.cells()}
     except (ExperimentError, StoreError) as error:
         print(f"brambleusher: {error}", file=sys.stderr)
         return 1
@@ -82,18 +82,18 @@
     import json
     from dataclasses import asdict
 
-    from brambleusher.lab.experiments.compare import Side, compare, texts
+    from brambleusher.lab.experiments.compare import ComparedResults, compare, format_differences
     from brambleusher.lab.experiments.store import StoreError
 
     try:
-        differences = compare(Side.of(first), Side.of(second))
+        differences = compare(ComparedResults.parse(first), ComparedResults.parse(second))
     except StoreError as error:
         print(f"brambleusher: {error}", file=sys.stderr)
         return 1
     if as_json:
-        print(json.dumps([{**asdict(each), "clear": each.clear} for each in differences]))
+        print(json.dumps([{**asdict(each), "clear": each.excludes_zero} for each in differences]))
     else:
-        print("\n".join(texts(differences, has_node_loads)))
+        print("\n".join(format_differences(differences, has_node_loads)))
     return 0
 
 
@@ -102,13 +102,13 @@
 @click.option("-o", "--out", type=FILE_PATH, metavar="FILE", help="The report.  [default: RESULTS.html]")
 def report_command(results: Path, out: Path | None) -> int:
     """Write the report on an experiment as an HTML page."""
-    from brambleusher.lab.experiments.report import page
+    from brambleusher.lab.experiments.report import render_report
     from brambleusher.lab.experiments.store import Store, StoreError
 
     out = out or results.with_suffix(".html")
     try:
         with Store(results) as store:
-            out.write_text(page(store), encoding="utf-8")
+            out.write_text(render_report(store), encoding="utf-8")
     except StoreError as error:
         print(f"brambleusher: {error}", file=sys.stderr)
         return 1
--- a/brambleusher/lab/experiments/noting.py
+++ b/brambleusher/lab/experiments/noting.py
@@ -1,4 +1,4 @@
-"""Nodes that note each request as it came."""
+"""Simulated nodes that record each received request."""
 
 from __future__ import annotations
 
@@ -11,15 +11,19 @@
 from brambleusher.net.http import Message
 
 
-class NotingNode(Node):
-    """A node that notes each request as it came; `notes` and `start_ns` are shared by all of them."""
+class RecordingNode(Node):
+    """A simulated node that records each received request.
 
-    notes: MutableSequence[ReceivedRequest]
+    `received_requests` collects the requests of all nodes; `start_ns` returns the time in nanoseconds that
+    counts as 0.
+    """
+
+    received_requests: MutableSequence[ReceivedRequest]
     start_ns: Callable[[], int]
 
     def _work(self, connection: Connection, request: Message) -> _Work:
         headers = request.headers
-        self.notes.append(
+        self.received_requests.append(
             ReceivedRequest(
                 self.scheduler.system.monotonic_ns() - self.start_ns(), headers.get("request-id", ""),
                 headers.get("request-class", ""), headers.get("tenant"), headers.get("work-hint"),
@@ -29,10 +33,13 @@
         return super()._work(connection, request)
 
 
-def noting(
-    notes: MutableSequence[ReceivedRequest], start_ns: Callable[[], int], *args: Any, **named: Any
+def recording_node(
+    received_requests: MutableSequence[ReceivedRequest],
+    start_ns: Callable[[], int],
+    *args: Any,
+    **keywords: Any,
 ) -> Node:
-    """A new node that notes; the rest is what any node is given."""
-    node = NotingNode(*args, **named)
-    node.notes, node.start_ns = notes, start_ns
+    """Create a recording node; the further arguments are those of `Node`."""
+    node = RecordingNode(*args, **keywords)
+    node.received_requests, node.start_ns = received_requests, start_ns
     return node
--- a/tests/fronts/mysql/test_mysql_front.py
+++ b/tests/fronts/mysql/test_mysql_front.py
@@ -32,7 +32,7 @@
 from brambleusher.fronts.mysql.packets import PacketReader, frame
 from brambleusher.fronts.mysql.session import Session
 from brambleusher.lab.mysql.engine import ColumnInfo, Table
-from brambleusher.lab.mysql.server import CAPABILITIES, Fault, Moment
+from brambleusher.lab.mysql.server import CAPABILITIES, Fault, FaultPoint
 from tests.fronts.mysql.mysql_rig import MysqlRig, Servers
 from tests.rig import WAIT, Discovery
 
@@ -127,11 +127,11 @@
             assert time.monotonic() < end
 
 
-def fault_on(command: int, text: str, fault: Fault, times: int = 1) -> Callable[[Moment], Fault | None]:
+def fault_on(command: int, text: str, fault: Fault, times: int = 1) -> Callable[[FaultPoint], Fault | None]:
     """Return a fault injector for the first `times` commands of a type whose text starts with `text`."""
     left = [times]
 
-    def inject_fault(moment: Moment) -> Fault | None:
+    def inject_fault(moment: FaultPoint) -> Fault | None:
         if moment.command == command and moment.text.lower().startswith(text) and left[0]:
             left[0] -= 1
             return fault
@@ -140,7 +140,7 @@
     return inject_fault
 
 
-def inject_everywhere(servers: Servers, inject_fault: Callable[[Moment], Fault | None]) -> None:
+def inject_everywhere(servers: Servers, inject_fault: Callable[[FaultPoint], Fault | None]) -> None:
     servers.do(
         lambda: servers.fault_injectors.__setitem__(slice(None), [inject_fault] * len(servers.servers))
     )
@@ -377,7 +377,7 @@
     assert rig.count("mysql_connections_refused") == 1
     reset_connection(clients[0])
     assert retry_until_accepted(clients[2], ROW) == (("n1", 1000),)
-    assert servers.servers[0].refused == 1
+    assert servers.servers[0].rejected_connections == 1
     for client in clients:
         client.close()
 
@@ -475,7 +475,7 @@
     for how in ("before", "after"):
         left = [1]  # one fault in total on both servers
 
-        def once(moment: Moment, how: str = how, left: list[int] = left) -> Fault | None:
+        def once(moment: FaultPoint, how: str = how, left: list[int] = left) -> Fault | None:
             if moment.command == Command.QUERY and moment.text == ROW and left[0]:
                 left[0] -= 1
                 return Fault(how)
@@ -534,7 +534,7 @@
 
 def until_idle(servers: Servers) -> None:
     end = time.monotonic() + WAIT
-    while servers.do(lambda: any(p.running for s in servers.servers for p in s.peers.values())):
+    while servers.do(lambda: any(p.running for s in servers.servers for p in s.clients.values())):
         assert time.monotonic() < end
         time.sleep(0.005)
 
@@ -587,7 +587,7 @@
     rig.discovery.push(Discovery.text([rig.entry(node_names[1])], version=10))
     rig.until(lambda: rig.count("lists_taken") >= 3)
     assert retry_until_accepted(free, ROW) == (("n1", 1000),)
-    assert servers.do(lambda: len(servers.servers[0].peers)) == 0
+    assert servers.do(lambda: len(servers.servers[0].clients)) == 0
 
 
 def test_nothing_new_starts_on_a_draining_node_whatever_the_grace(make: Make) -> None:
