--- a/brambleusher/lab/faults/breakages.py
+++ b/brambleusher/lab/faults/breakages.py
@@ -1,7 +1,7 @@
-"""Deliberate breakages: faults put into the program for a while, to see that the lab finds them.
+"""Deliberate bugs, injected into the program temporarily to check that the lab detects them.
 
-Each is a patch of the program's classes in this process, undone afterwards.  None keeps anything from one
-run to the next: what happens now and then goes by the request's id or by the time.
+Each breakage patches the program's classes in this process and is undone afterwards.  A breakage keeps no
+state from one run to the next: a bug that affects only some requests selects them by request id or by time.
 """
 
 from __future__ import annotations
@@ -46,41 +46,41 @@
 from brambleusher.sidecar.lifecycle import Lifecycle
 from brambleusher.sidecar.operator_actions import OperatorActions
 
-LATE_SECONDS = 0.001  # past the drain limit
+LATE_SECONDS = 0.001  # delay beyond the drain grace period, in seconds
 
 
 class Patches:
-    """What was replaced, to be put back."""
+    """Attributes replaced by a breakage, with their original values for restoring them."""
 
     def __init__(self) -> None:
         self._old: list[tuple[Any, str, Any]] = []
 
     def set(self, owner: Any, name: str, value: Any) -> Any:
-        """Replace an attribute of a class or a module; says what was there, as one calls it."""
+        """Replace an attribute of a class or a module, and return the original value in callable form."""
         self._old.append((owner, name, vars(owner)[name]))
         old = getattr(owner, name)
         setattr(owner, name, value)
         return old
 
     def undo(self) -> None:
-        """Put all back."""
+        """Restore all replaced attributes, the last one first."""
         while self._old:
             setattr(*self._old.pop())
 
 
 @dataclass(frozen=True, slots=True)
 class Breakage:
-    """One fault: its name, what is wrong, and the rules it must be found under, any of them."""
+    """A deliberate bug: its name, its description, and the rules of which at least one must report it."""
 
     name: str
     text: str
     rules: tuple[str, ...]
     put: Callable[[Patches], None]
-    profile: str = "default"  # of fault plans that can tell
+    profile: str = "default"  # profile of the fault plans that expose the bug
 
     @contextmanager
     def on(self) -> Iterator[None]:
-        """The program with this fault; start its sidecars within."""
+        """Patch the program within a block; sidecars must be started inside the block."""
         patches = Patches()
         try:
             self.put(patches)
@@ -95,7 +95,7 @@
 def breakage(
     name: str, text: str, *rules: str, profile: str = "default"
 ) -> Callable[[Callable[[Patches], None]], Callable[[Patches], None]]:
-    """Name a patch."""
+    """Return a decorator that registers a patch as a breakage with this name and description."""
     assert rules and not set(rules) - set(RULES), rules
 
     def add(put: Callable[[Patches], None]) -> Callable[[Patches], None]:
@@ -106,14 +106,14 @@
 
 
 def now_and_then(request: str, one_in: int) -> bool:
-    """Whether this is one of the few requests that are treated badly."""
+    """Return whether a request is one of the few, on average one in `one_in`, that a breakage affects."""
     return zlib.crc32(request.encode()) % one_in == 0
 
 
 # --- drains and lists -----------------------------------------------------------------------------
 
 
-@breakage("drain-late", "what drains or is gone is taken in 1 ms after the limit", "drain")
+@breakage("drain-late", "draining and removed nodes are processed 1 ms after the drain grace period", "drain")
 def _drain_late(patches: Patches) -> None:
     def receive(self: EndpointUpdates, update: EndpointListUpdate) -> None:
         leaving = [each for each in update.endpoints if each.entry.state is not HostState.READY]
@@ -132,12 +132,12 @@
     old = patches.set(EndpointUpdates, "receive", receive)
 
 
-@breakage("drain-ignored", "a node that drains is taken for one that is ready", "drain")
+@breakage("drain-ignored", "a draining node is treated as ready", "drain")
 def _drain_ignored(patches: Patches) -> None:
     patches.set(list_module, "_STATES", {**list_module._STATES, "Terminating": HostState.READY})
 
 
-@breakage("old-process", "idle connections to a process that was replaced are kept", "drain", "dirty")
+@breakage("old-process", "idle connections to a replaced process are kept", "drain", "dirty")
 def _old_process(patches: Patches) -> None:
     def place(self: UpstreamPool, machine: Endpoint) -> None:
         node = self._endpoints.get(machine.entry.host)
@@ -148,7 +148,7 @@
     old = patches.set(UpstreamPool, "_update_endpoint", place)
 
 
-@breakage("versions-kept", "a new discovery is asked for what follows the old one's version", "versions")
+@breakage("versions-kept", "a new discovery service is queried from the old service's version", "versions")
 def _versions_kept(patches: Patches) -> None:
     def switch_now(self: EndpointList, feed: Feed) -> None:
         version = self._version
@@ -158,22 +158,22 @@
     old = patches.set(EndpointList, "_switch_now", switch_now)
 
 
-# --- what operators say ---------------------------------------------------------------------------
+# --- operator actions -----------------------------------------------------------------------------
 
 
 @breakage(
-    "ban-lifted", "news of a node from discovery ends the operators' ban", "drain", profile="operators",
+    "ban-lifted", "an update of a node from discovery ends the operators' ban", "drain", profile="operators",
 )  # fmt: skip
 def _ban_lifted(patches: Patches) -> None:
     def apply_bans(self: EndpointUpdates, update: EndpointListUpdate) -> EndpointListUpdate:
-        old(self, update)  # which keeps the books
+        old(self, update)  # the original still tracks which nodes are known and banned
         return update
 
     old = patches.set(EndpointUpdates, "apply_bans", apply_bans)
 
 
 @breakage(
-    "ban-unknown", "a yes to a node that is to be left out, and nothing is done", "drain",
+    "ban-unknown", "a request to take a node offline is acknowledged without effect", "drain",
     profile="operators",
 )  # fmt: skip
 def _ban_unknown(patches: Patches) -> None:
@@ -181,7 +181,7 @@
 
 
 @breakage(
-    "ready-while-out", "out of service, and /ready still says yes", "service", profile="operators",
+    "ready-while-out", "/ready still reports ready while out of service", "service", profile="operators",
 )  # fmt: skip
 def _ready_while_out(patches: Patches) -> None:
     def leave(self: ClientDraining, now: float) -> None:
@@ -192,14 +192,14 @@
 
 
 @breakage(
-    "kept-while-out", "out of service, and connections that rest are kept", "service", profile="operators",
+    "kept-while-out", "idle connections are kept while out of service", "service", profile="operators",
 )  # fmt: skip
 def _kept_while_out(patches: Patches) -> None:
     patches.set(ClientDraining, "may_stay_idle", lambda self, now, since, asked: True)
 
 
 @breakage(
-    "not-back", "back in service, and /ready goes on saying no", "service", profile="operators",
+    "not-back", "/ready still reports not ready after the return to service", "service", profile="operators",
 )  # fmt: skip
 def _not_back(patches: Patches) -> None:
     def resume(self: ClientDraining) -> None:
@@ -210,17 +210,17 @@
 
 
 @breakage(
-    "ready-late", "a sidecar that discovery turns away waits for a list, with one in hand", "service",
+    "ready-late", "a sidecar rejected by discovery waits for a list, although it has one", "service",
     profile="operators",
 )  # fmt: skip
 def _ready_late(patches: Patches) -> None:
     patches.set(Sidecar, "is_ready", lambda self: self.endpoint_list.has_discovery_answered)
 
 
-# --- what may not be repeated ---------------------------------------------------------------------
+# --- non-idempotent requests ----------------------------------------------------------------------
 
 
-@breakage("unsafe-again", "what may not be repeated is sent again after a reset", "repeat", "once")
+@breakage("unsafe-again", "a non-idempotent request is retried after a reset", "repeat", "once")
 def _unsafe_again(patches: Patches) -> None:
     def may_attempt_again(self: RetryPolicy, request: Request, now: int) -> bool:
         return len(request.attempts) < self._settings.max_attempts and request.deadline_ns > now
@@ -228,7 +228,7 @@
     patches.set(RetryPolicy, "may_attempt_again", may_attempt_again)
 
 
-@breakage("refused-after", "what may have run is refused, as if it had not", "refusal")
+@breakage("refused-after", "a request that may have run is rejected as if it had not", "refusal")
 def _refused_after(patches: Patches) -> None:
     def give_up(self: Balancer, request: Request) -> None:
         request.is_answered = True
@@ -237,18 +237,18 @@
     patches.set(Balancer, "_give_up", give_up)
 
 
-@breakage("reset-as-connect", "a reset after the last byte passes for a failed connect", "repeat", "refusal")
+@breakage("reset-as-connect", "a reset after the last byte counts as a failed connect", "repeat", "refusal")
 def _reset_as_connect(patches: Patches) -> None:
     def run(self: UpstreamExchange) -> AttemptResult | None:
         result: AttemptResult | None = old(self)
-        if result is not None and result.status is AttemptStatus.RESET:  # None: told already
+        if result is not None and result.status is AttemptStatus.RESET:  # None: already reported
             return replace(result, status=AttemptStatus.CONNECT_FAILED)
         return result
 
     old = patches.set(UpstreamExchange, "run", run)
 
 
-@breakage("error-as-full", "a 500 is taken for a node that was full and did not begin", "repeat", "refusal")
+@breakage("error-as-full", "a 500 counts as an overload rejection before the start", "repeat", "refusal")
 def _error_as_full(patches: Patches) -> None:
     def attempt_status_of(answer: Message) -> AttemptStatus:
         return AttemptStatus.OVERLOADED if answer.status >= 500 else AttemptStatus(old(answer))
@@ -256,7 +256,7 @@
     old = patches.set(upstream_exchange, "attempt_status_of", attempt_status_of)
 
 
-@breakage("again-below", "a claim that met a reset is made again below the module", "repeat", "once")
+@breakage("again-below", "an attempt that was reset is repeated without the balancer", "repeat", "once")
 def _again_below(patches: Patches) -> None:
     def run(self: UpstreamExchange) -> AttemptResult | None:
         result: AttemptResult | None = old(self)
@@ -267,7 +267,7 @@
     old = patches.set(UpstreamExchange, "run", run)
 
 
-@breakage("attempts-uncounted", "the limit on attempts is not looked at", "attempts")
+@breakage("attempts-uncounted", "the limit on attempts is ignored", "attempts")
 def _attempts_uncounted(patches: Patches) -> None:
     def may_attempt_again(self: RetryPolicy, request: Request, now: int) -> bool:
         made, request.attempts = request.attempts, request.attempts[-1:]
@@ -279,10 +279,10 @@
     old = patches.set(RetryPolicy, "may_attempt_again", may_attempt_again)
 
 
-# --- answers --------------------------------------------------------------------------------------
+# --- responses ------------------------------------------------------------------------------------
 
 
-@breakage("answer-swapped", "one request in sixteen gets the answer served before its own", "other-answer")
+@breakage("answer-swapped", "one request in sixteen gets the response served before its own", "other-answer")
 def _answer_swapped(patches: Patches) -> None:
     def run(
         self: RequestLifecycle, call: ClientRequest, deadline: Callable[[], float], client: ClientHandle
@@ -296,7 +296,7 @@
     old = patches.set(RequestLifecycle, "run", run)
 
 
-@breakage("connection-kept", "a connection goes back before its answer has come", "shared", "other-answer")
+@breakage("connection-kept", "a connection returns to the pool before its response", "shared", "other-answer")
 def _connection_kept(patches: Patches) -> None:
     def release(self: UpstreamConnections, node: UpstreamEndpoint, stream: Stream, keep: bool) -> None:
         old(self, node, stream, True)
@@ -304,7 +304,7 @@
     old = patches.set(UpstreamConnections, "release", release)
 
 
-@breakage("reuse-unseen", "an idle connection is used again without a look at what waits on it", "dirty")
+@breakage("reuse-unseen", "an idle connection is reused without a check for unread bytes", "dirty")
 def _reuse_unseen(patches: Patches) -> None:
     def acquire(
         self: UpstreamConnections, node: UpstreamEndpoint, claim: UpstreamAttempt, deadline: float
@@ -316,7 +316,7 @@
     old = patches.set(UpstreamConnections, "acquire", acquire)
 
 
-@breakage("cut-served", "what came of an answer before its connection broke is served", "made-answer")
+@breakage("cut-served", "a response truncated by a broken connection is served", "made-answer")
 def _cut_served(patches: Patches) -> None:
     def read(self: UpstreamResponseReader) -> tuple[Message, bool]:
         reader = MessageReader.responses()
@@ -330,7 +330,7 @@
             if not data:
                 head = reader.head()
                 if head is None:
-                    raise ConnectionResetError("the connection ended before its answer")
+                    raise ConnectionResetError("the connection ended before its response")
                 head.body = bytes(reader._buffer)
                 return head, False
             reader.feed(data)
@@ -350,17 +350,17 @@
     old = patches.set(client_response, "write_response", write_response)
 
 
-@breakage("silent-fault", "an exception while a failure is worded ends the connection", "answer")
+@breakage("silent-fault", "an exception while encoding a failure ends the connection", "answer")
 def _silent_fault(patches: Patches) -> None:
     def encode_final_response(response: FinalResponse, *more: Any) -> Any:
         if response.kind is ResponseKind.FAILED:
-            raise TaskCancelledError  # which no guard against exceptions holds up
+            raise TaskCancelledError  # not caught by handlers of ordinary exceptions
         return old(response, *more)
 
     old = patches.set(client_request_handler, "encode_final_response", encode_final_response)
 
 
-@breakage("answer-late", "requests are held for 100 ms more than their time", "answer")
+@breakage("answer-late", "requests are held for 100 ms past their deadline", "answer")
 def _answer_late(patches: Patches) -> None:
     def run(
         self: RequestLifecycle, call: ClientRequest, deadline: Callable[[], float], client: ClientHandle
@@ -379,7 +379,7 @@
 # --- requests -------------------------------------------------------------------------------------
 
 
-@breakage("both-framings", "a request with a length and a coding is read by its coding", "unasked", "framing")
+@breakage("both-framings", "a request with both framings is read by its coding", "unasked", "framing")
 def _both_framings(patches: Patches) -> None:
     def framing(self: MessageReader, message: Message) -> int:
         if not self._is_for_responses and "transfer-encoding" in message.headers:
@@ -389,15 +389,15 @@
     old = patches.set(MessageReader, "_framing", framing)
 
 
-@breakage("half-requests-kept", "a client may take half a minute over its first request", "bad-client")
+@breakage("half-requests-kept", "a client may take 30 seconds for its first request", "bad-client")
 def _half_requests_kept(patches: Patches) -> None:
     patches.set(client_connection, "FIRST_REQUEST_TIMEOUT_S", 30.0)
 
 
-# --- what is left behind --------------------------------------------------------------------------
+# --- leaked resources -----------------------------------------------------------------------------
 
 
-@breakage("cold-ignored", "a node that has just started is taken for a warm one", "cold")
+@breakage("cold-ignored", "a node that has just started is treated as warm", "cold")
 def _cold_ignored(patches: Patches) -> None:
     def warm_fraction(self: SlowStartBudget, host: Host, now: int) -> float:
         return 1.0
@@ -405,7 +405,7 @@
     patches.set(SlowStartBudget, "warm_fraction", warm_fraction)
 
 
-@breakage("timer-lost", "one of the module's timers in forty is not set", "timers")
+@breakage("timer-lost", "one in forty of the balancer's timers is not set", "timers")
 def _timer_lost(patches: Patches) -> None:
     def set_timer(self: BalancerDriver, at_ns: int, token: int) -> None:
         if at_ns // 1000 % 40:
@@ -414,7 +414,7 @@
     old = patches.set(BalancerDriver, "_set_timer", set_timer)
 
 
-@breakage("ticket-kept", "tickets of requests with several claims are never let go", "left-over")
+@breakage("ticket-kept", "pending requests with several attempts are never released", "left-over")
 def _ticket_kept(patches: Patches) -> None:
     def release(self: BalancerDriver, pending: PendingRequest) -> None:
         if pending.attempts_requested < 2:
@@ -423,7 +423,7 @@
     old = patches.set(BalancerDriver, "_release", release)
 
 
-@breakage("places-kept", "a connection that is closed goes on counting as open", "left-over", "recovery")
+@breakage("places-kept", "a closed connection still counts as open", "left-over", "recovery")
 def _places_kept(patches: Patches) -> None:
     def discard(self: UpstreamConnections, stream: Stream) -> None:
         stream.close()
@@ -431,7 +431,7 @@
     patches.set(UpstreamConnections, "_discard", discard)
 
 
-@breakage("limit-stuck", "the module's limit on what is out only falls", "recovery")
+@breakage("limit-stuck", "the balancer's limit on requests in flight never rises", "recovery")
 def _limit_stuck(patches: Patches) -> None:
     def update_limit(self: Balancer, gap: float) -> None:
         before = self.admission.limit
@@ -442,7 +442,7 @@
     old = patches.set(Balancer, "_update_admission_limit", update_limit)
 
 
-@breakage("descriptor-kept", "idle connections to a node that leaves are forgotten, not closed", "left-over")
+@breakage("descriptor-kept", "idle connections to a removed node are forgotten, not closed", "left-over")
 def _descriptor_kept(patches: Patches) -> None:
     def close_idle(self: UpstreamConnections, node: UpstreamEndpoint) -> None:
         self.open_count -= len(node.idle)
@@ -451,7 +451,7 @@
     patches.set(UpstreamConnections, "close_idle", close_idle)
 
 
-@breakage("report-halved", "the module is told half of what a load report says", "report")
+@breakage("report-halved", "the balancer receives half of the reported utilization", "report")
 def _report_halved(patches: Patches) -> None:
     def parse_load_report(text: str | None, *more: Any) -> api.LoadReport | None:
         report: api.LoadReport | None = old(text, *more)
--- a/brambleusher/lab/faults/effects.py
+++ b/brambleusher/lab/faults/effects.py
@@ -1,4 +1,4 @@
-"""What each kind of fault does to a fleet, and how it ends."""
+"""Effects of each kind of fault on a fleet, and the actions that end them."""
 
 from __future__ import annotations
 
@@ -24,12 +24,13 @@
     from brambleusher.runtime.system import Address
 
 SECOND = 10**9
-KILL_S = 3.7  # after SIGTERM: SIGKILL comes no sooner
+KILL_S = 3.7  # minimum time between SIGTERM and SIGKILL, in seconds
 LOOK_AGAIN_NS = 20_000_000
-RESTING, REST_S = 3, 0.3  # connections that rest when a sidecar is called out of service, and since when
-STARVED_S = 0.04  # in each such time a starved process has its part
-JITTER_S = 0.02  # so often a jittery link changes
-BAD_STAY_S = 3.3  # bad clients stay so long, to see whether they get the error or the close they are owed
+# Idle connections opened before a sidecar is taken out of service, and their age in seconds at that time.
+RESTING, REST_S = 3, 0.3
+STARVED_S = 0.04  # period in seconds within which a starved process gets its share of CPU time
+JITTER_S = 0.02  # period in seconds between latency changes of a jittery link
+BAD_STAY_S = 3.3  # seconds that misbehaving clients stay, long enough to receive the expected error or close
 
 End = Callable[[], None] | None
 Pairs = Sequence[tuple["Machine", "Machine"]]
@@ -37,19 +38,19 @@
 
 @singledispatch
 def apply(fault: faults.Fault, fleet: AnyFleet) -> End:
-    """Begin a fault; says what is to be called when it ends."""
-    raise NotImplementedError(f"nothing is known of {fault.kind}")
+    """Begin a fault and return the function that ends it, or None for a fault that needs none."""
+    raise NotImplementedError(f"no effect is registered for fault kind {fault.kind}")
 
 
 def _nodes(fault: faults.Fault, fleet: AnyFleet) -> list[NodePlace]:
-    """The one aimed at, or all that belong to the fleet."""
+    """Return the node that the fault targets, or all nodes but the spares."""
     if fault.target:
         return [fleet.place(fault.target)]
     return [place for place in fleet.places if not place.figures.spare]
 
 
 def _zone(fault: faults.Fault, fleet: AnyFleet) -> list[NodePlace]:
-    """Those in the zone aimed at, or all that belong to the fleet."""
+    """Return the nodes of the zone that the fault targets, or all nodes, in both cases without the spares."""
     return [
         place
         for place in fleet.places
@@ -62,12 +63,12 @@
 
 
 def _links(fault: faults.Fault, fleet: AnyFleet) -> Pairs:
-    """Those nodes with every sidecar."""
+    """Return the machine pairs of each targeted node and each sidecar."""
     return [(place.machine, each.machine) for place in _nodes(fault, fleet) for each in fleet.sidecars]
 
 
 def _cut(fleet: AnyFleet, pairs: Pairs, one_way: bool = False) -> Callable[[], None]:
-    """Nothing passes between these, nor back unless `one_way`, until what is returned is called."""
+    """Partition each pair, in one direction only with `one_way`; the returned function undoes this."""
     network = fleet.world.network
     for one, other in pairs:
         network.cut(one, other, one_way)
@@ -80,18 +81,18 @@
 
 
 def _slow(fleet: AnyFleet, pairs: Pairs, by_s: float) -> None:
-    """What passes between these takes so much longer; 0 ends it."""
+    """Add `by_s` of latency between the machines of each pair; 0 removes the added latency."""
     for one, other in pairs:
         fleet.world.network.slow_link(one, other, int(by_s * SECOND))
 
 
 def _rng(fault: faults.Fault, fleet: AnyFleet) -> random.Random:
-    """Of its own, whatever other faults there are."""
+    """Return a random generator for one fault, independent of the other faults of the run."""
     return random.Random(f"{fleet.scenario.seed}/{fault.kind}/{fault.at_s}/{fault.target}")
 
 
 def _switch(places: Iterable[NodePlace], trouble: object) -> End:
-    """On at all of these, and off at the end."""
+    """Activate an injected fault at these nodes; the returned function deactivates it."""
     there = list(places)
     for place in there:
         place.begin(trouble)
@@ -108,7 +109,7 @@
 
 
 def _again(fleet: AnyFleet, every_s: float, call: Callable[[], object]) -> Callable[[], None]:
-    """Call now and in even times, until what is returned is called."""
+    """Run `call` now and every `every_s` seconds, until the returned function is called."""
     over: list[bool] = []
 
     def turn() -> None:
@@ -193,7 +194,10 @@
 def _drained(
     fault: faults.Fault, fleet: AnyFleet, there: list[NodePlace], drain_s: float, told_s: float
 ) -> End:
-    """These drain, told after some time, end, and are back, cold, at the end."""
+    """Drain nodes, stop them after `drain_s`, and restart them cold at the end of the fault.
+
+    Discovery is notified of the drain after `told_s`.
+    """
     for place in there:
         place.drain(fault)
         place.look(told_s)
@@ -274,7 +278,7 @@
 
 
 def _power(fault: faults.Fault, fleet: AnyFleet, there: list[NodePlace]) -> End:
-    """These lose their power, and have it again at the end."""
+    """Cut the power of the nodes' machines, and restore it at the end of the fault."""
     notices = fleet.scenario.world
     for place in there:
         place.vanish(fault)
@@ -549,7 +553,7 @@
 
 
 def _said(operators: Operators, calls: list[tuple[Address, str, str]], wait_s: float = 0.0) -> End:
-    """Operators say these after a while, and call each back at the end, if it was said by then."""
+    """Have operators send requests after `wait_s`, and reverse at the end those that were sent."""
     stops: list[Callable[[], None]] = []
     over: list[bool] = []
     scheduler = operators.scheduler
@@ -568,7 +572,7 @@
 
 
 def _for_a_while(fault: faults.Fault, fleet: AnyFleet, seconds: float) -> None:
-    """A fault within another one."""
+    """Apply a nested fault for some seconds."""
     over = apply(fault, fleet)
     if over is not None:
         _after(fleet, seconds, over)
@@ -593,7 +597,7 @@
         return None
     there = _sidecars(fault, fleet)
     for place in there:
-        # Connections that rest when the call comes, and that nobody uses again.
+        # These connections are idle when the operators' request arrives, and no client reuses them.
         bad = fleet.bad[place.number]
         bad.scheduler.call_soon(partial(bad.begin, "ask-and-stay", RESTING))
     calls = [(place.admin, "/control/out-of-service", "/control/in-service") for place in there]
--- a/brambleusher/lab/faults/kinds.py
+++ b/brambleusher/lab/faults/kinds.py
@@ -1,7 +1,7 @@
-"""Fault plans: what goes wrong, when, for how long and where, as plain data drawn from a seed.
+"""Fault plans: which faults occur, when, for how long and at which target, as plain data drawn from a seed.
 
-A fault is a struct whose class is its kind.  Read from a file, an unknown kind or parameter is refused by
-name.  What a kind does to a fleet is in `effects.py`.
+Each fault is a struct whose class determines its kind.  Reading a file with an unknown kind or parameter
+fails with an error that names the unknown key.  `effects.py` implements the effect of each kind on a fleet.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 from brambleusher.lab.stand_ins.node import ReportHow, ResetWhere, SpoiltHow
 from brambleusher.lab.stand_ins.settings import Part, Positive, Seconds
 
-FIRST_AT = 0.3  # nothing goes wrong earlier: sidecars have just got ready
+FIRST_AT = 0.3  # earliest start of a fault, in seconds: before that, sidecars have only just become ready
 LEAST_KINDS = 3
 
 Target = Literal["node", "sidecar", "zone", "none"]
 
 
 class Fault(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True, tag_field="kind"):
-    """What all faults have: they begin `at_s` after the start and end `for_s` later.
+    """The common part of all faults: a fault begins `at_s` after the start and ends `for_s` later.
 
-    `target` names a node, a sidecar, or a zone; empty means all there are, or that there is no choice.
+    `target` names a node, a sidecar, or a zone.  An empty target means all, or a kind without targets.
     """
 
     at_s: Seconds
@@ -34,27 +34,27 @@
     target: str = ""
 
     targets: ClassVar[Target] = "node"
-    worlds: ClassVar[str] = "both"  # that have it: both, processes
-    broad: ClassVar[float] = 0.0  # of the draws: the target is left empty
+    worlds: ClassVar[str] = "both"  # worlds that support the kind: "both", or "processes" for real ones only
+    broad: ClassVar[float] = 0.0  # fraction of draws in which the target is empty, meaning all targets
 
     @property
     def kind(self) -> str:
-        """Its kind, as in files."""
+        """Name of the fault's kind, as written in scenario files."""
         return kind_of(type(self))
 
     @property
     def end_s(self) -> float:
-        """When it is over."""
+        """End of the fault, in seconds after the start of the run."""
         return self.at_s + self.for_s
 
     @classmethod
     def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
-        """Its own parameters, drawn."""
+        """Draw the parameters that are specific to the kind."""
         return {}
 
 
 def kind_of(fault: type[Fault]) -> str:
-    """The kind that a class stands for."""
+    """Return the kind name of a fault class."""
     return str(fault.__struct_config__.tag)
 
 
@@ -62,56 +62,56 @@
 
 
 class NodeSlow(Fault, frozen=True, tag="node-slow"):
-    """Work takes so many times as long."""
+    """The node's work takes `factor` times as long."""
 
     factor: Annotated[float, msgspec.Meta(ge=1)]
 
     @classmethod
     def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
-        """2 to 10 times."""
+        """Draw a factor of 2 to 10."""
         return {"factor": draw.log((2.0, 10.0))}
 
 
 class NodeHung(Fault, frozen=True, tag="node-hung"):
-    """It takes requests and works on none."""
+    """The node accepts requests and processes none of them."""
 
 
 class NodeStalled(Fault, frozen=True, tag="node-stalled"):
-    """Its process gets no processor at all; its kernel accepts and acknowledges."""
+    """The node's process gets no CPU time; the kernel still accepts connections and acknowledges data."""
 
 
 class NodeCrashed(Fault, frozen=True, tag="node-crashed"):
-    """Its process dies, and is started again under its id when the fault ends."""
+    """The node's process crashes and is restarted under the same id when the fault ends."""
 
 
 class NodeRestarted(Fault, frozen=True, tag="node-restarted"):
-    """It drains for a part of the time, ends, and starts again under its id."""
+    """The node drains for `drain_s`, exits, and is restarted under the same id when the fault ends."""
 
     drain_s: Seconds
 
     @classmethod
     def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
-        """A short drain."""
+        """Draw a drain of 0.05 to 1 second."""
         return {"drain_s": draw.of((0.05, 1.0))}
 
 
 class NodeReplaced(Fault, frozen=True, tag="node-replaced"):
-    """Its process ends, and another one takes its address at once under a new id."""
+    """The node's process exits, and another process takes over its address at once under a new id."""
 
     drain_s: Seconds = 0.0
 
     @classmethod
     def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
-        """With or without a drain."""
+        """Draw a drain in 40 % of cases, and no drain otherwise."""
         return {"drain_s": draw.of((0.2, 0.8)) if draw.chance(0.4) else 0.0}
 
 
 class NodeVanished(Fault, frozen=True, tag="node-vanished"):
-    """Its machine loses its power and is silent; it comes back with a new process."""
+    """The node's machine loses power without closing its connections; it returns with a new process."""
 
 
 class FleetShrinks(Fault, frozen=True, tag="fleet-shrinks"):
-    """A part of the fleet drains and ends; it is back when the fault ends."""
+    """A fraction of the nodes drains and exits; these nodes are restarted when the fault ends."""
 
     targets: ClassVar[Target] = "none"
     part: Annotated[float, msgspec.Meta(gt=0, lt=1)]
@@ -119,19 +119,22 @@
 
     @classmethod
     def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
-        """A quarter to a half."""
+        """Draw a fraction of 0.25 to 0.55 of the nodes."""
         return {"part": draw.of((0.25, 0.55)), "drain_s": draw.of((0.3, 1.5))}
 
 
 class FleetRenewed(Fault, frozen=True, tag="fleet-renewed"):
-    """Most nodes are replaced at once at their addresses, cold; where a resale opens, just before."""
+    """A fraction of the nodes is replaced at once at the same addresses by cold processes.
+
+    In a world with a crowd, the nodes are replaced just before the resale opens.
+    """
 
     targets: ClassVar[Target] = "none"
     part: Annotated[float, msgspec.Meta(gt=0, le=1)]
 
     @classmethod
     def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
-        """Half of them to all; the crowd comes when they have just been listed."""
+        """Draw half to all of the nodes; a crowd arrives just after discovery has listed the new nodes."""
         given = {"part": draw.of((0.5, 1.0))}
         if world.crowd:
             at = world.opens_s - world.notice_s - world.discovery.spread_s
@@ -140,13 +143,13 @@
 
 
 class FleetGrows(Fault, frozen=True, tag="fleet-grows"):
-    """Spare nodes start, cold, and stay."""
+    """The spare nodes start cold and stay until the end of the run."""
 
     targets: ClassVar[Target] = "none"
 
 
 class NeighbourBusy(Fault, frozen=True, tag="neighbour"):
-    """Another program takes a share of the machine, on and off in turn."""
+    """Another program on the node's machine periodically uses a share of its CPU."""
 
     share: Annotated[float, msgspec.Meta(ge=0, lt=1)]
     on_s: Positive
@@ -154,39 +157,45 @@
 
     @classmethod
     def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
-        """0.3 to 0.75, for some tenths of a second."""
+        """Draw a share of 0.3 to 0.75, and on and off periods of 0.1 to 0.6 seconds."""
         return {"share": draw.of((0.3, 0.75)), "on_s": draw.of((0.1, 0.6)), "off_s": draw.of((0.1, 0.6))}
 
 
 class DrainToldLate(Fault, frozen=True, tag="drain-told-late"):
-    """It drains and soon ends; discovery learns of the drain only after a while.  It is back at the end."""
+    """The node drains and exits, and discovery learns of the drain only after `late_s`.
+
+    The node is restarted when the fault ends.
+    """
 
     late_s: Seconds
     drain_s: Seconds
 
     @classmethod
     def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
-        """Told while it drains, or when it has ended already."""
+        """Draw a delay that may end while the node drains or after it has exited."""
         return {"late_s": draw.of((0.2, 1.2)), "drain_s": draw.of((0.1, 1.2))}
 
 
 class DrainTakenBack(Fault, frozen=True, tag="drain-taken-back"):
-    """It is told as draining and, when the fault ends, as ready again; it serves all the while."""
+    """Discovery lists the node as draining, and as ready again at the end; the node serves throughout."""
 
 
 class DrainFlaps(Fault, frozen=True, tag="drain-flaps"):
-    """It is told as draining and as ready in turn."""
+    """Discovery lists the node alternately as draining and as ready."""
 
     every_s: Positive
 
     @classmethod
     def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
-        """Round the drain's limit."""
+        """Draw a period on either side of the drain grace period of 0.5 seconds."""
         return {"every_s": draw.of((0.15, 0.7))}
 
 
 class Resetting(Fault, frozen=True, tag="resets"):
-    """A part of its requests meets a reset: at accept, before, in or after the request, in the answer."""
+    """The node resets a fraction of its requests.
+
+    The reset occurs at accept, before, within or after the request, or within the response.
+    """
 
     broad: ClassVar[float] = 0.3
     where: ResetWhere
@@ -195,13 +204,13 @@
 
     @classmethod
     def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
-        """At any of those places."""
+        """Draw the point of the exchange at which the reset occurs."""
         where = draw.rng.choice(get_args(ResetWhere))
         return {"where": where, "part": draw.of((0.1, 0.9)), "runs": draw.chance(0.6)}
 
 
 class AnswersSpoilt(Fault, frozen=True, tag="answers-spoilt"):
-    """A part of its answers is spoilt, or brings more than belongs to it."""
+    """A fraction of the node's responses is malformed or followed by unexpected bytes."""
 
     broad: ClassVar[float] = 0.3
     how: SpoiltHow
@@ -209,12 +218,12 @@
 
     @classmethod
     def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
-        """In any way."""
+        """Draw the variant of the fault."""
         return {"how": draw.rng.choice(get_args(SpoiltHow)), "part": draw.of((0.1, 0.9))}
 
 
 class TurningAway(Fault, frozen=True, tag="turning-away"):
-    """A part of its requests is turned away unseen."""
+    """The node rejects a fraction of its requests without starting them."""
 
     broad: ClassVar[float] = 0.3
     part: Part
@@ -222,36 +231,36 @@
 
     @classmethod
     def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
-        """Some or all."""
+        """Draw a fraction of 0.2 to 1, and the status code of the rejections."""
         return {"part": draw.of((0.2, 1.0)), "status": draw.rng.choice((503, 504))}
 
 
 class LateReports(Fault, frozen=True, tag="reports-late"):
-    """Load reports come later."""
+    """The node's load reports are delayed by `by_s`."""
 
     broad: ClassVar[float] = 0.5
     by_s: Seconds
 
     @classmethod
     def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
-        """By several of their periods."""
+        """Draw a delay of up to several report periods."""
         return {"by_s": draw.of((0.3, 2.5))}
 
 
 class WrongReports(Fault, frozen=True, tag="reports-wrong"):
-    """Load reports are absent, or make no sense."""
+    """The node's load reports are missing or invalid."""
 
     broad: ClassVar[float] = 0.4
     how: ReportHow
 
     @classmethod
     def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
-        """In any way."""
+        """Draw the variant of the fault."""
         return {"how": draw.rng.choice(get_args(ReportHow))}
 
 
 class CloseCrossing(Fault, frozen=True, tag="close-crossing"):
-    """Idle connections are closed early, or when a request is on its way on them."""
+    """The node closes idle connections early, or just as a request arrives on them."""
 
     broad: ClassVar[float] = 0.5
     within_s: Seconds
@@ -260,7 +269,7 @@
 
     @classmethod
     def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
-        """Soon, or with a request unread."""
+        """Draw an early close, or a close that leaves a request unread."""
         return {
             "within_s": draw.log((0.01, 0.5)),
             "part": draw.of((0.2, 0.9)),
@@ -272,68 +281,71 @@
 
 
 class DiscoveryDown(Fault, frozen=True, tag="discovery-down"):
-    """Calls are refused, reset or answered 503; watches end unless it is 503."""
+    """Requests to discovery are refused, reset or answered with 503; only with 503 do watches stay open."""
 
     targets: ClassVar[Target] = "none"
     how: Literal["refuse", "reset", "503"]
 
     @classmethod
     def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
-        """In any way."""
+        """Draw the variant of the fault."""
         return {"how": draw.rng.choice(("refuse", "reset", "503"))}
 
 
 class DiscoverySlow(Fault, frozen=True, tag="discovery-slow"):
-    """Calls take so many times as long, so that some wait too long."""
+    """Requests to discovery take `factor` times as long, so that some time out."""
 
     targets: ClassVar[Target] = "none"
     factor: Annotated[float, msgspec.Meta(ge=1)]
 
     @classmethod
     def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
-        """10 to 200 times."""
+        """Draw a factor of 10 to 200."""
         return {"factor": draw.log((10.0, 200.0))}
 
 
 class DiscoverySilent(Fault, frozen=True, tag="discovery-silent"):
-    """Watches stay open and bring nothing, no empty line either."""
+    """Discovery's watches stay open and send nothing, not even heartbeats."""
 
     targets: ClassVar[Target] = "none"
 
 
 class DiscoveryGarbage(Fault, frozen=True, tag="discovery-garbage"):
-    """Watches are told nonsense once: noise, half a line, a bad entry, an older version."""
+    """Discovery sends each watch invalid data once: noise, half a line, a bad entry or an older version."""
 
     targets: ClassVar[Target] = "none"
     how: GarbageHow
 
     @classmethod
     def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
-        """In any way."""
+        """Draw the variant of the fault."""
         return {"how": draw.rng.choice(get_args(GarbageHow))}
 
 
 class DiscoveryMoved(Fault, frozen=True, tag="discovery-moved"):
-    """Another discovery, with versions of its own, takes over: SIGHUP tells the sidecars its address."""
+    """Another discovery service with its own version numbers takes over.
+
+    The sidecars read its address from their configuration files on SIGHUP.
+    """
 
     targets: ClassVar[Target] = "none"
     version: Annotated[int, msgspec.Meta(ge=1)]
-    keeps_s: Seconds = 1.5  # the old one accepts nothing and closes what is open after this time
+    keeps_s: Seconds = 1.5  # the old service accepts no connections and closes the open ones after this time
 
     @classmethod
     def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
-        """Its versions lower, the same or higher."""
+        """Draw a first version that is lower than, equal to or higher than the old service's version."""
         return {"version": draw.rng.choice((1, 2, 3, 5, 40, 1000)), "keeps_s": draw.of((0.2, 1.5))}
 
 
 class DiscoveryUnreachable(Fault, frozen=True, tag="discovery-unreachable"):
-    """Nothing passes between discovery and a sidecar."""
+    """The network between discovery and a sidecar is partitioned."""
 
     targets: ClassVar[Target] = "sidecar"
 
 
 class ListsDiffer(Fault, frozen=True, tag="lists-differ"):
-    """A part of the sidecars is told each change so much later than the others."""
+    """A fraction of the sidecars receives each change of the list `by_s` later than the others."""
 
     targets: ClassVar[Target] = "none"
     part: Part = 0.5
@@ -341,20 +353,20 @@
 
 
 class DiscoveryRestarted(Fault, frozen=True, tag="discovery-restarted"):
-    """Its process dies, and is started again with the list as it stands."""
+    """The discovery process crashes and is restarted at the end with the current list of nodes."""
 
     targets: ClassVar[Target] = "none"
 
 
 class ListChurns(Fault, frozen=True, tag="list-churns"):
-    """Weights change many times a second."""
+    """Discovery changes a node's weight every `every_s` seconds."""
 
     targets: ClassVar[Target] = "none"
     every_s: Positive
 
     @classmethod
     def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
-        """3 to 20 times a second."""
+        """Draw a period that gives 3 to 20 changes a second."""
         return {"every_s": draw.log((0.05, 0.3))}
 
 
@@ -362,7 +374,7 @@
 
 
 class BadClientsCome(Fault, frozen=True, tag="bad-clients"):
-    """Clients that misbehave, so many at once."""
+    """`count` misbehaving clients connect at once."""
 
     targets: ClassVar[Target] = "sidecar"
     what: BadKind
@@ -370,9 +382,10 @@
 
     @classmethod
     def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
-        """A few; those that only take up connections come in numbers, more than a sidecar may hold.
+        """Draw the kind and number of misbehaving clients.
 
-        Those that ask are fewer: clients hold a third of the descriptors at most for requests.
+        Clients that only occupy connections may outnumber the connections a sidecar may hold.  Clients that
+        send requests are fewer, since client requests may hold at most a third of a sidecar's descriptors.
         """
         what = draw.rng.choice(BAD_KINDS)
         asking = min(sidecar.sockets for sidecar in world.sidecars) / 4
@@ -384,111 +397,111 @@
 
 
 class SidecarTerminated(Fault, frozen=True, tag="sidecar-terminated"):
-    """SIGTERM; it is started again when the fault ends, and killed then if it has not ended."""
+    """The sidecar gets SIGTERM and is restarted when the fault ends; if still running, it is killed first."""
 
     targets: ClassVar[Target] = "sidecar"
 
 
 class SidecarKilled(Fault, frozen=True, tag="sidecar-killed"):
-    """SIGKILL; it is started again when the fault ends."""
+    """The sidecar is killed by SIGKILL and restarted when the fault ends."""
 
     targets: ClassVar[Target] = "sidecar"
 
 
 class SidecarStalled(Fault, frozen=True, tag="sidecar-stalled"):
-    """It gets no processor for a moment."""
+    """The sidecar gets no CPU time for `stall_s`."""
 
     targets: ClassVar[Target] = "sidecar"
     stall_s: Annotated[float, msgspec.Meta(gt=0, le=5)]
 
     @classmethod
     def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
-        """So short that every rule can still be kept."""
+        """Draw a stall short enough for the sidecar to comply with every rule."""
         return {"stall_s": draw.log((0.001, 0.008))}
 
 
 class SidecarPaused(Fault, frozen=True, tag="sidecar-paused"):
-    """Its process is stopped all the while, longer than any deadline if need be, and goes on at the end."""
+    """The sidecar's process is paused until the fault ends, which may be later than any deadline."""
 
     targets: ClassVar[Target] = "sidecar"
 
 
 class SidecarStarved(Fault, frozen=True, tag="sidecar-starved"):
-    """It is killed and started again at once, and has only a part of a core until the end."""
+    """The sidecar is killed and restarted at once, with only `part` of a CPU core until the fault ends."""
 
     targets: ClassVar[Target] = "sidecar"
     part: Annotated[float, msgspec.Meta(gt=0, lt=1)] = 0.2
 
 
 class SidecarUnreachable(Fault, frozen=True, tag="sidecar-unreachable"):
-    """Nothing passes between it and its clients, or one way only."""
+    """The sidecar is partitioned from its clients, in both directions or in one."""
 
     targets: ClassVar[Target] = "sidecar"
     way: Literal["both", "to-sidecar", "from-sidecar"] = "both"
 
 
 class WallClockSet(Fault, frozen=True, tag="wall-clock-set"):
-    """Its wall clock is set forward or back, and put right when the fault ends."""
+    """The sidecar's wall clock is set forward or back, and corrected when the fault ends."""
 
     targets: ClassVar[Target] = "sidecar"
     by_s: float
 
     @classmethod
     def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
-        """By a second to an hour."""
+        """Draw a shift of one second to one hour in either direction."""
         return {"by_s": draw.log((1.0, 3600.0)) * draw.rng.choice((1, -1))}
 
 
 class DescriptorsUsedUp(Fault, frozen=True, tag="descriptors-used-up"):
-    """It can open only a few more."""
+    """The sidecar can open at most `left` more file descriptors."""
 
     targets: ClassVar[Target] = "sidecar"
     left: Annotated[int, msgspec.Meta(ge=0)]
 
     @classmethod
     def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
-        """0 to 6."""
+        """Draw 0 to 6 remaining descriptors."""
         return {"left": draw.whole((0, 6))}
 
 
 class NodeBanned(Fault, frozen=True, tag="node-banned"):
-    """Operators leave it out at every sidecar's admin endpoint; meanwhile it is started again, or not."""
+    """Operators take the node offline at every sidecar's admin endpoint; the node may restart meanwhile."""
 
     restart: bool
 
     @classmethod
     def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
-        """Mostly for a restart."""
+        """Draw a restart of the node in 70 % of cases."""
         return {"restart": draw.chance(0.7)}
 
 
 class SidecarOutOfService(Fault, frozen=True, tag="sidecar-out-of-service"):
-    """Operators send its clients away; the process runs on, and is back in service at the end."""
+    """Operators take the running sidecar out of service, and return it to service when the fault ends."""
 
     targets: ClassVar[Target] = "sidecar"
 
 
 class SidecarsReleased(Fault, frozen=True, tag="sidecars-released"):
-    """All sidecars are killed together and started again; discovery turns callers away until the end."""
+    """All sidecars are killed together and restarted; discovery answers with 503 until the fault ends."""
 
     targets: ClassVar[Target] = "none"
     down_s: Seconds
 
     @classmethod
     def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
-        """Down for a moment."""
+        """Draw a downtime of at most 0.3 seconds."""
         return {"down_s": draw.of((0.0, 0.3))}
 
 
 class BadConfiguration(Fault, frozen=True, tag="bad-configuration"):
-    """Its configuration file is spoilt and SIGHUP comes; the file is whole again when the fault ends."""
+    """The sidecar reloads an invalid configuration file on SIGHUP; the fault's end restores the file."""
 
     targets: ClassVar[Target] = "sidecar"
     how: Literal["empty", "half", "not-json", "bad-key"]
 
     @classmethod
     def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
-        """In any way."""
+        """Draw the variant of the fault."""
         return {"how": draw.rng.choice(("empty", "half", "not-json", "bad-key"))}
 
 
@@ -496,85 +509,85 @@
 
 
 class LinkCut(Fault, frozen=True, tag="link-cut"):
-    """Nothing passes between a node and the sidecars, or one way only."""
+    """The network between a node and the sidecars is partitioned, in both directions or in one."""
 
     way: Literal["both", "to-node", "from-node"]
 
     @classmethod
     def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
-        """Any way."""
+        """Draw the direction that is partitioned: both directions in half of the cases."""
         return {"way": draw.rng.choice(("both", "both", "to-node", "from-node"))}
 
 
 class LinkSlow(Fault, frozen=True, tag="link-slow"):
-    """What passes between a node and the sidecars takes longer."""
+    """The latency between a node and the sidecars rises by `by_s`."""
 
     by_s: Seconds
 
     @classmethod
     def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
-        """Some milliseconds to some tenths of a second."""
+        """Draw 3 to 200 milliseconds of added latency."""
         return {"by_s": draw.log((0.003, 0.2))}
 
 
 class LinkJitter(Fault, frozen=True, tag="link-jitter"):
-    """What passes between a node and the sidecars takes longer by a time that keeps changing."""
+    """The latency between a node and the sidecars rises by an amount that keeps changing."""
 
-    by_s: Seconds = 0.05  # at most
+    by_s: Seconds = 0.05  # largest added latency
 
 
 class LinkThrottled(Fault, frozen=True, tag="link-throttled"):
-    """Only so many bytes a second pass between a node and a sidecar, each way."""
+    """At most `bytes_per_s` bytes per second pass between a node and a sidecar in each direction."""
 
     worlds: ClassVar[str] = "processes"
     bytes_per_s: Positive = 2000.0
 
 
 class ConnectsSwallowed(Fault, frozen=True, tag="connects-swallowed"):
-    """Connects to a node are never answered."""
+    """Connection attempts to a node get no response."""
 
 
 class ConnectsRefused(Fault, frozen=True, tag="connects-refused"):
-    """Connects to a node are refused."""
+    """Connection attempts to a node are refused."""
 
 
 class ConnectionsReset(Fault, frozen=True, tag="connections-reset"):
-    """Connections to a node are reset on the way, again and again."""
+    """The network resets a fraction of the connections to a node every `every_s` seconds."""
 
     every_s: Positive
     part: Part
 
     @classmethod
     def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
-        """Some or all of them."""
+        """Draw the period between resets and a fraction of 0.2 to 1 of the connections."""
         return {"every_s": draw.log((0.05, 0.5)), "part": draw.of((0.2, 1.0))}
 
 
 class ConnectionsSilent(Fault, frozen=True, tag="connections-silent"):
-    """Connections to a node that are open now say nothing more."""
+    """A fraction of the connections open to a node stops carrying data without being closed."""
 
     part: Part
 
     @classmethod
     def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
-        """Some or all of them."""
+        """Draw a fraction of 0.3 to 1 of the connections."""
         return {"part": draw.of((0.3, 1.0))}
 
 
 class ZoneLost(Fault, frozen=True, tag="zone-lost"):
-    """All nodes of a zone lose their power, and come back."""
+    """All nodes of a zone lose power and return when the fault ends."""
 
     targets: ClassVar[Target] = "zone"
 
 
 class ZoneCut(Fault, frozen=True, tag="zone-cut"):
-    """A zone's nodes and the sidecars elsewhere don't reach each other."""
+    """The network between a zone's nodes and the sidecars in other zones is partitioned."""
 
     targets: ClassVar[Target] = "zone"
 
 
 class ZoneFlaps(Fault, frozen=True, tag="zone-flaps"):
-    """A zone goes and comes in turn, each for so long: its power, or the way to it from elsewhere."""
+    """A zone repeatedly fails and recovers every `every_s`: it loses power or is partitioned."""
 
     targets: ClassVar[Target] = "zone"
     every_s: Positive
@@ -582,12 +595,12 @@
 
     @classmethod
     def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
-        """Several times within a run."""
+        """Draw a period short enough for several failures within a run."""
         return {"every_s": draw.of((0.15, 0.7)), "how": draw.rng.choice(("power", "cut"))}
 
 
 class ZoneUnreachable(Fault, frozen=True, tag="zone-unreachable"):
-    """Nothing passes between a zone and one sidecar, or all of them, or one way only."""
+    """A zone's nodes are partitioned from one sidecar or all sidecars, in both directions or in one."""
 
     targets: ClassVar[Target] = "zone"
     way: Literal["both", "to-nodes", "from-nodes"]
@@ -595,14 +608,14 @@
 
     @classmethod
     def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
-        """Any way, mostly for one sidecar."""
+        """Draw the direction, and all sidecars or one of them."""
         names = ["", *(sidecar.name for sidecar in world.sidecars)]
         way = draw.rng.choice(("both", "to-nodes", "from-nodes"))
         return {"way": way, "sidecar": draw.rng.choice(names)}
 
 
 class ZoneGrey(Fault, frozen=True, tag="zone-grey"):
-    """In a zone each n-th answer is slow, and a part of the requests meets a reset."""
+    """In a zone, every n-th response is slow and a fraction of the requests is reset."""
 
     targets: ClassVar[Target] = "zone"
     every: Annotated[int, msgspec.Meta(ge=1)]
@@ -611,12 +624,12 @@
 
     @classmethod
     def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
-        """Every second to fifth."""
+        """Draw every second to fifth request as slow, by a factor of 3 to 12."""
         return {"every": draw.whole((2, 5)), "factor": draw.log((3.0, 12.0)), "resets": draw.of((0.0, 0.2))}
 
 
 class ZoneDrained(Fault, frozen=True, tag="zone-drained"):
-    """A zone's nodes drain and end in order, one after the other; they are back, cold, at the end."""
+    """A zone's nodes drain and exit one after the other; cold processes replace them when the fault ends."""
 
     targets: ClassVar[Target] = "zone"
     gap_s: Seconds
@@ -624,19 +637,19 @@
 
     @classmethod
     def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
-        """Quickly, so that a run holds it."""
+        """Draw drains and gaps short enough for a run to contain the whole sequence."""
         return {"gap_s": draw.of((0.0, 0.3)), "drain_s": draw.of((0.2, 0.8))}
 
 
 class ZoneRulesRead(Fault, frozen=True, tag="zone-rules-read"):
-    """The operator file says something else of zones and SIGHUP comes; as before, both again, at the end."""
+    """The operator file's zone section changes and SIGHUP is sent; both happen again to restore the file."""
 
     targets: ClassVar[Target] = "zone"
     what: Literal["trust", "evacuate", "bad", "none"]
 
     @classmethod
     def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
-        """Any of them."""
+        """Draw the change made to the zone section."""
         return {"what": draw.rng.choice(("trust", "evacuate", "bad", "none"))}
 
 
@@ -689,18 +702,18 @@
     "zone-lost", "zone-cut", "zone-flaps", "zone-flaps", "zone-unreachable", "zone-unreachable", "zone-grey",
     "zone-drained", "zone-rules-read", "sidecar-killed", "fleet-shrinks", "node-slow", "link-cut",
 )  # fmt: skip
-# In the profile that is about them alone: what the others draw for a seed stays what it was.
+# Kinds excluded from the default profile, so that the faults drawn there for a given seed don't change.
 _APART = (
     "zone-flaps", "zone-unreachable", "zone-grey", "zone-drained", "zone-rules-read", "node-banned",
     "sidecar-out-of-service", "sidecars-released", "sidecar-paused", "sidecar-starved",
     "sidecar-unreachable", "discovery-unreachable", "lists-differ", "link-jitter", "link-throttled",
 )  # fmt: skip
-# What operators do, and what happens to the fleet meanwhile.
+# Kinds caused by operators: the sidecars of such a run have admin endpoints.
 CALLED = (
     "node-banned",
     "sidecar-out-of-service",
     "sidecars-released",
-)  # in these runs sidecars have admin endpoints
+)
 _OPERATORS = (
     *CALLED, *CALLED, "node-crashed", "node-restarted", "fleet-shrinks", "drain-taken-back", "discovery-down",
     "discovery-moved", "discovery-garbage", "sidecar-killed", "sidecar-terminated", "descriptors-used-up",
@@ -710,7 +723,7 @@
     "sidecar-terminated", "sidecar-killed", "wall-clock-set", "bad-configuration", "discovery-moved",
     "node-restarted", "node-crashed", "descriptors-used-up", "sidecar-stalled",
 )  # fmt: skip
-# The kinds that a profile draws from; one named twice comes twice as often.
+# Fault kinds that each profile draws from; a kind listed twice is drawn twice as often.
 PROFILES: Mapping[str, tuple[str, ...]] = {
     "default": tuple(kind for kind in KINDS if kind not in _APART),
     "nodes": _NODES,
@@ -727,15 +740,15 @@
 
 
 def draw_faults(seed: int, world: WorldFigures, profile: str = "default") -> tuple[AnyFault, ...]:
-    """A plan of at least three kinds, several of them at once, all over by the world's `faults_s`.
+    """Draw a plan of at least three kinds of overlapping faults, all ended by the world's `faults_s`.
 
-    Raises `ValueError` for a profile that there is none of.
+    Raises `ValueError` for an unknown profile.
     """
     if profile not in PROFILES:
-        raise ValueError(f"no profile {profile!r}; there are {', '.join(PROFILES)}")
+        raise ValueError(f"unknown profile {profile!r}; known profiles: {', '.join(PROFILES)}")
     draw = Drawer(seed, f"faults {profile}")
     names, kinds = list(PROFILES[profile]), []
-    if world.crowd and "fleet-renewed" in names and draw.chance(0.3):  # the worst moment for a crowd to come
+    if world.crowd and "fleet-renewed" in names and draw.chance(0.3):  # worst case: cold nodes
         names, kinds = [each for each in names if each != "fleet-renewed"], ["fleet-renewed"]
     for _ in range(draw.rng.choices((3, 4, 5, 6), (4, 3, 2, 1))[0]):
         name = draw.rng.choice(names)
@@ -744,7 +757,7 @@
         if not names:
             break
     faults = [_draw_fault(KINDS[name], draw, world) for name in kinds]
-    if draw.chance(0.3):  # one of them twice
+    if draw.chance(0.3):  # one kind occurs twice
         faults.append(_draw_fault(KINDS[draw.rng.choice(kinds)], draw, world))
     return tuple(sorted(faults, key=lambda fault: (fault.at_s, fault.kind, fault.target)))
 
@@ -761,7 +774,7 @@
 
 
 def targets_of(of: type[Fault], world: WorldFigures) -> Sequence[str]:
-    """What a fault of a kind may be aimed at in a world; empty texts where there is no choice."""
+    """Return the targets that a kind of fault may have in a world; an empty string for kinds without one."""
     names: Callable[[], list[str]] = {
         "node": lambda: [node.id for node in world.nodes if not node.spare],
         "sidecar": lambda: [sidecar.name for sidecar in world.sidecars],
@@ -772,9 +785,9 @@
 
 
 def check_faults(faults: Sequence[Fault], world: WorldFigures) -> None:
-    """Raise `ValueError` for a fault aimed at what the world does not have."""
+    """Raise `ValueError` for a fault whose target does not exist in the world."""
     for number, fault in enumerate(faults):
         if fault.target and fault.target not in targets_of(type(fault), world):
             raise ValueError(
-                f"faults[{number}]: {fault.kind} is aimed at {fault.target!r}, which is no {fault.targets}"
+                f"faults[{number}]: target {fault.target!r} of {fault.kind} is not a known {fault.targets}"
             )
--- a/tests/lab/test_breakages.py
+++ b/tests/lab/test_breakages.py
@@ -1,7 +1,7 @@
-"""Deliberate breakages: each is found, under the right rule, where the program as it is breaks none.
+"""The lab detects each deliberate bug under the right rule, in runs where the unmodified program breaks none.
 
-Those that few seeds tell are played from scenarios that `brambleusher explore --shrink` has written; the
-others are looked for in the first seeds.  `python -m benchmarks.breakages` has the whole table.
+Bugs that few seeds expose are replayed from scenario files written by `brambleusher explore --shrink`; the
+others must appear in the first seeds.  `python -m benchmarks.breakages` prints the whole table.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 from brambleusher.lab.virtual.explore import play
 
 FILES = {path.stem: path for path in sorted((Path(__file__).parents[1] / "breakages").glob("*.yaml"))}
-LOOKED_AT = 40  # seeds, for those without a file: at least one in ten tells
+LOOKED_AT = 40  # seeds tried for a breakage without a scenario file: at least one seed in ten exposes it
 
 
 def found(name: str, scenario: Scenario) -> bool:
-    """Whether a scenario tells of a breakage, and only because of it."""
+    """Return whether a scenario breaks an expected rule with the breakage, and not without it."""
     breakage = BREAKAGES[name]
     told = set(play(scenario, breakage.on()).rules) & set(breakage.rules)
     return bool(told) and not set(play(scenario).rules) & told
@@ -46,7 +46,7 @@
     breaches = play(scenario, BREAKAGES["drain-late"].on()).breaches
     assert {breach.rule for breach in breaches} == {"drain"}
     late = int(breaches[0].what.split("first byte ")[1].split(" ns")[0])
-    assert 0 < late <= 2_000_000  # the limit is missed by a millisecond, and the list takes its way
+    assert 0 < late <= 2_000_000  # the delay of 1 ms, and at most 1 ms for delivery of the list
 
 
 @pytest.mark.parametrize("name", sorted(BREAKAGES))
@@ -67,7 +67,7 @@
 @pytest.mark.parametrize("name", sorted(ALL))
 def test_patches_name_attributes_that_the_program_has(name: str) -> None:
     with ALL[name].on():
-        pass  # a patch of an attribute that is not there raises KeyError
+        pass  # a patch of a missing attribute raises KeyError
 
 
 def test_there_are_enough_and_each_names_its_rules() -> None:
--- a/tests/lab/test_fault_plans.py
+++ b/tests/lab/test_fault_plans.py
@@ -1,4 +1,4 @@
-"""Drawn worlds and fault plans: the same for the same seed, whole in YAML, and each kind seen to work."""
+"""Drawn worlds and fault plans depend on the seed alone, survive YAML, and each fault kind takes effect."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 @pytest.fixture(autouse=True)
 def quiet() -> Any:
-    """Log lines of sidecars in trouble are not what these tests are about."""
+    """Suppress the log lines of sidecars under faults, which these tests don't check."""
     logger = logging.getLogger("brambleusher")
     before = logger.level
     logger.setLevel(logging.CRITICAL)
@@ -79,7 +79,7 @@
 
 
 def test_an_unknown_profile_is_named() -> None:
-    with pytest.raises(ValueError, match=r"no profile 'nodez'; there are default, nodes"):
+    with pytest.raises(ValueError, match=r"unknown profile 'nodez'; known profiles: default, nodes"):
         draw_scenario(1, "nodez")
 
 
@@ -112,7 +112,7 @@
 
 
 def whole(seed: int = 3) -> Scenario:
-    """A scenario with a fault of every kind."""
+    """Return a scenario with a fault of every kind."""
     scenario = draw_scenario(seed)
     draw = Drawer(seed, "all")
     every = tuple(faults._draw_fault(of, draw, scenario.world) for of in KINDS.values())
@@ -135,7 +135,7 @@
         ("kind: node-slow, factor: [0-9.]+", "kind: node-slow, factor: fast", "faults[0].factor"),
         ("kind: node-slow, factor: [0-9.]+", "kind: node-slow", "missing required field `factor`"),
         ("at_s: [0-9.]+", "at_s: -1", "at_s"),
-        ("target: s-[0-9a-f]+", "target: s-nobody", "node-slow is aimed at 's-nobody'"),
+        ("target: s-[0-9a-f]+", "target: s-nobody", "target 's-nobody' of node-slow is not a known node"),
         ("length_s: ", "lenght_s: ", "lenght_s"),
         ("sidecar: 0", "sidecar: 9", "asks["),
         ("format: 1", "format: 2", "format"),
@@ -179,7 +179,7 @@
 
 
 def state(fleet: Fleet, name: str = NODE.id) -> str:
-    """As discovery lists it now."""
+    """Return the node's state as discovery currently lists it."""
     entry = fleet.discovery.list.get(name)
     return "Gone" if entry is None else entry.state
 
@@ -218,12 +218,12 @@
 
 
 def ends(fleet: Fleet) -> bool:
-    """Whether the sidecar has been told to end and serves its clients to the last, or has ended."""
+    """Return whether the sidecar is shutting down (it still serves open requests) or has exited."""
     return not sidecar(fleet).up or sidecar(fleet).sidecar.lifecycle.is_shutting_down
 
 
 def down(fleet: Fleet, name: str) -> bool:
-    """Nothing passes from a machine to the first sidecar."""
+    """Return whether the link from a machine to the first sidecar is partitioned."""
     machines = fleet.world.machines
     return fleet.world.network.link(machines[name], machines[SIDECAR.name]).down
 
@@ -232,7 +232,7 @@
     return dict(sidecar(fleet).sidecar.bans.bans)
 
 
-# For each kind: its parameters, what can be seen while it lasts, and what can't before and after.
+# For each kind: its parameters, and a condition that holds during the fault but not before or after it.
 CASES: dict[str, tuple[dict[str, Any], See]] = {
     "node-slow": ({"factor": 4.0}, lambda fleet, _: place(fleet).node.machine._slow == 4.0),
     "node-hung": ({}, lambda fleet, _: place(fleet).node.machine._hung),
@@ -336,7 +336,7 @@
         ),
     ),
 }  # fmt: skip
-# What these leave behind does not go away, or they can only be seen over a while.
+# Kinds whose effects outlast the fault, or are visible only over a longer time.
 STAYING: dict[str, tuple[dict[str, Any], See]] = {
     "node-replaced": ({}, lambda fleet, _: place(fleet).id != NODE.id and state(fleet) == "Gone"),
     "fleet-renewed": (
@@ -363,7 +363,7 @@
 
 
 class Resets(Tap):
-    """Counts resets at the sidecars' ends of connections."""
+    """Counts the connections to nodes whose sidecar end was reset."""
 
     def __init__(self) -> None:
         self.resets = 0
@@ -372,7 +372,7 @@
         self.resets += how == "reset" and side == "client" and conn.server.machine.startswith("node")
 
     def process(self, now: int, machine: Machine, what: str) -> None:
-        """Nothing."""
+        """Ignore process events."""
 
 
 def fault_of(kind: str, given: dict[str, Any]) -> AnyFault:
@@ -471,7 +471,7 @@
 
 
 def story(seed: int, profile: str = "default") -> str:
-    """What all books of a run say, as one digest."""
+    """Return a digest of all records of a run."""
     with (fleet := Fleet(draw_scenario(seed, profile))).world:
         ends = fleet.play()
         left = [text for end in ends for text in end.left_over()]
