--- a/brambleusher/lab/control/__init__.py
+++ b/brambleusher/lab/control/__init__.py
@@ -1,1 +1,1 @@
-"""What the control service is tried with: clients, histories and rules."""
+"""Test tools for the control service: xDS clients, random schedules and protobuf validation rules."""
--- a/brambleusher/lab/control/history.py
+++ b/brambleusher/lab/control/history.py
@@ -1,9 +1,9 @@
-"""Random schedules for the control service, and a checker of what its subscribers were given.
+"""Random schedules for the control service, and a checker of the assignments its subscribers receive.
 
-A discovery, two instances and a few proxies live in virtual time; links delay, stall and break,
-instances are killed, disks fill up, watches are cut, and discovery may come back with an older
-list.  The checker keeps its own books, from bytes alone: each version of the list has a node whose
-port is that version, so that any assignment tells how old it is.
+A discovery service, two control instances and several proxies run in virtual time.  Streams delay, stall
+and break, instances are killed, disks fill up, watches are disconnected, and discovery may return with an
+older list.  The checker derives its state from the transmitted bytes alone: each version of the list has a
+node whose port encodes that version, so that every assignment reveals the version it was made from.
 
     python -m brambleusher.lab.control.history --seeds 500
 """
@@ -37,10 +37,12 @@
 
 MS, SECOND = 1_000_000, 1_000_000_000
 STAMP = "stamp"
-PORT = 10_000  # the stamp's port is this and the version
+PORT = 10_000  # the port of the stamp node is this number plus the version of the list
 HEARTBEAT, SILENCE = 2 * SECOND, 3 * SECOND
 NODES, PROXIES, INSTANCES = 6, 4, 2
-LATE = 6 * SECOND  # a view superseded for longer is handed out by nobody: silence, calls and delays
+# No instance may send a list superseded for longer than this time, in nanoseconds: it covers the discovery
+# timeout, requests between instances, and network delays.
+LATE = 6 * SECOND
 FAULTS_UNTIL, END = 40 * SECOND, 60 * SECOND
 SETTINGS = {
     "zone": "z", "fleet_size": 1,
@@ -52,7 +54,7 @@
 
 
 def configuration(name: str, folder: Path, **more: Any) -> ControlConfig:
-    """An instance's configuration."""
+    """Return the configuration of a control instance."""
     (folder / "secret").write_text("a secret of the schedules")
     return parse_control_config(
         orjson.dumps({
@@ -66,42 +68,42 @@
 
 
 class Violation(AssertionError):
-    """A rule was broken."""
+    """A consistency rule was broken."""
 
 
 def stamp_of(assignment: Any) -> int | None:
-    """The version of the list that an assignment was made of."""
+    """Return the version of the list that an assignment was made from; None without a stamp node."""
     ports = [int(each.address.rpartition(":")[2]) for each in endpoints_of(assignment)]
     return next((port - PORT for port in ports if port >= PORT), None)
 
 
 class Books:
-    """The checker: what each proxy accepted and each instance sent."""
+    """Checks the versions that proxies accept and instances send against the consistency rules."""
 
     def __init__(self) -> None:
-        self.accepted: dict[tuple[str, int], int] = {}  # by proxy and its incarnation
-        self.sent: dict[str, int] = {}  # by instance, over its restarts
+        self.accepted: dict[tuple[str, int], int] = {}  # newest accepted version, by proxy and incarnation
+        self.sent: dict[str, int] = {}  # newest sent version by instance, kept over the instance's restarts
         self.current = 0
-        self.superseded: dict[int, int] = {}  # when a version stopped being the newest
-        self.older_told = False  # discovery itself told an old list: nobody can know better
+        self.superseded: dict[int, int] = {}  # time at which each version stopped being the newest
+        self.older_told = False  # discovery sent an older list, which instances can't recognize as outdated
         self.judged = 0
 
     def change(self, version: int, now: int) -> None:
-        """Discovery has a new version."""
+        """Record that discovery has a new version."""
         self.superseded[self.current] = now
         self.current = version
 
     def sends(self, instance: str, data_stamp: int, now: int) -> None:
-        """An instance puts an assignment on the wire."""
+        """Check an assignment that an instance sends; raises `Violation`."""
         self.judged += 1
         if data_stamp < self.sent.get(instance, 0):
             raise Violation(f"{instance} sent {data_stamp} after {self.sent[instance]}")
         self.sent[instance] = data_stamp
         if not self.older_told and now - self.superseded.get(data_stamp, now) > LATE:
-            raise Violation(f"{instance} sent {data_stamp}, which had been superseded for too long")
+            raise Violation(f"{instance} sent {data_stamp}, which was superseded for too long")
 
     def accepts(self, proxy: str, life: int, stamp: int) -> None:
-        """A proxy accepts an assignment."""
+        """Check an assignment that a proxy accepts; raises `Violation`."""
         self.judged += 1
         before = self.accepted.get((proxy, life), 0)
         if stamp < before:
@@ -111,7 +113,7 @@
 
 @dataclass
 class _Disk:
-    """What is on an instance's disk; it survives the instance."""
+    """Disk contents of a control instance, which survive its restarts."""
 
     place: ViewPosition | None = None
     full: bool = False
@@ -125,23 +127,23 @@
     disk: _Disk = field(default_factory=_Disk)
     core: Core | None = None
     life: int = 0
-    watching: int = 0  # the number of the watch that is up; 0: none
-    cut: bool = False  # from discovery
-    apart: bool = False  # from the other instance
+    watching: int = 0  # number of the open watch; 0 without one
+    cut: bool = False  # partitioned from discovery
+    apart: bool = False  # partitioned from the other instance
     heard: int = 0
     writing: bool = False
 
 
 @dataclass
 class _Link:
-    """One stream between a proxy and an instance."""
+    """A stream between a proxy and a control instance."""
 
     instance: _Instance
     instance_life: int
     stream: Stream
     open: bool = True
     stalled: bool = False
-    held: list[bytes] = field(default_factory=list)  # sent and not read while stalled
+    held: list[bytes] = field(default_factory=list)  # responses not yet read because the stream is stalled
     down_at: int = 0
     up_at: int = 0
 
@@ -154,17 +156,17 @@
 
 
 def accepts_all(kind: str, resources: list[Any]) -> str | None:
-    """A proxy that finds nothing wrong."""
+    """Return the verdict of a proxy that accepts every response."""
     return None
 
 
 def refuses_all(kind: str, resources: list[Any]) -> str | None:
-    """A proxy that finds everything wrong."""
-    return "refused on principle"
+    """Return the verdict of a proxy that rejects every response."""
+    return "rejected unconditionally"
 
 
 class _Forgetful(DiscoveredEndpoints):
-    """A part of a breakage: the list held goes back with discovery."""
+    """Endpoint list of the `floor` breakage, which accepts older versions from discovery."""
 
     def update(self, update: EndpointListUpdate) -> Mapping[str, Endpoint | None] | None:
         self.version = None
@@ -172,7 +174,7 @@
 
 
 class History:
-    """One schedule."""
+    """A random schedule of events for the control service, drawn from a seed."""
 
     def __init__(self, seed: int, folder: Path, breakage: str = "") -> None:
         self.rng = random.Random(seed)
@@ -182,7 +184,7 @@
         self._count = 0
         self._watches = 0
         self.lists: list[dict[str, Endpoint]] = []
-        self.serves: int | None = None  # an older version that discovery tells; None: the newest
+        self.serves: int | None = None  # older version sent by discovery; None for the newest
         self.down = False
         names = [f"control-{at}" for at in range(INSTANCES)]
         self.instances = [_Instance(name, configuration(name, folder)) for name in names]
@@ -194,12 +196,12 @@
     # --- time -----------------------------------------------------------------------------------
 
     def at(self, delay: int, call: Callable[[], None]) -> None:
-        """Have something happen later."""
+        """Schedule a call after `delay` nanoseconds."""
         self._count += 1
         heapq.heappush(self._events, (self.now + delay, self._count, call))
 
     def run(self) -> Books:
-        """The whole schedule; raises `Violation`."""
+        """Run the whole schedule; raises `Violation`."""
         self._change()
         for instance in self.instances:
             self._start(instance)
@@ -252,7 +254,7 @@
                 self._tell(instance, instance.watching)
 
     def _tell(self, instance: _Instance, watch: int) -> None:
-        """Send the newest there is to one watch, whole; it may be the same as before."""
+        """Send the whole newest list to one watch, even if unchanged."""
         if self.down or instance.cut or not watch:
             return
         version = self.serves or len(self.lists)
@@ -289,7 +291,7 @@
     def _start(self, instance: _Instance) -> None:
         disk = instance.disk
         floor = None if disk.lost or self.breakage == "store" else disk.place
-        if disk.lost:  # what it sent before is known to its subscribers alone
+        if disk.lost:  # only its subscribers still know what the instance sent before
             self.books.sent.pop(instance.name, None)
         disk.lost = False
         instance.life += 1
@@ -343,7 +345,7 @@
             self.at(self.rng.randrange(1, 100) * MS, arrive)
 
     def _after(self, instance: _Instance) -> None:
-        """What the owner of a core does after each event: write, and let every stream have its next."""
+        """Write the position if due and send pending responses, as a core's owner does after each event."""
         core = instance.core
         if core is None:
             return
@@ -360,7 +362,7 @@
 
         def done() -> None:
             fails = instance.disk.full
-            if not fails:  # a write of a life that has ended may still have come through
+            if not fails:  # a write from before a restart may still succeed
                 instance.disk.place = max(place, instance.disk.place or place)
             if instance.life == life and instance.core is not None:
                 instance.writing = False
@@ -380,7 +382,7 @@
             if response.kind == ASSIGNMENT:
                 for resource in response.resources:
                     stamp = stamp_of(endpoint_pb2.ClusterLoadAssignment.FromString(resource.body))
-                    # With the disk full, what only takes nodes away goes out before it is written.
+                    # With a full disk, updates that only remove nodes are sent before they are written.
                     if stamp is not None and not link.instance.disk.full:
                         self.books.sends(link.instance.name, stamp, self.now)
             link.down_at = max(link.down_at, self.now) + self.rng.randrange(1, 30) * MS
@@ -422,7 +424,7 @@
         try:
             instance.core.handle_request(link.stream, request, who, self.now)
         except ProtocolError as error:
-            raise Violation(f"a request of a proxy that keeps the rules was refused: {error}") from None
+            raise Violation(f"a valid request of a proxy was rejected: {error}") from None
         self._after(instance)
 
     def _deliver(self, proxy: _Proxy, link: _Link, data: bytes) -> None:
@@ -447,7 +449,7 @@
         if link.open:
             self._after(link.instance)
 
-    # --- trouble --------------------------------------------------------------------------------
+    # --- faults ---------------------------------------------------------------------------------
 
     def _trouble(self) -> None:
         if not self._faulty():
@@ -480,12 +482,12 @@
             self._down(lasting, None)
         elif kind == "older" and len(self.lists) > 5:
             self._down(lasting, len(self.lists) - rng.randrange(1, 5))
-            if rng.random() < 0.5:  # one power cut took both
+            if rng.random() < 0.5:  # as in a power failure that affects both discovery and an instance
                 self._kill(instance)
         self.at(rng.randrange(50, 1500) * MS, self._trouble)
 
     def _down(self, lasting: int, older: int | None) -> None:
-        """Discovery ends all watches; it comes back, for some seconds with the `older` list if given."""
+        """Have discovery close all watches and return later, at first with the `older` list if given."""
         self.down = True
         for instance in self.instances:
             if instance.watching and instance.core is not None:
@@ -513,23 +515,23 @@
             self._tell(instance, instance.watching)
 
     def _well_again(self) -> None:
-        """After the faults every proxy that accepts has the newest."""
+        """Check that every proxy that accepts responses has the newest list after the faults."""
         for proxy in self.proxies[:-1]:
             for each in (
                 proxy.stand_in.kinds[ASSIGNMENT].resources if ASSIGNMENT in proxy.stand_in.kinds else {}
             ).values():
                 stamp = stamp_of(each)
                 if stamp != len(self.lists):
-                    raise Violation(f"{proxy.name} is left with {stamp}, the newest is {len(self.lists)}")
+                    raise Violation(f"{proxy.name} ended with {stamp}; the newest is {len(self.lists)}")
             if not proxy.stand_in.complete():
-                raise Violation(f"{proxy.name} is left without routes or what they lead to")
+                raise Violation(f"{proxy.name} ended without routes or the clusters that routes refer to")
 
 
 BREAKAGES = ("store", "claims", "silence", "floor")
 
 
 def run(seed: int, folder: Path, breakage: str = "") -> Books:
-    """One schedule; raises `Violation` with the seed in its text."""
+    """Run one schedule; raises `Violation` with the seed in its text."""
     try:
         return History(seed, folder, breakage).run()
     except Violation as error:
@@ -537,7 +539,7 @@
 
 
 def main() -> int:
-    """Run many schedules; 1 if one breaks a rule."""
+    """Run many schedules and return the exit status: 1 if any schedule breaks a rule, else 0."""
     words = argparse.ArgumentParser(description=__doc__)
     words.add_argument("--seeds", type=int, default=200)
     words.add_argument("--first", type=int, default=0)
@@ -552,7 +554,7 @@
             except Violation as error:
                 broken += 1
                 print(error)
-    print(f"{given.seeds} schedules, {judged} views judged, {broken} broke a rule")
+    print(f"{given.seeds} schedules, {judged} views checked, {broken} broke a rule")
     return 1 if broken else 0
 
 
--- a/brambleusher/lab/control/xds.py
+++ b/brambleusher/lab/control/xds.py
@@ -1,7 +1,7 @@
-"""Stand-ins for proxies that subscribe over xDS: both variants of the protocol, without I/O.
+"""Stand-ins for proxies that subscribe over xDS, for both variants of the protocol, without I/O.
 
-They follow the published protocol's client side in Envoy's order (clusters, endpoints, listeners,
-routes) and share no code with the service: what they believe is read from the published messages.
+The stand-ins implement the client side of the published protocol in Envoy's order (clusters, endpoints,
+listeners, routes).  They share no code with the service and decode the published protobuf messages.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """A node as a proxy was told of it."""
+    """A node as described in an assignment that a proxy received."""
 
     address: str
     usable: bool
@@ -49,7 +49,10 @@
 
 
 def endpoints_of(assignment: Any) -> Iterator[Endpoint]:
-    """The nodes in an assignment; of one locality a node, the locality's weight is its own."""
+    """Yield the nodes of an assignment.
+
+    Where each node has a locality of its own (a sub-zone), the locality's weight is the node's weight.
+    """
     for part in assignment.endpoints:
         for each in part.lb_endpoints:
             where = each.endpoint.address.socket_address
@@ -62,7 +65,7 @@
 
 
 def routes_of(listener: Any) -> str | None:
-    """The route table that a listener names."""
+    """Return the name of the route table that a listener refers to."""
     manager = hcm_pb2.HttpConnectionManager()
     packed = listener.api_listener.api_listener
     if not listener.HasField("api_listener"):
@@ -72,9 +75,9 @@
 
 @dataclass(slots=True)
 class _Held:
-    """One kind: what is wanted, what is held."""
+    """Subscription to one resource type: the requested names, and the resources received."""
 
-    names: list[str]  # empty: all
+    names: list[str]  # requested names; empty for all resources
     version: str = ""
     nonce: str = ""
     resources: dict[str, Any] = field(default_factory=dict)
@@ -82,9 +85,10 @@
 
 
 class ProxyStandIn:
-    """One proxy: bytes of responses in, bytes of requests out; survives its connections.
+    """A proxy that turns the bytes of responses into the bytes of requests, over any number of connections.
 
-    `verdict` may refuse a response: it is given its kind and resources and gives a reason.
+    `verdict` is called with a response's type and resources, and returns a reason to reject the response
+    or None to accept it.
     """
 
     def __init__(
@@ -103,7 +107,7 @@
     # --- requests -------------------------------------------------------------------------------
 
     def connect(self, forget: bool = False) -> list[bytes]:
-        """A new stream's first requests; with `forget` the proxy has been started anew."""
+        """Return the first requests of a new stream; `forget` discards all state, as a restart does."""
         if forget:
             self.kinds.clear()
         self.kinds.setdefault(CLUSTER, _Held([]))
@@ -135,14 +139,14 @@
         return bytes(message.SerializeToString())
 
     def acknowledge(self, kind: str, nonce: str) -> bytes:
-        """Accept a response by its nonce alone, for one that does not look at what is in it."""
+        """Return the request that accepts a response by its nonce, without decoding the response."""
         self.kinds[kind].nonce = nonce
         return self._ask(kind)
 
     # --- responses ------------------------------------------------------------------------------
 
     def receive(self, data: bytes) -> list[bytes]:
-        """Take a response in; the requests that it leads to, the acknowledgement first."""
+        """Process a response and return the resulting requests, the acknowledgement first."""
         self.responses += 1
         message: Any
         if self.incremental:
@@ -176,7 +180,7 @@
         return _KINDS[kind].FromString(packed.value)
 
     def _follow(self, kind: str) -> list[bytes]:
-        """What a response makes the proxy want next."""
+        """Return the requests for resources that a response of one type refers to."""
         if kind == CLUSTER:
             clusters = self.kinds[CLUSTER].resources.values()
             names = sorted({each.eds_cluster_config.service_name or each.name for each in clusters})
@@ -206,15 +210,15 @@
             held.versions.pop(name, None)
         return [self._ask(kind, more=more, less=less)]
 
-    # --- what it believes -----------------------------------------------------------------------
+    # --- received state -------------------------------------------------------------------------
 
     def endpoints(self) -> list[Endpoint]:
-        """All nodes it was told of."""
+        """Return all nodes of the received assignments."""
         held = self.kinds.get(ASSIGNMENT)
         return [] if held is None else [e for each in held.resources.values() for e in endpoints_of(each)]
 
     def complete(self) -> bool:
-        """Whether it has routes, and all that they lead to."""
+        """Return whether the proxy has routes, and the cluster and assignment of each route."""
         if ROUTES not in self.kinds or not self.kinds[ROUTES].resources:
             return False
         clusters = self.kinds[CLUSTER].resources
@@ -229,7 +233,7 @@
         return True
 
     def usable(self) -> dict[str, int]:
-        """The nodes of the best priority that has any, with their weights."""
+        """Return the addresses and weights of the usable nodes with the best priority."""
         nodes = [each for each in self.endpoints() if each.usable and each.weight]
         best = min((each.priority for each in nodes), default=0)
         return {each.address: each.weight for each in nodes if each.priority == best}
--- a/brambleusher/lab/control/xds_caller.js
+++ b/brambleusher/lab/control/xds_caller.js
@@ -1,5 +1,5 @@
-// Calls through the xDS client of gRPC for Node, which is written in JavaScript alone, until it is ended,
-// two minutes at the most.
+// Makes one call after another through the pure JavaScript xDS client of gRPC for Node.js, until killed or
+// for at most two minutes.
 // GRPC_XDS_BOOTSTRAP=FILE NODE_PATH=MODULES node xds_caller.js xds:///NAME CALLER
 const grpc = require('@grpc/grpc-js');
 require('@grpc/grpc-js-xds').register();
--- a/brambleusher/lab/control/xds_caller.py
+++ b/brambleusher/lab/control/xds_caller.py
@@ -1,4 +1,4 @@
-"""Calls through gRPC's own xDS client, one after another, until it is ended, two minutes at the most.
+"""Make one call after another through gRPC's own xDS client, until killed or for at most two minutes.
 
 GRPC_XDS_BOOTSTRAP=FILE python -m brambleusher.lab.control.xds_caller xds:///NAME CALLER
 """
@@ -14,7 +14,7 @@
 
 
 def main(target: str, name: str) -> None:
-    """Call `/look/Get`, with the caller's name for a body; failures are told on standard error."""
+    """Call `/look/Get` with the caller's name as the body; failures are printed to standard error."""
     with grpc.insecure_channel(target) as channel:
         call = channel.unary_unary("/look/Get")
         until = time.monotonic() + MOST
--- a/brambleusher/lab/control/xds_live.py
+++ b/brambleusher/lab/control/xds_live.py
@@ -1,4 +1,4 @@
-"""Stand-in proxies on real streams, stand-in gRPC backends, and a control service to try them on."""
+"""Stand-in proxies on real gRPC streams, stand-in gRPC backends, and a control service process for tests."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 from brambleusher.lab.control.xds import STREAM_METHODS, ProxyStandIn
 
-WAIT = 30.0  # a bound on what must come, not a time anything should take
+WAIT = 30.0  # timeout in seconds for expected events, far above their usual duration
 METHODS = ("look", "move")
 
 
 class LiveProxy:
-    """A stand-in proxy on a connection of its own; `heard_at` is when its last response came."""
+    """A stand-in proxy with its own connection; `heard_at` is the time of its last response."""
 
     def __init__(
         self,
@@ -38,23 +38,23 @@
     ) -> None:
         self.proxy, self.heard_at = proxy, 0.0
         options = [("grpc.use_local_subchannel_pool", 1), ("grpc.max_receive_message_length", -1)]
-        if window is not None:  # how many bytes may be on their way to it
+        if window is not None:  # flow-control window: bytes that may be in flight to the proxy
             options += [("grpc.http2.bdp_probe", 0), ("grpc.http2.lookahead_bytes", window)]
         if credentials is None:
             self._channel = grpc.aio.insecure_channel(target, options=options)
         else:
             self._channel = grpc.aio.secure_channel(target, credentials, options=options)
         self._news = asyncio.Event()
-        self.reading = asyncio.Event()  # cleared: it stops reading
+        self.reading = asyncio.Event()  # while cleared, the proxy reads no responses
         self.reading.set()
         self.ended: grpc.StatusCode | None = None
         self.why = ""
         self._task: asyncio.Task[None] | None = None
 
     def start(self, forget: bool = False) -> None:
-        """Begin a stream."""
+        """Open a stream."""
         self.ended = None
-        # Now, not when the task first runs: who looks at the proxy before that would see what it held.
+        # Resets the proxy's state now and not when the task first runs, or a caller could see stale state.
         opening = list(self.proxy.connect(forget))
         self._task = asyncio.get_running_loop().create_task(self._run(opening))
 
@@ -79,7 +79,7 @@
             self._news.set()
 
     async def until(self, what: Callable[[], bool]) -> None:
-        """Wait for something that a response brings about."""
+        """Wait for a condition that a response makes true; raises `TimeoutError` after `WAIT` seconds."""
         async with asyncio.timeout(WAIT):
             while not what():
                 self._news.clear()
@@ -95,7 +95,7 @@
 
 
 class Backend:
-    """A gRPC endpoint; `seen` has the caller's name, the node's and the time of each call."""
+    """A gRPC server; `seen` receives the caller's name, the backend's name and the time of each call."""
 
     def __init__(self, name: str, seen: queue.Queue[tuple[str, str, float]]) -> None:
         self.name, self.seen = name, seen
@@ -113,12 +113,12 @@
         return self.name.encode()
 
     def stop(self) -> None:
-        """Serve no more."""
+        """Stop the server."""
         self._server.stop(None)
 
 
 def entry(name: str, port: int, state: str = "Ready", zone: str = "z", started_ms: int = 0) -> dict[str, Any]:
-    """A node in discovery's words."""
+    """Return a node's entry in the format of the discovery protocol."""
     return {
         "id": name, "addr": f"127.0.0.1:{port}", "zone": zone, "kind": "k", "cell": 0,
         "state": state, "weight": 1.0, "started_ms": started_ms,
@@ -126,7 +126,7 @@
 
 
 class LiveDiscovery:
-    """A discovery on a socket: each watch gets the whole list, then what is pushed."""
+    """A discovery service on a socket: each watch receives the whole list, then each change."""
 
     def __init__(self, servers: list[dict[str, Any]], version: int = 1) -> None:
         self.version, self.servers = version, {each["id"]: each for each in servers}
@@ -172,7 +172,7 @@
                 self._watches.remove(sock)
 
     def change(self, *servers: dict[str, Any]) -> float:
-        """Write a change to all watches; says when it was written."""
+        """Write a change to all watches, and return the time of the write."""
         with self._lock:
             self.version += 1
             self.servers.update({each["id"]: each for each in servers})
@@ -182,7 +182,7 @@
             return at
 
     def whole(self, servers: list[dict[str, Any]]) -> float:
-        """Write a whole new list to all watches."""
+        """Write a whole new list to all watches, and return the time of the write."""
         with self._lock:
             self.version += 1
             self.servers = {each["id"]: each for each in servers}
@@ -192,7 +192,7 @@
             return at
 
     def cut(self, version: int | None = None, servers: list[dict[str, Any]] | None = None) -> None:
-        """End all watches; the next ones get another list where one is given."""
+        """Disconnect all watches; later watches receive the given list, or the current one without it."""
         with self._lock:
             if version is not None and servers is not None:
                 self.version, self.servers = version, {each["id"]: each for each in servers}
@@ -203,7 +203,7 @@
             self._watches.clear()
 
     def close(self) -> None:
-        """Be no more."""
+        """Stop the service and disconnect all watches."""
         self.ended = True
         with contextlib.suppress(OSError):
             self.listener.shutdown(socket.SHUT_RDWR)
@@ -212,7 +212,7 @@
 
 
 class ControlProgram:
-    """`brambleusher control` as a process."""
+    """A process that runs `brambleusher control`."""
 
     def __init__(self, config: Path) -> None:
         self.process = subprocess.Popen(
@@ -225,27 +225,27 @@
         self.addresses: dict[str, str] = json.loads(line)
 
     def kill(self) -> None:
-        """End it at once."""
+        """Kill the process."""
         self.process.kill()
         self.process.wait()
 
     def end(self) -> int:
-        """Have it end; its exit status."""
+        """Terminate the process, and return its exit status."""
         self.process.terminate()
         return self.process.wait(WAIT)
 
 
 def modules(root: Path) -> Path:
-    """Where the packages of gRPC's client for Node are installed, if they are."""
+    """Return the directory in which the packages of gRPC's client for Node.js would be installed."""
     return root / ".venv" / "js" / "node_modules"
 
 
 def caller_commands(root: Path) -> dict[str, list[str]]:
-    """Programs that call through xDS, by the client that they use: each that is there."""
+    """Return the command lines of the installed programs that call through xDS, by client library."""
     out = {"gRPC, C core": [sys.executable, "-m", "brambleusher.lab.control.xds_caller", "xds:///grpc-web"]}
     node = shutil.which("node")
     if node is not None and (modules(root) / "@grpc" / "grpc-js-xds").exists():
-        # The trap handler reserves more addresses than a machine with a limit on them has.
+        # The trap handler reserves more virtual address space than a limit on the machine may allow.
         script = str(Path(__file__).parent / "xds_caller.js")
         out["gRPC, JavaScript"] = [node, "--disable-wasm-trap-handler", script, "xds:///grpc-web"]
     return out
@@ -253,7 +253,7 @@
 
 @contextlib.contextmanager
 def callers(commands: dict[str, list[str]], environment: dict[str, str]) -> Iterator[Callable[[], None]]:
-    """Programs that call through xDS until they are ended; what is yielded raises where one has ended."""
+    """Run programs that call through xDS; the yielded function raises if one of them has exited."""
     running = {
         name: subprocess.Popen([*command, name], env=environment) for name, command in commands.items()
     }
@@ -261,7 +261,7 @@
     def check() -> None:
         for name, each in running.items():
             if each.poll() is not None:
-                raise RuntimeError(f"the caller {name} has ended with {each.returncode}")
+                raise RuntimeError(f"the caller {name} has exited with status {each.returncode}")
 
     try:
         yield check
--- a/brambleusher/lab/control/xds_rules.py
+++ b/brambleusher/lab/control/xds_rules.py
@@ -1,7 +1,7 @@
-"""The rules that the published protos carry for their fields, checked as Envoy checks them.
+"""Checks of protobuf messages against the field rules of the published protos, as Envoy performs them.
 
-Envoy refuses a resource that breaks one.  They stand in the protos as options (`validate.rules`);
-a rule of a kind that is not known here is an error, so that nothing passes unlooked at.
+Envoy rejects a resource that violates a rule.  The rules are options in the protos (`validate.rules`); a
+rule of an unsupported kind raises an error, so that no rule is skipped silently.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 def _number(value: Any) -> Any:
-    """A duration in nanoseconds; anything else as it is."""
+    """Return a duration in nanoseconds, and any other value unchanged."""
     return value.ToNanoseconds() if isinstance(value, duration_pb2.Duration) else value
 
 
@@ -60,9 +60,9 @@
         elif name in _TESTS:
             good = _TESTS[name](_number(value), _number(rule))
         else:
-            raise NotImplementedError(f"the rule {kind}.{name}")
+            raise NotImplementedError(f"unsupported rule {kind}.{name}")
         if not good:
-            yield f"is {str(value)[:60]!r}, against {kind}.{name} {str(rule)[:60]}"
+            yield f"is {str(value)[:60]!r}, which violates {kind}.{name} {str(rule)[:60]}"
 
 
 def _field_rules(value: Any, rules: Any, field: FieldDescriptor) -> Iterator[str]:
@@ -70,15 +70,15 @@
     if kind is None:
         return
     if kind == "map":
-        raise NotImplementedError("rules of a map")
+        raise NotImplementedError("unsupported rules of a map field")
     if isinstance(value, Message) and hasattr(value, "value") and not isinstance(value, any_pb2.Any):
-        value = value.value  # a wrapped number has the number's rules
+        value = value.value  # the rules of a wrapper message apply to the wrapped value
     yield from _breaks(value, kind, getattr(rules, kind), field)
 
 
 def _missing(message: Message, field: FieldDescriptor, rules: Any) -> bool:
-    """Whether a field that must be there is not."""
-    if field.containing_oneof is not None:  # required where it is the one that was chosen
+    """Return whether a required field is missing."""
+    if field.containing_oneof is not None:  # required only if it is the field set in the oneof
         return False
     kind = rules.WhichOneof("type")
     required = rules.message.required or (
@@ -88,7 +88,7 @@
 
 
 def faults(message: Message, path: str = "") -> Iterator[str]:
-    """Every rule that a message, or one within it, breaks; what is packed in it is unpacked."""
+    """Yield a text for each rule that a message or a nested message violates, with `Any` fields unpacked."""
     path = path or message.DESCRIPTOR.name
     if isinstance(message, any_pb2.Any):
         inner = symbol_database.Default().GetSymbol(message.TypeName())()
--- a/brambleusher/lab/faults/__init__.py
+++ b/brambleusher/lab/faults/__init__.py
@@ -1,1 +1,1 @@
-"""One vocabulary of faults for both worlds: kinds, what each does to a fleet, deliberate breakages."""
+"""Faults for the virtual and the real world: kinds, their effects on a fleet, and deliberate bugs."""
--- a/brambleusher/lab/faults/kinds.py
+++ b/brambleusher/lab/faults/kinds.py
@@ -789,5 +789,5 @@
     for number, fault in enumerate(faults):
         if fault.target and fault.target not in targets_of(type(fault), world):
             raise ValueError(
-                f"faults[{number}]: target {fault.target!r} of {fault.kind} is not a known {fault.targets}"
+                f"faults[{number}]: {fault.kind} is aimed at {fault.target!r}: unknown {fault.targets}"
             )
--- a/brambleusher/lab/fleets/__init__.py
+++ b/brambleusher/lab/fleets/__init__.py
@@ -1,1 +1,1 @@
-"""Fleets as figures and as what is put together of them, on whichever stage."""
+"""Fleet definitions, and the fleets built from them in the virtual or the real world."""
--- a/brambleusher/lab/fleets/figures.py
+++ b/brambleusher/lab/fleets/figures.py
@@ -1,8 +1,8 @@
-"""Worlds in figures: everything a run starts from, as plain data, and its draw from ranges and a seed.
+"""World definitions: the initial conditions of a run as plain data, drawn from ranges and a seed.
 
-The usual ranges fit the deployment `atlanta-resale` at a small size, with work and aims shortened so that
-a few virtual seconds hold faults that begin and end and the time to get well again.  What the protocol
-and the program fix (the drain's 500 ms, the watch's 2 s, idle limits) keeps its length.
+The default ranges describe a small version of the deployment `atlanta-resale`.  Work and latency targets are
+shortened so that a few virtual seconds contain whole faults and the recovery from them.  Times that the
+protocol and the program fix (500 ms of drain grace, 2 s between heartbeats, idle limits) are not shortened.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
     Settings,
 )
 
-Range = tuple[float, float]  # both ends may be drawn
+Range = tuple[float, float]  # both bounds are inclusive
 
 NODE_PORT, SIDECAR_PORT, DISCOVERY_PORT, DOOR_PORT = 9000, 9000, 8500, 9100
 
@@ -34,11 +34,11 @@
 
 
 class ClassFigures(Settings, frozen=True):
-    """One class of request."""
+    """A request class: its share of the requests, its work, latency target, deadline and value."""
 
     name: str
     share: Part
-    work_s: Positive  # the mean, on a standard core
+    work_s: Positive  # mean work, in seconds on a standard core
     spread: Seconds  # standard deviation of the logarithm of the work
     aim_s: Positive
     deadline_s: Positive
@@ -47,21 +47,24 @@
     unsafe: bool = False
 
     def draw_work(self, rng: random.Random) -> float:
-        """One request's work in seconds of a standard core: lognormal, and never near the whole aim."""
+        """Draw the work of a request in seconds on a standard core.
+
+        The distribution is lognormal, bounded by 80 % of the latency target.
+        """
         work = self.work_s * math.exp(self.spread * rng.gauss(0, 1) - self.spread**2 / 2)
         return min(max(work, 0.002), self.aim_s * 0.8)
 
 
 class TenantFigures(Settings, frozen=True):
-    """One tenant."""
+    """A tenant, its share of the requests and its use of its quota."""
 
     name: str
     share: Part
-    usage: Positive  # of its quota
+    usage: Positive  # fraction of the tenant's quota that its requests use
 
 
 class NodeFigures(Settings, frozen=True):
-    """One endpoint: its place, and its settings."""
+    """A node: its zone, kind and cell, and the settings of its stand-in."""
 
     id: str
     zone: str
@@ -69,11 +72,11 @@
     cell: Count = 0
     weight: Seconds = 1.0
     settings: NodeSettings = NodeSettings()
-    spare: bool = False  # not there at the start; a fault may bring it
+    spare: bool = False  # not running at the start; a fault may start the node
 
 
 class SidecarFigures(Settings, frozen=True):
-    """One sidecar's machine, and what it is told at its start."""
+    """A sidecar's machine, and the configuration that the sidecar starts with."""
 
     name: str
     zone: str
@@ -84,21 +87,21 @@
 
 
 class NetworkFigures(Settings, frozen=True):
-    """Latencies, one way."""
+    """One-way network latencies, and the imperfections of sockets."""
 
     same_zone_s: Seconds = 0.0002
     cross_zone_s: Seconds = 0.0006
     client_s: Seconds = 0.00005
-    jitter: Part = 0.2  # of the latency, at most, on top of it
-    split: Part = 0.0  # of what is sent: comes in two parts, cut at any byte
-    short_send: Part = 0.0  # of sends: takes a part only
-    short_receive: Part = 0.0  # of receives: gives a part only
-    aborted_accepts: Part = 0.0  # of connections reset before they are accepted: ECONNABORTED
+    jitter: Part = 0.2  # largest added latency, as a fraction of the latency
+    split: Part = 0.0  # fraction of sends that arrive in two pieces, split at a random byte
+    short_send: Part = 0.0  # fraction of sends that accept only some of the bytes
+    short_receive: Part = 0.0  # fraction of receives that return only some of the available bytes
+    aborted_accepts: Part = 0.0  # fraction of connections reset before they are accepted, as ECONNABORTED
     buffer_bytes: Annotated[int, msgspec.Meta(ge=2048)] = 65536
 
 
 class RuleFigures(Settings, frozen=True):
-    """What sidecars must keep to, as their settings tell them."""
+    """The rules of the deployment that sidecars receive in their settings."""
 
     drain_grace_s: Seconds = 0.5
     must_ask_s: Positive = 10.0
@@ -112,53 +115,54 @@
     connect_timeout_s: Positive = 0.25
     tick_s: Positive = 0.005
     over_share_worth: Part = 0.05
-    connection_fee: Seconds = 0.075  # of each open one, and of each that is opened; with both at 0 a
-    handshake_fee: Seconds = 0.075  # sidecar uses more nodes
+    # With both fees at 0, a sidecar uses more nodes.
+    connection_fee: Seconds = 0.075  # cost of each open connection
+    handshake_fee: Seconds = 0.075  # cost of each newly opened connection
 
 
 class ProcessorFigures(Settings, frozen=True):
-    """What a sidecar's part of a core makes of its work, in time, on average; 0 where it is plenty."""
+    """Mean delays due to a sidecar's limited share of a CPU core; 0 for a share that causes no delay."""
 
-    start_s: Seconds = 0.0  # from a start to the first step of the program
-    round_s: Seconds = 0.0  # from one poll to the next
+    start_s: Seconds = 0.0  # time from the start of the process to the program's first step
+    round_s: Seconds = 0.0  # time from one poll to the next
 
 
 class WorldFigures(Settings, frozen=True):
-    """A whole world, all drawn."""
+    """A whole world, with all values drawn."""
 
-    length_s: Positive  # until the last arrival
-    faults_s: Positive  # by then all faults have ended
+    length_s: Positive  # time of the last request
+    faults_s: Positive  # time by which all faults have ended
     zones: tuple[str, ...]
     sidecars: tuple[SidecarFigures, ...]
     nodes: tuple[NodeFigures, ...]
     classes: tuple[ClassFigures, ...]
     tenants: tuple[TenantFigures, ...] = ()
     requests_per_s: Positive = 14.0
-    opens_s: Seconds = 0.0  # a resale opens
-    crowd: Part = 0.0  # of all requests that come within a quarter of a second then
+    opens_s: Seconds = 0.0  # time at which a resale opens
+    crowd: Part = 0.0  # fraction of all requests that arrive within 0.25 seconds after a resale opens
     discovery: DiscoverySettings = DiscoverySettings()
-    notice_s: Seconds = 0.5  # until discovery has heard of a process that starts or drains
-    silent_notice_s: Seconds = 1.5  # until it has heard of one that died without a word
+    notice_s: Seconds = 0.5  # time until discovery learns of a process that starts or drains
+    silent_notice_s: Seconds = 1.5  # time until discovery learns of a process that crashed
     network: NetworkFigures = NetworkFigures()
     clients: ClientSettings = ClientSettings()
     rules: RuleFigures = RuleFigures()
     processor: ProcessorFigures = ProcessorFigures()
-    operator: dict[str, Any] = {}  # sections of the sidecars' operator file beside `capture`  # noqa: RUF012
+    operator: dict[str, Any] = {}  # sections of the sidecars' operator file except `capture`  # noqa: RUF012
 
     @property
     def capacity(self) -> float:
-        """What all nodes there at the start can work, in seconds of a standard core a second."""
+        """Capacity of all nodes running at the start, in seconds of work on a standard core per second."""
         return sum(node.settings.cores * node.settings.speed for node in self.nodes if not node.spare)
 
     @property
     def mean_work_s(self) -> float:
-        """Of a request."""
+        """Mean work of a request, in seconds on a standard core."""
         return sum(each.share * each.work_s for each in self.classes) / sum(
             each.share for each in self.classes
         )
 
     def sidecar_settings(self, number: int) -> dict[str, Any]:
-        """The object `settings` of a sidecar's configuration."""
+        """Return the object `settings` of a sidecar's configuration."""
         rules, own = self.rules, self.sidecars[number]
         rate = self.requests_per_s
         coldest = min(node.settings.cold_from for node in self.nodes)
@@ -212,7 +216,7 @@
 
 
 class ClassRanges(Settings, frozen=True):
-    """What a class is drawn from."""
+    """Ranges from which a request class is drawn."""
 
     name: str
     share: Range
@@ -226,7 +230,7 @@
 
 
 class KindRanges(Settings, frozen=True):
-    """What a kind of node is drawn from."""
+    """Ranges from which the nodes of one kind are drawn."""
 
     name: str
     share: Range
@@ -241,17 +245,17 @@
 
 
 class Ranges(Settings, frozen=True):
-    """What worlds are drawn from."""
+    """Ranges from which worlds are drawn."""
 
     faults_s: Range = (2.6, 3.4)
-    after_s: Range = (4.8, 5.4)  # of calm, for getting well again and for being seen to be
+    after_s: Range = (4.8, 5.4)  # time without faults, for the recovery and for the check of the recovery
     zones: tuple[str, ...] = ("atl-north", "atl-south", "macon", "augusta")
     sidecars: tuple[int, int] = (1, 3)
     nodes: tuple[int, int] = (3, 5)
     spares: tuple[int, int] = (1, 2)
-    load: Range = (0.12, 0.55)  # of the capacity
+    load: Range = (0.12, 0.55)  # work of all requests, as a fraction of the capacity
     requests_per_s: Range = (11.0, 15.0)
-    opens: Range = (0.3, 0.6)  # of the time in which there are faults
+    opens: Range = (0.3, 0.6)  # time at which a resale opens, as a fraction of `faults_s`
     crowd: Range = (0.12, 0.6)
     usage: Range = (0.54, 1.4)
     kinds: tuple[KindRanges, ...] = (
@@ -297,7 +301,7 @@
     report_period_s: Range = (0.3, 0.8)
     report_delay_s: Range = (0.06, 0.18)
     report_noise: Range = (0.001, 0.07)
-    fall_s: Range = (1.0, 2.0)  # as short as aims and cold times are
+    fall_s: Range = (1.0, 2.0)  # shortened like the latency targets and warm-up times
     connections: Range = (24.0, 900.0)
     full_tax: Range = (0.16, 0.38)
     handshake_s: Range = (0.0004, 0.0024)
@@ -315,36 +319,36 @@
 
 
 class Drawer:
-    """Draws from ranges; one of its own for each purpose, so that none shifts the others'."""
+    """Draws values from ranges; each purpose has a separate generator, so that draws stay independent."""
 
     def __init__(self, seed: int, purpose: str) -> None:
         self.rng = random.Random(f"{seed}/{purpose}")
 
     def of(self, range_: Range) -> float:
-        """Evenly from a range, with few enough digits to be read."""
+        """Draw a value uniformly from a range, rounded to four significant digits."""
         return _short(self.rng.uniform(*range_))
 
     def log(self, range_: Range) -> float:
-        """Evenly by order of magnitude."""
+        """Draw a value whose logarithm is uniform over a range, rounded to four significant digits."""
         low, high = range_
         return _short(math.exp(self.rng.uniform(math.log(low), math.log(high))))
 
     def whole(self, range_: tuple[int, int] | Range) -> int:
-        """A whole number; both ends may be drawn."""
+        """Draw an integer from a range with inclusive bounds."""
         return self.rng.randint(int(range_[0]), int(range_[1]))
 
     def chance(self, part: float) -> bool:
-        """True in that part of all draws."""
+        """Return True with probability `part`."""
         return self.rng.random() < part
 
 
 def _short(value: float) -> float:
-    """Four significant digits: what a scenario file can hold and still give the same run."""
+    """Round to four significant digits, which a scenario file reproduces exactly."""
     return float(f"{value:.4g}")
 
 
 def draw_world(seed: int, ranges: Ranges | None = None) -> WorldFigures:
-    """One world: the same for the same seed and ranges, in every process."""
+    """Draw a world, which depends only on the seed and the ranges."""
     ranges = ranges or Ranges()
     draw = Drawer(seed, "world")
     classes = tuple(
@@ -366,7 +370,7 @@
     capacity = sum(node.settings.cores * node.settings.speed for node in nodes if not node.spare)
     mean_work = sum(each.share * each.work_s for each in classes) / sum(each.share for each in classes)
     rate = draw.of(ranges.requests_per_s)
-    # The rate is what a run can afford; the work is stretched or shortened to make the load.
+    # The request rate is limited by the cost of a run, so the work per request is scaled to reach the load.
     stretch = draw.of(ranges.load) * capacity / (rate * mean_work)
     stretch = min(1.6, max(0.5, stretch))
     classes = tuple(msgspec.structs.replace(each, work_s=_short(each.work_s * stretch)) for each in classes)
@@ -411,10 +415,10 @@
 
 
 def _draw_nodes(draw: Drawer, ranges: Ranges, fall_s: float) -> tuple[NodeFigures, ...]:
-    """The nodes there at the start, then the spares; each kind and, as far as they go, each zone is there."""
+    """Draw the initial nodes, then the spares, with each kind and as many of the zones as possible."""
     count, spares = draw.whole(ranges.nodes), draw.whole(ranges.spares)
     shares = [draw.of(kind.share) for kind in ranges.kinds]
-    # What all nodes share: the make of the fleet.
+    # These settings are common to all nodes of a fleet.
     period, delay = draw.of(ranges.report_period_s), draw.of(ranges.report_delay_s)
     noise, idle = draw.log(ranges.report_noise), draw.log(ranges.idle_s)
     handshake, handshake_work = draw.of(ranges.handshake_s), draw.of(ranges.handshake_work_s)
@@ -460,16 +464,16 @@
 
 # --- demand ---------------------------------------------------------------------------------------
 
-LEAST_REQUESTS = 60  # that come after the faults
-CROWD_S = 0.25  # within so long a crowd comes
-# Once the faults are over the crowd goes home: at most so much of the capacity is asked for, in even steps,
-# so that whoever is not served then is owed to the program and not to chance.
+LEAST_REQUESTS = 60  # minimum number of requests after the faults
+CROWD_S = 0.25  # time within which all requests of a crowd arrive, in seconds
+# After the faults, requests arrive at even intervals and use at most this fraction of the capacity, so that
+# a request that is not served then is due to the program and not to chance.
 CALM_LOAD = 0.18
 CALM_AFTER_S = 0.5
 
 
 def draw_asks(seed: int, world: WorldFigures) -> tuple[Ask, ...]:
-    """What the clients ask for over a run: arrivals at random, now and then many at once."""
+    """Draw the requests of a run, with random arrival times and in some worlds a crowd."""
     draw = Drawer(seed, "asks")
     rng = draw.rng
     times: list[float] = []
@@ -477,20 +481,20 @@
     times = [world.opens_s + rng.uniform(0, CROWD_S) for _ in range(int(count * world.crowd))]
     times += [rng.uniform(0, world.length_s - 0.05) for _ in range(count - len(times))]
     calm_from = world.faults_s + CALM_AFTER_S
-    # Enough of them when all sidecars are up: what comes while one is down is not taken by anybody.
+    # Enough requests must arrive while all sidecars are up: a stopped sidecar serves none.
     late = max(LEAST_REQUESTS, sum(at > calm_from for at in times))
     gap = (world.length_s - 0.05 - calm_from) / late
     times = [at for at in times if at <= calm_from]
     times += [calm_from + gap * (number + rng.random()) for number in range(late)]
     calm = min(1.0, CALM_LOAD * world.capacity * gap / world.mean_work_s)
-    weights = [rng.uniform(0.3, 1.7) for _ in world.sidecars]  # some get far more than others
+    weights = [rng.uniform(0.3, 1.7) for _ in world.sidecars]  # uneven load of the sidecars
     asks = []
 
     def crowded(at: float) -> bool:
         return bool(world.crowd) and world.opens_s <= at < world.opens_s + CROWD_S
 
     for at in sorted(_short(max(0.0001, time)) for time in times):
-        # A crowd has come to buy: what costs more is asked for more often.
+        # A crowd comes to buy, so more of its requests belong to the expensive classes.
         shares = [each.share * (each.work_s if crowded(at) else 1.0) for each in world.classes]
         of = rng.choices(world.classes, shares)[0]
         work = of.draw_work(rng)
--- a/brambleusher/lab/fleets/fleet.py
+++ b/brambleusher/lab/fleets/fleet.py
@@ -1,7 +1,7 @@
-"""A whole fleet in a virtual world, built from a scenario: discovery, nodes, sidecars, clients.
+"""A whole fleet in a world, built from a scenario: discovery, nodes, sidecars and clients.
 
-The sidecars are the program's own `Sidecar`, given a configuration as the platform writes it.  What the
-fleet does to others goes through their own schedulers (`call_soon`), so that it happens in their process.
+The sidecars run the program's own `Sidecar` with a configuration in the platform's format.  The fleet acts
+on a process through that process's own scheduler (`call_soon`), so that the action runs in the process.
 """
 
 from __future__ import annotations
@@ -47,49 +47,49 @@
 from brambleusher.sidecar.configuration import Config, parse_config
 
 SECOND = 10**9
-LEAD_IN_S = 1.2  # from the start of the processes to the first request that may come
-SETTLE_S = 6.0  # the most that all that is open may take to end
-LIVE_TIMERS = 24  # a sidecar at rest has a handful
+LEAD_IN_S = 1.2  # time from the start of the processes to the earliest request, in seconds
+SETTLE_S = 6.0  # time limit for all open requests and connections to end, in seconds
+LIVE_TIMERS = 24  # maximum number of timers of an idle sidecar, which usually has fewer than ten
 LOOK_AGAIN_NS = 50_000_000
 CALM_AGAIN_S = 0.25
-GOOD_LOAD = 0.6  # of the capacity after the faults: above it nobody is asked to get well in time
-CLIENTS, BAD_CLIENTS, OPERATORS = "clients", "bad clients", "operators"  # machines
+GOOD_LOAD = 0.6  # largest load after the faults, as a fraction of the capacity, for which recovery is checked
+CLIENTS, BAD_CLIENTS, OPERATORS = "clients", "bad clients", "operators"  # names of machines
 CAPTURE = {"ring_kb": 768}
 
 
 class Audience(Protocol):
-    """Is told what a checker can't see on the wire; times are monotonic nanoseconds."""
+    """Receives the events that a checker can't see on the wire, with times in monotonic nanoseconds."""
 
     def sidecar(self, now: int, machine: str, config: bytes) -> None:
-        """A sidecar is about to start on a machine."""
+        """Record that a sidecar is about to start on a machine."""
 
     def discovery(self, address: Address) -> None:
-        """Discovery can be had here too."""
+        """Record an additional address of the discovery service."""
 
     def node(self, now: int, name: str, address: Address, started_ms: int) -> None:
-        """A node's process is about to take connections."""
+        """Record that a node's process is about to accept connections."""
 
     def bad_client(self, who: str) -> None:
-        """What this machine sends may be bad."""
+        """Record that a machine hosts misbehaving clients."""
 
     def true_list(self, now: int, servers: list[dict[str, Any]], full: bool = False) -> None:
-        """Discovery has learnt of these."""
+        """Record changes that discovery has learnt of, or the whole list with `full`."""
 
     def discovery_able(self, now: int, able: bool, machine: str = "") -> None:
-        """Whether discovery can tell what it has learnt."""
+        """Record whether discovery can send updates, to one machine if given."""
 
     def starved(self, now: int, machine: str, on: bool) -> None:
-        """Whether a sidecar has too few descriptors left to accept connections with."""
+        """Record whether a sidecar has too few file descriptors left to accept connections."""
 
     def paused(self, now: int, machine: str, on: bool) -> None:
-        """Whether a sidecar's process is stopped."""
+        """Record whether a sidecar's process is paused."""
 
     def calm(self, now: int) -> None:
-        """The last fault has ended, and what is asked from here on can be served."""
+        """Record that the last fault has ended and that all later requests can be served."""
 
 
 class _Nobody:
-    """Hears nothing."""
+    """An audience that ignores all events."""
 
     def sidecar(self, now: int, machine: str, config: bytes) -> None: ...
     def discovery(self, address: Address) -> None: ...
@@ -103,7 +103,7 @@
 
 
 def world_of(scenario: Scenario) -> World:
-    """An empty world with the scenario's network."""
+    """Return an empty world with the scenario's network settings."""
     figures = scenario.world.network
     return World(
         scenario.seed,
@@ -120,17 +120,17 @@
 
 
 def node_address(number: int) -> Address:
-    """Where the node of that place in the scenario listens."""
+    """Return the listen address of a node, by its index in the scenario."""
     return f"10.1.0.{number + 1}", NODE_PORT
 
 
 def node_machine(number: int) -> str:
-    """The name of the machine that it stands on."""
+    """Return the name of a node's machine, by the node's index in the scenario."""
     return f"node {number}"
 
 
 def pace_of(world: WorldFigures) -> Pace | None:
-    """How a sidecar's process gets on with its part of a core; None where that is plenty."""
+    """Return the pace of a sidecar's process, or None if its share of a CPU core causes no delay."""
     processor = world.processor
     if not processor.start_s and not processor.round_s:
         return None
@@ -148,7 +148,7 @@
     version: int = 0,
     admin: Address | None = None,
 ) -> bytes:
-    """A sidecar's configuration file, in whichever world."""
+    """Return a sidecar's configuration file, for the virtual and the real world alike."""
     own = world.sidecars[number]
     return json.dumps(
         {
@@ -164,11 +164,11 @@
     ).encode()  # fmt: skip
 
 
-# --- places ---------------------------------------------------------------------------------------
+# --- managed processes ----------------------------------------------------------------------------
 
 
 class NodePlace:
-    """Where a node stands: its machine, the process there now, and why there may be none."""
+    """A node of the fleet: its machine, its current process, and the reasons that keep it from running."""
 
     def __init__(self, fleet: AnyFleet, figures: NodeFigures, machine: Machine) -> None:
         self.fleet, self.figures, self.machine = fleet, figures, machine
@@ -176,33 +176,33 @@
         self.troubles = Troubles()
         self.node: Node | None = None
         self.process: Process | None = None
-        self.processes = 0  # started under this id
+        self.processes = 0  # number of processes started under the current id
         self.started_ms = 0
-        self.down: list[object] = []  # what keeps it down
-        self.drains: list[object] = []  # what has it drain
-        self.told_draining: list[object] = []  # what has it listed as draining though it is not
-        self.dark: list[object] = []  # what keeps its machine without power
-        self.former: list[str] = []  # ids that it had before
+        self.down: list[object] = []  # reasons that keep the process stopped
+        self.drains: list[object] = []  # reasons for which the node drains
+        self.told_draining: list[object] = []  # reasons for discovery to list a serving node as draining
+        self.dark: list[object] = []  # reasons that keep the machine without power
+        self.former: list[str] = []  # previous ids of the node
         if figures.spare:
             self.down.append("spare")
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
+        """Address on which the node listens."""
         return self.machine.address(NODE_PORT)
 
     @property
     def up(self) -> bool:
-        """Whether its process runs and takes connections."""
+        """Whether the node's process runs and accepts connections."""
         return self.process is not None and not self.process.dead and not self.fallen
 
     @property
     def fallen(self) -> bool:
-        """Whether too much work while cold has brought it down for good."""
+        """Whether overload during warm-up has permanently stopped the node."""
         return self.node is not None and self.node.machine.fell_at is not None
 
     def entry(self) -> Entry:
-        """As it should be listed now."""
+        """Return the entry under which discovery should list the node now."""
         figures, state = self.figures, "Ready"
         if not self.up:
             state = "Gone"
@@ -214,15 +214,15 @@
             state=state,  # type: ignore[arg-type]
         )  # fmt: skip
 
-    # --- troubles -------------------------------------------------------------------------------
+    # --- injected faults ------------------------------------------------------------------------
 
     def begin(self, trouble: object) -> None:
-        """Switch one on, for this process and those after it."""
+        """Activate an injected fault for the current process and later ones."""
         self.troubles.begin(trouble)
         self._changed()
 
     def end(self, trouble: object) -> None:
-        """Switch it off."""
+        """Deactivate an injected fault."""
         self.troubles.end(trouble)
         self._changed()
 
@@ -233,7 +233,7 @@
     # --- processes ------------------------------------------------------------------------------
 
     def start(self, cold: bool = True) -> None:
-        """Start a process, unless one runs or something keeps it down."""
+        """Start a process, unless one is running or a reason prevents the start."""
         if self.down or self.up or self.fallen or self.machine.gone:
             return
         number, fleet = self.processes, self.fleet
@@ -257,17 +257,17 @@
         self.process = self.machine.serve(build, name)
 
     def kill(self, reset: bool = True) -> None:
-        """End its process at once."""
+        """Kill the node's process."""
         if self.process is not None:
             self.process.kill(reset)
 
     def drain(self, why: object) -> None:
-        """Let it finish what it has and want nothing new."""
+        """Drain the node for a given reason."""
         self.drains.append(why)
         self._set_draining()
 
     def undrain(self, why: object) -> None:
-        """Let it want new requests again."""
+        """Remove a reason for draining; the node is ready again when none is left."""
         self.drains = [each for each in self.drains if each is not why]
         self._set_draining()
 
@@ -276,42 +276,42 @@
             self.node.draining = bool(self.drains)
 
     def stop(self, why: object, reset: bool = True) -> None:
-        """End it, and keep it down for a reason."""
+        """Kill the process, and keep it stopped for a given reason."""
         self.down.append(why)
         self.kill(reset)
 
     def free(self, why: object) -> None:
-        """That reason is gone: start it, if it was the last."""
+        """Remove a reason that keeps the process stopped; start the process if none is left."""
         self.down = [each for each in self.down if each is not why]
         self.start()
 
     def replace(self, name: str) -> None:
-        """End its process, and start another one at once under a new id."""
+        """Kill the process and start another at once under a new id."""
         self.kill()
         self.former.append(self.id)
         self.id, self.processes = name, 0
         self.start()
 
     def vanish(self, why: object) -> None:
-        """Its machine loses its power."""
+        """Cut the power of the machine for a given reason."""
         self.dark.append(why)
         if not self.machine.gone:
             self.machine.vanish()
 
     def come_back(self, why: object) -> None:
-        """It has its power again, and starts, if nothing else keeps it."""
+        """Remove a reason for the power cut; if none is left, restore power and start the process."""
         self.dark = [each for each in self.dark if each is not why]
         if not self.dark and self.machine.gone:
             self.machine.come_back()
             self.start()
 
     def look(self, after_s: float) -> None:
-        """Discovery looks at it after some time, and lists it as it is then."""
+        """Have discovery update the node's entry after some time, to the node's state at that time."""
         self.fleet.world.after(int(after_s * SECOND), lambda: self.fleet.discovery.look(self))
 
 
 class DiscoveryPlace:
-    """The discovery in use: the list as it has learnt it, its machine, its process."""
+    """The current discovery service: its list of nodes, its machine and its process."""
 
     def __init__(self, fleet: AnyFleet) -> None:
         self.fleet = fleet
@@ -327,11 +327,11 @@
 
     @property
     def address(self) -> Address:
-        """Where it is now."""
+        """Current address of the discovery service."""
         return self.machine.address(DISCOVERY_PORT)
 
     def start(self) -> None:
-        """Start its process, with the list as it stands."""
+        """Start the discovery process with the current list."""
         fleet = self.fleet
         fleet.audience.discovery(self.address)
 
@@ -349,18 +349,18 @@
         self.process = self.machine.serve(build, "discovery")
 
     def kill(self) -> None:
-        """End its process."""
+        """Kill the discovery process."""
         if self.process is not None:
             self.process.kill(reset=True)
 
     def restart(self) -> None:
-        """Start it again: the versions go on, and changes before can't be told any more."""
+        """Restart the process with a higher version, which makes earlier changes unavailable to watches."""
         self.version += 10
         if self.process is None or self.process.dead:
             self.start()
 
     def move(self, version: int, keeps_s: float) -> None:
-        """Another one takes over, at another address, with versions of its own."""
+        """Replace the service with another one, at a new address and with its own versions."""
         self._moves += 1
         old = self.service
         if old is not None and self.process is not None and not self.process.dead:
@@ -371,26 +371,26 @@
         self.start()
 
     def begin(self, trouble: object, able: bool = False) -> None:
-        """Switch a trouble on; unless `able`, what it has to tell may not be told meanwhile."""
+        """Activate an injected fault; unless `able`, updates may not be delivered meanwhile."""
         self.troubles.begin(trouble)
         self._call(lambda service: service.begin(trouble))
         if not able:
             self.unable(1)
 
     def end(self, trouble: object, able: bool = False) -> None:
-        """Switch it off."""
+        """Deactivate an injected fault."""
         self.troubles.end(trouble)
         self._call(lambda service: service.end(trouble))
         if not able:
             self.unable(-1)
 
     def unable(self, by: int) -> None:
-        """One more, or one less, thing keeps it from telling."""
+        """Change the number of reasons that keep the service from sending updates."""
         self._unable += by
         self.fleet.audience.discovery_able(self.fleet.world.now_ns, self._unable == 0)
 
     def look(self, place: NodePlace) -> None:
-        """List a node as it is."""
+        """Update the entry of a node to its current state."""
         changed = [
             msgspec.structs.replace(self.list[name], state="Gone")
             for name in place.former
@@ -403,7 +403,7 @@
         self.put(changed)
 
     def put(self, changed: list[Entry]) -> None:
-        """Learn of changes, and tell those who watch."""
+        """Apply changes to the list and send them to the watches."""
         if not changed:
             return
         for entry in changed:
@@ -424,22 +424,22 @@
 
 @dataclass(frozen=True, slots=True)
 class SidecarEnd:
-    """What a sidecar still has when all is over and nothing is asked of it."""
+    """The resources that a sidecar still holds after the end of all requests."""
 
     name: str
     up: bool
     tickets: int
-    clients: int  # connections
+    clients: int  # connections from clients
     claims: int
-    node_connections: int  # open ones
-    node_idle: int  # of these, kept for later
+    node_connections: int  # open connections to nodes
+    node_idle: int  # idle connections among the open ones to nodes
     timers: int
     descriptors: int
-    descriptors_due: int  # that it should have, so many connections being kept
+    descriptors_due: int  # expected number of open descriptors, given the idle connections
     stderr: bytes
 
     def left_over(self) -> list[str]:
-        """What should not be there, in words."""
+        """Return descriptions of the resources that the sidecar has leaked."""
         if not self.up:
             return []
         found = [
@@ -458,42 +458,42 @@
 
 
 class SidecarPlace:
-    """Where a sidecar stands: its machine, its configuration file, its process."""
+    """A sidecar of the fleet: its machine, its configuration files and its process."""
 
     def __init__(self, fleet: AnyFleet, number: int, figures: SidecarFigures) -> None:
         self.fleet, self.number, self.figures = fleet, number, figures
         self.machine = fleet.world.machine(figures.name, f"10.0.0.{number + 1}")
-        self.file = self.good_file = b""  # what is there, and what the platform wrote
-        self.operator = b""  # the operator file that is there
+        self.file = self.good_file = b""  # current file, and the last valid one from the platform
+        self.operator = b""  # current contents of the operator file
         self.sidecar: Sidecar | None = None
         self.process: Process | None = None
         self.starts = 0
-        self.ended: list[Process] = []  # the processes before this one
-        self._squeezes: list[tuple[object, int]] = []  # what keeps it from opening more than so many
+        self.ended: list[Process] = []  # the processes before the current one
+        self._squeezes: list[tuple[object, int]] = []  # reasons for lower descriptor limits
 
     @property
     def address(self) -> Address:
-        """Where clients connect."""
+        """Address to which clients connect."""
         return self.machine.address(SIDECAR_PORT)
 
     @property
     def admin(self) -> Address:
-        """Where operators call, in runs in which they do."""
+        """Address of the admin endpoint, in runs with operators."""
         return self.machine.address(DOOR_PORT)
 
     @property
     def up(self) -> bool:
-        """Whether its process runs."""
+        """Whether the sidecar's process runs."""
         return self.process is not None and not self.process.dead
 
     def write_file(self) -> None:
-        """Write its configuration as the platform does at a start."""
+        """Write the configuration file as the platform does at a start."""
         fleet, known = self.fleet, self.figures.known
         entries, version = list(fleet.discovery.list.values()), fleet.discovery.version
         if known == "none":
             entries, version = [], 0
         elif known == "old" and entries:
-            # One node that it does not know yet, and one that is no more.
+            # An outdated list lacks one node and has one that no longer exists.
             lost = Entry(id="s-0ld0ne", addr=f"10.1.9.9:{NODE_PORT}", zone=entries[0].zone, kind="std-2core")
             entries, version = [*entries[1:], lost], max(1, version - 1)
         self.file = configuration(
@@ -505,11 +505,11 @@
 
     @property
     def discovery_address(self) -> Address:
-        """Where it reaches the discovery in use."""
+        """Address at which the sidecar reaches the current discovery service."""
         return self.fleet.world.network.seen_from(self.machine, self.fleet.discovery.address)
 
     def operator_file(self, **zones: Any) -> bytes:
-        """Its operator file, with some keys of the section on zones laid over."""
+        """Return the operator file, with the given keys of the section on zones replaced."""
         sections: dict[str, Any] = {"capture": CAPTURE} if self.figures.capture else {}
         sections |= self.fleet.scenario.world.operator
         if "zones" in sections:
@@ -517,13 +517,13 @@
         return json.dumps(sections).encode() if sections else b""
 
     def rewrite_file(self) -> None:
-        """Write it anew with the discovery that there is now, and all else as it was at the start."""
+        """Write the valid configuration file again, with the current discovery address."""
         host, port = self.discovery_address
         raw = json.loads(self.good_file)
         self.file = self.good_file = json.dumps({**raw, "discovery": f"{host}:{port}"}).encode()
 
     def start(self) -> None:
-        """Start its process; one that still runs is killed."""
+        """Start a process; a process that still runs is killed."""
         if self.process is not None:
             self.process.kill()
             self.ended.append(self.process)
@@ -558,13 +558,13 @@
         return self.machine.start(main, self.figures.name, descriptors=self.figures.sockets, pace=fleet.pace)
 
     def squeeze(self, why: object, left: int) -> None:
-        """Let its process open only so many descriptors more, until `relax`."""
+        """Limit the process to `left` more open descriptors, until `relax` is called for the same reason."""
         if self.process is not None:
             self._squeezes.append((why, STANDARD + self.process.descriptors + left))
         self._set_limit()
 
     def relax(self, why: object) -> None:
-        """That reason for few descriptors is gone; it has as many as before unless there is another."""
+        """Remove a reason for a lowered descriptor limit; the limit is restored when none is left."""
         self._squeezes = [each for each in self._squeezes if each[0] is not why]
         self._set_limit()
 
@@ -574,19 +574,19 @@
         self.fleet.audience.starved(self.fleet.world.now_ns, self.machine.name, bool(self._squeezes))
 
     def pause(self, wait_ns: int) -> None:
-        """Its process is stopped for a while."""
+        """Pause the process for some time."""
         world, name = self.fleet.world, self.machine.name
         self.fleet.audience.paused(world.now_ns, name, True)
         self.machine.stall(wait_ns)
         world.after(wait_ns, lambda: self.fleet.audience.paused(world.now_ns, name, False))
 
     def signal(self, number: int) -> None:
-        """Send its process a signal."""
+        """Send a signal to the sidecar's process."""
         if self.process is not None:
             self.process.signal(number)
 
     def state(self) -> SidecarEnd:
-        """What it has now."""
+        """Return the resources that the sidecar currently holds."""
         sidecar, process = self.sidecar, self.process
         if sidecar is None or process is None or process.dead:
             stderr = b"" if process is None else bytes(process.stderr)
@@ -598,30 +598,30 @@
             clients=sidecar.client_listener.connections, claims=nodes.open_attempts,
             node_connections=nodes.open_connections, node_idle=idle, timers=sidecar.scheduler.timers,
             descriptors=process.descriptors,
-            # The waker's two, the listener, the admin endpoint, the watch, and connections to nodes.
+            # Two descriptors of the waker, the listener, the admin endpoint, the watch, and idle connections.
             descriptors_due=3 + (sidecar.admin_server is not None) + sidecar.endpoint_list.is_watching + idle,
             stderr=bytes(process.stderr),
         )  # fmt: skip
 
     @property
     def stderr(self) -> bytes:
-        """What its process has written there."""
+        """Bytes that the sidecar's process has written to standard error."""
         return b"" if self.process is None else bytes(self.process.stderr)
 
 
 class AnyFleet:
-    """All of it, in whichever world.
+    """A whole fleet in the virtual or the real world.
 
-    `play` runs a scenario to its end; or `start`, run the world, and `quiesce`.
+    `play` runs a scenario to its end.  For finer control, call `start`, run the world, and call `quiesce`.
     """
 
-    linger_s = LINGER_SECONDS  # past their time clients listen for so long: more than the checker's slack
+    linger_s = LINGER_SECONDS  # time that clients listen past their deadline, above the checker's slack
 
     def __init__(self, scenario: Scenario, world: Stage, audience: Audience | None = None) -> None:
         self.scenario, self.world = scenario, world
         self.audience: Audience = audience or _Nobody()
-        self.executions: list[Execution] = []  # of all nodes, as they came
-        self.asked: list[Asked] = []  # of all clients
+        self.executions: list[Execution] = []  # executions of all nodes, in order of arrival
+        self.asked: list[Asked] = []  # requests of all clients
         self.misdeeds: list[Misdeed] = []
         figures = scenario.world
         self.discovery = DiscoveryPlace(self)
@@ -634,7 +634,7 @@
         self._bad_machine = self.world.machine(BAD_CLIENTS, "10.3.0.2")
         self.clients: list[Client] = []
         self.bad: list[BadClients] = []
-        # Runs without operators stay what they were: no admin endpoint, no machine more.
+        # Runs without operators have no admin endpoints and no extra machine, so that they stay reproducible.
         self.called = any(fault.kind in CALLED for fault in scenario.faults)
         self.operators: Operators | None = None
         self._operators_machine = self.world.machine(OPERATORS, "10.4.0.1") if self.called else None
@@ -644,29 +644,29 @@
         self.ends_ns = self.begins_ns + int(figures.length_s * SECOND)
         self.running: list[Fault] = []
         self.pace = pace_of(figures)
-        self.new_node: Callable[..., Node] = Node  # for experiments that need another one
-        self.new_balancer: Callable[[Settings, int], Balancer] = balancer_for  # likewise
+        self.new_node: Callable[..., Node] = Node  # replaceable by experiments
+        self.new_balancer: Callable[[Settings, int], Balancer] = balancer_for  # replaceable by experiments
 
     def new_sidecar(self, number: int, figures: SidecarFigures) -> SidecarPlace:
-        """A place for one, in this kind of world."""
+        """Create a sidecar of the class used in this kind of world."""
         return SidecarPlace(self, number, figures)
 
     # --- figures --------------------------------------------------------------------------------
 
     def wall_ms(self) -> int:
-        """Unix time in milliseconds, as machines have it whose clock is right."""
+        """Return the correct Unix time in milliseconds."""
         return self.world.wall_ns // 1_000_000
 
     def seen_by(self, ip: str, entry: Entry) -> Entry:
-        """A node's entry with the address at which one machine reaches it."""
+        """Return a node's entry with the address at which the machine with this IP reaches the node."""
         return entry
 
     def draw_seed(self, purpose: str) -> int:
-        """A seed for one purpose."""
+        """Draw a seed for one purpose."""
         return self.world.stream(purpose).getrandbits(63)
 
     def zone_of(self, machine: Machine) -> str:
-        """The zone that a machine stands in; empty where that does not matter."""
+        """Return the zone of a machine; empty for machines other than nodes and sidecars."""
         for place in self.places:
             if place.machine is machine:
                 return place.figures.zone
@@ -676,7 +676,7 @@
         return ""
 
     def set_latency(self, machine: Machine) -> None:
-        """Give the links of a machine the scenario's latencies."""
+        """Set the latencies of a machine's links to those of the scenario."""
         figures, network = self.scenario.world.network, self.world.network
         fronts = (CLIENTS, BAD_CLIENTS, OPERATORS)
         zone = self.zone_of(machine)
@@ -690,17 +690,17 @@
                 link.latency_ns = max(1, int(seconds * SECOND))
 
     def place(self, name: str) -> NodePlace:
-        """The place of a node of the scenario."""
+        """Return the node with this id in the scenario."""
         return next(place for place in self.places if place.figures.id == name)
 
     def sidecar(self, name: str) -> SidecarPlace:
-        """The place of a sidecar."""
+        """Return the sidecar with this name."""
         return next(each for each in self.sidecars if each.figures.name == name)
 
     # --- a run ----------------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Start all processes; requests and faults come from `begins_ns` on."""
+        """Start all processes; requests and faults begin at `begins_ns`."""
         for place in self.places:
             place.start(cold=False)
         for place in self.places:
@@ -718,7 +718,7 @@
         self.admit()
 
     def admit(self) -> None:
-        """Start those who ask, and have the faults begin in time."""
+        """Start clients and operators, and schedule the faults."""
         self.client_machine.serve(self._submit, "clients", descriptors=20_000)
         self.audience.bad_client(self._bad_machine.name)
         self._bad_machine.serve(self._misbehave, "bad clients", descriptors=20_000)
@@ -778,7 +778,7 @@
         return begin
 
     def _calm(self) -> None:
-        """The last fault has ended: tell it, once what is asked from now on can be served."""
+        """Notify the audience after the last fault, once the remaining requests can be served."""
         faults_s, length_s = self.scenario.world.faults_s, self.scenario.world.length_s
         asked = sum(ask.work_s for ask in self.scenario.asks if ask.at_s > faults_s)
         capacity = sum(
@@ -791,7 +791,7 @@
             self.world.after(int(CALM_AGAIN_S * SECOND), self._calm)
 
     def quiesce(self) -> list[SidecarEnd]:
-        """Go on until all is over and what it used is closed; says what sidecars still have then."""
+        """Run until all requests have ended and resources are released; return the sidecars' final states."""
         for client in self.clients:
             client.scheduler.call_soon(client.stop)
         for bad in self.bad:
@@ -809,12 +809,12 @@
             self.world.run(self.world.now_ns + LOOK_AGAIN_NS)
 
     def dump(self) -> None:
-        """Have each sidecar write its capture to its standard error."""
+        """Have each sidecar write its capture to standard error."""
         for sidecar in self.sidecars:
             sidecar.signal(signal.SIGUSR1)
 
     def end(self, seconds: float = SETTLE_S) -> list[Process]:
-        """SIGTERM to all sidecars; goes on until they have ended, and says which have not."""
+        """Send SIGTERM to all sidecars, wait, and return the processes that have not exited in time."""
         for sidecar in self.sidecars:
             sidecar.signal(signal.SIGTERM)
         limit = self.world.now_ns + int(seconds * SECOND)
@@ -822,21 +822,21 @@
         return [each.process for each in self.sidecars if each.up and each.process is not None]
 
     def play(self) -> list[SidecarEnd]:
-        """A whole run."""
+        """Run the whole scenario, and return the sidecars' final states."""
         self.start()
         self.world.run(self.ends_ns)
         return self.quiesce()
 
     @property
     def load(self) -> float:
-        """What is asked for, as a part of the capacity."""
+        """Work of all requests, as a fraction of the capacity."""
         figures = self.scenario.world
         work = math.fsum(ask.work_s for ask in self.scenario.asks)
         return work / figures.length_s / figures.capacity
 
 
 class Fleet(AnyFleet):
-    """A fleet in virtual time."""
+    """A fleet in the virtual world."""
 
     world: World
 
@@ -845,5 +845,5 @@
     ) -> None:
         for fault in scenario.faults:
             if fault.worlds != "both":
-                raise ValueError(f"faults: {fault.kind} is there for real processes alone")
+                raise ValueError(f"faults: {fault.kind} is supported for real processes only")
         super().__init__(scenario, world or world_of(scenario), audience)
--- a/brambleusher/lab/fleets/scenario.py
+++ b/brambleusher/lab/fleets/scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios: a world, what is asked for and what goes wrong, whole, as plain data in a YAML file."""
+"""Scenarios: a world, its requests and its faults, as plain data in a YAML file."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 class ScenarioError(ValueError):
-    """A scenario that can't be used; the message names the key."""
+    """A scenario is invalid; the message names the key."""
 
 
 class Scenario(Settings, frozen=True):
-    """All that a run starts from; `seed` is for what is drawn while it goes on."""
+    """The complete initial conditions of a run; `seed` determines the random choices made during the run."""
 
     seed: int
     world: WorldFigures
@@ -27,16 +27,16 @@
     faults: tuple[AnyFault, ...]
     profile: str = "default"
     format: Annotated[int, msgspec.Meta(ge=FORMAT, le=FORMAT)] = FORMAT
-    note: str = ""  # what it shows
+    note: str = ""  # description of what the scenario demonstrates
 
 
-# Worlds of profiles that need others than the usual ones.
+# Ranges of the profiles that don't use the default ranges.
 PROFILE_RANGES = {"zones-ruled": Ranges(nodes=(5, 8), sidecars=(2, 3), requests_per_s=(14.0, 20.0))}
-RULED = ("zones-ruled",)  # profiles in which operators say something of zones
+RULED = ("zones-ruled",)  # profiles in which the operator file has a section on zones
 
 
 def draw_rules(seed: int, world: WorldFigures) -> dict[str, Any]:
-    """The section on zones of an operator file."""
+    """Draw the section on zones of an operator file."""
     draw = Drawer(seed, "zone rules")
     rules: dict[str, Any] = {"half_life_s": draw.of((1.0, 4.0)), "hold_most_s": draw.of((1.0, 6.0))}
     if draw.chance(0.5):
@@ -54,7 +54,7 @@
 
 
 def draw_scenario(seed: int, profile: str = "default", ranges: Ranges | None = None) -> Scenario:
-    """The scenario of a seed; raises `ValueError` for a profile that there is none of."""
+    """Draw the scenario of a seed; raises `ValueError` for an unknown profile."""
     world = draw_world(seed, ranges or PROFILE_RANGES.get(profile))
     if profile in RULED:
         world = msgspec.structs.replace(world, operator={"zones": draw_rules(seed, world)})
@@ -68,30 +68,30 @@
 
 
 class _Dumper(yaml.SafeDumper):
-    """Leaves of the tree on a line each."""
+    """Writes each innermost mapping or list on one line."""
 
     def represent_mapping(self, tag: str, mapping: Any, flow_style: bool | None = None) -> yaml.MappingNode:
-        """A mapping without further ones in it goes on one line."""
+        """Represent a mapping on one line if it contains no mappings or lists."""
         flat = not any(isinstance(value, dict | list | tuple) for value in mapping.values())
         return super().represent_mapping(tag, mapping, flow_style=flat)
 
     def represent_sequence(
         self, tag: str, sequence: Any, flow_style: bool | None = None
     ) -> yaml.SequenceNode:
-        """A list of plain values too."""
+        """Represent a list on one line if it contains no mappings or lists."""
         flat = not any(isinstance(value, dict | list | tuple) for value in sequence)
         return super().represent_sequence(tag, sequence, flow_style=flat)
 
 
 def write_scenario(scenario: Scenario) -> str:
-    """The text of a scenario file."""
+    """Return the text of a scenario file."""
     return yaml.dump(
         msgspec.to_builtins(scenario), Dumper=_Dumper, sort_keys=False, width=110, allow_unicode=True
     )
 
 
 def read_scenario(text: str | bytes) -> Scenario:
-    """A scenario from a file's text; raises `ScenarioError`, which names what can't be used."""
+    """Parse the text of a scenario file; raises `ScenarioError`, which names the invalid key."""
     try:
         raw = yaml.safe_load(text)
     except yaml.YAMLError as error:
@@ -105,6 +105,6 @@
         raise ScenarioError(str(error)) from None
     for number, ask in enumerate(scenario.asks):
         if ask.sidecar >= len(scenario.world.sidecars):
-            raise ScenarioError(f"asks[{number}].sidecar is {ask.sidecar}, and there are "
+            raise ScenarioError(f"asks[{number}].sidecar is {ask.sidecar}, but the number of sidecars is "
                                 f"{len(scenario.world.sidecars)}")  # fmt: skip
     return scenario
--- a/brambleusher/lab/fleets/stage.py
+++ b/brambleusher/lab/fleets/stage.py
@@ -1,4 +1,4 @@
-"""What a fleet needs of the world it stands in: virtual time's or real processes' one."""
+"""Interfaces that a fleet needs from its world, which is either in virtual time or of real processes."""
 
 from __future__ import annotations
 
@@ -12,151 +12,151 @@
 
 
 class Process(Protocol):
-    """One process."""
+    """A process on a machine of the world."""
 
-    limit: int  # descriptors that it may have open
+    limit: int  # maximum number of open file descriptors
 
     @property
     def dead(self) -> bool:
-        """Whether it has ended."""
+        """Whether the process has exited."""
 
     @property
     def descriptors(self) -> int:
-        """How many are open, the three standard ones not counted."""
+        """Number of open file descriptors, without the three standard ones."""
 
     @property
     def ended(self) -> int | None:
-        """Its exit status, -N if signal N killed it; None while it runs."""
+        """Exit status of the process, -N if signal N killed the process, None while it runs."""
 
     @property
     def stderr(self) -> bytes | bytearray:
-        """What it has written there."""
+        """Bytes that the process has written to standard error."""
 
     def kill(self, reset: bool = False) -> None:
-        """End it at once; with `reset` its connections are reset."""
+        """Kill the process; with `reset`, its connections are reset instead of closed."""
 
     def signal(self, number: int) -> None:
-        """Send it a signal."""
+        """Send a signal to the process."""
 
 
 class Machine(Protocol):
-    """Where processes run."""
+    """A machine on which processes run."""
 
     @property
     def name(self) -> str:
-        """Its name."""
+        """Name of the machine."""
 
     @property
     def ip(self) -> str:
-        """Its address."""
+        """IP address of the machine."""
 
     @property
     def gone(self) -> bool:
-        """Whether it is without power."""
+        """Whether the machine has lost power."""
 
     def address(self, port: int) -> Address:
-        """Where a process of it listens that is to listen on some port."""
+        """Return the address that a process on the machine must use to listen on a given port."""
 
     def serve(
         self, build: Callable[[Scheduler], object], name: str = "", descriptors: int | None = None
     ) -> Process:
-        """Start a process that builds something on a scheduler and runs it."""
+        """Start a process that calls `build` with its scheduler and runs the scheduler."""
 
     def stall(self, wait_ns: int) -> None:
-        """No process on it runs for a while; its kernel goes on."""
+        """Pause all processes of the machine for some time, while its kernel keeps running."""
 
     def vanish(self) -> None:
-        """Lose its power."""
+        """Cut the power of the machine."""
 
     def come_back(self) -> None:
-        """Have it again, without processes."""
+        """Restore the power of the machine, without processes."""
 
     def shift_wall(self, by_ns: int) -> None:
-        """Set the wall clock forward, or back."""
+        """Set the wall clock forward, or back for a negative `by_ns`."""
 
 
 class Link(Protocol):
-    """One way between two machines."""
+    """One direction of the network between two machines."""
 
     latency_ns: int
 
 
 class Network(Protocol):
-    """All links and connections, and the faults one may cause on them; machines are this world's."""
+    """All links and connections of a world, and the faults that can be injected into them."""
 
     def link(self, from_: Any, to: Any) -> Link:
-        """The way from one machine to another."""
+        """Return the link from one machine to another."""
 
     def seen_from(self, machine: Any, address: Address) -> Address:
-        """Where a machine connects to, to reach an address."""
+        """Return the address to which a machine connects to reach a given address."""
 
     def connections(self, machine: Any) -> Sequence[Wire]:
-        """Those that the process on a machine has accepted."""
+        """Return the connections that the process on a machine has accepted."""
 
     def cut(self, a: Any, b: Any, one_way: bool = False) -> None:
-        """Nothing passes from `a` to `b`, nor back unless `one_way`."""
+        """Partition the network from `a` to `b`, and in the other direction too unless `one_way`."""
 
     def mend(self, a: Any, b: Any, one_way: bool = False) -> None:
-        """It passes again, with what was sent meanwhile."""
+        """Repair a partition, and deliver the data sent during the partition."""
 
     def slow_link(self, a: Any, b: Any, extra_ns: int) -> None:
-        """Both ways take so much longer; 0 ends it."""
+        """Add `extra_ns` of latency in both directions; 0 removes the added latency."""
 
     def throttle(self, a: Any, b: Any, bytes_per_s: float) -> None:
-        """So many bytes a second pass each way at most; 0 ends it."""
+        """Limit the throughput in each direction, in bytes per second; 0 removes the limit."""
 
     def silence(self, connection: Any) -> None:
-        """Both ends stay open and nothing passes."""
+        """Stop all data on a connection, with both ends left open."""
 
     def unsilence(self, connection: Any) -> None:
-        """It passes again."""
+        """Resume the data on a silenced connection."""
 
     def reset(self, connection: Any) -> None:
-        """Both ends get a reset."""
+        """Reset both ends of a connection."""
 
     def refuse(self, machine: Any, port: int) -> None:
-        """Connects to a port are refused, though somebody listens."""
+        """Refuse new connections to a port, although a process listens on it."""
 
     def stop_refusing(self, machine: Any, port: int) -> None:
-        """They are taken again."""
+        """Accept new connections to a port again."""
 
     def swallow_connects(self, machine: Any) -> None:
-        """Connects to a machine stay unanswered."""
+        """Leave connection attempts to a machine without a response."""
 
     def stop_swallowing(self, machine: Any) -> None:
-        """They are answered again."""
+        """Respond to connection attempts to a machine again."""
 
 
 class Stage(Protocol):
-    """A world; times in nanoseconds of its monotonic clock."""
+    """A world in which a fleet runs, with times in nanoseconds on the world's monotonic clock."""
 
     @property
     def now_ns(self) -> int:
-        """Now."""
+        """Current time on the world's monotonic clock, in nanoseconds."""
 
     @property
     def wall_ns(self) -> int:
-        """Unix time on a clock that is right."""
+        """Correct Unix time in nanoseconds, not affected by `shift_wall`."""
 
     @property
     def network(self) -> Network:
-        """Its network."""
+        """Network of the world."""
 
     @property
     def machines(self) -> Mapping[str, Machine]:
-        """By name."""
+        """Machines of the world by name."""
 
     def machine(self, name: str, ip: str) -> Machine:
-        """A new machine."""
+        """Add a machine to the world."""
 
     def stream(self, name: str) -> random.Random:
-        """Random numbers of their own for one purpose."""
+        """Return a random generator reserved for one purpose."""
 
     def at(self, when_ns: int, call: Callable[[], object]) -> object:
-        """Have a call made at a moment, at once if it has passed."""
+        """Schedule a call at a given time, or immediately if that time has passed."""
 
     def after(self, wait_ns: int, call: Callable[[], object]) -> object:
-        """Have a call made after a while."""
+        """Schedule a call after `wait_ns` nanoseconds."""
 
     def run(self, until_ns: int | None = None, until: Callable[[], bool] | None = None) -> bool:
-        """Go on until a moment, or until `until` says so; says whether it did."""
+        """Run until a given time or until `until` returns True; return whether `until` did."""
--- a/brambleusher/lab/fleets/worlds.py
+++ b/brambleusher/lab/fleets/worlds.py
@@ -1,4 +1,4 @@
-"""Worlds as people write them: a YAML file with what differs from the usual fleet, to figures of a world."""
+"""World files: YAML files that list the differences from the default fleet, and their parsing."""
 
 from __future__ import annotations
 
@@ -37,18 +37,18 @@
 
 
 class WorldError(ValueError):
-    """A world that can't be used; the message names the key."""
+    """A world file is invalid; the message names the key."""
 
 
 class Kind(NodeSettings, frozen=True):
-    """Some nodes of one kind."""
+    """The nodes of one kind, with their number and common settings."""
 
     count: Count = 1
-    spares: Count = 0  # not there at the start; a fault may bring them
+    spares: Count = 0  # additional nodes that don't run at the start; a fault may start them
 
 
 class Class(Settings, frozen=True):
-    """One class of requests; `share` and `work_s` matter where demand is drawn."""
+    """A request class; `share` and `work_s` apply only where the requests are drawn at random."""
 
     share: Part = 0.3
     work_s: Positive = 0.05
@@ -80,18 +80,18 @@
 
 
 class WorldFile(Settings, frozen=True):
-    """A fleet: 14 nodes in four zones and three sidecars, unless the file says otherwise."""
+    """The contents of a world file; by default a fleet of 14 nodes in four zones and three sidecars."""
 
     seed: int = 1
     zones: tuple[str, ...] = ("atl-north", "atl-south", "macon", "augusta")
     sidecars: Annotated[int, msgspec.Meta(ge=1, le=200)] = 3
-    sockets: Annotated[int, msgspec.Meta(ge=64)] = 512  # that a sidecar may hold
+    sockets: Annotated[int, msgspec.Meta(ge=64)] = 512  # descriptor limit of each sidecar
     memory_mb: Annotated[int, msgspec.Meta(ge=32)] = 96
     known: Literal["fresh", "old", "none"] = "fresh"
     kinds: dict[str, Kind] = msgspec.field(default_factory=_kinds)
     classes: dict[str, Class] = msgspec.field(default_factory=_classes)
-    tenants: dict[str, Share] = msgspec.field(default_factory=_tenants)  # shares
-    usage: Positive = 0.8  # of their quotas, at `requests_per_s`
+    tenants: dict[str, Share] = msgspec.field(default_factory=_tenants)  # share of each tenant
+    usage: Positive = 0.8  # fraction of their quotas that the tenants use at `requests_per_s`
     requests_per_s: Positive = 400.0
     discovery: DiscoverySettings = DiscoverySettings()
     notice_s: Seconds = 0.5
@@ -101,7 +101,7 @@
     faults: tuple[AnyFault, ...] = ()
 
     def figures(self, length_s: float = 60.0) -> WorldFigures:
-        """The world's figures, for a run of some length; raises `WorldError`."""
+        """Return the world definition for a run of a given length; raises `WorldError`."""
         if not self.zones or not self.classes or not any(kind.count for kind in self.kinds.values()):
             raise WorldError("zones, kinds and classes must not be empty")
         for name in self.classes:
@@ -156,17 +156,17 @@
 
     @property
     def methods(self) -> dict[str, str]:
-        """The method of each class."""
+        """HTTP method of each request class."""
         return {name: "POST" if each.unsafe else "GET" for name, each in self.classes.items()}
 
 
 def world_of(raw: Any, over: Mapping[str, Any] | None = None) -> WorldFile:
-    """A world from plain values, with others laid over them key by key; raises `WorldError`."""
+    """Build a world from plain values, with the values in `over` merged key by key; raises `WorldError`."""
     plain: Any = {} if raw is None else raw
     if not isinstance(plain, Mapping):
         raise WorldError("a world is a mapping")
     if over:
-        # What a world leaves out has its usual value there too, so that a key of it can be changed alone.
+        # Fills in the defaults first, so that `over` can change a single key of a mapping left out in `raw`.
         plain = laid_over({**msgspec.to_builtins(WorldFile()), **plain}, over)
     try:
         return msgspec.convert(plain, WorldFile, strict=True)
@@ -175,7 +175,7 @@
 
 
 def laid_over(below: Any, above: Any) -> Any:
-    """Mappings joined key by key, the upper one's value where both have one; anything else is replaced."""
+    """Merge mappings key by key, with the value of `above` where both have one; replace all other values."""
     if isinstance(below, Mapping) and isinstance(above, Mapping):
         keys = {**below, **above}
         return {
@@ -186,7 +186,7 @@
 
 
 def read_world(path: str | Path | None) -> WorldFile:
-    """A world file, or the usual world; raises `WorldError`."""
+    """Read a world file, or return the default world without a path; raises `WorldError`."""
     if path is None:
         return WorldFile()
     try:
--- a/brambleusher/lab/stand_ins/__init__.py
+++ b/brambleusher/lab/stand_ins/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins for endpoints, discovery and clients, the same on loopback sockets and in virtual time.
+"""Stand-ins for nodes, discovery and clients, usable both on loopback sockets and in virtual time.
 
-They stand on the project's own scheduler and streams, take settings, and are told of no world.
+The stand-ins use the project's own scheduler and streams, and depend on settings but not on a world.
 """
--- a/brambleusher/lab/stand_ins/bad_client.py
+++ b/brambleusher/lab/stand_ins/bad_client.py
@@ -1,4 +1,4 @@
-"""Clients that misbehave: each kind is a function that does its worst on one connection."""
+"""Misbehaving clients: each kind is a method that misuses one connection."""
 
 from __future__ import annotations
 
@@ -22,34 +22,34 @@
 BAD_KINDS: tuple[BadKind, ...] = get_args(BadKind)
 
 CONNECT_SECONDS = 1.0
-PATIENCE = 8.0  # how long one stays at most
-KEPT_BYTES = 4096  # of what came back
+PATIENCE = 8.0  # maximum duration of a connection, in seconds
+KEPT_BYTES = 4096  # maximum number of received bytes that are recorded
 SLOW_PAUSE = 0.01
 
 
 @dataclass(eq=False, slots=True)
 class Misdeed:
-    """One bad connection, and what it was told.  Times are monotonic nanoseconds."""
+    """A misbehaving connection, and the response to it.  Times are in monotonic nanoseconds."""
 
     kind: BadKind
-    opened_ns: int = 0  # 0: it never came up
+    opened_ns: int = 0  # 0 if the connection was never established
     port: int = 0
-    sent_ns: int = 0  # when the last byte it had to send was handed over
-    told_ns: int = 0  # the first byte that came back
+    sent_ns: int = 0  # time at which the last byte was written
+    told_ns: int = 0  # time of the first byte of the response
     ended_ns: int = 0
-    end: str = ""  # closed or reset by the sidecar, left, stayed (as long as it had patience), unreachable
-    got: bytes = b""  # its beginning
+    end: str = ""  # closed or reset (by the sidecar), left, stayed (until the time limit) or unreachable
+    got: bytes = b""  # first bytes of the response
     got_bytes: int = 0
-    ids: list[str] = field(default_factory=list)  # of whole requests that may be served
-    hidden: str = ""  # the id of one that must never be: it is inside a body
+    ids: list[str] = field(default_factory=list)  # ids of the valid requests, which may be served
+    hidden: str = ""  # id of a request inside a body, which must never be served
 
 
 class _Left(Exception):
-    """It closes the connection itself."""
+    """The client closes the connection itself."""
 
 
 class BadClients:
-    """Any number of them, against one sidecar."""
+    """Any number of misbehaving clients of one sidecar."""
 
     def __init__(
         self,
@@ -61,7 +61,10 @@
         in_use: Callable[[], list[str]] = list,
         book: MutableSequence[Misdeed] | None = None,
     ) -> None:
-        """`sample` words their good requests; `in_use` tells ids that other clients have open."""
+        """Initialize the clients.
+
+        `sample` is the model of valid requests; `in_use` returns the ids of other clients' open requests.
+        """
         self.scheduler, self.target, self._sample, self._in_use = scheduler, target, sample, in_use
         self.rng = random.Random(f"{seed}/bad/{target[0]}:{target[1]}")
         self.book: MutableSequence[Misdeed] = [] if book is None else book
@@ -71,11 +74,11 @@
 
     @property
     def open(self) -> int:
-        """Connections that are not over."""
+        """Number of connections that have not ended."""
         return len(self._tasks)
 
     def begin(self, kind: BadKind, count: int = 1, patience: float = PATIENCE) -> list[int]:
-        """Start some of a kind; says their numbers."""
+        """Start `count` clients of a kind, and return their numbers."""
         numbers = []
         for _ in range(count):
             self._number += 1
@@ -88,12 +91,12 @@
         return numbers
 
     def end(self, numbers: list[int] | None = None) -> None:
-        """Have some, or all, close and go."""
+        """Close the connections with the given numbers, or all of them."""
         for number in list(self._tasks) if numbers is None else numbers:
             if (task := self._tasks.get(number)) is not None:
                 task.cancel()
 
-    # --- one of them ----------------------------------------------------------------------------
+    # --- one client -----------------------------------------------------------------------------
 
     def _run(self, deed: Misdeed, number: int, patience: float) -> None:
         scheduler = self.scheduler
@@ -120,26 +123,26 @@
                 stream.close()
 
     def _good(self, deed: Misdeed, number: int, nth: int = 0, wait: float = 1.0) -> bytes:
-        """A request that nothing is wrong with."""
+        """Return the bytes of a valid request."""
         name = f"b{self._seed & 0xFFFFFFFF:08x}{number:04x}{nth:03x}"
         deed.ids.append(name)
         return wording_of(self._sample, name, wait)
 
     def _send(self, deed: Misdeed, stream: Stream, data: bytes, until: float) -> None:
-        """Send, and go on reading: one who does not might wait for room that never comes."""
+        """Send bytes; a full send buffer delays this until the deadline `until`."""
         stream.send(data, until)
         deed.sent_ns = self.scheduler.system.monotonic_ns()
 
     def _read(self, deed: Misdeed, stream: Stream, until: float) -> None:
-        """Read to the connection's end."""
+        """Read until the connection ends."""
         while data := stream.receive(until):
             self._note(deed, data)
 
     def _answered(self, deed: Misdeed, stream: Stream, until: float) -> None:
-        """Read until something has come back."""
+        """Read the first bytes of a response."""
         data = stream.receive(until)
         if not data:
-            raise ConnectionResetError("closed without a word")
+            raise ConnectionResetError("the connection was closed without a response")
         self._note(deed, data)
 
     def _note(self, deed: Misdeed, data: bytes) -> None:
@@ -149,7 +152,7 @@
         deed.got = (deed.got + data)[:KEPT_BYTES] if len(deed.got) < KEPT_BYTES else deed.got
 
     def _edited(self, old: bytes, new: bytes, number: int) -> bytes:
-        """A good request with one thing wrong; its id is not one that may be served."""
+        """Return a valid request with one error, whose id is not among those that may be served."""
         return self._good(Misdeed("noise"), number).replace(old, new, 1)
 
     # --- the kinds ------------------------------------------------------------------------------
@@ -164,7 +167,7 @@
         raise _Left
 
     def _wrong(self, name: str, value: str) -> bytes:
-        """A request with one header wrong, and nothing else."""
+        """Return a request in which one header is wrong, or missing for an empty value."""
         method, number = "POST" if self._sample.unsafe else "GET", self.rng.getrandbits(32)
         lines = [
             f"{method} /{self._sample.request_class} HTTP/1.1", "Host: api.internal",
@@ -234,7 +237,7 @@
             self.scheduler.sleep(SLOW_PAUSE / 2)
 
     def _silent(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
-        """Say nothing."""
+        """Send nothing."""
 
     def _ask_and_stay(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
         self._send(deed, stream, self._good(deed, number), until)
@@ -259,7 +262,7 @@
         self._send(deed, stream, self.rng.randbytes(300), until)
 
     def _again_at_once(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
-        """Ask again as soon as it is turned away, a few times."""
+        """Send a request again immediately after each response, five times."""
         for nth in range(5):
             self._send(deed, stream, self._good(deed, number, nth), until)
             self._answered(deed, stream, until)
--- a/brambleusher/lab/stand_ins/client.py
+++ b/brambleusher/lab/stand_ins/client.py
@@ -1,4 +1,4 @@
-"""Stand-in clients: requests at set times, kept connections, retries, and a book of every try."""
+"""Stand-in clients, with requests at set times, connection reuse, retries, and a log of every attempt."""
 
 from __future__ import annotations
 
@@ -16,24 +16,25 @@
 READY_PAUSE = 0.05
 CONNECT_SECONDS = 1.0
 CROSSING_SECONDS = 0.02
-SHORTEST_WAIT = 0.02  # less is not worth a try
-LINGER_SECONDS = 0.1  # past its time one who is patient still listens: sidecars have 50 ms of grace
+SHORTEST_WAIT = 0.02  # minimum time that must be left for another attempt, in seconds
+# Time in seconds for which a client listens past its deadline, above the 50 ms of grace that sidecars have.
+LINGER_SECONDS = 0.1
 
 
 @dataclass(eq=False, slots=True)
 class Try:
-    """One request as written to a sidecar, and what came of it.  Times are monotonic nanoseconds."""
+    """An attempt: a request sent to a sidecar, and its outcome.  Times are in monotonic nanoseconds."""
 
     ask: Ask
     id: str
-    number: int  # from 0
-    wait_s: float  # told to the sidecar
+    number: int  # index of the attempt among those of the request, from 0
+    wait_s: float  # time limit sent to the sidecar
     begun_ns: int
-    port: int = 0  # of the client's end of the connection it last went out on
-    sent_ns: int = 0  # its last byte was handed over; 0: it never was
-    resent: bool = False  # on a new connection, after a close that crossed it
-    ended_ns: int = 0  # the answer's last byte, or when the client gave up; 0: not yet
-    end: str = ""  # answered, late, left, unreachable, broken, unreadable, stopped
+    port: int = 0  # client's port of the connection on which the request was last sent
+    sent_ns: int = 0  # time at which the last byte was written; 0 if not all bytes were written
+    resent: bool = False  # whether sent again on a new connection, after a close that crossed the request
+    ended_ns: int = 0  # time of the last byte of the response or of the client's giving up; 0 while open
+    end: str = ""  # outcome: answered, late, left, unreachable, broken, unreadable or stopped
     status: int = 0
     body: bytes = b""
     retry_after_s: float | None = None
@@ -41,21 +42,21 @@
 
 @dataclass(eq=False, slots=True)
 class Asked:
-    """What somebody asked for, with all its tries."""
+    """A client request with all its attempts."""
 
     ask: Ask
-    due_ns: int  # when it was to be sent
+    due_ns: int  # scheduled time of sending
     tries: list[Try] = field(default_factory=list)
     over: bool = False
 
     @property
     def served(self) -> bool:
-        """Whether it got what it asked for."""
+        """Whether the last attempt got a response with status 200."""
         return bool(self.tries) and self.tries[-1].end == "answered" and self.tries[-1].status == 200
 
 
 def headers_of(ask: Ask, name: str, wait_s: float, retry: bool) -> list[HeaderField]:
-    """A request's headers, its length apart."""
+    """Return a request's headers, except for its length."""
     fields: list[HeaderField] = [
         ("Host", "api.internal"),
         ("Request-Id", name),
@@ -73,7 +74,7 @@
 
 
 def wording_of(ask: Ask, name: str, wait_s: float, retry: bool = False) -> bytes:
-    """A request's bytes; its body tells its id, so that a body that goes astray can be seen."""
+    """Return the bytes of a request; its body contains the id, so that a misdirected body can be detected."""
     target = f"/{ask.request_class}?obj={ask.id[:8]}"
     body = b""
     if ask.unsafe:
@@ -85,10 +86,10 @@
 def pause_before_next(
     last: Try, settings: ClientSettings, rng: random.Random, now_s: float, due_s: float
 ) -> float | None:
-    """How long to wait before another try, in seconds; None where there is to be none.
+    """Return the time to wait before another attempt, in seconds; None for no further attempt.
 
-    What is safe to repeat is tried again after any failure; what is not, only where a refusal or the lack
-    of a connection proves that it never ran.
+    An idempotent request is retried after any failure.  A non-idempotent one is retried only if a rejection
+    or a failed connect proves that the request never ran.
     """
     if last.end == "left" or last.end == "stopped" or (last.end == "answered" and last.status == 200):
         return None
@@ -107,14 +108,14 @@
 
 
 def says_ready(stream: Stream, deadline: float) -> bool:
-    """Ask a sidecar whether clients may come; raises `OSError`, `TaskTimeoutError`, `HttpError`."""
+    """Return whether a sidecar reports ready; raises `OSError`, `TaskTimeoutError` or `HttpError`."""
     stream.send(write_request("GET", "/ready", [("Host", "api.internal")]), deadline)
     answer = Client.answer(stream, deadline, [])
     return answer is not None and answer.status == 200
 
 
 class Client:
-    """All clients beside one sidecar."""
+    """All clients beside one sidecar, with a common pool of connections."""
 
     def __init__(
         self,
@@ -132,40 +133,40 @@
         self._asks = sorted(asks, key=lambda ask: (ask.at_s, ask.id))
         self._idle: list[Stream] = []
         self.linger_s = LINGER_SECONDS
-        self._held: list[Stream] = []  # asked on once
-        self._used = 0  # connections with a request on them
-        self._open: dict[str, Task] = {}  # by ask
+        self._held: list[Stream] = []  # connections held open after a single request
+        self._used = 0  # number of connections with an open request
+        self._open: dict[str, Task] = {}  # tasks of the open requests, by request id
         self._arrivals: Task | None = None
         self.connects = 0
-        self.done = Event()  # set when the last request is over and none is to come
+        self.done = Event()  # set when the last request has ended
 
     @property
     def open(self) -> int:
-        """Requests that are not over."""
+        """Number of requests that have not ended."""
         return len(self._open)
 
     @property
     def finished(self) -> bool:
-        """Whether all requests were sent and are over."""
+        """Whether all requests were sent and have ended."""
         return not self._open and (self._arrivals is None or self._arrivals.done)
 
     def open_ids(self) -> list[str]:
-        """Ids that are in use right now."""
+        """Return the ids of the open requests' current attempts."""
         return [asked.tries[-1].id for asked in self.book if not asked.over and asked.tries]
 
     def start(self, at: float | None = None) -> None:
-        """Send each request `at_s` after a moment; without one, after the sidecar says that it is ready."""
+        """Send each request `at_s` after the time `at`, or after the sidecar is ready if `at` is None."""
         self._arrivals = self.scheduler.spawn(self._arrive, at, name="arrivals")
 
     def stop(self) -> None:
-        """Send nothing new; what is open goes on to its end."""
+        """Send no new requests; open requests continue to their end."""
         if self._arrivals is not None:
             self._arrivals.cancel()
         if not self._open:
             self.done.set()
 
     def close(self) -> None:
-        """Close the connections that are kept, and leave what is open."""
+        """Close the idle connections and cancel the open requests."""
         self.stop()
         for task in list(self._open.values()):
             task.cancel()
@@ -206,7 +207,7 @@
     # --- one request ----------------------------------------------------------------------------
 
     def _live(self, asked: Asked, began: float) -> None:
-        """Try after try."""
+        """Make attempts until one succeeds or none is left."""
         ask, scheduler, settings = asked.ask, self.scheduler, self.settings
         due = began + ask.wait_s
         try:
@@ -233,7 +234,7 @@
                 self.done.set()
 
     def _try(self, entry: Try, deadline: float) -> None:
-        """One request on one connection; a second one, if the first was closed before it was read."""
+        """Make one attempt, on a second connection if the first was closed before the request was read."""
         rng, settings = self.rng, self.settings
         until = deadline
         if settings.impatient and rng.random() < settings.impatient:
@@ -261,7 +262,7 @@
     def _once(
         self, entry: Try, stream: Stream, data: bytes, until: float, deadline: float, kept: bool
     ) -> bool:
-        """Write the request and read its answer; true if it is to be sent once more on a new connection."""
+        """Write the request and read the response; return True if it must be resent on a new connection."""
         got: list[int] = []
         keep, sent = False, self.scheduler.now()
         self._used += 1
@@ -271,8 +272,8 @@
             entry.sent_ns = self.scheduler.system.monotonic_ns()
             answer = self.answer(stream, until + (self.linger_s if until >= deadline else 0.0), got)
             if answer is None:
-                raise ConnectionResetError("the connection ended before the answer")
-            if self.scheduler.now() > until:  # too late to be of use
+                raise ConnectionResetError("the connection ended before the response")
+            if self.scheduler.now() > until:  # the response came after the client's deadline
                 raise TaskTimeoutError
             entry.end, entry.status, entry.body = "answered", answer.status, answer.body
             entry.retry_after_s = _seconds(answer.headers.get("retry-after"))
@@ -282,7 +283,8 @@
         except HttpError:
             entry.end = "unreadable"
         except OSError:
-            # A close that crossed the request shows within a round trip; later, it may have been read.
+            # A close that crossed the request arrives within a round trip.  After that, the request may have
+            # been read.
             if kept and not got and self.scheduler.now() - sent < CROSSING_SECONDS:
                 return True
             entry.end = "broken"
@@ -297,7 +299,7 @@
         return False
 
     def _room(self) -> bool:
-        """Whether one more connection may be opened; those that the sidecar has closed make room."""
+        """Return whether another connection may be opened, after removal of those the sidecar has closed."""
         most = self.settings.most_open
         if most and self._used + len(self._idle) + len(self._held) >= most:
             for stream in [stream for stream in self._held if not stream.is_idle()]:
@@ -306,7 +308,7 @@
         return not most or self._used + len(self._idle) + len(self._held) < most
 
     def _kept(self) -> Stream | None:
-        """The connection used last, if one is kept that still stands."""
+        """Return the most recently used idle connection that is still open, or None."""
         while self._idle:
             stream = self._idle.pop()
             if stream.is_idle():
@@ -316,7 +318,7 @@
 
     @staticmethod
     def answer(stream: Stream, deadline: float, got: list[int]) -> Message | None:
-        """The whole answer; None if the connection ended before it."""
+        """Read a whole response; return None if the connection ended before the response did."""
         reader = MessageReader.responses()
         while True:
             data = stream.receive(deadline)
--- a/brambleusher/lab/stand_ins/discovery.py
+++ b/brambleusher/lab/stand_ins/discovery.py
@@ -1,4 +1,4 @@
-"""A stand-in discovery: the whole list, watches, versions, and a book of what was told to whom and when."""
+"""A stand-in discovery service with lists, watches and versions, and a log of all updates it has sent."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 READ_SECONDS = 10.0
 WRITE_SECONDS = 10.0
-CATCH_UP_SECONDS = 0.5  # after an older list
+CATCH_UP_SECONDS = 0.5  # time between an outdated list and the current one, in seconds
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 GarbageHow = Literal["noise", "half-line", "not-a-list", "bad-entry", "bad-chunk", "older"]
 
 
 class Entry(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """An endpoint as listed."""
+    """A node's entry in the list."""
 
     id: str
     addr: str
@@ -38,49 +38,49 @@
     started_ms: int = 0
 
 
-# --- troubles -----------------------------------------------------------------------------------
+# --- faults -------------------------------------------------------------------------------------
 
 
 @dataclass(eq=False, slots=True)
 class Down:
-    """Calls fail: refused, reset, or answered 503; watches end where the listener does."""
+    """Requests are refused, reset, or answered with 503; only with 503 do open watches continue."""
 
     how: Literal["refuse", "reset", "503"] = "refuse"
 
 
 @dataclass(eq=False, slots=True)
 class SlowCalls:
-    """Calls take so many times as long."""
+    """Requests take `factor` times as long."""
 
     factor: float
 
 
 @dataclass(eq=False, slots=True)
 class Silent:
-    """Watches stay open and say nothing, no empty line either; calls wait."""
+    """Watches stay open but send nothing, not even heartbeats; requests get no response meanwhile."""
 
 
 @dataclass(eq=False, slots=True)
 class Garbage:
-    """Each watch is told nonsense, once: at the beginning, or with its first answer while this lasts."""
+    """Each watch receives invalid data once: when the fault begins, or when a later watch opens."""
 
     how: GarbageHow
 
 
 @dataclass(eq=False, slots=True)
 class Behind:
-    """A part of the callers, by their hosts, is told changes so much later."""
+    """A fraction of the subscribers, selected by a hash of the IP address, receives changes `by_s` later."""
 
     part: float
     by_s: float
 
 
-# --- the book -----------------------------------------------------------------------------------
+# --- the log ------------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
 class Telling:
-    """One list, or one change, as written to one subscriber; `at_ns`: its last byte was handed over."""
+    """A list or a change sent to one subscriber; `at_ns` is the time at which its last byte was written."""
 
     at_ns: int
     peer: str
@@ -88,20 +88,20 @@
     version: int
     full: bool
     entries: tuple[Entry, ...]
-    sound: bool = True  # false for nonsense, and for an older version told out of order
+    sound: bool = True  # False for invalid data and for an older version sent out of order
 
 
 @dataclass(eq=False, slots=True)
 class _Watch:
     connection: Connection
     held: int | None
-    due: bool = False  # there is something to tell
-    fooled: Garbage | None = None  # nonsense already told
-    nonsense: Garbage | None = None  # nonsense to tell
+    due: bool = False  # whether an update is to be sent
+    fooled: Garbage | None = None  # fault whose invalid data was already sent
+    nonsense: Garbage | None = None  # fault whose invalid data is to be sent
 
 
 class Discovery(Server):
-    """One discovery service, its versions its own."""
+    """A discovery service with its own version numbers."""
 
     def __init__(
         self,
@@ -115,17 +115,17 @@
         told: MutableSequence[Telling] | None = None,
         seen: Callable[[str, Entry], Entry] | None = None,
     ) -> None:
-        """`seen` has an entry as the caller from some host is to be told it."""
+        """Initialize the service; `seen` translates an entry for the subscriber at a given IP address."""
         super().__init__(scheduler, name)
         self.settings, self.rng = settings, random.Random(f"{seed}/{name}")
         self.version = version
         self._entries: dict[str, tuple[int, Entry]] = {entry.id: (version, entry) for entry in entries}
-        self._oldest = version  # changes after this version can be told
-        self._before: tuple[int, list[Entry]] | None = None  # an older list
+        self._oldest = version  # oldest version from which changes are available
+        self._before: tuple[int, list[Entry]] | None = None  # previous version and its list
         self.told: MutableSequence[Telling] = [] if told is None else told
         self.troubles = Troubles()
         self._watches: dict[int, _Watch] = {}
-        self._free_at = 0.0  # when the call last taken is served
+        self._free_at = 0.0  # time at which all accepted requests will have been answered
         self.calls = self.failed = 0
         self._seen = seen
 
@@ -133,15 +133,15 @@
 
     @property
     def entries(self) -> list[Entry]:
-        """The list as it stands."""
+        """Current list of nodes."""
         return [entry for _, entry in self._entries.values() if entry.state != "Gone"]
 
     def put(self, *entries: Entry) -> None:
-        """Change entries, in one version; watches are told within `spread_s`."""
+        """Change entries in one new version; watches are notified within `spread_s`."""
         self._before = self.version, self.entries
         self.version += 1
         for entry in entries:
-            self._entries.pop(entry.id, None)  # so that the newest stand last
+            self._entries.pop(entry.id, None)  # moves the entry to the end, in order of versions
             self._entries[entry.id] = self.version, entry
         oldest = self.version - self.settings.history
         if oldest > self._oldest:
@@ -157,19 +157,19 @@
         return max((each.by_s for each in self.troubles.all(Behind) if share < each.part), default=0.0)
 
     def put_later(self, seconds: float, *entries: Entry) -> None:
-        """Learn of a change only after some time."""
+        """Change entries after some seconds."""
         self.scheduler.call_at(self.scheduler.now() + seconds, lambda: self.put(*entries))
 
     def changes(self, since: int | None) -> tuple[bool, list[Entry]]:
-        """Whether it is the whole list, and the entries, for one who holds some version."""
+        """Return the entries for a subscriber with a given version, and whether they are the whole list."""
         if since is None or not self._oldest <= since <= self.version:
             return True, self.entries
         return False, [entry for version, entry in self._entries.values() if version > since]
 
-    # --- switches -------------------------------------------------------------------------------
+    # --- injected faults ------------------------------------------------------------------------
 
     def begin(self, trouble: object) -> None:
-        """Switch a trouble on."""
+        """Activate a fault."""
         self.troubles.begin(trouble)
         if isinstance(trouble, Down):
             if trouble.how == "refuse":
@@ -182,7 +182,7 @@
                 self._call(watch, 0.0)
 
     def end(self, trouble: object) -> None:
-        """Switch it off."""
+        """Deactivate a fault."""
         self.troubles.end(trouble)
         refusing = any(each.how == "refuse" for each in self.troubles.all(Down))
         if isinstance(trouble, Down) and not refusing and not self.listening and self.address is not None:
@@ -192,14 +192,14 @@
                 connection.event.set()
 
     def retire(self, seconds: float) -> None:
-        """Accept nothing more, and close what is open after some time, as one does that was replaced."""
+        """Stop accepting connections, and close the open ones after some seconds, as when replaced."""
         self.unlisten()
         self.scheduler.call_at(self.scheduler.now() + seconds, lambda: self.drop(reset=False))
 
     # --- one connection -------------------------------------------------------------------------
 
     def serve(self, connection: Connection) -> None:
-        """Call after call, until one of them is a watch."""
+        """Serve requests until the connection ends or a request opens a watch."""
         reader = MessageReader.requests()
         while (request := self._read(connection, reader)) is not None:
             url = urlsplit(request.start[1])
@@ -228,7 +228,7 @@
         return request
 
     def _wait(self, connection: Connection) -> bool:
-        """Wait this call's turn; false where it fails."""
+        """Wait until the request is served in turn; return False if it fails."""
         settings, scheduler = self.settings, self.scheduler
         self.calls += 1
         down = self.troubles.last(Down)
@@ -243,7 +243,7 @@
             else:
                 self._free_at = ready
             scheduler.sleep(min(ready - now, settings.timeout_s))
-        while self.troubles.all(Silent):  # answered once it has found its voice again
+        while self.troubles.all(Silent):  # requests are answered once the fault ends
             scheduler.park(event=connection.event)
         if not fails:
             return True
@@ -279,7 +279,7 @@
             self._watches.pop(connection.number, None)
 
     def _ended(self, watch: _Watch) -> bool:
-        """Wait for news or for the next empty line; true when the subscriber has left."""
+        """Wait for an update or the next heartbeat; return True if the subscriber has disconnected."""
         deadline = self.scheduler.now() + self.settings.beat_s
         try:
             return watch.connection.stream.receive(deadline, watch.connection.event) == b""
@@ -299,7 +299,7 @@
     def _tell(self, watch: _Watch, first: bool) -> None:
         watch.due = False
         full, entries = self.changes(watch.held)
-        if not entries and not full and not first:  # told already, with an earlier change
+        if not entries and not full and not first:  # already sent with an earlier change
             return
         version, told = self.version, tuple(entries)
         watch.held = version
@@ -307,12 +307,12 @@
         self._note(watch.connection, version, full, told)
 
     def _fool(self, watch: _Watch, how: GarbageHow) -> bool:
-        """Tell nonsense; false where it ends the watch."""
+        """Send invalid data; return False if it ends the watch."""
         connection, entries = watch.connection, tuple(self.entries)
         if how == "older":
             if self._before is None:
                 return True
-            # As from a replica that is behind: it catches up a little later.
+            # Simulates a replica that lags behind and catches up later.
             version, before = self._before
             self._write(connection, _chunk(self._text(connection, version, True, before) + b"\n"))
             self._note(connection, version, True, tuple(before), sound=False)
@@ -322,7 +322,7 @@
         good = self._text(connection, self.version, True, entries)
         if how == "half-line":
             self._write(connection, _chunk(good[: len(good) // 2]))
-            return False  # its end comes in the middle of the line
+            return False  # the watch ends in the middle of a line
         if how == "bad-chunk":
             self._write(connection, b"zz\r\n" + good + b"\r\n")
             return False
--- a/brambleusher/lab/stand_ins/machine.py
+++ b/brambleusher/lab/stand_ins/machine.py
@@ -1,7 +1,7 @@
-"""The machine under an endpoint: cores shared by requests, a waiting room, a cold start, load reports.
+"""A model of a node's machine: cores shared by requests, a bounded queue, warm-up, and load reports.
 
-No sockets, timers or clock: every call says what time it is, in seconds, and `next_at` says when to
-call `advance` again.
+The model uses no sockets, timers or clocks: every call passes the current time in seconds, and `next_at`
+returns the time of the next call to `advance`.
 """
 
 from __future__ import annotations
@@ -14,23 +14,23 @@
 
 from brambleusher.lab.stand_ins.settings import NodeSettings
 
-WARM_STEPS = 16  # a cold machine's capacity rises in so many steps
+WARM_STEPS = 16  # number of steps in which a cold machine's capacity rises
 EPSILON = 1e-9
 
 
 @dataclass(eq=False, slots=True)
 class Job:
-    """A request as the machine sees it; `begun` and `done` are called when they happen."""
+    """A request as processed by the machine; `begun` and `done` are called when its work starts and ends."""
 
-    work: float  # seconds of a standard core
-    begun: Callable[[float], bool]  # may say no: then it is not worked on
+    work: float  # work in seconds on a standard core
+    begun: Callable[[float], bool]  # returns False to discard the job at its start
     done: Callable[[float], None]
-    end: float = math.nan  # while it is worked on: the service at which it is done
+    end: float = math.nan  # value of the machine's service counter at which a running job is done
 
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """One measurement: requests a second and the part of the cores that was busy."""
+    """A load measurement: the requests per second and the fraction of the CPU time used."""
 
     at: float
     seen_at: float
@@ -39,7 +39,7 @@
 
 
 class Machine:
-    """Works on jobs: those in slots share the cores evenly, the others wait in turn."""
+    """Processes jobs: running jobs share the cores evenly, and other jobs wait in a FIFO queue."""
 
     def __init__(self, settings: NodeSettings, rng: random.Random, now: float, cold: bool) -> None:
         self.settings, self._rng = settings, rng
@@ -48,45 +48,45 @@
         self._running: list[Job] = []
         self._waiting: deque[Job] = deque()
         self._now = self.started_at = now
-        self._service = 0.0  # what each running job has had, since the start
+        self._service = 0.0  # work done for each running job since the start, in seconds on a standard core
         self._rate = 0.0
         self._warmth = settings.cold_from if cold and settings.cold_s else 1.0
         self._warm_at = now + settings.cold_s / WARM_STEPS
-        self._worked = 0.0  # seconds of a standard core, since the start
-        self._pushed: deque[tuple[float, float]] = deque()  # arrivals while cold: when, and work
+        self._worked = 0.0  # work done since the start, in seconds on a standard core
+        self._pushed: deque[tuple[float, float]] = deque()  # times and work of the arrivals while cold
         self.fell_at: float | None = None
-        # What the world takes away: set by `burden`.
+        # Losses of capacity from external causes, set by `burden`.
         self._slow, self._taken, self._hung, self._tax = 1.0, 0.0, False, 0.0
-        self._busy = 0.0  # core seconds since the last report
-        self._finished = 0  # since the last report
+        self._busy = 0.0  # CPU time used since the last report, in seconds
+        self._finished = 0  # number of jobs finished since the last report
         self._report_at = now + settings.report_period_s * (0.5 + 0.5 * rng.random())
         self._reported_at = now
         self._reports: deque[Report] = deque()
 
-    # --- what is known of it --------------------------------------------------------------------
+    # --- state ----------------------------------------------------------------------------------
 
     @property
     def held(self) -> int:
-        """Requests in work and waiting."""
+        """Number of running and queued requests."""
         return len(self._running) + len(self._waiting)
 
     @property
     def full(self) -> bool:
-        """Whether one more would find no place."""
+        """Whether all slots and the queue are full."""
         return len(self._running) >= self._slots and len(self._waiting) >= self._room
 
     @property
     def cold(self) -> bool:
-        """Whether its capacity is still rising."""
+        """Whether the machine is still warming up."""
         return self._warmth < 1.0
 
     @property
     def capacity(self) -> float:
-        """Seconds of a standard core that it can work in a second, crowding and troubles apart."""
+        """Seconds of work on a standard core per second, without the effects of thrashing and faults."""
         return self.settings.cores * self.settings.speed * self._warmth
 
     def report(self, now: float, delay: float = 0.0) -> Report | None:
-        """The newest report that can be seen by now, with some further delay."""
+        """Return the newest report visible at `now`, with visibility delayed further by `delay` seconds."""
         seen = None
         for report in self._reports:
             if report.seen_at + delay > now:
@@ -97,18 +97,18 @@
     # --- work -----------------------------------------------------------------------------------
 
     def add(self, job: Job, now: float) -> None:
-        """Take a job in; the caller has seen that it is not `full`."""
+        """Add a job; the caller has checked that the machine is not `full`."""
         self.advance(now)
         self._push(job.work, now)
         self._waiting.append(job)
         self._fill()
 
     def refused(self, work: float, now: float) -> None:
-        """A request was turned away: it pushed all the same."""
+        """Record a rejected request, which still counts toward overload during warm-up."""
         self._push(work, now)
 
     def drop(self, job: Job, now: float) -> bool:
-        """Stop working on a job, or let it wait no longer; false if it is not here any more."""
+        """Remove a running or queued job; return False if the job has already ended."""
         self.advance(now)
         if job in self._running:
             self._running.remove(job)
@@ -120,11 +120,11 @@
         return True
 
     def runs(self, job: Job) -> bool:
-        """Whether a job is in work."""
+        """Return whether a job is running."""
         return job in self._running
 
     def spend(self, work: float, now: float) -> None:
-        """Work that nobody waits for, such as a handshake's: it delays what is in work."""
+        """Do work that belongs to no job, such as a handshake; it delays the running jobs."""
         self.advance(now)
         self._busy += work / self.settings.speed
         if self._running:
@@ -140,7 +140,15 @@
         hung: bool | None = None,
         tax: float | None = None,
     ) -> None:
-        """Change what the world takes away: a factor, a share of the machine, all of it, a part."""
+        """Change the losses of capacity from external causes; None leaves a value unchanged.
+
+        Args:
+            now: The current time in seconds.
+            slow: Factor by which work takes longer.
+            taken: Fraction of the machine used by another program.
+            hung: Whether no work is done at all.
+            tax: Fraction of the capacity lost to open connections.
+        """
         self.advance(now)
         self._slow = self._slow if slow is None else slow
         self._taken = self._taken if taken is None else taken
@@ -149,7 +157,7 @@
         self._rate = self._rate_now()
 
     def advance(self, now: float) -> None:
-        """Let time pass; jobs that are done by then are told so, at the moment they were."""
+        """Advance to a given time, and call `done` of each job that has finished, with its finish time."""
         while (at := self.next_at()) is not None and at <= now + EPSILON:
             self._move(max(at, self._now))
             if self.cold and self._now >= self._warm_at - EPSILON:
@@ -164,9 +172,9 @@
         self._move(max(now, self._now))
 
     def next_at(self) -> float | None:
-        """When a job is done or the capacity changes, as things stand; None if nothing is to happen."""
+        """Return the time of the next finished job or capacity change; None if there is none."""
         if not self._running:
-            # A machine without work warms up unwatched: it catches up when work comes.
+            # The warm-up of a machine without work is computed when the next job arrives.
             return self._warm_at if self.cold and self._warm_at <= self._now + EPSILON else None
         at = math.inf
         if self._rate > 0:
@@ -176,7 +184,7 @@
             at = min(at, self._warm_at)
         return None if at == math.inf else at
 
-    # --- within ---------------------------------------------------------------------------------
+    # --- internals ------------------------------------------------------------------------------
 
     def _fill(self) -> None:
         while self._waiting and len(self._running) < self._slots:
@@ -187,7 +195,7 @@
         self._rate = self._rate_now()
 
     def _rate_now(self) -> float:
-        """Seconds of a standard core that each running job gets in a second."""
+        """Return the work done for each running job per second, in seconds on a standard core."""
         if not self._running or self._hung:
             return 0.0
         settings = self.settings
@@ -225,14 +233,14 @@
         self._rate = self._rate_now()
 
     def _push(self, work: float, now: float) -> None:
-        """Count what reaches a cold machine; too much for too long brings it down."""
+        """Record work that arrives at a cold machine, and stop the machine permanently on overload."""
         if not self.cold or not self.settings.falls or self.fell_at is not None:
             return
         pushed, settings = self._pushed, self.settings
         pushed.append((now, work))
         while pushed[0][0] <= now - settings.fall_s:
             pushed.popleft()
-        # Some slack for chance: one deviation of the work of as many such requests as there is room for.
+        # Allows for random variation: one standard deviation of the work of the requests that fit the limit.
         total = sum(work for _, work in pushed)
         room = settings.fall_multiple * self.capacity * settings.fall_s
         if total > room + math.sqrt(room * sum(work * work for _, work in pushed) / total):
@@ -245,7 +253,7 @@
         busy = min(1.0, max(0.0, self._busy / span / settings.cores * noise))
         rate = self._finished / span * (1.0 + settings.report_noise * (2.0 * self._rng.random() - 1.0))
         self._reports.append(Report(at, at + settings.report_delay_s, rate, busy))
-        if len(self._reports) > 32:  # guards against reports without end where nobody asks
+        if len(self._reports) > 32:  # bounds the memory where no reports are requested
             self._reports.popleft()
         self._busy, self._finished = 0.0, 0
         self._reported_at, self._report_at = at, at + settings.report_period_s
--- a/brambleusher/lab/stand_ins/node.py
+++ b/brambleusher/lab/stand_ins/node.py
@@ -1,4 +1,4 @@
-"""A stand-in endpoint: HTTP in front of a `Machine`, a book of what it ran, and switches for troubles."""
+"""A stand-in node: an HTTP server in front of a `Machine`, with a log of executions and injectable faults."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from brambleusher.net.http import HeaderField, HttpError, Message, MessageReader, write_response
 from brambleusher.runtime.scheduler import Scheduler, Timer
 
-WORK_HEADER = "lab-work-us"  # the true work of a request, where the client's stand-in tells it
+WORK_HEADER = "lab-work-us"  # header with the true work of a request, set by stand-in clients
 WORK_UNKNOWN = 0.05
-READ_SECONDS = 10.0  # for a request that has begun
+READ_SECONDS = 10.0  # time limit for the rest of a request whose first byte has arrived, in seconds
 WRITE_SECONDS = 10.0
-AHEAD_BYTES = 128 * 1024  # read while a request is in work
+AHEAD_BYTES = 128 * 1024  # maximum number of bytes buffered while an earlier request is processed
 ENDLESS_PIECE, ENDLESS_SECONDS, ENDLESS_PAUSE = 16 * 1024, 20.0, 0.05
 
 SpoiltHow = Literal[
@@ -32,19 +32,19 @@
 ReportHow = Literal["absent", "noise", "negative", "huge", "idle", "not-json", "bytes"]
 
 
-# --- troubles -----------------------------------------------------------------------------------
+# --- faults -------------------------------------------------------------------------------------
 
 
 @dataclass(eq=False, slots=True)
 class Slow:
-    """Work takes so many times as long."""
+    """Work takes `factor` times as long."""
 
     factor: float
 
 
 @dataclass(eq=False, slots=True)
 class SlowNow:
-    """Each n-th request takes so many times the work."""
+    """Every n-th request needs `factor` times the work."""
 
     every: int
     factor: float
@@ -52,12 +52,12 @@
 
 @dataclass(eq=False, slots=True)
 class Hung:
-    """Nothing is worked on; connections come up and requests are read all the same."""
+    """The node processes no requests, but still accepts connections and reads requests."""
 
 
 @dataclass(eq=False, slots=True)
 class Neighbour:
-    """Another program takes a share of the machine, on and off in turn."""
+    """Another program on the machine periodically uses a share of its CPU."""
 
     share: float
     on_s: float
@@ -66,7 +66,7 @@
 
 @dataclass(eq=False, slots=True)
 class Spoilt:
-    """A part of the answers is spoilt, or brings more than belongs to it."""
+    """A fraction of the responses is malformed or followed by unexpected bytes."""
 
     how: SpoiltHow
     part: float = 1.0
@@ -74,16 +74,16 @@
 
 @dataclass(eq=False, slots=True)
 class Resets:
-    """A part of the requests meets a reset."""
+    """A fraction of the requests is reset."""
 
     where: ResetWhere
     part: float = 1.0
-    runs: bool = True  # where the request has come whole, it is run
+    runs: bool = True  # whether a request received whole is executed
 
 
 @dataclass(eq=False, slots=True)
 class CrossingClose:
-    """Idle connections are closed early: after a random time, or with the next request unread on them."""
+    """Idle connections are closed early: after a random time, or with the next request unread."""
 
     within_s: float
     part: float = 1.0
@@ -92,76 +92,77 @@
 
 @dataclass(eq=False, slots=True)
 class ReportsLate:
-    """Load reports come so much later."""
+    """Load reports become visible `delay_s` later."""
 
     delay_s: float
 
 
 @dataclass(eq=False, slots=True)
 class ReportsWrong:
-    """Load reports are absent or wrong."""
+    """Load reports are missing or invalid."""
 
     how: ReportHow
 
 
 @dataclass(eq=False, slots=True)
 class TurnsAway:
-    """A part of the requests is turned away, as with a full waiting room."""
+    """A fraction of the requests is rejected, as with a full queue."""
 
     part: float = 1.0
     status: Literal[503, 504] = 503
 
 
-# --- the book -----------------------------------------------------------------------------------
+# --- the log ------------------------------------------------------------------------------------
 
 
 @dataclass(eq=False, slots=True)
 class Execution:
-    """A request that came whole, and what became of it.  Times are the system's monotonic nanoseconds."""
+    """A request that was received whole, and its outcome.  Times are in monotonic nanoseconds."""
 
     node: str
-    process: int  # 0 for the first process under this id, then 1, 2 ...
+    process: int  # index of the process among those started under the node's id, from 0
     connection: int
     request: str
     request_class: str
     target: str
     body_crc: int
     work_s: float
-    capacity: float  # of the machine when it came, in seconds of a standard core a second
+    capacity: float  # machine's capacity on arrival, in seconds of work on a standard core per second
     cold: bool
     came_ns: int
-    began_ns: int = 0  # 0: it was never run
-    ended_ns: int = 0  # 0: it is still here, or the process died over it
-    end: str = ""  # made, error, turned away, dropped (before it ran), stopped (while it ran), lost
-    number: int = 0  # of the answer among all this process made
-    answer: bytes = b""  # the body made for it
+    began_ns: int = 0  # 0 if the request never ran
+    ended_ns: int = 0  # 0 while the request is open, or if the process exited before its end
+    # Outcome: "made", "error", "turned away", "dropped" (before it ran), "stopped" (while it ran) or "lost".
+    end: str = ""
+    number: int = 0  # index of the response among all responses of the process, from 1
+    answer: bytes = b""  # body of the response
 
     @property
     def ran(self) -> bool:
-        """Whether any of it was worked on."""
+        """Whether any work was done for the request."""
         return self.began_ns > 0
 
 
 @dataclass(eq=False, slots=True)
 class _Work:
-    """A request on its way through the node."""
+    """A request that the node is processing."""
 
     connection: Connection
     request: Message
     execution: Execution
-    due: float  # when its sidecar stops waiting
+    due: float  # time at which the sidecar stops waiting for the response
     job: Job | None = None
     answer: tuple[int, list[HeaderField], bytes] | None = None
-    timer: Timer | None = None  # its handshake
+    timer: Timer | None = None  # timer of the simulated handshake
     gone: bool = False
     over: bool = field(default=False)
 
 
 class Node(Server):
-    """One process of an endpoint.
+    """A process of a node.
 
-    `process` counts the processes under this id; `executions` and `troubles` may be shared with the
-    ones before and after it.
+    `process` is the index of the process among those started under the node's id.  Successive processes may
+    share `executions` and `troubles`.
     """
 
     def __init__(
@@ -183,28 +184,28 @@
         self.executions: MutableSequence[Execution] = [] if executions is None else executions
         self.troubles = Troubles() if troubles is None else troubles
         self.draining = False
-        self.on_fall: Callable[[], object] | None = None  # told when too much work has brought it down
+        self.on_fall: Callable[[], object] | None = None  # called when overload during warm-up stops the node
         self.answers = self.turned_away = self._taken = 0
         self._timer: Timer | None = None
         self._timer_at = math.inf
-        self._toggles: dict[Neighbour, tuple[Timer, bool, float]] = {}  # whether it is busy, and until when
+        self._toggles: dict[Neighbour, tuple[Timer, bool, float]] = {}  # timer, whether busy, end time
         self._ended = False
         self.changed()
 
-    # --- switches -------------------------------------------------------------------------------
+    # --- injected faults ------------------------------------------------------------------------
 
     def begin(self, trouble: object) -> None:
-        """Switch a trouble on."""
+        """Activate a fault."""
         self.troubles.begin(trouble)
         self.changed()
 
     def end(self, trouble: object) -> None:
-        """Switch it off."""
+        """Deactivate a fault."""
         self.troubles.end(trouble)
         self.changed()
 
     def changed(self) -> None:
-        """Let the troubles that are on bear on the machine."""
+        """Apply the active faults to the machine."""
         slow = math.prod(each.factor for each in self.troubles.all(Slow))
         taken = self._neighbours(self.troubles.all(Neighbour))
         hung = bool(self.troubles.all(Hung))
@@ -212,7 +213,7 @@
         self._set_timer()
 
     def _neighbours(self, there: list[Neighbour]) -> float:
-        """Start and stop neighbours; says what those that are busy take."""
+        """Start and stop the neighbour programs, and return the share of the CPU that busy ones use."""
         now = self.scheduler.now()
         for gone in [each for each in self._toggles if each not in there]:
             self._toggles.pop(gone)[0].cancel()
@@ -226,17 +227,17 @@
 
     @property
     def capacity(self) -> float:
-        """What a cold start leaves of its capacity, in seconds of a standard core a second."""
+        """Current capacity during warm-up, in seconds of work on a standard core per second."""
         self.machine.advance(self.scheduler.now())
         return self.machine.capacity
 
     @property
     def busy(self) -> int:
-        """Requests in work and waiting."""
+        """Number of running and queued requests."""
         return self.machine.held
 
     def close(self, reset: bool = True) -> None:
-        """The process ends; what it was working on is lost."""
+        """End the process; the requests it is processing are lost."""
         self._ended = True
         if self._timer is not None:
             self._timer.cancel()
@@ -246,7 +247,7 @@
     # --- one connection -------------------------------------------------------------------------
 
     def serve(self, connection: Connection) -> None:
-        """Request after request."""
+        """Serve requests one after another."""
         if self._meets("accept"):
             self.reset(connection)
             return
@@ -275,7 +276,7 @@
         self._set_timer()
 
     def _meets(self, where: ResetWhere) -> Resets | None:
-        """The reset that this request meets at some point, if one is on and its turn has come."""
+        """Decide whether the request is reset at a given point, and return the active fault in that case."""
         for resets in self.troubles.all(Resets):
             if resets.where == where and self.rng.random() < resets.part:
                 return resets
@@ -284,14 +285,14 @@
     def _read(
         self, connection: Connection, reader: MessageReader, idle_s: float, unread: bool
     ) -> Message | None:
-        """The next request; None if there is none and the connection is to be closed."""
+        """Read the next request; return None if the connection is to be closed."""
         scheduler, stream = self.scheduler, connection.stream
         deadline = scheduler.now() + idle_s
         while (request := reader.take()) is None:
             if not reader.has_begun and (unread or self.troubles.all(Resets)):
                 scheduler.park(deadline, stream.sock)
                 if unread and not stream.is_idle():
-                    return None  # closing with bytes unread is a reset
+                    return None  # the close with unread bytes causes a reset
                 if self._meets("before"):
                     self.reset(connection)
                     return None
@@ -308,7 +309,7 @@
         return request
 
     def _exchange(self, connection: Connection, reader: MessageReader, request: Message, first: bool) -> bool:
-        """One request and its answer; false when the connection is of no further use."""
+        """Serve one request; return False if the connection can't be used for another one."""
         stream = connection.stream
         try:
             work = self._work(connection, request)
@@ -330,7 +331,7 @@
                 return False
             elif data:
                 reader.feed(data)
-        if work.answer is None:  # stopped: nobody is told
+        if work.answer is None:  # the work was stopped without a response
             return False
         return self._respond(connection, work, meets)
 
@@ -343,7 +344,7 @@
             seconds = float(headers.get(WORK_HEADER) or headers.get("work-hint") or WORK_UNKNOWN * 1e6) / 1e6
             wait = int(headers.get("request-timeout-ms", "0")) / 1000
         except ValueError:
-            raise HttpError(400, "a number that is none") from None
+            raise HttpError(400, "invalid number in a request header") from None
         spread = self.settings.work_noise
         seconds = max(1e-5, seconds * math.exp(spread * self.rng.gauss(0.0, 1.0) - spread * spread / 2))
         for slow in self.troubles.all(SlowNow):
@@ -363,7 +364,7 @@
     # --- work -----------------------------------------------------------------------------------
 
     def _begin(self, work: _Work, first: bool) -> None:
-        """Turn a request away, or put it into the machine, after the handshake where there was one."""
+        """Reject a request or add it to the machine, after the handshake on a connection's first request."""
         settings, now = self.settings, self.scheduler.now()
         if first and settings.handshake_work_s:
             self.machine.spend(settings.handshake_work_s, now)
@@ -403,7 +404,7 @@
         self._set_timer()
 
     def _ns(self, at: float) -> int:
-        """A moment of the scheduler's in nanoseconds, no later than now."""
+        """Convert a time of the scheduler to nanoseconds, at most the current time."""
         return min(self.scheduler.system.monotonic_ns(), round(at * 1e9))
 
     def _turn_away(self, work: _Work, status: int) -> None:
@@ -437,7 +438,7 @@
         work.connection.event.set()
 
     def _left(self, work: _Work) -> None:
-        """The sidecar has given up: stop what may be stopped."""
+        """Stop the work of a request whose sidecar has disconnected, as far as the settings allow."""
         work.gone = True
         execution, settings, job = work.execution, self.settings, work.job
         if job is None:
@@ -516,7 +517,7 @@
         return [("Server-Load", orjson.dumps({name: figures.get(name, 0) for name in fields}).decode())]
 
     def _spoil(self, connection: Connection, how: SpoiltHow, headers: list[HeaderField], body: bytes) -> bool:
-        """Send an answer that is not as it should be; false once the connection is of no further use."""
+        """Send a malformed response; return False if the connection can't be used any more."""
         good = write_response(200, headers, body)
         if how in ("second-copy", "noise-behind"):
             behind = good if how == "second-copy" else self.rng.randbytes(64)
@@ -538,7 +539,7 @@
             self._endless(connection, b"e" * ENDLESS_PIECE)
         else:
             self._send(connection, _unreadable(how, head, body, self.rng))
-        # The connection stays open and is of no further use: what still comes on it is not looked at.
+        # The connection stays open but unusable, and all further bytes on it are discarded.
         while connection.stream.receive(None):
             continue
         return False
@@ -551,10 +552,10 @@
 
 
 def _unreadable(how: SpoiltHow, head: str, body: bytes, rng: random.Random) -> bytes:
-    """The bytes of an answer that can't be read to its end.
+    """Return the bytes of a response that can't be parsed to its end.
 
-    A length that is too short is not among them: nobody could tell such an answer from a good one with
-    something behind it.
+    The variants don't include a Content-Length that is too small, since such a response is indistinguishable
+    from a valid one followed by extra bytes.
     """
     size = len(body)
     if how == "noise":
--- a/brambleusher/lab/stand_ins/operators.py
+++ b/brambleusher/lab/stand_ins/operators.py
@@ -1,4 +1,4 @@
-"""Stand-in operators: staff who call sidecars' admin endpoints, and a front that asks whether it is ready."""
+"""Stand-in operators, who call the sidecars' admin endpoints, and a load balancer that polls `/ready`."""
 
 from __future__ import annotations
 
@@ -10,24 +10,26 @@
 from brambleusher.runtime.streams import Stream
 from brambleusher.runtime.system import Address
 
-CALL_SECONDS = 1.5  # that one waits for a yes or a no
-AGAIN_SECONDS = 0.3  # between two calls that say the same
-BACK_TRIES = 12  # of a call back: a sidecar that does not answer for so long has forgotten what was said
-FRONT_SECONDS = 0.1  # between two questions of the front
+CALL_SECONDS = 1.5  # timeout of a request, in seconds
+AGAIN_SECONDS = 0.3  # interval between repetitions of a request, in seconds
+# Maximum number of requests that undo an action: a sidecar unavailable for longer has restarted, and so lost
+# the action.
+BACK_TRIES = 12
+FRONT_SECONDS = 0.1  # interval between polls of `/ready`, in seconds
 
 
 @dataclass(eq=False, slots=True)
 class Called:
-    """One call, and what came back; the time is in monotonic nanoseconds."""
+    """A request of an operator and the status of its response; the time is in monotonic nanoseconds."""
 
     address: Address
     target: str
     sent_ns: int
-    status: int = 0  # 0: nothing that could be read
+    status: int = 0  # 0 without a readable response
 
 
 class Operators:
-    """Staff and front of a fleet.  Each thing that is said is a task: it outlives a sidecar's restarts."""
+    """Operators and load balancer of a fleet; each action is a task that outlives sidecar restarts."""
 
     def __init__(self, scheduler: Scheduler) -> None:
         self.scheduler = scheduler
@@ -35,9 +37,9 @@
         self._tasks: list[Task] = []
 
     def say(self, admin: Address, out: str, back: str) -> Callable[[], None]:
-        """Call `out` again and again, as staff do who can't know what a sidecar remembers.
+        """Request `out` repeatedly, as operators do because a restart makes a sidecar lose the action.
 
-        What is returned ends that: `back` is called then, until there is a yes.
+        The returned function ends the repetition and requests `back` until a response reports success.
         """
         over: list[bool] = []
 
@@ -54,7 +56,7 @@
         return lambda: over.append(True)
 
     def front(self, clients: Address) -> None:
-        """Ask at the clients' address whether clients may come, until `end`."""
+        """Poll `/ready` at the address for clients, until `end` is called."""
 
         def run() -> None:
             while True:
@@ -64,12 +66,12 @@
         self._tasks.append(self.scheduler.spawn(run, name="front"))
 
     def end(self) -> None:
-        """Go home."""
+        """Cancel all tasks."""
         for task in self._tasks:
             task.cancel()
 
     def call(self, address: Address, method: str, target: str) -> Called:
-        """One call on a connection of its own."""
+        """Send one request on a new connection."""
         scheduler = self.scheduler
         called = Called(address, target, scheduler.system.monotonic_ns())
         self.book.append(called)
--- a/brambleusher/lab/stand_ins/server.py
+++ b/brambleusher/lab/stand_ins/server.py
@@ -1,4 +1,4 @@
-"""What stand-in servers share: a listener, a task for each connection, and ways to end."""
+"""Common base of the stand-in servers: a listener, a task for each connection, and shutdown."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Connection:
-    """One accepted connection; `event` wakes its task."""
+    """An accepted connection; `event` wakes the task that serves it."""
 
     __slots__ = ("event", "number", "peer", "stream", "task")
 
@@ -32,18 +32,18 @@
 
 
 class Server:
-    """Accepts connections and has `serve` called on each, in a task of its own."""
+    """Accepts connections, and calls `serve` for each connection in a separate task."""
 
     def __init__(self, scheduler: Scheduler, name: str) -> None:
         self.scheduler, self.name = scheduler, name
-        self.connections: dict[int, Connection] = {}  # by number, in the order they came
+        self.connections: dict[int, Connection] = {}  # open connections by number, in order of arrival
         self.accepted = 0
         self.address: Address | None = None
         self._listener: Socket | None = None
         self._accepting: Task | None = None
 
     def listen(self, address: Address) -> Address:
-        """Bind and accept; says where."""
+        """Bind, start accepting connections, and return the bound address."""
         self._listener = self.scheduler.system.listen(address, BACKLOG)
         self._accepting = self.scheduler.spawn(self._accept, self._listener, name=f"{self.name} accept")
         host, port = self._listener.getsockname()[:2]
@@ -52,7 +52,7 @@
 
     @property
     def listening(self) -> bool:
-        """Whether new connections come up."""
+        """Whether the server accepts new connections."""
         return self._listener is not None
 
     def unlisten(self) -> None:
@@ -64,7 +64,7 @@
         self._accepting = self._listener = None
 
     def drop(self, reset: bool) -> None:
-        """End all connections, by a reset or in good order."""
+        """End all connections, by a reset or by an orderly close."""
         for connection in list(self.connections.values()):
             if connection.task is not None:
                 connection.task.cancel()
@@ -74,19 +74,19 @@
                 connection.stream.close()
 
     def close(self, reset: bool = True) -> None:
-        """End, as a process does that dies or exits."""
+        """Close the listener and all connections, as the exit of the process would."""
         self.unlisten()
         self.drop(reset)
 
     def reset(self, connection: Connection) -> None:
-        """Break a connection: its other end sees a reset."""
+        """Reset a connection."""
         stream = connection.stream
         if stream.open:
             stream.open = False
             self.scheduler.system.reset(stream.sock)
 
     def serve(self, connection: Connection) -> None:
-        """Serve a connection until it ends; it is closed afterwards."""
+        """Serve a connection until it ends; the caller closes the connection afterwards."""
         raise NotImplementedError
 
     def _accept(self, listener: Socket) -> None:
@@ -98,7 +98,7 @@
                 scheduler.park(sock=listener)
                 continue
             except OSError:
-                # Guards against a loop at full speed while no descriptor is free.
+                # Prevents a busy loop while no file descriptor is free.
                 scheduler.sleep(NO_DESCRIPTOR_SECONDS)
                 continue
             self.accepted += 1
@@ -119,31 +119,31 @@
 
 
 class Troubles:
-    """What a fault plan has switched on, oldest first; a switch is an object, looked up by its class."""
+    """The active faults of a server, oldest first; each fault is an object looked up by its class."""
 
     def __init__(self) -> None:
         self._on: list[object] = []
 
     def begin(self, trouble: object) -> None:
-        """Switch on."""
+        """Activate a fault."""
         self._on.append(trouble)
 
     def end(self, trouble: object) -> None:
-        """Switch off; one that is not on is left alone."""
+        """Deactivate a fault; has no effect for an inactive one."""
         self._on = [each for each in self._on if each is not trouble]
 
     def all(self, kind: type[Trouble]) -> list[Trouble]:
-        """All of a class that are on."""
+        """Return all active faults of a class."""
         return [each for each in self._on if isinstance(each, kind)] if self._on else []
 
     def last(self, kind: type[Trouble]) -> Trouble | None:
-        """The one switched on last."""
+        """Return the most recently activated fault of a class, or None."""
         found = self.all(kind)
         return found[-1] if found else None
 
     @contextmanager
     def during(self, trouble: object) -> Generator[None, None, None]:
-        """Switched on within a block."""
+        """Keep a fault active within a block."""
         self.begin(trouble)
         try:
             yield
--- a/brambleusher/lab/stand_ins/settings.py
+++ b/brambleusher/lab/stand_ins/settings.py
@@ -1,4 +1,4 @@
-"""What a stand-in is told about itself.  Units are in the names; a cost is in seconds of a standard core."""
+"""Settings of stand-ins.  Names end in their units; work is measured in seconds on a standard core."""
 
 from __future__ import annotations
 
@@ -7,87 +7,87 @@
 import msgspec
 
 Count = Annotated[int, msgspec.Meta(ge=0)]
-Seconds = Annotated[float, msgspec.Meta(ge=0, le=1e9)]  # an infinite one can't be told to a sidecar
+Seconds = Annotated[float, msgspec.Meta(ge=0, le=1e9)]  # finite, as sidecars' settings require
 Positive = Annotated[float, msgspec.Meta(gt=0, le=1e9)]
 Part = Annotated[float, msgspec.Meta(ge=0, le=1)]
 
 
 class Settings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """The form of all settings: plain data that msgspec turns into builtins and back."""
+    """Base class of all settings, which msgspec converts to built-in types and back."""
 
 
 class NodeSettings(Settings, frozen=True):
-    """One endpoint: its machine, what it takes, and how it answers."""
+    """Settings of a stand-in node: its machine, its limits and its responses."""
 
     cores: Annotated[int, msgspec.Meta(ge=1)] = 2
-    speed: Positive = 1.0  # of a standard core
-    slots_per_core: Annotated[int, msgspec.Meta(ge=1)] = 1  # requests in work
-    queue_per_core: Count = 200  # requests that wait; beyond, they are turned away
-    thrash: Seconds = 0.08  # each request a core held beyond `thrash_at` adds so much to all work
+    speed: Positive = 1.0  # speed of each core, relative to a standard core
+    slots_per_core: Annotated[int, msgspec.Meta(ge=1)] = 1  # requests processed concurrently per core
+    queue_per_core: Count = 200  # waiting requests per core; a full queue rejects further requests
+    thrash: Seconds = 0.08  # relative slowdown of all work per request per core above `thrash_at`
     thrash_at: Seconds = 10.0
-    cold_from: Annotated[float, msgspec.Meta(gt=0, le=1)] = 0.25  # of the capacity, at the start
-    cold_s: Seconds = 12.0  # until it is warm, at the latest
+    cold_from: Annotated[float, msgspec.Meta(gt=0, le=1)] = 0.25  # fraction of the capacity at a cold start
+    cold_s: Seconds = 12.0  # maximum warm-up time
     warm_by: Literal["time", "work"] = "work"
-    warm_work: Positive = 0.3  # of the work `cold_s` at full capacity could do: so much warms it up
-    falls: bool = True  # whether too much work while cold brings it down for good
+    warm_work: Positive = 0.3  # work that completes the warm-up, relative to `cold_s` at full capacity
+    falls: bool = True  # whether overload during warm-up permanently stops the node
     fall_multiple: Positive = 4.0
     fall_s: Positive = 3.0
     connections: Annotated[int, msgspec.Meta(ge=1)] = 1200
-    full_tax: Annotated[float, msgspec.Meta(ge=0, lt=1)] = 0.25  # of the capacity, while the table is full
-    handshake_s: Seconds = 0.002  # on the first request of a connection
+    full_tax: Annotated[float, msgspec.Meta(ge=0, lt=1)] = 0.25  # fraction of capacity lost at `connections`
+    handshake_s: Seconds = 0.002  # added latency of the first request on a connection
     handshake_work_s: Seconds = 0.001
-    idle_s: Positive = 30.0  # then an idle connection is closed
-    report_fields: tuple[str, ...] = ("throughput", "utilization")  # empty: no report
+    idle_s: Positive = 30.0  # time after which the node closes an idle connection
+    report_fields: tuple[str, ...] = ("throughput", "utilization")  # empty for no load reports
     report_period_s: Positive = 1.0
     report_delay_s: Seconds = 0.25
     report_noise: Seconds = 0.03
-    error_rate: Part = 0.0  # answered 500 after the work
-    cancel: Literal["none", "queued", "all"] = "queued"  # the work that a closed connection stops
-    drops_overdue: bool = False  # one whose time is up is not begun
-    drain_refuses: bool = False  # while it drains, new requests are turned away
-    work_noise: Seconds = 0.2  # the spread of a request's work from attempt to attempt
-    answer_bytes: Count = 200  # what an answer has beside its proof
+    error_rate: Part = 0.0  # fraction of requests answered with 500 after their work is done
+    cancel: Literal["none", "queued", "all"] = "queued"  # which work is canceled when its connection closes
+    drops_overdue: bool = False  # whether requests past their deadline are rejected before they start
+    drain_refuses: bool = False  # whether a draining node rejects new requests
+    work_noise: Seconds = 0.2  # logarithmic standard deviation of a request's work between attempts
+    answer_bytes: Count = 200  # padding of a response body, which also identifies the request and the node
 
 
 class DiscoverySettings(Settings, frozen=True):
-    """The one discovery service: what calls cost, and when changes are told."""
+    """Settings of the discovery service: the cost of requests and the delivery of changes."""
 
     call_s: Seconds = 0.02
     line_s: Seconds = 0.0005
-    timeout_s: Positive = 3.0  # a call that waited for so long fails
+    timeout_s: Positive = 3.0  # waiting time after which a request fails
     fails_by: Literal["503", "reset"] = "503"
-    beat_s: Positive = 2.0  # an empty line, while nothing changes
-    spread_s: Seconds = 0.05  # a change reaches the watches within this time
-    history: Annotated[int, msgspec.Meta(ge=1)] = 64  # versions back from which changes can be told
+    beat_s: Positive = 2.0  # interval between heartbeats (empty lines) while nothing changes
+    spread_s: Seconds = 0.05  # maximum delay until a change reaches the watches
+    history: Annotated[int, msgspec.Meta(ge=1)] = 64  # number of past versions with available changes
 
 
 class ClientSettings(Settings, frozen=True):
-    """How clients behave."""
+    """Settings of the clients beside a sidecar."""
 
     tries: Annotated[int, msgspec.Meta(ge=1)] = 3
-    try_part: Annotated[float, msgspec.Meta(gt=0, le=1)] = 1.0  # of the time left, for one try
+    try_part: Annotated[float, msgspec.Meta(gt=0, le=1)] = 1.0  # fraction of the time left for one attempt
     backoff: Literal["none", "fixed", "exponential"] = "fixed"
     backoff_s: Seconds = 0.1
-    honour: Part = 0.7  # of those told when to return
+    honour: Part = 0.7  # probability that a client obeys a Retry-After header
     honour_most_s: Seconds = 2.0
     marks_retry: bool = False
-    impatient: Part = 0.0  # of the tries: left some time into the wait
-    idle_most: Count = 64  # connections kept
-    asks_once: Part = 0.0  # of the connections: asked on once, and held as long as they stand
-    most_open: Count = 0  # connections held at once; a request that finds none left fails; 0: no bound
+    impatient: Part = 0.0  # fraction of attempts that the client abandons before the deadline
+    idle_most: Count = 64  # maximum number of idle connections
+    asks_once: Part = 0.0  # fraction of connections used for one request and then held open
+    most_open: Count = 0  # maximum number of open connections, beyond which requests fail; 0 for no limit
     hints: Literal["none", "rough"] = "rough"
 
 
 class Ask(Settings, frozen=True):
-    """One request that somebody is to send, whatever becomes of those before it."""
+    """A request that a client sends at a set time, regardless of the outcome of earlier requests."""
 
     id: str
-    at_s: Seconds  # after the start
+    at_s: Seconds  # time of sending, after the start
     request_class: str
-    unsafe: bool = False  # must not run twice
+    unsafe: bool = False  # whether the request is non-idempotent
     tenant: str = ""
-    wait_s: Positive = 1.0  # for an answer, over all tries
+    wait_s: Positive = 1.0  # time limit for a response, over all attempts
     work_s: Positive = 0.05
-    hint_s: Seconds = 0.0  # 0: none is given
+    hint_s: Seconds = 0.0  # value of the work hint header; 0 for no header
     body_bytes: Count = 0
-    sidecar: Count = 0  # the one beside its client
+    sidecar: Count = 0  # index of the sidecar beside the client
--- a/tests/lab/test_fault_plans.py
+++ b/tests/lab/test_fault_plans.py
@@ -135,7 +135,7 @@
         ("kind: node-slow, factor: [0-9.]+", "kind: node-slow, factor: fast", "faults[0].factor"),
         ("kind: node-slow, factor: [0-9.]+", "kind: node-slow", "missing required field `factor`"),
         ("at_s: [0-9.]+", "at_s: -1", "at_s"),
-        ("target: s-[0-9a-f]+", "target: s-nobody", "target 's-nobody' of node-slow is not a known node"),
+        ("target: s-[0-9a-f]+", "target: s-nobody", "node-slow is aimed at 's-nobody': unknown node"),
         ("length_s: ", "lenght_s: ", "lenght_s"),
         ("sidecar: 0", "sidecar: 9", "asks["),
         ("format: 1", "format: 2", "format"),
@@ -386,7 +386,7 @@
 
 
 def test_what_virtual_time_lacks_is_refused_by_name() -> None:
-    with pytest.raises(ValueError, match="link-throttled is there for real processes alone"):
+    with pytest.raises(ValueError, match="link-throttled is supported for real processes only"):
         Fleet(scenario_with(fault_of("link-throttled", {})))
 
 
--- a/tests/lab/test_overload_states.py
+++ b/tests/lab/test_overload_states.py
@@ -1,6 +1,6 @@
-"""Three states that were measured in service, on whole sidecars in virtual time; docs/design/limits.md.
+"""Tests of three overload states observed in production, on whole sidecars in virtual time.
 
-In each, most of what is asked was refused while the fleet stood nearly idle.
+In each state, sidecars rejected most requests while the fleet was nearly idle; see docs/design/limits.md.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from brambleusher.lab.stand_ins.settings import Ask, ClientSettings, NodeSettings
 
 LENGTH, RATE = 7.0, 90.0
-FROM, UNTIL = 2.0, 5.0  # the trouble
+FROM, UNTIL = 2.0, 5.0  # start and end of the faults, in seconds
 NODES = 6
 CLASSES = (
     ClassFigures(name="look", share=0.7, work_s=0.02, spread=0.7, aim_s=0.3, deadline_s=0.6),
@@ -29,7 +29,7 @@
 
 @pytest.fixture(autouse=True)
 def quiet() -> Iterator[None]:
-    """Log lines of sidecars in trouble are not what these tests are about."""
+    """Suppress the log lines of sidecars under faults, which these tests don't check."""
     logger = logging.getLogger("brambleusher")
     before = logger.level
     logger.setLevel(logging.CRITICAL)
@@ -62,7 +62,7 @@
 
 
 def play(figures: WorldFigures, faults: tuple[AnyFault, ...], seed: int) -> tuple[float, float, Fleet]:
-    """The parts served of what was asked in the trouble (its first moments apart) and after it."""
+    """Return the fractions of requests served during the faults, without the first 0.5 s, and after them."""
     scenario = Scenario(seed=seed, world=figures, asks=asks(seed), faults=faults)
     with (fleet := Fleet(scenario)).world as at:
 
@@ -81,7 +81,7 @@
 
 
 def test_connections_that_ask_once_and_stay_and_silent_ones_leave_room() -> None:
-    """Clients hold a third of 128 descriptors; 40 silent connections come on top."""
+    """Clients hold a third of 128 descriptors, and 40 further connections are open without sending data."""
     clients = ClientSettings(tries=2, backoff_s=0.05, asks_once=1.0, most_open=42)
     silent = tuple(
         BadClientsCome(at_s=FROM, for_s=UNTIL - FROM, target=f"n{n}", what="silent", count=40)
@@ -92,7 +92,7 @@
 
 
 def test_connections_that_fall_silent_hold_no_limit_down() -> None:
-    """Every tenth of a second a part of all connections says nothing more, for three seconds."""
+    """For three seconds, 20 % of the connections to each node stop carrying data every 0.1 seconds."""
     silent = tuple(
         ConnectionsSilent(at_s=FROM + step / 10, for_s=UNTIL - FROM - step / 10, target=f"s-{node}", part=0.2)
         for step in range(int((UNTIL - FROM) * 10))
@@ -103,7 +103,7 @@
 
 
 def test_nodes_that_turn_away_and_look_idle_draw_few_turns() -> None:
-    """Half of the nodes turn away nine requests in ten; the other half could serve all of them."""
+    """Half of the nodes reject nine requests in ten; the other half has capacity for all requests."""
     away = tuple(
         TurningAway(at_s=FROM, for_s=UNTIL - FROM, target=f"s-{node}", part=0.9)
         for node in range(0, NODES, 2)
@@ -115,6 +115,6 @@
 
 
 def test_the_scenarios_are_plain_data() -> None:
-    """So that they can be written down and played by the lab's command."""
+    """The scenarios survive conversion to built-in types, so the lab's command can read and run them."""
     figures = world(ClientSettings(asks_once=0.5, most_open=9))
     assert msgspec.convert(msgspec.to_builtins(figures), WorldFigures) == figures
--- a/tests/lab/test_stand_in_client.py
+++ b/tests/lab/test_stand_in_client.py
@@ -1,4 +1,4 @@
-"""Stand-in clients: when they try again, what they do when a close crosses, and the bad ones."""
+"""Tests of the stand-in clients: retries, closes that cross a request, and misbehaving clients."""
 
 from __future__ import annotations
 
@@ -38,14 +38,14 @@
         (tried("answered", 502), FIXED, 9.0, 0.05, 0.15),
         (tried("answered", 503), FIXED, 9.0, 0.05, 0.15),
         (tried("answered", 503, after=0.7), FIXED, 9.0, 0.7, 0.7),
-        (tried("answered", 503, after=60.0), FIXED, 9.0, 2.0, 2.0),  # heeded so far and no further
-        (tried("answered", 503, after=0.7), FIXED, 0.5, None, None),  # no time is left by then
+        (tried("answered", 503, after=60.0), FIXED, 9.0, 2.0, 2.0),  # the obeyed delay is bounded
+        (tried("answered", 503, after=0.7), FIXED, 0.5, None, None),  # the deadline is before the retry
         (tried("late"), FIXED, 9.0, 0.05, 0.15),
         (tried("left"), FIXED, 9.0, None, None),
         (tried("broken"), ClientSettings(backoff="none"), 9.0, 0.0, 0.0),
         (tried("broken", number=1), ClientSettings(backoff="exponential", backoff_s=0.1), 9.0, 0.1, 0.3),
         (tried("broken", number=2), FIXED, 9.0, None, None),
-        # What must not run twice: only a refusal, or the lack of a connection, proves that it has not run.
+        # Only a rejection or a failed connect proves that a non-idempotent request has not run.
         (tried("answered", 502, unsafe=True), FIXED, 9.0, None, None),
         (tried("broken", unsafe=True), FIXED, 9.0, None, None),
         (tried("late", unsafe=True), FIXED, 9.0, None, None),
@@ -64,7 +64,7 @@
 
 
 class Wire(Tap):
-    """All that clients hand over."""
+    """Records all bytes that clients send."""
 
     def __init__(self) -> None:
         self.data = b""
@@ -98,7 +98,7 @@
     node = node_in(lab)
     asks = [ask("a1"), ask("a2", at_s=0.5)]
 
-    def reset_idle() -> None:  # the node's end goes away just as the second request is written
+    def reset_idle() -> None:  # the node resets the connection just as the second request is written
         for connection in list(node.connections.values()):
             node.reset(connection)
 
@@ -162,7 +162,7 @@
 
 
 def exchange(system: System, listen: tuple[str, int]) -> list[Any]:
-    """A node, a discovery and clients in one process; what came of it, times apart."""
+    """Run a node, a discovery service and clients in one process; return the outcomes without times."""
     scheduler = Scheduler(system)
     node = Node(scheduler, NodeSettings(**{**USUAL, "report_fields": ()}), "s-1", 7)
     address = node.listen(listen)
@@ -191,7 +191,7 @@
     lab, ended = Lab(), []
     lab.server.start(lambda system: ended.append(exchange(system, SERVER)))
     lab.world.run(until=lambda: bool(ended))
-    # How many connections were needed on loopback depends on what else the machine does.
+    # The number of connections needed on loopback depends on the load of the machine.
     assert ended[0][:2] == exchange(RealSystem(), ("127.0.0.1", 0))[:2]
     assert ended[0][2] == 1
     assert [status for status, _ in ended[0][0]] == [200] * 6
@@ -202,7 +202,7 @@
 
 @pytest.mark.parametrize("kind", BAD_KINDS)
 def test_bad_clients_do_what_they_are_named_for(kind: BadKind) -> None:
-    """Against a node, which answers what it can read: each kind sends, gets no good answer for nonsense."""
+    """Each kind of client sends its data to a node, which runs no request hidden in a body."""
     lab = Lab()
     node = node_in(lab, cores=2)
     sample = ask("b", work_s=0.01)
--- a/tests/lab/test_stand_in_discovery.py
+++ b/tests/lab/test_stand_in_discovery.py
@@ -1,4 +1,4 @@
-"""The stand-in discovery over a virtual network: lists, watches, what was told when, each switch."""
+"""Tests of the stand-in discovery over a virtual network: lists, watches, the log, and each fault."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 def watch(
     lab: Lab, target: str = WATCH, seconds: float = 5.0, meanwhile: Callable[[], object] = lambda: None
 ) -> tuple[list[tuple[float, bytes]], str]:
-    """Lines with the seconds after the call at which they came, and how it ended."""
+    """Open a watch; return its lines with their arrival times in seconds, and the way in which it ended."""
     lines: list[tuple[float, bytes]] = []
 
     def task(scheduler: Scheduler) -> str:
@@ -85,8 +85,14 @@
         (f"{WATCH}&since=7", (9, False, CHANGED)),
         (f"{WATCH}&since=8", (9, False, CHANGED[1:])),
         (f"{WATCH}&since=9", (9, False, [])),
-        (f"{WATCH}&since=6", (9, True, [("a", "Ready"), ("b", "Terminating")])),  # too far back
-        (f"{WATCH}&since=10", (9, True, [("a", "Ready"), ("b", "Terminating")])),  # another discovery's
+        (
+            f"{WATCH}&since=6",
+            (9, True, [("a", "Ready"), ("b", "Terminating")]),
+        ),  # older than the available history
+        (
+            f"{WATCH}&since=10",
+            (9, True, [("a", "Ready"), ("b", "Terminating")]),
+        ),  # the version of another discovery service
         (f"{WATCH}&since=x", (9, True, [("a", "Ready"), ("b", "Terminating")])),
         ("/v1/endpoints", (9, True, [("a", "Ready"), ("b", "Terminating")])),
     ],
@@ -188,14 +194,17 @@
     lines, ended = watch(lab, seconds=3.0)
     bad = [line for at, line in lines if at >= 0.5 and line]
     if how == "older":
-        assert [update(line)[:2] for line in bad] == [(7, True), (8, False)]  # and what has changed since
+        assert [update(line)[:2] for line in bad] == [
+            (7, True),
+            (8, False),
+        ]  # the outdated list, then the change since its version
         assert [each.sound for each in discovery.told] == [True, True, False, True]
     elif how in ("half-line", "bad-chunk"):
         assert not bad and ended == ("cut in a line" if how == "half-line" else "HttpError")
     else:
         with pytest.raises((ValueError, EndpointListError)):
             decode_update(json.loads(bad[0]))
-        assert len(bad) == 1 and ended == "silence"  # told once
+        assert len(bad) == 1 and ended == "silence"  # the invalid data is sent only once
 
 
 def test_one_that_was_replaced_retires() -> None:
--- a/tests/lab/test_stand_in_machine.py
+++ b/tests/lab/test_stand_in_machine.py
@@ -1,4 +1,4 @@
-"""The machine under a stand-in node: tables of what is worked on when."""
+"""Tests of the machine model of a stand-in node: times of job starts and ends, warm-up and load reports."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Bench:
-    """A machine, and when each job began and was done."""
+    """A machine, with the start and finish time of each job."""
 
     def __init__(self, cold: bool = False, **settings: Any) -> None:
         given = {"cores": 1, "speed": 1.0, "thrash": 0.0, "report_noise": 0.0, **settings}
@@ -34,7 +34,7 @@
         self.machine.add(self.jobs[name], at)
 
     def run(self, until: float = 1000.0) -> dict[str, float]:
-        """Advance as a node's timer would; when each job was done."""
+        """Advance as a node's timer would, and return the finish time of each job."""
         while (at := self.machine.next_at()) is not None and at <= until:
             self.machine.advance(at)
         self.machine.advance(until)
@@ -46,12 +46,12 @@
     [
         ({}, [("a", 0.5, 1.0)], {"a": 1.5}),
         ({"speed": 2.0}, [("a", 0.5, 1.0)], {"a": 1.25}),
-        # One core, one slot: in turn.
+        # One core with one slot runs the jobs one after the other.
         ({}, [("a", 0.5, 0.0), ("b", 0.2, 0.1)], {"a": 0.5, "b": 0.7}),
         ({"cores": 2}, [("a", 0.5, 0.0), ("b", 0.2, 0.1)], {"a": 0.5, "b": 0.3}),
-        # Two slots on one core: both at half the speed, the rest at full speed.
+        # Two jobs in the slots of one core run at half speed, and the last one then at full speed.
         ({"slots_per_core": 2}, [("a", 0.5, 0.0), ("b", 0.2, 0.0)], {"b": 0.4, "a": 0.7}),
-        # Crowded: three held where one is held well, so work takes 1 + 0.5 * 2 times as long.
+        # With three jobs and a thrashing threshold of one, work takes 1 + 0.5 * 2 times as long.
         (
             {"thrash": 0.5, "thrash_at": 1.0},
             [("a", 0.2, 0.0), ("b", 0.2, 0.0), ("c", 0.2, 0.0)],
@@ -111,11 +111,11 @@
     assert bench.machine.capacity == 0.25
     idle = Bench(cold=True, cold_from=0.25, cold_s=8.0, warm_by=warm_by, falls=False)
     idle.machine.advance(4.0)
-    assert idle.machine.capacity == pytest.approx(0.25 + 0.75 / 2, abs=0.05)  # never slower than evenly
+    assert idle.machine.capacity == pytest.approx(0.25 + 0.75 / 2, abs=0.05)  # at least linear in time
     for number in range(90):
         bench.add(f"j{number}", 0.1, 0.0)
     bench.run(6.0)
-    assert bench.machine.cold == (warm_by == "time")  # 2 s of work warm it up
+    assert bench.machine.cold == (warm_by == "time")  # 2 s of work complete the warm-up
     bench.run(9.0)
     idle.machine.advance(9.0)
     assert bench.machine.capacity == idle.machine.capacity == 1.0
@@ -123,12 +123,12 @@
 
 def test_too_much_work_brings_a_cold_machine_down() -> None:
     bench = Bench(cold=True, cold_from=0.5, cold_s=10.0, fall_multiple=2.0, fall_s=1.0)
-    for number in range(9):  # 0.9 s of work in a window that may bring 2 * 0.5 * 1
+    for number in range(9):  # 0.9 s of work in a window with a limit of 2 * 0.5 * 1 s
         bench.add(f"a{number}", 0.1, 0.01 * number)
     assert bench.machine.fell_at is None
-    bench.machine.refused(0.2, 0.5)  # within what chance may add
+    bench.machine.refused(0.2, 0.5)  # within the allowance for random variation
     assert bench.machine.fell_at is None
-    bench.machine.refused(0.3, 0.5)  # what is turned away pushes too
+    bench.machine.refused(0.3, 0.5)  # rejected requests count toward overload too
     assert bench.machine.fell_at == 0.5
     warm = Bench(fall_multiple=2.0, fall_s=1.0)
     for number in range(50):
--- a/tests/lab/test_stand_in_node.py
+++ b/tests/lab/test_stand_in_node.py
@@ -1,4 +1,4 @@
-"""The stand-in node over a virtual network: what it answers, what it ran, and each switch."""
+"""Tests of the stand-in node over a virtual network: responses, executions, and each fault."""
 
 from __future__ import annotations
 
@@ -167,7 +167,7 @@
         assert answers(lab.talk(request())[0])[0].status == status
 
 
-# --- switches -------------------------------------------------------------------------------------
+# --- faults ---------------------------------------------------------------------------------------
 
 READABLE = {"second-copy", "noise-behind", "interim", "bad-report"}
 
@@ -188,7 +188,7 @@
         assert (how == "bad-report") == ("server-load" in found[0].headers)
     else:
         assert not found and ended == "silence" and got
-    assert made_by(node) == [("r1", "made", True)]  # it has run all the same
+    assert made_by(node) == [("r1", "made", True)]  # the request runs despite the malformed response
 
 
 @pytest.mark.parametrize(
@@ -208,7 +208,7 @@
     got, ended = lab.talk(request())
     assert ended in ("ConnectionResetError", "BrokenPipeError") and not answers(got)
     assert made_by(node) == came
-    # A reset may overtake what was sent before it; where it does not, a part of the answer has come.
+    # A reset may overtake the bytes sent before it; otherwise part of the response has arrived.
     assert not got or some
 
 
@@ -242,7 +242,8 @@
             lab.call(node.scheduler, partial(node.begin, after))
     lab.talk(request("r4", work_s=0.4), wait=0.6)
     took = timed(node)
-    # r3: 0.1 done by 0.2, 0.2 by 0.3, 0.3 by 0.5, all by 0.6; the neighbour has come a moment earlier.
+    # The work done for r3 is 0.1 s by 0.2 s, 0.2 s by 0.3 s, 0.3 s by 0.5 s and 0.4 s by 0.6 s.  The neighbor
+    # program started slightly before r3.
     assert took[0] == 0.4 and took[1] >= 1.0 and took[2] in (0.5, 0.6) and took[3] == 0.4
 
 
