--- a/brambleusher/lab/control/history.py
+++ b/brambleusher/lab/control/history.py
@@ -38,11 +38,11 @@
 MS, SECOND = 1_000_000, 1_000_000_000
 STAMP = "stamp"
 PORT = 10_000  # the port of the stamp node is this number plus the version of the list
-HEARTBEAT, SILENCE = 2 * SECOND, 3 * SECOND
+HEARTBEAT, DISCOVERY_TIMEOUT = 2 * SECOND, 3 * SECOND
 NODES, PROXIES, INSTANCES = 6, 4, 2
 # No instance may send a list superseded for longer than this time, in nanoseconds: it covers the discovery
 # timeout, requests between instances, and network delays.
-LATE = 6 * SECOND
+MAX_SUPERSEDED_TIME = 6 * SECOND
 FAULTS_UNTIL, END = 40 * SECOND, 60 * SECOND
 SETTINGS = {
     "zone": "z", "fleet_size": 1,
@@ -99,25 +99,25 @@
         if data_stamp < self.sent.get(instance, 0):
             raise Violation(f"{instance} sent {data_stamp} after {self.sent[instance]}")
         self.sent[instance] = data_stamp
-        if not self.older_told and now - self.superseded.get(data_stamp, now) > LATE:
+        if not self.older_told and now - self.superseded.get(data_stamp, now) > MAX_SUPERSEDED_TIME:
             raise Violation(f"{instance} sent {data_stamp}, which was superseded for too long")
 
-    def accepts(self, proxy: str, life: int, stamp: int) -> None:
+    def accepts(self, proxy: str, incarnation: int, stamp: int) -> None:
         """Check an assignment that a proxy accepts; raises `Violation`."""
         self.judged += 1
-        before = self.accepted.get((proxy, life), 0)
+        before = self.accepted.get((proxy, incarnation), 0)
         if stamp < before:
             raise Violation(f"{proxy} was given {stamp} after it had accepted {before}")
-        self.accepted[proxy, life] = stamp
+        self.accepted[proxy, incarnation] = stamp
 
 
 @dataclass
 class _Disk:
     """Disk contents of a control instance, which survive its restarts."""
 
-    place: ViewPosition | None = None
+    position: ViewPosition | None = None
     full: bool = False
-    lost: bool = False
+    wiped: bool = False
 
 
 @dataclass
@@ -126,24 +126,24 @@
     config: ControlConfig
     disk: _Disk = field(default_factory=_Disk)
     core: Core | None = None
-    life: int = 0
+    incarnation: int = 0
     watching: int = 0  # number of the open watch; 0 without one
     cut: bool = False  # partitioned from discovery
     apart: bool = False  # partitioned from the other instance
-    heard: int = 0
+    last_contact: int = 0
     writing: bool = False
 
 
 @dataclass
-class _Link:
+class _Connection:
     """A stream between a proxy and a control instance."""
 
     instance: _Instance
-    instance_life: int
+    instance_incarnation: int
     stream: Stream
     open: bool = True
     stalled: bool = False
-    held: list[bytes] = field(default_factory=list)  # responses not yet read because the stream is stalled
+    unread: list[bytes] = field(default_factory=list)  # responses not yet read because the stream is stalled
     down_at: int = 0
     up_at: int = 0
 
@@ -151,8 +151,8 @@
 class _Proxy:
     def __init__(self, name: str, incremental: bool, verdict: Callable[[str, list[Any]], str | None]) -> None:
         self.stand_in = ProxyStandIn(name, "z", incremental, verdict=verdict)
-        self.name, self.life = name, 0
-        self.link: _Link | None = None
+        self.name, self.incarnation = name, 0
+        self.connection: _Connection | None = None
 
 
 def accepts_all(kind: str, resources: list[Any]) -> str | None:
@@ -165,7 +165,7 @@
     return "rejected unconditionally"
 
 
-class _Forgetful(DiscoveredEndpoints):
+class _VersionlessEndpoints(DiscoveredEndpoints):
     """Endpoint list of the `floor` breakage, which accepts older versions from discovery."""
 
     def update(self, update: EndpointListUpdate) -> Mapping[str, Endpoint | None] | None:
@@ -184,7 +184,7 @@
         self._count = 0
         self._watches = 0
         self.lists: list[dict[str, Endpoint]] = []
-        self.serves: int | None = None  # older version sent by discovery; None for the newest
+        self.served_version: int | None = None  # older version sent by discovery; None for the newest
         self.down = False
         names = [f"control-{at}" for at in range(INSTANCES)]
         self.instances = [_Instance(name, configuration(name, folder)) for name in names]
@@ -195,42 +195,42 @@
 
     # --- time -----------------------------------------------------------------------------------
 
-    def at(self, delay: int, call: Callable[[], None]) -> None:
+    def at(self, delay: int, callback: Callable[[], None]) -> None:
         """Schedule a call after `delay` nanoseconds."""
         self._count += 1
-        heapq.heappush(self._events, (self.now + delay, self._count, call))
+        heapq.heappush(self._events, (self.now + delay, self._count, callback))
 
     def run(self) -> Books:
         """Run the whole schedule; raises `Violation`."""
-        self._change()
+        self._change_list()
         for instance in self.instances:
             self._start(instance)
         for proxy in self.proxies:
             self.at(self.rng.randrange(SECOND), partial(self._connect, proxy))
-        self.at(self.rng.randrange(SECOND), self._trouble)
-        self._every(300 * MS, self._changes)
-        self._every(250 * MS, self._ticks)
-        self._every(500 * MS, self._words)
-        self._every(HEARTBEAT, self._heartbeats)
+        self.at(self.rng.randrange(SECOND), self._inject_fault)
+        self._repeat(300 * MS, self._maybe_change_list)
+        self._repeat(250 * MS, self._tick_instances)
+        self._repeat(500 * MS, self._exchange_peer_status)
+        self._repeat(HEARTBEAT, self._send_heartbeats)
         while self._events and self._events[0][0] <= END:
-            self.now, _, call = heapq.heappop(self._events)
-            call()
-        self._well_again()
+            self.now, _, callback = heapq.heappop(self._events)
+            callback()
+        self._check_recovery()
         return self.books
 
-    def _every(self, period: int, call: Callable[[], None]) -> None:
-        def again() -> None:
-            call()
-            self.at(period, again)
+    def _repeat(self, period: int, callback: Callable[[], None]) -> None:
+        def repeat() -> None:
+            callback()
+            self.at(period, repeat)
 
-        self.at(period, again)
+        self.at(period, repeat)
 
-    def _faulty(self) -> bool:
+    def _has_faults(self) -> bool:
         return self.now < FAULTS_UNTIL
 
     # --- discovery ------------------------------------------------------------------------------
 
-    def _change(self) -> None:
+    def _change_list(self) -> None:
         version = len(self.lists) + 1
         before = self.lists[-1] if self.lists else {}
         machines = {}
@@ -247,146 +247,165 @@
         self.lists.append(machines)
         self.books.change(version, self.now)
 
-    def _changes(self) -> None:
+    def _maybe_change_list(self) -> None:
         if self.now < END - 10 * SECOND and self.rng.random() < 0.5:
-            self._change()
+            self._change_list()
             for instance in self.instances:
-                self._tell(instance, instance.watching)
+                self._send_list(instance, instance.watching)
 
-    def _tell(self, instance: _Instance, watch: int) -> None:
+    def _send_list(self, instance: _Instance, watch: int) -> None:
         """Send the whole newest list to one watch, even if unchanged."""
         if self.down or instance.cut or not watch:
             return
-        version = self.serves or len(self.lists)
+        version = self.served_version or len(self.lists)
         update = EndpointListUpdate(version, True, tuple(self.lists[version - 1].values()))
 
         def arrive() -> None:
             core = instance.core
             if core is not None and instance.watching == watch and not instance.cut:
-                instance.heard = self.now
+                instance.last_contact = self.now
                 core.record_endpoint_list(update, self.now)
-                self._after(instance)
+                self._after_event(instance)
 
         self.at(self.rng.randrange(1, 50) * MS, arrive)
 
-    def _heartbeats(self) -> None:
+    def _send_heartbeats(self) -> None:
         for instance in self.instances:
             core = instance.core
             if core is None:
                 continue
             if instance.watching and not instance.cut and not self.down:
-                instance.heard = self.now
+                instance.last_contact = self.now
                 core.record_discovery_contact(self.now)
-                self._after(instance)
+                self._after_event(instance)
             elif not instance.watching and not instance.cut and not self.down:
-                self._watch(instance)
+                self._open_watch(instance)
 
-    def _watch(self, instance: _Instance) -> None:
+    def _open_watch(self, instance: _Instance) -> None:
         self._watches += 1
-        instance.watching, instance.heard = self._watches, self.now
-        self._tell(instance, instance.watching)
+        instance.watching, instance.last_contact = self._watches, self.now
+        self._send_list(instance, instance.watching)
 
     # --- instances ------------------------------------------------------------------------------
 
     def _start(self, instance: _Instance) -> None:
         disk = instance.disk
-        floor = None if disk.lost or self.breakage == "store" else disk.place
-        if disk.lost:  # only its subscribers still know what the instance sent before
+        floor = None if disk.wiped or self.breakage == "store" else disk.position
+        if disk.wiped:  # only its subscribers still know what the instance sent before
             self.books.sent.pop(instance.name, None)
-        disk.lost = False
-        instance.life += 1
+        disk.wiped = False
+        instance.incarnation += 1
         instance.core = Core(
-            instance.config, floor, self.now, seed=instance.life, is_floor_certain=self.breakage == "store"
+            instance.config,
+            floor,
+            self.now,
+            seed=instance.incarnation,
+            is_floor_certain=self.breakage == "store",
         )
         if self.breakage == "claims":
             instance.core.view_consistency.record_subscriber_position = lambda position: None  # type: ignore[method-assign]
         if self.breakage == "silence":
             instance.core.view_consistency.is_discovery_connected = lambda now: True  # type: ignore[method-assign]
         if self.breakage == "floor":
-            instance.core.discovered = _Forgetful()
+            instance.core.discovered = _VersionlessEndpoints()
             instance.core.view_consistency._raise_floor = lambda position: None  # type: ignore[method-assign]
         instance.writing = False
-        self._watch(instance)
+        self._open_watch(instance)
 
     def _kill(self, instance: _Instance) -> None:
         if instance.core is None:
             return
         instance.core, instance.watching = None, 0
         for proxy in self.proxies:
-            if proxy.link is not None and proxy.link.instance is instance:
+            if proxy.connection is not None and proxy.connection.instance is instance:
                 self._disconnect(proxy)
         self.at(self.rng.randrange(100, 4000) * MS, lambda: self._start(instance))
 
-    def _ticks(self) -> None:
+    def _tick_instances(self) -> None:
         for instance in self.instances:
             core = instance.core
             if core is None:
                 continue
-            if instance.watching and self.now - instance.heard > SILENCE:
+            if instance.watching and self.now - instance.last_contact > DISCOVERY_TIMEOUT:
                 instance.watching = 0
                 core.record_discovery_disconnect()
             core.tick(self.now)
-            self._after(instance)
+            self._after_event(instance)
 
-    def _words(self) -> None:
+    def _exchange_peer_status(self) -> None:
         one, other = self.instances
-        for asks, told in ((one, other), (other, one)):
-            if asks.core is None or told.core is None or asks.apart or told.apart:
+        for requester, responder in ((one, other), (other, one)):
+            if requester.core is None or responder.core is None or requester.apart or responder.apart:
                 continue
-            asked, life = self.now, asks.life
+            asked_at, incarnation = self.now, requester.incarnation
 
             def arrive(
-                asks: _Instance = asks, told: _Instance = told, asked: int = asked, life: int = life
+                requester: _Instance = requester,
+                responder: _Instance = responder,
+                asked_at: int = asked_at,
+                incarnation: int = incarnation,
             ) -> None:
-                if asks.core is not None and asks.life == life and told.core is not None:
-                    asks.core.record_peer_status(told.name, told.core.peer_status(self.now), asked)
-                    self._after(asks)
+                if (
+                    requester.core is not None
+                    and requester.incarnation == incarnation
+                    and responder.core is not None
+                ):
+                    requester.core.record_peer_status(
+                        responder.name, responder.core.peer_status(self.now), asked_at
+                    )
+                    self._after_event(requester)
 
             self.at(self.rng.randrange(1, 100) * MS, arrive)
 
-    def _after(self, instance: _Instance) -> None:
+    def _after_event(self, instance: _Instance) -> None:
         """Write the position if due and send pending responses, as a core's owner does after each event."""
         core = instance.core
         if core is None:
             return
-        place = core.position_to_write()
-        if place is not None and not instance.writing:
-            self._write(instance, place)
+        position = core.position_to_write()
+        if position is not None and not instance.writing:
+            self._write(instance, position)
         for proxy in self.proxies:
-            link = proxy.link
-            if link is not None and link.instance is instance and link.open:
-                self._send(proxy, link)
+            connection = proxy.connection
+            if connection is not None and connection.instance is instance and connection.open:
+                self._send_responses(proxy, connection)
 
-    def _write(self, instance: _Instance, place: ViewPosition) -> None:
-        instance.writing, life = True, instance.life
+    def _write(self, instance: _Instance, position: ViewPosition) -> None:
+        instance.writing, incarnation = True, instance.incarnation
 
         def done() -> None:
             fails = instance.disk.full
             if not fails:  # a write from before a restart may still succeed
-                instance.disk.place = max(place, instance.disk.place or place)
-            if instance.life == life and instance.core is not None:
+                instance.disk.position = max(position, instance.disk.position or position)
+            if instance.incarnation == incarnation and instance.core is not None:
                 instance.writing = False
                 if fails:
                     instance.core.record_write_failure(self.now)
-                    self.at(500 * MS, lambda: self._after(instance))
+                    self.at(500 * MS, lambda: self._after_event(instance))
                 else:
-                    instance.core.record_written(place, self.now)
-                self._after(instance)
+                    instance.core.record_written(position, self.now)
+                self._after_event(instance)
 
         self.at(self.rng.randrange(1, 20) * MS, done)
 
-    def _send(self, proxy: _Proxy, link: _Link) -> None:
-        core = link.instance.core
+    def _send_responses(self, proxy: _Proxy, connection: _Connection) -> None:
+        core = connection.instance.core
         assert core is not None
-        while not link.held and (response := core.next_response(link.stream, self.now)) is not None:
+        while (
+            not connection.unread
+            and (response := core.next_response(connection.stream, self.now)) is not None
+        ):
             if response.kind == ASSIGNMENT:
                 for resource in response.resources:
                     stamp = stamp_of(endpoint_pb2.ClusterLoadAssignment.FromString(resource.body))
                     # With a full disk, updates that only remove nodes are sent before they are written.
-                    if stamp is not None and not link.instance.disk.full:
-                        self.books.sends(link.instance.name, stamp, self.now)
-            link.down_at = max(link.down_at, self.now) + self.rng.randrange(1, 30) * MS
-            self.at(link.down_at - self.now, partial(self._deliver, proxy, link, response.data))
+                    if stamp is not None and not connection.instance.disk.full:
+                        self.books.sends(connection.instance.name, stamp, self.now)
+            connection.down_at = max(connection.down_at, self.now) + self.rng.randrange(1, 30) * MS
+            self.at(
+                connection.down_at - self.now,
+                partial(self._deliver_response, proxy, connection, response.data),
+            )
 
     # --- proxies --------------------------------------------------------------------------------
 
@@ -395,65 +414,72 @@
         if instance.core is None:
             self.at(200 * MS, lambda: self._connect(proxy))
             return
-        forget = proxy.life == 0 or self.rng.random() < 0.2
-        proxy.life += forget
+        forget = proxy.incarnation == 0 or self.rng.random() < 0.2
+        proxy.incarnation += forget
         stream = instance.core.open_stream(None, proxy.stand_in.incremental, self.now)
-        proxy.link = _Link(instance, instance.life, stream)
-        self._ask(proxy, proxy.link, proxy.stand_in.connect(forget))
+        proxy.connection = _Connection(instance, instance.incarnation, stream)
+        self._send_requests(proxy, proxy.connection, proxy.stand_in.connect(forget))
 
     def _disconnect(self, proxy: _Proxy) -> None:
-        link = proxy.link
-        if link is None or not link.open:
+        connection = proxy.connection
+        if connection is None or not connection.open:
             return
-        link.open = False
-        if link.instance.core is not None and link.instance.life == link.instance_life:
-            link.instance.core.close_stream(link.stream)
-        proxy.link = None
+        connection.open = False
+        if (
+            connection.instance.core is not None
+            and connection.instance.incarnation == connection.instance_incarnation
+        ):
+            connection.instance.core.close_stream(connection.stream)
+        proxy.connection = None
         self.at(self.rng.randrange(10, 2000) * MS, lambda: self._connect(proxy))
 
-    def _ask(self, proxy: _Proxy, link: _Link, requests: list[bytes]) -> None:
+    def _send_requests(self, proxy: _Proxy, connection: _Connection, requests: list[bytes]) -> None:
         for data in requests:
-            link.up_at = max(link.up_at, self.now) + self.rng.randrange(1, 30) * MS
-            self.at(link.up_at - self.now, partial(self._arrive, proxy, link, data))
-
-    def _arrive(self, proxy: _Proxy, link: _Link, data: bytes) -> None:
-        instance = link.instance
-        if not link.open or instance.core is None or instance.life != link.instance_life:
+            connection.up_at = max(connection.up_at, self.now) + self.rng.randrange(1, 30) * MS
+            self.at(connection.up_at - self.now, partial(self._handle_request, proxy, connection, data))
+
+    def _handle_request(self, proxy: _Proxy, connection: _Connection, data: bytes) -> None:
+        instance = connection.instance
+        if (
+            not connection.open
+            or instance.core is None
+            or instance.incarnation != connection.instance_incarnation
+        ):
             return
         request, who = decode_request(data, proxy.stand_in.incremental)
         try:
-            instance.core.handle_request(link.stream, request, who, self.now)
+            instance.core.handle_request(connection.stream, request, who, self.now)
         except ProtocolError as error:
             raise Violation(f"a valid request of a proxy was rejected: {error}") from None
-        self._after(instance)
+        self._after_event(instance)
 
-    def _deliver(self, proxy: _Proxy, link: _Link, data: bytes) -> None:
-        if not link.open:
+    def _deliver_response(self, proxy: _Proxy, connection: _Connection, data: bytes) -> None:
+        if not connection.open:
             return
-        if link.stalled or link.held:
-            link.held.append(data)
+        if connection.stalled or connection.unread:
+            connection.unread.append(data)
             return
         requests = proxy.stand_in.receive(data)
-        held = proxy.stand_in.kinds.get(ASSIGNMENT)
-        for each in held.resources.values() if held is not None else ():
+        subscription = proxy.stand_in.kinds.get(ASSIGNMENT)
+        for each in subscription.resources.values() if subscription is not None else ():
             stamp = stamp_of(each)
             if stamp is not None:
-                self.books.accepts(proxy.name, proxy.life, stamp)
-        self._ask(proxy, link, requests)
+                self.books.accepts(proxy.name, proxy.incarnation, stamp)
+        self._send_requests(proxy, connection, requests)
 
-    def _resume(self, proxy: _Proxy, link: _Link) -> None:
-        link.stalled = False
-        held, link.held = link.held, []
-        for data in held:
-            self._deliver(proxy, link, data)
-        if link.open:
-            self._after(link.instance)
+    def _resume_reading(self, proxy: _Proxy, connection: _Connection) -> None:
+        connection.stalled = False
+        unread, connection.unread = connection.unread, []
+        for data in unread:
+            self._deliver_response(proxy, connection, data)
+        if connection.open:
+            self._after_event(connection.instance)
 
     # --- faults ---------------------------------------------------------------------------------
 
-    def _trouble(self) -> None:
-        if not self._faulty():
-            self._mend()
+    def _inject_fault(self) -> None:
+        if not self._has_faults():
+            self._end_faults()
             return
         rng = self.rng
         instance, proxy = rng.choice(self.instances), rng.choice(self.proxies)
@@ -463,14 +489,14 @@
         )
         if kind == "reconnect":
             self._disconnect(proxy)
-        elif kind == "stall" and proxy.link is not None:
-            link = proxy.link
-            link.stalled = True
-            self.at(lasting, lambda: self._resume(proxy, link))
+        elif kind == "stall" and proxy.connection is not None:
+            connection = proxy.connection
+            connection.stalled = True
+            self.at(lasting, lambda: self._resume_reading(proxy, connection))
         elif kind == "kill":
             self._kill(instance)
         elif kind == "lost":
-            instance.disk.lost = rng.random() < 0.3 and self.breakage != "silence"
+            instance.disk.wiped = rng.random() < 0.3 and self.breakage != "silence"
             self._kill(instance)
         elif kind in ("cut", "apart"):
             setattr(instance, kind, True)
@@ -479,14 +505,14 @@
             instance.disk.full = True
             self.at(lasting, lambda: setattr(instance.disk, "full", False))
         elif kind == "down":
-            self._down(lasting, None)
+            self._stop_discovery(lasting, None)
         elif kind == "older" and len(self.lists) > 5:
-            self._down(lasting, len(self.lists) - rng.randrange(1, 5))
+            self._stop_discovery(lasting, len(self.lists) - rng.randrange(1, 5))
             if rng.random() < 0.5:  # as in a power failure that affects both discovery and an instance
                 self._kill(instance)
-        self.at(rng.randrange(50, 1500) * MS, self._trouble)
+        self.at(rng.randrange(50, 1500) * MS, self._inject_fault)
 
-    def _down(self, lasting: int, older: int | None) -> None:
+    def _stop_discovery(self, lasting: int, older: int | None) -> None:
         """Have discovery close all watches and return later, at first with the `older` list if given."""
         self.down = True
         for instance in self.instances:
@@ -497,24 +523,24 @@
         def back() -> None:
             self.down = False
             if older is not None:
-                self.serves = max(1, older)
+                self.served_version = max(1, older)
                 self.books.older_told = True
                 self.at(3 * SECOND, caught_up)
 
         def caught_up() -> None:
-            self.serves = None
+            self.served_version = None
             for instance in self.instances:
-                self._tell(instance, instance.watching)
+                self._send_list(instance, instance.watching)
 
         self.at(lasting, back)
 
-    def _mend(self) -> None:
-        self.serves, self.down = None, False
+    def _end_faults(self) -> None:
+        self.served_version, self.down = None, False
         for instance in self.instances:
             instance.cut = instance.apart = instance.disk.full = False
-            self._tell(instance, instance.watching)
+            self._send_list(instance, instance.watching)
 
-    def _well_again(self) -> None:
+    def _check_recovery(self) -> None:
         """Check that every proxy that accepts responses has the newest list after the faults."""
         for proxy in self.proxies[:-1]:
             for each in (
@@ -540,21 +566,21 @@
 
 def main() -> int:
     """Run many schedules and return the exit status: 1 if any schedule breaks a rule, else 0."""
-    words = argparse.ArgumentParser(description=__doc__)
-    words.add_argument("--seeds", type=int, default=200)
-    words.add_argument("--first", type=int, default=0)
-    words.add_argument("--breakage", choices=BREAKAGES, default="")
-    given = words.parse_args()
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--seeds", type=int, default=200)
+    parser.add_argument("--first", type=int, default=0)
+    parser.add_argument("--breakage", choices=BREAKAGES, default="")
+    args = parser.parse_args()
     logging.getLogger("brambleusher").setLevel(logging.CRITICAL)
     judged = broken = 0
     with tempfile.TemporaryDirectory() as folder:
-        for seed in range(given.first, given.first + given.seeds):
+        for seed in range(args.first, args.first + args.seeds):
             try:
-                judged += run(seed, Path(folder), given.breakage).judged
+                judged += run(seed, Path(folder), args.breakage).judged
             except Violation as error:
                 broken += 1
                 print(error)
-    print(f"{given.seeds} schedules, {judged} views checked, {broken} broke a rule")
+    print(f"{args.seeds} schedules, {judged} views checked, {broken} broke a rule")
     return 1 if broken else 0
 
 
--- a/brambleusher/lab/faults/breakages.py
+++ b/brambleusher/lab/faults/breakages.py
@@ -139,13 +139,13 @@
 
 @breakage("old-process", "idle connections to a replaced process are kept", "drain", "dirty")
 def _old_process(patches: Patches) -> None:
-    def place(self: UpstreamPool, machine: Endpoint) -> None:
-        node = self._endpoints.get(machine.entry.host)
-        if node is not None and machine.entry.state is not HostState.REMOVED:
-            node.address, node.started_ns = machine.address, machine.entry.started_ns
-        old(self, machine)
+    def update_endpoint(self: UpstreamPool, endpoint: Endpoint) -> None:
+        existing = self._endpoints.get(endpoint.entry.host)
+        if existing is not None and endpoint.entry.state is not HostState.REMOVED:
+            existing.address, existing.started_ns = endpoint.address, endpoint.entry.started_ns
+        old(self, endpoint)
 
-    old = patches.set(UpstreamPool, "_update_endpoint", place)
+    old = patches.set(UpstreamPool, "_update_endpoint", update_endpoint)
 
 
 @breakage("versions-kept", "a new discovery service is queried from the old service's version", "versions")
@@ -184,11 +184,11 @@
     "ready-while-out", "/ready still reports ready while out of service", "service", profile="operators",
 )  # fmt: skip
 def _ready_while_out(patches: Patches) -> None:
-    def leave(self: ClientDraining, now: float) -> None:
+    def start(self: ClientDraining, now: float) -> None:
         old(self, now)
         self.is_ready = True
 
-    old = patches.set(ClientDraining, "start", leave)
+    old = patches.set(ClientDraining, "start", start)
 
 
 @breakage(
@@ -250,8 +250,8 @@
 
 @breakage("error-as-full", "a 500 counts as an overload rejection before the start", "repeat", "refusal")
 def _error_as_full(patches: Patches) -> None:
-    def attempt_status_of(answer: Message) -> AttemptStatus:
-        return AttemptStatus.OVERLOADED if answer.status >= 500 else AttemptStatus(old(answer))
+    def attempt_status_of(response: Message) -> AttemptStatus:
+        return AttemptStatus.OVERLOADED if response.status >= 500 else AttemptStatus(old(response))
 
     old = patches.set(upstream_exchange, "attempt_status_of", attempt_status_of)
 
@@ -285,21 +285,21 @@
 @breakage("answer-swapped", "one request in sixteen gets the response served before its own", "other-answer")
 def _answer_swapped(patches: Patches) -> None:
     def run(
-        self: RequestLifecycle, call: ClientRequest, deadline: Callable[[], float], client: ClientHandle
+        self: RequestLifecycle, request: ClientRequest, deadline: Callable[[], float], client: ClientHandle
     ) -> Any:
-        answer: FinalResponse | None = old(self, call, deadline, client)
-        if answer is None or answer.kind is not ResponseKind.SERVED:
-            return answer
-        before, self._before = getattr(self, "_before", answer), answer  # type: ignore[attr-defined]
-        return before if now_and_then(call.request_id, 16) else answer
+        response: FinalResponse | None = old(self, request, deadline, client)
+        if response is None or response.kind is not ResponseKind.SERVED:
+            return response
+        previous, self._before = getattr(self, "_before", response), response  # type: ignore[attr-defined]
+        return previous if now_and_then(request.request_id, 16) else response
 
     old = patches.set(RequestLifecycle, "run", run)
 
 
 @breakage("connection-kept", "a connection returns to the pool before its response", "shared", "other-answer")
 def _connection_kept(patches: Patches) -> None:
-    def release(self: UpstreamConnections, node: UpstreamEndpoint, stream: Stream, keep: bool) -> None:
-        old(self, node, stream, True)
+    def release(self: UpstreamConnections, endpoint: UpstreamEndpoint, stream: Stream, keep: bool) -> None:
+        old(self, endpoint, stream, True)
 
     old = patches.set(UpstreamConnections, "release", release)
 
@@ -307,11 +307,11 @@
 @breakage("reuse-unseen", "an idle connection is reused without a check for unread bytes", "dirty")
 def _reuse_unseen(patches: Patches) -> None:
     def acquire(
-        self: UpstreamConnections, node: UpstreamEndpoint, claim: UpstreamAttempt, deadline: float
+        self: UpstreamConnections, endpoint: UpstreamEndpoint, attempt: UpstreamAttempt, deadline: float
     ) -> Stream | None:
-        if node.idle and self._scheduler.now() - node.idle[-1].used_at < self._pacing.idle_timeout_s:
-            return node.idle.pop()
-        return old(self, node, claim, deadline)  # type: ignore[no-any-return]
+        if endpoint.idle and self._scheduler.now() - endpoint.idle[-1].used_at < self._pacing.idle_timeout_s:
+            return endpoint.idle.pop()
+        return old(self, endpoint, attempt, deadline)  # type: ignore[no-any-return]
 
     old = patches.set(UpstreamConnections, "acquire", acquire)
 
@@ -334,17 +334,17 @@
                 head.body = bytes(reader._buffer)
                 return head, False
             reader.feed(data)
-            while (whole := reader.take()) is not None:
-                if whole.status >= 200:
-                    return whole, whole.keep_alive and not reader.buffered
+            while (response := reader.take()) is not None:
+                if response.status >= 200:
+                    return response, response.keep_alive and not reader.buffered
 
     patches.set(UpstreamResponseReader, "read", read)
 
 
 @breakage("two-answers", "a failure is answered twice", "one-answer")
 def _two_answers(patches: Patches) -> None:
-    def write_response(status: int, *rest: Any, **more: Any) -> bytes:
-        data: bytes = old(status, *rest, **more)
+    def write_response(status: int, *args: Any, **kwargs: Any) -> bytes:
+        data: bytes = old(status, *args, **kwargs)
         return data * 2 if status == 502 else data
 
     old = patches.set(client_response, "write_response", write_response)
@@ -352,10 +352,10 @@
 
 @breakage("silent-fault", "an exception while encoding a failure ends the connection", "answer")
 def _silent_fault(patches: Patches) -> None:
-    def encode_final_response(response: FinalResponse, *more: Any) -> Any:
+    def encode_final_response(response: FinalResponse, *args: Any) -> Any:
         if response.kind is ResponseKind.FAILED:
             raise TaskCancelledError  # not caught by handlers of ordinary exceptions
-        return old(response, *more)
+        return old(response, *args)
 
     old = patches.set(client_request_handler, "encode_final_response", encode_final_response)
 
@@ -363,10 +363,10 @@
 @breakage("answer-late", "requests are held for 100 ms past their deadline", "answer")
 def _answer_late(patches: Patches) -> None:
     def run(
-        self: RequestLifecycle, call: ClientRequest, deadline: Callable[[], float], client: ClientHandle
+        self: RequestLifecycle, request: ClientRequest, deadline: Callable[[], float], client: ClientHandle
     ) -> Any:
-        late = replace(call, time_left_ns=call.time_left_ns + 100_000_000)
-        return old(self, late, lambda: deadline() + 0.1, client)
+        delayed = replace(request, time_left_ns=request.time_left_ns + 100_000_000)
+        return old(self, delayed, lambda: deadline() + 0.1, client)
 
     old = patches.set(RequestLifecycle, "run", run)
 
@@ -444,17 +444,17 @@
 
 @breakage("descriptor-kept", "idle connections to a removed node are forgotten, not closed", "left-over")
 def _descriptor_kept(patches: Patches) -> None:
-    def close_idle(self: UpstreamConnections, node: UpstreamEndpoint) -> None:
-        self.open_count -= len(node.idle)
-        node.idle.clear()
+    def close_idle(self: UpstreamConnections, endpoint: UpstreamEndpoint) -> None:
+        self.open_count -= len(endpoint.idle)
+        endpoint.idle.clear()
 
     patches.set(UpstreamConnections, "close_idle", close_idle)
 
 
 @breakage("report-halved", "the balancer receives half of the reported utilization", "report")
 def _report_halved(patches: Patches) -> None:
-    def parse_load_report(text: str | None, *more: Any) -> api.LoadReport | None:
-        report: api.LoadReport | None = old(text, *more)
+    def parse_load_report(text: str | None, *args: Any) -> api.LoadReport | None:
+        report: api.LoadReport | None = old(text, *args)
         if report is None or report.utilisation is None:
             return report
         return replace(report, utilisation=report.utilisation / 2)
@@ -465,7 +465,7 @@
 @breakage("capture-forgets", "a capture leaves out the load reports", "replay")
 def _capture_forgets(patches: Patches) -> None:
     def encode_event(event: api.Event | None) -> tuple[str, dict[str, Any]]:
-        name, told = old(event)
-        return name, {**told, "report": None} if "report" in told else told
+        name, fields = old(event)
+        return name, {**fields, "report": None} if "report" in fields else fields
 
     old = patches.set(capture_module, "encode_event", encode_event)
--- a/brambleusher/lab/faults/effects.py
+++ b/brambleusher/lab/faults/effects.py
@@ -24,318 +24,324 @@
     from brambleusher.runtime.system import Address
 
 SECOND = 10**9
-KILL_S = 3.7  # minimum time between SIGTERM and SIGKILL, in seconds
-LOOK_AGAIN_NS = 20_000_000
+KILL_DELAY_S = 3.7  # minimum time between SIGTERM and SIGKILL, in seconds
+RETRY_INTERVAL_NS = 20_000_000
 # Idle connections opened before a sidecar is taken out of service, and their age in seconds at that time.
-RESTING, REST_S = 3, 0.3
-STARVED_S = 0.04  # period in seconds within which a starved process gets its share of CPU time
-JITTER_S = 0.02  # period in seconds between latency changes of a jittery link
-BAD_STAY_S = 3.3  # seconds that misbehaving clients stay, long enough to receive the expected error or close
+IDLE_CONNECTIONS, IDLE_AGE_S = 3, 0.3
+STARVATION_PERIOD_S = 0.04  # period in seconds within which a starved process gets its share of CPU time
+JITTER_PERIOD_S = 0.02  # period in seconds between latency changes of a jittery link
+BAD_CLIENT_DURATION_S = (
+    3.3  # seconds that misbehaving clients stay, long enough to receive the expected error or close
+)
 
-End = Callable[[], None] | None
-Pairs = Sequence[tuple["Machine", "Machine"]]
+EndAction = Callable[[], None] | None
+MachinePairs = Sequence[tuple["Machine", "Machine"]]
 
 
 @singledispatch
-def apply(fault: faults.Fault, fleet: AnyFleet) -> End:
+def apply(fault: faults.Fault, fleet: AnyFleet) -> EndAction:
     """Begin a fault and return the function that ends it, or None for a fault that needs none."""
     raise NotImplementedError(f"no effect is registered for fault kind {fault.kind}")
 
 
-def _nodes(fault: faults.Fault, fleet: AnyFleet) -> list[NodePlace]:
+def _target_nodes(fault: faults.Fault, fleet: AnyFleet) -> list[NodePlace]:
     """Return the node that the fault targets, or all nodes but the spares."""
     if fault.target:
         return [fleet.place(fault.target)]
-    return [place for place in fleet.places if not place.figures.spare]
+    return [instance for instance in fleet.places if not instance.figures.spare]
 
 
-def _zone(fault: faults.Fault, fleet: AnyFleet) -> list[NodePlace]:
+def _zone_nodes(fault: faults.Fault, fleet: AnyFleet) -> list[NodePlace]:
     """Return the nodes of the zone that the fault targets, or all nodes, in both cases without the spares."""
     return [
-        place
-        for place in fleet.places
-        if not place.figures.spare and fault.target in ("", place.figures.zone)
+        instance
+        for instance in fleet.places
+        if not instance.figures.spare and fault.target in ("", instance.figures.zone)
     ]
 
 
-def _sidecars(fault: faults.Fault, fleet: AnyFleet) -> list[SidecarPlace]:
+def _target_sidecars(fault: faults.Fault, fleet: AnyFleet) -> list[SidecarPlace]:
     return [fleet.sidecar(fault.target)] if fault.target else fleet.sidecars
 
 
-def _links(fault: faults.Fault, fleet: AnyFleet) -> Pairs:
+def _links_to_sidecars(fault: faults.Fault, fleet: AnyFleet) -> MachinePairs:
     """Return the machine pairs of each targeted node and each sidecar."""
-    return [(place.machine, each.machine) for place in _nodes(fault, fleet) for each in fleet.sidecars]
+    return [
+        (instance.machine, each.machine)
+        for instance in _target_nodes(fault, fleet)
+        for each in fleet.sidecars
+    ]
 
 
-def _cut(fleet: AnyFleet, pairs: Pairs, one_way: bool = False) -> Callable[[], None]:
+def _partition(fleet: AnyFleet, pairs: MachinePairs, one_way: bool = False) -> Callable[[], None]:
     """Partition each pair, in one direction only with `one_way`; the returned function undoes this."""
     network = fleet.world.network
     for one, other in pairs:
         network.cut(one, other, one_way)
 
-    def mend() -> None:
+    def repair() -> None:
         for one, other in pairs:
             network.mend(one, other, one_way)
 
-    return mend
+    return repair
 
 
-def _slow(fleet: AnyFleet, pairs: Pairs, by_s: float) -> None:
+def _add_latency(fleet: AnyFleet, pairs: MachinePairs, by_s: float) -> None:
     """Add `by_s` of latency between the machines of each pair; 0 removes the added latency."""
     for one, other in pairs:
         fleet.world.network.slow_link(one, other, int(by_s * SECOND))
 
 
-def _rng(fault: faults.Fault, fleet: AnyFleet) -> random.Random:
+def _fault_rng(fault: faults.Fault, fleet: AnyFleet) -> random.Random:
     """Return a random generator for one fault, independent of the other faults of the run."""
     return random.Random(f"{fleet.scenario.seed}/{fault.kind}/{fault.at_s}/{fault.target}")
 
 
-def _switch(places: Iterable[NodePlace], trouble: object) -> End:
+def _inject(instances: Iterable[NodePlace], injected: object) -> EndAction:
     """Activate an injected fault at these nodes; the returned function deactivates it."""
-    there = list(places)
-    for place in there:
-        place.begin(trouble)
+    targets = list(instances)
+    for instance in targets:
+        instance.begin(injected)
 
     def end() -> None:
-        for place in there:
-            place.end(trouble)
+        for instance in targets:
+            instance.end(injected)
 
     return end
 
 
-def _after(fleet: AnyFleet, seconds: float, call: Callable[[], object]) -> None:
-    fleet.world.after(int(seconds * SECOND), call)
+def _call_later(fleet: AnyFleet, seconds: float, callback: Callable[[], object]) -> None:
+    fleet.world.after(int(seconds * SECOND), callback)
 
 
-def _again(fleet: AnyFleet, every_s: float, call: Callable[[], object]) -> Callable[[], None]:
-    """Run `call` now and every `every_s` seconds, until the returned function is called."""
-    over: list[bool] = []
+def _repeat(fleet: AnyFleet, every_s: float, callback: Callable[[], object]) -> Callable[[], None]:
+    """Run `callback` now and every `every_s` seconds, until the returned function is called."""
+    stopped: list[bool] = []
 
-    def turn() -> None:
-        if not over:
-            call()
-            _after(fleet, every_s, turn)
+    def tick() -> None:
+        if not stopped:
+            callback()
+            _call_later(fleet, every_s, tick)
 
-    turn()
-    return lambda: over.append(True)
+    tick()
+    return lambda: stopped.append(True)
 
 
 # --- endpoints --------------------------------------------------------------------------------
 
 
 @apply.register(faults.NodeSlow)
-def _node_slow(fault: faults.NodeSlow, fleet: AnyFleet) -> End:
-    return _switch(_nodes(fault, fleet), node.Slow(fault.factor))
+def _node_slow(fault: faults.NodeSlow, fleet: AnyFleet) -> EndAction:
+    return _inject(_target_nodes(fault, fleet), node.Slow(fault.factor))
 
 
 @apply.register(faults.NodeHung)
-def _node_hung(fault: faults.NodeHung, fleet: AnyFleet) -> End:
-    return _switch(_nodes(fault, fleet), node.Hung())
+def _node_hung(fault: faults.NodeHung, fleet: AnyFleet) -> EndAction:
+    return _inject(_target_nodes(fault, fleet), node.Hung())
 
 
 @apply.register(faults.NeighbourBusy)
-def _neighbour(fault: faults.NeighbourBusy, fleet: AnyFleet) -> End:
-    return _switch(_nodes(fault, fleet), node.Neighbour(fault.share, fault.on_s, fault.off_s))
+def _neighbour(fault: faults.NeighbourBusy, fleet: AnyFleet) -> EndAction:
+    return _inject(_target_nodes(fault, fleet), node.Neighbour(fault.share, fault.on_s, fault.off_s))
 
 
 @apply.register(faults.Resetting)
-def _resets(fault: faults.Resetting, fleet: AnyFleet) -> End:
-    return _switch(_nodes(fault, fleet), node.Resets(fault.where, fault.part, fault.runs))
+def _resets(fault: faults.Resetting, fleet: AnyFleet) -> EndAction:
+    return _inject(_target_nodes(fault, fleet), node.Resets(fault.where, fault.part, fault.runs))
 
 
 @apply.register(faults.AnswersSpoilt)
-def _answers_spoilt(fault: faults.AnswersSpoilt, fleet: AnyFleet) -> End:
-    return _switch(_nodes(fault, fleet), node.Spoilt(fault.how, fault.part))
+def _answers_spoilt(fault: faults.AnswersSpoilt, fleet: AnyFleet) -> EndAction:
+    return _inject(_target_nodes(fault, fleet), node.Spoilt(fault.how, fault.part))
 
 
 @apply.register(faults.TurningAway)
-def _turning_away(fault: faults.TurningAway, fleet: AnyFleet) -> End:
-    return _switch(_nodes(fault, fleet), node.TurnsAway(fault.part, fault.status))
+def _turning_away(fault: faults.TurningAway, fleet: AnyFleet) -> EndAction:
+    return _inject(_target_nodes(fault, fleet), node.TurnsAway(fault.part, fault.status))
 
 
 @apply.register(faults.LateReports)
-def _reports_late(fault: faults.LateReports, fleet: AnyFleet) -> End:
-    return _switch(_nodes(fault, fleet), node.ReportsLate(fault.by_s))
+def _reports_late(fault: faults.LateReports, fleet: AnyFleet) -> EndAction:
+    return _inject(_target_nodes(fault, fleet), node.ReportsLate(fault.by_s))
 
 
 @apply.register(faults.WrongReports)
-def _reports_wrong(fault: faults.WrongReports, fleet: AnyFleet) -> End:
-    return _switch(_nodes(fault, fleet), node.ReportsWrong(fault.how))
+def _reports_wrong(fault: faults.WrongReports, fleet: AnyFleet) -> EndAction:
+    return _inject(_target_nodes(fault, fleet), node.ReportsWrong(fault.how))
 
 
 @apply.register(faults.CloseCrossing)
-def _close_crossing(fault: faults.CloseCrossing, fleet: AnyFleet) -> End:
-    return _switch(_nodes(fault, fleet), node.CrossingClose(fault.within_s, fault.part, fault.unread))
+def _close_crossing(fault: faults.CloseCrossing, fleet: AnyFleet) -> EndAction:
+    return _inject(_target_nodes(fault, fleet), node.CrossingClose(fault.within_s, fault.part, fault.unread))
 
 
 @apply.register(faults.NodeStalled)
-def _node_stalled(fault: faults.NodeStalled, fleet: AnyFleet) -> End:
-    for place in _nodes(fault, fleet):
-        place.machine.stall(int(fault.for_s * SECOND))
+def _node_stalled(fault: faults.NodeStalled, fleet: AnyFleet) -> EndAction:
+    for instance in _target_nodes(fault, fleet):
+        instance.machine.stall(int(fault.for_s * SECOND))
     return None
 
 
 @apply.register(faults.NodeCrashed)
-def _node_crashed(fault: faults.NodeCrashed, fleet: AnyFleet) -> End:
-    notices, there = fleet.scenario.world, _nodes(fault, fleet)
-    for place in there:
-        place.stop(fault)
-        place.look(notices.silent_notice_s)
+def _node_crashed(fault: faults.NodeCrashed, fleet: AnyFleet) -> EndAction:
+    notices, targets = fleet.scenario.world, _target_nodes(fault, fleet)
+    for instance in targets:
+        instance.stop(fault)
+        instance.look(notices.silent_notice_s)
 
     def end() -> None:
-        for place in there:
-            place.free(fault)
-            place.look(notices.notice_s)
+        for instance in targets:
+            instance.free(fault)
+            instance.look(notices.notice_s)
 
     return end
 
 
-def _drained(
-    fault: faults.Fault, fleet: AnyFleet, there: list[NodePlace], drain_s: float, told_s: float
-) -> End:
+def _drain_and_restart(
+    fault: faults.Fault, fleet: AnyFleet, targets: list[NodePlace], drain_s: float, notice_delay_s: float
+) -> EndAction:
     """Drain nodes, stop them after `drain_s`, and restart them cold at the end of the fault.
 
-    Discovery is notified of the drain after `told_s`.
+    Discovery is notified of the drain after `notice_delay_s`.
     """
-    for place in there:
-        place.drain(fault)
-        place.look(told_s)
+    for instance in targets:
+        instance.drain(fault)
+        instance.look(notice_delay_s)
 
     def stop() -> None:
-        for place in there:
-            if place.drains:
-                place.stop(fault, reset=False)
-                place.look(max(0.0, told_s - drain_s))
+        for instance in targets:
+            if instance.drains:
+                instance.stop(fault, reset=False)
+                instance.look(max(0.0, notice_delay_s - drain_s))
 
     if drain_s < fault.for_s:
-        _after(fleet, drain_s, stop)
+        _call_later(fleet, drain_s, stop)
 
     def end() -> None:
-        for place in there:
-            place.undrain(fault)
-            place.free(fault)
-            place.look(fleet.scenario.world.notice_s)
+        for instance in targets:
+            instance.undrain(fault)
+            instance.free(fault)
+            instance.look(fleet.scenario.world.notice_s)
 
     return end
 
 
 @apply.register(faults.NodeRestarted)
-def _node_restarted(fault: faults.NodeRestarted, fleet: AnyFleet) -> End:
+def _node_restarted(fault: faults.NodeRestarted, fleet: AnyFleet) -> EndAction:
     notice = fleet.scenario.world.notice_s
-    return _drained(fault, fleet, _nodes(fault, fleet), fault.drain_s, notice)
+    return _drain_and_restart(fault, fleet, _target_nodes(fault, fleet), fault.drain_s, notice)
 
 
 @apply.register(faults.DrainToldLate)
-def _drain_told_late(fault: faults.DrainToldLate, fleet: AnyFleet) -> End:
-    return _drained(fault, fleet, _nodes(fault, fleet), fault.drain_s, fault.late_s)
+def _drain_told_late(fault: faults.DrainToldLate, fleet: AnyFleet) -> EndAction:
+    return _drain_and_restart(fault, fleet, _target_nodes(fault, fleet), fault.drain_s, fault.late_s)
 
 
 @apply.register(faults.FleetShrinks)
-def _fleet_shrinks(fault: faults.FleetShrinks, fleet: AnyFleet) -> End:
-    up = [place for place in fleet.places if place.up]
+def _fleet_shrinks(fault: faults.FleetShrinks, fleet: AnyFleet) -> EndAction:
+    up = [instance for instance in fleet.places if instance.up]
     count = min(len(up) - 1, max(1, round(fault.part * len(up))))
-    there = _rng(fault, fleet).sample(up, max(0, count))
-    return _drained(fault, fleet, there, fault.drain_s, fleet.scenario.world.notice_s)
+    targets = _fault_rng(fault, fleet).sample(up, max(0, count))
+    return _drain_and_restart(fault, fleet, targets, fault.drain_s, fleet.scenario.world.notice_s)
 
 
 @apply.register(faults.FleetGrows)
-def _fleet_grows(fault: faults.FleetGrows, fleet: AnyFleet) -> End:
-    for place in fleet.places:
-        if place.figures.spare:
-            place.free("spare")
-            place.look(fleet.scenario.world.notice_s)
+def _fleet_grows(fault: faults.FleetGrows, fleet: AnyFleet) -> EndAction:
+    for instance in fleet.places:
+        if instance.figures.spare:
+            instance.free("spare")
+            instance.look(fleet.scenario.world.notice_s)
     return None
 
 
 @apply.register(faults.NodeReplaced)
-def _node_replaced(fault: faults.NodeReplaced, fleet: AnyFleet) -> End:
-    there = [place for place in _nodes(fault, fleet) if place.up]
-    notice, rng = fleet.scenario.world.notice_s, _rng(fault, fleet)
+def _node_replaced(fault: faults.NodeReplaced, fleet: AnyFleet) -> EndAction:
+    targets = [instance for instance in _target_nodes(fault, fleet) if instance.up]
+    notice, rng = fleet.scenario.world.notice_s, _fault_rng(fault, fleet)
 
     def replace() -> None:
-        for place in there:
+        for instance in targets:
             name = f"s-{rng.getrandbits(32):08x}"
-            if place.up:
-                place.replace(name)
-                place.look(notice)
+            if instance.up:
+                instance.replace(name)
+                instance.look(notice)
 
     if fault.drain_s:
-        for place in there:
-            place.drain(fault)
-            place.look(notice)
-    _after(fleet, min(fault.drain_s, fault.for_s), replace)
+        for instance in targets:
+            instance.drain(fault)
+            instance.look(notice)
+    _call_later(fleet, min(fault.drain_s, fault.for_s), replace)
     return None
 
 
 @apply.register(faults.FleetRenewed)
-def _fleet_renewed(fault: faults.FleetRenewed, fleet: AnyFleet) -> End:
-    rng, there = _rng(fault, fleet), [place for place in fleet.places if place.up]
-    for place in rng.sample(there, math.ceil(len(there) * fault.part)):
-        place.replace(f"s-{rng.getrandbits(32):08x}")
-        place.look(fleet.scenario.world.notice_s)
+def _fleet_renewed(fault: faults.FleetRenewed, fleet: AnyFleet) -> EndAction:
+    rng, targets = _fault_rng(fault, fleet), [instance for instance in fleet.places if instance.up]
+    for instance in rng.sample(targets, math.ceil(len(targets) * fault.part)):
+        instance.replace(f"s-{rng.getrandbits(32):08x}")
+        instance.look(fleet.scenario.world.notice_s)
     return None
 
 
-def _power(fault: faults.Fault, fleet: AnyFleet, there: list[NodePlace]) -> End:
+def _cut_power(fault: faults.Fault, fleet: AnyFleet, targets: list[NodePlace]) -> EndAction:
     """Cut the power of the nodes' machines, and restore it at the end of the fault."""
     notices = fleet.scenario.world
-    for place in there:
-        place.vanish(fault)
-        place.look(notices.silent_notice_s)
+    for instance in targets:
+        instance.vanish(fault)
+        instance.look(notices.silent_notice_s)
 
     def end() -> None:
-        for place in there:
-            place.come_back(fault)
-            place.look(notices.notice_s)
+        for instance in targets:
+            instance.come_back(fault)
+            instance.look(notices.notice_s)
 
     return end
 
 
 @apply.register(faults.NodeVanished)
-def _node_vanished(fault: faults.NodeVanished, fleet: AnyFleet) -> End:
-    return _power(fault, fleet, _nodes(fault, fleet))
+def _node_vanished(fault: faults.NodeVanished, fleet: AnyFleet) -> EndAction:
+    return _cut_power(fault, fleet, _target_nodes(fault, fleet))
 
 
 @apply.register(faults.ZoneLost)
-def _zone_lost(fault: faults.ZoneLost, fleet: AnyFleet) -> End:
-    return _power(fault, fleet, _zone(fault, fleet))
+def _zone_lost(fault: faults.ZoneLost, fleet: AnyFleet) -> EndAction:
+    return _cut_power(fault, fleet, _zone_nodes(fault, fleet))
 
 
 @apply.register(faults.DrainTakenBack)
-def _drain_taken_back(fault: faults.DrainTakenBack, fleet: AnyFleet) -> End:
-    there = _nodes(fault, fleet)
-    for place in there:
-        place.told_draining.append(fault)
-        place.look(0.0)
+def _drain_taken_back(fault: faults.DrainTakenBack, fleet: AnyFleet) -> EndAction:
+    targets = _target_nodes(fault, fleet)
+    for instance in targets:
+        instance.told_draining.append(fault)
+        instance.look(0.0)
 
     def end() -> None:
-        for place in there:
-            place.told_draining.remove(fault)
-            place.look(0.0)
+        for instance in targets:
+            instance.told_draining.remove(fault)
+            instance.look(0.0)
 
     return end
 
 
 @apply.register(faults.DrainFlaps)
-def _drain_flaps(fault: faults.DrainFlaps, fleet: AnyFleet) -> End:
-    there = _nodes(fault, fleet)
+def _drain_flaps(fault: faults.DrainFlaps, fleet: AnyFleet) -> EndAction:
+    targets = _target_nodes(fault, fleet)
 
-    def turn() -> None:
-        for place in there:
-            if fault in place.told_draining:
-                place.told_draining.remove(fault)
+    def tick() -> None:
+        for instance in targets:
+            if fault in instance.told_draining:
+                instance.told_draining.remove(fault)
             else:
-                place.told_draining.append(fault)
-            place.look(0.0)
+                instance.told_draining.append(fault)
+            instance.look(0.0)
 
-    stop = _again(fleet, fault.every_s, turn)
+    stop = _repeat(fleet, fault.every_s, tick)
 
     def end() -> None:
         stop()
-        for place in there:
-            place.told_draining = [each for each in place.told_draining if each is not fault]
-            place.look(0.0)
+        for instance in targets:
+            instance.told_draining = [each for each in instance.told_draining if each is not fault]
+            instance.look(0.0)
 
     return end
 
@@ -343,46 +349,46 @@
 # --- discovery ------------------------------------------------------------------------------------
 
 
-def _at_discovery(fleet: AnyFleet, trouble: object, able: bool = False) -> End:
-    fleet.discovery.begin(trouble, able)
-    return lambda: fleet.discovery.end(trouble, able)
+def _inject_at_discovery(fleet: AnyFleet, injected: object, can_notify: bool = False) -> EndAction:
+    fleet.discovery.begin(injected, can_notify)
+    return lambda: fleet.discovery.end(injected, can_notify)
 
 
 @apply.register(faults.DiscoveryDown)
-def _discovery_down(fault: faults.DiscoveryDown, fleet: AnyFleet) -> End:
-    return _at_discovery(fleet, discovery.Down(fault.how))
+def _discovery_down(fault: faults.DiscoveryDown, fleet: AnyFleet) -> EndAction:
+    return _inject_at_discovery(fleet, discovery.Down(fault.how))
 
 
 @apply.register(faults.DiscoverySlow)
-def _discovery_slow(fault: faults.DiscoverySlow, fleet: AnyFleet) -> End:
-    return _at_discovery(fleet, discovery.SlowCalls(fault.factor))
+def _discovery_slow(fault: faults.DiscoverySlow, fleet: AnyFleet) -> EndAction:
+    return _inject_at_discovery(fleet, discovery.SlowCalls(fault.factor))
 
 
 @apply.register(faults.DiscoverySilent)
-def _discovery_silent(fault: faults.DiscoverySilent, fleet: AnyFleet) -> End:
-    return _at_discovery(fleet, discovery.Silent())
+def _discovery_silent(fault: faults.DiscoverySilent, fleet: AnyFleet) -> EndAction:
+    return _inject_at_discovery(fleet, discovery.Silent())
 
 
 @apply.register(faults.DiscoveryGarbage)
-def _discovery_garbage(fault: faults.DiscoveryGarbage, fleet: AnyFleet) -> End:
-    return _at_discovery(fleet, discovery.Garbage(fault.how))
+def _discovery_garbage(fault: faults.DiscoveryGarbage, fleet: AnyFleet) -> EndAction:
+    return _inject_at_discovery(fleet, discovery.Garbage(fault.how))
 
 
 @apply.register(faults.DiscoveryRestarted)
-def _discovery_restarted(fault: faults.DiscoveryRestarted, fleet: AnyFleet) -> End:
-    place = fleet.discovery
-    place.kill()
-    place.unable(1)
+def _discovery_restarted(fault: faults.DiscoveryRestarted, fleet: AnyFleet) -> EndAction:
+    instance = fleet.discovery
+    instance.kill()
+    instance.unable(1)
 
     def end() -> None:
-        place.restart()
-        place.unable(-1)
+        instance.restart()
+        instance.unable(-1)
 
     return end
 
 
 @apply.register(faults.DiscoveryMoved)
-def _discovery_moved(fault: faults.DiscoveryMoved, fleet: AnyFleet) -> End:
+def _discovery_moved(fault: faults.DiscoveryMoved, fleet: AnyFleet) -> EndAction:
     fleet.discovery.move(fault.version, fault.keeps_s)
     for sidecar in fleet.sidecars:
         sidecar.rewrite_file()
@@ -391,38 +397,38 @@
 
 
 @apply.register(faults.ListChurns)
-def _list_churns(fault: faults.ListChurns, fleet: AnyFleet) -> End:
-    rng = _rng(fault, fleet)
+def _list_churns(fault: faults.ListChurns, fleet: AnyFleet) -> EndAction:
+    rng = _fault_rng(fault, fleet)
 
-    def turn() -> None:
-        there = list(fleet.discovery.list.values())
-        if there:
-            entry = rng.choice(there)
+    def tick() -> None:
+        targets = list(fleet.discovery.list.values())
+        if targets:
+            entry = rng.choice(targets)
             weight = round(entry.weight * rng.uniform(0.8, 1.25), 4)
             fleet.discovery.put([msgspec.structs.replace(entry, weight=weight)])
 
-    return _again(fleet, fault.every_s, turn)
+    return _repeat(fleet, fault.every_s, tick)
 
 
 # --- clients and sidecars ----------------------------------------------------------------------
 
 
 @apply.register(faults.BadClientsCome)
-def _bad_clients(fault: faults.BadClientsCome, fleet: AnyFleet) -> End:
+def _bad_clients(fault: faults.BadClientsCome, fleet: AnyFleet) -> EndAction:
     ends: list[Callable[[], None]] = []
 
-    def come(bad: BadClients) -> None:
+    def start(bad: BadClients) -> None:
         numbers, scheduler = bad.begin(fault.what, fault.count), bad.scheduler
-        stays = scheduler.now() + BAD_STAY_S
+        earliest_end = scheduler.now() + BAD_CLIENT_DURATION_S
 
-        def go() -> None:
-            scheduler.call_at(max(stays, scheduler.now()), lambda: bad.end(numbers))
+        def schedule_end() -> None:
+            scheduler.call_at(max(earliest_end, scheduler.now()), lambda: bad.end(numbers))
 
-        ends.append(lambda: scheduler.call_soon(go))
+        ends.append(lambda: scheduler.call_soon(schedule_end))
 
-    for sidecar in _sidecars(fault, fleet):
+    for sidecar in _target_sidecars(fault, fleet):
         bad = fleet.bad[sidecar.number]
-        bad.scheduler.call_soon(partial(come, bad))
+        bad.scheduler.call_soon(partial(start, bad))
 
     def end() -> None:
         for each in ends:
@@ -432,138 +438,140 @@
 
 
 @apply.register(faults.SidecarTerminated)
-def _sidecar_terminated(fault: faults.SidecarTerminated, fleet: AnyFleet) -> End:
-    there = [(place, place.process) for place in _sidecars(fault, fleet) if place.up]
-    begun_ns = fleet.world.now_ns
-    for place, _ in there:
-        place.signal(signal.SIGTERM)
+def _sidecar_terminated(fault: faults.SidecarTerminated, fleet: AnyFleet) -> EndAction:
+    targets = [(instance, instance.process) for instance in _target_sidecars(fault, fleet) if instance.up]
+    started_ns = fleet.world.now_ns
+    for instance, _ in targets:
+        instance.signal(signal.SIGTERM)
 
     def end() -> None:
-        late = fleet.world.now_ns - begun_ns >= KILL_S * SECOND
-        waiting = [(place, process) for place, process in there if place.process is process]
-        there[:] = waiting
-        for place, _ in waiting:
-            if late or not place.up:
-                place.start()
-        if any(place.process is process for place, process in waiting):
-            fleet.world.after(LOOK_AGAIN_NS, end)
+        overdue = fleet.world.now_ns - started_ns >= KILL_DELAY_S * SECOND
+        waiting = [(instance, process) for instance, process in targets if instance.process is process]
+        targets[:] = waiting
+        for instance, _ in waiting:
+            if overdue or not instance.up:
+                instance.start()
+        if any(instance.process is process for instance, process in waiting):
+            fleet.world.after(RETRY_INTERVAL_NS, end)
 
     return end
 
 
 @apply.register(faults.SidecarKilled)
-def _sidecar_killed(fault: faults.SidecarKilled, fleet: AnyFleet) -> End:
-    there = [(place, place.process) for place in _sidecars(fault, fleet) if place.up]
-    for place, _ in there:
-        place.signal(signal.SIGKILL)
+def _sidecar_killed(fault: faults.SidecarKilled, fleet: AnyFleet) -> EndAction:
+    targets = [(instance, instance.process) for instance in _target_sidecars(fault, fleet) if instance.up]
+    for instance, _ in targets:
+        instance.signal(signal.SIGKILL)
 
     def end() -> None:
-        for place, process in there:
-            if place.process is process:
-                place.start()
+        for instance, process in targets:
+            if instance.process is process:
+                instance.start()
 
     return end
 
 
 @apply.register(faults.SidecarStalled)
-def _sidecar_stalled(fault: faults.SidecarStalled, fleet: AnyFleet) -> End:
-    for place in _sidecars(fault, fleet):
-        place.machine.stall(int(fault.stall_s * SECOND))
+def _sidecar_stalled(fault: faults.SidecarStalled, fleet: AnyFleet) -> EndAction:
+    for instance in _target_sidecars(fault, fleet):
+        instance.machine.stall(int(fault.stall_s * SECOND))
     return None
 
 
 @apply.register(faults.SidecarPaused)
-def _sidecar_paused(fault: faults.SidecarPaused, fleet: AnyFleet) -> End:
-    for place in _sidecars(fault, fleet):
-        place.pause(int(fault.for_s * SECOND))
+def _sidecar_paused(fault: faults.SidecarPaused, fleet: AnyFleet) -> EndAction:
+    for instance in _target_sidecars(fault, fleet):
+        instance.pause(int(fault.for_s * SECOND))
     return None
 
 
 @apply.register(faults.SidecarStarved)
-def _sidecar_starved(fault: faults.SidecarStarved, fleet: AnyFleet) -> End:
-    there = _sidecars(fault, fleet)
-    for place in there:
-        place.signal(signal.SIGKILL)
-        place.start()
+def _sidecar_starved(fault: faults.SidecarStarved, fleet: AnyFleet) -> EndAction:
+    targets = _target_sidecars(fault, fleet)
+    for instance in targets:
+        instance.signal(signal.SIGKILL)
+        instance.start()
 
-    def turn() -> None:
-        for place in there:
-            if place.up:
-                place.pause(int(STARVED_S * (1 - fault.part) * SECOND))
+    def tick() -> None:
+        for instance in targets:
+            if instance.up:
+                instance.pause(int(STARVATION_PERIOD_S * (1 - fault.part) * SECOND))
 
-    return _again(fleet, STARVED_S, turn)
+    return _repeat(fleet, STARVATION_PERIOD_S, tick)
 
 
 @apply.register(faults.SidecarUnreachable)
-def _sidecar_unreachable(fault: faults.SidecarUnreachable, fleet: AnyFleet) -> End:
+def _sidecar_unreachable(fault: faults.SidecarUnreachable, fleet: AnyFleet) -> EndAction:
     front = fleet.client_machine
-    pairs: Pairs = [(front, place.machine) for place in _sidecars(fault, fleet)]
+    pairs: MachinePairs = [(front, instance.machine) for instance in _target_sidecars(fault, fleet)]
     if fault.way == "from-sidecar":
         pairs = [(to, from_) for from_, to in pairs]
-    return _cut(fleet, pairs, one_way=fault.way != "both")
+    return _partition(fleet, pairs, one_way=fault.way != "both")
 
 
 @apply.register(faults.DiscoveryUnreachable)
-def _discovery_unreachable(fault: faults.DiscoveryUnreachable, fleet: AnyFleet) -> End:
-    machine, there = fleet.discovery.machine, _sidecars(fault, fleet)
+def _discovery_unreachable(fault: faults.DiscoveryUnreachable, fleet: AnyFleet) -> EndAction:
+    machine, targets = fleet.discovery.machine, _target_sidecars(fault, fleet)
 
-    def able(on: bool) -> None:
-        for place in there:
-            fleet.audience.discovery_able(fleet.world.now_ns, on, place.machine.name)
+    def set_able(on: bool) -> None:
+        for instance in targets:
+            fleet.audience.discovery_able(fleet.world.now_ns, on, instance.machine.name)
 
-    mend = _cut(fleet, [(machine, place.machine) for place in there])
-    able(False)
+    repair = _partition(fleet, [(machine, instance.machine) for instance in targets])
+    set_able(False)
 
     def end() -> None:
-        mend()
-        able(True)
+        repair()
+        set_able(True)
 
     return end
 
 
 @apply.register(faults.ListsDiffer)
-def _lists_differ(fault: faults.ListsDiffer, fleet: AnyFleet) -> End:
-    return _at_discovery(fleet, discovery.Behind(fault.part, fault.by_s), able=True)
+def _lists_differ(fault: faults.ListsDiffer, fleet: AnyFleet) -> EndAction:
+    return _inject_at_discovery(fleet, discovery.Behind(fault.part, fault.by_s), can_notify=True)
 
 
 @apply.register(faults.WallClockSet)
-def _wall_clock_set(fault: faults.WallClockSet, fleet: AnyFleet) -> End:
-    there, by = _sidecars(fault, fleet), int(fault.by_s * SECOND)
-    for place in there:
-        place.machine.shift_wall(by)
+def _wall_clock_set(fault: faults.WallClockSet, fleet: AnyFleet) -> EndAction:
+    targets, by = _target_sidecars(fault, fleet), int(fault.by_s * SECOND)
+    for instance in targets:
+        instance.machine.shift_wall(by)
 
     def end() -> None:
-        for place in there:
-            place.machine.shift_wall(-by)
+        for instance in targets:
+            instance.machine.shift_wall(-by)
 
     return end
 
 
 @apply.register(faults.DescriptorsUsedUp)
-def _descriptors_used_up(fault: faults.DescriptorsUsedUp, fleet: AnyFleet) -> End:
-    there = _sidecars(fault, fleet)
-    for place in there:
-        place.squeeze(fault, fault.left)
+def _descriptors_used_up(fault: faults.DescriptorsUsedUp, fleet: AnyFleet) -> EndAction:
+    targets = _target_sidecars(fault, fleet)
+    for instance in targets:
+        instance.squeeze(fault, fault.left)
 
     def end() -> None:
-        for place in there:
-            place.relax(fault)
+        for instance in targets:
+            instance.relax(fault)
 
     return end
 
 
-def _said(operators: Operators, calls: list[tuple[Address, str, str]], wait_s: float = 0.0) -> End:
+def _request_actions(
+    operators: Operators, requests: list[tuple[Address, str, str]], wait_s: float = 0.0
+) -> EndAction:
     """Have operators send requests after `wait_s`, and reverse at the end those that were sent."""
     stops: list[Callable[[], None]] = []
-    over: list[bool] = []
+    stopped: list[bool] = []
     scheduler = operators.scheduler
 
     def begin() -> None:
-        if not over:
-            stops.extend(operators.say(*call) for call in calls)
+        if not stopped:
+            stops.extend(operators.say(*request) for request in requests)
 
     def stop() -> None:
-        over.append(True)
+        stopped.append(True)
         for each in stops:
             each()
 
@@ -571,63 +579,63 @@
     return lambda: scheduler.call_soon(stop)
 
 
-def _for_a_while(fault: faults.Fault, fleet: AnyFleet, seconds: float) -> None:
+def _apply_for(fault: faults.Fault, fleet: AnyFleet, seconds: float) -> None:
     """Apply a nested fault for some seconds."""
-    over = apply(fault, fleet)
-    if over is not None:
-        _after(fleet, seconds, over)
+    end = apply(fault, fleet)
+    if end is not None:
+        _call_later(fleet, seconds, end)
 
 
 @apply.register(faults.NodeBanned)
-def _node_banned(fault: faults.NodeBanned, fleet: AnyFleet) -> End:
+def _node_banned(fault: faults.NodeBanned, fleet: AnyFleet) -> EndAction:
     if fleet.operators is None:
         return None
-    there, down_s = _nodes(fault, fleet), fault.for_s / 4
-    for place in there if fault.restart else ():
-        crash = faults.NodeCrashed(at_s=0.0, target=place.figures.id)
-        _after(fleet, down_s, partial(_for_a_while, crash, fleet, down_s))
-    paths = [f"/control/registry-nodes/{quote(place.id, safe='')}/" for place in there]
-    calls = [(each.admin, path + "offline", path + "online") for path in paths for each in fleet.sidecars]
-    return _said(fleet.operators, calls)
+    targets, down_s = _target_nodes(fault, fleet), fault.for_s / 4
+    for instance in targets if fault.restart else ():
+        crash = faults.NodeCrashed(at_s=0.0, target=instance.figures.id)
+        _call_later(fleet, down_s, partial(_apply_for, crash, fleet, down_s))
+    paths = [f"/control/registry-nodes/{quote(instance.id, safe='')}/" for instance in targets]
+    requests = [(each.admin, path + "offline", path + "online") for path in paths for each in fleet.sidecars]
+    return _request_actions(fleet.operators, requests)
 
 
 @apply.register(faults.SidecarOutOfService)
-def _sidecar_out_of_service(fault: faults.SidecarOutOfService, fleet: AnyFleet) -> End:
+def _sidecar_out_of_service(fault: faults.SidecarOutOfService, fleet: AnyFleet) -> EndAction:
     if fleet.operators is None:
         return None
-    there = _sidecars(fault, fleet)
-    for place in there:
+    targets = _target_sidecars(fault, fleet)
+    for instance in targets:
         # These connections are idle when the operators' request arrives, and no client reuses them.
-        bad = fleet.bad[place.number]
-        bad.scheduler.call_soon(partial(bad.begin, "ask-and-stay", RESTING))
-    calls = [(place.admin, "/control/out-of-service", "/control/in-service") for place in there]
-    return _said(fleet.operators, calls, REST_S)
+        bad = fleet.bad[instance.number]
+        bad.scheduler.call_soon(partial(bad.begin, "ask-and-stay", IDLE_CONNECTIONS))
+    requests = [(instance.admin, "/control/out-of-service", "/control/in-service") for instance in targets]
+    return _request_actions(fleet.operators, requests, IDLE_AGE_S)
 
 
 @apply.register(faults.SidecarsReleased)
-def _sidecars_released(fault: faults.SidecarsReleased, fleet: AnyFleet) -> End:
-    away = apply(faults.DiscoveryDown(at_s=0.0, how="503"), fleet)
-    _for_a_while(faults.SidecarKilled(at_s=0.0), fleet, fault.down_s)
-    return away
+def _sidecars_released(fault: faults.SidecarsReleased, fleet: AnyFleet) -> EndAction:
+    end = apply(faults.DiscoveryDown(at_s=0.0, how="503"), fleet)
+    _apply_for(faults.SidecarKilled(at_s=0.0), fleet, fault.down_s)
+    return end
 
 
 @apply.register(faults.BadConfiguration)
-def _bad_configuration(fault: faults.BadConfiguration, fleet: AnyFleet) -> End:
-    there = _sidecars(fault, fleet)
-    for place in there:
-        good = place.good_file
+def _bad_configuration(fault: faults.BadConfiguration, fleet: AnyFleet) -> EndAction:
+    targets = _target_sidecars(fault, fleet)
+    for instance in targets:
+        good = instance.good_file
         raw = json.loads(good)
         raw["limits"]["sockets"] = "many"
-        place.file = {
+        instance.file = {
             "empty": b"", "half": good[: len(good) // 2], "not-json": good + b"}",
             "bad-key": json.dumps(raw).encode(),
         }[fault.how]  # fmt: skip
-        place.signal(signal.SIGHUP)
+        instance.signal(signal.SIGHUP)
 
     def end() -> None:
-        for place in there:
-            place.rewrite_file()
-            place.signal(signal.SIGHUP)
+        for instance in targets:
+            instance.rewrite_file()
+            instance.signal(signal.SIGHUP)
 
     return end
 
@@ -636,94 +644,94 @@
 
 
 @apply.register(faults.LinkCut)
-def _link_cut(fault: faults.LinkCut, fleet: AnyFleet) -> End:
-    pairs = _links(fault, fleet)
+def _link_cut(fault: faults.LinkCut, fleet: AnyFleet) -> EndAction:
+    pairs = _links_to_sidecars(fault, fleet)
     if fault.way == "to-node":
         pairs = [(to, from_) for from_, to in pairs]
-    return _cut(fleet, pairs, one_way=fault.way != "both")
+    return _partition(fleet, pairs, one_way=fault.way != "both")
 
 
 @apply.register(faults.ZoneCut)
-def _zone_cut(fault: faults.ZoneCut, fleet: AnyFleet) -> End:
+def _zone_cut(fault: faults.ZoneCut, fleet: AnyFleet) -> EndAction:
     pairs = [
-        (place.machine, each.machine)
-        for place in _zone(fault, fleet)
+        (instance.machine, each.machine)
+        for instance in _zone_nodes(fault, fleet)
         for each in fleet.sidecars
         if each.figures.zone != fault.target
     ]
-    return _cut(fleet, pairs)
+    return _partition(fleet, pairs)
 
 
 @apply.register(faults.ZoneFlaps)
-def _zone_flaps(fault: faults.ZoneFlaps, fleet: AnyFleet) -> End:
-    length, ends = fault.every_s, list[End]()
+def _zone_flaps(fault: faults.ZoneFlaps, fleet: AnyFleet) -> EndAction:
+    length, ends = fault.every_s, list[EndAction]()
 
-    def turn() -> None:
+    def tick() -> None:
         if ends:
-            over = ends.pop()
-            assert over is not None
-            over()
+            end_nested = ends.pop()
+            assert end_nested is not None
+            end_nested()
         else:
-            once: faults.Fault = faults.ZoneLost(at_s=0.0, target=fault.target)
+            nested: faults.Fault = faults.ZoneLost(at_s=0.0, target=fault.target)
             if fault.how == "cut":
-                once = faults.ZoneUnreachable(at_s=0.0, target=fault.target, way="both")
-            ends.append(apply(once, fleet))
+                nested = faults.ZoneUnreachable(at_s=0.0, target=fault.target, way="both")
+            ends.append(apply(nested, fleet))
 
-    stop = _again(fleet, length, turn)
+    stop = _repeat(fleet, length, tick)
 
     def end() -> None:
         stop()
         if ends:
-            turn()
+            tick()
 
     return end
 
 
 @apply.register(faults.ZoneUnreachable)
-def _zone_unreachable(fault: faults.ZoneUnreachable, fleet: AnyFleet) -> End:
+def _zone_unreachable(fault: faults.ZoneUnreachable, fleet: AnyFleet) -> EndAction:
     pairs = [
-        (place.machine, each.machine)
-        for place in _zone(fault, fleet)
+        (instance.machine, each.machine)
+        for instance in _zone_nodes(fault, fleet)
         for each in fleet.sidecars
         if fault.sidecar in ("", each.figures.name)
     ]
     if fault.way == "to-nodes":
         pairs = [(to, from_) for from_, to in pairs]
-    return _cut(fleet, pairs, one_way=fault.way != "both")
+    return _partition(fleet, pairs, one_way=fault.way != "both")
 
 
 @apply.register(faults.ZoneGrey)
-def _zone_grey(fault: faults.ZoneGrey, fleet: AnyFleet) -> End:
-    there = _zone(fault, fleet)
-    slow = _switch(there, node.SlowNow(fault.every, fault.factor))
-    resets = _switch(there, node.Resets("after", fault.resets))
+def _zone_grey(fault: faults.ZoneGrey, fleet: AnyFleet) -> EndAction:
+    targets = _zone_nodes(fault, fleet)
+    slow = _inject(targets, node.SlowNow(fault.every, fault.factor))
+    resets = _inject(targets, node.Resets("after", fault.resets))
 
     def end() -> None:
-        for over in (slow, resets):
-            assert over is not None
-            over()
+        for end_part in (slow, resets):
+            assert end_part is not None
+            end_part()
 
     return end
 
 
 @apply.register(faults.ZoneDrained)
-def _zone_drained(fault: faults.ZoneDrained, fleet: AnyFleet) -> End:
+def _zone_drained(fault: faults.ZoneDrained, fleet: AnyFleet) -> EndAction:
     notice = fleet.scenario.world.notice_s
-    ends: list[End] = []
-    over: list[bool] = []
+    ends: list[EndAction] = []
+    stopped: list[bool] = []
 
-    def drain(place: NodePlace) -> None:
-        if not over:
-            ends.append(_drained(fault, fleet, [place], fault.drain_s, notice))
+    def drain(instance: NodePlace) -> None:
+        if not stopped:
+            ends.append(_drain_and_restart(fault, fleet, [instance], fault.drain_s, notice))
 
-    for number, place in enumerate(_zone(fault, fleet)):
+    for number, instance in enumerate(_zone_nodes(fault, fleet)):
         if number:
-            _after(fleet, number * fault.gap_s, partial(drain, place))
+            _call_later(fleet, number * fault.gap_s, partial(drain, instance))
         else:
-            drain(place)
+            drain(instance)
 
     def end() -> None:
-        over.append(True)
+        stopped.append(True)
         for each in ends:
             if each is not None:
                 each()
@@ -732,50 +740,50 @@
 
 
 @apply.register(faults.ZoneRulesRead)
-def _zone_rules_read(fault: faults.ZoneRulesRead, fleet: AnyFleet) -> End:
+def _zone_rules_read(fault: faults.ZoneRulesRead, fleet: AnyFleet) -> EndAction:
     def write(what: str) -> None:
-        for place in fleet.sidecars:
+        for instance in fleet.sidecars:
             if what in ("trust", "evacuate"):
-                place.operator = place.operator_file(**{what: [fault.target]})
+                instance.operator = instance.operator_file(**{what: [fault.target]})
             elif what == "none":
-                raw = json.loads(place.operator_file() or b"{}")
-                place.operator = json.dumps({k: v for k, v in raw.items() if k != "zones"}).encode()
+                raw = json.loads(instance.operator_file() or b"{}")
+                instance.operator = json.dumps({k: v for k, v in raw.items() if k != "zones"}).encode()
             else:
-                place.operator = place.operator_file() + (b"}" if what == "bad" else b"")
-            place.signal(signal.SIGHUP)
+                instance.operator = instance.operator_file() + (b"}" if what == "bad" else b"")
+            instance.signal(signal.SIGHUP)
 
     write(fault.what)
     return lambda: write("as before")
 
 
 @apply.register(faults.LinkSlow)
-def _link_slow(fault: faults.LinkSlow, fleet: AnyFleet) -> End:
-    pairs = _links(fault, fleet)
-    _slow(fleet, pairs, fault.by_s)
-    return lambda: _slow(fleet, pairs, 0.0)
+def _link_slow(fault: faults.LinkSlow, fleet: AnyFleet) -> EndAction:
+    pairs = _links_to_sidecars(fault, fleet)
+    _add_latency(fleet, pairs, fault.by_s)
+    return lambda: _add_latency(fleet, pairs, 0.0)
 
 
 @apply.register(faults.LinkJitter)
-def _link_jitter(fault: faults.LinkJitter, fleet: AnyFleet) -> End:
-    rng, pairs = _rng(fault, fleet), _links(fault, fleet)
+def _link_jitter(fault: faults.LinkJitter, fleet: AnyFleet) -> EndAction:
+    rng, pairs = _fault_rng(fault, fleet), _links_to_sidecars(fault, fleet)
 
-    def turn() -> None:
+    def tick() -> None:
         for pair in pairs:
-            _slow(fleet, [pair], fault.by_s * rng.random())
+            _add_latency(fleet, [pair], fault.by_s * rng.random())
 
-    stop = _again(fleet, JITTER_S, turn)
+    stop = _repeat(fleet, JITTER_PERIOD_S, tick)
 
     def end() -> None:
         stop()
-        _slow(fleet, pairs, 0.0)
+        _add_latency(fleet, pairs, 0.0)
 
     return end
 
 
 @apply.register(faults.LinkThrottled)
-def _link_throttled(fault: faults.LinkThrottled, fleet: AnyFleet) -> End:
+def _link_throttled(fault: faults.LinkThrottled, fleet: AnyFleet) -> EndAction:
     network = fleet.world.network
-    pairs = _links(fault, fleet)
+    pairs = _links_to_sidecars(fault, fleet)
     for one, other in pairs:
         network.throttle(one, other, fault.bytes_per_s)
 
@@ -787,58 +795,58 @@
 
 
 @apply.register(faults.ConnectsSwallowed)
-def _connects_swallowed(fault: faults.ConnectsSwallowed, fleet: AnyFleet) -> End:
-    network, there = fleet.world.network, _nodes(fault, fleet)
-    for place in there:
-        network.swallow_connects(place.machine)
+def _connects_swallowed(fault: faults.ConnectsSwallowed, fleet: AnyFleet) -> EndAction:
+    network, targets = fleet.world.network, _target_nodes(fault, fleet)
+    for instance in targets:
+        network.swallow_connects(instance.machine)
 
     def end() -> None:
-        for place in there:
-            network.stop_swallowing(place.machine)
+        for instance in targets:
+            network.stop_swallowing(instance.machine)
 
     return end
 
 
 @apply.register(faults.ConnectsRefused)
-def _connects_refused(fault: faults.ConnectsRefused, fleet: AnyFleet) -> End:
-    network, there = fleet.world.network, _nodes(fault, fleet)
-    for place in there:
-        network.refuse(place.machine, place.address[1])
+def _connects_refused(fault: faults.ConnectsRefused, fleet: AnyFleet) -> EndAction:
+    network, targets = fleet.world.network, _target_nodes(fault, fleet)
+    for instance in targets:
+        network.refuse(instance.machine, instance.address[1])
 
     def end() -> None:
-        for place in there:
-            network.stop_refusing(place.machine, place.address[1])
+        for instance in targets:
+            network.stop_refusing(instance.machine, instance.address[1])
 
     return end
 
 
 @apply.register(faults.ConnectionsReset)
-def _connections_reset(fault: faults.ConnectionsReset, fleet: AnyFleet) -> End:
-    rng, there = _rng(fault, fleet), _nodes(fault, fleet)
+def _connections_reset(fault: faults.ConnectionsReset, fleet: AnyFleet) -> EndAction:
+    rng, targets = _fault_rng(fault, fleet), _target_nodes(fault, fleet)
 
-    def turn() -> None:
-        for place in there:
-            for connection in fleet.world.network.connections(place.machine):
+    def tick() -> None:
+        for instance in targets:
+            for connection in fleet.world.network.connections(instance.machine):
                 if rng.random() < fault.part:
                     fleet.world.network.reset(connection)
 
-    return _again(fleet, fault.every_s, turn)
+    return _repeat(fleet, fault.every_s, tick)
 
 
 @apply.register(faults.ConnectionsSilent)
-def _connections_silent(fault: faults.ConnectionsSilent, fleet: AnyFleet) -> End:
-    rng = _rng(fault, fleet)
-    those = [
+def _connections_silent(fault: faults.ConnectionsSilent, fleet: AnyFleet) -> EndAction:
+    rng = _fault_rng(fault, fleet)
+    silenced = [
         connection
-        for place in _nodes(fault, fleet)
-        for connection in fleet.world.network.connections(place.machine)
+        for instance in _target_nodes(fault, fleet)
+        for connection in fleet.world.network.connections(instance.machine)
         if rng.random() < fault.part
     ]
-    for connection in those:
+    for connection in silenced:
         fleet.world.network.silence(connection)
 
     def end() -> None:
-        for connection in those:
+        for connection in silenced:
             fleet.world.network.unsilence(connection)
 
     return end
