--- a/brambleusher/lab/control/xds.py
+++ b/brambleusher/lab/control/xds.py
@@ -25,7 +25,7 @@
 ASSIGNMENT = PREFIX + endpoint_pb2.ClusterLoadAssignment.DESCRIPTOR.full_name
 LISTENER = PREFIX + listener_pb2.Listener.DESCRIPTOR.full_name
 ROUTES = PREFIX + route_pb2.RouteConfiguration.DESCRIPTOR.full_name
-_KINDS: dict[str, Any] = {
+_MESSAGE_TYPES: dict[str, Any] = {
     CLUSTER: cluster_pb2.Cluster, ASSIGNMENT: endpoint_pb2.ClusterLoadAssignment,
     LISTENER: listener_pb2.Listener, ROUTES: route_pb2.RouteConfiguration,
 }  # fmt: skip
@@ -53,14 +53,16 @@
 
     Where each node has a locality of its own (a sub-zone), the locality's weight is the node's weight.
     """
-    for part in assignment.endpoints:
-        for each in part.lb_endpoints:
-            where = each.endpoint.address.socket_address
-            alone = bool(part.locality.sub_zone)
-            weight = part.load_balancing_weight.value if alone else each.load_balancing_weight.value
+    for group in assignment.endpoints:
+        for each in group.lb_endpoints:
+            address = each.endpoint.address.socket_address
+            has_own_locality = bool(group.locality.sub_zone)
+            weight = (
+                group.load_balancing_weight.value if has_own_locality else each.load_balancing_weight.value
+            )
             yield Endpoint(
-                f"{where.address}:{where.port_value}", each.health_status in (0, 1),
-                each.health_status == 3, weight, part.priority, part.locality.zone, part.locality.sub_zone,
+                f"{address.address}:{address.port_value}", each.health_status in (0, 1),
+                each.health_status == 3, weight, group.priority, group.locality.zone, group.locality.sub_zone,
             )  # fmt: skip
 
 
@@ -74,7 +76,7 @@
 
 
 @dataclass(slots=True)
-class _Held:
+class _Subscription:
     """Subscription to one resource type: the requested names, and the resources received."""
 
     names: list[str]  # requested names; empty for all resources
@@ -101,7 +103,7 @@
     ) -> None:
         self.incremental, self.verdict = incremental, verdict
         self.node = base_pb2.Node(id=name, user_agent_name=agent, locality=base_pb2.Locality(zone=zone))
-        self.kinds: dict[str, _Held] = {}
+        self.kinds: dict[str, _Subscription] = {}
         self.responses = 0
 
     # --- requests -------------------------------------------------------------------------------
@@ -110,27 +112,30 @@
         """Return the first requests of a new stream; `forget` discards all state, as a restart does."""
         if forget:
             self.kinds.clear()
-        self.kinds.setdefault(CLUSTER, _Held([]))
-        for held in self.kinds.values():
-            held.nonce = ""
-        return [self._ask(kind, first=True) for kind in _KINDS if kind in self.kinds]
-
-    def _ask(
-        self, kind: str, first: bool = False, error: str | None = None, more: list[str] | None = None,
-        less: list[str] | None = None,
+        self.kinds.setdefault(CLUSTER, _Subscription([]))
+        for subscription in self.kinds.values():
+            subscription.nonce = ""
+        return [self._request(kind, first=True) for kind in _MESSAGE_TYPES if kind in self.kinds]
+
+    def _request(
+        self, kind: str, first: bool = False, error: str | None = None, subscribe: list[str] | None = None,
+        unsubscribe: list[str] | None = None,
     ) -> bytes:  # fmt: skip
-        held = self.kinds[kind]
+        subscription = self.kinds[kind]
         message: Any
         if self.incremental:
-            message = discovery_pb2.DeltaDiscoveryRequest(type_url=kind, response_nonce=held.nonce)
+            message = discovery_pb2.DeltaDiscoveryRequest(type_url=kind, response_nonce=subscription.nonce)
             if first:
-                message.resource_names_subscribe.extend(held.names)
-                message.initial_resource_versions.update(held.versions)
-            message.resource_names_subscribe.extend(more or [])
-            message.resource_names_unsubscribe.extend(less or [])
+                message.resource_names_subscribe.extend(subscription.names)
+                message.initial_resource_versions.update(subscription.versions)
+            message.resource_names_subscribe.extend(subscribe or [])
+            message.resource_names_unsubscribe.extend(unsubscribe or [])
         else:
             message = discovery_pb2.DiscoveryRequest(
-                type_url=kind, response_nonce=held.nonce, version_info=held.version, resource_names=held.names
+                type_url=kind,
+                response_nonce=subscription.nonce,
+                version_info=subscription.version,
+                resource_names=subscription.names,
             )
         if first:
             message.node.CopyFrom(self.node)
@@ -141,7 +146,7 @@
     def acknowledge(self, kind: str, nonce: str) -> bytes:
         """Return the request that accepts a response by its nonce, without decoding the response."""
         self.kinds[kind].nonce = nonce
-        return self._ask(kind)
+        return self._request(kind)
 
     # --- responses ------------------------------------------------------------------------------
 
@@ -156,66 +161,70 @@
             message = discovery_pb2.DiscoveryResponse.FromString(data)
             packed = [("", message.version_info, each) for each in message.resources]
         kind = message.type_url
-        held = self.kinds[kind]
-        held.nonce = message.nonce
+        subscription = self.kinds[kind]
+        subscription.nonce = message.nonce
         resources = [self._unpack(kind, each) for _, _, each in packed]
         reason = self.verdict(kind, resources)
         if reason is not None:
-            return [self._ask(kind, error=reason)]
+            return [self._request(kind, error=reason)]
         if not self.incremental:
-            held.version = message.version_info
+            subscription.version = message.version_info
         if not self.incremental and kind in (CLUSTER, LISTENER):
-            held.resources, held.versions = {}, {}
+            subscription.resources, subscription.versions = {}, {}
         for (_, version, _), resource in zip(packed, resources, strict=True):
             name = resource.cluster_name if kind == ASSIGNMENT else resource.name
-            held.resources[name], held.versions[name] = resource, version
+            subscription.resources[name], subscription.versions[name] = resource, version
         for name in getattr(message, "removed_resources", ()):
-            held.resources.pop(name, None)
-            held.versions.pop(name, None)
-        return [self._ask(kind), *self._follow(kind)]
+            subscription.resources.pop(name, None)
+            subscription.versions.pop(name, None)
+        return [self._request(kind), *self._follow_up(kind)]
 
     @staticmethod
     def _unpack(kind: str, packed: any_pb2.Any) -> Any:
         assert packed.type_url == kind, "a resource of another type than the response says"
-        return _KINDS[kind].FromString(packed.value)
+        return _MESSAGE_TYPES[kind].FromString(packed.value)
 
-    def _follow(self, kind: str) -> list[bytes]:
+    def _follow_up(self, kind: str) -> list[bytes]:
         """Return the requests for resources that a response of one type refers to."""
         if kind == CLUSTER:
             clusters = self.kinds[CLUSTER].resources.values()
             names = sorted({each.eds_cluster_config.service_name or each.name for each in clusters})
-            return self._want(ASSIGNMENT, names)
+            return self._subscribe(ASSIGNMENT, names)
         if kind == ASSIGNMENT and LISTENER not in self.kinds:
-            self.kinds[LISTENER] = _Held([])
-            return [self._ask(LISTENER, first=True)]
+            self.kinds[LISTENER] = _Subscription([])
+            return [self._request(LISTENER, first=True)]
         if kind == LISTENER:
             found = {routes_of(each) for each in self.kinds[LISTENER].resources.values()}
-            return self._want(ROUTES, sorted(name for name in found if name))
+            return self._subscribe(ROUTES, sorted(name for name in found if name))
         return []
 
-    def _want(self, kind: str, names: list[str]) -> list[bytes]:
-        held = self.kinds.get(kind)
-        if held is None:
+    def _subscribe(self, kind: str, names: list[str]) -> list[bytes]:
+        subscription = self.kinds.get(kind)
+        if subscription is None:
             if not names:
                 return []
-            self.kinds[kind] = _Held(names)
-            return [self._ask(kind, first=True)]
-        if names == held.names:
+            self.kinds[kind] = _Subscription(names)
+            return [self._request(kind, first=True)]
+        if names == subscription.names:
             return []
-        more = [name for name in names if name not in held.names]
-        less = [name for name in held.names if name not in names]
-        held.names = names
-        for name in less:
-            held.resources.pop(name, None)
-            held.versions.pop(name, None)
-        return [self._ask(kind, more=more, less=less)]
+        subscribe = [name for name in names if name not in subscription.names]
+        unsubscribe = [name for name in subscription.names if name not in names]
+        subscription.names = names
+        for name in unsubscribe:
+            subscription.resources.pop(name, None)
+            subscription.versions.pop(name, None)
+        return [self._request(kind, subscribe=subscribe, unsubscribe=unsubscribe)]
 
     # --- received state -------------------------------------------------------------------------
 
     def endpoints(self) -> list[Endpoint]:
         """Return all nodes of the received assignments."""
-        held = self.kinds.get(ASSIGNMENT)
-        return [] if held is None else [e for each in held.resources.values() for e in endpoints_of(each)]
+        subscription = self.kinds.get(ASSIGNMENT)
+        return (
+            []
+            if subscription is None
+            else [e for each in subscription.resources.values() for e in endpoints_of(each)]
+        )
 
     def complete(self) -> bool:
         """Return whether the proxy has routes, and the cluster and assignment of each route."""
--- a/brambleusher/lab/control/xds_caller.py
+++ b/brambleusher/lab/control/xds_caller.py
@@ -10,21 +10,21 @@
 
 import grpc
 
-PAUSE, MOST = 0.002, 120.0
+INTERVAL_S, MAX_DURATION_S = 0.002, 120.0
 
 
 def main(target: str, name: str) -> None:
     """Call `/look/Get` with the caller's name as the body; failures are printed to standard error."""
     with grpc.insecure_channel(target) as channel:
-        call = channel.unary_unary("/look/Get")
-        until = time.monotonic() + MOST
+        request = channel.unary_unary("/look/Get")
+        until = time.monotonic() + MAX_DURATION_S
         while time.monotonic() < until:
             try:
-                call(name.encode(), timeout=5)
+                request(name.encode(), timeout=5)
             except grpc.RpcError as error:
                 print(f"{name}: {error}", file=sys.stderr)
                 time.sleep(0.1)
-            time.sleep(PAUSE)
+            time.sleep(INTERVAL_S)
 
 
 if __name__ == "__main__":
--- a/brambleusher/lab/control/xds_live.py
+++ b/brambleusher/lab/control/xds_live.py
@@ -44,7 +44,7 @@
             self._channel = grpc.aio.insecure_channel(target, options=options)
         else:
             self._channel = grpc.aio.secure_channel(target, credentials, options=options)
-        self._news = asyncio.Event()
+        self._updated = asyncio.Event()
         self.reading = asyncio.Event()  # while cleared, the proxy reads no responses
         self.reading.set()
         self.ended: grpc.StatusCode | None = None
@@ -59,31 +59,31 @@
         self._task = asyncio.get_running_loop().create_task(self._run(opening))
 
     async def _run(self, opening: list[bytes]) -> None:
-        call = self._channel.stream_stream(STREAM_METHODS[self.proxy.incremental])()
+        stream = self._channel.stream_stream(STREAM_METHODS[self.proxy.incremental])()
         try:
             for data in opening:
-                await call.write(data)
-            while (data := await call.read()) is not grpc.aio.EOF:
+                await stream.write(data)
+            while (data := await stream.read()) is not grpc.aio.EOF:
                 self.heard_at = time.monotonic()
                 for answer in self.proxy.receive(data):
-                    await call.write(answer)
-                self._news.set()
+                    await stream.write(answer)
+                self._updated.set()
                 await self.reading.wait()
-            self.ended, self.why = await call.code(), await call.details()
+            self.ended, self.why = await stream.code(), await stream.details()
         except grpc.aio.AioRpcError as error:
             self.ended, self.why = error.code(), error.details() or ""
         except asyncio.InvalidStateError:  # a write to a stream that has ended
-            self.ended, self.why = await call.code(), await call.details()
+            self.ended, self.why = await stream.code(), await stream.details()
         finally:
-            call.cancel()
-            self._news.set()
+            stream.cancel()
+            self._updated.set()
 
-    async def until(self, what: Callable[[], bool]) -> None:
+    async def until(self, condition: Callable[[], bool]) -> None:
         """Wait for a condition that a response makes true; raises `TimeoutError` after `WAIT` seconds."""
         async with asyncio.timeout(WAIT):
-            while not what():
-                self._news.clear()
-                await self._news.wait()
+            while not condition():
+                self._updated.clear()
+                await self._updated.wait()
 
     async def stop(self) -> None:
         """End the stream and the connection."""
@@ -101,14 +101,14 @@
         self.name, self.seen = name, seen
         self._server = grpc.server(ThreadPoolExecutor(8))
         for service in METHODS:
-            handler = grpc.unary_unary_rpc_method_handler(self._call)
+            handler = grpc.unary_unary_rpc_method_handler(self._handle)
             self._server.add_generic_rpc_handlers(
                 (grpc.method_handlers_generic_handler(service, {"Get": handler}),)
             )
         self.port = self._server.add_insecure_port("127.0.0.1:0")
         self._server.start()
 
-    def _call(self, data: bytes, context: Any) -> bytes:
+    def _handle(self, data: bytes, context: Any) -> bytes:
         self.seen.put((data.decode(), self.name, time.monotonic()))
         return self.name.encode()
 
@@ -136,7 +136,7 @@
         self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
         self.ended = False
         threading.Thread(target=self._accept, daemon=True).start()
-        threading.Thread(target=self._beat, daemon=True).start()
+        threading.Thread(target=self._send_heartbeats, daemon=True).start()
 
     def _accept(self) -> None:
         while True:
@@ -144,13 +144,13 @@
                 sock, _ = self.listener.accept()
                 sock.recv(65536)
                 with self._lock:
-                    sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + self._whole())
+                    sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + self._full_list())
                     self._watches.append(sock)
             except OSError:
                 if self.ended:
                     return
 
-    def _beat(self) -> None:
+    def _send_heartbeats(self) -> None:
         while not self.ended:
             time.sleep(1.0)
             with self._lock:
@@ -161,7 +161,7 @@
         line = json.dumps({"version": version, "full": full, "servers": servers}).encode() + b"\n"
         return b"%x\r\n%s\r\n" % (len(line), line)
 
-    def _whole(self) -> bytes:
+    def _full_list(self) -> bytes:
         return self._chunk(self.version, True, list(self.servers.values()))
 
     def _send(self, data: bytes) -> None:
@@ -186,7 +186,7 @@
         with self._lock:
             self.version += 1
             self.servers = {each["id"]: each for each in servers}
-            data = self._whole()
+            data = self._full_list()
             at = time.monotonic()
             self._send(data)
             return at
--- a/brambleusher/lab/control/xds_rules.py
+++ b/brambleusher/lab/control/xds_rules.py
@@ -15,8 +15,8 @@
 from google.protobuf.message import Message
 from validate import validate_pb2
 
-_PASSED_OVER = {"ignore_empty", "strict", "well_known_regex", "unique"}
-_TESTS: dict[str, Callable[[Any, Any], bool]] = {
+_IGNORED_RULES = {"ignore_empty", "strict", "well_known_regex", "unique"}
+_CHECKS: dict[str, Callable[[Any, Any], bool]] = {
     "const": lambda value, rule: value == rule,
     "lt": lambda value, rule: value < rule,
     "lte": lambda value, rule: value <= rule,
@@ -39,33 +39,33 @@
 }
 
 
-def _number(value: Any) -> Any:
+def _comparable(value: Any) -> Any:
     """Return a duration in nanoseconds, and any other value unchanged."""
     return value.ToNanoseconds() if isinstance(value, duration_pb2.Duration) else value
 
 
-def _breaks(value: Any, kind: str, rules: Message, field: FieldDescriptor) -> Iterator[str]:
+def _violations(value: Any, kind: str, rules: Message, field: FieldDescriptor) -> Iterator[str]:
     if getattr(rules, "ignore_empty", False) and not value:
         return
     for option, rule in rules.ListFields():
         name = option.name
-        if name in _PASSED_OVER or name in ("required", "skip"):
+        if name in _IGNORED_RULES or name in ("required", "skip"):
             continue
         if name == "defined_only":
-            good = not rule or value in field.enum_type.values_by_number
+            is_valid = not rule or value in field.enum_type.values_by_number
         elif name == "items":
             for item in value:
-                yield from _field_rules(item, rule, field)
+                yield from _field_violations(item, rule, field)
             continue
-        elif name in _TESTS:
-            good = _TESTS[name](_number(value), _number(rule))
+        elif name in _CHECKS:
+            is_valid = _CHECKS[name](_comparable(value), _comparable(rule))
         else:
             raise NotImplementedError(f"unsupported rule {kind}.{name}")
-        if not good:
+        if not is_valid:
             yield f"is {str(value)[:60]!r}, which violates {kind}.{name} {str(rule)[:60]}"
 
 
-def _field_rules(value: Any, rules: Any, field: FieldDescriptor) -> Iterator[str]:
+def _field_violations(value: Any, rules: Any, field: FieldDescriptor) -> Iterator[str]:
     kind = rules.WhichOneof("type")
     if kind is None:
         return
@@ -73,10 +73,10 @@
         raise NotImplementedError("unsupported rules of a map field")
     if isinstance(value, Message) and hasattr(value, "value") and not isinstance(value, any_pb2.Any):
         value = value.value  # the rules of a wrapper message apply to the wrapped value
-    yield from _breaks(value, kind, getattr(rules, kind), field)
+    yield from _violations(value, kind, getattr(rules, kind), field)
 
 
-def _missing(message: Message, field: FieldDescriptor, rules: Any) -> bool:
+def _is_missing(message: Message, field: FieldDescriptor, rules: Any) -> bool:
     """Return whether a required field is missing."""
     if field.containing_oneof is not None:  # required only if it is the field set in the oneof
         return False
@@ -100,14 +100,14 @@
             yield f"{path}.{group.name} has none of its fields"
     for field in message.DESCRIPTOR.fields:
         rules = field.GetOptions().Extensions[validate_pb2.rules]
-        if _missing(message, field, rules):
+        if _is_missing(message, field, rules):
             yield f"{path}.{field.name} is missing"
             continue
         value, repeated = getattr(message, field.name), field.is_repeated
         present = repeated or not field.has_presence or message.HasField(field.name)
         if not present:
             continue
-        yield from (f"{path}.{field.name} {text}" for text in _field_rules(value, rules, field))
+        yield from (f"{path}.{field.name} {text}" for text in _field_violations(value, rules, field))
         if field.type == FieldDescriptor.TYPE_MESSAGE and not field.message_type.GetOptions().map_entry:
             for at, each in enumerate(value if repeated else [value]):
                 yield from faults(each, f"{path}.{field.name}" + (f"[{at}]" if repeated else ""))
--- a/brambleusher/lab/faults/effects.py
+++ b/brambleusher/lab/faults/effects.py
@@ -30,9 +30,8 @@
 IDLE_CONNECTIONS, IDLE_AGE_S = 3, 0.3
 STARVATION_PERIOD_S = 0.04  # period in seconds within which a starved process gets its share of CPU time
 JITTER_PERIOD_S = 0.02  # period in seconds between latency changes of a jittery link
-BAD_CLIENT_DURATION_S = (
-    3.3  # seconds that misbehaving clients stay, long enough to receive the expected error or close
-)
+# Seconds that misbehaving clients stay, long enough to receive the expected error or close.
+BAD_CLIENT_DURATION_S = 3.3
 
 EndAction = Callable[[], None] | None
 MachinePairs = Sequence[tuple["Machine", "Machine"]]
--- a/brambleusher/lab/fleets/figures.py
+++ b/brambleusher/lab/fleets/figures.py
@@ -326,12 +326,12 @@
 
     def of(self, range_: Range) -> float:
         """Draw a value uniformly from a range, rounded to four significant digits."""
-        return _short(self.rng.uniform(*range_))
+        return _round4(self.rng.uniform(*range_))
 
     def log(self, range_: Range) -> float:
         """Draw a value whose logarithm is uniform over a range, rounded to four significant digits."""
         low, high = range_
-        return _short(math.exp(self.rng.uniform(math.log(low), math.log(high))))
+        return _round4(math.exp(self.rng.uniform(math.log(low), math.log(high))))
 
     def whole(self, range_: tuple[int, int] | Range) -> int:
         """Draw an integer from a range with inclusive bounds."""
@@ -342,7 +342,7 @@
         return self.rng.random() < part
 
 
-def _short(value: float) -> float:
+def _round4(value: float) -> float:
     """Round to four significant digits, which a scenario file reproduces exactly."""
     return float(f"{value:.4g}")
 
@@ -373,7 +373,7 @@
     # The request rate is limited by the cost of a run, so the work per request is scaled to reach the load.
     stretch = draw.of(ranges.load) * capacity / (rate * mean_work)
     stretch = min(1.6, max(0.5, stretch))
-    classes = tuple(msgspec.structs.replace(each, work_s=_short(each.work_s * stretch)) for each in classes)
+    classes = tuple(msgspec.structs.replace(each, work_s=_round4(each.work_s * stretch)) for each in classes)
     draw = Drawer(seed, "front")
     count = draw.whole(ranges.sidecars)
     sidecars = tuple(
@@ -396,9 +396,9 @@
     faults_s = draw.of(ranges.faults_s)
     opening = Drawer(seed, "opening")
     opens, crowd = opening.of(ranges.opens), opening.of(ranges.crowd)
-    opens, crowd = (_short(opens * faults_s), crowd) if opening.chance(0.4) else (0.0, 0.0)
+    opens, crowd = (_round4(opens * faults_s), crowd) if opening.chance(0.4) else (0.0, 0.0)
     return WorldFigures(
-        length_s=_short(faults_s + draw.of(ranges.after_s)), faults_s=faults_s, zones=ranges.zones,
+        length_s=_round4(faults_s + draw.of(ranges.after_s)), faults_s=faults_s, zones=ranges.zones,
         sidecars=sidecars, nodes=nodes, classes=classes,
         tenants=tuple(
             TenantFigures(name=name, share=share, usage=draw.of(ranges.usage))
@@ -431,11 +431,11 @@
     spreads = [draw.of(kind.speed_spread) for kind in ranges.kinds]
     nodes: list[NodeFigures] = []
     for number in range(count + spares):
-        at = number if number < len(ranges.kinds) else _pick(draw, shares)
+        at = number if number < len(ranges.kinds) else _draw_index(draw, shares)
         kind = ranges.kinds[at]
         settings = NodeSettings(
             cores=kind.cores,
-            speed=_short(max(0.2, speeds[at] * (1 + spreads[at] * draw.rng.uniform(-1, 1)))),
+            speed=_round4(max(0.2, speeds[at] * (1 + spreads[at] * draw.rng.uniform(-1, 1)))),
             queue_per_core=draw.whole(kind.queue_per_core), thrash=draw.of(kind.thrash),
             thrash_at=draw.of(kind.thrash_at), cold_from=draw.of(kind.cold_from), cold_s=draw.of(kind.cold_s),
             warm_by=warm_by, connections=int(draw.log(ranges.connections)), full_tax=tax,
@@ -450,7 +450,7 @@
                 zone=ranges.zones[number % len(ranges.zones)],
                 kind=kind.name,
                 cell=number // 3,
-                weight=_short(kind.cores * settings.speed * draw.rng.uniform(0.8, 1.25)),
+                weight=_round4(kind.cores * settings.speed * draw.rng.uniform(0.8, 1.25)),
                 settings=settings,
                 spare=number >= count,
             )
@@ -458,7 +458,7 @@
     return tuple(nodes)
 
 
-def _pick(draw: Drawer, shares: list[float]) -> int:
+def _draw_index(draw: Drawer, shares: list[float]) -> int:
     return draw.rng.choices(range(len(shares)), shares)[0]
 
 
@@ -490,14 +490,14 @@
     weights = [rng.uniform(0.3, 1.7) for _ in world.sidecars]  # uneven load of the sidecars
     asks = []
 
-    def crowded(at: float) -> bool:
+    def is_in_crowd(at: float) -> bool:
         return bool(world.crowd) and world.opens_s <= at < world.opens_s + CROWD_S
 
-    for at in sorted(_short(max(0.0001, time)) for time in times):
+    for at in sorted(_round4(max(0.0001, time)) for time in times):
         # A crowd comes to buy, so more of its requests belong to the expensive classes.
-        shares = [each.share * (each.work_s if crowded(at) else 1.0) for each in world.classes]
-        of = rng.choices(world.classes, shares)[0]
-        work = of.draw_work(rng)
+        shares = [each.share * (each.work_s if is_in_crowd(at) else 1.0) for each in world.classes]
+        chosen = rng.choices(world.classes, shares)[0]
+        work = chosen.draw_work(rng)
         if at > calm_from:
             work *= calm
         tenant = ""
@@ -505,10 +505,10 @@
             tenant = rng.choices(world.tenants, [each.share for each in world.tenants])[0].name
         asks.append(
             Ask(
-                id=f"{rng.getrandbits(64):016x}", at_s=at, request_class=of.name, unsafe=of.unsafe,
-                tenant=tenant, wait_s=of.deadline_s, work_s=_short(work),
-                hint_s=_short(work * math.exp(rng.gauss(0, 0.4))) if world.clients.hints == "rough" else 0.0,
-                body_bytes=rng.choice((64, 200, 200, 4000)) if of.unsafe else 0,
+                id=f"{rng.getrandbits(64):016x}", at_s=at, request_class=chosen.name, unsafe=chosen.unsafe,
+                tenant=tenant, wait_s=chosen.deadline_s, work_s=_round4(work),
+                hint_s=_round4(work * math.exp(rng.gauss(0, 0.4))) if world.clients.hints == "rough" else 0.0,
+                body_bytes=rng.choice((64, 200, 200, 4000)) if chosen.unsafe else 0,
                 sidecar=rng.choices(range(len(weights)), weights)[0],
             )
         )  # fmt: skip
--- a/brambleusher/lab/fleets/fleet.py
+++ b/brambleusher/lab/fleets/fleet.py
@@ -88,7 +88,7 @@
         """Record that the last fault has ended and that all later requests can be served."""
 
 
-class _Nobody:
+class _NullAudience:
     """An audience that ignores all events."""
 
     def sidecar(self, now: int, machine: str, config: bytes) -> None: ...
@@ -134,8 +134,8 @@
     processor = world.processor
     if not processor.start_s and not processor.round_s:
         return None
-    start, round_ = int(processor.start_s * SECOND), int(processor.round_s * SECOND)
-    return Pace(start_ns=(start // 2, start * 3 // 2), round_ns=(round_ // 2, round_ * 3 // 2))
+    start_ns, round_ns = int(processor.start_s * SECOND), int(processor.round_s * SECOND)
+    return Pace(start_ns=(start_ns // 2, start_ns * 3 // 2), round_ns=(round_ns // 2, round_ns * 3 // 2))
 
 
 def configuration(
@@ -219,14 +219,14 @@
     def begin(self, trouble: object) -> None:
         """Activate an injected fault for the current process and later ones."""
         self.troubles.begin(trouble)
-        self._changed()
+        self._apply_faults()
 
     def end(self, trouble: object) -> None:
         """Deactivate an injected fault."""
         self.troubles.end(trouble)
-        self._changed()
+        self._apply_faults()
 
-    def _changed(self) -> None:
+    def _apply_faults(self) -> None:
         if self.node is not None and self.up:
             self.node.scheduler.call_soon(self.node.changed)
 
@@ -322,8 +322,8 @@
         self.troubles = Troubles()
         self.service: Discovery | None = None
         self.process: Process | None = None
-        self._moves = 0
-        self._unable = 0
+        self._replacements = 0
+        self._update_blockers = 0
 
     @property
     def address(self) -> Address:
@@ -361,11 +361,13 @@
 
     def move(self, version: int, keeps_s: float) -> None:
         """Replace the service with another one, at a new address and with its own versions."""
-        self._moves += 1
+        self._replacements += 1
         old = self.service
         if old is not None and self.process is not None and not self.process.dead:
             old.scheduler.call_soon(lambda: old.retire(keeps_s))
-        self.machine = self.fleet.world.machine(f"discovery {self._moves}", f"10.2.0.{1 + self._moves}")
+        self.machine = self.fleet.world.machine(
+            f"discovery {self._replacements}", f"10.2.0.{1 + self._replacements}"
+        )
         self.version = version
         self.fleet.set_latency(self.machine)
         self.start()
@@ -373,21 +375,21 @@
     def begin(self, trouble: object, able: bool = False) -> None:
         """Activate an injected fault; unless `able`, updates may not be delivered meanwhile."""
         self.troubles.begin(trouble)
-        self._call(lambda service: service.begin(trouble))
+        self._schedule(lambda service: service.begin(trouble))
         if not able:
             self.unable(1)
 
     def end(self, trouble: object, able: bool = False) -> None:
         """Deactivate an injected fault."""
         self.troubles.end(trouble)
-        self._call(lambda service: service.end(trouble))
+        self._schedule(lambda service: service.end(trouble))
         if not able:
             self.unable(-1)
 
     def unable(self, by: int) -> None:
         """Change the number of reasons that keep the service from sending updates."""
-        self._unable += by
-        self.fleet.audience.discovery_able(self.fleet.world.now_ns, self._unable == 0)
+        self._update_blockers += by
+        self.fleet.audience.discovery_able(self.fleet.world.now_ns, self._update_blockers == 0)
 
     def look(self, place: NodePlace) -> None:
         """Update the entry of a node to its current state."""
@@ -412,14 +414,14 @@
             else:
                 self.list[entry.id] = entry
         self.version += 1
-        self._call(lambda service: service.put(*changed))
+        self._schedule(lambda service: service.put(*changed))
         fleet = self.fleet
         fleet.audience.true_list(fleet.world.now_ns, [msgspec.to_builtins(each) for each in changed])
 
-    def _call(self, call: Callable[[Discovery], object]) -> None:
+    def _schedule(self, action: Callable[[Discovery], object]) -> None:
         service = self.service
         if service is not None and self.process is not None and not self.process.dead:
-            service.scheduler.call_soon(lambda: call(service))
+            service.scheduler.call_soon(lambda: action(service))
 
 
 @dataclass(frozen=True, slots=True)
@@ -494,8 +496,10 @@
             entries, version = [], 0
         elif known == "old" and entries:
             # An outdated list lacks one node and has one that no longer exists.
-            lost = Entry(id="s-0ld0ne", addr=f"10.1.9.9:{NODE_PORT}", zone=entries[0].zone, kind="std-2core")
-            entries, version = [*entries[1:], lost], max(1, version - 1)
+            removed = Entry(
+                id="s-0ld0ne", addr=f"10.1.9.9:{NODE_PORT}", zone=entries[0].zone, kind="std-2core"
+            )
+            entries, version = [*entries[1:], removed], max(1, version - 1)
         self.file = configuration(
             fleet.scenario.world, self.number, self.address, self.discovery_address,
             fleet.draw_seed(f"sidecar {self.number} {self.starts}"),
@@ -619,7 +623,7 @@
 
     def __init__(self, scenario: Scenario, world: Stage, audience: Audience | None = None) -> None:
         self.scenario, self.world = scenario, world
-        self.audience: Audience = audience or _Nobody()
+        self.audience: Audience = audience or _NullAudience()
         self.executions: list[Execution] = []  # executions of all nodes, in order of arrival
         self.asked: list[Asked] = []  # requests of all clients
         self.misdeeds: list[Misdeed] = []
@@ -721,11 +725,11 @@
         """Start clients and operators, and schedule the faults."""
         self.client_machine.serve(self._submit, "clients", descriptors=20_000)
         self.audience.bad_client(self._bad_machine.name)
-        self._bad_machine.serve(self._misbehave, "bad clients", descriptors=20_000)
+        self._bad_machine.serve(self._start_bad_clients, "bad clients", descriptors=20_000)
         if self._operators_machine is not None:
-            self._operators_machine.serve(self._operate, OPERATORS)
+            self._operators_machine.serve(self._start_operators, OPERATORS)
         for fault in self.scenario.faults:
-            self.world.at(self.begins_ns + int(fault.at_s * SECOND), self._starter(fault))
+            self.world.at(self.begins_ns + int(fault.at_s * SECOND), self._fault_starter(fault))
         self.world.at(self.begins_ns + int(self.scenario.world.faults_s * SECOND), self._calm)
 
     def _submit(self, scheduler: Scheduler) -> None:
@@ -734,27 +738,28 @@
         for sidecar in self.sidecars:
             asks = [ask for ask in scenario.asks if ask.sidecar == sidecar.number]
             client = Client(
-                scheduler, scenario.world.clients, self._reach(self.client_machine, sidecar), asks,
+                scheduler, scenario.world.clients, self._address_of(self.client_machine, sidecar), asks,
                 scenario.seed, book=self.asked,
             )  # fmt: skip
             client.linger_s = self.linger_s
             self.clients.append(client)
             client.start(begin)
 
-    def _reach(self, machine: Machine, sidecar: SidecarPlace) -> Address:
+    def _address_of(self, machine: Machine, sidecar: SidecarPlace) -> Address:
         return self.world.network.seen_from(machine, sidecar.address)
 
-    def _misbehave(self, scheduler: Scheduler) -> None:
+    def _start_bad_clients(self, scheduler: Scheduler) -> None:
         scenario = self.scenario
         sample = next((ask for ask in scenario.asks if not ask.unsafe), None) or scenario.asks[0]
         for sidecar in self.sidecars:
             bad = BadClients(
-                scheduler, self._reach(self._bad_machine, sidecar), sample, scenario.seed + sidecar.number,
-                in_use=partial(self._open_ids, sidecar.number), book=self.misdeeds,
+                scheduler, self._address_of(self._bad_machine, sidecar), sample,
+                scenario.seed + sidecar.number, in_use=partial(self._open_ids, sidecar.number),
+                book=self.misdeeds,
             )  # fmt: skip
             self.bad.append(bad)
 
-    def _operate(self, scheduler: Scheduler) -> None:
+    def _start_operators(self, scheduler: Scheduler) -> None:
         self.operators = Operators(scheduler)
         for sidecar in self.sidecars:
             self.operators.front(sidecar.address)
@@ -762,7 +767,7 @@
     def _open_ids(self, number: int) -> list[str]:
         return self.clients[number].open_ids()
 
-    def _starter(self, fault: Fault) -> Callable[[], None]:
+    def _fault_starter(self, fault: Fault) -> Callable[[], None]:
         def begin() -> None:
             self.running.append(fault)
             end = apply(fault, self)
@@ -780,12 +785,12 @@
     def _calm(self) -> None:
         """Notify the audience after the last fault, once the remaining requests can be served."""
         faults_s, length_s = self.scenario.world.faults_s, self.scenario.world.length_s
-        asked = sum(ask.work_s for ask in self.scenario.asks if ask.at_s > faults_s)
+        work = sum(ask.work_s for ask in self.scenario.asks if ask.at_s > faults_s)
         capacity = sum(
             place.node.machine.capacity for place in self.places if place.up and place.node is not None
         )
         up = not self.running and all(sidecar.up for sidecar in self.sidecars)
-        if up and asked / max(0.001, length_s - faults_s) <= GOOD_LOAD * capacity:
+        if up and work / max(0.001, length_s - faults_s) <= GOOD_LOAD * capacity:
             self.audience.calm(self.world.now_ns)
         elif self.world.now_ns < self.ends_ns:
             self.world.after(int(CALM_AGAIN_S * SECOND), self._calm)
--- a/brambleusher/lab/fleets/worlds.py
+++ b/brambleusher/lab/fleets/worlds.py
@@ -60,14 +60,14 @@
     unsafe: bool = False
 
 
-def _kinds() -> dict[str, Kind]:
+def _default_kinds() -> dict[str, Kind]:
     return {
         "std-2core": Kind(count=8, cores=2, speed=1.0),
         "small-1core": Kind(count=6, cores=1, speed=0.75),
     }
 
 
-def _classes() -> dict[str, Class]:
+def _default_classes() -> dict[str, Class]:
     return {
         "listing-lookup": Class(share=0.6, work_s=0.027, aim_s=0.5, deadline_s=1.5, worth=1.0),
         "price-check": Class(share=0.3, work_s=0.051, aim_s=0.75, deadline_s=2.0, worth=5.0),
@@ -75,7 +75,7 @@
     }
 
 
-def _tenants() -> dict[str, float]:
+def _default_tenants() -> dict[str, float]:
     return {"peach-seats": 0.5, "midtown-tickets": 0.3, "river-resale": 0.15, "box-office": 0.05}
 
 
@@ -88,9 +88,9 @@
     sockets: Annotated[int, msgspec.Meta(ge=64)] = 512  # descriptor limit of each sidecar
     memory_mb: Annotated[int, msgspec.Meta(ge=32)] = 96
     known: Literal["fresh", "old", "none"] = "fresh"
-    kinds: dict[str, Kind] = msgspec.field(default_factory=_kinds)
-    classes: dict[str, Class] = msgspec.field(default_factory=_classes)
-    tenants: dict[str, Share] = msgspec.field(default_factory=_tenants)  # share of each tenant
+    kinds: dict[str, Kind] = msgspec.field(default_factory=_default_kinds)
+    classes: dict[str, Class] = msgspec.field(default_factory=_default_classes)
+    tenants: dict[str, Share] = msgspec.field(default_factory=_default_tenants)  # share of each tenant
     usage: Positive = 0.8  # fraction of their quotas that the tenants use at `requests_per_s`
     requests_per_s: Positive = 400.0
     discovery: DiscoverySettings = DiscoverySettings()
--- a/brambleusher/lab/stand_ins/bad_client.py
+++ b/brambleusher/lab/stand_ins/bad_client.py
@@ -22,8 +22,8 @@
 BAD_KINDS: tuple[BadKind, ...] = get_args(BadKind)
 
 CONNECT_SECONDS = 1.0
-PATIENCE = 8.0  # maximum duration of a connection, in seconds
-KEPT_BYTES = 4096  # maximum number of received bytes that are recorded
+MAX_DURATION_S = 8.0  # maximum duration of a connection, in seconds
+RECORDED_BYTES = 4096  # maximum number of received bytes that are recorded
 SLOW_PAUSE = 0.01
 
 
@@ -77,7 +77,7 @@
         """Number of connections that have not ended."""
         return len(self._tasks)
 
-    def begin(self, kind: BadKind, count: int = 1, patience: float = PATIENCE) -> list[int]:
+    def begin(self, kind: BadKind, count: int = 1, patience: float = MAX_DURATION_S) -> list[int]:
         """Start `count` clients of a kind, and return their numbers."""
         numbers = []
         for _ in range(count):
@@ -122,7 +122,7 @@
             if stream is not None:
                 stream.close()
 
-    def _good(self, deed: Misdeed, number: int, nth: int = 0, wait: float = 1.0) -> bytes:
+    def _valid_request(self, deed: Misdeed, number: int, nth: int = 0, wait: float = 1.0) -> bytes:
         """Return the bytes of a valid request."""
         name = f"b{self._seed & 0xFFFFFFFF:08x}{number:04x}{nth:03x}"
         deed.ids.append(name)
@@ -136,29 +136,29 @@
     def _read(self, deed: Misdeed, stream: Stream, until: float) -> None:
         """Read until the connection ends."""
         while data := stream.receive(until):
-            self._note(deed, data)
+            self._record(deed, data)
 
-    def _answered(self, deed: Misdeed, stream: Stream, until: float) -> None:
+    def _await_response(self, deed: Misdeed, stream: Stream, until: float) -> None:
         """Read the first bytes of a response."""
         data = stream.receive(until)
         if not data:
             raise ConnectionResetError("the connection was closed without a response")
-        self._note(deed, data)
+        self._record(deed, data)
 
-    def _note(self, deed: Misdeed, data: bytes) -> None:
+    def _record(self, deed: Misdeed, data: bytes) -> None:
         if not deed.got_bytes:
             deed.told_ns = self.scheduler.system.monotonic_ns()
         deed.got_bytes += len(data)
-        deed.got = (deed.got + data)[:KEPT_BYTES] if len(deed.got) < KEPT_BYTES else deed.got
+        deed.got = (deed.got + data)[:RECORDED_BYTES] if len(deed.got) < RECORDED_BYTES else deed.got
 
-    def _edited(self, old: bytes, new: bytes, number: int) -> bytes:
+    def _invalid_request(self, old: bytes, new: bytes, number: int) -> bytes:
         """Return a valid request with one error, whose id is not among those that may be served."""
-        return self._good(Misdeed("noise"), number).replace(old, new, 1)
+        return self._valid_request(Misdeed("noise"), number).replace(old, new, 1)
 
     # --- the kinds ------------------------------------------------------------------------------
 
     def _half_request(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
-        data = self._good(Misdeed(deed.kind), number)
+        data = self._valid_request(Misdeed(deed.kind), number)
         self._send(deed, stream, data[: len(data) // 2], until)
 
     def _half_and_close(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
@@ -166,7 +166,7 @@
         self.scheduler.sleep(0.1 * self.rng.random())
         raise _Left
 
-    def _wrong(self, name: str, value: str) -> bytes:
+    def _request_with(self, name: str, value: str) -> bytes:
         """Return a request in which one header is wrong, or missing for an empty value."""
         method, number = "POST" if self._sample.unsafe else "GET", self.rng.getrandbits(32)
         lines = [
@@ -182,27 +182,29 @@
         return ("\r\n".join(lines) + "\r\n\r\n").encode()
 
     def _negative_length(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
-        self._send(deed, stream, self._wrong("Content-Length", "-20") + b"x" * 20, until)
+        self._send(deed, stream, self._request_with("Content-Length", "-20") + b"x" * 20, until)
 
     def _huge_length(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
-        self._send(deed, stream, self._wrong("Content-Length", str(1 << 62)) + b"x" * 20, until)
+        self._send(deed, stream, self._request_with("Content-Length", str(1 << 62)) + b"x" * 20, until)
 
     def _huge_body(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
         size = 256 * 1024
-        self._send(deed, stream, self._wrong("Content-Length", str(size)) + b"x" * size, until)
+        self._send(deed, stream, self._request_with("Content-Length", str(size)) + b"x" * size, until)
 
     def _bad_length(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
-        self._send(deed, stream, self._wrong("Content-Length", "0x14") + b"x" * 20, until)
+        self._send(deed, stream, self._request_with("Content-Length", "0x14") + b"x" * 20, until)
 
     def _both_framings(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
-        inner = self._good(Misdeed(deed.kind), number, 0xFFF)
+        inner = self._valid_request(Misdeed(deed.kind), number, 0xFFF)
         deed.hidden = f"b{self._seed & 0xFFFFFFFF:08x}{number:04x}fff"
         body = b"0\r\n\r\n" + inner
-        head = self._wrong("Content-Length", str(len(body)))[:-2] + b"Transfer-Encoding: chunked\r\n\r\n"
+        head = (
+            self._request_with("Content-Length", str(len(body)))[:-2] + b"Transfer-Encoding: chunked\r\n\r\n"
+        )
         self._send(deed, stream, head + body, until)
 
     def _two_lengths(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
-        head = self._wrong("Content-Length", "5")[:-2] + b"Content-Length: 25\r\n\r\n"
+        head = self._request_with("Content-Length", "5")[:-2] + b"Content-Length: 25\r\n\r\n"
         self._send(deed, stream, head + b"x" * 25, until)
 
     def _id_in_use(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
@@ -213,25 +215,25 @@
         self._send(deed, stream, wording_of(self._sample, name, 1.0), until)
 
     def _pipelining(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
-        self._send(deed, stream, b"".join(self._good(deed, number, nth) for nth in range(4)), until)
+        self._send(deed, stream, b"".join(self._valid_request(deed, number, nth) for nth in range(4)), until)
 
     def _leaving(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
-        self._send(deed, stream, self._good(deed, number), until)
+        self._send(deed, stream, self._valid_request(deed, number), until)
         self.scheduler.sleep(0.1 * self.rng.random())
         raise _Left
 
     def _slow_reading(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
-        self._send(deed, stream, self._good(deed, number), until)
+        self._send(deed, stream, self._valid_request(deed, number), until)
         while self.scheduler.now() < until:
             self.scheduler.park(until, stream.sock)
             data = stream.sock.recv(1)
             if not data:
                 return
-            self._note(deed, data)
+            self._record(deed, data)
             self.scheduler.sleep(SLOW_PAUSE)
 
     def _slow_writing(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
-        data = self._good(deed, number)
+        data = self._valid_request(deed, number)
         for at in range(len(data)):
             self._send(deed, stream, data[at : at + 1], until)
             self.scheduler.sleep(SLOW_PAUSE / 2)
@@ -240,23 +242,23 @@
         """Send nothing."""
 
     def _ask_and_stay(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
-        self._send(deed, stream, self._good(deed, number), until)
+        self._send(deed, stream, self._valid_request(deed, number), until)
 
     def _endless_head(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
-        self._send(deed, stream, self._wrong("Content-Length", "0")[:-2], until)
+        self._send(deed, stream, self._request_with("Content-Length", "0")[:-2], until)
         while self.scheduler.now() < until:
             self._send(deed, stream, b"X-More: " + b"m" * 500 + b"\r\n", until)
             self.scheduler.sleep(SLOW_PAUSE)
 
     def _unknown_class(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
         known = self._sample.request_class.encode()
-        self._send(deed, stream, self._edited(known, b"no-such-class", number), until)
+        self._send(deed, stream, self._invalid_request(known, b"no-such-class", number), until)
 
     def _no_id(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
-        self._send(deed, stream, self._wrong("Request-Id", ""), until)
+        self._send(deed, stream, self._request_with("Request-Id", ""), until)
 
     def _bad_deadline(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
-        self._send(deed, stream, self._wrong("Request-Timeout-Ms", "soon"), until)
+        self._send(deed, stream, self._request_with("Request-Timeout-Ms", "soon"), until)
 
     def _noise(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
         self._send(deed, stream, self.rng.randbytes(300), until)
@@ -264,8 +266,8 @@
     def _again_at_once(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
         """Send a request again immediately after each response, five times."""
         for nth in range(5):
-            self._send(deed, stream, self._good(deed, number, nth), until)
-            self._answered(deed, stream, until)
+            self._send(deed, stream, self._valid_request(deed, number, nth), until)
+            self._await_response(deed, stream, until)
 
 
 _DEEDS: dict[BadKind, Callable[[BadClients, Misdeed, Stream, int, float], None]] = {
--- a/brambleusher/lab/stand_ins/client.py
+++ b/brambleusher/lab/stand_ins/client.py
@@ -93,8 +93,8 @@
     """
     if last.end == "left" or last.end == "stopped" or (last.end == "answered" and last.status == 200):
         return None
-    refused = last.end == "answered" and last.status in (429, 503)
-    if last.ask.unsafe and not refused and last.end != "unreachable":
+    rejected = last.end == "answered" and last.status in (429, 503)
+    if last.ask.unsafe and not rejected and last.end != "unreachable":
         return None
     if last.number + 1 >= settings.tries:
         return None
@@ -102,7 +102,7 @@
     if settings.backoff != "none":
         growth = 2**last.number if settings.backoff == "exponential" else 1
         pause = settings.backoff_s * growth * (0.5 + rng.random())
-    if refused and last.retry_after_s is not None and rng.random() < settings.honour:
+    if rejected and last.retry_after_s is not None and rng.random() < settings.honour:
         pause = max(pause, min(last.retry_after_s, settings.honour_most_s))
     return pause if now_s + pause + SHORTEST_WAIT < due_s else None
 
@@ -133,9 +133,9 @@
         self._asks = sorted(asks, key=lambda ask: (ask.at_s, ask.id))
         self._idle: list[Stream] = []
         self.linger_s = LINGER_SECONDS
-        self._held: list[Stream] = []  # connections held open after a single request
-        self._used = 0  # number of connections with an open request
-        self._open: dict[str, Task] = {}  # tasks of the open requests, by request id
+        self._single_use: list[Stream] = []  # connections held open after a single request
+        self._busy_count = 0  # number of connections with an open request
+        self._open_tasks: dict[str, Task] = {}  # tasks of the open requests, by request id
         self._arrivals: Task | None = None
         self.connects = 0
         self.done = Event()  # set when the last request has ended
@@ -143,12 +143,12 @@
     @property
     def open(self) -> int:
         """Number of requests that have not ended."""
-        return len(self._open)
+        return len(self._open_tasks)
 
     @property
     def finished(self) -> bool:
         """Whether all requests were sent and have ended."""
-        return not self._open and (self._arrivals is None or self._arrivals.done)
+        return not self._open_tasks and (self._arrivals is None or self._arrivals.done)
 
     def open_ids(self) -> list[str]:
         """Return the ids of the open requests' current attempts."""
@@ -162,18 +162,18 @@
         """Send no new requests; open requests continue to their end."""
         if self._arrivals is not None:
             self._arrivals.cancel()
-        if not self._open:
+        if not self._open_tasks:
             self.done.set()
 
     def close(self) -> None:
         """Close the idle connections and cancel the open requests."""
         self.stop()
-        for task in list(self._open.values()):
+        for task in list(self._open_tasks.values()):
             task.cancel()
         while self._idle:
             self._idle.pop().close()
-        while self._held:
-            self._held.pop().close()
+        while self._single_use:
+            self._single_use.pop().close()
 
     # --- arrivals -------------------------------------------------------------------------------
 
@@ -189,7 +189,7 @@
                 scheduler.sleep(wait)
             asked = Asked(ask, round((begin + ask.at_s) * 1e9))
             self.book.append(asked)
-            self._open[ask.id] = scheduler.spawn(self._live, asked, begin + ask.at_s, name="ask")
+            self._open_tasks[ask.id] = scheduler.spawn(self._run_request, asked, begin + ask.at_s, name="ask")
 
     def _ready(self) -> bool:
         deadline = self.scheduler.now() + CONNECT_SECONDS
@@ -206,7 +206,7 @@
 
     # --- one request ----------------------------------------------------------------------------
 
-    def _live(self, asked: Asked, began: float) -> None:
+    def _run_request(self, asked: Asked, began: float) -> None:
         """Make attempts until one succeeds or none is left."""
         ask, scheduler, settings = asked.ask, self.scheduler, self.settings
         due = began + ask.wait_s
@@ -218,7 +218,7 @@
                 last = Try(ask, name, number, wait, scheduler.system.monotonic_ns())
                 asked.tries.append(last)
                 try:
-                    self._try(last, now + wait)
+                    self._attempt(last, now + wait)
                 finally:
                     last.ended_ns = scheduler.system.monotonic_ns()
                     last.end = last.end or "stopped"
@@ -229,22 +229,22 @@
                     scheduler.sleep(pause)
         finally:
             asked.over = True
-            self._open.pop(ask.id, None)
+            self._open_tasks.pop(ask.id, None)
             if self.finished:
                 self.done.set()
 
-    def _try(self, entry: Try, deadline: float) -> None:
+    def _attempt(self, entry: Try, deadline: float) -> None:
         """Make one attempt, on a second connection if the first was closed before the request was read."""
         rng, settings = self.rng, self.settings
         until = deadline
         if settings.impatient and rng.random() < settings.impatient:
             until -= (deadline - self.scheduler.now()) * rng.random()
         data = wording_of(entry.ask, entry.id, entry.wait_s, entry.number > 0 and settings.marks_retry)
-        stream, kept = self._kept(), True
+        stream, reused = self._take_idle(), True
         while True:
             if stream is None:
-                kept = False
-                if not self._room():
+                reused = False
+                if not self._may_open():
                     entry.end = "unreachable"
                     return
                 try:
@@ -255,17 +255,17 @@
                     entry.end = "unreachable"
                     return
                 self.connects += 1
-            if not self._once(entry, stream, data, until, deadline, kept):
+            if not self._exchange(entry, stream, data, until, deadline, reused):
                 return
             entry.resent, stream = True, None
 
-    def _once(
-        self, entry: Try, stream: Stream, data: bytes, until: float, deadline: float, kept: bool
+    def _exchange(
+        self, entry: Try, stream: Stream, data: bytes, until: float, deadline: float, reused: bool
     ) -> bool:
         """Write the request and read the response; return True if it must be resent on a new connection."""
         got: list[int] = []
         keep, sent = False, self.scheduler.now()
-        self._used += 1
+        self._busy_count += 1
         try:
             entry.port = stream.sock.getsockname()[1]
             stream.send(data, until)
@@ -285,29 +285,29 @@
         except OSError:
             # A close that crossed the request arrives within a round trip.  After that, the request may have
             # been read.
-            if kept and not got and self.scheduler.now() - sent < CROSSING_SECONDS:
+            if reused and not got and self.scheduler.now() - sent < CROSSING_SECONDS:
                 return True
             entry.end = "broken"
         finally:
-            self._used -= 1
+            self._busy_count -= 1
             if keep and self.settings.asks_once and self.rng.random() < self.settings.asks_once:
-                self._held.append(stream)
+                self._single_use.append(stream)
             elif keep and len(self._idle) < self.settings.idle_most:
                 self._idle.append(stream)
             else:
                 stream.close()
         return False
 
-    def _room(self) -> bool:
+    def _may_open(self) -> bool:
         """Return whether another connection may be opened, after removal of those the sidecar has closed."""
         most = self.settings.most_open
-        if most and self._used + len(self._idle) + len(self._held) >= most:
-            for stream in [stream for stream in self._held if not stream.is_idle()]:
+        if most and self._busy_count + len(self._idle) + len(self._single_use) >= most:
+            for stream in [stream for stream in self._single_use if not stream.is_idle()]:
                 stream.close()
-                self._held.remove(stream)
-        return not most or self._used + len(self._idle) + len(self._held) < most
+                self._single_use.remove(stream)
+        return not most or self._busy_count + len(self._idle) + len(self._single_use) < most
 
-    def _kept(self) -> Stream | None:
+    def _take_idle(self) -> Stream | None:
         """Return the most recently used idle connection that is still open, or None."""
         while self._idle:
             stream = self._idle.pop()
--- a/brambleusher/lab/stand_ins/discovery.py
+++ b/brambleusher/lab/stand_ins/discovery.py
@@ -94,10 +94,10 @@
 @dataclass(eq=False, slots=True)
 class _Watch:
     connection: Connection
-    held: int | None
+    version: int | None
     due: bool = False  # whether an update is to be sent
-    fooled: Garbage | None = None  # fault whose invalid data was already sent
-    nonsense: Garbage | None = None  # fault whose invalid data is to be sent
+    sent_garbage: Garbage | None = None  # fault whose invalid data was already sent
+    due_garbage: Garbage | None = None  # fault whose invalid data is to be sent
 
 
 class Discovery(Server):
@@ -121,7 +121,7 @@
         self.version = version
         self._entries: dict[str, tuple[int, Entry]] = {entry.id: (version, entry) for entry in entries}
         self._oldest = version  # oldest version from which changes are available
-        self._before: tuple[int, list[Entry]] | None = None  # previous version and its list
+        self._previous: tuple[int, list[Entry]] | None = None  # previous version and its list
         self.told: MutableSequence[Telling] = [] if told is None else told
         self.troubles = Troubles()
         self._watches: dict[int, _Watch] = {}
@@ -138,7 +138,7 @@
 
     def put(self, *entries: Entry) -> None:
         """Change entries in one new version; watches are notified within `spread_s`."""
-        self._before = self.version, self.entries
+        self._previous = self.version, self.entries
         self.version += 1
         for entry in entries:
             self._entries.pop(entry.id, None)  # moves the entry to the end, in order of versions
@@ -150,11 +150,11 @@
                 if entry.state == "Gone" and version <= oldest:
                     del self._entries[name]
         for watch in self._watches.values():
-            self._call(watch, self.settings.spread_s * self.rng.random() + self._behind(watch))
+            self._notify_later(watch, self.settings.spread_s * self.rng.random() + self._extra_delay(watch))
 
-    def _behind(self, watch: _Watch) -> float:
-        share = zlib.crc32(watch.connection.peer.encode()) % 1000 / 1000
-        return max((each.by_s for each in self.troubles.all(Behind) if share < each.part), default=0.0)
+    def _extra_delay(self, watch: _Watch) -> float:
+        fraction = zlib.crc32(watch.connection.peer.encode()) % 1000 / 1000
+        return max((each.by_s for each in self.troubles.all(Behind) if fraction < each.part), default=0.0)
 
     def put_later(self, seconds: float, *entries: Entry) -> None:
         """Change entries after some seconds."""
@@ -168,26 +168,26 @@
 
     # --- injected faults ------------------------------------------------------------------------
 
-    def begin(self, trouble: object) -> None:
+    def begin(self, fault: object) -> None:
         """Activate a fault."""
-        self.troubles.begin(trouble)
-        if isinstance(trouble, Down):
-            if trouble.how == "refuse":
+        self.troubles.begin(fault)
+        if isinstance(fault, Down):
+            if fault.how == "refuse":
                 self.unlisten()
-            if trouble.how != "503":
+            if fault.how != "503":
                 self.drop(reset=True)
-        if isinstance(trouble, Garbage):
+        if isinstance(fault, Garbage):
             for watch in self._watches.values():
-                watch.nonsense = trouble
-                self._call(watch, 0.0)
+                watch.due_garbage = fault
+                self._notify_later(watch, 0.0)
 
-    def end(self, trouble: object) -> None:
+    def end(self, fault: object) -> None:
         """Deactivate a fault."""
-        self.troubles.end(trouble)
+        self.troubles.end(fault)
         refusing = any(each.how == "refuse" for each in self.troubles.all(Down))
-        if isinstance(trouble, Down) and not refusing and not self.listening and self.address is not None:
+        if isinstance(fault, Down) and not refusing and not self.listening and self.address is not None:
             self.listen(self.address)
-        if isinstance(trouble, Silent) and not self.troubles.all(Silent):
+        if isinstance(fault, Silent) and not self.troubles.all(Silent):
             for connection in self.connections.values():
                 connection.event.set()
 
@@ -206,7 +206,7 @@
             if request.start[0] != "GET" or url.path != "/v1/endpoints":
                 self._write(connection, write_response(404, [], b"not here\n"))
                 continue
-            if not self._wait(connection):
+            if not self._wait_for_turn(connection):
                 return
             query = parse_qs(url.query)
             if query.get("follow") == ["1"]:
@@ -216,7 +216,7 @@
             version, entries = self.version, tuple(self.entries)
             body = self._text(connection, version, True, entries)
             self._write(connection, write_response(200, [("Content-Type", "application/json")], body))
-            self._note(connection, version, True, entries)
+            self._log(connection, version, True, entries)
 
     def _read(self, connection: Connection, reader: MessageReader) -> Message | None:
         deadline = self.scheduler.now() + READ_SECONDS
@@ -227,7 +227,7 @@
             reader.feed(data)
         return request
 
-    def _wait(self, connection: Connection) -> bool:
+    def _wait_for_turn(self, connection: Connection) -> bool:
         """Wait until the request is served in turn; return False if it fails."""
         settings, scheduler = self.settings, self.scheduler
         self.calls += 1
@@ -259,26 +259,26 @@
     def _watch(self, connection: Connection, since: int | None) -> None:
         watch = self._watches[connection.number] = _Watch(connection, since, due=True)
         scheduler, first = self.scheduler, True
-        watch.nonsense = self.troubles.last(Garbage)
+        watch.due_garbage = self.troubles.last(Garbage)
         connection.stream.send(HEAD, scheduler.now() + WRITE_SECONDS)
         try:
             while True:
                 if not self.troubles.all(Silent):
-                    if watch.nonsense is not None and watch.nonsense is not watch.fooled:
-                        watch.fooled, watch.nonsense = watch.nonsense, None
-                        if not self._fool(watch, watch.fooled.how):
+                    if watch.due_garbage is not None and watch.due_garbage is not watch.sent_garbage:
+                        watch.sent_garbage, watch.due_garbage = watch.due_garbage, None
+                        if not self._send_garbage(watch, watch.sent_garbage.how):
                             return
                     elif watch.due:
-                        self._tell(watch, first)
+                        self._send_update(watch, first)
                         first = False
                     else:
                         self._write(connection, b"1\r\n\n\r\n")
-                if self._ended(watch):
+                if self._has_disconnected(watch):
                     return
         finally:
             self._watches.pop(connection.number, None)
 
-    def _ended(self, watch: _Watch) -> bool:
+    def _has_disconnected(self, watch: _Watch) -> bool:
         """Wait for an update or the next heartbeat; return True if the subscriber has disconnected."""
         deadline = self.scheduler.now() + self.settings.beat_s
         try:
@@ -286,52 +286,54 @@
         except TaskTimeoutError:
             return False
 
-    def _call(self, watch: _Watch, seconds: float) -> None:
-        def ring() -> None:
+    def _notify_later(self, watch: _Watch, seconds: float) -> None:
+        def notify() -> None:
             watch.due = True
             watch.connection.event.set()
 
         if seconds > 0:
-            self.scheduler.call_at(self.scheduler.now() + seconds, ring)
+            self.scheduler.call_at(self.scheduler.now() + seconds, notify)
         else:
-            ring()
+            notify()
 
-    def _tell(self, watch: _Watch, first: bool) -> None:
+    def _send_update(self, watch: _Watch, first: bool) -> None:
         watch.due = False
-        full, entries = self.changes(watch.held)
+        full, entries = self.changes(watch.version)
         if not entries and not full and not first:  # already sent with an earlier change
             return
-        version, told = self.version, tuple(entries)
-        watch.held = version
-        self._write(watch.connection, _chunk(self._text(watch.connection, version, full, told) + b"\n"))
-        self._note(watch.connection, version, full, told)
-
-    def _fool(self, watch: _Watch, how: GarbageHow) -> bool:
+        version, sent_entries = self.version, tuple(entries)
+        watch.version = version
+        self._write(
+            watch.connection, _chunk(self._text(watch.connection, version, full, sent_entries) + b"\n")
+        )
+        self._log(watch.connection, version, full, sent_entries)
+
+    def _send_garbage(self, watch: _Watch, how: GarbageHow) -> bool:
         """Send invalid data; return False if it ends the watch."""
         connection, entries = watch.connection, tuple(self.entries)
         if how == "older":
-            if self._before is None:
+            if self._previous is None:
                 return True
             # Simulates a replica that lags behind and catches up later.
-            version, before = self._before
-            self._write(connection, _chunk(self._text(connection, version, True, before) + b"\n"))
-            self._note(connection, version, True, tuple(before), sound=False)
-            watch.held, watch.due = version, False
-            self._call(watch, CATCH_UP_SECONDS)
+            version, previous = self._previous
+            self._write(connection, _chunk(self._text(connection, version, True, previous) + b"\n"))
+            self._log(connection, version, True, tuple(previous), sound=False)
+            watch.version, watch.due = version, False
+            self._notify_later(watch, CATCH_UP_SECONDS)
             return True
-        good = self._text(connection, self.version, True, entries)
+        valid = self._text(connection, self.version, True, entries)
         if how == "half-line":
-            self._write(connection, _chunk(good[: len(good) // 2]))
+            self._write(connection, _chunk(valid[: len(valid) // 2]))
             return False  # the watch ends in the middle of a line
         if how == "bad-chunk":
-            self._write(connection, b"zz\r\n" + good + b"\r\n")
+            self._write(connection, b"zz\r\n" + valid + b"\r\n")
             return False
         if how == "noise":
             line = bytes(self.rng.choices(range(32, 127), k=80))
         elif how == "not-a-list":
             line = orjson.dumps({"version": self.version, "full": True, "servers": {"a": 1}})
         else:
-            raw = orjson.loads(good)
+            raw = orjson.loads(valid)
             raw["servers"].append({"id": "s-bad", "addr": "nowhere", "state": "Ready"})
             line = orjson.dumps(raw)
         self._write(connection, _chunk(line + b"\n"))
@@ -346,7 +348,7 @@
     def _write(self, connection: Connection, data: bytes) -> None:
         connection.stream.send(data, self.scheduler.now() + WRITE_SECONDS)
 
-    def _note(
+    def _log(
         self, connection: Connection, version: int, full: bool, entries: tuple[Entry, ...], sound: bool = True
     ) -> None:
         now = self.scheduler.system.monotonic_ns()
--- a/brambleusher/lab/stand_ins/machine.py
+++ b/brambleusher/lab/stand_ins/machine.py
@@ -44,7 +44,7 @@
     def __init__(self, settings: NodeSettings, rng: random.Random, now: float, cold: bool) -> None:
         self.settings, self._rng = settings, rng
         self._slots = settings.cores * settings.slots_per_core
-        self._room = settings.cores * settings.queue_per_core
+        self._queue_limit = settings.cores * settings.queue_per_core
         self._running: list[Job] = []
         self._waiting: deque[Job] = deque()
         self._now = self.started_at = now
@@ -53,10 +53,10 @@
         self._warmth = settings.cold_from if cold and settings.cold_s else 1.0
         self._warm_at = now + settings.cold_s / WARM_STEPS
         self._worked = 0.0  # work done since the start, in seconds on a standard core
-        self._pushed: deque[tuple[float, float]] = deque()  # times and work of the arrivals while cold
+        self._cold_arrivals: deque[tuple[float, float]] = deque()  # times and work of the arrivals while cold
         self.fell_at: float | None = None
         # Losses of capacity from external causes, set by `burden`.
-        self._slow, self._taken, self._hung, self._tax = 1.0, 0.0, False, 0.0
+        self._slow, self._neighbour_share, self._hung, self._connection_tax = 1.0, 0.0, False, 0.0
         self._busy = 0.0  # CPU time used since the last report, in seconds
         self._finished = 0  # number of jobs finished since the last report
         self._report_at = now + settings.report_period_s * (0.5 + 0.5 * rng.random())
@@ -73,7 +73,7 @@
     @property
     def full(self) -> bool:
         """Whether all slots and the queue are full."""
-        return len(self._running) >= self._slots and len(self._waiting) >= self._room
+        return len(self._running) >= self._slots and len(self._waiting) >= self._queue_limit
 
     @property
     def cold(self) -> bool:
@@ -99,13 +99,13 @@
     def add(self, job: Job, now: float) -> None:
         """Add a job; the caller has checked that the machine is not `full`."""
         self.advance(now)
-        self._push(job.work, now)
+        self._record_arrival(job.work, now)
         self._waiting.append(job)
-        self._fill()
+        self._fill_slots()
 
     def refused(self, work: float, now: float) -> None:
         """Record a rejected request, which still counts toward overload during warm-up."""
-        self._push(work, now)
+        self._record_arrival(work, now)
 
     def drop(self, job: Job, now: float) -> bool:
         """Remove a running or queued job; return False if the job has already ended."""
@@ -116,7 +116,7 @@
             self._waiting.remove(job)
         else:
             return False
-        self._fill()
+        self._fill_slots()
         return True
 
     def runs(self, job: Job) -> bool:
@@ -128,9 +128,9 @@
         self.advance(now)
         self._busy += work / self.settings.speed
         if self._running:
-            share = work / len(self._running)
+            delay = work / len(self._running)
             for job in self._running:
-                job.end += share
+                job.end += delay
 
     def burden(
         self,
@@ -151,25 +151,25 @@
         """
         self.advance(now)
         self._slow = self._slow if slow is None else slow
-        self._taken = self._taken if taken is None else taken
+        self._neighbour_share = self._neighbour_share if taken is None else taken
         self._hung = self._hung if hung is None else hung
-        self._tax = self._tax if tax is None else tax
+        self._connection_tax = self._connection_tax if tax is None else tax
         self._rate = self._rate_now()
 
     def advance(self, now: float) -> None:
         """Advance to a given time, and call `done` of each job that has finished, with its finish time."""
         while (at := self.next_at()) is not None and at <= now + EPSILON:
-            self._move(max(at, self._now))
+            self._advance_to(max(at, self._now))
             if self.cold and self._now >= self._warm_at - EPSILON:
-                self._warm()
+                self._warm_up()
             service = self._service + EPSILON
             for job in [job for job in self._running if job.end <= service]:
                 self._running.remove(job)
                 self._worked += job.work
                 self._finished += 1
                 job.done(self._now)
-            self._fill()
-        self._move(max(now, self._now))
+            self._fill_slots()
+        self._advance_to(max(now, self._now))
 
     def next_at(self) -> float | None:
         """Return the time of the next finished job or capacity change; None if there is none."""
@@ -186,7 +186,7 @@
 
     # --- internals ------------------------------------------------------------------------------
 
-    def _fill(self) -> None:
+    def _fill_slots(self) -> None:
         while self._waiting and len(self._running) < self._slots:
             job = self._waiting.popleft()
             if job.begun(self._now):
@@ -199,54 +199,54 @@
         if not self._running or self._hung:
             return 0.0
         settings = self.settings
-        share = min(1.0, settings.cores / len(self._running))
-        crowd = max(0.0, self.held / settings.cores - settings.thrash_at)
-        rate = settings.speed * share * self._warmth / (1.0 + settings.thrash * crowd)
-        return rate * (1.0 - self._taken) * (1.0 - self._tax) / self._slow
+        cores_per_job = min(1.0, settings.cores / len(self._running))
+        excess = max(0.0, self.held / settings.cores - settings.thrash_at)
+        rate = settings.speed * cores_per_job * self._warmth / (1.0 + settings.thrash * excess)
+        return rate * (1.0 - self._neighbour_share) * (1.0 - self._connection_tax) / self._slow
 
-    def _move(self, to: float) -> None:
+    def _advance_to(self, to: float) -> None:
         cores = min(len(self._running), self.settings.cores)
         while self._report_at <= to:
-            self._step(self._report_at, cores)
-            self._measure()
-        self._step(to, cores)
+            self._integrate(self._report_at, cores)
+            self._add_report()
+        self._integrate(to, cores)
         if not self._running:
             while self.cold and self._warm_at <= to + EPSILON:
-                self._warm()
+                self._warm_up()
 
-    def _step(self, to: float, cores: int) -> None:
+    def _integrate(self, to: float, cores: int) -> None:
         passed = to - self._now
         self._service += self._rate * passed
         self._busy += cores * passed
         self._now = to
 
-    def _warm(self) -> None:
+    def _warm_up(self) -> None:
         settings = self.settings
         self._warm_at += settings.cold_s / WARM_STEPS
-        part = (self._warm_at - settings.cold_s / WARM_STEPS - self.started_at) / settings.cold_s
+        progress = (self._warm_at - settings.cold_s / WARM_STEPS - self.started_at) / settings.cold_s
         if settings.warm_by == "work":
-            whole = settings.warm_work * settings.cold_s * settings.cores * settings.speed
-            part = max(part, self._worked / whole)
-        self._warmth = min(1.0, settings.cold_from + (1.0 - settings.cold_from) * part)
-        if part >= 1.0 - EPSILON:
+            needed = settings.warm_work * settings.cold_s * settings.cores * settings.speed
+            progress = max(progress, self._worked / needed)
+        self._warmth = min(1.0, settings.cold_from + (1.0 - settings.cold_from) * progress)
+        if progress >= 1.0 - EPSILON:
             self._warmth = 1.0
         self._rate = self._rate_now()
 
-    def _push(self, work: float, now: float) -> None:
+    def _record_arrival(self, work: float, now: float) -> None:
         """Record work that arrives at a cold machine, and stop the machine permanently on overload."""
         if not self.cold or not self.settings.falls or self.fell_at is not None:
             return
-        pushed, settings = self._pushed, self.settings
-        pushed.append((now, work))
-        while pushed[0][0] <= now - settings.fall_s:
-            pushed.popleft()
+        arrivals, settings = self._cold_arrivals, self.settings
+        arrivals.append((now, work))
+        while arrivals[0][0] <= now - settings.fall_s:
+            arrivals.popleft()
         # Allows for random variation: one standard deviation of the work of the requests that fit the limit.
-        total = sum(work for _, work in pushed)
-        room = settings.fall_multiple * self.capacity * settings.fall_s
-        if total > room + math.sqrt(room * sum(work * work for _, work in pushed) / total):
+        total = sum(work for _, work in arrivals)
+        limit = settings.fall_multiple * self.capacity * settings.fall_s
+        if total > limit + math.sqrt(limit * sum(work * work for _, work in arrivals) / total):
             self.fell_at = now
 
-    def _measure(self) -> None:
+    def _add_report(self) -> None:
         settings, at = self.settings, self._report_at
         span = at - self._reported_at
         noise = 1.0 + settings.report_noise * (2.0 * self._rng.random() - 1.0)
--- a/brambleusher/lab/stand_ins/node.py
+++ b/brambleusher/lab/stand_ins/node.py
@@ -22,7 +22,7 @@
 READ_SECONDS = 10.0  # time limit for the rest of a request whose first byte has arrived, in seconds
 WRITE_SECONDS = 10.0
 AHEAD_BYTES = 128 * 1024  # maximum number of bytes buffered while an earlier request is processed
-ENDLESS_PIECE, ENDLESS_SECONDS, ENDLESS_PAUSE = 16 * 1024, 20.0, 0.05
+ENDLESS_CHUNK_BYTES, ENDLESS_SECONDS, ENDLESS_PAUSE = 16 * 1024, 20.0, 0.05
 
 SpoiltHow = Literal[
     "noise", "endless-head", "long-length", "negative-length", "two-lengths", "bad-chunk", "unframed",
@@ -154,8 +154,8 @@
     job: Job | None = None
     answer: tuple[int, list[HeaderField], bytes] | None = None
     timer: Timer | None = None  # timer of the simulated handshake
-    gone: bool = False
-    over: bool = field(default=False)
+    client_gone: bool = False
+    is_finished: bool = field(default=False)
 
 
 class Node(Server):
@@ -185,45 +185,46 @@
         self.troubles = Troubles() if troubles is None else troubles
         self.draining = False
         self.on_fall: Callable[[], object] | None = None  # called when overload during warm-up stops the node
-        self.answers = self.turned_away = self._taken = 0
+        self.answers = self.turned_away = self._request_count = 0
         self._timer: Timer | None = None
         self._timer_at = math.inf
-        self._toggles: dict[Neighbour, tuple[Timer, bool, float]] = {}  # timer, whether busy, end time
+        # For each neighbour program: its timer, whether it is busy, and the end of the current period.
+        self._neighbour_states: dict[Neighbour, tuple[Timer, bool, float]] = {}
         self._ended = False
         self.changed()
 
     # --- injected faults ------------------------------------------------------------------------
 
-    def begin(self, trouble: object) -> None:
+    def begin(self, fault: object) -> None:
         """Activate a fault."""
-        self.troubles.begin(trouble)
+        self.troubles.begin(fault)
         self.changed()
 
-    def end(self, trouble: object) -> None:
+    def end(self, fault: object) -> None:
         """Deactivate a fault."""
-        self.troubles.end(trouble)
+        self.troubles.end(fault)
         self.changed()
 
     def changed(self) -> None:
         """Apply the active faults to the machine."""
         slow = math.prod(each.factor for each in self.troubles.all(Slow))
-        taken = self._neighbours(self.troubles.all(Neighbour))
+        taken = self._update_neighbours(self.troubles.all(Neighbour))
         hung = bool(self.troubles.all(Hung))
         self.machine.burden(self.scheduler.now(), slow=slow, taken=taken, hung=hung)
         self._set_timer()
 
-    def _neighbours(self, there: list[Neighbour]) -> float:
+    def _update_neighbours(self, active: list[Neighbour]) -> float:
         """Start and stop the neighbour programs, and return the share of the CPU that busy ones use."""
         now = self.scheduler.now()
-        for gone in [each for each in self._toggles if each not in there]:
-            self._toggles.pop(gone)[0].cancel()
-        for neighbour in there:
-            until = self._toggles[neighbour][2] if neighbour in self._toggles else now
+        for removed in [each for each in self._neighbour_states if each not in active]:
+            self._neighbour_states.pop(removed)[0].cancel()
+        for neighbour in active:
+            until = self._neighbour_states[neighbour][2] if neighbour in self._neighbour_states else now
             if until <= now:
-                on = neighbour not in self._toggles or not self._toggles[neighbour][1]
+                on = neighbour not in self._neighbour_states or not self._neighbour_states[neighbour][1]
                 until = now + max(0.001, neighbour.on_s if on else neighbour.off_s)
-                self._toggles[neighbour] = self.scheduler.call_at(until, self.changed), on, until
-        return max((each.share for each in there if self._toggles[each][1]), default=0.0)
+                self._neighbour_states[neighbour] = self.scheduler.call_at(until, self.changed), on, until
+        return max((each.share for each in active if self._neighbour_states[each][1]), default=0.0)
 
     @property
     def capacity(self) -> float:
@@ -241,18 +242,18 @@
         self._ended = True
         if self._timer is not None:
             self._timer.cancel()
-        self._neighbours([])
+        self._update_neighbours([])
         super().close(reset)
 
     # --- one connection -------------------------------------------------------------------------
 
     def serve(self, connection: Connection) -> None:
         """Serve requests one after another."""
-        if self._meets("accept"):
+        if self._draw_reset("accept"):
             self.reset(connection)
             return
         settings, rng = self.settings, self.rng
-        self._table()
+        self._apply_connection_tax()
         reader, first = MessageReader.requests(), True
         try:
             while True:
@@ -268,14 +269,14 @@
                 first = False
         finally:
             self.connections.pop(connection.number, None)
-            self._table()
+            self._apply_connection_tax()
 
-    def _table(self) -> None:
+    def _apply_connection_tax(self) -> None:
         tax = self.settings.full_tax * min(1.0, len(self.connections) / self.settings.connections)
         self.machine.burden(self.scheduler.now(), tax=tax)
         self._set_timer()
 
-    def _meets(self, where: ResetWhere) -> Resets | None:
+    def _draw_reset(self, where: ResetWhere) -> Resets | None:
         """Decide whether the request is reset at a given point, and return the active fault in that case."""
         for resets in self.troubles.all(Resets):
             if resets.where == where and self.rng.random() < resets.part:
@@ -293,10 +294,10 @@
                 scheduler.park(deadline, stream.sock)
                 if unread and not stream.is_idle():
                     return None  # the close with unread bytes causes a reset
-                if self._meets("before"):
+                if self._draw_reset("before"):
                     self.reset(connection)
                     return None
-                if self._meets("in"):
+                if self._draw_reset("in"):
                     stream.sock.recv(16)
                     self.reset(connection)
                     return None
@@ -316,24 +317,24 @@
         except HttpError as error:
             self._send(connection, write_response(error.status, [], f"{error}\n".encode()))
             return True
-        meets = self._meets("after")
-        if meets is not None and not meets.runs:
+        reset = self._draw_reset("after")
+        if reset is not None and not reset.runs:
             work.execution.end = "lost"
             self.reset(connection)
             return False
         self._begin(work, first)
-        while not work.over:
+        while not work.is_finished:
             data = stream.receive(None, connection.event) if reader.buffered < AHEAD_BYTES else None
-            if data is None and not work.over:
+            if data is None and not work.is_finished:
                 self.scheduler.park(event=connection.event)
             elif data == b"":
-                self._left(work)
+                self._handle_disconnect(work)
                 return False
             elif data:
                 reader.feed(data)
         if work.answer is None:  # the work was stopped without a response
             return False
-        return self._respond(connection, work, meets)
+        return self._respond(connection, work, reset)
 
     def _work(self, connection: Connection, request: Message) -> _Work:
         headers, now_ns = request.headers, self.scheduler.system.monotonic_ns()
@@ -348,8 +349,8 @@
         spread = self.settings.work_noise
         seconds = max(1e-5, seconds * math.exp(spread * self.rng.gauss(0.0, 1.0) - spread * spread / 2))
         for slow in self.troubles.all(SlowNow):
-            self._taken += 1
-            seconds *= slow.factor if self._taken % slow.every == 0 else 1.0
+            self._request_count += 1
+            seconds *= slow.factor if self._request_count % slow.every == 0 else 1.0
         self.machine.advance(self.scheduler.now())
         execution = Execution(
             node=self.name, process=self.process, connection=connection.number, request=name,
@@ -368,9 +369,9 @@
         settings, now = self.settings, self.scheduler.now()
         if first and settings.handshake_work_s:
             self.machine.spend(settings.handshake_work_s, now)
-        turns = [each for each in self.troubles.all(TurnsAway) if self.rng.random() < each.part]
-        if turns:
-            self._turn_away(work, turns[-1].status)
+        rejections = [each for each in self.troubles.all(TurnsAway) if self.rng.random() < each.part]
+        if rejections:
+            self._turn_away(work, rejections[-1].status)
         elif len(self.connections) > settings.connections:
             self._turn_away(work, 503)
         elif first and settings.handshake_s:
@@ -381,7 +382,7 @@
     def _enter(self, work: _Work) -> None:
         now = self.scheduler.now()
         work.timer = None
-        if work.gone:
+        if work.client_gone:
             return
         self.machine.advance(now)
         if (self.draining and self.settings.drain_refuses) or self.machine.full:
@@ -396,7 +397,7 @@
             return True
 
         def done(at: float) -> None:
-            self._made(work, at)
+            self._complete(work, at)
 
         work.job = Job(work.execution.work_s, begun, done)
         self.machine.add(work.job, now)
@@ -411,16 +412,16 @@
         self.turned_away += 1
         self.machine.refused(work.execution.work_s, self.scheduler.now())
         work.answer = status, [("Not-Started", "1")], b"not started\n"
-        self._over(work, "turned away")
+        self._finish(work, "turned away")
         self._check_fall()
 
-    def _made(self, work: _Work, at: float) -> None:
+    def _complete(self, work: _Work, at: float) -> None:
         self.answers += 1
         execution = work.execution
         execution.number = self.answers
         if self.settings.error_rate and self.rng.random() < self.settings.error_rate:
             work.answer = 500, [], b"failed\n"
-            self._over(work, "error")
+            self._finish(work, "error")
             return
         execution.answer = orjson.dumps(
             {
@@ -430,26 +431,26 @@
             }
         )  # fmt: skip
         work.answer = 200, [("Content-Type", "application/json")], execution.answer
-        self._over(work, "made")
+        self._finish(work, "made")
 
-    def _over(self, work: _Work, end: str) -> None:
-        work.over = True
+    def _finish(self, work: _Work, end: str) -> None:
+        work.is_finished = True
         work.execution.end, work.execution.ended_ns = end, self.scheduler.system.monotonic_ns()
         work.connection.event.set()
 
-    def _left(self, work: _Work) -> None:
+    def _handle_disconnect(self, work: _Work) -> None:
         """Stop the work of a request whose sidecar has disconnected, as far as the settings allow."""
-        work.gone = True
+        work.client_gone = True
         execution, settings, job = work.execution, self.settings, work.job
         if job is None:
             if work.timer is not None:
                 work.timer.cancel()
-                self._over(work, "dropped")
+                self._finish(work, "dropped")
             return
         if settings.cancel == "none" or (self.machine.runs(job) and settings.cancel != "all"):
             return
         if self.machine.drop(job, self.scheduler.now()):
-            self._over(work, "stopped" if execution.ran else "dropped")
+            self._finish(work, "stopped" if execution.ran else "dropped")
         self._set_timer()
 
     def _check_fall(self) -> None:
@@ -466,23 +467,23 @@
         if self._timer is not None:
             self._timer.cancel()
         self._timer_at = due
-        self._timer = None if at is None else self.scheduler.call_at(at, self._turn)
+        self._timer = None if at is None else self.scheduler.call_at(at, self._on_timer)
 
-    def _turn(self) -> None:
+    def _on_timer(self) -> None:
         self._timer, self._timer_at = None, math.inf
         self.machine.advance(self.scheduler.now())
         self._set_timer()
 
     # --- answers --------------------------------------------------------------------------------
 
-    def _respond(self, connection: Connection, work: _Work, meets: Resets | None) -> bool:
+    def _respond(self, connection: Connection, work: _Work, reset: Resets | None) -> bool:
         assert work.answer is not None
         status, headers, body = work.answer
         headers = headers + self._reports()
-        if meets is not None:
+        if reset is not None:
             self.reset(connection)
             return False
-        if self._meets("answer"):
+        if self._draw_reset("answer"):
             data = write_response(status, headers, body)
             self._send(connection, data[: self.rng.randrange(1, len(data))])
             self.reset(connection)
@@ -500,31 +501,31 @@
         fields = self.settings.report_fields
         if not fields:
             return []
-        wrong = self.troubles.last(ReportsWrong)
-        if wrong is not None:
-            return _wrong_report(wrong.how, fields)
+        invalid = self.troubles.last(ReportsWrong)
+        if invalid is not None:
+            return _wrong_report(invalid.how, fields)
         now = self.scheduler.now()
         self.machine.advance(now)
         delay = sum(each.delay_s for each in self.troubles.all(ReportsLate))
         report = self.machine.report(now, delay)
         if report is None:
             return []
-        figures = {
+        values = {
             "throughput": round(report.throughput, 3), "utilization": round(report.utilization, 4),
             "qps": round(report.throughput, 3), "util": round(report.utilization, 4),
             "outstanding": self.machine.held, "inflight": self.machine.held,
         }  # fmt: skip
-        return [("Server-Load", orjson.dumps({name: figures.get(name, 0) for name in fields}).decode())]
+        return [("Server-Load", orjson.dumps({name: values.get(name, 0) for name in fields}).decode())]
 
     def _spoil(self, connection: Connection, how: SpoiltHow, headers: list[HeaderField], body: bytes) -> bool:
         """Send a malformed response; return False if the connection can't be used any more."""
-        good = write_response(200, headers, body)
+        valid = write_response(200, headers, body)
         if how in ("second-copy", "noise-behind"):
-            behind = good if how == "second-copy" else self.rng.randbytes(64)
-            self._send(connection, good + behind)
+            extra = valid if how == "second-copy" else self.rng.randbytes(64)
+            self._send(connection, valid + extra)
             return True
         if how == "interim":
-            self._send(connection, b"HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\n\r\n" + good)
+            self._send(connection, b"HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\n\r\n" + valid)
             return True
         if how == "bad-report":
             others = [each for each in headers if each[0] != "Server-Load"]
@@ -536,7 +537,7 @@
             self._endless(connection, b"X-More: " + b"m" * 1000 + b"\r\n")
         elif how == "endless-body":
             self._send(connection, (head + f"Content-Length: {3 << 30}\r\n\r\n").encode() + body)
-            self._endless(connection, b"e" * ENDLESS_PIECE)
+            self._endless(connection, b"e" * ENDLESS_CHUNK_BYTES)
         else:
             self._send(connection, _unreadable(how, head, body, self.rng))
         # The connection stays open but unusable, and all further bytes on it are discarded.
@@ -544,10 +545,10 @@
             continue
         return False
 
-    def _endless(self, connection: Connection, piece: bytes) -> None:
+    def _endless(self, connection: Connection, chunk: bytes) -> None:
         until = self.scheduler.now() + ENDLESS_SECONDS
         while self.scheduler.now() < until:
-            self._send(connection, piece)
+            self._send(connection, chunk)
             self.scheduler.sleep(ENDLESS_PAUSE)
 
 
--- a/brambleusher/lab/stand_ins/operators.py
+++ b/brambleusher/lab/stand_ins/operators.py
@@ -10,12 +10,12 @@
 from brambleusher.runtime.streams import Stream
 from brambleusher.runtime.system import Address
 
-CALL_SECONDS = 1.5  # timeout of a request, in seconds
-AGAIN_SECONDS = 0.3  # interval between repetitions of a request, in seconds
+REQUEST_SECONDS = 1.5  # timeout of a request, in seconds
+REPEAT_SECONDS = 0.3  # interval between repetitions of a request, in seconds
 # Maximum number of requests that undo an action: a sidecar unavailable for longer has restarted, and so lost
 # the action.
-BACK_TRIES = 12
-FRONT_SECONDS = 0.1  # interval between polls of `/ready`, in seconds
+MAX_UNDO_ATTEMPTS = 12
+POLL_SECONDS = 0.1  # interval between polls of `/ready`, in seconds
 
 
 @dataclass(eq=False, slots=True)
@@ -41,19 +41,19 @@
 
         The returned function ends the repetition and requests `back` until a response reports success.
         """
-        over: list[bool] = []
+        stopped: list[bool] = []
 
         def run() -> None:
-            while not over:
+            while not stopped:
                 self.call(admin, "POST", out)
-                self.scheduler.sleep(AGAIN_SECONDS)
-            for _ in range(BACK_TRIES):
+                self.scheduler.sleep(REPEAT_SECONDS)
+            for _ in range(MAX_UNDO_ATTEMPTS):
                 if 200 <= self.call(admin, "POST", back).status < 300:
                     return
-                self.scheduler.sleep(AGAIN_SECONDS)
+                self.scheduler.sleep(REPEAT_SECONDS)
 
         self._tasks.append(self.scheduler.spawn(run, name=f"operators say {out}"))
-        return lambda: over.append(True)
+        return lambda: stopped.append(True)
 
     def front(self, clients: Address) -> None:
         """Poll `/ready` at the address for clients, until `end` is called."""
@@ -61,7 +61,7 @@
         def run() -> None:
             while True:
                 self.call(clients, "GET", "/ready")
-                self.scheduler.sleep(FRONT_SECONDS)
+                self.scheduler.sleep(POLL_SECONDS)
 
         self._tasks.append(self.scheduler.spawn(run, name="front"))
 
@@ -75,18 +75,18 @@
         scheduler = self.scheduler
         called = Called(address, target, scheduler.system.monotonic_ns())
         self.book.append(called)
-        until, stream = scheduler.now() + CALL_SECONDS, None
+        until, stream = scheduler.now() + REQUEST_SECONDS, None
         try:
             stream = Stream.connect(scheduler, address, until)
             fields = [("Host", f"{address[0]}:{address[1]}"), ("Connection", "close")]
             stream.send(write_request(method, target, fields, b""), until)
             reader = MessageReader.responses()
-            while (answer := reader.take()) is None:
+            while (response := reader.take()) is None:
                 data = stream.receive(until)
                 if not data:
                     return called
                 reader.feed(data)
-            called.status = answer.status
+            called.status = response.status
         except (OSError, TaskTimeoutError, HttpError):
             pass
         finally:
--- a/brambleusher/lab/stand_ins/server.py
+++ b/brambleusher/lab/stand_ins/server.py
@@ -17,7 +17,7 @@
 BACKLOG = 512
 NO_DESCRIPTOR_SECONDS = 0.05
 
-Trouble = TypeVar("Trouble")
+FaultT = TypeVar("FaultT")
 
 
 class Connection:
@@ -124,28 +124,28 @@
     def __init__(self) -> None:
         self._on: list[object] = []
 
-    def begin(self, trouble: object) -> None:
+    def begin(self, fault: object) -> None:
         """Activate a fault."""
-        self._on.append(trouble)
+        self._on.append(fault)
 
-    def end(self, trouble: object) -> None:
+    def end(self, fault: object) -> None:
         """Deactivate a fault; has no effect for an inactive one."""
-        self._on = [each for each in self._on if each is not trouble]
+        self._on = [each for each in self._on if each is not fault]
 
-    def all(self, kind: type[Trouble]) -> list[Trouble]:
+    def all(self, kind: type[FaultT]) -> list[FaultT]:
         """Return all active faults of a class."""
         return [each for each in self._on if isinstance(each, kind)] if self._on else []
 
-    def last(self, kind: type[Trouble]) -> Trouble | None:
+    def last(self, kind: type[FaultT]) -> FaultT | None:
         """Return the most recently activated fault of a class, or None."""
         found = self.all(kind)
         return found[-1] if found else None
 
     @contextmanager
-    def during(self, trouble: object) -> Generator[None, None, None]:
+    def during(self, fault: object) -> Generator[None, None, None]:
         """Keep a fault active within a block."""
-        self.begin(trouble)
+        self.begin(fault)
         try:
             yield
         finally:
-            self.end(trouble)
+            self.end(fault)
--- a/tests/lab/test_fault_plans.py
+++ b/tests/lab/test_fault_plans.py
@@ -247,7 +247,8 @@
         lambda fleet, _: sum(not each.up for each in fleet.places if not each.figures.spare) >= 1,
     ),
     "neighbour": (
-        {"share": 0.5, "on_s": 9.0, "off_s": 0.1}, lambda fleet, _: place(fleet).node.machine._taken == 0.5,
+        {"share": 0.5, "on_s": 9.0, "off_s": 0.1},
+        lambda fleet, _: place(fleet).node.machine._neighbour_share == 0.5,
     ),
     "drain-told-late": (
         {"late_s": 0.7, "drain_s": 0.3}, lambda fleet, _: not place(fleet).up and state(fleet) == "Gone",
