--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -34,10 +34,10 @@
 
 from brambleusher.lab.faults.kinds import (
     SidecarKilled,
+    ZoneDegraded,
     ZoneDrained,
     ZoneFlaps,
-    ZoneGrey,
-    ZoneLost,
+    ZonePowerLoss,
     ZoneUnreachable,
 )
 from brambleusher.lab.virtual.zone_days import FALL_MULTIPLE, ZONES, Books, Day, play
@@ -271,7 +271,7 @@
     """One zone of four without power, and back."""
     for_s, after_s = (8, 11) if plan.quick else (30, 26)
     return Day(
-        "dark", LOST_AT + for_s + after_s, (ZoneLost(at_s=LOST_AT, for_s=for_s, target=ZONE),),
+        "dark", LOST_AT + for_s + after_s, (ZonePowerLoss(at_s=LOST_AT, for_s=for_s, target=ZONE),),
         notice_s=for_s + 5.0,
     )  # fmt: skip
 
@@ -385,16 +385,17 @@
     length = 6.0 if plan.quick else 20.0
     one = {zone: 1 for zone in ZONES if zone == ZONE}
     days = [
-        Day("grey zone", end, (ZoneGrey(at_s=8, for_s=length, target=ZONE, every=3, factor=8, resets=0.05),)),
+        Day("grey zone", end,
+            (ZoneDegraded(at_s=8, for_s=length, target=ZONE, every=3, factor=8, resets=0.05),)),
         Day("one-way cut", end,
             (ZoneUnreachable(at_s=8, for_s=length, target=ZONE, way="from-nodes", sidecar="n2"),),
             notice_s=600),
-        Day("two zones", end, (ZoneLost(at_s=8, for_s=length, target=ZONE),
-                               ZoneLost(at_s=8, for_s=length, target="augusta")), use=0.45),
-        Day("lost as another returns", end, (ZoneLost(at_s=8, for_s=length / 2, target="augusta"),
-            ZoneLost(at_s=8 + length / 2, for_s=length / 2, target=ZONE)), use=0.6),
-        Day("zone of one node", end, (ZoneLost(at_s=8, for_s=length, target=ZONE),), use=0.6, nodes=one),
-        Day("sidecars restarted", end, (ZoneLost(at_s=8, for_s=length, target=ZONE),
+        Day("two zones", end, (ZonePowerLoss(at_s=8, for_s=length, target=ZONE),
+                               ZonePowerLoss(at_s=8, for_s=length, target="augusta")), use=0.45),
+        Day("lost as another returns", end, (ZonePowerLoss(at_s=8, for_s=length / 2, target="augusta"),
+            ZonePowerLoss(at_s=8 + length / 2, for_s=length / 2, target=ZONE)), use=0.6),
+        Day("zone of one node", end, (ZonePowerLoss(at_s=8, for_s=length, target=ZONE),), use=0.6, nodes=one),
+        Day("sidecars restarted", end, (ZonePowerLoss(at_s=8, for_s=length, target=ZONE),
             SidecarKilled(at_s=8 + length / 2, for_s=0.5, target="n2"),
             SidecarKilled(at_s=8 + length / 2, for_s=0.5, target="n0"))),
         Day("drained in order", end,
--- a/brambleusher/lab/faults/effects.py
+++ b/brambleusher/lab/faults/effects.py
@@ -139,23 +139,23 @@
     return _inject(_target_nodes(fault, fleet), node.Hung())
 
 
-@apply.register(faults.NeighbourBusy)
-def _neighbour(fault: faults.NeighbourBusy, fleet: AnyFleet) -> EndAction:
+@apply.register(faults.NoisyNeighbour)
+def _noisy_neighbour(fault: faults.NoisyNeighbour, fleet: AnyFleet) -> EndAction:
     return _inject(_target_nodes(fault, fleet), node.Neighbour(fault.share, fault.on_s, fault.off_s))
 
 
-@apply.register(faults.Resetting)
-def _resets(fault: faults.Resetting, fleet: AnyFleet) -> EndAction:
+@apply.register(faults.RequestResets)
+def _resets(fault: faults.RequestResets, fleet: AnyFleet) -> EndAction:
     return _inject(_target_nodes(fault, fleet), node.Resets(fault.where, fault.part, fault.runs))
 
 
-@apply.register(faults.AnswersSpoilt)
-def _answers_spoilt(fault: faults.AnswersSpoilt, fleet: AnyFleet) -> EndAction:
+@apply.register(faults.MalformedAnswers)
+def _malformed_answers(fault: faults.MalformedAnswers, fleet: AnyFleet) -> EndAction:
     return _inject(_target_nodes(fault, fleet), node.Spoilt(fault.how, fault.part))
 
 
-@apply.register(faults.TurningAway)
-def _turning_away(fault: faults.TurningAway, fleet: AnyFleet) -> EndAction:
+@apply.register(faults.RequestRejections)
+def _request_rejections(fault: faults.RequestRejections, fleet: AnyFleet) -> EndAction:
     return _inject(_target_nodes(fault, fleet), node.TurnsAway(fault.part, fault.status))
 
 
@@ -169,8 +169,8 @@
     return _inject(_target_nodes(fault, fleet), node.ReportsWrong(fault.how))
 
 
-@apply.register(faults.CloseCrossing)
-def _close_crossing(fault: faults.CloseCrossing, fleet: AnyFleet) -> EndAction:
+@apply.register(faults.EarlyIdleClose)
+def _early_idle_close(fault: faults.EarlyIdleClose, fleet: AnyFleet) -> EndAction:
     return _inject(_target_nodes(fault, fleet), node.CrossingClose(fault.within_s, fault.part, fault.unread))
 
 
@@ -231,8 +231,8 @@
     return _drain_and_restart(fault, fleet, _target_nodes(fault, fleet), fault.drain_s, notice)
 
 
-@apply.register(faults.DrainToldLate)
-def _drain_told_late(fault: faults.DrainToldLate, fleet: AnyFleet) -> EndAction:
+@apply.register(faults.LateDrainNotice)
+def _late_drain_notice(fault: faults.LateDrainNotice, fleet: AnyFleet) -> EndAction:
     return _drain_and_restart(fault, fleet, _target_nodes(fault, fleet), fault.drain_s, fault.late_s)
 
 
@@ -297,18 +297,18 @@
     return end
 
 
-@apply.register(faults.NodeVanished)
-def _node_vanished(fault: faults.NodeVanished, fleet: AnyFleet) -> EndAction:
+@apply.register(faults.NodePowerLoss)
+def _node_power_loss(fault: faults.NodePowerLoss, fleet: AnyFleet) -> EndAction:
     return _cut_power(fault, fleet, _target_nodes(fault, fleet))
 
 
-@apply.register(faults.ZoneLost)
-def _zone_lost(fault: faults.ZoneLost, fleet: AnyFleet) -> EndAction:
+@apply.register(faults.ZonePowerLoss)
+def _zone_power_loss(fault: faults.ZonePowerLoss, fleet: AnyFleet) -> EndAction:
     return _cut_power(fault, fleet, _zone_nodes(fault, fleet))
 
 
-@apply.register(faults.DrainTakenBack)
-def _drain_taken_back(fault: faults.DrainTakenBack, fleet: AnyFleet) -> EndAction:
+@apply.register(faults.DrainCancelled)
+def _drain_cancelled(fault: faults.DrainCancelled, fleet: AnyFleet) -> EndAction:
     targets = _target_nodes(fault, fleet)
     for instance in targets:
         instance.told_draining.append(fault)
@@ -363,8 +363,8 @@
     return _inject_at_discovery(fleet, discovery.SlowCalls(fault.factor))
 
 
-@apply.register(faults.DiscoverySilent)
-def _discovery_silent(fault: faults.DiscoverySilent, fleet: AnyFleet) -> EndAction:
+@apply.register(faults.DiscoveryUnresponsive)
+def _discovery_unresponsive(fault: faults.DiscoveryUnresponsive, fleet: AnyFleet) -> EndAction:
     return _inject_at_discovery(fleet, discovery.Silent())
 
 
@@ -412,8 +412,8 @@
 # --- clients and sidecars ----------------------------------------------------------------------
 
 
-@apply.register(faults.BadClientsCome)
-def _bad_clients(fault: faults.BadClientsCome, fleet: AnyFleet) -> EndAction:
+@apply.register(faults.MisbehavingClients)
+def _misbehaving_clients(fault: faults.MisbehavingClients, fleet: AnyFleet) -> EndAction:
     ends: list[Callable[[], None]] = []
 
     def start(bad: BadClients) -> None:
@@ -544,8 +544,8 @@
     return end
 
 
-@apply.register(faults.DescriptorsUsedUp)
-def _descriptors_used_up(fault: faults.DescriptorsUsedUp, fleet: AnyFleet) -> EndAction:
+@apply.register(faults.DescriptorsExhausted)
+def _descriptors_exhausted(fault: faults.DescriptorsExhausted, fleet: AnyFleet) -> EndAction:
     targets = _target_sidecars(fault, fleet)
     for instance in targets:
         instance.squeeze(fault, fault.left)
@@ -611,8 +611,8 @@
     return _request_actions(fleet.operators, requests, IDLE_AGE_S)
 
 
-@apply.register(faults.SidecarsReleased)
-def _sidecars_released(fault: faults.SidecarsReleased, fleet: AnyFleet) -> EndAction:
+@apply.register(faults.SidecarsRestarted)
+def _sidecars_restarted(fault: faults.SidecarsRestarted, fleet: AnyFleet) -> EndAction:
     end = apply(faults.DiscoveryDown(at_s=0.0, how="503"), fleet)
     _apply_for(faults.SidecarKilled(at_s=0.0), fleet, fault.down_s)
     return end
@@ -642,16 +642,16 @@
 # --- the network ----------------------------------------------------------------------------------
 
 
-@apply.register(faults.LinkCut)
-def _link_cut(fault: faults.LinkCut, fleet: AnyFleet) -> EndAction:
+@apply.register(faults.LinkPartition)
+def _link_partition(fault: faults.LinkPartition, fleet: AnyFleet) -> EndAction:
     pairs = _links_to_sidecars(fault, fleet)
     if fault.way == "to-node":
         pairs = [(to, from_) for from_, to in pairs]
     return _partition(fleet, pairs, one_way=fault.way != "both")
 
 
-@apply.register(faults.ZoneCut)
-def _zone_cut(fault: faults.ZoneCut, fleet: AnyFleet) -> EndAction:
+@apply.register(faults.ZonePartition)
+def _zone_partition(fault: faults.ZonePartition, fleet: AnyFleet) -> EndAction:
     pairs = [
         (instance.machine, each.machine)
         for instance in _zone_nodes(fault, fleet)
@@ -671,7 +671,7 @@
             assert end_nested is not None
             end_nested()
         else:
-            nested: faults.Fault = faults.ZoneLost(at_s=0.0, target=fault.target)
+            nested: faults.Fault = faults.ZonePowerLoss(at_s=0.0, target=fault.target)
             if fault.how == "cut":
                 nested = faults.ZoneUnreachable(at_s=0.0, target=fault.target, way="both")
             ends.append(apply(nested, fleet))
@@ -699,8 +699,8 @@
     return _partition(fleet, pairs, one_way=fault.way != "both")
 
 
-@apply.register(faults.ZoneGrey)
-def _zone_grey(fault: faults.ZoneGrey, fleet: AnyFleet) -> EndAction:
+@apply.register(faults.ZoneDegraded)
+def _zone_degraded(fault: faults.ZoneDegraded, fleet: AnyFleet) -> EndAction:
     targets = _zone_nodes(fault, fleet)
     slow = _inject(targets, node.SlowNow(fault.every, fault.factor))
     resets = _inject(targets, node.Resets("after", fault.resets))
@@ -755,8 +755,8 @@
     return lambda: write("as before")
 
 
-@apply.register(faults.LinkSlow)
-def _link_slow(fault: faults.LinkSlow, fleet: AnyFleet) -> EndAction:
+@apply.register(faults.LinkLatency)
+def _link_latency(fault: faults.LinkLatency, fleet: AnyFleet) -> EndAction:
     pairs = _links_to_sidecars(fault, fleet)
     _add_latency(fleet, pairs, fault.by_s)
     return lambda: _add_latency(fleet, pairs, 0.0)
@@ -793,8 +793,8 @@
     return end
 
 
-@apply.register(faults.ConnectsSwallowed)
-def _connects_swallowed(fault: faults.ConnectsSwallowed, fleet: AnyFleet) -> EndAction:
+@apply.register(faults.ConnectsUnanswered)
+def _connects_unanswered(fault: faults.ConnectsUnanswered, fleet: AnyFleet) -> EndAction:
     network, targets = fleet.world.network, _target_nodes(fault, fleet)
     for instance in targets:
         network.swallow_connects(instance.machine)
@@ -832,8 +832,8 @@
     return _repeat(fleet, fault.every_s, tick)
 
 
-@apply.register(faults.ConnectionsSilent)
-def _connections_silent(fault: faults.ConnectionsSilent, fleet: AnyFleet) -> EndAction:
+@apply.register(faults.ConnectionsStalled)
+def _connections_stalled(fault: faults.ConnectionsStalled, fleet: AnyFleet) -> EndAction:
     rng = _fault_rng(fault, fleet)
     silenced = [
         connection
--- a/brambleusher/lab/faults/kinds.py
+++ b/brambleusher/lab/faults/kinds.py
@@ -18,7 +18,7 @@
 from brambleusher.lab.stand_ins.settings import Part, Positive, Seconds
 
 FIRST_AT = 0.3  # earliest start of a fault, in seconds: before that, sidecars have only just become ready
-LEAST_KINDS = 3
+MIN_KINDS = 3
 
 Target = Literal["node", "sidecar", "zone", "none"]
 
@@ -106,7 +106,7 @@
         return {"drain_s": draw.of((0.2, 0.8)) if draw.chance(0.4) else 0.0}
 
 
-class NodeVanished(Fault, frozen=True, tag="node-vanished"):
+class NodePowerLoss(Fault, frozen=True, tag="node-vanished"):
     """The node's machine loses power without closing its connections; it returns with a new process."""
 
 
@@ -148,7 +148,7 @@
     targets: ClassVar[Target] = "none"
 
 
-class NeighbourBusy(Fault, frozen=True, tag="neighbour"):
+class NoisyNeighbour(Fault, frozen=True, tag="neighbour"):
     """Another program on the node's machine periodically uses a share of its CPU."""
 
     share: Annotated[float, msgspec.Meta(ge=0, lt=1)]
@@ -161,7 +161,7 @@
         return {"share": draw.of((0.3, 0.75)), "on_s": draw.of((0.1, 0.6)), "off_s": draw.of((0.1, 0.6))}
 
 
-class DrainToldLate(Fault, frozen=True, tag="drain-told-late"):
+class LateDrainNotice(Fault, frozen=True, tag="drain-told-late"):
     """The node drains and exits, and discovery learns of the drain only after `late_s`.
 
     The node is restarted when the fault ends.
@@ -176,7 +176,7 @@
         return {"late_s": draw.of((0.2, 1.2)), "drain_s": draw.of((0.1, 1.2))}
 
 
-class DrainTakenBack(Fault, frozen=True, tag="drain-taken-back"):
+class DrainCancelled(Fault, frozen=True, tag="drain-taken-back"):
     """Discovery lists the node as draining, and as ready again at the end; the node serves throughout."""
 
 
@@ -191,7 +191,7 @@
         return {"every_s": draw.of((0.15, 0.7))}
 
 
-class Resetting(Fault, frozen=True, tag="resets"):
+class RequestResets(Fault, frozen=True, tag="resets"):
     """The node resets a fraction of its requests.
 
     The reset occurs at accept, before, within or after the request, or within the response.
@@ -209,7 +209,7 @@
         return {"where": where, "part": draw.of((0.1, 0.9)), "runs": draw.chance(0.6)}
 
 
-class AnswersSpoilt(Fault, frozen=True, tag="answers-spoilt"):
+class MalformedAnswers(Fault, frozen=True, tag="answers-spoilt"):
     """A fraction of the node's responses is malformed or followed by unexpected bytes."""
 
     broad: ClassVar[float] = 0.3
@@ -222,7 +222,7 @@
         return {"how": draw.rng.choice(get_args(SpoiltHow)), "part": draw.of((0.1, 0.9))}
 
 
-class TurningAway(Fault, frozen=True, tag="turning-away"):
+class RequestRejections(Fault, frozen=True, tag="turning-away"):
     """The node rejects a fraction of its requests without starting them."""
 
     broad: ClassVar[float] = 0.3
@@ -259,7 +259,7 @@
         return {"how": draw.rng.choice(get_args(ReportHow))}
 
 
-class CloseCrossing(Fault, frozen=True, tag="close-crossing"):
+class EarlyIdleClose(Fault, frozen=True, tag="close-crossing"):
     """The node closes idle connections early, or just as a request arrives on them."""
 
     broad: ClassVar[float] = 0.5
@@ -304,7 +304,7 @@
         return {"factor": draw.log((10.0, 200.0))}
 
 
-class DiscoverySilent(Fault, frozen=True, tag="discovery-silent"):
+class DiscoveryUnresponsive(Fault, frozen=True, tag="discovery-silent"):
     """Discovery's watches stay open and send nothing, not even heartbeats."""
 
     targets: ClassVar[Target] = "none"
@@ -373,7 +373,7 @@
 # --- clients -----------------------------------------------------------------------------------
 
 
-class BadClientsCome(Fault, frozen=True, tag="bad-clients"):
+class MisbehavingClients(Fault, frozen=True, tag="bad-clients"):
     """`count` misbehaving clients connect at once."""
 
     targets: ClassVar[Target] = "sidecar"
@@ -452,7 +452,7 @@
         return {"by_s": draw.log((1.0, 3600.0)) * draw.rng.choice((1, -1))}
 
 
-class DescriptorsUsedUp(Fault, frozen=True, tag="descriptors-used-up"):
+class DescriptorsExhausted(Fault, frozen=True, tag="descriptors-used-up"):
     """The sidecar can open at most `left` more file descriptors."""
 
     targets: ClassVar[Target] = "sidecar"
@@ -481,7 +481,7 @@
     targets: ClassVar[Target] = "sidecar"
 
 
-class SidecarsReleased(Fault, frozen=True, tag="sidecars-released"):
+class SidecarsRestarted(Fault, frozen=True, tag="sidecars-released"):
     """All sidecars are killed together and restarted; discovery answers with 503 until the fault ends."""
 
     targets: ClassVar[Target] = "none"
@@ -508,7 +508,7 @@
 # --- the network ----------------------------------------------------------------------------------
 
 
-class LinkCut(Fault, frozen=True, tag="link-cut"):
+class LinkPartition(Fault, frozen=True, tag="link-cut"):
     """The network between a node and the sidecars is partitioned, in both directions or in one."""
 
     way: Literal["both", "to-node", "from-node"]
@@ -519,7 +519,7 @@
         return {"way": draw.rng.choice(("both", "both", "to-node", "from-node"))}
 
 
-class LinkSlow(Fault, frozen=True, tag="link-slow"):
+class LinkLatency(Fault, frozen=True, tag="link-slow"):
     """The latency between a node and the sidecars rises by `by_s`."""
 
     by_s: Seconds
@@ -543,7 +543,7 @@
     bytes_per_s: Positive = 2000.0
 
 
-class ConnectsSwallowed(Fault, frozen=True, tag="connects-swallowed"):
+class ConnectsUnanswered(Fault, frozen=True, tag="connects-swallowed"):
     """Connection attempts to a node get no response."""
 
 
@@ -563,7 +563,7 @@
         return {"every_s": draw.log((0.05, 0.5)), "part": draw.of((0.2, 1.0))}
 
 
-class ConnectionsSilent(Fault, frozen=True, tag="connections-silent"):
+class ConnectionsStalled(Fault, frozen=True, tag="connections-silent"):
     """A fraction of the connections open to a node stops carrying data without being closed."""
 
     part: Part
@@ -574,13 +574,13 @@
         return {"part": draw.of((0.3, 1.0))}
 
 
-class ZoneLost(Fault, frozen=True, tag="zone-lost"):
+class ZonePowerLoss(Fault, frozen=True, tag="zone-lost"):
     """All nodes of a zone lose power and return when the fault ends."""
 
     targets: ClassVar[Target] = "zone"
 
 
-class ZoneCut(Fault, frozen=True, tag="zone-cut"):
+class ZonePartition(Fault, frozen=True, tag="zone-cut"):
     """The network between a zone's nodes and the sidecars in other zones is partitioned."""
 
     targets: ClassVar[Target] = "zone"
@@ -614,7 +614,7 @@
         return {"way": way, "sidecar": draw.rng.choice(names)}
 
 
-class ZoneGrey(Fault, frozen=True, tag="zone-grey"):
+class ZoneDegraded(Fault, frozen=True, tag="zone-grey"):
     """In a zone, every n-th response is slow and a fraction of the requests is reset."""
 
     targets: ClassVar[Target] = "zone"
@@ -654,27 +654,29 @@
 
 
 FAULTS: tuple[type[Fault], ...] = (
-    NodeSlow, NodeHung, NodeStalled, NodeCrashed, NodeRestarted, NodeReplaced, NodeVanished, FleetShrinks,
-    FleetRenewed, FleetGrows, NeighbourBusy, DrainToldLate, DrainTakenBack, DrainFlaps, Resetting,
-    AnswersSpoilt, TurningAway, LateReports, WrongReports, CloseCrossing, DiscoveryDown, DiscoverySlow,
-    DiscoverySilent, DiscoveryGarbage, DiscoveryMoved, DiscoveryRestarted, ListChurns, BadClientsCome,
-    SidecarTerminated, SidecarKilled, SidecarStalled, WallClockSet, DescriptorsUsedUp, BadConfiguration,
-    LinkCut, LinkSlow, ConnectsSwallowed, ConnectsRefused, ConnectionsReset, ConnectionsSilent, ZoneLost,
-    ZoneCut, ZoneFlaps, ZoneUnreachable, ZoneGrey, ZoneDrained, ZoneRulesRead, NodeBanned,
-    SidecarOutOfService, SidecarsReleased, SidecarPaused, SidecarStarved, SidecarUnreachable,
-    DiscoveryUnreachable, ListsDiffer, LinkJitter, LinkThrottled,
+    NodeSlow, NodeHung, NodeStalled, NodeCrashed, NodeRestarted, NodeReplaced, NodePowerLoss, FleetShrinks,
+    FleetRenewed, FleetGrows, NoisyNeighbour, LateDrainNotice, DrainCancelled, DrainFlaps, RequestResets,
+    MalformedAnswers, RequestRejections, LateReports, WrongReports, EarlyIdleClose, DiscoveryDown,
+    DiscoverySlow, DiscoveryUnresponsive, DiscoveryGarbage, DiscoveryMoved, DiscoveryRestarted, ListChurns,
+    MisbehavingClients, SidecarTerminated, SidecarKilled, SidecarStalled, WallClockSet,
+    DescriptorsExhausted, BadConfiguration, LinkPartition, LinkLatency, ConnectsUnanswered, ConnectsRefused,
+    ConnectionsReset, ConnectionsStalled, ZonePowerLoss, ZonePartition, ZoneFlaps, ZoneUnreachable,
+    ZoneDegraded, ZoneDrained, ZoneRulesRead, NodeBanned, SidecarOutOfService, SidecarsRestarted,
+    SidecarPaused, SidecarStarved, SidecarUnreachable, DiscoveryUnreachable, ListsDiffer, LinkJitter,
+    LinkThrottled,
 )  # fmt: skip
 KINDS: Mapping[str, type[Fault]] = {kind_of(fault): fault for fault in FAULTS}
 
 AnyFault = (
-    NodeSlow | NodeHung | NodeStalled | NodeCrashed | NodeRestarted | NodeReplaced | NodeVanished
-    | FleetShrinks | FleetRenewed | FleetGrows | NeighbourBusy | DrainToldLate | DrainTakenBack | DrainFlaps
-    | Resetting | AnswersSpoilt | TurningAway | LateReports | WrongReports | CloseCrossing | DiscoveryDown
-    | DiscoverySlow | DiscoverySilent | DiscoveryGarbage | DiscoveryMoved | DiscoveryRestarted | ListChurns
-    | BadClientsCome | SidecarTerminated | SidecarKilled | SidecarStalled | WallClockSet
-    | DescriptorsUsedUp | BadConfiguration | LinkCut | LinkSlow | ConnectsSwallowed | ConnectsRefused
-    | ConnectionsReset | ConnectionsSilent | ZoneLost | ZoneCut | ZoneFlaps | ZoneUnreachable | ZoneGrey
-    | ZoneDrained | ZoneRulesRead | NodeBanned | SidecarOutOfService | SidecarsReleased | SidecarPaused
+    NodeSlow | NodeHung | NodeStalled | NodeCrashed | NodeRestarted | NodeReplaced | NodePowerLoss
+    | FleetShrinks | FleetRenewed | FleetGrows | NoisyNeighbour | LateDrainNotice | DrainCancelled
+    | DrainFlaps | RequestResets | MalformedAnswers | RequestRejections | LateReports | WrongReports
+    | EarlyIdleClose | DiscoveryDown | DiscoverySlow | DiscoveryUnresponsive | DiscoveryGarbage
+    | DiscoveryMoved | DiscoveryRestarted | ListChurns | MisbehavingClients | SidecarTerminated
+    | SidecarKilled | SidecarStalled | WallClockSet | DescriptorsExhausted | BadConfiguration
+    | LinkPartition | LinkLatency | ConnectsUnanswered | ConnectsRefused | ConnectionsReset
+    | ConnectionsStalled | ZonePowerLoss | ZonePartition | ZoneFlaps | ZoneUnreachable | ZoneDegraded
+    | ZoneDrained | ZoneRulesRead | NodeBanned | SidecarOutOfService | SidecarsRestarted | SidecarPaused
     | SidecarStarved | SidecarUnreachable | DiscoveryUnreachable | ListsDiffer | LinkJitter | LinkThrottled
 )  # fmt: skip
 
@@ -703,21 +705,21 @@
     "zone-drained", "zone-rules-read", "sidecar-killed", "fleet-shrinks", "node-slow", "link-cut",
 )  # fmt: skip
 # Kinds excluded from the default profile, so that the faults drawn there for a given seed don't change.
-_APART = (
+_NOT_IN_DEFAULT = (
     "zone-flaps", "zone-unreachable", "zone-grey", "zone-drained", "zone-rules-read", "node-banned",
     "sidecar-out-of-service", "sidecars-released", "sidecar-paused", "sidecar-starved",
     "sidecar-unreachable", "discovery-unreachable", "lists-differ", "link-jitter", "link-throttled",
 )  # fmt: skip
 # Kinds caused by operators: the sidecars of such a run have admin endpoints.
-CALLED = (
+OPERATOR_KINDS = (
     "node-banned",
     "sidecar-out-of-service",
     "sidecars-released",
 )
 _OPERATORS = (
-    *CALLED, *CALLED, "node-crashed", "node-restarted", "fleet-shrinks", "drain-taken-back", "discovery-down",
-    "discovery-moved", "discovery-garbage", "sidecar-killed", "sidecar-terminated", "descriptors-used-up",
-    "bad-clients", "node-slow", "resets",
+    *OPERATOR_KINDS, *OPERATOR_KINDS, "node-crashed", "node-restarted", "fleet-shrinks", "drain-taken-back",
+    "discovery-down", "discovery-moved", "discovery-garbage", "sidecar-killed", "sidecar-terminated",
+    "descriptors-used-up", "bad-clients", "node-slow", "resets",
 )  # fmt: skip
 _RESTARTS = (
     "sidecar-terminated", "sidecar-killed", "wall-clock-set", "bad-configuration", "discovery-moved",
@@ -725,7 +727,7 @@
 )  # fmt: skip
 # Fault kinds that each profile draws from; a kind listed twice is drawn twice as often.
 PROFILES: Mapping[str, tuple[str, ...]] = {
-    "default": tuple(kind for kind in KINDS if kind not in _APART),
+    "default": tuple(kind for kind in KINDS if kind not in _NOT_IN_DEFAULT),
     "nodes": _NODES,
     "membership": _MEMBERSHIP,
     "answers": _ANSWERS,
--- a/brambleusher/lab/fleets/fleet.py
+++ b/brambleusher/lab/fleets/fleet.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from brambleusher.lab.faults.effects import apply
-from brambleusher.lab.faults.kinds import CALLED, Fault
+from brambleusher.lab.faults.kinds import OPERATOR_KINDS, Fault
 from brambleusher.lab.fleets.figures import (
     DISCOVERY_PORT,
     DOOR_PORT,
@@ -639,7 +639,7 @@
         self.clients: list[Client] = []
         self.bad: list[BadClients] = []
         # Runs without operators have no admin endpoints and no extra machine, so that they stay reproducible.
-        self.called = any(fault.kind in CALLED for fault in scenario.faults)
+        self.called = any(fault.kind in OPERATOR_KINDS for fault in scenario.faults)
         self.operators: Operators | None = None
         self._operators_machine = self.world.machine(OPERATORS, "10.4.0.1") if self.called else None
         for machine in list(self.world.machines.values()):
--- a/brambleusher/lab/virtual/mass.py
+++ b/brambleusher/lab/virtual/mass.py
@@ -214,8 +214,8 @@
     for_s = min(5.0, length * 0.4)
     return [
         *_slow(draw, world, 1 / 8),
-        faults.ZoneLost(at_s=begin, for_s=for_s, target=lost),
-        faults.ZoneCut(at_s=round(begin + length * 0.6, 3), for_s=round(length * 0.3, 3), target=cut),
+        faults.ZonePowerLoss(at_s=begin, for_s=for_s, target=lost),
+        faults.ZonePartition(at_s=round(begin + length * 0.6, 3), for_s=round(length * 0.3, 3), target=cut),
     ]
 
 
@@ -224,8 +224,8 @@
     begin, length = _span(world, 1.0)
     for_s = min(6.0, length * 0.5)
     return [
-        faults.ZoneCut(at_s=begin, for_s=for_s, target=draw.rng.choice(world.zones)),
-        faults.Resetting(at_s=begin, for_s=length, where="after", part=0.02),
+        faults.ZonePartition(at_s=begin, for_s=for_s, target=draw.rng.choice(world.zones)),
+        faults.RequestResets(at_s=begin, for_s=length, where="after", part=0.02),
     ]
 
 
@@ -233,7 +233,7 @@
     """Six in ten nodes are replaced within 7 s; some answers are spoilt."""
     begin, length = _span(world, 1.0)
     plan = _replaced(draw, world, 0.6, 2, min(7.0 / length, 0.9))
-    plan.append(faults.AnswersSpoilt(at_s=begin, for_s=length, how="noise", part=0.002))
+    plan.append(faults.MalformedAnswers(at_s=begin, for_s=length, how="noise", part=0.002))
     return plan
 
 
--- a/tests/lab/test_drills.py
+++ b/tests/lab/test_drills.py
@@ -24,7 +24,7 @@
 
 def test_a_zone_is_cut_between_four_processes() -> None:
     """Relays that hold a zone's links back: no rule is broken, and others serve."""
-    drill = small(faults.ZoneCut(at_s=0.5, for_s=1.5, target="atl-north"))
+    drill = small(faults.ZonePartition(at_s=0.5, for_s=1.5, target="atl-north"))
     outcome = play(drill, "processes")
     told = [*outcome.late, *outcome.missed, *map(str, outcome.breaches[:3])]
     assert outcome.verdict == "ok" and outcome.served > 0.8, "\n".join(told)
@@ -36,7 +36,7 @@
 
 def test_memory_that_only_grows_passes_its_limit() -> None:
     """Nothing that is served tells of it: what is seen of processes from outside does."""
-    many = faults.BadClientsCome(at_s=0.3, for_s=1.5, what="silent", count=30)
+    many = faults.MisbehavingClients(at_s=0.3, for_s=1.5, what="silent", count=30)
     outcome = play(small(many, sidecars=2), "processes", breakage="memory-kept")
     assert [text for text in outcome.missed if text.startswith("limit passed: MB")], outcome.missed
 
@@ -48,7 +48,7 @@
         ("lost-in-accept", faults.SidecarPaused(at_s=0.5, for_s=1.2), {"left-over"}),
         (
             "accept-blocks",
-            faults.BadClientsCome(at_s=0.3, for_s=1.5, what="silent", count=4),
+            faults.MisbehavingClients(at_s=0.3, for_s=1.5, what="silent", count=4),
             {"answer", "bad-client"},
         ),
     ],
--- a/tests/lab/test_fault_plans.py
+++ b/tests/lab/test_fault_plans.py
@@ -16,7 +16,7 @@
 import pytest
 
 from brambleusher.lab.faults import kinds as faults
-from brambleusher.lab.faults.kinds import KINDS, LEAST_KINDS, PROFILES, AnyFault, Fault, draw_faults
+from brambleusher.lab.faults.kinds import KINDS, MIN_KINDS, PROFILES, AnyFault, Fault, draw_faults
 from brambleusher.lab.fleets.figures import LEAST_REQUESTS, Drawer, draw_world
 from brambleusher.lab.fleets.fleet import SECOND, Fleet
 from brambleusher.lab.fleets.scenario import (
@@ -53,7 +53,7 @@
         world = scenario.world
         assert sum(ask.at_s > world.faults_s for ask in scenario.asks) >= LEAST_REQUESTS
         assert world.length_s >= 5
-        assert len({fault.kind for fault in scenario.faults}) >= LEAST_KINDS
+        assert len({fault.kind for fault in scenario.faults}) >= MIN_KINDS
         assert all(0 < fault.at_s <= fault.end_s <= world.faults_s + 1e-3 for fault in scenario.faults)
         assert all(0 <= ask.at_s <= world.length_s for ask in scenario.asks)
         assert len({ask.id for ask in scenario.asks}) == len(scenario.asks)
--- a/tests/lab/test_overload_states.py
+++ b/tests/lab/test_overload_states.py
@@ -12,7 +12,7 @@
 import msgspec
 import pytest
 
-from brambleusher.lab.faults.kinds import AnyFault, BadClientsCome, ConnectionsSilent, TurningAway
+from brambleusher.lab.faults.kinds import AnyFault, ConnectionsStalled, MisbehavingClients, RequestRejections
 from brambleusher.lab.fleets.figures import ClassFigures, NodeFigures, SidecarFigures, WorldFigures
 from brambleusher.lab.fleets.fleet import Fleet
 from brambleusher.lab.fleets.scenario import Scenario
@@ -84,7 +84,7 @@
     """Clients hold a third of 128 descriptors, and 40 further connections are open without sending data."""
     clients = ClientSettings(tries=2, backoff_s=0.05, asks_once=1.0, most_open=42)
     silent = tuple(
-        BadClientsCome(at_s=FROM, for_s=UNTIL - FROM, target=f"n{n}", what="silent", count=40)
+        MisbehavingClients(at_s=FROM, for_s=UNTIL - FROM, target=f"n{n}", what="silent", count=40)
         for n in range(2)
     )
     during, after, _ = play(world(clients, sockets=128), silent, 1)
@@ -94,7 +94,9 @@
 def test_connections_that_fall_silent_hold_no_limit_down() -> None:
     """For three seconds, 20 % of the connections to each node stop carrying data every 0.1 seconds."""
     silent = tuple(
-        ConnectionsSilent(at_s=FROM + step / 10, for_s=UNTIL - FROM - step / 10, target=f"s-{node}", part=0.2)
+        ConnectionsStalled(
+            at_s=FROM + step / 10, for_s=UNTIL - FROM - step / 10, target=f"s-{node}", part=0.2
+        )
         for step in range(int((UNTIL - FROM) * 10))
         for node in range(NODES)
     )
@@ -105,7 +107,7 @@
 def test_nodes_that_turn_away_and_look_idle_draw_few_turns() -> None:
     """Half of the nodes reject nine requests in ten; the other half has capacity for all requests."""
     away = tuple(
-        TurningAway(at_s=FROM, for_s=UNTIL - FROM, target=f"s-{node}", part=0.9)
+        RequestRejections(at_s=FROM, for_s=UNTIL - FROM, target=f"s-{node}", part=0.9)
         for node in range(0, NODES, 2)
     )
     during, after, fleet = play(world(ClientSettings(tries=1)), away, 3)
