--- a/brambleusher/lab/fleets/fleet.py
+++ b/brambleusher/lab/fleets/fleet.py
@@ -34,7 +34,7 @@
 from brambleusher.lab.stand_ins.discovery import Discovery, Entry, Telling
 from brambleusher.lab.stand_ins.node import Execution, Node
 from brambleusher.lab.stand_ins.operators import Operators
-from brambleusher.lab.stand_ins.server import Server, Troubles
+from brambleusher.lab.stand_ins.server import ActiveFaults, Server
 from brambleusher.lab.virtual.world import STANDARD, Pace, VirtualSystem, World, WorldSettings
 from brambleusher.lab.virtual.world import Machine as VirtualMachine
 from brambleusher.loadbalancing import Balancer
@@ -173,7 +173,7 @@
     def __init__(self, fleet: AnyFleet, figures: NodeFigures, machine: Machine) -> None:
         self.fleet, self.figures, self.machine = fleet, figures, machine
         self.id = figures.id
-        self.troubles = Troubles()
+        self.active_faults = ActiveFaults()
         self.node: Node | None = None
         self.process: Process | None = None
         self.processes = 0  # number of processes started under the current id
@@ -216,14 +216,14 @@
 
     # --- injected faults ------------------------------------------------------------------------
 
-    def begin(self, trouble: object) -> None:
+    def begin(self, fault: object) -> None:
         """Activate an injected fault for the current process and later ones."""
-        self.troubles.begin(trouble)
+        self.active_faults.begin(fault)
         self._apply_faults()
 
-    def end(self, trouble: object) -> None:
+    def end(self, fault: object) -> None:
         """Deactivate an injected fault."""
-        self.troubles.end(trouble)
+        self.active_faults.end(fault)
         self._apply_faults()
 
     def _apply_faults(self) -> None:
@@ -247,7 +247,7 @@
         def build(scheduler: Scheduler) -> Server:
             self.node = fleet.new_node(
                 scheduler, self.figures.settings, name, fleet.scenario.seed, process=number, cold=cold,
-                executions=fleet.executions, troubles=self.troubles,
+                executions=fleet.executions, active_faults=self.active_faults,
             )  # fmt: skip
             self.node.on_fall = lambda: self.look(fleet.scenario.world.silent_notice_s)
             self.node.listen(self.address)
@@ -319,7 +319,7 @@
         self.version = 1
         self.list: dict[str, Entry] = {}
         self.told: list[Telling] = []
-        self.troubles = Troubles()
+        self.active_faults = ActiveFaults()
         self.service: Discovery | None = None
         self.process: Process | None = None
         self._replacements = 0
@@ -341,8 +341,8 @@
                 entries=self.list.values(), version=self.version, told=self.told, seen=fleet.seen_by,
             )  # fmt: skip
             service.listen(self.address)
-            for trouble in self.troubles.all(object):
-                service.begin(trouble)
+            for fault in self.active_faults.all(object):
+                service.begin(fault)
             return service
 
         self.service = None
@@ -372,17 +372,17 @@
         self.fleet.set_latency(self.machine)
         self.start()
 
-    def begin(self, trouble: object, able: bool = False) -> None:
+    def begin(self, fault: object, able: bool = False) -> None:
         """Activate an injected fault; unless `able`, updates may not be delivered meanwhile."""
-        self.troubles.begin(trouble)
-        self._schedule(lambda service: service.begin(trouble))
+        self.active_faults.begin(fault)
+        self._schedule(lambda service: service.begin(fault))
         if not able:
             self.unable(1)
 
-    def end(self, trouble: object, able: bool = False) -> None:
+    def end(self, fault: object, able: bool = False) -> None:
         """Deactivate an injected fault."""
-        self.troubles.end(trouble)
-        self._schedule(lambda service: service.end(trouble))
+        self.active_faults.end(fault)
+        self._schedule(lambda service: service.end(fault))
         if not able:
             self.unable(-1)
 
--- a/brambleusher/lab/stand_ins/discovery.py
+++ b/brambleusher/lab/stand_ins/discovery.py
@@ -12,7 +12,7 @@
 import msgspec
 import orjson
 
-from brambleusher.lab.stand_ins.server import Connection, Server, Troubles
+from brambleusher.lab.stand_ins.server import ActiveFaults, Connection, Server
 from brambleusher.lab.stand_ins.settings import DiscoverySettings
 from brambleusher.net.http import Message, MessageReader, write_response
 from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
@@ -123,7 +123,7 @@
         self._oldest = version  # oldest version from which changes are available
         self._previous: tuple[int, list[Entry]] | None = None  # previous version and its list
         self.told: MutableSequence[Telling] = [] if told is None else told
-        self.troubles = Troubles()
+        self.active_faults = ActiveFaults()
         self._watches: dict[int, _Watch] = {}
         self._free_at = 0.0  # time at which all accepted requests will have been answered
         self.calls = self.failed = 0
@@ -154,7 +154,9 @@
 
     def _extra_delay(self, watch: _Watch) -> float:
         fraction = zlib.crc32(watch.connection.peer.encode()) % 1000 / 1000
-        return max((each.by_s for each in self.troubles.all(Behind) if fraction < each.part), default=0.0)
+        return max(
+            (each.by_s for each in self.active_faults.all(Behind) if fraction < each.part), default=0.0
+        )
 
     def put_later(self, seconds: float, *entries: Entry) -> None:
         """Change entries after some seconds."""
@@ -170,7 +172,7 @@
 
     def begin(self, fault: object) -> None:
         """Activate a fault."""
-        self.troubles.begin(fault)
+        self.active_faults.begin(fault)
         if isinstance(fault, Down):
             if fault.how == "refuse":
                 self.unlisten()
@@ -183,11 +185,11 @@
 
     def end(self, fault: object) -> None:
         """Deactivate a fault."""
-        self.troubles.end(fault)
-        refusing = any(each.how == "refuse" for each in self.troubles.all(Down))
+        self.active_faults.end(fault)
+        refusing = any(each.how == "refuse" for each in self.active_faults.all(Down))
         if isinstance(fault, Down) and not refusing and not self.listening and self.address is not None:
             self.listen(self.address)
-        if isinstance(fault, Silent) and not self.troubles.all(Silent):
+        if isinstance(fault, Silent) and not self.active_faults.all(Silent):
             for connection in self.connections.values():
                 connection.event.set()
 
@@ -231,9 +233,9 @@
         """Wait until the request is served in turn; return False if it fails."""
         settings, scheduler = self.settings, self.scheduler
         self.calls += 1
-        down = self.troubles.last(Down)
+        down = self.active_faults.last(Down)
         now = scheduler.now()
-        factor = max((each.factor for each in self.troubles.all(SlowCalls)), default=1.0)
+        factor = max((each.factor for each in self.active_faults.all(SlowCalls)), default=1.0)
         takes = (settings.call_s + settings.line_s * len(self._entries)) * factor
         ready = max(self._free_at, now) + takes
         fails = "" if down is None else down.how
@@ -243,7 +245,7 @@
             else:
                 self._free_at = ready
             scheduler.sleep(min(ready - now, settings.timeout_s))
-        while self.troubles.all(Silent):  # requests are answered once the fault ends
+        while self.active_faults.all(Silent):  # requests are answered once the fault ends
             scheduler.park(event=connection.event)
         if not fails:
             return True
@@ -259,11 +261,11 @@
     def _watch(self, connection: Connection, since: int | None) -> None:
         watch = self._watches[connection.number] = _Watch(connection, since, due=True)
         scheduler, first = self.scheduler, True
-        watch.due_garbage = self.troubles.last(Garbage)
+        watch.due_garbage = self.active_faults.last(Garbage)
         connection.stream.send(HEAD, scheduler.now() + WRITE_SECONDS)
         try:
             while True:
-                if not self.troubles.all(Silent):
+                if not self.active_faults.all(Silent):
                     if watch.due_garbage is not None and watch.due_garbage is not watch.sent_garbage:
                         watch.sent_garbage, watch.due_garbage = watch.due_garbage, None
                         if not self._send_garbage(watch, watch.sent_garbage.how):
--- a/brambleusher/lab/stand_ins/node.py
+++ b/brambleusher/lab/stand_ins/node.py
@@ -12,7 +12,7 @@
 import orjson
 
 from brambleusher.lab.stand_ins.machine import Job, Machine
-from brambleusher.lab.stand_ins.server import Connection, Server, Troubles
+from brambleusher.lab.stand_ins.server import ActiveFaults, Connection, Server
 from brambleusher.lab.stand_ins.settings import NodeSettings
 from brambleusher.net.http import HeaderField, HttpError, Message, MessageReader, write_response
 from brambleusher.runtime.scheduler import Scheduler, Timer
@@ -162,7 +162,7 @@
     """A process of a node.
 
     `process` is the index of the process among those started under the node's id.  Successive processes may
-    share `executions` and `troubles`.
+    share `executions` and `active_faults`.
     """
 
     def __init__(
@@ -175,14 +175,14 @@
         process: int = 0,
         cold: bool = False,
         executions: MutableSequence[Execution] | None = None,
-        troubles: Troubles | None = None,
+        active_faults: ActiveFaults | None = None,
     ) -> None:
         super().__init__(scheduler, name)
         self.settings, self.process = settings, process
         self.rng = random.Random(f"{seed}/{name}/{process}")
         self.machine = Machine(settings, self.rng, scheduler.now(), cold)
         self.executions: MutableSequence[Execution] = [] if executions is None else executions
-        self.troubles = Troubles() if troubles is None else troubles
+        self.active_faults = ActiveFaults() if active_faults is None else active_faults
         self.draining = False
         self.on_fall: Callable[[], object] | None = None  # called when overload during warm-up stops the node
         self.answers = self.turned_away = self._request_count = 0
@@ -197,19 +197,19 @@
 
     def begin(self, fault: object) -> None:
         """Activate a fault."""
-        self.troubles.begin(fault)
+        self.active_faults.begin(fault)
         self.changed()
 
     def end(self, fault: object) -> None:
         """Deactivate a fault."""
-        self.troubles.end(fault)
+        self.active_faults.end(fault)
         self.changed()
 
     def changed(self) -> None:
         """Apply the active faults to the machine."""
-        slow = math.prod(each.factor for each in self.troubles.all(Slow))
-        taken = self._update_neighbours(self.troubles.all(Neighbour))
-        hung = bool(self.troubles.all(Hung))
+        slow = math.prod(each.factor for each in self.active_faults.all(Slow))
+        taken = self._update_neighbours(self.active_faults.all(Neighbour))
+        hung = bool(self.active_faults.all(Hung))
         self.machine.burden(self.scheduler.now(), slow=slow, taken=taken, hung=hung)
         self._set_timer()
 
@@ -258,7 +258,7 @@
         try:
             while True:
                 idle = settings.idle_s
-                crossing = self.troubles.last(CrossingClose)
+                crossing = self.active_faults.last(CrossingClose)
                 crosses = crossing is not None and not first and rng.random() < crossing.part
                 if crossing is not None and crosses and not crossing.unread:
                     idle = min(idle, crossing.within_s * rng.random())
@@ -278,7 +278,7 @@
 
     def _draw_reset(self, where: ResetWhere) -> Resets | None:
         """Decide whether the request is reset at a given point, and return the active fault in that case."""
-        for resets in self.troubles.all(Resets):
+        for resets in self.active_faults.all(Resets):
             if resets.where == where and self.rng.random() < resets.part:
                 return resets
         return None
@@ -290,7 +290,7 @@
         scheduler, stream = self.scheduler, connection.stream
         deadline = scheduler.now() + idle_s
         while (request := reader.take()) is None:
-            if not reader.has_begun and (unread or self.troubles.all(Resets)):
+            if not reader.has_begun and (unread or self.active_faults.all(Resets)):
                 scheduler.park(deadline, stream.sock)
                 if unread and not stream.is_idle():
                     return None  # the close with unread bytes causes a reset
@@ -348,7 +348,7 @@
             raise HttpError(400, "invalid number in a request header") from None
         spread = self.settings.work_noise
         seconds = max(1e-5, seconds * math.exp(spread * self.rng.gauss(0.0, 1.0) - spread * spread / 2))
-        for slow in self.troubles.all(SlowNow):
+        for slow in self.active_faults.all(SlowNow):
             self._request_count += 1
             seconds *= slow.factor if self._request_count % slow.every == 0 else 1.0
         self.machine.advance(self.scheduler.now())
@@ -369,7 +369,7 @@
         settings, now = self.settings, self.scheduler.now()
         if first and settings.handshake_work_s:
             self.machine.spend(settings.handshake_work_s, now)
-        rejections = [each for each in self.troubles.all(TurnsAway) if self.rng.random() < each.part]
+        rejections = [each for each in self.active_faults.all(TurnsAway) if self.rng.random() < each.part]
         if rejections:
             self._turn_away(work, rejections[-1].status)
         elif len(self.connections) > settings.connections:
@@ -488,7 +488,7 @@
             self._send(connection, data[: self.rng.randrange(1, len(data))])
             self.reset(connection)
             return False
-        spoilt = self.troubles.last(Spoilt)
+        spoilt = self.active_faults.last(Spoilt)
         if spoilt is not None and status == 200 and self.rng.random() < spoilt.part:
             return self._spoil(connection, spoilt.how, headers, body)
         self._send(connection, write_response(status, headers, body))
@@ -501,12 +501,12 @@
         fields = self.settings.report_fields
         if not fields:
             return []
-        invalid = self.troubles.last(ReportsWrong)
+        invalid = self.active_faults.last(ReportsWrong)
         if invalid is not None:
             return _wrong_report(invalid.how, fields)
         now = self.scheduler.now()
         self.machine.advance(now)
-        delay = sum(each.delay_s for each in self.troubles.all(ReportsLate))
+        delay = sum(each.delay_s for each in self.active_faults.all(ReportsLate))
         report = self.machine.report(now, delay)
         if report is None:
             return []
--- a/brambleusher/lab/stand_ins/server.py
+++ b/brambleusher/lab/stand_ins/server.py
@@ -118,7 +118,7 @@
             connection.stream.close()
 
 
-class Troubles:
+class ActiveFaults:
     """The active faults of a server, oldest first; each fault is an object looked up by its class."""
 
     def __init__(self) -> None:
--- a/tests/lab/test_fault_plans.py
+++ b/tests/lab/test_fault_plans.py
@@ -184,8 +184,8 @@
     return "Gone" if entry is None else entry.state
 
 
-def trouble(fleet: Fleet, kind: type[Any]) -> Any:
-    return place(fleet).troubles.last(kind)
+def active_fault(fleet: Fleet, kind: type[Any]) -> Any:
+    return place(fleet).active_faults.last(kind)
 
 
 def service(fleet: Fleet) -> Any:
@@ -256,28 +256,31 @@
     "drain-taken-back": ({}, lambda fleet, _: place(fleet).up and state(fleet) == "Terminating"),
     "drain-flaps": ({"every_s": 0.15}, lambda fleet, _: bool(fleet.discovery.version > 8)),
     "resets": (
-        {"where": "in", "part": 1.0}, lambda fleet, _: trouble(fleet, at_node.Resets) is not None,
+        {"where": "in", "part": 1.0}, lambda fleet, _: active_fault(fleet, at_node.Resets) is not None,
     ),
     "answers-spoilt": (
-        {"how": "noise", "part": 1.0}, lambda fleet, _: trouble(fleet, at_node.Spoilt) is not None,
+        {"how": "noise", "part": 1.0}, lambda fleet, _: active_fault(fleet, at_node.Spoilt) is not None,
     ),
-    "turning-away": ({"part": 1.0}, lambda fleet, _: trouble(fleet, at_node.TurnsAway) is not None),
-    "reports-late": ({"by_s": 1.0}, lambda fleet, _: trouble(fleet, at_node.ReportsLate) is not None),
+    "turning-away": ({"part": 1.0}, lambda fleet, _: active_fault(fleet, at_node.TurnsAway) is not None),
+    "reports-late": ({"by_s": 1.0}, lambda fleet, _: active_fault(fleet, at_node.ReportsLate) is not None),
     "reports-wrong": (
-        {"how": "noise"}, lambda fleet, _: trouble(fleet, at_node.ReportsWrong) is not None,
+        {"how": "noise"}, lambda fleet, _: active_fault(fleet, at_node.ReportsWrong) is not None,
     ),
     "close-crossing": (
-        {"within_s": 0.1, "part": 1.0}, lambda fleet, _: trouble(fleet, at_node.CrossingClose) is not None,
+        {"within_s": 0.1, "part": 1.0},
+        lambda fleet, _: active_fault(fleet, at_node.CrossingClose) is not None,
     ),
     "discovery-down": ({"how": "refuse"}, lambda fleet, _: not service(fleet).listening),
     "discovery-slow": (
-        {"factor": 9.0}, lambda fleet, _: service(fleet).troubles.last(at_discovery.SlowCalls) is not None,
+        {"factor": 9.0},
+        lambda fleet, _: service(fleet).active_faults.last(at_discovery.SlowCalls) is not None,
     ),
     "discovery-silent": (
-        {}, lambda fleet, _: service(fleet).troubles.last(at_discovery.Silent) is not None,
+        {}, lambda fleet, _: service(fleet).active_faults.last(at_discovery.Silent) is not None,
     ),
     "discovery-garbage": (
-        {"how": "noise"}, lambda fleet, _: service(fleet).troubles.last(at_discovery.Garbage) is not None,
+        {"how": "noise"},
+        lambda fleet, _: service(fleet).active_faults.last(at_discovery.Garbage) is not None,
     ),
     "discovery-restarted": ({}, lambda fleet, _: dead(fleet.discovery.process)),
     "bad-clients": ({"what": "silent", "count": 30}, lambda fleet, _: fleet.bad[0].open == 30),
@@ -305,7 +308,7 @@
     ),
     "zone-grey": (
         {"every": 3, "factor": 5.0, "resets": 0.1},
-        lambda fleet, _: trouble(fleet, at_node.SlowNow) is not None,
+        lambda fleet, _: active_fault(fleet, at_node.SlowNow) is not None,
     ),
     "zone-drained": (
         {"gap_s": 0.1, "drain_s": 0.3}, lambda fleet, _: not place(fleet).up and state(fleet) == "Gone",
@@ -321,7 +324,7 @@
     ),
     "lists-differ": (
         {"part": 1.0, "by_s": 0.2},
-        lambda fleet, _: service(fleet).troubles.last(at_discovery.Behind) is not None,
+        lambda fleet, _: service(fleet).active_faults.last(at_discovery.Behind) is not None,
     ),
     "link-jitter": ({"by_s": 0.1}, lambda fleet, _: extra(fleet) > 0),
     "node-banned": (
--- a/tests/lab/test_stand_in_discovery.py
+++ b/tests/lab/test_stand_in_discovery.py
@@ -24,12 +24,12 @@
 WATCH = "/v1/endpoints?follow=1"
 
 
-def discovery_in(lab: Lab, *troubles: object, version: int = 7, **settings: Any) -> Discovery:
+def discovery_in(lab: Lab, *faults: object, version: int = 7, **settings: Any) -> Discovery:
     def build(scheduler: Scheduler) -> Discovery:
         made = Discovery(scheduler, DiscoverySettings(**settings), entries=ENTRIES, version=version)
         made.listen(SERVER)
-        for trouble in troubles:
-            made.begin(trouble)
+        for fault in faults:
+            made.begin(fault)
         return made
 
     made: Discovery = lab.on("server", build)
@@ -161,12 +161,12 @@
 )
 def test_down(down: Any, how: str) -> None:
     lab = Lab()
-    trouble = at_discovery.Down(down)
-    discovery = discovery_in(lab, trouble)
+    fault = at_discovery.Down(down)
+    discovery = discovery_in(lab, fault)
     assert watch(lab) == ([], how)
-    lab.call(discovery.scheduler, lambda: discovery.end(trouble))
+    lab.call(discovery.scheduler, lambda: discovery.end(fault))
     lab.sleep(0.01)
-    lab.world.after(500_000_000, lambda: discovery.scheduler.call_soon(lambda: discovery.begin(trouble)))
+    lab.world.after(500_000_000, lambda: discovery.scheduler.call_soon(lambda: discovery.begin(fault)))
     lines, ended = watch(lab, seconds=1.0)
     assert update(lines[0][1]) == (7, True, ALL)
     assert ended == ("silence" if down == "503" else "ConnectionResetError")
@@ -174,12 +174,12 @@
 
 def test_silent() -> None:
     lab = Lab()
-    trouble = at_discovery.Silent()
+    fault = at_discovery.Silent()
     discovery = discovery_in(lab)
     call = discovery.scheduler.call_soon
-    lab.world.after(500_000_000, lambda: call(lambda: discovery.begin(trouble)))
+    lab.world.after(500_000_000, lambda: call(lambda: discovery.begin(fault)))
     lab.world.after(600_000_000, lambda: call(lambda: discovery.put(DRAINS)))
-    lab.world.after(4_000_000_000, lambda: call(lambda: discovery.end(trouble)))
+    lab.world.after(4_000_000_000, lambda: call(lambda: discovery.end(fault)))
     lines, _ = watch(lab, seconds=5.0)
     assert [at for at, _ in lines] == [0.0, 4.0] and update(lines[1][1])[2] == CHANGED[:1]
 
--- a/tests/lab/test_stand_in_node.py
+++ b/tests/lab/test_stand_in_node.py
@@ -25,11 +25,11 @@
 }  # fmt: skip
 
 
-def node_in(lab: Lab, *troubles: object, **settings: Any) -> Node:
+def node_in(lab: Lab, *faults: object, **settings: Any) -> Node:
     def build(scheduler: Scheduler) -> Node:
         node = Node(scheduler, NodeSettings(**{**USUAL, **settings}), "s-1", 7)
-        for trouble in troubles:
-            node.begin(trouble)
+        for fault in faults:
+            node.begin(fault)
         node.listen(SERVER)
         return node
 
