--- a/brambleusher/lab/experiments/run.py
+++ b/brambleusher/lab/experiments/run.py
@@ -55,7 +55,7 @@
         self.player: Player | None = None
 
     def _submit(self, scheduler: Scheduler) -> None:
-        nodes = [place.address for place in self.places if place.up]
+        nodes = [place.address for place in self.node_instances if place.up]
         targets = nodes if self._direct else [sidecar.address for sidecar in self.sidecars]
         self.player = self._new_player(scheduler, targets)
         self.player.start(self.begins_ns)
--- a/brambleusher/lab/faults/effects.py
+++ b/brambleusher/lab/faults/effects.py
@@ -18,7 +18,7 @@
 from brambleusher.lab.stand_ins.bad_client import BadClients
 
 if TYPE_CHECKING:
-    from brambleusher.lab.fleets.fleet import AnyFleet, NodePlace, SidecarPlace
+    from brambleusher.lab.fleets.fleet import BaseFleet, NodeInstance, SidecarInstance
     from brambleusher.lab.fleets.stage import Machine
     from brambleusher.lab.stand_ins.operators import Operators
     from brambleusher.runtime.system import Address
@@ -38,32 +38,32 @@
 
 
 @singledispatch
-def apply(fault: faults.Fault, fleet: AnyFleet) -> EndAction:
+def apply(fault: faults.Fault, fleet: BaseFleet) -> EndAction:
     """Begin a fault and return the function that ends it, or None for a fault that needs none."""
     raise NotImplementedError(f"no effect is registered for fault kind {fault.kind}")
 
 
-def _target_nodes(fault: faults.Fault, fleet: AnyFleet) -> list[NodePlace]:
+def _target_nodes(fault: faults.Fault, fleet: BaseFleet) -> list[NodeInstance]:
     """Return the node that the fault targets, or all nodes but the spares."""
     if fault.target:
-        return [fleet.place(fault.target)]
-    return [instance for instance in fleet.places if not instance.figures.spare]
+        return [fleet.node_instance(fault.target)]
+    return [instance for instance in fleet.node_instances if not instance.figures.spare]
 
 
-def _zone_nodes(fault: faults.Fault, fleet: AnyFleet) -> list[NodePlace]:
+def _zone_nodes(fault: faults.Fault, fleet: BaseFleet) -> list[NodeInstance]:
     """Return the nodes of the zone that the fault targets, or all nodes, in both cases without the spares."""
     return [
         instance
-        for instance in fleet.places
+        for instance in fleet.node_instances
         if not instance.figures.spare and fault.target in ("", instance.figures.zone)
     ]
 
 
-def _target_sidecars(fault: faults.Fault, fleet: AnyFleet) -> list[SidecarPlace]:
+def _target_sidecars(fault: faults.Fault, fleet: BaseFleet) -> list[SidecarInstance]:
     return [fleet.sidecar(fault.target)] if fault.target else fleet.sidecars
 
 
-def _links_to_sidecars(fault: faults.Fault, fleet: AnyFleet) -> MachinePairs:
+def _links_to_sidecars(fault: faults.Fault, fleet: BaseFleet) -> MachinePairs:
     """Return the machine pairs of each targeted node and each sidecar."""
     return [
         (instance.machine, each.machine)
@@ -72,7 +72,7 @@
     ]
 
 
-def _partition(fleet: AnyFleet, pairs: MachinePairs, one_way: bool = False) -> Callable[[], None]:
+def _partition(fleet: BaseFleet, pairs: MachinePairs, one_way: bool = False) -> Callable[[], None]:
     """Partition each pair, in one direction only with `one_way`; the returned function undoes this."""
     network = fleet.world.network
     for one, other in pairs:
@@ -85,18 +85,18 @@
     return repair
 
 
-def _add_latency(fleet: AnyFleet, pairs: MachinePairs, by_s: float) -> None:
+def _add_latency(fleet: BaseFleet, pairs: MachinePairs, by_s: float) -> None:
     """Add `by_s` of latency between the machines of each pair; 0 removes the added latency."""
     for one, other in pairs:
         fleet.world.network.slow_link(one, other, int(by_s * SECOND))
 
 
-def _fault_rng(fault: faults.Fault, fleet: AnyFleet) -> random.Random:
+def _fault_rng(fault: faults.Fault, fleet: BaseFleet) -> random.Random:
     """Return a random generator for one fault, independent of the other faults of the run."""
     return random.Random(f"{fleet.scenario.seed}/{fault.kind}/{fault.at_s}/{fault.target}")
 
 
-def _inject(instances: Iterable[NodePlace], injected: object) -> EndAction:
+def _inject(instances: Iterable[NodeInstance], injected: object) -> EndAction:
     """Activate an injected fault at these nodes; the returned function deactivates it."""
     targets = list(instances)
     for instance in targets:
@@ -109,11 +109,11 @@
     return end
 
 
-def _call_later(fleet: AnyFleet, seconds: float, callback: Callable[[], object]) -> None:
+def _call_later(fleet: BaseFleet, seconds: float, callback: Callable[[], object]) -> None:
     fleet.world.after(int(seconds * SECOND), callback)
 
 
-def _repeat(fleet: AnyFleet, every_s: float, callback: Callable[[], object]) -> Callable[[], None]:
+def _repeat(fleet: BaseFleet, every_s: float, callback: Callable[[], object]) -> Callable[[], None]:
     """Run `callback` now and every `every_s` seconds, until the returned function is called."""
     stopped: list[bool] = []
 
@@ -130,59 +130,59 @@
 
 
 @apply.register(faults.NodeSlow)
-def _node_slow(fault: faults.NodeSlow, fleet: AnyFleet) -> EndAction:
+def _node_slow(fault: faults.NodeSlow, fleet: BaseFleet) -> EndAction:
     return _inject(_target_nodes(fault, fleet), node.Slow(fault.factor))
 
 
 @apply.register(faults.NodeHung)
-def _node_hung(fault: faults.NodeHung, fleet: AnyFleet) -> EndAction:
+def _node_hung(fault: faults.NodeHung, fleet: BaseFleet) -> EndAction:
     return _inject(_target_nodes(fault, fleet), node.Hung())
 
 
 @apply.register(faults.NoisyNeighbour)
-def _noisy_neighbour(fault: faults.NoisyNeighbour, fleet: AnyFleet) -> EndAction:
+def _noisy_neighbour(fault: faults.NoisyNeighbour, fleet: BaseFleet) -> EndAction:
     return _inject(_target_nodes(fault, fleet), node.Neighbour(fault.share, fault.on_s, fault.off_s))
 
 
 @apply.register(faults.RequestResets)
-def _resets(fault: faults.RequestResets, fleet: AnyFleet) -> EndAction:
+def _resets(fault: faults.RequestResets, fleet: BaseFleet) -> EndAction:
     return _inject(_target_nodes(fault, fleet), node.Resets(fault.where, fault.part, fault.runs))
 
 
 @apply.register(faults.MalformedAnswers)
-def _malformed_answers(fault: faults.MalformedAnswers, fleet: AnyFleet) -> EndAction:
+def _malformed_answers(fault: faults.MalformedAnswers, fleet: BaseFleet) -> EndAction:
     return _inject(_target_nodes(fault, fleet), node.Spoilt(fault.how, fault.part))
 
 
 @apply.register(faults.RequestRejections)
-def _request_rejections(fault: faults.RequestRejections, fleet: AnyFleet) -> EndAction:
+def _request_rejections(fault: faults.RequestRejections, fleet: BaseFleet) -> EndAction:
     return _inject(_target_nodes(fault, fleet), node.TurnsAway(fault.part, fault.status))
 
 
 @apply.register(faults.LateReports)
-def _reports_late(fault: faults.LateReports, fleet: AnyFleet) -> EndAction:
+def _reports_late(fault: faults.LateReports, fleet: BaseFleet) -> EndAction:
     return _inject(_target_nodes(fault, fleet), node.ReportsLate(fault.by_s))
 
 
 @apply.register(faults.WrongReports)
-def _reports_wrong(fault: faults.WrongReports, fleet: AnyFleet) -> EndAction:
+def _reports_wrong(fault: faults.WrongReports, fleet: BaseFleet) -> EndAction:
     return _inject(_target_nodes(fault, fleet), node.ReportsWrong(fault.how))
 
 
 @apply.register(faults.EarlyIdleClose)
-def _early_idle_close(fault: faults.EarlyIdleClose, fleet: AnyFleet) -> EndAction:
+def _early_idle_close(fault: faults.EarlyIdleClose, fleet: BaseFleet) -> EndAction:
     return _inject(_target_nodes(fault, fleet), node.CrossingClose(fault.within_s, fault.part, fault.unread))
 
 
 @apply.register(faults.NodeStalled)
-def _node_stalled(fault: faults.NodeStalled, fleet: AnyFleet) -> EndAction:
+def _node_stalled(fault: faults.NodeStalled, fleet: BaseFleet) -> EndAction:
     for instance in _target_nodes(fault, fleet):
         instance.machine.stall(int(fault.for_s * SECOND))
     return None
 
 
 @apply.register(faults.NodeCrashed)
-def _node_crashed(fault: faults.NodeCrashed, fleet: AnyFleet) -> EndAction:
+def _node_crashed(fault: faults.NodeCrashed, fleet: BaseFleet) -> EndAction:
     notices, targets = fleet.scenario.world, _target_nodes(fault, fleet)
     for instance in targets:
         instance.stop(fault)
@@ -197,7 +197,7 @@
 
 
 def _drain_and_restart(
-    fault: faults.Fault, fleet: AnyFleet, targets: list[NodePlace], drain_s: float, notice_delay_s: float
+    fault: faults.Fault, fleet: BaseFleet, targets: list[NodeInstance], drain_s: float, notice_delay_s: float
 ) -> EndAction:
     """Drain nodes, stop them after `drain_s`, and restart them cold at the end of the fault.
 
@@ -226,27 +226,27 @@
 
 
 @apply.register(faults.NodeRestarted)
-def _node_restarted(fault: faults.NodeRestarted, fleet: AnyFleet) -> EndAction:
+def _node_restarted(fault: faults.NodeRestarted, fleet: BaseFleet) -> EndAction:
     notice = fleet.scenario.world.notice_s
     return _drain_and_restart(fault, fleet, _target_nodes(fault, fleet), fault.drain_s, notice)
 
 
 @apply.register(faults.LateDrainNotice)
-def _late_drain_notice(fault: faults.LateDrainNotice, fleet: AnyFleet) -> EndAction:
+def _late_drain_notice(fault: faults.LateDrainNotice, fleet: BaseFleet) -> EndAction:
     return _drain_and_restart(fault, fleet, _target_nodes(fault, fleet), fault.drain_s, fault.late_s)
 
 
 @apply.register(faults.FleetShrinks)
-def _fleet_shrinks(fault: faults.FleetShrinks, fleet: AnyFleet) -> EndAction:
-    up = [instance for instance in fleet.places if instance.up]
+def _fleet_shrinks(fault: faults.FleetShrinks, fleet: BaseFleet) -> EndAction:
+    up = [instance for instance in fleet.node_instances if instance.up]
     count = min(len(up) - 1, max(1, round(fault.part * len(up))))
     targets = _fault_rng(fault, fleet).sample(up, max(0, count))
     return _drain_and_restart(fault, fleet, targets, fault.drain_s, fleet.scenario.world.notice_s)
 
 
 @apply.register(faults.FleetGrows)
-def _fleet_grows(fault: faults.FleetGrows, fleet: AnyFleet) -> EndAction:
-    for instance in fleet.places:
+def _fleet_grows(fault: faults.FleetGrows, fleet: BaseFleet) -> EndAction:
+    for instance in fleet.node_instances:
         if instance.figures.spare:
             instance.free("spare")
             instance.look(fleet.scenario.world.notice_s)
@@ -254,7 +254,7 @@
 
 
 @apply.register(faults.NodeReplaced)
-def _node_replaced(fault: faults.NodeReplaced, fleet: AnyFleet) -> EndAction:
+def _node_replaced(fault: faults.NodeReplaced, fleet: BaseFleet) -> EndAction:
     targets = [instance for instance in _target_nodes(fault, fleet) if instance.up]
     notice, rng = fleet.scenario.world.notice_s, _fault_rng(fault, fleet)
 
@@ -274,15 +274,15 @@
 
 
 @apply.register(faults.FleetRenewed)
-def _fleet_renewed(fault: faults.FleetRenewed, fleet: AnyFleet) -> EndAction:
-    rng, targets = _fault_rng(fault, fleet), [instance for instance in fleet.places if instance.up]
+def _fleet_renewed(fault: faults.FleetRenewed, fleet: BaseFleet) -> EndAction:
+    rng, targets = _fault_rng(fault, fleet), [instance for instance in fleet.node_instances if instance.up]
     for instance in rng.sample(targets, math.ceil(len(targets) * fault.part)):
         instance.replace(f"s-{rng.getrandbits(32):08x}")
         instance.look(fleet.scenario.world.notice_s)
     return None
 
 
-def _cut_power(fault: faults.Fault, fleet: AnyFleet, targets: list[NodePlace]) -> EndAction:
+def _cut_power(fault: faults.Fault, fleet: BaseFleet, targets: list[NodeInstance]) -> EndAction:
     """Cut the power of the nodes' machines, and restore it at the end of the fault."""
     notices = fleet.scenario.world
     for instance in targets:
@@ -298,17 +298,17 @@
 
 
 @apply.register(faults.NodePowerLoss)
-def _node_power_loss(fault: faults.NodePowerLoss, fleet: AnyFleet) -> EndAction:
+def _node_power_loss(fault: faults.NodePowerLoss, fleet: BaseFleet) -> EndAction:
     return _cut_power(fault, fleet, _target_nodes(fault, fleet))
 
 
 @apply.register(faults.ZonePowerLoss)
-def _zone_power_loss(fault: faults.ZonePowerLoss, fleet: AnyFleet) -> EndAction:
+def _zone_power_loss(fault: faults.ZonePowerLoss, fleet: BaseFleet) -> EndAction:
     return _cut_power(fault, fleet, _zone_nodes(fault, fleet))
 
 
 @apply.register(faults.DrainCancelled)
-def _drain_cancelled(fault: faults.DrainCancelled, fleet: AnyFleet) -> EndAction:
+def _drain_cancelled(fault: faults.DrainCancelled, fleet: BaseFleet) -> EndAction:
     targets = _target_nodes(fault, fleet)
     for instance in targets:
         instance.told_draining.append(fault)
@@ -323,7 +323,7 @@
 
 
 @apply.register(faults.DrainFlaps)
-def _drain_flaps(fault: faults.DrainFlaps, fleet: AnyFleet) -> EndAction:
+def _drain_flaps(fault: faults.DrainFlaps, fleet: BaseFleet) -> EndAction:
     targets = _target_nodes(fault, fleet)
 
     def tick() -> None:
@@ -348,33 +348,33 @@
 # --- discovery ------------------------------------------------------------------------------------
 
 
-def _inject_at_discovery(fleet: AnyFleet, injected: object, can_notify: bool = False) -> EndAction:
+def _inject_at_discovery(fleet: BaseFleet, injected: object, can_notify: bool = False) -> EndAction:
     fleet.discovery.begin(injected, can_notify)
     return lambda: fleet.discovery.end(injected, can_notify)
 
 
 @apply.register(faults.DiscoveryDown)
-def _discovery_down(fault: faults.DiscoveryDown, fleet: AnyFleet) -> EndAction:
+def _discovery_down(fault: faults.DiscoveryDown, fleet: BaseFleet) -> EndAction:
     return _inject_at_discovery(fleet, discovery.Down(fault.how))
 
 
 @apply.register(faults.DiscoverySlow)
-def _discovery_slow(fault: faults.DiscoverySlow, fleet: AnyFleet) -> EndAction:
+def _discovery_slow(fault: faults.DiscoverySlow, fleet: BaseFleet) -> EndAction:
     return _inject_at_discovery(fleet, discovery.SlowCalls(fault.factor))
 
 
 @apply.register(faults.DiscoveryUnresponsive)
-def _discovery_unresponsive(fault: faults.DiscoveryUnresponsive, fleet: AnyFleet) -> EndAction:
+def _discovery_unresponsive(fault: faults.DiscoveryUnresponsive, fleet: BaseFleet) -> EndAction:
     return _inject_at_discovery(fleet, discovery.Silent())
 
 
 @apply.register(faults.DiscoveryGarbage)
-def _discovery_garbage(fault: faults.DiscoveryGarbage, fleet: AnyFleet) -> EndAction:
+def _discovery_garbage(fault: faults.DiscoveryGarbage, fleet: BaseFleet) -> EndAction:
     return _inject_at_discovery(fleet, discovery.Garbage(fault.how))
 
 
 @apply.register(faults.DiscoveryRestarted)
-def _discovery_restarted(fault: faults.DiscoveryRestarted, fleet: AnyFleet) -> EndAction:
+def _discovery_restarted(fault: faults.DiscoveryRestarted, fleet: BaseFleet) -> EndAction:
     instance = fleet.discovery
     instance.kill()
     instance.unable(1)
@@ -387,7 +387,7 @@
 
 
 @apply.register(faults.DiscoveryMoved)
-def _discovery_moved(fault: faults.DiscoveryMoved, fleet: AnyFleet) -> EndAction:
+def _discovery_moved(fault: faults.DiscoveryMoved, fleet: BaseFleet) -> EndAction:
     fleet.discovery.move(fault.version, fault.keeps_s)
     for sidecar in fleet.sidecars:
         sidecar.rewrite_file()
@@ -396,7 +396,7 @@
 
 
 @apply.register(faults.ListChurns)
-def _list_churns(fault: faults.ListChurns, fleet: AnyFleet) -> EndAction:
+def _list_churns(fault: faults.ListChurns, fleet: BaseFleet) -> EndAction:
     rng = _fault_rng(fault, fleet)
 
     def tick() -> None:
@@ -413,7 +413,7 @@
 
 
 @apply.register(faults.MisbehavingClients)
-def _misbehaving_clients(fault: faults.MisbehavingClients, fleet: AnyFleet) -> EndAction:
+def _misbehaving_clients(fault: faults.MisbehavingClients, fleet: BaseFleet) -> EndAction:
     ends: list[Callable[[], None]] = []
 
     def start(bad: BadClients) -> None:
@@ -437,7 +437,7 @@
 
 
 @apply.register(faults.SidecarTerminated)
-def _sidecar_terminated(fault: faults.SidecarTerminated, fleet: AnyFleet) -> EndAction:
+def _sidecar_terminated(fault: faults.SidecarTerminated, fleet: BaseFleet) -> EndAction:
     targets = [(instance, instance.process) for instance in _target_sidecars(fault, fleet) if instance.up]
     started_ns = fleet.world.now_ns
     for instance, _ in targets:
@@ -457,7 +457,7 @@
 
 
 @apply.register(faults.SidecarKilled)
-def _sidecar_killed(fault: faults.SidecarKilled, fleet: AnyFleet) -> EndAction:
+def _sidecar_killed(fault: faults.SidecarKilled, fleet: BaseFleet) -> EndAction:
     targets = [(instance, instance.process) for instance in _target_sidecars(fault, fleet) if instance.up]
     for instance, _ in targets:
         instance.signal(signal.SIGKILL)
@@ -471,21 +471,21 @@
 
 
 @apply.register(faults.SidecarStalled)
-def _sidecar_stalled(fault: faults.SidecarStalled, fleet: AnyFleet) -> EndAction:
+def _sidecar_stalled(fault: faults.SidecarStalled, fleet: BaseFleet) -> EndAction:
     for instance in _target_sidecars(fault, fleet):
         instance.machine.stall(int(fault.stall_s * SECOND))
     return None
 
 
 @apply.register(faults.SidecarPaused)
-def _sidecar_paused(fault: faults.SidecarPaused, fleet: AnyFleet) -> EndAction:
+def _sidecar_paused(fault: faults.SidecarPaused, fleet: BaseFleet) -> EndAction:
     for instance in _target_sidecars(fault, fleet):
         instance.pause(int(fault.for_s * SECOND))
     return None
 
 
 @apply.register(faults.SidecarStarved)
-def _sidecar_starved(fault: faults.SidecarStarved, fleet: AnyFleet) -> EndAction:
+def _sidecar_starved(fault: faults.SidecarStarved, fleet: BaseFleet) -> EndAction:
     targets = _target_sidecars(fault, fleet)
     for instance in targets:
         instance.signal(signal.SIGKILL)
@@ -500,7 +500,7 @@
 
 
 @apply.register(faults.SidecarUnreachable)
-def _sidecar_unreachable(fault: faults.SidecarUnreachable, fleet: AnyFleet) -> EndAction:
+def _sidecar_unreachable(fault: faults.SidecarUnreachable, fleet: BaseFleet) -> EndAction:
     front = fleet.client_machine
     pairs: MachinePairs = [(front, instance.machine) for instance in _target_sidecars(fault, fleet)]
     if fault.way == "from-sidecar":
@@ -509,7 +509,7 @@
 
 
 @apply.register(faults.DiscoveryUnreachable)
-def _discovery_unreachable(fault: faults.DiscoveryUnreachable, fleet: AnyFleet) -> EndAction:
+def _discovery_unreachable(fault: faults.DiscoveryUnreachable, fleet: BaseFleet) -> EndAction:
     machine, targets = fleet.discovery.machine, _target_sidecars(fault, fleet)
 
     def set_able(on: bool) -> None:
@@ -527,12 +527,12 @@
 
 
 @apply.register(faults.ListsDiffer)
-def _lists_differ(fault: faults.ListsDiffer, fleet: AnyFleet) -> EndAction:
+def _lists_differ(fault: faults.ListsDiffer, fleet: BaseFleet) -> EndAction:
     return _inject_at_discovery(fleet, discovery.Behind(fault.part, fault.by_s), can_notify=True)
 
 
 @apply.register(faults.WallClockSet)
-def _wall_clock_set(fault: faults.WallClockSet, fleet: AnyFleet) -> EndAction:
+def _wall_clock_set(fault: faults.WallClockSet, fleet: BaseFleet) -> EndAction:
     targets, by = _target_sidecars(fault, fleet), int(fault.by_s * SECOND)
     for instance in targets:
         instance.machine.shift_wall(by)
@@ -545,7 +545,7 @@
 
 
 @apply.register(faults.DescriptorsExhausted)
-def _descriptors_exhausted(fault: faults.DescriptorsExhausted, fleet: AnyFleet) -> EndAction:
+def _descriptors_exhausted(fault: faults.DescriptorsExhausted, fleet: BaseFleet) -> EndAction:
     targets = _target_sidecars(fault, fleet)
     for instance in targets:
         instance.squeeze(fault, fault.left)
@@ -578,7 +578,7 @@
     return lambda: scheduler.call_soon(stop)
 
 
-def _apply_for(fault: faults.Fault, fleet: AnyFleet, seconds: float) -> None:
+def _apply_for(fault: faults.Fault, fleet: BaseFleet, seconds: float) -> None:
     """Apply a nested fault for some seconds."""
     end = apply(fault, fleet)
     if end is not None:
@@ -586,7 +586,7 @@
 
 
 @apply.register(faults.NodeBanned)
-def _node_banned(fault: faults.NodeBanned, fleet: AnyFleet) -> EndAction:
+def _node_banned(fault: faults.NodeBanned, fleet: BaseFleet) -> EndAction:
     if fleet.operators is None:
         return None
     targets, down_s = _target_nodes(fault, fleet), fault.for_s / 4
@@ -599,7 +599,7 @@
 
 
 @apply.register(faults.SidecarOutOfService)
-def _sidecar_out_of_service(fault: faults.SidecarOutOfService, fleet: AnyFleet) -> EndAction:
+def _sidecar_out_of_service(fault: faults.SidecarOutOfService, fleet: BaseFleet) -> EndAction:
     if fleet.operators is None:
         return None
     targets = _target_sidecars(fault, fleet)
@@ -612,14 +612,14 @@
 
 
 @apply.register(faults.SidecarsRestarted)
-def _sidecars_restarted(fault: faults.SidecarsRestarted, fleet: AnyFleet) -> EndAction:
+def _sidecars_restarted(fault: faults.SidecarsRestarted, fleet: BaseFleet) -> EndAction:
     end = apply(faults.DiscoveryDown(at_s=0.0, how="503"), fleet)
     _apply_for(faults.SidecarKilled(at_s=0.0), fleet, fault.down_s)
     return end
 
 
 @apply.register(faults.BadConfiguration)
-def _bad_configuration(fault: faults.BadConfiguration, fleet: AnyFleet) -> EndAction:
+def _bad_configuration(fault: faults.BadConfiguration, fleet: BaseFleet) -> EndAction:
     targets = _target_sidecars(fault, fleet)
     for instance in targets:
         good = instance.good_file
@@ -643,7 +643,7 @@
 
 
 @apply.register(faults.LinkPartition)
-def _link_partition(fault: faults.LinkPartition, fleet: AnyFleet) -> EndAction:
+def _link_partition(fault: faults.LinkPartition, fleet: BaseFleet) -> EndAction:
     pairs = _links_to_sidecars(fault, fleet)
     if fault.way == "to-node":
         pairs = [(to, from_) for from_, to in pairs]
@@ -651,7 +651,7 @@
 
 
 @apply.register(faults.ZonePartition)
-def _zone_partition(fault: faults.ZonePartition, fleet: AnyFleet) -> EndAction:
+def _zone_partition(fault: faults.ZonePartition, fleet: BaseFleet) -> EndAction:
     pairs = [
         (instance.machine, each.machine)
         for instance in _zone_nodes(fault, fleet)
@@ -662,7 +662,7 @@
 
 
 @apply.register(faults.ZoneFlaps)
-def _zone_flaps(fault: faults.ZoneFlaps, fleet: AnyFleet) -> EndAction:
+def _zone_flaps(fault: faults.ZoneFlaps, fleet: BaseFleet) -> EndAction:
     length, ends = fault.every_s, list[EndAction]()
 
     def tick() -> None:
@@ -687,7 +687,7 @@
 
 
 @apply.register(faults.ZoneUnreachable)
-def _zone_unreachable(fault: faults.ZoneUnreachable, fleet: AnyFleet) -> EndAction:
+def _zone_unreachable(fault: faults.ZoneUnreachable, fleet: BaseFleet) -> EndAction:
     pairs = [
         (instance.machine, each.machine)
         for instance in _zone_nodes(fault, fleet)
@@ -700,7 +700,7 @@
 
 
 @apply.register(faults.ZoneDegraded)
-def _zone_degraded(fault: faults.ZoneDegraded, fleet: AnyFleet) -> EndAction:
+def _zone_degraded(fault: faults.ZoneDegraded, fleet: BaseFleet) -> EndAction:
     targets = _zone_nodes(fault, fleet)
     slow = _inject(targets, node.SlowNow(fault.every, fault.factor))
     resets = _inject(targets, node.Resets("after", fault.resets))
@@ -714,12 +714,12 @@
 
 
 @apply.register(faults.ZoneDrained)
-def _zone_drained(fault: faults.ZoneDrained, fleet: AnyFleet) -> EndAction:
+def _zone_drained(fault: faults.ZoneDrained, fleet: BaseFleet) -> EndAction:
     notice = fleet.scenario.world.notice_s
     ends: list[EndAction] = []
     stopped: list[bool] = []
 
-    def drain(instance: NodePlace) -> None:
+    def drain(instance: NodeInstance) -> None:
         if not stopped:
             ends.append(_drain_and_restart(fault, fleet, [instance], fault.drain_s, notice))
 
@@ -739,7 +739,7 @@
 
 
 @apply.register(faults.ZoneRulesRead)
-def _zone_rules_read(fault: faults.ZoneRulesRead, fleet: AnyFleet) -> EndAction:
+def _zone_rules_read(fault: faults.ZoneRulesRead, fleet: BaseFleet) -> EndAction:
     def write(what: str) -> None:
         for instance in fleet.sidecars:
             if what in ("trust", "evacuate"):
@@ -756,14 +756,14 @@
 
 
 @apply.register(faults.LinkLatency)
-def _link_latency(fault: faults.LinkLatency, fleet: AnyFleet) -> EndAction:
+def _link_latency(fault: faults.LinkLatency, fleet: BaseFleet) -> EndAction:
     pairs = _links_to_sidecars(fault, fleet)
     _add_latency(fleet, pairs, fault.by_s)
     return lambda: _add_latency(fleet, pairs, 0.0)
 
 
 @apply.register(faults.LinkJitter)
-def _link_jitter(fault: faults.LinkJitter, fleet: AnyFleet) -> EndAction:
+def _link_jitter(fault: faults.LinkJitter, fleet: BaseFleet) -> EndAction:
     rng, pairs = _fault_rng(fault, fleet), _links_to_sidecars(fault, fleet)
 
     def tick() -> None:
@@ -780,7 +780,7 @@
 
 
 @apply.register(faults.LinkThrottled)
-def _link_throttled(fault: faults.LinkThrottled, fleet: AnyFleet) -> EndAction:
+def _link_throttled(fault: faults.LinkThrottled, fleet: BaseFleet) -> EndAction:
     network = fleet.world.network
     pairs = _links_to_sidecars(fault, fleet)
     for one, other in pairs:
@@ -794,7 +794,7 @@
 
 
 @apply.register(faults.ConnectsUnanswered)
-def _connects_unanswered(fault: faults.ConnectsUnanswered, fleet: AnyFleet) -> EndAction:
+def _connects_unanswered(fault: faults.ConnectsUnanswered, fleet: BaseFleet) -> EndAction:
     network, targets = fleet.world.network, _target_nodes(fault, fleet)
     for instance in targets:
         network.swallow_connects(instance.machine)
@@ -807,7 +807,7 @@
 
 
 @apply.register(faults.ConnectsRefused)
-def _connects_refused(fault: faults.ConnectsRefused, fleet: AnyFleet) -> EndAction:
+def _connects_refused(fault: faults.ConnectsRefused, fleet: BaseFleet) -> EndAction:
     network, targets = fleet.world.network, _target_nodes(fault, fleet)
     for instance in targets:
         network.refuse(instance.machine, instance.address[1])
@@ -820,7 +820,7 @@
 
 
 @apply.register(faults.ConnectionsReset)
-def _connections_reset(fault: faults.ConnectionsReset, fleet: AnyFleet) -> EndAction:
+def _connections_reset(fault: faults.ConnectionsReset, fleet: BaseFleet) -> EndAction:
     rng, targets = _fault_rng(fault, fleet), _target_nodes(fault, fleet)
 
     def tick() -> None:
@@ -833,7 +833,7 @@
 
 
 @apply.register(faults.ConnectionsStalled)
-def _connections_stalled(fault: faults.ConnectionsStalled, fleet: AnyFleet) -> EndAction:
+def _connections_stalled(fault: faults.ConnectionsStalled, fleet: BaseFleet) -> EndAction:
     rng = _fault_rng(fault, fleet)
     silenced = [
         connection
--- a/brambleusher/lab/fleets/fleet.py
+++ b/brambleusher/lab/fleets/fleet.py
@@ -167,10 +167,10 @@
 # --- managed processes ----------------------------------------------------------------------------
 
 
-class NodePlace:
+class NodeInstance:
     """A node of the fleet: its machine, its current process, and the reasons that keep it from running."""
 
-    def __init__(self, fleet: AnyFleet, figures: NodeFigures, machine: Machine) -> None:
+    def __init__(self, fleet: BaseFleet, figures: NodeFigures, machine: Machine) -> None:
         self.fleet, self.figures, self.machine = fleet, figures, machine
         self.id = figures.id
         self.active_faults = ActiveFaults()
@@ -310,10 +310,10 @@
         self.fleet.world.after(int(after_s * SECOND), lambda: self.fleet.discovery.look(self))
 
 
-class DiscoveryPlace:
+class DiscoveryInstance:
     """The current discovery service: its list of nodes, its machine and its process."""
 
-    def __init__(self, fleet: AnyFleet) -> None:
+    def __init__(self, fleet: BaseFleet) -> None:
         self.fleet = fleet
         self.machine = fleet.world.machine("discovery", "10.2.0.1")
         self.version = 1
@@ -391,14 +391,14 @@
         self._update_blockers += by
         self.fleet.audience.discovery_able(self.fleet.world.now_ns, self._update_blockers == 0)
 
-    def look(self, place: NodePlace) -> None:
+    def look(self, instance: NodeInstance) -> None:
         """Update the entry of a node to its current state."""
         changed = [
             msgspec.structs.replace(self.list[name], state="Gone")
-            for name in place.former
+            for name in instance.former
             if name in self.list
         ]
-        entry = place.entry()
+        entry = instance.entry()
         listed = self.list.get(entry.id)
         if listed != entry and (listed is not None or entry.state != "Gone"):
             changed.append(entry)
@@ -425,7 +425,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SidecarEnd:
+class SidecarResources:
     """The resources that a sidecar still holds after the end of all requests."""
 
     name: str
@@ -459,10 +459,10 @@
         return found
 
 
-class SidecarPlace:
+class SidecarInstance:
     """A sidecar of the fleet: its machine, its configuration files and its process."""
 
-    def __init__(self, fleet: AnyFleet, number: int, figures: SidecarFigures) -> None:
+    def __init__(self, fleet: BaseFleet, number: int, figures: SidecarFigures) -> None:
         self.fleet, self.number, self.figures = fleet, number, figures
         self.machine = fleet.world.machine(figures.name, f"10.0.0.{number + 1}")
         self.file = self.good_file = b""  # current file, and the last valid one from the platform
@@ -589,15 +589,15 @@
         if self.process is not None:
             self.process.signal(number)
 
-    def state(self) -> SidecarEnd:
+    def state(self) -> SidecarResources:
         """Return the resources that the sidecar currently holds."""
         sidecar, process = self.sidecar, self.process
         if sidecar is None or process is None or process.dead:
             stderr = b"" if process is None else bytes(process.stderr)
-            return SidecarEnd(self.figures.name, False, 0, 0, 0, 0, 0, 0, 0, 0, stderr)
+            return SidecarResources(self.figures.name, False, 0, 0, 0, 0, 0, 0, 0, 0, stderr)
         nodes = sidecar.upstream_pool
         idle = nodes.idle_connections
-        return SidecarEnd(
+        return SidecarResources(
             name=self.figures.name, up=True, tickets=sidecar.balancer_driver.pending_requests,
             clients=sidecar.client_listener.connections, claims=nodes.open_attempts,
             node_connections=nodes.open_connections, node_idle=idle, timers=sidecar.scheduler.timers,
@@ -613,7 +613,7 @@
         return b"" if self.process is None else bytes(self.process.stderr)
 
 
-class AnyFleet:
+class BaseFleet:
     """A whole fleet in the virtual or the real world.
 
     `play` runs a scenario to its end.  For finer control, call `start`, run the world, and call `quiesce`.
@@ -628,9 +628,9 @@
         self.asked: list[Asked] = []  # requests of all clients
         self.misdeeds: list[Misdeed] = []
         figures = scenario.world
-        self.discovery = DiscoveryPlace(self)
-        self.places = [
-            NodePlace(self, node, self.world.machine(node_machine(number), node_address(number)[0]))
+        self.discovery = DiscoveryInstance(self)
+        self.node_instances = [
+            NodeInstance(self, node, self.world.machine(node_machine(number), node_address(number)[0]))
             for number, node in enumerate(figures.nodes)
         ]
         self.sidecars = [self.new_sidecar(number, sidecar) for number, sidecar in enumerate(figures.sidecars)]
@@ -651,9 +651,9 @@
         self.new_node: Callable[..., Node] = Node  # replaceable by experiments
         self.new_balancer: Callable[[Settings, int], Balancer] = balancer_for  # replaceable by experiments
 
-    def new_sidecar(self, number: int, figures: SidecarFigures) -> SidecarPlace:
+    def new_sidecar(self, number: int, figures: SidecarFigures) -> SidecarInstance:
         """Create a sidecar of the class used in this kind of world."""
-        return SidecarPlace(self, number, figures)
+        return SidecarInstance(self, number, figures)
 
     # --- figures --------------------------------------------------------------------------------
 
@@ -671,9 +671,9 @@
 
     def zone_of(self, machine: Machine) -> str:
         """Return the zone of a machine; empty for machines other than nodes and sidecars."""
-        for place in self.places:
-            if place.machine is machine:
-                return place.figures.zone
+        for instance in self.node_instances:
+            if instance.machine is machine:
+                return instance.figures.zone
         for sidecar in self.sidecars:
             if sidecar.machine is machine:
                 return sidecar.figures.zone
@@ -693,11 +693,11 @@
             for link in (network.link(machine, other), network.link(other, machine)):
                 link.latency_ns = max(1, int(seconds * SECOND))
 
-    def place(self, name: str) -> NodePlace:
+    def node_instance(self, name: str) -> NodeInstance:
         """Return the node with this id in the scenario."""
-        return next(place for place in self.places if place.figures.id == name)
+        return next(instance for instance in self.node_instances if instance.figures.id == name)
 
-    def sidecar(self, name: str) -> SidecarPlace:
+    def sidecar(self, name: str) -> SidecarInstance:
         """Return the sidecar with this name."""
         return next(each for each in self.sidecars if each.figures.name == name)
 
@@ -705,11 +705,11 @@
 
     def start(self) -> None:
         """Start all processes; requests and faults begin at `begins_ns`."""
-        for place in self.places:
-            place.start(cold=False)
-        for place in self.places:
-            if place.up:
-                entry = msgspec.structs.replace(place.entry(), state="Ready")
+        for instance in self.node_instances:
+            instance.start(cold=False)
+        for instance in self.node_instances:
+            if instance.up:
+                entry = msgspec.structs.replace(instance.entry(), state="Ready")
                 self.discovery.list[entry.id] = entry
         now = self.world.now_ns
         self.audience.true_list(
@@ -745,7 +745,7 @@
             self.clients.append(client)
             client.start(begin)
 
-    def _address_of(self, machine: Machine, sidecar: SidecarPlace) -> Address:
+    def _address_of(self, machine: Machine, sidecar: SidecarInstance) -> Address:
         return self.world.network.seen_from(machine, sidecar.address)
 
     def _start_bad_clients(self, scheduler: Scheduler) -> None:
@@ -787,7 +787,9 @@
         faults_s, length_s = self.scenario.world.faults_s, self.scenario.world.length_s
         work = sum(ask.work_s for ask in self.scenario.asks if ask.at_s > faults_s)
         capacity = sum(
-            place.node.machine.capacity for place in self.places if place.up and place.node is not None
+            instance.node.machine.capacity
+            for instance in self.node_instances
+            if instance.up and instance.node is not None
         )
         up = not self.running and all(sidecar.up for sidecar in self.sidecars)
         if up and work / max(0.001, length_s - faults_s) <= GOOD_LOAD * capacity:
@@ -795,7 +797,7 @@
         elif self.world.now_ns < self.ends_ns:
             self.world.after(int(CALM_AGAIN_S * SECOND), self._calm)
 
-    def quiesce(self) -> list[SidecarEnd]:
+    def quiesce(self) -> list[SidecarResources]:
         """Run until all requests have ended and resources are released; return the sidecars' final states."""
         for client in self.clients:
             client.scheduler.call_soon(client.stop)
@@ -826,7 +828,7 @@
         self.world.run(limit, lambda: not any(sidecar.up for sidecar in self.sidecars))
         return [each.process for each in self.sidecars if each.up and each.process is not None]
 
-    def play(self) -> list[SidecarEnd]:
+    def play(self) -> list[SidecarResources]:
         """Run the whole scenario, and return the sidecars' final states."""
         self.start()
         self.world.run(self.ends_ns)
@@ -840,7 +842,7 @@
         return work / figures.length_s / figures.capacity
 
 
-class Fleet(AnyFleet):
+class Fleet(BaseFleet):
     """A fleet in the virtual world."""
 
     world: World
--- a/brambleusher/lab/processes/drill.py
+++ b/brambleusher/lab/processes/drill.py
@@ -18,7 +18,7 @@
 from brambleusher.lab.collection import uncollected
 from brambleusher.lab.faults.kinds import AnyFault, check_faults
 from brambleusher.lab.fleets.figures import Drawer, Ranges, WorldFigures, draw_world
-from brambleusher.lab.fleets.fleet import AnyFleet, Fleet, world_of
+from brambleusher.lab.fleets.fleet import BaseFleet, Fleet, world_of
 from brambleusher.lab.fleets.scenario import Scenario
 from brambleusher.lab.fleets.worlds import laid_over
 from brambleusher.lab.processes.breakages import on
@@ -283,7 +283,7 @@
     return sorted(values)[int(0.99 * (len(values) - 1))] if values else 0.0
 
 
-def _judge(drill: Drill, fleet: AnyFleet, checker: Checker, outcome: Outcome) -> None:
+def _judge(drill: Drill, fleet: BaseFleet, checker: Checker, outcome: Outcome) -> None:
     asked = [each for each in fleet.asked if each.tries]
     tries = [each for one in asked for each in one.tries]
     outcome.asked = len(asked)
--- a/brambleusher/lab/processes/fleet.py
+++ b/brambleusher/lab/processes/fleet.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from brambleusher.lab.fleets.figures import SidecarFigures
-from brambleusher.lab.fleets.fleet import AnyFleet, Audience, SidecarEnd, SidecarPlace
+from brambleusher.lab.fleets.fleet import Audience, BaseFleet, SidecarInstance, SidecarResources
 from brambleusher.lab.fleets.scenario import Scenario
 from brambleusher.lab.processes.parent import tied_to
 from brambleusher.lab.processes.stage import RealStage
@@ -157,7 +157,7 @@
             self.place.paused(on)
 
 
-class RealSidecarPlace(SidecarPlace):
+class RealSidecarPlace(SidecarInstance):
     """Where a sidecar stands whose process is real."""
 
     fleet: RealFleet
@@ -242,14 +242,14 @@
         self.real.squeezed = bool(self._squeezes)
         self.fleet.audience.starved(self.stage.now_ns, self.machine.name, bool(self._squeezes))
 
-    def state(self) -> SidecarEnd:
+    def state(self) -> SidecarResources:
         """What can be seen of it from outside: descriptors beyond its connections are left over."""
         process, name = self.process, self.figures.name
         if process is None or process.dead:
-            return SidecarEnd(name, False, 0, 0, 0, 0, 0, 0, 0, 0, self.stderr)
+            return SidecarResources(name, False, 0, 0, 0, 0, 0, 0, 0, 0, self.stderr)
         relays = self.stage.network.relays.values()
         asked = sum(each.way.server is self.real for each in relays)
-        return SidecarEnd(
+        return SidecarResources(
             name=name, up=True, tickets=0, clients=asked, claims=0, node_connections=0, node_idle=0,
             timers=0, descriptors=process.descriptors,
             descriptors_due=self.at_rest + self.stage.network.open_at(self.real), stderr=b"",
@@ -286,7 +286,7 @@
             self._audience.node(now, name, each, started_ms)
 
 
-class RealFleet(AnyFleet):
+class RealFleet(BaseFleet):
     """The fleet; `breakage` names a fault that is put into every sidecar."""
 
     stage: RealStage
@@ -304,7 +304,7 @@
         """All sidecars' places."""
         return [place for place in self.sidecars if isinstance(place, RealSidecarPlace)]
 
-    def new_sidecar(self, number: int, figures: SidecarFigures) -> SidecarPlace:
+    def new_sidecar(self, number: int, figures: SidecarFigures) -> SidecarInstance:
         """A place for a real process."""
         return RealSidecarPlace(self, number, figures)
 
--- a/brambleusher/lab/virtual/zone_days.py
+++ b/brambleusher/lab/virtual/zone_days.py
@@ -133,7 +133,7 @@
 
     def _look(self) -> None:
         world = self._fleet.world
-        for place in self._fleet.places:
+        for place in self._fleet.node_instances:
             node, settings = place.node, place.figures.settings
             part = 0.0
             if node is not None and place.up:
@@ -220,7 +220,7 @@
     """A played fleet's books; `returns` names a zone, and since when work sent to its cold nodes counts."""
     scenario = fleet.scenario
     seconds = math.ceil(scenario.world.length_s)
-    zone_of = {place.figures.id: place.figures.zone for place in fleet.places}
+    zone_of = {place.figures.id: place.figures.zone for place in fleet.node_instances}
     home_of = [each.zone for each in scenario.world.sidecars]
     aims = {each.name: each.aim_s for each in CLASSES}
 
@@ -263,7 +263,7 @@
         asked=asked, served=served, in_time=in_time, homes=homes, went=[dict(each) for each in went],
         crossed=crossed, over=[(name, *span) for name, spans in watch.over.items() for span in spans],
         held=dict(watch.held), pushed={name: work_sent(there) for name, there in came.items()},
-        fallen=sum(place.fallen for place in fleet.places), run_twice=twice, lost=lost,
+        fallen=sum(place.fallen for place in fleet.node_instances), run_twice=twice, lost=lost,
     )  # fmt: skip
 
 
--- a/tests/lab/test_fault_plans.py
+++ b/tests/lab/test_fault_plans.py
@@ -174,8 +174,8 @@
 NODE, SIDECAR = BASE.world.nodes[0], BASE.world.sidecars[0]
 
 
-def place(fleet: Fleet) -> Any:
-    return fleet.place(NODE.id)
+def node_instance(fleet: Fleet) -> Any:
+    return fleet.node_instance(NODE.id)
 
 
 def state(fleet: Fleet, name: str = NODE.id) -> str:
@@ -185,7 +185,7 @@
 
 
 def active_fault(fleet: Fleet, kind: type[Any]) -> Any:
-    return place(fleet).active_faults.last(kind)
+    return node_instance(fleet).active_faults.last(kind)
 
 
 def service(fleet: Fleet) -> Any:
@@ -201,7 +201,7 @@
 
 
 def linked(fleet: Fleet, to_node: bool) -> bool:
-    node, sidecar = place(fleet).machine, fleet.sidecars[0].machine
+    node, sidecar = node_instance(fleet).machine, fleet.sidecars[0].machine
     pair = (sidecar, node) if to_node else (node, sidecar)
     return not fleet.world.network.link(*pair).down
 
@@ -209,7 +209,7 @@
 def extra(fleet: Fleet) -> int:
     machines = fleet.world.machines
     return fleet.world.network.link(
-        machines[place(fleet).machine.name], machines[fleet.sidecars[0].machine.name]
+        machines[node_instance(fleet).machine.name], machines[fleet.sidecars[0].machine.name]
     ).extra_ns
 
 
@@ -234,26 +234,27 @@
 
 # For each kind: its parameters, and a condition that holds during the fault but not before or after it.
 CASES: dict[str, tuple[dict[str, Any], See]] = {
-    "node-slow": ({"factor": 4.0}, lambda fleet, _: place(fleet).node.machine._slow == 4.0),
-    "node-hung": ({}, lambda fleet, _: place(fleet).node.machine._hung),
-    "node-stalled": ({}, lambda fleet, _: place(fleet).process.stalled_until > fleet.world.now_ns),
-    "node-crashed": ({}, lambda fleet, _: not place(fleet).up and state(fleet) == "Gone"),
+    "node-slow": ({"factor": 4.0}, lambda fleet, _: node_instance(fleet).node.machine._slow == 4.0),
+    "node-hung": ({}, lambda fleet, _: node_instance(fleet).node.machine._hung),
+    "node-stalled": ({}, lambda fleet, _: node_instance(fleet).process.stalled_until > fleet.world.now_ns),
+    "node-crashed": ({}, lambda fleet, _: not node_instance(fleet).up and state(fleet) == "Gone"),
     "node-restarted": (
-        {"drain_s": 0.5}, lambda fleet, _: not place(fleet).up and state(fleet) == "Gone",
+        {"drain_s": 0.5}, lambda fleet, _: not node_instance(fleet).up and state(fleet) == "Gone",
     ),
-    "node-vanished": ({}, lambda fleet, _: place(fleet).machine.gone and state(fleet) == "Gone"),
+    "node-vanished": ({}, lambda fleet, _: node_instance(fleet).machine.gone and state(fleet) == "Gone"),
     "fleet-shrinks": (
         {"part": 0.5, "drain_s": 0.3},
-        lambda fleet, _: sum(not each.up for each in fleet.places if not each.figures.spare) >= 1,
+        lambda fleet, _: sum(not each.up for each in fleet.node_instances if not each.figures.spare) >= 1,
     ),
     "neighbour": (
         {"share": 0.5, "on_s": 9.0, "off_s": 0.1},
-        lambda fleet, _: place(fleet).node.machine._neighbour_share == 0.5,
+        lambda fleet, _: node_instance(fleet).node.machine._neighbour_share == 0.5,
     ),
     "drain-told-late": (
-        {"late_s": 0.7, "drain_s": 0.3}, lambda fleet, _: not place(fleet).up and state(fleet) == "Gone",
+        {"late_s": 0.7, "drain_s": 0.3},
+        lambda fleet, _: not node_instance(fleet).up and state(fleet) == "Gone",
     ),
-    "drain-taken-back": ({}, lambda fleet, _: place(fleet).up and state(fleet) == "Terminating"),
+    "drain-taken-back": ({}, lambda fleet, _: node_instance(fleet).up and state(fleet) == "Terminating"),
     "drain-flaps": ({"every_s": 0.15}, lambda fleet, _: bool(fleet.discovery.version > 8)),
     "resets": (
         {"where": "in", "part": 1.0}, lambda fleet, _: active_fault(fleet, at_node.Resets) is not None,
@@ -297,9 +298,11 @@
         {"way": "to-node"}, lambda fleet, _: not linked(fleet, True) and linked(fleet, False),
     ),
     "link-slow": ({"by_s": 0.1}, lambda fleet, _: extra(fleet) == SECOND // 10),
-    "connects-swallowed": ({}, lambda fleet, _: place(fleet).machine.swallows),
+    "connects-swallowed": ({}, lambda fleet, _: node_instance(fleet).machine.swallows),
     "connects-refused": ({}, lambda fleet, _: bool(fleet.world.network.refusing)),
-    "zone-lost": ({}, lambda fleet, _: place(fleet).machine.gone and not fleet.places[1].machine.gone),
+    "zone-lost": (
+        {}, lambda fleet, _: node_instance(fleet).machine.gone and not fleet.node_instances[1].machine.gone,
+    ),
     "zone-cut": ({}, lambda fleet, _: not linked(fleet, True) and not linked(fleet, False)),
     "zone-flaps": ({"every_s": 1.3, "how": "cut"}, lambda fleet, _: not linked(fleet, True)),
     "zone-unreachable": (
@@ -311,7 +314,8 @@
         lambda fleet, _: active_fault(fleet, at_node.SlowNow) is not None,
     ),
     "zone-drained": (
-        {"gap_s": 0.1, "drain_s": 0.3}, lambda fleet, _: not place(fleet).up and state(fleet) == "Gone",
+        {"gap_s": 0.1, "drain_s": 0.3},
+        lambda fleet, _: not node_instance(fleet).up and state(fleet) == "Gone",
     ),
     "zone-rules-read": ({"what": "bad"}, lambda fleet, _: sidecar(fleet).operator.endswith(b"}}}")),
     "sidecar-paused": ({}, lambda fleet, _: sidecar(fleet).process.stalled_until > fleet.world.now_ns),
@@ -342,13 +346,13 @@
 }  # fmt: skip
 # Kinds whose effects outlast the fault, or are visible only over a longer time.
 STAYING: dict[str, tuple[dict[str, Any], See]] = {
-    "node-replaced": ({}, lambda fleet, _: place(fleet).id != NODE.id and state(fleet) == "Gone"),
+    "node-replaced": ({}, lambda fleet, _: node_instance(fleet).id != NODE.id and state(fleet) == "Gone"),
     "fleet-renewed": (
         {"part": 1.0},
-        lambda fleet, _: all(each.former and cold(each.node) for each in fleet.places if each.up),
+        lambda fleet, _: all(each.former and cold(each.node) for each in fleet.node_instances if each.up),
     ),
     "fleet-grows": (
-        {}, lambda fleet, _: all(each.up and cold(each.node) for each in fleet.places[-1:])
+        {}, lambda fleet, _: all(each.up and cold(each.node) for each in fleet.node_instances[-1:])
     ),
     "discovery-moved": (
         {"version": 1}, lambda fleet, _: fleet.discovery.address[0] == "10.2.0.2" and bool(
@@ -414,10 +418,10 @@
         if kind in CASES and kind != "drain-flaps":
             assert not seen(fleet, tap)
         assert not fleet.running
-        assert all(each.up for each in fleet.places if not each.figures.spare)
+        assert all(each.up for each in fleet.node_instances if not each.figures.spare)
         assert all(each.up for each in fleet.sidecars)
         assert {entry.state for entry in fleet.discovery.list.values()} == {"Ready"}
-        assert len(fleet.discovery.list) >= sum(not each.figures.spare for each in fleet.places)
+        assert len(fleet.discovery.list) >= sum(not each.figures.spare for each in fleet.node_instances)
 
 
 @pytest.mark.parametrize("kind", [kind for kind, of in VIRTUAL.items() if of.targets != "none"])
@@ -428,7 +432,7 @@
         fleet.start()
         world.run(fleet.begins_ns + int((FROM_S + FOR_S + 1.5) * SECOND))
         assert not fleet.running and all(each.up for each in fleet.sidecars)
-        assert all(each.up for each in fleet.places if not each.figures.spare)
+        assert all(each.up for each in fleet.node_instances if not each.figures.spare)
 
 
 def test_two_faults_that_use_up_descriptors_end_in_the_limit_there_was() -> None:
@@ -451,7 +455,7 @@
         up = []
         for at in (0.4, 0.8, 2.7, 3.6):
             world.run(fleet.begins_ns + int(at * SECOND))
-            up.append(place(fleet).up)
+            up.append(node_instance(fleet).up)
         assert up == [True, False, False, True]
 
 
