--- a/brambleusher/lab/experiments/run.py
+++ b/brambleusher/lab/experiments/run.py
@@ -118,7 +118,7 @@
             fleet.player.scheduler.call_soon(fleet.player.close)
         ends = fleet.quiesce()
         if checker is not None:
-            checker.finish(space.now_ns, [text for end in ends for text in end.left_over()])
+            checker.finish(space.now_ns, [text for end in ends for text in end.leaks()])
         events = _events(fleet, cell)
         documents: dict[str, object] = {}
         more = {"was_late": float(tally.results.late)}
--- a/brambleusher/lab/faults/effects.py
+++ b/brambleusher/lab/faults/effects.py
@@ -186,12 +186,12 @@
     notices, targets = fleet.scenario.world, _target_nodes(fault, fleet)
     for instance in targets:
         instance.stop(fault)
-        instance.look(notices.silent_notice_s)
+        instance.update_listing(notices.silent_notice_s)
 
     def end() -> None:
         for instance in targets:
-            instance.free(fault)
-            instance.look(notices.notice_s)
+            instance.remove_stop_reason(fault)
+            instance.update_listing(notices.notice_s)
 
     return end
 
@@ -205,13 +205,13 @@
     """
     for instance in targets:
         instance.drain(fault)
-        instance.look(notice_delay_s)
+        instance.update_listing(notice_delay_s)
 
     def stop() -> None:
         for instance in targets:
-            if instance.drains:
+            if instance.drain_reasons:
                 instance.stop(fault, reset=False)
-                instance.look(max(0.0, notice_delay_s - drain_s))
+                instance.update_listing(max(0.0, notice_delay_s - drain_s))
 
     if drain_s < fault.for_s:
         _call_later(fleet, drain_s, stop)
@@ -219,8 +219,8 @@
     def end() -> None:
         for instance in targets:
             instance.undrain(fault)
-            instance.free(fault)
-            instance.look(fleet.scenario.world.notice_s)
+            instance.remove_stop_reason(fault)
+            instance.update_listing(fleet.scenario.world.notice_s)
 
     return end
 
@@ -248,8 +248,8 @@
 def _fleet_grows(fault: faults.FleetGrows, fleet: BaseFleet) -> EndAction:
     for instance in fleet.node_instances:
         if instance.figures.spare:
-            instance.free("spare")
-            instance.look(fleet.scenario.world.notice_s)
+            instance.remove_stop_reason("spare")
+            instance.update_listing(fleet.scenario.world.notice_s)
     return None
 
 
@@ -263,12 +263,12 @@
             name = f"s-{rng.getrandbits(32):08x}"
             if instance.up:
                 instance.replace(name)
-                instance.look(notice)
+                instance.update_listing(notice)
 
     if fault.drain_s:
         for instance in targets:
             instance.drain(fault)
-            instance.look(notice)
+            instance.update_listing(notice)
     _call_later(fleet, min(fault.drain_s, fault.for_s), replace)
     return None
 
@@ -278,7 +278,7 @@
     rng, targets = _fault_rng(fault, fleet), [instance for instance in fleet.node_instances if instance.up]
     for instance in rng.sample(targets, math.ceil(len(targets) * fault.part)):
         instance.replace(f"s-{rng.getrandbits(32):08x}")
-        instance.look(fleet.scenario.world.notice_s)
+        instance.update_listing(fleet.scenario.world.notice_s)
     return None
 
 
@@ -287,12 +287,12 @@
     notices = fleet.scenario.world
     for instance in targets:
         instance.vanish(fault)
-        instance.look(notices.silent_notice_s)
+        instance.update_listing(notices.silent_notice_s)
 
     def end() -> None:
         for instance in targets:
             instance.come_back(fault)
-            instance.look(notices.notice_s)
+            instance.update_listing(notices.notice_s)
 
     return end
 
@@ -311,13 +311,13 @@
 def _drain_cancelled(fault: faults.DrainCancelled, fleet: BaseFleet) -> EndAction:
     targets = _target_nodes(fault, fleet)
     for instance in targets:
-        instance.told_draining.append(fault)
-        instance.look(0.0)
+        instance.listed_draining_reasons.append(fault)
+        instance.update_listing(0.0)
 
     def end() -> None:
         for instance in targets:
-            instance.told_draining.remove(fault)
-            instance.look(0.0)
+            instance.listed_draining_reasons.remove(fault)
+            instance.update_listing(0.0)
 
     return end
 
@@ -328,19 +328,21 @@
 
     def tick() -> None:
         for instance in targets:
-            if fault in instance.told_draining:
-                instance.told_draining.remove(fault)
+            if fault in instance.listed_draining_reasons:
+                instance.listed_draining_reasons.remove(fault)
             else:
-                instance.told_draining.append(fault)
-            instance.look(0.0)
+                instance.listed_draining_reasons.append(fault)
+            instance.update_listing(0.0)
 
     stop = _repeat(fleet, fault.every_s, tick)
 
     def end() -> None:
         stop()
         for instance in targets:
-            instance.told_draining = [each for each in instance.told_draining if each is not fault]
-            instance.look(0.0)
+            instance.listed_draining_reasons = [
+                each for each in instance.listed_draining_reasons if each is not fault
+            ]
+            instance.update_listing(0.0)
 
     return end
 
@@ -377,11 +379,11 @@
 def _discovery_restarted(fault: faults.DiscoveryRestarted, fleet: BaseFleet) -> EndAction:
     instance = fleet.discovery
     instance.kill()
-    instance.unable(1)
+    instance.change_update_blockers(1)
 
     def end() -> None:
         instance.restart()
-        instance.unable(-1)
+        instance.change_update_blockers(-1)
 
     return end
 
@@ -548,11 +550,11 @@
 def _descriptors_exhausted(fault: faults.DescriptorsExhausted, fleet: BaseFleet) -> EndAction:
     targets = _target_sidecars(fault, fleet)
     for instance in targets:
-        instance.squeeze(fault, fault.left)
+        instance.lower_descriptor_limit(fault, fault.left)
 
     def end() -> None:
         for instance in targets:
-            instance.relax(fault)
+            instance.restore_descriptor_limit(fault)
 
     return end
 
--- a/brambleusher/lab/fleets/fleet.py
+++ b/brambleusher/lab/fleets/fleet.py
@@ -75,7 +75,7 @@
     def true_list(self, now: int, servers: list[dict[str, Any]], full: bool = False) -> None:
         """Record changes that discovery has learnt of, or the whole list with `full`."""
 
-    def discovery_able(self, now: int, able: bool, machine: str = "") -> None:
+    def discovery_able(self, now: int, can_notify: bool, machine: str = "") -> None:
         """Record whether discovery can send updates, to one machine if given."""
 
     def starved(self, now: int, machine: str, on: bool) -> None:
@@ -96,7 +96,7 @@
     def node(self, now: int, name: str, address: Address, started_ms: int) -> None: ...
     def bad_client(self, who: str) -> None: ...
     def true_list(self, now: int, servers: list[dict[str, Any]], full: bool = False) -> None: ...
-    def discovery_able(self, now: int, able: bool, machine: str = "") -> None: ...
+    def discovery_able(self, now: int, can_notify: bool, machine: str = "") -> None: ...
     def starved(self, now: int, machine: str, on: bool) -> None: ...
     def paused(self, now: int, machine: str, on: bool) -> None: ...
     def calm(self, now: int) -> None: ...
@@ -178,13 +178,13 @@
         self.process: Process | None = None
         self.processes = 0  # number of processes started under the current id
         self.started_ms = 0
-        self.down: list[object] = []  # reasons that keep the process stopped
-        self.drains: list[object] = []  # reasons for which the node drains
-        self.told_draining: list[object] = []  # reasons for discovery to list a serving node as draining
-        self.dark: list[object] = []  # reasons that keep the machine without power
-        self.former: list[str] = []  # previous ids of the node
+        self.stop_reasons: list[object] = []  # reasons that keep the process stopped
+        self.drain_reasons: list[object] = []  # reasons for which the node drains
+        self.listed_draining_reasons: list[object] = []  # reasons to list a serving node as draining
+        self.power_cut_reasons: list[object] = []  # reasons that keep the machine without power
+        self.previous_ids: list[str] = []  # previous ids of the node
         if figures.spare:
-            self.down.append("spare")
+            self.stop_reasons.append("spare")
 
     @property
     def address(self) -> Address:
@@ -206,7 +206,7 @@
         figures, state = self.figures, "Ready"
         if not self.up:
             state = "Gone"
-        elif self.drains or self.told_draining:
+        elif self.drain_reasons or self.listed_draining_reasons:
             state = "Terminating"
         return Entry(
             id=self.id, addr=f"{self.address[0]}:{self.address[1]}", zone=figures.zone, kind=figures.kind,
@@ -234,11 +234,11 @@
 
     def start(self, cold: bool = True) -> None:
         """Start a process, unless one is running or a reason prevents the start."""
-        if self.down or self.up or self.fallen or self.machine.gone:
+        if self.stop_reasons or self.up or self.fallen or self.machine.gone:
             return
         number, fleet = self.processes, self.fleet
         self.processes += 1
-        self.drains.clear()
+        self.drain_reasons.clear()
         if cold:
             self.started_ms = fleet.wall_ms()
         fleet.audience.node(fleet.world.now_ns, self.id, self.address, self.started_ms)
@@ -249,7 +249,7 @@
                 scheduler, self.figures.settings, name, fleet.scenario.seed, process=number, cold=cold,
                 executions=fleet.executions, active_faults=self.active_faults,
             )  # fmt: skip
-            self.node.on_fall = lambda: self.look(fleet.scenario.world.silent_notice_s)
+            self.node.on_fall = lambda: self.update_listing(fleet.scenario.world.silent_notice_s)
             self.node.listen(self.address)
             return self.node
 
@@ -263,51 +263,51 @@
 
     def drain(self, why: object) -> None:
         """Drain the node for a given reason."""
-        self.drains.append(why)
+        self.drain_reasons.append(why)
         self._set_draining()
 
     def undrain(self, why: object) -> None:
         """Remove a reason for draining; the node is ready again when none is left."""
-        self.drains = [each for each in self.drains if each is not why]
+        self.drain_reasons = [each for each in self.drain_reasons if each is not why]
         self._set_draining()
 
     def _set_draining(self) -> None:
         if self.node is not None:
-            self.node.draining = bool(self.drains)
+            self.node.draining = bool(self.drain_reasons)
 
     def stop(self, why: object, reset: bool = True) -> None:
         """Kill the process, and keep it stopped for a given reason."""
-        self.down.append(why)
+        self.stop_reasons.append(why)
         self.kill(reset)
 
-    def free(self, why: object) -> None:
+    def remove_stop_reason(self, why: object) -> None:
         """Remove a reason that keeps the process stopped; start the process if none is left."""
-        self.down = [each for each in self.down if each is not why]
+        self.stop_reasons = [each for each in self.stop_reasons if each is not why]
         self.start()
 
     def replace(self, name: str) -> None:
         """Kill the process and start another at once under a new id."""
         self.kill()
-        self.former.append(self.id)
+        self.previous_ids.append(self.id)
         self.id, self.processes = name, 0
         self.start()
 
     def vanish(self, why: object) -> None:
         """Cut the power of the machine for a given reason."""
-        self.dark.append(why)
+        self.power_cut_reasons.append(why)
         if not self.machine.gone:
             self.machine.vanish()
 
     def come_back(self, why: object) -> None:
         """Remove a reason for the power cut; if none is left, restore power and start the process."""
-        self.dark = [each for each in self.dark if each is not why]
-        if not self.dark and self.machine.gone:
+        self.power_cut_reasons = [each for each in self.power_cut_reasons if each is not why]
+        if not self.power_cut_reasons and self.machine.gone:
             self.machine.come_back()
             self.start()
 
-    def look(self, after_s: float) -> None:
+    def update_listing(self, after_s: float) -> None:
         """Have discovery update the node's entry after some time, to the node's state at that time."""
-        self.fleet.world.after(int(after_s * SECOND), lambda: self.fleet.discovery.look(self))
+        self.fleet.world.after(int(after_s * SECOND), lambda: self.fleet.discovery.update_listing(self))
 
 
 class DiscoveryInstance:
@@ -372,30 +372,30 @@
         self.fleet.set_latency(self.machine)
         self.start()
 
-    def begin(self, fault: object, able: bool = False) -> None:
-        """Activate an injected fault; unless `able`, updates may not be delivered meanwhile."""
+    def begin(self, fault: object, can_notify: bool = False) -> None:
+        """Activate an injected fault; unless `can_notify`, updates may not be delivered meanwhile."""
         self.active_faults.begin(fault)
         self._schedule(lambda service: service.begin(fault))
-        if not able:
-            self.unable(1)
+        if not can_notify:
+            self.change_update_blockers(1)
 
-    def end(self, fault: object, able: bool = False) -> None:
+    def end(self, fault: object, can_notify: bool = False) -> None:
         """Deactivate an injected fault."""
         self.active_faults.end(fault)
         self._schedule(lambda service: service.end(fault))
-        if not able:
-            self.unable(-1)
+        if not can_notify:
+            self.change_update_blockers(-1)
 
-    def unable(self, by: int) -> None:
+    def change_update_blockers(self, by: int) -> None:
         """Change the number of reasons that keep the service from sending updates."""
         self._update_blockers += by
         self.fleet.audience.discovery_able(self.fleet.world.now_ns, self._update_blockers == 0)
 
-    def look(self, instance: NodeInstance) -> None:
+    def update_listing(self, instance: NodeInstance) -> None:
         """Update the entry of a node to its current state."""
         changed = [
             msgspec.structs.replace(self.list[name], state="Gone")
-            for name in instance.former
+            for name in instance.previous_ids
             if name in self.list
         ]
         entry = instance.entry()
@@ -430,32 +430,34 @@
 
     name: str
     up: bool
-    tickets: int
+    pending_requests: int
     clients: int  # connections from clients
-    claims: int
+    open_attempts: int
     node_connections: int  # open connections to nodes
     node_idle: int  # idle connections among the open ones to nodes
     timers: int
     descriptors: int
-    descriptors_due: int  # expected number of open descriptors, given the idle connections
+    descriptors_expected: int  # expected number of open descriptors, given the idle connections
     stderr: bytes
 
-    def left_over(self) -> list[str]:
+    def leaks(self) -> list[str]:
         """Return descriptions of the resources that the sidecar has leaked."""
         if not self.up:
             return []
         found = [
             f"{self.name}: {count} {what}"
             for count, what in (
-                (self.tickets, "tickets"), (self.clients, "clients' connections"),
-                (self.claims, "claims"),
+                (self.pending_requests, "tickets"), (self.clients, "clients' connections"),
+                (self.open_attempts, "claims"),
                 (self.node_connections - self.node_idle, "connections to nodes that are not idle"),
                 (max(0, self.timers - LIVE_TIMERS), f"timers more than {LIVE_TIMERS}"),
             )
             if count
         ]  # fmt: skip
-        if self.descriptors != self.descriptors_due:
-            found.append(f"{self.name}: {self.descriptors} descriptors, and {self.descriptors_due} are due")
+        if self.descriptors != self.descriptors_expected:
+            found.append(
+                f"{self.name}: {self.descriptors} descriptors, and {self.descriptors_expected} are due"
+            )
         return found
 
 
@@ -561,13 +563,13 @@
         assert isinstance(self.machine, VirtualMachine)
         return self.machine.start(main, self.figures.name, descriptors=self.figures.sockets, pace=fleet.pace)
 
-    def squeeze(self, why: object, left: int) -> None:
-        """Limit the process to `left` more open descriptors, until `relax` is called for the same reason."""
+    def lower_descriptor_limit(self, why: object, left: int) -> None:
+        """Limit the process to `left` more open descriptors, until the reason is removed."""
         if self.process is not None:
             self._squeezes.append((why, STANDARD + self.process.descriptors + left))
         self._set_limit()
 
-    def relax(self, why: object) -> None:
+    def restore_descriptor_limit(self, why: object) -> None:
         """Remove a reason for a lowered descriptor limit; the limit is restored when none is left."""
         self._squeezes = [each for each in self._squeezes if each[0] is not why]
         self._set_limit()
@@ -598,12 +600,14 @@
         nodes = sidecar.upstream_pool
         idle = nodes.idle_connections
         return SidecarResources(
-            name=self.figures.name, up=True, tickets=sidecar.balancer_driver.pending_requests,
-            clients=sidecar.client_listener.connections, claims=nodes.open_attempts,
+            name=self.figures.name, up=True, pending_requests=sidecar.balancer_driver.pending_requests,
+            clients=sidecar.client_listener.connections, open_attempts=nodes.open_attempts,
             node_connections=nodes.open_connections, node_idle=idle, timers=sidecar.scheduler.timers,
             descriptors=process.descriptors,
             # Two descriptors of the waker, the listener, the admin endpoint, the watch, and idle connections.
-            descriptors_due=3 + (sidecar.admin_server is not None) + sidecar.endpoint_list.is_watching + idle,
+            descriptors_expected=(
+                3 + (sidecar.admin_server is not None) + sidecar.endpoint_list.is_watching + idle
+            ),
             stderr=bytes(process.stderr),
         )  # fmt: skip
 
@@ -811,7 +815,7 @@
             client.scheduler.call_soon(client.close)
         while True:
             ends = [sidecar.state() for sidecar in self.sidecars]
-            if self.world.now_ns >= limit or not any(end.left_over() for end in ends):
+            if self.world.now_ns >= limit or not any(end.leaks() for end in ends):
                 return ends
             self.world.run(self.world.now_ns + LOOK_AGAIN_NS)
 
--- a/brambleusher/lab/processes/drill.py
+++ b/brambleusher/lab/processes/drill.py
@@ -217,7 +217,7 @@
         begun = world.now_ns
         with listening([raised]):
             ends = fleet.play()
-        checker.finish(world.now_ns, [text for end in ends for text in end.left_over()])
+        checker.finish(world.now_ns, [text for end in ends for text in end.leaks()])
         sums.finish(fleet.executions)
         outcome.curves, outcome.begins_s = sums.curves, (fleet.begins_ns - begun) / SECOND
         _judge(drill, fleet, checker, outcome)
@@ -246,7 +246,7 @@
             stage.run(fleet.ends_ns)
             stage.end_measure(begun)
         ends = fleet.quiesce()
-        checker.finish(stage.now_ns, [text for end in ends for text in end.left_over()])
+        checker.finish(stage.now_ns, [text for end in ends for text in end.leaks()])
         sums.finish(fleet.executions)
         outcome.curves = (*sums.curves, *watch.curves)
         outcome.begins_s = (fleet.begins_ns - made) / SECOND
--- a/brambleusher/lab/processes/fleet.py
+++ b/brambleusher/lab/processes/fleet.py
@@ -250,9 +250,10 @@
         relays = self.stage.network.relays.values()
         asked = sum(each.way.server is self.real for each in relays)
         return SidecarResources(
-            name=name, up=True, tickets=0, clients=asked, claims=0, node_connections=0, node_idle=0,
+            name=name, up=True, pending_requests=0, clients=asked, open_attempts=0,
+            node_connections=0, node_idle=0,
             timers=0, descriptors=process.descriptors,
-            descriptors_due=self.at_rest + self.stage.network.open_at(self.real), stderr=b"",
+            descriptors_expected=self.at_rest + self.stage.network.open_at(self.real), stderr=b"",
         )  # fmt: skip
 
     @property
--- a/brambleusher/lab/virtual/explore.py
+++ b/brambleusher/lab/virtual/explore.py
@@ -310,7 +310,7 @@
     world = fleet.world
     world.run(fleet.ends_ns)
     ends = fleet.quiesce()
-    left_over = [text for end in ends for text in end.left_over()]
+    left_over = [text for end in ends for text in end.leaks()]
     asked = [(place, place.process) for place in fleet.sidecars if place.up]
     fleet.dump()
     world.run(world.now_ns + DUMP_NS)
--- a/tests/lab/test_fault_plans.py
+++ b/tests/lab/test_fault_plans.py
@@ -349,7 +349,9 @@
     "node-replaced": ({}, lambda fleet, _: node_instance(fleet).id != NODE.id and state(fleet) == "Gone"),
     "fleet-renewed": (
         {"part": 1.0},
-        lambda fleet, _: all(each.former and cold(each.node) for each in fleet.node_instances if each.up),
+        lambda fleet, _: all(
+            each.previous_ids and cold(each.node) for each in fleet.node_instances if each.up
+        ),
     ),
     "fleet-grows": (
         {}, lambda fleet, _: all(each.up and cold(each.node) for each in fleet.node_instances[-1:])
@@ -482,7 +484,7 @@
     """Return a digest of all records of a run."""
     with (fleet := Fleet(draw_scenario(seed, profile))).world:
         ends = fleet.play()
-        left = [text for end in ends for text in end.left_over()]
+        left = [text for end in ends for text in end.leaks()]
         still = fleet.end()
         assert not still and all(each.process and each.process.ended == 0 for each in fleet.sidecars)
         lines = [repr(each) for each in (*fleet.executions, *fleet.asked, *fleet.misdeeds)]
--- a/tests/lab/test_overload_states.py
+++ b/tests/lab/test_overload_states.py
@@ -74,7 +74,7 @@
 
         at.after(2_000_000_000, look)
         ends = fleet.play()
-        assert not [left for end in ends for left in end.left_over()]
+        assert not [left for end in ends for left in end.leaks()]
         during = [asked.served for asked in fleet.asked if FROM + 0.5 <= asked.ask.at_s < UNTIL]
         after = [asked.served for asked in fleet.asked if asked.ask.at_s >= UNTIL + 0.5]
         return sum(during) / len(during), sum(after) / len(after), fleet
