--- a/brambleusher/lab/experiments/run.py
+++ b/brambleusher/lab/experiments/run.py
@@ -54,7 +54,7 @@
         self._new_player, self._direct = new_player, direct
         self.player: Player | None = None
 
-    def _submit(self, scheduler: Scheduler) -> None:
+    def _start_clients(self, scheduler: Scheduler) -> None:
         nodes = [place.address for place in self.node_instances if place.up]
         targets = nodes if self._direct else [sidecar.address for sidecar in self.sidecars]
         self.player = self._new_player(scheduler, targets)
--- a/brambleusher/lab/fleets/fleet.py
+++ b/brambleusher/lab/fleets/fleet.py
@@ -47,12 +47,14 @@
 from brambleusher.sidecar.configuration import Config, parse_config
 
 SECOND = 10**9
-LEAD_IN_S = 1.2  # time from the start of the processes to the earliest request, in seconds
-SETTLE_S = 6.0  # time limit for all open requests and connections to end, in seconds
+STARTUP_S = 1.2  # time from the start of the processes to the earliest request, in seconds
+QUIESCE_TIMEOUT_S = 6.0  # time limit for all open requests and connections to end, in seconds
 LIVE_TIMERS = 24  # maximum number of timers of an idle sidecar, which usually has fewer than ten
-LOOK_AGAIN_NS = 50_000_000
-CALM_AGAIN_S = 0.25
-GOOD_LOAD = 0.6  # largest load after the faults, as a fraction of the capacity, for which recovery is checked
+QUIESCE_POLL_NS = 50_000_000
+CALM_POLL_S = 0.25
+MAX_CALM_LOAD = (
+    0.6  # largest load after the faults, as a fraction of the capacity, for which recovery is checked
+)
 CLIENTS, BAD_CLIENTS, OPERATORS = "clients", "bad clients", "operators"  # names of machines
 CAPTURE = {"ring_kb": 768}
 
@@ -473,7 +475,7 @@
         self.process: Process | None = None
         self.starts = 0
         self.ended: list[Process] = []  # the processes before the current one
-        self._squeezes: list[tuple[object, int]] = []  # reasons for lower descriptor limits
+        self._descriptor_limits: list[tuple[object, int]] = []  # reasons for lower descriptor limits
 
     @property
     def address(self) -> Address:
@@ -506,7 +508,7 @@
             fleet.scenario.world, self.number, self.address, self.discovery_address,
             fleet.draw_seed(f"sidecar {self.number} {self.starts}"),
             [fleet.seen_by(self.machine.ip, entry) for entry in entries], version,
-            self.admin if fleet.called else None,
+            self.admin if fleet.has_operators else None,
         )  # fmt: skip
 
     @property
@@ -540,7 +542,7 @@
         fleet.audience.sidecar(fleet.world.now_ns, self.machine.name, self.file)
         self.operator = self.operator_file()
         self.process = self._launch()
-        self._squeezes.clear()
+        self._descriptor_limits.clear()
 
     def _launch(self) -> Process:
         def load() -> Config:
@@ -566,18 +568,18 @@
     def lower_descriptor_limit(self, why: object, left: int) -> None:
         """Limit the process to `left` more open descriptors, until the reason is removed."""
         if self.process is not None:
-            self._squeezes.append((why, STANDARD + self.process.descriptors + left))
-        self._set_limit()
+            self._descriptor_limits.append((why, STANDARD + self.process.descriptors + left))
+        self._apply_descriptor_limit()
 
     def restore_descriptor_limit(self, why: object) -> None:
         """Remove a reason for a lowered descriptor limit; the limit is restored when none is left."""
-        self._squeezes = [each for each in self._squeezes if each[0] is not why]
-        self._set_limit()
+        self._descriptor_limits = [each for each in self._descriptor_limits if each[0] is not why]
+        self._apply_descriptor_limit()
 
-    def _set_limit(self) -> None:
+    def _apply_descriptor_limit(self) -> None:
         if self.process is not None:
-            self.process.limit = min([self.figures.sockets, *(limit for _, limit in self._squeezes)])
-        self.fleet.audience.starved(self.fleet.world.now_ns, self.machine.name, bool(self._squeezes))
+            self.process.limit = min([self.figures.sockets, *(limit for _, limit in self._descriptor_limits)])
+        self.fleet.audience.starved(self.fleet.world.now_ns, self.machine.name, bool(self._descriptor_limits))
 
     def pause(self, wait_ns: int) -> None:
         """Pause the process for some time."""
@@ -643,12 +645,12 @@
         self.clients: list[Client] = []
         self.bad: list[BadClients] = []
         # Runs without operators have no admin endpoints and no extra machine, so that they stay reproducible.
-        self.called = any(fault.kind in OPERATOR_KINDS for fault in scenario.faults)
+        self.has_operators = any(fault.kind in OPERATOR_KINDS for fault in scenario.faults)
         self.operators: Operators | None = None
-        self._operators_machine = self.world.machine(OPERATORS, "10.4.0.1") if self.called else None
+        self._operators_machine = self.world.machine(OPERATORS, "10.4.0.1") if self.has_operators else None
         for machine in list(self.world.machines.values()):
             self.set_latency(machine)
-        self.begins_ns = self.world.now_ns + int(LEAD_IN_S * SECOND)
+        self.begins_ns = self.world.now_ns + int(STARTUP_S * SECOND)
         self.ends_ns = self.begins_ns + int(figures.length_s * SECOND)
         self.running: list[Fault] = []
         self.pace = pace_of(figures)
@@ -727,16 +729,16 @@
 
     def admit(self) -> None:
         """Start clients and operators, and schedule the faults."""
-        self.client_machine.serve(self._submit, "clients", descriptors=20_000)
+        self.client_machine.serve(self._start_clients, "clients", descriptors=20_000)
         self.audience.bad_client(self._bad_machine.name)
         self._bad_machine.serve(self._start_bad_clients, "bad clients", descriptors=20_000)
         if self._operators_machine is not None:
             self._operators_machine.serve(self._start_operators, OPERATORS)
         for fault in self.scenario.faults:
             self.world.at(self.begins_ns + int(fault.at_s * SECOND), self._fault_starter(fault))
-        self.world.at(self.begins_ns + int(self.scenario.world.faults_s * SECOND), self._calm)
+        self.world.at(self.begins_ns + int(self.scenario.world.faults_s * SECOND), self._check_calm)
 
-    def _submit(self, scheduler: Scheduler) -> None:
+    def _start_clients(self, scheduler: Scheduler) -> None:
         scenario = self.scenario
         begin = self.begins_ns / SECOND
         for sidecar in self.sidecars:
@@ -786,7 +788,7 @@
 
         return begin
 
-    def _calm(self) -> None:
+    def _check_calm(self) -> None:
         """Notify the audience after the last fault, once the remaining requests can be served."""
         faults_s, length_s = self.scenario.world.faults_s, self.scenario.world.length_s
         work = sum(ask.work_s for ask in self.scenario.asks if ask.at_s > faults_s)
@@ -796,10 +798,10 @@
             if instance.up and instance.node is not None
         )
         up = not self.running and all(sidecar.up for sidecar in self.sidecars)
-        if up and work / max(0.001, length_s - faults_s) <= GOOD_LOAD * capacity:
+        if up and work / max(0.001, length_s - faults_s) <= MAX_CALM_LOAD * capacity:
             self.audience.calm(self.world.now_ns)
         elif self.world.now_ns < self.ends_ns:
-            self.world.after(int(CALM_AGAIN_S * SECOND), self._calm)
+            self.world.after(int(CALM_POLL_S * SECOND), self._check_calm)
 
     def quiesce(self) -> list[SidecarResources]:
         """Run until all requests have ended and resources are released; return the sidecars' final states."""
@@ -809,7 +811,7 @@
             bad.scheduler.call_soon(bad.end)
         if self.operators is not None:
             self.operators.scheduler.call_soon(self.operators.end)
-        limit = self.world.now_ns + int(SETTLE_S * SECOND)
+        limit = self.world.now_ns + int(QUIESCE_TIMEOUT_S * SECOND)
         self.world.run(limit, lambda: all(client.finished for client in self.clients))
         for client in self.clients:
             client.scheduler.call_soon(client.close)
@@ -817,14 +819,14 @@
             ends = [sidecar.state() for sidecar in self.sidecars]
             if self.world.now_ns >= limit or not any(end.leaks() for end in ends):
                 return ends
-            self.world.run(self.world.now_ns + LOOK_AGAIN_NS)
+            self.world.run(self.world.now_ns + QUIESCE_POLL_NS)
 
     def dump(self) -> None:
         """Have each sidecar write its capture to standard error."""
         for sidecar in self.sidecars:
             sidecar.signal(signal.SIGUSR1)
 
-    def end(self, seconds: float = SETTLE_S) -> list[Process]:
+    def end(self, seconds: float = QUIESCE_TIMEOUT_S) -> list[Process]:
         """Send SIGTERM to all sidecars, wait, and return the processes that have not exited in time."""
         for sidecar in self.sidecars:
             sidecar.signal(signal.SIGTERM)
--- a/brambleusher/lab/processes/fleet.py
+++ b/brambleusher/lab/processes/fleet.py
@@ -185,7 +185,7 @@
             *(["--breakage", self.fleet.breakage] if self.fleet.breakage else []),
         ]  # fmt: skip
         environment = {"NODE_CONFIG": str(self._config), "PYTHONPATH": os.pathsep.join(sys.path)}
-        if self.fleet.called:
+        if self.fleet.has_operators:
             environment["NODE_ADMIN_ADDR"] = "{}:{}".format(*self.admin)
         process = SidecarProcess(self, command, environment)
         self.real.process = process
@@ -206,7 +206,7 @@
                 if process.dead:
                     return
                 self.stage.network.heard(self.address, True)
-                if self.fleet.called:
+                if self.fleet.has_operators:
                     self.stage.network.heard(self.admin, True)
                 self.ready = says_ready(stream, deadline)
             except (OSError, TaskTimeoutError, HttpError):
@@ -234,13 +234,13 @@
         """Its process has been stopped, or goes on."""
         self.fleet.audience.paused(self.stage.now_ns, self.machine.name, on)
 
-    def _set_limit(self) -> None:
+    def _apply_descriptor_limit(self) -> None:
         if self.process is not None:
             # As many as it may hold, and what the interpreter has open beside.
             usual = self.figures.sockets + 2 * STANDARD
-            self.process.limit = min([usual, *(limit for _, limit in self._squeezes)])
-        self.real.squeezed = bool(self._squeezes)
-        self.fleet.audience.starved(self.stage.now_ns, self.machine.name, bool(self._squeezes))
+            self.process.limit = min([usual, *(limit for _, limit in self._descriptor_limits)])
+        self.real.squeezed = bool(self._descriptor_limits)
+        self.fleet.audience.starved(self.stage.now_ns, self.machine.name, bool(self._descriptor_limits))
 
     def state(self) -> SidecarResources:
         """What can be seen of it from outside: descriptors beyond its connections are left over."""
--- a/tests/lab/test_explore.py
+++ b/tests/lab/test_explore.py
@@ -160,7 +160,7 @@
     def fall(self: Fleet, system: VirtualSystem) -> None:
         raise RuntimeError("out of order")
 
-    monkeypatch.setattr(Fleet, "_submit", fall)
+    monkeypatch.setattr(Fleet, "_start_clients", fall)
     breaches = play(draw_scenario(3), stop_at_breach=True).breaches
     assert any(each.rule == "fault" and "out of order" in each.what for each in breaches)
 
@@ -169,7 +169,7 @@
     def stop(self: Fleet, system: VirtualSystem) -> None:
         raise KeyboardInterrupt
 
-    monkeypatch.setattr(Fleet, "_submit", stop)
+    monkeypatch.setattr(Fleet, "_start_clients", stop)
     with pytest.raises(KeyboardInterrupt):
         play(draw_scenario(3))
 
--- a/tests/lab/test_operators_in_virtual_time.py
+++ b/tests/lab/test_operators_in_virtual_time.py
@@ -51,7 +51,7 @@
     if where == "the program":
         monkeypatch.setattr(Balancer, "_update_admission_limit", without_end)
     else:
-        monkeypatch.setattr(Fleet, "_calm", without_end)
+        monkeypatch.setattr(Fleet, "_check_calm", without_end)
     with bounded(0.5):
         result = play(draw_scenario(1))
     ended = [breach for breach in result.breaches if breach.rule == ENDLESS]
