--- a/brambleusher/lab/experiments/run.py
+++ b/brambleusher/lab/experiments/run.py
@@ -107,7 +107,7 @@
             fleet.new_node = partial(noting, notes, lambda: fleet.begins_ns)
         elif cell.check:
             checker = Checker(Rules.of(world.sidecar_settings(0)), fleet.executions)
-            fleet.audience = checker
+            fleet.monitor = checker
             space.taps.append(cast(Tap, checker))
             step = checker.step
             space.step_done.append(lambda: step(space.now_ns))
--- a/brambleusher/lab/faults/effects.py
+++ b/brambleusher/lab/faults/effects.py
@@ -516,7 +516,7 @@
 
     def set_able(on: bool) -> None:
         for instance in targets:
-            fleet.audience.discovery_able(fleet.world.now_ns, on, instance.machine.name)
+            fleet.monitor.discovery_able(fleet.world.now_ns, on, instance.machine.name)
 
     repair = _partition(fleet, [(machine, instance.machine) for instance in targets])
     set_able(False)
--- a/brambleusher/lab/fleets/fleet.py
+++ b/brambleusher/lab/fleets/fleet.py
@@ -59,7 +59,7 @@
 CAPTURE = {"ring_kb": 768}
 
 
-class Audience(Protocol):
+class FleetMonitor(Protocol):
     """Receives the events that a checker can't see on the wire, with times in monotonic nanoseconds."""
 
     def sidecar(self, now: int, machine: str, config: bytes) -> None:
@@ -90,8 +90,8 @@
         """Record that the last fault has ended and that all later requests can be served."""
 
 
-class _NullAudience:
-    """An audience that ignores all events."""
+class _NullMonitor:
+    """A monitor that ignores all events."""
 
     def sidecar(self, now: int, machine: str, config: bytes) -> None: ...
     def discovery(self, address: Address) -> None: ...
@@ -243,7 +243,7 @@
         self.drain_reasons.clear()
         if cold:
             self.started_ms = fleet.wall_ms()
-        fleet.audience.node(fleet.world.now_ns, self.id, self.address, self.started_ms)
+        fleet.monitor.node(fleet.world.now_ns, self.id, self.address, self.started_ms)
         name = self.id
 
         def build(scheduler: Scheduler) -> Server:
@@ -335,7 +335,7 @@
     def start(self) -> None:
         """Start the discovery process with the current list."""
         fleet = self.fleet
-        fleet.audience.discovery(self.address)
+        fleet.monitor.discovery(self.address)
 
         def build(scheduler: Scheduler) -> Server:
             service = self.service = Discovery(
@@ -391,7 +391,7 @@
     def change_update_blockers(self, by: int) -> None:
         """Change the number of reasons that keep the service from sending updates."""
         self._update_blockers += by
-        self.fleet.audience.discovery_able(self.fleet.world.now_ns, self._update_blockers == 0)
+        self.fleet.monitor.discovery_able(self.fleet.world.now_ns, self._update_blockers == 0)
 
     def update_listing(self, instance: NodeInstance) -> None:
         """Update the entry of a node to its current state."""
@@ -418,7 +418,7 @@
         self.version += 1
         self._schedule(lambda service: service.put(*changed))
         fleet = self.fleet
-        fleet.audience.true_list(fleet.world.now_ns, [msgspec.to_builtins(each) for each in changed])
+        fleet.monitor.true_list(fleet.world.now_ns, [msgspec.to_builtins(each) for each in changed])
 
     def _schedule(self, action: Callable[[Discovery], object]) -> None:
         service = self.service
@@ -539,7 +539,7 @@
         self.good_file = self.file
         self.starts += 1
         fleet = self.fleet
-        fleet.audience.sidecar(fleet.world.now_ns, self.machine.name, self.file)
+        fleet.monitor.sidecar(fleet.world.now_ns, self.machine.name, self.file)
         self.operator = self.operator_file()
         self.process = self._launch()
         self._descriptor_limits.clear()
@@ -579,14 +579,14 @@
     def _apply_descriptor_limit(self) -> None:
         if self.process is not None:
             self.process.limit = min([self.figures.sockets, *(limit for _, limit in self._descriptor_limits)])
-        self.fleet.audience.starved(self.fleet.world.now_ns, self.machine.name, bool(self._descriptor_limits))
+        self.fleet.monitor.starved(self.fleet.world.now_ns, self.machine.name, bool(self._descriptor_limits))
 
     def pause(self, wait_ns: int) -> None:
         """Pause the process for some time."""
         world, name = self.fleet.world, self.machine.name
-        self.fleet.audience.paused(world.now_ns, name, True)
+        self.fleet.monitor.paused(world.now_ns, name, True)
         self.machine.stall(wait_ns)
-        world.after(wait_ns, lambda: self.fleet.audience.paused(world.now_ns, name, False))
+        world.after(wait_ns, lambda: self.fleet.monitor.paused(world.now_ns, name, False))
 
     def signal(self, number: int) -> None:
         """Send a signal to the sidecar's process."""
@@ -627,9 +627,9 @@
 
     linger_s = LINGER_SECONDS  # time that clients listen past their deadline, above the checker's slack
 
-    def __init__(self, scenario: Scenario, world: Stage, audience: Audience | None = None) -> None:
+    def __init__(self, scenario: Scenario, world: Stage, monitor: FleetMonitor | None = None) -> None:
         self.scenario, self.world = scenario, world
-        self.audience: Audience = audience or _NullAudience()
+        self.monitor: FleetMonitor = monitor or _NullMonitor()
         self.executions: list[Execution] = []  # executions of all nodes, in order of arrival
         self.asked: list[Asked] = []  # requests of all clients
         self.misdeeds: list[Misdeed] = []
@@ -718,10 +718,10 @@
                 entry = msgspec.structs.replace(instance.entry(), state="Ready")
                 self.discovery.list[entry.id] = entry
         now = self.world.now_ns
-        self.audience.true_list(
+        self.monitor.true_list(
             now, [msgspec.to_builtins(each) for each in self.discovery.list.values()], True
         )
-        self.audience.discovery_able(now, True)
+        self.monitor.discovery_able(now, True)
         self.discovery.start()
         for sidecar in self.sidecars:
             sidecar.start()
@@ -730,7 +730,7 @@
     def admit(self) -> None:
         """Start clients and operators, and schedule the faults."""
         self.client_machine.serve(self._start_clients, "clients", descriptors=20_000)
-        self.audience.bad_client(self._bad_machine.name)
+        self.monitor.bad_client(self._bad_machine.name)
         self._bad_machine.serve(self._start_bad_clients, "bad clients", descriptors=20_000)
         if self._operators_machine is not None:
             self._operators_machine.serve(self._start_operators, OPERATORS)
@@ -789,7 +789,7 @@
         return begin
 
     def _check_calm(self) -> None:
-        """Notify the audience after the last fault, once the remaining requests can be served."""
+        """Notify the monitor after the last fault, once the remaining requests can be served."""
         faults_s, length_s = self.scenario.world.faults_s, self.scenario.world.length_s
         work = sum(ask.work_s for ask in self.scenario.asks if ask.at_s > faults_s)
         capacity = sum(
@@ -799,7 +799,7 @@
         )
         up = not self.running and all(sidecar.up for sidecar in self.sidecars)
         if up and work / max(0.001, length_s - faults_s) <= MAX_CALM_LOAD * capacity:
-            self.audience.calm(self.world.now_ns)
+            self.monitor.calm(self.world.now_ns)
         elif self.world.now_ns < self.ends_ns:
             self.world.after(int(CALM_POLL_S * SECOND), self._check_calm)
 
@@ -854,9 +854,9 @@
     world: World
 
     def __init__(
-        self, scenario: Scenario, world: World | None = None, audience: Audience | None = None
+        self, scenario: Scenario, world: World | None = None, monitor: FleetMonitor | None = None
     ) -> None:
         for fault in scenario.faults:
             if fault.worlds != "both":
                 raise ValueError(f"faults: {fault.kind} is supported for real processes only")
-        super().__init__(scenario, world or world_of(scenario), audience)
+        super().__init__(scenario, world or world_of(scenario), monitor)
--- a/brambleusher/lab/processes/drill.py
+++ b/brambleusher/lab/processes/drill.py
@@ -209,7 +209,7 @@
         rules = Rules.of(scenario.world.sidecar_settings(0))
         fleet = Fleet(scenario, world)
         checker = Checker(rules, fleet.executions)
-        fleet.audience = checker
+        fleet.monitor = checker
         raised = Raised(world)
         sums = Sums(world.now_ns, fleet_limits(scenario, rules))
         world.taps += [cast(Tap, checker), cast(Tap, sums)]
@@ -236,7 +236,7 @@
     try:
         fleet = RealFleet(scenario, stage, breakage=breakage)
         checker = Checker(rules, fleet.executions)
-        fleet.audience = cast(Any, PairAudience(fleet, checker))
+        fleet.monitor = cast(Any, PairAudience(fleet, checker))
         sums, watch, made = Sums(stage.now_ns, fleet_limits(scenario, rules)), Watch(fleet), stage.now_ns
         stage.taps += [checker, sums]
         stage.step_done.append(lambda: checker.step(stage.now_ns))
--- a/brambleusher/lab/processes/fleet.py
+++ b/brambleusher/lab/processes/fleet.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from brambleusher.lab.fleets.figures import SidecarFigures
-from brambleusher.lab.fleets.fleet import Audience, BaseFleet, SidecarInstance, SidecarResources
+from brambleusher.lab.fleets.fleet import BaseFleet, FleetMonitor, SidecarInstance, SidecarResources
 from brambleusher.lab.fleets.scenario import Scenario
 from brambleusher.lab.processes.parent import tied_to
 from brambleusher.lab.processes.stage import RealStage
@@ -232,7 +232,7 @@
 
     def paused(self, on: bool) -> None:
         """Its process has been stopped, or goes on."""
-        self.fleet.audience.paused(self.stage.now_ns, self.machine.name, on)
+        self.fleet.monitor.paused(self.stage.now_ns, self.machine.name, on)
 
     def _apply_descriptor_limit(self) -> None:
         if self.process is not None:
@@ -240,7 +240,7 @@
             usual = self.figures.sockets + 2 * STANDARD
             self.process.limit = min([usual, *(limit for _, limit in self._descriptor_limits)])
         self.real.squeezed = bool(self._descriptor_limits)
-        self.fleet.audience.starved(self.stage.now_ns, self.machine.name, bool(self._descriptor_limits))
+        self.fleet.monitor.starved(self.stage.now_ns, self.machine.name, bool(self._descriptor_limits))
 
     def state(self) -> SidecarResources:
         """What can be seen of it from outside: descriptors beyond its connections are left over."""
@@ -265,8 +265,8 @@
 class PairAudience:
     """Tells an audience of nodes and discoveries at every address that a sidecar has of them."""
 
-    def __init__(self, fleet: RealFleet, audience: Audience) -> None:
-        self._fleet, self._audience = fleet, audience
+    def __init__(self, fleet: RealFleet, monitor: FleetMonitor) -> None:
+        self._fleet, self._audience = fleet, monitor
 
     def __getattr__(self, name: str) -> Any:
         """What has no address is passed on."""
@@ -294,10 +294,10 @@
     linger_s = LINGER_SECONDS
 
     def __init__(
-        self, scenario: Scenario, stage: RealStage, audience: Audience | None = None, breakage: str = ""
+        self, scenario: Scenario, stage: RealStage, monitor: FleetMonitor | None = None, breakage: str = ""
     ) -> None:
         self.stage, self.breakage = stage, breakage
-        super().__init__(scenario, stage, audience)
+        super().__init__(scenario, stage, monitor)
         self._by_ip = {place.real.ip: place.real for place in self.real_places}
 
     @property
--- a/brambleusher/lab/virtual/explore.py
+++ b/brambleusher/lab/virtual/explore.py
@@ -241,7 +241,7 @@
         rules = Rules.of(scenario.world.sidecar_settings(0))
         fleet = Fleet(scenario, world)
         checker = Checker(rules, fleet.executions)
-        fleet.audience = checker
+        fleet.monitor = checker
         digest, raised, fallen = Digest(), Raised(world), Fallen()
         world.taps += [cast(Tap, checker), digest, fallen]
         books: Sums | None = None
