--- a/brambleusher/lab/experiments/direct.py
+++ b/brambleusher/lab/experiments/direct.py
@@ -11,7 +11,7 @@
 from brambleusher.lab.experiments.figures import Tally
 from brambleusher.lab.experiments.noting import noting
 from brambleusher.lab.experiments.plan import Cell
-from brambleusher.lab.fleets.figures import NodeFigures
+from brambleusher.lab.fleets.figures import NodeSpec
 from brambleusher.lab.stand_ins.node import Execution
 from brambleusher.load import demand
 from brambleusher.load.fidelity import Heard
@@ -74,7 +74,7 @@
                 child.terminate()
 
 
-def _serve(seed: int, nodes: list[NodeFigures], pipe: Connection) -> None:
+def _serve(seed: int, nodes: list[NodeSpec], pipe: Connection) -> None:
     """Some nodes in one process, until it is asked for what they noted."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     scheduler = Scheduler(RealSystem())
--- a/brambleusher/lab/experiments/figures.py
+++ b/brambleusher/lab/experiments/figures.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable, Sequence
 
 from brambleusher.lab.experiments.store import CellResult
-from brambleusher.lab.fleets.figures import WorldFigures
+from brambleusher.lab.fleets.figures import WorldSpec
 from brambleusher.lab.stand_ins.node import Execution
 from brambleusher.load.results import ENDS, PERCENTILES, Outcome, Results
 from brambleusher.load.times import SECOND
@@ -19,7 +19,7 @@
 class Tally:
     """Takes in what became of requests, as a player tells it, and of executions at the end."""
 
-    def __init__(self, world: WorldFigures, speed: float, span_s: float) -> None:
+    def __init__(self, world: WorldSpec, speed: float, span_s: float) -> None:
         """`span_s`: how long the play takes, in seconds of the run."""
         self.world, self.span_s = world, span_s
         self.results = Results(speed=speed)
@@ -30,7 +30,7 @@
         self._on_time = 0
 
     @classmethod
-    def of(cls, world: WorldFigures, results: Results, span_s: float) -> Tally:
+    def of(cls, world: WorldSpec, results: Results, span_s: float) -> Tally:
         """What several processes came to, whose windows are the steps; worth and aims are not known then."""
         tally = cls(world, results.speed, span_s)
         tally.results = results
--- a/brambleusher/lab/faults/kinds.py
+++ b/brambleusher/lab/faults/kinds.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from brambleusher.lab.fleets.figures import Drawer, WorldFigures
+from brambleusher.lab.fleets.figures import Sampler, WorldSpec
 from brambleusher.lab.stand_ins.bad_client import BAD_KINDS, BadKind
 from brambleusher.lab.stand_ins.discovery import GarbageHow
 from brambleusher.lab.stand_ins.node import ReportHow, ResetWhere, SpoiltHow
@@ -48,7 +48,7 @@
         return self.at_s + self.for_s
 
     @classmethod
-    def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
+    def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw the parameters that are specific to the kind."""
         return {}
 
@@ -67,7 +67,7 @@
     factor: Annotated[float, msgspec.Meta(ge=1)]
 
     @classmethod
-    def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
+    def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw a factor of 2 to 10."""
         return {"factor": draw.log((2.0, 10.0))}
 
@@ -90,7 +90,7 @@
     drain_s: Seconds
 
     @classmethod
-    def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
+    def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw a drain of 0.05 to 1 second."""
         return {"drain_s": draw.of((0.05, 1.0))}
 
@@ -101,7 +101,7 @@
     drain_s: Seconds = 0.0
 
     @classmethod
-    def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
+    def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw a drain in 40 % of cases, and no drain otherwise."""
         return {"drain_s": draw.of((0.2, 0.8)) if draw.chance(0.4) else 0.0}
 
@@ -118,7 +118,7 @@
     drain_s: Seconds
 
     @classmethod
-    def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
+    def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw a fraction of 0.25 to 0.55 of the nodes."""
         return {"part": draw.of((0.25, 0.55)), "drain_s": draw.of((0.3, 1.5))}
 
@@ -133,7 +133,7 @@
     part: Annotated[float, msgspec.Meta(gt=0, le=1)]
 
     @classmethod
-    def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
+    def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw half to all of the nodes; a crowd arrives just after discovery has listed the new nodes."""
         given = {"part": draw.of((0.5, 1.0))}
         if world.crowd:
@@ -156,7 +156,7 @@
     off_s: Positive
 
     @classmethod
-    def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
+    def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw a share of 0.3 to 0.75, and on and off periods of 0.1 to 0.6 seconds."""
         return {"share": draw.of((0.3, 0.75)), "on_s": draw.of((0.1, 0.6)), "off_s": draw.of((0.1, 0.6))}
 
@@ -171,7 +171,7 @@
     drain_s: Seconds
 
     @classmethod
-    def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
+    def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw a delay that may end while the node drains or after it has exited."""
         return {"late_s": draw.of((0.2, 1.2)), "drain_s": draw.of((0.1, 1.2))}
 
@@ -186,7 +186,7 @@
     every_s: Positive
 
     @classmethod
-    def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
+    def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw a period on either side of the drain grace period of 0.5 seconds."""
         return {"every_s": draw.of((0.15, 0.7))}
 
@@ -203,7 +203,7 @@
     runs: bool = True
 
     @classmethod
-    def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
+    def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw the point of the exchange at which the reset occurs."""
         where = draw.rng.choice(get_args(ResetWhere))
         return {"where": where, "part": draw.of((0.1, 0.9)), "runs": draw.chance(0.6)}
@@ -217,7 +217,7 @@
     part: Part
 
     @classmethod
-    def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
+    def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw the variant of the fault."""
         return {"how": draw.rng.choice(get_args(SpoiltHow)), "part": draw.of((0.1, 0.9))}
 
@@ -230,7 +230,7 @@
     status: Literal[503, 504] = 503
 
     @classmethod
-    def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
+    def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw a fraction of 0.2 to 1, and the status code of the rejections."""
         return {"part": draw.of((0.2, 1.0)), "status": draw.rng.choice((503, 504))}
 
@@ -242,7 +242,7 @@
     by_s: Seconds
 
     @classmethod
-    def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
+    def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw a delay of up to several report periods."""
         return {"by_s": draw.of((0.3, 2.5))}
 
@@ -254,7 +254,7 @@
     how: ReportHow
 
     @classmethod
-    def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
+    def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw the variant of the fault."""
         return {"how": draw.rng.choice(get_args(ReportHow))}
 
@@ -268,7 +268,7 @@
     unread: bool = False
 
     @classmethod
-    def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
+    def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw an early close, or a close that leaves a request unread."""
         return {
             "within_s": draw.log((0.01, 0.5)),
@@ -287,7 +287,7 @@
     how: Literal["refuse", "reset", "503"]
 
     @classmethod
-    def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
+    def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw the variant of the fault."""
         return {"how": draw.rng.choice(("refuse", "reset", "503"))}
 
@@ -299,7 +299,7 @@
     factor: Annotated[float, msgspec.Meta(ge=1)]
 
     @classmethod
-    def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
+    def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw a factor of 10 to 200."""
         return {"factor": draw.log((10.0, 200.0))}
 
@@ -317,7 +317,7 @@
     how: GarbageHow
 
     @classmethod
-    def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
+    def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw the variant of the fault."""
         return {"how": draw.rng.choice(get_args(GarbageHow))}
 
@@ -333,7 +333,7 @@
     keeps_s: Seconds = 1.5  # the old service accepts no connections and closes the open ones after this time
 
     @classmethod
-    def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
+    def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw a first version that is lower than, equal to or higher than the old service's version."""
         return {"version": draw.rng.choice((1, 2, 3, 5, 40, 1000)), "keeps_s": draw.of((0.2, 1.5))}
 
@@ -365,7 +365,7 @@
     every_s: Positive
 
     @classmethod
-    def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
+    def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw a period that gives 3 to 20 changes a second."""
         return {"every_s": draw.log((0.05, 0.3))}
 
@@ -381,7 +381,7 @@
     count: Annotated[int, msgspec.Meta(ge=1, le=1000)]
 
     @classmethod
-    def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
+    def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw the kind and number of misbehaving clients.
 
         Clients that only occupy connections may outnumber the connections a sidecar may hold.  Clients that
@@ -415,7 +415,7 @@
     stall_s: Annotated[float, msgspec.Meta(gt=0, le=5)]
 
     @classmethod
-    def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
+    def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw a stall short enough for the sidecar to comply with every rule."""
         return {"stall_s": draw.log((0.001, 0.008))}
 
@@ -447,7 +447,7 @@
     by_s: float
 
     @classmethod
-    def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
+    def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw a shift of one second to one hour in either direction."""
         return {"by_s": draw.log((1.0, 3600.0)) * draw.rng.choice((1, -1))}
 
@@ -459,7 +459,7 @@
     left: Annotated[int, msgspec.Meta(ge=0)]
 
     @classmethod
-    def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
+    def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw 0 to 6 remaining descriptors."""
         return {"left": draw.whole((0, 6))}
 
@@ -470,7 +470,7 @@
     restart: bool
 
     @classmethod
-    def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
+    def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw a restart of the node in 70 % of cases."""
         return {"restart": draw.chance(0.7)}
 
@@ -488,7 +488,7 @@
     down_s: Seconds
 
     @classmethod
-    def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
+    def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw a downtime of at most 0.3 seconds."""
         return {"down_s": draw.of((0.0, 0.3))}
 
@@ -500,7 +500,7 @@
     how: Literal["empty", "half", "not-json", "bad-key"]
 
     @classmethod
-    def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
+    def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw the variant of the fault."""
         return {"how": draw.rng.choice(("empty", "half", "not-json", "bad-key"))}
 
@@ -514,7 +514,7 @@
     way: Literal["both", "to-node", "from-node"]
 
     @classmethod
-    def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
+    def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw the direction that is partitioned: both directions in half of the cases."""
         return {"way": draw.rng.choice(("both", "both", "to-node", "from-node"))}
 
@@ -525,7 +525,7 @@
     by_s: Seconds
 
     @classmethod
-    def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
+    def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw 3 to 200 milliseconds of added latency."""
         return {"by_s": draw.log((0.003, 0.2))}
 
@@ -558,7 +558,7 @@
     part: Part
 
     @classmethod
-    def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
+    def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw the period between resets and a fraction of 0.2 to 1 of the connections."""
         return {"every_s": draw.log((0.05, 0.5)), "part": draw.of((0.2, 1.0))}
 
@@ -569,7 +569,7 @@
     part: Part
 
     @classmethod
-    def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
+    def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw a fraction of 0.3 to 1 of the connections."""
         return {"part": draw.of((0.3, 1.0))}
 
@@ -594,7 +594,7 @@
     how: Literal["power", "cut"]
 
     @classmethod
-    def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
+    def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw a period short enough for several failures within a run."""
         return {"every_s": draw.of((0.15, 0.7)), "how": draw.rng.choice(("power", "cut"))}
 
@@ -607,7 +607,7 @@
     sidecar: str = ""
 
     @classmethod
-    def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
+    def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw the direction, and all sidecars or one of them."""
         names = ["", *(sidecar.name for sidecar in world.sidecars)]
         way = draw.rng.choice(("both", "to-nodes", "from-nodes"))
@@ -623,7 +623,7 @@
     resets: Part
 
     @classmethod
-    def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
+    def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw every second to fifth request as slow, by a factor of 3 to 12."""
         return {"every": draw.whole((2, 5)), "factor": draw.log((3.0, 12.0)), "resets": draw.of((0.0, 0.2))}
 
@@ -636,7 +636,7 @@
     drain_s: Seconds
 
     @classmethod
-    def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
+    def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw drains and gaps short enough for a run to contain the whole sequence."""
         return {"gap_s": draw.of((0.0, 0.3)), "drain_s": draw.of((0.2, 0.8))}
 
@@ -648,7 +648,7 @@
     what: Literal["trust", "evacuate", "bad", "none"]
 
     @classmethod
-    def parameters(cls, draw: Drawer, world: WorldFigures) -> dict[str, Any]:
+    def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw the change made to the zone section."""
         return {"what": draw.rng.choice(("trust", "evacuate", "bad", "none"))}
 
@@ -741,14 +741,14 @@
 }
 
 
-def draw_faults(seed: int, world: WorldFigures, profile: str = "default") -> tuple[AnyFault, ...]:
+def draw_faults(seed: int, world: WorldSpec, profile: str = "default") -> tuple[AnyFault, ...]:
     """Draw a plan of at least three kinds of overlapping faults, all ended by the world's `faults_s`.
 
     Raises `ValueError` for an unknown profile.
     """
     if profile not in PROFILES:
         raise ValueError(f"unknown profile {profile!r}; known profiles: {', '.join(PROFILES)}")
-    draw = Drawer(seed, f"faults {profile}")
+    draw = Sampler(seed, f"faults {profile}")
     names, kinds = list(PROFILES[profile]), []
     if world.crowd and "fleet-renewed" in names and draw.chance(0.3):  # worst case: cold nodes
         names, kinds = [each for each in names if each != "fleet-renewed"], ["fleet-renewed"]
@@ -764,7 +764,7 @@
     return tuple(sorted(faults, key=lambda fault: (fault.at_s, fault.kind, fault.target)))
 
 
-def _draw_fault(of: type[Fault], draw: Drawer, world: WorldFigures) -> Any:
+def _draw_fault(of: type[Fault], draw: Sampler, world: WorldSpec) -> Any:
     span = world.faults_s - FIRST_AT
     length = draw.of((0.25 * span, 0.8 * span))
     at = draw.of((FIRST_AT, max(FIRST_AT, world.faults_s - length)))
@@ -775,7 +775,7 @@
     return of(target=target, **given)
 
 
-def targets_of(of: type[Fault], world: WorldFigures) -> Sequence[str]:
+def targets_of(of: type[Fault], world: WorldSpec) -> Sequence[str]:
     """Return the targets that a kind of fault may have in a world; an empty string for kinds without one."""
     names: Callable[[], list[str]] = {
         "node": lambda: [node.id for node in world.nodes if not node.spare],
@@ -786,7 +786,7 @@
     return names()
 
 
-def check_faults(faults: Sequence[Fault], world: WorldFigures) -> None:
+def check_faults(faults: Sequence[Fault], world: WorldSpec) -> None:
     """Raise `ValueError` for a fault whose target does not exist in the world."""
     for number, fault in enumerate(faults):
         if fault.target and fault.target not in targets_of(type(fault), world):
--- a/brambleusher/lab/fleets/figures.py
+++ b/brambleusher/lab/fleets/figures.py
@@ -27,13 +27,13 @@
 
 Range = tuple[float, float]  # both bounds are inclusive
 
-NODE_PORT, SIDECAR_PORT, DISCOVERY_PORT, DOOR_PORT = 9000, 9000, 8500, 9100
+NODE_PORT, SIDECAR_PORT, DISCOVERY_PORT, ADMIN_PORT = 9000, 9000, 8500, 9100
 
 
 # --- a world --------------------------------------------------------------------------------------
 
 
-class ClassFigures(Settings, frozen=True):
+class ClassSpec(Settings, frozen=True):
     """A request class: its share of the requests, its work, latency target, deadline and value."""
 
     name: str
@@ -55,7 +55,7 @@
         return min(max(work, 0.002), self.aim_s * 0.8)
 
 
-class TenantFigures(Settings, frozen=True):
+class TenantSpec(Settings, frozen=True):
     """A tenant, its share of the requests and its use of its quota."""
 
     name: str
@@ -63,7 +63,7 @@
     usage: Positive  # fraction of the tenant's quota that its requests use
 
 
-class NodeFigures(Settings, frozen=True):
+class NodeSpec(Settings, frozen=True):
     """A node: its zone, kind and cell, and the settings of its stand-in."""
 
     id: str
@@ -75,7 +75,7 @@
     spare: bool = False  # not running at the start; a fault may start the node
 
 
-class SidecarFigures(Settings, frozen=True):
+class SidecarSpec(Settings, frozen=True):
     """A sidecar's machine, and the configuration that the sidecar starts with."""
 
     name: str
@@ -86,7 +86,7 @@
     capture: bool = True
 
 
-class NetworkFigures(Settings, frozen=True):
+class NetworkSpec(Settings, frozen=True):
     """One-way network latencies, and the imperfections of sockets."""
 
     same_zone_s: Seconds = 0.0002
@@ -100,7 +100,7 @@
     buffer_bytes: Annotated[int, msgspec.Meta(ge=2048)] = 65536
 
 
-class RuleFigures(Settings, frozen=True):
+class RuleSpec(Settings, frozen=True):
     """The rules of the deployment that sidecars receive in their settings."""
 
     drain_grace_s: Seconds = 0.5
@@ -120,33 +120,33 @@
     handshake_fee: Seconds = 0.075  # cost of each newly opened connection
 
 
-class ProcessorFigures(Settings, frozen=True):
+class ProcessorSpec(Settings, frozen=True):
     """Mean delays due to a sidecar's limited share of a CPU core; 0 for a share that causes no delay."""
 
     start_s: Seconds = 0.0  # time from the start of the process to the program's first step
     round_s: Seconds = 0.0  # time from one poll to the next
 
 
-class WorldFigures(Settings, frozen=True):
+class WorldSpec(Settings, frozen=True):
     """A whole world, with all values drawn."""
 
     length_s: Positive  # time of the last request
     faults_s: Positive  # time by which all faults have ended
     zones: tuple[str, ...]
-    sidecars: tuple[SidecarFigures, ...]
-    nodes: tuple[NodeFigures, ...]
-    classes: tuple[ClassFigures, ...]
-    tenants: tuple[TenantFigures, ...] = ()
+    sidecars: tuple[SidecarSpec, ...]
+    nodes: tuple[NodeSpec, ...]
+    classes: tuple[ClassSpec, ...]
+    tenants: tuple[TenantSpec, ...] = ()
     requests_per_s: Positive = 14.0
     opens_s: Seconds = 0.0  # time at which a resale opens
     crowd: Part = 0.0  # fraction of all requests that arrive within 0.25 seconds after a resale opens
     discovery: DiscoverySettings = DiscoverySettings()
     notice_s: Seconds = 0.5  # time until discovery learns of a process that starts or drains
     silent_notice_s: Seconds = 1.5  # time until discovery learns of a process that crashed
-    network: NetworkFigures = NetworkFigures()
+    network: NetworkSpec = NetworkSpec()
     clients: ClientSettings = ClientSettings()
-    rules: RuleFigures = RuleFigures()
-    processor: ProcessorFigures = ProcessorFigures()
+    rules: RuleSpec = RuleSpec()
+    processor: ProcessorSpec = ProcessorSpec()
     operator: dict[str, Any] = {}  # sections of the sidecars' operator file except `capture`  # noqa: RUF012
 
     @property
@@ -318,7 +318,7 @@
     impatient: Range = (0.0, 0.1)
 
 
-class Drawer:
+class Sampler:
     """Draws values from ranges; each purpose has a separate generator, so that draws stay independent."""
 
     def __init__(self, seed: int, purpose: str) -> None:
@@ -347,26 +347,26 @@
     return float(f"{value:.4g}")
 
 
-def draw_world(seed: int, ranges: Ranges | None = None) -> WorldFigures:
+def draw_world(seed: int, ranges: Ranges | None = None) -> WorldSpec:
     """Draw a world, which depends only on the seed and the ranges."""
     ranges = ranges or Ranges()
-    draw = Drawer(seed, "world")
+    draw = Sampler(seed, "world")
     classes = tuple(
-        ClassFigures(
+        ClassSpec(
             name=each.name, share=draw.of(each.share), work_s=draw.of(each.work_s),
             spread=draw.of(each.spread), aim_s=each.aim_s, deadline_s=each.deadline_s, worth=each.worth,
             late_worth=each.late_worth, unsafe=each.unsafe,
         )
         for each in ranges.classes
     )  # fmt: skip
-    network = NetworkFigures(
+    network = NetworkSpec(
         same_zone_s=draw.of(ranges.same_zone_s), cross_zone_s=draw.of(ranges.cross_zone_s),
         client_s=draw.of(ranges.client_s), jitter=draw.of(ranges.jitter), split=draw.of(ranges.split),
         short_send=draw.of(ranges.short_send), short_receive=draw.of(ranges.short_receive),
         buffer_bytes=int(draw.log(ranges.buffer_bytes)), aborted_accepts=0.02 if draw.chance(0.3) else 0.0,
     )  # fmt: skip
-    fall = Drawer(seed, "fall").of(ranges.fall_s)
-    nodes = _draw_nodes(Drawer(seed, "nodes"), ranges, fall)
+    fall = Sampler(seed, "fall").of(ranges.fall_s)
+    nodes = _draw_nodes(Sampler(seed, "nodes"), ranges, fall)
     capacity = sum(node.settings.cores * node.settings.speed for node in nodes if not node.spare)
     mean_work = sum(each.share * each.work_s for each in classes) / sum(each.share for each in classes)
     rate = draw.of(ranges.requests_per_s)
@@ -374,10 +374,10 @@
     stretch = draw.of(ranges.load) * capacity / (rate * mean_work)
     stretch = min(1.6, max(0.5, stretch))
     classes = tuple(msgspec.structs.replace(each, work_s=_round4(each.work_s * stretch)) for each in classes)
-    draw = Drawer(seed, "front")
+    draw = Sampler(seed, "front")
     count = draw.whole(ranges.sidecars)
     sidecars = tuple(
-        SidecarFigures(
+        SidecarSpec(
             name=f"n{number}", zone=draw.rng.choice(ranges.zones), sockets=draw.whole(ranges.sockets),
             known=draw.rng.choice(("fresh", "fresh", "old", "none")),
         )
@@ -394,27 +394,27 @@
         fails_by=draw.rng.choice(("503", "reset")),
     )  # fmt: skip
     faults_s = draw.of(ranges.faults_s)
-    opening = Drawer(seed, "opening")
+    opening = Sampler(seed, "opening")
     opens, crowd = opening.of(ranges.opens), opening.of(ranges.crowd)
     opens, crowd = (_round4(opens * faults_s), crowd) if opening.chance(0.4) else (0.0, 0.0)
-    return WorldFigures(
+    return WorldSpec(
         length_s=_round4(faults_s + draw.of(ranges.after_s)), faults_s=faults_s, zones=ranges.zones,
         sidecars=sidecars, nodes=nodes, classes=classes,
         tenants=tuple(
-            TenantFigures(name=name, share=share, usage=draw.of(ranges.usage))
+            TenantSpec(name=name, share=share, usage=draw.of(ranges.usage))
             for name, share in ranges.tenants
         ),
         requests_per_s=rate, opens_s=opens, crowd=crowd, discovery=discovery,
         notice_s=draw.of(ranges.notice_s), silent_notice_s=draw.of(ranges.silent_notice_s),
         network=network, clients=clients,
-        rules=RuleFigures(
+        rules=RuleSpec(
             must_ask_s=draw.of(ranges.must_ask_s), second_copies=draw.chance(0.8), fall_s=fall,
             max_attempts=draw.rng.choice((2, 3, 4, 6)),
         ),
     )  # fmt: skip
 
 
-def _draw_nodes(draw: Drawer, ranges: Ranges, fall_s: float) -> tuple[NodeFigures, ...]:
+def _draw_nodes(draw: Sampler, ranges: Ranges, fall_s: float) -> tuple[NodeSpec, ...]:
     """Draw the initial nodes, then the spares, with each kind and as many of the zones as possible."""
     count, spares = draw.whole(ranges.nodes), draw.whole(ranges.spares)
     shares = [draw.of(kind.share) for kind in ranges.kinds]
@@ -429,7 +429,7 @@
     tax, work_noise = draw.of(ranges.full_tax), draw.of(ranges.work_noise)
     speeds = [draw.of(kind.speed) for kind in ranges.kinds]
     spreads = [draw.of(kind.speed_spread) for kind in ranges.kinds]
-    nodes: list[NodeFigures] = []
+    nodes: list[NodeSpec] = []
     for number in range(count + spares):
         at = number if number < len(ranges.kinds) else _draw_index(draw, shares)
         kind = ranges.kinds[at]
@@ -445,7 +445,7 @@
             drain_refuses=refuses, work_noise=work_noise,
         )  # fmt: skip
         nodes.append(
-            NodeFigures(
+            NodeSpec(
                 id=f"s-{draw.rng.getrandbits(32):08x}",
                 zone=ranges.zones[number % len(ranges.zones)],
                 kind=kind.name,
@@ -458,13 +458,13 @@
     return tuple(nodes)
 
 
-def _draw_index(draw: Drawer, shares: list[float]) -> int:
+def _draw_index(draw: Sampler, shares: list[float]) -> int:
     return draw.rng.choices(range(len(shares)), shares)[0]
 
 
 # --- demand ---------------------------------------------------------------------------------------
 
-LEAST_REQUESTS = 60  # minimum number of requests after the faults
+MIN_REQUESTS = 60  # minimum number of requests after the faults
 CROWD_S = 0.25  # time within which all requests of a crowd arrive, in seconds
 # After the faults, requests arrive at even intervals and use at most this fraction of the capacity, so that
 # a request that is not served then is due to the program and not to chance.
@@ -472,17 +472,17 @@
 CALM_AFTER_S = 0.5
 
 
-def draw_asks(seed: int, world: WorldFigures) -> tuple[Ask, ...]:
+def draw_asks(seed: int, world: WorldSpec) -> tuple[Ask, ...]:
     """Draw the requests of a run, with random arrival times and in some worlds a crowd."""
-    draw = Drawer(seed, "asks")
+    draw = Sampler(seed, "asks")
     rng = draw.rng
     times: list[float] = []
-    count = max(LEAST_REQUESTS, round(world.length_s * world.requests_per_s))
+    count = max(MIN_REQUESTS, round(world.length_s * world.requests_per_s))
     times = [world.opens_s + rng.uniform(0, CROWD_S) for _ in range(int(count * world.crowd))]
     times += [rng.uniform(0, world.length_s - 0.05) for _ in range(count - len(times))]
     calm_from = world.faults_s + CALM_AFTER_S
     # Enough requests must arrive while all sidecars are up: a stopped sidecar serves none.
-    late = max(LEAST_REQUESTS, sum(at > calm_from for at in times))
+    late = max(MIN_REQUESTS, sum(at > calm_from for at in times))
     gap = (world.length_s - 0.05 - calm_from) / late
     times = [at for at in times if at <= calm_from]
     times += [calm_from + gap * (number + rng.random()) for number in range(late)]
--- a/brambleusher/lab/fleets/fleet.py
+++ b/brambleusher/lab/fleets/fleet.py
@@ -19,13 +19,13 @@
 from brambleusher.lab.faults.effects import apply
 from brambleusher.lab.faults.kinds import OPERATOR_KINDS, Fault
 from brambleusher.lab.fleets.figures import (
+    ADMIN_PORT,
     DISCOVERY_PORT,
-    DOOR_PORT,
     NODE_PORT,
     SIDECAR_PORT,
-    NodeFigures,
-    SidecarFigures,
-    WorldFigures,
+    NodeSpec,
+    SidecarSpec,
+    WorldSpec,
 )
 from brambleusher.lab.fleets.scenario import Scenario
 from brambleusher.lab.fleets.stage import Machine, Process, Stage
@@ -131,7 +131,7 @@
     return f"node {number}"
 
 
-def pace_of(world: WorldFigures) -> Pace | None:
+def pace_of(world: WorldSpec) -> Pace | None:
     """Return the pace of a sidecar's process, or None if its share of a CPU core causes no delay."""
     processor = world.processor
     if not processor.start_s and not processor.round_s:
@@ -141,7 +141,7 @@
 
 
 def configuration(
-    world: WorldFigures,
+    world: WorldSpec,
     number: int,
     listen: Address,
     discovery: Address,
@@ -172,7 +172,7 @@
 class NodeInstance:
     """A node of the fleet: its machine, its current process, and the reasons that keep it from running."""
 
-    def __init__(self, fleet: BaseFleet, figures: NodeFigures, machine: Machine) -> None:
+    def __init__(self, fleet: BaseFleet, figures: NodeSpec, machine: Machine) -> None:
         self.fleet, self.figures, self.machine = fleet, figures, machine
         self.id = figures.id
         self.active_faults = ActiveFaults()
@@ -466,7 +466,7 @@
 class SidecarInstance:
     """A sidecar of the fleet: its machine, its configuration files and its process."""
 
-    def __init__(self, fleet: BaseFleet, number: int, figures: SidecarFigures) -> None:
+    def __init__(self, fleet: BaseFleet, number: int, figures: SidecarSpec) -> None:
         self.fleet, self.number, self.figures = fleet, number, figures
         self.machine = fleet.world.machine(figures.name, f"10.0.0.{number + 1}")
         self.file = self.good_file = b""  # current file, and the last valid one from the platform
@@ -485,7 +485,7 @@
     @property
     def admin(self) -> Address:
         """Address of the admin endpoint, in runs with operators."""
-        return self.machine.address(DOOR_PORT)
+        return self.machine.address(ADMIN_PORT)
 
     @property
     def up(self) -> bool:
@@ -657,7 +657,7 @@
         self.new_node: Callable[..., Node] = Node  # replaceable by experiments
         self.new_balancer: Callable[[Settings, int], Balancer] = balancer_for  # replaceable by experiments
 
-    def new_sidecar(self, number: int, figures: SidecarFigures) -> SidecarInstance:
+    def new_sidecar(self, number: int, figures: SidecarSpec) -> SidecarInstance:
         """Create a sidecar of the class used in this kind of world."""
         return SidecarInstance(self, number, figures)
 
--- a/brambleusher/lab/fleets/scenario.py
+++ b/brambleusher/lab/fleets/scenario.py
@@ -8,7 +8,7 @@
 import yaml
 
 from brambleusher.lab.faults.kinds import AnyFault, check_faults, draw_faults
-from brambleusher.lab.fleets.figures import Drawer, Ranges, WorldFigures, draw_asks, draw_world
+from brambleusher.lab.fleets.figures import Ranges, Sampler, WorldSpec, draw_asks, draw_world
 from brambleusher.lab.stand_ins.settings import Ask, Settings
 
 FORMAT = 1
@@ -22,7 +22,7 @@
     """The complete initial conditions of a run; `seed` determines the random choices made during the run."""
 
     seed: int
-    world: WorldFigures
+    world: WorldSpec
     asks: tuple[Ask, ...]
     faults: tuple[AnyFault, ...]
     profile: str = "default"
@@ -35,9 +35,9 @@
 RULED = ("zones-ruled",)  # profiles in which the operator file has a section on zones
 
 
-def draw_rules(seed: int, world: WorldFigures) -> dict[str, Any]:
+def draw_rules(seed: int, world: WorldSpec) -> dict[str, Any]:
     """Draw the section on zones of an operator file."""
-    draw = Drawer(seed, "zone rules")
+    draw = Sampler(seed, "zone rules")
     rules: dict[str, Any] = {"half_life_s": draw.of((1.0, 4.0)), "hold_most_s": draw.of((1.0, 6.0))}
     if draw.chance(0.5):
         order = {}
--- a/brambleusher/lab/fleets/worlds.py
+++ b/brambleusher/lab/fleets/worlds.py
@@ -13,13 +13,13 @@
 
 from brambleusher.lab.faults.kinds import AnyFault, check_faults
 from brambleusher.lab.fleets.figures import (
-    ClassFigures,
-    NetworkFigures,
-    NodeFigures,
-    RuleFigures,
-    SidecarFigures,
-    TenantFigures,
-    WorldFigures,
+    ClassSpec,
+    NetworkSpec,
+    NodeSpec,
+    RuleSpec,
+    SidecarSpec,
+    TenantSpec,
+    WorldSpec,
 )
 from brambleusher.lab.stand_ins.settings import (
     Count,
@@ -96,11 +96,11 @@
     discovery: DiscoverySettings = DiscoverySettings()
     notice_s: Seconds = 0.5
     silent_notice_s: Seconds = 1.5
-    network: NetworkFigures = NetworkFigures()
-    rules: RuleFigures = RuleFigures()
+    network: NetworkSpec = NetworkSpec()
+    rules: RuleSpec = RuleSpec()
     faults: tuple[AnyFault, ...] = ()
 
-    def figures(self, length_s: float = 60.0) -> WorldFigures:
+    def figures(self, length_s: float = 60.0) -> WorldSpec:
         """Return the world definition for a run of a given length; raises `WorldError`."""
         if not self.zones or not self.classes or not any(kind.count for kind in self.kinds.values()):
             raise WorldError("zones, kinds and classes must not be empty")
@@ -111,13 +111,13 @@
             if not TENANT.match(name):
                 raise WorldError(f"tenants: {name!r} can't stand in a header")
         rng = random.Random(f"{self.seed}/ids")
-        nodes: list[NodeFigures] = []
+        nodes: list[NodeSpec] = []
         for name, kind in self.kinds.items():
             settings = NodeSettings(**{key: getattr(kind, key) for key in NodeSettings.__struct_fields__})
             for number in range(kind.count + kind.spares):
                 at = len(nodes)
                 nodes.append(
-                    NodeFigures(
+                    NodeSpec(
                         id=f"s-{rng.getrandbits(32):08x}", zone=self.zones[at % len(self.zones)], kind=name,
                         cell=at // 3, weight=kind.cores * kind.speed, settings=settings,
                         spare=number >= kind.count,
@@ -126,12 +126,12 @@
         total = sum(self.tenants.values())
         if self.tenants and not total > 0:
             raise WorldError("tenants have no share")
-        world = WorldFigures(
+        world = WorldSpec(
             length_s=length_s,
             faults_s=max([0.001, *(fault.at_s + fault.for_s for fault in self.faults)]),
             zones=self.zones,
             sidecars=tuple(
-                SidecarFigures(
+                SidecarSpec(
                     name=f"n{number}", zone=self.zones[number % len(self.zones)], sockets=self.sockets,
                     memory_mb=self.memory_mb, known=self.known, capture=False,
                 )
@@ -139,10 +139,10 @@
             ),
             nodes=tuple(nodes),
             classes=tuple(
-                ClassFigures(name=name, **msgspec.structs.asdict(each)) for name, each in self.classes.items()
+                ClassSpec(name=name, **msgspec.structs.asdict(each)) for name, each in self.classes.items()
             ),
             tenants=tuple(
-                TenantFigures(name=name, share=share / total, usage=self.usage)
+                TenantSpec(name=name, share=share / total, usage=self.usage)
                 for name, share in self.tenants.items()
             ),
             requests_per_s=self.requests_per_s, discovery=self.discovery, notice_s=self.notice_s,
--- a/brambleusher/lab/processes/drill.py
+++ b/brambleusher/lab/processes/drill.py
@@ -17,7 +17,7 @@
 from brambleusher.lab.checker.sums import Curve, Sums, passed
 from brambleusher.lab.collection import uncollected
 from brambleusher.lab.faults.kinds import AnyFault, check_faults
-from brambleusher.lab.fleets.figures import Drawer, Ranges, WorldFigures, draw_world
+from brambleusher.lab.fleets.figures import Ranges, Sampler, WorldSpec, draw_world
 from brambleusher.lab.fleets.fleet import BaseFleet, Fleet, world_of
 from brambleusher.lab.fleets.scenario import Scenario
 from brambleusher.lab.fleets.worlds import laid_over
@@ -119,7 +119,7 @@
         length_s=max(drill.length_s, faults_s + drill.after_s),
     )  # fmt: skip
     if drill.world:
-        world = msgspec.convert(laid_over(msgspec.to_builtins(world), drill.world), WorldFigures)
+        world = msgspec.convert(laid_over(msgspec.to_builtins(world), drill.world), WorldSpec)
     check_faults(drill.faults, world)
     only = [fault.kind for fault in drill.faults if fault.worlds == "processes"]
     if only and drill.needs != "processes":
@@ -130,9 +130,9 @@
     )  # fmt: skip
 
 
-def _asks(seed: int, world: WorldFigures) -> tuple[Ask, ...]:
+def _asks(seed: int, world: WorldSpec) -> tuple[Ask, ...]:
     """Arrivals at random, evenly over the sidecars."""
-    rng = Drawer(seed, "drill asks").rng
+    rng = Sampler(seed, "drill asks").rng
     asks, at = [], 0.0
     while (at := at + rng.expovariate(world.requests_per_s)) < world.length_s - 0.05:
         of = rng.choices(world.classes, [each.share for each in world.classes])[0]
--- a/brambleusher/lab/processes/fleet.py
+++ b/brambleusher/lab/processes/fleet.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from brambleusher.lab.fleets.figures import SidecarFigures
+from brambleusher.lab.fleets.figures import SidecarSpec
 from brambleusher.lab.fleets.fleet import BaseFleet, FleetMonitor, SidecarInstance, SidecarResources
 from brambleusher.lab.fleets.scenario import Scenario
 from brambleusher.lab.processes.parent import tied_to
@@ -162,7 +162,7 @@
 
     fleet: RealFleet
 
-    def __init__(self, fleet: RealFleet, number: int, figures: SidecarFigures) -> None:
+    def __init__(self, fleet: RealFleet, number: int, figures: SidecarSpec) -> None:
         super().__init__(fleet, number, figures)
         self.stage = fleet.stage
         self.real = self.stage.machines[figures.name]
@@ -305,7 +305,7 @@
         """All sidecars' places."""
         return [place for place in self.sidecars if isinstance(place, RealSidecarPlace)]
 
-    def new_sidecar(self, number: int, figures: SidecarFigures) -> SidecarInstance:
+    def new_sidecar(self, number: int, figures: SidecarSpec) -> SidecarInstance:
         """A place for a real process."""
         return RealSidecarPlace(self, number, figures)
 
--- a/brambleusher/lab/processes/real_fleet.py
+++ b/brambleusher/lab/processes/real_fleet.py
@@ -21,7 +21,7 @@
 import msgspec
 import yaml
 
-from brambleusher.lab.fleets.figures import NodeFigures, WorldFigures
+from brambleusher.lab.fleets.figures import NodeSpec, WorldSpec
 from brambleusher.lab.fleets.fleet import configuration
 from brambleusher.lab.fleets.worlds import WorldFile
 from brambleusher.lab.processes.parent import tied_to
@@ -104,12 +104,12 @@
     ) -> None:
         """Without `executions` the last ones are kept."""
         self.scheduler, self.world, self.folder = scheduler, world, folder
-        self.figures: WorldFigures = world.figures()
+        self.figures: WorldSpec = world.figures()
         self.seed = world.seed if seed is None else seed
         self.executions: MutableSequence[Execution] = (
             deque(maxlen=KEPT_EXECUTIONS) if executions is None else executions
         )
-        self.nodes: list[tuple[NodeFigures, Node]] = []
+        self.nodes: list[tuple[NodeSpec, Node]] = []
         self.discovery: Discovery | None = None
         self.sidecars: list[SidecarProcess] = []
         self.fallen: set[str] = set()
@@ -130,7 +130,7 @@
         for number, sidecar in enumerate(self.figures.sidecars):
             self._start_sidecar(number, sidecar.name, sidecar.zone, where, entries)
 
-    def _start_node(self, figures: NodeFigures) -> Entry:
+    def _start_node(self, figures: NodeSpec) -> Entry:
         node = Node(self.scheduler, figures.settings, figures.id, self.seed, executions=self.executions)
         host, port = node.listen((LOOPBACK, 0))
         entry = Entry(
--- a/brambleusher/lab/virtual/mass.py
+++ b/brambleusher/lab/virtual/mass.py
@@ -15,16 +15,16 @@
 
 from brambleusher.lab.faults import kinds as faults
 from brambleusher.lab.fleets.figures import (
-    ClassFigures,
-    Drawer,
-    NetworkFigures,
-    NodeFigures,
-    ProcessorFigures,
+    ClassSpec,
+    NetworkSpec,
+    NodeSpec,
+    ProcessorSpec,
     Ranges,
-    RuleFigures,
-    SidecarFigures,
-    TenantFigures,
-    WorldFigures,
+    RuleSpec,
+    Sampler,
+    SidecarSpec,
+    TenantSpec,
+    WorldSpec,
 )
 from brambleusher.lab.fleets.scenario import Scenario
 from brambleusher.lab.stand_ins.settings import Ask, ClientSettings, DiscoverySettings, NodeSettings
@@ -34,9 +34,9 @@
 PARETO = 1.5  # of sidecars' parts of the traffic: some get several times the mean
 MOST_OF_MEAN = 8.0
 BURST = 1.5  # times the usual rate, for a while
-PROCESSOR = ProcessorFigures(start_s=0.6, round_s=0.0004)
+PROCESSOR = ProcessorSpec(start_s=0.6, round_s=0.0004)
 
-Plan = Callable[[Drawer, WorldFigures], list[faults.Fault]]
+Plan = Callable[[Sampler, WorldSpec], list[faults.Fault]]
 
 
 def draw_mass(
@@ -46,22 +46,22 @@
     if day not in DAYS:
         raise ValueError(f"no day {day!r}; there are {', '.join(DAYS)}")
     world = _world(seed, sidecars, nodes, length_s)
-    draw = Drawer(seed, f"faults {day}")
+    draw = Sampler(seed, f"faults {day}")
     plan = sorted(DAYS[day](draw, world), key=lambda fault: (fault.at_s, fault.kind, fault.target))
     return Scenario(
-        seed=seed, profile=day, world=world, asks=_asks(Drawer(seed, "asks"), world),
+        seed=seed, profile=day, world=world, asks=_asks(Sampler(seed, "asks"), world),
         faults=tuple(plan),  # type: ignore[arg-type]
     )  # fmt: skip
 
 
-def _world(seed: int, sidecars: int, count: int, length_s: float) -> WorldFigures:
-    draw, zones = Drawer(seed, "mass"), Ranges().zones
+def _world(seed: int, sidecars: int, count: int, length_s: float) -> WorldSpec:
+    draw, zones = Sampler(seed, "mass"), Ranges().zones
     classes = (
-        ClassFigures(name="listing-lookup", share=0.44, work_s=draw.of((0.048, 0.087)), spread=0.8,
+        ClassSpec(name="listing-lookup", share=0.44, work_s=draw.of((0.048, 0.087)), spread=0.8,
                      aim_s=1.0, deadline_s=2.0, worth=1.0, late_worth=0.2),
-        ClassFigures(name="price-check", share=0.28, work_s=draw.of((0.086, 0.16)), spread=0.8,
+        ClassSpec(name="price-check", share=0.28, work_s=draw.of((0.086, 0.16)), spread=0.8,
                      aim_s=1.5, deadline_s=4.0, worth=5.0, late_worth=0.5),
-        ClassFigures(name="transfer-record", share=0.28, work_s=draw.of((0.14, 0.24)), spread=0.8,
+        ClassSpec(name="transfer-record", share=0.28, work_s=draw.of((0.14, 0.24)), spread=0.8,
                      aim_s=1.5, deadline_s=6.0, worth=2.0, late_worth=0.3, unsafe=True),
     )  # fmt: skip
     usual = NodeSettings(
@@ -75,7 +75,7 @@
     for number in range(count):
         cores, speed = (2, draw.of((0.85, 1.1))) if draw.chance(0.67) else (1, draw.of((0.64, 0.86)))
         nodes.append(
-            NodeFigures(
+            NodeSpec(
                 id=f"s-{draw.rng.getrandbits(32):08x}", zone=zones[number % len(zones)],
                 kind="std-2core" if cores == 2 else "small-1core", cell=number // 4, weight=cores * speed,
                 settings=msgspec.structs.replace(usual, cores=cores, speed=speed),
@@ -84,12 +84,12 @@
     capacity = sum(node.settings.cores * node.settings.speed for node in nodes)
     work = sum(each.share * each.work_s for each in classes)
     tries = draw.whole((1, 3))
-    return WorldFigures(
+    return WorldSpec(
         length_s=length_s,
         faults_s=min(FAULTS_S, length_s * 0.6),
         zones=zones,
         sidecars=tuple(
-            SidecarFigures(
+            SidecarSpec(
                 name=f"n{number}", zone=zones[number % len(zones)], sockets=576, memory_mb=96,
                 known="fresh", capture=False,
             )
@@ -97,23 +97,23 @@
         ),
         nodes=tuple(nodes),
         classes=classes,
-        tenants=(TenantFigures(name="peach-seats", share=0.8, usage=draw.of((0.54, 1.4))),
-                 TenantFigures(name="red-clay-tix", share=0.2, usage=draw.of((0.7, 1.2)))),
+        tenants=(TenantSpec(name="peach-seats", share=0.8, usage=draw.of((0.54, 1.4))),
+                 TenantSpec(name="red-clay-tix", share=0.2, usage=draw.of((0.7, 1.2)))),
         requests_per_s=draw.of((0.5, 0.65)) * capacity / work,
         # As many calls as the deployment's roster bears, for a fleet that is so much larger.
         discovery=DiscoverySettings(call_s=draw.of((0.006, 0.012)), line_s=0.0001, spread_s=0.05),
         notice_s=draw.of((1.3, 2.3)),
         silent_notice_s=draw.of((4.5, 8.0)),
-        network=NetworkFigures(same_zone_s=0.0002, cross_zone_s=draw.of((0.00042, 0.00078))),
+        network=NetworkSpec(same_zone_s=0.0002, cross_zone_s=draw.of((0.00042, 0.00078))),
         clients=ClientSettings(
             tries=tries, try_part=draw.of((0.5, 1.0)), backoff_s=draw.of((0.05, 0.4)), hints="rough"
         ),
-        rules=RuleFigures(fall_s=3.0, fall_multiple=4.0, must_ask_s=10.0),
+        rules=RuleSpec(fall_s=3.0, fall_multiple=4.0, must_ask_s=10.0),
         processor=PROCESSOR,
     )  # fmt: skip
 
 
-def _asks(draw: Drawer, world: WorldFigures) -> tuple[Ask, ...]:
+def _asks(draw: Sampler, world: WorldSpec) -> tuple[Ask, ...]:
     """Arrivals at random, with a burst, sidecars having unequal parts that shift between zones."""
     rng = draw.rng
     parts = [min(rng.paretovariate(PARETO) / 3.0, MOST_OF_MEAN) for _ in world.sidecars]
@@ -146,19 +146,19 @@
 # --- the days -------------------------------------------------------------------------------------
 
 
-def _some(draw: Drawer, world: WorldFigures, part: float) -> list[str]:
+def _some(draw: Sampler, world: WorldSpec, part: float) -> list[str]:
     """A part of the nodes."""
     names = [node.id for node in world.nodes]
     return draw.rng.sample(names, max(1, round(part * len(names))))
 
 
-def _span(world: WorldFigures, part: float) -> tuple[float, float]:
+def _span(world: WorldSpec, part: float) -> tuple[float, float]:
     """When faults begin, and how long they go on: a part of the time there is."""
     begin = min(FAULTS_FROM_S, world.faults_s / 3)
     return begin, round((world.faults_s - begin) * part, 3)
 
 
-def _replaced(draw: Drawer, world: WorldFigures, part: float, steps: int, within: float) -> list[Any]:
+def _replaced(draw: Sampler, world: WorldSpec, part: float, steps: int, within: float) -> list[Any]:
     """A part of the nodes is replaced, in so many steps."""
     begin, length = _span(world, within)
     names, plan = _some(draw, world, part), []
@@ -172,7 +172,7 @@
     return plan
 
 
-def _slow(draw: Drawer, world: WorldFigures, part: float) -> list[Any]:
+def _slow(draw: Sampler, world: WorldSpec, part: float) -> list[Any]:
     begin, length = _span(world, 1.0)
     return [
         faults.NodeSlow(at_s=begin, for_s=length, target=name, factor=draw.of((3.0, 9.0)))
@@ -180,11 +180,11 @@
     ]
 
 
-def _calm(draw: Drawer, world: WorldFigures) -> list[faults.Fault]:
+def _calm(draw: Sampler, world: WorldSpec) -> list[faults.Fault]:
     return []
 
 
-def _roll(draw: Drawer, world: WorldFigures) -> list[faults.Fault]:
+def _roll(draw: Sampler, world: WorldSpec) -> list[faults.Fault]:
     """Half of the nodes in steps, all sidecars a tenth at a time, and discovery moves."""
     begin, length = _span(world, 1.0)
     plan = _replaced(draw, world, 0.5, 5, 0.8)
@@ -196,7 +196,7 @@
     return plan
 
 
-def _herd(draw: Drawer, world: WorldFigures) -> list[faults.Fault]:
+def _herd(draw: Sampler, world: WorldSpec) -> list[faults.Fault]:
     """Seven in ten sidecars are killed in one moment, discovery is slow, one of eight nodes is bad."""
     begin, length = _span(world, 1.0)
     plan = _slow(draw, world, 1 / 8) + _replaced(draw, world, 0.3, 3, 0.8)
@@ -207,7 +207,7 @@
     return plan
 
 
-def _zone(draw: Drawer, world: WorldFigures) -> list[faults.Fault]:
+def _zone(draw: Sampler, world: WorldSpec) -> list[faults.Fault]:
     """A zone is lost and returns cold; another is cut off; one of eight nodes is slow."""
     begin, length = _span(world, 1.0)
     lost, cut = draw.rng.sample(world.zones, 2)
@@ -219,7 +219,7 @@
     ]
 
 
-def _split(draw: Drawer, world: WorldFigures) -> list[faults.Fault]:
+def _split(draw: Sampler, world: WorldSpec) -> list[faults.Fault]:
     """A zone is cut off; connections are reset under requests."""
     begin, length = _span(world, 1.0)
     for_s = min(6.0, length * 0.5)
@@ -229,7 +229,7 @@
     ]
 
 
-def _join(draw: Drawer, world: WorldFigures) -> list[faults.Fault]:
+def _join(draw: Sampler, world: WorldSpec) -> list[faults.Fault]:
     """Six in ten nodes are replaced within 7 s; some answers are spoilt."""
     begin, length = _span(world, 1.0)
     plan = _replaced(draw, world, 0.6, 2, min(7.0 / length, 0.9))
--- a/brambleusher/lab/virtual/zone_days.py
+++ b/brambleusher/lab/virtual/zone_days.py
@@ -16,12 +16,12 @@
 
 from brambleusher.lab.faults.kinds import AnyFault
 from brambleusher.lab.fleets.figures import (
-    ClassFigures,
-    NetworkFigures,
-    NodeFigures,
-    RuleFigures,
-    SidecarFigures,
-    WorldFigures,
+    ClassSpec,
+    NetworkSpec,
+    NodeSpec,
+    RuleSpec,
+    SidecarSpec,
+    WorldSpec,
 )
 from brambleusher.lab.fleets.fleet import Fleet, world_of
 from brambleusher.lab.fleets.scenario import Scenario
@@ -36,11 +36,11 @@
 WINDOW_S = 2.0  # service is counted in windows of this length, a new one each half
 FALL_S, FALL_MULTIPLE = 2.0, 4.0
 CLASSES = (  # those of the lab's usual world
-    ClassFigures(name="listing-lookup", share=0.6, work_s=0.027, spread=0.5, aim_s=0.5, deadline_s=1.5,
+    ClassSpec(name="listing-lookup", share=0.6, work_s=0.027, spread=0.5, aim_s=0.5, deadline_s=1.5,
                  worth=1.0),
-    ClassFigures(name="price-check", share=0.3, work_s=0.051, spread=0.5, aim_s=0.75, deadline_s=2.0,
+    ClassSpec(name="price-check", share=0.3, work_s=0.051, spread=0.5, aim_s=0.75, deadline_s=2.0,
                  worth=5.0),
-    ClassFigures(name="transfer-record", share=0.1, work_s=0.1, spread=0.5, aim_s=1.0, deadline_s=4.0,
+    ClassSpec(name="transfer-record", share=0.1, work_s=0.1, spread=0.5, aim_s=1.0, deadline_s=4.0,
                  worth=2.0, unsafe=True),
 )  # fmt: skip
 MEAN_WORK_S = sum(each.share * each.work_s for each in CLASSES)
@@ -66,7 +66,7 @@
 def scenario_of(day: Day, seed: int) -> Scenario:
     """The day of a seed."""
     rng = random.Random(f"{seed}/zone day")  # days of one seed have the same demand, as far as they go
-    nodes: list[NodeFigures] = []
+    nodes: list[NodeSpec] = []
     for zone in ZONES:
         for at in range(day.nodes.get(zone, len(KINDS))):
             kind, cores, speed = KINDS[at % len(KINDS)]
@@ -76,35 +76,33 @@
                 report_period_s=0.5, report_delay_s=0.1, report_noise=0.03, work_noise=0.2, idle_s=10.0,
             )  # fmt: skip
             nodes.append(
-                NodeFigures(
+                NodeSpec(
                     id=f"{zone}-{at}", zone=zone, kind=kind, cell=len(nodes) // 3, weight=cores * speed,
                     settings=settings,
                 )
             )  # fmt: skip
     capacity = sum(cores * speed for _, cores, speed in KINDS) * len(ZONES)
-    world = WorldFigures(
+    world = WorldSpec(
         length_s=day.length_s,
         faults_s=max([0.001, *(fault.end_s for fault in day.faults)]),
         zones=ZONES,
         sidecars=tuple(
-            SidecarFigures(
-                name=f"n{number}", zone=ZONES[number % 4], sockets=512, memory_mb=96, capture=False
-            )
+            SidecarSpec(name=f"n{number}", zone=ZONES[number % 4], sockets=512, memory_mb=96, capture=False)
             for number in range(8)
         ),
         nodes=tuple(nodes),
         classes=CLASSES,
         requests_per_s=day.use * capacity / MEAN_WORK_S,
         silent_notice_s=day.notice_s,
-        network=NetworkFigures(),
+        network=NetworkSpec(),
         clients=ClientSettings(tries=1),
-        rules=RuleFigures(fall_s=FALL_S, fall_multiple=FALL_MULTIPLE),
+        rules=RuleSpec(fall_s=FALL_S, fall_multiple=FALL_MULTIPLE),
         operator={} if day.zones is None else {"zones": day.zones},
     )
     return Scenario(seed=seed, profile=day.name, world=world, asks=_asks(world, rng), faults=day.faults)
 
 
-def _asks(world: WorldFigures, rng: random.Random) -> tuple[Ask, ...]:
+def _asks(world: WorldSpec, rng: random.Random) -> tuple[Ask, ...]:
     """Arrivals at random, evenly over the sidecars and over time."""
     asks: list[Ask] = []
     at = 0.0
--- a/tests/lab/test_explore.py
+++ b/tests/lab/test_explore.py
@@ -16,7 +16,7 @@
 from brambleusher.cli import run_command
 from brambleusher.cli.explore import RunTotals, play_chunk, play_seeds
 from brambleusher.lab.faults.kinds import MIN_KINDS, SidecarKilled
-from brambleusher.lab.fleets.figures import LEAST_REQUESTS
+from brambleusher.lab.fleets.figures import MIN_REQUESTS
 from brambleusher.lab.fleets.fleet import Fleet
 from brambleusher.lab.fleets.scenario import draw_scenario, read_scenario
 from brambleusher.lab.virtual.explore import play
@@ -46,7 +46,7 @@
     broken: list[str] = []
     slow: list[str] = []
     for result in play_chunk((range(first, first + SEEDS), "default", None)):
-        assert result.asked >= LEAST_REQUESTS and result.virtual_s >= 5 and len(result.faults) >= MIN_KINDS
+        assert result.asked >= MIN_REQUESTS and result.virtual_s >= 5 and len(result.faults) >= MIN_KINDS
         for breach in result.breaches[:1]:
             told = f"brambleusher explore --replay {result.seed}: {breach}"
             (slow if breach.rule == "recovery" else broken).append(told)
--- a/tests/lab/test_fault_plans.py
+++ b/tests/lab/test_fault_plans.py
@@ -17,7 +17,7 @@
 
 from brambleusher.lab.faults import kinds as faults
 from brambleusher.lab.faults.kinds import KINDS, MIN_KINDS, PROFILES, AnyFault, Fault, draw_faults
-from brambleusher.lab.fleets.figures import LEAST_REQUESTS, Drawer, draw_world
+from brambleusher.lab.fleets.figures import MIN_REQUESTS, Sampler, draw_world
 from brambleusher.lab.fleets.fleet import SECOND, Fleet
 from brambleusher.lab.fleets.scenario import (
     Scenario,
@@ -51,7 +51,7 @@
     for seed in SEEDS:
         scenario = draw_scenario(seed)
         world = scenario.world
-        assert sum(ask.at_s > world.faults_s for ask in scenario.asks) >= LEAST_REQUESTS
+        assert sum(ask.at_s > world.faults_s for ask in scenario.asks) >= MIN_REQUESTS
         assert world.length_s >= 5
         assert len({fault.kind for fault in scenario.faults}) >= MIN_KINDS
         assert all(0 < fault.at_s <= fault.end_s <= world.faults_s + 1e-3 for fault in scenario.faults)
@@ -114,7 +114,7 @@
 def whole(seed: int = 3) -> Scenario:
     """Return a scenario with a fault of every kind."""
     scenario = draw_scenario(seed)
-    draw = Drawer(seed, "all")
+    draw = Sampler(seed, "all")
     every = tuple(faults._draw_fault(of, draw, scenario.world) for of in KINDS.values())
     return msgspec.structs.replace(scenario, faults=every, asks=scenario.asks[:5])
 
--- a/tests/lab/test_overload_states.py
+++ b/tests/lab/test_overload_states.py
@@ -13,7 +13,7 @@
 import pytest
 
 from brambleusher.lab.faults.kinds import AnyFault, ConnectionsStalled, MisbehavingClients, RequestRejections
-from brambleusher.lab.fleets.figures import ClassFigures, NodeFigures, SidecarFigures, WorldFigures
+from brambleusher.lab.fleets.figures import ClassSpec, NodeSpec, SidecarSpec, WorldSpec
 from brambleusher.lab.fleets.fleet import Fleet
 from brambleusher.lab.fleets.scenario import Scenario
 from brambleusher.lab.stand_ins.settings import Ask, ClientSettings, NodeSettings
@@ -22,8 +22,8 @@
 FROM, UNTIL = 2.0, 5.0  # start and end of the faults, in seconds
 NODES = 6
 CLASSES = (
-    ClassFigures(name="look", share=0.7, work_s=0.02, spread=0.7, aim_s=0.3, deadline_s=0.6),
-    ClassFigures(name="move", share=0.3, work_s=0.03, spread=0.7, aim_s=0.4, deadline_s=1.2, unsafe=True),
+    ClassSpec(name="look", share=0.7, work_s=0.02, spread=0.7, aim_s=0.3, deadline_s=0.6),
+    ClassSpec(name="move", share=0.3, work_s=0.03, spread=0.7, aim_s=0.4, deadline_s=1.2, unsafe=True),
 )
 
 
@@ -37,13 +37,13 @@
     logger.setLevel(before)
 
 
-def world(clients: ClientSettings, sockets: int = 256) -> WorldFigures:
+def world(clients: ClientSettings, sockets: int = 256) -> WorldSpec:
     settings = NodeSettings(report_period_s=0.3, report_delay_s=0.08, work_noise=0.2)
-    return WorldFigures(
+    return WorldSpec(
         length_s=LENGTH, faults_s=UNTIL, zones=("a", "b"),
-        sidecars=tuple(SidecarFigures(name=f"n{n}", zone="ab"[n], sockets=sockets) for n in range(2)),
+        sidecars=tuple(SidecarSpec(name=f"n{n}", zone="ab"[n], sockets=sockets) for n in range(2)),
         nodes=tuple(
-            NodeFigures(id=f"s-{n}", zone="ab"[n % 2], kind="std", settings=settings) for n in range(NODES)
+            NodeSpec(id=f"s-{n}", zone="ab"[n % 2], kind="std", settings=settings) for n in range(NODES)
         ),
         classes=CLASSES, requests_per_s=RATE, clients=clients,
     )  # fmt: skip
@@ -61,7 +61,7 @@
     return tuple(made)
 
 
-def play(figures: WorldFigures, faults: tuple[AnyFault, ...], seed: int) -> tuple[float, float, Fleet]:
+def play(figures: WorldSpec, faults: tuple[AnyFault, ...], seed: int) -> tuple[float, float, Fleet]:
     """Return the fractions of requests served during the faults, without the first 0.5 s, and after them."""
     scenario = Scenario(seed=seed, world=figures, asks=asks(seed), faults=faults)
     with (fleet := Fleet(scenario)).world as at:
@@ -119,4 +119,4 @@
 def test_the_scenarios_are_plain_data() -> None:
     """The scenarios survive conversion to built-in types, so the lab's command can read and run them."""
     figures = world(ClientSettings(asks_once=0.5, most_open=9))
-    assert msgspec.convert(msgspec.to_builtins(figures), WorldFigures) == figures
+    assert msgspec.convert(msgspec.to_builtins(figures), WorldSpec) == figures
--- a/tests/recorded/sidecar_day.py
+++ b/tests/recorded/sidecar_day.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from brambleusher.lab.fleets.figures import DOOR_PORT
+from brambleusher.lab.fleets.figures import ADMIN_PORT
 from brambleusher.lab.fleets.fleet import Fleet, world_of
 from brambleusher.lab.fleets.scenario import draw_scenario
 from brambleusher.runtime.scheduler import Scheduler
@@ -88,7 +88,7 @@
         def ask(scheduler: Scheduler) -> None:
             node = scenario.world.nodes[0].id
             for line in TARGETS:
-                call(scheduler, DOOR_PORT, line.format(node=node))
+                call(scheduler, ADMIN_PORT, line.format(node=node))
             for line in PAGES:
                 call(scheduler, STATUS_PORT, line)
             scheduler.stop()
