--- a/benchmarks/ring.py
+++ b/benchmarks/ring.py
@@ -44,7 +44,7 @@
         ticks.clear()
         with mock.patch.object(Balancer, "_on_timer", counted):
             figures = run(cell_of(seed)).figures
-        nodes = WorldFile().figures(60).nodes
+        nodes = WorldFile().world_spec(60).nodes
         for zone in ticks:
             loads = {node.id: figures[f"load.node.{node.id}"] for node in nodes if node.zone == zone}
             for name, load in loads.items():
--- a/brambleusher/lab/experiments/direct.py
+++ b/brambleusher/lab/experiments/direct.py
@@ -31,7 +31,7 @@
     cell: Cell, requests: list[Request], plan: Play, span_s: float
 ) -> tuple[Tally, list[Heard], list[Execution], int]:
     """Play; gives the tally, what the nodes noted, what they ran, and when it began."""
-    world = cell.figures.figures(span_s)
+    world = cell.figures.world_spec(span_s)
     nodes = [node for node in world.nodes if not node.spare]
     context = multiprocessing.get_context("spawn")
     pipes: list[Connection] = []
--- a/brambleusher/lab/experiments/plan.py
+++ b/brambleusher/lab/experiments/plan.py
@@ -141,7 +141,7 @@
         for settings_name, over in file.settings.items():
             try:
                 figures = world_of(plain, over)
-                figures.figures()
+                figures.world_spec()
             except WorldError as error:
                 at = f"worlds.{world_name}" + (f" with settings.{settings_name}" if over else "")
                 raise ExperimentError(f"{at}: {error}") from None
--- a/brambleusher/lab/experiments/report.py
+++ b/brambleusher/lab/experiments/report.py
@@ -426,7 +426,7 @@
     rows = figure.subplots(len(groups), 1, sharex=True, sharey=True, squeeze=False)
     for axes, group in zip(rows[:, 0], groups, strict=True):
         colours = _zone_colours(group)
-        nodes = [node for node in group.cells[0][0].plan.figures.figures().nodes if not node.spare]
+        nodes = [node for node in group.cells[0][0].plan.figures.world_spec().nodes if not node.spare]
         nodes.sort(key=lambda node: (list(colours).index(node.zone), node.kind, node.id))
         loads = [group.mean(f"load.node.{node.id}") or 0.0 for node in nodes]
         places = range(len(nodes))
--- a/brambleusher/lab/experiments/run.py
+++ b/brambleusher/lab/experiments/run.py
@@ -88,7 +88,7 @@
 def virtual(cell: Cell, requests: list[Request]) -> CellResult:
     """In virtual time, every byte on the wire held against the rules."""
     span_s, direct = span_of(cell, requests), cell.through == "nodes"
-    world = cell.figures.figures(span_s + 0.001)
+    world = cell.figures.world_spec(span_s + 0.001)
     if direct:
         world = msgspec.structs.replace(world, sidecars=())
     sample = Ask(id="sample", at_s=0.0, request_class=world.classes[0].name)
@@ -172,9 +172,7 @@
     for sidecar in fleet.sidecars:
         for process in [*sidecar.ended, *([sidecar.process] if sidecar.process is not None else [])]:
             zero_ns = WALL_NS + fleet.begins_ns - START_NS
-            events += _warnings(
-                sidecar.figures.name, bytes(process.stderr).decode("utf-8", "replace"), zero_ns
-            )
+            events += _warnings(sidecar.spec.name, bytes(process.stderr).decode("utf-8", "replace"), zero_ns)
     return events[:MOST_EVENTS]
 
 
@@ -198,7 +196,7 @@
         document, off = _fidelity(cell, requests, heard)
         off["was_late"] = float(tally.results.late)
         return tally.result(ran, began_ns, (), off, {"fidelity": document})
-    tally, executions = Tally(cell.figures.figures(span_s), cell.speed, span_s), list[Execution]()
+    tally, executions = Tally(cell.figures.world_spec(span_s), cell.speed, span_s), list[Execution]()
     scheduler = Scheduler(RealSystem())
     put_off()
     with tempfile.TemporaryDirectory(prefix="brambleusher-lab-") as folder:
--- a/brambleusher/lab/faults/effects.py
+++ b/brambleusher/lab/faults/effects.py
@@ -47,7 +47,7 @@
     """Return the node that the fault targets, or all nodes but the spares."""
     if fault.target:
         return [fleet.node_instance(fault.target)]
-    return [instance for instance in fleet.node_instances if not instance.figures.spare]
+    return [instance for instance in fleet.node_instances if not instance.spec.spare]
 
 
 def _zone_nodes(fault: faults.Fault, fleet: BaseFleet) -> list[NodeInstance]:
@@ -55,7 +55,7 @@
     return [
         instance
         for instance in fleet.node_instances
-        if not instance.figures.spare and fault.target in ("", instance.figures.zone)
+        if not instance.spec.spare and fault.target in ("", instance.spec.zone)
     ]
 
 
@@ -247,7 +247,7 @@
 @apply.register(faults.FleetGrows)
 def _fleet_grows(fault: faults.FleetGrows, fleet: BaseFleet) -> EndAction:
     for instance in fleet.node_instances:
-        if instance.figures.spare:
+        if instance.spec.spare:
             instance.remove_stop_reason("spare")
             instance.update_listing(fleet.scenario.world.notice_s)
     return None
@@ -593,7 +593,7 @@
         return None
     targets, down_s = _target_nodes(fault, fleet), fault.for_s / 4
     for instance in targets if fault.restart else ():
-        crash = faults.NodeCrashed(at_s=0.0, target=instance.figures.id)
+        crash = faults.NodeCrashed(at_s=0.0, target=instance.spec.id)
         _call_later(fleet, down_s, partial(_apply_for, crash, fleet, down_s))
     paths = [f"/control/registry-nodes/{quote(instance.id, safe='')}/" for instance in targets]
     requests = [(each.admin, path + "offline", path + "online") for path in paths for each in fleet.sidecars]
@@ -658,7 +658,7 @@
         (instance.machine, each.machine)
         for instance in _zone_nodes(fault, fleet)
         for each in fleet.sidecars
-        if each.figures.zone != fault.target
+        if each.spec.zone != fault.target
     ]
     return _partition(fleet, pairs)
 
@@ -694,7 +694,7 @@
         (instance.machine, each.machine)
         for instance in _zone_nodes(fault, fleet)
         for each in fleet.sidecars
-        if fault.sidecar in ("", each.figures.name)
+        if fault.sidecar in ("", each.spec.name)
     ]
     if fault.way == "to-nodes":
         pairs = [(to, from_) for from_, to in pairs]
--- a/brambleusher/lab/fleets/fleet.py
+++ b/brambleusher/lab/fleets/fleet.py
@@ -106,17 +106,17 @@
 
 def world_of(scenario: Scenario) -> World:
     """Return an empty world with the scenario's network settings."""
-    figures = scenario.world.network
+    spec = scenario.world.network
     return World(
         scenario.seed,
         WorldSettings(
-            jitter_ns=int(figures.same_zone_s * figures.jitter * SECOND),
-            split=figures.split,
-            short_send=figures.short_send,
-            short_receive=figures.short_receive,
-            aborted_accepts=figures.aborted_accepts,
-            send_buffer=figures.buffer_bytes,
-            receive_buffer=figures.buffer_bytes,
+            jitter_ns=int(spec.same_zone_s * spec.jitter * SECOND),
+            split=spec.split,
+            short_send=spec.short_send,
+            short_receive=spec.short_receive,
+            aborted_accepts=spec.aborted_accepts,
+            send_buffer=spec.buffer_bytes,
+            receive_buffer=spec.buffer_bytes,
         ),
     )
 
@@ -172,9 +172,9 @@
 class NodeInstance:
     """A node of the fleet: its machine, its current process, and the reasons that keep it from running."""
 
-    def __init__(self, fleet: BaseFleet, figures: NodeSpec, machine: Machine) -> None:
-        self.fleet, self.figures, self.machine = fleet, figures, machine
-        self.id = figures.id
+    def __init__(self, fleet: BaseFleet, spec: NodeSpec, machine: Machine) -> None:
+        self.fleet, self.spec, self.machine = fleet, spec, machine
+        self.id = spec.id
         self.active_faults = ActiveFaults()
         self.node: Node | None = None
         self.process: Process | None = None
@@ -185,7 +185,7 @@
         self.listed_draining_reasons: list[object] = []  # reasons to list a serving node as draining
         self.power_cut_reasons: list[object] = []  # reasons that keep the machine without power
         self.previous_ids: list[str] = []  # previous ids of the node
-        if figures.spare:
+        if spec.spare:
             self.stop_reasons.append("spare")
 
     @property
@@ -205,14 +205,14 @@
 
     def entry(self) -> Entry:
         """Return the entry under which discovery should list the node now."""
-        figures, state = self.figures, "Ready"
+        spec, state = self.spec, "Ready"
         if not self.up:
             state = "Gone"
         elif self.drain_reasons or self.listed_draining_reasons:
             state = "Terminating"
         return Entry(
-            id=self.id, addr=f"{self.address[0]}:{self.address[1]}", zone=figures.zone, kind=figures.kind,
-            cell=figures.cell, weight=figures.weight, started_ms=self.started_ms,
+            id=self.id, addr=f"{self.address[0]}:{self.address[1]}", zone=spec.zone, kind=spec.kind,
+            cell=spec.cell, weight=spec.weight, started_ms=self.started_ms,
             state=state,  # type: ignore[arg-type]
         )  # fmt: skip
 
@@ -248,7 +248,7 @@
 
         def build(scheduler: Scheduler) -> Server:
             self.node = fleet.new_node(
-                scheduler, self.figures.settings, name, fleet.scenario.seed, process=number, cold=cold,
+                scheduler, self.spec.settings, name, fleet.scenario.seed, process=number, cold=cold,
                 executions=fleet.executions, active_faults=self.active_faults,
             )  # fmt: skip
             self.node.on_fall = lambda: self.update_listing(fleet.scenario.world.silent_notice_s)
@@ -466,9 +466,9 @@
 class SidecarInstance:
     """A sidecar of the fleet: its machine, its configuration files and its process."""
 
-    def __init__(self, fleet: BaseFleet, number: int, figures: SidecarSpec) -> None:
-        self.fleet, self.number, self.figures = fleet, number, figures
-        self.machine = fleet.world.machine(figures.name, f"10.0.0.{number + 1}")
+    def __init__(self, fleet: BaseFleet, number: int, spec: SidecarSpec) -> None:
+        self.fleet, self.number, self.spec = fleet, number, spec
+        self.machine = fleet.world.machine(spec.name, f"10.0.0.{number + 1}")
         self.file = self.good_file = b""  # current file, and the last valid one from the platform
         self.operator = b""  # current contents of the operator file
         self.sidecar: Sidecar | None = None
@@ -494,7 +494,7 @@
 
     def write_file(self) -> None:
         """Write the configuration file as the platform does at a start."""
-        fleet, known = self.fleet, self.figures.known
+        fleet, known = self.fleet, self.spec.known
         entries, version = list(fleet.discovery.list.values()), fleet.discovery.version
         if known == "none":
             entries, version = [], 0
@@ -518,7 +518,7 @@
 
     def operator_file(self, **zones: Any) -> bytes:
         """Return the operator file, with the given keys of the section on zones replaced."""
-        sections: dict[str, Any] = {"capture": CAPTURE} if self.figures.capture else {}
+        sections: dict[str, Any] = {"capture": CAPTURE} if self.spec.capture else {}
         sections |= self.fleet.scenario.world.operator
         if "zones" in sections:
             sections["zones"] = {**sections["zones"], **zones}
@@ -563,7 +563,7 @@
         self.sidecar = None
         fleet = self.fleet
         assert isinstance(self.machine, VirtualMachine)
-        return self.machine.start(main, self.figures.name, descriptors=self.figures.sockets, pace=fleet.pace)
+        return self.machine.start(main, self.spec.name, descriptors=self.spec.sockets, pace=fleet.pace)
 
     def lower_descriptor_limit(self, why: object, left: int) -> None:
         """Limit the process to `left` more open descriptors, until the reason is removed."""
@@ -578,7 +578,7 @@
 
     def _apply_descriptor_limit(self) -> None:
         if self.process is not None:
-            self.process.limit = min([self.figures.sockets, *(limit for _, limit in self._descriptor_limits)])
+            self.process.limit = min([self.spec.sockets, *(limit for _, limit in self._descriptor_limits)])
         self.fleet.monitor.starved(self.fleet.world.now_ns, self.machine.name, bool(self._descriptor_limits))
 
     def pause(self, wait_ns: int) -> None:
@@ -598,11 +598,11 @@
         sidecar, process = self.sidecar, self.process
         if sidecar is None or process is None or process.dead:
             stderr = b"" if process is None else bytes(process.stderr)
-            return SidecarResources(self.figures.name, False, 0, 0, 0, 0, 0, 0, 0, 0, stderr)
+            return SidecarResources(self.spec.name, False, 0, 0, 0, 0, 0, 0, 0, 0, stderr)
         nodes = sidecar.upstream_pool
         idle = nodes.idle_connections
         return SidecarResources(
-            name=self.figures.name, up=True, pending_requests=sidecar.balancer_driver.pending_requests,
+            name=self.spec.name, up=True, pending_requests=sidecar.balancer_driver.pending_requests,
             clients=sidecar.client_listener.connections, open_attempts=nodes.open_attempts,
             node_connections=nodes.open_connections, node_idle=idle, timers=sidecar.scheduler.timers,
             descriptors=process.descriptors,
@@ -633,13 +633,13 @@
         self.executions: list[Execution] = []  # executions of all nodes, in order of arrival
         self.asked: list[Asked] = []  # requests of all clients
         self.misdeeds: list[Misdeed] = []
-        figures = scenario.world
+        spec = scenario.world
         self.discovery = DiscoveryInstance(self)
         self.node_instances = [
             NodeInstance(self, node, self.world.machine(node_machine(number), node_address(number)[0]))
-            for number, node in enumerate(figures.nodes)
+            for number, node in enumerate(spec.nodes)
         ]
-        self.sidecars = [self.new_sidecar(number, sidecar) for number, sidecar in enumerate(figures.sidecars)]
+        self.sidecars = [self.new_sidecar(number, sidecar) for number, sidecar in enumerate(spec.sidecars)]
         self.client_machine = self.world.machine(CLIENTS, "10.3.0.1")
         self._bad_machine = self.world.machine(BAD_CLIENTS, "10.3.0.2")
         self.clients: list[Client] = []
@@ -651,17 +651,17 @@
         for machine in list(self.world.machines.values()):
             self.set_latency(machine)
         self.begins_ns = self.world.now_ns + int(STARTUP_S * SECOND)
-        self.ends_ns = self.begins_ns + int(figures.length_s * SECOND)
+        self.ends_ns = self.begins_ns + int(spec.length_s * SECOND)
         self.running: list[Fault] = []
-        self.pace = pace_of(figures)
+        self.pace = pace_of(spec)
         self.new_node: Callable[..., Node] = Node  # replaceable by experiments
         self.new_balancer: Callable[[Settings, int], Balancer] = balancer_for  # replaceable by experiments
 
-    def new_sidecar(self, number: int, figures: SidecarSpec) -> SidecarInstance:
+    def new_sidecar(self, number: int, spec: SidecarSpec) -> SidecarInstance:
         """Create a sidecar of the class used in this kind of world."""
-        return SidecarInstance(self, number, figures)
+        return SidecarInstance(self, number, spec)
 
-    # --- figures --------------------------------------------------------------------------------
+    # --- lookups --------------------------------------------------------------------------------
 
     def wall_ms(self) -> int:
         """Return the correct Unix time in milliseconds."""
@@ -679,33 +679,33 @@
         """Return the zone of a machine; empty for machines other than nodes and sidecars."""
         for instance in self.node_instances:
             if instance.machine is machine:
-                return instance.figures.zone
+                return instance.spec.zone
         for sidecar in self.sidecars:
             if sidecar.machine is machine:
-                return sidecar.figures.zone
+                return sidecar.spec.zone
         return ""
 
     def set_latency(self, machine: Machine) -> None:
         """Set the latencies of a machine's links to those of the scenario."""
-        figures, network = self.scenario.world.network, self.world.network
+        spec, network = self.scenario.world.network, self.world.network
         fronts = (CLIENTS, BAD_CLIENTS, OPERATORS)
         zone = self.zone_of(machine)
         for other in self.world.machines.values():
             if other is machine:
                 continue
-            seconds = figures.same_zone_s if self.zone_of(other) == zone else figures.cross_zone_s
+            seconds = spec.same_zone_s if self.zone_of(other) == zone else spec.cross_zone_s
             if machine.name in fronts or other.name in fronts:
-                seconds = figures.client_s
+                seconds = spec.client_s
             for link in (network.link(machine, other), network.link(other, machine)):
                 link.latency_ns = max(1, int(seconds * SECOND))
 
     def node_instance(self, name: str) -> NodeInstance:
         """Return the node with this id in the scenario."""
-        return next(instance for instance in self.node_instances if instance.figures.id == name)
+        return next(instance for instance in self.node_instances if instance.spec.id == name)
 
     def sidecar(self, name: str) -> SidecarInstance:
         """Return the sidecar with this name."""
-        return next(each for each in self.sidecars if each.figures.name == name)
+        return next(each for each in self.sidecars if each.spec.name == name)
 
     # --- a run ----------------------------------------------------------------------------------
 
@@ -843,9 +843,9 @@
     @property
     def load(self) -> float:
         """Work of all requests, as a fraction of the capacity."""
-        figures = self.scenario.world
+        spec = self.scenario.world
         work = math.fsum(ask.work_s for ask in self.scenario.asks)
-        return work / figures.length_s / figures.capacity
+        return work / spec.length_s / spec.capacity
 
 
 class Fleet(BaseFleet):
--- a/brambleusher/lab/fleets/worlds.py
+++ b/brambleusher/lab/fleets/worlds.py
@@ -100,7 +100,7 @@
     rules: RuleSpec = RuleSpec()
     faults: tuple[AnyFault, ...] = ()
 
-    def figures(self, length_s: float = 60.0) -> WorldSpec:
+    def world_spec(self, length_s: float = 60.0) -> WorldSpec:
         """Return the world definition for a run of a given length; raises `WorldError`."""
         if not self.zones or not self.classes or not any(kind.count for kind in self.kinds.values()):
             raise WorldError("zones, kinds and classes must not be empty")
@@ -197,7 +197,7 @@
         raise WorldError(f"{path}: not YAML: {' '.join(str(error).split())}") from None
     try:
         world = world_of(raw)
-        world.figures()
+        world.world_spec()
         return world
     except WorldError as error:
         raise WorldError(f"{path}: {error}") from None
--- a/brambleusher/lab/processes/fleet.py
+++ b/brambleusher/lab/processes/fleet.py
@@ -39,7 +39,7 @@
     def __init__(self, place: RealSidecarPlace, command: list[str], environment: dict[str, str]) -> None:
         self.place, stage = place, place.stage
         self.stage = stage
-        self.log = stage.folder / f"{place.figures.name}.{place.starts}.log"
+        self.log = stage.folder / f"{place.spec.name}.{place.starts}.log"
         with open(self.log, "wb") as log:
             self._popen = subprocess.Popen(
                 command, env={**os.environ, **environment}, stdin=subprocess.DEVNULL, stdout=log, stderr=log,
@@ -162,14 +162,14 @@
 
     fleet: RealFleet
 
-    def __init__(self, fleet: RealFleet, number: int, figures: SidecarSpec) -> None:
-        super().__init__(fleet, number, figures)
+    def __init__(self, fleet: RealFleet, number: int, spec: SidecarSpec) -> None:
+        super().__init__(fleet, number, spec)
         self.stage = fleet.stage
-        self.real = self.stage.machines[figures.name]
+        self.real = self.stage.machines[spec.name]
         self.ready = False
         self.at_rest = 0  # descriptors beside its connections
-        self._config = self.stage.folder / f"{figures.name}.json"
-        self._operator_path = self.stage.folder / f"{figures.name}.operator.yaml"
+        self._config = self.stage.folder / f"{spec.name}.json"
+        self._operator_path = self.stage.folder / f"{spec.name}.operator.yaml"
 
     def write_files(self) -> None:
         """Its configuration and its operator file, as they are meant to be there now."""
@@ -237,14 +237,14 @@
     def _apply_descriptor_limit(self) -> None:
         if self.process is not None:
             # As many as it may hold, and what the interpreter has open beside.
-            usual = self.figures.sockets + 2 * STANDARD
+            usual = self.spec.sockets + 2 * STANDARD
             self.process.limit = min([usual, *(limit for _, limit in self._descriptor_limits)])
         self.real.squeezed = bool(self._descriptor_limits)
         self.fleet.monitor.starved(self.stage.now_ns, self.machine.name, bool(self._descriptor_limits))
 
     def state(self) -> SidecarResources:
         """What can be seen of it from outside: descriptors beyond its connections are left over."""
-        process, name = self.process, self.figures.name
+        process, name = self.process, self.spec.name
         if process is None or process.dead:
             return SidecarResources(name, False, 0, 0, 0, 0, 0, 0, 0, 0, self.stderr)
         relays = self.stage.network.relays.values()
@@ -305,9 +305,9 @@
         """All sidecars' places."""
         return [place for place in self.sidecars if isinstance(place, RealSidecarPlace)]
 
-    def new_sidecar(self, number: int, figures: SidecarSpec) -> SidecarInstance:
+    def new_sidecar(self, number: int, spec: SidecarSpec) -> SidecarInstance:
         """A place for a real process."""
-        return RealSidecarPlace(self, number, figures)
+        return RealSidecarPlace(self, number, spec)
 
     def seen_by(self, ip: str, entry: Entry) -> Entry:
         """A node's entry with the address at which one sidecar reaches it."""
@@ -321,7 +321,7 @@
         """Wait until all sidecars are ready, then begin."""
         limit = self.stage.now_ns + int(READY_SECONDS * 1e9)
         if not self.stage.run(limit, lambda: all(place.ready for place in self.real_places)):
-            late = [place.figures.name for place in self.real_places if not place.ready]
+            late = [place.spec.name for place in self.real_places if not place.ready]
             raise RuntimeError(f"not ready within {READY_SECONDS:g} s: {', '.join(late)}")
         length = self.ends_ns - self.begins_ns
         self.begins_ns = self.stage.now_ns + 200_000_000
--- a/brambleusher/lab/processes/real_fleet.py
+++ b/brambleusher/lab/processes/real_fleet.py
@@ -104,7 +104,7 @@
     ) -> None:
         """Without `executions` the last ones are kept."""
         self.scheduler, self.world, self.folder = scheduler, world, folder
-        self.figures: WorldSpec = world.figures()
+        self.figures: WorldSpec = world.world_spec()
         self.seed = world.seed if seed is None else seed
         self.executions: MutableSequence[Execution] = (
             deque(maxlen=KEPT_EXECUTIONS) if executions is None else executions
--- a/brambleusher/lab/processes/watch.py
+++ b/brambleusher/lab/processes/watch.py
@@ -16,7 +16,7 @@
     def __init__(self, fleet: RealFleet) -> None:
         self._stage, self._start = fleet.stage, fleet.stage.now_ns
         places = fleet.real_places
-        least_mb = float(min(place.figures.memory_mb for place in places))
+        least_mb = float(min(place.spec.memory_mb for place in places))
         self.memory = Curve("MB", "resident memory of the largest sidecar", least_mb)
         self.descriptors = Curve("descriptors", "of those that a sidecar may open, at the fullest", 1.0)
         for number, place in enumerate(places):
@@ -32,5 +32,5 @@
         if isinstance(process, SidecarProcess) and not process.dead:
             step = (self._stage.now_ns - self._start) // SECOND
             self.memory.raise_to(step, process.resident_mb)
-            self.descriptors.raise_to(step, process.descriptors / place.figures.sockets)
+            self.descriptors.raise_to(step, process.descriptors / place.spec.sockets)
         self._stage.after(LOOK_NS, partial(self._look, place))
--- a/brambleusher/lab/virtual/explore.py
+++ b/brambleusher/lab/virtual/explore.py
@@ -316,7 +316,7 @@
     world.run(world.now_ns + DUMP_NS)
     for place, process in asked:
         # One that has ended since, and has a successor that was not asked, has no capture to show.
-        if place.up and place.process is process and place.figures.capture:
+        if place.up and place.process is process and place.spec.capture:
             checker.captured(world.now_ns, place.machine.name, place.stderr)
     unreached = [
         (each.due_ns, each.ask.id)
--- a/brambleusher/lab/virtual/zone_days.py
+++ b/brambleusher/lab/virtual/zone_days.py
@@ -132,16 +132,16 @@
     def _look(self) -> None:
         world = self._fleet.world
         for place in self._fleet.node_instances:
-            node, settings = place.node, place.figures.settings
+            node, settings = place.node, place.spec.settings
             part = 0.0
             if node is not None and place.up:
                 node.machine.advance(world.now_ns / SECOND)
                 part = node.machine.held / (settings.cores * settings.slots_per_core)
-            self.held[place.figures.id] = max(self.held[place.figures.id], part)
+            self.held[place.spec.id] = max(self.held[place.spec.id], part)
             if part > 1.0:
-                self._since.setdefault(place.figures.id, world.now_ns)
-            elif place.figures.id in self._since:
-                self._note(place.figures.id)
+                self._since.setdefault(place.spec.id, world.now_ns)
+            elif place.spec.id in self._since:
+                self._note(place.spec.id)
         if world.now_ns < self._fleet.ends_ns + SECOND:
             world.after(LOOK_NS, self._look)
         else:
@@ -218,7 +218,7 @@
     """A played fleet's books; `returns` names a zone, and since when work sent to its cold nodes counts."""
     scenario = fleet.scenario
     seconds = math.ceil(scenario.world.length_s)
-    zone_of = {place.figures.id: place.figures.zone for place in fleet.node_instances}
+    zone_of = {place.spec.id: place.spec.zone for place in fleet.node_instances}
     home_of = [each.zone for each in scenario.world.sidecars]
     aims = {each.name: each.aim_s for each in CLASSES}
 
--- a/tests/lab/test_fault_plans.py
+++ b/tests/lab/test_fault_plans.py
@@ -244,7 +244,7 @@
     "node-vanished": ({}, lambda fleet, _: node_instance(fleet).machine.gone and state(fleet) == "Gone"),
     "fleet-shrinks": (
         {"part": 0.5, "drain_s": 0.3},
-        lambda fleet, _: sum(not each.up for each in fleet.node_instances if not each.figures.spare) >= 1,
+        lambda fleet, _: sum(not each.up for each in fleet.node_instances if not each.spec.spare) >= 1,
     ),
     "neighbour": (
         {"share": 0.5, "on_s": 9.0, "off_s": 0.1},
@@ -420,10 +420,10 @@
         if kind in CASES and kind != "drain-flaps":
             assert not seen(fleet, tap)
         assert not fleet.running
-        assert all(each.up for each in fleet.node_instances if not each.figures.spare)
+        assert all(each.up for each in fleet.node_instances if not each.spec.spare)
         assert all(each.up for each in fleet.sidecars)
         assert {entry.state for entry in fleet.discovery.list.values()} == {"Ready"}
-        assert len(fleet.discovery.list) >= sum(not each.figures.spare for each in fleet.node_instances)
+        assert len(fleet.discovery.list) >= sum(not each.spec.spare for each in fleet.node_instances)
 
 
 @pytest.mark.parametrize("kind", [kind for kind, of in VIRTUAL.items() if of.targets != "none"])
@@ -434,7 +434,7 @@
         fleet.start()
         world.run(fleet.begins_ns + int((FROM_S + FOR_S + 1.5) * SECOND))
         assert not fleet.running and all(each.up for each in fleet.sidecars)
-        assert all(each.up for each in fleet.node_instances if not each.figures.spare)
+        assert all(each.up for each in fleet.node_instances if not each.spec.spare)
 
 
 def test_two_faults_that_use_up_descriptors_end_in_the_limit_there_was() -> None:
--- a/tests/lab/test_lab_experiments.py
+++ b/tests/lab/test_lab_experiments.py
@@ -42,7 +42,7 @@
 
 
 def experiment(folder: Path, text: str = EXPERIMENT) -> Path:
-    node = world_of({"kinds": {"k": {"count": 3}}}).figures().nodes[0].id
+    node = world_of({"kinds": {"k": {"count": 3}}}).world_spec().nodes[0].id
     recipe = synthetic.Recipe(seconds=3, rate=10, burst=None)
     demand.write(folder / "d", synthetic.requests(recipe, 3))
     path = folder / "e.yaml"
@@ -54,9 +54,9 @@
 
 
 def test_the_usual_world_has_14_nodes_in_four_zones_and_three_sidecars() -> None:
-    world = WorldFile().figures()
+    world = WorldFile().world_spec()
     assert (len(world.nodes), len({node.zone for node in world.nodes}), len(world.sidecars)) == (14, 4, 3)
-    assert world == WorldFile().figures()
+    assert world == WorldFile().world_spec()
 
 
 @pytest.mark.parametrize(
@@ -76,13 +76,13 @@
 )
 def test_a_world_that_can_not_be_used_is_refused_by_name(raw: object, said: str) -> None:
     with pytest.raises(WorldError, match=said):
-        world_of(raw).figures()
+        world_of(raw).world_spec()
 
 
 def test_settings_are_laid_over_a_world_key_by_key() -> None:
     over = world_of({"rules": {"tick_s": 0.01}}, {"rules": {"max_attempts": 1}, "sidecars": 5})
     assert (over.rules.tick_s, over.rules.max_attempts, over.sidecars) == (0.01, 1, 5)
-    assert len(world_of({}, {"kinds": {"std-2core": {"speed": 2.0}}}).figures().nodes) == 14
+    assert len(world_of({}, {"kinds": {"std-2core": {"speed": 2.0}}}).world_spec().nodes) == 14
 
 
 @pytest.mark.parametrize(
--- a/tests/lab/test_overload_states.py
+++ b/tests/lab/test_overload_states.py
@@ -69,7 +69,7 @@
         def look() -> None:
             for sidecar in fleet.sidecars:
                 assert sidecar.process is not None
-                assert sidecar.process.descriptors <= sidecar.figures.sockets
+                assert sidecar.process.descriptors <= sidecar.spec.sockets
             at.after(20_000_000, look)
 
         at.after(2_000_000_000, look)
